--- /dev/null
+++ b/internal/front/golden_test.go
@@ -0,0 +1,126 @@
+package front
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"harrierhoist/internal/standin"
+	"harrierhoist/policy"
+)
+
+// goldenSite has classes of all three effects, a plan that can be used up and a bound on units.
+func goldenSite() policy.Deployment {
+	given := site()
+	given.MostUnits = 50
+	given.MaxRetryAfter = 2 * time.Second
+	given.Lanes = append(given.Lanes, policy.Lane{Name: "book", SoftLimit: 5 * time.Second, Patience: 15 * time.Second,
+		Effect: policy.Receipted, Window: 10 * time.Second})
+	given.Plans = append(given.Plans, policy.Plan{Name: "small", Rate: 0.001, Burst: 10})
+	return given
+}
+
+// TestGoldenAnswers holds each form of answer on a client's connection, byte for byte, as recorded before the tree was made
+// readable.
+func TestGoldenAnswers(t *testing.T) {
+	const customer = "0000000000000005"
+	query := func(list string) string { return standin.Command("SVC.QUERY", customer, number(), list) }
+	submit := func(list, body string) string {
+		return standin.Command("SVC.SUBMIT", customer, number(), list, body)
+	}
+	served := func([]string) string { return standin.Value("hello", 3) }
+	failed := func([]string) string { return "-ERR failed\r\n" }
+	for name, c := range map[string]struct {
+		sent   string
+		ready  bool
+		server func([]string) string // nil: none is listed
+		want   string
+		goesOn bool // the connection goes on
+	}{
+		"ping before the list":      {standin.Command("PING"), false, nil, "-ERR not ready\r\n", true},
+		"ping":                      {standin.Command("PING"), true, nil, "+PONG\r\n", true},
+		"ping in small letters":     {standin.Command("ping"), true, nil, "+PONG\r\n", true},
+		"unknown command":           {standin.Command("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
+		"too few words":             {standin.Command("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
+		"a query with a value":      {standin.Command("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
+		"a submit with none":        {standin.Command("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
+		"no customer":               {standin.Command("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"a customer beyond all":     {standin.Command("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"a doubled name":            {query("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+		"an empty name":             {query("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+		"an empty value":            {query("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
+		"an unknown class":          {query("c=nope,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true},
+		"a class of other effect":   {query("c=pay,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true},
+		"an unknown plan":           {query("c=look,t=nope,d=100"), true, nil, "-ERR unknown, no number or out of range: t\r\n", true},
+		"a deadline that is none":   {query("c=look,t=wide,d=x"), true, nil, "-ERR unknown, no number or out of range: d\r\n", true},
+		"a deadline that is past":   {query("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
+		"a deadline beyond all":     {query("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
+		"units that are none":       {query("c=look,t=wide,d=100,units=x"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true},
+		"units beyond the most":     {query("c=look,t=wide,d=100,units=51"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true},
+		"a repeat that is no flag":  {query("c=look,t=wide,d=100,r=2"), true, nil, "-ERR unknown, no number or out of range: r\r\n", true},
+		"a set of gateways too big": {query("c=look,t=wide,d=100,spread=2"), true, nil, "-ERR unknown, no number or out of range: spread\r\n", true},
+		"a first gateway too big":   {query("c=look,t=wide,d=100,first=1"), true, nil, "-ERR unknown, no number or out of range: first\r\n", true},
+		"no class":                  {query("t=wide,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
+		"no plan":                   {query("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
+		"no deadline":               {query("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
+		"no key":                    {submit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
+		"no id":                     {standin.Command("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
+		"served":                    {query("c=look,t=wide,d=14000"), true, served, "$5\r\nhello\r\n", true},
+		"served, with a key":        {submit("c=book,t=wide,d=14000,k=7", "x"), true, served, "$5\r\nhello\r\n", true},
+		"failed":                    {submit("c=pay,t=wide,d=14000", "x"), true, failed, "-ERR failed\r\n", true},
+		"beyond the quota":          {query("c=look,t=small,d=14000,units=20"), true, served, "-BUSY 2000\r\n", true},
+		"a command of no words":     {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+		"a command of many words":   {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+		"a word that is missing":    {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
+		"a line of another kind":    {"PING\r\n", true, nil, "-ERR no line of kind *\r\n", false},
+		"a length that is none":     {"*x\r\n", true, nil, "-ERR a length is no number\r\n", false},
+		"a word that is too long":   {"*1\r\n$1025\r\n", true, nil, "-ERR word too long\r\n", false},
+		"a value that is too long":  {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n", true, nil, "-ERR value too long\r\n", false},
+		"a word that does not end":  {"*1\r\n$4\r\nPINGxx", true, nil, "-ERR a value does not end where it says\r\n", false},
+		"a message too long":        {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var servers []*standin.Server
+			if c.server != nil {
+				servers = append(servers, standin.NewServer(t, c.server))
+			}
+			s := playWith(t, goldenSite(), nil, 0, servers...)
+			if c.ready {
+				s.Ready()
+			}
+			s.serve()
+			client := s.call()
+			client.send(c.sent)
+			got := make([]byte, len(c.want))
+			n, err := io.ReadFull(client.in, got)
+			if string(got[:n]) != c.want {
+				t.Fatalf("answered %q (%v), recorded %q", got[:n], err, c.want)
+			}
+			if !c.goesOn {
+				if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
+					t.Fatalf("behind the answer %q, %v; recorded: the end", rest, err)
+				}
+				return
+			}
+			client.send(standin.Command("FOO"))
+			if line := client.line(); line != "-ERR unknown command" {
+				t.Errorf("the next command answered %q", line)
+			}
+		})
+	}
+}
+
+// A request whose id another open request has is answered at once; one whose servers are all full is told when to come again.
+func TestGoldenAnswersWithOthersOpen(t *testing.T) {
+	server := standin.NewServer(t, silent)
+	s := play(t, 0, server).serve()
+	first, second := s.call(), s.call()
+	first.send(standin.Command("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	standin.Eventually(t, "the first request", func() bool { return server.Commands() == 1 })
+	second.send(standin.Command("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	if line := second.line(); line != "-ERR no id of its own" {
+		t.Errorf("answered %q", line)
+	}
+}
