--- a/internal/cluster/core/row_test.go
+++ b/internal/cluster/core/row_test.go
@@ -15,6 +15,7 @@
 	disks   map[uint64][][]byte
 	done    map[uint64]Done // the last that had something
 	refused []error
+	sent    []Message
 }
 
 func member(n uint64) cluster.Member {
@@ -72,6 +73,7 @@
 				r.disks[id] = append(r.disks[id], ready.Record)
 			}
 			for _, m := range append(ready.Early, ready.Messages...) {
+				r.sent = append(r.sent, m)
 				if to := r.cores[m.To.Number]; to != nil {
 					if _, err := to.Step(m.Body); err != nil {
 						r.refused = append(r.refused, err)
--- /dev/null
+++ b/internal/cluster/golden_test.go
@@ -0,0 +1,44 @@
+package cluster
+
+import (
+	"encoding/hex"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// What processes of the version before send each other must stay readable, and what they read must stay what is sent.
+func TestGoldenEncodingOfMembersAndStatus(t *testing.T) {
+	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", Disk: "00112233445566778899aabbccddeeff"}
+	for name, c := range map[string]struct {
+		value, into any
+		want        string
+	}{
+		"member": {&member, new(Member), goldenMember},
+		"status": {&Status{Number: 3, Leader: 1, Term: 7, Applied: 900, Members: []Member{member}}, new(Status), goldenStatus},
+		"empty":  {&Status{}, new(Status), goldenEmptyStatus},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := cbor.Marshal(c.value)
+			if err != nil || hex.EncodeToString(got) != c.want {
+				t.Errorf("encoded as %x, %v", got, err)
+			}
+			bytes, err := hex.DecodeString(c.want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := cbor.Unmarshal(bytes, c.into); err != nil || !reflect.DeepEqual(c.into, c.value) {
+				t.Errorf("decoded as %+v, %v", c.into, err)
+			}
+		})
+	}
+}
+
+const (
+	goldenMember = "a4010302626733036d31302e302e302e333a3734303004782030303131323233333434353536363737383839396161626263" +
+		"63646465656666"
+	goldenStatus = "a5664e756d62657203664c656164657201645465726d07674170706c696564190384674d656d6265727381a4010302626733" +
+		"036d31302e302e302e333a373430300478203030313132323333343435353636373738383939616162626363646465656666"
+	goldenEmptyStatus = "a5664e756d62657200664c656164657200645465726d00674170706c69656400674d656d62657273f6"
+)
--- a/internal/cluster/tables/tables.go
+++ b/internal/cluster/tables/tables.go
@@ -33,8 +33,8 @@
 
 // Result is what became of a command.
 type Result struct {
-	Applied bool   // false: the table stands at another epoch, or the command was applied before
-	Epoch   uint64 // of the table, after the command
+	Applied bool   `cbor:"Applied"` // false: the table stands at another epoch, or the command was applied before
+	Epoch   uint64 `cbor:"Epoch"`   // of the table, after the command
 }
 
 // Entry is a table as it stands.
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -31,9 +31,11 @@
 
 // Status is a voter as it sees itself; it may be behind.
 type Status struct {
-	Number, Leader uint64 // Leader 0: none known
-	Term, Applied  uint64
-	Members        []Member
+	Number  uint64   `cbor:"Number"`
+	Leader  uint64   `cbor:"Leader"` // 0: none known
+	Term    uint64   `cbor:"Term"`
+	Applied uint64   `cbor:"Applied"`
+	Members []Member `cbor:"Members"`
 }
 
 // Voter is one of the few processes that hold the log. All calls may be made by several goroutines at once.
