--- a/internal/counting/rule.go
+++ b/internal/counting/rule.go
@@ -48,19 +48,19 @@
 
 // Trial is how a new rule is tried and when it is not taken.
 type Trial struct {
-	Sample    uint64 `toml:"sample"`     // thousandths of the keys that are played
-	Calls     uint64 `toml:"calls"`      // thousandths of the fleet's calls to the counter that may be spent
-	DeadlineS uint64 `toml:"deadline_s"` // seconds; what is undecided by then is refused
+	Sample    uint64 `toml:"sample" cbor:"Sample"`        // thousandths of the keys that are played
+	Calls     uint64 `toml:"calls" cbor:"Calls"`          // thousandths of the fleet's calls to the counter that may be spent
+	DeadlineS uint64 `toml:"deadline_s" cbor:"DeadlineS"` // seconds; what is undecided by then is refused
 	// WrongThousandths is the chance, in thousandths, that a harmful rule is taken, and that a harmless one is
 	// refused by its figures, whenever they are looked at.
-	WrongThousandths uint64 `toml:"wrong"`
+	WrongThousandths uint64 `toml:"wrong" cbor:"WrongThousandths"`
 	// The bounds, each in thousandths of the units asked by a key, in the mean over keys.
-	Rejected uint64 `toml:"rejected"` // let in by the old rule alone
-	LetIn    uint64 `toml:"let_in"`   // let in by the new rule alone
-	Beyond   uint64 `toml:"beyond"`   // let in by the new rule beyond its own limit
-	Leave    uint64 `toml:"leave"`    // thousandths that the part let in may differ from what was foretold
-	WatchS   uint64 `toml:"watch_s"`  // seconds after an activation in which that undoes it
-	LeadMS   uint64 `toml:"lead_ms"`  // from the entry to the edge, beside lease and waits
+	Rejected uint64 `toml:"rejected" cbor:"Rejected"` // let in by the old rule alone
+	LetIn    uint64 `toml:"let_in" cbor:"LetIn"`      // let in by the new rule alone
+	Beyond   uint64 `toml:"beyond" cbor:"Beyond"`     // let in by the new rule beyond its own limit
+	Leave    uint64 `toml:"leave" cbor:"Leave"`       // thousandths that the part let in may differ from what was foretold
+	WatchS   uint64 `toml:"watch_s" cbor:"WatchS"`    // seconds after an activation in which that undoes it
+	LeadMS   uint64 `toml:"lead_ms" cbor:"LeadMS"`    // from the entry to the edge, beside lease and waits
 }
 
 const (
