--- /dev/null
+++ b/internal/debts/golden_test.go
@@ -0,0 +1,238 @@
+package debts
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// goldenDecisions is the SHA-256 of all values that the table took in TestGoldenDecisions, drawn at 8c168ca.
+const goldenDecisions = "fed885dda790ede434d8e45879e52563ffdd3bb74dd0646bc00b671aa216d954"
+
+// goldenValue has every part of the stored table.
+var goldenValue = Value{
+	Clock:    123_456_789,
+	Shares:   []Share{{Pair{"north", "south"}, 250_000}, {Pair{"west", "south"}, 1}},
+	Nets:     []Amount{{Pair{"north", "south"}, 1_234_567}, {Pair{"left.long-ago", "west"}, 1 << 40}},
+	Lots:     []Lot{{Amount{Pair{"north", "south"}, 1_234_567}, 123_000_000}},
+	Forgiven: []Amount{{Pair{"north", "south"}, 42}},
+	Said:     []Entry{{Amount{Pair{"north", "south"}, 42}, 7, 3_600_000}},
+	Standing: []Standing{
+		{Partner: "north", Pace: 62_500, Hold: 123_486_789, Tasks: 1000.5, Late: 2.25, Slow: 30.125, Most: 125_000},
+		{Partner: "south", Pace: Whole},
+	},
+	Began: 123_400_000,
+	Rest:  123_300_000,
+}
+
+// The stored table as the version before wrote it is read, and written byte for byte.
+func TestGoldenStoredTable(t *testing.T) {
+	for name, want := range map[string]Value{"table.cbor": goldenValue, "table-empty.cbor": {}} {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile(filepath.Join("testdata", name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := Decode(stored)
+			if err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("read %+v (%v), want %+v", got, err, want)
+			}
+			if written, err := want.Encode(); err != nil || !bytes.Equal(written, stored) {
+				t.Errorf("written %x (%v), want %x", written, err, stored)
+			}
+		})
+	}
+}
+
+// Names that go between processes and into the log.
+func TestGoldenNames(t *testing.T) {
+	for want, got := range map[string]string{
+		"debts":                             Table,
+		"exact":                             Exact,
+		"debts\x1ftasks\x1fnorth":           Count(Tasks, "north"),
+		"debts\x1flate\x1fnorth":            Count(Late, "north"),
+		"debts\x1fslow\x1fnorth":            Count(Slow, "north"),
+		"debts\x1fpure\x1fnorth":            Count(Pure, "north"),
+		"debts\x1fpures\x1fnorth":           Count(Pures, "north"),
+		"debts\x1fserved\x1fnorth":          Count(Served, "north"),
+		"debts\x1fasked\x1fnorth":           Count(Asked, "north"),
+		"debts\x1fwent\x1fnorth":            Count(Went, "north"),
+		"owe\x1f1k2j3\x1fnorth\x1fsouth":    Name("1k2j3", Pair{"north", "south"}),
+		"owe\x1f1k2j3+\x1fa.b-c_d\x1fsouth": Name("1k2j3+", Pair{"a.b-c_d", "south"}),
+	} {
+		if got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+	if Whats != 8 {
+		t.Errorf("%d kinds of evidence", Whats)
+	}
+	totals := map[string]uint64{"g1\x1f3\x1fowe\x1flife\x1fnorth\x1fsouth": 700, "g1\x1f4\x1fowe\x1flife\x1fnorth\x1fsouth": 900}
+	if got := Read(totals); len(got) != 1 || got[Pair{"north", "south"}] != 900 {
+		t.Errorf("totals read as %v", got)
+	}
+}
+
+// The operators' file: every key, and what each means.
+func TestGoldenTerms(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := Default()
+	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&got); err != nil {
+		t.Fatal(err)
+	}
+	no, share, forgive := false, 0.25, 7200.0
+	want := Terms{On: true,
+		Partners: []Partner{
+			{Name: "north", Halls: []string{"n1", "n2"}, Weight: 2.5,
+				Customers: []string{"0000000000000010-000000000000001f", "0000000000000030"}},
+			{Name: "south", Halls: []string{"s1"}, Plans: []string{"wide", "small"}},
+			{Name: "west", Plans: []string{"slow"}},
+		},
+		Rules: []Rule{
+			{Between: []string{"north", "south"}, ShareMost: &share, ForgiveAfter: &forgive},
+			{Between: []string{"west", "south"}, Settle: &no},
+		},
+		SettleOver: 30, ShareMost: 0.4, MovedMost: 150, LendMost: 0.2, LossMost: 0.01, RoomLeast: 0.15, WellLeast: 0.95, Least: 7,
+		ForgiveAfter: 86400,
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	if wrong := got.Check(); len(wrong) > 0 {
+		t.Errorf("refused: %v", wrong)
+	}
+	usual := Terms{SettleOver: 20, ShareMost: 0.5, MovedMost: 200, LendMost: 0.3, LossMost: 0.005, RoomLeast: 0.2, WellLeast: 0.9,
+		Least: 5}
+	if got := Default(); !reflect.DeepEqual(got, usual) {
+		t.Errorf("without a file %+v, want %+v", got, usual)
+	}
+}
+
+// Each one-line refusal of a bad file, whole, in its order.
+func TestGoldenRefusals(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ old, bad, want string }{
+		{"settle_over_s = 30.0", "settle_over_s = 4.0", "settle_over_s: from 5 to 86400, not 4"},
+		{"share_most = 0.4", "share_most = 0.95", "share_most: from 0 to 0.9, not 0.95"},
+		{"moved_most = 150.0", "moved_most = -1.0", "moved_most: from 0 to 1e+06, not -1"},
+		{"moved_most = 150.0", "moved_most = nan", "moved_most: from 0 to 1e+06, not NaN"},
+		{"lend_most = 0.2", "lend_most = 1.5", "lend_most: from 0 to 1, not 1.5"},
+		{"loss_most = 0.01", "loss_most = 0.5", "loss_most: from 0.0001 to 0.1, not 0.5"},
+		{"room_least = 0.15", "room_least = 0.01", "room_least: from 0.05 to 0.9, not 0.01"},
+		{"well_least = 0.95", "well_least = 0.1", "well_least: from 0.5 to 1, not 0.1"},
+		{"\nleast = 7.0", "\nleast = 0.0", "least: from 0.001 to 1e+09, not 0"},
+		{"forgive_after_s = 86400.0", "forgive_after_s = 5.0", "forgive_after_s: from 60 to 1e+09, not 5"},
+		{`name = "south"`, `name = "no rth"`,
+			"partner.1.name: 1 to 64 letters, digits, '_', '.' and '-', the first a letter or digit, not \"no " +
+				"rth\"\nrule.0.between: a partner of this file is wanted, not \"south\"\nrule.1.between: a partner " +
+				"of this file is wanted, not \"south\""},
+		{`name = "south"`, `name = "north"`,
+			"partner.1.name: a name stands once; partner.0.name has it too, not north\nrule.0.between: a partner " +
+				"of this file is wanted, not \"south\"\nrule.1.between: a partner of this file is wanted, not " +
+				"\"south\""},
+		{`halls = ["s1"]`, `halls = ["n1"]`, "partner.1.halls: a hall stands once; partner.0.halls has it too, not n1"},
+		{`"slow"`, `"wide"`, "partner.2.plans: a plan stands once; partner.1.plans has it too, not wide"},
+		{"weight = 2.5", "weight = 1000.0", "partner.0.weight: from 0.01 to 100, not 1000"},
+		{`plans = ["slow"]`, "", "partner.2.halls: halls, customers or plans are wanted, not none"},
+		{`"0000000000000030"`, `"30"`,
+			"partner.0.customers: 16 hex digits below 0000000200000000, or two such joined by '-', the smaller " +
+				"first, not \"30\""},
+		{`"0000000000000030"`, `"0000000000000018"`,
+			"partner.0.customers: a customer stands once, not 0000000000000018 of partner.0 too"},
+		{`"0000000000000030"`, `"0000000200000000"`,
+			"partner.0.customers: 16 hex digits below 0000000200000000, or two such joined by '-', the smaller " +
+				"first, not \"0000000200000000\""},
+		{`"0000000000000030"`, `"0000000000000031-0000000000000030"`,
+			"partner.0.customers: 16 hex digits below 0000000200000000, or two such joined by '-', the smaller " +
+				"first, not \"0000000000000031-0000000000000030\""},
+		{`between = ["north", "south"]`, `between = ["north"]`, "rule.0.between: two partners are wanted, not [north]"},
+		{`between = ["north", "south"]`, `between = ["north", "north"]`,
+			"rule.0.between: two partners are wanted, not [north north]"},
+		{`between = ["north", "south"]`, `between = ["north", "east"]`,
+			"rule.0.between: a partner of this file is wanted, not \"east\""},
+		{`between = ["north", "south"]`, `between = ["south", "west"]`,
+			"rule.1.between: a rule between stands once; rule.0.between has it too, not south and west"},
+		{"share_most = 0.25", "share_most = 0.95", "rule.0.share_most: from 0 to 0.9, not 0.95"},
+		{"forgive_after_s = 7200.0", "forgive_after_s = 59.0", "rule.0.forgive_after_s: from 60 to 1e+09, not 59"},
+		{"settle_over_s = 30.0\nshare_most = 0.4", "settle_over_s = 1e6\nshare_most = -0.5",
+			"settle_over_s: from 5 to 86400, not 1e+06\nshare_most: from 0 to 0.9, not -0.5"},
+	} {
+		bad := strings.Replace(string(text), c.old, c.bad, 1)
+		terms := Default()
+		if err := toml.Unmarshal([]byte(bad), &terms); err != nil || bad == string(text) {
+			t.Fatalf("%q: %v", c.bad, err)
+		}
+		if got := errors.Join(terms.Check()...); got == nil || got.Error() != c.want {
+			t.Errorf("%q:\n%q, want\n%q", c.bad, got, c.want)
+		}
+	}
+	none := Default()
+	none.On = true
+	if got, want := errors.Join(none.Check()...), "partner: from 2 to 64 of them, not 0"; got == nil || got.Error() != want {
+		t.Errorf("without partners:\n%q, want\n%q", got, want)
+	}
+	for i := range partnersMost + 1 {
+		none.Partners = append(none.Partners, Partner{Name: strings.Repeat("x", i+1), Plans: []string{strings.Repeat("p", i+1)}})
+	}
+	want := "partner: from 2 to 64 of them, not 65\n" +
+		"partner.64.name: 1 to 64 letters, digits, '_', '.' and '-', the first a letter or digit, not \"" +
+		strings.Repeat("x", 65) + "\""
+	if got := errors.Join(none.Check()...); got == nil || got.Error() != want {
+		t.Errorf("with too many:\n%q, want\n%q", got, want)
+	}
+}
+
+// What is written to the table over a long story of debts, leaders, late tasks, rests and failover: every value, every byte.
+func TestGoldenDecisions(t *testing.T) {
+	rules := terms()
+	rules.ForgiveAfter, rules.Partners[1].Weight = 600, 2
+	s, all := begin(rules), sha256.New()
+	pass := func(seconds int) {
+		for range seconds {
+			s.pass(1)
+			stored := s.state.Table(Table)
+			all.Write(stored.Value)
+			all.Write([]byte{byte(stored.Epoch)})
+		}
+	}
+	s.owes("a", "b", 50_000)
+	s.owes("c", "b", 700)
+	s.owes("a", "c", 90_000)
+	pass(60)
+	s.halls["hall-b"] = Hall{Out: true}
+	pass(5)
+	s.halls["hall-b"] = Hall{Left: 0.1}
+	pass(5)
+	clear(s.halls)
+	pass(60)
+	s.late["a"] = 30
+	pass(25)
+	s.late["a"], s.late["b"] = 0, 4
+	pass(150)
+	s.asked["a"] = 100
+	pass(30)
+	s.lead(rules)
+	pass(90)
+	s.owes("b", "a", 49_990)
+	pass(700)
+	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDecisions {
+		t.Errorf("decisions hash to %s, want %s", got, goldenDecisions)
+	}
+	if v := s.value(); len(v.Said) == 0 || v.Began == 0 || v.Rest == 0 {
+		t.Errorf("the story leaves parts out: %+v", v)
+	}
+}
--- /dev/null
+++ b/internal/debts/journal/golden_test.go
@@ -0,0 +1,80 @@
+package journal
+
+import (
+	"bytes"
+	"compress/gzip"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"harrierhoist/internal/debts"
+	"harrierhoist/internal/debts/till"
+)
+
+// goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
+var goldenWrites = []struct {
+	life string
+	kept []till.Kept
+}{
+	{"1k2j3", []till.Kept{{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Owed: 700, Out: 2000}}},
+	{"1k2j3", nil},
+	{"1k2j3+", []till.Kept{
+		{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Owed: 2700, Out: 0},
+		{Pair: debts.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Owed: 1 << 40, Out: 1},
+	}},
+}
+
+// A gateway's journal as the version before stored it is read, and written byte for byte.
+func TestGoldenJournal(t *testing.T) {
+	packed, err := os.Open(filepath.Join("testdata", "debts.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	unpacked, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := io.ReadAll(unpacked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := t.TempDir()
+	if err := os.WriteFile(filepath.Join(before, "debts"), stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	last := goldenWrites[len(goldenWrites)-1]
+	if life, kept := reopen(t, before).Life(); life != last.life || !reflect.DeepEqual(kept, last.kept) {
+		t.Errorf("read %q, %v, want %q, %v", life, kept, last.life, last.kept)
+	}
+	now := t.TempDir()
+	j := reopen(t, now)
+	for _, r := range goldenWrites {
+		if err := j.Write(r.life, r.kept); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if written, err := os.ReadFile(filepath.Join(now, "debts")); err != nil || !bytes.Equal(written, stored) {
+		t.Errorf("%d bytes written (%v), %d stored, and not the same", len(written), err, len(stored))
+	}
+}
+
+// What the operators read at the start where the folder cannot be used.
+func TestGoldenRefusals(t *testing.T) {
+	folder := t.TempDir()
+	path := filepath.Join(folder, "debts")
+	_ = reopen(t, folder)
+	if _, err := Open(folder); err == nil || err.Error() != path+": another process has it: resource temporarily unavailable" {
+		t.Errorf("of a folder in use: %v", err)
+	}
+	folder = t.TempDir()
+	path = filepath.Join(folder, "debts")
+	if err := os.WriteFile(path, []byte("not a journal, though a file of some bytes"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(folder); err == nil || err.Error() != path+": none of its records is whole: remove it to begin anew" {
+		t.Errorf("of a file without a record: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/debts/till/golden_test.go
@@ -0,0 +1,99 @@
+package till
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"harrierhoist/internal/debts"
+	"harrierhoist/policy"
+)
+
+// goldenDraws is the SHA-256 of which of 10,000 tasks prefer a debtor's servers, drawn at 8c168ca.
+const goldenDraws = "ac62757cf5b2d1e11dd49c47e18a06be7bd8aea9c59805901c0d214c8eee9fb0"
+
+// Which tasks are drawn to settle a debt is a till's seed's, and nothing else's.
+func TestGoldenDraws(t *testing.T) {
+	rules := terms()
+	rules.Partners = append(rules.Partners, debts.Partner{Name: "c", Halls: []string{"nobody's"}})
+	l := New(rules, site, "x", 42, still)
+	l.Take(debts.Value{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Part: debts.Whole / 5},
+		{Pair: debts.Pair{Debtor: "c", Creditor: "b"}, Part: debts.Whole / 10},
+		{Pair: debts.Pair{Debtor: "b", Creditor: "a"}, Part: debts.Whole / 2}}}, time.Second)
+	all := sha256.New()
+	drawn := map[int]int{}
+	for i := range 10_000 {
+		task := policy.Task{Customer: 9, Plan: 1, Lane: i % 7 / 6, Repeat: i%11 == 0}
+		if i%3 == 0 {
+			task.Customer = 1
+		}
+		prefer := l.Enter(0, task).Prefer()
+		drawn[prefer]++
+		fmt.Fprintln(all, prefer)
+	}
+	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDraws {
+		t.Errorf("%v hash to %s, want %s", drawn, got, goldenDraws)
+	}
+}
+
+// Names and sums of all that a gateway tells, as they go into its digests.
+func TestGoldenCounts(t *testing.T) {
+	l := New(terms(), site, "1k2j3", 1, still)
+	l.Take(debts.Value{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Part: debts.Whole}}}, time.Second)
+	for _, c := range []struct {
+		task policy.Task
+		hall int
+		how  policy.Outcome
+		took time.Duration
+		cost float64
+	}{
+		{policy.Task{Customer: 1, Units: 2}, 1, policy.Answered, 100 * time.Millisecond, 5.25},
+		{policy.Task{Customer: 1, Units: 2, Lane: 1}, 1, policy.TimedOut, time.Second, 0},
+		{policy.Task{Customer: 1, Units: 2}, 1, policy.Full, 0, 0},
+		{policy.Task{Customer: 9, Plan: 1, Units: 3}, 0, policy.Answered, 400 * time.Millisecond, 0},
+		{policy.Task{Customer: 9, Plan: 1, Units: 3}, 1, policy.Answered, 700 * time.Millisecond, 1},
+	} {
+		claim := l.Enter(0, c.task)
+		claim.Sent(c.hall)
+		claim.Back(c.took, c.how, c.cost)
+		claim.Ended(false)
+	}
+	for name, c := range map[string]struct {
+		counts func(add func(string, uint64))
+		want   []string
+	}{
+		"counts": {l.Counts, []string{
+			"debts\x1fasked\x1fa=2",
+			"debts\x1fasked\x1fb=0",
+			"debts\x1flate\x1fa=2",
+			"debts\x1flate\x1fb=1",
+			"debts\x1fpure\x1fa=4000",
+			"debts\x1fpure\x1fb=6000",
+			"debts\x1fpures\x1fa=2",
+			"debts\x1fpures\x1fb=2",
+			"debts\x1fserved\x1fa=3000",
+			"debts\x1fserved\x1fb=6250",
+			"debts\x1fslow\x1fa=2",
+			"debts\x1fslow\x1fb=2",
+			"debts\x1ftasks\x1fa=3",
+			"debts\x1ftasks\x1fb=2",
+			"debts\x1fwent\x1fa=1",
+			"debts\x1fwent\x1fb=0",
+		}},
+		"exact": {l.ExactCounts, []string{"owe\x1f1k2j3\x1fa\x1fb=7250", "owe\x1f1k2j3\x1fb\x1fa=3000"}},
+	} {
+		got := map[string]uint64{}
+		c.counts(func(name string, n uint64) { got[name] = n })
+		var lines []string
+		for _, name := range slices.Sorted(maps.Keys(got)) {
+			lines = append(lines, fmt.Sprintf("%s=%d", name, got[name]))
+		}
+		if !slices.Equal(lines, c.want) {
+			t.Errorf("%s are %q, want %q", name, lines, c.want)
+		}
+	}
+}
