--- /dev/null
+++ b/internal/boot/golden_test.go
@@ -0,0 +1,207 @@
+package boot
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"harrierhoist/policy"
+)
+
+// fullConfiguration is testdata/full.json, a file with every key, as it has to be read.
+func fullConfiguration() *Handed {
+	return &Handed{
+		Name: "n3", Listen: "127.0.0.1:4001", Discovery: "127.0.0.1:4002", Counter: "127.0.0.1:4003",
+		Seed: -245, Cores: 2.5, MemoryMB: 192, Sockets: 1024,
+		Halls: []string{"hall-a", "hall-b", "hall-c"}, Kinds: []string{"m1", "m2"},
+		ConnectWithin: 250 * time.Millisecond, IdleLimit: 30 * time.Second,
+		Known: json.RawMessage(`{"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": "10.1.0.18:6379"}]}`),
+		Deployment: policy.Deployment{
+			Gateways: 4, Me: 3, MyHall: 1, Halls: 3, AskForList: true, MustAskIn: 6 * time.Second, Tick: 2500 * time.Microsecond,
+			HasCounter: true, CountLimit: 30500 * time.Microsecond, Settles: true, MostUnits: 6.25, Meter: time.Second,
+			Peers: true, Probes: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, TwoAtOnce: true,
+			PushLimit: 6, AnswerSlack: 8 * time.Millisecond, DrainGrace: time.Second, ColdFrom: 0.15, WarmAfter: 16 * time.Second,
+			FallMultiple: 2.25, TipAfter: 1500 * time.Millisecond, Reports: []string{"cpu", "queue"}, InboxPerS: 900,
+			Lanes: []policy.Lane{
+				{Name: "look", SoftLimit: 600 * time.Millisecond, Patience: 2500 * time.Millisecond, Gain: 1, Effect: policy.Pure,
+					Stream: true},
+				{Name: "hold", SoftLimit: 400125 * time.Microsecond, Patience: 1500 * time.Millisecond, Gain: 3, LateShare: 0.5,
+					Effect: policy.Receipted, Group: policy.GroupHall, Window: time.Second},
+				{Name: "keep", SoftLimit: 400 * time.Millisecond, Patience: 1500 * time.Millisecond, Effect: policy.Receipted,
+					Group: policy.GroupCell},
+				{Name: "note", SoftLimit: 400 * time.Millisecond, Patience: 1500 * time.Millisecond, Effect: policy.Receipted,
+					Group: policy.GroupAll},
+				{Name: "pay", SoftLimit: time.Microsecond, Patience: 1000000 * time.Second, Effect: policy.Effectful},
+				{SoftLimit: time.Millisecond, Patience: 2 * time.Millisecond, Effect: policy.Pure},
+			},
+			Plans: []policy.Plan{
+				{Name: "start", Rate: 2.2, Burst: 12, AtOnce: 4, CeilingRate: 3.5, CeilingBurst: 20, CeilingSlack: 0.1, Price: 1.25,
+					OverGain: 0.4, OverCost: 7},
+				{Name: "open"},
+			},
+		},
+	}
+}
+
+func TestGolden_everyKeyOfAConfigurationFileIsReadAsBefore(t *testing.T) {
+	got, err := Read(filepath.Join("testdata", "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := fullConfiguration()
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+	// No field is left out of the comparison: each has a value other than its zero value (Closed has no key).
+	for _, part := range []any{*want, want.Deployment, want.Deployment.Lanes[1], want.Deployment.Plans[0]} {
+		value := reflect.ValueOf(part)
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); value.Field(i).IsZero() && field.Name != "Closed" && field.Name != "Stream" {
+				t.Errorf("%s.%s has no value in the file", value.Type(), field.Name)
+			}
+		}
+	}
+}
+
+// refusals reads testdata/refusals.txt: an edit of full.json and the one line that it is refused with, apart by a tab. An
+// edit is PATH=VALUE (JSON) or -PATH, which removes the key; some are joined by " && ".
+func refusals(t *testing.T) [][2]string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "refusals.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rows [][2]string
+	for line := range strings.Lines(string(text)) {
+		edit, refusal, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		if !ok {
+			t.Fatalf("no tab in %q", line)
+		}
+		rows = append(rows, [2]string{edit, refusal})
+	}
+	return rows
+}
+
+// edited is full.json after some edits.
+func edited(t *testing.T, edits string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "full.json"))
+	var root any
+	if err == nil {
+		err = json.Unmarshal(text, &root)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, edit := range strings.Split(edits, " && ") {
+		path, value, set := strings.Cut(edit, "=")
+		path = strings.TrimPrefix(path, "-")
+		keys := strings.Split(path, ".")
+		at := root
+		for _, key := range keys[:len(keys)-1] {
+			if list, ok := at.([]any); ok {
+				place, err := strconv.Atoi(key)
+				if err != nil {
+					t.Fatalf("%s: %v", edit, err)
+				}
+				at = list[place]
+			} else {
+				at = at.(map[string]any)[key]
+			}
+		}
+		last := keys[len(keys)-1]
+		if !set {
+			delete(at.(map[string]any), last)
+			continue
+		}
+		var inner any
+		if err := json.Unmarshal([]byte(value), &inner); err != nil {
+			t.Fatalf("%s: %v", edit, err)
+		}
+		at.(map[string]any)[last] = inner
+	}
+	if text, err = json.Marshal(root); err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestGolden_everyRefusalOfABadFileIsWordedAsBefore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "gateway.json")
+	for _, row := range refusals(t) {
+		edits, want := row[0], row[1]
+		t.Run(edits, func(t *testing.T) {
+			if err := os.WriteFile(path, edited(t, edits), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Read(path)
+			if err == nil || err.Error() != path+": "+want {
+				t.Errorf("got  %v\nwant PATH: %s", err, want)
+			}
+		})
+	}
+}
+
+func TestGolden_fileThatCannotBeReadIsRefusedAsBefore(t *testing.T) {
+	dir := t.TempDir()
+	for _, c := range []struct{ name, path, text, want string }{
+		{"no path", "", "", "no configuration file is named (RELAY_CONFIG)"},
+		{"no file", dir + "/none.json", "", "open DIR/none.json: no such file or directory"},
+		{"a folder", dir, "", "read DIR: is a directory"},
+		{"empty", dir + "/a.json", " ", "DIR/a.json: configuration: unexpected end of JSON input"},
+		{"cut off", dir + "/a.json", `{"name":"n3",`, "DIR/a.json: configuration: unexpected end of JSON input"},
+		{"no JSON", dir + "/a.json", "name = n3", "DIR/a.json: configuration: invalid character 'a' in literal null (expecting 'u')"},
+		{"more behind it", dir + "/a.json", "{} {}", "DIR/a.json: configuration: invalid character '{' after top-level value"},
+		{"an array", dir + "/a.json", "[]", "DIR/a.json: configuration: json: cannot unmarshal array into Go value of type struct { " +
+			"Name string; Listen string; Discovery string; Counter string; Seed string; Limits struct { Cores float64; " +
+			"MemoryMB int \"json:\\\"memory_mb\\\"\"; Sockets int }; Known json.RawMessage; Settings map[string]interface {} }"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.text != "" {
+				if err := os.WriteFile(c.path, []byte(c.text), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			_, err := Read(c.path)
+			if err == nil || strings.ReplaceAll(err.Error(), dir, "DIR") != c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
+
+func TestGolden_settingsAsLinesAreRefusedAsBefore(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"no '='", "A=1\r\n\nnonsense", "settings line 3 has no '='"},
+		{"nothing", "", "settings: Balancers is missing"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			pairs, err := ParsePairs(c.text)
+			if err == nil {
+				_, err = Deployment(pairs)
+			}
+			if err == nil || err.Error() != c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
+
+// Keys that nobody asks for are no fault.
+func TestGolden_unknownKeysAreNotRefused(t *testing.T) {
+	want := fullConfiguration().Deployment
+	for _, edits := range []string{"more=7", `settings.More={"Deep":[{"a":1}]}`, "settings.SomethingNew=null",
+		"-settings.SomethingNew"} {
+		got, err := parse(edited(t, edits))
+		if err != nil {
+			t.Errorf("%s: %v", edits, err)
+		} else if !reflect.DeepEqual(got.Deployment, want) {
+			t.Errorf("%s: got %+v", edits, got.Deployment)
+		}
+	}
+}
--- /dev/null
+++ b/internal/counter/golden_test.go
@@ -0,0 +1,61 @@
+package counter
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harrierhoist/internal/standin"
+	"harrierhoist/policy"
+)
+
+// Each call, byte for byte but for the end of its line.
+func TestGolden_callsAreWordedAsBefore(t *testing.T) {
+	for _, c := range []struct {
+		name  uint64
+		units float64
+		keep  time.Duration
+		want  string
+	}{
+		{7, 2.5, 4 * time.Second, "incr 7 2.5 4000"},
+		{0, -0.1, 0, "incr 0 -0.1 1"},
+		{1, 0, -time.Second, "incr 1 0 1"},
+		{18446744073709551615, 1e21, 1999 * time.Microsecond, "incr 18446744073709551615 1000000000000000000000 1"},
+		{9223372036854775808, 1e-7, 36 * time.Hour, "incr 9223372036854775808 0.0000001 129600000"},
+		{8, 0.30000000000000004, 2 * time.Millisecond, "incr 8 0.30000000000000004 2"},
+	} {
+		t.Run(c.want, func(t *testing.T) {
+			s := standin.NewCounter(t)
+			counter := New(s.Addr, time.Second, zap.NewNop())
+			defer counter.Close()
+			ended := make(chan struct{})
+			counter.Add(c.name, c.units, c.keep, func(float64, policy.Outcome) { close(ended) })
+			if got := s.Call(t); got != c.want {
+				t.Errorf("called %q", got)
+			}
+			<-ended
+		})
+	}
+}
+
+// What a line of the counter is read as: its total and the number of its outcome.
+func TestGolden_answersAreReadAsBefore(t *testing.T) {
+	const malformed = "malformed"
+	for line, want := range map[string]string{
+		"ok 4.5\r\n": "4.5 0", "ok -3\r\n": "-3 0", "ok 1e9\r\n": "1e+09 0", "ok 0x1p4\r\n": "16 0", "ok +7\r\n": "7 0",
+		"ok 1_0\r\n": "10 0", "ok nan\r\n": malformed, "ok inf\r\n": malformed, "ok 1e999\r\n": malformed, "ok\r\n": malformed,
+		"ok \r\n": malformed, "ok  1\r\n": malformed, "busy\r\n": "0 2", "error\r\n": "0 2", "busybusy\r\n": malformed,
+		"pong\r\n": malformed, "\r\n": malformed, "ok 7\n": malformed, "OK 7\r\n": malformed, "busy": malformed, "ok 7": malformed,
+	} {
+		total, how, good := answer(line)
+		got := fmt.Sprint(total, " ", uint8(how))
+		if !good {
+			got = malformed
+		}
+		if got != want {
+			t.Errorf("%q: %q", line, got)
+		}
+	}
+}
