--- /dev/null
+++ b/internal/failover/golden_test.go
@@ -0,0 +1,258 @@
+package failover
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/cluster/tables"
+)
+
+// storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
+var storedPlans = map[string]*Plan{
+	"empty": {},
+	"plain": {
+		Rows:   map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}},
+		Sound:  map[string]int{"a": 1000, "b": 1000},
+		Alone:  map[string]map[string]int{"a": {"b": 100}, "b": {"a": 90}},
+		Shed:   map[string]int{},
+		Why:    map[string]string{},
+		Demand: map[string]uint64{"a": 50000, "b": 49999},
+	},
+	"full": {
+		Rows:    map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
+		Sound:   map[string]int{"a": 0, "b": 1000, "c": 750},
+		Alone:   map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
+		Before:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
+		Resting: []string{"a"},
+		Shut:    [][2]string{{"a", "b"}, {"c", "a"}},
+		Shed:    map[string]int{"a": 12},
+		Why:     map[string]string{"a": "a is lost", "b": ordinary},
+		Demand:  map[string]uint64{"a": 1, "b": 1 << 40, "c": 0},
+	},
+	"resting": {Resting: []string{}, Shut: [][2]string{}, Before: map[string]map[string]int{}},
+}
+
+// TestStoredPlan_bytesAreStable holds the plan's stored form to fixtures: gateways and leaders of other releases read it.
+func TestStoredPlan_bytesAreStable(t *testing.T) {
+	for name, plan := range storedPlans {
+		t.Run(name, func(t *testing.T) {
+			file := filepath.Join("testdata", "plan-"+name+".hex")
+			written, err := plan.Bytes()
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			stored, err := hex.DecodeString(strings.TrimSpace(string(text)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(written)); d != "" {
+				t.Errorf("written otherwise: %s", d)
+			}
+			read, err := Read(stored)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if d := cmp.Diff(plan, read); d != "" {
+				t.Errorf("read otherwise: %s", d)
+			}
+			again, err := read.Bytes()
+			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(again)); d != "" || err != nil {
+				t.Errorf("read and written otherwise: %v %s", err, d)
+			}
+		})
+	}
+}
+
+// goldenTerms are the settings that the drawn streams run under.
+var goldenTerms = map[string]func(*Terms, *time.Duration){
+	"defaults": func(*Terms, *time.Duration) {},
+	"quick": func(t *Terms, lease *time.Duration) {
+		t.UtilisationMost, t.LeastStay, t.Step, t.Worth, t.IllPart, t.Trial = 0.6, 3, 0.5, 0.02, 0.75, 0.05
+		*lease = 5 * time.Second
+	},
+	"uneven": func(t *Terms, lease *time.Duration) {
+		t.BearsBy = map[string]float64{"a": 5, "b": 20}
+		t.LeastStay, t.GatewaysLeast, t.UtilisationMost = 20, 3, 0.9
+		*lease = time.Second
+	},
+}
+
+// goldenSeeds are the seeds of the drawn streams.
+var goldenSeeds = []uint64{1, 2, 3, 4, 5, 6, 12, 2026}
+
+// goldenPlans are, by settings, how many plans the drawn streams write and the hash of all that is decided on them.
+var goldenPlans = map[string]struct {
+	plans int
+	hash  string
+}{
+	"defaults": {85, "56af996789a91dffe2ec84dfce6a8e69bbdf3e8f61c571766b31edd52c35f787"},
+	"quick":    {129, "ba98638bff3f16d8d7ad64a3b8e7eefa2e904f3fefe50df0943dd966a46d4565"},
+	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
+}
+
+// TestDecider_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a plan is
+// written, its bytes, and how gateways act on it.
+func TestDecider_drawnStreamDecidesAsBefore(t *testing.T) {
+	for name, set := range goldenTerms {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			sum, plans := sha256.New(), 0
+			for _, seed := range goldenSeeds {
+				plans += len(decideDrawn(seed, set, sum))
+			}
+			got := fmt.Sprintf("%d %s", plans, hex.EncodeToString(sum.Sum(nil)))
+			if want := fmt.Sprintf("%d %s", goldenPlans[name].plans, goldenPlans[name].hash); got != want {
+				t.Errorf("plans and hash are %s, not %s", got, want)
+			}
+		})
+	}
+}
+
+// decideDrawn plays a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
+// make of it.
+func decideDrawn(seed uint64, set func(*Terms, *time.Duration), sum hash.Hash) []planned {
+	chance := rand.New(rand.NewPCG(seed, 31))
+	w := drawn(chance)
+	set(&w.terms, &w.lease)
+	w.lead()
+	w.run(6 * time.Second)
+	for i := range 14 {
+		if i%3 == 0 { // many faults at once leave little to decide
+			clear(w.mute)
+			clear(w.blind)
+		}
+		w.trouble(chance)
+		for end := w.now + time.Duration(2+chance.IntN(14))*time.Second; w.now < end; {
+			step := w.now + tick
+			w.now = step
+			w.tell()
+			seen := cluster.Seen{Sums: w.sums, Held: func(string) tables.Entry { return w.entry }}
+			value, write := w.d.Decide(w.now, seen)
+			fmt.Fprintf(sum, "%d %v %x\n", w.now, write, value)
+			if !write {
+				continue
+			}
+			plan, err := Read(value)
+			if err != nil {
+				panic(err)
+			}
+			w.entry = tables.Entry{Epoch: w.entry.Epoch + 1, Value: value}
+			w.plans = append(w.plans, planned{w.now, plan})
+			for _, hall := range append(slices.Clone(w.halls), "elsewhere") {
+				part, alone, well := plan.Part(hall), plan.PartAlone(hall, true), plan.PartAlone(hall, false)
+				fmt.Fprintln(sum, hall, part.Weights, part.Shed, part.Halls(), alone.Weights, alone.Shed, well.Weights,
+					well.Shed, plan.Says(hall))
+			}
+		}
+	}
+	return w.plans
+}
+
+// TestDecider_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of a plan and every reason.
+func TestDecider_drawnStreamsReachAllParts(t *testing.T) {
+	reached := map[string]bool{}
+	for _, set := range goldenTerms {
+		for _, seed := range goldenSeeds {
+			for _, p := range decideDrawn(seed, set, sha256.New()) {
+				reached["resting"] = reached["resting"] || len(p.plan.Resting) > 0
+				reached["before"] = reached["before"] || len(p.plan.Before) > 0
+				reached["shut"] = reached["shut"] || len(p.plan.Shut) > 0
+				reached["shed"] = reached["shed"] || len(p.plan.Shed) > 0
+				for _, why := range p.plan.Why {
+					for _, reason := range []string{"out of reach", "is lost", "pushed over", ordinary} {
+						reached[reason] = reached[reason] || strings.Contains(why, reason)
+					}
+				}
+			}
+		}
+	}
+	for part, is := range reached {
+		if !is {
+			t.Errorf("no stream reaches %q", part)
+		}
+	}
+	if len(reached) != 8 {
+		t.Errorf("reached only %v", slices.Sorted(maps.Keys(reached)))
+	}
+}
+
+// refusals are what an operator reads of a file that is wrong in all its keys.
+const refusals = `
+failover.regions[0].name: a name of its own is wanted, not ""
+failover.regions[0].halls: halls that stand in one region, once is wanted, not "a"
+failover.regions[1].halls: the names of its halls is wanted, not none
+failover.regions[2].name: a name of its own is wanted, not "south"
+failover.regions[2].halls: halls that stand in one region, once is wanted, not ""
+failover.bears: a number from 0.001 to 1e+09 is wanted, not 1e+10
+failover.bears_by.a: a number from 0.001 to 1e+09 is wanted, not 0.0001
+failover.bears_by: a hall of a region is wanted, not "z"
+failover.utilisation_most: a number from 0.3 to 0.95 is wanted, not 1.2
+failover.least_stay_s: a number from 2 to 600 is wanted, not 1
+failover.step: a number from 0.05 to 1 is wanted, not 2
+failover.worth: a number from 0.01 to 0.3 is wanted, not 0.5
+failover.ill_part: a number from 0.51 to 0.95 is wanted, not 0.3
+failover.gateways_least: a number from 2 to 1000 is wanted, not 1
+failover.trial: a number from 0.002 to 0.1 is wanted, not 0.5
+failover.regions: at least one region with a name and its halls is wanted, not none
+`
+
+// TestTerms_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
+func TestTerms_refusalsAreStable(t *testing.T) {
+	const file = `
+on = true
+bears = 1e10
+utilisation_most = 1.2
+least_stay_s = 1.0
+step = 2.0
+worth = 0.5
+ill_part = 0.3
+gateways_least = 1
+trial = 0.5
+bears_by = { z = 1.0, a = 0.0001 }
+[[regions]]
+halls = ["a", "a"]
+[[regions]]
+name = "south"
+[[regions]]
+name = "south"
+halls = ["", "b"]
+`
+	var terms Terms
+	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&terms); err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	for _, err := range terms.Check() {
+		lines = append(lines, err.Error())
+	}
+	lines = append(lines, Terms{On: true}.Check()[0].Error())
+	if d := cmp.Diff(strings.TrimSpace(refusals), strings.Join(lines, "\n")); d != "" {
+		t.Error(d)
+	}
+}
+
+// TestTerms_defaultsAreStable holds the defaults of what the operators' file leaves out.
+func TestTerms_defaultsAreStable(t *testing.T) {
+	got := fmt.Sprint(Terms{}.Filled())
+	if want := "{false [] 0 map[] 0.8 10 0.25 0.05 0.6 2 0.02}"; got != want {
+		t.Errorf("the defaults are %s, not %s", got, want)
+	}
+}
