--- /dev/null
+++ b/policy/golden_host_test.go
@@ -0,0 +1,184 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// The calls of the module, as the golden world carries them out.
+
+func (w *goldenWorld) Push(task, server uint32, until time.Duration) {
+	w.record("attempt", task, server, until, w.module.Window(task))
+	r := w.asked[task]
+	number := len(r.attempts)
+	r.attempts = append(r.attempts, server)
+	outcome, took := w.outcome(server, r.request.Units)
+	if took > until-w.now || outcome == TimedOut {
+		outcome, took = TimedOut, max(until-w.now, 0)
+	}
+	if w.inForce.Lanes[r.request.Lane].Stream && w.chance(0.7) {
+		w.after(took/3, func() { w.module.Begun(w.now, task, number) })
+	}
+	w.after(took, func() { w.end(task, number, outcome, took) })
+	if w.chance(0.02) {
+		w.after(took, func() { w.end(task, number, outcome, took) }) // it comes twice
+	}
+}
+
+// outcome draws how an attempt ends, and after how long: as the phase has it.
+func (w *goldenWorld) outcome(server uint32, units float64) (Outcome, time.Duration) {
+	took := time.Duration((5 + 15*units) * float64(ms) * (0.5 + w.random.Float64()) * float64(1+server%3))
+	failing := 0.05
+	switch phase := w.phase(); {
+	case phase == 1 && server%4 == 1, phase == 5 && server%4 > 0:
+		failing = 0.7
+	case phase == 2, phase == 4 && w.chance(0.2):
+		took *= 6
+	}
+	if !w.chance(failing) {
+		return Answered, took
+	}
+	outcome := []Outcome{Errored, Full, Full, TimedOut, NoConnect, Reset, Cancelled, Moot}[w.random.Intn(8)]
+	if w.chance(0.7) {
+		took = w.between(0, 3*ms)
+	}
+	return outcome, took
+}
+
+func (w *goldenWorld) end(task uint32, number int, outcome Outcome, took time.Duration) {
+	r := w.asked[task]
+	result := Push{
+		Task: task, Number: number, Server: r.attempts[number], Outcome: outcome, Took: took,
+		Done: outcome == Answered || outcome == Errored && w.chance(0.3), Report: []float32{1},
+	}
+	if w.inForce.Settles && w.chance(0.8) {
+		result.Billed = r.request.Units * (0.5 + w.random.Float64())
+	}
+	if w.inForce.Meter > 0 && w.chance(0.5) {
+		result.Use = 1 + 1.5*w.random.Float64()
+	}
+	w.module.Ended(w.now, result)
+	w.record("admitted", task, w.module.Passed(task))
+}
+
+func (w *goldenWorld) Cancel(task uint32, number int) {
+	w.record("cancel", task, number)
+	if w.chance(0.8) {
+		took := w.between(ms, 5*ms)
+		w.after(took, func() { w.end(task, number, Cancelled, took+w.between(0, time.Second)) })
+	}
+}
+
+func (w *goldenWorld) Reject(task uint32, away time.Duration) {
+	w.record("reject", task, away, w.module.Passed(task))
+	again := w.asked[task].request
+	if again.Repeat = true; w.chance(0.3) && len(w.asked) < goldenRequests {
+		w.after(away/2+w.between(0, 200*ms), func() { w.ask(again) })
+	}
+}
+
+func (w *goldenWorld) Terminate(task uint32) { w.record("terminate", task) }
+
+func (w *goldenWorld) Count(name uint64, keep time.Duration, units float64) {
+	w.record("count", name, keep, units)
+	took, outcome := w.between(0, 5*ms), Answered
+	if w.phase() == 3 || w.chance(0.03) {
+		switch w.random.Intn(12) {
+		case 0, 1:
+			took, outcome = w.settings.CountLimit, TimedOut
+		case 2:
+			outcome = []Outcome{Full, NoConnect, Errored, Moot, Reset}[w.random.Intn(5)]
+		case 3:
+			took = 2 * w.settings.CountLimit // late
+		case 4:
+			took, outcome = 200*ms, []Outcome{Answered, TimedOut}[w.random.Intn(2)] // too late to wait for
+		}
+	}
+	w.after(took, func() {
+		if outcome == Answered || outcome == TimedOut && w.chance(0.5) {
+			w.totals[name] += units
+		}
+		if w.chance(0.2) {
+			w.totals[name] += float64(w.random.Intn(4)) // another gateway's
+		}
+		answer := Tally{Name: name, Took: took, Outcome: outcome}
+		if outcome == Answered {
+			answer.Total = w.totals[name]
+		}
+		w.module.Counted(w.now, answer)
+	})
+}
+
+func (w *goldenWorld) Probe(server uint32)            { w.record("health check", server) }
+func (w *goldenWorld) Tell(gateway int, words []byte) { w.record("peer", gateway, words) }
+
+func (w *goldenWorld) Watch() {
+	w.record("watch")
+	kind := []ListKind{ListWhole, ListWhole, ListCached, ListFailed}[w.random.Intn(4)]
+	if kind == ListCached && w.inForce.AskForList {
+		kind = ListWhole // a cached one is asked for again at once
+	}
+	if len(w.asked) < goldenRequests {
+		w.after(w.between(ms, 50*ms), func() { w.module.List(w.now, kind, slices.Clone(w.listed)) })
+	}
+}
+
+func (w *goldenWorld) Wake(token uint64, after time.Duration) {
+	w.record("timer", token, after)
+	w.add(goldenEvent{at: w.now + after, isTimer: true, token: token, do: func() { w.module.Woke(w.now, token) }})
+}
+
+func (w *goldenWorld) Forget(token uint64) {
+	w.record("stop timer", token)
+	if w.chance(0.9) {
+		w.queue = slices.DeleteFunc(w.queue, func(e goldenEvent) bool { return e.isTimer && e.token == token })
+	}
+}
+
+// Log tells that a line was written; its text may change.
+func (w *goldenWorld) Log(string) { w.record("log") }
+
+func (w *goldenWorld) server(number uint32) Listed {
+	s := Listed{
+		Server: number, Stage: Ready, Power: float64(w.random.Intn(3)), Cell: int(number / 2), Hall: int(number % 2),
+		Kind: int(number % 3),
+	}
+	if w.owners > 0 && number%3 == 0 {
+		s.Owner, s.Elective = 1+w.random.Intn(w.owners), w.chance(0.7)
+	}
+	return s
+}
+
+// listChange changes the list and brings it: the change alone, the whole list, or that there is none.
+func (w *goldenWorld) listChange() {
+	if len(w.asked) >= goldenRequests {
+		return
+	}
+	at := w.random.Intn(len(w.listed))
+	switch s := &w.listed[at]; w.random.Intn(12) {
+	case 0:
+		s.Stage = Draining
+	case 1:
+		s.Stage = Gone
+	case 2:
+		s.Stage, s.Since = Ready, w.now-w.between(0, time.Second) // started anew
+	case 3:
+		*s = w.server(uint32(len(w.listed) + w.random.Intn(1000) + 2)) // another in its place
+		s.Since = w.now
+	default:
+		s.Stage = Ready
+	}
+	switch w.random.Intn(16) {
+	case 0:
+		w.module.List(w.now, ListWhole, slices.Clone(w.listed))
+	case 1:
+		w.module.List(w.now, ListCached, slices.Clone(w.listed))
+	case 2:
+		w.module.List(w.now, ListFailed, nil)
+	case 3:
+		w.module.List(w.now, ListWhole, slices.Clone(w.listed[:at]))
+	default:
+		w.module.List(w.now, ListChanges, []Listed{w.listed[at]})
+	}
+	w.after(w.between(200*ms, 3*time.Second), w.listChange)
+}
--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,165 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// goldenCase is one set of settings that the recorded events are played against.
+type goldenCase struct {
+	name     string
+	settings Deployment
+	sharers  float64
+	servers  int
+	owners   int // owners of elective servers; 0: there are none
+	changes  []Deployment
+	seeds    [2]int64
+	want     [2]string
+}
+
+func goldenSettings() Deployment {
+	return Deployment{
+		Gateways: 4, Halls: 2, MyHall: 1, Tick: 2 * ms, HasCounter: true, CountLimit: 30 * ms, MostUnits: 4,
+		PushLimit: 4, RetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
+		AnswerSlack: 8 * ms, ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 2, TipAfter: time.Second,
+		Lanes: []Lane{
+			{Name: "read", SoftLimit: 400 * ms, Patience: 2 * time.Second, Gain: 1, LateShare: 0.5},
+			{Name: "all", SoftLimit: 500 * ms, Patience: 2 * time.Second, Gain: 2, Effect: Receipted,
+				Group: GroupAll, Window: 300 * ms},
+			{Name: "zone", SoftLimit: 500 * ms, Patience: 3 * time.Second, Gain: 2, Effect: Receipted,
+				Group: GroupHall, Window: 600 * ms},
+			{Name: "rack", SoftLimit: 300 * ms, Patience: 2 * time.Second, Gain: 2, Effect: Receipted,
+				Group: GroupCell, Window: 900 * ms},
+			{Name: "write", SoftLimit: 600 * ms, Patience: 2 * time.Second, Gain: 5, Effect: Effectful},
+			{Name: "stream", SoftLimit: 500 * ms, Patience: 2 * time.Second, Gain: 1, Stream: true},
+			{Name: "free", SoftLimit: 2 * time.Second, Patience: 5 * time.Second},
+		},
+		Plans: []Plan{
+			{Name: "wide", Rate: 300, Burst: 900, Price: 1},
+			{Name: "small", Rate: 4, Burst: 10, Price: 3},
+			{Name: "capped", Rate: 60, Burst: 90, CeilingRate: 20, CeilingBurst: 30, CeilingSlack: 2},
+			{Name: "few", Rate: 300, Burst: 90, AtOnce: 3, Price: 0.5},
+			{Name: "out", AtOnce: 4, Price: 2},
+			{Name: "open"},
+			{Name: "slow", Rate: 0.2, Burst: 10},
+		},
+	}
+}
+
+func goldenCases() []goldenCase {
+	with := func(change func(*Deployment)) Deployment {
+		d := goldenSettings()
+		change(&d)
+		return d
+	}
+	reordered := with(func(d *Deployment) {
+		d.Lanes = append([]Lane{{Name: "fast", SoftLimit: 200 * ms, Patience: time.Second, Gain: 3}}, d.Lanes[2:]...)
+		d.Lanes[1].SoftLimit = 350 * ms
+		d.Plans = []Plan{
+			{Name: "out", AtOnce: 2}, {Name: "new", Rate: 9, Burst: 12}, {Name: "small", Rate: 8, Burst: 8},
+			{Name: "wide", AtOnce: 3}, {Name: "few"}, {Name: "open", Rate: 50, Burst: 60},
+		}
+		d.RetryAfter, d.Meter, d.Gateways = false, time.Second, 3
+	})
+	noCounter := func(d *Deployment) {
+		d.HasCounter, d.RetryAfter, d.TwoAtOnce, d.Cancelling = false, false, true, true
+		d.PushLimit, d.Gateways = 2, 1
+	}
+	return []goldenCase{
+		{
+			name: "counter", settings: goldenSettings(), sharers: 4, servers: 8,
+			seeds: [2]int64{1, 2},
+			want: [2]string{
+				"ad7a14865b13efe6031f8a43dbed08f985a7e48bbcf44df5e5fd405f0016f8bd",
+				"a2b60c9d310c4ec147d84934edce4b979cf44ecebef91d56dc1736fcf8df5160",
+			},
+		},
+		{
+			name: "no counter, two attempts out", settings: with(noCounter), sharers: 1, servers: 5,
+			seeds: [2]int64{3, 4},
+			want: [2]string{
+				"d9263837fa8523a1d0d34a8bf8ab7c94ecde1f1e1621eeede398d3c1de3b62ba",
+				"4ccd5900898d9d0b0db9df23e3e461964f465ef377921aeb2cce5869d934e71b",
+			},
+		},
+		{
+			name: "meter and true units",
+			settings: with(func(d *Deployment) {
+				d.Gateways, d.Settles, d.Meter, d.Cancelling = 40, true, time.Second, true
+			}),
+			sharers: 12, servers: 12, seeds: [2]int64{5, 6},
+			want: [2]string{
+				"55bda99c61a38580fadff7f06486c8ac66e753c1234b5b6f5193327f1b6936eb",
+				"4a523d5ae0e1370002284df3b609026e93c498ac78ee0ebf9046143dacd6fc0a",
+			},
+		},
+		{
+			name: "elective servers with owners", settings: goldenSettings(), sharers: 2, servers: 9, owners: 2,
+			seeds: [2]int64{7, 8},
+			want: [2]string{
+				"b6b96f2cc57b65eb16c96736c346694817f39d96fb7e52b87bb6aaa73a17ca28",
+				"693f9a8c1005860abe69288acb3414e5497cb054b7673ffb90b3946fa2862d7f",
+			},
+		},
+		{
+			name: "list that must be asked for, cold servers",
+			settings: with(func(d *Deployment) {
+				d.AskForList, d.MustAskIn, d.ColdFrom, d.WarmAfter = true, time.Second, 0.1, 20*time.Second
+			}),
+			sharers: 4, servers: 10, seeds: [2]int64{9, 10},
+			want: [2]string{
+				"a65e502e820f421e2ca5ae3fb61d5bd68cefb24c21c9936ee88cc96c19b4fc0e",
+				"e4ec0bd5618d741d558e37ca32df0aec9aebcce17cf16be4a8da1cd09c097ef2",
+			},
+		},
+		{
+			name: "reconfigured", settings: goldenSettings(), sharers: 4, servers: 8,
+			changes: []Deployment{
+				reordered, {}, with(noCounter), with(func(d *Deployment) { d.Gateways = 0 }), goldenSettings(),
+				with(func(d *Deployment) { d.Lanes, d.Plans = d.Lanes[:4], d.Plans[1:] }), reordered,
+			},
+			seeds: [2]int64{11, 12},
+			want: [2]string{
+				"23343c90cb67e05fc63879d4b9a7ce3bcd7a9a4e2f5b8aca09cc74e30e369887",
+				"a71cd87002bc697f28e4d495ae001c70901b4b0e768f7192289230df80e36dda",
+			},
+		},
+		{
+			name:     "many gateways",
+			settings: with(func(d *Deployment) { d.Gateways, d.Cancelling, d.MaxRetryAfter = 300, true, 0 }),
+			sharers:  100, servers: 20,
+			changes: []Deployment{with(func(d *Deployment) { d.Gateways, d.Plans[1].Burst = 200, 30 })},
+			seeds:   [2]int64{13, 14},
+			want: [2]string{
+				"c72914708c668612d087110313a9fb407d0bdfe7ab3c79da3ee0493040e54432",
+				"e9ee5b0b664c80309d69bfa14b8a6e2fa74b54c9de2af132b58cca14a7ed2bc1",
+			},
+		},
+	}
+}
+
+// TestGoldenCalls holds what the module asks of its host, and in which order, for events drawn from a seed: a
+// change of names or of shape leaves each value as it is. The values were written by the module as it was before
+// its names changed (on amd64: elsewhere sums of products may be rounded otherwise).
+func TestGoldenCalls(t *testing.T) {
+	kinds := map[string]int{}
+	for _, c := range goldenCases() {
+		for i, seed := range c.seeds {
+			world := newGoldenWorld(t, c, seed)
+			if got := world.play(); got != c.want[i] {
+				t.Errorf("%s, seed %d: %s, want %s; calls: %v", c.name, seed, got, c.want[i],
+					world.calls)
+			}
+			for kind, n := range world.calls {
+				kinds[kind] += n
+			}
+		}
+	}
+	for _, kind := range []string{
+		"attempt", "cancel", "reject", "terminate", "count", "watch", "timer", "stop timer", "log", "settings",
+	} {
+		if kinds[kind] < 10 {
+			t.Errorf("%d calls of the kind %q: the recording tells too little", kinds[kind], kind)
+		}
+	}
+}
--- /dev/null
+++ b/policy/golden_world_test.go
@@ -0,0 +1,208 @@
+package policy
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+)
+
+const goldenRequests = 2500 // first tries in a run
+
+// goldenWorld is all that is around one module, drawn from a seed: clients, servers, the list, the counter, the
+// timers. It is the module's host too, and writes each of its calls into a hash.
+type goldenWorld struct {
+	*testing.T
+	goldenCase
+	sum     hash.Hash
+	calls   map[string]int
+	module  *Gateway
+	random  *rand.Rand
+	now     time.Duration
+	queue   []goldenEvent
+	queued  int
+	asked   map[uint32]*goldenRequest
+	latest  uint32
+	totals  map[uint64]float64
+	listed  []Listed
+	inForce Deployment
+}
+
+type goldenEvent struct {
+	at      time.Duration
+	number  int
+	isTimer bool
+	token   uint64
+	do      func()
+}
+
+type goldenRequest struct {
+	request  Task
+	attempts []uint32 // the server of each
+}
+
+func newGoldenWorld(t *testing.T, c goldenCase, seed int64) *goldenWorld {
+	t.Helper()
+	w := &goldenWorld{
+		T: t, goldenCase: c, sum: sha256.New(), calls: map[string]int{}, random: rand.New(rand.NewSource(seed)),
+		now: time.Minute, asked: map[uint32]*goldenRequest{}, totals: map[uint64]float64{}, inForce: c.settings,
+	}
+	var err error
+	if w.module, err = New(c.settings, seed, w); err != nil {
+		t.Fatal(err)
+	}
+	for n := range c.servers {
+		w.listed = append(w.listed, w.server(uint32(n+1)))
+	}
+	return w
+}
+
+// play runs the world to its end and gives the hash of all calls.
+func (w *goldenWorld) play() string {
+	w.module.List(w.now, ListCached, w.listed)
+	w.module.Shared(w.sharers)
+	w.after(0, w.arrival)
+	w.after(time.Second, w.listChange)
+	w.after(3*time.Second, w.surprise)
+	for i, change := range w.changes {
+		w.after(time.Duration(i+1)*60*time.Second/time.Duration(len(w.changes)+1), func() { w.reconfigure(change) })
+	}
+	for len(w.queue) > 0 {
+		next := w.queue[0]
+		w.queue = w.queue[1:]
+		w.now = max(w.now, next.at)
+		next.do()
+	}
+	return hex.EncodeToString(w.sum.Sum(nil))
+}
+
+func (w *goldenWorld) after(pause time.Duration, do func()) {
+	w.add(goldenEvent{at: w.now + pause, do: do})
+}
+
+func (w *goldenWorld) add(e goldenEvent) {
+	w.queued++
+	e.number = w.queued
+	at, _ := slices.BinarySearchFunc(w.queue, e, func(a, b goldenEvent) int {
+		if a.at != b.at {
+			return int(a.at - b.at)
+		}
+		return a.number - b.number
+	})
+	w.queue = slices.Insert(w.queue, at, e)
+}
+
+func (w *goldenWorld) chance(part float64) bool { return w.random.Float64() < part }
+
+func (w *goldenWorld) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.random.Int63n(int64(high-low)+1))
+}
+
+// phase tells what goes wrong: a few servers, slowness everywhere, the counter, all servers; 0: nothing.
+func (w *goldenWorld) phase() int { return int(w.now/(5*time.Second)) % 6 }
+
+// arrival brings a first try and plans the next; a long silence stands in the middle.
+func (w *goldenWorld) arrival() {
+	r := w.draw()
+	w.ask(r)
+	if r.ID%5 == 0 {
+		w.after(w.between(0, time.Second), func() { w.module.Lapsed(w.now, r.ID) })
+	}
+	pause := w.between(0, []time.Duration{60, 40, 20, 60, 15, 60}[w.phase()]*ms)
+	switch {
+	case len(w.asked) >= goldenRequests:
+		return
+	case len(w.asked)%1000 == 0:
+		pause = 65 * time.Second
+	}
+	w.after(pause, w.arrival)
+}
+
+// draw makes a request; a customer's number tells its plan.
+func (w *goldenWorld) draw() Task {
+	customer := w.random.Intn(3 * len(w.inForce.Plans))
+	if w.chance(0.05) {
+		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // it hardly comes again
+	}
+	class := w.random.Intn(len(w.inForce.Lanes))
+	given := w.inForce.Lanes[class].Patience
+	if w.chance(0.1) {
+		given = w.between(0, given)
+	}
+	return Task{
+		Lane: class, Plan: customer % len(w.inForce.Plans), Customer: uint64(customer), First: w.random.Intn(3),
+		Width: w.random.Intn(w.settings.Gateways + 2), Units: float64(w.random.Intn(16)) / 4,
+		Expires: w.now + given, Prefer: w.random.Intn(w.owners + 1),
+	}
+}
+
+// ask brings a request under a new number.
+func (w *goldenWorld) ask(r Task) {
+	w.latest++
+	r.ID = w.latest
+	if l := w.inForce.Lanes[r.Lane]; l.Closed || w.inForce.Plans[r.Plan].Closed {
+		r.Lane, r.Plan = w.open()
+	}
+	w.asked[r.ID] = &goldenRequest{request: r}
+	w.module.Take(w.now, r)
+	w.record("admitted", r.ID, w.module.Passed(r.ID))
+}
+
+// open gives the first class and plan that take new requests.
+func (w *goldenWorld) open() (class, plan int) {
+	return slices.IndexFunc(w.inForce.Lanes, func(l Lane) bool { return !l.Closed }),
+		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Closed })
+}
+
+// surprise brings what comes seldom: standstills, a counter that forgot, results and answers of nothing known,
+// another number of gateways that share the servers.
+func (w *goldenWorld) surprise() {
+	if len(w.asked) >= goldenRequests {
+		return
+	}
+	unknown := w.latest + 1000
+	switch w.random.Intn(8) {
+	case 0, 1:
+		w.now += w.between(20*ms, 400*ms)
+	case 2:
+		clear(w.totals)
+	case 3:
+		w.module.Shared(w.sharers * w.random.Float64() * 2)
+	case 4:
+		w.module.Ended(w.now, Push{Task: unknown})
+		w.module.Lapsed(w.now, unknown)
+		w.module.Begun(w.now, unknown, 0)
+	case 5:
+		w.module.Counted(w.now, Tally{Name: w.random.Uint64(), Total: 5})
+		w.module.Woke(w.now, w.random.Uint64())
+	case 6:
+		w.module.Probed(w.now, 1, Answered, ms, []float32{1, 2})
+		w.module.Heard(w.now, 1, []byte("gossip"))
+	case 7:
+		w.module.Lapsed(w.now, w.latest)
+		w.record("window", w.latest, w.module.Window(w.latest), w.module.Window(unknown), w.module.Passed(unknown))
+	}
+	w.after(w.between(100*ms, 2*time.Second), w.surprise)
+}
+
+func (w *goldenWorld) reconfigure(change Deployment) {
+	inForce, err := w.module.Reshape(w.now, change)
+	w.inForce = inForce
+	w.record("settings", err == nil, inForce.Gateways, inForce.RetryAfter, inForce.HasCounter)
+	for _, l := range inForce.Lanes {
+		w.record("class", l.Name, l.Closed, l.SoftLimit)
+	}
+	for _, p := range inForce.Plans {
+		w.record("plan", p.Name, p.Closed, p.Rate, p.AtOnce)
+	}
+}
+
+// record writes a call and its arguments into the hash; durations and floats stand there with all their digits.
+func (w *goldenWorld) record(kind string, values ...any) {
+	w.calls[kind]++
+	fmt.Fprintln(w.sum, append([]any{int64(w.now), kind}, values...)...)
+}
