--- a/cmd/harrierhoist/attempt_test.go
+++ b/cmd/harrierhoist/attempt_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/standin"
 )
 
-// dialing tells whether a connection to an address is coming up.
-func dialing(t *testing.T, addr string) bool {
+// isDialing tells whether a connection to an address is coming up.
+func isDialing(t *testing.T, addr string) bool {
 	t.Helper()
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -29,9 +29,9 @@
 	return strings.Contains(string(open), fmt.Sprintf(" 0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// ownAddress is free, and of the ports that the system hands to nobody by itself: another story's listener, or a
+// reservedAddress is free, and of the ports that the system hands to nobody by itself: another story's listener, or a
 // connection on its way out, would take it before the gateway does.
-func ownAddress(t *testing.T) string {
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", 12000+rand.IntN(20000)))
@@ -44,30 +44,30 @@
 	return ""
 }
 
-// patient starts a gateway in front of a server that is listed. It dials for a minute, and its clients wait as long.
-func patient(t *testing.T, entry string) *world {
+// startWithLongTimeouts starts a gateway in front of a server that is listed. It dials for a minute, and its clients wait as long.
+func startWithLongTimeouts(t *testing.T, entry string) *gatewayUnderTest {
 	t.Helper()
-	w := &world{T: t, addr: ownAddress(t), counter: standin.NewCounter(t), discovery: standin.NewDiscovery(t, entry)}
-	text := fmt.Sprintf(told, w.addr, w.discovery.Addr, w.counter.Addr, 1024, standin.List(1, true, entry))
-	launch(t, filepath.Join(t.TempDir(), "config.json"),
+	gateway := &gatewayUnderTest{T: t, addr: reservedAddress(t), counter: standin.NewCounter(t), discovery: standin.NewDiscovery(t, entry)}
+	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, standin.FormatList(1, true, entry))
+	startWithConfiguration(t, filepath.Join(t.TempDir(), "config.json"),
 		strings.NewReplacer(`"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, `:9000`, `:60000`).Replace(text))
 	standin.Eventually(t, "listening", func() bool {
-		c, err := net.Dial("tcp", w.addr)
+		c, err := net.Dial("tcp", gateway.addr)
 		if err == nil {
 			_ = c.Close()
 		}
 		return err == nil
 	})
-	return w
+	return gateway
 }
 
 // A server whose connections don't come up: while the gateway dials for a task, its client goes, or the list says that the
 // server drains. It stops dialing at once, nothing is written when the server is back, and the other server gets the
 // task that still has a client.
-func TestDialIsCalledOff(t *testing.T) {
+func TestDisconnect_cancelsTheDial(t *testing.T) {
 	const list = "t=wide,d=60000,units=2,spread=1,first=0"
-	look := look("c=look," + list)
-	pay := standin.Command("SVC.SUBMIT", "00000000b4d65521", id(), "c=pay,"+list, "x")
+	look := queryCommand("c=look," + list)
+	pay := standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,"+list, "x")
 	for what, c := range map[string]struct {
 		task   string
 		stays  bool
@@ -80,25 +80,25 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			full, well := standin.NewFull(t), standin.NewServer(t, hello)
-			w := patient(t, standin.Host("s-1", full.Addr, "in_service"))
-			client := w.dial()
+			full, well := standin.NewSaturatedServer(t), standin.NewServer(t, answerHello)
+			gateway := startWithLongTimeouts(t, standin.FormatHost("s-1", full.Addr, "in_service"))
+			client := gateway.connect()
 			client.send(c.task)
-			standin.Eventually(t, "a dial", func() bool { return dialing(t, full.Addr) })
+			standin.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
 			if !c.stays {
 				_ = client.Close()
 			}
 			if c.health != "" {
-				w.discovery.Tell(false, standin.Host("s-1", full.Addr, c.health), standin.Host("s-2", well.Addr, "in_service"))
+				gateway.discovery.Publish(false, standin.FormatHost("s-1", full.Addr, c.health), standin.FormatHost("s-2", well.Addr, "in_service"))
 			}
-			standin.Eventually(t, "the end of the dial", func() bool { return !dialing(t, full.Addr) })
+			standin.Eventually(t, "the end of the dial", func() bool { return !isDialing(t, full.Addr) })
 			if c.stays {
 				client.want("hello")
 			}
-			if written := full.Bytes(t, 1500*time.Millisecond); written != "" {
+			if written := full.CollectBytes(t, 1500*time.Millisecond); written != "" {
 				t.Errorf("written: %q", written)
 			}
-			if n := well.Commands(); n > 1 || (n == 1) != c.stays {
+			if n := well.PendingCommands(); n > 1 || (n == 1) != c.stays {
 				t.Errorf("%d commands at the other server", n)
 			}
 		})
@@ -107,25 +107,25 @@
 
 // A keyed task's first try is reset after it came; the next server's connections don't come up, and its repeat was chosen
 // well inside the window. Once that is over nothing is written, though the server takes connections then.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
+func TestRetry_isNotWrittenAfterItsWindow(t *testing.T) {
 	t.Parallel()
-	full := standin.NewFull(t)
-	started := make(chan *world, 1)
+	full := standin.NewSaturatedServer(t)
+	started := make(chan *gatewayUnderTest, 1)
 	first := standin.NewServer(t, func([]string) string {
-		w := <-started
-		w.discovery.Tell(false, standin.Host("s-2", full.Addr, "in_service"))
-		for !strings.HasPrefix(<-w.discovery.Queries, "since=2") { // the gateway knows of the other by now
+		gateway := <-started
+		gateway.discovery.Publish(false, standin.FormatHost("s-2", full.Addr, "in_service"))
+		for !strings.HasPrefix(<-gateway.discovery.Queries, "since=2") { // the gateway knows of the other by now
 		}
-		return standin.HangUp
+		return standin.CloseConn
 	})
-	w := patient(t, standin.Host("s-1", first.Addr, "in_service"))
-	started <- w
-	client := w.dial()
-	client.send(standin.Command("SVC.SUBMIT", "00000000b4d65521", id(),
+	gateway := startWithLongTimeouts(t, standin.FormatHost("s-1", first.Addr, "in_service"))
+	started <- gateway
+	client := gateway.connect()
+	client.send(standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(),
 		"c=hold,t=wide,d=60000,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0", "x"))
-	standin.Eventually(t, "a dial", func() bool { return dialing(t, full.Addr) })
+	standin.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
 	client.want("-ERR failed")
-	if written := full.Bytes(t, 1500*time.Millisecond); written != "" || first.Commands() != 1 {
+	if written := full.CollectBytes(t, 1500*time.Millisecond); written != "" || first.PendingCommands() != 1 {
 		t.Errorf("written: %q", written)
 	}
 }
--- a/cmd/harrierhoist/burden_test.go
+++ b/cmd/harrierhoist/burden_test.go
@@ -21,29 +21,29 @@
 	"harrierhoist/internal/standin"
 )
 
-// counted is a voter at the end of a link whose calls are counted.
-type counted struct {
+// countingSource is a voter at the end of a link whose calls are counted.
+type countingSource struct {
 	name, address  string
 	client         *link.Client
 	digests, reads *atomic.Int64
 }
 
-func (s counted) Name() string { return s.name }
+func (s countingSource) Name() string { return s.name }
 
-func (s counted) Tell(ctx context.Context, d evidence.Digest) error {
+func (s countingSource) SendDigest(ctx context.Context, d evidence.Digest) error {
 	s.digests.Add(1)
 	return s.client.Digests(ctx, s.address, []evidence.Digest{d})
 }
 
-func (s counted) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follow.Answer, error) {
+func (s countingSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follow.ReadResult, error) {
 	s.reads.Add(1)
 	found, group, err := s.client.Read(ctx, s.address, known, wait)
-	return follow.Answer{Tables: found, Group: group}, err
+	return follow.ReadResult{Tables: found, GroupID: group}, err
 }
 
-// used is what a process has used so far: CPU, and bytes that it read and wrote, on sockets and disk alike.
-func (c *club) used(name string) (cpu time.Duration, in, out int64) {
-	pid := c.running[name].Process.Pid
+// resourcesUsed is what a process has used so far: CPU, and bytes that it read and wrote, on sockets and disk alike.
+func (c *voterCluster) resourcesUsed(name string) (cpu time.Duration, in, out int64) {
+	pid := c.processes[name].Process.Pid
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range threads { // a thread that ended is missed; few do
 		stat, _ := os.ReadFile(path)
@@ -57,27 +57,27 @@
 }
 
 // Measures what followers cost the voters; BURDEN says how many, by commas. Its table is in docs/cluster.md.
-func TestBurden(t *testing.T) {
+func TestFollowerLoad(t *testing.T) {
 	sizes := os.Getenv("BURDEN")
 	if sizes == "" {
 		t.Skip("a measurement: BURDEN=30,300,3000")
 	}
 	for size := range strings.SplitSeq(sizes, ",") {
 		n, _ := strconv.Atoi(size)
-		t.Run(size, func(t *testing.T) { burden(t, n) })
+		t.Run(size, func(t *testing.T) { measureBurden(t, n) })
 	}
 }
 
-// ramp is how long the followers take to start.
-const ramp = 6 * time.Second
+// followerStartSpan is how long the followers take to start.
+const followerStartSpan = 6 * time.Second
 
-func burden(t *testing.T, n int) {
-	c := newClub(t, "v1", "v2", "v3")
+func measureBurden(t *testing.T, n int) {
+	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.voters = "connections = 8192\n" + c.voters // ends [process]
 	c.start("v1", "v2", "v3")
-	c.write("plan", 0, "0")
+	c.writeTable("plan", 0, "0")
 	calls := map[string]*[2]atomic.Int64{}
-	for name := range c.address {
+	for name := range c.addresses {
 		calls[name] = &[2]atomic.Int64{}
 	}
 	ctx, end := context.WithCancel(t.Context())
@@ -86,29 +86,29 @@
 	defer end()
 	var all []*follow.Follower
 	for i := range n {
-		process, client := fmt.Sprintf("g%d", i), link.NewClient(link.Plain{}, 2)
+		process, client := fmt.Sprintf("g%d", i), link.NewClient(link.Network{}, 2)
 		var voters []follow.Source
 		for _, name := range []string{"v1", "v2", "v3"} {
-			voters = append(voters, counted{name, c.address[name], client, &calls[name][0], &calls[name][1]})
+			voters = append(voters, countingSource{name, c.addresses[name], client, &calls[name][0], &calls[name][1]})
 		}
-		f := follow.New(process, 1, follow.Order(process, voters),
-			follow.Timing{Lease: 2 * time.Second, DigestEvery: 200 * time.Millisecond}, follow.Boot, zap.NewNop())
+		f := follow.New(process, 1, follow.PreferenceOrder(process, voters),
+			follow.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follow.SystemUptime, zap.NewNop())
 		var count atomic.Uint64
-		f.Witness(func(add func(string, uint64)) { // as many as a gateway that pushes to six halls has
+		f.RegisterCounters(func(add func(string, uint64)) { // as many as a gateway that pushes to six halls has
 			for hall := range 6 {
 				for of := range 8 {
-					add(evidence.Name("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of)), count.Add(1))
+					add(evidence.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of)), count.Add(1))
 				}
 			}
 		})
 		all = append(all, f)
 		running.Go(func() { f.Run(ctx); client.Close() })
-		time.Sleep(ramp / time.Duration(n))
+		time.Sleep(followerStartSpan / time.Duration(n))
 	}
 	holds := func(epoch uint64) int {
 		held := 0
 		for _, f := range all {
-			if h := f.Held("plan"); h.Epoch >= epoch && h.Until > f.Now() {
+			if h := f.Cached("plan"); h.Epoch >= epoch && h.LeaseEnd > f.Now() {
 				held++
 			}
 		}
@@ -124,8 +124,8 @@
 	}
 	look := func() map[string]sample {
 		at := map[string]sample{}
-		for name := range c.address {
-			cpu, in, out := c.used(name)
+		for name := range c.addresses {
+			cpu, in, out := c.resourcesUsed(name)
 			at[name] = sample{cpu, in, out, calls[name][0].Load(), calls[name][1].Load()}
 		}
 		return at
@@ -135,7 +135,7 @@
 	var half, last []time.Duration // from the write's answer until half, and all, of the followers hold it
 	lapsed := 0
 	for epoch := uint64(1); epoch <= writes; epoch++ {
-		c.write("plan", epoch, strings.Repeat("p", 4096))
+		c.writeTable("plan", epoch, strings.Repeat("p", 4096))
 		wrote, next := time.Now(), time.Now().Add(time.Second)
 		for held, halfway := 0, false; held < n && time.Since(wrote) < 5*time.Second; {
 			if held = holds(epoch + 1); held*2 >= n && !halfway {
--- a/cmd/harrierhoist/common_test.go
+++ b/cmd/harrierhoist/common_test.go
@@ -16,25 +16,25 @@
 	"harrierhoist/internal/standin"
 )
 
-// club is voters of the built program on loopback, each with its file and its folder.
-type club struct {
+// voterCluster is voters of the built program on loopback, each with its file and its folder.
+type voterCluster struct {
 	*testing.T
-	dir     string
-	address map[string]string
-	voters  string // their tables in every file
-	running map[string]*exec.Cmd
-	logs    map[string]*logged
-	client  *link.Client
-	number  uint64 // of the latest command
+	dir       string
+	addresses map[string]string
+	voters    string // their tables in every file
+	processes map[string]*exec.Cmd
+	logs      map[string]*logBuffer
+	client    *link.Client
+	number    uint64 // of the latest command
 }
 
-func newClub(t *testing.T, names ...string) *club {
-	c := &club{T: t, dir: t.TempDir(), address: map[string]string{}, running: map[string]*exec.Cmd{}, logs: map[string]*logged{},
-		client: link.NewClient(link.Plain{}, 2)}
+func newVoterCluster(t *testing.T, names ...string) *voterCluster {
+	c := &voterCluster{T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{}, logs: map[string]*logBuffer{},
+		client: link.NewClient(link.Network{}, 2)}
 	t.Cleanup(c.client.Close)
 	for i, name := range names {
-		c.address[name] = freeAddress(t)
-		c.voters += voterTable(uint64(i+1), name, c.address[name], 0)
+		c.addresses[name] = freeAddress(t)
+		c.voters += voterTable(uint64(i+1), name, c.addresses[name], 0)
 	}
 	return c
 }
@@ -53,8 +53,8 @@
 	return text
 }
 
-// file writes a process's file and gives its path; a voter has a folder of its own.
-func (c *club) file(name, disk string) string {
+// writeFile writes a process's file and gives its path; a voter has a folder of its own.
+func (c *voterCluster) writeFile(name, disk string) string {
 	c.Helper()
 	text := fmt.Sprintf("[process]\nname = %q\nhall = \"hall-a\"\n", name)
 	if disk != "" {
@@ -67,19 +67,19 @@
 	return path
 }
 
-func (c *club) disk(name string) string { return filepath.Join(c.dir, "disk-"+name) }
+func (c *voterCluster) diskPath(name string) string { return filepath.Join(c.dir, "disk-"+name) }
 
 // start starts voters.
-func (c *club) start(names ...string) {
+func (c *voterCluster) start(names ...string) {
 	c.Helper()
 	for _, name := range names {
-		c.run(name, "RELAY_CONFIG=", "RELAY_COMMON="+c.file(name, c.disk(name)))
+		c.run(name, "RELAY_CONFIG=", "RELAY_COMMON="+c.writeFile(name, c.diskPath(name)))
 	}
 }
 
-func (c *club) run(name string, env ...string) {
+func (c *voterCluster) run(name string, env ...string) {
 	c.Helper()
-	cmd, log := exec.Command(program), &logged{}
+	cmd, log := exec.Command(program), &logBuffer{}
 	cmd.Env = append(os.Environ(), env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
@@ -88,38 +88,38 @@
 	c.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		raceless(c.T, log)
+		requireNoRace(c.T, log)
 		if c.Failed() {
 			c.Logf("%s:\n%s", name, log)
 		}
 	})
-	c.running[name], c.logs[name] = cmd, log
+	c.processes[name], c.logs[name] = cmd, log
 }
 
 // kill ends processes at once, with no chance to say goodbye.
-func (c *club) kill(names ...string) {
+func (c *voterCluster) kill(names ...string) {
 	for _, name := range names {
-		_ = c.running[name].Process.Kill()
+		_ = c.processes[name].Process.Kill()
 	}
 	for _, name := range names {
-		_ = c.running[name].Wait()
+		_ = c.processes[name].Wait()
 	}
 }
 
 // leader gives the name of a voter that says it leads, and that others follow.
-func (c *club) leader() (leader string) {
+func (c *voterCluster) leader() (leader string) {
 	c.Helper()
 	standin.Eventually(c, "a leader", func() bool {
 		votes := map[uint64]int{}
-		for name, address := range c.address {
-			if s, err := c.client.Standing(c.Context(), address); err == nil && s.Begun && s.Status.Leader != 0 {
+		for name, address := range c.addresses {
+			if s, err := c.client.Info(c.Context(), address); err == nil && s.Started && s.Status.Leader != 0 {
 				if votes[s.Status.Leader]++; s.Status.Leader == s.Number {
 					leader = name
 				}
 			}
 		}
 		for _, n := range votes {
-			if n > len(c.address)/2 && len(votes) == 1 && leader != "" {
+			if n > len(c.addresses)/2 && len(votes) == 1 && leader != "" {
 				return true
 			}
 		}
@@ -129,14 +129,14 @@
 	return leader
 }
 
-// write has a table written, on the epoch that it stands at, and gives its new epoch. A command whose end is not known
+// writeTable has a table written, on the epoch that it stands at, and gives its new epoch. A command whose end is not known
 // is proposed again under its number.
-func (c *club) write(table string, epoch uint64, value string) {
+func (c *voterCluster) writeTable(table string, epoch uint64, value string) {
 	c.Helper()
 	c.number++
 	standin.Eventually(c, "a write", func() bool {
-		for _, address := range c.address {
-			r, err := c.client.Propose(c.Context(), address, tables.Command{Kind: tables.Write, By: "test/1", Number: c.number,
+		for _, address := range c.addresses {
+			r, err := c.client.Propose(c.Context(), address, tables.Command{Kind: tables.Write, Proposer: "test/1", Number: c.number,
 				Table: table, Epoch: epoch, Value: []byte(value)})
 			if err == nil && r.Applied {
 				return true
@@ -146,11 +146,11 @@
 	})
 }
 
-// read reads a table with the word of a majority.
-func (c *club) read(table string) (e tables.Entry) {
+// readTable reads a table with the word of a majority.
+func (c *voterCluster) readTable(table string) (e tables.Table) {
 	c.Helper()
 	standin.Eventually(c, "a read", func() bool {
-		for _, address := range c.address {
+		for _, address := range c.addresses {
 			ctx, cancel := context.WithTimeout(c.Context(), time.Second)
 			found, _, err := c.client.Read(ctx, address, nil, 0)
 			cancel()
@@ -164,58 +164,58 @@
 	return e
 }
 
-func (c *club) says(name, line string) {
+func (c *voterCluster) waitForLog(name, line string) {
 	c.Helper()
 	standin.Eventually(c, name+" says "+line, func() bool { return strings.Contains(c.logs[name].String(), line) })
 }
 
-// gateway starts a gateway that follows.
-func (c *club) gateway(name string) {
+// startGateway starts a gateway that follows.
+func (c *voterCluster) startGateway(name string) {
 	c.Helper()
-	w := &world{T: c.T, addr: freeAddress(c.T), server: standin.NewServer(c.T, hello), counter: standin.NewCounter(c.T)}
-	entry := standin.Host("s-1", w.server.Addr, "in_service")
-	w.discovery = standin.NewDiscovery(c.T, entry)
+	gateway := &gatewayUnderTest{T: c.T, addr: freeAddress(c.T), server: standin.NewServer(c.T, answerHello), counter: standin.NewCounter(c.T)}
+	entry := standin.FormatHost("s-1", gateway.server.Addr, "in_service")
+	gateway.discovery = standin.NewDiscovery(c.T, entry)
 	config := filepath.Join(c.dir, name+".json")
-	text := fmt.Sprintf(told, w.addr, w.discovery.Addr, w.counter.Addr, 1024, standin.List(1, true, entry))
+	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, standin.FormatList(1, true, entry))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		c.Fatal(err)
 	}
-	c.run(name, "RELAY_CONFIG="+config, "RELAY_COMMON="+c.file(name, ""))
-	c.says(name, `"ready"`)
+	c.run(name, "RELAY_CONFIG="+config, "RELAY_COMMON="+c.writeFile(name, ""))
+	c.waitForLog(name, `"ready"`)
 }
 
 // What one process writes all hold, whoever leads; what was acknowledged outlives the end of all voters at once.
-func TestWhatIsWrittenIsHeldByAllAndOutlivesTheVoters(t *testing.T) {
+func TestVoters_writesAreReplicatedAndDurable(t *testing.T) {
 	t.Parallel()
-	c := newClub(t, "v1", "v2", "v3")
+	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
-	c.gateway("g1")
-	c.gateway("g2")
-	c.write("plan", 0, "one")
+	c.startGateway("g1")
+	c.startGateway("g2")
+	c.writeTable("plan", 0, "one")
 	for _, name := range []string{"v1", "v2", "v3", "g1", "g2"} {
-		c.says(name, `"plan":1`)
+		c.waitForLog(name, `"plan":1`)
 	}
 	leader := c.leader()
 	c.kill(leader)
-	c.write("plan", 1, "two")
-	c.says("g1", `"plan":2`)
-	c.says("g2", `"plan":2`)
+	c.writeTable("plan", 1, "two")
+	c.waitForLog("g1", `"plan":2`)
+	c.waitForLog("g2", `"plan":2`)
 	c.start(leader)
 	c.leader()
-	c.write("plan", 2, "three")
+	c.writeTable("plan", 2, "three")
 	c.kill("v1", "v2", "v3")
-	c.says("g1", "its lease is over")
+	c.waitForLog("g1", "its lease is over")
 	c.start("v1", "v2", "v3")
-	if e := c.read("plan"); e.Epoch != 3 || string(e.Value) != "three" {
+	if e := c.readTable("plan"); e.Epoch != 3 || string(e.Value) != "three" {
 		t.Errorf("held after all were killed: %+v", e)
 	}
-	c.says("g1", "is confirmed again")
-	c.says("g1", `"plan":3`)
+	c.waitForLog("g1", "is confirmed again")
+	c.waitForLog("g1", `"plan":3`)
 	if n := strings.Count(c.logs["g1"].String(), "its lease is over"); n != 1 {
 		t.Errorf("said %d times", n)
 	}
-	_ = c.running["g1"].Process.Signal(syscall.SIGTERM)
-	if err := c.running["g1"].Wait(); err != nil {
+	_ = c.processes["g1"].Process.Signal(syscall.SIGTERM)
+	if err := c.processes["g1"].Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -17,19 +17,19 @@
 	"harrierhoist/internal/standin"
 )
 
-// agent is discovery's: it says nothing until it is back, and then tells one list.
-type agent struct {
-	addr string
-	back chan struct{}
-	asks atomic.Int64
+// silentDiscovery is discovery's: it says nothing until it is back, and then tells one list.
+type silentDiscovery struct {
+	addr   string
+	resume chan struct{}
+	calls  atomic.Int64
 }
 
-func silentAgent(t *testing.T, list string) *agent {
-	a := &agent{back: make(chan struct{})}
+func newSilentDiscovery(t *testing.T, list string) *silentDiscovery {
+	a := &silentDiscovery{resume: make(chan struct{})}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.asks.Add(1)
+		a.calls.Add(1)
 		select {
-		case <-a.back:
+		case <-a.resume:
 		case <-r.Context().Done():
 			return
 		}
@@ -51,14 +51,14 @@
 	return a
 }
 
-// limited starts a gateway to which the system gives so many descriptors.
-func limited(t *testing.T, descriptors int, config string) (*exec.Cmd, *logged) {
+// startWithDescriptorLimit starts a gateway to which the system gives so many descriptors.
+func startWithDescriptorLimit(t *testing.T, descriptors int, config string) (*exec.Cmd, *logBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, program)), &logged{}
+	cmd, log := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, program)), &logBuffer{}
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
@@ -66,14 +66,14 @@
 	}
 	t.Cleanup(func() {
 		_, _ = cmd.Process.Kill(), cmd.Wait()
-		raceless(t, log)
+		requireNoRace(t, log)
 	})
 	return cmd, log
 }
 
-// flood keeps so many connections to an address that say nothing: one that is ended is made again. It gives how many
+// connectIdleClients keeps so many connections to an address that say nothing: one that is ended is made again. It gives how many
 // were ended so far.
-func flood(t *testing.T, addr string, n int) (ended *atomic.Int64, stop func()) {
+func connectIdleClients(t *testing.T, addr string, n int) (ended *atomic.Int64, stop func()) {
 	ended = &atomic.Int64{}
 	stopped := make(chan struct{})
 	for range n {
@@ -110,26 +110,26 @@
 
 // The file said a thousand sockets and the system gave 64: clients that said nothing took them all, and no server, no
 // counter and no agent could be called until they went.
-func TestClientsWhoSayNothingLeaveDescriptorsForServersCounterAndDiscovery(t *testing.T) {
-	w := &world{T: t, addr: apart(t), server: standin.NewServer(t, hello), counter: standin.NewCounter(t)}
-	later := standin.NewServer(t, func([]string) string { return standin.Value("later", 1) })
-	a := silentAgent(t, standin.List(2, true, standin.Host("s-2", later.Addr, "in_service")))
-	w.cmd, w.log = limited(t, 64, fmt.Sprintf(told, w.addr, a.addr, w.counter.Addr, 1024,
-		standin.List(1, true, standin.Host("s-1", w.server.Addr, "in_service"))))
-	standin.Eventually(t, "ready", func() bool { return strings.Contains(w.log.String(), `"ready"`) })
+func TestDescriptors_idleClientsLeaveSomeForUpstreams(t *testing.T) {
+	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answerHello), counter: standin.NewCounter(t)}
+	later := standin.NewServer(t, func([]string) string { return standin.FormatValue("later", 1) })
+	a := newSilentDiscovery(t, standin.FormatList(2, true, standin.FormatHost("s-2", later.Addr, "in_service")))
+	gateway.process, gateway.log = startWithDescriptorLimit(t, 64, fmt.Sprintf(configurationTemplate, gateway.addr, a.addr, gateway.counter.Addr, 1024,
+		standin.FormatList(1, true, standin.FormatHost("s-1", gateway.server.Addr, "in_service"))))
+	standin.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"ready"`) })
 
-	ended, stop := flood(t, w.addr, 120)
+	ended, stop := connectIdleClients(t, gateway.addr, 120)
 	standin.Eventually(t, "a flood", func() bool { return ended.Load() >= 40 }) // all places taken, twice over
-	c := w.dial()
-	c.send(look("c=look,t=wide,d=9000"))
+	c := gateway.connect()
+	c.send(queryCommand("c=look,t=wide,d=9000"))
 	c.want("hello")
-	w.counter.Call(t) // neither was called before
-	asked := a.asks.Load()
-	standin.Eventually(t, "the agent asked", func() bool { return a.asks.Load() > asked+2 }) // on new connections
-	close(a.back)
+	gateway.counter.NextCall(t) // neither was called before
+	asked := a.calls.Load()
+	standin.Eventually(t, "the agent asked", func() bool { return a.calls.Load() > asked+2 }) // on new connections
+	close(a.resume)
 	standin.Eventually(t, "the list in force", func() bool {
-		c := w.dial()
-		c.send(look("c=look,t=wide,d=9000"))
+		c := gateway.connect()
+		c.send(queryCommand("c=look,t=wide,d=9000"))
 		defer c.Close()
 		line, _ := c.in.ReadString('\n')
 		if strings.HasPrefix(line, "$") {
@@ -139,14 +139,14 @@
 	})
 	stop()
 	for range 30 { // and all is as before
-		c := w.dial()
-		c.send(look("c=look,t=wide,d=9000"))
+		c := gateway.connect()
+		c.send(queryCommand("c=look,t=wide,d=9000"))
 		c.want("later")
 	}
-	if n := strings.Count(w.log.String(), "could not be accepted"); n > 0 {
+	if n := strings.Count(gateway.log.String(), "could not be accepted"); n > 0 {
 		t.Errorf("%d times no client could be accepted", n)
 	}
-	if !strings.Contains(w.log.String(), `"sockets":1024,"descriptors":64`) {
-		t.Errorf("not said that there are fewer: %s", w.log)
+	if !strings.Contains(gateway.log.String(), `"sockets":1024,"descriptors":64`) {
+		t.Errorf("not said that there are fewer: %s", gateway.log)
 	}
 }
--- a/cmd/harrierhoist/gone_test.go
+++ b/cmd/harrierhoist/gone_test.go
@@ -13,17 +13,17 @@
 
 // A client sends much at once and goes, with tasks at the server: its end is seen behind what nobody reads, and as the
 // server then hangs up, none of its tasks is sent on again, nor one that was not read.
-func TestWhoSendsMuchAndGoesHasNothingMoreBegun(t *testing.T) {
+func TestDisconnect_noFurtherRequestIsStarted(t *testing.T) {
 	t.Parallel()
 	end := make(chan struct{})
-	w := begin(t, 1024, func([]string) string {
+	gateway := startGateway(t, 1024, func([]string) string {
 		<-end
-		return standin.HangUp
+		return standin.CloseConn
 	})
-	c := w.dial()
-	c.send(strings.Repeat(standin.Command("FOO"), 3) + look("c=look,t=wide,d=8000") + look("c=look,t=wide,d=8000"))
-	standin.Eventually(t, "its tasks", func() bool { return w.server.Commands() == 2 })
-	c.send(strings.Repeat(standin.Command("FOO"), 400) + look("c=look,t=wide,d=8000") + "*x\r\n")
+	c := gateway.connect()
+	c.send(strings.Repeat(standin.FormatCommand("FOO"), 3) + queryCommand("c=look,t=wide,d=8000") + queryCommand("c=look,t=wide,d=8000"))
+	standin.Eventually(t, "its tasks", func() bool { return gateway.server.PendingCommands() == 2 })
+	c.send(strings.Repeat(standin.FormatCommand("FOO"), 400) + queryCommand("c=look,t=wide,d=8000") + "*x\r\n")
 	left := time.Now()
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, c) // until it is ended: so its end was seen
@@ -31,13 +31,13 @@
 		t.Errorf("its end was seen after %v", took)
 	}
 	close(end)
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.cmd.Wait(); err != nil {
+	if err := gateway.process.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if n := w.server.Commands(); n != 2 {
+	if n := gateway.server.PendingCommands(); n != 2 {
 		t.Errorf("%d sent on in place of 2", n)
 	}
 }
--- a/cmd/harrierhoist/main.go
+++ b/cmd/harrierhoist/main.go
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	if err := daemon.RunIn(os.Getenv("RELAY_CONFIG"), os.Getenv("RELAY_COMMON")); err != nil {
+	if err := daemon.RunWithCoordination(os.Getenv("RELAY_CONFIG"), os.Getenv("RELAY_COMMON")); err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
 			fmt.Fprintln(os.Stderr, "harrierhoist:", line)
 		}
--- a/cmd/harrierhoist/main_test.go
+++ b/cmd/harrierhoist/main_test.go
@@ -46,7 +46,7 @@
 	os.Exit(code)
 }
 
-const told = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","counter":%q,
+const configurationTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","counter":%q,
 "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,
 "settings":{"Balancers":1,"Me":0,"MyZone":0,"Dcs":["hall-a"],"Models":["m2"],"Discovery":"push","TickMs":2,
 "FamilyInfo":{"HasCounter":true,"CountLimitMs":200,"Settles":true,"MostUnits":6},"Report":{"Fields":[],"How":"off"},
@@ -58,43 +58,43 @@
 {"Name":"pay","AimMs":5000,"DeadlineMs":9000,"Effect":"non_idempotent","Worth":3}],"TiersOfService":[
 {"Name":"wide","UnitsPerS":1000,"PeakUnits":4000},{"Name":"small","UnitsPerS":0.1,"PeakUnits":3}]}}`
 
-// world is a running gateway and the stand-ins around it.
-type world struct {
+// gatewayUnderTest is a running gateway and the stand-ins around it.
+type gatewayUnderTest struct {
 	*testing.T
-	addr      string
-	cmd       *exec.Cmd
-	config    string // where its configuration is
-	log       *logged
-	server    *standin.Server
-	counter   *standin.Counter
-	discovery *standin.Discovery
+	addr       string
+	process    *exec.Cmd
+	configPath string // where its configuration is
+	log        *logBuffer
+	server     *standin.Server
+	counter    *standin.Counter
+	discovery  *standin.Discovery
 }
 
-// logged is what the program writes.
-type logged struct {
+// logBuffer is what the program writes.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// launch starts the program on a configuration.
-func launch(t *testing.T, path, config string) (*exec.Cmd, *logged) {
+// startWithConfiguration starts the program on a configuration.
+func startWithConfiguration(t *testing.T, path, config string) (*exec.Cmd, *logBuffer) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := exec.Command(program), &logged{}
+	cmd, log := exec.Command(program), &logBuffer{}
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
@@ -103,54 +103,54 @@
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		raceless(t, log)
+		requireNoRace(t, log)
 	})
 	return cmd, log
 }
 
-// raceless fails the test if the program, built under GOFLAGS=-race, has seen a data race in itself.
-func raceless(t *testing.T, log *logged) {
+// requireNoRace fails the test if the program, built under GOFLAGS=-race, has seen a data race in itself.
+func requireNoRace(t *testing.T, log *logBuffer) {
 	if strings.Contains(log.String(), "DATA RACE") {
 		t.Error(log)
 	}
 }
 
-// begin starts a gateway in front of one server that answers by a function, and waits until it is ready.
-func begin(t *testing.T, sockets int, answer func(words []string) string) *world {
+// startGateway starts a gateway in front of one server that answers by a function, and waits until it is ready.
+func startGateway(t *testing.T, sockets int, answer func(words []string) string) *gatewayUnderTest {
 	t.Helper()
-	w := &world{T: t, addr: apart(t), server: standin.NewServer(t, answer), counter: standin.NewCounter(t)}
-	entry := standin.Host("s-1", w.server.Addr, "in_service")
-	w.discovery = standin.NewDiscovery(t, entry)
-	w.config = filepath.Join(t.TempDir(), "config.json")
-	w.cmd, w.log = launch(t, w.config, fmt.Sprintf(told, w.addr, w.discovery.Addr, w.counter.Addr, sockets,
-		standin.List(1, true, entry)))
+	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answer), counter: standin.NewCounter(t)}
+	entry := standin.FormatHost("s-1", gateway.server.Addr, "in_service")
+	gateway.discovery = standin.NewDiscovery(t, entry)
+	gateway.configPath = filepath.Join(t.TempDir(), "config.json")
+	gateway.process, gateway.log = startWithConfiguration(t, gateway.configPath, fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, sockets,
+		standin.FormatList(1, true, entry)))
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the program's log:\n%s", w.log)
+			t.Logf("the program's log:\n%s", gateway.log)
 		}
 	})
 	standin.Eventually(t, "ready", func() bool {
-		c, err := net.Dial("tcp", w.addr)
+		c, err := net.Dial("tcp", gateway.addr)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		_, _ = io.WriteString(c, standin.Command("PING"))
+		_, _ = io.WriteString(c, standin.FormatCommand("PING"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "+PONG\r\n"
 	})
-	return w
+	return gateway
 }
 
 // reload has the program take a configuration, and waits until its log says a line once more.
-func (w *world) reload(config, line string) {
-	w.Helper()
-	before := strings.Count(w.log.String(), line)
-	if err := os.WriteFile(w.config, []byte(config), 0o600); err != nil {
-		w.Fatal(err)
+func (gateway *gatewayUnderTest) reload(config, line string) {
+	gateway.Helper()
+	before := strings.Count(gateway.log.String(), line)
+	if err := os.WriteFile(gateway.configPath, []byte(config), 0o600); err != nil {
+		gateway.Fatal(err)
 	}
-	_ = w.cmd.Process.Signal(syscall.SIGHUP)
-	standin.Eventually(w, line, func() bool { return strings.Count(w.log.String(), line) > before })
+	_ = gateway.process.Process.Signal(syscall.SIGHUP)
+	standin.Eventually(gateway, line, func() bool { return strings.Count(gateway.log.String(), line) > before })
 }
 
 // client is a connection to the gateway.
@@ -160,15 +160,15 @@
 	in *bufio.Reader
 }
 
-func (w *world) dial() *client {
-	w.Helper()
-	c, err := net.Dial("tcp", w.addr)
+func (gateway *gatewayUnderTest) connect() *client {
+	gateway.Helper()
+	c, err := net.Dial("tcp", gateway.addr)
 	if err != nil {
-		w.Fatal(err)
+		gateway.Fatal(err)
 	}
-	w.Cleanup(func() { _ = c.Close() })
+	gateway.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &client{w.T, c, bufio.NewReader(c)}
+	return &client{gateway.T, c, bufio.NewReader(c)}
 }
 
 func (c *client) send(text string) {
@@ -190,25 +190,25 @@
 	}
 }
 
-// closed wants no more than the end of the connection.
-func (c *client) closed() {
+// wantClosed wants no more than the end of the connection.
+func (c *client) wantClosed() {
 	c.Helper()
 	if rest, err := io.ReadAll(c.in); len(rest) > 0 || os.IsTimeout(err) { // a reset is an end as well
 		c.Fatalf("%q, %v instead of the end", rest, err)
 	}
 }
 
-var ids atomic.Uint64
+var lastRequestID atomic.Uint64
 
-// id is a new one with every request, as clients have it.
-func id() string { return fmt.Sprintf("%016x", ids.Add(1)) }
+// nextRequestID is a new one with every request, as clients have it.
+func nextRequestID() string { return fmt.Sprintf("%016x", lastRequestID.Add(1)) }
 
-func look(list string) string {
-	return standin.Command("SVC.QUERY", "00000000b4d65521", id(), list)
+func queryCommand(list string) string {
+	return standin.FormatCommand("SVC.QUERY", "00000000b4d65521", nextRequestID(), list)
 }
 
-func pay(body string) string {
-	return standin.Command("SVC.SUBMIT", "00000000b4d65521", id(), "c=pay,t=wide,d=5000,units=2,spread=1,first=0", body)
+func submitCommand(body string) string {
+	return standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,t=wide,d=5000,units=2,spread=1,first=0", body)
 }
 
-func hello([]string) string { return standin.Value("hello", 3) }
+func answerHello([]string) string { return standin.FormatValue("hello", 3) }
--- a/cmd/harrierhoist/off_test.go
+++ b/cmd/harrierhoist/off_test.go
@@ -12,7 +12,7 @@
 
 // Measures what the program costs with nothing in common, against an earlier build of it: BEFORE and NOW name the two,
 // built alike. Its table is in docs/cluster.md.
-func TestCostWithNothingInCommon(t *testing.T) {
+func TestCostWithoutCoordination(t *testing.T) {
 	before, now := os.Getenv("BEFORE"), os.Getenv("NOW")
 	if before == "" || now == "" {
 		t.Skip("a measurement: BEFORE=/an/earlier/harrierhoist NOW=/this/one")
@@ -28,29 +28,29 @@
 			program = path
 			t.Run(name, func(t *testing.T) {
 				began := time.Now()
-				w := begin(t, 1024, hello)
+				gateway := startGateway(t, 1024, answerHello)
 				starts[name] = append(starts[name], time.Since(began))
-				c := &club{T: t}
-				c.running = map[string]*exec.Cmd{"g": w.cmd}
-				client := w.dial()
+				c := &voterCluster{T: t}
+				c.processes = map[string]*exec.Cmd{"g": gateway.process}
+				client := gateway.connect()
 				for range 200 { // warm
-					client.send(look("c=look,t=wide,d=4800,units=1"))
+					client.send(queryCommand("c=look,t=wide,d=4800,units=1"))
 					client.want("hello")
 				}
-				was, _, _ := c.used("g")
+				was, _, _ := c.resourcesUsed("g")
 				const each = 3000
 				for range each {
-					for w.server.Commands() > 0 { // else the stand-in stops once so many wait
-						w.server.Got(t)
+					for gateway.server.PendingCommands() > 0 { // else the stand-in stops once so many wait
+						gateway.server.NextCommand(t)
 					}
-					client.send(look("c=look,t=wide,d=4800,units=1"))
+					client.send(queryCommand("c=look,t=wide,d=4800,units=1"))
 					client.want("hello|-BUSY.*")
 				}
-				cpu, _, _ := c.used("g")
+				cpu, _, _ := c.resourcesUsed("g")
 				tasks[name] = append(tasks[name], (cpu-was)/each)
-				memory[name] = append(memory[name], resident(w.cmd.Process.Pid, "VmRSS:"))
-				private[name] = append(private[name], resident(w.cmd.Process.Pid, "RssAnon:"))
-				_ = w.cmd.Process.Kill()
+				memory[name] = append(memory[name], residentKB(gateway.process.Process.Pid, "VmRSS:"))
+				private[name] = append(private[name], residentKB(gateway.process.Process.Pid, "RssAnon:"))
+				_ = gateway.process.Process.Kill()
 			})
 		}
 	}
@@ -68,9 +68,9 @@
 	}
 }
 
-// resident is a figure of a process's memory in kB; RssAnon is without the pages of its file, which the system shares
+// residentKB is a figure of a process's memory in kB; RssAnon is without the pages of its file, which the system shares
 // among processes and drops at will.
-func resident(pid int, what string) (kb int) {
+func residentKB(pid int, what string) (kb int) {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if _, after, ok := strings.Cut(string(status), what); ok {
 		_, _ = fmt.Sscanf(after, "%d kB", &kb)
--- a/cmd/harrierhoist/restart_test.go
+++ b/cmd/harrierhoist/restart_test.go
@@ -17,10 +17,10 @@
 	"harrierhoist/internal/standin"
 )
 
-const together = 30 // processes that are started at once
+const processCount = 30 // processes that are started at once
 
-// tallied is an address whose connections are counted on their way to another; nowhere: they are taken and left.
-func tallied(t *testing.T, to string) (addr string, conns *atomic.Int64) {
+// countingProxy is an address whose connections are counted on their way to another; nowhere: they are taken and left.
+func countingProxy(t *testing.T, to string) (addr string, conns *atomic.Int64) {
 	l := standin.Listen(t)
 	conns = &atomic.Int64{}
 	go func() {
@@ -45,11 +45,11 @@
 	return l.Addr().String(), conns
 }
 
-// refused is an address where nobody listens.
-func refused(t *testing.T) string { return apart(t) }
+// unusedAddress is an address where nobody listens.
+func unusedAddress(t *testing.T) string { return loopbackAddress(t) }
 
-// turning is an agent that turns every call away.
-func turning(t *testing.T) string {
+// rejectingDiscovery is an agent that turns every call away.
+func rejectingDiscovery(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -57,8 +57,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// pong waits until a gateway says that it is ready.
-func pong(t *testing.T, addr string) {
+// waitUntilReady waits until a gateway says that it is ready.
+func waitUntilReady(t *testing.T, addr string) {
 	standin.Eventually(t, "ready at "+addr, func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(time.Second))
-		_, _ = io.WriteString(c, standin.Command("PING"))
+		_, _ = io.WriteString(c, standin.FormatCommand("PING"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "+PONG\r\n"
 	})
@@ -75,34 +75,34 @@
 // Thirty processes started at once while discovery is down, in each way in which it can be: nine in ten are ready within
 // ten seconds, whatever the settings say of connections and whatever list was had. What they do then crowds nobody:
 // nothing is called before a task comes, and a task of one customer at each costs a few calls and a connection each.
-func TestThirtyStartedAtOnceAreReadyInTimeAndCrowdNobody(t *testing.T) {
-	server := standin.NewServer(t, hello)
-	serverAddr, pushes := tallied(t, server.Addr)
+func TestStart_thirtyAtOnceAreReadyInTimeAndOverloadNobody(t *testing.T) {
+	server := standin.NewServer(t, answerHello)
+	serverAddr, pushes := countingProxy(t, server.Addr)
 	counter := standin.NewCounter(t)
-	counterAddr, lines := tallied(t, counter.Addr)
-	silent, asks := tallied(t, "")
-	agents := []string{silent, refused(t), turning(t)}
+	counterAddr, lines := countingProxy(t, counter.Addr)
+	silent, asks := countingProxy(t, "")
+	agents := []string{silent, unusedAddress(t), rejectingDiscovery(t)}
 	known := []string{"null", // none; one that holds; an old one, half of it gone
-		standin.List(1, true, standin.Host("s-1", serverAddr, "in_service")),
-		standin.List(1, true, standin.Host("s-1", serverAddr, "in_service"), standin.Host("s-0", apart(t), "in_service"))}
-	addrs, took := make([]string, together), make([]time.Duration, together)
+		standin.FormatList(1, true, standin.FormatHost("s-1", serverAddr, "in_service")),
+		standin.FormatList(1, true, standin.FormatHost("s-1", serverAddr, "in_service"), standin.FormatHost("s-0", loopbackAddress(t), "in_service"))}
+	addrs, took := make([]string, processCount), make([]time.Duration, processCount)
 	dir := t.TempDir()
-	files := make([]string, together)
-	for i := range together {
-		addrs[i] = apart(t)
-		files[i] = strings.Replace(fmt.Sprintf(told, addrs[i], agents[i%3], counterAddr, 256, known[i/3%3]),
-			`"Balancers":1,"Me":0`, fmt.Sprintf(`"Balancers":%d,"Me":%d`, together, i), 1)
+	files := make([]string, processCount)
+	for i := range processCount {
+		addrs[i] = loopbackAddress(t)
+		files[i] = strings.Replace(fmt.Sprintf(configurationTemplate, addrs[i], agents[i%3], counterAddr, 256, known[i/3%3]),
+			`"Balancers":1,"Me":0`, fmt.Sprintf(`"Balancers":%d,"Me":%d`, processCount, i), 1)
 		files[i] = strings.Replace(files[i], "8c1f30d27a5be964", fmt.Sprintf("8c1f30d27a5be9%02x", i), 1)
 		if i%5 == 0 {
 			files[i] = strings.Replace(files[i], `"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, 1)
 		}
 	}
 	var all sync.WaitGroup
-	for i := range together {
+	for i := range processCount {
 		began := time.Now()
-		launch(t, filepath.Join(dir, fmt.Sprint(i)), files[i])
+		startWithConfiguration(t, filepath.Join(dir, fmt.Sprint(i)), files[i])
 		all.Go(func() {
-			pong(t, addrs[i])
+			waitUntilReady(t, addrs[i])
 			took[i] = time.Since(began)
 		})
 	}
@@ -113,16 +113,16 @@
 			slow++
 		}
 	}
-	if slow > together/10 {
-		t.Errorf("%d of %d took over 10 s: %v", slow, together, took)
+	if slow > processCount/10 {
+		t.Errorf("%d of %d took over 10 s: %v", slow, processCount, took)
 	}
 	if n := lines.Load() + pushes.Load(); n > 0 {
 		t.Errorf("%d connections to counter and servers before any task", n)
 	}
-	t.Logf("ready after %v; the silent agent was asked %d times by %d", took, asks.Load(), together/3)
+	t.Logf("ready after %v; the silent agent was asked %d times by %d", took, asks.Load(), processCount/3)
 
-	answers := make([]string, together)
-	for i := range together {
+	answers := make([]string, processCount)
+	for i := range processCount {
 		all.Go(func() {
 			c, err := net.Dial("tcp", addrs[i])
 			if err != nil {
@@ -131,7 +131,7 @@
 			}
 			defer c.Close()
 			_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-			_, _ = io.WriteString(c, look(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", together)))
+			_, _ = io.WriteString(c, queryCommand(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", processCount)))
 			line, err := bufio.NewReader(c).ReadString('\n')
 			if err != nil {
 				t.Error(err)
@@ -143,9 +143,9 @@
 	time.Sleep(time.Second) // what comes of them later
 	calls := len(counter.Calls)
 	t.Logf("%d tasks, one at each: %d calls on %d connections to the counter, %d connections to a server",
-		together, calls, lines.Load(), pushes.Load())
+		processCount, calls, lines.Load(), pushes.Load())
 	// A look, the window before and what it lacked, and the charge; of two names, each on a connection.
-	if calls > 4*together || lines.Load() > 2*together || pushes.Load() > together {
+	if calls > 4*processCount || lines.Load() > 2*processCount || pushes.Load() > processCount {
 		t.Error("the counter or the servers were crowded")
 	}
 	for i, line := range answers {
--- a/cmd/harrierhoist/told_test.go
+++ b/cmd/harrierhoist/told_test.go
@@ -13,7 +13,7 @@
 
 // Discovery fails in one way after the other and learns of a drain meanwhile; back, it leaves one more call without a word.
 // Clients are served all the time, and 5 s after it was back nothing goes to the draining server any more.
-func TestDrainIsToldSoonAfterAnyFailuresOfDiscovery(t *testing.T) {
+func TestDrain_isAppliedSoonAfterAnyFailuresOfDiscovery(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	turnAway := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	cut := func(w http.ResponseWriter, _ *http.Request) {
@@ -23,34 +23,34 @@
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			w := begin(t, 1024, hello)
-			other := standin.NewServer(t, func([]string) string { return standin.Value("other", 1) })
-			w.reload(strings.Replace(fmt.Sprintf(told, w.addr, w.discovery.Addr, w.counter.Addr, 1024, "null"),
+			gateway := startGateway(t, 1024, answerHello)
+			other := standin.NewServer(t, func([]string) string { return standin.FormatValue("other", 1) })
+			gateway.reload(strings.Replace(fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, "null"),
 				`"Discovery":"push"`, fmt.Sprintf(`"Discovery":%q`, mode), 1), "a new configuration")
 			calls, back := make(chan http.HandlerFunc, len(run)), make(chan time.Time, 1)
 			for _, ill := range run {
 				calls <- ill
 			}
-			w.discovery.Fail(func(out http.ResponseWriter, r *http.Request) {
+			gateway.discovery.Fail(func(out http.ResponseWriter, r *http.Request) {
 				select {
 				case ill := <-calls:
 					ill(out, r)
 				default:
-					w.discovery.Fail(nil)
-					w.discovery.Tell(false, standin.Host("s-1", w.server.Addr, "terminating"), standin.Host("s-2", other.Addr, "in_service"))
+					gateway.discovery.Fail(nil)
+					gateway.discovery.Publish(false, standin.FormatHost("s-1", gateway.server.Addr, "terminating"), standin.FormatHost("s-2", other.Addr, "in_service"))
 					back <- time.Now()
 					hang(out, r)
 				}
 			})
-			c := w.dial()
+			c := gateway.connect()
 			for len(back) == 0 {
-				c.send(look("c=look,t=wide,d=4800"))
+				c.send(queryCommand("c=look,t=wide,d=4800"))
 				c.want("hello|other") // other: in the moment of its return
 				time.Sleep(50 * time.Millisecond)
 			}
 			time.Sleep(time.Until((<-back).Add(5 * time.Second)))
 			for range 9 {
-				c.send(look("c=look,t=wide,d=4800"))
+				c.send(queryCommand("c=look,t=wide,d=4800"))
 				c.want("other")
 			}
 		})
--- a/cmd/harrierhoist/unraced_test.go
+++ b/cmd/harrierhoist/unraced_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// slower is how much less a program does in a second that looks for data races: this one does not.
-const slower = 1
+// raceSlowdown is how much less a program does in a second that looks for data races: this one does not.
+const raceSlowdown = 1
--- a/cmd/hoistlab/main.go
+++ b/cmd/hoistlab/main.go
@@ -74,26 +74,26 @@
 			if baseline.All[policy] == nil {
 				return fmt.Errorf("--policy is %q; one of %s is allowed", policy, strings.Join(baseline.Names, ", "))
 			}
-			f, err := search.Search(w, seed, tries, most, policy, func(f *search.Found) {
-				fmt.Fprintf(cmd.ErrOrStderr(), "play %d: loses %.3f, rules broken %d\n", f.Plays, f.Loss, f.Line.Broken)
+			f, err := search.Run(w, seed, tries, most, policy, func(f *search.Finding) {
+				fmt.Fprintf(cmd.ErrOrStderr(), "play %d: loses %.3f, rules broken %d\n", f.Runs, f.Loss, f.Result.Violations)
 			})
 			if err != nil || f == nil {
 				return err
 			}
-			f.World.Name += "-found"
-			f.World.Seed = seed
-			text, err := toml.Marshal(f.World)
+			f.Scenario.Name += "-found"
+			f.Scenario.Seed = seed
+			text, err := toml.Marshal(f.Scenario)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "worst of %d plays: loses %.3f, rules broken %d, %d troubles left, %d taken out\n",
-				f.Plays, f.Loss, f.Line.Broken,
-				len(f.World.Troubles), f.Shrunk)
-			for _, t := range f.World.Troubles {
+				f.Runs, f.Loss, f.Result.Violations,
+				len(f.Scenario.Troubles), f.RemovedFaults)
+			for _, t := range f.Scenario.Troubles {
 				fmt.Fprintf(cmd.OutOrStdout(), "  %s at %v for %v, part %g, size %g\n", t.Kind, t.At.D(), t.For.D(), t.Part, t.Size)
 			}
-			if f.Line.First != "" {
-				fmt.Fprintln(cmd.OutOrStdout(), " ", f.Line.First)
+			if f.Result.FirstViolation != "" {
+				fmt.Fprintln(cmd.OutOrStdout(), " ", f.Result.FirstViolation)
 			}
 			if out == "" {
 				return nil
@@ -122,11 +122,11 @@
 				"| gateways | servers | tasks a second offered | policy | tries | wall s | tries a wall second | memory MB |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 			for _, n := range sizes {
 				for _, policy := range []string{"module", "random"} {
-					s := experiment.Sized(w, n)
+					s := experiment.Scaled(w, n)
 					s.Length = min(s.Length, world.Span(time.Duration(seconds)*time.Second))
 					runtime.GC()
 					began := time.Now()
-					l, err := experiment.Play(s, policy, 1)
+					l, err := experiment.RunScenario(s, policy, 1)
 					if err != nil {
 						return err
 					}
--- a/cmd/hoistlab/results.go
+++ b/cmd/hoistlab/results.go
@@ -36,10 +36,10 @@
 				return err
 			}
 			defer os.Remove(file.Name())
-			err = p.Run(workers, file, func(n, of int, l *experiment.Line) {
+			err = p.Run(workers, file, func(n, of int, l *experiment.Result) {
 				fmt.Fprintf(cmd.ErrOrStderr(), "%d of %d: %s, %d gateways, %s, seed %d: service %.3f, net %.3f, %.1fs\n", n, of,
-					l.World, l.Gateways,
-					l.Variant, l.Seed, l.Service, l.Net, l.Wall)
+					l.Scenario, l.Gateways,
+					l.Variant, l.Seed, l.Service, l.Net, l.WallSeconds)
 			})
 			if err := errors.Join(err, file.Close()); err != nil {
 				return err
@@ -47,13 +47,13 @@
 			if err := os.Rename(file.Name(), out); err != nil {
 				return err
 			}
-			lines, err := experiment.ReadLines(out)
+			lines, err := experiment.ReadResults(out)
 			if err != nil {
 				return err
 			}
-			report.Table(cmd.OutOrStdout(), lines)
+			report.WriteTable(cmd.OutOrStdout(), lines)
 			fmt.Fprintln(cmd.OutOrStdout())
-			report.Failover(cmd.OutOrStdout(), lines)
+			report.WriteFailover(cmd.OutOrStdout(), lines)
 			return nil
 		}}
 	c.Flags().StringVarP(&out, "out", "o", "results.jsonl", "file for the results, a line of JSON each")
@@ -70,13 +70,13 @@
 		Args:    cobra.RangeArgs(1, 2),
 		Example: "  hoistlab compare before.jsonl after.jsonl\n  hoistlab compare results.jsonl --variants even,module",
 		RunE: func(cmd *cobra.Command, files []string) error {
-			a, err := experiment.ReadLines(files[0])
+			a, err := experiment.ReadResults(files[0])
 			if err != nil {
 				return err
 			}
 			b := a
 			if len(files) == 2 {
-				if b, err = experiment.ReadLines(files[1]); err != nil {
+				if b, err = experiment.ReadResults(files[1]); err != nil {
 					return err
 				}
 			} else if len(variants) != 2 {
@@ -89,14 +89,14 @@
 			if len(pairs) == 0 {
 				return errors.New("nothing pairs: no play of the same world, size and seed in both")
 			}
-			report.Compared(cmd.OutOrStdout(), pairs)
+			report.WriteComparisons(cmd.OutOrStdout(), pairs)
 			return nil
 		}}
 	c.Flags().StringSliceVar(&variants, "variants", nil, "two variants, A and B")
 	return c
 }
 
-func only(lines []*experiment.Line, variant string) (some []*experiment.Line) {
+func only(lines []*experiment.Result, variant string) (some []*experiment.Result) {
 	for _, l := range lines {
 		if l.Variant == variant {
 			some = append(some, l)
@@ -110,21 +110,21 @@
 	c := &cobra.Command{Use: "report RESULTS.jsonl...", Short: "write tables (Markdown) and charts (SVG) of results",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
-			var all []*experiment.Line
+			var all []*experiment.Result
 			for _, f := range files {
-				lines, err := experiment.ReadLines(f)
+				lines, err := experiment.ReadResults(f)
 				if err != nil {
 					return err
 				}
 				all = append(all, lines...)
 			}
-			names, err := report.Charts(dir, all)
+			names, err := report.WriteCharts(dir, all)
 			if err != nil {
 				return err
 			}
-			report.Table(cmd.OutOrStdout(), all)
+			report.WriteTable(cmd.OutOrStdout(), all)
 			fmt.Fprintln(cmd.OutOrStdout())
-			report.Failover(cmd.OutOrStdout(), all)
+			report.WriteFailover(cmd.OutOrStdout(), all)
 			for _, n := range names {
 				fmt.Fprintf(cmd.OutOrStdout(), "\n![%s](%s)\n", strings.TrimSuffix(filepath.Base(n), ".svg"), n)
 			}
--- a/internal/boot/boot_test.go
+++ b/internal/boot/boot_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-func TestPairs(t *testing.T) {
-	p, err := ParsePairs("A.Ms=2.5\nB=true\nC=x,y\nE=\nUnheardOf=1\n")
+func TestParseLines(t *testing.T) {
+	values, err := ParseLines("A.Ms=2.5\nB=true\nC=x,y\nE=\nUnheardOf=1\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Number("A.Ms") != 2.5 || !p.Flag("B") || len(p.List("C")) != 2 || p.List("E") != nil || p.Int("none") != 0 {
-		t.Errorf("read wrongly: %+v", p)
+	if values.Number("A.Ms") != 2.5 || !values.Bool("B") || len(values.List("C")) != 2 || values.List("E") != nil || values.Int("none") != 0 {
+		t.Errorf("read wrongly: %+v", values)
 	}
-	if p.Need("D"); p.Err() == nil || p.Err().Error() != "settings: D is missing" {
-		t.Errorf("got %v", p.Err())
+	if values.Require("D"); values.Err() == nil || values.Err().Error() != "settings: D is missing" {
+		t.Errorf("got %v", values.Err())
 	}
-	if q, _ := ParsePairs("C=x"); q.Number("C") != 0 || q.Err() == nil {
+	if q, _ := ParseLines("C=x"); q.Number("C") != 0 || q.Err() == nil {
 		t.Error("a number that is none was taken")
 	}
-	if q, _ := ParsePairs("C=x"); q.Flag("C") || q.Choice("C", "z") != 0 || q.Err() == nil {
+	if q, _ := ParseLines("C=x"); q.Bool("C") || q.Enum("C", "z") != 0 || q.Err() == nil {
 		t.Error("a flag and a choice that are none were taken")
 	}
-	if _, err := ParsePairs("nonsense"); err == nil {
+	if _, err := ParseLines("nonsense"); err == nil {
 		t.Error("a line without '=' was taken")
 	}
 }
 
-const told = `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
+const sampleFile = `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:3","known":{"seq":1,"whole":true,"hosts":[]},
 "settings":{"Balancers":2,"Me":1,"MyZone":0,"Dcs":["a","b"],"Models":["m"],"Report":{"Fields":[],"How":"off"},
 "FamilyInfo":{"HasCounter":true,"CountLimitMs":30.5},"PolicyLimits":{"TryLimit":6,"ConnectTimeoutMs":250,
@@ -40,12 +40,12 @@
 "Effect":"read_like"},{"Name":"hold","AimMs":400,"DeadlineMs":1500,"Effect":"idempotency_key","Group":"cell"}],
 "TiersOfService":[{"Name":"start","UnitsPerS":2.2,"PeakUnits":12}],"SomethingNew":{"Deep":[1,[2]]}}}`
 
-func TestNestedSettingsSayTheSameAsLines(t *testing.T) {
-	h, err := parse([]byte(told))
+func TestParse_nestedSettingsReadTheSameAsLines(t *testing.T) {
+	gateway, err := parse([]byte(sampleFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, _ := ParsePairs("Balancers=2\nMe=1\nMyZone=0\nDcs=a,b\nReport.Fields=\nFamilyInfo.HasCounter=true\n" +
+	lines, _ := ParseLines("Balancers=2\nMe=1\nMyZone=0\nDcs=a,b\nReport.Fields=\nFamilyInfo.HasCounter=true\n" +
 		"FamilyInfo.CountLimitMs=30.5\nPolicyLimits.TryLimit=6\nRules.DrainGraceMs=1000\nRules.ColdFrom=0.15\n" +
 		"Rules.WarmAfterMs=16000\nRules.FallMultiple=2\nRules.TipAfterMs=1500\nRequestClasses.count=2\n" +
 		"RequestClasses.0.Name=look\nRequestClasses.0.AimMs=600\nRequestClasses.0.DeadlineMs=2500\n" +
@@ -53,26 +53,26 @@
 		"RequestClasses.1.DeadlineMs=1500\nRequestClasses.1.Effect=idempotency_key\nRequestClasses.1.Group=cell\n" +
 		"TiersOfService.count=1\nTiersOfService.0.Name=start\nTiersOfService.0.UnitsPerS=2.2\n" +
 		"TiersOfService.0.PeakUnits=12\n")
-	want, err := Deployment(lines)
+	want, err := ReadSettings(lines)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(h.Deployment, want) {
-		t.Errorf("got  %+v\nwant %+v", h.Deployment, want)
+	if !reflect.DeepEqual(gateway.Settings, want) {
+		t.Errorf("got  %+v\nwant %+v", gateway.Settings, want)
 	}
-	if h.Seed != -1 || h.Sockets != 1024 || h.MemoryMB != 192 || h.Cores != 1 ||
-		h.ConnectWithin != 250*time.Millisecond || h.IdleLimit != 30*time.Second || len(h.Halls) != 2 || h.Kinds[0] != "m" {
-		t.Errorf("got %+v", h)
+	if gateway.Seed != -1 || gateway.Sockets != 1024 || gateway.MemoryMB != 192 || gateway.Cores != 1 ||
+		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second || len(gateway.Zones) != 2 || gateway.Kinds[0] != "m" {
+		t.Errorf("got %+v", gateway)
 	}
 }
 
-func TestBadStartDataIsOnePlainLine(t *testing.T) {
+func TestParse_refusalIsOneLine(t *testing.T) {
 	for old, bad := range map[string]string{
 		`"n3"`: `3`, `"listen":"127.0.0.1:1"`: `"listen":""`, `"ffffffffffffffff"`: `"nonsense"`, `1024`: `0`,
 		`"127.0.0.1:3"`: `""`, `"TryLimit":6,`: ``, `"read_like"`: `"odd"`, `"IdleCloseMs":30000,`: ``, `}}}`: `}}`,
 		`"cell"`: `"odd"`, `30.5`: `"x"`,
 	} {
-		_, err := parse([]byte(strings.Replace(told, old, bad, 1)))
+		_, err := parse([]byte(strings.Replace(sampleFile, old, bad, 1)))
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: got %v", bad, old, err)
 		}
@@ -84,7 +84,7 @@
 
 // An operator with a wrong value was told the key alone, or not what is allowed there; with several files about,
 // which one was wrong was left to guess. One line names the file, the key and what is allowed.
-func TestBadValueIsSaidWithFileKeyAndWhatIsAllowed(t *testing.T) {
+func TestRead_refusalNamesFileKeyAndAllowedValues(t *testing.T) {
 	good := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"00000000000000aa","limits":{"sockets":%s},` +
 		`"settings":{}}`
 	for _, c := range []struct{ sockets, key, allowed string }{
@@ -114,7 +114,7 @@
 }
 
 // A figure out of range was taken as it was, and two lanes of one name were told apart by nobody.
-func TestFiguresOutOfRangeAreRefusedWithTheirKeyAndWhatIsAllowed(t *testing.T) {
+func TestParse_figureOutOfRangeIsRefusedWithKeyAndRange(t *testing.T) {
 	for old, c := range map[string]struct{ bad, want string }{
 		`"Balancers":2`:          {`"Balancers":0`, "Balancers must be from 1 to"},
 		`"Me":1`:                 {`"Me":2`, "Me must be from 0 to 1, not 2"},
@@ -147,39 +147,39 @@
 		`"StreamsPerConn":100`:   {`"StreamsPerConn":100,"RetryAfter":false`, ""},
 		`"ConnectTimeoutMs":25`:  {`"ConnectTimeoutMs":25`, ""},
 	} {
-		h, err := parse([]byte(strings.Replace(told, old, c.bad, 1)))
+		gateway, err := parse([]byte(strings.Replace(sampleFile, old, c.bad, 1)))
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s: refused: %v", c.bad, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%s: %v, want %q", c.bad, err, c.want)
-		case strings.Contains(c.bad, `"MeterMs":1000`) && h.Deployment.Meter != time.Second:
-			t.Errorf("the meter's time is %v", h.Deployment.Meter)
+		case strings.Contains(c.bad, `"MeterMs":1000`) && gateway.Settings.UsageSpan != time.Second:
+			t.Errorf("the meter's time is %v", gateway.Settings.UsageSpan)
 		}
 	}
 }
 
-func TestWhatOnlyARestartChangesIsKeptAndNamed(t *testing.T) {
-	old, err := parse([]byte(told))
+func TestKeepRestartOnly_keepsAndNamesWhatChanged(t *testing.T) {
+	previous, err := parse([]byte(sampleFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(strings.Replace(told, `"127.0.0.1:1"`, `"127.0.0.1:9"`, 1), `"Models":["m"]`, `"Models":["m","n"]`, 1)
-	h, err := parse([]byte(strings.Replace(text, `"UnitsPerS":2.2`, `"UnitsPerS":3`, 1)))
+	text := strings.Replace(strings.Replace(sampleFile, `"127.0.0.1:1"`, `"127.0.0.1:9"`, 1), `"Models":["m"]`, `"Models":["m","n"]`, 1)
+	gateway, err := parse([]byte(strings.Replace(text, `"UnitsPerS":2.2`, `"UnitsPerS":3`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	keys := h.Keep(old)
-	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || h.Listen != old.Listen || len(h.Kinds) != 1 ||
-		h.Deployment.Plans[0].Rate != 3 {
-		t.Errorf("kept %v, and have %+v", keys, h)
+	keys := gateway.KeepRestartOnly(previous)
+	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen || len(gateway.Kinds) != 1 ||
+		gateway.Settings.Plans[0].Rate != 3 {
+		t.Errorf("kept %v, and have %+v", keys, gateway)
 	}
 }
 
 // Settings without a lane were found out only after the counter had moved to the address beside them.
-func TestSettingsWithoutALaneOrAPlanAreRefusedWhenRead(t *testing.T) {
+func TestParse_settingsWithoutClassOrPlanAreRefused(t *testing.T) {
 	for _, key := range []string{"RequestClasses", "TiersOfService"} {
-		text := strings.Replace(told, `"`+key+`":[`, `"`+key+`":[],"Unused":[`, 1)
+		text := strings.Replace(sampleFile, `"`+key+`":[`, `"`+key+`":[],"Unused":[`, 1)
 		if _, err := parse([]byte(text)); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("no %s: %v", key, err)
 		}
--- a/internal/boot/golden_test.go
+++ b/internal/boot/golden_test.go
@@ -14,34 +14,34 @@
 )
 
 // fullConfiguration is testdata/full.json, a file with every key, as it has to be read.
-func fullConfiguration() *Handed {
-	return &Handed{
+func fullConfiguration() *Gateway {
+	return &Gateway{
 		Name: "n3", Listen: "127.0.0.1:4001", Discovery: "127.0.0.1:4002", Counter: "127.0.0.1:4003",
 		Seed: -245, Cores: 2.5, MemoryMB: 192, Sockets: 1024,
-		Halls: []string{"hall-a", "hall-b", "hall-c"}, Kinds: []string{"m1", "m2"},
-		ConnectWithin: 250 * time.Millisecond, IdleLimit: 30 * time.Second,
-		Known: json.RawMessage(`{"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": "10.1.0.18:6379"}]}`),
-		Deployment: policy.Deployment{
-			Gateways: 4, Me: 3, MyHall: 1, Halls: 3, AskForList: true, MustAskIn: 6 * time.Second, Tick: 2500 * time.Microsecond,
-			HasCounter: true, CountLimit: 30500 * time.Microsecond, Settles: true, MostUnits: 6.25, Meter: time.Second,
-			Peers: true, Probes: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, TwoAtOnce: true,
-			PushLimit: 6, AnswerSlack: 8 * time.Millisecond, DrainGrace: time.Second, ColdFrom: 0.15, WarmAfter: 16 * time.Second,
-			FallMultiple: 2.25, TipAfter: 1500 * time.Millisecond, Reports: []string{"cpu", "queue"}, InboxPerS: 900,
-			Lanes: []policy.Lane{
-				{Name: "look", SoftLimit: 600 * time.Millisecond, Patience: 2500 * time.Millisecond, Gain: 1, Effect: policy.Pure,
+		Zones: []string{"hall-a", "hall-b", "hall-c"}, Kinds: []string{"m1", "m2"},
+		ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second,
+		KnownEndpoints: json.RawMessage(`{"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": "10.1.0.18:6379"}]}`),
+		Settings: policy.Settings{
+			Gateways: 4, MyIndex: 3, MyZone: 1, Zones: 3, PollList: true, MaxListAge: 6 * time.Second, ClockTick: 2500 * time.Microsecond,
+			HasCounter: true, CountTimeout: 30500 * time.Microsecond, ReportsUnits: true, MaxUnits: 6.25, UsageSpan: time.Second,
+			Peers: true, HealthChecks: true, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, AllowHedging: true,
+			MaxAttempts: 6, ArrivalSlack: 8 * time.Millisecond, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second,
+			OverloadFactor: 2.25, OverloadSpan: 1500 * time.Millisecond, LoadReportFields: []string{"cpu", "queue"}, MailboxRate: 900,
+			Classes: []policy.TrafficClass{
+				{Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1, Effect: policy.Idempotent,
 					Stream: true},
-				{Name: "hold", SoftLimit: 400125 * time.Microsecond, Patience: 1500 * time.Millisecond, Gain: 3, LateShare: 0.5,
-					Effect: policy.Receipted, Group: policy.GroupHall, Window: time.Second},
-				{Name: "keep", SoftLimit: 400 * time.Millisecond, Patience: 1500 * time.Millisecond, Effect: policy.Receipted,
-					Group: policy.GroupCell},
-				{Name: "note", SoftLimit: 400 * time.Millisecond, Patience: 1500 * time.Millisecond, Effect: policy.Receipted,
+				{Name: "hold", LatencyObjective: 400125 * time.Microsecond, Timeout: 1500 * time.Millisecond, Weight: 3, LateFraction: 0.5,
+					Effect: policy.Keyed, Group: policy.GroupZone, DedupWindow: time.Second},
+				{Name: "keep", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
+					Group: policy.GroupRack},
+				{Name: "note", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
 					Group: policy.GroupAll},
-				{Name: "pay", SoftLimit: time.Microsecond, Patience: 1000000 * time.Second, Effect: policy.Effectful},
-				{SoftLimit: time.Millisecond, Patience: 2 * time.Millisecond, Effect: policy.Pure},
+				{Name: "pay", LatencyObjective: time.Microsecond, Timeout: 1000000 * time.Second, Effect: policy.NonIdempotent},
+				{LatencyObjective: time.Millisecond, Timeout: 2 * time.Millisecond, Effect: policy.Idempotent},
 			},
 			Plans: []policy.Plan{
-				{Name: "start", Rate: 2.2, Burst: 12, AtOnce: 4, CeilingRate: 3.5, CeilingBurst: 20, CeilingSlack: 0.1, Price: 1.25,
-					OverGain: 0.4, OverCost: 7},
+				{Name: "start", Rate: 2.2, Burst: 12, MaxInFlight: 4, CeilingRate: 3.5, CeilingBurst: 20, CeilingSlack: 0.1, Price: 1.25,
+					OverQuotaWeight: 0.4, OverQuotaCost: 7},
 				{Name: "open"},
 			},
 		},
@@ -58,7 +58,7 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	// No field is left out of the comparison: each has a value other than its zero value (Closed has no key).
-	for _, part := range []any{*want, want.Deployment, want.Deployment.Lanes[1], want.Deployment.Plans[0]} {
+	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
 			if field := value.Type().Field(i); value.Field(i).IsZero() && field.Name != "Closed" && field.Name != "Stream" {
@@ -181,9 +181,9 @@
 		{"nothing", "", "settings: Balancers is missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			pairs, err := ParsePairs(c.text)
+			pairs, err := ParseLines(c.text)
 			if err == nil {
-				_, err = Deployment(pairs)
+				_, err = ReadSettings(pairs)
 			}
 			if err == nil || err.Error() != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
@@ -194,14 +194,14 @@
 
 // Keys that nobody asks for are no fault.
 func TestGolden_unknownKeysAreNotRefused(t *testing.T) {
-	want := fullConfiguration().Deployment
+	want := fullConfiguration().Settings
 	for _, edits := range []string{"more=7", `settings.More={"Deep":[{"a":1}]}`, "settings.SomethingNew=null",
 		"-settings.SomethingNew"} {
 		got, err := parse(edited(t, edits))
 		if err != nil {
 			t.Errorf("%s: %v", edits, err)
-		} else if !reflect.DeepEqual(got.Deployment, want) {
-			t.Errorf("%s: got %+v", edits, got.Deployment)
+		} else if !reflect.DeepEqual(got.Settings, want) {
+			t.Errorf("%s: got %+v", edits, got.Settings)
 		}
 	}
 }
--- a/internal/boot/handed.go
+++ b/internal/boot/handed.go
@@ -14,8 +14,8 @@
 	"harrierhoist/policy"
 )
 
-// Handed is what a gateway on sockets is told at its start, and again on SIGHUP.
-type Handed struct {
+// Gateway is what a gateway on sockets is told at its start, and again on SIGHUP.
+type Gateway struct {
 	Name, Listen, Discovery, Counter string
 
 	Seed     int64
@@ -23,22 +23,22 @@
 	MemoryMB int
 	Sockets  int
 
-	Deployment    policy.Deployment
-	Halls, Kinds  []string      // their names; the module knows them by their places
-	ConnectWithin time.Duration // a connection not up by then is none
-	IdleLimit     time.Duration // servers close what stands idle so long
+	Settings       policy.Settings
+	Zones, Kinds   []string      // their names; the module knows them by their places
+	ConnectTimeout time.Duration // a connection not up by then is none
+	IdleTimeout    time.Duration // servers close what stands idle so long
 
-	Known json.RawMessage // the servers as last had, in discovery's form
+	KnownEndpoints json.RawMessage // the servers as last had, in discovery's form
 }
 
 // What lies beyond these is a slip, and could stand in for all of the machine.
 const (
-	coresMost  = 1 << 16
-	memoryMost = 1 << 30 // megabytes
+	maxCores    = 1 << 16
+	maxMemoryMB = 1 << 30 // megabytes
 )
 
 // Read reads the configuration file. Errors name the file, the key and what is allowed there, in one line.
-func Read(path string) (*Handed, error) {
+func Read(path string) (*Gateway, error) {
 	if path == "" {
 		return nil, errors.New("no configuration file is named (RELAY_CONFIG)")
 	}
@@ -46,39 +46,39 @@
 	if err != nil {
 		return nil, err // the error names the file
 	}
-	h, err := parse(text)
+	gateway, err := parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return h, nil
+	return gateway, nil
 }
 
-// Keep takes from an earlier configuration what only a restart can change, and gives the keys of what differed.
-func (h *Handed) Keep(old *Handed) (keys []string) {
+// KeepRestartOnly takes from an earlier configuration what only a restart can change, and gives the keys of what differed.
+func (gateway *Gateway) KeepRestartOnly(previous *Gateway) (keys []string) {
 	keep := func(key string, same bool, take func()) {
 		if !same {
 			keys = append(keys, key)
 			take()
 		}
 	}
-	d, was := &h.Deployment, &old.Deployment
-	keep("name", h.Name == old.Name, func() { h.Name = old.Name })
-	keep("listen", h.Listen == old.Listen, func() { h.Listen = old.Listen })
-	keep("seed", h.Seed == old.Seed, func() { h.Seed = old.Seed })
-	keep("limits", h.Cores == old.Cores && h.MemoryMB == old.MemoryMB && h.Sockets == old.Sockets, func() {
-		h.Cores, h.MemoryMB, h.Sockets = old.Cores, old.MemoryMB, old.Sockets
+	settings, previousSettings := &gateway.Settings, &previous.Settings
+	keep("name", gateway.Name == previous.Name, func() { gateway.Name = previous.Name })
+	keep("listen", gateway.Listen == previous.Listen, func() { gateway.Listen = previous.Listen })
+	keep("seed", gateway.Seed == previous.Seed, func() { gateway.Seed = previous.Seed })
+	keep("limits", gateway.Cores == previous.Cores && gateway.MemoryMB == previous.MemoryMB && gateway.Sockets == previous.Sockets, func() {
+		gateway.Cores, gateway.MemoryMB, gateway.Sockets = previous.Cores, previous.MemoryMB, previous.Sockets
 	})
-	keep("settings.Dcs", slices.Equal(h.Halls, old.Halls), func() {
-		h.Halls, d.Halls, d.MyHall = old.Halls, was.Halls, was.MyHall
+	keep("settings.Dcs", slices.Equal(gateway.Zones, previous.Zones), func() {
+		gateway.Zones, settings.Zones, settings.MyZone = previous.Zones, previousSettings.Zones, previousSettings.MyZone
 	})
-	keep("settings.Models", slices.Equal(h.Kinds, old.Kinds), func() { h.Kinds = old.Kinds })
-	keep("settings.Report.Fields", slices.Equal(d.Reports, was.Reports), func() { d.Reports = was.Reports })
-	keep("settings.PolicyLimits.ConnectTimeoutMs", h.ConnectWithin == old.ConnectWithin, func() { h.ConnectWithin = old.ConnectWithin })
-	keep("settings.PolicyLimits.IdleCloseMs", h.IdleLimit == old.IdleLimit, func() { h.IdleLimit = old.IdleLimit })
+	keep("settings.Models", slices.Equal(gateway.Kinds, previous.Kinds), func() { gateway.Kinds = previous.Kinds })
+	keep("settings.Report.Fields", slices.Equal(settings.LoadReportFields, previousSettings.LoadReportFields), func() { settings.LoadReportFields = previousSettings.LoadReportFields })
+	keep("settings.PolicyLimits.ConnectTimeoutMs", gateway.ConnectTimeout == previous.ConnectTimeout, func() { gateway.ConnectTimeout = previous.ConnectTimeout })
+	keep("settings.PolicyLimits.IdleCloseMs", gateway.IdleTimeout == previous.IdleTimeout, func() { gateway.IdleTimeout = previous.IdleTimeout })
 	return keys
 }
 
-func parse(text []byte) (*Handed, error) {
+func parse(text []byte) (*Gateway, error) {
 	var file struct {
 		Name, Listen, Discovery, Counter, Seed string
 
@@ -105,12 +105,12 @@
 	if file.Limits.Sockets <= 0 {
 		return nil, fmt.Errorf("configuration: limits.sockets: a whole number above 0 is wanted, not %d", file.Limits.Sockets)
 	}
-	if c := file.Limits.Cores; c < 0 || c > coresMost {
-		return nil, fmt.Errorf("configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g", coresMost, c)
+	if c := file.Limits.Cores; c < 0 || c > maxCores {
+		return nil, fmt.Errorf("configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g", maxCores, c)
 	}
-	if m := file.Limits.MemoryMB; m < 0 || m > memoryMost {
+	if m := file.Limits.MemoryMB; m < 0 || m > maxMemoryMB {
 		return nil, fmt.Errorf("configuration: limits.memory_mb: a whole number from 0 (not told) to %d is wanted, not %d",
-			memoryMost, m)
+			maxMemoryMB, m)
 	}
 	var known struct{ Hosts []json.RawMessage }
 	if len(file.Known) > 0 && json.Unmarshal(file.Known, &known) != nil {
@@ -120,53 +120,53 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: seed: 16 hex digits are wanted, not %q", file.Seed)
 	}
-	p := &Pairs{values: map[string]string{}}
-	p.nest("", file.Settings)
-	p.Need("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
-	p.Within("PolicyLimits.ConnectTimeoutMs", least, most) // with none a connection could come up for ever
-	p.Within("PolicyLimits.IdleCloseMs", 0, most)
-	h := &Handed{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter,
+	values := &Values{byPath: map[string]string{}}
+	values.flatten("", file.Settings)
+	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
+	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // with none a connection could come up for ever
+	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxFigure)
+	gateway := &Gateway{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter,
 		Seed: int64(seed), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
-		Sockets: file.Limits.Sockets, Halls: p.List("Dcs"), Kinds: p.List("Models"),
-		ConnectWithin: Span(p.Number("PolicyLimits.ConnectTimeoutMs")),
-		IdleLimit:     Span(p.Number("PolicyLimits.IdleCloseMs")),
-		Known:         file.Known}
-	h.Deployment, err = Deployment(p)
+		Sockets: file.Limits.Sockets, Zones: values.List("Dcs"), Kinds: values.List("Models"),
+		ConnectTimeout: Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs")),
+		IdleTimeout:    Milliseconds(values.Number("PolicyLimits.IdleCloseMs")),
+		KnownEndpoints: file.Known}
+	gateway.Settings, err = ReadSettings(values)
 	if err == nil {
-		if unfit := h.Deployment.Fit(); unfit != nil {
+		if unfit := gateway.Settings.Validate(); unfit != nil {
 			err = fmt.Errorf("settings: RequestClasses, TiersOfService: %w", unfit)
 		}
 	}
-	if err == nil && h.Deployment.HasCounter && h.Counter == "" {
+	if err == nil && gateway.Settings.HasCounter && gateway.Counter == "" {
 		err = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
 	}
-	return h, err
+	return gateway, err
 }
 
-// nest lays nested JSON out as the lines do: plain values by path, plain lists joined by commas, lists of
+// flatten lays nested JSON out as the lines do: plain values by path, plain lists joined by commas, lists of
 // objects by count and place.
-func (p *Pairs) nest(path string, value any) {
+func (values *Values) flatten(path string, value any) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch v := value.(type) {
 	case map[string]any:
 		for key, inner := range v {
-			p.nest(under(key), inner)
+			values.flatten(under(key), inner)
 		}
 	case []any:
 		var plain []string
 		for i, inner := range v {
 			if _, object := inner.(map[string]any); object {
-				p.nest(under(strconv.Itoa(i)), inner)
+				values.flatten(under(strconv.Itoa(i)), inner)
 			} else {
 				plain = append(plain, fmt.Sprint(inner))
 			}
 		}
-		p.values[under("count")] = strconv.Itoa(len(v))
-		p.values[path] = strings.Join(plain, ",")
+		values.byPath[under("count")] = strconv.Itoa(len(v))
+		values.byPath[path] = strings.Join(plain, ",")
 	case float64:
-		p.values[path] = strconv.FormatFloat(v, 'g', -1, 64)
+		values.byPath[path] = strconv.FormatFloat(v, 'g', -1, 64)
 	case nil:
 	default:
-		p.values[path] = fmt.Sprint(v)
+		values.byPath[path] = fmt.Sprint(v)
 	}
 }
--- a/internal/boot/pairs.go
+++ b/internal/boot/pairs.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Pairs are settings: a value at each path. Unknown paths are simply never asked for.
-type Pairs struct {
-	values map[string]string
+// Values are settings: a value at each path. Unknown paths are simply never asked for.
+type Values struct {
+	byPath map[string]string
 	err    error
 }
 
-// ParsePairs reads settings written as lines.
-func ParsePairs(text string) (*Pairs, error) {
-	p := &Pairs{values: map[string]string{}}
+// ParseLines reads settings written as lines.
+func ParseLines(text string) (*Values, error) {
+	values := &Values{byPath: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
 		if line = strings.TrimSuffix(line, "\r"); line == "" {
 			continue
@@ -25,96 +25,96 @@
 		if !ok {
 			return nil, fmt.Errorf("settings line %d has no '='", i+1)
 		}
-		p.values[path] = value
+		values.byPath[path] = value
 	}
-	return p, nil
+	return values, nil
 }
 
 // Err is the first thing found wrong by the getters.
-func (p *Pairs) Err() error { return p.err }
+func (values *Values) Err() error { return values.err }
 
-func (p *Pairs) fail(path, what string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("settings: %s %s", path, what)
+func (values *Values) fail(path, what string) {
+	if values.err == nil {
+		values.err = fmt.Errorf("settings: %s %s", path, what)
 	}
 }
 
-// Need says that a path must be there.
-func (p *Pairs) Need(paths ...string) {
+// Require says that a path must be there.
+func (values *Values) Require(paths ...string) {
 	for _, path := range paths {
-		if _, ok := p.values[path]; !ok {
-			p.fail(path, "is missing")
+		if _, ok := values.byPath[path]; !ok {
+			values.fail(path, "is missing")
 		}
 	}
 }
 
 // Text gives the words at a path, empty where there are none.
-func (p *Pairs) Text(path string) string { return p.values[path] }
+func (values *Values) Text(path string) string { return values.byPath[path] }
 
 // Number gives the number at a path, 0 where there is none.
-func (p *Pairs) Number(path string) float64 {
-	text, ok := p.values[path]
+func (values *Values) Number(path string) float64 {
+	text, ok := values.byPath[path]
 	if !ok || text == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v != v {
-		p.fail(path, fmt.Sprintf("is not a number: %q", text))
+		values.fail(path, fmt.Sprintf("is not a number: %q", text))
 		return 0
 	}
 	return v
 }
 
-// Within says that a figure, where it is told, must lie between two, both allowed.
-func (p *Pairs) Within(path string, least, most float64) {
-	if v := p.Number(path); p.Text(path) != "" && (v < least || v > most) {
-		p.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, v))
+// RequireRange says that a figure, where it is told, must lie between two, both allowed.
+func (values *Values) RequireRange(path string, least, most float64) {
+	if v := values.Number(path); values.Text(path) != "" && (v < least || v > most) {
+		values.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, v))
 	}
 }
 
-// once says that names under a path must not be told twice; names left out are no names.
-func (p *Pairs) once(path string, n int, name func(int) string) {
+// requireUnique says that names under a path must not be told twice; names left out are no names.
+func (values *Values) requireUnique(path string, n int, name func(int) string) {
 	for i := range n {
 		for k := range i {
 			if name(i) != "" && name(i) == name(k) {
-				p.fail(fmt.Sprintf("%s.%d.Name", path, i), fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)))
+				values.fail(fmt.Sprintf("%s.%d.Name", path, i), fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)))
 			}
 		}
 	}
 }
 
 // Int gives the whole number at a path, 0 where there is none.
-func (p *Pairs) Int(path string) int { return int(p.Number(path)) }
+func (values *Values) Int(path string) int { return int(values.Number(path)) }
 
-// Flag gives the truth at a path, false where there is none.
-func (p *Pairs) Flag(path string) bool {
-	switch text := p.values[path]; text {
+// Bool gives the truth at a path, false where there is none.
+func (values *Values) Bool(path string) bool {
+	switch text := values.byPath[path]; text {
 	case "true":
 		return true
 	case "false", "":
 		return false
 	default:
-		p.fail(path, fmt.Sprintf("is neither true nor false: %q", text))
+		values.fail(path, fmt.Sprintf("is neither true nor false: %q", text))
 		return false
 	}
 }
 
-// Choice gives the place of the value at a path among words; other values are an error.
-func (p *Pairs) Choice(path string, words ...string) int {
-	text := p.values[path]
+// Enum gives the place of the value at a path among words; other values are an error.
+func (values *Values) Enum(path string, words ...string) int {
+	text := values.byPath[path]
 	for i, w := range words {
 		if text == w {
 			return i
 		}
 	}
-	p.fail(path, fmt.Sprintf("is none of %s: %q", strings.Join(words, ", "), text))
+	values.fail(path, fmt.Sprintf("is none of %s: %q", strings.Join(words, ", "), text))
 	return 0
 }
 
 // List gives the values at a path, none where it is empty.
-func (p *Pairs) List(path string) []string {
-	if p.values[path] == "" {
+func (values *Values) List(path string) []string {
+	if values.byPath[path] == "" {
 		return nil
 	}
-	return strings.Split(p.values[path], ",")
+	return strings.Split(values.byPath[path], ",")
 }
--- a/internal/canary/bet.go
+++ b/internal/canary/bet.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Bet is a test whether the mean of numbers in [0, 1] is below a bound or above it, that may be looked at after each
+// BettingTest is a test whether the mean of numbers in [0, 1] is below a bound or above it, that may be looked at after each
 // of them: by betting, after Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting"
 // (J. R. Stat. Soc. B, 2024), and Howard, Ramdas, McAuliffe and Sekhon, "Time-uniform, nonparametric, nonasymptotic
 // confidence sequences" (Ann. Stat., 2021).
@@ -12,51 +12,51 @@
 // that it ever reaches 1/a is at most a, however often it is looked at. So is the mean of several wealths with fixed
 // stakes, which saves choosing one. The other side bets the other way. Set side by side for every m, these tests are a
 // confidence sequence for the mean; here the two at the bound are all that is asked.
-type Bet struct {
-	Below [stakes]float64 `cbor:"1,keyasint"` // logarithms of the wealth that bets on a mean below the bound
-	Above [stakes]float64 `cbor:"2,keyasint"`
-	N     int             `cbor:"3,keyasint"` // numbers so far
-	Sum   float64         `cbor:"4,keyasint"` // of them
+type BettingTest struct {
+	LogWealthBelow [stakeCount]float64 `cbor:"1,keyasint"` // logarithms of the wealth that bets on a mean below the bound
+	LogWealthAbove [stakeCount]float64 `cbor:"2,keyasint"`
+	Count          int                 `cbor:"3,keyasint"` // numbers so far
+	Sum            float64             `cbor:"4,keyasint"` // of them
 }
 
-// stakes are so many parts of the highest stake, each half of the one before: for bounds from 1% to half.
-const stakes = 8
-
-// stakeMost is the part of the highest stake that is bet: all of it can lose everything at one number.
-const stakeMost = 0.95
-
-// Take takes a number against the bound m, 0 < m < 1.
-func (b *Bet) Take(x, m float64) {
-	x = min(max(x, 0), 1)
-	b.N++
-	b.Sum += x
-	for i := range stakes {
-		part := stakeMost / float64(int(1)<<i)
-		b.Below[i] += math.Log1p(part / (1 - m) * (m - x))
-		b.Above[i] += math.Log1p(part / m * (x - m))
+// stakeCount are so many parts of the highest stake, each half of the one before: for bounds from 1% to half.
+const stakeCount = 8
+
+// maxStake is the part of the highest stake that is bet: all of it can lose everything at one number.
+const maxStake = 0.95
+
+// Add takes a number against the bound m, 0 < m < 1.
+func (b *BettingTest) Add(value, bound float64) {
+	value = min(max(value, 0), 1)
+	b.Count++
+	b.Sum += value
+	for i := range stakeCount {
+		lost := maxStake / float64(int(1)<<i)
+		b.LogWealthBelow[i] += math.Log1p(lost / (1 - bound) * (bound - value))
+		b.LogWealthAbove[i] += math.Log1p(lost / bound * (value - bound))
 	}
 }
 
 // Mean is that of the numbers so far.
-func (b *Bet) Mean() float64 { return b.Sum / float64(max(b.N, 1)) }
+func (b *BettingTest) Mean() float64 { return b.Sum / float64(max(b.Count, 1)) }
 
-// Harmless tells that the mean is below the bound, wrong with a chance of at most a. The highest stake has half of the
+// IsBelow tells that the mean is below the bound, wrong with a chance of at most a. The highest stake has half of the
 // first wealth, the next a quarter and so on: cells in which nothing is lost are the usual case.
-func (b *Bet) Harmless(a float64) bool {
+func (b *BettingTest) IsBelow(alpha float64) bool {
 	mean := 0.0
-	for i, l := range b.Below {
-		mean += math.Exp(min(l, expMost)) / float64(int(2)<<i)
+	for i, logWealth := range b.LogWealthBelow {
+		mean += math.Exp(min(logWealth, maxExponent)) / float64(int(2)<<i)
 	}
-	return mean >= 1/a
+	return mean >= 1/alpha
 }
 
-// Harmful tells that it is above, the same way; each stake has as much of the first wealth.
-func (b *Bet) Harmful(a float64) bool {
+// IsAbove tells that it is above, the same way; each stake has as much of the first wealth.
+func (b *BettingTest) IsAbove(alpha float64) bool {
 	mean := 0.0
-	for _, l := range b.Above {
-		mean += math.Exp(min(l, expMost)) / stakes
+	for _, logWealth := range b.LogWealthAbove {
+		mean += math.Exp(min(logWealth, maxExponent)) / stakeCount
 	}
-	return mean >= 1/a
+	return mean >= 1/alpha
 }
 
-const expMost = 600 // far beyond any 1/a, and no infinity
+const maxExponent = 600 // far beyond any 1/a, and no infinity
--- a/internal/canary/book.go
+++ b/internal/canary/book.go
@@ -7,58 +7,58 @@
 	"harrierhoist/policy"
 )
 
-// book is a key as one side sees it.
-type book struct {
-	key     uint64
-	plan    policy.Plan
-	window  counting.Window
-	at      time.Duration // of the latest total
-	room    float64       // then
-	pending float64       // let in and not yet brought to the counter
-	due     time.Duration // when that goes alone; 0: nothing does
-	used    time.Duration
-	opened  int64 // the latest window whose carry we saw to
+// keyState is a key as one side sees it.
+type keyState struct {
+	key           uint64
+	plan          policy.Plan
+	window        counting.Window
+	sampledAt     time.Duration // of the latest total
+	remaining     float64       // then
+	pending       float64       // let in and not yet brought to the counter
+	flushAt       time.Duration // when that goes alone; 0: nothing does
+	lastUsed      time.Duration
+	carriedWindow int64 // the latest window whose carry we saw to
 }
 
-// look takes a total. A window not seen before starts with no more than what came since the latest look at the one
+// observe takes a total. A window not seen before starts with no more than what came since the latest look at the one
 // before: that guards against two bursts at a window's edge.
-func (b *book) look(w counting.Window, at time.Duration, total float64) float64 {
-	room := counting.Room(&b.plan, w, at, total)
-	if w.Nth > b.window.Nth {
-		room = min(room, b.room+b.plan.Rate*(at-b.at).Seconds())
+func (state *keyState) observe(window counting.Window, at time.Duration, count float64) float64 {
+	remaining := counting.Remaining(&state.plan, window, at, count)
+	if window.Index > state.window.Index {
+		remaining = min(remaining, state.remaining+state.plan.Rate*(at-state.sampledAt).Seconds())
 	}
-	b.window, b.at, b.room = w, at, room
-	return room
+	state.window, state.sampledAt, state.remaining = window, at, remaining
+	return remaining
 }
 
-// guess is the room without a total: that of the latest look and what came since.
-func (b *book) guess(now time.Duration) float64 {
-	return min(b.room+b.plan.Rate*max(now-b.at, 0).Seconds(), b.plan.Burst)
+// estimate is the room without a total: that of the latest look and what came since.
+func (state *keyState) estimate(now time.Duration) float64 {
+	return min(state.remaining+state.plan.Rate*max(now-state.sampledAt, 0).Seconds(), state.plan.Burst)
 }
 
-// asked is a call that is out.
-type asked struct {
-	side   int
-	book   *book
-	window counting.Window
-	at     time.Duration
-	sum    float64
-	try    *try // nil: it brought units alone
-	carry  bool // it read the window before, for what that lacked at its end
+// outstandingCall is a call that is out.
+type outstandingCall struct {
+	side          int
+	state         *keyState
+	window        counting.Window
+	sentAt        time.Duration
+	units         float64
+	request       *shadowRequest // nil: it brought units alone
+	readsPrevious bool           // it read the window before, for what that lacked at its end
 }
 
-// try is one task on both sides.
-type try struct {
-	task   Task
-	open   int // sides that wait for a total
-	letIn  [2]bool
-	beyond float64
-	blind  bool
+// shadowRequest is one task on both sides.
+type shadowRequest struct {
+	request   Request
+	pending   int // sides that wait for a total
+	admitted  [2]bool
+	overLimit float64
+	estimated bool
 }
 
-// Task is a task as the play sees it.
-type Task struct {
-	Customer   uint64
-	Lane, Plan int
-	Units      float64
+// Request is a task as the play sees it.
+type Request struct {
+	Customer    uint64
+	Class, Plan int
+	Units       float64
 }
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -12,91 +12,91 @@
 	"harrierhoist/policy"
 )
 
-func site() policy.Deployment {
-	return policy.Deployment{Gateways: 4, Lanes: []policy.Lane{{Name: "look", Gain: 1}, {Name: "pay", Gain: 2}},
+func testSettings() policy.Settings {
+	return policy.Settings{Gateways: 4, Classes: []policy.TrafficClass{{Name: "look", Weight: 1}, {Name: "pay", Weight: 2}},
 		Plans: []policy.Plan{{Name: "small", Rate: 2, Burst: 10}}}
 }
 
-func fit(t testing.TB, r counting.Rule) (*counting.Fitted, policy.Deployment) {
+func resolve(t testing.TB, rule counting.Rule) (*counting.Resolved, policy.Settings) {
 	t.Helper()
-	d := counting.Plans(site(), []counting.Rule{r})
-	f, err := counting.Fit(r, d)
+	settings := counting.WithRulePlans(testSettings(), []counting.Rule{rule})
+	resolved, err := counting.Resolve(rule, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f, d
+	return resolved, settings
 }
 
-// listed draws a rule of groups over few customers, so that the two rules' groups cross.
-func listed(t *rapid.T, version uint64) counting.Rule {
-	r := counting.Rule{Version: version, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 1, Burst: 1}}}
+// drawRule draws a rule of groups over few customers, so that the two rules' groups cross.
+func drawRule(t *rapid.T, version uint64) counting.Rule {
+	rule := counting.Rule{Version: version, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 1, Burst: 1}}}
 	if rapid.Bool().Draw(t, "by customer") {
-		r.Key = []string{"customer", "lane"}
-		return r
+		rule.Key = []string{"customer", "lane"}
+		return rule
 	}
 	next := uint64(1)
 	for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
-		g := counting.Group{Name: fmt.Sprint(i)}
+		group := counting.Group{Name: fmt.Sprint(i)}
 		for range rapid.IntRange(1, 4).Draw(t, "customers") {
 			next += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
-			g.Customers = append(g.Customers, next)
+			group.Customers = append(group.Customers, next)
 		}
-		r.Groups = append(r.Groups, g)
+		rule.Groups = append(rule.Groups, group)
 	}
-	return r
+	return rule
 }
 
-// cut looks for a count, of either rule, of which some customers are played and some not, or in two cells.
-func cut(t *rapid.T, in func(*Sample, uint64) (int, bool)) string {
-	old, next := listed(t, 1), listed(t, 2)
-	s, err := NewSample(old, next, rapid.Uint64().Draw(t, "seed"), 300)
+// splitKey looks for a count, of either rule, of which some customers are played and some not, or in two cells.
+func splitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
+	old, next := drawRule(t, 1), drawRule(t, 2)
+	sample, err := NewSample(old, next, rapid.Uint64().Draw(t, "seed"), 300)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []counting.Rule{old, next} {
-		d := counting.Plans(site(), []counting.Rule{r})
-		f, _ := counting.Fit(r, d)
+	for _, rule := range []counting.Rule{old, next} {
+		settings := counting.WithRulePlans(testSettings(), []counting.Rule{rule})
+		resolved, _ := counting.Resolve(rule, settings)
 		type where struct {
 			cell int
 			in   bool
 		}
 		first := map[uint64]where{}
-		for c := range uint64(100) {
-			cell, played := in(s, c)
-			key := f.Count(c, 0, 0).Key
-			if was, ok := first[key]; ok && was != (where{cell, played}) {
-				return fmt.Sprintf("rule %d cuts the key of customer %d", r.Version, c)
+		for customer := range uint64(100) {
+			bucket, sampled := bucketOf(sample, customer)
+			key := resolved.Assign(customer, 0, 0).Key
+			if known, ok := first[key]; ok && known != (where{bucket, sampled}) {
+				return fmt.Sprintf("rule %d cuts the key of customer %d", rule.Version, customer)
 			}
-			first[key] = where{cell, played}
+			first[key] = where{bucket, sampled}
 		}
 	}
 	return ""
 }
 
-func TestSampleCutsNoKey(t *testing.T) {
+func TestSample_splitsNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if why := cut(t, (*Sample).Cell); why != "" {
-			t.Fatal(why)
+		if violation := splitKey(t, (*Sample).Bucket); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
 // The same check finds a sample that goes by customers, and one that follows one rule's groups but no further.
-func TestSampleThatCutsAKeyIsFound(t *testing.T) {
-	for name, planted := range map[string]func(*Sample, uint64) (int, bool){
-		"by customer": func(s *Sample, c uint64) (int, bool) {
-			return int(counting.Mix(s.seed, c) % Cells), counting.Mix(s.seed, c) < s.most
+func TestSample_checkFindsASplitKey(t *testing.T) {
+	for name, broken := range map[string]func(*Sample, uint64) (int, bool){
+		"by customer": func(sample *Sample, customer uint64) (int, bool) {
+			return int(counting.Hash(sample.seed, customer) % Buckets), counting.Hash(sample.seed, customer) < sample.threshold
 		},
-		"one step only": func(s *Sample, c uint64) (int, bool) {
-			one := Sample{seed: s.seed, most: s.most, mask: s.mask, roots: map[uint64]uint64{}}
-			if r := s.roots[c]; r != 0 && c-r < 4 { // neighbours alone
-				one.roots[c] = r
+		"one step only": func(sample *Sample, customer uint64) (int, bool) {
+			neighbours := Sample{seed: sample.seed, threshold: sample.threshold, mask: sample.mask, parents: map[uint64]uint64{}}
+			if root := sample.parents[customer]; root != 0 && customer-root < 4 { // neighbours alone
+				neighbours.parents[customer] = root
 			}
-			return one.Cell(c)
+			return neighbours.Bucket(customer)
 		},
 	} {
 		runs, found := 0, false
-		gen := rapid.Custom(func(t *rapid.T) string { return cut(t, planted) })
+		gen := rapid.Custom(func(t *rapid.T) string { return splitKey(t, broken) })
 		for ; runs < 200 && !found; runs++ {
 			found = gen.Example(runs) != ""
 		}
@@ -108,13 +108,13 @@
 }
 
 // Two masks hang together what either leaves open; with few bits in common there is nothing to draw from.
-func TestMasksAreSampledByWhatTheyShare(t *testing.T) {
+func TestSample_masksShareTheirCommonBits(t *testing.T) {
 	rule := func(v, mask uint64) counting.Rule {
 		return counting.Rule{Version: v, Key: []string{"group"}, Mask: mask}
 	}
-	s, err := NewSample(rule(1, 0xfff0), rule(2, 0xff0f), 3, 500)
-	if err != nil || s.Key(0x1234) != s.Key(0x12ff) || s.Key(0x1234) == s.Key(0x1334) {
-		t.Errorf("%v, %+v", err, s)
+	sample, err := NewSample(rule(1, 0xfff0), rule(2, 0xff0f), 3, 500)
+	if err != nil || sample.ComponentKey(0x1234) != sample.ComponentKey(0x12ff) || sample.ComponentKey(0x1234) == sample.ComponentKey(0x1334) {
+		t.Errorf("%v, %+v", err, sample)
 	}
 	if _, err := NewSample(rule(1, 0xff00), rule(2, 0x00ff), 3, 500); err == nil {
 		t.Error("all customers are one component, and a sample was drawn")
@@ -126,44 +126,44 @@
 }
 
 // At the very bound neither side may win more often than stated, whenever it is looked at.
-func TestBetIsWrongAsSeldomAsStated(t *testing.T) {
+func TestBettingTest_errorRateAtTheBound(t *testing.T) {
 	const runs, bound, a = 2000, 0.05, 0.05
 	draws := map[string]func(*rand.Rand) float64{
-		"rare and whole": func(r *rand.Rand) float64 { return map[bool]float64{true: 1}[r.Float64() < bound] },
-		"even":           func(r *rand.Rand) float64 { return 2 * bound * r.Float64() },
+		"rare and whole": func(random *rand.Rand) float64 { return map[bool]float64{true: 1}[random.Float64() < bound] },
+		"even":           func(random *rand.Rand) float64 { return 2 * bound * random.Float64() },
 	}
 	for name, draw := range draws {
-		harmless, harmful := 0, 0
+		falselyHarmless, falselyHarmful := 0, 0
 		for seed := range uint64(runs) {
-			r, b := rand.New(rand.NewPCG(seed, 9)), Bet{}
-			no, yes := false, false
-			for range Cells {
-				b.Take(draw(r), bound)
-				no, yes = no || b.Harmful(a), yes || b.Harmless(a)
+			random, test := rand.New(rand.NewPCG(seed, 9)), BettingTest{}
+			calledHarmful, harmless := false, false
+			for range Buckets {
+				test.Add(draw(random), bound)
+				calledHarmful, harmless = calledHarmful || test.IsAbove(a), harmless || test.IsBelow(a)
 			}
-			if no {
-				harmful++
+			if calledHarmful {
+				falselyHarmful++
 			}
-			if yes {
-				harmless++
+			if harmless {
+				falselyHarmless++
 			}
 		}
-		t.Logf("%s: of %d at the bound, %d called harmless, %d harmful", name, runs, harmless, harmful)
-		if harmless > 120 || harmful > 120 { // 100 are stated; 120 is two deviations more
-			t.Errorf("%s: wrong too often: %d and %d", name, harmless, harmful)
+		t.Logf("%s: of %d at the bound, %d called harmless, %d harmful", name, runs, falselyHarmless, falselyHarmful)
+		if falselyHarmless > 120 || falselyHarmful > 120 { // 100 are stated; 120 is two deviations more
+			t.Errorf("%s: wrong too often: %d and %d", name, falselyHarmless, falselyHarmful)
 		}
 	}
 }
 
 // The page's word on how many cells a bound needs where nothing goes wrong.
-func TestCleanCellsDecide(t *testing.T) {
-	for bound, most := range map[float64]int{0.02: 200, 0.05: 80, 0.1: 40} {
-		b := Bet{}
-		for !b.Harmless(0.05) && b.N < Cells {
-			b.Take(0, bound)
+func TestBettingTest_bucketsNeededWithoutHarm(t *testing.T) {
+	for bound, maxBuckets := range map[float64]int{0.02: 200, 0.05: 80, 0.1: 40} {
+		test := BettingTest{}
+		for !test.IsBelow(0.05) && test.Count < Buckets {
+			test.Add(0, bound)
 		}
-		if !b.Harmless(0.05) || b.N > most {
-			t.Errorf("bound %v: %d cells, not %d", bound, b.N, most)
+		if !test.IsBelow(0.05) || test.Count > maxBuckets {
+			t.Errorf("bound %v: %d cells, not %d", bound, test.Count, maxBuckets)
 		}
 	}
 }
@@ -171,61 +171,61 @@
 // counter is one that answers at once.
 type counter map[uint64]float64
 
-func (c counter) run(p *Play, now time.Duration, calls []Call) {
+func (c counter) run(shadow *Shadow, now time.Duration, calls []Call) {
 	for _, call := range calls {
 		c[call.Name] += call.Units
-		c.run(p, now, p.Told(now, call.ID, c[call.Name], true))
+		c.run(shadow, now, shadow.HandleCount(now, call.ID, c[call.Name], true))
 	}
 }
 
 // Alike on both sides, a rule that says the same as the old one differs nowhere; calls stay within their share.
-func TestSameRuleDiffersNowhere(t *testing.T) {
+func TestShadow_sameRuleDiffersNowhere(t *testing.T) {
 	same := counting.Rule{Version: 1, Key: []string{"customer"}}
-	f, d := fit(t, same)
-	today, _ := counting.Fit(counting.Rule{}, d)
-	s, _ := NewSample(counting.Rule{}, same, 5, 500)
-	p, count, earned := NewPlay(s, today, f, d, 5, 250), counter{}, uint64(0)
-	chance := rand.New(rand.NewPCG(1, 2))
+	resolved, settings := resolve(t, same)
+	current, _ := counting.Resolve(counting.Rule{}, settings)
+	sample, _ := NewSample(counting.Rule{}, same, 5, 500)
+	shadow, counts, earned := NewShadow(sample, current, resolved, settings, 5, 250), counter{}, uint64(0)
+	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
 	for range 20_000 {
-		now += time.Duration(chance.IntN(int(10 * time.Millisecond)))
-		p.Earn(8)
+		now += time.Duration(random.IntN(int(10 * time.Millisecond)))
+		shadow.AddBudget(8)
 		earned += 8
-		count.run(p, now, p.Take(now, Task{Customer: uint64(chance.IntN(40)), Units: 1}))
-		count.run(p, now, p.Due(now))
+		counts.run(shadow, now, shadow.HandleRequest(now, Request{Customer: uint64(random.IntN(40)), Units: 1}))
+		counts.run(shadow, now, shadow.Flush(now))
 	}
-	got := p.counts
-	off := int(got[oldOnly]) - int(got[newOnly])
-	if max(off, -off) > int(got[both])/100 || got[both] < 100_000 || got[neither] == 0 || got[merged]+got[splits] != 0 {
+	got := shadow.counts
+	difference := int(got[nameOldOnly]) - int(got[nameNewOnly])
+	if max(difference, -difference) > int(got[nameBoth])/100 || got[nameBoth] < 100_000 || got[nameNeither] == 0 || got[nameMergedKeys]+got[nameSplitKeys] != 0 {
 		t.Errorf("%v", got)
 	}
-	if p.Calls > earned/4+uint64(budgetMost) {
-		t.Errorf("%d calls of %d", p.Calls, earned)
+	if shadow.Calls > earned/4+uint64(maxBudget) {
+		t.Errorf("%d calls of %d", shadow.Calls, earned)
 	}
 }
 
 // Customers that come together under half of their rates lose about half: seen, with the keys that merged.
-func TestMergedKeysAreSeenToReject(t *testing.T) {
-	r := counting.Rule{Version: 1, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 2, Burst: 10}}}
+func TestShadow_mergedKeysReject(t *testing.T) {
+	rule := counting.Rule{Version: 1, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 2, Burst: 10}}}
 	for i := range uint64(20) {
-		r.Groups = append(r.Groups, counting.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
+		rule.Groups = append(rule.Groups, counting.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
 	}
-	f, d := fit(t, r)
-	today, _ := counting.Fit(counting.Rule{}, d)
-	s, _ := NewSample(counting.Rule{}, r, 5, 500)
-	p, count := NewPlay(s, today, f, d, 5, 250), counter{}
-	chance := rand.New(rand.NewPCG(1, 2))
+	resolved, settings := resolve(t, rule)
+	current, _ := counting.Resolve(counting.Rule{}, settings)
+	sample, _ := NewSample(counting.Rule{}, rule, 5, 500)
+	shadow, counts := NewShadow(sample, current, resolved, settings, 5, 250), counter{}
+	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
 	for range 20_000 {
 		now += 15 * time.Millisecond
-		p.Earn(8)
-		count.run(p, now, p.Take(now, Task{Customer: uint64(chance.IntN(40)), Units: 1}))
-		count.run(p, now, p.Due(now))
+		shadow.AddBudget(8)
+		counts.run(shadow, now, shadow.HandleRequest(now, Request{Customer: uint64(random.IntN(40)), Units: 1}))
+		counts.run(shadow, now, shadow.Flush(now))
 	}
-	got := p.counts
+	got := shadow.counts
 	// 40 customers ask 1.67 units a second each of their 2, so pairs ask 3.3 of their 2.
-	part := float64(got[oldOnly]) / float64(got[both]+got[oldOnly])
-	if part < 0.3 || part > 0.5 || got[newOnly] > got[both]/100 || got[merged] == 0 || got[splits] != 0 {
-		t.Errorf("%.3f lost, %v", part, got)
+	lost := float64(got[nameOldOnly]) / float64(got[nameBoth]+got[nameOldOnly])
+	if lost < 0.3 || lost > 0.5 || got[nameNewOnly] > got[nameBoth]/100 || got[nameMergedKeys] == 0 || got[nameSplitKeys] != 0 {
+		t.Errorf("%.3f lost, %v", lost, got)
 	}
 }
--- a/internal/canary/decider.go
+++ b/internal/canary/decider.go
@@ -11,220 +11,220 @@
 )
 
 const (
-	settleIn = 10 * time.Second // counts that began full, and digests on their way
-	askedLow = 1000             // thousandths of a unit: a cell with less asked says nothing
-	blindTop = 0.25             // part of the tasks played without a total above which no rule is taken
-	watchGap = 10 * time.Second // between two looks at what came of an activation
-	seenLow  = 200_000          // thousandths of a unit in such a look: fewer say little
-	leaves   = 2                // looks in a row that must tell of another part let in: one may be a moment's
-	skewMost = 500 * time.Millisecond
-	edgeStep = time.Second // edges are whole seconds of the common clock, easy to find in a log
+	settleDelay       = 10 * time.Second // counts that began full, and digests on their way
+	minBucketUnits    = 1000             // thousandths of a unit: a cell with less asked says nothing
+	maxEstimatedPart  = 0.25             // part of the tasks played without a total above which no rule is taken
+	watchInterval     = 10 * time.Second // between two looks at what came of an activation
+	minWatchedUnits   = 200_000          // thousandths of a unit in such a look: fewer say little
+	maxDeviations     = 2                // looks in a row that must tell of another part let in: one may be a moment's
+	maxClockSkew      = 500 * time.Millisecond
+	switchGranularity = time.Second // edges are whole seconds of the common clock, easy to find in a log
 )
 
-// Decider walks the table: still, canary, named (and watched), and back where what is seen leaves what was foretold.
+// Controller walks the table: still, canary, named (and watched), and back where what is seen leaves what was foretold.
 // It guards against a rule that rejects, lets in or overruns more than the terms allow. Harm: a rule whose keys are too
 // few or too far apart is refused undecided.
-type Decider struct {
-	Terms  func() *counting.Terms // those of the file as last read; they may change between two calls of Decide
-	Lease  time.Duration          // of the table, at every process
-	Wait   time.Duration          // the longest that a read of the table waits
-	Origin time.Duration          // the common clock when now was 0
+type Controller struct {
+	Config      func() *counting.Config // those of the file as last read; they may change between two calls of Decide
+	Lease       time.Duration           // of the table, at every process
+	ReadWait    time.Duration           // the longest that a read of the table waits
+	ClockOrigin time.Duration           // the common clock when now was 0
 
-	terms  *counting.Terms
-	epoch  uint64
-	base   map[string]uint64 // the sums that stood in Test.Sums when it was written
-	made   []byte            // the value proposed last, and the sums it was made of
-	madeOf map[string]uint64
-	since  time.Duration
+	config       *counting.Config
+	epoch        uint64
+	baseline     map[string]uint64 // the sums that stood in Test.Sums when it was written
+	proposed     []byte            // the value proposed last, and the sums it was made of
+	proposedFrom map[string]uint64
+	ledSince     time.Duration
 }
 
 // New makes a decider of a file's terms. Lease and wait are those of the table's readers; origin is the common clock,
 // nanoseconds since 1970 by the wall, when the clock that Decide is told was 0: within skewMost is near enough.
-func New(terms func() *counting.Terms, lease, wait, origin time.Duration) *Decider {
-	return &Decider{Terms: terms, Lease: lease, Wait: wait, Origin: origin}
+func New(config func() *counting.Config, lease, wait, origin time.Duration) *Controller {
+	return &Controller{Config: config, Lease: lease, ReadWait: wait, ClockOrigin: origin}
 }
 
 // Table is the decider's.
-func (d *Decider) Table() string { return counting.Name }
+func (c *Controller) Table() string { return counting.TableName }
 
 // Decide gives the next value.
-func (d *Decider) Decide(now time.Duration, seen cluster.Seen) ([]byte, bool) {
-	entry := seen.Held(counting.Name)
-	t, err := counting.Decode(entry.Value)
+func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) ([]byte, bool) {
+	entry := seen.Table(counting.TableName)
+	table, err := counting.Decode(entry.Value)
 	if err != nil {
 		return nil, false // written by a later program: left alone
 	}
-	if entry.Epoch != d.epoch || seen.Since != d.since || d.base == nil {
-		d.base = seen.Sums
-		if bytes.Equal(entry.Value, d.made) && seen.Since == d.since && d.madeOf != nil {
-			d.base = d.madeOf
+	if entry.Epoch != c.epoch || seen.LeadingSince != c.ledSince || c.baseline == nil {
+		c.baseline = seen.Sums
+		if bytes.Equal(entry.Value, c.proposed) && seen.LeadingSince == c.ledSince && c.proposedFrom != nil {
+			c.baseline = c.proposedFrom
 		}
-		d.epoch, d.since = entry.Epoch, seen.Since
+		c.epoch, c.ledSince = entry.Epoch, seen.LeadingSince
 	}
-	test, err := decode(t.Test)
+	trial, err := decodeTrialState(table.TrialState)
 	if err != nil {
 		return nil, false
 	}
-	at := d.Origin + now
-	d.terms = d.Terms()
-	if !d.step(at, now-seen.Since, &t, &test, seen.Sums) {
+	at := c.ClockOrigin + now
+	c.config = c.Config()
+	if !c.advance(at, now-seen.LeadingSince, &table, &trial, seen.Sums) {
 		return nil, false
 	}
-	t.Test = test.encode()
-	d.made, d.madeOf = t.Encode(), seen.Sums
-	return d.made, true
+	table.TrialState = trial.encode()
+	c.proposed, c.proposedFrom = table.Encode(), seen.Sums
+	return c.proposed, true
 }
 
-// edge is the next that every process hears of in time or knows that it did not: an entry written now is in every
+// switchTime is the next that every process hears of in time or knows that it did not: an entry written now is in every
 // read sent after, so a lease that covers a later moment than now and a lease has heard of it. Two waits more let
 // most processes hear before their lease could end, and clocks may differ by skewMost.
-func (d *Decider) edge(at time.Duration) time.Duration {
-	lead := d.Lease + 2*d.Wait + 2*skewMost + time.Duration(d.terms.Canary.LeadMS)*time.Millisecond
-	return (at + lead + edgeStep - 1) / edgeStep * edgeStep
+func (c *Controller) switchTime(at time.Duration) time.Duration {
+	lead := c.Lease + 2*c.ReadWait + 2*maxClockSkew + time.Duration(c.config.Canary.LeadMillis)*time.Millisecond
+	return (at + lead + switchGranularity - 1) / switchGranularity * switchGranularity
 }
 
-// step moves the table and tells whether it moved.
-func (d *Decider) step(at, led time.Duration, t *counting.Table, test *Test, sums map[string]uint64) bool {
-	past := at >= t.Edge+skewMost
-	switch t.Phase {
-	case counting.Still:
-		return d.begin(at, t, test)
-	case counting.Canary:
-		return d.judge(at, led, t, test, sums)
-	case counting.Named:
-		if !past {
+// advance moves the table and tells whether it moved.
+func (c *Controller) advance(at, ledFor time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+	switched := at >= table.SwitchAt+maxClockSkew
+	switch table.Phase {
+	case counting.PhaseIdle:
+		return c.startTrial(at, table, trial)
+	case counting.PhaseCanary:
+		return c.evaluate(at, ledFor, table, trial, sums)
+	case counting.PhaseScheduled:
+		if !switched {
 			return false
 		}
-		if d.terms.Try == t.From && d.terms.Try != t.To { // the operators want the earlier rule again
-			d.back(at, t, "as the file says", false)
+		if c.config.DesiredVersion == table.From && c.config.DesiredVersion != table.To { // the operators want the earlier rule again
+			c.rollBack(at, table, "as the file says", false)
 			return true
 		}
-		return d.watch(at, t, test, sums)
-	case counting.Back:
-		if past {
-			*t = counting.Table{Phase: counting.Still, From: t.To, To: t.To, Was: t.From, Rules: t.Rules, Refused: t.Refused,
-				Since: at, Why: t.Why}
-			*test = Test{}
+		return c.watch(at, table, trial, sums)
+	case counting.PhaseRollback:
+		if switched {
+			*table = counting.Table{Phase: counting.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
+				Since: at, Reason: table.Reason}
+			*trial = TrialState{}
 			return true
 		}
 	}
 	return false
 }
 
-// begin takes up the rule that the file names, if it is another than the one in force and was not refused.
-func (d *Decider) begin(at time.Duration, t *counting.Table, test *Test) bool {
-	try := d.terms.Try
-	if try == t.From || slices.Contains(t.Refused, try) {
+// startTrial takes up the rule that the file names, if it is another than the one in force and was not refused.
+func (c *Controller) startTrial(at time.Duration, table *counting.Table, trial *TrialState) bool {
+	desired := c.config.DesiredVersion
+	if desired == table.From || slices.Contains(table.Refused, desired) {
 		return false
 	}
-	i := slices.IndexFunc(d.terms.Rules, func(r counting.Rule) bool { return r.Version == try })
-	t.Rules = slices.DeleteFunc(slices.Clone(t.Rules), func(r counting.Rule) bool {
-		return r.Version != t.From && r.Version != t.Was
+	i := slices.IndexFunc(c.config.Rules, func(rule counting.Rule) bool { return rule.Version == desired })
+	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule counting.Rule) bool {
+		return rule.Version != table.From && rule.Version != table.Previous
 	})
-	if _, known := t.Rule(try); !known && i >= 0 {
-		t.Rules = append(t.Rules, d.terms.Rules[i])
+	if _, known := table.Rule(desired); !known && i >= 0 {
+		table.Rules = append(table.Rules, c.config.Rules[i])
 	}
-	next, _ := t.Rule(try)
-	if try == t.Was { // it held before: going back needs no trial
-		t.Phase, t.To, t.Edge, t.Since, t.Why = counting.Back, try, d.edge(at), at, "as the file says"
+	next, _ := table.Rule(desired)
+	if desired == table.Previous { // it held before: going back needs no trial
+		table.Phase, table.To, table.SwitchAt, table.Since, table.Reason = counting.PhaseRollback, desired, c.switchTime(at), at, "as the file says"
 		return true
 	}
-	old, _ := t.Rule(t.From)
-	t.Seed, t.Since, t.To, t.Trial = counting.Mix(try, uint64(at)), at, try, d.terms.Canary
-	if _, err := NewSample(old, next, t.Seed, d.terms.Canary.Sample); err != nil {
-		d.refuse(at, t, err.Error())
+	old, _ := table.Rule(table.From)
+	table.Seed, table.Since, table.To, table.Canary = counting.Hash(desired, uint64(at)), at, desired, c.config.Canary
+	if _, err := NewSample(old, next, table.Seed, c.config.Canary.SamplePermille); err != nil {
+		c.refuse(at, table, err.Error())
 		return true
 	}
-	t.Phase, t.Why = counting.Canary, "as the file says"
-	*test = Test{}
+	table.Phase, table.Reason = counting.PhaseCanary, "as the file says"
+	*trial = TrialState{}
 	return true
 }
 
-func (d *Decider) refuse(at time.Duration, t *counting.Table, why string) {
-	t.Refused = append(slices.Clone(t.Refused), t.To)
-	t.Phase, t.To, t.Since, t.Why = counting.Still, t.From, at, why
+func (c *Controller) refuse(at time.Duration, table *counting.Table, violation string) {
+	table.Refused = append(slices.Clone(table.Refused), table.To)
+	table.Phase, table.To, table.Since, table.Reason = counting.PhaseIdle, table.From, at, violation
 }
 
-// back undoes an activation: the same step the other way.
-func (d *Decider) back(at time.Duration, t *counting.Table, why string, refused bool) {
+// rollBack undoes an activation: the same step the other way.
+func (c *Controller) rollBack(at time.Duration, table *counting.Table, violation string, refused bool) {
 	if refused {
-		t.Refused = append(slices.Clone(t.Refused), t.To)
+		table.Refused = append(slices.Clone(table.Refused), table.To)
 	}
-	t.Phase, t.From, t.To, t.Edge, t.Since, t.Why = counting.Back, t.To, t.From, d.edge(at), at, why
+	table.Phase, table.From, table.To, table.SwitchAt, table.Since, table.Reason = counting.PhaseRollback, table.To, table.From, c.switchTime(at), at, violation
 }
 
-// judge looks at the cells whose time has come and gives the verdict where there is one.
-func (d *Decider) judge(at, led time.Duration, t *counting.Table, test *Test, sums map[string]uint64) bool {
-	c := &t.Trial
-	deadline := time.Duration(c.DeadlineS) * time.Second
-	if d.terms.Try != t.To {
-		t.Phase, t.To, t.Since, t.Why = counting.Still, t.From, at, "the file names another rule"
-		*test = Test{}
+// evaluate looks at the cells whose time has come and gives the verdict where there is one.
+func (c *Controller) evaluate(at, ledFor time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+	canary := &table.Canary
+	deadline := time.Duration(canary.DeadlineSeconds) * time.Second
+	if c.config.DesiredVersion != table.To {
+		table.Phase, table.To, table.Since, table.Reason = counting.PhaseIdle, table.From, at, "the file names another rule"
+		*trial = TrialState{}
 		return true
 	}
-	if at >= t.Since+deadline {
-		d.refuse(at, t, "undecided at the deadline")
+	if at >= table.Since+deadline {
+		c.refuse(at, table, "undecided at the deadline")
 		return true
 	}
-	if led < settleIn {
+	if ledFor < settleDelay {
 		return false // digests of all processes are still to come
 	}
-	moved, mark := false, Mark(t.Seed)
-	gap := (deadline - 2*settleIn) / Cells
-	for ; test.Next < Cells && at >= t.Since+settleIn+time.Duration(test.Next+1)*gap; test.Next++ {
+	moved, fingerprint := false, Fingerprint(table.Seed)
+	interval := (deadline - 2*settleDelay) / Buckets
+	for ; trial.NextBucket < Buckets && at >= table.Since+settleDelay+time.Duration(trial.NextBucket+1)*interval; trial.NextBucket++ {
 		moved = true
-		asked := float64(sums[cellName(mark, test.Next, asks)])
-		if asked < askedLow {
+		requested := float64(sums[bucketName(fingerprint, trial.NextBucket, nameRequested)])
+		if requested < minBucketUnits {
 			continue
 		}
-		sum := func(what string) float64 { return float64(sums[cellName(mark, test.Next, what)]) }
-		test.take(c, asked, sum(oldOnly), sum(newOnly), sum(beyonds))
+		units := func(kind string) float64 { return float64(sums[bucketName(fingerprint, trial.NextBucket, kind)]) }
+		trial.addBucket(canary, requested, units(nameOldOnly), units(nameNewOnly), units(nameOverLimit))
 	}
 	if !moved {
 		return false
 	}
-	test.gather(mark, d.base, sums)
-	wrong := float64(c.WrongThousandths) / 1000
-	yes := float64(test.Sums[blinds]) <= blindTop*float64(test.Sums[tasks])
-	for i, what := range []string{"rejected", "let_in", "beyond"} {
-		b := &test.Bets[i]
-		yes = yes && b.Harmless(wrong)
-		if b.Harmful(wrong / 3) { // any of the three refuses: together wrong as often as one may be
-			d.refuse(at, t, fmt.Sprintf("canary.%s: %.4f of a key's units in the mean of %d cells", what, b.Mean(), b.N))
+	trial.accumulate(fingerprint, c.baseline, sums)
+	errorRate := float64(canary.ErrorPermille) / 1000
+	harmless := float64(trial.Sums[nameEstimated]) <= maxEstimatedPart*float64(trial.Sums[nameRequests])
+	for i, kind := range []string{"rejected", "let_in", "beyond"} {
+		b := &trial.Tests[i]
+		harmless = harmless && b.IsBelow(errorRate)
+		if b.IsAbove(errorRate / 3) { // any of the three refuses: together wrong as often as one may be
+			c.refuse(at, table, fmt.Sprintf("canary.%s: %.4f of a key's units in the mean of %d cells", kind, b.Mean(), b.Count))
 			return true
 		}
 	}
-	if yes {
-		test.Foretold = test.foretell(t.From)
-		t.Phase, t.Edge, t.Since, t.Why = counting.Named, d.edge(at), at, fmt.Sprintf("harmless by %d cells", test.Bets[0].N)
+	if harmless {
+		trial.Forecast = trial.forecast(table.From)
+		table.Phase, table.SwitchAt, table.Since, table.Reason = counting.PhaseScheduled, c.switchTime(at), at, fmt.Sprintf("harmless by %d cells", trial.Tests[0].Count)
 	}
 	return true
 }
 
 // watch compares what is let in after the activation with what was foretold. It ends after a while.
-func (d *Decider) watch(at time.Duration, t *counting.Table, test *Test, sums map[string]uint64) bool {
-	c := &t.Trial
-	if at >= t.Edge+time.Duration(c.WatchS)*time.Second {
-		*t = counting.Table{Phase: counting.Still, From: t.To, To: t.To, Was: t.From, Rules: t.Rules, Refused: t.Refused,
-			Since: at, Why: fmt.Sprintf("kept: %.3f let in, %.3f foretold", test.Seen, test.Foretold)}
-		*test = Test{}
+func (c *Controller) watch(at time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+	canary := &table.Canary
+	if at >= table.SwitchAt+time.Duration(canary.WatchSeconds)*time.Second {
+		*table = counting.Table{Phase: counting.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
+			Since: at, Reason: fmt.Sprintf("kept: %.3f let in, %.3f foretold", trial.Observed, trial.Forecast)}
+		*trial = TrialState{}
 		return true
 	}
-	if at < t.Edge+settleIn+time.Duration(test.Looks+1)*watchGap {
+	if at < table.SwitchAt+settleDelay+time.Duration(trial.Checks+1)*watchInterval {
 		return false
 	}
-	test.Looks = int((at - t.Edge - settleIn) / watchGap)
-	test.gather(Mark(t.Seed), d.base, sums)
-	asked, in := test.taken(t.To)
-	if asked-test.Asked < seenLow {
+	trial.Checks = int((at - table.SwitchAt - settleDelay) / watchInterval)
+	trial.accumulate(Fingerprint(table.Seed), c.baseline, sums)
+	requested, admitted := trial.actualUnits(table.To)
+	if requested-trial.RequestedUnits < minWatchedUnits {
 		return true
 	}
-	test.Seen = float64(in-test.In) / float64(asked-test.Asked)
-	test.Asked, test.In = asked, in
-	if off := test.Seen - test.Foretold; max(off, -off)*1000 <= float64(c.Leave) {
-		test.Left = 0
-	} else if test.Left++; test.Left >= leaves {
-		d.back(at, t, fmt.Sprintf("%.3f of the units are let in, %.3f were foretold", test.Seen, test.Foretold), true)
+	trial.Observed = float64(admitted-trial.AdmittedUnits) / float64(requested-trial.RequestedUnits)
+	trial.RequestedUnits, trial.AdmittedUnits = requested, admitted
+	if deviation := trial.Observed - trial.Forecast; max(deviation, -deviation)*1000 <= float64(canary.DeviationPermille) {
+		trial.Deviations = 0
+	} else if trial.Deviations++; trial.Deviations >= maxDeviations {
+		c.rollBack(at, table, fmt.Sprintf("%.3f of the units are let in, %.3f were foretold", trial.Observed, trial.Forecast), true)
 	}
 	return true
 }
--- a/internal/canary/drawn_test.go
+++ b/internal/canary/drawn_test.go
@@ -15,80 +15,80 @@
 	"harrierhoist/internal/counting"
 )
 
-// lead is a decider of drawn terms; several of them, one after the other, lead.
-func lead(terms *counting.Terms, origin time.Duration) *Decider {
-	return &Decider{Terms: func() *counting.Terms { return terms }, Lease: 2 * time.Second, Wait: time.Second, Origin: origin}
+// newController is a decider of drawn terms; several of them, one after the other, lead.
+func newController(config *counting.Config, origin time.Duration) *Controller {
+	return &Controller{Config: func() *counting.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second, ClockOrigin: origin}
 }
 
 // Whatever evidence comes, whoever leads and whatever the file says meanwhile: a step never changes at once what holds,
 // names no edge that some process may not hear of in time, takes nothing back before its edge, and tries nothing that
 // was refused. The same events give the same value.
-func TestStepsKeepTheirDistance(t *testing.T) {
-	activated, undone := 0, 0
+func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
+	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		terms := &counting.Terms{Try: 1, Rules: []counting.Rule{limits(1), limits(2)}, Canary: trial()}
-		terms.Rules[1].Version = 2
-		d, twin := lead(terms, time.Hour), lead(terms, time.Hour)
-		now, since, entry, sums := time.Minute, time.Duration(0), tables.Entry{}, map[string]uint64{}
-		harm := rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
+		config := &counting.Config{DesiredVersion: 1, Rules: []counting.Rule{scaledLimits(1), scaledLimits(2)}, Canary: canaryConfig()}
+		config.Rules[1].Version = 2
+		c, twin := newController(config, time.Hour), newController(config, time.Hour)
+		now, since, entry, sums := time.Minute, time.Duration(0), tables.Table{}, map[string]uint64{}
+		harmUnits := rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
 		for range rapid.IntRange(60, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
-			was, err := counting.Decode(entry.Value)
+			previous, err := counting.Decode(entry.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			switch rapid.IntRange(0, 80).Draw(t, "what") {
 			case 0: // another leads, by another monotonic clock
 				shift := time.Duration(rapid.IntRange(0, 100).Draw(t, "shift")) * time.Minute
-				d, twin = lead(terms, d.Origin+now-shift), lead(terms, d.Origin+now-shift)
+				c, twin = newController(config, c.ClockOrigin+now-shift), newController(config, c.ClockOrigin+now-shift)
 				now, since, sums = shift, shift, map[string]uint64{}
 			case 1:
-				terms.Try = rapid.Uint64Range(0, 2).Draw(t, "try")
+				config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
 			}
-			if (was.Phase == counting.Named) == (harm == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
-				harm = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
+			if (previous.Phase == counting.PhaseScheduled) == (harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
+				harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
 			}
-			for i := range Cells {
-				sums[cellName(Mark(was.Seed), i, asks)] += 1000
-				sums[cellName(Mark(was.Seed), i, oldOnly)] += harm
+			for i := range Buckets {
+				sums[bucketName(Fingerprint(previous.Seed), i, nameRequested)] += 1000
+				sums[bucketName(Fingerprint(previous.Seed), i, nameOldOnly)] += harmUnits
 			}
 			for v := range uint64(3) {
-				at := fmt.Sprintf("canary\x1f%s\x1freal\x1f%d\x1f", Mark(was.Seed), v)
-				sums[at+asks] += 300_000
-				sums[at+letIn] += 300_000 - 200*harm
+				prefix := fmt.Sprintf("canary\x1f%s\x1freal\x1f%d\x1f", Fingerprint(previous.Seed), v)
+				sums[prefix+nameRequested] += 300_000
+				sums[prefix+nameAdmitted] += 300_000 - 200*harmUnits
 			}
-			seen := cluster.Seen{Sums: maps.Clone(sums), Since: since, Held: func(string) tables.Entry { return entry }}
-			value, write := d.Decide(now, seen)
-			again, writeToo := twin.Decide(now, seen)
-			if write != writeToo || !bytes.Equal(value, again) {
+			seen := cluster.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) tables.Table { return entry }}
+			value, write := c.Decide(now, seen)
+			encodedAgain, writeAgain := twin.Decide(now, seen)
+			if write != writeAgain || !bytes.Equal(value, encodedAgain) {
 				t.Fatal("the same events, another value")
 			}
 			if !write {
 				continue
 			}
 			next, _ := counting.Decode(value)
-			at := d.Origin + now
-			if was.InForce(at) != next.InForce(at) {
-				t.Fatalf("%d holds, and at once %d: %+v to %+v", was.InForce(at), next.InForce(at), was, next)
+			at := c.ClockOrigin + now
+			if previous.InForce(at) != next.InForce(at) {
+				t.Fatalf("%d holds, and at once %d: %+v to %+v", previous.InForce(at), next.InForce(at), previous, next)
 			}
-			if moved := next.Phase >= counting.Named && next.Edge != was.Edge; moved && next.Edge < at+4*time.Second {
-				t.Fatalf("edge %v only ahead", next.Edge-at)
-			} else if moved && was.Phase >= counting.Named && at < was.Edge {
+			if moved := next.Phase >= counting.PhaseScheduled && next.SwitchAt != previous.SwitchAt; moved && next.SwitchAt < at+4*time.Second {
+				t.Fatalf("edge %v only ahead", next.SwitchAt-at)
+			} else if moved && previous.Phase >= counting.PhaseScheduled && at < previous.SwitchAt {
 				t.Fatal("taken back before its edge")
 			}
-			if next.Phase == counting.Canary && slices.Contains(was.Refused, next.To) {
+			if next.Phase == counting.PhaseCanary && slices.Contains(previous.Refused, next.To) {
 				t.Fatalf("%d was refused, and is tried again", next.To)
 			}
-			if next.Phase == counting.Named && was.Phase == counting.Canary {
+			if next.Phase == counting.PhaseScheduled && previous.Phase == counting.PhaseCanary {
 				activated++
 			}
-			if next.Phase == counting.Back && len(next.Refused) > len(was.Refused) {
-				undone++
+			if next.Phase == counting.PhaseRollback && len(next.Refused) > len(previous.Refused) {
+				rolledBack++
 			}
-			entry = tables.Entry{Epoch: entry.Epoch + 1, Value: value}
+			entry = tables.Table{Epoch: entry.Epoch + 1, Value: value}
 		}
 	})
-	t.Logf("%d activations, %d undone", activated, undone)
+	t.Logf("%d activations, %d undone", activated, rolledBack)
 	if activated == 0 {
 		t.Error("nothing was ever activated")
 	}
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -60,12 +60,12 @@
 func (r recorder) sum() string { return hex.EncodeToString(r.Sum(nil)) }
 
 // observations gives plays' observations by name.
-func observations(plays ...*Play) map[string]uint64 {
-	all := map[string]uint64{}
-	for _, p := range plays {
-		p.Witness(func(name string, n uint64) { all[name] += n })
+func observations(shadows ...*Shadow) map[string]uint64 {
+	accumulated := map[string]uint64{}
+	for _, shadow := range shadows {
+		shadow.Report(func(name string, n uint64) { accumulated[name] += n })
 	}
-	return all
+	return accumulated
 }
 
 func (r recorder) addCounts(counts map[string]uint64) {
@@ -74,167 +74,167 @@
 	}
 }
 
-func TestStoredTrialKeepsItsBytes(t *testing.T) {
-	full := Test{Next: 17, Sums: map[string]uint64{"both": 12, "real\x1f1\x1fasked": 1 << 40}, Foretold: 0.9125,
-		Seen: 0.875, Looks: 3, Left: 1, Asked: 200_000, In: 175_000}
-	for i := range full.Bets {
+func TestGolden_storedTrialState(t *testing.T) {
+	full := TrialState{NextBucket: 17, Sums: map[string]uint64{"both": 12, "real\x1f1\x1fasked": 1 << 40}, Forecast: 0.9125,
+		Observed: 0.875, Checks: 3, Deviations: 1, RequestedUnits: 200_000, AdmittedUnits: 175_000}
+	for i := range full.Tests {
 		for n := range 5 {
-			full.Bets[i].Take(float64(n*i)/40, 0.05)
+			full.Tests[i].Add(float64(n*i)/40, 0.05)
 		}
 	}
-	for name, x := range map[string]Test{"trial-empty.cbor": {}, "trial-full.cbor": full} {
+	for name, state := range map[string]TrialState{"trial-empty.cbor": {}, "trial-full.cbor": full} {
 		t.Run(name, func(t *testing.T) {
-			golden(t, name, x.encode())
+			golden(t, name, state.encode())
 			stored, err := os.ReadFile(filepath.Join("testdata", name))
 			if err != nil {
 				t.Fatal(err)
 			}
-			read, err := decode(stored)
-			if err != nil || !reflect.DeepEqual(read, x) {
-				t.Errorf("read %+v, %v; want %+v", read, err, x)
+			decoded, err := decodeTrialState(stored)
+			if err != nil || !reflect.DeepEqual(decoded, state) {
+				t.Errorf("read %+v, %v; want %+v", decoded, err, state)
 			}
-			if again := read.encode(); !bytes.Equal(again, stored) {
-				t.Errorf("written again:\n%x\nstored:\n%x", again, stored)
+			if encodedAgain := decoded.encode(); !bytes.Equal(encodedAgain, stored) {
+				t.Errorf("written again:\n%x\nstored:\n%x", encodedAgain, stored)
 			}
 		})
 	}
 }
 
-// drive plays tasks that a seed draws under two rules, with answers that come late or not at all, a budget that runs
+// driveShadow plays tasks that a seed draws under two rules, with answers that come late or not at all, a budget that runs
 // dry at times, and other weights of classes midway. It hashes each call and, from time to time, the observations.
-func drive(t *testing.T, seed uint64, rule counting.Rule) (*Play, string) {
+func driveShadow(t *testing.T, seed uint64, rule counting.Rule) (*Shadow, string) {
 	t.Helper()
-	rule.Weights = []counting.Weight{{Lane: "pay", Thousandths: 1500}}
-	fitted, d := fit(t, rule)
-	today, err := counting.Fit(counting.Rule{}, d)
+	rule.Weights = []counting.Weight{{Class: "pay", Permille: 1500}}
+	resolved, settings := resolve(t, rule)
+	current, err := counting.Resolve(counting.Rule{}, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewSample(counting.Rule{}, rule, seed, 300)
+	sample, err := NewSample(counting.Rule{}, rule, seed, 300)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, counts, out := NewPlay(s, today, fitted, d, seed, 250), counter{}, newRecorder()
-	chance, now := rand.New(rand.NewPCG(seed, 17)), 1_764_652_800*time.Second
+	shadow, counts, recorder := NewShadow(sample, current, resolved, settings, seed, 250), counter{}, newRecorder()
+	random, now := rand.New(rand.NewPCG(seed, 17)), 1_764_652_800*time.Second
 	var waiting []Call
-	call := func(calls []Call) {
-		for _, c := range calls {
-			out.add(c.Name, c.Units, int64(c.Keep), c.ID)
-			waiting = append(waiting, c)
+	send := func(calls []Call) {
+		for _, call := range calls {
+			recorder.add(call.Name, call.Units, int64(call.TTL), call.ID)
+			waiting = append(waiting, call)
 		}
 	}
 	for i := range 20_000 {
-		now += time.Duration(chance.IntN(int(12 * time.Millisecond)))
-		p.Earn(uint64(chance.IntN(12)))
-		customer, class := uint64(chance.IntN(200)), chance.IntN(2)
-		out.add(p.Played(customer))
-		call(p.Take(now, Task{Customer: customer, Lane: class, Units: float64(1 + chance.IntN(3))}))
-		if p.Played(customer) {
-			p.Real(uint64(chance.IntN(2)), 1.25, chance.IntN(4) > 0)
+		now += time.Duration(random.IntN(int(12 * time.Millisecond)))
+		shadow.AddBudget(uint64(random.IntN(12)))
+		customer, class := uint64(random.IntN(200)), random.IntN(2)
+		recorder.add(shadow.IsSampled(customer))
+		send(shadow.HandleRequest(now, Request{Customer: customer, Class: class, Units: float64(1 + random.IntN(3))}))
+		if shadow.IsSampled(customer) {
+			shadow.RecordActual(uint64(random.IntN(2)), 1.25, random.IntN(4) > 0)
 		}
-		for len(waiting) > 0 && chance.IntN(3) > 0 {
-			c := waiting[0]
+		for len(waiting) > 0 && random.IntN(3) > 0 {
+			call := waiting[0]
 			waiting = waiting[1:]
-			counts[c.Name] += c.Units
-			call(p.Told(now, c.ID, counts[c.Name], chance.IntN(20) > 0))
+			counts[call.Name] += call.Units
+			send(shadow.HandleCount(now, call.ID, counts[call.Name], random.IntN(20) > 0))
 		}
-		call(p.Due(now))
+		send(shadow.Flush(now))
 		if i%1000 == 0 {
-			out.addCounts(observations(p))
+			recorder.addCounts(observations(shadow))
 		}
 		if i == 10_000 {
-			d.Lanes[1].Gain = 3
-			p.Refit(today, fitted, d)
+			settings.Classes[1].Weight = 3
+			shadow.Reconfigure(current, resolved, settings)
 		}
 	}
-	out.addCounts(observations(p))
-	return p, out.sum()
+	recorder.addCounts(observations(shadow))
+	return shadow, recorder.sum()
 }
 
-func TestPlayStays(t *testing.T) {
+func TestGolden_shadow(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: "63633f08383be6b4a30eaa8d8b9f25c3c833b26fe21ff485c1abf955f0bd0a23",
 		2: "cd013c8b534d91ad44909a9bf76d39e852d728f2f77229a97de2bacdb3bd0f59",
 	} {
-		if _, got := drive(t, seed, pairs(1)); got != want {
+		if _, got := driveShadow(t, seed, pairedCustomers(1)); got != want {
 			t.Errorf("seed %d: %s, want %s", seed, got, want)
 		}
 	}
 }
 
 // The names of the observations go between processes and are matched by the leader, whatever its version.
-func TestNamesOfObservationsStay(t *testing.T) {
-	merging, _ := drive(t, 3, pairs(1))
-	splitting, _ := drive(t, 4, counting.Rule{Version: 1, Key: []string{"customer", "lane"}})
+func TestGolden_observationNames(t *testing.T) {
+	merging, _ := driveShadow(t, 3, pairedCustomers(1))
+	splitting, _ := driveShadow(t, 4, counting.Rule{Version: 1, Key: []string{"customer", "lane"}})
 	counts := observations(merging, splitting)
 	var out bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&out, "%s %d\n", strings.ReplaceAll(name, "\x1f", "/"), counts[name])
 	}
-	for _, what := range []string{"3/old", "3/new", "3/both", "3/neither", "3/blind", "3/tasks", "3/merged", "4/split",
+	for _, kind := range []string{"3/old", "3/new", "3/both", "3/neither", "3/blind", "3/tasks", "3/merged", "4/split",
 		"3/calls", "3/real/0/asked", "3/real/1/in", "3/lane/look/small/both", "3/lane/pay/small/gain-neither",
 		"3/lane/pay/small/gain-old", "3/lane/look/small/gain-new", "3/cell/14/asked", "3/cell/14/old", "3/cell/14/new",
 		"3/cell/14/beyond"} {
-		if name := "canary\x1f" + strings.ReplaceAll(what, "/", "\x1f"); counts[name] == 0 {
+		if name := "canary\x1f" + strings.ReplaceAll(kind, "/", "\x1f"); counts[name] == 0 {
 			t.Errorf("no observation named %q", name)
 		}
 	}
-	if got := cellName(Mark(1<<40), 12, beyonds); got != "canary\x1fe13wu1og\x1fcell\x1f12\x1fbeyond" {
+	if got := bucketName(Fingerprint(1<<40), 12, nameOverLimit); got != "canary\x1fe13wu1og\x1fcell\x1f12\x1fbeyond" {
 		t.Errorf("%q", got)
 	}
 	golden(t, "observations.txt", out.Bytes())
 }
 
 // record hashes all that a world's decider writes, and what its processes saw.
-func (w *world) record(until time.Duration) string {
-	out, epoch := newRecorder(), uint64(0)
-	w.pass(until, func() bool {
-		if w.table.Epoch != epoch {
-			epoch = w.table.Epoch
-			out.add(int64(w.now), epoch, w.table.Value)
+func (s *simulation) record(until time.Duration) string {
+	recorder, epoch := newRecorder(), uint64(0)
+	s.advance(until, func() bool {
+		if s.table.Epoch != epoch {
+			epoch = s.table.Epoch
+			recorder.add(int64(s.now), epoch, s.table.Value)
 		}
 		return false
 	})
-	out.addCounts(w.sums())
-	return out.sum()
+	recorder.addCounts(s.sums())
+	return recorder.sum()
 }
 
 // Each value that a decider writes over a trial, from its start to what follows it, and each process's observations.
-func TestTrialsStay(t *testing.T) {
+func TestGolden_trials(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule counting.Rule
 		seed uint64
 		want string
 	}{
-		{"5% more", limits(1.05), 1,
+		{"5% more", scaledLimits(1.05), 1,
 			"43a602e446e865c281aa34d4a59a1c316dc7735194a7b23e7b3828757fcb0539"},
-		{"5% more", limits(1.05), 2,
+		{"5% more", scaledLimits(1.05), 2,
 			"489dc4d099266e0af10d50aa36dea2f2be7bec9541813a8ba01a8dcb55e7e73a"},
-		{"half", limits(0.5), 1,
+		{"half", scaledLimits(0.5), 1,
 			"979cfd599aefffed8475cda7878640d9ffefc016221a04299384c6d32258f333"},
-		{"half", limits(0.5), 2,
+		{"half", scaledLimits(0.5), 2,
 			"02883c2d7475ce002750d0ffaf82bc40d8817216a5c9a26f350f370ccd6de48f"},
-		{"pairs", pairs(1), 1,
+		{"pairs", pairedCustomers(1), 1,
 			"3a0c0fe01676d0adfb6a6c9c69411dd9d9a59bbac9e64ae61f0dfaf748f55504"},
-		{"pairs", pairs(1), 2,
+		{"pairs", pairedCustomers(1), 2,
 			"a1e66b0588a91991636bfc620647bc0cefbf3a08f74f1e5178d1ea531fc4e1a4"},
 	} {
-		w := begin(c.rule, c.seed)
-		if got := w.record(w.now + 240*time.Second); got != c.want {
-			t.Errorf("%s, seed %d: %s, want %s; %s", c.name, c.seed, got, c.want, w.value().Why)
+		s := newSimulation(c.rule, c.seed)
+		if got := s.record(s.now + 240*time.Second); got != c.want {
+			t.Errorf("%s, seed %d: %s, want %s; %s", c.name, c.seed, got, c.want, s.tableValue().Reason)
 		}
 	}
-	w := begin(limits(1.05), 1)
-	w.outage = 0.33
+	s := newSimulation(scaledLimits(1.05), 1)
+	s.failureRate = 0.33
 	const want = "a2445a262503f2213471dc41953facbddf3c5ca6777c58a99226d1f13b2a2b42"
-	if got := w.record(w.now + 240*time.Second); got != want {
-		t.Errorf("undone: %s, want %s; %s", got, want, w.value().Why)
+	if got := s.record(s.now + 240*time.Second); got != want {
+		t.Errorf("undone: %s, want %s; %s", got, want, s.tableValue().Reason)
 	}
 }
 
 // The reasons that stand in the stored table are read by people and by tools of theirs.
-func TestReasonsOfARefusalStay(t *testing.T) {
+func TestGolden_refusalReasons(t *testing.T) {
 	group := func(version, mask uint64, groups ...counting.Group) counting.Rule {
 		return counting.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
 	}
@@ -248,10 +248,10 @@
 		{group(1, 0xff00), group(2, 0, one),
 			"one rule's groups are listed and the other's made by a mask: what hangs together cannot be told"},
 	} {
-		file := &counting.Terms{Try: 2, Rules: []counting.Rule{c.old, c.next}, Canary: trial()}
-		v, ok := decideOnce(file, counting.Table{From: 1, To: 1, Rules: []counting.Rule{c.old}})
-		if !ok || v.Why != c.want {
-			t.Errorf("%v, %q, want %q", ok, v.Why, c.want)
+		config := &counting.Config{DesiredVersion: 2, Rules: []counting.Rule{c.old, c.next}, Canary: canaryConfig()}
+		table, ok := decideOnce(config, counting.Table{From: 1, To: 1, Rules: []counting.Rule{c.old}})
+		if !ok || table.Reason != c.want {
+			t.Errorf("%v, %q, want %q", ok, table.Reason, c.want)
 		}
 	}
 }
--- a/internal/canary/sample.go
+++ b/internal/canary/sample.go
@@ -13,78 +13,78 @@
 	"harrierhoist/internal/counting"
 )
 
-// Cells are the parts that the sampled keys fall into by hash; each is looked at once, one after the other. A bound of
+// Buckets are the parts that the sampled keys fall into by hash; each is looked at once, one after the other. A bound of
 // 2% needs about 210 of them where nothing is out of order (docs/counting-rules.md).
-const Cells = 256
+const Buckets = 256
 
 // Sample says which customers are played. A customer is in or out together with all that share a count with it under
 // either rule.
 type Sample struct {
-	seed, most uint64
-	mask       uint64            // of the customer's number; all ones: by whole customers
-	roots      map[uint64]uint64 // of customers in listed groups: the least customer that they hang together with
+	seed, threshold uint64
+	mask            uint64            // of the customer's number; all ones: by whole customers
+	parents         map[uint64]uint64 // of customers in listed groups: the least customer that they hang together with
 }
 
 // NewSample makes the sample of two rules, of a share in thousandths. All processes with the same seed make the same.
 // An error tells that too much hangs together to take a part of it.
-func NewSample(old, next counting.Rule, seed, thousandths uint64) (*Sample, error) {
-	s := &Sample{seed: seed, most: math.MaxUint64 / 1000 * thousandths, mask: math.MaxUint64, roots: map[uint64]uint64{}}
+func NewSample(old, next counting.Rule, seed, permille uint64) (*Sample, error) {
+	sample := &Sample{seed: seed, threshold: math.MaxUint64 / 1000 * permille, mask: math.MaxUint64, parents: map[uint64]uint64{}}
 	listed := false
-	for _, r := range []counting.Rule{old, next} {
-		if r.Version == 0 || slices.Contains(r.Key, "customer") {
+	for _, rule := range []counting.Rule{old, next} {
+		if rule.Version == 0 || slices.Contains(rule.Key, "customer") {
 			continue // each of its counts is one customer's
 		}
-		if r.Mask != 0 {
-			s.mask &= r.Mask // customers that differ only outside of either mask hang together through others
+		if rule.Mask != 0 {
+			sample.mask &= rule.Mask // customers that differ only outside of either mask hang together through others
 			continue
 		}
 		listed = true
-		for _, g := range r.Groups {
-			for _, c := range g.Customers {
-				s.join(g.Customers[0], c)
+		for _, group := range rule.Groups {
+			for _, customer := range group.Customers {
+				sample.union(group.Customers[0], customer)
 			}
 		}
 	}
-	if listed && s.mask != math.MaxUint64 {
+	if listed && sample.mask != math.MaxUint64 {
 		return nil, errors.New("one rule's groups are listed and the other's made by a mask: what" +
 			" hangs together cannot be told")
 	}
-	if bits.OnesCount64(s.mask) < 5 {
+	if bits.OnesCount64(sample.mask) < 5 {
 		return nil, errors.New("the masks of both rules have fewer than 5 bits in common: too much hangs together to sample")
 	}
-	for _, c := range slices.Sorted(maps.Keys(s.roots)) {
-		s.roots[c] = s.root(c)
+	for _, customer := range slices.Sorted(maps.Keys(sample.parents)) {
+		sample.parents[customer] = sample.find(customer)
 	}
-	return s, nil
+	return sample, nil
 }
 
-// join and root are union and find: of two roots the lesser is kept, so that the order does not matter.
-func (s *Sample) join(a, b uint64) {
-	a, b = s.root(a), s.root(b)
-	s.roots[max(a, b)] = min(a, b)
-	s.roots[min(a, b)] = min(a, b)
+// union and root are union and find: of two roots the lesser is kept, so that the order does not matter.
+func (sample *Sample) union(a, b uint64) {
+	a, b = sample.find(a), sample.find(b)
+	sample.parents[max(a, b)] = min(a, b)
+	sample.parents[min(a, b)] = min(a, b)
 }
 
-func (s *Sample) root(c uint64) uint64 {
+func (sample *Sample) find(customer uint64) uint64 {
 	for {
-		up, ok := s.roots[c]
-		if !ok || up == c {
-			return c
+		parent, ok := sample.parents[customer]
+		if !ok || parent == customer {
+			return customer
 		}
-		c = up
+		customer = parent
 	}
 }
 
-// Key is what a customer hangs together with: two customers that share a count under either rule have the same.
-func (s *Sample) Key(customer uint64) uint64 {
-	if r, ok := s.roots[customer]; ok {
-		return r
+// ComponentKey is what a customer hangs together with: two customers that share a count under either rule have the same.
+func (sample *Sample) ComponentKey(customer uint64) uint64 {
+	if root, ok := sample.parents[customer]; ok {
+		return root
 	}
-	return customer & s.mask
+	return customer & sample.mask
 }
 
-// Cell gives a customer's cell, and whether it is played at all.
-func (s *Sample) Cell(customer uint64) (cell int, in bool) {
-	h := counting.Mix(s.seed, s.Key(customer))
-	return int(counting.Mix(h, 1) % Cells), h < s.most
+// Bucket gives a customer's cell, and whether it is played at all.
+func (sample *Sample) Bucket(customer uint64) (bucket int, admitted bool) {
+	hash := counting.Hash(sample.seed, sample.ComponentKey(customer))
+	return int(counting.Hash(hash, 1) % Buckets), hash < sample.threshold
 }
--- a/internal/canary/tally.go
+++ b/internal/canary/tally.go
@@ -9,130 +9,130 @@
 
 // The names of what a process counts, behind "canary" and the canary's mark. Units and gain are in thousandths.
 const (
-	asks    = "asked"   // units asked
-	oldOnly = "old"     // let in by the old rule alone
-	newOnly = "new"     // by the new rule alone
-	both    = "both"    // by both
-	neither = "neither" // by neither
-	beyonds = "beyond"  // let in by the new rule beyond its limit
-	blinds  = "blind"   // tasks played without a total
-	tasks   = "tasks"
-	merged  = "merged" // keys of the new rule in which several of the old came together, as this process saw
-	splits  = "split"  // keys of the old rule that fell into several of the new
-	called  = "calls"
-	real    = "real"  // units of the sample's tasks by the version that they were taken under
-	letIn   = "in"    // and how many of them were pushed
-	inCell  = "cell"  // by cell
-	inLane  = "lane"  // by lane and plan
-	gains   = "gain-" // before the four fates: gain in place of units
-	keysCap = 20_000  // keys whose merging is followed
+	nameRequested  = "asked"   // units asked
+	nameOldOnly    = "old"     // let in by the old rule alone
+	nameNewOnly    = "new"     // by the new rule alone
+	nameBoth       = "both"    // by both
+	nameNeither    = "neither" // by neither
+	nameOverLimit  = "beyond"  // let in by the new rule beyond its limit
+	nameEstimated  = "blind"   // tasks played without a total
+	nameRequests   = "tasks"
+	nameMergedKeys = "merged" // keys of the new rule in which several of the old came together, as this process saw
+	nameSplitKeys  = "split"  // keys of the old rule that fell into several of the new
+	nameCalls      = "calls"
+	nameActual     = "real"  // units of the sample's tasks by the version that they were taken under
+	nameAdmitted   = "in"    // and how many of them were pushed
+	nameBucket     = "cell"  // by cell
+	nameClass      = "lane"  // by lane and plan
+	prefixWeighted = "gain-" // before the four fates: gain in place of units
+	maxTrackedKeys = 20_000  // keys whose merging is followed
 )
 
-// Tallies are what one process saw of a canary. They only grow.
-type Tallies struct {
-	salt      uint64
-	mark      string
-	Calls     uint64
-	counts    map[string]uint64
-	cells     [Cells]shares
-	from, to  map[uint64]uint64 // the first key met on the other side; 0: several
-	lane, way []string          // names by number
-	gain      []float64
+// Observations are what one process saw of a canary. They only grow.
+type Observations struct {
+	salt                  uint64
+	fingerprint           string
+	Calls                 uint64
+	counts                map[string]uint64
+	buckets               [Buckets]bucketUnits
+	mergedFrom, splitInto map[uint64]uint64 // the first key met on the other side; 0: several
+	classNames, planNames []string          // names by number
+	classWeights          []float64
 }
 
-// shares are a cell's units in thousandths.
-type shares struct{ asked, old, new, beyond uint64 }
+// bucketUnits are a cell's units in thousandths.
+type bucketUnits struct{ requested, oldOnly, newOnly, overLimit uint64 }
 
-func newTallies(salt uint64) *Tallies {
-	return &Tallies{salt: salt, mark: Mark(salt), counts: map[string]uint64{}, from: map[uint64]uint64{},
-		to: map[uint64]uint64{}}
+func newObservations(salt uint64) *Observations {
+	return &Observations{salt: salt, fingerprint: Fingerprint(salt), counts: map[string]uint64{}, mergedFrom: map[uint64]uint64{},
+		splitInto: map[uint64]uint64{}}
 }
 
-// named takes the names of lanes and plans by number.
-func (t *Tallies) named(site policy.Deployment) {
-	t.lane, t.gain, t.way = nil, nil, nil
-	for _, l := range site.Lanes {
-		t.lane, t.gain = append(t.lane, l.Name), append(t.gain, l.Gain)
+// setNames takes the names of lanes and plans by number.
+func (o *Observations) setNames(settings policy.Settings) {
+	o.classNames, o.classWeights, o.planNames = nil, nil, nil
+	for _, class := range settings.Classes {
+		o.classNames, o.classWeights = append(o.classNames, class.Name), append(o.classWeights, class.Weight)
 	}
-	for _, p := range site.Plans {
-		t.way = append(t.way, p.Name)
+	for _, plan := range settings.Plans {
+		o.planNames = append(o.planNames, plan.Name)
 	}
 }
 
-// Mark is a canary's mark in the names of its evidence.
-func Mark(salt uint64) string { return strconv.FormatUint(salt, 36) }
+// Fingerprint is a canary's mark in the names of its evidence.
+func Fingerprint(salt uint64) string { return strconv.FormatUint(salt, 36) }
 
 func thousandths(v float64) uint64 { return uint64(max(v, 0)*1000 + 0.5) }
 
-// done counts a task that both sides have spoken on.
-func (t *Tallies) done(cell int, y *try) {
-	units, s := thousandths(y.task.Units), &t.cells[cell]
-	t.counts[tasks]++
-	s.asked += units
-	s.beyond += thousandths(y.beyond)
-	fate := neither
+// record counts a task that both sides have spoken on.
+func (o *Observations) record(bucket int, shadowed *shadowRequest) {
+	units, inBucket := thousandths(shadowed.request.Units), &o.buckets[bucket]
+	o.counts[nameRequests]++
+	inBucket.requested += units
+	inBucket.overLimit += thousandths(shadowed.overLimit)
+	outcome := nameNeither
 	switch {
-	case y.letIn[0] && y.letIn[1]:
-		fate = both
-	case y.letIn[0]:
-		fate = oldOnly
-		s.old += units
-	case y.letIn[1]:
-		fate = newOnly
-		s.new += units
+	case shadowed.admitted[0] && shadowed.admitted[1]:
+		outcome = nameBoth
+	case shadowed.admitted[0]:
+		outcome = nameOldOnly
+		inBucket.oldOnly += units
+	case shadowed.admitted[1]:
+		outcome = nameNewOnly
+		inBucket.newOnly += units
 	}
-	at := evidence.Name(inLane, t.lane[y.task.Lane], t.way[y.task.Plan])
-	t.counts[evidence.Name(at, fate)] += units
-	t.counts[evidence.Name(at, gains+fate)] += thousandths(t.gain[y.task.Lane])
-	t.counts[fate] += units
-	if y.blind {
-		t.counts[blinds]++
+	prefix := evidence.JoinName(nameClass, o.classNames[shadowed.request.Class], o.planNames[shadowed.request.Plan])
+	o.counts[evidence.JoinName(prefix, outcome)] += units
+	o.counts[evidence.JoinName(prefix, prefixWeighted+outcome)] += thousandths(o.classWeights[shadowed.request.Class])
+	o.counts[outcome] += units
+	if shadowed.estimated {
+		o.counts[nameEstimated]++
 	}
 }
 
-// keys follows which keys came together and which fell apart.
-func (t *Tallies) keys(old, next uint64) {
-	note := func(seen map[uint64]uint64, of, other uint64, name string) {
-		was, ok := seen[of]
+// trackKeys follows which keys came together and which fell apart.
+func (o *Observations) trackKeys(old, next uint64) {
+	track := func(others map[uint64]uint64, key, other uint64, name string) {
+		known, ok := others[key]
 		switch {
-		case !ok && len(seen) < keysCap:
-			seen[of] = other
-		case ok && was != 0 && was != other:
-			seen[of] = 0
-			t.counts[name]++
+		case !ok && len(others) < maxTrackedKeys:
+			others[key] = other
+		case ok && known != 0 && known != other:
+			others[key] = 0
+			o.counts[name]++
 		}
 	}
-	note(t.from, next, old, merged)
-	note(t.to, old, next, splits)
+	track(o.mergedFrom, next, old, nameMergedKeys)
+	track(o.splitInto, old, next, nameSplitKeys)
 }
 
-// Real counts a task of the sample as it went: taken under a version, pushed or not.
-func (t *Tallies) Real(version uint64, units float64, pushed bool) {
-	at := evidence.Name(real, strconv.FormatUint(version, 10))
-	t.counts[evidence.Name(at, asks)] += thousandths(units)
-	if pushed {
-		t.counts[evidence.Name(at, letIn)] += thousandths(units)
+// RecordActual counts a task of the sample as it went: taken under a version, pushed or not.
+func (o *Observations) RecordActual(version uint64, units float64, forwarded bool) {
+	prefix := evidence.JoinName(nameActual, strconv.FormatUint(version, 10))
+	o.counts[evidence.JoinName(prefix, nameRequested)] += thousandths(units)
+	if forwarded {
+		o.counts[evidence.JoinName(prefix, nameAdmitted)] += thousandths(units)
 	}
 }
 
-// Witness gives the counts as evidence.
-func (t *Tallies) Witness(add func(name string, n uint64)) {
-	for name, n := range t.counts {
-		add(evidence.Name("canary", t.mark, name), n)
+// Report gives the counts as evidence.
+func (o *Observations) Report(add func(name string, n uint64)) {
+	for name, n := range o.counts {
+		add(evidence.JoinName("canary", o.fingerprint, name), n)
 	}
-	add(evidence.Name("canary", t.mark, called), t.Calls)
-	for i, s := range t.cells {
-		if s.asked == 0 {
+	add(evidence.JoinName("canary", o.fingerprint, nameCalls), o.Calls)
+	for i, inBucket := range o.buckets {
+		if inBucket.requested == 0 {
 			continue
 		}
-		for name, n := range map[string]uint64{asks: s.asked, oldOnly: s.old, newOnly: s.new, beyonds: s.beyond} {
+		for name, n := range map[string]uint64{nameRequested: inBucket.requested, nameOldOnly: inBucket.oldOnly, nameNewOnly: inBucket.newOnly, nameOverLimit: inBucket.overLimit} {
 			if n > 0 {
-				add(cellName(t.mark, i, name), n)
+				add(bucketName(o.fingerprint, i, name), n)
 			}
 		}
 	}
 }
 
-func cellName(mark string, cell int, what string) string {
-	return evidence.Name("canary", mark, inCell, strconv.Itoa(cell), what)
+func bucketName(fingerprint string, bucket int, kind string) string {
+	return evidence.JoinName("canary", fingerprint, nameBucket, strconv.Itoa(bucket), kind)
 }
--- a/internal/canary/trial.go
+++ b/internal/canary/trial.go
@@ -11,63 +11,63 @@
 	"harrierhoist/internal/counting"
 )
 
-// Test is what a canary has shown so far, in the table: it must not be lost with a leader.
-type Test struct {
-	Next     int               `cbor:"1,keyasint"` // the cell to be looked at next
-	Bets     [3]Bet            `cbor:"2,keyasint"` // rejected, let in, beyond
-	Sums     map[string]uint64 `cbor:"3,keyasint"` // of the canary's evidence but its cells, over all leaders
-	Foretold float64           `cbor:"4,keyasint"` // the part let in that the canary foretold
-	Seen     float64           `cbor:"5,keyasint"` // and the one seen at the latest look
-	Looks    int               `cbor:"6,keyasint"`
-	Left     int               `cbor:"7,keyasint"` // looks in a row that left it
-	Asked    uint64            `cbor:"8,keyasint"` // units by the new rule up to the latest look
-	In       uint64            `cbor:"9,keyasint"`
+// TrialState is what a canary has shown so far, in the table: it must not be lost with a leader.
+type TrialState struct {
+	NextBucket     int               `cbor:"1,keyasint"` // the cell to be looked at next
+	Tests          [3]BettingTest    `cbor:"2,keyasint"` // rejected, let in, beyond
+	Sums           map[string]uint64 `cbor:"3,keyasint"` // of the canary's evidence but its cells, over all leaders
+	Forecast       float64           `cbor:"4,keyasint"` // the part let in that the canary foretold
+	Observed       float64           `cbor:"5,keyasint"` // and the one seen at the latest look
+	Checks         int               `cbor:"6,keyasint"`
+	Deviations     int               `cbor:"7,keyasint"` // looks in a row that left it
+	RequestedUnits uint64            `cbor:"8,keyasint"` // units by the new rule up to the latest look
+	AdmittedUnits  uint64            `cbor:"9,keyasint"`
 }
 
-// take takes a cell. What one rule lets in at one moment and the other at the next is no difference: a key at its limit
+// addBucket takes a cell. What one rule lets in at one moment and the other at the next is no difference: a key at its limit
 // is let in by turns, and only what is left of it over the cell's time counts.
-func (x *Test) take(c *counting.Trial, asked, old, next, beyond float64) {
-	x.Bets[0].Take((old-next)/asked, float64(c.Rejected)/1000)
-	x.Bets[1].Take((next-old)/asked, float64(c.LetIn)/1000)
-	x.Bets[2].Take(beyond/asked, float64(c.Beyond)/1000)
+func (s *TrialState) addBucket(canary *counting.CanaryConfig, requested, old, next, overLimit float64) {
+	s.Tests[0].Add((old-next)/requested, float64(canary.RejectedPermille)/1000)
+	s.Tests[1].Add((next-old)/requested, float64(canary.AdmittedPermille)/1000)
+	s.Tests[2].Add(overLimit/requested, float64(canary.OverLimitPermille)/1000)
 }
 
-// foretell is the part that would be let in: what was let in by the old rule, times what the play lets in by the new
+// forecast is the part that would be let in: what was let in by the old rule, times what the play lets in by the new
 // beside what it lets in by the old.
-func (x *Test) foretell(old uint64) float64 {
-	byOld, byNew := float64(x.Sums[both]+x.Sums[oldOnly]), float64(x.Sums[both]+x.Sums[newOnly])
-	asked, in := x.taken(old)
-	return min(float64(in)/float64(max(asked, 1))*byNew/max(byOld, 1), 1)
+func (s *TrialState) forecast(old uint64) float64 {
+	byOldRule, byNewRule := float64(s.Sums[nameBoth]+s.Sums[nameOldOnly]), float64(s.Sums[nameBoth]+s.Sums[nameNewOnly])
+	requested, admitted := s.actualUnits(old)
+	return min(float64(admitted)/float64(max(requested, 1))*byNewRule/max(byOldRule, 1), 1)
 }
 
-// taken are the units of the sample's tasks that were taken under a version, asked and let in.
-func (x *Test) taken(version uint64) (asked, in uint64) {
-	at := evidence.Name(real, strconv.FormatUint(version, 10))
-	return x.Sums[evidence.Name(at, asks)], x.Sums[evidence.Name(at, letIn)]
+// actualUnits are the units of the sample's tasks that were taken under a version, asked and let in.
+func (s *TrialState) actualUnits(version uint64) (requested, admitted uint64) {
+	prefix := evidence.JoinName(nameActual, strconv.FormatUint(version, 10))
+	return s.Sums[evidence.JoinName(prefix, nameRequested)], s.Sums[evidence.JoinName(prefix, nameAdmitted)]
 }
 
-// gather adds to the sums what came since they were last written.
-func (x *Test) gather(mark string, base, sums map[string]uint64) {
-	prefix := evidence.Name("canary", mark, "")
-	all := maps.Clone(x.Sums)
-	if all == nil {
-		all = map[string]uint64{}
+// accumulate adds to the sums what came since they were last written.
+func (s *TrialState) accumulate(fingerprint string, baseline, sums map[string]uint64) {
+	prefix := evidence.JoinName("canary", fingerprint, "")
+	accumulated := maps.Clone(s.Sums)
+	if accumulated == nil {
+		accumulated = map[string]uint64{}
 	}
-	cells := evidence.Name(inCell, "")
+	bucketPrefix := evidence.JoinName(nameBucket, "")
 	for name, n := range sums {
-		what, ok := strings.CutPrefix(name, prefix)
-		if ok && !strings.HasPrefix(what, cells) && n > base[name] {
-			all[what] += n - base[name]
+		kind, ok := strings.CutPrefix(name, prefix)
+		if ok && !strings.HasPrefix(kind, bucketPrefix) && n > baseline[name] {
+			accumulated[kind] += n - baseline[name]
 		}
 	}
-	x.Sums = all
+	s.Sums = accumulated
 }
 
-func decode(text []byte) (x Test, err error) {
+func decodeTrialState(text []byte) (state TrialState, err error) {
 	if len(text) > 0 {
-		err = cbor.Unmarshal(text, &x)
+		err = cbor.Unmarshal(text, &state)
 	}
-	return x, err
+	return state, err
 }
 
-func (x *Test) encode() []byte { return counting.Marshal(x) }
+func (s *TrialState) encode() []byte { return counting.Marshal(s) }
--- a/internal/charter/charter_test.go
+++ b/internal/charter/charter_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `
+const validFile = `
 [process]
 name = "v1"
 hall = "hall-a"
@@ -36,9 +36,9 @@
 replaces = 3
 `
 
-func TestFileIsTakenWithWhatItLeavesOut(t *testing.T) {
+func TestRead_fillsInDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "common.toml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Read(path)
@@ -46,13 +46,13 @@
 		t.Fatal(err)
 	}
 	if c.Self() == nil || c.Self().Number != 1 || c.Timing.Lease.Duration != 3*time.Second ||
-		c.Timing.DigestEvery.Duration != digestUsual || c.Process.Connections != connectionsUsual || len(c.Terms()) != 0 {
+		c.Timing.DigestInterval.Duration != defaultDigestInterval || c.Process.MaxConnections != defaultConnections || len(c.Parts()) != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Each row changes the good file in one place, and gives all lines that must be said, without the file's name.
-func TestWhatIsWrongIsSaidWithKeyAndWhatIsAllowed(t *testing.T) {
+func TestRead_namesKeyAndAllowedValueOfEachFault(t *testing.T) {
 	for _, row := range []struct{ old, new, want string }{
 		{`name = "v1"`, `name = "v 1"`, `process.name must be 1 to 64 letters, digits, '.', '_' or '-', not "v 1"
 process.voter must be false where no [[voter]] has the name of this process, "v 1"`},
@@ -94,10 +94,10 @@
 failover.regions: at least one region with a name and its halls is wanted, not none
 failover.utilisation_most: a number from 0.3 to 0.95 is wanted, not 2`},
 	} {
-		if strings.Count(good, row.old) == 0 {
+		if strings.Count(validFile, row.old) == 0 {
 			t.Fatalf("%q is not in the file", row.old)
 		}
-		_, faults := parse([]byte(strings.Replace(good, row.old, row.new, 1)))
+		_, faults := parse([]byte(strings.Replace(validFile, row.old, row.new, 1)))
 		var got []string
 		for _, f := range faults {
 			got = append(got, f.Error())
@@ -113,7 +113,7 @@
 }
 
 // An operator who is told one fault at a time mends a file in as many rounds as it has faults.
-func TestAllFaultsAreToldAtOnceEachWithTheFile(t *testing.T) {
+func TestRead_reportsAllFaultsAtOnceWithTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "common.toml")
 	text := "[process]\nname = 7\nvoter = 1\nhul = \"a\"\n[timing]\nlease = \"1ms\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -123,7 +123,7 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	lines := Faults(err)
+	lines := FaultLines(err)
 	for _, key := range []string{"process.name", "process.voter", "process.hul", "timing.lease", "voter"} {
 		if !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, path+": "+key+" ") }) {
 			t.Errorf("%s is not told: %q", key, lines)
@@ -134,26 +134,26 @@
 	}
 }
 
-func TestPrivateNetworkIsTakenInSoManyWords(t *testing.T) {
-	far := strings.Replace(good, `"[::1]:7412"`, `"192.0.2.7:7412"`, 1)
+func TestRead_privateNetworkAllowsOtherAddresses(t *testing.T) {
+	far := strings.Replace(validFile, `"[::1]:7412"`, `"192.0.2.7:7412"`, 1)
 	if _, faults := parse([]byte(strings.Replace(far, "voter = true", "voter = true\nprivate_network = true", 1))); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
 
-func TestWhatTakesARestartIsKeptAndNamed(t *testing.T) {
-	old, _ := parse([]byte(good))
-	now, faults := parse([]byte(strings.Replace(strings.Replace(good, "hall-a", "hall-b", 1), "3s", "4s", 1)))
+func TestConfig_restartOnlyKeysAreRetainedAndNamed(t *testing.T) {
+	old, _ := parse([]byte(validFile))
+	now, faults := parse([]byte(strings.Replace(strings.Replace(validFile, "hall-a", "hall-b", 1), "3s", "4s", 1)))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if keys := now.Keep(old); !slices.Equal(keys, []string{"process.hall"}) || now.Process != old.Process ||
+	if keys := now.RetainRestartOnly(old); !slices.Equal(keys, []string{"process.hall"}) || now.Process != old.Process ||
 		now.Timing.Lease.Duration != 4*time.Second {
 		t.Errorf("%q, %+v", keys, now)
 	}
 }
 
-func TestExampleIsGood(t *testing.T) {
+func TestRead_exampleIsValid(t *testing.T) {
 	c, err := Read("../../deploy/common.example.toml")
 	if err != nil || c.Self() == nil || len(c.Voters) != 3 {
 		t.Errorf("%+v, %v", c, err)
--- a/internal/charter/golden_test.go
+++ b/internal/charter/golden_test.go
@@ -20,39 +20,39 @@
 const goldenFile = "testdata/full.toml"
 
 // The operators' file keeps its keys: each of them comes to the field that it came to before.
-func TestGolden_everyKeyIsReadIntoItsField(t *testing.T) {
+func TestGolden_fullFile(t *testing.T) {
 	got, err := Read(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	no, yes, share, forgive := false, true, 0.1, 86400.0
-	want := &Charter{
+	want := &Config{
 		Process: Process{
-			Name: "v1", Hall: "hall-a", Voter: true, Listen: "127.0.0.1:7511", Disk: "/var/lib/harrierhoist/v1",
-			PrivateNetwork: true, Connections: 2048, Single: true,
+			Name: "v1", Zone: "hall-a", Voter: true, Listen: "127.0.0.1:7511", Folder: "/var/lib/harrierhoist/v1",
+			PrivateNetwork: true, MaxConnections: 2048, SingleVoter: true,
 		},
 		Voters: []Voter{
 			{Number: 1, Name: "v1", Address: "127.0.0.1:7411"},
 			{Number: 2, Name: "v2", Address: "[::1]:7412"},
-			{Number: 4, Name: "v3", Address: "10.0.0.3:7413", Replaces: 3},
+			{Number: 4, Name: "v3", Address: "10.0.0.3:7413", ReplacesNumber: 3},
 		},
-		Timing: Timing{Lease: Span{Duration: 3 * time.Second}, DigestEvery: Span{Duration: 250 * time.Millisecond}},
-		Failover: &failover.Terms{
-			On: true,
+		Timing: Timing{Lease: Duration{Duration: 3 * time.Second}, DigestInterval: Duration{Duration: 250 * time.Millisecond}},
+		Failover: &failover.Settings{
+			Enabled: true,
 			Regions: []failover.Region{
-				{Name: "north", Halls: []string{"hall-a", "hall-b"}},
-				{Name: "south", Halls: []string{"hall-c"}},
+				{Name: "north", Zones: []string{"hall-a", "hall-b"}},
+				{Name: "south", Zones: []string{"hall-c"}},
 			},
-			Bears: 120.5, BearsBy: map[string]float64{"hall-b": 80.25}, UtilisationMost: 0.75, LeastStay: 12.5, Step: 0.5,
-			Worth: 0.06, IllPart: 0.7, GatewaysLeast: 3, Trial: 0.03,
+			Capacity: 120.5, CapacityByZone: map[string]float64{"hall-b": 80.25}, MaxUtilisation: 0.75, HoldDownSeconds: 12.5, RecoveryStep: 0.5,
+			MinMove: 0.06, AgreementShare: 0.7, MinGateways: 3, ProbeShare: 0.03,
 		},
-		Counting: &counting.Terms{
-			Try: 2,
+		Counting: &counting.Config{
+			DesiredVersion: 2,
 			Rules: []counting.Rule{
 				{
 					Version: 1, Key: []string{"group"},
 					Groups:  []counting.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
-					Weights: []counting.Weight{{Lane: "batch", Thousandths: 500}},
+					Weights: []counting.Weight{{Class: "batch", Permille: 500}},
 					Limits:  []counting.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
 				},
 				{
@@ -60,34 +60,34 @@
 					Limits: []counting.Limit{{Plan: "team", Rate: 12, Burst: 24}},
 				},
 			},
-			Canary: counting.Trial{
-				Sample: 20, Calls: 90, DeadlineS: 3600, WrongThousandths: 50, Rejected: 11, LetIn: 12, Beyond: 13, Leave: 14,
-				WatchS: 600, LeadMS: 2500,
+			Canary: counting.CanaryConfig{
+				SamplePermille: 20, CallsPermille: 90, DeadlineSeconds: 3600, ErrorPermille: 50, RejectedPermille: 11, AdmittedPermille: 12, OverLimitPermille: 13, DeviationPermille: 14,
+				WatchSeconds: 600, LeadMillis: 2500,
 			},
 		},
-		Debts: &debts.Terms{
+		Settlement: &debts.Terms{
 			On: true,
 			Partners: []debts.Partner{
-				{Name: "north", Halls: []string{"hall-a", "hall-b"}, Plans: []string{"team", "solo"}, Weight: 2.5},
-				{Name: "south", Halls: []string{"hall-c"},
+				{Name: "north", Zones: []string{"hall-a", "hall-b"}, Plans: []string{"team", "solo"}, Weight: 2.5},
+				{Name: "south", Zones: []string{"hall-c"},
 					Customers: []string{"0000000000000100-00000000000001ff", "0000000000000300"}},
 				{Name: "west", Customers: []string{"0000000000000400"}},
 			},
-			Rules: []debts.Rule{
+			Rules: []debts.PairRule{
 				{Between: []string{"north", "south"}, Settle: &no},
-				{Between: []string{"west", "north"}, Settle: &yes, ShareMost: &share, ForgiveAfter: &forgive},
+				{Between: []string{"west", "north"}, Settle: &yes, MaxShare: &share, ForgiveAfter: &forgive},
 			},
-			SettleOver: 30, ShareMost: 0.25, MovedMost: 150, LendMost: 0.4, LossMost: 0.004, RoomLeast: 0.3, WellLeast: 0.95,
-			Least: 6.5, ForgiveAfter: 7200,
+			SettleTimeConstant: 30, MaxShare: 0.25, MaxMovedRate: 150, MaxLendFraction: 0.4, MaxLossFraction: 0.004, MinHeadroom: 0.3, MinOnTimeFraction: 0.95,
+			MinDebt: 6.5, ForgiveAfter: 7200,
 		},
 	}
-	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Span{})); d != "" {
+	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
 		t.Error(d)
 	}
 }
 
 // What a file leaves out keeps the value that it had before.
-func TestGolden_whatIsLeftOutHasItsDefault(t *testing.T) {
+func TestGolden_defaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "least.toml")
 	text := "[process]\nname = \"g1\"\nsingle = true\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = \"127.0.0.1:7411\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -97,21 +97,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Charter{
-		Process: Process{Name: "g1", Single: true, Connections: 1024},
+	want := &Config{
+		Process: Process{Name: "g1", SingleVoter: true, MaxConnections: 1024},
 		Voters:  []Voter{{Number: 1, Name: "v1", Address: "127.0.0.1:7411"}},
-		Timing:  Timing{Lease: Span{Duration: 2 * time.Second}, DigestEvery: Span{Duration: 200 * time.Millisecond}},
-		Debts: &debts.Terms{SettleOver: 20, ShareMost: 0.5, MovedMost: 200, LendMost: 0.3, LossMost: 0.005, RoomLeast: 0.2,
-			WellLeast: 0.9, Least: 5},
+		Timing:  Timing{Lease: Duration{Duration: 2 * time.Second}, DigestInterval: Duration{Duration: 200 * time.Millisecond}},
+		Settlement: &debts.Terms{SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
+			MinOnTimeFraction: 0.9, MinDebt: 5},
 	}
-	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Span{})); d != "" {
+	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
 		t.Error(d)
 	}
 }
 
 // Every refusal of a bad file is the line that it was before. Each row of testdata/refusals.toml changes the full file
 // in one place; FILE stands for its path.
-func TestGolden_refusalsAreTheLinesThatTheyWere(t *testing.T) {
+func TestGolden_refusals(t *testing.T) {
 	var golden struct {
 		Rows []struct {
 			Name    string   `toml:"name"`
@@ -148,7 +148,7 @@
 				t.Fatal("the file is taken")
 			}
 			var got []string
-			for _, line := range Faults(err) {
+			for _, line := range FaultLines(err) {
 				got = append(got, strings.Replace(line, path, "FILE", 1))
 			}
 			if d := cmp.Diff(row.Lines, got); d != "" {
@@ -159,7 +159,7 @@
 }
 
 // A file that cannot be read is told by the system's own words, with its path.
-func TestGolden_noFileIsToldWithItsPath(t *testing.T) {
+func TestGolden_missingFile(t *testing.T) {
 	_, err := Read("testdata/none.toml")
 	if err == nil || err.Error() != "open testdata/none.toml: no such file or directory" {
 		t.Error(err)
--- a/internal/charter/read.go
+++ b/internal/charter/read.go
@@ -15,7 +15,7 @@
 )
 
 // Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and what is allowed.
-func Read(path string) (*Charter, error) {
+func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err // the error names the file
@@ -32,72 +32,72 @@
 
 // parse reads a text and gives all that is wrong with it. The decoder stops at the first value of the wrong kind: its
 // line is emptied and the rest read again, so that all of them are told at once.
-func parse(text []byte) (*Charter, []error) {
+func parse(text []byte) (*Config, []error) {
 	lines := bytes.Split(text, []byte("\n"))
 	var faults []error
 	for {
-		c := &Charter{Process: Process{Connections: connectionsUsual},
-			Timing: Timing{Lease: Span{Duration: leaseUsual}, DigestEvery: Span{Duration: digestUsual}}}
-		terms := debts.Default()
-		c.Debts = &terms
+		c := &Config{Process: Process{MaxConnections: defaultConnections},
+			Timing: Timing{Lease: Duration{Duration: defaultLease}, DigestInterval: Duration{Duration: defaultDigestInterval}}}
+		terms := debts.DefaultTerms()
+		c.Settlement = &terms
 		err := toml.NewDecoder(bytes.NewReader(bytes.Join(lines, []byte("\n")))).DisallowUnknownFields().Decode(c)
 		var missing *toml.StrictMissingError
-		var bad *toml.DecodeError
+		var decodeErr *toml.DecodeError
 		switch {
 		case errors.As(err, &missing):
 			for _, e := range missing.Errors {
-				faults = append(faults, unknown(e.Key()))
+				faults = append(faults, unknownKeyError(e.Key()))
 			}
-		case errors.As(err, &bad):
-			row, _ := bad.Position()
-			faults = append(faults, unfit(bad, row))
-			if len(bad.Key()) == 0 || row < 1 || row > len(lines) || len(lines[row-1]) == 0 {
+		case errors.As(err, &decodeErr):
+			line, _ := decodeErr.Position()
+			faults = append(faults, wrongTypeError(decodeErr, line))
+			if len(decodeErr.Key()) == 0 || line < 1 || line > len(lines) || len(lines[line-1]) == 0 {
 				return nil, faults // not TOML: what follows cannot be judged
 			}
-			lines[row-1] = nil
+			lines[line-1] = nil
 			continue
 		case err != nil:
 			return nil, append(faults, err)
 		}
-		return c, append(faults, c.check()...)
+		return c, append(faults, c.validate()...)
 	}
 }
 
-// unknown says what may stand where a key is not known.
-func unknown(key toml.Key) error {
-	in, at := reflect.TypeFor[Charter](), 0
+// unknownKeyError says what may stand where a key is not known.
+func unknownKeyError(key toml.Key) error {
+	table, at := reflect.TypeFor[Config](), 0
 	for ; at < len(key)-1; at++ {
-		field, ok := find(in, key[at])
+		field, ok := fieldByKey(table, key[at])
 		if !ok {
 			break
 		}
-		in = under(field.Type)
+		table = elementType(field.Type)
 	}
 	where := "the file"
 	if at > 0 {
 		where = "[" + strings.Join(key[:at], ".") + "]"
 	}
-	return fmt.Errorf("%s is no key; %s takes %s", strings.Join(key, "."), where, strings.Join(names(in), ", "))
+	return fmt.Errorf("%s is no key; %s takes %s", strings.Join(key, "."), where, strings.Join(tableKeys(table), ", "))
 }
 
-// unfit says what may stand where a value is of the wrong kind.
-func unfit(e *toml.DecodeError, row int) error {
-	in := reflect.TypeFor[Charter]()
-	for _, word := range e.Key() {
-		field, ok := find(in, word)
+// wrongTypeError says what may stand where a value is of the wrong kind.
+func wrongTypeError(decodeErr *toml.DecodeError, line int) error {
+	table := reflect.TypeFor[Config]()
+	for _, key := range decodeErr.Key() {
+		field, ok := fieldByKey(table, key)
 		if !ok {
-			in = nil
+			table = nil
 			break
 		}
-		in = under(field.Type)
+		table = elementType(field.Type)
 	}
-	if in == nil || len(e.Key()) == 0 {
-		return fmt.Errorf("line %d: %s", row, strings.TrimPrefix(e.Error(), "toml: "))
+	if table == nil || len(decodeErr.Key()) == 0 {
+		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
-	return fmt.Errorf("%s must be %s (line %d)", strings.Join(e.Key(), "."), kind(in), row)
+	return fmt.Errorf("%s must be %s (line %d)", strings.Join(decodeErr.Key(), "."), expectedValue(table), line)
 }
 
-func kind(t reflect.Type) string {
+func expectedValue(t reflect.Type) string {
 	switch {
 	case t.Kind() == reflect.Bool:
 		return "true or false"
@@ -113,28 +113,28 @@
 	return "a whole number, 0 or more"
 }
 
-// under is what a key's value is made of.
-func under(t reflect.Type) reflect.Type {
+// elementType is what a key's value is made of.
+func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
 	return t
 }
 
-func find(in reflect.Type, word string) (reflect.StructField, bool) {
-	if in.Kind() != reflect.Struct {
+func fieldByKey(table reflect.Type, key string) (reflect.StructField, bool) {
+	if table.Kind() != reflect.Struct {
 		return reflect.StructField{}, false
 	}
-	for i := range in.NumField() {
-		if in.Field(i).Tag.Get("toml") == word {
-			return in.Field(i), true
+	for i := range table.NumField() {
+		if table.Field(i).Tag.Get("toml") == key {
+			return table.Field(i), true
 		}
 	}
 	return reflect.StructField{}, false
 }
 
-// names are the keys that a table takes.
-func names(t reflect.Type) (all []string) {
+// tableKeys are the keys that a table takes.
+func tableKeys(t reflect.Type) (all []string) {
 	if t.Kind() != reflect.Struct {
 		return []string{"no further keys"}
 	}
@@ -147,5 +147,5 @@
 	return all
 }
 
-// Faults are the lines of an error of Read.
-func Faults(err error) []string { return strings.Split(err.Error(), "\n") }
+// FaultLines are the lines of an error of Read.
+func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
--- a/internal/clerk/clerk.go
+++ b/internal/clerk/clerk.go
@@ -17,215 +17,215 @@
 	"harrierhoist/policy"
 )
 
-const tick = 250 * time.Millisecond // how often the play's late units go, and the lease is looked at for the log
-
-// Clerk counts by rule. Its lock is taken under the gate's, never the other way round.
-type Clerk struct {
-	log     *zap.Logger
-	commons cluster.Commons
-	gate    *gate.Gate
-
-	mu      sync.Mutex
-	file    *counting.Terms
-	site    policy.Deployment // as in force
-	rules   []counting.Rule   // known, by the table first
-	merged  bool              // they have those of the table and the file as last heard
-	planned bool              // the plans have them all
-	fitted  map[uint64]*counting.Fitted
-	table   counting.Table
-	epoch   uint64
-	calls   uint64 // made for tasks since the play last earned
-	play    *canary.Play
-	salt    uint64 // of the play
-	second  *counting.Second
-	fenced  bool // logged
+const updateInterval = 250 * time.Millisecond // how often the play's late units go, and the lease is looked at for the log
+
+// Enforcer counts by rule. Its lock is taken under the gate's, never the other way round.
+type Enforcer struct {
+	log        *zap.Logger
+	node       cluster.Client
+	dispatcher *gate.Dispatcher
+
+	mu            sync.Mutex
+	config        *counting.Config
+	settings      policy.Settings // as in force
+	rules         []counting.Rule // known, by the table first
+	rulesMerged   bool            // they have those of the table and the file as last heard
+	plansApplied  bool            // the plans have them all
+	resolved      map[uint64]*counting.Resolved
+	table         counting.Table
+	epoch         uint64
+	unearnedCalls uint64 // made for tasks since the play last earned
+	shadow        *canary.Shadow
+	shadowSeed    uint64 // of the play
+	admission     *counting.Admission
+	ambiguous     bool // logged
 }
 
 // New makes a clerk of a file's terms.
-func New(file *counting.Terms, log *zap.Logger) *Clerk {
-	return &Clerk{file: file, log: log, fitted: map[uint64]*counting.Fitted{}, second: counting.NewSecond(1)}
+func New(config *counting.Config, log *zap.Logger) *Enforcer {
+	return &Enforcer{config: config, log: log, resolved: map[uint64]*counting.Resolved{}, admission: counting.NewAdmission(1)}
 }
 
-// Called is for the gate: the canary lives on a share of the module's calls.
-func (c *Clerk) Called() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.calls++
+// HandleCounterCall is for the gate: the canary lives on a share of the module's calls.
+func (e *Enforcer) HandleCounterCall() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.unearnedCalls++
 }
 
-func (c *Clerk) count(name uint64, units float64, keep time.Duration, told func(float64, policy.Outcome)) {
-	c.gate.Call(name, units, keep, told)
+func (e *Enforcer) addUnits(name uint64, units float64, ttl time.Duration, done func(float64, policy.Outcome)) {
+	e.dispatcher.CallCounter(name, units, ttl, done)
 }
 
 // start puts the clerk between a gate and what is held in common: tasks are taken by rule from here on.
-func (c *Clerk) start(commons cluster.Commons, g *gate.Gate) error {
-	c.gate, c.commons = g, commons
-	h, _ := c.hear()
-	c.mu.Lock()
-	c.refresh(h)
-	c.mu.Unlock()
-	if err := g.CountBy(c); err != nil {
+func (e *Enforcer) start(node cluster.Client, dispatcher *gate.Dispatcher) error {
+	e.dispatcher, e.node = dispatcher, node
+	held, _ := e.readTable()
+	e.mu.Lock()
+	e.applyTable(held)
+	e.mu.Unlock()
+	if err := dispatcher.SetCountingRules(e); err != nil {
 		return err
 	}
-	commons.Witness(func(add func(string, uint64)) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.play != nil {
-			c.play.Witness(add)
+	node.RegisterCounters(func(add func(string, uint64)) {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		if e.shadow != nil {
+			e.shadow.Report(add)
 		}
 	})
 	return nil
 }
 
-// Move takes the terms of a file that was read again.
-func (c *Clerk) Move(file *counting.Terms) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.file, c.merged = file, false
+// Reconfigure takes the terms of a file that was read again.
+func (e *Enforcer) Reconfigure(config *counting.Config) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.config, e.rulesMerged = config, false
 }
 
 // Run has a gate's tasks counted by the rule in force and follows the table until the context ends. An error tells that
 // the gate takes none of it: tasks are counted as ever.
-func (c *Clerk) Run(ctx context.Context, commons cluster.Commons, g *gate.Gate) error {
-	if err := c.start(commons, g); err != nil {
+func (e *Enforcer) Run(ctx context.Context, node cluster.Client, dispatcher *gate.Dispatcher) error {
+	if err := e.start(node, dispatcher); err != nil {
 		return err
 	}
-	c.run(ctx)
+	e.loop(ctx)
 	return nil
 }
 
-func (c *Clerk) run(ctx context.Context) {
-	each := time.NewTicker(tick)
-	defer each.Stop()
+func (e *Enforcer) loop(ctx context.Context) {
+	ticker := time.NewTicker(updateInterval)
+	defer ticker.Stop()
 	for {
-		changed := c.commons.Changed()
-		c.follow()
+		changed := e.node.Changed()
+		e.update()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-each.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// follow takes in what is new: rules into the gate's plans, a canary begun or ended, the play's late calls.
-func (c *Clerk) follow() {
-	now := c.gate.Now()
-	h, held := c.hear()
-	c.mu.Lock()
-	fresh := c.refresh(h)
-	fence := c.standing(now, held)
-	if tight := len(fence) > 1; tight != c.fenced {
-		c.fenced = tight
-		c.log.Info("counting: what rule holds is not known: what passes must pass all of these", zap.Bool("so", tight),
-			zap.Uint64s("rules", fence))
+// update takes in what is new: rules into the gate's plans, a canary begun or ended, the play's late calls.
+func (e *Enforcer) update() {
+	now := e.dispatcher.Now()
+	held, leased := e.readTable()
+	e.mu.Lock()
+	newRules := e.applyTable(held)
+	candidates := e.candidates(now, leased)
+	if ambiguous := len(candidates) > 1; ambiguous != e.ambiguous {
+		e.ambiguous = ambiguous
+		e.log.Info("counting: what rule holds is not known: what passes must pass all of these", zap.Bool("so", ambiguous),
+			zap.Uint64s("rules", candidates))
 	}
-	c.mu.Unlock()
-	if fresh {
-		if err := c.gate.CountBy(c); err != nil {
-			c.log.Error("counting: the rules' plans are not taken", zap.Error(err))
+	e.mu.Unlock()
+	if newRules {
+		if err := e.dispatcher.SetCountingRules(e); err != nil {
+			e.log.Error("counting: the rules' plans are not taken", zap.Error(err))
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cast()
-	if c.play != nil {
-		c.play.Earn(c.calls)
-		c.calls = 0
-		c.send(c.play.Due(now))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.updateShadow()
+	if e.shadow != nil {
+		e.shadow.AddBudget(e.unearnedCalls)
+		e.unearnedCalls = 0
+		e.sendShadowCalls(e.shadow.Flush(now))
 	}
 }
 
-// refresh takes in the table as held, and tells whether it brought a rule that the plans do not have yet.
-func (c *Clerk) refresh(h cluster.Held) (fresh bool) {
-	if h.Epoch > c.epoch { // another may have heard a later one meanwhile
-		t, err := counting.Decode(h.Value)
+// applyTable takes in the table as held, and tells whether it brought a rule that the plans do not have yet.
+func (e *Enforcer) applyTable(held cluster.CachedTable) (newRules bool) {
+	if held.Epoch > e.epoch { // another may have heard a later one meanwhile
+		table, err := counting.Decode(held.Value)
 		if err != nil {
-			c.log.Error("counting: the table cannot be read; what was held stands", zap.Error(err))
+			e.log.Error("counting: the table cannot be read; what was held stands", zap.Error(err))
 		} else {
-			if t.Phase != c.table.Phase || t.To != c.table.To || t.From != c.table.From {
-				c.log.Info("counting: a step", zap.Uint8("phase", uint8(t.Phase)), zap.Uint64("from", t.From),
-					zap.Uint64("to", t.To),
-					zap.Time("edge", time.Unix(0, int64(t.Edge))), zap.String("why", t.Why))
+			if table.Phase != e.table.Phase || table.To != e.table.To || table.From != e.table.From {
+				e.log.Info("counting: a step", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.From),
+					zap.Uint64("to", table.To),
+					zap.Time("edge", time.Unix(0, int64(table.SwitchAt))), zap.String("why", table.Reason))
 			}
-			c.table = t
+			e.table = table
 		}
-		c.epoch, c.merged = h.Epoch, false
+		e.epoch, e.rulesMerged = held.Epoch, false
 	}
-	if c.merged {
-		return !c.planned
+	if e.rulesMerged {
+		return !e.plansApplied
 	}
-	c.merged = true
-	for i, r := range slices.Concat(c.table.Rules, c.file.Rules) {
-		at := slices.IndexFunc(c.rules, func(o counting.Rule) bool { return o.Version == r.Version })
-		if at < 0 {
-			c.rules, c.planned = append(c.rules, r), false
-		} else if i < len(c.table.Rules) && !c.rules[at].Same(r) { // what is committed is what the version means
-			c.rules[at], c.planned = r, false
+	e.rulesMerged = true
+	for i, rule := range slices.Concat(e.table.Rules, e.config.Rules) {
+		known := slices.IndexFunc(e.rules, func(other counting.Rule) bool { return other.Version == rule.Version })
+		if known < 0 {
+			e.rules, e.plansApplied = append(e.rules, rule), false
+		} else if i < len(e.table.Rules) && !e.rules[known].Equal(rule) { // what is committed is what the version means
+			e.rules[known], e.plansApplied = rule, false
 		}
 	}
-	return !c.planned
+	return !e.plansApplied
 }
 
-// hear gives the table as held, and whether its lease stands; one that was never written has a lease too. It is called
+// readTable gives the table as held, and whether its lease stands; one that was never written has a lease too. It is called
 // without the clerk's lock: those who hold it in common ask for our counts under a lock of theirs.
-func (c *Clerk) hear() (h cluster.Held, held bool) {
-	h = c.commons.Held(counting.Name)
-	return h, c.commons.Now() < h.Until
+func (e *Enforcer) readTable() (held cluster.CachedTable, leased bool) {
+	held = e.node.Cached(counting.TableName)
+	return held, e.node.Now() < held.LeaseEnd
 }
 
-func (c *Clerk) standing(now time.Duration, held bool) []uint64 {
-	return slices.DeleteFunc(c.table.Standing(now, held, c.epoch > 0, c.file),
-		func(v uint64) bool { return c.fitted[v] == nil })
+func (e *Enforcer) candidates(now time.Duration, leased bool) []uint64 {
+	return slices.DeleteFunc(e.table.CandidateVersions(now, leased, e.epoch > 0, e.config),
+		func(v uint64) bool { return e.resolved[v] == nil })
 }
 
-// Plans is for the gate.
-func (c *Clerk) Plans(site policy.Deployment) policy.Deployment {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.planned = true
-	return counting.Plans(site, c.rules)
+// WithRulePlans is for the gate.
+func (e *Enforcer) WithRulePlans(settings policy.Settings) policy.Settings {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.plansApplied = true
+	return counting.WithRulePlans(settings, e.rules)
 }
 
-// Shaped is for the gate.
-func (c *Clerk) Shaped(site policy.Deployment) policy.Deployment {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.site, c.second = site, counting.NewSecond(site.Gateways)
-	for _, r := range append([]counting.Rule{{}}, c.rules...) {
-		f, err := counting.Fit(r, site)
+// WithoutRulePlans is for the gate.
+func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.settings, e.admission = settings, counting.NewAdmission(settings.Gateways)
+	for _, rule := range append([]counting.Rule{{}}, e.rules...) {
+		resolved, err := counting.Resolve(rule, settings)
 		if err != nil {
-			c.log.Error("counting: a rule cannot hold here", zap.Error(err))
-			delete(c.fitted, r.Version)
+			e.log.Error("counting: a rule cannot hold here", zap.Error(err))
+			delete(e.resolved, rule.Version)
 			continue
 		}
-		c.fitted[r.Version] = f
+		e.resolved[rule.Version] = resolved
 	}
-	if old, next := c.fitted[c.table.From], c.fitted[c.table.To]; c.play != nil && old != nil && next != nil {
-		c.play.Refit(old, next, site)
+	if old, next := e.resolved[e.table.From], e.resolved[e.table.To]; e.shadow != nil && old != nil && next != nil {
+		e.shadow.Reconfigure(old, next, settings)
 	} else {
-		c.play = nil
+		e.shadow = nil
 	}
-	return counting.Face(site)
+	return counting.ClientSettings(settings)
 }
 
-// cast begins and ends the play.
-func (c *Clerk) cast() {
-	t := &c.table
-	on := t.Phase == counting.Canary || t.Phase == counting.Named
-	old, next := c.fitted[t.From], c.fitted[t.To]
-	if !on || old == nil || next == nil {
-		c.play = nil
+// updateShadow begins and ends the play.
+func (e *Enforcer) updateShadow() {
+	table := &e.table
+	active := table.Phase == counting.PhaseCanary || table.Phase == counting.PhaseScheduled
+	old, next := e.resolved[table.From], e.resolved[table.To]
+	if !active || old == nil || next == nil {
+		e.shadow = nil
 		return
 	}
-	if c.play != nil && c.salt == t.Seed {
+	if e.shadow != nil && e.shadowSeed == table.Seed {
 		return
 	}
-	s, err := canary.NewSample(old.Rule, next.Rule, t.Seed, t.Trial.Sample)
+	sample, err := canary.NewSample(old.Rule, next.Rule, table.Seed, table.Canary.SamplePermille)
 	if err != nil {
-		c.play = nil
+		e.shadow = nil
 		return
 	}
-	c.play, c.salt = canary.NewPlay(s, old, next, c.site, t.Seed, t.Trial.Calls), t.Seed
+	e.shadow, e.shadowSeed = canary.NewShadow(sample, old, next, e.settings, table.Seed, table.Canary.CallsPermille), table.Seed
 }
