--- a/internal/clerk/clerk_test.go
+++ b/internal/clerk/clerk_test.go
@@ -16,231 +16,231 @@
 	"harrierhoist/policy"
 )
 
-// commons is what is held in common, as a test says.
-type commons struct {
+// fakeNode is what is held in common, as a test says.
+type fakeNode struct {
 	mu      sync.Mutex
 	start   time.Time
-	held    cluster.Held
+	held    cluster.CachedTable
 	changed chan struct{}
-	counts  func(add func(string, uint64))
+	report  func(add func(string, uint64))
 }
 
-func (c *commons) Now() time.Duration { return time.Since(c.start) }
-func (c *commons) Held(string) cluster.Held {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.held
+func (n *fakeNode) Now() time.Duration { return time.Since(n.start) }
+func (n *fakeNode) Cached(string) cluster.CachedTable {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.held
 }
-func (c *commons) Changed() <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.changed
+func (n *fakeNode) Changed() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.changed
 }
-func (c *commons) Witness(counts func(add func(string, uint64))) { c.counts = counts }
-func (c *commons) WitnessExact(func(add func(string, uint64)))   {}
-
-// hold has the process hear a table, with a lease that lasts or one that is over.
-func (c *commons) hold(t counting.Table, lasts bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.held = cluster.Held{Table: counting.Name, Epoch: c.held.Epoch + 1, Value: t.Encode()}
-	if lasts {
-		c.held.Until = time.Hour
-	}
-	close(c.changed)
-	c.changed = make(chan struct{})
+func (n *fakeNode) RegisterCounters(report func(add func(string, uint64))) { n.report = report }
+func (n *fakeNode) RegisterExactCounters(func(add func(string, uint64)))   {}
+
+// setTable has the process hear a table, with a lease that lasts or one that is over.
+func (n *fakeNode) setTable(table counting.Table, leased bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.held = cluster.CachedTable{Name: counting.TableName, Epoch: n.held.Epoch + 1, Value: table.Encode()}
+	if leased {
+		n.held.LeaseEnd = time.Hour
+	}
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// story is a gate with a clerk, one server, and a counter that answers at once.
-type story struct {
+// fixture is a gate with a clerk, one server, and a counter that answers at once.
+type fixture struct {
 	*testing.T
-	*commons
-	g     *gate.Gate
-	clerk *Clerk
-	mu    sync.Mutex
-	count map[uint64]float64
-	names []uint64 // in the order of the calls
-	mute  bool     // it answers no more
+	*fakeNode
+	dispatcher *gate.Dispatcher
+	enforcer   *Enforcer
+	mu         sync.Mutex
+	totals     map[uint64]float64
+	countNames []uint64 // in the order of the calls
+	silent     bool     // it answers no more
 }
 
-func (s *story) add(name uint64, units float64, _ time.Duration, told func(float64, policy.Outcome)) {
-	s.mu.Lock()
-	s.count[name] += units
-	s.names = append(s.names, name)
-	total, mute := s.count[name], s.mute
-	s.mu.Unlock()
-	if mute {
+func (f *fixture) addUnits(name uint64, units float64, _ time.Duration, done func(float64, policy.Outcome)) {
+	f.mu.Lock()
+	f.totals[name] += units
+	f.countNames = append(f.countNames, name)
+	count, silent := f.totals[name], f.silent
+	f.mu.Unlock()
+	if silent {
 		return
 	}
-	go told(total, policy.Answered)
+	go done(count, policy.Answered)
 }
 
-func (s *story) asked(name uint64) (units float64, ever bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	units, ever = s.count[name]
-	return units, ever
+func (f *fixture) total(name uint64) (units float64, found bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	units, found = f.totals[name]
+	return units, found
 }
 
-var group = counting.Rule{Version: 1, Key: []string{"group"},
+var groupRule = counting.Rule{Version: 1, Key: []string{"group"},
 	Groups:  []counting.Group{{Name: "both", Customers: []uint64{5, 6}}},
-	Weights: []counting.Weight{{Lane: "look", Thousandths: 2000}},
+	Weights: []counting.Weight{{Class: "look", Permille: 2000}},
 	Limits:  []counting.Limit{{Plan: "*", Rate: 0.1, Burst: 3}}}
 
-func begin(t *testing.T, with bool) *story {
+func newFixture(t *testing.T, with bool) *fixture {
 	t.Helper()
-	s := &story{T: t, count: map[uint64]float64{}, commons: &commons{start: time.Now(), changed: make(chan struct{})}}
-	site := policy.Deployment{Gateways: 1, Halls: 1, Tick: 2 * time.Millisecond, HasCounter: true,
-		CountLimit: time.Second, PushLimit: 5,
-		MaxRetryAfter: time.Second, RetryAfter: true, AnswerSlack: 8 * time.Millisecond, Settles: true,
-		Lanes: []policy.Lane{{Name: "look", SoftLimit: time.Second, Patience: 2 * time.Second, Gain: 1}},
-		Plans: []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}}}
-	s.clerk = New(&counting.Terms{Rules: []counting.Rule{group}}, zap.NewNop())
+	f := &fixture{T: t, totals: map[uint64]float64{}, fakeNode: &fakeNode{start: time.Now(), changed: make(chan struct{})}}
+	settings := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true,
+		CountTimeout: time.Second, MaxAttempts: 5,
+		MaxRetryAfter: time.Second, RetryAfter: true, ArrivalSlack: 8 * time.Millisecond, ReportsUnits: true,
+		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1}},
+		Plans:   []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}}}
+	f.enforcer = New(&counting.Config{Rules: []counting.Rule{groupRule}}, zap.NewNop())
 	var err error
-	if s.g, err = gate.New(site, 7, gate.Outside{Count: s.add}, zap.NewNop()); err != nil {
+	if f.dispatcher, err = gate.New(settings, 7, gate.Dependencies{Count: f.addUnits}, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go s.g.Tick(ctx)
-	s.g.List(policy.ListWhole, []gate.Server{{Name: "s-1", Dial: "here", Listed: policy.Listed{Stage: policy.Ready}}})
+	go f.dispatcher.RunTimers(ctx)
+	f.dispatcher.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: policy.Ready}}})
 	if with {
-		if err := s.clerk.start(s.commons, s.g); err != nil {
+		if err := f.enforcer.start(f.fakeNode, f.dispatcher); err != nil {
 			t.Fatal(err)
 		}
-		go s.clerk.run(ctx)
+		go f.enforcer.loop(ctx)
 	}
-	return s
+	return f
 }
 
-// one carries a task of a customer to its end and tells whether it was pushed.
-func (s *story) one(customer uint64) bool {
-	e := s.g.Admit(gate.Task{Customer: customer, Units: 1, Width: 1, Patience: time.Second})
-	if e.Pick().Verdict != gate.Push {
+// serveOne carries a task of a customer to its end and tells whether it was pushed.
+func (f *fixture) serveOne(customer uint64) bool {
+	request := f.dispatcher.Admit(gate.RequestSpec{Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second})
+	if request.Next().Action != gate.Forward {
 		return false
 	}
-	e.Report(gate.Result{Outcome: policy.Answered, Billed: 1})
+	request.ReportResult(gate.Result{Outcome: policy.Answered, Billed: 1})
 	return true
 }
 
-// name is the counter's for a customer under a version, now.
-func (s *story) name(version, customer uint64) uint64 {
-	s.clerk.mu.Lock()
-	defer s.clerk.mu.Unlock()
-	c := s.clerk.fitted[version].Count(customer, 0, 0)
-	return counting.At(c.Key, &s.clerk.site.Plans[c.Plan], s.g.Now()).Name
+// countName is the counter's for a customer under a version, now.
+func (f *fixture) countName(version, customer uint64) uint64 {
+	f.enforcer.mu.Lock()
+	defer f.enforcer.mu.Unlock()
+	assignment := f.enforcer.resolved[version].Assign(customer, 0, 0)
+	return counting.WindowAt(assignment.Key, &f.enforcer.settings.Plans[assignment.Plan], f.dispatcher.Now()).Name
 }
 
 // With rule 0 the counter hears the same names as from a gate without a clerk.
-func TestRuleNoughtAsksUnderTheSameNames(t *testing.T) {
-	plain, with := begin(t, false), begin(t, true)
-	with.hold(counting.Table{}, true)
+func TestEnforcer_ruleZeroCountsUnderTheSameNames(t *testing.T) {
+	plain, with := newFixture(t, false), newFixture(t, true)
+	with.setTable(counting.Table{}, true)
 	for customer := range uint64(20) {
-		if !plain.one(customer) || !with.one(customer) {
+		if !plain.serveOne(customer) || !with.serveOne(customer) {
 			t.Fatal("a task within its plan is rejected")
 		}
 	}
-	for _, s := range []*story{plain, with} {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+	for _, f := range []*fixture{plain, with} {
+		f.mu.Lock()
+		defer f.mu.Unlock()
 	}
 	seen := map[uint64]bool{}
-	for _, n := range plain.names {
+	for _, n := range plain.countNames {
 		seen[n] = true
 	}
 	for customer := range uint64(20) { // a window may have ended between the two
-		seen[counting.At(customer, &with.clerk.site.Plans[0], with.g.Now()).Name] = true
+		seen[counting.WindowAt(customer, &with.enforcer.settings.Plans[0], with.dispatcher.Now()).Name] = true
 	}
-	for _, n := range with.names {
+	for _, n := range with.countNames {
 		if !seen[n] {
 			t.Errorf("asked under another name: %x", n)
 		}
 	}
-	if len(with.names) < 20 {
-		t.Errorf("%d calls", len(with.names))
+	if len(with.countNames) < 20 {
+		t.Errorf("%d calls", len(with.countNames))
 	}
 }
 
 // Past the edge a group shares one count, a unit weighs two, and the group's limit holds for all its customers.
-func TestAfterTheEdgeTasksCountUnderTheNewRule(t *testing.T) {
-	s := begin(t, true)
-	edge := s.g.Now() + time.Second
-	s.hold(counting.Table{Phase: counting.Named, To: 1, Edge: edge, Rules: []counting.Rule{group}}, true)
-	before := s.name(0, 5)
-	if !s.one(5) || s.g.Now() > edge {
+func TestEnforcer_newRuleCountsAfterTheSwitch(t *testing.T) {
+	f := newFixture(t, true)
+	switchAt := f.dispatcher.Now() + time.Second
+	f.setTable(counting.Table{Phase: counting.PhaseScheduled, To: 1, SwitchAt: switchAt, Rules: []counting.Rule{groupRule}}, true)
+	before := f.countName(0, 5)
+	if !f.serveOne(5) || f.dispatcher.Now() > switchAt {
 		t.Fatal("before the edge: rejected, or too slow")
 	}
-	if _, ever := s.asked(before); !ever {
+	if _, found := f.total(before); !found {
 		t.Error("before the edge it is not today's rule that counts")
 	}
-	standin.Eventually(t, "the edge", func() bool { return s.g.Now() > edge })
-	pushed := 0
+	standin.Eventually(t, "the edge", func() bool { return f.dispatcher.Now() > switchAt })
+	forwarded := 0
 	for i := range uint64(6) {
-		if s.one(5 + i%2) {
-			pushed++
+		if f.serveOne(5 + i%2) {
+			forwarded++
 		}
 	}
-	if _, ever := s.asked(s.name(1, 6)); !ever || pushed != 1 {
-		t.Errorf("%d pushed of a group whose burst holds one and a half, asked under its count: %v", pushed, ever)
+	if _, found := f.total(f.countName(1, 6)); !found || forwarded != 1 {
+		t.Errorf("%d pushed of a group whose burst holds one and a half, asked under its count: %v", forwarded, found)
 	}
 }
 
 // Cut off past the end of its lease, a process passes only what both rules allow, charges both, and gives back what the
 // other rule did not let through.
-func TestPastTheLeaseBothRulesMustAllow(t *testing.T) {
-	s := begin(t, true)
-	s.hold(counting.Table{Phase: counting.Canary, To: 1, Rules: []counting.Rule{group}}, false)
-	name := s.name(1, 5)
-	if !s.one(5) || s.one(5) || s.one(5) {
+func TestEnforcer_bothRulesMustAdmitPastTheLease(t *testing.T) {
+	f := newFixture(t, true)
+	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, false)
+	name := f.countName(1, 5)
+	if !f.serveOne(5) || f.serveOne(5) || f.serveOne(5) {
 		t.Error("not one alone is pushed, where the group's count holds one")
 	}
-	standin.Eventually(t, "units given back", func() bool { units, _ := s.asked(name); return units < 2.5 })
-	if units, _ := s.asked(name); units < 2 {
+	standin.Eventually(t, "units given back", func() bool { units, _ := f.total(name); return units < 2.5 })
+	if units, _ := f.total(name); units < 2 {
 		t.Errorf("the count of the new rule holds %v, not the two of the one that was pushed", units)
 	}
-	s.hold(counting.Table{Phase: counting.Canary, To: 1, Rules: []counting.Rule{group}}, true)
-	if !s.one(5) {
+	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, true)
+	if !f.serveOne(5) {
 		t.Error("it has heard again, and still goes by both")
 	}
 }
 
 // The counter falls silent while both rules must allow: no task waits for it longer than a part of its soft limit, and
 // each has its final answer.
-func TestSilentCounterHoldsNoTaskUp(t *testing.T) {
-	s := begin(t, true)
-	s.hold(counting.Table{Phase: counting.Canary, To: 1, Rules: []counting.Rule{group}}, false)
-	s.mute = true
-	at := time.Now()
-	if first, second := s.one(5), s.one(5); !first || second {
+func TestEnforcer_silentCounterDelaysNoRequest(t *testing.T) {
+	f := newFixture(t, true)
+	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, false)
+	f.silent = true
+	start := time.Now()
+	if first, second := f.serveOne(5), f.serveOne(5); !first || second {
 		t.Errorf("pushed %v and %v where the group's limit holds one", first, second)
 	}
-	if time.Since(at) > 2*time.Second {
-		t.Errorf("two tasks took %v", time.Since(at))
+	if time.Since(start) > 2*time.Second {
+		t.Errorf("two tasks took %v", time.Since(start))
 	}
 }
 
 // A canary asks under names of its own, and rejects nobody: the new rule alone would have.
-func TestCanaryTouchesNoTask(t *testing.T) {
-	s := begin(t, true)
-	s.hold(counting.Table{Phase: counting.Canary, To: 1, Seed: 9, Rules: []counting.Rule{group},
-		Trial: counting.Trial{Sample: 1000, Calls: 250}}, true)
+func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
+	f := newFixture(t, true)
+	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Seed: 9, Rules: []counting.Rule{groupRule},
+		Canary: counting.CanaryConfig{SamplePermille: 1000, CallsPermille: 250}}, true)
 	standin.Eventually(t, "the play", func() bool {
-		s.clerk.mu.Lock()
-		defer s.clerk.mu.Unlock()
-		return s.clerk.play != nil
+		f.enforcer.mu.Lock()
+		defer f.enforcer.mu.Unlock()
+		return f.enforcer.shadow != nil
 	})
 	for range 40 {
-		if !s.one(5) {
+		if !f.serveOne(5) {
 			t.Fatal("a task is rejected in a canary")
 		}
 	}
-	if _, ever := s.asked(s.name(1, 5)); ever {
+	if _, found := f.total(f.countName(1, 5)); found {
 		t.Error("the play asks under a rule's own name")
 	}
 	standin.Eventually(t, "counts", func() bool {
 		got := map[string]uint64{}
-		s.counts(func(name string, n uint64) { got[strings.ReplaceAll(name, "\x1f", "/")] = n })
+		f.report(func(name string, n uint64) { got[strings.ReplaceAll(name, "\x1f", "/")] = n })
 		return got["canary/9/old"] > 0 && got["canary/9/real/0/in"] == 40_000 && got["canary/9/calls"] > 0 &&
-			got["canary/9/calls"] <= uint64(len(s.names))
+			got["canary/9/calls"] <= uint64(len(f.countNames))
 	})
 }
--- a/internal/clerk/take.go
+++ b/internal/clerk/take.go
@@ -10,162 +10,162 @@
 	"harrierhoist/policy"
 )
 
-// waitPart is the part of the soft limit that the other counts may take to answer, as the module's own check.
-const waitPart = 4
+// timeoutDivisor is the part of the soft limit that the other counts may take to answer, as the module's own check.
+const timeoutDivisor = 4
 
-// Take is for the gate: a task is counted by what holds now, and so is all that comes of it later.
-func (c *Clerk) Take(now time.Duration, t gate.Task) gate.Counted {
-	h, held := c.hear()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refresh(h)
-	standing := c.standing(now, held)
-	if len(standing) == 0 { // no rule in force is known here: today's
-		standing = []uint64{0}
+// Assign is for the gate: a task is counted by what holds now, and so is all that comes of it later.
+func (e *Enforcer) Assign(now time.Duration, request gate.RequestSpec) gate.CountAssignment {
+	held, leased := e.readTable()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.applyTable(held)
+	versions := e.candidates(now, leased)
+	if len(versions) == 0 { // no rule in force is known here: today's
+		versions = []uint64{0}
 	}
-	first := c.fitted[standing[0]].Count(t.Customer, t.Lane, t.Plan)
-	out := gate.Counted{Key: first.Key, Plan: first.Plan, Width: t.Width, Weight: first.Weight, Own: first.Version == 0}
-	if first.Shared {
-		out.Width = c.site.Gateways
+	assignment := e.resolved[versions[0]].Assign(request.Customer, request.Class, request.Plan)
+	decision := gate.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, Width: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
+	if assignment.Shared {
+		decision.Width = e.settings.Gateways
 	}
-	var more []counting.Hold
-	for _, v := range standing[1:] {
-		n := c.fitted[v].Count(t.Customer, t.Lane, t.Plan)
-		if plan := c.site.Plans[n.Plan]; n.Key != first.Key && plan.Rate > 0 {
-			more = append(more, c.second.Ask(n, plan, t.Units, now))
+	var reserved []counting.Reservation
+	for _, v := range versions[1:] {
+		other := e.resolved[v].Assign(request.Customer, request.Class, request.Plan)
+		if plan := e.settings.Plans[other.Plan]; other.Key != assignment.Key && plan.Rate > 0 {
+			reserved = append(reserved, e.admission.Reserve(other, plan, request.Units, now))
 		}
 	}
-	var holds *holds
-	if len(more) > 0 {
-		holds = c.hold(more, t, first.Weight)
-		out.Wait = holds.ask
+	var reservations *reservations
+	if len(reserved) > 0 {
+		reservations = e.newReservations(reserved, request, assignment.Weight)
+		decision.CheckOthers = reservations.charge
 	}
-	played := c.play != nil && c.play.Played(t.Customer)
-	if played {
-		c.play.Earn(c.calls)
-		c.calls = 0
-		c.send(c.play.Take(now, canary.Task{Customer: t.Customer, Lane: t.Lane, Plan: t.Plan, Units: t.Units}))
+	sampled := e.shadow != nil && e.shadow.IsSampled(request.Customer)
+	if sampled {
+		e.shadow.AddBudget(e.unearnedCalls)
+		e.unearnedCalls = 0
+		e.sendShadowCalls(e.shadow.HandleRequest(now, canary.Request{Customer: request.Customer, Class: request.Class, Plan: request.Plan, Units: request.Units}))
 	}
-	if played || holds != nil {
-		out.Over = func(pushed bool, units float64) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if played && c.play != nil {
-				c.play.Real(first.Version, t.Units, pushed)
+	if sampled || reservations != nil {
+		decision.Completed = func(forwarded bool, units float64) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			if sampled && e.shadow != nil {
+				e.shadow.RecordActual(assignment.Version, request.Units, forwarded)
 			}
-			if holds != nil {
-				holds.over(pushed, units)
+			if reservations != nil {
+				reservations.complete(forwarded, units)
 			}
 		}
 	}
-	return out
+	return decision
 }
 
-// send makes the play's calls. An answer may come once the play is over; it is not heard then.
-func (c *Clerk) send(calls []canary.Call) {
-	play := c.play
+// sendShadowCalls makes the play's calls. An answer may come once the play is over; it is not heard then.
+func (e *Enforcer) sendShadowCalls(calls []canary.Call) {
+	shadow := e.shadow
 	for _, call := range calls {
-		c.count(call.Name, call.Units, call.Keep, func(total float64, how policy.Outcome) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if more := play.Told(c.gate.Now(), call.ID, total, how == policy.Answered); play == c.play {
-				c.send(more)
+		e.addUnits(call.Name, call.Units, call.TTL, func(count float64, outcome policy.Outcome) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			if followUps := shadow.HandleCount(e.dispatcher.Now(), call.ID, count, outcome == policy.Answered); shadow == e.shadow {
+				e.sendShadowCalls(followUps)
 			}
 		})
 	}
 }
 
-// holds are a task's units at the counts that it has to pass beside the module's.
-type holds struct {
-	*Clerk
-	all    []counting.Hold
-	within time.Duration
-	weight float64 // by which the module counts: true units come multiplied by it
+// reservations are a task's units at the counts that it has to pass beside the module's.
+type reservations struct {
+	*Enforcer
+	all     []counting.Reservation
+	timeout time.Duration
+	weight  float64 // by which the module counts: true units come multiplied by it
 
 	// These are under the clerk's lock.
-	then   func(bool)
-	open   int
-	pass   bool
-	ended  bool // the task is over
-	pushed bool
-	units  float64
-	added  []counting.Added // by hold
-	passed []bool
+	done      func(bool)
+	pending   int
+	admitted  bool
+	completed bool // the task is over
+	forwarded bool
+	units     float64
+	charges   []counting.ChargeState // by hold
+	passedBy  []bool
 }
 
-func (c *Clerk) hold(all []counting.Hold, t gate.Task, weight float64) *holds {
-	within := c.site.Lanes[t.Lane].SoftLimit / waitPart
-	return &holds{Clerk: c, all: all, within: within, weight: weight, open: len(all), pass: true,
-		added: make([]counting.Added, len(all)), passed: make([]bool, len(all))}
+func (e *Enforcer) newReservations(reserved []counting.Reservation, request gate.RequestSpec, weight float64) *reservations {
+	timeout := e.settings.Classes[request.Class].LatencyObjective / timeoutDivisor
+	return &reservations{Enforcer: e, all: reserved, timeout: timeout, weight: weight, pending: len(reserved), admitted: true,
+		charges: make([]counting.ChargeState, len(reserved)), passedBy: make([]bool, len(reserved))}
 }
 
-// ask has the counts asked; a count that does not answer in time goes by this process's own share.
-func (h *holds) ask(then func(pass bool)) {
-	h.then = then
-	for i := range h.all {
+// charge has the counts asked; a count that does not answer in time goes by this process's own share.
+func (r *reservations) charge(done func(admitted bool)) {
+	r.done = done
+	for i := range r.all {
 		var once sync.Once
-		late := time.AfterFunc(h.within, func() { once.Do(func() { h.told(i, 0, false) }) })
-		h.count(h.all[i].Name, h.all[i].Units, h.all[i].Keep, func(total float64, how policy.Outcome) {
-			late.Stop()
-			h.Clerk.mu.Lock()
-			if how == policy.Answered {
-				h.added[i] = counting.Yes
-			} else if how != policy.TimedOut {
-				h.added[i] = counting.No
+		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(i, 0, false) }) })
+		r.addUnits(r.all[i].Name, r.all[i].Units, r.all[i].TTL, func(count float64, outcome policy.Outcome) {
+			timer.Stop()
+			r.Enforcer.mu.Lock()
+			if outcome == policy.Answered {
+				r.charges[i] = counting.Charged
+			} else if outcome != policy.TimedOut {
+				r.charges[i] = counting.NotCharged
 			}
-			h.Clerk.mu.Unlock()
-			once.Do(func() { h.told(i, total, how == policy.Answered) })
+			r.Enforcer.mu.Unlock()
+			once.Do(func() { r.handleCount(i, count, outcome == policy.Answered) })
 		})
 	}
 }
 
-func (h *holds) told(i int, total float64, read bool) {
-	hold := h.all[i]
-	h.Clerk.mu.Lock()
-	passed, before := h.second.Told(hold, total, read)
-	h.Clerk.mu.Unlock()
-	if before != nil {
-		h.count(before.Name, 0, before.Keep, func(total float64, how policy.Outcome) {
-			if lacks := hold.Lacks(*before, total); how == policy.Answered && lacks > 0 {
-				h.count(hold.Name, lacks, hold.Keep, func(float64, policy.Outcome) {})
+func (r *reservations) handleCount(i int, count float64, answered bool) {
+	reservation := r.all[i]
+	r.Enforcer.mu.Lock()
+	passed, previous := r.admission.HandleCount(reservation, count, answered)
+	r.Enforcer.mu.Unlock()
+	if previous != nil {
+		r.addUnits(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
+			if deficit := reservation.Deficit(*previous, count); outcome == policy.Answered && deficit > 0 {
+				r.addUnits(reservation.Name, deficit, reservation.TTL, func(float64, policy.Outcome) {})
 			}
 		})
 	}
-	h.Clerk.mu.Lock()
-	h.passed[i] = passed
-	h.pass = h.pass && passed
-	h.open--
-	last, pass := h.open == 0, h.pass
-	if last && h.ended { // its client has gone meanwhile
-		h.settle()
+	r.Enforcer.mu.Lock()
+	r.passedBy[i] = passed
+	r.admitted = r.admitted && passed
+	r.pending--
+	last, admitted := r.pending == 0, r.admitted
+	if last && r.completed { // its client has gone meanwhile
+		r.settle()
 	}
-	h.Clerk.mu.Unlock()
+	r.Enforcer.mu.Unlock()
 	if last {
-		h.then(pass)
+		r.done(admitted)
 	}
 }
 
-// over takes word that the task has its final answer. The clerk's lock is held.
-func (h *holds) over(pushed bool, units float64) {
-	h.ended, h.pushed, h.units = true, pushed, units/h.weight
-	if h.open == 0 {
-		h.settle()
+// complete takes word that the task has its final answer. The clerk's lock is held.
+func (r *reservations) complete(forwarded bool, units float64) {
+	r.completed, r.forwarded, r.units = true, forwarded, units/r.weight
+	if r.pending == 0 {
+		r.settle()
 	}
 }
 
 // settle gives back what a task did not use, or charges what it used beyond. It comes once: with the last count's
 // answer or with the final answer, whichever is later.
-func (h *holds) settle() {
-	for i, hold := range h.all {
+func (r *reservations) settle() {
+	for i, reservation := range r.all {
 		used := 0.0
-		if h.pushed {
-			used = hold.Units
-			if h.units > 0 {
-				used = hold.Weight * h.units
+		if r.forwarded {
+			used = reservation.Units
+			if r.units > 0 {
+				used = reservation.Weight * r.units
 			}
 		}
-		if more := h.second.Settle(hold, h.passed[i], used, h.added[i]); more != 0 {
-			h.count(hold.Name, more, hold.Keep, func(float64, policy.Outcome) {})
+		if correction := r.admission.Settle(reservation, r.passedBy[i], used, r.charges[i]); correction != 0 {
+			r.addUnits(reservation.Name, correction, reservation.TTL, func(float64, policy.Outcome) {})
 		}
 	}
 }
--- a/internal/cluster/core/golden_test.go
+++ b/internal/cluster/core/golden_test.go
@@ -17,48 +17,48 @@
 	"harrierhoist/internal/cluster/tables"
 )
 
-// goldenRow is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
-func goldenRow(t *testing.T) *row {
+// goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
+func goldenCluster(t *testing.T) *testCluster {
 	t.Helper()
-	r := newRow(t, 3)
-	lead := r.leader()
+	tc := newTestCluster(t, 3)
+	leader := tc.waitForLeader()
 	for i := range uint64(3) {
-		r.write(i+1, i)
+		tc.mustWrite(i+1, i)
 	}
-	r.write(3, 2) // repeated
-	r.write(4, 1) // at an earlier epoch
-	if _, err := lead.Propose(tables.Command{Kind: tables.Raise, Table: "exact",
+	tc.mustWrite(3, 2) // repeated
+	tc.mustWrite(4, 1) // at an earlier epoch
+	if _, err := leader.Propose(tables.Command{Kind: tables.RaiseTotals, Table: "exact",
 		Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 3}}); err != nil {
 		t.Fatal(err)
 	}
-	r.settle()
-	lagger := lead.Self().Number%3 + 1
-	delete(r.cores, lagger)
-	if _, err := lead.Change(member(4), false); err != nil {
+	tc.settle()
+	lagging := leader.Self().Number%3 + 1
+	delete(tc.nodes, lagging)
+	if _, err := leader.ChangeMembership(testMember(4), false); err != nil {
 		t.Fatal(err)
 	}
-	r.settle()
-	if err := lead.Compact(2); err != nil {
+	tc.settle()
+	if err := leader.Compact(2); err != nil {
 		t.Fatal(err)
 	}
-	r.start(member(4), Life{1, 9}, nil)
-	r.start(member(lagger), Life{2, 5}, nil)
-	for range 2 * snapshotTicks {
-		lead.Tick()
-		r.settle()
+	tc.startNode(testMember(4), Incarnation{1, 9}, nil)
+	tc.startNode(testMember(lagging), Incarnation{2, 5}, nil)
+	for range 2 * snapshotTimeoutTicks {
+		leader.Tick()
+		tc.settle()
 	}
-	r.write(5, 3)
-	if len(r.refused) > 0 {
-		t.Fatal(r.refused)
+	tc.mustWrite(5, 3)
+	if len(tc.rejected) > 0 {
+		t.Fatal(tc.rejected)
 	}
-	return r
+	return tc
 }
 
-// lines gives the records of all voters as lines of text.
-func (r *row) lines() string {
+// recordLines gives the records of all voters as lines of text.
+func (tc *testCluster) recordLines() string {
 	var b strings.Builder
 	for number := uint64(1); number <= 4; number++ {
-		for _, record := range r.disks[number] {
+		for _, record := range tc.records[number] {
 			fmt.Fprintf(&b, "%d %x\n", number, record)
 		}
 	}
@@ -90,16 +90,16 @@
 }
 
 // The records of the same events are the same bytes, and so are the messages.
-func TestGoldenRecordsAndMessagesOfARow(t *testing.T) {
-	r := goldenRow(t)
-	if got := r.lines(); got != goldenFile(t, "records.hex") {
+func TestGolden_recordsAndMessagesOfACluster(t *testing.T) {
+	tc := goldenCluster(t)
+	if got := tc.recordLines(); got != goldenFile(t, "records.hex") {
 		t.Errorf("records:\n%s", got)
 	}
 	sum := sha256.New()
-	for _, m := range r.sent {
+	for _, m := range tc.sent {
 		fmt.Fprintf(sum, "%d %x\n", m.To.Number, m.Body)
 	}
-	if got := fmt.Sprintf("%d messages, %x", len(r.sent), sum.Sum(nil)); got != goldenMessages {
+	if got := fmt.Sprintf("%d messages, %x", len(tc.sent), sum.Sum(nil)); got != goldenMessages {
 		t.Errorf("%s", got)
 	}
 }
@@ -107,29 +107,29 @@
 const goldenMessages = "331 messages, bff6437d9df63a15f174621116fa535f75f949f7561352f29479237932584b65"
 
 // What a disk holds from the version before is read: members, tables and all that follows; and written again the same.
-func TestGoldenRecordsAreRead(t *testing.T) {
+func TestGolden_recordsAreRead(t *testing.T) {
 	states, bases := "", ""
 	records := readRecords(t, goldenFile(t, "records.hex"))
 	for number := uint64(1); number <= 4; number++ {
-		c, err := Start(member(number), Life{3, 1}, nil, records[number], number)
+		n, err := NewNode(testMember(number), Incarnation{3, 1}, nil, records[number], number)
 		if err != nil {
 			t.Fatal(err)
 		}
-		base, err := c.Base()
+		base, err := n.Checkpoint()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := Start(member(number), Life{4, 1}, nil, [][]byte{base}, number); err != nil {
+		if again, err := NewNode(testMember(number), Incarnation{4, 1}, nil, [][]byte{base}, number); err != nil {
 			t.Error(err)
-		} else if b, err := again.Base(); err != nil || !bytes.Equal(b, base) {
+		} else if b, err := again.Checkpoint(); err != nil || !bytes.Equal(b, base) {
 			t.Errorf("voter %d: read again as %x, %v", number, b, err)
 		}
-		snapshot, err := c.State().Snapshot()
+		snapshot, err := n.State().Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		bases += fmt.Sprintf("%d %x\n", number, base)
-		states += fmt.Sprintf("%d applied %d, %d members, %x\n", number, c.Applied(), len(c.Status().Members), snapshot)
+		states += fmt.Sprintf("%d applied %d, %d members, %x\n", number, n.AppliedIndex(), len(n.Status().Members), snapshot)
 	}
 	if bases != goldenFile(t, "bases.hex") {
 		t.Errorf("bases:\n%s", bases)
@@ -140,28 +140,28 @@
 }
 
 // What stands in the log, in a snapshot and between voters, one of each.
-func TestGoldenEncodings(t *testing.T) {
-	one := member(1)
+func TestGolden_encodings(t *testing.T) {
+	one := testMember(1)
 	for name, c := range map[string]struct {
 		value, into any
 		want        string
 	}{
-		"command": {&entry{Seq: 1<<32 + 5, From: 2, Command: &tables.Command{Kind: tables.Write, By: "g1/1", Number: 3,
-			Table: "plan", Epoch: 2, Value: []byte("v")}}, new(entry), goldenCommand},
-		"mark":   {&entry{Seq: 1<<32 + 6, From: 2, Mark: &one}, new(entry), goldenMark},
-		"change": {&change{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(change), goldenChange},
-		"picture": {&picture{Roll: roll{Members: []cluster.Member{one, member(2)}, Top: 2, Club: 1 << 63},
-			State: []byte("state")}, new(picture), goldenPicture},
+		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &tables.Command{Kind: tables.Write, Proposer: "g1/1", Number: 3,
+			Table: "plan", Epoch: 2, Value: []byte("v")}}, new(logEntry), goldenCommand},
+		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, new(logEntry), goldenDisk},
+		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(membershipChange), goldenChange},
+		"picture": {&snapshotData{Membership: membership{Members: []cluster.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
+			State: []byte("state")}, new(snapshotData), goldenSnapshotData},
 		"record": {&record{Self: &one, Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("e1"), []byte("e2")},
-			Hard: []byte("hard")}, new(record), goldenRecord},
-		"envelope": {&envelope{From: one, Life: Life{2, 1 << 50}, Club: 9, Raft: [][]byte{[]byte("m1"), []byte("m2")}},
+			HardState: []byte("hard")}, new(record), goldenRecord},
+		"envelope": {&envelope{From: one, Incarnation: Incarnation{2, 1 << 50}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1"), []byte("m2")}},
 			new(envelope), goldenEnvelope},
-		"envelope with digests": {&envelope{From: one, Life: Life{2, 5}, Digests: []evidence.Digest{{Process: "g1",
+		"envelope with digests": {&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []evidence.Digest{{Process: "g1",
 			Incarnation: 3, Serial: 4, Session: 5, Counts: map[string]uint64{"n": 1}, Exact: map[string]uint64{"m": 2}}}},
 			new(envelope), goldenDigests},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := mode.Marshal(c.value)
+			got, err := encMode.Marshal(c.value)
 			if err != nil || hex.EncodeToString(got) != c.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
@@ -177,29 +177,29 @@
 }
 
 // A message ends with its checksum.
-func TestGoldenMessage(t *testing.T) {
-	e := envelope{From: member(1), Life: Life{2, 5}, Club: 9, Raft: [][]byte{[]byte("m1")}}
-	got, err := e.bytes()
-	if err != nil || hex.EncodeToString(got) != goldenSealed {
+func TestGolden_messageChecksum(t *testing.T) {
+	received := envelope{From: testMember(1), Incarnation: Incarnation{2, 5}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1")}}
+	got, err := received.encode()
+	if err != nil || hex.EncodeToString(got) != goldenChecksummed {
 		t.Errorf("written as %x, %v", got, err)
 	}
-	sealed, err := hex.DecodeString(goldenSealed)
+	sealed, err := hex.DecodeString(goldenChecksummed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := open(sealed); err != nil || !reflect.DeepEqual(read, e) {
+	if read, err := decodeEnvelope(sealed); err != nil || !reflect.DeepEqual(read, received) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
 }
 
 const (
-	goldenCommand = "a3011b0000000100000005020203a70101026467312f3103030464706c616e050206417607f6"
-	goldenMark    = "a3011b0000000100000006020204a40101026276310362613104626431"
-	goldenChange  = "a4011b0000000100000007020203a4010102627631036261310462643104f5"
-	goldenPicture = "a201a30182a40101026276310362613104626431a401020262763203626132046264320202031b8000000000000000024573" +
+	goldenCommand      = "a3011b0000000100000005020203a70101026467312f3103030464706c616e050206417607f6"
+	goldenDisk         = "a3011b0000000100000006020204a40101026276310362613104626431"
+	goldenChange       = "a4011b0000000100000007020203a4010102627631036261310462643104f5"
+	goldenSnapshotData = "a201a30182a40101026276310362613104626431a401020262763203626132046264320202031b8000000000000000024573" +
 		"74617465"
-	goldenRecord   = "a401a401010262763103626131046264310248736e617073686f740382426531426532044468617264"
-	goldenEnvelope = "a401a4010102627631036261310462643103a20102021b000400000000000004090582426d31426d32"
-	goldenDigests  = "a401a4010102627631036261310462643103a20102020504000681a6016267310203030404a1616e0105a1616d020605"
-	goldenSealed   = "a401a4010102627631036261310462643103a20102020504090581426d3151e5439c1bc43276"
+	goldenRecord      = "a401a401010262763103626131046264310248736e617073686f740382426531426532044468617264"
+	goldenEnvelope    = "a401a4010102627631036261310462643103a20102021b000400000000000004090582426d31426d32"
+	goldenDigests     = "a401a4010102627631036261310462643103a20102020504000681a6016267310203030404a1616e0105a1616d020605"
+	goldenChecksummed = "a401a4010102627631036261310462643103a20102020504090581426d3151e5439c1bc43276"
 )
--- a/internal/cluster/core/members.go
+++ b/internal/cluster/core/members.go
@@ -18,146 +18,146 @@
 
 // The log begins with a snapshot that all first members make alike: one that joins later and has nothing is sent a
 // snapshot too, never entries whose beginning it lacks.
-const beginIndex, beginTerm = 1, 1
+const initialIndex, initialTerm = 1, 1
 
-// roll is who the members are. It is part of what all voters hold alike.
-type roll struct {
-	Members []cluster.Member `cbor:"1,keyasint"` // by number
-	Top     uint64           `cbor:"2,keyasint"` // highest number ever given: none is used twice
-	Club    uint64           `cbor:"3,keyasint"` // drawn from the first members: messages of another log are refused
+// membership is who the members are. It is part of what all voters hold alike.
+type membership struct {
+	Members       []cluster.Member `cbor:"1,keyasint"` // by number
+	HighestNumber uint64           `cbor:"2,keyasint"` // highest number ever given: none is used twice
+	ClusterID     uint64           `cbor:"3,keyasint"` // drawn from the first members: messages of another log are refused
 }
 
-func (r *roll) find(number uint64) (cluster.Member, bool) {
-	for _, m := range r.Members {
-		if m.Number == number {
-			return m, true
+func (m *membership) find(number uint64) (cluster.Member, bool) {
+	for _, member := range m.Members {
+		if member.Number == number {
+			return member, true
 		}
 	}
 	return cluster.Member{}, false
 }
 
-func (r *roll) sorted() []cluster.Member { return slices.Clone(r.Members) }
+func (m *membership) list() []cluster.Member { return slices.Clone(m.Members) }
 
-// gone tells whether a number was given once and taken back.
-func (r *roll) gone(number uint64) bool {
-	_, ok := r.find(number)
-	return !ok && number <= r.Top
+// wasRemoved tells whether a number was given once and taken back.
+func (m *membership) wasRemoved(number uint64) bool {
+	_, ok := m.find(number)
+	return !ok && number <= m.HighestNumber
 }
 
-// check tells what is wrong with a change.
-func (r *roll) check(m cluster.Member, remove bool) error {
+// validate tells what is wrong with a change.
+func (m *membership) validate(member cluster.Member, remove bool) error {
 	if remove {
-		switch _, ok := r.find(m.Number); {
+		switch _, ok := m.find(member.Number); {
 		case !ok:
-			return fmt.Errorf("no member has number %d", m.Number)
-		case len(r.Members) == 1:
+			return fmt.Errorf("no member has number %d", member.Number)
+		case len(m.Members) == 1:
 			return errors.New("the last member cannot be removed")
 		}
 		return nil
 	}
 	switch {
-	case m.Number <= r.Top:
-		return fmt.Errorf("number %d was given before; the next is %d", m.Number, r.Top+1)
-	case m.Number >= numberMost:
-		return fmt.Errorf("number %d is too high; the next is %d", m.Number, r.Top+1)
-	case m.Name == "" || m.Address == "":
+	case member.Number <= m.HighestNumber:
+		return fmt.Errorf("number %d was given before; the next is %d", member.Number, m.HighestNumber+1)
+	case member.Number >= numberLimit:
+		return fmt.Errorf("number %d is too high; the next is %d", member.Number, m.HighestNumber+1)
+	case member.Name == "" || member.Address == "":
 		return errors.New("a member needs a name and an address")
-	case slices.ContainsFunc(r.Members, func(o cluster.Member) bool { return o.Address == m.Address }):
-		return fmt.Errorf("another member has the address %s: remove it first", m.Address)
+	case slices.ContainsFunc(m.Members, func(o cluster.Member) bool { return o.Address == member.Address }):
+		return fmt.Errorf("another member has the address %s: remove it first", member.Address)
 	}
 	return nil
 }
 
-func (r *roll) change(m cluster.Member, remove bool) {
-	r.Members = slices.Clone(r.Members)
+func (m *membership) update(member cluster.Member, remove bool) {
+	m.Members = slices.Clone(m.Members)
 	if remove {
-		r.Members = slices.DeleteFunc(r.Members, func(o cluster.Member) bool { return o.Number == m.Number })
+		m.Members = slices.DeleteFunc(m.Members, func(o cluster.Member) bool { return o.Number == member.Number })
 		return
 	}
-	r.Members, r.Top = append(r.Members, m), m.Number
+	m.Members, m.HighestNumber = append(m.Members, member), member.Number
 }
 
-// picture is what a snapshot holds.
-type picture struct {
-	Roll  roll   `cbor:"1,keyasint"`
-	State []byte `cbor:"2,keyasint"`
+// snapshotData is what a snapshot holds.
+type snapshotData struct {
+	Membership membership `cbor:"1,keyasint"`
+	State      []byte     `cbor:"2,keyasint"`
 }
 
-// begin makes the first snapshot. A first member whose disk is not named has it written down once it is heard of.
-func (c *Core) begin(first []cluster.Member) error {
-	r := roll{Members: slices.Clone(first)}
-	slices.SortFunc(r.Members, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
+// bootstrap makes the first snapshot. A first member whose disk is not named has it written down once it is heard of.
+func (n *Node) bootstrap(initialMembers []cluster.Member) error {
+	members := membership{Members: slices.Clone(initialMembers)}
+	slices.SortFunc(members.Members, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
 	conf := &raftpb.ConfState{}
-	for i := range r.Members {
-		r.Top = r.Members[i].Number
-		conf.Voters = append(conf.Voters, r.Top)
+	for i := range members.Members {
+		members.HighestNumber = members.Members[i].Number
+		conf.Voters = append(conf.Voters, members.HighestNumber)
 	}
-	if _, ok := r.find(c.self.Number); !ok {
-		return fmt.Errorf("number %d is not among the first members", c.self.Number)
+	if _, ok := members.find(n.self.Number); !ok {
+		return fmt.Errorf("number %d is not among the first members", n.self.Number)
 	}
-	names, err := mode.Marshal(r.Members)
+	names, err := encMode.Marshal(members.Members)
 	if err != nil {
 		return err
 	}
-	r.Club = xxhash.Sum64(names)
+	members.ClusterID = xxhash.Sum64(names)
 	state, err := tables.New().Snapshot()
 	if err != nil {
 		return err
 	}
-	data, err := mode.Marshal(picture{r, state})
+	data, err := encMode.Marshal(snapshotData{members, state})
 	if err != nil {
 		return err
 	}
-	index, term := uint64(beginIndex), uint64(beginTerm)
-	if err := c.store.ApplySnapshot(&raftpb.Snapshot{Data: data,
+	index, term := uint64(initialIndex), uint64(initialTerm)
+	if err := n.storage.ApplySnapshot(&raftpb.Snapshot{Data: data,
 		Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}}); err != nil {
 		return err
 	}
-	return c.store.SetHardState(&raftpb.HardState{Term: &term, Commit: &index})
+	return n.storage.SetHardState(&raftpb.HardState{Term: &term, Commit: &index})
 }
 
-// restore puts a snapshot in place of what is applied.
-func (c *Core) restore(s *raftpb.Snapshot) error {
-	if s.GetMetadata().GetIndex() == 0 {
-		c.conf = &raftpb.ConfState{}
+// restoreSnapshot puts a snapshot in place of what is applied.
+func (n *Node) restoreSnapshot(snapshot *raftpb.Snapshot) error {
+	if snapshot.GetMetadata().GetIndex() == 0 {
+		n.confState = &raftpb.ConfState{}
 		return nil
 	}
-	var p picture
-	if err := cbor.Unmarshal(s.GetData(), &p); err != nil {
-		return fmt.Errorf("%w: %w", ErrSpoilt, err)
+	var data snapshotData
+	if err := cbor.Unmarshal(snapshot.GetData(), &data); err != nil {
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if err := c.state.Restore(p.State); err != nil {
-		return fmt.Errorf("%w: %w", ErrSpoilt, err)
+	if err := n.state.Restore(data.State); err != nil {
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	c.members, c.conf = p.Roll, s.GetMetadata().GetConfState()
-	c.applied, c.term = s.GetMetadata().GetIndex(), s.GetMetadata().GetTerm()
+	n.membership, n.confState = data.Membership, snapshot.GetMetadata().GetConfState()
+	n.appliedIndex, n.appliedTerm = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm()
 	return nil
 }
 
-// change is what stands beside a change of the members in the log.
-type change struct {
+// membershipChange is what stands beside a change of the members in the log.
+type membershipChange struct {
 	Seq    uint64         `cbor:"1,keyasint"`
 	From   uint64         `cbor:"2,keyasint"`
 	Member cluster.Member `cbor:"3,keyasint"`
 	Remove bool           `cbor:"4,keyasint"`
 }
 
-// Change adds a member or removes one, and gives the number under which Done tells that it is so. Errors: ErrNotLeader,
+// ChangeMembership adds a member or removes one, and gives the number under which Done tells that it is so. Errors: ErrNotLeader,
 // ErrChange, or what is wrong with it.
-func (c *Core) Change(m cluster.Member, remove bool) (uint64, error) {
-	if !c.Leads() {
+func (n *Node) ChangeMembership(member cluster.Member, remove bool) (uint64, error) {
+	if !n.IsLeader() {
 		return 0, cluster.ErrNotLeader
 	}
 	// The library writes nothing in place of a change that comes too early, and says nothing of it: one of an earlier
 	// leader may be on its way, or one of this voter's own.
-	if !c.Settled() || c.changing == c.term {
-		return 0, ErrChange
+	if !n.IsEstablishedLeader() || n.pendingChangeTerm == n.appliedTerm {
+		return 0, ErrChangePending
 	}
-	if err := c.members.check(m, remove); err != nil {
+	if err := n.membership.validate(member, remove); err != nil {
 		return 0, err
 	}
-	c.seq++
-	data, err := mode.Marshal(change{c.seq, c.self.Number, m, remove})
+	n.lastSeq++
+	data, err := encMode.Marshal(membershipChange{n.lastSeq, n.self.Number, member, remove})
 	if err != nil {
 		return 0, err
 	}
@@ -165,28 +165,28 @@
 	if remove {
 		kind = raftpb.ConfChangeRemoveNode
 	}
-	if err := c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: data,
-		Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &m.Number}}}); err != nil {
+	if err := n.raftNode.ProposeConfChange(&raftpb.ConfChangeV2{Context: data,
+		Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &member.Number}}}); err != nil {
 		return 0, cluster.ErrNotLeader
 	}
-	c.changing = c.term
-	return c.seq, nil
+	n.pendingChangeTerm = n.appliedTerm
+	return n.lastSeq, nil
 }
 
-// Mark has the disks of members that have none yet written down, as far as they were heard of.
-func (c *Core) Mark() {
-	if !c.Settled() {
+// ProposeDiskIDs has the disks of members that have none yet written down, as far as they were heard of.
+func (n *Node) ProposeDiskIDs() {
+	if !n.IsEstablishedLeader() {
 		return
 	}
-	for _, m := range c.members.Members {
-		if m.Disk != "" {
+	for _, member := range n.membership.Members {
+		if member.DiskID != "" {
 			continue
 		}
-		if m.Disk = c.heard[m.Number].Disk; m.Number == c.self.Number {
-			m.Disk = c.self.Disk
+		if member.DiskID = n.peers[member.Number].DiskID; member.Number == n.self.Number {
+			member.DiskID = n.self.DiskID
 		}
-		if m.Disk != "" {
-			_, _ = c.propose(entry{Mark: &m}) // asked again if it comes to nothing
+		if member.DiskID != "" {
+			_, _ = n.propose(logEntry{Disk: &member}) // asked again if it comes to nothing
 		}
 	}
 }
--- a/internal/cluster/core/reads.go
+++ b/internal/cluster/core/reads.go
@@ -7,96 +7,96 @@
 	"harrierhoist/internal/cluster/tables"
 )
 
-// confirmPatience is after how long a confirmation is asked for again: a heartbeat or its answer was lost.
-const confirmPatience = 100 * time.Millisecond
+// readIndexTimeout is after how long a confirmation is asked for again: a heartbeat or its answer was lost.
+const readIndexTimeout = 100 * time.Millisecond
 
-// Reader is a read that waits for news up to a time on the host's clock.
-type Reader struct {
-	Known  map[string]uint64                   // epochs that its caller has
-	Until  time.Duration                       // it waits for news
-	Answer func(found map[string]tables.Entry) // called once; it must not block
+// PendingRead is a read that waits for news up to a time on the host's clock.
+type PendingRead struct {
+	KnownEpochs map[string]uint64                   // epochs that its caller has
+	Deadline    time.Duration                       // it waits for news
+	Respond     func(found map[string]tables.Table) // called once; it must not block
 
-	// Gone tells that nobody waits for the answer any more; nil: somebody always does.
-	Gone func() bool
+	// IsCanceled tells that nobody waits for the answer any more; nil: somebody always does.
+	IsCanceled func() bool
 
-	sure  bool   // what stands here was confirmed since it came
-	seq   uint64 // of the confirmation that it waits for; 0: none
-	final bool   // that one began after its wait was over
+	confirmed  bool   // what stands here was confirmed since it came
+	requestSeq uint64 // of the confirmation that it waits for; 0: none
+	final      bool   // that one began after its wait was over
 }
 
-// Reads are those that wait at one voter. All that come while a confirmation is on its way share the next. What a
+// ReadQueue are those that wait at one voter. All that come while a confirmation is on its way share the next. What a
 // majority confirmed after a read came answers it, so that a voter cut off from the others answers none.
-type Reads struct {
-	core    *Core
-	waiting []*Reader
-	seq     uint64 // of the confirmation on its way; 0: none
-	since   time.Duration
-	index   uint64 // 0: not confirmed yet; else what must be applied
+type ReadQueue struct {
+	node           *Node
+	pending        []*PendingRead
+	requestSeq     uint64 // of the confirmation on its way; 0: none
+	requestedAt    time.Duration
+	confirmedIndex uint64 // 0: not confirmed yet; else what must be applied
 }
 
-// NewReads makes an empty one.
-func NewReads(c *Core) *Reads { return &Reads{core: c} }
+// NewReadQueue makes an empty one.
+func NewReadQueue(n *Node) *ReadQueue { return &ReadQueue{node: n} }
 
 // Add takes a read.
-func (q *Reads) Add(r *Reader, now time.Duration) {
-	q.waiting = append(q.waiting, r)
-	q.confirm(now)
+func (q *ReadQueue) Add(read *PendingRead, now time.Duration) {
+	q.pending = append(q.pending, read)
+	q.requestReadIndex(now)
 }
 
-// confirm begins a confirmation where reads wait for one and none is on its way.
-func (q *Reads) confirm(now time.Duration) {
-	need := func(r *Reader) bool { return r.seq == 0 && (!r.sure || now >= r.Until) }
-	if q.seq != 0 || q.core.Leader() == 0 || !slices.ContainsFunc(q.waiting, need) {
+// requestReadIndex begins a confirmation where reads wait for one and none is on its way.
+func (q *ReadQueue) requestReadIndex(now time.Duration) {
+	need := func(read *PendingRead) bool { return read.requestSeq == 0 && (!read.confirmed || now >= read.Deadline) }
+	if q.requestSeq != 0 || q.node.Leader() == 0 || !slices.ContainsFunc(q.pending, need) {
 		return
 	}
-	q.seq, q.since, q.index = q.core.Confirm(), now, 0
-	for _, r := range q.waiting {
-		if need(r) {
-			r.seq, r.final = q.seq, now >= r.Until
+	q.requestSeq, q.requestedAt, q.confirmedIndex = q.node.RequestReadIndex(), now, 0
+	for _, read := range q.pending {
+		if need(read) {
+			read.requestSeq, read.final = q.requestSeq, now >= read.Deadline
 		}
 	}
 }
 
 // Tick looks after reads whose wait is over or whose caller has gone, and confirmations that were lost.
-func (q *Reads) Tick(now time.Duration) {
-	q.waiting = slices.DeleteFunc(q.waiting, func(r *Reader) bool { return r.Gone != nil && r.Gone() })
-	if q.seq != 0 && q.index == 0 && now-q.since > confirmPatience {
-		q.seq = 0
-		for _, r := range q.waiting {
-			r.seq = 0
+func (q *ReadQueue) Tick(now time.Duration) {
+	q.pending = slices.DeleteFunc(q.pending, func(read *PendingRead) bool { return read.IsCanceled != nil && read.IsCanceled() })
+	if q.requestSeq != 0 && q.confirmedIndex == 0 && now-q.requestedAt > readIndexTimeout {
+		q.requestSeq = 0
+		for _, read := range q.pending {
+			read.requestSeq = 0
 		}
 	}
-	q.confirm(now)
+	q.requestReadIndex(now)
 }
 
-// Done answers reads after something was confirmed or applied.
-func (q *Reads) Done(d Done, now time.Duration) {
-	for _, c := range d.Confirms {
-		if c.Seq == q.seq {
-			q.index = max(c.Index, 1)
+// HandleApplied answers reads after something was confirmed or applied.
+func (q *ReadQueue) HandleApplied(applied AppliedResult, now time.Duration) {
+	for _, c := range applied.ReadIndexes {
+		if c.Seq == q.requestSeq {
+			q.confirmedIndex = max(c.Index, 1)
 		}
 	}
-	arrived, seq := q.seq != 0 && q.index > 0 && q.core.Applied() >= q.index, q.seq
-	if !arrived && !d.News {
+	arrived, requestSeq := q.requestSeq != 0 && q.confirmedIndex > 0 && q.node.AppliedIndex() >= q.confirmedIndex, q.requestSeq
+	if !arrived && !applied.StateChanged {
 		return
 	}
 	if arrived {
-		q.seq = 0
+		q.requestSeq = 0
 	}
-	q.waiting = slices.DeleteFunc(q.waiting, func(r *Reader) bool {
-		end := false
-		if arrived && r.seq == seq {
-			r.sure, r.seq, end = true, 0, r.final
+	q.pending = slices.DeleteFunc(q.pending, func(read *PendingRead) bool {
+		done := false
+		if arrived && read.requestSeq == requestSeq {
+			read.confirmed, read.requestSeq, done = true, 0, read.final
 		}
-		if !r.sure {
+		if !read.confirmed {
 			return false
 		}
-		found := q.core.State().Since(r.Known)
-		if len(found) == 0 && !end {
+		found := q.node.State().ChangedSince(read.KnownEpochs)
+		if len(found) == 0 && !done {
 			return false
 		}
-		r.Answer(found)
+		read.Respond(found)
 		return true
 	})
-	q.confirm(now)
+	q.requestReadIndex(now)
 }
--- a/internal/cluster/core/record.go
+++ b/internal/cluster/core/record.go
@@ -13,144 +13,144 @@
 
 // record is what is written to the disk at once.
 type record struct {
-	Self     *cluster.Member `cbor:"1,keyasint,omitempty"` // in the first one
-	Snapshot []byte          `cbor:"2,keyasint,omitempty"`
-	Entries  [][]byte        `cbor:"3,keyasint,omitempty"`
-	Hard     []byte          `cbor:"4,keyasint,omitempty"`
+	Self      *cluster.Member `cbor:"1,keyasint,omitempty"` // in the first one
+	Snapshot  []byte          `cbor:"2,keyasint,omitempty"`
+	Entries   [][]byte        `cbor:"3,keyasint,omitempty"`
+	HardState []byte          `cbor:"4,keyasint,omitempty"`
 }
 
-func pack(self *cluster.Member, s *raftpb.Snapshot, entries []*raftpb.Entry, h *raftpb.HardState) ([]byte, error) {
-	r := record{Self: self}
+func encodeRecord(self *cluster.Member, snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) ([]byte, error) {
+	contents := record{Self: self}
 	var err error
-	if !raft.IsEmptySnap(s) {
-		if r.Snapshot, err = proto.Marshal(s); err != nil {
+	if !raft.IsEmptySnap(snapshot) {
+		if contents.Snapshot, err = proto.Marshal(snapshot); err != nil {
 			return nil, err
 		}
 	}
-	for _, e := range entries {
-		b, err := proto.Marshal(e)
+	for _, entry := range entries {
+		b, err := proto.Marshal(entry)
 		if err != nil {
 			return nil, err
 		}
-		r.Entries = append(r.Entries, b)
+		contents.Entries = append(contents.Entries, b)
 	}
-	if !raft.IsEmptyHardState(h) {
-		if r.Hard, err = proto.Marshal(h); err != nil {
+	if !raft.IsEmptyHardState(hardState) {
+		if contents.HardState, err = proto.Marshal(hardState); err != nil {
 			return nil, err
 		}
 	}
-	return mode.Marshal(r)
+	return encMode.Marshal(contents)
 }
 
-// keep puts what is on disk into the store that raft reads from.
-func (c *Core) keep(s *raftpb.Snapshot, entries []*raftpb.Entry, h *raftpb.HardState) error {
-	if !raft.IsEmptySnap(s) {
-		if err := c.store.ApplySnapshot(s); err != nil {
+// appendToStorage puts what is on disk into the store that raft reads from.
+func (n *Node) appendToStorage(snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) error {
+	if !raft.IsEmptySnap(snapshot) {
+		if err := n.storage.ApplySnapshot(snapshot); err != nil {
 			return err
 		}
 	}
-	if err := c.store.Append(entries); err != nil {
+	if err := n.storage.Append(entries); err != nil {
 		return err
 	}
-	if raft.IsEmptyHardState(h) {
+	if raft.IsEmptyHardState(hardState) {
 		return nil
 	}
-	return c.store.SetHardState(h)
+	return n.storage.SetHardState(hardState)
 }
 
 // replay reads what the disk holds, in the order in which it was written.
-func (c *Core) replay(records [][]byte) error {
+func (n *Node) replay(records [][]byte) error {
 	for i, b := range records {
-		var r record
-		if err := cbor.Unmarshal(b, &r); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrSpoilt, i, err)
+		var contents record
+		if err := cbor.Unmarshal(b, &contents); err != nil {
+			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 		}
-		if r.Self != nil {
-			c.self = *r.Self
+		if contents.Self != nil {
+			n.self = *contents.Self
 		}
-		s, h := &raftpb.Snapshot{}, &raftpb.HardState{}
-		if err := proto.Unmarshal(r.Snapshot, s); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrSpoilt, i, err)
+		snapshot, hardState := &raftpb.Snapshot{}, &raftpb.HardState{}
+		if err := proto.Unmarshal(contents.Snapshot, snapshot); err != nil {
+			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 		}
-		if err := proto.Unmarshal(r.Hard, h); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrSpoilt, i, err)
+		if err := proto.Unmarshal(contents.HardState, hardState); err != nil {
+			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 		}
 		var entries []*raftpb.Entry
-		for _, b := range r.Entries {
-			e := &raftpb.Entry{}
-			if err := proto.Unmarshal(b, e); err != nil {
-				return fmt.Errorf("%w: record %d: %w", ErrSpoilt, i, err)
+		for _, b := range contents.Entries {
+			entry := &raftpb.Entry{}
+			if err := proto.Unmarshal(b, entry); err != nil {
+				return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 			}
-			entries = append(entries, e)
+			entries = append(entries, entry)
 		}
-		if err := c.keep(s, entries, h); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrSpoilt, i, err)
+		if err := n.appendToStorage(snapshot, entries, hardState); err != nil {
+			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 		}
 	}
-	h, _, _ := c.store.InitialState() // gives no error
-	if last, _ := c.store.LastIndex(); h.GetCommit() > last {
-		return fmt.Errorf("%w: %d entries are missing at its end", ErrSpoilt, h.GetCommit()-last)
+	hardState, _, _ := n.storage.InitialState() // gives no error
+	if last, _ := n.storage.LastIndex(); hardState.GetCommit() > last {
+		return fmt.Errorf("%w: %d entries are missing at its end", ErrCorrupt, hardState.GetCommit()-last)
 	}
 	return nil
 }
 
-// Base is all that this voter must hold, as one record: the disk may put it in place of all that it has.
-func (c *Core) Base() ([]byte, error) {
-	s, _ := c.store.Snapshot() // neither gives an error
-	h, _, _ := c.store.InitialState()
-	first, _ := c.store.FirstIndex()
-	last, _ := c.store.LastIndex()
+// Checkpoint is all that this voter must hold, as one record: the disk may put it in place of all that it has.
+func (n *Node) Checkpoint() ([]byte, error) {
+	snapshot, _ := n.storage.Snapshot() // neither gives an error
+	hardState, _, _ := n.storage.InitialState()
+	first, _ := n.storage.FirstIndex()
+	last, _ := n.storage.LastIndex()
 	var entries []*raftpb.Entry
 	if last >= first {
 		var err error
-		if entries, err = c.store.Entries(first, last+1, 1<<62); err != nil {
+		if entries, err = n.storage.Entries(first, last+1, 1<<62); err != nil {
 			return nil, err
 		}
 	}
-	return pack(&c.self, s, entries, h)
+	return encodeRecord(&n.self, snapshot, entries, hardState)
 }
 
-// shelf is what raft reads its log from. The snapshot that it sends to another voter is of what is applied now: one that
+// snapshotStorage is what raft reads its log from. The snapshot that it sends to another voter is of what is applied now: one that
 // was made before a member joined does not name it, and the member would refuse it.
-type shelf struct {
+type snapshotStorage struct {
 	*raft.MemoryStorage
-	c *Core
+	node *Node
 }
 
 // Snapshot implements raft.Storage.
-func (s shelf) Snapshot() (*raftpb.Snapshot, error) {
-	data, err := s.c.picture()
-	index, term := s.c.applied, s.c.term
+func (s snapshotStorage) Snapshot() (*raftpb.Snapshot, error) {
+	data, err := s.node.encodeSnapshot()
+	index, term := s.node.appliedIndex, s.node.appliedTerm
 	return &raftpb.Snapshot{Data: data,
-		Metadata: &raftpb.SnapshotMetadata{ConfState: s.c.conf, Index: &index, Term: &term}}, err
+		Metadata: &raftpb.SnapshotMetadata{ConfState: s.node.confState, Index: &index, Term: &term}}, err
 }
 
-// picture is all that the voters hold alike.
-func (c *Core) picture() ([]byte, error) {
-	state, err := c.state.Snapshot()
+// encodeSnapshot is all that the voters hold alike.
+func (n *Node) encodeSnapshot() ([]byte, error) {
+	state, err := n.state.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	return mode.Marshal(picture{c.members, state})
+	return encMode.Marshal(snapshotData{n.membership, state})
 }
 
 // Compact makes a snapshot of what is applied and drops the entries before it, but for the latest keep: a voter that
 // is not further behind gets those, not all of it.
-func (c *Core) Compact(keep uint64) error {
-	s, _ := c.store.Snapshot()
-	if c.applied <= s.GetMetadata().GetIndex() {
+func (n *Node) Compact(keep uint64) error {
+	snapshot, _ := n.storage.Snapshot()
+	if n.appliedIndex <= snapshot.GetMetadata().GetIndex() {
 		return nil
 	}
-	data, err := c.picture()
+	data, err := n.encodeSnapshot()
 	if err != nil {
 		return err
 	}
-	if _, err := c.store.CreateSnapshot(c.applied, c.conf, data); err != nil {
+	if _, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState, data); err != nil {
 		return err
 	}
-	first, _ := c.store.FirstIndex()
-	if c.applied > keep && c.applied-keep >= first {
-		return c.store.Compact(c.applied - keep)
+	first, _ := n.storage.FirstIndex()
+	if n.appliedIndex > keep && n.appliedIndex-keep >= first {
+		return n.storage.Compact(n.appliedIndex - keep)
 	}
 	return nil
 }
--- a/internal/cluster/core/row_test.go
+++ b/internal/cluster/core/row_test.go
@@ -8,112 +8,112 @@
 	"harrierhoist/internal/cluster/tables"
 )
 
-// row is some voters whose messages arrive at once.
-type row struct {
-	t       *testing.T
-	cores   map[uint64]*Core
-	disks   map[uint64][][]byte
-	done    map[uint64]Done // the last that had something
-	refused []error
-	sent    []Message
+// testCluster is some voters whose messages arrive at once.
+type testCluster struct {
+	t           *testing.T
+	nodes       map[uint64]*Node
+	records     map[uint64][][]byte
+	lastApplied map[uint64]AppliedResult // the last that had something
+	rejected    []error
+	sent        []Message
 }
 
-func member(n uint64) cluster.Member {
-	return cluster.Member{Number: n, Name: fmt.Sprint("v", n), Address: fmt.Sprint("a", n), Disk: fmt.Sprint("d", n)}
+func testMember(number uint64) cluster.Member {
+	return cluster.Member{Number: number, Name: fmt.Sprint("v", number), Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}
 }
 
-func newRow(t *testing.T, n uint64) *row {
-	r := &row{t: t, cores: map[uint64]*Core{}, disks: map[uint64][][]byte{}, done: map[uint64]Done{}}
-	var first []cluster.Member
-	for i := range n {
-		first = append(first, member(i+1))
+func newTestCluster(t *testing.T, number uint64) *testCluster {
+	tc := &testCluster{t: t, nodes: map[uint64]*Node{}, records: map[uint64][][]byte{}, lastApplied: map[uint64]AppliedResult{}}
+	var initialMembers []cluster.Member
+	for i := range number {
+		initialMembers = append(initialMembers, testMember(i+1))
 	}
-	for i := range n {
-		r.start(member(i+1), Life{1, 1}, first)
+	for i := range number {
+		tc.startNode(testMember(i+1), Incarnation{1, 1}, initialMembers)
 	}
-	return r
+	return tc
 }
 
-func (r *row) start(m cluster.Member, l Life, first []cluster.Member) *Core {
-	r.t.Helper()
-	c, err := Start(m, l, first, r.disks[m.Number], m.Number)
+func (tc *testCluster) startNode(member cluster.Member, incarnation Incarnation, initialMembers []cluster.Member) *Node {
+	tc.t.Helper()
+	n, err := NewNode(member, incarnation, initialMembers, tc.records[member.Number], member.Number)
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	if r.disks[m.Number] == nil {
-		b, err := c.Base()
+	if tc.records[member.Number] == nil {
+		b, err := n.Checkpoint()
 		if err != nil {
-			r.t.Fatal(err)
+			tc.t.Fatal(err)
 		}
-		r.disks[m.Number] = [][]byte{b}
+		tc.records[member.Number] = [][]byte{b}
 	}
-	r.cores[m.Number] = c
-	return c
+	tc.nodes[member.Number] = n
+	return n
 }
 
 // settle does all that follows from what was done last.
-func (r *row) settle() {
-	r.t.Helper()
+func (tc *testCluster) settle() {
+	tc.t.Helper()
 	for busy := true; busy; {
 		busy = false
 		for id := uint64(1); id <= 9; id++ {
-			c := r.cores[id]
-			if c == nil {
+			n := tc.nodes[id]
+			if n == nil {
 				continue
 			}
-			ready, ok, err := c.Ready()
+			ready, ok, err := n.Ready()
 			if err != nil {
-				r.t.Fatal(err)
+				tc.t.Fatal(err)
 			}
 			if !ok {
 				continue
 			}
 			busy = true
 			if ready.Record != nil {
-				r.disks[id] = append(r.disks[id], ready.Record)
+				tc.records[id] = append(tc.records[id], ready.Record)
 			}
-			for _, m := range append(ready.Early, ready.Messages...) {
-				r.sent = append(r.sent, m)
-				if to := r.cores[m.To.Number]; to != nil {
-					if _, err := to.Step(m.Body); err != nil {
-						r.refused = append(r.refused, err)
+			for _, m := range append(ready.EarlyMessages, ready.Messages...) {
+				tc.sent = append(tc.sent, m)
+				if to := tc.nodes[m.To.Number]; to != nil {
+					if _, err := to.HandleMessage(m.Body); err != nil {
+						tc.rejected = append(tc.rejected, err)
 					}
 				}
 			}
-			done, err := c.Done(ready)
+			done, err := n.Advance(ready)
 			if err != nil {
-				r.t.Fatal(err)
+				tc.t.Fatal(err)
 			}
-			if len(done.Results) > 0 {
-				r.done[id] = done
+			if len(done.Outcomes) > 0 {
+				tc.lastApplied[id] = done
 			}
 		}
 	}
 }
 
-func (r *row) leader() *Core {
-	r.t.Helper()
+func (tc *testCluster) waitForLeader() *Node {
+	tc.t.Helper()
 	for range 100 {
 		for id := uint64(1); id <= 9; id++ {
-			if c := r.cores[id]; c != nil {
-				if c.Settled() {
-					return c
+			if n := tc.nodes[id]; n != nil {
+				if n.IsEstablishedLeader() {
+					return n
 				}
-				c.Tick()
-				r.settle()
+				n.Tick()
+				tc.settle()
 			}
 		}
 	}
-	r.t.Fatal("no leader")
+	tc.t.Fatal("no leader")
 	return nil
 }
 
-func (r *row) write(n, epoch uint64) {
-	r.t.Helper()
-	c := r.leader()
-	if _, err := c.Propose(tables.Command{Kind: tables.Write, By: "t", Number: n, Table: "plan", Epoch: epoch,
+func (tc *testCluster) mustWrite(number, epoch uint64) {
+	tc.t.Helper()
+	n := tc.waitForLeader()
+	if _, err := n.Propose(tables.Command{Kind: tables.Write, Proposer: "t", Number: number, Table: "plan", Epoch: epoch,
 		Value: []byte("v")}); err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	r.settle()
+	tc.settle()
 }
--- a/internal/cluster/disk/golden_test.go
+++ b/internal/cluster/disk/golden_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	goldenDiskMark = "00112233445566778899aabbccddeeff"
-	goldenInode    = 4711
+	goldenDiskID = "00112233445566778899aabbccddeeff"
+	goldenInode  = 4711
 )
 
 // goldenRecords are records of a voter, with a snapshot among them, and some of the sizes around a block's.
@@ -32,23 +32,23 @@
 		}
 		all = append(all, record)
 	}
-	for _, size := range []int{1, block - headerSize - 4, block - headerSize - 3, 2 * block} {
+	for _, size := range []int{1, blockSize - headerSize - 4, blockSize - headerSize - 3, 2 * blockSize} {
 		all = append(all, bytes.Repeat([]byte{byte(size), 0x5a}, size)[:size])
 	}
 	return all
 }
 
-// goldenDisk is a folder whose mark and inode are not drawn, without its log.
-func goldenDisk(t *testing.T) *Disk {
+// goldenLog is a folder whose mark and inode are not drawn, without its log.
+func goldenLog(t *testing.T) *Log {
 	t.Helper()
-	d := &Disk{folder: t.TempDir(), hand: Bare{}}
-	t.Cleanup(func() { _ = d.Close() })
-	return d
+	l := &Log{folder: t.TempDir(), ops: OSFileOps{}}
+	t.Cleanup(func() { _ = l.Close() })
+	return l
 }
 
-func (d *Disk) log(t *testing.T) []byte {
+func (l *Log) logBytes(t *testing.T) []byte {
 	t.Helper()
-	log, err := os.ReadFile(filepath.Join(d.folder, logName))
+	log, err := os.ReadFile(filepath.Join(l.folder, logName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,14 +56,14 @@
 }
 
 // The same records make the same log, byte for byte.
-func TestGoldenLogIsWritten(t *testing.T) {
-	d := goldenDisk(t)
-	d.first = page{Mark: goldenDiskMark, Inode: goldenInode, Life: 1}
-	if err := d.rewrite(nil); err != nil {
+func TestGolden_logIsWritten(t *testing.T) {
+	l := goldenLog(t)
+	l.header = entry{DiskID: goldenDiskID, Inode: goldenInode, Incarnation: 1}
+	if err := l.replaceLog(nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range goldenRecords(t) {
-		if err := d.Save(r); err != nil {
+		if err := l.Append(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -71,55 +71,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := d.log(t); !bytes.Equal(got, want) || d.Size() != int64(len(want)) {
-		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), d.Size())
+	if got := l.logBytes(t); !bytes.Equal(got, want) || l.Size() != int64(len(want)) {
+		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), l.Size())
 	}
 }
 
 // A log that the version before wrote is read, and written anew at its opening as that would have done.
-func TestGoldenLogIsRead(t *testing.T) {
+func TestGolden_logIsRead(t *testing.T) {
 	log, err := os.ReadFile("testdata/log")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := goldenDisk(t)
-	if err := os.WriteFile(filepath.Join(d.folder, logName), log, 0o600); err != nil {
+	l := goldenLog(t)
+	if err := os.WriteFile(filepath.Join(l.folder, logName), log, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.load(goldenInode + 1); !errors.Is(err, ErrCopied) {
+	if err := l.load(goldenInode + 1); !errors.Is(err, ErrCopied) {
 		t.Errorf("with another inode: %v", err)
 	}
-	d = &Disk{folder: d.folder, hand: Bare{}}
-	t.Cleanup(func() { _ = d.Close() })
-	if err := d.load(goldenInode); err != nil {
+	l = &Log{folder: l.folder, ops: OSFileOps{}}
+	t.Cleanup(func() { _ = l.Close() })
+	if err := l.load(goldenInode); err != nil {
 		t.Fatal(err)
 	}
-	if life, _ := d.Life(); !slices.EqualFunc(d.Records(), goldenRecords(t), bytes.Equal) || life != 2 ||
-		d.Mark() != goldenDiskMark || d.Healed() != 0 {
-		t.Errorf("%d records, life %d, mark %s, %d healed", len(d.Records()), life, d.Mark(), d.Healed())
+	if life, _ := l.Incarnation(); !slices.EqualFunc(l.Records(), goldenRecords(t), bytes.Equal) || life != 2 ||
+		l.DiskID() != goldenDiskID || l.Repaired() != 0 {
+		t.Errorf("%d records, life %d, mark %s, %d healed", len(l.Records()), life, l.DiskID(), l.Repaired())
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(d.log(t))); got != goldenReopened {
+	if got := fmt.Sprintf("%x", sha256.Sum256(l.logBytes(t))); got != goldenReopened {
 		t.Errorf("after its opening %s", got)
 	}
-	if err := d.Rewrite(goldenRecords(t)[0]); err != nil {
+	if err := l.Rewrite(goldenRecords(t)[0]); err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(d.log(t))); got != goldenRewritten {
+	if got := fmt.Sprintf("%x", sha256.Sum256(l.logBytes(t))); got != goldenRewritten {
 		t.Errorf("after it was rewritten %s", got)
 	}
 }
 
 // A folder has its mark as text in a file of its own, by which a voter of the version before would know it.
-func TestGoldenFilesOfAFolder(t *testing.T) {
+func TestGolden_filesOfAFolder(t *testing.T) {
 	folder := t.TempDir()
-	d, err := Open(folder)
+	l, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = d.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	mark, err := os.ReadFile(filepath.Join(folder, "mark"))
-	if err != nil || string(mark) != d.Mark()+"\n" {
-		t.Errorf("mark %q of a disk %s, %v", mark, d.Mark(), err)
+	if err != nil || string(mark) != l.DiskID()+"\n" {
+		t.Errorf("mark %q of a disk %s, %v", mark, l.DiskID(), err)
 	}
 	files, err := os.ReadDir(folder)
 	var names []string
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -25,111 +25,111 @@
 	Exact map[string]uint64 `cbor:"5,keyasint"`
 }
 
-const between = "\x1f"
+const separator = "\x1f"
 
-// Name makes the name of a count of its parts; parts hold no unit separator (0x1f).
-func Name(parts ...string) string { return strings.Join(parts, between) }
+// JoinName makes the name of a count of its parts; parts hold no unit separator (0x1f).
+func JoinName(parts ...string) string { return strings.Join(parts, separator) }
 
-// Parts are the parts of a name.
-func Parts(name string) []string { return strings.Split(name, between) }
+// SplitName are the parts of a name.
+func SplitName(name string) []string { return strings.Split(name, separator) }
 
-// life is a process in one of its lives.
-type life struct {
+// processState is a process in one of its lives.
+type processState struct {
 	incarnation, session, serial uint64
 	counts, exact                map[string]uint64
 }
 
-// Book merges digests. The first digest of a session that a book sees is where its counting begins, as another book may
+// Merger merges digests. The first digest of a session that a book sees is where its counting begins, as another book may
 // have counted what came before; it adds what later ones have more. Not safe for use by several goroutines at once.
-type Book struct {
-	lives map[string]*life // the latest of each process
-	past  map[string][]*life
-	sums  map[string]uint64
+type Merger struct {
+	latest   map[string]*processState // the latest of each process
+	previous map[string][]*processState
+	sums     map[string]uint64
 }
 
-// pastMost is how many earlier lives of a process are kept for what is exact in them: what the latest of these had
+// maxPrevious is how many earlier lives of a process are kept for what is exact in them: what the latest of these had
 // counted may not be in the log yet, and its last digests may still be on their way.
-const pastMost = 4
+const maxPrevious = 4
 
-// NewBook makes an empty book.
-func NewBook() *Book {
-	return &Book{lives: map[string]*life{}, past: map[string][]*life{}, sums: map[string]uint64{}}
+// NewMerger makes an empty book.
+func NewMerger() *Merger {
+	return &Merger{latest: map[string]*processState{}, previous: map[string][]*processState{}, sums: map[string]uint64{}}
 }
 
-// Take takes a digest and tells whether it was news: a late or doubled one, or one of an earlier life, is none; what is
+// Add takes a digest and tells whether it was news: a late or doubled one, or one of an earlier life, is none; what is
 // exact in one of an earlier life counts all the same.
 // A count that a digest has less of than an earlier one of the same life is taken as it stood.
-func (b *Book) Take(d Digest) (news bool) {
-	l := b.lives[d.Process]
+func (m *Merger) Add(digest Digest) (changed bool) {
+	state := m.latest[digest.Process]
 	switch {
-	case l == nil || d.Incarnation > l.incarnation:
-		if l != nil {
-			b.earlier(d.Process, l)
+	case state == nil || digest.Incarnation > state.incarnation:
+		if state != nil {
+			m.mergePrevious(digest.Process, state)
 		}
-		b.lives[d.Process] = &life{d.Incarnation, d.Session, d.Serial, maps.Clone(d.Counts), maps.Clone(d.Exact)}
+		m.latest[digest.Process] = &processState{digest.Incarnation, digest.Session, digest.Serial, maps.Clone(digest.Counts), maps.Clone(digest.Exact)}
 		return true
-	case d.Incarnation < l.incarnation:
-		b.earlier(d.Process, &life{incarnation: d.Incarnation, serial: d.Serial, exact: maps.Clone(d.Exact)})
+	case digest.Incarnation < state.incarnation:
+		m.mergePrevious(digest.Process, &processState{incarnation: digest.Incarnation, serial: digest.Serial, exact: maps.Clone(digest.Exact)})
 		return false
-	case d.Serial <= l.serial || d.Session < l.session:
+	case digest.Serial <= state.serial || digest.Session < state.session:
 		return false
 	}
-	if d.Session > l.session {
-		l.session, l.counts = d.Session, maps.Clone(d.Counts)
+	if digest.Session > state.session {
+		state.session, state.counts = digest.Session, maps.Clone(digest.Counts)
 	}
-	l.serial = d.Serial
-	for name, n := range d.Counts {
-		if was := l.counts[name]; n > was {
-			b.sums[name] += n - was
+	state.serial = digest.Serial
+	for name, n := range digest.Counts {
+		if was := state.counts[name]; n > was {
+			m.sums[name] += n - was
 		}
 	}
-	l.counts = raise(l.counts, d.Counts)
-	l.exact = raise(l.exact, d.Exact)
+	state.counts = mergeMax(state.counts, digest.Counts)
+	state.exact = mergeMax(state.exact, digest.Exact)
 	return true
 }
 
-// earlier keeps what is exact in an earlier life.
-func (b *Book) earlier(process string, l *life) {
-	past := b.past[process]
-	i, found := slices.BinarySearchFunc(past, l.incarnation, func(o *life, n uint64) int { return cmp.Compare(o.incarnation, n) })
+// mergePrevious keeps what is exact in an earlier life.
+func (m *Merger) mergePrevious(process string, state *processState) {
+	previous := m.previous[process]
+	i, found := slices.BinarySearchFunc(previous, state.incarnation, func(other *processState, n uint64) int { return cmp.Compare(other.incarnation, n) })
 	if found {
-		past[i].serial, past[i].exact = max(past[i].serial, l.serial), raise(past[i].exact, l.exact)
+		previous[i].serial, previous[i].exact = max(previous[i].serial, state.serial), mergeMax(previous[i].exact, state.exact)
 		return
 	}
-	past = slices.Insert(past, i, l)
-	b.past[process] = past[max(0, len(past)-pastMost):]
+	previous = slices.Insert(previous, i, state)
+	m.previous[process] = previous[max(0, len(previous)-maxPrevious):]
 }
 
-// raise gives the larger of each count.
-func raise(was, now map[string]uint64) map[string]uint64 {
-	if was == nil {
-		was = map[string]uint64{}
+// mergeMax gives the larger of each count.
+func mergeMax(merged, counts map[string]uint64) map[string]uint64 {
+	if merged == nil {
+		merged = map[string]uint64{}
 	}
-	for name, n := range now {
-		was[name] = max(was[name], n)
+	for name, n := range counts {
+		merged[name] = max(merged[name], n)
 	}
-	return was
+	return merged
 }
 
 // Sums are what was counted by all since the book began, by name. The map is the caller's.
-func (b *Book) Sums() map[string]uint64 { return maps.Clone(b.sums) }
+func (m *Merger) Sums() map[string]uint64 { return maps.Clone(m.sums) }
 
-// Exact are the exact counts of each process in its latest lives, in the order of their names, earlier lives first.
-func (b *Book) Exact() []Digest {
+// ExactCounts are the exact counts of each process in its latest lives, in the order of their names, earlier lives first.
+func (m *Merger) ExactCounts() []Digest {
 	var all []Digest
-	for _, name := range slices.Sorted(maps.Keys(b.lives)) {
-		for _, l := range append(slices.Clone(b.past[name]), b.lives[name]) {
-			if len(l.exact) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(m.latest)) {
+		for _, state := range append(slices.Clone(m.previous[name]), m.latest[name]) {
+			if len(state.exact) == 0 {
 				continue
 			}
-			all = append(all, Digest{Process: name, Incarnation: l.incarnation, Serial: l.serial, Exact: maps.Clone(l.exact)})
+			all = append(all, Digest{Process: name, Incarnation: state.incarnation, Serial: state.serial, Exact: maps.Clone(state.exact)})
 		}
 	}
 	return all
 }
 
 // Forget drops a process that has not been heard of for long. A digest of the same life begins anew.
-func (b *Book) Forget(process string) {
-	delete(b.lives, process)
-	delete(b.past, process)
+func (m *Merger) Forget(process string) {
+	delete(m.latest, process)
+	delete(m.previous, process)
 }
--- a/internal/cluster/evidence/golden_test.go
+++ b/internal/cluster/evidence/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // Digests travel between processes of two versions while one replaces the other.
-func TestGoldenEncodingOfDigest(t *testing.T) {
+func TestGolden_digest(t *testing.T) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		t.Fatal(err)
@@ -19,8 +19,8 @@
 		want   string
 	}{
 		"full": {Digest{Process: "g1", Incarnation: 1 << 60, Serial: 3, Session: 2,
-			Counts: map[string]uint64{Name("push", "hall-a/1", "answered"): 12, "pushes": 1 << 35},
-			Exact:  map[string]uint64{Name("owed", "acme"): 9}}, goldenDigest},
+			Counts: map[string]uint64{JoinName("push", "hall-a/1", "answered"): 12, "pushes": 1 << 35},
+			Exact:  map[string]uint64{JoinName("owed", "acme"): 9}}, goldenDigest},
 		"sums of a voter": {Digest{Process: "v2", Incarnation: 4, Serial: 1, Session: 7,
 			Counts: map[string]uint64{}}, goldenSums},
 		"empty": {Digest{}, goldenEmpty},
@@ -34,13 +34,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var d Digest
-			if err := cbor.Unmarshal(encoded, &d); err != nil || !reflect.DeepEqual(d, c.digest) {
-				t.Errorf("decoded as %+v, %v", d, err)
+			var digest Digest
+			if err := cbor.Unmarshal(encoded, &digest); err != nil || !reflect.DeepEqual(digest, c.digest) {
+				t.Errorf("decoded as %+v, %v", digest, err)
 			}
 		})
 	}
-	if got := Name("push", "hall-a/1", ""); got != "push\x1fhall-a/1\x1f" {
+	if got := JoinName("push", "hall-a/1", ""); got != "push\x1fhall-a/1\x1f" {
 		t.Errorf("a name of parts is %q", got)
 	}
 }
--- a/internal/cluster/follow/clock.go
+++ b/internal/cluster/follow/clock.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a clock for leases: time since the machine's start. Unlike Go's own monotonic clock it goes on while the
+// SystemUptime is a clock for leases: time since the machine's start. Unlike Go's own monotonic clock it goes on while the
 // machine is suspended, so that a process that wakes finds its leases over. It takes a system call, some 0.1 us.
-func Boot() time.Duration {
+func SystemUptime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(began) // a kernel without it; none that Go runs on
+		return time.Since(processStart) // a kernel without it; none that Go runs on
 	}
 	return time.Duration(t.Nano())
 }
 
-var began = time.Now()
+var processStart = time.Now()
--- a/internal/cluster/follow/follow_test.go
+++ b/internal/cluster/follow/follow_test.go
@@ -14,70 +14,70 @@
 	"harrierhoist/internal/standin"
 )
 
-func TestWritesAreHeldAsTheyCome(t *testing.T) {
-	v := newVoter("v1")
-	f, _ := begin(t, quick, v)
-	if h := f.Held("plan"); h.Epoch != 0 {
-		t.Errorf("holds %+v", h)
+func TestFollower_cachesWritesAsTheyCome(t *testing.T) {
+	v := newFakeSource("v1")
+	f, _ := startFollower(t, quickTiming, v)
+	if held := f.Cached("plan"); held.Epoch != 0 {
+		t.Errorf("holds %+v", held)
 	}
 	for epoch := uint64(1); epoch < 4; epoch++ {
 		changed := f.Changed()
-		v.write("plan", epoch, fmt.Sprint(epoch))
+		v.set("plan", epoch, fmt.Sprint(epoch))
 		standin.Eventually(t, "the write", func() bool {
 			<-changed
 			changed = f.Changed()
-			return f.Held("plan").Epoch == epoch
+			return f.Cached("plan").Epoch == epoch
 		})
 	}
-	if h := f.Held("plan"); string(h.Value) != "3" || h.Until <= f.Now() {
-		t.Errorf("holds %+v at %v", h, f.Now())
+	if held := f.Cached("plan"); string(held.Value) != "3" || held.LeaseEnd <= f.Now() {
+		t.Errorf("holds %+v at %v", held, f.Now())
 	}
 	// A table that was never written is held as such, with a lease of its own.
-	if h := f.Held("debts"); h.Epoch != 0 || h.Until <= f.Now() {
-		t.Errorf("holds %+v at %v", h, f.Now())
+	if held := f.Cached("debts"); held.Epoch != 0 || held.LeaseEnd <= f.Now() {
+		t.Errorf("holds %+v at %v", held, f.Now())
 	}
 }
 
 // A process cut off from all voters: its lease ends in time, it says so once, and once when it is back.
-func TestCutOffLeaseEndsInTimeAndIsSaidOnce(t *testing.T) {
-	one, two := newVoter("v1"), newVoter("v2")
-	one.write("plan", 1, "x")
-	two.write("plan", 1, "x")
-	f, said := begin(t, quick, one, two)
-	standin.Eventually(t, "the plan", func() bool { return f.Held("plan").Epoch == 1 })
-	one.cut.Store(true)
-	two.cut.Store(true)
+func TestFollower_isolatedLeaseExpiresInTimeAndIsLoggedOnce(t *testing.T) {
+	one, two := newFakeSource("v1"), newFakeSource("v2")
+	one.set("plan", 1, "x")
+	two.set("plan", 1, "x")
+	f, logs := startFollower(t, quickTiming, one, two)
+	standin.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 1 })
+	one.isolated.Store(true)
+	two.isolated.Store(true)
 	cut := f.Now()
 	changed := f.Changed()
-	standin.Eventually(t, "the end of the lease", func() bool { return lines(said, "its lease is over") == 1 })
+	standin.Eventually(t, "the end of the lease", func() bool { return countLines(logs, "its lease is over") == 1 })
 	<-changed
-	h := f.Held("plan")
-	if h.Epoch != 1 || h.Until > f.Now() || h.Until > cut+quick.Lease {
-		t.Errorf("cut off at %v, held %+v", cut, h)
-	}
-	time.Sleep(quick.Lease) // it is said once, not each time
-	one.cut.Store(false)
-	standin.Eventually(t, "the lease again", func() bool { return lines(said, "confirmed again") == 1 && f.Held("plan").Until > f.Now() })
-	if n := lines(said, "its lease is over"); n != 1 {
+	held := f.Cached("plan")
+	if held.Epoch != 1 || held.LeaseEnd > f.Now() || held.LeaseEnd > cut+quickTiming.Lease {
+		t.Errorf("cut off at %v, held %+v", cut, held)
+	}
+	time.Sleep(quickTiming.Lease) // it is said once, not each time
+	one.isolated.Store(false)
+	standin.Eventually(t, "the lease again", func() bool { return countLines(logs, "confirmed again") == 1 && f.Cached("plan").LeaseEnd > f.Now() })
+	if n := countLines(logs, "its lease is over"); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 }
 
 // A voter fails: the next takes over within the lease, and what is counted there is a session of its own.
-func TestNextVoterTakesOverWithinTheLease(t *testing.T) {
-	one, two := newVoter("v1"), newVoter("v2")
-	f, said := begin(t, quick, one, two)
+func TestFollower_nextVoterTakesOverWithinTheLease(t *testing.T) {
+	one, two := newFakeSource("v1"), newFakeSource("v2")
+	f, logs := startFollower(t, quickTiming, one, two)
 	var n atomic.Uint64
-	f.Witness(func(add func(string, uint64)) { add("pushes", n.Add(1)) })
-	f.WitnessExact(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
-	standin.Eventually(t, "digests", func() bool { return len(one.told()) > 2 && f.Held(GroupTable).Epoch == 1 })
-	one.cut.Store(true)
-	standin.Eventually(t, "digests at the other", func() bool { return len(two.told()) > 2 })
-	time.Sleep(2 * quick.Lease)
-	if lines(said, "lease is over") > 0 || f.Held(GroupTable).Until <= f.Now() {
+	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", n.Add(1)) })
+	f.RegisterExactCounters(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
+	standin.Eventually(t, "digests", func() bool { return len(one.received()) > 2 && f.Cached(GroupTable).Epoch == 1 })
+	one.isolated.Store(true)
+	standin.Eventually(t, "digests at the other", func() bool { return len(two.received()) > 2 })
+	time.Sleep(2 * quickTiming.Lease)
+	if countLines(logs, "lease is over") > 0 || f.Cached(GroupTable).LeaseEnd <= f.Now() {
 		t.Error("the lease ended")
 	}
-	all := append(one.told(), two.told()...)
+	all := append(one.received(), two.received()...)
 	for i, d := range all[1:] {
 		was := all[i]
 		if d.Serial <= was.Serial || d.Counts["pushes"] <= was.Counts["pushes"] || d.Exact["owed"] != 8 ||
@@ -91,15 +91,15 @@
 }
 
 // A voter that sleeps answers nothing, and does not hang up either. Whoever asks what is held does not wait for it.
-func TestNobodyWaitsForAVoter(t *testing.T) {
-	f := New("g1", 3, []Source{asleep{}}, Timing{Lease: time.Hour, DigestEvery: time.Millisecond}, Boot, zap.NewNop())
-	f.Witness(func(add func(string, uint64)) { add("pushes", 1) })
+func TestFollower_lookupsNeverWaitForAVoter(t *testing.T) {
+	f := New("g1", 3, []Source{silentSource{}}, Timing{Lease: time.Hour, DigestInterval: time.Millisecond}, SystemUptime, zap.NewNop())
+	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", 1) })
 	ctx, end := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { f.Run(ctx) })
 	began := time.Now()
 	for range 100_000 {
-		f.Held("plan")
+		f.Cached("plan")
 		f.Changed()
 	}
 	if took := time.Since(began); took > 5*time.Second {
@@ -109,38 +109,38 @@
 	done.Wait()
 }
 
-type asleep struct{}
+type silentSource struct{}
 
-func (asleep) Name() string { return "asleep" }
-func (asleep) Tell(ctx context.Context, _ evidence.Digest) error {
+func (silentSource) Name() string { return "asleep" }
+func (silentSource) SendDigest(ctx context.Context, _ evidence.Digest) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (asleep) Read(ctx context.Context, _ map[string]uint64, _ time.Duration) (Answer, error) {
+func (silentSource) Read(ctx context.Context, _ map[string]uint64, _ time.Duration) (ReadResult, error) {
 	<-ctx.Done()
-	return Answer{}, ctx.Err()
+	return ReadResult{}, ctx.Err()
 }
 
 // Voters that lost all disks begin their epochs anew: a plan held from before must not look confirmed by them.
-func TestTablesOfAnotherBeginningAreNotTaken(t *testing.T) {
-	one, two := newVoter("v1"), newVoter("v2")
-	one.write("plan", 5, "old")
-	f, said := begin(t, quick, one, two)
-	standin.Eventually(t, "the plan", func() bool { return f.Held("plan").Epoch == 5 })
-	two.group = []byte("h")
-	two.write("plan", 2, "new")
-	one.cut.Store(true)
-	standin.Eventually(t, "a word on it", func() bool { return lines(said, "began anew") == 1 && lines(said, "its lease is over") == 1 })
-	if h := f.Held("plan"); h.Epoch != 5 || h.Until > f.Now() {
-		t.Errorf("holds %+v at %v", h, f.Now())
+func TestFollower_tablesOfAnotherGroupAreRejected(t *testing.T) {
+	one, two := newFakeSource("v1"), newFakeSource("v2")
+	one.set("plan", 5, "old")
+	f, logs := startFollower(t, quickTiming, one, two)
+	standin.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 5 })
+	two.groupID = []byte("h")
+	two.set("plan", 2, "new")
+	one.isolated.Store(true)
+	standin.Eventually(t, "a word on it", func() bool { return countLines(logs, "began anew") == 1 && countLines(logs, "its lease is over") == 1 })
+	if held := f.Cached("plan"); held.Epoch != 5 || held.LeaseEnd > f.Now() {
+		t.Errorf("holds %+v at %v", held, f.Now())
 	}
 }
 
 // A fleet is spread over the voters.
-func TestFleetIsSpreadOverVoters(t *testing.T) {
+func TestPreferenceOrder_spreadsProcessesOverVoters(t *testing.T) {
 	first := map[string]int{}
 	for i := range 3000 {
-		order := Order(fmt.Sprintf("gateway-%d", i), []Source{newVoter("a"), newVoter("b"), newVoter("c")})
+		order := PreferenceOrder(fmt.Sprintf("gateway-%d", i), []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c")})
 		first[order[0].Name()]++
 		if len(order) != 3 || order[0].Name() == order[1].Name() || order[1].Name() == order[2].Name() {
 			t.Fatalf("order %v", order)
@@ -154,20 +154,20 @@
 }
 
 // Voters that are slow get fewer digests, and as many as before soon after they are quick again.
-func TestDigestsGiveWayToSlowVoters(t *testing.T) {
-	pace := 1.0
+func TestNextSlowdown_backsOffFromSlowVotersAndRecovers(t *testing.T) {
+	slowdown := 1.0
 	for range 100 {
-		if next := nextPace(pace, true); next < pace || next > paceMost {
-			t.Fatalf("%g after %g", next, pace)
+		if next := nextSlowdown(slowdown, true); next < slowdown || next > maxSlowdown {
+			t.Fatalf("%g after %g", next, slowdown)
 		} else {
-			pace = next
+			slowdown = next
 		}
 	}
 	n := 0
-	for ; pace > 1; n++ {
-		pace = nextPace(pace, false)
+	for ; slowdown > 1; n++ {
+		slowdown = nextSlowdown(slowdown, false)
 	}
-	if n > 25 || nextPace(1, false) != 1 {
+	if n > 25 || nextSlowdown(1, false) != 1 {
 		t.Errorf("%d quick ones until as often as before", n)
 	}
 }
--- a/internal/cluster/follow/golden_test.go
+++ b/internal/cluster/follow/golden_test.go
@@ -14,25 +14,25 @@
 // The first digest that a follower sends has the bytes that it had before.
 func TestGolden_firstDigest(t *testing.T) {
 	const want = "a60162673102030301060004a16670757368657319012c05a1646f77656408"
-	v := newVoter("v1")
-	f, _ := begin(t, Timing{Lease: quick.Lease, DigestEvery: quick.Lease}, v)
-	f.Witness(func(add func(string, uint64)) { add("pushes", 300) })
-	f.WitnessExact(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
-	standin.Eventually(t, "a digest", func() bool { return len(v.told()) > 0 })
-	got, err := cbor.Marshal(v.told()[0])
+	v := newFakeSource("v1")
+	f, _ := startFollower(t, Timing{Lease: quickTiming.Lease, DigestInterval: quickTiming.Lease}, v)
+	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", 300) })
+	f.RegisterExactCounters(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
+	standin.Eventually(t, "a digest", func() bool { return len(v.received()) > 0 })
+	got, err := cbor.Marshal(v.received()[0])
 	if err != nil || hex.EncodeToString(got) != want {
 		t.Errorf("%v, %x", err, got)
 	}
 }
 
 // The order in which processes take the voters is that of before: a fleet half of which is new is spread as one.
-func TestGolden_orderOfVoters(t *testing.T) {
-	sources := []Source{newVoter("a"), newVoter("b"), newVoter("c"), newVoter("d"), newVoter("e")}
+func TestGolden_preferenceOrder(t *testing.T) {
+	sources := []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c"), newFakeSource("d"), newFakeSource("e")}
 	var got []string
 	for i := range 10 {
 		name := ""
-		for _, s := range Order(fmt.Sprint("gateway-", i), sources) {
-			name += s.Name()
+		for _, source := range PreferenceOrder(fmt.Sprint("gateway-", i), sources) {
+			name += source.Name()
 		}
 		got = append(got, name)
 	}
--- a/internal/cluster/follow/held.go
+++ b/internal/cluster/follow/held.go
@@ -8,81 +8,83 @@
 	"harrierhoist/internal/cluster/tables"
 )
 
-// shelf is what a process holds of the tables. It takes answers in any order, late or doubled ones too.
-type shelf struct {
-	mu      sync.RWMutex
-	held    map[string]cluster.Held
-	rest    time.Duration // until when it is confirmed that tables not held were never written
-	changed chan struct{}
+// tableCache is what a process holds of the tables. It takes answers in any order, late or doubled ones too.
+type tableCache struct {
+	mu             sync.RWMutex
+	tables         map[string]cluster.CachedTable
+	confirmedUntil time.Duration // until when it is confirmed that tables not held were never written
+	changed        chan struct{}
 }
 
-func newShelf() *shelf { return &shelf{held: map[string]cluster.Held{}, changed: make(chan struct{})} }
+func newTableCache() *tableCache {
+	return &tableCache{tables: map[string]cluster.CachedTable{}, changed: make(chan struct{})}
+}
 
-// known are the epochs held.
-func (s *shelf) known() map[string]uint64 {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	known := make(map[string]uint64, len(s.held))
-	for name, h := range s.held {
-		known[name] = h.Epoch
+// knownEpochs are the epochs held.
+func (c *tableCache) knownEpochs() map[string]uint64 {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	known := make(map[string]uint64, len(c.tables))
+	for name, held := range c.tables {
+		known[name] = held.Epoch
 	}
 	return known
 }
 
-// take takes the answer to a read, and holds all until a time that counts from when it was sent. An epoch never goes
+// merge takes the answer to a read, and holds all until a time that counts from when it was sent. An epoch never goes
 // back, nor does a lease. An answer that knows less than is held confirms it all the same: what is held was written
 // after that answer was confirmed, so after the read was sent.
-func (s *shelf) take(answer map[string]tables.Entry, until time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	news := until > s.rest && s.rest == 0
+func (c *tableCache) merge(answer map[string]tables.Table, until time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	changed := until > c.confirmedUntil && c.confirmedUntil == 0
 	for name, e := range answer {
-		if h := s.held[name]; e.Epoch > h.Epoch {
-			s.held[name] = cluster.Held{Table: name, Epoch: e.Epoch, Value: e.Value}
-			news = true
+		if held := c.tables[name]; e.Epoch > held.Epoch {
+			c.tables[name] = cluster.CachedTable{Name: name, Epoch: e.Epoch, Value: e.Value}
+			changed = true
 		}
 	}
-	s.rest = max(s.rest, until)
-	for name, h := range s.held {
-		h.Until = s.rest
-		s.held[name] = h
+	c.confirmedUntil = max(c.confirmedUntil, until)
+	for name, held := range c.tables {
+		held.LeaseEnd = c.confirmedUntil
+		c.tables[name] = held
 	}
-	if news {
-		s.tell()
+	if changed {
+		c.wakeWaiters()
 	}
 }
 
-// tell wakes those who wait for a change. The lock is held.
-func (s *shelf) tell() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+// wakeWaiters wakes those who wait for a change. The lock is held.
+func (c *tableCache) wakeWaiters() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// turn wakes them because a lease ended or came back.
-func (s *shelf) turn() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tell()
+// notifyLeaseChange wakes them because a lease ended or came back.
+func (c *tableCache) notifyLeaseChange() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wakeWaiters()
 }
 
-func (s *shelf) get(table string) cluster.Held {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	if h, ok := s.held[table]; ok {
-		return h
+func (c *tableCache) get(table string) cluster.CachedTable {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	if held, ok := c.tables[table]; ok {
+		return held
 	}
-	return cluster.Held{Table: table, Until: s.rest}
+	return cluster.CachedTable{Name: table, LeaseEnd: c.confirmedUntil}
 }
 
-func (s *shelf) wait() <-chan struct{} {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	return s.changed
+func (c *tableCache) nextChange() <-chan struct{} {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.changed
 }
 
-// until is when the latest confirmation ends.
-func (s *shelf) until() time.Duration {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	return s.rest
+// leaseEnd is when the latest confirmation ends.
+func (c *tableCache) leaseEnd() time.Duration {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.confirmedUntil
 }
--- a/internal/cluster/follow/house_test.go
+++ b/internal/cluster/follow/house_test.go
@@ -18,40 +18,40 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// voter is a source that can be cut off.
-type voter struct {
-	name  string
-	group []byte
-	cut   atomic.Bool
+// fakeSource is a source that can be cut off.
+type fakeSource struct {
+	name     string
+	groupID  []byte
+	isolated atomic.Bool
 
 	mu      sync.Mutex
-	tables  map[string]tables.Entry
-	news    chan struct{}
+	tables  map[string]tables.Table
+	changed chan struct{}
 	digests []evidence.Digest
 	reads   int
 }
 
-var errCut = errors.New("cut off")
+var errIsolated = errors.New("cut off")
 
-func newVoter(name string) *voter {
-	v := &voter{name: name, group: []byte("g"), tables: map[string]tables.Entry{}, news: make(chan struct{})}
-	v.write(GroupTable, 1, "g")
+func newFakeSource(name string) *fakeSource {
+	v := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]tables.Table{}, changed: make(chan struct{})}
+	v.set(GroupTable, 1, "g")
 	return v
 }
 
-func (v *voter) Name() string { return v.name }
+func (v *fakeSource) Name() string { return v.name }
 
-func (v *voter) write(table string, epoch uint64, value string) {
+func (v *fakeSource) set(table string, epoch uint64, value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tables[table] = tables.Entry{Epoch: epoch, Value: []byte(value)}
-	close(v.news)
-	v.news = make(chan struct{})
+	v.tables[table] = tables.Table{Epoch: epoch, Value: []byte(value)}
+	close(v.changed)
+	v.changed = make(chan struct{})
 }
 
-func (v *voter) Tell(_ context.Context, d evidence.Digest) error {
-	if v.cut.Load() {
-		return errCut
+func (v *fakeSource) SendDigest(_ context.Context, d evidence.Digest) error {
+	if v.isolated.Load() {
+		return errIsolated
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -59,60 +59,60 @@
 	return nil
 }
 
-func (v *voter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (Answer, error) {
+func (v *fakeSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (ReadResult, error) {
 	v.mu.Lock()
 	v.reads++
 	v.mu.Unlock()
 	for end := time.After(wait); ; {
 		v.mu.Lock()
-		found, news := map[string]tables.Entry{}, v.news
+		found, changed := map[string]tables.Table{}, v.changed
 		for name, e := range v.tables {
 			if e.Epoch > known[name] {
 				found[name] = e
 			}
 		}
 		v.mu.Unlock()
-		if v.cut.Load() {
-			return Answer{}, errCut
+		if v.isolated.Load() {
+			return ReadResult{}, errIsolated
 		}
 		if len(found) > 0 {
-			return Answer{Tables: found, Group: v.group}, nil
+			return ReadResult{Tables: found, GroupID: v.groupID}, nil
 		}
 		select {
 		case <-end:
-			return Answer{Group: v.group}, nil
-		case <-news:
+			return ReadResult{GroupID: v.groupID}, nil
+		case <-changed:
 		case <-ctx.Done():
-			return Answer{}, ctx.Err()
+			return ReadResult{}, ctx.Err()
 		}
 	}
 }
 
-// told gives the digests so far.
-func (v *voter) told() []evidence.Digest {
+// received gives the digests so far.
+func (v *fakeSource) received() []evidence.Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]evidence.Digest{}, v.digests...)
 }
 
-// quick is a timing for tests: a lease of 400 ms.
-var quick = Timing{Lease: 400 * time.Millisecond, DigestEvery: 20 * time.Millisecond}
+// quickTiming is a timing for tests: a lease of 400 ms.
+var quickTiming = Timing{Lease: 400 * time.Millisecond, DigestInterval: 20 * time.Millisecond}
 
-// begin runs a follower until the test ends.
-func begin(t *testing.T, timing Timing, voters ...*voter) (*Follower, *observer.ObservedLogs) {
-	core, said := observer.New(zap.InfoLevel)
+// startFollower runs a follower until the test ends.
+func startFollower(t *testing.T, timing Timing, fakes ...*fakeSource) (*Follower, *observer.ObservedLogs) {
+	core, logs := observer.New(zap.InfoLevel)
 	var sources []Source
-	for _, v := range voters {
+	for _, v := range fakes {
 		sources = append(sources, v)
 	}
-	f := New("g1", 3, sources, timing, Boot, zap.New(core))
+	f := New("g1", 3, sources, timing, SystemUptime, zap.New(core))
 	ctx, end := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { f.Run(ctx) })
 	t.Cleanup(func() { end(); done.Wait() })
-	return f, said
+	return f, logs
 }
 
-func lines(said *observer.ObservedLogs, text string) int {
-	return said.FilterMessageSnippet(text).Len()
+func countLines(logs *observer.ObservedLogs, text string) int {
+	return logs.FilterMessageSnippet(text).Len()
 }
--- a/internal/cluster/follow/watch.go
+++ b/internal/cluster/follow/watch.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	backWithin = 32              // the part of a lease within which it is seen that it is back
-	heldEvery  = 5 * time.Second // between two lines on what is held: a table may change every second
+	leasePollDivisor = 32              // the part of a lease within which it is seen that it is back
+	epochLogInterval = 5 * time.Second // between two lines on what is held: a table may change every second
 )
 
-// watch says once when the lease is over and once when it is back, and wakes those who hold tables.
-func (f *Follower) watch(ctx context.Context) {
+// watchLease says once when the lease is over and once when it is back, and wakes those who hold tables.
+func (f *Follower) watchLease(ctx context.Context) {
 	began := f.clock()
 	over := false
 	for {
-		_, _, timing := f.source()
-		until := f.shelf.until()
+		_, _, timing := f.currentSource()
+		until := f.cache.leaseEnd()
 		left := max(until, began+timing.Lease) - f.clock()
 		switch {
 		case left <= 0 && !over:
 			over = true
-			f.log.Warn("no voter confirms what is held in common: its lease is over", zap.Bool("ever", until > 0))
-			f.shelf.turn()
+			f.logger.Warn("no voter confirms what is held in common: its lease is over", zap.Bool("ever", until > 0))
+			f.cache.notifyLeaseChange()
 		case left > 0 && over:
 			over = false
-			f.log.Info("what is held in common is confirmed again")
-			f.shelf.turn()
+			f.logger.Info("what is held in common is confirmed again")
+			f.cache.notifyLeaseChange()
 		}
-		next := timing.Lease / backWithin
+		next := timing.Lease / leasePollDivisor
 		if left > 0 {
 			next = left
 		}
-		if !pause(ctx, next) {
+		if !sleep(ctx, next) {
 			return
 		}
 	}
 }
 
-// sayHeld says which tables are held, by epoch, after they changed.
-func (f *Follower) sayHeld(ctx context.Context) {
-	said := map[string]uint64{}
+// logEpochs says which tables are held, by epoch, after they changed.
+func (f *Follower) logEpochs(ctx context.Context) {
+	logged := map[string]uint64{}
 	for {
 		changed := f.Changed()
-		if known := f.shelf.known(); !maps.Equal(known, said) {
-			said = known
-			f.log.Info("held in common", zap.Any("epochs", known))
-			if !pause(ctx, heldEvery) {
+		if known := f.cache.knownEpochs(); !maps.Equal(known, logged) {
+			logged = known
+			f.logger.Info("held in common", zap.Any("epochs", known))
+			if !sleep(ctx, epochLogInterval) {
 				return
 			}
 		}
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -9,8 +9,8 @@
 )
 
 // What processes of the version before send each other must stay readable, and what they read must stay what is sent.
-func TestGoldenEncodingOfMembersAndStatus(t *testing.T) {
-	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", Disk: "00112233445566778899aabbccddeeff"}
+func TestGolden_memberAndStatus(t *testing.T) {
+	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", DiskID: "00112233445566778899aabbccddeeff"}
 	for name, c := range map[string]struct {
 		value, into any
 		want        string
--- a/internal/cluster/link/address.go
+++ b/internal/cluster/link/address.go
@@ -8,32 +8,32 @@
 	"syscall"
 )
 
-// Plain says where links may go: they are plain, so they stay on loopback unless the network is said to be private.
-type Plain struct {
+// Network says where links may go: they are plain, so they stay on loopback unless the network is said to be private.
+type Network struct {
 	// Private is the operators' word that nobody else is on the network: process.private_network of their file.
 	Private bool
 }
 
 // Listen opens a voter's listener. An address other than loopback is refused unless the network is private.
-func (p Plain) Listen(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
+func (n Network) Listen(address string) (net.Listener, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.refuse(l.Addr().String()); err != nil {
-		_ = l.Close()
+	if err := n.checkAddress(listener.Addr().String()); err != nil {
+		_ = listener.Close()
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
 
-// refuse gives an error for an address, already looked up, that links may not go to.
-func (p Plain) refuse(address string) error {
+// checkAddress gives an error for an address, already looked up, that links may not go to.
+func (n Network) checkAddress(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return err
 	}
-	if !p.Private && !at.Addr().Unmap().IsLoopback() {
+	if !n.Private && !at.Addr().Unmap().IsLoopback() {
 		return fmt.Errorf("%s is not a loopback address: links are plain, and go there only where "+
 			"process.private_network = true", address)
 	}
@@ -41,9 +41,9 @@
 }
 
 // dialer dials what it may. A name is judged by what it stands for at each dial.
-func (p Plain) dialer() func(ctx context.Context, network, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialWithin, Control: func(_, address string, _ syscall.RawConn) error {
-		return p.refuse(address)
+func (n Network) dialer() func(ctx context.Context, network, address string) (net.Conn, error) {
+	d := net.Dialer{Timeout: dialTimeout, Control: func(_, address string, _ syscall.RawConn) error {
+		return n.checkAddress(address)
 	}}
 	return d.DialContext
 }
--- a/internal/cluster/link/bench_test.go
+++ b/internal/cluster/link/bench_test.go
@@ -9,52 +9,52 @@
 )
 
 // what a gateway that pushes to six halls tells.
-func told(serial uint64) []evidence.Digest {
+func zoneDigest(serial uint64) []evidence.Digest {
 	d := evidence.Digest{Process: "g1", Incarnation: 1, Serial: serial, Counts: map[string]uint64{}}
 	for hall := range 6 {
 		for of := range 8 {
-			d.Counts[evidence.Name("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of))] = serial * uint64(of)
+			d.Counts[evidence.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of))] = serial * uint64(of)
 		}
 	}
 	return []evidence.Digest{d}
 }
 
-func BenchmarkDigestTaken(b *testing.B) {
-	body, _ := encoding.Marshal(told(1))
+func BenchmarkDigest_decode(b *testing.B) {
+	body, _ := encoding.Marshal(zoneDigest(1))
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		var all []evidence.Digest
-		if err := take(bytes.NewReader(body), int64(len(body)), bodyMost, sum(body), &all); err != nil {
+		var digests []evidence.Digest
+		if err := readBody(bytes.NewReader(body), int64(len(body)), maxBodyBytes, checksum(body), &digests); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkDigestMerged(b *testing.B) {
-	book := evidence.NewBook()
-	d := told(1)[0]
+func BenchmarkDigest_merge(b *testing.B) {
+	merger := evidence.NewMerger()
+	d := zoneDigest(1)[0]
 	for b.Loop() {
 		d.Serial++
-		book.Take(d)
+		merger.Add(d)
 	}
 }
 
-func BenchmarkDigestMade(b *testing.B) {
-	d := told(1)
+func BenchmarkDigest_encode(b *testing.B) {
+	d := zoneDigest(1)
 	for b.Loop() {
 		_, _ = encoding.Marshal(d)
 	}
 }
 
-func BenchmarkDigestCalled(b *testing.B) {
-	l, _ := Plain{}.Listen("127.0.0.1:0")
-	s := Serve(l, house{newMemory()}, 16, nil)
+func BenchmarkDigest_call(b *testing.B) {
+	listener, _ := Network{}.Listen("127.0.0.1:0")
+	s := Serve(listener, fakeHost{newFakeVoter()}, 16, nil)
 	defer s.Close()
-	c := NewClient(Plain{}, 2)
+	c := NewClient(Network{}, 2)
 	defer c.Close()
 	for b.Loop() {
-		if err := c.Digests(b.Context(), l.Addr().String(), told(1)); err != nil {
+		if err := c.Digests(b.Context(), listener.Addr().String(), zoneDigest(1)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/cluster/link/client.go
+++ b/internal/cluster/link/client.go
@@ -19,11 +19,11 @@
 }
 
 // NewClient makes a client that opens at most so many connections to each voter.
-func NewClient(plain Plain, each int) *Client {
+func NewClient(network Network, each int) *Client {
 	return &Client{http.Client{
-		Transport: &http.Transport{DialContext: plain.dialer(), MaxConnsPerHost: each, MaxIdleConnsPerHost: each,
-			IdleConnTimeout:    idleMost / 2, // before the other end closes it: a call sent into a closing one is lost
-			DisableCompression: true, MaxResponseHeaderBytes: headMost},
+		Transport: &http.Transport{DialContext: network.dialer(), MaxConnsPerHost: each, MaxIdleConnsPerHost: each,
+			IdleConnTimeout:    idleTimeout / 2, // before the other end closes it: a call sent into a closing one is lost
+			DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -32,69 +32,69 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // call sends a body and takes the answer, both where there are any.
-func (c *Client) call(ctx context.Context, within time.Duration, method, address, path string, ask, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, address, path string, request, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var text []byte
-	if ask != nil {
+	var body []byte
+	if request != nil {
 		var err error
-		if text, err = encoding.Marshal(ask); err != nil {
+		if body, err = encoding.Marshal(request); err != nil {
 			return err
 		}
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	r.GetBody = nil // the client's own second try of a call: a proposal would be repeated unseen
-	r.Header.Set(headerSum, sum(text))
+	r.Header.Set(headerChecksum, checksum(body))
 	r.Header.Set("User-Agent", "") // short
-	got, err := c.http.Do(r)
+	response, err := c.http.Do(r)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		_, _ = io.CopyN(io.Discard, got.Body, 1<<10) // so that the connection can be used again
-		_ = got.Body.Close()
+		_, _ = io.CopyN(io.Discard, response.Body, 1<<10) // so that the connection can be used again
+		_ = response.Body.Close()
 	}()
 	switch {
-	case got.StatusCode == http.StatusNoContent && answer == nil:
+	case response.StatusCode == http.StatusNoContent && result == nil:
 		return nil
-	case got.StatusCode != http.StatusOK || answer == nil:
-		why, _ := io.ReadAll(io.LimitReader(got.Body, 200))
-		return fmt.Errorf("%s%s: status %d: %s", address, path, got.StatusCode, bytes.TrimSpace(why))
+	case response.StatusCode != http.StatusOK || result == nil:
+		why, _ := io.ReadAll(io.LimitReader(response.Body, 200))
+		return fmt.Errorf("%s%s: status %d: %s", address, path, response.StatusCode, bytes.TrimSpace(why))
 	}
-	return take(got.Body, got.ContentLength, bodyMost, got.Header.Get(headerSum), answer)
+	return readBody(response.Body, response.ContentLength, maxBodyBytes, response.Header.Get(headerChecksum), result)
 }
 
-// Standing asks a voter what it is. It may be repeated.
-func (c *Client) Standing(ctx context.Context, address string) (Standing, error) {
-	var s Standing
-	err := c.call(ctx, dialWithin+slack, http.MethodGet, address, pathStanding, nil, &s)
-	return s, err
+// Info asks a voter what it is. It may be repeated.
+func (c *Client) Info(ctx context.Context, address string) (VoterInfo, error) {
+	var info VoterInfo
+	err := c.call(ctx, dialTimeout+responseGrace, http.MethodGet, address, pathInfo, nil, &info)
+	return info, err
 }
 
 // Digests tells a voter what processes saw. It may be repeated.
-func (c *Client) Digests(ctx context.Context, address string, all []evidence.Digest) error {
-	return c.call(ctx, dialWithin+slack, http.MethodPost, address, pathDigests, all, nil)
+func (c *Client) Digests(ctx context.Context, address string, digests []evidence.Digest) error {
+	return c.call(ctx, dialTimeout+responseGrace, http.MethodPost, address, pathDigests, digests, nil)
 }
 
 // Read is cluster.Voter's, of the voter at an address, with the mark of the tables' beginning. It may be repeated.
 func (c *Client) Read(ctx context.Context, address string, known map[string]uint64, wait time.Duration) (
-	found map[string]tables.Entry, group []byte, err error) {
-	var a Answer
-	if err := c.call(ctx, wait+slack, http.MethodPost, address, pathRead, Question{known, wait}, &a); err != nil {
+	found map[string]tables.Table, group []byte, err error) {
+	var response Response
+	if err := c.call(ctx, wait+responseGrace, http.MethodPost, address, pathRead, ReadRequest{known, wait}, &response); err != nil {
 		return nil, nil, err
 	}
-	return a.Tables, a.Group, heard(a.Fault)
+	return response.Tables, response.GroupID, decodeError(response.Error)
 }
 
 // Propose is cluster.Voter's, of the voter at an address. After an error other than cluster.ErrNotLeader the command
 // may be written all the same: it may be proposed again under the same number, and under no other.
 func (c *Client) Propose(ctx context.Context, address string, command tables.Command) (tables.Result, error) {
-	var a Answer
-	if err := c.call(ctx, proposeMost+slack, http.MethodPost, address, pathPropose, command, &a); err != nil {
+	var response Response
+	if err := c.call(ctx, proposeTimeout+responseGrace, http.MethodPost, address, pathPropose, command, &response); err != nil {
 		return tables.Result{}, err
 	}
-	return a.Result, heard(a.Fault)
+	return response.Result, decodeError(response.Error)
 }
--- a/internal/cluster/link/golden_http_test.go
+++ b/internal/cluster/link/golden_http_test.go
@@ -25,33 +25,33 @@
 // goldenVoter answers as the golden responses say, and holds what it was handed.
 type goldenVoter struct {
 	cluster.Voter
-	handed chan any
-	fault  error
+	received chan any
+	err      error
 }
 
-func (v goldenVoter) Step(_ context.Context, message []byte) error {
-	v.handed <- message
+func (v goldenVoter) HandleMessage(_ context.Context, message []byte) error {
+	v.received <- message
 	return errors.New("of no interest to who sent it")
 }
 
-func (v goldenVoter) Propose(_ context.Context, c tables.Command) (tables.Result, error) {
-	v.handed <- c
-	return tables.Result{Applied: true, Epoch: 6}, v.fault
+func (v goldenVoter) Propose(_ context.Context, command tables.Command) (tables.Result, error) {
+	v.received <- command
+	return tables.Result{Applied: true, Epoch: 6}, v.err
 }
 
-func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Entry, error) {
-	v.handed <- Question{Known: known, Wait: wait}
-	return goldenTables(), v.fault
+func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error) {
+	v.received <- ReadRequest{KnownEpochs: known, Wait: wait}
+	return goldenTables(), v.err
 }
 
-func (v goldenVoter) Take(digests []evidence.Digest) { v.handed <- digests }
+func (v goldenVoter) AddDigests(digests []evidence.Digest) { v.received <- digests }
 
 // goldenHost is the process of such a voter.
 type goldenHost struct{ voter cluster.Voter }
 
 func (h goldenHost) Voter() cluster.Voter { return h.voter }
-func (h goldenHost) Standing() Standing   { return goldenStanding() }
-func (h goldenHost) Group() []byte        { return []byte("0123456789abcdef") }
+func (h goldenHost) Info() VoterInfo      { return goldenInfo() }
+func (h goldenHost) GroupID() []byte      { return []byte("0123456789abcdef") }
 
 // exchange reads one HTTP message with its body, and gives its bytes.
 func exchange(t *testing.T, conn net.Conn, read func(*bufio.Reader) (io.ReadCloser, error)) []byte {
@@ -69,32 +69,32 @@
 }
 
 // The calls of a client, with all that stands before their bodies. HOST stands for the address.
-func TestGolden_requestsOfAClient(t *testing.T) {
+func TestGolden_clientRequests(t *testing.T) {
 	for file, call := range map[string]func(c *Client, address string) error{
-		"standing": func(c *Client, at string) error {
-			_, err := c.Standing(t.Context(), at)
+		"standing": func(c *Client, address string) error {
+			_, err := c.Info(t.Context(), address)
 			return err
 		},
-		"messages": func(c *Client, at string) error {
-			return c.call(t.Context(), postWithin, http.MethodPost, at, pathMessages, goldenPost(), nil)
+		"messages": func(c *Client, address string) error {
+			return c.call(t.Context(), batchTimeout, http.MethodPost, address, pathMessages, goldenBatch(), nil)
 		},
-		"digests": func(c *Client, at string) error { return c.Digests(t.Context(), at, goldenDigests()) },
-		"read": func(c *Client, at string) error {
-			_, _, err := c.Read(t.Context(), at, map[string]uint64{"plan": 1 << 20}, 1500*time.Millisecond)
+		"digests": func(c *Client, address string) error { return c.Digests(t.Context(), address, goldenDigests()) },
+		"read": func(c *Client, address string) error {
+			_, _, err := c.Read(t.Context(), address, map[string]uint64{"plan": 1 << 20}, 1500*time.Millisecond)
 			return err
 		},
-		"propose": func(c *Client, at string) error {
-			_, err := c.Propose(t.Context(), at, goldenWrite())
+		"propose": func(c *Client, address string) error {
+			_, err := c.Propose(t.Context(), address, goldenWrite())
 			return err
 		},
 	} {
 		t.Run(file, func(t *testing.T) {
-			listener, err := Plain{}.Listen("127.0.0.1:0")
+			listener, err := Network{}.Listen("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer listener.Close()
-			at, got := listener.Addr().String(), make(chan []byte, 1)
+			address, got := listener.Addr().String(), make(chan []byte, 1)
 			go func() {
 				defer close(got)
 				conn, err := listener.Accept()
@@ -111,10 +111,10 @@
 				})
 				_, _ = io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 			}()
-			if err := call(client(t, Plain{}), at); err == nil || err.Error() != at+"/"+file+": status 503: " {
+			if err := call(newTestClient(t, Network{}), address); err == nil || err.Error() != address+"/"+file+": status 503: " {
 				t.Errorf("the answer is taken as %v", err)
 			}
-			checkGolden(t, file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+at), []byte("Host: HOST")))
+			checkGolden(t, file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST")))
 		})
 	}
 }
@@ -122,13 +122,13 @@
 var dateLine = regexp.MustCompile(`\r\nDate: [^\r]*\r\n`)
 
 // The answers of a server to each call, good or bad, and what it hands to its voter. DATE stands for the time.
-func TestGolden_answersOfAServer(t *testing.T) {
+func TestGolden_serverResponses(t *testing.T) {
 	request := func(file string) string { return string(goldenFile(t, file+".request")) }
 	body := func(file string) string {
 		text := string(goldenFile(t, file))
-		return "Body-Sum: " + sum([]byte(text)) + "\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
+		return "Body-Sum: " + checksum([]byte(text)) + "\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
 	}
-	post := goldenPost()
+	batch := goldenBatch()
 	for _, row := range []struct {
 		file    string // of the answer
 		call    string
@@ -137,10 +137,10 @@
 		missing bool // the voter has not begun
 	}{
 		{file: "standing", call: request("standing")},
-		{file: "messages", call: request("messages"), handed: []any{post.Messages[0], post.Messages[1], post.Messages[2]}},
+		{file: "messages", call: request("messages"), handed: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]}},
 		{file: "digests", call: request("digests"), handed: []any{goldenDigests()}},
-		{file: "read", call: request("read"), handed: []any{goldenQuestion()}},
-		{file: "read-fault", call: request("read"), fault: cluster.ErrNoQuorum, handed: []any{goldenQuestion()}},
+		{file: "read", call: request("read"), handed: []any{goldenReadRequest()}},
+		{file: "read-fault", call: request("read"), fault: cluster.ErrNoQuorum, handed: []any{goldenReadRequest()}},
 		{file: "propose", call: request("propose"), handed: []any{goldenWrite()}},
 		{file: "propose", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-raise.cbor"), handed: []any{goldenRaise()}},
 		{file: "propose-fault", call: request("propose"), handed: []any{goldenWrite()}, fault: cluster.ErrNotLeader},
@@ -153,11 +153,11 @@
 		{file: "no-sum", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\n\r\n\xa0"},
 		{file: "too-long", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 4194305\r\n\r\n"},
 		{file: "no-value", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\nBody-Sum: " +
-			sum([]byte{0xff}) + "\r\n\r\n\xff"},
+			checksum([]byte{0xff}) + "\r\n\r\n\xff"},
 		{file: "no-digest", call: "POST /digests HTTP/1.1\r\nHost: HOST\r\nContent-Length: 2\r\nBody-Sum: " +
-			sum([]byte{0x81, 0xa0}) + "\r\n\r\n\x81\xa0"},
+			checksum([]byte{0x81, 0xa0}) + "\r\n\r\n\x81\xa0"},
 		{file: "no-proposer", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\nBody-Sum: " +
-			sum([]byte{0xa0}) + "\r\n\r\n\xa0"},
+			checksum([]byte{0xa0}) + "\r\n\r\n\xa0"},
 		{file: "no-number", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-unnumbered.cbor")},
 		{file: "no-kind", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-kind.cbor")},
 		{file: "no-call", call: "GET /else HTTP/1.1\r\nHost: HOST\r\n\r\n"},
@@ -165,11 +165,11 @@
 	} {
 		name, _, _ := strings.Cut(row.call, " HTTP")
 		t.Run(row.file+" "+name, func(t *testing.T) {
-			listener, err := Plain{}.Listen("127.0.0.1:0")
+			listener, err := Network{}.Listen("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			voter := goldenVoter{handed: make(chan any, 8), fault: row.fault}
+			voter := goldenVoter{received: make(chan any, 8), err: row.fault}
 			host := goldenHost{voter}
 			if row.missing {
 				host.voter = nil
@@ -193,12 +193,12 @@
 			})
 			checkGolden(t, row.file+".answer", dateLine.ReplaceAll(got, []byte("\r\nDate: DATE\r\n")))
 			server.Close()
-			close(voter.handed)
-			var handed []any
-			for one := range voter.handed {
-				handed = append(handed, one)
+			close(voter.received)
+			var received []any
+			for item := range voter.received {
+				received = append(received, item)
 			}
-			if d := cmp.Diff(row.handed, handed); d != "" {
+			if d := cmp.Diff(row.handed, received); d != "" {
 				t.Error(d)
 			}
 		})
--- a/internal/cluster/link/golden_test.go
+++ b/internal/cluster/link/golden_test.go
@@ -22,25 +22,25 @@
 
 func goldenMembers() []cluster.Member {
 	return []cluster.Member{
-		{Number: 1, Name: "v1", Address: "127.0.0.1:7411", Disk: "00112233445566778899aabbccddeeff"},
+		{Number: 1, Name: "v1", Address: "127.0.0.1:7411", DiskID: "00112233445566778899aabbccddeeff"},
 		{Number: 4, Name: "v4", Address: "[::1]:7414"},
 	}
 }
 
-func goldenStanding() Standing {
-	return Standing{
-		Number: 7, Name: "v7", Mark: "ffeeddccbbaa99887766554433221100", Begun: true, Incarnation: 1764633600123456789,
+func goldenInfo() VoterInfo {
+	return VoterInfo{
+		Number: 7, Name: "v7", DiskID: "ffeeddccbbaa99887766554433221100", Started: true, Incarnation: 1764633600123456789,
 		Status:  cluster.Status{Number: 7, Leader: 4, Term: 19, Applied: 1 << 33, Members: goldenMembers()},
-		Address: "127.0.0.1:7417", First: goldenMembers()[:1],
+		Address: "127.0.0.1:7417", InitialMembers: goldenMembers()[:1],
 	}
 }
 
-func goldenPost() Post {
-	return Post{To: 7, Messages: [][]byte{[]byte("first\x00"), {}, bytes.Repeat([]byte{0xfe}, 300)}}
+func goldenBatch() MessageBatch {
+	return MessageBatch{To: 7, Messages: [][]byte{[]byte("first\x00"), {}, bytes.Repeat([]byte{0xfe}, 300)}}
 }
 
-func goldenQuestion() Question {
-	return Question{Known: map[string]uint64{"plan": 1 << 20}, Wait: 1500 * time.Millisecond}
+func goldenReadRequest() ReadRequest {
+	return ReadRequest{KnownEpochs: map[string]uint64{"plan": 1 << 20}, Wait: 1500 * time.Millisecond}
 }
 
 func goldenDigests() []evidence.Digest {
@@ -52,15 +52,15 @@
 }
 
 func goldenWrite() tables.Command {
-	return tables.Command{Kind: tables.Write, By: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff")}
+	return tables.Command{Kind: tables.Write, Proposer: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff")}
 }
 
 func goldenRaise() tables.Command {
-	return tables.Command{Kind: tables.Raise, By: "v1/3", Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 300}}
+	return tables.Command{Kind: tables.RaiseTotals, Proposer: "v1/3", Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 300}}
 }
 
-func goldenTables() map[string]tables.Entry {
-	return map[string]tables.Entry{"plan": {Epoch: 6, Value: []byte("value"), Index: 1234}}
+func goldenTables() map[string]tables.Table {
+	return map[string]tables.Table{"plan": {Epoch: 6, Value: []byte("value"), Index: 1234}}
 }
 
 func goldenFile(t *testing.T, name string) []byte {
@@ -81,31 +81,31 @@
 }
 
 // Each body that processes send each other is read as it was, and written again byte for byte.
-func TestGolden_bodiesAreReadAndWrittenByteForByte(t *testing.T) {
+func TestGolden_bodies(t *testing.T) {
 	for _, row := range []struct {
 		file  string
 		value any
 	}{
-		{"standing", goldenStanding()},
-		{"standing-not-begun", Standing{Number: 2, Name: "v2", Mark: "00", Incarnation: 5, Address: "127.0.0.1:7412"}},
-		{"messages", goldenPost()},
-		{"messages-none", Post{To: 1 << 40}},
+		{"standing", goldenInfo()},
+		{"standing-not-begun", VoterInfo{Number: 2, Name: "v2", DiskID: "00", Incarnation: 5, Address: "127.0.0.1:7412"}},
+		{"messages", goldenBatch()},
+		{"messages-none", MessageBatch{To: 1 << 40}},
 		{"digests", goldenDigests()},
-		{"read-question", goldenQuestion()},
-		{"read-question-first", Question{}},
-		{"read-answer", Answer{Tables: goldenTables(), Group: []byte("0123456789abcdef")}},
-		{"read-answer-nothing", Answer{}},
+		{"read-question", goldenReadRequest()},
+		{"read-question-first", ReadRequest{}},
+		{"read-answer", Response{Tables: goldenTables(), GroupID: []byte("0123456789abcdef")}},
+		{"read-answer-nothing", Response{}},
 		{"propose-write", goldenWrite()},
 		{"propose-raise", goldenRaise()},
-		{"propose-unnumbered", tables.Command{Kind: tables.Write, By: "v1/3", Table: "plan"}},
-		{"propose-kind", tables.Command{Kind: 9, By: "v1/3", Number: 1, Table: "plan"}},
-		{"propose-answer", Answer{Result: tables.Result{Applied: true, Epoch: 6}}},
-		{"propose-answer-fault", Answer{Fault: "not leader"}},
+		{"propose-unnumbered", tables.Command{Kind: tables.Write, Proposer: "v1/3", Table: "plan"}},
+		{"propose-kind", tables.Command{Kind: 9, Proposer: "v1/3", Number: 1, Table: "plan"}},
+		{"propose-answer", Response{Result: tables.Result{Applied: true, Epoch: 6}}},
+		{"propose-answer-fault", Response{Error: "not leader"}},
 	} {
 		t.Run(row.file, func(t *testing.T) {
 			want := goldenFile(t, row.file+".cbor")
 			read := reflect.New(reflect.TypeOf(row.value))
-			if err := take(bytes.NewReader(want), int64(len(want)), bodyMost, sum(want), read.Interface()); err != nil {
+			if err := readBody(bytes.NewReader(want), int64(len(want)), maxBodyBytes, checksum(want), read.Interface()); err != nil {
 				t.Fatal(err)
 			}
 			if d := cmp.Diff(row.value, read.Elem().Interface()); d != "" {
@@ -123,33 +123,33 @@
 }
 
 // The words that stand for a voter's errors on the wire.
-func TestGolden_faultsHaveTheirWords(t *testing.T) {
-	for word, fault := range map[string]error{
+func TestGolden_errorWords(t *testing.T) {
+	for word, wireErr := range map[string]error{
 		"not leader": cluster.ErrNotLeader,
-		"unknown":    cluster.ErrUnknown,
+		"unknown":    cluster.ErrOutcomeUnknown,
 		"no quorum":  cluster.ErrNoQuorum,
 		"stopped":    cluster.ErrStopped,
 		"":           nil,
 	} {
-		if got := said(fault); got != word {
-			t.Errorf("%v is sent as %q, not %q", fault, got, word)
+		if got := encodeError(wireErr); got != word {
+			t.Errorf("%v is sent as %q, not %q", wireErr, got, word)
 		}
-		if got := heard(word); got != fault {
-			t.Errorf("%q is heard as %v, not %v", word, got, fault)
+		if got := decodeError(word); got != wireErr {
+			t.Errorf("%q is heard as %v, not %v", word, got, wireErr)
 		}
 	}
-	if got := said(fmt.Errorf("there: %w", cluster.ErrUnknown)); got != "unknown" {
+	if got := encodeError(fmt.Errorf("there: %w", cluster.ErrOutcomeUnknown)); got != "unknown" {
 		t.Errorf("a wrapped one is sent as %q", got)
 	}
-	if got := said(errors.New("one of its own")); got != "one of its own" || heard(got).Error() != got {
+	if got := encodeError(errors.New("one of its own")); got != "one of its own" || decodeError(got).Error() != got {
 		t.Errorf("another is sent as %q", got)
 	}
 }
 
 // The check sum of a body: 16 hex digits.
-func TestGolden_checkSum(t *testing.T) {
+func TestGolden_checksum(t *testing.T) {
 	for body, want := range map[string]string{"": "ef46db3751d8e999", "harrierhoist": "d741cf924965a240"} {
-		if got := sum([]byte(body)); got != want {
+		if got := checksum([]byte(body)); got != want {
 			t.Errorf("%q: %s, not %s", body, got, want)
 		}
 	}
--- a/internal/cluster/link/house_test.go
+++ b/internal/cluster/link/house_test.go
@@ -18,159 +18,159 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// memory is a voter that holds its tables in memory, and notes what it was handed.
-type memory struct {
+// fakeVoter is a voter that holds its tables in memory, and notes what it was handed.
+type fakeVoter struct {
 	mu       sync.Mutex
 	state    *tables.State
 	index    uint64
 	names    map[string]bool
-	news     chan struct{}
-	steps    [][]byte
+	changed  chan struct{}
+	messages [][]byte
 	digests  []evidence.Digest
 	proposed int
-	fault    error
+	err      error
 }
 
-func newMemory() *memory {
-	return &memory{state: tables.New(), names: map[string]bool{}, news: make(chan struct{})}
+func newFakeVoter() *fakeVoter {
+	return &fakeVoter{state: tables.New(), names: map[string]bool{}, changed: make(chan struct{})}
 }
 
-func (m *memory) Step(_ context.Context, message []byte) error {
+func (m *fakeVoter) HandleMessage(_ context.Context, message []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.steps = append(m.steps, message)
+	m.messages = append(m.messages, message)
 	return nil
 }
 
-func (m *memory) Propose(_ context.Context, c tables.Command) (tables.Result, error) {
+func (m *fakeVoter) Propose(_ context.Context, command tables.Command) (tables.Result, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.proposed++; m.fault != nil {
-		return tables.Result{}, m.fault
+	if m.proposed++; m.err != nil {
+		return tables.Result{}, m.err
 	}
 	m.index++
-	m.names[c.Table] = true
-	close(m.news)
-	m.news = make(chan struct{})
-	return m.state.Apply(m.index, c), nil
+	m.names[command.Table] = true
+	close(m.changed)
+	m.changed = make(chan struct{})
+	return m.state.Apply(m.index, command), nil
 }
 
-func (m *memory) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Entry, error) {
+func (m *fakeVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error) {
 	for end := time.After(wait); ; {
 		m.mu.Lock()
-		found, news, fault := map[string]tables.Entry{}, m.news, m.fault
+		found, changed, wireErr := map[string]tables.Table{}, m.changed, m.err
 		for name := range m.names {
 			if e := m.state.Table(name); e.Epoch > known[name] {
 				found[name] = e
 			}
 		}
 		m.mu.Unlock()
-		if len(found) > 0 || fault != nil {
-			return found, fault
+		if len(found) > 0 || wireErr != nil {
+			return found, wireErr
 		}
 		select {
 		case <-end:
 			return nil, nil
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (m *memory) Take(digests []evidence.Digest) {
+func (m *fakeVoter) AddDigests(digests []evidence.Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.digests = append(m.digests, digests...)
 }
 
-func (m *memory) Change(context.Context, cluster.Member, bool) error { return nil }
-func (m *memory) Status() cluster.Status                             { return cluster.Status{Number: 7, Leader: 7} }
+func (m *fakeVoter) ChangeMembership(context.Context, cluster.Member, bool) error { return nil }
+func (m *fakeVoter) Status() cluster.Status                                       { return cluster.Status{Number: 7, Leader: 7} }
 
-// noted gives what it was handed so far.
-func (m *memory) noted() (steps, digests, proposed int) {
+// received gives what it was handed so far.
+func (m *fakeVoter) received() (steps, digests, proposed int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.steps), len(m.digests), m.proposed
+	return len(m.messages), len(m.digests), m.proposed
 }
 
-// house is the process of a voter.
-type house struct{ voter cluster.Voter }
+// fakeHost is the process of a voter.
+type fakeHost struct{ voter cluster.Voter }
 
-func (h house) Voter() cluster.Voter { return h.voter }
-func (h house) Standing() Standing   { return Standing{Number: 7, Name: "v7", Begun: h.voter != nil} }
-func (h house) Group() []byte        { return []byte("g") }
+func (h fakeHost) Voter() cluster.Voter { return h.voter }
+func (h fakeHost) Info() VoterInfo      { return VoterInfo{Number: 7, Name: "v7", Started: h.voter != nil} }
+func (h fakeHost) GroupID() []byte      { return []byte("g") }
 
-// serve starts a server for a voter on loopback, and gives its address and a client.
-func serve(t *testing.T, v cluster.Voter, most int) (string, *Client) {
+// startServer starts a server for a voter on loopback, and gives its address and a client.
+func startServer(t *testing.T, voter cluster.Voter, maxConnections int) (string, *Client) {
 	t.Helper()
-	l, err := Plain{}.Listen("127.0.0.1:0")
+	listener, err := Network{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(l, house{v}, most, zap.NewNop())
+	s := Serve(listener, fakeHost{voter}, maxConnections, zap.NewNop())
 	t.Cleanup(s.Close)
-	return l.Addr().String(), client(t, Plain{})
+	return listener.Addr().String(), newTestClient(t, Network{})
 }
 
-func client(t *testing.T, plain Plain) *Client {
-	c := NewClient(plain, 2)
+func newTestClient(t *testing.T, network Network) *Client {
+	c := NewClient(network, 2)
 	t.Cleanup(c.Close)
 	return c
 }
 
-func digest(n uint64) evidence.Digest {
+func newDigest(n uint64) evidence.Digest {
 	return evidence.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
 }
 
-func TestCallsReachTheVoter(t *testing.T) {
-	v := newMemory()
-	at, c := serve(t, v, 16)
-	if err := c.Digests(t.Context(), at, []evidence.Digest{digest(5)}); err != nil || !maps.Equal(v.digests[0].Counts, digest(5).Counts) {
-		t.Error(err, v.digests)
+func TestClient_callsReachTheVoter(t *testing.T) {
+	voter := newFakeVoter()
+	address, c := startServer(t, voter, 16)
+	if err := c.Digests(t.Context(), address, []evidence.Digest{newDigest(5)}); err != nil || !maps.Equal(voter.digests[0].Counts, newDigest(5).Counts) {
+		t.Error(err, voter.digests)
 	}
-	write := tables.Command{Kind: tables.Write, By: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
-	read := make(chan map[string]tables.Entry)
+	write := tables.Command{Kind: tables.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
+	read := make(chan map[string]tables.Table)
 	go func() { // it waits for the write
-		found, group, err := c.Read(t.Context(), at, map[string]uint64{"plan": 0}, 5*time.Second)
+		found, group, err := c.Read(t.Context(), address, map[string]uint64{"plan": 0}, 5*time.Second)
 		if err != nil || string(group) != "g" {
 			t.Error(err)
 		}
 		read <- found
 	}()
-	if r, err := c.Propose(t.Context(), at, write); err != nil || !r.Applied || r.Epoch != 1 {
+	if r, err := c.Propose(t.Context(), address, write); err != nil || !r.Applied || r.Epoch != 1 {
 		t.Error(r, err)
 	}
 	if e := (<-read)["plan"]; e.Epoch != 1 || string(e.Value) != "x" {
 		t.Errorf("read %+v", e)
 	}
-	if found, _, err := c.Read(t.Context(), at, map[string]uint64{"plan": 1}, time.Millisecond); err != nil || len(found) > 0 {
+	if found, _, err := c.Read(t.Context(), address, map[string]uint64{"plan": 1}, time.Millisecond); err != nil || len(found) > 0 {
 		t.Errorf("read %v, %v", found, err)
 	}
-	if s, err := c.Standing(t.Context(), at); err != nil || s.Name != "v7" || !s.Begun {
-		t.Error(s, err)
+	if info, err := c.Info(t.Context(), address); err != nil || info.Name != "v7" || !info.Started {
+		t.Error(info, err)
 	}
-	for _, fault := range faults {
-		v.fault = fault
-		if _, err := c.Propose(t.Context(), at, write); err != fault {
-			t.Errorf("%v came as %v", fault, err)
+	for _, wireErr := range wireErrors {
+		voter.err = wireErr
+		if _, err := c.Propose(t.Context(), address, write); err != wireErr {
+			t.Errorf("%v came as %v", wireErr, err)
 		}
-		if _, _, err := c.Read(t.Context(), at, nil, 0); err != fault {
-			t.Errorf("%v came as %v", fault, err)
+		if _, _, err := c.Read(t.Context(), address, nil, 0); err != wireErr {
+			t.Errorf("%v came as %v", wireErr, err)
 		}
 	}
 }
 
 // A voter that waits to begin must not count as one that answers.
-func TestVoterThatHasNotBegunTakesNothing(t *testing.T) {
-	at, c := serve(t, nil, 16)
-	if s, err := c.Standing(t.Context(), at); err != nil || s.Begun {
-		t.Error(s, err)
+func TestServer_voterThatHasNotStartedAcceptsNothing(t *testing.T) {
+	address, c := startServer(t, nil, 16)
+	if info, err := c.Info(t.Context(), address); err != nil || info.Started {
+		t.Error(info, err)
 	}
-	if _, _, err := c.Read(t.Context(), at, nil, 0); err == nil {
+	if _, _, err := c.Read(t.Context(), address, nil, 0); err == nil {
 		t.Error("a read is answered")
 	}
-	if c.Digests(t.Context(), at, []evidence.Digest{digest(1)}) == nil {
+	if c.Digests(t.Context(), address, []evidence.Digest{newDigest(1)}) == nil {
 		t.Error("a digest is taken")
 	}
 }
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -21,37 +21,37 @@
 
 // A body that was spoilt, cut or made without end is refused, and harms nobody: the voter is handed nothing, and the
 // next call is answered.
-func TestSpoiltBodiesAreRefusedAndHarmNobody(t *testing.T) {
-	v := newMemory()
-	at, c := serve(t, v, 16)
-	good, _ := encoding.Marshal([]evidence.Digest{digest(1)})
+func TestServer_malformedBodiesAreRejectedAndHarmNobody(t *testing.T) {
+	voter := newFakeVoter()
+	address, c := startServer(t, voter, 16)
+	good, _ := encoding.Marshal([]evidence.Digest{newDigest(1)})
 	nested := bytes.Repeat([]byte{0x81}, 1000)
 	post := func(path, head string, body []byte) string {
 		return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + head + "\r\n" + string(body)
 	}
 	length := func(n int, sum string) string {
-		return fmt.Sprintf("Content-Length: %d\r\n%s: %s\r\n", n, headerSum, sum)
+		return fmt.Sprintf("Content-Length: %d\r\n%s: %s\r\n", n, headerChecksum, sum)
 	}
 	flipped := append([]byte{}, good...)
 	flipped[len(flipped)-1] ^= 4
 	for name, call := range map[string]string{
-		"flipped":        post(pathDigests, length(len(good), sum(good)), flipped),
+		"flipped":        post(pathDigests, length(len(good), checksum(good)), flipped),
 		"no sum":         post(pathDigests, fmt.Sprintf("Content-Length: %d\r\n", len(good)), good),
-		"cut":            post(pathDigests, length(len(good), sum(good)), good[:len(good)/2]),
-		"cut at its end": post(pathDigests, length(len(good)-1, sum(good[:len(good)-1])), good[:len(good)-1]),
-		"too long":       post(pathDigests, length(bodyMost+1, sum(nil)), nil),
-		"no length":      post(pathDigests, "Transfer-Encoding: chunked\r\n"+headerSum+": "+sum(good)+"\r\n", []byte("1\r\nx\r\n0\r\n\r\n")),
-		"not cbor":       post(pathDigests, length(3, sum([]byte("abc"))), []byte("abc")),
-		"deep":           post(pathDigests, length(len(nested), sum(nested)), nested),
-		"a great list":   post(pathDigests, length(5, sum([]byte{0x9a, 255, 255, 255, 255})), []byte{0x9a, 255, 255, 255, 255}),
-		"no digest":      post(pathDigests, length(2, sum([]byte{0x81, 0xa0})), []byte{0x81, 0xa0}),
-		"no command":     post(pathPropose, length(1, sum([]byte{0xa0})), []byte{0xa0}),
-		"no message":     post(pathMessages, length(1, sum([]byte{0xa0})), []byte{0xa0}),
-		"no such call":   post("/else", length(1, sum([]byte{0xa0})), []byte{0xa0}),
+		"cut":            post(pathDigests, length(len(good), checksum(good)), good[:len(good)/2]),
+		"cut at its end": post(pathDigests, length(len(good)-1, checksum(good[:len(good)-1])), good[:len(good)-1]),
+		"too long":       post(pathDigests, length(maxBodyBytes+1, checksum(nil)), nil),
+		"no length":      post(pathDigests, "Transfer-Encoding: chunked\r\n"+headerChecksum+": "+checksum(good)+"\r\n", []byte("1\r\nx\r\n0\r\n\r\n")),
+		"not cbor":       post(pathDigests, length(3, checksum([]byte("abc"))), []byte("abc")),
+		"deep":           post(pathDigests, length(len(nested), checksum(nested)), nested),
+		"a great list":   post(pathDigests, length(5, checksum([]byte{0x9a, 255, 255, 255, 255})), []byte{0x9a, 255, 255, 255, 255}),
+		"no digest":      post(pathDigests, length(2, checksum([]byte{0x81, 0xa0})), []byte{0x81, 0xa0}),
+		"no command":     post(pathPropose, length(1, checksum([]byte{0xa0})), []byte{0xa0}),
+		"no message":     post(pathMessages, length(1, checksum([]byte{0xa0})), []byte{0xa0}),
+		"no such call":   post("/else", length(1, checksum([]byte{0xa0})), []byte{0xa0}),
 		"a long header":  post(pathDigests, "X: "+strings.Repeat("x", 64<<10)+"\r\n", nil),
 		"no HTTP":        "\x16\x03\x01 hello\r\n\r\n",
 	} {
-		conn, err := net.Dial("tcp", at)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,37 +63,37 @@
 			t.Errorf("%s: status %d", name, answer.StatusCode)
 		}
 		_ = conn.Close()
-		if err := c.Digests(t.Context(), at, nil); err != nil {
+		if err := c.Digests(t.Context(), address, nil); err != nil {
 			t.Errorf("after %s: %v", name, err)
 		}
 	}
-	if steps, digests, proposed := v.noted(); steps+digests+proposed > 0 {
+	if steps, digests, proposed := voter.received(); steps+digests+proposed > 0 {
 		t.Errorf("taken: %d messages, %d digests, %d proposals", steps, digests, proposed)
 	}
 }
 
 // A write without a number could be applied twice, so it is not taken at all.
-func TestWriteWithoutANumberIsRefused(t *testing.T) {
-	v := newMemory()
-	at, c := serve(t, v, 16)
-	_, err := c.Propose(t.Context(), at, tables.Command{Kind: tables.Write, By: "p/1", Table: "plan"})
-	if _, _, proposed := v.noted(); err == nil || proposed > 0 {
+func TestServer_unnumberedWriteIsRejected(t *testing.T) {
+	voter := newFakeVoter()
+	address, c := startServer(t, voter, 16)
+	_, err := c.Propose(t.Context(), address, tables.Command{Kind: tables.Write, Proposer: "p/1", Table: "plan"})
+	if _, _, proposed := voter.received(); err == nil || proposed > 0 {
 		t.Errorf("%v, %d proposed", err, proposed)
 	}
 }
 
 // A connection that breaks after a proposal was read: whoever made it must know that it may be written, and it must
 // not be made again unseen.
-func TestProposalIsNotRepeatedByItself(t *testing.T) {
-	l, err := Plain{}.Listen("127.0.0.1:0")
+func TestClient_proposalIsNotRetried(t *testing.T) {
+	listener, err := Network{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	var calls atomic.Int32
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -108,9 +108,9 @@
 			_ = conn.Close()
 		}
 	}()
-	c := client(t, Plain{})
+	c := newTestClient(t, Network{})
 	for range 2 {
-		if _, err := c.Propose(t.Context(), l.Addr().String(), tables.Command{Kind: tables.Write, By: "p", Number: 1, Table: "t"}); err == nil {
+		if _, err := c.Propose(t.Context(), listener.Addr().String(), tables.Command{Kind: tables.Write, Proposer: "p", Number: 1, Table: "t"}); err == nil {
 			t.Error("taken as written")
 		}
 	}
@@ -120,39 +120,39 @@
 }
 
 // Links are plain: they stay on this machine unless the operators say that the network is private.
-func TestLinksStayOnLoopback(t *testing.T) {
+func TestNetwork_staysOnLoopbackUnlessPrivate(t *testing.T) {
 	for address, loopback := range map[string]bool{"0.0.0.0:0": false, "[::]:0": false, "127.0.0.1:0": true, "localhost:0": true} {
-		l, err := Plain{}.Listen(address)
+		listener, err := Network{}.Listen(address)
 		if err == nil {
-			_ = l.Close()
+			_ = listener.Close()
 		}
 		if (err == nil) != loopback {
 			t.Errorf("%s: %v", address, err)
 		}
 	}
-	if l, err := (Plain{true}).Listen("0.0.0.0:0"); err != nil {
+	if listener, err := (Network{true}).Listen("0.0.0.0:0"); err != nil {
 		t.Error(err)
 	} else {
-		_ = l.Close()
+		_ = listener.Close()
 	}
-	_, err := client(t, Plain{}).Standing(t.Context(), "192.0.2.1:9")
+	_, err := newTestClient(t, Network{}).Info(t.Context(), "192.0.2.1:9")
 	if err == nil || !strings.Contains(err.Error(), "process.private_network = true") {
 		t.Errorf("dialled: %v", err)
 	}
 }
 
 // More links than a voter is made for must not take the sockets of a gateway in the same process.
-func TestLinksBeyondTheLimitAreClosedAndSaidOnce(t *testing.T) {
+func TestServer_connectionsBeyondTheLimitAreClosedAndLoggedOnce(t *testing.T) {
 	core, said := observer.New(zap.WarnLevel)
-	l, err := Plain{}.Listen("127.0.0.1:0")
+	listener, err := Network{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(l, house{newMemory()}, 3, zap.New(core))
+	s := Serve(listener, fakeHost{newFakeVoter()}, 3, zap.New(core))
 	defer s.Close()
 	var closed atomic.Int32
 	for range 9 {
-		conn, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/link/post.go
+++ b/internal/cluster/link/post.go
@@ -9,77 +9,77 @@
 
 // Limits of what waits for another voter.
 const (
-	queueMost   = 512                      // messages: a second's worth at a busy leader
-	queueBytes  = 32 << 20                 // bytes: half of what one body may hold
-	batchMost   = 64                       // messages in one body
-	lanes       = 2                        // calls at a time to one voter: one that gets no answer holds up no others
-	postWithin  = 500 * time.Millisecond   // a message older than an election is of no use
-	postPerByte = time.Second / (16 << 20) // and a snapshot's bytes take their time
-	pauseAfter  = 20 * time.Millisecond    // a voter that is down is not called without end
+	maxQueuedMessages   = 512                      // messages: a second's worth at a busy leader
+	maxQueuedBytes      = 32 << 20                 // bytes: half of what one body may hold
+	maxBatchMessages    = 64                       // messages in one body
+	callsPerVoter       = 2                        // calls at a time to one voter: one that gets no answer holds up no others
+	batchTimeout        = 500 * time.Millisecond   // a message older than an election is of no use
+	batchTimeoutPerByte = time.Second / (16 << 20) // and a snapshot's bytes take their time
+	failurePause        = 20 * time.Millisecond    // a voter that is down is not called without end
 )
 
-// Postbox sends voters' messages to each other: it never waits, keeps a bounded queue for each voter and drops what
+// MessageSender sends voters' messages to each other: it never waits, keeps a bounded queue for each voter and drops what
 // does not fit, as what matters is sent anew. It owns its goroutines.
-type Postbox struct {
-	client *Client
-	ctx    context.Context
-	end    context.CancelFunc
-	done   sync.WaitGroup
-	mu     sync.Mutex
-	queues map[uint64]*queue
+type MessageSender struct {
+	client     *Client
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	queues     map[uint64]*sendQueue
 }
 
-type queue struct {
-	mu      sync.Mutex
-	address string
-	waiting [][]byte
-	bytes   int
-	news    chan struct{} // has a token while something waits
-	end     context.CancelFunc
-	dropped uint64
+type sendQueue struct {
+	mu       sync.Mutex
+	address  string
+	messages [][]byte
+	bytes    int
+	ready    chan struct{} // has a token while something waits
+	cancel   context.CancelFunc
+	dropped  uint64
 }
 
-// NewPostbox makes one that sends as far as links may go.
-func NewPostbox(plain Plain) *Postbox {
+// NewMessageSender makes one that sends as far as links may go.
+func NewMessageSender(network Network) *MessageSender {
 	ctx, end := context.WithCancel(context.Background())
-	return &Postbox{client: NewClient(plain, lanes), ctx: ctx, end: end, queues: map[uint64]*queue{}}
+	return &MessageSender{client: NewClient(network, callsPerVoter), ctx: ctx, cancel: end, queues: map[uint64]*sendQueue{}}
 }
 
 // Send has a message sent to the voter of a number at an address, or dropped. The message is the postbox's from then
 // on.
-func (p *Postbox) Send(number uint64, address string, message []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ctx.Err() != nil {
+func (ms *MessageSender) Send(number uint64, address string, message []byte) {
+	ms.mu.Lock()
+	defer ms.mu.Unlock()
+	if ms.ctx.Err() != nil {
 		return
 	}
-	q := p.queues[number]
+	q := ms.queues[number]
 	if q == nil {
-		ctx, end := context.WithCancel(p.ctx)
-		q = &queue{news: make(chan struct{}, 1), end: end}
-		p.queues[number] = q
-		for range lanes {
-			p.done.Go(func() { p.run(ctx, number, q) })
+		ctx, end := context.WithCancel(ms.ctx)
+		q = &sendQueue{ready: make(chan struct{}, 1), cancel: end}
+		ms.queues[number] = q
+		for range callsPerVoter {
+			ms.goroutines.Go(func() { ms.deliver(ctx, number, q) })
 		}
 	}
-	q.put(address, message)
+	q.enqueue(address, message)
 }
 
-// Forget drops what waits for a voter that is none any more.
-func (p *Postbox) Forget(number uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if q := p.queues[number]; q != nil {
-		q.end()
-		delete(p.queues, number)
+// RemoveVoter drops what waits for a voter that is none any more.
+func (ms *MessageSender) RemoveVoter(number uint64) {
+	ms.mu.Lock()
+	defer ms.mu.Unlock()
+	if q := ms.queues[number]; q != nil {
+		q.cancel()
+		delete(ms.queues, number)
 	}
 }
 
 // Dropped tells how many messages to a voter had no room.
-func (p *Postbox) Dropped(number uint64) uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if q := p.queues[number]; q != nil {
+func (ms *MessageSender) Dropped(number uint64) uint64 {
+	ms.mu.Lock()
+	defer ms.mu.Unlock()
+	if q := ms.queues[number]; q != nil {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		return q.dropped
@@ -88,67 +88,67 @@
 }
 
 // Close drops what waits and ends.
-func (p *Postbox) Close() {
-	p.mu.Lock()
-	p.end()
-	p.mu.Unlock()
-	p.done.Wait()
-	p.client.Close()
+func (ms *MessageSender) Close() {
+	ms.mu.Lock()
+	ms.cancel()
+	ms.mu.Unlock()
+	ms.goroutines.Wait()
+	ms.client.Close()
 }
 
-func (q *queue) put(address string, message []byte) {
+func (q *sendQueue) enqueue(address string, message []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.address = address
-	if len(q.waiting) >= queueMost || q.bytes+len(message) > queueBytes && len(q.waiting) > 0 {
+	if len(q.messages) >= maxQueuedMessages || q.bytes+len(message) > maxQueuedBytes && len(q.messages) > 0 {
 		q.dropped++
 		return
 	}
-	q.waiting, q.bytes = append(q.waiting, message), q.bytes+len(message)
+	q.messages, q.bytes = append(q.messages, message), q.bytes+len(message)
 	select {
-	case q.news <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take gives the messages of the next body.
-func (q *queue) take() (address string, batch [][]byte, bytes int) {
+// dequeueBatch gives the messages of the next body.
+func (q *sendQueue) dequeueBatch() (address string, batch [][]byte, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	n := min(len(q.waiting), batchMost)
-	batch = append(batch, q.waiting[:n]...)
+	n := min(len(q.messages), maxBatchMessages)
+	batch = append(batch, q.messages[:n]...)
 	for _, m := range batch {
 		bytes += len(m)
 	}
-	q.waiting, q.bytes = append(q.waiting[:0:0], q.waiting[n:]...), q.bytes-bytes
-	if len(q.waiting) > 0 {
+	q.messages, q.bytes = append(q.messages[:0:0], q.messages[n:]...), q.bytes-bytes
+	if len(q.messages) > 0 {
 		select {
-		case q.news <- struct{}{}:
+		case q.ready <- struct{}{}:
 		default:
 		}
 	}
 	return q.address, batch, bytes
 }
 
-func (p *Postbox) run(ctx context.Context, number uint64, q *queue) {
+func (ms *MessageSender) deliver(ctx context.Context, number uint64, q *sendQueue) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.news:
+		case <-q.ready:
 		}
-		address, batch, bytes := q.take()
+		address, batch, bytes := q.dequeueBatch()
 		if len(batch) == 0 {
 			continue
 		}
-		within := postWithin + time.Duration(bytes)*postPerByte
-		if p.client.call(ctx, within, http.MethodPost, address, pathMessages, Post{number, batch}, nil) == nil {
+		timeout := batchTimeout + time.Duration(bytes)*batchTimeoutPerByte
+		if ms.client.call(ctx, timeout, http.MethodPost, address, pathMessages, MessageBatch{number, batch}, nil) == nil {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pauseAfter):
+		case <-time.After(failurePause):
 		}
 	}
 }
--- a/internal/cluster/link/wire.go
+++ b/internal/cluster/link/wire.go
@@ -20,15 +20,15 @@
 
 // Limits of what is sent and of how long it may take.
 const (
-	bodyMost    = 4 << 20                // bytes of a digest, a read or a proposal: a thousand counts are 0.1 MB
-	messageMost = 64 << 20               // bytes of voters' messages in one body: a snapshot of all tables and totals
-	headMost    = 4 << 10                // bytes of a call's header
-	waitMost    = 8 * time.Second        // of a read: a quarter of the longest lease
-	readWithin  = 5 * time.Second        // a call is read in that time, or its connection is closed
-	proposeMost = 5 * time.Second        // a proposal that has no majority by then is not known to be written
-	idleMost    = 30 * time.Second       // a connection with no call is closed after that
-	dialWithin  = 400 * time.Millisecond // beyond a round trip between regions; two such fit into a lease
-	slack       = 300 * time.Millisecond // what an answer may take beyond the wait that was asked for
+	maxBodyBytes        = 4 << 20                // bytes of a digest, a read or a proposal: a thousand counts are 0.1 MB
+	maxMessageBodyBytes = 64 << 20               // bytes of voters' messages in one body: a snapshot of all tables and totals
+	maxHeaderBytes      = 4 << 10                // bytes of a call's header
+	maxReadWait         = 8 * time.Second        // of a read: a quarter of the longest lease
+	requestReadTimeout  = 5 * time.Second        // a call is read in that time, or its connection is closed
+	proposeTimeout      = 5 * time.Second        // a proposal that has no majority by then is not known to be written
+	idleTimeout         = 30 * time.Second       // a connection with no call is closed after that
+	dialTimeout         = 400 * time.Millisecond // beyond a round trip between regions; two such fit into a lease
+	responseGrace       = 300 * time.Millisecond // what an answer may take beyond the wait that was asked for
 )
 
 const (
@@ -36,56 +36,56 @@
 	pathDigests  = "/digests"
 	pathRead     = "/read"
 	pathPropose  = "/propose"
-	pathStanding = "/standing"
+	pathInfo     = "/standing"
 
-	// headerSum has the check sum of a body. TCP's own is too weak to trust evidence and log entries to; this one finds
+	// headerChecksum has the check sum of a body. TCP's own is too weak to trust evidence and log entries to; this one finds
 	// what is spoilt by accident, not on purpose.
-	headerSum = "Body-Sum"
+	headerChecksum = "Body-Sum"
 )
 
-// Standing is what a voter says of itself to whoever asks.
-type Standing struct {
+// VoterInfo is what a voter says of itself to whoever asks.
+type VoterInfo struct {
 	Number      uint64         `cbor:"1,keyasint"` // as its file has it, or its disk once it has begun
 	Name        string         `cbor:"2,keyasint"` // of its process
-	Mark        string         `cbor:"3,keyasint"` // of its disk
-	Begun       bool           `cbor:"4,keyasint"` // whether its disk holds a log; until then it takes no other call
+	DiskID      string         `cbor:"3,keyasint"` // of its disk
+	Started     bool           `cbor:"4,keyasint"` // whether its disk holds a log; until then it takes no other call
 	Incarnation uint64         `cbor:"5,keyasint"` // of its process
 	Status      cluster.Status `cbor:"6,keyasint"` // once it has begun
 	Address     string         `cbor:"7,keyasint"` // of its link, by its own file: what the log has of it
-	// First are those with whom it began the log, if it did in this life, with the marks of their disks.
-	First []cluster.Member `cbor:"8,keyasint"`
+	// InitialMembers are those with whom it began the log, if it did in this life, with the marks of their disks.
+	InitialMembers []cluster.Member `cbor:"8,keyasint"`
 }
 
-// Post is what one voter sends another.
-type Post struct {
+// MessageBatch is what one voter sends another.
+type MessageBatch struct {
 	To       uint64   `cbor:"1,keyasint"` // number of the voter that it is for: an address may have a new tenant
 	Messages [][]byte `cbor:"2,keyasint"`
 }
 
-// Question is a waiting read.
-type Question struct {
-	Known map[string]uint64 `cbor:"1,keyasint"`
-	Wait  time.Duration     `cbor:"2,keyasint"`
+// ReadRequest is a waiting read.
+type ReadRequest struct {
+	KnownEpochs map[string]uint64 `cbor:"1,keyasint"`
+	Wait        time.Duration     `cbor:"2,keyasint"`
 }
 
-// Answer is what became of a call other than a message.
-type Answer struct {
-	Fault  string                  `cbor:"1,keyasint,omitempty"` // one of the words below, or what is wrong
-	Tables map[string]tables.Entry `cbor:"2,keyasint,omitempty"`
-	Group  []byte                  `cbor:"4,keyasint,omitempty"` // of the tables: drawn when the voters first began
-	Result tables.Result           `cbor:"3,keyasint"`
+// Response is what became of a call other than a message.
+type Response struct {
+	Error   string                  `cbor:"1,keyasint,omitempty"` // one of the words below, or what is wrong
+	Tables  map[string]tables.Table `cbor:"2,keyasint,omitempty"`
+	GroupID []byte                  `cbor:"4,keyasint,omitempty"` // of the tables: drawn when the voters first began
+	Result  tables.Result           `cbor:"3,keyasint"`
 }
 
-// faults are the errors of a voter that both ends know.
-var faults = map[string]error{"not leader": cluster.ErrNotLeader, "unknown": cluster.ErrUnknown,
+// wireErrors are the errors of a voter that both ends know.
+var wireErrors = map[string]error{"not leader": cluster.ErrNotLeader, "unknown": cluster.ErrOutcomeUnknown,
 	"no quorum": cluster.ErrNoQuorum, "stopped": cluster.ErrStopped}
 
-// said gives an error's word.
-func said(err error) string {
+// encodeError gives an error's word.
+func encodeError(err error) string {
 	if err == nil {
 		return ""
 	}
-	for word, known := range faults {
+	for word, known := range wireErrors {
 		if errors.Is(err, known) {
 			return word
 		}
@@ -93,19 +93,19 @@
 	return err.Error()
 }
 
-// heard gives a word's error.
-func heard(word string) error {
+// decodeError gives a word's error.
+func decodeError(word string) error {
 	if word == "" {
 		return nil
 	}
-	if known, ok := faults[word]; ok {
+	if known, ok := wireErrors[word]; ok {
 		return known
 	}
 	return errors.New(word)
 }
 
-// errSpoilt: a body is not what was sent, or not what such a body is made of.
-var errSpoilt = errors.New("spoilt body")
+// errMalformed: a body is not what was sent, or not what such a body is made of.
+var errMalformed = errors.New("spoilt body")
 
 var (
 	encoding = must(cbor.EncOptions{}.EncMode()) // no order of keys: sorting the counts of a digest doubled its cost
@@ -121,51 +121,51 @@
 	return mode
 }
 
-func sum(body []byte) string { return hex.EncodeToString(binarySum(body)) }
+func checksum(body []byte) string { return hex.EncodeToString(checksumBytes(body)) }
 
-func binarySum(body []byte) []byte {
+func checksumBytes(body []byte) []byte {
 	h := xxhash.New()
 	_, _ = h.Write(body) // never fails
 	return h.Sum(nil)
 }
 
-// take reads a body of a stated length into what it is to be.
-func take(r io.Reader, length int64, most int64, want string, into any) error {
-	if length < 0 || length > most {
-		return fmt.Errorf("%w: a length from 0 to %d is wanted, not %d", errSpoilt, most, length)
+// readBody reads a body of a stated length into what it is to be.
+func readBody(r io.Reader, length int64, limit int64, want string, into any) error {
+	if length < 0 || length > limit {
+		return fmt.Errorf("%w: a length from 0 to %d is wanted, not %d", errMalformed, limit, length)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, length+1))
 	if err != nil {
 		return err
 	}
 	if int64(len(body)) != length {
-		return fmt.Errorf("%w: %d bytes of %d", errSpoilt, len(body), length)
+		return fmt.Errorf("%w: %d bytes of %d", errMalformed, len(body), length)
 	}
-	if !strings.EqualFold(want, sum(body)) {
-		return fmt.Errorf("%w: its sum is another", errSpoilt)
+	if !strings.EqualFold(want, checksum(body)) {
+		return fmt.Errorf("%w: its sum is another", errMalformed)
 	}
 	if err := decoding.Unmarshal(body, into); err != nil {
-		return fmt.Errorf("%w: %w", errSpoilt, err)
+		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	return nil
 }
 
-// fit says what is wrong with a command that comes from outside.
-func fit(c tables.Command) error {
+// validateCommand says what is wrong with a command that comes from outside.
+func validateCommand(command tables.Command) error {
 	switch {
-	case c.By == "" || c.Table == "":
+	case command.Proposer == "" || command.Table == "":
 		return errors.New("a command names who proposes it and a table")
-	case c.Kind == tables.Write && c.Number == 0:
+	case command.Kind == tables.Write && command.Number == 0:
 		return errors.New("a write is numbered: it may not be applied twice")
-	case c.Kind != tables.Write && c.Kind != tables.Raise:
+	case command.Kind != tables.Write && command.Kind != tables.RaiseTotals:
 		return errors.New("no such kind of command")
 	}
 	return nil
 }
 
-// digestsFit says what is wrong with digests that come from outside.
-func digestsFit(all []evidence.Digest) error {
-	for _, d := range all {
+// validateDigests says what is wrong with digests that come from outside.
+func validateDigests(digests []evidence.Digest) error {
+	for _, d := range digests {
 		if d.Process == "" || d.Incarnation == 0 || d.Serial == 0 {
 			return errors.New("a digest names its process, its life and its place in it")
 		}
--- a/internal/cluster/play/client.go
+++ b/internal/cluster/play/client.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	table    = "plan"
-	counted  = "pushes"
-	patience = 400 * time.Millisecond // of a client with one call
-	callsMax = 25                     // of a client in a run: histories stay short enough to be searched
+	tableName   = "plan"
+	countName   = "pushes"
+	callTimeout = 400 * time.Millisecond // of a client with one call
+	maxCalls    = 25                     // of a client in a run: histories stay short enough to be searched
 )
 
 // call is one call of a client, as it goes into the history.
@@ -37,213 +37,213 @@
 
 // client makes one call after the other, and asks again under the same number until it has an answer.
 type client struct {
-	w      *world
-	id     int
-	number uint64
-	at     int // which voter it asks
-	epoch  uint64
-	try    int // tells late answers
-	call   call
-	since  time.Duration
-	open   bool
-}
-
-func newClient(w *world, id int) *client {
-	c := &client{w: w, id: id, at: id}
-	w.at(time.Duration(w.chance.Int64N(int64(time.Second))), c.next)
+	sim        *simulation
+	id         int
+	callNumber uint64
+	voterIndex int // which voter it asks
+	epoch      uint64
+	attempt    int // tells late answers
+	call       call
+	startedAt  time.Duration
+	pending    bool
+}
+
+func newClient(s *simulation, id int) *client {
+	c := &client{sim: s, id: id, voterIndex: id}
+	s.after(time.Duration(s.rng.Int64N(int64(time.Second))), c.startNext)
 	return c
 }
 
-func (c *client) next() {
-	if c.number >= callsMax || c.w.now > length-2*patience {
+func (c *client) startNext() {
+	if c.callNumber >= maxCalls || c.sim.now > runDuration-2*callTimeout {
 		return
 	}
-	c.number++
-	c.call = call{write: c.w.chance.IntN(3) > 0, epoch: c.epoch, value: fmt.Sprintf("%d-%d", c.id, c.number)}
-	c.since, c.open = c.w.now, true
-	c.ask(c.number)
+	c.callNumber++
+	c.call = call{write: c.sim.rng.IntN(3) > 0, epoch: c.epoch, value: fmt.Sprintf("%d-%d", c.id, c.callNumber)}
+	c.startedAt, c.pending = c.sim.now, true
+	c.send(c.callNumber)
 }
 
-func (c *client) ask(number uint64) {
-	if !c.open || c.number != number {
+func (c *client) send(number uint64) {
+	if !c.pending || c.callNumber != number {
 		return
 	}
-	c.try++
-	try := c.try
-	nodes := c.w.nodes
-	n := nodes[c.at%len(nodes)]
-	got := func(a answer) {
-		c.w.carry(0, 0, func() { c.answered(number, try, a) })
-	}
-	asked := c.call
-	c.w.carry(0, 0, func() { n.do(func() { n.serve(c, number, try, asked, got) }) })
-	c.w.at(patience, func() {
-		if c.open && c.number == number && c.try == try {
-			c.at++
-			c.ask(number)
+	c.attempt++
+	attempt := c.attempt
+	nodes := c.sim.nodes
+	n := nodes[c.voterIndex%len(nodes)]
+	respond := func(a answer) {
+		c.sim.deliver(0, 0, func() { c.handleAnswer(number, attempt, a) })
+	}
+	request := c.call
+	c.sim.deliver(0, 0, func() { n.execute(func() { n.serveCall(c, number, attempt, request, respond) }) })
+	c.sim.after(callTimeout, func() {
+		if c.pending && c.callNumber == number && c.attempt == attempt {
+			c.voterIndex++
+			c.send(number)
 		}
 	})
 }
 
-// serve is a voter's end of a call.
-func (n *node) serve(c *client, number uint64, try int, asked call, got func(answer)) {
-	if !asked.write {
-		if n.w.bug == ReadWithoutQuorum {
-			e := n.core.State().Table(table)
-			got(answer{known: true, epoch: e.Epoch, value: string(e.Value)})
+// serveCall is a voter's end of a call.
+func (n *node) serveCall(c *client, number uint64, attempt int, request call, respond func(answer)) {
+	if !request.write {
+		if n.sim.bug == ReadWithoutQuorum {
+			e := n.consensus.State().Table(tableName)
+			respond(answer{known: true, epoch: e.Epoch, value: string(e.Value)})
 			return
 		}
-		n.reads.Add(&core.Reader{Until: n.now(), Answer: func(found map[string]tables.Entry) {
-			got(answer{known: true, epoch: found[table].Epoch, value: string(found[table].Value)})
+		n.readQueue.Add(&core.PendingRead{Deadline: n.now(), Respond: func(found map[string]tables.Table) {
+			respond(answer{known: true, epoch: found[tableName].Epoch, value: string(found[tableName].Value)})
 		}}, n.now())
 		return
 	}
-	if n.w.bug == AppliedTwice {
-		number = number*1000 + uint64(try)
+	if n.sim.bug == CommandAppliedTwice {
+		number = number*1000 + uint64(attempt)
 	}
-	seq, err := n.core.Propose(tables.Command{Kind: tables.Write, By: fmt.Sprint(c.id), Number: number, Table: table,
-		Epoch: asked.epoch, Value: []byte(asked.value)})
+	seq, err := n.consensus.Propose(tables.Command{Kind: tables.Write, Proposer: fmt.Sprint(c.id), Number: number, Table: tableName,
+		Epoch: request.epoch, Value: []byte(request.value)})
 	if err != nil {
-		got(answer{})
+		respond(answer{})
 		return
 	}
-	n.proposed[seq] = func(o core.Outcome) {
-		got(answer{known: true, applied: o.Result.Applied, epoch: o.Result.Epoch})
+	n.proposals[seq] = func(o core.Outcome) {
+		respond(answer{known: true, applied: o.Result.Applied, epoch: o.Result.Epoch})
 	}
 }
 
-func (c *client) answered(number uint64, try int, a answer) {
-	if !c.open || c.number != number || !a.known && c.try != try {
+func (c *client) handleAnswer(number uint64, attempt int, a answer) {
+	if !c.pending || c.callNumber != number || !a.known && c.attempt != attempt {
 		return
 	}
 	if !a.known { // it doesn't lead
-		c.at++
-		c.w.at(20*time.Millisecond, func() { c.ask(number) })
+		c.voterIndex++
+		c.sim.after(20*time.Millisecond, func() { c.send(number) })
 		return
 	}
-	c.open, c.epoch = false, a.epoch
+	c.pending, c.epoch = false, a.epoch
 	c.call.answer = a
-	c.w.report.Done++
-	c.w.history = append(c.w.history, porcupine.Operation{ClientId: c.id, Input: c.call, Output: a,
-		Call: int64(c.since), Return: int64(c.w.now)})
-	c.w.note("%+v", c.call)
-	c.w.at(time.Duration(c.w.chance.Int64N(int64(400*time.Millisecond))), c.next)
+	c.sim.report.Answered++
+	c.sim.history = append(c.sim.history, porcupine.Operation{ClientId: c.id, Input: c.call, Output: a,
+		Call: int64(c.startedAt), Return: int64(c.sim.now)})
+	c.sim.traceEvent("%+v", c.call)
+	c.sim.after(time.Duration(c.sim.rng.Int64N(int64(400*time.Millisecond))), c.startNext)
 }
 
-// left puts a call that has no answer into the history: it may have been done at any time, or not.
-func (c *client) left() {
-	if c.open {
-		c.w.history = append(c.w.history, porcupine.Operation{ClientId: c.id, Input: c.call, Output: answer{},
-			Call: int64(c.since), Return: math.MaxInt64})
+// recordPending puts a call that has no answer into the history: it may have been done at any time, or not.
+func (c *client) recordPending() {
+	if c.pending {
+		c.sim.history = append(c.sim.history, porcupine.Operation{ClientId: c.id, Input: c.call, Output: answer{},
+			Call: int64(c.startedAt), Return: math.MaxInt64})
 	}
 }
 
-// holder holds the table by a lease, and acts by it.
-type holder struct {
-	w     *world
-	id    int
-	at    int
-	epoch uint64
-	until time.Duration
-	wall  time.Duration // how far its wall clock was set back
-	try   int
+// leaseHolder holds the table by a lease, and acts by it.
+type leaseHolder struct {
+	sim          *simulation
+	id           int
+	voterIndex   int
+	epoch        uint64
+	leaseEnd     time.Duration
+	wallClockLag time.Duration // how far its wall clock was set back
+	attempt      int
 }
 
-func newHolder(w *world, id int) *holder {
-	h := &holder{w: w, id: id, at: id}
-	w.at(0, h.read)
-	w.every(50*time.Millisecond, h.act)
+func newLeaseHolder(s *simulation, id int) *leaseHolder {
+	h := &leaseHolder{sim: s, id: id, voterIndex: id}
+	s.after(0, h.read)
+	s.every(50*time.Millisecond, h.checkLease)
 	return h
 }
 
-func (h *holder) clock() time.Duration {
-	if h.w.bug == LeaseByWallClock {
-		if h.w.chance.IntN(200) == 0 {
-			h.wall += 5 * time.Second
+func (h *leaseHolder) clock() time.Duration {
+	if h.sim.bug == LeaseByWallClock {
+		if h.sim.rng.IntN(200) == 0 {
+			h.wallClockLag += 5 * time.Second
 		}
-		return h.w.now - h.wall
+		return h.sim.now - h.wallClockLag
 	}
-	return h.w.now
+	return h.sim.now
 }
 
 // read asks for news and waits for a quarter of the lease.
-func (h *holder) read() {
-	h.try++
-	try, sent, known := h.try, h.clock(), h.epoch
-	n := h.w.nodes[h.at%len(h.w.nodes)]
-	got := func(found map[string]tables.Entry) {
-		h.w.carry(0, 0, func() { h.answered(try, sent, known, found) })
-	}
-	h.w.carry(0, 0, func() {
-		n.do(func() {
-			n.reads.Add(&core.Reader{Known: map[string]uint64{table: known}, Until: n.now() + lease/4, Answer: got}, n.now())
+func (h *leaseHolder) read() {
+	h.attempt++
+	attempt, sent, known := h.attempt, h.clock(), h.epoch
+	n := h.sim.nodes[h.voterIndex%len(h.sim.nodes)]
+	got := func(found map[string]tables.Table) {
+		h.sim.deliver(0, 0, func() { h.handleAnswer(attempt, sent, known, found) })
+	}
+	h.sim.deliver(0, 0, func() {
+		n.execute(func() {
+			n.readQueue.Add(&core.PendingRead{KnownEpochs: map[string]uint64{tableName: known}, Deadline: n.now() + leaseDuration/4, Respond: got}, n.now())
 		})
 	})
-	h.w.at(lease*3/4, func() {
-		if h.try == try {
-			h.at++
+	h.sim.after(leaseDuration*3/4, func() {
+		if h.attempt == attempt {
+			h.voterIndex++
 			h.read()
 		}
 	})
 }
 
-// answered takes what a read brought. One that is late still counts from when it was sent.
-func (h *holder) answered(try int, sent time.Duration, known uint64, found map[string]tables.Entry) {
-	if h.w.bug == LeaseFromAnswer {
+// handleAnswer takes what a read brought. One that is late still counts from when it was sent.
+func (h *leaseHolder) handleAnswer(attempt int, sent time.Duration, known uint64, found map[string]tables.Table) {
+	if h.sim.bug == LeaseFromResponse {
 		sent = h.clock()
 	}
-	if e, ok := found[table]; ok {
+	if e, ok := found[tableName]; ok {
 		known = e.Epoch
 	}
 	switch {
 	case known > h.epoch:
-		h.epoch, h.until = known, sent+lease
+		h.epoch, h.leaseEnd = known, sent+leaseDuration
 	case known == h.epoch:
-		h.until = max(h.until, sent+lease)
+		h.leaseEnd = max(h.leaseEnd, sent+leaseDuration)
 	}
-	if h.try == try {
+	if h.attempt == attempt {
 		h.read()
 	}
 }
 
-// act checks the rule of a lease: what a holder acts by was the latest at some moment within the lease's length.
-func (h *holder) act() bool {
-	if h.clock() < h.until || h.w.bug == LeaseIgnored && h.epoch > 0 {
-		if since, ok := h.w.commits[h.epoch+1]; ok && since < h.w.now-lease {
-			h.w.problem("holder %d acts by an epoch that ended more than a lease ago", h.id)
+// checkLease checks the rule of a lease: what a holder acts by was the latest at some moment within the lease's length.
+func (h *leaseHolder) checkLease() bool {
+	if h.clock() < h.leaseEnd || h.sim.bug == LeaseIgnored && h.epoch > 0 {
+		if since, ok := h.sim.committedAt[h.epoch+1]; ok && since < h.sim.now-leaseDuration {
+			h.sim.violation("holder %d acts by an epoch that ended more than a lease ago", h.id)
 		}
 	}
-	return h.w.now < length
+	return h.sim.now < runDuration
 }
 
-// teller is a process that counts and tells voters.
-type teller struct {
-	w       *world
-	at      int
-	count   uint64
-	serial  uint64
-	session uint64
-	name    string
+// reporter is a process that counts and tells voters.
+type reporter struct {
+	sim        *simulation
+	voterIndex int
+	count      uint64
+	serial     uint64
+	session    uint64
+	name       string
 }
 
-func newTeller(w *world, id int) *teller {
-	t := &teller{w: w, at: id, name: fmt.Sprint("g", id)}
-	w.every(passEvery, t.tell)
-	return t
+func newReporter(s *simulation, id int) *reporter {
+	r := &reporter{sim: s, voterIndex: id, name: fmt.Sprint("g", id)}
+	s.every(forwardInterval, r.report)
+	return r
 }
 
-func (t *teller) tell() bool {
-	t.count += uint64(t.w.chance.IntN(100))
-	t.serial++
-	if t.w.chance.IntN(10) == 0 { // no answer from this one
-		t.at++
-		if t.w.bug != EvidenceTwice {
-			t.session++
+func (r *reporter) report() bool {
+	r.count += uint64(r.sim.rng.IntN(100))
+	r.serial++
+	if r.sim.rng.IntN(10) == 0 { // no answer from this one
+		r.voterIndex++
+		if r.sim.bug != DigestsCountedTwice {
+			r.session++
 		}
 	}
-	n := t.w.nodes[t.at%len(t.w.nodes)]
-	d := evidence.Digest{Process: t.name, Incarnation: 1, Serial: t.serial, Session: t.session,
-		Counts: map[string]uint64{counted: t.count}}
-	t.w.carry(0, 0, func() { n.do(func() { n.gather.Take([]evidence.Digest{d}) }) })
-	return t.w.now < length
+	n := r.sim.nodes[r.voterIndex%len(r.sim.nodes)]
+	d := evidence.Digest{Process: r.name, Incarnation: 1, Serial: r.serial, Session: r.session,
+		Counts: map[string]uint64{countName: r.count}}
+	r.sim.deliver(0, 0, func() { n.execute(func() { n.gatherer.AddFromProcesses([]evidence.Digest{d}) }) })
+	return r.sim.now < runDuration
 }
--- a/internal/cluster/play/node.go
+++ b/internal/cluster/play/node.go
@@ -14,163 +14,163 @@
 	beforeSync  // what was written may be there after the crash, or not
 	beforeSend
 	midSend
-	stages = midSend
+	crashPoints = midSend
 )
 
-// compactAt is how many records a disk holds before it is made anew: few, so that runs see it.
-const compactAt = 40
+// maxRecords is how many records a disk holds before it is made anew: few, so that runs see it.
+const maxRecords = 40
 
 // node is a voter with a disk that keeps only what was synced.
 type node struct {
-	w        *world
-	member   cluster.Member
-	disk     [][]byte
-	loose    [][]byte // said to be synced, by a disk that lies
-	life     uint64
-	core     *core.Core
-	reads    *core.Reads
-	gather   *core.Gather
-	up       bool
-	lost     bool // its disk, for good
-	full     bool
-	doomed   int
-	slow     time.Duration // what a sync takes; 0: no time
-	writing  bool          // waits for it, and does nothing else
-	asleep   bool
-	stood    time.Duration // its clock, while others' went on
-	queue    []func()      // what came while it slept
-	proposed map[uint64]func(core.Outcome)
+	sim         *simulation
+	member      cluster.Member
+	synced      [][]byte
+	unsynced    [][]byte // said to be synced, by a disk that lies
+	incarnation uint64
+	consensus   *core.Node
+	readQueue   *core.ReadQueue
+	gatherer    *core.Gatherer
+	up          bool
+	diskLost    bool // its disk, for good
+	diskFull    bool
+	crashPoint  int
+	syncDelay   time.Duration // what a sync takes; 0: no time
+	syncing     bool          // waits for it, and does nothing else
+	suspended   bool
+	clockLag    time.Duration // its clock, while others' went on
+	deferred    []func()      // what came while it slept
+	proposals   map[uint64]func(core.Outcome)
 }
 
-func newNode(w *world, number uint64) *node {
-	return &node{w: w, member: cluster.Member{Number: number, Name: fmt.Sprint("v", number),
-		Address: fmt.Sprint("a", number), Disk: fmt.Sprint("d", number)}}
+func newNode(s *simulation, number uint64) *node {
+	return &node{sim: s, member: cluster.Member{Number: number, Name: fmt.Sprint("v", number),
+		Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}}
 }
 
-// first are the members that begin, with the marks of their disks in some runs.
-func (w *world) first() (all []cluster.Member) {
-	known := w.chance.IntN(2) == 0
-	for _, n := range w.nodes {
+// initialMembers are the members that begin, with the marks of their disks in some runs.
+func (s *simulation) initialMembers() (all []cluster.Member) {
+	known := s.rng.IntN(2) == 0
+	for _, n := range s.nodes {
 		m := n.member
 		if !known {
-			m.Disk = ""
+			m.DiskID = ""
 		}
 		all = append(all, m)
 	}
 	return all
 }
 
-func (n *node) now() time.Duration { return n.w.now - n.stood }
+func (n *node) now() time.Duration { return n.sim.now - n.clockLag }
 
 func (n *node) start(first []cluster.Member) {
-	n.life++
-	life, seed := core.Life{Count: n.life, Nonce: n.w.chance.Uint64()}, n.w.chance.Uint64()
-	c, err := core.Start(n.member, life, first, n.disk, seed)
+	n.incarnation++
+	incarnation, seed := core.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
+	raftNode, err := core.NewNode(n.member, incarnation, first, n.synced, seed)
 	if err != nil {
-		n.w.problem("voter %d: %v", n.member.Number, err)
+		n.sim.violation("voter %d: %v", n.member.Number, err)
 		return
 	}
-	if len(n.disk) == 0 {
-		n.base(c)
+	if len(n.synced) == 0 {
+		n.writeCheckpoint(raftNode)
 	}
-	n.core, n.reads, n.gather = c, core.NewReads(c), core.NewGather(n.member.Name, n.life)
-	n.up, n.asleep, n.writing, n.queue, n.doomed = true, false, false, nil, 0
-	n.proposed = map[uint64]func(core.Outcome){}
-	own := func() bool { return n.up && n.life == life.Count }
-	n.w.every(tick, func() bool {
-		if own() && !n.busy() {
-			n.do(func() { n.core.Tick(); n.reads.Tick(n.now()) })
+	n.consensus, n.readQueue, n.gatherer = raftNode, core.NewReadQueue(raftNode), core.NewGatherer(n.member.Name, n.incarnation)
+	n.up, n.suspended, n.syncing, n.deferred, n.crashPoint = true, false, false, nil, 0
+	n.proposals = map[uint64]func(core.Outcome){}
+	own := func() bool { return n.up && n.incarnation == incarnation.Count }
+	n.sim.every(tickInterval, func() bool {
+		if own() && !n.isBusy() {
+			n.execute(func() { n.consensus.Tick(); n.readQueue.Tick(n.now()) })
 		}
 		return own()
 	})
-	n.w.every(passEvery, func() bool {
-		if own() && !n.busy() {
-			n.do(n.pass)
+	n.sim.every(forwardInterval, func() bool {
+		if own() && !n.isBusy() {
+			n.execute(n.forwardDigests)
 		}
 		return own()
 	})
 }
 
-func (n *node) base(c *core.Core) {
-	b, err := c.Base()
+func (n *node) writeCheckpoint(raftNode *core.Node) {
+	b, err := raftNode.Checkpoint()
 	if err != nil {
-		n.w.problem("voter %d: %v", n.member.Number, err)
+		n.sim.violation("voter %d: %v", n.member.Number, err)
 	}
-	n.disk, n.loose = [][]byte{b}, nil
+	n.synced, n.unsynced = [][]byte{b}, nil
 }
 
-func (n *node) crash() { n.up, n.loose, n.queue = false, nil, nil }
+func (n *node) crash() { n.up, n.unsynced, n.deferred = false, nil, nil }
 
 func (n *node) restart() {
-	if !n.up && !n.lost {
+	if !n.up && !n.diskLost {
 		n.start(nil)
 	}
 }
 
-func (n *node) sleep(span time.Duration, stands bool) {
-	if n.asleep || !n.up {
+func (n *node) suspend(span time.Duration, stands bool) {
+	if n.suspended || !n.up {
 		return
 	}
-	n.asleep = true
-	life := n.life
-	n.w.at(span, func() {
-		if n.life != life || !n.up {
+	n.suspended = true
+	incarnation := n.incarnation
+	n.sim.after(span, func() {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
-		n.asleep = false
+		n.suspended = false
 		if stands {
-			n.stood += span
+			n.clockLag += span
 		}
-		n.catchUp()
+		n.runDeferred()
 	})
 }
 
-func (n *node) busy() bool { return n.asleep || n.writing }
+func (n *node) isBusy() bool { return n.suspended || n.syncing }
 
-// catchUp does what came while the voter was busy.
-func (n *node) catchUp() {
-	for len(n.queue) > 0 && n.up && !n.busy() {
-		do := n.queue[0]
-		n.queue = n.queue[1:]
-		n.do(do)
+// runDeferred does what came while the voter was busy.
+func (n *node) runDeferred() {
+	for len(n.deferred) > 0 && n.up && !n.isBusy() {
+		action := n.deferred[0]
+		n.deferred = n.deferred[1:]
+		n.execute(action)
 	}
 }
 
-// do has something done at a voter that is there, and what follows from it.
-func (n *node) do(do func()) {
+// execute has something done at a voter that is there, and what follows from it.
+func (n *node) execute(action func()) {
 	switch {
 	case !n.up:
 		return
-	case n.busy():
-		n.queue = append(n.queue, do)
+	case n.isBusy():
+		n.deferred = append(n.deferred, action)
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil { // the library's word for what must never be
-			n.w.problem("voter %d: %v", n.member.Number, p)
+			n.sim.violation("voter %d: %v", n.member.Number, p)
 			n.crash()
 		}
 	}()
-	do()
-	n.turn()
+	action()
+	n.processReady()
 }
 
-// turn does what the core has ready, and looks at what came of it.
-func (n *node) turn() {
-	for n.up && !n.writing {
-		r, ok, err := n.core.Ready()
+// processReady does what the core has ready, and looks at what came of it.
+func (n *node) processReady() {
+	for n.up && !n.syncing {
+		ready, ok, err := n.consensus.Ready()
 		if err != nil {
-			n.w.problem("voter %d: %v", n.member.Number, err)
+			n.sim.violation("voter %d: %v", n.member.Number, err)
 		}
-		if !ok || !n.handle(r) {
+		if !ok || !n.handleReady(ready) {
 			break
 		}
 	}
-	if n.up && !n.writing && len(n.disk)+len(n.loose) > compactAt {
-		if err := n.core.Compact(10); err != nil {
-			n.w.problem("voter %d: %v", n.member.Number, err)
+	if n.up && !n.syncing && len(n.synced)+len(n.unsynced) > maxRecords {
+		if err := n.consensus.Compact(10); err != nil {
+			n.sim.violation("voter %d: %v", n.member.Number, err)
 		}
-		n.base(n.core)
+		n.writeCheckpoint(n.consensus)
 	}
-	n.watch()
+	n.checkInvariants()
 }
--- a/internal/cluster/play/play_test.go
+++ b/internal/cluster/play/play_test.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 100, "how many seeds are played")
-	first     = flag.Int("first", 0, "the first of them: a seed that failed is played again by -first SEED -schedules 1")
+	seedCount = flag.Int("schedules", 100, "how many seeds are played")
+	firstSeed = flag.Int("first", 0, "the first of them: a seed that failed is played again by -first SEED -schedules 1")
 )
 
-// each runs seeds side by side and gives their reports.
-func each(from, seeds int, bug Bug) []Report {
+// runSeeds runs seeds side by side and gives their reports.
+func runSeeds(from, seeds int, bug Bug) []Report {
 	all := make([]Report, seeds)
 	var next atomic.Int64
 	var on sync.WaitGroup
@@ -30,13 +30,13 @@
 	return all
 }
 
-func TestNothingAcknowledgedIsLostUnderFaults(t *testing.T) {
-	began, seeds, done, events := time.Now(), *schedules, 0, 0
-	for i, r := range each(*first, seeds, None) {
-		if len(r.Problems) > 0 {
-			t.Errorf("seed %d: %v", *first+i, r.Problems)
+func TestRun_nothingAcknowledgedIsLostUnderFaults(t *testing.T) {
+	began, seeds, done, events := time.Now(), *seedCount, 0, 0
+	for i, r := range runSeeds(*firstSeed, seeds, NoBug) {
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %v", *firstSeed+i, r.Violations)
 		}
-		done, events = done+r.Done, events+r.Events
+		done, events = done+r.Answered, events+r.Events
 	}
 	t.Logf("%d schedules, %d calls, %d events, %.0f schedules a minute", seeds, done, events,
 		float64(seeds)/time.Since(began).Minutes())
@@ -47,22 +47,22 @@
 
 // Voters are killed while they lead, 50 times, and come back after a while: how long nobody leads is what the operators'
 // page says.
-func TestTimeWithoutALeader(t *testing.T) {
-	w := newWorld(1, None, 3)
+func TestRun_timeWithoutALeader(t *testing.T) {
+	s := newSimulation(1, NoBug, 3)
 	var took []time.Duration
 	for len(took) < 50 {
-		w.run(w.now + 2*time.Second)
-		l := w.leader()
-		if l == nil {
+		s.runUntil(s.now + 2*time.Second)
+		leader := s.leader()
+		if leader == nil {
 			t.Fatalf("no leader %v after the kill before", 2*time.Second)
 		}
-		l.crash()
-		began := w.now
-		w.at(time.Second, l.restart)
-		for w.leader() == nil {
-			w.run(w.agenda[0].at)
+		leader.crash()
+		began := s.now
+		s.after(time.Second, leader.restart)
+		for s.leader() == nil {
+			s.runUntil(s.agenda[0].at)
 		}
-		took = append(took, w.now-began)
+		took = append(took, s.now-began)
 	}
 	slices.Sort(took)
 	t.Logf("50 kills of a leader: p50 %v, p90 %v, most %v", took[24], took[44], took[49])
@@ -72,14 +72,14 @@
 }
 
 // Each planted bug must be found, or the checks prove nothing.
-func TestPlantedBugsAreFound(t *testing.T) {
-	for bug, name := range names {
+func TestRun_plantedBugsAreFound(t *testing.T) {
+	for bug, name := range bugNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const most = 3000
 			for seed := range uint64(most) {
-				if r := Run(seed, bug); len(r.Problems) > 0 {
-					t.Logf("found after %d schedules: %s", seed+1, r.Problems[0])
+				if r := Run(seed, bug); len(r.Violations) > 0 {
+					t.Logf("found after %d schedules: %s", seed+1, r.Violations[0])
 					return
 				}
 			}
@@ -88,16 +88,16 @@
 	}
 }
 
-var names = map[Bug]string{VoteWithoutSync: "vote without sync", SendBeforeSync: "message sent before sync",
-	AppliedTwice: "command applied twice", LeaseByWallClock: "lease by wall clock",
-	LeaseFromAnswer: "lease from its answer",
-	LeaseIgnored:    "stale plan acted on", EvidenceTwice: "evidence counted twice", ReadWithoutQuorum: "read without quorum"}
+var bugNames = map[Bug]string{VoteWithoutSync: "vote without sync", SendBeforeSync: "message sent before sync",
+	CommandAppliedTwice: "command applied twice", LeaseByWallClock: "lease by wall clock",
+	LeaseFromResponse: "lease from its answer",
+	LeaseIgnored:      "stale plan acted on", DigestsCountedTwice: "evidence counted twice", ReadWithoutQuorum: "read without quorum"}
 
 // A seed that fails must fail again in the same way, or nobody can look into it.
-func TestSeedReplaysExactly(t *testing.T) {
+func TestRun_seedReplaysExactly(t *testing.T) {
 	for seed := range uint64(8) {
-		a, b := Run(seed, None), Run(seed, None)
-		if a.Trace != b.Trace || a.Events != b.Events || a.Done != b.Done {
+		a, b := Run(seed, NoBug), Run(seed, NoBug)
+		if a.Trace != b.Trace || a.Events != b.Events || a.Answered != b.Answered {
 			t.Errorf("seed %d: %+v, then %+v", seed, a, b)
 		}
 	}
--- a/internal/cluster/play/trouble.go
+++ b/internal/cluster/play/trouble.go
@@ -4,89 +4,89 @@
 	"time"
 )
 
-// trouble draws the faults of a run.
-func (w *world) trouble() {
-	if w.now >= troubled {
-		w.heal()
+// injectFault draws the faults of a run.
+func (s *simulation) injectFault() {
+	if s.now >= faultsUntil {
+		s.healFaults()
 		return
 	}
-	n := w.pick()
-	if l := w.leader(); l != nil && w.chance.IntN(2) == 0 {
-		n = l
+	n := s.randomNode()
+	if leader := s.leader(); leader != nil && s.rng.IntN(2) == 0 {
+		n = leader
 	}
-	span := 50*time.Millisecond + time.Duration(w.chance.Int64N(int64(1500*time.Millisecond)))
-	switch w.chance.IntN(10) {
+	span := 50*time.Millisecond + time.Duration(s.rng.Int64N(int64(1500*time.Millisecond)))
+	switch s.rng.IntN(10) {
 	case 0, 1:
-		n.doomed = 1 + w.chance.IntN(stages)
-		w.at(span, func() { n.restart() })
+		n.crashPoint = 1 + s.rng.IntN(crashPoints)
+		s.after(span, func() { n.restart() })
 	case 2: // all at once
-		for _, n := range w.live() {
+		for _, n := range s.activeNodes() {
 			n.crash()
-			w.at(span, func() { n.restart() })
+			s.after(span, func() { n.restart() })
 		}
 	case 3:
-		n.sleep(span, w.chance.IntN(2) == 0)
+		n.suspend(span, s.rng.IntN(2) == 0)
 	case 4: // both ways
-		for _, o := range w.nodes {
-			w.cut[[2]uint64{n.member.Number, o.member.Number}] = true
-			w.cut[[2]uint64{o.member.Number, n.member.Number}] = true
+		for _, o := range s.nodes {
+			s.partitioned[[2]uint64{n.member.Number, o.member.Number}] = true
+			s.partitioned[[2]uint64{o.member.Number, n.member.Number}] = true
 		}
-		w.at(span, func() { clear(w.cut) })
+		s.after(span, func() { clear(s.partitioned) })
 	case 5: // one way
-		for _, o := range w.nodes {
-			w.cut[[2]uint64{n.member.Number, o.member.Number}] = true
+		for _, o := range s.nodes {
+			s.partitioned[[2]uint64{n.member.Number, o.member.Number}] = true
 		}
-		w.at(span, func() { clear(w.cut) })
+		s.after(span, func() { clear(s.partitioned) })
 	case 6:
-		w.loss, w.slow = w.chance.Float64()*0.4, 100*time.Millisecond
-		w.at(span, func() { w.loss, w.slow = 0, 2*time.Millisecond })
+		s.lossRate, s.maxDelay = s.rng.Float64()*0.4, 100*time.Millisecond
+		s.after(span, func() { s.lossRate, s.maxDelay = 0, 2*time.Millisecond })
 	case 7:
-		n.full = true
-		w.at(span, func() { n.full = false; n.crash(); n.restart() })
+		n.diskFull = true
+		s.after(span, func() { n.diskFull = false; n.crash(); n.restart() })
 	case 8:
-		n.slow = time.Duration(w.chance.Int64N(int64(400 * time.Millisecond)))
-		w.at(span, func() { n.slow = 0 })
+		n.syncDelay = time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))
+		s.after(span, func() { n.syncDelay = 0 })
 	case 9:
-		w.replace(n)
+		s.replaceVoter(n)
 	}
-	w.at(time.Duration(w.chance.Int64N(int64(800*time.Millisecond))), w.trouble)
+	s.after(time.Duration(s.rng.Int64N(int64(800*time.Millisecond))), s.injectFault)
 }
 
-func (w *world) heal() {
-	clear(w.cut)
-	w.loss, w.slow = 0, 2*time.Millisecond
-	for _, n := range w.live() {
-		n.doomed, n.full, n.slow = 0, false, 0
+func (s *simulation) healFaults() {
+	clear(s.partitioned)
+	s.lossRate, s.maxDelay = 0, 2*time.Millisecond
+	for _, n := range s.activeNodes() {
+		n.crashPoint, n.diskFull, n.syncDelay = 0, false, 0
 		n.restart()
 	}
 }
 
-// replace has a voter lose its disk and come back under a new number, as an operator would do it.
-func (w *world) replace(n *node) {
-	if w.replaced {
+// replaceVoter has a voter lose its disk and come back under a new number, as an operator would do it.
+func (s *simulation) replaceVoter(n *node) {
+	if s.replaced {
 		return
 	}
-	w.replaced = true
+	s.replaced = true
 	n.crash()
-	n.lost = true
-	fresh := newNode(w, uint64(len(w.nodes)+1))
-	w.nodes = append(w.nodes, fresh)
+	n.diskLost = true
+	fresh := newNode(s, uint64(len(s.nodes)+1))
+	s.nodes = append(s.nodes, fresh)
 	fresh.start(nil)
-	w.every(300*time.Millisecond, func() bool {
-		l := w.leader()
-		if l == nil || w.now > length {
-			return w.now <= length
+	s.every(300*time.Millisecond, func() bool {
+		leader := s.leader()
+		if leader == nil || s.now > runDuration {
+			return s.now <= runDuration
 		}
 		there, gone := false, true
-		for _, m := range l.core.Status().Members {
+		for _, m := range leader.consensus.Status().Members {
 			there, gone = there || m.Number == fresh.member.Number, gone && m.Number != n.member.Number
 		}
-		l.do(func() {
+		leader.execute(func() {
 			switch {
 			case !gone:
-				_, _ = l.core.Change(n.member, true) // asked again until it is so
+				_, _ = leader.consensus.ChangeMembership(n.member, true) // asked again until it is so
 			case !there:
-				_, _ = l.core.Change(fresh.member, false)
+				_, _ = leader.consensus.ChangeMembership(fresh.member, false)
 			}
 		})
 		return !there || !gone
