--- a/internal/cluster/play/work.go
+++ b/internal/cluster/play/work.go
@@ -6,110 +6,110 @@
 	"harrierhoist/internal/cluster/core"
 )
 
-// handle writes, sends and applies, or crashes in the midst of it.
-func (n *node) handle(r core.Ready) bool {
-	doomed := n.doomed
-	if r.Record == nil {
-		doomed = 0
+// handleReady writes, sends and applies, or crashes in the midst of it.
+func (n *node) handleReady(ready core.Ready) bool {
+	crashPoint := n.crashPoint
+	if ready.Record == nil {
+		crashPoint = 0
 	}
-	n.send(r.Early)
-	if n.w.bug == SendBeforeSync {
-		n.send(r.Messages)
+	n.send(ready.EarlyMessages)
+	if n.sim.bug == SendBeforeSync {
+		n.send(ready.Messages)
 	}
-	if doomed == beforeWrite || doomed == beforeSync && n.w.chance.IntN(2) == 0 || r.Record != nil && n.full {
+	if crashPoint == beforeWrite || crashPoint == beforeSync && n.sim.rng.IntN(2) == 0 || ready.Record != nil && n.diskFull {
 		n.crash()
 		return false
 	}
-	if r.Record == nil {
-		return n.finish(r, 0)
+	if ready.Record == nil {
+		return n.finishReady(ready, 0)
 	}
-	if n.slow > 0 {
-		n.writing = true
-		life := n.life
-		n.w.at(n.slow, func() {
-			if !n.up || n.life != life {
+	if n.syncDelay > 0 {
+		n.syncing = true
+		incarnation := n.incarnation
+		n.sim.after(n.syncDelay, func() {
+			if !n.up || n.incarnation != incarnation {
 				return // it died before the sync was over
 			}
-			n.writing = false
-			n.save(r.Record)
-			n.queue = append([]func(){func() { n.finish(r, doomed) }}, n.queue...) // before what came meanwhile
-			n.catchUp()
+			n.syncing = false
+			n.saveRecord(ready.Record)
+			n.deferred = append([]func(){func() { n.finishReady(ready, crashPoint) }}, n.deferred...) // before what came meanwhile
+			n.runDeferred()
 		})
 		return false
 	}
-	n.save(r.Record)
-	return n.finish(r, doomed)
+	n.saveRecord(ready.Record)
+	return n.finishReady(ready, crashPoint)
 }
 
-// finish goes on once the record is on disk.
-func (n *node) finish(r core.Ready, doomed int) bool {
-	if doomed == beforeSync || doomed == beforeSend {
+// finishReady goes on once the record is on disk.
+func (n *node) finishReady(ready core.Ready, crashPoint int) bool {
+	if crashPoint == beforeSync || crashPoint == beforeSend {
 		n.crash()
 		return false
 	}
-	if doomed == midSend {
-		n.send(r.Messages[:n.w.chance.IntN(len(r.Messages)+1)])
+	if crashPoint == midSend {
+		n.send(ready.Messages[:n.sim.rng.IntN(len(ready.Messages)+1)])
 		n.crash()
 		return false
 	}
-	if n.w.bug != SendBeforeSync {
-		n.send(r.Messages)
+	if n.sim.bug != SendBeforeSync {
+		n.send(ready.Messages)
 	}
-	done, err := n.core.Done(r)
+	done, err := n.consensus.Advance(ready)
 	if err != nil {
-		n.w.problem("voter %d: %v", n.member.Number, err)
+		n.sim.violation("voter %d: %v", n.member.Number, err)
 		n.crash()
 		return false
 	}
-	for _, o := range done.Results {
-		if answer := n.proposed[o.Seq]; answer != nil {
-			delete(n.proposed, o.Seq)
+	for _, o := range done.Outcomes {
+		if answer := n.proposals[o.Seq]; answer != nil {
+			delete(n.proposals, o.Seq)
 			answer(o)
 		}
 	}
-	n.reads.Done(done, n.now())
+	n.readQueue.HandleApplied(done, n.now())
 	return true
 }
 
-func (n *node) save(record []byte) {
+func (n *node) saveRecord(record []byte) {
 	var parts map[uint64]cbor.RawMessage
-	if n.w.bug == VoteWithoutSync && cbor.Unmarshal(record, &parts) == nil && parts[3] == nil && parts[2] == nil {
-		n.loose = append(n.loose, record)
+	if n.sim.bug == VoteWithoutSync && cbor.Unmarshal(record, &parts) == nil && parts[3] == nil && parts[2] == nil {
+		n.unsynced = append(n.unsynced, record)
 		return
 	}
-	n.disk = append(n.disk, record)
+	n.synced = append(n.synced, record)
 }
 
 func (n *node) send(messages []core.Message) {
 	for _, m := range messages {
-		to := n.w.node(m.To.Number)
+		to := n.sim.node(m.To.Number)
 		if to == nil {
 			continue
 		}
-		n.w.carry(n.member.Number, m.To.Number, func() {
-			to.do(func() {
-				if digests, err := to.core.Step(m.Body); err == nil {
-					to.gather.TakeOver(digests)
+		n.sim.deliver(n.member.Number, m.To.Number, func() {
+			to.execute(func() {
+				if digests, err := to.consensus.HandleMessage(m.Body); err == nil {
+					to.gatherer.AddFromVoter(digests)
 				}
 			})
 		})
 	}
 }
 
-func (w *world) node(number uint64) *node {
-	if number == 0 || number > uint64(len(w.nodes)) {
+func (s *simulation) node(number uint64) *node {
+	if number == 0 || number > uint64(len(s.nodes)) {
 		return nil
 	}
-	return w.nodes[number-1]
+	return s.nodes[number-1]
 }
 
-func (n *node) pass() {
-	n.core.Mark()
-	s := n.core.Status()
-	if s.Leader == 0 || s.Leader == s.Number {
+func (n *node) forwardDigests() {
+	n.consensus.ProposeDiskIDs()
+	status := n.consensus.Status()
+	if status.Leader == 0 || status.Leader == status.Number {
 		return
 	}
-	if m, ok, err := n.core.Evidence(n.gather.Pass(s.Term)); ok && err == nil {
+	if m, ok, err := n.consensus.DigestMessage(n.gatherer.ForLeader(status.Term)); ok && err == nil {
 		n.send([]core.Message{m})
 	}
 }
--- a/internal/cluster/play/world.go
+++ b/internal/cluster/play/world.go
@@ -18,33 +18,33 @@
 
 // The planted bugs.
 const (
-	None              Bug = iota
-	VoteWithoutSync       // the disk says a vote is synced; a crash forgets it
-	SendBeforeSync        // messages go out before what they speak of is on disk
-	AppliedTwice          // a command is asked for again under a new number
-	LeaseByWallClock      // a lease ends by a clock that is set back
-	LeaseFromAnswer       // a lease counts from when the answer came
-	LeaseIgnored          // a holder goes on after its lease
-	EvidenceTwice         // a process that turns to another voter does not say so
-	ReadWithoutQuorum     // a voter answers reads from what it has
+	NoBug               Bug = iota
+	VoteWithoutSync         // the disk says a vote is synced; a crash forgets it
+	SendBeforeSync          // messages go out before what they speak of is on disk
+	CommandAppliedTwice     // a command is asked for again under a new number
+	LeaseByWallClock        // a lease ends by a clock that is set back
+	LeaseFromResponse       // a lease counts from when the answer came
+	LeaseIgnored            // a holder goes on after its lease
+	DigestsCountedTwice     // a process that turns to another voter does not say so
+	ReadWithoutQuorum       // a voter answers reads from what it has
 )
 
 // Times of a run.
 const (
-	tick      = 25 * time.Millisecond
-	lease     = 2 * time.Second
-	troubled  = 6 * time.Second // faults are drawn until then; then all heals
-	length    = 14 * time.Second
-	passEvery = 200 * time.Millisecond
+	tickInterval    = 25 * time.Millisecond
+	leaseDuration   = 2 * time.Second
+	faultsUntil     = 6 * time.Second // faults are drawn until then; then all heals
+	runDuration     = 14 * time.Second
+	forwardInterval = 200 * time.Millisecond
 )
 
 // Report is what a run came to.
 type Report struct {
-	Problems []string // what the checks found; none: all held
-	Done     int      // calls answered
-	Events   int
-	Trace    uint64        // of all events: two runs of a seed have the same
-	Without  time.Duration // time in which no voter led and knew it, until the end of the faults
+	Violations []string // what the checks found; none: all held
+	Answered   int      // calls answered
+	Events     int
+	Trace      uint64        // of all events: two runs of a seed have the same
+	Without    time.Duration // time in which no voter led and knew it, until the end of the faults
 }
 
 type event struct {
@@ -68,130 +68,132 @@
 	return e
 }
 
-// world is one run.
-type world struct {
-	bug      Bug
-	chance   *rand.Rand
-	now      time.Duration
-	agenda   agenda
-	seq      int
-	nodes    []*node
-	clients  []*client
-	holders  []*holder
-	teller   []*teller
-	loss     float64            // of messages
-	slow     time.Duration      // most delay of a message
-	cut      map[[2]uint64]bool // from, to
-	commits  map[uint64]time.Duration
-	top      uint64 // highest epoch applied anywhere
-	leads    map[uint64]uint64
-	history  []porcupine.Operation
-	trace    *xxhash.Digest
-	report   Report
-	problems map[string]bool
-	replaced bool // a voter, once a run
+// simulation is one run.
+type simulation struct {
+	bug          Bug
+	rng          *rand.Rand
+	now          time.Duration
+	agenda       agenda
+	seq          int
+	nodes        []*node
+	clients      []*client
+	leaseHolders []*leaseHolder
+	reporters    []*reporter
+	lossRate     float64            // of messages
+	maxDelay     time.Duration      // most delay of a message
+	partitioned  map[[2]uint64]bool // from, to
+	committedAt  map[uint64]time.Duration
+	highestEpoch uint64 // highest epoch applied anywhere
+	leaderOfTerm map[uint64]uint64
+	history      []porcupine.Operation
+	trace        *xxhash.Digest
+	report       Report
+	reported     map[string]bool
+	replaced     bool // a voter, once a run
 }
 
 // Run plays one seed with three or five voters and a bug.
 func Run(seed uint64, bug Bug) Report {
-	w := newWorld(seed, bug, 3+2*int(seed%2))
-	w.at(0, w.trouble)
-	w.run(length)
-	w.check()
-	return w.report
+	s := newSimulation(seed, bug, 3+2*int(seed%2))
+	s.after(0, s.injectFault)
+	s.runUntil(runDuration)
+	s.checkEndState()
+	return s.report
 }
 
-func newWorld(seed uint64, bug Bug, voters int) *world {
-	w := &world{bug: bug, chance: rand.New(rand.NewPCG(seed, 29)), cut: map[[2]uint64]bool{}, slow: 2 * time.Millisecond,
-		commits: map[uint64]time.Duration{}, leads: map[uint64]uint64{}, trace: xxhash.New(), problems: map[string]bool{}}
+func newSimulation(seed uint64, bug Bug, voters int) *simulation {
+	s := &simulation{bug: bug, rng: rand.New(rand.NewPCG(seed, 29)), partitioned: map[[2]uint64]bool{}, maxDelay: 2 * time.Millisecond,
+		committedAt: map[uint64]time.Duration{}, leaderOfTerm: map[uint64]uint64{}, trace: xxhash.New(), reported: map[string]bool{}}
 	for i := range voters {
-		w.nodes = append(w.nodes, newNode(w, uint64(i+1)))
+		s.nodes = append(s.nodes, newNode(s, uint64(i+1)))
 	}
-	first := w.first()
-	for _, n := range w.nodes {
+	first := s.initialMembers()
+	for _, n := range s.nodes {
 		n.start(first)
 	}
 	for i := range 3 {
-		w.clients = append(w.clients, newClient(w, i))
+		s.clients = append(s.clients, newClient(s, i))
 	}
 	for i := range 2 {
-		w.holders = append(w.holders, newHolder(w, i))
-		w.teller = append(w.teller, newTeller(w, i))
+		s.leaseHolders = append(s.leaseHolders, newLeaseHolder(s, i))
+		s.reporters = append(s.reporters, newReporter(s, i))
 	}
-	return w
+	return s
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.agenda) > 0 && w.agenda[0].at <= until {
-		e := heap.Pop(&w.agenda).(event)
-		w.now = e.at
-		w.report.Events++
-		w.note("%d %d", e.at, e.seq)
+func (s *simulation) runUntil(until time.Duration) {
+	for len(s.agenda) > 0 && s.agenda[0].at <= until {
+		e := heap.Pop(&s.agenda).(event)
+		s.now = e.at
+		s.report.Events++
+		s.traceEvent("%d %d", e.at, e.seq)
 		e.do()
 	}
 }
 
-func (w *world) note(format string, args ...any) { _, _ = fmt.Fprintf(w.trace, format, args...) }
+func (s *simulation) traceEvent(format string, args ...any) {
+	_, _ = fmt.Fprintf(s.trace, format, args...)
+}
 
-// at has something done after a while.
-func (w *world) at(after time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.agenda, event{w.now + after, w.seq, do})
+// after has something done after a while.
+func (s *simulation) after(after time.Duration, action func()) {
+	s.seq++
+	heap.Push(&s.agenda, event{s.now + after, s.seq, action})
 }
 
 // every has something done again and again until it says no.
-func (w *world) every(d time.Duration, do func() bool) {
+func (s *simulation) every(d time.Duration, do func() bool) {
 	var again func()
 	again = func() {
 		if do() {
-			w.at(d, again)
+			s.after(d, again)
 		}
 	}
-	w.at(time.Duration(w.chance.Int64N(int64(d))), again)
+	s.after(time.Duration(s.rng.Int64N(int64(d))), again)
 }
 
-// carry takes a message over a way that may lose, double and delay it. Calls of clients have the number 0.
-func (w *world) carry(from, to uint64, do func()) {
-	if w.cut[[2]uint64{from, to}] || w.chance.Float64() < w.loss {
+// deliver takes a message over a way that may lose, double and delay it. Calls of clients have the number 0.
+func (s *simulation) deliver(from, to uint64, action func()) {
+	if s.partitioned[[2]uint64{from, to}] || s.rng.Float64() < s.lossRate {
 		return
 	}
 	copies := 1
-	if w.chance.Float64() < 0.02 {
+	if s.rng.Float64() < 0.02 {
 		copies = 2
 	}
 	for range copies {
-		late := w.slow/20 + time.Duration(w.chance.Int64N(int64(w.slow)))
-		if w.chance.Float64() < 0.01 {
-			late += time.Duration(w.chance.Int64N(int64(time.Second))) // held back on the way
+		late := s.maxDelay/20 + time.Duration(s.rng.Int64N(int64(s.maxDelay)))
+		if s.rng.Float64() < 0.01 {
+			late += time.Duration(s.rng.Int64N(int64(time.Second))) // held back on the way
 		}
-		w.at(late, do)
+		s.after(late, action)
 	}
 }
 
-func (w *world) problem(format string, args ...any) {
+func (s *simulation) violation(format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
-	if !w.problems[what] {
-		w.problems[what] = true
-		w.report.Problems = append(w.report.Problems, fmt.Sprintf("%v: %s", w.now, what))
+	if !s.reported[what] {
+		s.reported[what] = true
+		s.report.Violations = append(s.report.Violations, fmt.Sprintf("%v: %s", s.now, what))
 	}
 }
 
-// live are the voters that are members or about to be.
-func (w *world) live() []*node {
+// activeNodes are the voters that are members or about to be.
+func (s *simulation) activeNodes() []*node {
 	var all []*node
-	for _, n := range w.nodes {
-		if !n.lost {
+	for _, n := range s.nodes {
+		if !n.diskLost {
 			all = append(all, n)
 		}
 	}
 	return all
 }
 
-func (w *world) pick() *node { l := w.live(); return l[w.chance.IntN(len(l))] }
+func (s *simulation) randomNode() *node { l := s.activeNodes(); return l[s.rng.IntN(len(l))] }
 
-func (w *world) leader() *node {
-	for _, n := range w.live() {
-		if n.up && !n.asleep && n.core.Settled() {
+func (s *simulation) leader() *node {
+	for _, n := range s.activeNodes() {
+		if n.up && !n.suspended && n.consensus.IsEstablishedLeader() {
 			return n
 		}
 	}
--- a/internal/cluster/tables/golden_test.go
+++ b/internal/cluster/tables/golden_test.go
@@ -12,20 +12,20 @@
 )
 
 // A log that was written by the version before holds these commands; its bytes must mean the same, and be the same.
-func TestGoldenEncodingOfCommandsAndAnswers(t *testing.T) {
+func TestGolden_commandsAndResults(t *testing.T) {
 	for name, c := range map[string]struct {
 		value, into any
 		want        string
 	}{
-		"write": {&Command{Kind: Write, By: "g1/7", Number: 9, Table: "plan", Epoch: 4, Value: []byte("value")},
+		"write": {&Command{Kind: Write, Proposer: "g1/7", Number: 9, Table: "plan", Epoch: 4, Value: []byte("value")},
 			new(Command), goldenWrite},
-		"raise": {&Command{Kind: Raise, Table: "exact", Totals: map[string]uint64{"a": 7, "b": 1 << 40}},
+		"raise": {&Command{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"a": 7, "b": 1 << 40}},
 			new(Command), goldenRaise},
 		"result": {&Result{Applied: true, Epoch: 5}, new(Result), goldenResult},
-		"entry":  {&Entry{Epoch: 5, Value: []byte("value"), Index: 77}, new(Entry), goldenEntry},
+		"entry":  {&Table{Epoch: 5, Value: []byte("value"), Index: 77}, new(Table), goldenEntry},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := mode.Marshal(c.value)
+			got, err := encMode.Marshal(c.value)
 			if err != nil || hex.EncodeToString(got) != c.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
@@ -50,22 +50,22 @@
 // goldenState is what a snapshot under testdata was made of: tables written, refused and repeated, and totals.
 func goldenState() *State {
 	s := New()
-	for i, c := range []Command{
-		write("g1/1", 1, 0, "first"), write("g2/1", 1, 0, "refused"), write("g1/1", 2, 1, "second"),
-		write("g1/1", 2, 1, "repeated"),
-		{Kind: Write, By: "g2/2", Number: 1, Table: "rules", Value: []byte{0, 1, 0xff}},
-		{Kind: Raise, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 1 << 33}},
-		{Kind: Raise, By: "g3/1", Number: 4, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 11}},
-		{Kind: Write, By: "g3/1", Number: 5, Table: "empty"},
-		{Kind: 9, By: "g3/1", Number: 6, Table: "unknown"},
+	for i, command := range []Command{
+		writeCommand("g1/1", 1, 0, "first"), writeCommand("g2/1", 1, 0, "refused"), writeCommand("g1/1", 2, 1, "second"),
+		writeCommand("g1/1", 2, 1, "repeated"),
+		{Kind: Write, Proposer: "g2/2", Number: 1, Table: "rules", Value: []byte{0, 1, 0xff}},
+		{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 1 << 33}},
+		{Kind: RaiseTotals, Proposer: "g3/1", Number: 4, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 11}},
+		{Kind: Write, Proposer: "g3/1", Number: 5, Table: "empty"},
+		{Kind: 9, Proposer: "g3/1", Number: 6, Table: "unknown"},
 	} {
-		s.Apply(uint64(10+i), c)
+		s.Apply(uint64(10+i), command)
 	}
 	return s
 }
 
 // A snapshot that the version before wrote is read, and written again byte for byte.
-func TestGoldenSnapshot(t *testing.T) {
+func TestGolden_snapshot(t *testing.T) {
 	text, err := os.ReadFile("testdata/snapshot.hex")
 	if err != nil {
 		t.Fatal(err)
@@ -84,12 +84,12 @@
 	if got, err := s.Snapshot(); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written again as %x, %v", got, err)
 	}
-	if plan, rules := s.Table("plan"), s.Table("rules"); s.Index() != 18 || string(plan.Value) != "second" ||
+	if plan, rules := s.Table("plan"), s.Table("rules"); s.AppliedIndex() != 18 || string(plan.Value) != "second" ||
 		plan.Epoch != 2 || plan.Index != 12 || !bytes.Equal(rules.Value, []byte{0, 1, 0xff}) ||
 		s.Totals("exact")["g1\x1f7\x1fowed"] != 12 {
 		t.Errorf("read as %+v", s)
 	}
-	if again := s.Apply(19, write("g1/1", 2, 1, "repeated")); !again.Applied || again.Epoch != 2 {
+	if again := s.Apply(19, writeCommand("g1/1", 2, 1, "repeated")); !again.Applied || again.Epoch != 2 {
 		t.Errorf("the answer to a repeated command is %+v", again)
 	}
 }
--- a/internal/cluster/tables/tables.go
+++ b/internal/cluster/tables/tables.go
@@ -16,19 +16,19 @@
 
 // The kinds of command.
 const (
-	Write Kind = iota + 1 // sets a table that stands at the epoch named; its epoch grows by one
-	Raise                 // raises totals to what is told, where that is more; it has no epoch and may be repeated
+	Write       Kind = iota + 1 // sets a table that stands at the epoch named; its epoch grows by one
+	RaiseTotals                 // raises totals to what is told, where that is more; it has no epoch and may be repeated
 )
 
 // Command is one entry of the log. By and Number name it: of each By the numbers are applied in growing order, each once.
 type Command struct {
-	Kind   Kind              `cbor:"1,keyasint"`
-	By     string            `cbor:"2,keyasint"` // who proposed it: a process in one of its lives
-	Number uint64            `cbor:"3,keyasint"` // from 1; 0: not numbered, as it may be applied again (Raise alone)
-	Table  string            `cbor:"4,keyasint"`
-	Epoch  uint64            `cbor:"5,keyasint"` // Write: the epoch that the table must stand at; 0: it was never written
-	Value  []byte            `cbor:"6,keyasint"` // Write
-	Totals map[string]uint64 `cbor:"7,keyasint"` // Raise
+	Kind     Kind              `cbor:"1,keyasint"`
+	Proposer string            `cbor:"2,keyasint"` // who proposed it: a process in one of its lives
+	Number   uint64            `cbor:"3,keyasint"` // from 1; 0: not numbered, as it may be applied again (Raise alone)
+	Table    string            `cbor:"4,keyasint"`
+	Epoch    uint64            `cbor:"5,keyasint"` // Write: the epoch that the table must stand at; 0: it was never written
+	Value    []byte            `cbor:"6,keyasint"` // Write
+	Totals   map[string]uint64 `cbor:"7,keyasint"` // Raise
 }
 
 // Result is what became of a command.
@@ -37,8 +37,8 @@
 	Epoch   uint64 `cbor:"Epoch"`   // of the table, after the command
 }
 
-// Entry is a table as it stands.
-type Entry struct {
+// Table is a table as it stands.
+type Table struct {
 	Epoch uint64 `cbor:"1,keyasint"` // 0: never written
 	Value []byte `cbor:"2,keyasint"`
 	Index uint64 `cbor:"3,keyasint"` // of the log entry that wrote it
@@ -46,95 +46,95 @@
 
 // State is all of it. Not safe for use by several goroutines at once.
 type State struct {
-	index  uint64
-	tables map[string]Entry
-	totals map[string]map[string]uint64
-	done   map[string]done // by By
+	appliedIndex uint64
+	tables       map[string]Table
+	totals       map[string]map[string]uint64
+	lastCommands map[string]lastCommand // by By
 }
 
-type done struct {
+type lastCommand struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Result Result `cbor:"2,keyasint"`
 	Index  uint64 `cbor:"3,keyasint"` // when: the longest past are forgotten first
 }
 
-// doneMost is how many proposers are remembered: more lives of processes than propose within the time in which any of
+// maxProposers is how many proposers are remembered: more lives of processes than propose within the time in which any of
 // them still repeats a command.
-const doneMost = 4096
+const maxProposers = 4096
 
 // New makes an empty state.
 func New() *State {
-	return &State{tables: map[string]Entry{}, totals: map[string]map[string]uint64{}, done: map[string]done{}}
+	return &State{tables: map[string]Table{}, totals: map[string]map[string]uint64{}, lastCommands: map[string]lastCommand{}}
 }
 
 // Apply applies the command at an index of the log. An index at or below the latest changes nothing.
-func (s *State) Apply(index uint64, c Command) Result {
-	if index <= s.index {
-		return Result{Epoch: s.tables[c.Table].Epoch}
+func (s *State) Apply(index uint64, command Command) Result {
+	if index <= s.appliedIndex {
+		return Result{Epoch: s.tables[command.Table].Epoch}
 	}
-	s.index = index
-	if c.Number > 0 {
-		if was, ok := s.done[c.By]; ok && c.Number <= was.Number {
-			if c.Number == was.Number {
-				return was.Result
+	s.appliedIndex = index
+	if command.Number > 0 {
+		if last, ok := s.lastCommands[command.Proposer]; ok && command.Number <= last.Number {
+			if command.Number == last.Number {
+				return last.Result
 			}
-			return Result{Epoch: s.tables[c.Table].Epoch}
+			return Result{Epoch: s.tables[command.Table].Epoch}
 		}
 	}
-	r := s.apply(index, c)
-	if c.Number > 0 {
-		s.done[c.By] = done{c.Number, r, index}
-		s.forget()
+	result := s.execute(index, command)
+	if command.Number > 0 {
+		s.lastCommands[command.Proposer] = lastCommand{command.Number, result, index}
+		s.evictOldestProposer()
 	}
-	return r
+	return result
 }
 
-func (s *State) apply(index uint64, c Command) Result {
-	switch c.Kind {
+func (s *State) execute(index uint64, command Command) Result {
+	switch command.Kind {
 	case Write:
-		e := s.tables[c.Table]
-		if e.Epoch != c.Epoch {
-			return Result{Epoch: e.Epoch}
+		table := s.tables[command.Table]
+		if table.Epoch != command.Epoch {
+			return Result{Epoch: table.Epoch}
 		}
-		s.tables[c.Table] = Entry{Epoch: e.Epoch + 1, Value: slices.Clone(c.Value), Index: index}
-		return Result{Applied: true, Epoch: e.Epoch + 1}
-	case Raise:
-		t := s.totals[c.Table]
-		if t == nil {
-			t = map[string]uint64{}
-			s.totals[c.Table] = t
+		s.tables[command.Table] = Table{Epoch: table.Epoch + 1, Value: slices.Clone(command.Value), Index: index}
+		return Result{Applied: true, Epoch: table.Epoch + 1}
+	case RaiseTotals:
+		totals := s.totals[command.Table]
+		if totals == nil {
+			totals = map[string]uint64{}
+			s.totals[command.Table] = totals
 		}
-		for name, n := range c.Totals {
-			t[name] = max(t[name], n)
+		for name, n := range command.Totals {
+			totals[name] = max(totals[name], n)
 		}
 		return Result{Applied: true}
 	}
 	return Result{}
 }
 
-// forget drops the proposer that was longest silent once there are too many.
-func (s *State) forget() {
-	if len(s.done) <= doneMost {
+// evictOldestProposer drops the proposer that was longest silent once there are too many.
+func (s *State) evictOldestProposer() {
+	if len(s.lastCommands) <= maxProposers {
 		return
 	}
-	oldest := slices.MinFunc(slices.Sorted(maps.Keys(s.done)), func(a, b string) int {
-		return cmp.Compare(s.done[a].Index, s.done[b].Index)
+	oldest := slices.MinFunc(slices.Sorted(maps.Keys(s.lastCommands)), func(a, b string) int {
+		return cmp.Compare(s.lastCommands[a].Index, s.lastCommands[b].Index)
 	})
-	delete(s.done, oldest)
+	delete(s.lastCommands, oldest)
 }
 
-// Index is that of the latest log entry applied.
-func (s *State) Index() uint64 { return s.index }
+// AppliedIndex is that of the latest log entry applied.
+func (s *State) AppliedIndex() uint64 { return s.appliedIndex }
 
 // Table is a table as it stands.
-func (s *State) Table(name string) Entry { return s.tables[name] }
-
-// Since gives the tables that stand at a later epoch than known names; 0: never heard of.
-func (s *State) Since(known map[string]uint64) map[string]Entry {
-	found := map[string]Entry{}
-	for name, e := range s.tables {
-		if e.Epoch > known[name] {
-			found[name] = e
+func (s *State) Table(name string) Table { return s.tables[name] }
+
+// ChangedSince gives the tables that stand at a later epoch than known names; 0: never heard of.
+func (s *State) ChangedSince(known map[string]uint64) map[string]Table {
+	found := map[string]Table{}
+	for name, table := range s.tables {
+		if table.Epoch > known[name] {
+			found[name] = table
 		}
 	}
 	return found
@@ -143,15 +143,15 @@
 // Totals are the totals of a table. The map is the caller's.
 func (s *State) Totals(table string) map[string]uint64 { return maps.Clone(s.totals[table]) }
 
-// picture is a state on disk or on the way.
-type picture struct {
-	Index  uint64                       `cbor:"1,keyasint"`
-	Tables map[string]Entry             `cbor:"2,keyasint"`
-	Totals map[string]map[string]uint64 `cbor:"3,keyasint"`
-	Done   map[string]done              `cbor:"4,keyasint"`
+// snapshotData is a state on disk or on the way.
+type snapshotData struct {
+	Index        uint64                       `cbor:"1,keyasint"`
+	Tables       map[string]Table             `cbor:"2,keyasint"`
+	Totals       map[string]map[string]uint64 `cbor:"3,keyasint"`
+	LastCommands map[string]lastCommand       `cbor:"4,keyasint"`
 }
 
-var mode = func() cbor.EncMode {
+var encMode = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the library's own options
@@ -161,20 +161,20 @@
 
 // Snapshot gives the whole state as bytes: the same state, the same bytes.
 func (s *State) Snapshot() ([]byte, error) {
-	return mode.Marshal(picture{s.index, s.tables, s.totals, s.done})
+	return encMode.Marshal(snapshotData{s.appliedIndex, s.tables, s.totals, s.lastCommands})
 }
 
 // Restore puts a snapshot in place of the state. An error leaves the state as it was.
 func (s *State) Restore(snapshot []byte) error {
-	var p picture
-	if err := cbor.Unmarshal(snapshot, &p); err != nil {
+	var decoded snapshotData
+	if err := cbor.Unmarshal(snapshot, &decoded); err != nil {
 		return err
 	}
-	fresh := New()
-	fresh.index = p.Index
-	maps.Copy(fresh.tables, p.Tables)
-	maps.Copy(fresh.totals, p.Totals)
-	maps.Copy(fresh.done, p.Done)
-	*s = *fresh
+	restored := New()
+	restored.appliedIndex = decoded.Index
+	maps.Copy(restored.tables, decoded.Tables)
+	maps.Copy(restored.totals, decoded.Totals)
+	maps.Copy(restored.lastCommands, decoded.LastCommands)
+	*s = *restored
 	return nil
 }
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -13,8 +13,8 @@
 var (
 	// ErrNotLeader: another voter leads, or none; the proposal was not taken and may be made elsewhere.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrUnknown: whether the proposal was or will be written is not known; the same numbered command may be proposed again.
-	ErrUnknown = errors.New("not known whether it is written")
+	// ErrOutcomeUnknown: whether the proposal was or will be written is not known; the same numbered command may be proposed again.
+	ErrOutcomeUnknown = errors.New("not known whether it is written")
 	// ErrNoQuorum: no majority confirmed the read within the context.
 	ErrNoQuorum = errors.New("no majority answers")
 	// ErrStopped: this voter has ended, or its disk failed it.
@@ -26,7 +26,7 @@
 	Number  uint64 `cbor:"1,keyasint"` // from 1; never used twice
 	Name    string `cbor:"2,keyasint"` // of its process
 	Address string `cbor:"3,keyasint"` // host:port of its link
-	Disk    string `cbor:"4,keyasint"` // mark of the disk that the number was given to, 32 hex digits
+	DiskID  string `cbor:"4,keyasint"` // mark of the disk that the number was given to, 32 hex digits
 }
 
 // Status is a voter as it sees itself; it may be behind.
@@ -40,18 +40,18 @@
 
 // Voter is one of the few processes that hold the log. All calls may be made by several goroutines at once.
 type Voter interface {
-	// Step takes a message of another voter; one that makes no sense is dropped with an error.
-	Step(ctx context.Context, message []byte) error
+	// HandleMessage takes a message of another voter; one that makes no sense is dropped with an error.
+	HandleMessage(ctx context.Context, message []byte) error
 	// Propose has a command written: it returns once the command is applied at this voter, which must lead. Errors:
 	// ErrNotLeader, ErrUnknown (the context ended or the leader changed meanwhile), ErrStopped.
 	Propose(ctx context.Context, c tables.Command) (tables.Result, error)
 	// Read gives the tables that stand at a later epoch than known names (0: never heard of), as confirmed by a majority
 	// since the call; where there is none it waits for one up to wait, and then gives none: a majority has confirmed that
 	// nothing changed before the end of the wait. Many waiting reads cost one confirmation. Errors: ErrNoQuorum, ErrStopped.
-	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Entry, error)
-	// Take takes digests of processes that send theirs here, or of another voter (what it merged).
-	Take(digests []evidence.Digest)
-	// Change adds a member, or removes the one of that number. Errors as Propose, or what is wrong with the change.
-	Change(ctx context.Context, m Member, remove bool) error
+	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error)
+	// AddDigests takes digests of processes that send theirs here, or of another voter (what it merged).
+	AddDigests(digests []evidence.Digest)
+	// ChangeMembership adds a member, or removes the one of that number. Errors as Propose, or what is wrong with the change.
+	ChangeMembership(ctx context.Context, m Member, remove bool) error
 	Status() Status
 }
--- a/internal/cluster/voter/bench_test.go
+++ b/internal/cluster/voter/bench_test.go
@@ -11,15 +11,15 @@
 )
 
 // One write at a time through three voters with a real disk each, messages in memory.
-func BenchmarkCommit(b *testing.B) {
-	h := newHouse(b, 3)
-	h.open(folders(b, 3))
-	lead := h.leader()
+func BenchmarkVoter_Commit(b *testing.B) {
+	tc := newTestCluster(b, 3)
+	tc.startAll(tempFolders(b, 3))
+	leader := tc.waitForLeader()
 	took := make([]time.Duration, 0, b.N)
 	b.ResetTimer()
 	for i := range b.N {
 		began := time.Now()
-		if _, err := lead.Propose(context.Background(), write(uint64(i+1), uint64(i), "a decision")); err != nil {
+		if _, err := leader.Propose(context.Background(), writeCommand(uint64(i+1), uint64(i), "a decision")); err != nil {
 			b.Fatal(err)
 		}
 		took = append(took, time.Since(began))
@@ -31,12 +31,12 @@
 }
 
 // A digest of 60 counts from each of so many processes, as a voter takes them five times a second.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkVoter_Take(b *testing.B) {
 	for _, processes := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
-			h := newHouse(b, 1)
-			h.open(folders(b, 1))
-			v := h.leader()
+			tc := newTestCluster(b, 1)
+			tc.startAll(tempFolders(b, 1))
+			v := tc.waitForLeader()
 			var names []string
 			for i := range 60 {
 				names = append(names, fmt.Sprint("count ", i))
@@ -53,20 +53,20 @@
 						all[k].Counts[name] = uint64(i)
 					}
 				}
-				v.Take(all)
+				v.AddDigests(all)
 			}
 		})
 	}
 }
 
 // Reads that come all at once and wait for nothing, at one of three voters.
-func BenchmarkReads(b *testing.B) {
-	h := newHouse(b, 3)
-	h.open(folders(b, 3))
-	h.write(write(1, 0, "a"))
+func BenchmarkVoter_Reads(b *testing.B) {
+	tc := newTestCluster(b, 3)
+	tc.startAll(tempFolders(b, 3))
+	tc.mustWrite(writeCommand(1, 0, "a"))
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := h.leader()
+			v := tc.waitForLeader()
 			for range b.N {
 				done := make(chan error, n)
 				for range n {
--- a/internal/cluster/voter/desk.go
+++ b/internal/cluster/voter/desk.go
@@ -12,194 +12,194 @@
 	"harrierhoist/internal/cluster/disk"
 )
 
-// desk owns the core, the disk's writes and all calls that wait. One goroutine works at it.
-type desk struct {
-	v       *Voter
-	core    *core.Core
-	disk    *disk.Disk
-	send    func(to cluster.Member, message []byte)
-	log     *zap.Logger
-	waits   map[uint64]chan core.Outcome // proposals and changes
-	reads   *core.Reads
-	leader  uint64        // as last said in the log
-	led     uint64        // the term that it leads in; 0: none
-	since   time.Duration // it leads
-	refused map[string]bool
-	limit   int64 // bytes of log after which it is made anew
+// eventLoop owns the core, the disk's writes and all calls that wait. One goroutine works at it.
+type eventLoop struct {
+	voter            *Voter
+	consensus        *core.Node
+	storage          *disk.Log
+	send             func(to cluster.Member, message []byte)
+	logger           *zap.Logger
+	pendingProposals map[uint64]chan core.Outcome // proposals and changes
+	pendingReads     *core.ReadQueue
+	loggedLeader     uint64        // as last said in the log
+	leadTerm         uint64        // the term that it leads in; 0: none
+	leadSince        time.Duration // it leads
+	loggedRejections map[string]bool
+	compactAt        int64 // bytes of log after which it is made anew
 }
 
-func newDesk(v *Voter, c *core.Core, d *disk.Disk, send func(cluster.Member, []byte), log *zap.Logger) *desk {
-	return &desk{v: v, core: c, disk: d, send: send, log: log, waits: map[uint64]chan core.Outcome{},
-		reads: core.NewReads(c), refused: map[string]bool{}, limit: logMost}
+func newEventLoop(v *Voter, node *core.Node, storage *disk.Log, send func(cluster.Member, []byte), logger *zap.Logger) *eventLoop {
+	return &eventLoop{voter: v, consensus: node, storage: storage, send: send, logger: logger, pendingProposals: map[uint64]chan core.Outcome{},
+		pendingReads: core.NewReadQueue(node), loggedRejections: map[string]bool{}, compactAt: minCompactBytes}
 }
 
 // run works until the voter is to end or its disk fails it. A voter that can't write is as good as dead to the others,
 // and must be: what it would go on to say might not be there after the next start.
-func (k *desk) run() {
-	defer close(k.v.over)
-	clock, pass := time.NewTicker(tick), time.NewTicker(passEvery)
-	defer clock.Stop()
-	defer pass.Stop()
+func (l *eventLoop) run() {
+	defer close(l.voter.stopped)
+	ticker, forward := time.NewTicker(tickInterval), time.NewTicker(forwardInterval)
+	defer ticker.Stop()
+	defer forward.Stop()
 	for {
-		over, err := k.turn(clock.C, pass.C)
+		over, err := l.handleNextEvent(ticker.C, forward.C)
 		if err != nil {
-			k.log.Error("this voter has stopped", zap.Error(err))
+			l.logger.Error("this voter has stopped", zap.Error(err))
 		}
 		if over || err != nil {
-			k.v.stop()
+			l.voter.stop()
 			return
 		}
 	}
 }
 
-// turn does what the core has ready, and then waits for the next event.
-func (k *desk) turn(clock, pass <-chan time.Time) (over bool, err error) {
+// handleNextEvent does what the core has ready, and then waits for the next event.
+func (l *eventLoop) handleNextEvent(ticks, forward <-chan time.Time) (over bool, err error) {
 	defer func() {
 		// The library's word for what must never be, such as entries that others know this disk had and that are gone.
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", core.ErrSpoilt, p)
+			err = fmt.Errorf("%w: %v", core.ErrCorrupt, p)
 		}
 	}()
-	if err := k.work(); err != nil {
+	if err := l.processReady(); err != nil {
 		return true, err
 	}
 	select {
-	case <-k.v.end:
+	case <-l.voter.stopping:
 		return true, nil
-	case do := <-k.v.calls:
-		do(k)
-		k.more()
-	case <-clock:
-		k.more() // what came while the process slept or wrote counts before the time that passed
-		k.core.Tick()
-		k.reads.Tick(time.Since(began))
-	case <-pass:
-		k.pass()
+	case do := <-l.voter.calls:
+		do(l)
+		l.drainCalls()
+	case <-ticks:
+		l.drainCalls() // what came while the process slept or wrote counts before the time that passed
+		l.consensus.Tick()
+		l.pendingReads.Tick(time.Since(processStart))
+	case <-forward:
+		l.forwardDigests()
 	}
 	return false, nil
 }
 
-// more takes the calls that wait already.
-func (k *desk) more() {
-	for range batch {
+// drainCalls takes the calls that wait already.
+func (l *eventLoop) drainCalls() {
+	for range maxCallsPerSync {
 		select {
-		case do := <-k.v.calls:
-			do(k)
+		case do := <-l.voter.calls:
+			do(l)
 		default:
 			return
 		}
 	}
 }
 
-// work does what the core has ready: write, send, answer.
-func (k *desk) work() error {
+// processReady does what the core has ready: write, send, answer.
+func (l *eventLoop) processReady() error {
 	for {
-		r, ok, err := k.core.Ready()
+		ready, ok, err := l.consensus.Ready()
 		if err != nil {
 			return err
 		}
 		if !ok {
 			break
 		}
-		for _, m := range r.Early {
-			k.send(m.To, m.Body)
+		for _, m := range ready.EarlyMessages {
+			l.send(m.To, m.Body)
 		}
-		if r.Record != nil {
-			if err := k.disk.Save(r.Record); err != nil {
+		if ready.Record != nil {
+			if err := l.storage.Append(ready.Record); err != nil {
 				return err
 			}
 		}
-		for _, m := range r.Messages {
-			k.send(m.To, m.Body)
+		for _, m := range ready.Messages {
+			l.send(m.To, m.Body)
 		}
-		done, err := k.core.Done(r)
+		done, err := l.consensus.Advance(ready)
 		if err != nil {
 			return err
 		}
-		k.done(done)
+		l.complete(done)
 	}
-	if err := k.shorten(); err != nil {
+	if err := l.compactLog(); err != nil {
 		return err
 	}
-	k.stand()
+	l.publishStatus()
 	return nil
 }
 
-// shorten makes the log anew once it is long.
-func (k *desk) shorten() error {
-	if k.disk.Size() < k.limit {
+// compactLog makes the log anew once it is long.
+func (l *eventLoop) compactLog() error {
+	if l.storage.Size() < l.compactAt {
 		return nil
 	}
-	if err := k.core.Compact(entryKeep); err != nil {
+	if err := l.consensus.Compact(retainedEntries); err != nil {
 		return err
 	}
-	base, err := k.core.Base()
+	base, err := l.consensus.Checkpoint()
 	if err != nil {
 		return err
 	}
-	if err := k.disk.Rewrite(base); err != nil {
+	if err := l.storage.Rewrite(base); err != nil {
 		return err
 	}
-	k.limit = max(logMost, 2*k.disk.Size()) // a large state is not written again at every turn
+	l.compactAt = max(minCompactBytes, 2*l.storage.Size()) // a large state is not written again at every turn
 	return nil
 }
 
-// stand notes who leads.
-func (k *desk) stand() {
-	s := k.core.Status()
-	led := uint64(0)
-	if k.core.Leads() {
-		led = s.Term
-	}
-	k.v.mu.Lock()
-	k.v.status = s
-	k.v.gather.Lead(led)
-	k.v.mu.Unlock()
-	if led != k.led {
-		k.led, k.since = led, time.Since(began)
-		for seq, done := range k.waits {
-			done <- core.Outcome{Err: cluster.ErrUnknown}
-			delete(k.waits, seq)
+// publishStatus notes who leads.
+func (l *eventLoop) publishStatus() {
+	status := l.consensus.Status()
+	leadTerm := uint64(0)
+	if l.consensus.IsLeader() {
+		leadTerm = status.Term
+	}
+	l.voter.mu.Lock()
+	l.voter.status = status
+	l.voter.gatherer.SetLeaderTerm(leadTerm)
+	l.voter.mu.Unlock()
+	if leadTerm != l.leadTerm {
+		l.leadTerm, l.leadSince = leadTerm, time.Since(processStart)
+		for seq, done := range l.pendingProposals {
+			done <- core.Outcome{Err: cluster.ErrOutcomeUnknown}
+			delete(l.pendingProposals, seq)
 		}
 	}
-	if s.Leader != k.leader && s.Leader != 0 {
-		k.leader = s.Leader
-		k.log.Info("a voter leads", zap.Uint64("number", s.Leader), zap.Uint64("term", s.Term))
+	if status.Leader != l.loggedLeader && status.Leader != 0 {
+		l.loggedLeader = status.Leader
+		l.logger.Info("a voter leads", zap.Uint64("number", status.Leader), zap.Uint64("term", status.Term))
 	}
 }
 
-func (k *desk) propose(propose func(*desk) (uint64, error), done chan core.Outcome) {
-	seq, err := propose(k)
+func (l *eventLoop) propose(propose func(*eventLoop) (uint64, error), done chan core.Outcome) {
+	seq, err := propose(l)
 	if err != nil {
 		done <- core.Outcome{Err: err}
 		return
 	}
-	k.waits[seq] = done
+	l.pendingProposals[seq] = done
 }
 
-// done gives callers what became of their calls.
-func (k *desk) done(d core.Done) {
-	for _, o := range d.Results {
-		if done, ok := k.waits[o.Seq]; ok {
+// complete gives callers what became of their calls.
+func (l *eventLoop) complete(d core.AppliedResult) {
+	for _, o := range d.Outcomes {
+		if done, ok := l.pendingProposals[o.Seq]; ok {
 			done <- o
-			delete(k.waits, o.Seq)
+			delete(l.pendingProposals, o.Seq)
 		}
 	}
-	k.reads.Done(d, time.Since(began))
+	l.pendingReads.HandleApplied(d, time.Since(processStart))
 }
 
-// step takes a message. What is refused is said once for each reason, as it comes again with each message.
-func (k *desk) step(message []byte) error {
-	digests, err := k.core.Step(message)
-	if errors.Is(err, core.ErrRefused) && !k.refused[err.Error()] && len(k.refused) < refusedMost {
-		k.refused[err.Error()] = true
-		k.log.Warn("message of another voter", zap.Error(err))
-	}
-	k.v.mu.Lock()
-	defer k.v.mu.Unlock()
-	k.v.gather.TakeOver(digests)
+// handleMessage takes a message. What is refused is said once for each reason, as it comes again with each message.
+func (l *eventLoop) handleMessage(message []byte) error {
+	digests, err := l.consensus.HandleMessage(message)
+	if errors.Is(err, core.ErrRejected) && !l.loggedRejections[err.Error()] && len(l.loggedRejections) < maxLoggedRejections {
+		l.loggedRejections[err.Error()] = true
+		l.logger.Warn("message of another voter", zap.Error(err))
+	}
+	l.voter.mu.Lock()
+	defer l.voter.mu.Unlock()
+	l.voter.gatherer.AddFromVoter(digests)
 	return err
 }
 
-// refusedMost is how many reasons to refuse a message are said: a faulty sender must not fill the log.
-const refusedMost = 16
+// maxLoggedRejections is how many reasons to refuse a message are said: a faulty sender must not fill the log.
+const maxLoggedRejections = 16
--- a/internal/cluster/voter/golden_test.go
+++ b/internal/cluster/voter/golden_test.go
@@ -13,23 +13,23 @@
 
 // What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the log that it had
 // before: testdata has the commands as the code wrote them before its names changed.
-func TestGolden_commandsOfALeaderInItsLog(t *testing.T) {
-	h, folder := newHouse(t, 1), t.TempDir()
-	if err := h.start(1, folder, disk.Bare{}, h.first, counter{}); err != nil {
+func TestGolden_leaderCommandsInTheLog(t *testing.T) {
+	tc, folder := newTestCluster(t, 1), t.TempDir()
+	if err := tc.start(1, folder, disk.OSFileOps{}, tc.initialMembers, sumController{}); err != nil {
 		t.Fatal(err)
 	}
-	v := h.leader()
+	v := tc.waitForLeader()
 	stands := func(value string) {
 		t.Helper()
 		standin.Eventually(t, "the decision "+value, func() bool {
-			found, _ := v.Read(within(t), nil, 0)
+			found, _ := v.Read(shortContext(t), nil, 0)
 			return string(found["sum"].Value) == value
 		})
 	}
 	stands("0 0")
-	v.Take([]evidence.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
+	v.AddDigests([]evidence.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
 	stands("0 300")
-	h.kill(1)
+	tc.stop(1)
 	var log []byte
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
 	if err != nil {
--- a/internal/cluster/voter/house_test.go
+++ b/internal/cluster/voter/house_test.go
@@ -21,147 +21,147 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// house is some voters in one process, with real disks and clocks, and messages handed over in memory.
-type house struct {
-	t      testing.TB
-	first  []cluster.Member
-	mu     sync.Mutex
-	voters map[uint64]*Voter
-	disks  map[uint64]*disk.Disk
-	cut    map[uint64]bool
-	on     sync.WaitGroup
+// testCluster is some voters in one process, with real disks and clocks, and messages handed over in memory.
+type testCluster struct {
+	t              testing.TB
+	initialMembers []cluster.Member
+	mu             sync.Mutex
+	voters         map[uint64]*Voter
+	storages       map[uint64]*disk.Log
+	isolated       map[uint64]bool
+	deliveries     sync.WaitGroup
 }
 
-func newHouse(t testing.TB, n int) *house {
-	h := &house{t: t, voters: map[uint64]*Voter{}, disks: map[uint64]*disk.Disk{}, cut: map[uint64]bool{}}
+func newTestCluster(t testing.TB, n int) *testCluster {
+	tc := &testCluster{t: t, voters: map[uint64]*Voter{}, storages: map[uint64]*disk.Log{}, isolated: map[uint64]bool{}}
 	for i := range n {
-		h.first = append(h.first, member(uint64(i+1)))
+		tc.initialMembers = append(tc.initialMembers, member(uint64(i+1)))
 	}
 	t.Cleanup(func() {
-		for id := range h.disks {
-			h.kill(id)
+		for id := range tc.storages {
+			tc.stop(id)
 		}
-		h.on.Wait()
+		tc.deliveries.Wait()
 	})
-	return h
+	return tc
 }
 
 func member(n uint64) cluster.Member {
 	return cluster.Member{Number: n, Name: fmt.Sprintf("v%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 7000+n)}
 }
 
-func (h *house) start(n uint64, folder string, hand disk.Hand, first []cluster.Member, d ...cluster.Decider) error {
-	k, err := disk.OpenWith(folder, hand)
+func (tc *testCluster) start(n uint64, folder string, fileOps disk.FileOps, initialMembers []cluster.Member, controllers ...cluster.Controller) error {
+	storage, err := disk.OpenWith(folder, fileOps)
 	if err != nil {
 		return err
 	}
-	v, err := Open(member(n), first, k, d, func(to cluster.Member, message []byte) {
-		h.mu.Lock()
-		other, cut := h.voters[to.Number], h.cut[n] || h.cut[to.Number]
-		h.mu.Unlock()
+	v, err := Open(member(n), initialMembers, storage, controllers, func(to cluster.Member, message []byte) {
+		tc.mu.Lock()
+		other, cut := tc.voters[to.Number], tc.isolated[n] || tc.isolated[to.Number]
+		tc.mu.Unlock()
 		if other != nil && !cut {
-			h.on.Go(func() {
+			tc.deliveries.Go(func() {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				_ = other.Step(ctx, message)
+				_ = other.HandleMessage(ctx, message)
 			})
 		}
 	}, zap.NewNop())
 	if err != nil {
-		return errors.Join(err, k.Close())
+		return errors.Join(err, storage.Close())
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.voters[n], h.disks[n] = v, k
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.voters[n], tc.storages[n] = v, storage
 	return nil
 }
 
-func (h *house) open(folders []string, d ...cluster.Decider) {
+func (tc *testCluster) startAll(folders []string, controllers ...cluster.Controller) {
 	for i, f := range folders {
-		if err := h.start(uint64(i+1), f, disk.Bare{}, h.first, d...); err != nil {
-			h.t.Fatal(err)
+		if err := tc.start(uint64(i+1), f, disk.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
+			tc.t.Fatal(err)
 		}
 	}
 }
 
-func (h *house) kill(n uint64) {
-	h.mu.Lock()
-	v, d := h.voters[n], h.disks[n]
-	delete(h.voters, n)
-	delete(h.disks, n)
-	h.mu.Unlock()
+func (tc *testCluster) stop(n uint64) {
+	tc.mu.Lock()
+	v, storage := tc.voters[n], tc.storages[n]
+	delete(tc.voters, n)
+	delete(tc.storages, n)
+	tc.mu.Unlock()
 	if v != nil {
 		_ = v.Close()
-		_ = d.Close()
+		_ = storage.Close()
 	}
 }
 
-func (h *house) leader() *Voter {
-	var lead *Voter
-	standin.Eventually(h.t, "leader", func() bool {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		for id, v := range h.voters {
-			if s := v.Status(); s.Leader == id && !h.cut[id] {
-				lead = v
+func (tc *testCluster) waitForLeader() *Voter {
+	var leader *Voter
+	standin.Eventually(tc.t, "leader", func() bool {
+		tc.mu.Lock()
+		defer tc.mu.Unlock()
+		for id, v := range tc.voters {
+			if status := v.Status(); status.Leader == id && !tc.isolated[id] {
+				leader = v
 				return true
 			}
 		}
 		return false
 	})
-	return lead
+	return leader
 }
 
-func folders(t testing.TB, n int) (all []string) {
+func tempFolders(t testing.TB, n int) (all []string) {
 	for range n {
 		all = append(all, t.TempDir())
 	}
 	return all
 }
 
-func within(t testing.TB) context.Context {
+func shortContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func write(number, epoch uint64, value string) tables.Command {
-	return tables.Command{Kind: tables.Write, By: "test/1", Number: number, Table: "plan", Epoch: epoch,
+func writeCommand(number, epoch uint64, value string) tables.Command {
+	return tables.Command{Kind: tables.Write, Proposer: "test/1", Number: number, Table: "plan", Epoch: epoch,
 		Value: []byte(value)}
 }
 
-func (h *house) write(c tables.Command) tables.Result {
+func (tc *testCluster) mustWrite(command tables.Command) tables.Result {
 	for {
-		r, err := h.leader().Propose(within(h.t), c)
+		r, err := tc.waitForLeader().Propose(shortContext(tc.t), command)
 		if err == nil {
 			return r
 		}
-		if !errors.Is(err, cluster.ErrNotLeader) && !errors.Is(err, cluster.ErrUnknown) {
-			h.t.Fatal(err)
+		if !errors.Is(err, cluster.ErrNotLeader) && !errors.Is(err, cluster.ErrOutcomeUnknown) {
+			tc.t.Fatal(err)
 		}
 	}
 }
 
-// failing is a disk that is full from some write on.
-type failing struct {
-	disk.Bare
+// fullDisk is a disk that is full from some write on.
+type fullDisk struct {
+	disk.OSFileOps
 	full func() bool
 }
 
-func (f failing) Write(file *os.File, b []byte) error {
+func (f fullDisk) Write(file *os.File, b []byte) error {
 	if f.full() {
 		return errors.New("no space left")
 	}
-	return f.Bare.Write(file, b)
+	return f.OSFileOps.Write(file, b)
 }
 
-// slow is a disk whose syncs take a while from some moment on.
-type slow struct {
-	disk.Bare
-	takes *atomic.Int64
+// slowDisk is a disk whose syncs take a while from some moment on.
+type slowDisk struct {
+	disk.OSFileOps
+	syncDelay *atomic.Int64
 }
 
-func (s slow) Sync(f *os.File) error {
-	time.Sleep(time.Duration(s.takes.Load()))
-	return s.Bare.Sync(f)
+func (s slowDisk) Sync(f *os.File) error {
+	time.Sleep(time.Duration(s.syncDelay.Load()))
+	return s.OSFileOps.Sync(f)
 }
--- a/internal/commons/commons.go
+++ b/internal/commons/commons.go
@@ -16,113 +16,113 @@
 	"harrierhoist/internal/cluster/link"
 )
 
-// each is how many connections a process opens to a voter: one for the read that waits, one for digests.
-const each = 2
+// connectionsPerVoter is how many connections a process opens to a voter: one for the read that waits, one for digests.
+const connectionsPerVoter = 2
 
-// resignWithin is how long an end waits for another voter to take the lead.
-const resignWithin = time.Second
+// transferTimeout is how long an end waits for another voter to take the lead.
+const transferTimeout = time.Second
 
-// Process is this process's part. It owns all that it starts, and gives it back in Close.
-type Process struct {
-	path     string
-	deciders func(*charter.Charter) []cluster.Decider
-	log      *zap.Logger
-	client   *link.Client
-	follower *follow.Follower
-	voter    *seat // nil where it only follows
+// Node is this process's part. It owns all that it starts, and gives it back in Close.
+type Node struct {
+	path        string
+	controllers func(*charter.Config) []cluster.Controller
+	logger      *zap.Logger
+	client      *link.Client
+	follower    *follow.Follower
+	host        *voterHost // nil where it only follows
 
-	charter atomic.Pointer[charter.Charter]
-	loading sync.Mutex // one file is taken after the other
+	config    atomic.Pointer[charter.Config]
+	reloading sync.Mutex // one file is taken after the other
 
-	end  context.CancelFunc
-	done sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // Open starts what the file at a path names. The deciders are those of the leader, by the file. Errors are of the
 // file, or of the address and the disk that it names.
-func Open(path string, deciders func(*charter.Charter) []cluster.Decider, log *zap.Logger) (*Process, error) {
-	c, err := charter.Read(path)
+func Open(path string, controllers func(*charter.Config) []cluster.Controller, logger *zap.Logger) (*Node, error) {
+	cfg, err := charter.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	plain := link.Plain{Private: c.Process.PrivateNetwork}
-	p := &Process{path: path, deciders: deciders, log: log.With(zap.String("process", c.Process.Name)),
-		client: link.NewClient(plain, each)}
-	p.charter.Store(c)
+	network := link.Network{Private: cfg.Process.PrivateNetwork}
+	n := &Node{path: path, controllers: controllers, logger: logger.With(zap.String("process", cfg.Process.Name)),
+		client: link.NewClient(network, connectionsPerVoter)}
+	n.config.Store(cfg)
 	// Where a clock was set back between two lives, what the later one counts is not heard until it has passed the
 	// earlier.
-	life := uint64(time.Now().UnixNano())
+	incarnation := uint64(time.Now().UnixNano())
 	ctx, end := context.WithCancel(context.Background())
-	p.end = end
-	if c.Process.Voter {
-		if p.voter, err = p.sit(ctx, c, plain, life); err != nil {
+	n.cancel = end
+	if cfg.Process.Voter {
+		if n.host, err = n.openVoterHost(ctx, cfg, network, incarnation); err != nil {
 			end()
-			p.client.Close()
+			n.client.Close()
 			return nil, err
 		}
 	}
-	p.follower = follow.New(c.Process.Name, life, p.sources(c), timing(c), follow.Boot, p.log)
-	p.done.Go(func() { p.follower.Run(ctx) })
-	if p.voter != nil {
-		p.voter.serve(c)
-		p.done.Go(func() { p.voter.run(ctx) })
+	n.follower = follow.New(cfg.Process.Name, incarnation, n.sources(cfg), followerTiming(cfg), follow.SystemUptime, n.logger)
+	n.goroutines.Go(func() { n.follower.Run(ctx) })
+	if n.host != nil {
+		n.host.serve(cfg)
+		n.goroutines.Go(func() { n.host.run(ctx) })
 	}
-	p.log.Info("takes part in what is held in common", zap.Bool("voter", c.Process.Voter),
-		zap.Int("voters", len(c.Voters)))
-	return p, nil
+	n.logger.Info("takes part in what is held in common", zap.Bool("voter", cfg.Process.Voter),
+		zap.Int("voters", len(cfg.Voters)))
+	return n, nil
 }
 
-func timing(c *charter.Charter) follow.Timing {
-	return follow.Timing{Lease: c.Timing.Lease.Duration, DigestEvery: c.Timing.DigestEvery.Duration}
+func followerTiming(cfg *charter.Config) follow.Timing {
+	return follow.Timing{Lease: cfg.Timing.Lease.Duration, DigestInterval: cfg.Timing.DigestInterval.Duration}
 }
 
-// Commons is what the process's parts ask.
-func (p *Process) Commons() cluster.Commons { return p.follower }
+// Client is what the process's parts ask.
+func (n *Node) Client() cluster.Client { return n.follower }
 
-// Charter is the file in force.
-func (p *Process) Charter() *charter.Charter { return p.charter.Load() }
+// Config is the file in force.
+func (n *Node) Config() *charter.Config { return n.config.Load() }
 
 // Reload reads the file again and takes what can change in place: voters, timing, the parts' terms. What only a
 // restart can change is named in the log; a file that is not good leaves all as it was. It tells whether it was taken.
-func (p *Process) Reload() bool {
-	c, err := charter.Read(p.path)
+func (n *Node) Reload() bool {
+	cfg, err := charter.Read(n.path)
 	if err != nil {
-		p.log.Error("the new charter is not taken", zap.Strings("faults", charter.Faults(err)))
+		n.logger.Error("the new charter is not taken", zap.Strings("faults", charter.FaultLines(err)))
 		return false
 	}
-	p.loading.Lock()
-	defer p.loading.Unlock()
-	if fixed := c.Keep(p.Charter()); len(fixed) > 0 {
-		p.log.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
+	n.reloading.Lock()
+	defer n.reloading.Unlock()
+	if fixed := cfg.RetainRestartOnly(n.Config()); len(fixed) > 0 {
+		n.logger.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
 	}
-	p.charter.Store(c)
-	p.follower.Move(p.sources(c), timing(c))
-	if p.voter != nil {
-		p.voter.reload(c)
+	n.config.Store(cfg)
+	n.follower.Reconfigure(n.sources(cfg), followerTiming(cfg))
+	if n.host != nil {
+		n.host.reload(cfg)
 	}
-	p.log.Info("a new charter", zap.Int("voters", len(c.Voters)))
+	n.logger.Info("a new charter", zap.Int("voters", len(cfg.Voters)))
 	return true
 }
 
-// Resign gives the lead away where this process has it: before a planned end.
-func (p *Process) Resign() {
-	if p.voter == nil {
+// TransferLeadership gives the lead away where this process has it: before a planned end.
+func (n *Node) TransferLeadership() {
+	if n.host == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), resignWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	p.voter.resign(ctx)
+	n.host.transferLeadership(ctx)
 }
 
 // Close ends all of it.
-func (p *Process) Close() {
-	p.end()
-	if p.voter != nil {
-		p.voter.stop() // calls to it that wait end with it
+func (n *Node) Close() {
+	n.cancel()
+	if n.host != nil {
+		n.host.stop() // calls to it that wait end with it
 	}
-	p.done.Wait()
-	if p.voter != nil {
-		p.voter.close()
+	n.goroutines.Wait()
+	if n.host != nil {
+		n.host.close()
 	}
-	p.client.Close()
+	n.client.Close()
 }
--- a/internal/commons/golden_test.go
+++ b/internal/commons/golden_test.go
@@ -13,24 +13,24 @@
 
 // The command by which the leader gives a new group its mark, as it stands in the log: {1: 1, 2: "v1/(when its process
 // began)/steward", 3: 1, 4: "group", 5: 0, 6: 16 bytes, 7: null}. The stored data of the version before holds the same.
-var markCommand = regexp.MustCompile("\x01\x01\x02\x78\x1e(v[123])/[0-9]{19}/steward\x03[\x01-\x17]\x04\x65group\x05\x00\x06\x50")
+var groupIDCommand = regexp.MustCompile("\x01\x01\x02\x78\x1e(v[123])/[0-9]{19}/steward\x03[\x01-\x17]\x04\x65group\x05\x00\x06\x50")
 
-func TestGolden_markOfTheGroupInTheLog(t *testing.T) {
-	s := newSite(t)
-	var all []*Process
+func TestGolden_groupIDInTheLog(t *testing.T) {
+	site := newTestSite(t)
+	var all []*Node
 	for _, name := range []string{"v1", "v2", "v3"} {
-		all = append(all, s.open(name, true))
+		all = append(all, site.open(name, true))
 	}
-	var mark []byte
-	for _, p := range all {
-		standin.Eventually(t, "the mark", func() bool { return len(p.Commons().Held(follow.GroupTable).Value) == 16 })
-		mark = p.Commons().Held(follow.GroupTable).Value
+	var groupID []byte
+	for _, n := range all {
+		standin.Eventually(t, "the mark", func() bool { return len(n.Client().Cached(follow.GroupTable).Value) == 16 })
+		groupID = n.Client().Cached(follow.GroupTable).Value
 	}
-	for _, p := range all {
-		p.Close()
+	for _, n := range all {
+		n.Close()
 	}
 	for _, name := range []string{"v1", "v2", "v3"} {
-		files, err := filepath.Glob(filepath.Join(s.dir, name, "*"))
+		files, err := filepath.Glob(filepath.Join(site.dir, name, "*"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,12 +42,12 @@
 			}
 			log = append(log, text...)
 		}
-		at := markCommand.FindIndex(log)
+		at := groupIDCommand.FindIndex(log)
 		if at == nil || at[0] == 0 || log[at[0]-1] != 0xa7 {
 			t.Errorf("%s: the command is not in the log", name)
 			continue
 		}
-		if rest := log[at[1]:]; !bytes.HasPrefix(rest, append(append([]byte{}, mark...), 0x07, 0xf6)) {
+		if rest := log[at[1]:]; !bytes.HasPrefix(rest, append(append([]byte{}, groupID...), 0x07, 0xf6)) {
 			t.Errorf("%s: the command goes on with %x", name, rest[:18])
 		}
 	}
--- a/internal/commons/meet.go
+++ b/internal/commons/meet.go
@@ -15,135 +15,135 @@
 
 // How often a voter asks how it is to begin.
 const (
-	meetFirst = 50 * time.Millisecond // others that start at the same time are there within some of these
-	meetMost  = time.Second           // an operator waits for a replaced voter no longer than needed
-	sayAfter  = 3 * time.Second       // it waits that long before it says so
+	initialBackoff = 50 * time.Millisecond // others that start at the same time are there within some of these
+	maxBackoff     = time.Second           // an operator waits for a replaced voter no longer than needed
+	warnAfter      = 3 * time.Second       // it waits that long before it says so
 )
 
-// meeting is what a voter with an empty disk has heard of the others.
-type meeting struct {
-	empty map[uint64]cluster.Member // voters that had an empty disk too when last heard of, with its mark
+// bootstrap is what a voter with an empty disk has heard of the others.
+type bootstrap struct {
+	emptyVoters map[uint64]cluster.Member // voters that had an empty disk too when last heard of, with its mark
 }
 
-// verdict is how a voter with an empty disk is to go on.
-type verdict struct {
-	begin bool             // now
-	first []cluster.Member // with these, or none: the log comes from those who have it
-	why   string           // it waits
+// bootstrapDecision is how a voter with an empty disk is to go on.
+type bootstrapDecision struct {
+	start          bool             // now
+	initialMembers []cluster.Member // with these, or none: the log comes from those who have it
+	reason         string           // it waits
 }
 
-// judge decides it. An empty disk may be a new one, or one that was lost: a voter that forgets how it voted could
+// decide decides it. An empty disk may be a new one, or one that was lost: a voter that forgets how it voted could
 // vote twice, and what a majority had acknowledged could be gone. So it begins a log only where all voters named in the
 // file have told it in this life that they have none, and joins one only where the members' list has this very disk.
-func (m *meeting) judge(self cluster.Member, named []charter.Voter, heard map[uint64]link.Standing) verdict {
-	for number, s := range heard {
-		if !s.Begun {
-			m.empty[number] = cluster.Member{Number: number, Name: s.Name, Address: s.Address, Disk: s.Mark}
+func (b *bootstrap) decide(self cluster.Member, configured []charter.Voter, infos map[uint64]link.VoterInfo) bootstrapDecision {
+	for number, info := range infos {
+		if !info.Started {
+			b.emptyVoters[number] = cluster.Member{Number: number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
 		}
 	}
-	first := []cluster.Member{self}
-	for _, v := range named {
-		if other, ok := m.empty[v.Number]; ok && v.Number != self.Number {
-			first = append(first, other)
+	initialMembers := []cluster.Member{self}
+	for _, v := range configured {
+		if other, ok := b.emptyVoters[v.Number]; ok && v.Number != self.Number {
+			initialMembers = append(initialMembers, other)
 		}
 	}
-	slices.SortFunc(first, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
-	all := len(first) == len(named)
+	slices.SortFunc(initialMembers, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
+	all := len(initialMembers) == len(configured)
 	mine := func(o cluster.Member) bool { return o.Number == self.Number }
-	for _, number := range sortedKeys(heard) {
-		s := heard[number]
-		if !s.Begun {
+	for _, number := range sortedKeys(infos) {
+		info := infos[number]
+		if !info.Started {
 			continue
 		}
-		if at := slices.IndexFunc(s.First, mine); at >= 0 && s.First[at].Disk == self.Disk {
-			return verdict{begin: true, first: s.First} // it heard this voter before it began
+		if index := slices.IndexFunc(info.InitialMembers, mine); index >= 0 && info.InitialMembers[index].DiskID == self.DiskID {
+			return bootstrapDecision{start: true, initialMembers: info.InitialMembers} // it heard this voter before it began
 		}
-		at := slices.IndexFunc(s.Status.Members, mine)
+		index := slices.IndexFunc(info.Status.Members, mine)
 		switch {
-		case at >= 0 && s.Status.Members[at].Disk == self.Disk:
-			return verdict{begin: true}
-		case at >= 0 && s.Status.Members[at].Disk == "":
-			return verdict{why: "the voters began without having heard of this disk: " +
+		case index >= 0 && info.Status.Members[index].DiskID == self.DiskID:
+			return bootstrapDecision{start: true}
+		case index >= 0 && info.Status.Members[index].DiskID == "":
+			return bootstrapDecision{reason: "the voters began without having heard of this disk: " +
 				"it comes under a new number that replaces this one"}
-		case at >= 0:
-			return verdict{why: "the voters know this number with another disk: " +
+		case index >= 0:
+			return bootstrapDecision{reason: "the voters know this number with another disk: " +
 				"a lost disk comes back under a new number that replaces it"}
 		default:
-			return verdict{why: "the voters have not taken this number in yet: the leader's file must name it"}
+			return bootstrapDecision{reason: "the voters have not taken this number in yet: the leader's file must name it"}
 		}
 	}
 	if all {
-		return verdict{begin: true, first: first}
+		return bootstrapDecision{start: true, initialMembers: initialMembers}
 	}
-	return verdict{why: "its disk is empty, and not all voters of the file have answered: " +
+	return bootstrapDecision{reason: "its disk is empty, and not all voters of the file have answered: " +
 		"a first start takes all of them"}
 }
 
 // run has the voter begin, and then does what the leader has to do outside the log.
-func (s *seat) run(ctx context.Context) {
-	if s.running() == nil && !s.meet(ctx) {
+func (h *voterHost) run(ctx context.Context) {
+	if h.runningVoter() == nil && !h.bootstrapVoter(ctx) {
 		return
 	}
-	s.steward(ctx)
+	h.reconcile(ctx)
 }
 
-// meet asks the other voters until it knows how to begin. It tells whether it has begun.
-func (s *seat) meet(ctx context.Context) bool {
-	between := &backoff.ExponentialBackOff{InitialInterval: meetFirst, Multiplier: 1.5, RandomizationFactor: 0.5,
-		MaxInterval: meetMost}
-	between.Reset()
-	m, began, said := meeting{map[uint64]cluster.Member{}}, time.Now(), ""
+// bootstrapVoter asks the other voters until it knows how to begin. It tells whether it has begun.
+func (h *voterHost) bootstrapVoter(ctx context.Context) bool {
+	retry := &backoff.ExponentialBackOff{InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
+		MaxInterval: maxBackoff}
+	retry.Reset()
+	b, began, said := bootstrap{map[uint64]cluster.Member{}}, time.Now(), ""
 	for {
-		c := s.process.Charter()
-		s.mu.Lock()
-		self := cluster.Member{Number: s.self.Number, Name: s.self.Name, Address: s.self.Address, Disk: s.disk.Mark()}
-		s.mu.Unlock()
-		v := m.judge(self, c.Voters, s.ask(ctx, c, self.Number))
-		if v.begin {
-			if err := s.open(c, v.first); err != nil {
-				s.process.log.Error("this voter cannot begin", zap.Error(err))
+		cfg := h.node.Config()
+		h.mu.Lock()
+		self := cluster.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
+		h.mu.Unlock()
+		decision := b.decide(self, cfg.Voters, h.queryVoters(ctx, cfg, self.Number))
+		if decision.start {
+			if err := h.startVoter(cfg, decision.initialMembers); err != nil {
+				h.node.logger.Error("this voter cannot begin", zap.Error(err))
 				return false
 			}
-			s.process.follower.Move(s.process.sources(c), timing(c)) // it had turned to others meanwhile
-			s.process.log.Info("this voter has begun", zap.Uint64("number", self.Number),
-				zap.Int("first", len(v.first)))
+			h.node.follower.Reconfigure(h.node.sources(cfg), followerTiming(cfg)) // it had turned to others meanwhile
+			h.node.logger.Info("this voter has begun", zap.Uint64("number", self.Number),
+				zap.Int("first", len(decision.initialMembers)))
 			return true
 		}
-		if time.Since(began) > sayAfter && said != v.why {
-			said = v.why
-			s.process.log.Warn("this voter waits", zap.Uint64("number", self.Number), zap.String("why", v.why))
+		if time.Since(began) > warnAfter && said != decision.reason {
+			said = decision.reason
+			h.node.logger.Warn("this voter waits", zap.Uint64("number", self.Number), zap.String("why", decision.reason))
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(between.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-// ask asks all other voters of the file at once what they are, and gives those that answer as the file has them.
-func (s *seat) ask(ctx context.Context, c *charter.Charter, mine uint64) map[uint64]link.Standing {
+// queryVoters asks all other voters of the file at once what they are, and gives those that answer as the file has them.
+func (h *voterHost) queryVoters(ctx context.Context, cfg *charter.Config, mine uint64) map[uint64]link.VoterInfo {
 	type reply struct {
 		voter charter.Voter
-		is    link.Standing
+		is    link.VoterInfo
 		err   error
 	}
-	replies := make(chan reply, len(c.Voters))
-	for _, v := range c.Voters {
+	replies := make(chan reply, len(cfg.Voters))
+	for _, v := range cfg.Voters {
 		go func() {
 			if v.Number == mine {
 				replies <- reply{voter: v, err: cluster.ErrStopped}
 				return
 			}
-			is, err := s.process.client.Standing(ctx, v.Address)
-			replies <- reply{v, is, err}
+			info, err := h.node.client.Info(ctx, v.Address)
+			replies <- reply{v, info, err}
 		}()
 	}
-	heard := map[uint64]link.Standing{}
-	for range c.Voters {
+	infos := map[uint64]link.VoterInfo{}
+	for range cfg.Voters {
 		if r := <-replies; r.err == nil && r.is.Number == r.voter.Number && r.is.Name == r.voter.Name {
-			heard[r.voter.Number] = r.is
+			infos[r.voter.Number] = r.is
 		}
 	}
-	return heard
+	return infos
 }
--- a/internal/commons/meet_test.go
+++ b/internal/commons/meet_test.go
@@ -13,62 +13,62 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func member(number uint64, disk string) cluster.Member {
-	return cluster.Member{Number: number, Name: string(rune('a' + number)), Address: "x", Disk: disk}
+	return cluster.Member{Number: number, Name: string(rune('a' + number)), Address: "x", DiskID: disk}
 }
 
-func empty(number uint64, disk string) link.Standing {
+func emptyInfo(number uint64, disk string) link.VoterInfo {
 	m := member(number, disk)
-	return link.Standing{Number: number, Name: m.Name, Address: m.Address, Mark: disk}
+	return link.VoterInfo{Number: number, Name: m.Name, Address: m.Address, DiskID: disk}
 }
 
-func begun(number uint64, first []cluster.Member, members ...cluster.Member) link.Standing {
-	return link.Standing{Number: number, Begun: true, First: first, Status: cluster.Status{Members: members}}
+func startedInfo(number uint64, initialMembers []cluster.Member, members ...cluster.Member) link.VoterInfo {
+	return link.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: cluster.Status{Members: members}}
 }
 
 // An empty disk is a new one or a lost one; a voter that takes the second for the first votes twice. The rows are what
 // voter 1, with the empty disk "d1", hears in its rounds of asking, and how it may go on after the last.
-func TestHowAnEmptyDiskMayBegin(t *testing.T) {
+func TestBootstrap_decisionWithAnEmptyDisk(t *testing.T) {
 	d1, d2, d3 := member(1, "d1"), member(2, "d2"), member(3, "d3")
-	type round = map[uint64]link.Standing
+	type round = map[uint64]link.VoterInfo
 	for name, row := range map[string]struct {
 		rounds []round
 		begin  bool
 		first  int
 	}{
 		"nobody answers":              {[]round{{}}, false, 0},
-		"one other is empty":          {[]round{{2: empty(2, "d2")}}, false, 0},
-		"all are empty":               {[]round{{2: empty(2, "d2"), 3: empty(3, "d3")}}, true, 3},
-		"all were, one after another": {[]round{{2: empty(2, "d2")}, {3: empty(3, "d3")}}, true, 3},
-		"another heard it and began":  {[]round{{2: begun(2, []cluster.Member{d1, d2, d3}, d1, d2, d3)}}, true, 3},
+		"one other is empty":          {[]round{{2: emptyInfo(2, "d2")}}, false, 0},
+		"all are empty":               {[]round{{2: emptyInfo(2, "d2"), 3: emptyInfo(3, "d3")}}, true, 3},
+		"all were, one after another": {[]round{{2: emptyInfo(2, "d2")}, {3: emptyInfo(3, "d3")}}, true, 3},
+		"another heard it and began":  {[]round{{2: startedInfo(2, []cluster.Member{d1, d2, d3}, d1, d2, d3)}}, true, 3},
 		"another heard a lost disk of it and began": {[]round{
-			{2: begun(2, []cluster.Member{member(1, "lost"), d2, d3}, member(1, ""), d2, d3)}}, false, 0},
-		"its number has another disk":    {[]round{{2: begun(2, nil, member(1, "lost"), d2, d3)}}, false, 0},
-		"its number has no disk yet":     {[]round{{2: begun(2, nil, member(1, ""), d2, d3)}}, false, 0},
-		"its number is not taken in":     {[]round{{2: begun(2, nil, d2, d3)}}, false, 0},
-		"it was taken in with this disk": {[]round{{2: begun(2, nil, d1, d2, d3)}}, true, 0},
-		"two were empty, then one has begun with it": {[]round{{3: empty(3, "d3")},
-			{2: begun(2, nil, member(1, ""), d2, d3)}}, false, 0},
-		"all were empty, but its number is known by another disk": {[]round{{2: empty(2, "d2")},
-			{3: begun(3, nil, member(1, "lost"), d2, d3), 2: empty(2, "d2")}}, false, 0},
+			{2: startedInfo(2, []cluster.Member{member(1, "lost"), d2, d3}, member(1, ""), d2, d3)}}, false, 0},
+		"its number has another disk":    {[]round{{2: startedInfo(2, nil, member(1, "lost"), d2, d3)}}, false, 0},
+		"its number has no disk yet":     {[]round{{2: startedInfo(2, nil, member(1, ""), d2, d3)}}, false, 0},
+		"its number is not taken in":     {[]round{{2: startedInfo(2, nil, d2, d3)}}, false, 0},
+		"it was taken in with this disk": {[]round{{2: startedInfo(2, nil, d1, d2, d3)}}, true, 0},
+		"two were empty, then one has begun with it": {[]round{{3: emptyInfo(3, "d3")},
+			{2: startedInfo(2, nil, member(1, ""), d2, d3)}}, false, 0},
+		"all were empty, but its number is known by another disk": {[]round{{2: emptyInfo(2, "d2")},
+			{3: startedInfo(3, nil, member(1, "lost"), d2, d3), 2: emptyInfo(2, "d2")}}, false, 0},
 	} {
-		m := meeting{map[uint64]cluster.Member{}}
-		var v verdict
+		b := bootstrap{map[uint64]cluster.Member{}}
+		var decision bootstrapDecision
 		for _, heard := range row.rounds {
-			v = m.judge(d1, []charter.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
+			decision = b.decide(d1, []charter.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
 		}
-		if v.begin != row.begin || len(v.first) != row.first || v.begin == (v.why != "") {
-			t.Errorf("%s: %+v", name, v)
+		if decision.start != row.begin || len(decision.initialMembers) != row.first || decision.start == (decision.reason != "") {
+			t.Errorf("%s: %+v", name, decision)
 		}
-		for i, f := range v.first {
-			if f.Number != uint64(i+1) || f.Disk == "" {
-				t.Errorf("%s: begins with %+v", name, v.first)
+		for i, f := range decision.initialMembers {
+			if f.Number != uint64(i+1) || f.DiskID == "" {
+				t.Errorf("%s: begins with %+v", name, decision.initialMembers)
 			}
 		}
 	}
 }
 
 // The leader's next step to a voter that its file names.
-func TestNextStepToTheVotersOfTheFile(t *testing.T) {
+func TestNextMemberChange(t *testing.T) {
 	three := []cluster.Member{member(1, "d1"), member(2, "d2"), member(3, "d3")}
 	for name, row := range map[string]struct {
 		members []cluster.Member
@@ -77,15 +77,15 @@
 		add     bool
 	}{
 		"one that is there":         {three, charter.Voter{Number: 2}, 0, false},
-		"a replacement, first":      {three, charter.Voter{Number: 4, Replaces: 2}, 2, false},
-		"a replacement, then":       {[]cluster.Member{three[0], three[2]}, charter.Voter{Number: 4, Replaces: 2}, 0, true},
-		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), charter.Voter{Number: 4, Replaces: 2}, 0, false},
+		"a replacement, first":      {three, charter.Voter{Number: 4, ReplacesNumber: 2}, 2, false},
+		"a replacement, then":       {[]cluster.Member{three[0], three[2]}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
+		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
 		"a further one":             {three, charter.Voter{Number: 4}, 0, true},
 		"one of the past":           {[]cluster.Member{three[1], three[2], member(4, "d4")}, charter.Voter{Number: 1}, 0, false},
-		"replaced twice, old file":  {[]cluster.Member{three[0], three[2], member(5, "d5")}, charter.Voter{Number: 4, Replaces: 2}, 0, false},
-		"replaced twice, next file": {[]cluster.Member{three[0], three[2], member(4, "d4")}, charter.Voter{Number: 5, Replaces: 4}, 4, false},
+		"replaced twice, old file":  {[]cluster.Member{three[0], three[2], member(5, "d5")}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
+		"replaced twice, next file": {[]cluster.Member{three[0], three[2], member(4, "d4")}, charter.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
 	} {
-		if remove, add := next(row.members, row.named); remove != row.remove || add != row.add {
+		if remove, add := nextMemberChange(row.members, row.named); remove != row.remove || add != row.add {
 			t.Errorf("%s: remove %d, add %v", name, remove, add)
 		}
 	}
--- a/internal/commons/seat.go
+++ b/internal/commons/seat.go
@@ -17,158 +17,158 @@
 	"harrierhoist/internal/cluster/voter"
 )
 
-// seat is a voter's place in its process: its link, its disk, and the voter once it has begun.
-type seat struct {
-	process  *Process
-	life     uint64
-	disk     *disk.Disk
-	listener net.Listener
-	server   *link.Server // it owns the listener
-	post     *link.Postbox
-
-	mu    sync.Mutex
-	self  charter.Voter
-	first []cluster.Member // with whom it began in this life, with the marks of their disks
-	voter *voter.Voter
-	over  bool // no voter is opened any more
+// voterHost is a voter's place in its process: its link, its disk, and the voter once it has begun.
+type voterHost struct {
+	node        *Node
+	incarnation uint64
+	storage     *disk.Log
+	listener    net.Listener
+	server      *link.Server // it owns the listener
+	sender      *link.MessageSender
+
+	mu             sync.Mutex
+	self           charter.Voter
+	initialMembers []cluster.Member // with whom it began in this life, with the marks of their disks
+	voter          *voter.Voter
+	stopped        bool // no voter is opened any more
 }
 
-// sit opens a voter's disk and link. The voter itself begins when it knows how.
-func (p *Process) sit(ctx context.Context, c *charter.Charter, plain link.Plain, life uint64) (*seat, error) {
-	self := *c.Self()
+// openVoterHost opens a voter's disk and link. The voter itself begins when it knows how.
+func (n *Node) openVoterHost(ctx context.Context, cfg *charter.Config, network link.Network, incarnation uint64) (*voterHost, error) {
+	self := *cfg.Self()
 	// Two processes on one file, the second of which listens elsewhere, would be one voter twice.
-	if other, err := p.client.Standing(ctx, self.Address); err == nil {
+	if other, err := n.client.Info(ctx, self.Address); err == nil {
 		return nil, fmt.Errorf("%s: voter %d, process %q, answers at %s already",
-			p.path, other.Number, other.Name, self.Address)
+			n.path, other.Number, other.Name, self.Address)
 	}
-	at := c.Process.Listen
-	if at == "" {
-		at = self.Address
+	address := cfg.Process.Listen
+	if address == "" {
+		address = self.Address
 	}
-	listener, err := plain.Listen(at)
+	listener, err := network.Listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("%s: process.listen: %w", p.path, err)
+		return nil, fmt.Errorf("%s: process.listen: %w", n.path, err)
 	}
-	d, err := disk.Open(c.Process.Disk)
+	storage, err := disk.Open(cfg.Process.Folder)
 	if err != nil {
 		_ = listener.Close()
-		return nil, fmt.Errorf("%s: process.disk: %w", p.path, err)
+		return nil, fmt.Errorf("%s: process.disk: %w", n.path, err)
 	}
-	s := &seat{process: p, life: life, disk: d, self: self, post: link.NewPostbox(plain),
+	h := &voterHost{node: n, incarnation: incarnation, storage: storage, self: self, sender: link.NewMessageSender(network),
 		listener: listener}
-	if len(d.Records()) > 0 {
-		if err := s.open(c, nil); err != nil {
+	if len(storage.Records()) > 0 {
+		if err := h.startVoter(cfg, nil); err != nil {
 			_ = listener.Close()
-			s.post.Close()
-			return nil, errors.Join(fmt.Errorf("%s: process.disk: %w", p.path, err), d.Close())
+			h.sender.Close()
+			return nil, errors.Join(fmt.Errorf("%s: process.disk: %w", n.path, err), storage.Close())
 		}
 	}
-	return s, nil
+	return h, nil
 }
 
 // serve answers other processes from now on.
-func (s *seat) serve(c *charter.Charter) {
-	s.server = link.Serve(s.listener, s, c.Process.Connections, s.process.log)
+func (h *voterHost) serve(cfg *charter.Config) {
+	h.server = link.Serve(h.listener, h, cfg.Process.MaxConnections, h.node.logger)
 }
 
-// open opens the voter: with the members that begin the log, or none where the log is on its disk or comes from others.
-func (s *seat) open(c *charter.Charter, first []cluster.Member) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.over {
+// startVoter opens the voter: with the members that begin the log, or none where the log is on its disk or comes from others.
+func (h *voterHost) startVoter(cfg *charter.Config, initialMembers []cluster.Member) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.stopped {
 		return cluster.ErrStopped
 	}
-	self := cluster.Member{Number: s.self.Number, Name: s.self.Name, Address: s.self.Address, Disk: s.disk.Mark()}
-	v, err := voter.Open(self, first, s.disk, s.process.deciders(c), s.send, s.process.log)
+	self := cluster.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
+	running, err := voter.Open(self, initialMembers, h.storage, h.node.controllers(cfg), h.send, h.node.logger)
 	if err != nil {
 		return err
 	}
-	if n := v.Status().Number; n != s.self.Number {
+	if n := running.Status().Number; n != h.self.Number {
 		return errors.Join(fmt.Errorf("holds the log of voter %d, and the file says %d:"+
-			" a new number takes an empty folder", n, s.self.Number), v.Close())
+			" a new number takes an empty folder", n, h.self.Number), running.Close())
 	}
-	s.voter, s.first = v, first
+	h.voter, h.initialMembers = running, initialMembers
 	return nil
 }
 
 // send hands a voter's message to the links. Where a voter is, the file says; what the log says is for processes
 // whose file does not name it yet.
-func (s *seat) send(to cluster.Member, message []byte) {
+func (h *voterHost) send(to cluster.Member, message []byte) {
 	address := to.Address
-	for _, v := range s.process.Charter().Voters {
+	for _, v := range h.node.Config().Voters {
 		if v.Number == to.Number {
 			address = v.Address
 		}
 	}
-	s.post.Send(to.Number, address, message)
+	h.sender.Send(to.Number, address, message)
 }
 
 // Voter implements link.Host.
-func (s *seat) Voter() cluster.Voter {
-	if v := s.running(); v != nil {
-		return v
+func (h *voterHost) Voter() cluster.Voter {
+	if running := h.runningVoter(); running != nil {
+		return running
 	}
 	return nil
 }
 
-func (s *seat) running() *voter.Voter {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.voter
+func (h *voterHost) runningVoter() *voter.Voter {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.voter
 }
 
-// Standing implements link.Host.
-func (s *seat) Standing() link.Standing {
-	s.mu.Lock()
-	v, is := s.voter, link.Standing{Number: s.self.Number, Name: s.self.Name, Address: s.self.Address,
-		Mark: s.disk.Mark(), Begun: s.voter != nil, Incarnation: s.life, First: s.first}
-	s.mu.Unlock()
-	if v != nil {
-		is.Status = v.Status()
+// Info implements link.Host.
+func (h *voterHost) Info() link.VoterInfo {
+	h.mu.Lock()
+	running, info := h.voter, link.VoterInfo{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address,
+		DiskID: h.storage.DiskID(), Started: h.voter != nil, Incarnation: h.incarnation, InitialMembers: h.initialMembers}
+	h.mu.Unlock()
+	if running != nil {
+		info.Status = running.Status()
 	}
-	return is
+	return info
 }
 
-// Group implements link.Host.
-func (s *seat) Group() []byte { return s.process.follower.Held(follow.GroupTable).Value }
+// GroupID implements link.Host.
+func (h *voterHost) GroupID() []byte { return h.node.follower.Cached(follow.GroupTable).Value }
 
 // reload takes a new file. A voter that has not begun takes its number from it; one that has keeps its own.
-func (s *seat) reload(c *charter.Charter) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if self := c.Self(); self != nil && (s.voter == nil || self.Number == s.self.Number) {
-		s.self = *self
+func (h *voterHost) reload(cfg *charter.Config) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if self := cfg.Self(); self != nil && (h.voter == nil || self.Number == h.self.Number) {
+		h.self = *self
 	} else {
-		s.process.log.Warn("left as it was: this takes a restart, with an empty folder as its disk",
+		h.node.logger.Warn("left as it was: this takes a restart, with an empty folder as its disk",
 			zap.Strings("keys", []string{"voter.number"}))
 	}
-	if s.voter != nil {
-		s.voter.Redecide(s.process.deciders(c))
+	if h.voter != nil {
+		h.voter.SetControllers(h.node.controllers(cfg))
 	}
 }
 
-func (s *seat) resign(ctx context.Context) {
-	if v := s.running(); v != nil {
-		v.Resign(ctx)
+func (h *voterHost) transferLeadership(ctx context.Context) {
+	if running := h.runningVoter(); running != nil {
+		running.TransferLeadership(ctx)
 	}
 }
 
 // stop ends the voter.
-func (s *seat) stop() {
-	s.mu.Lock()
-	v := s.voter
-	s.over = true
-	s.mu.Unlock()
-	if v != nil {
-		_ = v.Close()
+func (h *voterHost) stop() {
+	h.mu.Lock()
+	running := h.voter
+	h.stopped = true
+	h.mu.Unlock()
+	if running != nil {
+		_ = running.Close()
 	}
 }
 
 // close gives back what the seat holds, once its goroutines have ended.
-func (s *seat) close() {
-	s.server.Close()
-	s.post.Close()
-	if err := s.disk.Close(); err != nil {
-		s.process.log.Warn("the disk of this voter did not close", zap.Error(err))
+func (h *voterHost) close() {
+	h.server.Close()
+	h.sender.Close()
+	if err := h.storage.Close(); err != nil {
+		h.node.logger.Warn("the disk of this voter did not close", zap.Error(err))
 	}
 }
--- a/internal/conformance/common.go
+++ b/internal/conformance/common.go
@@ -32,7 +32,7 @@
 
 // union is one voter, and what its followers' files say of it.
 type union struct {
-	*commons.Process
+	*commons.Node
 	address, dir string
 	client       *link.Client
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &union{dir: dir, client: link.NewClient(link.Plain{}, 1)}
+	u := &union{dir: dir, client: link.NewClient(link.Network{}, 1)}
 	for range votersMost { // the port may be taken by another between the two
 		u.address = address(ported.Add(1))
 		path := filepath.Join(dir, "voter.toml")
@@ -58,8 +58,8 @@
 		if err = os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		none := func(*charter.Charter) []cluster.Decider { return nil }
-		if u.Process, err = commons.Open(path, none, zap.NewNop()); err == nil {
+		none := func(*charter.Config) []cluster.Controller { return nil }
+		if u.Node, err = commons.Open(path, none, zap.NewNop()); err == nil {
 			break
 		}
 	}
@@ -70,7 +70,7 @@
 		standin.Eventually(t, "the table is written", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), writeEvery)
 			defer cancel()
-			r, err := u.client.Propose(ctx, u.address, log.Command{Kind: log.Write, By: "rows/1", Number: 1,
+			r, err := u.client.Propose(ctx, u.address, log.Command{Kind: log.Write, Proposer: "rows/1", Number: 1,
 				Table: table, Value: value})
 			return err == nil && r.Applied
 		})
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -69,7 +69,7 @@
 				return true
 			default:
 			}
-			return strings.Contains(r.Log(), ready) && p.ask(standin.Command("PING")) == "+PONG"
+			return strings.Contains(r.Log(), ready) && p.ask(standin.FormatCommand("PING")) == "+PONG"
 		})
 		select {
 		case <-ended:
@@ -91,30 +91,30 @@
 	return r
 }
 
-// config is what a gateway is told at its start, in its own form: the same deployment as site gives the module.
-func config(p *process, plan Plan) map[string]any {
+// launchConfig is what a gateway is told at its start, in its own form: the same deployment as site gives the module.
+func launchConfig(p *process, plan Plan) map[string]any {
 	type pairs = map[string]any
 	d := site(plan, p.width)
 	var classes []pairs
-	for _, l := range d.Lanes {
-		classes = append(classes, pairs{"Name": l.Name, "AimMs": l.SoftLimit.Milliseconds(),
-			"DeadlineMs": l.Patience.Milliseconds(), "Effect": "read_like", "Worth": l.Gain})
+	for _, l := range d.Classes {
+		classes = append(classes, pairs{"Name": l.Name, "AimMs": l.LatencyObjective.Milliseconds(),
+			"DeadlineMs": l.Timeout.Milliseconds(), "Effect": "read_like", "Worth": l.Weight})
 	}
 	return pairs{
 		"name": "n0", "discovery": p.discovery.Addr, "counter": p.counter.Addr,
 		"seed": fmt.Sprintf("%016x", seed), "limits": pairs{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"settings": pairs{
 			"Balancers": d.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{"hall-a"}, "Models": []string{"m2"},
-			"Discovery": "push", "TickMs": d.Tick.Milliseconds(),
-			"FamilyInfo": pairs{"HasCounter": d.HasCounter, "CountLimitMs": d.CountLimit.Milliseconds(),
-				"Settles": d.Settles, "MostUnits": d.MostUnits},
+			"Discovery": "push", "TickMs": d.ClockTick.Milliseconds(),
+			"FamilyInfo": pairs{"HasCounter": d.HasCounter, "CountLimitMs": d.CountTimeout.Milliseconds(),
+				"Settles": d.ReportsUnits, "MostUnits": d.MaxUnits},
 			"Report": pairs{"Fields": []string{}, "How": "off"},
-			"PolicyLimits": pairs{"Cancelling": d.Cancelling, "TryLimit": d.PushLimit, "RetryAfter": d.RetryAfter,
+			"PolicyLimits": pairs{"Cancelling": d.CanCancel, "TryLimit": d.MaxAttempts, "RetryAfter": d.RetryAfter,
 				"MaxRetryAfterMs": d.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": connectWithin.Milliseconds(),
 				"IdleCloseMs": 30000, "StreamsPerConn": 100},
-			"Rules": pairs{"AnswerSlackMs": d.AnswerSlack.Milliseconds(), "DrainGraceMs": d.DrainGrace.Milliseconds(),
-				"ColdFrom": d.ColdFrom, "WarmAfterMs": d.WarmAfter.Milliseconds(), "FallMultiple": d.FallMultiple,
-				"TipAfterMs": d.TipAfter.Milliseconds()},
+			"Rules": pairs{"AnswerSlackMs": d.ArrivalSlack.Milliseconds(), "DrainGraceMs": d.DrainGrace.Milliseconds(),
+				"ColdFrom": d.WarmUpStart, "WarmAfterMs": d.WarmUpTime.Milliseconds(), "FallMultiple": d.OverloadFactor,
+				"TipAfterMs": d.OverloadSpan.Milliseconds()},
 			"RequestClasses": classes,
 			"TiersOfService": []pairs{{"Name": plan.Name, "UnitsPerS": plan.Rate, "PeakUnits": plan.Burst}},
 		},
--- a/internal/conformance/module.go
+++ b/internal/conformance/module.go
@@ -10,11 +10,11 @@
 
 // Module is what a row needs of a module: the events of the ordinary path.
 type Module interface {
-	List(now time.Duration, kind policy.ListKind, list []policy.Listed)
-	Take(now time.Duration, t policy.Task)
-	Ended(now time.Duration, p policy.Push)
-	Woke(now time.Duration, token uint64)
-	Counted(now time.Duration, t policy.Tally)
+	HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint)
+	HandleRequest(now time.Duration, t policy.Request)
+	HandleAttemptResult(now time.Duration, p policy.AttemptResult)
+	HandleTimer(now time.Duration, token uint64)
+	HandleCount(now time.Duration, t policy.CountResult)
 }
 
 const (
@@ -32,15 +32,15 @@
 )
 
 // site is the deployment of a row: roomy, warm, nothing that the design does not speak of.
-func site(p Plan, gateways int) policy.Deployment {
-	d := policy.Deployment{
-		Gateways: max(gateways, 1), Halls: 1, Tick: tick, HasCounter: true, CountLimit: countLimit, Settles: true,
-		MostUnits: mostUnits, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, PushLimit: pushes,
-		AnswerSlack: slack, DrainGrace: time.Second, ColdFrom: 0.15, WarmAfter: 16 * time.Second, FallMultiple: 2,
-		TipAfter: 1500 * time.Millisecond, Plans: []policy.Plan{{Name: p.Name, Rate: p.Rate, Burst: p.Burst}},
+func site(p Plan, gateways int) policy.Settings {
+	d := policy.Settings{
+		Gateways: max(gateways, 1), Zones: 1, ClockTick: tick, HasCounter: true, CountTimeout: countLimit, ReportsUnits: true,
+		MaxUnits: mostUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: pushes,
+		ArrivalSlack: slack, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second, OverloadFactor: 2,
+		OverloadSpan: 1500 * time.Millisecond, Plans: []policy.Plan{{Name: p.Name, Rate: p.Rate, Burst: p.Burst}},
 	}
 	for _, l := range lanes {
-		d.Lanes = append(d.Lanes, policy.Lane{Name: l.name, SoftLimit: l.soft, Patience: l.patience, Gain: 1})
+		d.Classes = append(d.Classes, policy.TrafficClass{Name: l.name, LatencyObjective: l.soft, Timeout: l.patience, Weight: 1})
 	}
 	return d
 }
@@ -56,7 +56,7 @@
 	now      time.Duration
 	silent   bool
 	totals   map[uint64]float64
-	calls    []policy.Tally // not answered yet, with what each adds as the total
+	calls    []policy.CountResult // not answered yet, with what each adds as the total
 	wakes    []wake
 	pushed   map[uint32]uint32 // task to server, while it is out
 }
@@ -75,23 +75,23 @@
 		t.Fatal(err)
 	}
 	m.g = g
-	var list []policy.Listed
+	var list []policy.Endpoint
 	for i := range servers {
-		list = append(list, policy.Listed{Server: uint32(i + 1), Stage: policy.Ready, Power: 1})
+		list = append(list, policy.Endpoint{Server: uint32(i + 1), State: policy.Ready, Capacity: 1})
 	}
-	g.List(m.now, policy.ListWhole, list)
+	g.HandleEndpoints(m.now, policy.ListFull, list)
 	return m
 }
 
 func (m *module) do(s step) {
 	switch s.verb {
 	case "task":
-		t := policy.Task{ID: uint32(s.task), Lane: s.lane, Customer: s.customer, Width: m.gateways, Units: s.units,
-			Expires: m.now + lanes[s.lane].patience}
+		t := policy.Request{ID: uint32(s.task), Class: s.lane, Customer: s.customer, GatewayCount: m.gateways, Units: s.units,
+			Deadline: m.now + lanes[s.lane].patience}
 		if t.Customer == 0 {
 			t.Customer = m.windows.customer
 		}
-		m.g.Take(m.now, t)
+		m.g.HandleRequest(m.now, t)
 	case "answer":
 		id := uint32(s.task)
 		server, out := m.pushed[id]
@@ -100,7 +100,7 @@
 		}
 		m.seen.add("answered " + decimal(id))
 		delete(m.pushed, id)
-		m.g.Ended(m.now, policy.Push{Task: id, Server: server, Took: answerTime, Done: true, Billed: s.units})
+		m.g.HandleAttemptResult(m.now, policy.AttemptResult{RequestID: id, Server: server, Latency: answerTime, Final: true, ActualUnits: s.units})
 	case "others":
 		m.totals[m.windows.name(m.windows.number(m.now))] += s.units
 	case "counter":
@@ -122,7 +122,7 @@
 		c := m.calls[0]
 		m.calls = m.calls[1:]
 		m.totals[c.Name] += c.Total
-		m.g.Counted(m.now, policy.Tally{Name: c.Name, Total: m.totals[c.Name], Took: callTime})
+		m.g.HandleCount(m.now, policy.CountResult{Name: c.Name, Total: m.totals[c.Name], Latency: callTime})
 	}
 }
 
@@ -136,9 +136,9 @@
 			return
 		}
 		w := slices.MinFunc(due, func(a, b wake) int { return int(a.at - b.at) })
-		m.Forget(w.token)
+		m.CancelTimer(w.token)
 		m.now = max(m.now, w.at)
-		m.g.Woke(m.now, w.token)
+		m.g.HandleTimer(m.now, w.token)
 		m.count()
 	}
 }
@@ -146,8 +146,8 @@
 // settled gives what was seen; nothing is under way between two steps.
 func (m *module) settled(func([][]string) bool) *seen { return &m.seen }
 
-// Push and the rest are the module's host.
-func (m *module) Push(task, server uint32, _ time.Duration) {
+// Attempt and the rest are the module's host.
+func (m *module) Attempt(task, server uint32, _ time.Duration) {
 	m.pushed[task] = server
 	faces := []string{"push " + decimal(task)}
 	if server > servers { // one that a variant put beside the row's
@@ -158,19 +158,19 @@
 func (m *module) Cancel(task uint32, _ int)           { m.seen.add("cancel " + decimal(task)) }
 func (m *module) Reject(task uint32, _ time.Duration) { m.seen.add("rejected " + decimal(task)) }
 func (m *module) Terminate(task uint32)               { m.seen.add("terminated " + decimal(task)) }
-func (m *module) Probe(uint32)                        { m.seen.add("probe") }
-func (m *module) Tell(int, []byte)                    { m.seen.add("tell") }
-func (m *module) Watch()                              {}
+func (m *module) CheckHealth(uint32)                  { m.seen.add("probe") }
+func (m *module) SendPeer(int, []byte)                { m.seen.add("tell") }
+func (m *module) WatchEndpoints()                     {}
 func (m *module) Log(string)                          {}
-func (m *module) Wake(token uint64, after time.Duration) {
+func (m *module) SetTimer(token uint64, after time.Duration) {
 	m.wakes = append(m.wakes, wake{token, m.now + after})
 }
 func (m *module) Count(n uint64, _ time.Duration, units float64) {
-	m.calls = append(m.calls, policy.Tally{Name: n, Total: units})
+	m.calls = append(m.calls, policy.CountResult{Name: n, Total: units})
 	m.seen.add(m.windows.call(m.now, n, units)...)
 }
 
-// Forget takes a wake back.
-func (m *module) Forget(token uint64) {
+// CancelTimer takes a wake back.
+func (m *module) CancelTimer(token uint64) {
 	m.wakes = slices.DeleteFunc(m.wakes, func(w wake) bool { return w.token == token })
 }
--- a/internal/conformance/play.go
+++ b/internal/conformance/play.go
@@ -17,7 +17,7 @@
 	Name string
 	Text string // what the state is, for the page
 	// Module makes the module behind a host; nil: no row is played against the module.
-	Module func(site policy.Deployment, seed int64, host policy.Host) (Module, error)
+	Module func(site policy.Settings, seed int64, host policy.Host) (Module, error)
 	// Process readies a process before it starts; nil: no row is played against a process.
 	Process func(t testing.TB, p *Launch)
 	// Key gives what stands for a customer in the names of its counts; nil: its own number.
@@ -55,7 +55,7 @@
 // Plain is the gateway as it is, with all parts off.
 var Plain = Variant{
 	Name: "plain", Text: "all parts are off",
-	Module: func(site policy.Deployment, seed int64, host policy.Host) (Module, error) {
+	Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		return policy.New(site, seed, host)
 	},
 	Process: func(testing.TB, *Launch) {},
@@ -64,10 +64,10 @@
 // Reshaped has taken its settings once more while it ran: nothing may follow from that.
 var Reshaped = Variant{
 	Name: "reshaped", Text: "the settings were taken once more while it ran",
-	Module: func(site policy.Deployment, seed int64, host policy.Host) (Module, error) {
+	Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		g, err := policy.New(site, seed, host)
 		if err == nil {
-			_, err = g.Reshape(origin, site)
+			_, err = g.Reconfigure(origin, site)
 		}
 		return g, err
 	},
--- a/internal/conformance/process.go
+++ b/internal/conformance/process.go
@@ -94,20 +94,20 @@
 	var hosts []string
 	for i := range servers {
 		p.servers = append(p.servers, standin.NewServer(t, p.served))
-		hosts = append(hosts, standin.Host(fmt.Sprintf("s-%d", i), p.servers[i].Addr, "in_service"))
+		hosts = append(hosts, standin.FormatHost(fmt.Sprintf("s-%d", i), p.servers[i].Addr, "in_service"))
 	}
 	p.discovery = standin.NewDiscovery(t, hosts...)
-	l := Launch{Dir: t.TempDir(), Config: config(p, plan), Hosts: hosts}
+	l := Launch{Dir: t.TempDir(), Config: launchConfig(p, plan), Hosts: hosts}
 	v.Process(t, &l)
-	p.discovery.Tell(true, l.Hosts...)
-	l.Config["known"] = json.RawMessage(standin.List(1, true, l.Hosts...))
+	p.discovery.Publish(true, l.Hosts...)
+	l.Config["known"] = json.RawMessage(standin.FormatList(1, true, l.Hosts...))
 	p.peers = l.Peers
 	running := p.start(path, &l)
 	if l.Ready != nil {
 		l.Ready(running)
 	}
 	p.choose(plan, row.Crosses)
-	p.counter.Watch(p.called)
+	p.counter.Observe(p.called)
 	return p
 }
 
@@ -155,11 +155,11 @@
 	select {
 	case units := <-p.answer(int(task)):
 		if units > 0 {
-			return standin.Value("hello", int(units))
+			return standin.FormatValue("hello", int(units))
 		}
 		return "*3\r\n$5\r\nhello\r\n$7\r\nused=10\r\n$-1\r\n" // reports no cost
 	case <-p.t.Context().Done():
-		return standin.HangUp
+		return standin.CloseConn
 	}
 }
 
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -17,7 +17,7 @@
 var byCustomer = counting.Rule{Version: 1, Key: []string{"customer"}}
 
 // ruleKey is what stands for a customer under it, reckoned from what docs/counting-rules.md says.
-func ruleKey(customer uint64) uint64 { return counting.Mix(byCustomer.Version, customer, 0, 0, 0) }
+func ruleKey(customer uint64) uint64 { return counting.Hash(byCustomer.Version, customer, 0, 0, 0) }
 
 const (
 	sampleSeed  = 5
@@ -37,9 +37,9 @@
 func counted(phase counting.Phase, edge time.Duration) func() []byte {
 	return func() []byte {
 		now := time.Duration(time.Now().UnixNano())
-		return counting.Table{Phase: phase, To: byCustomer.Version, Edge: now + edge, Since: now,
-			Rules: []counting.Rule{byCustomer}, Seed: sampleSeed, Trial: counting.Trial{Sample: sample, Calls: callsPlayed,
-				DeadlineS: 600, WrongThousandths: 50, Rejected: 20, LetIn: 20, Beyond: 20, Leave: 100, WatchS: 60},
+		return counting.Table{Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
+			Rules: []counting.Rule{byCustomer}, Seed: sampleSeed, Canary: counting.CanaryConfig{SamplePermille: sample, CallsPermille: callsPlayed,
+				DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60},
 		}.Encode()
 	}
 }
@@ -50,15 +50,15 @@
 	if err != nil {
 		return false
 	}
-	_, in := s.Cell(customer)
+	_, in := s.Bucket(customer)
 	return in
 }
 
 // planned gives a plan that shares hall-b out: all that comes in there is pushed to hall-a.
 func planned() []byte {
 	p := failover.Plan{Rows: map[string]map[string]int{"hall-b": {"hall-a": 1000}, "hall-a": {"hall-a": 1000}},
-		Sound: map[string]int{"hall-a": 1000, "hall-b": 0}}
-	value, err := p.Bytes()
+		Health: map[string]int{"hall-a": 1000, "hall-b": 0}}
+	value, err := p.Encode()
 	if err != nil {
 		panic(err) // maps of strings and numbers are always encoded
 	}
@@ -68,8 +68,8 @@
 // shedding gives a plan by which what comes in at hall-b fits nowhere.
 func shedding() []byte {
 	p := failover.Plan{Rows: map[string]map[string]int{"hall-b": {"hall-b": 1000}},
-		Shed: map[string]int{"hall-b": 1000}, Sound: map[string]int{"hall-a": 1000, "hall-b": 0}}
-	value, err := p.Bytes()
+		Shed: map[string]int{"hall-b": 1000}, Health: map[string]int{"hall-a": 1000, "hall-b": 0}}
+	value, err := p.Encode()
 	if err != nil {
 		panic(err) // the same
 	}
@@ -78,7 +78,7 @@
 
 func settling() []byte {
 	pair := debts.Pair{Debtor: "south", Creditor: "north"}
-	value, err := debts.Value{Shares: []debts.Share{{Pair: pair, Part: debts.Whole / 2}},
+	value, err := debts.State{Shares: []debts.Share{{Pair: pair, PPM: debts.PartsPerMillion / 2}},
 		Nets: []debts.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
 	if err != nil {
 		panic(err) // plain numbers and words
@@ -99,27 +99,27 @@
 			hall: "hall-a", halls: two, terms: failoverTerm, table: failover.Table,
 			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`}},
 		{name: "canary", text: "a new rule is played on the row's customer beside the old one",
-			hall: "hall-a", terms: countedTerm, table: counting.Name, value: counted(counting.Canary, 0),
+			hall: "hall-a", terms: countedTerm, table: counting.TableName, value: counted(counting.PhaseCanary, 0),
 			says: []string{step}, fits: sampled, aside: true},
 		{name: "activation named", text: "the new rule's edge is named and an hour off; the row's customer is still played",
-			hall: "hall-a", terms: countedTerm, table: counting.Name,
-			value: counted(counting.Named, time.Hour), says: []string{step}, fits: sampled, aside: true},
+			hall: "hall-a", terms: countedTerm, table: counting.TableName,
+			value: counted(counting.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true},
 		{name: "activated", text: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
-			hall: "hall-a", terms: countedTerm, table: counting.Name,
-			value: counted(counting.Named, -time.Minute), says: []string{step}, key: ruleKey,
+			hall: "hall-a", terms: countedTerm, table: counting.TableName,
+			value: counted(counting.PhaseScheduled, -time.Minute), says: []string{step}, key: ruleKey,
 			fits: sampled, aside: true},
 		{name: "edge passed", text: "the same, with the edge come while the process served", hall: "hall-a",
-			terms: countedTerm, table: counting.Name, value: counted(counting.Named, edgeSoon), span: edgeSoon,
+			terms: countedTerm, table: counting.TableName, value: counted(counting.PhaseScheduled, edgeSoon), span: edgeSoon,
 			says: []string{step}, key: ruleKey, fits: sampled, aside: true},
 		{name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm, table: failover.Table,
 			value: shedding, says: []string{`"a plan is in force"`}},
 		{name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
-			hall: "hall-a", terms: countedTerm, table: counting.Name,
-			value: counted(counting.Canary, 0), says: []string{step}, aside: true,
+			hall: "hall-a", terms: countedTerm, table: counting.TableName,
+			value: counted(counting.PhaseCanary, 0), says: []string{step}, aside: true,
 			over: []string{"counting: what rule holds is not known"}},
 		{name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
-			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: debts.Table,
+			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: debts.TableName,
 			value: settling, says: []string{`"debts are being settled"`}},
 	} {
 		all = append(all, s.variant())
@@ -130,8 +130,8 @@
 // inModule are the states that change how the module is made or what its events carry.
 var inModule = []Variant{
 	{Name: "rules' plans", Text: "the plans of a counting rule stand behind the file's",
-		Module: func(site policy.Deployment, seed int64, host policy.Host) (Module, error) {
-			return policy.New(counting.Plans(site, []counting.Rule{byCustomer}), seed, host)
+		Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
+			return policy.New(counting.WithRulePlans(site, []counting.Rule{byCustomer}), seed, host)
 		}},
 	{Name: "preferring", Text: "each task prefers the owner of a further, elective server",
 		Module: elective(preferred)},
@@ -147,19 +147,19 @@
 	prefer int
 }
 
-func elective(prefer int) func(policy.Deployment, int64, policy.Host) (Module, error) {
-	return func(site policy.Deployment, seed int64, host policy.Host) (Module, error) {
+func elective(prefer int) func(policy.Settings, int64, policy.Host) (Module, error) {
+	return func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		g, err := policy.New(site, seed, host)
 		return electing{g, prefer}, err
 	}
 }
 
-func (e electing) List(now time.Duration, kind policy.ListKind, list []policy.Listed) {
-	more := policy.Listed{Server: servers + 1, Stage: policy.Ready, Power: 1, Owner: preferred, Elective: true}
-	e.Module.List(now, kind, append(list, more))
+func (e electing) HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint) {
+	more := policy.Endpoint{Server: servers + 1, State: policy.Ready, Capacity: 1, Owner: preferred, Elective: true}
+	e.Module.HandleEndpoints(now, kind, append(list, more))
 }
 
-func (e electing) Take(now time.Duration, t policy.Task) {
-	t.Prefer = e.prefer
-	e.Module.Take(now, t)
+func (e electing) HandleRequest(now time.Duration, t policy.Request) {
+	t.PreferOwner = e.prefer
+	e.Module.HandleRequest(now, t)
 }
--- a/internal/counter/fuzz_test.go
+++ b/internal/counter/fuzz_test.go
@@ -17,25 +17,25 @@
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		total, how, good := answer(line)
-		if !good {
+		total, outcome, valid := parseAnswer(line)
+		if !valid {
 			return
 		}
 		text, ended := strings.CutSuffix(line, "\r\n")
 		if !ended || strings.ContainsAny(text, "\r\n") || math.IsNaN(total) || math.IsInf(total, 0) {
 			t.Fatalf("%q was taken for %v", line, total)
 		}
-		switch how {
+		switch outcome {
 		case policy.Answered:
 			if !strings.HasPrefix(text, "ok ") {
 				t.Fatalf("%q was taken for a total", line)
 			}
-		case policy.Full:
+		case policy.Rejected:
 			if text != "busy" && text != "error" || total != 0 {
-				t.Fatalf("%q was taken for %v with %v", line, how, total)
+				t.Fatalf("%q was taken for %v with %v", line, outcome, total)
 			}
 		default:
-			t.Fatalf("%q was taken for %v", line, how)
+			t.Fatalf("%q was taken for %v", line, outcome)
 		}
 	})
 }
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -32,7 +32,7 @@
 			defer counter.Close()
 			ended := make(chan struct{})
 			counter.Add(c.name, c.units, c.keep, func(float64, policy.Outcome) { close(ended) })
-			if got := s.Call(t); got != c.want {
+			if got := s.NextCall(t); got != c.want {
 				t.Errorf("called %q", got)
 			}
 			<-ended
@@ -49,9 +49,9 @@
 		"ok \r\n": malformed, "ok  1\r\n": malformed, "busy\r\n": "0 2", "error\r\n": "0 2", "busybusy\r\n": malformed,
 		"pong\r\n": malformed, "\r\n": malformed, "ok 7\n": malformed, "OK 7\r\n": malformed, "busy": malformed, "ok 7": malformed,
 	} {
-		total, how, good := answer(line)
-		got := fmt.Sprint(total, " ", uint8(how))
-		if !good {
+		total, outcome, valid := parseAnswer(line)
+		got := fmt.Sprint(total, " ", uint8(outcome))
+		if !valid {
 			got = malformed
 		}
 		if got != want {
--- a/internal/counter/write.go
+++ b/internal/counter/write.go
@@ -12,151 +12,151 @@
 	"harrierhoist/policy"
 )
 
-// wait sets until when the oldest answer may come: a connection with none for as long as one may take to come up
+// setReadDeadline sets until when the oldest answer may come: a connection with none for as long as one may take to come up
 // is taken for dead. Answers come however late, so what was out on it may have been added.
-func (l *line) wait(k *link) {
+func (s *shard) setReadDeadline(c *connection) {
 	until := time.Time{}
-	if len(k.out) > 0 {
-		until = k.out[0].at.Add(l.within)
+	if len(c.pending) > 0 {
+		until = c.pending[0].writtenAt.Add(s.timeout)
 	}
-	_ = k.sock.SetReadDeadline(until)
+	_ = c.socket.SetReadDeadline(until)
 }
 
-// write writes calls as they come, on a connection that it brings up when there is none. Those that come
+// writeCalls writes calls as they come, on a connection that it brings up when there is none. Those that come
 // together go out together.
-func (l *line) write() {
-	defer l.close()
+func (s *shard) writeCalls() {
+	defer s.close()
 	for {
-		var c *call
+		var request *call
 		select {
-		case <-l.ctx.Done():
+		case <-s.ctx.Done():
 			return
-		case c = <-l.waiting:
+		case request = <-s.queue:
 		}
-		k := l.up()
-		if k == nil {
-			l.refuse(c)
+		c := s.connect()
+		if c == nil {
+			s.failQueued(request)
 			continue
 		}
-		l.put(k, c)
-		for len(l.waiting) > 0 {
-			l.put(k, <-l.waiting)
+		s.writeCall(c, request)
+		for len(s.queue) > 0 {
+			s.writeCall(c, <-s.queue)
 		}
-		if k.conn.W.Flush() != nil {
-			l.down(k, "write fails")
+		if c.text.W.Flush() != nil {
+			s.disconnect(c, "write fails")
 		}
 	}
 }
 
-// put writes a call.
-func (l *line) put(k *link, c *call) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.link != k { // it went down, or the counter moved, a moment ago
-		c.told(0, policy.NoConnect)
+// writeCall writes a call.
+func (s *shard) writeCall(c *connection, request *call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.current != c { // it went down, or the counter moved, a moment ago
+		request.done(0, policy.ConnectFailed)
 		return
 	}
-	c.at = time.Now()
-	if k.out = append(k.out, c); len(k.out) == 1 {
-		l.wait(k)
+	request.writtenAt = time.Now()
+	if c.pending = append(c.pending, request); len(c.pending) == 1 {
+		s.setReadDeadline(c)
 	}
-	_ = k.sock.SetWriteDeadline(c.at.Add(writeLimit))
-	_, _ = k.conn.W.WriteString(c.text + "\r\n") // an error stays until the flush
+	_ = c.socket.SetWriteDeadline(request.writtenAt.Add(writeTimeout))
+	_, _ = c.text.W.WriteString(request.text + "\r\n") // an error stays until the flush
 }
 
-// refuse tells a call, and those that waited with it, that there is no connection.
-func (l *line) refuse(c *call) {
+// failQueued tells a call, and those that waited with it, that there is no connection.
+func (s *shard) failQueued(request *call) {
 	for {
-		c.told(0, policy.NoConnect)
+		request.done(0, policy.ConnectFailed)
 		select {
-		case c = <-l.waiting:
+		case request = <-s.queue:
 		default:
 			return
 		}
 	}
 }
 
-// up gives the connection, after bringing one up if need be; nil where none can be had. Where the counter moves
+// connect gives the connection, after bringing one up if need be; nil where none can be had. Where the counter moves
 // meanwhile, nothing was sent yet, and a connection to the new address is brought up instead.
-func (l *line) up() *link {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for l.link == nil {
-		ctx, stop := context.WithTimeout(l.ctx, l.within)
-		addr := l.addr
-		l.stop = stop
-		l.mu.Unlock()
+func (s *shard) connect() *connection {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for s.current == nil {
+		ctx, stop := context.WithTimeout(s.ctx, s.timeout)
+		addr := s.addr
+		s.cancelDial = stop
+		s.mu.Unlock()
 		sock, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-		l.mu.Lock()
+		s.mu.Lock()
 		stopped := errors.Is(ctx.Err(), context.Canceled)
-		l.stop = nil
+		s.cancelDial = nil
 		stop()
 		switch {
 		case err == nil && !stopped:
-			k := &link{conn: textproto.NewConn(sock), sock: sock}
-			l.link, l.links[k] = k, struct{}{}
-			l.ended.Go(func() { l.read(k) })
+			c := &connection{text: textproto.NewConn(sock), socket: sock}
+			s.current, s.open[c] = c, struct{}{}
+			s.goroutines.Go(func() { s.readAnswers(c) })
 		case err == nil:
 			_ = sock.Close()
 		}
-		if l.link == nil && (!stopped || l.ctx.Err() != nil) {
+		if s.current == nil && (!stopped || s.ctx.Err() != nil) {
 			return nil
 		}
 	}
-	return l.link
+	return s.current
 }
 
 // close ends the line; what waits on it is turned away.
-func (l *line) close() {
-	l.mu.Lock()
-	open := slices.Collect(maps.Keys(l.links))
-	l.mu.Unlock()
-	for _, k := range open {
-		l.down(k, "closed")
+func (s *shard) close() {
+	s.mu.Lock()
+	open := slices.Collect(maps.Keys(s.open))
+	s.mu.Unlock()
+	for _, c := range open {
+		s.disconnect(c, "closed")
 	}
 	select {
-	case c := <-l.waiting:
-		l.refuse(c)
+	case request := <-s.queue:
+		s.failQueued(request)
 	default:
 	}
 }
 
-// move leaves the connection to the calls that are out on it; the last answer closes it.
-func (l *line) move(addr string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.addr == addr {
+// setAddress leaves the connection to the calls that are out on it; the last answer closes it.
+func (s *shard) setAddress(addr string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.addr == addr {
 		return
 	}
-	if l.stop != nil { // a connection that still comes up at the old address is of no use
-		l.stop()
-		l.stop = nil
+	if s.cancelDial != nil { // a connection that still comes up at the old address is of no use
+		s.cancelDial()
+		s.cancelDial = nil
 	}
-	k := l.link
-	l.addr, l.link = addr, nil
-	if k != nil && len(k.out) == 0 {
-		k.over = true
-		_ = k.conn.Close()
+	c := s.current
+	s.addr, s.current = addr, nil
+	if c != nil && len(c.pending) == 0 {
+		c.closed = true
+		_ = c.text.Close()
 	}
 }
 
-// down closes a connection, once. What was written on it may have been added.
-func (l *line) down(k *link, why string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.links, k)
-	if k.over {
+// disconnect closes a connection, once. What was written on it may have been added.
+func (s *shard) disconnect(c *connection, why string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.open, c)
+	if c.closed {
 		return
 	}
-	k.over = true
-	_ = k.conn.Close()
-	if l.link == k {
-		l.link = nil
+	c.closed = true
+	_ = c.text.Close()
+	if s.current == c {
+		s.current = nil
 	}
-	if len(k.out) > 0 && l.ctx.Err() == nil {
-		l.lost.add(why, len(k.out))
+	if len(c.pending) > 0 && s.ctx.Err() == nil {
+		s.losses.add(why, len(c.pending))
 	}
-	for _, c := range k.out {
-		c.told(0, policy.TimedOut)
+	for _, request := range c.pending {
+		request.done(0, policy.TimedOut)
 	}
 }
--- a/internal/counting/counting_test.go
+++ b/internal/counting/counting_test.go
@@ -12,16 +12,16 @@
 	"harrierhoist/policy"
 )
 
-func site() policy.Deployment {
-	return policy.Deployment{Gateways: 4, Halls: 1, Tick: time.Millisecond, HasCounter: true,
-		CountLimit: time.Second, PushLimit: 3,
-		Lanes: []policy.Lane{{Name: "look", SoftLimit: time.Second, Patience: 2 * time.Second, Gain: 1},
-			{Name: "pay", SoftLimit: time.Second, Patience: 2 * time.Second, Gain: 2}},
+func testSettings() policy.Settings {
+	return policy.Settings{Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true,
+		CountTimeout: time.Second, MaxAttempts: 3,
+		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1},
+			{Name: "pay", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 2}},
 		Plans: []policy.Plan{{Name: "small", Rate: 2, Burst: 10}, {Name: "wide", Rate: 100, Burst: 400},
-			{Name: "out", AtOnce: 3}}}
+			{Name: "out", MaxInFlight: 3}}}
 }
 
-const whole = `
+const completeFile = `
 try = 2
 [[rule]]
 version = 1
@@ -45,18 +45,18 @@
 watch_s = 300
 `
 
-func read(t testing.TB, text string) *Terms {
+func parseConfig(t testing.TB, text string) *Config {
 	t.Helper()
-	var terms Terms
-	if err := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields().Decode(&terms); err != nil {
+	var config Config
+	if err := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields().Decode(&config); err != nil {
 		t.Fatal(err)
 	}
-	return &terms
+	return &config
 }
 
-func TestTermsSayAllThatIsWrongWithThem(t *testing.T) {
-	if e := read(t, whole).Check(); len(e) > 0 {
-		t.Fatal(e)
+func TestConfig_checkReportsEveryFault(t *testing.T) {
+	if faults := parseConfig(t, completeFile).Check(); len(faults) > 0 {
+		t.Fatal(faults)
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{"try = 2", "try = 9", "counting.try must be 0 or the version"},
@@ -71,144 +71,146 @@
 		{"calls = 60", "calls = 40", "counting.canary.calls must be 3 times canary.sample"},
 		{"deadline_s = 600", "deadline_s = 5", "counting.canary.deadline_s must be from 120"},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
-		if !slices.ContainsFunc(read(t, text).Check(), func(e error) bool { return strings.Contains(e.Error(), c.want) }) {
-			t.Errorf("%s: %v, want %q", c.to, read(t, text).Check(), c.want)
+		text := strings.Replace(completeFile, c.from, c.to, 1)
+		if !slices.ContainsFunc(parseConfig(t, text).Check(), func(fault error) bool { return strings.Contains(fault.Error(), c.want) }) {
+			t.Errorf("%s: %v, want %q", c.to, parseConfig(t, text).Check(), c.want)
 		}
 	}
 }
 
 // A mask of few bits makes few groups, and a group beside a ceiling of each customer has none to hold.
-func TestRulesThatCannotHold(t *testing.T) {
-	r := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
-	if e := r.check(); len(e) != 1 || !strings.Contains(e[0].Error(), "mask must have 5 bits") {
-		t.Errorf("%v", e)
-	}
-	d := site()
-	d.Plans[0].CeilingRate = 1
-	if _, err := Fit(r, Plans(d, []Rule{r})); err == nil {
+func TestRule_thatCannotApplyIsRefused(t *testing.T) {
+	rule := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
+	if faults := rule.validate(); len(faults) != 1 || !strings.Contains(faults[0].Error(), "mask must have 5 bits") {
+		t.Errorf("%v", faults)
+	}
+	settings := testSettings()
+	settings.Plans[0].CeilingRate = 1
+	if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err == nil {
 		t.Error("a group's count stands beside each customer's ceiling")
 	}
 }
 
 // With rule 0 a task is what it was to the module, and the plans are.
-func TestRuleNoughtChangesNothing(t *testing.T) {
-	rules := read(t, whole).Rules
-	d := Plans(site(), rules)
-	f, err := Fit(Rule{}, d)
-	if err != nil || !slices.Equal(d.Plans[:3], site().Plans) || !slices.Equal(Plans(site(), nil).Plans, site().Plans) {
-		t.Fatal(err, d.Plans)
+func TestRuleZero_changesNothing(t *testing.T) {
+	rules := parseConfig(t, completeFile).Rules
+	settings := WithRulePlans(testSettings(), rules)
+	resolved, err := Resolve(Rule{}, settings)
+	if err != nil || !slices.Equal(settings.Plans[:3], testSettings().Plans) || !slices.Equal(WithRulePlans(testSettings(), nil).Plans, testSettings().Plans) {
+		t.Fatal(err, settings.Plans)
 	}
-	if face := Face(d).Plans; face[2].Closed || !face[3].Closed || d.Plans[3].Closed {
-		t.Errorf("clients see %+v", face)
+	if clientPlans := ClientSettings(settings).Plans; clientPlans[2].Retired || !clientPlans[3].Retired || settings.Plans[3].Retired {
+		t.Errorf("clients see %+v", clientPlans)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		customer, plan := rapid.Uint64().Draw(t, "customer"), rapid.IntRange(0, 2).Draw(t, "plan")
-		if got := f.Count(customer, 1, plan); got != (Count{Key: customer, Plan: plan, Weight: 1}) {
+		if got := resolved.Assign(customer, 1, plan); got != (Assignment{Key: customer, Plan: plan, Weight: 1}) {
 			t.Fatalf("%+v", got)
 		}
 	})
 }
 
 // What hangs together by the words of a rule shares a count, and nothing else does.
-func TestKeyIsWhatTheRuleSays(t *testing.T) {
-	rules := read(t, whole).Rules
-	d := Plans(site(), rules)
-	one, err := Fit(rules[0], d)
-	two, err2 := Fit(rules[1], d)
-	if err != nil || err2 != nil {
-		t.Fatal(err, err2)
-	}
-	look, pay := one.Count(7, 0, 0), one.Count(7, 1, 0)
-	if look.Key == pay.Key || pay.Weight != 3 || look.Weight != 1 || d.Plans[look.Plan].Rate != 3 {
+func TestAssign_keyFollowsTheRule(t *testing.T) {
+	rules := parseConfig(t, completeFile).Rules
+	settings := WithRulePlans(testSettings(), rules)
+	byClass, err := Resolve(rules[0], settings)
+	byGroup, errSecond := Resolve(rules[1], settings)
+	if err != nil || errSecond != nil {
+		t.Fatal(err, errSecond)
+	}
+	look, pay := byClass.Assign(7, 0, 0), byClass.Assign(7, 1, 0)
+	if look.Key == pay.Key || pay.Weight != 3 || look.Weight != 1 || settings.Plans[look.Plan].Rate != 3 {
 		t.Errorf("by lane: %+v, %+v", look, pay)
 	}
-	if wide := one.Count(7, 0, 1); d.Plans[wide.Plan].Rate != 100 || wide.Plan == 1 {
+	if wide := byClass.Assign(7, 0, 1); settings.Plans[wide.Plan].Rate != 100 || wide.Plan == 1 {
 		t.Errorf("a plan that the rule does not name: %+v", wide)
 	}
-	if out := one.Count(7, 0, 2); out != (Count{Key: 7, Plan: 2, Weight: 1}) {
+	if out := byClass.Assign(7, 0, 2); out != (Assignment{Key: 7, Plan: 2, Weight: 1}) {
 		t.Errorf("a plan without a rate: %+v", out)
 	}
-	a, b, alone := two.Count(1, 0, 0), two.Count(2, 1, 1), two.Count(9, 0, 0)
-	if a.Key != b.Key || a.Key == alone.Key || !a.Shared || d.Plans[b.Plan].Burst != 20 ||
-		d.Plans[alone.Plan].Burst != 20 {
+	a, b, alone := byGroup.Assign(1, 0, 0), byGroup.Assign(2, 1, 1), byGroup.Assign(9, 0, 0)
+	if a.Key != b.Key || a.Key == alone.Key || !a.Shared || settings.Plans[b.Plan].Burst != 20 ||
+		settings.Plans[alone.Plan].Burst != 20 {
 		t.Errorf("by group: %+v, %+v, %+v", a, b, alone)
 	}
-	masked, _ := Fit(Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}, d)
-	if masked.Count(0x1234, 0, 2).Key != 0x1234 {
+	masked, _ := Resolve(Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}, settings)
+	if masked.Assign(0x1234, 0, 2).Key != 0x1234 {
 		t.Error("the rule has no plan here, so it does not count")
 	}
 }
 
-// asks is a host that keeps the counter's names.
-type asks struct{ names []uint64 }
-
-func (a *asks) Push(uint32, uint32, time.Duration)            {}
-func (a *asks) Cancel(uint32, int)                            {}
-func (a *asks) Reject(uint32, time.Duration)                  {}
-func (a *asks) Terminate(uint32)                              {}
-func (a *asks) Count(name uint64, _ time.Duration, _ float64) { a.names = append(a.names, name) }
-func (a *asks) Probe(uint32)                                  {}
-func (a *asks) Tell(int, []byte)                              {}
-func (a *asks) Watch()                                        {}
-func (a *asks) Wake(uint64, time.Duration)                    {}
-func (a *asks) Forget(uint64)                                 {}
-func (a *asks) Log(string)                                    {}
+// countingHost is a host that keeps the counter's names.
+type countingHost struct{ countNames []uint64 }
+
+func (h *countingHost) Attempt(uint32, uint32, time.Duration) {}
+func (h *countingHost) Cancel(uint32, int)                    {}
+func (h *countingHost) Reject(uint32, time.Duration)          {}
+func (h *countingHost) Terminate(uint32)                      {}
+func (h *countingHost) Count(name uint64, _ time.Duration, _ float64) {
+	h.countNames = append(h.countNames, name)
+}
+func (h *countingHost) CheckHealth(uint32)             {}
+func (h *countingHost) SendPeer(int, []byte)           {}
+func (h *countingHost) WatchEndpoints()                {}
+func (h *countingHost) SetTimer(uint64, time.Duration) {}
+func (h *countingHost) CancelTimer(uint64)             {}
+func (h *countingHost) Log(string)                     {}
 
 // The second desk asks the very counts that the module asks: else two processes would count one key under two names.
-func TestNamesAreTheModulesOwn(t *testing.T) {
+func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := site()
-		d.Plans[0].Rate = rapid.Float64Range(0.01, 1000).Draw(t, "rate")
-		d.Plans[0].Burst = rapid.Float64Range(2, 5000).Draw(t, "burst")
+		settings := testSettings()
+		settings.Plans[0].Rate = rapid.Float64Range(0.01, 1000).Draw(t, "rate")
+		settings.Plans[0].Burst = rapid.Float64Range(2, 5000).Draw(t, "burst")
 		customer := rapid.Uint64().Draw(t, "customer")
 		now := time.Duration(rapid.Int64Range(int64(time.Hour), int64(500_000*time.Hour)).Draw(t, "now"))
-		host := &asks{}
-		g, err := policy.New(d, 1, host)
+		host := &countingHost{}
+		module, err := policy.New(settings, 1, host)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.List(now, policy.ListWhole, []policy.Listed{{Server: 1, Stage: policy.Ready}})
-		g.Take(now, policy.Task{ID: 1, Customer: customer, Width: 1, Units: 1, Expires: now + 2*time.Second})
-		if w := At(customer, &d.Plans[0], now); len(host.names) != 1 || host.names[0] != w.Name || now < w.Start {
-			t.Fatalf("names %v, window %+v", host.names, w)
+		module.HandleEndpoints(now, policy.ListFull, []policy.Endpoint{{Server: 1, State: policy.Ready}})
+		module.HandleRequest(now, policy.Request{ID: 1, Customer: customer, GatewayCount: 1, Units: 1, Deadline: now + 2*time.Second})
+		if window := WindowAt(customer, &settings.Plans[0], now); len(host.countNames) != 1 || host.countNames[0] != window.Name || now < window.Start {
+			t.Fatalf("names %v, window %+v", host.countNames, window)
 		}
 	})
 }
 
-func TestStandingIsCertainOrAll(t *testing.T) {
-	file := &Terms{Try: 5, Rules: []Rule{{Version: 4}, {Version: 5}}}
-	named := Table{Phase: Named, From: 0, To: 1, Edge: 100}
+func TestCandidateVersions_oneWhenCertainElseAll(t *testing.T) {
+	config := &Config{DesiredVersion: 5, Rules: []Rule{{Version: 4}, {Version: 5}}}
+	scheduled := Table{Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 100}
 	for i, c := range []struct {
 		table       Table
 		at          time.Duration
 		held, heard bool
 		want        []uint64
 	}{
-		{named, 99, true, true, []uint64{0}},
-		{named, 100, true, true, []uint64{1}},
-		{named, 99, false, true, []uint64{0}},           // what was committed is not taken back before its edge
-		{named, 100, false, true, []uint64{1, 0, 4, 5}}, // undone meanwhile, or followed by one that the file knows
-		{Table{Phase: Canary, To: 5}, 50, false, true, []uint64{0, 4, 5}},
-		{Table{Phase: Canary, To: 5}, 50, true, true, []uint64{0}},
+		{scheduled, 99, true, true, []uint64{0}},
+		{scheduled, 100, true, true, []uint64{1}},
+		{scheduled, 99, false, true, []uint64{0}},           // what was committed is not taken back before its edge
+		{scheduled, 100, false, true, []uint64{1, 0, 4, 5}}, // undone meanwhile, or followed by one that the file knows
+		{Table{Phase: PhaseCanary, To: 5}, 50, false, true, []uint64{0, 4, 5}},
+		{Table{Phase: PhaseCanary, To: 5}, 50, true, true, []uint64{0}},
 		{Table{}, 50, false, false, []uint64{0, 4, 5}},                                 // started anew: any may hold
 		{Table{From: 4, To: 4, Refused: []uint64{5}}, 50, false, true, []uint64{4, 0}}, // operators may go back
-		{Table{Phase: Back, From: 1, To: 0, Edge: 100, Refused: []uint64{4, 5}}, 100, false, true, []uint64{0, 1}},
+		{Table{Phase: PhaseRollback, From: 1, To: 0, SwitchAt: 100, Refused: []uint64{4, 5}}, 100, false, true, []uint64{0, 1}},
 	} {
-		if got := c.table.Standing(c.at, c.held, c.heard, file); !slices.Equal(got, c.want) {
+		if got := c.table.CandidateVersions(c.at, c.held, c.heard, config); !slices.Equal(got, c.want) {
 			t.Errorf("%d: %v, want %v", i+1, got, c.want)
 		}
 	}
 }
 
-func TestTableIsReadAsWritten(t *testing.T) {
-	a := Table{Phase: Named, From: 1, To: 2, Edge: time.Hour, Rules: read(t, whole).Rules, Refused: []uint64{7},
-		Test: []byte{1}}
+func TestTable_decodesAsEncoded(t *testing.T) {
+	a := Table{Phase: PhaseScheduled, From: 1, To: 2, SwitchAt: time.Hour, Rules: parseConfig(t, completeFile).Rules, Refused: []uint64{7},
+		TrialState: []byte{1}}
 	b, err := Decode(a.Encode())
-	if err != nil || b.Edge != a.Edge || !b.Rules[1].Same(a.Rules[1]) || b.Refused[0] != 7 {
+	if err != nil || b.SwitchAt != a.SwitchAt || !b.Rules[1].Equal(a.Rules[1]) || b.Refused[0] != 7 {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if r, ok := b.Rule(0); !ok || r.Version != 0 {
+	if rule, ok := b.Rule(0); !ok || rule.Version != 0 {
 		t.Error("rule 0 needs no entry")
 	}
 	if _, err := Decode([]byte("spoilt")); err == nil {
@@ -217,27 +219,27 @@
 }
 
 // Without an answer a process passes its even share of a limit; what may have been added is never taken off again.
-func TestSecondDeskWithoutACounter(t *testing.T) {
+func TestAdmission_withoutACounter(t *testing.T) {
 	plan := policy.Plan{Rate: 0.1, Burst: 8}
-	s, at := NewSecond(4), time.Hour
-	at = At(7, &plan, at).Start + time.Second // a window's beginning, whatever the hour
-	passed := 0
+	a, now := NewAdmission(4), time.Hour
+	now = WindowAt(7, &plan, now).Start + time.Second // a window's beginning, whatever the hour
+	admittedCount := 0
 	for range 8 {
-		h := s.Ask(Count{Key: 7, Weight: 1}, plan, 1, at)
-		if pass, _ := s.Told(h, 0, false); pass {
-			passed++
+		reservation := a.Reserve(Assignment{Key: 7, Weight: 1}, plan, 1, now)
+		if admitted, _ := a.HandleCount(reservation, 0, false); admitted {
+			admittedCount++
 		}
 	}
-	if passed != 2 {
-		t.Errorf("%d of 8 passed for a quarter of the limit", passed)
+	if admittedCount != 2 {
+		t.Errorf("%d of 8 passed for a quarter of the limit", admittedCount)
 	}
-	h := s.Ask(Count{Key: 7, Weight: 3}, plan, 1, at)
-	for added, want := range map[Added]float64{Unknown: 0, Yes: -3, No: 0} {
-		if got := s.Settle(h, false, 0, added); got != want {
+	reservation := a.Reserve(Assignment{Key: 7, Weight: 3}, plan, 1, now)
+	for added, want := range map[ChargeState]float64{ChargeUnknown: 0, Charged: -3, NotCharged: 0} {
+		if got := a.Settle(reservation, false, 0, added); got != want {
 			t.Errorf("added %d: %v given back, not %v", added, got, want)
 		}
 	}
-	if got := s.Settle(h, true, 5, Yes); got != 2 {
+	if got := a.Settle(reservation, true, 5, Charged); got != 2 {
 		t.Errorf("%v charged beyond the three held, not 2", got)
 	}
 }
--- a/internal/counting/golden_test.go
+++ b/internal/counting/golden_test.go
@@ -35,7 +35,7 @@
 // everyRule has each form of a rule that a table can hold.
 func everyRule() []Rule {
 	return []Rule{
-		{Version: 1, Key: []string{"customer", "lane"}, Weights: []Weight{{Lane: "pay", Thousandths: 3000}},
+		{Version: 1, Key: []string{"customer", "lane"}, Weights: []Weight{{Class: "pay", Permille: 3000}},
 			Limits: []Limit{{Plan: "small", Rate: 3, Burst: 12.5}}},
 		{Version: 2, Key: []string{"group"}, Groups: []Group{{Name: "one", Customers: []uint64{1, 2, math.MaxInt64}},
 			{Name: "two", Customers: []uint64{4}}}, Limits: []Limit{{Plan: "*", Rate: 5, Burst: 20}}},
@@ -43,137 +43,137 @@
 	}
 }
 
-// tables are values of the table in each phase, with and without each optional part.
-func tables() map[string]Table {
+// storedTables are values of the table in each phase, with and without each optional part.
+func storedTables() map[string]Table {
 	return map[string]Table{
 		"table-empty.cbor": {},
-		"table-still.cbor": {Phase: Still, From: 2, To: 2, Was: 1, Rules: everyRule(), Refused: []uint64{3, 1 << 50},
-			Since: 1_764_652_800 * time.Second, Why: "kept: 0.912 let in, 0.905 foretold"},
-		"table-canary.cbor": {Phase: Canary, From: 1, To: 2, Rules: everyRule()[:2], Seed: 0x9e3779b97f4a7c15,
-			Since: 1_764_652_800_123_456_789, Why: "as the file says", Test: []byte{0xa0, 1, 2, 3},
-			Trial: Trial{Sample: 20, Calls: 60, DeadlineS: 600, WrongThousandths: 50, Rejected: 21, LetIn: 52, Beyond: 53,
-				Leave: 100, WatchS: 300, LeadMS: 1500}},
-		"table-named.cbor": {Phase: Named, From: 0, To: 1, Edge: 1_764_652_900 * time.Second, Rules: everyRule()[:1],
-			Seed: 7, Since: 1_764_652_890 * time.Second, Why: "harmless by 210 cells"},
-		"table-back.cbor": {Phase: Back, From: 1, To: 0, Was: 1, Edge: 1_764_653_000 * time.Second, Rules: everyRule()[2:],
+		"table-still.cbor": {Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: everyRule(), Refused: []uint64{3, 1 << 50},
+			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold"},
+		"table-canary.cbor": {Phase: PhaseCanary, From: 1, To: 2, Rules: everyRule()[:2], Seed: 0x9e3779b97f4a7c15,
+			Since: 1_764_652_800_123_456_789, Reason: "as the file says", TrialState: []byte{0xa0, 1, 2, 3},
+			Canary: CanaryConfig{SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
+				DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500}},
+		"table-named.cbor": {Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: everyRule()[:1],
+			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells"},
+		"table-back.cbor": {Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second, Rules: everyRule()[2:],
 			Refused: []uint64{1}, Since: 1_764_652_995 * time.Second,
-			Why: "0.500 of the units are let in, 0.900 were foretold"},
+			Reason: "0.500 of the units are let in, 0.900 were foretold"},
 	}
 }
 
-func TestStoredTableKeepsItsBytes(t *testing.T) {
-	for name, table := range tables() {
+func TestGolden_storedTable(t *testing.T) {
+	for name, table := range storedTables() {
 		t.Run(name, func(t *testing.T) {
 			golden(t, name, table.Encode())
 			stored, err := os.ReadFile(filepath.Join("testdata", name))
 			if err != nil {
 				t.Fatal(err)
 			}
-			read, err := Decode(stored)
-			if err != nil || !reflect.DeepEqual(read, table) {
-				t.Errorf("read %+v, %v; want %+v", read, err, table)
+			decoded, err := Decode(stored)
+			if err != nil || !reflect.DeepEqual(decoded, table) {
+				t.Errorf("read %+v, %v; want %+v", decoded, err, table)
 			}
-			if again := read.Encode(); !bytes.Equal(again, stored) {
+			if again := decoded.Encode(); !bytes.Equal(again, stored) {
 				t.Errorf("written again:\n%x\nstored:\n%x", again, stored)
 			}
 		})
 	}
-	if Name != "counting" {
-		t.Errorf("the table is stored as %q", Name)
+	if TableName != "counting" {
+		t.Errorf("the table is stored as %q", TableName)
 	}
-	if phases := []Phase{Still, Canary, Named, Back}; !reflect.DeepEqual(phases, []Phase{0, 1, 2, 3}) {
+	if phases := []Phase{PhaseIdle, PhaseCanary, PhaseScheduled, PhaseRollback}; !reflect.DeepEqual(phases, []Phase{0, 1, 2, 3}) {
 		t.Errorf("phases are stored as %v", phases)
 	}
 }
 
 // A value that lacks the later keys, as an earlier program wrote it, is read with these empty.
-func TestStoredTableOfAnEarlierProgramIsRead(t *testing.T) {
+func TestGolden_storedTableOfAnEarlierVersion(t *testing.T) {
 	earlier := []byte{0xa4, 1, 2, 2, 0, 3, 1, 4, 0x19, 0x03, 0xe8}
-	read, err := Decode(earlier)
-	if want := (Table{Phase: Named, To: 1, Edge: 1000}); err != nil || !reflect.DeepEqual(read, want) {
-		t.Errorf("read %+v, %v; want %+v", read, err, want)
+	decoded, err := Decode(earlier)
+	if want := (Table{Phase: PhaseScheduled, To: 1, SwitchAt: 1000}); err != nil || !reflect.DeepEqual(decoded, want) {
+		t.Errorf("read %+v, %v; want %+v", decoded, err, want)
 	}
 }
 
 // The counter's names, the keys and the names of the rules' own plans are shared by processes of both versions.
-func TestNamesAtTheCounterStay(t *testing.T) {
+func TestGolden_namesAtTheCounter(t *testing.T) {
 	var out bytes.Buffer
 	rules := everyRule()
-	site := Plans(site(), rules)
-	for _, p := range site.Plans {
-		fmt.Fprintf(&out, "plan %q rate %v burst %v\n", p.Name, p.Rate, p.Burst)
+	settings := WithRulePlans(testSettings(), rules)
+	for _, plan := range settings.Plans {
+		fmt.Fprintf(&out, "plan %q rate %v burst %v\n", plan.Name, plan.Rate, plan.Burst)
 	}
-	for _, p := range Face(site).Plans {
-		fmt.Fprintf(&out, "for clients %q closed %v\n", p.Name, p.Closed)
+	for _, plan := range ClientSettings(settings).Plans {
+		fmt.Fprintf(&out, "for clients %q closed %v\n", plan.Name, plan.Retired)
 	}
-	for _, r := range append([]Rule{{}}, rules...) {
-		fitted, err := Fit(r, site)
+	for _, rule := range append([]Rule{{}}, rules...) {
+		fitted, err := Resolve(rule, settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, customer := range []uint64{0, 1, 2, 4, 0x123456789abcdef, math.MaxInt64} {
 			for class := range 2 {
 				for plan := range 3 {
-					c := fitted.Count(customer, class, plan)
-					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v", r.Version, customer, class, plan,
+					c := fitted.Assign(customer, class, plan)
+					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v", rule.Version, customer, class, plan,
 						c.Key, c.Plan, c.Weight, c.Shared)
-					if p := &site.Plans[c.Plan]; p.Rate > 0 {
-						w := At(c.Key, p, 1_764_652_800_123_456_789)
-						fmt.Fprintf(&out, "; window %x from %d for %d, number %d", w.Name, w.Start, w.Keep, w.Nth)
+					if plan := &settings.Plans[c.Plan]; plan.Rate > 0 {
+						window := WindowAt(c.Key, plan, 1_764_652_800_123_456_789)
+						fmt.Fprintf(&out, "; window %x from %d for %d, number %d", window.Name, window.Start, window.TTL, window.Index)
 					}
 					out.WriteByte('\n')
 				}
 			}
 		}
 	}
-	fmt.Fprintf(&out, "mix %x %x %x\n", Mix(), Mix(1, 2), Mix(1, 2, 3, 4, 5))
+	fmt.Fprintf(&out, "mix %x %x %x\n", Hash(), Hash(1, 2), Hash(1, 2, 3, 4, 5))
 	golden(t, "names.txt", out.Bytes())
 }
 
 // The second desk's answers, bit by bit: what it holds, lets pass and gives back.
-func TestSecondDeskStays(t *testing.T) {
+func TestGolden_admission(t *testing.T) {
 	var out bytes.Buffer
 	plan := policy.Plan{Rate: 1.5, Burst: 8}
 	for _, gateways := range []int{0, 1, 4} {
-		s, total := NewSecond(gateways), map[uint64]float64{}
-		at := 1_764_652_800 * time.Second
+		a, total := NewAdmission(gateways), map[uint64]float64{}
+		now := 1_764_652_800 * time.Second
 		for i := range 60 {
-			at += time.Duration(i*i%7) * 400 * time.Millisecond
-			c := Count{Version: 1, Key: uint64(i % 3), Weight: 1 + float64(i%2)/2}
-			h := s.Ask(c, plan, float64(1+i%3), at)
+			now += time.Duration(i*i%7) * 400 * time.Millisecond
+			c := Assignment{Version: 1, Key: uint64(i % 3), Weight: 1 + float64(i%2)/2}
+			reservation := a.Reserve(c, plan, float64(1+i%3), now)
 			answered := i%5 != 4
 			if answered {
-				total[h.Name] += h.Units
+				total[reservation.Name] += reservation.Units
 			}
-			pass, before := s.Told(h, total[h.Name], answered)
-			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v", gateways, i, h.Name, h.Keep, h.Units, pass)
-			if before != nil {
-				lacks := h.Lacks(*before, total[before.Name])
-				fmt.Fprintf(&out, ", before %x from %d lacked %v", before.Name, before.Start, lacks)
+			admitted, previous := a.HandleCount(reservation, total[reservation.Name], answered)
+			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v", gateways, i, reservation.Name, reservation.TTL, reservation.Units, admitted)
+			if previous != nil {
+				deficit := reservation.Deficit(*previous, total[previous.Name])
+				fmt.Fprintf(&out, ", before %x from %d lacked %v", previous.Name, previous.Start, deficit)
 			}
-			used, added := h.Units*float64(i%4)/2, Added(i%3)
-			more := s.Settle(h, pass, used, added)
-			total[h.Name] += more
-			fmt.Fprintf(&out, ", used %v, settled %v\n", used, more)
+			used, added := reservation.Units*float64(i%4)/2, ChargeState(i%3)
+			correction := a.Settle(reservation, admitted, used, added)
+			total[reservation.Name] += correction
+			fmt.Fprintf(&out, ", used %v, settled %v\n", used, correction)
 		}
 	}
 	golden(t, "second.txt", out.Bytes())
 }
 
 // The operators' file keeps its keys.
-func TestOperatorsFileIsRead(t *testing.T) {
+func TestGolden_operatorsFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "rules.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var file struct {
-		Counting Terms `toml:"counting"`
+		Counting Config `toml:"counting"`
 	}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file); err != nil {
 		t.Fatal(err)
 	}
-	want := Terms{Try: 2, Rules: everyRule(), Canary: Trial{Sample: 20, Calls: 60, DeadlineS: 600, WrongThousandths: 50,
-		Rejected: 21, LetIn: 52, Beyond: 53, Leave: 100, WatchS: 300, LeadMS: 1500}}
+	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
+		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53, DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500}}
 	if !reflect.DeepEqual(file.Counting, want) {
 		t.Errorf("read %+v, want %+v", file.Counting, want)
 	}
@@ -238,7 +238,7 @@
 }
 
 // Each refusal stays as operators know it: one line with the key and what is allowed.
-func TestRefusalsStay(t *testing.T) {
+func TestGolden_refusals(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "rules.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -250,7 +250,7 @@
 			t.Errorf("%s: %q is not in the file", c.name, c.from)
 		}
 		var file struct {
-			Counting Terms `toml:"counting"`
+			Counting Config `toml:"counting"`
 		}
 		if err := toml.Unmarshal([]byte(changed), &file); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -260,29 +260,29 @@
 			fmt.Fprintf(&out, "    %s\n", fault)
 		}
 	}
-	terms := Terms{Canary: Trial{}}
+	config := Config{Canary: CanaryConfig{}}
 	for i := range uint64(33) {
-		terms.Rules = append(terms.Rules, Rule{Version: i + 1, Key: []string{"customer"}})
+		config.Rules = append(config.Rules, Rule{Version: i + 1, Key: []string{"customer"}})
 	}
 	many := Group{Name: "many"}
-	for c := range uint64(10_001) {
-		many.Customers = append(many.Customers, c)
+	for customer := range uint64(10_001) {
+		many.Customers = append(many.Customers, customer)
 	}
-	terms.Rules[0] = Rule{Version: 1, Key: []string{"group", "customer"}, Groups: []Group{many}}
+	config.Rules[0] = Rule{Version: 1, Key: []string{"group", "customer"}, Groups: []Group{many}}
 	fmt.Fprintf(&out, "too many rules and customers, no canary\n")
-	for _, fault := range terms.Check() {
+	for _, fault := range config.Check() {
 		fmt.Fprintf(&out, "    %s\n", fault)
 	}
 	fmt.Fprintf(&out, "no rule and no canary\n")
-	for _, fault := range (&Terms{}).Check() {
+	for _, fault := range (&Config{}).Check() {
 		fmt.Fprintf(&out, "    %s\n", fault)
 	}
-	ceiling := site()
+	ceiling := testSettings()
 	ceiling.Plans[0].CeilingRate = 1
-	for _, d := range []policy.Deployment{site(), ceiling} {
-		d.Plans[1].AtOnce = 2
-		r := everyRule()[1]
-		if _, err := Fit(r, Plans(d, []Rule{r})); err != nil {
+	for _, settings := range []policy.Settings{testSettings(), ceiling} {
+		settings.Plans[1].MaxInFlight = 2
+		rule := everyRule()[1]
+		if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err != nil {
 			fmt.Fprintf(&out, "cannot hold\n    %s\n", err)
 		}
 	}
--- a/internal/counting/rule.go
+++ b/internal/counting/rule.go
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// Terms are the operators' own for counting rules, the file's table [counting].
-type Terms struct {
-	Try    uint64 `toml:"try"`  // the version that is to be in force; 0: today's rule
-	Rules  []Rule `toml:"rule"` // the versions that the file knows; a version never changes its meaning
-	Canary Trial  `toml:"canary"`
+// Config are the operators' own for counting rules, the file's table [counting].
+type Config struct {
+	DesiredVersion uint64       `toml:"try"`  // the version that is to be in force; 0: today's rule
+	Rules          []Rule       `toml:"rule"` // the versions that the file knows; a version never changes its meaning
+	Canary         CanaryConfig `toml:"canary"`
 }
 
 // Rule is one version. Version 0, which no file holds, is today's rule: a count for each customer.
@@ -35,8 +35,8 @@
 
 // Weight is what a unit of a lane's tasks counts.
 type Weight struct {
-	Lane        string `toml:"lane" cbor:"1,keyasint"`
-	Thousandths uint64 `toml:"thousandths" cbor:"2,keyasint"` // 1 to 100,000
+	Class    string `toml:"lane" cbor:"1,keyasint"`
+	Permille uint64 `toml:"thousandths" cbor:"2,keyasint"` // 1 to 100,000
 }
 
 // Limit is the quota of a count.
@@ -46,149 +46,149 @@
 	Burst float64 `toml:"burst" cbor:"3,keyasint"` // weighted units that may be used at once
 }
 
-// Trial is how a new rule is tried and when it is not taken.
-type Trial struct {
-	Sample    uint64 `toml:"sample" cbor:"Sample"`        // thousandths of the keys that are played
-	Calls     uint64 `toml:"calls" cbor:"Calls"`          // thousandths of the fleet's calls to the counter that may be spent
-	DeadlineS uint64 `toml:"deadline_s" cbor:"DeadlineS"` // seconds; what is undecided by then is refused
-	// WrongThousandths is the chance, in thousandths, that a harmful rule is taken, and that a harmless one is
+// CanaryConfig is how a new rule is tried and when it is not taken.
+type CanaryConfig struct {
+	SamplePermille  uint64 `toml:"sample" cbor:"Sample"`        // thousandths of the keys that are played
+	CallsPermille   uint64 `toml:"calls" cbor:"Calls"`          // thousandths of the fleet's calls to the counter that may be spent
+	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"` // seconds; what is undecided by then is refused
+	// ErrorPermille is the chance, in thousandths, that a harmful rule is taken, and that a harmless one is
 	// refused by its figures, whenever they are looked at.
-	WrongThousandths uint64 `toml:"wrong" cbor:"WrongThousandths"`
+	ErrorPermille uint64 `toml:"wrong" cbor:"WrongThousandths"`
 	// The bounds, each in thousandths of the units asked by a key, in the mean over keys.
-	Rejected uint64 `toml:"rejected" cbor:"Rejected"` // let in by the old rule alone
-	LetIn    uint64 `toml:"let_in" cbor:"LetIn"`      // let in by the new rule alone
-	Beyond   uint64 `toml:"beyond" cbor:"Beyond"`     // let in by the new rule beyond its own limit
-	Leave    uint64 `toml:"leave" cbor:"Leave"`       // thousandths that the part let in may differ from what was foretold
-	WatchS   uint64 `toml:"watch_s" cbor:"WatchS"`    // seconds after an activation in which that undoes it
-	LeadMS   uint64 `toml:"lead_ms" cbor:"LeadMS"`    // from the entry to the edge, beside lease and waits
+	RejectedPermille  uint64 `toml:"rejected" cbor:"Rejected"` // let in by the old rule alone
+	AdmittedPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // let in by the new rule alone
+	OverLimitPermille uint64 `toml:"beyond" cbor:"Beyond"`     // let in by the new rule beyond its own limit
+	DeviationPermille uint64 `toml:"leave" cbor:"Leave"`       // thousandths that the part let in may differ from what was foretold
+	WatchSeconds      uint64 `toml:"watch_s" cbor:"WatchS"`    // seconds after an activation in which that undoes it
+	LeadMillis        uint64 `toml:"lead_ms" cbor:"LeadMS"`    // from the entry to the edge, beside lease and waits
 }
 
 const (
-	weightOne    = 1000    // thousandths: a unit counts as one
-	weightMost   = 100_000 // a hundredfold: more is a slip of the pen
-	maskLeast    = 5       // bits of a mask: fewer than 32 groups cannot be sampled
-	sampleMost   = 80      // thousandths: more cannot be played within callsMost
-	callsTimes   = 3       // a played task asks the counter 4 times, the module 1.3 times for any task
-	callsMost    = 250     // thousandths: a quarter of the fleet's calls is the most that a trial is worth
-	deadlineLow  = 120     // seconds: shorter, the keys cannot be looked at one after the other
-	deadlineHigh = 86_400  // a day
-	wrongMost    = 200     // thousandths: more is no test
-	boundMost    = 500     // thousandths
-	leadMost     = 600_000 // milliseconds
-	rulesMost    = 32      // in a file and in the table: a version long gone is taken out
-	groupsMost   = 10_000  // customers named in one rule: the table is held by every process
+	unitWeight          = 1000    // thousandths: a unit counts as one
+	maxWeight           = 100_000 // a hundredfold: more is a slip of the pen
+	minMaskBits         = 5       // bits of a mask: fewer than 32 groups cannot be sampled
+	maxSample           = 80      // thousandths: more cannot be played within callsMost
+	callsPerSample      = 3       // a played task asks the counter 4 times, the module 1.3 times for any task
+	maxCalls            = 250     // thousandths: a quarter of the fleet's calls is the most that a trial is worth
+	minDeadline         = 120     // seconds: shorter, the keys cannot be looked at one after the other
+	maxDeadline         = 86_400  // a day
+	maxError            = 200     // thousandths: more is no test
+	maxBound            = 500     // thousandths
+	maxLead             = 600_000 // milliseconds
+	maxRules            = 32      // in a file and in the table: a version long gone is taken out
+	maxGroupedCustomers = 10_000  // customers named in one rule: the table is held by every process
 )
 
-// parts are what a key may be made of, in the order in which they are hashed.
-var parts = []string{"customer", "group", "plan", "lane"}
+// keyParts are what a key may be made of, in the order in which they are hashed.
+var keyParts = []string{"customer", "group", "plan", "lane"}
 
 // Check gives all that is wrong with the terms, each with key and what is allowed.
-func (t *Terms) Check() (faults []error) {
-	fault := func(key, form string, args ...any) {
-		faults = append(faults, fmt.Errorf("counting."+key+" "+form, args...))
+func (c *Config) Check() (faults []error) {
+	report := func(key, format string, args ...any) {
+		faults = append(faults, fmt.Errorf("counting."+key+" "+format, args...))
 	}
-	within := func(key string, v, least, most uint64) {
-		if v < least || v > most {
-			fault(key, "must be from %d to %d, not %d", least, most, v)
+	checkRange := func(key string, value, low, high uint64) {
+		if value < low || value > high {
+			report(key, "must be from %d to %d, not %d", low, high, value)
 		}
 	}
-	if len(t.Rules) > rulesMost {
-		fault("rule", "must be at most %d rules, not %d", rulesMost, len(t.Rules))
+	if len(c.Rules) > maxRules {
+		report("rule", "must be at most %d rules, not %d", maxRules, len(c.Rules))
 	}
-	seen := map[uint64]bool{0: true}
-	for i, r := range t.Rules {
-		at := fmt.Sprintf("rule.%d.", i+1)
-		if seen[r.Version] {
-			fault(at+"version", "must be 1 or more and no other rule's, not %d", r.Version)
+	versions := map[uint64]bool{0: true}
+	for i, rule := range c.Rules {
+		prefix := fmt.Sprintf("rule.%d.", i+1)
+		if versions[rule.Version] {
+			report(prefix+"version", "must be 1 or more and no other rule's, not %d", rule.Version)
 		}
-		seen[r.Version] = true
-		for _, e := range r.check() {
-			faults = append(faults, fmt.Errorf("counting.%s%w", at, e))
+		versions[rule.Version] = true
+		for _, fault := range rule.validate() {
+			faults = append(faults, fmt.Errorf("counting.%s%w", prefix, fault))
 		}
 	}
-	if !seen[t.Try] {
-		fault("try", "must be 0 or the version of a rule in the file, not %d", t.Try)
+	if !versions[c.DesiredVersion] {
+		report("try", "must be 0 or the version of a rule in the file, not %d", c.DesiredVersion)
 	}
-	c := &t.Canary
-	if len(t.Rules) == 0 && *c == (Trial{}) {
+	canary := &c.Canary
+	if len(c.Rules) == 0 && *canary == (CanaryConfig{}) {
 		return faults // nothing to try
 	}
-	within("canary.sample", c.Sample, 1, sampleMost)
-	within("canary.calls", c.Calls, 1, callsMost)
-	if c.Calls < callsTimes*c.Sample {
-		fault("canary.calls",
+	checkRange("canary.sample", canary.SamplePermille, 1, maxSample)
+	checkRange("canary.calls", canary.CallsPermille, 1, maxCalls)
+	if canary.CallsPermille < callsPerSample*canary.SamplePermille {
+		report("canary.calls",
 			"must be %d times canary.sample or more, %d, not %d: else tasks are played"+
-				" without a total and no rule is taken", callsTimes, callsTimes*c.Sample, c.Calls)
-	}
-	within("canary.deadline_s", c.DeadlineS, deadlineLow, deadlineHigh)
-	within("canary.wrong", c.WrongThousandths, 1, wrongMost)
-	within("canary.rejected", c.Rejected, 1, boundMost)
-	within("canary.let_in", c.LetIn, 1, boundMost)
-	within("canary.beyond", c.Beyond, 1, boundMost)
-	within("canary.leave", c.Leave, 1, boundMost)
-	within("canary.watch_s", c.WatchS, 1, deadlineHigh)
-	within("canary.lead_ms", c.LeadMS, 0, leadMost)
+				" without a total and no rule is taken", callsPerSample, callsPerSample*canary.SamplePermille, canary.CallsPermille)
+	}
+	checkRange("canary.deadline_s", canary.DeadlineSeconds, minDeadline, maxDeadline)
+	checkRange("canary.wrong", canary.ErrorPermille, 1, maxError)
+	checkRange("canary.rejected", canary.RejectedPermille, 1, maxBound)
+	checkRange("canary.let_in", canary.AdmittedPermille, 1, maxBound)
+	checkRange("canary.beyond", canary.OverLimitPermille, 1, maxBound)
+	checkRange("canary.leave", canary.DeviationPermille, 1, maxBound)
+	checkRange("canary.watch_s", canary.WatchSeconds, 1, maxDeadline)
+	checkRange("canary.lead_ms", canary.LeadMillis, 0, maxLead)
 	return faults
 }
 
-// check gives what is wrong with a rule by itself.
-func (r *Rule) check() (faults []error) {
-	fault := func(form string, args ...any) { faults = append(faults, fmt.Errorf(form, args...)) }
-	has := map[string]bool{}
-	for _, k := range r.Key {
-		if !slices.Contains(parts, k) || has[k] {
-			fault("key must be customer, group, plan and lane, each at most once, not %q", k)
+// validate gives what is wrong with a rule by itself.
+func (r *Rule) validate() (faults []error) {
+	report := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
+	inKey := map[string]bool{}
+	for _, part := range r.Key {
+		if !slices.Contains(keyParts, part) || inKey[part] {
+			report("key must be customer, group, plan and lane, each at most once, not %q", part)
 		}
-		has[k] = true
+		inKey[part] = true
 	}
-	if !has["customer"] && !has["group"] {
-		fault("key must hold customer or group: what all customers share cannot be tried on a part of them")
+	if !inKey["customer"] && !inKey["group"] {
+		report("key must hold customer or group: what all customers share cannot be tried on a part of them")
 	}
-	if has["group"] != (len(r.Groups) > 0 || r.Mask != 0) {
-		fault("key must hold group where there are groups or a mask, and only there")
+	if inKey["group"] != (len(r.Groups) > 0 || r.Mask != 0) {
+		report("key must hold group where there are groups or a mask, and only there")
 	}
 	if len(r.Groups) > 0 && r.Mask != 0 {
-		fault("mask must be left out where groups are listed")
+		report("mask must be left out where groups are listed")
 	}
-	if r.Mask != 0 && bits.OnesCount64(r.Mask) < maskLeast {
-		fault("mask must have %d bits or more, not %#x", maskLeast, r.Mask)
+	if r.Mask != 0 && bits.OnesCount64(r.Mask) < minMaskBits {
+		report("mask must have %d bits or more, not %#x", minMaskBits, r.Mask)
 	}
 	names, customers := map[string]bool{}, map[uint64]bool{}
-	for _, g := range r.Groups {
-		if g.Name == "" || names[g.Name] || len(g.Customers) == 0 {
-			fault("group must have a name that no other has and a customer, not %q", g.Name)
+	for _, group := range r.Groups {
+		if group.Name == "" || names[group.Name] || len(group.Customers) == 0 {
+			report("group must have a name that no other has and a customer, not %q", group.Name)
 		}
-		names[g.Name] = true
-		for _, c := range g.Customers {
-			if customers[c] {
-				fault("group %q must hold no customer of another, or twice: %d", g.Name, c)
+		names[group.Name] = true
+		for _, customer := range group.Customers {
+			if customers[customer] {
+				report("group %q must hold no customer of another, or twice: %d", group.Name, customer)
 			}
-			customers[c] = true
+			customers[customer] = true
 		}
 	}
-	if len(customers) > groupsMost {
-		fault("group must hold at most %d customers in all, not %d", groupsMost, len(customers))
+	if len(customers) > maxGroupedCustomers {
+		report("group must hold at most %d customers in all, not %d", maxGroupedCustomers, len(customers))
 	}
-	lanes, plans := map[string]bool{}, map[string]bool{}
-	for _, w := range r.Weights {
-		if w.Lane == "" || lanes[w.Lane] || w.Thousandths < 1 || w.Thousandths > weightMost {
-			fault("weight must name a lane once, with thousandths from 1 to %d, not %q with %d", weightMost, w.Lane,
-				w.Thousandths)
+	classes, plans := map[string]bool{}, map[string]bool{}
+	for _, classWeight := range r.Weights {
+		if classWeight.Class == "" || classes[classWeight.Class] || classWeight.Permille < 1 || classWeight.Permille > maxWeight {
+			report("weight must name a lane once, with thousandths from 1 to %d, not %q with %d", maxWeight, classWeight.Class,
+				classWeight.Permille)
 		}
-		lanes[w.Lane] = true
+		classes[classWeight.Class] = true
 	}
-	for _, l := range r.Limits {
-		if l.Plan == "" || plans[l.Plan] || !(l.Rate > 0 && l.Rate < 1e12) || !(l.Burst > 0 && l.Burst < 1e12) {
-			fault("limit must name a plan once (or \"*\"), with rate and burst above 0, not %q with %v and %v", l.Plan,
-				l.Rate, l.Burst)
+	for _, limit := range r.Limits {
+		if limit.Plan == "" || plans[limit.Plan] || !(limit.Rate > 0 && limit.Rate < 1e12) || !(limit.Burst > 0 && limit.Burst < 1e12) {
+			report("limit must name a plan once (or \"*\"), with rate and burst above 0, not %q with %v and %v", limit.Plan,
+				limit.Rate, limit.Burst)
 		}
-		plans[l.Plan] = true
+		plans[limit.Plan] = true
 	}
-	if !has["customer"] && !has["plan"] && !(len(plans) == 1 && plans["*"]) {
-		fault("limit must be one, for plan \"*\", where tasks of several plans share a count")
+	if !inKey["customer"] && !inKey["plan"] && !(len(plans) == 1 && plans["*"]) {
+		report("limit must be one, for plan \"*\", where tasks of several plans share a count")
 	}
 	return faults
 }
 
-// Same tells whether two rules mean the same.
-func (r Rule) Same(o Rule) bool { return fmt.Sprintf("%v", r) == fmt.Sprintf("%v", o) }
+// Equal tells whether two rules mean the same.
+func (rule Rule) Equal(other Rule) bool { return fmt.Sprintf("%v", rule) == fmt.Sprintf("%v", other) }
--- a/internal/daemon/common.go
+++ b/internal/daemon/common.go
@@ -27,91 +27,91 @@
 	"harrierhoist/internal/witness"
 )
 
-// common is this gateway's part in what processes hold in common; nil where no charter is named.
-type common struct {
-	process *commons.Process
-	clerk   *clerk.Clerk // nil where counting rules are off
-	till    *till.Till   // nil where debts are off
-	kept    <-chan struct{}
+// membership is this gateway's part in what processes hold in common; nil where no charter is named.
+type membership struct {
+	process        *commons.Node
+	enforcer       *clerk.Enforcer // nil where counting rules are off
+	account        *till.Accounts  // nil where debts are off
+	settlementDone <-chan struct{}
 }
 
-// started is when the deciders' clock began, within a few milliseconds: a canary's edges go by the wall.
-var started = time.Now()
+// processStart is when the deciders' clock began, within a few milliseconds: a canary's edges go by the wall.
+var processStart = time.Now()
 
 // readsPerLease is how many waiting reads one lease lasts.
 const readsPerLease = 4
 
-// planned tells the settlement what failover's plan says of the halls: that goes first.
-func planned(seen cluster.Seen) map[string]debts.Hall {
-	plan, err := failover.Read(seen.Held(failover.Table).Value)
+// plannedZones tells the settlement what failover's plan says of the halls: that goes first.
+func plannedZones(seen cluster.ControllerInput) map[string]debts.ZoneStatus {
+	plan, err := failover.DecodePlan(seen.Table(failover.Table).Value)
 	if err != nil || plan == nil {
 		return nil
 	}
-	return debts.HallsOf(plan.Rows, plan.Sound)
+	return debts.ZoneStatusOfPlan(plan.Rows, plan.Health)
 }
 
-// join starts what a charter names, if one is named.
-func join(path string, log *zap.Logger) (*common, error) {
+// joinCoordination starts what a charter names, if one is named.
+func joinCoordination(path string, log *zap.Logger) (*membership, error) {
 	if path == "" {
 		return nil, nil
 	}
-	p, err := commons.Open(path, deciders(), log)
+	p, err := commons.Open(path, newControllers(), log)
 	if err != nil {
 		return nil, err
 	}
-	return &common{process: p}, nil
+	return &membership{process: p}, nil
 }
 
-// deciders gives those that run where a voter leads, by what the charter says. Calls come one after another.
-func deciders() func(c *charter.Charter) []cluster.Decider {
-	var rules atomic.Pointer[counting.Terms]
-	var trial *canary.Decider // one for all files, while the lease stays: a file read again does not begin a trial anew
-	return func(c *charter.Charter) (all []cluster.Decider) {
+// newControllers gives those that run where a voter leads, by what the charter says. Calls come one after another.
+func newControllers() func(c *charter.Config) []cluster.Controller {
+	var rules atomic.Pointer[counting.Config]
+	var trial *canary.Controller // one for all files, while the lease stays: a file read again does not begin a trial anew
+	return func(c *charter.Config) (all []cluster.Controller) {
 		lease := c.Timing.Lease.Duration
-		if c.FailsOver() {
+		if c.FailoverEnabled() {
 			all = append(all, failover.New(*c.Failover, lease))
 		}
 		if c.Counting != nil {
 			rules.Store(c.Counting)
 			if trial == nil || trial.Lease != lease {
-				trial = canary.New(rules.Load, lease, lease/readsPerLease, time.Duration(started.UnixNano()))
+				trial = canary.New(rules.Load, lease, lease/readsPerLease, time.Duration(processStart.UnixNano()))
 			}
 			all = append(all, trial)
 		}
-		if c.Settles() {
-			all = append(all, debts.New(*c.Debts, planned))
+		if c.SettlementEnabled() {
+			all = append(all, debts.NewController(*c.Settlement, plannedZones))
 		}
 		return all
 	}
 }
 
-// parts has the gateway act on what is held in common. An error is a file that does not fit the gateway's.
-func (c *common) parts(ctx context.Context, in *inForce) error {
+// start has the gateway act on what is held in common. An error is a file that does not fit the gateway's.
+func (c *membership) start(ctx context.Context, running *instance) error {
 	if c == nil {
 		return nil
 	}
-	held, file := c.process.Commons(), c.process.Charter()
-	if file.FailsOver() {
-		hall := file.Process.Hall
-		if !slices.Contains(in.told.Halls, hall) {
+	shared, terms := c.process.Client(), c.process.Config()
+	if terms.FailoverEnabled() {
+		hall := terms.Process.Zone
+		if !slices.Contains(running.configuration.Zones, hall) {
 			return fmt.Errorf("RELAY_COMMON: process.hall must be one of settings.Dcs of RELAY_CONFIG, %q, where "+
-				"failover is on, not %q", in.told.Halls, hall)
+				"failover is on, not %q", running.configuration.Zones, hall)
 		}
-		in.gate.Attend(witness.New(in.told.Halls, slices.Index(in.told.Halls, hall), &in.told.Deployment))
-		go steer.New(held, in.gate, in.told.Halls, hall, in.log).Run(ctx)
+		running.dispatcher.SetRecorder(witness.New(running.configuration.Zones, slices.Index(running.configuration.Zones, hall), &running.configuration.Settings))
+		go steer.New(shared, running.dispatcher, running.configuration.Zones, hall, running.log).Run(ctx)
 	}
-	if file.Counting != nil {
-		c.clerk = clerk.New(file.Counting, in.log)
+	if terms.Counting != nil {
+		c.enforcer = clerk.New(terms.Counting, running.log)
 		go func() {
-			if err := c.clerk.Run(ctx, held, in.gate); err != nil {
-				in.log.Error("counting rules are not followed: tasks are counted as ever", zap.Error(err))
+			if err := c.enforcer.Run(ctx, shared, running.dispatcher); err != nil {
+				running.log.Error("counting rules are not followed: tasks are counted as ever", zap.Error(err))
 			}
 		}()
 	}
-	if file.Settles() {
+	if terms.SettlementEnabled() {
 		var err error
-		c.till, c.kept, err = keep.Start(ctx, *file.Debts, in.told.Deployment, in.told.Halls, in.told.Seed,
-			file.Process.Disk, held, in.gate, in.log)
+		c.account, c.settlementDone, err = keep.Start(ctx, *terms.Settlement, running.configuration.Settings, running.configuration.Zones, running.configuration.Seed,
+			terms.Process.Folder, shared, running.dispatcher, running.log)
 		if err != nil {
 			return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
 		}
@@ -120,41 +120,41 @@
 }
 
 // reload takes the charter again. Parts whose terms changed are told here.
-func (c *common) reload() {
+func (c *membership) reload() {
 	if c == nil || !c.process.Reload() {
 		return
 	}
-	if c.clerk != nil {
-		c.clerk.Move(c.process.Charter().Counting)
+	if c.enforcer != nil {
+		c.enforcer.Reconfigure(c.process.Config().Counting)
 	}
-	if file := c.process.Charter(); c.till != nil && file.Debts != nil {
-		c.till.Retell(*file.Debts)
+	if terms := c.process.Config(); c.account != nil && terms.Settlement != nil {
+		c.account.SetTerms(*terms.Settlement)
 	}
 }
 
-func (c *common) resign() {
+func (c *membership) resign() {
 	if c != nil {
-		c.process.Resign()
+		c.process.TransferLeadership()
 	}
 }
 
 // close ends what is held in common; the parts' context has ended.
-func (c *common) close() {
+func (c *membership) close() {
 	if c != nil {
-		if c.kept != nil {
-			<-c.kept
+		if c.settlementDone != nil {
+			<-c.settlementDone
 		}
 		c.process.Close()
 	}
 }
 
-// vote runs a voter without a gateway, until it is asked to end.
-func vote(path string, hup, term <-chan os.Signal) error {
-	told, err := charter.Read(path)
+// runVoter runs a voter without a gateway, until it is asked to end.
+func runVoter(path string, hup, term <-chan os.Signal) error {
+	configuration, err := charter.Read(path)
 	if err != nil {
 		return err
 	}
-	if !told.Process.Voter {
+	if !configuration.Process.Voter {
 		return errors.New(path + ": process.voter must be true where RELAY_CONFIG names no gateway's file")
 	}
 	log, err := zap.NewProduction()
@@ -162,7 +162,7 @@
 		return err
 	}
 	defer func() { _ = log.Sync() }()
-	c, err := join(path, log)
+	c, err := joinCoordination(path, log)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,101 +26,101 @@
 )
 
 const (
-	heapPart  = 2 // the part of the memory limit that the heap may grow to before it is swept harder
-	tasksPart = 4 // the part of it that clients' words and values, and servers' answers, may hold at once
+	heapDivisor          = 2 // the part of the memory limit that the heap may grow to before it is swept harder
+	requestMemoryDivisor = 4 // the part of it that clients' words and values, and servers' answers, may hold at once
 
-	// readyMost bounds the wait for discovery's first list, whatever the settings give a connection: of restarted
+	// maxReadyWait bounds the wait for discovery's first list, whatever the settings give a connection: of restarted
 	// processes nine in ten have to be ready within 10 s, and one that stands still may lose some of that.
-	readyMost = 3 * time.Second
+	maxReadyWait = 3 * time.Second
 )
 
 // Run serves as the file at a path says, until it is asked to end.
-func Run(path string) error { return RunIn(path, "") }
+func Run(path string) error { return RunWithCoordination(path, "") }
 
-// RunIn is Run of a process that takes part in what processes hold in common, as the charter at a path says; none: it
+// RunWithCoordination is Run of a process that takes part in what processes hold in common, as the charter at a path says; none: it
 // takes no part. A voter needs no file but the charter.
-func RunIn(path, charter string) error {
+func RunWithCoordination(path, coordinationPath string) error {
 	// Before anything else: unasked for, either would end the program, and reset clients that have connected by then.
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(term)
-	if path == "" && charter != "" {
-		return vote(charter, hup, term)
+	if path == "" && coordinationPath != "" {
+		return runVoter(coordinationPath, hup, term)
 	}
-	told, err := read(path, term)
-	if told == nil {
+	configuration, err := readConfiguration(path, term)
+	if configuration == nil {
 		return err
 	}
-	limits(told)
+	applyRuntimeLimits(configuration)
 	log, err := zap.NewProduction()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Sync() }()
-	log = log.With(zap.String("gateway", told.Name))
+	log = log.With(zap.String("gateway", configuration.Name))
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	each := places(told, log)
-	site := &told.Deployment
-	servers := fleet.New(told.ConnectWithin, told.IdleLimit, site.Reports, each)
-	in := &inForce{path: path, told: told, log: log}
-	outside := gate.Outside{Kept: servers.Kept(), Probe: func(s gate.Server, heard func(gate.Result)) { go servers.Probe(s, heard) },
+	connectionsPerSide := connectionLimit(configuration, log)
+	settings := &configuration.Settings
+	upstreams := fleet.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
+	running := &instance{configPath: path, configuration: configuration, log: log}
+	outside := gate.Dependencies{IdleTimeout: upstreams.IdleTimeout(), CheckHealth: func(s gate.Server, heard func(gate.Result)) { go upstreams.CheckHealth(s, heard) },
 		Count: func(name uint64, units float64, keep time.Duration, heard func(float64, policy.Outcome)) {
-			in.count.Load().Add(name, units, keep, heard) // settings with a counter come into force once there is one
+			running.counter.Load().Add(name, units, keep, heard) // settings with a counter come into force once there is one
 		}}
-	in.moveCounter(told)
-	g, err := gate.New(*site, told.Seed, outside, log)
+	running.setCounterAddress(configuration)
+	dispatcher, err := gate.New(*settings, configuration.Seed, outside, log)
 	if err != nil {
 		return err
 	}
-	list, err := roster.New(told, g, log)
+	watcher, err := roster.New(configuration, dispatcher, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	clients := front.New(site, g, servers, each, told.MemoryMB<<20/tasksPart, log)
-	in.gate, in.list, in.clients = g, list, clients
-	listener, err := net.Listen("tcp", told.Listen)
+	clients := front.New(settings, dispatcher, upstreams, connectionsPerSide, configuration.MemoryMB<<20/requestMemoryDivisor, log)
+	running.dispatcher, running.watcher, running.clients = dispatcher, watcher, clients
+	socket, err := net.Listen("tcp", configuration.Listen)
 	if err != nil {
 		return fmt.Errorf("%s: configuration: listen: an address of this machine that is free is wanted: %w", path, err)
 	}
-	common, err := join(charter, log)
+	member, err := joinCoordination(coordinationPath, log)
 	if err != nil {
-		_ = listener.Close()
+		_ = socket.Close()
 		return err
 	}
 	defer func() {
 		cancel() // what the parts keep on disk is written once their context has ended
-		common.close()
+		member.close()
 	}()
-	if err := common.parts(ctx, in); err != nil {
-		_ = listener.Close()
+	if err := member.start(ctx, running); err != nil {
+		_ = socket.Close()
 		return err
 	}
-	go g.Tick(ctx)
-	go list.Watch(ctx)
-	go servers.Sweep(ctx)
+	go dispatcher.RunTimers(ctx)
+	go watcher.Run(ctx)
+	go upstreams.RunIdleCleanup(ctx)
 	go clients.Sweep(ctx)
 	ending := make(chan struct{})
 	go func() {
 		select { // a list that may be old serves where discovery is silent
-		case <-list.First():
-		case <-time.After(min(told.ConnectWithin, readyMost)):
+		case <-watcher.FirstList():
+		case <-time.After(min(configuration.ConnectTimeout, maxReadyWait)):
 		case <-ending: // one that ends is no more to be taken in
 			return
 		}
 		clients.Ready()
-		log.Info("ready", zap.String("listen", told.Listen))
+		log.Info("ready", zap.String("listen", configuration.Listen))
 	}()
 
 	go func() {
 		for {
 			select {
 			case <-hup:
-				in.reload()
-				common.reload()
+				running.reload()
+				member.reload()
 			case <-ctx.Done():
 				return
 			}
@@ -131,102 +131,102 @@
 		<-term
 		close(ending)
 		log.Info("asked to end")
-		go common.resign()
-		clients.Drain(listener)
+		go member.resign()
+		clients.Drain(socket)
 		cancel()
 	}()
-	if err := clients.Serve(listener); err != nil {
+	if err := clients.Serve(socket); err != nil {
 		return err
 	}
 	<-ctx.Done()
-	if count := in.count.Load(); count != nil {
+	if count := running.counter.Load(); count != nil {
 		count.Close()
 	}
 	log.Info("ended")
 	return nil
 }
 
-// read reads the file; nothing and no error if the program is asked to end before it has: nobody was served yet, and a
+// readConfiguration reads the file; nothing and no error if the program is asked to end before it has: nobody was served yet, and a
 // disk that hangs must not hold the end up.
-func read(path string, term <-chan os.Signal) (*boot.Handed, error) {
-	var told *boot.Handed
+func readConfiguration(path string, term <-chan os.Signal) (*boot.Gateway, error) {
+	var configuration *boot.Gateway
 	var err error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		told, err = boot.Read(path)
+		configuration, err = boot.Read(path)
 	}()
 	select {
 	case <-done:
-		return told, err
+		return configuration, err
 	case <-term:
 		return nil, nil
 	}
 }
 
-// inForce is what a new configuration changes in the running program.
-type inForce struct {
-	path    string
-	told    *boot.Handed
-	count   atomic.Pointer[counter.Counter] // none while no settings had one
-	gate    *gate.Gate
-	list    *roster.Roster
-	clients *front.Front
-	log     *zap.Logger
+// instance is what a new configuration changes in the running program.
+type instance struct {
+	configPath    string
+	configuration *boot.Gateway
+	counter       atomic.Pointer[counter.Counter] // none while no settings had one
+	dispatcher    *gate.Dispatcher
+	watcher       *roster.Watcher
+	clients       *front.Listener
+	log           *zap.Logger
 }
 
-// moveCounter has calls go to the counter that is named, if any is.
-func (in *inForce) moveCounter(told *boot.Handed) {
-	if told.Counter == "" {
+// setCounterAddress has calls go to the counter that is named, if any is.
+func (running *instance) setCounterAddress(configuration *boot.Gateway) {
+	if configuration.Counter == "" {
 		return
 	}
-	if count := in.count.Load(); count != nil {
-		count.Move(told.Counter)
+	if count := running.counter.Load(); count != nil {
+		count.SetAddress(configuration.Counter)
 	} else {
-		in.count.Store(counter.New(told.Counter, told.ConnectWithin, in.log))
+		running.counter.Store(counter.New(configuration.Counter, configuration.ConnectTimeout, running.log))
 	}
 }
 
 // reload reads the configuration again and takes it in place: addresses, and all settings but those that only a
 // restart can change, which are named. One that is not good leaves the old one in force.
-func (in *inForce) reload() {
-	told, err := boot.Read(in.path)
+func (running *instance) reload() {
+	configuration, err := boot.Read(running.configPath)
 	if err != nil {
-		in.log.Error("the new configuration is not taken", zap.Error(err))
+		running.log.Error("the new configuration is not taken", zap.Error(err))
 		return
 	}
-	if fixed := told.Keep(in.told); len(fixed) > 0 {
-		in.log.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
+	if fixed := configuration.KeepRestartOnly(running.configuration); len(fixed) > 0 {
+		running.log.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
 	}
-	in.moveCounter(told)
-	site, err := in.clients.Reshape(told.Deployment)
+	running.setCounterAddress(configuration)
+	settings, err := running.clients.Reconfigure(configuration.Settings)
 	if err != nil {
-		in.log.Error("the new configuration is not taken", zap.Error(err))
+		running.log.Error("the new configuration is not taken", zap.Error(err))
 		return
 	}
-	in.list.Move(told.Discovery, !told.Deployment.AskForList)
-	in.told = told
-	var lanes, plans []string
-	for _, l := range site.Lanes {
-		if !l.Closed {
-			lanes = append(lanes, l.Name)
+	running.watcher.SetAgent(configuration.Discovery, !configuration.Settings.PollList)
+	running.configuration = configuration
+	var classes, plans []string
+	for _, class := range settings.Classes {
+		if !class.Retired {
+			classes = append(classes, class.Name)
 		}
 	}
-	for _, p := range site.Plans {
-		if !p.Closed {
-			plans = append(plans, p.Name)
+	for _, plan := range settings.Plans {
+		if !plan.Retired {
+			plans = append(plans, plan.Name)
 		}
 	}
-	in.log.Info("a new configuration", zap.String("discovery", told.Discovery), zap.String("counter", told.Counter),
-		zap.Int("gateways", site.Gateways), zap.Strings("lanes", lanes), zap.Strings("plans", plans))
+	running.log.Info("a new configuration", zap.String("discovery", configuration.Discovery), zap.String("counter", configuration.Counter),
+		zap.Int("gateways", settings.Gateways), zap.Strings("lanes", classes), zap.Strings("plans", plans))
 }
 
-// limits keeps the runtime within what is handed in.
-func limits(told *boot.Handed) {
-	if told.Cores > 0 {
-		runtime.GOMAXPROCS(max(int(told.Cores), 1))
+// applyRuntimeLimits keeps the runtime within what is handed in.
+func applyRuntimeLimits(configuration *boot.Gateway) {
+	if configuration.Cores > 0 {
+		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
 	}
-	if told.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(told.MemoryMB) << 20 / heapPart)
+	if configuration.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(configuration.MemoryMB) << 20 / heapDivisor)
 	}
 }
--- a/internal/debts/age.go
+++ b/internal/debts/age.go
@@ -2,78 +2,78 @@
 
 import "slices"
 
-// lotsMost is how many lots a pair's debt is kept in, about: an age is told to a sixteenth of that of forgiveness.
-const lotsMost = 16
+// lotsPerDebt is how many lots a pair's debt is kept in, about: an age is told to a sixteenth of that of forgiveness.
+const lotsPerDebt = 16
 
-// age brings the lots in line with the net debts and forgives those that are too old. What is paid off is the oldest;
+// ageDebts brings the lots in line with the net debts and forgives those that are too old. What is paid off is the oldest;
 // a lot begins with the first unit that came in it, so that none is forgiven later than the file says by more than
 // the time that the clock of the table lost.
-func (v *Value) age(nets []Amount, t Terms) {
-	open := map[Pair]uint64{}
-	for _, n := range nets {
-		open[n.Pair] = n.Sum
+func (state *State) ageDebts(netDebts []Amount, terms Terms) {
+	owed := map[Pair]uint64{}
+	for _, n := range netDebts {
+		owed[n.Pair] = n.Sum
 	}
-	held := map[Pair]uint64{}
-	for _, l := range v.Lots {
-		held[l.Pair] += l.Sum
+	inLots := map[Pair]uint64{}
+	for _, l := range state.Lots {
+		inLots[l.Pair] += l.Sum
 	}
 	// The oldest stand first. What is more in the lots than is owed has been paid, or turned round.
-	lots := v.Lots[:0]
-	for _, l := range v.Lots {
-		if paid := held[l.Pair] - min(held[l.Pair], open[l.Pair]); paid > 0 {
+	lots := state.Lots[:0]
+	for _, l := range state.Lots {
+		if paid := inLots[l.Pair] - min(inLots[l.Pair], owed[l.Pair]); paid > 0 {
 			paid = min(paid, l.Sum)
 			l.Sum -= paid
-			held[l.Pair] -= paid
+			inLots[l.Pair] -= paid
 		}
 		if l.Sum > 0 {
 			lots = append(lots, l)
 		}
 	}
-	v.Lots = lots
-	for _, n := range nets {
-		_, _, after := t.rule(n.Debtor, n.Creditor)
-		if more := n.Sum - held[n.Pair]; more > 0 {
-			v.add(Amount{n.Pair, more}, uint64(after*1000)/lotsMost)
+	state.Lots = lots
+	for _, n := range netDebts {
+		_, _, forgiveAfter := terms.pairTerms(n.Debtor, n.Creditor)
+		if added := n.Sum - inLots[n.Pair]; added > 0 {
+			state.addToLots(Amount{n.Pair, added}, uint64(forgiveAfter*1000)/lotsPerDebt)
 		}
-		if after > 0 {
-			v.forgive(n.Pair, uint64(after*1000))
+		if forgiveAfter > 0 {
+			state.forgiveOlder(n.Pair, uint64(forgiveAfter*1000))
 		}
 	}
 }
 
-// add puts a sum into the pair's latest lot, or into a new one if that is older than a grain.
-func (v *Value) add(a Amount, grain uint64) {
-	for i := len(v.Lots) - 1; i >= 0; i-- {
-		if l := &v.Lots[i]; l.Pair == a.Pair {
-			if v.Clock-l.Since <= grain || grain == 0 {
+// addToLots puts a sum into the pair's latest lot, or into a new one if that is older than a grain.
+func (state *State) addToLots(a Amount, grain uint64) {
+	for i := len(state.Lots) - 1; i >= 0; i-- {
+		if l := &state.Lots[i]; l.Pair == a.Pair {
+			if state.Clock-l.Since <= grain || grain == 0 {
 				l.Sum += a.Sum
 				return
 			}
 			break
 		}
 	}
-	v.Lots = append(v.Lots, Lot{a, v.Clock})
+	state.Lots = append(state.Lots, Lot{a, state.Clock})
 }
 
-// forgive strikes the pair's lots of an age, and says each.
-func (v *Value) forgive(p Pair, after uint64) {
-	v.Lots = slices.DeleteFunc(v.Lots, func(l Lot) bool {
-		age := v.Clock - l.Since
-		if l.Pair != p || age < after {
+// forgiveOlder strikes the pair's lots of an age, and says each.
+func (state *State) forgiveOlder(pair Pair, maxAge uint64) {
+	state.Lots = slices.DeleteFunc(state.Lots, func(l Lot) bool {
+		age := state.Clock - l.Since
+		if l.Pair != pair || age < maxAge {
 			return false
 		}
 		number := uint64(1)
-		if n := len(v.Said); n > 0 {
-			number = v.Said[n-1].Number + 1
+		if n := len(state.ForgivenessLog); n > 0 {
+			number = state.ForgivenessLog[n-1].Number + 1
 		}
-		v.Said = append(v.Said, Entry{l.Amount, number, age})
-		v.Said = v.Said[max(0, len(v.Said)-saidMost):]
-		i := slices.IndexFunc(v.Forgiven, func(a Amount) bool { return a.Pair == p })
+		state.ForgivenessLog = append(state.ForgivenessLog, Forgiveness{l.Amount, number, age})
+		state.ForgivenessLog = state.ForgivenessLog[max(0, len(state.ForgivenessLog)-maxForgivenessLog):]
+		i := slices.IndexFunc(state.Forgiven, func(a Amount) bool { return a.Pair == pair })
 		if i < 0 {
-			i = len(v.Forgiven)
-			v.Forgiven = append(v.Forgiven, Amount{Pair: p})
+			i = len(state.Forgiven)
+			state.Forgiven = append(state.Forgiven, Amount{Pair: pair})
 		}
-		v.Forgiven[i].Sum += l.Sum
+		state.Forgiven[i].Sum += l.Sum
 		return true
 	})
 }
--- a/internal/debts/fair.go
+++ b/internal/debts/fair.go
@@ -1,87 +1,87 @@
 package debts
 
 // Flow is what a creditor wants of a debtor, and its weight among the others.
-type Flow struct{ Want, Weight float64 } // Weight above 0
+type Flow struct{ Demand, Weight float64 } // Weight above 0
 
 // Limit is what several flows share: the sum of each flow times what one of it takes stays at most at Most.
 type Limit struct {
-	Most float64
-	Each []float64 // by flow; 0: takes none
+	Capacity   float64
+	UsePerFlow []float64 // by flow; 0: takes none
 }
 
-// almost is the part by which a sum may miss its limit: rounding.
-const almost = 1e-9
+// roundingTolerance is the part by which a sum may miss its limit: rounding.
+const roundingTolerance = 1e-9
 
-// Fair gives the flows that are weighted max-min fair within the limits: none can have more without one that has
+// MaxMinFair gives the flows that are weighted max-min fair within the limits: none can have more without one that has
 // less for its weight getting less still, or without passing what it wants. All rise together by weight, and each
 // stops where it has what it wants or a limit that it takes of is full (progressive filling: Bertsekas and Gallager,
 // Data Networks, 1992, 6.5.2).
-func Fair(flows []Flow, limits []Limit) []float64 {
-	got := make([]float64, len(flows))
+func MaxMinFair(flows []Flow, limits []Limit) []float64 {
+	rates := make([]float64, len(flows))
 	rising := make([]bool, len(flows))
-	left := 0
+	risingCount := 0
 	for i, f := range flows {
-		if rising[i] = f.Want > 0 && f.Weight > 0; rising[i] {
-			left++
+		if rising[i] = f.Demand > 0 && f.Weight > 0; rising[i] {
+			risingCount++
 		}
 	}
-	for left > 0 {
-		step := -1.0
-		least := func(s float64) {
-			if s = max(s, 0); step < 0 || s < step {
-				step = s
+	for risingCount > 0 {
+		increment := -1.0
+		limitIncrement := func(s float64) {
+			if s = max(s, 0); increment < 0 || s < increment {
+				increment = s
 			}
 		}
 		for i, f := range flows {
 			if rising[i] {
-				least((f.Want - got[i]) / f.Weight)
+				limitIncrement((f.Demand - rates[i]) / f.Weight)
 			}
 		}
 		for _, l := range limits {
-			if used, grows := l.use(flows, got, rising); grows > 0 {
-				least((l.Most - used) / grows)
+			if used, growth := l.usage(flows, rates, rising); growth > 0 {
+				limitIncrement((l.Capacity - used) / growth)
 			}
 		}
 		for i, f := range flows {
 			if rising[i] {
-				got[i] += step * f.Weight
+				rates[i] += increment * f.Weight
 			}
 		}
-		before := left
+		before := risingCount
 		stop := func(i int) {
 			if rising[i] {
 				rising[i] = false
-				left--
+				risingCount--
 			}
 		}
 		for i, f := range flows {
-			if got[i] >= f.Want*(1-almost) {
+			if rates[i] >= f.Demand*(1-roundingTolerance) {
 				stop(i)
 			}
 		}
 		for _, l := range limits {
-			if used, _ := l.use(flows, got, rising); used >= l.Most*(1-almost) {
+			if used, _ := l.usage(flows, rates, rising); used >= l.Capacity*(1-roundingTolerance) {
 				for i := range flows {
-					if l.Each[i] > 0 {
+					if l.UsePerFlow[i] > 0 {
 						stop(i)
 					}
 				}
 			}
 		}
-		if left == before {
+		if risingCount == before {
 			break // cannot be but by rounding: what rose so far is within all limits
 		}
 	}
-	return got
+	return rates
 }
 
-// use is what the flows take of a limit, and how much more at each step of those that still rise.
-func (l Limit) use(flows []Flow, got []float64, rising []bool) (used, grows float64) {
-	for i, each := range l.Each {
-		used += each * got[i]
+// usage is what the flows take of a limit, and how much more at each step of those that still rise.
+func (l Limit) usage(flows []Flow, rates []float64, rising []bool) (used, growth float64) {
+	for i, usePerFlow := range l.UsePerFlow {
+		used += usePerFlow * rates[i]
 		if rising[i] {
-			grows += each * flows[i].Weight
+			growth += usePerFlow * flows[i].Weight
 		}
 	}
-	return used, grows
+	return used, growth
 }
--- a/internal/debts/fair_test.go
+++ b/internal/debts/fair_test.go
@@ -8,7 +8,7 @@
 
 // Whatever the flows and limits: nothing above what is wanted, no limit passed, and each that has less than it wants
 // is held by a full limit in which none has more for its weight. That is weighted max-min fairness.
-func TestFairIsMaxMin(t *testing.T) {
+func TestMaxMinFair_isMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 8).Draw(t, "flows")
 		flows := make([]Flow, n)
@@ -19,49 +19,49 @@
 		for k := range limits {
 			limits[k] = Limit{rapid.Float64Range(0, 200).Draw(t, "most"), make([]float64, n)}
 			for i := range n {
-				limits[k].Each[i] = rapid.SampledFrom([]float64{0, 0, 1, 0.5, 3}).Draw(t, "each")
+				limits[k].UsePerFlow[i] = rapid.SampledFrom([]float64{0, 0, 1, 0.5, 3}).Draw(t, "each")
 			}
 		}
-		got := Fair(flows, limits)
+		rates := MaxMinFair(flows, limits)
 		const near = 1e-6
 		used := make([]float64, len(limits))
 		for k, l := range limits {
 			for i := range n {
-				used[k] += l.Each[i] * got[i]
+				used[k] += l.UsePerFlow[i] * rates[i]
 			}
-			if used[k] > l.Most*(1+near)+near {
-				t.Fatalf("limit %d: %v used of %v", k, used[k], l.Most)
+			if used[k] > l.Capacity*(1+near)+near {
+				t.Fatalf("limit %d: %v used of %v", k, used[k], l.Capacity)
 			}
 		}
 		for i, f := range flows {
-			if got[i] < 0 || got[i] > f.Want*(1+near) {
-				t.Fatalf("flow %d has %v of %v", i, got[i], f.Want)
+			if rates[i] < 0 || rates[i] > f.Demand*(1+near) {
+				t.Fatalf("flow %d has %v of %v", i, rates[i], f.Demand)
 			}
-			held := got[i] >= f.Want*(1-near)-near
+			held := rates[i] >= f.Demand*(1-near)-near
 			for k, l := range limits {
-				if l.Each[i] == 0 || used[k] < l.Most*(1-near)-near {
+				if l.UsePerFlow[i] == 0 || used[k] < l.Capacity*(1-near)-near {
 					continue
 				}
 				most := 0.0
 				for o := range n {
-					if l.Each[o] > 0 {
-						most = max(most, got[o]/flows[o].Weight)
+					if l.UsePerFlow[o] > 0 {
+						most = max(most, rates[o]/flows[o].Weight)
 					}
 				}
-				held = held || got[i]/f.Weight >= most*(1-near)-near
+				held = held || rates[i]/f.Weight >= most*(1-near)-near
 			}
 			if !held {
-				t.Fatalf("flow %d of %+v could have more than %v under %+v", i, flows, got, limits)
+				t.Fatalf("flow %d of %+v could have more than %v under %+v", i, flows, rates, limits)
 			}
 		}
 	})
 }
 
-func TestFairByWeight(t *testing.T) {
-	got := Fair([]Flow{{10, 1}, {100, 2}, {100, 1}}, []Limit{{70, []float64{1, 1, 1}}})
+func TestMaxMinFair_sharesByWeight(t *testing.T) {
+	rates := MaxMinFair([]Flow{{10, 1}, {100, 2}, {100, 1}}, []Limit{{70, []float64{1, 1, 1}}})
 	for i, want := range []float64{10, 40, 20} {
-		if d := got[i] - want; d > 1e-6 || d < -1e-6 {
-			t.Errorf("got %v", got)
+		if d := rates[i] - want; d > 1e-6 || d < -1e-6 {
+			t.Errorf("got %v", rates)
 		}
 	}
 }
