--- a/internal/debts/golden_test.go
+++ b/internal/debts/golden_test.go
@@ -17,31 +17,31 @@
 // goldenDecisions is the SHA-256 of all values that the table took in TestGoldenDecisions, drawn at 8c168ca.
 const goldenDecisions = "fed885dda790ede434d8e45879e52563ffdd3bb74dd0646bc00b671aa216d954"
 
-// goldenValue has every part of the stored table.
-var goldenValue = Value{
-	Clock:    123_456_789,
-	Shares:   []Share{{Pair{"north", "south"}, 250_000}, {Pair{"west", "south"}, 1}},
-	Nets:     []Amount{{Pair{"north", "south"}, 1_234_567}, {Pair{"left.long-ago", "west"}, 1 << 40}},
-	Lots:     []Lot{{Amount{Pair{"north", "south"}, 1_234_567}, 123_000_000}},
-	Forgiven: []Amount{{Pair{"north", "south"}, 42}},
-	Said:     []Entry{{Amount{Pair{"north", "south"}, 42}, 7, 3_600_000}},
-	Standing: []Standing{
-		{Partner: "north", Pace: 62_500, Hold: 123_486_789, Tasks: 1000.5, Late: 2.25, Slow: 30.125, Most: 125_000},
-		{Partner: "south", Pace: Whole},
+// goldenState has every part of the stored table.
+var goldenState = State{
+	Clock:          123_456_789,
+	Shares:         []Share{{Pair{"north", "south"}, 250_000}, {Pair{"west", "south"}, 1}},
+	Nets:           []Amount{{Pair{"north", "south"}, 1_234_567}, {Pair{"left.long-ago", "west"}, 1 << 40}},
+	Lots:           []Lot{{Amount{Pair{"north", "south"}, 1_234_567}, 123_000_000}},
+	Forgiven:       []Amount{{Pair{"north", "south"}, 42}},
+	ForgivenessLog: []Forgiveness{{Amount{Pair{"north", "south"}, 42}, 7, 3_600_000}},
+	Partners: []PartnerState{
+		{Partner: "north", Pace: 62_500, HoldUntil: 123_486_789, Requests: 1000.5, Late: 2.25, Slow: 30.125, MaxPace: 125_000},
+		{Partner: "south", Pace: PartsPerMillion},
 	},
-	Began: 123_400_000,
-	Rest:  123_300_000,
+	StartedAt: 123_400_000,
+	RestUntil: 123_300_000,
 }
 
 // The stored table as the version before wrote it is read, and written byte for byte.
-func TestGoldenStoredTable(t *testing.T) {
-	for name, want := range map[string]Value{"table.cbor": goldenValue, "table-empty.cbor": {}} {
+func TestGolden_storedState(t *testing.T) {
+	for name, want := range map[string]State{"table.cbor": goldenState, "table-empty.cbor": {}} {
 		t.Run(name, func(t *testing.T) {
 			stored, err := os.ReadFile(filepath.Join("testdata", name))
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Decode(stored)
+			got, err := DecodeState(stored)
 			if err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read %+v (%v), want %+v", got, err, want)
 			}
@@ -53,74 +53,74 @@
 }
 
 // Names that go between processes and into the log.
-func TestGoldenNames(t *testing.T) {
+func TestGolden_names(t *testing.T) {
 	for want, got := range map[string]string{
-		"debts":                             Table,
-		"exact":                             Exact,
-		"debts\x1ftasks\x1fnorth":           Count(Tasks, "north"),
-		"debts\x1flate\x1fnorth":            Count(Late, "north"),
-		"debts\x1fslow\x1fnorth":            Count(Slow, "north"),
-		"debts\x1fpure\x1fnorth":            Count(Pure, "north"),
-		"debts\x1fpures\x1fnorth":           Count(Pures, "north"),
-		"debts\x1fserved\x1fnorth":          Count(Served, "north"),
-		"debts\x1fasked\x1fnorth":           Count(Asked, "north"),
-		"debts\x1fwent\x1fnorth":            Count(Went, "north"),
-		"owe\x1f1k2j3\x1fnorth\x1fsouth":    Name("1k2j3", Pair{"north", "south"}),
-		"owe\x1f1k2j3+\x1fa.b-c_d\x1fsouth": Name("1k2j3+", Pair{"a.b-c_d", "south"}),
+		"debts":                             TableName,
+		"exact":                             ExactTable,
+		"debts\x1ftasks\x1fnorth":           MetricName(MetricRequests, "north"),
+		"debts\x1flate\x1fnorth":            MetricName(MetricLate, "north"),
+		"debts\x1fslow\x1fnorth":            MetricName(MetricSlow, "north"),
+		"debts\x1fpure\x1fnorth":            MetricName(MetricIdempotentUnits, "north"),
+		"debts\x1fpures\x1fnorth":           MetricName(MetricIdempotentRequests, "north"),
+		"debts\x1fserved\x1fnorth":          MetricName(MetricServedUnits, "north"),
+		"debts\x1fasked\x1fnorth":           MetricName(MetricElective, "north"),
+		"debts\x1fwent\x1fnorth":            MetricName(MetricElectivePlaced, "north"),
+		"owe\x1f1k2j3\x1fnorth\x1fsouth":    DebtCountName("1k2j3", Pair{"north", "south"}),
+		"owe\x1f1k2j3+\x1fa.b-c_d\x1fsouth": DebtCountName("1k2j3+", Pair{"a.b-c_d", "south"}),
 	} {
 		if got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
-	if Whats != 8 {
-		t.Errorf("%d kinds of evidence", Whats)
+	if MetricCount != 8 {
+		t.Errorf("%d kinds of evidence", MetricCount)
 	}
 	totals := map[string]uint64{"g1\x1f3\x1fowe\x1flife\x1fnorth\x1fsouth": 700, "g1\x1f4\x1fowe\x1flife\x1fnorth\x1fsouth": 900}
-	if got := Read(totals); len(got) != 1 || got[Pair{"north", "south"}] != 900 {
+	if got := ReadLedger(totals); len(got) != 1 || got[Pair{"north", "south"}] != 900 {
 		t.Errorf("totals read as %v", got)
 	}
 }
 
 // The operators' file: every key, and what each means.
-func TestGoldenTerms(t *testing.T) {
+func TestGolden_terms(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Default()
+	got := DefaultTerms()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&got); err != nil {
 		t.Fatal(err)
 	}
 	no, share, forgive := false, 0.25, 7200.0
 	want := Terms{On: true,
 		Partners: []Partner{
-			{Name: "north", Halls: []string{"n1", "n2"}, Weight: 2.5,
+			{Name: "north", Zones: []string{"n1", "n2"}, Weight: 2.5,
 				Customers: []string{"0000000000000010-000000000000001f", "0000000000000030"}},
-			{Name: "south", Halls: []string{"s1"}, Plans: []string{"wide", "small"}},
+			{Name: "south", Zones: []string{"s1"}, Plans: []string{"wide", "small"}},
 			{Name: "west", Plans: []string{"slow"}},
 		},
-		Rules: []Rule{
-			{Between: []string{"north", "south"}, ShareMost: &share, ForgiveAfter: &forgive},
+		Rules: []PairRule{
+			{Between: []string{"north", "south"}, MaxShare: &share, ForgiveAfter: &forgive},
 			{Between: []string{"west", "south"}, Settle: &no},
 		},
-		SettleOver: 30, ShareMost: 0.4, MovedMost: 150, LendMost: 0.2, LossMost: 0.01, RoomLeast: 0.15, WellLeast: 0.95, Least: 7,
+		SettleTimeConstant: 30, MaxShare: 0.4, MaxMovedRate: 150, MaxLendFraction: 0.2, MaxLossFraction: 0.01, MinHeadroom: 0.15, MinOnTimeFraction: 0.95, MinDebt: 7,
 		ForgiveAfter: 86400,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
-	if wrong := got.Check(); len(wrong) > 0 {
-		t.Errorf("refused: %v", wrong)
+	if faults := got.Check(); len(faults) > 0 {
+		t.Errorf("refused: %v", faults)
 	}
-	usual := Terms{SettleOver: 20, ShareMost: 0.5, MovedMost: 200, LendMost: 0.3, LossMost: 0.005, RoomLeast: 0.2, WellLeast: 0.9,
-		Least: 5}
-	if got := Default(); !reflect.DeepEqual(got, usual) {
+	usual := Terms{SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2, MinOnTimeFraction: 0.9,
+		MinDebt: 5}
+	if got := DefaultTerms(); !reflect.DeepEqual(got, usual) {
 		t.Errorf("without a file %+v, want %+v", got, usual)
 	}
 }
 
 // Each one-line refusal of a bad file, whole, in its order.
-func TestGoldenRefusals(t *testing.T) {
+func TestGolden_refusals(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +172,7 @@
 			"settle_over_s: from 5 to 86400, not 1e+06\nshare_most: from 0 to 0.9, not -0.5"},
 	} {
 		bad := strings.Replace(string(text), c.old, c.bad, 1)
-		terms := Default()
+		terms := DefaultTerms()
 		if err := toml.Unmarshal([]byte(bad), &terms); err != nil || bad == string(text) {
 			t.Fatalf("%q: %v", c.bad, err)
 		}
@@ -180,12 +180,12 @@
 			t.Errorf("%q:\n%q, want\n%q", c.bad, got, c.want)
 		}
 	}
-	none := Default()
+	none := DefaultTerms()
 	none.On = true
 	if got, want := errors.Join(none.Check()...), "partner: from 2 to 64 of them, not 0"; got == nil || got.Error() != want {
 		t.Errorf("without partners:\n%q, want\n%q", got, want)
 	}
-	for i := range partnersMost + 1 {
+	for i := range maxPartners + 1 {
 		none.Partners = append(none.Partners, Partner{Name: strings.Repeat("x", i+1), Plans: []string{strings.Repeat("p", i+1)}})
 	}
 	want := "partner: from 2 to 64 of them, not 65\n" +
@@ -197,42 +197,42 @@
 }
 
 // What is written to the table over a long story of debts, leaders, late tasks, rests and failover: every value, every byte.
-func TestGoldenDecisions(t *testing.T) {
-	rules := terms()
-	rules.ForgiveAfter, rules.Partners[1].Weight = 600, 2
-	s, all := begin(rules), sha256.New()
-	pass := func(seconds int) {
+func TestGolden_decisions(t *testing.T) {
+	terms := testTerms()
+	terms.ForgiveAfter, terms.Partners[1].Weight = 600, 2
+	f, all := newControllerFixture(terms), sha256.New()
+	advance := func(seconds int) {
 		for range seconds {
-			s.pass(1)
-			stored := s.state.Table(Table)
+			f.advance(1)
+			stored := f.state.Table(TableName)
 			all.Write(stored.Value)
 			all.Write([]byte{byte(stored.Epoch)})
 		}
 	}
-	s.owes("a", "b", 50_000)
-	s.owes("c", "b", 700)
-	s.owes("a", "c", 90_000)
-	pass(60)
-	s.halls["hall-b"] = Hall{Out: true}
-	pass(5)
-	s.halls["hall-b"] = Hall{Left: 0.1}
-	pass(5)
-	clear(s.halls)
-	pass(60)
-	s.late["a"] = 30
-	pass(25)
-	s.late["a"], s.late["b"] = 0, 4
-	pass(150)
-	s.asked["a"] = 100
-	pass(30)
-	s.lead(rules)
-	pass(90)
-	s.owes("b", "a", 49_990)
-	pass(700)
+	f.addDebt("a", "b", 50_000)
+	f.addDebt("c", "b", 700)
+	f.addDebt("a", "c", 90_000)
+	advance(60)
+	f.zoneStatus["hall-b"] = ZoneStatus{FailingOver: true}
+	advance(5)
+	f.zoneStatus["hall-b"] = ZoneStatus{Headroom: 0.1}
+	advance(5)
+	clear(f.zoneStatus)
+	advance(60)
+	f.late["a"] = 30
+	advance(25)
+	f.late["a"], f.late["b"] = 0, 4
+	advance(150)
+	f.elective["a"] = 100
+	advance(30)
+	f.changeLeader(terms)
+	advance(90)
+	f.addDebt("b", "a", 49_990)
+	advance(700)
 	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDecisions {
 		t.Errorf("decisions hash to %s, want %s", got, goldenDecisions)
 	}
-	if v := s.value(); len(v.Said) == 0 || v.Began == 0 || v.Rest == 0 {
-		t.Errorf("the story leaves parts out: %+v", v)
+	if state := f.storedState(); len(state.ForgivenessLog) == 0 || state.StartedAt == 0 || state.RestUntil == 0 {
+		t.Errorf("the story leaves parts out: %+v", state)
 	}
 }
--- a/internal/debts/journal/golden_test.go
+++ b/internal/debts/journal/golden_test.go
@@ -16,18 +16,18 @@
 // goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
 var goldenWrites = []struct {
 	life string
-	kept []till.Kept
+	kept []till.StoredBalance
 }{
-	{"1k2j3", []till.Kept{{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Owed: 700, Out: 2000}}},
+	{"1k2j3", []till.StoredBalance{{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
 	{"1k2j3", nil},
-	{"1k2j3+", []till.Kept{
-		{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Owed: 2700, Out: 0},
-		{Pair: debts.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Owed: 1 << 40, Out: 1},
+	{"1k2j3+", []till.StoredBalance{
+		{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Debt: 2700, InFlight: 0},
+		{Pair: debts.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Debt: 1 << 40, InFlight: 1},
 	}},
 }
 
 // A gateway's journal as the version before stored it is read, and written byte for byte.
-func TestGoldenJournal(t *testing.T) {
+func TestGolden_storedJournal(t *testing.T) {
 	packed, err := os.Open(filepath.Join("testdata", "debts.gz"))
 	if err != nil {
 		t.Fatal(err)
@@ -46,11 +46,11 @@
 		t.Fatal(err)
 	}
 	last := goldenWrites[len(goldenWrites)-1]
-	if life, kept := reopen(t, before).Life(); life != last.life || !reflect.DeepEqual(kept, last.kept) {
-		t.Errorf("read %q, %v, want %q, %v", life, kept, last.life, last.kept)
+	if ledgerID, balances := openJournal(t, before).Restored(); ledgerID != last.life || !reflect.DeepEqual(balances, last.kept) {
+		t.Errorf("read %q, %v, want %q, %v", ledgerID, balances, last.life, last.kept)
 	}
 	now := t.TempDir()
-	j := reopen(t, now)
+	j := openJournal(t, now)
 	for _, r := range goldenWrites {
 		if err := j.Write(r.life, r.kept); err != nil {
 			t.Fatal(err)
@@ -62,10 +62,10 @@
 }
 
 // What the operators read at the start where the folder cannot be used.
-func TestGoldenRefusals(t *testing.T) {
+func TestGolden_refusals(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
-	_ = reopen(t, folder)
+	_ = openJournal(t, folder)
 	if _, err := Open(folder); err == nil || err.Error() != path+": another process has it: resource temporarily unavailable" {
 		t.Errorf("of a folder in use: %v", err)
 	}
--- a/internal/debts/journal/journal.go
+++ b/internal/debts/journal/journal.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	name      = "debts"
-	slot      = 512 << 10 // bytes: 64 partners' pairs, with names of 64 letters
-	slots     = 3
-	head      = 24              // bytes: number, length, sum
-	syncEvery = 1 * time.Second // what the machine's loss of power may take
+	fileName     = "debts"
+	slotSize     = 512 << 10 // bytes: 64 partners' pairs, with names of 64 letters
+	slotCount    = 3
+	headerSize   = 24              // bytes: number, length, sum
+	syncInterval = 1 * time.Second // what the machine's loss of power may take
 )
 
 // Journal is one process's file. Its calls come from one goroutine.
 type Journal struct {
-	file   *os.File
-	number uint64 // of the latest record
-	at     int64  // its slot
-	safe   int64  // the slot of the latest that is synced
-	synced time.Time
-	life   string
-	kept   []till.Kept
+	file       *os.File
+	sequence   uint64 // of the latest record
+	slot       int64  // its slot
+	syncedSlot int64  // the slot of the latest that is synced
+	syncedAt   time.Time
+	ledgerID   string
+	balances   []till.StoredBalance
 }
 
-var _ till.Disk = (*Journal)(nil)
+var _ till.Store = (*Journal)(nil)
 
 type record struct {
-	Life string      `cbor:"1,keyasint"`
-	Kept []till.Kept `cbor:"2,keyasint"`
+	LedgerID string               `cbor:"1,keyasint"`
+	Balances []till.StoredBalance `cbor:"2,keyasint"`
 }
 
 // Open opens the file in a folder, or makes it. Errors: one that another process holds; one of which no slot can
 // be read though it holds something, as then what was owed is not known.
 func Open(folder string) (*Journal, error) {
-	path := filepath.Join(folder, name)
+	path := filepath.Join(folder, fileName)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -58,77 +58,77 @@
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: another process has it: %w", path, err), file.Close())
 	}
-	if err := j.read(); err != nil {
+	if err := j.recover(); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), file.Close())
 	}
 	return j, nil
 }
 
-// read takes the later of the slots that are whole.
-func (j *Journal) read() error {
-	any := false
-	for i := range int64(slots) {
-		b := make([]byte, slot)
-		n, err := j.file.ReadAt(b, i*slot)
+// recover takes the later of the slots that are whole.
+func (j *Journal) recover() error {
+	hasData := false
+	for i := range int64(slotCount) {
+		buffer := make([]byte, slotSize)
+		n, err := j.file.ReadAt(buffer, i*slotSize)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		b = b[:n]
-		any = any || slices.ContainsFunc(b, func(c byte) bool { return c != 0 })
-		number, r, whole := open(b)
-		if whole && number > j.number {
-			j.number, j.at, j.safe, j.life, j.kept = number, i, i, r.Life, r.Kept
+		buffer = buffer[:n]
+		hasData = hasData || slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 })
+		sequence, decoded, isComplete := decodeRecord(buffer)
+		if isComplete && sequence > j.sequence {
+			j.sequence, j.slot, j.syncedSlot, j.ledgerID, j.balances = sequence, i, i, decoded.LedgerID, decoded.Balances
 		}
 	}
-	if any && j.number == 0 {
+	if hasData && j.sequence == 0 {
 		return errors.New("none of its records is whole: remove it to begin anew")
 	}
 	return nil
 }
 
-func open(b []byte) (number uint64, r record, whole bool) {
-	if len(b) < head {
-		return 0, r, false
+func decodeRecord(buffer []byte) (sequence uint64, decoded record, isComplete bool) {
+	if len(buffer) < headerSize {
+		return 0, decoded, false
 	}
-	number = binary.LittleEndian.Uint64(b)
-	length := binary.LittleEndian.Uint64(b[8:])
-	if number == 0 || length > uint64(len(b)-head) ||
-		xxhash.Sum64(b[head:head+length])^number != binary.LittleEndian.Uint64(b[16:]) {
-		return 0, r, false
+	sequence = binary.LittleEndian.Uint64(buffer)
+	length := binary.LittleEndian.Uint64(buffer[8:])
+	if sequence == 0 || length > uint64(len(buffer)-headerSize) ||
+		xxhash.Sum64(buffer[headerSize:headerSize+length])^sequence != binary.LittleEndian.Uint64(buffer[16:]) {
+		return 0, decoded, false
 	}
-	return number, r, cbor.Unmarshal(b[head:head+length], &r) == nil
+	return sequence, decoded, cbor.Unmarshal(buffer[headerSize:headerSize+length], &decoded) == nil
 }
 
-// Life is what the file held when it was opened.
-func (j *Journal) Life() (string, []till.Kept) { return j.life, j.kept }
+// Restored is what the file held when it was opened.
+func (j *Journal) Restored() (string, []till.StoredBalance) { return j.ledgerID, j.balances }
 
 // Write writes the counts into a slot that holds neither the latest nor the latest that is synced. They outlive the
 // process once it returns, and the machine's loss of power once synced, at most a second later with the next write.
-func (j *Journal) Write(life string, kept []till.Kept) error {
-	body, err := cbor.Marshal(record{life, kept})
+func (j *Journal) Write(ledgerID string, balances []till.StoredBalance) error {
+	body, err := cbor.Marshal(record{ledgerID, balances})
 	if err != nil {
 		return err
 	}
-	if len(body) > slot-head {
+	if len(body) > slotSize-headerSize {
 		return fmt.Errorf("%d bytes are too many for one record", len(body))
 	}
-	number := j.number + 1
-	b := binary.LittleEndian.AppendUint64(nil, number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(len(body)))
-	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(body)^number)
-	at := (j.at + 1) % slots
-	if at == j.safe {
-		at = (at + 1) % slots
+	sequence := j.sequence + 1
+	buffer := binary.LittleEndian.AppendUint64(nil, sequence)
+	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(len(body)))
+	buffer = binary.LittleEndian.AppendUint64(buffer, xxhash.Sum64(body)^sequence)
+	slot := (j.slot + 1) % slotCount
+	if slot == j.syncedSlot {
+		slot = (slot + 1) % slotCount
 	}
-	if _, err := j.file.WriteAt(append(b, body...), at*slot); err != nil {
+	if _, err := j.file.WriteAt(append(buffer, body...), slot*slotSize); err != nil {
 		return err
 	}
-	j.number, j.at = number, at
-	if now := time.Now(); now.Sub(j.synced) >= syncEvery {
+	j.sequence, j.slot = sequence, slot
+	if now := time.Now(); now.Sub(j.syncedAt) >= syncInterval {
 		if err := j.file.Sync(); err != nil {
 			return err
 		}
-		j.synced, j.safe = now, at
+		j.syncedAt, j.syncedSlot = now, slot
 	}
 	return nil
 }
--- a/internal/debts/journal/journal_test.go
+++ b/internal/debts/journal/journal_test.go
@@ -12,11 +12,11 @@
 	"harrierhoist/internal/debts/till"
 )
 
-func kept(n uint64) []till.Kept {
-	return []till.Kept{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Owed: n, Out: 1}}
+func testBalances(n uint64) []till.StoredBalance {
+	return []till.StoredBalance{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
 }
 
-func reopen(t *testing.T, folder string) *Journal {
+func openJournal(t *testing.T, folder string) *Journal {
 	t.Helper()
 	j, err := Open(folder)
 	if err != nil {
@@ -28,28 +28,28 @@
 
 // The process dies while it writes, or the power goes: whichever record is spoilt, the file holds one that is whole,
 // at the latest that which was synced.
-func TestASpoiltRecordLeavesAnEarlierOne(t *testing.T) {
+func TestJournal_corruptRecordLeavesEarlierOne(t *testing.T) {
 	folder := t.TempDir()
-	j := reopen(t, folder)
+	j := openJournal(t, folder)
 	for n := range uint64(9) { // the first is synced, those within a second after it are not
-		if err := j.Write("x", kept(n+1)); err != nil {
+		if err := j.Write("x", testBalances(n+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	_ = j.Close()
-	path := filepath.Join(folder, name)
+	path := filepath.Join(folder, fileName)
 	for _, want := range []uint64{9, 8, 1} {
-		j = reopen(t, folder)
-		if life, k := j.Life(); life != "x" || !slices.Equal(k, kept(want)) {
-			t.Fatalf("%q, %v, want %d", life, k, want)
+		j = openJournal(t, folder)
+		if ledgerID, k := j.Restored(); ledgerID != "x" || !slices.Equal(k, testBalances(want)) {
+			t.Fatalf("%q, %v, want %d", ledgerID, k, want)
 		}
-		at := j.at
+		slot := j.slot
 		_ = j.Close()
 		file, _ := os.OpenFile(path, os.O_RDWR, 0)
-		b := make([]byte, 1)
-		_, _ = file.ReadAt(b, at*slot+head+3)
-		b[0] ^= 4
-		_, _ = file.WriteAt(b, at*slot+head+3)
+		buffer := make([]byte, 1)
+		_, _ = file.ReadAt(buffer, slot*slotSize+headerSize+3)
+		buffer[0] ^= 4
+		_, _ = file.WriteAt(buffer, slot*slotSize+headerSize+3)
 		_ = file.Close()
 	}
 	if _, err := Open(folder); err == nil {
@@ -58,21 +58,21 @@
 }
 
 // Two processes with one folder would count in one life.
-func TestAFolderIsOneProcesss(t *testing.T) {
+func TestOpen_refusesFolderInUse(t *testing.T) {
 	folder := t.TempDir()
-	j := reopen(t, folder)
+	j := openJournal(t, folder)
 	if _, err := Open(folder); err == nil {
 		t.Error("opened twice")
 	}
 	_ = j.Close()
-	reopen(t, folder)
+	openJournal(t, folder)
 }
 
 // What docs/debts.md says of the ways weighed: our file and bbolt, each without and with a sync.
 func BenchmarkWrite(b *testing.B) {
-	var pairs []till.Kept
+	var pairs []till.StoredBalance
 	for range 12 {
-		pairs = append(pairs, kept(1)...)
+		pairs = append(pairs, testBalances(1)...)
 	}
 	b.Run("file", func(b *testing.B) {
 		j, err := Open(b.TempDir())
--- a/internal/debts/keep/keep.go
+++ b/internal/debts/keep/keep.go
@@ -19,32 +19,32 @@
 // Start has a gateway count debts and settle them by what all hold in common, until the context ends; the channel is
 // closed once all is on disk. Halls are the names in the order of the settings. Without a folder nothing is kept on
 // disk. The till is for other terms later (Reshape). Errors: a folder that cannot be used, or is another process's.
-func Start(ctx context.Context, t debts.Terms, site policy.Deployment, halls []string, seed int64, folder string,
-	commons cluster.Commons, g *gate.Gate, log *zap.Logger) (*till.Till, <-chan struct{}, error) {
-	var disk till.Disk
-	closed := func() error { return nil }
+func Start(ctx context.Context, terms debts.Terms, settings policy.Settings, zones []string, seed int64, folder string,
+	coordination cluster.Client, dispatcher *gate.Dispatcher, log *zap.Logger) (*till.Accounts, <-chan struct{}, error) {
+	var store till.Store
+	closeStore := func() error { return nil }
 	if folder != "" {
 		j, err := journal.Open(folder)
 		if err != nil {
 			return nil, nil, err
 		}
-		disk, closed = j, j.Close
+		store, closeStore = j, j.Close
 	}
 	// A wall clock that steps back to the same nanosecond would give two lives one name; nothing else is told by it.
-	life := strconv.FormatInt(time.Now().UnixNano(), 36)
-	l := till.New(t, till.Site{Halls: halls}, life, uint64(seed), commons.Now)
-	l.Resite(site.Lanes, site.Plans)
-	if disk != nil {
-		l.Load(disk)
+	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
+	accounts := till.New(terms, till.Settings{Zones: zones}, ledgerID, uint64(seed), coordination.Now)
+	accounts.SetPolicy(settings.Classes, settings.Plans)
+	if store != nil {
+		accounts.Restore(store)
 	}
-	g.Owe(l)
+	dispatcher.SetAccount(accounts)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		l.Run(ctx, commons, g, disk, log)
-		if err := closed(); err != nil {
+		accounts.Run(ctx, coordination, dispatcher, store, log)
+		if err := closeStore(); err != nil {
 			log.Error("the disk keeps no debts of the last second", zap.Error(err))
 		}
 	}()
-	return l, ended, nil
+	return accounts, ended, nil
 }
--- a/internal/debts/keep/keep_test.go
+++ b/internal/debts/keep/keep_test.go
@@ -16,62 +16,62 @@
 	"harrierhoist/policy"
 )
 
-// alone is what a process has in common with nobody.
-type alone struct {
+// noCoordination is what a process has in common with nobody.
+type noCoordination struct {
 	exact chan func(func(string, uint64))
 }
 
-func (alone) Now() time.Duration                          { return time.Second }
-func (alone) Held(string) cluster.Held                    { return cluster.Held{} }
-func (alone) Changed() <-chan struct{}                    { return nil }
-func (alone) Witness(func(func(string, uint64)))          {}
-func (a alone) WitnessExact(e func(func(string, uint64))) { a.exact <- e }
+func (noCoordination) Now() time.Duration                                   { return time.Second }
+func (noCoordination) Cached(string) cluster.CachedTable                    { return cluster.CachedTable{} }
+func (noCoordination) Changed() <-chan struct{}                             { return nil }
+func (noCoordination) RegisterCounters(func(func(string, uint64)))          {}
+func (a noCoordination) RegisterExactCounters(e func(func(string, uint64))) { a.exact <- e }
 
 // A gateway counts what a push owes, ends, and starts again on the same folder: its first digest tells it.
-func TestAGatewaysDebtsOutliveIt(t *testing.T) {
+func TestStart_debtsSurviveRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	terms := debts.Default()
+	terms := debts.DefaultTerms()
 	terms.On = true
-	terms.Partners = []debts.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Halls: []string{"hb"}}}
-	site := policy.Deployment{Gateways: 1, Halls: 1, Tick: 2 * time.Millisecond, PushLimit: 5, TipAfter: time.Second,
-		Lanes: []policy.Lane{{Name: "look", SoftLimit: time.Second, Patience: time.Second}},
-		Plans: []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}}}
+	terms.Partners = []debts.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}}}
+	settings := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
+		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: time.Second}},
+		Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}}}
 	folder := t.TempDir()
-	run := func(do func(*gate.Gate)) {
-		g, err := gate.New(site, 7, gate.Outside{}, zap.NewNop())
+	run := func(do func(*gate.Dispatcher)) {
+		dispatcher, err := gate.New(settings, 7, gate.Dependencies{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		in := alone{make(chan func(func(string, uint64)), 1)}
-		_, ended, err := Start(ctx, terms, site, []string{"hb"}, 7, folder, in, g, zap.NewNop())
+		in := noCoordination{make(chan func(func(string, uint64)), 1)}
+		_, ended, err := Start(ctx, terms, settings, []string{"hb"}, 7, folder, in, dispatcher, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Start(ctx, terms, site, []string{"hb"}, 7, folder, in, g, zap.NewNop()); err == nil {
+		if _, _, err := Start(ctx, terms, settings, []string{"hb"}, 7, folder, in, dispatcher, zap.NewNop()); err == nil {
 			t.Error("two tills count in one folder")
 		}
-		do(g)
+		do(dispatcher)
 		exact := <-in.exact
 		standin.Eventually(t, "the debt in the digest", func() bool {
-			told := uint64(0)
+			owed := uint64(0)
 			exact(func(name string, n uint64) {
 				if strings.HasSuffix(name, "\x1fa\x1fb") {
-					told += n
+					owed += n
 				}
 			})
-			return told == 3500
+			return owed == 3500
 		})
 		cancel()
 		<-ended
 	}
-	run(func(g *gate.Gate) {
-		g.List(policy.ListWhole, []gate.Server{{Name: "s", Listed: policy.Listed{Stage: policy.Ready}}})
-		e := g.Admit(gate.Task{Customer: 5, Width: 1, Units: 2, Patience: time.Second})
-		if c := e.Pick(); c.Verdict != gate.Push {
-			t.Fatalf("verdict %d", c.Verdict)
+	run(func(dispatcher *gate.Dispatcher) {
+		dispatcher.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s", Endpoint: policy.Endpoint{State: policy.Ready}}})
+		e := dispatcher.Admit(gate.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
+		if c := e.Next(); c.Action != gate.Forward {
+			t.Fatalf("verdict %d", c.Action)
 		}
-		e.Report(gate.Result{Outcome: policy.Answered, Billed: 3.5})
+		e.ReportResult(gate.Result{Outcome: policy.Answered, Billed: 3.5})
 	})
-	run(func(*gate.Gate) {})
+	run(func(*gate.Dispatcher) {})
 }
--- a/internal/debts/play/common.go
+++ b/internal/debts/play/common.go
@@ -16,142 +16,142 @@
 
 // The planted bugs.
 const (
-	LostWithLeader = "debt lost with a leader"   // what is owed is read from the leader's memory
-	SettledTwice   = "settlement applied twice"  // what shares moved is struck off too, though the totals have it
-	LateTwice      = "late digest counted twice" // each digest adds
+	DebtLostWithLeader     = "debt lost with a leader"   // what is owed is read from the leader's memory
+	SettlementAppliedTwice = "settlement applied twice"  // what shares moved is struck off too, though the totals have it
+	LateDigestCountedTwice = "late digest counted twice" // each digest adds
 )
 
-// memory is a disk that is written at once.
-type memory struct {
-	life string
-	kept []till.Kept
+// memoryStore is a disk that is written at once.
+type memoryStore struct {
+	ledgerID string
+	balances []till.StoredBalance
 }
 
-func (m *memory) Write(life string, kept []till.Kept) error {
-	m.life, m.kept = life, slices.Clone(kept)
+func (m *memoryStore) Write(ledgerID string, balances []till.StoredBalance) error {
+	m.ledgerID, m.balances = ledgerID, slices.Clone(balances)
 	return nil
 }
 
-func (m *memory) Life() (string, []till.Kept) { return m.life, m.kept }
+func (m *memoryStore) Restored() (string, []till.StoredBalance) { return m.ledgerID, m.balances }
 
-// digest has a gateway tell what it counted, and hear what all hold in common.
-func (t *table) digest(g *gateway) {
-	d := t.told(g)
+// exchangeDigest has a gateway tell what it counted, and hear what all hold in common.
+func (s *simulation) exchangeDigest(g *gateway) {
+	digest := s.newDigest(g)
 	delays := []time.Duration{2 * time.Millisecond}
-	if t.Faults {
-		switch lot := t.chance.Float64(); {
+	if s.MessageFaults {
+		switch lot := s.random.Float64(); {
 		case lot < 0.1:
 			delays = nil
 		case lot < 0.2:
-			delays = append(delays, time.Duration(t.chance.IntN(4000))*time.Millisecond)
+			delays = append(delays, time.Duration(s.random.IntN(4000))*time.Millisecond)
 		case lot < 0.3:
-			delays[0] = time.Duration(t.chance.IntN(4000)) * time.Millisecond
+			delays[0] = time.Duration(s.random.IntN(4000)) * time.Millisecond
 		}
 	}
 	for _, late := range delays {
-		t.at(t.now+late, func() { t.hear(d) })
+		s.schedule(s.now+late, func() { s.receiveDigest(digest) })
 	}
-	v, err := debts.Decode(t.state.Table(debts.Table).Value)
+	state, err := debts.DecodeState(s.state.Table(debts.TableName).Value)
 	if err != nil {
-		t.wrong("a table that cannot be read")
+		s.addViolation("a table that cannot be read")
 	}
-	if t.now >= t.away { // a majority confirms the read
-		g.till.Take(v, t.now+leaseFor)
+	if s.now >= s.leaderlessUntil { // a majority confirms the read
+		g.accounts.ApplyState(state, s.now+leaseDuration)
 	}
 }
 
-func (t *table) told(g *gateway) evidence.Digest {
+func (s *simulation) newDigest(g *gateway) evidence.Digest {
 	g.serial++
-	d := evidence.Digest{Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(t.since),
+	digest := evidence.Digest{Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(s.leadingSince),
 		Counts: map[string]uint64{}, Exact: map[string]uint64{}}
-	g.till.Counts(func(name string, n uint64) { d.Counts[name] = n })
-	g.till.ExactCounts(func(name string, n uint64) { d.Exact[name] = n })
-	return d
+	g.accounts.ReportMetrics(func(name string, n uint64) { digest.Counts[name] = n })
+	g.accounts.ReportDebts(func(name string, n uint64) { digest.Exact[name] = n })
+	return digest
 }
 
-func (t *table) hear(d evidence.Digest) {
-	if t.now < t.away {
+func (s *simulation) receiveDigest(digest evidence.Digest) {
+	if s.now < s.leaderlessUntil {
 		return // nobody leads: the message is lost
 	}
-	t.book.Take(d)
-	if t.Planted == LateTwice {
-		for name, n := range d.Exact { // adds what is more than the last one heard, which a late one resets
-			key := evidence.Name(d.Process, fmt.Sprint(d.Incarnation), name)
-			if last := t.heard["last"+key]; n > last {
-				t.heard[key] += n - last
+	s.observations.Add(digest)
+	if s.PlantedBug == LateDigestCountedTwice {
+		for name, n := range digest.Exact { // adds what is more than the last one heard, which a late one resets
+			key := evidence.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)
+			if last := s.receivedTotals["last"+key]; n > last {
+				s.receivedTotals[key] += n - last
 			}
-			t.heard["last"+key] = n
+			s.receivedTotals["last"+key] = n
 		}
 	}
 }
 
-// exact are the counts in the form of the log's totals.
-func exact(b *evidence.Book) map[string]uint64 {
+// exactTotals are the counts in the form of the log's totals.
+func exactTotals(b *evidence.Merger) map[string]uint64 {
 	all := map[string]uint64{}
-	for _, d := range b.Exact() {
-		for name, n := range d.Exact {
-			all[evidence.Name(d.Process, fmt.Sprint(d.Incarnation), name)] = n
+	for _, digest := range b.ExactCounts() {
+		for name, n := range digest.Exact {
+			all[evidence.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)] = n
 		}
 	}
 	return all
 }
 
-// lead begins a leader's time: its book and its decider know nothing.
-func (t *table) lead() {
-	t.book, t.since = evidence.NewBook(), max(t.now, 1)
-	t.decider = debts.New(t.Terms, func(cluster.Seen) map[string]debts.Hall {
-		return map[string]debts.Hall{t.site.Halls[0]: {Out: t.now >= t.Calm && t.now < t.Calm+t.Out+5*time.Second, Left: -1}}
+// startLeader begins a leader's time: its book and its decider know nothing.
+func (s *simulation) startLeader() {
+	s.observations, s.leadingSince = evidence.NewMerger(), max(s.now, 1)
+	s.controller = debts.NewController(s.Terms, func(cluster.ControllerInput) map[string]debts.ZoneStatus {
+		return map[string]debts.ZoneStatus{s.settings.Zones[0]: {FailingOver: s.now >= s.BeforeOutage && s.now < s.BeforeOutage+s.Outage+5*time.Second, Headroom: -1}}
 	})
 }
 
-func (t *table) commit() {
-	if t.now < t.away {
+func (s *simulation) commitTotals() {
+	if s.now < s.leaderlessUntil {
 		return
 	}
-	t.index++
-	t.state.Apply(t.index, tables.Command{Kind: tables.Raise, Table: debts.Exact, Totals: exact(t.book)})
+	s.index++
+	s.state.Apply(s.index, tables.Command{Kind: tables.RaiseTotals, Table: debts.ExactTable, Totals: exactTotals(s.observations)})
 }
 
-func (t *table) totals(table string) map[string]uint64 {
+func (s *simulation) totals(table string) map[string]uint64 {
 	switch {
-	case t.Planted == LostWithLeader:
-		return exact(t.book)
-	case t.Planted == LateTwice:
-		all := maps.Clone(t.heard)
+	case s.PlantedBug == DebtLostWithLeader:
+		return exactTotals(s.observations)
+	case s.PlantedBug == LateDigestCountedTwice:
+		all := maps.Clone(s.receivedTotals)
 		maps.DeleteFunc(all, func(name string, _ uint64) bool { return strings.HasPrefix(name, "last") })
 		return all
 	}
-	return t.state.Totals(table)
+	return s.state.Totals(table)
 }
 
-func (t *table) decide() {
-	if t.now < t.away || t.now >= t.end() {
+func (s *simulation) runController() {
+	if s.now < s.leaderlessUntil || s.now >= s.endTime() {
 		return
 	}
-	entry := t.state.Table(debts.Table)
+	entry := s.state.Table(debts.TableName)
 	held := entry
-	value, write := t.decider.Decide(t.now, cluster.Seen{Sums: t.book.Sums(), Totals: t.totals, Since: t.since,
-		Held: func(string) tables.Entry { return held }})
-	if !write || t.Faults && t.chance.Float64() < 0.1 { // lost against another write, or with the leader
+	value, write := s.controller.Decide(s.now, cluster.ControllerInput{Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
+		Table: func(string) tables.Table { return held }})
+	if !write || s.MessageFaults && s.random.Float64() < 0.1 { // lost against another write, or with the leader
 		return
 	}
-	if t.Planted == SettledTwice {
-		value = t.strike(entry, value)
+	if s.PlantedBug == SettlementAppliedTwice {
+		value = s.applySettlementTwice(entry, value)
 	}
-	t.index++
-	t.state.Apply(t.index, tables.Command{Kind: tables.Write, Table: debts.Table, Epoch: entry.Epoch, Value: value})
+	s.index++
+	s.state.Apply(s.index, tables.Command{Kind: tables.Write, Table: debts.TableName, Epoch: entry.Epoch, Value: value})
 }
 
-// strike is the planted bug: what the shares that stood have moved since is taken off the debts.
-func (t *table) strike(entry tables.Entry, value []byte) []byte {
-	was, _ := debts.Decode(entry.Value)
-	next, _ := debts.Decode(value)
-	for _, s := range was.Shares {
-		moved := float64(s.Part) / debts.Whole * t.Rate * t.Pure * meanUnits * float64(next.Clock-was.Clock)
-		i := slices.IndexFunc(next.Forgiven, func(a debts.Amount) bool { return a.Pair == s.Pair })
+// applySettlementTwice is the planted bug: what the shares that stood have moved since is taken off the debts.
+func (s *simulation) applySettlementTwice(entry tables.Table, value []byte) []byte {
+	was, _ := debts.DecodeState(entry.Value)
+	next, _ := debts.DecodeState(value)
+	for _, share := range was.Shares {
+		moved := float64(share.PPM) / debts.PartsPerMillion * s.RequestRate * s.IdempotentFraction * meanUnits * float64(next.Clock-was.Clock)
+		i := slices.IndexFunc(next.Forgiven, func(a debts.Amount) bool { return a.Pair == share.Pair })
 		if i < 0 {
 			i = len(next.Forgiven)
-			next.Forgiven = append(next.Forgiven, debts.Amount{Pair: s.Pair})
+			next.Forgiven = append(next.Forgiven, debts.Amount{Pair: share.Pair})
 		}
 		next.Forgiven[i].Sum += uint64(moved)
 	}
@@ -159,31 +159,31 @@
 	return b
 }
 
-// faults draws when leaders are lost and processes die.
-func (t *table) faults() {
-	for at := 5 * time.Second; t.Faults && at < t.end(); at += time.Duration(5+t.chance.IntN(25)) * time.Second {
-		t.at(at, func() { t.away = t.now + leaderLost })
-		t.at(at+leaderLost, t.lead)
+// scheduleFaults draws when leaders are lost and processes die.
+func (s *simulation) scheduleFaults() {
+	for at := 5 * time.Second; s.MessageFaults && at < s.endTime(); at += time.Duration(5+s.random.IntN(25)) * time.Second {
+		s.schedule(at, func() { s.leaderlessUntil = s.now + leaderlessTime })
+		s.schedule(at+leaderlessTime, s.startLeader)
 	}
-	for at := 5 * time.Second; t.Deaths && at < t.end(); at += time.Duration(5+t.chance.IntN(20)) * time.Second {
-		t.at(at, func() {
-			t.deaths++
-			t.start(t.gateways[t.chance.IntN(len(t.gateways))])
+	for at := 5 * time.Second; s.GatewayCrashes && at < s.endTime(); at += time.Duration(5+s.random.IntN(20)) * time.Second {
+		s.schedule(at, func() {
+			s.crashes++
+			s.startGateway(s.gateways[s.random.IntN(len(s.gateways))])
 		})
 	}
 }
 
-// look checks each second what must always hold.
-func (t *table) look() {
-	v, _ := debts.Decode(t.state.Table(debts.Table).Value)
-	has := debts.Read(t.totals(debts.Exact))
-	nets := has.Nets(v.Forgiven)
-	for p, owed := range t.had {
-		if has[p] < owed {
-			t.wrong("%v: %d owed, and %d a second before", p, has[p], owed)
+// checkInvariants checks each second what must always hold.
+func (s *simulation) checkInvariants() {
+	state, _ := debts.DecodeState(s.state.Table(debts.TableName).Value)
+	ledger := debts.ReadLedger(s.totals(debts.ExactTable))
+	nets := ledger.NetDebts(state.Forgiven)
+	for p, owed := range s.previousLedger {
+		if ledger[p] < owed {
+			s.addViolation("%v: %d owed, and %d a second before", p, ledger[p], owed)
 		}
 	}
-	t.had = has
+	s.previousLedger = ledger
 	sum, open := int64(0), uint64(0)
 	for _, b := range debts.Balances(nets) {
 		sum += b
@@ -192,49 +192,49 @@
 		open += n.Sum
 	}
 	if sum != 0 {
-		t.wrong("balances sum to %d", sum)
+		s.addViolation("balances sum to %d", sum)
 	}
-	t.result.Peak, t.result.Open = max(t.result.Peak, open), open
-	if after := t.now - t.Calm - t.Out; after > 5*time.Second && t.result.Settled < 0 && open*20 <= t.result.Peak {
-		t.result.Settled = after
+	s.result.PeakDebt, s.result.FinalDebt = max(s.result.PeakDebt, open), open
+	if after := s.now - s.BeforeOutage - s.Outage; after > 5*time.Second && s.result.SettledAfter < 0 && open*20 <= s.result.PeakDebt {
+		s.result.SettledAfter = after
 	}
-	t.result.Moved += t.moved
-	t.result.MovedMost = max(t.result.MovedMost, t.moved)
-	t.moved = 0
+	s.result.Moved += s.movedThisSecond
+	s.result.MaxMovedPerSecond = max(s.result.MaxMovedPerSecond, s.movedThisSecond)
+	s.movedThisSecond = 0
 }
 
-// finish compares the ledger with what truly ran, once all that was counted has been told.
-func (t *table) finish() {
-	for _, g := range t.gateways {
-		t.hear(t.told(g))
-	}
-	t.away = 0
-	t.commit()
-	t.look()
-	v, _ := debts.Decode(t.state.Table(debts.Table).Value)
-	has := debts.Read(t.totals(debts.Exact))
-	for p, owed := range t.truth {
-		switch told := has[p]; {
+// checkFinalLedger compares the ledger with what truly ran, once all that was counted has been told.
+func (s *simulation) checkFinalLedger() {
+	for _, g := range s.gateways {
+		s.receiveDigest(s.newDigest(g))
+	}
+	s.leaderlessUntil = 0
+	s.commitTotals()
+	s.checkInvariants()
+	state, _ := debts.DecodeState(s.state.Table(debts.TableName).Value)
+	ledger := debts.ReadLedger(s.totals(debts.ExactTable))
+	for p, owed := range s.trueDebts {
+		switch told := ledger[p]; {
 		case told > owed:
-			t.wrong("%v: %d owed, %d in the ledger", p, owed, told)
+			s.addViolation("%v: %d owed, %d in the ledger", p, owed, told)
 		default:
-			t.result.Lost += owed - told
+			s.result.Lost += owed - told
 		}
 	}
 	// A process that dies without a disk loses what it counted since its latest digest that came, and what is out.
-	each := t.Rate / float64(t.Gateways) * meanUnits * 1000 * lostOver.Seconds()
-	if most := float64(t.deaths) * each; t.Disks && t.result.Lost > 0 || float64(t.result.Lost) > most {
-		t.wrong("%d lost in %d deaths", t.result.Lost, t.deaths)
+	each := s.RequestRate / float64(s.GatewaysPerZone) * meanUnits * 1000 * maxLossSpan.Seconds()
+	if most := float64(s.crashes) * each; s.WithStores && s.result.Lost > 0 || float64(s.result.Lost) > most {
+		s.addViolation("%d lost in %d deaths", s.result.Lost, s.crashes)
 	}
-	truth := debts.Ledger(t.truth).Nets(nil)
-	if shown := has.Nets(v.Forgiven); t.Terms.ForgiveAfter == 0 && t.result.Lost == 0 && !slices.Equal(truth, shown) {
-		t.wrong("open: %v, truly %v", shown, truth)
+	truth := debts.Ledger(s.trueDebts).NetDebts(nil)
+	if shown := ledger.NetDebts(state.Forgiven); s.Terms.ForgiveAfter == 0 && s.result.Lost == 0 && !slices.Equal(truth, shown) {
+		s.addViolation("open: %v, truly %v", shown, truth)
 	}
-	for of := range t.Partners {
-		t.result.InTime = append(t.result.InTime, float64(t.tries[1][of])/float64(max(t.tries[0][of], 1)))
+	for partner := range s.Partners {
+		s.result.OnTime = append(s.result.OnTime, float64(s.firstAttempts[1][partner])/float64(max(s.firstAttempts[0][partner], 1)))
 	}
 }
 
-func (t *table) wrong(format string, a ...any) {
-	t.result.Wrong = append(t.result.Wrong, fmt.Sprintf(format, a...))
+func (s *simulation) addViolation(format string, a ...any) {
+	s.result.Violations = append(s.result.Violations, fmt.Sprintf(format, a...))
 }
--- a/internal/debts/play/play.go
+++ b/internal/debts/play/play.go
@@ -17,214 +17,216 @@
 )
 
 const (
-	step       = time.Millisecond
-	soft       = 600 * time.Millisecond
-	patience   = 2 * time.Second
-	unitTakes  = 20 * time.Millisecond
-	digestAt   = 200 * time.Millisecond
-	commitAt   = time.Second
-	leaseFor   = 2 * time.Second
-	meanUnits  = 2.0
-	nearRoom   = soft / 4        // a hall whose queue is longer has no room for tasks that settle
-	lostOver   = 4 * time.Second // digests lost in a row, a leader lost, and the longest that pushes are out
-	leaderLost = 1500 * time.Millisecond
+	tick             = time.Millisecond
+	latencyObjective = 600 * time.Millisecond
+	requestTimeout   = 2 * time.Second
+	timePerUnit      = 20 * time.Millisecond
+	digestInterval   = 200 * time.Millisecond
+	commitInterval   = time.Second
+	leaseDuration    = 2 * time.Second
+	meanUnits        = 2.0
+	maxElectiveQueue = latencyObjective / 4 // a hall whose queue is longer has no room for tasks that settle
+	maxLossSpan      = 4 * time.Second      // digests lost in a row, a leader lost, and the longest that pushes are out
+	leaderlessTime   = 1500 * time.Millisecond
 )
 
 type gateway struct {
 	name        string
-	hall        int
-	till        *till.Till
+	zone        int
+	accounts    *till.Accounts
 	incarnation uint64
 	serial      uint64
-	disk        *memory
-	claims      map[*till.Claim]bool
+	store       *memoryStore
+	trackers    map[*till.RequestTracker]bool
 }
 
-type table struct {
-	*World
-	chance   *rand.Rand
-	now      time.Duration
-	agenda   agenda
-	n        int
-	names    []string
-	site     till.Site
-	gateways []*gateway
-	halls    [][]time.Duration // when each server is free
-	state    *tables.State
-	index    uint64
-	book     *evidence.Book
-	decider  cluster.Decider
-	since    time.Duration // when the leader began to lead
-	away     time.Duration // no leader until then
-	heard    map[string]uint64
-	truth    map[debts.Pair]uint64
-	had      debts.Ledger // a second before
-	deaths   int
-	tries    [2][]int // after the outage: first tries, in time
-	moved    int
-	result   Result
+type simulation struct {
+	*Scenario
+	random          *rand.Rand
+	now             time.Duration
+	events          eventQueue
+	eventCount      int
+	partnerNames    []string
+	settings        till.Settings
+	gateways        []*gateway
+	serverFreeAt    [][]time.Duration // when each server is free
+	state           *tables.State
+	index           uint64
+	observations    *evidence.Merger
+	controller      cluster.Controller
+	leadingSince    time.Duration // when the leader began to lead
+	leaderlessUntil time.Duration // no leader until then
+	receivedTotals  map[string]uint64
+	trueDebts       map[debts.Pair]uint64
+	previousLedger  debts.Ledger // a second before
+	crashes         int
+	firstAttempts   [2][]int // after the outage: first tries, in time
+	movedThisSecond int
+	result          Result
 }
 
-// Play plays it.
-func Play(w World) Result {
-	t := &table{World: &w, chance: rand.New(rand.NewPCG(w.Seed, 1)), state: tables.New(), book: evidence.NewBook(),
-		heard: map[string]uint64{}, truth: map[debts.Pair]uint64{}}
-	t.tries = [2][]int{make([]int, w.Partners), make([]int, w.Partners)}
-	t.result.Settled = -1
-	for i := range w.Partners {
-		p, servers := &t.Terms.Partners[i], w.Servers
-		if i == 0 && w.Weak > 0 {
-			servers = w.Weak
+// Run plays it.
+func Run(scenario Scenario) Result {
+	s := &simulation{Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: tables.New(), observations: evidence.NewMerger(),
+		receivedTotals: map[string]uint64{}, trueDebts: map[debts.Pair]uint64{}}
+	s.firstAttempts = [2][]int{make([]int, scenario.Partners), make([]int, scenario.Partners)}
+	s.result.SettledAfter = -1
+	for i := range scenario.Partners {
+		p, servers := &s.Terms.Partners[i], scenario.ServersPerZone
+		if i == 0 && scenario.FirstZoneServers > 0 {
+			servers = scenario.FirstZoneServers
 		}
-		t.names = append(t.names, p.Name)
-		t.site.Halls = append(t.site.Halls, p.Halls[0])
-		t.halls = append(t.halls, make([]time.Duration, servers))
+		s.partnerNames = append(s.partnerNames, p.Name)
+		s.settings.Zones = append(s.settings.Zones, p.Zones[0])
+		s.serverFreeAt = append(s.serverFreeAt, make([]time.Duration, servers))
 	}
-	t.site.Plans = []string{"plan"}
-	t.site.Lanes = []policy.Lane{{SoftLimit: soft, Patience: patience, Effect: policy.Pure},
-		{SoftLimit: soft, Patience: patience, Effect: policy.Effectful}}
-	for i := range w.Partners * w.Gateways {
-		g := &gateway{name: fmt.Sprintf("g%d", i), hall: i % w.Partners, claims: map[*till.Claim]bool{}}
-		if w.Disks {
-			g.disk = &memory{}
+	s.settings.Plans = []string{"plan"}
+	s.settings.Classes = []policy.TrafficClass{{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.Idempotent},
+		{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.NonIdempotent}}
+	for i := range scenario.Partners * scenario.GatewaysPerZone {
+		g := &gateway{name: fmt.Sprintf("g%d", i), zone: i % scenario.Partners, trackers: map[*till.RequestTracker]bool{}}
+		if scenario.WithStores {
+			g.store = &memoryStore{}
 		}
-		t.gateways = append(t.gateways, g)
-		t.start(g)
-		t.every(digestAt, time.Duration(i)*7*step, func() { t.digest(g) })
+		s.gateways = append(s.gateways, g)
+		s.startGateway(g)
+		s.scheduleEvery(digestInterval, time.Duration(i)*7*tick, func() { s.exchangeDigest(g) })
 	}
-	t.lead()
-	t.every(commitAt, commitAt, t.commit)
-	if w.Settle {
-		t.every(digestAt, 3*step, t.decide)
+	s.startLeader()
+	s.scheduleEvery(commitInterval, commitInterval, s.commitTotals)
+	if scenario.WithController {
+		s.scheduleEvery(digestInterval, 3*tick, s.runController)
 	}
-	t.every(time.Second, time.Second, t.look)
-	t.faults()
-	end := w.Calm + w.Out + w.After
-	t.every(step, step, t.arrive)
-	for t.now < end+10*time.Second && len(t.agenda) > 0 {
-		e := heap.Pop(&t.agenda).(event)
-		t.now = e.at
-		e.do()
+	s.scheduleEvery(time.Second, time.Second, s.checkInvariants)
+	s.scheduleFaults()
+	end := scenario.BeforeOutage + scenario.Outage + scenario.AfterOutage
+	s.scheduleEvery(tick, tick, s.generateRequests)
+	for s.now < end+10*time.Second && len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
+		e.run()
 	}
-	t.finish()
-	return t.result
+	s.checkFinalLedger()
+	return s.result
 }
 
-// keep writes the counts to disk, where there is one.
-func (g *gateway) keep() {
-	if g.disk != nil {
-		_ = g.till.Put(g.disk)
+// persist writes the counts to disk, where there is one.
+func (g *gateway) persist() {
+	if g.store != nil {
+		_ = g.accounts.Persist(g.store)
 	}
 }
 
-func (t *table) end() time.Duration { return t.Calm + t.Out + t.After }
+func (s *simulation) endTime() time.Duration { return s.BeforeOutage + s.Outage + s.AfterOutage }
 
-func (t *table) at(at time.Duration, do func()) {
-	t.n++
-	heap.Push(&t.agenda, event{at, t.n, do})
+func (s *simulation) schedule(at time.Duration, do func()) {
+	s.eventCount++
+	heap.Push(&s.events, event{at, s.eventCount, do})
 }
 
-func (t *table) every(apart, first time.Duration, do func()) {
+func (s *simulation) scheduleEvery(apart, first time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
-		t.at(t.now+apart, again)
+		s.schedule(s.now+apart, again)
 	}
-	t.at(first, again)
+	s.schedule(first, again)
 }
 
-// start begins a life of a gateway's process.
-func (t *table) start(g *gateway) {
+// startGateway begins a life of a gateway's process.
+func (s *simulation) startGateway(g *gateway) {
 	g.incarnation, g.serial = g.incarnation+1, 0
-	clear(g.claims)
-	life := fmt.Sprintf("%s.%d", g.name, g.incarnation)
-	seed := t.Seed<<20 + g.incarnation<<10 + uint64(len(g.name)+g.hall)
-	g.till = till.New(t.Terms, t.site, life, seed, func() time.Duration { return t.now })
-	if g.disk != nil {
-		g.till.Load(g.disk)
+	clear(g.trackers)
+	ledgerID := fmt.Sprintf("%s.%d", g.name, g.incarnation)
+	seed := s.Seed<<20 + g.incarnation<<10 + uint64(len(g.name)+g.zone)
+	g.accounts = till.New(s.Terms, s.settings, ledgerID, seed, func() time.Duration { return s.now })
+	if g.store != nil {
+		g.accounts.Restore(g.store)
 	}
 }
 
-// arrive has tasks come in, and be pushed: near, or where they settle a debt, or while their hall is out to the others.
-func (t *table) arrive() {
-	if t.now >= t.end() {
+// generateRequests has tasks come in, and be pushed: near, or where they settle a debt, or while their hall is out to the others.
+func (s *simulation) generateRequests() {
+	if s.now >= s.endTime() {
 		return
 	}
-	for of := range t.Partners {
-		if t.chance.Float64() >= t.Rate*step.Seconds() {
+	for partner := range s.Partners {
+		if s.random.Float64() >= s.RequestRate*tick.Seconds() {
 			continue
 		}
-		g := t.gateways[of+t.Partners*t.chance.IntN(t.Gateways)]
-		units := max(t.chance.ExpFloat64()*meanUnits, 0.1)
-		task := policy.Task{Customer: uint64(of+1) << 16, Units: meanUnits, Lane: 1}
-		if t.chance.Float64() < t.Pure {
-			task.Lane = 0
+		g := s.gateways[partner+s.Partners*s.random.IntN(s.GatewaysPerZone)]
+		trueUnits := max(s.random.ExpFloat64()*meanUnits, 0.1)
+		request := policy.Request{Customer: uint64(partner+1) << 16, Units: meanUnits, Class: 1}
+		if s.random.Float64() < s.IdempotentFraction {
+			request.Class = 0
 		}
-		c := g.till.Enter(t.now, task)
-		hall := of
-		if d := c.Prefer(); d > 0 && (t.Blind || t.wait(d-1) < nearRoom) && !t.out(d-1) {
-			hall = d - 1
-			t.moved++
+		tracker := g.accounts.TrackRequest(s.now, request)
+		zone := partner
+		if d := tracker.PreferredPartner(); d > 0 && (s.IgnoreQueues || s.queueDelay(d-1) < maxElectiveQueue) && !s.isZoneOut(d-1) {
+			zone = d - 1
+			s.movedThisSecond++
 		}
-		if t.out(hall) {
-			hall = (of + 1 + t.chance.IntN(t.Partners-1)) % t.Partners
+		if s.isZoneOut(zone) {
+			zone = (partner + 1 + s.random.IntN(s.Partners-1)) % s.Partners
 		}
-		t.push(g, c, of, hall, units)
+		s.attempt(g, tracker, partner, zone, trueUnits)
 	}
 }
 
-func (t *table) out(hall int) bool { return hall == 0 && t.now >= t.Calm && t.now < t.Calm+t.Out }
+func (s *simulation) isZoneOut(zone int) bool {
+	return zone == 0 && s.now >= s.BeforeOutage && s.now < s.BeforeOutage+s.Outage
+}
 
-// wait is the queue of a hall.
-func (t *table) wait(hall int) time.Duration {
-	first := t.halls[hall][0]
-	for _, free := range t.halls[hall] {
+// queueDelay is the queue of a hall.
+func (s *simulation) queueDelay(zone int) time.Duration {
+	first := s.serverFreeAt[zone][0]
+	for _, free := range s.serverFreeAt[zone] {
 		first = min(first, free)
 	}
-	return max(first-t.now, 0)
+	return max(first-s.now, 0)
 }
 
-func (t *table) push(g *gateway, c *till.Claim, of, hall int, units float64) {
-	c.Sent(hall)
-	g.claims[c] = true
-	g.keep()
-	first := 0
-	for i, free := range t.halls[hall] {
-		if free < t.halls[hall][first] {
-			first = i
+func (s *simulation) attempt(g *gateway, tracker *till.RequestTracker, partner, zone int, trueUnits float64) {
+	tracker.OnAttemptStart(zone)
+	g.trackers[tracker] = true
+	g.persist()
+	nextFree := 0
+	for i, free := range s.serverFreeAt[zone] {
+		if free < s.serverFreeAt[zone][nextFree] {
+			nextFree = i
 		}
 	}
-	takes := time.Duration(units * float64(unitTakes))
-	if t.Slow > 0 && hall == 1 && t.now >= t.Slow && t.now < t.Slow+20*time.Second {
-		takes *= 3
+	serviceTime := time.Duration(trueUnits * float64(timePerUnit))
+	if s.SlowFrom > 0 && zone == 1 && s.now >= s.SlowFrom && s.now < s.SlowFrom+20*time.Second {
+		serviceTime *= 3
 	}
-	began := t.now
-	over := max(t.halls[hall][first], t.now) + takes
-	t.halls[hall][first] = over
-	how, billed, owed := policy.Answered, units, debts.Thousandths(units)
-	if over-began > patience {
-		over, how, billed, owed = began+patience, policy.TimedOut, 0, debts.Thousandths(meanUnits)
+	startedAt := s.now
+	endsAt := max(s.serverFreeAt[zone][nextFree], s.now) + serviceTime
+	s.serverFreeAt[zone][nextFree] = endsAt
+	outcome, billedUnits, owed := policy.Answered, trueUnits, debts.Thousandths(trueUnits)
+	if endsAt-startedAt > requestTimeout {
+		endsAt, outcome, billedUnits, owed = startedAt+requestTimeout, policy.TimedOut, 0, debts.Thousandths(meanUnits)
 	}
-	if began >= t.Calm+t.Out {
-		t.tries[0][of]++
-		if over-began <= soft {
-			t.tries[1][of]++
+	if startedAt >= s.BeforeOutage+s.Outage {
+		s.firstAttempts[0][partner]++
+		if endsAt-startedAt <= latencyObjective {
+			s.firstAttempts[1][partner]++
 		}
 	}
-	p := debts.Pair{Debtor: t.names[of], Creditor: t.names[hall]}
-	t.at(over, func() {
-		if !g.claims[c] { // its process has died: kept as told where there is a disk
+	p := debts.Pair{Debtor: s.partnerNames[partner], Creditor: s.partnerNames[zone]}
+	s.schedule(endsAt, func() {
+		if !g.trackers[tracker] { // its process has died: kept as told where there is a disk
 			owed = debts.Thousandths(meanUnits)
 		} else {
-			delete(g.claims, c)
-			c.Back(t.now, how, billed)
-			g.keep()
-			if how != policy.Answered {
-				c.Ended(false)
+			delete(g.trackers, tracker)
+			tracker.OnAttemptEnd(s.now, outcome, billedUnits)
+			g.persist()
+			if outcome != policy.Answered {
+				tracker.OnRequestEnd(false)
 			}
 		}
-		if of != hall {
-			t.truth[p] += owed
+		if partner != zone {
+			s.trueDebts[p] += owed
 		}
 	})
 }
--- a/internal/debts/play/world.go
+++ b/internal/debts/play/world.go
@@ -6,57 +6,57 @@
 	"harrierhoist/internal/debts"
 )
 
-// World says what is played. Partners bring a hall each.
-type World struct {
-	Seed     uint64
-	Terms    debts.Terms
-	Partners int
-	Gateways int           // in each hall
-	Rate     float64       // tasks a second of each partner
-	Pure     float64       // part of them that are pure
-	Servers  int           // in each hall; each does one task at a time
-	Weak     int           // servers in the first hall, if others than in the rest
-	Calm     time.Duration // before the first partner's hall is lost
-	Out      time.Duration // how long it is lost
-	After    time.Duration
-	Blind    bool // gateways don't see the queues that they push to to settle
-	Settle   bool // false: the same without a decider
+// Scenario says what is played. Partners bring a hall each.
+type Scenario struct {
+	Seed               uint64
+	Terms              debts.Terms
+	Partners           int
+	GatewaysPerZone    int           // in each hall
+	RequestRate        float64       // tasks a second of each partner
+	IdempotentFraction float64       // part of them that are pure
+	ServersPerZone     int           // in each hall; each does one task at a time
+	FirstZoneServers   int           // servers in the first hall, if others than in the rest
+	BeforeOutage       time.Duration // before the first partner's hall is lost
+	Outage             time.Duration // how long it is lost
+	AfterOutage        time.Duration
+	IgnoreQueues       bool // gateways don't see the queues that they push to to settle
+	WithController     bool // false: the same without a decider
 
-	Faults  bool          // digests go wrong, leaders change
-	Deaths  bool          // gateways die
-	Disks   bool          // gateways keep their counts
-	Planted string        // name of a planted bug; empty: none
-	Slow    time.Duration // from when the halls of the second partner are slow for a while; 0: never
+	MessageFaults  bool          // digests go wrong, leaders change
+	GatewayCrashes bool          // gateways die
+	WithStores     bool          // gateways keep their counts
+	PlantedBug     string        // name of a planted bug; empty: none
+	SlowFrom       time.Duration // from when the halls of the second partner are slow for a while; 0: never
 }
 
 // Result is what came of it.
 type Result struct {
-	Peak      uint64        // largest sum of net debts, in thousandths
-	Settled   time.Duration // from the end of the outage until 5 % of the peak is left; below 0: never
-	InTime    []float64     // by partner, of first tries after the outage
-	Open      uint64        // sum of net debts at the end
-	Moved     int           // pushes made to settle
-	MovedMost int           // in any second
-	Lost      uint64        // units that the log never heard of, in thousandths
-	Wrong     []string      // what no run may show
+	PeakDebt          uint64        // largest sum of net debts, in thousandths
+	SettledAfter      time.Duration // from the end of the outage until 5 % of the peak is left; below 0: never
+	OnTime            []float64     // by partner, of first tries after the outage
+	FinalDebt         uint64        // sum of net debts at the end
+	Moved             int           // pushes made to settle
+	MaxMovedPerSecond int           // in any second
+	Lost              uint64        // units that the log never heard of, in thousandths
+	Violations        []string      // what no run may show
 }
 
 // event is what happens at a time.
 type event struct {
-	at time.Duration
-	n  int // the order of those at one time
-	do func()
+	at       time.Duration
+	sequence int // the order of those at one time
+	run      func()
 }
 
-type agenda []event
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].n < a[k].n
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, k int) bool {
+	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].sequence < a[k].sequence
 }
-func (a agenda) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	e := old[len(old)-1]
 	*a = old[:len(old)-1]
--- a/internal/debts/roll.go
+++ b/internal/debts/roll.go
@@ -5,61 +5,61 @@
 	"sort"
 )
 
-// Roll tells whose a customer and a hall are. Partners are numbered from 1 in the order of the file; 0 is none.
-type Roll struct {
-	Names []string // by number; the first is empty
-	spans []span
-	plans []int // by the plan's number
-	halls []int // by the hall's number
+// PartnerIndex tells whose a customer and a hall are. Partners are numbered from 1 in the order of the file; 0 is none.
+type PartnerIndex struct {
+	Names          []string // by number; the first is empty
+	customerRanges []customerRange
+	planPartners   []int // by the plan's number
+	zonePartners   []int // by the hall's number
 }
 
-// NewRoll makes the roll for halls and plans in the order in which a gateway numbers them.
-func NewRoll(t Terms, halls, plans []string) *Roll {
-	r := &Roll{Names: []string{""}, plans: make([]int, len(plans)), halls: make([]int, len(halls))}
-	r.spans, _ = t.spans()
-	for i, p := range t.Partners {
-		r.Names = append(r.Names, p.Name)
-		for k, name := range halls {
-			if slices.Contains(p.Halls, name) {
-				r.halls[k] = i + 1
+// NewPartnerIndex makes the roll for halls and plans in the order in which a gateway numbers them.
+func NewPartnerIndex(terms Terms, zones, plans []string) *PartnerIndex {
+	index := &PartnerIndex{Names: []string{""}, planPartners: make([]int, len(plans)), zonePartners: make([]int, len(zones))}
+	index.customerRanges, _ = terms.customerRanges()
+	for i, p := range terms.Partners {
+		index.Names = append(index.Names, p.Name)
+		for k, name := range zones {
+			if slices.Contains(p.Zones, name) {
+				index.zonePartners[k] = i + 1
 			}
 		}
 		for k, name := range plans {
 			if slices.Contains(p.Plans, name) {
-				r.plans[k] = i + 1
+				index.planPartners[k] = i + 1
 			}
 		}
 	}
-	return r
+	return index
 }
 
-// Partner is whose task one of a customer under a plan is.
-func (r *Roll) Partner(customer uint64, plan int) int {
-	i := sort.Search(len(r.spans), func(i int) bool { return r.spans[i].to >= customer })
-	if i < len(r.spans) && r.spans[i].from <= customer {
-		return r.spans[i].partner
+// PartnerOf is whose task one of a customer under a plan is.
+func (index *PartnerIndex) PartnerOf(customer uint64, plan int) int {
+	i := sort.Search(len(index.customerRanges), func(i int) bool { return index.customerRanges[i].last >= customer })
+	if i < len(index.customerRanges) && index.customerRanges[i].first <= customer {
+		return index.customerRanges[i].partner
 	}
-	if plan < 0 || plan >= len(r.plans) {
+	if plan < 0 || plan >= len(index.planPartners) {
 		return 0
 	}
-	return r.plans[plan]
+	return index.planPartners[plan]
 }
 
-// Owner is whose a hall is.
-func (r *Roll) Owner(hall int) int {
-	if hall < 0 || hall >= len(r.halls) {
+// ZoneOwner is whose a hall is.
+func (index *PartnerIndex) ZoneOwner(zone int) int {
+	if zone < 0 || zone >= len(index.zonePartners) {
 		return 0
 	}
-	return r.halls[hall]
+	return index.zonePartners[zone]
 }
 
-// Halls is how many halls there are.
-func (r *Roll) Halls() int { return len(r.halls) }
+// ZoneCount is how many halls there are.
+func (index *PartnerIndex) ZoneCount() int { return len(index.zonePartners) }
 
-// Number is a partner's, by name; 0 where the file has none of that name.
-func (r *Roll) Number(name string) int {
+// PartnerNumber is a partner's, by name; 0 where the file has none of that name.
+func (index *PartnerIndex) PartnerNumber(name string) int {
 	if name == "" {
 		return 0
 	}
-	return max(slices.Index(r.Names, name), 0)
+	return max(slices.Index(index.Names, name), 0)
 }
--- a/internal/debts/settle.go
+++ b/internal/debts/settle.go
@@ -10,229 +10,231 @@
 )
 
 const (
-	beat       = time.Second      // between decisions: voters write exact totals once a second
-	rateOver   = 10               // beats over which rates are taken
-	rateBeats  = 3                // beats that a leader has seen before it steers
-	tailOver   = 5 * time.Second  // after shares end, what they moved is still on its way
-	renewEvery = 5 * time.Second  // shares that stand are written again, so that gateways know that a decider lives
-	clockEvery = 60 * time.Second // the same for the clock by which debts age
-	episode    = 300_000          // ms of settling after which it rests, to see anew how partners fare without
-	rest       = 15_000           // ms: the tail, and some seconds to see
-	waitMost   = 30 * time.Second // for partners of which too little was seen to begin with all that may
-	change     = 0.1              // part by which a share or a net debt must change to be written
+	decisionInterval  = time.Second      // between decisions: voters write exact totals once a second
+	rateWindow        = 10               // beats over which rates are taken
+	minRateSamples    = 3                // beats that a leader has seen before it steers
+	settlementTail    = 5 * time.Second  // after shares end, what they moved is still on its way
+	renewInterval     = 5 * time.Second  // shares that stand are written again, so that gateways know that a decider lives
+	clockInterval     = 60 * time.Second // the same for the clock by which debts age
+	maxEpisodeMillis  = 300_000          // ms of settling after which it rests, to see anew how partners fare without
+	restMillis        = 15_000           // ms: the tail, and some seconds to see
+	maxBaselineWait   = 30 * time.Second // for partners of which too little was seen to begin with all that may
+	minChangeFraction = 0.1              // part by which a share or a net debt must change to be written
 )
 
 // StaleAfter is how long a gateway goes by shares that nobody writes again: the leader may have no decider.
-const StaleAfter = 3 * renewEvery
+const StaleAfter = 3 * renewInterval
 
-// Hall is what failover says of a hall.
-type Hall struct {
-	Out  bool    // the plan in force moves its tasks away, or lets them back by steps
-	Left float64 // part of its strength that is left; below 0: not known
+// ZoneStatus is what failover says of a hall.
+type ZoneStatus struct {
+	FailingOver bool    // the plan in force moves its tasks away, or lets them back by steps
+	Headroom    float64 // part of its strength that is left; below 0: not known
 }
 
-// Halls gives what failover says, by name; halls not named are taken to be well. Nil where failover is off.
-type Halls func(seen cluster.Seen) map[string]Hall
+// ZoneStatusFunc gives what failover says, by name; halls not named are taken to be well. Nil where failover is off.
+type ZoneStatusFunc func(seen cluster.ControllerInput) map[string]ZoneStatus
 
-// Decider turns debts into shares. It keeps what this leader saw, and nothing of what it decided: that is read from
+// Controller turns debts into shares. It keeps what this leader saw, and nothing of what it decided: that is read from
 // the table, and what is owed from the totals of the log.
-type Decider struct {
-	terms Terms
-	halls Halls
-
-	since, at time.Duration // when this process began to lead; the latest look
-	looks     []look        // the latest rateOver + 1
-	calm      map[string]*tally
-	tried     map[string]*tally // while shares stand
-	recent    map[string]*tally // of these, since paces were last changed
-	settled   time.Duration     // when shares last stood
-	paced     time.Duration     // when paces were last changed
-	epoch     uint64            // of the table
-	written   time.Duration     // when it was first seen at that epoch
+type Controller struct {
+	terms      Terms
+	zoneStatus ZoneStatusFunc
+
+	leadingSince, sampledAt time.Duration // when this process began to lead; the latest look
+	samples                 []sample      // the latest rateOver + 1
+	baseline                map[string]*serviceStats
+	duringSettlement        map[string]*serviceStats // while shares stand
+	sincePaceChange         map[string]*serviceStats // of these, since paces were last changed
+	lastSettlingAt          time.Duration            // when shares last stood
+	paceChangedAt           time.Duration            // when paces were last changed
+	epoch                   uint64                   // of the table
+	epochSeenAt             time.Duration            // when it was first seen at that epoch
 }
 
-// look is what all gateways had counted at a time.
-type look struct {
-	at   time.Duration
-	sums map[string]uint64 // ours alone
+// sample is what all gateways had counted at a time.
+type sample struct {
+	at     time.Duration
+	counts map[string]uint64 // ours alone
 }
 
-var _ cluster.Decider = (*Decider)(nil)
+var _ cluster.Controller = (*Controller)(nil)
 
-// New makes a decider; halls may be nil. The terms must have passed their Check.
-func New(t Terms, halls Halls) *Decider { return &Decider{terms: t, halls: halls} }
+// NewController makes a decider; halls may be nil. The terms must have passed their Check.
+func NewController(terms Terms, zoneStatus ZoneStatusFunc) *Controller {
+	return &Controller{terms: terms, zoneStatus: zoneStatus}
+}
 
 // Table is the table that it writes.
-func (d *Decider) Table() string { return Table }
+func (c *Controller) Table() string { return TableName }
 
 // Decide gives the next value of the table, at most once a beat. A value that cannot be read is left as it stands:
 // gateways go by none such.
-func (d *Decider) Decide(now time.Duration, seen cluster.Seen) ([]byte, bool) {
-	if d.calm == nil || seen.Since != d.since {
-		*d = Decider{terms: d.terms, halls: d.halls, since: seen.Since, settled: now, calm: map[string]*tally{},
-			tried: map[string]*tally{}, recent: map[string]*tally{}}
-	} else if now < d.at+beat {
+func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) ([]byte, bool) {
+	if c.baseline == nil || seen.LeadingSince != c.leadingSince {
+		*c = Controller{terms: c.terms, zoneStatus: c.zoneStatus, leadingSince: seen.LeadingSince, lastSettlingAt: now, baseline: map[string]*serviceStats{},
+			duringSettlement: map[string]*serviceStats{}, sincePaceChange: map[string]*serviceStats{}}
+	} else if now < c.sampledAt+decisionInterval {
 		return nil, false
 	}
-	entry := seen.Held(Table)
-	was, err := Decode(entry.Value)
+	entry := seen.Table(TableName)
+	current, err := DecodeState(entry.Value)
 	if err != nil {
 		return nil, false
 	}
-	if entry.Epoch != d.epoch || d.looks == nil {
-		d.epoch, d.written = entry.Epoch, now
-	}
-	shut := d.shut(seen)
-	d.look(now, seen.Sums, was, len(shut) > 0)
-	next := was.clone()
-	next.Clock += uint64((now - d.written).Milliseconds())
-	ledger := Read(seen.Totals(Exact))
-	next.Nets = ledger.Nets(next.Forgiven)
-	next.age(next.Nets, d.terms)
-	next.Nets = ledger.Nets(next.Forgiven)
+	if entry.Epoch != c.epoch || c.samples == nil {
+		c.epoch, c.epochSeenAt = entry.Epoch, now
+	}
+	excluded := c.excludedPartners(seen)
+	c.recordSample(now, seen.Sums, current, len(excluded) > 0)
+	next := current.clone()
+	next.Clock += uint64((now - c.epochSeenAt).Milliseconds())
+	ledger := ReadLedger(seen.Totals(ExactTable))
+	next.Nets = ledger.NetDebts(next.Forgiven)
+	next.ageDebts(next.Nets, c.terms)
+	next.Nets = ledger.NetDebts(next.Forgiven)
 	next.Shares = nil
-	if d.terms.On {
-		d.pace(now, was, &next)
-		d.steer(now, shut, was, &next)
+	if c.terms.On {
+		c.adjustPaces(now, current, &next)
+		c.setShares(now, excluded, current, &next)
 	}
-	if !d.worth(now, was, next) {
+	if !c.hasSignificantChange(now, current, next) {
 		return nil, false
 	}
 	value, err := next.Encode()
 	return value, err == nil
 }
 
-// look takes in what was counted since the last one. While failover is at work nothing tells how partners fare without
+// recordSample takes in what was counted since the last one. While failover is at work nothing tells how partners fare without
 // a settlement, nor do the queues that it leaves.
-func (d *Decider) look(now time.Duration, sums map[string]uint64, was Value, moves bool) {
-	l := look{now, map[string]uint64{}}
+func (c *Controller) recordSample(now time.Duration, sums map[string]uint64, current State, failingOver bool) {
+	latest := sample{now, map[string]uint64{}}
 	for name, n := range sums {
-		if strings.HasPrefix(name, ours) {
-			l.sums[name] = n
+		if strings.HasPrefix(name, metricPrefix) {
+			latest.counts[name] = n
 		}
 	}
-	if moves {
-		clear(d.calm)
+	if failingOver {
+		clear(c.baseline)
 	}
-	if len(was.Shares) > 0 || moves {
-		d.settled = now
+	if len(current.Shares) > 0 || failingOver {
+		c.lastSettlingAt = now
 	}
-	if len(was.Shares) == 0 {
-		clear(d.tried)
-		clear(d.recent)
+	if len(current.Shares) == 0 {
+		clear(c.duringSettlement)
+		clear(c.sincePaceChange)
 	}
-	if n := len(d.looks); n > 0 {
-		before := d.looks[n-1]
-		for _, p := range d.terms.Partners {
-			grown := func(what What) float64 {
-				return float64(l.sums[Count(what, p.Name)] - min(before.sums[Count(what, p.Name)], l.sums[Count(what, p.Name)]))
+	if n := len(c.samples); n > 0 {
+		previous := c.samples[n-1]
+		for _, p := range c.terms.Partners {
+			growth := func(metric Metric) float64 {
+				return float64(latest.counts[MetricName(metric, p.Name)] - min(previous.counts[MetricName(metric, p.Name)], latest.counts[MetricName(metric, p.Name)]))
 			}
-			to := d.tried
-			if len(was.Shares) == 0 {
-				if now < d.settled+tailOver {
+			to := c.duringSettlement
+			if len(current.Shares) == 0 {
+				if now < c.lastSettlingAt+settlementTail {
 					continue
 				}
-				to = d.calm
+				to = c.baseline
 			}
 			if to[p.Name] == nil {
-				to[p.Name] = &tally{}
+				to[p.Name] = &serviceStats{}
 			}
-			more := tally{grown(Tasks), grown(Late), grown(Slow)}
-			to[p.Name].add(more, now-before.at)
-			if d.recent[p.Name] == nil {
-				d.recent[p.Name] = &tally{}
+			more := serviceStats{growth(MetricRequests), growth(MetricLate), growth(MetricSlow)}
+			to[p.Name].add(more, now-previous.at)
+			if c.sincePaceChange[p.Name] == nil {
+				c.sincePaceChange[p.Name] = &serviceStats{}
 			}
-			d.recent[p.Name].add(more, 0)
+			c.sincePaceChange[p.Name].add(more, 0)
 		}
 	}
-	d.at, d.looks = now, append(d.looks, l)
-	d.looks = d.looks[max(0, len(d.looks)-rateOver-1):]
+	c.sampledAt, c.samples = now, append(c.samples, latest)
+	c.samples = c.samples[max(0, len(c.samples)-rateWindow-1):]
 }
 
 // rate is a count's growth a second.
-func (d *Decider) rate(what What, partner string) float64 {
-	first, last := d.looks[0], d.looks[len(d.looks)-1]
-	a, b := first.sums[Count(what, partner)], last.sums[Count(what, partner)]
-	if b <= a || last.at <= first.at {
+func (c *Controller) rate(metric Metric, partner string) float64 {
+	first, last := c.samples[0], c.samples[len(c.samples)-1]
+	firstValue, lastValue := first.counts[MetricName(metric, partner)], last.counts[MetricName(metric, partner)]
+	if lastValue <= firstValue || last.at <= first.at {
 		return 0
 	}
-	return float64(b-a) / (last.at - first.at).Seconds()
+	return float64(lastValue-firstValue) / (last.at - first.at).Seconds()
 }
 
-// pace judges those that have a part in the settlement that stands.
-func (d *Decider) pace(now time.Duration, was Value, next *Value) {
-	if len(was.Shares) == 0 || now < d.paced+paceEvery {
+// adjustPaces judges those that have a part in the settlement that stands.
+func (c *Controller) adjustPaces(now time.Duration, current State, next *State) {
+	if len(current.Shares) == 0 || now < c.paceChangedAt+paceInterval {
 		return
 	}
-	d.paced = now
-	parts := map[string]bool{}
-	for _, s := range was.Shares {
-		parts[s.Debtor], parts[s.Creditor] = true, true
+	c.paceChangedAt = now
+	participants := map[string]bool{}
+	for _, s := range current.Shares {
+		participants[s.Debtor], participants[s.Creditor] = true, true
 	}
-	for _, p := range d.terms.Partners {
-		if !parts[p.Name] || d.tried[p.Name] == nil {
+	for _, p := range c.terms.Partners {
+		if !participants[p.Name] || c.duringSettlement[p.Name] == nil {
 			continue
 		}
-		s := next.standing(p.Name)
-		how := judge(s, *d.tried[p.Name], d.terms.LossMost)
-		if a := d.rate(Asked, p.Name); how == harmless && a*rateOver > askedMin && d.rate(Went, p.Name) < wentLeast*a {
-			how = harmLikely // no room there, as the gateways find
+		status := next.partnerState(p.Name)
+		level := assessHarm(status, *c.duringSettlement[p.Name], c.terms.MaxLossFraction)
+		if a := c.rate(MetricElective, p.Name); level == noHarm && a*rateWindow > minElectiveSample && c.rate(MetricElectivePlaced, p.Name) < minPlacedFraction*a {
+			level = harmLikely // no room there, as the gateways find
 		}
-		if how == harmless && crowded(s, *d.recent[p.Name]) {
-			how = harmLikely
+		if level == noHarm && isQueueing(status, *c.sincePaceChange[p.Name]) {
+			level = harmLikely
 		}
-		switch how {
+		switch level {
 		case harmSure:
-			s.Hold = next.Clock + hold(s, *d.tried[p.Name], d.rate(Tasks, p.Name), d.terms.LossMost)
-			s.Pace = max(s.Pace/4, paceFirst/16)
-			s.Most = s.Pace
-			delete(d.tried, p.Name)
+			status.HoldUntil = next.Clock + holdMillis(status, *c.duringSettlement[p.Name], c.rate(MetricRequests, p.Name), c.terms.MaxLossFraction)
+			status.Pace = max(status.Pace/4, initialPace/16)
+			status.MaxPace = status.Pace
+			delete(c.duringSettlement, p.Name)
 		case harmLikely:
-			s.Pace = max(s.Pace/2, paceFirst/16)
-			s.Most = s.Pace
+			status.Pace = max(status.Pace/2, initialPace/16)
+			status.MaxPace = status.Pace
 		default:
-			s.Most = min(uint64(float64(cmp.Or(s.Most, Whole))*againMore), Whole)
-			s.Pace = min(uint64(float64(s.Pace)*paceMore), s.Most)
+			status.MaxPace = min(uint64(float64(cmp.Or(status.MaxPace, PartsPerMillion))*paceBoundGrowth), PartsPerMillion)
+			status.Pace = min(uint64(float64(status.Pace)*paceGrowth), status.MaxPace)
 		}
-		next.stands(s)
+		next.setPartnerState(status)
 	}
-	clear(d.recent)
+	clear(c.sincePaceChange)
 }
 
-// worth tells whether the next value says enough that the one that stands does not.
-func (d *Decider) worth(now time.Duration, was, next Value) bool {
-	if len(was.Shares) != len(next.Shares) || len(was.Said) != len(next.Said) ||
-		len(next.Said) > 0 && was.Said[len(was.Said)-1].Number != next.Said[len(next.Said)-1].Number {
+// hasSignificantChange tells whether the next value says enough that the one that stands does not.
+func (c *Controller) hasSignificantChange(now time.Duration, current, next State) bool {
+	if len(current.Shares) != len(next.Shares) || len(current.ForgivenessLog) != len(next.ForgivenessLog) ||
+		len(next.ForgivenessLog) > 0 && current.ForgivenessLog[len(current.ForgivenessLog)-1].Number != next.ForgivenessLog[len(next.ForgivenessLog)-1].Number {
 		return true
 	}
-	off := func(a, b uint64, least float64) bool {
-		far := float64(max(a, b) - min(a, b))
-		return far > least && far > change*float64(max(a, b))
+	differs := func(firstValue, lastValue uint64, least float64) bool {
+		far := float64(max(firstValue, lastValue) - min(firstValue, lastValue))
+		return far > least && far > minChangeFraction*float64(max(firstValue, lastValue))
 	}
 	for _, s := range next.Shares {
-		if off(was.share(s.Pair), s.Part, 100) {
+		if differs(current.sharePPM(s.Pair), s.PPM, 100) {
 			return true
 		}
 	}
-	for _, s := range next.Standing {
-		if old := was.standing(s.Partner); old.Pace != s.Pace || old.Most != s.Most || old.Hold != s.Hold {
+	for _, status := range next.Partners {
+		if old := current.partnerState(status.Partner); old.Pace != status.Pace || old.MaxPace != status.MaxPace || old.HoldUntil != status.HoldUntil {
 			return true
 		}
 	}
 	nets := map[Pair]uint64{}
-	for _, n := range was.Nets {
+	for _, n := range current.Nets {
 		nets[n.Pair] = n.Sum
 	}
 	for _, n := range next.Nets {
-		if off(nets[n.Pair], n.Sum, d.terms.Least*1000) && now >= d.written+renewEvery {
+		if differs(nets[n.Pair], n.Sum, c.terms.MinDebt*1000) && now >= c.epochSeenAt+renewInterval {
 			return true
 		}
 		delete(nets, n.Pair)
 	}
-	gone := uint64(0)
+	maxRemoved := uint64(0)
 	for sum := range maps.Values(nets) {
-		gone = max(gone, sum)
+		maxRemoved = max(maxRemoved, sum)
 	}
-	return now >= d.written+renewEvery && (len(next.Shares) > 0 || float64(gone) > d.terms.Least*1000) ||
-		now >= d.written+clockEvery && len(next.Lots) > 0
+	return now >= c.epochSeenAt+renewInterval && (len(next.Shares) > 0 || float64(maxRemoved) > c.terms.MinDebt*1000) ||
+		now >= c.epochSeenAt+clockInterval && len(next.Lots) > 0
 }
--- a/internal/debts/settle_test.go
+++ b/internal/debts/settle_test.go
@@ -11,124 +11,124 @@
 	"harrierhoist/internal/cluster/tables"
 )
 
-// scene is a log, and the evidence that its leader has: three partners with 1,000 tasks a second each.
-type scene struct {
+// controllerFixture is a log, and the evidence that its leader has: three partners with 1,000 tasks a second each.
+type controllerFixture struct {
 	now, since time.Duration
-	sums       map[string]uint64
+	counts     map[string]uint64
 	state      *tables.State
 	index      uint64
-	halls      map[string]Hall
+	zoneStatus map[string]ZoneStatus
 	late       map[string]uint64 // a second, by partner
-	asked      map[string]uint64
-	decider    *Decider
+	elective   map[string]uint64
+	controller *Controller
 }
 
-func terms() Terms {
-	t := Default()
-	t.On = true
+func testTerms() Terms {
+	terms := DefaultTerms()
+	terms.On = true
 	for _, name := range []string{"a", "b", "c"} {
-		t.Partners = append(t.Partners, Partner{Name: name, Halls: []string{"hall-" + name}, Plans: []string{name}})
+		terms.Partners = append(terms.Partners, Partner{Name: name, Zones: []string{"hall-" + name}, Plans: []string{name}})
 	}
-	return t
+	return terms
 }
 
-func begin(t Terms) *scene {
-	s := &scene{now: time.Hour, since: time.Hour, sums: map[string]uint64{}, state: tables.New(), halls: map[string]Hall{},
-		late: map[string]uint64{}, asked: map[string]uint64{}}
-	s.lead(t)
-	return s
+func newControllerFixture(terms Terms) *controllerFixture {
+	f := &controllerFixture{now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: tables.New(), zoneStatus: map[string]ZoneStatus{},
+		late: map[string]uint64{}, elective: map[string]uint64{}}
+	f.changeLeader(terms)
+	return f
 }
 
-// lead has another process lead: it has seen nothing, and its clock is another.
-func (s *scene) lead(t Terms) {
-	s.now += 1000 * time.Hour
-	s.since, s.sums = s.now, map[string]uint64{}
-	s.decider = New(t, func(cluster.Seen) map[string]Hall { return s.halls })
+// changeLeader has another process lead: it has seen nothing, and its clock is another.
+func (f *controllerFixture) changeLeader(terms Terms) {
+	f.now += 1000 * time.Hour
+	f.since, f.counts = f.now, map[string]uint64{}
+	f.controller = NewController(terms, func(cluster.ControllerInput) map[string]ZoneStatus { return f.zoneStatus })
 }
 
-func (s *scene) owes(debtor, creditor string, units uint64) {
-	s.index++
-	s.state.Apply(s.index, tables.Command{Kind: tables.Raise, Table: Exact, Totals: map[string]uint64{
-		evidence.Name("g", "1", Name("x", Pair{debtor, creditor})): units * 1000}})
+func (f *controllerFixture) addDebt(debtor, creditor string, units uint64) {
+	f.index++
+	f.state.Apply(f.index, tables.Command{Kind: tables.RaiseTotals, Table: ExactTable, Totals: map[string]uint64{
+		evidence.JoinName("g", "1", DebtCountName("x", Pair{debtor, creditor})): units * 1000}})
 }
 
-// pass lets seconds pass, each with what the gateways count in it.
-func (s *scene) pass(seconds int) {
+// advance lets seconds pass, each with what the gateways count in it.
+func (f *controllerFixture) advance(seconds int) {
 	for range seconds {
-		s.now += time.Second
+		f.now += time.Second
 		for _, p := range []string{"a", "b", "c"} {
-			for what, n := range map[What]uint64{Tasks: 1000, Late: s.late[p], Pure: 600_000, Pures: 500, Served: 1_000_000,
-				Asked: s.asked[p], Went: s.asked[p] / 4} {
-				s.sums[Count(what, p)] += n
+			for metric, n := range map[Metric]uint64{MetricRequests: 1000, MetricLate: f.late[p], MetricIdempotentUnits: 600_000, MetricIdempotentRequests: 500, MetricServedUnits: 1_000_000,
+				MetricElective: f.elective[p], MetricElectivePlaced: f.elective[p] / 4} {
+				f.counts[MetricName(metric, p)] += n
 			}
 		}
-		s.decide()
+		f.decide()
 	}
 }
 
-func (s *scene) decide() {
-	entry := s.state.Table(Table)
-	value, write := s.decider.Decide(s.now, cluster.Seen{Sums: maps.Clone(s.sums), Totals: s.state.Totals, Since: s.since,
-		Held: s.state.Table})
+func (f *controllerFixture) decide() {
+	entry := f.state.Table(TableName)
+	value, write := f.controller.Decide(f.now, cluster.ControllerInput{Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since,
+		Table: f.state.Table})
 	if write {
-		s.index++
-		s.state.Apply(s.index, tables.Command{Kind: tables.Write, Table: Table, Epoch: entry.Epoch, Value: value})
+		f.index++
+		f.state.Apply(f.index, tables.Command{Kind: tables.Write, Table: TableName, Epoch: entry.Epoch, Value: value})
 	}
 }
 
-func (s *scene) value() Value {
-	v, err := Decode(s.state.Table(Table).Value)
+func (f *controllerFixture) storedState() State {
+	state, err := DecodeState(f.state.Table(TableName).Value)
 	if err != nil {
 		panic(err)
 	}
-	return v
+	return state
 }
 
-// steers gives the shares that stand, in words.
-func (s *scene) steers() (all []string) {
-	for _, x := range s.value().Shares {
+// shareNames gives the shares that stand, in words.
+func (f *controllerFixture) shareNames() (all []string) {
+	for _, x := range f.storedState().Shares {
 		all = append(all, x.Creditor+" to "+x.Debtor)
 	}
 	return all
 }
 
-func TestWhoIsSteered(t *testing.T) {
+func TestController_choosesPairsToSettle(t *testing.T) {
 	no := false
 	stories := []struct {
 		name string
-		do   func(*scene, *Terms)
+		do   func(*controllerFixture, *Terms)
 		want []string
 	}{
-		{"debtors serve their creditors' tasks", func(s *scene, _ *Terms) { s.owes("a", "b", 900); s.owes("c", "b", 500) },
+		{"debtors serve their creditors' tasks", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 900); f.addDebt("c", "b", 500) },
 			[]string{"b to a", "b to c"}},
-		{"what is owed both ways nets out", func(s *scene, _ *Terms) { s.owes("a", "b", 900); s.owes("b", "a", 899) }, nil},
-		{"a small debt is left alone", func(s *scene, _ *Terms) { s.owes("a", "b", 4) }, nil},
-		{"a partner that has left is not steered to", func(s *scene, _ *Terms) { s.owes("gone", "b", 900) }, nil},
-		{"a rule says that a pair does not settle", func(s *scene, t *Terms) {
-			s.owes("a", "b", 900)
-			t.Rules = []Rule{{Between: []string{"b", "a"}, Settle: &no}}
+		{"what is owed both ways nets out", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 900); f.addDebt("b", "a", 899) }, nil},
+		{"a small debt is left alone", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 4) }, nil},
+		{"a partner that has left is not steered to", func(f *controllerFixture, _ *Terms) { f.addDebt("gone", "b", 900) }, nil},
+		{"a rule says that a pair does not settle", func(f *controllerFixture, t *Terms) {
+			f.addDebt("a", "b", 900)
+			t.Rules = []PairRule{{Between: []string{"b", "a"}, Settle: &no}}
 		}, nil},
-		{"failover needs the debtor's hall", func(s *scene, _ *Terms) {
-			s.owes("a", "b", 900)
-			s.halls["hall-a"] = Hall{Out: true}
+		{"failover needs the debtor's hall", func(f *controllerFixture, _ *Terms) {
+			f.addDebt("a", "b", 900)
+			f.zoneStatus["hall-a"] = ZoneStatus{FailingOver: true}
 		}, nil},
-		{"the creditor's hall is nearly full", func(s *scene, _ *Terms) {
-			s.owes("a", "b", 900)
-			s.halls["hall-b"] = Hall{Left: 0.1}
+		{"the creditor's hall is nearly full", func(f *controllerFixture, _ *Terms) {
+			f.addDebt("a", "b", 900)
+			f.zoneStatus["hall-b"] = ZoneStatus{Headroom: 0.1}
 		}, nil},
-		{"a debtor that is served badly as it is", func(s *scene, _ *Terms) {
-			s.owes("a", "b", 900)
-			s.late["a"] = 200
+		{"a debtor that is served badly as it is", func(f *controllerFixture, _ *Terms) {
+			f.addDebt("a", "b", 900)
+			f.late["a"] = 200
 		}, nil},
-		{"off", func(s *scene, t *Terms) { s.owes("a", "b", 900); t.On = false }, nil},
+		{"off", func(f *controllerFixture, t *Terms) { f.addDebt("a", "b", 900); t.On = false }, nil},
 	}
 	for _, c := range stories {
-		rules := terms()
-		s := begin(rules)
-		c.do(s, &rules)
-		s.decider.terms = rules
-		s.pass(40)
-		if got := s.steers(); !slices.Equal(got, c.want) {
+		terms := testTerms()
+		f := newControllerFixture(terms)
+		c.do(f, &terms)
+		f.controller.terms = terms
+		f.advance(40)
+		if got := f.shareNames(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -136,73 +136,73 @@
 
 // A partner that fares worse by more than the stated part while debts are settled: all is steered back within seconds.
 // One whose servers hardly have room is taken less from.
-func TestSteeredBackWhenAPartnerIsWorseOff(t *testing.T) {
-	s := begin(terms())
-	s.owes("a", "b", 50_000)
-	s.pass(60)
-	before := s.value()
-	if before.share(Pair{"a", "b"}) == 0 || before.standing("a").Pace != Whole {
+func TestController_stopsAndSlowsWhenPartnerIsHarmed(t *testing.T) {
+	f := newControllerFixture(testTerms())
+	f.addDebt("a", "b", 50_000)
+	f.advance(60)
+	before := f.storedState()
+	if before.sharePPM(Pair{"a", "b"}) == 0 || before.partnerState("a").Pace != PartsPerMillion {
 		t.Fatalf("not settling: %+v", before)
 	}
-	s.halls["hall-b"] = Hall{Out: true}
-	s.pass(2)
-	if len(s.value().Shares) > 0 {
+	f.zoneStatus["hall-b"] = ZoneStatus{FailingOver: true}
+	f.advance(2)
+	if len(f.storedState().Shares) > 0 {
 		t.Error("goes on while failover needs a hall")
 	}
-	clear(s.halls)
-	s.pass(60)
-	s.late["a"] = 30 // of 1,000: six times what may be
-	s.pass(25)
-	if v := s.value(); len(v.Shares) > 0 || v.standing("a").Hold <= v.Clock {
-		t.Errorf("still steers: %+v", v)
+	clear(f.zoneStatus)
+	f.advance(60)
+	f.late["a"] = 30 // of 1,000: six times what may be
+	f.advance(25)
+	if state := f.storedState(); len(state.Shares) > 0 || state.partnerState("a").HoldUntil <= state.Clock {
+		t.Errorf("still steers: %+v", state)
 	}
-	s.late["a"] = 0
-	s.pass(150)
-	if s.value().share(Pair{"a", "b"}) == 0 {
-		t.Errorf("does not settle any more: %+v", s.value())
+	f.late["a"] = 0
+	f.advance(150)
+	if f.storedState().sharePPM(Pair{"a", "b"}) == 0 {
+		t.Errorf("does not settle any more: %+v", f.storedState())
 	}
-	pace := s.value().standing("a").Pace
-	s.asked["a"] = 100 // of which a quarter finds room
-	s.pass(15)
-	if v := s.value(); v.standing("a").Pace >= pace/2 {
-		t.Errorf("goes on at pace %d", v.standing("a").Pace)
+	pace := f.storedState().partnerState("a").Pace
+	f.elective["a"] = 100 // of which a quarter finds room
+	f.advance(15)
+	if state := f.storedState(); state.partnerState("a").Pace >= pace/2 {
+		t.Errorf("goes on at pace %d", state.partnerState("a").Pace)
 	}
 }
 
 // A leader is lost in mid-settlement, and with it all that it saw: the next keeps the shares that stand, and the debts;
 // and a leader whose file has no debts ends what stands.
-func TestNewLeaderGoesOnFromTheLog(t *testing.T) {
-	s := begin(terms())
-	s.owes("a", "b", 50_000)
-	s.pass(60)
-	was := s.value()
-	s.lead(terms())
-	s.pass(1)
-	now, p := s.value(), Pair{"a", "b"}
-	if now.share(p) != was.share(p) || now.Clock < was.Clock || now.Clock > was.Clock+70_000 {
-		t.Errorf("%+v, then %+v", was, now)
-	}
-	s.pass(30)
-	if s.value().share(Pair{"a", "b"}) == 0 {
+func TestController_newLeaderContinuesFromStoredState(t *testing.T) {
+	f := newControllerFixture(testTerms())
+	f.addDebt("a", "b", 50_000)
+	f.advance(60)
+	current := f.storedState()
+	f.changeLeader(testTerms())
+	f.advance(1)
+	now, pair := f.storedState(), Pair{"a", "b"}
+	if now.sharePPM(pair) != current.sharePPM(pair) || now.Clock < current.Clock || now.Clock > current.Clock+70_000 {
+		t.Errorf("%+v, then %+v", current, now)
+	}
+	f.advance(30)
+	if f.storedState().sharePPM(Pair{"a", "b"}) == 0 {
 		t.Error("does not settle any more")
 	}
-	off := terms()
+	off := testTerms()
 	off.On = false
-	s.lead(off)
-	s.pass(2)
-	if len(s.value().Shares) > 0 {
+	f.changeLeader(off)
+	f.advance(2)
+	if len(f.storedState().Shares) > 0 {
 		t.Error("shares stand that nobody decides")
 	}
 }
 
 // It rests now and then, and sees anew how all fare without.
-func TestSettlementRests(t *testing.T) {
-	s := begin(terms())
-	s.owes("a", "b", 5_000_000)
+func TestController_pausesSettlementPeriodically(t *testing.T) {
+	f := newControllerFixture(testTerms())
+	f.addDebt("a", "b", 5_000_000)
 	rests := 0
 	for range 700 {
-		s.pass(1)
-		if v := s.value(); v.Began > 0 && len(v.Shares) == 0 {
+		f.advance(1)
+		if state := f.storedState(); state.StartedAt > 0 && len(state.Shares) == 0 {
 			rests++
 		}
 	}
@@ -211,11 +211,11 @@
 	}
 }
 
-func TestHallsThatFailoverNeedsAreLeftAlone(t *testing.T) {
-	got := HallsOf(map[string]map[string]int{"a": {"a": 500, "b": 500}, "b": {"b": 1000}, "c": {"c": 1000, "a": 0},
+func TestZoneStatusOfPlan_marksZonesThatFailoverUses(t *testing.T) {
+	got := ZoneStatusOfPlan(map[string]map[string]int{"a": {"a": 500, "b": 500}, "b": {"b": 1000}, "c": {"c": 1000, "a": 0},
 		"d": {"d": 1000}},
 		map[string]int{"c": 1000, "d": 400})
-	if !got["a"].Out || !got["b"].Out || got["c"].Out || !got["d"].Out {
+	if !got["a"].FailingOver || !got["b"].FailingOver || got["c"].FailingOver || !got["d"].FailingOver {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/debts/steer.go
+++ b/internal/debts/steer.go
@@ -8,96 +8,96 @@
 	"harrierhoist/internal/cluster"
 )
 
-// steer works out the shares. A debtor's servers take tasks of its creditor: each is then owed by the creditor, and the
+// setShares works out the shares. A debtor's servers take tasks of its creditor: each is then owed by the creditor, and the
 // net debt falls by it. That it fell is seen in the totals alone.
-func (d *Decider) steer(now time.Duration, shut map[string]bool, was Value, next *Value) {
-	begins := len(was.Shares) == 0
-	if len(d.looks) <= rateBeats {
-		next.Shares = was.Shares // a new leader has no rates yet
-		if begins {
+func (c *Controller) setShares(now time.Duration, excluded map[string]bool, current State, next *State) {
+	starting := len(current.Shares) == 0
+	if len(c.samples) <= minRateSamples {
+		next.Shares = current.Shares // a new leader has no rates yet
+		if starting {
 			next.Shares = nil
 		}
 		return
 	}
-	if next.Clock < next.Rest {
+	if next.Clock < next.RestUntil {
 		return
 	}
-	if !begins && next.Clock >= next.Began+episode {
-		next.Rest = next.Clock + rest
+	if !starting && next.Clock >= next.StartedAt+maxEpisodeMillis {
+		next.RestUntil = next.Clock + restMillis
 		return
 	}
-	if begins {
-		d.base(next)
+	if starting {
+		c.recordBaseline(next)
 	}
-	weights := d.terms.weights()
+	weights := c.terms.creditorWeights()
 	var pairs []Pair
 	var flows []Flow
-	few := false                  // too little was seen of a partner that may have a part
+	sampleTooSmall := false       // too little was seen of a partner that may have a part
 	rates := map[string]float64{} // units a second that a creditor has to move
 	for _, n := range next.Nets {
-		settle, shareMost, _ := d.terms.rule(n.Debtor, n.Creditor)
-		least := d.terms.Least * 1000
-		if was.share(n.Pair) == 0 {
+		settle, maxShare, _ := c.terms.pairTerms(n.Debtor, n.Creditor)
+		least := c.terms.MinDebt * 1000
+		if current.sharePPM(n.Pair) == 0 {
 			least *= 2 // so that it does not begin and end in turn
 		}
-		a, b := next.standing(n.Debtor), next.standing(n.Creditor)
+		debtor, creditor := next.partnerState(n.Debtor), next.partnerState(n.Creditor)
 		if !settle || weights[n.Debtor] == 0 || weights[n.Creditor] == 0 || float64(n.Sum) < least ||
-			shut[n.Debtor] || shut[n.Creditor] || next.Clock < max(a.Hold, b.Hold) {
+			excluded[n.Debtor] || excluded[n.Creditor] || next.Clock < max(debtor.HoldUntil, creditor.HoldUntil) {
 			continue
 		}
-		few = few || min(a.Tasks, b.Tasks) < baseLeast
-		if !d.fit(a) || !d.fit(b) {
+		sampleTooSmall = sampleTooSmall || min(debtor.Requests, creditor.Requests) < minBaselineRequests
+		if !c.isEligible(debtor) || !c.isEligible(creditor) {
 			continue
 		}
-		has := d.rate(Pure, n.Creditor)
-		rates[n.Creditor] = has
-		pace := float64(min(a.Pace, b.Pace)) / Whole
-		want := min(float64(n.Sum)/d.terms.SettleOver, shareMost*has) * pace
+		units := c.rate(MetricIdempotentUnits, n.Creditor)
+		rates[n.Creditor] = units
+		pace := float64(min(debtor.Pace, creditor.Pace)) / PartsPerMillion
+		want := min(float64(n.Sum)/c.terms.SettleTimeConstant, maxShare*units) * pace
 		pairs, flows = append(pairs, n.Pair), append(flows, Flow{want, weights[n.Creditor]})
 	}
-	if len(flows) == 0 || begins && few && now < d.settled+tailOver+waitMost {
+	if len(flows) == 0 || starting && sampleTooSmall && now < c.lastSettlingAt+settlementTail+maxBaselineWait {
 		return
 	}
-	for i, x := range Fair(flows, d.limits(pairs, rates)) {
-		if has := rates[pairs[i].Creditor]; has > 0 {
-			if part := uint64(x / has * Whole); part > 0 {
+	for i, x := range MaxMinFair(flows, c.flowLimits(pairs, rates)) {
+		if units := rates[pairs[i].Creditor]; units > 0 {
+			if part := uint64(x / units * PartsPerMillion); part > 0 {
 				next.Shares = append(next.Shares, Share{pairs[i], part})
 			}
 		}
 	}
-	if begins && len(next.Shares) > 0 {
-		next.Began = next.Clock
+	if starting && len(next.Shares) > 0 {
+		next.StartedAt = next.Clock
 	}
 }
 
-// fit tells whether a partner may have a part: it was seen to be served well without a settlement.
-func (d *Decider) fit(s Standing) bool {
-	return s.Tasks >= baseLeast && s.Late <= (1-d.terms.WellLeast)*s.Tasks
+// isEligible tells whether a partner may have a part: it was seen to be served well without a settlement.
+func (c *Controller) isEligible(status PartnerState) bool {
+	return status.Requests >= minBaselineRequests && status.Late <= (1-c.terms.MinOnTimeFraction)*status.Requests
 }
 
-// base takes down how partners fare without a settlement. A leader that has seen too little begins none.
-func (d *Decider) base(next *Value) {
-	for _, p := range d.terms.Partners {
-		s := next.standing(p.Name)
-		s.Tasks, s.Late, s.Slow = 0, 0, 0
-		if seen := d.calm[p.Name]; seen != nil {
-			s.Tasks, s.Late, s.Slow = seen.tasks, seen.late, seen.slow
+// recordBaseline takes down how partners fare without a settlement. A leader that has seen too little begins none.
+func (c *Controller) recordBaseline(next *State) {
+	for _, p := range c.terms.Partners {
+		status := next.partnerState(p.Name)
+		status.Requests, status.Late, status.Slow = 0, 0, 0
+		if seen := c.baseline[p.Name]; seen != nil {
+			status.Requests, status.Late, status.Slow = seen.requests, seen.late, seen.slow
 		}
-		next.stands(s)
+		next.setPartnerState(status)
 	}
 }
 
-// shut gives the partners that failover needs whole: one of their halls is out, or has too little left.
-func (d *Decider) shut(seen cluster.Seen) map[string]bool {
+// excludedPartners gives the partners that failover needs whole: one of their halls is out, or has too little left.
+func (c *Controller) excludedPartners(seen cluster.ControllerInput) map[string]bool {
 	all := map[string]bool{}
-	if d.halls == nil {
+	if c.zoneStatus == nil {
 		return all
 	}
-	halls := d.halls(seen)
-	for _, p := range d.terms.Partners {
-		if slices.ContainsFunc(p.Halls, func(name string) bool {
-			h, known := halls[name]
-			return known && (h.Out || h.Left >= 0 && h.Left < d.terms.RoomLeast)
+	statuses := c.zoneStatus(seen)
+	for _, p := range c.terms.Partners {
+		if slices.ContainsFunc(p.Zones, func(name string) bool {
+			h, known := statuses[name]
+			return known && (h.FailingOver || h.Headroom >= 0 && h.Headroom < c.terms.MinHeadroom)
 		}) {
 			all[p.Name] = true
 		}
@@ -105,44 +105,44 @@
 	return all
 }
 
-// limits are what the flows of the pairs share, in thousandths of units a second: what a debtor's halls lend, what a
+// flowLimits are what the flows of the pairs share, in thousandths of units a second: what a debtor's halls lend, what a
 // creditor's tasks bear, and the pushes between halls.
-func (d *Decider) limits(pairs []Pair, rates map[string]float64) []Limit {
-	far := Limit{Most: d.terms.MovedMost, Each: make([]float64, len(pairs))}
-	lends, bears := map[string]*Limit{}, map[string]*Limit{}
+func (c *Controller) flowLimits(pairs []Pair, rates map[string]float64) []Limit {
+	betweenZones := Limit{Capacity: c.terms.MaxMovedRate, UsePerFlow: make([]float64, len(pairs))}
+	lending, borrowing := map[string]*Limit{}, map[string]*Limit{}
 	var all []Limit
-	for _, p := range d.terms.Partners {
-		lends[p.Name] = &Limit{d.terms.LendMost * d.rate(Served, p.Name), make([]float64, len(pairs))}
-		bears[p.Name] = &Limit{d.terms.ShareMost * rates[p.Name], make([]float64, len(pairs))}
+	for _, p := range c.terms.Partners {
+		lending[p.Name] = &Limit{c.terms.MaxLendFraction * c.rate(MetricServedUnits, p.Name), make([]float64, len(pairs))}
+		borrowing[p.Name] = &Limit{c.terms.MaxShare * rates[p.Name], make([]float64, len(pairs))}
 	}
-	for i, p := range pairs {
-		if has := rates[p.Creditor]; has > 0 {
-			far.Each[i] = d.rate(Pures, p.Creditor) / has
+	for i, pair := range pairs {
+		if units := rates[pair.Creditor]; units > 0 {
+			betweenZones.UsePerFlow[i] = c.rate(MetricIdempotentRequests, pair.Creditor) / units
 		}
-		lends[p.Debtor].Each[i], bears[p.Creditor].Each[i] = 1, 1
+		lending[pair.Debtor].UsePerFlow[i], borrowing[pair.Creditor].UsePerFlow[i] = 1, 1
 	}
-	for _, p := range d.terms.Partners {
-		all = append(all, *lends[p.Name], *bears[p.Name])
+	for _, p := range c.terms.Partners {
+		all = append(all, *lending[p.Name], *borrowing[p.Name])
 	}
-	return append(all, far)
+	return append(all, betweenZones)
 }
 
-// HallsOf tells from a plan of failover which halls are to be left alone: those that it moves tasks from or to, and
+// ZoneStatusOfPlan tells from a plan of failover which halls are to be left alone: those that it moves tasks from or to, and
 // those of which not all that is listed answers. Rows are shares by the hall that tasks come in at and the hall they
 // are pushed to; sound is by hall the part that answers; both are in thousandths. What is left is not known by it.
-func HallsOf(rows map[string]map[string]int, sound map[string]int) map[string]Hall {
+func ZoneStatusOfPlan(routes map[string]map[string]int, healthy map[string]int) map[string]ZoneStatus {
 	const whole, answers = 1000, 900
-	all := map[string]Hall{}
-	for from, row := range rows {
+	all := map[string]ZoneStatus{}
+	for from, row := range routes {
 		for to, share := range row {
 			if to == from && share < whole || to != from && share > 0 {
-				all[from], all[to] = Hall{true, -1}, Hall{true, -1}
+				all[from], all[to] = ZoneStatus{true, -1}, ZoneStatus{true, -1}
 			}
 		}
 	}
-	for hall, part := range sound {
+	for hall, part := range healthy {
 		if part < answers {
-			all[hall] = Hall{true, -1}
+			all[hall] = ZoneStatus{true, -1}
 		}
 	}
 	return all
--- a/internal/debts/terms_test.go
+++ b/internal/debts/terms_test.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const file = `
+const termsFile = `
 on = true
 [[partner]]
 name = "north"
@@ -24,7 +24,7 @@
 `
 
 // Each slip is told with its key, and all of them at once.
-func TestTermsAreChecked(t *testing.T) {
+func TestTerms_CheckNamesEachFault(t *testing.T) {
 	for _, c := range []struct{ old, bad, want string }{
 		{"", "", ""},
 		{"on = true", "on = false\nloss_most = 9.0", ""},
@@ -42,39 +42,39 @@
 		{`share_most = 0.1`, "[[rule]]\nbetween = [\"south\", \"north\"]", "rule.1.between: a rule between stands once"},
 		{"[[rule]]\nbetween = [\"north\", \"south\"]", "[[rule]]\nbetween = [\"north\"]", "rule.0.between: two partners"},
 	} {
-		terms := Default()
-		d := toml.NewDecoder(strings.NewReader(strings.Replace(file, c.old, c.bad, 1))).DisallowUnknownFields()
+		terms := DefaultTerms()
+		d := toml.NewDecoder(strings.NewReader(strings.Replace(termsFile, c.old, c.bad, 1))).DisallowUnknownFields()
 		if err := d.Decode(&terms); err != nil {
 			t.Fatalf("%q: %v", c.bad, err)
 		}
-		wrong := terms.Check()
-		if (c.want == "") != (len(wrong) == 0) || len(wrong) > 0 && !strings.HasPrefix(wrong[0].Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.bad, wrong, c.want)
+		faults := terms.Check()
+		if (c.want == "") != (len(faults) == 0) || len(faults) > 0 && !strings.HasPrefix(faults[0].Error(), c.want) {
+			t.Errorf("%q: %v, want %q", c.bad, faults, c.want)
 		}
 	}
-	two := Default()
-	two.On, two.LossMost, two.Least = true, 2, 0
+	two := DefaultTerms()
+	two.On, two.MaxLossFraction, two.MinDebt = true, 2, 0
 	if n := len(two.Check()); n != 3 { // and no partners
 		t.Errorf("%d errors: %v", n, two.Check())
 	}
 }
 
-func TestRollTellsWhose(t *testing.T) {
-	terms := Default()
-	if err := toml.Unmarshal([]byte(file), &terms); err != nil {
+func TestPartnerIndex_mapsCustomersPlansAndZones(t *testing.T) {
+	terms := DefaultTerms()
+	if err := toml.Unmarshal([]byte(termsFile), &terms); err != nil {
 		t.Fatal(err)
 	}
-	r := NewRoll(terms, []string{"s1", "x", "n2"}, []string{"small", "wide"})
+	index := NewPartnerIndex(terms, []string{"s1", "x", "n2"}, []string{"small", "wide"})
 	for customer, want := range map[uint64]int{0xf: 0, 0x10: 1, 0x1f: 1, 0x20: 0, 0x30: 1, 0x31: 0} {
-		if got := r.Partner(customer, 0); got != want {
+		if got := index.PartnerOf(customer, 0); got != want {
 			t.Errorf("customer %x is of %d, not %d", customer, got, want)
 		}
 	}
-	if r.Partner(0x10, 1) != 1 || r.Partner(0x99, 1) != 2 || r.Partner(0x99, 7) != 0 {
+	if index.PartnerOf(0x10, 1) != 1 || index.PartnerOf(0x99, 1) != 2 || index.PartnerOf(0x99, 7) != 0 {
 		t.Error("a customer that is named is not of its plan's partner, and others are")
 	}
-	if r.Owner(0) != 2 || r.Owner(1) != 0 || r.Owner(2) != 1 || r.Owner(9) != 0 ||
-		r.Number("south") != 2 || r.Number("east") != 0 {
+	if index.ZoneOwner(0) != 2 || index.ZoneOwner(1) != 0 || index.ZoneOwner(2) != 1 || index.ZoneOwner(9) != 0 ||
+		index.PartnerNumber("south") != 2 || index.PartnerNumber("east") != 0 {
 		t.Error("halls or names are told wrongly")
 	}
 	if Thousandths(1.2345) != 1235 && Thousandths(1.2345) != 1234 || Thousandths(-1) != 0 || Thousandths(0.0004) != 0 {
--- a/internal/debts/till/claim.go
+++ b/internal/debts/till/claim.go
@@ -9,172 +9,172 @@
 	"harrierhoist/policy"
 )
 
-// never is longer than any task takes.
-const never = time.Duration(math.MaxInt64)
+// noAnswer is longer than any task takes.
+const noAnswer = time.Duration(math.MaxInt64)
 
-// Claim is one task on its way, as the till follows it. A nil claim is of no partner: nothing is counted for it. Its
+// RequestTracker is one task on its way, as the till follows it. A nil claim is of no partner: nothing is counted for it. Its
 // calls are made one after another.
-type Claim struct {
-	till   *Till
-	roll   *debts.Roll
-	of     int // partner
-	prefer int // partner whose servers its first push is to go to; 0: none
-	units  float64
-	told   uint64 // thousandths
-	first  bool   // pure and not a repeat: its first push counts
-	tried  bool
-	at     time.Duration
-	soft   time.Duration
-	out    *sum // where its push stands that is out; nil where that owes nobody
-	hall   int
-	over   bool
+type RequestTracker struct {
+	accounts         *Accounts
+	partners         *debts.PartnerIndex
+	partner          int // partner
+	preferred        int // partner whose servers its first push is to go to; 0: none
+	units            float64
+	estimate         uint64 // thousandths
+	isElectable      bool   // pure and not a repeat: its first push counts
+	isAttempted      bool
+	startedAt        time.Duration
+	latencyObjective time.Duration
+	charged          *balance // where its push stands that is out; nil where that owes nobody
+	zone             int
+	isCounted        bool
 }
 
-// Enter takes a task, and gives its claim.
-func (l *Till) Enter(now time.Duration, t policy.Task) *Claim {
-	if l == nil {
+// TrackRequest takes a task, and gives its claim.
+func (a *Accounts) TrackRequest(now time.Duration, request policy.Request) *RequestTracker {
+	if a == nil {
 		return nil
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	of := 0
-	if l.terms.On && t.Lane < len(l.site.Lanes) {
-		of = l.roll.Partner(t.Customer, t.Plan)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	partner := 0
+	if a.terms.On && request.Class < len(a.settings.Classes) {
+		partner = a.partners.PartnerOf(request.Customer, request.Plan)
 	}
-	if of == 0 {
+	if partner == 0 {
 		return nil
 	}
-	lane := &l.site.Lanes[t.Lane]
-	c := &Claim{till: l, roll: l.roll, of: of, units: t.Units, told: debts.Thousandths(t.Units), at: now,
-		soft: lane.SoftLimit, first: lane.Effect == policy.Pure && !t.Repeat, over: t.Repeat}
-	if c.first && len(l.shares) > 0 && l.now() < l.until {
-		lot := l.chance.Float64()
-		for _, s := range l.shares {
-			if s.creditor == of {
-				if lot -= s.part; lot < 0 {
-					c.prefer = s.debtor
+	class := &a.settings.Classes[request.Class]
+	t := &RequestTracker{accounts: a, partners: a.partners, partner: partner, units: request.Units, estimate: debts.Thousandths(request.Units), startedAt: now,
+		latencyObjective: class.LatencyObjective, isElectable: class.Effect == policy.Idempotent && !request.Repeat, isCounted: request.Repeat}
+	if t.isElectable && len(a.shares) > 0 && a.now() < a.sharesUntil {
+		draw := a.random.Float64()
+		for _, s := range a.shares {
+			if s.creditor == partner {
+				if draw -= s.fraction; draw < 0 {
+					t.preferred = s.debtor
 					break
 				}
 			}
 		}
 	}
-	return c
+	return t
 }
 
-// Prefer is the partner whose servers the task's first push is to prefer; 0: none.
-func (c *Claim) Prefer() int {
-	if c == nil {
+// PreferredPartner is the partner whose servers the task's first push is to prefer; 0: none.
+func (t *RequestTracker) PreferredPartner() int {
+	if t == nil {
 		return 0
 	}
-	return c.prefer
+	return t.preferred
 }
 
-// Sent tells of a push to a hall.
-func (c *Claim) Sent(hall int) {
-	if c == nil {
+// OnAttemptStart tells of a push to a hall.
+func (t *RequestTracker) OnAttemptStart(zone int) {
+	if t == nil {
 		return
 	}
-	l := c.till
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.hall = hall
-	owner := c.roll.Owner(hall)
-	if c.first && !c.tried {
-		l.count(c.roll, debts.Pure, c.of, c.told)
-		l.count(c.roll, debts.Pures, c.of, 1)
-		if c.prefer > 0 {
-			l.count(c.roll, debts.Asked, c.prefer, 1)
-			if owner == c.prefer {
-				l.count(c.roll, debts.Went, c.prefer, 1)
+	a := t.accounts
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	t.zone = zone
+	owner := t.partners.ZoneOwner(zone)
+	if t.isElectable && !t.isAttempted {
+		a.addMetric(t.partners, debts.MetricIdempotentUnits, t.partner, t.estimate)
+		a.addMetric(t.partners, debts.MetricIdempotentRequests, t.partner, 1)
+		if t.preferred > 0 {
+			a.addMetric(t.partners, debts.MetricElective, t.preferred, 1)
+			if owner == t.preferred {
+				a.addMetric(t.partners, debts.MetricElectivePlaced, t.preferred, 1)
 			}
 		}
 	}
-	c.tried = true
-	if owner == 0 || owner == c.of {
+	t.isAttempted = true
+	if owner == 0 || owner == t.partner {
 		return
 	}
-	p := debts.Pair{Debtor: c.roll.Names[c.of], Creditor: c.roll.Names[owner]}
-	if c.out = l.sums[p]; c.out == nil {
-		c.out = &sum{}
-		l.sums[p] = c.out
+	p := debts.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]}
+	if t.charged = a.balances[p]; t.charged == nil {
+		t.charged = &balance{}
+		a.balances[p] = t.charged
 	}
-	c.out.out += c.told
-	l.changed()
+	t.charged.inFlight += t.estimate
+	a.signalChange()
 }
 
-// Back tells how the push ended that was sent last. Its server's owner is owed the true units; what was told where no
+// OnAttemptEnd tells how the push ended that was sent last. Its server's owner is owed the true units; what was told where no
 // answer tells them and it may have run; nothing where it never did.
-func (c *Claim) Back(now time.Duration, how policy.Outcome, billed float64) {
-	if c == nil {
+func (t *RequestTracker) OnAttemptEnd(now time.Duration, outcome policy.Outcome, billedUnits float64) {
+	if t == nil {
 		return
 	}
-	l := c.till
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	owed := c.told
-	switch how {
+	a := t.accounts
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	debt := t.estimate
+	switch outcome {
 	case policy.Answered:
-		owed = debts.Thousandths(cmp.Or(billed, c.units))
-		if owner := c.roll.Owner(c.hall); owner > 0 {
-			l.count(c.roll, debts.Served, owner, owed)
+		debt = debts.Thousandths(cmp.Or(billedUnits, t.units))
+		if owner := t.partners.ZoneOwner(t.zone); owner > 0 {
+			a.addMetric(t.partners, debts.MetricServedUnits, owner, debt)
 		}
-		c.end(now - c.at)
-	case policy.Full, policy.NoConnect, policy.Moot:
-		owed = 0
+		t.countService(now - t.startedAt)
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
+		debt = 0
 	}
-	if c.out != nil {
-		c.out.owed += owed
-		c.out.out -= c.told
-		c.out = nil
-		l.changed()
+	if t.charged != nil {
+		t.charged.debt += debt
+		t.charged.inFlight -= t.estimate
+		t.charged = nil
+		a.signalChange()
 	}
 }
 
-// Ended tells that the task is over without an answer. One that its client left is no word on how it was served.
-func (c *Claim) Ended(left bool) {
-	if c == nil {
+// OnRequestEnd tells that the task is over without an answer. One that its client left is no word on how it was served.
+func (t *RequestTracker) OnRequestEnd(disconnected bool) {
+	if t == nil {
 		return
 	}
-	c.till.mu.Lock()
-	defer c.till.mu.Unlock()
-	if left {
-		c.over = true
+	t.accounts.mu.Lock()
+	defer t.accounts.mu.Unlock()
+	if disconnected {
+		t.isCounted = true
 	}
-	c.end(never)
+	t.countService(noAnswer)
 }
 
-// end counts how a first try was served, once. One that was never pushed was not let in by its plan, or found no
+// countService counts how a first try was served, once. One that was never pushed was not let in by its plan, or found no
 // server: it is left out, as it has taken nothing from anyone and most such are over their plan.
-func (c *Claim) end(took time.Duration) {
-	if c.over || !c.tried {
+func (t *RequestTracker) countService(elapsed time.Duration) {
+	if t.isCounted || !t.isAttempted {
 		return
 	}
-	c.over = true
-	c.till.count(c.roll, debts.Tasks, c.of, 1)
-	if took > c.soft/2 {
-		c.till.count(c.roll, debts.Slow, c.of, 1)
+	t.isCounted = true
+	t.accounts.addMetric(t.partners, debts.MetricRequests, t.partner, 1)
+	if elapsed > t.latencyObjective/2 {
+		t.accounts.addMetric(t.partners, debts.MetricSlow, t.partner, 1)
 	}
-	if took > c.soft {
-		c.till.count(c.roll, debts.Late, c.of, 1)
+	if elapsed > t.latencyObjective {
+		t.accounts.addMetric(t.partners, debts.MetricLate, t.partner, 1)
 	}
 }
 
-// count adds to evidence, under the lock.
-func (l *Till) count(r *debts.Roll, what debts.What, partner int, n uint64) {
-	name := r.Names[partner]
-	c := l.seen[name]
+// addMetric adds to evidence, under the lock.
+func (a *Accounts) addMetric(partners *debts.PartnerIndex, metric debts.Metric, partner int, n uint64) {
+	name := partners.Names[partner]
+	c := a.metrics[name]
 	if c == nil {
-		c = new([debts.Whats]uint64)
-		l.seen[name] = c
+		c = new([debts.MetricCount]uint64)
+		a.metrics[name] = c
 	}
-	c[what] += n
+	c[metric] += n
 }
 
-// changed has the disk follow.
-func (l *Till) changed() {
-	if l.kick != nil {
+// signalChange has the disk follow.
+func (a *Accounts) signalChange() {
+	if a.changed != nil {
 		select {
-		case l.kick <- struct{}{}:
+		case a.changed <- struct{}{}:
 		default: // it will see this too
 		}
 	}
--- a/internal/debts/till/fake_test.go
+++ b/internal/debts/till/fake_test.go
@@ -8,16 +8,16 @@
 	"harrierhoist/internal/cluster"
 )
 
-// fake is what all hold in common, in a test's hands.
-type fake struct {
+// fakeCoordination is what all hold in common, in a test's hands.
+type fakeCoordination struct {
 	sync.Mutex
-	held    cluster.Held
+	held    cluster.CachedTable
 	now     time.Duration
 	changed chan struct{}
 	exact   func(add func(string, uint64))
 }
 
-func (f *fake) set(do func()) {
+func (f *fakeCoordination) update(do func()) {
 	f.Lock()
 	defer f.Unlock()
 	do()
@@ -25,57 +25,57 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *fake) Now() time.Duration {
+func (f *fakeCoordination) Now() time.Duration {
 	f.Lock()
 	defer f.Unlock()
 	return f.now
 }
 
-func (f *fake) Held(string) cluster.Held {
+func (f *fakeCoordination) Cached(string) cluster.CachedTable {
 	f.Lock()
 	defer f.Unlock()
 	return f.held
 }
 
-func (f *fake) Changed() <-chan struct{} {
+func (f *fakeCoordination) Changed() <-chan struct{} {
 	f.Lock()
 	defer f.Unlock()
 	return f.changed
 }
 
-func (f *fake) Witness(func(func(string, uint64))) {}
+func (f *fakeCoordination) RegisterCounters(func(func(string, uint64))) {}
 
-func (f *fake) WitnessExact(e func(func(string, uint64))) {
+func (f *fakeCoordination) RegisterExactCounters(e func(func(string, uint64))) {
 	f.Lock()
 	defer f.Unlock()
 	f.exact = e
 }
 
-type settler chan struct{}
+type updateSignal chan struct{}
 
-func (s settler) Settle() { s <- struct{}{} }
+func (s updateSignal) UpdateElective() { s <- struct{}{} }
 
-// disk is one in a test's hands.
-type disk struct {
+// memoryStore is one in a test's hands.
+type memoryStore struct {
 	sync.Mutex
-	fails bool
-	life  string
-	kept  []Kept
+	isFailing bool
+	ledgerID  string
+	balances  []StoredBalance
 }
 
-func (d *disk) Write(life string, kept []Kept) error {
+func (d *memoryStore) Write(ledgerID string, balances []StoredBalance) error {
 	d.Lock()
 	defer d.Unlock()
-	if d.fails {
+	if d.isFailing {
 		return errors.New("no space left")
 	}
-	d.life, d.kept = life, kept
+	d.ledgerID, d.balances = ledgerID, balances
 	return nil
 }
 
-func (d *disk) Life() (string, []Kept) { return d.life, d.kept }
+func (d *memoryStore) Restored() (string, []StoredBalance) { return d.ledgerID, d.balances }
 
-func (f *fake) asked() bool {
+func (f *fakeCoordination) isRegistered() bool {
 	f.Lock()
 	defer f.Unlock()
 	return f.exact != nil
--- a/internal/debts/till/golden_test.go
+++ b/internal/debts/till/golden_test.go
@@ -17,21 +17,21 @@
 const goldenDraws = "ac62757cf5b2d1e11dd49c47e18a06be7bd8aea9c59805901c0d214c8eee9fb0"
 
 // Which tasks are drawn to settle a debt is a till's seed's, and nothing else's.
-func TestGoldenDraws(t *testing.T) {
-	rules := terms()
-	rules.Partners = append(rules.Partners, debts.Partner{Name: "c", Halls: []string{"nobody's"}})
-	l := New(rules, site, "x", 42, still)
-	l.Take(debts.Value{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Part: debts.Whole / 5},
-		{Pair: debts.Pair{Debtor: "c", Creditor: "b"}, Part: debts.Whole / 10},
-		{Pair: debts.Pair{Debtor: "b", Creditor: "a"}, Part: debts.Whole / 2}}}, time.Second)
+func TestGolden_electiveDraws(t *testing.T) {
+	terms := testTerms()
+	terms.Partners = append(terms.Partners, debts.Partner{Name: "c", Zones: []string{"nobody's"}})
+	a := New(terms, testSettings, "x", 42, clockAtZero)
+	a.ApplyState(debts.State{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, PPM: debts.PartsPerMillion / 5},
+		{Pair: debts.Pair{Debtor: "c", Creditor: "b"}, PPM: debts.PartsPerMillion / 10},
+		{Pair: debts.Pair{Debtor: "b", Creditor: "a"}, PPM: debts.PartsPerMillion / 2}}}, time.Second)
 	all := sha256.New()
 	drawn := map[int]int{}
 	for i := range 10_000 {
-		task := policy.Task{Customer: 9, Plan: 1, Lane: i % 7 / 6, Repeat: i%11 == 0}
+		request := policy.Request{Customer: 9, Plan: 1, Class: i % 7 / 6, Repeat: i%11 == 0}
 		if i%3 == 0 {
-			task.Customer = 1
+			request.Customer = 1
 		}
-		prefer := l.Enter(0, task).Prefer()
+		prefer := a.TrackRequest(0, request).PreferredPartner()
 		drawn[prefer]++
 		fmt.Fprintln(all, prefer)
 	}
@@ -41,32 +41,32 @@
 }
 
 // Names and sums of all that a gateway tells, as they go into its digests.
-func TestGoldenCounts(t *testing.T) {
-	l := New(terms(), site, "1k2j3", 1, still)
-	l.Take(debts.Value{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Part: debts.Whole}}}, time.Second)
+func TestGolden_reportedCounts(t *testing.T) {
+	a := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
+	a.ApplyState(debts.State{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, PPM: debts.PartsPerMillion}}}, time.Second)
 	for _, c := range []struct {
-		task policy.Task
+		task policy.Request
 		hall int
 		how  policy.Outcome
 		took time.Duration
 		cost float64
 	}{
-		{policy.Task{Customer: 1, Units: 2}, 1, policy.Answered, 100 * time.Millisecond, 5.25},
-		{policy.Task{Customer: 1, Units: 2, Lane: 1}, 1, policy.TimedOut, time.Second, 0},
-		{policy.Task{Customer: 1, Units: 2}, 1, policy.Full, 0, 0},
-		{policy.Task{Customer: 9, Plan: 1, Units: 3}, 0, policy.Answered, 400 * time.Millisecond, 0},
-		{policy.Task{Customer: 9, Plan: 1, Units: 3}, 1, policy.Answered, 700 * time.Millisecond, 1},
+		{policy.Request{Customer: 1, Units: 2}, 1, policy.Answered, 100 * time.Millisecond, 5.25},
+		{policy.Request{Customer: 1, Units: 2, Class: 1}, 1, policy.TimedOut, time.Second, 0},
+		{policy.Request{Customer: 1, Units: 2}, 1, policy.Rejected, 0, 0},
+		{policy.Request{Customer: 9, Plan: 1, Units: 3}, 0, policy.Answered, 400 * time.Millisecond, 0},
+		{policy.Request{Customer: 9, Plan: 1, Units: 3}, 1, policy.Answered, 700 * time.Millisecond, 1},
 	} {
-		claim := l.Enter(0, c.task)
-		claim.Sent(c.hall)
-		claim.Back(c.took, c.how, c.cost)
-		claim.Ended(false)
+		tracker := a.TrackRequest(0, c.task)
+		tracker.OnAttemptStart(c.hall)
+		tracker.OnAttemptEnd(c.took, c.how, c.cost)
+		tracker.OnRequestEnd(false)
 	}
 	for name, c := range map[string]struct {
 		counts func(add func(string, uint64))
 		want   []string
 	}{
-		"counts": {l.Counts, []string{
+		"counts": {a.ReportMetrics, []string{
 			"debts\x1fasked\x1fa=2",
 			"debts\x1fasked\x1fb=0",
 			"debts\x1flate\x1fa=2",
@@ -84,7 +84,7 @@
 			"debts\x1fwent\x1fa=1",
 			"debts\x1fwent\x1fb=0",
 		}},
-		"exact": {l.ExactCounts, []string{"owe\x1f1k2j3\x1fa\x1fb=7250", "owe\x1f1k2j3\x1fb\x1fa=3000"}},
+		"exact": {a.ReportDebts, []string{"owe\x1f1k2j3\x1fa\x1fb=7250", "owe\x1f1k2j3\x1fb\x1fa=3000"}},
 	} {
 		got := map[string]uint64{}
 		c.counts(func(name string, n uint64) { got[name] = n })
--- a/internal/debts/till/till.go
+++ b/internal/debts/till/till.go
@@ -13,158 +13,158 @@
 	"harrierhoist/policy"
 )
 
-// Site is what a gateway's till must know of it.
-type Site struct {
-	Halls []string // names, as numbered
-	Plans []string
-	Lanes []policy.Lane
+// Settings is what a gateway's till must know of it.
+type Settings struct {
+	Zones   []string // names, as numbered
+	Plans   []string
+	Classes []policy.TrafficClass
 }
 
-// Till is a gateway's. All calls may be made by several goroutines at once.
-type Till struct {
-	mu     sync.Mutex
-	terms  debts.Terms
-	site   Site
-	roll   *debts.Roll
-	chance *rand.Rand
-	life   string // of the counts below
-	fresh  string // the life that this process was given
-	sums   map[debts.Pair]*sum
-	seen   map[string]*[debts.Whats]uint64 // evidence, by partner
-	shares []share                         // by lot; none while nothing is settled
-	until  time.Duration                   // by now
-	now    func() time.Duration
-	tell   []debts.Carried // what goes into digests; of earlier lives too
-	kick   chan struct{}   // a sum has changed; nil where no disk is kept
+// Accounts is a gateway's. All calls may be made by several goroutines at once.
+type Accounts struct {
+	mu              sync.Mutex
+	terms           debts.Terms
+	settings        Settings
+	partners        *debts.PartnerIndex
+	random          *rand.Rand
+	ledgerID        string // of the counts below
+	initialLedgerID string // the life that this process was given
+	balances        map[debts.Pair]*balance
+	metrics         map[string]*[debts.MetricCount]uint64 // evidence, by partner
+	shares          []share                               // by lot; none while nothing is settled
+	sharesUntil     time.Duration                         // by now
+	now             func() time.Duration
+	stored          []debts.LedgerAmount // what goes into digests; of earlier lives too
+	changed         chan struct{}        // a sum has changed; nil where no disk is kept
 }
 
-// sum is what stands for a pair, in thousandths of units.
-type sum struct {
-	owed uint64 // only grows
-	out  uint64 // told of pushes that are out
+// balance is what stands for a pair, in thousandths of units.
+type balance struct {
+	debt     uint64 // only grows
+	inFlight uint64 // told of pushes that are out
 }
 
 // share is a part of a creditor's elective pushes.
 type share struct {
 	creditor, debtor int
-	part             float64
+	fraction         float64
 }
 
 // New makes the till of a life of the counts, by which the log tells them from others of the same process: no two
 // lives of a process have the same name. Now is the clock that leases are told on.
-func New(t debts.Terms, site Site, life string, seed uint64, now func() time.Duration) *Till {
-	l := &Till{chance: rand.New(rand.NewPCG(seed, 0xdeb7)), life: life, fresh: life, sums: map[debts.Pair]*sum{},
-		seen: map[string]*[debts.Whats]uint64{},
-		now:  now}
-	l.Reshape(t, site)
-	return l
+func New(terms debts.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
+	a := &Accounts{random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[debts.Pair]*balance{},
+		metrics: map[string]*[debts.MetricCount]uint64{},
+		now:     now}
+	a.Reconfigure(terms, settings)
+	return a
 }
 
-// Reshape takes other terms. What was counted stands; tasks on their way are counted by the terms that they began
+// Reconfigure takes other terms. What was counted stands; tasks on their way are counted by the terms that they began
 // under.
-func (l *Till) Reshape(t debts.Terms, site Site) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.shape(t, site)
+func (a *Accounts) Reconfigure(terms debts.Terms, settings Settings) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.configure(terms, settings)
 }
 
-// shape takes both under the lock: what one caller leaves as it was must be what stands when it is taken, as terms come
+// configure takes both under the lock: what one caller leaves as it was must be what stands when it is taken, as terms come
 // with SIGHUP and lanes and plans with counting rules as well.
-func (l *Till) shape(t debts.Terms, site Site) {
-	l.terms, l.site, l.roll, l.shares = t, site, debts.NewRoll(t, site.Halls, site.Plans), nil
+func (a *Accounts) configure(terms debts.Terms, settings Settings) {
+	a.terms, a.settings, a.partners, a.shares = terms, settings, debts.NewPartnerIndex(terms, settings.Zones, settings.Plans), nil
 }
 
-// Retell takes other terms for the same site.
-func (l *Till) Retell(t debts.Terms) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.shape(t, l.site)
+// SetTerms takes other terms for the same site.
+func (a *Accounts) SetTerms(terms debts.Terms) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.configure(terms, a.settings)
 }
 
-// Resite takes lanes and plans anew: they keep the numbers that they had.
-func (l *Till) Resite(lanes []policy.Lane, plans []policy.Plan) {
-	if l == nil {
+// SetPolicy takes lanes and plans anew: they keep the numbers that they had.
+func (a *Accounts) SetPolicy(classes []policy.TrafficClass, plans []policy.Plan) {
+	if a == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	site := Site{Halls: l.site.Halls, Lanes: lanes}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	settings := Settings{Zones: a.settings.Zones, Classes: classes}
 	for _, p := range plans {
-		site.Plans = append(site.Plans, p.Name)
+		settings.Plans = append(settings.Plans, p.Name)
 	}
-	l.shape(l.terms, site)
+	a.configure(a.terms, settings)
 }
 
-// Take takes the table: its shares hold until a time of the clock.
-func (l *Till) Take(v debts.Value, until time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.shares, l.until = l.shares[:0], until
-	if !l.terms.On {
+// ApplyState takes the table: its shares hold until a time of the clock.
+func (a *Accounts) ApplyState(state debts.State, until time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.shares, a.sharesUntil = a.shares[:0], until
+	if !a.terms.On {
 		return
 	}
-	for _, s := range v.Shares {
-		if c, d := l.roll.Number(s.Creditor), l.roll.Number(s.Debtor); c > 0 && d > 0 && s.Part > 0 {
-			l.shares = append(l.shares, share{c, d, float64(s.Part) / debts.Whole})
+	for _, s := range state.Shares {
+		if c, d := a.partners.PartnerNumber(s.Creditor), a.partners.PartnerNumber(s.Debtor); c > 0 && d > 0 && s.PPM > 0 {
+			a.shares = append(a.shares, share{c, d, float64(s.PPM) / debts.PartsPerMillion})
 		}
 	}
 }
 
-// Lends tells for each hall whose it is if tasks may go there to settle, else 0; lent is the largest part of any
+// LendingZones tells for each hall whose it is if tasks may go there to settle, else 0; lent is the largest part of any
 // creditor's tasks that may. Nil where nothing is settled.
-func (l *Till) Lends() (owners []int, lent float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.shares) == 0 || l.now() >= l.until {
+func (a *Accounts) LendingZones() (owners []int, maxFraction float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.shares) == 0 || a.now() >= a.sharesUntil {
 		return nil, 0
 	}
-	for hall := range l.roll.Halls() {
+	for zone := range a.partners.ZoneCount() {
 		owner := 0
-		for _, s := range l.shares {
-			if l.roll.Owner(hall) == s.debtor {
-				owner, lent = s.debtor, max(lent, s.part)
+		for _, s := range a.shares {
+			if a.partners.ZoneOwner(zone) == s.debtor {
+				owner, maxFraction = s.debtor, max(maxFraction, s.fraction)
 			}
 		}
 		owners = append(owners, owner)
 	}
-	return owners, lent
+	return owners, maxFraction
 }
 
-// Elect gives the servers that a part lays out for elective pushes beside it, and marks those of the part itself that
+// AddElective gives the servers that a part lays out for elective pushes beside it, and marks those of the part itself that
 // they may prefer. With nothing to settle the part is given back as it is.
-func (l *Till) Elect(p *pool.Pool, now time.Duration, part []policy.Listed, all []pool.Server) []policy.Listed {
-	if l == nil {
-		return part
+func (a *Accounts) AddElective(subset *pool.Subset, now time.Duration, selected []policy.Endpoint, all []pool.Candidate) []policy.Endpoint {
+	if a == nil {
+		return selected
 	}
-	owners, lent := l.Lends()
+	owners, maxFraction := a.LendingZones()
 	if owners == nil {
-		return part
+		return selected
 	}
-	return p.Elect(now, part, all, owners, lent)
+	return subset.AddElective(now, selected, all, owners, maxFraction)
 }
 
-// Counts gives the evidence.
-func (l *Till) Counts(add func(name string, n uint64)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for name, c := range l.seen {
+// ReportMetrics gives the evidence.
+func (a *Accounts) ReportMetrics(add func(name string, n uint64)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for name, c := range a.metrics {
 		for what, n := range c {
-			add(debts.Count(debts.What(what), name), n)
+			add(debts.MetricName(debts.Metric(what), name), n)
 		}
 	}
 }
 
-// ExactCounts gives the exact counts: those on disk where one is kept, so that none is told that a later life would
+// ReportDebts gives the exact counts: those on disk where one is kept, so that none is told that a later life would
 // not know, else those in memory.
-func (l *Till) ExactCounts(add func(name string, n uint64)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.tell {
-		add(debts.Name(c.Life, c.Pair), c.Sum)
+func (a *Accounts) ReportDebts(add func(name string, n uint64)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, c := range a.stored {
+		add(debts.DebtCountName(c.LedgerID, c.Pair), c.Sum)
 	}
-	if l.kick == nil {
-		for p, s := range l.sums {
-			add(debts.Name(l.life, p), s.owed)
+	if a.changed == nil {
+		for p, pairBalance := range a.balances {
+			add(debts.DebtCountName(a.ledgerID, p), pairBalance.debt)
 		}
 	}
 }
--- a/internal/drill/address.go
+++ b/internal/drill/address.go
@@ -13,18 +13,18 @@
 
 var latestPort atomic.Int32
 
-// Free is an address that no other process takes: a port on an address of 127.0.0.0/8 that is this process's own, by
+// FreeAddr is an address that no other process takes: a port on an address of 127.0.0.0/8 that is this process's own, by
 // its id. What the system gives for port 0 may be taken again before who is to have it listens, or while it is dead.
-func Free(t testing.TB) string {
+func FreeAddr(t testing.TB) string {
 	t.Helper()
-	addr, err := free()
+	addr, err := freeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return addr
 }
 
-func free() (string, error) {
+func freeAddr() (string, error) {
 	id := os.Getpid()
 	for {
 		port := firstPort + latestPort.Add(1)
--- a/internal/drill/around.go
+++ b/internal/drill/around.go
@@ -16,11 +16,11 @@
 type Counter struct {
 	Addr string
 
-	l      net.Listener
-	mu     sync.Mutex
-	totals map[string]float64
-	calls  int
-	held   sync.RWMutex
+	listener net.Listener
+	mu       sync.Mutex
+	totals   map[string]float64
+	calls    int
+	held     sync.RWMutex
 }
 
 // NewCounter starts one.
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Counter{Addr: l.Addr().String(), l: l, totals: map[string]float64{}}
+	c := &Counter{Addr: l.Addr().String(), listener: l, totals: map[string]float64{}}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -48,8 +48,8 @@
 	for in.Scan() {
 		var name string
 		var units float64
-		var life int
-		_, err := fmt.Sscanf(in.Text(), "incr %s %g %d", &name, &units, &life)
+		var incarnation int
+		_, err := fmt.Sscanf(in.Text(), "incr %s %g %d", &name, &units, &incarnation)
 		c.held.RLock()
 		if err != nil {
 			_, _ = io.WriteString(conn, "error\r\n")
@@ -66,7 +66,7 @@
 }
 
 // Hold makes it silent until the function given back is called.
-func (c *Counter) Hold() (letGo func()) {
+func (c *Counter) Hold() (release func()) {
 	c.held.Lock()
 	return c.held.Unlock
 }
@@ -90,17 +90,17 @@
 }
 
 // Close ends it.
-func (c *Counter) Close() { _ = c.l.Close() }
+func (c *Counter) Close() { _ = c.listener.Close() }
 
 // Discovery is an emulated agent of discovery: it lists servers, and tells changes to those that watch.
 type Discovery struct {
 	Addr string
 
-	srv  *http.Server
-	mu   sync.Mutex
-	seq  int
-	list map[string]string // entries by server
-	news chan struct{}
+	server  *http.Server
+	mu      sync.Mutex
+	seq     int
+	entries map[string]string // entries by server
+	changed chan struct{}
 }
 
 // NewDiscovery starts one with no server.
@@ -109,57 +109,57 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Addr: l.Addr().String(), list: map[string]string{}, news: make(chan struct{}), seq: 1}
-	d.srv = &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: time.Minute}
-	go func() { _ = d.srv.Serve(l) }()
+	d := &Discovery{Addr: l.Addr().String(), entries: map[string]string{}, changed: make(chan struct{}), seq: 1}
+	d.server = &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: time.Minute}
+	go func() { _ = d.server.Serve(l) }()
 	return d, nil
 }
 
-// Tell lists a server: in_service, terminating or terminated; born is its start, none where it is long ago.
-func (d *Discovery) Tell(s *Server, health string, born time.Time) {
+// Publish lists a server: in_service, terminating or terminated; born is its start, none where it is long ago.
+func (d *Discovery) Publish(s *Server, health string, startedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ms := int64(0)
-	if !born.IsZero() {
-		ms = born.UnixMilli()
+	if !startedAt.IsZero() {
+		ms = startedAt.UnixMilli()
 	}
-	d.list[s.Name] = fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":"m","block":0,"health":%q,`+
+	d.entries[s.Name] = fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":"m","block":0,"health":%q,`+
 		`"share":1.0,"born_ms":%d}`,
-		s.Name, s.Addr, s.Hall, health, ms)
+		s.Name, s.Addr, s.Zone, health, ms)
 	d.seq++
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Whole is the list as it stands, in discovery's form.
-func (d *Discovery) Whole() string {
+// FullList is the list as it stands, in discovery's form.
+func (d *Discovery) FullList() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []string
-	for _, entry := range d.list {
+	for _, entry := range d.entries {
 		all = append(all, entry)
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.seq, strings.Join(all, ","))
 }
 
-func (d *Discovery) serve(w http.ResponseWriter, q *http.Request) {
-	since, _ := strconv.Atoi(q.URL.Query().Get("since"))
-	ms, _ := strconv.Atoi(q.URL.Query().Get("timeout_ms"))
+func (d *Discovery) serve(w http.ResponseWriter, request *http.Request) {
+	since, _ := strconv.Atoi(request.URL.Query().Get("since"))
+	ms, _ := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
 	d.mu.Lock()
-	seq, news := d.seq, d.news
+	seq, changed := d.seq, d.changed
 	d.mu.Unlock()
 	if since >= seq {
 		t := time.NewTimer(time.Duration(ms) * time.Millisecond)
 		defer t.Stop()
 		select {
-		case <-news:
+		case <-changed:
 		case <-t.C:
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
-	_, _ = io.WriteString(w, d.Whole())
+	_, _ = io.WriteString(w, d.FullList())
 }
 
 // Close ends it.
-func (d *Discovery) Close() { _ = d.srv.Close() }
+func (d *Discovery) Close() { _ = d.server.Close() }
--- a/internal/drill/client.go
+++ b/internal/drill/client.go
@@ -15,43 +15,43 @@
 	"harrierhoist/internal/standin"
 )
 
-// answerSlack is what a client waits beyond its patience: half a second is what the operators' page counts as not lost,
+// answerGrace is what a client waits beyond its patience: half a second is what the operators' page counts as not lost,
 // and as much again is for a machine busy with other tests.
-const answerSlack = time.Second
+const answerGrace = time.Second
 
-// Task is what a client asks for.
-type Task struct {
-	Lane, Plan string
-	Customer   uint64
-	Units      int
-	Patience   time.Duration
+// Request is what a client asks for.
+type Request struct {
+	Class, Plan string
+	Customer    uint64
+	Units       int
+	Timeout     time.Duration
 }
 
 // Clients send tasks to gateways, whether answers come or not, and write down how each ended.
 type Clients struct {
-	ledger *Ledger
-	next   atomic.Uint64
-	tasks  sync.WaitGroup
+	recorder *Recorder
+	lastID   atomic.Uint64
+	pending  sync.WaitGroup
 
-	mu   sync.Mutex
-	idle map[string][]net.Conn // by gateway's address
-	owes func(addr string, from time.Time) bool
+	mu         sync.Mutex
+	idle       map[string][]net.Conn // by gateway's address
+	mustAnswer func(addr string, from time.Time) bool
 }
 
 // NewClients makes clients; owes tells whether the gateway at an address was awake and alive since a time: others owe
 // no answer in time.
-func NewClients(ledger *Ledger, owes func(addr string, from time.Time) bool) *Clients {
-	return &Clients{ledger: ledger, idle: map[string][]net.Conn{}, owes: owes}
+func NewClients(recorder *Recorder, mustAnswer func(addr string, from time.Time) bool) *Clients {
+	return &Clients{recorder: recorder, idle: map[string][]net.Conn{}, mustAnswer: mustAnswer}
 }
 
-// Offer sends tasks to one gateway at a rate, each by itself, until the context ends. Draw gives each task; the seed
+// OfferLoad sends tasks to one gateway at a rate, each by itself, until the context ends. Draw gives each task; the seed
 // makes its chance. Wait waits for the answers.
-func (c *Clients) Offer(ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Task) {
-	chance := rand.New(rand.NewPCG(seed, 1))
-	c.tasks.Go(func() {
+func (c *Clients) OfferLoad(ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Request) {
+	random := rand.New(rand.NewPCG(seed, 1))
+	c.pending.Go(func() {
 		due := time.Now()
 		for {
-			due = due.Add(time.Duration(chance.ExpFloat64() / rate * float64(time.Second)))
+			due = due.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 			t := time.NewTimer(time.Until(due))
 			select {
 			case <-ctx.Done():
@@ -59,41 +59,41 @@
 				return
 			case <-t.C:
 			}
-			task := draw(chance)
-			c.tasks.Go(func() { c.Ask(addr, task) })
+			request := draw(random)
+			c.pending.Go(func() { c.Send(addr, request) })
 		}
 	})
 }
 
 // Wait waits until every task has ended.
-func (c *Clients) Wait() { c.tasks.Wait() }
+func (c *Clients) Wait() { c.pending.Wait() }
 
-// Ask sends one task and waits for how it ends.
-func (c *Clients) Ask(addr string, t Task) Final {
-	id := fmt.Sprintf("%016x", c.next.Add(1))
+// Send sends one task and waits for how it ends.
+func (c *Clients) Send(addr string, request Request) Result {
+	id := fmt.Sprintf("%016x", c.lastID.Add(1))
 	began := time.Now()
-	how := c.ask(addr, id, t, began)
-	if how == Lost && !c.owes(addr, began) {
-		how = Broken
+	result := c.exchange(addr, id, request, began)
+	if result == Unanswered && !c.mustAnswer(addr, began) {
+		result = Disconnected
 	}
-	c.ledger.Ended(id, how)
-	return how
+	c.recorder.RecordResult(id, result)
+	return result
 }
 
-func (c *Clients) ask(addr, id string, t Task, began time.Time) Final {
-	conn, err := c.take(addr)
+func (c *Clients) exchange(addr, id string, request Request, began time.Time) Result {
+	conn, err := c.acquireConn(addr)
 	if err != nil {
-		return Broken
+		return Disconnected
 	}
-	_ = conn.SetDeadline(began.Add(t.Patience + answerSlack))
-	words := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d", t.Lane, t.Plan, t.Patience.Milliseconds(), t.Units)
-	text := standin.Command("SVC.QUERY", fmt.Sprintf("%016x", t.Customer), id, words)
-	if t.Lane != "look" {
-		text = standin.Command("SVC.SUBMIT", fmt.Sprintf("%016x", t.Customer), id, words, "body")
+	_ = conn.SetDeadline(began.Add(request.Timeout + answerGrace))
+	phrase := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d", request.Class, request.Plan, request.Timeout.Milliseconds(), request.Units)
+	text := standin.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", request.Customer), id, phrase)
+	if request.Class != "look" {
+		text = standin.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", request.Customer), id, phrase, "body")
 	}
 	if _, err = io.WriteString(conn, text); err != nil {
 		_ = conn.Close()
-		return Broken
+		return Disconnected
 	}
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
@@ -101,25 +101,25 @@
 	case err != nil:
 		_ = conn.Close()
 		if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-			return Lost
+			return Unanswered
 		}
-		return Broken
+		return Disconnected
 	case strings.HasPrefix(line, "$"):
 		if _, err = in.ReadString('\n'); err != nil {
 			_ = conn.Close()
-			return Broken
+			return Disconnected
 		}
-		c.give(addr, conn)
-		return Honoured
+		c.releaseConn(addr, conn)
+		return Served
 	case strings.HasPrefix(line, "-BUSY"):
-		c.give(addr, conn)
+		c.releaseConn(addr, conn)
 		return Rejected
 	}
-	c.give(addr, conn)
+	c.releaseConn(addr, conn)
 	return Terminated
 }
 
-func (c *Clients) take(addr string) (net.Conn, error) {
+func (c *Clients) acquireConn(addr string) (net.Conn, error) {
 	c.mu.Lock()
 	all := c.idle[addr]
 	if n := len(all); n > 0 {
@@ -129,11 +129,11 @@
 		return conn, nil
 	}
 	c.mu.Unlock()
-	return net.DialTimeout("tcp", addr, answerSlack)
+	return net.DialTimeout("tcp", addr, answerGrace)
 }
 
-// give keeps a connection for another task.
-func (c *Clients) give(addr string, conn net.Conn) {
+// releaseConn keeps a connection for another task.
+func (c *Clients) releaseConn(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[addr] = append(c.idle[addr], conn)
--- a/internal/drill/debts_test.go
+++ b/internal/drill/debts_test.go
@@ -10,8 +10,8 @@
 	"harrierhoist/internal/standin"
 )
 
-// partners have a hall and its customers each. What a and b owe each other is settled where a story says so.
-const partners = `[debts]
+// partnerTerms have a hall and its customers each. What a and b owe each other is settled where a story says so.
+const partnerTerms = `[debts]
 on = true
 settle_over_s = 5.0
 [[debts.partner]]
@@ -28,12 +28,12 @@
 customers = ["0000000002000000-0000000002ffffff"]
 `
 
-const unsettled = "[[debts.rule]]\nbetween = [\"a\", \"b\"]\nsettle = false\n"
+const noSettlementRule = "[[debts.rule]]\nbetween = [\"a\", \"b\"]\nsettle = false\n"
 
-// owed is what one partner owes another by the table, in units.
-func (s *story) owed(debtor, creditor string) float64 {
+// storedDebt is what one partner owes another by the table, in units.
+func (s *scenario) storedDebt(debtor, creditor string) float64 {
 	s.t.Helper()
-	v, err := debts.Decode(s.Read(debts.Table).Value)
+	v, err := debts.DecodeState(s.Read(debts.TableName).Value)
 	must(s.t, err)
 	for _, n := range v.Nets {
 		if n.Debtor == debtor && n.Creditor == creditor {
@@ -43,11 +43,11 @@
 	return 0
 }
 
-// ran is what servers of a hall did for the customers of another, in units.
-func (s *story) ran(from, to string) (units float64) {
-	for _, p := range s.Ledger.Pushes() {
-		if p.From == from && p.Hall == to {
-			units += p.Units
+// completedUnits is what servers of a hall did for the customers of another, in units.
+func (s *scenario) completedUnits(from, to string) (units float64) {
+	for _, attempt := range s.Recorder.Attempts() {
+		if attempt.Origin == from && attempt.Zone == to {
+			units += attempt.Units
 		}
 	}
 	return units
@@ -55,41 +55,41 @@
 
 // 15. A hall is lost and its tasks run at another partner's, while every digest arrives twice, the leader is killed,
 // and the next one too. What is owed at the end is what the servers did, to the unit.
-func TestDebtsThroughLeaderChangesAndDoubledDigests(t *testing.T) {
-	s := beginWith(t, partners+unsettled+terms)
-	s.Between(nil, nil, relay.Fault{Double: true, Only: "/digests"})
-	s.lose("hall-a", "hall-b")
+func TestSettlement_debtsExactThroughLeaderChangesAndDuplicates(t *testing.T) {
+	s := startScenarioWith(t, partnerTerms+noSettlementRule+failoverTerms)
+	s.SetFault(nil, nil, relay.Fault{Duplicate: true, OnlyPath: "/digests"})
+	s.failZone("hall-a", "hall-b")
 	for range 2 {
 		old := s.Leader()
 		old.Kill()
-		s.honoured(200)
-		s.Club.Start(old)
+		s.waitForServed(200)
+		s.VoterCluster.Start(old)
 		s.Leader()
 	}
-	s.over()
-	is, was := 0.0, s.ran("hall-a", "hall-b")-s.ran("hall-b", "hall-a")
+	s.finish()
+	is, was := 0.0, s.completedUnits("hall-a", "hall-b")-s.completedUnits("hall-b", "hall-a")
 	defer func() { t.Logf("owed %.3f, done %.3f", is, was) }()
 	standin.Eventually(t, fmt.Sprintf("a debt of %.3f", was), func() bool {
-		is = s.owed("a", "b")
+		is = s.storedDebt("a", "b")
 		return is == was
 	})
-	if c := s.owed("a", "c"); c != s.ran("hall-a", "hall-c") {
-		t.Errorf("owed to c %.3f, done there %.3f", c, s.ran("hall-a", "hall-c"))
+	if c := s.storedDebt("a", "c"); c != s.completedUnits("hall-a", "hall-c") {
+		t.Errorf("owed to c %.3f, done there %.3f", c, s.completedUnits("hall-a", "hall-c"))
 	}
 }
 
 // 16. A debt is being settled when its debtor's hall fails. The creditor's tasks come home and are served there.
-func TestSettlementWhileItsDebtorsHallFails(t *testing.T) {
-	s := beginWith(t, partners+terms)
-	s.lose("hall-a", "hall-b")
-	s.Become("hall-a", Well)
-	s.share("hall-a", "hall-a", near, 1)
-	s.share("hall-b", "hall-a", 0.05, 0.6) // the settlement
-	s.Become("hall-a", Dead)
-	s.share("hall-a", "hall-b", away, 1)
-	s.share("hall-b", "hall-b", near, 1)
-	s.served("hall-b", "hall-b", most)
+func TestSettlement_debtorZoneFailsMeanwhile(t *testing.T) {
+	s := startScenarioWith(t, partnerTerms+failoverTerms)
+	s.failZone("hall-a", "hall-b")
+	s.SetZoneBehavior("hall-a", Healthy)
+	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
+	s.waitForFraction("hall-b", "hall-a", 0.05, 0.6) // the settlement
+	s.SetZoneBehavior("hall-a", Down)
+	s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
+	s.waitForFraction("hall-b", "hall-b", minLocalFraction, 1)
+	s.waitForLoad("hall-b", "hall-b", minServedFraction)
 	from := time.Now()
-	s.never("hall-b", "hall-c", from)
-	s.over()
+	s.expectNoAttempts("hall-b", "hall-c", from)
+	s.finish()
 }
--- a/internal/drill/ledger.go
+++ b/internal/drill/ledger.go
@@ -10,136 +10,136 @@
 	"time"
 )
 
-// Final is how a client's task ended.
-type Final uint8
+// Result is how a client's task ended.
+type Result uint8
 
 // The ends of a task at its client.
 const (
-	Honoured Final = iota
+	Served Result = iota
 	Rejected
 	Terminated
-	Broken // the connection ended first
-	Lost   // no final answer in its patience and the time that a client waits besides
-	finals
+	Disconnected // the connection ended first
+	Unanswered   // no final answer in its patience and the time that a client waits besides
+	resultCount
 )
 
-// Pushed is a task that came to a server.
-type Pushed struct {
-	ID, Server, Hall, Customer string
+// Attempt is a task that came to a server.
+type Attempt struct {
+	ID, Server, Zone, Customer string
 
-	From  string // the hall that it came in at, where the story gives each its own customers
-	Lane  string
-	Units float64
-	At    time.Time
-	Ran   bool // to its end
+	Origin      string // the hall that it came in at, where the story gives each its own customers
+	Class       string
+	Units       float64
+	ReceivedAt  time.Time
+	IsCompleted bool // to its end
 }
 
-// Ledger is what servers and clients saw.
-type Ledger struct {
-	Halls []string // by number, as customers tell theirs: see Customer
+// Recorder is what servers and clients saw.
+type Recorder struct {
+	Zones []string // by number, as customers tell theirs: see Customer
 
-	mu     sync.Mutex
-	pushes []Pushed
-	ends   map[string]Final
-	counts [finals]int
-	twice  []string // ids that got a second final answer
+	mu            sync.Mutex
+	attempts      []Attempt
+	results       map[string]Result
+	resultCounts  [resultCount]int
+	answeredTwice []string // ids that got a second final answer
 }
 
-// NewLedger makes an empty one.
-func NewLedger() *Ledger { return &Ledger{ends: map[string]Final{}} }
+// NewRecorder makes an empty one.
+func NewRecorder() *Recorder { return &Recorder{results: map[string]Result{}} }
 
-// hallBits is where in a customer's number the number of its hall stands.
-const hallBits = 24
+// zoneShift is where in a customer's number the number of its hall stands.
+const zoneShift = 24
 
-// Customer is the number of a customer whose tasks come in at the hall of a number.
-func Customer(hall int, n uint64) uint64 { return uint64(hall)<<hallBits | n }
+// CustomerID is the number of a customer whose tasks come in at the hall of a number.
+func CustomerID(zone int, n uint64) uint64 { return uint64(zone)<<zoneShift | n }
 
-// Came tells of a push that a server took, and gives its place.
-func (l *Ledger) Came(p Pushed) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	p.At = time.Now()
-	if n, err := strconv.ParseUint(p.Customer, 16, 64); err == nil && n>>hallBits < uint64(len(l.Halls)) {
-		p.From = l.Halls[n>>hallBits]
+// RecordAttempt tells of a push that a server took, and gives its place.
+func (r *Recorder) RecordAttempt(attempt Attempt) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	attempt.ReceivedAt = time.Now()
+	if n, err := strconv.ParseUint(attempt.Customer, 16, 64); err == nil && n>>zoneShift < uint64(len(r.Zones)) {
+		attempt.Origin = r.Zones[n>>zoneShift]
 	}
-	l.pushes = append(l.pushes, p)
-	return len(l.pushes) - 1
+	r.attempts = append(r.attempts, attempt)
+	return len(r.attempts) - 1
 }
 
-// Ran tells that the push at a place ran to its end.
-func (l *Ledger) Ran(place int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pushes[place].Ran = true
+// RecordCompletion tells that the push at a place ran to its end.
+func (r *Recorder) RecordCompletion(index int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.attempts[index].IsCompleted = true
 }
 
-// Ended tells how a client's task ended.
-func (l *Ledger) Ended(id string, how Final) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, known := l.ends[id]; known {
-		l.twice = append(l.twice, id)
+// RecordResult tells how a client's task ended.
+func (r *Recorder) RecordResult(id string, result Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, known := r.results[id]; known {
+		r.answeredTwice = append(r.answeredTwice, id)
 	}
-	l.ends[id] = how
-	l.counts[how]++
+	r.results[id] = result
+	r.resultCounts[result]++
 }
 
-// Ends are the numbers of tasks by how they ended.
-func (l *Ledger) Ends() [finals]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.counts
+// ResultCounts are the numbers of tasks by how they ended.
+func (r *Recorder) ResultCounts() [resultCount]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.resultCounts
 }
 
-// Since gives the pushes that came after a time, by the hall of their server.
-func (l *Ledger) Since(from time.Time) map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	halls := map[string]int{}
-	for i := len(l.pushes) - 1; i >= 0 && l.pushes[i].At.After(from); i-- {
-		halls[l.pushes[i].Hall]++
+// AttemptsByZone gives the pushes that came after a time, by the hall of their server.
+func (r *Recorder) AttemptsByZone(from time.Time) map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	zones := map[string]int{}
+	for i := len(r.attempts) - 1; i >= 0 && r.attempts[i].ReceivedAt.After(from); i-- {
+		zones[r.attempts[i].Zone]++
 	}
-	return halls
+	return zones
 }
 
-// Flow gives the pushes that came after a time, by the halls that their tasks came in at and were pushed to. The hall
+// AttemptsByRoute gives the pushes that came after a time, by the halls that their tasks came in at and were pushed to. The hall
 // that a task came in at is told by its customer.
-func (l *Ledger) Flow(from time.Time) map[[2]string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) AttemptsByRoute(from time.Time) map[[2]string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	flow := map[[2]string]int{}
-	for i := len(l.pushes) - 1; i >= 0 && l.pushes[i].At.After(from); i-- {
-		flow[[2]string{l.pushes[i].From, l.pushes[i].Hall}]++
+	for i := len(r.attempts) - 1; i >= 0 && r.attempts[i].ReceivedAt.After(from); i-- {
+		flow[[2]string{r.attempts[i].Origin, r.attempts[i].Zone}]++
 	}
 	return flow
 }
 
-// Pushes are all pushes so far.
-func (l *Ledger) Pushes() []Pushed {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.pushes)
+// Attempts are all pushes so far.
+func (r *Recorder) Attempts() []Attempt {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.attempts)
 }
 
-// Wrong tells what broke the rules that hold whatever fails: a task without its final answer or with two, and an
+// Violations tells what broke the rules that hold whatever fails: a task without its final answer or with two, and an
 // effectful task that ran to its end twice.
-func (l *Ledger) Wrong() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) Violations() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var wrong []string
-	if n := l.counts[Lost]; n > 0 {
+	if n := r.resultCounts[Unanswered]; n > 0 {
 		wrong = append(wrong, fmt.Sprintf("%d tasks without a final answer", n))
 	}
-	if len(l.twice) > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d tasks with two final answers", len(l.twice)))
+	if len(r.answeredTwice) > 0 {
+		wrong = append(wrong, fmt.Sprintf("%d tasks with two final answers", len(r.answeredTwice)))
 	}
 	ran := map[string]int{}
-	for _, p := range l.pushes {
-		if p.Lane != "pay" {
+	for _, attempt := range r.attempts {
+		if attempt.Class != "pay" {
 			continue
 		}
-		if ran[p.ID]++; ran[p.ID] == 2 {
-			wrong = append(wrong, "effectful task "+p.ID+" came to servers twice")
+		if ran[attempt.ID]++; ran[attempt.ID] == 2 {
+			wrong = append(wrong, "effectful task "+attempt.ID+" came to servers twice")
 		}
 	}
 	return wrong
--- a/internal/drill/plain_test.go
+++ b/internal/drill/plain_test.go
@@ -29,66 +29,66 @@
 	os.Exit(code)
 }
 
-// three halls of two gateways and four servers each.
-func three(t *testing.T) *World {
-	return New(t, program, Shape{Halls: []string{"hall-a", "hall-b", "hall-c"}, Servers: 4, Gateways: 2,
-		Takes: 5 * time.Millisecond, Most: 8})
+// newThreeZones halls of two gateways and four servers each.
+func newThreeZones(t *testing.T) *Environment {
+	return NewEnvironment(t, program, Config{Zones: []string{"hall-a", "hall-b", "hall-c"}, ServersPerZone: 4, GatewaysPerZone: 2,
+		ServiceTime: 5 * time.Millisecond, MaxConcurrent: 8})
 }
 
-// mixed gives tasks of customers of a hall's own: one in five is effectful.
-func mixed(hall int) func(*rand.Rand) Task {
-	return func(r *rand.Rand) Task {
-		t := Task{Lane: "look", Plan: "wide", Customer: Customer(hall, r.Uint64N(50)),
-			Units: 1 + r.IntN(3), Patience: 2 * time.Second}
+// mixedRequests gives tasks of customers of a hall's own: one in five is effectful.
+func mixedRequests(zone int) func(*rand.Rand) Request {
+	return func(r *rand.Rand) Request {
+		request := Request{Class: "look", Plan: "wide", Customer: CustomerID(zone, r.Uint64N(50)),
+			Units: 1 + r.IntN(3), Timeout: 2 * time.Second}
 		if r.IntN(5) == 0 {
-			t.Lane = "pay"
+			request.Class = "pay"
 		}
-		return t
+		return request
 	}
 }
 
-// offer has clients ask all gateways until the function given back is called, which waits for the answers.
-func (w *World) offer(rate float64, draw func(hall int) func(*rand.Rand) Task) (end func()) {
+// offerLoad has clients ask all gateways until the function given back is called, which waits for the answers.
+func (env *Environment) offerLoad(rate float64, draw func(zone int) func(*rand.Rand) Request) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	for i, g := range w.Gateways {
-		w.Clients.Offer(ctx, g.Addr, rate, uint64(i), draw(slices.Index(w.Halls, g.Hall)))
+	for i, g := range env.Gateways {
+		env.Clients.OfferLoad(ctx, g.Addr, rate, uint64(i), draw(slices.Index(env.Zones, g.Zone)))
 	}
-	return func() { cancel(); w.Clients.Wait() }
+	return func() { cancel(); env.Clients.Wait() }
 }
 
-// honoured waits until so many more tasks have been honoured.
-func (w *World) honoured(more int) {
-	w.T.Helper()
-	before := w.Ledger.Ends()[Honoured]
-	standin.Eventually(w.T, fmt.Sprintf("%d more tasks honoured", more), func() bool {
-		return w.Ledger.Ends()[Honoured] >= before+more
+// waitForServed waits until so many more tasks have been honoured.
+func (env *Environment) waitForServed(more int) {
+	env.T.Helper()
+	before := env.Recorder.ResultCounts()[Served]
+	standin.Eventually(env.T, fmt.Sprintf("%d more tasks honoured", more), func() bool {
+		return env.Recorder.ResultCounts()[Served] >= before+more
 	})
 }
 
 // Without anything in common: gateways are killed, stand still and come back, a hall's servers are lost and return,
 // the counter is silent for a while. No task is left without its answer, and none that must not runs twice.
-func TestFaultsUnderLoadBreakNoRule(t *testing.T) {
-	w := three(t)
-	w.Start(w.Gateways...)
-	end := w.offer(40, mixed)
-	w.honoured(100)
-	w.Gateways[0].Kill()
-	w.Gateways[1].Sleep()
-	w.Become("hall-b", Dead)
-	w.honoured(100)
-	w.Gateways[1].Wake()
-	w.Start(w.Gateways[0])
-	letGo := w.Counter.Hold()
-	w.honoured(100)
-	letGo()
-	w.Become("hall-b", Well)
-	w.honoured(100)
-	w.Gateways[5].Signal(syscall.SIGTERM)
+func TestWithoutVoters_faultsUnderLoadBreakNoRule(t *testing.T) {
+	env := newThreeZones(t)
+	env.Start(env.Gateways...)
+	end := env.offerLoad(40, mixedRequests)
+	env.waitForServed(100)
+	env.Gateways[0].Kill()
+	env.Gateways[1].Pause()
+	env.SetZoneBehavior("hall-b", Down)
+	env.waitForServed(100)
+	env.Gateways[1].Resume()
+	env.Start(env.Gateways[0])
+	release := env.Counter.Hold()
+	env.waitForServed(100)
+	release()
+	env.SetZoneBehavior("hall-b", Healthy)
+	env.waitForServed(100)
+	env.Gateways[5].Signal(syscall.SIGTERM)
 	end()
-	if wrong := w.Ledger.Wrong(); len(wrong) > 0 {
-		t.Errorf("%v; ends %v", wrong, w.Ledger.Ends())
+	if wrong := env.Recorder.Violations(); len(wrong) > 0 {
+		t.Errorf("%v; ends %v", wrong, env.Recorder.ResultCounts())
 	}
-	if w.Counter.Calls() == 0 {
+	if env.Counter.Calls() == 0 {
 		t.Error("no gateway called the counter")
 	}
 }
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -48,7 +48,7 @@
 }
 
 // Count is how often words are in it.
-func (l *Log) Count(words string) int { return strings.Count(l.String(), words) }
+func (l *Log) Count(phrase string) int { return strings.Count(l.String(), phrase) }
 
 // Process is one process of the program, which may be started again after its end.
 type Process struct {
@@ -62,13 +62,13 @@
 }
 
 // NewProcess names a process that is not running yet; env is added to this process's own.
-func NewProcess(program, name string, env ...string) *Process {
-	return &Process{Name: name, program: program, env: env}
+func NewProcess(program, name string, environ ...string) *Process {
+	return &Process{Name: name, program: program, env: environ}
 }
 
-// Fill has every write of the process to a file fail from now on, as on a full disk, or succeed again. A disk that
+// SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or succeed again. A disk that
 // takes writes and fails to sync can't be made without special rights: package disk's own tests have one.
-func (p *Process) Fill(full bool) error {
+func (p *Process) SetDiskFull(full bool) error {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return err
@@ -99,7 +99,7 @@
 
 // Signal sends a signal: SIGSTOP to let it stand still, SIGCONT to let it go on, SIGTERM, SIGHUP.
 func (p *Process) Signal(s syscall.Signal) {
-	if p.Runs() {
+	if p.IsRunning() {
 		_ = p.cmd.Process.Signal(s)
 	}
 }
@@ -112,8 +112,8 @@
 	}
 }
 
-// Runs tells whether it was started and has not ended.
-func (p *Process) Runs() bool {
+// IsRunning tells whether it was started and has not ended.
+func (p *Process) IsRunning() bool {
 	if p.cmd == nil {
 		return false
 	}
--- a/internal/drill/relay/relay.go
+++ b/internal/drill/relay/relay.go
@@ -13,96 +13,96 @@
 )
 
 const (
-	bodyMost = 64 << 20         // bytes of a call or an answer that are held at once: far above what links send
-	waitMost = 30 * time.Second // the longest that a call is held or waited for
-	piece    = 512              // bytes that are written at once where an answer comes slowly
+	maxBodySize = 64 << 20         // bytes of a call or an answer that are held at once: far above what links send
+	maxWait     = 30 * time.Second // the longest that a call is held or waited for
+	chunkSize   = 512              // bytes that are written at once where an answer comes slowly
 )
 
 // Fault is what happens to calls. The zero value passes all on at once.
 type Fault struct {
-	// CutThere: calls do not arrive. CutBack: calls arrive, their answers do not. Callers hear nothing until they give up
+	// DropRequests: calls do not arrive. CutBack: calls arrive, their answers do not. Callers hear nothing until they give up
 	// or the fault ends; then their connection is reset.
-	CutThere, CutBack bool
+	DropRequests, DropResponses bool
 	// Hold: calls wait until the fault ends, then all arrive, in no certain order.
 	Hold bool
 	// Delay before a call is passed on.
 	Delay time.Duration
-	// Slow: answers come a piece of 512 bytes at a time with this pause before each.
-	Slow time.Duration
+	// ChunkDelay: answers come a piece of 512 bytes at a time with this pause before each.
+	ChunkDelay time.Duration
 	// Reset: each call that would be passed on is cut off by a reset after half of its answer.
 	Reset bool
-	// Double: each call arrives twice; the second answer is dropped.
-	Double bool
-	// Only, where not empty, is the path of the calls that the fault is for; others pass.
-	Only string
+	// Duplicate: each call arrives twice; the second answer is dropped.
+	Duplicate bool
+	// OnlyPath, where not empty, is the path of the calls that the fault is for; others pass.
+	OnlyPath string
 }
 
-// Relay passes calls on to one address.
-type Relay struct {
+// Proxy passes calls on to one address.
+type Proxy struct {
 	Addr string // its own: host:port
 
-	to     string
+	target string
 	client *http.Client
 	server *http.Server
 
-	mu     sync.Mutex
-	fault  Fault
-	ended  chan struct{} // closed when the fault in force is replaced
-	passed map[string]int
+	mu         sync.Mutex
+	fault      Fault
+	faultEnded chan struct{} // closed when the fault in force is replaced
+	forwarded  map[string]int
 }
 
 // New starts a relay to an address; Close ends it.
-func New(to string) (*Relay, error) {
+func New(to string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: l.Addr().String(), to: to, ended: make(chan struct{}), passed: map[string]int{},
-		client: &http.Client{Timeout: waitMost, Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true}}}
-	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadHeaderTimeout: waitMost}
-	go func() { _ = r.server.Serve(l) }()
-	return r, nil
+	p := &Proxy{Addr: l.Addr().String(), target: to, faultEnded: make(chan struct{}), forwarded: map[string]int{},
+		client: &http.Client{Timeout: maxWait, Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true}}}
+	p.server = &http.Server{Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: maxWait}
+	go func() { _ = p.server.Serve(l) }()
+	return p, nil
 }
 
-// Set puts a fault in force in place of the one before; calls held or cut by that are let go or reset.
-func (r *Relay) Set(f Fault) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.fault = f
-	close(r.ended)
-	r.ended = make(chan struct{})
+// SetFault puts a fault in force in place of the one before; calls held or cut by that are let go or reset.
+func (p *Proxy) SetFault(fault Fault) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fault = fault
+	close(p.faultEnded)
+	p.faultEnded = make(chan struct{})
 }
 
-// Heal ends the fault in force.
-func (r *Relay) Heal() { r.Set(Fault{}) }
+// ClearFault ends the fault in force.
+func (p *Proxy) ClearFault() { p.SetFault(Fault{}) }
 
-// Passed is how many calls of a path arrived, each doubled one counted twice.
-func (r *Relay) Passed(path string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.passed[path]
+// Forwarded is how many calls of a path arrived, each doubled one counted twice.
+func (p *Proxy) Forwarded(path string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.forwarded[path]
 }
 
 // Close ends the relay and resets what is on it.
-func (r *Relay) Close() {
-	r.Heal()
-	_ = r.server.Close()
-	r.client.CloseIdleConnections()
+func (p *Proxy) Close() {
+	p.ClearFault()
+	_ = p.server.Close()
+	p.client.CloseIdleConnections()
 }
 
-// now is the fault for a path, and what is closed when it ends.
-func (r *Relay) now(path string) (Fault, <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.fault.Only != "" && r.fault.Only != path {
-		return Fault{}, r.ended
+// currentFault is the fault for a path, and what is closed when it ends.
+func (p *Proxy) currentFault(path string) (Fault, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.fault.OnlyPath != "" && p.fault.OnlyPath != path {
+		return Fault{}, p.faultEnded
 	}
-	return r.fault, r.ended
+	return p.fault, p.faultEnded
 }
 
-// wait waits for the end of a fault. False: the caller gave up before.
-func wait(ctx context.Context, ended <-chan struct{}) bool {
-	t := time.NewTimer(waitMost)
+// waitForEnd waits for the end of a fault. False: the caller gave up before.
+func waitForEnd(ctx context.Context, ended <-chan struct{}) bool {
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
 	case <-ended:
@@ -113,93 +113,93 @@
 	return false
 }
 
-func (r *Relay) serve(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(q.Body, bodyMost))
+func (p *Proxy) handle(response http.ResponseWriter, request *http.Request) {
+	payload, err := io.ReadAll(io.LimitReader(request.Body, maxBodySize))
 	if err != nil {
-		reset(w)
+		resetConn(response)
 		return
 	}
-	f, ended := r.now(q.URL.Path)
-	if f.Hold && !wait(q.Context(), ended) {
+	fault, ended := p.currentFault(request.URL.Path)
+	if fault.Hold && !waitForEnd(request.Context(), ended) {
 		return
 	}
-	if f.Delay > 0 {
-		t := time.NewTimer(f.Delay)
+	if fault.Delay > 0 {
+		t := time.NewTimer(fault.Delay)
 		defer t.Stop()
 		select {
 		case <-t.C:
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
-	if f.CutThere {
-		wait(q.Context(), ended)
-		reset(w)
+	if fault.DropRequests {
+		waitForEnd(request.Context(), ended)
+		resetConn(response)
 		return
 	}
-	answer, text, err := r.pass(q, body)
-	if f.Double {
-		_, _, _ = r.pass(q, body)
+	upstream, body, err := p.forward(request, payload)
+	if fault.Duplicate {
+		_, _, _ = p.forward(request, payload)
 	}
-	if f.CutBack {
-		wait(q.Context(), ended)
-		reset(w)
+	if fault.DropResponses {
+		waitForEnd(request.Context(), ended)
+		resetConn(response)
 		return
 	}
 	if err != nil { // the other end is gone: so it looks to the caller
-		reset(w)
+		resetConn(response)
 		return
 	}
-	for name, values := range answer.Header {
-		w.Header()[name] = values
+	for name, values := range upstream.Header {
+		response.Header()[name] = values
 	}
-	w.WriteHeader(answer.StatusCode)
-	if f.Reset {
-		_, _ = w.Write(text[:len(text)/2])
-		if flush, ok := w.(http.Flusher); ok {
+	response.WriteHeader(upstream.StatusCode)
+	if fault.Reset {
+		_, _ = response.Write(body[:len(body)/2])
+		if flush, ok := response.(http.Flusher); ok {
 			flush.Flush()
 		}
-		reset(w)
+		resetConn(response)
 		return
 	}
-	for f.Slow > 0 && len(text) > 0 {
-		time.Sleep(f.Slow)
-		n := min(piece, len(text))
-		if _, err := w.Write(text[:n]); err != nil {
+	for fault.ChunkDelay > 0 && len(body) > 0 {
+		time.Sleep(fault.ChunkDelay)
+		n := min(chunkSize, len(body))
+		if _, err := response.Write(body[:n]); err != nil {
 			return
 		}
-		if flush, ok := w.(http.Flusher); ok {
+		if flush, ok := response.(http.Flusher); ok {
 			flush.Flush()
 		}
-		text = text[n:]
+		body = body[n:]
 	}
-	_, _ = w.Write(text)
+	_, _ = response.Write(body)
 }
 
-// pass passes a call on once. The call goes on where its caller gives up, as bytes on the way do.
-func (r *Relay) pass(q *http.Request, body []byte) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(q.Context()), waitMost)
+// forward passes a call on once. The call goes on where its caller gives up, as bytes on the way do.
+func (p *Proxy) forward(request *http.Request, payload []byte) (*http.Response, []byte, error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), maxWait)
 	defer cancel()
-	out, err := http.NewRequestWithContext(ctx, q.Method, "http://"+r.to+q.URL.RequestURI(), bytes.NewReader(body))
+	out, err := http.NewRequestWithContext(ctx, request.Method, "http://"+p.target+request.URL.RequestURI(), bytes.NewReader(payload))
 	if err != nil {
 		return nil, nil, err
 	}
-	out.Header = q.Header.Clone()
-	answer, err := r.client.Do(out)
+	out.Header = request.Header.Clone()
+	upstream, err := p.client.Do(out)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, bodyMost))
-	r.mu.Lock()
-	r.passed[q.URL.Path]++
-	r.mu.Unlock()
-	return answer, text, err
+	defer upstream.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(upstream.Body, maxBodySize))
+	p.mu.Lock()
+	p.forwarded[request.URL.Path]++
+	p.mu.Unlock()
+	return upstream, body, err
 }
 
-// reset ends the caller's connection by a reset.
-func reset(w http.ResponseWriter) {
-	h, ok := w.(http.Hijacker)
+// resetConn ends the caller's connection by a reset.
+func resetConn(response http.ResponseWriter) {
+	h, ok := response.(http.Hijacker)
 	if !ok {
 		return
 	}
--- a/internal/drill/relay/relay_test.go
+++ b/internal/drill/relay/relay_test.go
@@ -11,64 +11,64 @@
 	"time"
 )
 
-// between is a relay before a server that counts its calls.
-func between(t *testing.T) (r *Relay, arrived *atomic.Int64) {
+// newTestProxy is a relay before a server that counts its calls.
+func newTestProxy(t *testing.T) (p *Proxy, arrived *atomic.Int64) {
 	t.Helper()
 	arrived = &atomic.Int64{}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	s := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		arrived.Add(1)
-		body, _ := io.ReadAll(q.Body)
-		_, _ = io.WriteString(w, strings.Repeat(string(body), 300))
+		payload, _ := io.ReadAll(request.Body)
+		_, _ = io.WriteString(response, strings.Repeat(string(payload), 300))
 	}))
 	t.Cleanup(s.Close)
-	r, err := New(strings.TrimPrefix(s.URL, "http://"))
+	p, err := New(strings.TrimPrefix(s.URL, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r, arrived
+	t.Cleanup(p.Close)
+	return p, arrived
 }
 
-// call makes a call that gives up after a time.
-func call(r *Relay, path string, patience time.Duration) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// callProxy makes a call that gives up after a time.
+func callProxy(p *Proxy, path string, timeout time.Duration) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Addr+path, strings.NewReader("news"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+path, strings.NewReader("news"))
 	if err != nil {
 		return "", err
 	}
-	a, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
+	a, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
 		return "", err
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
-	return string(text), err
+	body, err := io.ReadAll(a.Body)
+	return string(body), err
 }
 
-const short, long = 100 * time.Millisecond, 10 * time.Second
+const shortTimeout, longTimeout = 100 * time.Millisecond, 10 * time.Second
 
-func TestFaults(t *testing.T) {
+func TestProxy_appliesFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault    Fault
 		patience time.Duration
 		answered bool
 		arrives  int64
 	}{
-		"none":                 {Fault{}, long, true, 1},
-		"cut there":            {Fault{CutThere: true}, short, false, 0},
-		"cut back":             {Fault{CutBack: true}, short, false, 1},
-		"reset in the answer":  {Fault{Reset: true}, long, false, 1},
-		"doubled":              {Fault{Double: true}, long, true, 2},
-		"held":                 {Fault{Hold: true}, short, false, 0},
-		"late":                 {Fault{Delay: 5 * short}, short, false, 0},
-		"slow":                 {Fault{Slow: time.Millisecond}, long, true, 1},
-		"cut for another path": {Fault{CutThere: true, Only: "/other"}, long, true, 1},
+		"none":                 {Fault{}, longTimeout, true, 1},
+		"cut there":            {Fault{DropRequests: true}, shortTimeout, false, 0},
+		"cut back":             {Fault{DropResponses: true}, shortTimeout, false, 1},
+		"reset in the answer":  {Fault{Reset: true}, longTimeout, false, 1},
+		"doubled":              {Fault{Duplicate: true}, longTimeout, true, 2},
+		"held":                 {Fault{Hold: true}, shortTimeout, false, 0},
+		"late":                 {Fault{Delay: 5 * shortTimeout}, shortTimeout, false, 0},
+		"slow":                 {Fault{ChunkDelay: time.Millisecond}, longTimeout, true, 1},
+		"cut for another path": {Fault{DropRequests: true, OnlyPath: "/other"}, longTimeout, true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, arrived := between(t)
-			r.Set(c.fault)
-			text, err := call(r, "/one", c.patience)
+			p, arrived := newTestProxy(t)
+			p.SetFault(c.fault)
+			text, err := callProxy(p, "/one", c.patience)
 			if answered := err == nil && len(text) == 1200; answered != c.answered || arrived.Load() != c.arrives {
 				t.Errorf("answered %v (%v), arrived %d times", answered, err, arrived.Load())
 			}
@@ -77,16 +77,16 @@
 }
 
 // What was cut is not delivered once the cut ends, what was held is.
-func TestHealingResetsWhatWasCutAndLetsGoWhatWasHeld(t *testing.T) {
-	for fault, arrives := range map[Fault]bool{{CutThere: true}: false, {Hold: true}: true} {
-		r, arrived := between(t)
-		r.Set(fault)
+func TestProxy_clearFaultResetsDroppedAndReleasesHeld(t *testing.T) {
+	for fault, arrives := range map[Fault]bool{{DropRequests: true}: false, {Hold: true}: true} {
+		p, arrived := newTestProxy(t)
+		p.SetFault(fault)
 		done := make(chan error, 1)
-		go func() { _, err := call(r, "/one", long); done <- err }()
-		time.Sleep(short) // the call is on its way; either order gives the same verdict
-		r.Heal()
+		go func() { _, err := callProxy(p, "/one", longTimeout); done <- err }()
+		time.Sleep(shortTimeout) // the call is on its way; either order gives the same verdict
+		p.ClearFault()
 		err := <-done
-		if fault.CutThere && err == nil && arrived.Load() == 1 {
+		if fault.DropRequests && err == nil && arrived.Load() == 1 {
 			continue // it came after the end of the cut
 		}
 		if (err == nil) != arrives || (arrived.Load() == 1) != arrives {
--- a/internal/drill/server.go
+++ b/internal/drill/server.go
@@ -12,38 +12,38 @@
 	"harrierhoist/internal/standin"
 )
 
-// Mood is how a server behaves.
-type Mood uint8
+// Behavior is how a server behaves.
+type Behavior uint8
 
 // The moods of a server.
 const (
-	Well   Mood = iota
-	Dead        // refuses connections and resets those it has
-	Silent      // takes everything and answers nothing
-	Wrong       // answers with errors
+	Healthy      Behavior = iota
+	Down                  // refuses connections and resets those it has
+	Unresponsive          // takes everything and answers nothing
+	Failing               // answers with errors
 )
 
 // Server is an emulated server: it works on at most so many tasks at once, each for a time, and turns more away.
 type Server struct {
-	Name, Hall, Addr string
-
-	ledger *Ledger
-	takes  time.Duration
-	most   int
-
-	mu    sync.Mutex
-	mood  Mood
-	l     net.Listener
-	conns map[net.Conn]struct{}
-	busy  int
-	peak  int
-	since time.Time
+	Name, Zone, Addr string
+
+	recorder      *Recorder
+	serviceTime   time.Duration
+	maxConcurrent int
+
+	mu          sync.Mutex
+	behavior    Behavior
+	listener    net.Listener
+	conns       map[net.Conn]struct{}
+	inFlight    int
+	peak        int
+	restartedAt time.Time
 }
 
 // NewServer starts one; most is how many tasks it works on at once.
-func NewServer(name, hall string, takes time.Duration, most int, ledger *Ledger) (*Server, error) {
-	s := &Server{Name: name, Hall: hall, ledger: ledger, takes: takes, most: most, conns: map[net.Conn]struct{}{}}
-	addr, err := free() // its own while it is dead, too
+func NewServer(name, zone string, serviceTime time.Duration, maxConcurrent int, recorder *Recorder) (*Server, error) {
+	s := &Server{Name: name, Zone: zone, recorder: recorder, serviceTime: serviceTime, maxConcurrent: maxConcurrent, conns: map[net.Conn]struct{}{}}
+	addr, err := freeAddr() // its own while it is dead, too
 	if err != nil {
 		return nil, err
 	}
@@ -52,13 +52,13 @@
 		return nil, err
 	}
 	s.Addr = addr
-	s.open(l)
+	s.acceptFrom(l)
 	return s, nil
 }
 
-func (s *Server) open(l net.Listener) {
+func (s *Server) acceptFrom(l net.Listener) {
 	s.mu.Lock()
-	s.l = l
+	s.listener = l
 	s.mu.Unlock()
 	go func() {
 		for {
@@ -74,13 +74,13 @@
 	}()
 }
 
-// Become changes the mood. One that is dead and becomes another listens again, and says since when it runs.
-func (s *Server) Become(m Mood) error {
+// SetBehavior changes the mood. One that is dead and becomes another listens again, and says since when it runs.
+func (s *Server) SetBehavior(behavior Behavior) error {
 	s.mu.Lock()
-	was := s.mood
-	s.mood = m
-	if m == Dead && was != Dead {
-		_ = s.l.Close()
+	was := s.behavior
+	s.behavior = behavior
+	if behavior == Down && was != Down {
+		_ = s.listener.Close()
 		for c := range s.conns {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
@@ -90,24 +90,24 @@
 		clear(s.conns)
 	}
 	s.mu.Unlock()
-	if was == Dead && m != Dead {
+	if was == Down && behavior != Down {
 		l, err := net.Listen("tcp", s.Addr)
 		if err != nil {
 			return err
 		}
 		s.mu.Lock()
-		s.since = time.Now()
+		s.restartedAt = time.Now()
 		s.mu.Unlock()
-		s.open(l)
+		s.acceptFrom(l)
 	}
 	return nil
 }
 
-// Limit changes how many tasks it works on at once.
-func (s *Server) Limit(most int) {
+// SetMaxConcurrent changes how many tasks it works on at once.
+func (s *Server) SetMaxConcurrent(maxConcurrent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.maxConcurrent = maxConcurrent
 }
 
 // Peak is the most tasks at once since the last call.
@@ -115,25 +115,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.peak
-	s.peak = s.busy
+	s.peak = s.inFlight
 	return p
 }
 
 // Close ends it.
-func (s *Server) Close() { _ = s.Become(Dead) }
+func (s *Server) Close() { _ = s.SetBehavior(Down) }
 
-// feel reads the mood; take is to take a place for a task where one is free.
-func (s *Server) feel(take bool) (m Mood, full bool) {
+// admit reads the mood; take is to take a place for a task where one is free.
+func (s *Server) admit(take bool) (behavior Behavior, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if take && s.mood == Well {
-		if s.busy >= s.most {
-			return s.mood, true
+	if take && s.behavior == Healthy {
+		if s.inFlight >= s.maxConcurrent {
+			return s.behavior, true
 		}
-		s.busy++
-		s.peak = max(s.peak, s.busy)
+		s.inFlight++
+		s.peak = max(s.peak, s.inFlight)
 	}
-	return s.mood, false
+	return s.behavior, false
 }
 
 func (s *Server) serve(c net.Conn) {
@@ -145,7 +145,7 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		words, err := standin.Words(in)
+		words, err := standin.ReadCommand(in)
 		if err != nil {
 			return
 		}
@@ -153,44 +153,44 @@
 			_, _ = io.WriteString(c, "+PONG\r\n")
 			continue
 		}
-		m, full := s.feel(true)
+		behavior, full := s.admit(true)
 		switch {
-		case m == Silent:
+		case behavior == Unresponsive:
 			continue
-		case m == Wrong:
+		case behavior == Failing:
 			_, _ = io.WriteString(c, "-ERR failed\r\n")
 			continue
 		case full:
 			_, _ = io.WriteString(c, "-BUSY\r\n")
 			continue
 		}
-		p := pushed(words)
-		p.Server, p.Hall = s.Name, s.Hall
-		place := s.ledger.Came(p)
-		time.Sleep(s.takes)
+		attempt := parseAttempt(words)
+		attempt.Server, attempt.Zone = s.Name, s.Zone
+		index := s.recorder.RecordAttempt(attempt)
+		time.Sleep(s.serviceTime)
 		s.mu.Lock()
-		s.busy--
+		s.inFlight--
 		s.mu.Unlock()
-		s.ledger.Ran(place)
-		if m, _ := s.feel(false); m == Silent {
+		s.recorder.RecordCompletion(index)
+		if behavior, _ := s.admit(false); behavior == Unresponsive {
 			continue
 		}
-		if _, err := io.WriteString(c, standin.Value("done", int(p.Units))); err != nil {
+		if _, err := io.WriteString(c, standin.FormatValue("done", int(attempt.Units))); err != nil {
 			return
 		}
 	}
 }
 
-// pushed reads a command of a push.
-func pushed(words []string) Pushed {
-	p := Pushed{Customer: words[1], ID: words[2], Units: 1}
+// parseAttempt reads a command of a push.
+func parseAttempt(words []string) Attempt {
+	attempt := Attempt{Customer: words[1], ID: words[2], Units: 1}
 	for _, pair := range strings.Split(words[3], ",") {
 		switch key, value, _ := strings.Cut(pair, "="); key {
 		case "c":
-			p.Lane = value
+			attempt.Class = value
 		case "units":
-			p.Units, _ = strconv.ParseFloat(value, 64)
+			attempt.Units, _ = strconv.ParseFloat(value, 64)
 		}
 	}
-	return p
+	return attempt
 }
--- a/internal/drill/voters_test.go
+++ b/internal/drill/voters_test.go
@@ -8,54 +8,54 @@
 	"harrierhoist/internal/drill/relay"
 )
 
-var cut = relay.Fault{CutThere: true}
+var dropRequests = relay.Fault{DropRequests: true}
 
 // 4. The leader's word arrives nowhere while others' arrives at it, or the other way round. Another leads, and a hall's
 // loss is answered.
-func TestOneWayCutOfTheLeader(t *testing.T) {
-	for name, way := range map[string]func(s *story, leader string){
-		"its calls":     func(s *story, leader string) { s.Between([]string{leader}, nil, cut) },
-		"calls to it":   func(s *story, leader string) { s.Between(nil, []string{leader}, cut) },
-		"their answers": func(s *story, leader string) { s.Between(nil, []string{leader}, relay.Fault{CutBack: true}) },
+func TestVoters_leaderWithOneWayPartition(t *testing.T) {
+	for name, way := range map[string]func(s *scenario, leader string){
+		"its calls":     func(s *scenario, leader string) { s.SetFault([]string{leader}, nil, dropRequests) },
+		"calls to it":   func(s *scenario, leader string) { s.SetFault(nil, []string{leader}, dropRequests) },
+		"their answers": func(s *scenario, leader string) { s.SetFault(nil, []string{leader}, relay.Fault{DropResponses: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := begin(t)
+			s := startScenario(t)
 			way(s, s.Leader().Name)
-			s.lose("hall-a", "hall-b")
-			s.Heal()
+			s.failZone("hall-a", "hall-b")
+			s.ClearFaults()
 			s.Leader()
-			s.share("hall-a", "hall-b", away, 1)
-			s.over()
+			s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
+			s.finish()
 		})
 	}
 }
 
 // 5. The leader stands still past its lease; meanwhile another plan comes into force. Awake, it still believes to lead
 // and holds the old plan: no gateway goes back to it.
-func TestLeaderAsleepPastItsLeaseThenAwake(t *testing.T) {
-	s := begin(t)
+func TestVoters_leaderPausedPastLeaseThenResumed(t *testing.T) {
+	s := startScenario(t)
 	old := s.Leader()
 	epoch := s.Read("failover").Epoch
 	old.Signal(syscall.SIGSTOP)
-	s.lose("hall-a", "hall-b")
+	s.failZone("hall-a", "hall-b")
 	from := time.Now()
 	old.Signal(syscall.SIGCONT)
 	s.Leader()
 	if e := s.Read("failover").Epoch; e <= epoch {
 		t.Errorf("the plan stands at %d, and stood at %d", e, epoch)
 	}
-	s.share("hall-a", "hall-b", away, 1)
-	if n := s.Ledger.Flow(from)[[2]string{"hall-a", "hall-a"}]; n > 0 {
+	s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
+	if n := s.Recorder.AttemptsByRoute(from)[[2]string{"hall-a", "hall-a"}]; n > 0 {
 		t.Errorf("%d pushes to the lost hall", n)
 	}
-	s.over()
+	s.finish()
 }
 
 // 7. All voters are killed at once when a hall's tasks have moved. Gateways go on; what was acknowledged is there when
 // the voters are back, and the tasks are where they were.
-func TestAllVotersKilledAtOnceInMidFailover(t *testing.T) {
-	s := begin(t)
-	s.lose("hall-a", "hall-b")
+func TestVoters_allKilledDuringFailover(t *testing.T) {
+	s := startScenario(t)
+	s.failZone("hall-a", "hall-b")
 	epoch := s.Read("failover").Epoch
 	for _, v := range s.Voters {
 		v.Signal(syscall.SIGKILL)
@@ -64,84 +64,84 @@
 		v.Kill()
 	}
 	for _, g := range s.Gateways {
-		s.says(g.Process, "no plan in force", 2)
+		s.waitForLog(g.Process, "no plan in force", 2)
 	}
-	s.share("hall-b", "hall-b", near, 1)
-	s.honoured(100)
-	s.Club.Start()
+	s.waitForFraction("hall-b", "hall-b", minLocalFraction, 1)
+	s.waitForServed(100)
+	s.VoterCluster.Start()
 	if e := s.Read("failover").Epoch; e < epoch {
 		t.Errorf("the plan stands at %d, and %d was acknowledged", e, epoch)
 	}
-	s.share("hall-a", "hall-b", away, 1)
-	s.Become("hall-a", Well)
-	s.share("hall-a", "hall-a", near, 1)
-	s.over()
+	s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
+	s.SetZoneBehavior("hall-a", Healthy)
+	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
+	s.finish()
 }
 
 // 8. A voter's disk is lost and another takes its place, under a new number, while a hall comes back cold. The tasks
 // come home by steps all the same.
-func TestVoterReplacedWhileAHallReturnsCold(t *testing.T) {
-	s := begin(t)
-	s.lose("hall-a", "hall-b")
+func TestVoters_replacedWhileZoneRecovers(t *testing.T) {
+	s := startScenario(t)
+	s.failZone("hall-a", "hall-b")
 	old := s.Voters[1]
 	old.Kill()
-	s.Become("hall-a", Well)
+	s.SetZoneBehavior("hall-a", Healthy)
 	s.Replace(old, "v4", 4)
-	s.Files()
+	s.WriteConfigs()
 	for _, v := range s.Voters {
 		v.Signal(syscall.SIGHUP)
 	}
 	for _, g := range s.Gateways {
 		g.Signal(syscall.SIGHUP)
 	}
-	s.Club.Start(s.Voters[1])
-	s.says(s.Voters[1].Process, "this voter has begun", 1)
-	s.share("hall-a", "hall-a", near, 1)
+	s.VoterCluster.Start(s.Voters[1])
+	s.waitForLog(s.Voters[1].Process, "this voter has begun", 1)
+	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
 	s.Voters[0].Kill() // the new one counts: with it a majority stands
-	s.lose("hall-b", "hall-a")
-	s.over()
+	s.failZone("hall-b", "hall-a")
+	s.finish()
 }
 
 // 17. The leader's disk is full when it is to write the next plan. It stops, and says so; another leads and writes it.
 // With room again, and started again, it is one of the three.
-func TestFullDiskAtAVoter(t *testing.T) {
-	s := begin(t)
+func TestVoters_leaderWithFullDisk(t *testing.T) {
+	s := startScenario(t)
 	full := s.Leader()
-	must(t, full.Fill(true))
-	s.lose("hall-a", "hall-b")
-	s.says(full.Process, "this voter has stopped", 1)
+	must(t, full.SetDiskFull(true))
+	s.failZone("hall-a", "hall-b")
+	s.waitForLog(full.Process, "this voter has stopped", 1)
 	full.Kill()
-	s.Club.Start(full)
-	s.Become("hall-a", Well)
-	s.share("hall-a", "hall-a", near, 1)
+	s.VoterCluster.Start(full)
+	s.SetZoneBehavior("hall-a", Healthy)
+	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
 	for _, v := range s.Voters {
 		if v != full {
 			v.Kill() // with the one that is back a majority stands
 			break
 		}
 	}
-	s.lose("hall-a", "hall-b")
-	s.over()
+	s.failZone("hall-a", "hall-b")
+	s.finish()
 }
 
 // 18. All processes run on the old file, then half of them on a new one with other terms. Whichever file the leader
 // has, a hall's loss is answered, and its return.
-func TestHalfOfTheProcessesOnANewFile(t *testing.T) {
-	s := begin(t)
-	s.Terms = terms + "[failover.bears_by]\n\"hall-a\" = 120\n"
-	s.VoterTerms = s.Terms
+func TestVoters_halfOfProcessesOnNewConfig(t *testing.T) {
+	s := startScenario(t)
+	s.GatewayTerms = failoverTerms + "[failover.bears_by]\n\"hall-a\" = 120\n"
+	s.VoterTerms = s.GatewayTerms
 	half := map[string]*Process{"v1": s.Voters[0].Process, "hall-a-g0": s.Gateways[0].Process,
 		"hall-b-g0": s.Gateways[2].Process,
 		"hall-c-g0": s.Gateways[4].Process}
 	for name, p := range half {
-		s.Files(name)
+		s.WriteConfigs(name)
 		p.Signal(syscall.SIGHUP)
-		s.says(p, "a new charter", 1)
+		s.waitForLog(p, "a new charter", 1)
 	}
-	s.lose("hall-a", "hall-b")
+	s.failZone("hall-a", "hall-b")
 	s.Leader().Kill()
-	s.Become("hall-a", Well)
-	s.share("hall-a", "hall-a", near, 1)
-	s.share("hall-b", "hall-b", near, 1)
-	s.over()
+	s.SetZoneBehavior("hall-a", Healthy)
+	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
+	s.waitForFraction("hall-b", "hall-b", minLocalFraction, 1)
+	s.finish()
 }
