--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -20,73 +20,73 @@
 // Gateway is a gateway's process and where clients reach it.
 type Gateway struct {
 	*Process
-	Hall, Addr, Config string
+	Zone, Addr, Config string
 
-	mu    sync.Mutex
-	still time.Time // until when it surely stood still, was dead or was ending
-	down  bool
+	mu         sync.Mutex
+	awakeSince time.Time // until when it surely stood still, was dead or was ending
+	down       bool
 }
 
-// World is what a story plays in: halls with servers and gateways, a counter, discovery and clients.
-type World struct {
+// Environment is what a story plays in: halls with servers and gateways, a counter, discovery and clients.
+type Environment struct {
 	T         *testing.T
 	Folder    string
 	Program   string
-	Halls     []string
+	Zones     []string
 	Servers   []*Server
 	Gateways  []*Gateway
 	Counter   *Counter
 	Discovery *Discovery
 	Clients   *Clients
-	Ledger    *Ledger
+	Recorder  *Recorder
 }
 
-// Shape is how large a world is.
-type Shape struct {
-	Halls    []string
-	Servers  int           // in each hall
-	Gateways int           // in each hall
-	Takes    time.Duration // of a task at a server
-	Most     int           // tasks at once at a server
-	Plans    []any         // in the form of the settings; none: "wide", and "thin" with 10 units a second
-	Env      func(gateway string) []string
+// Config is how large a world is.
+type Config struct {
+	Zones           []string
+	ServersPerZone  int           // in each hall
+	GatewaysPerZone int           // in each hall
+	ServiceTime     time.Duration // of a task at a server
+	MaxConcurrent   int           // tasks at once at a server
+	Plans           []any         // in the form of the settings; none: "wide", and "thin" with 10 units a second
+	Env             func(gateway string) []string
 }
 
-// New starts a world's servers, counter and discovery and makes its gateways, which Start starts.
-func New(t *testing.T, program string, s Shape) *World {
+// NewEnvironment starts a world's servers, counter and discovery and makes its gateways, which Start starts.
+func NewEnvironment(t *testing.T, program string, config Config) *Environment {
 	t.Helper()
-	w := &World{T: t, Folder: t.TempDir(), Program: program, Halls: s.Halls, Ledger: NewLedger()}
-	w.Ledger.Halls = s.Halls
-	must(t, func() (err error) { w.Counter, err = NewCounter(); return err }())
-	must(t, func() (err error) { w.Discovery, err = NewDiscovery(); return err }())
-	w.Clients = NewClients(w.Ledger, w.owes)
-	t.Cleanup(func() { w.Clients.Close(); w.Counter.Close(); w.Discovery.Close() })
-	for _, hall := range s.Halls {
-		for i := range s.Servers {
-			server, err := NewServer(fmt.Sprintf("%s-s%d", hall, i), hall, s.Takes, s.Most, w.Ledger)
+	env := &Environment{T: t, Folder: t.TempDir(), Program: program, Zones: config.Zones, Recorder: NewRecorder()}
+	env.Recorder.Zones = config.Zones
+	must(t, func() (err error) { env.Counter, err = NewCounter(); return err }())
+	must(t, func() (err error) { env.Discovery, err = NewDiscovery(); return err }())
+	env.Clients = NewClients(env.Recorder, env.mustAnswer)
+	t.Cleanup(func() { env.Clients.Close(); env.Counter.Close(); env.Discovery.Close() })
+	for _, zone := range config.Zones {
+		for i := range config.ServersPerZone {
+			server, err := NewServer(fmt.Sprintf("%s-s%d", zone, i), zone, config.ServiceTime, config.MaxConcurrent, env.Recorder)
 			must(t, err)
 			t.Cleanup(server.Close)
-			w.Servers = append(w.Servers, server)
-			w.Discovery.Tell(server, "in_service", time.Time{})
+			env.Servers = append(env.Servers, server)
+			env.Discovery.Publish(server, "in_service", time.Time{})
 		}
 	}
 	n := 0
-	for at, hall := range s.Halls {
-		for i := range s.Gateways {
-			name := fmt.Sprintf("%s-g%d", hall, i)
-			g := &Gateway{Hall: hall, Addr: Free(t), Config: filepath.Join(w.Folder, name+".json")}
-			must(t, os.WriteFile(g.Config, w.told(g.Addr, name, n, at, len(s.Halls)*s.Gateways, s.Plans), 0o600))
-			env := []string{"RELAY_CONFIG=" + g.Config}
-			if s.Env != nil {
-				env = append(env, s.Env(name)...)
+	for at, zone := range config.Zones {
+		for i := range config.GatewaysPerZone {
+			name := fmt.Sprintf("%s-g%d", zone, i)
+			g := &Gateway{Zone: zone, Addr: FreeAddr(t), Config: filepath.Join(env.Folder, name+".json")}
+			must(t, os.WriteFile(g.Config, env.gatewayConfig(g.Addr, name, n, at, len(config.Zones)*config.GatewaysPerZone, config.Plans), 0o600))
+			environ := []string{"RELAY_CONFIG=" + g.Config}
+			if config.Env != nil {
+				environ = append(environ, config.Env(name)...)
 			}
-			g.Process = NewProcess(program, name, env...)
+			g.Process = NewProcess(program, name, environ...)
 			t.Cleanup(g.Kill)
-			w.Gateways = append(w.Gateways, g)
+			env.Gateways = append(env.Gateways, g)
 			n++
 		}
 	}
-	return w
+	return env
 }
 
 func must(t *testing.T, err error) {
@@ -96,21 +96,21 @@
 	}
 }
 
-// told is a gateway's configuration.
-func (w *World) told(addr, name string, me, hall, of int, plans []any) []byte {
+// gatewayConfig is a gateway's configuration.
+func (env *Environment) gatewayConfig(addr, name string, number, zone, total int, plans []any) []byte {
 	type m = map[string]any
 	if plans == nil {
 		plans = []any{m{"Name": "wide", "UnitsPerS": 100000, "PeakUnits": 400000},
 			m{"Name": "thin", "UnitsPerS": 10, "PeakUnits": 10}}
 	}
-	lane := func(name, effect string) m {
+	class := func(name, effect string) m {
 		return m{"Name": name, "AimMs": 1000, "DeadlineMs": 3000, "Effect": effect,
 			"Group": "cell", "WindowMs": 1000, "Worth": 1}
 	}
-	text, err := json.Marshal(m{"name": name, "listen": addr, "discovery": w.Discovery.Addr, "counter": w.Counter.Addr,
-		"seed": fmt.Sprintf("%016x", me+1), "limits": m{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known": json.RawMessage(w.Discovery.Whole()),
-		"settings": m{"Balancers": of, "Me": me, "MyZone": hall, "Dcs": w.Halls, "Models": []string{"m"},
+	text, err := json.Marshal(m{"name": name, "listen": addr, "discovery": env.Discovery.Addr, "counter": env.Counter.Addr,
+		"seed": fmt.Sprintf("%016x", number+1), "limits": m{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known": json.RawMessage(env.Discovery.FullList()),
+		"settings": m{"Balancers": total, "Me": number, "MyZone": zone, "Dcs": env.Zones, "Models": []string{"m"},
 			"Discovery":  "push",
 			"TickMs":     2,
 			"FamilyInfo": m{"HasCounter": true, "CountLimitMs": 200, "Settles": true, "MostUnits": 6},
@@ -120,115 +120,115 @@
 				"IdleCloseMs":      30000, "StreamsPerConn": 100},
 			"Rules": m{"AnswerSlackMs": 8, "DrainGraceMs": 1000, "ColdFrom": 0.15, "WarmAfterMs": 4000,
 				"FallMultiple": 2, "TipAfterMs": 1500},
-			"RequestClasses": []any{lane("look", "read_like"), lane("pay", "non_idempotent")},
+			"RequestClasses": []any{class("look", "read_like"), class("pay", "non_idempotent")},
 			"TiersOfService": plans}})
-	must(w.T, err)
+	must(env.T, err)
 	return text
 }
 
 // Start starts gateways and waits until they are ready.
-func (w *World) Start(gateways ...*Gateway) {
-	w.T.Helper()
+func (env *Environment) Start(gateways ...*Gateway) {
+	env.T.Helper()
 	for _, g := range gateways {
-		must(w.T, g.Process.Start())
+		must(env.T, g.Process.Start())
 	}
 	for _, g := range gateways {
-		standin.Eventually(w.T, g.Name+" ready", func() bool { return ping(g.Addr) })
+		standin.Eventually(env.T, g.Name+" ready", func() bool { return isReady(g.Addr) })
 		g.mu.Lock()
-		g.still, g.down = time.Now(), false
+		g.awakeSince, g.down = time.Now(), false
 		g.mu.Unlock()
 	}
 }
 
-func ping(addr string) bool {
+func isReady(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
-	_, _ = io.WriteString(c, standin.Command("PING"))
+	_, _ = io.WriteString(c, standin.FormatCommand("PING"))
 	line, _ := bufio.NewReader(c).ReadString('\n')
 	return line == "+PONG\r\n"
 }
 
-// owes tells whether the gateway at an address was awake and alive since a time.
-func (w *World) owes(addr string, from time.Time) bool {
-	for _, g := range w.Gateways {
+// mustAnswer tells whether the gateway at an address was awake and alive since a time.
+func (env *Environment) mustAnswer(addr string, from time.Time) bool {
+	for _, g := range env.Gateways {
 		if g.Addr == addr {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			return !g.down && g.still.Before(from)
+			return !g.down && g.awakeSince.Before(from)
 		}
 	}
 	return true
 }
 
-func (g *Gateway) set(down bool) {
+func (g *Gateway) setDown(down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.down, g.still = down, time.Now()
+	g.down, g.awakeSince = down, time.Now()
 }
 
 // Kill ends a gateway at once.
 func (g *Gateway) Kill() {
-	g.set(true)
+	g.setDown(true)
 	g.Process.Kill()
 }
 
-// Sleep lets a gateway stand still until Wake.
-func (g *Gateway) Sleep() {
-	g.set(true)
+// Pause lets a gateway stand still until Wake.
+func (g *Gateway) Pause() {
+	g.setDown(true)
 	g.Signal(syscall.SIGSTOP)
 }
 
-// Wake lets it go on.
-func (g *Gateway) Wake() {
+// Resume lets it go on.
+func (g *Gateway) Resume() {
 	g.Signal(syscall.SIGCONT)
-	g.set(false)
+	g.setDown(false)
 }
 
-// In gives the gateways of a hall, or all where it is empty.
-func (w *World) In(hall string) []*Gateway {
+// GatewaysIn gives the gateways of a hall, or all where it is empty.
+func (env *Environment) GatewaysIn(zone string) []*Gateway {
 	var all []*Gateway
-	for _, g := range w.Gateways {
-		if hall == "" || g.Hall == hall {
+	for _, g := range env.Gateways {
+		if zone == "" || g.Zone == zone {
 			all = append(all, g)
 		}
 	}
 	return all
 }
 
-// blind has a gateway find the servers of a hall at an address where nobody answers; all others find them where they
+// hideZone has a gateway find the servers of a hall at an address where nobody answers; all others find them where they
 // are. Its own discovery tells it, so that the others' sees nothing of it.
-func (w *World) blind(g *Gateway, hall string) {
-	w.T.Helper()
+func (env *Environment) hideZone(g *Gateway, zone string) {
+	env.T.Helper()
 	d, err := NewDiscovery()
-	must(w.T, err)
-	w.T.Cleanup(d.Close)
-	nobody := Free(w.T)
-	for _, s := range w.Servers {
-		is := Server{Name: s.Name, Hall: s.Hall, Addr: s.Addr}
-		if s.Hall == hall {
+	must(env.T, err)
+	env.T.Cleanup(d.Close)
+	nobody := FreeAddr(env.T)
+	for _, s := range env.Servers {
+		is := Server{Name: s.Name, Zone: s.Zone, Addr: s.Addr}
+		if s.Zone == zone {
 			is.Addr = nobody
 		}
-		d.Tell(&is, "in_service", time.Time{})
+		d.Publish(&is, "in_service", time.Time{})
 	}
 	text, err := os.ReadFile(g.Config)
-	must(w.T, err)
-	must(w.T, os.WriteFile(g.Config, bytes.Replace(text, []byte(w.Discovery.Addr), []byte(d.Addr), 1), 0o600))
+	must(env.T, err)
+	must(env.T, os.WriteFile(g.Config, bytes.Replace(text, []byte(env.Discovery.Addr), []byte(d.Addr), 1), 0o600))
 	g.Signal(syscall.SIGHUP)
 }
 
-// Become changes the mood of all servers of a hall; those that come back to life are listed as just started.
-func (w *World) Become(hall string, m Mood) {
-	w.T.Helper()
-	for _, s := range w.Servers {
-		if s.Hall == hall {
-			was, _ := s.feel(false)
-			must(w.T, s.Become(m))
-			if was == Dead && m == Well {
-				w.Discovery.Tell(s, "in_service", time.Now())
+// SetZoneBehavior changes the mood of all servers of a hall; those that come back to life are listed as just started.
+func (env *Environment) SetZoneBehavior(zone string, behavior Behavior) {
+	env.T.Helper()
+	for _, s := range env.Servers {
+		if s.Zone == zone {
+			was, _ := s.admit(false)
+			must(env.T, s.SetBehavior(behavior))
+			if was == Down && behavior == Healthy {
+				env.Discovery.Publish(s, "in_service", time.Now())
 			}
 		}
 	}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -9,115 +9,115 @@
 	"harrierhoist/internal/witness"
 )
 
-// Decider turns evidence into plans. It runs at the leader and is made anew with each new leader: all that it must know
+// Controller turns evidence into plans. It runs at the leader and is made anew with each new leader: all that it must know
 // of earlier plans stands in the value.
-type Decider struct {
-	terms  Terms
-	lease  time.Duration
-	halls  []string
-	region []int
-	names  *names
-	looks  looks
-	view   *view
+type Controller struct {
+	settings   Settings
+	lease      time.Duration
+	zones      []string
+	regionOf   []int
+	countNames *countNames
+	samples    samples
+	estimates  *estimates
 
-	begun bool
-	epoch uint64
-	none  bool            // no plan stands: all are taken to serve near, as gateways without one do
-	plan  *Plan           // the one that stands, or an empty one
-	cur   [][]int         // its rows, by hall
-	rest  []time.Duration // until when a hall rests; 0: it doesn't
-	until time.Duration   // until when some may act on the rows before
-	wrote time.Duration   // when this decider saw the plan first
+	started       bool
+	epoch         uint64
+	noPlan        bool            // no plan stands: all are taken to serve near, as gateways without one do
+	plan          *Plan           // the one that stands, or an empty one
+	rows          [][]int         // its rows, by hall
+	holdDownUntil []time.Duration // until when a hall rests; 0: it doesn't
+	previousUntil time.Duration   // until when some may act on the rows before
+	planSince     time.Duration   // when this decider saw the plan first
 }
 
 // New makes a decider. Lease is the longest that a gateway acts on a plan after another was written.
-func New(terms Terms, lease time.Duration) *Decider {
-	d := &Decider{terms: terms.Filled(), lease: lease, halls: terms.Halls()}
-	for i, r := range terms.Regions {
-		for range r.Halls {
-			d.region = append(d.region, i)
+func New(settings Settings, lease time.Duration) *Controller {
+	c := &Controller{settings: settings.WithDefaults(), lease: lease, zones: settings.Zones()}
+	for i, r := range settings.Regions {
+		for range r.Zones {
+			c.regionOf = append(c.regionOf, i)
 		}
 	}
-	d.names, d.view = named(d.halls), newView(&d.terms, len(d.halls))
-	d.rest = make([]time.Duration, len(d.halls))
-	return d
+	c.countNames, c.estimates = newCountNames(c.zones), newEstimates(&c.settings, len(c.zones))
+	c.holdDownUntil = make([]time.Duration, len(c.zones))
+	return c
 }
 
-var _ cluster.Decider = (*Decider)(nil)
+var _ cluster.Controller = (*Controller)(nil)
 
 // Table is the table that it writes.
-func (d *Decider) Table() string { return Table }
+func (c *Controller) Table() string { return Table }
 
 // Decide gives the next plan, or write false where the one that stands is to stay. It is called some ten times a second.
-func (d *Decider) Decide(now time.Duration, seen cluster.Seen) (value []byte, write bool) {
-	if e := seen.Held(Table); !d.begun || e.Epoch != d.epoch {
-		d.take(now, e)
+func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) (value []byte, write bool) {
+	if e := seen.Table(Table); !c.started || e.Epoch != c.epoch {
+		c.adoptPlan(now, e)
 	}
-	if !d.looks.add(d.names.look(now, seen.Sums)) || !d.view.look(d.looks) || d.none && now < d.view.began+riseOver {
+	if !c.samples.add(c.countNames.sample(now, seen.Sums)) || !c.estimates.update(c.samples) || c.noPlan && now < c.estimates.firstSampleAt+demandRiseTime {
 		return nil, false
 	}
-	next := d.next(now)
+	next := c.nextPlan(now)
 	if next == nil {
 		return nil, false
 	}
-	value, err := next.Bytes()
+	value, err := next.Encode()
 	return value, err == nil // maps of strings and numbers are always encoded
 }
 
-// take takes the plan that stands. What is not known of it is taken at its worst: that it was written just now.
-func (d *Decider) take(now time.Duration, e tables.Entry) {
-	plan, err := Read(e.Value)
-	d.none = err != nil || plan == nil // a spoilt one is written anew
-	if d.none {
+// adoptPlan takes the plan that stands. What is not known of it is taken at its worst: that it was written just now.
+func (c *Controller) adoptPlan(now time.Duration, e tables.Table) {
+	plan, err := DecodePlan(e.Value)
+	c.noPlan = err != nil || plan == nil // a spoilt one is written anew
+	if c.noPlan {
 		plan = &Plan{}
 	}
-	rows := d.matrix(plan)
-	for f, hall := range d.halls {
+	rows := c.rowsOf(plan)
+	for from, zone := range c.zones {
 		switch {
-		case !slices.Contains(plan.Resting, hall):
-			d.rest[f] = 0
-		case d.cur == nil || !slices.Equal(rows[f], d.cur[f]) || d.plan.Shed[hall] != plan.Shed[hall]:
-			d.rest[f] = now + d.terms.stay()
+		case !slices.Contains(plan.HoldDown, zone):
+			c.holdDownUntil[from] = 0
+		case c.rows == nil || !slices.Equal(rows[from], c.rows[from]) || c.plan.Shed[zone] != plan.Shed[zone]:
+			c.holdDownUntil[from] = now + c.settings.holdDown()
 		}
 	}
-	if !d.begun && !d.none {
-		d.remember(now, plan)
+	if !c.started && !c.noPlan {
+		c.restoreEstimates(now, plan)
 	}
-	d.begun, d.epoch, d.plan, d.cur = true, e.Epoch, plan, rows
-	d.until, d.wrote = now+d.lease, now
+	c.started, c.epoch, c.plan, c.rows = true, e.Epoch, plan, rows
+	c.previousUntil, c.planSince = now+c.lease, now
 }
 
-// matrix is a plan's rows by the places of halls. A row that the plan lacks, or one of other halls, is near.
-func (d *Decider) matrix(p *Plan) (rows [][]int) {
-	for f, from := range d.halls {
-		row, sum := make([]int, len(d.halls)), 0
-		for t, to := range d.halls {
-			row[t] = max(p.Rows[from][to], 0)
-			sum += row[t]
+// rowsOf is a plan's rows by the places of halls. A row that the plan lacks, or one of other halls, is near.
+func (c *Controller) rowsOf(plan *Plan) (rows [][]int) {
+	for from, fromZone := range c.zones {
+		row, sum := make([]int, len(c.zones)), 0
+		for to, toZone := range c.zones {
+			row[to] = max(plan.Rows[fromZone][toZone], 0)
+			sum += row[to]
 		}
-		if sum != whole {
+		if sum != fullShare {
 			clear(row)
-			row[f] = whole
+			row[from] = fullShare
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// remember has a new leader begin with the demand that the plan was made for, and hold to be lost what it does, until it
+// restoreEstimates has a new leader begin with the demand that the plan was made for, and hold to be lost what it does, until it
 // hears otherwise.
-func (d *Decider) remember(now time.Duration, p *Plan) {
-	d.view.measured = true
-	for t, hall := range d.halls {
-		d.view.demand[t] = float64(p.Demand[hall]) / 1000
-		if sound, ok := p.Sound[hall]; ok && sound <= whole*witness.Ill/witness.Sound {
-			d.view.sound[t], d.view.aged[t] = sound*witness.Sound/whole, now
+func (c *Controller) restoreEstimates(now time.Duration, plan *Plan) {
+	c.estimates.demandKnown = true
+	for to, zone := range c.zones {
+		c.estimates.demand[to] = float64(plan.Demand[zone]) / 1000
+		if plannedHealth, ok := plan.Health[zone]; ok && plannedHealth <= fullShare*witness.Failing/witness.Healthy {
+			c.estimates.health[to], c.estimates.healthAt[to] = plannedHealth*witness.Healthy/fullShare, now
 		}
 	}
-	for f, from := range d.halls {
-		for t, to := range d.halls {
-			if slices.Contains(p.Shut, [2]string{from, to}) {
-				d.view.pair[f][t], d.view.pairAged[f][t] = witness.Lost, now
+	for from, fromZone := range c.zones {
+		for to, toZone := range c.zones {
+			if slices.Contains(plan.LostLinks, [2]string{fromZone, toZone}) {
+				c.estimates.linkHealth[from][to], c.estimates.linkHealthAt[from][to] = witness.Lost, now
 			}
 		}
 	}
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -25,33 +25,33 @@
 var storedPlans = map[string]*Plan{
 	"empty": {},
 	"plain": {
-		Rows:   map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}},
-		Sound:  map[string]int{"a": 1000, "b": 1000},
-		Alone:  map[string]map[string]int{"a": {"b": 100}, "b": {"a": 90}},
-		Shed:   map[string]int{},
-		Why:    map[string]string{},
-		Demand: map[string]uint64{"a": 50000, "b": 49999},
+		Rows:     map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}},
+		Health:   map[string]int{"a": 1000, "b": 1000},
+		Fallback: map[string]map[string]int{"a": {"b": 100}, "b": {"a": 90}},
+		Shed:     map[string]int{},
+		Reasons:  map[string]string{},
+		Demand:   map[string]uint64{"a": 50000, "b": 49999},
 	},
 	"full": {
-		Rows:    map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
-		Sound:   map[string]int{"a": 0, "b": 1000, "c": 750},
-		Alone:   map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
-		Before:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
-		Resting: []string{"a"},
-		Shut:    [][2]string{{"a", "b"}, {"c", "a"}},
-		Shed:    map[string]int{"a": 12},
-		Why:     map[string]string{"a": "a is lost", "b": ordinary},
-		Demand:  map[string]uint64{"a": 1, "b": 1 << 40, "c": 0},
+		Rows:      map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
+		Health:    map[string]int{"a": 0, "b": 1000, "c": 750},
+		Fallback:  map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
+		Previous:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
+		HoldDown:  []string{"a"},
+		LostLinks: [][2]string{{"a", "b"}, {"c", "a"}},
+		Shed:      map[string]int{"a": 12},
+		Reasons:   map[string]string{"a": "a is lost", "b": reasonOrdinary},
+		Demand:    map[string]uint64{"a": 1, "b": 1 << 40, "c": 0},
 	},
-	"resting": {Resting: []string{}, Shut: [][2]string{}, Before: map[string]map[string]int{}},
+	"resting": {HoldDown: []string{}, LostLinks: [][2]string{}, Previous: map[string]map[string]int{}},
 }
 
-// TestStoredPlan_bytesAreStable holds the plan's stored form to fixtures: gateways and leaders of other releases read it.
-func TestStoredPlan_bytesAreStable(t *testing.T) {
+// TestPlan_encodingIsStable holds the plan's stored form to fixtures: gateways and leaders of other releases read it.
+func TestPlan_encodingIsStable(t *testing.T) {
 	for name, plan := range storedPlans {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join("testdata", "plan-"+name+".hex")
-			written, err := plan.Bytes()
+			written, err := plan.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,14 +66,14 @@
 			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(written)); d != "" {
 				t.Errorf("written otherwise: %s", d)
 			}
-			read, err := Read(stored)
+			read, err := DecodePlan(stored)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if d := cmp.Diff(plan, read); d != "" {
 				t.Errorf("read otherwise: %s", d)
 			}
-			again, err := read.Bytes()
+			again, err := read.Encode()
 			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(again)); d != "" || err != nil {
 				t.Errorf("read and written otherwise: %v %s", err, d)
 			}
@@ -81,16 +81,16 @@
 	}
 }
 
-// goldenTerms are the settings that the drawn streams run under.
-var goldenTerms = map[string]func(*Terms, *time.Duration){
-	"defaults": func(*Terms, *time.Duration) {},
-	"quick": func(t *Terms, lease *time.Duration) {
-		t.UtilisationMost, t.LeastStay, t.Step, t.Worth, t.IllPart, t.Trial = 0.6, 3, 0.5, 0.02, 0.75, 0.05
+// goldenSettings are the settings that the drawn streams run under.
+var goldenSettings = map[string]func(*Settings, *time.Duration){
+	"defaults": func(*Settings, *time.Duration) {},
+	"quick": func(t *Settings, lease *time.Duration) {
+		t.MaxUtilisation, t.HoldDownSeconds, t.RecoveryStep, t.MinMove, t.AgreementShare, t.ProbeShare = 0.6, 3, 0.5, 0.02, 0.75, 0.05
 		*lease = 5 * time.Second
 	},
-	"uneven": func(t *Terms, lease *time.Duration) {
-		t.BearsBy = map[string]float64{"a": 5, "b": 20}
-		t.LeastStay, t.GatewaysLeast, t.UtilisationMost = 20, 3, 0.9
+	"uneven": func(t *Settings, lease *time.Duration) {
+		t.CapacityByZone = map[string]float64{"a": 5, "b": 20}
+		t.HoldDownSeconds, t.MinGateways, t.MaxUtilisation = 20, 3, 0.9
 		*lease = time.Second
 	},
 }
@@ -108,10 +108,10 @@
 	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
 }
 
-// TestDecider_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a plan is
+// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a plan is
 // written, its bytes, and how gateways act on it.
-func TestDecider_drawnStreamDecidesAsBefore(t *testing.T) {
-	for name, set := range goldenTerms {
+func TestController_drawnStreamDecidesAsBefore(t *testing.T) {
+	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sum, plans := sha256.New(), 0
@@ -128,56 +128,56 @@
 
 // decideDrawn plays a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
 // make of it.
-func decideDrawn(seed uint64, set func(*Terms, *time.Duration), sum hash.Hash) []planned {
-	chance := rand.New(rand.NewPCG(seed, 31))
-	w := drawn(chance)
-	set(&w.terms, &w.lease)
-	w.lead()
-	w.run(6 * time.Second)
+func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum hash.Hash) []writtenPlan {
+	random := rand.New(rand.NewPCG(seed, 31))
+	fx := drawFixture(random)
+	set(&fx.settings, &fx.lease)
+	fx.newLeader()
+	fx.run(6 * time.Second)
 	for i := range 14 {
 		if i%3 == 0 { // many faults at once leave little to decide
-			clear(w.mute)
-			clear(w.blind)
+			clear(fx.silent)
+			clear(fx.blindGateway)
 		}
-		w.trouble(chance)
-		for end := w.now + time.Duration(2+chance.IntN(14))*time.Second; w.now < end; {
-			step := w.now + tick
-			w.now = step
-			w.tell()
-			seen := cluster.Seen{Sums: w.sums, Held: func(string) tables.Entry { return w.entry }}
-			value, write := w.d.Decide(w.now, seen)
-			fmt.Fprintf(sum, "%d %v %x\n", w.now, write, value)
+		fx.injectFault(random)
+		for end := fx.now + time.Duration(2+random.IntN(14))*time.Second; fx.now < end; {
+			step := fx.now + tick
+			fx.now = step
+			fx.report()
+			seen := cluster.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+			value, write := fx.controller.Decide(fx.now, seen)
+			fmt.Fprintf(sum, "%d %v %x\n", fx.now, write, value)
 			if !write {
 				continue
 			}
-			plan, err := Read(value)
+			plan, err := DecodePlan(value)
 			if err != nil {
 				panic(err)
 			}
-			w.entry = tables.Entry{Epoch: w.entry.Epoch + 1, Value: value}
-			w.plans = append(w.plans, planned{w.now, plan})
-			for _, hall := range append(slices.Clone(w.halls), "elsewhere") {
-				part, alone, well := plan.Part(hall), plan.PartAlone(hall, true), plan.PartAlone(hall, false)
-				fmt.Fprintln(sum, hall, part.Weights, part.Shed, part.Halls(), alone.Weights, alone.Shed, well.Weights,
-					well.Shed, plan.Says(hall))
+			fx.entry = tables.Table{Epoch: fx.entry.Epoch + 1, Value: value}
+			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
+			for _, zone := range append(slices.Clone(fx.zones), "elsewhere") {
+				part, alone, well := plan.Assignment(zone), plan.FallbackAssignment(zone, true), plan.FallbackAssignment(zone, false)
+				fmt.Fprintln(sum, zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
+					well.Shed, plan.Describe(zone))
 			}
 		}
 	}
-	return w.plans
+	return fx.plans
 }
 
-// TestDecider_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of a plan and every reason.
-func TestDecider_drawnStreamsReachAllParts(t *testing.T) {
+// TestController_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of a plan and every reason.
+func TestController_drawnStreamsReachAllParts(t *testing.T) {
 	reached := map[string]bool{}
-	for _, set := range goldenTerms {
+	for _, set := range goldenSettings {
 		for _, seed := range goldenSeeds {
 			for _, p := range decideDrawn(seed, set, sha256.New()) {
-				reached["resting"] = reached["resting"] || len(p.plan.Resting) > 0
-				reached["before"] = reached["before"] || len(p.plan.Before) > 0
-				reached["shut"] = reached["shut"] || len(p.plan.Shut) > 0
+				reached["resting"] = reached["resting"] || len(p.plan.HoldDown) > 0
+				reached["before"] = reached["before"] || len(p.plan.Previous) > 0
+				reached["shut"] = reached["shut"] || len(p.plan.LostLinks) > 0
 				reached["shed"] = reached["shed"] || len(p.plan.Shed) > 0
-				for _, why := range p.plan.Why {
-					for _, reason := range []string{"out of reach", "is lost", "pushed over", ordinary} {
+				for _, why := range p.plan.Reasons {
+					for _, reason := range []string{"out of reach", "is lost", "pushed over", reasonOrdinary} {
 						reached[reason] = reached[reason] || strings.Contains(why, reason)
 					}
 				}
@@ -214,8 +214,8 @@
 failover.regions: at least one region with a name and its halls is wanted, not none
 `
 
-// TestTerms_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
-func TestTerms_refusalsAreStable(t *testing.T) {
+// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
+func TestSettings_refusalsAreStable(t *testing.T) {
 	const file = `
 on = true
 bears = 1e10
@@ -235,23 +235,23 @@
 name = "south"
 halls = ["", "b"]
 `
-	var terms Terms
-	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&terms); err != nil {
+	var settings Settings
+	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
-	for _, err := range terms.Check() {
+	for _, err := range settings.Check() {
 		lines = append(lines, err.Error())
 	}
-	lines = append(lines, Terms{On: true}.Check()[0].Error())
+	lines = append(lines, Settings{Enabled: true}.Check()[0].Error())
 	if d := cmp.Diff(strings.TrimSpace(refusals), strings.Join(lines, "\n")); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestTerms_defaultsAreStable holds the defaults of what the operators' file leaves out.
-func TestTerms_defaultsAreStable(t *testing.T) {
-	got := fmt.Sprint(Terms{}.Filled())
+// TestSettings_defaultsAreStable holds the defaults of what the operators' file leaves out.
+func TestSettings_defaultsAreStable(t *testing.T) {
+	got := fmt.Sprint(Settings{}.WithDefaults())
 	if want := "{false [] 0 map[] 0.8 10 0.25 0.05 0.6 2 0.02}"; got != want {
 		t.Errorf("the defaults are %s, not %s", got, want)
 	}
--- a/internal/failover/look.go
+++ b/internal/failover/look.go
@@ -7,128 +7,128 @@
 )
 
 const (
-	// half is the length of each of the two spans, one after the other, that must both speak of a change before it
+	// confirmSpan is the length of each of the two spans, one after the other, that must both speak of a change before it
 	// counts: digests come in lumps, and a late one of one gateway, that holds much, lies in one of them alone.
-	half = 400 * time.Millisecond
-	// slow is the same for what is no loss: how much of a hall answers. A few failures by chance are forgotten in
+	confirmSpan = 400 * time.Millisecond
+	// slowConfirmSpan is the same for what is no loss: how much of a hall answers. A few failures by chance are forgotten in
 	// that time, and to be late there costs less.
-	slow = 1600 * time.Millisecond
-	// ticksLeast is the least time between two looks that are kept.
-	ticksLeast = 80 * time.Millisecond
-	// kept is how far back looks are kept: the rates of demand are the middle one of five spans.
-	kept = rates*rateSpan + half
+	slowConfirmSpan = 1600 * time.Millisecond
+	// minSampleInterval is the least time between two looks that are kept.
+	minSampleInterval = 80 * time.Millisecond
+	// sampleRetention is how far back looks are kept: the rates of demand are the middle one of five spans.
+	sampleRetention = rateSpans*rateSpan + confirmSpan
 	// rateSpan and rates: demand is taken over the last of so many spans, and gateways are counted as the middle one.
-	rateSpan = 800 * time.Millisecond
-	rates    = 5
-	// enough is the part of a gateway's time that must be told to count it: digests are late and unevenly cut.
-	enough = 0.7
+	rateSpan  = 800 * time.Millisecond
+	rateSpans = 5
+	// minReportedShare is the part of a gateway's time that must be told to count it: digests are late and unevenly cut.
+	minReportedShare = 0.7
 )
 
-// names are the names of the counts that are looked at, made once.
-type names struct {
-	time, let       []string
-	ended           [][]string                    // by from, all
-	judged          [][][witness.Sound + 1]string // from, to
-	ready, strength [][witness.Bands]string
+// countNames are the names of the counts that are looked at, made once.
+type countNames struct {
+	awake, admitted       []string
+	completed             [][]string                      // by from, all
+	health                [][][witness.Healthy + 1]string // from, to
+	readyTime, readyPower [][witness.PowerBands]string
 }
 
-func named(halls []string) *names {
-	n := &names{}
-	for _, h := range halls {
-		n.time, n.let = append(n.time, witness.Time(h)), append(n.let, witness.Let(h))
-		var row [][witness.Sound + 1]string
-		var ended []string
-		for _, to := range halls {
-			for _, how := range witness.Hows() {
-				ended = append(ended, witness.Ended(h, to, how))
+func newCountNames(zones []string) *countNames {
+	c := &countNames{}
+	for _, zone := range zones {
+		c.awake, c.admitted = append(c.awake, witness.AwakeTime(zone)), append(c.admitted, witness.Admitted(zone))
+		var row [][witness.Healthy + 1]string
+		var completed []string
+		for _, toZone := range zones {
+			for _, outcome := range witness.Outcomes() {
+				completed = append(completed, witness.Completed(zone, toZone, outcome))
 			}
-			var js [witness.Sound + 1]string
+			var js [witness.Healthy + 1]string
 			for q := range js {
-				js[q] = witness.Judged(h, to, q)
+				js[q] = witness.HealthTime(zone, toZone, q)
 			}
 			row = append(row, js)
 		}
-		n.judged, n.ended = append(n.judged, row), append(n.ended, ended)
-		var ready, strength [witness.Bands]string
-		for b := range witness.Bands {
-			ready[b], strength[b] = witness.Ready(h, b), witness.Strength(h, b)
+		c.health, c.completed = append(c.health, row), append(c.completed, completed)
+		var readyTime, readyPower [witness.PowerBands]string
+		for b := range witness.PowerBands {
+			readyTime[b], readyPower[b] = witness.ReadyTime(zone, b), witness.ReadyPower(zone, b)
 		}
-		n.ready, n.strength = append(n.ready, ready), append(n.strength, strength)
+		c.readyTime, c.readyPower = append(c.readyTime, readyTime), append(c.readyPower, readyPower)
 	}
-	return n
+	return c
 }
 
-// look is the sums at a time.
-type look struct {
-	at              time.Duration
-	time, let       []float64
-	ended           []float64 // pushes of the hall's gateways
-	judged          [][][witness.Sound + 1]float64
-	ready, strength [][witness.Bands]float64
+// sample is the sums at a time.
+type sample struct {
+	at                    time.Duration
+	awake, admitted       []float64
+	completed             []float64 // pushes of the hall's gateways
+	health                [][][witness.Healthy + 1]float64
+	readyTime, readyPower [][witness.PowerBands]float64
 }
 
-func (n *names) look(now time.Duration, sums map[string]uint64) *look {
-	l := &look{at: now}
-	for i := range n.time {
-		l.time, l.let = append(l.time, float64(sums[n.time[i]])), append(l.let, float64(sums[n.let[i]]))
-		ended := 0.0
-		for _, name := range n.ended[i] {
-			ended += float64(sums[name])
+func (c *countNames) sample(now time.Duration, sums map[string]uint64) *sample {
+	s := &sample{at: now}
+	for i := range c.awake {
+		s.awake, s.admitted = append(s.awake, float64(sums[c.awake[i]])), append(s.admitted, float64(sums[c.admitted[i]]))
+		completed := 0.0
+		for _, name := range c.completed[i] {
+			completed += float64(sums[name])
 		}
-		l.ended = append(l.ended, ended)
-		row := make([][witness.Sound + 1]float64, len(n.time))
-		for t := range row {
-			for q := range row[t] {
-				row[t][q] = float64(sums[n.judged[i][t][q]])
+		s.completed = append(s.completed, completed)
+		row := make([][witness.Healthy + 1]float64, len(c.awake))
+		for to := range row {
+			for q := range row[to] {
+				row[to][q] = float64(sums[c.health[i][to][q]])
 			}
 		}
-		l.judged = append(l.judged, row)
-		var ready, strength [witness.Bands]float64
-		for b := range ready {
-			ready[b], strength[b] = float64(sums[n.ready[i][b]]), float64(sums[n.strength[i][b]])
+		s.health = append(s.health, row)
+		var readyTime, readyPower [witness.PowerBands]float64
+		for b := range readyTime {
+			readyTime[b], readyPower[b] = float64(sums[c.readyTime[i][b]]), float64(sums[c.readyPower[i][b]])
 		}
-		l.ready, l.strength = append(l.ready, ready), append(l.strength, strength)
+		s.readyTime, s.readyPower = append(s.readyTime, readyTime), append(s.readyPower, readyPower)
 	}
-	return l
+	return s
 }
 
-// looks are the latest, oldest first.
-type looks []*look
+// samples are the latest, oldest first.
+type samples []*sample
 
 // add keeps a look, and drops those that are too old. False: it came too soon after the last to tell anything.
-func (l *looks) add(next *look) bool {
-	if n := len(*l); n > 0 && next.at < (*l)[n-1].at+ticksLeast {
+func (s *samples) add(next *sample) bool {
+	if n := len(*s); n > 0 && next.at < (*s)[n-1].at+minSampleInterval {
 		return false
 	}
-	*l = append(*l, next)
-	for len(*l) > 2 && (*l)[1].at <= next.at-kept {
-		*l = (*l)[1:]
+	*s = append(*s, next)
+	for len(*s) > 2 && (*s)[1].at <= next.at-sampleRetention {
+		*s = (*s)[1:]
 	}
 	return true
 }
 
 // before is the latest look that is at least so old, seen from the last; nil: there is none.
-func (l looks) before(age time.Duration) *look {
-	now := l[len(l)-1].at
-	for i := len(l) - 1; i >= 0; i-- {
-		if l[i].at <= now-age {
-			return l[i]
+func (s samples) before(age time.Duration) *sample {
+	now := s[len(s)-1].at
+	for i := len(s) - 1; i >= 0; i-- {
+		if s[i].at <= now-age {
+			return s[i]
 		}
 	}
 	return nil
 }
 
 // halves are the two spans that must agree, the older first, each by its two looks; false: not looked for that long yet.
-func (l looks) halves(half time.Duration) (spans [2][2]*look, ok bool) {
-	last := l[len(l)-1]
-	mid, first := l.before(half), l.before(2*half)
+func (s samples) halves(half time.Duration) (spans [2][2]*sample, ok bool) {
+	last := s[len(s)-1]
+	mid, first := s.before(half), s.before(2*half)
 	if mid == nil || first == nil || first.at >= mid.at {
 		return spans, false
 	}
-	return [2][2]*look{{first, mid}, {mid, last}}, true
+	return [2][2]*sample{{first, mid}, {mid, last}}, true
 }
 
-// gateways is how many gateways of a hall told of their time in a span.
-func gateways(from, to *look, hall int) float64 {
-	return (to.time[hall] - from.time[hall]) / float64((to.at-from.at)/time.Millisecond)
+// reportingGateways is how many gateways of a hall told of their time in a span.
+func reportingGateways(start, end *sample, zone int) float64 {
+	return (end.awake[zone] - start.awake[zone]) / float64((end.at-start.at)/time.Millisecond)
 }
--- a/internal/failover/play_test.go
+++ b/internal/failover/play_test.go
@@ -20,172 +20,176 @@
 	os.Exit(m.Run())
 }
 
-// drawn is a world drawn by lot: two to five halls in up to three regions.
-func drawn(chance *rand.Rand) *world {
-	w := three(0)
-	w.halls, w.gateways, w.demand, w.listed, w.sound = nil, nil, nil, nil, nil
-	w.terms.Regions = nil
-	for i := range 2 + chance.IntN(4) {
+// drawFixture is a world drawn by lot: two to five halls in up to three regions.
+func drawFixture(random *rand.Rand) *fixture {
+	fx := threeZones(0)
+	fx.zones, fx.gateways, fx.demand, fx.readyPower, fx.healthy = nil, nil, nil, nil, nil
+	fx.settings.Regions = nil
+	for i := range 2 + random.IntN(4) {
 		name := string(rune('a' + i))
-		w.halls, w.gateways = append(w.halls, name), append(w.gateways, 2+chance.IntN(5))
-		w.demand = append(w.demand, 20+60*chance.Float64())
-		w.listed, w.sound = append(w.listed, float64(5+chance.IntN(11))), append(w.sound, 1)
-		if r := len(w.terms.Regions); r == 0 || r < 3 && chance.IntN(2) == 0 {
-			w.terms.Regions = append(w.terms.Regions, Region{Name: "r" + name})
-		}
-		r := &w.terms.Regions[len(w.terms.Regions)-1]
-		r.Halls = append(r.Halls, name)
+		fx.zones, fx.gateways = append(fx.zones, name), append(fx.gateways, 2+random.IntN(5))
+		fx.demand = append(fx.demand, 20+60*random.Float64())
+		fx.readyPower, fx.healthy = append(fx.readyPower, float64(5+random.IntN(11))), append(fx.healthy, 1)
+		if r := len(fx.settings.Regions); r == 0 || r < 3 && random.IntN(2) == 0 {
+			fx.settings.Regions = append(fx.settings.Regions, Region{Name: "r" + name})
+		}
+		r := &fx.settings.Regions[len(fx.settings.Regions)-1]
+		r.Zones = append(r.Zones, name)
 	}
-	return w
+	return fx
 }
 
-// trouble changes something in the world by lot.
-func (w *world) trouble(chance *rand.Rand) string {
-	n := len(w.halls)
-	h, to := chance.IntN(n), chance.IntN(n)
-	switch kind := chance.IntN(8); kind {
+// injectFault changes something in the world by lot.
+func (fx *fixture) injectFault(random *rand.Rand) string {
+	n := len(fx.zones)
+	h, to := random.IntN(n), random.IntN(n)
+	switch kind := random.IntN(8); kind {
 	case 0, 1:
-		w.sound[h] = []float64{0, 0, 0.5, 1, 1, 1}[chance.IntN(6)]
+		fx.healthy[h] = []float64{0, 0, 0.5, 1, 1, 1}[random.IntN(6)]
 	case 2:
-		w.listed[h] = float64(chance.IntN(16))
+		fx.readyPower[h] = float64(random.IntN(16))
 	case 3:
 		if h != to {
-			w.cut[[2]int{h, to}] = !w.cut[[2]int{h, to}]
+			fx.lostLinks[[2]int{h, to}] = !fx.lostLinks[[2]int{h, to}]
 		}
 	case 4:
-		w.demand[h] *= 0.5 + chance.Float64()
+		fx.demand[h] *= 0.5 + random.Float64()
 	case 5:
-		w.mute[h] = !w.mute[h]
+		fx.silent[h] = !fx.silent[h]
 	case 6:
-		w.blind[h] = !w.blind[h]
+		fx.blindGateway[h] = !fx.blindGateway[h]
 	case 7:
-		w.lead()
+		fx.newLeader()
 	}
-	return fmt.Sprintf("sound %v, listed %v, demand %.0f, cut %v, mute %v, blind %v", w.sound, w.listed, w.demand,
-		w.cut, w.mute, w.blind)
+	return fmt.Sprintf("sound %v, listed %v, demand %.0f, cut %v, mute %v, blind %v", fx.healthy, fx.readyPower, fx.demand,
+		fx.lostLinks, fx.silent, fx.blindGateway)
 }
 
-// play lets a drawn world go through troubles with a decider that goes by terms of its own, and gives the first promise
+// simulate lets a drawn world go through troubles with a decider that goes by terms of its own, and gives the first promise
 // that it breaks, of those that the file's terms make.
-func play(seed uint64, own func(*Terms, *time.Duration)) error {
-	chance := rand.New(rand.NewPCG(seed, 29))
-	w := drawn(chance)
-	promised := w.terms.Filled()
-	lease := w.lease
-	own(&w.terms, &lease)
-	lead := func() { w.d = New(w.terms, lease); w.d.terms = w.terms.Filled(); w.d.view.terms = &w.d.terms }
+func simulate(seed uint64, own func(*Settings, *time.Duration)) error {
+	random := rand.New(rand.NewPCG(seed, 29))
+	fx := drawFixture(random)
+	promised := fx.settings.WithDefaults()
+	lease := fx.lease
+	own(&fx.settings, &lease)
+	lead := func() {
+		fx.controller = New(fx.settings, lease)
+		fx.controller.settings = fx.settings.WithDefaults()
+		fx.controller.estimates.settings = &fx.controller.settings
+	}
 	lead()
-	w.run(6 * time.Second)
+	fx.run(6 * time.Second)
 	for range 6 {
-		said := w.trouble(chance)
-		w.troubled = w.now
+		said := fx.injectFault(random)
+		fx.faultAt = fx.now
 		lead()
-		for end := w.now + time.Duration(2+chance.IntN(14))*time.Second; w.now < end; {
-			was := append([]planned{}, w.plans...)
-			if len(w.run(tick)) == 0 {
+		for end := fx.now + time.Duration(2+random.IntN(14))*time.Second; fx.now < end; {
+			was := append([]writtenPlan{}, fx.plans...)
+			if len(fx.run(tick)) == 0 {
 				continue
 			}
-			if err := w.check(was, w.plans[len(w.plans)-1], promised); err != nil {
-				return fmt.Errorf("seed %d at %v: %w (%s)", seed, w.now, err, said)
+			if err := fx.check(was, fx.plans[len(fx.plans)-1], promised); err != nil {
+				return fmt.Errorf("seed %d at %v: %w (%s)", seed, fx.now, err, said)
 			}
 		}
 	}
 	return nil
 }
 
-func (w *world) equal(a, b *Plan, hall string) bool {
-	return maps.Equal(a.Rows[hall], b.Rows[hall]) && a.Shed[hall] == b.Shed[hall]
+func (fx *fixture) sameRow(a, b *Plan, zone string) bool {
+	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
 }
 
-// moved is when a hall's tasks last moved; 0: not yet.
-func (w *world) moved(was []planned, hall string) time.Duration {
+// lastMove is when a hall's tasks last moved; 0: not yet.
+func (fx *fixture) lastMove(was []writtenPlan, zone string) time.Duration {
 	for i := len(was) - 1; i > 0; i-- {
-		if !w.equal(was[i-1].plan, was[i].plan, hall) {
+		if !fx.sameRow(was[i-1].plan, was[i].plan, zone) {
 			return was[i].at
 		}
 	}
 	return 0
 }
 
-// earlier is the most that a pair gets by any plan before the latest that some gateway may still hold.
-func (w *world) earlier(was []planned, from, to string) float64 {
-	most := 0
+// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still hold.
+func (fx *fixture) maxEarlier(was []writtenPlan, fromZone, toZone string) float64 {
+	largest := 0
 	for i, p := range was {
-		if i == len(was)-1 || was[i+1].at > w.now-w.lease {
-			most = max(most, p.plan.Rows[from][to])
+		if i == len(was)-1 || was[i+1].at > fx.now-fx.lease {
+			largest = max(largest, p.plan.Rows[fromZone][toZone])
 		}
 	}
-	return float64(most)
+	return float64(largest)
 }
 
 // check holds a plan, just written, against what was promised, by what the decider holds to be true: that this is what
 // the world tells is what the stories show.
-func (w *world) check(was []planned, now planned, promised Terms) error {
-	v, p := w.d.view, now.plan
-	for t, to := range w.halls {
-		bears, _ := v.bears(t, to)
+func (fx *fixture) check(was []writtenPlan, now writtenPlan, promised Settings) error {
+	e, plan := fx.controller.estimates, now.plan
+	for to, toZone := range fx.zones {
+		bears, _ := e.capacity(to, toZone)
 		load, foreign, both, before := 0.0, 0.0, 0.0, 0.0
-		for f, from := range w.halls {
-			d := max(v.demand[f], tinyDemand)
-			x := float64(p.Rows[from][to])
-			if f == t {
-				x -= float64(p.Shed[from])
+		for from, fromZone := range fx.zones {
+			d := max(e.demand[from], minDemand)
+			amount := float64(plan.Rows[fromZone][toZone])
+			if from == to {
+				amount -= float64(plan.Shed[fromZone])
 			} else {
-				foreign += x / whole * d
+				foreign += amount / fullShare * d
 			}
-			load += x / whole * d
-			old := w.earlier(was, from, to)
-			both, before = both+max(x, old)/whole*d, before+old/whole*d
+			load += amount / fullShare * d
+			old := fx.maxEarlier(was, fromZone, toZone)
+			both, before = both+max(amount, old)/fullShare*d, before+old/fullShare*d
 		}
 		slack := 0.01*bears + 0.05
-		if foreign > slack && load > (promised.UtilisationMost+1)/2*bears+slack {
-			return fmt.Errorf("%s gets %.1f, of that %.1f of others, and bears %.1f", to, load, foreign, bears)
+		if foreign > slack && load > (promised.MaxUtilisation+1)/2*bears+slack {
+			return fmt.Errorf("%s gets %.1f, of that %.1f of others, and bears %.1f", toZone, load, foreign, bears)
 		}
 		if foreign > slack && both > max(bears, before)+slack {
-			return fmt.Errorf("%s gets %.1f by old plans or new, %.1f by old ones, and bears %.1f", to, both, before, bears)
+			return fmt.Errorf("%s gets %.1f by old plans or new, %.1f by old ones, and bears %.1f", toZone, both, before, bears)
 		}
 	}
-	for _, from := range w.halls {
+	for _, fromZone := range fx.zones {
 		sum := 0
-		for _, x := range p.Rows[from] {
+		for _, x := range plan.Rows[fromZone] {
 			if sum += x; x < 0 {
-				return fmt.Errorf("a share of %s is %d", from, x)
+				return fmt.Errorf("a share of %s is %d", fromZone, x)
 			}
 		}
-		if sum != whole || p.Shed[from] > p.Rows[from][from] {
-			return fmt.Errorf("row of %s: %v, shed %d", from, p.Rows[from], p.Shed[from])
+		if sum != fullShare || plan.Shed[fromZone] > plan.Rows[fromZone][fromZone] {
+			return fmt.Errorf("row of %s: %v, shed %d", fromZone, plan.Rows[fromZone], plan.Shed[fromZone])
 		}
 		if len(was) == 0 {
 			continue
 		}
 		last := was[len(was)-1].plan
-		at := w.moved(was, from)
-		if p.Why[from] == ordinary && at > 0 && now.at < at+promised.stay() && !w.equal(last, p, from) {
-			return fmt.Errorf("%s moved at %v, and again", from, at)
-		}
-		for t, to := range w.halls {
-			well := now.at > w.troubled+3*time.Second && w.sound[t] > 0 && w.listed[t] > 0
-			if well && strings.Contains(p.Why[from], to+" is lost") && !w.equal(last, p, from) {
-				return fmt.Errorf("%s flees from %s, which is well", from, to)
+		at := fx.lastMove(was, fromZone)
+		if plan.Reasons[fromZone] == reasonOrdinary && at > 0 && now.at < at+promised.holdDown() && !fx.sameRow(last, plan, fromZone) {
+			return fmt.Errorf("%s moved at %v, and again", fromZone, at)
+		}
+		for to, toZone := range fx.zones {
+			well := now.at > fx.faultAt+3*time.Second && fx.healthy[to] > 0 && fx.readyPower[to] > 0
+			if well && strings.Contains(plan.Reasons[fromZone], toZone+" is lost") && !fx.sameRow(last, plan, fromZone) {
+				return fmt.Errorf("%s flees from %s, which is well", fromZone, toZone)
 			}
 		}
-		home := func(p *Plan) int { return p.Rows[from][from] - p.Shed[from] }
-		if up := home(p) - home(last); float64(up) > promised.Step*whole+21 &&
-			(last.Shed[from] > 0 || p.Why[from] == ordinary) {
-			return fmt.Errorf("%s comes back by %d at once, from %+v to %+v", from, up, last, p)
+		home := func(plan *Plan) int { return plan.Rows[fromZone][fromZone] - plan.Shed[fromZone] }
+		if up := home(plan) - home(last); float64(up) > promised.RecoveryStep*fullShare+21 &&
+			(last.Shed[fromZone] > 0 || plan.Reasons[fromZone] == reasonOrdinary) {
+			return fmt.Errorf("%s comes back by %d at once, from %+v to %+v", fromZone, up, last, plan)
 		}
 	}
 	return nil
 }
 
-func honest(*Terms, *time.Duration) {}
+func unchanged(*Settings, *time.Duration) {}
 
-func TestDrawnTroublesBreakNoPromise(t *testing.T) {
+func TestController_drawnFaultsBreakNoInvariant(t *testing.T) {
 	for part := range uint64(8) {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part * 8; seed < part*8+8; seed++ {
-				if err := play(seed, honest); err != nil {
+				if err := simulate(seed, unchanged); err != nil {
 					t.Error(err)
 				}
 			}
@@ -194,17 +198,17 @@
 }
 
 // Bugs planted in a decider are found by the same play.
-func TestPlantedBugsAreFound(t *testing.T) {
-	for name, plant := range map[string]func(*Terms, *time.Duration){
-		"plan above the receiver's strength": func(t *Terms, _ *time.Duration) { t.UtilisationMost = 1.3 },
-		"return without steps":               func(t *Terms, _ *time.Duration) { t.Step = 1 },
-		"one gateway's word":                 func(t *Terms, _ *time.Duration) { t.GatewaysLeast, t.IllPart = 1, 0.15 },
-		"no rest":                            func(t *Terms, _ *time.Duration) { t.LeastStay = 1 },
+func TestSimulate_findsSeededDefects(t *testing.T) {
+	for name, plant := range map[string]func(*Settings, *time.Duration){
+		"plan above the receiver's strength": func(t *Settings, _ *time.Duration) { t.MaxUtilisation = 1.3 },
+		"return without steps":               func(t *Settings, _ *time.Duration) { t.RecoveryStep = 1 },
+		"one gateway's word":                 func(t *Settings, _ *time.Duration) { t.MinGateways, t.AgreementShare = 1, 0.15 },
+		"no rest":                            func(t *Settings, _ *time.Duration) { t.HoldDownSeconds = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(200) {
-				if err := play(seed, plant); err != nil {
+				if err := simulate(seed, plant); err != nil {
 					t.Logf("found after %d runs: %v", seed+1, err)
 					return
 				}
@@ -215,17 +219,17 @@
 }
 
 // The same sums give the same bytes, whatever the order of maps.
-func TestSameEvidenceSamePlan(t *testing.T) {
+func TestController_sameObservationsSamePlan(t *testing.T) {
 	var first []byte
 	for range 3 {
-		w := three(3)
-		w.run(6 * time.Second)
-		w.sound[0], w.demand[1] = 0, 77
-		w.run(20 * time.Second)
+		fx := threeZones(3)
+		fx.run(6 * time.Second)
+		fx.healthy[0], fx.demand[1] = 0, 77
+		fx.run(20 * time.Second)
 		if first == nil {
-			first = w.entry.Value
+			first = fx.entry.Value
 		}
-		if !bytes.Equal(first, w.entry.Value) {
+		if !bytes.Equal(first, fx.entry.Value) {
 			t.Fatal("another plan")
 		}
 	}
--- a/internal/failover/situations_test.go
+++ b/internal/failover/situations_test.go
@@ -12,10 +12,10 @@
 )
 
 //go:embed situations.toml
-var situations []byte
+var situationRows []byte
 
 // Each row of the file is played, and what it names is checked.
-func TestSituations(t *testing.T) {
+func TestController_situations(t *testing.T) {
 	var file struct {
 		Row []struct {
 			Name                  string             `toml:"name"`
@@ -29,58 +29,58 @@
 			Slack                 float64
 		} `toml:"row"`
 	}
-	if err := toml.NewDecoder(bytes.NewReader(situations)).DisallowUnknownFields().Decode(&file); err != nil {
+	if err := toml.NewDecoder(bytes.NewReader(situationRows)).DisallowUnknownFields().Decode(&file); err != nil {
 		t.Fatal(err)
 	}
 	for _, row := range file.Row {
 		t.Run(row.Name, func(t *testing.T) {
 			t.Parallel()
-			w := three(max(row.Gateways, 3-2*row.Gateways))
-			at := func(name string) int { return slices.Index(w.halls, name) }
-			w.run(5 * time.Second)
-			for h, x := range row.Demand {
-				w.demand[at(h)] = x
+			fx := threeZones(max(row.Gateways, 3-2*row.Gateways))
+			at := func(name string) int { return slices.Index(fx.zones, name) }
+			fx.run(5 * time.Second)
+			for zone, amount := range row.Demand {
+				fx.demand[at(zone)] = amount
 			}
-			for h, x := range row.Beyond {
-				w.beyond[at(h)] = x
+			for zone, amount := range row.Beyond {
+				fx.unadmitted[at(zone)] = amount
 			}
-			w.run(25 * time.Second) // demand comes first, as it would
-			for h, x := range row.Sound {
-				w.sound[at(h)] = x
+			fx.run(25 * time.Second) // demand comes first, as it would
+			for zone, amount := range row.Sound {
+				fx.healthy[at(zone)] = amount
 			}
-			for h, x := range row.Listed {
-				w.listed[at(h)] = x
+			for zone, amount := range row.Listed {
+				fx.readyPower[at(zone)] = amount
 			}
 			for _, pair := range row.Cut {
-				w.cut[[2]int{at(pair[:1]), at(pair[1:])}] = true
+				fx.lostLinks[[2]int{at(pair[:1]), at(pair[1:])}] = true
 			}
-			for _, h := range row.Blind {
-				w.blind[at(h)] = true
+			for _, zone := range row.Blind {
+				fx.blindGateway[at(zone)] = true
 			}
-			for _, h := range row.Mute {
-				w.mute[at(h)] = true
+			for _, zone := range row.Mute {
+				fx.silent[at(zone)] = true
 			}
-			w.run(time.Duration(row.Seconds * float64(time.Second)))
-			p := w.plans[len(w.plans)-1].plan
+			fx.run(time.Duration(row.Seconds * float64(time.Second)))
+			plan := fx.plans[len(fx.plans)-1].plan
 			slack := max(row.Slack, 30)
 			for pair, share := range row.Shares {
-				from, to := pair[:1], pair[1:]
-				got := p.Rows[from][to]
-				if len(row.Lost) > 0 && from == to {
-					got -= p.Shed[from]
+				fromZone, toZone := pair[:1], pair[1:]
+				got := plan.Rows[fromZone][toZone]
+				if len(row.Lost) > 0 && fromZone == toZone {
+					got -= plan.Shed[fromZone]
 				}
 				if math.Abs(float64(got-share)) > slack {
-					t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)", from, to, got, share, p.Rows, p.Shed, p.Why)
+					t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)", fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
 				}
 			}
-			for h, share := range row.Shed {
-				if math.Abs(float64(p.Shed[h]-share)) > slack {
-					t.Errorf("%s sheds %d, not %d", h, p.Shed[h], share)
+			for zone, share := range row.Shed {
+				if math.Abs(float64(plan.Shed[zone]-share)) > slack {
+					t.Errorf("%s sheds %d, not %d", zone, plan.Shed[zone], share)
 				}
 			}
-			for _, h := range w.halls {
-				if lost := p.Sound[h] == 0; lost != slices.Contains(row.Lost, h) {
-					t.Errorf("%s is lost: %v", h, lost)
+			for _, zone := range fx.zones {
+				if lost := plan.Health[zone] == 0; lost != slices.Contains(row.Lost, zone) {
+					t.Errorf("%s is lost: %v", zone, lost)
 				}
 			}
 		})
--- a/internal/failover/terms_test.go
+++ b/internal/failover/terms_test.go
@@ -11,7 +11,7 @@
 )
 
 // An operator hears of all that is wrong at once, by key and with what is allowed.
-func TestAllThatIsWrongIsSaid(t *testing.T) {
+func TestValidate_reportsAllErrors(t *testing.T) {
 	const file = `
 on = true
 utilisation_most = 1.2
@@ -27,12 +27,12 @@
 [[regions]]
 name = "south"
 `
-	var terms Terms
-	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&terms); err != nil {
+	var settings Settings
+	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
 	var keys []string
-	for _, err := range terms.Check() {
+	for _, err := range settings.Check() {
 		if !strings.Contains(err.Error(), " is wanted, not ") {
 			t.Errorf("%q does not say what is allowed", err)
 		}
@@ -44,61 +44,61 @@
 	if d := cmp.Diff(want, keys); d != "" {
 		t.Error(d)
 	}
-	if terms.On = false; len(terms.Check()) > 0 {
+	if settings.Enabled = false; len(settings.Check()) > 0 {
 		t.Error("what is off is not to be right")
 	}
-	if wrong := three(1).terms.Check(); len(wrong) > 0 {
+	if wrong := threeZones(1).settings.Check(); len(wrong) > 0 {
 		t.Error(wrong)
 	}
 }
 
 // A plan is the same after the table, and the same bytes again.
-func TestPlanThroughTheTable(t *testing.T) {
-	w := three(3)
-	w.run(6 * time.Second)
-	w.sound[0], w.cut[[2]int{1, 2}] = 0, true
-	w.run(3 * time.Second)
-	p, err := Read(w.entry.Value)
+func TestPlan_roundTrip(t *testing.T) {
+	fx := threeZones(3)
+	fx.run(6 * time.Second)
+	fx.healthy[0], fx.lostLinks[[2]int{1, 2}] = 0, true
+	fx.run(3 * time.Second)
+	plan, err := DecodePlan(fx.entry.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := p.Bytes()
-	if d := cmp.Diff(string(w.entry.Value), string(again)); d != "" || err != nil {
+	again, err := plan.Encode()
+	if d := cmp.Diff(string(fx.entry.Value), string(again)); d != "" || err != nil {
 		t.Error(err, d)
 	}
-	if p, err := Read(nil); p != nil || err != nil {
-		t.Errorf("no value is %v, %v", p, err)
+	if plan, err := DecodePlan(nil); plan != nil || err != nil {
+		t.Errorf("no value is %v, %v", plan, err)
 	}
 }
 
 // Two sides: whoever hears a plan acts on it, whoever does not on what some earlier plan set apart. Whatever the split of
 // the gateways and the age of what they heard, no hall gets more than it bears but by its own tasks.
-func TestTwoSidesNeverPushAThirdHallOver(t *testing.T) {
+func TestFallback_partitionNeverOverloadsThirdZone(t *testing.T) {
 	for seed := range uint64(40) {
-		chance := rand.New(rand.NewPCG(seed, 4))
-		w := drawn(chance)
-		w.lead()
-		w.run(6 * time.Second)
+		random := rand.New(rand.NewPCG(seed, 4))
+		fx := drawFixture(random)
+		fx.newLeader()
+		fx.run(6 * time.Second)
 		for range 4 {
-			w.sound[chance.IntN(len(w.halls))] = 0
-			w.run(time.Duration(chance.IntN(6)) * time.Second)
+			fx.healthy[random.IntN(len(fx.zones))] = 0
+			fx.run(time.Duration(random.IntN(6)) * time.Second)
 		}
-		w.run(3 * time.Second)
-		last := w.plans[len(w.plans)-1].plan
-		for t2, to := range w.halls {
+		fx.run(3 * time.Second)
+		last := fx.plans[len(fx.plans)-1].plan
+		for t2, toZone := range fx.zones {
 			foreign := 0.0
-			for f, from := range w.halls {
-				if f == t2 {
+			for from, fromZone := range fx.zones {
+				if from == t2 {
 					continue
 				}
-				alone := w.plans[chance.IntN(len(w.plans))].plan.PartAlone(from, true).Weights[to]
-				part := chance.Float64() // of its gateways that hear no plan
-				share := float64(last.Rows[from][to])/whole*(1-part) + alone*part
-				foreign += share * w.demand[f]
+				alone := fx.plans[random.IntN(len(fx.plans))].plan.FallbackAssignment(fromZone, true).Weights[toZone]
+				part := random.Float64() // of its gateways that hear no plan
+				share := float64(last.Rows[fromZone][toZone])/fullShare*(1-part) + alone*part
+				foreign += share * fx.demand[from]
 			}
-			own := float64(last.Rows[to][to]-last.Shed[to]) / whole * w.demand[t2]
-			if bears := w.listed[t2] * w.terms.Bears; foreign > 1 && foreign+min(own, 0.8*bears) > bears*1.02 {
-				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, and bears %.1f", seed, to, foreign, own, bears)
+			own := float64(last.Rows[toZone][toZone]-last.Shed[toZone]) / fullShare * fx.demand[t2]
+			if bears := fx.readyPower[t2] * fx.settings.Capacity; foreign > 1 && foreign+min(own, 0.8*bears) > bears*1.02 {
+				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, and bears %.1f", seed, toZone, foreign, own, bears)
 			}
 		}
 	}
--- a/internal/failover/world_test.go
+++ b/internal/failover/world_test.go
@@ -9,93 +9,93 @@
 	"harrierhoist/internal/witness"
 )
 
-// world is halls with gateways that tell what they see of them, as sums that a decider goes by. It is the world's own
+// fixture is halls with gateways that tell what they see of them, as sums that a decider goes by. It is the world's own
 // truth that the plans are held against.
-type world struct {
-	halls    []string
-	gateways []int           // by hall
-	demand   []float64       // units a second that quotas let in, pushed or not
-	beyond   map[int]float64 // and, by hall, that they don't
-	listed   []float64       // strength by the list
-	sound    []float64       // part of it that answers
-	cut      map[[2]int]bool
-	blind    map[int]bool // halls whose first gateway sees nothing answer, its list being empty
-	mute     map[int]bool // halls whose gateways' digests don't come
-	now      time.Duration
-	troubled time.Duration // when something last changed
-	sums     map[string]uint64
-	entry    tables.Entry
-	lease    time.Duration
-	terms    Terms
-	d        *Decider
-	plans    []planned
+type fixture struct {
+	zones        []string
+	gateways     []int           // by hall
+	demand       []float64       // units a second that quotas let in, pushed or not
+	unadmitted   map[int]float64 // and, by hall, that they don't
+	readyPower   []float64       // strength by the list
+	healthy      []float64       // part of it that answers
+	lostLinks    map[[2]int]bool
+	blindGateway map[int]bool // halls whose first gateway sees nothing answer, its list being empty
+	silent       map[int]bool // halls whose gateways' digests don't come
+	now          time.Duration
+	faultAt      time.Duration // when something last changed
+	sums         map[string]uint64
+	entry        tables.Table
+	lease        time.Duration
+	settings     Settings
+	controller   *Controller
+	plans        []writtenPlan
 }
 
-type planned struct {
+type writtenPlan struct {
 	at   time.Duration
 	plan *Plan
 }
 
 const tick = 100 * time.Millisecond
 
-// three is three halls in two regions, with so many gateways each, that bear 100 units a second each.
-func three(gateways int) *world {
-	w := &world{halls: []string{"a", "b", "c"}, cut: map[[2]int]bool{}, blind: map[int]bool{}, mute: map[int]bool{},
-		sums: map[string]uint64{}, beyond: map[int]float64{}, lease: 2 * time.Second,
-		terms: Terms{On: true, Bears: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}}}
-	for range w.halls {
-		w.gateways, w.demand = append(w.gateways, gateways), append(w.demand, 50)
-		w.listed, w.sound = append(w.listed, 10), append(w.sound, 1)
+// threeZones is three halls in two regions, with so many gateways each, that bear 100 units a second each.
+func threeZones(gateways int) *fixture {
+	fx := &fixture{zones: []string{"a", "b", "c"}, lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{},
+		sums: map[string]uint64{}, unadmitted: map[int]float64{}, lease: 2 * time.Second,
+		settings: Settings{Enabled: true, Capacity: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}}}
+	for range fx.zones {
+		fx.gateways, fx.demand = append(fx.gateways, gateways), append(fx.demand, 50)
+		fx.readyPower, fx.healthy = append(fx.readyPower, 10), append(fx.healthy, 1)
 	}
-	w.lead()
-	return w
+	fx.newLeader()
+	return fx
 }
 
-// lead has a new leader begin, with a clock of its own.
-func (w *world) lead() { w.d = New(w.terms, w.lease) }
+// newLeader has a new leader begin, with a clock of its own.
+func (fx *fixture) newLeader() { fx.controller = New(fx.settings, fx.lease) }
 
-func (w *world) add(name string, n float64) { w.sums[name] += uint64(n) }
+func (fx *fixture) add(name string, n float64) { fx.sums[name] += uint64(n) }
 
 // share is the part of a hall's tasks pushed to another by the plan that stands.
-func (w *world) share(f, t int) float64 {
-	if len(w.plans) == 0 {
-		return map[bool]float64{true: 1}[f == t]
+func (fx *fixture) share(from, to int) float64 {
+	if len(fx.plans) == 0 {
+		return map[bool]float64{true: 1}[from == to]
 	}
-	p := w.plans[len(w.plans)-1].plan
-	x := float64(p.Rows[w.halls[f]][w.halls[t]])
-	if f == t {
-		x -= float64(p.Shed[w.halls[f]])
+	plan := fx.plans[len(fx.plans)-1].plan
+	amount := float64(plan.Rows[fx.zones[from]][fx.zones[to]])
+	if from == to {
+		amount -= float64(plan.Shed[fx.zones[from]])
 	}
-	return x / whole
+	return amount / fullShare
 }
 
-// tell has all gateways count a tick.
-func (w *world) tell() {
+// report has all gateways count a tick.
+func (fx *fixture) report() {
 	ms := float64(tick / time.Millisecond)
-	for f, from := range w.halls {
-		if w.mute[f] {
+	for from, fromZone := range fx.zones {
+		if fx.silent[from] {
 			continue
 		}
-		w.add(witness.Time(from), ms*float64(w.gateways[f]))
-		w.add(witness.Let(from), w.demand[f]*ms)
-		w.add(witness.Came(from), (w.demand[f]+w.beyond[f])*ms)
-		w.add(witness.Ended(from, from, "well"), 10) // a hundred pushes a second
-		for g := range w.gateways[f] {
-			blind := g == 0 && w.blind[f]
-			for t, to := range w.halls {
-				strength := w.listed[t]
+		fx.add(witness.AwakeTime(fromZone), ms*float64(fx.gateways[from]))
+		fx.add(witness.Admitted(fromZone), fx.demand[from]*ms)
+		fx.add(witness.Offered(fromZone), (fx.demand[from]+fx.unadmitted[from])*ms)
+		fx.add(witness.Completed(fromZone, fromZone, "well"), 10) // a hundred pushes a second
+		for g := range fx.gateways[from] {
+			blind := g == 0 && fx.blindGateway[from]
+			for to, toZone := range fx.zones {
+				strength := fx.readyPower[to]
 				if blind {
 					strength = 0
 				}
-				b := witness.Band(strength)
-				w.add(witness.Ready(to, b), ms)
-				w.add(witness.Strength(to, b), ms*strength)
-				q := int(w.sound[t]*witness.Sound + 0.5)
-				if blind || w.cut[[2]int{f, t}] {
+				b := witness.PowerBand(strength)
+				fx.add(witness.ReadyTime(toZone, b), ms)
+				fx.add(witness.ReadyPower(toZone, b), ms*strength)
+				q := int(fx.healthy[to]*witness.Healthy + 0.5)
+				if blind || fx.lostLinks[[2]int{from, to}] {
 					q = witness.Lost
 				}
-				if w.share(f, t) > 0 && w.listed[t] > 0 || blind {
-					w.add(witness.Judged(from, to, q), ms)
+				if fx.share(from, to) > 0 && fx.readyPower[to] > 0 || blind {
+					fx.add(witness.HealthTime(fromZone, toZone, q), ms)
 				}
 			}
 		}
@@ -103,40 +103,42 @@
 }
 
 // run lets the world go on for a while, and gives the plans written meanwhile.
-func (w *world) run(span time.Duration) []planned {
-	first := len(w.plans)
-	for end := w.now + span; w.now < end; {
-		w.now += tick
-		w.tell()
-		seen := cluster.Seen{Sums: w.sums, Held: func(string) tables.Entry { return w.entry }}
-		if value, write := w.d.Decide(w.now, seen); write {
-			p, err := Read(value)
+func (fx *fixture) run(span time.Duration) []writtenPlan {
+	first := len(fx.plans)
+	for end := fx.now + span; fx.now < end; {
+		fx.now += tick
+		fx.report()
+		seen := cluster.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+		if value, write := fx.controller.Decide(fx.now, seen); write {
+			plan, err := DecodePlan(value)
 			if err != nil {
 				panic(err)
 			}
-			w.entry = tables.Entry{Epoch: w.entry.Epoch + 1, Value: value}
-			w.plans = append(w.plans, planned{w.now, p})
+			fx.entry = tables.Table{Epoch: fx.entry.Epoch + 1, Value: value}
+			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
 		}
 	}
-	return w.plans[first:]
+	return fx.plans[first:]
 }
 
 // load is what is pushed to a hall by the plan that stands.
-func (w *world) load(t int) float64 {
+func (fx *fixture) load(to int) float64 {
 	sum := 0.0
-	for f := range w.halls {
-		sum += w.share(f, t) * w.demand[f]
+	for from := range fx.zones {
+		sum += fx.share(from, to) * fx.demand[from]
 	}
 	return sum
 }
 
-func (w *world) want(t *testing.T, what string, got, least, most float64) {
+func (fx *fixture) wantBetween(t *testing.T, what string, got, least, most float64) {
 	t.Helper()
 	if got < least || got > most {
-		p, _ := Read(w.entry.Value)
-		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, p)
+		plan, _ := DecodePlan(fx.entry.Value)
+		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, plan)
 	}
 }
 
-// Near tells whether all of a hall's tasks stay there.
-func (p *Plan) Near(hall string) bool { return len(p.Rows[hall]) == 0 || p.Rows[hall][hall] == whole }
+// isLocal tells whether all of a hall's tasks stay there.
+func (plan *Plan) isLocal(zone string) bool {
+	return len(plan.Rows[zone]) == 0 || plan.Rows[zone][zone] == fullShare
+}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -12,119 +12,119 @@
 	"harrierhoist/policy"
 )
 
-// Parcel is what a push carries: the command as the client worded it, but for the time that we will wait.
-type Parcel struct {
-	Verb, Customer, ID string
-	Before, After      string // the list of names and values, up to the patience's figure and from behind it
-	Body               *resp.Bulk
+// Command is what a push carries: the command as the client worded it, but for the time that we will wait.
+type Command struct {
+	Verb, Customer, ID        string
+	ParamsBefore, ParamsAfter string // the list of names and values, up to the patience's figure and from behind it
+	Body                      *resp.Bulk
 }
 
-func (p *Parcel) command(until time.Time) *resp.Command {
-	left := max(time.Until(until).Milliseconds(), 1)
-	list := p.Before + strconv.FormatInt(left, 10) + p.After
-	return &resp.Command{Words: []string{p.Verb, p.Customer, p.ID, list}, Body: p.Body}
+func (command *Command) toWire(deadline time.Time) *resp.Command {
+	remainingMs := max(time.Until(deadline).Milliseconds(), 1)
+	params := command.ParamsBefore + strconv.FormatInt(remainingMs, 10) + command.ParamsAfter
+	return &resp.Command{Words: []string{command.Verb, command.Customer, command.ID, params}, Body: command.Body}
 }
 
-// Push sends a task to a server and waits for how that ends; a value comes only with Answered and is the
+// Attempt sends a task to a server and waits for how that ends; a value comes only with Answered and is the
 // caller's to free. Called off before its first byte it writes nothing, however late its connection comes up; given up
 // later, it closes its connection.
-func (f *Fleet) Push(choice gate.Choice, p *Parcel) (gate.Result, *resp.Bulk) {
-	ctx, to, until := choice.Wanted, at(choice.Server), choice.Until
-	began := time.Now()
+func (p *Pool) Attempt(decision gate.Decision, command *Command) (gate.Result, *resp.Bulk) {
+	ctx, key, deadline := decision.Context, keyOf(decision.Server), decision.Deadline
+	startedAt := time.Now()
 	if ctx.Err() != nil {
-		return gate.Result{Outcome: policy.Moot}, nil
+		return gate.Result{Outcome: policy.NotSent}, nil
 	}
-	c, err := f.take(ctx, to, choice.By)
+	conn, err := p.acquire(ctx, key, decision.WriteDeadline)
 	if err != nil {
-		return gate.Result{Outcome: unsent(&choice, err)}, nil
+		return gate.Result{Outcome: unsentOutcome(&decision, err)}, nil
 	}
-	if !time.Now().Before(choice.By) || !choice.Begin() {
-		f.spare(to, c)
-		return gate.Result{Outcome: policy.Moot}, nil
+	if !time.Now().Before(decision.WriteDeadline) || !decision.Begin() {
+		p.returnUnwritten(key, conn)
+		return gate.Result{Outcome: policy.NotSent}, nil
 	}
-	stop := context.AfterFunc(ctx, c.Abort)
-	rest := time.Since(c.used)
-	reply, how := f.exchange(ctx, c, p.command(until), choice.By, until)
-	wanted := stop()
-	if !c.used.IsZero() && wanted {
-		f.mu.Lock()
-		f.rests.add(time.Now(), rest, how == ended || how == unwritten)
-		f.mu.Unlock()
+	stopAbort := context.AfterFunc(ctx, conn.Abort)
+	idleFor := time.Since(conn.lastUsed)
+	reply, state := p.exchange(ctx, conn, command.toWire(deadline), decision.WriteDeadline, deadline)
+	stillWanted := stopAbort()
+	if !conn.lastUsed.IsZero() && stillWanted {
+		p.mu.Lock()
+		p.idleLosses.record(time.Now(), idleFor, state == exchangeClosed || state == exchangeUnwritten)
+		p.mu.Unlock()
 	}
-	if how == answered {
-		out, value, good := f.result(reply)
-		if good && wanted {
-			f.keep(to, c)
+	if state == exchangeAnswered {
+		result, value, good := p.parseReply(reply)
+		if good && stillWanted {
+			p.putIdle(key, conn)
 		} else {
-			f.drop(c) // of no use after a spoilt answer; given up as it came, a good one counts all the same
+			p.closeConnection(conn) // of no use after a spoilt answer; given up as it came, a good one counts all the same
 		}
-		return out, value
+		return result, value
 	}
-	f.drop(c)
-	out := gate.Result{Outcome: policy.Reset}
+	p.closeConnection(conn)
+	result := gate.Result{Outcome: policy.Reset}
 	switch {
-	case how == unwritten:
-		out.Outcome = unsent(&choice, nil)
-	case !wanted:
-		out.Outcome = policy.Cancelled
-	case how == silent:
-		out.Outcome = policy.TimedOut
+	case state == exchangeUnwritten:
+		result.Outcome = unsentOutcome(&decision, nil)
+	case !stillWanted:
+		result.Outcome = policy.Cancelled
+	case state == exchangeTimedOut:
+		result.Outcome = policy.TimedOut
 	}
-	if !wanted || how == silent {
+	if !stillWanted || state == exchangeTimedOut {
 		// No answer: the machine may be gone without a word. Connections to it that were last used before are
 		// dropped, as they would be silent too; if it was one long task, they are made again.
-		f.sweep(to, began)
+		p.closeIdleBefore(key, startedAt)
 	}
-	return out, nil
+	return result, nil
 }
 
-// exchanged is how far an exchange came.
-type exchanged uint8
+// exchangeState is how far an exchange came.
+type exchangeState uint8
 
 const (
-	unwritten exchanged = iota // the command's last byte was not written
-	silent                     // no answer by the deadline
-	ended                      // the connection ended before an answer
-	spoilt                     // an answer began and is none, or did not go on
-	answered
+	exchangeUnwritten exchangeState = iota // the command's last byte was not written
+	exchangeTimedOut                       // no answer by the deadline
+	exchangeClosed                         // the connection ended before an answer
+	exchangeMalformed                      // an answer began and is none, or did not go on
+	exchangeAnswered
 )
 
 // exchange sends a command, by a time, and waits for the reply until another. Once that has begun, the rest must follow
 // in the time that a connection may take to come up: servers write an answer in one go.
-func (f *Fleet) exchange(ctx context.Context, c *kept, cmd *resp.Command, by, until time.Time) (*resp.Reply, exchanged) {
-	limit := func(t time.Time) {
-		_ = c.SetDeadline(t)
+func (p *Pool) exchange(ctx context.Context, conn *connection, command *resp.Command, writeDeadline, deadline time.Time) (*resp.Reply, exchangeState) {
+	setDeadline := func(t time.Time) {
+		_ = conn.SetDeadline(t)
 		if ctx.Err() != nil { // given up meanwhile, which the limit has undone
-			c.Abort()
+			conn.Abort()
 		}
 	}
-	limit(by)
-	if c.WriteCommand(cmd) != nil {
-		return nil, unwritten
+	setDeadline(writeDeadline)
+	if conn.WriteCommand(command) != nil {
+		return nil, exchangeUnwritten
 	}
-	if by.Before(until) {
-		limit(until)
+	if writeDeadline.Before(deadline) {
+		setDeadline(deadline)
 	}
-	if err := c.Await(); errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, silent
+	if err := conn.Await(); errors.Is(err, os.ErrDeadlineExceeded) {
+		return nil, exchangeTimedOut
 	} else if err != nil {
-		return nil, ended
+		return nil, exchangeClosed
 	}
-	if soon := time.Now().Add(f.connectWithin); soon.Before(until) {
-		limit(soon)
+	if replyDeadline := time.Now().Add(p.connectTimeout); replyDeadline.Before(deadline) {
+		setDeadline(replyDeadline)
 	}
-	reply, err := c.ReadReply()
+	reply, err := conn.ReadReply()
 	if err != nil {
-		return nil, spoilt
+		return nil, exchangeMalformed
 	}
-	return reply, answered
+	return reply, exchangeAnswered
 }
 
-// unsent is the outcome of a push that never reached a server whole. One that ran out of the time in which it could be
+// unsentOutcome is the outcome of a push that never reached a server whole. One that ran out of the time in which it could be
 // repeated says nothing of the server, nor does one for which we had no place: a good server would be set aside for it.
-func unsent(c *gate.Choice, err error) policy.Outcome {
-	if c.Wanted.Err() != nil || errors.Is(err, errNoPlace) || c.By.Before(c.Until) && !time.Now().Before(c.By) {
-		return policy.Moot
+func unsentOutcome(decision *gate.Decision, err error) policy.Outcome {
+	if decision.Context.Err() != nil || errors.Is(err, errPoolExhausted) || decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline) {
+		return policy.NotSent
 	}
-	return policy.NoConnect
+	return policy.ConnectFailed
 }
--- a/internal/fleet/attempt_test.go
+++ b/internal/fleet/attempt_test.go
@@ -11,64 +11,64 @@
 	"harrierhoist/policy"
 )
 
-// ended is how a push ended, once it has.
-func (f *Fleet) ended(c gate.Choice) chan policy.Outcome {
-	out := make(chan policy.Outcome, 1)
+// attemptAsync is how a push ended, once it has.
+func (p *Pool) attemptAsync(decision gate.Decision) chan policy.Outcome {
+	outcomes := make(chan policy.Outcome, 1)
 	go func() {
-		got, value := f.Push(c, &Parcel{Verb: "SVC.SUBMIT", Customer: "01", ID: "02"})
+		got, value := p.Attempt(decision, &Command{Verb: "SVC.SUBMIT", Customer: "01", ID: "02"})
 		value.Free()
-		out <- got.Outcome
+		outcomes <- got.Outcome
 	}()
-	return out
+	return outcomes
 }
 
-// dials waits until a connection is coming up.
-func (f *Fleet) dials(t *testing.T) {
+// awaitDial waits until a connection is coming up.
+func (p *Pool) awaitDial(t *testing.T) {
 	t.Helper()
 	standin.Eventually(t, "a dial", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return f.open > 0
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.open > 0
 	})
 }
 
 // Nothing is written on a connection that comes up late, for an attempt that was called off meanwhile or whose time to
 // be repeated is over: here the server takes no connection until after that.
-func TestNothingIsWrittenOnAConnectionThatComesUpLate(t *testing.T) {
-	for what, c := range map[string]struct {
+func TestAttempt_writesNothingOnLateConnection(t *testing.T) {
+	for name, c := range map[string]struct {
 		by, within   time.Duration
 		all, callOff bool // by is all the time there is; it is called off while dialing
 		want         policy.Outcome
 	}{
-		"called off":            {by: time.Minute, callOff: true, want: policy.Moot},
-		"too late for a repeat": {by: 100 * time.Millisecond, want: policy.Moot},
-		"it never comes up":     {by: time.Minute, within: 100 * time.Millisecond, want: policy.NoConnect},
-		"it takes all the time": {by: 100 * time.Millisecond, all: true, want: policy.NoConnect},
+		"called off":            {by: time.Minute, callOff: true, want: policy.NotSent},
+		"too late for a repeat": {by: 100 * time.Millisecond, want: policy.NotSent},
+		"it never comes up":     {by: time.Minute, within: 100 * time.Millisecond, want: policy.ConnectFailed},
+		"it takes all the time": {by: 100 * time.Millisecond, all: true, want: policy.ConnectFailed},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := standin.NewFull(t)
-			f := New(cmp.Or(c.within, time.Minute), time.Minute, nil, 10)
-			ctx, callOff := context.WithCancel(context.Background())
-			defer callOff()
-			choice := choose(ctx, s.Addr, time.Now().Add(time.Minute))
-			if choice.By = time.Now().Add(c.by); c.all {
-				choice.Until = choice.By
+			s := standin.NewSaturatedServer(t)
+			p := New(cmp.Or(c.within, time.Minute), time.Minute, nil, 10)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			decision := newDecision(ctx, s.Addr, time.Now().Add(time.Minute))
+			if decision.WriteDeadline = time.Now().Add(c.by); c.all {
+				decision.Deadline = decision.WriteDeadline
 			}
-			out := f.ended(choice)
+			outcomes := p.attemptAsync(decision)
 			if c.callOff {
-				f.dials(t)
-				callOff()
+				p.awaitDial(t)
+				cancel()
 			}
 			select {
-			case got := <-out:
-				if got != c.want || f.open != 0 {
-					t.Errorf("ended %v, %d connections", got, f.open)
+			case got := <-outcomes:
+				if got != c.want || p.open != 0 {
+					t.Errorf("ended %v, %d connections", got, p.open)
 				}
 			case <-time.After(10 * time.Second):
 				t.Error("still dialing")
 			}
-			if text := s.Bytes(t, 1500*time.Millisecond); text != "" { // a lost SYN comes again after 1 s
+			if text := s.CollectBytes(t, 1500*time.Millisecond); text != "" { // a lost SYN comes again after 1 s
 				t.Errorf("written: %q", text)
 			}
 		})
@@ -77,57 +77,57 @@
 
 // Between the connection and the first byte the attempt may be called off: the one question before the byte settles
 // it, and the connection serves the next push.
-func TestCalledOffBeforeTheFirstByteNothingIsWritten(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.Value("hello", 1) })
-	f := fleet(10)
+func TestAttempt_cancelledBeforeFirstByteWritesNothing(t *testing.T) {
+	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	p := newTestPool(10)
 	for _, idle := range []int{1, 0} { // a new connection is kept, one that had rested is dropped
-		ctx, callOff := context.WithCancel(context.Background())
-		choice := choose(ctx, s.Addr, time.Now().Add(time.Minute))
-		choice.Begin = func() bool {
-			callOff()
+		ctx, cancel := context.WithCancel(context.Background())
+		decision := newDecision(ctx, s.Addr, time.Now().Add(time.Minute))
+		decision.Begin = func() bool {
+			cancel()
 			return false
 		}
-		if got := <-f.ended(choice); got != policy.Moot || f.open != idle || len(f.kept[spot{dial: s.Addr}]) != idle {
-			t.Errorf("ended %v, %d connections", got, f.open)
+		if got := <-p.attemptAsync(decision); got != policy.NotSent || p.open != idle || len(p.idleConnections[endpointKey{address: s.Addr}]) != idle {
+			t.Errorf("ended %v, %d connections", got, p.open)
 		}
-		f.rested(s)
+		p.ageIdle(s)
 	}
-	push(t, f, s, policy.Answered)
-	if n := s.Commands(); n != 1 {
+	attemptOnce(t, p, s, policy.Answered)
+	if n := s.PendingCommands(); n != 1 {
 		t.Errorf("%d commands came", n)
 	}
 }
 
-// rested makes the idle connections to a server rested ones.
-func (f *Fleet) rested(s *standin.Server) {
-	for _, c := range f.kept[spot{dial: s.Addr}] {
-		c.used = c.used.Add(-time.Second)
+// ageIdle makes the idle connections to a server rested ones.
+func (p *Pool) ageIdle(s *standin.Server) {
+	for _, conn := range p.idleConnections[endpointKey{address: s.Addr}] {
+		conn.lastUsed = conn.lastUsed.Add(-time.Second)
 	}
 }
 
 // What was begun goes on, however late it is for a repeat; what is late right before its first byte is not begun.
-func TestTimeToBeginEndsBeforeTheFirstByteAlone(t *testing.T) {
+func TestAttempt_writeDeadlineEndsBeforeFirstByteOnly(t *testing.T) {
 	answer := make(chan string)
 	s := standin.NewServer(t, func([]string) string { return <-answer })
-	f := fleet(10)
-	choice := within(s.Addr, time.Minute)
-	for span := 100 * time.Millisecond; s.Commands() == 0; span *= 2 { // once, unless we are slower than that
-		choice.By = time.Now().Add(span)
-		out := f.ended(choice)
-		standin.Eventually(t, "a command", func() bool { return s.Commands() > 0 || len(out) > 0 })
-		if len(out) > 0 {
+	p := newTestPool(10)
+	decision := decisionWithin(s.Addr, time.Minute)
+	for span := 100 * time.Millisecond; s.PendingCommands() == 0; span *= 2 { // once, unless we are slower than that
+		decision.WriteDeadline = time.Now().Add(span)
+		outcomes := p.attemptAsync(decision)
+		standin.Eventually(t, "a command", func() bool { return s.PendingCommands() > 0 || len(outcomes) > 0 })
+		if len(outcomes) > 0 {
 			continue
 		}
-		standin.Eventually(t, "the end of the time", func() bool { return time.Now().After(choice.By) })
-		answer <- standin.Value("hello", 1)
-		if got := <-out; got != policy.Answered {
+		standin.Eventually(t, "the end of the time", func() bool { return time.Now().After(decision.WriteDeadline) })
+		answer <- standin.FormatValue("hello", 1)
+		if got := <-outcomes; got != policy.Answered {
 			t.Fatalf("begun in time it ended %v", got)
 		}
 	}
-	f.rested(s) // the connection is there at once: only the last look at the clock is left
+	p.ageIdle(s) // the connection is there at once: only the last look at the clock is left
 	asked := false
-	choice.Begin = func() bool { asked = true; return true }
-	if got := <-f.ended(choice); got != policy.Moot || asked || s.Commands() != 1 {
-		t.Errorf("too late it ended %v, begun %v, %d commands", got, asked, s.Commands())
+	decision.Begin = func() bool { asked = true; return true }
+	if got := <-p.attemptAsync(decision); got != policy.NotSent || asked || s.PendingCommands() != 1 {
+		t.Errorf("too late it ended %v, begun %v, %d commands", got, asked, s.PendingCommands())
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,73 +15,73 @@
 const (
 	// The part of the servers' idle limit after which we drop a connection. The limit is theirs and may be kept
 	// early; half leaves room for that and for a slow machine.
-	idlePart = 2
+	idleTimeoutDivisor = 2
 	// So long a connection rests after an answer: what a server sends some milliseconds behind it, which would be taken
 	// for the next task's answer, is here by then, and the connection is not quiet. Harm: a task that comes sooner costs a
 	// handshake. Measured on a day of 30 gateways with such answers: one in 70 of those that find a connection.
-	restLeast = 20 * time.Millisecond
-	// percent is the unit in which servers tell a customer's use of its rate.
-	percent = 100
+	minIdleBeforeReuse = 20 * time.Millisecond
+	// percentPerUnit is the unit in which servers tell a customer's use of its rate.
+	percentPerUnit = 100
 )
 
-// Fleet owns the connections to servers.
-type Fleet struct {
-	connectWithin, idleMost time.Duration
-	reports                 []string // the figures of a load report
+// Pool owns the connections to servers.
+type Pool struct {
+	connectTimeout, idleTimeout time.Duration
+	loadFields                  []string // the figures of a load report
 
-	most  int
-	mu    sync.Mutex
-	open  int // connections that are up, or coming up
-	rests rests
-	kept  map[spot][]*kept // idle ones, the latest used last
+	maxConnections  int
+	mu              sync.Mutex
+	open            int // connections that are up, or coming up
+	idleLosses      idleLosses
+	idleConnections map[endpointKey][]*connection // idle ones, the latest used last
 }
 
-// spot is where a connection goes: a new server at an old address gets none of the earlier one's.
-type spot struct{ name, dial string }
+// endpointKey is where a connection goes: a new server at an old address gets none of the earlier one's.
+type endpointKey struct{ name, address string }
 
-func at(s gate.Server) spot { return spot{s.Name, s.Dial} }
+func keyOf(s gate.Server) endpointKey { return endpointKey{s.Name, s.Address} }
 
-// kept is a connection and when it was last used.
-type kept struct {
+// connection is a connection and when it was last used.
+type connection struct {
 	*resp.Conn
-	used time.Time // zero: not yet
+	lastUsed time.Time // zero: not yet
 }
 
 // New makes a fleet that holds at most so many connections.
-func New(connectWithin, idleLimit time.Duration, reports []string, most int) *Fleet {
-	return &Fleet{connectWithin: connectWithin, idleMost: idleLimit / idlePart, reports: reports, most: most,
-		kept: map[spot][]*kept{}}
+func New(connectTimeout, idleLimit time.Duration, loadFields []string, maxConnections int) *Pool {
+	return &Pool{connectTimeout: connectTimeout, idleTimeout: idleLimit / idleTimeoutDivisor, loadFields: loadFields, maxConnections: maxConnections,
+		idleConnections: map[endpointKey][]*connection{}}
 }
 
-// Kept is how long a connection that nobody uses is kept.
-func (f *Fleet) Kept() time.Duration { return f.idleMost }
+// IdleTimeout is how long a connection that nobody uses is kept.
+func (p *Pool) IdleTimeout() time.Duration { return p.idleTimeout }
 
-// Probe asks a server for its load, or only whether it is there where servers tell no load.
-func (f *Fleet) Probe(to gate.Server, told func(gate.Result)) {
-	until := time.Now().Add(f.connectWithin)
-	c, err := f.take(context.Background(), at(to), until)
+// CheckHealth asks a server for its load, or only whether it is there where servers tell no load.
+func (p *Pool) CheckHealth(server gate.Server, done func(gate.Result)) {
+	deadline := time.Now().Add(p.connectTimeout)
+	conn, err := p.acquire(context.Background(), keyOf(server), deadline)
 	if err != nil {
-		told(gate.Result{Outcome: policy.NoConnect})
+		done(gate.Result{Outcome: policy.ConnectFailed})
 		return
 	}
 	words := []string{"PING"}
-	if len(f.reports) > 0 {
+	if len(p.loadFields) > 0 {
 		words = []string{"INFO", "load"}
 	}
-	reply, how := f.exchange(context.Background(), c, &resp.Command{Words: words}, until, until)
-	if how != answered {
-		f.drop(c)
-		told(gate.Result{Outcome: policy.TimedOut})
+	reply, state := p.exchange(context.Background(), conn, &resp.Command{Words: words}, deadline, deadline)
+	if state != exchangeAnswered {
+		p.closeConnection(conn)
+		done(gate.Result{Outcome: policy.TimedOut})
 		return
 	}
-	f.keep(at(to), c)
-	out := gate.Result{Outcome: policy.Errored}
+	p.putIdle(keyOf(server), conn)
+	result := gate.Result{Outcome: policy.Errored}
 	if reply.Kind != '-' {
-		out.Outcome = policy.Answered
+		result.Outcome = policy.Answered
 	}
 	if reply.Value != nil {
-		f.read(&out, reply.Value.String())
+		p.readFigures(&result, reply.Value.String())
 		reply.Value.Free()
 	}
-	told(out)
+	done(result)
 }
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -10,9 +10,9 @@
 
 // Whatever a server answers: no panic, only the outcomes of an answer, a value with Answered alone, and figures that
 // can be reckoned with.
-func FuzzResult(f *testing.F) {
+func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
-		standin.Value("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n", "-BUSY\r\n", "-BUSY 20\r\n",
+		standin.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n", "-BUSY\r\n", "-BUSY 20\r\n",
 		"-BUSY used=37\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7,util=0.61\r\n", "-ERR\r\n", "-ERR failed used=,=\r\n",
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n", "+OK\r\n", ":7\r\n", "-ERR failed used=nan,cost=-1 util=inf\r\n", "*1\r\n$0\r\n\r\n",
 		"*3\r\n$1\r\nv\r\n$9\r\nused=0x1p\r\n$-1\r\n", "-ERR failed used=1_0,cost=+2\r\n", "-\r\n", "- \r\n",
@@ -21,23 +21,23 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := resp.NewConn(&standin.Script{In: data})
+		c := resp.NewConn(&standin.ScriptedConn{Input: data})
 		if c.Await() != nil {
 			return
 		}
-		r, err := c.ReadReply()
+		reply, err := c.ReadReply()
 		if err != nil {
 			return
 		}
-		held := r.Value != nil
-		got, value, good := fleet(1).result(r)
+		held := reply.Value != nil
+		got, value, good := newTestPool(1).parseReply(reply)
 		defer value.Free()
 		switch got.Outcome {
 		case policy.Answered:
 			if !held {
 				t.Fatal("answered with no value")
 			}
-		case policy.Errored, policy.Full, policy.Reset:
+		case policy.Errored, policy.Rejected, policy.Reset:
 		default:
 			t.Fatalf("%q ended %v", data, got.Outcome)
 		}
@@ -45,14 +45,14 @@
 			t.Fatalf("%q ended %v with value %v, good %v", data, got.Outcome, value != nil, good)
 		}
 		figures := []float64{got.Billed, got.Use}
-		for _, v := range got.Report {
+		for _, v := range got.LoadReport {
 			figures = append(figures, float64(v))
 		}
-		if len(got.Report) > 2 {
-			t.Fatalf("%q reports %v", data, got.Report)
+		if len(got.LoadReport) > 2 {
+			t.Fatalf("%q reports %v", data, got.LoadReport)
 		}
 		for _, v := range figures {
-			if !(v >= 0 && v <= figureMost) { // Use is 1 and a hundredth
+			if !(v >= 0 && v <= maxFigure) { // Use is 1 and a hundredth
 				t.Fatalf("%q tells %+v", data, got)
 			}
 		}
--- a/internal/fleet/kept.go
+++ b/internal/fleet/kept.go
@@ -11,147 +11,147 @@
 	"harrierhoist/internal/resp"
 )
 
-// errNoPlace says that all connections that we may have are in use.
-var errNoPlace = errors.New("no connection to spare")
+// errPoolExhausted says that all connections that we may have are in use.
+var errPoolExhausted = errors.New("no connection to spare")
 
-// take gives an idle connection that stands and is not stale, or a new one.
-func (f *Fleet) take(ctx context.Context, to spot, until time.Time) (*kept, error) {
+// acquire gives an idle connection that stands and is not stale, or a new one.
+func (p *Pool) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for {
-		c := f.idle(to)
-		if c == nil {
+		conn := p.takeIdle(key)
+		if conn == nil {
 			break
 		}
-		f.mu.Lock()
-		rest := time.Since(c.used)
-		stale := rest >= f.idleMost || f.rests.stale(rest)
-		f.mu.Unlock()
-		if !stale && c.Quiet() {
-			return c, nil
+		p.mu.Lock()
+		idleFor := time.Since(conn.lastUsed)
+		stale := idleFor >= p.idleTimeout || p.idleLosses.isStale(idleFor)
+		p.mu.Unlock()
+		if !stale && conn.IsQuiet() {
+			return conn, nil
 		}
-		f.drop(c)
+		p.closeConnection(conn)
 	}
-	if !f.reserve() {
-		return nil, errNoPlace
+	if !p.reserveSlot() {
+		return nil, errPoolExhausted
 	}
-	dialer := net.Dialer{Timeout: f.connectWithin, Deadline: until}
-	conn, err := dialer.DialContext(ctx, "tcp", to.dial)
+	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline}
+	netConn, err := dialer.DialContext(ctx, "tcp", key.address)
 	if err != nil {
-		f.release()
+		p.releaseSlot()
 		return nil, err
 	}
-	return &kept{Conn: resp.NewConn(conn)}, nil
+	return &connection{Conn: resp.NewConn(netConn)}, nil
 }
 
-// idle takes the idle connection used last, of those that have rested.
-func (f *Fleet) idle(to spot) *kept {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	list := f.kept[to]
-	i := len(list) - 1
-	for i >= 0 && time.Since(list[i].used) < restLeast {
+// takeIdle takes the idle connection used last, of those that have rested.
+func (p *Pool) takeIdle(key endpointKey) *connection {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	connections := p.idleConnections[key]
+	i := len(connections) - 1
+	for i >= 0 && time.Since(connections[i].lastUsed) < minIdleBeforeReuse {
 		i--
 	}
 	if i < 0 {
 		return nil
 	}
-	c := list[i]
-	f.kept[to] = slices.Delete(list, i, i+1)
-	return c
+	conn := connections[i]
+	p.idleConnections[key] = slices.Delete(connections, i, i+1)
+	return conn
 }
 
-// reserve makes room for one connection more, if need be by dropping one that stood idle longest.
-func (f *Fleet) reserve() bool {
-	f.mu.Lock()
-	if f.open < f.most {
-		f.open++
-		f.mu.Unlock()
+// reserveSlot makes room for one connection more, if need be by dropping one that stood idle longest.
+func (p *Pool) reserveSlot() bool {
+	p.mu.Lock()
+	if p.open < p.maxConnections {
+		p.open++
+		p.mu.Unlock()
 		return true
 	}
-	var oldest spot
-	var c *kept
-	for to, list := range f.kept {
-		if len(list) > 0 && (c == nil || list[0].used.Before(c.used)) {
-			oldest, c = to, list[0]
+	var oldest endpointKey
+	var conn *connection
+	for key, connections := range p.idleConnections {
+		if len(connections) > 0 && (conn == nil || connections[0].lastUsed.Before(conn.lastUsed)) {
+			oldest, conn = key, connections[0]
 		}
 	}
-	if c == nil {
-		f.mu.Unlock()
+	if conn == nil {
+		p.mu.Unlock()
 		return false
 	}
-	f.kept[oldest] = f.kept[oldest][1:]
-	f.mu.Unlock()
-	_ = c.Close() // the new one takes its place
+	p.idleConnections[oldest] = p.idleConnections[oldest][1:]
+	p.mu.Unlock()
+	_ = conn.Close() // the new one takes its place
 	return true
 }
 
-func (f *Fleet) release() {
-	f.mu.Lock()
-	f.open--
-	f.mu.Unlock()
+func (p *Pool) releaseSlot() {
+	p.mu.Lock()
+	p.open--
+	p.mu.Unlock()
 }
 
-// drop closes a connection that is not idle.
-func (f *Fleet) drop(c *kept) {
-	_ = c.Close()
-	f.release()
+// closeConnection closes a connection that is not idle.
+func (p *Pool) closeConnection(conn *connection) {
+	_ = conn.Close()
+	p.releaseSlot()
 }
 
-// spare gives back a connection on which nothing was written. A new one may serve the next push; one that had rested is
+// returnUnwritten gives back a connection on which nothing was written. A new one may serve the next push; one that had rested is
 // dropped, as how long it has would be lost.
-func (f *Fleet) spare(to spot, c *kept) {
-	if c.used.IsZero() {
-		f.keep(to, c)
+func (p *Pool) returnUnwritten(key endpointKey, conn *connection) {
+	if conn.lastUsed.IsZero() {
+		p.putIdle(key, conn)
 	} else {
-		f.drop(c)
+		p.closeConnection(conn)
 	}
 }
 
-// keep makes a connection idle, unless something stands behind the reply: it would be taken for the next one's.
-func (f *Fleet) keep(to spot, c *kept) {
-	if !c.Drained() {
-		f.drop(c)
+// putIdle makes a connection idle, unless something stands behind the reply: it would be taken for the next one's.
+func (p *Pool) putIdle(key endpointKey, conn *connection) {
+	if !conn.IsDrained() {
+		p.closeConnection(conn)
 		return
 	}
-	f.mu.Lock()
-	c.used = time.Now() // under the lock: the list is in this order
-	f.kept[to] = append(f.kept[to], c)
-	f.mu.Unlock()
+	p.mu.Lock()
+	conn.lastUsed = time.Now() // under the lock: the list is in this order
+	p.idleConnections[key] = append(p.idleConnections[key], conn)
+	p.mu.Unlock()
 }
 
-// Sweep drops connections in time that nobody uses, until the context ends.
-func (f *Fleet) Sweep(ctx context.Context) {
-	every := time.NewTicker(max(f.idleMost/4, time.Second))
-	defer every.Stop()
+// RunIdleCleanup drops connections in time that nobody uses, until the context ends.
+func (p *Pool) RunIdleCleanup(ctx context.Context) {
+	ticker := time.NewTicker(max(p.idleTimeout/4, time.Second))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		f.mu.Lock()
-		all := slices.Collect(maps.Keys(f.kept))
-		f.mu.Unlock()
-		for _, to := range all {
-			f.sweep(to, time.Now().Add(-f.idleMost))
+		p.mu.Lock()
+		all := slices.Collect(maps.Keys(p.idleConnections))
+		p.mu.Unlock()
+		for _, key := range all {
+			p.closeIdleBefore(key, time.Now().Add(-p.idleTimeout))
 		}
 	}
 }
 
-// sweep drops a server's idle connections that were last used before a time.
-func (f *Fleet) sweep(to spot, before time.Time) {
-	f.mu.Lock()
-	list := f.kept[to]
+// closeIdleBefore drops a server's idle connections that were last used before a time.
+func (p *Pool) closeIdleBefore(key endpointKey, before time.Time) {
+	p.mu.Lock()
+	connections := p.idleConnections[key]
 	n := 0
-	for n < len(list) && list[n].used.Before(before) {
+	for n < len(connections) && connections[n].lastUsed.Before(before) {
 		n++
 	}
-	old := list[:n]
-	if f.kept[to] = list[n:]; n == len(list) {
-		delete(f.kept, to)
+	stale := connections[:n]
+	if p.idleConnections[key] = connections[n:]; n == len(connections) {
+		delete(p.idleConnections, key)
 	}
-	f.open -= n
-	f.mu.Unlock()
-	for _, c := range old {
-		_ = c.Close()
+	p.open -= n
+	p.mu.Unlock()
+	for _, conn := range stale {
+		_ = conn.Close()
 	}
 }
--- a/internal/front/carry.go
+++ b/internal/front/carry.go
@@ -11,58 +11,58 @@
 )
 
 // admit hands a task over and remembers it, to tell of the client's going.
-func (c *client) admit(t gate.Task) *gate.Errand {
-	e := c.front.gate.Admit(t)
+func (c *client) admit(t gate.RequestSpec) *gate.Request {
+	e := c.listener.dispatcher.Admit(t)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.out[e] = struct{}{}
+	c.requests[e] = struct{}{}
 	return e
 }
 
-// work is a task for a carrier.
-type work struct {
-	client *client
-	turn   uint
-	errand *gate.Errand
-	what   *fleet.Parcel
-	held   int // of the room
+// job is a task for a carrier.
+type job struct {
+	client  *client
+	turn    uint
+	request *gate.Request
+	message *fleet.Command
+	memory  int // of the room
 }
 
-// hand gives a task to a carrier that is free, or else to a new one. Carriers stay: the stack of a goroutine
+// startWork gives a task to a carrier that is free, or else to a new one. Carriers stay: the stack of a goroutine
 // grows to what a task needs once, not with each task. There are as many as there were ever tasks at once.
-func (f *Front) hand(w work) {
+func (f *Listener) startWork(w job) {
 	select {
-	case f.work <- w:
+	case f.idleWorkers <- w:
 	default:
 		go func() {
-			w.carry()
-			for w := range f.work {
-				w.carry()
+			w.run()
+			for w := range f.idleWorkers {
+				w.run()
 			}
 		}()
 	}
 }
 
-// carry takes a task through its stages to its answer.
-func (w work) carry() {
+// run takes a task through its stages to its answer.
+func (w job) run() {
 	c := w.client
-	write := c.do(w.errand, w.what)
-	w.what.Body.Free()
-	c.front.shut(w.what.ID)
+	write := c.execute(w.request, w.message)
+	w.message.Body.Free()
+	c.listener.closeID(w.message.ID)
 	c.mu.Lock()
-	delete(c.out, w.errand)
+	delete(c.requests, w.request)
 	c.mu.Unlock()
 	c.answer(w.turn, write)
-	c.front.room.give(w.held)
+	c.listener.memory.release(w.memory)
 }
 
-// do carries a task and gives what writes its answer.
-func (c *client) do(e *gate.Errand, what *fleet.Parcel) func() error {
+// execute carries a task and gives what writes its answer.
+func (c *client) execute(e *gate.Request, what *fleet.Command) func() error {
 	for {
-		switch choice := e.Pick(); choice.Verdict {
-		case gate.Push:
-			result, value := c.front.fleet.Push(choice, what)
-			e.Report(result)
+		switch choice := e.Next(); choice.Action {
+		case gate.Forward:
+			result, value := c.listener.upstream.Attempt(choice, what)
+			e.ReportResult(result)
 			if value != nil {
 				return func() error {
 					defer value.Free()
@@ -70,17 +70,17 @@
 				}
 			}
 		case gate.Reject:
-			return func() error { return c.conn.WriteLine(busy(choice.Away)) }
+			return func() error { return c.conn.WriteLine(rejectionLine(choice.RetryAfter)) }
 		case gate.Terminate:
 			return func() error { return c.conn.WriteLine("-ERR failed") }
-		case gate.Left:
+		case gate.Disconnected:
 			return func() error { return net.ErrClosed }
 		}
 	}
 }
 
-// busy words a rejection.
-func busy(away time.Duration) string {
+// rejectionLine words a rejection.
+func rejectionLine(away time.Duration) string {
 	if away <= 0 {
 		return "-BUSY"
 	}
--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -11,63 +11,63 @@
 )
 
 // Commands read on with the one before, whose answer comes first: it does not end the connection over them.
-func TestCommandsReadAtOnceAreAllAnswered(t *testing.T) {
-	h := open(t, 8, nil, hello)
-	h.closing()
+func TestDrain_answersAllCommandsReadAtOnce(t *testing.T) {
+	h := newDrainFixture(t, 8, nil, answerHello)
+	h.startDraining()
 	c := h.dial()
-	odd := standin.Command("ODD") // answered at once, and the reader pauses behind it
+	odd := standin.FormatCommand("ODD") // answered at once, and the reader pauses behind it
 	c.send(odd + odd + odd + odd)
 	for range 4 {
 		c.want("-ERR unknown command")
 	}
-	c.ends(nil)
+	c.wantEnd(nil)
 	_ = c.Close()
-	h.empty()
+	h.awaitEmpty()
 }
 
 // One answer of three is out as the front closes.
-func TestPipelinedRequestsWithOneAnswerOut(t *testing.T) {
+func TestDrain_answersPipelinedRequestsInOrder(t *testing.T) {
 	let := map[int]chan bool{2: make(chan bool), 3: make(chan bool)}
-	h := open(t, 8, nil, numbered(let))
+	h := newDrainFixture(t, 8, nil, answerByNumber(let))
 	rests := h.dial()
 	c := h.dial()
 	c.send(query(1) + query(2) + query(3))
 	c.want("value 1")
 	ended := h.drain()
-	rests.ends(syscall.ECONNRESET)
+	rests.wantEnd(syscall.ECONNRESET)
 	close(let[3])
 	close(let[2])
 	c.want("value 2")
 	c.want("value 3")
-	c.ends(nil)
+	c.wantEnd(nil)
 	_ = c.Close()
-	h.over(ended)
+	h.awaitDrained(ended)
 }
 
 // Half a command stands as the front closes; the other half comes.
-func TestHalfACommandAsTheDrainBegins(t *testing.T) {
-	h := open(t, 8, nil, hello)
+func TestDrain_answersCommandReadInPart(t *testing.T) {
+	h := newDrainFixture(t, 8, nil, answerHello)
 	c := h.dial()
 	text := query(1)
 	c.send(text[:20])
 	near := <-h.came
 	standin.Eventually(t, "its half", func() bool { return near.read.Load() == 20 })
-	h.closing()
-	h.f.clear()
+	h.startDraining()
+	h.f.closeIdle()
 	c.send(text[20:])
 	c.want("hello")
-	c.ends(nil)
+	c.wantEnd(nil)
 	_ = c.Close()
-	h.empty()
+	h.awaitEmpty()
 }
 
 // Half a command that never becomes whole ends the connection, but not before what was read before it is answered.
-func TestHalfACommandTakesNoRequestAlong(t *testing.T) {
+func TestPartialCommand_earlierRequestsAreAnswered(t *testing.T) {
 	let := map[int]chan bool{1: make(chan bool)}
 	given := make(chan bool, 100)
-	h := open(t, 8, func(c *tapped) {
+	h := newDrainFixture(t, 8, func(c *tappedConn) {
 		c.words = func(at time.Time) { given <- at.IsZero() }
-	}, numbered(let))
+	}, answerByNumber(let))
 	c := h.dial()
 	c.send(query(1) + query(2)[:30])
 	for n := 0; n < 2; { // the words of the first are read, those of the second given up
@@ -77,15 +77,15 @@
 	}
 	close(let[1])
 	c.want("value 1")
-	c.ends(nil)
+	c.wantEnd(nil)
 }
 
 // An answer that fails half-way is not followed by the next one, which would be read as its rest.
-func TestAnswerBehindOneThatFailedIsNotWritten(t *testing.T) {
+func TestFailedAnswer_nextIsNotWritten(t *testing.T) {
 	let := map[int]chan bool{1: make(chan bool)}
 	events := make(chan string, 10)
 	var at *client
-	h := open(t, 8, func(c *tapped) {
+	h := newDrainFixture(t, 8, func(c *tappedConn) {
 		hold := once(func() { at.mu.Lock() }) // nobody counts the answer as over before it is seen what follows it
 		c.write = func(p []byte) (int, error) {
 			hold()
@@ -94,11 +94,11 @@
 			return n, errors.New("it failed")
 		}
 		c.closes = once(func() { events <- "close" })
-	}, numbered(let))
+	}, answerByNumber(let))
 	c := h.dial()
-	at = h.newest(c)
+	at = h.clientOf(c)
 	c.send(query(1) + ping)
-	h.server.Got(t)
+	h.server.NextCommand(t)
 	close(let[1])
 	first, then := <-events, <-events
 	at.mu.Unlock()
@@ -108,5 +108,5 @@
 	if rest, _ := io.ReadAll(c.in); len(rest) != 3 {
 		t.Errorf("the client got %q", rest)
 	}
-	h.empty()
+	h.awaitEmpty()
 }
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -31,55 +31,55 @@
 	f.Add("ping", "", "", "", "", false, uint8(0))
 	f.Add("SVC.QUERY", "0000000200000000", id, "c=look,t=open,d=480", "", false, uint8(3))
 	f.Add("SVC.QUERY", "+000000000000005", "", "c=look,t=open,d=480", "", false, uint8(3))
-	site := &policy.Deployment{Gateways: 5, MostUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Closed: true}},
-		Lanes: []policy.Lane{{Name: "look", Patience: 2 * time.Second}, {Name: "gone", Patience: time.Second, Closed: true},
-			{Name: "book", Patience: time.Second, Effect: policy.Receipted},
-			{Name: "once", Patience: 3 * time.Second, Effect: policy.Effectful}}}
+	site := &policy.Settings{Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
+		Classes: []policy.TrafficClass{{Name: "look", Timeout: 2 * time.Second}, {Name: "gone", Timeout: time.Second, Retired: true},
+			{Name: "book", Timeout: time.Second, Effect: policy.Keyed},
+			{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent}}}
 	f.Fuzz(func(t *testing.T, verb, customer, id, list, value string, body bool, n uint8) {
 		words := []string{verb, customer, id, list}[:1+int(n)%4]
-		text := standin.Command(words...)
+		text := standin.FormatCommand(words...)
 		if body {
-			text = standin.Command(append(words, value)...)
+			text = standin.FormatCommand(append(words, value)...)
 		}
-		c := &client{front: New(site, nil, nil, 1, 0, nil), conn: resp.NewConn(&standin.Script{In: []byte(text)})}
+		c := &client{listener: New(site, nil, nil, 1, 0, nil), conn: resp.NewConn(&standin.ScriptedConn{Input: []byte(text)})}
 		if c.conn.Await() != nil {
 			t.Fatal("no command")
 		}
-		read, err := c.conn.ReadCommand(wordsMost, nil)
+		read, err := c.conn.ReadCommand(maxCommandWords, nil)
 		if err != nil {
 			return
 		}
 		defer read.Body.Free()
-		task, e, line := c.parse(&command{Command: read}, 0)
+		task, e, line := c.parse(&pendingCommand{Command: read}, 0)
 		if line != "" {
-			if e != nil || len(c.front.ids) > 0 || strings.ContainsAny(line, "\r\n") {
-				t.Fatalf("refused by %q, with %+v and %d open", line, e, len(c.front.ids))
+			if e != nil || len(c.listener.openIDs) > 0 || strings.ContainsAny(line, "\r\n") {
+				t.Fatalf("refused by %q, with %+v and %d open", line, e, len(c.listener.openIDs))
 			}
 			return
 		}
-		lane := site.Lanes[task.Lane]
-		if task.Plan != 0 || lane.Closed || task.Customer >= customers || task.Repeat && !strings.Contains(list, "r=1") {
+		lane := site.Classes[task.Class]
+		if task.Plan != 0 || lane.Retired || task.Customer >= maxCustomer || task.Repeat && !strings.Contains(list, "r=1") {
 			t.Fatalf("%q was taken for %+v", list, task)
 		}
-		if task.Patience <= 0 || task.Patience > lane.Patience || !(task.Units > 0) || task.Units > site.MostUnits {
+		if task.Timeout <= 0 || task.Timeout > lane.Timeout || !(task.Units > 0) || task.Units > site.MaxUnits {
 			t.Fatalf("%q was taken for %+v: patience or units out of range", list, task)
 		}
-		if task.Width < 1 || task.Width > site.Gateways || task.First < 0 || task.First >= site.Gateways {
+		if task.GatewayCount < 1 || task.GatewayCount > site.Gateways || task.FirstGateway < 0 || task.FirstGateway >= site.Gateways {
 			t.Fatalf("%q was taken for %+v: a set out of range", list, task)
 		}
-		if (lane.Effect == policy.Pure) != (verb == "SVC.QUERY") || lane.Effect == policy.Receipted && !strings.Contains(list, "k=") {
+		if (lane.Effect == policy.Idempotent) != (verb == "SVC.QUERY") || lane.Effect == policy.Keyed && !strings.Contains(list, "k=") {
 			t.Fatalf("%q was taken for lane %s", list, lane.Name)
 		}
-		time, whole := strings.CutPrefix(list, e.Before)
-		time, end := strings.CutSuffix(time, e.After)
-		if ms, good := figure(time); !whole || !end || !good || !(ms > 0) ||
-			!strings.HasSuffix(","+e.Before, ",d=") || e.After != "" && e.After[0] != ',' {
-			t.Fatalf("%q was cut into %q, %q and %q", list, e.Before, time, e.After)
+		time, whole := strings.CutPrefix(list, e.ParamsBefore)
+		time, end := strings.CutSuffix(time, e.ParamsAfter)
+		if ms, good := parseDecimal(time); !whole || !end || !good || !(ms > 0) ||
+			!strings.HasSuffix(","+e.ParamsBefore, ",d=") || e.ParamsAfter != "" && e.ParamsAfter[0] != ',' {
+			t.Fatalf("%q was cut into %q, %q and %q", list, e.ParamsBefore, time, e.ParamsAfter)
 		}
 		if e.Verb != verb || e.Customer != customer || e.ID != id || (e.Body != nil) != body || body && e.Body.String() != value {
 			t.Fatalf("worded %+v", e)
 		}
-		if _, open := c.front.ids[id]; !open || len(c.front.ids) != 1 {
+		if _, open := c.listener.openIDs[id]; !open || len(c.listener.openIDs) != 1 {
 			t.Fatalf("%q is not open", id)
 		}
 	})
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -10,13 +10,13 @@
 	"harrierhoist/policy"
 )
 
-// goldenSite has classes of all three effects, a plan that can be used up and a bound on units.
-func goldenSite() policy.Deployment {
-	given := site()
-	given.MostUnits = 50
+// goldenSettings has classes of all three effects, a plan that can be used up and a bound on units.
+func goldenSettings() policy.Settings {
+	given := testSettings()
+	given.MaxUnits = 50
 	given.MaxRetryAfter = 2 * time.Second
-	given.Lanes = append(given.Lanes, policy.Lane{Name: "book", SoftLimit: 5 * time.Second, Patience: 15 * time.Second,
-		Effect: policy.Receipted, Window: 10 * time.Second})
+	given.Classes = append(given.Classes, policy.TrafficClass{Name: "book", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second,
+		Effect: policy.Keyed, DedupWindow: 10 * time.Second})
 	given.Plans = append(given.Plans, policy.Plan{Name: "small", Rate: 0.001, Burst: 10})
 	return given
 }
@@ -25,11 +25,11 @@
 // readable.
 func TestGoldenAnswers(t *testing.T) {
 	const customer = "0000000000000005"
-	query := func(list string) string { return standin.Command("SVC.QUERY", customer, number(), list) }
+	query := func(list string) string { return standin.FormatCommand("SVC.QUERY", customer, uniqueID(), list) }
 	submit := func(list, body string) string {
-		return standin.Command("SVC.SUBMIT", customer, number(), list, body)
+		return standin.FormatCommand("SVC.SUBMIT", customer, uniqueID(), list, body)
 	}
-	served := func([]string) string { return standin.Value("hello", 3) }
+	served := func([]string) string { return standin.FormatValue("hello", 3) }
 	failed := func([]string) string { return "-ERR failed\r\n" }
 	for name, c := range map[string]struct {
 		sent   string
@@ -38,15 +38,15 @@
 		want   string
 		goesOn bool // the connection goes on
 	}{
-		"ping before the list":      {standin.Command("PING"), false, nil, "-ERR not ready\r\n", true},
-		"ping":                      {standin.Command("PING"), true, nil, "+PONG\r\n", true},
-		"ping in small letters":     {standin.Command("ping"), true, nil, "+PONG\r\n", true},
-		"unknown command":           {standin.Command("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
-		"too few words":             {standin.Command("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
-		"a query with a value":      {standin.Command("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
-		"a submit with none":        {standin.Command("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
-		"no customer":               {standin.Command("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
-		"a customer beyond all":     {standin.Command("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"ping before the list":      {standin.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
+		"ping":                      {standin.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
+		"ping in small letters":     {standin.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
+		"unknown command":           {standin.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
+		"too few words":             {standin.FormatCommand("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
+		"a query with a value":      {standin.FormatCommand("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
+		"a submit with none":        {standin.FormatCommand("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
+		"no customer":               {standin.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"a customer beyond all":     {standin.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
 		"a doubled name":            {query("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
 		"an empty name":             {query("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
 		"an empty value":            {query("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
@@ -65,7 +65,7 @@
 		"no plan":                   {query("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
 		"no deadline":               {query("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
 		"no key":                    {submit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no id":                     {standin.Command("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
+		"no id":                     {standin.FormatCommand("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
 		"served":                    {query("c=look,t=wide,d=14000"), true, served, "$5\r\nhello\r\n", true},
 		"served, with a key":        {submit("c=book,t=wide,d=14000,k=7", "x"), true, served, "$5\r\nhello\r\n", true},
 		"failed":                    {submit("c=pay,t=wide,d=14000", "x"), true, failed, "-ERR failed\r\n", true},
@@ -86,12 +86,12 @@
 			if c.server != nil {
 				servers = append(servers, standin.NewServer(t, c.server))
 			}
-			s := playWith(t, goldenSite(), nil, 0, servers...)
+			s := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
 			if c.ready {
 				s.Ready()
 			}
-			s.serve()
-			client := s.call()
+			s.start()
+			client := s.dial()
 			client.send(c.sent)
 			got := make([]byte, len(c.want))
 			n, err := io.ReadFull(client.in, got)
@@ -104,8 +104,8 @@
 				}
 				return
 			}
-			client.send(standin.Command("FOO"))
-			if line := client.line(); line != "-ERR unknown command" {
+			client.send(standin.FormatCommand("FOO"))
+			if line := client.readAnswer(); line != "-ERR unknown command" {
 				t.Errorf("the next command answered %q", line)
 			}
 		})
@@ -114,13 +114,13 @@
 
 // A request whose id another open request has is answered at once; one whose servers are all full is told when to come again.
 func TestGoldenAnswersWithOthersOpen(t *testing.T) {
-	server := standin.NewServer(t, silent)
-	s := play(t, 0, server).serve()
-	first, second := s.call(), s.call()
-	first.send(standin.Command("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
-	standin.Eventually(t, "the first request", func() bool { return server.Commands() == 1 })
-	second.send(standin.Command("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
-	if line := second.line(); line != "-ERR no id of its own" {
+	server := standin.NewServer(t, answerNothing)
+	s := newFixture(t, 0, server).start()
+	first, second := s.dial(), s.dial()
+	first.send(standin.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	standin.Eventually(t, "the first request", func() bool { return server.PendingCommands() == 1 })
+	second.send(standin.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	if line := second.readAnswer(); line != "-ERR no id of its own" {
 		t.Errorf("answered %q", line)
 	}
 }
--- a/internal/front/lack_test.go
+++ b/internal/front/lack_test.go
@@ -10,16 +10,16 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// lacking is a listener without a descriptor for its next client until so many idle ones have given theirs back.
-type lacking struct {
+// exhaustedListener is a listener without a descriptor for its next client until so many idle ones have given theirs back.
+type exhaustedListener struct {
 	net.Listener
-	f     *Front
-	needs int
-	tries int
+	f        *Listener
+	needed   int
+	attempts int
 }
 
-func (l *lacking) Accept() (net.Conn, error) {
-	if l.tries++; l.f.left() >= l.needs || l.tries > 50 {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.attempts++; l.f.closedClients() >= l.needed || l.attempts > 50 {
 		return nil, net.ErrClosed
 	}
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -27,15 +27,15 @@
 
 // Without a descriptor for the next client, nothing was done but to ask again, a thousand times a second, with a line
 // each time.
-func TestIdleClientsGiveTheirDescriptorsWhereNoneAreLeft(t *testing.T) {
+func TestAccept_evictsIdleClientsWithoutDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	f := full(t, 2) // six of eight are idle
-	f.served, f.log = make(chan struct{}), zap.New(core)
-	l := &lacking{f: f, needs: 5}
+	f := fullListener(t, 2) // six of eight are idle
+	f.acceptDone, f.log = make(chan struct{}), zap.New(core)
+	l := &exhaustedListener{f: f, needed: 5}
 	if err := f.Serve(l); err != nil {
 		t.Fatal(err)
 	}
-	if f.left() != l.needs || l.tries != l.needs+1 || logs.Len() != 1 {
-		t.Errorf("%d idle clients made room, %d tries, %d lines", f.left(), l.tries, logs.Len())
+	if f.closedClients() != l.needed || l.attempts != l.needed+1 || logs.Len() != 1 {
+		t.Errorf("%d idle clients made room, %d tries, %d lines", f.closedClients(), l.attempts, logs.Len())
 	}
 }
--- a/internal/front/leak_test.go
+++ b/internal/front/leak_test.go
@@ -7,7 +7,7 @@
 )
 
 // A test that leaves a goroutine behind fails the package. Carriers that are free are left out: they stay, by design, for
-// as long as the process does (hand). One with a task in hand still counts.
+// as long as the process does (startWork). One with a task in hand still counts.
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("harrierhoist/internal/front.(*Front).hand.func1"))
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("harrierhoist/internal/front.(*Listener).startWork.func1"))
 }
--- a/internal/front/mix_test.go
+++ b/internal/front/mix_test.go
@@ -13,54 +13,54 @@
 	"harrierhoist/policy"
 )
 
-// renumbered has the lanes and plans of site in another order, one of each gone and one new, and a lane that keeps its
+// reorderedSettings has the lanes and plans of site in another order, one of each gone and one new, and a lane that keeps its
 // name and gets another effect.
-func renumbered() policy.Deployment {
-	given := site()
-	given.Lanes = []policy.Lane{given.Lanes[1], {Name: "new", SoftLimit: time.Second, Patience: time.Second}}
-	given.Lanes[0].Effect = policy.Pure
+func reorderedSettings() policy.Settings {
+	given := testSettings()
+	given.Classes = []policy.TrafficClass{given.Classes[1], {Name: "new", LatencyObjective: time.Second, Timeout: time.Second}}
+	given.Classes[0].Effect = policy.Idempotent
 	given.Plans = []policy.Plan{{Name: "new", Rate: 1, Burst: 1}, given.Plans[0]}
 	return given
 }
 
 // A task that comes while new settings are taken is read and admitted by the same ones: pay, which is not to be
 // repeated, becomes a lane whose tasks are, and no task that was sent as the one is admitted as the other.
-func TestTaskIsAdmittedByTheSettingsItWasReadBy(t *testing.T) {
-	server := standin.NewServer(t, func([]string) string { return standin.HangUp })
+func TestReconfigure_requestIsAdmittedByTheSettingsItWasParsedBy(t *testing.T) {
+	server := standin.NewServer(t, func([]string) string { return standin.CloseConn })
 	var once sync.Once
 	blocked, goOn := make(chan struct{}), make(chan struct{})
-	s := playWith(t, site(), func(told total) {
+	s := newFixtureWith(t, testSettings(), func(told countCallback) {
 		once.Do(func() {
 			close(blocked)
 			<-goOn // the gate's lock is held: whatever comes waits for it
 		})
 		go told(0, policy.Answered)
-	}, 0, server).serve()
-	first, crossing := s.call(), s.call()
-	first.send(pay(""))
+	}, 0, server).start()
+	first, crossing := s.dial(), s.dial()
+	first.send(submitCommand(""))
 	<-blocked
 	taken := make(chan error)
 	go func() {
-		_, err := s.Reshape(renumbered())
+		_, err := s.Reconfigure(reorderedSettings())
 		taken <- err
 	}()
 	standin.Eventually(t, "new settings on their way", func() bool {
-		if s.shaping.TryRLock() {
-			s.shaping.RUnlock()
+		if s.settingsLock.TryRLock() {
+			s.settingsLock.RUnlock()
 			return false
 		}
 		return true
 	})
-	crossing.send(standin.Command("SVC.SUBMIT", number(), "crossing", "c=pay,t=wide,d=14000", ""))
+	crossing.send(standin.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
 	standin.Eventually(t, "the crossing task", func() bool { return s.inHand() == 2 })
 	close(goOn)
 	if err := <-taken; err != nil {
 		t.Fatal(err)
 	}
-	if line := first.line(); line != "-ERR failed" {
+	if line := first.readAnswer(); line != "-ERR failed" {
 		t.Errorf("the first: answered %q", line)
 	}
-	if line := crossing.line(); line != "-ERR unknown, no number or out of range: c" {
+	if line := crossing.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
 		t.Errorf("the crossing one: answered %q", line)
 	}
 }
@@ -68,39 +68,39 @@
 // Two customers cross on every pool: buffers, readers, writers, carriers, connections to servers. Each gets what a server
 // made of its own request, in its order, while clients beside them break off in the middle, and servers send an answer
 // more than they owe, which the next request on that connection would take for its own.
-func TestEachCustomerGetsItsOwnAnswers(t *testing.T) {
+func TestAnswers_neverReachAnotherCustomer(t *testing.T) {
 	const clients, rounds = 8, 30
 	server := standin.NewServer(t, func(words []string) string {
 		own := strings.Join(slices.Concat(words[1:3], words[4:]), " ")
 		if strings.HasSuffix(words[2], "7") {
-			return standin.Value(own, 1) + standin.Value("of another", 1)
+			return standin.FormatValue(own, 1) + standin.FormatValue("of another", 1)
 		}
-		return standin.Value(own, 1)
+		return standin.FormatValue(own, 1)
 	})
-	s := play(t, 8<<20, slices.Repeat([]*standin.Server{server}, 8)...).serve()
+	s := newFixture(t, 8<<20, slices.Repeat([]*standin.Server{server}, 8)...).start()
 	var good atomic.Int64
 	var all sync.WaitGroup
 	for i := range clients {
-		c, customer, fill := s.call(), fmt.Sprintf("%016x", 1+i%2), string(rune('a'+i))
+		c, customer, fill := s.dial(), fmt.Sprintf("%016x", 1+i%2), string(rune('a'+i))
 		all.Go(func() {
 			for round := range rounds {
 				var want []string
 				for _, size := range []int{1, 4<<10 - 1, 4 << 10, 4<<10 + 1, 20 << 10}[:1+round%5] { // one behind another
-					id, value := number(), strings.Repeat(fill, size)
-					c.send(standin.Command("SVC.SUBMIT", customer, id, "c=pay,t=wide,d=14000", value))
+					id, value := uniqueID(), strings.Repeat(fill, size)
+					c.send(standin.FormatCommand("SVC.SUBMIT", customer, id, "c=pay,t=wide,d=14000", value))
 					want = append(want, customer+" "+id+" "+value)
 				}
-				id := number()
-				c.send(standin.Command("SVC.QUERY", customer, id, "c=look,t=open,d=14000"))
+				id := uniqueID()
+				c.send(standin.FormatCommand("SVC.QUERY", customer, id, "c=look,t=open,d=14000"))
 				for _, own := range append(want, customer+" "+id) {
-					if line := c.line(); line == own {
+					if line := c.readAnswer(); line == own {
 						good.Add(1)
 					} else if line != "-BUSY" && line != "-ERR failed" {
 						t.Errorf("%.50q in place of %.50q", line, own)
 					}
 				}
-				leaves := s.call() // in the middle of a value, with one out
-				leaves.send(look() + pay(body)[:9000])
+				leaves := s.dial() // in the middle of a value, with one out
+				leaves.send(queryCommand() + submitCommand(longestBody)[:9000])
 				_, _ = leaves.SetLinger(0), leaves.Close()
 			}
 		})
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// place takes a place for a connection that has come; where none is free, another loses its own. It is not asked
+// acquireSlot takes a place for a connection that has come; where none is free, another loses its own. It is not asked
 // before: each connection that closes may cross a task on its way. False: the front has ended.
-func (f *Front) place() bool {
+func (f *Listener) acquireSlot() bool {
 	select {
-	case f.places <- struct{}{}:
+	case f.slots <- struct{}{}:
 		return true
 	default:
 	}
 	for {
 		f.evict(0)
 		select {
-		case f.places <- struct{}{}:
+		case f.slots <- struct{}{}:
 			return true
-		case <-f.ended:
+		case <-f.drainDone:
 			return false
-		case <-time.After(crowdLook): // who had just connected and stays mum is idle by and by
+		case <-time.After(slotRetryInterval): // who had just connected and stays mum is idle by and by
 		}
 	}
 }
@@ -30,7 +30,7 @@
 // asked anything if there is any, else the one that has been idle longest. Only while most places are held by those
 // that have just come and say nothing yet, which is a flood, a client that was answered a moment ago keeps its own:
 // they are idle like others in no time.
-func (f *Front) evict(easy int) {
+func (f *Listener) evict(easy int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	type idler struct {
@@ -41,7 +41,7 @@
 	var all []idler
 	young := 0
 	for c := range f.clients {
-		since, mum, idle := c.idle()
+		since, mum, idle := c.idleState()
 		if mum && !idle {
 			young++
 		}
@@ -59,18 +59,18 @@
 		return a.since.Compare(b.since)
 	})
 	for _, c := range all {
-		if young > cap(f.places)/2 && !c.mum && time.Since(c.since) < keepLeast {
+		if young > cap(f.slots)/2 && !c.mum && time.Since(c.since) < minIdleBeforeEvict {
 			return
 		}
-		if c.leave() {
+		if c.closeIfIdle() {
 			return
 		}
 	}
 }
 
 // Sweep ends connections in time that say nothing, or ask nothing more, until the context ends.
-func (f *Front) Sweep(ctx context.Context) {
-	every := time.NewTicker(lookEvery)
+func (f *Listener) Sweep(ctx context.Context) {
+	every := time.NewTicker(sweepInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -80,9 +80,9 @@
 		}
 		f.mu.Lock()
 		for c := range f.clients {
-			since, mum, idle := c.idle()
-			if quiet := time.Since(since); idle && (quiet > idleMost || mum && quiet > mumMost) {
-				c.leave()
+			since, mum, idle := c.idleState()
+			if quiet := time.Since(since); idle && (quiet > idleTimeout || mum && quiet > silentTimeout) {
+				c.closeIfIdle()
 			}
 		}
 		f.mu.Unlock()
--- a/internal/front/shut_caller_test.go
+++ b/internal/front/shut_caller_test.go
@@ -15,15 +15,15 @@
 	"harrierhoist/internal/standin"
 )
 
-// visitor is the other end of a connection to the front.
-type visitor struct {
+// drainClient is the other end of a connection to the front.
+type drainClient struct {
 	*testing.T
 	*net.TCPConn
 	in *bufio.Reader
 }
 
 // dial connects; a narrow one takes only a little before it reads.
-func (h *house) dial(narrow ...bool) *visitor {
+func (h *drainFixture) dial(narrow ...bool) *drainClient {
 	h.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -38,10 +38,10 @@
 	}
 	h.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return &visitor{h.T, conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return &drainClient{h.T, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-func (c *visitor) send(text string) {
+func (c *drainClient) send(text string) {
 	c.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.Fatal(err)
@@ -49,7 +49,7 @@
 }
 
 // want reads an answer, a value as its text, and holds it against a pattern.
-func (c *visitor) want(pattern string) {
+func (c *drainClient) want(pattern string) {
 	c.Helper()
 	line, err := c.in.ReadString('\n')
 	if strings.HasPrefix(line, "$") {
@@ -60,8 +60,8 @@
 	}
 }
 
-// ends wants no more than the end of the connection: in order (nil), or a reset.
-func (c *visitor) ends(want error) {
+// wantEnd wants no more than the end of the connection: in order (nil), or a reset.
+func (c *drainClient) wantEnd(want error) {
 	c.Helper()
 	rest, err := io.ReadAll(c.in)
 	if len(rest) > 0 || (want == nil) != (err == nil) || want != nil && !isReset(err) {
@@ -77,20 +77,20 @@
 
 // look is a command; its number reaches the server.
 func query(n int) string {
-	return standin.Command("SVC.QUERY", "00000000b4d65521", fmt.Sprintf("%016x", ids.Add(1)),
+	return standin.FormatCommand("SVC.QUERY", "00000000b4d65521", fmt.Sprintf("%016x", ids.Add(1)),
 		fmt.Sprintf("c=look,t=wide,d=3000,n=%d", n))
 }
 
-// numbered answers by the number, after a word to the waiting test where there is a channel for it.
-func numbered(let map[int]chan bool) func(words []string) string {
+// answerByNumber answers by the number, after a word to the waiting test where there is a channel for it.
+func answerByNumber(let map[int]chan bool) func(words []string) string {
 	return func(words []string) string {
 		var n int
 		_, _ = fmt.Sscanf(words[3][strings.LastIndex(words[3], "n="):], "n=%d", &n)
 		if let[n] != nil {
 			<-let[n]
 		}
-		return standin.Value(fmt.Sprintf("value %d", n), 1)
+		return standin.FormatValue(fmt.Sprintf("value %d", n), 1)
 	}
 }
 
-var ping = standin.Command("PING")
+var ping = standin.FormatCommand("PING")
--- a/internal/front/shut_drain_test.go
+++ b/internal/front/shut_drain_test.go
@@ -17,12 +17,12 @@
 
 // Connections stand in line as the front closes, and the one before them waits for a place: all are answered, and none
 // comes behind them.
-func TestWhoStandsInLineAsTheFrontClosesIsAnswered(t *testing.T) {
+func TestDrain_answersConnectionsInTheBacklog(t *testing.T) {
 	let := map[int]chan bool{1: make(chan bool)}
-	h := open(t, 1, nil, numbered(let))
+	h := newDrainFixture(t, 1, nil, answerByNumber(let))
 	holds := h.dial()
 	holds.send(query(1))
-	h.server.Got(t)
+	h.server.NextCommand(t)
 	waits, stands, too := h.dial(), h.dial(), h.dial()
 	waits.send(query(2))
 	<-h.came
@@ -30,31 +30,31 @@
 	stands.send(query(3))
 	too.send(query(4))
 	ended := h.drain()
-	standin.Eventually(t, "the end of reading on", h.f.enough)
+	standin.Eventually(t, "the end of reading on", h.f.isReadOver)
 	close(let[1])
-	for i, c := range []*visitor{holds, waits, stands, too} {
+	for i, c := range []*drainClient{holds, waits, stands, too} {
 		c.want([]string{"value 1", "value 2", "value 3", "value 4"}[i])
-		c.ends(nil)
+		c.wantEnd(nil)
 		_ = c.Close()
 	}
-	h.over(ended)
+	h.awaitDrained(ended)
 	if err := <-h.served; err != nil {
 		t.Error(err)
 	}
-	if conn, err := h.again(); err == nil {
+	if conn, err := h.redial(); err == nil {
 		_ = conn.Close()
 		t.Error("the line was not closed")
 	}
 }
 
-func (h *house) again() (io.Closer, error) {
+func (h *drainFixture) redial() (io.Closer, error) {
 	return net.Dial("tcp", h.TCPListener.Addr().String())
 }
 
 // A client that sends on and on without a pause: what was begun to be read is answered, the rest is plainly not read,
 // and the drain ends in time.
-func TestWhoSendsOnAndOnIsEndedBeforeItIsKilled(t *testing.T) {
-	h := open(t, 8, nil, hello)
+func TestDrain_endsClientThatNeverPauses(t *testing.T) {
+	h := newDrainFixture(t, 8, nil, answerHello)
 	c := h.dial()
 	near := <-h.came
 	go func() {
@@ -84,8 +84,8 @@
 		t.Errorf("the answers ended with %v", err)
 	}
 	_ = c.Close()
-	h.over(ended)
-	if took := time.Since(began); took > talkMost+killAfter {
+	h.awaitDrained(ended)
+	if took := time.Since(began); took > writeTimeout+killGrace {
 		t.Errorf("the drain took %v", took)
 	}
 	if read := int(near.read.Load()); odd > 0 || read != answers*len(ping) {
@@ -94,9 +94,9 @@
 }
 
 // Where no more is to be read, what was read on already is answered, and no byte behind that is taken.
-func TestNothingIsReadBehindWhatWasReadOn(t *testing.T) {
+func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
 	const many, buffer = 300, 4 << 10
-	h := open(t, 8, func(near *tapped) {
+	h := newDrainFixture(t, 8, func(near *tappedConn) {
 		near.waited = once(func() {
 			raw, _ := near.TCPConn.SyscallConn()
 			standin.Eventually(t, "all that was sent", func() (all bool) {
@@ -107,8 +107,8 @@
 				return all
 			})
 		})
-	}, hello)
-	h.closing(0)
+	}, answerHello)
+	h.startDraining(0)
 	c := h.dial()
 	near := <-h.came
 	c.send(strings.Repeat(ping, many))
@@ -116,7 +116,7 @@
 	for range taken {
 		c.want(`\+PONG`)
 	}
-	c.ends(nil)
+	c.wantEnd(nil)
 	if n := int(near.read.Load()); n != taken*len(ping) {
 		t.Errorf("%d bytes were read, for %d answers", n, taken)
 	}
@@ -124,45 +124,45 @@
 
 // An answer can't be written, and somebody waits for a place behind it: what is read late has only the time that SIGKILL
 // leaves, nothing is given up before SIGKILL is due, and the drain ends all the same.
-func TestDrainEndsThoughAnAnswerIsStuck(t *testing.T) {
+func TestDrain_endsThoughAnAnswerIsStuck(t *testing.T) {
 	stop := make(chan bool)
 	t.Cleanup(func() { close(stop) })
 	var stuck atomic.Bool
-	h := open(t, 1, func(c *tapped) {
+	h := newDrainFixture(t, 1, func(c *tappedConn) {
 		c.write = func(p []byte) (int, error) {
 			stuck.Store(true)
 			<-stop
 			return 0, errors.New("over")
 		}
-	}, hello)
+	}, answerHello)
 	c := h.dial()
 	c.send(query(1))
 	standin.Eventually(t, "the answer", stuck.Load)
 	waits := h.dial()
 	began := time.Now()
 	ended := h.drain()
-	if p := h.f.within(time.Hour); p <= 0 || p > time.Until(began.Add(talkMost+killAfter)) {
+	if p := h.f.boundTimeout(time.Hour); p <= 0 || p > time.Until(began.Add(writeTimeout+killGrace)) {
 		t.Errorf("a request read now has %v", p)
 	}
-	h.over(ended)
-	if took := time.Since(began); took < talkMost+killAfter { // how late a full machine is with the end, over bounds
+	h.awaitDrained(ended)
+	if took := time.Since(began); took < writeTimeout+killGrace { // how late a full machine is with the end, over bounds
 		t.Errorf("the drain took %v", took)
 	}
-	waits.ends(syscall.ECONNRESET)
+	waits.wantEnd(syscall.ECONNRESET)
 	if err := <-h.served; err != nil || h.logs.FilterMessage("ended before all clients had their answers").Len() != 1 {
 		t.Errorf("served until %v; said %v", err, h.logs.All())
 	}
 }
 
 // SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer.
-func TestSIGKILLComesSoonerWhereDeadlinesAreShort(t *testing.T) {
+func TestKillDelay(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		500 * time.Millisecond: 1200 * time.Millisecond,
 		3 * time.Second:        3700 * time.Millisecond,
 		9 * time.Second:        3700 * time.Millisecond,
 	} {
-		site := policy.Deployment{Lanes: []policy.Lane{{Name: "a", Patience: longest / 2}, {Name: "b", Patience: longest}}}
-		if got := New(&site, nil, nil, 1, 0, nil).killed(); got != want {
+		site := policy.Settings{Classes: []policy.TrafficClass{{Name: "a", Timeout: longest / 2}, {Name: "b", Timeout: longest}}}
+		if got := New(&site, nil, nil, 1, 0, nil).killDelay(); got != want {
 			t.Errorf("with %v it is taken to come after %v, want %v", longest, got, want)
 		}
 	}
--- a/internal/front/shut_test.go
+++ b/internal/front/shut_test.go
@@ -12,25 +12,25 @@
 	"harrierhoist/internal/standin"
 )
 
-// ways are those in which the front ends a resting connection.
-var ways = map[string]func(h *house){
-	"eviction": func(h *house) { h.f.evict(0) },
-	"drain":    func(h *house) { h.f.clear() },
-	"sweep": func(h *house) {
+// closeReasons are those in which the front ends a resting connection.
+var closeReasons = map[string]func(h *drainFixture){
+	"eviction": func(h *drainFixture) { h.f.evict(0) },
+	"drain":    func(h *drainFixture) { h.f.closeIdle() },
+	"sweep": func(h *drainFixture) {
 		ctx, cancel := context.WithCancel(h.Context())
 		defer cancel()
 		go h.f.Sweep(ctx)
 		for range 2 { // where the second ends, one sweep at least has seen all that was there before
 			mum := h.dial()
-			c := h.newest(mum)
-			c.rest()
-			mum.ends(syscall.ECONNRESET)
+			c := h.clientOf(mum)
+			c.makeIdle()
+			mum.wantEnd(syscall.ECONNRESET)
 		}
 	},
 }
 
-// newest is the client of a visitor.
-func (h *house) newest(at *visitor) (found *client) {
+// clientOf is the client of a visitor.
+func (h *drainFixture) clientOf(at *drainClient) (found *client) {
 	h.Helper()
 	standin.Eventually(h, "the client", func() bool {
 		h.f.mu.Lock()
@@ -46,13 +46,13 @@
 }
 
 // The first byte of a request has come on a resting connection, and the reader has seen it but not counted it yet.
-func TestRequestThatBeginsAsItsConnectionEndsIsAnswered(t *testing.T) {
-	for name, end := range ways {
+func TestCloseIdle_requestThatHasBegunIsAnswered(t *testing.T) {
+	for name, end := range closeReasons {
 		t.Run(name, func(t *testing.T) {
 			seen, let := make(chan bool), make(chan bool)
-			h := open(t, 8, func(c *tapped) { c.waited = once(func() { seen <- true; <-let }) }, hello)
+			h := newDrainFixture(t, 8, func(c *tappedConn) { c.waited = once(func() { seen <- true; <-let }) }, answerHello)
 			c := h.dial()
-			h.newest(c).rest()
+			h.clientOf(c).makeIdle()
 			h.hook.Store(nil)
 			c.send("*")
 			<-seen
@@ -65,85 +65,85 @@
 }
 
 // A request comes as the connection is being ended: none of it is read, and the client can tell.
-func TestRequestThatCrossesAnEndIsPlainlyNotRead(t *testing.T) {
-	for name, end := range ways {
+func TestCloseIdle_requestThatCrossesTheCloseIsNotRead(t *testing.T) {
+	for name, end := range closeReasons {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 8, nil, hello)
+			h := newDrainFixture(t, 8, nil, answerHello)
 			c := h.dial()
 			near := <-h.came
-			rests := h.newest(c)
-			rests.rest()
+			rests := h.clientOf(c)
+			rests.makeIdle()
 			near.breaks = once(func() {
 				c.send(query(1))
-				standin.Eventually(t, "its coming", func() bool { return !rests.conn.Quiet() })
+				standin.Eventually(t, "its coming", func() bool { return !rests.conn.IsQuiet() })
 			})
 			end(h)
-			c.ends(syscall.ECONNRESET)
-			h.empty()
-			if n := near.read.Load(); n > 0 || h.server.Commands() > 0 {
-				t.Errorf("%d bytes were read, %d commands sent on", n, h.server.Commands())
+			c.wantEnd(syscall.ECONNRESET)
+			h.awaitEmpty()
+			if n := near.read.Load(); n > 0 || h.server.PendingCommands() > 0 {
+				t.Errorf("%d bytes were read, %d commands sent on", n, h.server.PendingCommands())
 			}
 		})
 	}
 }
 
-func hello([]string) string { return standin.Value("hello", 1) }
+func answerHello([]string) string { return standin.FormatValue("hello", 1) }
 
-// long is an answer that a narrow client takes only as it reads.
-var long = strings.Repeat("x", 64<<10)
+// longValue is an answer that a narrow client takes only as it reads.
+var longValue = strings.Repeat("x", 64<<10)
 
-func longValue([]string) string { return standin.Value(long, 1) }
+func answerLongValue([]string) string { return standin.FormatValue(longValue, 1) }
 
 // An answer is on its way to a slow client: no end of the connection takes it along, until the client has had its time.
-func TestAnswerOnItsWayIsNotTakenByAnEnd(t *testing.T) {
-	for name, end := range ways {
+func TestCloseIdle_answerInTransitIsDelivered(t *testing.T) {
+	for name, end := range closeReasons {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 8, nil, longValue)
+			h := newDrainFixture(t, 8, nil, answerLongValue)
 			c := h.dial(true)
-			slow := h.newest(c)
+			slow := h.clientOf(c)
 			c.send(query(1))
 			standin.Eventually(t, "the answer's last byte", func() bool {
-				_, mum, idle := slow.idle()
+				_, mum, idle := slow.idleState()
 				return !mum && idle
 			})
 			slow.mu.Lock()
-			slow.used = time.Now().Add(-askAgain) // as Drain asks
+			slow.lastUsed = time.Now().Add(-drainIdleTimeout) // as Drain asks
 			slow.mu.Unlock()
 			if name != "sweep" { // which ends those idle for longer than an answer may take
 				end(h)
 			}
-			if slow.leave() {
+			if slow.closeIfIdle() {
 				t.Error("ended over its answer")
 			}
-			c.want(long)
-			slow.rest()
-			standin.Eventually(t, "the last word of the client's system", func() bool { return !slow.conn.Unsent() })
+			c.want(longValue)
+			slow.makeIdle()
+			standin.Eventually(t, "the last word of the client's system", func() bool { return !slow.conn.HasUnacknowledged() })
 			end(h)
-			c.ends(syscall.ECONNRESET)
+			c.wantEnd(syscall.ECONNRESET)
 		})
 	}
 }
 
-func TestClientThatNeverTakesItsAnswerIsEnded(t *testing.T) {
-	h := open(t, 8, nil, longValue)
+func TestCloseIdle_clientThatNeverReadsIsClosed(t *testing.T) {
+	h := newDrainFixture(t, 8, nil, answerLongValue)
 	c := h.dial(true)
-	slow := h.newest(c)
+	slow := h.clientOf(c)
 	c.send(query(1))
 	standin.Eventually(t, "the answer's last byte", func() bool {
-		_, mum, idle := slow.idle()
+		_, mum, idle := slow.idleState()
 		return !mum && idle
 	})
-	slow.rest()
+	slow.makeIdle()
 	h.f.evict(0)
-	h.empty()
+	h.awaitEmpty()
 }
 
 // A request comes between the look for one and the half-close with the last answer, on a slow client as on a fast one:
 // the answer comes whole, the request is not read, and its client sees an end in order.
-func TestRequestThatCrossesTheLastAnswerTakesNothingAlong(t *testing.T) {
+func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
 	for name, narrow := range map[string][]bool{"fast": nil, "slow": {true}} {
 		t.Run(name, func(t *testing.T) {
-			var c *visitor
+			var c *drainClient
 			var crossing atomic.Bool
 			after := make(chan bool, 100) // the reader ends the connection over it, or waits on for a time
 			tell := func() {
@@ -151,7 +151,7 @@
 					after <- true
 				}
 			}
-			h := open(t, 8, func(near *tapped) {
+			h := newDrainFixture(t, 8, func(near *tappedConn) {
 				near.closes, near.words = tell, func(time.Time) { tell() }
 				near.halfShut = once(func() {
 					crossing.Store(true)
@@ -159,73 +159,73 @@
 					<-after
 					crossing.Store(false)
 				})
-			}, longValue)
+			}, answerLongValue)
 			c = h.dial(narrow...)
 			first, near := query(1), <-h.came
-			h.closing()
+			h.startDraining()
 			c.send(first)
-			c.want(long)
-			c.ends(nil)
-			if n := near.read.Load(); int(n) != len(first) || h.server.Commands() != 1 {
-				t.Errorf("%d bytes were read of %d, %d commands sent on", n, len(first), h.server.Commands())
+			c.want(longValue)
+			c.wantEnd(nil)
+			if n := near.read.Load(); int(n) != len(first) || h.server.PendingCommands() != 1 {
+				t.Errorf("%d bytes were read of %d, %d commands sent on", n, len(first), h.server.PendingCommands())
 			}
 			_ = c.Close()
-			h.empty()
+			h.awaitEmpty()
 		})
 	}
 }
 
 // A request stands, and the reader has seen it but not counted it yet, as the answer goes out that would be the last.
-func TestRequestThatStandsAsTheLastAnswerGoesIsAnswered(t *testing.T) {
+func TestDrain_requestReceivedBeforeTheLastAnswerIsAnswered(t *testing.T) {
 	let := map[int]chan bool{1: make(chan bool)}
 	seen, on := make(chan bool), make(chan bool)
-	h := open(t, 8, func(near *tapped) {
+	h := newDrainFixture(t, 8, func(near *tappedConn) {
 		hold := once(func() { seen <- true; <-on })
 		near.waited = func() {
 			if near.read.Load() > 0 {
 				hold()
 			}
 		}
-	}, numbered(let))
+	}, answerByNumber(let))
 	c := h.dial()
-	h.closing()
+	h.startDraining()
 	c.send(query(1))
-	h.server.Got(t)
+	h.server.NextCommand(t)
 	c.send(query(2))
 	<-seen
 	close(let[1])
 	c.want("value 1")
 	close(on)
 	c.want("value 2")
-	c.ends(nil)
+	c.wantEnd(nil)
 }
 
 // What comes after the half-close is not read either, by a client that stays.
-func TestClientThatNeverClosesLosesItsPlace(t *testing.T) {
+func TestDrain_clientThatNeverClosesIsClosed(t *testing.T) {
 	for name, text := range map[string]string{"mum": "", "sends on": query(2)} {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 8, nil, hello)
+			h := newDrainFixture(t, 8, nil, answerHello)
 			c := h.dial()
 			near := <-h.came
-			h.closing()
+			h.startDraining()
 			first := query(1)
 			c.send(first)
 			c.want("hello")
-			c.ends(nil)
+			c.wantEnd(nil)
 			c.send(text)
-			h.empty()
+			h.awaitEmpty()
 			if n := near.read.Load(); int(n) != len(first) {
 				t.Errorf("%d bytes were read of %d", n, len(first))
 			}
-			if text != "" && !errors.Is(c.written(), syscall.ECONNRESET) && !errors.Is(c.written(), syscall.EPIPE) {
+			if text != "" && !errors.Is(c.awaitAcknowledged(), syscall.ECONNRESET) && !errors.Is(c.awaitAcknowledged(), syscall.EPIPE) {
 				t.Error("the client cannot tell")
 			}
 		})
 	}
 }
 
-// written is how a further write ends.
-func (c *visitor) written() error {
+// awaitAcknowledged is how a further write ends.
+func (c *drainClient) awaitAcknowledged() error {
 	_, err := c.Write([]byte("x"))
 	return err
 }
--- a/internal/front/shut_world_test.go
+++ b/internal/front/shut_world_test.go
@@ -18,8 +18,8 @@
 	"harrierhoist/policy"
 )
 
-// tapped is a connection as the front has it. Hooks hold it between two lines of the front's code; none: it goes on.
-type tapped struct {
+// tappedConn is a connection as the front has it. Hooks hold it between two lines of the front's code; none: it goes on.
+type tappedConn struct {
 	*net.TCPConn
 	waited   func()                            // a wait has ended: a byte has come, or the end
 	write    func(p []byte) (n int, err error) // in place of a write
@@ -30,61 +30,61 @@
 	read     atomic.Int64                      // how many bytes were read
 }
 
-func (h *tapped) Read(p []byte) (int, error) {
+func (h *tappedConn) Read(p []byte) (int, error) {
 	n, err := h.TCPConn.Read(p)
-	call(h.waited) // where a wait reads
+	runHook(h.waited) // where a wait reads
 	h.read.Add(int64(n))
 	return n, err
 }
 
-func (h *tapped) Write(p []byte) (int, error) {
+func (h *tappedConn) Write(p []byte) (int, error) {
 	if h.write != nil {
 		return h.write(p)
 	}
 	return h.TCPConn.Write(p)
 }
 
-func (h *tapped) CloseWrite() error {
-	call(h.halfShut)
+func (h *tappedConn) CloseWrite() error {
+	runHook(h.halfShut)
 	return h.TCPConn.CloseWrite()
 }
 
-func (h *tapped) SetLinger(s int) error {
-	call(h.breaks)
+func (h *tappedConn) SetLinger(s int) error {
+	runHook(h.breaks)
 	return h.TCPConn.SetLinger(s)
 }
 
-func (h *tapped) Close() error {
-	call(h.closes)
+func (h *tappedConn) Close() error {
+	runHook(h.closes)
 	return h.TCPConn.Close()
 }
 
-func (h *tapped) SetReadDeadline(at time.Time) error {
+func (h *tappedConn) SetReadDeadline(at time.Time) error {
 	if h.words != nil {
 		h.words(at)
 	}
 	return h.TCPConn.SetReadDeadline(at)
 }
 
-func (h *tapped) SyscallConn() (syscall.RawConn, error) {
+func (h *tappedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := h.TCPConn.SyscallConn()
-	return heldRaw{raw, h}, err
+	return heldRawConn{raw, h}, err
 }
 
-type heldRaw struct {
+type heldRawConn struct {
 	syscall.RawConn
-	h *tapped
+	h *tappedConn
 }
 
-func (r heldRaw) Read(f func(fd uintptr) bool) error {
+func (r heldRawConn) Read(f func(fd uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if err == nil {
-		call(r.h.waited)
+		runHook(r.h.waited)
 	}
 	return err
 }
 
-func call(hook func()) {
+func runHook(hook func()) {
 	if hook != nil {
 		hook()
 	}
@@ -96,24 +96,24 @@
 	return func() { o.Do(act) }
 }
 
-// house is a front in the open, with a gate, a fleet and one server that answers by a function.
-type house struct {
+// drainFixture is a front in the open, with a gate, a fleet and one server that answers by a function.
+type drainFixture struct {
 	*testing.T
 	*net.TCPListener
-	f      *Front
+	f      *Listener
 	server *standin.Server
 	logs   *observer.ObservedLogs
-	hook   atomic.Pointer[func(*tapped)] // of the connections accepted from here on
-	came   chan *tapped
+	hook   atomic.Pointer[func(*tappedConn)] // of the connections accepted from here on
+	came   chan *tappedConn
 	served chan error
 }
 
-func (h *house) Accept() (net.Conn, error) {
+func (h *drainFixture) Accept() (net.Conn, error) {
 	conn, err := h.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &tapped{TCPConn: conn.(*net.TCPConn)}
+	c := &tappedConn{TCPConn: conn.(*net.TCPConn)}
 	if hook := h.hook.Load(); hook != nil && *hook != nil {
 		(*hook)(c)
 	}
@@ -121,22 +121,22 @@
 	return c, nil
 }
 
-func open(t *testing.T, places int, hook func(*tapped), answer func(words []string) string) *house {
+func newDrainFixture(t *testing.T, places int, hook func(*tappedConn), answer func(words []string) string) *drainFixture {
 	t.Helper()
 	t.Parallel()
-	site := policy.Deployment{Gateways: 1, Halls: 1, Tick: 2 * time.Millisecond, PushLimit: 5, Cancelling: true, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, AnswerSlack: 8 * time.Millisecond, TipAfter: time.Second,
-		Lanes: []policy.Lane{{Name: "look", SoftLimit: 2 * time.Second, Patience: 3 * time.Second, Effect: policy.Pure}},
-		Plans: []policy.Plan{{Name: "wide", Rate: 100000, Burst: 100000}}}
+	site := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second,
+		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: 2 * time.Second, Timeout: 3 * time.Second, Effect: policy.Idempotent}},
+		Plans:   []policy.Plan{{Name: "wide", Rate: 100000, Burst: 100000}}}
 	core, logs := observer.New(zapcore.WarnLevel)
-	g, err := gate.New(site, 7, gate.Outside{}, zap.NewNop())
+	g, err := gate.New(site, 7, gate.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go g.Tick(t.Context())
-	h := &house{T: t, TCPListener: standin.Listen(t).(*net.TCPListener), server: standin.NewServer(t, answer), logs: logs,
-		came: make(chan *tapped, 1000), served: make(chan error, 1)}
-	g.List(policy.ListWhole, []gate.Server{{Name: "s-1", Dial: h.server.Addr, Listed: policy.Listed{Stage: policy.Ready}}})
+	go g.RunTimers(t.Context())
+	h := &drainFixture{T: t, TCPListener: standin.Listen(t).(*net.TCPListener), server: standin.NewServer(t, answer), logs: logs,
+		came: make(chan *tappedConn, 1000), served: make(chan error, 1)}
+	g.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s-1", Address: h.server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
 	h.f = New(&site, g, fleet.New(time.Second, time.Minute, nil, 100), places, 0, zap.New(core))
 	h.f.Ready()
 	h.hook.Store(&hook)
@@ -144,27 +144,27 @@
 	return h
 }
 
-// closing has the front close from here on, as Drain does when clients have stopped coming; it reads on for an hour, or
+// startDraining has the front close from here on, as Drain does when clients have stopped coming; it reads on for an hour, or
 // as long as is said.
-func (h *house) closing(reads ...time.Duration) {
-	h.f.reading, h.f.until = time.Now().Add(append(reads, time.Hour)[0]), time.Now().Add(time.Hour)
-	h.f.closing.Store(true)
+func (h *drainFixture) startDraining(reads ...time.Duration) {
+	h.f.readUntil, h.f.answerUntil = time.Now().Add(append(reads, time.Hour)[0]), time.Now().Add(time.Hour)
+	h.f.draining.Store(true)
 }
 
 // drain asks the front to end, and waits until it closes.
-func (h *house) drain() (ended chan struct{}) {
+func (h *drainFixture) drain() (ended chan struct{}) {
 	h.Helper()
 	ended = make(chan struct{})
 	go func() {
 		h.f.Drain(h)
 		close(ended)
 	}()
-	standin.Eventually(h, "closing", h.f.closing.Load)
+	standin.Eventually(h, "closing", h.f.draining.Load)
 	return ended
 }
 
-// over waits until the drain has ended.
-func (h *house) over(ended chan struct{}) {
+// awaitDrained waits until the drain has ended.
+func (h *drainFixture) awaitDrained(ended chan struct{}) {
 	h.Helper()
 	select {
 	case <-ended:
@@ -173,15 +173,15 @@
 	}
 }
 
-// empty waits until all places are free.
-func (h *house) empty() {
+// awaitEmpty waits until all places are free.
+func (h *drainFixture) awaitEmpty() {
 	h.Helper()
-	standin.Eventually(h, "all places free", func() bool { return len(h.f.places) == 0 })
+	standin.Eventually(h, "all places free", func() bool { return len(h.f.slots) == 0 })
 }
 
-// rest makes a client one that has been idle for long.
-func (c *client) rest() {
+// makeIdle makes a client one that has been idle for long.
+func (c *client) makeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.used = time.Now().Add(-time.Hour)
+	c.lastUsed = time.Now().Add(-time.Hour)
 }
--- a/internal/gate/counts_test.go
+++ b/internal/gate/counts_test.go
@@ -7,45 +7,45 @@
 	"harrierhoist/policy"
 )
 
-// weights counts all tasks under one key, each with the next weight, and asks nothing else unless told to.
-type weights struct {
-	next []float64
-	wait func(func(bool))
-	over []float64
+// fakeRules counts all tasks under one key, each with the next weight, and asks nothing else unless told to.
+type fakeRules struct {
+	nextWeights []float64
+	checkOthers func(func(bool))
+	completed   []float64
 }
 
-func (w *weights) Plans(d policy.Deployment) policy.Deployment  { return d }
-func (w *weights) Shaped(d policy.Deployment) policy.Deployment { return d }
-func (w *weights) Take(_ time.Duration, t Task) Counted {
-	c := Counted{Key: 77, Plan: t.Plan, Width: t.Width, Weight: w.next[0], Wait: w.wait,
-		Over: func(pushed bool, units float64) { w.over = append(w.over, units) }}
-	if len(w.next) > 1 {
-		w.next = w.next[1:]
+func (rules *fakeRules) WithRulePlans(d policy.Settings) policy.Settings    { return d }
+func (rules *fakeRules) WithoutRulePlans(d policy.Settings) policy.Settings { return d }
+func (rules *fakeRules) Assign(_ time.Duration, spec RequestSpec) CountAssignment {
+	assignment := CountAssignment{Key: 77, Plan: spec.Plan, Width: spec.GatewayCount, Weight: rules.nextWeights[0], CheckOthers: rules.checkOthers,
+		Completed: func(pushed bool, units float64) { rules.completed = append(rules.completed, units) }}
+	if len(rules.nextWeights) > 1 {
+		rules.nextWeights = rules.nextWeights[1:]
 	}
-	return c
+	return assignment
 }
 
-func (w *weights) Called() {}
+func (rules *fakeRules) HandleCounterCall() {}
 
-func (s *story) countBy(w *weights) {
-	s.Helper()
-	if err := s.g.CountBy(w); err != nil {
-		s.Fatal(err)
+func (f *fixture) setRules(rules *fakeRules) {
+	f.Helper()
+	if err := f.dispatcher.SetCountingRules(rules); err != nil {
+		f.Fatal(err)
 	}
 }
 
 // Its answer may come long after another rule holds: a task is charged what it weighed when it was taken.
-func TestLateAnswerIsChargedAsItWasTaken(t *testing.T) {
-	s := begin(t)
-	w := &weights{next: []float64{3, 1}}
-	s.countBy(w)
-	e, _ := s.pushed(0, time.Second)
-	e.Report(Result{Outcome: policy.Answered, Billed: 5, Use: 1.5})
-	s.admit(0, 0, time.Second)
-	for c := range s.calls { // a new window may be opened first
-		if c.units > 0 {
-			if c.units != 15 || len(w.over) != 1 || w.over[0] != 15 {
-				t.Errorf("charged %v, told %v", c.units, w.over)
+func TestCountAssignment_lateAnswerKeepsWeightOfAdmission(t *testing.T) {
+	f := newFixture(t)
+	rules := &fakeRules{nextWeights: []float64{3, 1}}
+	f.setRules(rules)
+	r, _ := f.forwarded(0, time.Second)
+	r.ReportResult(Result{Outcome: policy.Answered, Billed: 5, Use: 1.5})
+	f.admit(0, 0, time.Second)
+	for call := range f.counterCalls { // a new window may be opened first
+		if call.units > 0 {
+			if call.units != 15 || len(rules.completed) != 1 || rules.completed[0] != 15 {
+				t.Errorf("charged %v, told %v", call.units, rules.completed)
 			}
 			return
 		}
@@ -53,44 +53,44 @@
 }
 
 // Whose other count says no is rejected before the module sees it, and a client that goes meanwhile is owed nothing.
-func TestOtherCountsComeFirst(t *testing.T) {
-	s := begin(t)
+func TestCountAssignment_otherCountsAreCheckedFirst(t *testing.T) {
+	f := newFixture(t)
 	answers := make(chan func(bool), 2)
-	s.countBy(&weights{next: []float64{1}, wait: func(then func(bool)) { answers <- then }})
-	no, gone := s.admit(0, 0, time.Second), s.admit(0, 0, time.Second)
+	f.setRules(&fakeRules{nextWeights: []float64{1}, checkOthers: func(then func(bool)) { answers <- then }})
+	no, gone := f.admit(0, 0, time.Second), f.admit(0, 0, time.Second)
 	(<-answers)(false)
-	s.want(no, Reject)
-	gone.Gone()
+	f.expectAction(no, Reject)
+	gone.Disconnect()
 	(<-answers)(true)
-	s.want(gone, Left)
-	if len(s.calls) > 0 || len(s.g.errands) > 0 {
-		t.Errorf("%d calls, %d errands", len(s.calls), len(s.g.errands))
+	f.expectAction(gone, Disconnected)
+	if len(f.counterCalls) > 0 || len(f.dispatcher.requests) > 0 {
+		t.Errorf("%d calls, %d errands", len(f.counterCalls), len(f.dispatcher.requests))
 	}
 }
 
 // An answer that comes in the instant of the final answer, or of the client's going, ends the task no second time.
-func TestTaskEndsOnceWhateverComesTogether(t *testing.T) {
-	for what, last := range map[string]Verdict{"the final answer": Reject, "the client's going": Left} {
-		t.Run(what, func(t *testing.T) {
+func TestRequest_completesOnceWhenEventsCoincide(t *testing.T) {
+	for name, want := range map[string]Action{"the final answer": Reject, "the client's going": Disconnected} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := begin(t, slowly)
-			w := &weights{next: []float64{1}}
-			s.countBy(w)
-			e, push := s.pushed(0, time.Hour)
-			push.Begin()
-			if last == Left {
-				e.Gone()
+			f := newFixture(t, withLongTimeouts)
+			rules := &fakeRules{nextWeights: []float64{1}}
+			f.setRules(rules)
+			r, forward := f.forwarded(0, time.Hour)
+			forward.Begin()
+			if want == Disconnected {
+				r.Disconnect()
 			} else {
-				s.due(e)
+				f.expire(r)
 			}
-			s.want(e, last) // the final word is given, and the answer is here as well
-			e.Gone()
-			e.Report(Result{Outcome: policy.Answered, Billed: 5})
-			e.Gone()
-			s.g.enter()
-			defer s.g.leave()
-			if len(w.over) != 1 || len(e.choices) != 0 || len(s.g.errands) != 0 {
-				t.Errorf("ended %d times, %d choices more, %d errands", len(w.over), len(e.choices), len(s.g.errands))
+			f.expectAction(r, want) // the final word is given, and the answer is here as well
+			r.Disconnect()
+			r.ReportResult(Result{Outcome: policy.Answered, Billed: 5})
+			r.Disconnect()
+			f.dispatcher.lock()
+			defer f.dispatcher.unlock()
+			if len(rules.completed) != 1 || len(r.decisions) != 0 || len(f.dispatcher.requests) != 0 {
+				t.Errorf("ended %d times, %d choices more, %d errands", len(rules.completed), len(r.decisions), len(f.dispatcher.requests))
 			}
 		})
 	}
--- a/internal/gate/debts.go
+++ b/internal/gate/debts.go
@@ -5,19 +5,19 @@
 	"harrierhoist/policy"
 )
 
-// Owe has a till count from here on what tasks owe; those in hand are left out.
-func (g *Gate) Owe(t *till.Till) {
-	now := g.enter()
-	defer g.leave()
-	g.till = t
-	if len(g.servers) > 0 {
-		g.hand(now, policy.ListWhole)
+// SetAccount has a till count from here on what tasks owe; those in hand are left out.
+func (d *Dispatcher) SetAccount(acct *till.Accounts) {
+	now := d.lock()
+	defer d.unlock()
+	d.account = acct
+	if len(d.servers) > 0 {
+		d.updateGateway(now, policy.ListFull)
 	}
 }
 
-// Settle hands the module the servers that the till's shares now call for.
-func (g *Gate) Settle() {
-	now := g.enter()
-	defer g.leave()
-	g.hand(now, policy.ListWhole)
+// UpdateElective hands the module the servers that the till's shares now call for.
+func (d *Dispatcher) UpdateElective() {
+	now := d.lock()
+	defer d.unlock()
+	d.updateGateway(now, policy.ListFull)
 }
--- a/internal/gate/errand.go
+++ b/internal/gate/errand.go
@@ -8,137 +8,137 @@
 	"harrierhoist/policy"
 )
 
-// Task is what a client asks; Patience counts from now.
-type Task struct {
-	Lane, Plan, First, Width int
+// RequestSpec is what a client asks; Patience counts from now.
+type RequestSpec struct {
+	Class, Plan, FirstGateway, GatewayCount int
 
 	Customer uint64
 	Units    float64
-	Patience time.Duration
+	Timeout  time.Duration
 	Repeat   bool
 }
 
 // Result tells how a push ended.
 type Result struct {
-	Outcome policy.Outcome
-	Billed  float64 // true units; 0: not told
-	Use     float64 // 1 + the part of its rate that the customer used of late; 0: not told
-	Report  []float32
+	Outcome    policy.Outcome
+	Billed     float64 // true units; 0: not told
+	Use        float64 // 1 + the part of its rate that the customer used of late; 0: not told
+	LoadReport []float32
 }
 
-// Verdict is what is to be done with a task.
-type Verdict uint8
+// Action is what is to be done with a task.
+type Action uint8
 
 // The verdicts. All but Push are final.
 const (
-	Push Verdict = iota
+	Forward Action = iota
 	Reject
 	Terminate
-	Left // its client has gone: no answer is owed
+	Disconnected // its client has gone: no answer is owed
 )
 
-// Choice is a verdict and what goes with it.
-type Choice struct {
-	Verdict Verdict
-	Server  Server
-	Until   time.Time       // a push that has no answer by then is given up
-	By      time.Time       // and one that is not written whole by then must not be; at most Until
-	Wanted  context.Context // ends when the push is to be given up at once
-	Begin   func() bool     // asked once, right before the first byte: it goes out only on a yes
-	Away    time.Duration   // a rejected client is to stay away so long
+// Decision is a verdict and what goes with it.
+type Decision struct {
+	Action        Action
+	Server        Server
+	Deadline      time.Time       // a push that has no answer by then is given up
+	WriteDeadline time.Time       // and one that is not written whole by then must not be; at most Until
+	Context       context.Context // ends when the push is to be given up at once
+	Begin         func() bool     // asked once, right before the first byte: it goes out only on a yes
+	RetryAfter    time.Duration   // a rejected client is to stay away so long
 }
 
-// Errand is a task on its way, carried by one goroutine.
-type Errand struct {
-	g       *Gate
-	id      uint32
-	choices chan Choice
-	pushes  int
-	server  uint32
-	hall    int // of that server
-	at      time.Duration
-	attempt *attempt // the latest; nil: none yet
-	units   float64
-	over    bool
-	repeat  bool        // the client says that it asks again
-	claim   *till.Claim // what it owes; nil: nothing is kept of it
-	counted *Counted    // nil: under its customer alone
+// Request is a task on its way, carried by one goroutine.
+type Request struct {
+	dispatcher  *Dispatcher
+	id          uint32
+	decisions   chan Decision
+	attempts    int
+	server      uint32
+	zone        int // of that server
+	attemptedAt time.Duration
+	current     *attempt // the latest; nil: none yet
+	units       float64
+	completed   bool
+	repeat      bool                 // the client says that it asks again
+	claim       *till.RequestTracker // what it owes; nil: nothing is kept of it
+	assignment  *CountAssignment     // nil: under its customer alone
 }
 
 // Admit takes a task. It is carried by calling Pick until that is final.
-func (g *Gate) Admit(t Task) *Errand {
-	now := g.enter()
-	defer g.leave()
-	g.keep(now)
-	g.latest++
-	e := &Errand{g: g, id: g.latest, units: t.Units, repeat: t.Repeat,
-		choices: make(chan Choice, 2)} // a push and what is final
-	if g.shed(e, t.Repeat) {
-		return e
+func (d *Dispatcher) Admit(spec RequestSpec) *Request {
+	now := d.lock()
+	defer d.unlock()
+	d.refreshSteering(now)
+	d.lastRequestID++
+	r := &Request{dispatcher: d, id: d.lastRequestID, units: spec.Units, repeat: spec.Repeat,
+		decisions: make(chan Decision, 2)} // a push and what is final
+	if d.shedRequest(r, spec.Repeat) {
+		return r
 	}
-	g.errands[e.id] = e
-	task := policy.Task{ID: e.id, Lane: t.Lane, Plan: t.Plan, Customer: t.Customer, First: t.First,
-		Width: t.Width, Units: t.Units, Expires: now + t.Patience, Repeat: t.Repeat}
-	e.claim = g.till.Enter(now, task)
-	task.Prefer = e.claim.Prefer()
-	if g.counting != nil {
-		g.byRule(now, e, t, task)
-		return e
+	d.requests[r.id] = r
+	request := policy.Request{ID: r.id, Class: spec.Class, Plan: spec.Plan, Customer: spec.Customer, FirstGateway: spec.FirstGateway,
+		GatewayCount: spec.GatewayCount, Units: spec.Units, Deadline: now + spec.Timeout, Repeat: spec.Repeat}
+	r.claim = d.account.TrackRequest(now, request)
+	request.PreferOwner = r.claim.PreferredPartner()
+	if d.rules != nil {
+		d.admitByRules(now, r, spec, request)
+		return r
 	}
-	g.module.Take(now, task)
-	return e
+	d.gateway.HandleRequest(now, request)
+	return r
 }
 
-// Pick waits for what is to be done with the task.
-func (e *Errand) Pick() Choice { return <-e.choices }
-
-// Report tells how the push ended that was picked last. After an answer there is nothing more to pick.
-func (e *Errand) Report(r Result) {
-	now := e.g.enter()
-	defer e.g.leave()
-	e.attempt.giveUp()
-	e.claim.Back(now, r.Outcome, r.Billed)
-	if w := e.g.outside.Witness; w != nil {
-		w.Ended(now, e.hall, e.server, r.Outcome, now-e.at)
+// Next waits for what is to be done with the task.
+func (r *Request) Next() Decision { return <-r.decisions }
+
+// ReportResult tells how the push ended that was picked last. After an answer there is nothing more to pick.
+func (r *Request) ReportResult(result Result) {
+	now := r.dispatcher.lock()
+	defer r.dispatcher.unlock()
+	r.current.abandon()
+	r.claim.OnAttemptEnd(now, result.Outcome, result.Billed)
+	if recorder := r.dispatcher.dependencies.Recorder; recorder != nil {
+		recorder.AddResult(now, r.zone, r.server, result.Outcome, now-r.attemptedAt)
 	}
-	if e.counted != nil {
-		r = e.counted.weigh(r)
+	if r.assignment != nil {
+		result = r.assignment.weightResult(result)
 	}
-	if r.Outcome == policy.Answered && !e.over { // else its end was told when the final answer was given
-		e.end()
+	if result.Outcome == policy.Answered && !r.completed { // else its end was told when the final answer was given
+		r.complete()
 	}
-	e.g.module.Ended(now, policy.Push{Task: e.id, Number: e.pushes - 1, Server: e.server, Outcome: r.Outcome,
-		Took: now - e.at, Done: e.over, Billed: r.Billed, Use: r.Use, Report: e.g.fields(r.Report)})
+	r.dispatcher.gateway.HandleAttemptResult(now, policy.AttemptResult{RequestID: r.id, Attempt: r.attempts - 1, Server: r.server, Outcome: result.Outcome,
+		Latency: now - r.attemptedAt, Final: r.completed, ActualUnits: result.Billed, Usage: result.Use, LoadReport: r.dispatcher.checkedLoadReport(result.LoadReport)})
 }
 
-// Gone tells that the client has gone.
-func (e *Errand) Gone() {
-	now := e.g.enter()
-	defer e.g.leave()
-	if !e.over {
-		e.close(Choice{Verdict: Left})
-		e.g.module.Lapsed(now, e.id)
+// Disconnect tells that the client has gone.
+func (r *Request) Disconnect() {
+	now := r.dispatcher.lock()
+	defer r.dispatcher.unlock()
+	if !r.completed {
+		r.finish(Decision{Action: Disconnected})
+		r.dispatcher.gateway.HandleDisconnect(now, r.id)
 	}
 }
 
-func (e *Errand) end() {
-	e.over = true
-	delete(e.g.errands, e.id)
-	if e.counted != nil && e.counted.Over != nil {
-		e.counted.Over(e.pushes > 0, e.counted.billed)
+func (r *Request) complete() {
+	r.completed = true
+	delete(r.dispatcher.requests, r.id)
+	if r.assignment != nil && r.assignment.Completed != nil {
+		r.assignment.Completed(r.attempts > 0, r.assignment.billedUnits)
 	}
 }
 
-func (e *Errand) close(c Choice) {
-	e.end()
-	e.attempt.callOff()
-	e.claim.Ended(c.Verdict == Left)
-	e.choices <- c
+func (r *Request) finish(decision Decision) {
+	r.complete()
+	r.current.cancelUnbegun()
+	r.claim.OnRequestEnd(decision.Action == Disconnected)
+	r.decisions <- decision
 }
 
-// fields makes a report as long as the module expects it.
-func (g *Gate) fields(report []float32) []float32 {
-	if len(report) != g.report {
+// checkedLoadReport makes a report as long as the module expects it.
+func (d *Dispatcher) checkedLoadReport(report []float32) []float32 {
+	if len(report) != d.loadReportLength {
 		return nil
 	}
 	return report
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -18,172 +18,172 @@
 	"harrierhoist/policy"
 )
 
-// Outside is what the gate asks of the network. Neither may wait, nor call back before it returns: the gate's
+// Dependencies is what the gate asks of the network. Neither may wait, nor call back before it returns: the gate's
 // lock is held, and a call back takes it.
-type Outside struct {
+type Dependencies struct {
 	// Count adds to a number of the counter. Told is called once, with the total, however late that comes.
-	Count func(name uint64, units float64, keep time.Duration, told func(float64, policy.Outcome))
-	// Probe asks a server for its load.
-	Probe func(s Server, told func(Result))
-	// Kept is how long a connection to a server is kept after its latest push: the module is handed those servers
+	Count func(name uint64, units float64, ttl time.Duration, reply func(float64, policy.Outcome))
+	// CheckHealth asks a server for its load.
+	CheckHealth func(server Server, done func(Result))
+	// IdleTimeout is how long a connection to a server is kept after its latest push: the module is handed those servers
 	// that our pushes can keep open. At 0 it is handed all.
-	Kept time.Duration
-	// Witness is told what goes on by hall, under the gate's lock; nil: nobody is.
-	Witness *witness.Witness
+	IdleTimeout time.Duration
+	// Recorder is told what goes on by hall, under the gate's lock; nil: nobody is.
+	Recorder *witness.Recorder
 }
 
-// Gate owns the instance.
-type Gate struct {
-	mu      sync.Mutex
-	module  *policy.Gateway
-	outside Outside
-	log     *zap.Logger
-
-	start  time.Time
-	origin time.Duration // the start on the common clock
-
-	errands map[uint32]*Errand // those that the module may still ask something of
-	latest  uint32
-	servers map[uint32]Server // those listed, by the module's number
-	pool    *pool.Pool        // which of them the module is handed
-	till    *till.Till        // what tasks owe; nil: nothing is kept
-	numbers map[string]uint32 // by name
-	named   uint32            // the latest number; none is used twice
-
-	wakes  wakes
-	asked  map[uint64]*wake // the latest by token
-	calls  []*call          // to the counter, oldest first; the answered leave with those before them
-	alarm  *time.Timer
-	due    time.Duration // when the alarm rings; 0: never
-	watch  chan struct{}
-	report int // how many figures a load report has
-
-	counting Counting          // nil: every task counts under its customer
-	site     policy.Deployment // as last given, without what counting adds
-
-	until time.Duration // when the steering ends that is in force
-	after *Steering     // what follows it; nil: it has no end
-
-	countLimit time.Duration // a call to the counter that took longer is late
-	shedAway   time.Duration // how long who is shed is told to stay away
+// Dispatcher owns the instance.
+type Dispatcher struct {
+	mu           sync.Mutex
+	gateway      *policy.Gateway
+	dependencies Dependencies
+	log          *zap.Logger
+
+	startedAt   time.Time
+	clockOrigin time.Duration // the start on the common clock
+
+	requests         map[uint32]*Request // those that the module may still ask something of
+	lastRequestID    uint32
+	servers          map[uint32]Server // those listed, by the module's number
+	subset           *pool.Subset      // which of them the module is handed
+	account          *till.Accounts    // what tasks owe; nil: nothing is kept
+	serverNumbers    map[string]uint32 // by name
+	lastServerNumber uint32            // the latest number; none is used twice
+
+	timers           timerHeap
+	timersByToken    map[uint64]*timer // the latest by token
+	counterCalls     []*counterCall    // to the counter, oldest first; the answered leave with those before them
+	alarm            *time.Timer
+	alarmAt          time.Duration // when the alarm rings; 0: never
+	watch            chan struct{}
+	loadReportLength int // how many figures a load report has
+
+	rules    CountingRules   // nil: every task counts under its customer
+	settings policy.Settings // as last given, without what counting adds
+
+	steeringExpires time.Duration // when the steering ends that is in force
+	nextSteering    *Steering     // what follows it; nil: it has no end
+
+	counterTimeout time.Duration // a call to the counter that took longer is late
+	shedRetryAfter time.Duration // how long who is shed is told to stay away
 }
 
-// call is a call to the counter.
-type call struct {
-	name   uint64
-	at     time.Duration
-	answer *policy.Tally // nil: none yet
-	over   bool          // told to the module
+// counterCall is a call to the counter.
+type counterCall struct {
+	name      uint64
+	startedAt time.Duration
+	reply     *policy.CountResult // nil: none yet
+	delivered bool                // told to the module
 }
 
 // New makes the instance. All gateways read the same wall clock once, at their start, and go on from there by
 // the monotonic one: so windows agree between them and across restarts, and no step of the wall clock counts.
-func New(site policy.Deployment, seed int64, outside Outside, log *zap.Logger) (*Gate, error) {
+func New(settings policy.Settings, seed int64, outside Dependencies, log *zap.Logger) (*Dispatcher, error) {
 	start := time.Now()
-	g := &Gate{outside: outside, log: log, start: start, origin: time.Duration(start.UnixNano()),
-		errands: map[uint32]*Errand{}, servers: map[uint32]Server{}, numbers: map[string]uint32{}, asked: map[uint64]*wake{},
-		pool: pool.New(site.Me, site.Gateways, outside.Kept),
-		site: site, alarm: time.NewTimer(time.Hour), watch: make(chan struct{}, 1)}
-	g.sized(&site)
+	d := &Dispatcher{dependencies: outside, log: log, startedAt: start, clockOrigin: time.Duration(start.UnixNano()),
+		requests: map[uint32]*Request{}, servers: map[uint32]Server{}, serverNumbers: map[string]uint32{}, timersByToken: map[uint64]*timer{},
+		subset:   pool.New(settings.MyIndex, settings.Gateways, outside.IdleTimeout),
+		settings: settings, alarm: time.NewTimer(time.Hour), watch: make(chan struct{}, 1)}
+	d.applySettings(&settings)
 	var err error
-	g.module, err = policy.New(site, seed, host{g})
-	return g, err
+	d.gateway, err = policy.New(settings, seed, host{d})
+	return d, err
 }
 
-// Reshape takes new settings in the running gateway, under the lock, and gives them as they are in force: lanes and
+// Reconfigure takes new settings in the running gateway, under the lock, and gives them as they are in force: lanes and
 // plans keep the numbers that they had. What is in hand goes on. An error means that nothing has changed.
-func (g *Gate) Reshape(site policy.Deployment) (policy.Deployment, error) {
-	now := g.enter()
-	defer g.leave()
-	return g.reshape(now, site)
+func (d *Dispatcher) Reconfigure(settings policy.Settings) (policy.Settings, error) {
+	now := d.lock()
+	defer d.unlock()
+	return d.reconfigure(now, settings)
 }
 
-func (g *Gate) reshape(now time.Duration, site policy.Deployment) (policy.Deployment, error) {
-	given := site
-	if g.counting != nil {
-		site = g.counting.Plans(site)
+func (d *Dispatcher) reconfigure(now time.Duration, settings policy.Settings) (policy.Settings, error) {
+	given := settings
+	if d.rules != nil {
+		settings = d.rules.WithRulePlans(settings)
 	}
-	site, err := g.module.Reshape(now, site)
+	settings, err := d.gateway.Reconfigure(now, settings)
 	if err != nil {
-		return site, err
+		return settings, err
 	}
-	g.site = given
-	g.pool.Resize(site.Me, site.Gateways)
-	g.till.Resite(site.Lanes, site.Plans)
-	g.sized(&site)
-	if g.counting != nil {
-		site = g.counting.Shaped(site)
+	d.settings = given
+	d.subset.Resize(settings.MyIndex, settings.Gateways)
+	d.account.SetPolicy(settings.Classes, settings.Plans)
+	d.applySettings(&settings)
+	if d.rules != nil {
+		settings = d.rules.WithoutRulePlans(settings)
 	}
-	g.hand(now, policy.ListWhole)
-	return site, nil
+	d.updateGateway(now, policy.ListFull)
+	return settings, nil
 }
 
-// sized takes from settings what the gate itself goes by.
-func (g *Gate) sized(site *policy.Deployment) {
-	g.report, g.countLimit, g.shedAway = len(site.Reports), site.CountLimit, 0
-	if site.RetryAfter {
-		g.shedAway = min(shedAway(site.Lanes), site.MaxRetryAfter)
+// applySettings takes from settings what the gate itself goes by.
+func (d *Dispatcher) applySettings(settings *policy.Settings) {
+	d.loadReportLength, d.counterTimeout, d.shedRetryAfter = len(settings.LoadReportFields), settings.CountTimeout, 0
+	if settings.RetryAfter {
+		d.shedRetryAfter = min(shedRetryAfter(settings.Classes), settings.MaxRetryAfter)
 	}
-	if g.outside.Witness != nil {
-		g.outside.Witness.Reshape(site)
+	if d.dependencies.Recorder != nil {
+		d.dependencies.Recorder.Reconfigure(settings)
 	}
 }
 
-// enter takes the lock and reads the clock.
-func (g *Gate) enter() time.Duration {
-	g.mu.Lock()
-	return g.now()
+// lock takes the lock and reads the clock.
+func (d *Dispatcher) lock() time.Duration {
+	d.mu.Lock()
+	return d.now()
 }
 
-func (g *Gate) now() time.Duration { return g.origin + time.Since(g.start) }
+func (d *Dispatcher) now() time.Duration { return d.clockOrigin + time.Since(d.startedAt) }
 
-// leave sets the alarm for what is due next and gives the lock back.
-func (g *Gate) leave() {
-	for len(g.calls) > 0 && g.calls[0].over {
-		g.calls = g.calls[1:]
+// unlock sets the alarm for what is due next and gives the lock back.
+func (d *Dispatcher) unlock() {
+	for len(d.counterCalls) > 0 && d.counterCalls[0].delivered {
+		d.counterCalls = d.counterCalls[1:]
 	}
 	next := time.Duration(0)
-	if len(g.wakes) > 0 {
-		next = g.wakes[0].at
+	if len(d.timers) > 0 {
+		next = d.timers[0].dueAt
 	}
-	if next != 0 && next != g.due { // each ring that is not needed would wake the whole process
-		g.alarm.Reset(max(next-g.now(), 0))
+	if next != 0 && next != d.alarmAt { // each ring that is not needed would wake the whole process
+		d.alarm.Reset(max(next-d.now(), 0))
 	}
-	g.due = next
-	g.mu.Unlock()
+	d.alarmAt = next
+	d.mu.Unlock()
 }
 
-// Tick lets time pass until the context ends: it wakes the module.
-func (g *Gate) Tick(ctx context.Context) {
+// RunTimers lets time pass until the context ends: it wakes the module.
+func (d *Dispatcher) RunTimers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.alarm.C:
+		case <-d.alarm.C:
 		}
-		now := g.enter()
-		g.due = 0
-		for len(g.wakes) > 0 && g.wakes[0].at <= now {
-			w := heap.Pop(&g.wakes).(*wake)
-			delete(g.asked, w.token)
-			g.module.Woke(now, w.token)
+		now := d.lock()
+		d.alarmAt = 0
+		for len(d.timers) > 0 && d.timers[0].dueAt <= now {
+			t := heap.Pop(&d.timers).(*timer)
+			delete(d.timersByToken, t.token)
+			d.gateway.HandleTimer(now, t.token)
 		}
-		g.leave()
+		d.unlock()
 	}
 }
 
-// counted takes the answer to a call, and tells the module those for its name up to the first that is still to
+// handleCounterReply takes the answer to a call, and tells the module those for its name up to the first that is still to
 // come: the module matches them in order, and two connections, as after a move, keep none between them.
-func (g *Gate) counted(c *call, total float64, how policy.Outcome) {
-	c.answer = &policy.Tally{Name: c.name, Total: total, Took: g.now() - c.at, Outcome: how}
-	for _, e := range g.calls {
-		if e.name != c.name || e.over {
+func (d *Dispatcher) handleCounterReply(call *counterCall, total float64, outcome policy.Outcome) {
+	call.reply = &policy.CountResult{Name: call.name, Total: total, Latency: d.now() - call.startedAt, Outcome: outcome}
+	for _, earlier := range d.counterCalls {
+		if earlier.name != call.name || earlier.delivered {
 			continue
 		}
-		if e.answer == nil {
+		if earlier.reply == nil {
 			return
 		}
-		e.over = true
-		g.module.Counted(g.now(), *e.answer)
+		earlier.delivered = true
+		d.gateway.HandleCount(d.now(), *earlier.reply)
 	}
 }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -10,192 +10,192 @@
 	"harrierhoist/policy"
 )
 
-// counted is a call to the counter that waits for its answer.
-type counted struct {
+// pendingCounterCall is a call to the counter that waits for its answer.
+type pendingCounterCall struct {
 	units float64
-	told  func(float64, policy.Outcome)
+	reply func(float64, policy.Outcome)
 }
 
-// story is a gate with one server, and a counter that answers when it is told to.
-type story struct {
+// fixture is a gate with one server, and a counter that answers when it is told to.
+type fixture struct {
 	*testing.T
-	g     *Gate
-	calls chan counted
+	dispatcher   *Dispatcher
+	counterCalls chan pendingCounterCall
 }
 
-func begin(t *testing.T, change ...func(*policy.Deployment)) *story {
+func newFixture(t *testing.T, change ...func(*policy.Settings)) *fixture {
 	t.Helper()
-	s := &story{T: t, calls: make(chan counted, 100)}
-	site := policy.Deployment{Gateways: 1, Halls: 1, Tick: 2 * time.Millisecond, HasCounter: true,
-		CountLimit: 30 * time.Millisecond, PushLimit: 5, Cancelling: true, RetryAfter: true, Settles: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, AnswerSlack: 8 * time.Millisecond, TipAfter: time.Second,
-		Lanes: []policy.Lane{
-			{Name: "look", SoftLimit: 600 * time.Millisecond, Patience: 2 * time.Second, Effect: policy.Pure},
-			{Name: "pay", SoftLimit: 600 * time.Millisecond, Patience: 2 * time.Second, Effect: policy.Effectful}},
+	f := &fixture{T: t, counterCalls: make(chan pendingCounterCall, 100)}
+	settings := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true,
+		CountTimeout: 30 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true, ReportsUnits: true,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second,
+		Classes: []policy.TrafficClass{
+			{Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second, Effect: policy.Idempotent},
+			{Name: "pay", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second, Effect: policy.NonIdempotent}},
 		Plans: []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}, {Name: "small", Rate: 1, Burst: 3}}}
 	for _, c := range change {
-		c(&site)
+		c(&settings)
 	}
-	count := func(_ uint64, units float64, _ time.Duration, told func(float64, policy.Outcome)) {
-		s.calls <- counted{units, told}
+	count := func(_ uint64, units float64, _ time.Duration, reply func(float64, policy.Outcome)) {
+		f.counterCalls <- pendingCounterCall{units, reply}
 	}
 	var err error
-	if s.g, err = New(site, 7, Outside{Count: count}, zap.NewNop()); err != nil {
+	if f.dispatcher, err = New(settings, 7, Dependencies{Count: count}, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go s.g.Tick(ctx)
-	s.list(policy.ListWhole, policy.Ready)
-	return s
+	go f.dispatcher.RunTimers(ctx)
+	f.setEndpoint(policy.ListFull, policy.Ready)
+	return f
 }
 
-// slowly leaves every task so much time that no story depends on how quick its machine is.
-func slowly(d *policy.Deployment) {
-	for i := range d.Lanes {
-		d.Lanes[i].SoftLimit, d.Lanes[i].Patience = time.Minute, time.Hour
+// withLongTimeouts leaves every task so much time that no story depends on how quick its machine is.
+func withLongTimeouts(d *policy.Settings) {
+	for i := range d.Classes {
+		d.Classes[i].LatencyObjective, d.Classes[i].Timeout = time.Minute, time.Hour
 	}
 }
 
-// due has a task's patience end now: the module is woken under the token that it asks with for that.
-func (s *story) due(e *Errand) {
+// expire has a task's patience end now: the module is woken under the token that it asks with for that.
+func (f *fixture) expire(r *Request) {
 	const kinds = 4
-	now := s.g.enter()
-	defer s.g.leave()
-	if s.g.module.Woke(now, uint64(e.id)*kinds); !e.over {
-		s.Error("no final answer")
+	now := f.dispatcher.lock()
+	defer f.dispatcher.unlock()
+	if f.dispatcher.gateway.HandleTimer(now, uint64(r.id)*kinds); !r.completed {
+		f.Error("no final answer")
 	}
 }
 
-func (s *story) list(kind policy.ListKind, stage policy.Stage) {
-	s.g.List(kind, []Server{{Name: "s-1", Dial: "here", Listed: policy.Listed{Stage: stage}}})
+func (f *fixture) setEndpoint(kind policy.ListKind, stage policy.EndpointState) {
+	f.dispatcher.HandleEndpoints(kind, []Server{{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: stage}}})
 }
 
-// want picks and checks the verdict.
-func (s *story) want(e *Errand, v Verdict) Choice {
-	s.Helper()
-	c := e.Pick()
-	if c.Verdict != v {
-		s.Fatalf("verdict %v, want %v", c.Verdict, v)
+// expectAction picks and checks the verdict.
+func (f *fixture) expectAction(r *Request, action Action) Decision {
+	f.Helper()
+	decision := r.Next()
+	if decision.Action != action {
+		f.Fatalf("verdict %v, want %v", decision.Action, action)
 	}
-	return c
+	return decision
 }
 
-func (s *story) admit(lane, plan int, patience time.Duration) *Errand {
-	return s.g.Admit(Task{Lane: lane, Plan: plan, Customer: 5, Units: 2, Width: 1, Patience: patience})
+func (f *fixture) admit(class, plan int, timeout time.Duration) *Request {
+	return f.dispatcher.Admit(RequestSpec{Class: class, Plan: plan, Customer: 5, Units: 2, GatewayCount: 1, Timeout: timeout})
 }
 
-// pushed brings a task as far as its push.
-func (s *story) pushed(lane int, patience time.Duration) (*Errand, Choice) {
-	s.Helper()
-	e := s.admit(lane, 0, patience)
-	(<-s.calls).told(0, policy.Answered)
-	return e, s.want(e, Push)
+// forwarded brings a task as far as its push.
+func (f *fixture) forwarded(class int, timeout time.Duration) (*Request, Decision) {
+	f.Helper()
+	r := f.admit(class, 0, timeout)
+	(<-f.counterCalls).reply(0, policy.Answered)
+	return r, f.expectAction(r, Forward)
 }
 
-func TestCheckedThenPushedThenChargedWithTheNext(t *testing.T) {
-	s := begin(t)
-	e := s.admit(0, 0, time.Second)
-	c := <-s.calls
-	c.told(0, policy.Answered)
-	if got := s.want(e, Push); got.Server.Dial != "here" || time.Until(got.Until) > time.Second || got.Wanted.Err() != nil {
+func TestRequest_checkedThenForwardedThenChargedWithNextCall(t *testing.T) {
+	f := newFixture(t)
+	r := f.admit(0, 0, time.Second)
+	call := <-f.counterCalls
+	call.reply(0, policy.Answered)
+	if got := f.expectAction(r, Forward); got.Server.Address != "here" || time.Until(got.Deadline) > time.Second || got.Context.Err() != nil {
 		t.Errorf("picked %+v", got)
 	}
-	e.Report(Result{Outcome: policy.Answered, Billed: 5})
-	for s.admit(0, 0, time.Second); ; { // a new window may be opened first
-		if c = <-s.calls; c.units == 5 {
+	r.ReportResult(Result{Outcome: policy.Answered, Billed: 5})
+	for f.admit(0, 0, time.Second); ; { // a new window may be opened first
+		if call = <-f.counterCalls; call.units == 5 {
 			return
 		}
 	}
 }
 
-func TestOverTheLimitIsRejectedWithATimeToComeBack(t *testing.T) {
-	s := begin(t)
-	e := s.admit(0, 1, time.Second)
-	(<-s.calls).told(50, policy.Answered)
-	if got := s.want(e, Reject); got.Away <= 0 {
-		t.Errorf("rejected without a time: %v", got.Away)
+func TestRequest_overQuotaIsRejectedWithRetryAfter(t *testing.T) {
+	f := newFixture(t)
+	r := f.admit(0, 1, time.Second)
+	(<-f.counterCalls).reply(50, policy.Answered)
+	if got := f.expectAction(r, Reject); got.RetryAfter <= 0 {
+		t.Errorf("rejected without a time: %v", got.RetryAfter)
 	}
 }
 
-func TestSilentCounterHoldsNobodyUpAndItsLateTotalCounts(t *testing.T) {
-	s := begin(t)
-	task := Task{Plan: 1, Customer: 5, Units: 1, Width: 1, Patience: 10 * time.Second}
-	e := s.g.Admit(task)
-	c := <-s.calls
-	s.want(e, Push)
-	c.told(50, policy.Answered)
-	s.want(s.g.Admit(task), Reject) // two units would be left by our own count
+func TestCounter_silenceDelaysNobodyAndLateTotalCounts(t *testing.T) {
+	f := newFixture(t)
+	spec := RequestSpec{Plan: 1, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 10 * time.Second}
+	r := f.dispatcher.Admit(spec)
+	call := <-f.counterCalls
+	f.expectAction(r, Forward)
+	call.reply(50, policy.Answered)
+	f.expectAction(f.dispatcher.Admit(spec), Reject) // two units would be left by our own count
 }
 
-func TestNoAnswerInPatienceGivesThePushUpAndEndsTheTask(t *testing.T) {
-	for lane, v := range []Verdict{Reject, Terminate} {
-		s := begin(t)
-		e, push := s.pushed(lane, 150*time.Millisecond)
-		<-push.Wanted.Done()
-		e.Report(Result{Outcome: policy.Cancelled})
-		s.want(e, v)
+func TestRequest_timeoutAbandonsAttemptAndCompletes(t *testing.T) {
+	for class, action := range []Action{Reject, Terminate} {
+		f := newFixture(t)
+		r, forward := f.forwarded(class, 150*time.Millisecond)
+		<-forward.Context.Done()
+		r.ReportResult(Result{Outcome: policy.Cancelled})
+		f.expectAction(r, action)
 	}
 }
 
-func TestClientThatLeftIsOwedNothing(t *testing.T) {
-	s := begin(t)
-	e, _ := s.pushed(0, time.Second)
-	e.Gone()
-	e.Gone() // told twice, it stays gone
-	e.Report(Result{Outcome: policy.Reset})
-	s.want(e, Left)
-	if n := len(s.g.errands); n != 0 {
+func TestRequest_disconnectedClientGetsNoAnswer(t *testing.T) {
+	f := newFixture(t)
+	r, _ := f.forwarded(0, time.Second)
+	r.Disconnect()
+	r.Disconnect() // told twice, it stays gone
+	r.ReportResult(Result{Outcome: policy.Reset})
+	f.expectAction(r, Disconnected)
+	if n := len(f.dispatcher.requests); n != 0 {
 		t.Errorf("%d errands held", n)
 	}
 }
 
-func TestDrainedServerGetsNothingNew(t *testing.T) {
-	s := begin(t)
-	s.list(policy.ListChanges, policy.Draining)
-	e := s.admit(0, 0, 400*time.Millisecond)
-	(<-s.calls).told(0, policy.Answered)
-	s.want(e, Reject)
+func TestRequest_drainingServerGetsNoAttempt(t *testing.T) {
+	f := newFixture(t)
+	f.setEndpoint(policy.ListDelta, policy.Draining)
+	r := f.admit(0, 0, 400*time.Millisecond)
+	(<-f.counterCalls).reply(0, policy.Answered)
+	f.expectAction(r, Reject)
 }
 
-func TestEndedTasksLeaveNoWakes(t *testing.T) {
-	s := begin(t)
-	e, _ := s.pushed(0, time.Hour)
-	e.Report(Result{Outcome: policy.Answered})
-	s.g.mu.Lock()
-	defer s.g.mu.Unlock()
-	if len(s.g.wakes) != 0 || len(s.g.asked) != 0 {
-		t.Errorf("%d wakes left", len(s.g.wakes))
+func TestTimers_noneLeftByCompletedRequest(t *testing.T) {
+	f := newFixture(t)
+	r, _ := f.forwarded(0, time.Hour)
+	r.ReportResult(Result{Outcome: policy.Answered})
+	f.dispatcher.mu.Lock()
+	defer f.dispatcher.mu.Unlock()
+	if len(f.dispatcher.timers) != 0 || len(f.dispatcher.timersByToken) != 0 {
+		t.Errorf("%d wakes left", len(f.dispatcher.timers))
 	}
 }
 
-func TestFailedListIsAskedForAgain(t *testing.T) {
-	s := begin(t)
-	s.g.List(policy.ListFailed, nil)
-	<-s.g.Wanted()
-	s.pushed(0, time.Second) // the earlier list stands
+func TestEndpoints_failedListKeepsEarlierOne(t *testing.T) {
+	f := newFixture(t)
+	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
+	<-f.dispatcher.Wanted()
+	f.forwarded(0, time.Second) // the earlier list stands
 }
 
-func TestAnswersForANameReachTheModuleInTheOrderOfTheCalls(t *testing.T) {
-	s := begin(t)
-	first := s.g.Admit(Task{Customer: 9, Plan: 1, Width: 1, Units: 1, Patience: time.Second})
-	second := s.g.Admit(Task{Customer: 9, Plan: 1, Width: 1, Units: 1, Patience: time.Second})
-	one, two := <-s.calls, <-s.calls
-	two.told(99, policy.Answered) // the later connection is the quicker one
-	one.told(0, policy.Answered)
-	s.want(first, Push)
-	s.want(second, Reject)
+func TestCounter_repliesForNameAreDeliveredInCallOrder(t *testing.T) {
+	f := newFixture(t)
+	first := f.dispatcher.Admit(RequestSpec{Customer: 9, Plan: 1, GatewayCount: 1, Units: 1, Timeout: time.Second})
+	second := f.dispatcher.Admit(RequestSpec{Customer: 9, Plan: 1, GatewayCount: 1, Units: 1, Timeout: time.Second})
+	firstCall, secondCall := <-f.counterCalls, <-f.counterCalls
+	secondCall.reply(99, policy.Answered) // the later connection is the quicker one
+	firstCall.reply(0, policy.Answered)
+	f.expectAction(first, Forward)
+	f.expectAction(second, Reject)
 }
 
 // A list that fails twice in a row had the module ask for a wake twice under one token; both stayed and each was
 // answered, and from then on two chains of asks went to discovery from every gateway.
-func TestWakeAskedTwiceIsAnsweredOnce(t *testing.T) {
-	s := begin(t)
-	s.g.List(policy.ListFailed, nil)
-	s.g.List(policy.ListFailed, nil)
-	s.g.mu.Lock()
-	defer s.g.mu.Unlock()
-	if len(s.g.wakes) != 1 || len(s.g.asked) != 1 {
-		t.Errorf("%d wakes for %d tokens", len(s.g.wakes), len(s.g.asked))
+func TestTimers_secondForTokenReplacesFirst(t *testing.T) {
+	f := newFixture(t)
+	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
+	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
+	f.dispatcher.mu.Lock()
+	defer f.dispatcher.mu.Unlock()
+	if len(f.dispatcher.timers) != 1 || len(f.dispatcher.timersByToken) != 1 {
+		t.Errorf("%d wakes for %d tokens", len(f.dispatcher.timers), len(f.dispatcher.timersByToken))
 	}
 }
