--- a/internal/gate/host.go
+++ b/internal/gate/host.go
@@ -9,112 +9,112 @@
 )
 
 // host carries out what the module asks for, under the lock.
-type host struct{ *Gate }
+type host struct{ *Dispatcher }
 
-// Push hands the carrier of a task a server.
-func (g host) Push(task, server uint32, until time.Duration) {
-	e := g.errands[task]
-	e.pushes++
-	e.server, e.at = server, g.now()
-	g.pool.Pushed(e.at)
-	to := g.servers[server]
-	e.hall = to.Listed.Hall
-	if w := g.outside.Witness; w != nil {
-		w.Pushed(e.at, e.hall, e.units, e.pushes == 1 && !e.repeat)
+// Attempt hands the carrier of a task a server.
+func (h host) Attempt(requestID, serverID uint32, deadline time.Duration) {
+	r := h.requests[requestID]
+	r.attempts++
+	r.server, r.attemptedAt = serverID, h.now()
+	h.subset.CountAttempt(r.attemptedAt)
+	server := h.servers[serverID]
+	r.zone = server.Endpoint.Zone
+	if recorder := h.dependencies.Recorder; recorder != nil {
+		recorder.AddAttempt(r.attemptedAt, r.zone, r.units, r.attempts == 1 && !r.repeat)
 	}
-	e.claim.Sent(e.hall)
-	c := Choice{Verdict: Push, Server: to, Until: g.start.Add(until - g.origin)}
-	c.By = c.Until
-	if end := g.module.Window(task); end != 0 && end < until {
-		c.By = g.start.Add(end - g.origin)
+	r.claim.OnAttemptStart(r.zone)
+	decision := Decision{Action: Forward, Server: server, Deadline: h.startedAt.Add(deadline - h.clockOrigin)}
+	decision.WriteDeadline = decision.Deadline
+	if windowEnd := h.gateway.RetryDeadline(requestID); windowEnd != 0 && windowEnd < deadline {
+		decision.WriteDeadline = h.startedAt.Add(windowEnd - h.clockOrigin)
 	}
-	e.attempt = &attempt{to: to}
-	c.Begin = e.attempt.begin
-	c.Wanted, e.attempt.giveUp = context.WithCancel(context.Background())
-	e.choices <- c
+	r.current = &attempt{server: server}
+	decision.Begin = r.current.begin
+	decision.Context, r.current.abandon = context.WithCancel(context.Background())
+	r.decisions <- decision
 }
 
 // Cancel gives up the push that is out; a task never has two.
-func (g host) Cancel(task uint32, number int) {
-	if e := g.errands[task]; e != nil && number == e.pushes-1 {
-		e.attempt.callOff()
-		e.attempt.giveUp()
+func (h host) Cancel(requestID uint32, attemptNumber int) {
+	if r := h.requests[requestID]; r != nil && attemptNumber == r.attempts-1 {
+		r.current.cancelUnbegun()
+		r.current.abandon()
 	}
 }
 
 // Reject is a final answer that makes trying again harmless.
-func (g host) Reject(task uint32, away time.Duration) {
-	if e := g.errands[task]; e != nil {
-		if w := g.outside.Witness; w != nil && e.pushes == 0 && !e.repeat && g.module.Passed(task) {
-			w.Shed(e.units) // for room, not for its quota
+func (h host) Reject(requestID uint32, retryAfter time.Duration) {
+	if r := h.requests[requestID]; r != nil {
+		if recorder := h.dependencies.Recorder; recorder != nil && r.attempts == 0 && !r.repeat && h.gateway.IsAdmitted(requestID) {
+			recorder.AddShed(r.units) // for room, not for its quota
 		}
-		e.close(Choice{Verdict: Reject, Away: away})
+		r.finish(Decision{Action: Reject, RetryAfter: retryAfter})
 	}
 }
 
 // Terminate is a final answer that promises nothing.
-func (g host) Terminate(task uint32) {
-	if e := g.errands[task]; e != nil {
-		e.close(Choice{Verdict: Terminate})
+func (h host) Terminate(requestID uint32) {
+	if r := h.requests[requestID]; r != nil {
+		r.finish(Decision{Action: Terminate})
 	}
 }
 
 // Count calls the counter.
-func (g host) Count(name uint64, keep time.Duration, units float64) {
-	c := &call{name: name, at: g.now()}
-	g.calls = append(g.calls, c)
-	if g.counting != nil {
-		g.counting.Called()
+func (h host) Count(name uint64, ttl time.Duration, units float64) {
+	call := &counterCall{name: name, startedAt: h.now()}
+	h.counterCalls = append(h.counterCalls, call)
+	if h.rules != nil {
+		h.rules.HandleCounterCall()
 	}
-	g.outside.Count(name, units, keep, func(total float64, how policy.Outcome) {
-		now := g.enter()
-		defer g.leave()
-		if w := g.outside.Witness; w != nil {
-			w.Counted(how != policy.Answered || g.countLimit > 0 && now-c.at > g.countLimit)
+	h.dependencies.Count(name, units, ttl, func(total float64, outcome policy.Outcome) {
+		now := h.lock()
+		defer h.unlock()
+		if recorder := h.dependencies.Recorder; recorder != nil {
+			recorder.AddCounterCall(outcome != policy.Answered || h.counterTimeout > 0 && now-call.startedAt > h.counterTimeout)
 		}
-		g.counted(c, total, how)
+		h.handleCounterReply(call, total, outcome)
 	})
 }
 
-// Probe asks a server for its load.
-func (g host) Probe(server uint32) {
-	at := g.now()
-	g.outside.Probe(g.servers[server], func(r Result) {
-		now := g.enter()
-		defer g.leave()
-		g.module.Probed(now, server, r.Outcome, now-at, g.fields(r.Report))
+// CheckHealth asks a server for its load.
+func (h host) CheckHealth(serverID uint32) {
+	at := h.now()
+	h.dependencies.CheckHealth(h.servers[serverID], func(result Result) {
+		now := h.lock()
+		defer h.unlock()
+		h.gateway.HandleHealthCheck(now, serverID, result.Outcome, now-at, h.checkedLoadReport(result.LoadReport))
 	})
 }
 
-// Tell reaches nobody: on sockets gateways have no way to talk to each other.
-func (g host) Tell(int, []byte) {}
+// SendPeer reaches nobody: on sockets gateways have no way to talk to each other.
+func (h host) SendPeer(int, []byte) {}
 
-// Watch asks for the list of servers again.
-func (g host) Watch() {
+// WatchEndpoints asks for the list of servers again.
+func (h host) WatchEndpoints() {
 	select {
-	case g.watch <- struct{}{}:
+	case h.watch <- struct{}{}:
 	default: // already asked for
 	}
 }
 
-// Wake asks for a call of Woke.
+// SetTimer asks for a call of Woke.
 // A token asked for again replaces its earlier wake: two of them would each be answered, and the module, which asks
 // anew at each, would run two chains of wakes from then on.
-func (g host) Wake(token uint64, after time.Duration) {
-	g.Forget(token)
-	w := &wake{at: g.now() + after, token: token}
-	g.asked[token] = w
-	heap.Push(&g.wakes, w)
+func (h host) SetTimer(token uint64, after time.Duration) {
+	h.CancelTimer(token)
+	t := &timer{dueAt: h.now() + after, token: token}
+	h.timersByToken[token] = t
+	heap.Push(&h.timers, t)
 }
 
-// Forget takes a wake back. Most tasks end long before their clients' patience: left in, their wakes would be
+// CancelTimer takes a wake back. Most tasks end long before their clients' patience: left in, their wakes would be
 // a good part of all the times that the process is woken.
-func (g host) Forget(token uint64) {
-	if w := g.asked[token]; w != nil {
-		heap.Remove(&g.wakes, w.place)
-		delete(g.asked, token)
+func (h host) CancelTimer(token uint64) {
+	if t := h.timersByToken[token]; t != nil {
+		heap.Remove(&h.timers, t.index)
+		delete(h.timersByToken, token)
 	}
 }
 
 // Log leaves a line in the log.
-func (g host) Log(line string) { g.log.Info(line) }
+func (h host) Log(line string) { h.log.Info(line) }
--- a/internal/gate/list.go
+++ b/internal/gate/list.go
@@ -11,72 +11,72 @@
 
 // Server is a server as discovery names it.
 type Server struct {
-	Name, Dial string
-	Listed     policy.Listed // its number is given here
-	mark       uint64        // of its name
+	Name, Address string
+	Endpoint      policy.Endpoint // its number is given here
+	fingerprint   uint64          // of its name
 }
 
-// List takes the servers: all of them, or those that changed. One that is gone is forgotten, and so is its number:
+// HandleEndpoints takes the servers: all of them, or those that changed. One that is gone is forgotten, and so is its number:
 // the same name later is a new server to the module.
-func (g *Gate) List(kind policy.ListKind, servers []Server) {
-	now := g.enter()
-	defer g.leave()
+func (d *Dispatcher) HandleEndpoints(kind policy.ListKind, servers []Server) {
+	now := d.lock()
+	defer d.unlock()
 	if kind == policy.ListFailed {
-		g.module.List(now, kind, nil)
+		d.gateway.HandleEndpoints(now, kind, nil)
 		return
 	}
-	left := map[string]uint32{} // names that a whole list leaves out
-	if kind != policy.ListChanges {
-		left = maps.Clone(g.numbers)
+	removed := map[string]uint32{} // names that a whole list leaves out
+	if kind != policy.ListDelta {
+		removed = maps.Clone(d.serverNumbers)
 	}
-	for _, s := range servers {
-		n, known := g.numbers[s.Name]
-		if s.Listed.Stage == policy.Gone {
+	for _, server := range servers {
+		number, known := d.serverNumbers[server.Name]
+		if server.Endpoint.State == policy.Removed {
 			if known {
-				left[s.Name] = n
+				removed[server.Name] = number
 			}
 			continue
 		}
-		delete(left, s.Name)
+		delete(removed, server.Name)
 		if !known {
-			g.named++
-			n = g.named
-			g.numbers[s.Name] = n
+			d.lastServerNumber++
+			number = d.lastServerNumber
+			d.serverNumbers[server.Name] = number
 		}
-		s.Listed.Server, s.mark = n, g.servers[n].mark
+		server.Endpoint.Server, server.fingerprint = number, d.servers[number].fingerprint
 		if !known {
-			s.mark = pool.Mark(s.Name)
+			server.fingerprint = pool.HashName(server.Name)
 		}
-		g.servers[n] = s
+		d.servers[number] = server
 	}
-	for name, n := range left {
-		delete(g.numbers, name)
-		delete(g.servers, n)
+	for name, number := range removed {
+		delete(d.serverNumbers, name)
+		delete(d.servers, number)
 	}
-	g.hand(now, kind)
-	g.recall()
+	d.updateGateway(now, kind)
+	d.cancelUnbegunAttempts()
 }
 
-// hand gives the module the servers of our part that are ready, in the order in which they were first named. To
+// updateGateway gives the module the servers of our part that are ready, in the order in which they were first named. To
 // it the others are gone: it pushes to ready ones alone, and what is out elsewhere goes on.
-func (g *Gate) hand(now time.Duration, kind policy.ListKind) {
-	numbers := slices.Sorted(maps.Keys(g.servers))
-	all := make([]pool.Server, 0, len(numbers))
-	for _, n := range numbers {
-		s := g.servers[n]
-		all = append(all, pool.Server{Mark: s.mark, Listed: s.Listed})
+func (d *Dispatcher) updateGateway(now time.Duration, kind policy.ListKind) {
+	numbers := slices.Sorted(maps.Keys(d.servers))
+	all := make([]pool.Candidate, 0, len(numbers))
+	for _, number := range numbers {
+		server := d.servers[number]
+		all = append(all, pool.Candidate{NameHash: server.fingerprint, Endpoint: server.Endpoint})
 	}
-	if g.outside.Witness != nil {
-		g.told(now, all)
+	if d.dependencies.Recorder != nil {
+		d.recordEndpoints(now, all)
 	}
-	part, sharers := g.pool.Part(now, all)
-	part = g.till.Elect(g.pool, now, part, all)
-	if kind == policy.ListChanges {
-		kind = policy.ListWhole
+	assigned, sharers := d.subset.Select(now, all)
+	assigned = d.account.AddElective(d.subset, now, assigned, all)
+	if kind == policy.ListDelta {
+		kind = policy.ListFull
 	}
-	g.module.Shared(sharers)
-	g.module.List(now, kind, part)
+	d.gateway.SetSharers(sharers)
+	d.gateway.HandleEndpoints(now, kind, assigned)
 }
 
 // Wanted is told when the list of servers is to be asked for again.
-func (g *Gate) Wanted() <-chan struct{} { return g.watch }
+func (d *Dispatcher) Wanted() <-chan struct{} { return d.watch }
--- a/internal/gate/steer_test.go
+++ b/internal/gate/steer_test.go
@@ -11,84 +11,84 @@
 	"harrierhoist/policy"
 )
 
-// halls is a gate in the first of two halls with a server each, and a witness.
-func halls(t *testing.T) *story {
+// newTwoZoneFixture is a gate in the first of two halls with a server each, and a witness.
+func newTwoZoneFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := begin(t)
-	site := policy.Deployment{Gateways: 1, Halls: 2, PushLimit: 5, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Tick:  2 * time.Millisecond,
-		Lanes: []policy.Lane{{Name: "look", SoftLimit: 600 * time.Millisecond, Patience: 2 * time.Second}},
-		Plans: []policy.Plan{{Name: "free"}}}
+	f := newFixture(t)
+	settings := policy.Settings{Gateways: 1, Zones: 2, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		ClockTick: 2 * time.Millisecond,
+		Classes:   []policy.TrafficClass{{Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second}},
+		Plans:     []policy.Plan{{Name: "free"}}}
 	var err error
-	w := witness.New([]string{"a", "b"}, 0, &site)
-	if s.g, err = New(site, 7, Outside{Witness: w}, zap.NewNop()); err != nil {
+	recorder := witness.New([]string{"a", "b"}, 0, &settings)
+	if f.dispatcher, err = New(settings, 7, Dependencies{Recorder: recorder}, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
-	s.g.List(policy.ListWhole, []Server{{Name: "s-a", Dial: "a", Listed: policy.Listed{Stage: policy.Ready}},
-		{Name: "s-b", Dial: "b", Listed: policy.Listed{Stage: policy.Ready, Hall: 1}}})
-	return s
+	f.dispatcher.HandleEndpoints(policy.ListFull, []Server{{Name: "s-a", Address: "a", Endpoint: policy.Endpoint{State: policy.Ready}},
+		{Name: "s-b", Address: "b", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}})
+	return f
 }
 
-// goes wants the next tasks pushed to a hall.
-func (s *story) goes(to string) {
-	s.Helper()
+// expectZone wants the next tasks pushed to a hall.
+func (f *fixture) expectZone(address string) {
+	f.Helper()
 	for range 5 {
-		e := s.admit(0, 0, time.Second)
-		if got := s.want(e, Push).Server.Dial; got != to {
-			s.Errorf("pushed to %s, not to %s", got, to)
+		r := f.admit(0, 0, time.Second)
+		if got := f.expectAction(r, Forward).Server.Address; got != address {
+			f.Errorf("pushed to %s, not to %s", got, address)
 		}
-		e.Report(Result{Outcome: policy.Answered})
+		r.ReportResult(Result{Outcome: policy.Answered})
 	}
 }
 
 // The gate goes by a plan for as long as its lease stands: with the first task after it, it does not, though nobody told it.
-func TestPlanEndsWithItsLease(t *testing.T) {
-	s := halls(t)
-	s.g.Steer(Steering{Weights: []float64{0, 1}}, time.Hour, Steering{Weights: []float64{1, 0}})
-	s.goes("b")
-	s.g.enter()
-	s.g.until = s.g.now() // an hour later
-	s.g.leave()
-	s.goes("a")
-	s.g.Steer(Steering{Weights: []float64{0, 1}}, 0, Steering{Weights: []float64{1, 0}}) // a lease that is over
-	s.goes("a")
+func TestSteering_endsWithItsLease(t *testing.T) {
+	f := newTwoZoneFixture(t)
+	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, time.Hour, Steering{Weights: []float64{1, 0}})
+	f.expectZone("b")
+	f.dispatcher.lock()
+	f.dispatcher.steeringExpires = f.dispatcher.now() // an hour later
+	f.dispatcher.unlock()
+	f.expectZone("a")
+	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, 0, Steering{Weights: []float64{1, 0}}) // a lease that is over
+	f.expectZone("a")
 }
 
 // What fits in no hall is rejected at once, before any push; it is told as demand, but a client's repeat is not.
-func TestWhatFitsNowhereIsRejected(t *testing.T) {
-	s := halls(t)
-	s.g.Steer(Steering{}, 0, Steering{Weights: []float64{1, 0}, Shed: 1})
-	if c := s.want(s.admit(0, 0, time.Second), Reject); c.Away != 150*time.Millisecond {
-		t.Errorf("told to stay away %v", c.Away)
+func TestSteering_shedRequestIsRejectedAtOnce(t *testing.T) {
+	f := newTwoZoneFixture(t)
+	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{1, 0}, ShedFraction: 1})
+	if decision := f.expectAction(f.admit(0, 0, time.Second), Reject); decision.RetryAfter != 150*time.Millisecond {
+		t.Errorf("told to stay away %v", decision.RetryAfter)
 	}
-	e := s.g.Admit(Task{Customer: 5, Units: 2, Width: 1, Patience: time.Second, Repeat: true})
-	s.want(e, Reject)
-	e.Gone()
+	r := f.dispatcher.Admit(RequestSpec{Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true})
+	f.expectAction(r, Reject)
+	r.Disconnect()
 	counts := map[string]uint64{}
-	s.g.Witnessed(func(name string, n uint64) { counts[name] = n })
-	if counts[witness.Let("a")] != 2000 || counts[witness.Came("a")] != 2000 || len(s.g.errands) != 0 {
-		t.Errorf("counts %v, %d errands", counts, len(s.g.errands))
+	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
+	if counts[witness.Admitted("a")] != 2000 || counts[witness.Offered("a")] != 2000 || len(f.dispatcher.requests) != 0 {
+		t.Errorf("counts %v, %d errands", counts, len(f.dispatcher.requests))
 	}
 }
 
 // The gate tells its witness of pushes by hall, and whether its own hall is lost.
-func TestWitnessIsTold(t *testing.T) {
-	s := halls(t)
-	s.g.Steer(Steering{}, 0, Steering{Weights: []float64{0, 1}})
-	s.goes("b")
-	again := s.g.Admit(Task{Customer: 5, Units: 2, Width: 1, Patience: time.Second, Repeat: true}) // no demand, but a push
-	s.want(again, Push)
-	again.Gone()
+func TestRecorder_getsAttemptsByZone(t *testing.T) {
+	f := newTwoZoneFixture(t)
+	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{0, 1}})
+	f.expectZone("b")
+	again := f.dispatcher.Admit(RequestSpec{Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true}) // no demand, but a push
+	f.expectAction(again, Forward)
+	again.Disconnect()
 	counts := map[string]uint64{}
-	s.g.Witnessed(func(name string, n uint64) { counts[name] = n })
-	if counts[witness.Pushed("a", "b")] != 12000 || counts[witness.Let("a")] != 10000 || counts[witness.Ended("a", "b", "well")] != 5 || s.g.HallLost() {
+	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
+	if counts[witness.Attempted("a", "b")] != 12000 || counts[witness.Admitted("a")] != 10000 || counts[witness.Completed("a", "b", "well")] != 5 || f.dispatcher.IsZoneLost() {
 		t.Errorf("counts %v", counts)
 	}
 }
 
 // A task that its quota lets in and that no server can take is demand, though it was never pushed; one beyond its quota
 // is none, nor is a repeat.
-func TestTurnedAwayForRoomIsDemand(t *testing.T) {
+func TestRecorder_rejectionForCapacityIsDemand(t *testing.T) {
 	for _, c := range []struct {
 		what   string
 		units  float64
@@ -101,21 +101,21 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
-			s := halls(t)
-			site := s.g.site
-			site.Plans[0].Rate, site.Plans[0].Burst = 0.01, 4
-			site.Lanes[0].SoftLimit = 50 * time.Millisecond
-			if _, err := s.g.Reshape(site); err != nil {
+			f := newTwoZoneFixture(t)
+			settings := f.dispatcher.settings
+			settings.Plans[0].Rate, settings.Plans[0].Burst = 0.01, 4
+			settings.Classes[0].LatencyObjective = 50 * time.Millisecond
+			if _, err := f.dispatcher.Reconfigure(settings); err != nil {
 				t.Fatal(err)
 			}
-			s.g.List(policy.ListWhole, nil)
+			f.dispatcher.HandleEndpoints(policy.ListFull, nil)
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
-			go s.g.Tick(ctx)
-			s.want(s.g.Admit(Task{Customer: 5, Units: c.units, Width: 1, Patience: time.Second, Repeat: c.repeat}), Reject)
+			go f.dispatcher.RunTimers(ctx)
+			f.expectAction(f.dispatcher.Admit(RequestSpec{Customer: 5, Units: c.units, GatewayCount: 1, Timeout: time.Second, Repeat: c.repeat}), Reject)
 			counts := map[string]uint64{}
-			s.g.Witnessed(func(name string, n uint64) { counts[name] = n })
-			if got := counts[witness.Let("a")]; got != c.let {
+			f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
+			if got := counts[witness.Admitted("a")]; got != c.let {
 				t.Errorf("%d thousandths of units of demand, not %d", got, c.let)
 			}
 		})
--- a/internal/gate/wakes.go
+++ b/internal/gate/wakes.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// wakes is a heap of the times at which the module wants to be woken.
-type wakes []*wake
+// timerHeap is a heap of the times at which the module wants to be woken.
+type timerHeap []*timer
 
-type wake struct {
-	at    time.Duration
+type timer struct {
+	dueAt time.Duration
 	token uint64
-	place int // in the heap
+	index int // in the heap
 }
 
-func (w wakes) Len() int           { return len(w) }
-func (w wakes) Less(i, j int) bool { return w[i].at < w[j].at }
-func (w wakes) Swap(i, j int) {
-	w[i], w[j] = w[j], w[i]
-	w[i].place, w[j].place = i, j
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
 // Push and Pop are for package heap.
-func (w *wakes) Push(x any) {
-	x.(*wake).place = len(*w)
-	*w = append(*w, x.(*wake))
+func (h *timerHeap) Push(x any) {
+	x.(*timer).index = len(*h)
+	*h = append(*h, x.(*timer))
 }
 
 // Pop takes the last.
-func (w *wakes) Pop() any {
-	last := (*w)[len(*w)-1]
-	(*w)[len(*w)-1] = nil
-	*w = (*w)[:len(*w)-1]
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	(*h)[len(*h)-1] = nil
+	*h = (*h)[:len(*h)-1]
 	return last
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -13,20 +13,20 @@
 
 // Decider is the face of the module to those who host it.
 type Decider interface {
-	Shared(by float64)
-	List(now time.Duration, kind policy.ListKind, list []policy.Listed)
-	Take(now time.Duration, t policy.Task)
-	Ended(now time.Duration, p policy.Push)
-	Lapsed(now time.Duration, task uint32)
-	Woke(now time.Duration, token uint64)
-	Counted(now time.Duration, t policy.Tally)
+	SetSharers(by float64)
+	HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint)
+	HandleRequest(now time.Duration, t policy.Request)
+	HandleAttemptResult(now time.Duration, p policy.AttemptResult)
+	HandleDisconnect(now time.Duration, task uint32)
+	HandleTimer(now time.Duration, token uint64)
+	HandleCount(now time.Duration, t policy.CountResult)
 }
 
 // Make makes a decider.
-type Make func(site policy.Deployment, seed int64, host policy.Host) (Decider, error)
+type Make func(site policy.Settings, seed int64, host policy.Host) (Decider, error)
 
 // Module makes the module itself.
-func Module(site policy.Deployment, seed int64, host policy.Host) (Decider, error) {
+func Module(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
 	return policy.New(site, seed, host)
 }
 
@@ -38,19 +38,19 @@
 
 // plain is what the three have in common.
 type plain struct {
-	site    policy.Deployment
+	site    policy.Settings
 	host    policy.Host
 	chance  *rand.Rand
 	ready   []uint32
 	out     map[uint32]int // pushes by server
 	tasks   map[uint32]*task
 	stores  map[uint64]*store
-	limited func(t policy.Task) float64 // part of the plan that a gateway may give out; 0: all is let in
+	limited func(t policy.Request) float64 // part of the plan that a gateway may give out; 0: all is let in
 	pick    func(p *plain) uint32
 }
 
 type task struct {
-	policy.Task
+	policy.Request
 	server uint32
 	pushed bool
 	over   bool
@@ -61,32 +61,32 @@
 	at   time.Duration
 }
 
-func newPlain(site policy.Deployment, seed int64, host policy.Host) *plain {
+func newPlain(site policy.Settings, seed int64, host policy.Host) *plain {
 	return &plain{site: site, host: host, chance: rand.New(rand.NewSource(seed)), out: map[uint32]int{},
 		tasks: map[uint32]*task{}, stores: map[uint64]*store{}}
 }
 
 // Random lets all in, to a server drawn at random.
-func Random(site policy.Deployment, seed int64, host policy.Host) (Decider, error) {
+func Random(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
 	p := newPlain(site, seed, host)
-	p.limited = func(policy.Task) float64 { return 0 }
+	p.limited = func(policy.Request) float64 { return 0 }
 	p.pick = (*plain).drawn
 	return p, nil
 }
 
 // Even gives each customer its even share of the limit at each gateway of its set, and pushes where it has least
 // out.
-func Even(site policy.Deployment, seed int64, host policy.Host) (Decider, error) {
+func Even(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
 	p := newPlain(site, seed, host)
-	p.limited = func(t policy.Task) float64 { return 1 / float64(max(t.Width, 1)) }
+	p.limited = func(t policy.Request) float64 { return 1 / float64(max(t.GatewayCount, 1)) }
 	p.pick = (*plain).least
 	return p, nil
 }
 
 // Bucket gives each customer its whole limit at each gateway, and pushes to the better of two drawn at random.
-func Bucket(site policy.Deployment, seed int64, host policy.Host) (Decider, error) {
+func Bucket(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
 	p := newPlain(site, seed, host)
-	p.limited = func(policy.Task) float64 { return 1 }
+	p.limited = func(policy.Request) float64 { return 1 }
 	p.pick = (*plain).two
 	return p, nil
 }
@@ -112,41 +112,41 @@
 	return best
 }
 
-// Shared tells nothing that these use.
-func (p *plain) Shared(float64) {}
+// SetSharers tells nothing that these use.
+func (p *plain) SetSharers(float64) {}
 
-// List keeps the ready ones.
-func (p *plain) List(_ time.Duration, kind policy.ListKind, list []policy.Listed) {
+// HandleEndpoints keeps the ready ones.
+func (p *plain) HandleEndpoints(_ time.Duration, kind policy.ListKind, list []policy.Endpoint) {
 	if kind == policy.ListFailed {
 		return
 	}
-	if kind != policy.ListChanges {
+	if kind != policy.ListDelta {
 		p.ready = nil
 	}
 	for _, l := range list {
 		p.ready = slices.DeleteFunc(p.ready, func(s uint32) bool { return s == l.Server })
-		if l.Stage == policy.Ready {
+		if l.State == policy.Ready {
 			p.ready = append(p.ready, l.Server)
 		}
 	}
 }
 
-// Take pushes a task or rejects it.
-func (p *plain) Take(now time.Duration, t policy.Task) {
-	j := &task{Task: t}
+// HandleRequest pushes a task or rejects it.
+func (p *plain) HandleRequest(now time.Duration, t policy.Request) {
+	j := &task{Request: t}
 	p.tasks[t.ID] = j
 	if !p.let(now, t) || len(p.ready) == 0 {
 		p.reject(j)
 		return
 	}
-	p.host.Wake(uint64(t.ID), t.Expires-now-2*p.site.Tick)
+	p.host.SetTimer(uint64(t.ID), t.Deadline-now-2*p.site.ClockTick)
 	j.server, j.pushed = p.pick(p), true
 	p.out[j.server]++
-	p.host.Push(t.ID, j.server, t.Expires)
+	p.host.Attempt(t.ID, j.server, t.Deadline)
 }
 
 // let takes a task's units from this gateway's part of the customer's store.
-func (p *plain) let(now time.Duration, t policy.Task) bool {
+func (p *plain) let(now time.Duration, t policy.Request) bool {
 	plan, part := &p.site.Plans[t.Plan], p.limited(t)
 	if part <= 0 || plan.Rate <= 0 {
 		return true
@@ -172,41 +172,41 @@
 	p.host.Reject(j.ID, 0)
 }
 
-// Ended ends a task with its one push.
-func (p *plain) Ended(_ time.Duration, e policy.Push) {
-	j := p.tasks[e.Task]
+// HandleAttemptResult ends a task with its one push.
+func (p *plain) HandleAttemptResult(_ time.Duration, e policy.AttemptResult) {
+	j := p.tasks[e.RequestID]
 	p.out[e.Server]--
 	if j == nil {
 		return
 	}
 	delete(p.tasks, j.ID)
-	p.host.Forget(uint64(j.ID))
-	if j.over || e.Done {
+	p.host.CancelTimer(uint64(j.ID))
+	if j.over || e.Final {
 		return
 	}
-	never := e.Outcome == policy.Full || e.Outcome == policy.NoConnect || e.Outcome == policy.Moot
-	if lane := p.site.Lanes[j.Lane]; never || lane.Effect == policy.Pure {
+	never := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectFailed || e.Outcome == policy.NotSent
+	if lane := p.site.Classes[j.Class]; never || lane.Effect == policy.Idempotent {
 		p.host.Reject(j.ID, 0)
 	} else {
 		p.host.Terminate(j.ID)
 	}
 }
 
-// Lapsed forgets a task whose client has gone.
-func (p *plain) Lapsed(_ time.Duration, task uint32) {
+// HandleDisconnect forgets a task whose client has gone.
+func (p *plain) HandleDisconnect(_ time.Duration, task uint32) {
 	if j := p.tasks[task]; j != nil {
 		j.over = true
 	}
 }
 
-// Woke ends a task whose time is up.
-func (p *plain) Woke(_ time.Duration, token uint64) {
+// HandleTimer ends a task whose time is up.
+func (p *plain) HandleTimer(_ time.Duration, token uint64) {
 	j := p.tasks[uint32(token)]
 	if j == nil || j.over {
 		return
 	}
 	j.over = true
-	if p.site.Lanes[j.Lane].Effect == policy.Pure {
+	if p.site.Classes[j.Class].Effect == policy.Idempotent {
 		p.host.Reject(j.ID, 0)
 	} else {
 		p.host.Terminate(j.ID)
@@ -214,5 +214,5 @@
 	p.host.Cancel(j.ID, 0)
 }
 
-// Counted is never told: none of these calls the counter.
-func (p *plain) Counted(time.Duration, policy.Tally) {}
+// HandleCount is never told: none of these calls the counter.
+func (p *plain) HandleCount(time.Duration, policy.CountResult) {}
--- a/internal/lab/counts/events.go
+++ b/internal/lab/counts/events.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-type event struct {
-	at  time.Duration
-	nth int
-	do  func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
-type events []event
+type eventQueue []scheduledEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].nth < e[j].nth
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push and Pop are for package heap.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop takes the last.
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
--- a/internal/lab/counts/fleet.go
+++ b/internal/lab/counts/fleet.go
@@ -13,238 +13,240 @@
 )
 
 const (
-	lease = 2 * time.Second        // of the table
-	lead  = 4 * time.Second        // from an entry to its edge: a lease and two waits
-	reads = 200 * time.Millisecond // between two reads of the table
+	tableLease   = 2 * time.Second        // of the table
+	switchLead   = 4 * time.Second        // from an entry to its edge: a lease and two waits
+	readInterval = 200 * time.Millisecond // between two reads of the table
 )
 
-// Plant is a bug that is planted.
-type Plant string
+// Bug is a bug that is planted.
+type Bug string
 
 // The bugs.
 const (
-	None      Plant = ""
-	NoFence   Plant = "no fence"   // a process goes by the table that it has, past its lease
-	WrongRule Plant = "wrong rule" // an answer weighs what the rule in force then says
+	NoBug        Bug = ""
+	BugNoLease   Bug = "no fence"   // a process goes by the table that it has, past its lease
+	BugWrongRule Bug = "wrong rule" // an answer weighs what the rule in force then says
 )
 
-// Fleet is the gateways, a counter, servers that always answer and the table.
-type Fleet struct {
-	chance  *rand.Rand
-	now     time.Duration
-	due     events
-	nth     int
-	counter map[uint64]float64
-	charged map[uint64]float64 // by name
-	table   counting.Table
-	fitted  map[uint64]*counting.Fitted
-	site    policy.Deployment
-	nodes   []*node
-	tasks   []*task
-	plant   Plant
-	taken   func(*node, *task) // told of each task that is taken, and of its end
-	over    func(*node, *task)
-}
-
-// task is one as the servers and the clients saw it.
-type task struct {
+// Simulation is the gateways, a counter, servers that always answer and the table.
+type Simulation struct {
+	random       *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	sequence     int
+	counter      map[uint64]float64
+	charged      map[uint64]float64 // by name
+	table        counting.Table
+	resolved     map[uint64]*counting.Resolved
+	settings     policy.Settings
+	gateways     []*gateway
+	requests     []*request
+	bug          Bug
+	onAdmission  func(*gateway, *request) // told of each task that is taken, and of its end
+	onCompletion func(*gateway, *request)
+}
+
+// request is one as the servers and the clients saw it.
+type request struct {
 	id             uint32
 	customer       uint64
-	lane           int
-	at             time.Duration // when its gateway took it
-	sent           time.Duration // when it was pushed
-	count          counting.Count
-	holds          []counting.Hold
-	pushed         bool
+	class          int
+	acceptedAt     time.Duration // when its gateway took it
+	forwardedAt    time.Duration // when it was pushed
+	assignment     counting.Assignment
+	reservations   []counting.Reservation
+	forwarded      bool
 	passed         []bool // by hold
-	finals         int
+	answers        int
 	lost           bool // its gateway died: its client saw the connection close
 	weight, billed float64
-	expires        time.Duration
+	deadline       time.Duration
 }
 
-// node is one gateway.
-type node struct {
-	*Fleet
-	module      *policy.Gateway
-	life        int
-	reading     bool // the module is being told a total
-	cut, asleep bool
-	late        []func() // what waits for it to wake
-	held        time.Duration
-	heard       bool
-	table       counting.Table
-	second      *counting.Second
-	mine        map[uint32]*task
-	file        *counting.Terms
+// gateway is one gateway.
+type gateway struct {
+	*Simulation
+	module           *policy.Gateway
+	incarnation      int
+	handlingCount    bool // the module is being told a total
+	isolated, asleep bool
+	deferred         []func() // what waits for it to wake
+	leaseEnd         time.Duration
+	hasTable         bool
+	table            counting.Table
+	admission        *counting.Admission
+	inFlight         map[uint32]*request
+	config           *counting.Config
 }
 
-func newFleet(seed uint64, d policy.Deployment, rules []counting.Rule) *Fleet {
-	f := &Fleet{chance: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, counter: map[uint64]float64{},
-		charged: map[uint64]float64{},
-		fitted:  map[uint64]*counting.Fitted{}, site: counting.Plans(d, rules), table: counting.Table{Rules: rules}}
-	for _, r := range append([]counting.Rule{{}}, rules...) {
-		f.fitted[r.Version], _ = counting.Fit(r, f.site)
+func newSimulation(seed uint64, settings policy.Settings, rules []counting.Rule) *Simulation {
+	s := &Simulation{random: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, counter: map[uint64]float64{},
+		charged:  map[uint64]float64{},
+		resolved: map[uint64]*counting.Resolved{}, settings: counting.WithRulePlans(settings, rules), table: counting.Table{Rules: rules}}
+	for _, rule := range append([]counting.Rule{{}}, rules...) {
+		s.resolved[rule.Version], _ = counting.Resolve(rule, s.settings)
 	}
-	for range d.Gateways {
-		n := &node{Fleet: f, file: &counting.Terms{Try: rules[0].Version, Rules: rules}}
-		f.nodes = append(f.nodes, n)
-		n.start()
-		f.after(0, n.read)
+	for range settings.Gateways {
+		g := &gateway{Simulation: s, config: &counting.Config{DesiredVersion: rules[0].Version, Rules: rules}}
+		s.gateways = append(s.gateways, g)
+		g.start()
+		s.after(0, g.renewLease)
 	}
-	return f
+	return s
 }
 
-func (f *Fleet) after(d time.Duration, do func()) {
-	f.nth++
-	heap.Push(&f.due, event{f.now + d, f.nth, do})
+func (s *Simulation) after(delay time.Duration, action func()) {
+	s.sequence++
+	heap.Push(&s.queue, scheduledEvent{s.now + delay, s.sequence, action})
 }
 
-func (f *Fleet) run(until time.Duration) {
-	for len(f.due) > 0 && f.due[0].at <= until {
-		e := heap.Pop(&f.due).(event)
-		f.now = e.at
-		e.do()
+func (s *Simulation) run(until time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		next := heap.Pop(&s.queue).(scheduledEvent)
+		s.now = next.at
+		next.do()
 	}
-	f.now = until
+	s.now = until
 }
 
-func (f *Fleet) some(least, most time.Duration) time.Duration {
-	return least + time.Duration(f.chance.Int64N(int64(most-least)))
+func (s *Simulation) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
 // start begins a life: nothing is remembered.
-func (n *node) start() {
-	n.life++
-	for _, t := range n.mine {
-		t.lost = true
-	}
-	n.late, n.mine, n.heard, n.held, n.table = nil, map[uint32]*task{}, false, 0, counting.Table{}
-	n.second = counting.NewSecond(n.site.Gateways)
-	n.module, _ = policy.New(n.site, int64(n.chance.Uint64()>>1), n)
-	var list []policy.Listed
+func (g *gateway) start() {
+	g.incarnation++
+	for _, request := range g.inFlight {
+		request.lost = true
+	}
+	g.deferred, g.inFlight, g.hasTable, g.leaseEnd, g.table = nil, map[uint32]*request{}, false, 0, counting.Table{}
+	g.admission = counting.NewAdmission(g.settings.Gateways)
+	g.module, _ = policy.New(g.settings, int64(g.random.Uint64()>>1), g)
+	var endpoints []policy.Endpoint
 	for i := range uint32(4) {
-		list = append(list, policy.Listed{Server: i + 1, Stage: policy.Ready})
+		endpoints = append(endpoints, policy.Endpoint{Server: i + 1, State: policy.Ready})
 	}
-	n.module.List(n.now, policy.ListWhole, list)
+	g.module.HandleEndpoints(g.now, policy.ListFull, endpoints)
 }
 
-// tell brings the node an event after a time: once it is awake, and in the same life.
-func (n *node) tell(after time.Duration, do func()) {
-	life := n.life
-	n.after(after, func() {
+// deliver brings the node an event after a time: once it is awake, and in the same life.
+func (g *gateway) deliver(delay time.Duration, action func()) {
+	incarnation := g.incarnation
+	g.after(delay, func() {
 		switch {
-		case life != n.life:
-		case n.asleep:
-			n.late = append(n.late, do)
+		case incarnation != g.incarnation:
+		case g.asleep:
+			g.deferred = append(g.deferred, action)
 		default:
-			do()
+			action()
 		}
 	})
 }
 
-func (n *node) wake() {
-	n.asleep = false
-	late := n.late
-	n.late = nil
-	for _, do := range late {
-		do()
+func (g *gateway) resume() {
+	g.asleep = false
+	deferred := g.deferred
+	g.deferred = nil
+	for _, action := range deferred {
+		action()
 	}
 }
 
-// read renews the lease: it counts from when the read was sent.
-func (n *node) read() {
-	if !n.cut && !n.asleep {
-		sent, table := n.now, n.Fleet.table
-		n.tell(n.some(time.Millisecond, 20*time.Millisecond), func() { n.heard, n.held, n.table = true, sent+lease, table })
+// renewLease renews the lease: it counts from when the read was sent.
+func (g *gateway) renewLease() {
+	if !g.isolated && !g.asleep {
+		sentAt, table := g.now, g.Simulation.table
+		g.deliver(g.between(time.Millisecond, 20*time.Millisecond), func() { g.hasTable, g.leaseEnd, g.table = true, sentAt+tableLease, table })
 	}
-	n.after(reads, n.read)
+	g.after(readInterval, g.renewLease)
 }
 
-// take is what the clerk and the gate do with a task.
-func (n *node) take(customer uint64, lane int) {
-	t := &task{id: uint32(len(n.tasks) + 1), customer: customer, lane: lane, at: n.now, expires: n.now + time.Second}
-	n.tasks = append(n.tasks, t)
-	n.tell(0, func() { n.admit(t) })
-	life := n.life
-	n.after(3*time.Second, func() { t.lost = t.lost || life != n.life })
+// accept is what the clerk and the gate do with a task.
+func (g *gateway) accept(customer uint64, lane int) {
+	request := &request{id: uint32(len(g.requests) + 1), customer: customer, class: lane, acceptedAt: g.now, deadline: g.now + time.Second}
+	g.requests = append(g.requests, request)
+	g.deliver(0, func() { g.admit(request) })
+	incarnation := g.incarnation
+	g.after(3*time.Second, func() { request.lost = request.lost || incarnation != g.incarnation })
 }
 
-func (n *node) admit(t *task) {
-	if t.at = n.now; t.expires <= t.at { // it waited while we slept
-		t.finals++
+func (g *gateway) admit(request *request) {
+	if request.acceptedAt = g.now; request.deadline <= request.acceptedAt { // it waited while we slept
+		request.answers++
 		return
 	}
-	n.mine[t.id] = t
-	standing := n.table.Standing(n.now, n.now < n.held, n.heard, n.file)
-	if n.plant == NoFence {
-		standing = []uint64{n.table.InForce(n.now)}
-	}
-	t.count = n.fitted[standing[0]].Count(t.customer, t.lane, 0)
-	t.weight = t.count.Weight
-	for _, v := range standing[1:] {
-		c := n.fitted[v].Count(t.customer, t.lane, 0)
-		t.holds = append(t.holds, n.second.Ask(c, n.site.Plans[c.Plan], 1, n.now))
-	}
-	if n.taken != nil {
-		n.taken(n, t)
-	}
-	open, pass := len(t.holds), true
-	for _, h := range t.holds {
-		n.add(h.Name, h.Units, func(total float64) {
-			passed, before := n.second.Told(h, total, true)
-			t.passed = append(t.passed, passed)
-			pass = pass && passed
-			if before != nil {
-				n.add(before.Name, 0, func(total float64) { n.add(h.Name, h.Lacks(*before, total), func(float64) {}) })
+	g.inFlight[request.id] = request
+	versions := g.table.CandidateVersions(g.now, g.now < g.leaseEnd, g.hasTable, g.config)
+	if g.bug == BugNoLease {
+		versions = []uint64{g.table.InForce(g.now)}
+	}
+	request.assignment = g.resolved[versions[0]].Assign(request.customer, request.class, 0)
+	request.weight = request.assignment.Weight
+	for _, v := range versions[1:] {
+		assignment := g.resolved[v].Assign(request.customer, request.class, 0)
+		request.reservations = append(request.reservations, g.admission.Reserve(assignment, g.settings.Plans[assignment.Plan], 1, g.now))
+	}
+	if g.onAdmission != nil {
+		g.onAdmission(g, request)
+	}
+	pending, admitted := len(request.reservations), true
+	for _, reservation := range request.reservations {
+		g.addUnits(reservation.Name, reservation.Units, func(count float64) {
+			passed, previous := g.admission.HandleCount(reservation, count, true)
+			request.passed = append(request.passed, passed)
+			admitted = admitted && passed
+			if previous != nil {
+				g.addUnits(previous.Name, 0, func(count float64) {
+					g.addUnits(reservation.Name, reservation.Deficit(*previous, count), func(float64) {})
+				})
 			}
-			if open--; open == 0 {
-				n.passed(t, pass)
+			if pending--; pending == 0 {
+				g.forward(request, admitted)
 			}
 		})
 	}
-	if open == 0 {
-		n.passed(t, true)
+	if pending == 0 {
+		g.forward(request, true)
 	}
 }
 
-func (n *node) passed(t *task, pass bool) {
-	if !pass || n.now >= t.expires {
-		n.final(t.id)
+func (g *gateway) forward(request *request, admitted bool) {
+	if !admitted || g.now >= request.deadline {
+		g.complete(request.id)
 		return
 	}
-	n.module.Take(n.now, policy.Task{ID: t.id, Lane: t.lane, Plan: t.count.Plan, Customer: t.count.Key,
-		Width: n.site.Gateways,
-		Units: t.count.Weight, Expires: t.expires})
+	g.module.HandleRequest(g.now, policy.Request{ID: request.id, Class: request.class, Plan: request.assignment.Plan, Customer: request.assignment.Key,
+		GatewayCount: g.settings.Gateways,
+		Units:        request.assignment.Weight, Deadline: request.deadline})
 }
 
-// add calls the counter.
-func (n *node) add(name uint64, units float64, told func(float64)) {
-	n.after(n.some(time.Millisecond, 3*time.Millisecond), func() {
-		n.counter[name] += units
-		n.charged[name] += units
-		total := n.counter[name]
-		n.tell(n.some(time.Millisecond, 3*time.Millisecond), func() { told(total) })
+// addUnits calls the counter.
+func (g *gateway) addUnits(name uint64, units float64, done func(float64)) {
+	g.after(g.between(time.Millisecond, 3*time.Millisecond), func() {
+		g.counter[name] += units
+		g.charged[name] += units
+		count := g.counter[name]
+		g.deliver(g.between(time.Millisecond, 3*time.Millisecond), func() { done(count) })
 	})
 }
 
-func (n *node) final(id uint32) {
-	t := n.mine[id]
-	if t == nil {
+func (g *gateway) complete(id uint32) {
+	request := g.inFlight[id]
+	if request == nil {
 		return
 	}
-	delete(n.mine, id)
-	t.finals++
-	if n.over != nil {
-		n.over(n, t)
+	delete(g.inFlight, id)
+	request.answers++
+	if g.onCompletion != nil {
+		g.onCompletion(g, request)
 	}
-	for i, h := range t.holds {
+	for i, reservation := range request.reservations {
 		used := 0.0
-		if t.pushed {
-			used = h.Units
+		if request.forwarded {
+			used = reservation.Units
 		}
-		if more := n.second.Settle(h, i < len(t.passed) && t.passed[i], used, counting.Yes); more != 0 {
-			n.add(h.Name, more, func(float64) {})
+		if correction := g.admission.Settle(reservation, i < len(request.passed) && request.passed[i], used, counting.Charged); correction != 0 {
+			g.addUnits(reservation.Name, correction, func(float64) {})
 		}
 	}
 }
--- a/internal/lab/counts/foretold.go
+++ b/internal/lab/counts/foretold.go
@@ -12,80 +12,82 @@
 
 // Forecast is what a canary foretold and what followed: parts of the sample's units let in.
 type Forecast struct {
-	Before, Told, Seen float64
-	Calls              float64 // of the play, a task of the fleet
+	Before, Forecast, Observed float64
+	Calls                      float64 // of the play, a task of the fleet
 }
 
-// Foretold plays a canary beside so many gateways with the module itself for two minutes, then switches to the rule.
+// RunForecast plays a canary beside so many gateways with the module itself for two minutes, then switches to the rule.
 // Its 300 customers come through any of them.
-func Foretold(seed uint64, gateways int, r counting.Rule) (c Forecast, err error) {
-	d := around()
-	d.Plans = []policy.Plan{{Name: "small", Rate: 0.5, Burst: 5}}
-	d.Gateways = gateways
-	f := newFleet(seed, d, []counting.Rule{r})
-	sample, err := canary.NewSample(counting.Rule{}, r, seed, 300)
+func RunForecast(seed uint64, gateways int, rule counting.Rule) (forecast Forecast, err error) {
+	settings := baseSettings()
+	settings.Plans = []policy.Plan{{Name: "small", Rate: 0.5, Burst: 5}}
+	settings.Gateways = gateways
+	s := newSimulation(seed, settings, []counting.Rule{rule})
+	sample, err := canary.NewSample(counting.Rule{}, rule, seed, 300)
 	if err != nil {
-		return c, err
+		return forecast, err
 	}
 	const customers = 300
-	pace := rand.New(rand.NewPCG(seed, 5))
-	var asked, in [2]float64
-	units := map[string]uint64{}
-	plays, own := map[*node]*canary.Play{}, 0.0
-	var run func(*node, []canary.Call)
-	run = func(n *node, all []canary.Call) {
-		for _, c := range all {
-			n.add(c.Name, c.Units, func(total float64) { run(n, plays[n].Told(n.now, c.ID, total, true)) })
+	rates := rand.New(rand.NewPCG(seed, 5))
+	var requested, admitted [2]float64
+	observed := map[string]uint64{}
+	shadows, accepted := map[*gateway]*canary.Shadow{}, 0.0
+	var perform func(*gateway, []canary.Call)
+	perform = func(g *gateway, calls []canary.Call) {
+		for _, call := range calls {
+			g.addUnits(call.Name, call.Units, func(count float64) { perform(g, shadows[g].HandleCount(g.now, call.ID, count, true)) })
 		}
 	}
-	for _, n := range f.nodes {
-		plays[n] = canary.NewPlay(sample, f.fitted[0], f.fitted[1], f.site, seed, 250)
+	for _, g := range s.gateways {
+		shadows[g] = canary.NewShadow(sample, s.resolved[0], s.resolved[1], s.settings, seed, 250)
 	}
-	f.taken = func(n *node, k *task) {
-		own++
-		if f.table.Phase == counting.Canary {
-			plays[n].Earn(12) // as much as a sample of one key in 25 would have
-			run(n, plays[n].Take(n.now, canary.Task{Customer: k.customer, Lane: k.lane, Units: 1}))
+	s.onAdmission = func(g *gateway, request *request) {
+		accepted++
+		if s.table.Phase == counting.PhaseCanary {
+			shadows[g].AddBudget(12) // as much as a sample of one key in 25 would have
+			perform(g, shadows[g].HandleRequest(g.now, canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
 		}
 	}
-	f.over = func(_ *node, k *task) {
-		if cell, ok := sample.Cell(k.customer); ok && cell >= 0 && k.at > time.Hour+40*time.Second {
-			asked[k.count.Version]++
-			if k.pushed {
-				in[k.count.Version]++
+	s.onCompletion = func(_ *gateway, request *request) {
+		if bucket, ok := sample.Bucket(request.customer); ok && bucket >= 0 && request.acceptedAt > time.Hour+40*time.Second {
+			requested[request.assignment.Version]++
+			if request.forwarded {
+				admitted[request.assignment.Version]++
 			}
 		}
 	}
-	for c := range uint64(customers) {
-		each := 2.5e9 / math.Exp(0.7*pace.NormFloat64())
-		var come func()
-		come = func() {
-			if f.now < time.Hour+240*time.Second {
-				f.nodes[f.chance.IntN(len(f.nodes))].take(c, f.chance.IntN(2))
-				f.after(time.Duration(f.chance.ExpFloat64()*each), come)
+	for customer := range uint64(customers) {
+		meanInterval := 2.5e9 / math.Exp(0.7*rates.NormFloat64())
+		var arrive func()
+		arrive = func() {
+			if s.now < time.Hour+240*time.Second {
+				s.gateways[s.random.IntN(len(s.gateways))].accept(customer, s.random.IntN(2))
+				s.after(time.Duration(s.random.ExpFloat64()*meanInterval), arrive)
 			}
 		}
-		f.after(time.Duration(f.chance.ExpFloat64()*each), come)
+		s.after(time.Duration(s.random.ExpFloat64()*meanInterval), arrive)
 	}
-	var tick func()
-	tick = func() {
-		for _, n := range f.nodes {
-			run(n, plays[n].Due(f.now))
+	var flush func()
+	flush = func() {
+		for _, g := range s.gateways {
+			perform(g, shadows[g].Flush(s.now))
 		}
-		if f.table.Phase == counting.Canary {
-			f.after(250*time.Millisecond, tick)
+		if s.table.Phase == counting.PhaseCanary {
+			s.after(250*time.Millisecond, flush)
 		}
 	}
-	f.after(11*time.Second, tick)
-	f.after(10*time.Second, func() { f.table.Phase, f.table.To = counting.Canary, 1 })
-	f.after(140*time.Second, func() { f.table.Phase, f.table.Edge = counting.Named, f.now+lead })
-	f.run(time.Hour + 250*time.Second)
-	for _, p := range plays {
-		p.Witness(func(name string, n uint64) { units[name[len("canary\x1f")+len(canary.Mark(seed))+1:]] += n })
-		c.Calls += float64(p.Calls) / own
+	s.after(11*time.Second, flush)
+	s.after(10*time.Second, func() { s.table.Phase, s.table.To = counting.PhaseCanary, 1 })
+	s.after(140*time.Second, func() { s.table.Phase, s.table.SwitchAt = counting.PhaseScheduled, s.now+switchLead })
+	s.run(time.Hour + 250*time.Second)
+	for _, shadow := range shadows {
+		shadow.Report(func(name string, count uint64) {
+			observed[name[len("canary\x1f")+len(canary.Fingerprint(seed))+1:]] += count
+		})
+		forecast.Calls += float64(shadow.Calls) / accepted
 	}
-	byOld, byNew := float64(units["both"]+units["old"]), float64(units["both"]+units["new"])
-	c.Before, c.Seen = in[0]/asked[0], in[1]/asked[1]
-	c.Told = min(c.Before*byNew/byOld, 1)
-	return c, nil
+	byOldRule, byNewRule := float64(observed["both"]+observed["old"]), float64(observed["both"]+observed["new"])
+	forecast.Before, forecast.Observed = admitted[0]/requested[0], admitted[1]/requested[1]
+	forecast.Forecast = min(forecast.Before*byNewRule/byOldRule, 1)
+	return forecast, nil
 }
--- a/internal/lab/counts/host.go
+++ b/internal/lab/counts/host.go
@@ -6,64 +6,64 @@
 	"harrierhoist/policy"
 )
 
-// Push has a server answer after 20 to 60 ms.
-func (n *node) Push(id, server uint32, _ time.Duration) {
-	t := n.mine[id]
-	if t == nil {
+// Attempt has a server answer after 20 to 60 ms.
+func (g *gateway) Attempt(id, server uint32, _ time.Duration) {
+	request := g.inFlight[id]
+	if request == nil {
 		return
 	}
-	t.pushed, t.sent = true, n.now
-	n.tell(n.some(20*time.Millisecond, 60*time.Millisecond), func() {
-		weight := t.weight
-		if n.plant == WrongRule { // what the rule in force now would have it weigh
-			weight = n.fitted[n.table.InForce(n.now)].Count(t.customer, t.lane, 0).Weight
+	request.forwarded, request.forwardedAt = true, g.now
+	g.deliver(g.between(20*time.Millisecond, 60*time.Millisecond), func() {
+		weight := request.weight
+		if g.bug == BugWrongRule { // what the rule in force now would have it weigh
+			weight = g.resolved[g.table.InForce(g.now)].Assign(request.customer, request.class, 0).Weight
 		}
-		t.billed = weight
-		n.final(id)
-		n.module.Ended(n.now, policy.Push{Task: id, Server: server, Outcome: policy.Answered,
-			Took: 40 * time.Millisecond, Done: true,
-			Billed: weight})
+		request.billed = weight
+		g.complete(id)
+		g.module.HandleAttemptResult(g.now, policy.AttemptResult{RequestID: id, Server: server, Outcome: policy.Answered,
+			Latency: 40 * time.Millisecond, Final: true,
+			ActualUnits: weight})
 	})
 }
 
 // Cancel is not needed: servers always answer.
-func (n *node) Cancel(uint32, int) {}
+func (g *gateway) Cancel(uint32, int) {}
 
 // Reject is a final answer.
-func (n *node) Reject(id uint32, _ time.Duration) { n.final(id) }
+func (g *gateway) Reject(id uint32, _ time.Duration) { g.complete(id) }
 
 // Terminate is one.
-func (n *node) Terminate(id uint32) { n.final(id) }
+func (g *gateway) Terminate(id uint32) { g.complete(id) }
 
 // Count calls the counter.
-func (n *node) Count(name uint64, _ time.Duration, units float64) {
-	at := n.now
-	if n.reading { // what a window carries over to the next is no task's
-		n.charged[name] -= units
+func (g *gateway) Count(name uint64, _ time.Duration, units float64) {
+	at := g.now
+	if g.handlingCount { // what a window carries over to the next is no task's
+		g.charged[name] -= units
 	}
-	n.add(name, units, func(total float64) {
-		n.reading = true
-		defer func() { n.reading = false }()
-		n.module.Counted(n.now, policy.Tally{Name: name, Total: total, Took: n.now - at})
+	g.addUnits(name, units, func(count float64) {
+		g.handlingCount = true
+		defer func() { g.handlingCount = false }()
+		g.module.HandleCount(g.now, policy.CountResult{Name: name, Total: count, Latency: g.now - at})
 	})
 }
 
-// Probe is not asked for.
-func (n *node) Probe(uint32) {}
+// CheckHealth is not asked for.
+func (g *gateway) CheckHealth(uint32) {}
 
-// Tell reaches nobody.
-func (n *node) Tell(int, []byte) {}
+// SendPeer reaches nobody.
+func (g *gateway) SendPeer(int, []byte) {}
 
-// Watch is not needed: the list stands.
-func (n *node) Watch() {}
+// WatchEndpoints is not needed: the list stands.
+func (g *gateway) WatchEndpoints() {}
 
-// Wake wakes the module later.
-func (n *node) Wake(token uint64, after time.Duration) {
-	n.tell(after, func() { n.module.Woke(n.now, token) })
+// SetTimer wakes the module later.
+func (g *gateway) SetTimer(token uint64, delay time.Duration) {
+	g.deliver(delay, func() { g.module.HandleTimer(g.now, token) })
 }
 
-// Forget need not be heeded.
-func (n *node) Forget(uint64) {}
+// CancelTimer need not be heeded.
+func (g *gateway) CancelTimer(uint64) {}
 
 // Log is not kept.
-func (n *node) Log(string) {}
+func (g *gateway) Log(string) {}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -23,31 +23,31 @@
 
 // Plan is a file that names what is to be played.
 type Plan struct {
-	Name     string    `toml:"name"`
-	Worlds   []string  `toml:"worlds"` // files, from the plan's own folder
-	Seeds    int       `toml:"seeds"`  // 1 to so many
-	Gateways []int     `toml:"gateways"`
-	Variants []Variant `toml:"variant"`
-	// Stories are played on each world, under the world's name and theirs; none: the worlds as they stand.
-	Stories []Story `toml:"story"`
+	Name      string    `toml:"name"`
+	Scenarios []string  `toml:"worlds"` // files, from the plan's own folder
+	Seeds     int       `toml:"seeds"`  // 1 to so many
+	Gateways  []int     `toml:"gateways"`
+	Variants  []Variant `toml:"variant"`
+	// Profiles are played on each world, under the world's name and theirs; none: the worlds as they stand.
+	Profiles []FaultProfile `toml:"story"`
 }
 
-// Story is what goes wrong in a world, in place of what its file says.
-type Story struct {
-	Name     string          `toml:"name"`
-	Load     float64         `toml:"load"`   // times the world's; 0: as it is
-	Length   world.Span      `toml:"length"` // 0: the world's
-	Troubles []world.Trouble `toml:"trouble"`
-	// Drawn is how many troubles are drawn for each seed besides, none of which loses a hall or cuts it off.
-	Drawn int `toml:"drawn"`
+// FaultProfile is what goes wrong in a world, in place of what its file says.
+type FaultProfile struct {
+	Name   string          `toml:"name"`
+	Load   float64         `toml:"load"`   // times the world's; 0: as it is
+	Length world.Span      `toml:"length"` // 0: the world's
+	Faults []world.Trouble `toml:"trouble"`
+	// DrawnFaults is how many troubles are drawn for each seed besides, none of which loses a hall or cuts it off.
+	DrawnFaults int `toml:"drawn"`
 }
 
 // Variant is a policy and what it changes of a world.
 type Variant struct {
-	Name   string `toml:"name"`
-	Policy string `toml:"policy"`
-	Pool   *bool  `toml:"pool"`
-	Common string `toml:"common"` // as a world's common.how; empty: as the world says
+	Name         string `toml:"name"`
+	Policy       string `toml:"policy"`
+	Subset       *bool  `toml:"pool"`
+	Coordination string `toml:"common"` // as a world's common.how; empty: as the world says
 }
 
 // ReadPlan reads and checks a plan.
@@ -66,7 +66,7 @@
 			all = append(all, fmt.Errorf("%s: %s", file, fmt.Sprintf(format, args...)))
 		}
 	}
-	say(len(p.Worlds) > 0, "worlds is empty")
+	say(len(p.Scenarios) > 0, "worlds is empty")
 	say(p.Seeds > 0, "seeds is %d; 1 at least", p.Seeds)
 	if len(p.Variants) == 0 {
 		for _, name := range baseline.Names {
@@ -80,34 +80,34 @@
 		}
 		say(baseline.All[v.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, v.Policy,
 			strings.Join(baseline.Names, ", "))
-		say(v.Common == "" || slices.Contains([]string{world.None, world.Own, world.All}, v.Common),
-			"variant %d: common is %q; none, own or common is allowed", i+1, v.Common)
+		say(v.Coordination == "" || slices.Contains([]string{world.None, world.Own, world.All}, v.Coordination),
+			"variant %d: common is %q; none, own or common is allowed", i+1, v.Coordination)
 		say(!seen[p.Variants[i].Name], "variant %d: %q is there twice", i+1, p.Variants[i].Name)
 		seen[p.Variants[i].Name] = true
 	}
 	for _, n := range p.Gateways {
 		say(n > 0, "gateways names %d; 1 at least", n)
 	}
-	for i, w := range p.Worlds {
-		p.Worlds[i] = filepath.Join(filepath.Dir(file), w)
+	for i, w := range p.Scenarios {
+		p.Scenarios[i] = filepath.Join(filepath.Dir(file), w)
 	}
 	return p, errors.Join(all...)
 }
 
-// Sized makes a world of another number of gateways, with servers, load, customers and counter in proportion.
-func Sized(w *world.World, gateways int) *world.World {
-	c := *w
-	if gateways <= 0 || gateways == w.Gateways.Count {
+// Scaled makes a world of another number of gateways, with servers, load, customers and counter in proportion.
+func Scaled(base *world.World, gateways int) *world.World {
+	c := *base
+	if gateways <= 0 || gateways == base.Gateways.Count {
 		return &c
 	}
-	times := float64(gateways) / float64(w.Gateways.Count)
+	times := float64(gateways) / float64(base.Gateways.Count)
 	scale := func(n int) int { return max(int(math.Round(float64(n)*times)), 1) }
 	c.Gateways.Count = gateways
-	c.Gateways.Halls = min(w.Gateways.Halls, gateways)
-	c.Servers.Count = scale(w.Servers.Count)
+	c.Gateways.Halls = min(base.Gateways.Halls, gateways)
+	c.Servers.Count = scale(base.Servers.Count)
 	c.Load.Rate *= times
 	c.Counter.Rate *= times
-	c.Plans = slices.Clone(w.Plans)
+	c.Plans = slices.Clone(base.Plans)
 	for i := range c.Plans {
 		c.Plans[i].Customers = scale(c.Plans[i].Customers)
 	}
@@ -116,39 +116,39 @@
 
 // job is one play to be done.
 type job struct {
-	world   *world.World
-	variant Variant
-	seed    uint64
+	scenario *world.World
+	variant  Variant
+	seed     uint64
 }
 
 // Run plays a plan on so many workers, and writes the results in the plan's order whatever order they end in. Done
 // is told of each, from one goroutine at a time.
-func (p *Plan) Run(workers int, out io.Writer, done func(n, of int, l *Line)) error {
+func (p *Plan) Run(workers int, out io.Writer, done func(n, of int, result *Result)) error {
 	var jobs []job
-	for _, file := range p.Worlds {
-		w, err := world.Read(file)
+	for _, file := range p.Scenarios {
+		base, err := world.Read(file)
 		if err != nil {
 			return err
 		}
 		sizes := p.Gateways
 		if len(sizes) == 0 {
-			sizes = []int{w.Gateways.Count}
+			sizes = []int{base.Gateways.Count}
 		}
 		for _, n := range sizes {
 			for _, v := range p.Variants {
 				for seed := range p.Seeds {
-					s := Sized(w, n)
-					if v.Pool != nil {
-						s.Gateways.Pool = *v.Pool
+					s := Scaled(base, n)
+					if v.Subset != nil {
+						s.Gateways.Pool = *v.Subset
 					}
-					if v.Common != "" {
-						s.Common.How = v.Common
+					if v.Coordination != "" {
+						s.Common.How = v.Coordination
 					}
-					if len(p.Stories) == 0 {
+					if len(p.Profiles) == 0 {
 						jobs = append(jobs, job{s, v, uint64(seed + 1)})
 					}
-					for i := range p.Stories {
-						t := p.Stories[i].told(s, uint64(seed+1))
+					for i := range p.Profiles {
+						t := p.Profiles[i].apply(s, uint64(seed+1))
 						if err := t.Check(file); err != nil {
 							return err
 						}
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	lines, errs := make([]*Line, len(jobs)), make([]error, len(jobs))
+	lines, errs := make([]*Result, len(jobs)), make([]error, len(jobs))
 	next := make(chan int)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -168,7 +168,7 @@
 		go func() {
 			defer wait.Done()
 			for i := range next {
-				lines[i], errs[i] = Play(jobs[i].world, jobs[i].variant.Policy, jobs[i].seed)
+				lines[i], errs[i] = RunScenario(jobs[i].scenario, jobs[i].variant.Policy, jobs[i].seed)
 				mu.Lock()
 				if ended++; lines[i] != nil {
 					lines[i].Plan, lines[i].Variant = p.Name, jobs[i].variant.Name
@@ -184,11 +184,11 @@
 	close(next)
 	wait.Wait()
 	enc := json.NewEncoder(out)
-	for i, l := range lines {
+	for i, result := range lines {
 		if errs[i] != nil {
 			return errs[i]
 		}
-		if err := enc.Encode(l); err != nil {
+		if err := enc.Encode(result); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"harrierhoist/internal/lab/world"
 )
 
-func TestAPlanGivesTheSameBytesOnAnyNumberOfWorkers(t *testing.T) {
+func TestRun_sameBytesOnAnyNumberOfWorkers(t *testing.T) {
 	var texts [2]bytes.Buffer
 	for i, workers := range []int{1, 5} {
 		p, err := ReadPlan("../../../lab/plans/smoke.toml")
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 		told := 0
-		if err := p.Run(workers, &texts[i], func(int, int, *Line) { told++ }); err != nil {
+		if err := p.Run(workers, &texts[i], func(int, int, *Result) { told++ }); err != nil {
 			t.Fatal(err)
 		}
 		if told != 4 {
@@ -32,48 +32,48 @@
 	if err := os.WriteFile(file, texts[0].Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	lines, err := ReadLines(file)
-	if err != nil || len(lines) != 4 || lines[0].Service <= 0 || len(lines[0].Seconds) != 30 {
+	lines, err := ReadResults(file)
+	if err != nil || len(lines) != 4 || lines[0].Service <= 0 || len(lines[0].Timeline) != 30 {
 		t.Errorf("%d lines read, %v", len(lines), err)
 	}
 }
 
-func TestComparingSaysWhatIsNoise(t *testing.T) {
-	var a, same, better []*Line
+func TestCompare_tellsNoise(t *testing.T) {
+	var a, same, better []*Result
 	for i, wobble := range []float64{0.01, -0.02, 0.015, -0.01, 0.02, -0.015, 0.005, -0.005} {
 		seed := uint64(i)
-		a = append(a, &Line{World: "w", Gateways: 3, Seed: seed, Service: 0.7 + 5*wobble})
-		same = append(same, &Line{World: "w", Gateways: 3, Seed: seed, Service: 0.7 + 5*wobble + wobble})
-		better = append(better, &Line{World: "w", Gateways: 3, Seed: seed, Service: 0.75 + 5*wobble + wobble})
+		a = append(a, &Result{Scenario: "w", Gateways: 3, Seed: seed, Service: 0.7 + 5*wobble})
+		same = append(same, &Result{Scenario: "w", Gateways: 3, Seed: seed, Service: 0.7 + 5*wobble + wobble})
+		better = append(better, &Result{Scenario: "w", Gateways: 3, Seed: seed, Service: 0.75 + 5*wobble + wobble})
 	}
-	if p := Compare(a, same)[0]; !p.Noise() || p.N != 8 {
+	if p := Compare(a, same)[0]; !p.IsNoise() || p.Pairs != 8 {
 		t.Errorf("noise taken for news: %+v", p)
 	}
 	// The seeds differ by more than the gain: only pairs show it.
-	if p := Compare(a, better)[0]; p.Noise() || math.Abs(p.Diff-0.05) > 0.001 {
+	if p := Compare(a, better)[0]; p.IsNoise() || math.Abs(p.Diff-0.05) > 0.001 {
 		t.Errorf("a gain of 0.05 not seen: %+v", p)
 	}
-	if pairs := Compare(a, []*Line{{World: "other", Gateways: 3}}); len(pairs) != 0 {
+	if pairs := Compare(a, []*Result{{Scenario: "other", Gateways: 3}}); len(pairs) != 0 {
 		t.Errorf("paired with another world: %+v", pairs)
 	}
 }
 
-func TestAWorldGrowsInProportion(t *testing.T) {
-	w, err := world.Read("../../../lab/worlds/calm.toml")
+func TestScaled_growsInProportion(t *testing.T) {
+	base, err := world.Read("../../../lab/worlds/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Sized(w, 300)
+	s := Scaled(base, 300)
 	if s.Servers.Count != 200 || s.Load.Rate != 7000 || s.Plans[0].Customers != 2000 || s.Counter.Rate != 9000 ||
-		w.Plans[0].Customers != 200 {
+		base.Plans[0].Customers != 200 {
 		t.Errorf("%d servers, %g tasks a second, %d customers", s.Servers.Count, s.Load.Rate, s.Plans[0].Customers)
 	}
-	if s := Sized(w, 1); s.Gateways.Halls != 1 || s.Servers.Count < 1 {
+	if s := Scaled(base, 1); s.Gateways.Halls != 1 || s.Servers.Count < 1 {
 		t.Errorf("one gateway: %d halls, %d servers", s.Gateways.Halls, s.Servers.Count)
 	}
 }
 
-func TestAWrongPlanIsRefused(t *testing.T) {
+func TestReadPlan_rejectsInvalid(t *testing.T) {
 	for _, text := range []string{"worlds = []", "worlds = [\"a.toml\"]\nseeds = 0",
 		"worlds=[\"a.toml\"]\n[[variant]]\npolicy=\"magic\"",
 		"worlds=[\"a.toml\"]\nspeed = 3", "worlds=[\"a.toml\"]\ngateways=[0]"} {
@@ -86,14 +86,14 @@
 }
 
 // Drawn days stand for days without a lost hall: they must be sound worlds, and hold nothing that loses or cuts one.
-func TestDrawnDaysLoseNoHall(t *testing.T) {
-	w, err := world.Read("../../../lab/worlds/three.toml")
+func TestDrawMildFaults_loseNoZone(t *testing.T) {
+	base, err := world.Read("../../../lab/worlds/three.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Story{Name: "day", Drawn: 3, Load: 1.5}
+	s := FaultProfile{Name: "day", DrawnFaults: 3, Load: 1.5}
 	for seed := range uint64(100) {
-		day := s.told(w, seed)
+		day := s.apply(base, seed)
 		if err := day.Check("day"); err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	if w.Load.Rate != 470 || len(w.Troubles) != 0 {
+	if base.Load.Rate != 470 || len(base.Troubles) != 0 {
 		t.Error("the world itself was changed")
 	}
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -15,8 +15,8 @@
 	"harrierhoist/internal/lab/world"
 )
 
-// goldenLine is a result as it is kept, with all its keys.
-const goldenLine = `{"plan":"p",` +
+// goldenResult is a result as it is kept, with all its keys.
+const goldenResult = `{"plan":"p",` +
 	`"world":"w","gateways":1,"servers":2,"variant":"v","seed":3,"build":"b","service":0.25,"net":0.5,"beyond":0.` +
 	`75,"refused":1,"failed":2,"failed_between":3,"failed_terminated":4,"failed_died":5,"failed_out":6,"crossed":7,"far":8,"p` +
 	`lans":9,"wrong":10,"plan_ms":[11],"held":{"Digests":12,"Merged":13,"Reads":14},"led":{"Digests":15,"Merged":16,"Reads":1` +
@@ -25,40 +25,40 @@
 	`Gain":5,"Due":6,"Pushes":7,"Crossed":8}],"troubles":[{"Kind":"kill","At":"1s","For":"2s","Part":0.5,"Size":2,"Lane":"l",` +
 	`"Plan":"p","Hall":1,"To":0}]}`
 
-// TestLine_bytesAreStable holds the kept form of results: files of earlier runs are read and compared.
-func TestLine_bytesAreStable(t *testing.T) {
+// TestResult_encodingIsStable holds the kept form of results: files of earlier runs are read and compared.
+func TestResult_encodingIsStable(t *testing.T) {
 	second := world.Span(time.Second)
-	line := Line{Plan: "p", World: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Build: "b", Service: 0.25, Net: 0.5,
-		Beyond: 0.75, Refused: 1, Failed: 2, Between: 3, Ended: 4, Died: 5, Out: 6, Crossed: 7, Far: 8, Plans: 9, Wrong: 10,
-		PlanMs: []int{11}, Held: virtual.Messages{Digests: 12, Merged: 13, Reads: 14},
-		Led: virtual.Messages{Digests: 15, Merged: 16, Reads: 17}, Length: 18, Hottest: 19, Warmest: 20, Tries: 21, Calls: 22,
-		Shakes: 23, Uneven: 24, P50: []float64{25}, P99: []float64{26}, P999: []float64{27}, Lanes: []string{"l"}, Broken: 28,
-		First: "f", Wall: 29,
-		Seconds: []virtual.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
-		Troubles: []world.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
+	line := Result{Plan: "p", Scenario: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Revision: "b", Service: 0.25, Net: 0.5,
+		OverQuota: 0.75, Rejected: 1, Failed: 2, FailedBetween: 3, FailedTerminated: 4, FailedWithGateway: 5, FailedInFlight: 6, CrossZone: 7, CrossRegion: 8, Plans: 9, WrongPlans: 10,
+		FailoverMs: []int{11}, VoterMessages: virtual.Messages{Digests: 12, Merged: 13, Reads: 14},
+		LeaderMessages: virtual.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
+		Handshakes: 23, LoadDeviation: 24, P50: []float64{25}, P99: []float64{26}, P999: []float64{27}, Classes: []string{"l"}, Violations: 28,
+		FirstViolation: "f", WallSeconds: 29,
+		Timeline: []virtual.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
+		Faults: []world.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
 			Plan: "p"}}}
 	got, err := json.Marshal(line)
-	if d := cmp.Diff(goldenLine, string(got)); d != "" || err != nil {
+	if d := cmp.Diff(goldenResult, string(got)); d != "" || err != nil {
 		t.Errorf("%v %s", err, d)
 	}
-	if got, err = json.Marshal(Line{}); err != nil {
+	if got, err = json.Marshal(Result{}); err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(goldenEmptyLine, string(got)); d != "" {
+	if d := cmp.Diff(goldenEmptyResult, string(got)); d != "" {
 		t.Error(d)
 	}
-	var read Line
-	if err := json.Unmarshal([]byte(goldenLine), &read); err != nil {
+	var read Result
+	if err := json.Unmarshal([]byte(goldenResult), &read); err != nil {
 		t.Fatal(err)
 	}
-	read.Wall = line.Wall
+	read.WallSeconds = line.WallSeconds
 	if d := cmp.Diff(line, read); d != "" {
 		t.Error(d)
 	}
 }
 
-// goldenEmptyLine is a result with nothing in it.
-const goldenEmptyLine = `{"world":"",` +
+// goldenEmptyResult is a result with nothing in it.
+const goldenEmptyResult = `{"world":"",` +
 	`"gateways":0,"servers":0,"variant":"","seed":0,"build":"","service":0,"net":0,"beyond":0,"refused":0,"failed` +
 	`":0,"failed_between":0,"failed_terminated":0,"failed_died":0,"failed_out":0,"crossed":0,"far":0,"held":{"Digests":0,"Mer` +
 	`ged":0,"Reads":0},"led":{"Digests":0,"Merged":0,"Reads":0},"length_s":0,"hottest":0,"warmest":0,"tries":0,"calls":0,"han` +
@@ -71,31 +71,31 @@
 func TestDraws_areStable(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range []string{"calm", "three"} {
-		w, err := world.Read("../../../lab/worlds/" + name + ".toml")
+		base, err := world.Read("../../../lab/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for seed := range uint64(20) {
-			day, err := json.Marshal(Day(w, seed, 5))
+			day, err := json.Marshal(DrawMildFaults(base, seed, 5))
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(sum, "%s\n", day)
 		}
 	}
-	chance := rand.New(rand.NewPCG(2026, 43))
+	random := rand.New(rand.NewPCG(2026, 43))
 	for range 10 {
 		var values []float64
-		var a, b []*Line
+		var a, b []*Result
 		for seed := range uint64(8) {
-			values = append(values, chance.NormFloat64())
-			a = append(a, &Line{World: "w", Seed: seed, Service: chance.Float64(), Net: chance.Float64()})
-			b = append(b, &Line{World: "w", Seed: seed, Service: chance.Float64(), Net: chance.Float64(), Broken: 1})
+			values = append(values, random.NormFloat64())
+			a = append(a, &Result{Scenario: "w", Seed: seed, Service: random.Float64(), Net: random.Float64()})
+			b = append(b, &Result{Scenario: "w", Seed: seed, Service: random.Float64(), Net: random.Float64(), Violations: 1})
 		}
-		low, high := Interval(values)
+		low, high := ConfidenceInterval(values)
 		fmt.Fprintln(sum, low, high)
 		for _, p := range Compare(a, b) {
-			fmt.Fprintln(sum, p.World, p.Gateways, p.Figure, p.N, p.A, p.B, p.Diff, p.Low, p.High, p.Noise())
+			fmt.Fprintln(sum, p.Scenario, p.Gateways, p.Metric, p.Pairs, p.MeanA, p.MeanB, p.Diff, p.Low, p.High, p.IsNoise())
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != goldenDraws {
--- a/internal/lab/experiment/story.go
+++ b/internal/lab/experiment/story.go
@@ -7,8 +7,8 @@
 	"harrierhoist/internal/lab/world"
 )
 
-// mild are the troubles that a day without a lost hall may have, and the largest part that each strikes.
-var mild = []struct {
+// mildFaults are the troubles that a day without a lost hall may have, and the largest part that each strikes.
+var mildFaults = []struct {
 	kind       string
 	part, size float64
 }{
@@ -29,14 +29,14 @@
 	{"leader_lost", 0, 0},
 }
 
-// Day draws so many mild troubles for a world: the same seed gives the same day at any size.
-func Day(w *world.World, seed uint64, n int) []world.Trouble {
-	chance := rand.New(rand.NewPCG(seed, 77))
-	length := w.Length.D()
+// DrawMildFaults draws so many mild troubles for a world: the same seed gives the same day at any size.
+func DrawMildFaults(base *world.World, seed uint64, n int) []world.Trouble {
+	random := rand.New(rand.NewPCG(seed, 77))
+	length := base.Length.D()
 	var all []world.Trouble
 	for range n {
-		m := mild[chance.IntN(len(mild))]
-		at, long, part, size := chance.Float64(), chance.Float64(), chance.Float64(), chance.Float64()
+		m := mildFaults[random.IntN(len(mildFaults))]
+		at, long, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
 		t := world.Trouble{Kind: m.kind, At: world.Span(float64(length) * (0.1 + 0.6*at)),
 			For:  world.Span(float64(length) * (0.05 + 0.25*long)),
 			Part: m.part * part, Size: m.size * size}
@@ -48,16 +48,16 @@
 	return all
 }
 
-// told makes the world of a story.
-func (s *Story) told(w *world.World, seed uint64) *world.World {
-	c := *w
-	c.Name += ": " + s.Name
-	if s.Load > 0 {
-		c.Load.Rate *= s.Load
+// apply makes the world of a story.
+func (p *FaultProfile) apply(base *world.World, seed uint64) *world.World {
+	c := *base
+	c.Name += ": " + p.Name
+	if p.Load > 0 {
+		c.Load.Rate *= p.Load
 	}
-	if s.Length > 0 {
-		c.Length = s.Length
+	if p.Length > 0 {
+		c.Length = p.Length
 	}
-	c.Troubles = append(slices.Clone(s.Troubles), Day(&c, seed, s.Drawn)...)
+	c.Troubles = append(slices.Clone(p.Faults), DrawMildFaults(&c, seed, p.DrawnFaults)...)
 	return &c
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -54,7 +54,7 @@
 // Task is a try as its client sent it. Key is common to a request's tries; 0: none.
 type Task struct {
 	ID, Key, Customer uint64
-	Lane              policy.Lane
+	Lane              policy.TrafficClass
 	Plan, Gateway     int
 	Units             float64
 	Taken, Expires    time.Duration
@@ -198,7 +198,7 @@
 }
 
 // Told tells that a gateway was told a server's stage.
-func (l *Ledger) Told(at time.Duration, gateway int, server uint32, stage policy.Stage) {
+func (l *Ledger) Told(at time.Duration, gateway int, server uint32, stage policy.EndpointState) {
 	l.now = at
 	t := told{gateway, server}
 	if stage == policy.Ready {
@@ -239,7 +239,7 @@
 	e.inside = p.Rate <= 0 || s.left >= e.Units
 	if !e.inside {
 		l.Beyond += e.Units
-		l.BeyondGain += e.Lane.Gain * p.Price * e.Units * p.OverCost
+		l.BeyondGain += e.Lane.Weight * p.Price * e.Units * p.OverQuotaCost
 	} else if p.Rate > 0 {
 		s.left -= e.Units
 	}
@@ -275,12 +275,12 @@
 	}
 	e.ran++
 	switch e.Lane.Effect {
-	case policy.Effectful:
+	case policy.NonIdempotent:
 		if e.ran > 1 {
 			l.breach(Breach{Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
 				What: fmt.Sprintf("run %d of an effectful task", e.ran)})
 		}
-	case policy.Receipted:
+	case policy.Keyed:
 		if first, done := l.keys[e.Key]; done {
 			l.breach(Breach{Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
 				What: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds())})
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -143,9 +143,9 @@
 	}
 	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", me), "listen": listen, "discovery": l.Discovery.Addr, "counter": counter,
 		"seed": fmt.Sprintf("%016x", w.Seed*1000+uint64(me)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
-		"settings": map[string]any{"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyHall, "Dcs": halls, "Models": []string{"std"},
+		"settings": map[string]any{"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": halls, "Models": []string{"std"},
 			"TickMs": 2, "RequestClasses": lanes, "TiersOfService": plans,
-			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Limit), "Settles": true, "MostUnits": d.MostUnits},
+			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
 			"Rules": map[string]any{"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.ColdFrom, "WarmAfterMs": ms(w.Servers.WarmAfter),
 				"FallMultiple": w.Rules.FallMultiple, "TipAfterMs": ms(w.Rules.TipAfter), "AnswerSlackMs": ms(w.Rules.AnswerSlack)},
 			"PolicyLimits": map[string]any{"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.Pushes,
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -231,7 +231,7 @@
 	if d.Book != nil {
 		d.Book.Note(func(l *ledger.Ledger, at time.Duration) {
 			site := d.World.Deployment(0)
-			l.Taken(ledger.Task{ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Lanes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
+			l.Taken(ledger.Task{ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
 				Expires: at + left})
 		})
 	}
@@ -275,7 +275,7 @@
 		c := list[len(list)-1]
 		d.idle[addr] = list[:len(list)-1]
 		d.mu.Unlock()
-		if c.Quiet() {
+		if c.IsQuiet() {
 			return c, nil
 		}
 		_ = c.Close()
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -18,24 +18,24 @@
 	"harrierhoist/internal/lab/experiment"
 )
 
-// Charts writes the charts into a folder and gives their names.
-func Charts(dir string, lines []*experiment.Line) ([]string, error) {
+// WriteCharts writes the charts into a folder and gives their names.
+func WriteCharts(dir string, results []*experiment.Result) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
 	var names []string
-	byWorld := map[string][][]*experiment.Line{}
+	byWorld := map[string][][]*experiment.Result{}
 	var order []string
-	for _, g := range groups(lines) {
-		key := fmt.Sprintf("%s-%d", g[0].World, g[0].Gateways)
+	for _, runs := range groupRuns(results) {
+		key := fmt.Sprintf("%s-%d", runs[0].Scenario, runs[0].Gateways)
 		if byWorld[key] == nil {
 			order = append(order, key)
 		}
-		byWorld[key] = append(byWorld[key], g)
+		byWorld[key] = append(byWorld[key], runs)
 	}
 	for _, key := range order {
-		for name, draw := range map[string]func([][]*experiment.Line) (*plot.Plot, error){"service": overTime,
-			"times": times, "units": units} {
+		for name, draw := range map[string]func([][]*experiment.Result) (*plot.Plot, error){"service": serviceOverTime,
+			"times": answerTimes, "units": overQuotaUnits} {
 			p, err := draw(byWorld[key])
 			if err != nil {
 				return nil, err
@@ -47,7 +47,7 @@
 			names = append(names, file)
 		}
 	}
-	p, err := sizes(groups(lines))
+	p, err := byGatewayCount(groupRuns(results))
 	if err != nil {
 		return nil, err
 	}
@@ -62,13 +62,13 @@
 	return names, nil
 }
 
-// overTime draws the part of the due gain that is served, second by second, with troubles shaded.
-func overTime(gs [][]*experiment.Line) (*plot.Plot, error) {
+// serviceOverTime draws the part of the due gain that is served, second by second, with troubles shaded.
+func serviceOverTime(groups [][]*experiment.Result) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: service over time", gs[0][0].World, gs[0][0].Gateways)
+	p.Title.Text = fmt.Sprintf("%s, %d gateways: service over time", groups[0][0].Scenario, groups[0][0].Gateways)
 	p.X.Label.Text, p.Y.Label.Text = "second", "gain served over due"
 	p.Y.Min, p.Y.Max = 0, 1.2
-	for _, t := range gs[0][0].Troubles {
+	for _, t := range groups[0][0].Faults {
 		from, to := t.At.D().Seconds(), max((t.At+t.For).D().Seconds(), t.At.D().Seconds()+0.2)
 		shade, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: 1.2}, {X: from, Y: 1.2}})
 		if err != nil {
@@ -77,13 +77,13 @@
 		shade.Color, shade.LineStyle.Width = color.RGBA{R: 230, G: 190, B: 150, A: 90}, 0
 		p.Add(shade)
 	}
-	for i, g := range gs {
+	for i, runs := range groups {
 		points := plotter.XYs{}
-		for s := range g[0].Seconds {
+		for s := range runs[0].Timeline {
 			gain, due := 0.0, 0.0
-			for _, l := range g {
-				if s < len(l.Seconds) {
-					gain, due = gain+l.Seconds[s].Gain, due+l.Seconds[s].Due
+			for _, result := range runs {
+				if s < len(result.Timeline) {
+					gain, due = gain+result.Timeline[s].Gain, due+result.Timeline[s].Due
 				}
 			}
 			if due > 0 {
@@ -96,47 +96,47 @@
 		}
 		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(g[0].Variant, line)
+		p.Legend.Add(runs[0].Variant, line)
 	}
 	return p, nil
 }
 
-// times draws the percentiles of answer times.
-func times(gs [][]*experiment.Line) (*plot.Plot, error) {
+// answerTimes draws the percentiles of answer times.
+func answerTimes(groups [][]*experiment.Result) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: answer times", gs[0][0].World, gs[0][0].Gateways)
+	p.Title.Text = fmt.Sprintf("%s, %d gateways: answer times", groups[0][0].Scenario, groups[0][0].Gateways)
 	p.Y.Label.Text = "ms, slowest lane"
 	names := []string{"p50", "p99", "p99.9"}
 	width := vg.Points(14)
-	for i, g := range gs {
+	for i, runs := range groups {
 		values := plotter.Values{
-			meanOf(g, func(l *experiment.Line) float64 { return slices.Max(l.P50) }),
-			meanOf(g, func(l *experiment.Line) float64 { return slices.Max(l.P99) }),
-			meanOf(g, func(l *experiment.Line) float64 { return slices.Max(l.P999) })}
+			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P50) }),
+			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P99) }),
+			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P999) })}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
 			return nil, err
 		}
 		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
-		bars.Offset = width * vg.Length(float64(i)-float64(len(gs)-1)/2)
+		bars.Offset = width * vg.Length(float64(i)-float64(len(groups)-1)/2)
 		p.Add(bars)
-		p.Legend.Add(g[0].Variant, bars)
+		p.Legend.Add(runs[0].Variant, bars)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.NominalX(names...)
 	return p, nil
 }
 
-// units draws what was sent on beyond quotas.
-func units(gs [][]*experiment.Line) (*plot.Plot, error) {
+// overQuotaUnits draws what was sent on beyond quotas.
+func overQuotaUnits(groups [][]*experiment.Result) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: units beyond quotas", gs[0][0].World, gs[0][0].Gateways)
+	p.Title.Text = fmt.Sprintf("%s, %d gateways: units beyond quotas", groups[0][0].Scenario, groups[0][0].Gateways)
 	p.Y.Label.Text = "part of the units sent on"
 	var names []string
 	var values plotter.Values
-	for _, g := range gs {
-		names = append(names, g[0].Variant)
-		values = append(values, meanOf(g, func(l *experiment.Line) float64 { return l.Beyond }))
+	for _, runs := range groups {
+		names = append(names, runs[0].Variant)
+		values = append(values, meanOf(runs, func(result *experiment.Result) float64 { return result.OverQuota }))
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(24))
 	if err != nil {
@@ -148,19 +148,19 @@
 	return p, nil
 }
 
-// sizes draws the net service against the number of gateways, where there are several.
-func sizes(gs [][]*experiment.Line) (*plot.Plot, error) {
+// byGatewayCount draws the net service against the number of gateways, where there are several.
+func byGatewayCount(groups [][]*experiment.Result) (*plot.Plot, error) {
 	by := map[string]plotter.XYs{}
 	var order []string
 	most := map[int]bool{}
-	for _, g := range gs {
-		key := g[0].World + " " + g[0].Variant
+	for _, runs := range groups {
+		key := runs[0].Scenario + " " + runs[0].Variant
 		if by[key] == nil {
 			order = append(order, key)
 		}
-		most[g[0].Gateways] = true
-		by[key] = append(by[key], plotter.XY{X: float64(g[0].Gateways), Y: meanOf(g,
-			func(l *experiment.Line) float64 { return l.Net })})
+		most[runs[0].Gateways] = true
+		by[key] = append(by[key], plotter.XY{X: float64(runs[0].Gateways), Y: meanOf(runs,
+			func(result *experiment.Result) float64 { return result.Net })})
 	}
 	if len(most) < 2 {
 		return nil, nil
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -9,14 +9,14 @@
 	"harrierhoist/internal/lab/experiment"
 )
 
-// Failover writes what became of plans, where any were written: a row a world, size and variant, over all seeds.
-func Failover(out io.Writer, lines []*experiment.Line) {
+// WriteFailover writes what became of plans, where any were written: a row a world, size and variant, over all seeds.
+func WriteFailover(out io.Writer, results []*experiment.Result) {
 	begun := false
-	for _, g := range groups(lines) {
+	for _, runs := range groupRuns(results) {
 		plans, wrong := 0, 0
 		var ms []int
-		for _, l := range g {
-			plans, wrong, ms = plans+l.Plans, wrong+l.Wrong, append(ms, l.PlanMs...)
+		for _, result := range runs {
+			plans, wrong, ms = plans+result.Plans, wrong+result.WrongPlans, append(ms, result.FailoverMs...)
 		}
 		if plans == 0 {
 			continue
@@ -33,17 +33,17 @@
 		if n := len(ms); n > 0 {
 			p50, p99 = fmt.Sprint(ms[(n-1)/2]), fmt.Sprint(ms[(n-1)*99/100])
 		}
-		fmt.Fprintf(out, "| %s | %d | %s | %d | %d | %d | %d | %s | %s | %.0f | %.0f | %.0f | %.0f | %.0f |\n", g[0].World,
-			g[0].Gateways, g[0].Variant, len(g), plans,
-			wrong, len(ms), p50, p99, rate(g, func(l *experiment.Line) int { return l.Held.Digests }),
-			rate(g, func(l *experiment.Line) int { return l.Led.Digests }),
-			rate(g, func(l *experiment.Line) int { return l.Held.Reads }),
-			rate(g, func(l *experiment.Line) int { return l.Led.Reads }),
-			rate(g, func(l *experiment.Line) int { return l.Led.Merged }))
+		fmt.Fprintf(out, "| %s | %d | %s | %d | %d | %d | %d | %s | %s | %.0f | %.0f | %.0f | %.0f | %.0f |\n", runs[0].Scenario,
+			runs[0].Gateways, runs[0].Variant, len(runs), plans,
+			wrong, len(ms), p50, p99, meanRate(runs, func(result *experiment.Result) int { return result.VoterMessages.Digests }),
+			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Digests }),
+			meanRate(runs, func(result *experiment.Result) int { return result.VoterMessages.Reads }),
+			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Reads }),
+			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Merged }))
 	}
 }
 
-// rate is the mean of a count, a second of the world.
-func rate(g []*experiment.Line, of func(*experiment.Line) int) float64 {
-	return meanOf(g, func(l *experiment.Line) float64 { return float64(of(l)) / l.Length })
+// meanRate is the mean of a count, a second of the world.
+func meanRate(runs []*experiment.Result, of func(*experiment.Result) int) float64 {
+	return meanOf(runs, func(result *experiment.Result) float64 { return float64(of(result)) / result.LengthSeconds })
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -13,87 +13,87 @@
 // columns are the figures of a table, means over seeds. Those that failed stand by what ended them.
 var columns = []struct {
 	name, form string
-	of         func(*experiment.Line) float64
+	of         func(*experiment.Result) float64
 }{
-	{"service", "%.3f", func(l *experiment.Line) float64 { return l.Service }},
-	{"net", "%.3f", func(l *experiment.Line) float64 { return l.Net }},
-	{"beyond", "%.3f", func(l *experiment.Line) float64 { return l.Beyond }},
-	{"refused", "%.3f", func(l *experiment.Line) float64 { return l.Refused }},
-	{"out of time between tries", "%.3f", func(l *experiment.Line) float64 { return l.Between }},
-	{"terminated", "%.3f", func(l *experiment.Line) float64 { return l.Ended }},
-	{"gateway died", "%.3f", func(l *experiment.Line) float64 { return l.Died }},
-	{"out of time while out", "%.3f", func(l *experiment.Line) float64 { return l.Out }},
-	{"tries", "%.2f", func(l *experiment.Line) float64 { return l.Tries }},
-	{"calls", "%.2f", func(l *experiment.Line) float64 { return l.Calls }},
-	{"handshakes", "%.2f", func(l *experiment.Line) float64 { return l.Shakes }},
-	{"between halls", "%.3f", func(l *experiment.Line) float64 { return l.Crossed }},
-	{"between regions", "%.3f", func(l *experiment.Line) float64 { return l.Far }},
-	{"hottest hall", "%.2f", func(l *experiment.Line) float64 { return l.Hottest }},
-	{"over 5 s", "%.2f", func(l *experiment.Line) float64 { return l.Warmest }},
-	{"uneven", "%.2f", func(l *experiment.Line) float64 { return l.Uneven }},
-	{"p50 ms", "%.0f", func(l *experiment.Line) float64 { return slices.Max(l.P50) }},
-	{"p99 ms", "%.0f", func(l *experiment.Line) float64 { return slices.Max(l.P99) }},
+	{"service", "%.3f", func(result *experiment.Result) float64 { return result.Service }},
+	{"net", "%.3f", func(result *experiment.Result) float64 { return result.Net }},
+	{"beyond", "%.3f", func(result *experiment.Result) float64 { return result.OverQuota }},
+	{"refused", "%.3f", func(result *experiment.Result) float64 { return result.Rejected }},
+	{"out of time between tries", "%.3f", func(result *experiment.Result) float64 { return result.FailedBetween }},
+	{"terminated", "%.3f", func(result *experiment.Result) float64 { return result.FailedTerminated }},
+	{"gateway died", "%.3f", func(result *experiment.Result) float64 { return result.FailedWithGateway }},
+	{"out of time while out", "%.3f", func(result *experiment.Result) float64 { return result.FailedInFlight }},
+	{"tries", "%.2f", func(result *experiment.Result) float64 { return result.Tries }},
+	{"calls", "%.2f", func(result *experiment.Result) float64 { return result.CounterCalls }},
+	{"handshakes", "%.2f", func(result *experiment.Result) float64 { return result.Handshakes }},
+	{"between halls", "%.3f", func(result *experiment.Result) float64 { return result.CrossZone }},
+	{"between regions", "%.3f", func(result *experiment.Result) float64 { return result.CrossRegion }},
+	{"hottest hall", "%.2f", func(result *experiment.Result) float64 { return result.PeakUtilisation }},
+	{"over 5 s", "%.2f", func(result *experiment.Result) float64 { return result.PeakUtilisationOver5s }},
+	{"uneven", "%.2f", func(result *experiment.Result) float64 { return result.LoadDeviation }},
+	{"p50 ms", "%.0f", func(result *experiment.Result) float64 { return slices.Max(result.P50) }},
+	{"p99 ms", "%.0f", func(result *experiment.Result) float64 { return slices.Max(result.P99) }},
 }
 
-// Table writes results as a table: a row a world, size and variant, means over seeds.
-func Table(out io.Writer, lines []*experiment.Line) {
+// WriteTable writes results as a table: a row a world, size and variant, means over seeds.
+func WriteTable(out io.Writer, results []*experiment.Result) {
 	fmt.Fprint(out, "| world | gateways | variant | seeds |")
 	for _, c := range columns {
 		fmt.Fprintf(out, " %s |", c.name)
 	}
 	fmt.Fprintf(out, " rules broken |\n%s\n", strings.Repeat("| --- ", len(columns)+5)+"|")
-	for _, g := range groups(lines) {
-		l := g[0]
-		fmt.Fprintf(out, "| %s | %d | %s | %d |", l.World, l.Gateways, l.Variant, len(g))
+	for _, runs := range groupRuns(results) {
+		result := runs[0]
+		fmt.Fprintf(out, "| %s | %d | %s | %d |", result.Scenario, result.Gateways, result.Variant, len(runs))
 		for _, c := range columns {
-			fmt.Fprintf(out, " "+c.form+" |", meanOf(g, c.of))
+			fmt.Fprintf(out, " "+c.form+" |", meanOf(runs, c.of))
 		}
 		broken := 0
-		for _, m := range g {
-			broken += m.Broken
+		for _, m := range runs {
+			broken += m.Violations
 		}
 		fmt.Fprintf(out, " %d |\n", broken)
 	}
 }
 
-// Compared writes pairs as a table, and says plainly what is noise.
-func Compared(out io.Writer, pairs []experiment.Pair) {
+// WriteComparisons writes pairs as a table, and says plainly what is noise.
+func WriteComparisons(out io.Writer, pairs []experiment.Comparison) {
 	fmt.Fprintln(out, "| world | gateways | figure | pairs | A | B | B - A | 95% interval | says |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range pairs {
 		says := "more"
 		switch {
-		case p.N < 2:
+		case p.Pairs < 2:
 			says = "one pair shows nothing"
-		case p.Noise():
+		case p.IsNoise():
 			says = "noise"
 		case p.Diff < 0:
 			says = "less"
 		}
-		fmt.Fprintf(out, "| %s | %d | %s | %d | %.4f | %.4f | %+.4f | %+.4f to %+.4f | %s |\n", p.World,
-			p.Gateways, p.Figure, p.N, p.A, p.B, p.Diff, p.Low, p.High, says)
+		fmt.Fprintf(out, "| %s | %d | %s | %d | %.4f | %.4f | %+.4f | %+.4f to %+.4f | %s |\n", p.Scenario,
+			p.Gateways, p.Metric, p.Pairs, p.MeanA, p.MeanB, p.Diff, p.Low, p.High, says)
 	}
 }
 
-// groups are the results of one world, size and variant each, in the order in which they first came.
-func groups(lines []*experiment.Line) [][]*experiment.Line {
+// groupRuns are the results of one world, size and variant each, in the order in which they first came.
+func groupRuns(results []*experiment.Result) [][]*experiment.Result {
 	at := map[string]int{}
-	var all [][]*experiment.Line
-	for _, l := range lines {
-		key := fmt.Sprint(l.World, "/", l.Gateways, "/", l.Variant)
+	var all [][]*experiment.Result
+	for _, result := range results {
+		key := fmt.Sprint(result.Scenario, "/", result.Gateways, "/", result.Variant)
 		if _, seen := at[key]; !seen {
 			at[key] = len(all)
 			all = append(all, nil)
 		}
-		all[at[key]] = append(all[at[key]], l)
+		all[at[key]] = append(all[at[key]], result)
 	}
 	return all
 }
 
-func meanOf(g []*experiment.Line, of func(*experiment.Line) float64) float64 {
+func meanOf(runs []*experiment.Result, of func(*experiment.Result) float64) float64 {
 	sum := 0.0
-	for _, l := range g {
-		sum += of(l)
+	for _, result := range runs {
+		sum += of(result)
 	}
-	return sum / float64(len(g))
+	return sum / float64(len(runs))
 }
--- a/internal/lab/search/found_test.go
+++ b/internal/lab/search/found_test.go
@@ -7,27 +7,27 @@
 	"harrierhoist/internal/lab/world"
 )
 
-// found plays a schedule and shrinks it.
-func found(t *testing.T, w *world.World, troubles []world.Trouble) (*Found, int) {
+// shrinkFaults plays a schedule and shrinks it.
+func shrinkFaults(t *testing.T, base *world.World, troubles []world.Trouble) (*Finding, int) {
 	t.Helper()
-	calm, err := experiment.Play(w, "module", 1)
+	baseline, err := experiment.RunScenario(base, "module", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	plays := 0
-	play := func(troubles []world.Trouble) (*Found, error) {
+	play := func(troubles []world.Trouble) (*Finding, error) {
 		plays++
-		c := *w
+		c := *base
 		c.Troubles = troubles
-		l, err := experiment.Play(&c, "module", 1)
-		return &Found{World: &c, Line: l, Loss: calm.Net - l.Net}, err
+		l, err := experiment.RunScenario(&c, "module", 1)
+		return &Finding{Scenario: &c, Result: l, Loss: baseline.Net - l.Net}, err
 	}
-	f, err := play(troubles)
+	finding, err := play(troubles)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err = shrink(f, play); err != nil {
+	if finding, err = shrink(finding, play); err != nil {
 		t.Fatal(err)
 	}
-	return f, plays
+	return finding, plays
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -11,53 +11,53 @@
 	"harrierhoist/internal/lab/world"
 )
 
-// Found is a schedule and what it does.
-type Found struct {
-	World  *world.World
-	Line   *experiment.Line
-	Loss   float64 // net service lost against the same world without troubles
-	Plays  int     // that the search took
-	Shrunk int     // troubles that were taken out again
+// Finding is a schedule and what it does.
+type Finding struct {
+	Scenario      *world.World
+	Result        *experiment.Result
+	Loss          float64 // net service lost against the same world without troubles
+	Runs          int     // that the search took
+	RemovedFaults int     // troubles that were taken out again
 }
 
-// Worse orders what was found: a broken rule before any loss.
-func (f *Found) Worse(g *Found) bool {
-	if (f.Line.Broken > 0) != (g.Line.Broken > 0) {
-		return f.Line.Broken > 0
+// IsWorseThan orders what was found: a broken rule before any loss.
+func (finding *Finding) IsWorseThan(other *Finding) bool {
+	if (finding.Result.Violations > 0) != (other.Result.Violations > 0) {
+		return finding.Result.Violations > 0
 	}
-	return f.Loss > g.Loss
+	return finding.Loss > other.Loss
 }
 
-// Search draws schedules of up to so many troubles and keeps the worst. Tell is told of each that is worse than all
+// Run draws schedules of up to so many troubles and keeps the worst. Tell is told of each that is worse than all
 // before it.
-func Search(w *world.World, seed uint64, tries, most int, policy string, tell func(*Found)) (*Found, error) {
-	chance := rand.New(rand.NewPCG(seed, 77))
-	plain := *w
+func Run(base *world.World, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
+	random := rand.New(rand.NewPCG(seed, 77))
+	plain := *base
 	plain.Troubles = nil
-	calm, err := experiment.Play(&plain, policy, seed)
+	baseline, err := experiment.RunScenario(&plain, policy, seed)
 	if err != nil {
 		return nil, err
 	}
 	plays := 1
-	play := func(troubles []world.Trouble) (*Found, error) {
-		c := *w
+	play := func(troubles []world.Trouble) (*Finding, error) {
+		c := *base
 		c.Troubles = troubles
-		l, err := experiment.Play(&c, policy, seed)
+		l, err := experiment.RunScenario(&c, policy, seed)
 		plays++
 		if err != nil {
 			return nil, err
 		}
-		return &Found{World: &c, Line: l, Loss: calm.Net - l.Net, Plays: plays}, nil
+		return &Finding{Scenario: &c, Result: l, Loss: baseline.Net - l.Net, Runs: plays}, nil
 	}
-	var worst *Found
+	var worst *Finding
 	for range tries {
-		f, err := play(Draw(chance, w, 1+chance.IntN(most)))
+		finding, err := play(DrawFaults(random, base, 1+random.IntN(most)))
 		if err != nil {
 			return nil, err
 		}
-		if worst == nil || f.Worse(worst) {
-			worst = f
-			tell(f)
+		if worst == nil || finding.IsWorseThan(worst) {
+			worst = finding
+			tell(finding)
 		}
 	}
 	if worst == nil {
@@ -65,82 +65,82 @@
 	}
 	worst, err = shrink(worst, play)
 	if worst != nil {
-		worst.Plays = plays
+		worst.Runs = plays
 	}
 	return worst, err
 }
 
-// keepPart is how much of the loss a smaller schedule has to keep.
-const keepPart = 0.9
+// minLossKept is how much of the loss a smaller schedule has to keep.
+const minLossKept = 0.9
 
 // shrink takes troubles out, one at a time, and then shortens those left, while a broken rule stays broken or nine
 // tenths of the loss stay.
-func shrink(f *Found, play func([]world.Trouble) (*Found, error)) (*Found, error) {
-	still := func(g *Found) bool {
-		if f.Line.Broken > 0 {
-			return g.Line.Broken > 0
+func shrink(finding *Finding, play func([]world.Trouble) (*Finding, error)) (*Finding, error) {
+	still := func(other *Finding) bool {
+		if finding.Result.Violations > 0 {
+			return other.Result.Violations > 0
 		}
-		return g.Loss >= keepPart*f.Loss
+		return other.Loss >= minLossKept*finding.Loss
 	}
-	least, out := f, 0
+	least, out := finding, 0
 	for again := true; again; {
 		again = false
-		for i := range least.World.Troubles {
-			if len(least.World.Troubles) == 1 {
+		for i := range least.Scenario.Troubles {
+			if len(least.Scenario.Troubles) == 1 {
 				break
 			}
-			g, err := play(slices.Delete(slices.Clone(least.World.Troubles), i, i+1))
+			other, err := play(slices.Delete(slices.Clone(least.Scenario.Troubles), i, i+1))
 			if err != nil {
 				return nil, err
 			}
-			if still(g) {
-				least, again = g, true
+			if still(other) {
+				least, again = other, true
 				out++
 				break
 			}
 		}
 	}
-	for i := range least.World.Troubles {
-		for least.World.Troubles[i].For.D() > time.Second {
-			shorter := slices.Clone(least.World.Troubles)
+	for i := range least.Scenario.Troubles {
+		for least.Scenario.Troubles[i].For.D() > time.Second {
+			shorter := slices.Clone(least.Scenario.Troubles)
 			shorter[i].For /= 2
-			g, err := play(shorter)
+			other, err := play(shorter)
 			if err != nil {
 				return nil, err
 			}
-			if !still(g) {
+			if !still(other) {
 				break
 			}
-			least = g
+			least = other
 		}
 	}
-	least.Shrunk = out
+	least.RemovedFaults = out
 	return least, nil
 }
 
-// Draw draws a schedule of so many troubles that a world allows.
-func Draw(chance *rand.Rand, w *world.World, n int) []world.Trouble {
+// DrawFaults draws a schedule of so many troubles that a world allows.
+func DrawFaults(random *rand.Rand, base *world.World, n int) []world.Trouble {
 	var kinds []string
 	for _, name := range world.KindNames() {
 		k := world.Kinds[name]
-		if (!k.Counter || w.Counter.Rate > 0) && (!k.Halls || w.Gateways.Halls > 1) {
+		if (!k.Counter || base.Counter.Rate > 0) && (!k.Halls || base.Gateways.Halls > 1) {
 			kinds = append(kinds, name)
 		}
 	}
-	length := w.Length.D().Seconds()
+	length := base.Length.D().Seconds()
 	seconds := func(from, to float64) world.Span {
-		return world.Span(time.Duration((from+(to-from)*chance.Float64())*1000).Round(1) * time.Millisecond)
+		return world.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
 	}
 	var all []world.Trouble
 	for range n {
-		t := world.Trouble{Kind: kinds[chance.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
-			Part: float64(1+chance.IntN(8)) / 10, Size: 1 + float64(chance.IntN(40))/10, Hall: chance.IntN(w.Gateways.Halls),
-			Lane: w.Lanes[chance.IntN(len(w.Lanes))].Name, Plan: w.Plans[chance.IntN(len(w.Plans))].Name}
+		t := world.Trouble{Kind: kinds[random.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
+			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10, Hall: random.IntN(base.Gateways.Halls),
+			Lane: base.Lanes[random.IntN(len(base.Lanes))].Name, Plan: base.Plans[random.IntN(len(base.Plans))].Name}
 		switch t.Kind {
 		case "server_errors":
-			t.Size = float64(2+chance.IntN(9)) / 10
+			t.Size = float64(2+random.IntN(9)) / 10
 		case "answers_lost", "resets":
-			t.Part = float64(1+chance.IntN(20)) / 100
+			t.Part = float64(1+random.IntN(20)) / 100
 		}
 		all = append(all, t)
 	}
--- a/internal/lab/virtual/alone.go
+++ b/internal/lab/virtual/alone.go
@@ -9,26 +9,26 @@
 
 // alone has it decide on its own evidence.
 func (f *follower) alone() {
-	f.book, f.since = evidence.NewBook(), f.c.e.now
+	f.book, f.since = evidence.NewMerger(), f.c.e.now
 	terms := f.c.terms
-	terms.GatewaysLeast = 1 // there is no other whose word it hears
+	terms.MinGateways = 1 // there is no other whose word it hears
 	f.decider = failover.New(terms, 0)
 }
 
 // decide has the decider go by what this gateway alone counted, as though every other saw and did the same.
 func (f *follower) decide(counts map[string]uint64) {
 	f.serial++
-	f.book.Take(evidence.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
+	f.book.Add(evidence.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
 	now := f.c.e.now
-	value, write := f.decider.Decide(now, cluster.Seen{Sums: f.book.Sums(), Since: f.since,
+	value, write := f.decider.Decide(now, cluster.ControllerInput{Sums: f.book.Sums(), LeadingSince: f.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Held:   func(string) tables.Entry { return tables.Entry{Epoch: f.held.Epoch, Value: f.held.Value} }})
+		Table:  func(string) tables.Table { return tables.Table{Epoch: f.held.Epoch, Value: f.held.Value} }})
 	if write {
 		f.c.judge(value)
-		f.take(tables.Entry{Epoch: f.held.Epoch + 1, Value: value}, forever)
+		f.take(tables.Table{Epoch: f.held.Epoch + 1, Value: value}, forever)
 		return
 	}
-	f.steer.Step()
+	f.steer.Update()
 }
 
 // spread makes of one gateway's counts those of a fleet like it. What is counted of a hall that tasks come in at is
@@ -37,14 +37,14 @@
 	all := make(map[string]uint64, len(counts)*len(f.c.halls))
 	each := uint64(max(len(f.c.followers)/len(f.c.halls), 1))
 	for name, n := range counts {
-		parts := evidence.Parts(name)
+		parts := evidence.SplitName(name)
 		if parts[0] == "ready" || parts[0] == "strength" {
 			all[name] = n * each * uint64(len(f.c.halls))
 			continue
 		}
 		for _, hall := range f.c.halls {
 			like := append([]string{parts[0], hall}, parts[2:]...)
-			all[evidence.Name(like...)] = n * each
+			all[evidence.JoinName(like...)] = n * each
 		}
 	}
 	return all
--- a/internal/lab/virtual/common.go
+++ b/internal/lab/virtual/common.go
@@ -19,18 +19,18 @@
 type common struct {
 	e         *engine
 	w         *world.Common
-	terms     failover.Terms
+	terms     failover.Settings
 	halls     []string
 	draw      *rand.Rand
 	voters    []*voter
 	followers []*follower // by gateway
 	leader    *voter      // nil: none
 	term      uint64      // grows with each leader
-	decider   cluster.Decider
+	decider   cluster.Controller
 	since     time.Duration // when the leader began
 	writing   bool          // a decision is on its way to the log
 	electing  bool
-	entry     tables.Entry // the table as written
+	entry     tables.Table // the table as written
 	lost      []*loss
 	back      time.Duration   // when what was lost last came back
 	wrong     map[string]bool // what the plan in force holds to be lost and is not
@@ -104,7 +104,7 @@
 func (c *common) lead(v *voter) {
 	c.term++
 	c.leader, c.since, c.writing, c.electing = v, c.e.now, false, false
-	v.merged = evidence.NewBook()
+	v.merged = evidence.NewMerger()
 	c.decider = failover.New(c.terms, c.w.Lease.D())
 	v.apply(c.entry)
 }
@@ -154,9 +154,9 @@
 	for name, n := range l.merged.Sums() {
 		sums[name] += n
 	}
-	value, write := c.decider.Decide(c.e.now, cluster.Seen{Sums: sums, Since: c.since,
+	value, write := c.decider.Decide(c.e.now, cluster.ControllerInput{Sums: sums, LeadingSince: c.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Held:   func(table string) tables.Entry { return c.held(table) }})
+		Table:  func(table string) tables.Table { return c.held(table) }})
 	if !write {
 		return
 	}
@@ -166,7 +166,7 @@
 			return // another leads, or nobody took it
 		}
 		c.writing = false
-		c.entry = tables.Entry{Epoch: c.entry.Epoch + 1, Value: slices.Clone(value), Index: c.entry.Epoch + 1}
+		c.entry = tables.Table{Epoch: c.entry.Epoch + 1, Value: slices.Clone(value), Index: c.entry.Epoch + 1}
 		c.judge(value)
 		l.apply(c.entry)
 		for _, v := range c.voters {
@@ -177,9 +177,9 @@
 	})
 }
 
-func (c *common) held(table string) tables.Entry {
+func (c *common) held(table string) tables.Table {
 	if table != c.decider.Table() {
-		return tables.Entry{}
+		return tables.Table{}
 	}
 	return c.entry
 }
--- a/internal/lab/virtual/common_test.go
+++ b/internal/lab/virtual/common_test.go
@@ -84,11 +84,11 @@
 				if !f.g.alive || e.now < f.g.still {
 					continue
 				}
-				if f.held.Epoch > e.common.entry.Epoch || f.held.Until > e.now+w.Common.Lease.D() {
+				if f.held.Epoch > e.common.entry.Epoch || f.held.LeaseEnd > e.now+w.Common.Lease.D() {
 					t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", seed, f.n, f.held.Epoch,
-						e.common.entry.Epoch, f.held.Until, e.now)
+						e.common.entry.Epoch, f.held.LeaseEnd, e.now)
 				}
-				if f.held.Until > e.now {
+				if f.held.LeaseEnd > e.now {
 					if end := stood[f.held.Epoch]; end > 0 && now-end > w.Common.Lease.D() {
 						t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", seed, f.n, f.held.Epoch, now-end)
 					}
@@ -104,11 +104,11 @@
 			t.Fatalf("seed %d: no lease ended, nothing was shown", seed)
 		}
 		for _, f := range e.common.followers {
-			if f.held.Until > e.now && f.held.Epoch < written {
+			if f.held.LeaseEnd > e.now && f.held.Epoch < written {
 				t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d stood a lease ago", seed, f.n, f.held.Epoch,
 					written)
 			}
-			if f.held.Until > e.now {
+			if f.held.LeaseEnd > e.now {
 				holding++
 			}
 		}
@@ -120,16 +120,16 @@
 
 // alone tells whether a gateway acts as the plan it last held has it act by itself, its own hall lost or not.
 func alone(t *testing.T, f *follower) bool {
-	p, err := failover.Read(f.held.Value)
+	p, err := failover.DecodePlan(f.held.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, lost := range []bool{false, true} {
-		part, same := p.PartAlone(f.c.halls[f.g.hall], lost), true
+		part, same := p.FallbackAssignment(f.c.halls[f.g.hall], lost), true
 		for n, hall := range f.c.halls {
 			same = same && f.by.Weights[n] == part.Weights[hall]
 		}
-		if same && f.by.Shed == part.Shed {
+		if same && f.by.ShedFraction == part.Shed {
 			return true
 		}
 	}
--- a/internal/lab/virtual/counter.go
+++ b/internal/lab/virtual/counter.go
@@ -46,16 +46,16 @@
 		e.after(after, func() {
 			g.do(life, func() {
 				if f := g.follower; f != nil {
-					f.w.Counted(how != policy.Answered || e.now-began > e.w.Counter.Limit.D())
+					f.w.AddCounterCall(how != policy.Answered || e.now-began > e.w.Counter.Limit.D())
 				}
-				g.d.Counted(e.now, policy.Tally{Name: name, Total: units, Took: e.now - began, Outcome: how})
+				g.d.HandleCount(e.now, policy.CountResult{Name: name, Total: units, Latency: e.now - began, Outcome: how})
 			})
 		})
 	}
 	hop := e.w.Network.Same.D()
 	if c.refuses {
 		c.refused++
-		tell(2*hop, 0, policy.Full)
+		tell(2*hop, 0, policy.Rejected)
 		return
 	}
 	h := c.half(g)
@@ -63,7 +63,7 @@
 	wait := max(c.free[h]-e.now, 0)
 	if wait > e.w.Counter.Queue.D() {
 		c.refused++
-		tell(2*hop, 0, policy.Full)
+		tell(2*hop, 0, policy.Rejected)
 		return
 	}
 	c.free[h] = max(c.free[h], e.now) + takes
--- a/internal/lab/virtual/engine.go
+++ b/internal/lab/virtual/engine.go
@@ -21,7 +21,7 @@
 	now    time.Duration
 	seq    uint64
 	agenda agenda
-	site   policy.Deployment
+	site   policy.Settings
 
 	chance   *rand.Rand // of servers' work and the network
 	arrivals *rand.Rand // of what customers ask: the same whatever the gateways do
@@ -56,8 +56,8 @@
 		return nil, err
 	}
 	end := origin + w.Length.D()
-	for _, l := range e.site.Lanes {
-		end = max(end, origin+w.Length.D()+l.Patience+time.Second)
+	for _, l := range e.site.Classes {
+		end = max(end, origin+w.Length.D()+l.Timeout+time.Second)
 	}
 	e.until(end)
 	e.ledger.Finish(end)
--- a/internal/lab/virtual/follow.go
+++ b/internal/lab/virtual/follow.go
@@ -35,18 +35,18 @@
 	c               *common
 	n               int
 	g               *gateway
-	w               *witness.Witness
+	w               *witness.Recorder
 	voter, misses   int
 	serial, session uint64
 	reading         uint64 // counts reads; an answer to an earlier one is late
-	held            cluster.Held
-	steer           *steer.Steer
+	held            cluster.CachedTable
+	steer           *steer.Updater
 	by              gate.Steering  // what the pool is steered by
 	until           time.Duration  // when that ends
 	after           *gate.Steering // and what follows; nil: it has no end
 	// Of those that decide alone.
-	book    *evidence.Book
-	decider cluster.Decider
+	book    *evidence.Merger
+	decider cluster.Controller
 	since   time.Duration
 }
 
@@ -65,7 +65,7 @@
 	first := c.w.Digest.D() * time.Duration(f.n%97+1) / 97 // not all at once
 	life := g.life
 	c.e.after(first, func() { f.beat(life) })
-	f.steer.Step()
+	f.steer.Update()
 }
 
 // nearest is the voter that it turns to first: in its hall, else in its region, else any.
@@ -96,12 +96,12 @@
 func (f *follower) digest() {
 	c, now := f.c, f.c.e.now
 	counts := map[string]uint64{}
-	f.w.Counts(now, func(name string, n uint64) { counts[name] += n })
+	f.w.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
 	if c.w.How == world.Own {
 		f.decide(counts)
 		return
 	}
-	f.steer.Step() // it may see its own hall with other eyes
+	f.steer.Update() // it may see its own hall with other eyes
 	f.serial++
 	d := evidence.Digest{Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
 		Session: f.session,
@@ -110,7 +110,7 @@
 	if !v.dead && c.send(f.g.hall, v.hall, func() {
 		if !v.dead {
 			c.count(v, func(m *Messages) *int { return &m.Digests })
-			v.direct.Take(d)
+			v.direct.Add(d)
 		}
 	}) {
 		f.misses = 0
@@ -142,7 +142,7 @@
 		})
 	}
 	v := c.voters[f.voter]
-	answer := func(e tables.Entry, confirmed bool) {
+	answer := func(e tables.Table, confirmed bool) {
 		c.send(v.hall, g.hall, func() {
 			g.do(life, func() {
 				if f.reading != mine {
@@ -170,10 +170,10 @@
 }
 
 // take takes a table with its lease.
-func (f *follower) take(e tables.Entry, until time.Duration) {
+func (f *follower) take(e tables.Table, until time.Duration) {
 	if e.Epoch < f.held.Epoch {
 		return
 	}
-	f.held = cluster.Held{Table: failover.Table, Epoch: e.Epoch, Value: e.Value, Until: until}
-	f.steer.Step()
+	f.held = cluster.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
+	f.steer.Update()
 }
--- a/internal/lab/virtual/gateway.go
+++ b/internal/lab/virtual/gateway.go
@@ -21,10 +21,10 @@
 	still time.Duration // it does nothing until then
 	deaf  bool          // discovery tells it nothing
 	blind bool          // nothing passes between it and servers
-	held  []policy.Listed
+	held  []policy.Endpoint
 	heard time.Duration // when the latest of what discovery tells it comes
-	list  map[uint32]policy.Listed
-	pool  *pool.Pool
+	list  map[uint32]policy.Endpoint
+	pool  *pool.Subset
 	tries map[uint32]*try
 	next  uint32
 	wakes map[uint64]*wake
@@ -43,7 +43,7 @@
 	e := g.e
 	g.life++
 	g.alive = true
-	g.list, g.tries, g.wakes, g.conns = map[uint32]policy.Listed{}, map[uint32]*try{}, map[uint64]*wake{},
+	g.list, g.tries, g.wakes, g.conns = map[uint32]policy.Endpoint{}, map[uint32]*try{}, map[uint64]*wake{},
 		map[uint32]*conns{}
 	kept := time.Duration(0)
 	if e.w.Gateways.Pool {
@@ -55,7 +55,7 @@
 		return err
 	}
 	for _, s := range e.servers {
-		if s.stage != policy.Gone {
+		if s.stage != policy.Removed {
 			g.list[s.id] = s.listed()
 			e.ledger.Told(e.now, g.n, s.id, s.stage)
 		}
@@ -80,7 +80,7 @@
 }
 
 // told takes a change of the list.
-func (g *gateway) told(l policy.Listed) {
+func (g *gateway) told(l policy.Endpoint) {
 	if !g.alive {
 		return // its next life is told all
 	}
@@ -88,9 +88,9 @@
 		g.held = append(g.held, l)
 		return
 	}
-	g.e.ledger.Told(g.e.now, g.n, l.Server, l.Stage)
+	g.e.ledger.Told(g.e.now, g.n, l.Server, l.State)
 	g.do(g.life, func() {
-		if l.Stage == policy.Gone {
+		if l.State == policy.Removed {
 			delete(g.list, l.Server)
 		} else {
 			g.list[l.Server] = l
@@ -102,16 +102,16 @@
 // hand gives the decisions the servers of the part that are ready.
 func (g *gateway) hand() {
 	numbers := slices.Sorted(maps.Keys(g.list))
-	all := make([]pool.Server, 0, len(numbers))
+	all := make([]pool.Candidate, 0, len(numbers))
 	for _, n := range numbers {
-		all = append(all, pool.Server{Mark: g.e.servers[n-1].mark, Listed: g.list[n]})
+		all = append(all, pool.Candidate{NameHash: g.e.servers[n-1].mark, Endpoint: g.list[n]})
 	}
 	if g.follower != nil {
 		g.follower.told(all)
 	}
-	part, sharers := g.pool.Part(g.e.now, all)
-	g.d.Shared(sharers)
-	g.d.List(g.e.now, policy.ListWhole, part)
+	part, sharers := g.pool.Select(g.e.now, all)
+	g.d.SetSharers(sharers)
+	g.d.HandleEndpoints(g.e.now, policy.ListFull, part)
 }
 
 // take takes a try that has come whole.
@@ -120,7 +120,7 @@
 	if g.follower != nil {
 		g.follower.keep()
 	}
-	if g.pool.Due(e.now) {
+	if g.pool.IsDue(e.now) {
 		g.hand()
 	}
 	g.next++
@@ -130,8 +130,8 @@
 	if g.follower != nil && g.follower.shed(t) {
 		return
 	}
-	g.d.Take(e.now, policy.Task{ID: t.local, Lane: t.lane, Plan: r.customer.plan, Customer: r.customer.id,
-		First: r.customer.first, Width: r.customer.width, Units: r.told, Expires: t.expires, Repeat: t.number > 0 &&
+	g.d.HandleRequest(e.now, policy.Request{ID: t.local, Class: t.lane, Plan: r.customer.plan, Customer: r.customer.id,
+		FirstGateway: r.customer.first, GatewayCount: r.customer.width, Units: r.told, Deadline: t.expires, Repeat: t.number > 0 &&
 			e.w.Clients.Marks})
 }
 
--- a/internal/lab/virtual/host.go
+++ b/internal/lab/virtual/host.go
@@ -29,17 +29,17 @@
 	g.e.counter.call(g, name, keep, units)
 }
 
-// Probe is not played.
-func (g *gateway) Probe(uint32) {}
+// CheckHealth is not played.
+func (g *gateway) CheckHealth(uint32) {}
 
-// Tell reaches nobody, as on sockets.
-func (g *gateway) Tell(int, []byte) {}
+// SendPeer reaches nobody, as on sockets.
+func (g *gateway) SendPeer(int, []byte) {}
 
-// Watch is not needed: discovery tells unasked.
-func (g *gateway) Watch() {}
+// WatchEndpoints is not needed: discovery tells unasked.
+func (g *gateway) WatchEndpoints() {}
 
-// Wake calls Woke after a time.
-func (g *gateway) Wake(token uint64, after time.Duration) {
+// SetTimer calls Woke after a time.
+func (g *gateway) SetTimer(token uint64, after time.Duration) {
 	w := &wake{}
 	g.wakes[token] = w
 	life := g.life
@@ -51,13 +51,13 @@
 			if g.wakes[token] == w {
 				delete(g.wakes, token)
 			}
-			g.d.Woke(g.e.now, token)
+			g.d.HandleTimer(g.e.now, token)
 		})
 	})
 }
 
-// Forget takes a wake back.
-func (g *gateway) Forget(token uint64) {
+// CancelTimer takes a wake back.
+func (g *gateway) CancelTimer(token uint64) {
 	if w := g.wakes[token]; w != nil {
 		w.off = true
 		delete(g.wakes, token)
--- a/internal/lab/virtual/inforce.go
+++ b/internal/lab/virtual/inforce.go
@@ -34,7 +34,7 @@
 	if sum <= 0 {
 		return 0
 	}
-	return (1 - f.by.Shed) * f.by.Weights[hall] / sum
+	return (1 - f.by.ShedFraction) * f.by.Weights[hall] / sum
 }
 
 // hallLost begins to measure until when gateways push to a hall.
@@ -75,7 +75,7 @@
 // judge counts a plan, and a wrong failover where it newly holds a hall or a link to be lost that is not.
 func (c *common) judge(value []byte) {
 	c.e.result.Plans++
-	p, err := failover.Read(value)
+	p, err := failover.DecodePlan(value)
 	if err != nil || p == nil {
 		panic(fmt.Sprint("the decider wrote no plan: ", err))
 	}
@@ -83,11 +83,11 @@
 	cut := len(c.e.cut)+len(c.e.links) > 0 || c.back > 0 && c.e.now < c.back+backWithin
 	wrong := map[string]bool{}
 	for n, hall := range c.halls {
-		if sound, told := p.Sound[hall]; told && sound == 0 && !cut && now[n] > lostMost*full[n] {
+		if sound, told := p.Health[hall]; told && sound == 0 && !cut && now[n] > lostMost*full[n] {
 			wrong[hall] = true
 		}
 	}
-	for _, link := range p.Shut {
+	for _, link := range p.LostLinks {
 		from, to := slices.Index(c.halls, link[0]), slices.Index(c.halls, link[1])
 		if !cut && now[from] > lostMost*full[from] && now[to] > lostMost*full[to] {
 			wrong[link[0]+" "+link[1]] = true
--- a/internal/lab/virtual/push.go
+++ b/internal/lab/virtual/push.go
@@ -21,20 +21,20 @@
 	over   bool // its outcome was told
 }
 
-// Push sends a task to a server.
-func (g *gateway) Push(task, to uint32, until time.Duration) {
+// Attempt sends a task to a server.
+func (g *gateway) Attempt(task, to uint32, until time.Duration) {
 	e := g.e
 	t := g.tries[task]
 	s := e.servers[to-1]
 	a := &attempt{g: g, life: g.life, try: t, local: task, number: len(t.attempts), server: s, at: e.now, until: until,
 		work: t.request.work}
 	t.attempts = append(t.attempts, a)
-	g.pool.Pushed(e.now)
+	g.pool.CountAttempt(e.now)
 	e.result.Pushes++
 	e.pushed(a)
 	e.ledger.Pushed(e.now, g.n, to, t.id)
 	if f := g.follower; f != nil {
-		f.w.Pushed(e.now, s.hall, t.request.told, a.number == 0 && !f.again(t))
+		f.w.AddAttempt(e.now, s.hall, t.request.told, a.number == 0 && !f.again(t))
 	}
 	c := g.conns[to]
 	if c == nil {
@@ -55,17 +55,17 @@
 	e.at(until, func() { e.outcome(a, policy.TimedOut, 0) })
 	switch {
 	case kept && s.dead:
-		e.after(2*hop, func() { e.outcome(a, policy.NoConnect, 0) }) // seen closed before it was used
+		e.after(2*hop, func() { e.outcome(a, policy.ConnectFailed, 0) }) // seen closed before it was used
 		return
 	case !kept && s.dead && reach:
-		e.after(2*hop, func() { e.outcome(a, policy.NoConnect, 0) })
+		e.after(2*hop, func() { e.outcome(a, policy.ConnectFailed, 0) })
 		return
 	case !kept && !reach:
-		e.after(e.w.Network.Connect.D(), func() { e.outcome(a, policy.NoConnect, 0) })
+		e.after(e.w.Network.Connect.D(), func() { e.outcome(a, policy.ConnectFailed, 0) })
 		return
 	case !kept && s.conns >= e.w.Servers.Connections:
 		e.result.Handshakes++
-		e.after(2*hop, func() { e.outcome(a, policy.Full, 0) })
+		e.after(2*hop, func() { e.outcome(a, policy.Rejected, 0) })
 		return
 	case !reach:
 		return
@@ -113,10 +113,10 @@
 		}
 		a.over = true
 		if g.follower != nil {
-			g.follower.w.Ended(e.now, a.server.hall, a.server.id, how, e.now-a.at)
+			g.follower.w.AddResult(e.now, a.server.hall, a.server.id, how, e.now-a.at)
 		}
 		switch how {
-		case policy.Answered, policy.Errored, policy.Full:
+		case policy.Answered, policy.Errored, policy.Rejected:
 			if c := g.conns[a.server.id]; !a.server.dead {
 				c.rest = append(c.rest, e.now)
 			}
@@ -130,8 +130,8 @@
 		if how == policy.Answered && !t.over {
 			g.final(t, served)
 		}
-		g.d.Ended(e.now, policy.Push{Task: a.local, Number: a.number, Server: a.server.id, Outcome: how, Took: e.now - a.at,
-			Done: t.over, Billed: cost})
+		g.d.HandleAttemptResult(e.now, policy.AttemptResult{RequestID: a.local, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.at,
+			Final: t.over, ActualUnits: cost})
 	})
 }
 
--- a/internal/lab/virtual/rules_test.go
+++ b/internal/lab/virtual/rules_test.go
@@ -46,16 +46,16 @@
 type faulty struct {
 	baseline.Decider
 	policy.Host
-	list func(l *policy.Listed)
-	lose int                      // every so many final answers are not given
-	twin map[uint32]bool          // tasks whose push is sent once more after it may have run
-	at   map[uint32]uint32        // where tasks were pushed
-	till map[uint32]time.Duration // until when
-	lane map[uint32]policy.Effect // their effects
-	site policy.Deployment        // as handed to it
-	n    int                      // final answers so far
-	seen map[uint32]policy.Listed // servers that it never takes off its list
-	both bool                     // it repeats
+	list func(l *policy.Endpoint)
+	lose int                        // every so many final answers are not given
+	twin map[uint32]bool            // tasks whose push is sent once more after it may have run
+	at   map[uint32]uint32          // where tasks were pushed
+	till map[uint32]time.Duration   // until when
+	lane map[uint32]policy.Effect   // their effects
+	site policy.Settings            // as handed to it
+	n    int                        // final answers so far
+	seen map[uint32]policy.Endpoint // servers that it never takes off its list
+	both bool                       // it repeats
 }
 
 func (f *faulty) Reject(task uint32, away time.Duration) {
@@ -65,17 +65,17 @@
 	f.Host.Reject(task, away)
 }
 
-func (f *faulty) Push(task, server uint32, until time.Duration) {
+func (f *faulty) Attempt(task, server uint32, until time.Duration) {
 	f.at[task], f.till[task] = server, until
-	f.Host.Push(task, server, until)
+	f.Host.Attempt(task, server, until)
 }
 
-func (f *faulty) Take(now time.Duration, t policy.Task) {
-	f.lane[t.ID] = f.site.Lanes[t.Lane].Effect
-	f.Decider.Take(now, t)
+func (f *faulty) HandleRequest(now time.Duration, t policy.Request) {
+	f.lane[t.ID] = f.site.Classes[t.Class].Effect
+	f.Decider.HandleRequest(now, t)
 }
 
-func (f *faulty) List(now time.Duration, kind policy.ListKind, list []policy.Listed) {
+func (f *faulty) HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint) {
 	for i := range list {
 		if f.list != nil {
 			f.list(&list[i])
@@ -90,22 +90,22 @@
 			list = append(list, f.seen[n])
 		}
 	}
-	f.Decider.List(now, kind, list)
+	f.Decider.HandleEndpoints(now, kind, list)
 }
 
-func (f *faulty) Ended(now time.Duration, p policy.Push) {
+func (f *faulty) HandleAttemptResult(now time.Duration, p policy.AttemptResult) {
 	maybe := p.Outcome == policy.TimedOut || p.Outcome == policy.Reset || p.Outcome == policy.Errored
-	if f.both && maybe && f.lane[p.Task] == policy.Effectful && !f.twin[p.Task] && now < f.till[p.Task] {
-		f.twin[p.Task] = true
-		f.Host.Push(p.Task, f.at[p.Task], f.till[p.Task]) // the module does not hear of it: the first end is not told
+	if f.both && maybe && f.lane[p.RequestID] == policy.NonIdempotent && !f.twin[p.RequestID] && now < f.till[p.RequestID] {
+		f.twin[p.RequestID] = true
+		f.Host.Attempt(p.RequestID, f.at[p.RequestID], f.till[p.RequestID]) // the module does not hear of it: the first end is not told
 		return
 	}
-	f.Decider.Ended(now, p)
+	f.Decider.HandleAttemptResult(now, p)
 }
 
 // broken makes the module with one fault.
-func broken(spoil func(f *faulty, site *policy.Deployment)) baseline.Make {
-	return func(site policy.Deployment, seed int64, host policy.Host) (baseline.Decider, error) {
+func broken(spoil func(f *faulty, site *policy.Settings)) baseline.Make {
+	return func(site policy.Settings, seed int64, host policy.Host) (baseline.Decider, error) {
 		f := &faulty{Host: host, twin: map[uint32]bool{}, at: map[uint32]uint32{}, till: map[uint32]time.Duration{},
 			lane: map[uint32]policy.Effect{}, site: site}
 		spoil(f, &site)
@@ -126,15 +126,15 @@
 		rule  ledger.Rule
 		name  string
 		world *world.World
-		spoil func(f *faulty, site *policy.Deployment)
+		spoil func(f *faulty, site *policy.Settings)
 	}{
-		{ledger.Lost, "forgets one final answer in twenty", small(), func(f *faulty, _ *policy.Deployment) { f.lose = 20 }},
-		{ledger.Twice, "sends what may have run once more", small(resets), func(f *faulty, _ *policy.Deployment) { f.both = true }},
-		{ledger.Drain, "goes on pushing to servers that drain", small(deploy), func(f *faulty, _ *policy.Deployment) { f.seen = map[uint32]policy.Listed{} }},
-		{ledger.Cold, "takes cold servers for warm", small(change), func(f *faulty, _ *policy.Deployment) {
-			f.list = func(l *policy.Listed) { l.Since = 0 }
+		{ledger.Lost, "forgets one final answer in twenty", small(), func(f *faulty, _ *policy.Settings) { f.lose = 20 }},
+		{ledger.Twice, "sends what may have run once more", small(resets), func(f *faulty, _ *policy.Settings) { f.both = true }},
+		{ledger.Drain, "goes on pushing to servers that drain", small(deploy), func(f *faulty, _ *policy.Settings) { f.seen = map[uint32]policy.Endpoint{} }},
+		{ledger.Cold, "takes cold servers for warm", small(change), func(f *faulty, _ *policy.Settings) {
+			f.list = func(l *policy.Endpoint) { l.StartedAt = 0 }
 		}},
-		{ledger.Ceiling, "knows no ceilings", small(), func(_ *faulty, site *policy.Deployment) {
+		{ledger.Ceiling, "knows no ceilings", small(), func(_ *faulty, site *policy.Settings) {
 			for i := range site.Plans {
 				site.Plans[i].CeilingRate, site.Plans[i].Rate, site.Plans[i].Burst = 0, 0, 0
 			}
--- a/internal/lab/virtual/server.go
+++ b/internal/lab/virtual/server.go
@@ -18,7 +18,7 @@
 	speed      float64
 	since      time.Duration // of its latest start; 0: long ago
 	starts     int           // in the play
-	stage      policy.Stage
+	stage      policy.EndpointState
 
 	dead   bool // its process is gone: connections are refused
 	silent bool // its machine is gone: nothing comes back
@@ -52,13 +52,13 @@
 	if since > 0 {
 		s.starts = 1
 	}
-	s.mark = pool.Mark("s-" + strconv.Itoa(int(s.id)))
+	s.mark = pool.HashName("s-" + strconv.Itoa(int(s.id)))
 	e.servers = append(e.servers, s)
 	return s
 }
 
-func (s *server) listed() policy.Listed {
-	return policy.Listed{Server: s.id, Stage: s.stage, Power: 1, Since: s.since, Cell: s.cell, Hall: s.hall}
+func (s *server) listed() policy.Endpoint {
+	return policy.Endpoint{Server: s.id, State: s.stage, Capacity: 1, StartedAt: s.since, Rack: s.cell, Zone: s.hall}
 }
 
 // warmth is the part of its speed that it has.
@@ -104,7 +104,7 @@
 	case s.silent || s.mute[a.try.lane]:
 		return
 	case s.stage == policy.Draining:
-		e.reply(a, policy.Full, 0)
+		e.reply(a, policy.Rejected, 0)
 		return
 	}
 	if s.warmth() < 1 && s.tips(a) {
@@ -120,7 +120,7 @@
 	case s.busy < e.w.Servers.Cores:
 		s.begin(a)
 	case len(s.queue) >= e.w.Servers.Queue:
-		e.reply(a, policy.Full, 0)
+		e.reply(a, policy.Rejected, 0)
 	default:
 		s.queue = append(s.queue, a)
 	}
@@ -148,13 +148,13 @@
 
 // remembers tells whether this group of servers has a receipt for the task's key.
 func (s *server) remembers(a *attempt) bool {
-	lane := &s.e.site.Lanes[a.try.lane]
-	if lane.Effect != policy.Receipted {
+	lane := &s.e.site.Classes[a.try.lane]
+	if lane.Effect != policy.Keyed {
 		return false
 	}
 	for _, o := range s.e.servers {
-		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupHall && o.hall == s.hall ||
-			lane.Group == policy.GroupCell && o.cell == s.cell
+		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupZone && o.hall == s.hall ||
+			lane.Group == policy.GroupRack && o.cell == s.cell
 		if until, has := o.keys[a.try.request.key]; same && has && s.e.now < until {
 			return true
 		}
@@ -172,8 +172,8 @@
 	s.busy++
 	s.running[a] = true
 	e.ledger.Ran(e.now, s.id, a.try.id)
-	if lane := &e.site.Lanes[a.try.lane]; lane.Effect == policy.Receipted {
-		s.keys[a.try.request.key] = e.now + lane.Window + 2*time.Second
+	if lane := &e.site.Classes[a.try.lane]; lane.Effect == policy.Keyed {
+		s.keys[a.try.request.key] = e.now + lane.DedupWindow + 2*time.Second
 	}
 	took := time.Duration(float64(a.work) / (s.speed * s.warmth()) * s.slow)
 	if a.fresh {
--- a/internal/lab/virtual/steered.go
+++ b/internal/lab/virtual/steered.go
@@ -17,20 +17,20 @@
 // Now is the virtual time.
 func (c commons) Now() time.Duration { return c.f.c.e.now }
 
-// Held is the one table.
-func (c commons) Held(string) cluster.Held { return c.f.held }
+// Cached is the one table.
+func (c commons) Cached(string) cluster.CachedTable { return c.f.held }
 
 // Changed is not waited for: steps are taken with each change.
 func (c commons) Changed() <-chan struct{} { return nil }
 
-// Witness is not used: digests take counts from the witness itself.
-func (c commons) Witness(func(add func(name string, n uint64))) {}
+// RegisterCounters is not used: digests take counts from the witness itself.
+func (c commons) RegisterCounters(func(add func(name string, n uint64))) {}
 
-// WitnessExact is not used.
-func (c commons) WitnessExact(func(add func(name string, n uint64))) {}
+// RegisterExactCounters is not used.
+func (c commons) RegisterExactCounters(func(add func(name string, n uint64))) {}
 
-// Steer steers the pool until the lease ends, and then the other way with the next task.
-func (f *follower) Steer(by gate.Steering, lease time.Duration, after gate.Steering) {
+// SetSteering steers the pool until the lease ends, and then the other way with the next task.
+func (f *follower) SetSteering(by gate.Steering, lease time.Duration, after gate.Steering) {
 	f.until, f.after = f.c.e.now+lease, &after
 	if lease <= 0 {
 		f.after = nil
@@ -41,7 +41,7 @@
 
 func (f *follower) steered(by gate.Steering) {
 	f.by = by
-	if f.g.pool.Steer(by.Weights, by.Shed) {
+	if f.g.pool.SetWeights(by.Weights, by.ShedFraction) {
 		f.g.hand()
 	}
 	f.c.inForce(f)
@@ -56,19 +56,19 @@
 	}
 }
 
-// Witnessed is not used.
-func (f *follower) Witnessed(func(name string, n uint64)) {}
+// WriteZoneCounts is not used.
+func (f *follower) WriteZoneCounts(func(name string, n uint64)) {}
 
-// HallLost tells whether it sees its own hall lost.
-func (f *follower) HallLost() bool { return f.w.Lost() }
+// IsZoneLost tells whether it sees its own hall lost.
+func (f *follower) IsZoneLost() bool { return f.w.IsZoneLost() }
 
 // told tells its witness the whole list.
-func (f *follower) told(all []pool.Server) {
-	list := make([]policy.Listed, 0, len(all))
+func (f *follower) told(all []pool.Candidate) {
+	list := make([]policy.Endpoint, 0, len(all))
 	for _, s := range all {
-		list = append(list, s.Listed)
+		list = append(list, s.Endpoint)
 	}
-	f.w.Listed(f.c.e.now, list)
+	f.w.SetEndpoints(f.c.e.now, list)
 }
 
 // again tells whether a client says that it asks again.
@@ -77,8 +77,8 @@
 // turned tells its witness of a try that the module rejects, as the gate does: demand, if it was for room.
 func (f *follower) turned(t *try) {
 	module, is := f.g.d.(*policy.Gateway)
-	if is && module.Passed(t.local) && len(t.attempts) == 0 && !f.again(t) {
-		f.w.Shed(t.request.told)
+	if is && module.IsAdmitted(t.local) && len(t.attempts) == 0 && !f.again(t) {
+		f.w.AddShed(t.request.told)
 	}
 }
 
@@ -86,13 +86,13 @@
 func (f *follower) shed(t *try) bool {
 	repeat := f.again(t)
 	if !repeat {
-		f.w.Came(t.request.told)
+		f.w.AddOffered(t.request.told)
 	}
-	if !f.g.pool.Shed() {
+	if !f.g.pool.ShouldShed() {
 		return false
 	}
 	if !repeat {
-		f.w.Shed(t.request.told)
+		f.w.AddShed(t.request.told)
 	}
 	t.away = shedAway
 	f.g.final(t, rejected)
--- a/internal/lab/virtual/tries.go
+++ b/internal/lab/virtual/tries.go
@@ -35,8 +35,8 @@
 // send sends a try through a gateway of the customer's set, if it can be another than the last.
 func (c *clients) send(r *request, number int, last *gateway) {
 	e := c.e
-	lane := &e.site.Lanes[r.lane]
-	expires := r.began + lane.Patience
+	lane := &e.site.Classes[r.lane]
+	expires := r.began + lane.Timeout
 	if e.now >= expires {
 		c.lost(r, r.last)
 		return
@@ -87,7 +87,7 @@
 		}
 		t.over = true
 		delete(t.gateway.tries, t.local)
-		t.gateway.d.Lapsed(c.e.now, t.local)
+		t.gateway.d.HandleDisconnect(c.e.now, t.local)
 		for _, a := range t.attempts {
 			c.e.after(0, func() { c.e.outcome(a, policy.Cancelled, 0) })
 		}
@@ -113,14 +113,14 @@
 		r.ended = true
 		took := e.now - r.began
 		res.took(r.lane, took)
-		lane := &e.site.Lanes[r.lane]
+		lane := &e.site.Classes[r.lane]
 		gain := 0.0
-		if took <= lane.SoftLimit {
+		if took <= lane.LatencyObjective {
 			res.InTime++
 			gain = c.gain(r)
 		} else {
 			res.Late++
-			gain = c.gain(r) * lane.LateShare
+			gain = c.gain(r) * lane.LateFraction
 		}
 		if e.ledger.Inside(t.id) {
 			res.GainServed += gain
@@ -136,11 +136,11 @@
 	if r.ended { // its gateway stood still: the client went long ago
 		return
 	}
-	lane := &e.site.Lanes[r.lane]
+	lane := &e.site.Classes[r.lane]
 	r.last = what
 	unsent := what == rejected || what == died && len(t.attempts) == 0
-	may := unsent || lane.Effect == policy.Pure || lane.Effect == policy.Receipted && lane.Group == policy.GroupAll &&
-		e.now < r.began+lane.Window
+	may := unsent || lane.Effect == policy.Idempotent || lane.Effect == policy.Keyed && lane.Group == policy.GroupAll &&
+		e.now < r.began+lane.DedupWindow
 	if !may || t.number >= e.w.Clients.Retries {
 		if what == rejected {
 			res.Refused++
--- a/internal/lab/virtual/trouble_servers.go
+++ b/internal/lab/virtual/trouble_servers.go
@@ -148,11 +148,11 @@
 			s.stage = policy.Draining
 			e.tell(s)
 			last := time.Duration(float64(e.w.Discovery.Lag[1].D())*max(e.lagTimes, 1)) + e.w.Rules.DrainGrace.D()
-			for _, l := range e.site.Lanes {
-				last = max(last, e.w.Rules.DrainGrace.D()+l.Patience)
+			for _, l := range e.site.Classes {
+				last = max(last, e.w.Rules.DrainGrace.D()+l.Timeout)
 			}
 			e.after(last+2*time.Second, func() {
-				s.stage = policy.Gone
+				s.stage = policy.Removed
 				s.die()
 				s.dead = true
 				e.tell(s)
@@ -170,7 +170,7 @@
 	up := e.up()
 	for _, i := range e.some(len(up), t.part) {
 		s := up[i]
-		s.stage = policy.Gone
+		s.stage = policy.Removed
 		s.die()
 		s.dead = true
 		e.tell(s)
--- a/internal/lab/virtual/voter.go
+++ b/internal/lab/virtual/voter.go
@@ -16,9 +16,9 @@
 	dead    bool
 	life    uint64
 	serial  uint64
-	direct  *evidence.Book // of gateways
-	merged  *evidence.Book // of other voters, where it leads
-	entry   tables.Entry   // as applied here
+	direct  *evidence.Merger // of gateways
+	merged  *evidence.Merger // of other voters, where it leads
+	entry   tables.Table     // as applied here
 	reads   []*read
 }
 
@@ -26,13 +26,13 @@
 type read struct {
 	known  uint64
 	done   bool
-	answer func(e tables.Entry, confirmed bool)
+	answer func(e tables.Table, confirmed bool)
 }
 
 func (v *voter) start() {
 	v.life++
 	v.serial, v.dead = 0, false
-	v.direct, v.merged = evidence.NewBook(), evidence.NewBook()
+	v.direct, v.merged = evidence.NewMerger(), evidence.NewMerger()
 }
 
 // pass sends the leader what this voter merged.
@@ -43,13 +43,13 @@
 	v.c.send(v.hall, leader.hall, func() {
 		if !leader.dead {
 			v.c.count(leader, func(m *Messages) *int { return &m.Merged })
-			leader.merged.Take(d)
+			leader.merged.Add(d)
 		}
 	})
 }
 
 // catchUp brings an entry to a voter, again and again until it is there or a later one stands.
-func (v *voter) catchUp(l *voter, e tables.Entry) {
+func (v *voter) catchUp(l *voter, e tables.Table) {
 	c := v.c
 	if c.entry.Epoch != e.Epoch || v.entry.Epoch >= e.Epoch {
 		return
@@ -60,7 +60,7 @@
 }
 
 // apply takes an entry, which answers reads that wait for it.
-func (v *voter) apply(e tables.Entry) {
+func (v *voter) apply(e tables.Table) {
 	if v.dead || e.Epoch <= v.entry.Epoch {
 		return
 	}
--- a/internal/lab/world/common.go
+++ b/internal/lab/world/common.go
@@ -56,20 +56,20 @@
 func HallName(n int) string { return "hall-" + strconv.Itoa(n) }
 
 // Terms are those of failover: what the file says, with this world's halls and what its servers bear.
-func (w *World) Terms() failover.Terms {
+func (w *World) Terms() failover.Settings {
 	t := w.Failover
-	t.On = true
+	t.Enabled = true
 	by := map[int][]string{}
 	for hall, region := range w.RegionOf() {
 		by[region] = append(by[region], HallName(hall))
 	}
 	for region := range max(len(w.Gateways.Regions), 1) {
 		if len(by[region]) > 0 {
-			t.Regions = append(t.Regions, failover.Region{Name: "region-" + strconv.Itoa(region), Halls: by[region]})
+			t.Regions = append(t.Regions, failover.Region{Name: "region-" + strconv.Itoa(region), Zones: by[region]})
 		}
 	}
-	if t.Bears == 0 {
-		t.Bears = float64(w.Servers.Cores) / w.MeanWork() * w.meanUnits()
+	if t.Capacity == 0 {
+		t.Capacity = float64(w.Servers.Cores) / w.MeanWork() * w.meanUnits()
 	}
 	return t
 }
@@ -100,7 +100,7 @@
 	}
 	for _, err := range w.Terms().Check() {
 		path, what, _ := strings.Cut(err.Error(), ": ")
-		if w.Failover.Bears != 0 || path != "failover.bears" { // what lanes are wrong for is told of the lanes
+		if w.Failover.Capacity != 0 || path != "failover.bears" { // what lanes are wrong for is told of the lanes
 			say(false, path, "%s", what)
 		}
 	}
--- a/internal/lab/world/deployment.go
+++ b/internal/lab/world/deployment.go
@@ -7,24 +7,24 @@
 )
 
 // Deployment is what a gateway of this world is handed at its start.
-func (w *World) Deployment(me int) policy.Deployment {
-	d := policy.Deployment{
-		Gateways: w.Gateways.Count, Me: me, MyHall: me % w.Gateways.Halls, Halls: w.Gateways.Halls,
-		Tick: 2 * time.Millisecond, HasCounter: w.Counter.Rate > 0, CountLimit: w.Counter.Limit.D(), Settles: w.Load.Told > 0,
-		MostUnits: 3 * w.Load.Units, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		PushLimit: w.Gateways.Pushes, AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
-		ColdFrom: w.Servers.ColdFrom, WarmAfter: w.Servers.WarmAfter.D(), FallMultiple: w.Rules.FallMultiple,
-		TipAfter: w.Rules.TipAfter.D(),
+func (w *World) Deployment(me int) policy.Settings {
+	d := policy.Settings{
+		Gateways: w.Gateways.Count, MyIndex: me, MyZone: me % w.Gateways.Halls, Zones: w.Gateways.Halls,
+		ClockTick: 2 * time.Millisecond, HasCounter: w.Counter.Rate > 0, CountTimeout: w.Counter.Limit.D(), ReportsUnits: w.Load.Told > 0,
+		MaxUnits: 3 * w.Load.Units, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		MaxAttempts: w.Gateways.Pushes, ArrivalSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
+		WarmUpStart: w.Servers.ColdFrom, WarmUpTime: w.Servers.WarmAfter.D(), OverloadFactor: w.Rules.FallMultiple,
+		OverloadSpan: w.Rules.TipAfter.D(),
 	}
-	effects := map[string]policy.Effect{"pure": policy.Pure, "receipted": policy.Receipted, "effectful": policy.Effectful}
-	groups := map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupHall, "cell": policy.GroupCell}
+	effects := map[string]policy.Effect{"pure": policy.Idempotent, "receipted": policy.Keyed, "effectful": policy.NonIdempotent}
+	groups := map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupRack}
 	for _, l := range w.Lanes {
-		d.Lanes = append(d.Lanes, policy.Lane{Name: l.Name, SoftLimit: l.SoftLimit.D(), Patience: l.Patience.D(),
-			Gain: l.Gain, LateShare: l.Late, Effect: effects[l.Effect], Group: groups[l.Group], Window: l.Window.D()})
+		d.Classes = append(d.Classes, policy.TrafficClass{Name: l.Name, LatencyObjective: l.SoftLimit.D(), Timeout: l.Patience.D(),
+			Weight: l.Gain, LateFraction: l.Late, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.Window.D()})
 	}
 	for _, p := range w.Plans {
 		d.Plans = append(d.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverCost: p.OverCost})
+			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverCost})
 	}
 	return d
 }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -48,8 +48,8 @@
 	Rules     Rules     `toml:"rules"`
 	Common    Common    `toml:"common"`
 	// Failover names no regions, as they are the gateways'; bears, at 0, is what servers are made to.
-	Failover failover.Terms `toml:"failover"`
-	Troubles []Trouble      `toml:"trouble"`
+	Failover failover.Settings `toml:"failover"`
+	Troubles []Trouble         `toml:"trouble"`
 }
 
 // Gateways are the machines under test.
--- a/internal/pool/golden_test.go
+++ b/internal/pool/golden_test.go
@@ -12,29 +12,29 @@
 )
 
 // drawnFleet is a list drawn from a seed: halls and cells of any size, servers of all stages.
-func drawnFleet(seed int64) (list []Server, halls int) {
+func drawnFleet(seed int64) (list []Candidate, zones int) {
 	chance := rand.New(rand.NewSource(seed))
-	halls = 2 + chance.Intn(3)
+	zones = 2 + chance.Intn(3)
 	for i := range 80 + chance.Intn(80) {
 		stage := policy.Ready
 		switch chance.Intn(12) {
 		case 0:
 			stage = policy.Draining
 		case 1:
-			stage = policy.Gone
+			stage = policy.Removed
 		}
-		hall := chance.Intn(halls)
-		list = append(list, Server{Mark(fmt.Sprintf("s-%d-%d", seed, chance.Int63())), policy.Listed{Server: uint32(i), Stage: stage,
-			Power: 0.5 + chance.Float64(), Hall: hall, Cell: hall + halls*chance.Intn(7)}})
+		zone := chance.Intn(zones)
+		list = append(list, Candidate{HashName(fmt.Sprintf("s-%d-%d", seed, chance.Int63())), policy.Endpoint{Server: uint32(i), State: stage,
+			Capacity: 0.5 + chance.Float64(), Zone: zone, Rack: zone + zones*chance.Intn(7)}})
 	}
-	return list, halls
+	return list, zones
 }
 
 // record writes a part, with how many share it and what the pool says of its rate, in a form that no name of a field is in.
-func record(to io.Writer, what string, now time.Duration, part []policy.Listed, sharers float64, p *Pool) {
-	_, _ = fmt.Fprintln(to, what, now, len(part), sharers, p.Rate(now))
-	for _, s := range part {
-		_, _ = fmt.Fprintln(to, s.Server, s.Stage, s.Power, s.Since, s.Cell, s.Hall, s.Kind, s.Owner, s.Elective)
+func record(to io.Writer, what string, now time.Duration, selected []policy.Endpoint, sharers float64, s *Subset) {
+	_, _ = fmt.Fprintln(to, what, now, len(selected), sharers, s.AttemptRate(now))
+	for _, s := range selected {
+		_, _ = fmt.Fprintln(to, s.Server, s.State, s.Capacity, s.StartedAt, s.Rack, s.Zone, s.Hardware, s.Owner, s.Elective)
 	}
 }
 
@@ -43,61 +43,61 @@
 func playedFleet(seed int64) string {
 	sum := sha256.New()
 	chance := rand.New(rand.NewSource(seed + 1))
-	list, halls := drawnFleet(seed)
+	list, zones := drawnFleet(seed)
 	for me := range 24 {
-		kept := 15 * time.Second
+		keepAlive := 15 * time.Second
 		if me%11 == 10 {
-			kept = 0
+			keepAlive = 0
 		}
-		p := New(me, 24, kept)
+		s := New(me, 24, keepAlive)
 		now := time.Hour
-		lay := func(what string) []policy.Listed {
-			part, sharers := p.Part(now, list)
-			record(sum, what, now, part, sharers, p)
-			return part
+		lay := func(what string) []policy.Endpoint {
+			selected, sharers := s.Select(now, list)
+			record(sum, what, now, selected, sharers, s)
+			return selected
 		}
-		elect := func(part []policy.Listed) {
-			owners := make([]int, halls)
-			for hall := range owners {
-				owners[hall] = chance.Intn(3)
+		elect := func(selected []policy.Endpoint) {
+			owners := make([]int, zones)
+			for zone := range owners {
+				owners[zone] = chance.Intn(3)
 			}
-			share := chance.Float64()
-			record(sum, "elect", now, p.Elect(now, part, list, owners, share), share, p)
+			fraction := chance.Float64()
+			record(sum, "elect", now, s.AddElective(now, selected, list, owners, fraction), fraction, s)
 		}
 		shed := func() {
 			for range 50 {
-				_, _ = fmt.Fprint(sum, p.Shed())
+				_, _ = fmt.Fprint(sum, s.ShouldShed())
 			}
 		}
 		elect(lay("first"))
 		every := time.Duration(5+chance.Intn(200)) * time.Millisecond
 		for range 400 {
 			now += every
-			p.Pushed(now)
-			if p.Due(now) {
+			s.CountAttempt(now)
+			if s.IsDue(now) {
 				lay("due")
 			}
 		}
 		elect(lay("pushed"))
-		weights := make([]float64, halls+chance.Intn(2))
-		for hall := range weights {
-			weights[hall] = max(chance.Float64()*1.3-0.3, 0)
+		weights := make([]float64, zones+chance.Intn(2))
+		for zone := range weights {
+			weights[zone] = max(chance.Float64()*1.3-0.3, 0)
 		}
-		for _, w := range [][]float64{weights, weights, make([]float64, halls), nil} {
-			_, _ = fmt.Fprintln(sum, p.Steer(w, chance.Float64()*1.5-0.25))
+		for _, w := range [][]float64{weights, weights, make([]float64, zones), nil} {
+			_, _ = fmt.Fprintln(sum, s.SetWeights(w, chance.Float64()*1.5-0.25))
 			elect(lay("steered"))
 			shed()
 			for range 25 { // other gateways take the odd servers
 				now += time.Second
-				if p.Due(now) {
+				if s.IsDue(now) {
 					lay("turn")
 				}
 			}
 			shed()
 		}
-		p.Resize((me+5)%30, 30)
+		s.Resize((me+5)%30, 30)
 		lay("resized")
-		list[chance.Intn(len(list))].Stage = policy.Gone
+		list[chance.Intn(len(list))].State = policy.Removed
 		elect(lay("lost"))
 	}
 	return fmt.Sprintf("%x", sum.Sum(nil))
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -21,160 +21,160 @@
 )
 
 const (
-	// Least is the number of servers in a part, if there are so many: enough that a lost hall or a bad cell leaves
+	// MinSize is the number of servers in a part, if there are so many: enough that a lost hall or a bad cell leaves
 	// a choice of two.
-	Least = 8
-	// coverLeast is in how many parts each server stands, in the mean, at the least: arcs end somewhere, and with
+	MinSize = 8
+	// minCover is in how many parts each server stands, in the mean, at the least: arcs end somewhere, and with
 	// fewer to a server those ends make load uneven.
-	coverLeast = 8.0
-	// useTimes is how often, in the mean, a server of the part gets a push in the time that a connection is kept.
+	minCover = 8.0
+	// attemptsPerKeepAlive is how often, in the mean, a server of the part gets a push in the time that a connection is kept.
 	// Three would keep all but one connection in twenty open until its next push. More is better: a gateway's own
 	// counts, which choose between two servers, tell more where it has fewer of them.
-	useTimes = 12.0
-	// rateTime is how far back pushes are counted, in the manner of an average that fades: bursts are shorter, and
+	attemptsPerKeepAlive = 12.0
+	// rateTimeConstant is how far back pushes are counted, in the manner of an average that fades: bursts are shorter, and
 	// each change of the part opens connections.
-	rateTime = 10 * time.Second
-	// rateLeast is the time that the first pushes are held to have taken: one push at once is no rate.
-	rateLeast = 2 * time.Second
-	// lookEvery is how often the part is measured against the rate.
-	lookEvery = time.Second
-	// slack is the part by which a length must be wrong before it is changed, besides by a new list.
-	slack = 0.25
-	// golden spreads what is numbered evenly over a ring, for any run of numbers or every n-th of them alike.
-	golden = 0.6180339887498949
+	rateTimeConstant = 10 * time.Second
+	// minRateSpan is the time that the first pushes are held to have taken: one push at once is no rate.
+	minRateSpan = 2 * time.Second
+	// checkInterval is how often the part is measured against the rate.
+	checkInterval = time.Second
+	// lengthTolerance is the part by which a length must be wrong before it is changed, besides by a new list.
+	lengthTolerance = 0.25
+	// goldenRatio spreads what is numbered evenly over a ring, for any run of numbers or every n-th of them alike.
+	goldenRatio = 0.6180339887498949
 )
 
-// Server is a server as the list has it. Mark is common to all gateways: a hash of its name.
-type Server struct {
-	Mark uint64
-	policy.Listed
+// Candidate is a server as the list has it. Mark is common to all gateways: a hash of its name.
+type Candidate struct {
+	NameHash uint64
+	policy.Endpoint
 }
 
-// Mark is the mark of a name.
-func Mark(name string) uint64 { return xxhash.Sum64String(name) }
-
-// Pool is one gateway's part.
-type Pool struct {
-	kept     time.Duration
-	me       int
-	gateways int
-
-	pushes float64 // faded count
-	since  time.Duration
-	at     time.Duration // of the latest count
-	look   time.Duration // of the latest measure
-	length int           // wanted when the part was last laid out; 0: not yet
-	all    int           // ready servers then
-
-	weights []float64 // by hall; nil: as the list has them
-	shed    float64   // the part of tasks that fits nowhere
-	short   float64   // the part of the weights whose hall has no server ready
-	turn    int64     // when the part was last laid out by weights
-	tasks   uint64    // asked about
+// HashName is the mark of a name.
+func HashName(name string) uint64 { return xxhash.Sum64String(name) }
+
+// Subset is one gateway's part.
+type Subset struct {
+	keepAlive time.Duration
+	me        int
+	gateways  int
+
+	attempts  float64 // faded count
+	since     time.Duration
+	countedAt time.Duration // of the latest count
+	checkedAt time.Duration // of the latest measure
+	length    int           // wanted when the part was last laid out; 0: not yet
+	ready     int           // ready servers then
+
+	weights          []float64 // by hall; nil: as the list has them
+	shedFraction     float64   // the part of tasks that fits nowhere
+	unservedFraction float64   // the part of the weights whose hall has no server ready
+	turn             int64     // when the part was last laid out by weights
+	requests         uint64    // asked about
 }
 
 // New makes the part of gateway number me, from 0, of so many. Kept is how long a connection is kept after its
 // latest push; at 0 the part is the whole list.
-func New(me, gateways int, kept time.Duration) *Pool {
-	return &Pool{kept: kept, me: me, gateways: max(gateways, 1)}
+func New(me, gateways int, keepAlive time.Duration) *Subset {
+	return &Subset{keepAlive: keepAlive, me: me, gateways: max(gateways, 1)}
 }
 
 // Resize makes it the part of another gateway, or of one of another number; it is laid out so with the next list.
-func (p *Pool) Resize(me, gateways int) { p.me, p.gateways = me, max(gateways, 1) }
+func (s *Subset) Resize(me, gateways int) { s.me, s.gateways = me, max(gateways, 1) }
 
-// Pushed counts a push.
-func (p *Pool) Pushed(now time.Duration) {
-	p.fade(now)
-	p.pushes++
+// CountAttempt counts a push.
+func (s *Subset) CountAttempt(now time.Duration) {
+	s.decay(now)
+	s.attempts++
 }
 
-// fade lets what was counted fade to now.
-func (p *Pool) fade(now time.Duration) {
-	if p.at == 0 {
-		p.since, p.at = now, now
+// decay lets what was counted fade to now.
+func (s *Subset) decay(now time.Duration) {
+	if s.countedAt == 0 {
+		s.since, s.countedAt = now, now
 	}
-	p.pushes *= math.Exp(-float64(now-p.at) / float64(rateTime))
-	p.at = now
+	s.attempts *= math.Exp(-float64(now-s.countedAt) / float64(rateTimeConstant))
+	s.countedAt = now
 }
 
-// Rate is the pushes a second of late; 0 before any.
-func (p *Pool) Rate(now time.Duration) float64 {
-	p.fade(now)
+// AttemptRate is the pushes a second of late; 0 before any.
+func (s *Subset) AttemptRate(now time.Duration) float64 {
+	s.decay(now)
 	// The count of a steady rate r after a time t is r * rateTime * (1 - exp(-t / rateTime)).
-	span := rateTime.Seconds() * -math.Expm1(-float64(max(now-p.since, rateLeast))/float64(rateTime))
-	return p.pushes / span
+	span := rateTimeConstant.Seconds() * -math.Expm1(-float64(max(now-s.since, minRateSpan))/float64(rateTimeConstant))
+	return s.attempts / span
 }
 
-// want is how many servers the part is to hold, of so many that are ready.
-func (p *Pool) want(now time.Duration, ready int) int {
-	if p.kept <= 0 {
+// targetLength is how many servers the part is to hold, of so many that are ready.
+func (s *Subset) targetLength(now time.Duration, ready int) int {
+	if s.keepAlive <= 0 {
 		return ready
 	}
-	n := p.Rate(now) * p.kept.Seconds() / useTimes
-	n = max(n, Least, math.Ceil(coverLeast*float64(ready)/float64(p.gateways)))
+	n := s.AttemptRate(now) * s.keepAlive.Seconds() / attemptsPerKeepAlive
+	n = max(n, MinSize, math.Ceil(minCover*float64(ready)/float64(s.gateways)))
 	return int(min(n, float64(ready)))
 }
 
-// Due tells, once in a while, whether the part is to be laid out anew as the rate has changed.
-func (p *Pool) Due(now time.Duration) bool {
-	if p.length == 0 || now < p.look+lookEvery {
+// IsDue tells, once in a while, whether the part is to be laid out anew as the rate has changed.
+func (s *Subset) IsDue(now time.Duration) bool {
+	if s.length == 0 || now < s.checkedAt+checkInterval {
 		return false
 	}
-	p.look = now
-	if p.weights != nil && p.turn != turn(now) {
+	s.checkedAt = now
+	if s.weights != nil && s.turn != turnAt(now) {
 		return true
 	}
-	n := p.want(now, p.all)
-	return math.Abs(float64(n-p.length)) > slack*float64(p.length) || n == p.all && p.length < n
+	n := s.targetLength(now, s.ready)
+	return math.Abs(float64(n-s.length)) > lengthTolerance*float64(s.length) || n == s.ready && s.length < n
 }
 
-// Part lays the part out: the servers of the list that are in it, in the list's order, and how many gateways share
+// Select lays the part out: the servers of the list that are in it, in the list's order, and how many gateways share
 // each of them in the mean. Only those that are ready are.
-func (p *Pool) Part(now time.Duration, list []Server) (part []policy.Listed, sharers float64) {
-	halls := map[int][]int{}
-	p.all = 0
-	for i, s := range list {
-		if s.Stage == policy.Ready {
-			halls[s.Hall] = append(halls[s.Hall], i)
-			p.all++
+func (s *Subset) Select(now time.Duration, list []Candidate) (selected []policy.Endpoint, sharers float64) {
+	zones := map[int][]int{}
+	s.ready = 0
+	for i, candidate := range list {
+		if candidate.State == policy.Ready {
+			zones[candidate.Zone] = append(zones[candidate.Zone], i)
+			s.ready++
 		}
 	}
-	p.length, p.look = p.want(now, p.all), now
-	if p.short = 0; p.all == 0 {
-		return nil, float64(p.gateways)
+	s.length, s.checkedAt = s.targetLength(now, s.ready), now
+	if s.unservedFraction = 0; s.ready == 0 {
+		return nil, float64(s.gateways)
 	}
-	if p.weights != nil {
-		part = p.shared(now, list, halls)
+	if s.weights != nil {
+		selected = s.selectWeighted(now, list, zones)
 	} else {
-		share := float64(p.length) / float64(p.all)
+		fraction := float64(s.length) / float64(s.ready)
 		var places []int
-		for hall, ring := range halls {
-			places = append(places, p.arc(hall, ring, list, int(math.Ceil(share*float64(len(ring)))))...)
+		for zone, ring := range zones {
+			places = append(places, s.arc(zone, ring, list, int(math.Ceil(fraction*float64(len(ring)))))...)
 		}
 		slices.Sort(places)
 		for _, at := range places {
-			part = append(part, list[at].Listed)
+			selected = append(selected, list[at].Endpoint)
 		}
 	}
 	// Others' traffic is taken to be as ours: their parts are as long.
-	return part, max(float64(p.gateways)*float64(len(part))/float64(p.all), 1)
+	return selected, max(float64(s.gateways)*float64(len(selected))/float64(s.ready), 1)
 }
 
 // arc cuts this gateway's arc, so many servers, out of a hall's ring. Cells stay together, as a receipted task can go
 // again only within one; their order, and that within them, is chance but the same at all gateways.
-func (p *Pool) arc(hall int, ring []int, list []Server, length int) []int {
+func (s *Subset) arc(zone int, ring []int, list []Candidate, length int) []int {
 	n := len(ring)
 	if length >= n {
 		return ring
 	}
-	cell := func(s Server) uint64 {
-		return xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(s.Hall)<<32|uint64(uint32(s.Cell))))
+	cell := func(candidate Candidate) uint64 {
+		return xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(candidate.Zone)<<32|uint64(uint32(candidate.Rack))))
 	}
 	slices.SortFunc(ring, func(a, b int) int {
 		x, y := list[a], list[b]
-		return cmp.Or(cmp.Compare(cell(x), cell(y)), cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.Mark, y.Mark))
+		return cmp.Or(cmp.Compare(cell(x), cell(y)), cmp.Compare(x.Rack, y.Rack), cmp.Compare(x.NameHash, y.NameHash))
 	})
-	_, at := math.Modf(float64(p.me)*golden + float64(hall)/math.Pi)
+	_, at := math.Modf(float64(s.me)*goldenRatio + float64(zone)/math.Pi)
 	first := int(at * float64(n))
 	arc := make([]int, 0, length)
 	for i := range length {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -10,88 +10,88 @@
 	"harrierhoist/policy"
 )
 
-// fleet is so many ready servers, in halls in turn and cells of six.
-func fleet(servers, halls int) []Server {
+// newFleet is so many ready servers, in halls in turn and cells of six.
+func newFleet(servers, zones int) []Candidate {
 	chance := rand.New(rand.NewSource(7))
-	list := make([]Server, servers)
+	list := make([]Candidate, servers)
 	for i := range list {
-		hall := i % halls
-		list[i] = Server{chance.Uint64(), policy.Listed{Server: uint32(i), Stage: policy.Ready, Hall: hall, Cell: i/halls/6*halls + hall}}
+		zone := i % zones
+		list[i] = Candidate{chance.Uint64(), policy.Endpoint{Server: uint32(i), State: policy.Ready, Zone: zone, Rack: i/zones/6*zones + zone}}
 	}
 	return list
 }
 
-// steady has a gateway push at a rate for a while, and gives its part then.
-func steady(me, gateways int, rate float64, list []Server) ([]policy.Listed, float64) {
-	p := New(me, gateways, 15*time.Second)
+// selectAtRate has a gateway push at a rate for a while, and gives its part then.
+func selectAtRate(me, gateways int, rate float64, list []Candidate) ([]policy.Endpoint, float64) {
+	s := New(me, gateways, 15*time.Second)
 	now := time.Hour
-	p.Part(now, list)
+	s.Select(now, list)
 	for range int(rate * 40) {
 		now += time.Duration(float64(time.Second) / rate)
-		p.Pushed(now)
+		s.CountAttempt(now)
 	}
-	return p.Part(now, list)
+	return s.Select(now, list)
 }
 
-// load is the pushes a second that each server gets from a fleet of gateways, each drawing evenly from its part.
-func load(t *testing.T, gateways int, rate func(me int) float64, list []Server) []float64 {
+// attemptRates is the pushes a second that each server gets from a fleet of gateways, each drawing evenly from its part.
+func attemptRates(t *testing.T, gateways int, rate func(me int) float64, list []Candidate) []float64 {
 	t.Helper()
 	got := make([]float64, len(list))
 	for me := range gateways {
-		part, _ := steady(me, gateways, rate(me), list)
-		if len(part) == 0 {
+		selected, _ := selectAtRate(me, gateways, rate(me), list)
+		if len(selected) == 0 {
 			t.Fatalf("gateway %d has no part", me)
 		}
-		for _, l := range part {
-			got[l.Server] += rate(me) / float64(len(part))
+		for _, l := range selected {
+			got[l.Server] += rate(me) / float64(len(selected))
 		}
 	}
 	return got
 }
 
-// uneven is the deviation of the loads of the ready, over their mean.
-func uneven(loads []float64, list []Server) (deviation, least, most float64) {
+// spread is the deviation of the loads of the ready, over their mean.
+func spread(loads []float64, list []Candidate) (deviation, least, most float64) {
 	sum, n, least := 0.0, 0.0, math.Inf(1)
 	for i, l := range loads {
-		if list[i].Stage == policy.Ready {
+		if list[i].State == policy.Ready {
 			sum, n = sum+l, n+1
 			least, most = min(least, l), max(most, l)
 		}
 	}
 	mean, square := sum/n, 0.0
 	for i, l := range loads {
-		if list[i].Stage == policy.Ready {
+		if list[i].State == policy.Ready {
 			square += (l - mean) * (l - mean)
 		}
 	}
 	return math.Sqrt(square/n) / mean, least / mean, most / mean
 }
 
-func TestThreeBusyGatewaysPushToAllServers(t *testing.T) {
-	list := fleet(14, 2)
+func TestSelect_threeBusyGatewaysUseAllServers(t *testing.T) {
+	list := newFleet(14, 2)
 	for me := range 3 {
-		part, sharers := steady(me, 3, 140, list)
-		if len(part) != 14 || sharers != 3 {
-			t.Errorf("gateway %d: %d servers shared by %.1f, want all 14 by 3", me, len(part), sharers)
+		selected, sharers := selectAtRate(me, 3, 140, list)
+		if len(selected) != 14 || sharers != 3 {
+			t.Errorf("gateway %d: %d servers shared by %.1f, want all 14 by 3", me, len(selected), sharers)
 		}
 	}
 }
 
-func TestAQuietGatewayAmongHundredsKeepsFewServers(t *testing.T) {
-	list := fleet(180, 3)
-	part, sharers := steady(17, 300, 9, list)
-	if len(part) < 10 || len(part) > 14 {
-		t.Errorf("%d servers for 9 pushes a second kept 15 s, want some 12", len(part))
+func TestSelect_quietGatewayAmongHundredsKeepsFewServers(t *testing.T) {
+	list := newFleet(180, 3)
+	selected, sharers := selectAtRate(17, 300, 9, list)
+	if len(selected) < 10 || len(selected) > 14 {
+		t.Errorf("%d servers for 9 pushes a second kept 15 s, want some 12", len(selected))
 	}
-	if want := 300 * float64(len(part)) / 180; math.Abs(sharers-want) > 1e-9 {
+	if want := 300 * float64(len(selected)) / 180; math.Abs(sharers-want) > 1e-9 {
 		t.Errorf("shared by %.1f, want %.1f", sharers, want)
 	}
-	if part, _ := steady(17, 300, 0.5, list); len(part) < Least || len(part) > Least+3 {
-		t.Errorf("%d servers for hardly any pushes, want the least, %d", len(part), Least)
+	if selected, _ := selectAtRate(17, 300, 0.5, list); len(selected) < MinSize || len(selected) > MinSize+3 {
+		t.Errorf("%d servers for hardly any pushes, want the least, %d", len(selected), MinSize)
 	}
 }
 
-func TestLoadIsEvenWhateverEachGatewaysShare(t *testing.T) {
+func TestSelect_loadIsEvenWhateverTheTrafficOfEachGateway(t *testing.T) {
 	stories := []struct {
 		name               string
 		gateways, servers  int
@@ -113,8 +113,8 @@
 	}
 	for _, s := range stories {
 		t.Run(s.name, func(t *testing.T) {
-			list := fleet(s.servers, s.halls)
-			deviation, least, most := uneven(load(t, s.gateways, s.rate, list), list)
+			list := newFleet(s.servers, s.halls)
+			deviation, least, most := spread(attemptRates(t, s.gateways, s.rate, list), list)
 			t.Logf("deviation %.3f, least %.2f, most %.2f of the mean", deviation, least, most)
 			if deviation > s.deviation || most > s.busiest || least <= 0 {
 				t.Errorf("deviation %.3f (at most %.2f), busiest %.2f (at most %.2f), least %.2f", deviation,
@@ -124,33 +124,33 @@
 	}
 }
 
-func TestLoadStaysEvenAfterAHallIsLostAndAfterADeploy(t *testing.T) {
-	list := fleet(180, 3)
+func TestSelect_loadStaysEvenAfterALostZoneAndADeploy(t *testing.T) {
+	list := newFleet(180, 3)
 	for i := range list {
-		if list[i].Hall == 1 {
-			list[i].Stage = policy.Gone
+		if list[i].Zone == 1 {
+			list[i].State = policy.Removed
 		}
 	}
-	if deviation, _, most := uneven(load(t, 300, func(int) float64 { return 9 }, list), list); deviation > 0.08 || most > 1.25 {
+	if deviation, _, most := spread(attemptRates(t, 300, func(int) float64 { return 9 }, list), list); deviation > 0.08 || most > 1.25 {
 		t.Errorf("a hall lost: deviation %.3f, busiest %.2f", deviation, most)
 	}
 	chance := rand.New(rand.NewSource(3))
-	list = fleet(180, 3)
+	list = newFleet(180, 3)
 	for i := range list {
 		if chance.Float64() < 0.6 {
-			list[i].Stage = policy.Draining
-			list = append(list, Server{chance.Uint64(), policy.Listed{Server: uint32(len(list)), Stage: policy.Ready, Hall: list[i].Hall, Cell: list[i].Cell}})
+			list[i].State = policy.Draining
+			list = append(list, Candidate{chance.Uint64(), policy.Endpoint{Server: uint32(len(list)), State: policy.Ready, Zone: list[i].Zone, Rack: list[i].Rack}})
 		}
 	}
-	if deviation, _, most := uneven(load(t, 300, func(int) float64 { return 9 }, list), list); deviation > 0.08 || most > 1.25 {
+	if deviation, _, most := spread(attemptRates(t, 300, func(int) float64 { return 9 }, list), list); deviation > 0.08 || most > 1.25 {
 		t.Errorf("six in ten replaced: deviation %.3f, busiest %.2f", deviation, most)
 	}
 }
 
-func TestAGatewaysHallGetsNoUnevenPartOfItsOwnGateways(t *testing.T) {
+func TestSelect_zoneIsCoveredEvenlyByItsOwnGateways(t *testing.T) {
 	// Gateways favour servers of their hall. Where numbers go by hall, in turn or in blocks, those of one hall must
 	// still cover its servers evenly.
-	list := fleet(180, 3)
+	list := newFleet(180, 3)
 	for name, local := range map[string]func(me int) bool{
 		"in turn":   func(me int) bool { return me%3 == 1 },
 		"in blocks": func(me int) bool { return me >= 100 && me < 200 },
@@ -158,27 +158,27 @@
 		cover := make([]float64, len(list))
 		for me := range 300 {
 			if local(me) {
-				part, _ := steady(me, 300, 9, list)
-				for _, l := range part {
+				selected, _ := selectAtRate(me, 300, 9, list)
+				for _, l := range selected {
 					cover[l.Server]++
 				}
 			}
 		}
-		if deviation, least, most := uneven(cover, list); deviation > 0.12 || least < 0.7 || most > 1.35 {
+		if deviation, least, most := spread(cover, list); deviation > 0.12 || least < 0.7 || most > 1.35 {
 			t.Errorf("%s: deviation %.3f, least %.2f, most %.2f", name, deviation, least, most)
 		}
 	}
 }
 
-func TestAPartChangesLittleWithTheList(t *testing.T) {
-	list := fleet(180, 3)
-	p := New(5, 300, 15*time.Second)
-	before, _ := p.Part(time.Second, list)
+func TestSelect_changesLittleWithTheList(t *testing.T) {
+	list := newFleet(180, 3)
+	s := New(5, 300, 15*time.Second)
+	before, _ := s.Select(time.Second, list)
 	moved := 0
 	for gone := range list {
 		changed := slices.Clone(list)
-		changed[gone].Stage = policy.Gone
-		after, _ := p.Part(time.Second, changed)
+		changed[gone].State = policy.Removed
+		after, _ := s.Select(time.Second, changed)
 		fresh := 0
 		for _, l := range after {
 			if !slices.Contains(before, l) {
@@ -195,12 +195,12 @@
 	}
 }
 
-func TestCellsStayTogether(t *testing.T) {
-	list := fleet(180, 3)
-	part, _ := steady(8, 300, 9, list)
+func TestSelect_racksStayTogether(t *testing.T) {
+	list := newFleet(180, 3)
+	selected, _ := selectAtRate(8, 300, 9, list)
 	cells := map[int]int{}
-	for _, l := range part {
-		cells[l.Cell]++
+	for _, l := range selected {
+		cells[l.Rack]++
 	}
 	whole := 0
 	for _, n := range cells {
@@ -213,12 +213,12 @@
 	}
 }
 
-func TestTheOrderOfTheListDoesNotMatter(t *testing.T) {
-	list := fleet(90, 2)
-	p := New(3, 100, 15*time.Second)
-	marks := func(list []Server) (all []uint32) {
-		part, _ := p.Part(time.Second, list)
-		for _, l := range part {
+func TestSelect_orderOfTheListDoesNotMatter(t *testing.T) {
+	list := newFleet(90, 2)
+	s := New(3, 100, 15*time.Second)
+	marks := func(list []Candidate) (all []uint32) {
+		selected, _ := s.Select(time.Second, list)
+		for _, l := range selected {
 			all = append(all, l.Server)
 		}
 		slices.Sort(all)
@@ -231,22 +231,22 @@
 	}
 }
 
-func TestAPartGrowsWithThePushesAndIsLeftAloneWhileTheyAreSteady(t *testing.T) {
-	list := fleet(180, 3)
-	p := New(5, 300, 15*time.Second)
+func TestIsDue_growsWithAttemptsAndRestsAtASteadyRate(t *testing.T) {
+	list := newFleet(180, 3)
+	s := New(5, 300, 15*time.Second)
 	now := time.Hour
-	first, _ := p.Part(now, list)
-	if len(first) > Least+3 {
-		t.Errorf("%d servers before any push, want %d", len(first), Least)
+	first, _ := s.Select(now, list)
+	if len(first) > MinSize+3 {
+		t.Errorf("%d servers before any push, want %d", len(first), MinSize)
 	}
 	laid := 0
 	size := len(first)
 	for i := range 60 * 20 { // a minute at 20 pushes a second
 		now += 50 * time.Millisecond
-		p.Pushed(now)
-		if p.Due(now) {
-			part, _ := p.Part(now, list)
-			size = len(part)
+		s.CountAttempt(now)
+		if s.IsDue(now) {
+			selected, _ := s.Select(now, list)
+			size = len(selected)
 			if laid++; i > 30*20 {
 				t.Errorf("laid out anew at second %d of a steady rate", i/20)
 			}
@@ -255,17 +255,17 @@
 	if size < 20 || size > 32 || laid > 8 {
 		t.Errorf("%d servers after %d changes, want some 25 after a few", size, laid)
 	}
-	if rate := p.Rate(now); math.Abs(rate-20) > 1 {
+	if rate := s.AttemptRate(now); math.Abs(rate-20) > 1 {
 		t.Errorf("rate %.1f, want 20", rate)
 	}
 }
 
-func TestNoServerAndNoConnectionsToKeep(t *testing.T) {
-	if part, sharers := New(0, 5, time.Second).Part(0, nil); len(part) != 0 || sharers != 5 {
-		t.Errorf("%v shared by %.0f of no servers", part, sharers)
+func TestSelect_noServersAndNoKeepAlive(t *testing.T) {
+	if selected, sharers := New(0, 5, time.Second).Select(0, nil); len(selected) != 0 || sharers != 5 {
+		t.Errorf("%v shared by %.0f of no servers", selected, sharers)
 	}
-	list := fleet(50, 2)
-	if part, sharers := New(0, 5, 0).Part(0, list); len(part) != 50 || sharers != 5 {
-		t.Errorf("%d of 50 shared by %.0f where nothing is kept", len(part), sharers)
+	list := newFleet(50, 2)
+	if selected, sharers := New(0, 5, 0).Select(0, list); len(selected) != 50 || sharers != 5 {
+		t.Errorf("%d of 50 shared by %.0f where nothing is kept", len(selected), sharers)
 	}
 }
--- a/internal/pool/shares_test.go
+++ b/internal/pool/shares_test.go
@@ -12,15 +12,15 @@
 	"harrierhoist/policy"
 )
 
-// told is the part of servers by hall that all gateways are handed, in the mean, by weights; and which servers.
-func told(weights []float64, gateways int, list []Server, halls int, now time.Duration) ([]float64, map[uint32]int) {
-	mean, met := make([]float64, halls), map[uint32]int{}
+// meanFractions is the part of servers by hall that all gateways are handed, in the mean, by weights; and which servers.
+func meanFractions(weights []float64, gateways int, list []Candidate, zones int, now time.Duration) ([]float64, map[uint32]int) {
+	mean, met := make([]float64, zones), map[uint32]int{}
 	for me := range gateways {
-		p := New(me, gateways, 15*time.Second)
-		p.Steer(weights, 0)
-		part, _ := p.Part(now, list)
-		for _, l := range part {
-			mean[l.Hall] += 1 / float64(len(part)) / float64(gateways)
+		s := New(me, gateways, 15*time.Second)
+		s.SetWeights(weights, 0)
+		selected, _ := s.Select(now, list)
+		for _, l := range selected {
+			mean[l.Zone] += 1 / float64(len(selected)) / float64(gateways)
 			met[l.Server]++
 		}
 	}
@@ -28,16 +28,16 @@
 }
 
 // Shares hold in the mean over the fleet, though no gateway has a fiftieth of a server; and other gateways try it in turn.
-func TestSharesHoldOverTheFleet(t *testing.T) {
+func TestSetWeights_holdOverTheFleet(t *testing.T) {
 	for _, gateways := range []int{30, 300} {
-		list := fleet(120, 3)
+		list := newFleet(120, 3)
 		want := []float64{0.68, 0.3, 0.02}
 		met := map[uint32]int{}
 		for turns := range 5 {
-			mean, now := told(want, gateways, list, 3, time.Hour+time.Duration(turns)*turnEvery)
-			for hall, share := range want {
-				if math.Abs(mean[hall]-share) > 0.35/float64(gateways)+0.015 {
-					t.Errorf("%d gateways: hall %d gets %.3f, not %.2f", gateways, hall, mean[hall], share)
+			mean, now := meanFractions(want, gateways, list, 3, time.Hour+time.Duration(turns)*turnInterval)
+			for zone, fraction := range want {
+				if math.Abs(mean[zone]-fraction) > 0.35/float64(gateways)+0.015 {
+					t.Errorf("%d gateways: hall %d gets %.3f, not %.2f", gateways, zone, mean[zone], fraction)
 				}
 			}
 			for server, n := range now {
@@ -51,31 +51,31 @@
 }
 
 // A hall with too few servers gets its share all the same, as fewer of the others are handed over.
-func TestAHallWithFewServersKeepsItsShare(t *testing.T) {
-	list := slices.DeleteFunc(fleet(60, 2), func(s Server) bool { return s.Hall == 1 && s.Server > 4 })
-	mean, _ := told([]float64{0.5, 0.5}, 20, list, 2, time.Hour)
+func TestSetWeights_zoneWithFewServersKeepsItsFraction(t *testing.T) {
+	list := slices.DeleteFunc(newFleet(60, 2), func(candidate Candidate) bool { return candidate.Zone == 1 && candidate.Server > 4 })
+	mean, _ := meanFractions([]float64{0.5, 0.5}, 20, list, 2, time.Hour)
 	if math.Abs(mean[1]-0.5) > 0.02 {
 		t.Errorf("two servers get %.2f", mean[1])
 	}
 }
 
 // A hall with no weight gets nothing; what belongs to a hall without a server ready is shed, and no one else's.
-func TestNothingGoesWhereNothingIsPlanned(t *testing.T) {
-	list := fleet(30, 3)
+func TestSetWeights_unplannedZoneGetsNothing(t *testing.T) {
+	list := newFleet(30, 3)
 	for i := range list {
-		if list[i].Hall == 0 {
-			list[i].Stage = policy.Gone
+		if list[i].Zone == 0 {
+			list[i].State = policy.Removed
 		}
 	}
-	p := New(3, 30, 15*time.Second)
-	p.Steer([]float64{0.3, 0.7, 0}, 0.5)
-	part, _ := p.Part(time.Hour, list)
-	if len(part) == 0 || slices.ContainsFunc(part, func(l policy.Listed) bool { return l.Hall != 1 }) {
-		t.Errorf("part %v", part)
+	s := New(3, 30, 15*time.Second)
+	s.SetWeights([]float64{0.3, 0.7, 0}, 0.5)
+	selected, _ := s.Select(time.Hour, list)
+	if len(selected) == 0 || slices.ContainsFunc(selected, func(l policy.Endpoint) bool { return l.Zone != 1 }) {
+		t.Errorf("part %v", selected)
 	}
 	shed, third := 0, 0
 	for i := range 3000 {
-		if p.Shed() {
+		if s.ShouldShed() {
 			shed++
 			if i%3 == 0 {
 				third++
@@ -87,51 +87,51 @@
 	}
 }
 
-// asEver is the hash of the parts that the pool laid out before it knew weights.
-const asEver = 0x421af0ccf5576efb
+// unweightedHash is the hash of the parts that the pool laid out before it knew weights.
+const unweightedHash = 0x421af0ccf5576efb
 
 // Without weights, also after some, the parts are the same as they ever were.
-func TestWithoutWeightsThePartIsAsEver(t *testing.T) {
+func TestSetWeights_nilSelectsAsWithoutWeights(t *testing.T) {
 	plain, steered := xxhash.New(), xxhash.New()
 	for me := range 40 {
 		a, b := New(me, 300, 15*time.Second), New(me, 300, 15*time.Second)
-		list := fleet(200, 3)
-		write(plain, a, list)
-		b.Steer([]float64{1, 0, 0}, 0.5)
-		b.Part(time.Hour, list)
-		b.Steer(nil, 0)
-		write(steered, b, list)
-		if b.Shed() {
+		list := newFleet(200, 3)
+		hashSelections(plain, a, list)
+		b.SetWeights([]float64{1, 0, 0}, 0.5)
+		b.Select(time.Hour, list)
+		b.SetWeights(nil, 0)
+		hashSelections(steered, b, list)
+		if b.ShouldShed() {
 			t.Error("a task is shed")
 		}
 	}
-	if plain.Sum64() != asEver || steered.Sum64() != asEver {
+	if plain.Sum64() != unweightedHash || steered.Sum64() != unweightedHash {
 		t.Errorf("parts of %#x, and after weights %#x", plain.Sum64(), steered.Sum64())
 	}
 }
 
-// asListed is what of a server the hash was taken over.
-type asListed struct {
+// hashedEndpoint is what of a server the hash was taken over.
+type hashedEndpoint struct {
 	Server           uint32
-	Stage            policy.Stage
+	Stage            policy.EndpointState
 	Power            float64
 	Since            time.Duration
 	Cell, Hall, Kind int
 }
 
-func write(h *xxhash.Digest, p *Pool, list []Server) {
+func hashSelections(h *xxhash.Digest, s *Subset, list []Candidate) {
 	for now := time.Hour; now < time.Hour+5*time.Second; now += time.Second / 4 {
-		part, sharers := p.Part(now, list)
-		was := make([]asListed, len(part))
-		for i, l := range part {
-			was[i] = asListed{l.Server, l.Stage, l.Power, l.Since, l.Cell, l.Hall, l.Kind}
+		selected, sharers := s.Select(now, list)
+		was := make([]hashedEndpoint, len(selected))
+		for i, l := range selected {
+			was[i] = hashedEndpoint{l.Server, l.State, l.Capacity, l.StartedAt, l.Rack, l.Zone, l.Hardware}
 			if l.Owner != 0 || l.Elective {
 				_, _ = fmt.Fprintln(h, "marked", l)
 			}
 		}
-		_, _ = fmt.Fprintln(h, was, sharers, p.Due(now+time.Minute))
+		_, _ = fmt.Fprintln(h, was, sharers, s.IsDue(now+time.Minute))
 		for i := range 9 {
-			p.Pushed(now + time.Duration(i)*20*time.Millisecond)
+			s.CountAttempt(now + time.Duration(i)*20*time.Millisecond)
 		}
 	}
 }
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -13,19 +13,19 @@
 // Conn is one connection, used by one reader and one writer at a time.
 type Conn struct {
 	net.Conn
-	raw  syscall.RawConn       // nil where there is no descriptor
-	look func(fd uintptr) bool // stood, made once: a wait allocates nothing for it
-	seen error                 // how the wait ended
-	wait [1]byte
-	in   *reader // nil while nothing is being read
+	rawConn    syscall.RawConn       // nil where there is no descriptor
+	readable   func(fd uintptr) bool // stood, made once: a wait allocates nothing for it
+	peekError  error                 // how the wait ended
+	peekBuffer [1]byte
+	reader     *messageReader // nil while nothing is being read
 }
 
 // NewConn speaks RESP2 on a connection.
 func NewConn(conn net.Conn) *Conn {
 	c := &Conn{Conn: conn}
-	c.look = c.stood
+	c.readable = c.isReadable
 	if sock, ok := conn.(syscall.Conn); ok {
-		c.raw, _ = sock.SyscallConn()
+		c.rawConn, _ = sock.SyscallConn()
 	}
 	return c
 }
@@ -33,73 +33,73 @@
 // Await waits for the next message. The reader's buffer is taken from the pool when its first byte is there. That byte
 // is left where it stands: until the message is read, Quiet sees it, and an end of the connection says it was not read.
 func (c *Conn) Await() error {
-	if c.in == nil {
-		first, err := c.stands()
+	if c.reader == nil {
+		first, err := c.waitReadable()
 		if err != nil {
 			return err
 		}
-		c.in = readers.Get().(*reader)
-		c.in.conn, c.in.first = c.Conn, first
-		c.in.R.Reset(c.in)
+		c.reader = readerPool.Get().(*messageReader)
+		c.reader.conn, c.reader.peeked = c.Conn, first
+		c.reader.R.Reset(c.reader)
 	}
-	c.in.left = messageMost
+	c.reader.remaining = maxMessageSize
 	return nil
 }
 
-// stands waits until a byte stands in the system. Without a descriptor it has to be read, and is given back.
-func (c *Conn) stands() (first []byte, err error) {
-	if c.raw == nil {
-		_, err = io.ReadFull(c.Conn, c.wait[:])
-		return c.wait[:], err
+// waitReadable waits until a byte stands in the system. Without a descriptor it has to be read, and is given back.
+func (c *Conn) waitReadable() (first []byte, err error) {
+	if c.rawConn == nil {
+		_, err = io.ReadFull(c.Conn, c.peekBuffer[:])
+		return c.peekBuffer[:], err
 	}
-	if err = c.raw.Read(c.look); err != nil {
+	if err = c.rawConn.Read(c.readable); err != nil {
 		return nil, err
 	}
-	return nil, c.seen
+	return nil, c.peekError
 }
 
-// stood looks, in the wait, whether a byte or the end has come.
-func (c *Conn) stood(fd uintptr) bool {
-	n, err := peek(int(fd), c.wait[:])
-	switch c.seen = nil; {
+// isReadable looks, in the wait, whether a byte or the end has come.
+func (c *Conn) isReadable(fd uintptr) bool {
+	n, err := peek(int(fd), c.peekBuffer[:])
+	switch c.peekError = nil; {
 	case err == unix.EAGAIN:
 		return false
 	case err != nil:
-		c.seen = os.NewSyscallError("recvfrom", err)
+		c.peekError = os.NewSyscallError("recvfrom", err)
 	case n == 0:
-		c.seen = io.EOF
+		c.peekError = io.EOF
 	}
 	return true
 }
 
-// rest gives the reader back, unless it has read on into the next message.
-func (c *Conn) rest() {
-	if c.in != nil && c.in.R.Buffered() == 0 && len(c.in.first) == 0 {
-		c.drop()
+// releaseIfDrained gives the reader back, unless it has read on into the next message.
+func (c *Conn) releaseIfDrained() {
+	if c.reader != nil && c.reader.R.Buffered() == 0 && len(c.reader.peeked) == 0 {
+		c.releaseReader()
 	}
 }
 
-func (c *Conn) drop() {
-	if c.in != nil {
-		c.in.conn, c.in.first, c.in.scant = nil, nil, false
-		readers.Put(c.in)
-		c.in = nil
+func (c *Conn) releaseReader() {
+	if c.reader != nil {
+		c.reader.conn, c.reader.peeked, c.reader.noReadAhead = nil, nil, false
+		readerPool.Put(c.reader)
+		c.reader = nil
 	}
 }
 
-// fail ends reading for good.
-func (c *Conn) fail(err error) error {
-	c.drop()
+// closeReading ends reading for good.
+func (c *Conn) closeReading(err error) error {
+	c.releaseReader()
 	if err == io.ErrUnexpectedEOF {
 		return io.EOF
 	}
 	return err
 }
 
-// Quiet tells, without waiting, that the connection stands and nothing has come on it that was not read.
-func (c *Conn) Quiet() bool {
+// IsQuiet tells, without waiting, that the connection stands and nothing has come on it that was not read.
+func (c *Conn) IsQuiet() bool {
 	quiet := false
-	c.control(func(fd int) {
+	c.withDescriptor(func(fd int) {
 		_, err := peek(fd, make([]byte, 1))
 		quiet = err == unix.EAGAIN
 	})
@@ -115,44 +115,44 @@
 	}
 }
 
-// Scant has no more read, until the connection is drained, than the message in hand needs.
-func (c *Conn) Scant() {
-	if c.in != nil {
-		c.in.scant = true
+// StopReadAhead has no more read, until the connection is drained, than the message in hand needs.
+func (c *Conn) StopReadAhead() {
+	if c.reader != nil {
+		c.reader.noReadAhead = true
 	}
 }
 
-// control lends the descriptor, if the connection has one and is open.
-func (c *Conn) control(use func(fd int)) {
-	if c.raw != nil {
-		_ = c.raw.Control(func(fd uintptr) { use(int(fd)) })
+// withDescriptor lends the descriptor, if the connection has one and is open.
+func (c *Conn) withDescriptor(use func(fd int)) {
+	if c.rawConn != nil {
+		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) })
 	}
 }
 
-// Drained tells, to whoever reads, that nothing was read on behind the last message.
-func (c *Conn) Drained() bool { return c.in == nil }
+// IsDrained tells, to whoever reads, that nothing was read on behind the last message.
+func (c *Conn) IsDrained() bool { return c.reader == nil }
 
-// Part ends the connection after a message that could not be read: closed with that still coming, it would be
+// CloseAfterError ends the connection after a message that could not be read: closed with that still coming, it would be
 // reset, and the other side might never see the answer. What comes is thrown away, for so long at most, and no
 // more than a message: reading on from one who has 60 MB to send would cost more than it is owed.
-func (c *Conn) Part(most time.Duration) {
+func (c *Conn) CloseAfterError(most time.Duration) {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(most))
-		part := buffers.Get().(*[bufferSize]byte)
-		for left := messageMost; left > 0; {
+		part := bufferPool.Get().(*[bufferSize]byte)
+		for left := maxMessageSize; left > 0; {
 			n, err := c.Read(part[:])
 			if left -= n; err != nil {
 				break
 			}
 		}
-		buffers.Put(part)
+		bufferPool.Put(part)
 	}
 	_ = c.Close()
 }
 
-// Break closes the connection by a reset: what crosses that was not read, and the other side can tell. Closed in
+// Reset closes the connection by a reset: what crosses that was not read, and the other side can tell. Closed in
 // order, the system would confirm what still comes in that moment, as if it had been read.
-func (c *Conn) Break() {
+func (c *Conn) Reset() {
 	if tcp, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/resp/fuzz_test.go
+++ b/internal/resp/fuzz_test.go
@@ -9,53 +9,53 @@
 	"harrierhoist/internal/standin"
 )
 
-// seen is what is kept of a message, to compare readings.
-type seen struct {
-	Words []string
-	Body  string
-	Kind  byte
-	Some  bool // there is a value
-	Err   string
+// readResult is what is kept of a message, to compare readings.
+type readResult struct {
+	Words    []string
+	Body     string
+	Kind     byte
+	HasValue bool // there is a value
+	Error    string
 }
 
-func (s *seen) keep(b *Bulk, err error) {
-	if s.Some = b != nil; s.Some {
+func (s *readResult) record(b *Bulk, err error) {
+	if s.HasValue = b != nil; s.HasValue {
 		s.Body = b.String()
 		b.Free()
 	}
 	if err != nil {
-		s.Err = err.Error()
+		s.Error = err.Error()
 	}
 }
 
-// commands reads all that a client sent, so many bytes at a time, until an error; values are held where there is room.
-func commands(t *testing.T, data []byte, step int, room bool) (all []seen) {
+// readCommands reads all that a client sent, so many bytes at a time, until an error; values are held where there is room.
+func readCommands(t *testing.T, data []byte, step int, room bool) (all []readResult) {
 	const words = 4
-	c := NewConn(&standin.Script{In: data, Step: step})
+	c := NewConn(&standin.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
-			return append(all, seen{Err: err.Error()})
+			return append(all, readResult{Error: err.Error()})
 		}
 		cmd, err := c.ReadCommand(words, func(int) bool { return room })
-		var s seen
+		var s readResult
 		if err == nil {
-			if n := len(cmd.Words); n < 1 || n > words || (cmd.Body != nil || cmd.Thrown) && n != words || cmd.Thrown && room {
-				t.Fatalf("a command of %d words, with a value: %v, thrown away: %v", n, cmd.Body != nil, cmd.Thrown)
+			if n := len(cmd.Words); n < 1 || n > words || (cmd.Body != nil || cmd.Discarded) && n != words || cmd.Discarded && room {
+				t.Fatalf("a command of %d words, with a value: %v, thrown away: %v", n, cmd.Body != nil, cmd.Discarded)
 			}
 			if cmd.Body != nil && !room {
 				t.Fatal("a value is held for which there was no room")
 			}
-			if cmd.Body != nil && cmd.Body.size > valueMost || slices.ContainsFunc(cmd.Words, tooLong) {
+			if cmd.Body != nil && cmd.Body.size > maxValueSize || slices.ContainsFunc(cmd.Words, isTooLong) {
 				t.Fatal("a word or a value beyond its limit")
 			}
-			back(t, cmd)
+			checkRoundTrip(t, cmd)
 			s.Words = cmd.Words
-			s.keep(cmd.Body, nil)
+			s.record(cmd.Body, nil)
 		} else {
-			if c.in != nil || cmd != nil {
+			if c.reader != nil || cmd != nil {
 				t.Fatalf("after %v a buffer is held", err)
 			}
-			s.keep(nil, err)
+			s.record(nil, err)
 		}
 		if all = append(all, s); err != nil {
 			return all
@@ -63,22 +63,22 @@
 	}
 }
 
-func tooLong(word string) bool { return len(word) > wordMost }
+func isTooLong(word string) bool { return len(word) > maxWordSize }
 
-// back checks that a command, written, reads back as itself.
-func back(t *testing.T, cmd *Command) {
-	out := &standin.Script{}
+// checkRoundTrip checks that a command, written, reads back as itself.
+func checkRoundTrip(t *testing.T, cmd *Command) {
+	out := &standin.ScriptedConn{}
 	if err := NewConn(out).WriteCommand(cmd); err != nil {
 		t.Fatal(err)
 	}
-	c := NewConn(&standin.Script{In: out.Out.Bytes()})
+	c := NewConn(&standin.ScriptedConn{Input: out.Output.Bytes()})
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
 	again, err := c.ReadCommand(4, nil)
 	if err != nil || !slices.Equal(again.Words, cmd.Words) || (again.Body == nil) != (cmd.Body == nil) ||
-		cmd.Body != nil && again.Body.String() != cmd.Body.String() || !c.Drained() {
-		t.Fatalf("%q reads back as %+v, %v", out.Out.Bytes(), again, err)
+		cmd.Body != nil && again.Body.String() != cmd.Body.String() || !c.IsDrained() {
+		t.Fatalf("%q reads back as %+v, %v", out.Output.Bytes(), again, err)
 	}
 	again.Body.Free()
 }
@@ -86,12 +86,12 @@
 // Whatever a client sends: no panic, the limits hold, a command passes on unchanged, and it is all one how the network
 // cuts the bytes up, and whether there is room for values.
 func FuzzReadCommand(f *testing.F) {
-	query := standin.Command("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
+	query := standin.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
 		query, query + query, "*1\r\n$4\r\nPING\r\n", query[:len(query)-5], "PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n$-1\r\n",
-		standin.Command("SVC.SUBMIT", "0000000000000005", "9b20", "c=book,t=open,d=480,k=7", "BODY") + query,
-		standin.Command("SVC.SUBMIT", "", "", "", ""), standin.Command("PING", strings.Repeat("x", wordMost+1)),
-		standin.Command(strings.Repeat("x", wordMost)), standin.Command("a", "b", "c", "d", strings.Repeat("x", valueMost)),
+		standin.FormatCommand("SVC.SUBMIT", "0000000000000005", "9b20", "c=book,t=open,d=480,k=7", "BODY") + query,
+		standin.FormatCommand("SVC.SUBMIT", "", "", "", ""), standin.FormatCommand("PING", strings.Repeat("x", maxWordSize+1)),
+		standin.FormatCommand(strings.Repeat("x", maxWordSize)), standin.FormatCommand("a", "b", "c", "d", strings.Repeat("x", maxValueSize)),
 		"*1\n$4\nPING\n", "*1\r\n$4\r\nPI\r\n\r\n", "*2\r\n$1\r\na\r\n+b\r\n",
 		"*1\r\n$4\r\nPINGxx", "*1\r\n$+4\r\nPING\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n\r\n", "\x00\xff",
 	} {
@@ -99,13 +99,13 @@
 		f.Add([]byte(text), uint8(1))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, step uint8) {
-		whole, parts := commands(t, data, 0, true), commands(t, data, int(step), true)
+		whole, parts := readCommands(t, data, 0, true), readCommands(t, data, int(step), true)
 		if !reflect.DeepEqual(whole, parts) {
 			t.Fatalf("%d bytes at a time: %+v, at once: %+v", step, parts, whole)
 		}
-		thrown := commands(t, data, int(step), false)
+		thrown := readCommands(t, data, int(step), false)
 		for i := range whole {
-			whole[i].Some, whole[i].Body = false, ""
+			whole[i].HasValue, whole[i].Body = false, ""
 		}
 		if !reflect.DeepEqual(whole, thrown) {
 			t.Fatalf("with values thrown away: %+v, else: %+v", thrown, whole)
@@ -113,30 +113,30 @@
 	})
 }
 
-// replies reads all that a server sent, until an error.
-func replies(t *testing.T, data []byte, step int) (all []seen) {
-	c := NewConn(&standin.Script{In: data, Step: step})
+// readReplies reads all that a server sent, until an error.
+func readReplies(t *testing.T, data []byte, step int) (all []readResult) {
+	c := NewConn(&standin.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
-			return append(all, seen{Err: err.Error()})
+			return append(all, readResult{Error: err.Error()})
 		}
 		r, err := c.ReadReply()
-		var s seen
+		var s readResult
 		if err == nil {
 			value := r.Kind == '$' || r.Kind == '*'
-			if !value && (r.Kind != '+' && r.Kind != '-' && r.Kind != ':' || r.Value != nil) || r.Kind != '*' && len(r.Notes) > 0 {
-				t.Fatalf("a reply of kind %q with value %v and %d notes", r.Kind, r.Value != nil, len(r.Notes))
+			if !value && (r.Kind != '+' && r.Kind != '-' && r.Kind != ':' || r.Value != nil) || r.Kind != '*' && len(r.Attributes) > 0 {
+				t.Fatalf("a reply of kind %q with value %v and %d notes", r.Kind, r.Value != nil, len(r.Attributes))
 			}
-			if r.Value != nil && r.Value.size > valueMost || slices.ContainsFunc(r.Notes, tooLong) {
+			if r.Value != nil && r.Value.size > maxValueSize || slices.ContainsFunc(r.Attributes, isTooLong) {
 				t.Fatal("a note or a value beyond its limit")
 			}
-			s = seen{Words: append([]string{r.Line}, r.Notes...), Kind: r.Kind}
-			s.keep(r.Value, nil)
+			s = readResult{Words: append([]string{r.Line}, r.Attributes...), Kind: r.Kind}
+			s.record(r.Value, nil)
 		} else {
-			if c.in != nil || r != nil {
+			if c.reader != nil || r != nil {
 				t.Fatalf("after %v a buffer is held", err)
 			}
-			s.keep(nil, err)
+			s.record(nil, err)
 		}
 		if all = append(all, s); err != nil {
 			return all
@@ -146,7 +146,7 @@
 
 // Whatever a server sends: no panic, the limits hold, and it is all one how the network cuts the bytes up.
 func FuzzReadReply(f *testing.F) {
-	served := standin.Value("hello", 3)
+	served := standin.FormatValue("hello", 3)
 	for _, text := range []string{
 		served, served + served, served[:9], "*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n",
 		"$-1\r\n", "+PONG\r\n", "+OK\r\n+OK\r\n", ":7\r\n", "-BUSY\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7\r\n",
@@ -157,7 +157,7 @@
 		f.Add([]byte(text), uint8(1))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, step uint8) {
-		whole, parts := replies(t, data, 0), replies(t, data, int(step))
+		whole, parts := readReplies(t, data, 0), readReplies(t, data, int(step))
 		if !reflect.DeepEqual(whole, parts) {
 			t.Fatalf("%d bytes at a time: %+v, at once: %+v", step, parts, whole)
 		}
--- a/internal/resp/look_test.go
+++ b/internal/resp/look_test.go
@@ -10,10 +10,10 @@
 	"harrierhoist/internal/standin"
 )
 
-func TestBytesAgeWhileNobodyReads(t *testing.T) {
-	c, far := pair(t)
+func TestPeerStateReportsAgeOfUnreadBytes(t *testing.T) {
+	c, far := connPair(t)
 	age := func() time.Duration {
-		age, _ := c.Look()
+		age, _ := c.PeerState()
 		return age
 	}
 	_, _ = io.WriteString(far, "x")
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestEndIsSeenBehindBytesThatNobodyReads(t *testing.T) {
+func TestIsPeerClosedBehindUnreadBytes(t *testing.T) {
 	for name, leave := range map[string]func(c *Conn, far *net.TCPConn){
 		"closed":      func(_ *Conn, far *net.TCPConn) { _ = far.Close() },
 		"half closed": func(_ *Conn, far *net.TCPConn) { _ = far.CloseWrite() },
@@ -33,34 +33,34 @@
 			_, _ = c.Conn.(*net.TCPConn).CloseWrite(), far.Close()
 		},
 	} {
-		c, far := pair(t)
+		c, far := connPair(t)
 		_, _ = io.WriteString(far, strings.Repeat("x", 2*bufferSize))
-		standin.Eventually(t, "the bytes", func() bool { return !c.Quiet() })
-		if c.Gone() {
+		standin.Eventually(t, "the bytes", func() bool { return !c.IsQuiet() })
+		if c.IsPeerClosed() {
 			t.Errorf("%s: gone before", name)
 		}
 		leave(c, far.(*net.TCPConn))
-		standin.Eventually(t, name, c.Gone)
+		standin.Eventually(t, name, c.IsPeerClosed)
 	}
-	c, _ := pair(t)
-	if _ = c.Conn.(*net.TCPConn).CloseWrite(); c.Gone() {
+	c, _ := connPair(t)
+	if _ = c.Conn.(*net.TCPConn).CloseWrite(); c.IsPeerClosed() {
 		t.Error("our own half close was taken for the client's")
 	}
-	if near, _ := net.Pipe(); NewConn(near).Gone() {
+	if near, _ := net.Pipe(); NewConn(near).IsPeerClosed() {
 		t.Error("gone where nobody can tell")
 	}
 }
 
 // A value for which there is no room is thrown away whole, and the next command is read.
-func TestValueWithNoRoomIsThrownAway(t *testing.T) {
-	for _, size := range []int{0, 1, bufferSize, valueMost} {
-		c := read(t, standin.Command("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+standin.Command("PING"))
+func TestReadCommandDiscardsValueWithoutCapacity(t *testing.T) {
+	for _, size := range []int{0, 1, bufferSize, maxValueSize} {
+		c := connOf(t, standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+standin.FormatCommand("PING"))
 		asked := -1
 		cmd, err := c.ReadCommand(4, func(size int) bool {
 			asked = size
 			return false
 		})
-		if err != nil || cmd.Body != nil || !cmd.Thrown || len(cmd.Words) != 4 || asked != size {
+		if err != nil || cmd.Body != nil || !cmd.Discarded || len(cmd.Words) != 4 || asked != size {
 			t.Fatalf("size %d: got %+v, %v, asked for %d", size, cmd, err, asked)
 		}
 		if err := c.Await(); err != nil {
@@ -71,9 +71,9 @@
 		}
 	}
 	for text, bad := range map[string]bool{"$3\r\nabcd\r\n": true, "$3\r\nab": false, "$65537\r\n": true} {
-		c := read(t, "*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n"+text)
+		c := connOf(t, "*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n"+text)
 		_, err := c.ReadCommand(4, func(int) bool { return false })
-		if _, is := err.(BadMessage); err == nil || is != bad {
+		if _, is := err.(ProtocolError); err == nil || is != bad {
 			t.Errorf("%q: got %v", text, err)
 		}
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	bufferSize  = 4 << 10  // the one size of buffers: most messages fit
-	valueMost   = 64 << 10 // the largest value, as the protocol says
-	wordMost    = 1 << 10  // the longest word that is not a value
-	messageMost = valueMost + 4*wordMost
+	bufferSize     = 4 << 10  // the one size of buffers: most messages fit
+	maxValueSize   = 64 << 10 // the largest value, as the protocol says
+	maxWordSize    = 1 << 10  // the longest word that is not a value
+	maxMessageSize = maxValueSize + 4*maxWordSize
 )
 
 // A BadMessage says what is wrong with what the other side sent. No more can be read from it then.
-type BadMessage string
+type ProtocolError string
 
-func (b BadMessage) Error() string { return string(b) }
+func (b ProtocolError) Error() string { return string(b) }
 
 // The pools. Readers and writers hold one buffer of the one size each.
 var (
-	readers = sync.Pool{New: func() any {
-		in := &reader{}
+	readerPool = sync.Pool{New: func() any {
+		in := &messageReader{}
 		in.Reader = textproto.NewReader(bufio.NewReaderSize(in, bufferSize))
 		return in
 	}}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
-	buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+	bufferPool = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 )
 
-// reader is a textproto.Reader and where it reads from: the byte that the wait had to read, if any, then the
+// messageReader is a textproto.Reader and where it reads from: the byte that the wait had to read, if any, then the
 // connection, but no more than a message may hold. That bounds lines without an end.
-type reader struct {
+type messageReader struct {
 	*textproto.Reader
-	conn  net.Conn
-	first []byte
-	left  int
-	scant bool // byte by byte: nothing behind the message is read on
+	conn        net.Conn
+	peeked      []byte
+	remaining   int
+	noReadAhead bool // byte by byte: nothing behind the message is read on
 }
 
 // Read feeds the buffered reader.
-func (in *reader) Read(p []byte) (int, error) {
-	if len(in.first) > 0 {
-		n := copy(p, in.first)
-		in.first = in.first[n:]
+func (in *messageReader) Read(p []byte) (int, error) {
+	if len(in.peeked) > 0 {
+		n := copy(p, in.peeked)
+		in.peeked = in.peeked[n:]
 		return n, nil
 	}
-	if in.left <= 0 {
-		return 0, BadMessage("message too long")
+	if in.remaining <= 0 {
+		return 0, ProtocolError("message too long")
 	}
-	if in.scant {
+	if in.noReadAhead {
 		p = p[:1]
 	}
-	n, err := in.conn.Read(p[:min(len(p), in.left)])
-	in.left -= n
+	n, err := in.conn.Read(p[:min(len(p), in.remaining)])
+	in.remaining -= n
 	return n, err
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, part := range b.parts {
-		buffers.Put(part)
+		bufferPool.Put(part)
 	}
 	b.parts, b.size = nil, 0
 }
