--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,17 +11,17 @@
 	"harrierhoist/internal/standin"
 )
 
-// pair is a connection, and the other end of it.
-func pair(t *testing.T) (*Conn, net.Conn) {
+// connPair is a connection, and the other end of it.
+func connPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
-	near, far := standin.Pair(t)
+	near, far := standin.ConnPair(t)
 	return NewConn(near), far
 }
 
-// read gives a connection what the other end writes.
-func read(t *testing.T, text string) *Conn {
+// connOf gives a connection what the other end writes.
+func connOf(t *testing.T, text string) *Conn {
 	t.Helper()
-	c, far := pair(t)
+	c, far := connPair(t)
 	go func() {
 		_, _ = io.WriteString(far, text)
 		_ = far.(*net.TCPConn).CloseWrite()
@@ -32,10 +32,10 @@
 	return c
 }
 
-func TestCommandPassesUnchanged(t *testing.T) {
-	for _, size := range []int{0, 1, bufferSize, bufferSize + 1, valueMost} {
+func TestCommandRoundTrip(t *testing.T) {
+	for _, size := range []int{0, 1, bufferSize, bufferSize + 1, maxValueSize} {
 		body := strings.Repeat("x", size)
-		c := read(t, standin.Command("SVC.SUBMIT", "01", "02", "c=a", body)+standin.Command("PING"))
+		c := connOf(t, standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body)+standin.FormatCommand("PING"))
 		cmd, err := c.ReadCommand(4, nil)
 		if err != nil || len(cmd.Words) != 4 || cmd.Words[3] != "c=a" || cmd.Body.String() != body {
 			t.Fatalf("size %d: got %+v, %v", size, cmd, err)
@@ -47,15 +47,15 @@
 		if err != nil || ping.Words[0] != "PING" || ping.Body != nil {
 			t.Fatalf("behind it: got %+v, %v", ping, err)
 		}
-		out, far := pair(t)
+		out, far := connPair(t)
 		go func() { _, _ = out.WriteCommand(cmd), out.Close() }()
-		if got, _ := io.ReadAll(far); string(got) != standin.Command("SVC.SUBMIT", "01", "02", "c=a", body) {
+		if got, _ := io.ReadAll(far); string(got) != standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body) {
 			t.Errorf("size %d: %d bytes written otherwise", size, len(got))
 		}
 	}
 }
 
-func TestBadCommandsAreToldApartFromLostClients(t *testing.T) {
+func TestReadCommandTellsMalformedFromDisconnected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		bad  bool
@@ -75,27 +75,27 @@
 		"cut off":          {"*1\r\n$4\r\nPI", false},
 		"cut in a value":   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nxx", false},
 	} {
-		_, err := read(t, c.text).ReadCommand(4, nil)
-		var bad BadMessage
+		_, err := connOf(t, c.text).ReadCommand(4, nil)
+		var bad ProtocolError
 		if err == nil || errors.As(err, &bad) != c.bad {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 }
 
-func TestRepliesOfServers(t *testing.T) {
+func TestReadReply(t *testing.T) {
 	for text, want := range map[string]Reply{
-		standin.Value("hello", 4):               {Kind: '*', Notes: []string{"used=10,cost=4", ""}},
+		standin.FormatValue("hello", 4):         {Kind: '*', Attributes: []string{"used=10,cost=4", ""}},
 		"$5\r\nhello\r\n":                       {Kind: '$'},
 		"-ERR failed used=3\r\n":                {Kind: '-', Line: "ERR failed used=3"},
 		"-BUSY\r\n":                             {Kind: '-', Line: "BUSY"},
 		"+PONG\r\n":                             {Kind: '+', Line: "PONG"},
-		"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n":   {Kind: '*', Notes: []string{"", ""}},
-		"*2\r\n$5\r\nhello\r\n$4\r\ninfl\r\n":   {Kind: '*', Notes: []string{"infl"}},
+		"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n":   {Kind: '*', Attributes: []string{"", ""}},
+		"*2\r\n$5\r\nhello\r\n$4\r\ninfl\r\n":   {Kind: '*', Attributes: []string{"infl"}},
 		"*1\r\n$5\r\nhello\r\n-ERR of others\r": {Kind: '*'},
 	} {
-		got, err := read(t, text).ReadReply()
-		if err != nil || got.Kind != want.Kind || strings.Join(got.Notes, "|") != strings.Join(want.Notes, "|") {
+		got, err := connOf(t, text).ReadReply()
+		if err != nil || got.Kind != want.Kind || strings.Join(got.Attributes, "|") != strings.Join(want.Attributes, "|") {
 			t.Errorf("%q: got %+v, %v", text, got, err)
 			continue
 		}
@@ -107,14 +107,14 @@
 		}
 	}
 	for _, text := range []string{"\r\n", "?x\r\n", "*0\r\n", "*1\r\n+x\r\n", "$70000\r\n", "*2\r\n$1\r\na\r\n"} {
-		if got, err := read(t, text).ReadReply(); err == nil {
+		if got, err := connOf(t, text).ReadReply(); err == nil {
 			t.Errorf("%q was taken for %+v", text, got)
 		}
 	}
 }
 
-func TestWaitingConnectionHoldsNoBuffer(t *testing.T) {
-	c := read(t, standin.Command("PING")+standin.Command("PING"))
+func TestAwaitHoldsNoBuffer(t *testing.T) {
+	c := connOf(t, standin.FormatCommand("PING")+standin.FormatCommand("PING"))
 	for i := range 2 {
 		if err := c.Await(); err != nil {
 			t.Fatal(err)
@@ -122,28 +122,28 @@
 		if _, err := c.ReadCommand(4, nil); err != nil {
 			t.Fatal(err)
 		}
-		if i == 1 && c.in != nil {
+		if i == 1 && c.reader != nil {
 			t.Error("a reader is held with nothing left to read")
 		}
 	}
 }
 
-func TestBrokenConnectionSaysThatNothingWasRead(t *testing.T) {
-	c, far := pair(t)
-	c.Break()
+func TestResetReportsNothingRead(t *testing.T) {
+	c, far := connPair(t)
+	c.Reset()
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the other side sees %v", err)
 	}
 }
 
-func TestQuietSeesWhatCameAndWhoLeft(t *testing.T) {
-	c, far := pair(t)
-	if !c.Quiet() {
+func TestIsQuiet(t *testing.T) {
+	c, far := connPair(t)
+	if !c.IsQuiet() {
 		t.Error("a new connection is not quiet")
 	}
 	_, _ = io.WriteString(far, "x")
-	standin.Eventually(t, "bytes", func() bool { return !c.Quiet() })
-	c, far = pair(t)
+	standin.Eventually(t, "bytes", func() bool { return !c.IsQuiet() })
+	c, far = connPair(t)
 	_ = far.Close()
-	standin.Eventually(t, "the end", func() bool { return !c.Quiet() })
+	standin.Eventually(t, "the end", func() bool { return !c.IsQuiet() })
 }
--- a/internal/resp/shut_test.go
+++ b/internal/resp/shut_test.go
@@ -14,13 +14,13 @@
 )
 
 // The wait for a message reads none of it: whoever asks sees it standing, and an end of the connection says so.
-func TestWaitReadsNoByte(t *testing.T) {
-	c, far := pair(t)
+func TestAwaitConsumesNoByte(t *testing.T) {
+	c, far := connPair(t)
 	_, _ = io.WriteString(far, "*")
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
-	if c.Quiet() {
+	if c.IsQuiet() {
 		t.Error("a message that came is not seen any more")
 	}
 	_ = c.Close() // in order: only over unread bytes it is a reset
@@ -30,14 +30,14 @@
 }
 
 // A wait ends with the other side, with its own time and with the connection, as a read does.
-func TestWaitEndsAsAReadDoes(t *testing.T) {
+func TestAwaitFailsAsReadDoes(t *testing.T) {
 	for want, end := range map[error]func(c *Conn, far net.Conn){
 		io.EOF:                 func(_ *Conn, far net.Conn) { _ = far.Close() },
 		syscall.ECONNRESET:     func(_ *Conn, far net.Conn) { _, _ = far.(*net.TCPConn).SetLinger(0), far.Close() },
 		os.ErrDeadlineExceeded: func(c *Conn, _ net.Conn) { c.Abort() },
-		net.ErrClosed:          func(c *Conn, _ net.Conn) { c.Break() },
+		net.ErrClosed:          func(c *Conn, _ net.Conn) { c.Reset() },
 	} {
-		c, far := pair(t)
+		c, far := connPair(t)
 		got := make(chan error)
 		go func() { got <- c.Await() }()
 		end(c, far)
@@ -48,10 +48,10 @@
 }
 
 // Where there is no descriptor the wait has to read a byte, and the message has it all the same.
-func TestWaitWithoutADescriptor(t *testing.T) {
+func TestAwaitWithoutDescriptor(t *testing.T) {
 	near, far := net.Pipe()
 	c := NewConn(near)
-	go func() { _, _ = io.WriteString(far, standin.Command("PING")) }()
+	go func() { _, _ = io.WriteString(far, standin.FormatCommand("PING")) }()
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
@@ -61,21 +61,21 @@
 }
 
 // Scant, what was read on is used up, and no more is read than the message needs that had begun.
-func TestScantReadsNothingBehindTheMessage(t *testing.T) {
-	c, far := pair(t)
-	ping := standin.Command("PING")
+func TestStopReadAheadReadsNothingBehindMessage(t *testing.T) {
+	c, far := connPair(t)
+	ping := standin.FormatCommand("PING")
 	many := bufferSize/len(ping) + 8 // a buffer and seven
 	_, _ = io.WriteString(far, strings.Repeat(ping, many))
 	_ = far.(*net.TCPConn).CloseWrite()
 	read := 0
-	for ok := true; ok; ok = !c.Drained() {
+	for ok := true; ok; ok = !c.IsDrained() {
 		if err := c.Await(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := c.ReadCommand(4, nil); err != nil {
 			t.Fatal(err)
 		}
-		c.Scant()
+		c.StopReadAhead()
 		read++
 	}
 	if rest, _ := io.ReadAll(c.Conn); read != many-7 || len(rest) != 7*len(ping) {
@@ -84,21 +84,21 @@
 }
 
 // The end of the other side is seen behind bytes that stand there, and none of them is read.
-func TestEndIsSeenBehindUnreadBytes(t *testing.T) {
+func TestAwaitPeerCloseBehindUnreadBytes(t *testing.T) {
 	for name, half := range map[string]bool{"first": true, "not first": false} {
-		c, far := pair(t)
+		c, far := connPair(t)
 		if half {
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 		}
 		_, _ = io.WriteString(far, "x")
-		standin.Eventually(t, "a byte", func() bool { return !c.Quiet() })
+		standin.Eventually(t, "a byte", func() bool { return !c.IsQuiet() })
 		_ = c.SetReadDeadline(time.Unix(1, 0))
-		if err := c.Ended(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := c.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: ended, with %v, before the end", name, err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		got := make(chan error)
-		go func() { got <- c.Ended() }()
+		go func() { got <- c.AwaitPeerClose() }()
 		_ = far.(*net.TCPConn).CloseWrite()
 		if err := <-got; err != nil {
 			t.Errorf("%s: %v", name, err)
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -12,14 +12,14 @@
 		if cmd.Body != nil {
 			n++
 		}
-		head(w, '*', n)
+		writeHeader(w, '*', n)
 		for _, word := range cmd.Words {
-			head(w, '$', len(word))
+			writeHeader(w, '$', len(word))
 			_, _ = w.WriteString(word)
 			_, _ = w.WriteString("\r\n")
 		}
 		if cmd.Body != nil {
-			value(w, cmd.Body)
+			writeBulk(w, cmd.Body)
 		}
 	})
 }
@@ -34,22 +34,22 @@
 
 // WriteValue writes a value.
 func (c *Conn) WriteValue(b *Bulk) error {
-	return c.write(func(w *bufio.Writer) { value(w, b) })
+	return c.write(func(w *bufio.Writer) { writeBulk(w, b) })
 }
 
 // write lends a writer; its errors stay with it until the flush.
 func (c *Conn) write(fill func(*bufio.Writer)) error {
-	w := writers.Get().(*bufio.Writer)
+	w := writerPool.Get().(*bufio.Writer)
 	w.Reset(c.Conn)
 	fill(w)
 	err := w.Flush()
 	w.Reset(nil)
-	writers.Put(w)
+	writerPool.Put(w)
 	return err
 }
 
-func value(w *bufio.Writer, b *Bulk) {
-	head(w, '$', b.size)
+func writeBulk(w *bufio.Writer, b *Bulk) {
+	writeHeader(w, '$', b.size)
 	left := b.size
 	for _, part := range b.parts {
 		_, _ = w.Write(part[:min(left, bufferSize)])
@@ -58,7 +58,7 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-func head(w *bufio.Writer, kind byte, n int) {
+func writeHeader(w *bufio.Writer, kind byte, n int) {
 	_ = w.WriteByte(kind)
 	_, _ = w.Write(strconv.AppendInt(w.AvailableBuffer(), int64(n), 10))
 	_, _ = w.WriteString("\r\n")
--- a/internal/roster/agent_test.go
+++ b/internal/roster/agent_test.go
@@ -15,25 +15,25 @@
 	"harrierhoist/internal/standin"
 )
 
-const silenceMost = 3 * time.Second // from silence to a whole answer
+const maxSilence = 3 * time.Second // from silence to a whole answer
 
-// asked is a call that came to an agent: when, on which of its connections, as which call there, and as which of
+// agentCall is a call that came to an agent: when, on which of its connections, as which call there, and as which of
 // all, each from 1.
-type asked struct {
-	at              time.Time
-	conn, call, all int
-	path, query     string
+type agentCall struct {
+	at                    time.Time
+	connection, call, all int
+	path, query           string
 }
 
-func (a asked) watches(seq int) bool {
+func (a agentCall) isWatchFrom(seq int) bool {
 	return strings.HasPrefix(a.query, fmt.Sprintf("since=%d&timeout_ms=", seq))
 }
 
-func (a asked) isWatch() bool { return a.query != "" }
+func (a agentCall) isWatch() bool { return a.query != "" }
 
-// scripted stands in for discovery's agent at a listener, by a function for every call.
-func scripted(l net.Listener, answers func(a asked, c net.Conn)) (addr string, calls chan asked) {
-	calls = make(chan asked, 1000)
+// scriptedAgent stands in for discovery's agent at a listener, by a function for every call.
+func scriptedAgent(l net.Listener, answers func(a agentCall, c net.Conn)) (addr string, calls chan agentCall) {
+	calls = make(chan agentCall, 1000)
 	var mu sync.Mutex
 	all := 0
 	serve := func(number int, c net.Conn) {
@@ -46,7 +46,7 @@
 			}
 			mu.Lock()
 			all++
-			a := asked{time.Now(), number, call, all, req.URL.Path, req.URL.RawQuery}
+			a := agentCall{time.Now(), number, call, all, req.URL.Path, req.URL.RawQuery}
 			calls <- a
 			mu.Unlock()
 			answers(a, c)
@@ -64,30 +64,30 @@
 	return l.Addr().String(), calls
 }
 
-// agent answers the first call on each connection with the whole list in the version of the connection's number, and
+// listThenAgent answers the first call on each connection with the whole list in the version of the connection's number, and
 // later ones by the function.
-func agent(t *testing.T, later func(conn int, c net.Conn)) (addr string, calls chan asked) {
+func listThenAgent(t *testing.T, later func(conn int, c net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
-	return scripted(listen(t), func(a asked, c net.Conn) {
+	return scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		if a.call == 1 {
-			answer(c, standin.List(a.conn, true, ready("s-1")))
+			writeAnswer(c, standin.FormatList(a.connection, true, readyHost("s-1")))
 		} else {
-			later(a.conn, c)
+			later(a.connection, c)
 		}
 	})
 }
 
-func ready(name string) string { return standin.Host(name, "127.0.0.1:9", "in_service") }
+func readyHost(name string) string { return standin.FormatHost(name, "127.0.0.1:9", "in_service") }
 
-func answer(c io.Writer, body string) {
+func writeAnswer(c io.Writer, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// hold leaves a call without a word until its caller gives it up.
-func hold(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+// holdOpen leaves a call without a word until its caller gives it up.
+func holdOpen(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-// reset ends a connection as a process that dies does.
-func reset(c net.Conn) {
+// resetConnection ends a connection as a process that dies does.
+func resetConnection(c net.Conn) {
 	if c, ok := c.(*net.TCPConn); ok {
 		_ = c.SetLinger(0)
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// call is the next that comes to an agent.
-func call(t *testing.T, calls chan asked) asked {
+// nextCall is the next that comes to an agent.
+func nextCall(t *testing.T, calls chan agentCall) agentCall {
 	t.Helper()
 	select {
 	case a := <-calls:
@@ -115,20 +115,20 @@
 	}
 }
 
-// until is the first call that is seen.
-func until(t *testing.T, calls chan asked, seen func(asked) bool) asked {
+// nextCallWhere is the first call that is seen.
+func nextCallWhere(t *testing.T, calls chan agentCall, seen func(agentCall) bool) agentCall {
 	t.Helper()
 	for {
-		if a := call(t, calls); seen(a) {
+		if a := nextCall(t, calls); seen(a) {
 			return a
 		}
 	}
 }
 
-// inForce names the server that a task is pushed to; none: "".
-func inForce(g *gate.Gate) string {
-	e := g.Admit(gate.Task{Lane: 0, Plan: 0, Customer: 5, Units: 1, Width: 1, Patience: 2 * time.Second})
-	if c := e.Pick(); c.Verdict == gate.Push {
+// chosenServer names the server that a task is pushed to; none: "".
+func chosenServer(dispatcher *gate.Dispatcher) string {
+	e := dispatcher.Admit(gate.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
+	if c := e.Next(); c.Action == gate.Forward {
 		return c.Server.Name
 	}
 	return ""
--- a/internal/roster/anew_test.go
+++ b/internal/roster/anew_test.go
@@ -18,70 +18,70 @@
 // What comes in place of the answer to a watch may be of an agent that started anew, and has our list no more. Nothing of
 // it is in force: the whole list is asked for on a new connection, and the watch goes on from its version. A watch is
 // never sent from our version on another connection than the list came on: the agent there may hold it for good.
-func TestWatchThatIsNotOursAnyMoreIsNotObeyed(t *testing.T) {
-	drain := standin.Host("s-1", "127.0.0.1:9", "terminating")
+func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
+	drain := standin.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, spoil := range map[string]func(c net.Conn){
-		"changes of a lower version":     func(c net.Conn) { answer(c, standin.List(3, false, drain)) },
-		"changes of our version":         func(c net.Conn) { answer(c, standin.List(41, false, drain)) },
-		"nothing new in a lower version": func(c net.Conn) { answer(c, standin.List(3, false)) },
-		"reset":                          reset,
+		"changes of a lower version":     func(c net.Conn) { writeAnswer(c, standin.FormatList(3, false, drain)) },
+		"changes of our version":         func(c net.Conn) { writeAnswer(c, standin.FormatList(41, false, drain)) },
+		"nothing new in a lower version": func(c net.Conn) { writeAnswer(c, standin.FormatList(3, false)) },
+		"reset":                          resetConnection,
 		"ended without a word":           func(c net.Conn) { _ = c.Close() },
 		"answered once it is given up": func(c net.Conn) {
-			hold(c)
-			answer(c, standin.List(42, false, drain))
+			holdOpen(c)
+			writeAnswer(c, standin.FormatList(42, false, drain))
 		},
 		"a change in a list cut off": func(c net.Conn) {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+standin.List(42, false, drain, ready("s-3"))[:190])
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+standin.FormatList(42, false, drain, readyHost("s-3"))[:190])
 			_ = c.Close()
 		},
 		"a change beside a bad entry": func(c net.Conn) {
-			answer(c, standin.List(42, false, drain, standin.Host("s-3", "", "in_service")))
+			writeAnswer(c, standin.FormatList(42, false, drain, standin.FormatHost("s-3", "", "in_service")))
 		},
-		"a list that says not whether it is whole": func(c net.Conn) { answer(c, `{"seq":42,"hosts":[`+drain+`]}`) },
+		"a list that says not whether it is whole": func(c net.Conn) { writeAnswer(c, `{"seq":42,"hosts":[`+drain+`]}`) },
 	} {
-		eachMode(t, name, func(t *testing.T, poll bool) {
+		runVirtualInEachMode(t, name, func(t *testing.T, poll bool) {
 			let := make(chan bool)
 			var spoilt atomic.Bool
-			addr, calls := scripted(listen(t), func(a asked, c net.Conn) {
+			addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 				switch {
 				case a.query == "" && !spoilt.Load():
-					answer(c, standin.List(41, true, ready("s-1")))
+					writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
 				case a.query == "":
 					<-let
-					answer(c, standin.List(3, true, ready("s-2")))
+					writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
 				case spoilt.Swap(true):
-					hold(c)
+					holdOpen(c)
 				default:
 					spoil(c)
 				}
 			})
-			site := pushing()
-			site.AskForList = poll
+			settings := forwardingSettings()
+			settings.PollList = poll
 			seen, logs := observer.New(zap.InfoLevel)
-			_, g, err := beginWith(t, site, addr, "null", zap.New(seen))
+			_, dispatcher, err := startWatcherWith(t, settings, addr, "null", zap.New(seen))
 			if err != nil {
 				t.Fatal(err)
 			}
-			open, anew := until(t, calls, asked.isWatch), call(t, calls)
-			if !open.watches(41) || anew.query != "" || anew.conn == open.conn {
+			open, anew := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
+			if !open.isWatchFrom(41) || anew.query != "" || anew.connection == open.connection {
 				t.Fatalf("asked %+v, then %+v", open, anew)
 			}
-			most := silenceMost
+			most := maxSilence
 			if poll { // the watch itself may wait longer
-				most = pollMost + lateMost + time.Millisecond
+				most = maxPolledWatch + watchGrace + time.Millisecond
 			}
 			if took := anew.at.Sub(open.at); took > most {
 				t.Errorf("asked anew after %v", took)
 			}
-			if name := inForce(g); name != "s-1" {
+			if name := chosenServer(dispatcher); name != "s-1" {
 				t.Errorf("in force meanwhile: %q", name)
 			}
 			close(let)
-			next := until(t, calls, asked.isWatch)
-			if !next.watches(3) || next.call == 1 {
+			next := nextCallWhere(t, calls, agentCall.isWatch)
+			if !next.isWatchFrom(3) || next.call == 1 {
 				t.Errorf("went on with %+v", next)
 			}
-			if name := inForce(g); name != "s-2" {
+			if name := chosenServer(dispatcher); name != "s-2" {
 				t.Errorf("in force then: %q", name)
 			}
 			if n := logs.Len(); n != 1 {
@@ -93,45 +93,45 @@
 
 // An agent that ends its connection right after the whole list, as one does that starts anew: the next call finds that
 // before it is sent, or as it is, and net/http would send it once more by itself. It isn't sent.
-func TestNoWatchOnAnotherConnection(t *testing.T) {
-	eachMode(t, "ended after the list", func(t *testing.T, poll bool) {
-		addr, calls := scripted(listen(t), func(a asked, c net.Conn) {
+func TestWatch_isNeverSentOnAnotherConnection(t *testing.T) {
+	runVirtualInEachMode(t, "ended after the list", func(t *testing.T, poll bool) {
+		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			switch {
 			case a.query != "":
-				hold(c)
+				holdOpen(c)
 			case a.all == 1:
-				answer(c, standin.List(41, true, ready("s-1")))
+				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
 				_ = c.Close()
 			default:
-				answer(c, standin.List(3, true, ready("s-2")))
+				writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
 			}
 		})
-		if _, err := beginAs(t, poll, addr, "null"); err != nil {
+		if _, err := startWatcherInMode(t, poll, addr, "null"); err != nil {
 			t.Fatal(err)
 		}
-		if a := until(t, calls, asked.isWatch); !a.watches(3) || a.call == 1 {
+		if a := nextCallWhere(t, calls, agentCall.isWatch); !a.isWatchFrom(3) || a.call == 1 {
 			t.Errorf("went on with %+v", a)
 		}
 	})
 }
 
 // One that says that it ends each connection is watched all the same.
-func TestAgentThatEndsEachConnectionIsWatched(t *testing.T) {
+func TestWatch_agentThatEndsEachConnectionIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var version atomic.Int64
-		addr, calls := scripted(listen(t), func(a asked, c net.Conn) {
-			text := standin.List(7, true, ready("s-1"))
+		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
+			text := standin.FormatList(7, true, readyHost("s-1"))
 			if a.isWatch() {
-				text = standin.List(7+int(version.Add(1)), false, ready("s-1"))
+				text = standin.FormatList(7+int(version.Add(1)), false, readyHost("s-1"))
 			}
 			_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n"+text)
 			_ = c.Close()
 		})
-		if _, err := begin(t, addr, "null"); err != nil {
+		if _, err := startWatcher(t, addr, "null"); err != nil {
 			t.Fatal(err)
 		}
 		for n := 7; n < 12; n++ {
-			if a := until(t, calls, asked.isWatch); !a.watches(n) {
+			if a := nextCallWhere(t, calls, agentCall.isWatch); !a.isWatchFrom(n) {
 				t.Fatalf("asked %+v, not from %d", a, n)
 			}
 		}
@@ -139,62 +139,62 @@
 }
 
 // An agent that dies in mid-watch, refuses connections, and is back in a lower version with another list.
-func TestAgentThatStartsAnewIsFollowed(t *testing.T) {
-	eachMode(t, "dead, then back", func(t *testing.T, poll bool) {
+func TestWatch_restartedAgentIsFollowed(t *testing.T) {
+	runVirtualInEachMode(t, "dead, then back", func(t *testing.T, poll bool) {
 		first := listen(t)
-		addr, calls := scripted(first, func(a asked, c net.Conn) {
+		addr, calls := scriptedAgent(first, func(a agentCall, c net.Conn) {
 			if a.query == "" {
-				answer(c, standin.List(41, true, ready("s-1")))
+				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
 			} else {
 				_ = first.Close() // new connections are refused before this one is reset
-				reset(c)
+				resetConnection(c)
 			}
 		})
-		site := pushing()
-		site.AskForList = poll
+		settings := forwardingSettings()
+		settings.PollList = poll
 		seen, logs := observer.New(zap.InfoLevel)
-		_, g, err := beginWith(t, site, addr, "null", zap.New(seen))
+		_, dispatcher, err := startWatcherWith(t, settings, addr, "null", zap.New(seen))
 		if err != nil {
 			t.Fatal(err)
 		}
-		until(t, calls, func(a asked) bool { return a.watches(41) })
+		nextCallWhere(t, calls, func(a agentCall) bool { return a.isWatchFrom(41) })
 		standin.Eventually(t, "a warning", func() bool { return logs.FilterMessageSnippet("does not answer").Len() == 1 })
-		if name := inForce(g); name != "s-1" {
+		if name := chosenServer(dispatcher); name != "s-1" {
 			t.Errorf("in force meanwhile: %q", name)
 		}
 		second := listenAt(t, addr)
 		back := time.Now()
-		_, calls = scripted(second, func(a asked, c net.Conn) {
+		_, calls = scriptedAgent(second, func(a agentCall, c net.Conn) {
 			if a.query == "" {
-				answer(c, standin.List(3, true, ready("s-2")))
+				writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
 			} else {
-				hold(c)
+				holdOpen(c)
 			}
 		})
-		next := until(t, calls, asked.isWatch)
-		if took := next.at.Sub(back); !next.watches(3) || took > toldMost {
+		next := nextCallWhere(t, calls, agentCall.isWatch)
+		if took := next.at.Sub(back); !next.isWatchFrom(3) || took > maxUpdateDelay {
 			t.Errorf("went on with %+v after %v", next, took)
 		}
-		if name := inForce(g); name != "s-2" {
+		if name := chosenServer(dispatcher); name != "s-2" {
 			t.Errorf("in force then: %q", name)
 		}
 	})
 }
 
 // Nobody but the agent tells lists, under its one address: a call that it sends elsewhere is turned away.
-func TestRedirectIsNotFollowed(t *testing.T) {
+func TestFetchFull_redirectIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		other, others := scripted(listen(t), func(_ asked, c net.Conn) { answer(c, standin.List(9, true, ready("s-9"))) })
+		other, others := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) { writeAnswer(c, standin.FormatList(9, true, readyHost("s-9"))) })
 		for _, to := range []string{"http://" + other + "/api/targets", "/elsewhere"} {
-			addr, calls := scripted(listen(t), func(_ asked, c net.Conn) {
+			addr, calls := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) {
 				resp := http.Response{StatusCode: http.StatusFound, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"Location": {to}}}
 				_ = resp.Write(c)
 			})
-			if _, err := beginAs(t, true, addr, standin.List(1, true, ready("s-1"))); err != nil {
+			if _, err := startWatcherInMode(t, true, addr, standin.FormatList(1, true, readyHost("s-1"))); err != nil {
 				t.Fatal(err)
 			}
 			for range 3 {
-				if a := call(t, calls); a.path != "/api/targets" {
+				if a := nextCall(t, calls); a.path != "/api/targets" {
 					t.Errorf("asked for %s", a.path)
 				}
 			}
--- a/internal/roster/beside_test.go
+++ b/internal/roster/beside_test.go
@@ -8,22 +8,22 @@
 )
 
 // A call beside one that is held, answered with what is no list, had its connection kept for good, with its descriptor.
-func TestCallBesideThatFailsHasItsConnectionEnded(t *testing.T) {
+func TestFetchFull_failedParallelCallHasItsConnectionClosed(t *testing.T) {
 	l, ended := standin.Listen(t), make(chan struct{})
-	addr, calls := scripted(l, func(a asked, c net.Conn) {
-		switch a.conn {
+	addr, calls := scriptedAgent(l, func(a agentCall, c net.Conn) {
+		switch a.connection {
 		case 2:
-			answer(c, "no list")
-			hold(c) // until its caller ends it
+			writeAnswer(c, "no list")
+			holdOpen(c) // until its caller ends it
 			close(ended)
 		default:
-			hold(c)
+			holdOpen(c)
 		}
 	})
-	if _, err := beginAs(t, false, addr, "null"); err != nil {
+	if _, err := startWatcherInMode(t, false, addr, "null"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, calls, func(a asked) bool { return a.conn == 2 })
+	nextCallWhere(t, calls, func(a agentCall) bool { return a.connection == 2 })
 	standin.Eventually(t, "its end", func() bool {
 		select {
 		case <-ended:
--- a/internal/roster/dial_test.go
+++ b/internal/roster/dial_test.go
@@ -9,22 +9,22 @@
 )
 
 // Connections that never come up hold back none that would: an agent that takes them again is heard as soon as after silence.
-func TestDialThatHangsIsGivenUp(t *testing.T) {
-	eachMode(t, "deaf for six seconds", func(t *testing.T, poll bool) {
+func TestRun_hangingDialIsGivenUp(t *testing.T) {
+	runVirtualInEachMode(t, "deaf for six seconds", func(t *testing.T, poll bool) {
 		l := listen(t)
-		if _, err := beginAs(t, poll, l.Addr().String(), "null"); err != nil {
+		if _, err := startWatcherInMode(t, poll, l.Addr().String(), "null"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(6 * time.Second)
 		back := time.Now()
-		_, calls := scripted(l, func(a asked, c net.Conn) {
+		_, calls := scriptedAgent(l, func(a agentCall, c net.Conn) {
 			if a.isWatch() {
-				hold(c)
+				holdOpen(c)
 				return
 			}
-			answer(c, standin.List(7, true, ready("s-1")))
+			writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
 		})
-		if next := until(t, calls, asked.isWatch); next.at.Sub(back) > askMost+lostMost {
+		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(back) > pushedListTimeout+maxSilencePause {
 			t.Errorf("in force after %v", next.at.Sub(back))
 		}
 	})
--- a/internal/roster/fuzz_test.go
+++ b/internal/roster/fuzz_test.go
@@ -10,9 +10,9 @@
 
 // Whatever comes in place of a list: no panic, and what is taken for a list can be reckoned with.
 func FuzzDecode(f *testing.F) {
-	one, two := standin.Host("s-1", "10.1.0.18:6379", "in_service"), standin.Host("s-2", "x", "terminating")
+	one, two := standin.FormatHost("s-1", "10.1.0.18:6379", "in_service"), standin.FormatHost("s-2", "x", "terminating")
 	for _, text := range []string{
-		standin.List(41, true, one, two), standin.List(43, false, standin.Host("s-2", "x", "terminated")), standin.List(1, true),
+		standin.FormatList(41, true, one, two), standin.FormatList(43, false, standin.FormatHost("s-2", "x", "terminated")), standin.FormatList(1, true),
 		"", "null", "{}", "[]", "{", `{"hosts":null}`, `{"hosts":[null]}`, `{"hosts":[{}]}`, `{"seq":1.5}`, `{"seq":-1,"whole":true}`,
 		`{"seq":99999999999999999999}`, "{\n \"seq\": 41,\r\n\t\"hosts\": [ " + one + " ]\n}\n", `{"SEQ":7,"seq":8}`,
 		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":-1}]}`,
@@ -21,19 +21,19 @@
 	} {
 		f.Add([]byte(text))
 	}
-	r := &Roster{halls: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2"}}
+	w := &Watcher{zones: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2"}}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		l, err := r.decode(body)
+		received, err := w.decodeAnswer(body)
 		if err != nil {
-			if l != nil {
-				t.Fatalf("%q is no list (%v) and was taken for %+v", body, err, l)
+			if received != nil {
+				t.Fatalf("%q is no list (%v) and was taken for %+v", body, err, received)
 			}
 			return
 		}
-		for _, s := range l.servers {
+		for _, s := range received.servers {
 			// A share that is not above 0 is as good as none to the module.
-			if at := s.Listed; math.IsNaN(at.Power) || math.IsInf(at.Power, 0) || at.Hall < 0 || at.Hall >= len(r.halls) ||
-				at.Kind < 0 || at.Kind >= len(r.kinds) || at.Stage > policy.Draining {
+			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(w.zones) ||
+				at.Hardware < 0 || at.Hardware >= len(w.kinds) || at.State > policy.Draining {
 				t.Fatalf("%q: %+v", body, at)
 			}
 		}
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -24,16 +24,16 @@
 	"harrierhoist/policy"
 )
 
-func entry(name, dial string, stage policy.Stage) gate.Server {
-	return gate.Server{Name: name, Dial: dial, Listed: policy.Listed{Stage: stage}}
+func entry(name, dial string, stage policy.EndpointState) gate.Server {
+	return gate.Server{Name: name, Address: dial, Endpoint: policy.Endpoint{State: stage}}
 }
 
 func TestGolden_eachFormOfAListIsReadAsBefore(t *testing.T) {
-	full := gate.Server{Name: "s-1", Dial: "10.1.0.18:6379", Listed: policy.Listed{Stage: policy.Ready, Power: 0.75,
-		Since: 1796126169357500 * time.Microsecond, Cell: 3, Hall: 1, Kind: 2}}
+	full := gate.Server{Name: "s-1", Address: "10.1.0.18:6379", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 0.75,
+		StartedAt: 1796126169357500 * time.Microsecond, Rack: 3, Zone: 1, Hardware: 2}}
 	const all = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,"health":"in_service","share":0.75,` +
 		`"born_ms":1796126169357.5}`
-	r := &Roster{halls: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2", "m3"}}
+	w := &Watcher{zones: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2", "m3"}}
 	for _, c := range []struct {
 		name, body string
 		seq        int64
@@ -60,23 +60,23 @@
 		{"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
 			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},{"host":"f","dial":""}]}`, 3, true,
-			[]gate.Server{entry("a", "x", policy.Ready), entry("b", "x", policy.Draining), entry("c", "x", policy.Gone),
-				entry("d", "x", policy.Gone), entry("e", "x", policy.Gone), entry("f", "", policy.Gone)}, false},
+			[]gate.Server{entry("a", "x", policy.Ready), entry("b", "x", policy.Draining), entry("c", "x", policy.Removed),
+				entry("d", "x", policy.Removed), entry("e", "x", policy.Removed), entry("f", "", policy.Removed)}, false},
 		{"none left", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
-			[]gate.Server{entry("c", "x", policy.Gone)}, true},
+			[]gate.Server{entry("c", "x", policy.Removed)}, true},
 		{"one name twice", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"a","dial":"y","health":"terminating"}]}`, 3, false,
 			[]gate.Server{entry("a", "x", policy.Ready), entry("a", "y", policy.Draining)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, err := r.decode([]byte(c.body))
+			received, err := w.decodeAnswer([]byte(c.body))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if l.seq != c.seq || l.whole != c.whole || l.none() != c.none || !reflect.DeepEqual(l.servers, c.servers) {
-				t.Errorf("got  %+v\nwant %d %v %+v", l, c.seq, c.whole, c.servers)
+			if received.version != c.seq || received.isFull != c.whole || received.isEmpty() != c.none || !reflect.DeepEqual(received.servers, c.servers) {
+				t.Errorf("got  %+v\nwant %d %v %+v", received, c.seq, c.whole, c.servers)
 			}
-			if known, err := r.known([]byte(c.body)); err != nil || !reflect.DeepEqual(known.servers, c.servers) {
+			if known, err := w.decodeKnown([]byte(c.body)); err != nil || !reflect.DeepEqual(known.servers, c.servers) {
 				t.Errorf("as last had: %+v, %v", known, err)
 			}
 		})
@@ -96,11 +96,11 @@
 		{"an array", `[]`, "configuration: known: json: cannot unmarshal array into Go value of type struct { Hosts json.RawMessage }"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, err := gate.New(pushing(), 1, gate.Outside{}, zap.NewNop())
+			dispatcher, err := gate.New(forwardingSettings(), 1, gate.Dependencies{}, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, err = New(&boot.Handed{Known: []byte(c.known)}, g, zap.NewNop())
+			_, err = New(&boot.Gateway{KnownEndpoints: []byte(c.known)}, dispatcher, zap.NewNop())
 			if err == nil || err.Error() != c.want {
 				t.Errorf("got  %v\nwant %s", err, c.want)
 			}
@@ -130,11 +130,11 @@
 					head.WriteString(line)
 				}
 				heads <- head.String()
-				answer(c, standin.List(41, true, ready("s-1")))
+				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
 			}
-			hold(c)
+			holdOpen(c)
 		}()
-		if _, _, err := beginSeeded(t, pushing(), l.Addr().String(), "null", zap.NewNop(), 5); err != nil {
+		if _, _, err := startSeededWatcher(t, forwardingSettings(), l.Addr().String(), "null", zap.NewNop(), 5); err != nil {
 			t.Fatal(err)
 		}
 		const rest = " HTTP/1.1\r\nHost: golden:1\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
@@ -154,31 +154,31 @@
 	t.Cleanup(func() { time.Sleep(time.Second) }) // calls that are being answered end
 	var mu sync.Mutex
 	begun := time.Now()
-	addr, _ := scripted(listen(t), func(a asked, c net.Conn) {
+	addr, _ := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		mu.Lock()
-		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", a.at.Sub(begun).Seconds(), a.conn, a.call, cmp.Or(a.query, "full list")))
+		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", a.at.Sub(begun).Seconds(), a.connection, a.call, cmp.Or(a.query, "full list")))
 		mu.Unlock()
 		switch {
 		case a.all%9 == 5 || a.all > 30 && a.all%3 == 0:
-			hold(c)
+			holdOpen(c)
 		case a.all%13 == 7 && !poll:
 			_ = c.Close()
 		case a.all == 16:
-			answer(c, standin.List(16, true))
+			writeAnswer(c, standin.FormatList(16, true))
 		case a.query == "":
-			answer(c, standin.List(a.all, true, ready("s-1")))
+			writeAnswer(c, standin.FormatList(a.all, true, readyHost("s-1")))
 		case a.all%4 == 0:
-			answer(c, standin.List(a.all, false, ready("s-2")))
+			writeAnswer(c, standin.FormatList(a.all, false, readyHost("s-2")))
 		default:
 			time.Sleep(700 * time.Millisecond)
 			var version int
 			_, _ = fmt.Sscanf(a.query, "since=%d", &version)
-			answer(c, standin.List(version, false))
+			writeAnswer(c, standin.FormatList(version, false))
 		}
 	})
-	site := pushing()
-	site.AskForList = poll
-	if _, _, err := beginSeeded(t, site, addr, "null", zap.NewNop(), seed); err != nil {
+	settings := forwardingSettings()
+	settings.PollList = poll
+	if _, _, err := startSeededWatcher(t, settings, addr, "null", zap.NewNop(), seed); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(40 * time.Second)
@@ -196,7 +196,7 @@
 		{"pushed", false, "calls_pushed.txt"},
 		{"asked for", true, "calls_polled.txt"},
 	} {
-		story(t, c.name, func(t *testing.T) {
+		runVirtual(t, c.name, func(t *testing.T) {
 			want, err := os.ReadFile(filepath.Join("testdata", c.file))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/roster/list_test.go
+++ b/internal/roster/list_test.go
@@ -9,9 +9,9 @@
 )
 
 // What is no list is refused whole. One bad entry spoils its list.
-func TestWhatIsNoListIsRefused(t *testing.T) {
-	r := &Roster{halls: []string{"hall-a"}, kinds: []string{"m2"}}
-	good := ready("s-1")
+func TestDecodeAnswer_malformedListIsRefused(t *testing.T) {
+	w := &Watcher{zones: []string{"hall-a"}, kinds: []string{"m2"}}
+	good := readyHost("s-1")
 	for name, body := range map[string]string{
 		"nothing":              "",
 		"null":                 "null",
@@ -25,62 +25,62 @@
 		"no whole":             `{"seq":7,"hosts":[` + good + `]}`,
 		"no hosts":             `{"seq":7,"whole":true}`,
 		"hosts by name":        `{"seq":7,"whole":true,"hosts":{"s-1":` + good + `}}`,
-		"more behind it":       standin.List(7, true, good) + "x",
-		"an entry that's null": standin.List(7, true, good, "null"),
-		"an entry that's text": standin.List(7, true, good, `"s-2"`),
-		"an entry of nothing":  standin.List(7, false, good, "{}"),
-		"no host":              standin.List(7, true, good, standin.Host("", "1.2.3.4:5", "in_service")),
-		"no dial":              standin.List(7, true, good, standin.Host("s-2", "", "in_service")),
-		"no dial, terminating": standin.List(7, false, good, standin.Host("s-2", "", "terminating")),
-		"a share of text":      standin.List(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
+		"more behind it":       standin.FormatList(7, true, good) + "x",
+		"an entry that's null": standin.FormatList(7, true, good, "null"),
+		"an entry that's text": standin.FormatList(7, true, good, `"s-2"`),
+		"an entry of nothing":  standin.FormatList(7, false, good, "{}"),
+		"no host":              standin.FormatList(7, true, good, standin.FormatHost("", "1.2.3.4:5", "in_service")),
+		"no dial":              standin.FormatList(7, true, good, standin.FormatHost("s-2", "", "in_service")),
+		"no dial, terminating": standin.FormatList(7, false, good, standin.FormatHost("s-2", "", "terminating")),
+		"a share of text":      standin.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
 	} {
-		if l, err := r.decode([]byte(body)); err == nil {
-			t.Errorf("%s: read as %+v", name, l)
+		if received, err := w.decodeAnswer([]byte(body)); err == nil {
+			t.Errorf("%s: read as %+v", name, received)
 		}
 	}
 }
 
 // A server that is gone needs no address; one in a state whose word we do not know gets nothing new; the later of two entries
 // with one name stands.
-func TestOddEntriesOfAList(t *testing.T) {
+func TestDecodeAnswer_unusualEntries(t *testing.T) {
 	t.Parallel()
-	r, g := still(t, "127.0.0.1:1")
+	w, dispatcher := newIdleWatcher(t, "127.0.0.1:1")
 	for _, c := range []struct {
 		body, after string
 		none        bool
 	}{
-		{standin.List(1, true, ready("s-1"), standin.Host("s-2", "", "terminated")), "s-1", false},
-		{standin.List(2, true, standin.Host("s-1", "x", "warming_up"), ready("s-2")), "s-2", false},
-		{standin.List(3, true, ready("s-2"), standin.Host("s-2", "x", "terminating")), "", false},
-		{standin.List(4, true, standin.Host("s-3", "x", "terminating"), ready("s-3")), "s-3", false},
-		{standin.List(5, false, standin.Host("s-3", "x", "")), "", true},
+		{standin.FormatList(1, true, readyHost("s-1"), standin.FormatHost("s-2", "", "terminated")), "s-1", false},
+		{standin.FormatList(2, true, standin.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
+		{standin.FormatList(3, true, readyHost("s-2"), standin.FormatHost("s-2", "x", "terminating")), "", false},
+		{standin.FormatList(4, true, standin.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
+		{standin.FormatList(5, false, standin.FormatHost("s-3", "x", "")), "", true},
 		{`{"seq":6,"whole":false,"hosts":null}`, "", true},
 	} {
-		l, err := r.decode([]byte(c.body))
-		if err != nil || l.none() != c.none {
-			t.Fatalf("%s: %+v, %v", c.body, l, err)
+		received, err := w.decodeAnswer([]byte(c.body))
+		if err != nil || received.isEmpty() != c.none {
+			t.Fatalf("%s: %+v, %v", c.body, received, err)
 		}
-		r.apply(t.Context(), l)
-		if name := inForce(g); name != c.after {
+		w.apply(t.Context(), received)
+		if name := chosenServer(dispatcher); name != c.after {
 			t.Errorf("%s: in force: %q", c.body, name)
 		}
 	}
-	none := &list{whole: true}
-	if r.apply(t.Context(), none); r.empties(none) {
+	none := &endpointList{isFull: true}
+	if w.apply(t.Context(), none); w.wouldEmpty(none) {
 		t.Error("no server is left, and one could be lost")
 	}
-	if l, err := r.decode([]byte(standin.List(1, true, standin.Host("s-1", "x", "warming_up")))); err != nil ||
-		l.servers[0].Listed.Stage != policy.Gone {
-		t.Errorf("got %+v, %v", l, err)
+	if received, err := w.decodeAnswer([]byte(standin.FormatList(1, true, standin.FormatHost("s-1", "x", "warming_up")))); err != nil ||
+		received.servers[0].Endpoint.State != policy.Removed {
+		t.Errorf("got %+v, %v", received, err)
 	}
 }
 
 // A list as last had may be of another program, and is read as far as it has entries.
-func TestKnownNeedsNoVersion(t *testing.T) {
-	r := &Roster{}
-	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + ready("s-1") + `]}`: 1} {
-		if l, err := r.known([]byte(text)); err != nil || len(l.servers) != servers {
-			t.Errorf("%s: %+v, %v", text, l, err)
+func TestDecodeKnown_needsNoVersion(t *testing.T) {
+	w := &Watcher{}
+	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + readyHost("s-1") + `]}`: 1} {
+		if received, err := w.decodeKnown([]byte(text)); err != nil || len(received.servers) != servers {
+			t.Errorf("%s: %+v, %v", text, received, err)
 		}
 	}
 }
--- a/internal/roster/move_test.go
+++ b/internal/roster/move_test.go
@@ -17,54 +17,54 @@
 	"harrierhoist/policy"
 )
 
-// still is a roster that doesn't watch yet, with its gate.
-func still(t *testing.T, discovery string) (*Roster, *gate.Gate) {
+// newIdleWatcher is a roster that doesn't watch yet, with its gate.
+func newIdleWatcher(t *testing.T, discovery string) (*Watcher, *gate.Dispatcher) {
 	t.Helper()
-	site := pushing()
-	g, err := gate.New(site, 1, gate.Outside{}, zap.NewNop())
+	settings := forwardingSettings()
+	dispatcher, err := gate.New(settings, 1, gate.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go g.Tick(t.Context())
-	r, err := New(&boot.Handed{Discovery: discovery, Deployment: site}, g, zap.NewNop())
+	go dispatcher.RunTimers(t.Context())
+	w, err := New(&boot.Gateway{Discovery: discovery, Settings: settings}, dispatcher, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.dial = dialWire
-	return r, g
+	w.dial = dialPipe
+	return w, dispatcher
 }
 
-// goOn has a roster watch until the test ends, or the end that it gives is called; ended is closed then.
-func goOn(t *testing.T, r *Roster) (end func(), ended chan bool) {
+// runWatcher has a roster watch until the test ends, or the end that it gives is called; ended is closed then.
+func runWatcher(t *testing.T, w *Watcher) (end func(), ended chan bool) {
 	ctx, end := context.WithCancel(t.Context())
 	ended = make(chan bool)
 	go func() {
-		r.Watch(ctx)
+		w.Run(ctx)
 		close(ended)
 	}()
 	t.Cleanup(func() { end(); <-ended })
 	return end, ended
 }
 
-// whole answers calls for the whole list with one server, and leaves watches without a word.
-func whole(t *testing.T, seq int, name string) (addr string, calls chan asked) {
-	return scripted(listen(t), func(a asked, c net.Conn) {
+// fullListAgent answers calls for the whole list with one server, and leaves watches without a word.
+func fullListAgent(t *testing.T, seq int, name string) (addr string, calls chan agentCall) {
+	return scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		if a.query == "" {
-			answer(c, standin.List(seq, true, ready(name)))
+			writeAnswer(c, standin.FormatList(seq, true, readyHost(name)))
 		} else {
-			hold(c)
+			holdOpen(c)
 		}
 	})
 }
 
 // The answer of an old address comes half before a move, and half after it, while the new one is silent.
-func TestAnswerOfAnOldAddressAfterAMoveIsNotApplied(t *testing.T) {
+func TestSetAgent_laterAnswerOfTheOldAgentIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		let := make(chan bool)
-		text := standin.List(8, true, ready("s-old"))
-		old, olds := scripted(listen(t), func(a asked, c net.Conn) {
+		text := standin.FormatList(8, true, readyHost("s-old"))
+		old, olds := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			if a.all == 1 {
-				answer(c, standin.List(7, true, ready("s-1")))
+				writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+text[:20])
@@ -72,38 +72,38 @@
 			_, _ = io.WriteString(c, text[20:])
 			_ = c.Close()
 		})
-		next, nexts := scripted(listen(t), func(_ asked, c net.Conn) { hold(c) })
-		r, g := still(t, old)
-		goOn(t, r)
-		until(t, olds, func(a asked) bool { return a.watches(7) })
-		r.Move(next, true)
+		next, nexts := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) { holdOpen(c) })
+		w, dispatcher := newIdleWatcher(t, old)
+		runWatcher(t, w)
+		nextCallWhere(t, olds, func(a agentCall) bool { return a.isWatchFrom(7) })
+		w.SetAgent(next, true)
 		close(let)
-		call(t, nexts)
-		if name := inForce(g); name != "s-1" {
+		nextCall(t, nexts)
+		if name := chosenServer(dispatcher); name != "s-1" {
 			t.Errorf("in force: %q", name)
 		}
 	})
 }
 
 // An answer that was read before the move, and comes to be applied after it.
-func TestAnswerReadBeforeAMoveIsNotAppliedAfterIt(t *testing.T) {
-	r, g := still(t, "a:1")
+func TestSetAgent_answerReadBeforeIsIgnoredAfter(t *testing.T) {
+	w, dispatcher := newIdleWatcher(t, "a:1")
 	ctx, end := context.WithCancel(t.Context())
-	r.end = end
+	w.cancelSession = end
 	tell := func(name string) {
-		one := gate.Server{Name: name, Dial: "x", Listed: policy.Listed{Stage: policy.Ready, Power: 1}}
-		r.apply(ctx, &list{whole: true, servers: []gate.Server{one}})
+		one := gate.Server{Name: name, Address: "x", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 1}}
+		w.apply(ctx, &endpointList{isFull: true, servers: []gate.Server{one}})
 	}
 	tell("s-1")
-	r.Move("b:1", true)
+	w.SetAgent("b:1", true)
 	tell("s-2")
-	if name := inForce(g); name != "s-1" {
+	if name := chosenServer(dispatcher); name != "s-1" {
 		t.Errorf("in force: %q", name)
 	}
 }
 
 // Moves that come faster than they are followed: the latest address is the one watched, from its whole list.
-func TestLatestOfSomeMovesIsFollowed(t *testing.T) {
+func TestSetAgent_latestOfSeveralIsFollowed(t *testing.T) {
 	for name, moves := range map[string]struct {
 		before, after []string // moves before the watch begins, and once a is watched
 		last          string
@@ -114,27 +114,27 @@
 		"away and back":            {after: []string{"b", "a"}, last: "a"},
 		"away, back and away once": {after: []string{"b", "a", "b"}, last: "b"},
 	} {
-		story(t, name, func(t *testing.T) {
-			addrs, calls := map[string]string{}, map[string]chan asked{}
+		runVirtual(t, name, func(t *testing.T) {
+			addrs, calls := map[string]string{}, map[string]chan agentCall{}
 			for seq, n := range []string{"a", "b", "c"} {
-				addrs[n], calls[n] = whole(t, seq+1, "s-"+n)
+				addrs[n], calls[n] = fullListAgent(t, seq+1, "s-"+n)
 			}
-			r, g := still(t, addrs["a"])
+			w, dispatcher := newIdleWatcher(t, addrs["a"])
 			for _, to := range moves.before {
-				r.Move(addrs[to], true)
+				w.SetAgent(addrs[to], true)
 			}
-			goOn(t, r)
+			runWatcher(t, w)
 			if len(moves.after) > 0 {
-				until(t, calls["a"], asked.isWatch)
+				nextCallWhere(t, calls["a"], agentCall.isWatch)
 			}
 			for _, to := range moves.after {
-				r.Move(addrs[to], true)
+				w.SetAgent(addrs[to], true)
 			}
-			if a := until(t, calls[moves.last], func(asked) bool { return true }); a.query != "" {
+			if a := nextCallWhere(t, calls[moves.last], func(agentCall) bool { return true }); a.query != "" {
 				t.Errorf("asked first with %q", a.query)
 			}
-			until(t, calls[moves.last], asked.isWatch)
-			if name := inForce(g); name != "s-"+moves.last {
+			nextCallWhere(t, calls[moves.last], agentCall.isWatch)
+			if name := chosenServer(dispatcher); name != "s-"+moves.last {
 				t.Errorf("in force: %q", name)
 			}
 		})
@@ -143,44 +143,44 @@
 
 // A new configuration that names the address as before leaves its watch alone; one that says that its lists are pushed no
 // more, or from now on, has it begun again.
-func TestMoveToTheSameAddress(t *testing.T) {
+func TestSetAgent_sameAddressKeepsTheWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		let := make(chan bool)
 		var first atomic.Bool
-		addr, calls := scripted(listen(t), func(a asked, c net.Conn) {
+		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			switch {
 			case a.query == "":
-				answer(c, standin.List(7, true, ready("s-1")))
+				writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
 			case !first.Swap(true):
 				<-let
-				answer(c, standin.List(8, false, ready("s-1")))
+				writeAnswer(c, standin.FormatList(8, false, readyHost("s-1")))
 			default:
-				hold(c)
+				holdOpen(c)
 			}
 		})
-		r, _ := still(t, addr)
-		goOn(t, r)
-		open := until(t, calls, asked.isWatch)
-		r.Move(addr, true)
+		w, _ := newIdleWatcher(t, addr)
+		runWatcher(t, w)
+		open := nextCallWhere(t, calls, agentCall.isWatch)
+		w.SetAgent(addr, true)
 		close(let)
-		if a := call(t, calls); !a.watches(8) || a.conn != open.conn {
+		if a := nextCall(t, calls); !a.isWatchFrom(8) || a.connection != open.connection {
 			t.Errorf("asked %+v", a)
 		}
-		r.Move(addr, false)
-		if a := call(t, calls); a.isWatch() || a.conn == open.conn {
+		w.SetAgent(addr, false)
+		if a := nextCall(t, calls); a.isWatch() || a.connection == open.connection {
 			t.Errorf("asked %+v", a)
 		}
 	})
 }
 
 // Watch ends with its context, and leaves no connection behind: in mid-watch, beside a silent agent, in a pause.
-func TestEndedWatchLeavesNothingOpen(t *testing.T) {
-	for name, fail := range map[string]func(net.Conn){"silence": hold, "503": failures["503"], "a watch": nil} {
-		eachMode(t, name, func(t *testing.T, poll bool) {
+func TestRun_leavesNoConnectionOpen(t *testing.T) {
+	for name, fail := range map[string]func(net.Conn){"silence": holdOpen, "503": agentFailures["503"], "a watch": nil} {
+		runVirtualInEachMode(t, name, func(t *testing.T, poll bool) {
 			var open atomic.Int64
-			addr, _ := scripted(listen(t), func(a asked, c net.Conn) {
+			addr, _ := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 				if fail == nil && a.query == "" {
-					answer(c, standin.List(7, true, ready("s-1")))
+					writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
 					return
 				}
 				open.Add(1)
@@ -188,12 +188,12 @@
 				if fail != nil {
 					fail(c)
 				}
-				hold(c)
+				holdOpen(c)
 			})
-			r, _ := still(t, addr)
+			w, _ := newIdleWatcher(t, addr)
 			seen, logs := observer.New(zap.InfoLevel)
-			r.at.pushed, r.log = !poll, zap.New(seen)
-			end, ended := goOn(t, r)
+			w.agent.isPushed, w.log = !poll, zap.New(seen)
+			end, ended := runWatcher(t, w)
 			most := int64(1)
 			if name == "silence" && !poll {
 				most = 2
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -16,93 +16,93 @@
 	"harrierhoist/policy"
 )
 
-// Roster asks discovery's agent.
-type Roster struct {
-	gate         *gate.Gate
+// Watcher asks discovery's agent.
+type Watcher struct {
+	dispatcher   *gate.Dispatcher
 	log          *zap.Logger
-	halls, kinds []string
+	zones, kinds []string
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
-	drawn        *rand.Rand    // of Watch's goroutine
-	first        chan struct{} // closed with the first list in force
-	once         sync.Once
+	random       *rand.Rand    // of Watch's goroutine
+	firstApplied chan struct{} // closed with the first list in force
+	closeFirst   sync.Once
 
-	mu   sync.Mutex
-	at   target
-	end  context.CancelFunc // ends the watch of an address; what it hears from then on is not applied
-	held bool               // the gate has servers
+	mu            sync.Mutex
+	agent         agent
+	cancelSession context.CancelFunc // ends the watch of an address; what it hears from then on is not applied
+	hasServers    bool               // the gate has servers
 }
 
-// target is an agent, and whether lists are pushed to it.
-type target struct {
-	addr   string
-	pushed bool
+// agent is an agent, and whether lists are pushed to it.
+type agent struct {
+	addr     string
+	isPushed bool
 }
 
 // New makes a roster that hands what it learns to the gate, first of all the list as last held.
-func New(told *boot.Handed, g *gate.Gate, log *zap.Logger) (*Roster, error) {
-	r := &Roster{gate: g, log: log, halls: told.Halls, kinds: told.Kinds, first: make(chan struct{}),
-		drawn: rand.New(rand.NewPCG(uint64(told.Seed), 0)),
-		dial:  (&net.Dialer{Timeout: askMost}).DialContext, // one that hangs holds no descriptor for longer
-		at:    target{told.Discovery, !told.Deployment.AskForList}, end: func() {}}
-	if len(told.Known) > 0 && string(told.Known) != "null" {
-		l, err := r.known(told.Known)
+func New(configuration *boot.Gateway, dispatcher *gate.Dispatcher, log *zap.Logger) (*Watcher, error) {
+	w := &Watcher{dispatcher: dispatcher, log: log, zones: configuration.Zones, kinds: configuration.Kinds, firstApplied: make(chan struct{}),
+		random: rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
+		dial:   (&net.Dialer{Timeout: pushedListTimeout}).DialContext, // one that hangs holds no descriptor for longer
+		agent:  agent{configuration.Discovery, !configuration.Settings.PollList}, cancelSession: func() {}}
+	if len(configuration.KnownEndpoints) > 0 && string(configuration.KnownEndpoints) != "null" {
+		received, err := w.decodeKnown(configuration.KnownEndpoints)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
-		g.List(policy.ListCached, l.servers)
-		r.held = !l.none()
+		dispatcher.HandleEndpoints(policy.ListCached, received.servers)
+		w.hasServers = !received.isEmpty()
 	}
-	return r, nil
+	return w, nil
 }
 
-// First is closed once a list that discovery told is in force.
-func (r *Roster) First() <-chan struct{} { return r.first }
+// FirstList is closed once a list that discovery told is in force.
+func (w *Watcher) FirstList() <-chan struct{} { return w.firstApplied }
 
-// Move has another address watched, to whose agent lists are pushed, or not. Once it returns, nothing that the old one
+// SetAgent has another address watched, to whose agent lists are pushed, or not. Once it returns, nothing that the old one
 // still answers is applied: it may be older than what the new one tells.
-func (r *Roster) Move(addr string, pushed bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if to := (target{addr, pushed}); to != r.at {
-		r.at = to
-		r.end()
+func (w *Watcher) SetAgent(addr string, isPushed bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if to := (agent{addr, isPushed}); to != w.agent {
+		w.agent = to
+		w.cancelSession()
 	}
 }
 
-// Watch keeps up until the context ends, at one address after the other, each from its whole list.
-func (r *Roster) Watch(ctx context.Context) {
+// Run keeps up until the context ends, at one address after the other, each from its whole list.
+func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.mu.Lock()
+		w.mu.Lock()
 		here, end := context.WithCancel(ctx)
-		at := r.at
-		r.end = end
-		r.mu.Unlock()
-		r.follow(here, at)
+		agent := w.agent
+		w.cancelSession = end
+		w.mu.Unlock()
+		w.follow(here, agent)
 		end()
 	}
 }
 
 // apply hands a list to the gate, unless its watch has ended meanwhile.
-func (r *Roster) apply(ctx context.Context, l *list) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (w *Watcher) apply(ctx context.Context, received *endpointList) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
 	switch {
-	case l.whole:
-		r.gate.List(policy.ListWhole, l.servers)
-		r.held = !l.none()
-	case len(l.servers) > 0:
-		r.gate.List(policy.ListChanges, l.servers)
-		r.held = r.held || !l.none()
+	case received.isFull:
+		w.dispatcher.HandleEndpoints(policy.ListFull, received.servers)
+		w.hasServers = !received.isEmpty()
+	case len(received.servers) > 0:
+		w.dispatcher.HandleEndpoints(policy.ListDelta, received.servers)
+		w.hasServers = w.hasServers || !received.isEmpty()
 	}
-	r.once.Do(func() { close(r.first) })
+	w.closeFirst.Do(func() { close(w.firstApplied) })
 }
 
-// empties tells that a list would leave the gate without any of the servers that it has.
-func (r *Roster) empties(l *list) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return l.whole && l.none() && r.held
+// wouldEmpty tells that a list would leave the gate without any of the servers that it has.
+func (w *Watcher) wouldEmpty(received *endpointList) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return received.isFull && received.isEmpty() && w.hasServers
 }
--- a/internal/roster/silence_test.go
+++ b/internal/roster/silence_test.go
@@ -14,7 +14,7 @@
 
 // An agent that fell silent in mid-watch was asked again 6.5 s after the watch was opened, with a waiting call. Silence
 // may begin in the moment at which a watch is opened: the whole list is had within 3 s of that, on a new connection.
-func TestSilentWatchIsAskedAnewAtOnce(t *testing.T) {
+func TestWatch_silenceIsFollowedByAFullListAtOnce(t *testing.T) {
 	for name, later := range map[string]func(net.Conn){
 		"says nothing":            func(net.Conn) {},
 		"trickles a list":         trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
@@ -24,61 +24,61 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,")
 		},
 	} {
-		story(t, name, func(t *testing.T) {
-			addr, calls := agent(t, func(_ int, c net.Conn) { later(c) })
-			if _, err := begin(t, addr, "null"); err != nil {
+		runVirtual(t, name, func(t *testing.T) {
+			addr, calls := listThenAgent(t, func(_ int, c net.Conn) { later(c) })
+			if _, err := startWatcher(t, addr, "null"); err != nil {
 				t.Fatal(err)
 			}
-			open, anew, next := until(t, calls, asked.isWatch), call(t, calls), until(t, calls, asked.isWatch)
-			if !open.watches(open.conn) || anew.isWatch() || anew.conn <= open.conn || !next.watches(next.conn) || next.conn == open.conn {
+			open, anew, next := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls), nextCallWhere(t, calls, agentCall.isWatch)
+			if !open.isWatchFrom(open.connection) || anew.isWatch() || anew.connection <= open.connection || !next.isWatchFrom(next.connection) || next.connection == open.connection {
 				t.Fatalf("asked %+v, then %+v, then %+v", open, anew, next)
 			}
-			if took := next.at.Sub(open.at); took > silenceMost {
+			if took := next.at.Sub(open.at); took > maxSilence {
 				t.Errorf("the whole list was had after %v", took)
 			}
 			var wait time.Duration // of the watch
-			_, _ = fmt.Sscanf(open.query, fmt.Sprintf("since=%d&timeout_ms=%%d", open.conn), &wait)
-			if pause := anew.at.Sub(open.at) - wait*time.Millisecond - lateMost; pause > againFirst*3/4 {
+			_, _ = fmt.Sscanf(open.query, fmt.Sprintf("since=%d&timeout_ms=%%d", open.connection), &wait)
+			if pause := anew.at.Sub(open.at) - wait*time.Millisecond - watchGrace; pause > firstBackoff*3/4 {
 				t.Errorf("asked anew after a pause of %v", pause)
 			}
 		})
 	}
 }
 
-// holding is a discovery that holds every watch without a word, and every other call as well while it is silent.
-func holding(t *testing.T) (addr string, calls chan asked, silent *atomic.Bool) {
+// holdingAgent is a discovery that holds every watch without a word, and every other call as well while it is silent.
+func holdingAgent(t *testing.T) (addr string, calls chan agentCall, silent *atomic.Bool) {
 	t.Helper()
 	silent = &atomic.Bool{}
-	addr, calls = scripted(listen(t), func(a asked, c net.Conn) {
+	addr, calls = scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		if silent.Load() || a.isWatch() {
-			hold(c)
+			holdOpen(c)
 			return
 		}
-		answer(c, standin.List(7, true, ready("s-1")))
+		writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
 	})
 	return addr, calls, silent
 }
 
 // A discovery silent to the call after a silent watch as well is asked again after a drawn pause, never with a waiting
 // call; its first answer ends the run, and the next is a watch.
-func TestSilenceThatLastsIsAskedAfterPauses(t *testing.T) {
+func TestRun_lastingSilenceIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		addr, calls, silent := holding(t)
-		if _, err := beginAs(t, true, addr, "null"); err != nil {
+		addr, calls, silent := holdingAgent(t)
+		if _, err := startWatcherInMode(t, true, addr, "null"); err != nil {
 			t.Fatal(err)
 		}
 		<-calls
 		open := <-calls
 		silent.Store(true)
 		first, second := <-calls, <-calls
-		if !open.watches(7) || first.query != "" || second.query != "" {
+		if !open.isWatchFrom(7) || first.query != "" || second.query != "" {
 			t.Fatalf("asked %+v, %+v, %+v", open, first, second)
 		}
-		if pause := second.at.Sub(first.at) - askMost; pause < againFirst/2 {
+		if pause := second.at.Sub(first.at) - pushedListTimeout; pause < firstBackoff/2 {
 			t.Errorf("asked again after a pause of %v", pause)
 		}
 		silent.Store(false)
-		if third, next := <-calls, <-calls; third.query != "" || !next.watches(7) {
+		if third, next := <-calls, <-calls; third.query != "" || !next.isWatchFrom(7) {
 			t.Errorf("asked %+v, %+v", third, next)
 		}
 	})
@@ -86,17 +86,17 @@
 
 // Forty watches that fall silent at once, as on a herd day: each is asked anew once without a pause, then with
 // growing ones: three calls each in six seconds. Asked on without pauses they made five.
-func TestFleetFallenSilentBacksOff(t *testing.T) {
+func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 6 * time.Second
-		addr, calls, silent := holding(t)
+		addr, calls, silent := holdingAgent(t)
 		for range gateways {
-			if _, err := beginAs(t, true, addr, "null"); err != nil {
+			if _, err := startWatcherInMode(t, true, addr, "null"); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for watches := 0; watches < gateways; {
-			if a := <-calls; a.watches(7) {
+			if a := <-calls; a.isWatchFrom(7) {
 				watches++
 			}
 		}
@@ -111,11 +111,11 @@
 // An agent that lists are pushed to was down for 8 s, into a release: it had a drain from when it was back, while gateways
 // still paused for up to 12 s, and pushed to the server over a second on. It is found again within the second
 // that a drain leaves, and is not asked on without pauses meanwhile.
-func TestAgentThatListsArePushedToIsFoundAgainAtOnce(t *testing.T) {
+func TestRun_pushedAgentIsFoundAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasting, drain = 6 * time.Second, time.Second
-		addr, calls, silent := holding(t)
-		if _, err := beginAs(t, false, addr, "null"); err != nil {
+		addr, calls, silent := holdingAgent(t)
+		if _, err := startWatcherInMode(t, false, addr, "null"); err != nil {
 			t.Fatal(err)
 		}
 		<-calls
@@ -128,7 +128,7 @@
 			<-calls
 		}
 		for a := range calls {
-			if a.watches(7) {
+			if a.isWatchFrom(7) {
 				if took := a.at.Sub(back); took > drain {
 					t.Errorf("the list was had %v after the agent was back", took)
 				}
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -193,7 +193,7 @@
 	return lines
 }
 
-func TestGoldenRepliesOfWholeRuns(t *testing.T) {
+func TestRun_goldenReplies(t *testing.T) {
 	for _, settings := range goldenRuns {
 		for i, want := range settings.hashes {
 			seed := int64(i + 1)
@@ -223,20 +223,20 @@
 		s.t.Errorf("%d events only", total)
 	}
 	counts := strings.Contains(s.settings.lines, "HasCounter=true")
-	for code := wire.EvSpawn; code <= wire.EvTimer; code += 10 {
-		if s.events[byte(code)] == 0 && (code != wire.EvLedgerReply || counts) {
+	for code := wire.EventStart; code <= wire.EventTimer; code += 10 {
+		if s.events[byte(code)] == 0 && (code != wire.EventCount || counts) {
 			s.t.Errorf("no event of code %d", code)
 		}
 	}
-	for _, code := range []byte{wire.ActSend, wire.ActBusy, wire.ActDropRequest, wire.ActSchedule, wire.ActTail} {
+	for _, code := range []byte{wire.ActionAttempt, wire.ActionReject, wire.ActionTerminate, wire.ActionSetTimer, wire.ActionWatchEndpoints} {
 		if s.actions[code] == 0 {
 			s.t.Errorf("no action of code %d", code)
 		}
 	}
-	if counts != (s.actions[wire.ActAddAndGet] > 0) {
-		s.t.Errorf("%d calls to the counter", s.actions[wire.ActAddAndGet])
+	if counts != (s.actions[wire.ActionCount] > 0) {
+		s.t.Errorf("%d calls to the counter", s.actions[wire.ActionCount])
 	}
-	if s.actions[wire.ActInternalError] != 0 {
+	if s.actions[wire.ActionInternalError] != 0 {
 		s.t.Error("the module failed")
 	}
 }
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -15,7 +15,7 @@
 // Run answers batches until the input ends.
 func Run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
-	fleet := map[uint32]*instance{}
+	instances := map[uint32]*instance{}
 	for {
 		batch, err := reader.Next()
 		if err == io.EOF {
@@ -24,236 +24,242 @@
 		if err != nil {
 			return err
 		}
-		reply, bad := answer(fleet, batch)
-		if bad != nil {
-			bad.Batch = reader.Count()
-			return bad
+		reply, malformed := runBatch(instances, batch)
+		if malformed != nil {
+			malformed.Batch = reader.BatchesBegun()
+			return malformed
 		}
 		if _, err := out.Write(reply); err != nil {
-			return fmt.Errorf("batch %d: writing the reply: %w", reader.Count(), err)
+			return fmt.Errorf("batch %d: writing the reply: %w", reader.BatchesBegun(), err)
 		}
 	}
 }
 
-// answer plays one batch. Actions stand in the order of the events, under the instance that each event is
+// runBatch plays one batch. Actions stand in the order of the events, under the instance that each event is
 // for.
-func answer(fleet map[uint32]*instance, batch *wire.Batch) ([]byte, *wire.BadFrame) {
+func runBatch(instances map[uint32]*instance, batch *wire.Batch) ([]byte, *wire.FormatError) {
 	reply := wire.NewReply(batch.Serial)
-	now := boot.Span(batch.ClockMs)
+	now := boot.Milliseconds(batch.ClockMs)
 	var id uint32
-	named := false
-	for _, ev := range batch.Events {
-		if ev.Code == wire.EvTo {
-			id, named = ev.To, true
+	addressed := false
+	for _, event := range batch.Events {
+		if event.Code == wire.EventAddressee {
+			id, addressed = event.Instance, true
 			continue
 		}
-		if !named {
-			return nil, &wire.BadFrame{Byte: ev.At, What: fmt.Sprintf("event %d before any 'to'", ev.Code)}
+		if !addressed {
+			return nil, &wire.FormatError{Offset: event.Offset, Reason: fmt.Sprintf("event %d before any 'to'", event.Code)}
 		}
-		if ev.Code == wire.EvSpawn {
-			in, err := spawn(id, ev.Value.(wire.Spawn))
+		if event.Code == wire.EventStart {
+			i, err := newInstance(id, event.Payload.(wire.Start))
 			if err != nil {
-				return nil, &wire.BadFrame{Byte: ev.At, What: err.Error()}
+				return nil, &wire.FormatError{Offset: event.Offset, Reason: err.Error()}
 			}
-			fleet[id] = in
+			instances[id] = i
 			continue
 		}
-		in := fleet[id]
-		if in == nil {
-			what := fmt.Sprintf("event %d for gateway %d, which is not running", ev.Code, id)
-			return nil, &wire.BadFrame{Byte: ev.At, What: what}
+		i := instances[id]
+		if i == nil {
+			reason := fmt.Sprintf("event %d for gateway %d, which is not running", event.Code, id)
+			return nil, &wire.FormatError{Offset: event.Offset, Reason: reason}
 		}
-		if ev.Code == wire.EvRetire {
-			delete(fleet, id)
+		if event.Code == wire.EventStop {
+			delete(instances, id)
 			continue
 		}
-		in.reply = reply
-		in.guarded(now, ev)
+		i.reply = reply
+		i.handleRecovering(now, event)
 	}
 	return reply.Bytes(), nil
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // instance is one gateway and the host that it calls.
 type instance struct {
 	id      uint32
 	gateway *policy.Gateway
 	reply   *wire.Reply
-	faulted bool
+	failed  bool
 }
 
-func spawn(id uint32, s wire.Spawn) (*instance, error) {
-	pairs, err := boot.ParsePairs(string(s.BootInfo))
+func newInstance(id uint32, start wire.Start) (*instance, error) {
+	pairs, err := boot.ParseLines(string(start.Settings))
 	if err != nil {
 		return nil, err
 	}
-	site, err := boot.Deployment(pairs)
+	settings, err := boot.ReadSettings(pairs)
 	if err != nil {
 		return nil, err
 	}
-	in := &instance{id: id}
-	in.gateway, err = policy.New(site, int64(s.Salt), in)
+	i := &instance{id: id}
+	i.gateway, err = policy.New(settings, int64(start.Seed), i)
 	if err != nil {
 		return nil, err
 	}
-	return in, nil
+	return i, nil
 }
 
-// guarded delivers an event; a panic in the decisions becomes one internal_error, and the instance stays
+// handleRecovering delivers an event; a panic in the decisions becomes one internal_error, and the instance stays
 // silent then.
-func (in *instance) guarded(now time.Duration, ev wire.Event) {
-	if in.faulted {
+func (i *instance) handleRecovering(now time.Duration, event wire.Event) {
+	if i.failed {
 		return
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			in.faulted = true
-			in.reply.By(in.id)
-			in.reply.InternalError(fmt.Sprint(r))
+			i.failed = true
+			i.reply.SetInstance(i.id)
+			i.reply.InternalError(fmt.Sprint(r))
 		}
 	}()
-	in.deliver(now, ev)
+	i.handle(now, event)
 }
 
-func (in *instance) deliver(now time.Duration, ev wire.Event) {
-	g := in.gateway
-	switch ev.Code {
-	case wire.EvView:
-		v := ev.Value.(wire.View)
-		g.List(now, listKind(v.Kind), listed(v.Hosts))
-	case wire.EvSubmit:
-		s := ev.Value.(wire.Submit)
-		g.Take(now, policy.Task{ID: s.ID, Lane: int(s.Cls), Plan: int(s.Terms), Customer: s.Customer,
-			First: int(s.SetStart), Width: int(s.Width), Units: float64(s.CostUnits), Expires: boot.Span(s.ExpiresMs),
-			Repeat: s.Opts&2 != 0})
-	case wire.EvResponse:
-		r := ev.Value.(wire.Response)
-		g.Ended(now, policy.Push{Task: r.ID, Number: int(r.Hop), Server: r.Server, Outcome: outcome(r.How),
-			Took: boot.Span(r.SpentMs), Done: r.NoMore, Billed: float64(r.Billed),
-			Use: use(r.UsePct), Report: r.HealthInfo})
-	case wire.EvFirst:
-		f := ev.Value.(wire.First)
-		g.Begun(now, f.ID, int(f.Hop))
-	case wire.EvLapsed:
-		g.Lapsed(now, ev.ID)
-	case wire.EvTimer:
-		g.Woke(now, ev.Ctx)
-	case wire.EvLedgerReply:
-		c := ev.Value.(wire.LedgerReply)
-		g.Counted(now, policy.Tally{Name: c.Name, Total: float64(c.Level), Took: boot.Span(c.SpentMs),
-			Outcome: outcome(c.How)})
-	case wire.EvProbeResult:
-		p := ev.Value.(wire.ProbeResult)
-		g.Probed(now, p.Server, outcome(p.How), boot.Span(p.SpentMs), p.HealthInfo)
-	case wire.EvInbox:
-		m := ev.Value.(wire.Inbox)
-		g.Heard(now, int(m.From), m.Bytes)
+func (i *instance) handle(now time.Duration, event wire.Event) {
+	gateway := i.gateway
+	switch event.Code {
+	case wire.EventEndpoints:
+		list := event.Payload.(wire.Endpoints)
+		gateway.HandleEndpoints(now, listKindOf(list.Kind), endpointsOf(list.Endpoints))
+	case wire.EventRequest:
+		request := event.Payload.(wire.Request)
+		gateway.HandleRequest(now, policy.Request{ID: request.ID, Class: int(request.Class), Plan: int(request.Plan), Customer: request.Customer,
+			FirstGateway: int(request.FirstGateway), GatewayCount: int(request.GatewayCount), Units: float64(request.Units), Deadline: boot.Milliseconds(request.DeadlineMs),
+			Repeat: request.Options&2 != 0})
+	case wire.EventAttemptResult:
+		result := event.Payload.(wire.AttemptResult)
+		gateway.HandleAttemptResult(now, policy.AttemptResult{RequestID: result.RequestID, Attempt: int(result.Attempt), Server: result.Server, Outcome: outcomeOf(result.Outcome),
+			Latency: boot.Milliseconds(result.ElapsedMs), Final: result.Final, ActualUnits: float64(result.BilledUnits),
+			Usage: quotaUse(result.UsePercent), LoadReport: result.LoadReport})
+	case wire.EventStreamStart:
+		started := event.Payload.(wire.StreamStart)
+		gateway.HandleStreamStart(now, started.RequestID, int(started.Attempt))
+	case wire.EventDisconnect:
+		gateway.HandleDisconnect(now, event.RequestID)
+	case wire.EventTimer:
+		gateway.HandleTimer(now, event.TimerToken)
+	case wire.EventCount:
+		count := event.Payload.(wire.Count)
+		gateway.HandleCount(now, policy.CountResult{Name: count.Name, Total: float64(count.Total), Latency: boot.Milliseconds(count.ElapsedMs),
+			Outcome: outcomeOf(count.Outcome)})
+	case wire.EventHealthCheck:
+		check := event.Payload.(wire.HealthCheck)
+		gateway.HandleHealthCheck(now, check.Server, outcomeOf(check.Outcome), boot.Milliseconds(check.ElapsedMs), check.LoadReport)
+	case wire.EventPeerMessage:
+		message := event.Payload.(wire.PeerMessage)
+		gateway.HandlePeerMessage(now, int(message.From), message.Bytes)
 	}
 }
 
-func outcome(how uint8) policy.Outcome {
-	switch how {
+func outcomeOf(outcome uint8) policy.Outcome {
+	switch outcome {
 	case 0:
 		return policy.Answered
 	case 11:
-		return policy.Full
+		return policy.Rejected
 	case 110:
 		return policy.TimedOut
 	case 111:
-		return policy.NoConnect
+		return policy.ConnectFailed
 	case 104:
 		return policy.Reset
 	case 125:
 		return policy.Cancelled
 	case 114:
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.Errored // 5, and whatever else may have run
 }
 
-// use turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0 stays not told.
-func use(pct uint16) float64 {
-	if pct == 0 {
+// quotaUse turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0 stays not told.
+func quotaUse(percent uint16) float64 {
+	if percent == 0 {
 		return 0
 	}
-	return 1 + float64(pct-1)/100
+	return 1 + float64(percent-1)/100
 }
 
-func listKind(kind uint8) policy.ListKind {
+func listKindOf(kind uint8) policy.ListKind {
 	switch kind {
 	case 0:
-		return policy.ListChanges
+		return policy.ListDelta
 	case 1:
-		return policy.ListWhole
+		return policy.ListFull
 	case 2:
 		return policy.ListCached
 	}
 	return policy.ListFailed
 }
 
-func listed(hosts []wire.Entry) []policy.Listed {
-	out := make([]policy.Listed, 0, len(hosts))
-	for _, h := range hosts {
-		stage := policy.Gone
-		switch h.StageState {
+func endpointsOf(list []wire.Endpoint) []policy.Endpoint {
+	endpoints := make([]policy.Endpoint, 0, len(list))
+	for _, endpoint := range list {
+		stage := policy.Removed
+		switch endpoint.Stage {
 		case 2:
 			stage = policy.Ready
 		case 3:
 			stage = policy.Draining
 		}
-		out = append(out, policy.Listed{Server: h.Server, Stage: stage, Power: float64(h.PowerHint),
-			Since: boot.Span(h.OnlineSinceMs), Cell: int(h.Cohort), Hall: int(h.FailureDomain), Kind: int(h.Hw)})
+		endpoints = append(endpoints, policy.Endpoint{Server: endpoint.Server, State: stage, Capacity: float64(endpoint.Power),
+			StartedAt: boot.Milliseconds(endpoint.StartedMs), Rack: int(endpoint.Rack), Zone: int(endpoint.Zone), Hardware: int(endpoint.Hardware)})
 	}
-	return out
+	return endpoints
 }
 
 // The calls of policy.Host.
 
-func (in *instance) act() *wire.Reply {
-	in.reply.By(in.id)
-	return in.reply
+func (i *instance) nextAction() *wire.Reply {
+	i.reply.SetInstance(i.id)
+	return i.reply
 }
 
-// Push sends a task to a server.
-func (in *instance) Push(task, server uint32, until time.Duration) {
-	in.act().Send(task, millis(until), server)
+// Attempt sends a task to a server.
+func (i *instance) Attempt(requestID, server uint32, deadline time.Duration) {
+	i.nextAction().Attempt(requestID, milliseconds(deadline), server)
 }
 
 // Cancel ends the wait on a push.
-func (in *instance) Cancel(task uint32, number int) { in.act().Cancel(task, uint16(number)) }
+func (i *instance) Cancel(requestID uint32, number int) {
+	i.nextAction().Cancel(requestID, uint16(number))
+}
 
 // Reject is a final answer that makes trying again harmless.
-func (in *instance) Reject(task uint32, away time.Duration) { in.act().Busy(task, millis(away)) }
+func (i *instance) Reject(requestID uint32, retryAfter time.Duration) {
+	i.nextAction().Reject(requestID, milliseconds(retryAfter))
+}
 
 // Terminate is a final answer that promises nothing.
-func (in *instance) Terminate(task uint32) { in.act().DropRequest(task) }
+func (i *instance) Terminate(requestID uint32) { i.nextAction().Terminate(requestID) }
 
 // Count calls the counter.
-func (in *instance) Count(name uint64, keep time.Duration, units float64) {
-	in.act().AddAndGet(name, millis(keep), float32(units))
+func (i *instance) Count(name uint64, ttl time.Duration, units float64) {
+	i.nextAction().Count(name, milliseconds(ttl), float32(units))
 }
 
-// Probe asks a server for its load.
-func (in *instance) Probe(server uint32) { in.act().AskLoad(server) }
+// CheckHealth asks a server for its load.
+func (i *instance) CheckHealth(server uint32) { i.nextAction().CheckHealth(server) }
 
-// Tell sends words to a peer.
-func (in *instance) Tell(gateway int, words []byte) {
-	to := uint16(wire.ToAll)
+// SendPeer sends words to a peer.
+func (i *instance) SendPeer(gateway int, message []byte) {
+	peer := uint16(wire.AllPeers)
 	if gateway >= 0 {
-		to = uint16(gateway)
+		peer = uint16(gateway)
 	}
-	in.act().Tell(to, words)
+	i.nextAction().SendPeer(peer, message)
 }
 
-// Watch subscribes to the list.
-func (in *instance) Watch() { in.act().Tail(true) }
+// WatchEndpoints subscribes to the list.
+func (i *instance) WatchEndpoints() { i.nextAction().WatchEndpoints(true) }
 
-// Wake asks for a timer.
-func (in *instance) Wake(token uint64, after time.Duration) { in.act().Schedule(token, millis(after)) }
+// SetTimer asks for a timer.
+func (i *instance) SetTimer(token uint64, after time.Duration) {
+	i.nextAction().SetTimer(token, milliseconds(after))
+}
 
-// Forget does nothing: timers of the simulator cannot be taken back.
-func (in *instance) Forget(uint64) {}
+// CancelTimer does nothing: timers of the simulator cannot be taken back.
+func (i *instance) CancelTimer(uint64) {}
 
 // Log leaves a line in the report.
-func (in *instance) Log(line string) { in.act().Log(line) }
+func (i *instance) Log(line string) { i.nextAction().Log(line) }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -10,7 +10,7 @@
 	"harrierhoist/internal/wire"
 )
 
-const told = `Balancers=2
+const settingsText = `Balancers=2
 Me=0
 MyZone=0
 PolicyLimits.TryLimit=3
@@ -32,40 +32,40 @@
 func f64(v float64) []byte { return u64(math.Float64bits(v)) }
 func f32(v float32) []byte { return u32(math.Float32bits(v)) }
 
-func rec(code byte, fields ...[]byte) []byte {
+func encodeRecord(code byte, fields ...[]byte) []byte {
 	body := bytes.Join(fields, nil)
 	return append(append([]byte{code}, u32(uint32(len(body)))...), body...)
 }
 
-func batch(records ...[]byte) []byte {
+func encodeBatch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	return bytes.Join([][]byte{u32(uint32(16 + len(body))), f64(1000), u32(1), body}, nil)
 }
 
-func to(id uint32) []byte { return rec(wire.EvTo, u32(id)) }
-func spawnRec(text string) []byte {
-	return rec(wire.EvSpawn, u64(1), u32(uint32(len(text))), []byte(text))
+func addresseeRecord(id uint32) []byte { return encodeRecord(wire.EventAddressee, u32(id)) }
+func startRecord(text string) []byte {
+	return encodeRecord(wire.EventStart, u64(1), u32(uint32(len(text))), []byte(text))
 }
 
-// oneServer is a cached list with a server, numbered 7.
-func oneServer() []byte {
-	return rec(wire.EvView, u64(1), []byte{2}, u32(1), []byte{2}, u32(7), f32(1), f64(0), make([]byte, 6))
+// oneServerRecord is a cached list with a server, numbered 7.
+func oneServerRecord() []byte {
+	return encodeRecord(wire.EventEndpoints, u64(1), []byte{2}, u32(1), []byte{2}, u32(7), f32(1), f64(0), make([]byte, 6))
 }
 
-func submit(id uint32, lane byte) []byte {
-	return rec(wire.EvSubmit, u32(id), []byte{0}, u32(0), f64(2000), u64(9), f32(0), []byte{lane}, f32(1), f32(1))
+func requestRecord(id uint32, class byte) []byte {
+	return encodeRecord(wire.EventRequest, u32(id), []byte{0}, u32(0), f64(2000), u64(9), f32(0), []byte{class}, f32(1), f32(1))
 }
 
-func play(t *testing.T, frames ...[]byte) ([]byte, error) {
+func runFrames(t *testing.T, frames ...[]byte) ([]byte, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := Run(bytes.NewReader(bytes.Join(frames, nil)), &out)
 	return out.Bytes(), err
 }
 
-func TestInstancesShareABatch(t *testing.T) {
-	out, err := play(t, batch(), batch(to(1), spawnRec(told), oneServer(), to(2), spawnRec(told), oneServer()),
-		batch(to(2), submit(5, 0), to(1), submit(6, 0)))
+func TestRun_instancesShareBatch(t *testing.T) {
+	out, err := runFrames(t, encodeBatch(), encodeBatch(addresseeRecord(1), startRecord(settingsText), oneServerRecord(), addresseeRecord(2), startRecord(settingsText), oneServerRecord()),
+		encodeBatch(addresseeRecord(2), requestRecord(5, 0), addresseeRecord(1), requestRecord(6, 0)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +76,9 @@
 		for at := 12; at < size; at += 5 + int(binary.LittleEndian.Uint32(out[at+1:])) {
 			v := binary.LittleEndian.Uint32(out[at+5:])
 			switch out[at] {
-			case wire.ActBy:
+			case wire.ActionInstance:
 				by = v
-			case wire.ActSend:
+			case wire.ActionAttempt:
 				sends = append(sends, by, v)
 			}
 		}
@@ -89,30 +89,30 @@
 	}
 }
 
-func TestRetireAndSpawnAgain(t *testing.T) {
-	_, err := play(t, batch(to(1), spawnRec(told), oneServer()),
-		batch(to(1), rec(wire.EvRetire), spawnRec(told), oneServer(), submit(5, 0)))
+func TestRun_instanceStartsAgainAfterStop(t *testing.T) {
+	_, err := runFrames(t, encodeBatch(addresseeRecord(1), startRecord(settingsText), oneServerRecord()),
+		encodeBatch(addresseeRecord(1), encodeRecord(wire.EventStop), startRecord(settingsText), oneServerRecord(), requestRecord(5, 0)))
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-func TestBadInputEndsWithOnePlainLineAndNoPartialReply(t *testing.T) {
-	good := batch()
+func TestRun_malformedInputEndsWithOneLineAndNoPartialReply(t *testing.T) {
+	good := encodeBatch()
 	for _, c := range []struct {
 		name, want string
 		in         []byte
 	}{
-		{"never spawned", "batch 2, byte 25: event 40 for gateway 4, which is not running", batch(to(4), rec(wire.EvLapsed, u32(1)))},
-		{"retired", "batch 2, byte ", batch(to(4), spawnRec(told), rec(wire.EvRetire), rec(wire.EvLapsed, u32(1)))},
-		{"no to", "batch 2, byte 16: event 40 before any 'to'", batch(rec(wire.EvLapsed, u32(1)))},
+		{"never spawned", "batch 2, byte 25: event 40 for gateway 4, which is not running", encodeBatch(addresseeRecord(4), encodeRecord(wire.EventDisconnect, u32(1)))},
+		{"retired", "batch 2, byte ", encodeBatch(addresseeRecord(4), startRecord(settingsText), encodeRecord(wire.EventStop), encodeRecord(wire.EventDisconnect, u32(1)))},
+		{"no to", "batch 2, byte 16: event 40 before any 'to'", encodeBatch(encodeRecord(wire.EventDisconnect, u32(1)))},
 		{"settings lack", "settings: Rules.ColdFrom is missing",
-			batch(to(4), spawnRec(strings.ReplaceAll(told, "Rules.ColdFrom=0.2\n", "")))},
+			encodeBatch(addresseeRecord(4), startRecord(strings.ReplaceAll(settingsText, "Rules.ColdFrom=0.2\n", "")))},
 		{"settings are wrong", `settings: RequestClasses.0.Effect is none of`,
-			batch(to(4), spawnRec(strings.ReplaceAll(told, "read_like", "perhaps")))},
-		{"no lanes", "at least one lane", batch(to(4), spawnRec(strings.ReplaceAll(told, "Classes.count=1", "Classes.count=0")))},
+			encodeBatch(addresseeRecord(4), startRecord(strings.ReplaceAll(settingsText, "read_like", "perhaps")))},
+		{"no lanes", "at least one lane", encodeBatch(addresseeRecord(4), startRecord(strings.ReplaceAll(settingsText, "Classes.count=1", "Classes.count=0")))},
 	} {
-		out, err := play(t, good, c.in)
+		out, err := runFrames(t, good, c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.want)
 		}
@@ -122,8 +122,8 @@
 	}
 }
 
-func TestPanicBecomesInternalError(t *testing.T) {
-	out, err := play(t, batch(to(1), spawnRec(told), oneServer()), batch(to(1), submit(5, 40)))
+func TestRun_panicBecomesInternalError(t *testing.T) {
+	out, err := runFrames(t, encodeBatch(addresseeRecord(1), startRecord(settingsText), oneServerRecord()), encodeBatch(addresseeRecord(1), requestRecord(5, 40)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,10 +133,10 @@
 }
 
 // The meter's word came over the wire and went no further.
-func TestUseIsTheMetersWord(t *testing.T) {
-	for pct, want := range map[uint16]float64{0: 0, 1: 1, 38: 1.37, 251: 3.5} {
-		if got := use(pct); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%d stands for %v, want %v", pct, got, want)
+func TestQuotaUse_percentOfRate(t *testing.T) {
+	for percent, want := range map[uint16]float64{0: 0, 1: 1, 38: 1.37, 251: 3.5} {
+		if got := quotaUse(percent); math.Abs(got-want) > 1e-9 {
+			t.Errorf("%d stands for %v, want %v", percent, got, want)
 		}
 	}
 }
--- a/internal/sim/simulated_events_test.go
+++ b/internal/sim/simulated_events_test.go
@@ -54,7 +54,7 @@
 	s.schedule(gateway, inMs, func() []byte {
 		s.gateways[gateway].running = true
 		s.schedule(gateway, 0, func() []byte { return s.view(2, s.servers) })
-		return rec(wire.EvSpawn, u64(salt), u32(uint32(len(text))), []byte(text))
+		return encodeRecord(wire.EventStart, u64(salt), u32(uint32(len(text))), []byte(text))
 	})
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 		s.spawn(gateway, restartAfterMs, true)
-		return rec(wire.EvRetire)
+		return encodeRecord(wire.EventStop)
 	})
 }
 
@@ -104,7 +104,7 @@
 	lasts := float64(900+s.random.Intn(3)*600) * (0.2 + 0.8*s.random.Float64())
 	expires, plan := s.clockMs+lasts, uint32(customer)%uint32(s.settings.plans)
 	s.schedule(gateway, 0, func() []byte {
-		return rec(wire.EvSubmit, u32(id), []byte{options}, u32(plan), f64(expires), u64(0x9e3779b97f4a7c15*(customer+1)),
+		return encodeRecord(wire.EventRequest, u32(id), []byte{options}, u32(plan), f64(expires), u64(0x9e3779b97f4a7c15*(customer+1)),
 			f32(float32(first)), []byte{r.class}, f32(float32(width)), f32(float32(r.units)))
 	})
 	if s.random.Intn(20) == 0 {
@@ -115,7 +115,7 @@
 			return nil
 		}
 		r.final = true
-		return rec(wire.EvLapsed, u32(id))
+		return encodeRecord(wire.EventDisconnect, u32(id))
 	})
 }
 
@@ -138,21 +138,21 @@
 	r.attempts = append(r.attempts, simulatedAttempt{server: at})
 	at.inFlight++
 	tookMs := 7 * r.units * (0.5 + s.random.ExpFloat64()) * (1 + 0.15*float64(at.inFlight)) / float64(at.power)
-	how := s.drawOutcome(at)
+	outcome := s.drawOutcome(at)
 	switch {
-	case how == howNoConnect || how == howRejected || how == howNotSent:
+	case outcome == howNoConnect || outcome == howRejected || outcome == howNotSent:
 		tookMs = 1 + 3*s.random.Float64()
-	case how == howTimedOut || s.clockMs+tookMs >= untilMs:
-		how, tookMs = howTimedOut, max(untilMs-s.clockMs, 0)
+	case outcome == howTimedOut || s.clockMs+tookMs >= untilMs:
+		outcome, tookMs = howTimedOut, max(untilMs-s.clockMs, 0)
 	case s.random.Intn(4) == 0:
 		s.schedule(r.gateway, tookMs/2, func() []byte {
 			if r.attempts[hop].ended {
 				return nil
 			}
-			return rec(wire.EvFirst, u32(id), f64(tookMs/2), u16(uint16(hop)), u32(server))
+			return encodeRecord(wire.EventStreamStart, u32(id), f64(tookMs/2), u16(uint16(hop)), u32(server))
 		})
 	}
-	s.respond(id, hop, tookMs, how)
+	s.respond(id, hop, tookMs, outcome)
 }
 
 func (s *simulator) drawOutcome(at *simulatedServer) uint8 {
@@ -169,7 +169,7 @@
 }
 
 // respond tells how an attempt ended, unless it has ended by then.
-func (s *simulator) respond(id uint32, hop int, tookMs float64, how uint8) {
+func (s *simulator) respond(id uint32, hop int, tookMs float64, outcome uint8) {
 	r := s.requests[id]
 	at := r.attempts[hop].server
 	billed, use := uint16(r.units)+uint16(s.random.Intn(3)), uint16(s.random.Intn(180))
@@ -178,15 +178,15 @@
 		if !r.attempts[hop].end() {
 			return nil
 		}
-		r.final = r.final || how == howAnswered
+		r.final = r.final || outcome == howAnswered
 		done := byte(0)
 		if r.final {
 			done = 1
 		}
-		if how != howAnswered && how != howErrored {
+		if outcome != howAnswered && outcome != howErrored {
 			billed, use, load = 0, 0, nil
 		}
-		return rec(wire.EvResponse, u32(id), u16(uint16(hop)), u32(at.id), []byte{how}, f64(tookMs), []byte{done}, u16(use),
+		return encodeRecord(wire.EventAttemptResult, u32(id), u16(uint16(hop)), u32(at.id), []byte{outcome}, f64(tookMs), []byte{done}, u16(use),
 			u16(billed), figures(load))
 	})
 }
--- a/internal/sim/simulated_lists_test.go
+++ b/internal/sim/simulated_lists_test.go
@@ -35,7 +35,7 @@
 		fields = append(fields, []byte{server.stage}, u32(server.id), f32(server.power), f64(server.sinceMs), u16(uint16(i%4)),
 			u16(uint16(server.zone)), u16(uint16(i%2)))
 	}
-	return rec(wire.EvView, fields...)
+	return encodeRecord(wire.EventEndpoints, fields...)
 }
 
 // subscribe brings a gateway the complete list, or one time in four none.
@@ -59,7 +59,7 @@
 	default:
 		changed.stage, changed.sinceMs = 2, s.clockMs
 	}
-	told := []simulatedServer{*changed}
+	delta := []simulatedServer{*changed}
 	for id := range s.gateways {
 		switch {
 		case !s.gateways[id].running:
@@ -68,7 +68,7 @@
 		case s.random.Intn(10) == 0:
 			s.schedule(uint32(id), 1, func() []byte { return s.view(1, s.servers) })
 		default:
-			s.schedule(uint32(id), 1, func() []byte { return s.view(0, told) })
+			s.schedule(uint32(id), 1, func() []byte { return s.view(0, delta) })
 		}
 	}
 	s.schedule(0, 150+400*s.random.Float64(), s.changeList)
@@ -82,15 +82,15 @@
 	server := s.servers[s.random.Intn(len(s.servers))].id
 	switch s.random.Intn(5) {
 	case 0:
-		return rec(wire.EvProbeResult, u32(server), []byte{howAnswered}, f64(3), figures([]float32{2, 0.5}))
+		return encodeRecord(wire.EventHealthCheck, u32(server), []byte{howAnswered}, f64(3), figures([]float32{2, 0.5}))
 	case 1:
-		return rec(wire.EvInbox, u32(1), u16(4), []byte("hi 7"))
+		return encodeRecord(wire.EventPeerMessage, u32(1), u16(4), []byte("hi 7"))
 	case 2:
-		return rec(wire.EvFirst, u32(math.MaxUint32), f64(4), u16(0), u32(server))
+		return encodeRecord(wire.EventStreamStart, u32(math.MaxUint32), f64(4), u16(0), u32(server))
 	case 3:
-		return rec(wire.EvLapsed, u32(math.MaxUint32))
+		return encodeRecord(wire.EventDisconnect, u32(math.MaxUint32))
 	default:
-		return rec(wire.EvResponse, u32(math.MaxUint32), u16(0), u32(server), []byte{howAnswered}, f64(9), []byte{1}, u16(0),
+		return encodeRecord(wire.EventAttemptResult, u32(math.MaxUint32), u16(0), u32(server), []byte{howAnswered}, f64(9), []byte{1}, u16(0),
 			u16(2), figures(nil))
 	}
 }
@@ -98,14 +98,14 @@
 // count adds to a number of the counter. One call in twenty fails, or is answered late.
 func (s *simulator) count(gateway uint32, name uint64, units float64) {
 	s.counter[name] += units
-	total, tookMs, how := s.counter[name], 1+3*s.random.ExpFloat64(), uint8(howAnswered)
+	total, tookMs, outcome := s.counter[name], 1+3*s.random.ExpFloat64(), uint8(howAnswered)
 	switch s.random.Intn(40) {
 	case 0:
-		total, tookMs, how = 0, 20, howTimedOut
+		total, tookMs, outcome = 0, 20, howTimedOut
 	case 1:
-		total, how = 0, []uint8{howErrored, howReset, howNoConnect, howUnknown}[s.random.Intn(4)]
+		total, outcome = 0, []uint8{howErrored, howReset, howNoConnect, howUnknown}[s.random.Intn(4)]
 	}
 	s.schedule(gateway, tookMs, func() []byte {
-		return rec(wire.EvLedgerReply, f32(float32(total)), f64(tookMs), u64(name), []byte{how})
+		return encodeRecord(wire.EventCount, f32(float32(total)), f64(tookMs), u64(name), []byte{outcome})
 	})
 }
--- a/internal/sim/simulator_test.go
+++ b/internal/sim/simulator_test.go
@@ -144,15 +144,15 @@
 		}
 		if due.gateway != addressed {
 			addressed = due.gateway
-			body = append(body, to(addressed)...)
-			s.events[wire.EvTo]++
+			body = append(body, addresseeRecord(addressed)...)
+			s.events[wire.EventAddressee]++
 		}
 		s.events[record[0]]++
 		body = append(body, record...)
 	}
 	s.serial++
-	frame := append(u32(uint32(16+len(body))), f64(s.clockMs)...)
-	return append(append(frame, u32(s.serial)...), body...)
+	encoded := append(u32(uint32(16+len(body))), f64(s.clockMs)...)
+	return append(append(encoded, u32(s.serial)...), body...)
 }
 
 // Write takes a reply: it goes into the hash but for the text of log lines, and its actions are carried out.
@@ -165,9 +165,9 @@
 		at += len(record)
 		s.actions[code]++
 		switch code {
-		case wire.ActLog:
+		case wire.ActionLog:
 			record = record[:1]
-		case wire.ActBy:
+		case wire.ActionInstance:
 			gateway = binary.LittleEndian.Uint32(record[5:])
 		default:
 			s.carryOut(gateway, code, record[5:])
@@ -182,21 +182,21 @@
 	long := func(at int) uint64 { return binary.LittleEndian.Uint64(body[at:]) }
 	number := func(at int) float64 { return math.Float64frombits(long(at)) }
 	switch code {
-	case wire.ActSend:
+	case wire.ActionAttempt:
 		s.attempt(word(0), number(4), word(12))
-	case wire.ActBusy:
+	case wire.ActionReject:
 		s.rejected(word(0), number(4))
-	case wire.ActDropRequest:
+	case wire.ActionTerminate:
 		s.requests[word(0)].final = true
-	case wire.ActCancel:
+	case wire.ActionCancel:
 		hop := int(binary.LittleEndian.Uint16(body[4:]))
 		s.respond(word(0), hop, 1+4*s.random.Float64(), howCancelled)
-	case wire.ActSchedule:
+	case wire.ActionSetTimer:
 		token := long(0)
-		s.schedule(gateway, number(8), func() []byte { return rec(wire.EvTimer, u64(token)) })
-	case wire.ActAddAndGet:
+		s.schedule(gateway, number(8), func() []byte { return encodeRecord(wire.EventTimer, u64(token)) })
+	case wire.ActionCount:
 		s.count(gateway, long(0), float64(math.Float32frombits(word(16))))
-	case wire.ActTail:
+	case wire.ActionWatchEndpoints:
 		s.subscribe(gateway)
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -16,58 +16,58 @@
 // Discovery lists hosts, and tells changes to those that watch, as an agent does: a call without a version gets all
 // that it has, and a watch ends after its time with no entries.
 type Discovery struct {
-	Addr    string
-	mu      sync.Mutex
-	lists   []string // by version, from 1
-	hosts   []string // all of the latest version
-	news    chan struct{}
-	ill     http.HandlerFunc
-	Queries chan string
+	Addr     string
+	mu       sync.Mutex
+	versions []string // by version, from 1
+	hosts    []string // all of the latest version
+	changed  chan struct{}
+	failure  http.HandlerFunc
+	Queries  chan string
 }
 
-// Host writes an entry of the list.
-func Host(name, dial, health string) string {
+// FormatHost writes an entry of the list.
+func FormatHost(name, dial, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-a","class":"m2","block":1,"health":%q,"share":1.0,`+
 		`"born_ms":0}`, name, dial, health)
 }
 
 // NewDiscovery starts one with a first list.
 func NewDiscovery(t testing.TB, hosts ...string) *Discovery {
-	d := &Discovery{news: make(chan struct{}), Queries: make(chan string, 1000)}
-	d.Tell(true, hosts...)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	d := &Discovery{changed: make(chan struct{}), Queries: make(chan string, 1000)}
+	d.Publish(true, hosts...)
+	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		select {
-		case d.Queries <- r.URL.RawQuery:
+		case d.Queries <- request.URL.RawQuery:
 		default: // nobody looks at them
 		}
-		since, err := strconv.Atoi(r.URL.Query().Get("since"))
-		wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
+		since, err := strconv.Atoi(request.URL.Query().Get("since"))
+		wait, _ := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
 		end := time.After(time.Duration(wait) * time.Millisecond)
 		d.mu.Lock()
-		if ill := d.ill; ill != nil {
+		if failure := d.failure; failure != nil {
 			d.mu.Unlock()
-			ill(w, r)
+			failure(response, request)
 			return
 		}
-		for err == nil && since >= len(d.lists) {
-			news := d.news
+		for err == nil && since >= len(d.versions) {
+			changed := d.changed
 			d.mu.Unlock()
 			select {
-			case <-news:
+			case <-changed:
 			case <-end:
-				_, _ = io.WriteString(w, List(since, false))
+				_, _ = io.WriteString(response, FormatList(since, false))
 				return
-			case <-r.Context().Done():
+			case <-request.Context().Done():
 				return
 			}
 			d.mu.Lock()
 		}
-		text := List(len(d.lists), true, d.hosts...)
+		text := FormatList(len(d.versions), true, d.hosts...)
 		if err == nil {
-			text = d.lists[since]
+			text = d.versions[since]
 		}
 		d.mu.Unlock()
-		_, _ = io.WriteString(w, text)
+		_, _ = io.WriteString(response, text)
 	}))
 	t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -77,12 +77,12 @@
 	return d
 }
 
-// Tell adds a version: the whole list, or what changed.
-func (d *Discovery) Tell(whole bool, hosts ...string) {
+// Publish adds a version: the whole list, or what changed.
+func (d *Discovery) Publish(full bool, hosts ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lists = append(d.lists, List(len(d.lists)+1, whole, hosts...))
-	if whole {
+	d.versions = append(d.versions, FormatList(len(d.versions)+1, full, hosts...))
+	if full {
 		d.hosts = nil
 	}
 	for _, h := range hosts {
@@ -92,18 +92,18 @@
 			d.hosts = append(d.hosts, h)
 		}
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // Fail has each call that comes from now on answered by a function; nil: by a list again.
-func (d *Discovery) Fail(ill http.HandlerFunc) {
+func (d *Discovery) Fail(failure http.HandlerFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ill = ill
+	d.failure = failure
 }
 
-// List writes a list in discovery's form.
-func List(seq int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+// FormatList writes a list in discovery's form.
+func FormatList(seq int, full bool, hosts ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, full, strings.Join(hosts, ","))
 }
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Script is a connection on which what the other side sent is there already; then it ends. What is written on it is
+// ScriptedConn is a connection on which what the other side sent is there already; then it ends. What is written on it is
 // kept. It has no descriptor.
-type Script struct {
+type ScriptedConn struct {
 	net.Conn // nil: nothing else is called
-	In       []byte
-	Step     int // so many bytes at most come with one read; 0: all
-	Out      bytes.Buffer
+	Input    []byte
+	MaxRead  int // so many bytes at most come with one read; 0: all
+	Output   bytes.Buffer
 }
 
 // Read gives what comes next.
-func (s *Script) Read(p []byte) (int, error) {
-	if len(s.In) == 0 {
+func (s *ScriptedConn) Read(p []byte) (int, error) {
+	if len(s.Input) == 0 {
 		return 0, io.EOF
 	}
-	n := len(s.In)
-	if s.Step > 0 {
-		n = min(n, s.Step)
+	n := len(s.Input)
+	if s.MaxRead > 0 {
+		n = min(n, s.MaxRead)
 	}
-	n = copy(p, s.In[:n])
-	s.In = s.In[n:]
+	n = copy(p, s.Input[:n])
+	s.Input = s.Input[n:]
 	return n, nil
 }
 
 // Write keeps.
-func (s *Script) Write(p []byte) (int, error) { return s.Out.Write(p) }
+func (s *ScriptedConn) Write(p []byte) (int, error) { return s.Output.Write(p) }
 
 // Close does nothing.
-func (s *Script) Close() error { return nil }
+func (s *ScriptedConn) Close() error { return nil }
 
 // SetDeadline does nothing: nothing waits here.
-func (s *Script) SetDeadline(time.Time) error { return nil }
+func (s *ScriptedConn) SetDeadline(time.Time) error { return nil }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Words reads a command as words; it is plain and trusting.
-func Words(in *bufio.Reader) ([]string, error) {
+// ReadCommand reads a command as words; it is plain and trusting.
+func ReadCommand(in *bufio.Reader) ([]string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return nil, err
@@ -35,8 +35,8 @@
 	return words, nil
 }
 
-// Command writes words as a command.
-func Command(words ...string) string {
+// FormatCommand writes words as a command.
+func FormatCommand(words ...string) string {
 	text := fmt.Sprintf("*%d\r\n", len(words))
 	for _, w := range words {
 		text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
@@ -44,60 +44,60 @@
 	return text
 }
 
-// Value writes an answer of a server: a value and its cost.
-func Value(value string, cost int) string {
-	note := fmt.Sprintf("used=10,cost=%d", cost)
-	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(note), note)
+// FormatValue writes an answer of a server: a value and its cost.
+func FormatValue(value string, cost int) string {
+	attributes := fmt.Sprintf("used=10,cost=%d", cost)
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(attributes), attributes)
 }
 
 // Server answers each command by a function; an empty answer means silence, Hang up closes the connection.
 type Server struct {
-	Addr  string
-	conns chan net.Conn
-	got   chan []string
+	Addr     string
+	conns    chan net.Conn
+	commands chan []string
 }
 
-// HangUp as an answer closes the connection.
-const HangUp = "hang up"
+// CloseConn as an answer closes the connection.
+const CloseConn = "hang up"
 
 // NewServer starts a server.
 func NewServer(t testing.TB, answer func(words []string) string) *Server {
-	l := Listen(t)
-	s := &Server{Addr: l.Addr().String(), conns: make(chan net.Conn, 1000), got: make(chan []string, 1000)}
-	accept(t, l, func(c net.Conn) {
+	listener := Listen(t)
+	s := &Server{Addr: listener.Addr().String(), conns: make(chan net.Conn, 1000), commands: make(chan []string, 1000)}
+	serveConns(t, listener, func(conn net.Conn) {
 		select {
-		case s.conns <- c:
+		case s.conns <- conn:
 		default: // as below: a load whose answers end connections has made a thousand in a second
 		}
-		in := bufio.NewReader(c)
+		in := bufio.NewReader(conn)
 		for {
-			words, err := Words(in)
+			words, err := ReadCommand(in)
 			if err != nil {
 				return
 			}
 			select {
-			case s.got <- words:
+			case s.commands <- words:
 			default: // as many as a story looks at are kept; under load it must not stand still for the rest
 			}
 			text := answer(words)
-			if text == HangUp {
-				_ = c.Close()
+			if text == CloseConn {
+				_ = conn.Close()
 				return
 			}
-			_, _ = io.WriteString(c, text)
+			_, _ = io.WriteString(conn, text)
 		}
 	})
 	return s
 }
 
-// Conns is how many connections came.
-func (s *Server) Conns() int { return len(s.conns) }
+// ConnCount is how many connections came.
+func (s *Server) ConnCount() int { return len(s.conns) }
 
-// Conn is the next connection that came.
-func (s *Server) Conn(t testing.TB) net.Conn { return next(t, s.conns, "connection") }
+// NextConn is the next connection that came.
+func (s *Server) NextConn(t testing.TB) net.Conn { return receive(t, s.conns, "connection") }
 
-// Got is the next command that came.
-func (s *Server) Got(t testing.TB) []string { return next(t, s.got, "command") }
+// NextCommand is the next command that came.
+func (s *Server) NextCommand(t testing.TB) []string { return receive(t, s.commands, "command") }
 
-// Commands is how many commands came and were not looked at.
-func (s *Server) Commands() int { return len(s.got) }
+// PendingCommands is how many commands came and were not looked at.
+func (s *Server) PendingCommands() int { return len(s.commands) }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -11,79 +11,79 @@
 	"time"
 )
 
-var listeners atomic.Uint32
+var listenerCount atomic.Uint32
 
 // Listen gives a listener that ends with the test, on a loopback host of its own: on one that all share, what another test's
 // gateway still calls, or probes, would be a port that was given out again.
 func Listen(t testing.TB) net.Listener {
-	pid, n := os.Getpid(), listeners.Add(1)
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8%250, pid%256, 1+n%250))
+	pid, n := os.Getpid(), listenerCount.Add(1)
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8%250, pid%256, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	return l
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
-// Pair is a connection and the other end of it.
-func Pair(t testing.TB) (near, far net.Conn) {
+// ConnPair is a connection and the other end of it.
+func ConnPair(t testing.TB) (near, far net.Conn) {
 	t.Helper()
-	l := Listen(t)
-	far, err := net.Dial("tcp", l.Addr().String())
+	listener := Listen(t)
+	far, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if near, err = l.Accept(); err != nil {
+	if near, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = far.Close(), near.Close() })
 	return near, far
 }
 
-// accept hands each connection to a goroutine until the test ends; then it closes the listener and them all, also one
+// serveConns hands each connection to a goroutine until the test ends; then it closes the listener and them all, also one
 // that came in that moment.
-func accept(t testing.TB, l net.Listener, serve func(net.Conn)) {
+func serveConns(t testing.TB, listener net.Listener, serve func(net.Conn)) {
 	var all []net.Conn
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			all = append(all, c)
-			go serve(c)
+			all = append(all, conn)
+			go serve(conn)
 		}
 	}()
 	t.Cleanup(func() {
-		_ = l.Close()
+		_ = listener.Close()
 		<-ended
-		for _, c := range all {
-			_ = c.Close()
+		for _, conn := range all {
+			_ = conn.Close()
 		}
 	})
 }
 
-// patience is far beyond what anything here takes: who waits so long has failed.
-const patience = 20 * time.Second
+// waitTimeout is far beyond what anything here takes: who waits so long has failed.
+const waitTimeout = 20 * time.Second
 
 // Eventually waits until something is seen.
 func Eventually(t testing.TB, what string, seen func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !seen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !seen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: not seen", what)
 		}
 	}
 }
 
-func next[T any](t testing.TB, from chan T, what string) T {
+func receive[T any](t testing.TB, from chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("no %s came", what)
 		panic("unreachable")
 	}
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -15,51 +15,51 @@
 	"harrierhoist/internal/gate"
 )
 
-// every is how often it is looked whether the own hall is lost, or the lease renewed.
-const every = 200 * time.Millisecond
+// checkInterval is how often it is looked whether the own hall is lost, or the lease renewed.
+const checkInterval = 200 * time.Millisecond
 
-// Gate is what is steered.
-type Gate interface {
-	Steer(by gate.Steering, lease time.Duration, after gate.Steering)
-	Witnessed(add func(name string, n uint64))
-	HallLost() bool
+// Dispatcher is what is steered.
+type Dispatcher interface {
+	SetSteering(leased gate.Steering, lease time.Duration, fallback gate.Steering)
+	WriteZoneCounts(add func(name string, n uint64))
+	IsZoneLost() bool
 }
 
-// Steer is the state of one gateway's steering.
-type Steer struct {
-	commons cluster.Commons
-	gate    Gate
-	halls   []string
-	hall    string
-	log     *zap.Logger
+// Updater is the state of one gateway's steering.
+type Updater struct {
+	tables     cluster.Client
+	dispatcher Dispatcher
+	zones      []string
+	zone       string
+	log        *zap.Logger
 
-	epoch uint64
-	plan  *failover.Plan // the latest heard of; nil: none
-	row   string         // what was last said of it
-	force bool           // a plan is in force
-	said  bool           // whether one is, has been said
-	last  handed
+	epoch       uint64
+	plan        *failover.Plan // the latest heard of; nil: none
+	loggedRow   string         // what was last said of it
+	inForce     bool           // a plan is in force
+	stateLogged bool           // whether one is, has been said
+	applied     appliedSteering
 }
 
-// handed is what the gate was last handed; the lease is by its end.
-type handed struct {
-	by, after gate.Steering
-	until     time.Duration
+// appliedSteering is what the gate was last handed; the lease is by its end.
+type appliedSteering struct {
+	leased, fallback gate.Steering
+	until            time.Duration
 }
 
 // New makes the steering of a gateway in a hall. Halls are all of them, in the order of the list's numbers.
-func New(commons cluster.Commons, g Gate, halls []string, hall string, log *zap.Logger) *Steer {
-	return &Steer{commons: commons, gate: g, halls: halls, hall: hall, log: log}
+func New(tables cluster.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
+	return &Updater{tables: tables, dispatcher: dispatcher, zones: zones, zone: zone, log: log}
 }
 
 // Run steers until the context ends, and has the witness asked for its counts.
-func (s *Steer) Run(ctx context.Context) {
-	s.commons.Witness(s.gate.Witnessed)
-	beat := time.NewTicker(every)
+func (u *Updater) Run(ctx context.Context) {
+	u.tables.RegisterCounters(u.dispatcher.WriteZoneCounts)
+	beat := time.NewTicker(checkInterval)
 	defer beat.Stop()
 	for {
-		changed := s.commons.Changed()
-		s.Step()
+		changed := u.tables.Changed()
+		u.Update()
 		select {
 		case <-ctx.Done():
 			return
@@ -69,78 +69,80 @@
 	}
 }
 
-// Step looks at what is held and hands the gate what follows from it.
-func (s *Steer) Step() {
-	held := s.commons.Held(failover.Table)
-	if held.Epoch != s.epoch {
-		s.take(held)
+// Update looks at what is held and hands the gate what follows from it.
+func (u *Updater) Update() {
+	table := u.tables.Cached(failover.Table)
+	if table.Epoch != u.epoch {
+		u.loadPlan(table)
 	}
-	left := held.Until - s.commons.Now()
-	force := s.plan != nil && left > 0
-	next := handed{after: s.steering(s.plan.PartAlone(s.hall, s.gate.HallLost()))}
-	if force {
-		next.by, next.until = s.steering(s.plan.Part(s.hall)), held.Until
+	left := table.LeaseEnd - u.tables.Now()
+	inForce := u.plan != nil && left > 0
+	next := appliedSteering{fallback: u.steeringOf(u.plan.FallbackAssignment(u.zone, u.dispatcher.IsZoneLost()))}
+	if inForce {
+		next.leased, next.until = u.steeringOf(u.plan.Assignment(u.zone)), table.LeaseEnd
 	} else {
 		left = 0
 	}
-	s.say(force)
-	if next.same(s.last) {
+	u.logState(inForce)
+	if next.equal(u.applied) {
 		return
 	}
-	s.last = next
-	s.gate.Steer(next.by, left, next.after)
+	u.applied = next
+	u.dispatcher.SetSteering(next.leased, left, next.fallback)
 }
 
-// take reads a plan. One that makes no sense is none.
-func (s *Steer) take(held cluster.Held) {
-	s.epoch = held.Epoch
-	plan, err := failover.Read(held.Value)
+// loadPlan reads a plan. One that makes no sense is none.
+func (u *Updater) loadPlan(table cluster.CachedTable) {
+	u.epoch = table.Epoch
+	plan, err := failover.DecodePlan(table.Value)
 	if err != nil {
-		s.log.Error("the plan makes no sense; this gateway serves near", zap.Uint64("epoch", held.Epoch), zap.Error(err))
+		u.log.Error("the plan makes no sense; this gateway serves near", zap.Uint64("epoch", table.Epoch), zap.Error(err))
 	}
-	if s.plan = plan; err != nil || plan == nil {
-		s.plan = nil
+	if u.plan = plan; err != nil || plan == nil {
+		u.plan = nil
 		return
 	}
-	if row := plan.Says(s.hall); row != s.row {
-		s.row = row
-		s.log.Info("a plan for this hall", zap.Uint64("epoch", held.Epoch), zap.String("shares", row),
-			zap.String("why", plan.Why[s.hall]))
+	if row := plan.Describe(u.zone); row != u.loggedRow {
+		u.loggedRow = row
+		u.log.Info("a plan for this hall", zap.Uint64("epoch", table.Epoch), zap.String("shares", row),
+			zap.String("why", plan.Reasons[u.zone]))
 	}
 }
 
-// say tells once that there is no plan in force, and that there is one again.
-func (s *Steer) say(force bool) {
-	if s.said && s.force == force {
+// logState tells once that there is no plan in force, and that there is one again.
+func (u *Updater) logState(inForce bool) {
+	if u.stateLogged && u.inForce == inForce {
 		return
 	}
-	s.said, s.force = true, force
-	if force {
-		s.log.Info("a plan is in force")
+	u.stateLogged, u.inForce = true, inForce
+	if inForce {
+		u.log.Info("a plan is in force")
 	} else {
-		s.log.Warn("no plan in force: near, by this gateway's own evidence")
+		u.log.Warn("no plan in force: near, by this gateway's own evidence")
 	}
 }
 
-// steering is a part by the numbers of halls. A hall of the plan that the list doesn't have gets nothing, and its share is
+// steeringOf is a part by the numbers of halls. A hall of the plan that the list doesn't have gets nothing, and its share is
 // shed: the others were not planned to bear it.
-func (s *Steer) steering(p failover.Part) gate.Steering {
-	by := gate.Steering{Weights: make([]float64, len(s.halls)), Shed: p.Shed}
+func (u *Updater) steeringOf(assignment failover.Assignment) gate.Steering {
+	leased := gate.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
 	sum, found := 0.0, 0.0
-	for _, hall := range p.Halls() {
-		sum += p.Weights[hall]
-		if i := slices.Index(s.halls, hall); i >= 0 {
-			by.Weights[i] = p.Weights[hall]
-			found += p.Weights[hall]
+	for _, zone := range assignment.Zones() {
+		sum += assignment.Weights[zone]
+		if i := slices.Index(u.zones, zone); i >= 0 {
+			leased.Weights[i] = assignment.Weights[zone]
+			found += assignment.Weights[zone]
 		}
 	}
 	if sum > 0 {
-		by.Shed += (1 - by.Shed) * (1 - found/sum)
+		leased.ShedFraction += (1 - leased.ShedFraction) * (1 - found/sum)
 	}
-	return by
+	return leased
 }
 
-func (h handed) same(o handed) bool {
-	same := func(a, b gate.Steering) bool { return a.Shed == b.Shed && slices.Equal(a.Weights, b.Weights) }
-	return h.until == o.until && same(h.by, o.by) && same(h.after, o.after)
+func (h appliedSteering) equal(o appliedSteering) bool {
+	same := func(a, b gate.Steering) bool {
+		return a.ShedFraction == b.ShedFraction && slices.Equal(a.Weights, b.Weights)
+	}
+	return h.until == o.until && same(h.leased, o.leased) && same(h.fallback, o.fallback)
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -14,104 +14,106 @@
 )
 
 const (
-	file   = "KNOWN-RED.txt"
-	redest = 3 // lines: more is no longer a list of exceptions
+	listFile = "KNOWN-RED.txt"
+	maxLines = 3 // lines: more is no longer a list of exceptions
 )
 
 // A line names package, test, cause and issue.
-var line = regexp.MustCompile(`^(\S+) (Test\w+): \S.* \(issue [0-9]+\)$`)
+var linePattern = regexp.MustCompile(`^(\S+) (Test\w+): \S.* \(issue [0-9]+\)$`)
 
-// red is a test that may fail.
-type red struct{ pack, test, text string }
+// knownFailure is a test that may fail.
+type knownFailure struct{ importPath, test, line string }
 
-// read reads the file's lines.
-func read(text string) (reds []red, err error) {
+// parseList reads the file's lines.
+func parseList(text string) (known []knownFailure, err error) {
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
-	if len(lines) > redest {
-		return nil, fmt.Errorf("%s: %d lines, and at most %d are allowed", file, len(lines), redest)
+	if len(lines) > maxLines {
+		return nil, fmt.Errorf("%s: %d lines, and at most %d are allowed", listFile, len(lines), maxLines)
 	}
 	for _, text := range lines {
-		found := line.FindStringSubmatch(text)
+		found := linePattern.FindStringSubmatch(text)
 		if found == nil {
-			return nil, fmt.Errorf("%s: %q: package TestName: cause (issue N) is wanted", file, text)
+			return nil, fmt.Errorf("%s: %q: package TestName: cause (issue N) is wanted", listFile, text)
 		}
-		r := red{found[1], found[2], text}
-		if slices.ContainsFunc(reds, func(other red) bool { return other.pack == r.pack && other.test == r.test }) {
-			return nil, fmt.Errorf("%s: %q: named twice", file, text)
+		failure := knownFailure{found[1], found[2], text}
+		if slices.ContainsFunc(known, func(other knownFailure) bool {
+			return other.importPath == failure.importPath && other.test == failure.test
+		}) {
+			return nil, fmt.Errorf("%s: %q: named twice", listFile, text)
 		}
-		reds = append(reds, r)
+		known = append(known, failure)
 	}
-	return reds, nil
+	return known, nil
 }
 
 // goTool runs a command of go and gives back what it printed.
 type goTool func(args ...string) (printed string, err error)
 
-// judge plays the packages at the end of the arguments, by go test's flags before them, but for the tests named; of
+// runTests plays the packages at the end of the arguments, by go test's flags before them, but for the tests named; of
 // these it wants that they fail. Those of packages that are not played are left to the call that plays them, and under
 // -race they are only left out: what fails there alone is a race, and no known one.
-func judge(text string, args []string, tool goTool, out io.Writer) error {
-	reds, err := read(text)
+func runTests(text string, args []string, tool goTool, out io.Writer) error {
+	known, err := parseList(text)
 	if err != nil {
 		return err
 	}
-	for _, r := range reds {
-		if _, err := tool("list", r.pack); err != nil {
-			return fmt.Errorf("%s: %s: there is no such package: %w", file, r.text, err)
+	for _, failure := range known {
+		if _, err := tool("list", failure.importPath); err != nil {
+			return fmt.Errorf("%s: %s: there is no such package: %w", listFile, failure.line, err)
 		}
 	}
 	first := slices.IndexFunc(args, func(arg string) bool { return !strings.HasPrefix(arg, "-") })
 	if first < 0 {
 		return errors.New("no package is named")
 	}
-	flags, packs := args[:first], args[first:]
-	reds = slices.DeleteFunc(reds, func(r red) bool { return !slices.Contains(packs, r.pack) })
-	var wrong []error
-	play := func(more ...string) {
+	flags, paths := args[:first], args[first:]
+	known = slices.DeleteFunc(known, func(failure knownFailure) bool { return !slices.Contains(paths, failure.importPath) })
+	var faults []error
+	run := func(more ...string) {
 		if _, err := tool(slices.Concat([]string{"test"}, flags, more)...); err != nil {
-			wrong = append(wrong, err)
+			faults = append(faults, err)
 		}
 	}
-	var sound []string
-	for _, pack := range packs {
+	var unlisted []string
+	for _, path := range paths {
 		var names []string
-		for _, r := range reds {
-			if r.pack == pack {
-				names = append(names, r.test)
+		for _, failure := range known {
+			if failure.importPath == path {
+				names = append(names, failure.test)
 			}
 		}
 		if names == nil {
-			sound = append(sound, pack)
+			unlisted = append(unlisted, path)
 		} else {
-			play("-skip=^("+strings.Join(names, "|")+")$", pack)
+			run("-skip=^("+strings.Join(names, "|")+")$", path)
 		}
 	}
-	if len(sound) > 0 {
-		play(sound...)
+	if len(unlisted) > 0 {
+		run(unlisted...)
 	}
 	if slices.Contains(flags, "-race") {
-		return errors.Join(wrong...)
+		return errors.Join(faults...)
 	}
-	for _, r := range reds {
-		printed, err := tool(slices.Concat([]string{"test"}, flags, []string{"-run=^" + r.test + "$", r.pack})...)
+	for _, failure := range known {
+		printed, err := tool(slices.Concat([]string{"test"}, flags, []string{"-run=^" + failure.test + "$", failure.importPath})...)
 		switch {
 		case err == nil && strings.Contains(printed, "no tests to run"):
-			wrong = append(wrong, fmt.Errorf("%s: %s: there is no such test", file, r.text))
+			faults = append(faults, fmt.Errorf("%s: %s: there is no such test", listFile, failure.line))
 		case err == nil:
-			wrong = append(wrong, fmt.Errorf("%s: %s: it passes; take the line out", file, r.text))
-		case !strings.Contains(printed, "--- FAIL: "+r.test+" ("): // did not build, ran out of time
-			wrong = append(wrong, fmt.Errorf("%s: %s: %w, and not by this test", file, r.text, err))
+			faults = append(faults, fmt.Errorf("%s: %s: it passes; take the line out", listFile, failure.line))
+		case !strings.Contains(printed, "--- FAIL: "+failure.test+" ("): // did not build, ran out of time
+			faults = append(faults, fmt.Errorf("%s: %s: %w, and not by this test", listFile, failure.line, err))
 		default:
-			fmt.Fprintln(out, "known red:", r.text)
+			fmt.Fprintln(out, "known red:", failure.line)
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(faults...)
 }
 
 func main() {
-	text, err := os.ReadFile(file)
+	text, err := os.ReadFile(listFile)
 	if err == nil {
-		err = judge(string(text), os.Args[1:], func(args ...string) (string, error) {
+		err = runTests(string(text), os.Args[1:], func(args ...string) (string, error) {
 			var printed strings.Builder
 			cmd := exec.Command("go", args...)
 			cmd.Stdout, cmd.Stderr = io.MultiWriter(os.Stdout, &printed), os.Stderr
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -12,7 +12,7 @@
 
 // A module of its own, whose tests pass, fail, panic, hang, and one package that does not build. What is named, what is
 // played and what go test says decide; nothing else is passed over.
-func TestOnlyWhatIsNamedAndFailsIsPassedOver(t *testing.T) {
+func TestRunTests_excusesOnlyListedFailures(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"go.mod":            "module m\n\ngo 1.26\n",
@@ -24,8 +24,8 @@
 		"none/none_test.go": "func TestNone(t *testing.T) { none }",
 		"leak/leak_test.go": "import \"os\"\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(1) }\nfunc TestGood(t *testing.T) {}",
 	} {
-		if pack, _, is := strings.Cut(name, "/"); is {
-			text = "package " + pack + "\n\nimport \"testing\"\n" + text + "\n"
+		if path, _, is := strings.Cut(name, "/"); is {
+			text = "package " + path + "\n\nimport \"testing\"\n" + text + "\n"
 		}
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -66,7 +66,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			err := judge(c.text, append([]string{"-timeout=5s"}, strings.Fields(c.packs)...), func(args ...string) (string, error) {
+			err := runTests(c.text, append([]string{"-timeout=5s"}, strings.Fields(c.packs)...), func(args ...string) (string, error) {
 				cmd := exec.Command("go", args...)
 				cmd.Dir = dir
 				cmd.Env = append(os.Environ(), "GOFLAGS=")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,138 +14,138 @@
 
 // The codes of events.
 const (
-	EvSpawn       = 10
-	EvRetire      = 20
-	EvFirst       = 30
-	EvLapsed      = 40
-	EvTo          = 50
-	EvResponse    = 60
-	EvInbox       = 70
-	EvSubmit      = 80
-	EvProbeResult = 90
-	EvLedgerReply = 100
-	EvView        = 110
-	EvTimer       = 120
+	EventStart         = 10
+	EventStop          = 20
+	EventStreamStart   = 30
+	EventDisconnect    = 40
+	EventAddressee     = 50
+	EventAttemptResult = 60
+	EventPeerMessage   = 70
+	EventRequest       = 80
+	EventHealthCheck   = 90
+	EventCount         = 100
+	EventEndpoints     = 110
+	EventTimer         = 120
 )
 
 // The codes of actions.
 const (
-	ActSend          = 10
-	ActBusy          = 20
-	ActDropRequest   = 30
-	ActCancel        = 40
-	ActSchedule      = 50
-	ActAskLoad       = 60
-	ActDisconnect    = 70
-	ActTell          = 80
-	ActLog           = 90
-	ActInternalError = 100
-	ActTail          = 110
-	ActLookup        = 120
-	ActAddAndGet     = 130
-	ActBy            = 140
+	ActionAttempt          = 10
+	ActionReject           = 20
+	ActionTerminate        = 30
+	ActionCancel           = 40
+	ActionSetTimer         = 50
+	ActionCheckHealth      = 60
+	ActionCloseConnections = 70
+	ActionSendPeer         = 80
+	ActionLog              = 90
+	ActionInternalError    = 100
+	ActionWatchEndpoints   = 110
+	ActionFetchEndpoints   = 120
+	ActionCount            = 130
+	ActionInstance         = 140
 )
 
-// ToAll is the peer index that means all of them.
-const ToAll = 0xffff
+// AllPeers is the peer index that means all of them.
+const AllPeers = 0xffff
 
 const (
-	batchHeader  = 16
-	replyHeader  = 12
-	recordHeader = 5
-	entryLen     = 23
-	maxFrame     = 1 << 30
+	batchHeaderSize  = 16
+	replyHeaderSize  = 12
+	recordHeaderSize = 5
+	endpointSize     = 23
+	maxFrameSize     = 1 << 30
 )
 
-// Spawn starts an instance.
-type Spawn struct {
-	Salt     uint64
-	BootInfo []byte
+// Start starts an instance.
+type Start struct {
+	Seed     uint64
+	Settings []byte
 }
 
-// First tells that a streamed answer has started.
-type First struct {
-	ID      uint32
-	SpentMs float64
-	Hop     uint16
-	Server  uint32
+// StreamStart tells that a streamed answer has started.
+type StreamStart struct {
+	RequestID uint32
+	ElapsedMs float64
+	Attempt   uint16
+	Server    uint32
 }
 
-// Response tells how an attempt ended.
-type Response struct {
-	ID         uint32
-	Hop        uint16
-	Server     uint32
-	How        uint8
-	SpentMs    float64
-	NoMore     bool
-	UsePct     uint16
-	Billed     uint16
-	HealthInfo []float32
+// AttemptResult tells how an attempt ended.
+type AttemptResult struct {
+	RequestID   uint32
+	Attempt     uint16
+	Server      uint32
+	Outcome     uint8
+	ElapsedMs   float64
+	Final       bool
+	UsePercent  uint16
+	BilledUnits uint16
+	LoadReport  []float32
 }
 
-// Inbox is a message of another instance.
-type Inbox struct {
+// PeerMessage is a message of another instance.
+type PeerMessage struct {
 	From  uint32
 	Bytes []byte
 }
 
-// Submit is a request of a client.
-type Submit struct {
-	ID        uint32
-	Opts      uint8
-	Terms     uint32
-	ExpiresMs float64
-	Customer  uint64
-	SetStart  float32
-	Cls       uint8
-	Width     float32
-	CostUnits float32
+// Request is a request of a client.
+type Request struct {
+	ID           uint32
+	Options      uint8
+	Plan         uint32
+	DeadlineMs   float64
+	Customer     uint64
+	FirstGateway float32
+	Class        uint8
+	GatewayCount float32
+	Units        float32
 }
 
-// ProbeResult is the result of one AskLoad.
-type ProbeResult struct {
+// HealthCheck is the result of one AskLoad.
+type HealthCheck struct {
 	Server     uint32
-	How        uint8
-	SpentMs    float64
-	HealthInfo []float32
+	Outcome    uint8
+	ElapsedMs  float64
+	LoadReport []float32
 }
 
-// LedgerReply is the counter's answer to one call.
-type LedgerReply struct {
-	Level   float32
-	SpentMs float64
-	Name    uint64
-	How     uint8
+// Count is the counter's answer to one call.
+type Count struct {
+	Total     float32
+	ElapsedMs float64
+	Name      uint64
+	Outcome   uint8
 }
 
-// Entry is a server in a view.
-type Entry struct {
-	StageState    uint8
-	Server        uint32
-	PowerHint     float32
-	OnlineSinceMs float64
-	Cohort        uint16
-	FailureDomain uint16
-	Hw            uint16
+// Endpoint is a server in a view.
+type Endpoint struct {
+	Stage     uint8
+	Server    uint32
+	Power     float32
+	StartedMs float64
+	Rack      uint16
+	Zone      uint16
+	Hardware  uint16
 }
 
-// View brings the list of servers.
-type View struct {
-	Gen   uint64
-	Kind  uint8
-	Hosts []Entry
+// Endpoints brings the list of servers.
+type Endpoints struct {
+	Generation uint64
+	Kind       uint8
+	Endpoints  []Endpoint
 }
 
 // Event is one record of a batch; At is the byte at which it stands, Body the layout of its code (nil for
 // none).
 type Event struct {
-	Code  uint8
-	At    int
-	To    uint32 // for EvTo
-	ID    uint32 // for EvLapsed
-	Ctx   uint64 // for EvTimer
-	Value any
+	Code       uint8
+	Offset     int
+	Instance   uint32 // for EvTo
+	RequestID  uint32 // for EvLapsed
+	TimerToken uint64 // for EvTimer
+	Payload    any
 }
 
 // Batch is one frame of events.
@@ -156,14 +156,14 @@
 }
 
 // A BadFrame says where a frame is wrong.
-type BadFrame struct {
-	Batch int // counted from 1 as they came
-	Byte  int // from the start of the frame
-	What  string
+type FormatError struct {
+	Batch  int // counted from 1 as they came
+	Offset int // from the start of the frame
+	Reason string
 }
 
-func (b *BadFrame) Error() string {
-	return fmt.Sprintf("batch %d, byte %d: %s", b.Batch, b.Byte, b.What)
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("batch %d, byte %d: %s", e.Batch, e.Offset, e.Reason)
 }
 
 // Reader reads batches.
@@ -176,191 +176,191 @@
 // NewReader reads batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<16)} }
 
-// Count is the number of batches begun so far.
-func (r *Reader) Count() int { return r.count }
+// BatchesBegun is the number of batches begun so far.
+func (r *Reader) BatchesBegun() int { return r.count }
 
 // Next reads a batch; io.EOF means that the input ended between frames. What it returns is valid until the
 // next call.
 func (r *Reader) Next() (*Batch, error) {
-	var head [4]byte
-	n, err := io.ReadFull(r.in, head[:])
+	var sizeField [4]byte
+	n, err := io.ReadFull(r.in, sizeField[:])
 	if err == io.EOF {
 		return nil, io.EOF
 	}
 	r.count++
 	if err != nil {
-		return nil, r.cut(n, err)
+		return nil, r.truncated(n, err)
 	}
-	size := int(binary.LittleEndian.Uint32(head[:]))
-	if size < batchHeader || size > maxFrame {
-		return nil, &BadFrame{r.count, 0, fmt.Sprintf("a frame cannot be %d bytes long", size)}
+	size := int(binary.LittleEndian.Uint32(sizeField[:]))
+	if size < batchHeaderSize || size > maxFrameSize {
+		return nil, &FormatError{r.count, 0, fmt.Sprintf("a frame cannot be %d bytes long", size)}
 	}
 	// The buffer grows as the bytes come, so that a wrong length alone claims no memory.
-	r.buf = append(r.buf[:0], head[:]...)
+	r.buf = append(r.buf[:0], sizeField[:]...)
 	for len(r.buf) < size {
 		step := min(size-len(r.buf), 1<<20)
 		at := len(r.buf)
 		r.buf = append(r.buf, make([]byte, step)...)
 		if n, err := io.ReadFull(r.in, r.buf[at:]); err != nil {
-			return nil, r.cut(at+n, err)
+			return nil, r.truncated(at+n, err)
 		}
 	}
-	b, err := Decode(r.buf)
-	var bad *BadFrame
-	if errors.As(err, &bad) {
-		bad.Batch = r.count
+	batch, err := Decode(r.buf)
+	var malformed *FormatError
+	if errors.As(err, &malformed) {
+		malformed.Batch = r.count
 	}
-	return b, err
+	return batch, err
 }
 
-func (r *Reader) cut(at int, err error) error {
+func (r *Reader) truncated(at int, err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return &BadFrame{r.count, at, "the input ends inside a frame"}
+		return &FormatError{r.count, at, "the input ends inside a frame"}
 	}
-	return &BadFrame{r.count, at, err.Error()}
+	return &FormatError{r.count, at, err.Error()}
 }
 
-// fields walks over the fields of one record.
-type fields struct {
-	b    []byte
-	at   int
-	over bool
+// decoder walks over the fields of one record.
+type decoder struct {
+	data    []byte
+	offset  int
+	overrun bool
 }
 
-func (f *fields) take(n int) []byte {
-	if n < 0 || len(f.b)-f.at < n {
-		f.over = true
+func (d *decoder) take(n int) []byte {
+	if n < 0 || len(d.data)-d.offset < n {
+		d.overrun = true
 		return make([]byte, min(max(n, 0), 8))
 	}
-	f.at += n
-	return f.b[f.at-n : f.at]
+	d.offset += n
+	return d.data[d.offset-n : d.offset]
 }
 
-func (f *fields) u8() uint8    { return f.take(1)[0] }
-func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
-func (f *fields) f32() float32 { return math.Float32frombits(f.u32()) }
-func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
+func (d *decoder) u8() uint8    { return d.take(1)[0] }
+func (d *decoder) u16() uint16  { return binary.LittleEndian.Uint16(d.take(2)) }
+func (d *decoder) u32() uint32  { return binary.LittleEndian.Uint32(d.take(4)) }
+func (d *decoder) u64() uint64  { return binary.LittleEndian.Uint64(d.take(8)) }
+func (d *decoder) f32() float32 { return math.Float32frombits(d.u32()) }
+func (d *decoder) f64() float64 { return math.Float64frombits(d.u64()) }
 
-func (f *fields) bytes(n int) []byte {
-	if len(f.b)-f.at < n {
-		f.over = true
+func (d *decoder) bytes(n int) []byte {
+	if len(d.data)-d.offset < n {
+		d.overrun = true
 		return nil
 	}
-	return append([]byte(nil), f.take(n)...)
+	return append([]byte(nil), d.take(n)...)
 }
 
-func (f *fields) report() []float32 {
-	n := int(f.u8())
-	if len(f.b)-f.at < 4*n {
-		f.over = true
+func (d *decoder) loadReport() []float32 {
+	n := int(d.u8())
+	if len(d.data)-d.offset < 4*n {
+		d.overrun = true
 		return nil
 	}
 	var out []float32
 	for range n {
-		out = append(out, f.f32())
+		out = append(out, d.f32())
 	}
 	return out
 }
 
 // Decode reads one whole frame of events.
 func Decode(frame []byte) (*Batch, error) {
-	if len(frame) < batchHeader {
-		return nil, &BadFrame{0, len(frame), "the header is cut short"}
+	if len(frame) < batchHeaderSize {
+		return nil, &FormatError{0, len(frame), "the header is cut short"}
 	}
 	if size := binary.LittleEndian.Uint32(frame); int64(size) != int64(len(frame)) {
-		return nil, &BadFrame{0, 0, fmt.Sprintf("the frame says %d bytes and has %d", size, len(frame))}
+		return nil, &FormatError{0, 0, fmt.Sprintf("the frame says %d bytes and has %d", size, len(frame))}
 	}
-	b := &Batch{
+	batch := &Batch{
 		ClockMs: math.Float64frombits(binary.LittleEndian.Uint64(frame[4:])),
 		Serial:  binary.LittleEndian.Uint32(frame[12:]),
 	}
-	for at := batchHeader; at < len(frame); {
-		if len(frame)-at < recordHeader {
-			return nil, &BadFrame{0, at, "a record is cut short"}
+	for at := batchHeaderSize; at < len(frame); {
+		if len(frame)-at < recordHeaderSize {
+			return nil, &FormatError{0, at, "a record is cut short"}
 		}
 		code := frame[at]
 		n := int64(binary.LittleEndian.Uint32(frame[at+1:]))
-		if n > int64(len(frame)-at-recordHeader) {
-			return nil, &BadFrame{0, at, fmt.Sprintf("event %d says %d bytes, more than the frame holds", code, n)}
+		if n > int64(len(frame)-at-recordHeaderSize) {
+			return nil, &FormatError{0, at, fmt.Sprintf("event %d says %d bytes, more than the frame holds", code, n)}
 		}
-		f := &fields{b: frame[at+recordHeader : at+recordHeader+int(n)]}
-		ev, known := decodeEvent(code, f)
-		ev.At = at
+		d := &decoder{data: frame[at+recordHeaderSize : at+recordHeaderSize+int(n)]}
+		event, known := decodeEvent(code, d)
+		event.Offset = at
 		switch {
 		case !known:
-			return nil, &BadFrame{0, at, fmt.Sprintf("unknown event code %d", code)}
-		case f.over:
-			return nil, &BadFrame{0, at, fmt.Sprintf("event %d is too short for its fields", code)}
-		case f.at != len(f.b):
-			return nil, &BadFrame{0, at, fmt.Sprintf("event %d has %d bytes too many", code, len(f.b)-f.at)}
+			return nil, &FormatError{0, at, fmt.Sprintf("unknown event code %d", code)}
+		case d.overrun:
+			return nil, &FormatError{0, at, fmt.Sprintf("event %d is too short for its fields", code)}
+		case d.offset != len(d.data):
+			return nil, &FormatError{0, at, fmt.Sprintf("event %d has %d bytes too many", code, len(d.data)-d.offset)}
 		}
-		b.Events = append(b.Events, ev)
-		at += recordHeader + int(n)
+		batch.Events = append(batch.Events, event)
+		at += recordHeaderSize + int(n)
 	}
-	return b, nil
+	return batch, nil
 }
 
-func decodeEvent(code uint8, f *fields) (ev Event, known bool) {
-	ev.Code = code
+func decodeEvent(code uint8, d *decoder) (event Event, known bool) {
+	event.Code = code
 	switch code {
-	case EvTo:
-		ev.To = f.u32()
-	case EvRetire:
-	case EvLapsed:
-		ev.ID = f.u32()
-	case EvTimer:
-		ev.Ctx = f.u64()
-	case EvSpawn:
-		s := Spawn{Salt: f.u64()}
-		s.BootInfo = f.bytes(int(f.u32()))
-		ev.Value = s
-	case EvFirst:
-		ev.Value = First{ID: f.u32(), SpentMs: f.f64(), Hop: f.u16(), Server: f.u32()}
-	case EvResponse:
-		ev.Value = Response{ID: f.u32(), Hop: f.u16(), Server: f.u32(), How: f.u8(), SpentMs: f.f64(),
-			NoMore: f.u8() != 0, UsePct: f.u16(), Billed: f.u16(), HealthInfo: f.report()}
-	case EvInbox:
-		v := Inbox{From: f.u32()}
-		v.Bytes = f.bytes(int(f.u16()))
-		ev.Value = v
-	case EvSubmit:
-		ev.Value = Submit{ID: f.u32(), Opts: f.u8(), Terms: f.u32(), ExpiresMs: f.f64(), Customer: f.u64(),
-			SetStart: f.f32(), Cls: f.u8(), Width: f.f32(), CostUnits: f.f32()}
-	case EvProbeResult:
-		ev.Value = ProbeResult{Server: f.u32(), How: f.u8(), SpentMs: f.f64(), HealthInfo: f.report()}
-	case EvLedgerReply:
-		ev.Value = LedgerReply{Level: f.f32(), SpentMs: f.f64(), Name: f.u64(), How: f.u8()}
-	case EvView:
-		v := View{Gen: f.u64(), Kind: f.u8()}
-		n := int64(f.u32())
-		if n*entryLen > int64(len(f.b)-f.at) {
-			f.over = true
+	case EventAddressee:
+		event.Instance = d.u32()
+	case EventStop:
+	case EventDisconnect:
+		event.RequestID = d.u32()
+	case EventTimer:
+		event.TimerToken = d.u64()
+	case EventStart:
+		start := Start{Seed: d.u64()}
+		start.Settings = d.bytes(int(d.u32()))
+		event.Payload = start
+	case EventStreamStart:
+		event.Payload = StreamStart{RequestID: d.u32(), ElapsedMs: d.f64(), Attempt: d.u16(), Server: d.u32()}
+	case EventAttemptResult:
+		event.Payload = AttemptResult{RequestID: d.u32(), Attempt: d.u16(), Server: d.u32(), Outcome: d.u8(), ElapsedMs: d.f64(),
+			Final: d.u8() != 0, UsePercent: d.u16(), BilledUnits: d.u16(), LoadReport: d.loadReport()}
+	case EventPeerMessage:
+		message := PeerMessage{From: d.u32()}
+		message.Bytes = d.bytes(int(d.u16()))
+		event.Payload = message
+	case EventRequest:
+		event.Payload = Request{ID: d.u32(), Options: d.u8(), Plan: d.u32(), DeadlineMs: d.f64(), Customer: d.u64(),
+			FirstGateway: d.f32(), Class: d.u8(), GatewayCount: d.f32(), Units: d.f32()}
+	case EventHealthCheck:
+		event.Payload = HealthCheck{Server: d.u32(), Outcome: d.u8(), ElapsedMs: d.f64(), LoadReport: d.loadReport()}
+	case EventCount:
+		event.Payload = Count{Total: d.f32(), ElapsedMs: d.f64(), Name: d.u64(), Outcome: d.u8()}
+	case EventEndpoints:
+		list := Endpoints{Generation: d.u64(), Kind: d.u8()}
+		n := int64(d.u32())
+		if n*endpointSize > int64(len(d.data)-d.offset) {
+			d.overrun = true
 			break
 		}
 		for range n {
-			v.Hosts = append(v.Hosts, Entry{StageState: f.u8(), Server: f.u32(), PowerHint: f.f32(),
-				OnlineSinceMs: f.f64(), Cohort: f.u16(), FailureDomain: f.u16(), Hw: f.u16()})
+			list.Endpoints = append(list.Endpoints, Endpoint{Stage: d.u8(), Server: d.u32(), Power: d.f32(),
+				StartedMs: d.f64(), Rack: d.u16(), Zone: d.u16(), Hardware: d.u16()})
 		}
-		ev.Value = v
+		event.Payload = list
 	default:
-		return ev, false
+		return event, false
 	}
-	return ev, true
+	return event, true
 }
 
 // Reply builds one frame of actions.
 type Reply struct {
-	buf   []byte
-	count uint32
-	by    uint32
-	named bool
+	buf         []byte
+	count       uint32
+	instance    uint32
+	hasInstance bool
 }
 
 // NewReply begins the reply to a batch.
 func NewReply(serial uint32) *Reply {
-	r := &Reply{buf: make([]byte, replyHeader, 4096)}
+	r := &Reply{buf: make([]byte, replyHeaderSize, 4096)}
 	binary.LittleEndian.PutUint32(r.buf[8:], serial)
 	return r
 }
@@ -376,83 +376,83 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.LittleEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// By names the instance whose actions follow.
-func (r *Reply) By(instance uint32) {
-	if r.named && r.by == instance {
+// SetInstance names the instance whose actions follow.
+func (r *Reply) SetInstance(instance uint32) {
+	if r.hasInstance && r.instance == instance {
 		return
 	}
-	r.named, r.by = true, instance
-	r.begin(ActBy, 4)
+	r.hasInstance, r.instance = true, instance
+	r.begin(ActionInstance, 4)
 	r.u32(instance)
 }
 
-// Send commences an attempt.
-func (r *Reply) Send(id uint32, tryUntilMs float64, server uint32) {
-	r.begin(ActSend, 16)
-	r.u32(id)
-	r.f64(tryUntilMs)
+// Attempt commences an attempt.
+func (r *Reply) Attempt(requestID uint32, deadlineMs float64, server uint32) {
+	r.begin(ActionAttempt, 16)
+	r.u32(requestID)
+	r.f64(deadlineMs)
 	r.u32(server)
 }
 
-// Busy rejects a request.
-func (r *Reply) Busy(id uint32, stayAwayMs float64) {
-	r.begin(ActBusy, 12)
-	r.u32(id)
-	r.f64(stayAwayMs)
+// Reject rejects a request.
+func (r *Reply) Reject(requestID uint32, retryAfterMs float64) {
+	r.begin(ActionReject, 12)
+	r.u32(requestID)
+	r.f64(retryAfterMs)
 }
 
-// DropRequest fails a request.
-func (r *Reply) DropRequest(id uint32) { r.one(ActDropRequest, id) }
+// Terminate fails a request.
+func (r *Reply) Terminate(requestID uint32) { r.record32(ActionTerminate, requestID) }
 
-// AskLoad probes a server.
-func (r *Reply) AskLoad(server uint32) { r.one(ActAskLoad, server) }
+// CheckHealth probes a server.
+func (r *Reply) CheckHealth(server uint32) { r.record32(ActionCheckHealth, server) }
 
-// Disconnect closes idle connections to a server.
-func (r *Reply) Disconnect(server uint32) { r.one(ActDisconnect, server) }
+// CloseConnections closes idle connections to a server.
+func (r *Reply) CloseConnections(server uint32) { r.record32(ActionCloseConnections, server) }
 
-func (r *Reply) one(code uint8, v uint32) {
+func (r *Reply) record32(code uint8, v uint32) {
 	r.begin(code, 4)
 	r.u32(v)
 }
 
 // Cancel ends the wait on an attempt.
-func (r *Reply) Cancel(id uint32, hop uint16) {
-	r.begin(ActCancel, 6)
-	r.u32(id)
-	r.u16(hop)
+func (r *Reply) Cancel(requestID uint32, attempt uint16) {
+	r.begin(ActionCancel, 6)
+	r.u32(requestID)
+	r.u16(attempt)
 }
 
-// Schedule asks for a timer.
-func (r *Reply) Schedule(ctx uint64, spanMs float64) {
-	r.begin(ActSchedule, 16)
-	r.u64(ctx)
-	r.f64(spanMs)
+// SetTimer asks for a timer.
+func (r *Reply) SetTimer(token uint64, afterMs float64) {
+	r.begin(ActionSetTimer, 16)
+	r.u64(token)
+	r.f64(afterMs)
 }
 
-// Tell sends bytes to a peer, or to all with ToAll.
-func (r *Reply) Tell(to uint16, words []byte) {
-	r.begin(ActTell, 4+len(words))
-	r.u16(to)
-	r.u16(uint16(len(words)))
-	r.buf = append(r.buf, words...)
+// SendPeer sends bytes to a peer, or to all with ToAll.
+func (r *Reply) SendPeer(peer uint16, message []byte) {
+	r.begin(ActionSendPeer, 4+len(message))
+	r.u16(peer)
+	r.u16(uint16(len(message)))
+	r.buf = append(r.buf, message...)
 }
 
 // Log leaves a line in the report.
-func (r *Reply) Log(line string) { r.text(ActLog, line) }
+func (r *Reply) Log(text string) { r.text(ActionLog, text) }
 
 // InternalError ends the day with a text.
-func (r *Reply) InternalError(line string) { r.text(ActInternalError, line) }
+func (r *Reply) InternalError(text string) { r.text(ActionInternalError, text) }
 
-func (r *Reply) text(code uint8, line string) {
-	line = line[:min(len(line), math.MaxUint16)]
-	r.begin(code, 2+len(line))
-	r.u16(uint16(len(line)))
-	r.buf = append(r.buf, line...)
+func (r *Reply) text(code uint8, text string) {
+	text = text[:min(len(text), math.MaxUint16)]
+	r.begin(code, 2+len(text))
+	r.u16(uint16(len(text)))
+	r.buf = append(r.buf, text...)
 }
 
-// Tail subscribes to changes of the list, or unsubscribes.
-func (r *Reply) Tail(enable bool) {
-	r.begin(ActTail, 1)
+// WatchEndpoints subscribes to changes of the list, or unsubscribes.
+func (r *Reply) WatchEndpoints(enable bool) {
+	r.begin(ActionWatchEndpoints, 1)
 	var v byte
 	if enable {
 		v = 1
@@ -460,15 +460,15 @@
 	r.buf = append(r.buf, v)
 }
 
-// Lookup asks for the complete list once.
-func (r *Reply) Lookup() { r.begin(ActLookup, 0) }
+// FetchEndpoints asks for the complete list once.
+func (r *Reply) FetchEndpoints() { r.begin(ActionFetchEndpoints, 0) }
 
-// AddAndGet calls the counter.
-func (r *Reply) AddAndGet(name uint64, ttlMs float64, qty float32) {
-	r.begin(ActAddAndGet, 20)
+// Count calls the counter.
+func (r *Reply) Count(name uint64, ttlMs float64, units float32) {
+	r.begin(ActionCount, 20)
 	r.u64(name)
 	r.f64(ttlMs)
-	r.u32(math.Float32bits(qty))
+	r.u32(math.Float32bits(units))
 }
 
 // Bytes closes the frame and gives it.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 )
 
 // The hex below is written out by hand from the wire's page.
-func frame(t *testing.T, text string) []byte {
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -19,10 +19,10 @@
 	return b
 }
 
-const head = "00000000206ec040 0c000000" // clock 8412.25, batch 12
+const batchHeaderHex = "00000000206ec040 0c000000" // clock 8412.25, batch 12
 
-func batch(t *testing.T, records string) []byte {
-	b := frame(t, "00000000"+head+records)
+func batchFrame(t *testing.T, records string) []byte {
+	b := decodeHex(t, "00000000"+batchHeaderHex+records)
 	b[0], b[1] = byte(len(b)), byte(len(b)>>8)
 	return b
 }
@@ -32,58 +32,58 @@
 		record string
 		want   Event
 	}{
-		{"32 04000000 03000000", Event{Code: EvTo, To: 3}},
-		{"14 00000000", Event{Code: EvRetire}},
-		{"28 04000000 192b6f0e", Event{Code: EvLapsed, ID: 0x0e6f2b19}},
-		{"78 08000000 4d00000000000000", Event{Code: EvTimer, Ctx: 77}},
-		{"0a 0f000000 0500000000000000 03000000 613d31", Event{Code: EvSpawn, Value: Spawn{5, []byte("a=1")}}},
+		{"32 04000000 03000000", Event{Code: EventAddressee, Instance: 3}},
+		{"14 00000000", Event{Code: EventStop}},
+		{"28 04000000 192b6f0e", Event{Code: EventDisconnect, RequestID: 0x0e6f2b19}},
+		{"78 08000000 4d00000000000000", Event{Code: EventTimer, TimerToken: 77}},
+		{"0a 0f000000 0500000000000000 03000000 613d31", Event{Code: EventStart, Payload: Start{5, []byte("a=1")}}},
 		{"50 26000000 c4913a5d 01 00000000 0000000020e6c040 640ad2557c3bf091 0000803f 00 00004040 00000040",
-			Event{Code: EvSubmit, Value: Submit{0x5d3a91c4, 1, 0, 8652.25, 0x91f03b7c55d20a64, 1, 0, 3, 2}}},
+			Event{Code: EventRequest, Payload: Request{0x5d3a91c4, 1, 0, 8652.25, 0x91f03b7c55d20a64, 1, 0, 3, 2}}},
 		{"3c 19000000 c4913a5d 0000 074a1203 00 0000000000803240 01 5600 0300 00",
-			Event{Code: EvResponse, Value: Response{0x5d3a91c4, 0, 0x03124a07, 0, 18.5, true, 86, 3, nil}}},
+			Event{Code: EventAttemptResult, Payload: AttemptResult{0x5d3a91c4, 0, 0x03124a07, 0, 18.5, true, 86, 3, nil}}},
 		{"1e 12000000 c4913a5d 0000000000802240 0000 074a1203",
-			Event{Code: EvFirst, Value: First{0x5d3a91c4, 9.25, 0, 0x03124a07}}},
+			Event{Code: EventStreamStart, Payload: StreamStart{0x5d3a91c4, 9.25, 0, 0x03124a07}}},
 		{"5a 16000000 f211902c 00 0000000000803240 02 0000803f 00000040",
-			Event{Code: EvProbeResult, Value: ProbeResult{0x2c9011f2, 0, 18.5, []float32{1, 2}}}},
-		{"46 0a000000 02000000 0400 68692037", Event{Code: EvInbox, Value: Inbox{2, []byte("hi 7")}}},
+			Event{Code: EventHealthCheck, Payload: HealthCheck{0x2c9011f2, 0, 18.5, []float32{1, 2}}}},
+		{"46 0a000000 02000000 0400 68692037", Event{Code: EventPeerMessage, Payload: PeerMessage{2, []byte("hi 7")}}},
 		{"64 15000000 00001842 0000000000803240 90f6890000000000 6e",
-			Event{Code: EvLedgerReply, Value: LedgerReply{38, 18.5, 0x89f690, 110}}},
+			Event{Code: EventCount, Payload: Count{38, 18.5, 0x89f690, 110}}},
 		{`6e 3b000000 2900000000000000 02 02000000 02 074a1203 0000803f 0000000000000000 0000 0000 0000
 			02 f211902c 0000c03f 0000000000d4b740 0000 0100 0000`,
-			Event{Code: EvView, Value: View{41, 2, []Entry{{2, 0x03124a07, 1, 0, 0, 0, 0},
+			Event{Code: EventEndpoints, Payload: Endpoints{41, 2, []Endpoint{{2, 0x03124a07, 1, 0, 0, 0, 0},
 				{2, 0x2c9011f2, 1.5, 6100, 0, 1, 0}}}}},
 	} {
-		b, err := Decode(batch(t, c.record))
+		batch, err := Decode(batchFrame(t, c.record))
 		if err != nil {
 			t.Errorf("event %d: %v", c.want.Code, err)
 			continue
 		}
-		c.want.At = batchHeader
-		if b.ClockMs != 8412.25 || b.Serial != 12 || len(b.Events) != 1 || !reflect.DeepEqual(b.Events[0], c.want) {
-			t.Errorf("event %d: got %+v, want %+v", c.want.Code, b, c.want)
+		c.want.Offset = batchHeaderSize
+		if batch.ClockMs != 8412.25 || batch.Serial != 12 || len(batch.Events) != 1 || !reflect.DeepEqual(batch.Events[0], c.want) {
+			t.Errorf("event %d: got %+v, want %+v", c.want.Code, batch, c.want)
 		}
 	}
 }
 
 func TestActionLayouts(t *testing.T) {
 	r := NewReply(12)
-	r.By(3)
-	r.By(3)
-	r.Send(0x5d3a91c4, 8492.0, 0x03124a07)
-	r.Schedule(77, 500)
+	r.SetInstance(3)
+	r.SetInstance(3)
+	r.Attempt(0x5d3a91c4, 8492.0, 0x03124a07)
+	r.SetTimer(77, 500)
 	r.Cancel(0x5d3a91c4, 1)
-	r.Busy(0x0e6f2b19, 250)
-	r.DropRequest(0x0e6f2b19)
-	r.AskLoad(0x2c9011f2)
-	r.Disconnect(0x2c9011f2)
-	r.Tell(ToAll, []byte("hi 7"))
-	r.Tail(true)
-	r.Lookup()
-	r.AddAndGet(0x89f690, 3000, 4)
-	r.By(5)
+	r.Reject(0x0e6f2b19, 250)
+	r.Terminate(0x0e6f2b19)
+	r.CheckHealth(0x2c9011f2)
+	r.CloseConnections(0x2c9011f2)
+	r.SendPeer(AllPeers, []byte("hi 7"))
+	r.WatchEndpoints(true)
+	r.FetchEndpoints()
+	r.Count(0x89f690, 3000, 4)
+	r.SetInstance(5)
 	r.Log("two servers known")
 	r.InternalError("index out of range")
-	want := frame(t, `fc000000 0f000000 0c000000
+	want := decodeHex(t, `fc000000 0f000000 0c000000
 		8c 04000000 03000000  0a 10000000 c4913a5d 000000000096c040 074a1203  32 10000000 4d00000000000000 0000000000407f40
 		28 06000000 c4913a5d 0100  14 0c000000 192b6f0e 0000000000406f40  1e 04000000 192b6f0e  3c 04000000 f211902c
 		46 04000000 f211902c  50 08000000 ffff 0400 68692037  6e 01000000 01  78 00000000
@@ -94,13 +94,13 @@
 	if got := r.Bytes(); !bytes.Equal(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
-	if got := NewReply(1).Bytes(); !bytes.Equal(got, frame(t, "0c000000 00000000 01000000")) {
+	if got := NewReply(1).Bytes(); !bytes.Equal(got, decodeHex(t, "0c000000 00000000 01000000")) {
 		t.Errorf("empty reply %x", got)
 	}
 }
 
-func TestBadFrames(t *testing.T) {
-	empty := frame(t, "10000000 00000000206ec040 01000000")
+func TestReader_malformedFrames(t *testing.T) {
+	empty := decodeHex(t, "10000000 00000000206ec040 01000000")
 	for _, c := range []struct{ name, in, want string }{
 		{"cut header", "1000", "batch 2, byte 2: the input ends inside a frame"},
 		{"cut frame", "20000000 00000000206ec040 01000000", "batch 2, byte 16: the input ends inside a frame"},
@@ -114,8 +114,8 @@
 		{"list over the end", "22000000 00000000206ec040 01000000 6e 0d000000 0000000000000000 02 ffffffff",
 			"batch 2, byte 16: event 110 is too short for its fields"},
 	} {
-		r := NewReader(bytes.NewReader(append(bytes.Clone(empty), frame(t, c.in)...)))
-		if b, err := r.Next(); err != nil || b.ClockMs != 8412.25 {
+		r := NewReader(bytes.NewReader(append(bytes.Clone(empty), decodeHex(t, c.in)...)))
+		if batch, err := r.Next(); err != nil || batch.ClockMs != 8412.25 {
 			t.Fatalf("%s: the empty batch before: %v", c.name, err)
 		}
 		if _, err := r.Next(); err == nil || err.Error() != c.want {
--- a/internal/witness/digest.go
+++ b/internal/witness/digest.go
@@ -7,26 +7,26 @@
 
 // This file is what a digest is made of: the judgements of halls since the one before, and all counts.
 
-// judge gives the quarter at which a hall is seen, or false: nothing is known of late. So many pushes out without an
+// health gives the quarter at which a hall is seen, or false: nothing is known of late. So many pushes out without an
 // answer are a silence.
-func (h *seen) judge(now time.Duration, out int) (int, bool) {
-	if h.waiting != 0 && h.out >= out && now-h.waiting > h.silence() {
+func (z *zoneStats) health(now time.Duration, out int) (int, bool) {
+	if z.waitingSince != 0 && z.inFlight >= out && now-z.waitingSince > z.silenceTimeout() {
 		return Lost, true
 	}
 	sound, known, freshWell, freshIll := 0, 0, 0, 0
-	for server, l := range h.known {
+	for server, l := range z.results {
 		age := now - l.at
-		if age > memory {
-			delete(h.known, server)
+		if age > resultMemory {
+			delete(z.results, server)
 			continue
 		}
 		known++
-		if l.well {
+		if l.answered {
 			sound++
 		}
 		switch {
-		case age > fresh:
-		case l.well:
+		case age > freshTime:
+		case l.answered:
 			freshWell++
 		default:
 			freshIll++
@@ -34,91 +34,91 @@
 	}
 	switch {
 	case known == 0:
-		clear(h.run)
+		clear(z.failedRun)
 		return 0, false
-	case len(h.run) >= runLeast || freshIll >= freshLeast && freshWell == 0:
+	case len(z.failedRun) >= minFailedRun || freshIll >= minFreshFailures && freshWell == 0:
 		return Lost, true
 	case freshIll > 0 && freshWell == 0:
-		return Ill, true
+		return Failing, true
 	}
-	return int(math.Round(Sound * float64(sound) / float64(known))), true
+	return int(math.Round(Healthy * float64(sound) / float64(known))), true
 }
 
-// Counts gives all counts so far; it is called before each digest, each 0.2 s or so, and judges the time since the
+// WriteCounts gives all counts so far; it is called before each digest, each 0.2 s or so, and judges the time since the
 // call before.
-func (w *Witness) Counts(now time.Duration, add func(name string, n uint64)) {
-	span := now - w.at
-	if w.at == 0 || span > 2*standing || span < 0 {
+func (r *Recorder) WriteCounts(now time.Duration, add func(name string, n uint64)) {
+	span := now - r.countedUntil
+	if r.countedUntil == 0 || span > 2*maxDigestSpan || span < 0 {
 		span = 0 // it began, or stood still
 	}
-	span = min(span, standing)
-	w.at = now
+	span = min(span, maxDigestSpan)
+	r.countedUntil = now
 	ms := uint64(span / time.Millisecond)
-	w.at -= span % time.Millisecond // the rest counts with the next
-	w.awake += time.Duration(ms) * time.Millisecond
-	for i, h := range w.halls {
-		q, known := h.judge(now, 1)
+	r.countedUntil -= span % time.Millisecond // the rest counts with the next
+	r.awake += time.Duration(ms) * time.Millisecond
+	for i, z := range r.zones {
+		q, known := z.health(now, 1)
 		if known {
-			h.judged[q] += ms
+			z.healthTime[q] += ms
 		}
-		strong := w.strong(now, h)
-		if w.listed {
-			b := Band(strong)
-			h.ready[b] += ms
-			h.sum[b] += strong * float64(ms)
+		power := r.readyPower(now, z)
+		if r.hasEndpoints {
+			b := PowerBand(power)
+			z.readyTime[b] += ms
+			z.readyPower[b] += power * float64(ms)
 		}
-		if i == w.me {
-			alone, heard := h.judge(now, runLeast)
-			w.own(now, alone, heard, strong)
+		if i == r.own {
+			alone, heard := z.health(now, minFailedRun)
+			r.updateOwnZone(now, alone, heard, power)
 		}
-		h.tell(add)
+		z.writeCounts(add)
 	}
-	add(w.time, uint64(w.awake/time.Millisecond))
-	add(w.cameAs, uint64(w.came))
-	add(w.letAs, uint64(w.let))
-	add(w.callsWell, w.calls[0])
-	add(w.callsLate, w.calls[1])
+	add(r.awakeTimeName, uint64(r.awake/time.Millisecond))
+	add(r.offeredName, uint64(r.offered))
+	add(r.admittedName, uint64(r.admitted))
+	add(r.callsDoneName, r.counterCalls[0])
+	add(r.callsLateName, r.counterCalls[1])
 }
 
-// tell gives the counts of a hall that are not nought.
-func (h *seen) tell(add func(name string, n uint64)) {
+// writeCounts gives the counts of a hall that are not nought.
+func (z *zoneStats) writeCounts(add func(name string, n uint64)) {
 	some := func(name string, n uint64) {
 		if n > 0 {
 			add(name, n)
 		}
 	}
-	for q, n := range h.judged {
-		some(h.judgedAs[q], n)
+	for q, n := range z.healthTime {
+		some(z.healthTimeNames[q], n)
 	}
-	for i, n := range h.ended {
-		some(h.endedAs[i], n)
+	for i, n := range z.completed {
+		some(z.completedNames[i], n)
 	}
-	some(h.pushedAs, uint64(h.pushed))
-	some(h.tookAs, uint64(h.took))
-	for b, n := range h.ready {
-		some(h.readyAs[b], n)
-		some(h.strengths[b], uint64(h.sum[b]))
+	some(z.attemptedName, uint64(z.attempted))
+	some(z.answerTimeName, uint64(z.answerTime))
+	for b, n := range z.readyTime {
+		some(z.readyTimeNames[b], n)
+		some(z.readyPowerNames[b], uint64(z.readyPower[b]))
 	}
 }
 
-// own keeps whether our own hall is lost as far as we alone can see. It stays so until half of it answers. One push that
+// updateOwnZone keeps whether our own hall is lost as far as we alone can see. It stays so until half of it answers. One push that
 // hangs is a word among many gateways, but alone it would have nearly all other tasks shed: silence takes runLeast
 // pushes out here. Harm: a gateway with fewer sees a silent hall only as its pushes end.
-func (w *Witness) own(now time.Duration, q int, known bool, strong float64) {
-	looks := w.listed && strong <= 0 || known && q == Lost
+func (r *Recorder) updateOwnZone(now time.Duration, q int, known bool, power float64) {
+	looks := r.hasEndpoints && power <= 0 || known && q == Lost
 	switch {
-	case !looks && (!known || q <= Ill):
-		if !w.lost {
-			w.since = 0
+	case !looks && (!known || q <= Failing):
+		if !r.ownZoneLost {
+			r.lossSeenSince = 0
 		}
 	case !looks:
-		w.since, w.lost = 0, false
-	case w.since == 0:
-		w.since = now
-	case now-w.since >= lostAfter:
-		w.lost = true
+		r.lossSeenSince, r.ownZoneLost = 0, false
+	case r.lossSeenSince == 0:
+		r.lossSeenSince = now
+	case now-r.lossSeenSince >= lossConfirmTime:
+		r.ownZoneLost = true
 	}
 }
 
-// Lost tells whether by this gateway's own evidence its own hall is lost.
-func (w *Witness) Lost() bool { return w.lost }
+// IsZoneLost tells whether by this gateway's own evidence its own hall is lost.
+func (r *Recorder) IsZoneLost() bool { return r.ownZoneLost }
--- a/internal/witness/names.go
+++ b/internal/witness/names.go
@@ -14,62 +14,64 @@
 // The judgements of a hall by one gateway: the part of the servers there, of those that it knows of late, that answer,
 // in quarters. Ill or worse speaks of loss.
 const (
-	Lost  = 0
-	Ill   = 1
-	Sound = 4
+	Lost    = 0
+	Failing = 1
+	Healthy = 4
 )
 
-// Time names the milliseconds that gateways in a hall were awake.
-func Time(hall string) string { return evidence.Name("time", hall) }
+// AwakeTime names the milliseconds that gateways in a hall were awake.
+func AwakeTime(zone string) string { return evidence.JoinName("time", zone) }
 
-// Judged names the milliseconds in which gateways in a hall judged another, or their own, to be at a quarter (0 to 4).
+// HealthTime names the milliseconds in which gateways in a hall judged another, or their own, to be at a quarter (0 to 4).
 // Where a gateway knows nothing of late, it adds to none.
-func Judged(from, to string, quarter int) string {
-	return evidence.Name("judged", from, to, strconv.Itoa(quarter))
+func HealthTime(from, to string, quarter int) string {
+	return evidence.JoinName("judged", from, to, strconv.Itoa(quarter))
 }
 
-// Came names the units of the tasks that came in at a hall's gateways, in thousandths; repeats by clients among them.
-func Came(hall string) string { return evidence.Name("came", hall) }
+// Offered names the units of the tasks that came in at a hall's gateways, in thousandths; repeats by clients among them.
+func Offered(zone string) string { return evidence.JoinName("came", zone) }
 
-// Let names the units, in thousandths, of the tasks that quotas let in at a hall's gateways, at their clients' first try: pushed,
+// Admitted names the units, in thousandths, of the tasks that quotas let in at a hall's gateways, at their clients' first try: pushed,
 // or not, as there was no room. It is the demand that the decider goes by.
-func Let(hall string) string { return evidence.Name("let", hall) }
+func Admitted(zone string) string { return evidence.JoinName("let", zone) }
 
-// Pushed names the units, in thousandths, of all pushes from a hall to a hall.
-func Pushed(from, to string) string { return evidence.Name("pushed", from, to) }
+// Attempted names the units, in thousandths, of all pushes from a hall to a hall.
+func Attempted(from, to string) string { return evidence.JoinName("pushed", from, to) }
 
-// Hows are the ways in which Ended counts that pushes end.
-func Hows() []string { return []string{well, ill, full} }
+// Outcomes are the ways in which Ended counts that pushes end.
+func Outcomes() []string { return []string{outcomeAnswered, outcomeFailed, outcomeRejected} }
 
-// Ended names the pushes from a hall to a hall that ended well, ill, or full (turned away).
-func Ended(from, to, how string) string { return evidence.Name("ended", from, to, how) }
+// Completed names the pushes from a hall to a hall that ended well, ill, or full (turned away).
+func Completed(from, to, outcome string) string { return evidence.JoinName("ended", from, to, outcome) }
 
-// Took names the milliseconds that answers took, by halls.
-func Took(from, to string) string { return evidence.Name("took", from, to) }
+// AnswerTime names the milliseconds that answers took, by halls.
+func AnswerTime(from, to string) string { return evidence.JoinName("took", from, to) }
 
-// Count names the calls to the counter of a hall's gateways that ended well, or late (in time for no task, or not at all).
-func Count(hall, how string) string { return evidence.Name("count", hall, how) }
+// CounterCalls names the calls to the counter of a hall's gateways that ended well, or late (in time for no task, or not at all).
+func CounterCalls(zone, outcome string) string { return evidence.JoinName("count", zone, outcome) }
 
 // Strength is told in bands, so that the word of one gateway with a wrong list moves no mean: who sums up takes the
 // band of the middle gateway, and the mean within it.
 const (
-	Bands     = 64   // band 0 is no strength at all
-	bandFirst = 0.1  // strength at which band 1 ends, in servers of power 1
-	bandRatio = 1.25 // of a band's ends
+	PowerBands   = 64   // band 0 is no strength at all
+	firstBandEnd = 0.1  // strength at which band 1 ends, in servers of power 1
+	bandRatio    = 1.25 // of a band's ends
 )
 
-// Band is the band of a strength.
-func Band(strength float64) int {
-	if strength <= 0 {
+// PowerBand is the band of a strength.
+func PowerBand(power float64) int {
+	if power <= 0 {
 		return 0
 	}
-	return min(max(1+int(math.Ceil(math.Log(strength/bandFirst)/math.Log(bandRatio))), 1), Bands-1)
+	return min(max(1+int(math.Ceil(math.Log(power/firstBandEnd)/math.Log(bandRatio))), 1), PowerBands-1)
 }
 
-// Ready names the milliseconds in which gateways anywhere had a hall's strength in a band.
-func Ready(hall string, band int) string { return evidence.Name("ready", hall, strconv.Itoa(band)) }
+// ReadyTime names the milliseconds in which gateways anywhere had a hall's strength in a band.
+func ReadyTime(zone string, band int) string {
+	return evidence.JoinName("ready", zone, strconv.Itoa(band))
+}
 
-// Strength names the sum of the strengths in that band: in ready, warm servers of power 1, times milliseconds.
-func Strength(hall string, band int) string {
-	return evidence.Name("strength", hall, strconv.Itoa(band))
+// ReadyPower names the sum of the strengths in that band: in ready, warm servers of power 1, times milliseconds.
+func ReadyPower(zone string, band int) string {
+	return evidence.JoinName("strength", zone, strconv.Itoa(band))
 }
--- a/policy/book.go
+++ b/policy/book.go
@@ -5,180 +5,188 @@
 	"time"
 )
 
-// windows begins the customer's windows, of which none was seen yet.
-func (b *book) windows(now time.Duration) {
-	never := look{window: -1, at: now, level: b.plan.Burst}
-	b.looks, b.opened, b.blocked, b.length = [2]look{never, never}, 0, 0, 0
-	if b.plan.Rate > 0 {
-		length := time.Duration(windowFills * b.plan.Burst / b.plan.Rate * float64(time.Second))
-		b.length = min(max(length, windowLeast), keepMost/2)
-	} else if b.plan.AtOnce > 0 {
-		b.length = windowOut
+// resetWindows begins the customer's windows, of which none was seen yet.
+func (customer *customerState) resetWindows(now time.Duration) {
+	never := countSample{window: -1, at: now, level: customer.plan.Burst}
+	customer.samples, customer.initializedWindow, customer.blockedUntil, customer.windowLength = [2]countSample{never, never}, 0, 0, 0
+	if customer.plan.Rate > 0 {
+		length := time.Duration(burstFillsPerWindow * customer.plan.Burst / customer.plan.Rate * float64(time.Second))
+		customer.windowLength = min(max(length, minWindow), maxCounterTTL/2)
+	} else if customer.plan.MaxInFlight > 0 {
+		customer.windowLength = inFlightWindow
 	}
-	b.offset = time.Duration(name(b.customer, 0) % uint64(max(b.length, 1)))
+	customer.windowOffset = time.Duration(counterName(customer.id, 0) % uint64(max(customer.windowLength, 1)))
 }
 
-// window gives the number of the window that a time falls in, start a window's start.
-func (b *book) window(at time.Duration) int64 { return int64((at + b.offset) / b.length) }
+// windowAt gives the number of the window that a time falls in, start a window's start.
+func (customer *customerState) windowAt(at time.Duration) int64 {
+	return int64((at + customer.windowOffset) / customer.windowLength)
+}
 
-func (b *book) start(window int64) time.Duration { return time.Duration(window)*b.length - b.offset }
+func (customer *customerState) windowStart(window int64) time.Duration {
+	return time.Duration(window)*customer.windowLength - customer.windowOffset
+}
 
-// thin tells that tasks come here too seldom to learn of the customer: our share of a burst holds under two.
-func (b *book) thin(units float64) bool { return b.plan.Burst < thinTasks*units*b.width }
+// isSparse tells that tasks come here too seldom to learn of the customer: our share of a burst holds under two.
+func (customer *customerState) isSparse(units float64) bool {
+	return customer.plan.Burst < sparseRequests*units*customer.gateways
+}
 
-// level is what the store can hold by the looks so far: what it held at the latest and what came since, up to
+// estimateLevel is what the store can hold by the looks so far: what it held at the latest and what came since, up to
 // a burst; ours is what we charged since, in case the counter forgot. A window not seen yet starts full: what
 // lacked then stands in its count. It stops at nought: what an empty store sends on takes nothing from it.
-func (b *book) level(window int64, at time.Duration, total, ours float64) float64 {
-	from, most := look{at: b.start(window), level: b.plan.Burst}, b.plan.Burst
-	for _, l := range b.looks {
+func (customer *customerState) estimateLevel(window int64, at time.Duration, total, ours float64) float64 {
+	from, most := countSample{at: customer.windowStart(window), level: customer.plan.Burst}, customer.plan.Burst
+	for _, l := range customer.samples {
 		if l.window == window {
 			from = l
 		} else if l.window < window {
-			most = min(most, l.level+b.plan.Rate*max(at-l.at, 0).Seconds())
+			most = min(most, l.level+customer.plan.Rate*max(at-l.at, 0).Seconds())
 		}
 	}
 	used := max(total-from.total, ours)
-	return max(min(from.level+b.plan.Rate*(at-from.at).Seconds()-used, most), 0)
+	return max(min(from.level+customer.plan.Rate*(at-from.at).Seconds()-used, most), 0)
 }
 
-func (b *book) fill(now time.Duration) {
-	passed := (now - b.filled).Seconds()
-	b.filled = now
-	b.left = min(b.left+b.plan.Rate*passed, b.plan.Burst)
-	b.busy *= math.Exp(-passed / busyTime.Seconds())
-	b.ceiling = min(b.ceiling+b.plan.CeilingRate/b.width*passed, b.plan.CeilingBurst/b.width)
+func (customer *customerState) refill(now time.Duration) {
+	passed := (now - customer.refilledAt).Seconds()
+	customer.refilledAt = now
+	customer.available = min(customer.available+customer.plan.Rate*passed, customer.plan.Burst)
+	customer.demandInFlight *= math.Exp(-passed / demandDecay.Seconds())
+	customer.ceilingAvailable = min(customer.ceilingAvailable+customer.plan.CeilingRate/customer.gateways*passed, customer.plan.CeilingBurst/customer.gateways)
 }
 
-// unseen is what others likely sent on and did not charge yet: their rate in the window last looked at, for
+// uncountedByOthers is what others likely sent on and did not charge yet: their rate in the window last looked at, for
 // an answer's time. It guards against a count that lags by what is out.
-func (b *book) unseen(usual time.Duration) float64 {
-	l := b.looks[0]
-	passed := max(l.at-b.start(l.window), b.length/2, 1)
-	return l.total * (1 - 1/b.width) * float64(usual) / float64(passed)
+func (customer *customerState) uncountedByOthers(usual time.Duration) float64 {
+	l := customer.samples[0]
+	passed := max(l.at-customer.windowStart(l.window), customer.windowLength/2, 1)
+	return l.total * (1 - 1/customer.gateways) * float64(usual) / float64(passed)
 }
 
-// name is a hash of customer and window number.
-func name(customer uint64, window int64) uint64 {
-	x := (customer*0x9e3779b97f4a7c15 + uint64(window)) * 0xbf58476d1ce4e5b9
+// counterName is a hash of customer and window number.
+func counterName(customerID uint64, window int64) uint64 {
+	x := (customerID*0x9e3779b97f4a7c15 + uint64(window)) * 0xbf58476d1ce4e5b9
 	return x ^ x>>31
 }
 
-// counts tells that the customer's count is one of pushes out.
-func (b *book) counts() bool { return b.plan.Rate <= 0 && b.plan.AtOnce > 0 }
+// countsInFlight tells that the customer's count is one of pushes out.
+func (customer *customerState) countsInFlight() bool {
+	return customer.plan.Rate <= 0 && customer.plan.MaxInFlight > 0
+}
 
-// metered takes word of the part of its rate that the customer uses.
-func (b *book) metered(part float64) {
-	b.told = min(b.told+1, useMost)
-	b.use += (part - b.use) / b.told
-	if b.told == 1 {
-		b.left += b.assumed * (1 - b.others())
-		b.assumed *= b.others()
+// recordUsage takes word of the part of its rate that the customer uses.
+func (customer *customerState) recordUsage(part float64) {
+	customer.usageReports = min(customer.usageReports+1, maxUsageReports)
+	customer.usage += (part - customer.usage) / customer.usageReports
+	if customer.usageReports == 1 {
+		customer.available += customer.assumedByOthers * (1 - customer.othersFraction())
+		customer.assumedByOthers *= customer.othersFraction()
 	}
 }
 
-// others is the part of what we send on that each other gateway is taken to send on, where no total tells:
+// othersFraction is the part of what we send on that each other gateway is taken to send on, where no total tells:
 // all, or the metered use squared, as a customer that uses half of its rate seldom empties its store.
-func (b *book) others() float64 { return min(b.use*b.use, 1) }
+func (customer *customerState) othersFraction() float64 { return min(customer.usage*customer.usage, 1) }
 
-// charge makes a call that brings the pending charges; j is the task that waits for it, if any.
-func (d *desk) charge(b *book, j *job, weight float64) {
-	c := call{job: j, book: b, window: b.window(d.now)}
-	for _, p := range b.pending {
-		if d.now-p.at < chargeStale {
+// countWithCharges makes a call that brings the pending charges; j is the task that waits for it, if any.
+func (d *admission) countWithCharges(customer *customerState, request *requestState, weight float64) {
+	c := counterCall{request: request, customer: customer, window: customer.windowAt(d.now)}
+	for _, p := range customer.pending {
+		if d.now-p.at < maxChargeAge {
 			c.charges = append(c.charges, p)
-			c.sum += p.units * weight
+			c.units += p.units * weight
 		} else {
-			b.owed -= p.units
+			customer.uncounted -= p.units
 		}
 	}
-	b.pending = nil
-	if b.counts() {
-		j.claim = c.window
-		c.sum++
+	customer.pending = nil
+	if customer.countsInFlight() {
+		request.claimedWindow = c.window
+		c.units++
 	}
-	d.ring(c)
+	d.callCounter(c)
 }
 
-func (d *desk) ring(c call) {
-	id := name(c.book.customer, c.window)
-	c.era = c.book.era
+func (d *admission) callCounter(c counterCall) {
+	id := counterName(c.customer.id, c.window)
+	c.quotaEpoch = c.customer.quotaEpoch
 	d.calls[id] = append(d.calls[id], c)
-	d.host.Count(id, min(max(2*c.book.length, windowLeast), keepMost), c.sum)
+	d.host.Count(id, min(max(2*c.customer.windowLength, minWindow), maxCounterTTL), c.units)
 }
 
-// counted takes a total. Charges of a call that timed out are held to be added: a count too high rejects
+// handleCount takes a total. Charges of a call that timed out are held to be added: a count too high rejects
 // to its window's end, one too low is one of several guards. Calls are left out by lot as they go wrong.
-func (d *desk) counted(n note) {
-	queue := d.calls[n.tally.Name]
+func (d *admission) handleCount(n message) {
+	queue := d.calls[n.count.Name]
 	if len(queue) == 0 {
 		return
 	}
 	c := queue[0]
-	if d.calls[n.tally.Name] = queue[1:]; len(queue) == 1 {
-		delete(d.calls, n.tally.Name)
+	if d.calls[n.count.Name] = queue[1:]; len(queue) == 1 {
+		delete(d.calls, n.count.Name)
 	}
-	read := n.tally.Outcome == Answered && c.era == c.book.era
-	if read && n.tally.Took < d.site.CountLimit {
-		d.run = min(d.run+1, heedRun)
-		d.heed = min(d.heed*(1+heedMore*d.run), 1)
+	read := n.count.Outcome == Answered && c.quotaEpoch == c.customer.quotaEpoch
+	if read && n.count.Latency < d.settings.CountTimeout {
+		d.fastAnswers = min(d.fastAnswers+1, maxFastAnswers)
+		d.callProbability = min(d.callProbability*(1+callRecovery*d.fastAnswers), 1)
 	} else {
-		d.run, d.heed = 0, max(d.heed*heedLess, heedLeast)
+		d.fastAnswers, d.callProbability = 0, max(d.callProbability*callBackoff, minCallProbability)
 	}
-	taken := read || n.tally.Outcome == TimedOut
-	if d.taken -= d.taken / samplesRate; taken {
-		d.taken += 1.0 / samplesRate
+	taken := read || n.count.Outcome == TimedOut
+	if d.acceptedFraction -= d.acceptedFraction / rateSamples; taken {
+		d.acceptedFraction += 1.0 / rateSamples
 	}
-	if !taken && c.job != nil {
-		c.job.claim = 0
-		c.book.pending = append(c.book.pending, c.charges...)
+	if !taken && c.request != nil {
+		c.request.claimedWindow = 0
+		c.customer.pending = append(c.customer.pending, c.charges...)
 	} else { // a charge that went alone has no next check: those taken stand for it
 		for _, p := range c.charges {
-			c.book.owed -= p.units
-			if l := &c.book.looks[0]; l.window > c.window { // no total of this window shows it
+			c.customer.uncounted -= p.units
+			if l := &c.customer.samples[0]; l.window > c.window { // no total of this window shows it
 				l.level = max(l.level-p.units, 0)
 			}
 		}
 	}
-	if read && c.book.counts() {
-		if c.job != nil && n.tally.Total-c.sum >= float64(c.book.plan.AtOnce) {
-			c.book.blocked = d.now + max(time.Duration(blockedPart*float64(c.job.row.decile(5))), d.site.Tick)
+	if read && c.customer.countsInFlight() {
+		if c.request != nil && n.count.Total-c.units >= float64(c.customer.plan.MaxInFlight) {
+			c.customer.blockedUntil = d.now + max(time.Duration(blockedFraction*float64(c.request.class.latencyDecile(5))), d.settings.ClockTick)
 		}
 	} else if read {
-		d.read(c, n.tally.Total)
+		d.recordSample(c, n.count.Total)
 	}
-	if c.job != nil && c.job.asked {
-		d.host.Forget(uint64(c.job.ID)*wakeKinds + wakeCheck)
-		d.decide(c.job, read)
+	if c.request != nil && c.request.awaitsCount {
+		d.host.CancelTimer(uint64(c.request.ID)*timerKinds + timerCounterWait)
+		d.decide(c.request, read)
 	}
 }
 
-// read keeps a look at a total. Whoever finds a window's count untouched opens it: it reads what came of the
+// recordSample keeps a look at a total. Whoever finds a window's count untouched opens it: it reads what came of the
 // one before and carries over what that overran, for gateways that did not see it.
-func (d *desk) read(c call, units float64) {
-	b := c.book
-	current := b.window(d.now)
+func (d *admission) recordSample(c counterCall, units float64) {
+	customer := c.customer
+	current := customer.windowAt(d.now)
 	switch {
-	case c.window < current && c.job == nil && len(c.charges) == 0:
-		lacks := b.plan.Burst - b.level(c.window, b.start(current), units, 0)
+	case c.window < current && c.request == nil && len(c.charges) == 0:
+		lacks := customer.plan.Burst - customer.estimateLevel(c.window, customer.windowStart(current), units, 0)
 		if lacks > 0 && c.window == current-1 {
-			d.ring(call{book: b, window: current, sum: lacks})
+			d.callCounter(counterCall{customer: customer, window: current, units: lacks})
 		}
 		return
-	case units <= c.sum && b.opened != c.window:
-		b.opened = c.window
-		d.ring(call{book: b, window: c.window - 1})
+	case units <= c.units && customer.initializedWindow != c.window:
+		customer.initializedWindow = c.window
+		d.callCounter(counterCall{customer: customer, window: c.window - 1})
 	}
-	l := &b.looks[0]
+	l := &customer.samples[0]
 	if c.window < l.window {
 		return
 	}
-	b.fill(d.now)
-	level := b.level(c.window, d.now, units, c.sum)
+	customer.refill(d.now)
+	level := customer.estimateLevel(c.window, d.now, units, c.units)
 	if c.window > l.window { // its count lacks what was charged to the one before, since our latest look
-		level = max(min(level, b.left+b.owed), 0)
-		b.looks[1] = *l
+		level = max(min(level, customer.available+customer.uncounted), 0)
+		customer.samples[1] = *l
 	}
-	*l = look{c.window, d.now, units, level}
-	b.left, b.assumed = level-b.owed, 0
+	*l = countSample{c.window, d.now, units, level}
+	customer.available, customer.assumedByOthers = level-customer.uncounted, 0
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -8,31 +8,31 @@
 
 // The days play many gateways, each with its own module and part of the servers, under one clock (cold_world_test.go).
 const (
-	coldRate    = 25.0            // tasks of mean work that a warm server does in a second
-	coldAt      = 3 * time.Second // when the cold servers start
-	coldFor     = 4 * time.Second // how long they are watched from then on
-	coldBusy    = 0.7             // part of what all servers can do, were they warm, that comes in
-	coldNetwork = 5 * time.Millisecond
+	warmRate     = 25.0            // tasks of mean work that a warm server does in a second
+	restartAt    = 3 * time.Second // when the cold servers start
+	watchTime    = 4 * time.Second // how long they are watched from then on
+	steadyLoad   = 0.7             // part of what all servers can do, were they warm, that comes in
+	networkDelay = 5 * time.Millisecond
 )
 
-// day is a row: what comes when, and what happens to whom. What is left out is steady.
-type day struct {
-	name    string
-	cold    float64                              // part of the servers that start
-	load    func(t time.Duration) float64        // times the steady one
-	part    func(t time.Duration, g int) float64 // of a gateway, times the mean one's
-	told    func(g int) time.Duration            // how long after a start a gateway hears of it
-	restart time.Duration                        // of all gateways
-	failing float64                              // part of the servers that fails half of the tasks, at once
-	lost    bool                                 // those that start were silent for two seconds before
-	units   func(lot float64) float64            // of a task
-	mean    float64                              // of these; 0: 1
-	watched time.Duration                        // from the start on; 0: coldFor
-	leave   time.Duration                        // after the start, when the warm servers do; 0: they stay
-	fair    float64                              // the least part of their due that the cold ones must get
+// warmUpCase is a row: what comes when, and what happens to whom. What is left out is steady.
+type warmUpCase struct {
+	name              string
+	restartedFraction float64                              // part of the servers that start
+	load              func(t time.Duration) float64        // times the steady one
+	gatewayShare      func(t time.Duration, g int) float64 // of a gateway, times the mean one's
+	notifiedAfter     func(g int) time.Duration            // how long after a start a gateway hears of it
+	restart           time.Duration                        // of all gateways
+	failing           float64                              // part of the servers that fails half of the tasks, at once
+	silentBefore      bool                                 // those that start were silent for two seconds before
+	units             func(lot float64) float64            // of a task
+	meanUnits         float64                              // of these; 0: 1
+	watchTime         time.Duration                        // from the start on; 0: coldFor
+	warmServersLeave  time.Duration                        // after the start, when the warm servers do; 0: they stay
+	minShare          float64                              // the least part of their due that the cold ones must get
 }
 
-func coldDays() []day {
+func warmUpCases() []warmUpCase {
 	burst := func(low, high float64, at time.Duration) func(time.Duration) float64 {
 		return func(t time.Duration) float64 {
 			if t < at {
@@ -43,67 +43,69 @@
 	}
 	// Most see the mean, some see several times that.
 	uneven := func(_ time.Duration, g int) float64 { return []float64{0.6, 0.6, 0.8, 0.6, 2.4}[g%5] }
-	return []day{
-		{name: "steady", cold: 0.2, fair: 0.5},
-		{name: "uneven gateways", cold: 0.2, part: uneven, fair: 0.5},
-		{name: "idle, then a burst", cold: 0.2, load: burst(0.2, 1, coldAt+2*time.Second)},
+	return []warmUpCase{
+		{name: "steady", restartedFraction: 0.2, minShare: 0.5},
+		{name: "uneven gateways", restartedFraction: 0.2, gatewayShare: uneven, minShare: 0.5},
+		{name: "idle, then a burst", restartedFraction: 0.2, load: burst(0.2, 1, restartAt+2*time.Second)},
 		// What gateways saved up while they were at rest met, in one moment, the only servers that were left.
-		{name: "at rest, then all at once on the cold one", cold: 0.05, watched: 20 * time.Second,
-			leave: 18 * time.Second, load: func(t time.Duration) float64 {
+		{name: "at rest, then all at once on the cold one", restartedFraction: 0.05, watchTime: 20 * time.Second,
+			warmServersLeave: 18 * time.Second, load: func(t time.Duration) float64 {
 				switch {
-				case t < coldAt+4*time.Second:
+				case t < restartAt+4*time.Second:
 					return 1
-				case t < coldAt+18*time.Second:
+				case t < restartAt+18*time.Second:
 					return 0
 				}
 				return 4
 			}},
-		{name: "a burst beyond all servers", cold: 0.2, load: burst(0.4, 2, coldAt+time.Second)},
-		{name: "all gateways restarted", cold: 0.2, restart: coldAt + 1500*time.Millisecond},
-		{name: "told within six seconds", cold: 0.2, told: func(g int) time.Duration {
+		{name: "a burst beyond all servers", restartedFraction: 0.2, load: burst(0.4, 2, restartAt+time.Second)},
+		{name: "all gateways restarted", restartedFraction: 0.2, restart: restartAt + 1500*time.Millisecond},
+		{name: "told within six seconds", restartedFraction: 0.2, notifiedAfter: func(g int) time.Duration {
 			return time.Duration(g) * 2654435761 % (6 * time.Second)
 		}},
-		{name: "half of the servers", cold: 0.5, load: burst(0.7, 0.7, 0)},
-		{name: "half of the servers, too much for the rest", cold: 0.5},
-		{name: "retries", cold: 0.2, load: burst(0.7, 0.7, 0), failing: 0.3, fair: 0.5},
-		{name: "requests of several times the mean", cold: 0.2, mean: 1.7, units: func(lot float64) float64 {
+		{name: "half of the servers", restartedFraction: 0.5, load: burst(0.7, 0.7, 0)},
+		{name: "half of the servers, too much for the rest", restartedFraction: 0.5},
+		{name: "retries", restartedFraction: 0.2, load: burst(0.7, 0.7, 0), failing: 0.3, minShare: 0.5},
+		{name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7, units: func(lot float64) float64 {
 			return map[bool]float64{true: 8, false: 1}[lot < 0.1]
 		}},
-		{name: "a shift of traffic", cold: 0.2, part: func(t time.Duration, g int) float64 {
+		{name: "a shift of traffic", restartedFraction: 0.2, gatewayShare: func(t time.Duration, g int) float64 {
 			switch {
-			case t < coldAt-3*time.Second:
+			case t < restartAt-3*time.Second:
 				return 1
-			case (t < coldAt+2*time.Second) == (g%2 == 0):
+			case (t < restartAt+2*time.Second) == (g%2 == 0):
 				return 1.96
 			}
 			return 0.04
 		}},
-		{name: "a zone back", cold: 0.33, load: burst(0.7, 0.7, 0), lost: true, told: func(g int) time.Duration {
+		{name: "a zone back", restartedFraction: 0.33, load: burst(0.7, 0.7, 0), silentBefore: true, notifiedAfter: func(g int) time.Duration {
 			return time.Duration(g) * 2654435761 % time.Second
 		}},
 	}
 }
 
 type arrival struct {
-	at    time.Duration
-	work  float64
-	known bool // its gateway had been told of the start
+	at       time.Duration
+	work     float64
+	notified bool // its gateway had been told of the start
 }
 
-func (f *fleet) colds() []*server { return f.servers[:int(f.cold*float64(len(f.servers)))] }
+func (f *fleet) restarted() []*server {
+	return f.servers[:int(f.restartedFraction*float64(len(f.servers)))]
+}
 
-func (f *fleet) warmth(s *server, at time.Duration) float64 {
+func (f *fleet) warmUpFraction(s *server, at time.Duration) float64 {
 	if s.since == 0 {
 		return 1
 	}
-	return min(1, f.site.ColdFrom+(1-f.site.ColdFrom)*float64(at-s.since)/float64(f.site.WarmAfter))
+	return min(1, f.site.WarmUpStart+(1-f.site.WarmUpStart)*float64(at-s.since)/float64(f.site.WarmUpTime))
 }
 
-// worst is the most that a cold server got of all gateways in the time that the settings name, as a part of its budget
+// worstOverload is the most that a cold server got of all gateways in the time that the settings name, as a part of its budget
 // N with its chance of 2 sqrt(N) + 2, and that budget. Like the rule, it passes over what gateways sent that had not
 // heard of the start, if it was a third.
-func (f *fleet) worst() (part, budget float64) {
-	for _, s := range f.colds() {
+func (f *fleet) worstOverload() (part, budget float64) {
+	for _, s := range f.restarted() {
 		sum, known, first := 0.0, 0.0, 0
 		for _, a := range s.sent {
 			if a.at < s.since {
@@ -111,15 +113,15 @@
 				continue
 			}
 			sum += a.work
-			if a.known {
+			if a.notified {
 				known += a.work
 			}
-			for ; s.sent[first].at <= a.at-f.site.TipAfter; first++ {
-				if sum -= s.sent[first].work; s.sent[first].known {
+			for ; s.sent[first].at <= a.at-f.site.OverloadSpan; first++ {
+				if sum -= s.sent[first].work; s.sent[first].notified {
 					known -= s.sent[first].work
 				}
 			}
-			n := f.site.FallMultiple * f.warmth(s, a.at) * coldRate * f.site.TipAfter.Seconds()
+			n := f.site.OverloadFactor * f.warmUpFraction(s, a.at) * warmRate * f.site.OverloadSpan.Seconds()
 			if p := sum / (n + 2*math.Sqrt(n) + 2); p > part && known > sum*2/3 {
 				part, budget = p, n
 			}
@@ -128,13 +130,13 @@
 	return part, budget
 }
 
-// due is what the cold servers got, as a part of what their least warmth of a warm one's work is.
-func (f *fleet) due() float64 {
+// shareOfDue is what the cold servers got, as a part of what their least warmth of a warm one's work is.
+func (f *fleet) shareOfDue() float64 {
 	cold, warm := 0.0, 0.0
 	for _, s := range f.servers {
 		for _, a := range s.sent {
 			switch {
-			case a.at < time.Hour+coldAt:
+			case a.at < time.Hour+restartAt:
 			case s.since > 0:
 				cold += a.work
 			default:
@@ -142,32 +144,32 @@
 			}
 		}
 	}
-	n := len(f.colds())
-	all := warm / float64(len(f.servers)-n) * float64(n) * f.warmth(f.servers[0], (time.Hour+coldAt+f.end)/2)
+	n := len(f.restarted())
+	all := warm / float64(len(f.servers)-n) * float64(n) * f.warmUpFraction(f.servers[0], (time.Hour+restartAt+f.end)/2)
 	return cold / all
 }
 
 // A cold server falls by the sum of what all gateways send it. Each had a right to its next push that it kept, and
 // reckoned it by as many others as had shared its servers before, so that hundreds spent theirs in the same moment.
-func TestColdServersOverTheWholeFleet(t *testing.T) {
-	for _, d := range coldDays() {
+func TestSlowStart_overAllGateways(t *testing.T) {
+	for _, d := range warmUpCases() {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			for _, gateways := range []int{2, 20, 30, 300} {
 				got := 0.0
 				const seeds = 2
 				for seed := range int64(seeds) {
-					f := play(d, gateways, seed+1)
-					part, n := f.worst()
-					got += f.due() / seeds
-					t.Logf("%d gateways: %.2f of a budget of %.1f and chance; fair %.2f", gateways, part, n, f.due())
+					f := simulate(d, gateways, seed+1)
+					part, n := f.worstOverload()
+					got += f.shareOfDue() / seeds
+					t.Logf("%d gateways: %.2f of a budget of %.1f and chance; fair %.2f", gateways, part, n, f.shareOfDue())
 					if part > 1 {
 						t.Errorf("%d gateways, seed %d: a cold server got %.2f of its budget of %.1f and chance", gateways,
 							seed+1, part, n)
 					}
 				}
-				if got < d.fair || d.fair > 0 && got > 1.2 {
-					t.Errorf("%d gateways: the cold servers got %.2f of their due, want %.2f to 1.2", gateways, got, d.fair)
+				if got < d.minShare || d.minShare > 0 && got > 1.2 {
+					t.Errorf("%d gateways: the cold servers got %.2f of their due, want %.2f to 1.2", gateways, got, d.minShare)
 				}
 			}
 		})
