--- a/policy/course.go
+++ b/policy/course.go
@@ -6,105 +6,105 @@
 	"time"
 )
 
-// may is the one place that says, for a task and its pushes so far, whether it may be pushed to a server
+// permits is the one place that says, for a task and its pushes so far, whether it may be pushed to a server
 // (nil: to any at all) and whether it may be rejected. It guards the rule that no effect happens twice.
-func (j *job) may(now time.Duration, to *server, site *Deployment) (push, reject bool) {
-	ran := slices.IndexFunc(j.pushes, func(s sent) bool { return !s.idle }) // the first that may have run
-	push = !j.over && len(j.pushes) < site.PushLimit && (!j.isOut() || site.TwoAtOnce) &&
-		(to == nil || !to.Elective || j.elects(to))
-	if ran < 0 || j.row.Effect == Pure {
+func (request *requestState) permits(now time.Duration, to *server, settings *Settings) (push, reject bool) {
+	ran := slices.IndexFunc(request.attempts, func(s attempt) bool { return !s.neverRan }) // the first that may have run
+	push = !request.completed && len(request.attempts) < settings.MaxAttempts && (!request.hasAttemptInFlight() || settings.AllowHedging) &&
+		(to == nil || !to.Elective || request.canSettleAt(to))
+	if ran < 0 || request.class.Effect == Idempotent {
 		return push, true
 	}
-	if j.row.Effect == Effectful {
+	if request.class.Effect == NonIdempotent {
 		return false, false
 	}
-	first := j.pushes[ran]
-	same := to == nil || j.row.Group == GroupAll || j.row.Group == GroupHall && to.Hall == first.server.Hall ||
-		j.row.Group == GroupCell && to.Cell == first.server.Cell
-	return push && same && now < first.at+j.row.Window, j.row.Group == GroupAll
+	first := request.attempts[ran]
+	same := to == nil || request.class.Group == GroupAll || request.class.Group == GroupZone && to.Zone == first.server.Zone ||
+		request.class.Group == GroupRack && to.Rack == first.server.Rack
+	return push && same && now < first.startedAt+request.class.DedupWindow, request.class.Group == GroupAll
 }
 
-// elects tells whether a task is to go to a server to settle what its owner owes: its first push, if no harm is done.
-func (j *job) elects(s *server) bool {
-	return j.Prefer != 0 && j.Prefer == s.Owner && len(j.pushes) == 0 && j.row.Effect == Pure && s.warmth(s.now) >= 1
+// canSettleAt tells whether a task is to go to a server to settle what its owner owes: its first push, if no harm is done.
+func (request *requestState) canSettleAt(s *server) bool {
+	return request.PreferOwner != 0 && request.PreferOwner == s.Owner && len(request.attempts) == 0 && request.class.Effect == Idempotent && s.warmUpFraction(s.now) >= 1
 }
 
-// elected gives the servers that a task is to go to to settle; all, where none has room or the fleet is pressed.
-func (f *fleet) elected(j *job, well []*server) []*server {
-	if j.Prefer != 0 && slices.ContainsFunc(well, j.elects) && f.calm() >= 1 {
-		return slices.DeleteFunc(well, func(s *server) bool { return !j.elects(s) })
+// preferOwned gives the servers that a task is to go to to settle; all, where none has room or the fleet is pressed.
+func (f *fleet) preferOwned(request *requestState, well []*server) []*server {
+	if request.PreferOwner != 0 && slices.ContainsFunc(well, request.canSettleAt) && f.admissionProbability() >= 1 {
+		return slices.DeleteFunc(well, func(s *server) bool { return !request.canSettleAt(s) })
 	}
 	return well
 }
 
-// course is a task's way after its pushes: what follows an outcome, the final answer.
-type course struct {
+// lifecycle is a task's way after its pushes: what follows an outcome, the final answer.
+type lifecycle struct {
 	*Gateway
-	part
+	actor
 }
 
-func (c *course) lapsed(n note) {
-	n.job.over = true
-	c.close(n.job)
+func (c *lifecycle) handleDisconnect(n message) {
+	n.request.completed = true
+	c.release(n.request)
 }
 
-// back follows an outcome: done, once more elsewhere, or the final answer at once.
-func (c *course) back(n note) {
-	j, p := n.job, n.push
-	push := &j.pushes[p.Number]
-	push.unsent = p.Outcome == NoConnect || p.Outcome == Moot
-	push.ended, push.idle = true, push.unsent || p.Outcome == Full
-	j.over = j.over || p.Done
-	if p.Use > 0 && c.site.Meter > 0 {
-		j.book.metered(p.Use - 1)
+// followUp follows an outcome: done, once more elsewhere, or the final answer at once.
+func (c *lifecycle) followUp(n message) {
+	request, p := n.request, n.result
+	push := &request.attempts[p.Attempt]
+	push.neverArrived = p.Outcome == ConnectFailed || p.Outcome == NotSent
+	push.ended, push.neverRan = true, push.neverArrived || p.Outcome == Rejected
+	request.completed = request.completed || p.Final
+	if p.Usage > 0 && c.settings.UsageSpan > 0 {
+		request.customer.recordUsage(p.Usage - 1)
 	}
-	if p.Outcome == Answered && j.paid {
-		c.post(&c.desk.part, note{what: c.desk.settled, job: j, units: cmp.Or(p.Billed, j.Units)})
+	if p.Outcome == Answered && request.admitted {
+		c.send(&c.admission.actor, message{handle: c.admission.settle, request: request, units: cmp.Or(p.ActualUnits, request.Units)})
 	}
-	if j.over {
-		c.close(j)
+	if request.completed {
+		c.release(request)
 		return
 	}
-	again, _ := j.may(c.now, nil, &c.site)
-	if again && len(j.pushes) <= furtherMost && c.fleet.calm() >= 1 && c.now+j.row.decile(5) < j.soft {
-		c.post(&c.fleet.part, note{what: c.fleet.seek, job: j})
-	} else if !j.isOut() {
-		c.finish(note{job: j, away: c.fleet.spell()})
+	again, _ := request.permits(c.now, nil, &c.settings)
+	if again && len(request.attempts) <= maxRetries && c.balancer.admissionProbability() >= 1 && c.now+request.class.latencyDecile(5) < request.objectiveAt {
+		c.send(&c.balancer.actor, message{handle: c.balancer.place, request: request})
+	} else if !request.hasAttemptInFlight() {
+		c.complete(message{request: request, retryAfter: c.balancer.capacityWait()})
 	}
 }
 
-// finish gives the final answer at once: rejected where that is allowed, else terminated.
-func (c *course) finish(n note) {
-	j := n.job
-	if j.over {
+// complete gives the final answer at once: rejected where that is allowed, else terminated.
+func (c *lifecycle) complete(n message) {
+	request := n.request
+	if request.completed {
 		return
 	}
-	j.over = true
-	for i, s := range j.pushes {
-		if !s.ended && c.site.Cancelling {
-			c.host.Cancel(j.ID, i)
+	request.completed = true
+	for i, s := range request.attempts {
+		if !s.ended && c.settings.CanCancel {
+			c.host.Cancel(request.ID, i)
 		}
 	}
-	if _, reject := j.may(c.now, nil, &c.site); !reject {
-		c.host.Terminate(j.ID)
-	} else if c.site.RetryAfter {
-		c.host.Reject(j.ID, min(max(n.away, 0), c.site.MaxRetryAfter))
+	if _, reject := request.permits(c.now, nil, &c.settings); !reject {
+		c.host.Terminate(request.ID)
+	} else if c.settings.RetryAfter {
+		c.host.Reject(request.ID, min(max(n.retryAfter, 0), c.settings.MaxRetryAfter))
 	} else {
-		c.host.Reject(j.ID, 0)
+		c.host.Reject(request.ID, 0)
 	}
-	c.close(j)
+	c.release(request)
 }
 
-// close forgets a task that is over once nothing of it is out, and settles its book: it takes its units once a
+// release forgets a task that is over once nothing of it is out, and settles its book: it takes its units once a
 // push came whole to a server.
-func (c *course) close(j *job) {
-	if !j.isOut() {
+func (c *lifecycle) release(request *requestState) {
+	if !request.hasAttemptInFlight() {
 		units := 0.0
-		if slices.ContainsFunc(j.pushes, func(s sent) bool { return !s.unsent }) {
-			units = j.Units
+		if slices.ContainsFunc(request.attempts, func(s attempt) bool { return !s.neverArrived }) {
+			units = request.Units
 		}
-		c.post(&c.desk.part, note{what: c.desk.settled, job: j, units: units})
-		delete(c.jobs, j.ID)
-		c.host.Forget(uint64(j.ID)*wakeKinds + wakePatience)
+		c.send(&c.admission.actor, message{handle: c.admission.settle, request: request, units: units})
+		delete(c.requests, request.ID)
+		c.host.CancelTimer(uint64(request.ID)*timerKinds + timerDeadline)
 	}
 }
--- a/policy/desk.go
+++ b/policy/desk.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-// desk is the quota desk: the count says push or reject.
-type desk struct {
+// admission is the quota desk: the count says push or reject.
+type admission struct {
 	*Gateway
-	part
-	customers map[uint64]*book
-	books     []*book // the same, to look through
-	hand      int     // the next to be looked at
-	calls     map[uint64][]call
-	heed      float64 // chance that a call is made: 1 while the counter answers
-	run       float64 // quick answers in a row, up to heedRun
-	taken     float64 // share of the latest calls that the counter took
+	actor
+	customers        map[uint64]*customerState
+	customerList     []*customerState // the same, to look through
+	nextEviction     int              // the next to be looked at
+	calls            map[uint64][]counterCall
+	callProbability  float64 // chance that a call is made: 1 while the counter answers
+	fastAnswers      float64 // quick answers in a row, up to heedRun
+	acceptedFraction float64 // share of the latest calls that the counter took
 }
 
-// open finds a customer's book. All gateways work out the same windows from the common clock, those of the
+// customerOf finds a customer's book. All gateways work out the same windows from the common clock, those of the
 // customers apart, to crowd no counter. The ceiling's share starts from nothing as an earlier life may have
 // used it.
-func (d *desk) open(t Task) *book {
-	d.forget()
-	b := d.customers[t.Customer]
-	if b == nil {
-		plan := &d.site.Plans[t.Plan]
-		b = &book{customer: t.Customer, plan: plan, width: float64(min(max(t.Width, 1), d.site.Gateways)),
-			filled: d.born, left: plan.Burst, use: 1}
-		b.windows(d.now)
-		d.customers[t.Customer] = b
-		d.books = append(d.books, b)
+func (d *admission) customerOf(r Request) *customerState {
+	d.evictIdle()
+	customer := d.customers[r.Customer]
+	if customer == nil {
+		plan := &d.settings.Plans[r.Plan]
+		customer = &customerState{id: r.Customer, plan: plan, gateways: float64(min(max(r.GatewayCount, 1), d.settings.Gateways)),
+			refilledAt: d.startedAt, available: plan.Burst, usage: 1}
+		customer.resetWindows(d.now)
+		d.customers[r.Customer] = customer
+		d.customerList = append(d.customerList, customer)
 	}
-	return b
+	return customer
 }
 
-// forget drops books not used for as long as a count or a charge lasts, two looked at with each task. It
+// evictIdle drops books not used for as long as a count or a charge lasts, two looked at with each task. It
 // guards against customers who come once. Harm: a store that takes longer to fill is taken for full.
-func (d *desk) forget() {
-	for range min(len(d.books), 2) {
-		d.hand %= len(d.books)
-		b, end := d.books[d.hand], len(d.books)-1
-		if b.out > 0 || d.now < b.filled+keepMost {
-			d.hand++
+func (d *admission) evictIdle() {
+	for range min(len(d.customerList), 2) {
+		d.nextEviction %= len(d.customerList)
+		customer, end := d.customerList[d.nextEviction], len(d.customerList)-1
+		if customer.inFlight > 0 || d.now < customer.refilledAt+maxCounterTTL {
+			d.nextEviction++
 			continue
 		}
-		delete(d.customers, b.customer)
-		d.books[d.hand], d.books[end] = d.books[end], nil
-		d.books = d.books[:end]
+		delete(d.customers, customer.id)
+		d.customerList[d.nextEviction], d.customerList[end] = d.customerList[end], nil
+		d.customerList = d.customerList[:end]
 	}
 }
 
-// asked checks a task: the customer's pending charges are added to its count, and the answer decides. What is
+// admit checks a task: the customer's pending charges are added to its count, and the answer decides. What is
 // late, or given too little time for its units, is rejected at once: clients come again with more. While
 // calls are left out, repeats of thin customers are rejected unasked: they would take calls from first tries,
 // and each be one more chance of its task to pass unseen. Harm: a task rejected by chance.
-func (d *desk) asked(n note) {
-	j, b := n.job, n.job.book
-	b.fill(d.now)
+func (d *admission) admit(n message) {
+	request, customer := n.request, n.request.customer
+	customer.refill(d.now)
 	switch {
-	case j.over || j.paid:
-	case j.asked:
-		d.decide(j, false) // the check takes too much of the soft limit
-	case d.now >= j.soft || d.now+j.takes(hopeTenth) > j.Expires:
-		d.post(&d.course.part, note{what: d.course.finish, job: j, away: j.row.Patience})
-	case b.plan.Rate > 0 && b.left+b.assumed < j.Units && len(b.pending) == 0:
-		d.decide(j, true) // a count only grows: no total could let this task in, and nothing waits to be charged
-	case j.Repeat && d.heed < 1 && b.thin(j.Units):
-		d.post(&d.course.part, note{what: d.course.finish, job: j, away: d.fleet.spell()})
-	case d.site.HasCounter && b.length > 0 && d.now >= b.blocked &&
-		d.chance.Float64() < math.Pow(d.heed, max(b.left/max(b.plan.Burst, 1), min(b.width/needWidth, 1))):
-		j.asked = true
-		d.charge(b, j, 1)
-		d.wake(wakeCheck, j.ID, time.Duration(callPart*float64(j.row.SoftLimit)))
+	case request.completed || request.admitted:
+	case request.awaitsCount:
+		d.decide(request, false) // the check takes too much of the soft limit
+	case d.now >= request.objectiveAt || d.now+request.expectedLatency(requiredDecile) > request.Deadline:
+		d.send(&d.lifecycle.actor, message{handle: d.lifecycle.complete, request: request, retryAfter: request.class.Timeout})
+	case customer.plan.Rate > 0 && customer.available+customer.assumedByOthers < request.Units && len(customer.pending) == 0:
+		d.decide(request, true) // a count only grows: no total could let this task in, and nothing waits to be charged
+	case request.Repeat && d.callProbability < 1 && customer.isSparse(request.Units):
+		d.send(&d.lifecycle.actor, message{handle: d.lifecycle.complete, request: request, retryAfter: d.balancer.capacityWait()})
+	case d.settings.HasCounter && customer.windowLength > 0 && d.now >= customer.blockedUntil &&
+		d.random.Float64() < math.Pow(d.callProbability, max(customer.available/max(customer.plan.Burst, 1), min(customer.gateways/fullNeedGateways, 1))):
+		request.awaitsCount = true
+		d.countWithCharges(customer, request, 1)
+		d.setTimer(timerCounterWait, request.ID, time.Duration(counterWaitFraction*float64(request.class.LatencyObjective)))
 	default:
-		d.decide(j, false)
+		d.decide(request, false)
 	}
 }
 
@@ -83,93 +83,93 @@
 // rejecting a customer with room at its end. Its last units go by lot: the count lags, and a sharp edge lets
 // a whole answer time's tasks through at once. Without a total others are assumed to use as much as we, each.
 // A limit on pushes out goes by the count of them, else by what the customer's own tries here say.
-func (d *desk) decide(j *job, read bool) {
-	b := j.book
-	j.asked = false
-	if j.over {
+func (d *admission) decide(request *requestState, read bool) {
+	customer := request.customer
+	request.awaitsCount = false
+	if request.completed {
 		return
 	}
-	b.fill(d.now)
-	usual, most := j.row.decile(5), float64(b.plan.AtOnce)
-	thin, mine := b.thin(j.Units), float64(b.out)
-	unseen := b.unseen(usual)
-	held := most > 0 && mine >= most/b.width
-	if b.counts() {
-		held = mine >= most || d.now < b.blocked || !read && d.chance.Float64()*b.busy > busyPart*most
+	customer.refill(d.now)
+	usual, most := request.class.latencyDecile(5), float64(customer.plan.MaxInFlight)
+	thin, mine := customer.isSparse(request.Units), float64(customer.inFlight)
+	unseen := customer.uncountedByOthers(usual)
+	held := most > 0 && mine >= most/customer.gateways
+	if customer.countsInFlight() {
+		held = mine >= most || d.now < customer.blockedUntil || !read && d.random.Float64()*customer.demandInFlight > guessedInFlightFraction*most
 	}
-	if !j.Repeat {
-		b.busy += b.width * float64(usual) / float64(busyTime)
+	if !request.Repeat {
+		customer.demandInFlight += customer.gateways * float64(usual) / float64(demandDecay)
 	}
 	if held {
-		d.post(&d.course.part, note{what: d.course.finish, job: j, away: usual})
+		d.send(&d.lifecycle.actor, message{handle: d.lifecycle.complete, request: request, retryAfter: usual})
 		return
 	}
-	if b.plan.Rate > 0 {
+	if customer.plan.Rate > 0 {
 		chance := 0.0
-		free := b.left - unseen - j.Units
+		free := customer.available - unseen - request.Units
 		if free >= 0 {
-			ramp := b.plan.Rate * usual.Seconds()
+			ramp := customer.plan.Rate * usual.Seconds()
 			if thin {
-				ramp *= rampTimes
+				ramp *= sparseRampFactor
 			}
-			chance = min(1, (free+j.Units)/(ramp+j.Units))
+			chance = min(1, (free+request.Units)/(ramp+request.Units))
 		}
-		if chance < 1 && d.chance.Float64() >= chance {
-			d.bar(j, max(-free, j.Units), b.plan.Rate)
+		if chance < 1 && d.random.Float64() >= chance {
+			d.rejectOverQuota(request, max(-free, request.Units), customer.plan.Rate)
 			return
 		}
 	}
 	// The ceiling: our own share. The set's shares add up to it, whatever the counter, peers or a restart do.
-	if b.plan.CeilingRate > 0 {
-		if b.ceiling < j.Units {
-			d.bar(j, (j.Units-b.ceiling)*b.width, b.plan.CeilingRate)
+	if customer.plan.CeilingRate > 0 {
+		if customer.ceilingAvailable < request.Units {
+			d.rejectOverQuota(request, (request.Units-customer.ceilingAvailable)*customer.gateways, customer.plan.CeilingRate)
 			return
 		}
-		b.ceiling -= j.Units
+		customer.ceilingAvailable -= request.Units
 	}
-	j.paid = true
-	b.out++
-	b.owed += j.Units
-	b.left -= j.Units
-	if others := j.Units * (b.width - 1) * b.others(); !read {
-		b.left -= others
-		b.assumed += others
+	request.admitted = true
+	customer.inFlight++
+	customer.uncounted += request.Units
+	customer.available -= request.Units
+	if others := request.Units * (customer.gateways - 1) * customer.othersFraction(); !read {
+		customer.available -= others
+		customer.assumedByOthers += others
 	}
-	d.post(&d.fleet.part, note{what: d.fleet.seek, job: j})
+	d.send(&d.balancer.actor, message{handle: d.balancer.place, request: request})
 }
 
-func (d *desk) bar(j *job, missing, rate float64) {
-	away := time.Duration(missing / rate * float64(time.Second))
-	d.post(&d.course.part, note{what: d.course.finish, job: j, away: away})
+func (d *admission) rejectOverQuota(request *requestState, missing, rate float64) {
+	retryAfter := time.Duration(missing / rate * float64(time.Second))
+	d.send(&d.lifecycle.actor, message{handle: d.lifecycle.complete, request: request, retryAfter: retryAfter})
 }
 
-// settled ends a task's stay in the book: its true units are charged with the next check or, where none is to
+// settle ends a task's stay in the book: its true units are charged with the next check or, where none is to
 // be expected in time, by a call of their own; while calls are left out, one that goes stands for those that
 // do not. A push without an answer is charged what was told: it did count.
-func (d *desk) settled(n note) {
-	j, b := n.job, n.job.book
-	if j.claim != 0 {
-		d.ring(call{book: b, window: j.claim, sum: -1})
-		j.claim = 0
+func (d *admission) settle(n message) {
+	request, customer := n.request, n.request.customer
+	if request.claimedWindow != 0 {
+		d.callCounter(counterCall{customer: customer, window: request.claimedWindow, units: -1})
+		request.claimedWindow = 0
 	}
-	if !j.paid {
+	if !request.admitted {
 		return
 	}
-	j.paid = false
-	b.out--
-	if len(j.pushes) == 0 {
-		b.ceiling += j.Units // a first push takes it, and there was none
+	request.admitted = false
+	customer.inFlight--
+	if len(request.attempts) == 0 {
+		customer.ceilingAvailable += request.Units // a first push takes it, and there was none
 	}
-	b.owed += n.units - j.Units
-	b.left -= n.units - j.Units
-	switch alone := d.site.HasCounter && b.thin(n.units); {
-	case n.units <= 0 || b.plan.Rate <= 0:
-	case alone && d.chance.Float64() >= d.heed:
-		b.owed -= n.units // lost to the count
+	customer.uncounted += n.units - request.Units
+	customer.available -= n.units - request.Units
+	switch alone := d.settings.HasCounter && customer.isSparse(n.units); {
+	case n.units <= 0 || customer.plan.Rate <= 0:
+	case alone && d.random.Float64() >= d.callProbability:
+		customer.uncounted -= n.units // lost to the count
 	default:
-		b.pending = append(b.pending, charge{n.units, d.now})
+		customer.pending = append(customer.pending, pendingCharge{n.units, d.now})
 		if alone {
-			d.charge(b, nil, 1/d.heed/max(d.taken, heedLeast))
+			d.countWithCharges(customer, nil, 1/d.callProbability/max(d.acceptedFraction, minCallProbability))
 		}
 	}
 }
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -7,17 +7,17 @@
 
 // The calls of the module, as the golden world carries them out.
 
-func (w *goldenWorld) Push(task, server uint32, until time.Duration) {
-	w.record("attempt", task, server, until, w.module.Window(task))
-	r := w.asked[task]
+func (w *goldenWorld) Attempt(task, server uint32, until time.Duration) {
+	w.record("attempt", task, server, until, w.module.RetryDeadline(task))
+	r := w.requests[task]
 	number := len(r.attempts)
 	r.attempts = append(r.attempts, server)
 	outcome, took := w.outcome(server, r.request.Units)
 	if took > until-w.now || outcome == TimedOut {
 		outcome, took = TimedOut, max(until-w.now, 0)
 	}
-	if w.inForce.Lanes[r.request.Lane].Stream && w.chance(0.7) {
-		w.after(took/3, func() { w.module.Begun(w.now, task, number) })
+	if w.inForce.Classes[r.request.Class].Stream && w.chance(0.7) {
+		w.after(took/3, func() { w.module.HandleStreamStart(w.now, task, number) })
 	}
 	w.after(took, func() { w.end(task, number, outcome, took) })
 	if w.chance(0.02) {
@@ -38,7 +38,7 @@
 	if !w.chance(failing) {
 		return Answered, took
 	}
-	outcome := []Outcome{Errored, Full, Full, TimedOut, NoConnect, Reset, Cancelled, Moot}[w.random.Intn(8)]
+	outcome := []Outcome{Errored, Rejected, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}[w.random.Intn(8)]
 	if w.chance(0.7) {
 		took = w.between(0, 3*ms)
 	}
@@ -46,19 +46,19 @@
 }
 
 func (w *goldenWorld) end(task uint32, number int, outcome Outcome, took time.Duration) {
-	r := w.asked[task]
-	result := Push{
-		Task: task, Number: number, Server: r.attempts[number], Outcome: outcome, Took: took,
-		Done: outcome == Answered || outcome == Errored && w.chance(0.3), Report: []float32{1},
+	r := w.requests[task]
+	result := AttemptResult{
+		RequestID: task, Attempt: number, Server: r.attempts[number], Outcome: outcome, Latency: took,
+		Final: outcome == Answered || outcome == Errored && w.chance(0.3), LoadReport: []float32{1},
 	}
-	if w.inForce.Settles && w.chance(0.8) {
-		result.Billed = r.request.Units * (0.5 + w.random.Float64())
+	if w.inForce.ReportsUnits && w.chance(0.8) {
+		result.ActualUnits = r.request.Units * (0.5 + w.random.Float64())
 	}
-	if w.inForce.Meter > 0 && w.chance(0.5) {
-		result.Use = 1 + 1.5*w.random.Float64()
+	if w.inForce.UsageSpan > 0 && w.chance(0.5) {
+		result.Usage = 1 + 1.5*w.random.Float64()
 	}
-	w.module.Ended(w.now, result)
-	w.record("admitted", task, w.module.Passed(task))
+	w.module.HandleAttemptResult(w.now, result)
+	w.record("admitted", task, w.module.IsAdmitted(task))
 }
 
 func (w *goldenWorld) Cancel(task uint32, number int) {
@@ -69,11 +69,11 @@
 	}
 }
 
-func (w *goldenWorld) Reject(task uint32, away time.Duration) {
-	w.record("reject", task, away, w.module.Passed(task))
-	again := w.asked[task].request
-	if again.Repeat = true; w.chance(0.3) && len(w.asked) < goldenRequests {
-		w.after(away/2+w.between(0, 200*ms), func() { w.ask(again) })
+func (w *goldenWorld) Reject(task uint32, retryAfter time.Duration) {
+	w.record("reject", task, retryAfter, w.module.IsAdmitted(task))
+	again := w.requests[task].request
+	if again.Repeat = true; w.chance(0.3) && len(w.requests) < goldenRequests {
+		w.after(retryAfter/2+w.between(0, 200*ms), func() { w.send(again) })
 	}
 }
 
@@ -85,11 +85,11 @@
 	if w.phase() == 3 || w.chance(0.03) {
 		switch w.random.Intn(12) {
 		case 0, 1:
-			took, outcome = w.settings.CountLimit, TimedOut
+			took, outcome = w.settings.CountTimeout, TimedOut
 		case 2:
-			outcome = []Outcome{Full, NoConnect, Errored, Moot, Reset}[w.random.Intn(5)]
+			outcome = []Outcome{Rejected, ConnectFailed, Errored, NotSent, Reset}[w.random.Intn(5)]
 		case 3:
-			took = 2 * w.settings.CountLimit // late
+			took = 2 * w.settings.CountTimeout // late
 		case 4:
 			took, outcome = 200*ms, []Outcome{Answered, TimedOut}[w.random.Intn(2)] // too late to wait for
 		}
@@ -101,34 +101,34 @@
 		if w.chance(0.2) {
 			w.totals[name] += float64(w.random.Intn(4)) // another gateway's
 		}
-		answer := Tally{Name: name, Took: took, Outcome: outcome}
+		answer := CountResult{Name: name, Latency: took, Outcome: outcome}
 		if outcome == Answered {
 			answer.Total = w.totals[name]
 		}
-		w.module.Counted(w.now, answer)
+		w.module.HandleCount(w.now, answer)
 	})
 }
 
-func (w *goldenWorld) Probe(server uint32)            { w.record("health check", server) }
-func (w *goldenWorld) Tell(gateway int, words []byte) { w.record("peer", gateway, words) }
+func (w *goldenWorld) CheckHealth(server uint32)          { w.record("health check", server) }
+func (w *goldenWorld) SendPeer(gateway int, words []byte) { w.record("peer", gateway, words) }
 
-func (w *goldenWorld) Watch() {
+func (w *goldenWorld) WatchEndpoints() {
 	w.record("watch")
-	kind := []ListKind{ListWhole, ListWhole, ListCached, ListFailed}[w.random.Intn(4)]
-	if kind == ListCached && w.inForce.AskForList {
-		kind = ListWhole // a cached one is asked for again at once
+	kind := []ListKind{ListFull, ListFull, ListCached, ListFailed}[w.random.Intn(4)]
+	if kind == ListCached && w.inForce.PollList {
+		kind = ListFull // a cached one is asked for again at once
 	}
-	if len(w.asked) < goldenRequests {
-		w.after(w.between(ms, 50*ms), func() { w.module.List(w.now, kind, slices.Clone(w.listed)) })
+	if len(w.requests) < goldenRequests {
+		w.after(w.between(ms, 50*ms), func() { w.module.HandleEndpoints(w.now, kind, slices.Clone(w.listed)) })
 	}
 }
 
-func (w *goldenWorld) Wake(token uint64, after time.Duration) {
+func (w *goldenWorld) SetTimer(token uint64, after time.Duration) {
 	w.record("timer", token, after)
-	w.add(goldenEvent{at: w.now + after, isTimer: true, token: token, do: func() { w.module.Woke(w.now, token) }})
+	w.add(goldenEvent{at: w.now + after, isTimer: true, token: token, do: func() { w.module.HandleTimer(w.now, token) }})
 }
 
-func (w *goldenWorld) Forget(token uint64) {
+func (w *goldenWorld) CancelTimer(token uint64) {
 	w.record("stop timer", token)
 	if w.chance(0.9) {
 		w.queue = slices.DeleteFunc(w.queue, func(e goldenEvent) bool { return e.isTimer && e.token == token })
@@ -138,10 +138,10 @@
 // Log tells that a line was written; its text may change.
 func (w *goldenWorld) Log(string) { w.record("log") }
 
-func (w *goldenWorld) server(number uint32) Listed {
-	s := Listed{
-		Server: number, Stage: Ready, Power: float64(w.random.Intn(3)), Cell: int(number / 2), Hall: int(number % 2),
-		Kind: int(number % 3),
+func (w *goldenWorld) server(number uint32) Endpoint {
+	s := Endpoint{
+		Server: number, State: Ready, Capacity: float64(w.random.Intn(3)), Rack: int(number / 2), Zone: int(number % 2),
+		Hardware: int(number % 3),
 	}
 	if w.owners > 0 && number%3 == 0 {
 		s.Owner, s.Elective = 1+w.random.Intn(w.owners), w.chance(0.7)
@@ -151,34 +151,34 @@
 
 // listChange changes the list and brings it: the change alone, the whole list, or that there is none.
 func (w *goldenWorld) listChange() {
-	if len(w.asked) >= goldenRequests {
+	if len(w.requests) >= goldenRequests {
 		return
 	}
 	at := w.random.Intn(len(w.listed))
 	switch s := &w.listed[at]; w.random.Intn(12) {
 	case 0:
-		s.Stage = Draining
+		s.State = Draining
 	case 1:
-		s.Stage = Gone
+		s.State = Removed
 	case 2:
-		s.Stage, s.Since = Ready, w.now-w.between(0, time.Second) // started anew
+		s.State, s.StartedAt = Ready, w.now-w.between(0, time.Second) // started anew
 	case 3:
 		*s = w.server(uint32(len(w.listed) + w.random.Intn(1000) + 2)) // another in its place
-		s.Since = w.now
+		s.StartedAt = w.now
 	default:
-		s.Stage = Ready
+		s.State = Ready
 	}
 	switch w.random.Intn(16) {
 	case 0:
-		w.module.List(w.now, ListWhole, slices.Clone(w.listed))
+		w.module.HandleEndpoints(w.now, ListFull, slices.Clone(w.listed))
 	case 1:
-		w.module.List(w.now, ListCached, slices.Clone(w.listed))
+		w.module.HandleEndpoints(w.now, ListCached, slices.Clone(w.listed))
 	case 2:
-		w.module.List(w.now, ListFailed, nil)
+		w.module.HandleEndpoints(w.now, ListFailed, nil)
 	case 3:
-		w.module.List(w.now, ListWhole, slices.Clone(w.listed[:at]))
+		w.module.HandleEndpoints(w.now, ListFull, slices.Clone(w.listed[:at]))
 	default:
-		w.module.List(w.now, ListChanges, []Listed{w.listed[at]})
+		w.module.HandleEndpoints(w.now, ListDelta, []Endpoint{w.listed[at]})
 	}
 	w.after(w.between(200*ms, 3*time.Second), w.listChange)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -8,38 +8,38 @@
 // goldenCase is one set of settings that the recorded events are played against.
 type goldenCase struct {
 	name     string
-	settings Deployment
+	settings Settings
 	sharers  float64
 	servers  int
 	owners   int // owners of elective servers; 0: there are none
-	changes  []Deployment
+	changes  []Settings
 	seeds    [2]int64
 	want     [2]string
 }
 
-func goldenSettings() Deployment {
-	return Deployment{
-		Gateways: 4, Halls: 2, MyHall: 1, Tick: 2 * ms, HasCounter: true, CountLimit: 30 * ms, MostUnits: 4,
-		PushLimit: 4, RetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
-		AnswerSlack: 8 * ms, ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 2, TipAfter: time.Second,
-		Lanes: []Lane{
-			{Name: "read", SoftLimit: 400 * ms, Patience: 2 * time.Second, Gain: 1, LateShare: 0.5},
-			{Name: "all", SoftLimit: 500 * ms, Patience: 2 * time.Second, Gain: 2, Effect: Receipted,
-				Group: GroupAll, Window: 300 * ms},
-			{Name: "zone", SoftLimit: 500 * ms, Patience: 3 * time.Second, Gain: 2, Effect: Receipted,
-				Group: GroupHall, Window: 600 * ms},
-			{Name: "rack", SoftLimit: 300 * ms, Patience: 2 * time.Second, Gain: 2, Effect: Receipted,
-				Group: GroupCell, Window: 900 * ms},
-			{Name: "write", SoftLimit: 600 * ms, Patience: 2 * time.Second, Gain: 5, Effect: Effectful},
-			{Name: "stream", SoftLimit: 500 * ms, Patience: 2 * time.Second, Gain: 1, Stream: true},
-			{Name: "free", SoftLimit: 2 * time.Second, Patience: 5 * time.Second},
+func goldenSettings() Settings {
+	return Settings{
+		Gateways: 4, Zones: 2, MyZone: 1, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4,
+		MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
+		ArrivalSlack: 8 * ms, WarmUpStart: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadSpan: time.Second,
+		Classes: []TrafficClass{
+			{Name: "read", LatencyObjective: 400 * ms, Timeout: 2 * time.Second, Weight: 1, LateFraction: 0.5},
+			{Name: "all", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2, Effect: Keyed,
+				Group: GroupAll, DedupWindow: 300 * ms},
+			{Name: "zone", LatencyObjective: 500 * ms, Timeout: 3 * time.Second, Weight: 2, Effect: Keyed,
+				Group: GroupZone, DedupWindow: 600 * ms},
+			{Name: "rack", LatencyObjective: 300 * ms, Timeout: 2 * time.Second, Weight: 2, Effect: Keyed,
+				Group: GroupRack, DedupWindow: 900 * ms},
+			{Name: "write", LatencyObjective: 600 * ms, Timeout: 2 * time.Second, Weight: 5, Effect: NonIdempotent},
+			{Name: "stream", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 1, Stream: true},
+			{Name: "free", LatencyObjective: 2 * time.Second, Timeout: 5 * time.Second},
 		},
 		Plans: []Plan{
 			{Name: "wide", Rate: 300, Burst: 900, Price: 1},
 			{Name: "small", Rate: 4, Burst: 10, Price: 3},
 			{Name: "capped", Rate: 60, Burst: 90, CeilingRate: 20, CeilingBurst: 30, CeilingSlack: 2},
-			{Name: "few", Rate: 300, Burst: 90, AtOnce: 3, Price: 0.5},
-			{Name: "out", AtOnce: 4, Price: 2},
+			{Name: "few", Rate: 300, Burst: 90, MaxInFlight: 3, Price: 0.5},
+			{Name: "out", MaxInFlight: 4, Price: 2},
 			{Name: "open"},
 			{Name: "slow", Rate: 0.2, Burst: 10},
 		},
@@ -47,23 +47,23 @@
 }
 
 func goldenCases() []goldenCase {
-	with := func(change func(*Deployment)) Deployment {
+	with := func(change func(*Settings)) Settings {
 		d := goldenSettings()
 		change(&d)
 		return d
 	}
-	reordered := with(func(d *Deployment) {
-		d.Lanes = append([]Lane{{Name: "fast", SoftLimit: 200 * ms, Patience: time.Second, Gain: 3}}, d.Lanes[2:]...)
-		d.Lanes[1].SoftLimit = 350 * ms
+	reordered := with(func(d *Settings) {
+		d.Classes = append([]TrafficClass{{Name: "fast", LatencyObjective: 200 * ms, Timeout: time.Second, Weight: 3}}, d.Classes[2:]...)
+		d.Classes[1].LatencyObjective = 350 * ms
 		d.Plans = []Plan{
-			{Name: "out", AtOnce: 2}, {Name: "new", Rate: 9, Burst: 12}, {Name: "small", Rate: 8, Burst: 8},
-			{Name: "wide", AtOnce: 3}, {Name: "few"}, {Name: "open", Rate: 50, Burst: 60},
+			{Name: "out", MaxInFlight: 2}, {Name: "new", Rate: 9, Burst: 12}, {Name: "small", Rate: 8, Burst: 8},
+			{Name: "wide", MaxInFlight: 3}, {Name: "few"}, {Name: "open", Rate: 50, Burst: 60},
 		}
-		d.RetryAfter, d.Meter, d.Gateways = false, time.Second, 3
+		d.RetryAfter, d.UsageSpan, d.Gateways = false, time.Second, 3
 	})
-	noCounter := func(d *Deployment) {
-		d.HasCounter, d.RetryAfter, d.TwoAtOnce, d.Cancelling = false, false, true, true
-		d.PushLimit, d.Gateways = 2, 1
+	noCounter := func(d *Settings) {
+		d.HasCounter, d.RetryAfter, d.AllowHedging, d.CanCancel = false, false, true, true
+		d.MaxAttempts, d.Gateways = 2, 1
 	}
 	return []goldenCase{
 		{
@@ -84,8 +84,8 @@
 		},
 		{
 			name: "meter and true units",
-			settings: with(func(d *Deployment) {
-				d.Gateways, d.Settles, d.Meter, d.Cancelling = 40, true, time.Second, true
+			settings: with(func(d *Settings) {
+				d.Gateways, d.ReportsUnits, d.UsageSpan, d.CanCancel = 40, true, time.Second, true
 			}),
 			sharers: 12, servers: 12, seeds: [2]int64{5, 6},
 			want: [2]string{
@@ -103,8 +103,8 @@
 		},
 		{
 			name: "list that must be asked for, cold servers",
-			settings: with(func(d *Deployment) {
-				d.AskForList, d.MustAskIn, d.ColdFrom, d.WarmAfter = true, time.Second, 0.1, 20*time.Second
+			settings: with(func(d *Settings) {
+				d.PollList, d.MaxListAge, d.WarmUpStart, d.WarmUpTime = true, time.Second, 0.1, 20*time.Second
 			}),
 			sharers: 4, servers: 10, seeds: [2]int64{9, 10},
 			want: [2]string{
@@ -114,9 +114,9 @@
 		},
 		{
 			name: "reconfigured", settings: goldenSettings(), sharers: 4, servers: 8,
-			changes: []Deployment{
-				reordered, {}, with(noCounter), with(func(d *Deployment) { d.Gateways = 0 }), goldenSettings(),
-				with(func(d *Deployment) { d.Lanes, d.Plans = d.Lanes[:4], d.Plans[1:] }), reordered,
+			changes: []Settings{
+				reordered, {}, with(noCounter), with(func(d *Settings) { d.Gateways = 0 }), goldenSettings(),
+				with(func(d *Settings) { d.Classes, d.Plans = d.Classes[:4], d.Plans[1:] }), reordered,
 			},
 			seeds: [2]int64{11, 12},
 			want: [2]string{
@@ -126,9 +126,9 @@
 		},
 		{
 			name:     "many gateways",
-			settings: with(func(d *Deployment) { d.Gateways, d.Cancelling, d.MaxRetryAfter = 300, true, 0 }),
+			settings: with(func(d *Settings) { d.Gateways, d.CanCancel, d.MaxRetryAfter = 300, true, 0 }),
 			sharers:  100, servers: 20,
-			changes: []Deployment{with(func(d *Deployment) { d.Gateways, d.Plans[1].Burst = 200, 30 })},
+			changes: []Settings{with(func(d *Settings) { d.Gateways, d.Plans[1].Burst = 200, 30 })},
 			seeds:   [2]int64{13, 14},
 			want: [2]string{
 				"c72914708c668612d087110313a9fb407d0bdfe7ab3c79da3ee0493040e54432",
@@ -146,7 +146,7 @@
 	for _, c := range goldenCases() {
 		for i, seed := range c.seeds {
 			world := newGoldenWorld(t, c, seed)
-			if got := world.play(); got != c.want[i] {
+			if got := world.run(); got != c.want[i] {
 				t.Errorf("%s, seed %d: %s, want %s; calls: %v", c.name, seed, got, c.want[i],
 					world.calls)
 			}
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -18,18 +18,18 @@
 type goldenWorld struct {
 	*testing.T
 	goldenCase
-	sum     hash.Hash
-	calls   map[string]int
-	module  *Gateway
-	random  *rand.Rand
-	now     time.Duration
-	queue   []goldenEvent
-	queued  int
-	asked   map[uint32]*goldenRequest
-	latest  uint32
-	totals  map[uint64]float64
-	listed  []Listed
-	inForce Deployment
+	sum      hash.Hash
+	calls    map[string]int
+	module   *Gateway
+	random   *rand.Rand
+	now      time.Duration
+	queue    []goldenEvent
+	queued   int
+	requests map[uint32]*goldenRequest
+	latest   uint32
+	totals   map[uint64]float64
+	listed   []Endpoint
+	inForce  Settings
 }
 
 type goldenEvent struct {
@@ -41,7 +41,7 @@
 }
 
 type goldenRequest struct {
-	request  Task
+	request  Request
 	attempts []uint32 // the server of each
 }
 
@@ -49,7 +49,7 @@
 	t.Helper()
 	w := &goldenWorld{
 		T: t, goldenCase: c, sum: sha256.New(), calls: map[string]int{}, random: rand.New(rand.NewSource(seed)),
-		now: time.Minute, asked: map[uint32]*goldenRequest{}, totals: map[uint64]float64{}, inForce: c.settings,
+		now: time.Minute, requests: map[uint32]*goldenRequest{}, totals: map[uint64]float64{}, inForce: c.settings,
 	}
 	var err error
 	if w.module, err = New(c.settings, seed, w); err != nil {
@@ -61,10 +61,10 @@
 	return w
 }
 
-// play runs the world to its end and gives the hash of all calls.
-func (w *goldenWorld) play() string {
-	w.module.List(w.now, ListCached, w.listed)
-	w.module.Shared(w.sharers)
+// run runs the world to its end and gives the hash of all calls.
+func (w *goldenWorld) run() string {
+	w.module.HandleEndpoints(w.now, ListCached, w.listed)
+	w.module.SetSharers(w.sharers)
 	w.after(0, w.arrival)
 	w.after(time.Second, w.listChange)
 	w.after(3*time.Second, w.surprise)
@@ -108,60 +108,60 @@
 // arrival brings a first try and plans the next; a long silence stands in the middle.
 func (w *goldenWorld) arrival() {
 	r := w.draw()
-	w.ask(r)
+	w.send(r)
 	if r.ID%5 == 0 {
-		w.after(w.between(0, time.Second), func() { w.module.Lapsed(w.now, r.ID) })
+		w.after(w.between(0, time.Second), func() { w.module.HandleDisconnect(w.now, r.ID) })
 	}
 	pause := w.between(0, []time.Duration{60, 40, 20, 60, 15, 60}[w.phase()]*ms)
 	switch {
-	case len(w.asked) >= goldenRequests:
+	case len(w.requests) >= goldenRequests:
 		return
-	case len(w.asked)%1000 == 0:
+	case len(w.requests)%1000 == 0:
 		pause = 65 * time.Second
 	}
 	w.after(pause, w.arrival)
 }
 
 // draw makes a request; a customer's number tells its plan.
-func (w *goldenWorld) draw() Task {
+func (w *goldenWorld) draw() Request {
 	customer := w.random.Intn(3 * len(w.inForce.Plans))
 	if w.chance(0.05) {
 		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // it hardly comes again
 	}
-	class := w.random.Intn(len(w.inForce.Lanes))
-	given := w.inForce.Lanes[class].Patience
+	class := w.random.Intn(len(w.inForce.Classes))
+	given := w.inForce.Classes[class].Timeout
 	if w.chance(0.1) {
 		given = w.between(0, given)
 	}
-	return Task{
-		Lane: class, Plan: customer % len(w.inForce.Plans), Customer: uint64(customer), First: w.random.Intn(3),
-		Width: w.random.Intn(w.settings.Gateways + 2), Units: float64(w.random.Intn(16)) / 4,
-		Expires: w.now + given, Prefer: w.random.Intn(w.owners + 1),
+	return Request{
+		Class: class, Plan: customer % len(w.inForce.Plans), Customer: uint64(customer), FirstGateway: w.random.Intn(3),
+		GatewayCount: w.random.Intn(w.settings.Gateways + 2), Units: float64(w.random.Intn(16)) / 4,
+		Deadline: w.now + given, PreferOwner: w.random.Intn(w.owners + 1),
 	}
 }
 
-// ask brings a request under a new number.
-func (w *goldenWorld) ask(r Task) {
+// send brings a request under a new number.
+func (w *goldenWorld) send(r Request) {
 	w.latest++
 	r.ID = w.latest
-	if l := w.inForce.Lanes[r.Lane]; l.Closed || w.inForce.Plans[r.Plan].Closed {
-		r.Lane, r.Plan = w.open()
+	if l := w.inForce.Classes[r.Class]; l.Retired || w.inForce.Plans[r.Plan].Retired {
+		r.Class, r.Plan = w.open()
 	}
-	w.asked[r.ID] = &goldenRequest{request: r}
-	w.module.Take(w.now, r)
-	w.record("admitted", r.ID, w.module.Passed(r.ID))
+	w.requests[r.ID] = &goldenRequest{request: r}
+	w.module.HandleRequest(w.now, r)
+	w.record("admitted", r.ID, w.module.IsAdmitted(r.ID))
 }
 
 // open gives the first class and plan that take new requests.
 func (w *goldenWorld) open() (class, plan int) {
-	return slices.IndexFunc(w.inForce.Lanes, func(l Lane) bool { return !l.Closed }),
-		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Closed })
+	return slices.IndexFunc(w.inForce.Classes, func(l TrafficClass) bool { return !l.Retired }),
+		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
 }
 
 // surprise brings what comes seldom: standstills, a counter that forgot, results and answers of nothing known,
 // another number of gateways that share the servers.
 func (w *goldenWorld) surprise() {
-	if len(w.asked) >= goldenRequests {
+	if len(w.requests) >= goldenRequests {
 		return
 	}
 	unknown := w.latest + 1000
@@ -171,33 +171,33 @@
 	case 2:
 		clear(w.totals)
 	case 3:
-		w.module.Shared(w.sharers * w.random.Float64() * 2)
+		w.module.SetSharers(w.sharers * w.random.Float64() * 2)
 	case 4:
-		w.module.Ended(w.now, Push{Task: unknown})
-		w.module.Lapsed(w.now, unknown)
-		w.module.Begun(w.now, unknown, 0)
+		w.module.HandleAttemptResult(w.now, AttemptResult{RequestID: unknown})
+		w.module.HandleDisconnect(w.now, unknown)
+		w.module.HandleStreamStart(w.now, unknown, 0)
 	case 5:
-		w.module.Counted(w.now, Tally{Name: w.random.Uint64(), Total: 5})
-		w.module.Woke(w.now, w.random.Uint64())
+		w.module.HandleCount(w.now, CountResult{Name: w.random.Uint64(), Total: 5})
+		w.module.HandleTimer(w.now, w.random.Uint64())
 	case 6:
-		w.module.Probed(w.now, 1, Answered, ms, []float32{1, 2})
-		w.module.Heard(w.now, 1, []byte("gossip"))
+		w.module.HandleHealthCheck(w.now, 1, Answered, ms, []float32{1, 2})
+		w.module.HandlePeerMessage(w.now, 1, []byte("gossip"))
 	case 7:
-		w.module.Lapsed(w.now, w.latest)
-		w.record("window", w.latest, w.module.Window(w.latest), w.module.Window(unknown), w.module.Passed(unknown))
+		w.module.HandleDisconnect(w.now, w.latest)
+		w.record("window", w.latest, w.module.RetryDeadline(w.latest), w.module.RetryDeadline(unknown), w.module.IsAdmitted(unknown))
 	}
 	w.after(w.between(100*ms, 2*time.Second), w.surprise)
 }
 
-func (w *goldenWorld) reconfigure(change Deployment) {
-	inForce, err := w.module.Reshape(w.now, change)
+func (w *goldenWorld) reconfigure(change Settings) {
+	inForce, err := w.module.Reconfigure(w.now, change)
 	w.inForce = inForce
 	w.record("settings", err == nil, inForce.Gateways, inForce.RetryAfter, inForce.HasCounter)
-	for _, l := range inForce.Lanes {
-		w.record("class", l.Name, l.Closed, l.SoftLimit)
+	for _, l := range inForce.Classes {
+		w.record("class", l.Name, l.Retired, l.LatencyObjective)
 	}
 	for _, p := range inForce.Plans {
-		w.record("plan", p.Name, p.Closed, p.Rate, p.AtOnce)
+		w.record("plan", p.Name, p.Retired, p.Rate, p.MaxInFlight)
 	}
 }
 
--- a/policy/reshape.go
+++ b/policy/reshape.go
@@ -9,16 +9,16 @@
 // This file takes new settings into a running gateway. It decides nothing: what was learned and what is under way is
 // carried over to the new lanes and plans, by their names.
 
-// After gives the settings with their lanes and plans in the places that earlier settings gave them, by name: a
+// AlignWith gives the settings with their lanes and plans in the places that earlier settings gave them, by name: a
 // task that was read by its number just before stands for the same lane and plan after. What is new comes behind;
 // what is gone stays in its place, closed, for the tasks in hand.
-func (d Deployment) After(old Deployment) Deployment {
-	d.Lanes = after(d.Lanes, old.Lanes, func(l *Lane) (string, *bool) { return l.Name, &l.Closed })
-	d.Plans = after(d.Plans, old.Plans, func(p *Plan) (string, *bool) { return p.Name, &p.Closed })
+func (d Settings) AlignWith(old Settings) Settings {
+	d.Classes = align(d.Classes, old.Classes, func(l *TrafficClass) (string, *bool) { return l.Name, &l.Retired })
+	d.Plans = align(d.Plans, old.Plans, func(p *Plan) (string, *bool) { return p.Name, &p.Retired })
 	return d
 }
 
-func after[T any](now, old []T, face func(*T) (string, *bool)) []T {
+func align[T any](now, old []T, face func(*T) (string, *bool)) []T {
 	out := slices.Clone(old)
 	for i := range out {
 		_, closed := face(&out[i])
@@ -36,73 +36,73 @@
 	return out
 }
 
-// Fit tells whether settings can be used at all: an open lane, a plan, a gateway.
-func (d *Deployment) Fit() error {
-	open := func(l Lane) bool { return !l.Closed }
-	if !slices.ContainsFunc(d.Lanes, open) || len(d.Plans) == 0 || d.Gateways < 1 {
+// Validate tells whether settings can be used at all: an open lane, a plan, a gateway.
+func (d *Settings) Validate() error {
+	open := func(l TrafficClass) bool { return !l.Retired }
+	if !slices.ContainsFunc(d.Classes, open) || len(d.Plans) == 0 || d.Gateways < 1 {
 		return errors.New("a gateway needs at least one lane, one plan and its place among the gateways")
 	}
 	return nil
 }
 
-// Reshape takes new settings in place and gives them as they are in force: lanes and plans where After puts them.
+// Reconfigure takes new settings in place and gives them as they are in force: lanes and plans where After puts them.
 // Tasks in hand end under the lane that they were taken with. Books and pushes out go on; a
 // book whose quota is another begins its windows anew, and no total of an earlier one decides in them. An error
 // means that nothing has changed.
-func (g *Gateway) Reshape(now time.Duration, site Deployment) (Deployment, error) {
-	was := g.site
-	site = site.After(was)
-	if err := site.Fit(); err != nil {
-		return was, err
+func (g *Gateway) Reconfigure(now time.Duration, settings Settings) (Settings, error) {
+	previous := g.settings
+	settings = settings.AlignWith(previous)
+	if err := settings.Validate(); err != nil {
+		return previous, err
 	}
-	g.reach(now)
-	g.shape(site)
-	for _, b := range g.desk.books {
+	g.advanceClock(now)
+	g.applySettings(settings)
+	for _, customer := range g.admission.customerList {
 		at := 0
-		for i := range was.Plans {
-			if b.plan == &was.Plans[i] {
+		for i := range previous.Plans {
+			if customer.plan == &previous.Plans[i] {
 				at = i
 			}
 		}
-		old := *b.plan
-		b.plan, b.width = &g.site.Plans[at], min(b.width, float64(site.Gateways))
-		if old.Rate != b.plan.Rate || old.Burst != b.plan.Burst || old.AtOnce != b.plan.AtOnce {
+		old := *customer.plan
+		customer.plan, customer.gateways = &g.settings.Plans[at], min(customer.gateways, float64(settings.Gateways))
+		if old.Rate != customer.plan.Rate || old.Burst != customer.plan.Burst || old.MaxInFlight != customer.plan.MaxInFlight {
 			if old.Rate <= 0 {
-				b.left = b.plan.Burst // there was no store before
+				customer.available = customer.plan.Burst // there was no store before
 			}
-			b.left, b.era = min(b.left, b.plan.Burst), b.era+1
-			b.windows(now)
+			customer.available, customer.quotaEpoch = min(customer.available, customer.plan.Burst), customer.quotaEpoch+1
+			customer.resetWindows(now)
 		}
 	}
-	plans := len(was.Plans)
-	for _, s := range g.fleet.servers {
-		turned := s.turned
-		s.fates = append(s.fates, make([]fate, len(g.lanes)-len(s.fates))...)
-		s.turned = make([]time.Duration, len(g.lanes)*len(site.Plans))
+	plans := len(previous.Plans)
+	for _, s := range g.balancer.servers {
+		turned := s.rejectedAt
+		s.health = append(s.health, make([]classHealth, len(g.classes)-len(s.health))...)
+		s.rejectedAt = make([]time.Duration, len(g.classes)*len(settings.Plans))
 		for i, at := range turned {
-			s.turned[i/plans*len(site.Plans)+i%plans] = at
+			s.rejectedAt[i/plans*len(settings.Plans)+i%plans] = at
 		}
 	}
-	return g.site, nil
+	return g.settings, nil
 }
 
-// shape makes the rows of the lanes, with what was learned of those that stay. Tasks in hand keep the rows that
+// applySettings makes the rows of the lanes, with what was learned of those that stay. Tasks in hand keep the rows that
 // they were taken with.
-func (g *Gateway) shape(site Deployment) {
-	lanes := make([]row, len(site.Lanes))
-	g.tightest = 0
-	for i, l := range site.Lanes {
-		if i < len(g.lanes) {
-			lanes[i] = g.lanes[i]
-			lanes[i].took.items = slices.Clone(lanes[i].took.items)
-			lanes[i].unit.items = slices.Clone(lanes[i].unit.items)
+func (g *Gateway) applySettings(settings Settings) {
+	lanes := make([]classState, len(settings.Classes))
+	g.tightestObjective = 0
+	for i, l := range settings.Classes {
+		if i < len(g.classes) {
+			lanes[i] = g.classes[i]
+			lanes[i].latencies.samples = slices.Clone(lanes[i].latencies.samples)
+			lanes[i].unitLatencies.samples = slices.Clone(lanes[i].unitLatencies.samples)
 		}
-		allowed := make([]time.Duration, len(site.Plans))
-		copy(allowed, lanes[i].allowed)
-		lanes[i].Lane, lanes[i].allowed = l, allowed
-		if !l.Closed && (g.tightest == 0 || l.SoftLimit < g.tightest) {
-			g.tightest = l.SoftLimit
+		allowed := make([]time.Duration, len(settings.Plans))
+		copy(allowed, lanes[i].firstTimeouts)
+		lanes[i].TrafficClass, lanes[i].firstTimeouts = l, allowed
+		if !l.Retired && (g.tightestObjective == 0 || l.LatencyObjective < g.tightestObjective) {
+			g.tightestObjective = l.LatencyObjective
 		}
 	}
-	g.site, g.lanes = site, lanes
+	g.settings, g.classes = settings, lanes
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -9,127 +9,129 @@
 
 // This file is one server's actor, and how long tasks take there.
 
-// warmth is the part of its full capacity that a server surely has at a time.
-func (s *server) warmth(at time.Duration) float64 {
-	if s.Since <= 0 || s.site.WarmAfter <= 0 {
+// warmUpFraction is the part of its full capacity that a server surely has at a time.
+func (s *server) warmUpFraction(at time.Duration) float64 {
+	if s.StartedAt <= 0 || s.settings.WarmUpTime <= 0 {
 		return 1
 	}
-	grown := float64(at-s.Since) / float64(s.site.WarmAfter)
-	return min(1, s.site.ColdFrom+(1-s.site.ColdFrom)*max(grown, 0))
+	grown := float64(at-s.StartedAt) / float64(s.settings.WarmUpTime)
+	return min(1, s.settings.WarmUpStart+(1-s.settings.WarmUpStart)*max(grown, 0))
 }
 
-// ripe tells, by lot, whether a cold server may have a push from us now. The chance is what the time since we
+// slowStartAllows tells, by lot, whether a cold server may have a push from us now. The chance is what the time since we
 // last asked brings, at its least warmth's part of what a warm one gets, and less for a task of more than the
 // mean work. Nothing is saved up. It guards against pushing over a server that has just started, also by
 // hundreds of gateways in one moment (docs/design.md). Harm: one with few tasks lets most of its part go.
-func (s *server) ripe(j *job) bool {
-	part, spare := s.warmth(s.now), s.site.FallMultiple/4*float64(s.site.TipAfter)
+func (s *server) slowStartAllows(request *requestState) bool {
+	part, spare := s.warmUpFraction(s.now), s.settings.OverloadFactor/4*float64(s.settings.OverloadSpan)
 	if part >= 1 {
 		return true
 	}
-	brings := min(float64(s.now-s.looked), spare) / float64(s.fleet.apart())
-	s.looked = s.now
-	part *= min(brings, s.site.FallMultiple/float64(len(s.fleet.up)))
-	return s.chance.Float64()*max(1, float64(j.takes(5))/max(s.fleet.work, 1)) < part
+	brings := min(float64(s.now-s.lastConsidered), spare) / float64(s.balancer.attemptInterval())
+	s.lastConsidered = s.now
+	part *= min(brings, s.settings.OverloadFactor/float64(len(s.balancer.ready)))
+	return s.random.Float64()*max(1, float64(request.expectedLatency(5))/max(s.balancer.meanWork, 1)) < part
 }
 
-// filled tells that we have as many pushes out at a server as it answers us in the time that a push may
+// isFull tells that we have as many pushes out at a server as it answers us in the time that a push may
 // take (Little's law), and our part of a few more. It guards against a queue that outlives its cause, in
 // which all work is done and all of it late, whatever filled it. Under one push, as with many gateways, one
 // server's answers tell too little; calm speaks then. Of servers whose rate is not known, with strange pushes
 // out, no more are tried at once than leaves the others' part, and twice its chance spread.
-func (s *server) filled(strange int) bool {
-	n := len(s.answers.items)
-	if n < boundLeast {
-		first := 2 * boundFree / s.fleet.sharers
-		all := first * float64(len(s.fleet.up))
-		return float64(len(s.out)) >= max(1, first) || float64(strange) >= all+2*math.Sqrt(all)
+func (s *server) isFull(strange int) bool {
+	n := len(s.responses.samples)
+	if n < minRateSamples {
+		first := 2 * exploreAttempts / s.balancer.sharingGateways
+		all := first * float64(len(s.balancer.ready))
+		return float64(len(s.inFlight)) >= max(1, first) || float64(strange) >= all+2*math.Sqrt(all)
 	}
-	span := max(s.now-s.answers.latest(n-1), s.site.Tick)
-	bound := boundFree/s.fleet.sharers + boundPart*float64(s.tightest)*float64(n)/float64(span)
-	return float64(len(s.out)+1) > max(bound, 1)
+	span := max(s.now-s.responses.newest(n-1), s.settings.ClockTick)
+	bound := exploreAttempts/s.balancer.sharingGateways + queueFraction*float64(s.tightestObjective)*float64(n)/float64(span)
+	return float64(len(s.inFlight)+1) > max(bound, 1)
 }
 
-// sick tells whether a server is to be set aside for a lane, whatever the trouble looks like: fast errors and
+// isEjectedFor tells whether a server is to be set aside for a lane, whatever the trouble looks like: fast errors and
 // refused connects (which draw tasks, as few are out there), turning away, silence. It counts for its lane
 // and for those not tried there, as others may be served. Harm: a good server is left alone for a while.
-func (s *server) sick(j *job) bool {
-	own, told := s.fates[j.Lane], s.fates[j.Lane]
-	for _, other := range s.fates {
-		if own == (fate{}) && max(other.good, other.bad) > max(told.good, told.bad) {
+func (s *server) isEjectedFor(request *requestState) bool {
+	own, told := s.health[request.Class], s.health[request.Class]
+	for _, other := range s.health {
+		if own == (classHealth{}) && max(other.lastSuccess, other.lastFailure) > max(told.lastSuccess, told.lastFailure) {
 			told = other
 		}
 	}
-	for _, o := range s.out {
-		if o.Lane == j.Lane && o.sentAt() >= own.good && s.now-o.sentAt() > o.silence() {
+	for _, o := range s.inFlight {
+		if o.Class == request.Class && o.lastAttemptAt() >= own.lastSuccess && s.now-o.lastAttemptAt() > o.silenceTimeout() {
 			return true
 		}
 	}
-	turned, while := s.turned[s.kind(j)], s.fleet.while()
-	return told.bad > told.good && s.now < told.bad+while || turned > 0 && s.now < turned+while
+	turned, while := s.rejectedAt[s.classPlanIndex(request)], s.balancer.ejectionTime()
+	return told.lastFailure > told.lastSuccess && s.now < told.lastFailure+while || turned > 0 && s.now < turned+while
 }
 
-// silence is how long a push may have no answer before it counts as lost: the longer, the more units it has.
-func (j *job) silence() time.Duration { return max(silentTimes*j.takes(9), silentLeast) }
+// silenceTimeout is how long a push may have no answer before it counts as lost: the longer, the more units it has.
+func (request *requestState) silenceTimeout() time.Duration {
+	return max(silenceFactor*request.expectedLatency(9), minSilence)
+}
 
-// takes is a decile of the time that a task will take, by its units; 0 before any answer.
-func (j *job) takes(n int) time.Duration {
-	return time.Duration(max(j.Units, 1) * float64(tenth(j.row.paces, n)))
+// expectedLatency is a decile of the time that a task will take, by its units; 0 before any answer.
+func (request *requestState) expectedLatency(n int) time.Duration {
+	return time.Duration(max(request.Units, 1) * float64(decile(request.class.sortedUnitLatencies, n)))
 }
 
-// pace is how long a unit takes, and decile is one of a lane's answer times; 0 before any answer.
-func (r *row) pace() time.Duration        { return tenth(r.paces, 5) }
-func (r *row) decile(n int) time.Duration { return tenth(r.sorted, n) }
+// unitLatency is how long a unit takes, and decile is one of a lane's answer times; 0 before any answer.
+func (r *classState) unitLatency() time.Duration        { return decile(r.sortedUnitLatencies, 5) }
+func (r *classState) latencyDecile(n int) time.Duration { return decile(r.sortedLatencies, n) }
 
-func tenth(sorted []time.Duration, n int) time.Duration {
+func decile(sorted []time.Duration, n int) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[len(sorted)*n/10]
 }
 
-// fullness is what the draw of two goes by: what we have out there for its size.
-func (s *server) fullness() float64 {
-	full := float64(len(s.out)) + 1
-	if s.Hall != s.site.MyHall {
-		full += hallPrice
+// loadScore is what the draw of two goes by: what we have out there for its size.
+func (s *server) loadScore() float64 {
+	full := float64(len(s.inFlight)) + 1
+	if s.Zone != s.settings.MyZone {
+		full += crossZonePenalty
 	}
-	return full / cmp.Or(max(s.Power, 0), 1) * (1 + s.slow)
+	return full / cmp.Or(max(s.Capacity, 0), 1) * (1 + s.slowdown)
 }
 
-func (s *server) carry(n note) {
-	j := n.job
-	s.out = append(s.out, j)
-	j.pushes = append(j.pushes, sent{server: s, at: s.now})
-	s.host.Push(j.ID, s.Server, j.Expires)
+func (s *server) startAttempt(n message) {
+	request := n.request
+	s.inFlight = append(s.inFlight, request)
+	request.attempts = append(request.attempts, attempt{server: s, startedAt: s.now})
+	s.host.Attempt(request.ID, s.Server, request.Deadline)
 }
 
-// ended takes a sample of an outcome and passes it on.
-func (s *server) ended(n note) {
-	p, j := n.push, n.job
-	if i := slices.Index(s.out, j); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
+// handleResult takes a sample of an outcome and passes it on.
+func (s *server) handleResult(n message) {
+	p, request := n.result, n.request
+	if i := slices.Index(s.inFlight, request); i >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
 	worse := 0
 	switch p.Outcome {
 	case Answered:
-		s.ill, s.fates[j.Lane].good, s.turned[s.kind(j)] = 0, s.now, 0
-		s.answers.add(samplesRate, s.now)
-	case Full:
-		worse, s.turned[s.kind(j)] = 1, s.now
-	case Errored, TimedOut, NoConnect, Reset, Cancelled:
-		if p.Outcome != Cancelled || p.Took > j.silence() { // called off silent is as good as timed out
-			worse, s.failed = illLeast, s.now
+		s.failureScore, s.health[request.Class].lastSuccess, s.rejectedAt[s.classPlanIndex(request)] = 0, s.now, 0
+		s.responses.add(rateSamples, s.now)
+	case Rejected:
+		worse, s.rejectedAt[s.classPlanIndex(request)] = 1, s.now
+	case Errored, TimedOut, ConnectFailed, Reset, Cancelled:
+		if p.Outcome != Cancelled || p.Latency > request.silenceTimeout() { // called off silent is as good as timed out
+			worse, s.lastFailure = failureWeight, s.now
 		}
 	}
-	if s.ill += worse; worse > 0 && s.ill >= s.fleet.proof() {
-		s.fates[j.Lane].bad = s.now
+	if s.failureScore += worse; worse > 0 && s.failureScore >= s.balancer.ejectionThreshold() {
+		s.health[request.Class].lastFailure = s.now
 	}
-	if sick := s.sick(j); sick != s.aside {
-		s.aside = sick
+	if sick := s.isEjectedFor(request); sick != s.ejected {
+		s.ejected = sick
 		s.host.Log(map[bool]string{true: "a server is set aside: it fails or is silent",
 			false: "a server set aside is back"}[sick])
 	}
-	s.post(&s.fleet.part, note{what: s.fleet.learn, job: j, push: p})
-	s.post(&s.course.part, note{what: s.course.back, job: j, push: p})
+	s.send(&s.balancer.actor, message{handle: s.balancer.recordResult, request: request, result: p})
+	s.send(&s.lifecycle.actor, message{handle: s.lifecycle.followUp, request: request, result: p})
 }
--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-func TestServerThatTurnsAllAwayIsLeftAlone(t *testing.T) {
-	s := begin(t, site(), 3)
+func TestEjection_serverThatRejectsAll(t *testing.T) {
+	s := newHarness(t, testSettings(), 3)
 	bad := 0
 	for id := uint32(1); id <= 100; id++ {
-		s.take(id, 0, 0, 1)
-		s.pass(ms)
-		for n := 0; s.pushed(id) > n; {
-			n = s.pushed(id)
-			if last := s.pushes[len(s.pushes)-1]; last.server != 3 {
+		s.request(id, 0, 0, 1)
+		s.advance(ms)
+		for n := 0; s.attemptsOf(id) > n; {
+			n = s.attemptsOf(id)
+			if last := s.attempts[len(s.attempts)-1]; last.server != 3 {
 				bad++ // two of three servers turn everything away, at once
-				s.end(id, Full)
+				s.finishAttempt(id, Rejected)
 			} else {
-				s.end(id, Answered)
+				s.finishAttempt(id, Answered)
 			}
 		}
 	}
@@ -26,58 +26,58 @@
 	}
 }
 
-func TestSilentServerIsSetAsideAndTriedAgain(t *testing.T) {
-	s := begin(t, site(), 3)
+func TestEjection_silentServerIsTriedAgain(t *testing.T) {
+	s := newHarness(t, testSettings(), 3)
 	for id := uint32(1); id <= 600; id++ {
-		s.take(id, 0, 0, 1)
-		s.pass(10 * ms)
-		for i := range s.pushes {
-			if p := s.pushes[i]; !p.ended && p.server != 1 {
-				s.end(p.task, Answered) // server 1 never answers
+		s.request(id, 0, 0, 1)
+		s.advance(10 * ms)
+		for i := range s.attempts {
+			if p := s.attempts[i]; !p.ended && p.server != 1 {
+				s.finishAttempt(p.request, Answered) // server 1 never answers
 			}
 		}
 	}
-	late := s.sentTo(1, time.Minute+time.Second)
+	late := s.attemptsTo(1, time.Minute+time.Second)
 	if late < 1 || late > 8 {
 		t.Errorf("%d pushes to a silent server in 5 s after its first, want a trial now and then", late)
 	}
 }
 
-func TestServerSilentInOneLaneIsSetAsideForThatLaneAlone(t *testing.T) {
-	s := begin(t, site(), 2)
+func TestEjection_silenceInOneClassEjectsForThatClassOnly(t *testing.T) {
+	s := newHarness(t, testSettings(), 2)
 	for id := uint32(1); id <= 8; id++ {
-		s.take(id, 0, 0, 1)
-		s.end(id, Answered) // both serve who looks
+		s.request(id, 0, 0, 1)
+		s.finishAttempt(id, Answered) // both serve who looks
 	}
-	s.take(9, 2, 0, 1)
-	s.pass(2 * time.Second) // who pays hears nothing
-	silent := s.g.fleet.servers[s.pushes[8].server-1]
-	if !silent.sick(s.of(2)) || silent.sick(s.of(0)) {
-		t.Errorf("set aside for the silent lane: %v, for the good one: %v", silent.sick(s.of(2)), silent.sick(s.of(0)))
+	s.request(9, 2, 0, 1)
+	s.advance(2 * time.Second) // who pays hears nothing
+	silent := s.gateway.balancer.servers[s.attempts[8].server-1]
+	if !silent.isEjectedFor(s.requestOfClass(2)) || silent.isEjectedFor(s.requestOfClass(0)) {
+		t.Errorf("set aside for the silent lane: %v, for the good one: %v", silent.isEjectedFor(s.requestOfClass(2)), silent.isEjectedFor(s.requestOfClass(0)))
 	}
 	for id := uint32(10); id <= 13; id++ {
-		s.take(id, 2, 0, 1)
-		s.end(id, Answered)
-		if got := s.pushes[len(s.pushes)-1].server; got == silent.Server {
+		s.request(id, 2, 0, 1)
+		s.finishAttempt(id, Answered)
+		if got := s.attempts[len(s.attempts)-1].server; got == silent.Server {
 			t.Errorf("task %d of the silent lane went there again", id)
 		}
 	}
 }
 
-func TestOneFailureTellsLittleWhereFailuresStrikeEverywhere(t *testing.T) {
-	s := begin(t, site(), 6)
+func TestEjection_needsMoreWhereFailuresAreEverywhere(t *testing.T) {
+	s := newHarness(t, testSettings(), 6)
 	for id := uint32(1); id <= 300; id++ { // one answer in six is spoilt, at each server alike
-		s.take(id, 2, 0, 1)
-		if p := &s.pushes[len(s.pushes)-1]; p.server == id%6+1 {
-			s.end(id, Reset)
+		s.request(id, 2, 0, 1)
+		if p := &s.attempts[len(s.attempts)-1]; p.server == id%6+1 {
+			s.finishAttempt(id, Reset)
 		} else {
-			s.end(id, Answered)
+			s.finishAttempt(id, Answered)
 		}
-		s.pass(20 * ms)
+		s.advance(20 * ms)
 	}
 	aside := 0
-	for _, server := range s.g.fleet.up {
-		if server.sick(s.of(2)) {
+	for _, server := range s.gateway.balancer.ready {
+		if server.isEjectedFor(s.requestOfClass(2)) {
 			aside++
 		}
 	}
@@ -85,53 +85,55 @@
 		t.Errorf("%d of six servers are set aside", aside)
 	}
 	for range 3 { // one that does nothing else is
-		s.g.fleet.up[0].ended(note{job: &job{Task: Task{Lane: 2}, row: &s.g.lanes[2], pushes: []sent{{server: s.g.fleet.up[0]}}},
-			push: Push{Outcome: Reset}})
+		s.gateway.balancer.ready[0].handleResult(message{request: &requestState{Request: Request{Class: 2}, class: &s.gateway.classes[2], attempts: []attempt{{server: s.gateway.balancer.ready[0]}}},
+			result: AttemptResult{Outcome: Reset}})
 	}
-	if !s.g.fleet.up[0].sick(s.of(2)) {
+	if !s.gateway.balancer.ready[0].isEjectedFor(s.requestOfClass(2)) {
 		t.Error("a server that fails always is not set aside")
 	}
 }
 
-// of is a task of a lane, of the first plan.
-func (s *story) of(lane int) *job { return &job{Task: Task{Lane: lane}, row: &s.g.lanes[lane]} }
+// requestOfClass is a task of a lane, of the first plan.
+func (s *harness) requestOfClass(class int) *requestState {
+	return &requestState{Request: Request{Class: class}, class: &s.gateway.classes[class]}
+}
 
 // A server that turned one plan away and answered another was never set aside: each answer to the other wiped out what
 // had been turned away.
-func TestAServerThatTurnsOnePlanAwayIsSetAsideForIt(t *testing.T) {
-	s := begin(t, site(), 3)
+func TestEjection_serverThatRejectsOnePlan(t *testing.T) {
+	s := newHarness(t, testSettings(), 3)
 	id, turned := uint32(0), 0
 	for range 40 {
 		for _, plan := range []int{0, 3} {
 			id++
-			s.take(id, 0, plan, 1)
-			if s.pushes[len(s.pushes)-1].server == 1 && plan == 3 {
+			s.request(id, 0, plan, 1)
+			if s.attempts[len(s.attempts)-1].server == 1 && plan == 3 {
 				turned++
-				s.end(id, Full) // what goes out again is answered
+				s.finishAttempt(id, Rejected) // what goes out again is answered
 			}
-			s.end(id, Answered)
-			s.pass(10 * ms)
+			s.finishAttempt(id, Answered)
+			s.advance(10 * ms)
 		}
 	}
 	if turned > 2 {
 		t.Errorf("the server got %d tasks of the plan that it turns away", turned)
 	}
-	if n := s.sentTo(1, 0); n < 10 {
+	if n := s.attemptsTo(1, 0); n < 10 {
 		t.Errorf("the server got %d tasks in all, though it serves the other plan", n)
 	}
 }
 
 // A push called off at its client's patience said nothing of its server, so one that took tasks and answered none stayed
 // in use.
-func TestAPushCalledOffAfterSilenceCountsAsAFailure(t *testing.T) {
+func TestEjection_cancelledAfterSilenceIsAFailure(t *testing.T) {
 	for took, aside := range map[time.Duration]bool{20 * ms: false, 1900 * ms: true} {
-		d := site()
-		d.Cancelling = true
-		s := begin(t, d, 4)
-		s.take(1, 0, 0, 1)
-		server := s.g.fleet.servers[s.pushes[0].server-1]
-		s.g.Ended(s.now, Push{Task: 1, Server: server.Server, Outcome: Cancelled, Took: took})
-		if server.sick(s.of(0)) != aside {
+		d := testSettings()
+		d.CanCancel = true
+		s := newHarness(t, d, 4)
+		s.request(1, 0, 0, 1)
+		server := s.gateway.balancer.servers[s.attempts[0].server-1]
+		s.gateway.HandleAttemptResult(s.now, AttemptResult{RequestID: 1, Server: server.Server, Outcome: Cancelled, Latency: took})
+		if server.isEjectedFor(s.requestOfClass(0)) != aside {
 			t.Errorf("called off after %v: set aside %v, want %v", took, !aside, aside)
 		}
 	}
@@ -139,29 +141,29 @@
 
 // Answer times grow with the units: a task of eight units made its lane's silence long, and a lost push of one unit was
 // noticed when its client had gone.
-func TestSilenceGoesByTheUnits(t *testing.T) {
-	s := begin(t, site(), 4)
+func TestSilenceTimeout_growsWithTheUnits(t *testing.T) {
+	s := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 4; id++ {
-		s.take(id, 0, 0, 8)
-		s.g.Ended(s.now, Push{Task: id, Server: s.pushes[id-1].server, Outcome: Answered, Took: 1600 * ms, Done: true})
+		s.request(id, 0, 0, 8)
+		s.gateway.HandleAttemptResult(s.now, AttemptResult{RequestID: id, Server: s.attempts[id-1].server, Outcome: Answered, Latency: 1600 * ms, Final: true})
 	}
-	small, large := s.of(0), s.of(0)
+	small, large := s.requestOfClass(0), s.requestOfClass(0)
 	small.Units, large.Units = 1, 8
-	if small.silence() != 800*ms || large.silence() != 6400*ms {
-		t.Errorf("silence of one unit %v, of eight %v; want four answer times of each", small.silence(), large.silence())
+	if small.silenceTimeout() != 800*ms || large.silenceTimeout() != 6400*ms {
+		t.Errorf("silence of one unit %v, of eight %v; want four answer times of each", small.silenceTimeout(), large.silenceTimeout())
 	}
 }
 
 // Of two servers with as much out, the slower was taken as often.
-func TestASlowerServerIsTakenLess(t *testing.T) {
-	s := begin(t, site(), 2)
+func TestPlacement_slowerServerIsPickedLess(t *testing.T) {
+	s := newHarness(t, testSettings(), 2)
 	for id := uint32(1); id <= 200; id++ {
-		s.take(id, 0, 0, 1)
-		p := s.pushes[len(s.pushes)-1]
-		s.g.Ended(s.now, Push{Task: id, Server: p.server, Outcome: Answered, Took: time.Duration(20*p.server) * ms, Done: true})
-		s.pass(10 * ms)
+		s.request(id, 0, 0, 1)
+		p := s.attempts[len(s.attempts)-1]
+		s.gateway.HandleAttemptResult(s.now, AttemptResult{RequestID: id, Server: p.server, Outcome: Answered, Latency: time.Duration(20*p.server) * ms, Final: true})
+		s.advance(10 * ms)
 	}
-	if fast, slow := s.sentTo(1, 0), s.sentTo(2, 0); fast < 2*slow {
+	if fast, slow := s.attemptsTo(1, 0), s.attemptsTo(2, 0); fast < 2*slow {
 		t.Errorf("%d pushes to the fast server, %d to one half as fast", fast, slow)
 	}
 }
