--- a/cmd/harrierhoist/attempt_test.go
+++ b/cmd/harrierhoist/attempt_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // isDialing tells whether a connection to an address is coming up.
@@ -47,11 +47,11 @@
 // startWithLongTimeouts starts a gateway in front of a server that is listed. It dials for a minute, and its clients wait as long.
 func startWithLongTimeouts(t *testing.T, entry string) *gatewayUnderTest {
 	t.Helper()
-	gateway := &gatewayUnderTest{T: t, addr: reservedAddress(t), counter: standin.NewCounter(t), discovery: standin.NewDiscovery(t, entry)}
-	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, standin.FormatList(1, true, entry))
+	gateway := &gatewayUnderTest{T: t, addr: reservedAddress(t), counter: fakes.NewCounter(t), discovery: fakes.NewDiscovery(t, entry)}
+	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, fakes.FormatList(1, true, entry))
 	startWithConfiguration(t, filepath.Join(t.TempDir(), "config.json"),
 		strings.NewReplacer(`"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, `:9000`, `:60000`).Replace(text))
-	standin.Eventually(t, "listening", func() bool {
+	fakes.Eventually(t, "listening", func() bool {
 		c, err := net.Dial("tcp", gateway.addr)
 		if err == nil {
 			_ = c.Close()
@@ -67,7 +67,7 @@
 func TestDisconnect_cancelsTheDial(t *testing.T) {
 	const list = "t=wide,d=60000,units=2,spread=1,first=0"
 	look := queryCommand("c=look," + list)
-	pay := standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,"+list, "x")
+	pay := fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,"+list, "x")
 	for what, c := range map[string]struct {
 		task   string
 		stays  bool
@@ -80,18 +80,18 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			full, well := standin.NewSaturatedServer(t), standin.NewServer(t, answerHello)
-			gateway := startWithLongTimeouts(t, standin.FormatHost("s-1", full.Addr, "in_service"))
+			full, well := fakes.NewSaturatedServer(t), fakes.NewServer(t, answerHello)
+			gateway := startWithLongTimeouts(t, fakes.FormatHost("s-1", full.Addr, "in_service"))
 			client := gateway.connect()
 			client.send(c.task)
-			standin.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
+			fakes.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
 			if !c.stays {
 				_ = client.Close()
 			}
 			if c.health != "" {
-				gateway.discovery.Publish(false, standin.FormatHost("s-1", full.Addr, c.health), standin.FormatHost("s-2", well.Addr, "in_service"))
+				gateway.discovery.Publish(false, fakes.FormatHost("s-1", full.Addr, c.health), fakes.FormatHost("s-2", well.Addr, "in_service"))
 			}
-			standin.Eventually(t, "the end of the dial", func() bool { return !isDialing(t, full.Addr) })
+			fakes.Eventually(t, "the end of the dial", func() bool { return !isDialing(t, full.Addr) })
 			if c.stays {
 				client.want("hello")
 			}
@@ -109,21 +109,21 @@
 // well inside the window. Once that is over nothing is written, though the server takes connections then.
 func TestRetry_isNotWrittenAfterItsWindow(t *testing.T) {
 	t.Parallel()
-	full := standin.NewSaturatedServer(t)
+	full := fakes.NewSaturatedServer(t)
 	started := make(chan *gatewayUnderTest, 1)
-	first := standin.NewServer(t, func([]string) string {
+	first := fakes.NewServer(t, func([]string) string {
 		gateway := <-started
-		gateway.discovery.Publish(false, standin.FormatHost("s-2", full.Addr, "in_service"))
+		gateway.discovery.Publish(false, fakes.FormatHost("s-2", full.Addr, "in_service"))
 		for !strings.HasPrefix(<-gateway.discovery.Queries, "since=2") { // the gateway knows of the other by now
 		}
-		return standin.CloseConn
+		return fakes.CloseConn
 	})
-	gateway := startWithLongTimeouts(t, standin.FormatHost("s-1", first.Addr, "in_service"))
+	gateway := startWithLongTimeouts(t, fakes.FormatHost("s-1", first.Addr, "in_service"))
 	started <- gateway
 	client := gateway.connect()
-	client.send(standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(),
+	client.send(fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(),
 		"c=hold,t=wide,d=60000,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0", "x"))
-	standin.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
+	fakes.Eventually(t, "a dial", func() bool { return isDialing(t, full.Addr) })
 	client.want("-ERR failed")
 	if written := full.CollectBytes(t, 1500*time.Millisecond); written != "" || first.PendingCommands() != 1 {
 		t.Errorf("written: %q", written)
--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster/link"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // voterCluster is voters of the built program on loopback, each with its file and its folder.
@@ -40,7 +40,7 @@
 }
 
 func freeAddress(t *testing.T) string {
-	l := standin.Listen(t)
+	l := fakes.Listen(t)
 	defer l.Close()
 	return l.Addr().String()
 }
@@ -109,7 +109,7 @@
 // leader gives the name of a voter that says it leads, and that others follow.
 func (c *voterCluster) leader() (leader string) {
 	c.Helper()
-	standin.Eventually(c, "a leader", func() bool {
+	fakes.Eventually(c, "a leader", func() bool {
 		votes := map[uint64]int{}
 		for name, address := range c.addresses {
 			if s, err := c.client.Info(c.Context(), address); err == nil && s.Started && s.Status.Leader != 0 {
@@ -134,7 +134,7 @@
 func (c *voterCluster) writeTable(table string, epoch uint64, value string) {
 	c.Helper()
 	c.number++
-	standin.Eventually(c, "a write", func() bool {
+	fakes.Eventually(c, "a write", func() bool {
 		for _, address := range c.addresses {
 			r, err := c.client.Propose(c.Context(), address, tables.Command{Kind: tables.Write, Proposer: "test/1", Number: c.number,
 				Table: table, Epoch: epoch, Value: []byte(value)})
@@ -149,7 +149,7 @@
 // readTable reads a table with the word of a majority.
 func (c *voterCluster) readTable(table string) (e tables.Table) {
 	c.Helper()
-	standin.Eventually(c, "a read", func() bool {
+	fakes.Eventually(c, "a read", func() bool {
 		for _, address := range c.addresses {
 			ctx, cancel := context.WithTimeout(c.Context(), time.Second)
 			found, _, err := c.client.Read(ctx, address, nil, 0)
@@ -166,17 +166,17 @@
 
 func (c *voterCluster) waitForLog(name, line string) {
 	c.Helper()
-	standin.Eventually(c, name+" says "+line, func() bool { return strings.Contains(c.logs[name].String(), line) })
+	fakes.Eventually(c, name+" says "+line, func() bool { return strings.Contains(c.logs[name].String(), line) })
 }
 
 // startGateway starts a gateway that follows.
 func (c *voterCluster) startGateway(name string) {
 	c.Helper()
-	gateway := &gatewayUnderTest{T: c.T, addr: freeAddress(c.T), server: standin.NewServer(c.T, answerHello), counter: standin.NewCounter(c.T)}
-	entry := standin.FormatHost("s-1", gateway.server.Addr, "in_service")
-	gateway.discovery = standin.NewDiscovery(c.T, entry)
+	gateway := &gatewayUnderTest{T: c.T, addr: freeAddress(c.T), server: fakes.NewServer(c.T, answerHello), counter: fakes.NewCounter(c.T)}
+	entry := fakes.FormatHost("s-1", gateway.server.Addr, "in_service")
+	gateway.discovery = fakes.NewDiscovery(c.T, entry)
 	config := filepath.Join(c.dir, name+".json")
-	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, standin.FormatList(1, true, entry))
+	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, fakes.FormatList(1, true, entry))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		c.Fatal(err)
 	}
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // silentDiscovery is discovery's: it says nothing until it is back, and then tells one list.
@@ -111,23 +111,23 @@
 // The file said a thousand sockets and the system gave 64: clients that said nothing took them all, and no server, no
 // counter and no agent could be called until they went.
 func TestDescriptors_idleClientsLeaveSomeForUpstreams(t *testing.T) {
-	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answerHello), counter: standin.NewCounter(t)}
-	later := standin.NewServer(t, func([]string) string { return standin.FormatValue("later", 1) })
-	a := newSilentDiscovery(t, standin.FormatList(2, true, standin.FormatHost("s-2", later.Addr, "in_service")))
+	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: fakes.NewServer(t, answerHello), counter: fakes.NewCounter(t)}
+	later := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("later", 1) })
+	a := newSilentDiscovery(t, fakes.FormatList(2, true, fakes.FormatHost("s-2", later.Addr, "in_service")))
 	gateway.process, gateway.log = startWithDescriptorLimit(t, 64, fmt.Sprintf(configurationTemplate, gateway.addr, a.addr, gateway.counter.Addr, 1024,
-		standin.FormatList(1, true, standin.FormatHost("s-1", gateway.server.Addr, "in_service"))))
-	standin.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"ready"`) })
+		fakes.FormatList(1, true, fakes.FormatHost("s-1", gateway.server.Addr, "in_service"))))
+	fakes.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"ready"`) })
 
 	ended, stop := connectIdleClients(t, gateway.addr, 120)
-	standin.Eventually(t, "a flood", func() bool { return ended.Load() >= 40 }) // all places taken, twice over
+	fakes.Eventually(t, "a flood", func() bool { return ended.Load() >= 40 }) // all places taken, twice over
 	c := gateway.connect()
 	c.send(queryCommand("c=look,t=wide,d=9000"))
 	c.want("hello")
 	gateway.counter.NextCall(t) // neither was called before
 	asked := a.calls.Load()
-	standin.Eventually(t, "the agent asked", func() bool { return a.calls.Load() > asked+2 }) // on new connections
+	fakes.Eventually(t, "the agent asked", func() bool { return a.calls.Load() > asked+2 }) // on new connections
 	close(a.resume)
-	standin.Eventually(t, "the list in force", func() bool {
+	fakes.Eventually(t, "the list in force", func() bool {
 		c := gateway.connect()
 		c.send(queryCommand("c=look,t=wide,d=9000"))
 		defer c.Close()
--- a/cmd/harrierhoist/disconnect_test.go
+++ b/cmd/harrierhoist/disconnect_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // A client sends much at once and goes, with tasks at the server: its end is seen behind what nobody reads, and as the
@@ -18,12 +18,12 @@
 	end := make(chan struct{})
 	gateway := startGateway(t, 1024, func([]string) string {
 		<-end
-		return standin.CloseConn
+		return fakes.CloseConn
 	})
 	c := gateway.connect()
-	c.send(strings.Repeat(standin.FormatCommand("FOO"), 3) + queryCommand("c=look,t=wide,d=8000") + queryCommand("c=look,t=wide,d=8000"))
-	standin.Eventually(t, "its tasks", func() bool { return gateway.server.PendingCommands() == 2 })
-	c.send(strings.Repeat(standin.FormatCommand("FOO"), 400) + queryCommand("c=look,t=wide,d=8000") + "*x\r\n")
+	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 3) + queryCommand("c=look,t=wide,d=8000") + queryCommand("c=look,t=wide,d=8000"))
+	fakes.Eventually(t, "its tasks", func() bool { return gateway.server.PendingCommands() == 2 })
+	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 400) + queryCommand("c=look,t=wide,d=8000") + "*x\r\n")
 	left := time.Now()
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, c) // until it is ended: so its end was seen
--- a/cmd/harrierhoist/drain_test.go
+++ b/cmd/harrierhoist/drain_test.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestTerminate_servesForAWhileAndAnswersWhatIsInFlight(t *testing.T) {
@@ -14,7 +14,7 @@
 		if strings.Contains(words[3], "n=1") {
 			<-let
 		}
-		return standin.FormatValue("hello", 1)
+		return fakes.FormatValue("hello", 1)
 	})
 	held, idle := gateway.connect(), gateway.connect()
 	held.send(queryCommand("c=look,t=wide,d=4800,n=1"))
@@ -22,7 +22,7 @@
 	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
+	fakes.Eventually(t, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
 	fresh, mum := gateway.connect(), gateway.connect()
 	for _, c := range []*client{idle, fresh} {
 		c.send(queryCommand("c=look,t=wide,d=4800"))
--- a/cmd/harrierhoist/faults_test.go
+++ b/cmd/harrierhoist/faults_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestSilentServer_timesOut(t *testing.T) {
 	gateway := startGateway(t, 1024, func([]string) string { return "" })
 	c := gateway.connect()
-	c.send(standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,t=wide,d=400", ""))
+	c.send(fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,t=wide,d=400", ""))
 	c.want("-ERR .*") // it may have run: no promise
 	c.send(queryCommand("c=look,t=wide,d=400"))
 	c.want("-BUSY.*")
@@ -28,7 +28,7 @@
 }
 
 func TestReset_nonIdempotentRequestIsNotRetried(t *testing.T) {
-	gateway := startGateway(t, 1024, func([]string) string { return standin.CloseConn })
+	gateway := startGateway(t, 1024, func([]string) string { return fakes.CloseConn })
 	c := gateway.connect()
 	c.send(submitCommand(""))
 	c.want("-ERR .*")
@@ -39,8 +39,8 @@
 
 func TestDrainingServer_getsNothingNew(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
-	other := standin.NewServer(t, func([]string) string { return standin.FormatValue("other", 1) })
-	gateway.discovery.Publish(false, standin.FormatHost("s-1", gateway.server.Addr, "terminating"), standin.FormatHost("s-2", other.Addr, "in_service"))
+	other := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("other", 1) })
+	gateway.discovery.Publish(false, fakes.FormatHost("s-1", gateway.server.Addr, "terminating"), fakes.FormatHost("s-2", other.Addr, "in_service"))
 	for q := ""; !strings.HasPrefix(q, "since=2&"); { // told
 		q = <-gateway.discovery.Queries
 	}
@@ -66,7 +66,7 @@
 	c, patient := gateway.connect(), gateway.connect()
 	_ = gateway.process.Process.Signal(syscall.SIGSTOP)
 	// The signal takes its time: sent before all threads stand still, the task was sometimes read at once.
-	standin.Eventually(t, "a standstill", func() bool {
+	fakes.Eventually(t, "a standstill", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", gateway.process.Process.Pid))
 		return strings.Contains(string(stat), ") T ")
 	})
@@ -89,8 +89,8 @@
 	c.want("hello")
 	gateway.counter.NextCall(t)
 
-	other := standin.NewServer(t, func([]string) string { return standin.FormatValue("other", 1) })
-	count, list := standin.NewCounter(t), standin.NewDiscovery(t, standin.FormatHost("s-2", other.Addr, "in_service"))
+	other := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("other", 1) })
+	count, list := fakes.NewCounter(t), fakes.NewDiscovery(t, fakes.FormatHost("s-2", other.Addr, "in_service"))
 	gateway.reload(fmt.Sprintf(configurationTemplate, gateway.addr, list.Addr, count.Addr, 1024, "null"), "a new configuration")
 	for q := ""; !strings.HasPrefix(q, "since=1&"); { // told
 		q = <-list.Queries
@@ -98,7 +98,7 @@
 	// On a machine with much to do a connection to the counter may come up too late for a task, which is then answered
 	// uncounted: calls come all the same, and to the new one alone.
 	old := len(gateway.counter.Calls)
-	standin.Eventually(t, "calls to the new counter", func() bool {
+	fakes.Eventually(t, "calls to the new counter", func() bool {
 		c.send(queryCommand("c=look,t=wide,d=4800"))
 		c.want("other")
 		return len(count.Calls) >= 3
--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -15,10 +15,10 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/cluster/link"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // countingSource is a voter at the end of a link whose calls are counted.
@@ -114,7 +114,7 @@
 		}
 		return held
 	}
-	standin.Eventually(t, "all follow", func() bool { return holds(1) == n })
+	fakes.Eventually(t, "all follow", func() bool { return holds(1) == n })
 	time.Sleep(2 * time.Second)
 	leader := c.leader()
 	type sample struct {
--- a/cmd/harrierhoist/main.go
+++ b/cmd/harrierhoist/main.go
@@ -6,11 +6,11 @@
 	"os"
 	"strings"
 
-	"harrierhoist/internal/daemon"
+	"harrierhoist/internal/gateway"
 )
 
 func main() {
-	if err := daemon.RunWithCoordination(os.Getenv("RELAY_CONFIG"), os.Getenv("RELAY_COMMON")); err != nil {
+	if err := gateway.RunWithCoordination(os.Getenv("RELAY_CONFIG"), os.Getenv("RELAY_COMMON")); err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
 			fmt.Fprintln(os.Stderr, "harrierhoist:", line)
 		}
--- a/cmd/harrierhoist/main_test.go
+++ b/cmd/harrierhoist/main_test.go
@@ -19,7 +19,7 @@
 
 	"go.uber.org/goleak"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 var program string
@@ -65,9 +65,9 @@
 	process    *exec.Cmd
 	configPath string // where its configuration is
 	log        *logBuffer
-	server     *standin.Server
-	counter    *standin.Counter
-	discovery  *standin.Discovery
+	server     *fakes.Server
+	counter    *fakes.Counter
+	discovery  *fakes.Discovery
 }
 
 // logBuffer is what the program writes.
@@ -118,24 +118,24 @@
 // startGateway starts a gateway in front of one server that answers by a function, and waits until it is ready.
 func startGateway(t *testing.T, sockets int, answer func(words []string) string) *gatewayUnderTest {
 	t.Helper()
-	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answer), counter: standin.NewCounter(t)}
-	entry := standin.FormatHost("s-1", gateway.server.Addr, "in_service")
-	gateway.discovery = standin.NewDiscovery(t, entry)
+	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: fakes.NewServer(t, answer), counter: fakes.NewCounter(t)}
+	entry := fakes.FormatHost("s-1", gateway.server.Addr, "in_service")
+	gateway.discovery = fakes.NewDiscovery(t, entry)
 	gateway.configPath = filepath.Join(t.TempDir(), "config.json")
 	gateway.process, gateway.log = startWithConfiguration(t, gateway.configPath, fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, sockets,
-		standin.FormatList(1, true, entry)))
+		fakes.FormatList(1, true, entry)))
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("the program's log:\n%s", gateway.log)
 		}
 	})
-	standin.Eventually(t, "ready", func() bool {
+	fakes.Eventually(t, "ready", func() bool {
 		c, err := net.Dial("tcp", gateway.addr)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		_, _ = io.WriteString(c, standin.FormatCommand("PING"))
+		_, _ = io.WriteString(c, fakes.FormatCommand("PING"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "+PONG\r\n"
 	})
@@ -150,7 +150,7 @@
 		gateway.Fatal(err)
 	}
 	_ = gateway.process.Process.Signal(syscall.SIGHUP)
-	standin.Eventually(gateway, line, func() bool { return strings.Count(gateway.log.String(), line) > before })
+	fakes.Eventually(gateway, line, func() bool { return strings.Count(gateway.log.String(), line) > before })
 }
 
 // client is a connection to the gateway.
@@ -204,11 +204,11 @@
 func nextRequestID() string { return fmt.Sprintf("%016x", lastRequestID.Add(1)) }
 
 func queryCommand(list string) string {
-	return standin.FormatCommand("SVC.QUERY", "00000000b4d65521", nextRequestID(), list)
+	return fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", nextRequestID(), list)
 }
 
 func submitCommand(body string) string {
-	return standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,t=wide,d=5000,units=2,spread=1,first=0", body)
+	return fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), "c=pay,t=wide,d=5000,units=2,spread=1,first=0", body)
 }
 
-func answerHello([]string) string { return standin.FormatValue("hello", 3) }
+func answerHello([]string) string { return fakes.FormatValue("hello", 3) }
--- a/cmd/harrierhoist/notified_test.go
+++ b/cmd/harrierhoist/notified_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Discovery fails in one way after the other and learns of a drain meanwhile; back, it leaves one more call without a word.
@@ -24,7 +24,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			gateway := startGateway(t, 1024, answerHello)
-			other := standin.NewServer(t, func([]string) string { return standin.FormatValue("other", 1) })
+			other := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("other", 1) })
 			gateway.reload(strings.Replace(fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, "null"),
 				`"Discovery":"push"`, fmt.Sprintf(`"Discovery":%q`, mode), 1), "a new configuration")
 			calls, back := make(chan http.HandlerFunc, len(run)), make(chan time.Time, 1)
@@ -37,7 +37,7 @@
 					ill(out, r)
 				default:
 					gateway.discovery.Fail(nil)
-					gateway.discovery.Publish(false, standin.FormatHost("s-1", gateway.server.Addr, "terminating"), standin.FormatHost("s-2", other.Addr, "in_service"))
+					gateway.discovery.Publish(false, fakes.FormatHost("s-1", gateway.server.Addr, "terminating"), fakes.FormatHost("s-2", other.Addr, "in_service"))
 					back <- time.Now()
 					hang(out, r)
 				}
--- a/cmd/harrierhoist/reload_test.go
+++ b/cmd/harrierhoist/reload_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func (gateway *gatewayUnderTest) isListening() bool {
@@ -60,7 +60,7 @@
 		"a new file in the drain": func(gateway *gatewayUnderTest, good string) {
 			send(gateway, syscall.SIGTERM)
 			waitForLog(gateway.T, gateway.log, asked)
-			standin.Eventually(gateway.T, "no listener", func() bool { return !gateway.isListening() })
+			fakes.Eventually(gateway.T, "no listener", func() bool { return !gateway.isListening() })
 			replaceFile(gateway.T, gateway.configPath, good)
 			send(gateway, syscall.SIGHUP)
 			waitForLog(gateway.T, gateway.log, taken)
@@ -86,12 +86,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			let := make(chan bool)
-			gateway := startGateway(t, 1024, func([]string) string { <-let; return standin.FormatValue("hello", 1) })
+			gateway := startGateway(t, 1024, func([]string) string { <-let; return fakes.FormatValue("hello", 1) })
 			held := gateway.connect()
 			held.send(queryCommand("c=look,t=wide,d=9000"))
 			gateway.server.NextCommand(t)
-			moved := standin.NewDiscovery(t, standin.FormatHost("s-1", gateway.server.Addr, "in_service"))
-			story(gateway, fmt.Sprintf(configurationTemplate, gateway.addr, moved.Addr, standin.NewCounter(t).Addr, 1024, "null"))
+			moved := fakes.NewDiscovery(t, fakes.FormatHost("s-1", gateway.server.Addr, "in_service"))
+			story(gateway, fmt.Sprintf(configurationTemplate, gateway.addr, moved.Addr, fakes.NewCounter(t).Addr, 1024, "null"))
 			close(let)
 			held.want("hello")
 			held.wantClosed()
@@ -102,13 +102,13 @@
 
 // environment is a server, a counter and a discovery that knows that server alone.
 type environment struct {
-	counter *standin.Counter
-	agent   *standin.Discovery
+	counter *fakes.Counter
+	agent   *fakes.Discovery
 }
 
 func newEnvironment(t *testing.T, value string) environment {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue(value, 1) })
-	return environment{standin.NewCounter(t), standin.NewDiscovery(t, standin.FormatHost("s-"+value, s.Addr, "in_service"))}
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue(value, 1) })
+	return environment{fakes.NewCounter(t), fakes.NewDiscovery(t, fakes.FormatHost("s-"+value, s.Addr, "in_service"))}
 }
 
 func (p environment) configuration(gateway *gatewayUnderTest) string {
@@ -118,7 +118,7 @@
 // wantServedAt wants tasks to go to the server of a place, and their calls to its counter. Its list may still be on its way.
 func (gateway *gatewayUnderTest) wantServedAt(by string, p environment) {
 	gateway.Helper()
-	standin.Eventually(gateway, "tasks at "+by, func() bool {
+	fakes.Eventually(gateway, "tasks at "+by, func() bool {
 		c := gateway.connect()
 		defer c.Close()
 		c.send(queryCommand("c=look,t=wide,d=9000"))
@@ -162,7 +162,7 @@
 	silent := newSilentDiscovery(t, "")
 	for name, early := range map[string]bool{"before its file is read": true, "while discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
-			gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answerHello), counter: standin.NewCounter(t)}
+			gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: fakes.NewServer(t, answerHello), counter: fakes.NewCounter(t)}
 			to := newEnvironment(t, "new")
 			gateway.configPath = filepath.Join(t.TempDir(), "config.json")
 			makePipe(t, gateway.configPath)
@@ -175,7 +175,7 @@
 			_, _ = io.WriteString(end, notReadyConfiguration(gateway, silent.addr))
 			_ = end.Close()
 			if !early {
-				standin.Eventually(t, "the silent agent asked", func() bool { return silent.calls.Load() > 0 })
+				fakes.Eventually(t, "the silent agent asked", func() bool { return silent.calls.Load() > 0 })
 				_ = gateway.process.Process.Signal(syscall.SIGHUP)
 			}
 			waitForLog(t, gateway.log, `"ready"`)
--- a/cmd/harrierhoist/requests_test.go
+++ b/cmd/harrierhoist/requests_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestRequests_areServedAndChargedTrueUnits(t *testing.T) {
@@ -48,41 +48,41 @@
 func TestBadInput_getsOneErrorAndHarmsNobody(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	for text, stays := range map[string]bool{
-		queryCommand("c=nothing,t=wide,d=480"):                                                       true,
-		queryCommand("c=pay,t=wide,d=480"):                                                           true, // effectful, but asked as a query
-		queryCommand("c=look,t=nothing,d=480"):                                                       true,
-		queryCommand("c=look,t=wide,d=0"):                                                            true,
-		queryCommand("c=look,t=wide,d=-5"):                                                           true,
-		queryCommand("c=look,t=wide,d=NaN"):                                                          true,
-		queryCommand("c=look,t=wide"):                                                                true,
-		queryCommand(""):                                                                             true,
-		queryCommand("c=look,t=wide,d=0x1p9"):                                                        true,
-		queryCommand("c=look,t=wide,d=9,units=-1"):                                                   true,
-		queryCommand("c=look,t=wide,d=9,units=7"):                                                    true, // more than a task can take
-		queryCommand("c=look,t=wide,d=9,first=1"):                                                    true, // there is one gateway
-		queryCommand("c=look,t=wide,d=9,spread=2"):                                                   true,
-		queryCommand("c=look,t=wide,d=9,spread=0"):                                                   true,
-		queryCommand("c=look,t=wide,d=9,d=9"):                                                        true,
-		queryCommand("c=look,t=wide,d=9,=7"):                                                         true,
-		queryCommand("c=look,t=wide,d=9,r=2"):                                                        true,
-		queryCommand("c=hold,t=wide,d=9"):                                                            true,
-		standin.FormatCommand("SVC.QUERY", "00000000b4d65521", "", "c=look,t=wide,d=480"):            true,
-		standin.FormatCommand("SVC.QUERY", "0000000200000000", "1", "c=look,t=wide,d=480"):           true, // 2^33
-		standin.FormatCommand("SVC.QUERY", "b4d65521", "1", "c=look,t=wide,d=480"):                   true,
-		standin.FormatCommand("SVC.QUERY", "xyz", "1", "c=look,t=wide,d=480"):                        true,
-		standin.FormatCommand("SVC.QUERY", "00000000b4d65521", "1", "c=look,t=wide,d=480", "body"):   true,
-		standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=pay,t=wide,d=480"):           true,
-		standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=hold,t=wide,d=480", "no k"):  true,
-		standin.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=hold,t=wide,d=480,k=", "no"): true,
-		standin.FormatCommand("SVC.QUERY"):                                                           true,
-		standin.FormatCommand("HELLO", "3"):                                                          true,
-		"*1\r\n$-5\r\n":                                                                              false,
-		"*1000000\r\n":                                                                               false,
-		"*5\r\n$60000000\r\nxxxxxxxx":                                                                false,
-		"GET / HTTP/1.1\r\n\r\n":                                                                     false,
-		"*1\r\n$70000\r\n":                                                                           false,
-		strings.Repeat("x", 1<<20):                                                                   false,
-		submitCommand(strings.Repeat("b", 64<<10+1)):                                                 false,
+		queryCommand("c=nothing,t=wide,d=480"):                                                     true,
+		queryCommand("c=pay,t=wide,d=480"):                                                         true, // effectful, but asked as a query
+		queryCommand("c=look,t=nothing,d=480"):                                                     true,
+		queryCommand("c=look,t=wide,d=0"):                                                          true,
+		queryCommand("c=look,t=wide,d=-5"):                                                         true,
+		queryCommand("c=look,t=wide,d=NaN"):                                                        true,
+		queryCommand("c=look,t=wide"):                                                              true,
+		queryCommand(""):                                                                           true,
+		queryCommand("c=look,t=wide,d=0x1p9"):                                                      true,
+		queryCommand("c=look,t=wide,d=9,units=-1"):                                                 true,
+		queryCommand("c=look,t=wide,d=9,units=7"):                                                  true, // more than a task can take
+		queryCommand("c=look,t=wide,d=9,first=1"):                                                  true, // there is one gateway
+		queryCommand("c=look,t=wide,d=9,spread=2"):                                                 true,
+		queryCommand("c=look,t=wide,d=9,spread=0"):                                                 true,
+		queryCommand("c=look,t=wide,d=9,d=9"):                                                      true,
+		queryCommand("c=look,t=wide,d=9,=7"):                                                       true,
+		queryCommand("c=look,t=wide,d=9,r=2"):                                                      true,
+		queryCommand("c=hold,t=wide,d=9"):                                                          true,
+		fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", "", "c=look,t=wide,d=480"):            true,
+		fakes.FormatCommand("SVC.QUERY", "0000000200000000", "1", "c=look,t=wide,d=480"):           true, // 2^33
+		fakes.FormatCommand("SVC.QUERY", "b4d65521", "1", "c=look,t=wide,d=480"):                   true,
+		fakes.FormatCommand("SVC.QUERY", "xyz", "1", "c=look,t=wide,d=480"):                        true,
+		fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", "1", "c=look,t=wide,d=480", "body"):   true,
+		fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=pay,t=wide,d=480"):           true,
+		fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=hold,t=wide,d=480", "no k"):  true,
+		fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", "1", "c=hold,t=wide,d=480,k=", "no"): true,
+		fakes.FormatCommand("SVC.QUERY"):                                                           true,
+		fakes.FormatCommand("HELLO", "3"):                                                          true,
+		"*1\r\n$-5\r\n":                                                                            false,
+		"*1000000\r\n":                                                                             false,
+		"*5\r\n$60000000\r\nxxxxxxxx":                                                              false,
+		"GET / HTTP/1.1\r\n\r\n":                                                                   false,
+		"*1\r\n$70000\r\n":                                                                         false,
+		strings.Repeat("x", 1<<20):                                                                 false,
+		submitCommand(strings.Repeat("b", 64<<10+1)):                                               false,
 	} {
 		c := gateway.connect()
 		_, _ = io.WriteString(c, text) // may be cut short where it has no end
@@ -99,7 +99,7 @@
 
 func TestRequestID_inUseIsRefused(t *testing.T) {
 	first := make(chan bool)
-	gateway := startGateway(t, 1024, func([]string) string { <-first; return standin.FormatValue("hello", 1) })
+	gateway := startGateway(t, 1024, func([]string) string { <-first; return fakes.FormatValue("hello", 1) })
 	c, other := gateway.connect(), gateway.connect()
 	same := queryCommand("c=look,t=wide,d=4800")
 	c.send(same)
@@ -117,12 +117,12 @@
 	gateway := startGateway(t, 1024, func(words []string) string {
 		if strings.Contains(words[3], "n=1") {
 			<-first
-			return standin.FormatValue("one", 1)
+			return fakes.FormatValue("one", 1)
 		}
-		return standin.FormatValue("two", 1)
+		return fakes.FormatValue("two", 1)
 	})
 	c := gateway.connect()
-	c.send(queryCommand("c=look,t=wide,d=4800,n=1") + queryCommand("c=look,t=wide,d=4800,n=2") + standin.FormatCommand("PING"))
+	c.send(queryCommand("c=look,t=wide,d=4800,n=1") + queryCommand("c=look,t=wide,d=4800,n=2") + fakes.FormatCommand("PING"))
 	gateway.server.NextCommand(t)
 	gateway.server.NextCommand(t) // both are out at once
 	close(first)
--- a/cmd/harrierhoist/restart_test.go
+++ b/cmd/harrierhoist/restart_test.go
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 const processCount = 30 // processes that are started at once
 
 // countingProxy is an address whose connections are counted on their way to another; nowhere: they are taken and left.
 func countingProxy(t *testing.T, to string) (addr string, conns *atomic.Int64) {
-	l := standin.Listen(t)
+	l := fakes.Listen(t)
 	conns = &atomic.Int64{}
 	go func() {
 		for {
@@ -59,14 +59,14 @@
 
 // waitUntilReady waits until a gateway says that it is ready.
 func waitUntilReady(t *testing.T, addr string) {
-	standin.Eventually(t, "ready at "+addr, func() bool {
+	fakes.Eventually(t, "ready at "+addr, func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(time.Second))
-		_, _ = io.WriteString(c, standin.FormatCommand("PING"))
+		_, _ = io.WriteString(c, fakes.FormatCommand("PING"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "+PONG\r\n"
 	})
@@ -76,15 +76,15 @@
 // ten seconds, whatever the settings say of connections and whatever list was had. What they do then crowds nobody:
 // nothing is called before a task comes, and a task of one customer at each costs a few calls and a connection each.
 func TestStart_thirtyAtOnceAreReadyInTimeAndOverloadNobody(t *testing.T) {
-	server := standin.NewServer(t, answerHello)
+	server := fakes.NewServer(t, answerHello)
 	serverAddr, pushes := countingProxy(t, server.Addr)
-	counter := standin.NewCounter(t)
+	counter := fakes.NewCounter(t)
 	counterAddr, lines := countingProxy(t, counter.Addr)
 	silent, asks := countingProxy(t, "")
 	agents := []string{silent, unusedAddress(t), rejectingDiscovery(t)}
 	known := []string{"null", // none; one that holds; an old one, half of it gone
-		standin.FormatList(1, true, standin.FormatHost("s-1", serverAddr, "in_service")),
-		standin.FormatList(1, true, standin.FormatHost("s-1", serverAddr, "in_service"), standin.FormatHost("s-0", loopbackAddress(t), "in_service"))}
+		fakes.FormatList(1, true, fakes.FormatHost("s-1", serverAddr, "in_service")),
+		fakes.FormatList(1, true, fakes.FormatHost("s-1", serverAddr, "in_service"), fakes.FormatHost("s-0", loopbackAddress(t), "in_service"))}
 	addrs, took := make([]string, processCount), make([]time.Duration, processCount)
 	dir := t.TempDir()
 	files := make([]string, processCount)
--- a/cmd/harrierhoist/settings_test.go
+++ b/cmd/harrierhoist/settings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // reshapedConfiguration is the configuration of a deployment of another shape: a lane and a plan gone, one of each new, another order,
@@ -44,16 +44,16 @@
 	serve := func(words []string) string {
 		l.add(l.attempts, words[2])
 		time.Sleep(2 * time.Millisecond)
-		return standin.FormatValue("hello", 2)
+		return fakes.FormatValue("hello", 2)
 	}
 	gateway := startGateway(t, 1024, serve)
-	second := standin.NewServer(t, func(words []string) string {
+	second := fakes.NewServer(t, func(words []string) string {
 		if drained.Load() {
 			late.Add(1)
 		}
 		return serve(words)
 	})
-	both := []string{standin.FormatHost("s-1", gateway.server.Addr, "in_service"), standin.FormatHost("s-2", second.Addr, "in_service")}
+	both := []string{fakes.FormatHost("s-1", gateway.server.Addr, "in_service"), fakes.FormatHost("s-2", second.Addr, "in_service")}
 	gateway.discovery.Publish(true, both...)
 
 	old := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, "null")
@@ -74,9 +74,9 @@
 				case <-time.After(20 * time.Millisecond):
 				}
 				task := nextRequestID()
-				text := standin.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", 100+i), task, "c=look,t=wide,d=4800,units=1")
+				text := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", 100+i), task, "c=look,t=wide,d=4800,units=1")
 				if (n+i)%3 == 0 {
-					text = standin.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", 100+i), task, "c=pay,t=wide,d=4800,units=1", "body")
+					text = fakes.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", 100+i), task, "c=pay,t=wide,d=4800,units=1", "body")
 				}
 				if _, err := c.Write([]byte(text)); err != nil {
 					t.Error(err)
@@ -108,7 +108,7 @@
 		c.send(queryCommand("c=read,t=open,d=4800,units=1")) // in force as before
 		c.want("hello")
 		if round == 1 {
-			gateway.discovery.Publish(false, standin.FormatHost("s-2", second.Addr, "terminating"))
+			gateway.discovery.Publish(false, fakes.FormatHost("s-2", second.Addr, "terminating"))
 			time.Sleep(1100 * time.Millisecond)
 			drained.Store(true)
 		}
--- a/cmd/harrierhoist/shutdown_test.go
+++ b/cmd/harrierhoist/shutdown_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // continuousClient sends one task after the other on a connection until the gateway ends it, and looks before each whether it
@@ -93,7 +93,7 @@
 // ended or is killed. It gives how many tasks were refused.
 func sendThroughShutdown(t *testing.T, clients int, pauses []time.Duration) (refused int) {
 	t.Helper()
-	large := standin.FormatValue(strings.Repeat("x", 1<<18), 1)
+	large := fakes.FormatValue(strings.Repeat("x", 1<<18), 1)
 	gateway := startGateway(t, 1024, func(words []string) string {
 		if strings.Contains(words[3], "n=long") {
 			time.Sleep(300 * time.Millisecond)
@@ -101,7 +101,7 @@
 		if strings.Contains(words[3], "n=large") {
 			return large
 		}
-		return standin.FormatValue("hello", 1)
+		return fakes.FormatValue("hello", 1)
 	})
 	draw := rand.New(rand.NewPCG(7, 0))
 	var all []*continuousClient
@@ -125,7 +125,7 @@
 	for _, o := range all {
 		senders.Go(o.run)
 	}
-	standin.Eventually(t, "load", func() bool { return asked.Load() > int64(5*clients) })
+	fakes.Eventually(t, "load", func() bool { return asked.Load() > int64(5*clients) })
 	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harrierhoist/start_test.go
+++ b/cmd/harrierhoist/start_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 var lastLoopbackAddress atomic.Uint32
@@ -40,7 +40,7 @@
 // waitForReader waits until somebody stands still over a pipe, and gives its end for writing.
 func waitForReader(t *testing.T, path string) (end *os.File) {
 	t.Helper()
-	standin.Eventually(t, "a reader of "+path, func() bool {
+	fakes.Eventually(t, "a reader of "+path, func() bool {
 		var err error
 		end, err = os.OpenFile(path, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		return err == nil
@@ -78,13 +78,13 @@
 
 func waitForLog(t *testing.T, log *logBuffer, line string) {
 	t.Helper()
-	standin.Eventually(t, line, func() bool { return strings.Contains(log.String(), line) })
+	fakes.Eventually(t, line, func() bool { return strings.Contains(log.String(), line) })
 }
 
 // notReadyConfiguration is the configuration of a gateway that is not ready before an agent answers.
 func notReadyConfiguration(gateway *gatewayUnderTest, agent string) string {
 	return strings.Replace(fmt.Sprintf(configurationTemplate, gateway.addr, agent, gateway.counter.Addr, 1024,
-		standin.FormatList(1, true, standin.FormatHost("s-1", gateway.server.Addr, "in_service"))),
+		fakes.FormatList(1, true, fakes.FormatHost("s-1", gateway.server.Addr, "in_service"))),
 		`"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, 1)
 }
 
@@ -106,7 +106,7 @@
 // over the file of what is held in common in that moment.
 func TestTerminate_afterListeningAndBeforeReady(t *testing.T) {
 	a := newSilentDiscovery(t, "")
-	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: standin.NewServer(t, answerHello), counter: standin.NewCounter(t)}
+	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: fakes.NewServer(t, answerHello), counter: fakes.NewCounter(t)}
 	dir := t.TempDir()
 	config, common := filepath.Join(dir, "config.json"), filepath.Join(dir, "common.toml")
 	replaceFile(t, config, notReadyConfiguration(gateway, a.addr))
@@ -115,7 +115,7 @@
 	end := waitForReader(t, common)
 	c, asks := gateway.connect(), gateway.connect()
 	c.send(queryCommand("c=look,t=wide,d=9000"))
-	asks.send(standin.FormatCommand("PING"))
+	asks.send(fakes.FormatCommand("PING"))
 	for range 2 {
 		_ = gateway.process.Process.Signal(syscall.SIGTERM)
 	}
--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // terminate asks the program to end, and waits until it says so.
@@ -16,7 +16,7 @@
 	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		gateway.Fatal(err)
 	}
-	standin.Eventually(gateway, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
+	fakes.Eventually(gateway, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
 }
 
 // waitForCleanDrain waits for the end of the program, which has to be in order.
@@ -34,7 +34,7 @@
 		if strings.Contains(words[3], "n=1") {
 			<-let
 		}
-		return standin.FormatValue("hello", 1)
+		return fakes.FormatValue("hello", 1)
 	})
 	all := []*client{gateway.connect()}
 	all[0].send(queryCommand("c=look,t=wide,d=9000,n=1"))
@@ -46,7 +46,7 @@
 	}
 	gateway.terminate()
 	asked := time.Now()
-	standin.Eventually(t, "the front closing", func() bool { return time.Since(asked) > 700*time.Millisecond }) // or long since
+	fakes.Eventually(t, "the front closing", func() bool { return time.Since(asked) > 700*time.Millisecond }) // or long since
 	close(let)
 	for _, c := range all {
 		c.want("hello")
@@ -63,7 +63,7 @@
 	stays, asks := gateway.connect(), gateway.connect()
 	gateway.terminate()
 	go func() {
-		for many := strings.Repeat(standin.FormatCommand("PING"), 1000); ; {
+		for many := strings.Repeat(fakes.FormatCommand("PING"), 1000); ; {
 			if _, err := io.WriteString(asks, many); err != nil {
 				return
 			}
--- a/cmd/harrierhoist/voters_test.go
+++ b/cmd/harrierhoist/voters_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // A voter asked to end gives the lead away: when it has ended, another leads, by the one election that it asked for. One
@@ -38,7 +38,7 @@
 		t.Errorf("%d voters lead once the old leader has ended", leads)
 	}
 	for name, address := range c.addresses {
-		standin.Eventually(t, name+" follows the new leader", func() bool {
+		fakes.Eventually(t, name+" follows the new leader", func() bool {
 			is, err := c.client.Info(t.Context(), address)
 			return err == nil && is.Status.Leader != was.Number && is.Status.Leader != 0 && is.Status.Term == was.Status.Term+1
 		})
@@ -52,7 +52,7 @@
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
 	c.writeTable("plan", 0, "one")
-	standin.Eventually(t, "the disks' marks", func() bool {
+	fakes.Eventually(t, "the disks' marks", func() bool {
 		s, _ := c.client.Info(t.Context(), c.addresses["v1"])
 		n := 0
 		for _, m := range s.Status.Members {
--- a/cmd/hoistlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -18,10 +18,10 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/live"
+	"harrierhoist/internal/lab/emulation"
+	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/load"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/resp"
 )
 
@@ -30,15 +30,15 @@
 
 // fleet is a world that runs, and gateways before it, each a process of this program.
 type fleet struct {
-	*live.World
+	*emulation.World
 	addrs []string
 	procs []*exec.Cmd
 	dir   string
 }
 
 // startFleet starts emulated servers, counter and discovery, and gateways on free ports; it waits until they are ready.
-func startFleet(ctx context.Context, w *world.World, log io.Writer) (*fleet, error) {
-	l, err := live.Start(w, w.Seed)
+func startFleet(ctx context.Context, w *scenario.World, log io.Writer) (*fleet, error) {
+	l, err := emulation.Start(w, w.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 func emulateCommand() *cobra.Command {
 	return &cobra.Command{Use: "emulate WORLD.toml", Short: "start a world's servers, counter, discovery and real gateways on loopback until Ctrl-C",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			w, err := world.Read(args[0])
+			w, err := scenario.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -151,8 +151,8 @@
 }
 
 // demoWorld is sound, small and half loaded.
-func demoWorld() (*world.World, error) {
-	w, err := world.Parse("demo", nil)
+func demoWorld() (*scenario.World, error) {
+	w, err := scenario.Parse("demo", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 	for _, s := range f.Servers {
 		fmt.Fprintf(out, "%-8s %8d\n", s.Name, s.Tasks.Load())
 	}
-	f.Book.Note(func(l *ledger.Ledger, at time.Duration) {
+	f.Book.Note(func(l *invariants.Ledger, at time.Duration) {
 		l.Finish(at)
 		fmt.Fprintf(out, "\nunits sent on %.0f, beyond quotas %.0f; calls to the counter %d\n", l.Sent, l.Beyond, f.Counter.Calls.Load())
 		fmt.Fprintf(out, "rules broken, by the servers' and clients' record: %v\n", l.Counts)
--- a/cmd/hoistlab/main.go
+++ b/cmd/loadlab/main.go
@@ -16,12 +16,12 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
 
-	"harrierhoist/internal/daemon"
+	"harrierhoist/internal/gateway"
 	"harrierhoist/internal/lab/baseline"
 	"harrierhoist/internal/lab/experiment"
 	"harrierhoist/internal/lab/load"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/lab/search"
-	"harrierhoist/internal/lab/world"
 )
 
 func main() {
@@ -49,7 +49,7 @@
 		RunE: func(cmd *cobra.Command, files []string) error {
 			var all []error
 			for _, f := range files {
-				w, err := world.Read(f)
+				w, err := scenario.Read(f)
 				if err != nil {
 					all = append(all, err)
 					continue
@@ -67,7 +67,7 @@
 	c := &cobra.Command{Use: "search WORLD.toml",
 		Short: "look for the schedule of troubles that breaks a rule or loses most, and shrink it",
 		Args:  cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			w, err := world.Read(args[0])
+			w, err := scenario.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -114,7 +114,7 @@
 	c := &cobra.Command{Use: "size WORLD.toml",
 		Short: "how fast plays go, and what they cost, from few gateways to thousands", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			w, err := world.Read(args[0])
+			w, err := scenario.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -123,7 +123,7 @@
 			for _, n := range sizes {
 				for _, policy := range []string{"module", "random"} {
 					s := experiment.Scaled(w, n)
-					s.Length = min(s.Length, world.Span(time.Duration(seconds)*time.Second))
+					s.Length = min(s.Length, scenario.Span(time.Duration(seconds)*time.Second))
 					runtime.GC()
 					began := time.Now()
 					l, err := experiment.RunScenario(s, policy, 1)
@@ -153,9 +153,9 @@
 		Short: "drive running gateways at a given rate, open loop; Ctrl-C ends it with its report", Args: cobra.NoArgs,
 		Example: "  hoistlab load --gateway 127.0.0.1:6379 --rate 200 --for 30s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			w, err := world.Parse("the default world", nil)
+			w, err := scenario.Parse("the default world", nil)
 			if file != "" {
-				w, err = world.Read(file)
+				w, err = scenario.Read(file)
 			}
 			if err != nil {
 				return err
@@ -183,8 +183,8 @@
 func troublesCommand() *cobra.Command {
 	return &cobra.Command{Use: "troubles", Short: "the troubles by name", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, name := range world.KindNames() {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", name, world.Kinds[name].What)
+			for _, name := range scenario.KindNames() {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", name, scenario.Kinds[name].What)
 			}
 		}}
 }
@@ -193,5 +193,5 @@
 func gatewayCommand() *cobra.Command {
 	return &cobra.Command{Use: "gateway CONFIG.json", Short: "run one gateway, as harrierhoist does",
 		Args: cobra.ExactArgs(1), Hidden: true,
-		RunE: func(_ *cobra.Command, args []string) error { return daemon.Run(args[0]) }}
+		RunE: func(_ *cobra.Command, args []string) error { return gateway.Run(args[0]) }}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"harrierhoist/internal/sim"
+	"harrierhoist/internal/simulator/host"
 )
 
 func main() {
-	if err := sim.Run(os.Stdin, os.Stdout); err != nil {
+	if err := host.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -17,10 +17,10 @@
 		Plans: []policy.Plan{{Name: "small", Rate: 2, Burst: 10}}}
 }
 
-func resolve(t testing.TB, rule counting.Rule) (*counting.Resolved, policy.Settings) {
+func resolve(t testing.TB, rule countingrule.Rule) (*countingrule.Resolved, policy.Settings) {
 	t.Helper()
-	settings := counting.WithRulePlans(testSettings(), []counting.Rule{rule})
-	resolved, err := counting.Resolve(rule, settings)
+	settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
+	resolved, err := countingrule.Resolve(rule, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,15 +28,15 @@
 }
 
 // drawRule draws a rule of groups over few customers, so that the two rules' groups cross.
-func drawRule(t *rapid.T, version uint64) counting.Rule {
-	rule := counting.Rule{Version: version, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 1, Burst: 1}}}
+func drawRule(t *rapid.T, version uint64) countingrule.Rule {
+	rule := countingrule.Rule{Version: version, Key: []string{"group"}, Limits: []countingrule.Limit{{Plan: "*", Rate: 1, Burst: 1}}}
 	if rapid.Bool().Draw(t, "by customer") {
 		rule.Key = []string{"customer", "lane"}
 		return rule
 	}
 	next := uint64(1)
 	for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
-		group := counting.Group{Name: fmt.Sprint(i)}
+		group := countingrule.Group{Name: fmt.Sprint(i)}
 		for range rapid.IntRange(1, 4).Draw(t, "customers") {
 			next += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
 			group.Customers = append(group.Customers, next)
@@ -53,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, rule := range []counting.Rule{old, next} {
-		settings := counting.WithRulePlans(testSettings(), []counting.Rule{rule})
-		resolved, _ := counting.Resolve(rule, settings)
+	for _, rule := range []countingrule.Rule{old, next} {
+		settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
+		resolved, _ := countingrule.Resolve(rule, settings)
 		type where struct {
 			cell int
 			in   bool
@@ -85,7 +85,7 @@
 func TestSample_checkFindsASplitKey(t *testing.T) {
 	for name, broken := range map[string]func(*Sample, uint64) (int, bool){
 		"by customer": func(sample *Sample, customer uint64) (int, bool) {
-			return int(counting.Hash(sample.seed, customer) % Buckets), counting.Hash(sample.seed, customer) < sample.threshold
+			return int(countingrule.Hash(sample.seed, customer) % Buckets), countingrule.Hash(sample.seed, customer) < sample.threshold
 		},
 		"one step only": func(sample *Sample, customer uint64) (int, bool) {
 			neighbours := Sample{seed: sample.seed, threshold: sample.threshold, mask: sample.mask, parents: map[uint64]uint64{}}
@@ -109,8 +109,8 @@
 
 // Two masks hang together what either leaves open; with few bits in common there is nothing to draw from.
 func TestSample_masksShareTheirCommonBits(t *testing.T) {
-	rule := func(v, mask uint64) counting.Rule {
-		return counting.Rule{Version: v, Key: []string{"group"}, Mask: mask}
+	rule := func(v, mask uint64) countingrule.Rule {
+		return countingrule.Rule{Version: v, Key: []string{"group"}, Mask: mask}
 	}
 	sample, err := NewSample(rule(1, 0xfff0), rule(2, 0xff0f), 3, 500)
 	if err != nil || sample.ComponentKey(0x1234) != sample.ComponentKey(0x12ff) || sample.ComponentKey(0x1234) == sample.ComponentKey(0x1334) {
@@ -119,8 +119,8 @@
 	if _, err := NewSample(rule(1, 0xff00), rule(2, 0x00ff), 3, 500); err == nil {
 		t.Error("all customers are one component, and a sample was drawn")
 	}
-	if _, err := NewSample(rule(1, 0xff00), counting.Rule{Version: 2, Key: []string{"group"},
-		Groups: []counting.Group{{Name: "a", Customers: []uint64{1, 2}}}}, 3, 500); err == nil {
+	if _, err := NewSample(rule(1, 0xff00), countingrule.Rule{Version: 2, Key: []string{"group"},
+		Groups: []countingrule.Group{{Name: "a", Customers: []uint64{1, 2}}}}, 3, 500); err == nil {
 		t.Error("a list across masks was sampled")
 	}
 }
@@ -180,10 +180,10 @@
 
 // Alike on both sides, a rule that says the same as the old one differs nowhere; calls stay within their share.
 func TestShadow_sameRuleDiffersNowhere(t *testing.T) {
-	same := counting.Rule{Version: 1, Key: []string{"customer"}}
+	same := countingrule.Rule{Version: 1, Key: []string{"customer"}}
 	resolved, settings := resolve(t, same)
-	current, _ := counting.Resolve(counting.Rule{}, settings)
-	sample, _ := NewSample(counting.Rule{}, same, 5, 500)
+	current, _ := countingrule.Resolve(countingrule.Rule{}, settings)
+	sample, _ := NewSample(countingrule.Rule{}, same, 5, 500)
 	shadow, counts, earned := NewShadow(sample, current, resolved, settings, 5, 250), counter{}, uint64(0)
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
@@ -206,13 +206,13 @@
 
 // Customers that come together under half of their rates lose about half: seen, with the keys that merged.
 func TestShadow_mergedKeysReject(t *testing.T) {
-	rule := counting.Rule{Version: 1, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 2, Burst: 10}}}
+	rule := countingrule.Rule{Version: 1, Key: []string{"group"}, Limits: []countingrule.Limit{{Plan: "*", Rate: 2, Burst: 10}}}
 	for i := range uint64(20) {
-		rule.Groups = append(rule.Groups, counting.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
+		rule.Groups = append(rule.Groups, countingrule.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
 	}
 	resolved, settings := resolve(t, rule)
-	current, _ := counting.Resolve(counting.Rule{}, settings)
-	sample, _ := NewSample(counting.Rule{}, rule, 5, 500)
+	current, _ := countingrule.Resolve(countingrule.Rule{}, settings)
+	sample, _ := NewSample(countingrule.Rule{}, rule, 5, 500)
 	shadow, counts := NewShadow(sample, current, resolved, settings, 5, 250), counter{}
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
 )
 
 const (
@@ -25,12 +25,12 @@
 // It guards against a rule that rejects, lets in or overruns more than the terms allow. Harm: a rule whose keys are too
 // few or too far apart is refused undecided.
 type Controller struct {
-	Config      func() *counting.Config // those of the file as last read; they may change between two calls of Decide
-	Lease       time.Duration           // of the table, at every process
-	ReadWait    time.Duration           // the longest that a read of the table waits
-	ClockOrigin time.Duration           // the common clock when now was 0
+	Config      func() *countingrule.Config // those of the file as last read; they may change between two calls of Decide
+	Lease       time.Duration               // of the table, at every process
+	ReadWait    time.Duration               // the longest that a read of the table waits
+	ClockOrigin time.Duration               // the common clock when now was 0
 
-	config       *counting.Config
+	config       *countingrule.Config
 	epoch        uint64
 	baseline     map[string]uint64 // the sums that stood in Test.Sums when it was written
 	proposed     []byte            // the value proposed last, and the sums it was made of
@@ -40,17 +40,17 @@
 
 // New makes a decider of a file's terms. Lease and wait are those of the table's readers; origin is the common clock,
 // nanoseconds since 1970 by the wall, when the clock that Decide is told was 0: within skewMost is near enough.
-func New(config func() *counting.Config, lease, wait, origin time.Duration) *Controller {
+func New(config func() *countingrule.Config, lease, wait, origin time.Duration) *Controller {
 	return &Controller{Config: config, Lease: lease, ReadWait: wait, ClockOrigin: origin}
 }
 
 // Table is the decider's.
-func (c *Controller) Table() string { return counting.TableName }
+func (c *Controller) Table() string { return countingrule.TableName }
 
 // Decide gives the next value.
-func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) ([]byte, bool) {
-	entry := seen.Table(counting.TableName)
-	table, err := counting.Decode(entry.Value)
+func (c *Controller) Decide(now time.Duration, seen coordination.ControllerInput) ([]byte, bool) {
+	entry := seen.Table(countingrule.TableName)
+	table, err := countingrule.Decode(entry.Value)
 	if err != nil {
 		return nil, false // written by a later program: left alone
 	}
@@ -84,14 +84,14 @@
 }
 
 // advance moves the table and tells whether it moved.
-func (c *Controller) advance(at, ledFor time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+func (c *Controller) advance(at, ledFor time.Duration, table *countingrule.Table, trial *TrialState, sums map[string]uint64) bool {
 	switched := at >= table.SwitchAt+maxClockSkew
 	switch table.Phase {
-	case counting.PhaseIdle:
+	case countingrule.PhaseIdle:
 		return c.startTrial(at, table, trial)
-	case counting.PhaseCanary:
+	case countingrule.PhaseCanary:
 		return c.evaluate(at, ledFor, table, trial, sums)
-	case counting.PhaseScheduled:
+	case countingrule.PhaseScheduled:
 		if !switched {
 			return false
 		}
@@ -100,9 +100,9 @@
 			return true
 		}
 		return c.watch(at, table, trial, sums)
-	case counting.PhaseRollback:
+	case countingrule.PhaseRollback:
 		if switched {
-			*table = counting.Table{Phase: counting.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
+			*table = countingrule.Table{Phase: countingrule.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
 				Since: at, Reason: table.Reason}
 			*trial = TrialState{}
 			return true
@@ -112,13 +112,13 @@
 }
 
 // startTrial takes up the rule that the file names, if it is another than the one in force and was not refused.
-func (c *Controller) startTrial(at time.Duration, table *counting.Table, trial *TrialState) bool {
+func (c *Controller) startTrial(at time.Duration, table *countingrule.Table, trial *TrialState) bool {
 	desired := c.config.DesiredVersion
 	if desired == table.From || slices.Contains(table.Refused, desired) {
 		return false
 	}
-	i := slices.IndexFunc(c.config.Rules, func(rule counting.Rule) bool { return rule.Version == desired })
-	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule counting.Rule) bool {
+	i := slices.IndexFunc(c.config.Rules, func(rule countingrule.Rule) bool { return rule.Version == desired })
+	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule countingrule.Rule) bool {
 		return rule.Version != table.From && rule.Version != table.Previous
 	})
 	if _, known := table.Rule(desired); !known && i >= 0 {
@@ -126,39 +126,39 @@
 	}
 	next, _ := table.Rule(desired)
 	if desired == table.Previous { // it held before: going back needs no trial
-		table.Phase, table.To, table.SwitchAt, table.Since, table.Reason = counting.PhaseRollback, desired, c.switchTime(at), at, "as the file says"
+		table.Phase, table.To, table.SwitchAt, table.Since, table.Reason = countingrule.PhaseRollback, desired, c.switchTime(at), at, "as the file says"
 		return true
 	}
 	old, _ := table.Rule(table.From)
-	table.Seed, table.Since, table.To, table.Canary = counting.Hash(desired, uint64(at)), at, desired, c.config.Canary
+	table.Seed, table.Since, table.To, table.Canary = countingrule.Hash(desired, uint64(at)), at, desired, c.config.Canary
 	if _, err := NewSample(old, next, table.Seed, c.config.Canary.SamplePermille); err != nil {
 		c.refuse(at, table, err.Error())
 		return true
 	}
-	table.Phase, table.Reason = counting.PhaseCanary, "as the file says"
+	table.Phase, table.Reason = countingrule.PhaseCanary, "as the file says"
 	*trial = TrialState{}
 	return true
 }
 
-func (c *Controller) refuse(at time.Duration, table *counting.Table, violation string) {
+func (c *Controller) refuse(at time.Duration, table *countingrule.Table, violation string) {
 	table.Refused = append(slices.Clone(table.Refused), table.To)
-	table.Phase, table.To, table.Since, table.Reason = counting.PhaseIdle, table.From, at, violation
+	table.Phase, table.To, table.Since, table.Reason = countingrule.PhaseIdle, table.From, at, violation
 }
 
 // rollBack undoes an activation: the same step the other way.
-func (c *Controller) rollBack(at time.Duration, table *counting.Table, violation string, refused bool) {
+func (c *Controller) rollBack(at time.Duration, table *countingrule.Table, violation string, refused bool) {
 	if refused {
 		table.Refused = append(slices.Clone(table.Refused), table.To)
 	}
-	table.Phase, table.From, table.To, table.SwitchAt, table.Since, table.Reason = counting.PhaseRollback, table.To, table.From, c.switchTime(at), at, violation
+	table.Phase, table.From, table.To, table.SwitchAt, table.Since, table.Reason = countingrule.PhaseRollback, table.To, table.From, c.switchTime(at), at, violation
 }
 
 // evaluate looks at the cells whose time has come and gives the verdict where there is one.
-func (c *Controller) evaluate(at, ledFor time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+func (c *Controller) evaluate(at, ledFor time.Duration, table *countingrule.Table, trial *TrialState, sums map[string]uint64) bool {
 	canary := &table.Canary
 	deadline := time.Duration(canary.DeadlineSeconds) * time.Second
 	if c.config.DesiredVersion != table.To {
-		table.Phase, table.To, table.Since, table.Reason = counting.PhaseIdle, table.From, at, "the file names another rule"
+		table.Phase, table.To, table.Since, table.Reason = countingrule.PhaseIdle, table.From, at, "the file names another rule"
 		*trial = TrialState{}
 		return true
 	}
@@ -196,16 +196,16 @@
 	}
 	if harmless {
 		trial.Forecast = trial.forecast(table.From)
-		table.Phase, table.SwitchAt, table.Since, table.Reason = counting.PhaseScheduled, c.switchTime(at), at, fmt.Sprintf("harmless by %d cells", trial.Tests[0].Count)
+		table.Phase, table.SwitchAt, table.Since, table.Reason = countingrule.PhaseScheduled, c.switchTime(at), at, fmt.Sprintf("harmless by %d cells", trial.Tests[0].Count)
 	}
 	return true
 }
 
 // watch compares what is let in after the activation with what was foretold. It ends after a while.
-func (c *Controller) watch(at time.Duration, table *counting.Table, trial *TrialState, sums map[string]uint64) bool {
+func (c *Controller) watch(at time.Duration, table *countingrule.Table, trial *TrialState, sums map[string]uint64) bool {
 	canary := &table.Canary
 	if at >= table.SwitchAt+time.Duration(canary.WatchSeconds)*time.Second {
-		*table = counting.Table{Phase: counting.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
+		*table = countingrule.Table{Phase: countingrule.PhaseIdle, From: table.To, To: table.To, Previous: table.From, Rules: table.Rules, Refused: table.Refused,
 			Since: at, Reason: fmt.Sprintf("kept: %.3f let in, %.3f foretold", trial.Observed, trial.Forecast)}
 		*trial = TrialState{}
 		return true
--- a/internal/canary/controller_rapid_test.go
+++ b/internal/canary/controller_rapid_test.go
@@ -10,14 +10,14 @@
 
 	"pgregory.net/rapid"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/countingrule"
 )
 
 // newController is a decider of drawn terms; several of them, one after the other, lead.
-func newController(config *counting.Config, origin time.Duration) *Controller {
-	return &Controller{Config: func() *counting.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second, ClockOrigin: origin}
+func newController(config *countingrule.Config, origin time.Duration) *Controller {
+	return &Controller{Config: func() *countingrule.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second, ClockOrigin: origin}
 }
 
 // Whatever evidence comes, whoever leads and whatever the file says meanwhile: a step never changes at once what holds,
@@ -26,14 +26,14 @@
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		config := &counting.Config{DesiredVersion: 1, Rules: []counting.Rule{scaledLimits(1), scaledLimits(2)}, Canary: canaryConfig()}
+		config := &countingrule.Config{DesiredVersion: 1, Rules: []countingrule.Rule{scaledLimits(1), scaledLimits(2)}, Canary: canaryConfig()}
 		config.Rules[1].Version = 2
 		c, twin := newController(config, time.Hour), newController(config, time.Hour)
 		now, since, entry, sums := time.Minute, time.Duration(0), tables.Table{}, map[string]uint64{}
 		harmUnits := rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
 		for range rapid.IntRange(60, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
-			previous, err := counting.Decode(entry.Value)
+			previous, err := countingrule.Decode(entry.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,7 +45,7 @@
 			case 1:
 				config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
 			}
-			if (previous.Phase == counting.PhaseScheduled) == (harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
+			if (previous.Phase == countingrule.PhaseScheduled) == (harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
 				harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
 			}
 			for i := range Buckets {
@@ -57,7 +57,7 @@
 				sums[prefix+nameRequested] += 300_000
 				sums[prefix+nameAdmitted] += 300_000 - 200*harmUnits
 			}
-			seen := cluster.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) tables.Table { return entry }}
+			seen := coordination.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) tables.Table { return entry }}
 			value, write := c.Decide(now, seen)
 			encodedAgain, writeAgain := twin.Decide(now, seen)
 			if write != writeAgain || !bytes.Equal(value, encodedAgain) {
@@ -66,23 +66,23 @@
 			if !write {
 				continue
 			}
-			next, _ := counting.Decode(value)
+			next, _ := countingrule.Decode(value)
 			at := c.ClockOrigin + now
 			if previous.InForce(at) != next.InForce(at) {
 				t.Fatalf("%d holds, and at once %d: %+v to %+v", previous.InForce(at), next.InForce(at), previous, next)
 			}
-			if moved := next.Phase >= counting.PhaseScheduled && next.SwitchAt != previous.SwitchAt; moved && next.SwitchAt < at+4*time.Second {
+			if moved := next.Phase >= countingrule.PhaseScheduled && next.SwitchAt != previous.SwitchAt; moved && next.SwitchAt < at+4*time.Second {
 				t.Fatalf("edge %v only ahead", next.SwitchAt-at)
-			} else if moved && previous.Phase >= counting.PhaseScheduled && at < previous.SwitchAt {
+			} else if moved && previous.Phase >= countingrule.PhaseScheduled && at < previous.SwitchAt {
 				t.Fatal("taken back before its edge")
 			}
-			if next.Phase == counting.PhaseCanary && slices.Contains(previous.Refused, next.To) {
+			if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.Refused, next.To) {
 				t.Fatalf("%d was refused, and is tried again", next.To)
 			}
-			if next.Phase == counting.PhaseScheduled && previous.Phase == counting.PhaseCanary {
+			if next.Phase == countingrule.PhaseScheduled && previous.Phase == countingrule.PhaseCanary {
 				activated++
 			}
-			if next.Phase == counting.PhaseRollback && len(next.Refused) > len(previous.Refused) {
+			if next.Phase == countingrule.PhaseRollback && len(next.Refused) > len(previous.Refused) {
 				rolledBack++
 			}
 			entry = tables.Table{Epoch: entry.Epoch + 1, Value: value}
--- a/internal/canary/controller_test.go
+++ b/internal/canary/controller_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/countingrule"
 )
 
 func never() bool { return false }
@@ -17,7 +17,7 @@
 	t.Helper()
 	s := newSimulation(scaledLimits(1.05), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
-	if table := s.tableValue(); table.Phase != counting.PhaseScheduled {
+	if table := s.tableValue(); table.Phase != countingrule.PhaseScheduled {
 		t.Fatalf("phase %d: %s", table.Phase, table.Reason)
 	}
 	return s
@@ -30,9 +30,9 @@
 	if lead := table.SwitchAt - (s.now + s.controller.ClockOrigin); lead < s.controller.Lease+2*s.controller.ReadWait || table.SwitchAt%time.Second != 0 {
 		t.Errorf("named %v ahead, edge %v", lead, table.SwitchAt)
 	}
-	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == counting.PhaseIdle })
+	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseIdle })
 	table = s.tableValue()
-	if table.Phase != counting.PhaseIdle || table.From != 1 || table.Previous != 0 || !strings.HasPrefix(table.Reason, "kept") {
+	if table.Phase != countingrule.PhaseIdle || table.From != 1 || table.Previous != 0 || !strings.HasPrefix(table.Reason, "kept") {
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
 	}
 	t.Log(table.Reason)
@@ -43,7 +43,7 @@
 	s := newSimulation(scaledLimits(0.5), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
-	if table.Phase != counting.PhaseIdle || table.From != 0 || len(table.Refused) != 1 || !strings.Contains(table.Reason, "canary.rejected") {
+	if table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 || !strings.Contains(table.Reason, "canary.rejected") {
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
 	}
 	epoch := s.table.Epoch
@@ -61,7 +61,7 @@
 		s.nextArrival[i] = 2 * s.now
 	}
 	s.advance(s.now+130*time.Second, s.hasVerdict)
-	if table := s.tableValue(); table.Phase != counting.PhaseIdle || table.From != 0 || !strings.HasPrefix(table.Reason, "undecided") {
+	if table := s.tableValue(); table.Phase != countingrule.PhaseIdle || table.From != 0 || !strings.HasPrefix(table.Reason, "undecided") {
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
 	}
 }
@@ -90,56 +90,56 @@
 func TestController_rollsBackOnDeviationFromTheForecast(t *testing.T) {
 	s := runUntilScheduled(t)
 	s.failureRate = 0.33
-	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == counting.PhaseRollback })
+	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseRollback })
 	table := s.tableValue()
-	if table.Phase != counting.PhaseRollback || table.From != 1 || table.To != 0 || table.SwitchAt < s.now+s.controller.ClockOrigin+s.controller.Lease {
+	if table.Phase != countingrule.PhaseRollback || table.From != 1 || table.To != 0 || table.SwitchAt < s.now+s.controller.ClockOrigin+s.controller.Lease {
 		t.Fatalf("phase %d, %d to %d: %s", table.Phase, table.From, table.To, table.Reason)
 	}
 	t.Log(table.Reason)
 	s.advance(s.now+30*time.Second, never)
-	if table = s.tableValue(); table.Phase != counting.PhaseIdle || table.From != 0 || len(table.Refused) != 1 {
+	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 {
 		t.Errorf("phase %d, from %d, refused %v", table.Phase, table.From, table.Refused)
 	}
 }
 
 // decideOnce has a decider decide on a table.
-func decideOnce(config *counting.Config, current counting.Table) (counting.Table, bool) {
-	c := &Controller{Config: func() *counting.Config { return config }, Lease: time.Second, ReadWait: time.Second}
-	value, write := c.Decide(time.Hour, cluster.ControllerInput{Table: func(string) tables.Table {
+func decideOnce(config *countingrule.Config, current countingrule.Table) (countingrule.Table, bool) {
+	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, ReadWait: time.Second}
+	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) tables.Table {
 		return tables.Table{Epoch: 3, Value: current.Encode()}
 	}})
-	table, _ := counting.Decode(value)
+	table, _ := countingrule.Decode(value)
 	return table, write
 }
 
 // The way back that an operator asks for needs no trial: the rule before was in force already. It waits for an edge
 // that is still to come, as no switch is taken back before it.
 func TestController_operatorsRollBackWithoutATrial(t *testing.T) {
-	config := &counting.Config{Canary: canaryConfig()}
-	still := counting.Table{From: 1, To: 1, Previous: 0, Rules: []counting.Rule{scaledLimits(1)}}
-	if table, ok := decideOnce(config, still); !ok || table.Phase != counting.PhaseRollback || table.To != 0 || table.SwitchAt <= time.Hour {
+	config := &countingrule.Config{Canary: canaryConfig()}
+	still := countingrule.Table{From: 1, To: 1, Previous: 0, Rules: []countingrule.Rule{scaledLimits(1)}}
+	if table, ok := decideOnce(config, still); !ok || table.Phase != countingrule.PhaseRollback || table.To != 0 || table.SwitchAt <= time.Hour {
 		t.Errorf("%v, %+v", ok, table)
 	}
-	scheduled := counting.Table{Phase: counting.PhaseScheduled, From: 0, To: 1, SwitchAt: time.Hour + time.Second,
-		Rules: []counting.Rule{scaledLimits(1)}}
+	scheduled := countingrule.Table{Phase: countingrule.PhaseScheduled, From: 0, To: 1, SwitchAt: time.Hour + time.Second,
+		Rules: []countingrule.Rule{scaledLimits(1)}}
 	if table, ok := decideOnce(config, scheduled); ok {
 		t.Errorf("taken back before its edge: %+v", table)
 	}
 	scheduled.SwitchAt = time.Hour - 2*time.Second
-	if table, ok := decideOnce(config, scheduled); !ok || table.Phase != counting.PhaseRollback || table.From != 1 || table.To != 0 {
+	if table, ok := decideOnce(config, scheduled); !ok || table.Phase != countingrule.PhaseRollback || table.From != 1 || table.To != 0 {
 		t.Errorf("%v, %+v", ok, table)
 	}
 }
 
 // A rule that cannot be sampled beside the one in force is refused, and the refusal says why.
 func TestController_ruleThatCannotBeSampledIsRefused(t *testing.T) {
-	one := counting.Rule{Version: 1, Key: []string{"group"}, Mask: 0xff00, Limits: []counting.Limit{{Plan: "*",
+	one := countingrule.Rule{Version: 1, Key: []string{"group"}, Mask: 0xff00, Limits: []countingrule.Limit{{Plan: "*",
 		Rate: 1, Burst: 1}}}
 	two := one
 	two.Version, two.Mask = 2, 0x00ff
-	config := &counting.Config{DesiredVersion: 2, Rules: []counting.Rule{one, two}, Canary: canaryConfig()}
-	table, ok := decideOnce(config, counting.Table{From: 1, To: 1, Rules: []counting.Rule{one}})
-	if !ok || table.Phase != counting.PhaseIdle || table.From != 1 || len(table.Refused) != 1 || !strings.Contains(table.Reason, "in common") {
+	config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{one, two}, Canary: canaryConfig()}
+	table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{one}})
+	if !ok || table.Phase != countingrule.PhaseIdle || table.From != 1 || len(table.Refused) != 1 || !strings.Contains(table.Reason, "in common") {
 		t.Errorf("%v, %+v", ok, table)
 	}
 }
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 )
 
 // The files under testdata and the hashes were written by the program before its names were changed. What is stored,
@@ -102,15 +102,15 @@
 
 // driveShadow plays tasks that a seed draws under two rules, with answers that come late or not at all, a budget that runs
 // dry at times, and other weights of classes midway. It hashes each call and, from time to time, the observations.
-func driveShadow(t *testing.T, seed uint64, rule counting.Rule) (*Shadow, string) {
+func driveShadow(t *testing.T, seed uint64, rule countingrule.Rule) (*Shadow, string) {
 	t.Helper()
-	rule.Weights = []counting.Weight{{Class: "pay", Permille: 1500}}
+	rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}}
 	resolved, settings := resolve(t, rule)
-	current, err := counting.Resolve(counting.Rule{}, settings)
+	current, err := countingrule.Resolve(countingrule.Rule{}, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sample, err := NewSample(counting.Rule{}, rule, seed, 300)
+	sample, err := NewSample(countingrule.Rule{}, rule, seed, 300)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 // The names of the observations go between processes and are matched by the leader, whatever its version.
 func TestGolden_observationNames(t *testing.T) {
 	merging, _ := driveShadow(t, 3, pairedCustomers(1))
-	splitting, _ := driveShadow(t, 4, counting.Rule{Version: 1, Key: []string{"customer", "lane"}})
+	splitting, _ := driveShadow(t, 4, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"}})
 	counts := observations(merging, splitting)
 	var out bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
@@ -203,7 +203,7 @@
 func TestGolden_trials(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rule counting.Rule
+		rule countingrule.Rule
 		seed uint64
 		want string
 	}{
@@ -235,12 +235,12 @@
 
 // The reasons that stand in the stored table are read by people and by tools of theirs.
 func TestGolden_refusalReasons(t *testing.T) {
-	group := func(version, mask uint64, groups ...counting.Group) counting.Rule {
-		return counting.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
+	group := func(version, mask uint64, groups ...countingrule.Group) countingrule.Rule {
+		return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
 	}
-	one := counting.Group{Name: "one", Customers: []uint64{1, 2}}
+	one := countingrule.Group{Name: "one", Customers: []uint64{1, 2}}
 	for _, c := range []struct {
-		old, next counting.Rule
+		old, next countingrule.Rule
 		want      string
 	}{
 		{group(1, 0xff00), group(2, 0x00ff),
@@ -248,8 +248,8 @@
 		{group(1, 0xff00), group(2, 0, one),
 			"one rule's groups are listed and the other's made by a mask: what hangs together cannot be told"},
 	} {
-		config := &counting.Config{DesiredVersion: 2, Rules: []counting.Rule{c.old, c.next}, Canary: canaryConfig()}
-		table, ok := decideOnce(config, counting.Table{From: 1, To: 1, Rules: []counting.Rule{c.old}})
+		config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{c.old, c.next}, Canary: canaryConfig()}
+		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{c.old}})
 		if !ok || table.Reason != c.want {
 			t.Errorf("%v, %q, want %q", ok, table.Reason, c.want)
 		}
--- a/internal/canary/keystate.go
+++ b/internal/canary/keystate.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -11,7 +11,7 @@
 type keyState struct {
 	key           uint64
 	plan          policy.Plan
-	window        counting.Window
+	window        countingrule.Window
 	sampledAt     time.Duration // of the latest total
 	remaining     float64       // then
 	pending       float64       // let in and not yet brought to the counter
@@ -22,8 +22,8 @@
 
 // observe takes a total. A window not seen before starts with no more than what came since the latest look at the one
 // before: that guards against two bursts at a window's edge.
-func (state *keyState) observe(window counting.Window, at time.Duration, count float64) float64 {
-	remaining := counting.Remaining(&state.plan, window, at, count)
+func (state *keyState) observe(window countingrule.Window, at time.Duration, count float64) float64 {
+	remaining := countingrule.Remaining(&state.plan, window, at, count)
 	if window.Index > state.window.Index {
 		remaining = min(remaining, state.remaining+state.plan.Rate*(at-state.sampledAt).Seconds())
 	}
@@ -40,7 +40,7 @@
 type outstandingCall struct {
 	side          int
 	state         *keyState
-	window        counting.Window
+	window        countingrule.Window
 	sentAt        time.Duration
 	units         float64
 	request       *shadowRequest // nil: it brought units alone
--- a/internal/canary/observations.go
+++ b/internal/canary/observations.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 	"harrierhoist/policy"
 )
 
--- a/internal/canary/sample.go
+++ b/internal/canary/sample.go
@@ -10,7 +10,7 @@
 	"math/bits"
 	"slices"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 )
 
 // Buckets are the parts that the sampled keys fall into by hash; each is looked at once, one after the other. A bound of
@@ -27,10 +27,10 @@
 
 // NewSample makes the sample of two rules, of a share in thousandths. All processes with the same seed make the same.
 // An error tells that too much hangs together to take a part of it.
-func NewSample(old, next counting.Rule, seed, permille uint64) (*Sample, error) {
+func NewSample(old, next countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{seed: seed, threshold: math.MaxUint64 / 1000 * permille, mask: math.MaxUint64, parents: map[uint64]uint64{}}
 	listed := false
-	for _, rule := range []counting.Rule{old, next} {
+	for _, rule := range []countingrule.Rule{old, next} {
 		if rule.Version == 0 || slices.Contains(rule.Key, "customer") {
 			continue // each of its counts is one customer's
 		}
@@ -85,6 +85,6 @@
 
 // Bucket gives a customer's cell, and whether it is played at all.
 func (sample *Sample) Bucket(customer uint64) (bucket int, admitted bool) {
-	hash := counting.Hash(sample.seed, sample.ComponentKey(customer))
-	return int(counting.Hash(hash, 1) % Buckets), hash < sample.threshold
+	hash := countingrule.Hash(sample.seed, sample.ComponentKey(customer))
+	return int(countingrule.Hash(hash, 1) % Buckets), hash < sample.threshold
 }
--- a/internal/canary/shadow.go
+++ b/internal/canary/shadow.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -36,7 +36,7 @@
 }
 
 type side struct {
-	rule       *counting.Resolved
+	rule       *countingrule.Resolved
 	keys       map[uint64]*keyState
 	flushQueue []*keyState // with units that may have to go alone, in the order in which that was found
 	// budget is what this side may spend: each has half of the play's, so that neither sees less than the other.
@@ -45,7 +45,7 @@
 
 // NewShadow begins a play. Salt is the canary's own: names made with it are no rule's. Calls is the share of the
 // gateway's calls that may be spent, in thousandths.
-func NewShadow(sample *Sample, old, next *counting.Resolved, settings policy.Settings, salt, calls uint64) *Shadow {
+func NewShadow(sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, salt, calls uint64) *Shadow {
 	shadow := &Shadow{Observations: newObservations(salt), sample: sample, callShare: float64(calls) / 1000, outstanding: map[uint64]outstandingCall{}}
 	shadow.sides[0].keys, shadow.sides[1].keys = map[uint64]*keyState{}, map[uint64]*keyState{}
 	shadow.Reconfigure(old, next, settings)
@@ -53,7 +53,7 @@
 }
 
 // Reconfigure goes on with the same rules beside other lanes and plans, which have kept their numbers.
-func (shadow *Shadow) Reconfigure(old, next *counting.Resolved, settings policy.Settings) {
+func (shadow *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
 	shadow.sides[0].rule, shadow.sides[1].rule, shadow.plans = old, next, settings.Plans
 	shadow.setNames(settings)
 }
@@ -99,16 +99,16 @@
 }
 
 // openKey finds a key's book; nil where there are too many.
-func (shadow *Shadow) openKey(i int, assignment counting.Assignment, now time.Duration) *keyState {
+func (shadow *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
 	keys := shadow.sides[i].keys
-	key := counting.Hash(shadow.salt, uint64(i), assignment.Version, assignment.Key)
+	key := countingrule.Hash(shadow.salt, uint64(i), assignment.Version, assignment.Key)
 	state := keys[key]
 	if state == nil {
 		if len(keys) >= maxKeys {
 			return nil
 		}
 		plan := shadow.plans[assignment.Plan]
-		state = &keyState{key: key, plan: plan, window: counting.WindowAt(key, &plan, now), sampledAt: now, remaining: plan.Burst}
+		state = &keyState{key: key, plan: plan, window: countingrule.WindowAt(key, &plan, now), sampledAt: now, remaining: plan.Burst}
 		keys[key] = state
 	}
 	state.lastUsed = now
@@ -119,7 +119,7 @@
 func (shadow *Shadow) startCall(i int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
 	shadow.spend(i)
 	shadow.lastID++
-	window := counting.WindowAt(state.key, &state.plan, now)
+	window := countingrule.WindowAt(state.key, &state.plan, now)
 	shadow.outstanding[shadow.lastID] = outstandingCall{side: i, state: state, window: window, sentAt: now, units: state.pending, request: shadowed}
 	call := Call{window.Name, state.pending, window.TTL, shadow.lastID}
 	state.pending, state.flushAt = 0, 0
@@ -149,9 +149,9 @@
 	delete(shadow.outstanding, id)
 	state := call.state
 	if call.readsPrevious {
-		if deficit := state.plan.Burst - counting.Remaining(&state.plan, call.window, call.sentAt, count); answered && deficit > 0 {
+		if deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.sentAt, count); answered && deficit > 0 {
 			shadow.spend(call.side)
-			window := counting.WindowAt(state.key, &state.plan, now)
+			window := countingrule.WindowAt(state.key, &state.plan, now)
 			return []Call{{window.Name, deficit, window.TTL, 0}} // nobody waits for its answer
 		}
 		return nil
@@ -179,7 +179,7 @@
 	shadow.spend(call.side)
 	shadow.lastID++
 	end := call.window.Start - 1
-	window := counting.WindowAt(call.state.key, &call.state.plan, end)
+	window := countingrule.WindowAt(call.state.key, &call.state.plan, end)
 	shadow.outstanding[shadow.lastID] = outstandingCall{side: call.side, state: call.state, window: window, sentAt: end, readsPrevious: true}
 	return Call{window.Name, 0, window.TTL, shadow.lastID}
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -38,18 +38,18 @@
 	earlierSums map[string]uint64
 }
 
-func canaryConfig() counting.CanaryConfig {
-	return counting.CanaryConfig{SamplePermille: 400, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 50, AdmittedPermille: 100,
+func canaryConfig() countingrule.CanaryConfig {
+	return countingrule.CanaryConfig{SamplePermille: 400, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 50, AdmittedPermille: 100,
 		OverLimitPermille: 100, DeviationPermille: 100, WatchSeconds: 120}
 }
 
-func newSimulation(rule counting.Rule, seed uint64) *simulation {
+func newSimulation(rule countingrule.Rule, seed uint64) *simulation {
 	s := &simulation{counter: counter{}, chance: rand.New(rand.NewPCG(seed, 3)), now: time.Hour, ledSince: time.Hour,
 		earlierSums: map[string]uint64{}}
-	config := &counting.Config{DesiredVersion: rule.Version, Rules: []counting.Rule{rule}, Canary: canaryConfig()}
-	s.controller = &Controller{Config: func() *counting.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second,
+	config := &countingrule.Config{DesiredVersion: rule.Version, Rules: []countingrule.Rule{rule}, Canary: canaryConfig()}
+	s.controller = &Controller{Config: func() *countingrule.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second,
 		ClockOrigin: time.Duration(seed%977) * time.Second}
-	s.settings = counting.WithRulePlans(policy.Settings{Gateways: 3, Classes: testSettings().Classes,
+	s.settings = countingrule.WithRulePlans(policy.Settings{Gateways: 3, Classes: testSettings().Classes,
 		Plans: []policy.Plan{{Name: "small", Rate: 0.5, Burst: 3}}}, config.Rules)
 	for range 1200 { // most well within their plan, some at it, some far beyond
 		s.demand = append(s.demand, 0.25*math.Exp(0.7*s.chance.NormFloat64()))
@@ -58,8 +58,8 @@
 	return s
 }
 
-func (s *simulation) tableValue() counting.Table {
-	table, _ := counting.Decode(s.table.Value)
+func (s *simulation) tableValue() countingrule.Table {
+	table, _ := countingrule.Decode(s.table.Value)
 	return table
 }
 
@@ -77,7 +77,7 @@
 
 // decide lets the decider decide, and the processes follow.
 func (s *simulation) decide() {
-	value, write := s.controller.Decide(s.now, cluster.ControllerInput{Sums: s.sums(), LeadingSince: s.ledSince,
+	value, write := s.controller.Decide(s.now, coordination.ControllerInput{Sums: s.sums(), LeadingSince: s.ledSince,
 		Table: func(string) tables.Table { return s.table }})
 	previous := s.tableValue()
 	if !write {
@@ -85,15 +85,15 @@
 	}
 	s.table = tables.Table{Epoch: s.table.Epoch + 1, Value: value}
 	table := s.tableValue()
-	if table.Phase == counting.PhaseCanary && previous.Phase != counting.PhaseCanary {
+	if table.Phase == countingrule.PhaseCanary && previous.Phase != countingrule.PhaseCanary {
 		old, _ := table.Rule(table.From)
 		next, _ := table.Rule(table.To)
 		sample, err := NewSample(old, next, table.Seed, canaryConfig().SamplePermille)
 		if err != nil {
 			panic(err)
 		}
-		resolvedOld, _ := counting.Resolve(old, s.settings)
-		resolvedNext, _ := counting.Resolve(next, s.settings)
+		resolvedOld, _ := countingrule.Resolve(old, s.settings)
+		resolvedNext, _ := countingrule.Resolve(next, s.settings)
 		for range 3 {
 			s.shadows = append(s.shadows, NewShadow(sample, resolvedOld, resolvedNext, s.settings, table.Seed, 250))
 		}
@@ -134,29 +134,29 @@
 
 func (s *simulation) hasVerdict() bool {
 	table := s.tableValue()
-	return s.table.Epoch > 0 && table.Phase != counting.PhaseCanary
+	return s.table.Epoch > 0 && table.Phase != countingrule.PhaseCanary
 }
 
-func scaledLimits(factor float64) counting.Rule {
-	return counting.Rule{Version: 1, Key: []string{"customer"},
-		Limits: []counting.Limit{{Plan: "small", Rate: 0.5 * factor, Burst: 3 * factor}}}
+func scaledLimits(factor float64) countingrule.Rule {
+	return countingrule.Rule{Version: 1, Key: []string{"customer"},
+		Limits: []countingrule.Limit{{Plan: "small", Rate: 0.5 * factor, Burst: 3 * factor}}}
 }
 
-func pairedCustomers(rate float64) counting.Rule {
-	rule := counting.Rule{Version: 1, Key: []string{"group"},
-		Limits: []counting.Limit{{Plan: "*", Rate: rate, Burst: 6 * rate}}}
+func pairedCustomers(rate float64) countingrule.Rule {
+	rule := countingrule.Rule{Version: 1, Key: []string{"group"},
+		Limits: []countingrule.Limit{{Plan: "*", Rate: rate, Burst: 6 * rate}}}
 	for i := range uint64(600) {
-		rule.Groups = append(rule.Groups, counting.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
+		rule.Groups = append(rule.Groups, countingrule.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
 	}
 	return rule
 }
 
-func weightedClass(permille uint64) counting.Rule {
-	return counting.Rule{Version: 1, Key: []string{"customer"},
-		Weights: []counting.Weight{{Class: "pay", Permille: permille}}}
+func weightedClass(permille uint64) countingrule.Rule {
+	return countingrule.Rule{Version: 1, Key: []string{"customer"},
+		Weights: []countingrule.Weight{{Class: "pay", Permille: permille}}}
 }
 
-var changes = map[string]counting.Rule{"as it is": scaledLimits(1), "5% more": scaledLimits(1.05), "5% less": scaledLimits(0.95),
+var changes = map[string]countingrule.Rule{"as it is": scaledLimits(1), "5% more": scaledLimits(1.05), "5% less": scaledLimits(0.95),
 	"10% less": scaledLimits(0.9), "pairs": pairedCustomers(1), "pay 1.05": weightedClass(1050), "40% less": scaledLimits(0.6), "half": scaledLimits(0.5),
 	"triple": scaledLimits(3), "poor pairs": pairedCustomers(0.5), "pay 2.5": weightedClass(2500), "pay free": weightedClass(1), "25% less": scaledLimits(0.75),
 	"30% less": scaledLimits(0.7)}
@@ -165,7 +165,7 @@
 var quickChanges = []string{"as it is", "pairs", "half", "poor pairs"}
 
 // trueMeans is a change's mean of each figure over many cells at the end of a canary, none of them looked at before.
-func trueMeans(rule counting.Rule, runs uint64) (mean [3]float64) {
+func trueMeans(rule countingrule.Rule, runs uint64) (mean [3]float64) {
 	buckets := 0.0
 	for seed := range runs {
 		s := newSimulation(rule, 5000+seed)
@@ -173,8 +173,8 @@
 		table := s.tableValue()
 		undecided := canaryConfig()
 		undecided.DeadlineSeconds = 86_400 // no verdict
-		s.controller.Config = func() *counting.Config {
-			return &counting.Config{DesiredVersion: 1, Rules: []counting.Rule{rule}, Canary: undecided}
+		s.controller.Config = func() *countingrule.Config {
+			return &countingrule.Config{DesiredVersion: 1, Rules: []countingrule.Rule{rule}, Canary: undecided}
 		}
 		s.advance(s.now+75*time.Second, func() bool { return false })
 		var state TrialState
--- a/internal/canary/trialstate.go
+++ b/internal/canary/trialstate.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/countingrule"
 )
 
 // TrialState is what a canary has shown so far, in the table: it must not be lost with a leader.
@@ -26,7 +26,7 @@
 
 // addBucket takes a cell. What one rule lets in at one moment and the other at the next is no difference: a key at its limit
 // is let in by turns, and only what is left of it over the cell's time counts.
-func (s *TrialState) addBucket(canary *counting.CanaryConfig, requested, old, next, overLimit float64) {
+func (s *TrialState) addBucket(canary *countingrule.CanaryConfig, requested, old, next, overLimit float64) {
 	s.Tests[0].Add((old-next)/requested, float64(canary.RejectedPermille)/1000)
 	s.Tests[1].Add((next-old)/requested, float64(canary.AdmittedPermille)/1000)
 	s.Tests[2].Add(overLimit/requested, float64(canary.OverLimitPermille)/1000)
@@ -70,4 +70,4 @@
 	return state, err
 }
 
-func (s *TrialState) encode() []byte { return counting.Marshal(s) }
+func (s *TrialState) encode() []byte { return countingrule.Marshal(s) }
--- a/internal/charter/config.go
+++ b/internal/charter/config.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/internal/failover"
+	"harrierhoist/internal/settlement"
 )
 
 // Config is the file. Times are written as "200ms" or "2s".
@@ -20,9 +20,9 @@
 
 	// The parts, each a table with its terms; one that is left out is off. A part adds one line here, and its
 	// terms have a method Check() []error whose errors name the key and what is allowed.
-	Failover   *failover.Settings `toml:"failover"`
-	Counting   *counting.Config   `toml:"counting"`
-	Settlement *debts.Terms       `toml:"debts"`
+	Failover   *failover.Settings   `toml:"failover"`
+	Counting   *countingrule.Config `toml:"counting"`
+	Settlement *settlement.Terms    `toml:"debts"`
 }
 
 // Process is who this process is.
--- a/internal/charter/golden_test.go
+++ b/internal/charter/golden_test.go
@@ -11,9 +11,9 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/pelletier/go-toml/v2"
 
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/internal/failover"
+	"harrierhoist/internal/settlement"
 )
 
 // goldenFile is an operators' file that holds every key, none at its default.
@@ -46,34 +46,34 @@
 			Capacity: 120.5, CapacityByZone: map[string]float64{"hall-b": 80.25}, MaxUtilisation: 0.75, HoldDownSeconds: 12.5, RecoveryStep: 0.5,
 			MinMove: 0.06, AgreementShare: 0.7, MinGateways: 3, ProbeShare: 0.03,
 		},
-		Counting: &counting.Config{
+		Counting: &countingrule.Config{
 			DesiredVersion: 2,
-			Rules: []counting.Rule{
+			Rules: []countingrule.Rule{
 				{
 					Version: 1, Key: []string{"group"},
-					Groups:  []counting.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
-					Weights: []counting.Weight{{Class: "batch", Permille: 500}},
-					Limits:  []counting.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
+					Groups:  []countingrule.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
+					Weights: []countingrule.Weight{{Class: "batch", Permille: 500}},
+					Limits:  []countingrule.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
 				},
 				{
 					Version: 2, Key: []string{"customer", "group", "plan", "lane"}, Mask: 0xff00,
-					Limits: []counting.Limit{{Plan: "team", Rate: 12, Burst: 24}},
+					Limits: []countingrule.Limit{{Plan: "team", Rate: 12, Burst: 24}},
 				},
 			},
-			Canary: counting.CanaryConfig{
+			Canary: countingrule.CanaryConfig{
 				SamplePermille: 20, CallsPermille: 90, DeadlineSeconds: 3600, ErrorPermille: 50, RejectedPermille: 11, AdmittedPermille: 12, OverLimitPermille: 13, DeviationPermille: 14,
 				WatchSeconds: 600, LeadMillis: 2500,
 			},
 		},
-		Settlement: &debts.Terms{
+		Settlement: &settlement.Terms{
 			On: true,
-			Partners: []debts.Partner{
+			Partners: []settlement.Partner{
 				{Name: "north", Zones: []string{"hall-a", "hall-b"}, Plans: []string{"team", "solo"}, Weight: 2.5},
 				{Name: "south", Zones: []string{"hall-c"},
 					Customers: []string{"0000000000000100-00000000000001ff", "0000000000000300"}},
 				{Name: "west", Customers: []string{"0000000000000400"}},
 			},
-			Rules: []debts.PairRule{
+			Rules: []settlement.PairRule{
 				{Between: []string{"north", "south"}, Settle: &no},
 				{Between: []string{"west", "north"}, Settle: &yes, MaxShare: &share, ForgiveAfter: &forgive},
 			},
@@ -101,7 +101,7 @@
 		Process: Process{Name: "g1", SingleVoter: true, MaxConnections: 1024},
 		Voters:  []Voter{{Number: 1, Name: "v1", Address: "127.0.0.1:7411"}},
 		Timing:  Timing{Lease: Duration{Duration: 2 * time.Second}, DigestInterval: Duration{Duration: 200 * time.Millisecond}},
-		Settlement: &debts.Terms{SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
+		Settlement: &settlement.Terms{SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
 			MinOnTimeFraction: 0.9, MinDebt: 5},
 	}
 	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
--- a/internal/charter/read.go
+++ b/internal/charter/read.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 )
 
 // Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and what is allowed.
@@ -38,7 +38,7 @@
 	for {
 		c := &Config{Process: Process{MaxConnections: defaultConnections},
 			Timing: Timing{Lease: Duration{Duration: defaultLease}, DigestInterval: Duration{Duration: defaultDigestInterval}}}
-		terms := debts.DefaultTerms()
+		terms := settlement.DefaultTerms()
 		c.Settlement = &terms
 		err := toml.NewDecoder(bytes.NewReader(bytes.Join(lines, []byte("\n")))).DisallowUnknownFields().Decode(c)
 		var missing *toml.StrictMissingError
--- a/internal/commons/bootstrap.go
+++ b/internal/commons/bootstrap.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/link"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/link"
 )
 
 // How often a voter asks how it is to begin.
@@ -22,34 +22,34 @@
 
 // bootstrap is what a voter with an empty disk has heard of the others.
 type bootstrap struct {
-	emptyVoters map[uint64]cluster.Member // voters that had an empty disk too when last heard of, with its mark
+	emptyVoters map[uint64]coordination.Member // voters that had an empty disk too when last heard of, with its mark
 }
 
 // bootstrapDecision is how a voter with an empty disk is to go on.
 type bootstrapDecision struct {
-	start          bool             // now
-	initialMembers []cluster.Member // with these, or none: the log comes from those who have it
-	reason         string           // it waits
+	start          bool                  // now
+	initialMembers []coordination.Member // with these, or none: the log comes from those who have it
+	reason         string                // it waits
 }
 
 // decide decides it. An empty disk may be a new one, or one that was lost: a voter that forgets how it voted could
 // vote twice, and what a majority had acknowledged could be gone. So it begins a log only where all voters named in the
 // file have told it in this life that they have none, and joins one only where the members' list has this very disk.
-func (b *bootstrap) decide(self cluster.Member, configured []charter.Voter, infos map[uint64]link.VoterInfo) bootstrapDecision {
+func (b *bootstrap) decide(self coordination.Member, configured []charter.Voter, infos map[uint64]link.VoterInfo) bootstrapDecision {
 	for number, info := range infos {
 		if !info.Started {
-			b.emptyVoters[number] = cluster.Member{Number: number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
+			b.emptyVoters[number] = coordination.Member{Number: number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
 		}
 	}
-	initialMembers := []cluster.Member{self}
+	initialMembers := []coordination.Member{self}
 	for _, v := range configured {
 		if other, ok := b.emptyVoters[v.Number]; ok && v.Number != self.Number {
 			initialMembers = append(initialMembers, other)
 		}
 	}
-	slices.SortFunc(initialMembers, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
+	slices.SortFunc(initialMembers, func(a, b coordination.Member) int { return int(a.Number) - int(b.Number) })
 	all := len(initialMembers) == len(configured)
-	mine := func(o cluster.Member) bool { return o.Number == self.Number }
+	mine := func(o coordination.Member) bool { return o.Number == self.Number }
 	for _, number := range sortedKeys(infos) {
 		info := infos[number]
 		if !info.Started {
@@ -92,11 +92,11 @@
 	retry := &backoff.ExponentialBackOff{InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
 		MaxInterval: maxBackoff}
 	retry.Reset()
-	b, began, said := bootstrap{map[uint64]cluster.Member{}}, time.Now(), ""
+	b, began, said := bootstrap{map[uint64]coordination.Member{}}, time.Now(), ""
 	for {
 		cfg := h.node.Config()
 		h.mu.Lock()
-		self := cluster.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
+		self := coordination.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
 		h.mu.Unlock()
 		decision := b.decide(self, cfg.Voters, h.queryVoters(ctx, cfg, self.Number))
 		if decision.start {
@@ -132,7 +132,7 @@
 	for _, v := range cfg.Voters {
 		go func() {
 			if v.Number == mine {
-				replies <- reply{voter: v, err: cluster.ErrStopped}
+				replies <- reply{voter: v, err: coordination.ErrStopped}
 				return
 			}
 			info, err := h.node.client.Info(ctx, v.Address)
--- a/internal/commons/bootstrap_test.go
+++ b/internal/commons/bootstrap_test.go
@@ -6,14 +6,14 @@
 	"go.uber.org/goleak"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/link"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/link"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func member(number uint64, disk string) cluster.Member {
-	return cluster.Member{Number: number, Name: string(rune('a' + number)), Address: "x", DiskID: disk}
+func member(number uint64, disk string) coordination.Member {
+	return coordination.Member{Number: number, Name: string(rune('a' + number)), Address: "x", DiskID: disk}
 }
 
 func emptyInfo(number uint64, disk string) link.VoterInfo {
@@ -21,8 +21,8 @@
 	return link.VoterInfo{Number: number, Name: m.Name, Address: m.Address, DiskID: disk}
 }
 
-func startedInfo(number uint64, initialMembers []cluster.Member, members ...cluster.Member) link.VoterInfo {
-	return link.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: cluster.Status{Members: members}}
+func startedInfo(number uint64, initialMembers []coordination.Member, members ...coordination.Member) link.VoterInfo {
+	return link.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: coordination.Status{Members: members}}
 }
 
 // An empty disk is a new one or a lost one; a voter that takes the second for the first votes twice. The rows are what
@@ -39,9 +39,9 @@
 		"one other is empty":          {[]round{{2: emptyInfo(2, "d2")}}, false, 0},
 		"all are empty":               {[]round{{2: emptyInfo(2, "d2"), 3: emptyInfo(3, "d3")}}, true, 3},
 		"all were, one after another": {[]round{{2: emptyInfo(2, "d2")}, {3: emptyInfo(3, "d3")}}, true, 3},
-		"another heard it and began":  {[]round{{2: startedInfo(2, []cluster.Member{d1, d2, d3}, d1, d2, d3)}}, true, 3},
+		"another heard it and began":  {[]round{{2: startedInfo(2, []coordination.Member{d1, d2, d3}, d1, d2, d3)}}, true, 3},
 		"another heard a lost disk of it and began": {[]round{
-			{2: startedInfo(2, []cluster.Member{member(1, "lost"), d2, d3}, member(1, ""), d2, d3)}}, false, 0},
+			{2: startedInfo(2, []coordination.Member{member(1, "lost"), d2, d3}, member(1, ""), d2, d3)}}, false, 0},
 		"its number has another disk":    {[]round{{2: startedInfo(2, nil, member(1, "lost"), d2, d3)}}, false, 0},
 		"its number has no disk yet":     {[]round{{2: startedInfo(2, nil, member(1, ""), d2, d3)}}, false, 0},
 		"its number is not taken in":     {[]round{{2: startedInfo(2, nil, d2, d3)}}, false, 0},
@@ -51,7 +51,7 @@
 		"all were empty, but its number is known by another disk": {[]round{{2: emptyInfo(2, "d2")},
 			{3: startedInfo(3, nil, member(1, "lost"), d2, d3), 2: emptyInfo(2, "d2")}}, false, 0},
 	} {
-		b := bootstrap{map[uint64]cluster.Member{}}
+		b := bootstrap{map[uint64]coordination.Member{}}
 		var decision bootstrapDecision
 		for _, heard := range row.rounds {
 			decision = b.decide(d1, []charter.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
@@ -69,21 +69,21 @@
 
 // The leader's next step to a voter that its file names.
 func TestNextMemberChange(t *testing.T) {
-	three := []cluster.Member{member(1, "d1"), member(2, "d2"), member(3, "d3")}
+	three := []coordination.Member{member(1, "d1"), member(2, "d2"), member(3, "d3")}
 	for name, row := range map[string]struct {
-		members []cluster.Member
+		members []coordination.Member
 		named   charter.Voter
 		remove  uint64
 		add     bool
 	}{
 		"one that is there":         {three, charter.Voter{Number: 2}, 0, false},
 		"a replacement, first":      {three, charter.Voter{Number: 4, ReplacesNumber: 2}, 2, false},
-		"a replacement, then":       {[]cluster.Member{three[0], three[2]}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
+		"a replacement, then":       {[]coordination.Member{three[0], three[2]}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
 		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
 		"a further one":             {three, charter.Voter{Number: 4}, 0, true},
-		"one of the past":           {[]cluster.Member{three[1], three[2], member(4, "d4")}, charter.Voter{Number: 1}, 0, false},
-		"replaced twice, old file":  {[]cluster.Member{three[0], three[2], member(5, "d5")}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
-		"replaced twice, next file": {[]cluster.Member{three[0], three[2], member(4, "d4")}, charter.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
+		"one of the past":           {[]coordination.Member{three[1], three[2], member(4, "d4")}, charter.Voter{Number: 1}, 0, false},
+		"replaced twice, old file":  {[]coordination.Member{three[0], three[2], member(5, "d5")}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
+		"replaced twice, next file": {[]coordination.Member{three[0], three[2], member(4, "d4")}, charter.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
 	} {
 		if remove, add := nextMemberChange(row.members, row.named); remove != row.remove || add != row.add {
 			t.Errorf("%s: remove %d, add %v", name, remove, add)
--- a/internal/commons/golden_test.go
+++ b/internal/commons/golden_test.go
@@ -7,8 +7,8 @@
 	"regexp"
 	"testing"
 
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // The command by which the leader gives a new group its mark, as it stands in the log: {1: 1, 2: "v1/(when its process
@@ -23,7 +23,7 @@
 	}
 	var groupID []byte
 	for _, n := range all {
-		standin.Eventually(t, "the mark", func() bool { return len(n.Client().Cached(follow.GroupTable).Value) == 16 })
+		fakes.Eventually(t, "the mark", func() bool { return len(n.Client().Cached(follow.GroupTable).Value) == 16 })
 		groupID = n.Client().Cached(follow.GroupTable).Value
 	}
 	for _, n := range all {
--- a/internal/commons/node.go
+++ b/internal/commons/node.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/cluster/link"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/link"
 )
 
 // connectionsPerVoter is how many connections a process opens to a voter: one for the read that waits, one for digests.
@@ -25,7 +25,7 @@
 // Node is this process's part. It owns all that it starts, and gives it back in Close.
 type Node struct {
 	path        string
-	controllers func(*charter.Config) []cluster.Controller
+	controllers func(*charter.Config) []coordination.Controller
 	logger      *zap.Logger
 	client      *link.Client
 	follower    *follow.Follower
@@ -40,7 +40,7 @@
 
 // Open starts what the file at a path names. The deciders are those of the leader, by the file. Errors are of the
 // file, or of the address and the disk that it names.
-func Open(path string, controllers func(*charter.Config) []cluster.Controller, logger *zap.Logger) (*Node, error) {
+func Open(path string, controllers func(*charter.Config) []coordination.Controller, logger *zap.Logger) (*Node, error) {
 	cfg, err := charter.Read(path)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Client is what the process's parts ask.
-func (n *Node) Client() cluster.Client { return n.follower }
+func (n *Node) Client() coordination.Client { return n.follower }
 
 // Config is the file in force.
 func (n *Node) Config() *charter.Config { return n.config.Load() }
--- a/internal/commons/node_test.go
+++ b/internal/commons/node_test.go
@@ -13,9 +13,9 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // testSite is the files of three voters on free ports.
@@ -56,7 +56,7 @@
 
 func (site *testSite) open(name string, voter bool) *Node {
 	site.Helper()
-	n, err := Open(site.file(name, voter, ""), func(*charter.Config) []cluster.Controller { return nil }, site.log)
+	n, err := Open(site.file(name, voter, ""), func(*charter.Config) []coordination.Controller { return nil }, site.log)
 	if err != nil {
 		site.Fatal(err)
 	}
@@ -74,8 +74,8 @@
 		t.Error("two of three began alone: the third may have what a majority wrote")
 	}
 	all = append(all, site.open("v3", true))
-	standin.Eventually(t, "all begin", func() bool { return site.countLines("has begun") == 3 })
-	standin.Eventually(t, "a write", func() bool {
+	fakes.Eventually(t, "all begin", func() bool { return site.countLines("has begun") == 3 })
+	fakes.Eventually(t, "a write", func() bool {
 		for _, v := range all[2].Config().Voters {
 			if _, err := all[2].client.Propose(t.Context(), v.Address, tables.Command{Kind: tables.Write, Proposer: "t",
 				Number: 1, Table: "plan", Value: []byte("x")}); err == nil {
@@ -85,7 +85,7 @@
 		return false
 	})
 	for _, n := range all {
-		standin.Eventually(t, "the write", func() bool {
+		fakes.Eventually(t, "the write", func() bool {
 			held := n.Client().Cached("plan")
 			return string(held.Value) == "x" && held.LeaseEnd > n.Client().Now()
 		})
@@ -113,12 +113,12 @@
 	for _, name := range []string{"v1", "v2", "v3"} {
 		all = append(all, site.open(name, true))
 	}
-	standin.Eventually(t, "all begin", func() bool { return site.countLines("has begun") == 3 })
+	fakes.Eventually(t, "all begin", func() bool { return site.countLines("has begun") == 3 })
 	for _, n := range all {
 		n.Close()
 	}
 	site.voters = strings.Replace(site.voters, "number = 1\n", "number = 4\nreplaces = 1\n", 1)
-	_, err := Open(site.file("v1", true, ""), func(*charter.Config) []cluster.Controller { return nil }, site.log)
+	_, err := Open(site.file("v1", true, ""), func(*charter.Config) []coordination.Controller { return nil }, site.log)
 	if err == nil || !strings.Contains(err.Error(), "v1.toml: process.disk: holds the log of voter 1") {
 		t.Errorf("opened: %v", err)
 	}
--- a/internal/commons/reconcile.go
+++ b/internal/commons/reconcile.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // How the leader looks after the members.
@@ -55,7 +55,7 @@
 }
 
 // reconcileMembers takes the next step from the members that are to those that the file names.
-func (h *voterHost) reconcileMembers(ctx context.Context, status cluster.Status) {
+func (h *voterHost) reconcileMembers(ctx context.Context, status coordination.Status) {
 	cfg := h.node.Config()
 	running, logger := h.runningVoter(), h.node.logger
 	for _, configured := range cfg.Voters {
@@ -74,7 +74,7 @@
 			return
 		}
 		if remove != 0 {
-			err = running.ChangeMembership(ctx, cluster.Member{Number: remove}, true)
+			err = running.ChangeMembership(ctx, coordination.Member{Number: remove}, true)
 			logger.Info("a voter is taken out", zap.Uint64("number", remove), zap.Uint64("replaced by", configured.Number),
 				zap.Error(err))
 			if err == nil {
@@ -82,7 +82,7 @@
 			}
 			return
 		}
-		m := cluster.Member{Number: configured.Number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
+		m := coordination.Member{Number: configured.Number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
 		err = running.ChangeMembership(ctx, m, false)
 		logger.Info("a voter is taken in", zap.Uint64("number", m.Number), zap.String("name", m.Name), zap.Error(err))
 		return
@@ -91,7 +91,7 @@
 
 // nextMemberChange is the next step to a voter that the file names. First the one that it replaces goes: while it is dead, it
 // counts among those of whom a majority must answer, and a fifth in place of a fourth would need one more of them.
-func nextMemberChange(members []cluster.Member, configured charter.Voter) (remove uint64, add bool) {
+func nextMemberChange(members []coordination.Member, configured charter.Voter) (remove uint64, add bool) {
 	top := uint64(0)
 	for _, m := range members {
 		top = max(top, m.Number)
--- a/internal/commons/sources.go
+++ b/internal/commons/sources.go
@@ -5,16 +5,16 @@
 	"time"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/cluster/link"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/link"
 )
 
 // localVoter is this process's own voter as a source.
 type localVoter struct {
 	name  string
-	voter func() cluster.Voter
+	voter func() coordination.Voter
 }
 
 // localReadGrace is what the own voter's answer may take beyond the wait that was asked for.
@@ -25,7 +25,7 @@
 func (o localVoter) SendDigest(_ context.Context, d evidence.Digest) error {
 	v := o.voter()
 	if v == nil {
-		return cluster.ErrStopped
+		return coordination.ErrStopped
 	}
 	v.AddDigests([]evidence.Digest{d})
 	return nil
@@ -34,7 +34,7 @@
 func (o localVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follow.ReadResult, error) {
 	v := o.voter()
 	if v == nil {
-		return follow.ReadResult{}, cluster.ErrStopped
+		return follow.ReadResult{}, coordination.ErrStopped
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+localReadGrace)
 	defer cancel()
--- a/internal/commons/voter_host.go
+++ b/internal/commons/voter_host.go
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/disk"
-	"harrierhoist/internal/cluster/follow"
-	"harrierhoist/internal/cluster/link"
-	"harrierhoist/internal/cluster/voter"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/voter"
 )
 
 // voterHost is a voter's place in its process: its link, its disk, and the voter once it has begun.
@@ -28,7 +28,7 @@
 
 	mu             sync.Mutex
 	self           charter.Voter
-	initialMembers []cluster.Member // with whom it began in this life, with the marks of their disks
+	initialMembers []coordination.Member // with whom it began in this life, with the marks of their disks
 	voter          *voter.Voter
 	stopped        bool // no voter is opened any more
 }
@@ -72,13 +72,13 @@
 }
 
 // startVoter opens the voter: with the members that begin the log, or none where the log is on its disk or comes from others.
-func (h *voterHost) startVoter(cfg *charter.Config, initialMembers []cluster.Member) error {
+func (h *voterHost) startVoter(cfg *charter.Config, initialMembers []coordination.Member) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
-		return cluster.ErrStopped
+		return coordination.ErrStopped
 	}
-	self := cluster.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
+	self := coordination.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
 	running, err := voter.Open(self, initialMembers, h.storage, h.node.controllers(cfg), h.send, h.node.logger)
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 
 // send hands a voter's message to the links. Where a voter is, the file says; what the log says is for processes
 // whose file does not name it yet.
-func (h *voterHost) send(to cluster.Member, message []byte) {
+func (h *voterHost) send(to coordination.Member, message []byte) {
 	address := to.Address
 	for _, v := range h.node.Config().Voters {
 		if v.Number == to.Number {
@@ -104,7 +104,7 @@
 }
 
 // Voter implements link.Host.
-func (h *voterHost) Voter() cluster.Voter {
+func (h *voterHost) Voter() coordination.Voter {
 	if running := h.runningVoter(); running != nil {
 		return running
 	}
--- a/internal/boot/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-package boot
+package config
 
 import (
 	"encoding/json"
--- a/internal/roster/leak_test.go
+++ b/internal/config/leak_test.go
@@ -1,4 +1,4 @@
-package roster
+package config
 
 import (
 	"testing"
--- a/internal/boot/values.go
+++ b/internal/config/values.go
@@ -1,6 +1,6 @@
 // Package boot reads what a gateway is told at its start: the settings, which the simulator hands over as
 // lines and a configuration file as nested JSON, and what goes with them on sockets.
-package boot
+package config
 
 import (
 	"fmt"
--- a/internal/conformance/client.go
+++ b/internal/conformance/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // This file is what the clients of a process, and the other gateways at its counter, do and wait for.
@@ -59,7 +59,7 @@
 		s.units, p.width)
 	before := len(p.seen.from(0))
 	go func() {
-		line := p.ask(standin.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", who), fmt.Sprintf("%016x", s.task), list))
+		line := p.ask(fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", who), fmt.Sprintf("%016x", s.task), list))
 		how := "no answer"
 		switch {
 		case strings.HasPrefix(line, "$"):
--- a/internal/conformance/common.go
+++ b/internal/conformance/common.go
@@ -13,11 +13,11 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/link"
-	log "harrierhoist/internal/cluster/tables"
 	"harrierhoist/internal/commons"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/link"
+	log "harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // This file brings a process into a state of a part: it follows a voter of ours at which the part's table stands as the
@@ -58,7 +58,7 @@
 		if err = os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		none := func(*charter.Config) []cluster.Controller { return nil }
+		none := func(*charter.Config) []coordination.Controller { return nil }
 		if u.Node, err = commons.Open(path, none, zap.NewNop()); err == nil {
 			break
 		}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if table != "" {
-		standin.Eventually(t, "the table is written", func() bool {
+		fakes.Eventually(t, "the table is written", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), writeEvery)
 			defer cancel()
 			r, err := u.client.Propose(ctx, u.address, log.Command{Kind: log.Write, Proposer: "rows/1", Number: 1,
@@ -168,7 +168,7 @@
 	}
 	l.Ready = func(r Running) {
 		for _, line := range s.says {
-			standin.Eventually(t, line, func() bool { return strings.Contains(r.Log(), line) })
+			fakes.Eventually(t, line, func() bool { return strings.Contains(r.Log(), line) })
 		}
 		if gone == nil {
 			return
@@ -176,7 +176,7 @@
 		before := r.Log() // what is said of no lease may have been said before there was one
 		gone()
 		for _, line := range s.over {
-			standin.Eventually(t, line, func() bool { return strings.Contains(r.Log()[len(before):], line) })
+			fakes.Eventually(t, line, func() bool { return strings.Contains(r.Log()[len(before):], line) })
 		}
 	}
 }
--- a/internal/conformance/common_test.go
+++ b/internal/conformance/common_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Rows that hold beside a part say nothing where the part does not act: the canary and the second rule ask the counter
@@ -27,7 +27,7 @@
 				}
 				p.do(s)
 			}
-			standin.Eventually(t, "calls of the part's own", func() bool { return p.asides.Load() > 0 })
+			fakes.Eventually(t, "calls of the part's own", func() bool { return p.asides.Load() > 0 })
 		})
 	}
 }
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -11,7 +11,7 @@
 	"strings"
 	"sync/atomic"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Ports for processes to listen at lie below those that the system gives to callers and to listeners without a wish.
@@ -63,13 +63,13 @@
 		ended := make(chan struct{})
 		go func() { _ = cmd.Wait(); close(ended) }()
 		p.t.Cleanup(func() { _ = cmd.Process.Kill(); <-ended })
-		standin.Eventually(p.t, "a gateway that serves or has ended", func() bool {
+		fakes.Eventually(p.t, "a gateway that serves or has ended", func() bool {
 			select {
 			case <-ended:
 				return true
 			default:
 			}
-			return strings.Contains(r.Log(), ready) && p.ask(standin.FormatCommand("PING")) == "+PONG"
+			return strings.Contains(r.Log(), ready) && p.ask(fakes.FormatCommand("PING")) == "+PONG"
 		})
 		select {
 		case <-ended:
--- a/internal/conformance/play.go
+++ b/internal/conformance/play.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -76,7 +76,7 @@
 			if err := syscall.Kill(r.Pid, syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			standin.Eventually(t, "settings taken", func() bool {
+			fakes.Eventually(t, "settings taken", func() bool {
 				return strings.Contains(r.Log(), "a new configuration")
 			})
 		}
--- a/internal/conformance/process.go
+++ b/internal/conformance/process.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 const (
@@ -73,9 +73,9 @@
 	addr      string
 	pid       int
 	peers     []string
-	counter   *standin.Counter
-	discovery *standin.Discovery
-	servers   []*standin.Server
+	counter   *fakes.Counter
+	discovery *fakes.Discovery
+	servers   []*fakes.Server
 	letGo     func() // of the counter; nil: it answers
 	variant   Variant
 	asides    *atomic.Int64 // calls that were not looked at
@@ -89,18 +89,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, plan: plan.Name, width: max(row.Gateways, 1), counter: standin.NewCounter(t),
+	p := &process{t: t, plan: plan.Name, width: max(row.Gateways, 1), counter: fakes.NewCounter(t),
 		variant: v, asides: new(atomic.Int64), answers: map[int]chan float64{}}
 	var hosts []string
 	for i := range servers {
-		p.servers = append(p.servers, standin.NewServer(t, p.served))
-		hosts = append(hosts, standin.FormatHost(fmt.Sprintf("s-%d", i), p.servers[i].Addr, "in_service"))
+		p.servers = append(p.servers, fakes.NewServer(t, p.served))
+		hosts = append(hosts, fakes.FormatHost(fmt.Sprintf("s-%d", i), p.servers[i].Addr, "in_service"))
 	}
-	p.discovery = standin.NewDiscovery(t, hosts...)
+	p.discovery = fakes.NewDiscovery(t, hosts...)
 	l := Launch{Dir: t.TempDir(), Config: launchConfig(p, plan), Hosts: hosts}
 	v.Process(t, &l)
 	p.discovery.Publish(true, l.Hosts...)
-	l.Config["known"] = json.RawMessage(standin.FormatList(1, true, l.Hosts...))
+	l.Config["known"] = json.RawMessage(fakes.FormatList(1, true, l.Hosts...))
 	p.peers = l.Peers
 	running := p.start(path, &l)
 	if l.Ready != nil {
@@ -155,11 +155,11 @@
 	select {
 	case units := <-p.answer(int(task)):
 		if units > 0 {
-			return standin.FormatValue("hello", int(units))
+			return fakes.FormatValue("hello", int(units))
 		}
 		return "*3\r\n$5\r\nhello\r\n$7\r\nused=10\r\n$-1\r\n" // reports no cost
 	case <-p.t.Context().Done():
-		return standin.CloseConn
+		return fakes.CloseConn
 	}
 }
 
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/internal/failover"
+	"harrierhoist/internal/settlement"
 	"harrierhoist/policy"
 )
 
@@ -14,10 +14,10 @@
 
 // byCustomer is a rule under which a count is a customer's and a unit weighs one: all clauses hold as they are, under
 // other names.
-var byCustomer = counting.Rule{Version: 1, Key: []string{"customer"}}
+var byCustomer = countingrule.Rule{Version: 1, Key: []string{"customer"}}
 
 // ruleKey is what stands for a customer under it, reckoned from what docs/counting-rules.md says.
-func ruleKey(customer uint64) uint64 { return counting.Hash(byCustomer.Version, customer, 0, 0, 0) }
+func ruleKey(customer uint64) uint64 { return countingrule.Hash(byCustomer.Version, customer, 0, 0, 0) }
 
 const (
 	sampleSeed  = 5
@@ -34,11 +34,11 @@
 )
 
 // counted gives a counting table: its edge lies so far from the start of the first row.
-func counted(phase counting.Phase, edge time.Duration) func() []byte {
+func counted(phase countingrule.Phase, edge time.Duration) func() []byte {
 	return func() []byte {
 		now := time.Duration(time.Now().UnixNano())
-		return counting.Table{Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
-			Rules: []counting.Rule{byCustomer}, Seed: sampleSeed, Canary: counting.CanaryConfig{SamplePermille: sample, CallsPermille: callsPlayed,
+		return countingrule.Table{Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
+			Rules: []countingrule.Rule{byCustomer}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{SamplePermille: sample, CallsPermille: callsPlayed,
 				DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60},
 		}.Encode()
 	}
@@ -46,7 +46,7 @@
 
 // played has a row's customer in the canary's sample.
 func sampled(customer uint64) bool {
-	s, err := canary.NewSample(counting.Rule{}, byCustomer, sampleSeed, sample)
+	s, err := canary.NewSample(countingrule.Rule{}, byCustomer, sampleSeed, sample)
 	if err != nil {
 		return false
 	}
@@ -77,9 +77,9 @@
 }
 
 func settling() []byte {
-	pair := debts.Pair{Debtor: "south", Creditor: "north"}
-	value, err := debts.State{Shares: []debts.Share{{Pair: pair, PPM: debts.PartsPerMillion / 2}},
-		Nets: []debts.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
+	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
+	value, err := settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
+		Nets: []settlement.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
 	if err != nil {
 		panic(err) // plain numbers and words
 	}
@@ -99,27 +99,27 @@
 			hall: "hall-a", halls: two, terms: failoverTerm, table: failover.Table,
 			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`}},
 		{name: "canary", text: "a new rule is played on the row's customer beside the old one",
-			hall: "hall-a", terms: countedTerm, table: counting.TableName, value: counted(counting.PhaseCanary, 0),
+			hall: "hall-a", terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseCanary, 0),
 			says: []string{step}, fits: sampled, aside: true},
 		{name: "activation named", text: "the new rule's edge is named and an hour off; the row's customer is still played",
-			hall: "hall-a", terms: countedTerm, table: counting.TableName,
-			value: counted(counting.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true},
+			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
+			value: counted(countingrule.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true},
 		{name: "activated", text: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
-			hall: "hall-a", terms: countedTerm, table: counting.TableName,
-			value: counted(counting.PhaseScheduled, -time.Minute), says: []string{step}, key: ruleKey,
+			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
+			value: counted(countingrule.PhaseScheduled, -time.Minute), says: []string{step}, key: ruleKey,
 			fits: sampled, aside: true},
 		{name: "edge passed", text: "the same, with the edge come while the process served", hall: "hall-a",
-			terms: countedTerm, table: counting.TableName, value: counted(counting.PhaseScheduled, edgeSoon), span: edgeSoon,
+			terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseScheduled, edgeSoon), span: edgeSoon,
 			says: []string{step}, key: ruleKey, fits: sampled, aside: true},
 		{name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm, table: failover.Table,
 			value: shedding, says: []string{`"a plan is in force"`}},
 		{name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
-			hall: "hall-a", terms: countedTerm, table: counting.TableName,
-			value: counted(counting.PhaseCanary, 0), says: []string{step}, aside: true,
+			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
+			value: counted(countingrule.PhaseCanary, 0), says: []string{step}, aside: true,
 			over: []string{"counting: what rule holds is not known"}},
 		{name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
-			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: debts.TableName,
+			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
 			value: settling, says: []string{`"debts are being settled"`}},
 	} {
 		all = append(all, s.variant())
@@ -131,7 +131,7 @@
 var inModule = []Variant{
 	{Name: "rules' plans", Text: "the plans of a counting rule stand behind the file's",
 		Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
-			return policy.New(counting.WithRulePlans(site, []counting.Rule{byCustomer}), seed, host)
+			return policy.New(countingrule.WithRulePlans(site, []countingrule.Rule{byCustomer}), seed, host)
 		}},
 	{Name: "preferring", Text: "each task prefers the owner of a further, elective server",
 		Module: elective(preferred)},
--- a/internal/cluster/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,11 +1,11 @@
 // Package cluster names what its parts and the processes' deciders pass to each other: the types between the
 // packages below it and those that use what the processes hold in common. It does nothing itself.
-package cluster
+package coordination
 
 import (
 	"time"
 
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // CachedTable is a table as this process holds it.
--- a/internal/cluster/core/cluster_test.go
+++ b/internal/coordination/core/cluster_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // testCluster is some voters whose messages arrive at once.
@@ -18,13 +18,13 @@
 	sent        []Message
 }
 
-func testMember(number uint64) cluster.Member {
-	return cluster.Member{Number: number, Name: fmt.Sprint("v", number), Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}
+func testMember(number uint64) coordination.Member {
+	return coordination.Member{Number: number, Name: fmt.Sprint("v", number), Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}
 }
 
 func newTestCluster(t *testing.T, number uint64) *testCluster {
 	tc := &testCluster{t: t, nodes: map[uint64]*Node{}, records: map[uint64][][]byte{}, lastApplied: map[uint64]AppliedResult{}}
-	var initialMembers []cluster.Member
+	var initialMembers []coordination.Member
 	for i := range number {
 		initialMembers = append(initialMembers, testMember(i+1))
 	}
@@ -34,7 +34,7 @@
 	return tc
 }
 
-func (tc *testCluster) startNode(member cluster.Member, incarnation Incarnation, initialMembers []cluster.Member) *Node {
+func (tc *testCluster) startNode(member coordination.Member, incarnation Incarnation, initialMembers []coordination.Member) *Node {
 	tc.t.Helper()
 	n, err := NewNode(member, incarnation, initialMembers, tc.records[member.Number], member.Number)
 	if err != nil {
--- a/internal/cluster/core/envelope.go
+++ b/internal/coordination/core/envelope.go
@@ -11,17 +11,17 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // envelope is what one voter sends another.
 type envelope struct {
-	From         cluster.Member    `cbor:"1,keyasint"`
-	Incarnation  Incarnation       `cbor:"3,keyasint"`
-	ClusterID    uint64            `cbor:"4,keyasint"` // 0: has none yet
-	RaftMessages [][]byte          `cbor:"5,keyasint,omitempty"`
-	Digests      []evidence.Digest `cbor:"6,keyasint,omitempty"`
+	From         coordination.Member `cbor:"1,keyasint"`
+	Incarnation  Incarnation         `cbor:"3,keyasint"`
+	ClusterID    uint64              `cbor:"4,keyasint"` // 0: has none yet
+	RaftMessages [][]byte            `cbor:"5,keyasint,omitempty"`
+	Digests      []evidence.Digest   `cbor:"6,keyasint,omitempty"`
 }
 
 // encode are the envelope with its checksum: raft goes by each number in a message, and one spoilt on the way would be
@@ -44,7 +44,7 @@
 
 // peer is what was last heard of a member.
 type peer struct {
-	cluster.Member
+	coordination.Member
 	incarnation Incarnation
 }
 
@@ -89,7 +89,7 @@
 }
 
 // unlistedPeer is a member that this voter's log does not name yet: so the leader is to one that waits to be added.
-func (n *Node) unlistedPeer(id uint64) (cluster.Member, bool) {
+func (n *Node) unlistedPeer(id uint64) (coordination.Member, bool) {
 	s, ok := n.peers[id]
 	return s.Member, ok && !n.membership.wasRemoved(id)
 }
--- a/internal/cluster/core/gatherer.go
+++ b/internal/coordination/core/gatherer.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // exactCountsInterval is with how many messages to the leader exact counts go along: the log is told them once a second.
--- a/internal/cluster/core/golden_test.go
+++ b/internal/coordination/core/golden_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
@@ -150,7 +150,7 @@
 			Table: "plan", Epoch: 2, Value: []byte("v")}}, new(logEntry), goldenCommand},
 		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, new(logEntry), goldenDisk},
 		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(membershipChange), goldenChange},
-		"picture": {&snapshotData{Membership: membership{Members: []cluster.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
+		"picture": {&snapshotData{Membership: membership{Members: []coordination.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
 			State: []byte("state")}, new(snapshotData), goldenSnapshotData},
 		"record": {&record{Self: &one, Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("e1"), []byte("e2")},
 			HardState: []byte("hard")}, new(record), goldenRecord},
--- a/internal/cluster/core/membership.go
+++ b/internal/coordination/core/membership.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 type progress = tracker.Progress
@@ -22,21 +22,21 @@
 
 // membership is who the members are. It is part of what all voters hold alike.
 type membership struct {
-	Members       []cluster.Member `cbor:"1,keyasint"` // by number
-	HighestNumber uint64           `cbor:"2,keyasint"` // highest number ever given: none is used twice
-	ClusterID     uint64           `cbor:"3,keyasint"` // drawn from the first members: messages of another log are refused
+	Members       []coordination.Member `cbor:"1,keyasint"` // by number
+	HighestNumber uint64                `cbor:"2,keyasint"` // highest number ever given: none is used twice
+	ClusterID     uint64                `cbor:"3,keyasint"` // drawn from the first members: messages of another log are refused
 }
 
-func (m *membership) find(number uint64) (cluster.Member, bool) {
+func (m *membership) find(number uint64) (coordination.Member, bool) {
 	for _, member := range m.Members {
 		if member.Number == number {
 			return member, true
 		}
 	}
-	return cluster.Member{}, false
+	return coordination.Member{}, false
 }
 
-func (m *membership) list() []cluster.Member { return slices.Clone(m.Members) }
+func (m *membership) list() []coordination.Member { return slices.Clone(m.Members) }
 
 // wasRemoved tells whether a number was given once and taken back.
 func (m *membership) wasRemoved(number uint64) bool {
@@ -45,7 +45,7 @@
 }
 
 // validate tells what is wrong with a change.
-func (m *membership) validate(member cluster.Member, remove bool) error {
+func (m *membership) validate(member coordination.Member, remove bool) error {
 	if remove {
 		switch _, ok := m.find(member.Number); {
 		case !ok:
@@ -62,16 +62,16 @@
 		return fmt.Errorf("number %d is too high; the next is %d", member.Number, m.HighestNumber+1)
 	case member.Name == "" || member.Address == "":
 		return errors.New("a member needs a name and an address")
-	case slices.ContainsFunc(m.Members, func(o cluster.Member) bool { return o.Address == member.Address }):
+	case slices.ContainsFunc(m.Members, func(o coordination.Member) bool { return o.Address == member.Address }):
 		return fmt.Errorf("another member has the address %s: remove it first", member.Address)
 	}
 	return nil
 }
 
-func (m *membership) update(member cluster.Member, remove bool) {
+func (m *membership) update(member coordination.Member, remove bool) {
 	m.Members = slices.Clone(m.Members)
 	if remove {
-		m.Members = slices.DeleteFunc(m.Members, func(o cluster.Member) bool { return o.Number == member.Number })
+		m.Members = slices.DeleteFunc(m.Members, func(o coordination.Member) bool { return o.Number == member.Number })
 		return
 	}
 	m.Members, m.HighestNumber = append(m.Members, member), member.Number
@@ -84,9 +84,9 @@
 }
 
 // bootstrap makes the first snapshot. A first member whose disk is not named has it written down once it is heard of.
-func (n *Node) bootstrap(initialMembers []cluster.Member) error {
+func (n *Node) bootstrap(initialMembers []coordination.Member) error {
 	members := membership{Members: slices.Clone(initialMembers)}
-	slices.SortFunc(members.Members, func(a, b cluster.Member) int { return int(a.Number) - int(b.Number) })
+	slices.SortFunc(members.Members, func(a, b coordination.Member) int { return int(a.Number) - int(b.Number) })
 	conf := &raftpb.ConfState{}
 	for i := range members.Members {
 		members.HighestNumber = members.Members[i].Number
@@ -136,17 +136,17 @@
 
 // membershipChange is what stands beside a change of the members in the log.
 type membershipChange struct {
-	Seq    uint64         `cbor:"1,keyasint"`
-	From   uint64         `cbor:"2,keyasint"`
-	Member cluster.Member `cbor:"3,keyasint"`
-	Remove bool           `cbor:"4,keyasint"`
+	Seq    uint64              `cbor:"1,keyasint"`
+	From   uint64              `cbor:"2,keyasint"`
+	Member coordination.Member `cbor:"3,keyasint"`
+	Remove bool                `cbor:"4,keyasint"`
 }
 
 // ChangeMembership adds a member or removes one, and gives the number under which Done tells that it is so. Errors: ErrNotLeader,
 // ErrChange, or what is wrong with it.
-func (n *Node) ChangeMembership(member cluster.Member, remove bool) (uint64, error) {
+func (n *Node) ChangeMembership(member coordination.Member, remove bool) (uint64, error) {
 	if !n.IsLeader() {
-		return 0, cluster.ErrNotLeader
+		return 0, coordination.ErrNotLeader
 	}
 	// The library writes nothing in place of a change that comes too early, and says nothing of it: one of an earlier
 	// leader may be on its way, or one of this voter's own.
@@ -167,7 +167,7 @@
 	}
 	if err := n.raftNode.ProposeConfChange(&raftpb.ConfChangeV2{Context: data,
 		Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &member.Number}}}); err != nil {
-		return 0, cluster.ErrNotLeader
+		return 0, coordination.ErrNotLeader
 	}
 	n.pendingChangeTerm = n.appliedTerm
 	return n.lastSeq, nil
--- a/internal/cluster/core/node.go
+++ b/internal/coordination/core/node.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // All times are in ticks: the host says how long one lasts.
@@ -47,7 +47,7 @@
 
 // Node is one voter. Not safe for use by several goroutines at once.
 type Node struct {
-	self         cluster.Member
+	self         coordination.Member
 	incarnation  Incarnation
 	raftNode     *raft.RawNode
 	storage      *raft.MemoryStorage
@@ -84,7 +84,7 @@
 // given the same, disks included, and the host must have Base written before anything else. Without those either, it
 // waits for a leader that adds it. What the disk says of the voter's number goes before self. Errors: ErrSpoilt, or a
 // number that is not among first.
-func NewNode(self cluster.Member, incarnation Incarnation, initialMembers []cluster.Member, records [][]byte, seed uint64) (n *Node, err error) {
+func NewNode(self coordination.Member, incarnation Incarnation, initialMembers []coordination.Member, records [][]byte, seed uint64) (n *Node, err error) {
 	defer func() {
 		if p := recover(); p != nil { // the library's word for a log with gaps
 			n, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
@@ -164,12 +164,12 @@
 func (n *Node) State() *tables.State { return n.state }
 
 // Self is this voter as its disk has it.
-func (n *Node) Self() cluster.Member { return n.self }
+func (n *Node) Self() coordination.Member { return n.self }
 
 // Status is this voter as it sees itself.
-func (n *Node) Status() cluster.Status {
+func (n *Node) Status() coordination.Status {
 	s := n.raftNode.BasicStatus()
-	return cluster.Status{Number: n.self.Number, Leader: s.Lead, Term: s.HardState.GetTerm(), Applied: n.appliedIndex,
+	return coordination.Status{Number: n.self.Number, Leader: s.Lead, Term: s.HardState.GetTerm(), Applied: n.appliedIndex,
 		Members: n.membership.list()}
 }
 
@@ -188,10 +188,10 @@
 
 // logEntry is what stands in the log beside changes of the members.
 type logEntry struct {
-	Seq     uint64          `cbor:"1,keyasint"` // of the call at the voter that proposed it
-	From    uint64          `cbor:"2,keyasint"`
-	Command *tables.Command `cbor:"3,keyasint,omitempty"`
-	Disk    *cluster.Member `cbor:"4,keyasint,omitempty"` // Number and Disk: the disk that the number is from now on
+	Seq     uint64               `cbor:"1,keyasint"` // of the call at the voter that proposed it
+	From    uint64               `cbor:"2,keyasint"`
+	Command *tables.Command      `cbor:"3,keyasint,omitempty"`
+	Disk    *coordination.Member `cbor:"4,keyasint,omitempty"` // Number and Disk: the disk that the number is from now on
 }
 
 func (n *Node) propose(e logEntry) (uint64, error) {
@@ -202,7 +202,7 @@
 		return 0, err
 	}
 	if err := n.raftNode.Propose(data); err != nil {
-		return 0, cluster.ErrNotLeader
+		return 0, coordination.ErrNotLeader
 	}
 	return n.lastSeq, nil
 }
--- a/internal/cluster/core/node_test.go
+++ b/internal/coordination/core/node_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // A voter that joins after the log was cut short, and one that lags behind it, are sent a snapshot; both then hold all.
@@ -40,7 +40,7 @@
 			t.Errorf("voter %d holds other tables, or knows %v", id, n.Status().Members)
 		}
 	}
-	if _, err := leader.ChangeMembership(testMember(2), true); err != nil && !errors.Is(err, cluster.ErrNotLeader) {
+	if _, err := leader.ChangeMembership(testMember(2), true); err != nil && !errors.Is(err, coordination.ErrNotLeader) {
 		t.Error(err)
 	}
 	tc.settle()
@@ -52,12 +52,12 @@
 	tc := newTestCluster(t, 1)
 	leader := tc.waitForLeader()
 	for _, c := range []struct {
-		m      cluster.Member
+		m      coordination.Member
 		remove bool
 		word   string
 	}{{testMember(1), false, "number 1 was given"}, {testMember(7), true, "no member"}, {testMember(1), true, "last member"},
-		{cluster.Member{Number: 2}, false, "name and an address"},
-		{cluster.Member{Number: 2, Name: "x", Address: "a1"}, false, "another member has the address"}} {
+		{coordination.Member{Number: 2}, false, "name and an address"},
+		{coordination.Member{Number: 2, Name: "x", Address: "a1"}, false, "another member has the address"}} {
 		if _, err := leader.ChangeMembership(c.m, c.remove); err == nil || !strings.Contains(err.Error(), c.word) {
 			t.Errorf("%+v: %v", c, err)
 		}
--- a/internal/cluster/core/read_queue.go
+++ b/internal/coordination/core/read_queue.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // readIndexTimeout is after how long a confirmation is asked for again: a heartbeat or its answer was lost.
--- a/internal/cluster/core/ready.go
+++ b/internal/coordination/core/ready.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Ready is what the host has to do, in this order: send Early; write Record and sync it; send Messages; call Done. Where
@@ -27,7 +27,7 @@
 
 // Message is for one other voter.
 type Message struct {
-	To   cluster.Member
+	To   coordination.Member
 	Body []byte
 }
 
@@ -145,7 +145,7 @@
 }
 
 // setDiskID writes down a disk where none stands yet: the first one stays.
-func (m *membership) setDiskID(member cluster.Member) {
+func (m *membership) setDiskID(member coordination.Member) {
 	for i := range m.Members {
 		if m.Members[i].Number == member.Number && m.Members[i].DiskID == "" {
 			m.Members[i].DiskID = member.DiskID
--- a/internal/cluster/core/record.go
+++ b/internal/coordination/core/record.go
@@ -8,18 +8,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
 )
 
 // record is what is written to the disk at once.
 type record struct {
-	Self      *cluster.Member `cbor:"1,keyasint,omitempty"` // in the first one
-	Snapshot  []byte          `cbor:"2,keyasint,omitempty"`
-	Entries   [][]byte        `cbor:"3,keyasint,omitempty"`
-	HardState []byte          `cbor:"4,keyasint,omitempty"`
+	Self      *coordination.Member `cbor:"1,keyasint,omitempty"` // in the first one
+	Snapshot  []byte               `cbor:"2,keyasint,omitempty"`
+	Entries   [][]byte             `cbor:"3,keyasint,omitempty"`
+	HardState []byte               `cbor:"4,keyasint,omitempty"`
 }
 
-func encodeRecord(self *cluster.Member, snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) ([]byte, error) {
+func encodeRecord(self *coordination.Member, snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) ([]byte, error) {
 	contents := record{Self: self}
 	var err error
 	if !raft.IsEmptySnap(snapshot) {
--- a/internal/cluster/follow/cache.go
+++ b/internal/coordination/follow/cache.go
@@ -4,20 +4,20 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // tableCache is what a process holds of the tables. It takes answers in any order, late or doubled ones too.
 type tableCache struct {
 	mu             sync.RWMutex
-	tables         map[string]cluster.CachedTable
+	tables         map[string]coordination.CachedTable
 	confirmedUntil time.Duration // until when it is confirmed that tables not held were never written
 	changed        chan struct{}
 }
 
 func newTableCache() *tableCache {
-	return &tableCache{tables: map[string]cluster.CachedTable{}, changed: make(chan struct{})}
+	return &tableCache{tables: map[string]coordination.CachedTable{}, changed: make(chan struct{})}
 }
 
 // knownEpochs are the epochs held.
@@ -40,7 +40,7 @@
 	changed := until > c.confirmedUntil && c.confirmedUntil == 0
 	for name, e := range answer {
 		if held := c.tables[name]; e.Epoch > held.Epoch {
-			c.tables[name] = cluster.CachedTable{Name: name, Epoch: e.Epoch, Value: e.Value}
+			c.tables[name] = coordination.CachedTable{Name: name, Epoch: e.Epoch, Value: e.Value}
 			changed = true
 		}
 	}
@@ -67,13 +67,13 @@
 	c.wakeWaiters()
 }
 
-func (c *tableCache) get(table string) cluster.CachedTable {
+func (c *tableCache) get(table string) coordination.CachedTable {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if held, ok := c.tables[table]; ok {
 		return held
 	}
-	return cluster.CachedTable{Name: table, LeaseEnd: c.confirmedUntil}
+	return coordination.CachedTable{Name: table, LeaseEnd: c.confirmedUntil}
 }
 
 func (c *tableCache) nextChange() <-chan struct{} {
--- a/internal/cluster/follow/cache_test.go
+++ b/internal/coordination/follow/cache_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // What a process may act on until a time was the table's value at some moment no longer than a lease before that time,
--- a/internal/cluster/follow/digests.go
+++ b/internal/coordination/follow/digests.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // How digests are paced.
--- a/internal/cluster/follow/follower.go
+++ b/internal/coordination/follow/follower.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Source is a voter as a follower sees it, its own or one at the end of a link.
@@ -72,7 +72,7 @@
 		sources: sources, timing: timing}
 }
 
-var _ cluster.Client = (*Follower)(nil)
+var _ coordination.Client = (*Follower)(nil)
 
 // PreferenceOrder puts sources in the order in which a process takes them: it begins at one by the hash of its name, so that
 // a fleet is spread over them.
@@ -106,7 +106,7 @@
 func (f *Follower) Now() time.Duration { return f.clock() }
 
 // Cached implements cluster.Commons.
-func (f *Follower) Cached(table string) cluster.CachedTable { return f.cache.get(table) }
+func (f *Follower) Cached(table string) coordination.CachedTable { return f.cache.get(table) }
 
 // Changed implements cluster.Commons.
 func (f *Follower) Changed() <-chan struct{} { return f.cache.nextChange() }
--- a/internal/cluster/follow/follower_test.go
+++ b/internal/coordination/follow/follower_test.go
@@ -10,8 +10,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestFollower_cachesWritesAsTheyCome(t *testing.T) {
@@ -23,7 +23,7 @@
 	for epoch := uint64(1); epoch < 4; epoch++ {
 		changed := f.Changed()
 		v.set("plan", epoch, fmt.Sprint(epoch))
-		standin.Eventually(t, "the write", func() bool {
+		fakes.Eventually(t, "the write", func() bool {
 			<-changed
 			changed = f.Changed()
 			return f.Cached("plan").Epoch == epoch
@@ -44,12 +44,12 @@
 	one.set("plan", 1, "x")
 	two.set("plan", 1, "x")
 	f, logs := startFollower(t, quickTiming, one, two)
-	standin.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 1 })
+	fakes.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 1 })
 	one.isolated.Store(true)
 	two.isolated.Store(true)
 	cut := f.Now()
 	changed := f.Changed()
-	standin.Eventually(t, "the end of the lease", func() bool { return countLines(logs, "its lease is over") == 1 })
+	fakes.Eventually(t, "the end of the lease", func() bool { return countLines(logs, "its lease is over") == 1 })
 	<-changed
 	held := f.Cached("plan")
 	if held.Epoch != 1 || held.LeaseEnd > f.Now() || held.LeaseEnd > cut+quickTiming.Lease {
@@ -57,7 +57,7 @@
 	}
 	time.Sleep(quickTiming.Lease) // it is said once, not each time
 	one.isolated.Store(false)
-	standin.Eventually(t, "the lease again", func() bool { return countLines(logs, "confirmed again") == 1 && f.Cached("plan").LeaseEnd > f.Now() })
+	fakes.Eventually(t, "the lease again", func() bool { return countLines(logs, "confirmed again") == 1 && f.Cached("plan").LeaseEnd > f.Now() })
 	if n := countLines(logs, "its lease is over"); n != 1 {
 		t.Errorf("said %d times", n)
 	}
@@ -70,9 +70,9 @@
 	var n atomic.Uint64
 	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", n.Add(1)) })
 	f.RegisterExactCounters(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
-	standin.Eventually(t, "digests", func() bool { return len(one.received()) > 2 && f.Cached(GroupTable).Epoch == 1 })
+	fakes.Eventually(t, "digests", func() bool { return len(one.received()) > 2 && f.Cached(GroupTable).Epoch == 1 })
 	one.isolated.Store(true)
-	standin.Eventually(t, "digests at the other", func() bool { return len(two.received()) > 2 })
+	fakes.Eventually(t, "digests at the other", func() bool { return len(two.received()) > 2 })
 	time.Sleep(2 * quickTiming.Lease)
 	if countLines(logs, "lease is over") > 0 || f.Cached(GroupTable).LeaseEnd <= f.Now() {
 		t.Error("the lease ended")
@@ -126,11 +126,11 @@
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 5, "old")
 	f, logs := startFollower(t, quickTiming, one, two)
-	standin.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 5 })
+	fakes.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 5 })
 	two.groupID = []byte("h")
 	two.set("plan", 2, "new")
 	one.isolated.Store(true)
-	standin.Eventually(t, "a word on it", func() bool { return countLines(logs, "began anew") == 1 && countLines(logs, "its lease is over") == 1 })
+	fakes.Eventually(t, "a word on it", func() bool { return countLines(logs, "began anew") == 1 && countLines(logs, "its lease is over") == 1 })
 	if held := f.Cached("plan"); held.Epoch != 5 || held.LeaseEnd > f.Now() {
 		t.Errorf("holds %+v at %v", held, f.Now())
 	}
--- a/internal/cluster/follow/golden_test.go
+++ b/internal/coordination/follow/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // The first digest that a follower sends has the bytes that it had before.
@@ -18,7 +18,7 @@
 	f, _ := startFollower(t, Timing{Lease: quickTiming.Lease, DigestInterval: quickTiming.Lease}, v)
 	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", 300) })
 	f.RegisterExactCounters(func(add func(string, uint64)) { add("owed", 7); add("owed", 1) })
-	standin.Eventually(t, "a digest", func() bool { return len(v.received()) > 0 })
+	fakes.Eventually(t, "a digest", func() bool { return len(v.received()) > 0 })
 	got, err := cbor.Marshal(v.received()[0])
 	if err != nil || hex.EncodeToString(got) != want {
 		t.Errorf("%v, %x", err, got)
--- a/internal/cluster/follow/source_test.go
+++ b/internal/coordination/follow/source_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/cluster/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -1,4 +1,4 @@
-package cluster
+package coordination
 
 import (
 	"encoding/hex"
--- a/internal/cluster/link/bench_test.go
+++ b/internal/coordination/link/bench_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // what a gateway that pushes to six halls tells.
--- a/internal/cluster/link/client.go
+++ b/internal/coordination/link/client.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Client makes calls to voters, on few connections that are used again. It owns them. All calls may be made by several
--- a/internal/cluster/link/golden_http_test.go
+++ b/internal/coordination/link/golden_http_test.go
@@ -17,14 +17,14 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // goldenVoter answers as the golden responses say, and holds what it was handed.
 type goldenVoter struct {
-	cluster.Voter
+	coordination.Voter
 	received chan any
 	err      error
 }
@@ -47,11 +47,11 @@
 func (v goldenVoter) AddDigests(digests []evidence.Digest) { v.received <- digests }
 
 // goldenHost is the process of such a voter.
-type goldenHost struct{ voter cluster.Voter }
+type goldenHost struct{ voter coordination.Voter }
 
-func (h goldenHost) Voter() cluster.Voter { return h.voter }
-func (h goldenHost) Info() VoterInfo      { return goldenInfo() }
-func (h goldenHost) GroupID() []byte      { return []byte("0123456789abcdef") }
+func (h goldenHost) Voter() coordination.Voter { return h.voter }
+func (h goldenHost) Info() VoterInfo           { return goldenInfo() }
+func (h goldenHost) GroupID() []byte           { return []byte("0123456789abcdef") }
 
 // exchange reads one HTTP message with its body, and gives its bytes.
 func exchange(t *testing.T, conn net.Conn, read func(*bufio.Reader) (io.ReadCloser, error)) []byte {
@@ -140,10 +140,10 @@
 		{file: "messages", call: request("messages"), handed: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]}},
 		{file: "digests", call: request("digests"), handed: []any{goldenDigests()}},
 		{file: "read", call: request("read"), handed: []any{goldenReadRequest()}},
-		{file: "read-fault", call: request("read"), fault: cluster.ErrNoQuorum, handed: []any{goldenReadRequest()}},
+		{file: "read-fault", call: request("read"), fault: coordination.ErrNoQuorum, handed: []any{goldenReadRequest()}},
 		{file: "propose", call: request("propose"), handed: []any{goldenWrite()}},
 		{file: "propose", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-raise.cbor"), handed: []any{goldenRaise()}},
-		{file: "propose-fault", call: request("propose"), handed: []any{goldenWrite()}, fault: cluster.ErrNotLeader},
+		{file: "propose-fault", call: request("propose"), handed: []any{goldenWrite()}, fault: coordination.ErrNotLeader},
 		{file: "not-begun", call: request("messages"), missing: true},
 		{file: "not-begun", call: request("digests"), missing: true},
 		{file: "not-begun", call: request("read"), missing: true},
--- a/internal/cluster/link/golden_test.go
+++ b/internal/coordination/link/golden_test.go
@@ -12,16 +12,16 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Golden values: bytes under testdata/golden were written by the code before its names changed. Maps in them have one
 // entry, as those on the wire have no order.
 
-func goldenMembers() []cluster.Member {
-	return []cluster.Member{
+func goldenMembers() []coordination.Member {
+	return []coordination.Member{
 		{Number: 1, Name: "v1", Address: "127.0.0.1:7411", DiskID: "00112233445566778899aabbccddeeff"},
 		{Number: 4, Name: "v4", Address: "[::1]:7414"},
 	}
@@ -30,7 +30,7 @@
 func goldenInfo() VoterInfo {
 	return VoterInfo{
 		Number: 7, Name: "v7", DiskID: "ffeeddccbbaa99887766554433221100", Started: true, Incarnation: 1764633600123456789,
-		Status:  cluster.Status{Number: 7, Leader: 4, Term: 19, Applied: 1 << 33, Members: goldenMembers()},
+		Status:  coordination.Status{Number: 7, Leader: 4, Term: 19, Applied: 1 << 33, Members: goldenMembers()},
 		Address: "127.0.0.1:7417", InitialMembers: goldenMembers()[:1],
 	}
 }
@@ -125,10 +125,10 @@
 // The words that stand for a voter's errors on the wire.
 func TestGolden_errorWords(t *testing.T) {
 	for word, wireErr := range map[string]error{
-		"not leader": cluster.ErrNotLeader,
-		"unknown":    cluster.ErrOutcomeUnknown,
-		"no quorum":  cluster.ErrNoQuorum,
-		"stopped":    cluster.ErrStopped,
+		"not leader": coordination.ErrNotLeader,
+		"unknown":    coordination.ErrOutcomeUnknown,
+		"no quorum":  coordination.ErrNoQuorum,
+		"stopped":    coordination.ErrStopped,
 		"":           nil,
 	} {
 		if got := encodeError(wireErr); got != word {
@@ -138,7 +138,7 @@
 			t.Errorf("%q is heard as %v, not %v", word, got, wireErr)
 		}
 	}
-	if got := encodeError(fmt.Errorf("there: %w", cluster.ErrOutcomeUnknown)); got != "unknown" {
+	if got := encodeError(fmt.Errorf("there: %w", coordination.ErrOutcomeUnknown)); got != "unknown" {
 		t.Errorf("a wrapped one is sent as %q", got)
 	}
 	if got := encodeError(errors.New("one of its own")); got != "one of its own" || decodeError(got).Error() != got {
--- a/internal/cluster/link/message.go
+++ b/internal/coordination/link/message.go
@@ -13,9 +13,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Limits of what is sent and of how long it may take.
@@ -45,15 +45,15 @@
 
 // VoterInfo is what a voter says of itself to whoever asks.
 type VoterInfo struct {
-	Number      uint64         `cbor:"1,keyasint"` // as its file has it, or its disk once it has begun
-	Name        string         `cbor:"2,keyasint"` // of its process
-	DiskID      string         `cbor:"3,keyasint"` // of its disk
-	Started     bool           `cbor:"4,keyasint"` // whether its disk holds a log; until then it takes no other call
-	Incarnation uint64         `cbor:"5,keyasint"` // of its process
-	Status      cluster.Status `cbor:"6,keyasint"` // once it has begun
-	Address     string         `cbor:"7,keyasint"` // of its link, by its own file: what the log has of it
+	Number      uint64              `cbor:"1,keyasint"` // as its file has it, or its disk once it has begun
+	Name        string              `cbor:"2,keyasint"` // of its process
+	DiskID      string              `cbor:"3,keyasint"` // of its disk
+	Started     bool                `cbor:"4,keyasint"` // whether its disk holds a log; until then it takes no other call
+	Incarnation uint64              `cbor:"5,keyasint"` // of its process
+	Status      coordination.Status `cbor:"6,keyasint"` // once it has begun
+	Address     string              `cbor:"7,keyasint"` // of its link, by its own file: what the log has of it
 	// InitialMembers are those with whom it began the log, if it did in this life, with the marks of their disks.
-	InitialMembers []cluster.Member `cbor:"8,keyasint"`
+	InitialMembers []coordination.Member `cbor:"8,keyasint"`
 }
 
 // MessageBatch is what one voter sends another.
@@ -77,8 +77,8 @@
 }
 
 // wireErrors are the errors of a voter that both ends know.
-var wireErrors = map[string]error{"not leader": cluster.ErrNotLeader, "unknown": cluster.ErrOutcomeUnknown,
-	"no quorum": cluster.ErrNoQuorum, "stopped": cluster.ErrStopped}
+var wireErrors = map[string]error{"not leader": coordination.ErrNotLeader, "unknown": coordination.ErrOutcomeUnknown,
+	"no quorum": coordination.ErrNoQuorum, "stopped": coordination.ErrStopped}
 
 // encodeError gives an error's word.
 func encodeError(err error) string {
--- a/internal/cluster/link/server.go
+++ b/internal/coordination/link/server.go
@@ -12,15 +12,15 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Host is the voter's process that a server answers for.
 type Host interface {
 	// Voter is the voter, or nil until it has begun.
-	Voter() cluster.Voter
+	Voter() coordination.Voter
 	Info() VoterInfo
 	// GroupID is the mark drawn when the voters first began, nil until this process has heard it.
 	GroupID() []byte
@@ -91,7 +91,7 @@
 }
 
 // requireVoter gives the voter, or answers that there is none yet.
-func (s *Server) requireVoter(w http.ResponseWriter) cluster.Voter {
+func (s *Server) requireVoter(w http.ResponseWriter) coordination.Voter {
 	voter := s.host.Voter()
 	if voter == nil {
 		http.Error(w, "this voter has not begun", http.StatusServiceUnavailable)
--- a/internal/cluster/link/server_test.go
+++ b/internal/coordination/link/server_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // A body that was spoilt, cut or made without end is refused, and harms nobody: the voter is handed nothing, and the
--- a/internal/cluster/link/voter_test.go
+++ b/internal/coordination/link/voter_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -84,8 +84,8 @@
 	m.digests = append(m.digests, digests...)
 }
 
-func (m *fakeVoter) ChangeMembership(context.Context, cluster.Member, bool) error { return nil }
-func (m *fakeVoter) Status() cluster.Status                                       { return cluster.Status{Number: 7, Leader: 7} }
+func (m *fakeVoter) ChangeMembership(context.Context, coordination.Member, bool) error { return nil }
+func (m *fakeVoter) Status() coordination.Status                                       { return coordination.Status{Number: 7, Leader: 7} }
 
 // received gives what it was handed so far.
 func (m *fakeVoter) received() (steps, digests, proposed int) {
@@ -95,14 +95,14 @@
 }
 
 // fakeHost is the process of a voter.
-type fakeHost struct{ voter cluster.Voter }
+type fakeHost struct{ voter coordination.Voter }
 
-func (h fakeHost) Voter() cluster.Voter { return h.voter }
-func (h fakeHost) Info() VoterInfo      { return VoterInfo{Number: 7, Name: "v7", Started: h.voter != nil} }
-func (h fakeHost) GroupID() []byte      { return []byte("g") }
+func (h fakeHost) Voter() coordination.Voter { return h.voter }
+func (h fakeHost) Info() VoterInfo           { return VoterInfo{Number: 7, Name: "v7", Started: h.voter != nil} }
+func (h fakeHost) GroupID() []byte           { return []byte("g") }
 
 // startServer starts a server for a voter on loopback, and gives its address and a client.
-func startServer(t *testing.T, voter cluster.Voter, maxConnections int) (string, *Client) {
+func startServer(t *testing.T, voter coordination.Voter, maxConnections int) (string, *Client) {
 	t.Helper()
 	listener, err := Network{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -175,4 +175,4 @@
 	}
 }
 
-var eventually = standin.Eventually
+var eventually = fakes.Eventually
--- a/internal/cluster/play/client.go
+++ b/internal/coordination/play/client.go
@@ -7,9 +7,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"harrierhoist/internal/cluster/core"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/core"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 const (
--- a/internal/cluster/play/node.go
+++ b/internal/coordination/play/node.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/core"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/core"
 )
 
 // The places at which a crash may come, while a record is written and messages are sent.
@@ -23,7 +23,7 @@
 // node is a voter with a disk that keeps only what was synced.
 type node struct {
 	sim         *simulation
-	member      cluster.Member
+	member      coordination.Member
 	synced      [][]byte
 	unsynced    [][]byte // said to be synced, by a disk that lies
 	incarnation uint64
@@ -43,12 +43,12 @@
 }
 
 func newNode(s *simulation, number uint64) *node {
-	return &node{sim: s, member: cluster.Member{Number: number, Name: fmt.Sprint("v", number),
+	return &node{sim: s, member: coordination.Member{Number: number, Name: fmt.Sprint("v", number),
 		Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}}
 }
 
 // initialMembers are the members that begin, with the marks of their disks in some runs.
-func (s *simulation) initialMembers() (all []cluster.Member) {
+func (s *simulation) initialMembers() (all []coordination.Member) {
 	known := s.rng.IntN(2) == 0
 	for _, n := range s.nodes {
 		m := n.member
@@ -62,7 +62,7 @@
 
 func (n *node) now() time.Duration { return n.sim.now - n.clockLag }
 
-func (n *node) start(first []cluster.Member) {
+func (n *node) start(first []coordination.Member) {
 	n.incarnation++
 	incarnation, seed := core.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
 	raftNode, err := core.NewNode(n.member, incarnation, first, n.synced, seed)
--- a/internal/cluster/play/ready.go
+++ b/internal/coordination/play/ready.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/cluster/core"
+	"harrierhoist/internal/coordination/core"
 )
 
 // handleReady writes, sends and applies, or crashes in the midst of it.
--- a/internal/cluster/voter.go
+++ b/internal/coordination/voter.go
@@ -1,12 +1,12 @@
-package cluster
+package coordination
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Errors of a Voter.
--- a/internal/cluster/voter/bench_test.go
+++ b/internal/coordination/voter/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // One write at a time through three voters with a real disk each, messages in memory.
--- a/internal/cluster/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -13,10 +13,10 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/disk"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -24,7 +24,7 @@
 // testCluster is some voters in one process, with real disks and clocks, and messages handed over in memory.
 type testCluster struct {
 	t              testing.TB
-	initialMembers []cluster.Member
+	initialMembers []coordination.Member
 	mu             sync.Mutex
 	voters         map[uint64]*Voter
 	storages       map[uint64]*disk.Log
@@ -46,16 +46,16 @@
 	return tc
 }
 
-func member(n uint64) cluster.Member {
-	return cluster.Member{Number: n, Name: fmt.Sprintf("v%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 7000+n)}
+func member(n uint64) coordination.Member {
+	return coordination.Member{Number: n, Name: fmt.Sprintf("v%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 7000+n)}
 }
 
-func (tc *testCluster) start(n uint64, folder string, fileOps disk.FileOps, initialMembers []cluster.Member, controllers ...cluster.Controller) error {
+func (tc *testCluster) start(n uint64, folder string, fileOps disk.FileOps, initialMembers []coordination.Member, controllers ...coordination.Controller) error {
 	storage, err := disk.OpenWith(folder, fileOps)
 	if err != nil {
 		return err
 	}
-	v, err := Open(member(n), initialMembers, storage, controllers, func(to cluster.Member, message []byte) {
+	v, err := Open(member(n), initialMembers, storage, controllers, func(to coordination.Member, message []byte) {
 		tc.mu.Lock()
 		other, cut := tc.voters[to.Number], tc.isolated[n] || tc.isolated[to.Number]
 		tc.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (tc *testCluster) startAll(folders []string, controllers ...cluster.Controller) {
+func (tc *testCluster) startAll(folders []string, controllers ...coordination.Controller) {
 	for i, f := range folders {
 		if err := tc.start(uint64(i+1), f, disk.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
 			tc.t.Fatal(err)
@@ -98,7 +98,7 @@
 
 func (tc *testCluster) waitForLeader() *Voter {
 	var leader *Voter
-	standin.Eventually(tc.t, "leader", func() bool {
+	fakes.Eventually(tc.t, "leader", func() bool {
 		tc.mu.Lock()
 		defer tc.mu.Unlock()
 		for id, v := range tc.voters {
@@ -136,7 +136,7 @@
 		if err == nil {
 			return r
 		}
-		if !errors.Is(err, cluster.ErrNotLeader) && !errors.Is(err, cluster.ErrOutcomeUnknown) {
+		if !errors.Is(err, coordination.ErrNotLeader) && !errors.Is(err, coordination.ErrOutcomeUnknown) {
 			tc.t.Fatal(err)
 		}
 	}
--- a/internal/cluster/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // forwardDigests tells the leader what was merged here.
@@ -25,7 +25,7 @@
 }
 
 // controllerInput is what the deciders go by, or false: this voter doesn't lead, or doesn't know all that was acknowledged yet.
-func (v *Voter) controllerInput(ctx context.Context) (input cluster.ControllerInput, now time.Duration, ok bool) {
+func (v *Voter) controllerInput(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
 	type answer struct {
 		sums  map[string]uint64
 		since time.Duration
@@ -47,7 +47,7 @@
 	}
 	select {
 	case a := <-got:
-		input = cluster.ControllerInput{Sums: a.sums, LeadingSince: a.since, Totals: func(table string) map[string]uint64 {
+		input = coordination.ControllerInput{Sums: a.sums, LeadingSince: a.since, Totals: func(table string) map[string]uint64 {
 			return query(v, func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) })
 		}, Table: func(table string) tables.Table {
 			return query(v, func(l *eventLoop) tables.Table { return l.consensus.State().Table(table) })
--- a/internal/cluster/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/core"
-	"harrierhoist/internal/cluster/disk"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/core"
+	"harrierhoist/internal/coordination/disk"
 )
 
 // eventLoop owns the core, the disk's writes and all calls that wait. One goroutine works at it.
@@ -17,7 +17,7 @@
 	voter            *Voter
 	consensus        *core.Node
 	storage          *disk.Log
-	send             func(to cluster.Member, message []byte)
+	send             func(to coordination.Member, message []byte)
 	logger           *zap.Logger
 	pendingProposals map[uint64]chan core.Outcome // proposals and changes
 	pendingReads     *core.ReadQueue
@@ -28,7 +28,7 @@
 	compactAt        int64 // bytes of log after which it is made anew
 }
 
-func newEventLoop(v *Voter, node *core.Node, storage *disk.Log, send func(cluster.Member, []byte), logger *zap.Logger) *eventLoop {
+func newEventLoop(v *Voter, node *core.Node, storage *disk.Log, send func(coordination.Member, []byte), logger *zap.Logger) *eventLoop {
 	return &eventLoop{voter: v, consensus: node, storage: storage, send: send, logger: logger, pendingProposals: map[uint64]chan core.Outcome{},
 		pendingReads: core.NewReadQueue(node), loggedRejections: map[string]bool{}, compactAt: minCompactBytes}
 }
@@ -158,7 +158,7 @@
 	if leadTerm != l.leadTerm {
 		l.leadTerm, l.leadSince = leadTerm, time.Since(processStart)
 		for seq, done := range l.pendingProposals {
-			done <- core.Outcome{Err: cluster.ErrOutcomeUnknown}
+			done <- core.Outcome{Err: coordination.ErrOutcomeUnknown}
 			delete(l.pendingProposals, seq)
 		}
 	}
--- a/internal/cluster/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"testing"
 
-	"harrierhoist/internal/cluster/disk"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the log that it had
@@ -21,7 +21,7 @@
 	v := tc.waitForLeader()
 	stands := func(value string) {
 		t.Helper()
-		standin.Eventually(t, "the decision "+value, func() bool {
+		fakes.Eventually(t, "the decision "+value, func() bool {
 			found, _ := v.Read(shortContext(t), nil, 0)
 			return string(found["sum"].Value) == value
 		})
--- a/internal/cluster/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -11,11 +11,11 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/core"
-	"harrierhoist/internal/cluster/disk"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/core"
+	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // Times of a voter.
@@ -54,18 +54,18 @@
 
 	mu          sync.Mutex // of what follows
 	gatherer    *core.Gatherer
-	controllers []cluster.Controller
-	status      cluster.Status
+	controllers []coordination.Controller
+	status      coordination.Status
 }
 
-var _ cluster.Voter = (*Voter)(nil)
+var _ coordination.Voter = (*Voter)(nil)
 
 // Open starts a voter. Self names it: its number counts on an empty disk alone, later the disk's own does. First are
 // the members that begin the log where all disks are empty, the same at all of them; where their disks' marks are given,
 // no other disk is ever taken for theirs. None: the voter waits until a leader adds it. Send is handed a message for
 // another voter; it must not block, and may lose it. The disk stays the caller's, to be closed after Close.
-func Open(self cluster.Member, initialMembers []cluster.Member, storage *disk.Log, controllers []cluster.Controller,
-	send func(to cluster.Member, message []byte), logger *zap.Logger) (*Voter, error) {
+func Open(self coordination.Member, initialMembers []coordination.Member, storage *disk.Log, controllers []coordination.Controller,
+	send func(to coordination.Member, message []byte), logger *zap.Logger) (*Voter, error) {
 	self.DiskID = storage.DiskID()
 	count, nonce := storage.Incarnation()
 	node, err := core.NewNode(self, core.Incarnation{Count: count, Nonce: nonce}, initialMembers, storage.Records(), nonce)
@@ -109,14 +109,14 @@
 func (v *Voter) enqueue(ctx context.Context, do func(*eventLoop)) error {
 	select {
 	case <-v.stopped:
-		return cluster.ErrStopped
+		return coordination.ErrStopped
 	default:
 	}
 	select {
 	case v.calls <- do:
 		return nil
 	case <-v.stopped:
-		return cluster.ErrStopped
+		return coordination.ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -136,7 +136,7 @@
 	case err := <-from:
 		return err
 	case <-v.stopped:
-		return cluster.ErrStopped
+		return coordination.ErrStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -148,7 +148,7 @@
 }
 
 // ChangeMembership implements cluster.Voter.
-func (v *Voter) ChangeMembership(ctx context.Context, m cluster.Member, remove bool) error {
+func (v *Voter) ChangeMembership(ctx context.Context, m coordination.Member, remove bool) error {
 	_, err := v.proposeAndWait(ctx, func(l *eventLoop) (uint64, error) { return l.consensus.ChangeMembership(m, remove) })
 	return err
 }
@@ -156,18 +156,18 @@
 func (v *Voter) proposeAndWait(ctx context.Context, propose func(*eventLoop) (uint64, error)) (tables.Result, error) {
 	done := make(chan core.Outcome, 1)
 	if err := v.enqueue(ctx, func(l *eventLoop) { l.propose(propose, done) }); err != nil {
-		if errors.Is(err, cluster.ErrStopped) {
+		if errors.Is(err, coordination.ErrStopped) {
 			return tables.Result{}, err
 		}
-		return tables.Result{}, cluster.ErrNotLeader // it was not even looked at
+		return tables.Result{}, coordination.ErrNotLeader // it was not even looked at
 	}
 	select {
 	case o := <-done:
 		return o.Result, o.Err
 	case <-v.stopped:
-		return tables.Result{}, cluster.ErrStopped
+		return tables.Result{}, coordination.ErrStopped
 	case <-ctx.Done():
-		return tables.Result{}, cluster.ErrOutcomeUnknown
+		return tables.Result{}, coordination.ErrOutcomeUnknown
 	}
 }
 
@@ -178,18 +178,18 @@
 	r := &core.PendingRead{KnownEpochs: known, Deadline: time.Since(processStart) + wait,
 		Respond: func(found map[string]tables.Table) { answer <- found }, IsCanceled: func() bool { return ctx.Err() != nil }}
 	if err := v.enqueue(ctx, func(l *eventLoop) { l.pendingReads.Add(r, time.Since(processStart)) }); err != nil {
-		if errors.Is(err, cluster.ErrStopped) {
+		if errors.Is(err, coordination.ErrStopped) {
 			return nil, err
 		}
-		return nil, cluster.ErrNoQuorum
+		return nil, coordination.ErrNoQuorum
 	}
 	select {
 	case found := <-answer:
 		return found, nil
 	case <-v.stopped:
-		return nil, cluster.ErrStopped
+		return nil, coordination.ErrStopped
 	case <-ctx.Done():
-		return nil, cluster.ErrNoQuorum
+		return nil, coordination.ErrNoQuorum
 	}
 }
 
@@ -201,14 +201,14 @@
 }
 
 // Status implements cluster.Voter.
-func (v *Voter) Status() cluster.Status {
+func (v *Voter) Status() coordination.Status {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.status
 }
 
 // SetControllers puts other deciders in place, as the operators' file was read again.
-func (v *Voter) SetControllers(controllers []cluster.Controller) {
+func (v *Voter) SetControllers(controllers []coordination.Controller) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.controllers = controllers
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/coordination/voter/voter_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/disk"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // All voters are killed at once and started again: what was acknowledged stands, and is not written twice.
@@ -49,7 +49,7 @@
 	tc.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	if got, err := old.Read(ctx, nil, 0); !errors.Is(err, cluster.ErrNoQuorum) {
+	if got, err := old.Read(ctx, nil, 0); !errors.Is(err, coordination.ErrNoQuorum) {
 		t.Errorf("%v, %v", got, err)
 	}
 	if r := tc.mustWrite(writeCommand(2, 1, "b")); r.Epoch != 2 {
@@ -87,7 +87,7 @@
 type sumController struct{}
 
 func (sumController) Table() string { return "sum" }
-func (sumController) Decide(_ time.Duration, input cluster.ControllerInput) ([]byte, bool) {
+func (sumController) Decide(_ time.Duration, input coordination.ControllerInput) ([]byte, bool) {
 	now := fmt.Sprint(input.Sums["pushes"], input.Totals(ExactTable)[evidence.JoinName("g1", "7", "owed")])
 	return []byte(now), now != string(input.Table("sum").Value)
 }
@@ -113,7 +113,7 @@
 		got, _ := follower.Read(shortContext(t), nil, 0)
 		return string(got["sum"].Value)
 	}
-	standin.Eventually(t, "growth at the leader", func() bool {
+	fakes.Eventually(t, "growth at the leader", func() bool {
 		serial, n = serial+1, n+10
 		addDigest(serial, n)
 		time.Sleep(20 * time.Millisecond)
@@ -124,7 +124,7 @@
 		}
 		return sum > 0 && exact > 0
 	})
-	standin.Eventually(t, "last count", func() bool { return seen()[len(seen())-len(fmt.Sprint(n)):] == fmt.Sprint(n) })
+	fakes.Eventually(t, "last count", func() bool { return seen()[len(seen())-len(fmt.Sprint(n)):] == fmt.Sprint(n) })
 }
 
 // A voter whose disk is full ends: it says nothing more, and callers hear that it has stopped.
@@ -141,10 +141,10 @@
 	mu.Lock()
 	full = true
 	mu.Unlock()
-	if r, err := v.Propose(shortContext(t), writeCommand(2, 1, "b")); !errors.Is(err, cluster.ErrStopped) {
+	if r, err := v.Propose(shortContext(t), writeCommand(2, 1, "b")); !errors.Is(err, coordination.ErrStopped) {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if _, err := v.Read(shortContext(t), nil, 0); !errors.Is(err, cluster.ErrStopped) {
+	if _, err := v.Read(shortContext(t), nil, 0); !errors.Is(err, coordination.ErrStopped) {
 		t.Errorf("read: %v", err)
 	}
 }
@@ -183,7 +183,7 @@
 	tc.mustWrite(writeCommand(1, 0, "a"))
 	lead := tc.waitForLeader().Status().Number
 	emptiedNumber := lead%3 + 1
-	standin.Eventually(t, "marks of all disks", func() bool {
+	fakes.Eventually(t, "marks of all disks", func() bool {
 		for _, m := range tc.waitForLeader().Status().Members {
 			if m.DiskID == "" {
 				return false
@@ -199,7 +199,7 @@
 	tc.mu.Lock()
 	emptied := tc.voters[emptiedNumber]
 	tc.mu.Unlock()
-	if _, err := emptied.Read(shortContext(t), nil, 0); !errors.Is(err, cluster.ErrStopped) {
+	if _, err := emptied.Read(shortContext(t), nil, 0); !errors.Is(err, coordination.ErrStopped) {
 		t.Errorf("it goes on: %v", err)
 	}
 	tc.stop(emptiedNumber)
@@ -207,10 +207,10 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		m      cluster.Member
+		m      coordination.Member
 		remove bool
 	}{{member(emptiedNumber), true}, {member(4), false}} {
-		standin.Eventually(t, "change of the members", func() bool {
+		fakes.Eventually(t, "change of the members", func() bool {
 			return tc.waitForLeader().ChangeMembership(shortContext(t), c.m, c.remove) == nil
 		})
 	}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -55,7 +55,7 @@
 }
 
 func TestAdd_writesCallsAndAnswersInOrder(t *testing.T) {
-	s := standin.NewCounter(t)
+	s := fakes.NewCounter(t)
 	c := newCaller(t, s.Addr)
 	c.add(7, 2.5)
 	c.add(7, -0.5)
@@ -69,7 +69,7 @@
 }
 
 func TestAdd_lateAnswerGoesToItsOwnCall(t *testing.T) {
-	s := standin.NewCounter(t)
+	s := fakes.NewCounter(t)
 	c := newCaller(t, s.Addr)
 	letGo := s.Hold()
 	c.add(8, 5)
@@ -81,7 +81,7 @@
 }
 
 func TestAdd_lostConnectionTimesOutAndIsReplaced(t *testing.T) {
-	l := standin.Listen(t)
+	l := fakes.Listen(t)
 	c := newCaller(t, l.Addr().String())
 	called := func() net.Conn { // a connection that has brought the call
 		conn, err := l.Accept()
@@ -102,7 +102,7 @@
 }
 
 func TestAdd_refusedConnectionIsConnectFailed(t *testing.T) {
-	l := standin.Listen(t)
+	l := fakes.Listen(t)
 	_ = l.Close()
 	c := newCaller(t, l.Addr().String())
 	c.add(8, 1)
@@ -110,7 +110,7 @@
 }
 
 func TestAdd_silentConnectionTimesOut(t *testing.T) {
-	s := standin.NewCounter(t)
+	s := fakes.NewCounter(t)
 	c := newCaller(t, s.Addr)
 	letGo := s.Hold()
 	c.add(8, 5)
@@ -130,7 +130,7 @@
 
 func TestAdd_malformedAnswerTimesOutAndEndsItsConnection(t *testing.T) {
 	for _, spoilt := range []string{"ok\r\n", "ok x\r\n", "ok nan\r\n", "ok 7\n", "busybusy\r\n", "\r\n", strings.Repeat("k", 9000)} {
-		l := standin.Listen(t)
+		l := fakes.Listen(t)
 		c := newCaller(t, l.Addr().String())
 		c.add(8, 1)
 		conn, err := l.Accept()
@@ -150,7 +150,7 @@
 }
 
 func TestSetAddress_pendingCallsStayAndNewOnesMove(t *testing.T) {
-	old, next := standin.NewCounter(t), standin.NewCounter(t)
+	old, next := fakes.NewCounter(t), fakes.NewCounter(t)
 	c := newCaller(t, old.Addr)
 	letGo := old.Hold()
 	c.add(8, 5)
