--- a/internal/counter/failure_test.go
+++ b/internal/counter/failure_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zaptest/observer"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: name.Addr[:], Port: name.Port}).String()
-	standin.Eventually(t, "an address that is deaf", func() bool {
+	fakes.Eventually(t, "an address that is deaf", func() bool {
 		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err == nil {
 			t.Cleanup(func() { _ = c.Close() })
@@ -46,7 +46,7 @@
 func (c *caller) waitForDial(name uint64) {
 	c.Helper()
 	s := c.c.shards[name%shardCount]
-	standin.Eventually(c, "a connection that comes up", func() bool {
+	fakes.Eventually(c, "a connection that comes up", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.cancelDial != nil
@@ -56,7 +56,7 @@
 // A call that waited for a connection to a counter that says nothing was turned away as the counter moved, and so were
 // those behind it; they waited for as long as a connection may take to come up before that.
 func TestSetAddress_queuedCallsGoToTheNewAddress(t *testing.T) {
-	from, to := unreachableAddress(t), standin.NewCounter(t)
+	from, to := unreachableAddress(t), fakes.NewCounter(t)
 	c := &caller{T: t, c: New(from, time.Hour, zap.NewNop()), results: make(chan result, 100)}
 	defer c.c.Close()
 	c.add(8, 1)
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := standin.Listen(t)
+			l := fakes.Listen(t)
 			c := &caller{T: t, c: New(l.Addr().String(), time.Second, zap.NewNop()), results: make(chan result, 100)}
 			defer c.c.Close()
 			called := func() *net.TCPConn {
@@ -116,7 +116,7 @@
 
 // A counter that takes each connection and ends it had a line in the log for every call.
 func TestLossLog_counterThatEndsEveryConnectionIsLoggedOnce(t *testing.T) {
-	l := standin.Listen(t)
+	l := fakes.Listen(t)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -152,7 +152,7 @@
 		"calls wait for a connection": {func(net.Listener) string { return unreachableAddress(t) }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := standin.Listen(t)
+			l := fakes.Listen(t)
 			addr := c.addr(l)
 			before := goleak.IgnoreCurrent()
 			called := &caller{T: t, c: New(addr, time.Hour, zap.NewNop()), results: make(chan result, 100)}
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -27,7 +27,7 @@
 		{8, 0.30000000000000004, 2 * time.Millisecond, "incr 8 0.30000000000000004 2"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
-			s := standin.NewCounter(t)
+			s := fakes.NewCounter(t)
 			counter := New(s.Addr, time.Second, zap.NewNop())
 			defer counter.Close()
 			ended := make(chan struct{})
--- a/internal/counting/countingrule_test.go
+++ b/internal/countingrule/countingrule_test.go
@@ -1,4 +1,4 @@
-package counting
+package countingrule
 
 import (
 	"slices"
--- a/internal/counting/rule.go
+++ b/internal/countingrule/rule.go
@@ -1,7 +1,7 @@
 // Package counting says under which count of the counter a task falls, and with what weight: rules in versions, the
 // table that says which one is in force from which moment on, and what a process goes by that cannot know. It is free
 // of I/O and clocks: the same table, time and task give the same count.
-package counting
+package countingrule
 
 import (
 	"fmt"
--- a/internal/roster/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 )
 
 const maxUpdateDelay = 5 * time.Second // from when an agent could give its list to when it is in force
@@ -26,15 +26,15 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	},
 	"cut off": func(c net.Conn) {
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"+standin.FormatList(9, true, readyHost("s-9"))[:60])
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"+fakes.FormatList(9, true, readyHost("s-9"))[:60])
 		_ = c.Close()
 	},
 	"empty":         func(c net.Conn) { writeAnswer(c, "") },
-	"changes":       func(c net.Conn) { writeAnswer(c, standin.FormatList(9, false, readyHost("s-9"))) },
+	"changes":       func(c net.Conn) { writeAnswer(c, fakes.FormatList(9, false, readyHost("s-9"))) },
 	"wrong content": func(c net.Conn) { writeAnswer(c, "<html><body>It works!</body></html>") },
 	"never ends": func(c net.Conn) {
 		blanks := strings.Repeat(" ", 1<<16)
-		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+standin.FormatList(9, true, readyHost("s-9"))); err == nil; {
+		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+fakes.FormatList(9, true, readyHost("s-9"))); err == nil; {
 			_, err = io.WriteString(c, blanks)
 		}
 	},
@@ -52,7 +52,7 @@
 				case a.all == 5:
 					holdOpen(c)
 				default:
-					writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+					writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 				}
 			})
 			if _, err := startWatcherInMode(t, poll, addr, "null"); err != nil {
@@ -91,7 +91,7 @@
 		{err: errTimeout, poll: true, watched: true, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
 	} {
 		t.Run(fmt.Sprintf("%v, asked for %v, watched %v", c.err, c.poll, c.watched), func(t *testing.T) {
-			dispatcher, err := gate.New(forwardingSettings(), 1, gate.Dependencies{}, zap.NewNop())
+			dispatcher, err := dispatch.New(forwardingSettings(), 1, dispatch.Dependencies{}, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -122,7 +122,7 @@
 
 // The first pauses after calls that were turned away are shorter, and a watch that is answered brings them back.
 func TestHandleList_answeredWatchResetsBackoff(t *testing.T) {
-	dispatcher, err := gate.New(forwardingSettings(), 1, gate.Dependencies{}, zap.NewNop())
+	dispatcher, err := dispatch.New(forwardingSettings(), 1, dispatch.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 // The first failure of a run is followed by a call at once where lists are pushed, and anywhere by one that finds another
 // version; further ones are not.
 func TestHandleFailure_firstFailureIsRetriedAtOnce(t *testing.T) {
-	dispatcher, err := gate.New(forwardingSettings(), 1, gate.Dependencies{}, zap.NewNop())
+	dispatcher, err := dispatch.New(forwardingSettings(), 1, dispatch.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 					t.Error("the held call was given up first")
 				default:
 				}
-				writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 			default:
 				holdOpen(c)
 			}
@@ -219,7 +219,7 @@
 // A watch that is answered at once with nothing new is not begun again without a pause, but soon enough to go on.
 func TestWatch_agentThatDoesNotWaitIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		addr, calls := listThenAgent(t, func(conn int, c net.Conn) { writeAnswer(c, standin.FormatList(conn, false)) })
+		addr, calls := listThenAgent(t, func(conn int, c net.Conn) { writeAnswer(c, fakes.FormatList(conn, false)) })
 		if _, err := startWatcher(t, addr, "null"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/roster/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -1,11 +1,11 @@
-package roster
+package discovery
 
 import (
 	"net"
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Connections that never come up hold back none that would: an agent that takes them again is heard as soon as after silence.
@@ -22,7 +22,7 @@
 				holdOpen(c)
 				return
 			}
-			writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+			writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 		})
 		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(back) > pushedListTimeout+maxSilencePause {
 			t.Errorf("in force after %v", next.at.Sub(back))
--- a/internal/roster/empty_test.go
+++ b/internal/discovery/empty_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"net"
@@ -10,27 +10,27 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // A whole list with no server, where there were some, is an agent that lost its list, or the truth. It is obeyed once a
 // second call, on a new connection, tells the same; until then the last list stands, and a list that names servers wins.
 func TestRun_emptyFullListIsAppliedOnceConfirmed(t *testing.T) {
-	gone := standin.FormatHost("s-1", "127.0.0.1:9", "terminated")
-	none := func(c net.Conn) { writeAnswer(c, standin.FormatList(9, true)) }
-	some := func(c net.Conn) { writeAnswer(c, standin.FormatList(9, true, readyHost("s-2"))) }
+	gone := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
+	none := func(c net.Conn) { writeAnswer(c, fakes.FormatList(9, true)) }
+	some := func(c net.Conn) { writeAnswer(c, fakes.FormatList(9, true, readyHost("s-2"))) }
 	for name, c := range map[string]struct {
 		empty  string
 		second func(c net.Conn)
 		after  string // in force once that is answered
 		warned int    // that it is obeyed
 	}{
-		"empty again":               {standin.FormatList(9, true), none, "", 1},
+		"empty again":               {fakes.FormatList(9, true), none, "", 1},
 		"null again":                {`{"seq":9,"whole":true,"hosts":null}`, none, "", 1},
-		"all terminated, then none": {standin.FormatList(9, true, gone), none, "", 1},
-		"servers again":             {standin.FormatList(9, true), some, "s-2", 0},
-		"a failure, then empty":     {standin.FormatList(9, true), agentFailures["503"], "", 1},
-		"silence, then empty":       {standin.FormatList(9, true), holdOpen, "", 1},
+		"all terminated, then none": {fakes.FormatList(9, true, gone), none, "", 1},
+		"servers again":             {fakes.FormatList(9, true), some, "s-2", 0},
+		"a failure, then empty":     {fakes.FormatList(9, true), agentFailures["503"], "", 1},
+		"silence, then empty":       {fakes.FormatList(9, true), holdOpen, "", 1},
 	} {
 		runVirtualInEachMode(t, name, func(t *testing.T, poll bool) {
 			let := make(chan bool)
@@ -42,7 +42,7 @@
 				case a.isWatch():
 					writeAnswer(conn, c.empty)
 				case !emptied.Load():
-					writeAnswer(conn, standin.FormatList(8, true, readyHost("s-1")))
+					writeAnswer(conn, fakes.FormatList(8, true, readyHost("s-1")))
 				default:
 					<-let
 					if !again.Swap(true) {
@@ -90,22 +90,22 @@
 
 // Changes that leave no server are changes like others. So is an empty list where there was none to lose.
 func TestRun_deltaThatLeavesNoServerIsAppliedAtOnce(t *testing.T) {
-	d := standin.NewDiscovery(t, readyHost("s-1"))
+	d := fakes.NewDiscovery(t, readyHost("s-1"))
 	seen, logs := observer.New(zap.InfoLevel)
 	w, dispatcher, err := startWatcherWith(t, forwardingSettings(), d.Addr, "null", zap.New(seen))
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-w.FirstList()
-	d.Publish(false, standin.FormatHost("s-1", "127.0.0.1:9", "terminated"))
+	d.Publish(false, fakes.FormatHost("s-1", "127.0.0.1:9", "terminated"))
 	for q := ""; !strings.HasPrefix(q, "since=2&"); {
 		q = <-d.Queries
 	}
 	if name := chosenServer(dispatcher); name != "" {
 		t.Errorf("in force: %q", name)
 	}
-	none := standin.NewDiscovery(t)
-	w, _, err = startWatcherWith(t, forwardingSettings(), none.Addr, standin.FormatList(1, true), zap.New(seen))
+	none := fakes.NewDiscovery(t)
+	w, _, err = startWatcherWith(t, forwardingSettings(), none.Addr, fakes.FormatList(1, true), zap.New(seen))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,15 +122,15 @@
 		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			switch {
 			case a.all == 1:
-				writeAnswer(c, standin.FormatList(9, true))
+				writeAnswer(c, fakes.FormatList(9, true))
 			case a.query == "":
 				<-let
-				writeAnswer(c, standin.FormatList(9, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(9, true, readyHost("s-1")))
 			default:
 				holdOpen(c)
 			}
 		})
-		w, dispatcher, err := startWatcherWith(t, forwardingSettings(), addr, standin.FormatList(1, true, readyHost("s-0")), zap.NewNop())
+		w, dispatcher, err := startWatcherWith(t, forwardingSettings(), addr, fakes.FormatList(1, true, readyHost("s-0")), zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/roster/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 )
 
 const maxSilence = 3 * time.Second // from silence to a whole answer
@@ -70,14 +70,14 @@
 	t.Helper()
 	return scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		if a.call == 1 {
-			writeAnswer(c, standin.FormatList(a.connection, true, readyHost("s-1")))
+			writeAnswer(c, fakes.FormatList(a.connection, true, readyHost("s-1")))
 		} else {
 			later(a.connection, c)
 		}
 	})
 }
 
-func readyHost(name string) string { return standin.FormatHost(name, "127.0.0.1:9", "in_service") }
+func readyHost(name string) string { return fakes.FormatHost(name, "127.0.0.1:9", "in_service") }
 
 func writeAnswer(c io.Writer, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -126,9 +126,9 @@
 }
 
 // chosenServer names the server that a task is pushed to; none: "".
-func chosenServer(dispatcher *gate.Dispatcher) string {
-	e := dispatcher.Admit(gate.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
-	if c := e.Next(); c.Action == gate.Forward {
+func chosenServer(dispatcher *dispatch.Dispatcher) string {
+	e := dispatcher.Admit(dispatch.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
+	if c := e.Next(); c.Action == dispatch.Forward {
 		return c.Server.Name
 	}
 	return ""
--- a/internal/roster/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -1,18 +1,18 @@
-package roster
+package discovery
 
 import (
 	"math"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 // Whatever comes in place of a list: no panic, and what is taken for a list can be reckoned with.
 func FuzzDecode(f *testing.F) {
-	one, two := standin.FormatHost("s-1", "10.1.0.18:6379", "in_service"), standin.FormatHost("s-2", "x", "terminating")
+	one, two := fakes.FormatHost("s-1", "10.1.0.18:6379", "in_service"), fakes.FormatHost("s-2", "x", "terminating")
 	for _, text := range []string{
-		standin.FormatList(41, true, one, two), standin.FormatList(43, false, standin.FormatHost("s-2", "x", "terminated")), standin.FormatList(1, true),
+		fakes.FormatList(41, true, one, two), fakes.FormatList(43, false, fakes.FormatHost("s-2", "x", "terminated")), fakes.FormatList(1, true),
 		"", "null", "{}", "[]", "{", `{"hosts":null}`, `{"hosts":[null]}`, `{"hosts":[{}]}`, `{"seq":1.5}`, `{"seq":-1,"whole":true}`,
 		`{"seq":99999999999999999999}`, "{\n \"seq\": 41,\r\n\t\"hosts\": [ " + one + " ]\n}\n", `{"SEQ":7,"seq":8}`,
 		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":-1}]}`,
--- a/internal/roster/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bufio"
@@ -18,18 +18,18 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
-func entry(name, dial string, stage policy.EndpointState) gate.Server {
-	return gate.Server{Name: name, Address: dial, Endpoint: policy.Endpoint{State: stage}}
+func entry(name, dial string, stage policy.EndpointState) dispatch.Server {
+	return dispatch.Server{Name: name, Address: dial, Endpoint: policy.Endpoint{State: stage}}
 }
 
 func TestGolden_eachFormOfAListIsReadAsBefore(t *testing.T) {
-	full := gate.Server{Name: "s-1", Address: "10.1.0.18:6379", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 0.75,
+	full := dispatch.Server{Name: "s-1", Address: "10.1.0.18:6379", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 0.75,
 		StartedAt: 1796126169357500 * time.Microsecond, Rack: 3, Zone: 1, Hardware: 2}}
 	const all = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,"health":"in_service","share":0.75,` +
 		`"born_ms":1796126169357.5}`
@@ -38,35 +38,35 @@
 		name, body string
 		seq        int64
 		whole      bool
-		servers    []gate.Server
+		servers    []dispatch.Server
 		none       bool
 	}{
-		{"a whole list, all keys", `{"seq":41,"whole":true,"hosts":[` + all + `]}`, 41, true, []gate.Server{full}, false},
-		{"changes", `{"seq":42,"whole":false,"hosts":[` + all + `]}`, 42, false, []gate.Server{full}, false},
+		{"a whole list, all keys", `{"seq":41,"whole":true,"hosts":[` + all + `]}`, 41, true, []dispatch.Server{full}, false},
+		{"changes", `{"seq":42,"whole":false,"hosts":[` + all + `]}`, 42, false, []dispatch.Server{full}, false},
 		{"no entries", `{"seq":1,"whole":true,"hosts":[]}`, 1, true, nil, true},
 		{"null for entries", `{"seq":1,"whole":false,"hosts":null}`, 1, false, nil, true},
 		{"a version below 0", `{"seq":-9,"whole":false,"hosts":[]}`, -9, false, nil, true},
 		{"a version of 63 bits", `{"seq":9223372036854775807,"whole":true,"hosts":[]}`, 9223372036854775807, true, nil, true},
 		{"indented, keys in another order", "\n{ \"hosts\" : [\r\n\t" + strings.ReplaceAll(all, ",", " ,\n ") +
-			" ],\n \"whole\": true, \"seq\": 3 }\n\n", 3, true, []gate.Server{full}, false},
+			" ],\n \"whole\": true, \"seq\": 3 }\n\n", 3, true, []dispatch.Server{full}, false},
 		{"keys in capitals", strings.NewReplacer(`"host"`, `"HOST"`, `"dial"`, `"Dial"`, `"born_ms"`, `"BORN_MS"`, `"site"`, `"Site"`).
-			Replace(`{"SEQ":3,"Whole":true,"HOSTS":[` + all + `]}`), 3, true, []gate.Server{full}, false},
+			Replace(`{"SEQ":3,"Whole":true,"HOSTS":[` + all + `]}`), 3, true, []dispatch.Server{full}, false},
 		{"unknown keys", `{"seq":3,"whole":true,"hosts":[` + strings.Replace(all, "{", `{"more":[{"host":"x"}],`, 1) + `],"more":{}}`,
-			3, true, []gate.Server{full}, false},
+			3, true, []dispatch.Server{full}, false},
 		{"few keys", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","health":"in_service"}]}`,
-			3, true, []gate.Server{entry("s-1", "x", policy.Ready)}, false},
+			3, true, []dispatch.Server{entry("s-1", "x", policy.Ready)}, false},
 		{"a site and a class that are unknown", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
-			`"class":"m9","health":"in_service"}]}`, 3, true, []gate.Server{entry("s-1", "x", policy.Ready)}, false},
+			`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{entry("s-1", "x", policy.Ready)}, false},
 		{"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
 			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},{"host":"f","dial":""}]}`, 3, true,
-			[]gate.Server{entry("a", "x", policy.Ready), entry("b", "x", policy.Draining), entry("c", "x", policy.Removed),
+			[]dispatch.Server{entry("a", "x", policy.Ready), entry("b", "x", policy.Draining), entry("c", "x", policy.Removed),
 				entry("d", "x", policy.Removed), entry("e", "x", policy.Removed), entry("f", "", policy.Removed)}, false},
 		{"none left", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
-			[]gate.Server{entry("c", "x", policy.Removed)}, true},
+			[]dispatch.Server{entry("c", "x", policy.Removed)}, true},
 		{"one name twice", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"a","dial":"y","health":"terminating"}]}`, 3, false,
-			[]gate.Server{entry("a", "x", policy.Ready), entry("a", "y", policy.Draining)}, false},
+			[]dispatch.Server{entry("a", "x", policy.Ready), entry("a", "y", policy.Draining)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			received, err := w.decodeAnswer([]byte(c.body))
@@ -96,11 +96,11 @@
 		{"an array", `[]`, "configuration: known: json: cannot unmarshal array into Go value of type struct { Hosts json.RawMessage }"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dispatcher, err := gate.New(forwardingSettings(), 1, gate.Dependencies{}, zap.NewNop())
+			dispatcher, err := dispatch.New(forwardingSettings(), 1, dispatch.Dependencies{}, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, err = New(&boot.Gateway{KnownEndpoints: []byte(c.known)}, dispatcher, zap.NewNop())
+			_, err = New(&config.Gateway{KnownEndpoints: []byte(c.known)}, dispatcher, zap.NewNop())
 			if err == nil || err.Error() != c.want {
 				t.Errorf("got  %v\nwant %s", err, c.want)
 			}
@@ -130,7 +130,7 @@
 					head.WriteString(line)
 				}
 				heads <- head.String()
-				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(41, true, readyHost("s-1")))
 			}
 			holdOpen(c)
 		}()
@@ -164,16 +164,16 @@
 		case a.all%13 == 7 && !poll:
 			_ = c.Close()
 		case a.all == 16:
-			writeAnswer(c, standin.FormatList(16, true))
+			writeAnswer(c, fakes.FormatList(16, true))
 		case a.query == "":
-			writeAnswer(c, standin.FormatList(a.all, true, readyHost("s-1")))
+			writeAnswer(c, fakes.FormatList(a.all, true, readyHost("s-1")))
 		case a.all%4 == 0:
-			writeAnswer(c, standin.FormatList(a.all, false, readyHost("s-2")))
+			writeAnswer(c, fakes.FormatList(a.all, false, readyHost("s-2")))
 		default:
 			time.Sleep(700 * time.Millisecond)
 			var version int
 			_, _ = fmt.Sscanf(a.query, "since=%d", &version)
-			writeAnswer(c, standin.FormatList(version, false))
+			writeAnswer(c, fakes.FormatList(version, false))
 		}
 	})
 	settings := forwardingSettings()
--- a/internal/roster/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/policy"
 )
 
@@ -15,7 +15,7 @@
 type endpointList struct {
 	version int64
 	isFull  bool
-	servers []gate.Server
+	servers []dispatch.Server
 }
 
 var errMalformed = errors.New("an answer that is no list")
@@ -78,8 +78,8 @@
 		case "terminating":
 			stage = policy.Draining
 		}
-		received.servers = append(received.servers, gate.Server{Name: h.Host, Address: h.Dial, Endpoint: policy.Endpoint{
-			State: stage, Capacity: h.Share, StartedAt: boot.Milliseconds(h.BornMs), Rack: h.Block,
+		received.servers = append(received.servers, dispatch.Server{Name: h.Host, Address: h.Dial, Endpoint: policy.Endpoint{
+			State: stage, Capacity: h.Share, StartedAt: config.Milliseconds(h.BornMs), Rack: h.Block,
 			Zone: max(slices.Index(w.zones, h.Site), 0), Hardware: max(slices.Index(w.kinds, h.Class), 0)}})
 	}
 	return received, nil
@@ -87,5 +87,5 @@
 
 // isEmpty tells that the list leaves no server.
 func (received *endpointList) isEmpty() bool {
-	return !slices.ContainsFunc(received.servers, func(s gate.Server) bool { return s.Endpoint.State != policy.Removed })
+	return !slices.ContainsFunc(received.servers, func(s dispatch.Server) bool { return s.Endpoint.State != policy.Removed })
 }
--- a/internal/roster/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,10 +1,10 @@
-package roster
+package discovery
 
 import (
 	"strings"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -25,14 +25,14 @@
 		"no whole":             `{"seq":7,"hosts":[` + good + `]}`,
 		"no hosts":             `{"seq":7,"whole":true}`,
 		"hosts by name":        `{"seq":7,"whole":true,"hosts":{"s-1":` + good + `}}`,
-		"more behind it":       standin.FormatList(7, true, good) + "x",
-		"an entry that's null": standin.FormatList(7, true, good, "null"),
-		"an entry that's text": standin.FormatList(7, true, good, `"s-2"`),
-		"an entry of nothing":  standin.FormatList(7, false, good, "{}"),
-		"no host":              standin.FormatList(7, true, good, standin.FormatHost("", "1.2.3.4:5", "in_service")),
-		"no dial":              standin.FormatList(7, true, good, standin.FormatHost("s-2", "", "in_service")),
-		"no dial, terminating": standin.FormatList(7, false, good, standin.FormatHost("s-2", "", "terminating")),
-		"a share of text":      standin.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
+		"more behind it":       fakes.FormatList(7, true, good) + "x",
+		"an entry that's null": fakes.FormatList(7, true, good, "null"),
+		"an entry that's text": fakes.FormatList(7, true, good, `"s-2"`),
+		"an entry of nothing":  fakes.FormatList(7, false, good, "{}"),
+		"no host":              fakes.FormatList(7, true, good, fakes.FormatHost("", "1.2.3.4:5", "in_service")),
+		"no dial":              fakes.FormatList(7, true, good, fakes.FormatHost("s-2", "", "in_service")),
+		"no dial, terminating": fakes.FormatList(7, false, good, fakes.FormatHost("s-2", "", "terminating")),
+		"a share of text":      fakes.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
 	} {
 		if received, err := w.decodeAnswer([]byte(body)); err == nil {
 			t.Errorf("%s: read as %+v", name, received)
@@ -49,11 +49,11 @@
 		body, after string
 		none        bool
 	}{
-		{standin.FormatList(1, true, readyHost("s-1"), standin.FormatHost("s-2", "", "terminated")), "s-1", false},
-		{standin.FormatList(2, true, standin.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
-		{standin.FormatList(3, true, readyHost("s-2"), standin.FormatHost("s-2", "x", "terminating")), "", false},
-		{standin.FormatList(4, true, standin.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
-		{standin.FormatList(5, false, standin.FormatHost("s-3", "x", "")), "", true},
+		{fakes.FormatList(1, true, readyHost("s-1"), fakes.FormatHost("s-2", "", "terminated")), "s-1", false},
+		{fakes.FormatList(2, true, fakes.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
+		{fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false},
+		{fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
+		{fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
 		{`{"seq":6,"whole":false,"hosts":null}`, "", true},
 	} {
 		received, err := w.decodeAnswer([]byte(c.body))
@@ -69,7 +69,7 @@
 	if w.apply(t.Context(), none); w.wouldEmpty(none) {
 		t.Error("no server is left, and one could be lost")
 	}
-	if received, err := w.decodeAnswer([]byte(standin.FormatList(1, true, standin.FormatHost("s-1", "x", "warming_up")))); err != nil ||
+	if received, err := w.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up")))); err != nil ||
 		received.servers[0].Endpoint.State != policy.Removed {
 		t.Errorf("got %+v, %v", received, err)
 	}
--- a/internal/roster/malformed_test.go
+++ b/internal/discovery/malformed_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"io"
@@ -10,19 +10,19 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 // What comes in place of a list is no list: the last one stands, the log says so, and the whole list is asked for
 // on a new connection, within the 3 s.
 func TestWatch_malformedAnswerIsIgnored(t *testing.T) {
-	cut := standin.FormatList(9, true, standin.FormatHost("s-2", "127.0.0.1:9", "in_service"))[:60]
+	cut := fakes.FormatList(9, true, fakes.FormatHost("s-2", "127.0.0.1:9", "in_service"))[:60]
 	for name, later := range map[string]func(int, net.Conn){
 		"an empty body":   func(_ int, c net.Conn) { writeAnswer(c, "") },
 		"a list cut off":  func(_ int, c net.Conn) { writeAnswer(c, cut) },
-		"two lists":       func(_ int, c net.Conn) { writeAnswer(c, standin.FormatList(9, true)+standin.FormatList(9, true)) },
+		"two lists":       func(_ int, c net.Conn) { writeAnswer(c, fakes.FormatList(9, true)+fakes.FormatList(9, true)) },
 		"cut with a line": func(_ int, c net.Conn) { writeAnswer(c, cut[:1]); _ = c.Close() },
 		"cut in mid-message": func(_ int, c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"+cut)
@@ -43,8 +43,8 @@
 			if took := anew.at.Sub(open.at); took > maxSilence {
 				t.Errorf("asked again after %v", took)
 			}
-			e := dispatcher.Admit(gate.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
-			if c := e.Next(); c.Action != gate.Forward || c.Server.Name != "s-1" {
+			e := dispatcher.Admit(dispatch.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
+			if c := e.Next(); c.Action != dispatch.Forward || c.Server.Name != "s-1" {
 				t.Errorf("verdict %v to %q: the list as last had was given up", c.Action, c.Server.Name)
 			}
 			if n := logs.FilterMessageSnippet("does not answer").Len(); n != 1 {
@@ -58,7 +58,7 @@
 func TestDecodeAnswer_indentedListIsRead(t *testing.T) {
 	w := &Watcher{zones: []string{"hall-a"}, kinds: []string{"m2"}}
 	received, err := w.decodeAnswer([]byte("\n{\r\n\t\"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    " +
-		strings.ReplaceAll(standin.FormatHost("s-1", "1.2.3.4:5", "terminating"), ",", ",\n      ") + "\n  ]\n}\n\n"))
+		strings.ReplaceAll(fakes.FormatHost("s-1", "1.2.3.4:5", "terminating"), ",", ",\n      ") + "\n  ]\n}\n\n"))
 	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 1 || received.servers[0].Endpoint.State != policy.Draining {
 		t.Errorf("got %+v, %v", received, err)
 	}
--- a/internal/roster/overbooked_test.go
+++ b/internal/discovery/overbooked_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"io"
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // overbookedAgent is a discovery that takes a call every 0.3 s and turns away what would wait for its turn longer than its
@@ -48,15 +48,15 @@
 		select {
 		case <-o.changed:
 		case <-time.After(time.Until(begun.Add(limit))):
-			writeAnswer(c, standin.FormatList(1, false))
+			writeAnswer(c, fakes.FormatList(1, false))
 			return
 		}
 	}
 	select {
 	case <-o.changed:
-		writeAnswer(c, standin.FormatList(2, true, readyHost("s-2")))
+		writeAnswer(c, fakes.FormatList(2, true, readyHost("s-2")))
 	default:
-		writeAnswer(c, standin.FormatList(1, true, readyHost("s-1")))
+		writeAnswer(c, fakes.FormatList(1, true, readyHost("s-1")))
 	}
 }
 
@@ -70,9 +70,9 @@
 			addr, _ := scriptedAgent(listen(t), o.handle)
 			settings := forwardingSettings()
 			settings.PollList = true
-			var gates []*gate.Dispatcher
+			var gates []*dispatch.Dispatcher
 			for seed := range int64(6) {
-				_, dispatcher, err := startSeededWatcher(t, settings, addr, standin.FormatList(1, true, readyHost("s-1")), zap.NewNop(), seed+1)
+				_, dispatcher, err := startSeededWatcher(t, settings, addr, fakes.FormatList(1, true, readyHost("s-1")), zap.NewNop(), seed+1)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/roster/parallel_test.go
+++ b/internal/discovery/parallel_test.go
@@ -1,15 +1,15 @@
-package roster
+package discovery
 
 import (
 	"net"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // A call beside one that is held, answered with what is no list, had its connection kept for good, with its descriptor.
 func TestFetchFull_failedParallelCallHasItsConnectionClosed(t *testing.T) {
-	l, ended := standin.Listen(t), make(chan struct{})
+	l, ended := fakes.Listen(t), make(chan struct{})
 	addr, calls := scriptedAgent(l, func(a agentCall, c net.Conn) {
 		switch a.connection {
 		case 2:
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	nextCallWhere(t, calls, func(a agentCall) bool { return a.connection == 2 })
-	standin.Eventually(t, "its end", func() bool {
+	fakes.Eventually(t, "its end", func() bool {
 		select {
 		case <-ended:
 			return true
--- a/internal/roster/pipe_test.go
+++ b/internal/discovery/pipe_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
--- a/internal/roster/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"io"
@@ -12,30 +12,30 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // What comes in place of the answer to a watch may be of an agent that started anew, and has our list no more. Nothing of
 // it is in force: the whole list is asked for on a new connection, and the watch goes on from its version. A watch is
 // never sent from our version on another connection than the list came on: the agent there may hold it for good.
 func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
-	drain := standin.FormatHost("s-1", "127.0.0.1:9", "terminating")
+	drain := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, spoil := range map[string]func(c net.Conn){
-		"changes of a lower version":     func(c net.Conn) { writeAnswer(c, standin.FormatList(3, false, drain)) },
-		"changes of our version":         func(c net.Conn) { writeAnswer(c, standin.FormatList(41, false, drain)) },
-		"nothing new in a lower version": func(c net.Conn) { writeAnswer(c, standin.FormatList(3, false)) },
+		"changes of a lower version":     func(c net.Conn) { writeAnswer(c, fakes.FormatList(3, false, drain)) },
+		"changes of our version":         func(c net.Conn) { writeAnswer(c, fakes.FormatList(41, false, drain)) },
+		"nothing new in a lower version": func(c net.Conn) { writeAnswer(c, fakes.FormatList(3, false)) },
 		"reset":                          resetConnection,
 		"ended without a word":           func(c net.Conn) { _ = c.Close() },
 		"answered once it is given up": func(c net.Conn) {
 			holdOpen(c)
-			writeAnswer(c, standin.FormatList(42, false, drain))
+			writeAnswer(c, fakes.FormatList(42, false, drain))
 		},
 		"a change in a list cut off": func(c net.Conn) {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+standin.FormatList(42, false, drain, readyHost("s-3"))[:190])
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+fakes.FormatList(42, false, drain, readyHost("s-3"))[:190])
 			_ = c.Close()
 		},
 		"a change beside a bad entry": func(c net.Conn) {
-			writeAnswer(c, standin.FormatList(42, false, drain, standin.FormatHost("s-3", "", "in_service")))
+			writeAnswer(c, fakes.FormatList(42, false, drain, fakes.FormatHost("s-3", "", "in_service")))
 		},
 		"a list that says not whether it is whole": func(c net.Conn) { writeAnswer(c, `{"seq":42,"hosts":[`+drain+`]}`) },
 	} {
@@ -45,10 +45,10 @@
 			addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 				switch {
 				case a.query == "" && !spoilt.Load():
-					writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
+					writeAnswer(c, fakes.FormatList(41, true, readyHost("s-1")))
 				case a.query == "":
 					<-let
-					writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
+					writeAnswer(c, fakes.FormatList(3, true, readyHost("s-2")))
 				case spoilt.Swap(true):
 					holdOpen(c)
 				default:
@@ -100,10 +100,10 @@
 			case a.query != "":
 				holdOpen(c)
 			case a.all == 1:
-				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(41, true, readyHost("s-1")))
 				_ = c.Close()
 			default:
-				writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
+				writeAnswer(c, fakes.FormatList(3, true, readyHost("s-2")))
 			}
 		})
 		if _, err := startWatcherInMode(t, poll, addr, "null"); err != nil {
@@ -120,9 +120,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		var version atomic.Int64
 		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
-			text := standin.FormatList(7, true, readyHost("s-1"))
+			text := fakes.FormatList(7, true, readyHost("s-1"))
 			if a.isWatch() {
-				text = standin.FormatList(7+int(version.Add(1)), false, readyHost("s-1"))
+				text = fakes.FormatList(7+int(version.Add(1)), false, readyHost("s-1"))
 			}
 			_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n"+text)
 			_ = c.Close()
@@ -144,7 +144,7 @@
 		first := listen(t)
 		addr, calls := scriptedAgent(first, func(a agentCall, c net.Conn) {
 			if a.query == "" {
-				writeAnswer(c, standin.FormatList(41, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(41, true, readyHost("s-1")))
 			} else {
 				_ = first.Close() // new connections are refused before this one is reset
 				resetConnection(c)
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		nextCallWhere(t, calls, func(a agentCall) bool { return a.isWatchFrom(41) })
-		standin.Eventually(t, "a warning", func() bool { return logs.FilterMessageSnippet("does not answer").Len() == 1 })
+		fakes.Eventually(t, "a warning", func() bool { return logs.FilterMessageSnippet("does not answer").Len() == 1 })
 		if name := chosenServer(dispatcher); name != "s-1" {
 			t.Errorf("in force meanwhile: %q", name)
 		}
@@ -166,7 +166,7 @@
 		back := time.Now()
 		_, calls = scriptedAgent(second, func(a agentCall, c net.Conn) {
 			if a.query == "" {
-				writeAnswer(c, standin.FormatList(3, true, readyHost("s-2")))
+				writeAnswer(c, fakes.FormatList(3, true, readyHost("s-2")))
 			} else {
 				holdOpen(c)
 			}
@@ -184,13 +184,13 @@
 // Nobody but the agent tells lists, under its one address: a call that it sends elsewhere is turned away.
 func TestFetchFull_redirectIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		other, others := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) { writeAnswer(c, standin.FormatList(9, true, readyHost("s-9"))) })
+		other, others := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) { writeAnswer(c, fakes.FormatList(9, true, readyHost("s-9"))) })
 		for _, to := range []string{"http://" + other + "/api/targets", "/elsewhere"} {
 			addr, calls := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) {
 				resp := http.Response{StatusCode: http.StatusFound, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"Location": {to}}}
 				_ = resp.Write(c)
 			})
-			if _, err := startWatcherInMode(t, true, addr, standin.FormatList(1, true, readyHost("s-1"))); err != nil {
+			if _, err := startWatcherInMode(t, true, addr, fakes.FormatList(1, true, readyHost("s-1"))); err != nil {
 				t.Fatal(err)
 			}
 			for range 3 {
--- a/internal/roster/setagent_test.go
+++ b/internal/discovery/setagent_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -11,22 +11,22 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 // newIdleWatcher is a roster that doesn't watch yet, with its gate.
-func newIdleWatcher(t *testing.T, discovery string) (*Watcher, *gate.Dispatcher) {
+func newIdleWatcher(t *testing.T, discovery string) (*Watcher, *dispatch.Dispatcher) {
 	t.Helper()
 	settings := forwardingSettings()
-	dispatcher, err := gate.New(settings, 1, gate.Dependencies{}, zap.NewNop())
+	dispatcher, err := dispatch.New(settings, 1, dispatch.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go dispatcher.RunTimers(t.Context())
-	w, err := New(&boot.Gateway{Discovery: discovery, Settings: settings}, dispatcher, zap.NewNop())
+	w, err := New(&config.Gateway{Discovery: discovery, Settings: settings}, dispatcher, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 func fullListAgent(t *testing.T, seq int, name string) (addr string, calls chan agentCall) {
 	return scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 		if a.query == "" {
-			writeAnswer(c, standin.FormatList(seq, true, readyHost(name)))
+			writeAnswer(c, fakes.FormatList(seq, true, readyHost(name)))
 		} else {
 			holdOpen(c)
 		}
@@ -61,10 +61,10 @@
 func TestSetAgent_laterAnswerOfTheOldAgentIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		let := make(chan bool)
-		text := standin.FormatList(8, true, readyHost("s-old"))
+		text := fakes.FormatList(8, true, readyHost("s-old"))
 		old, olds := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			if a.all == 1 {
-				writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+text[:20])
@@ -91,8 +91,8 @@
 	ctx, end := context.WithCancel(t.Context())
 	w.cancelSession = end
 	tell := func(name string) {
-		one := gate.Server{Name: name, Address: "x", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 1}}
-		w.apply(ctx, &endpointList{isFull: true, servers: []gate.Server{one}})
+		one := dispatch.Server{Name: name, Address: "x", Endpoint: policy.Endpoint{State: policy.Ready, Capacity: 1}}
+		w.apply(ctx, &endpointList{isFull: true, servers: []dispatch.Server{one}})
 	}
 	tell("s-1")
 	w.SetAgent("b:1", true)
@@ -150,10 +150,10 @@
 		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 			switch {
 			case a.query == "":
-				writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 			case !first.Swap(true):
 				<-let
-				writeAnswer(c, standin.FormatList(8, false, readyHost("s-1")))
+				writeAnswer(c, fakes.FormatList(8, false, readyHost("s-1")))
 			default:
 				holdOpen(c)
 			}
@@ -180,7 +180,7 @@
 			var open atomic.Int64
 			addr, _ := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
 				if fail == nil && a.query == "" {
-					writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+					writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 					return
 				}
 				open.Add(1)
@@ -198,12 +198,12 @@
 			if name == "silence" && !poll {
 				most = 2
 			}
-			standin.Eventually(t, "calls", func() bool {
+			fakes.Eventually(t, "calls", func() bool {
 				return open.Load() >= most && (name != "503" || logs.Len() > 0) // it was read
 			})
 			end()
 			<-ended
-			standin.Eventually(t, "no call left", func() bool { return open.Load() == 0 })
+			fakes.Eventually(t, "no call left", func() bool { return open.Load() == 0 })
 		})
 	}
 }
--- a/internal/roster/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // An agent that fell silent in mid-watch was asked again 6.5 s after the watch was opened, with a waiting call. Silence
@@ -54,7 +54,7 @@
 			holdOpen(c)
 			return
 		}
-		writeAnswer(c, standin.FormatList(7, true, readyHost("s-1")))
+		writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 	})
 	return addr, calls, silent
 }
--- a/internal/roster/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,6 @@
 // Package roster keeps up with discovery: which servers there are, by a watch that is begun again at once, also
 // where discovery moves to another address.
-package roster
+package discovery
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/policy"
 )
 
 // Watcher asks discovery's agent.
 type Watcher struct {
-	dispatcher   *gate.Dispatcher
+	dispatcher   *dispatch.Dispatcher
 	log          *zap.Logger
 	zones, kinds []string
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -39,7 +39,7 @@
 }
 
 // New makes a roster that hands what it learns to the gate, first of all the list as last held.
-func New(configuration *boot.Gateway, dispatcher *gate.Dispatcher, log *zap.Logger) (*Watcher, error) {
+func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
 	w := &Watcher{dispatcher: dispatcher, log: log, zones: configuration.Zones, kinds: configuration.Kinds, firstApplied: make(chan struct{}),
 		random: rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
 		dial:   (&net.Dialer{Timeout: pushedListTimeout}).DialContext, // one that hangs holds no descriptor for longer
--- a/internal/roster/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -36,16 +36,16 @@
 
 // startWatcherWith starts a roster that feeds a gate of its own for the deployment, and returns both.
 func startWatcherWith(t *testing.T, settings policy.Settings, discovery, known string,
-	log *zap.Logger) (*Watcher, *gate.Dispatcher, error) {
+	log *zap.Logger) (*Watcher, *dispatch.Dispatcher, error) {
 	t.Helper()
 	return startSeededWatcher(t, settings, discovery, known, log, 0)
 }
 
 // startSeededWatcher starts one that draws its times by a seed of its own.
 func startSeededWatcher(t *testing.T, settings policy.Settings, discovery, known string, log *zap.Logger,
-	seed int64) (*Watcher, *gate.Dispatcher, error) {
+	seed int64) (*Watcher, *dispatch.Dispatcher, error) {
 	t.Helper()
-	dispatcher, err := gate.New(settings, 1, gate.Dependencies{}, log)
+	dispatcher, err := dispatch.New(settings, 1, dispatch.Dependencies{}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		ended.Wait()
 	})
 	ended.Go(func() { dispatcher.RunTimers(ctx) })
-	configuration := &boot.Gateway{Discovery: discovery, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"m1", "m2"},
+	configuration := &config.Gateway{Discovery: discovery, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"m1", "m2"},
 		KnownEndpoints: []byte(known), Seed: seed}
 	w, err := New(configuration, dispatcher, log)
 	if err == nil {
@@ -77,9 +77,9 @@
 
 func TestDecodeAnswer_readsEntries(t *testing.T) {
 	w := &Watcher{zones: []string{"a", "hall-a"}, kinds: []string{"m1", "m2"}}
-	received, err := w.decodeAnswer([]byte(standin.FormatList(41, true, standin.FormatHost("s-1", "1.2.3.4:5", "in_service"),
-		standin.FormatHost("s-2", "x", "terminating"), standin.FormatHost("s-3", "x", "terminated"),
-		strings.Replace(standin.FormatHost("s-4", "x", "in_service"), `"born_ms":0`, `"born_ms":1796126169357`, 1))))
+	received, err := w.decodeAnswer([]byte(fakes.FormatList(41, true, fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
+		fakes.FormatHost("s-2", "x", "terminating"), fakes.FormatHost("s-3", "x", "terminated"),
+		strings.Replace(fakes.FormatHost("s-4", "x", "in_service"), `"born_ms":0`, `"born_ms":1796126169357`, 1))))
 	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 4 {
 		t.Fatalf("got %+v, %v", received, err)
 	}
@@ -94,7 +94,7 @@
 }
 
 func TestWatch_continuesFromTheLatestVersion(t *testing.T) {
-	d := standin.NewDiscovery(t, standin.FormatHost("s-1", "x", "in_service"))
+	d := fakes.NewDiscovery(t, fakes.FormatHost("s-1", "x", "in_service"))
 	if _, err := startWatcher(t, d.Addr, "null"); err != nil {
 		t.Fatal(err)
 	}
@@ -104,14 +104,14 @@
 	if q := nextWatch(d); !strings.HasPrefix(q, "since=1&timeout_ms=") {
 		t.Errorf("went on with %q", q)
 	}
-	d.Publish(false, standin.FormatHost("s-1", "x", "terminating"))
+	d.Publish(false, fakes.FormatHost("s-1", "x", "terminating"))
 	if q := nextWatch(d); !strings.HasPrefix(q, "since=2&") {
 		t.Errorf("went on with %q", q)
 	}
 }
 
 // nextWatch is the query of the next; a call for the whole list may come beside another if the machine stands still.
-func nextWatch(d *standin.Discovery) string {
+func nextWatch(d *fakes.Discovery) string {
 	q := <-d.Queries
 	for q == "" {
 		q = <-d.Queries
@@ -120,8 +120,8 @@
 }
 
 func TestSetAgent_fetchesTheFullListAtOnce(t *testing.T) {
-	old := standin.NewDiscovery(t, standin.FormatHost("s-1", "x", "in_service"))
-	next := standin.NewDiscovery(t, standin.FormatHost("s-2", "x", "in_service"))
+	old := fakes.NewDiscovery(t, fakes.FormatHost("s-1", "x", "in_service"))
+	next := fakes.NewDiscovery(t, fakes.FormatHost("s-2", "x", "in_service"))
 	w, err := startWatcher(t, old.Addr, "null")
 	if err != nil {
 		t.Fatal(err)
@@ -140,8 +140,8 @@
 
 func TestRun_unreachableAgentIsCalledAgain(t *testing.T) {
 	t.Parallel()
-	l := standin.Listen(t)
-	if _, err := startWatcher(t, l.Addr().String(), standin.FormatList(1, true)); err != nil {
+	l := fakes.Listen(t)
+	if _, err := startWatcher(t, l.Addr().String(), fakes.FormatList(1, true)); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -169,7 +169,7 @@
 			agentFailures["503"](c)
 			return
 		}
-		writeAnswer(c, standin.FormatList(1, true, readyHost("s-1")))
+		writeAnswer(c, fakes.FormatList(1, true, readyHost("s-1")))
 	})
 	return addr, calls
 }
@@ -182,7 +182,7 @@
 		const gateways, lasting = 40, 4 * time.Second
 		addr, calls := rejectingAgent(t, math.MaxInt64)
 		for range gateways {
-			if _, err := startWatcher(t, addr, standin.FormatList(1, true)); err != nil {
+			if _, err := startWatcher(t, addr, fakes.FormatList(1, true)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -215,13 +215,13 @@
 		addr, _ := scriptedAgent(listen(t), func(_ agentCall, c net.Conn) { writeAnswer(c, `{"seq":1,"hosts":7}`) })
 		seen, logs := observer.New(zap.InfoLevel)
 		_, dispatcher, err := startWatcherWith(t, forwardingSettings(), addr,
-			standin.FormatList(1, true, standin.FormatHost("s-1", "127.0.0.1:9", "in_service")), zap.New(seen))
+			fakes.FormatList(1, true, fakes.FormatHost("s-1", "127.0.0.1:9", "in_service")), zap.New(seen))
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(1500 * time.Millisecond) // several calls, each answered with no list
-		e := dispatcher.Admit(gate.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
-		if c := e.Next(); c.Action != gate.Forward {
+		e := dispatcher.Admit(dispatch.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
+		if c := e.Next(); c.Action != dispatch.Forward {
 			t.Errorf("verdict %v: the list as last had was given up", c.Action)
 		}
 		if n := logs.FilterMessageSnippet("does not answer").Len(); n != 1 {
--- a/internal/gate/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -1,11 +1,11 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -125,7 +125,7 @@
 			f.setEndpoint(policy.ListFull, policy.Ready)
 			f.expectAction(r, Disconnected)
 			other := f.admit(0, 0, time.Hour) // the waits of before are over once this one has had its turn
-			standin.Eventually(t, "a push", func() bool {
+			fakes.Eventually(t, "a push", func() bool {
 				for len(f.counterCalls) > 0 {
 					(<-f.counterCalls).reply(0, policy.Answered)
 				}
--- a/internal/gate/counting_test.go
+++ b/internal/dispatch/counting_test.go
@@ -1,4 +1,4 @@
-package gate
+package dispatch
 
 import (
 	"testing"
--- a/internal/gate/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,7 +2,7 @@
 // pushes where it says, and tells by Report how that ended; Tick lets time pass. Behind it the gate owns the
 // one instance of the module: it hands it events under one lock and carries out what it asks for. It decides
 // nothing.
-package gate
+package dispatch
 
 import (
 	"container/heap"
@@ -12,9 +12,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/debts/till"
 	"harrierhoist/internal/pool"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
 
@@ -29,7 +29,7 @@
 	// that our pushes can keep open. At 0 it is handed all.
 	IdleTimeout time.Duration
 	// Recorder is told what goes on by hall, under the gate's lock; nil: nobody is.
-	Recorder *witness.Recorder
+	Recorder *zonestats.Recorder
 }
 
 // Dispatcher owns the instance.
--- a/internal/gate/request.go
+++ b/internal/dispatch/request.go
@@ -1,10 +1,10 @@
-package gate
+package dispatch
 
 import (
 	"context"
 	"time"
 
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
--- a/internal/gate/settlement.go
+++ b/internal/dispatch/settlement.go
@@ -1,7 +1,7 @@
-package gate
+package dispatch
 
 import (
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
--- a/internal/gate/settlement_test.go
+++ b/internal/dispatch/settlement_test.go
@@ -1,20 +1,20 @@
-package gate
+package dispatch
 
 import (
 	"testing"
 	"time"
 
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
 // newSettlingFixture is a story whose gate keeps debts: its hall is b's, the other c's, and customers of the plan are a's.
 func newSettlingFixture(t *testing.T) (*fixture, *till.Accounts) {
 	f := newFixture(t)
-	terms := debts.DefaultTerms()
+	terms := settlement.DefaultTerms()
 	terms.On = true
-	terms.Partners = []debts.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}},
+	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}},
 		{Name: "c", Zones: []string{"hc"}}}
 	acct := till.New(terms, till.Settings{Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
 		Classes: []policy.TrafficClass{{LatencyObjective: time.Second}, {LatencyObjective: time.Second, Effect: policy.NonIdempotent}}}, "x", 1,
@@ -69,7 +69,7 @@
 	}
 	counts := map[string]uint64{}
 	acct.ReportMetrics(func(name string, n uint64) { counts[name] = n })
-	requests, late := counts[debts.MetricName(debts.MetricRequests, "a")], counts[debts.MetricName(debts.MetricLate, "a")]
+	requests, late := counts[settlement.MetricName(settlement.MetricRequests, "a")], counts[settlement.MetricName(settlement.MetricLate, "a")]
 	if requests != 2 || late != 1 {
 		t.Errorf("%d tasks, %d late", requests, late)
 	}
@@ -79,9 +79,9 @@
 func TestSettlement_electiveRequestsGoToDebtorsServers(t *testing.T) {
 	f, acct := newSettlingFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}})
-	pair := debts.Pair{Debtor: "c", Creditor: "a"}
-	for _, shares := range [][]debts.Share{nil, {{Pair: pair, PPM: debts.PartsPerMillion}}, nil} {
-		acct.ApplyState(debts.State{Shares: shares}, time.Hour)
+	pair := settlement.Pair{Debtor: "c", Creditor: "a"}
+	for _, shares := range [][]settlement.Share{nil, {{Pair: pair, PPM: settlement.PartsPerMillion}}, nil} {
+		acct.ApplyState(settlement.State{Shares: shares}, time.Hour)
 		f.dispatcher.UpdateElective()
 		for range 20 {
 			r, decision := f.forwardedWithoutCall(0, time.Second)
--- a/internal/gate/steering.go
+++ b/internal/dispatch/steering.go
@@ -1,11 +1,11 @@
-package gate
+package dispatch
 
 import (
 	"math"
 	"time"
 
 	"harrierhoist/internal/pool"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
 
@@ -85,7 +85,7 @@
 }
 
 // SetRecorder has a witness told from here on what goes on by hall; pushes that are out end with it.
-func (d *Dispatcher) SetRecorder(recorder *witness.Recorder) {
+func (d *Dispatcher) SetRecorder(recorder *zonestats.Recorder) {
 	now := d.lock()
 	defer d.unlock()
 	d.dependencies.Recorder = recorder
--- a/internal/gate/steering_test.go
+++ b/internal/dispatch/steering_test.go
@@ -1,4 +1,4 @@
-package gate
+package dispatch
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
 
@@ -20,7 +20,7 @@
 		Classes:   []policy.TrafficClass{{Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second}},
 		Plans:     []policy.Plan{{Name: "free"}}}
 	var err error
-	recorder := witness.New([]string{"a", "b"}, 0, &settings)
+	recorder := zonestats.New([]string{"a", "b"}, 0, &settings)
 	if f.dispatcher, err = New(settings, 7, Dependencies{Recorder: recorder}, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 	r.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-	if counts[witness.Admitted("a")] != 2000 || counts[witness.Offered("a")] != 2000 || len(f.dispatcher.requests) != 0 {
+	if counts[zonestats.Admitted("a")] != 2000 || counts[zonestats.Offered("a")] != 2000 || len(f.dispatcher.requests) != 0 {
 		t.Errorf("counts %v, %d errands", counts, len(f.dispatcher.requests))
 	}
 }
@@ -81,7 +81,7 @@
 	again.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-	if counts[witness.Attempted("a", "b")] != 12000 || counts[witness.Admitted("a")] != 10000 || counts[witness.Completed("a", "b", "well")] != 5 || f.dispatcher.IsZoneLost() {
+	if counts[zonestats.Attempted("a", "b")] != 12000 || counts[zonestats.Admitted("a")] != 10000 || counts[zonestats.Completed("a", "b", "well")] != 5 || f.dispatcher.IsZoneLost() {
 		t.Errorf("counts %v", counts)
 	}
 }
@@ -115,7 +115,7 @@
 			f.expectAction(f.dispatcher.Admit(RequestSpec{Customer: 5, Units: c.units, GatewayCount: 1, Timeout: time.Second, Repeat: c.repeat}), Reject)
 			counts := map[string]uint64{}
 			f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-			if got := counts[witness.Admitted("a")]; got != c.let {
+			if got := counts[zonestats.Admitted("a")]; got != c.let {
 				t.Errorf("%d thousandths of units of demand, not %d", got, c.let)
 			}
 		})
--- a/internal/clerk/enforcer.go
+++ b/internal/enforce/enforcer.go
@@ -1,6 +1,6 @@
 // Package clerk has a gateway's tasks counted by the rule that the processes hold in common: it stands between the
 // gate, the counter and what is held. It decides nothing: counting says which rules hold, canary what a new one does.
-package clerk
+package enforce
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/policy"
 )
 
@@ -22,28 +22,28 @@
 // Enforcer counts by rule. Its lock is taken under the gate's, never the other way round.
 type Enforcer struct {
 	log        *zap.Logger
-	node       cluster.Client
-	dispatcher *gate.Dispatcher
+	node       coordination.Client
+	dispatcher *dispatch.Dispatcher
 
 	mu            sync.Mutex
-	config        *counting.Config
-	settings      policy.Settings // as in force
-	rules         []counting.Rule // known, by the table first
-	rulesMerged   bool            // they have those of the table and the file as last heard
-	plansApplied  bool            // the plans have them all
-	resolved      map[uint64]*counting.Resolved
-	table         counting.Table
+	config        *countingrule.Config
+	settings      policy.Settings     // as in force
+	rules         []countingrule.Rule // known, by the table first
+	rulesMerged   bool                // they have those of the table and the file as last heard
+	plansApplied  bool                // the plans have them all
+	resolved      map[uint64]*countingrule.Resolved
+	table         countingrule.Table
 	epoch         uint64
 	unearnedCalls uint64 // made for tasks since the play last earned
 	shadow        *canary.Shadow
 	shadowSeed    uint64 // of the play
-	admission     *counting.Admission
+	admission     *countingrule.Admission
 	ambiguous     bool // logged
 }
 
 // New makes a clerk of a file's terms.
-func New(config *counting.Config, log *zap.Logger) *Enforcer {
-	return &Enforcer{config: config, log: log, resolved: map[uint64]*counting.Resolved{}, admission: counting.NewAdmission(1)}
+func New(config *countingrule.Config, log *zap.Logger) *Enforcer {
+	return &Enforcer{config: config, log: log, resolved: map[uint64]*countingrule.Resolved{}, admission: countingrule.NewAdmission(1)}
 }
 
 // HandleCounterCall is for the gate: the canary lives on a share of the module's calls.
@@ -58,7 +58,7 @@
 }
 
 // start puts the clerk between a gate and what is held in common: tasks are taken by rule from here on.
-func (e *Enforcer) start(node cluster.Client, dispatcher *gate.Dispatcher) error {
+func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	e.dispatcher, e.node = dispatcher, node
 	held, _ := e.readTable()
 	e.mu.Lock()
@@ -78,7 +78,7 @@
 }
 
 // Reconfigure takes the terms of a file that was read again.
-func (e *Enforcer) Reconfigure(config *counting.Config) {
+func (e *Enforcer) Reconfigure(config *countingrule.Config) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.config, e.rulesMerged = config, false
@@ -86,7 +86,7 @@
 
 // Run has a gate's tasks counted by the rule in force and follows the table until the context ends. An error tells that
 // the gate takes none of it: tasks are counted as ever.
-func (e *Enforcer) Run(ctx context.Context, node cluster.Client, dispatcher *gate.Dispatcher) error {
+func (e *Enforcer) Run(ctx context.Context, node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	if err := e.start(node, dispatcher); err != nil {
 		return err
 	}
@@ -138,9 +138,9 @@
 }
 
 // applyTable takes in the table as held, and tells whether it brought a rule that the plans do not have yet.
-func (e *Enforcer) applyTable(held cluster.CachedTable) (newRules bool) {
+func (e *Enforcer) applyTable(held coordination.CachedTable) (newRules bool) {
 	if held.Epoch > e.epoch { // another may have heard a later one meanwhile
-		table, err := counting.Decode(held.Value)
+		table, err := countingrule.Decode(held.Value)
 		if err != nil {
 			e.log.Error("counting: the table cannot be read; what was held stands", zap.Error(err))
 		} else {
@@ -158,7 +158,7 @@
 	}
 	e.rulesMerged = true
 	for i, rule := range slices.Concat(e.table.Rules, e.config.Rules) {
-		known := slices.IndexFunc(e.rules, func(other counting.Rule) bool { return other.Version == rule.Version })
+		known := slices.IndexFunc(e.rules, func(other countingrule.Rule) bool { return other.Version == rule.Version })
 		if known < 0 {
 			e.rules, e.plansApplied = append(e.rules, rule), false
 		} else if i < len(e.table.Rules) && !e.rules[known].Equal(rule) { // what is committed is what the version means
@@ -170,8 +170,8 @@
 
 // readTable gives the table as held, and whether its lease stands; one that was never written has a lease too. It is called
 // without the clerk's lock: those who hold it in common ask for our counts under a lock of theirs.
-func (e *Enforcer) readTable() (held cluster.CachedTable, leased bool) {
-	held = e.node.Cached(counting.TableName)
+func (e *Enforcer) readTable() (held coordination.CachedTable, leased bool) {
+	held = e.node.Cached(countingrule.TableName)
 	return held, e.node.Now() < held.LeaseEnd
 }
 
@@ -185,16 +185,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.plansApplied = true
-	return counting.WithRulePlans(settings, e.rules)
+	return countingrule.WithRulePlans(settings, e.rules)
 }
 
 // WithoutRulePlans is for the gate.
 func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settings, e.admission = settings, counting.NewAdmission(settings.Gateways)
-	for _, rule := range append([]counting.Rule{{}}, e.rules...) {
-		resolved, err := counting.Resolve(rule, settings)
+	e.settings, e.admission = settings, countingrule.NewAdmission(settings.Gateways)
+	for _, rule := range append([]countingrule.Rule{{}}, e.rules...) {
+		resolved, err := countingrule.Resolve(rule, settings)
 		if err != nil {
 			e.log.Error("counting: a rule cannot hold here", zap.Error(err))
 			delete(e.resolved, rule.Version)
@@ -207,13 +207,13 @@
 	} else {
 		e.shadow = nil
 	}
-	return counting.ClientSettings(settings)
+	return countingrule.ClientSettings(settings)
 }
 
 // updateShadow begins and ends the play.
 func (e *Enforcer) updateShadow() {
 	table := &e.table
-	active := table.Phase == counting.PhaseCanary || table.Phase == counting.PhaseScheduled
+	active := table.Phase == countingrule.PhaseCanary || table.Phase == countingrule.PhaseScheduled
 	old, next := e.resolved[table.From], e.resolved[table.To]
 	if !active || old == nil || next == nil {
 		e.shadow = nil
--- a/internal/clerk/enforcer_test.go
+++ b/internal/enforce/enforcer_test.go
@@ -1,4 +1,4 @@
-package clerk
+package enforce
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -20,13 +20,13 @@
 type fakeNode struct {
 	mu      sync.Mutex
 	start   time.Time
-	held    cluster.CachedTable
+	held    coordination.CachedTable
 	changed chan struct{}
 	report  func(add func(string, uint64))
 }
 
 func (n *fakeNode) Now() time.Duration { return time.Since(n.start) }
-func (n *fakeNode) Cached(string) cluster.CachedTable {
+func (n *fakeNode) Cached(string) coordination.CachedTable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.held
@@ -40,10 +40,10 @@
 func (n *fakeNode) RegisterExactCounters(func(add func(string, uint64)))   {}
 
 // setTable has the process hear a table, with a lease that lasts or one that is over.
-func (n *fakeNode) setTable(table counting.Table, leased bool) {
+func (n *fakeNode) setTable(table countingrule.Table, leased bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = cluster.CachedTable{Name: counting.TableName, Epoch: n.held.Epoch + 1, Value: table.Encode()}
+	n.held = coordination.CachedTable{Name: countingrule.TableName, Epoch: n.held.Epoch + 1, Value: table.Encode()}
 	if leased {
 		n.held.LeaseEnd = time.Hour
 	}
@@ -55,7 +55,7 @@
 type fixture struct {
 	*testing.T
 	*fakeNode
-	dispatcher *gate.Dispatcher
+	dispatcher *dispatch.Dispatcher
 	enforcer   *Enforcer
 	mu         sync.Mutex
 	totals     map[uint64]float64
@@ -82,10 +82,10 @@
 	return units, found
 }
 
-var groupRule = counting.Rule{Version: 1, Key: []string{"group"},
-	Groups:  []counting.Group{{Name: "both", Customers: []uint64{5, 6}}},
-	Weights: []counting.Weight{{Class: "look", Permille: 2000}},
-	Limits:  []counting.Limit{{Plan: "*", Rate: 0.1, Burst: 3}}}
+var groupRule = countingrule.Rule{Version: 1, Key: []string{"group"},
+	Groups:  []countingrule.Group{{Name: "both", Customers: []uint64{5, 6}}},
+	Weights: []countingrule.Weight{{Class: "look", Permille: 2000}},
+	Limits:  []countingrule.Limit{{Plan: "*", Rate: 0.1, Burst: 3}}}
 
 func newFixture(t *testing.T, with bool) *fixture {
 	t.Helper()
@@ -95,15 +95,15 @@
 		MaxRetryAfter: time.Second, RetryAfter: true, ArrivalSlack: 8 * time.Millisecond, ReportsUnits: true,
 		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1}},
 		Plans:   []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}}}
-	f.enforcer = New(&counting.Config{Rules: []counting.Rule{groupRule}}, zap.NewNop())
+	f.enforcer = New(&countingrule.Config{Rules: []countingrule.Rule{groupRule}}, zap.NewNop())
 	var err error
-	if f.dispatcher, err = gate.New(settings, 7, gate.Dependencies{Count: f.addUnits}, zap.NewNop()); err != nil {
+	if f.dispatcher, err = dispatch.New(settings, 7, dispatch.Dependencies{Count: f.addUnits}, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.dispatcher.RunTimers(ctx)
-	f.dispatcher.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: policy.Ready}}})
+	f.dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: policy.Ready}}})
 	if with {
 		if err := f.enforcer.start(f.fakeNode, f.dispatcher); err != nil {
 			t.Fatal(err)
@@ -115,11 +115,11 @@
 
 // serveOne carries a task of a customer to its end and tells whether it was pushed.
 func (f *fixture) serveOne(customer uint64) bool {
-	request := f.dispatcher.Admit(gate.RequestSpec{Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second})
-	if request.Next().Action != gate.Forward {
+	request := f.dispatcher.Admit(dispatch.RequestSpec{Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second})
+	if request.Next().Action != dispatch.Forward {
 		return false
 	}
-	request.ReportResult(gate.Result{Outcome: policy.Answered, Billed: 1})
+	request.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 1})
 	return true
 }
 
@@ -128,13 +128,13 @@
 	f.enforcer.mu.Lock()
 	defer f.enforcer.mu.Unlock()
 	assignment := f.enforcer.resolved[version].Assign(customer, 0, 0)
-	return counting.WindowAt(assignment.Key, &f.enforcer.settings.Plans[assignment.Plan], f.dispatcher.Now()).Name
+	return countingrule.WindowAt(assignment.Key, &f.enforcer.settings.Plans[assignment.Plan], f.dispatcher.Now()).Name
 }
 
 // With rule 0 the counter hears the same names as from a gate without a clerk.
 func TestEnforcer_ruleZeroCountsUnderTheSameNames(t *testing.T) {
 	plain, with := newFixture(t, false), newFixture(t, true)
-	with.setTable(counting.Table{}, true)
+	with.setTable(countingrule.Table{}, true)
 	for customer := range uint64(20) {
 		if !plain.serveOne(customer) || !with.serveOne(customer) {
 			t.Fatal("a task within its plan is rejected")
@@ -149,7 +149,7 @@
 		seen[n] = true
 	}
 	for customer := range uint64(20) { // a window may have ended between the two
-		seen[counting.WindowAt(customer, &with.enforcer.settings.Plans[0], with.dispatcher.Now()).Name] = true
+		seen[countingrule.WindowAt(customer, &with.enforcer.settings.Plans[0], with.dispatcher.Now()).Name] = true
 	}
 	for _, n := range with.countNames {
 		if !seen[n] {
@@ -165,7 +165,7 @@
 func TestEnforcer_newRuleCountsAfterTheSwitch(t *testing.T) {
 	f := newFixture(t, true)
 	switchAt := f.dispatcher.Now() + time.Second
-	f.setTable(counting.Table{Phase: counting.PhaseScheduled, To: 1, SwitchAt: switchAt, Rules: []counting.Rule{groupRule}}, true)
+	f.setTable(countingrule.Table{Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: switchAt, Rules: []countingrule.Rule{groupRule}}, true)
 	before := f.countName(0, 5)
 	if !f.serveOne(5) || f.dispatcher.Now() > switchAt {
 		t.Fatal("before the edge: rejected, or too slow")
@@ -173,7 +173,7 @@
 	if _, found := f.total(before); !found {
 		t.Error("before the edge it is not today's rule that counts")
 	}
-	standin.Eventually(t, "the edge", func() bool { return f.dispatcher.Now() > switchAt })
+	fakes.Eventually(t, "the edge", func() bool { return f.dispatcher.Now() > switchAt })
 	forwarded := 0
 	for i := range uint64(6) {
 		if f.serveOne(5 + i%2) {
@@ -189,16 +189,16 @@
 // other rule did not let through.
 func TestEnforcer_bothRulesMustAdmitPastTheLease(t *testing.T) {
 	f := newFixture(t, true)
-	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, false)
+	f.setTable(countingrule.Table{Phase: countingrule.PhaseCanary, To: 1, Rules: []countingrule.Rule{groupRule}}, false)
 	name := f.countName(1, 5)
 	if !f.serveOne(5) || f.serveOne(5) || f.serveOne(5) {
 		t.Error("not one alone is pushed, where the group's count holds one")
 	}
-	standin.Eventually(t, "units given back", func() bool { units, _ := f.total(name); return units < 2.5 })
+	fakes.Eventually(t, "units given back", func() bool { units, _ := f.total(name); return units < 2.5 })
 	if units, _ := f.total(name); units < 2 {
 		t.Errorf("the count of the new rule holds %v, not the two of the one that was pushed", units)
 	}
-	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, true)
+	f.setTable(countingrule.Table{Phase: countingrule.PhaseCanary, To: 1, Rules: []countingrule.Rule{groupRule}}, true)
 	if !f.serveOne(5) {
 		t.Error("it has heard again, and still goes by both")
 	}
@@ -208,7 +208,7 @@
 // each has its final answer.
 func TestEnforcer_silentCounterDelaysNoRequest(t *testing.T) {
 	f := newFixture(t, true)
-	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Rules: []counting.Rule{groupRule}}, false)
+	f.setTable(countingrule.Table{Phase: countingrule.PhaseCanary, To: 1, Rules: []countingrule.Rule{groupRule}}, false)
 	f.silent = true
 	start := time.Now()
 	if first, second := f.serveOne(5), f.serveOne(5); !first || second {
@@ -222,9 +222,9 @@
 // A canary asks under names of its own, and rejects nobody: the new rule alone would have.
 func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
 	f := newFixture(t, true)
-	f.setTable(counting.Table{Phase: counting.PhaseCanary, To: 1, Seed: 9, Rules: []counting.Rule{groupRule},
-		Canary: counting.CanaryConfig{SamplePermille: 1000, CallsPermille: 250}}, true)
-	standin.Eventually(t, "the play", func() bool {
+	f.setTable(countingrule.Table{Phase: countingrule.PhaseCanary, To: 1, Seed: 9, Rules: []countingrule.Rule{groupRule},
+		Canary: countingrule.CanaryConfig{SamplePermille: 1000, CallsPermille: 250}}, true)
+	fakes.Eventually(t, "the play", func() bool {
 		f.enforcer.mu.Lock()
 		defer f.enforcer.mu.Unlock()
 		return f.enforcer.shadow != nil
@@ -237,7 +237,7 @@
 	if _, found := f.total(f.countName(1, 5)); found {
 		t.Error("the play asks under a rule's own name")
 	}
-	standin.Eventually(t, "counts", func() bool {
+	fakes.Eventually(t, "counts", func() bool {
 		got := map[string]uint64{}
 		f.report(func(name string, n uint64) { got[strings.ReplaceAll(name, "\x1f", "/")] = n })
 		return got["canary/9/old"] > 0 && got["canary/9/real/0/in"] == 40_000 && got["canary/9/calls"] > 0 &&
--- a/internal/clerk/reservations.go
+++ b/internal/enforce/reservations.go
@@ -1,12 +1,12 @@
-package clerk
+package enforce
 
 import (
 	"sync"
 	"time"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/policy"
 )
 
@@ -14,7 +14,7 @@
 const timeoutDivisor = 4
 
 // Assign is for the gate: a task is counted by what holds now, and so is all that comes of it later.
-func (e *Enforcer) Assign(now time.Duration, request gate.RequestSpec) gate.CountAssignment {
+func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
 	held, leased := e.readTable()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,11 +24,11 @@
 		versions = []uint64{0}
 	}
 	assignment := e.resolved[versions[0]].Assign(request.Customer, request.Class, request.Plan)
-	decision := gate.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, Width: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
+	decision := dispatch.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, Width: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
 	if assignment.Shared {
 		decision.Width = e.settings.Gateways
 	}
-	var reserved []counting.Reservation
+	var reserved []countingrule.Reservation
 	for _, v := range versions[1:] {
 		other := e.resolved[v].Assign(request.Customer, request.Class, request.Plan)
 		if plan := e.settings.Plans[other.Plan]; other.Key != assignment.Key && plan.Rate > 0 {
@@ -78,7 +78,7 @@
 // reservations are a task's units at the counts that it has to pass beside the module's.
 type reservations struct {
 	*Enforcer
-	all     []counting.Reservation
+	all     []countingrule.Reservation
 	timeout time.Duration
 	weight  float64 // by which the module counts: true units come multiplied by it
 
@@ -89,14 +89,14 @@
 	completed bool // the task is over
 	forwarded bool
 	units     float64
-	charges   []counting.ChargeState // by hold
+	charges   []countingrule.ChargeState // by hold
 	passedBy  []bool
 }
 
-func (e *Enforcer) newReservations(reserved []counting.Reservation, request gate.RequestSpec, weight float64) *reservations {
+func (e *Enforcer) newReservations(reserved []countingrule.Reservation, request dispatch.RequestSpec, weight float64) *reservations {
 	timeout := e.settings.Classes[request.Class].LatencyObjective / timeoutDivisor
 	return &reservations{Enforcer: e, all: reserved, timeout: timeout, weight: weight, pending: len(reserved), admitted: true,
-		charges: make([]counting.ChargeState, len(reserved)), passedBy: make([]bool, len(reserved))}
+		charges: make([]countingrule.ChargeState, len(reserved)), passedBy: make([]bool, len(reserved))}
 }
 
 // charge has the counts asked; a count that does not answer in time goes by this process's own share.
@@ -109,9 +109,9 @@
 			timer.Stop()
 			r.Enforcer.mu.Lock()
 			if outcome == policy.Answered {
-				r.charges[i] = counting.Charged
+				r.charges[i] = countingrule.Charged
 			} else if outcome != policy.TimedOut {
-				r.charges[i] = counting.NotCharged
+				r.charges[i] = countingrule.NotCharged
 			}
 			r.Enforcer.mu.Unlock()
 			once.Do(func() { r.handleCount(i, count, outcome == policy.Answered) })
--- a/internal/failover/controller.go
+++ b/internal/failover/controller.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/zonestats"
 )
 
 // Controller turns evidence into plans. It runs at the leader and is made anew with each new leader: all that it must know
@@ -43,13 +43,13 @@
 	return c
 }
 
-var _ cluster.Controller = (*Controller)(nil)
+var _ coordination.Controller = (*Controller)(nil)
 
 // Table is the table that it writes.
 func (c *Controller) Table() string { return Table }
 
 // Decide gives the next plan, or write false where the one that stands is to stay. It is called some ten times a second.
-func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) (value []byte, write bool) {
+func (c *Controller) Decide(now time.Duration, seen coordination.ControllerInput) (value []byte, write bool) {
 	if e := seen.Table(Table); !c.started || e.Epoch != c.epoch {
 		c.adoptPlan(now, e)
 	}
@@ -110,14 +110,14 @@
 	c.estimates.demandKnown = true
 	for to, zone := range c.zones {
 		c.estimates.demand[to] = float64(plan.Demand[zone]) / 1000
-		if plannedHealth, ok := plan.Health[zone]; ok && plannedHealth <= fullShare*witness.Failing/witness.Healthy {
-			c.estimates.health[to], c.estimates.healthAt[to] = plannedHealth*witness.Healthy/fullShare, now
+		if plannedHealth, ok := plan.Health[zone]; ok && plannedHealth <= fullShare*zonestats.Failing/zonestats.Healthy {
+			c.estimates.health[to], c.estimates.healthAt[to] = plannedHealth*zonestats.Healthy/fullShare, now
 		}
 	}
 	for from, fromZone := range c.zones {
 		for to, toZone := range c.zones {
 			if slices.Contains(plan.LostLinks, [2]string{fromZone, toZone}) {
-				c.estimates.linkHealth[from][to], c.estimates.linkHealthAt[from][to] = witness.Lost, now
+				c.estimates.linkHealth[from][to], c.estimates.linkHealthAt[from][to] = zonestats.Lost, now
 			}
 		}
 	}
--- a/internal/failover/estimates.go
+++ b/internal/failover/estimates.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 )
 
 // estimates is what the decider holds to be true of halls; it outlives the evidence for it.
@@ -53,7 +53,7 @@
 		isReporting: make([]bool, halls), hasHeadroom: make([]bool, halls),
 		smoothing: make([]time.Duration, halls)}
 	for i := range halls {
-		e.health[i], e.readyPower[i], e.demand[i], e.hasHeadroom[i] = witness.Healthy, -1, -1, true
+		e.health[i], e.readyPower[i], e.demand[i], e.hasHeadroom[i] = zonestats.Healthy, -1, -1, true
 		row := make([]int, halls)
 		for to := range row {
 			row[to] = -1
@@ -68,7 +68,7 @@
 // see or worse, counted in distinct gateways; -1: too few say anything.
 func (e *estimates) agreedHealth(start, end *sample, from, to int) int {
 	span := float64((end.at - start.at) / time.Millisecond)
-	var said [witness.Healthy + 1]float64
+	var said [zonestats.Healthy + 1]float64
 	all := 0.0
 	for q := range said {
 		said[q] = (end.health[from][to][q] - start.health[from][to][q]) / span
@@ -122,7 +122,7 @@
 		e.updateDemand(s, from, step)
 		for to := range e.linkHealth {
 			a, b := e.agreedHealth(spans[0][0], spans[0][1], from, to), e.agreedHealth(spans[1][0], spans[1][1], from, to)
-			if max(a, b) > witness.Failing && far {
+			if max(a, b) > zonestats.Failing && far {
 				if x, y := e.agreedHealth(long[0][0], long[0][1], from, to), e.agreedHealth(long[1][0], long[1][1], from, to); min(x, y) >= 0 {
 					a, b = x, y
 				}
@@ -164,11 +164,11 @@
 			}
 		}
 		switch {
-		case best >= 0 && best <= witness.Failing && !e.isReporting[to] && e.demand[to] > minDemand:
+		case best >= 0 && best <= zonestats.Failing && !e.isReporting[to] && e.demand[to] > minDemand:
 		case best >= 0:
 			e.health[to], e.healthAt[to] = best, now
 		case e.healthAt[to]+healthMemoryHoldDowns*e.settings.holdDown() < now:
-			e.health[to] = witness.Healthy
+			e.health[to] = zonestats.Healthy
 		}
 	}
 }
@@ -238,15 +238,15 @@
 			best = max(best, q)
 		}
 	}
-	health = witness.Healthy
-	if best > witness.Failing {
-		health = witness.Healthy * float64(e.health[to]) / float64(best)
+	health = zonestats.Healthy
+	if best > zonestats.Failing {
+		health = zonestats.Healthy * float64(e.health[to]) / float64(best)
 	}
-	return e.readyPower[to] * e.settings.capacity(zone) * health / witness.Healthy, health
+	return e.readyPower[to] * e.settings.capacity(zone) * health / zonestats.Healthy, health
 }
 
 // isLinkLost tells that a link between two halls is lost, or that within one: most of the one don't reach the other, which
 // others do.
 func (e *estimates) isLinkLost(from, to int) bool {
-	return e.linkHealth[from][to] >= 0 && e.linkHealth[from][to] <= witness.Failing && e.health[to] > witness.Failing
+	return e.linkHealth[from][to] >= 0 && e.linkHealth[from][to] <= zonestats.Failing && e.health[to] > zonestats.Failing
 }
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/zonestats"
 )
 
 // fixture is halls with gateways that tell what they see of them, as sums that a decider goes by. It is the world's own
@@ -76,10 +76,10 @@
 		if fx.silent[from] {
 			continue
 		}
-		fx.add(witness.AwakeTime(fromZone), ms*float64(fx.gateways[from]))
-		fx.add(witness.Admitted(fromZone), fx.demand[from]*ms)
-		fx.add(witness.Offered(fromZone), (fx.demand[from]+fx.unadmitted[from])*ms)
-		fx.add(witness.Completed(fromZone, fromZone, "well"), 10) // a hundred pushes a second
+		fx.add(zonestats.AwakeTime(fromZone), ms*float64(fx.gateways[from]))
+		fx.add(zonestats.Admitted(fromZone), fx.demand[from]*ms)
+		fx.add(zonestats.Offered(fromZone), (fx.demand[from]+fx.unadmitted[from])*ms)
+		fx.add(zonestats.Completed(fromZone, fromZone, "well"), 10) // a hundred pushes a second
 		for g := range fx.gateways[from] {
 			blind := g == 0 && fx.blindGateway[from]
 			for to, toZone := range fx.zones {
@@ -87,15 +87,15 @@
 				if blind {
 					strength = 0
 				}
-				b := witness.PowerBand(strength)
-				fx.add(witness.ReadyTime(toZone, b), ms)
-				fx.add(witness.ReadyPower(toZone, b), ms*strength)
-				q := int(fx.healthy[to]*witness.Healthy + 0.5)
+				b := zonestats.PowerBand(strength)
+				fx.add(zonestats.ReadyTime(toZone, b), ms)
+				fx.add(zonestats.ReadyPower(toZone, b), ms*strength)
+				q := int(fx.healthy[to]*zonestats.Healthy + 0.5)
 				if blind || fx.lostLinks[[2]int{from, to}] {
-					q = witness.Lost
+					q = zonestats.Lost
 				}
 				if fx.share(from, to) > 0 && fx.readyPower[to] > 0 || blind {
-					fx.add(witness.HealthTime(fromZone, toZone, q), ms)
+					fx.add(zonestats.HealthTime(fromZone, toZone, q), ms)
 				}
 			}
 		}
@@ -108,7 +108,7 @@
 	for end := fx.now + span; fx.now < end; {
 		fx.now += tick
 		fx.report()
-		seen := cluster.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+		seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
 		if value, write := fx.controller.Decide(fx.now, seen); write {
 			plan, err := DecodePlan(value)
 			if err != nil {
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 	"harrierhoist/internal/pool"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
 
@@ -37,7 +37,7 @@
 type member struct {
 	zone        int
 	allFail     bool // all that it pushes fails
-	recorder    *witness.Recorder
+	recorder    *zonestats.Recorder
 	subset      *pool.Subset
 	endpoints   []policy.Endpoint
 	planCount   int // of the plan that the part is of, by number
@@ -67,7 +67,7 @@
 	}
 	for i := range 3 * gateways {
 		m := &member{zone: i % 3, planCount: -1, subset: pool.New(i, 3*gateways, 15*time.Second), failedUntil: map[uint32]time.Duration{},
-			recorder: witness.New(fx.zones, i%3, &policy.Settings{})}
+			recorder: zonestats.New(fx.zones, i%3, &policy.Settings{})}
 		m.digest = evidence.Digest{Process: fmt.Sprint(i), Incarnation: 1}
 		m.nextDigest = fl.now + time.Duration(fl.random.IntN(200))*time.Millisecond
 		m.recorder.SetEndpoints(fl.now, list)
@@ -89,7 +89,7 @@
 		if fl.now%tick != 0 {
 			continue
 		}
-		seen := cluster.ControllerInput{Sums: fl.merger.Sums(), Table: func(string) tables.Table { return fl.entry }}
+		seen := coordination.ControllerInput{Sums: fl.merger.Sums(), Table: func(string) tables.Table { return fl.entry }}
 		if value, write := fl.controller.Decide(fl.now, seen); write {
 			plan, _ := DecodePlan(value)
 			fl.entry = tables.Table{Epoch: fl.entry.Epoch + 1, Value: value}
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -17,8 +17,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
@@ -144,7 +144,7 @@
 			step := fx.now + tick
 			fx.now = step
 			fx.report()
-			seen := cluster.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+			seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
 			value, write := fx.controller.Decide(fx.now, seen)
 			fmt.Fprintf(sum, "%d %v %x\n", fx.now, write, value)
 			if !write {
--- a/internal/failover/plan_input.go
+++ b/internal/failover/plan_input.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 )
 
 // planInput is what a plan is made for: all by the places of halls.
@@ -63,7 +63,7 @@
 		return true
 	}
 	for _, zone := range in.zones {
-		if math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/witness.Healthy {
+		if math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/zonestats.Healthy {
 			return true
 		}
 		if in.now < in.planSince+in.settings.holdDown() {
--- a/internal/failover/rows.go
+++ b/internal/failover/rows.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 )
 
 // mustLeave tells that a hall's tasks flee from somewhere: this needs no rest.
@@ -133,7 +133,7 @@
 			}
 		}
 		plan.Rows[fromZone], plan.Demand[fromZone] = row, uint64(in.demand[from]*1000)
-		plan.Health[fromZone] = int(math.Round(in.health[from] * fullShare / witness.Healthy))
+		plan.Health[fromZone] = int(math.Round(in.health[from] * fullShare / zonestats.Healthy))
 		if shed[from] > 0 {
 			plan.Shed[fromZone] = shed[from]
 		}
--- a/internal/failover/samples.go
+++ b/internal/failover/samples.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/zonestats"
 )
 
 const (
@@ -27,31 +27,31 @@
 // countNames are the names of the counts that are looked at, made once.
 type countNames struct {
 	awake, admitted       []string
-	completed             [][]string                      // by from, all
-	health                [][][witness.Healthy + 1]string // from, to
-	readyTime, readyPower [][witness.PowerBands]string
+	completed             [][]string                        // by from, all
+	health                [][][zonestats.Healthy + 1]string // from, to
+	readyTime, readyPower [][zonestats.PowerBands]string
 }
 
 func newCountNames(zones []string) *countNames {
 	c := &countNames{}
 	for _, zone := range zones {
-		c.awake, c.admitted = append(c.awake, witness.AwakeTime(zone)), append(c.admitted, witness.Admitted(zone))
-		var row [][witness.Healthy + 1]string
+		c.awake, c.admitted = append(c.awake, zonestats.AwakeTime(zone)), append(c.admitted, zonestats.Admitted(zone))
+		var row [][zonestats.Healthy + 1]string
 		var completed []string
 		for _, toZone := range zones {
-			for _, outcome := range witness.Outcomes() {
-				completed = append(completed, witness.Completed(zone, toZone, outcome))
+			for _, outcome := range zonestats.Outcomes() {
+				completed = append(completed, zonestats.Completed(zone, toZone, outcome))
 			}
-			var js [witness.Healthy + 1]string
+			var js [zonestats.Healthy + 1]string
 			for q := range js {
-				js[q] = witness.HealthTime(zone, toZone, q)
+				js[q] = zonestats.HealthTime(zone, toZone, q)
 			}
 			row = append(row, js)
 		}
 		c.health, c.completed = append(c.health, row), append(c.completed, completed)
-		var readyTime, readyPower [witness.PowerBands]string
-		for b := range witness.PowerBands {
-			readyTime[b], readyPower[b] = witness.ReadyTime(zone, b), witness.ReadyPower(zone, b)
+		var readyTime, readyPower [zonestats.PowerBands]string
+		for b := range zonestats.PowerBands {
+			readyTime[b], readyPower[b] = zonestats.ReadyTime(zone, b), zonestats.ReadyPower(zone, b)
 		}
 		c.readyTime, c.readyPower = append(c.readyTime, readyTime), append(c.readyPower, readyPower)
 	}
@@ -63,8 +63,8 @@
 	at                    time.Duration
 	awake, admitted       []float64
 	completed             []float64 // pushes of the hall's gateways
-	health                [][][witness.Healthy + 1]float64
-	readyTime, readyPower [][witness.PowerBands]float64
+	health                [][][zonestats.Healthy + 1]float64
+	readyTime, readyPower [][zonestats.PowerBands]float64
 }
 
 func (c *countNames) sample(now time.Duration, sums map[string]uint64) *sample {
@@ -76,14 +76,14 @@
 			completed += float64(sums[name])
 		}
 		s.completed = append(s.completed, completed)
-		row := make([][witness.Healthy + 1]float64, len(c.awake))
+		row := make([][zonestats.Healthy + 1]float64, len(c.awake))
 		for to := range row {
 			for q := range row[to] {
 				row[to][q] = float64(sums[c.health[i][to][q]])
 			}
 		}
 		s.health = append(s.health, row)
-		var readyTime, readyPower [witness.PowerBands]float64
+		var readyTime, readyPower [zonestats.PowerBands]float64
 		for b := range readyTime {
 			readyTime[b], readyPower[b] = float64(sums[c.readyTime[i][b]]), float64(sums[c.readyPower[i][b]])
 		}
--- a/internal/daemon/coordination.go
+++ b/internal/gateway/coordination.go
@@ -1,6 +1,6 @@
 //go:build !alone
 
-package daemon
+package gateway
 
 import (
 	"context"
@@ -15,23 +15,23 @@
 
 	"harrierhoist/internal/canary"
 	"harrierhoist/internal/charter"
-	"harrierhoist/internal/clerk"
-	"harrierhoist/internal/cluster"
 	"harrierhoist/internal/commons"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/keep"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/enforce"
 	"harrierhoist/internal/failover"
-	"harrierhoist/internal/steer"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/routing"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/keep"
+	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/zonestats"
 )
 
 // membership is this gateway's part in what processes hold in common; nil where no charter is named.
 type membership struct {
 	process        *commons.Node
-	enforcer       *clerk.Enforcer // nil where counting rules are off
-	account        *till.Accounts  // nil where debts are off
+	enforcer       *enforce.Enforcer // nil where counting rules are off
+	account        *till.Accounts    // nil where debts are off
 	settlementDone <-chan struct{}
 }
 
@@ -42,12 +42,12 @@
 const readsPerLease = 4
 
 // plannedZones tells the settlement what failover's plan says of the halls: that goes first.
-func plannedZones(seen cluster.ControllerInput) map[string]debts.ZoneStatus {
+func plannedZones(seen coordination.ControllerInput) map[string]settlement.ZoneStatus {
 	plan, err := failover.DecodePlan(seen.Table(failover.Table).Value)
 	if err != nil || plan == nil {
 		return nil
 	}
-	return debts.ZoneStatusOfPlan(plan.Rows, plan.Health)
+	return settlement.ZoneStatusOfPlan(plan.Rows, plan.Health)
 }
 
 // joinCoordination starts what a charter names, if one is named.
@@ -63,10 +63,10 @@
 }
 
 // newControllers gives those that run where a voter leads, by what the charter says. Calls come one after another.
-func newControllers() func(c *charter.Config) []cluster.Controller {
-	var rules atomic.Pointer[counting.Config]
+func newControllers() func(c *charter.Config) []coordination.Controller {
+	var rules atomic.Pointer[countingrule.Config]
 	var trial *canary.Controller // one for all files, while the lease stays: a file read again does not begin a trial anew
-	return func(c *charter.Config) (all []cluster.Controller) {
+	return func(c *charter.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
 			all = append(all, failover.New(*c.Failover, lease))
@@ -79,7 +79,7 @@
 			all = append(all, trial)
 		}
 		if c.SettlementEnabled() {
-			all = append(all, debts.NewController(*c.Settlement, plannedZones))
+			all = append(all, settlement.NewController(*c.Settlement, plannedZones))
 		}
 		return all
 	}
@@ -97,11 +97,11 @@
 			return fmt.Errorf("RELAY_COMMON: process.hall must be one of settings.Dcs of RELAY_CONFIG, %q, where "+
 				"failover is on, not %q", running.configuration.Zones, hall)
 		}
-		running.dispatcher.SetRecorder(witness.New(running.configuration.Zones, slices.Index(running.configuration.Zones, hall), &running.configuration.Settings))
-		go steer.New(shared, running.dispatcher, running.configuration.Zones, hall, running.log).Run(ctx)
+		running.dispatcher.SetRecorder(zonestats.New(running.configuration.Zones, slices.Index(running.configuration.Zones, hall), &running.configuration.Settings))
+		go routing.New(shared, running.dispatcher, running.configuration.Zones, hall, running.log).Run(ctx)
 	}
 	if terms.Counting != nil {
-		c.enforcer = clerk.New(terms.Counting, running.log)
+		c.enforcer = enforce.New(terms.Counting, running.log)
 		go func() {
 			if err := c.enforcer.Run(ctx, shared, running.dispatcher); err != nil {
 				running.log.Error("counting rules are not followed: tasks are counted as ever", zap.Error(err))
--- a/internal/daemon/coordination_alone.go
+++ b/internal/gateway/coordination_alone.go
@@ -1,6 +1,6 @@
 //go:build alone
 
-package daemon
+package gateway
 
 import (
 	"context"
--- a/internal/daemon/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -1,10 +1,10 @@
-package daemon
+package gateway
 
 import (
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/boot"
+	"harrierhoist/internal/config"
 )
 
 // reservedDescriptors are of the limit: some 16 for listener, log, counter, discovery and the runtime, and spare.
@@ -14,7 +14,7 @@
 // are, less a few. Where the system gives fewer than the file says, it is its figure that counts: clients who say
 // nothing could else take the last one, and neither server, counter nor discovery could be called any more. Harm: with
 // fewer places clients that rest make room sooner.
-func connectionLimit(configuration *boot.Gateway, log *zap.Logger) int {
+func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
 	limit := configuration.Sockets
 	var descriptors unix.Rlimit
 	// The runtime has raised the soft limit to the hard one.
--- a/internal/daemon/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
 // Package daemon is one gateway on sockets, put together from its parts, with its signals and its log. The command
 // harrierhoist runs it, and so does the laboratory for gateways of its own.
-package daemon
+package gateway
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/boot"
+	"harrierhoist/internal/config"
 	"harrierhoist/internal/counter"
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/front"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/roster"
+	"harrierhoist/internal/discovery"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/listener"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
@@ -65,22 +65,22 @@
 	defer cancel()
 	connectionsPerSide := connectionLimit(configuration, log)
 	settings := &configuration.Settings
-	upstreams := fleet.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
+	upstreams := upstream.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
 	running := &instance{configPath: path, configuration: configuration, log: log}
-	outside := gate.Dependencies{IdleTimeout: upstreams.IdleTimeout(), CheckHealth: func(s gate.Server, heard func(gate.Result)) { go upstreams.CheckHealth(s, heard) },
+	outside := dispatch.Dependencies{IdleTimeout: upstreams.IdleTimeout(), CheckHealth: func(s dispatch.Server, heard func(dispatch.Result)) { go upstreams.CheckHealth(s, heard) },
 		Count: func(name uint64, units float64, keep time.Duration, heard func(float64, policy.Outcome)) {
 			running.counter.Load().Add(name, units, keep, heard) // settings with a counter come into force once there is one
 		}}
 	running.setCounterAddress(configuration)
-	dispatcher, err := gate.New(*settings, configuration.Seed, outside, log)
+	dispatcher, err := dispatch.New(*settings, configuration.Seed, outside, log)
 	if err != nil {
 		return err
 	}
-	watcher, err := roster.New(configuration, dispatcher, log)
+	watcher, err := discovery.New(configuration, dispatcher, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	clients := front.New(settings, dispatcher, upstreams, connectionsPerSide, configuration.MemoryMB<<20/requestMemoryDivisor, log)
+	clients := listener.New(settings, dispatcher, upstreams, connectionsPerSide, configuration.MemoryMB<<20/requestMemoryDivisor, log)
 	running.dispatcher, running.watcher, running.clients = dispatcher, watcher, clients
 	socket, err := net.Listen("tcp", configuration.Listen)
 	if err != nil {
@@ -148,13 +148,13 @@
 
 // readConfiguration reads the file; nothing and no error if the program is asked to end before it has: nobody was served yet, and a
 // disk that hangs must not hold the end up.
-func readConfiguration(path string, term <-chan os.Signal) (*boot.Gateway, error) {
-	var configuration *boot.Gateway
+func readConfiguration(path string, term <-chan os.Signal) (*config.Gateway, error) {
+	var configuration *config.Gateway
 	var err error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		configuration, err = boot.Read(path)
+		configuration, err = config.Read(path)
 	}()
 	select {
 	case <-done:
@@ -167,16 +167,16 @@
 // instance is what a new configuration changes in the running program.
 type instance struct {
 	configPath    string
-	configuration *boot.Gateway
+	configuration *config.Gateway
 	counter       atomic.Pointer[counter.Counter] // none while no settings had one
-	dispatcher    *gate.Dispatcher
-	watcher       *roster.Watcher
-	clients       *front.Listener
+	dispatcher    *dispatch.Dispatcher
+	watcher       *discovery.Watcher
+	clients       *listener.Listener
 	log           *zap.Logger
 }
 
 // setCounterAddress has calls go to the counter that is named, if any is.
-func (running *instance) setCounterAddress(configuration *boot.Gateway) {
+func (running *instance) setCounterAddress(configuration *config.Gateway) {
 	if configuration.Counter == "" {
 		return
 	}
@@ -190,7 +190,7 @@
 // reload reads the configuration again and takes it in place: addresses, and all settings but those that only a
 // restart can change, which are named. One that is not good leaves the old one in force.
 func (running *instance) reload() {
-	configuration, err := boot.Read(running.configPath)
+	configuration, err := config.Read(running.configPath)
 	if err != nil {
 		running.log.Error("the new configuration is not taken", zap.Error(err))
 		return
@@ -222,7 +222,7 @@
 }
 
 // applyRuntimeLimits keeps the runtime within what is handed in.
-func applyRuntimeLimits(configuration *boot.Gateway) {
+func applyRuntimeLimits(configuration *config.Gateway) {
 	if configuration.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
 	}
--- a/internal/lab/live/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -1,4 +1,4 @@
-package live
+package emulation
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // Counter is an emulated counter.
@@ -28,7 +28,7 @@
 	Refused  atomic.Int64
 }
 
-func newCounter(w *world.World) (*Counter, error) {
+func newCounter(w *scenario.World) (*Counter, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -1,4 +1,4 @@
-package live
+package emulation
 
 import (
 	"encoding/json"
--- a/internal/lab/live/live.go
+++ b/internal/lab/emulation/live.go
@@ -1,7 +1,7 @@
 // Package live plays a world in real time, on loopback sockets before real gateways: emulated servers, a counter and
 // discovery, each on a free port. Its servers and clients keep the same ledger as the virtual ones. Work is waiting,
 // not computing: an emulated core is a place, so that one machine holds many.
-package live
+package emulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 )
 
 const (
@@ -21,12 +21,12 @@
 // Book is a ledger that many may write in.
 type Book struct {
 	mu sync.Mutex
-	*ledger.Ledger
+	*invariants.Ledger
 	start time.Time
 }
 
 // Note lends the ledger and the time since the start.
-func (b *Book) Note(note func(l *ledger.Ledger, at time.Duration)) {
+func (b *Book) Note(note func(l *invariants.Ledger, at time.Duration)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	note(b.Ledger, time.Since(b.start))
@@ -34,7 +34,7 @@
 
 // World is a world that runs.
 type World struct {
-	*world.World
+	*scenario.World
 	Book      *Book
 	Counter   *Counter
 	Discovery *Discovery
@@ -44,10 +44,10 @@
 }
 
 // Start starts a world's servers, counter and discovery.
-func Start(w *world.World, seed uint64) (*World, error) {
+func Start(w *scenario.World, seed uint64) (*World, error) {
 	l := &World{World: w}
 	site := w.Deployment(0)
-	l.Book = &Book{start: time.Now(), Ledger: ledger.New(ledger.Limits{AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
+	l.Book = &Book{start: time.Now(), Ledger: invariants.New(invariants.Limits{AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
 		DrainGrace: w.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans})}
 	var err error
 	if l.Discovery, err = newDiscovery(); err != nil {
@@ -120,7 +120,7 @@
 // Told is the configuration that a gateway of this world is started with, as JSON.
 func (l *World) Told(me int, listen string, sockets int) ([]byte, error) {
 	w := l.World
-	ms := func(s world.Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
+	ms := func(s scenario.Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
 	effects := map[string]string{"pure": "read_like", "receipted": "idempotency_key", "effectful": "non_idempotent"}
 	groups := map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
 	var lanes, plans []map[string]any
--- a/internal/lab/live/server.go
+++ b/internal/lab/emulation/server.go
@@ -1,4 +1,4 @@
-package live
+package emulation
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/resp"
 )
 
@@ -136,7 +136,7 @@
 		terms[name] = value
 	}
 	id, err := strconv.ParseUint(cmd.Words[2], 16, 64)
-	lane := slices.IndexFunc(s.world.Lanes, func(l world.Lane) bool { return l.Name == terms["c"] })
+	lane := slices.IndexFunc(s.world.Lanes, func(l scenario.Lane) bool { return l.Name == terms["c"] })
 	if err != nil || lane < 0 {
 		return "-SYNTAX"
 	}
@@ -151,7 +151,7 @@
 	failed := s.chance.Float64() < math.Float64frombits(s.errors.Load())
 	took := s.work(lane)
 	s.mu.Unlock()
-	s.world.Book.Note(func(l *ledger.Ledger, at time.Duration) { l.Pushed(at, unknown, s.number, id) })
+	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Pushed(at, unknown, s.number, id) })
 	if failed {
 		return "-ERR failed"
 	}
@@ -160,7 +160,7 @@
 	s.cores <- struct{}{}
 	defer func() { <-s.cores }()
 	s.Tasks.Add(1)
-	s.world.Book.Note(func(l *ledger.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
+	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
 	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slow.Load())))
 	units := terms["units"]
 	value := Value(id)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // Plan is a file that names what is to be played.
@@ -34,10 +34,10 @@
 
 // FaultProfile is what goes wrong in a world, in place of what its file says.
 type FaultProfile struct {
-	Name   string          `toml:"name"`
-	Load   float64         `toml:"load"`   // times the world's; 0: as it is
-	Length world.Span      `toml:"length"` // 0: the world's
-	Faults []world.Trouble `toml:"trouble"`
+	Name   string             `toml:"name"`
+	Load   float64            `toml:"load"`   // times the world's; 0: as it is
+	Length scenario.Span      `toml:"length"` // 0: the world's
+	Faults []scenario.Trouble `toml:"trouble"`
 	// DrawnFaults is how many troubles are drawn for each seed besides, none of which loses a hall or cuts it off.
 	DrawnFaults int `toml:"drawn"`
 }
@@ -58,7 +58,7 @@
 	}
 	p := &Plan{Seeds: 3}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
-		return nil, world.Faults(file, err)
+		return nil, scenario.Faults(file, err)
 	}
 	var all []error
 	say := func(good bool, format string, args ...any) {
@@ -80,7 +80,7 @@
 		}
 		say(baseline.All[v.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, v.Policy,
 			strings.Join(baseline.Names, ", "))
-		say(v.Coordination == "" || slices.Contains([]string{world.None, world.Own, world.All}, v.Coordination),
+		say(v.Coordination == "" || slices.Contains([]string{scenario.None, scenario.Own, scenario.All}, v.Coordination),
 			"variant %d: common is %q; none, own or common is allowed", i+1, v.Coordination)
 		say(!seen[p.Variants[i].Name], "variant %d: %q is there twice", i+1, p.Variants[i].Name)
 		seen[p.Variants[i].Name] = true
@@ -95,7 +95,7 @@
 }
 
 // Scaled makes a world of another number of gateways, with servers, load, customers and counter in proportion.
-func Scaled(base *world.World, gateways int) *world.World {
+func Scaled(base *scenario.World, gateways int) *scenario.World {
 	c := *base
 	if gateways <= 0 || gateways == base.Gateways.Count {
 		return &c
@@ -116,7 +116,7 @@
 
 // job is one play to be done.
 type job struct {
-	scenario *world.World
+	scenario *scenario.World
 	variant  Variant
 	seed     uint64
 }
@@ -126,7 +126,7 @@
 func (p *Plan) Run(workers int, out io.Writer, done func(n, of int, result *Result)) error {
 	var jobs []job
 	for _, file := range p.Scenarios {
-		base, err := world.Read(file)
+		base, err := scenario.Read(file)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 func TestRun_sameBytesOnAnyNumberOfWorkers(t *testing.T) {
@@ -59,7 +59,7 @@
 }
 
 func TestScaled_growsInProportion(t *testing.T) {
-	base, err := world.Read("../../../lab/worlds/calm.toml")
+	base, err := scenario.Read("../../../lab/worlds/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 
 // Drawn days stand for days without a lost hall: they must be sound worlds, and hold nothing that loses or cuts one.
 func TestDrawMildFaults_loseNoZone(t *testing.T) {
-	base, err := world.Read("../../../lab/worlds/three.toml")
+	base, err := scenario.Read("../../../lab/worlds/three.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 		for _, tr := range day.Troubles {
-			if world.Kinds[tr.Kind].Halls {
+			if scenario.Kinds[tr.Kind].Halls {
 				t.Errorf("seed %d has %s", seed, tr.Kind)
 			}
 		}
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // mildFaults are the troubles that a day without a lost hall may have, and the largest part that each strikes.
@@ -30,15 +30,15 @@
 }
 
 // DrawMildFaults draws so many mild troubles for a world: the same seed gives the same day at any size.
-func DrawMildFaults(base *world.World, seed uint64, n int) []world.Trouble {
+func DrawMildFaults(base *scenario.World, seed uint64, n int) []scenario.Trouble {
 	random := rand.New(rand.NewPCG(seed, 77))
 	length := base.Length.D()
-	var all []world.Trouble
+	var all []scenario.Trouble
 	for range n {
 		m := mildFaults[random.IntN(len(mildFaults))]
 		at, long, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
-		t := world.Trouble{Kind: m.kind, At: world.Span(float64(length) * (0.1 + 0.6*at)),
-			For:  world.Span(float64(length) * (0.05 + 0.25*long)),
+		t := scenario.Trouble{Kind: m.kind, At: scenario.Span(float64(length) * (0.1 + 0.6*at)),
+			For:  scenario.Span(float64(length) * (0.05 + 0.25*long)),
 			Part: m.part * part, Size: m.size * size}
 		if m.size > 1 {
 			t.Size = max(t.Size, 1)
@@ -49,7 +49,7 @@
 }
 
 // apply makes the world of a story.
-func (p *FaultProfile) apply(base *world.World, seed uint64) *world.World {
+func (p *FaultProfile) apply(base *scenario.World, seed uint64) *scenario.World {
 	c := *base
 	c.Name += ": " + p.Name
 	if p.Load > 0 {
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"harrierhoist/internal/lab/virtual"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/lab/simulation"
 )
 
 // goldenResult is a result as it is kept, with all its keys.
@@ -27,15 +27,15 @@
 
 // TestResult_encodingIsStable holds the kept form of results: files of earlier runs are read and compared.
 func TestResult_encodingIsStable(t *testing.T) {
-	second := world.Span(time.Second)
+	second := scenario.Span(time.Second)
 	line := Result{Plan: "p", Scenario: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Revision: "b", Service: 0.25, Net: 0.5,
 		OverQuota: 0.75, Rejected: 1, Failed: 2, FailedBetween: 3, FailedTerminated: 4, FailedWithGateway: 5, FailedInFlight: 6, CrossZone: 7, CrossRegion: 8, Plans: 9, WrongPlans: 10,
-		FailoverMs: []int{11}, VoterMessages: virtual.Messages{Digests: 12, Merged: 13, Reads: 14},
-		LeaderMessages: virtual.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
+		FailoverMs: []int{11}, VoterMessages: simulation.Messages{Digests: 12, Merged: 13, Reads: 14},
+		LeaderMessages: simulation.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
 		Handshakes: 23, LoadDeviation: 24, P50: []float64{25}, P99: []float64{26}, P999: []float64{27}, Classes: []string{"l"}, Violations: 28,
 		FirstViolation: "f", WallSeconds: 29,
-		Timeline: []virtual.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
-		Faults: []world.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
+		Timeline: []simulation.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
+		Faults: []scenario.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
 			Plan: "p"}}}
 	got, err := json.Marshal(line)
 	if d := cmp.Diff(goldenResult, string(got)); d != "" || err != nil {
@@ -71,7 +71,7 @@
 func TestDraws_areStable(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range []string{"calm", "three"} {
-		base, err := world.Read("../../../lab/worlds/" + name + ".toml")
+		base, err := scenario.Read("../../../lab/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -9,51 +9,51 @@
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/virtual"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/lab/simulation"
 )
 
 // Result is one result, as it is kept.
 type Result struct {
-	Plan                  string           `json:"plan,omitempty"`
-	Scenario              string           `json:"world"`
-	Gateways              int              `json:"gateways"`
-	Servers               int              `json:"servers"`
-	Variant               string           `json:"variant"`
-	Seed                  uint64           `json:"seed"`
-	Revision              string           `json:"build"`
-	Service               float64          `json:"service"` // part of the due gain that was served in time
-	Net                   float64          `json:"net"`     // less what units beyond quotas cost
-	OverQuota             float64          `json:"beyond"`  // part of the units sent on that were beyond quotas
-	Rejected              float64          `json:"refused"` // part of the requests
-	Failed                float64          `json:"failed"`
-	FailedBetween         float64          `json:"failed_between"`    // time ran out after a rejected try
-	FailedTerminated      float64          `json:"failed_terminated"` // the last try was terminated
-	FailedWithGateway     float64          `json:"failed_died"`       // the last try ended with its gateway
-	FailedInFlight        float64          `json:"failed_out"`        // their time ran out while a try was out
-	CrossZone             float64          `json:"crossed"`           // part of the pushes that went to another hall
-	CrossRegion           float64          `json:"far"`               // to another region
-	Plans                 int              `json:"plans,omitempty"`   // written
-	WrongPlans            int              `json:"wrong,omitempty"`   // of them, that newly held to be lost what was not
-	FailoverMs            []int            `json:"plan_ms,omitempty"` // from the loss of a hall until a gateway pushed elsewhere
-	VoterMessages         virtual.Messages `json:"held"`              // what came to voters
-	LeaderMessages        virtual.Messages `json:"led"`               // to the one that led
-	LengthSeconds         float64          `json:"length_s"`          // of the world
-	PeakUtilisation       float64          `json:"hottest"`           // highest utilisation of a whole hall in a second
-	PeakUtilisationOver5s float64          `json:"warmest"`           // the same over five seconds
-	Tries                 float64          `json:"tries"`             // a request
-	CounterCalls          float64          `json:"calls"`             // to the counter, a request
-	Handshakes            float64          `json:"handshakes"`        // a push
-	LoadDeviation         float64          `json:"uneven"`            // load of servers: deviation over mean
-	P50                   []float64        `json:"p50_ms"`            // by lane
-	P99                   []float64        `json:"p99_ms"`
-	P999                  []float64        `json:"p999_ms"`
-	Classes               []string         `json:"lanes"`
-	Violations            int              `json:"broken"` // rules, how often
-	FirstViolation        string           `json:"first_breach,omitempty"`
-	Timeline              []virtual.Second `json:"seconds"`
-	Faults                []world.Trouble  `json:"troubles,omitempty"`
-	WallSeconds           float64          `json:"-"` // seconds: not part of the result, which is the same every time
+	Plan                  string              `json:"plan,omitempty"`
+	Scenario              string              `json:"world"`
+	Gateways              int                 `json:"gateways"`
+	Servers               int                 `json:"servers"`
+	Variant               string              `json:"variant"`
+	Seed                  uint64              `json:"seed"`
+	Revision              string              `json:"build"`
+	Service               float64             `json:"service"` // part of the due gain that was served in time
+	Net                   float64             `json:"net"`     // less what units beyond quotas cost
+	OverQuota             float64             `json:"beyond"`  // part of the units sent on that were beyond quotas
+	Rejected              float64             `json:"refused"` // part of the requests
+	Failed                float64             `json:"failed"`
+	FailedBetween         float64             `json:"failed_between"`    // time ran out after a rejected try
+	FailedTerminated      float64             `json:"failed_terminated"` // the last try was terminated
+	FailedWithGateway     float64             `json:"failed_died"`       // the last try ended with its gateway
+	FailedInFlight        float64             `json:"failed_out"`        // their time ran out while a try was out
+	CrossZone             float64             `json:"crossed"`           // part of the pushes that went to another hall
+	CrossRegion           float64             `json:"far"`               // to another region
+	Plans                 int                 `json:"plans,omitempty"`   // written
+	WrongPlans            int                 `json:"wrong,omitempty"`   // of them, that newly held to be lost what was not
+	FailoverMs            []int               `json:"plan_ms,omitempty"` // from the loss of a hall until a gateway pushed elsewhere
+	VoterMessages         simulation.Messages `json:"held"`              // what came to voters
+	LeaderMessages        simulation.Messages `json:"led"`               // to the one that led
+	LengthSeconds         float64             `json:"length_s"`          // of the world
+	PeakUtilisation       float64             `json:"hottest"`           // highest utilisation of a whole hall in a second
+	PeakUtilisationOver5s float64             `json:"warmest"`           // the same over five seconds
+	Tries                 float64             `json:"tries"`             // a request
+	CounterCalls          float64             `json:"calls"`             // to the counter, a request
+	Handshakes            float64             `json:"handshakes"`        // a push
+	LoadDeviation         float64             `json:"uneven"`            // load of servers: deviation over mean
+	P50                   []float64           `json:"p50_ms"`            // by lane
+	P99                   []float64           `json:"p99_ms"`
+	P999                  []float64           `json:"p999_ms"`
+	Classes               []string            `json:"lanes"`
+	Violations            int                 `json:"broken"` // rules, how often
+	FirstViolation        string              `json:"first_breach,omitempty"`
+	Timeline              []simulation.Second `json:"seconds"`
+	Faults                []scenario.Trouble  `json:"troubles,omitempty"`
+	WallSeconds           float64             `json:"-"` // seconds: not part of the result, which is the same every time
 }
 
 // Revision names the program that made a result: the revision it was built from, if that is known.
@@ -75,9 +75,9 @@
 }
 
 // RunScenario plays one world and gives its line.
-func RunScenario(base *world.World, policy string, seed uint64) (*Result, error) {
+func RunScenario(base *scenario.World, policy string, seed uint64) (*Result, error) {
 	began := time.Now()
-	r, err := virtual.Play(base, seed, baseline.All[policy])
+	r, err := simulation.Play(base, seed, baseline.All[policy])
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/invariants/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger checks the five rules from what servers, clients and discovery saw. It is never told what a
 // gateway says of itself. It names the task, the times and the rule of each breach.
-package ledger
+package invariants
 
 import (
 	"fmt"
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -16,21 +16,21 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/live"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/emulation"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/resp"
 )
 
 // Driver sends load.
 type Driver struct {
-	World    *world.World
+	World    *scenario.World
 	Gateways []string // their addresses
 	Rate     float64  // tasks a second
 	Length   time.Duration
 	Seed     uint64
-	Book     *live.Book // nil where the servers are not ours
-	Progress io.Writer  // nil: none
+	Book     *emulation.Book // nil where the servers are not ours
+	Progress io.Writer       // nil: none
 
 	mu    sync.Mutex
 	idle  map[string][]*resp.Conn
@@ -229,9 +229,9 @@
 		words = append(words, "body")
 	}
 	if d.Book != nil {
-		d.Book.Note(func(l *ledger.Ledger, at time.Duration) {
+		d.Book.Note(func(l *invariants.Ledger, at time.Duration) {
 			site := d.World.Deployment(0)
-			l.Taken(ledger.Task{ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
+			l.Taken(invariants.Task{ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
 				Expires: at + left})
 		})
 	}
@@ -246,7 +246,7 @@
 	switch {
 	case reply.Value != nil:
 		how = served
-		if made = reply.Value.String() == live.Value(t.id); !made {
+		if made = reply.Value.String() == emulation.Value(t.id); !made {
 			how = wrong
 		}
 		reply.Value.Free()
@@ -254,7 +254,7 @@
 		how = rejected
 	}
 	if d.Book != nil {
-		d.Book.Note(func(l *ledger.Ledger, at time.Duration) { l.Final(at, t.id, made) })
+		d.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Final(at, t.id, made) })
 	}
 	return how
 }
@@ -296,7 +296,7 @@
 }
 
 // Write writes the report as a table.
-func (r *Report) Write(out io.Writer, lanes []world.Lane) {
+func (r *Report) Write(out io.Writer, lanes []scenario.Lane) {
 	part := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
 	fmt.Fprintf(out, "offered %d in %.1f s; served %.1f%%, in time %.1f%%, rejected %.1f%%, terminated %.1f%%, connections broken %.1f%%, wrong answers %d\n",
 		r.Offered, r.Length.Seconds(), part(r.Served), part(r.InTime), part(r.Rejected), part(r.Terminated), part(r.Broken), r.Wrong)
--- a/internal/lab/counts/events.go
+++ b/internal/lab/rulesimulation/events.go
@@ -1,4 +1,4 @@
-package counts
+package rulesimulation
 
 import "time"
 
--- a/internal/lab/counts/forecast.go
+++ b/internal/lab/rulesimulation/forecast.go
@@ -1,4 +1,4 @@
-package counts
+package rulesimulation
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -18,12 +18,12 @@
 
 // RunForecast plays a canary beside so many gateways with the module itself for two minutes, then switches to the rule.
 // Its 300 customers come through any of them.
-func RunForecast(seed uint64, gateways int, rule counting.Rule) (forecast Forecast, err error) {
+func RunForecast(seed uint64, gateways int, rule countingrule.Rule) (forecast Forecast, err error) {
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 0.5, Burst: 5}}
 	settings.Gateways = gateways
-	s := newSimulation(seed, settings, []counting.Rule{rule})
-	sample, err := canary.NewSample(counting.Rule{}, rule, seed, 300)
+	s := newSimulation(seed, settings, []countingrule.Rule{rule})
+	sample, err := canary.NewSample(countingrule.Rule{}, rule, seed, 300)
 	if err != nil {
 		return forecast, err
 	}
@@ -43,7 +43,7 @@
 	}
 	s.onAdmission = func(g *gateway, request *request) {
 		accepted++
-		if s.table.Phase == counting.PhaseCanary {
+		if s.table.Phase == countingrule.PhaseCanary {
 			shadows[g].AddBudget(12) // as much as a sample of one key in 25 would have
 			perform(g, shadows[g].HandleRequest(g.now, canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
 		}
@@ -72,13 +72,13 @@
 		for _, g := range s.gateways {
 			perform(g, shadows[g].Flush(s.now))
 		}
-		if s.table.Phase == counting.PhaseCanary {
+		if s.table.Phase == countingrule.PhaseCanary {
 			s.after(250*time.Millisecond, flush)
 		}
 	}
 	s.after(11*time.Second, flush)
-	s.after(10*time.Second, func() { s.table.Phase, s.table.To = counting.PhaseCanary, 1 })
-	s.after(140*time.Second, func() { s.table.Phase, s.table.SwitchAt = counting.PhaseScheduled, s.now+switchLead })
+	s.after(10*time.Second, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
+	s.after(140*time.Second, func() { s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.now+switchLead })
 	s.run(time.Hour + 250*time.Second)
 	for _, shadow := range shadows {
 		shadow.Report(func(name string, count uint64) {
--- a/internal/lab/counts/golden_test.go
+++ b/internal/lab/rulesimulation/golden_test.go
@@ -1,4 +1,4 @@
-package counts
+package rulesimulation
 
 import (
 	"crypto/sha256"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 )
 
 // The hashes were written before the program's names were changed: what the simulations give must stay.
@@ -48,7 +48,7 @@
 		{2, BugWrongRule, true, "47301fa4b99a9b26771eb1c739065ba0b3bb8206fb6e6008b2c392aff5728739"},
 	} {
 		settings, rule := TightScenario()
-		rule.Weights = []counting.Weight{{Class: "pay", Permille: 1500}, {Class: "look", Permille: 2000}}
+		rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}, {Class: "look", Permille: 2000}}
 		if got := RunSwitch(c.seed, settings, rule, c.plant, c.calm).record(); got != c.want {
 			t.Errorf("seed %d, planted %q, calm %v: %s, want %s", c.seed, c.plant, c.calm, got, c.want)
 		}
@@ -56,13 +56,13 @@
 }
 
 func TestGolden_forecasts(t *testing.T) {
-	half := counting.Rule{Version: 1, Key: []string{"customer"},
-		Limits: []counting.Limit{{Plan: "small", Rate: 0.25, Burst: 2.5}}}
-	weighs := counting.Rule{Version: 1, Key: []string{"customer"},
-		Weights: []counting.Weight{{Class: "pay", Permille: 2000}}}
+	half := countingrule.Rule{Version: 1, Key: []string{"customer"},
+		Limits: []countingrule.Limit{{Plan: "small", Rate: 0.25, Burst: 2.5}}}
+	weighs := countingrule.Rule{Version: 1, Key: []string{"customer"},
+		Weights: []countingrule.Weight{{Class: "pay", Permille: 2000}}}
 	for _, c := range []struct {
 		name string
-		rule counting.Rule
+		rule countingrule.Rule
 		seed uint64
 		want string
 	}{
--- a/internal/lab/counts/rulesimulation_test.go
+++ b/internal/lab/rulesimulation/rulesimulation_test.go
@@ -1,10 +1,10 @@
-package counts
+package rulesimulation
 
 import (
 	"flag"
 	"testing"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 )
 
 var schedules = flag.Uint64("many", 25, "schedules of faults around a switch")
@@ -66,17 +66,17 @@
 
 // What a canary foretells is what the module lets in after the switch, within a tenth.
 func TestForecast_matchesTheOutcome(t *testing.T) {
-	pairs := counting.Rule{Version: 1, Key: []string{"group"}, Limits: []counting.Limit{{Plan: "*", Rate: 0.5, Burst: 5}}}
+	pairs := countingrule.Rule{Version: 1, Key: []string{"group"}, Limits: []countingrule.Limit{{Plan: "*", Rate: 0.5, Burst: 5}}}
 	for i := range uint64(150) {
-		pairs.Groups = append(pairs.Groups, counting.Group{Name: string(rune('a' + i)), Customers: []uint64{2 * i, 2*i + 1}})
+		pairs.Groups = append(pairs.Groups, countingrule.Group{Name: string(rune('a' + i)), Customers: []uint64{2 * i, 2*i + 1}})
 	}
-	limit := func(factor float64) counting.Rule {
-		return counting.Rule{Version: 1, Key: []string{"customer"},
-			Limits: []counting.Limit{{Plan: "small", Rate: 0.5 * factor, Burst: 5 * factor}}}
+	limit := func(factor float64) countingrule.Rule {
+		return countingrule.Rule{Version: 1, Key: []string{"customer"},
+			Limits: []countingrule.Limit{{Plan: "small", Rate: 0.5 * factor, Burst: 5 * factor}}}
 	}
-	for name, rule := range map[string]counting.Rule{"the same": limit(1), "half": limit(0.5), "twice": limit(2),
+	for name, rule := range map[string]countingrule.Rule{"the same": limit(1), "half": limit(0.5), "twice": limit(2),
 		"pairs share one plan": pairs,
-		"pay weighs 2": {Version: 1, Key: []string{"customer"}, Weights: []counting.Weight{{Class: "pay",
+		"pay weighs 2": {Version: 1, Key: []string{"customer"}, Weights: []countingrule.Weight{{Class: "pay",
 			Permille: 2000}}}} {
 		forecast, err := RunForecast(*seed, *gateways, rule)
 		if err != nil {
--- a/internal/lab/counts/simulation.go
+++ b/internal/lab/rulesimulation/simulation.go
@@ -1,14 +1,14 @@
 // Package counts plays counting rules in virtual time: a few gateways, each with the module itself, around a switch of
 // rules with faults, and beside a canary. It is emulated: what it shows is what the rules and their switch do, not what
 // a network does. Bugs can be planted, to see that its checks find them.
-package counts
+package rulesimulation
 
 import (
 	"container/heap"
 	"math/rand/v2"
 	"time"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -36,8 +36,8 @@
 	sequence     int
 	counter      map[uint64]float64
 	charged      map[uint64]float64 // by name
-	table        counting.Table
-	resolved     map[uint64]*counting.Resolved
+	table        countingrule.Table
+	resolved     map[uint64]*countingrule.Resolved
 	settings     policy.Settings
 	gateways     []*gateway
 	requests     []*request
@@ -53,8 +53,8 @@
 	class          int
 	acceptedAt     time.Duration // when its gateway took it
 	forwardedAt    time.Duration // when it was pushed
-	assignment     counting.Assignment
-	reservations   []counting.Reservation
+	assignment     countingrule.Assignment
+	reservations   []countingrule.Reservation
 	forwarded      bool
 	passed         []bool // by hold
 	answers        int
@@ -73,21 +73,21 @@
 	deferred         []func() // what waits for it to wake
 	leaseEnd         time.Duration
 	hasTable         bool
-	table            counting.Table
-	admission        *counting.Admission
+	table            countingrule.Table
+	admission        *countingrule.Admission
 	inFlight         map[uint32]*request
-	config           *counting.Config
+	config           *countingrule.Config
 }
 
-func newSimulation(seed uint64, settings policy.Settings, rules []counting.Rule) *Simulation {
+func newSimulation(seed uint64, settings policy.Settings, rules []countingrule.Rule) *Simulation {
 	s := &Simulation{random: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, counter: map[uint64]float64{},
 		charged:  map[uint64]float64{},
-		resolved: map[uint64]*counting.Resolved{}, settings: counting.WithRulePlans(settings, rules), table: counting.Table{Rules: rules}}
-	for _, rule := range append([]counting.Rule{{}}, rules...) {
-		s.resolved[rule.Version], _ = counting.Resolve(rule, s.settings)
+		resolved: map[uint64]*countingrule.Resolved{}, settings: countingrule.WithRulePlans(settings, rules), table: countingrule.Table{Rules: rules}}
+	for _, rule := range append([]countingrule.Rule{{}}, rules...) {
+		s.resolved[rule.Version], _ = countingrule.Resolve(rule, s.settings)
 	}
 	for range settings.Gateways {
-		g := &gateway{Simulation: s, config: &counting.Config{DesiredVersion: rules[0].Version, Rules: rules}}
+		g := &gateway{Simulation: s, config: &countingrule.Config{DesiredVersion: rules[0].Version, Rules: rules}}
 		s.gateways = append(s.gateways, g)
 		g.start()
 		s.after(0, g.renewLease)
@@ -119,8 +119,8 @@
 	for _, request := range g.inFlight {
 		request.lost = true
 	}
-	g.deferred, g.inFlight, g.hasTable, g.leaseEnd, g.table = nil, map[uint32]*request{}, false, 0, counting.Table{}
-	g.admission = counting.NewAdmission(g.settings.Gateways)
+	g.deferred, g.inFlight, g.hasTable, g.leaseEnd, g.table = nil, map[uint32]*request{}, false, 0, countingrule.Table{}
+	g.admission = countingrule.NewAdmission(g.settings.Gateways)
 	g.module, _ = policy.New(g.settings, int64(g.random.Uint64()>>1), g)
 	var endpoints []policy.Endpoint
 	for i := range uint32(4) {
@@ -245,7 +245,7 @@
 		if request.forwarded {
 			used = reservation.Units
 		}
-		if correction := g.admission.Settle(reservation, i < len(request.passed) && request.passed[i], used, counting.Charged); correction != 0 {
+		if correction := g.admission.Settle(reservation, i < len(request.passed) && request.passed[i], used, countingrule.Charged); correction != 0 {
 			g.addUnits(reservation.Name, correction, func(float64) {})
 		}
 	}
--- a/internal/lab/counts/switch.go
+++ b/internal/lab/rulesimulation/switch.go
@@ -1,4 +1,4 @@
-package counts
+package rulesimulation
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/counting"
+	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
@@ -29,8 +29,8 @@
 }
 
 // RunSwitch plays a fleet over an activation of a rule and the way back, with faults at two of its gateways if not calm.
-func RunSwitch(seed uint64, settings policy.Settings, rule counting.Rule, bug Bug, calm bool) *Simulation {
-	s := newSimulation(seed, settings, []counting.Rule{rule})
+func RunSwitch(seed uint64, settings policy.Settings, rule countingrule.Rule, bug Bug, calm bool) *Simulation {
+	s := newSimulation(seed, settings, []countingrule.Rule{rule})
 	s.bug = bug
 	start := s.now
 	var arrive func()
@@ -41,10 +41,10 @@
 		}
 	}
 	s.after(time.Second, arrive)
-	s.after(3*time.Second, func() { s.table.Phase, s.table.To = counting.PhaseCanary, 1 })
-	s.after(6*time.Second, func() { s.table.Phase, s.table.SwitchAt = counting.PhaseScheduled, s.now+switchLead })
+	s.after(3*time.Second, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
+	s.after(6*time.Second, func() { s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.now+switchLead })
 	s.after(16*time.Second, func() {
-		s.table.Phase, s.table.From, s.table.To, s.table.SwitchAt = counting.PhaseRollback, 1, 0,
+		s.table.Phase, s.table.From, s.table.To, s.table.SwitchAt = countingrule.PhaseRollback, 1, 0,
 			s.now+switchLead
 	})
 	for _, g := range s.gateways[:2] { // never a majority of four
@@ -65,7 +65,7 @@
 		at   time.Duration
 	}
 	quotas := map[uint64]store{}
-	schedule := counting.Table{Phase: counting.PhaseScheduled, From: 0, To: 1, SwitchAt: time.Hour + 10*time.Second}
+	schedule := countingrule.Table{Phase: countingrule.PhaseScheduled, From: 0, To: 1, SwitchAt: time.Hour + 10*time.Second}
 	for _, request := range slices.SortedFunc(slices.Values(s.requests), func(a, b *request) int {
 		return cmp.Compare(a.forwardedAt,
 			b.forwardedAt)
@@ -116,12 +116,12 @@
 }
 
 // TightScenario is a site and a rule under which eight customers, who ask eight times a plan, share one.
-func TightScenario() (policy.Settings, counting.Rule) {
+func TightScenario() (policy.Settings, countingrule.Rule) {
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 10, Burst: 20}}
-	return settings, counting.Rule{Version: 1, Key: []string{"group"}, Groups: []counting.Group{{Name: "all",
+	return settings, countingrule.Rule{Version: 1, Key: []string{"group"}, Groups: []countingrule.Group{{Name: "all",
 		Customers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}},
-		Limits: []counting.Limit{{Plan: "*", Rate: 10, Burst: 20}}}
+		Limits: []countingrule.Limit{{Plan: "*", Rate: 10, Burst: 20}}}
 }
 
 // CheckCharges checks by the counter's record that each count was charged what was forwarded under it, no more and no less.
@@ -129,15 +129,15 @@
 func CheckCharges(seed uint64, bug Bug) error {
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 100, Burst: 7}}
-	s := RunSwitch(seed, settings, counting.Rule{Version: 1, Key: []string{"customer", "lane"},
-		Weights: []counting.Weight{{Class: "pay", Permille: 3000}, {Class: "look", Permille: 2000}}}, bug, true)
+	s := RunSwitch(seed, settings, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"},
+		Weights: []countingrule.Weight{{Class: "pay", Permille: 3000}, {Class: "look", Permille: 2000}}}, bug, true)
 	forwardedUnits, chargedUnits, names, forwarded := map[uint64]float64{}, map[uint64]float64{}, map[uint64]uint64{}, 0
 	for _, request := range s.requests {
 		if request.forwarded {
 			forwardedUnits[request.assignment.Key] += request.weight
 			forwarded++
 			for at := time.Hour; at < s.now && forwardedUnits[request.assignment.Key] == request.weight; at += time.Second / 2 { // a key's first
-				names[counting.WindowAt(request.assignment.Key, &s.settings.Plans[request.assignment.Plan], at).Name] = request.assignment.Key
+				names[countingrule.WindowAt(request.assignment.Key, &s.settings.Plans[request.assignment.Plan], at).Name] = request.assignment.Key
 			}
 		}
 	}
--- a/internal/lab/world/regions.go
+++ b/internal/lab/scenario/regions.go
@@ -1,4 +1,4 @@
-package world
+package scenario
 
 // hallsMost is the most halls of a world: more than any installation has.
 const hallsMost = 64
--- a/internal/lab/world/world.go
+++ b/internal/lab/scenario/world.go
@@ -2,7 +2,7 @@
 // customers, the counter, discovery, the network, the rules, and the troubles that strike. The file is TOML and
 // strict: a key that is not known, or that contradicts another, is an error with its line and column, and all
 // errors are told at once. docs/lab.md explains every key.
-package world
+package scenario
 
 import (
 	"fmt"
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/scenario/world_test.go
@@ -1,4 +1,4 @@
-package world
+package scenario
 
 import (
 	"errors"
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"harrierhoist/internal/lab/experiment"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // Finding is a schedule and what it does.
 type Finding struct {
-	Scenario      *world.World
+	Scenario      *scenario.World
 	Result        *experiment.Result
 	Loss          float64 // net service lost against the same world without troubles
 	Runs          int     // that the search took
@@ -30,7 +30,7 @@
 
 // Run draws schedules of up to so many troubles and keeps the worst. Tell is told of each that is worse than all
 // before it.
-func Run(base *world.World, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
+func Run(base *scenario.World, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
 	random := rand.New(rand.NewPCG(seed, 77))
 	plain := *base
 	plain.Troubles = nil
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	plays := 1
-	play := func(troubles []world.Trouble) (*Finding, error) {
+	play := func(troubles []scenario.Trouble) (*Finding, error) {
 		c := *base
 		c.Troubles = troubles
 		l, err := experiment.RunScenario(&c, policy, seed)
@@ -75,7 +75,7 @@
 
 // shrink takes troubles out, one at a time, and then shortens those left, while a broken rule stays broken or nine
 // tenths of the loss stay.
-func shrink(finding *Finding, play func([]world.Trouble) (*Finding, error)) (*Finding, error) {
+func shrink(finding *Finding, play func([]scenario.Trouble) (*Finding, error)) (*Finding, error) {
 	still := func(other *Finding) bool {
 		if finding.Result.Violations > 0 {
 			return other.Result.Violations > 0
@@ -119,21 +119,21 @@
 }
 
 // DrawFaults draws a schedule of so many troubles that a world allows.
-func DrawFaults(random *rand.Rand, base *world.World, n int) []world.Trouble {
+func DrawFaults(random *rand.Rand, base *scenario.World, n int) []scenario.Trouble {
 	var kinds []string
-	for _, name := range world.KindNames() {
-		k := world.Kinds[name]
+	for _, name := range scenario.KindNames() {
+		k := scenario.Kinds[name]
 		if (!k.Counter || base.Counter.Rate > 0) && (!k.Halls || base.Gateways.Halls > 1) {
 			kinds = append(kinds, name)
 		}
 	}
 	length := base.Length.D().Seconds()
-	seconds := func(from, to float64) world.Span {
-		return world.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
+	seconds := func(from, to float64) scenario.Span {
+		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
 	}
-	var all []world.Trouble
+	var all []scenario.Trouble
 	for range n {
-		t := world.Trouble{Kind: kinds[random.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
+		t := scenario.Trouble{Kind: kinds[random.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
 			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10, Hall: random.IntN(base.Gateways.Halls),
 			Lane: base.Lanes[random.IntN(len(base.Lanes))].Name, Plan: base.Plans[random.IntN(len(base.Plans))].Name}
 		switch t.Kind {
@@ -144,6 +144,6 @@
 		}
 		all = append(all, t)
 	}
-	slices.SortStableFunc(all, func(a, b world.Trouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(all, func(a, b scenario.Trouble) int { return int(a.At - b.At) })
 	return all
 }
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 func TestRun_findsAndShrinksTheWorst(t *testing.T) {
-	base, err := world.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
+	base, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,14 +27,14 @@
 }
 
 func TestShrink_keepsWhatHurts(t *testing.T) {
-	base, err := world.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
+	base, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := world.Span(time.Second)
-	harmless := world.Trouble{Kind: "list_lag", At: second, For: second, Size: 1}
-	kill := world.Trouble{Kind: "kill", At: 2 * second, For: 4 * second, Part: 1}
-	finding, plays := shrinkFaults(t, base, []world.Trouble{harmless, kill, harmless})
+	second := scenario.Span(time.Second)
+	harmless := scenario.Trouble{Kind: "list_lag", At: second, For: second, Size: 1}
+	kill := scenario.Trouble{Kind: "kill", At: 2 * second, For: 4 * second, Part: 1}
+	finding, plays := shrinkFaults(t, base, []scenario.Trouble{harmless, kill, harmless})
 	if len(finding.Scenario.Troubles) != 1 || finding.Scenario.Troubles[0].Kind != "kill" || finding.RemovedFaults != 2 {
 		t.Errorf("left after %d plays: %+v, %d taken out", plays, finding.Scenario.Troubles, finding.RemovedFaults)
 	}
--- a/internal/lab/search/shrink_test.go
+++ b/internal/lab/search/shrink_test.go
@@ -4,18 +4,18 @@
 	"testing"
 
 	"harrierhoist/internal/lab/experiment"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // shrinkFaults plays a schedule and shrinks it.
-func shrinkFaults(t *testing.T, base *world.World, troubles []world.Trouble) (*Finding, int) {
+func shrinkFaults(t *testing.T, base *scenario.World, troubles []scenario.Trouble) (*Finding, int) {
 	t.Helper()
 	baseline, err := experiment.RunScenario(base, "module", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	plays := 0
-	play := func(troubles []world.Trouble) (*Finding, error) {
+	play := func(troubles []scenario.Trouble) (*Finding, error) {
 		plays++
 		c := *base
 		c.Troubles = troubles
--- a/internal/lab/virtual/agenda.go
+++ b/internal/lab/simulation/agenda.go
@@ -1,7 +1,7 @@
 // Package virtual plays a world in virtual time: servers, counter, discovery, network and clients are models, and
 // every gateway is an instance of the decisions, in this process. A world and a seed give the same play to the last
 // byte, whatever else runs. What it leaves out, against real gateways on sockets, stands in docs/lab.md.
-package virtual
+package simulation
 
 import (
 	"container/heap"
--- a/internal/lab/virtual/alone.go
+++ b/internal/lab/simulation/alone.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 	"harrierhoist/internal/failover"
 )
 
@@ -20,7 +20,7 @@
 	f.serial++
 	f.book.Add(evidence.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
 	now := f.c.e.now
-	value, write := f.decider.Decide(now, cluster.ControllerInput{Sums: f.book.Sums(), LeadingSince: f.since,
+	value, write := f.decider.Decide(now, coordination.ControllerInput{Sums: f.book.Sums(), LeadingSince: f.since,
 		Totals: func(string) map[string]uint64 { return nil },
 		Table:  func(string) tables.Table { return tables.Table{Epoch: f.held.Epoch, Value: f.held.Value} }})
 	if write {
--- a/internal/lab/virtual/common.go
+++ b/internal/lab/simulation/common.go
@@ -1,15 +1,15 @@
-package virtual
+package simulation
 
 import (
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 	"harrierhoist/internal/failover"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // common is what the processes hold in common, played: voters in halls, one of which leads and decides, and the
@@ -18,7 +18,7 @@
 // time. It has chance of its own, so that the world is the same with it and without.
 type common struct {
 	e         *engine
-	w         *world.Common
+	w         *scenario.Common
 	terms     failover.Settings
 	halls     []string
 	draw      *rand.Rand
@@ -26,7 +26,7 @@
 	followers []*follower // by gateway
 	leader    *voter      // nil: none
 	term      uint64      // grows with each leader
-	decider   cluster.Controller
+	decider   coordination.Controller
 	since     time.Duration // when the leader began
 	writing   bool          // a decision is on its way to the log
 	electing  bool
@@ -39,17 +39,17 @@
 // newCommon sets up what the world says; nil where it says none.
 func newCommon(e *engine, draw *rand.Rand) *common {
 	w := &e.w.Common
-	if w.How == world.None {
+	if w.How == scenario.None {
 		return nil
 	}
 	c := &common{e: e, w: w, terms: e.w.Terms(), draw: draw, wrong: map[string]bool{}}
 	for n := range e.w.Gateways.Halls {
-		c.halls = append(c.halls, world.HallName(n))
+		c.halls = append(c.halls, scenario.HallName(n))
 	}
 	for n := range e.w.Gateways.Count {
 		c.followers = append(c.followers, &follower{c: c, n: n})
 	}
-	if w.How == world.Own {
+	if w.How == scenario.Own {
 		return c
 	}
 	for n := range w.Voters {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *common) drawn(s [2]world.Span) time.Duration {
+func (c *common) drawn(s [2]scenario.Span) time.Duration {
 	return s[0].D() + time.Duration(c.draw.Float64()*float64(s[1]-s[0]))
 }
 
@@ -154,7 +154,7 @@
 	for name, n := range l.merged.Sums() {
 		sums[name] += n
 	}
-	value, write := c.decider.Decide(c.e.now, cluster.ControllerInput{Sums: sums, LeadingSince: c.since,
+	value, write := c.decider.Decide(c.e.now, coordination.ControllerInput{Sums: sums, LeadingSince: c.since,
 		Totals: func(string) map[string]uint64 { return nil },
 		Table:  func(table string) tables.Table { return c.held(table) }})
 	if !write {
--- a/internal/lab/virtual/common_test.go
+++ b/internal/lab/simulation/common_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/json"
@@ -8,11 +8,11 @@
 
 	"harrierhoist/internal/failover"
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // threeHalls is a world of three halls in two regions, decided as said.
-func threeHalls(how string, troubles ...world.Trouble) *world.World {
+func threeHalls(how string, troubles ...scenario.Trouble) *scenario.World {
 	w := small(troubles...)
 	w.Length = span(16 * time.Second)
 	w.Gateways.Count, w.Gateways.Halls, w.Gateways.Regions = 12, 3, [][]int{{0, 1}, {2}}
@@ -24,15 +24,15 @@
 	return w
 }
 
-func lostHall(hall int, at, long time.Duration) world.Trouble {
-	return world.Trouble{Kind: "hall_lost", Hall: hall, At: span(at), For: span(long)}
+func lostHall(hall int, at, long time.Duration) scenario.Trouble {
+	return scenario.Trouble{Kind: "hall_lost", Hall: hall, At: span(at), For: span(long)}
 }
 
 // A hall is lost: who decides in common pushes elsewhere within two seconds, next door before another region; on a
 // calm day all is pushed near, which the program as it is does not do.
 func TestALostHallIsLeftWithinTwoSeconds(t *testing.T) {
 	t.Parallel()
-	calm, plain := play(t, threeHalls(world.All), 1, baseline.Module), play(t, threeHalls(world.None), 1, baseline.Module)
+	calm, plain := play(t, threeHalls(scenario.All), 1, baseline.Module), play(t, threeHalls(scenario.None), 1, baseline.Module)
 	if part := float64(calm.Crossed) / float64(calm.Pushes); part > 0.02 || calm.Wrong > 0 {
 		t.Errorf("calm: %.3f between halls, %d wrong", part, calm.Wrong)
 	}
@@ -45,7 +45,7 @@
 		calm.Led.Merged > 2*10*16 {
 		t.Errorf("12 gateways and two voters, five and ten messages a second for 16 s: %+v, leader %+v", m, calm.Led)
 	}
-	lost := play(t, threeHalls(world.All, lostHall(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
+	lost := play(t, threeHalls(scenario.All, lostHall(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
 	if len(lost.PlanMs) != 4 || slices.Max(lost.PlanMs) > 2000 || lost.Wrong > 0 {
 		t.Errorf("gateways left after %v ms; %d wrong", lost.PlanMs, lost.Wrong)
 	}
@@ -59,12 +59,12 @@
 func TestNoGatewayActsOnAPlanAfterItsLease(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := threeHalls(world.All, lostHall(0, 3*time.Second, 8*time.Second),
-			world.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)},
-			world.Trouble{Kind: "hall_cut", Hall: 1, At: span(5 * time.Second), For: span(4 * time.Second)},
-			world.Trouble{Kind: "hall_cut", Hall: 2, At: span(6 * time.Second), For: span(4 * time.Second)},
-			world.Trouble{Kind: "standstill", Part: 0.3, At: span(5 * time.Second), For: span(3 * time.Second)},
-			world.Trouble{Kind: "kill", Part: 0.3, At: span(7 * time.Second), For: span(time.Second)})
+		w := threeHalls(scenario.All, lostHall(0, 3*time.Second, 8*time.Second),
+			scenario.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)},
+			scenario.Trouble{Kind: "hall_cut", Hall: 1, At: span(5 * time.Second), For: span(4 * time.Second)},
+			scenario.Trouble{Kind: "hall_cut", Hall: 2, At: span(6 * time.Second), For: span(4 * time.Second)},
+			scenario.Trouble{Kind: "standstill", Part: 0.3, At: span(5 * time.Second), For: span(3 * time.Second)},
+			scenario.Trouble{Kind: "kill", Part: 0.3, At: span(7 * time.Second), For: span(time.Second)})
 		w.Common.Loss = 0.1
 		e, err := begin(w, seed, baseline.Module)
 		if err != nil {
@@ -138,11 +138,11 @@
 
 func TestPlaysInCommonAreTheSameEveryTime(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{world.Own, world.All} {
+	for _, how := range []string{scenario.Own, scenario.All} {
 		var texts [2]string
 		for i := range texts {
 			w := threeHalls(how, lostHall(1, 3*time.Second, 5*time.Second),
-				world.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)})
+				scenario.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)})
 			w.Common.Loss, w.Gateways.Pool = 0.05, true
 			text, _ := json.Marshal(play(t, w, 3, baseline.Module))
 			texts[i] = string(text)
--- a/internal/lab/virtual/crowd_test.go
+++ b/internal/lab/simulation/crowd_test.go
@@ -1,16 +1,16 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // crowded is three halls at three fifths of their strength, of whose tries four in five come through one from second 4 to 14.
-func crowded(how string, troubles ...world.Trouble) *world.World {
-	w := threeHalls(how, append(troubles, world.Trouble{Kind: "crowd", At: span(4 * time.Second),
+func crowded(how string, troubles ...scenario.Trouble) *scenario.World {
+	w := threeHalls(how, append(troubles, scenario.Trouble{Kind: "crowd", At: span(4 * time.Second),
 		For: span(10 * time.Second), Part: 0.7})...)
 	w.Load.Rate = 400
 	return w
@@ -20,7 +20,7 @@
 // nothing of it. It goes to other halls all the same, and those are not pushed over for it.
 func TestACrowdedHallOverflows(t *testing.T) {
 	t.Parallel()
-	r := play(t, crowded(world.All), 1, baseline.Module)
+	r := play(t, crowded(scenario.All), 1, baseline.Module)
 	if part := float64(r.Crossed) / float64(r.Pushes); part < 0.12 || part > 0.3 {
 		t.Errorf("%.3f of the pushes go to another hall", part)
 	}
@@ -36,7 +36,7 @@
 // demand, and nothing moves.
 func TestAFloodBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
-	w := crowded(world.All, world.Trouble{Kind: "flood", Plan: "enterprise", Size: 20, At: span(4 * time.Second),
+	w := crowded(scenario.All, scenario.Trouble{Kind: "flood", Plan: "enterprise", Size: 20, At: span(4 * time.Second),
 		For: span(10 * time.Second)})
 	w.Load.Rate = 150
 	p := &w.Plans[2]
--- a/internal/lab/virtual/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"container/heap"
@@ -7,8 +7,8 @@
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/policy"
 )
 
@@ -17,7 +17,7 @@
 
 // engine is one play.
 type engine struct {
-	w      *world.World
+	w      *scenario.World
 	now    time.Duration
 	seq    uint64
 	agenda agenda
@@ -32,7 +32,7 @@
 	counter  *counter
 	common   *common // nil: nothing is held in common
 	clients  *clients
-	ledger   *ledger.Ledger
+	ledger   *invariants.Ledger
 	make     baseline.Make
 
 	loadTimes   float64 // what burst makes of the load
@@ -50,7 +50,7 @@
 }
 
 // Play plays a world with a policy under a seed.
-func Play(w *world.World, seed uint64, made baseline.Make) (*Result, error) {
+func Play(w *scenario.World, seed uint64, made baseline.Make) (*Result, error) {
 	e, err := begin(w, seed, made)
 	if err != nil {
 		return nil, err
@@ -75,14 +75,14 @@
 }
 
 // begin sets a play up.
-func begin(w *world.World, seed uint64, made baseline.Make) (*engine, error) {
+func begin(w *scenario.World, seed uint64, made baseline.Make) (*engine, error) {
 	e := &engine{w: w, now: origin, make: made, site: w.Deployment(0), loadTimes: 1, lagTimes: 1, cut: map[int]bool{},
 		links: map[[2]int]bool{}, regions: w.RegionOf(),
 		sent:   make([]time.Duration, w.Gateways.Halls),
 		lately: make([][]float64, w.Gateways.Halls)}
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
 	e.chance, e.arrivals, e.fate = stream(1), stream(2), stream(3)
-	e.ledger = ledger.New(ledger.Limits{AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
+	e.ledger = invariants.New(invariants.Limits{AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
 		Plans: e.site.Plans})
 	e.planTimes = make([]float64, len(w.Plans))
 	for i := range e.planTimes {
--- a/internal/lab/virtual/follow.go
+++ b/internal/lab/simulation/follow.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/failover"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/lab/world"
-	"harrierhoist/internal/steer"
-	"harrierhoist/internal/witness"
+	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/routing"
+	"harrierhoist/internal/zonestats"
 )
 
 const (
@@ -35,18 +35,18 @@
 	c               *common
 	n               int
 	g               *gateway
-	w               *witness.Recorder
+	w               *zonestats.Recorder
 	voter, misses   int
 	serial, session uint64
 	reading         uint64 // counts reads; an answer to an earlier one is late
-	held            cluster.CachedTable
-	steer           *steer.Updater
-	by              gate.Steering  // what the pool is steered by
-	until           time.Duration  // when that ends
-	after           *gate.Steering // and what follows; nil: it has no end
+	held            coordination.CachedTable
+	steer           *routing.Updater
+	by              dispatch.Steering  // what the pool is steered by
+	until           time.Duration      // when that ends
+	after           *dispatch.Steering // and what follows; nil: it has no end
 	// Of those that decide alone.
 	book    *evidence.Merger
-	decider cluster.Controller
+	decider coordination.Controller
 	since   time.Duration
 }
 
@@ -54,9 +54,9 @@
 func (f *follower) begin(g *gateway) {
 	c := f.c
 	*f = follower{c: c, n: f.n, g: g, session: f.session + 1, reading: f.reading + 1}
-	f.w = witness.New(c.halls, g.hall, &c.e.site)
-	f.steer = steer.New(commons{f}, f, c.halls, c.halls[g.hall], zap.NewNop())
-	if c.w.How == world.Own {
+	f.w = zonestats.New(c.halls, g.hall, &c.e.site)
+	f.steer = routing.New(commons{f}, f, c.halls, c.halls[g.hall], zap.NewNop())
+	if c.w.How == scenario.Own {
 		f.alone()
 	} else {
 		f.voter = f.nearest()
@@ -97,7 +97,7 @@
 	c, now := f.c, f.c.e.now
 	counts := map[string]uint64{}
 	f.w.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
-	if c.w.How == world.Own {
+	if c.w.How == scenario.Own {
 		f.decide(counts)
 		return
 	}
@@ -174,6 +174,6 @@
 	if e.Epoch < f.held.Epoch {
 		return
 	}
-	f.held = cluster.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
+	f.held = coordination.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
 	f.steer.Update()
 }
--- a/internal/lab/virtual/push.go
+++ b/internal/lab/simulation/push.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"time"
--- a/internal/lab/virtual/record_test.go
+++ b/internal/lab/simulation/record_test.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // A column that throws together what ended in different ways says nothing of any of them: each request that failed
@@ -19,7 +19,7 @@
 	} {
 		w := small()
 		if kind != "" {
-			w = small(world.Trouble{Kind: kind, At: span(3 * time.Second), For: span(4 * time.Second), Part: 0.5, Size: 0.8})
+			w = small(scenario.Trouble{Kind: kind, At: span(3 * time.Second), For: span(4 * time.Second), Part: 0.5, Size: 0.8})
 		}
 		w.Load.Rate = 500
 		r := play(t, w, 3, baseline.Module)
--- a/internal/lab/virtual/result.go
+++ b/internal/lab/simulation/result.go
@@ -1,12 +1,12 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // Result is the record of a play.
@@ -41,8 +41,8 @@
 	Calls, CallsRefused       int
 	Units, Beyond, BeyondGain float64
 	Uneven                    float64 // load of servers that stood all day: deviation over mean
-	Broken                    [ledger.Rules]int
-	Breaches                  []ledger.Breach
+	Broken                    [invariants.Rules]int
+	Breaches                  []invariants.Breach
 	Seconds                   []Second
 	Events                    int
 	Lanes                     []string
@@ -78,7 +78,7 @@
 	Out        int // their time ran out while a try was out
 }
 
-func newResult(w *world.World, seed uint64) Result {
+func newResult(w *scenario.World, seed uint64) Result {
 	r := Result{World: w.Name, Seed: seed}
 	for _, l := range w.Lanes {
 		r.Lanes = append(r.Lanes, l.Name)
--- a/internal/lab/virtual/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/json"
@@ -9,18 +9,18 @@
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/ledger"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/invariants"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/policy"
 )
 
 // small is a world in which everything is soon seen.
-func small(troubles ...world.Trouble) *world.World {
-	w, err := world.Parse("small", nil)
+func small(troubles ...scenario.Trouble) *scenario.World {
+	w, err := scenario.Parse("small", nil)
 	if err != nil {
 		panic(err)
 	}
-	w.Length = world.Span(12 * time.Second)
+	w.Length = scenario.Span(12 * time.Second)
 	w.Gateways.Count, w.Gateways.Halls = 6, 2
 	w.Servers.Count, w.Servers.Cell = 16, 4
 	w.Load.Rate = 250
@@ -29,10 +29,10 @@
 	return w
 }
 
-func span(d time.Duration) world.Span { return world.Span(d) }
+func span(d time.Duration) scenario.Span { return scenario.Span(d) }
 
 // play plays a world and fails the test if it cannot be.
-func play(t *testing.T, w *world.World, seed uint64, made baseline.Make) *Result {
+func play(t *testing.T, w *scenario.World, seed uint64, made baseline.Make) *Result {
 	t.Helper()
 	r, err := Play(w, seed, made)
 	if err != nil {
@@ -119,22 +119,22 @@
 type decider struct{ baseline.Decider }
 
 func TestTheLedgerCatchesEachRule(t *testing.T) {
-	deploy := world.Trouble{Kind: "deploy", At: span(2 * time.Second), For: span(3 * time.Second), Part: 0.6}
-	resets := world.Trouble{Kind: "resets", At: span(time.Second), For: span(9 * time.Second), Part: 0.1}
-	change := world.Trouble{Kind: "mass_change", At: span(2 * time.Second), Part: 0.7}
+	deploy := scenario.Trouble{Kind: "deploy", At: span(2 * time.Second), For: span(3 * time.Second), Part: 0.6}
+	resets := scenario.Trouble{Kind: "resets", At: span(time.Second), For: span(9 * time.Second), Part: 0.1}
+	change := scenario.Trouble{Kind: "mass_change", At: span(2 * time.Second), Part: 0.7}
 	stories := []struct {
-		rule  ledger.Rule
+		rule  invariants.Rule
 		name  string
-		world *world.World
+		world *scenario.World
 		spoil func(f *faulty, site *policy.Settings)
 	}{
-		{ledger.Lost, "forgets one final answer in twenty", small(), func(f *faulty, _ *policy.Settings) { f.lose = 20 }},
-		{ledger.Twice, "sends what may have run once more", small(resets), func(f *faulty, _ *policy.Settings) { f.both = true }},
-		{ledger.Drain, "goes on pushing to servers that drain", small(deploy), func(f *faulty, _ *policy.Settings) { f.seen = map[uint32]policy.Endpoint{} }},
-		{ledger.Cold, "takes cold servers for warm", small(change), func(f *faulty, _ *policy.Settings) {
+		{invariants.Lost, "forgets one final answer in twenty", small(), func(f *faulty, _ *policy.Settings) { f.lose = 20 }},
+		{invariants.Twice, "sends what may have run once more", small(resets), func(f *faulty, _ *policy.Settings) { f.both = true }},
+		{invariants.Drain, "goes on pushing to servers that drain", small(deploy), func(f *faulty, _ *policy.Settings) { f.seen = map[uint32]policy.Endpoint{} }},
+		{invariants.Cold, "takes cold servers for warm", small(change), func(f *faulty, _ *policy.Settings) {
 			f.list = func(l *policy.Endpoint) { l.StartedAt = 0 }
 		}},
-		{ledger.Ceiling, "knows no ceilings", small(), func(_ *faulty, site *policy.Settings) {
+		{invariants.Ceiling, "knows no ceilings", small(), func(_ *faulty, site *policy.Settings) {
 			for i := range site.Plans {
 				site.Plans[i].CeilingRate, site.Plans[i].Rate, site.Plans[i].Burst = 0, 0, 0
 			}
@@ -144,15 +144,15 @@
 		t.Run(s.name, func(t *testing.T) {
 			w := s.world
 			w.Load.Rate *= 1.5
-			if s.rule == ledger.Cold {
+			if s.rule == invariants.Cold {
 				w.Servers.ColdFrom, w.Gateways.Count, w.Load.Rate = 0.05, 60, 600 // each gateway has one push to spare
 			}
-			if s.rule == ledger.Ceiling {
+			if s.rule == invariants.Ceiling {
 				w.Load.Rate = 400 // customers far beyond their plans
 				w.Plans[1].Customers = 4
 			}
 			sound := play(t, w, 3, baseline.Module)
-			if sound.Broken != [ledger.Rules]int{} {
+			if sound.Broken != [invariants.Rules]int{} {
 				t.Fatalf("the sound gateway breaks %v: %v", sound.Broken, sound.Breaches)
 			}
 			got := play(t, w, 3, broken(s.spoil))
@@ -160,8 +160,8 @@
 				t.Errorf("not caught: %v", got.Broken)
 			}
 			for rule, n := range got.Broken {
-				if ledger.Rule(rule) != s.rule && n > 0 {
-					t.Errorf("%q is told as well, %d times: %v", ledger.Rule(rule), n, got.Breaches[0])
+				if invariants.Rule(rule) != s.rule && n > 0 {
+					t.Errorf("%q is told as well, %d times: %v", invariants.Rule(rule), n, got.Breaches[0])
 				}
 			}
 			for _, b := range got.Breaches {
@@ -174,13 +174,13 @@
 }
 
 func TestTheModuleKeepsTheRulesUnderEveryTrouble(t *testing.T) {
-	for _, kind := range world.KindNames() {
+	for _, kind := range scenario.KindNames() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			w := small(world.Trouble{Kind: kind, At: span(2 * time.Second), For: span(4 * time.Second), Part: 0.3, Size: 2, Hall: 1,
+			w := small(scenario.Trouble{Kind: kind, At: span(2 * time.Second), For: span(4 * time.Second), Part: 0.3, Size: 2, Hall: 1,
 				Lane: "paid-confirm", Plan: "office"})
 			r := play(t, w, 7, baseline.Module)
-			if r.Broken != [ledger.Rules]int{} {
+			if r.Broken != [invariants.Rules]int{} {
 				t.Errorf("rules broken: %v, first %v", r.Broken, r.Breaches[0])
 			}
 			if r.Service() < 0.3 {
@@ -191,9 +191,9 @@
 }
 
 func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
-	w := small(world.Trouble{Kind: "kill", At: span(2 * time.Second), For: span(time.Second), Part: 0.5},
-		world.Trouble{Kind: "deploy", At: span(3 * time.Second), For: span(3 * time.Second), Part: 0.5},
-		world.Trouble{Kind: "counter_silent", At: span(5 * time.Second), For: span(3 * time.Second)})
+	w := small(scenario.Trouble{Kind: "kill", At: span(2 * time.Second), For: span(time.Second), Part: 0.5},
+		scenario.Trouble{Kind: "deploy", At: span(3 * time.Second), For: span(3 * time.Second), Part: 0.5},
+		scenario.Trouble{Kind: "counter_silent", At: span(5 * time.Second), For: span(3 * time.Second)})
 	w.Gateways.Pool = true
 	w.Load.Told, w.Load.Once = 0.4, 0.1
 	texts := make([]string, 6)
--- a/internal/lab/virtual/steered.go
+++ b/internal/lab/simulation/steered.go
@@ -1,10 +1,10 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/pool"
 	"harrierhoist/policy"
 )
@@ -18,7 +18,7 @@
 func (c commons) Now() time.Duration { return c.f.c.e.now }
 
 // Cached is the one table.
-func (c commons) Cached(string) cluster.CachedTable { return c.f.held }
+func (c commons) Cached(string) coordination.CachedTable { return c.f.held }
 
 // Changed is not waited for: steps are taken with each change.
 func (c commons) Changed() <-chan struct{} { return nil }
@@ -30,7 +30,7 @@
 func (c commons) RegisterExactCounters(func(add func(name string, n uint64))) {}
 
 // SetSteering steers the pool until the lease ends, and then the other way with the next task.
-func (f *follower) SetSteering(by gate.Steering, lease time.Duration, after gate.Steering) {
+func (f *follower) SetSteering(by dispatch.Steering, lease time.Duration, after dispatch.Steering) {
 	f.until, f.after = f.c.e.now+lease, &after
 	if lease <= 0 {
 		f.after = nil
@@ -39,7 +39,7 @@
 	f.steered(by)
 }
 
-func (f *follower) steered(by gate.Steering) {
+func (f *follower) steered(by dispatch.Steering) {
 	f.by = by
 	if f.g.pool.SetWeights(by.Weights, by.ShedFraction) {
 		f.g.hand()
--- a/internal/lab/virtual/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // erlangC is the chance that a task waits at c cores kept busy by a part rho, and so the mean wait over the mean
@@ -26,18 +26,18 @@
 }
 
 // open is a world without limits of any kind: tasks come by chance to servers of so many cores.
-func open(servers, cores int, rho float64, length time.Duration) *world.World {
-	w := world.Default()
-	w.Length = world.Span(length)
+func open(servers, cores int, rho float64, length time.Duration) *scenario.World {
+	w := scenario.Default()
+	w.Length = scenario.Span(length)
 	w.Gateways.Count, w.Gateways.Halls = 1, 1
 	w.Servers.Count, w.Servers.Cores, w.Servers.Queue = servers, cores, 1e6
 	w.Servers.Speed = [2]float64{1, 1}
 	w.Servers.Handshake, w.Servers.Connections = 0, 1e6
 	w.Network.Same, w.Network.Cross, w.Network.Jitter = 0, 0, 0
 	work := 20 * time.Millisecond
-	w.Lanes = []world.Lane{{Name: "only", Share: 1, Work: world.Span(work), Spread: "exponential",
-		SoftLimit: world.Span(time.Hour), Patience: world.Span(time.Hour), Gain: 1, Effect: "pure"}}
-	w.Plans = []world.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
+	w.Lanes = []scenario.Lane{{Name: "only", Share: 1, Work: scenario.Span(work), Spread: "exponential",
+		SoftLimit: scenario.Span(time.Hour), Patience: scenario.Span(time.Hour), Gain: 1, Effect: "pure"}}
+	w.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
 	w.Counter.Rate = 0
 	w.Clients.Retries = 0
 	w.Load.Rate = rho * float64(servers*cores) / work.Seconds()
@@ -54,7 +54,7 @@
 			tasks *= 2
 		}
 		w := open(1, s.cores, s.rho, 0)
-		w.Length = world.Span(time.Duration(tasks / w.Load.Rate * float64(time.Second)))
+		w.Length = scenario.Span(time.Duration(tasks / w.Load.Rate * float64(time.Second)))
 		r, err := Play(w, 11, baseline.Random)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/virtual/tries.go
+++ b/internal/lab/simulation/tries.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
-	"harrierhoist/internal/lab/ledger"
+	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/policy"
 )
 
@@ -60,7 +60,7 @@
 			c.answered(t, died) // refused: it was not taken
 			return
 		}
-		e.ledger.Taken(ledger.Task{ID: t.id, Key: r.key, Customer: who.id, Lane: *lane, Plan: who.plan, Gateway: g.n,
+		e.ledger.Taken(invariants.Task{ID: t.id, Key: r.key, Customer: who.id, Lane: *lane, Plan: who.plan, Gateway: g.n,
 			Units: r.told,
 			Taken: e.now, Expires: expires})
 		life := g.life
--- a/internal/lab/virtual/trouble.go
+++ b/internal/lab/simulation/trouble.go
@@ -1,10 +1,10 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // trouble is one thing that goes wrong: it begins, and ends after its time.
@@ -14,49 +14,51 @@
 }
 
 // troubles makes each kind of trouble. A new one is a type of its own, a line here and one in world.Kinds.
-var troubles = map[string]func(world.Trouble) trouble{
-	"server_lost":   func(t world.Trouble) trouble { return &serversLost{part: t.Part} },
-	"server_errors": func(t world.Trouble) trouble { return &serversChange{part: t.Part, set: errorsOf(t.Size)} },
-	"server_slow":   func(t world.Trouble) trouble { return &serversChange{part: t.Part, set: slowBy(t.Size)} },
-	"lane_silent":   func(t world.Trouble) trouble { return &laneSilent{t: t} },
-	"deploy":        func(t world.Trouble) trouble { return &deploy{part: t.Part, over: t.For.D()} },
-	"mass_change":   func(t world.Trouble) trouble { return &massChange{part: t.Part} },
-	"hall_lost":     func(t world.Trouble) trouble { return &serversLost{hall: t.Hall, whole: true, part: t.Part} },
-	"link_cut":      func(t world.Trouble) trouble { return &linkCut{[2]int{min(t.Hall, t.To), max(t.Hall, t.To)}} },
-	"crowd":         func(t world.Trouble) trouble { return &crowd{hall: t.Hall, part: t.Part} },
-	"blind":         func(t world.Trouble) trouble { return &blind{part: t.Part} },
-	"hall_cut":      func(t world.Trouble) trouble { return &hallCut{t.Hall} },
-	"leader_lost":   func(world.Trouble) trouble { return &leaderLost{} },
-	"answers_lost": func(t world.Trouble) trouble {
+var troubles = map[string]func(scenario.Trouble) trouble{
+	"server_lost":   func(t scenario.Trouble) trouble { return &serversLost{part: t.Part} },
+	"server_errors": func(t scenario.Trouble) trouble { return &serversChange{part: t.Part, set: errorsOf(t.Size)} },
+	"server_slow":   func(t scenario.Trouble) trouble { return &serversChange{part: t.Part, set: slowBy(t.Size)} },
+	"lane_silent":   func(t scenario.Trouble) trouble { return &laneSilent{t: t} },
+	"deploy":        func(t scenario.Trouble) trouble { return &deploy{part: t.Part, over: t.For.D()} },
+	"mass_change":   func(t scenario.Trouble) trouble { return &massChange{part: t.Part} },
+	"hall_lost":     func(t scenario.Trouble) trouble { return &serversLost{hall: t.Hall, whole: true, part: t.Part} },
+	"link_cut":      func(t scenario.Trouble) trouble { return &linkCut{[2]int{min(t.Hall, t.To), max(t.Hall, t.To)}} },
+	"crowd":         func(t scenario.Trouble) trouble { return &crowd{hall: t.Hall, part: t.Part} },
+	"blind":         func(t scenario.Trouble) trouble { return &blind{part: t.Part} },
+	"hall_cut":      func(t scenario.Trouble) trouble { return &hallCut{t.Hall} },
+	"leader_lost":   func(scenario.Trouble) trouble { return &leaderLost{} },
+	"answers_lost": func(t scenario.Trouble) trouble {
 		return &figure{on: func(e *engine) *float64 { return &e.answersLost }, to: t.Part}
 	},
-	"resets": func(t world.Trouble) trouble {
+	"resets": func(t scenario.Trouble) trouble {
 		return &figure{on: func(e *engine) *float64 { return &e.resets }, to: t.Part}
 	},
-	"counter_slow": func(t world.Trouble) trouble {
+	"counter_slow": func(t scenario.Trouble) trouble {
 		return &figure{on: func(e *engine) *float64 { return &e.counter.slow }, to: t.Size}
 	},
-	"counter_silent":   func(world.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
-	"counter_refusing": func(world.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.refuses }} },
-	"counter_empty":    func(world.Trouble) trouble { return counterEmpty{} },
-	"counter_split":    func(world.Trouble) trouble { return counterSplit{} },
-	"burst": func(t world.Trouble) trouble {
+	"counter_silent":   func(scenario.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
+	"counter_refusing": func(scenario.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.refuses }} },
+	"counter_empty":    func(scenario.Trouble) trouble { return counterEmpty{} },
+	"counter_split":    func(scenario.Trouble) trouble { return counterSplit{} },
+	"burst": func(t scenario.Trouble) trouble {
 		return &figure{on: func(e *engine) *float64 { return &e.loadTimes }, to: t.Size}
 	},
-	"flood":      func(t world.Trouble) trouble { return &flood{t: t} },
-	"kill":       func(t world.Trouble) trouble { return &kill{part: t.Part} },
-	"rolling":    func(t world.Trouble) trouble { return &rolling{part: t.Part, over: t.For.D(), away: seconds(t.Size)} },
-	"standstill": func(t world.Trouble) trouble { return &standstill{t.Part, t.For.D()} },
-	"list_lag": func(t world.Trouble) trouble {
+	"flood": func(t scenario.Trouble) trouble { return &flood{t: t} },
+	"kill":  func(t scenario.Trouble) trouble { return &kill{part: t.Part} },
+	"rolling": func(t scenario.Trouble) trouble {
+		return &rolling{part: t.Part, over: t.For.D(), away: seconds(t.Size)}
+	},
+	"standstill": func(t scenario.Trouble) trouble { return &standstill{t.Part, t.For.D()} },
+	"list_lag": func(t scenario.Trouble) trouble {
 		return &figure{on: func(e *engine) *float64 { return &e.lagTimes }, to: t.Size}
 	},
-	"list_lost": func(t world.Trouble) trouble { return &listLost{part: t.Part} },
+	"list_lost": func(t scenario.Trouble) trouble { return &listLost{part: t.Part} },
 }
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
 // schedule sets a trouble's begin and end.
-func (e *engine) schedule(t world.Trouble) error {
+func (e *engine) schedule(t scenario.Trouble) error {
 	made := troubles[t.Kind]
 	if made == nil {
 		return fmt.Errorf("trouble %q is not known", t.Kind)
@@ -148,7 +150,7 @@
 func (counterSplit) end(e *engine) { e.counter.split = false }
 
 // flood has the customers of one plan ask more.
-type flood struct{ t world.Trouble }
+type flood struct{ t scenario.Trouble }
 
 func (t *flood) times(e *engine, to float64) {
 	for i, p := range e.w.Plans {
--- a/internal/lab/virtual/trouble_servers.go
+++ b/internal/lab/simulation/trouble_servers.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/policy"
 )
 
@@ -95,7 +95,7 @@
 
 // laneSilent has servers swallow the tasks of one lane.
 type laneSilent struct {
-	t   world.Trouble
+	t   scenario.Trouble
 	hit []*server
 }
 
--- a/internal/lab/virtual/trouble_test.go
+++ b/internal/lab/simulation/trouble_test.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // part sums a figure of the seconds from one to another.
@@ -35,51 +35,51 @@
 	}
 	moreFailed := func(p pair) bool { return during(p.with, 3, 9, failed) > during(p.without, 3, 9, failed)+3 }
 	stories := map[string]struct {
-		trouble world.Trouble
+		trouble scenario.Trouble
 		shows   func(p pair) bool
 	}{
-		"server_lost":   {world.Trouble{Part: 0.4}, fewerInTime},
-		"server_errors": {world.Trouble{Part: 0.5, Size: 1}, moreFailed},
-		"server_slow":   {world.Trouble{Part: 0.5, Size: 8}, fewerInTime},
-		"lane_silent":   {world.Trouble{Part: 0.6, Lane: "paid-confirm"}, moreFailed},
-		"deploy":        {world.Trouble{Part: 1}, func(p pair) bool { return p.with.Handshakes > p.without.Handshakes*5/4 }},
-		"mass_change":   {world.Trouble{Part: 0.5}, moreFailed},
-		"hall_lost":     {world.Trouble{Hall: 1}, fewerInTime},
-		"hall_cut":      {world.Trouble{Hall: 1}, fewerInTime},
-		"link_cut":      {world.Trouble{Hall: 1, To: 0}, fewerInTime},
-		"blind":         {world.Trouble{Part: 0.4}, fewerInTime},
+		"server_lost":   {scenario.Trouble{Part: 0.4}, fewerInTime},
+		"server_errors": {scenario.Trouble{Part: 0.5, Size: 1}, moreFailed},
+		"server_slow":   {scenario.Trouble{Part: 0.5, Size: 8}, fewerInTime},
+		"lane_silent":   {scenario.Trouble{Part: 0.6, Lane: "paid-confirm"}, moreFailed},
+		"deploy":        {scenario.Trouble{Part: 1}, func(p pair) bool { return p.with.Handshakes > p.without.Handshakes*5/4 }},
+		"mass_change":   {scenario.Trouble{Part: 0.5}, moreFailed},
+		"hall_lost":     {scenario.Trouble{Hall: 1}, fewerInTime},
+		"hall_cut":      {scenario.Trouble{Hall: 1}, fewerInTime},
+		"link_cut":      {scenario.Trouble{Hall: 1, To: 0}, fewerInTime},
+		"blind":         {scenario.Trouble{Part: 0.4}, fewerInTime},
 		// Who leads is felt where a plan is wanted: with a hall lost meanwhile, gateways go on pushing there.
-		"leader_lost":  {world.Trouble{}, func(p pair) bool { return sum(p.with.PlanMs) > sum(p.without.PlanMs)+500 }},
-		"answers_lost": {world.Trouble{Part: 0.3}, moreFailed},
-		"resets":       {world.Trouble{Part: 0.3}, moreFailed},
-		"counter_slow": {world.Trouble{Size: 100},
+		"leader_lost":  {scenario.Trouble{}, func(p pair) bool { return sum(p.with.PlanMs) > sum(p.without.PlanMs)+500 }},
+		"answers_lost": {scenario.Trouble{Part: 0.3}, moreFailed},
+		"resets":       {scenario.Trouble{Part: 0.3}, moreFailed},
+		"counter_slow": {scenario.Trouble{Size: 100},
 			func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 }},
-		"counter_silent":   {world.Trouble{}, func(p pair) bool { return p.with.Calls < p.without.Calls*9/10 }},
-		"counter_refusing": {world.Trouble{}, func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 }},
-		"counter_empty":    {world.Trouble{}, func(p pair) bool { return p.with.Beyond > p.without.Beyond }},
-		"counter_split":    {world.Trouble{}, func(p pair) bool { return p.with.Beyond > p.without.Beyond }},
-		"burst": {world.Trouble{Size: 3}, func(p pair) bool {
+		"counter_silent":   {scenario.Trouble{}, func(p pair) bool { return p.with.Calls < p.without.Calls*9/10 }},
+		"counter_refusing": {scenario.Trouble{}, func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 }},
+		"counter_empty":    {scenario.Trouble{}, func(p pair) bool { return p.with.Beyond > p.without.Beyond }},
+		"counter_split":    {scenario.Trouble{}, func(p pair) bool { return p.with.Beyond > p.without.Beyond }},
+		"burst": {scenario.Trouble{Size: 3}, func(p pair) bool {
 			return during(p.with, 3, 7, offered) > 2*during(p.without, 3, 7, offered)
 		}},
-		"flood": {world.Trouble{Size: 8, Plan: "start"}, func(p pair) bool {
+		"flood": {scenario.Trouble{Size: 8, Plan: "start"}, func(p pair) bool {
 			return during(p.with, 3, 7, offered) > 2*during(p.without, 3, 7, offered)
 		}},
-		"kill": {world.Trouble{Part: 1}, func(p pair) bool {
+		"kill": {scenario.Trouble{Part: 1}, func(p pair) bool {
 			return during(p.with, 3, 7, inTime) < during(p.without, 3, 7, inTime)/5
 		}},
-		"rolling": {world.Trouble{Part: 1, Size: 2},
+		"rolling": {scenario.Trouble{Part: 1, Size: 2},
 			func(p pair) bool { return p.with.Broken0 > p.without.Broken0+20 }},
-		"crowd": {world.Trouble{Part: 0.9, Hall: 1}, func(p pair) bool {
+		"crowd": {scenario.Trouble{Part: 0.9, Hall: 1}, func(p pair) bool {
 			return p.with.Hottest > 1.25*p.without.Hottest
 		}},
-		"standstill": {world.Trouble{Part: 1}, func(p pair) bool {
+		"standstill": {scenario.Trouble{Part: 1}, func(p pair) bool {
 			return during(p.with, 3, 7, inTime) < during(p.without, 3, 7, inTime)/5
 		}},
 		// Lists alone hurt nobody: with half of the servers gone meanwhile, those who do not hear of it go on pushing there.
-		"list_lag":  {world.Trouble{Size: 20}, fewerInTime},
-		"list_lost": {world.Trouble{Part: 1}, fewerInTime},
+		"list_lag":  {scenario.Trouble{Size: 20}, fewerInTime},
+		"list_lost": {scenario.Trouble{Part: 1}, fewerInTime},
 	}
-	for _, kind := range world.KindNames() {
+	for _, kind := range scenario.KindNames() {
 		s, has := stories[kind]
 		if !has {
 			t.Errorf("%s has no story", kind)
@@ -88,15 +88,15 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			s.trouble.Kind, s.trouble.At, s.trouble.For = kind, span(3*time.Second), span(4*time.Second)
-			var also []world.Trouble
+			var also []scenario.Trouble
 			if kind == "list_lag" || kind == "list_lost" {
-				also = append(also, world.Trouble{Kind: "mass_change", At: span(3500 * time.Millisecond), Part: 0.5})
+				also = append(also, scenario.Trouble{Kind: "mass_change", At: span(3500 * time.Millisecond), Part: 0.5})
 			}
 			if kind == "leader_lost" {
-				also = append(also, world.Trouble{Kind: "hall_lost", At: span(3 * time.Second), For: span(4 * time.Second),
+				also = append(also, scenario.Trouble{Kind: "hall_lost", At: span(3 * time.Second), For: span(4 * time.Second),
 					Hall: 1})
 			}
-			world := func(troubles ...world.Trouble) *world.World {
+			world := func(troubles ...scenario.Trouble) *scenario.World {
 				w := small(troubles...)
 				w.Load.Rate = 300
 				if kind == "leader_lost" || kind == "crowd" { // a gateway as it is pushes to all halls
@@ -123,16 +123,16 @@
 }
 
 func TestOddWorldsPlay(t *testing.T) {
-	for name, change := range map[string]func(w *world.World){
-		"one gateway":           func(w *world.World) { w.Gateways.Count, w.Gateways.Halls = 1, 1 },
-		"one server":            func(w *world.World) { w.Servers.Count = 1 },
-		"no counter":            func(w *world.World) { w.Counter.Rate = 0 },
-		"hardly any load":       func(w *world.World) { w.Load.Rate = 0.5 },
-		"more halls than hands": func(w *world.World) { w.Gateways.Halls, w.Servers.Count = 8, 3 },
-		"no time to warm":       func(w *world.World) { w.Servers.WarmAfter = 0 },
+	for name, change := range map[string]func(w *scenario.World){
+		"one gateway":           func(w *scenario.World) { w.Gateways.Count, w.Gateways.Halls = 1, 1 },
+		"one server":            func(w *scenario.World) { w.Servers.Count = 1 },
+		"no counter":            func(w *scenario.World) { w.Counter.Rate = 0 },
+		"hardly any load":       func(w *scenario.World) { w.Load.Rate = 0.5 },
+		"more halls than hands": func(w *scenario.World) { w.Gateways.Halls, w.Servers.Count = 8, 3 },
+		"no time to warm":       func(w *scenario.World) { w.Servers.WarmAfter = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := small(world.Trouble{Kind: "deploy", At: span(2 * time.Second), For: span(2 * time.Second), Part: 0.5})
+			w := small(scenario.Trouble{Kind: "deploy", At: span(2 * time.Second), For: span(2 * time.Second), Part: 0.5})
 			change(w)
 			r := play(t, w, 2, baseline.Module)
 			if r.Offered == 0 || r.InTime == 0 {
--- a/internal/lab/virtual/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -1,12 +1,12 @@
-package virtual
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/lab/world"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/lab/scenario"
 )
 
 // voter is one of the few that hold the log.
@@ -38,7 +38,7 @@
 // pass sends the leader what this voter merged.
 func (v *voter) pass(leader *voter) {
 	v.serial++
-	d := evidence.Digest{Process: "voter " + world.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
+	d := evidence.Digest{Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
 		Counts: v.direct.Sums()}
 	v.c.send(v.hall, leader.hall, func() {
 		if !leader.dead {
--- a/internal/front/client.go
+++ b/internal/listener/client.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
 )
 
@@ -19,7 +19,7 @@
 	pipeline       textproto.Pipeline // answers go in the order of their tasks
 
 	mu         sync.Mutex
-	requests   map[*gate.Request]struct{}
+	requests   map[*dispatch.Request]struct{}
 	commands   int       // commands in hand
 	lastUsed   time.Time // when it came, or was last answered
 	unanswered bool      // nothing was answered yet
@@ -162,7 +162,7 @@
 func (c *client) disconnect() {
 	c.mu.Lock()
 	c.closed = true
-	var left []*gate.Request
+	var left []*dispatch.Request
 	for e := range c.requests {
 		left = append(left, e)
 	}
--- a/internal/front/close_test.go
+++ b/internal/listener/close_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Commands read on with the one before, whose answer comes first: it does not end the connection over them.
@@ -15,7 +15,7 @@
 	h := newDrainFixture(t, 8, nil, answerHello)
 	h.startDraining()
 	c := h.dial()
-	odd := standin.FormatCommand("ODD") // answered at once, and the reader pauses behind it
+	odd := fakes.FormatCommand("ODD") // answered at once, and the reader pauses behind it
 	c.send(odd + odd + odd + odd)
 	for range 4 {
 		c.want("-ERR unknown command")
@@ -51,7 +51,7 @@
 	text := query(1)
 	c.send(text[:20])
 	near := <-h.came
-	standin.Eventually(t, "its half", func() bool { return near.read.Load() == 20 })
+	fakes.Eventually(t, "its half", func() bool { return near.read.Load() == 20 })
 	h.startDraining()
 	h.f.closeIdle()
 	c.send(text[20:])
--- a/internal/front/closeidle_test.go
+++ b/internal/listener/closeidle_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // closeReasons are those in which the front ends a resting connection.
@@ -32,7 +32,7 @@
 // clientOf is the client of a visitor.
 func (h *drainFixture) clientOf(at *drainClient) (found *client) {
 	h.Helper()
-	standin.Eventually(h, "the client", func() bool {
+	fakes.Eventually(h, "the client", func() bool {
 		h.f.mu.Lock()
 		defer h.f.mu.Unlock()
 		for c := range h.f.clients {
@@ -75,7 +75,7 @@
 			rests.makeIdle()
 			near.breaks = once(func() {
 				c.send(query(1))
-				standin.Eventually(t, "its coming", func() bool { return !rests.conn.IsQuiet() })
+				fakes.Eventually(t, "its coming", func() bool { return !rests.conn.IsQuiet() })
 			})
 			end(h)
 			c.wantEnd(syscall.ECONNRESET)
@@ -87,12 +87,12 @@
 	}
 }
 
-func answerHello([]string) string { return standin.FormatValue("hello", 1) }
+func answerHello([]string) string { return fakes.FormatValue("hello", 1) }
 
 // longValue is an answer that a narrow client takes only as it reads.
 var longValue = strings.Repeat("x", 64<<10)
 
-func answerLongValue([]string) string { return standin.FormatValue(longValue, 1) }
+func answerLongValue([]string) string { return fakes.FormatValue(longValue, 1) }
 
 // An answer is on its way to a slow client: no end of the connection takes it along, until the client has had its time.
 func TestCloseIdle_answerInTransitIsDelivered(t *testing.T) {
@@ -102,7 +102,7 @@
 			c := h.dial(true)
 			slow := h.clientOf(c)
 			c.send(query(1))
-			standin.Eventually(t, "the answer's last byte", func() bool {
+			fakes.Eventually(t, "the answer's last byte", func() bool {
 				_, mum, idle := slow.idleState()
 				return !mum && idle
 			})
@@ -117,7 +117,7 @@
 			}
 			c.want(longValue)
 			slow.makeIdle()
-			standin.Eventually(t, "the last word of the client's system", func() bool { return !slow.conn.HasUnacknowledged() })
+			fakes.Eventually(t, "the last word of the client's system", func() bool { return !slow.conn.HasUnacknowledged() })
 			end(h)
 			c.wantEnd(syscall.ECONNRESET)
 		})
@@ -129,7 +129,7 @@
 	c := h.dial(true)
 	slow := h.clientOf(c)
 	c.send(query(1))
-	standin.Eventually(t, "the answer's last byte", func() bool {
+	fakes.Eventually(t, "the answer's last byte", func() bool {
 		_, mum, idle := slow.idleState()
 		return !mum && idle
 	})
--- a/internal/front/concurrency_test.go
+++ b/internal/listener/concurrency_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -26,7 +26,7 @@
 // A task that comes while new settings are taken is read and admitted by the same ones: pay, which is not to be
 // repeated, becomes a lane whose tasks are, and no task that was sent as the one is admitted as the other.
 func TestReconfigure_requestIsAdmittedByTheSettingsItWasParsedBy(t *testing.T) {
-	server := standin.NewServer(t, func([]string) string { return standin.CloseConn })
+	server := fakes.NewServer(t, func([]string) string { return fakes.CloseConn })
 	var once sync.Once
 	blocked, goOn := make(chan struct{}), make(chan struct{})
 	s := newFixtureWith(t, testSettings(), func(told countCallback) {
@@ -44,15 +44,15 @@
 		_, err := s.Reconfigure(reorderedSettings())
 		taken <- err
 	}()
-	standin.Eventually(t, "new settings on their way", func() bool {
+	fakes.Eventually(t, "new settings on their way", func() bool {
 		if s.settingsLock.TryRLock() {
 			s.settingsLock.RUnlock()
 			return false
 		}
 		return true
 	})
-	crossing.send(standin.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
-	standin.Eventually(t, "the crossing task", func() bool { return s.inHand() == 2 })
+	crossing.send(fakes.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
+	fakes.Eventually(t, "the crossing task", func() bool { return s.inHand() == 2 })
 	close(goOn)
 	if err := <-taken; err != nil {
 		t.Fatal(err)
@@ -70,14 +70,14 @@
 // more than they owe, which the next request on that connection would take for its own.
 func TestAnswers_neverReachAnotherCustomer(t *testing.T) {
 	const clients, rounds = 8, 30
-	server := standin.NewServer(t, func(words []string) string {
+	server := fakes.NewServer(t, func(words []string) string {
 		own := strings.Join(slices.Concat(words[1:3], words[4:]), " ")
 		if strings.HasSuffix(words[2], "7") {
-			return standin.FormatValue(own, 1) + standin.FormatValue("of another", 1)
+			return fakes.FormatValue(own, 1) + fakes.FormatValue("of another", 1)
 		}
-		return standin.FormatValue(own, 1)
+		return fakes.FormatValue(own, 1)
 	})
-	s := newFixture(t, 8<<20, slices.Repeat([]*standin.Server{server}, 8)...).start()
+	s := newFixture(t, 8<<20, slices.Repeat([]*fakes.Server{server}, 8)...).start()
 	var good atomic.Int64
 	var all sync.WaitGroup
 	for i := range clients {
@@ -87,11 +87,11 @@
 				var want []string
 				for _, size := range []int{1, 4<<10 - 1, 4 << 10, 4<<10 + 1, 20 << 10}[:1+round%5] { // one behind another
 					id, value := uniqueID(), strings.Repeat(fill, size)
-					c.send(standin.FormatCommand("SVC.SUBMIT", customer, id, "c=pay,t=wide,d=14000", value))
+					c.send(fakes.FormatCommand("SVC.SUBMIT", customer, id, "c=pay,t=wide,d=14000", value))
 					want = append(want, customer+" "+id+" "+value)
 				}
 				id := uniqueID()
-				c.send(standin.FormatCommand("SVC.QUERY", customer, id, "c=look,t=open,d=14000"))
+				c.send(fakes.FormatCommand("SVC.QUERY", customer, id, "c=look,t=open,d=14000"))
 				for _, own := range append(want, customer+" "+id) {
 					if line := c.readAnswer(); line == own {
 						good.Add(1)
