--- a/internal/front/disconnect_test.go
+++ b/internal/listener/disconnect_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 	"time"
 
 	"harrierhoist/internal/resp"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // disconnectBound is what an end may take to be noticed. It is to be 0.1 s, which goneLook keeps; the rest is for a machine that is
@@ -34,7 +34,7 @@
 		"more than is in hand":   {strings.Repeat("look", 60), maxInFlightPerConn + 1, maxInFlightPerConn},
 		"words that are none":    {"*x\r\n", 2, 1},
 		"much that is no words":  {"*x\r\n" + strings.Repeat("y", 100<<10), 2, 1},
-		"bad words in a row":     {strings.Repeat(standin.FormatCommand("FOO"), 300), maxInFlightPerConn + 1, 1},
+		"bad words in a row":     {strings.Repeat(fakes.FormatCommand("FOO"), 300), maxInFlightPerConn + 1, 1},
 		"a value that is long":   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n" + strings.Repeat("y", 65537), 2, 1},
 		"half a command":         {"*4\r\n$9\r\nSVC.Q", 2, 1},
 		"half a value":           {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nyy", 2, 1},
@@ -43,8 +43,8 @@
 		for way, leave := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
-				server := standin.NewServer(t, answerNothing)
-				s := newFixture(t, 0, slices.Repeat([]*standin.Server{server}, 8)...).start() // it takes a few tasks under each of its names
+				server := fakes.NewServer(t, answerNothing)
+				s := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start() // it takes a few tasks under each of its names
 				c := s.dial()
 				c.send(queryCommand())
 				for rest, more := send.behind, true; more; {
@@ -54,8 +54,8 @@
 					}
 					c.send(text)
 				}
-				standin.Eventually(t, "all in hand", func() bool { return s.inHand() == send.inHand })
-				standin.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == send.begun })
+				fakes.Eventually(t, "all in hand", func() bool { return s.inHand() == send.inHand })
+				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == send.begun })
 				checkDisconnect(t, s, server, func() { leave(c) })
 			})
 		}
@@ -64,11 +64,11 @@
 
 // checkDisconnect checks that a client that leaves is soon noticed, and that its tasks, whose attempts then fail at the server, are not
 // tried again: each had one attempt.
-func checkDisconnect(t *testing.T, s *fixture, server *standin.Server, leave func()) {
+func checkDisconnect(t *testing.T, s *fixture, server *fakes.Server, leave func()) {
 	t.Helper()
 	tasks, left := server.PendingCommands(), time.Now()
 	leave()
-	standin.Eventually(t, "the end", func() bool { return s.clientCount() == 0 })
+	fakes.Eventually(t, "the end", func() bool { return s.clientCount() == 0 })
 	if took := time.Since(left); took > disconnectBound {
 		t.Errorf("noticed after %v", took)
 	}
@@ -87,14 +87,14 @@
 		"closed": func(c *testClient) { _ = c.Close() }, "half closed": func(c *testClient) { _ = c.CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := standin.NewServer(t, answerNothing)
+			server := fakes.NewServer(t, answerNothing)
 			s := newFixture(t, 0, server)
 			c := s.dial()
-			c.send(queryCommand() + queryCommand() + submitCommand("body") + standin.FormatCommand("FOO") + queryCommand())
+			c.send(queryCommand() + queryCommand() + submitCommand("body") + fakes.FormatCommand("FOO") + queryCommand())
 			leave(c)
 			over := make(chan struct{})
 			s.start(func(conn *net.TCPConn) net.Conn {
-				standin.Eventually(t, "the end", resp.NewConn(conn).IsPeerClosed)
+				fakes.Eventually(t, "the end", resp.NewConn(conn).IsPeerClosed)
 				return closeNotifier{conn, sync.OnceFunc(func() { close(over) })}
 			})
 			<-over
--- a/internal/front/disconnect_waiting_test.go
+++ b/internal/listener/disconnect_waiting_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"net"
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -17,8 +17,8 @@
 	for name, counted := range map[string]bool{"for a server": false, "for a total": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
-			given, servers := testSettings(), []*standin.Server(nil)
+			server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
+			given, servers := testSettings(), []*fakes.Server(nil)
 			var mu sync.Mutex
 			var calls []countCallback
 			var count func(countCallback)
@@ -34,14 +34,14 @@
 			s := newFixtureWith(t, given, count, 0, servers...).start()
 			leaves, stays := s.dial(), s.dial()
 			leaves.send(queryCommand() + submitCommand("body") + queryCommand())
-			standin.Eventually(t, "all in hand", func() bool { return s.inHand() == 3 })
+			fakes.Eventually(t, "all in hand", func() bool { return s.inHand() == 3 })
 			_ = leaves.Close()
-			standin.Eventually(t, "the end", func() bool { return s.clientCount() == 1 })
+			fakes.Eventually(t, "the end", func() bool { return s.clientCount() == 1 })
 			if !counted {
-				s.gate.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s-0", Address: server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
+				s.gate.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s-0", Address: server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
 			}
 			stays.send(queryCommand())
-			standin.Eventually(t, "the other", func() bool { // totals come, also for those that had left
+			fakes.Eventually(t, "the other", func() bool { // totals come, also for those that had left
 				mu.Lock()
 				all := calls
 				calls = nil
@@ -69,25 +69,25 @@
 		for way, leave := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
-				server := standin.NewServer(t, func(words []string) string {
+				server := fakes.NewServer(t, func(words []string) string {
 					if words[2] == "first" {
-						return standin.FormatValue(longestBody, 1)
+						return fakes.FormatValue(longestBody, 1)
 					}
 					return ""
 				})
-				s := newFixture(t, 0, slices.Repeat([]*standin.Server{server}, 8)...).start(func(conn *net.TCPConn) net.Conn {
+				s := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start(func(conn *net.TCPConn) net.Conn {
 					_ = conn.SetWriteBuffer(4 << 10) // far less than the answer
 					return conn
 				})
 				c := s.dial()
 				_ = c.SetReadBuffer(4 << 10)
-				c.send(standin.FormatCommand("SVC.QUERY", uniqueID(), "first", "c=look,t=wide,d=14000"))
+				c.send(fakes.FormatCommand("SVC.QUERY", uniqueID(), "first", "c=look,t=wide,d=14000"))
 				for range more {
 					c.send(queryCommand())
 				}
 				begun := min(1+more, maxInFlightPerConn)
-				standin.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == begun })
-				standin.Eventually(t, "the answer", func() bool {
+				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == begun })
+				fakes.Eventually(t, "the answer", func() bool {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					_, open := s.openIDs["first"]
--- a/internal/front/drain_client_test.go
+++ b/internal/listener/drain_client_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // drainClient is the other end of a connection to the front.
@@ -77,7 +77,7 @@
 
 // look is a command; its number reaches the server.
 func query(n int) string {
-	return standin.FormatCommand("SVC.QUERY", "00000000b4d65521", fmt.Sprintf("%016x", ids.Add(1)),
+	return fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", fmt.Sprintf("%016x", ids.Add(1)),
 		fmt.Sprintf("c=look,t=wide,d=3000,n=%d", n))
 }
 
@@ -89,8 +89,8 @@
 		if let[n] != nil {
 			<-let[n]
 		}
-		return standin.FormatValue(fmt.Sprintf("value %d", n), 1)
+		return fakes.FormatValue(fmt.Sprintf("value %d", n), 1)
 	}
 }
 
-var ping = standin.FormatCommand("PING")
+var ping = fakes.FormatCommand("PING")
--- a/internal/front/drain_fixture_test.go
+++ b/internal/listener/drain_fixture_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"net"
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
@@ -101,7 +101,7 @@
 	*testing.T
 	*net.TCPListener
 	f      *Listener
-	server *standin.Server
+	server *fakes.Server
 	logs   *observer.ObservedLogs
 	hook   atomic.Pointer[func(*tappedConn)] // of the connections accepted from here on
 	came   chan *tappedConn
@@ -129,15 +129,15 @@
 		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: 2 * time.Second, Timeout: 3 * time.Second, Effect: policy.Idempotent}},
 		Plans:   []policy.Plan{{Name: "wide", Rate: 100000, Burst: 100000}}}
 	core, logs := observer.New(zapcore.WarnLevel)
-	g, err := gate.New(site, 7, gate.Dependencies{}, zap.NewNop())
+	g, err := dispatch.New(site, 7, dispatch.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go g.RunTimers(t.Context())
-	h := &drainFixture{T: t, TCPListener: standin.Listen(t).(*net.TCPListener), server: standin.NewServer(t, answer), logs: logs,
+	h := &drainFixture{T: t, TCPListener: fakes.Listen(t).(*net.TCPListener), server: fakes.NewServer(t, answer), logs: logs,
 		came: make(chan *tappedConn, 1000), served: make(chan error, 1)}
-	g.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s-1", Address: h.server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
-	h.f = New(&site, g, fleet.New(time.Second, time.Minute, nil, 100), places, 0, zap.New(core))
+	g.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s-1", Address: h.server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
+	h.f = New(&site, g, upstream.New(time.Second, time.Minute, nil, 100), places, 0, zap.New(core))
 	h.f.Ready()
 	h.hook.Store(&hook)
 	go func() { h.served <- h.f.Serve(h) }()
@@ -159,7 +159,7 @@
 		h.f.Drain(h)
 		close(ended)
 	}()
-	standin.Eventually(h, "closing", h.f.draining.Load)
+	fakes.Eventually(h, "closing", h.f.draining.Load)
 	return ended
 }
 
@@ -176,7 +176,7 @@
 // awaitEmpty waits until all places are free.
 func (h *drainFixture) awaitEmpty() {
 	h.Helper()
-	standin.Eventually(h, "all places free", func() bool { return len(h.f.slots) == 0 })
+	fakes.Eventually(h, "all places free", func() bool { return len(h.f.slots) == 0 })
 }
 
 // makeIdle makes a client one that has been idle for long.
--- a/internal/front/drain_test.go
+++ b/internal/listener/drain_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -30,7 +30,7 @@
 	stands.send(query(3))
 	too.send(query(4))
 	ended := h.drain()
-	standin.Eventually(t, "the end of reading on", h.f.isReadOver)
+	fakes.Eventually(t, "the end of reading on", h.f.isReadOver)
 	close(let[1])
 	for i, c := range []*drainClient{holds, waits, stands, too} {
 		c.want([]string{"value 1", "value 2", "value 3", "value 4"}[i])
@@ -99,7 +99,7 @@
 	h := newDrainFixture(t, 8, func(near *tappedConn) {
 		near.waited = once(func() {
 			raw, _ := near.TCPConn.SyscallConn()
-			standin.Eventually(t, "all that was sent", func() (all bool) {
+			fakes.Eventually(t, "all that was sent", func() (all bool) {
 				_ = raw.Control(func(fd uintptr) {
 					n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 2*buffer), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 					all = n == many*len(ping)
@@ -137,7 +137,7 @@
 	}, answerHello)
 	c := h.dial()
 	c.send(query(1))
-	standin.Eventually(t, "the answer", stuck.Load)
+	fakes.Eventually(t, "the answer", stuck.Load)
 	waits := h.dial()
 	began := time.Now()
 	ended := h.drain()
--- a/internal/front/fixture_test.go
+++ b/internal/listener/fixture_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
@@ -23,7 +23,7 @@
 type fixture struct {
 	*testing.T
 	*Listener
-	gate        *gate.Dispatcher
+	gate        *dispatch.Dispatcher
 	tcpListener net.Listener
 }
 
@@ -38,7 +38,7 @@
 }
 
 // newFixture begins a story whose front holds so many bytes; it serves once a listener is given.
-func newFixture(t *testing.T, bytes int, servers ...*standin.Server) *fixture {
+func newFixture(t *testing.T, bytes int, servers ...*fakes.Server) *fixture {
 	t.Helper()
 	return newFixtureWith(t, testSettings(), nil, bytes, servers...)
 }
@@ -47,11 +47,11 @@
 type countCallback func(float64, policy.Outcome)
 
 // newFixtureWith is play with settings and a counter whose calls go to a function, under the gate's lock.
-func newFixtureWith(t *testing.T, given policy.Settings, count func(countCallback), bytes int, servers ...*standin.Server) *fixture {
+func newFixtureWith(t *testing.T, given policy.Settings, count func(countCallback), bytes int, servers ...*fakes.Server) *fixture {
 	t.Helper()
 	given.HasCounter = count != nil
-	f := fleet.New(2*time.Second, 10*time.Second, nil, 2000)
-	g, err := gate.New(given, 7, gate.Dependencies{IdleTimeout: f.IdleTimeout(), CheckHealth: func(gate.Server, func(gate.Result)) {},
+	f := upstream.New(2*time.Second, 10*time.Second, nil, 2000)
+	g, err := dispatch.New(given, 7, dispatch.Dependencies{IdleTimeout: f.IdleTimeout(), CheckHealth: func(dispatch.Server, func(dispatch.Result)) {},
 		Count: func(_ uint64, _ float64, _ time.Duration, told func(float64, policy.Outcome)) { count(told) }}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -59,14 +59,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go g.RunTimers(ctx)
-	var list []gate.Server
+	var list []dispatch.Server
 	for i, s := range servers {
-		list = append(list, gate.Server{Name: fmt.Sprintf("s-%d", i), Address: s.Addr, Endpoint: policy.Endpoint{State: policy.Ready}})
+		list = append(list, dispatch.Server{Name: fmt.Sprintf("s-%d", i), Address: s.Addr, Endpoint: policy.Endpoint{State: policy.Ready}})
 	}
 	if len(list) > 0 {
 		g.HandleEndpoints(policy.ListFull, list)
 	}
-	return &fixture{t, New(&given, g, f, 256, bytes, zap.NewNop()), g, standin.Listen(t)}
+	return &fixture{t, New(&given, g, f, 256, bytes, zap.NewNop()), g, fakes.Listen(t)}
 }
 
 // start has clients taken; each connection is first handed to the functions given.
@@ -153,7 +153,7 @@
 // awaitEmpty waits until the front has no client and carries nothing.
 func (s *fixture) awaitEmpty() {
 	s.Helper()
-	standin.Eventually(s, "all gone", func() bool {
+	fakes.Eventually(s, "all gone", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.clients) == 0 && len(s.openIDs) == 0
@@ -165,11 +165,11 @@
 func uniqueID() string { return fmt.Sprintf("%016x", lastNumber.Add(1)) }
 
 func queryCommand() string {
-	return standin.FormatCommand("SVC.QUERY", uniqueID(), uniqueID(), "c=look,t=wide,d=14000")
+	return fakes.FormatCommand("SVC.QUERY", uniqueID(), uniqueID(), "c=look,t=wide,d=14000")
 }
 
 func submitCommand(body string) string {
-	return standin.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", body)
+	return fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", body)
 }
 
 func answerNothing([]string) string { return "" }
--- a/internal/front/fuzz_test.go
+++ b/internal/listener/fuzz_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/resp"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -37,11 +37,11 @@
 			{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent}}}
 	f.Fuzz(func(t *testing.T, verb, customer, id, list, value string, body bool, n uint8) {
 		words := []string{verb, customer, id, list}[:1+int(n)%4]
-		text := standin.FormatCommand(words...)
+		text := fakes.FormatCommand(words...)
 		if body {
-			text = standin.FormatCommand(append(words, value)...)
+			text = fakes.FormatCommand(append(words, value)...)
 		}
-		c := &client{listener: New(site, nil, nil, 1, 0, nil), conn: resp.NewConn(&standin.ScriptedConn{Input: []byte(text)})}
+		c := &client{listener: New(site, nil, nil, 1, 0, nil), conn: resp.NewConn(&fakes.ScriptedConn{Input: []byte(text)})}
 		if c.conn.Await() != nil {
 			t.Fatal("no command")
 		}
--- a/internal/front/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"io"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -25,11 +25,11 @@
 // readable.
 func TestGoldenAnswers(t *testing.T) {
 	const customer = "0000000000000005"
-	query := func(list string) string { return standin.FormatCommand("SVC.QUERY", customer, uniqueID(), list) }
+	query := func(list string) string { return fakes.FormatCommand("SVC.QUERY", customer, uniqueID(), list) }
 	submit := func(list, body string) string {
-		return standin.FormatCommand("SVC.SUBMIT", customer, uniqueID(), list, body)
+		return fakes.FormatCommand("SVC.SUBMIT", customer, uniqueID(), list, body)
 	}
-	served := func([]string) string { return standin.FormatValue("hello", 3) }
+	served := func([]string) string { return fakes.FormatValue("hello", 3) }
 	failed := func([]string) string { return "-ERR failed\r\n" }
 	for name, c := range map[string]struct {
 		sent   string
@@ -38,15 +38,15 @@
 		want   string
 		goesOn bool // the connection goes on
 	}{
-		"ping before the list":      {standin.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
-		"ping":                      {standin.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
-		"ping in small letters":     {standin.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
-		"unknown command":           {standin.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
-		"too few words":             {standin.FormatCommand("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
-		"a query with a value":      {standin.FormatCommand("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
-		"a submit with none":        {standin.FormatCommand("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
-		"no customer":               {standin.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
-		"a customer beyond all":     {standin.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"ping before the list":      {fakes.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
+		"ping":                      {fakes.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
+		"ping in small letters":     {fakes.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
+		"unknown command":           {fakes.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
+		"too few words":             {fakes.FormatCommand("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
+		"a query with a value":      {fakes.FormatCommand("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
+		"a submit with none":        {fakes.FormatCommand("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
+		"no customer":               {fakes.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
+		"a customer beyond all":     {fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
 		"a doubled name":            {query("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
 		"an empty name":             {query("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
 		"an empty value":            {query("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
@@ -65,7 +65,7 @@
 		"no plan":                   {query("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
 		"no deadline":               {query("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
 		"no key":                    {submit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no id":                     {standin.FormatCommand("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
+		"no id":                     {fakes.FormatCommand("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
 		"served":                    {query("c=look,t=wide,d=14000"), true, served, "$5\r\nhello\r\n", true},
 		"served, with a key":        {submit("c=book,t=wide,d=14000,k=7", "x"), true, served, "$5\r\nhello\r\n", true},
 		"failed":                    {submit("c=pay,t=wide,d=14000", "x"), true, failed, "-ERR failed\r\n", true},
@@ -82,9 +82,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var servers []*standin.Server
+			var servers []*fakes.Server
 			if c.server != nil {
-				servers = append(servers, standin.NewServer(t, c.server))
+				servers = append(servers, fakes.NewServer(t, c.server))
 			}
 			s := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
 			if c.ready {
@@ -104,7 +104,7 @@
 				}
 				return
 			}
-			client.send(standin.FormatCommand("FOO"))
+			client.send(fakes.FormatCommand("FOO"))
 			if line := client.readAnswer(); line != "-ERR unknown command" {
 				t.Errorf("the next command answered %q", line)
 			}
@@ -114,12 +114,12 @@
 
 // A request whose id another open request has is answered at once; one whose servers are all full is told when to come again.
 func TestGoldenAnswersWithOthersOpen(t *testing.T) {
-	server := standin.NewServer(t, answerNothing)
+	server := fakes.NewServer(t, answerNothing)
 	s := newFixture(t, 0, server).start()
 	first, second := s.dial(), s.dial()
-	first.send(standin.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
-	standin.Eventually(t, "the first request", func() bool { return server.PendingCommands() == 1 })
-	second.send(standin.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	first.send(fakes.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
+	fakes.Eventually(t, "the first request", func() bool { return server.PendingCommands() == 1 })
+	second.send(fakes.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
 	if line := second.readAnswer(); line != "-ERR no id of its own" {
 		t.Errorf("answered %q", line)
 	}
--- a/internal/front/leak_test.go
+++ b/internal/listener/leak_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 // A test that leaves a goroutine behind fails the package. Carriers that are free are left out: they stay, by design, for
 // as long as the process does (startWork). One with a task in hand still counts.
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("harrierhoist/internal/front.(*Listener).startWork.func1"))
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("harrierhoist/internal/listener.(*Listener).startWork.func1"))
 }
--- a/internal/front/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
 // Package front serves clients: it accepts, reads tasks, has each carried, and answers in the order of the
 // tasks on a connection.
-package front
+package listener
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
@@ -37,8 +37,8 @@
 
 // Listener owns the connections of clients.
 type Listener struct {
-	dispatcher  *gate.Dispatcher
-	upstream    *fleet.Pool
+	dispatcher  *dispatch.Dispatcher
+	upstream    *upstream.Pool
 	log         *zap.Logger
 	ready       atomic.Bool
 	idleWorkers chan job // to carriers that are free
@@ -60,7 +60,7 @@
 }
 
 // New makes a front that holds at most so many connections, and so many bytes of what clients ask; 0: no bound on them.
-func New(site *policy.Settings, g *gate.Dispatcher, f *fleet.Pool, most, bytes int, log *zap.Logger) *Listener {
+func New(site *policy.Settings, g *dispatch.Dispatcher, f *upstream.Pool, most, bytes int, log *zap.Logger) *Listener {
 	fr := &Listener{dispatcher: g, upstream: f, log: log, openIDs: map[string]struct{}{},
 		slots: make(chan struct{}, max(most, 1)), clients: map[*client]struct{}{},
 		acceptDone: make(chan struct{}), drainDone: make(chan struct{}), idleWorkers: make(chan job)}
@@ -95,7 +95,7 @@
 			f.evict(easy)
 		}
 		c := &client{listener: f, conn: resp.NewConn(conn), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
-			requests: map[*gate.Request]struct{}{}, lastUsed: time.Now(), unanswered: true}
+			requests: map[*dispatch.Request]struct{}{}, lastUsed: time.Now(), unanswered: true}
 		for range maxInFlightPerConn {
 			c.inFlightTokens <- struct{}{}
 		}
--- a/internal/front/memory.go
+++ b/internal/listener/memory.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"sync"
--- a/internal/front/memory_test.go
+++ b/internal/listener/memory_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // longestBody is the longest value.
@@ -17,7 +17,7 @@
 
 // blockingServer has a server hold its answers until it is let go, and counts the values that it was sent and has not answered.
 type blockingServer struct {
-	*standin.Server
+	*fakes.Server
 	release               chan struct{}
 	mu                    sync.Mutex
 	inFlight, maxInFlight int
@@ -25,7 +25,7 @@
 
 func newBlockingServer(t *testing.T, answer string) *blockingServer {
 	h := &blockingServer{release: make(chan struct{})}
-	h.Server = standin.NewServer(t, func([]string) string {
+	h.Server = fakes.NewServer(t, func([]string) string {
 		h.mu.Lock()
 		h.inFlight++
 		h.maxInFlight = max(h.maxInFlight, h.inFlight)
@@ -34,7 +34,7 @@
 		h.mu.Lock()
 		h.inFlight--
 		h.mu.Unlock()
-		return standin.FormatValue(answer, 1)
+		return fakes.FormatValue(answer, 1)
 	})
 	return h
 }
@@ -50,7 +50,7 @@
 func TestMemoryLimit_boundsValuesInFlight(t *testing.T) {
 	const clients, each, bytes = 12, 2, 1 << 20
 	server := newBlockingServer(t, longestBody)
-	s := newFixture(t, bytes, slices.Repeat([]*standin.Server{server.Server}, 20)...).start()
+	s := newFixture(t, bytes, slices.Repeat([]*fakes.Server{server.Server}, 20)...).start()
 	var answered, refused atomic.Int64
 	var all sync.WaitGroup
 	for range clients {
@@ -72,8 +72,8 @@
 		})
 	}
 	most := bytes / (maxRequestOverhead + len(longestBody))
-	standin.Eventually(t, "as many as there is room for", func() bool { return server.unanswered() == most })
-	standin.Eventually(t, "the others refused", func() bool { return refused.Load() >= int64(clients-most) })
+	fakes.Eventually(t, "as many as there is room for", func() bool { return server.unanswered() == most })
+	fakes.Eventually(t, "the others refused", func() bool { return refused.Load() >= int64(clients-most) })
 	close(server.release)
 	all.Wait()
 	if n := answered.Load() + refused.Load(); n != clients*each || answered.Load() < int64(most) {
@@ -85,7 +85,7 @@
 	if server.maxInFlight > most {
 		t.Errorf("%d held at once, with room for %d", server.maxInFlight, most)
 	}
-	standin.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+	fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
 }
 
 func (r *memoryLimiter) usedBytes() int {
@@ -96,11 +96,11 @@
 
 // What clients hold up or leave behind takes no room, and nobody else waits for it.
 func TestMemoryLimit_isReleasedWhateverClientsDo(t *testing.T) {
-	long := standin.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
+	long := fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
 	for name, do := range map[string]func(c *testClient, server *blockingServer){
 		"one byte now and then": func(c *testClient, _ *blockingServer) {
 			c.send(long[:len(long)/2])
-			standin.Eventually(c, "room taken", func() bool { return c.memory.usedBytes() > 0 })
+			fakes.Eventually(c, "room taken", func() bool { return c.memory.usedBytes() > 0 })
 			for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) { // until it is closed
 				time.Sleep(commandTimeout / 8)
 			}
@@ -119,20 +119,20 @@
 		},
 		"much at once, and gone": func(c *testClient, server *blockingServer) {
 			go func() { _, _ = c.Write([]byte(strings.Repeat(submitCommand(longestBody), 40))) }() // until it is closed
-			standin.Eventually(c, "the first", func() bool { return server.unanswered() > 0 })
+			fakes.Eventually(c, "the first", func() bool { return server.unanswered() > 0 })
 			_, _ = c.SetLinger(0), c.Close()
 		},
 		"reads no answer": func(c *testClient, server *blockingServer) {
 			c.send(queryCommand() + queryCommand() + queryCommand())
-			standin.Eventually(c, "the last", func() bool { return server.unanswered() == 3 })
+			fakes.Eventually(c, "the last", func() bool { return server.unanswered() == 3 })
 			close(server.release)
-			standin.Eventually(c, "its end", func() bool { return c.clientCount() == 0 })
+			fakes.Eventually(c, "its end", func() bool { return c.clientCount() == 0 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := newBlockingServer(t, longestBody)
-			s := newFixture(t, 4<<20, slices.Repeat([]*standin.Server{server.Server}, 8)...)
+			s := newFixture(t, 4<<20, slices.Repeat([]*fakes.Server{server.Server}, 8)...)
 			s.start(func(conn *net.TCPConn) net.Conn {
 				_ = conn.SetWriteBuffer(4 << 10)
 				return conn
@@ -147,7 +147,7 @@
 				close(server.release)
 			}
 			s.awaitEmpty()
-			standin.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+			fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
 		})
 	}
 }
@@ -155,7 +155,7 @@
 // Where there is no room, who asks for it waits a while and is refused; who needs none is answered at once, and the end
 // of one that waits is seen.
 func TestMemoryLimit_rejectsWithoutCapacity(t *testing.T) {
-	server := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	s := newFixture(t, 4<<20, server).start()
 	c, leaves := s.dial(), s.dial()
 	ask := func(text, want string) {
@@ -166,29 +166,29 @@
 		}
 	}
 	ask(queryCommand(), "hello")
-	standin.Eventually(t, "all the room", func() bool { return s.memory.acquire(s.memory.limit, false) == nil })
+	fakes.Eventually(t, "all the room", func() bool { return s.memory.acquire(s.memory.limit, false) == nil })
 	ask(queryCommand(), "-BUSY")
 	ask(submitCommand(longestBody), "-BUSY")
-	ask(standin.FormatCommand("PING"), "-ERR not ready")
+	ask(fakes.FormatCommand("PING"), "-ERR not ready")
 	if n := server.PendingCommands(); n != 1 {
 		t.Errorf("%d sent on", n)
 	}
-	standin.Eventually(t, "all answered", func() bool { return s.inHand() == 0 })
+	fakes.Eventually(t, "all answered", func() bool { return s.inHand() == 0 })
 	leaves.send(submitCommand("body"))
-	standin.Eventually(t, "the one that leaves", func() bool { return s.inHand() == 1 })
+	fakes.Eventually(t, "the one that leaves", func() bool { return s.inHand() == 1 })
 	left := time.Now()
 	_ = leaves.Close()
-	standin.Eventually(t, "its end", func() bool { return s.clientCount() == 1 })
+	fakes.Eventually(t, "its end", func() bool { return s.clientCount() == 1 })
 	if took := time.Since(left); took > memoryTimeout*3/5 {
 		t.Errorf("noticed after %v", took)
 	}
 	c.send(submitCommand(longestBody) + queryCommand())
-	standin.Eventually(t, "the one that waits", func() bool { return s.inHand() == 1 })
+	fakes.Eventually(t, "the one that waits", func() bool { return s.inHand() == 1 })
 	s.memory.release(s.memory.limit)
 	for range 2 {
 		if line := c.readAnswer(); line != "hello" {
 			t.Errorf("with room again: answered %.40q", line)
 		}
 	}
-	standin.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+	fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
 }
--- a/internal/front/parse.go
+++ b/internal/listener/parse.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"math"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
@@ -76,7 +76,7 @@
 }
 
 // admitCommand reads a command and admits the task, by the same settings, or gives a line that answers it at once.
-func (c *client) admitCommand(cmd *pendingCommand, age time.Duration) (*gate.Request, *fleet.Command, string) {
+func (c *client) admitCommand(cmd *pendingCommand, age time.Duration) (*dispatch.Request, *upstream.Command, string) {
 	c.listener.settingsLock.RLock()
 	defer c.listener.settingsLock.RUnlock()
 	t, e, line := c.parse(cmd, age)
@@ -87,8 +87,8 @@
 }
 
 // parse reads a command that came so long ago: a task, whose id is open from here on, or a line that answers it at once.
-func (c *client) parse(cmd *pendingCommand, age time.Duration) (gate.RequestSpec, *fleet.Command, string) {
-	var t gate.RequestSpec
+func (c *client) parse(cmd *pendingCommand, age time.Duration) (dispatch.RequestSpec, *upstream.Command, string) {
+	var t dispatch.RequestSpec
 	if cmd.Discarded {
 		return t, nil, rejectionLine(0)
 	}
@@ -111,7 +111,7 @@
 	if err != nil || len(cmd.Words[1]) != 16 || t.Customer >= maxCustomer {
 		return t, nil, "-ERR no customer"
 	}
-	e := &fleet.Command{Verb: verb, Customer: cmd.Words[1], ID: cmd.Words[2], Body: cmd.Body}
+	e := &upstream.Command{Verb: verb, Customer: cmd.Words[1], ID: cmd.Words[2], Body: cmd.Body}
 	if line := c.listener.parser.Load().parseTerms(&t, e, cmd.Words[3], query); line != "" {
 		return t, nil, line
 	}
@@ -128,7 +128,7 @@
 
 // parseTerms reads the list of names and values, each name once; unknown names are passed on unread. What is out of
 // range is refused here: the module takes what it is handed.
-func (f *requestParser) parseTerms(t *gate.RequestSpec, e *fleet.Command, list string, query bool) string {
+func (f *requestParser) parseTerms(t *dispatch.RequestSpec, e *upstream.Command, list string, query bool) string {
 	t.Plan, t.Units, t.GatewayCount = -1, 1, 1
 	var l *class
 	key := false
--- a/internal/front/slots_test.go
+++ b/internal/listener/slots_test.go
@@ -1,11 +1,11 @@
-package front
+package listener
 
 import (
 	"testing"
 	"time"
 
 	"harrierhoist/internal/resp"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // fullListener is a front of eight places: so many clients have just come and say nothing, the others were answered.
@@ -13,7 +13,7 @@
 	t.Helper()
 	f := &Listener{slots: make(chan struct{}, 8), clients: map[*client]struct{}{}}
 	for i := range cap(f.slots) {
-		near, _ := standin.ConnPair(t)
+		near, _ := fakes.ConnPair(t)
 		c := &client{conn: resp.NewConn(near), lastUsed: time.Now(), unanswered: i < young}
 		if c.unanswered {
 			c.lastUsed = c.lastUsed.Add(time.Hour) // young throughout
--- a/internal/front/worker.go
+++ b/internal/listener/worker.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"math"
@@ -6,12 +6,12 @@
 	"strconv"
 	"time"
 
-	"harrierhoist/internal/fleet"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/upstream"
 )
 
 // admit hands a task over and remembers it, to tell of the client's going.
-func (c *client) admit(t gate.RequestSpec) *gate.Request {
+func (c *client) admit(t dispatch.RequestSpec) *dispatch.Request {
 	e := c.listener.dispatcher.Admit(t)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,8 +23,8 @@
 type job struct {
 	client  *client
 	turn    uint
-	request *gate.Request
-	message *fleet.Command
+	request *dispatch.Request
+	message *upstream.Command
 	memory  int // of the room
 }
 
@@ -57,10 +57,10 @@
 }
 
 // execute carries a task and gives what writes its answer.
-func (c *client) execute(e *gate.Request, what *fleet.Command) func() error {
+func (c *client) execute(e *dispatch.Request, what *upstream.Command) func() error {
 	for {
 		switch choice := e.Next(); choice.Action {
-		case gate.Forward:
+		case dispatch.Forward:
 			result, value := c.listener.upstream.Attempt(choice, what)
 			e.ReportResult(result)
 			if value != nil {
@@ -69,11 +69,11 @@
 					return c.conn.WriteValue(value)
 				}
 			}
-		case gate.Reject:
+		case dispatch.Reject:
 			return func() error { return c.conn.WriteLine(rejectionLine(choice.RetryAfter)) }
-		case gate.Terminate:
+		case dispatch.Terminate:
 			return func() error { return c.conn.WriteLine("-ERR failed") }
-		case gate.Disconnected:
+		case dispatch.Disconnected:
 			return func() error { return net.ErrClosed }
 		}
 	}
--- a/internal/resp/await_test.go
+++ b/internal/resp/await_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // The wait for a message reads none of it: whoever asks sees it standing, and an end of the connection says so.
@@ -51,7 +51,7 @@
 func TestAwaitWithoutDescriptor(t *testing.T) {
 	near, far := net.Pipe()
 	c := NewConn(near)
-	go func() { _, _ = io.WriteString(far, standin.FormatCommand("PING")) }()
+	go func() { _, _ = io.WriteString(far, fakes.FormatCommand("PING")) }()
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 // Scant, what was read on is used up, and no more is read than the message needs that had begun.
 func TestStopReadAheadReadsNothingBehindMessage(t *testing.T) {
 	c, far := connPair(t)
-	ping := standin.FormatCommand("PING")
+	ping := fakes.FormatCommand("PING")
 	many := bufferSize/len(ping) + 8 // a buffer and seven
 	_, _ = io.WriteString(far, strings.Repeat(ping, many))
 	_ = far.(*net.TCPConn).CloseWrite()
@@ -91,7 +91,7 @@
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 		}
 		_, _ = io.WriteString(far, "x")
-		standin.Eventually(t, "a byte", func() bool { return !c.IsQuiet() })
+		fakes.Eventually(t, "a byte", func() bool { return !c.IsQuiet() })
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 		if err := c.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: ended, with %v, before the end", name, err)
--- a/internal/resp/fuzz_test.go
+++ b/internal/resp/fuzz_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // readResult is what is kept of a message, to compare readings.
@@ -31,7 +31,7 @@
 // readCommands reads all that a client sent, so many bytes at a time, until an error; values are held where there is room.
 func readCommands(t *testing.T, data []byte, step int, room bool) (all []readResult) {
 	const words = 4
-	c := NewConn(&standin.ScriptedConn{Input: data, MaxRead: step})
+	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
 			return append(all, readResult{Error: err.Error()})
@@ -67,11 +67,11 @@
 
 // checkRoundTrip checks that a command, written, reads back as itself.
 func checkRoundTrip(t *testing.T, cmd *Command) {
-	out := &standin.ScriptedConn{}
+	out := &fakes.ScriptedConn{}
 	if err := NewConn(out).WriteCommand(cmd); err != nil {
 		t.Fatal(err)
 	}
-	c := NewConn(&standin.ScriptedConn{Input: out.Output.Bytes()})
+	c := NewConn(&fakes.ScriptedConn{Input: out.Output.Bytes()})
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
@@ -86,12 +86,12 @@
 // Whatever a client sends: no panic, the limits hold, a command passes on unchanged, and it is all one how the network
 // cuts the bytes up, and whether there is room for values.
 func FuzzReadCommand(f *testing.F) {
-	query := standin.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
+	query := fakes.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
 		query, query + query, "*1\r\n$4\r\nPING\r\n", query[:len(query)-5], "PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n$-1\r\n",
-		standin.FormatCommand("SVC.SUBMIT", "0000000000000005", "9b20", "c=book,t=open,d=480,k=7", "BODY") + query,
-		standin.FormatCommand("SVC.SUBMIT", "", "", "", ""), standin.FormatCommand("PING", strings.Repeat("x", maxWordSize+1)),
-		standin.FormatCommand(strings.Repeat("x", maxWordSize)), standin.FormatCommand("a", "b", "c", "d", strings.Repeat("x", maxValueSize)),
+		fakes.FormatCommand("SVC.SUBMIT", "0000000000000005", "9b20", "c=book,t=open,d=480,k=7", "BODY") + query,
+		fakes.FormatCommand("SVC.SUBMIT", "", "", "", ""), fakes.FormatCommand("PING", strings.Repeat("x", maxWordSize+1)),
+		fakes.FormatCommand(strings.Repeat("x", maxWordSize)), fakes.FormatCommand("a", "b", "c", "d", strings.Repeat("x", maxValueSize)),
 		"*1\n$4\nPING\n", "*1\r\n$4\r\nPI\r\n\r\n", "*2\r\n$1\r\na\r\n+b\r\n",
 		"*1\r\n$4\r\nPINGxx", "*1\r\n$+4\r\nPING\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n\r\n", "\x00\xff",
 	} {
@@ -115,7 +115,7 @@
 
 // readReplies reads all that a server sent, until an error.
 func readReplies(t *testing.T, data []byte, step int) (all []readResult) {
-	c := NewConn(&standin.ScriptedConn{Input: data, MaxRead: step})
+	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
 			return append(all, readResult{Error: err.Error()})
@@ -146,7 +146,7 @@
 
 // Whatever a server sends: no panic, the limits hold, and it is all one how the network cuts the bytes up.
 func FuzzReadReply(f *testing.F) {
-	served := standin.FormatValue("hello", 3)
+	served := fakes.FormatValue("hello", 3)
 	for _, text := range []string{
 		served, served + served, served[:9], "*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n",
 		"$-1\r\n", "+PONG\r\n", "+OK\r\n+OK\r\n", ":7\r\n", "-BUSY\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7\r\n",
--- a/internal/resp/peerstate_test.go
+++ b/internal/resp/peerstate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 func TestPeerStateReportsAgeOfUnreadBytes(t *testing.T) {
@@ -17,7 +17,7 @@
 		return age
 	}
 	_, _ = io.WriteString(far, "x")
-	standin.Eventually(t, "the age", func() bool { return age() >= 50*time.Millisecond })
+	fakes.Eventually(t, "the age", func() bool { return age() >= 50*time.Millisecond })
 	if _, err := c.Read(make([]byte, 1)); err != nil || age() < 50*time.Millisecond {
 		t.Errorf("reading made them %v old (%v)", age(), err)
 	}
@@ -35,12 +35,12 @@
 	} {
 		c, far := connPair(t)
 		_, _ = io.WriteString(far, strings.Repeat("x", 2*bufferSize))
-		standin.Eventually(t, "the bytes", func() bool { return !c.IsQuiet() })
+		fakes.Eventually(t, "the bytes", func() bool { return !c.IsQuiet() })
 		if c.IsPeerClosed() {
 			t.Errorf("%s: gone before", name)
 		}
 		leave(c, far.(*net.TCPConn))
-		standin.Eventually(t, name, c.IsPeerClosed)
+		fakes.Eventually(t, name, c.IsPeerClosed)
 	}
 	c, _ := connPair(t)
 	if _ = c.Conn.(*net.TCPConn).CloseWrite(); c.IsPeerClosed() {
@@ -54,7 +54,7 @@
 // A value for which there is no room is thrown away whole, and the next command is read.
 func TestReadCommandDiscardsValueWithoutCapacity(t *testing.T) {
 	for _, size := range []int{0, 1, bufferSize, maxValueSize} {
-		c := connOf(t, standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+standin.FormatCommand("PING"))
+		c := connOf(t, fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+fakes.FormatCommand("PING"))
 		asked := -1
 		cmd, err := c.ReadCommand(4, func(size int) bool {
 			asked = size
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,13 +8,13 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // connPair is a connection, and the other end of it.
 func connPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
-	near, far := standin.ConnPair(t)
+	near, far := fakes.ConnPair(t)
 	return NewConn(near), far
 }
 
@@ -35,7 +35,7 @@
 func TestCommandRoundTrip(t *testing.T) {
 	for _, size := range []int{0, 1, bufferSize, bufferSize + 1, maxValueSize} {
 		body := strings.Repeat("x", size)
-		c := connOf(t, standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body)+standin.FormatCommand("PING"))
+		c := connOf(t, fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body)+fakes.FormatCommand("PING"))
 		cmd, err := c.ReadCommand(4, nil)
 		if err != nil || len(cmd.Words) != 4 || cmd.Words[3] != "c=a" || cmd.Body.String() != body {
 			t.Fatalf("size %d: got %+v, %v", size, cmd, err)
@@ -49,7 +49,7 @@
 		}
 		out, far := connPair(t)
 		go func() { _, _ = out.WriteCommand(cmd), out.Close() }()
-		if got, _ := io.ReadAll(far); string(got) != standin.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body) {
+		if got, _ := io.ReadAll(far); string(got) != fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body) {
 			t.Errorf("size %d: %d bytes written otherwise", size, len(got))
 		}
 	}
@@ -85,7 +85,7 @@
 
 func TestReadReply(t *testing.T) {
 	for text, want := range map[string]Reply{
-		standin.FormatValue("hello", 4):         {Kind: '*', Attributes: []string{"used=10,cost=4", ""}},
+		fakes.FormatValue("hello", 4):           {Kind: '*', Attributes: []string{"used=10,cost=4", ""}},
 		"$5\r\nhello\r\n":                       {Kind: '$'},
 		"-ERR failed used=3\r\n":                {Kind: '-', Line: "ERR failed used=3"},
 		"-BUSY\r\n":                             {Kind: '-', Line: "BUSY"},
@@ -114,7 +114,7 @@
 }
 
 func TestAwaitHoldsNoBuffer(t *testing.T) {
-	c := connOf(t, standin.FormatCommand("PING")+standin.FormatCommand("PING"))
+	c := connOf(t, fakes.FormatCommand("PING")+fakes.FormatCommand("PING"))
 	for i := range 2 {
 		if err := c.Await(); err != nil {
 			t.Fatal(err)
@@ -142,8 +142,8 @@
 		t.Error("a new connection is not quiet")
 	}
 	_, _ = io.WriteString(far, "x")
-	standin.Eventually(t, "bytes", func() bool { return !c.IsQuiet() })
+	fakes.Eventually(t, "bytes", func() bool { return !c.IsQuiet() })
 	c, far = connPair(t)
 	_ = far.Close()
-	standin.Eventually(t, "the end", func() bool { return !c.IsQuiet() })
+	fakes.Eventually(t, "the end", func() bool { return !c.IsQuiet() })
 }
--- a/internal/steer/golden_test.go
+++ b/internal/routing/golden_test.go
@@ -1,4 +1,4 @@
-package steer
+package routing
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/failover"
 )
 
@@ -50,7 +50,7 @@
 		case 4:
 			f.zoneLost = !f.zoneLost
 		case 5:
-			f.held = cluster.CachedTable{}
+			f.held = coordination.CachedTable{}
 		}
 		f.now += time.Duration(random.IntN(900)) * time.Millisecond
 		u.Update()
--- a/internal/steer/updater.go
+++ b/internal/routing/updater.go
@@ -1,7 +1,7 @@
 // Package steer keeps one gateway to the plan that all hold in common: it hands the gate the shares of its own hall while
 // the lease on the plan stands, and after that serves near by its own evidence. It runs beside the tasks, never on their
 // path: the gate acts on what it was last handed, and on the end of the lease, without it.
-package steer
+package routing
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/failover"
-	"harrierhoist/internal/gate"
 )
 
 // checkInterval is how often it is looked whether the own hall is lost, or the lease renewed.
@@ -20,14 +20,14 @@
 
 // Dispatcher is what is steered.
 type Dispatcher interface {
-	SetSteering(leased gate.Steering, lease time.Duration, fallback gate.Steering)
+	SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering)
 	WriteZoneCounts(add func(name string, n uint64))
 	IsZoneLost() bool
 }
 
 // Updater is the state of one gateway's steering.
 type Updater struct {
-	tables     cluster.Client
+	tables     coordination.Client
 	dispatcher Dispatcher
 	zones      []string
 	zone       string
@@ -43,12 +43,12 @@
 
 // appliedSteering is what the gate was last handed; the lease is by its end.
 type appliedSteering struct {
-	leased, fallback gate.Steering
+	leased, fallback dispatch.Steering
 	until            time.Duration
 }
 
 // New makes the steering of a gateway in a hall. Halls are all of them, in the order of the list's numbers.
-func New(tables cluster.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
+func New(tables coordination.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
 	return &Updater{tables: tables, dispatcher: dispatcher, zones: zones, zone: zone, log: log}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // loadPlan reads a plan. One that makes no sense is none.
-func (u *Updater) loadPlan(table cluster.CachedTable) {
+func (u *Updater) loadPlan(table coordination.CachedTable) {
 	u.epoch = table.Epoch
 	plan, err := failover.DecodePlan(table.Value)
 	if err != nil {
@@ -124,8 +124,8 @@
 
 // steeringOf is a part by the numbers of halls. A hall of the plan that the list doesn't have gets nothing, and its share is
 // shed: the others were not planned to bear it.
-func (u *Updater) steeringOf(assignment failover.Assignment) gate.Steering {
-	leased := gate.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
+func (u *Updater) steeringOf(assignment failover.Assignment) dispatch.Steering {
+	leased := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
 	sum, found := 0.0, 0.0
 	for _, zone := range assignment.Zones() {
 		sum += assignment.Weights[zone]
@@ -141,7 +141,7 @@
 }
 
 func (h appliedSteering) equal(o appliedSteering) bool {
-	same := func(a, b gate.Steering) bool {
+	same := func(a, b dispatch.Steering) bool {
 		return a.ShedFraction == b.ShedFraction && slices.Equal(a.Weights, b.Weights)
 	}
 	return h.until == o.until && same(h.leased, o.leased) && same(h.fallback, o.fallback)
--- a/internal/steer/updater_test.go
+++ b/internal/routing/updater_test.go
@@ -1,4 +1,4 @@
-package steer
+package routing
 
 import (
 	"context"
@@ -10,29 +10,29 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/failover"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // fake stands in for what the processes hold in common, and for the gate.
 type fake struct {
 	mu               sync.Mutex
 	now              time.Duration
-	held             cluster.CachedTable
+	held             coordination.CachedTable
 	changed          chan struct{}
 	zoneLost         bool
 	countsRegistered bool
-	leased           gate.Steering // in force now
-	fallback         gate.Steering
+	leased           dispatch.Steering // in force now
+	fallback         dispatch.Steering
 	until            time.Duration
 	applied          int
 }
 
 func (f *fake) Now() time.Duration { return f.now }
 
-func (f *fake) Cached(string) cluster.CachedTable {
+func (f *fake) Cached(string) coordination.CachedTable {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held
@@ -45,14 +45,14 @@
 func (f *fake) WriteZoneCounts(func(string, uint64))                 {}
 func (f *fake) IsZoneLost() bool                                     { return f.zoneLost }
 
-func (f *fake) SetSteering(leased gate.Steering, lease time.Duration, fallback gate.Steering) {
+func (f *fake) SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leased, f.fallback, f.until, f.applied = leased, fallback, f.now+lease, f.applied+1
 }
 
 // inForce is how the gate acts now.
-func (f *fake) inForce() gate.Steering {
+func (f *fake) inForce() dispatch.Steering {
 	if f.now >= f.until {
 		return f.fallback
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.held = cluster.CachedTable{Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second}
+	f.held = coordination.CachedTable{Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second}
 }
 
 func newFixture(t *testing.T) (*fake, *Updater, *observer.ObservedLogs) {
@@ -144,7 +144,7 @@
 
 func (f *fake) awaitApplied(t *testing.T, times int) {
 	t.Helper()
-	standin.Eventually(t, "the gate is steered", func() bool {
+	fakes.Eventually(t, "the gate is steered", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.applied == times
--- a/internal/debts/controller.go
+++ b/internal/settlement/controller.go
@@ -1,4 +1,4 @@
-package debts
+package settlement
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
 )
 
 const (
@@ -32,7 +32,7 @@
 }
 
 // ZoneStatusFunc gives what failover says, by name; halls not named are taken to be well. Nil where failover is off.
-type ZoneStatusFunc func(seen cluster.ControllerInput) map[string]ZoneStatus
+type ZoneStatusFunc func(seen coordination.ControllerInput) map[string]ZoneStatus
 
 // Controller turns debts into shares. It keeps what this leader saw, and nothing of what it decided: that is read from
 // the table, and what is owed from the totals of the log.
@@ -57,7 +57,7 @@
 	counts map[string]uint64 // ours alone
 }
 
-var _ cluster.Controller = (*Controller)(nil)
+var _ coordination.Controller = (*Controller)(nil)
 
 // NewController makes a decider; halls may be nil. The terms must have passed their Check.
 func NewController(terms Terms, zoneStatus ZoneStatusFunc) *Controller {
@@ -69,7 +69,7 @@
 
 // Decide gives the next value of the table, at most once a beat. A value that cannot be read is left as it stands:
 // gateways go by none such.
-func (c *Controller) Decide(now time.Duration, seen cluster.ControllerInput) ([]byte, bool) {
+func (c *Controller) Decide(now time.Duration, seen coordination.ControllerInput) ([]byte, bool) {
 	if c.baseline == nil || seen.LeadingSince != c.leadingSince {
 		*c = Controller{terms: c.terms, zoneStatus: c.zoneStatus, leadingSince: seen.LeadingSince, lastSettlingAt: now, baseline: map[string]*serviceStats{},
 			duringSettlement: map[string]*serviceStats{}, sincePaceChange: map[string]*serviceStats{}}
--- a/internal/debts/controller_test.go
+++ b/internal/settlement/controller_test.go
@@ -1,4 +1,4 @@
-package debts
+package settlement
 
 import (
 	"maps"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 )
 
 // controllerFixture is a log, and the evidence that its leader has: three partners with 1,000 tasks a second each.
@@ -43,7 +43,7 @@
 func (f *controllerFixture) changeLeader(terms Terms) {
 	f.now += 1000 * time.Hour
 	f.since, f.counts = f.now, map[string]uint64{}
-	f.controller = NewController(terms, func(cluster.ControllerInput) map[string]ZoneStatus { return f.zoneStatus })
+	f.controller = NewController(terms, func(coordination.ControllerInput) map[string]ZoneStatus { return f.zoneStatus })
 }
 
 func (f *controllerFixture) addDebt(debtor, creditor string, units uint64) {
@@ -68,7 +68,7 @@
 
 func (f *controllerFixture) decide() {
 	entry := f.state.Table(TableName)
-	value, write := f.controller.Decide(f.now, cluster.ControllerInput{Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since,
+	value, write := f.controller.Decide(f.now, coordination.ControllerInput{Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since,
 		Table: f.state.Table})
 	if write {
 		f.index++
--- a/internal/debts/fairness.go
+++ b/internal/settlement/fairness.go
@@ -1,4 +1,4 @@
-package debts
+package settlement
 
 // Flow is what a creditor wants of a debtor, and its weight among the others.
 type Flow struct{ Demand, Weight float64 } // Weight above 0
--- a/internal/debts/guard.go
+++ b/internal/settlement/guard.go
@@ -1,10 +1,10 @@
-package debts
+package settlement
 
 import (
 	"math"
 	"time"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // Metric is a kind of evidence, counted for each partner by gateways since their start. Units are in thousandths.
--- a/internal/debts/journal/golden_test.go
+++ b/internal/settlement/journal/golden_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/till"
 )
 
 // goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
@@ -18,11 +18,11 @@
 	life string
 	kept []till.StoredBalance
 }{
-	{"1k2j3", []till.StoredBalance{{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
+	{"1k2j3", []till.StoredBalance{{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
 	{"1k2j3", nil},
 	{"1k2j3+", []till.StoredBalance{
-		{Pair: debts.Pair{Debtor: "north", Creditor: "south"}, Debt: 2700, InFlight: 0},
-		{Pair: debts.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Debt: 1 << 40, InFlight: 1},
+		{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 2700, InFlight: 0},
+		{Pair: settlement.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Debt: 1 << 40, InFlight: 1},
 	}},
 }
 
--- a/internal/debts/journal/journal.go
+++ b/internal/settlement/journal/journal.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement/till"
 )
 
 const (
--- a/internal/debts/journal/journal_test.go
+++ b/internal/settlement/journal/journal_test.go
@@ -8,12 +8,12 @@
 
 	"go.etcd.io/bbolt"
 
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/till"
 )
 
 func testBalances(n uint64) []till.StoredBalance {
-	return []till.StoredBalance{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
+	return []till.StoredBalance{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
 }
 
 func openJournal(t *testing.T, folder string) *Journal {
--- a/internal/debts/keep/runtime.go
+++ b/internal/settlement/keep/runtime.go
@@ -8,19 +8,19 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/journal"
-	"harrierhoist/internal/debts/till"
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/journal"
+	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
 // Start has a gateway count debts and settle them by what all hold in common, until the context ends; the channel is
 // closed once all is on disk. Halls are the names in the order of the settings. Without a folder nothing is kept on
 // disk. The till is for other terms later (Reshape). Errors: a folder that cannot be used, or is another process's.
-func Start(ctx context.Context, terms debts.Terms, settings policy.Settings, zones []string, seed int64, folder string,
-	coordination cluster.Client, dispatcher *gate.Dispatcher, log *zap.Logger) (*till.Accounts, <-chan struct{}, error) {
+func Start(ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
+	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*till.Accounts, <-chan struct{}, error) {
 	var store till.Store
 	closeStore := func() error { return nil }
 	if folder != "" {
--- a/internal/debts/keep/runtime_test.go
+++ b/internal/settlement/keep/runtime_test.go
@@ -9,10 +9,10 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -22,7 +22,7 @@
 }
 
 func (noCoordination) Now() time.Duration                                   { return time.Second }
-func (noCoordination) Cached(string) cluster.CachedTable                    { return cluster.CachedTable{} }
+func (noCoordination) Cached(string) coordination.CachedTable               { return coordination.CachedTable{} }
 func (noCoordination) Changed() <-chan struct{}                             { return nil }
 func (noCoordination) RegisterCounters(func(func(string, uint64)))          {}
 func (a noCoordination) RegisterExactCounters(e func(func(string, uint64))) { a.exact <- e }
@@ -30,15 +30,15 @@
 // A gateway counts what a push owes, ends, and starts again on the same folder: its first digest tells it.
 func TestStart_debtsSurviveRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	terms := debts.DefaultTerms()
+	terms := settlement.DefaultTerms()
 	terms.On = true
-	terms.Partners = []debts.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}}}
+	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}}}
 	settings := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: time.Second}},
 		Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}}}
 	folder := t.TempDir()
-	run := func(do func(*gate.Dispatcher)) {
-		dispatcher, err := gate.New(settings, 7, gate.Dependencies{}, zap.NewNop())
+	run := func(do func(*dispatch.Dispatcher)) {
+		dispatcher, err := dispatch.New(settings, 7, dispatch.Dependencies{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 		}
 		do(dispatcher)
 		exact := <-in.exact
-		standin.Eventually(t, "the debt in the digest", func() bool {
+		fakes.Eventually(t, "the debt in the digest", func() bool {
 			owed := uint64(0)
 			exact(func(name string, n uint64) {
 				if strings.HasSuffix(name, "\x1fa\x1fb") {
@@ -65,13 +65,13 @@
 		cancel()
 		<-ended
 	}
-	run(func(dispatcher *gate.Dispatcher) {
-		dispatcher.HandleEndpoints(policy.ListFull, []gate.Server{{Name: "s", Endpoint: policy.Endpoint{State: policy.Ready}}})
-		e := dispatcher.Admit(gate.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
-		if c := e.Next(); c.Action != gate.Forward {
+	run(func(dispatcher *dispatch.Dispatcher) {
+		dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s", Endpoint: policy.Endpoint{State: policy.Ready}}})
+		e := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
+		if c := e.Next(); c.Action != dispatch.Forward {
 			t.Fatalf("verdict %d", c.Action)
 		}
-		e.ReportResult(gate.Result{Outcome: policy.Answered, Billed: 3.5})
+		e.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 3.5})
 	})
-	run(func(*gate.Dispatcher) {})
+	run(func(*dispatch.Dispatcher) {})
 }
--- a/internal/debts/ledger.go
+++ b/internal/settlement/ledger.go
@@ -1,11 +1,11 @@
-package debts
+package settlement
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // ExactTable is the table of totals in which voters put the exact counts of processes.
--- a/internal/debts/ledger_test.go
+++ b/internal/settlement/ledger_test.go
@@ -1,4 +1,4 @@
-package debts
+package settlement
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
 	"pgregory.net/rapid"
 )
 
--- a/internal/debts/play/coordination.go
+++ b/internal/settlement/play/coordination.go
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/till"
 )
 
 // The planted bugs.
@@ -51,7 +51,7 @@
 	for _, late := range delays {
 		s.schedule(s.now+late, func() { s.receiveDigest(digest) })
 	}
-	state, err := debts.DecodeState(s.state.Table(debts.TableName).Value)
+	state, err := settlement.DecodeState(s.state.Table(settlement.TableName).Value)
 	if err != nil {
 		s.addViolation("a table that cannot be read")
 	}
@@ -99,8 +99,8 @@
 // startLeader begins a leader's time: its book and its decider know nothing.
 func (s *simulation) startLeader() {
 	s.observations, s.leadingSince = evidence.NewMerger(), max(s.now, 1)
-	s.controller = debts.NewController(s.Terms, func(cluster.ControllerInput) map[string]debts.ZoneStatus {
-		return map[string]debts.ZoneStatus{s.settings.Zones[0]: {FailingOver: s.now >= s.BeforeOutage && s.now < s.BeforeOutage+s.Outage+5*time.Second, Headroom: -1}}
+	s.controller = settlement.NewController(s.Terms, func(coordination.ControllerInput) map[string]settlement.ZoneStatus {
+		return map[string]settlement.ZoneStatus{s.settings.Zones[0]: {FailingOver: s.now >= s.BeforeOutage && s.now < s.BeforeOutage+s.Outage+5*time.Second, Headroom: -1}}
 	})
 }
 
@@ -109,7 +109,7 @@
 		return
 	}
 	s.index++
-	s.state.Apply(s.index, tables.Command{Kind: tables.RaiseTotals, Table: debts.ExactTable, Totals: exactTotals(s.observations)})
+	s.state.Apply(s.index, tables.Command{Kind: tables.RaiseTotals, Table: settlement.ExactTable, Totals: exactTotals(s.observations)})
 }
 
 func (s *simulation) totals(table string) map[string]uint64 {
@@ -128,9 +128,9 @@
 	if s.now < s.leaderlessUntil || s.now >= s.endTime() {
 		return
 	}
-	entry := s.state.Table(debts.TableName)
+	entry := s.state.Table(settlement.TableName)
 	held := entry
-	value, write := s.controller.Decide(s.now, cluster.ControllerInput{Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
+	value, write := s.controller.Decide(s.now, coordination.ControllerInput{Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
 		Table: func(string) tables.Table { return held }})
 	if !write || s.MessageFaults && s.random.Float64() < 0.1 { // lost against another write, or with the leader
 		return
@@ -139,19 +139,19 @@
 		value = s.applySettlementTwice(entry, value)
 	}
 	s.index++
-	s.state.Apply(s.index, tables.Command{Kind: tables.Write, Table: debts.TableName, Epoch: entry.Epoch, Value: value})
+	s.state.Apply(s.index, tables.Command{Kind: tables.Write, Table: settlement.TableName, Epoch: entry.Epoch, Value: value})
 }
 
 // applySettlementTwice is the planted bug: what the shares that stood have moved since is taken off the debts.
 func (s *simulation) applySettlementTwice(entry tables.Table, value []byte) []byte {
-	was, _ := debts.DecodeState(entry.Value)
-	next, _ := debts.DecodeState(value)
+	was, _ := settlement.DecodeState(entry.Value)
+	next, _ := settlement.DecodeState(value)
 	for _, share := range was.Shares {
-		moved := float64(share.PPM) / debts.PartsPerMillion * s.RequestRate * s.IdempotentFraction * meanUnits * float64(next.Clock-was.Clock)
-		i := slices.IndexFunc(next.Forgiven, func(a debts.Amount) bool { return a.Pair == share.Pair })
+		moved := float64(share.PPM) / settlement.PartsPerMillion * s.RequestRate * s.IdempotentFraction * meanUnits * float64(next.Clock-was.Clock)
+		i := slices.IndexFunc(next.Forgiven, func(a settlement.Amount) bool { return a.Pair == share.Pair })
 		if i < 0 {
 			i = len(next.Forgiven)
-			next.Forgiven = append(next.Forgiven, debts.Amount{Pair: share.Pair})
+			next.Forgiven = append(next.Forgiven, settlement.Amount{Pair: share.Pair})
 		}
 		next.Forgiven[i].Sum += uint64(moved)
 	}
@@ -175,8 +175,8 @@
 
 // checkInvariants checks each second what must always hold.
 func (s *simulation) checkInvariants() {
-	state, _ := debts.DecodeState(s.state.Table(debts.TableName).Value)
-	ledger := debts.ReadLedger(s.totals(debts.ExactTable))
+	state, _ := settlement.DecodeState(s.state.Table(settlement.TableName).Value)
+	ledger := settlement.ReadLedger(s.totals(settlement.ExactTable))
 	nets := ledger.NetDebts(state.Forgiven)
 	for p, owed := range s.previousLedger {
 		if ledger[p] < owed {
@@ -185,7 +185,7 @@
 	}
 	s.previousLedger = ledger
 	sum, open := int64(0), uint64(0)
-	for _, b := range debts.Balances(nets) {
+	for _, b := range settlement.Balances(nets) {
 		sum += b
 	}
 	for _, n := range nets {
@@ -211,8 +211,8 @@
 	s.leaderlessUntil = 0
 	s.commitTotals()
 	s.checkInvariants()
-	state, _ := debts.DecodeState(s.state.Table(debts.TableName).Value)
-	ledger := debts.ReadLedger(s.totals(debts.ExactTable))
+	state, _ := settlement.DecodeState(s.state.Table(settlement.TableName).Value)
+	ledger := settlement.ReadLedger(s.totals(settlement.ExactTable))
 	for p, owed := range s.trueDebts {
 		switch told := ledger[p]; {
 		case told > owed:
@@ -226,7 +226,7 @@
 	if most := float64(s.crashes) * each; s.WithStores && s.result.Lost > 0 || float64(s.result.Lost) > most {
 		s.addViolation("%d lost in %d deaths", s.result.Lost, s.crashes)
 	}
-	truth := debts.Ledger(s.trueDebts).NetDebts(nil)
+	truth := settlement.Ledger(s.trueDebts).NetDebts(nil)
 	if shown := ledger.NetDebts(state.Forgiven); s.Terms.ForgiveAfter == 0 && s.result.Lost == 0 && !slices.Equal(truth, shown) {
 		s.addViolation("open: %v, truly %v", shown, truth)
 	}
--- a/internal/debts/play/scenario.go
+++ b/internal/settlement/play/scenario.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 )
 
 // Scenario says what is played. Partners bring a hall each.
 type Scenario struct {
 	Seed               uint64
-	Terms              debts.Terms
+	Terms              settlement.Terms
 	Partners           int
 	GatewaysPerZone    int           // in each hall
 	RequestRate        float64       // tasks a second of each partner
--- a/internal/debts/play/simulation.go
+++ b/internal/settlement/play/simulation.go
@@ -8,11 +8,11 @@
 	"math/rand/v2"
 	"time"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/cluster/evidence"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/debts/till"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
@@ -53,12 +53,12 @@
 	state           *tables.State
 	index           uint64
 	observations    *evidence.Merger
-	controller      cluster.Controller
+	controller      coordination.Controller
 	leadingSince    time.Duration // when the leader began to lead
 	leaderlessUntil time.Duration // no leader until then
 	receivedTotals  map[string]uint64
-	trueDebts       map[debts.Pair]uint64
-	previousLedger  debts.Ledger // a second before
+	trueDebts       map[settlement.Pair]uint64
+	previousLedger  settlement.Ledger // a second before
 	crashes         int
 	firstAttempts   [2][]int // after the outage: first tries, in time
 	movedThisSecond int
@@ -68,7 +68,7 @@
 // Run plays it.
 func Run(scenario Scenario) Result {
 	s := &simulation{Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: tables.New(), observations: evidence.NewMerger(),
-		receivedTotals: map[string]uint64{}, trueDebts: map[debts.Pair]uint64{}}
+		receivedTotals: map[string]uint64{}, trueDebts: map[settlement.Pair]uint64{}}
 	s.firstAttempts = [2][]int{make([]int, scenario.Partners), make([]int, scenario.Partners)}
 	s.result.SettledAfter = -1
 	for i := range scenario.Partners {
@@ -203,9 +203,9 @@
 	startedAt := s.now
 	endsAt := max(s.serverFreeAt[zone][nextFree], s.now) + serviceTime
 	s.serverFreeAt[zone][nextFree] = endsAt
-	outcome, billedUnits, owed := policy.Answered, trueUnits, debts.Thousandths(trueUnits)
+	outcome, billedUnits, owed := policy.Answered, trueUnits, settlement.Thousandths(trueUnits)
 	if endsAt-startedAt > requestTimeout {
-		endsAt, outcome, billedUnits, owed = startedAt+requestTimeout, policy.TimedOut, 0, debts.Thousandths(meanUnits)
+		endsAt, outcome, billedUnits, owed = startedAt+requestTimeout, policy.TimedOut, 0, settlement.Thousandths(meanUnits)
 	}
 	if startedAt >= s.BeforeOutage+s.Outage {
 		s.firstAttempts[0][partner]++
@@ -213,10 +213,10 @@
 			s.firstAttempts[1][partner]++
 		}
 	}
-	p := debts.Pair{Debtor: s.partnerNames[partner], Creditor: s.partnerNames[zone]}
+	p := settlement.Pair{Debtor: s.partnerNames[partner], Creditor: s.partnerNames[zone]}
 	s.schedule(endsAt, func() {
 		if !g.trackers[tracker] { // its process has died: kept as told where there is a disk
-			owed = debts.Thousandths(meanUnits)
+			owed = settlement.Thousandths(meanUnits)
 		} else {
 			delete(g.trackers, tracker)
 			tracker.OnAttemptEnd(s.now, outcome, billedUnits)
--- a/internal/debts/play/simulation_test.go
+++ b/internal/settlement/play/simulation_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 )
 
 var measure = flag.Bool("measure", false, "print the tables of docs/debts.md")
 
 // testScenario is three partners with a hall each, of which the first is lost for a minute.
 func testScenario(seed uint64) Scenario {
-	terms := debts.DefaultTerms()
+	terms := settlement.DefaultTerms()
 	terms.On = true
 	for i := range 3 {
 		from := uint64(i+1) << 16
-		terms.Partners = append(terms.Partners, debts.Partner{Name: string(rune('a' + i)),
+		terms.Partners = append(terms.Partners, settlement.Partner{Name: string(rune('a' + i)),
 			Zones: []string{fmt.Sprintf("hall-%d", i)}, Customers: []string{fmt.Sprintf("%016x-%016x", from, from+0xffff)}})
 	}
 	return Scenario{Seed: seed, Terms: terms, Partners: 3, GatewaysPerZone: 2, RequestRate: 100, IdempotentFraction: 0.6, ServersPerZone: 9,
--- a/internal/debts/shares.go
+++ b/internal/settlement/shares.go
@@ -1,11 +1,11 @@
-package debts
+package settlement
 
 import (
 	"time"
 
 	"slices"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
 )
 
 // setShares works out the shares. A debtor's servers take tasks of its creditor: each is then owed by the creditor, and the
@@ -88,7 +88,7 @@
 }
 
 // excludedPartners gives the partners that failover needs whole: one of their halls is out, or has too little left.
-func (c *Controller) excludedPartners(seen cluster.ControllerInput) map[string]bool {
+func (c *Controller) excludedPartners(seen coordination.ControllerInput) map[string]bool {
 	all := map[string]bool{}
 	if c.zoneStatus == nil {
 		return all
--- a/internal/debts/state.go
+++ b/internal/settlement/state.go
@@ -1,4 +1,4 @@
-package debts
+package settlement
 
 import (
 	"cmp"
--- a/internal/debts/terms.go
+++ b/internal/settlement/terms.go
@@ -1,6 +1,6 @@
 // Package debts says who owes whom for tasks that ran on another's servers, and by which shares that is settled. It
 // knows no sockets, no disk and no clock: the same totals and evidence in the same order give the same shares.
-package debts
+package settlement
 
 import (
 	"cmp"
--- a/internal/debts/till/accounts.go
+++ b/internal/settlement/till/accounts.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/debts"
 	"harrierhoist/internal/pool"
+	"harrierhoist/internal/settlement"
 	"harrierhoist/policy"
 )
 
@@ -23,19 +23,19 @@
 // Accounts is a gateway's. All calls may be made by several goroutines at once.
 type Accounts struct {
 	mu              sync.Mutex
-	terms           debts.Terms
+	terms           settlement.Terms
 	settings        Settings
-	partners        *debts.PartnerIndex
+	partners        *settlement.PartnerIndex
 	random          *rand.Rand
 	ledgerID        string // of the counts below
 	initialLedgerID string // the life that this process was given
-	balances        map[debts.Pair]*balance
-	metrics         map[string]*[debts.MetricCount]uint64 // evidence, by partner
-	shares          []share                               // by lot; none while nothing is settled
-	sharesUntil     time.Duration                         // by now
+	balances        map[settlement.Pair]*balance
+	metrics         map[string]*[settlement.MetricCount]uint64 // evidence, by partner
+	shares          []share                                    // by lot; none while nothing is settled
+	sharesUntil     time.Duration                              // by now
 	now             func() time.Duration
-	stored          []debts.LedgerAmount // what goes into digests; of earlier lives too
-	changed         chan struct{}        // a sum has changed; nil where no disk is kept
+	stored          []settlement.LedgerAmount // what goes into digests; of earlier lives too
+	changed         chan struct{}             // a sum has changed; nil where no disk is kept
 }
 
 // balance is what stands for a pair, in thousandths of units.
@@ -52,9 +52,9 @@
 
 // New makes the till of a life of the counts, by which the log tells them from others of the same process: no two
 // lives of a process have the same name. Now is the clock that leases are told on.
-func New(terms debts.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
-	a := &Accounts{random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[debts.Pair]*balance{},
-		metrics: map[string]*[debts.MetricCount]uint64{},
+func New(terms settlement.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
+	a := &Accounts{random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[settlement.Pair]*balance{},
+		metrics: map[string]*[settlement.MetricCount]uint64{},
 		now:     now}
 	a.Reconfigure(terms, settings)
 	return a
@@ -62,7 +62,7 @@
 
 // Reconfigure takes other terms. What was counted stands; tasks on their way are counted by the terms that they began
 // under.
-func (a *Accounts) Reconfigure(terms debts.Terms, settings Settings) {
+func (a *Accounts) Reconfigure(terms settlement.Terms, settings Settings) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.configure(terms, settings)
@@ -70,12 +70,12 @@
 
 // configure takes both under the lock: what one caller leaves as it was must be what stands when it is taken, as terms come
 // with SIGHUP and lanes and plans with counting rules as well.
-func (a *Accounts) configure(terms debts.Terms, settings Settings) {
-	a.terms, a.settings, a.partners, a.shares = terms, settings, debts.NewPartnerIndex(terms, settings.Zones, settings.Plans), nil
+func (a *Accounts) configure(terms settlement.Terms, settings Settings) {
+	a.terms, a.settings, a.partners, a.shares = terms, settings, settlement.NewPartnerIndex(terms, settings.Zones, settings.Plans), nil
 }
 
 // SetTerms takes other terms for the same site.
-func (a *Accounts) SetTerms(terms debts.Terms) {
+func (a *Accounts) SetTerms(terms settlement.Terms) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.configure(terms, a.settings)
@@ -96,7 +96,7 @@
 }
 
 // ApplyState takes the table: its shares hold until a time of the clock.
-func (a *Accounts) ApplyState(state debts.State, until time.Duration) {
+func (a *Accounts) ApplyState(state settlement.State, until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.shares, a.sharesUntil = a.shares[:0], until
@@ -105,7 +105,7 @@
 	}
 	for _, s := range state.Shares {
 		if c, d := a.partners.PartnerNumber(s.Creditor), a.partners.PartnerNumber(s.Debtor); c > 0 && d > 0 && s.PPM > 0 {
-			a.shares = append(a.shares, share{c, d, float64(s.PPM) / debts.PartsPerMillion})
+			a.shares = append(a.shares, share{c, d, float64(s.PPM) / settlement.PartsPerMillion})
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	defer a.mu.Unlock()
 	for name, c := range a.metrics {
 		for what, n := range c {
-			add(debts.MetricName(debts.Metric(what), name), n)
+			add(settlement.MetricName(settlement.Metric(what), name), n)
 		}
 	}
 }
@@ -160,11 +160,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range a.stored {
-		add(debts.DebtCountName(c.LedgerID, c.Pair), c.Sum)
+		add(settlement.DebtCountName(c.LedgerID, c.Pair), c.Sum)
 	}
 	if a.changed == nil {
 		for p, pairBalance := range a.balances {
-			add(debts.DebtCountName(a.ledgerID, p), pairBalance.debt)
+			add(settlement.DebtCountName(a.ledgerID, p), pairBalance.debt)
 		}
 	}
 }
--- a/internal/debts/till/accounts_test.go
+++ b/internal/settlement/till/accounts_test.go
@@ -11,16 +11,16 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
-func testTerms() debts.Terms {
-	terms := debts.DefaultTerms()
+func testTerms() settlement.Terms {
+	terms := settlement.DefaultTerms()
 	terms.On = true
-	terms.Partners = []debts.Partner{{Name: "a", Zones: []string{"ha"}, Customers: []string{"0000000000000001"}},
+	terms.Partners = []settlement.Partner{{Name: "a", Zones: []string{"ha"}, Customers: []string{"0000000000000001"}},
 		{Name: "b", Zones: []string{"hb"}, Plans: []string{"wide"}}}
 	return terms
 }
@@ -37,7 +37,7 @@
 }
 
 func debtOfA(a *Accounts, ledgerID string) uint64 {
-	return debtCounts(a)[debts.DebtCountName(ledgerID, debts.Pair{Debtor: "a", Creditor: "b"})]
+	return debtCounts(a)[settlement.DebtCountName(ledgerID, settlement.Pair{Debtor: "a", Creditor: "b"})]
 }
 
 // The design's words on what a task costs, push by push: true units from the answer, what was told where none comes
@@ -103,9 +103,9 @@
 	a.TrackRequest(0, request).OnRequestEnd(false) // never pushed
 	got := map[string]uint64{}
 	a.ReportMetrics(func(name string, n uint64) { got[name] = n })
-	for metric, want := range map[debts.Metric]uint64{debts.MetricRequests: 3, debts.MetricLate: 2, debts.MetricIdempotentUnits: 8000,
-		debts.MetricIdempotentRequests: 4, debts.MetricServedUnits: 9000} {
-		if n := got[debts.MetricName(metric, "a")]; n != want {
+	for metric, want := range map[settlement.Metric]uint64{settlement.MetricRequests: 3, settlement.MetricLate: 2, settlement.MetricIdempotentUnits: 8000,
+		settlement.MetricIdempotentRequests: 4, settlement.MetricServedUnits: 9000} {
+		if n := got[settlement.MetricName(metric, "a")]; n != want {
 			t.Errorf("evidence %d is %d, not %d", metric, n, want)
 		}
 	}
@@ -115,8 +115,8 @@
 func TestAccounts_preferDebtorForStatedFraction(t *testing.T) {
 	now := time.Duration(0)
 	a := New(testTerms(), testSettings, "x", 1, func() time.Duration { return now })
-	pair := debts.Pair{Debtor: "a", Creditor: "b"}
-	a.ApplyState(debts.State{Shares: []debts.Share{{Pair: pair, PPM: debts.PartsPerMillion / 5}}}, time.Second)
+	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
+	a.ApplyState(settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 5}}}, time.Second)
 	count := func(request policy.Request) (n int) {
 		for range 10_000 {
 			if a.TrackRequest(0, request).PreferredPartner() == 1 {
@@ -154,23 +154,23 @@
 	gate, ended := make(updateSignal, 10), make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { a.Run(ctx, f, gate, nil, zap.New(core)); close(ended) }()
-	table := func(state debts.State) {
+	table := func(state settlement.State) {
 		b, _ := state.Encode()
 		f.update(func() {
-			f.held = cluster.CachedTable{Name: debts.TableName, Epoch: f.held.Epoch + 1, Value: b, LeaseEnd: time.Hour}
+			f.held = coordination.CachedTable{Name: settlement.TableName, Epoch: f.held.Epoch + 1, Value: b, LeaseEnd: time.Hour}
 		})
 	}
-	table(debts.State{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, PPM: 500}}})
+	table(settlement.State{Shares: []settlement.Share{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: 500}}})
 	<-gate
-	f.update(func() { f.now = debts.StaleAfter }) // nobody has written it again
+	f.update(func() { f.now = settlement.StaleAfter }) // nobody has written it again
 	<-gate
 	if owners, _ := a.LendingZones(); owners != nil {
 		t.Error("goes by a table that no decider keeps")
 	}
-	left := []debts.Amount{{Pair: debts.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}}
-	table(debts.State{Nets: left, ForgivenessLog: []debts.Forgiveness{{Amount: left[0], Number: 1}}})
-	table(debts.State{Nets: left, ForgivenessLog: []debts.Forgiveness{{Amount: left[0], Number: 1}, {Amount: left[0], Number: 2}}})
-	standin.Eventually(t, "lines of the log", func() bool {
+	left := []settlement.Amount{{Pair: settlement.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}}
+	table(settlement.State{Nets: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}}})
+	table(settlement.State{Nets: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}, {Amount: left[0], Number: 2}}})
+	fakes.Eventually(t, "lines of the log", func() bool {
 		return logs.FilterMessage("a debt is forgiven for its age").Len() == 2 &&
 			logs.FilterMessage("a debt stands with a partner that is not in the file").Len() == 1 &&
 			logs.FilterMessage("no debt is being settled").Len() == 1
@@ -190,7 +190,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { a.Run(ctx, f, make(updateSignal, 10), d, zap.NewNop()); close(ended) }()
-		standin.Eventually(t, "the till's counts asked for", f.isRegistered)
+		fakes.Eventually(t, "the till's counts asked for", f.isRegistered)
 		do(a)
 		cancel()
 		<-ended
@@ -204,15 +204,15 @@
 	run(func(a *Accounts) {
 		push(a).OnAttemptEnd(0, policy.Answered, 7)
 		push(a) // out as the process dies
-		standin.Eventually(t, "what was counted, told", func() bool { return debtOfA(a, "first") == 7000 })
+		fakes.Eventually(t, "what was counted, told", func() bool { return debtOfA(a, "first") == 7000 })
 	})
 	run(func(a *Accounts) {
-		standin.Eventually(t, "what was out, owed", func() bool { return debtOfA(a, "first") == 9000 })
+		fakes.Eventually(t, "what was out, owed", func() bool { return debtOfA(a, "first") == 9000 })
 		d.Lock()
 		d.isFailing = true
 		d.Unlock()
 		push(a).OnAttemptEnd(0, policy.Answered, 3)
-		standin.Eventually(t, "a life of its own", func() bool {
+		fakes.Eventually(t, "a life of its own", func() bool {
 			return debtOfA(a, "fresh+") == 3000 && debtOfA(a, "first") == 9000
 		})
 		push(a).OnAttemptEnd(0, policy.Answered, 1)
--- a/internal/debts/till/fake_test.go
+++ b/internal/settlement/till/fake_test.go
@@ -5,13 +5,13 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/cluster"
+	"harrierhoist/internal/coordination"
 )
 
 // fakeCoordination is what all hold in common, in a test's hands.
 type fakeCoordination struct {
 	sync.Mutex
-	held    cluster.CachedTable
+	held    coordination.CachedTable
 	now     time.Duration
 	changed chan struct{}
 	exact   func(add func(string, uint64))
@@ -31,7 +31,7 @@
 	return f.now
 }
 
-func (f *fakeCoordination) Cached(string) cluster.CachedTable {
+func (f *fakeCoordination) Cached(string) coordination.CachedTable {
 	f.Lock()
 	defer f.Unlock()
 	return f.held
--- a/internal/debts/till/golden_test.go
+++ b/internal/settlement/till/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 	"harrierhoist/policy"
 )
 
@@ -19,11 +19,11 @@
 // Which tasks are drawn to settle a debt is a till's seed's, and nothing else's.
 func TestGolden_electiveDraws(t *testing.T) {
 	terms := testTerms()
-	terms.Partners = append(terms.Partners, debts.Partner{Name: "c", Zones: []string{"nobody's"}})
+	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
 	a := New(terms, testSettings, "x", 42, clockAtZero)
-	a.ApplyState(debts.State{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, PPM: debts.PartsPerMillion / 5},
-		{Pair: debts.Pair{Debtor: "c", Creditor: "b"}, PPM: debts.PartsPerMillion / 10},
-		{Pair: debts.Pair{Debtor: "b", Creditor: "a"}, PPM: debts.PartsPerMillion / 2}}}, time.Second)
+	a.ApplyState(settlement.State{Shares: []settlement.Share{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion / 5},
+		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
+		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2}}}, time.Second)
 	all := sha256.New()
 	drawn := map[int]int{}
 	for i := range 10_000 {
@@ -43,7 +43,7 @@
 // Names and sums of all that a gateway tells, as they go into its digests.
 func TestGolden_reportedCounts(t *testing.T) {
 	a := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
-	a.ApplyState(debts.State{Shares: []debts.Share{{Pair: debts.Pair{Debtor: "a", Creditor: "b"}, PPM: debts.PartsPerMillion}}}, time.Second)
+	a.ApplyState(settlement.State{Shares: []settlement.Share{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion}}}, time.Second)
 	for _, c := range []struct {
 		task policy.Request
 		hall int
--- a/internal/debts/till/reconfigure_test.go
+++ b/internal/settlement/till/reconfigure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 	"harrierhoist/policy"
 )
 
@@ -13,9 +13,9 @@
 // had read it before, and could put an older one back.
 func TestAccounts_concurrentReconfigurationKeepsBoth(t *testing.T) {
 	for range 300 {
-		a := New(debts.DefaultTerms(), Settings{Zones: []string{"a"}}, "life", 1, func() time.Duration { return 0 })
+		a := New(settlement.DefaultTerms(), Settings{Zones: []string{"a"}}, "life", 1, func() time.Duration { return 0 })
 		var both sync.WaitGroup
-		both.Go(func() { a.SetTerms(debts.Terms{On: true}) })
+		both.Go(func() { a.SetTerms(settlement.Terms{On: true}) })
 		both.Go(func() { a.SetPolicy(nil, []policy.Plan{{Name: "wide"}}) })
 		both.Wait()
 		if !a.terms.On || len(a.settings.Plans) != 1 {
--- a/internal/debts/till/run.go
+++ b/internal/settlement/till/run.go
@@ -6,8 +6,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/cluster"
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/settlement"
 )
 
 // ElectiveUpdater lays its servers out anew for the shares that a till holds: a gate.
@@ -23,7 +23,7 @@
 
 // StoredBalance is a pair's counts on disk, in thousandths of units.
 type StoredBalance struct {
-	debts.Pair
+	settlement.Pair
 	Debt     uint64 `cbor:"3,keyasint"`
 	InFlight uint64 `cbor:"4,keyasint"` // told of pushes that were out: they may have run, and are owed if the process dies
 }
@@ -35,7 +35,7 @@
 
 // Run goes by the tables that all hold in common, and keeps the counts on disk if there is one, until the context
 // ends. It is called once, after Load where there is a disk.
-func (a *Accounts) Run(ctx context.Context, coordination cluster.Client, updater ElectiveUpdater, store Store, log *zap.Logger) {
+func (a *Accounts) Run(ctx context.Context, coordination coordination.Client, updater ElectiveUpdater, store Store, log *zap.Logger) {
 	written := make(chan struct{})
 	if store != nil {
 		go func() {
@@ -52,28 +52,28 @@
 }
 
 // followTable takes each table, and has the gate lay its servers out anew where other halls lend.
-func (a *Accounts) followTable(ctx context.Context, coordination cluster.Client, updater ElectiveUpdater, log *zap.Logger) {
+func (a *Accounts) followTable(ctx context.Context, coordination coordination.Client, updater ElectiveUpdater, log *zap.Logger) {
 	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	var epoch uint64
 	var epochSeenAt time.Duration // when the table was first seen at that epoch
-	state, settling := debts.State{}, false
+	state, settling := settlement.State{}, false
 	var zoneOwners []int
 	for {
 		changed := coordination.Changed()
-		held := coordination.Cached(debts.TableName)
+		held := coordination.Cached(settlement.TableName)
 		if held.Epoch != epoch {
 			previous := state
 			var err error
-			if state, err = debts.DecodeState(held.Value); err != nil {
+			if state, err = settlement.DecodeState(held.Value); err != nil {
 				log.Error("the table of debts cannot be read: nothing is settled here", zap.Error(err))
-				state = debts.State{}
+				state = settlement.State{}
 			} else {
 				a.logChanges(previous, state, epoch == 0, log)
 			}
 			epoch, epochSeenAt = held.Epoch, coordination.Now()
 		}
-		until := min(held.LeaseEnd, epochSeenAt+debts.StaleAfter)
+		until := min(held.LeaseEnd, epochSeenAt+settlement.StaleAfter)
 		a.ApplyState(state, until)
 		owners, _ := a.LendingZones()
 		if !equalOwners(owners, zoneOwners) {
@@ -107,7 +107,7 @@
 
 // logChanges logs each entry of forgiveness that is new, and each partner that the file does not have and whose debt
 // stands, when that is first seen.
-func (a *Accounts) logChanges(previous, state debts.State, isFirst bool, log *zap.Logger) {
+func (a *Accounts) logChanges(previous, state settlement.State, isFirst bool, log *zap.Logger) {
 	last := uint64(0)
 	if n := len(previous.ForgivenessLog); n > 0 {
 		last = previous.ForgivenessLog[n-1].Number
@@ -121,7 +121,7 @@
 	a.mu.Lock()
 	partners := a.partners
 	a.mu.Unlock()
-	knownPairs := map[debts.Pair]bool{}
+	knownPairs := map[settlement.Pair]bool{}
 	for _, n := range previous.Nets {
 		knownPairs[n.Pair] = true
 	}
@@ -185,9 +185,9 @@
 	if err := store.Write(ledgerID, balances); err != nil {
 		return err
 	}
-	stored := make([]debts.LedgerAmount, 0, len(balances))
+	stored := make([]settlement.LedgerAmount, 0, len(balances))
 	for _, k := range balances {
-		stored = append(stored, debts.LedgerAmount{Amount: debts.Amount{Pair: k.Pair, Sum: k.Debt}, LedgerID: ledgerID})
+		stored = append(stored, settlement.LedgerAmount{Amount: settlement.Amount{Pair: k.Pair, Sum: k.Debt}, LedgerID: ledgerID})
 	}
 	a.mu.Lock()
 	a.stored = stored
--- a/internal/debts/till/tracker.go
+++ b/internal/settlement/till/tracker.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"harrierhoist/internal/debts"
+	"harrierhoist/internal/settlement"
 	"harrierhoist/policy"
 )
 
@@ -16,7 +16,7 @@
 // calls are made one after another.
 type RequestTracker struct {
 	accounts         *Accounts
-	partners         *debts.PartnerIndex
+	partners         *settlement.PartnerIndex
 	partner          int // partner
 	preferred        int // partner whose servers its first push is to go to; 0: none
 	units            float64
@@ -45,7 +45,7 @@
 		return nil
 	}
 	class := &a.settings.Classes[request.Class]
-	t := &RequestTracker{accounts: a, partners: a.partners, partner: partner, units: request.Units, estimate: debts.Thousandths(request.Units), startedAt: now,
+	t := &RequestTracker{accounts: a, partners: a.partners, partner: partner, units: request.Units, estimate: settlement.Thousandths(request.Units), startedAt: now,
 		latencyObjective: class.LatencyObjective, isElectable: class.Effect == policy.Idempotent && !request.Repeat, isCounted: request.Repeat}
 	if t.isElectable && len(a.shares) > 0 && a.now() < a.sharesUntil {
 		draw := a.random.Float64()
@@ -80,12 +80,12 @@
 	t.zone = zone
 	owner := t.partners.ZoneOwner(zone)
 	if t.isElectable && !t.isAttempted {
-		a.addMetric(t.partners, debts.MetricIdempotentUnits, t.partner, t.estimate)
-		a.addMetric(t.partners, debts.MetricIdempotentRequests, t.partner, 1)
+		a.addMetric(t.partners, settlement.MetricIdempotentUnits, t.partner, t.estimate)
+		a.addMetric(t.partners, settlement.MetricIdempotentRequests, t.partner, 1)
 		if t.preferred > 0 {
-			a.addMetric(t.partners, debts.MetricElective, t.preferred, 1)
+			a.addMetric(t.partners, settlement.MetricElective, t.preferred, 1)
 			if owner == t.preferred {
-				a.addMetric(t.partners, debts.MetricElectivePlaced, t.preferred, 1)
+				a.addMetric(t.partners, settlement.MetricElectivePlaced, t.preferred, 1)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 	if owner == 0 || owner == t.partner {
 		return
 	}
-	p := debts.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]}
+	p := settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]}
 	if t.charged = a.balances[p]; t.charged == nil {
 		t.charged = &balance{}
 		a.balances[p] = t.charged
@@ -114,9 +114,9 @@
 	debt := t.estimate
 	switch outcome {
 	case policy.Answered:
-		debt = debts.Thousandths(cmp.Or(billedUnits, t.units))
+		debt = settlement.Thousandths(cmp.Or(billedUnits, t.units))
 		if owner := t.partners.ZoneOwner(t.zone); owner > 0 {
-			a.addMetric(t.partners, debts.MetricServedUnits, owner, debt)
+			a.addMetric(t.partners, settlement.MetricServedUnits, owner, debt)
 		}
 		t.countService(now - t.startedAt)
 	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
@@ -150,21 +150,21 @@
 		return
 	}
 	t.isCounted = true
-	t.accounts.addMetric(t.partners, debts.MetricRequests, t.partner, 1)
+	t.accounts.addMetric(t.partners, settlement.MetricRequests, t.partner, 1)
 	if elapsed > t.latencyObjective/2 {
-		t.accounts.addMetric(t.partners, debts.MetricSlow, t.partner, 1)
+		t.accounts.addMetric(t.partners, settlement.MetricSlow, t.partner, 1)
 	}
 	if elapsed > t.latencyObjective {
-		t.accounts.addMetric(t.partners, debts.MetricLate, t.partner, 1)
+		t.accounts.addMetric(t.partners, settlement.MetricLate, t.partner, 1)
 	}
 }
 
 // addMetric adds to evidence, under the lock.
-func (a *Accounts) addMetric(partners *debts.PartnerIndex, metric debts.Metric, partner int, n uint64) {
+func (a *Accounts) addMetric(partners *settlement.PartnerIndex, metric settlement.Metric, partner int, n uint64) {
 	name := partners.Names[partner]
 	c := a.metrics[name]
 	if c == nil {
-		c = new([debts.MetricCount]uint64)
+		c = new([settlement.MetricCount]uint64)
 		a.metrics[name] = c
 	}
 	c[metric] += n
--- a/internal/wire/frame.go
+++ b/internal/simulator/frame/frame.go
@@ -1,7 +1,7 @@
 // Package wire reads and writes the frames that the simulator and the adapter exchange: little-endian, a
 // header, then records of a code, a length and packed fields. It knows the layouts and nothing of what they
 // are for.
-package wire
+package frame
 
 import (
 	"bufio"
--- a/internal/wire/frame_test.go
+++ b/internal/simulator/frame/frame_test.go
@@ -1,4 +1,4 @@
-package wire
+package frame
 
 import (
 	"bytes"
--- a/internal/fleet/leak_test.go
+++ b/internal/simulator/frame/leak_test.go
@@ -1,4 +1,4 @@
-package fleet
+package frame
 
 import (
 	"testing"
--- a/internal/sim/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -1,4 +1,4 @@
-package sim
+package host
 
 import (
 	"encoding/hex"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/simulator/frame"
 )
 
 // A golden run plays a whole day of frames through the adapter's loop, and its replies hash to what the code of the day
@@ -223,20 +223,20 @@
 		s.t.Errorf("%d events only", total)
 	}
 	counts := strings.Contains(s.settings.lines, "HasCounter=true")
-	for code := wire.EventStart; code <= wire.EventTimer; code += 10 {
-		if s.events[byte(code)] == 0 && (code != wire.EventCount || counts) {
+	for code := frame.EventStart; code <= frame.EventTimer; code += 10 {
+		if s.events[byte(code)] == 0 && (code != frame.EventCount || counts) {
 			s.t.Errorf("no event of code %d", code)
 		}
 	}
-	for _, code := range []byte{wire.ActionAttempt, wire.ActionReject, wire.ActionTerminate, wire.ActionSetTimer, wire.ActionWatchEndpoints} {
+	for _, code := range []byte{frame.ActionAttempt, frame.ActionReject, frame.ActionTerminate, frame.ActionSetTimer, frame.ActionWatchEndpoints} {
 		if s.actions[code] == 0 {
 			s.t.Errorf("no action of code %d", code)
 		}
 	}
-	if counts != (s.actions[wire.ActionCount] > 0) {
-		s.t.Errorf("%d calls to the counter", s.actions[wire.ActionCount])
+	if counts != (s.actions[frame.ActionCount] > 0) {
+		s.t.Errorf("%d calls to the counter", s.actions[frame.ActionCount])
 	}
-	if s.actions[wire.ActionInternalError] != 0 {
+	if s.actions[frame.ActionInternalError] != 0 {
 		s.t.Error("the module failed")
 	}
 }
--- a/internal/sim/host.go
+++ b/internal/simulator/host/host.go
@@ -1,20 +1,20 @@
 // Package sim hosts gateways on the simulator's wire: any number of instances that share nothing. It
 // translates records into the module's types and the module's calls into records, and decides nothing.
-package sim
+package host
 
 import (
 	"fmt"
 	"io"
 	"time"
 
-	"harrierhoist/internal/boot"
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/simulator/frame"
 	"harrierhoist/policy"
 )
 
 // Run answers batches until the input ends.
 func Run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(in)
+	reader := frame.NewReader(in)
 	instances := map[uint32]*instance{}
 	for {
 		batch, err := reader.Next()
@@ -37,23 +37,23 @@
 
 // runBatch plays one batch. Actions stand in the order of the events, under the instance that each event is
 // for.
-func runBatch(instances map[uint32]*instance, batch *wire.Batch) ([]byte, *wire.FormatError) {
-	reply := wire.NewReply(batch.Serial)
-	now := boot.Milliseconds(batch.ClockMs)
+func runBatch(instances map[uint32]*instance, batch *frame.Batch) ([]byte, *frame.FormatError) {
+	reply := frame.NewReply(batch.Serial)
+	now := config.Milliseconds(batch.ClockMs)
 	var id uint32
 	addressed := false
 	for _, event := range batch.Events {
-		if event.Code == wire.EventAddressee {
+		if event.Code == frame.EventAddressee {
 			id, addressed = event.Instance, true
 			continue
 		}
 		if !addressed {
-			return nil, &wire.FormatError{Offset: event.Offset, Reason: fmt.Sprintf("event %d before any 'to'", event.Code)}
+			return nil, &frame.FormatError{Offset: event.Offset, Reason: fmt.Sprintf("event %d before any 'to'", event.Code)}
 		}
-		if event.Code == wire.EventStart {
-			i, err := newInstance(id, event.Payload.(wire.Start))
+		if event.Code == frame.EventStart {
+			i, err := newInstance(id, event.Payload.(frame.Start))
 			if err != nil {
-				return nil, &wire.FormatError{Offset: event.Offset, Reason: err.Error()}
+				return nil, &frame.FormatError{Offset: event.Offset, Reason: err.Error()}
 			}
 			instances[id] = i
 			continue
@@ -61,9 +61,9 @@
 		i := instances[id]
 		if i == nil {
 			reason := fmt.Sprintf("event %d for gateway %d, which is not running", event.Code, id)
-			return nil, &wire.FormatError{Offset: event.Offset, Reason: reason}
+			return nil, &frame.FormatError{Offset: event.Offset, Reason: reason}
 		}
-		if event.Code == wire.EventStop {
+		if event.Code == frame.EventStop {
 			delete(instances, id)
 			continue
 		}
@@ -79,16 +79,16 @@
 type instance struct {
 	id      uint32
 	gateway *policy.Gateway
-	reply   *wire.Reply
+	reply   *frame.Reply
 	failed  bool
 }
 
-func newInstance(id uint32, start wire.Start) (*instance, error) {
-	pairs, err := boot.ParseLines(string(start.Settings))
+func newInstance(id uint32, start frame.Start) (*instance, error) {
+	pairs, err := config.ParseLines(string(start.Settings))
 	if err != nil {
 		return nil, err
 	}
-	settings, err := boot.ReadSettings(pairs)
+	settings, err := config.ReadSettings(pairs)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 
 // handleRecovering delivers an event; a panic in the decisions becomes one internal_error, and the instance stays
 // silent then.
-func (i *instance) handleRecovering(now time.Duration, event wire.Event) {
+func (i *instance) handleRecovering(now time.Duration, event frame.Event) {
 	if i.failed {
 		return
 	}
@@ -116,38 +116,38 @@
 	i.handle(now, event)
 }
 
-func (i *instance) handle(now time.Duration, event wire.Event) {
+func (i *instance) handle(now time.Duration, event frame.Event) {
 	gateway := i.gateway
 	switch event.Code {
-	case wire.EventEndpoints:
-		list := event.Payload.(wire.Endpoints)
+	case frame.EventEndpoints:
+		list := event.Payload.(frame.Endpoints)
 		gateway.HandleEndpoints(now, listKindOf(list.Kind), endpointsOf(list.Endpoints))
-	case wire.EventRequest:
-		request := event.Payload.(wire.Request)
+	case frame.EventRequest:
+		request := event.Payload.(frame.Request)
 		gateway.HandleRequest(now, policy.Request{ID: request.ID, Class: int(request.Class), Plan: int(request.Plan), Customer: request.Customer,
-			FirstGateway: int(request.FirstGateway), GatewayCount: int(request.GatewayCount), Units: float64(request.Units), Deadline: boot.Milliseconds(request.DeadlineMs),
+			FirstGateway: int(request.FirstGateway), GatewayCount: int(request.GatewayCount), Units: float64(request.Units), Deadline: config.Milliseconds(request.DeadlineMs),
 			Repeat: request.Options&2 != 0})
-	case wire.EventAttemptResult:
-		result := event.Payload.(wire.AttemptResult)
+	case frame.EventAttemptResult:
+		result := event.Payload.(frame.AttemptResult)
 		gateway.HandleAttemptResult(now, policy.AttemptResult{RequestID: result.RequestID, Attempt: int(result.Attempt), Server: result.Server, Outcome: outcomeOf(result.Outcome),
-			Latency: boot.Milliseconds(result.ElapsedMs), Final: result.Final, ActualUnits: float64(result.BilledUnits),
+			Latency: config.Milliseconds(result.ElapsedMs), Final: result.Final, ActualUnits: float64(result.BilledUnits),
 			Usage: quotaUse(result.UsePercent), LoadReport: result.LoadReport})
-	case wire.EventStreamStart:
-		started := event.Payload.(wire.StreamStart)
+	case frame.EventStreamStart:
+		started := event.Payload.(frame.StreamStart)
 		gateway.HandleStreamStart(now, started.RequestID, int(started.Attempt))
-	case wire.EventDisconnect:
+	case frame.EventDisconnect:
 		gateway.HandleDisconnect(now, event.RequestID)
-	case wire.EventTimer:
+	case frame.EventTimer:
 		gateway.HandleTimer(now, event.TimerToken)
-	case wire.EventCount:
-		count := event.Payload.(wire.Count)
-		gateway.HandleCount(now, policy.CountResult{Name: count.Name, Total: float64(count.Total), Latency: boot.Milliseconds(count.ElapsedMs),
+	case frame.EventCount:
+		count := event.Payload.(frame.Count)
+		gateway.HandleCount(now, policy.CountResult{Name: count.Name, Total: float64(count.Total), Latency: config.Milliseconds(count.ElapsedMs),
 			Outcome: outcomeOf(count.Outcome)})
-	case wire.EventHealthCheck:
-		check := event.Payload.(wire.HealthCheck)
-		gateway.HandleHealthCheck(now, check.Server, outcomeOf(check.Outcome), boot.Milliseconds(check.ElapsedMs), check.LoadReport)
-	case wire.EventPeerMessage:
-		message := event.Payload.(wire.PeerMessage)
+	case frame.EventHealthCheck:
+		check := event.Payload.(frame.HealthCheck)
+		gateway.HandleHealthCheck(now, check.Server, outcomeOf(check.Outcome), config.Milliseconds(check.ElapsedMs), check.LoadReport)
+	case frame.EventPeerMessage:
+		message := event.Payload.(frame.PeerMessage)
 		gateway.HandlePeerMessage(now, int(message.From), message.Bytes)
 	}
 }
@@ -192,7 +192,7 @@
 	return policy.ListFailed
 }
 
-func endpointsOf(list []wire.Endpoint) []policy.Endpoint {
+func endpointsOf(list []frame.Endpoint) []policy.Endpoint {
 	endpoints := make([]policy.Endpoint, 0, len(list))
 	for _, endpoint := range list {
 		stage := policy.Removed
@@ -203,14 +203,14 @@
 			stage = policy.Draining
 		}
 		endpoints = append(endpoints, policy.Endpoint{Server: endpoint.Server, State: stage, Capacity: float64(endpoint.Power),
-			StartedAt: boot.Milliseconds(endpoint.StartedMs), Rack: int(endpoint.Rack), Zone: int(endpoint.Zone), Hardware: int(endpoint.Hardware)})
+			StartedAt: config.Milliseconds(endpoint.StartedMs), Rack: int(endpoint.Rack), Zone: int(endpoint.Zone), Hardware: int(endpoint.Hardware)})
 	}
 	return endpoints
 }
 
 // The calls of policy.Host.
 
-func (i *instance) nextAction() *wire.Reply {
+func (i *instance) nextAction() *frame.Reply {
 	i.reply.SetInstance(i.id)
 	return i.reply
 }
@@ -243,7 +243,7 @@
 
 // SendPeer sends words to a peer.
 func (i *instance) SendPeer(gateway int, message []byte) {
-	peer := uint16(wire.AllPeers)
+	peer := uint16(frame.AllPeers)
 	if gateway >= 0 {
 		peer = uint16(gateway)
 	}
--- a/internal/sim/host_test.go
+++ b/internal/simulator/host/host_test.go
@@ -1,4 +1,4 @@
-package sim
+package host
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/simulator/frame"
 )
 
 const settingsText = `Balancers=2
@@ -42,18 +42,18 @@
 	return bytes.Join([][]byte{u32(uint32(16 + len(body))), f64(1000), u32(1), body}, nil)
 }
 
-func addresseeRecord(id uint32) []byte { return encodeRecord(wire.EventAddressee, u32(id)) }
+func addresseeRecord(id uint32) []byte { return encodeRecord(frame.EventAddressee, u32(id)) }
 func startRecord(text string) []byte {
-	return encodeRecord(wire.EventStart, u64(1), u32(uint32(len(text))), []byte(text))
+	return encodeRecord(frame.EventStart, u64(1), u32(uint32(len(text))), []byte(text))
 }
 
 // oneServerRecord is a cached list with a server, numbered 7.
 func oneServerRecord() []byte {
-	return encodeRecord(wire.EventEndpoints, u64(1), []byte{2}, u32(1), []byte{2}, u32(7), f32(1), f64(0), make([]byte, 6))
+	return encodeRecord(frame.EventEndpoints, u64(1), []byte{2}, u32(1), []byte{2}, u32(7), f32(1), f64(0), make([]byte, 6))
 }
 
 func requestRecord(id uint32, class byte) []byte {
-	return encodeRecord(wire.EventRequest, u32(id), []byte{0}, u32(0), f64(2000), u64(9), f32(0), []byte{class}, f32(1), f32(1))
+	return encodeRecord(frame.EventRequest, u32(id), []byte{0}, u32(0), f64(2000), u64(9), f32(0), []byte{class}, f32(1), f32(1))
 }
 
 func runFrames(t *testing.T, frames ...[]byte) ([]byte, error) {
@@ -76,9 +76,9 @@
 		for at := 12; at < size; at += 5 + int(binary.LittleEndian.Uint32(out[at+1:])) {
 			v := binary.LittleEndian.Uint32(out[at+5:])
 			switch out[at] {
-			case wire.ActionInstance:
+			case frame.ActionInstance:
 				by = v
-			case wire.ActionAttempt:
+			case frame.ActionAttempt:
 				sends = append(sends, by, v)
 			}
 		}
@@ -91,7 +91,7 @@
 
 func TestRun_instanceStartsAgainAfterStop(t *testing.T) {
 	_, err := runFrames(t, encodeBatch(addresseeRecord(1), startRecord(settingsText), oneServerRecord()),
-		encodeBatch(addresseeRecord(1), encodeRecord(wire.EventStop), startRecord(settingsText), oneServerRecord(), requestRecord(5, 0)))
+		encodeBatch(addresseeRecord(1), encodeRecord(frame.EventStop), startRecord(settingsText), oneServerRecord(), requestRecord(5, 0)))
 	if err != nil {
 		t.Error(err)
 	}
@@ -103,9 +103,9 @@
 		name, want string
 		in         []byte
 	}{
-		{"never spawned", "batch 2, byte 25: event 40 for gateway 4, which is not running", encodeBatch(addresseeRecord(4), encodeRecord(wire.EventDisconnect, u32(1)))},
-		{"retired", "batch 2, byte ", encodeBatch(addresseeRecord(4), startRecord(settingsText), encodeRecord(wire.EventStop), encodeRecord(wire.EventDisconnect, u32(1)))},
-		{"no to", "batch 2, byte 16: event 40 before any 'to'", encodeBatch(encodeRecord(wire.EventDisconnect, u32(1)))},
+		{"never spawned", "batch 2, byte 25: event 40 for gateway 4, which is not running", encodeBatch(addresseeRecord(4), encodeRecord(frame.EventDisconnect, u32(1)))},
+		{"retired", "batch 2, byte ", encodeBatch(addresseeRecord(4), startRecord(settingsText), encodeRecord(frame.EventStop), encodeRecord(frame.EventDisconnect, u32(1)))},
+		{"no to", "batch 2, byte 16: event 40 before any 'to'", encodeBatch(encodeRecord(frame.EventDisconnect, u32(1)))},
 		{"settings lack", "settings: Rules.ColdFrom is missing",
 			encodeBatch(addresseeRecord(4), startRecord(strings.ReplaceAll(settingsText, "Rules.ColdFrom=0.2\n", "")))},
 		{"settings are wrong", `settings: RequestClasses.0.Effect is none of`,
--- a/internal/sim/leak_test.go
+++ b/internal/simulator/host/leak_test.go
@@ -1,4 +1,4 @@
-package sim
+package host
 
 import (
 	"testing"
--- a/internal/sim/simulated_events_test.go
+++ b/internal/simulator/host/simulated_events_test.go
@@ -1,7 +1,7 @@
-package sim
+package host
 
 import (
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/simulator/frame"
 )
 
 const (
@@ -54,7 +54,7 @@
 	s.schedule(gateway, inMs, func() []byte {
 		s.gateways[gateway].running = true
 		s.schedule(gateway, 0, func() []byte { return s.view(2, s.servers) })
-		return encodeRecord(wire.EventStart, u64(salt), u32(uint32(len(text))), []byte(text))
+		return encodeRecord(frame.EventStart, u64(salt), u32(uint32(len(text))), []byte(text))
 	})
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 		s.spawn(gateway, restartAfterMs, true)
-		return encodeRecord(wire.EventStop)
+		return encodeRecord(frame.EventStop)
 	})
 }
 
@@ -104,7 +104,7 @@
 	lasts := float64(900+s.random.Intn(3)*600) * (0.2 + 0.8*s.random.Float64())
 	expires, plan := s.clockMs+lasts, uint32(customer)%uint32(s.settings.plans)
 	s.schedule(gateway, 0, func() []byte {
-		return encodeRecord(wire.EventRequest, u32(id), []byte{options}, u32(plan), f64(expires), u64(0x9e3779b97f4a7c15*(customer+1)),
+		return encodeRecord(frame.EventRequest, u32(id), []byte{options}, u32(plan), f64(expires), u64(0x9e3779b97f4a7c15*(customer+1)),
 			f32(float32(first)), []byte{r.class}, f32(float32(width)), f32(float32(r.units)))
 	})
 	if s.random.Intn(20) == 0 {
@@ -115,7 +115,7 @@
 			return nil
 		}
 		r.final = true
-		return encodeRecord(wire.EventDisconnect, u32(id))
+		return encodeRecord(frame.EventDisconnect, u32(id))
 	})
 }
 
@@ -149,7 +149,7 @@
 			if r.attempts[hop].ended {
 				return nil
 			}
-			return encodeRecord(wire.EventStreamStart, u32(id), f64(tookMs/2), u16(uint16(hop)), u32(server))
+			return encodeRecord(frame.EventStreamStart, u32(id), f64(tookMs/2), u16(uint16(hop)), u32(server))
 		})
 	}
 	s.respond(id, hop, tookMs, outcome)
@@ -186,7 +186,7 @@
 		if outcome != howAnswered && outcome != howErrored {
 			billed, use, load = 0, 0, nil
 		}
-		return encodeRecord(wire.EventAttemptResult, u32(id), u16(uint16(hop)), u32(at.id), []byte{outcome}, f64(tookMs), []byte{done}, u16(use),
+		return encodeRecord(frame.EventAttemptResult, u32(id), u16(uint16(hop)), u32(at.id), []byte{outcome}, f64(tookMs), []byte{done}, u16(use),
 			u16(billed), figures(load))
 	})
 }
--- a/internal/sim/simulated_lists_test.go
+++ b/internal/simulator/host/simulated_lists_test.go
@@ -1,9 +1,9 @@
-package sim
+package host
 
 import (
 	"math"
 
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/simulator/frame"
 )
 
 func u16(v uint16) []byte { return []byte{byte(v), byte(v >> 8)} }
@@ -35,7 +35,7 @@
 		fields = append(fields, []byte{server.stage}, u32(server.id), f32(server.power), f64(server.sinceMs), u16(uint16(i%4)),
 			u16(uint16(server.zone)), u16(uint16(i%2)))
 	}
-	return encodeRecord(wire.EventEndpoints, fields...)
+	return encodeRecord(frame.EventEndpoints, fields...)
 }
 
 // subscribe brings a gateway the complete list, or one time in four none.
@@ -82,15 +82,15 @@
 	server := s.servers[s.random.Intn(len(s.servers))].id
 	switch s.random.Intn(5) {
 	case 0:
-		return encodeRecord(wire.EventHealthCheck, u32(server), []byte{howAnswered}, f64(3), figures([]float32{2, 0.5}))
+		return encodeRecord(frame.EventHealthCheck, u32(server), []byte{howAnswered}, f64(3), figures([]float32{2, 0.5}))
 	case 1:
-		return encodeRecord(wire.EventPeerMessage, u32(1), u16(4), []byte("hi 7"))
+		return encodeRecord(frame.EventPeerMessage, u32(1), u16(4), []byte("hi 7"))
 	case 2:
-		return encodeRecord(wire.EventStreamStart, u32(math.MaxUint32), f64(4), u16(0), u32(server))
+		return encodeRecord(frame.EventStreamStart, u32(math.MaxUint32), f64(4), u16(0), u32(server))
 	case 3:
-		return encodeRecord(wire.EventDisconnect, u32(math.MaxUint32))
+		return encodeRecord(frame.EventDisconnect, u32(math.MaxUint32))
 	default:
-		return encodeRecord(wire.EventAttemptResult, u32(math.MaxUint32), u16(0), u32(server), []byte{howAnswered}, f64(9), []byte{1}, u16(0),
+		return encodeRecord(frame.EventAttemptResult, u32(math.MaxUint32), u16(0), u32(server), []byte{howAnswered}, f64(9), []byte{1}, u16(0),
 			u16(2), figures(nil))
 	}
 }
@@ -106,6 +106,6 @@
 		total, outcome = 0, []uint8{howErrored, howReset, howNoConnect, howUnknown}[s.random.Intn(4)]
 	}
 	s.schedule(gateway, tookMs, func() []byte {
-		return encodeRecord(wire.EventCount, f32(float32(total)), f64(tookMs), u64(name), []byte{outcome})
+		return encodeRecord(frame.EventCount, f32(float32(total)), f64(tookMs), u64(name), []byte{outcome})
 	})
 }
--- a/internal/sim/simulator_test.go
+++ b/internal/simulator/host/simulator_test.go
@@ -1,4 +1,4 @@
-package sim
+package host
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"math/rand"
 	"testing"
 
-	"harrierhoist/internal/wire"
+	"harrierhoist/internal/simulator/frame"
 )
 
 // simulator is the far end of the adapter's pipe: it is read for frames of events and written the replies, whose actions
@@ -145,7 +145,7 @@
 		if due.gateway != addressed {
 			addressed = due.gateway
 			body = append(body, addresseeRecord(addressed)...)
-			s.events[wire.EventAddressee]++
+			s.events[frame.EventAddressee]++
 		}
 		s.events[record[0]]++
 		body = append(body, record...)
@@ -165,9 +165,9 @@
 		at += len(record)
 		s.actions[code]++
 		switch code {
-		case wire.ActionLog:
+		case frame.ActionLog:
 			record = record[:1]
-		case wire.ActionInstance:
+		case frame.ActionInstance:
 			gateway = binary.LittleEndian.Uint32(record[5:])
 		default:
 			s.carryOut(gateway, code, record[5:])
@@ -182,21 +182,21 @@
 	long := func(at int) uint64 { return binary.LittleEndian.Uint64(body[at:]) }
 	number := func(at int) float64 { return math.Float64frombits(long(at)) }
 	switch code {
-	case wire.ActionAttempt:
+	case frame.ActionAttempt:
 		s.attempt(word(0), number(4), word(12))
-	case wire.ActionReject:
+	case frame.ActionReject:
 		s.rejected(word(0), number(4))
-	case wire.ActionTerminate:
+	case frame.ActionTerminate:
 		s.requests[word(0)].final = true
-	case wire.ActionCancel:
+	case frame.ActionCancel:
 		hop := int(binary.LittleEndian.Uint16(body[4:]))
 		s.respond(word(0), hop, 1+4*s.random.Float64(), howCancelled)
-	case wire.ActionSetTimer:
+	case frame.ActionSetTimer:
 		token := long(0)
-		s.schedule(gateway, number(8), func() []byte { return encodeRecord(wire.EventTimer, u64(token)) })
-	case wire.ActionCount:
+		s.schedule(gateway, number(8), func() []byte { return encodeRecord(frame.EventTimer, u64(token)) })
+	case frame.ActionCount:
 		s.count(gateway, long(0), float64(math.Float32frombits(word(16))))
-	case wire.ActionWatchEndpoints:
+	case frame.ActionWatchEndpoints:
 		s.subscribe(gateway)
 	}
 }
--- a/internal/standin/fakes.go
+++ b/internal/testing/fakes/fakes.go
@@ -1,6 +1,6 @@
 // Package standin holds small stand-ins, for tests, of what a gateway talks with: servers, discovery and the
 // counter, each on a loopback address of its own.
-package standin
+package fakes
 
 import (
 	"fmt"
--- a/internal/drill/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"math/rand/v2"
@@ -7,8 +7,8 @@
 	"time"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // harmfulRuleTerms names a rule under which a customer has a hundredth of today's rate, and has it tried on 80 of 1000
@@ -41,19 +41,19 @@
 	s.waitForServed(200)
 	before := s.Recorder.ResultCounts()
 	began := time.Now()
-	table := func() counting.Table {
-		v, err := counting.Decode(s.Read(counting.TableName).Value)
+	table := func() countingrule.Table {
+		v, err := countingrule.Decode(s.Read(countingrule.TableName).Value)
 		must(t, err)
 		return v
 	}
-	if current := table(); current.Phase != counting.PhaseCanary || current.To != 1 {
+	if current := table(); current.Phase != countingrule.PhaseCanary || current.To != 1 {
 		t.Fatalf("the table: %+v", current)
 	}
 	for len(table().Refused) == 0 && time.Since(began) < maxVerdictTime {
 		s.waitForServed(100)
 	}
 	current := table()
-	if len(current.Refused) != 1 || current.Refused[0] != 1 || current.Phase != counting.PhaseIdle || current.From != 0 {
+	if len(current.Refused) != 1 || current.Refused[0] != 1 || current.Phase != countingrule.PhaseIdle || current.From != 0 {
 		t.Errorf("after %v the table: %+v", time.Since(began), current)
 	}
 	t.Logf("refused after %v: %s", time.Since(began).Round(time.Second), current.Reason)
@@ -71,7 +71,7 @@
 	s := startEnvironment(t, harmfulRuleTerms, harmfulRuleTerms, doubleRequests)
 	waitForAdmitted := func(minFraction, maxFraction float64, what string) {
 		t.Helper()
-		standin.Eventually(t, what, func() bool {
+		fakes.Eventually(t, what, func() bool {
 			n := 0
 			for _, units := range s.Recorder.AttemptsByRoute(time.Now().Add(-time.Second)) {
 				n += units
@@ -86,12 +86,12 @@
 	waitForAdmitted(0.8, 1.2, "tasks let in by today's rule")
 	now := time.Now()
 	edge := now.Add(activationLead).Truncate(time.Second)
-	rule := counting.Rule{Version: 1, Key: []string{"customer"},
-		Limits: []counting.Limit{{Plan: "*", Rate: 0.1, Burst: 0.5}}}
-	s.Write(counting.TableName, counting.Table{Phase: counting.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()), Seed: 7,
-		Rules: []counting.Rule{rule}, Since: time.Duration(now.UnixNano()),
-		TrialState: counting.Marshal(canary.TrialState{Forecast: 0.9}),
-		Canary: counting.CanaryConfig{SamplePermille: 80, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 30,
+	rule := countingrule.Rule{Version: 1, Key: []string{"customer"},
+		Limits: []countingrule.Limit{{Plan: "*", Rate: 0.1, Burst: 0.5}}}
+	s.Write(countingrule.TableName, countingrule.Table{Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()), Seed: 7,
+		Rules: []countingrule.Rule{rule}, Since: time.Duration(now.UnixNano()),
+		TrialState: countingrule.Marshal(canary.TrialState{Forecast: 0.9}),
+		Canary: countingrule.CanaryConfig{SamplePermille: 80, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 30,
 			AdmittedPermille: 100, OverLimitPermille: 50, DeviationPermille: 100, WatchSeconds: 600}}.Encode())
 	waitForAdmitted(0, 0.5, "tasks rejected by the rule in force")
 	for time.Since(edge) < maxRevertTime && s.Gateways[0].Log.Count(`"phase":3`) == 0 {
--- a/internal/drill/client.go
+++ b/internal/testing/faultinjection/client.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // answerGrace is what a client waits beyond its patience: half a second is what the operators' page counts as not lost,
@@ -87,9 +87,9 @@
 	}
 	_ = conn.SetDeadline(began.Add(request.Timeout + answerGrace))
 	phrase := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d", request.Class, request.Plan, request.Timeout.Milliseconds(), request.Units)
-	text := standin.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", request.Customer), id, phrase)
+	text := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", request.Customer), id, phrase)
 	if request.Class != "look" {
-		text = standin.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", request.Customer), id, phrase, "body")
+		text = fakes.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", request.Customer), id, phrase, "body")
 	}
 	if _, err = io.WriteString(conn, text); err != nil {
 		_ = conn.Close()
--- a/internal/drill/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/counting"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // groupRuleTerms is what gateways' files have besides: a rule under which eight customers share one count, of three times
@@ -74,18 +74,18 @@
 func (s *scenario) activateRule() time.Time {
 	s.t.Helper()
 	edge := time.Now().Add(activationLead).Truncate(time.Second)
-	rule := counting.Rule{Version: 1, Key: []string{"group"},
-		Groups: []counting.Group{{Name: "one", Customers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}},
-		Limits: []counting.Limit{{Plan: "*", Rate: groupRate, Burst: groupBurst}}}
-	s.Write(counting.TableName, counting.Table{Phase: counting.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()),
-		Rules: []counting.Rule{rule},
+	rule := countingrule.Rule{Version: 1, Key: []string{"group"},
+		Groups: []countingrule.Group{{Name: "one", Customers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}},
+		Limits: []countingrule.Limit{{Plan: "*", Rate: groupRate, Burst: groupBurst}}}
+	s.Write(countingrule.TableName, countingrule.Table{Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()),
+		Rules: []countingrule.Rule{rule},
 		Since: time.Duration(time.Now().UnixNano())}.Encode())
 	return edge
 }
 
 func (s *scenario) waitUntil(when time.Time) {
 	s.t.Helper()
-	standin.Eventually(s.t, "its time", func() bool { return time.Now().After(when) })
+	fakes.Eventually(s.t, "its time", func() bool { return time.Now().After(when) })
 }
 
 // 12. A rule comes into force while one gateway is asleep, three are cut off and one is killed and started again, cut
--- a/internal/drill/environment.go
+++ b/internal/testing/faultinjection/environment.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Gateway is a gateway's process and where clients reach it.
@@ -133,7 +133,7 @@
 		must(env.T, g.Process.Start())
 	}
 	for _, g := range gateways {
-		standin.Eventually(env.T, g.Name+" ready", func() bool { return isReady(g.Addr) })
+		fakes.Eventually(env.T, g.Name+" ready", func() bool { return isReady(g.Addr) })
 		g.mu.Lock()
 		g.awakeSince, g.down = time.Now(), false
 		g.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
-	_, _ = io.WriteString(c, standin.FormatCommand("PING"))
+	_, _ = io.WriteString(c, fakes.FormatCommand("PING"))
 	line, _ := bufio.NewReader(c).ReadString('\n')
 	return line == "+PONG\r\n"
 }
--- a/internal/drill/plain_test.go
+++ b/internal/testing/faultinjection/plain_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 var program string
@@ -60,7 +60,7 @@
 func (env *Environment) waitForServed(more int) {
 	env.T.Helper()
 	before := env.Recorder.ResultCounts()[Served]
-	standin.Eventually(env.T, fmt.Sprintf("%d more tasks honoured", more), func() bool {
+	fakes.Eventually(env.T, fmt.Sprintf("%d more tasks honoured", more), func() bool {
 		return env.Recorder.ResultCounts()[Served] >= before+more
 	})
 }
--- a/internal/drill/recorder.go
+++ b/internal/testing/faultinjection/recorder.go
@@ -1,6 +1,6 @@
 // Package drill starts several processes of the program on loopback, with emulated servers, a counter and clients
 // around them and relays between them, and causes faults. What counts is what servers, clients and the counter saw.
-package drill
+package faultinjection
 
 import (
 	"fmt"
--- a/internal/drill/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // failoverTerms has two regions of three halls. Clients ask for some 160 units a second in each hall, of which 4 servers bear
@@ -90,7 +90,7 @@
 	if *withoutVoters {
 		return
 	}
-	standin.Eventually(s.t, p.Name+" says "+phrase, func() bool { return p.Log.Count(phrase) >= times })
+	fakes.Eventually(s.t, p.Name+" says "+phrase, func() bool { return p.Log.Count(phrase) >= times })
 }
 
 // routeFraction is the part of the pushes of a hall's tasks, in the last second or since a time if that is later, that went to a
@@ -118,7 +118,7 @@
 			s.t.Logf("from %s to %s: %.2f; all: %v", from, to, is, s.Recorder.AttemptsByRoute(time.Now().Add(-time.Second)))
 		}
 	}()
-	standin.Eventually(s.t, fmt.Sprintf("%.2f to %.2f of the tasks of %s in %s", minFraction, maxFraction, from, to), func() bool {
+	fakes.Eventually(s.t, fmt.Sprintf("%.2f to %.2f of the tasks of %s in %s", minFraction, maxFraction, from, to), func() bool {
 		is = s.routeFraction(from, to, since)
 		return is >= minFraction && is <= maxFraction
 	})
@@ -129,7 +129,7 @@
 func (s *scenario) waitForLoad(from, to string, minFraction float64) {
 	s.t.Helper()
 	since, n := time.Now(), 0
-	standin.Eventually(s.t, fmt.Sprintf("%.2f of what is asked in %s served in %s", minFraction, from, to), func() bool {
+	fakes.Eventually(s.t, fmt.Sprintf("%.2f of what is asked in %s served in %s", minFraction, from, to), func() bool {
 		now := time.Now()
 		if now.Sub(since) > time.Second {
 			since = now.Add(-time.Second)
--- a/internal/drill/server.go
+++ b/internal/testing/faultinjection/server.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // Behavior is how a server behaves.
@@ -145,7 +145,7 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		words, err := standin.ReadCommand(in)
+		words, err := fakes.ReadCommand(in)
 		if err != nil {
 			return
 		}
@@ -175,7 +175,7 @@
 		if behavior, _ := s.admit(false); behavior == Unresponsive {
 			continue
 		}
-		if _, err := io.WriteString(c, standin.FormatValue("done", int(attempt.Units))); err != nil {
+		if _, err := io.WriteString(c, fakes.FormatValue("done", int(attempt.Units))); err != nil {
 			return
 		}
 	}
--- a/internal/drill/services.go
+++ b/internal/testing/faultinjection/services.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bufio"
--- a/internal/drill/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -1,13 +1,13 @@
-package drill
+package faultinjection
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"harrierhoist/internal/debts"
-	"harrierhoist/internal/drill/relay"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/faultinjection/relay"
 )
 
 // partnerTerms have a hall and its customers each. What a and b owe each other is settled where a story says so.
@@ -33,7 +33,7 @@
 // storedDebt is what one partner owes another by the table, in units.
 func (s *scenario) storedDebt(debtor, creditor string) float64 {
 	s.t.Helper()
-	v, err := debts.DecodeState(s.Read(debts.TableName).Value)
+	v, err := settlement.DecodeState(s.Read(settlement.TableName).Value)
 	must(s.t, err)
 	for _, n := range v.Nets {
 		if n.Debtor == debtor && n.Creditor == creditor {
@@ -69,7 +69,7 @@
 	s.finish()
 	is, was := 0.0, s.completedUnits("hall-a", "hall-b")-s.completedUnits("hall-b", "hall-a")
 	defer func() { t.Logf("owed %.3f, done %.3f", is, was) }()
-	standin.Eventually(t, fmt.Sprintf("a debt of %.3f", was), func() bool {
+	fakes.Eventually(t, fmt.Sprintf("a debt of %.3f", was), func() bool {
 		is = s.storedDebt("a", "b")
 		return is == was
 	})
--- a/internal/drill/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/cluster/link"
-	"harrierhoist/internal/cluster/tables"
-	"harrierhoist/internal/drill/relay"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/faultinjection/relay"
 )
 
 // LeaseDuration is that of the stories: short, so that they are. Each process confirms what it holds some five times in it.
@@ -180,7 +180,7 @@
 // Leader waits until a voter leads, as it says and a majority with it, and gives it.
 func (c *VoterCluster) Leader() (leader *Voter) {
 	c.env.T.Helper()
-	standin.Eventually(c.env.T, "a leader", func() bool {
+	fakes.Eventually(c.env.T, "a leader", func() bool {
 		votes := map[uint64]int{}
 		for _, v := range c.Voters {
 			if s, err := c.Status(v); err == nil && s.Started {
@@ -202,7 +202,7 @@
 // Read reads a table with the word of a majority.
 func (c *VoterCluster) Read(table string) (entry tables.Table) {
 	c.env.T.Helper()
-	standin.Eventually(c.env.T, "a read of "+table, func() bool {
+	fakes.Eventually(c.env.T, "a read of "+table, func() bool {
 		for _, v := range c.Voters {
 			ctx, cancel := context.WithTimeout(c.env.T.Context(), readTimeout)
 			found, _, err := c.client.Read(ctx, v.Addr, nil, 0)
@@ -226,7 +226,7 @@
 		command := tables.Command{Kind: tables.Write, Proposer: "drill/1", Number: c.commandNumber, Table: table,
 			Epoch: c.Read(table).Epoch, Value: value}
 		var r tables.Result
-		standin.Eventually(c.env.T, "a write of "+table, func() bool {
+		fakes.Eventually(c.env.T, "a write of "+table, func() bool {
 			for _, v := range c.Voters {
 				ctx, cancel := context.WithTimeout(c.env.T.Context(), writeTimeout)
 				got, err := c.client.Propose(ctx, v.Addr, command)
--- a/internal/drill/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -1,11 +1,11 @@
-package drill
+package faultinjection
 
 import (
 	"syscall"
 	"testing"
 	"time"
 
-	"harrierhoist/internal/drill/relay"
+	"harrierhoist/internal/testing/faultinjection/relay"
 )
 
 var dropRequests = relay.Fault{DropRequests: true}
--- a/internal/drill/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -1,10 +1,10 @@
-package drill
+package faultinjection
 
 import (
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 )
 
 // minRecoveryTime is the least between the first step home and the last: two seconds by the terms, less what the looks take.
@@ -83,7 +83,7 @@
 		s.waitForLog(g.Process, "no plan in force", 2)
 	}
 	from := time.Now()
-	standin.Eventually(t, "tasks of hall-c in other halls", func() bool {
+	fakes.Eventually(t, "tasks of hall-c in other halls", func() bool {
 		f := s.Recorder.AttemptsByRoute(from)
 		return f[[2]string{"hall-c", "hall-a"}]+f[[2]string{"hall-c", "hall-b"}] >= minSample
 	})
@@ -123,7 +123,7 @@
 	s.hideZone(isolated, "hall-a")
 	s.waitForLog(isolated.Process, "a server is set aside", 4)
 	from := time.Now()
-	standin.Eventually(t, "three seconds and more tasks", func() bool {
+	fakes.Eventually(t, "three seconds and more tasks", func() bool {
 		return time.Since(from) > 3*time.Second && s.Recorder.AttemptsByRoute(from)[[2]string{"hall-a", "hall-a"}] > minSample
 	})
 	if e := s.Read("failover").Epoch; e != epoch {
--- a/internal/fleet/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
 	"harrierhoist/policy"
 )
@@ -28,19 +28,19 @@
 // Attempt sends a task to a server and waits for how that ends; a value comes only with Answered and is the
 // caller's to free. Called off before its first byte it writes nothing, however late its connection comes up; given up
 // later, it closes its connection.
-func (p *Pool) Attempt(decision gate.Decision, command *Command) (gate.Result, *resp.Bulk) {
+func (p *Pool) Attempt(decision dispatch.Decision, command *Command) (dispatch.Result, *resp.Bulk) {
 	ctx, key, deadline := decision.Context, keyOf(decision.Server), decision.Deadline
 	startedAt := time.Now()
 	if ctx.Err() != nil {
-		return gate.Result{Outcome: policy.NotSent}, nil
+		return dispatch.Result{Outcome: policy.NotSent}, nil
 	}
 	conn, err := p.acquire(ctx, key, decision.WriteDeadline)
 	if err != nil {
-		return gate.Result{Outcome: unsentOutcome(&decision, err)}, nil
+		return dispatch.Result{Outcome: unsentOutcome(&decision, err)}, nil
 	}
 	if !time.Now().Before(decision.WriteDeadline) || !decision.Begin() {
 		p.returnUnwritten(key, conn)
-		return gate.Result{Outcome: policy.NotSent}, nil
+		return dispatch.Result{Outcome: policy.NotSent}, nil
 	}
 	stopAbort := context.AfterFunc(ctx, conn.Abort)
 	idleFor := time.Since(conn.lastUsed)
@@ -61,7 +61,7 @@
 		return result, value
 	}
 	p.closeConnection(conn)
-	result := gate.Result{Outcome: policy.Reset}
+	result := dispatch.Result{Outcome: policy.Reset}
 	switch {
 	case state == exchangeUnwritten:
 		result.Outcome = unsentOutcome(&decision, nil)
@@ -122,7 +122,7 @@
 
 // unsentOutcome is the outcome of a push that never reached a server whole. One that ran out of the time in which it could be
 // repeated says nothing of the server, nor does one for which we had no place: a good server would be set aside for it.
-func unsentOutcome(decision *gate.Decision, err error) policy.Outcome {
+func unsentOutcome(decision *dispatch.Decision, err error) policy.Outcome {
 	if decision.Context.Err() != nil || errors.Is(err, errPoolExhausted) || decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline) {
 		return policy.NotSent
 	}
--- a/internal/fleet/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"cmp"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 // attemptAsync is how a push ended, once it has.
-func (p *Pool) attemptAsync(decision gate.Decision) chan policy.Outcome {
+func (p *Pool) attemptAsync(decision dispatch.Decision) chan policy.Outcome {
 	outcomes := make(chan policy.Outcome, 1)
 	go func() {
 		got, value := p.Attempt(decision, &Command{Verb: "SVC.SUBMIT", Customer: "01", ID: "02"})
@@ -25,7 +25,7 @@
 // awaitDial waits until a connection is coming up.
 func (p *Pool) awaitDial(t *testing.T) {
 	t.Helper()
-	standin.Eventually(t, "a dial", func() bool {
+	fakes.Eventually(t, "a dial", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.open > 0
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := standin.NewSaturatedServer(t)
+			s := fakes.NewSaturatedServer(t)
 			p := New(cmp.Or(c.within, time.Minute), time.Minute, nil, 10)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -78,7 +78,7 @@
 // Between the connection and the first byte the attempt may be called off: the one question before the byte settles
 // it, and the connection serves the next push.
 func TestAttempt_cancelledBeforeFirstByteWritesNothing(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	p := newTestPool(10)
 	for _, idle := range []int{1, 0} { // a new connection is kept, one that had rested is dropped
 		ctx, cancel := context.WithCancel(context.Background())
@@ -99,7 +99,7 @@
 }
 
 // ageIdle makes the idle connections to a server rested ones.
-func (p *Pool) ageIdle(s *standin.Server) {
+func (p *Pool) ageIdle(s *fakes.Server) {
 	for _, conn := range p.idleConnections[endpointKey{address: s.Addr}] {
 		conn.lastUsed = conn.lastUsed.Add(-time.Second)
 	}
@@ -108,18 +108,18 @@
 // What was begun goes on, however late it is for a repeat; what is late right before its first byte is not begun.
 func TestAttempt_writeDeadlineEndsBeforeFirstByteOnly(t *testing.T) {
 	answer := make(chan string)
-	s := standin.NewServer(t, func([]string) string { return <-answer })
+	s := fakes.NewServer(t, func([]string) string { return <-answer })
 	p := newTestPool(10)
 	decision := decisionWithin(s.Addr, time.Minute)
 	for span := 100 * time.Millisecond; s.PendingCommands() == 0; span *= 2 { // once, unless we are slower than that
 		decision.WriteDeadline = time.Now().Add(span)
 		outcomes := p.attemptAsync(decision)
-		standin.Eventually(t, "a command", func() bool { return s.PendingCommands() > 0 || len(outcomes) > 0 })
+		fakes.Eventually(t, "a command", func() bool { return s.PendingCommands() > 0 || len(outcomes) > 0 })
 		if len(outcomes) > 0 {
 			continue
 		}
-		standin.Eventually(t, "the end of the time", func() bool { return time.Now().After(decision.WriteDeadline) })
-		answer <- standin.FormatValue("hello", 1)
+		fakes.Eventually(t, "the end of the time", func() bool { return time.Now().After(decision.WriteDeadline) })
+		answer <- fakes.FormatValue("hello", 1)
 		if got := <-outcomes; got != policy.Answered {
 			t.Fatalf("begun in time it ended %v", got)
 		}
--- a/internal/fleet/break_test.go
+++ b/internal/upstream/break_test.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -21,7 +21,7 @@
 // addNarrowIdle gives a fleet an idle connection whose buffers are small, and the server's end of it.
 func (p *Pool) addNarrowIdle(t *testing.T) (key endpointKey, far *net.TCPConn) {
 	t.Helper()
-	near, other := standin.ConnPair(t)
+	near, other := fakes.ConnPair(t)
 	_ = near.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	_ = other.(*net.TCPConn).SetReadBuffer(4 << 10)
 	key = endpointKey{address: near.RemoteAddr().String()}
@@ -78,7 +78,7 @@
 				if c.parcel == longCommand {
 					_, err = io.ReadFull(far, make([]byte, 100)) // it is on its way, and cannot end
 				} else {
-					_, err = standin.ReadCommand(bufio.NewReader(far))
+					_, err = fakes.ReadCommand(bufio.NewReader(far))
 				}
 				if err != nil && span < time.Minute {
 					continue // the time was over before it came so far
@@ -101,7 +101,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		_, _ = standin.ReadCommand(bufio.NewReader(far))
+		_, _ = fakes.ReadCommand(bufio.NewReader(far))
 		_, err := io.WriteString(far, "*3\r\n$60000\r\n")
 		for ; err == nil; time.Sleep(5 * time.Millisecond) {
 			_, err = io.WriteString(far, "x")
@@ -131,7 +131,7 @@
 // Of an answer and a giving up in the same instant one holds: here the answer comes between the giving up and what that
 // does to the connection. It counts, once; the connection serves nobody else, as it would be aborted under the next task.
 func TestAttempt_answerAtTheInstantOfCancelling(t *testing.T) {
-	near, far := standin.ConnPair(t)
+	near, far := fakes.ConnPair(t)
 	c := &slowAbortConn{near, make(chan struct{}), make(chan struct{})}
 	p := New(time.Minute, time.Hour, nil, 10)
 	key := endpointKey{address: "there"}
@@ -140,10 +140,10 @@
 	p.idleConnections[key][0].Conn.Conn = c // beneath, it is looked at as before
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		_, _ = standin.ReadCommand(bufio.NewReader(far))
+		_, _ = fakes.ReadCommand(bufio.NewReader(far))
 		cancel()
 		<-c.aborting
-		_, _ = io.WriteString(far, standin.FormatValue("hello", 1))
+		_, _ = io.WriteString(far, fakes.FormatValue("hello", 1))
 	}()
 	got, value := p.Attempt(newDecision(ctx, key.address, time.Now().Add(time.Minute)), &Command{})
 	if got.Outcome != policy.Answered || value.String() != "hello" {
@@ -163,14 +163,14 @@
 		"an end":      func(far *net.TCPConn) { _ = far.CloseWrite() },
 		"a reset":     func(far *net.TCPConn) { _, _ = far.SetLinger(0), far.Close() },
 	} {
-		s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+		s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 		p := New(time.Minute, time.Hour, nil, 10)
 		old, far := p.addNarrowIdle(t)
 		key := endpointKey{address: s.Addr}
 		p.idleConnections[key] = p.idleConnections[old]
 		delete(p.idleConnections, old)
 		act(far)
-		standin.Eventually(t, name, func() bool { return !p.idleConnections[key][0].IsQuiet() })
+		fakes.Eventually(t, name, func() bool { return !p.idleConnections[key][0].IsQuiet() })
 		if attemptOnce(t, p, s, policy.Answered); p.open != 1 || s.ConnCount() != 1 {
 			t.Errorf("%s: %d connections open", name, p.open)
 		}
@@ -179,25 +179,25 @@
 
 // Every way that a connection can go is counted once: as many are open as are idle when nothing is out.
 func TestPool_countsOpenConnectionsOnEveryPath(t *testing.T) {
-	s := standin.NewServer(t, func(words []string) string {
+	s := fakes.NewServer(t, func(words []string) string {
 		if words[0] == "INFO" {
 			return "$10\r\ninflight=2\r\n"
 		}
 		return words[2] // the command says what it is to be answered
 	})
-	silent := standin.Listen(t)
+	silent := fakes.Listen(t)
 	p := New(100*time.Millisecond, time.Hour, []string{"inflight"}, 2)
-	unreachable := gate.Server{Address: standin.NewSaturatedServer(t).Addr}
-	soonDecision := func(address string) gate.Decision { return decisionWithin(address, 100*time.Millisecond) }
+	unreachable := dispatch.Server{Address: fakes.NewSaturatedServer(t).Addr}
+	soonDecision := func(address string) dispatch.Decision { return decisionWithin(address, 100*time.Millisecond) }
 	for range 3 {
-		good := standin.FormatValue("a", 1)
-		for _, answer := range []string{good, "-BUSY\r\n", "nonsense\r\n", standin.CloseConn, good + "-ERR"} {
+		good := fakes.FormatValue("a", 1)
+		for _, answer := range []string{good, "-BUSY\r\n", "nonsense\r\n", fakes.CloseConn, good + "-ERR"} {
 			_, value := p.Attempt(soonDecision(s.Addr), &Command{ID: answer})
 			value.Free()
 		}
-		p.CheckHealth(gate.Server{Address: s.Addr}, func(gate.Result) {})
-		p.CheckHealth(unreachable, func(gate.Result) {})
-		p.CheckHealth(gate.Server{Address: silent.Addr().String()}, func(gate.Result) {})
+		p.CheckHealth(dispatch.Server{Address: s.Addr}, func(dispatch.Result) {})
+		p.CheckHealth(unreachable, func(dispatch.Result) {})
+		p.CheckHealth(dispatch.Server{Address: silent.Addr().String()}, func(dispatch.Result) {})
 		_, _ = p.Attempt(soonDecision(silent.Addr().String()), &Command{})
 		_, _ = p.Attempt(soonDecision(unreachable.Address), &Command{})
 		never := soonDecision(s.Addr)
@@ -205,8 +205,8 @@
 		_, _ = p.Attempt(never, &Command{})
 	}
 	idle := 0
-	standin.Eventually(t, "one that is kept", func() bool {
-		_, value := p.Attempt(decisionWithin(s.Addr, time.Minute), &Command{ID: standin.FormatValue("a", 1)})
+	fakes.Eventually(t, "one that is kept", func() bool {
+		_, value := p.Attempt(decisionWithin(s.Addr, time.Minute), &Command{ID: fakes.FormatValue("a", 1)})
 		value.Free()
 		for _, connections := range p.idleConnections {
 			idle += len(connections)
--- a/internal/fleet/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -1,10 +1,10 @@
-package fleet
+package upstream
 
 import (
 	"testing"
 
 	"harrierhoist/internal/resp"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
@@ -12,7 +12,7 @@
 // can be reckoned with.
 func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
-		standin.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n", "-BUSY\r\n", "-BUSY 20\r\n",
+		fakes.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n", "-BUSY\r\n", "-BUSY 20\r\n",
 		"-BUSY used=37\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7,util=0.61\r\n", "-ERR\r\n", "-ERR failed used=,=\r\n",
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n", "+OK\r\n", ":7\r\n", "-ERR failed used=nan,cost=-1 util=inf\r\n", "*1\r\n$0\r\n\r\n",
 		"*3\r\n$1\r\nv\r\n$9\r\nused=0x1p\r\n$-1\r\n", "-ERR failed used=1_0,cost=+2\r\n", "-\r\n", "- \r\n",
@@ -21,7 +21,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := resp.NewConn(&standin.ScriptedConn{Input: data})
+		c := resp.NewConn(&fakes.ScriptedConn{Input: data})
 		if c.Await() != nil {
 			return
 		}
--- a/internal/fleet/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 func TestIdle_connectionIsReusedUnlessClosedByServer(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	p := newTestPool(10)
 	attemptOnce(t, p, s, policy.Answered)
 	p.ageIdle(s)
@@ -22,13 +22,13 @@
 		t.Fatalf("%d connections idle after two pushes in turn", len(connections))
 	}
 	_ = s.NextConn(t).Close()
-	standin.Eventually(t, "the close", func() bool { return !p.idleConnections[endpointKey{address: s.Addr}][0].IsQuiet() })
+	fakes.Eventually(t, "the close", func() bool { return !p.idleConnections[endpointKey{address: s.Addr}][0].IsQuiet() })
 	p.ageIdle(s)
 	attemptOnce(t, p, s, policy.Answered) // written to the closed one, it would have ended as a reset
 }
 
 func TestIdle_connectionIsClosedBeforeServersLimit(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	p := New(time.Second, time.Second, nil, 10)
 	attemptOnce(t, p, s, policy.Answered)
 	p.ageIdle(s) // beyond half of the limit
@@ -40,11 +40,11 @@
 
 func TestIdle_silentServerLosesItsConnections(t *testing.T) {
 	silent := false
-	s := standin.NewServer(t, func([]string) string {
+	s := fakes.NewServer(t, func([]string) string {
 		if silent {
 			return ""
 		}
-		return standin.FormatValue("hello", 1)
+		return fakes.FormatValue("hello", 1)
 	})
 	p := newTestPool(10)
 	conn, _ := p.acquire(context.Background(), endpointKey{address: s.Addr}, time.Now().Add(time.Minute))
@@ -61,8 +61,8 @@
 }
 
 func TestPool_holdsNoMoreThanMaxConnections(t *testing.T) {
-	answer := func([]string) string { return standin.FormatValue("hello", 1) }
-	a, b := standin.NewServer(t, answer), standin.NewServer(t, answer)
+	answer := func([]string) string { return fakes.FormatValue("hello", 1) }
+	a, b := fakes.NewServer(t, answer), fakes.NewServer(t, answer)
 	p := newTestPool(1)
 	attemptOnce(t, p, a, policy.Answered)
 	attemptOnce(t, p, b, policy.Answered) // takes the place of the idle one
@@ -84,15 +84,15 @@
 func TestIdle_lateSecondReplyIsNotTakenForNextOne(t *testing.T) {
 	for _, maxConnections := range []int{10, 1} {
 		first := make(chan net.Conn, 1)
-		var s *standin.Server
-		s = standin.NewServer(t, func([]string) string {
+		var s *fakes.Server
+		s = fakes.NewServer(t, func([]string) string {
 			select {
 			case c := <-first:
-				_, _ = io.WriteString(c, standin.FormatValue("late", 7))
+				_, _ = io.WriteString(c, fakes.FormatValue("late", 7))
 			default:
 				first <- s.NextConn(t)
 			}
-			return standin.FormatValue("hello", 1)
+			return fakes.FormatValue("hello", 1)
 		})
 		p := newTestPool(maxConnections)
 		attemptOnce(t, p, s, policy.Answered)
@@ -104,7 +104,7 @@
 }
 
 func TestIdle_connectionIsReusedAfterMinIdle(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	p := newTestPool(10)
 	rested, _ := p.acquire(context.Background(), endpointKey{address: s.Addr}, time.Now().Add(time.Minute))
 	latest, _ := p.acquire(context.Background(), endpointKey{address: s.Addr}, time.Now().Add(time.Minute))
@@ -148,7 +148,7 @@
 }
 
 func TestIdleLosses_staleConnectionsCostFewAttempts(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	p := newTestPool(10)
 	lost := 0
 	for range 12 { // the server ends each connection that it is asked on a second time
--- a/internal/fleet/idlelosses.go
+++ b/internal/upstream/idlelosses.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"math/bits"
--- a/internal/boot/leak_test.go
+++ b/internal/upstream/leak_test.go
@@ -1,4 +1,4 @@
-package boot
+package upstream
 
 import (
 	"testing"
--- a/internal/fleet/pool.go
+++ b/internal/upstream/pool.go
@@ -1,13 +1,13 @@
 // Package fleet keeps connections to servers: it pushes tasks to them, gives pushes up and probes. Where to is
 // said by others. One push goes on a connection at a time, so that none waits behind a longer one.
-package fleet
+package upstream
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
 	"harrierhoist/policy"
 )
@@ -39,7 +39,7 @@
 // endpointKey is where a connection goes: a new server at an old address gets none of the earlier one's.
 type endpointKey struct{ name, address string }
 
-func keyOf(s gate.Server) endpointKey { return endpointKey{s.Name, s.Address} }
+func keyOf(s dispatch.Server) endpointKey { return endpointKey{s.Name, s.Address} }
 
 // connection is a connection and when it was last used.
 type connection struct {
@@ -57,11 +57,11 @@
 func (p *Pool) IdleTimeout() time.Duration { return p.idleTimeout }
 
 // CheckHealth asks a server for its load, or only whether it is there where servers tell no load.
-func (p *Pool) CheckHealth(server gate.Server, done func(gate.Result)) {
+func (p *Pool) CheckHealth(server dispatch.Server, done func(dispatch.Result)) {
 	deadline := time.Now().Add(p.connectTimeout)
 	conn, err := p.acquire(context.Background(), keyOf(server), deadline)
 	if err != nil {
-		done(gate.Result{Outcome: policy.ConnectFailed})
+		done(dispatch.Result{Outcome: policy.ConnectFailed})
 		return
 	}
 	words := []string{"PING"}
@@ -71,11 +71,11 @@
 	reply, state := p.exchange(context.Background(), conn, &resp.Command{Words: words}, deadline, deadline)
 	if state != exchangeAnswered {
 		p.closeConnection(conn)
-		done(gate.Result{Outcome: policy.TimedOut})
+		done(dispatch.Result{Outcome: policy.TimedOut})
 		return
 	}
 	p.putIdle(keyOf(server), conn)
-	result := gate.Result{Outcome: policy.Errored}
+	result := dispatch.Result{Outcome: policy.Errored}
 	if reply.Kind != '-' {
 		result.Outcome = policy.Answered
 	}
--- a/internal/fleet/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package fleet
+package upstream
 
 import (
 	"context"
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/gate"
-	"harrierhoist/internal/standin"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
 // newDecision is a choice of a server for a push that may begin.
-func newDecision(ctx context.Context, address string, deadline time.Time) gate.Decision {
-	return gate.Decision{Server: gate.Server{Address: address}, Deadline: deadline, WriteDeadline: deadline, Context: ctx, Begin: func() bool { return true }}
+func newDecision(ctx context.Context, address string, deadline time.Time) dispatch.Decision {
+	return dispatch.Decision{Server: dispatch.Server{Address: address}, Deadline: deadline, WriteDeadline: deadline, Context: ctx, Begin: func() bool { return true }}
 }
 
 // decisionWithin is one that nobody calls off.
-func decisionWithin(address string, span time.Duration) gate.Decision {
+func decisionWithin(address string, span time.Duration) dispatch.Decision {
 	return newDecision(context.Background(), address, time.Now().Add(span))
 }
 
 // attemptOnce sends one task and checks how it ends.
-func attemptOnce(t *testing.T, p *Pool, s *standin.Server, want policy.Outcome) gate.Result {
+func attemptOnce(t *testing.T, p *Pool, s *fakes.Server, want policy.Outcome) dispatch.Result {
 	t.Helper()
 	command := &Command{Verb: "SVC.QUERY", Customer: "01", ID: "02", ParamsBefore: "c=a,d=", ParamsAfter: ",k=7"}
 	got, value := p.Attempt(decisionWithin(s.Addr, 5*time.Second), command)
@@ -40,14 +40,14 @@
 
 func TestAttempt_outcomes(t *testing.T) {
 	answers := map[string]policy.Outcome{
-		standin.FormatValue("hello", 3):            policy.Answered,
+		fakes.FormatValue("hello", 3):              policy.Answered,
 		"-ERR failed used=3,cost=2 inflight=7\r\n": policy.Errored,
-		"-BUSY\r\n":       policy.Rejected,
-		standin.CloseConn: policy.Reset,
-		"":                policy.TimedOut,
+		"-BUSY\r\n":     policy.Rejected,
+		fakes.CloseConn: policy.Reset,
+		"":              policy.TimedOut,
 	}
 	for text, want := range answers {
-		s := standin.NewServer(t, func([]string) string { return text })
+		s := fakes.NewServer(t, func([]string) string { return text })
 		p := newTestPool(10)
 		if want == policy.TimedOut {
 			command := &Command{Verb: "SVC.QUERY"}
@@ -68,14 +68,14 @@
 }
 
 func TestParseReply_loadReportIsReadByName(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return "*3\r\n$1\r\nv\r\n$-1\r\n$25\r\ninflight=7,x=1,util=0.610\r\n" })
+	s := fakes.NewServer(t, func([]string) string { return "*3\r\n$1\r\nv\r\n$-1\r\n$25\r\ninflight=7,x=1,util=0.610\r\n" })
 	if got := attemptOnce(t, newTestPool(9), s, policy.Answered).LoadReport; len(got) != 2 || got[0] != 7 || got[1] != 0.61 {
 		t.Errorf("got %v", got)
 	}
 }
 
 func TestAttempt_cancellingClosesConnection(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return "" })
+	s := fakes.NewServer(t, func([]string) string { return "" })
 	p := newTestPool(10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan policy.Outcome)
@@ -98,21 +98,21 @@
 }
 
 func TestCheckHealth_reportsLoad(t *testing.T) {
-	s := standin.NewServer(t, func(words []string) string {
+	s := fakes.NewServer(t, func(words []string) string {
 		if strings.Join(words, " ") != "INFO load" {
 			return "-ERR\r\n"
 		}
 		return "$19\r\ninflight=2,util=0.5\r\n"
 	})
-	results := make(chan gate.Result, 1)
-	newTestPool(1).CheckHealth(gate.Server{Address: s.Addr}, func(r gate.Result) { results <- r })
+	results := make(chan dispatch.Result, 1)
+	newTestPool(1).CheckHealth(dispatch.Server{Address: s.Addr}, func(r dispatch.Result) { results <- r })
 	if got := <-results; got.Outcome != policy.Answered || len(got.LoadReport) != 2 || got.LoadReport[1] != 0.5 {
 		t.Errorf("told %+v", got)
 	}
 }
 
 func TestAttempt_secondReplyIsNotTakenForNextOne(t *testing.T) {
-	s := standin.NewServer(t, func([]string) string { return standin.FormatValue("hello", 1) + standin.FormatValue("hello", 7) })
+	s := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7) })
 	p := newTestPool(10)
 	attemptOnce(t, p, s, policy.Answered)
 	if got := attemptOnce(t, p, s, policy.Answered); got.Billed != 1 || s.ConnCount() != 2 {
@@ -127,7 +127,7 @@
 		"-BUSY x\r\n", "-BUSYBUSY\r\n", "-\x00\xff\r\n", "-ERR\r\n", strings.Repeat("-", 1<<20),
 		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ninflight=7,u", // it stops there, long before the task's time is up
 	} {
-		s := standin.NewServer(t, func([]string) string { return text })
+		s := fakes.NewServer(t, func([]string) string { return text })
 		p := New(100*time.Millisecond, time.Minute, nil, 10)
 		if attemptOnce(t, p, s, policy.Reset); p.open != 0 {
 			t.Errorf("%.20q: its connection is kept", text)
@@ -137,7 +137,7 @@
 
 func TestParseReply_invalidFigureIsIgnored(t *testing.T) {
 	for _, attribute := range []string{"cost=x", "cost=-1", "cost=NaN", "cost=Inf", "cost", "???"} {
-		s := standin.NewServer(t, func([]string) string {
+		s := fakes.NewServer(t, func([]string) string {
 			return fmt.Sprintf("*3\r\n$1\r\nv\r\n$%d\r\n%s\r\n$-1\r\n", len(attribute), attribute)
 		})
 		if got := attemptOnce(t, newTestPool(9), s, policy.Answered); got.Billed != 0 {
@@ -150,7 +150,7 @@
 func TestReadFigures_quotaUse(t *testing.T) {
 	p := &Pool{}
 	for attribute, want := range map[string]float64{"used=37,cost=4": 1.37, "used=0": 1, "cost=4": 0, "used=x": 0, "used=-3": 0} {
-		var result gate.Result
+		var result dispatch.Result
 		p.readFigures(&result, attribute)
 		if result.Use < want-1e-9 || result.Use > want+1e-9 {
 			t.Errorf("%s stands for %v, want %v", attribute, result.Use, want)
--- a/internal/fleet/reply.go
+++ b/internal/upstream/reply.go
@@ -1,18 +1,18 @@
-package fleet
+package upstream
 
 import (
 	"slices"
 	"strconv"
 	"strings"
 
-	"harrierhoist/internal/gate"
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
 	"harrierhoist/policy"
 )
 
 // parseReply reads a reply. Good are the forms that servers show: an array of the value, use and load; ERR failed or
 // BUSY with notes at most. Anything else is spoilt: the task may have run, whatever the line says.
-func (p *Pool) parseReply(reply *resp.Reply) (result gate.Result, value *resp.Bulk, good bool) {
+func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, good bool) {
 	attributes := reply.Attributes
 	switch words := strings.Fields(reply.Line); {
 	case reply.Kind == '*' && reply.Value != nil && len(attributes) == replyAttributes:
@@ -23,7 +23,7 @@
 		result.Outcome, attributes = policy.Rejected, words[1:]
 	default:
 		reply.Value.Free()
-		return gate.Result{Outcome: policy.Reset}, nil, false
+		return dispatch.Result{Outcome: policy.Reset}, nil, false
 	}
 	for _, attribute := range attributes {
 		p.readFigures(&result, attribute)
@@ -41,7 +41,7 @@
 const maxFigure = 1e9
 
 // readFigures takes the figures from a note such as used=37,cost=4.
-func (p *Pool) readFigures(result *gate.Result, attribute string) {
+func (p *Pool) readFigures(result *dispatch.Result, attribute string) {
 	loadReport := make([]float32, 0, len(p.loadFields))
 	figures := map[string]float64{}
 	for pair := range strings.SplitSeq(attribute, ",") {
--- a/internal/witness/golden_test.go
+++ b/internal/zonestats/golden_test.go
@@ -1,4 +1,4 @@
-package witness
+package zonestats
 
 import (
 	"crypto/sha256"
--- a/internal/witness/names.go
+++ b/internal/zonestats/names.go
@@ -2,13 +2,13 @@
 // and the time, and knows no sockets and no clock. All counts only grow; all times in them are milliseconds that the
 // gateway was awake, so that one gateway adds at most one second to any of them each second, whatever it believes:
 // a sum over a span, by that span, is the number of distinct gateways that saw it.
-package witness
+package zonestats
 
 import (
 	"math"
 	"strconv"
 
-	"harrierhoist/internal/cluster/evidence"
+	"harrierhoist/internal/coordination/evidence"
 )
 
 // The judgements of a hall by one gateway: the part of the servers there, of those that it knows of late, that answer,
