--- a/Makefile
+++ b/Makefile
@@ -5,8 +5,8 @@
 	sh -c "$$(sed -n 's/^build = "\(.*\)".*$$/\1/p' deploy/balancer.toml)"
 
 test:
-	go test -count=1 $$(go list ./... | grep -v /internal/drill$$)
-	go test -count=1 ./internal/drill
+	go test -count=1 $$(go list ./... | grep -v /internal/testing/faultinjection$$)
+	go test -count=1 ./internal/testing/faultinjection
 
 race:
 	GOFLAGS=-race go test -count=1 ./...
--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/coordination/link"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -24,13 +24,13 @@
 	voters    string // their tables in every file
 	processes map[string]*exec.Cmd
 	logs      map[string]*logBuffer
-	client    *link.Client
+	client    *transport.Client
 	number    uint64 // of the latest command
 }
 
 func newVoterCluster(t *testing.T, names ...string) *voterCluster {
 	c := &voterCluster{T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{}, logs: map[string]*logBuffer{},
-		client: link.NewClient(link.Network{}, 2)}
+		client: transport.NewClient(transport.Network{}, 2)}
 	t.Cleanup(c.client.Close)
 	for i, name := range names {
 		c.addresses[name] = freeAddress(t)
@@ -136,7 +136,7 @@
 	c.number++
 	fakes.Eventually(c, "a write", func() bool {
 		for _, address := range c.addresses {
-			r, err := c.client.Propose(c.Context(), address, tables.Command{Kind: tables.Write, Proposer: "test/1", Number: c.number,
+			r, err := c.client.Propose(c.Context(), address, statemachine.Command{Kind: statemachine.Write, Proposer: "test/1", Number: c.number,
 				Table: table, Epoch: epoch, Value: []byte(value)})
 			if err == nil && r.Applied {
 				return true
@@ -147,7 +147,7 @@
 }
 
 // readTable reads a table with the word of a majority.
-func (c *voterCluster) readTable(table string) (e tables.Table) {
+func (c *voterCluster) readTable(table string) (e statemachine.Table) {
 	c.Helper()
 	fakes.Eventually(c, "a read", func() bool {
 		for _, address := range c.addresses {
--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -15,30 +15,30 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/follow"
-	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/follower"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
 )
 
 // countingSource is a voter at the end of a link whose calls are counted.
 type countingSource struct {
 	name, address  string
-	client         *link.Client
+	client         *transport.Client
 	digests, reads *atomic.Int64
 }
 
 func (s countingSource) Name() string { return s.name }
 
-func (s countingSource) SendDigest(ctx context.Context, d evidence.Digest) error {
+func (s countingSource) SendDigest(ctx context.Context, d observation.Digest) error {
 	s.digests.Add(1)
-	return s.client.Digests(ctx, s.address, []evidence.Digest{d})
+	return s.client.Digests(ctx, s.address, []observation.Digest{d})
 }
 
-func (s countingSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follow.ReadResult, error) {
+func (s countingSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
 	s.reads.Add(1)
 	found, group, err := s.client.Read(ctx, s.address, known, wait)
-	return follow.ReadResult{Tables: found, GroupID: group}, err
+	return follower.ReadResult{Tables: found, GroupID: group}, err
 }
 
 // resourcesUsed is what a process has used so far: CPU, and bytes that it read and wrote, on sockets and disk alike.
@@ -84,20 +84,20 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer end()
-	var all []*follow.Follower
+	var all []*follower.Follower
 	for i := range n {
-		process, client := fmt.Sprintf("g%d", i), link.NewClient(link.Network{}, 2)
-		var voters []follow.Source
+		process, client := fmt.Sprintf("g%d", i), transport.NewClient(transport.Network{}, 2)
+		var voters []follower.Source
 		for _, name := range []string{"v1", "v2", "v3"} {
 			voters = append(voters, countingSource{name, c.addresses[name], client, &calls[name][0], &calls[name][1]})
 		}
-		f := follow.New(process, 1, follow.PreferenceOrder(process, voters),
-			follow.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follow.SystemUptime, zap.NewNop())
+		f := follower.New(process, 1, follower.PreferenceOrder(process, voters),
+			follower.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follower.SystemUptime, zap.NewNop())
 		var count atomic.Uint64
 		f.RegisterCounters(func(add func(string, uint64)) { // as many as a gateway that pushes to six halls has
 			for hall := range 6 {
 				for of := range 8 {
-					add(evidence.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of)), count.Add(1))
+					add(observation.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of)), count.Add(1))
 				}
 			}
 		})
--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	f := &fleet{World: l}
-	if f.dir, err = os.MkdirTemp("", "hoistlab-"); err != nil {
+	if f.dir, err = os.MkdirTemp("", "loadlab-"); err != nil {
 		return nil, err
 	}
 	program, err := os.Executable()
@@ -228,6 +228,6 @@
 		p.Add(line)
 		p.Legend.Add(s.name, line)
 	}
-	file := filepath.Join(dir, "hoistlab-demo.svg")
+	file := filepath.Join(dir, "loadlab-demo.svg")
 	return file, p.Save(7*vg.Inch, 3.5*vg.Inch, file)
 }
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -1,4 +1,4 @@
-// Command hoistlab is the laboratory: it plays worlds with emulated servers, counter, discovery and customers, in
+// Command loadlab is the laboratory: it plays worlds with emulated servers, counter, discovery and customers, in
 // virtual time or before real gateways, and says what a change does. docs/lab.md is its manual.
 package main
 
@@ -28,13 +28,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := root().ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "hoistlab:", err)
+		fmt.Fprintln(os.Stderr, "loadlab:", err)
 		os.Exit(1)
 	}
 }
 
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "hoistlab",
+	c := &cobra.Command{Use: "loadlab",
 		Short:        "the laboratory of harrierhoist: emulated servers, load, experiments, reports",
 		SilenceUsage: true, SilenceErrors: true}
 	c.AddCommand(checkCommand(), runCommand(), compareCommand(), reportCommand(), searchCommand(), sizeCommand(),
@@ -151,7 +151,7 @@
 	rate, length, file, seed := 0.0, 10*time.Second, "", uint64(1)
 	c := &cobra.Command{Use: "load",
 		Short: "drive running gateways at a given rate, open loop; Ctrl-C ends it with its report", Args: cobra.NoArgs,
-		Example: "  hoistlab load --gateway 127.0.0.1:6379 --rate 200 --for 30s",
+		Example: "  loadlab load --gateway 127.0.0.1:6379 --rate 200 --for 30s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w, err := scenario.Parse("the default world", nil)
 			if file != "" {
--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -38,10 +38,10 @@
 func TestSubCommands(t *testing.T) {
 	dir := t.TempDir()
 	results, found := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "found.toml")
-	if got := run(t, "check", "../../lab/worlds/calm.toml"); !strings.Contains(got, "calm: 30 gateways, 20 servers") {
+	if got := run(t, "check", "../../scenarios/worlds/calm.toml"); !strings.Contains(got, "calm: 30 gateways, 20 servers") {
 		t.Error(got)
 	}
-	if got := run(t, "run", "../../lab/plans/smoke.toml", "-o", results); strings.Count(got, "| release |") != 2 {
+	if got := run(t, "run", "../../scenarios/plans/smoke.toml", "-o", results); strings.Count(got, "| release |") != 2 {
 		t.Error(got)
 	}
 	if got := run(t, "compare", results, "--variants", "random,module"); !strings.Contains(got, "| release | 4 | net |") {
@@ -52,10 +52,10 @@
 	if len(charts) != 3 || !strings.Contains(got, "release-4-service.svg") {
 		t.Errorf("%v\n%s", charts, got)
 	}
-	if got := run(t, "size", "../../lab/worlds/calm.toml", "--gateways", "3", "--seconds", "2"); strings.Count(got, "| 3 |") != 2 {
+	if got := run(t, "size", "../../scenarios/worlds/calm.toml", "--gateways", "3", "--seconds", "2"); strings.Count(got, "| 3 |") != 2 {
 		t.Error(got)
 	}
-	if got := run(t, "search", "../../lab/worlds/calm.toml", "-n", "1", "--troubles", "1", "-o", found); !strings.Contains(got, "worst of") {
+	if got := run(t, "search", "../../scenarios/worlds/calm.toml", "-n", "1", "--troubles", "1", "-o", found); !strings.Contains(got, "worst of") {
 		t.Error(got)
 	}
 	if got := run(t, "check", found); !strings.Contains(got, "calm-found") {
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -19,7 +19,7 @@
 	var gateways []int
 	c := &cobra.Command{Use: "run PLAN.toml", Short: "play a plan in virtual time: worlds x sizes x variants x seeds",
 		Args:    cobra.ExactArgs(1),
-		Example: "  hoistlab run lab/plans/baselines.toml --out results.jsonl",
+		Example: "  loadlab run scenarios/plans/baselines.toml --out results.jsonl",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := experiment.ReadPlan(args[0])
 			if err != nil {
@@ -68,7 +68,7 @@
 	c := &cobra.Command{Use: "compare A.jsonl [B.jsonl]",
 		Short:   "pair two sets of results by world, size and seed: means, 95% intervals, what is noise",
 		Args:    cobra.RangeArgs(1, 2),
-		Example: "  hoistlab compare before.jsonl after.jsonl\n  hoistlab compare results.jsonl --variants even,module",
+		Example: "  loadlab compare before.jsonl after.jsonl\n  loadlab compare results.jsonl --variants even,module",
 		RunE: func(cmd *cobra.Command, files []string) error {
 			a, err := experiment.ReadResults(files[0])
 			if err != nil {
--- a/internal/canary/controller_rapid_test.go
+++ b/internal/canary/controller_rapid_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/countingrule"
 )
 
@@ -29,7 +29,7 @@
 		config := &countingrule.Config{DesiredVersion: 1, Rules: []countingrule.Rule{scaledLimits(1), scaledLimits(2)}, Canary: canaryConfig()}
 		config.Rules[1].Version = 2
 		c, twin := newController(config, time.Hour), newController(config, time.Hour)
-		now, since, entry, sums := time.Minute, time.Duration(0), tables.Table{}, map[string]uint64{}
+		now, since, entry, sums := time.Minute, time.Duration(0), statemachine.Table{}, map[string]uint64{}
 		harmUnits := rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
 		for range rapid.IntRange(60, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
@@ -57,7 +57,7 @@
 				sums[prefix+nameRequested] += 300_000
 				sums[prefix+nameAdmitted] += 300_000 - 200*harmUnits
 			}
-			seen := coordination.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) tables.Table { return entry }}
+			seen := coordination.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) statemachine.Table { return entry }}
 			value, write := c.Decide(now, seen)
 			encodedAgain, writeAgain := twin.Decide(now, seen)
 			if write != writeAgain || !bytes.Equal(value, encodedAgain) {
@@ -85,7 +85,7 @@
 			if next.Phase == countingrule.PhaseRollback && len(next.Refused) > len(previous.Refused) {
 				rolledBack++
 			}
-			entry = tables.Table{Epoch: entry.Epoch + 1, Value: value}
+			entry = statemachine.Table{Epoch: entry.Epoch + 1, Value: value}
 		}
 	})
 	t.Logf("%d activations, %d undone", activated, rolledBack)
--- a/internal/canary/controller_test.go
+++ b/internal/canary/controller_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/countingrule"
 )
 
@@ -105,8 +105,8 @@
 // decideOnce has a decider decide on a table.
 func decideOnce(config *countingrule.Config, current countingrule.Table) (countingrule.Table, bool) {
 	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, ReadWait: time.Second}
-	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) tables.Table {
-		return tables.Table{Epoch: 3, Value: current.Encode()}
+	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) statemachine.Table {
+		return statemachine.Table{Epoch: 3, Value: current.Encode()}
 	}})
 	table, _ := countingrule.Decode(value)
 	return table, write
--- a/internal/canary/observations.go
+++ b/internal/canary/observations.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/policy"
 )
 
@@ -81,9 +81,9 @@
 		outcome = nameNewOnly
 		inBucket.newOnly += units
 	}
-	prefix := evidence.JoinName(nameClass, o.classNames[shadowed.request.Class], o.planNames[shadowed.request.Plan])
-	o.counts[evidence.JoinName(prefix, outcome)] += units
-	o.counts[evidence.JoinName(prefix, prefixWeighted+outcome)] += thousandths(o.classWeights[shadowed.request.Class])
+	prefix := observation.JoinName(nameClass, o.classNames[shadowed.request.Class], o.planNames[shadowed.request.Plan])
+	o.counts[observation.JoinName(prefix, outcome)] += units
+	o.counts[observation.JoinName(prefix, prefixWeighted+outcome)] += thousandths(o.classWeights[shadowed.request.Class])
 	o.counts[outcome] += units
 	if shadowed.estimated {
 		o.counts[nameEstimated]++
@@ -108,19 +108,19 @@
 
 // RecordActual counts a task of the sample as it went: taken under a version, pushed or not.
 func (o *Observations) RecordActual(version uint64, units float64, forwarded bool) {
-	prefix := evidence.JoinName(nameActual, strconv.FormatUint(version, 10))
-	o.counts[evidence.JoinName(prefix, nameRequested)] += thousandths(units)
+	prefix := observation.JoinName(nameActual, strconv.FormatUint(version, 10))
+	o.counts[observation.JoinName(prefix, nameRequested)] += thousandths(units)
 	if forwarded {
-		o.counts[evidence.JoinName(prefix, nameAdmitted)] += thousandths(units)
+		o.counts[observation.JoinName(prefix, nameAdmitted)] += thousandths(units)
 	}
 }
 
 // Report gives the counts as evidence.
 func (o *Observations) Report(add func(name string, n uint64)) {
 	for name, n := range o.counts {
-		add(evidence.JoinName("canary", o.fingerprint, name), n)
+		add(observation.JoinName("canary", o.fingerprint, name), n)
 	}
-	add(evidence.JoinName("canary", o.fingerprint, nameCalls), o.Calls)
+	add(observation.JoinName("canary", o.fingerprint, nameCalls), o.Calls)
 	for i, inBucket := range o.buckets {
 		if inBucket.requested == 0 {
 			continue
@@ -134,5 +134,5 @@
 }
 
 func bucketName(fingerprint string, bucket int, kind string) string {
-	return evidence.JoinName("canary", fingerprint, nameBucket, strconv.Itoa(bucket), kind)
+	return observation.JoinName("canary", fingerprint, nameBucket, strconv.Itoa(bucket), kind)
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
@@ -24,7 +24,7 @@
 // simulation is a fleet of three processes in virtual time with a counter, a leader's decider and customers that are drawn.
 type simulation struct {
 	controller  *Controller
-	table       tables.Table
+	table       statemachine.Table
 	shadows     []*Shadow
 	counter     counter
 	chance      *rand.Rand
@@ -78,12 +78,12 @@
 // decide lets the decider decide, and the processes follow.
 func (s *simulation) decide() {
 	value, write := s.controller.Decide(s.now, coordination.ControllerInput{Sums: s.sums(), LeadingSince: s.ledSince,
-		Table: func(string) tables.Table { return s.table }})
+		Table: func(string) statemachine.Table { return s.table }})
 	previous := s.tableValue()
 	if !write {
 		return
 	}
-	s.table = tables.Table{Epoch: s.table.Epoch + 1, Value: value}
+	s.table = statemachine.Table{Epoch: s.table.Epoch + 1, Value: value}
 	table := s.tableValue()
 	if table.Phase == countingrule.PhaseCanary && previous.Phase != countingrule.PhaseCanary {
 		old, _ := table.Rule(table.From)
--- a/internal/canary/trialstate.go
+++ b/internal/canary/trialstate.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/countingrule"
 )
 
@@ -42,18 +42,18 @@
 
 // actualUnits are the units of the sample's tasks that were taken under a version, asked and let in.
 func (s *TrialState) actualUnits(version uint64) (requested, admitted uint64) {
-	prefix := evidence.JoinName(nameActual, strconv.FormatUint(version, 10))
-	return s.Sums[evidence.JoinName(prefix, nameRequested)], s.Sums[evidence.JoinName(prefix, nameAdmitted)]
+	prefix := observation.JoinName(nameActual, strconv.FormatUint(version, 10))
+	return s.Sums[observation.JoinName(prefix, nameRequested)], s.Sums[observation.JoinName(prefix, nameAdmitted)]
 }
 
 // accumulate adds to the sums what came since they were last written.
 func (s *TrialState) accumulate(fingerprint string, baseline, sums map[string]uint64) {
-	prefix := evidence.JoinName("canary", fingerprint, "")
+	prefix := observation.JoinName("canary", fingerprint, "")
 	accumulated := maps.Clone(s.Sums)
 	if accumulated == nil {
 		accumulated = map[string]uint64{}
 	}
-	bucketPrefix := evidence.JoinName(nameBucket, "")
+	bucketPrefix := observation.JoinName(nameBucket, "")
 	for name, n := range sums {
 		kind, ok := strings.CutPrefix(name, prefix)
 		if ok && !strings.HasPrefix(kind, bucketPrefix) && n > baseline[name] {
--- a/internal/conformance/common.go
+++ b/internal/conformance/common.go
@@ -12,11 +12,11 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/charter"
-	"harrierhoist/internal/commons"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/link"
-	log "harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/node"
+	log "harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -32,9 +32,9 @@
 
 // union is one voter, and what its followers' files say of it.
 type union struct {
-	*commons.Node
+	*node.Node
 	address, dir string
-	client       *link.Client
+	client       *transport.Client
 }
 
 // unions are those that rows share; Clean closes them.
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &union{dir: dir, client: link.NewClient(link.Network{}, 1)}
+	u := &union{dir: dir, client: transport.NewClient(transport.Network{}, 1)}
 	for range votersMost { // the port may be taken by another between the two
 		u.address = address(ported.Add(1))
 		path := filepath.Join(dir, "voter.toml")
@@ -58,8 +58,8 @@
 		if err = os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		none := func(*charter.Config) []coordination.Controller { return nil }
-		if u.Node, err = commons.Open(path, none, zap.NewNop()); err == nil {
+		none := func(*config.Config) []coordination.Controller { return nil }
+		if u.Node, err = node.Open(path, none, zap.NewNop()); err == nil {
 			break
 		}
 	}
--- a/internal/charter/config.go
+++ b/internal/coordination/config/config.go
@@ -1,7 +1,7 @@
 // Package charter reads the operators' own file of what processes hold in common: who this process is, which
 // processes are voters, and the terms of each part that is decided in common. Where no file is named, none of it
 // starts.
-package charter
+package config
 
 import (
 	"slices"
--- a/internal/charter/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"os"
@@ -154,7 +154,7 @@
 }
 
 func TestRead_exampleIsValid(t *testing.T) {
-	c, err := Read("../../deploy/common.example.toml")
+	c, err := Read("../../../deploy/common.example.toml")
 	if err != nil || c.Self() == nil || len(c.Voters) != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
--- a/internal/charter/read.go
+++ b/internal/coordination/config/read.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"bytes"
--- a/internal/coordination/core/cluster_test.go
+++ b/internal/coordination/consensus/cluster_test.go
@@ -1,11 +1,11 @@
-package core
+package consensus
 
 import (
 	"fmt"
 	"testing"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // testCluster is some voters whose messages arrive at once.
@@ -111,7 +111,7 @@
 func (tc *testCluster) mustWrite(number, epoch uint64) {
 	tc.t.Helper()
 	n := tc.waitForLeader()
-	if _, err := n.Propose(tables.Command{Kind: tables.Write, Proposer: "t", Number: number, Table: "plan", Epoch: epoch,
+	if _, err := n.Propose(statemachine.Command{Kind: statemachine.Write, Proposer: "t", Number: number, Table: "plan", Epoch: epoch,
 		Value: []byte("v")}); err != nil {
 		tc.t.Fatal(err)
 	}
--- a/internal/coordination/core/envelope.go
+++ b/internal/coordination/consensus/envelope.go
@@ -1,4 +1,4 @@
-package core
+package consensus
 
 import (
 	"encoding/binary"
@@ -12,16 +12,16 @@
 	"google.golang.org/protobuf/proto"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // envelope is what one voter sends another.
 type envelope struct {
-	From         coordination.Member `cbor:"1,keyasint"`
-	Incarnation  Incarnation         `cbor:"3,keyasint"`
-	ClusterID    uint64              `cbor:"4,keyasint"` // 0: has none yet
-	RaftMessages [][]byte            `cbor:"5,keyasint,omitempty"`
-	Digests      []evidence.Digest   `cbor:"6,keyasint,omitempty"`
+	From         coordination.Member  `cbor:"1,keyasint"`
+	Incarnation  Incarnation          `cbor:"3,keyasint"`
+	ClusterID    uint64               `cbor:"4,keyasint"` // 0: has none yet
+	RaftMessages [][]byte             `cbor:"5,keyasint,omitempty"`
+	Digests      []observation.Digest `cbor:"6,keyasint,omitempty"`
 }
 
 // encode are the envelope with its checksum: raft goes by each number in a message, and one spoilt on the way would be
@@ -95,7 +95,7 @@
 }
 
 // DigestMessage makes a message of digests for the leader; false: none is known, or this voter leads itself.
-func (n *Node) DigestMessage(digests []evidence.Digest) (Message, bool, error) {
+func (n *Node) DigestMessage(digests []observation.Digest) (Message, bool, error) {
 	lead, ok := n.membership.find(n.raftNode.BasicStatus().Lead)
 	if !ok || lead.Number == n.self.Number {
 		return Message{}, false, nil
@@ -107,7 +107,7 @@
 }
 
 // HandleMessage takes a message of another voter and gives the digests in it. Error: ErrRefused with what is wrong with it.
-func (n *Node) HandleMessage(message []byte) ([]evidence.Digest, error) {
+func (n *Node) HandleMessage(message []byte) ([]observation.Digest, error) {
 	received, err := decodeEnvelope(message)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRejected, err)
--- a/internal/coordination/core/gatherer.go
+++ b/internal/coordination/consensus/gatherer.go
@@ -1,7 +1,7 @@
-package core
+package consensus
 
 import (
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // exactCountsInterval is with how many messages to the leader exact counts go along: the log is told them once a second.
@@ -13,34 +13,34 @@
 type Gatherer struct {
 	voterName     string
 	incarnation   uint64
-	processCounts *evidence.Merger
-	exactCounts   *evidence.Merger
-	voterCounts   *evidence.Merger
+	processCounts *observation.Merger
+	exactCounts   *observation.Merger
+	voterCounts   *observation.Merger
 	leaderTerm    uint64 // that this voter leads in; 0: it doesn't
 	serial        uint64
 }
 
 // NewGatherer makes an empty one for a voter in one of its lives.
 func NewGatherer(name string, incarnation uint64) *Gatherer {
-	return &Gatherer{voterName: name, incarnation: incarnation, processCounts: evidence.NewMerger(), exactCounts: evidence.NewMerger(), voterCounts: evidence.NewMerger()}
+	return &Gatherer{voterName: name, incarnation: incarnation, processCounts: observation.NewMerger(), exactCounts: observation.NewMerger(), voterCounts: observation.NewMerger()}
 }
 
 // AddFromProcesses takes digests of processes.
-func (g *Gatherer) AddFromProcesses(digests []evidence.Digest) {
+func (g *Gatherer) AddFromProcesses(digests []observation.Digest) {
 	for _, d := range digests {
 		g.processCounts.Add(d)
-		g.exactCounts.Add(evidence.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+		g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
 	}
 }
 
 // AddFromVoter takes what another voter passes on. Sums of one that turned to this voter before it led, or after, are lost.
-func (g *Gatherer) AddFromVoter(digests []evidence.Digest) {
+func (g *Gatherer) AddFromVoter(digests []observation.Digest) {
 	for _, d := range digests {
 		if d.Counts != nil && d.Session == g.leaderTerm {
 			g.voterCounts.Add(d)
 		}
 		if d.Exact != nil {
-			g.exactCounts.Add(evidence.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+			g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
 		}
 	}
 }
@@ -48,15 +48,15 @@
 // SetLeaderTerm tells the term that this voter leads in; 0: it doesn't. With a new one the others' sums begin anew.
 func (g *Gatherer) SetLeaderTerm(term uint64) {
 	if term != g.leaderTerm {
-		g.leaderTerm, g.voterCounts = term, evidence.NewMerger()
+		g.leaderTerm, g.voterCounts = term, observation.NewMerger()
 	}
 }
 
 // ForLeader gives what is to be told to the leader of a term.
-func (g *Gatherer) ForLeader(term uint64) []evidence.Digest {
+func (g *Gatherer) ForLeader(term uint64) []observation.Digest {
 	g.serial++
 	// A new leader has another session: what it is told first is where its counting begins.
-	all := []evidence.Digest{{Process: g.voterName, Incarnation: g.incarnation, Serial: g.serial, Session: term, Counts: g.processCounts.Sums()}}
+	all := []observation.Digest{{Process: g.voterName, Incarnation: g.incarnation, Serial: g.serial, Session: term, Counts: g.processCounts.Sums()}}
 	if g.serial%exactCountsInterval == 0 {
 		all = append(all, g.exactCounts.ExactCounts()...)
 	}
@@ -73,4 +73,4 @@
 }
 
 // ExactCounts are the exact counts that reached this voter.
-func (g *Gatherer) ExactCounts() []evidence.Digest { return g.exactCounts.ExactCounts() }
+func (g *Gatherer) ExactCounts() []observation.Digest { return g.exactCounts.ExactCounts() }
--- a/internal/coordination/core/golden_test.go
+++ b/internal/coordination/consensus/golden_test.go
@@ -1,4 +1,4 @@
-package core
+package consensus
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
@@ -27,7 +27,7 @@
 	}
 	tc.mustWrite(3, 2) // repeated
 	tc.mustWrite(4, 1) // at an earlier epoch
-	if _, err := leader.Propose(tables.Command{Kind: tables.RaiseTotals, Table: "exact",
+	if _, err := leader.Propose(statemachine.Command{Kind: statemachine.RaiseTotals, Table: "exact",
 		Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 3}}); err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 		value, into any
 		want        string
 	}{
-		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &tables.Command{Kind: tables.Write, Proposer: "g1/1", Number: 3,
+		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &statemachine.Command{Kind: statemachine.Write, Proposer: "g1/1", Number: 3,
 			Table: "plan", Epoch: 2, Value: []byte("v")}}, new(logEntry), goldenCommand},
 		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, new(logEntry), goldenDisk},
 		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(membershipChange), goldenChange},
@@ -156,7 +156,7 @@
 			HardState: []byte("hard")}, new(record), goldenRecord},
 		"envelope": {&envelope{From: one, Incarnation: Incarnation{2, 1 << 50}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1"), []byte("m2")}},
 			new(envelope), goldenEnvelope},
-		"envelope with digests": {&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []evidence.Digest{{Process: "g1",
+		"envelope with digests": {&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []observation.Digest{{Process: "g1",
 			Incarnation: 3, Serial: 4, Session: 5, Counts: map[string]uint64{"n": 1}, Exact: map[string]uint64{"m": 2}}}},
 			new(envelope), goldenDigests},
 	} {
--- a/internal/coordination/core/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -1,4 +1,4 @@
-package core
+package consensus
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/tracker"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 type progress = tracker.Progress
@@ -100,7 +100,7 @@
 		return err
 	}
 	members.ClusterID = xxhash.Sum64(names)
-	state, err := tables.New().Snapshot()
+	state, err := statemachine.New().Snapshot()
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/core/node.go
+++ b/internal/coordination/consensus/node.go
@@ -1,7 +1,7 @@
 // Package core is a voter without its surroundings: the raft of go.etcd.io/raft/v3, the tables that its log makes, and
 // the members. It knows no disk, socket, clock or goroutine: ticks, messages and calls are handed in, and what is to be
 // written, sent and answered comes out. The same events with the same seed give the same actions.
-package core
+package consensus
 
 import (
 	"encoding/binary"
@@ -17,7 +17,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // All times are in ticks: the host says how long one lasts.
@@ -51,7 +51,7 @@
 	incarnation  Incarnation
 	raftNode     *raft.RawNode
 	storage      *raft.MemoryStorage
-	state        *tables.State
+	state        *statemachine.State
 	membership   membership
 	confState    *raftpb.ConfState // as of the last entry applied
 	appliedIndex uint64
@@ -91,7 +91,7 @@
 		}
 	}()
 	silenceRaftStorage()
-	n = &Node{self: self, incarnation: incarnation, storage: raft.NewMemoryStorage(), state: tables.New(), lastSeq: incarnation.Count << 32,
+	n = &Node{self: self, incarnation: incarnation, storage: raft.NewMemoryStorage(), state: statemachine.New(), lastSeq: incarnation.Count << 32,
 		rng: rand.New(rand.NewPCG(seed, self.Number)), snapshotAge: map[uint64]int{}, peers: map[uint64]peer{}}
 	if len(records) == 0 && len(initialMembers) > 0 {
 		if err := n.bootstrap(initialMembers); err != nil {
@@ -161,7 +161,7 @@
 }
 
 // State is the tables as applied; it is the core's own and must not be changed.
-func (n *Node) State() *tables.State { return n.state }
+func (n *Node) State() *statemachine.State { return n.state }
 
 // Self is this voter as its disk has it.
 func (n *Node) Self() coordination.Member { return n.self }
@@ -188,10 +188,10 @@
 
 // logEntry is what stands in the log beside changes of the members.
 type logEntry struct {
-	Seq     uint64               `cbor:"1,keyasint"` // of the call at the voter that proposed it
-	From    uint64               `cbor:"2,keyasint"`
-	Command *tables.Command      `cbor:"3,keyasint,omitempty"`
-	Disk    *coordination.Member `cbor:"4,keyasint,omitempty"` // Number and Disk: the disk that the number is from now on
+	Seq     uint64                `cbor:"1,keyasint"` // of the call at the voter that proposed it
+	From    uint64                `cbor:"2,keyasint"`
+	Command *statemachine.Command `cbor:"3,keyasint,omitempty"`
+	Disk    *coordination.Member  `cbor:"4,keyasint,omitempty"` // Number and Disk: the disk that the number is from now on
 }
 
 func (n *Node) propose(e logEntry) (uint64, error) {
@@ -209,7 +209,9 @@
 
 // Propose has a command written, and gives the number under which Done tells its result. Error: ErrNotLeader, also
 // where more waits to be written than fits.
-func (n *Node) Propose(cmd tables.Command) (uint64, error) { return n.propose(logEntry{Command: &cmd}) }
+func (n *Node) Propose(cmd statemachine.Command) (uint64, error) {
+	return n.propose(logEntry{Command: &cmd})
+}
 
 // RequestReadIndex asks a majority whether what is applied here is the latest, and gives the number under which Done tells the
 // index that it is good for. It may be lost: ask again.
--- a/internal/coordination/core/node_test.go
+++ b/internal/coordination/consensus/node_test.go
@@ -1,4 +1,4 @@
-package core
+package consensus
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // A voter that joins after the log was cut short, and one that lags behind it, are sent a snapshot; both then hold all.
@@ -158,11 +158,11 @@
 	}
 	seqBefore := n.lastSeq
 	for range 100 {
-		q.Add(&PendingRead{Respond: func(f map[string]tables.Table) { answers += len(f) }}, 0)
+		q.Add(&PendingRead{Respond: func(f map[string]statemachine.Table) { answers += len(f) }}, 0)
 	}
 	late := false
 	q.Add(&PendingRead{KnownEpochs: map[string]uint64{"plan": 1}, Deadline: time.Second,
-		Respond: func(f map[string]tables.Table) { late = len(f) == 0 }}, 0)
+		Respond: func(f map[string]statemachine.Table) { late = len(f) == 0 }}, 0)
 	process(0)
 	if answers != 100 || n.lastSeq-seqBefore > 2 || late {
 		t.Errorf("%d answers for %d confirmations, late %v", answers, n.lastSeq-seqBefore, late)
@@ -178,7 +178,7 @@
 func TestGatherer_sumsReachOneLeaderOnly(t *testing.T) {
 	g, lead := NewGatherer("v2", 1), NewGatherer("v1", 1)
 	addDigest := func(number uint64) {
-		g.AddFromProcesses([]evidence.Digest{{Process: "g", Serial: number, Counts: map[string]uint64{"n": 10 * number}}})
+		g.AddFromProcesses([]observation.Digest{{Process: "g", Serial: number, Counts: map[string]uint64{"n": 10 * number}}})
 	}
 	lead.SetLeaderTerm(4)
 	addDigest(1)
--- a/internal/coordination/core/read_queue.go
+++ b/internal/coordination/consensus/read_queue.go
@@ -1,10 +1,10 @@
-package core
+package consensus
 
 import (
 	"slices"
 	"time"
 
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // readIndexTimeout is after how long a confirmation is asked for again: a heartbeat or its answer was lost.
@@ -12,9 +12,9 @@
 
 // PendingRead is a read that waits for news up to a time on the host's clock.
 type PendingRead struct {
-	KnownEpochs map[string]uint64                   // epochs that its caller has
-	Deadline    time.Duration                       // it waits for news
-	Respond     func(found map[string]tables.Table) // called once; it must not block
+	KnownEpochs map[string]uint64                         // epochs that its caller has
+	Deadline    time.Duration                             // it waits for news
+	Respond     func(found map[string]statemachine.Table) // called once; it must not block
 
 	// IsCanceled tells that nobody waits for the answer any more; nil: somebody always does.
 	IsCanceled func() bool
--- a/internal/coordination/core/ready.go
+++ b/internal/coordination/consensus/ready.go
@@ -1,4 +1,4 @@
-package core
+package consensus
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Ready is what the host has to do, in this order: send Early; write Record and sync it; send Messages; call Done. Where
@@ -41,7 +41,7 @@
 // Outcome is that of one proposal or change.
 type Outcome struct {
 	Seq    uint64
-	Result tables.Result
+	Result statemachine.Result
 	Err    error
 }
 
@@ -131,7 +131,7 @@
 	if err := cbor.Unmarshal(entry.GetData(), &decoded); err != nil {
 		return err
 	}
-	var result tables.Result
+	var result statemachine.Result
 	switch {
 	case decoded.Command != nil:
 		result = n.state.Apply(n.appliedIndex, *decoded.Command)
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // CachedTable is a table as this process holds it.
@@ -35,10 +35,10 @@
 
 // ControllerInput is what a decider goes by: sums of evidence over all processes, and totals from the log.
 type ControllerInput struct {
-	Sums         map[string]uint64                    // grow only while one process leads
-	Totals       func(table string) map[string]uint64 // of the committed state
-	Table        func(table string) tables.Table      // the committed state
-	LeadingSince time.Duration                        // when this process began to lead, on the same clock as now
+	Sums         map[string]uint64                     // grow only while one process leads
+	Totals       func(table string) map[string]uint64  // of the committed state
+	Table        func(table string) statemachine.Table // the committed state
+	LeadingSince time.Duration                         // when this process began to lead, on the same clock as now
 }
 
 // Controller turns what all processes saw into the next value of its table. One runs at the leader; what it must not
--- a/internal/coordination/follow/cache.go
+++ b/internal/coordination/follower/cache.go
@@ -1,11 +1,11 @@
-package follow
+package follower
 
 import (
 	"sync"
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // tableCache is what a process holds of the tables. It takes answers in any order, late or doubled ones too.
@@ -34,7 +34,7 @@
 // merge takes the answer to a read, and holds all until a time that counts from when it was sent. An epoch never goes
 // back, nor does a lease. An answer that knows less than is held confirms it all the same: what is held was written
 // after that answer was confirmed, so after the read was sent.
-func (c *tableCache) merge(answer map[string]tables.Table, until time.Duration) {
+func (c *tableCache) merge(answer map[string]statemachine.Table, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	changed := until > c.confirmedUntil && c.confirmedUntil == 0
--- a/internal/coordination/follow/cache_test.go
+++ b/internal/coordination/follower/cache_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // What a process may act on until a time was the table's value at some moment no longer than a lease before that time,
@@ -34,7 +34,7 @@
 		}
 		type read struct {
 			known  map[string]uint64
-			answer map[string]tables.Table
+			answer map[string]statemachine.Table
 			sent   time.Duration
 		}
 		c := newTableCache()
@@ -43,9 +43,9 @@
 		for range rapid.IntRange(1, 20).Draw(t, "reads") {
 			sent := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "sent")) * time.Millisecond
 			seen := sent + time.Duration(rapid.IntRange(0, 500).Draw(t, "way"))*time.Millisecond // confirmed then
-			r := read{known: c.knownEpochs(), sent: sent, answer: map[string]tables.Table{}}
+			r := read{known: c.knownEpochs(), sent: sent, answer: map[string]statemachine.Table{}}
 			if e := epochAt(seen); e > r.known["plan"] {
-				r.answer["plan"] = tables.Table{Epoch: e, Value: fmt.Append(nil, e)}
+				r.answer["plan"] = statemachine.Table{Epoch: e, Value: fmt.Append(nil, e)}
 			} else if e < r.known["plan"] {
 				continue // no voter confirms that it has less than was read before
 			}
@@ -78,7 +78,7 @@
 
 func (s slowSource) Read(context.Context, map[string]uint64, time.Duration) (ReadResult, error) {
 	*s.now += 700 * time.Millisecond
-	return ReadResult{Tables: map[string]tables.Table{"plan": {Epoch: 1}}, GroupID: []byte("g")}, nil
+	return ReadResult{Tables: map[string]statemachine.Table{"plan": {Epoch: 1}}, GroupID: []byte("g")}, nil
 }
 
 // An answer that was long on its way tells what was, not what is: the lease counts from when the read was sent.
--- a/internal/coordination/follow/clock.go
+++ b/internal/coordination/follower/clock.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"time"
--- a/internal/coordination/follow/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // How digests are paced.
@@ -32,7 +32,7 @@
 		if source == nil || len(merged)+len(exact) == 0 {
 			continue
 		}
-		d := evidence.Digest{Process: f.process, Incarnation: f.incarnation, Serial: serial, Session: session,
+		d := observation.Digest{Process: f.process, Incarnation: f.incarnation, Serial: serial, Session: session,
 			Counts: merged, Exact: exact}
 		sent := f.clock()
 		err := source.SendDigest(ctx, d)
--- a/internal/coordination/follow/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,6 +1,6 @@
 // Package follow is how any process takes part in what all hold in common, voters too: it sends its evidence to one
 // voter and holds the latest tables by a waiting read, each with a lease. Nobody who asks it waits.
-package follow
+package follower
 
 import (
 	"context"
@@ -12,22 +12,22 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Source is a voter as a follower sees it, its own or one at the end of a link.
 type Source interface {
 	Name() string
 	// SendDigest hands over a digest, within a time of its own.
-	SendDigest(ctx context.Context, d evidence.Digest) error
+	SendDigest(ctx context.Context, d observation.Digest) error
 	// Read is cluster.Voter's; it gives up a little after the wait.
 	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (ReadResult, error)
 }
 
 // ReadResult is what a read gives.
 type ReadResult struct {
-	Tables       map[string]tables.Table
+	Tables       map[string]statemachine.Table
 	GroupID      []byte // the mark of the tables' beginning, nil where the voter does not know it yet
 	FromOwnVoter bool   // of this process's own voter: it began when this process did
 }
--- a/internal/coordination/follow/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -112,7 +112,7 @@
 type silentSource struct{}
 
 func (silentSource) Name() string { return "asleep" }
-func (silentSource) SendDigest(ctx context.Context, _ evidence.Digest) error {
+func (silentSource) SendDigest(ctx context.Context, _ observation.Digest) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/coordination/follow/source_test.go
+++ b/internal/coordination/follower/source_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -25,16 +25,16 @@
 	isolated atomic.Bool
 
 	mu      sync.Mutex
-	tables  map[string]tables.Table
+	tables  map[string]statemachine.Table
 	changed chan struct{}
-	digests []evidence.Digest
+	digests []observation.Digest
 	reads   int
 }
 
 var errIsolated = errors.New("cut off")
 
 func newFakeSource(name string) *fakeSource {
-	v := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]tables.Table{}, changed: make(chan struct{})}
+	v := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]statemachine.Table{}, changed: make(chan struct{})}
 	v.set(GroupTable, 1, "g")
 	return v
 }
@@ -44,12 +44,12 @@
 func (v *fakeSource) set(table string, epoch uint64, value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tables[table] = tables.Table{Epoch: epoch, Value: []byte(value)}
+	v.tables[table] = statemachine.Table{Epoch: epoch, Value: []byte(value)}
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-func (v *fakeSource) SendDigest(_ context.Context, d evidence.Digest) error {
+func (v *fakeSource) SendDigest(_ context.Context, d observation.Digest) error {
 	if v.isolated.Load() {
 		return errIsolated
 	}
@@ -65,7 +65,7 @@
 	v.mu.Unlock()
 	for end := time.After(wait); ; {
 		v.mu.Lock()
-		found, changed := map[string]tables.Table{}, v.changed
+		found, changed := map[string]statemachine.Table{}, v.changed
 		for name, e := range v.tables {
 			if e.Epoch > known[name] {
 				found[name] = e
@@ -89,10 +89,10 @@
 }
 
 // received gives the digests so far.
-func (v *fakeSource) received() []evidence.Digest {
+func (v *fakeSource) received() []observation.Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return append([]evidence.Digest{}, v.digests...)
+	return append([]observation.Digest{}, v.digests...)
 }
 
 // quickTiming is a timing for tests: a lease of 400 ms.
--- a/internal/commons/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -1,4 +1,4 @@
-package commons
+package node
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"github.com/cenkalti/backoff/v5"
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/transport"
 )
 
 // How often a voter asks how it is to begin.
@@ -35,7 +35,7 @@
 // decide decides it. An empty disk may be a new one, or one that was lost: a voter that forgets how it voted could
 // vote twice, and what a majority had acknowledged could be gone. So it begins a log only where all voters named in the
 // file have told it in this life that they have none, and joins one only where the members' list has this very disk.
-func (b *bootstrap) decide(self coordination.Member, configured []charter.Voter, infos map[uint64]link.VoterInfo) bootstrapDecision {
+func (b *bootstrap) decide(self coordination.Member, configured []config.Voter, infos map[uint64]transport.VoterInfo) bootstrapDecision {
 	for number, info := range infos {
 		if !info.Started {
 			b.emptyVoters[number] = coordination.Member{Number: number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
@@ -122,10 +122,10 @@
 }
 
 // queryVoters asks all other voters of the file at once what they are, and gives those that answer as the file has them.
-func (h *voterHost) queryVoters(ctx context.Context, cfg *charter.Config, mine uint64) map[uint64]link.VoterInfo {
+func (h *voterHost) queryVoters(ctx context.Context, cfg *config.Config, mine uint64) map[uint64]transport.VoterInfo {
 	type reply struct {
-		voter charter.Voter
-		is    link.VoterInfo
+		voter config.Voter
+		is    transport.VoterInfo
 		err   error
 	}
 	replies := make(chan reply, len(cfg.Voters))
@@ -139,7 +139,7 @@
 			replies <- reply{v, info, err}
 		}()
 	}
-	infos := map[uint64]link.VoterInfo{}
+	infos := map[uint64]transport.VoterInfo{}
 	for range cfg.Voters {
 		if r := <-replies; r.err == nil && r.is.Number == r.voter.Number && r.is.Name == r.voter.Name {
 			infos[r.voter.Number] = r.is
--- a/internal/commons/bootstrap_test.go
+++ b/internal/coordination/node/bootstrap_test.go
@@ -1,13 +1,13 @@
-package commons
+package node
 
 import (
 	"testing"
 
 	"go.uber.org/goleak"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/transport"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -16,20 +16,20 @@
 	return coordination.Member{Number: number, Name: string(rune('a' + number)), Address: "x", DiskID: disk}
 }
 
-func emptyInfo(number uint64, disk string) link.VoterInfo {
+func emptyInfo(number uint64, disk string) transport.VoterInfo {
 	m := member(number, disk)
-	return link.VoterInfo{Number: number, Name: m.Name, Address: m.Address, DiskID: disk}
+	return transport.VoterInfo{Number: number, Name: m.Name, Address: m.Address, DiskID: disk}
 }
 
-func startedInfo(number uint64, initialMembers []coordination.Member, members ...coordination.Member) link.VoterInfo {
-	return link.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: coordination.Status{Members: members}}
+func startedInfo(number uint64, initialMembers []coordination.Member, members ...coordination.Member) transport.VoterInfo {
+	return transport.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: coordination.Status{Members: members}}
 }
 
 // An empty disk is a new one or a lost one; a voter that takes the second for the first votes twice. The rows are what
 // voter 1, with the empty disk "d1", hears in its rounds of asking, and how it may go on after the last.
 func TestBootstrap_decisionWithAnEmptyDisk(t *testing.T) {
 	d1, d2, d3 := member(1, "d1"), member(2, "d2"), member(3, "d3")
-	type round = map[uint64]link.VoterInfo
+	type round = map[uint64]transport.VoterInfo
 	for name, row := range map[string]struct {
 		rounds []round
 		begin  bool
@@ -54,7 +54,7 @@
 		b := bootstrap{map[uint64]coordination.Member{}}
 		var decision bootstrapDecision
 		for _, heard := range row.rounds {
-			decision = b.decide(d1, []charter.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
+			decision = b.decide(d1, []config.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
 		}
 		if decision.start != row.begin || len(decision.initialMembers) != row.first || decision.start == (decision.reason != "") {
 			t.Errorf("%s: %+v", name, decision)
@@ -72,18 +72,18 @@
 	three := []coordination.Member{member(1, "d1"), member(2, "d2"), member(3, "d3")}
 	for name, row := range map[string]struct {
 		members []coordination.Member
-		named   charter.Voter
+		named   config.Voter
 		remove  uint64
 		add     bool
 	}{
-		"one that is there":         {three, charter.Voter{Number: 2}, 0, false},
-		"a replacement, first":      {three, charter.Voter{Number: 4, ReplacesNumber: 2}, 2, false},
-		"a replacement, then":       {[]coordination.Member{three[0], three[2]}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
-		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
-		"a further one":             {three, charter.Voter{Number: 4}, 0, true},
-		"one of the past":           {[]coordination.Member{three[1], three[2], member(4, "d4")}, charter.Voter{Number: 1}, 0, false},
-		"replaced twice, old file":  {[]coordination.Member{three[0], three[2], member(5, "d5")}, charter.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
-		"replaced twice, next file": {[]coordination.Member{three[0], three[2], member(4, "d4")}, charter.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
+		"one that is there":         {three, config.Voter{Number: 2}, 0, false},
+		"a replacement, first":      {three, config.Voter{Number: 4, ReplacesNumber: 2}, 2, false},
+		"a replacement, then":       {[]coordination.Member{three[0], three[2]}, config.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
+		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), config.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
+		"a further one":             {three, config.Voter{Number: 4}, 0, true},
+		"one of the past":           {[]coordination.Member{three[1], three[2], member(4, "d4")}, config.Voter{Number: 1}, 0, false},
+		"replaced twice, old file":  {[]coordination.Member{three[0], three[2], member(5, "d5")}, config.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
+		"replaced twice, next file": {[]coordination.Member{three[0], three[2], member(4, "d4")}, config.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
 	} {
 		if remove, add := nextMemberChange(row.members, row.named); remove != row.remove || add != row.add {
 			t.Errorf("%s: remove %d, add %v", name, remove, add)
--- a/internal/commons/golden_test.go
+++ b/internal/coordination/node/golden_test.go
@@ -1,4 +1,4 @@
-package commons
+package node
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"regexp"
 	"testing"
 
-	"harrierhoist/internal/coordination/follow"
+	"harrierhoist/internal/coordination/follower"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -23,8 +23,8 @@
 	}
 	var groupID []byte
 	for _, n := range all {
-		fakes.Eventually(t, "the mark", func() bool { return len(n.Client().Cached(follow.GroupTable).Value) == 16 })
-		groupID = n.Client().Cached(follow.GroupTable).Value
+		fakes.Eventually(t, "the mark", func() bool { return len(n.Client().Cached(follower.GroupTable).Value) == 16 })
+		groupID = n.Client().Cached(follower.GroupTable).Value
 	}
 	for _, n := range all {
 		n.Close()
--- a/internal/commons/node.go
+++ b/internal/coordination/node/node.go
@@ -1,6 +1,6 @@
 // Package commons puts together what a process needs to take part in what all hold in common, as the operators' file
 // says: the follower that every process has and, in a voter, its link, its disk and the voter itself.
-package commons
+package node
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/follow"
-	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/follower"
+	"harrierhoist/internal/coordination/transport"
 )
 
 // connectionsPerVoter is how many connections a process opens to a voter: one for the read that waits, one for digests.
@@ -25,13 +25,13 @@
 // Node is this process's part. It owns all that it starts, and gives it back in Close.
 type Node struct {
 	path        string
-	controllers func(*charter.Config) []coordination.Controller
+	controllers func(*config.Config) []coordination.Controller
 	logger      *zap.Logger
-	client      *link.Client
-	follower    *follow.Follower
+	client      *transport.Client
+	follower    *follower.Follower
 	host        *voterHost // nil where it only follows
 
-	config    atomic.Pointer[charter.Config]
+	config    atomic.Pointer[config.Config]
 	reloading sync.Mutex // one file is taken after the other
 
 	cancel     context.CancelFunc
@@ -40,14 +40,14 @@
 
 // Open starts what the file at a path names. The deciders are those of the leader, by the file. Errors are of the
 // file, or of the address and the disk that it names.
-func Open(path string, controllers func(*charter.Config) []coordination.Controller, logger *zap.Logger) (*Node, error) {
-	cfg, err := charter.Read(path)
+func Open(path string, controllers func(*config.Config) []coordination.Controller, logger *zap.Logger) (*Node, error) {
+	cfg, err := config.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	network := link.Network{Private: cfg.Process.PrivateNetwork}
+	network := transport.Network{Private: cfg.Process.PrivateNetwork}
 	n := &Node{path: path, controllers: controllers, logger: logger.With(zap.String("process", cfg.Process.Name)),
-		client: link.NewClient(network, connectionsPerVoter)}
+		client: transport.NewClient(network, connectionsPerVoter)}
 	n.config.Store(cfg)
 	// Where a clock was set back between two lives, what the later one counts is not heard until it has passed the
 	// earlier.
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 	}
-	n.follower = follow.New(cfg.Process.Name, incarnation, n.sources(cfg), followerTiming(cfg), follow.SystemUptime, n.logger)
+	n.follower = follower.New(cfg.Process.Name, incarnation, n.sources(cfg), followerTiming(cfg), follower.SystemUptime, n.logger)
 	n.goroutines.Go(func() { n.follower.Run(ctx) })
 	if n.host != nil {
 		n.host.serve(cfg)
@@ -72,22 +72,22 @@
 	return n, nil
 }
 
-func followerTiming(cfg *charter.Config) follow.Timing {
-	return follow.Timing{Lease: cfg.Timing.Lease.Duration, DigestInterval: cfg.Timing.DigestInterval.Duration}
+func followerTiming(cfg *config.Config) follower.Timing {
+	return follower.Timing{Lease: cfg.Timing.Lease.Duration, DigestInterval: cfg.Timing.DigestInterval.Duration}
 }
 
 // Client is what the process's parts ask.
 func (n *Node) Client() coordination.Client { return n.follower }
 
 // Config is the file in force.
-func (n *Node) Config() *charter.Config { return n.config.Load() }
+func (n *Node) Config() *config.Config { return n.config.Load() }
 
 // Reload reads the file again and takes what can change in place: voters, timing, the parts' terms. What only a
 // restart can change is named in the log; a file that is not good leaves all as it was. It tells whether it was taken.
 func (n *Node) Reload() bool {
-	cfg, err := charter.Read(n.path)
+	cfg, err := config.Read(n.path)
 	if err != nil {
-		n.logger.Error("the new charter is not taken", zap.Strings("faults", charter.FaultLines(err)))
+		n.logger.Error("the new charter is not taken", zap.Strings("faults", config.FaultLines(err)))
 		return false
 	}
 	n.reloading.Lock()
--- a/internal/commons/node_test.go
+++ b/internal/coordination/node/node_test.go
@@ -1,4 +1,4 @@
-package commons
+package node
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -56,7 +56,7 @@
 
 func (site *testSite) open(name string, voter bool) *Node {
 	site.Helper()
-	n, err := Open(site.file(name, voter, ""), func(*charter.Config) []coordination.Controller { return nil }, site.log)
+	n, err := Open(site.file(name, voter, ""), func(*config.Config) []coordination.Controller { return nil }, site.log)
 	if err != nil {
 		site.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	fakes.Eventually(t, "all begin", func() bool { return site.countLines("has begun") == 3 })
 	fakes.Eventually(t, "a write", func() bool {
 		for _, v := range all[2].Config().Voters {
-			if _, err := all[2].client.Propose(t.Context(), v.Address, tables.Command{Kind: tables.Write, Proposer: "t",
+			if _, err := all[2].client.Propose(t.Context(), v.Address, statemachine.Command{Kind: statemachine.Write, Proposer: "t",
 				Number: 1, Table: "plan", Value: []byte("x")}); err == nil {
 				return true
 			}
@@ -118,7 +118,7 @@
 		n.Close()
 	}
 	site.voters = strings.Replace(site.voters, "number = 1\n", "number = 4\nreplaces = 1\n", 1)
-	_, err := Open(site.file("v1", true, ""), func(*charter.Config) []coordination.Controller { return nil }, site.log)
+	_, err := Open(site.file("v1", true, ""), func(*config.Config) []coordination.Controller { return nil }, site.log)
 	if err == nil || !strings.Contains(err.Error(), "v1.toml: process.disk: holds the log of voter 1") {
 		t.Errorf("opened: %v", err)
 	}
--- a/internal/commons/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -1,4 +1,4 @@
-package commons
+package node
 
 import (
 	"cmp"
@@ -11,10 +11,10 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/follow"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/follower"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // How the leader looks after the members.
@@ -41,11 +41,11 @@
 			continue
 		}
 		within, cancel := context.WithTimeout(ctx, reconcileTimeout)
-		if held := h.node.follower.Cached(follow.GroupTable); held.Epoch == 0 && held.LeaseEnd > h.node.follower.Now() {
+		if held := h.node.follower.Cached(follower.GroupTable); held.Epoch == 0 && held.LeaseEnd > h.node.follower.Now() {
 			groupID := make([]byte, groupIDBytes)
 			_, _ = rand.Read(groupID) // never fails
 			by := fmt.Sprintf("%s/%d/steward", h.node.Config().Process.Name, h.incarnation)
-			_, _ = running.Propose(within, tables.Command{Kind: tables.Write, Proposer: by, Number: n, Table: follow.GroupTable,
+			_, _ = running.Propose(within, statemachine.Command{Kind: statemachine.Write, Proposer: by, Number: n, Table: follower.GroupTable,
 				Value: groupID}) // if it is not written, the next look sees it
 			n++
 		}
@@ -91,7 +91,7 @@
 
 // nextMemberChange is the next step to a voter that the file names. First the one that it replaces goes: while it is dead, it
 // counts among those of whom a majority must answer, and a fifth in place of a fourth would need one more of them.
-func nextMemberChange(members []coordination.Member, configured charter.Voter) (remove uint64, add bool) {
+func nextMemberChange(members []coordination.Member, configured config.Voter) (remove uint64, add bool) {
 	top := uint64(0)
 	for _, m := range members {
 		top = max(top, m.Number)
--- a/internal/commons/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -1,4 +1,4 @@
-package commons
+package node
 
 import (
 	"context"
@@ -9,32 +9,32 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/charter"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/disk"
-	"harrierhoist/internal/coordination/follow"
-	"harrierhoist/internal/coordination/link"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/follower"
+	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/coordination/voter"
+	"harrierhoist/internal/coordination/wal"
 )
 
 // voterHost is a voter's place in its process: its link, its disk, and the voter once it has begun.
 type voterHost struct {
 	node        *Node
 	incarnation uint64
-	storage     *disk.Log
+	storage     *wal.Log
 	listener    net.Listener
-	server      *link.Server // it owns the listener
-	sender      *link.MessageSender
+	server      *transport.Server // it owns the listener
+	sender      *transport.MessageSender
 
 	mu             sync.Mutex
-	self           charter.Voter
+	self           config.Voter
 	initialMembers []coordination.Member // with whom it began in this life, with the marks of their disks
 	voter          *voter.Voter
 	stopped        bool // no voter is opened any more
 }
 
 // openVoterHost opens a voter's disk and link. The voter itself begins when it knows how.
-func (n *Node) openVoterHost(ctx context.Context, cfg *charter.Config, network link.Network, incarnation uint64) (*voterHost, error) {
+func (n *Node) openVoterHost(ctx context.Context, cfg *config.Config, network transport.Network, incarnation uint64) (*voterHost, error) {
 	self := *cfg.Self()
 	// Two processes on one file, the second of which listens elsewhere, would be one voter twice.
 	if other, err := n.client.Info(ctx, self.Address); err == nil {
@@ -49,12 +49,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: process.listen: %w", n.path, err)
 	}
-	storage, err := disk.Open(cfg.Process.Folder)
+	storage, err := wal.Open(cfg.Process.Folder)
 	if err != nil {
 		_ = listener.Close()
 		return nil, fmt.Errorf("%s: process.disk: %w", n.path, err)
 	}
-	h := &voterHost{node: n, incarnation: incarnation, storage: storage, self: self, sender: link.NewMessageSender(network),
+	h := &voterHost{node: n, incarnation: incarnation, storage: storage, self: self, sender: transport.NewMessageSender(network),
 		listener: listener}
 	if len(storage.Records()) > 0 {
 		if err := h.startVoter(cfg, nil); err != nil {
@@ -67,12 +67,12 @@
 }
 
 // serve answers other processes from now on.
-func (h *voterHost) serve(cfg *charter.Config) {
-	h.server = link.Serve(h.listener, h, cfg.Process.MaxConnections, h.node.logger)
+func (h *voterHost) serve(cfg *config.Config) {
+	h.server = transport.Serve(h.listener, h, cfg.Process.MaxConnections, h.node.logger)
 }
 
 // startVoter opens the voter: with the members that begin the log, or none where the log is on its disk or comes from others.
-func (h *voterHost) startVoter(cfg *charter.Config, initialMembers []coordination.Member) error {
+func (h *voterHost) startVoter(cfg *config.Config, initialMembers []coordination.Member) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
@@ -118,9 +118,9 @@
 }
 
 // Info implements link.Host.
-func (h *voterHost) Info() link.VoterInfo {
+func (h *voterHost) Info() transport.VoterInfo {
 	h.mu.Lock()
-	running, info := h.voter, link.VoterInfo{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address,
+	running, info := h.voter, transport.VoterInfo{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address,
 		DiskID: h.storage.DiskID(), Started: h.voter != nil, Incarnation: h.incarnation, InitialMembers: h.initialMembers}
 	h.mu.Unlock()
 	if running != nil {
@@ -130,10 +130,10 @@
 }
 
 // GroupID implements link.Host.
-func (h *voterHost) GroupID() []byte { return h.node.follower.Cached(follow.GroupTable).Value }
+func (h *voterHost) GroupID() []byte { return h.node.follower.Cached(follower.GroupTable).Value }
 
 // reload takes a new file. A voter that has not begun takes its number from it; one that has keeps its own.
-func (h *voterHost) reload(cfg *charter.Config) {
+func (h *voterHost) reload(cfg *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if self := cfg.Self(); self != nil && (h.voter == nil || self.Number == h.self.Number) {
--- a/internal/coordination/evidence/golden_test.go
+++ b/internal/coordination/observation/golden_test.go
@@ -1,4 +1,4 @@
-package evidence
+package observation
 
 import (
 	"encoding/hex"
--- a/internal/coordination/evidence/merger.go
+++ b/internal/coordination/observation/merger.go
@@ -1,7 +1,7 @@
 // Package evidence is what processes saw, in a form that a lost, doubled, late or reordered message cannot falsify:
 // every process sends all that it has counted since its start, and whoever takes it keeps the latest. It knows no
 // sockets and no clock.
-package evidence
+package observation
 
 import (
 	"cmp"
--- a/internal/coordination/play/client.go
+++ b/internal/coordination/simulation/client.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"harrierhoist/internal/coordination/core"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/consensus"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 const (
@@ -93,7 +93,7 @@
 			respond(answer{known: true, epoch: e.Epoch, value: string(e.Value)})
 			return
 		}
-		n.readQueue.Add(&core.PendingRead{Deadline: n.now(), Respond: func(found map[string]tables.Table) {
+		n.readQueue.Add(&consensus.PendingRead{Deadline: n.now(), Respond: func(found map[string]statemachine.Table) {
 			respond(answer{known: true, epoch: found[tableName].Epoch, value: string(found[tableName].Value)})
 		}}, n.now())
 		return
@@ -101,13 +101,13 @@
 	if n.sim.bug == CommandAppliedTwice {
 		number = number*1000 + uint64(attempt)
 	}
-	seq, err := n.consensus.Propose(tables.Command{Kind: tables.Write, Proposer: fmt.Sprint(c.id), Number: number, Table: tableName,
+	seq, err := n.consensus.Propose(statemachine.Command{Kind: statemachine.Write, Proposer: fmt.Sprint(c.id), Number: number, Table: tableName,
 		Epoch: request.epoch, Value: []byte(request.value)})
 	if err != nil {
 		respond(answer{})
 		return
 	}
-	n.proposals[seq] = func(o core.Outcome) {
+	n.proposals[seq] = func(o consensus.Outcome) {
 		respond(answer{known: true, applied: o.Result.Applied, epoch: o.Result.Epoch})
 	}
 }
@@ -171,12 +171,12 @@
 	h.attempt++
 	attempt, sent, known := h.attempt, h.clock(), h.epoch
 	n := h.sim.nodes[h.voterIndex%len(h.sim.nodes)]
-	got := func(found map[string]tables.Table) {
+	got := func(found map[string]statemachine.Table) {
 		h.sim.deliver(0, 0, func() { h.handleAnswer(attempt, sent, known, found) })
 	}
 	h.sim.deliver(0, 0, func() {
 		n.execute(func() {
-			n.readQueue.Add(&core.PendingRead{KnownEpochs: map[string]uint64{tableName: known}, Deadline: n.now() + leaseDuration/4, Respond: got}, n.now())
+			n.readQueue.Add(&consensus.PendingRead{KnownEpochs: map[string]uint64{tableName: known}, Deadline: n.now() + leaseDuration/4, Respond: got}, n.now())
 		})
 	})
 	h.sim.after(leaseDuration*3/4, func() {
@@ -188,7 +188,7 @@
 }
 
 // handleAnswer takes what a read brought. One that is late still counts from when it was sent.
-func (h *leaseHolder) handleAnswer(attempt int, sent time.Duration, known uint64, found map[string]tables.Table) {
+func (h *leaseHolder) handleAnswer(attempt int, sent time.Duration, known uint64, found map[string]statemachine.Table) {
 	if h.sim.bug == LeaseFromResponse {
 		sent = h.clock()
 	}
@@ -242,8 +242,8 @@
 		}
 	}
 	n := r.sim.nodes[r.voterIndex%len(r.sim.nodes)]
-	d := evidence.Digest{Process: r.name, Incarnation: 1, Serial: r.serial, Session: r.session,
+	d := observation.Digest{Process: r.name, Incarnation: 1, Serial: r.serial, Session: r.session,
 		Counts: map[string]uint64{countName: r.count}}
-	r.sim.deliver(0, 0, func() { n.execute(func() { n.gatherer.AddFromProcesses([]evidence.Digest{d}) }) })
+	r.sim.deliver(0, 0, func() { n.execute(func() { n.gatherer.AddFromProcesses([]observation.Digest{d}) }) })
 	return r.sim.now < runDuration
 }
--- a/internal/coordination/play/node.go
+++ b/internal/coordination/simulation/node.go
@@ -1,11 +1,11 @@
-package play
+package simulation
 
 import (
 	"fmt"
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/core"
+	"harrierhoist/internal/coordination/consensus"
 )
 
 // The places at which a crash may come, while a record is written and messages are sent.
@@ -27,9 +27,9 @@
 	synced      [][]byte
 	unsynced    [][]byte // said to be synced, by a disk that lies
 	incarnation uint64
-	consensus   *core.Node
-	readQueue   *core.ReadQueue
-	gatherer    *core.Gatherer
+	consensus   *consensus.Node
+	readQueue   *consensus.ReadQueue
+	gatherer    *consensus.Gatherer
 	up          bool
 	diskLost    bool // its disk, for good
 	diskFull    bool
@@ -39,7 +39,7 @@
 	suspended   bool
 	clockLag    time.Duration // its clock, while others' went on
 	deferred    []func()      // what came while it slept
-	proposals   map[uint64]func(core.Outcome)
+	proposals   map[uint64]func(consensus.Outcome)
 }
 
 func newNode(s *simulation, number uint64) *node {
@@ -64,8 +64,8 @@
 
 func (n *node) start(first []coordination.Member) {
 	n.incarnation++
-	incarnation, seed := core.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
-	raftNode, err := core.NewNode(n.member, incarnation, first, n.synced, seed)
+	incarnation, seed := consensus.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
+	raftNode, err := consensus.NewNode(n.member, incarnation, first, n.synced, seed)
 	if err != nil {
 		n.sim.violation("voter %d: %v", n.member.Number, err)
 		return
@@ -73,9 +73,9 @@
 	if len(n.synced) == 0 {
 		n.writeCheckpoint(raftNode)
 	}
-	n.consensus, n.readQueue, n.gatherer = raftNode, core.NewReadQueue(raftNode), core.NewGatherer(n.member.Name, n.incarnation)
+	n.consensus, n.readQueue, n.gatherer = raftNode, consensus.NewReadQueue(raftNode), consensus.NewGatherer(n.member.Name, n.incarnation)
 	n.up, n.suspended, n.syncing, n.deferred, n.crashPoint = true, false, false, nil, 0
-	n.proposals = map[uint64]func(core.Outcome){}
+	n.proposals = map[uint64]func(consensus.Outcome){}
 	own := func() bool { return n.up && n.incarnation == incarnation.Count }
 	n.sim.every(tickInterval, func() bool {
 		if own() && !n.isBusy() {
@@ -91,7 +91,7 @@
 	})
 }
 
-func (n *node) writeCheckpoint(raftNode *core.Node) {
+func (n *node) writeCheckpoint(raftNode *consensus.Node) {
 	b, err := raftNode.Checkpoint()
 	if err != nil {
 		n.sim.violation("voter %d: %v", n.member.Number, err)
--- a/internal/coordination/play/ready.go
+++ b/internal/coordination/simulation/ready.go
@@ -1,13 +1,13 @@
-package play
+package simulation
 
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"harrierhoist/internal/coordination/core"
+	"harrierhoist/internal/coordination/consensus"
 )
 
 // handleReady writes, sends and applies, or crashes in the midst of it.
-func (n *node) handleReady(ready core.Ready) bool {
+func (n *node) handleReady(ready consensus.Ready) bool {
 	crashPoint := n.crashPoint
 	if ready.Record == nil {
 		crashPoint = 0
@@ -42,7 +42,7 @@
 }
 
 // finishReady goes on once the record is on disk.
-func (n *node) finishReady(ready core.Ready, crashPoint int) bool {
+func (n *node) finishReady(ready consensus.Ready, crashPoint int) bool {
 	if crashPoint == beforeSync || crashPoint == beforeSend {
 		n.crash()
 		return false
@@ -80,7 +80,7 @@
 	n.synced = append(n.synced, record)
 }
 
-func (n *node) send(messages []core.Message) {
+func (n *node) send(messages []consensus.Message) {
 	for _, m := range messages {
 		to := n.sim.node(m.To.Number)
 		if to == nil {
@@ -110,6 +110,6 @@
 		return
 	}
 	if m, ok, err := n.consensus.DigestMessage(n.gatherer.ForLeader(status.Term)); ok && err == nil {
-		n.send([]core.Message{m})
+		n.send([]consensus.Message{m})
 	}
 }
--- a/internal/coordination/play/simulation.go
+++ b/internal/coordination/simulation/simulation.go
@@ -1,7 +1,7 @@
 // Package play plays several voters, their clients and the holders of leases in virtual time: cores, reads and evidence
 // are the real ones, while disk, messages and clocks are drawn from a seed, with all that goes wrong with them. The same
 // seed gives the same run, event by event.
-package play
+package simulation
 
 import (
 	"container/heap"
--- a/internal/coordination/tables/state.go
+++ b/internal/coordination/statemachine/state.go
@@ -1,7 +1,7 @@
 // Package tables is the state that all voters hold alike: small tables with an epoch each, totals that only grow, and
 // which numbered commands were applied. It knows no sockets, no disk and no clock: the same commands in the same
 // order give the same state.
-package tables
+package statemachine
 
 import (
 	"cmp"
--- a/internal/coordination/tables/state_rapid_test.go
+++ b/internal/coordination/statemachine/state_rapid_test.go
@@ -1,4 +1,4 @@
-package tables
+package statemachine
 
 import (
 	"bytes"
--- a/internal/coordination/link/bench_test.go
+++ b/internal/coordination/transport/bench_test.go
@@ -1,22 +1,22 @@
-package link
+package transport
 
 import (
 	"bytes"
 	"fmt"
 	"testing"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // what a gateway that pushes to six halls tells.
-func zoneDigest(serial uint64) []evidence.Digest {
-	d := evidence.Digest{Process: "g1", Incarnation: 1, Serial: serial, Counts: map[string]uint64{}}
+func zoneDigest(serial uint64) []observation.Digest {
+	d := observation.Digest{Process: "g1", Incarnation: 1, Serial: serial, Counts: map[string]uint64{}}
 	for hall := range 6 {
 		for of := range 8 {
-			d.Counts[evidence.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of))] = serial * uint64(of)
+			d.Counts[observation.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of))] = serial * uint64(of)
 		}
 	}
-	return []evidence.Digest{d}
+	return []observation.Digest{d}
 }
 
 func BenchmarkDigest_decode(b *testing.B) {
@@ -24,7 +24,7 @@
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		var digests []evidence.Digest
+		var digests []observation.Digest
 		if err := readBody(bytes.NewReader(body), int64(len(body)), maxBodyBytes, checksum(body), &digests); err != nil {
 			b.Fatal(err)
 		}
@@ -32,7 +32,7 @@
 }
 
 func BenchmarkDigest_merge(b *testing.B) {
-	merger := evidence.NewMerger()
+	merger := observation.NewMerger()
 	d := zoneDigest(1)[0]
 	for b.Loop() {
 		d.Serial++
--- a/internal/coordination/link/client.go
+++ b/internal/coordination/transport/client.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Client makes calls to voters, on few connections that are used again. It owns them. All calls may be made by several
@@ -75,13 +75,13 @@
 }
 
 // Digests tells a voter what processes saw. It may be repeated.
-func (c *Client) Digests(ctx context.Context, address string, digests []evidence.Digest) error {
+func (c *Client) Digests(ctx context.Context, address string, digests []observation.Digest) error {
 	return c.call(ctx, dialTimeout+responseGrace, http.MethodPost, address, pathDigests, digests, nil)
 }
 
 // Read is cluster.Voter's, of the voter at an address, with the mark of the tables' beginning. It may be repeated.
 func (c *Client) Read(ctx context.Context, address string, known map[string]uint64, wait time.Duration) (
-	found map[string]tables.Table, group []byte, err error) {
+	found map[string]statemachine.Table, group []byte, err error) {
 	var response Response
 	if err := c.call(ctx, wait+responseGrace, http.MethodPost, address, pathRead, ReadRequest{known, wait}, &response); err != nil {
 		return nil, nil, err
@@ -91,10 +91,10 @@
 
 // Propose is cluster.Voter's, of the voter at an address. After an error other than cluster.ErrNotLeader the command
 // may be written all the same: it may be proposed again under the same number, and under no other.
-func (c *Client) Propose(ctx context.Context, address string, command tables.Command) (tables.Result, error) {
+func (c *Client) Propose(ctx context.Context, address string, command statemachine.Command) (statemachine.Result, error) {
 	var response Response
 	if err := c.call(ctx, proposeTimeout+responseGrace, http.MethodPost, address, pathPropose, command, &response); err != nil {
-		return tables.Result{}, err
+		return statemachine.Result{}, err
 	}
 	return response.Result, decodeError(response.Error)
 }
--- a/internal/coordination/link/golden_http_test.go
+++ b/internal/coordination/transport/golden_http_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // goldenVoter answers as the golden responses say, and holds what it was handed.
@@ -34,17 +34,17 @@
 	return errors.New("of no interest to who sent it")
 }
 
-func (v goldenVoter) Propose(_ context.Context, command tables.Command) (tables.Result, error) {
+func (v goldenVoter) Propose(_ context.Context, command statemachine.Command) (statemachine.Result, error) {
 	v.received <- command
-	return tables.Result{Applied: true, Epoch: 6}, v.err
+	return statemachine.Result{Applied: true, Epoch: 6}, v.err
 }
 
-func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error) {
+func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error) {
 	v.received <- ReadRequest{KnownEpochs: known, Wait: wait}
 	return goldenTables(), v.err
 }
 
-func (v goldenVoter) AddDigests(digests []evidence.Digest) { v.received <- digests }
+func (v goldenVoter) AddDigests(digests []observation.Digest) { v.received <- digests }
 
 // goldenHost is the process of such a voter.
 type goldenHost struct{ voter coordination.Voter }
--- a/internal/coordination/link/golden_test.go
+++ b/internal/coordination/transport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Golden values: bytes under testdata/golden were written by the code before its names changed. Maps in them have one
@@ -43,24 +43,24 @@
 	return ReadRequest{KnownEpochs: map[string]uint64{"plan": 1 << 20}, Wait: 1500 * time.Millisecond}
 }
 
-func goldenDigests() []evidence.Digest {
-	return []evidence.Digest{
+func goldenDigests() []observation.Digest {
+	return []observation.Digest{
 		{Process: "g1", Incarnation: 1764633600000000001, Serial: 42, Session: 3,
 			Counts: map[string]uint64{"push\x1fhall-a\x1fhall-b\x1fok": 70000}, Exact: map[string]uint64{"owed\x1fnorth\x1fsouth": 24}},
 		{Process: "g2", Incarnation: 2, Serial: 1},
 	}
 }
 
-func goldenWrite() tables.Command {
-	return tables.Command{Kind: tables.Write, Proposer: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff")}
+func goldenWrite() statemachine.Command {
+	return statemachine.Command{Kind: statemachine.Write, Proposer: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff")}
 }
 
-func goldenRaise() tables.Command {
-	return tables.Command{Kind: tables.RaiseTotals, Proposer: "v1/3", Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 300}}
+func goldenRaise() statemachine.Command {
+	return statemachine.Command{Kind: statemachine.RaiseTotals, Proposer: "v1/3", Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 300}}
 }
 
-func goldenTables() map[string]tables.Table {
-	return map[string]tables.Table{"plan": {Epoch: 6, Value: []byte("value"), Index: 1234}}
+func goldenTables() map[string]statemachine.Table {
+	return map[string]statemachine.Table{"plan": {Epoch: 6, Value: []byte("value"), Index: 1234}}
 }
 
 func goldenFile(t *testing.T, name string) []byte {
@@ -97,9 +97,9 @@
 		{"read-answer-nothing", Response{}},
 		{"propose-write", goldenWrite()},
 		{"propose-raise", goldenRaise()},
-		{"propose-unnumbered", tables.Command{Kind: tables.Write, Proposer: "v1/3", Table: "plan"}},
-		{"propose-kind", tables.Command{Kind: 9, Proposer: "v1/3", Number: 1, Table: "plan"}},
-		{"propose-answer", Response{Result: tables.Result{Applied: true, Epoch: 6}}},
+		{"propose-unnumbered", statemachine.Command{Kind: statemachine.Write, Proposer: "v1/3", Table: "plan"}},
+		{"propose-kind", statemachine.Command{Kind: 9, Proposer: "v1/3", Number: 1, Table: "plan"}},
+		{"propose-answer", Response{Result: statemachine.Result{Applied: true, Epoch: 6}}},
 		{"propose-answer-fault", Response{Error: "not leader"}},
 	} {
 		t.Run(row.file, func(t *testing.T) {
--- a/internal/coordination/link/message.go
+++ b/internal/coordination/transport/message.go
@@ -1,6 +1,6 @@
 // Package link carries messages between the processes that hold something in common: net/http on plain connections
 // with cbor bodies. It decides nothing; each call has its limits of size and time, whoever is at the other end.
-package link
+package transport
 
 import (
 	"encoding/hex"
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Limits of what is sent and of how long it may take.
@@ -70,10 +70,10 @@
 
 // Response is what became of a call other than a message.
 type Response struct {
-	Error   string                  `cbor:"1,keyasint,omitempty"` // one of the words below, or what is wrong
-	Tables  map[string]tables.Table `cbor:"2,keyasint,omitempty"`
-	GroupID []byte                  `cbor:"4,keyasint,omitempty"` // of the tables: drawn when the voters first began
-	Result  tables.Result           `cbor:"3,keyasint"`
+	Error   string                        `cbor:"1,keyasint,omitempty"` // one of the words below, or what is wrong
+	Tables  map[string]statemachine.Table `cbor:"2,keyasint,omitempty"`
+	GroupID []byte                        `cbor:"4,keyasint,omitempty"` // of the tables: drawn when the voters first began
+	Result  statemachine.Result           `cbor:"3,keyasint"`
 }
 
 // wireErrors are the errors of a voter that both ends know.
@@ -151,20 +151,20 @@
 }
 
 // validateCommand says what is wrong with a command that comes from outside.
-func validateCommand(command tables.Command) error {
+func validateCommand(command statemachine.Command) error {
 	switch {
 	case command.Proposer == "" || command.Table == "":
 		return errors.New("a command names who proposes it and a table")
-	case command.Kind == tables.Write && command.Number == 0:
+	case command.Kind == statemachine.Write && command.Number == 0:
 		return errors.New("a write is numbered: it may not be applied twice")
-	case command.Kind != tables.Write && command.Kind != tables.RaiseTotals:
+	case command.Kind != statemachine.Write && command.Kind != statemachine.RaiseTotals:
 		return errors.New("no such kind of command")
 	}
 	return nil
 }
 
 // validateDigests says what is wrong with digests that come from outside.
-func validateDigests(digests []evidence.Digest) error {
+func validateDigests(digests []observation.Digest) error {
 	for _, d := range digests {
 		if d.Process == "" || d.Incarnation == 0 || d.Serial == 0 {
 			return errors.New("a digest names its process, its life and its place in it")
--- a/internal/coordination/link/sender_test.go
+++ b/internal/coordination/transport/sender_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"io"
--- a/internal/coordination/link/server.go
+++ b/internal/coordination/transport/server.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Host is the voter's process that a server answers for.
@@ -148,7 +148,7 @@
 
 func (s *Server) handleDigests(w http.ResponseWriter, r *http.Request) {
 	voter := s.requireVoter(w)
-	var digests []evidence.Digest
+	var digests []observation.Digest
 	if voter == nil || !decodeBody(w, r, maxBodyBytes, &digests) {
 		return
 	}
@@ -175,7 +175,7 @@
 
 func (s *Server) handlePropose(w http.ResponseWriter, r *http.Request) {
 	voter := s.requireVoter(w)
-	var command tables.Command
+	var command statemachine.Command
 	if voter == nil || !decodeBody(w, r, maxBodyBytes, &command) {
 		return
 	}
--- a/internal/coordination/link/server_test.go
+++ b/internal/coordination/transport/server_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // A body that was spoilt, cut or made without end is refused, and harms nobody: the voter is handed nothing, and the
@@ -24,7 +24,7 @@
 func TestServer_malformedBodiesAreRejectedAndHarmNobody(t *testing.T) {
 	voter := newFakeVoter()
 	address, c := startServer(t, voter, 16)
-	good, _ := encoding.Marshal([]evidence.Digest{newDigest(1)})
+	good, _ := encoding.Marshal([]observation.Digest{newDigest(1)})
 	nested := bytes.Repeat([]byte{0x81}, 1000)
 	post := func(path, head string, body []byte) string {
 		return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + head + "\r\n" + string(body)
@@ -76,7 +76,7 @@
 func TestServer_unnumberedWriteIsRejected(t *testing.T) {
 	voter := newFakeVoter()
 	address, c := startServer(t, voter, 16)
-	_, err := c.Propose(t.Context(), address, tables.Command{Kind: tables.Write, Proposer: "p/1", Table: "plan"})
+	_, err := c.Propose(t.Context(), address, statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Table: "plan"})
 	if _, _, proposed := voter.received(); err == nil || proposed > 0 {
 		t.Errorf("%v, %d proposed", err, proposed)
 	}
@@ -110,7 +110,7 @@
 	}()
 	c := newTestClient(t, Network{})
 	for range 2 {
-		if _, err := c.Propose(t.Context(), listener.Addr().String(), tables.Command{Kind: tables.Write, Proposer: "p", Number: 1, Table: "t"}); err == nil {
+		if _, err := c.Propose(t.Context(), listener.Addr().String(), statemachine.Command{Kind: statemachine.Write, Proposer: "p", Number: 1, Table: "t"}); err == nil {
 			t.Error("taken as written")
 		}
 	}
--- a/internal/coordination/link/voter_test.go
+++ b/internal/coordination/transport/voter_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -21,18 +21,18 @@
 // fakeVoter is a voter that holds its tables in memory, and notes what it was handed.
 type fakeVoter struct {
 	mu       sync.Mutex
-	state    *tables.State
+	state    *statemachine.State
 	index    uint64
 	names    map[string]bool
 	changed  chan struct{}
 	messages [][]byte
-	digests  []evidence.Digest
+	digests  []observation.Digest
 	proposed int
 	err      error
 }
 
 func newFakeVoter() *fakeVoter {
-	return &fakeVoter{state: tables.New(), names: map[string]bool{}, changed: make(chan struct{})}
+	return &fakeVoter{state: statemachine.New(), names: map[string]bool{}, changed: make(chan struct{})}
 }
 
 func (m *fakeVoter) HandleMessage(_ context.Context, message []byte) error {
@@ -42,11 +42,11 @@
 	return nil
 }
 
-func (m *fakeVoter) Propose(_ context.Context, command tables.Command) (tables.Result, error) {
+func (m *fakeVoter) Propose(_ context.Context, command statemachine.Command) (statemachine.Result, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.proposed++; m.err != nil {
-		return tables.Result{}, m.err
+		return statemachine.Result{}, m.err
 	}
 	m.index++
 	m.names[command.Table] = true
@@ -55,10 +55,10 @@
 	return m.state.Apply(m.index, command), nil
 }
 
-func (m *fakeVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error) {
+func (m *fakeVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error) {
 	for end := time.After(wait); ; {
 		m.mu.Lock()
-		found, changed, wireErr := map[string]tables.Table{}, m.changed, m.err
+		found, changed, wireErr := map[string]statemachine.Table{}, m.changed, m.err
 		for name := range m.names {
 			if e := m.state.Table(name); e.Epoch > known[name] {
 				found[name] = e
@@ -78,7 +78,7 @@
 	}
 }
 
-func (m *fakeVoter) AddDigests(digests []evidence.Digest) {
+func (m *fakeVoter) AddDigests(digests []observation.Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.digests = append(m.digests, digests...)
@@ -119,18 +119,18 @@
 	return c
 }
 
-func newDigest(n uint64) evidence.Digest {
-	return evidence.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
+func newDigest(n uint64) observation.Digest {
+	return observation.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
 }
 
 func TestClient_callsReachTheVoter(t *testing.T) {
 	voter := newFakeVoter()
 	address, c := startServer(t, voter, 16)
-	if err := c.Digests(t.Context(), address, []evidence.Digest{newDigest(5)}); err != nil || !maps.Equal(voter.digests[0].Counts, newDigest(5).Counts) {
+	if err := c.Digests(t.Context(), address, []observation.Digest{newDigest(5)}); err != nil || !maps.Equal(voter.digests[0].Counts, newDigest(5).Counts) {
 		t.Error(err, voter.digests)
 	}
-	write := tables.Command{Kind: tables.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
-	read := make(chan map[string]tables.Table)
+	write := statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
+	read := make(chan map[string]statemachine.Table)
 	go func() { // it waits for the write
 		found, group, err := c.Read(t.Context(), address, map[string]uint64{"plan": 0}, 5*time.Second)
 		if err != nil || string(group) != "g" {
@@ -170,7 +170,7 @@
 	if _, _, err := c.Read(t.Context(), address, nil, 0); err == nil {
 		t.Error("a read is answered")
 	}
-	if c.Digests(t.Context(), address, []evidence.Digest{newDigest(1)}) == nil {
+	if c.Digests(t.Context(), address, []observation.Digest{newDigest(1)}) == nil {
 		t.Error("a digest is taken")
 	}
 }
--- a/internal/coordination/voter.go
+++ b/internal/coordination/voter.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // Errors of a Voter.
@@ -44,13 +44,13 @@
 	HandleMessage(ctx context.Context, message []byte) error
 	// Propose has a command written: it returns once the command is applied at this voter, which must lead. Errors:
 	// ErrNotLeader, ErrUnknown (the context ended or the leader changed meanwhile), ErrStopped.
-	Propose(ctx context.Context, c tables.Command) (tables.Result, error)
+	Propose(ctx context.Context, c statemachine.Command) (statemachine.Result, error)
 	// Read gives the tables that stand at a later epoch than known names (0: never heard of), as confirmed by a majority
 	// since the call; where there is none it waits for one up to wait, and then gives none: a majority has confirmed that
 	// nothing changed before the end of the wait. Many waiting reads cost one confirmation. Errors: ErrNoQuorum, ErrStopped.
-	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]tables.Table, error)
+	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error)
 	// AddDigests takes digests of processes that send theirs here, or of another voter (what it merged).
-	AddDigests(digests []evidence.Digest)
+	AddDigests(digests []observation.Digest)
 	// ChangeMembership adds a member, or removes the one of that number. Errors as Propose, or what is wrong with the change.
 	ChangeMembership(ctx context.Context, m Member, remove bool) error
 	Status() Status
--- a/internal/coordination/voter/bench_test.go
+++ b/internal/coordination/voter/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // One write at a time through three voters with a real disk each, messages in memory.
@@ -41,9 +41,9 @@
 			for i := range 60 {
 				names = append(names, fmt.Sprint("count ", i))
 			}
-			all := make([]evidence.Digest, processes)
+			all := make([]observation.Digest, processes)
 			for i := range all {
-				all[i] = evidence.Digest{Process: fmt.Sprint("g", i), Incarnation: 1, Counts: map[string]uint64{}}
+				all[i] = observation.Digest{Process: fmt.Sprint("g", i), Incarnation: 1, Counts: map[string]uint64{}}
 			}
 			b.ResetTimer()
 			for i := range b.N {
--- a/internal/coordination/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/disk"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/wal"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -27,13 +27,13 @@
 	initialMembers []coordination.Member
 	mu             sync.Mutex
 	voters         map[uint64]*Voter
-	storages       map[uint64]*disk.Log
+	storages       map[uint64]*wal.Log
 	isolated       map[uint64]bool
 	deliveries     sync.WaitGroup
 }
 
 func newTestCluster(t testing.TB, n int) *testCluster {
-	tc := &testCluster{t: t, voters: map[uint64]*Voter{}, storages: map[uint64]*disk.Log{}, isolated: map[uint64]bool{}}
+	tc := &testCluster{t: t, voters: map[uint64]*Voter{}, storages: map[uint64]*wal.Log{}, isolated: map[uint64]bool{}}
 	for i := range n {
 		tc.initialMembers = append(tc.initialMembers, member(uint64(i+1)))
 	}
@@ -50,8 +50,8 @@
 	return coordination.Member{Number: n, Name: fmt.Sprintf("v%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 7000+n)}
 }
 
-func (tc *testCluster) start(n uint64, folder string, fileOps disk.FileOps, initialMembers []coordination.Member, controllers ...coordination.Controller) error {
-	storage, err := disk.OpenWith(folder, fileOps)
+func (tc *testCluster) start(n uint64, folder string, fileOps wal.FileOps, initialMembers []coordination.Member, controllers ...coordination.Controller) error {
+	storage, err := wal.OpenWith(folder, fileOps)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 
 func (tc *testCluster) startAll(folders []string, controllers ...coordination.Controller) {
 	for i, f := range folders {
-		if err := tc.start(uint64(i+1), f, disk.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
+		if err := tc.start(uint64(i+1), f, wal.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
 			tc.t.Fatal(err)
 		}
 	}
@@ -125,12 +125,12 @@
 	return ctx
 }
 
-func writeCommand(number, epoch uint64, value string) tables.Command {
-	return tables.Command{Kind: tables.Write, Proposer: "test/1", Number: number, Table: "plan", Epoch: epoch,
+func writeCommand(number, epoch uint64, value string) statemachine.Command {
+	return statemachine.Command{Kind: statemachine.Write, Proposer: "test/1", Number: number, Table: "plan", Epoch: epoch,
 		Value: []byte(value)}
 }
 
-func (tc *testCluster) mustWrite(command tables.Command) tables.Result {
+func (tc *testCluster) mustWrite(command statemachine.Command) statemachine.Result {
 	for {
 		r, err := tc.waitForLeader().Propose(shortContext(tc.t), command)
 		if err == nil {
@@ -144,7 +144,7 @@
 
 // fullDisk is a disk that is full from some write on.
 type fullDisk struct {
-	disk.OSFileOps
+	wal.OSFileOps
 	full func() bool
 }
 
@@ -157,7 +157,7 @@
 
 // slowDisk is a disk whose syncs take a while from some moment on.
 type slowDisk struct {
-	disk.OSFileOps
+	wal.OSFileOps
 	syncDelay *atomic.Int64
 }
 
--- a/internal/coordination/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // forwardDigests tells the leader what was merged here.
@@ -49,8 +49,8 @@
 	case a := <-got:
 		input = coordination.ControllerInput{Sums: a.sums, LeadingSince: a.since, Totals: func(table string) map[string]uint64 {
 			return query(v, func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) })
-		}, Table: func(table string) tables.Table {
-			return query(v, func(l *eventLoop) tables.Table { return l.consensus.State().Table(table) })
+		}, Table: func(table string) statemachine.Table {
+			return query(v, func(l *eventLoop) statemachine.Table { return l.consensus.State().Table(table) })
 		}}
 		return input, time.Since(processStart), a.ok
 	case <-v.stopped:
@@ -107,7 +107,7 @@
 				continue
 			}
 			number++
-			v.proposeOnce(ctx, tables.Command{Kind: tables.Write, Proposer: proposer, Number: number, Table: d.Table(), Epoch: held.Epoch,
+			v.proposeOnce(ctx, statemachine.Command{Kind: statemachine.Write, Proposer: proposer, Number: number, Table: d.Table(), Epoch: held.Epoch,
 				Value: value})
 		}
 		if time.Since(raised) >= raiseInterval {
@@ -118,7 +118,7 @@
 }
 
 // proposeOnce proposes once. A write that is lost or comes too late is no matter: the decider is asked again with what stands.
-func (v *Voter) proposeOnce(ctx context.Context, command tables.Command) {
+func (v *Voter) proposeOnce(ctx context.Context, command statemachine.Command) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, _ = v.Propose(ctx, command)
@@ -130,7 +130,7 @@
 	v.mu.Lock()
 	for _, d := range v.gatherer.ExactCounts() {
 		for name, n := range d.Exact {
-			full := evidence.JoinName(d.Process, strconv.FormatUint(d.Incarnation, 10), name)
+			full := observation.JoinName(d.Process, strconv.FormatUint(d.Incarnation, 10), name)
 			if n > stand[full] {
 				grown[full] = n
 			}
@@ -138,6 +138,6 @@
 	}
 	v.mu.Unlock()
 	if len(grown) > 0 {
-		v.proposeOnce(ctx, tables.Command{Kind: tables.RaiseTotals, Table: ExactTable, Totals: grown})
+		v.proposeOnce(ctx, statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: grown})
 	}
 }
--- a/internal/coordination/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -8,19 +8,19 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/core"
-	"harrierhoist/internal/coordination/disk"
+	"harrierhoist/internal/coordination/consensus"
+	"harrierhoist/internal/coordination/wal"
 )
 
 // eventLoop owns the core, the disk's writes and all calls that wait. One goroutine works at it.
 type eventLoop struct {
 	voter            *Voter
-	consensus        *core.Node
-	storage          *disk.Log
+	consensus        *consensus.Node
+	storage          *wal.Log
 	send             func(to coordination.Member, message []byte)
 	logger           *zap.Logger
-	pendingProposals map[uint64]chan core.Outcome // proposals and changes
-	pendingReads     *core.ReadQueue
+	pendingProposals map[uint64]chan consensus.Outcome // proposals and changes
+	pendingReads     *consensus.ReadQueue
 	loggedLeader     uint64        // as last said in the log
 	leadTerm         uint64        // the term that it leads in; 0: none
 	leadSince        time.Duration // it leads
@@ -28,9 +28,9 @@
 	compactAt        int64 // bytes of log after which it is made anew
 }
 
-func newEventLoop(v *Voter, node *core.Node, storage *disk.Log, send func(coordination.Member, []byte), logger *zap.Logger) *eventLoop {
-	return &eventLoop{voter: v, consensus: node, storage: storage, send: send, logger: logger, pendingProposals: map[uint64]chan core.Outcome{},
-		pendingReads: core.NewReadQueue(node), loggedRejections: map[string]bool{}, compactAt: minCompactBytes}
+func newEventLoop(v *Voter, node *consensus.Node, storage *wal.Log, send func(coordination.Member, []byte), logger *zap.Logger) *eventLoop {
+	return &eventLoop{voter: v, consensus: node, storage: storage, send: send, logger: logger, pendingProposals: map[uint64]chan consensus.Outcome{},
+		pendingReads: consensus.NewReadQueue(node), loggedRejections: map[string]bool{}, compactAt: minCompactBytes}
 }
 
 // run works until the voter is to end or its disk fails it. A voter that can't write is as good as dead to the others,
@@ -57,7 +57,7 @@
 	defer func() {
 		// The library's word for what must never be, such as entries that others know this disk had and that are gone.
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", core.ErrCorrupt, p)
+			err = fmt.Errorf("%w: %v", consensus.ErrCorrupt, p)
 		}
 	}()
 	if err := l.processReady(); err != nil {
@@ -158,7 +158,7 @@
 	if leadTerm != l.leadTerm {
 		l.leadTerm, l.leadSince = leadTerm, time.Since(processStart)
 		for seq, done := range l.pendingProposals {
-			done <- core.Outcome{Err: coordination.ErrOutcomeUnknown}
+			done <- consensus.Outcome{Err: coordination.ErrOutcomeUnknown}
 			delete(l.pendingProposals, seq)
 		}
 	}
@@ -168,17 +168,17 @@
 	}
 }
 
-func (l *eventLoop) propose(propose func(*eventLoop) (uint64, error), done chan core.Outcome) {
+func (l *eventLoop) propose(propose func(*eventLoop) (uint64, error), done chan consensus.Outcome) {
 	seq, err := propose(l)
 	if err != nil {
-		done <- core.Outcome{Err: err}
+		done <- consensus.Outcome{Err: err}
 		return
 	}
 	l.pendingProposals[seq] = done
 }
 
 // complete gives callers what became of their calls.
-func (l *eventLoop) complete(d core.AppliedResult) {
+func (l *eventLoop) complete(d consensus.AppliedResult) {
 	for _, o := range d.Outcomes {
 		if done, ok := l.pendingProposals[o.Seq]; ok {
 			done <- o
@@ -191,7 +191,7 @@
 // handleMessage takes a message. What is refused is said once for each reason, as it comes again with each message.
 func (l *eventLoop) handleMessage(message []byte) error {
 	digests, err := l.consensus.HandleMessage(message)
-	if errors.Is(err, core.ErrRejected) && !l.loggedRejections[err.Error()] && len(l.loggedRejections) < maxLoggedRejections {
+	if errors.Is(err, consensus.ErrRejected) && !l.loggedRejections[err.Error()] && len(l.loggedRejections) < maxLoggedRejections {
 		l.loggedRejections[err.Error()] = true
 		l.logger.Warn("message of another voter", zap.Error(err))
 	}
--- a/internal/coordination/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
-	"harrierhoist/internal/coordination/disk"
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/wal"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -15,7 +15,7 @@
 // before: testdata has the commands as the code wrote them before its names changed.
 func TestGolden_leaderCommandsInTheLog(t *testing.T) {
 	tc, folder := newTestCluster(t, 1), t.TempDir()
-	if err := tc.start(1, folder, disk.OSFileOps{}, tc.initialMembers, sumController{}); err != nil {
+	if err := tc.start(1, folder, wal.OSFileOps{}, tc.initialMembers, sumController{}); err != nil {
 		t.Fatal(err)
 	}
 	v := tc.waitForLeader()
@@ -27,7 +27,7 @@
 		})
 	}
 	stands("0 0")
-	v.AddDigests([]evidence.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
+	v.AddDigests([]observation.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
 	stands("0 300")
 	tc.stop(1)
 	var log []byte
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/core"
-	"harrierhoist/internal/coordination/disk"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/consensus"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/wal"
 )
 
 // Times of a voter.
@@ -53,7 +53,7 @@
 	goroutines sync.WaitGroup
 
 	mu          sync.Mutex // of what follows
-	gatherer    *core.Gatherer
+	gatherer    *consensus.Gatherer
 	controllers []coordination.Controller
 	status      coordination.Status
 }
@@ -64,11 +64,11 @@
 // the members that begin the log where all disks are empty, the same at all of them; where their disks' marks are given,
 // no other disk is ever taken for theirs. None: the voter waits until a leader adds it. Send is handed a message for
 // another voter; it must not block, and may lose it. The disk stays the caller's, to be closed after Close.
-func Open(self coordination.Member, initialMembers []coordination.Member, storage *disk.Log, controllers []coordination.Controller,
+func Open(self coordination.Member, initialMembers []coordination.Member, storage *wal.Log, controllers []coordination.Controller,
 	send func(to coordination.Member, message []byte), logger *zap.Logger) (*Voter, error) {
 	self.DiskID = storage.DiskID()
 	count, nonce := storage.Incarnation()
-	node, err := core.NewNode(self, core.Incarnation{Count: count, Nonce: nonce}, initialMembers, storage.Records(), nonce)
+	node, err := consensus.NewNode(self, consensus.Incarnation{Count: count, Nonce: nonce}, initialMembers, storage.Records(), nonce)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 		logger.Warn("spoilt copies in a voter's log, read from their doubles", zap.Int("frames", n))
 	}
 	v := &Voter{calls: make(chan func(*eventLoop), mailboxSize), stopping: make(chan struct{}), stopped: make(chan struct{}),
-		gatherer: core.NewGatherer(self.Name, count), controllers: controllers, status: node.Status()}
+		gatherer: consensus.NewGatherer(self.Name, count), controllers: controllers, status: node.Status()}
 	l := newEventLoop(v, node, storage, send, logger)
 	v.goroutines.Go(func() { l.run() })
 	v.goroutines.Go(func() { v.runControllers(fmt.Sprintf("%s/%d", self.Name, count)) })
@@ -143,7 +143,7 @@
 }
 
 // Propose implements cluster.Voter.
-func (v *Voter) Propose(ctx context.Context, command tables.Command) (tables.Result, error) {
+func (v *Voter) Propose(ctx context.Context, command statemachine.Command) (statemachine.Result, error) {
 	return v.proposeAndWait(ctx, func(l *eventLoop) (uint64, error) { return l.consensus.Propose(command) })
 }
 
@@ -153,30 +153,30 @@
 	return err
 }
 
-func (v *Voter) proposeAndWait(ctx context.Context, propose func(*eventLoop) (uint64, error)) (tables.Result, error) {
-	done := make(chan core.Outcome, 1)
+func (v *Voter) proposeAndWait(ctx context.Context, propose func(*eventLoop) (uint64, error)) (statemachine.Result, error) {
+	done := make(chan consensus.Outcome, 1)
 	if err := v.enqueue(ctx, func(l *eventLoop) { l.propose(propose, done) }); err != nil {
 		if errors.Is(err, coordination.ErrStopped) {
-			return tables.Result{}, err
+			return statemachine.Result{}, err
 		}
-		return tables.Result{}, coordination.ErrNotLeader // it was not even looked at
+		return statemachine.Result{}, coordination.ErrNotLeader // it was not even looked at
 	}
 	select {
 	case o := <-done:
 		return o.Result, o.Err
 	case <-v.stopped:
-		return tables.Result{}, coordination.ErrStopped
+		return statemachine.Result{}, coordination.ErrStopped
 	case <-ctx.Done():
-		return tables.Result{}, coordination.ErrOutcomeUnknown
+		return statemachine.Result{}, coordination.ErrOutcomeUnknown
 	}
 }
 
 // Read implements cluster.Voter.
 func (v *Voter) Read(ctx context.Context, known map[string]uint64,
-	wait time.Duration) (map[string]tables.Table, error) {
-	answer := make(chan map[string]tables.Table, 1)
-	r := &core.PendingRead{KnownEpochs: known, Deadline: time.Since(processStart) + wait,
-		Respond: func(found map[string]tables.Table) { answer <- found }, IsCanceled: func() bool { return ctx.Err() != nil }}
+	wait time.Duration) (map[string]statemachine.Table, error) {
+	answer := make(chan map[string]statemachine.Table, 1)
+	r := &consensus.PendingRead{KnownEpochs: known, Deadline: time.Since(processStart) + wait,
+		Respond: func(found map[string]statemachine.Table) { answer <- found }, IsCanceled: func() bool { return ctx.Err() != nil }}
 	if err := v.enqueue(ctx, func(l *eventLoop) { l.pendingReads.Add(r, time.Since(processStart)) }); err != nil {
 		if errors.Is(err, coordination.ErrStopped) {
 			return nil, err
@@ -194,7 +194,7 @@
 }
 
 // AddDigests implements cluster.Voter.
-func (v *Voter) AddDigests(digests []evidence.Digest) {
+func (v *Voter) AddDigests(digests []observation.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.gatherer.AddFromProcesses(digests)
--- a/internal/coordination/voter/voter_test.go
+++ b/internal/coordination/voter/voter_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/disk"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/wal"
 	"harrierhoist/internal/testing/fakes"
 )
 
@@ -68,7 +68,7 @@
 			t.Errorf("%v, %v", got, err)
 		}
 	}
-	changes := make(chan map[string]tables.Table, 3)
+	changes := make(chan map[string]statemachine.Table, 3)
 	for _, v := range tc.voters {
 		tc.deliveries.Go(func() {
 			got, _ := v.Read(shortContext(t), known, 4*time.Second)
@@ -88,7 +88,7 @@
 
 func (sumController) Table() string { return "sum" }
 func (sumController) Decide(_ time.Duration, input coordination.ControllerInput) ([]byte, bool) {
-	now := fmt.Sprint(input.Sums["pushes"], input.Totals(ExactTable)[evidence.JoinName("g1", "7", "owed")])
+	now := fmt.Sprint(input.Sums["pushes"], input.Totals(ExactTable)[observation.JoinName("g1", "7", "owed")])
 	return []byte(now), now != string(input.Table("sum").Value)
 }
 
@@ -104,7 +104,7 @@
 		}
 	}
 	addDigest := func(serial, n uint64) {
-		follower.AddDigests([]evidence.Digest{{Process: "g1", Incarnation: 7, Serial: serial,
+		follower.AddDigests([]observation.Digest{{Process: "g1", Incarnation: 7, Serial: serial,
 			Counts: map[string]uint64{"pushes": n}, Exact: map[string]uint64{"owed": n}}})
 	}
 	addDigest(1, 100)
@@ -193,7 +193,7 @@
 	})
 	tc.stop(emptiedNumber)
 	tc.mustWrite(writeCommand(2, 1, "b"))
-	if err := tc.start(emptiedNumber, t.TempDir(), disk.OSFileOps{}, tc.initialMembers); err != nil {
+	if err := tc.start(emptiedNumber, t.TempDir(), wal.OSFileOps{}, tc.initialMembers); err != nil {
 		t.Fatal(err)
 	}
 	tc.mu.Lock()
@@ -203,7 +203,7 @@
 		t.Errorf("it goes on: %v", err)
 	}
 	tc.stop(emptiedNumber)
-	if err := tc.start(4, t.TempDir(), disk.OSFileOps{}, nil); err != nil {
+	if err := tc.start(4, t.TempDir(), wal.OSFileOps{}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
--- a/internal/coordination/disk/golden_test.go
+++ b/internal/coordination/wal/golden_test.go
@@ -1,4 +1,4 @@
-package disk
+package wal
 
 import (
 	"bytes"
--- a/internal/coordination/disk/log.go
+++ b/internal/coordination/wal/log.go
@@ -1,6 +1,6 @@
 // Package disk keeps a voter's records on disk: what it must not forget, in the order in which it was saved. It finds
 // torn and flipped bytes, a folder that was copied, and a log that is gone, and says so rather than give back less.
-package disk
+package wal
 
 import (
 	"crypto/rand"
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/pool"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
@@ -45,8 +45,8 @@
 	requests         map[uint32]*Request // those that the module may still ask something of
 	lastRequestID    uint32
 	servers          map[uint32]Server // those listed, by the module's number
-	subset           *pool.Subset      // which of them the module is handed
-	account          *till.Accounts    // what tasks owe; nil: nothing is kept
+	subset           *subset.Subset    // which of them the module is handed
+	account          *account.Accounts // what tasks owe; nil: nothing is kept
 	serverNumbers    map[string]uint32 // by name
 	lastServerNumber uint32            // the latest number; none is used twice
 
@@ -82,7 +82,7 @@
 	start := time.Now()
 	d := &Dispatcher{dependencies: outside, log: log, startedAt: start, clockOrigin: time.Duration(start.UnixNano()),
 		requests: map[uint32]*Request{}, servers: map[uint32]Server{}, serverNumbers: map[string]uint32{}, timersByToken: map[uint64]*timer{},
-		subset:   pool.New(settings.MyIndex, settings.Gateways, outside.IdleTimeout),
+		subset:   subset.New(settings.MyIndex, settings.Gateways, outside.IdleTimeout),
 		settings: settings, alarm: time.NewTimer(time.Hour), watch: make(chan struct{}, 1)}
 	d.applySettings(&settings)
 	var err error
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -45,7 +45,7 @@
 		}
 		server.Endpoint.Server, server.fingerprint = number, d.servers[number].fingerprint
 		if !known {
-			server.fingerprint = pool.HashName(server.Name)
+			server.fingerprint = subset.HashName(server.Name)
 		}
 		d.servers[number] = server
 	}
@@ -61,10 +61,10 @@
 // it the others are gone: it pushes to ready ones alone, and what is out elsewhere goes on.
 func (d *Dispatcher) updateGateway(now time.Duration, kind policy.ListKind) {
 	numbers := slices.Sorted(maps.Keys(d.servers))
-	all := make([]pool.Candidate, 0, len(numbers))
+	all := make([]subset.Candidate, 0, len(numbers))
 	for _, number := range numbers {
 		server := d.servers[number]
-		all = append(all, pool.Candidate{NameHash: server.fingerprint, Endpoint: server.Endpoint})
+		all = append(all, subset.Candidate{NameHash: server.fingerprint, Endpoint: server.Endpoint})
 	}
 	if d.dependencies.Recorder != nil {
 		d.recordEndpoints(now, all)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 	"harrierhoist/policy"
 )
 
@@ -60,9 +60,9 @@
 	current     *attempt // the latest; nil: none yet
 	units       float64
 	completed   bool
-	repeat      bool                 // the client says that it asks again
-	claim       *till.RequestTracker // what it owes; nil: nothing is kept of it
-	assignment  *CountAssignment     // nil: under its customer alone
+	repeat      bool                    // the client says that it asks again
+	claim       *account.RequestTracker // what it owes; nil: nothing is kept of it
+	assignment  *CountAssignment        // nil: under its customer alone
 }
 
 // Admit takes a task. It is carried by calling Pick until that is final.
--- a/internal/dispatch/settlement.go
+++ b/internal/dispatch/settlement.go
@@ -1,12 +1,12 @@
 package dispatch
 
 import (
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 	"harrierhoist/policy"
 )
 
 // SetAccount has a till count from here on what tasks owe; those in hand are left out.
-func (d *Dispatcher) SetAccount(acct *till.Accounts) {
+func (d *Dispatcher) SetAccount(acct *account.Accounts) {
 	now := d.lock()
 	defer d.unlock()
 	d.account = acct
--- a/internal/dispatch/settlement_test.go
+++ b/internal/dispatch/settlement_test.go
@@ -5,18 +5,18 @@
 	"time"
 
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 	"harrierhoist/policy"
 )
 
 // newSettlingFixture is a story whose gate keeps debts: its hall is b's, the other c's, and customers of the plan are a's.
-func newSettlingFixture(t *testing.T) (*fixture, *till.Accounts) {
+func newSettlingFixture(t *testing.T) (*fixture, *account.Accounts) {
 	f := newFixture(t)
 	terms := settlement.DefaultTerms()
 	terms.On = true
 	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}},
 		{Name: "c", Zones: []string{"hc"}}}
-	acct := till.New(terms, till.Settings{Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
+	acct := account.New(terms, account.Settings{Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
 		Classes: []policy.TrafficClass{{LatencyObjective: time.Second}, {LatencyObjective: time.Second, Effect: policy.NonIdempotent}}}, "x", 1,
 		func() time.Duration { return 0 })
 	f.dispatcher.SetAccount(acct)
@@ -41,7 +41,7 @@
 	return r, f.expectAction(r, Forward)
 }
 
-func totalOwed(acct *till.Accounts) (sum uint64) {
+func totalOwed(acct *account.Accounts) (sum uint64) {
 	acct.ReportDebts(func(_ string, n uint64) { sum += n })
 	return sum
 }
--- a/internal/dispatch/steering.go
+++ b/internal/dispatch/steering.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
@@ -96,7 +96,7 @@
 }
 
 // recordEndpoints tells the witness the whole list.
-func (d *Dispatcher) recordEndpoints(now time.Duration, all []pool.Candidate) {
+func (d *Dispatcher) recordEndpoints(now time.Duration, all []subset.Candidate) {
 	list := make([]policy.Endpoint, 0, len(all))
 	for _, s := range all {
 		list = append(list, s.Endpoint)
--- a/internal/failover/controller.go
+++ b/internal/failover/controller.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/zonestats"
 )
 
@@ -65,7 +65,7 @@
 }
 
 // adoptPlan takes the plan that stands. What is not known of it is taken at its worst: that it was written just now.
-func (c *Controller) adoptPlan(now time.Duration, e tables.Table) {
+func (c *Controller) adoptPlan(now time.Duration, e statemachine.Table) {
 	plan, err := DecodePlan(e.Value)
 	c.noPlan = err != nil || plan == nil // a spoilt one is written anew
 	if c.noPlan {
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/zonestats"
 )
 
@@ -24,7 +24,7 @@
 	now          time.Duration
 	faultAt      time.Duration // when something last changed
 	sums         map[string]uint64
-	entry        tables.Table
+	entry        statemachine.Table
 	lease        time.Duration
 	settings     Settings
 	controller   *Controller
@@ -108,13 +108,13 @@
 	for end := fx.now + span; fx.now < end; {
 		fx.now += tick
 		fx.report()
-		seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+		seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) statemachine.Table { return fx.entry }}
 		if value, write := fx.controller.Decide(fx.now, seen); write {
 			plan, err := DecodePlan(value)
 			if err != nil {
 				panic(err)
 			}
-			fx.entry = tables.Table{Epoch: fx.entry.Epoch + 1, Value: value}
+			fx.entry = statemachine.Table{Epoch: fx.entry.Epoch + 1, Value: value}
 			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
 		}
 	}
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/internal/zonestats"
 	"harrierhoist/policy"
 )
@@ -26,11 +26,11 @@
 	silent     bool    // dead servers say nothing, in place of refusing
 	now        time.Duration
 	members    []*member
-	merger     *evidence.Merger
+	merger     *observation.Merger
 	controller *Controller
-	entry      tables.Table
+	entry      statemachine.Table
 	plans      []*Plan
-	endpoints  []pool.Candidate
+	endpoints  []subset.Candidate
 	attempts   [3]int // pushes by hall since counted anew
 }
 
@@ -38,11 +38,11 @@
 	zone        int
 	allFail     bool // all that it pushes fails
 	recorder    *zonestats.Recorder
-	subset      *pool.Subset
+	subset      *subset.Subset
 	endpoints   []policy.Endpoint
 	planCount   int // of the plan that the part is of, by number
 	failedUntil map[uint32]time.Duration
-	digest      evidence.Digest
+	digest      observation.Digest
 	nextDigest  time.Duration
 	inFlight    []attempt
 }
@@ -56,19 +56,19 @@
 }
 
 func newFleet(seed uint64, gateways int, rate float64) *fleet {
-	fl := &fleet{random: rand.New(rand.NewPCG(seed, 9)), rate: rate, now: time.Hour, merger: evidence.NewMerger()}
+	fl := &fleet{random: rand.New(rand.NewPCG(seed, 9)), rate: rate, now: time.Hour, merger: observation.NewMerger()}
 	fx := threeZones(0)
 	fx.settings.Capacity = 2 * float64(gateways) * rate / 14 // all halls at half of what they bear
 	fl.controller = New(fx.settings, fx.lease)
 	var list []policy.Endpoint
 	for i := range 42 {
 		list = append(list, policy.Endpoint{Server: uint32(i), State: policy.Ready, Zone: i % 3, Rack: i})
-		fl.endpoints = append(fl.endpoints, pool.Candidate{NameHash: pool.HashName(fmt.Sprint(i)), Endpoint: list[i]})
+		fl.endpoints = append(fl.endpoints, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(i)), Endpoint: list[i]})
 	}
 	for i := range 3 * gateways {
-		m := &member{zone: i % 3, planCount: -1, subset: pool.New(i, 3*gateways, 15*time.Second), failedUntil: map[uint32]time.Duration{},
+		m := &member{zone: i % 3, planCount: -1, subset: subset.New(i, 3*gateways, 15*time.Second), failedUntil: map[uint32]time.Duration{},
 			recorder: zonestats.New(fx.zones, i%3, &policy.Settings{})}
-		m.digest = evidence.Digest{Process: fmt.Sprint(i), Incarnation: 1}
+		m.digest = observation.Digest{Process: fmt.Sprint(i), Incarnation: 1}
 		m.nextDigest = fl.now + time.Duration(fl.random.IntN(200))*time.Millisecond
 		m.recorder.SetEndpoints(fl.now, list)
 		fl.members = append(fl.members, m)
@@ -89,10 +89,10 @@
 		if fl.now%tick != 0 {
 			continue
 		}
-		seen := coordination.ControllerInput{Sums: fl.merger.Sums(), Table: func(string) tables.Table { return fl.entry }}
+		seen := coordination.ControllerInput{Sums: fl.merger.Sums(), Table: func(string) statemachine.Table { return fl.entry }}
 		if value, write := fl.controller.Decide(fl.now, seen); write {
 			plan, _ := DecodePlan(value)
-			fl.entry = tables.Table{Epoch: fl.entry.Epoch + 1, Value: value}
+			fl.entry = statemachine.Table{Epoch: fl.entry.Epoch + 1, Value: value}
 			fl.plans = append(fl.plans, plan)
 		}
 	}
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
@@ -144,7 +144,7 @@
 			step := fx.now + tick
 			fx.now = step
 			fx.report()
-			seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) tables.Table { return fx.entry }}
+			seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) statemachine.Table { return fx.entry }}
 			value, write := fx.controller.Decide(fx.now, seen)
 			fmt.Fprintf(sum, "%d %v %x\n", fx.now, write, value)
 			if !write {
@@ -154,7 +154,7 @@
 			if err != nil {
 				panic(err)
 			}
-			fx.entry = tables.Table{Epoch: fx.entry.Epoch + 1, Value: value}
+			fx.entry = statemachine.Table{Epoch: fx.entry.Epoch + 1, Value: value}
 			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
 			for _, zone := range append(slices.Clone(fx.zones), "elsewhere") {
 				part, alone, well := plan.Assignment(zone), plan.FallbackAssignment(zone, true), plan.FallbackAssignment(zone, false)
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -14,24 +14,24 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/canary"
-	"harrierhoist/internal/charter"
-	"harrierhoist/internal/commons"
 	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/config"
+	"harrierhoist/internal/coordination/node"
 	"harrierhoist/internal/countingrule"
 	"harrierhoist/internal/enforce"
 	"harrierhoist/internal/failover"
 	"harrierhoist/internal/routing"
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/keep"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/settlement/runtime"
 	"harrierhoist/internal/zonestats"
 )
 
 // membership is this gateway's part in what processes hold in common; nil where no charter is named.
 type membership struct {
-	process        *commons.Node
+	process        *node.Node
 	enforcer       *enforce.Enforcer // nil where counting rules are off
-	account        *till.Accounts    // nil where debts are off
+	account        *account.Accounts // nil where debts are off
 	settlementDone <-chan struct{}
 }
 
@@ -55,7 +55,7 @@
 	if path == "" {
 		return nil, nil
 	}
-	p, err := commons.Open(path, newControllers(), log)
+	p, err := node.Open(path, newControllers(), log)
 	if err != nil {
 		return nil, err
 	}
@@ -63,10 +63,10 @@
 }
 
 // newControllers gives those that run where a voter leads, by what the charter says. Calls come one after another.
-func newControllers() func(c *charter.Config) []coordination.Controller {
+func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
 	var trial *canary.Controller // one for all files, while the lease stays: a file read again does not begin a trial anew
-	return func(c *charter.Config) (all []coordination.Controller) {
+	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
 			all = append(all, failover.New(*c.Failover, lease))
@@ -110,7 +110,7 @@
 	}
 	if terms.SettlementEnabled() {
 		var err error
-		c.account, c.settlementDone, err = keep.Start(ctx, *terms.Settlement, running.configuration.Settings, running.configuration.Zones, running.configuration.Seed,
+		c.account, c.settlementDone, err = runtime.Start(ctx, *terms.Settlement, running.configuration.Settings, running.configuration.Zones, running.configuration.Seed,
 			terms.Process.Folder, shared, running.dispatcher, running.log)
 		if err != nil {
 			return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
@@ -150,7 +150,7 @@
 
 // runVoter runs a voter without a gateway, until it is asked to end.
 func runVoter(path string, hup, term <-chan os.Signal) error {
-	configuration, err := charter.Read(path)
+	configuration, err := config.Read(path)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 func TestRun_sameBytesOnAnyNumberOfWorkers(t *testing.T) {
 	var texts [2]bytes.Buffer
 	for i, workers := range []int{1, 5} {
-		p, err := ReadPlan("../../../lab/plans/smoke.toml")
+		p, err := ReadPlan("../../../scenarios/plans/smoke.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 }
 
 func TestScaled_growsInProportion(t *testing.T) {
-	base, err := scenario.Read("../../../lab/worlds/calm.toml")
+	base, err := scenario.Read("../../../scenarios/worlds/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 
 // Drawn days stand for days without a lost hall: they must be sound worlds, and hold nothing that loses or cuts one.
 func TestDrawMildFaults_loseNoZone(t *testing.T) {
-	base, err := scenario.Read("../../../lab/worlds/three.toml")
+	base, err := scenario.Read("../../../scenarios/worlds/three.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -71,7 +71,7 @@
 func TestDraws_areStable(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range []string{"calm", "three"} {
-		base, err := scenario.Read("../../../lab/worlds/" + name + ".toml")
+		base, err := scenario.Read("../../../scenarios/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scenario/world_test.go
+++ b/internal/lab/scenario/world_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTheWorldsOfTheProjectAreSound(t *testing.T) {
-	files, _ := filepath.Glob("../../../lab/worlds/*.toml")
+	files, _ := filepath.Glob("../../../scenarios/worlds/*.toml")
 	if len(files) < 6 {
 		t.Fatalf("%d worlds found", len(files))
 	}
@@ -112,7 +112,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	files, _ := filepath.Glob("../../../lab/worlds/*.toml")
+	files, _ := filepath.Glob("../../../scenarios/worlds/*.toml")
 	for _, name := range files {
 		text, _ := os.ReadFile(name)
 		f.Add(string(text))
--- a/internal/lab/search/golden_test.go
+++ b/internal/lab/search/golden_test.go
@@ -18,7 +18,7 @@
 func TestDrawFaults_areStable(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range []string{"calm", "three"} {
-		base, err := scenario.Read("../../../lab/worlds/" + name + ".toml")
+		base, err := scenario.Read("../../../scenarios/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/simulation/alone.go
+++ b/internal/lab/simulation/alone.go
@@ -2,14 +2,14 @@
 
 import (
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/failover"
 )
 
 // alone has it decide on its own evidence.
 func (f *follower) alone() {
-	f.book, f.since = evidence.NewMerger(), f.c.e.now
+	f.book, f.since = observation.NewMerger(), f.c.e.now
 	terms := f.c.terms
 	terms.MinGateways = 1 // there is no other whose word it hears
 	f.decider = failover.New(terms, 0)
@@ -18,14 +18,14 @@
 // decide has the decider go by what this gateway alone counted, as though every other saw and did the same.
 func (f *follower) decide(counts map[string]uint64) {
 	f.serial++
-	f.book.Add(evidence.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
+	f.book.Add(observation.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
 	now := f.c.e.now
 	value, write := f.decider.Decide(now, coordination.ControllerInput{Sums: f.book.Sums(), LeadingSince: f.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(string) tables.Table { return tables.Table{Epoch: f.held.Epoch, Value: f.held.Value} }})
+		Table:  func(string) statemachine.Table { return statemachine.Table{Epoch: f.held.Epoch, Value: f.held.Value} }})
 	if write {
 		f.c.judge(value)
-		f.take(tables.Table{Epoch: f.held.Epoch + 1, Value: value}, forever)
+		f.take(statemachine.Table{Epoch: f.held.Epoch + 1, Value: value}, forever)
 		return
 	}
 	f.steer.Update()
@@ -37,14 +37,14 @@
 	all := make(map[string]uint64, len(counts)*len(f.c.halls))
 	each := uint64(max(len(f.c.followers)/len(f.c.halls), 1))
 	for name, n := range counts {
-		parts := evidence.SplitName(name)
+		parts := observation.SplitName(name)
 		if parts[0] == "ready" || parts[0] == "strength" {
 			all[name] = n * each * uint64(len(f.c.halls))
 			continue
 		}
 		for _, hall := range f.c.halls {
 			like := append([]string{parts[0], hall}, parts[2:]...)
-			all[evidence.JoinName(like...)] = n * each
+			all[observation.JoinName(like...)] = n * each
 		}
 	}
 	return all
--- a/internal/lab/simulation/common.go
+++ b/internal/lab/simulation/common.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/failover"
 	"harrierhoist/internal/lab/scenario"
 )
@@ -30,7 +30,7 @@
 	since     time.Duration // when the leader began
 	writing   bool          // a decision is on its way to the log
 	electing  bool
-	entry     tables.Table // the table as written
+	entry     statemachine.Table // the table as written
 	lost      []*loss
 	back      time.Duration   // when what was lost last came back
 	wrong     map[string]bool // what the plan in force holds to be lost and is not
@@ -104,7 +104,7 @@
 func (c *common) lead(v *voter) {
 	c.term++
 	c.leader, c.since, c.writing, c.electing = v, c.e.now, false, false
-	v.merged = evidence.NewMerger()
+	v.merged = observation.NewMerger()
 	c.decider = failover.New(c.terms, c.w.Lease.D())
 	v.apply(c.entry)
 }
@@ -156,7 +156,7 @@
 	}
 	value, write := c.decider.Decide(c.e.now, coordination.ControllerInput{Sums: sums, LeadingSince: c.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(table string) tables.Table { return c.held(table) }})
+		Table:  func(table string) statemachine.Table { return c.held(table) }})
 	if !write {
 		return
 	}
@@ -166,7 +166,7 @@
 			return // another leads, or nobody took it
 		}
 		c.writing = false
-		c.entry = tables.Table{Epoch: c.entry.Epoch + 1, Value: slices.Clone(value), Index: c.entry.Epoch + 1}
+		c.entry = statemachine.Table{Epoch: c.entry.Epoch + 1, Value: slices.Clone(value), Index: c.entry.Epoch + 1}
 		c.judge(value)
 		l.apply(c.entry)
 		for _, v := range c.voters {
@@ -177,9 +177,9 @@
 	})
 }
 
-func (c *common) held(table string) tables.Table {
+func (c *common) held(table string) statemachine.Table {
 	if table != c.decider.Table() {
-		return tables.Table{}
+		return statemachine.Table{}
 	}
 	return c.entry
 }
--- a/internal/lab/simulation/follow.go
+++ b/internal/lab/simulation/follow.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/failover"
 	"harrierhoist/internal/lab/scenario"
@@ -45,7 +45,7 @@
 	until           time.Duration      // when that ends
 	after           *dispatch.Steering // and what follows; nil: it has no end
 	// Of those that decide alone.
-	book    *evidence.Merger
+	book    *observation.Merger
 	decider coordination.Controller
 	since   time.Duration
 }
@@ -103,7 +103,7 @@
 	}
 	f.steer.Update() // it may see its own hall with other eyes
 	f.serial++
-	d := evidence.Digest{Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
+	d := observation.Digest{Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
 		Session: f.session,
 		Counts:  counts}
 	v := c.voters[f.voter]
@@ -142,7 +142,7 @@
 		})
 	}
 	v := c.voters[f.voter]
-	answer := func(e tables.Table, confirmed bool) {
+	answer := func(e statemachine.Table, confirmed bool) {
 		c.send(v.hall, g.hall, func() {
 			g.do(life, func() {
 				if f.reading != mine {
@@ -170,7 +170,7 @@
 }
 
 // take takes a table with its lease.
-func (f *follower) take(e tables.Table, until time.Duration) {
+func (f *follower) take(e statemachine.Table, until time.Duration) {
 	if e.Epoch < f.held.Epoch {
 		return
 	}
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -24,7 +24,7 @@
 	held  []policy.Endpoint
 	heard time.Duration // when the latest of what discovery tells it comes
 	list  map[uint32]policy.Endpoint
-	pool  *pool.Subset
+	pool  *subset.Subset
 	tries map[uint32]*try
 	next  uint32
 	wakes map[uint64]*wake
@@ -49,7 +49,7 @@
 	if e.w.Gateways.Pool {
 		kept = e.w.Servers.Idle.D() / 2
 	}
-	g.pool = pool.New(g.n, e.w.Gateways.Count, kept)
+	g.pool = subset.New(g.n, e.w.Gateways.Count, kept)
 	var err error
 	if g.d, err = e.make(e.w.Deployment(g.n), int64(seed), g); err != nil {
 		return err
@@ -102,9 +102,9 @@
 // hand gives the decisions the servers of the part that are ready.
 func (g *gateway) hand() {
 	numbers := slices.Sorted(maps.Keys(g.list))
-	all := make([]pool.Candidate, 0, len(numbers))
+	all := make([]subset.Candidate, 0, len(numbers))
 	for _, n := range numbers {
-		all = append(all, pool.Candidate{NameHash: g.e.servers[n-1].mark, Endpoint: g.list[n]})
+		all = append(all, subset.Candidate{NameHash: g.e.servers[n-1].mark, Endpoint: g.list[n]})
 	}
 	if g.follower != nil {
 		g.follower.told(all)
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -52,7 +52,7 @@
 	if since > 0 {
 		s.starts = 1
 	}
-	s.mark = pool.HashName("s-" + strconv.Itoa(int(s.id)))
+	s.mark = subset.HashName("s-" + strconv.Itoa(int(s.id)))
 	e.servers = append(e.servers, s)
 	return s
 }
--- a/internal/lab/simulation/steered.go
+++ b/internal/lab/simulation/steered.go
@@ -5,7 +5,7 @@
 
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -63,7 +63,7 @@
 func (f *follower) IsZoneLost() bool { return f.w.IsZoneLost() }
 
 // told tells its witness the whole list.
-func (f *follower) told(all []pool.Candidate) {
+func (f *follower) told(all []subset.Candidate) {
 	list := make([]policy.Endpoint, 0, len(all))
 	for _, s := range all {
 		list = append(list, s.Endpoint)
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/lab/scenario"
 )
 
@@ -16,9 +16,9 @@
 	dead    bool
 	life    uint64
 	serial  uint64
-	direct  *evidence.Merger // of gateways
-	merged  *evidence.Merger // of other voters, where it leads
-	entry   tables.Table     // as applied here
+	direct  *observation.Merger // of gateways
+	merged  *observation.Merger // of other voters, where it leads
+	entry   statemachine.Table  // as applied here
 	reads   []*read
 }
 
@@ -26,19 +26,19 @@
 type read struct {
 	known  uint64
 	done   bool
-	answer func(e tables.Table, confirmed bool)
+	answer func(e statemachine.Table, confirmed bool)
 }
 
 func (v *voter) start() {
 	v.life++
 	v.serial, v.dead = 0, false
-	v.direct, v.merged = evidence.NewMerger(), evidence.NewMerger()
+	v.direct, v.merged = observation.NewMerger(), observation.NewMerger()
 }
 
 // pass sends the leader what this voter merged.
 func (v *voter) pass(leader *voter) {
 	v.serial++
-	d := evidence.Digest{Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
+	d := observation.Digest{Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
 		Counts: v.direct.Sums()}
 	v.c.send(v.hall, leader.hall, func() {
 		if !leader.dead {
@@ -49,7 +49,7 @@
 }
 
 // catchUp brings an entry to a voter, again and again until it is there or a later one stands.
-func (v *voter) catchUp(l *voter, e tables.Table) {
+func (v *voter) catchUp(l *voter, e statemachine.Table) {
 	c := v.c
 	if c.entry.Epoch != e.Epoch || v.entry.Epoch >= e.Epoch {
 		return
@@ -60,7 +60,7 @@
 }
 
 // apply takes an entry, which answers reads that wait for it.
-func (v *voter) apply(e tables.Table) {
+func (v *voter) apply(e statemachine.Table) {
 	if v.dead || e.Epoch <= v.entry.Epoch {
 		return
 	}
--- a/internal/settlement/till/accounts.go
+++ b/internal/settlement/account/accounts.go
@@ -1,15 +1,15 @@
 // Package till counts at one gateway what partners owe each other, and says which tasks are to go to a debtor's
 // servers. What it is called with on a task's way takes one short lock and waits for nothing; disk and links are the
 // business of the goroutine of Run.
-package till
+package account
 
 import (
 	"math/rand/v2"
 	"sync"
 	"time"
 
-	"harrierhoist/internal/pool"
 	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -132,7 +132,7 @@
 
 // AddElective gives the servers that a part lays out for elective pushes beside it, and marks those of the part itself that
 // they may prefer. With nothing to settle the part is given back as it is.
-func (a *Accounts) AddElective(subset *pool.Subset, now time.Duration, selected []policy.Endpoint, all []pool.Candidate) []policy.Endpoint {
+func (a *Accounts) AddElective(subset *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate) []policy.Endpoint {
 	if a == nil {
 		return selected
 	}
--- a/internal/settlement/till/reconfigure_test.go
+++ b/internal/settlement/account/reconfigure_test.go
@@ -1,4 +1,4 @@
-package till
+package account
 
 import (
 	"sync"
--- a/internal/settlement/controller_test.go
+++ b/internal/settlement/controller_test.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
 // controllerFixture is a log, and the evidence that its leader has: three partners with 1,000 tasks a second each.
 type controllerFixture struct {
 	now, since time.Duration
 	counts     map[string]uint64
-	state      *tables.State
+	state      *statemachine.State
 	index      uint64
 	zoneStatus map[string]ZoneStatus
 	late       map[string]uint64 // a second, by partner
@@ -33,7 +33,7 @@
 }
 
 func newControllerFixture(terms Terms) *controllerFixture {
-	f := &controllerFixture{now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: tables.New(), zoneStatus: map[string]ZoneStatus{},
+	f := &controllerFixture{now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: statemachine.New(), zoneStatus: map[string]ZoneStatus{},
 		late: map[string]uint64{}, elective: map[string]uint64{}}
 	f.changeLeader(terms)
 	return f
@@ -48,8 +48,8 @@
 
 func (f *controllerFixture) addDebt(debtor, creditor string, units uint64) {
 	f.index++
-	f.state.Apply(f.index, tables.Command{Kind: tables.RaiseTotals, Table: ExactTable, Totals: map[string]uint64{
-		evidence.JoinName("g", "1", DebtCountName("x", Pair{debtor, creditor})): units * 1000}})
+	f.state.Apply(f.index, statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: map[string]uint64{
+		observation.JoinName("g", "1", DebtCountName("x", Pair{debtor, creditor})): units * 1000}})
 }
 
 // advance lets seconds pass, each with what the gateways count in it.
@@ -72,7 +72,7 @@
 		Table: f.state.Table})
 	if write {
 		f.index++
-		f.state.Apply(f.index, tables.Command{Kind: tables.Write, Table: TableName, Epoch: entry.Epoch, Value: value})
+		f.state.Apply(f.index, statemachine.Command{Kind: statemachine.Write, Table: TableName, Epoch: entry.Epoch, Value: value})
 	}
 }
 
--- a/internal/settlement/guard.go
+++ b/internal/settlement/guard.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // Metric is a kind of evidence, counted for each partner by gateways since their start. Units are in thousandths.
@@ -29,7 +29,7 @@
 
 // MetricName makes the name of an evidence count of this package.
 func MetricName(metric Metric, partner string) string {
-	return evidence.JoinName(metricPrefix, metricNames[metric], partner)
+	return observation.JoinName(metricPrefix, metricNames[metric], partner)
 }
 
 const (
--- a/internal/settlement/journal/golden_test.go
+++ b/internal/settlement/journal/golden_test.go
@@ -10,17 +10,17 @@
 	"testing"
 
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 )
 
 // goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
 var goldenWrites = []struct {
 	life string
-	kept []till.StoredBalance
+	kept []account.StoredBalance
 }{
-	{"1k2j3", []till.StoredBalance{{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
+	{"1k2j3", []account.StoredBalance{{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
 	{"1k2j3", nil},
-	{"1k2j3+", []till.StoredBalance{
+	{"1k2j3+", []account.StoredBalance{
 		{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 2700, InFlight: 0},
 		{Pair: settlement.Pair{Debtor: "left.long-ago", Creditor: "west_2"}, Debt: 1 << 40, InFlight: 1},
 	}},
--- a/internal/settlement/journal/journal.go
+++ b/internal/settlement/journal/journal.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 )
 
 const (
@@ -36,14 +36,14 @@
 	syncedSlot int64  // the slot of the latest that is synced
 	syncedAt   time.Time
 	ledgerID   string
-	balances   []till.StoredBalance
+	balances   []account.StoredBalance
 }
 
-var _ till.Store = (*Journal)(nil)
+var _ account.Store = (*Journal)(nil)
 
 type record struct {
-	LedgerID string               `cbor:"1,keyasint"`
-	Balances []till.StoredBalance `cbor:"2,keyasint"`
+	LedgerID string                  `cbor:"1,keyasint"`
+	Balances []account.StoredBalance `cbor:"2,keyasint"`
 }
 
 // Open opens the file in a folder, or makes it. Errors: one that another process holds; one of which no slot can
@@ -100,11 +100,11 @@
 }
 
 // Restored is what the file held when it was opened.
-func (j *Journal) Restored() (string, []till.StoredBalance) { return j.ledgerID, j.balances }
+func (j *Journal) Restored() (string, []account.StoredBalance) { return j.ledgerID, j.balances }
 
 // Write writes the counts into a slot that holds neither the latest nor the latest that is synced. They outlive the
 // process once it returns, and the machine's loss of power once synced, at most a second later with the next write.
-func (j *Journal) Write(ledgerID string, balances []till.StoredBalance) error {
+func (j *Journal) Write(ledgerID string, balances []account.StoredBalance) error {
 	body, err := cbor.Marshal(record{ledgerID, balances})
 	if err != nil {
 		return err
--- a/internal/settlement/journal/journal_test.go
+++ b/internal/settlement/journal/journal_test.go
@@ -9,11 +9,11 @@
 	"go.etcd.io/bbolt"
 
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 )
 
-func testBalances(n uint64) []till.StoredBalance {
-	return []till.StoredBalance{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
+func testBalances(n uint64) []account.StoredBalance {
+	return []account.StoredBalance{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
 }
 
 func openJournal(t *testing.T, folder string) *Journal {
@@ -70,7 +70,7 @@
 
 // What docs/debts.md says of the ways weighed: our file and bbolt, each without and with a sync.
 func BenchmarkWrite(b *testing.B) {
-	var pairs []till.StoredBalance
+	var pairs []account.StoredBalance
 	for range 12 {
 		pairs = append(pairs, testBalances(1)...)
 	}
--- a/internal/settlement/ledger.go
+++ b/internal/settlement/ledger.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // ExactTable is the table of totals in which voters put the exact counts of processes.
@@ -40,7 +40,7 @@
 // DebtCountName names an exact count: what a process in one life of its ledger has counted that a debtor owes a creditor. A
 // ledger kept on disk lives on with its process's next incarnation.
 func DebtCountName(ledgerID string, pair Pair) string {
-	return evidence.JoinName(debtPrefix, ledgerID, pair.Debtor, pair.Creditor)
+	return observation.JoinName(debtPrefix, ledgerID, pair.Debtor, pair.Creditor)
 }
 
 // Ledger is all that was ever owed, by pair, in thousandths of units: it only grows.
@@ -57,7 +57,7 @@
 	counts := map[count]uint64{}
 	for name, sum := range totals {
 		// process, incarnation, then the count's own name
-		if p := evidence.SplitName(name); len(p) == 6 && p[2] == debtPrefix && p[4] != p[5] {
+		if p := observation.SplitName(name); len(p) == 6 && p[2] == debtPrefix && p[4] != p[5] {
 			c := count{p[0], p[3], Pair{p[4], p[5]}}
 			counts[c] = max(counts[c], sum)
 		}
--- a/internal/settlement/ledger_test.go
+++ b/internal/settlement/ledger_test.go
@@ -6,14 +6,14 @@
 	"slices"
 	"testing"
 
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"pgregory.net/rapid"
 )
 
 // ledgerTotalName is a name in the log: process, incarnation and the count's own name.
 func ledgerTotalName(process, incarnation, ledgerID, debtor, creditor string) string {
-	return evidence.JoinName(process, incarnation, DebtCountName(ledgerID, Pair{debtor, creditor}))
+	return observation.JoinName(process, incarnation, DebtCountName(ledgerID, Pair{debtor, creditor}))
 }
 
 // Digests come in any order, more than once, of any incarnation, to any leader: the ledger is what was owed, and the
@@ -21,7 +21,7 @@
 func TestReadLedger_isExactForAnyDeliveryOrder(t *testing.T) {
 	names := []string{"a", "b", "c", "left"}
 	rapid.Check(t, func(t *rapid.T) {
-		state := tables.New()
+		state := statemachine.New()
 		want := Ledger{}
 		var told []map[string]uint64
 		for process := range rapid.IntRange(1, 3).Draw(t, "processes") {
@@ -42,7 +42,7 @@
 					owed[DebtCountName(ledgerID, pair)] += n
 					d := map[string]uint64{}
 					for name, sum := range owed {
-						d[evidence.JoinName(fmt.Sprint("g", process), fmt.Sprint(incarnation), name)] = sum
+						d[observation.JoinName(fmt.Sprint("g", process), fmt.Sprint(incarnation), name)] = sum
 					}
 					told = append(told, d)
 				}
@@ -50,7 +50,7 @@
 		}
 		told = append(told, rapid.SliceOf(rapid.SampledFrom(told)).Draw(t, "doubled")...)
 		for i, d := range rapid.Permutation(told).Draw(t, "order") {
-			state.Apply(uint64(i+1), tables.Command{Kind: tables.RaiseTotals, Table: ExactTable, Totals: d})
+			state.Apply(uint64(i+1), statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: d})
 			sum := int64(0)
 			for _, b := range Balances(ReadLedger(state.Totals(ExactTable)).NetDebts([]Amount{{Pair{"a", "left"}, 5}})) {
 				sum += b
@@ -71,7 +71,7 @@
 func TestLedger_NetDebtsOffsetsBothDirections(t *testing.T) {
 	ledger := ReadLedger(map[string]uint64{ledgerTotalName("g1", "1", "x", "a", "b"): 700, ledgerTotalName("g2", "1", "y", "b", "a"): 200,
 		ledgerTotalName("g1", "2", "x", "a", "b"): 900, ledgerTotalName("g1", "1", "x", "c", "gone"): 50, ledgerTotalName("g1", "1", "x", "c", "c"): 7,
-		evidence.JoinName("g1", "1", "another part's"): 9})
+		observation.JoinName("g1", "1", "another part's"): 9})
 	netDebts := ledger.NetDebts([]Amount{{Pair{"c", "gone"}, 10}})
 	if want := []Amount{{Pair{"a", "b"}, 700}, {Pair{"c", "gone"}, 40}}; !slices.Equal(netDebts, want) {
 		t.Errorf("%v, want %v", netDebts, want)
--- a/internal/settlement/keep/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -1,5 +1,5 @@
 // Package keep puts the parts of debts together in a running gateway.
-package keep
+package runtime
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/settlement/account"
 	"harrierhoist/internal/settlement/journal"
-	"harrierhoist/internal/settlement/till"
 	"harrierhoist/policy"
 )
 
@@ -20,8 +20,8 @@
 // closed once all is on disk. Halls are the names in the order of the settings. Without a folder nothing is kept on
 // disk. The till is for other terms later (Reshape). Errors: a folder that cannot be used, or is another process's.
 func Start(ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
-	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*till.Accounts, <-chan struct{}, error) {
-	var store till.Store
+	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*account.Accounts, <-chan struct{}, error) {
+	var store account.Store
 	closeStore := func() error { return nil }
 	if folder != "" {
 		j, err := journal.Open(folder)
@@ -32,7 +32,7 @@
 	}
 	// A wall clock that steps back to the same nanosecond would give two lives one name; nothing else is told by it.
 	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
-	accounts := till.New(terms, till.Settings{Zones: zones}, ledgerID, uint64(seed), coordination.Now)
+	accounts := account.New(terms, account.Settings{Zones: zones}, ledgerID, uint64(seed), coordination.Now)
 	accounts.SetPolicy(settings.Classes, settings.Plans)
 	if store != nil {
 		accounts.Restore(store)
--- a/internal/settlement/keep/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -1,4 +1,4 @@
-package keep
+package runtime
 
 import (
 	"context"
--- a/internal/settlement/play/coordination.go
+++ b/internal/settlement/simulation/coordination.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 )
 
 // The planted bugs.
@@ -24,15 +24,15 @@
 // memoryStore is a disk that is written at once.
 type memoryStore struct {
 	ledgerID string
-	balances []till.StoredBalance
+	balances []account.StoredBalance
 }
 
-func (m *memoryStore) Write(ledgerID string, balances []till.StoredBalance) error {
+func (m *memoryStore) Write(ledgerID string, balances []account.StoredBalance) error {
 	m.ledgerID, m.balances = ledgerID, slices.Clone(balances)
 	return nil
 }
 
-func (m *memoryStore) Restored() (string, []till.StoredBalance) { return m.ledgerID, m.balances }
+func (m *memoryStore) Restored() (string, []account.StoredBalance) { return m.ledgerID, m.balances }
 
 // exchangeDigest has a gateway tell what it counted, and hear what all hold in common.
 func (s *simulation) exchangeDigest(g *gateway) {
@@ -60,23 +60,23 @@
 	}
 }
 
-func (s *simulation) newDigest(g *gateway) evidence.Digest {
+func (s *simulation) newDigest(g *gateway) observation.Digest {
 	g.serial++
-	digest := evidence.Digest{Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(s.leadingSince),
+	digest := observation.Digest{Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(s.leadingSince),
 		Counts: map[string]uint64{}, Exact: map[string]uint64{}}
 	g.accounts.ReportMetrics(func(name string, n uint64) { digest.Counts[name] = n })
 	g.accounts.ReportDebts(func(name string, n uint64) { digest.Exact[name] = n })
 	return digest
 }
 
-func (s *simulation) receiveDigest(digest evidence.Digest) {
+func (s *simulation) receiveDigest(digest observation.Digest) {
 	if s.now < s.leaderlessUntil {
 		return // nobody leads: the message is lost
 	}
 	s.observations.Add(digest)
 	if s.PlantedBug == LateDigestCountedTwice {
 		for name, n := range digest.Exact { // adds what is more than the last one heard, which a late one resets
-			key := evidence.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)
+			key := observation.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)
 			if last := s.receivedTotals["last"+key]; n > last {
 				s.receivedTotals[key] += n - last
 			}
@@ -86,11 +86,11 @@
 }
 
 // exactTotals are the counts in the form of the log's totals.
-func exactTotals(b *evidence.Merger) map[string]uint64 {
+func exactTotals(b *observation.Merger) map[string]uint64 {
 	all := map[string]uint64{}
 	for _, digest := range b.ExactCounts() {
 		for name, n := range digest.Exact {
-			all[evidence.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)] = n
+			all[observation.JoinName(digest.Process, fmt.Sprint(digest.Incarnation), name)] = n
 		}
 	}
 	return all
@@ -98,7 +98,7 @@
 
 // startLeader begins a leader's time: its book and its decider know nothing.
 func (s *simulation) startLeader() {
-	s.observations, s.leadingSince = evidence.NewMerger(), max(s.now, 1)
+	s.observations, s.leadingSince = observation.NewMerger(), max(s.now, 1)
 	s.controller = settlement.NewController(s.Terms, func(coordination.ControllerInput) map[string]settlement.ZoneStatus {
 		return map[string]settlement.ZoneStatus{s.settings.Zones[0]: {FailingOver: s.now >= s.BeforeOutage && s.now < s.BeforeOutage+s.Outage+5*time.Second, Headroom: -1}}
 	})
@@ -109,7 +109,7 @@
 		return
 	}
 	s.index++
-	s.state.Apply(s.index, tables.Command{Kind: tables.RaiseTotals, Table: settlement.ExactTable, Totals: exactTotals(s.observations)})
+	s.state.Apply(s.index, statemachine.Command{Kind: statemachine.RaiseTotals, Table: settlement.ExactTable, Totals: exactTotals(s.observations)})
 }
 
 func (s *simulation) totals(table string) map[string]uint64 {
@@ -131,7 +131,7 @@
 	entry := s.state.Table(settlement.TableName)
 	held := entry
 	value, write := s.controller.Decide(s.now, coordination.ControllerInput{Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
-		Table: func(string) tables.Table { return held }})
+		Table: func(string) statemachine.Table { return held }})
 	if !write || s.MessageFaults && s.random.Float64() < 0.1 { // lost against another write, or with the leader
 		return
 	}
@@ -139,11 +139,11 @@
 		value = s.applySettlementTwice(entry, value)
 	}
 	s.index++
-	s.state.Apply(s.index, tables.Command{Kind: tables.Write, Table: settlement.TableName, Epoch: entry.Epoch, Value: value})
+	s.state.Apply(s.index, statemachine.Command{Kind: statemachine.Write, Table: settlement.TableName, Epoch: entry.Epoch, Value: value})
 }
 
 // applySettlementTwice is the planted bug: what the shares that stood have moved since is taken off the debts.
-func (s *simulation) applySettlementTwice(entry tables.Table, value []byte) []byte {
+func (s *simulation) applySettlementTwice(entry statemachine.Table, value []byte) []byte {
 	was, _ := settlement.DecodeState(entry.Value)
 	next, _ := settlement.DecodeState(value)
 	for _, share := range was.Shares {
--- a/internal/settlement/play/simulation.go
+++ b/internal/settlement/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package play plays debts in virtual time: gateways with tills in halls of emulated servers, digests that are lost,
 // doubled and late, processes that die, and leaders that change while they write. The same seed plays the same.
-package play
+package simulation
 
 import (
 	"container/heap"
@@ -9,10 +9,10 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/evidence"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/observation"
+	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/till"
+	"harrierhoist/internal/settlement/account"
 	"harrierhoist/policy"
 )
 
@@ -33,11 +33,11 @@
 type gateway struct {
 	name        string
 	zone        int
-	accounts    *till.Accounts
+	accounts    *account.Accounts
 	incarnation uint64
 	serial      uint64
 	store       *memoryStore
-	trackers    map[*till.RequestTracker]bool
+	trackers    map[*account.RequestTracker]bool
 }
 
 type simulation struct {
@@ -47,12 +47,12 @@
 	events          eventQueue
 	eventCount      int
 	partnerNames    []string
-	settings        till.Settings
+	settings        account.Settings
 	gateways        []*gateway
 	serverFreeAt    [][]time.Duration // when each server is free
-	state           *tables.State
+	state           *statemachine.State
 	index           uint64
-	observations    *evidence.Merger
+	observations    *observation.Merger
 	controller      coordination.Controller
 	leadingSince    time.Duration // when the leader began to lead
 	leaderlessUntil time.Duration // no leader until then
@@ -67,7 +67,7 @@
 
 // Run plays it.
 func Run(scenario Scenario) Result {
-	s := &simulation{Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: tables.New(), observations: evidence.NewMerger(),
+	s := &simulation{Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: statemachine.New(), observations: observation.NewMerger(),
 		receivedTotals: map[string]uint64{}, trueDebts: map[settlement.Pair]uint64{}}
 	s.firstAttempts = [2][]int{make([]int, scenario.Partners), make([]int, scenario.Partners)}
 	s.result.SettledAfter = -1
@@ -84,7 +84,7 @@
 	s.settings.Classes = []policy.TrafficClass{{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.Idempotent},
 		{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.NonIdempotent}}
 	for i := range scenario.Partners * scenario.GatewaysPerZone {
-		g := &gateway{name: fmt.Sprintf("g%d", i), zone: i % scenario.Partners, trackers: map[*till.RequestTracker]bool{}}
+		g := &gateway{name: fmt.Sprintf("g%d", i), zone: i % scenario.Partners, trackers: map[*account.RequestTracker]bool{}}
 		if scenario.WithStores {
 			g.store = &memoryStore{}
 		}
@@ -139,7 +139,7 @@
 	clear(g.trackers)
 	ledgerID := fmt.Sprintf("%s.%d", g.name, g.incarnation)
 	seed := s.Seed<<20 + g.incarnation<<10 + uint64(len(g.name)+g.zone)
-	g.accounts = till.New(s.Terms, s.settings, ledgerID, seed, func() time.Duration { return s.now })
+	g.accounts = account.New(s.Terms, s.settings, ledgerID, seed, func() time.Duration { return s.now })
 	if g.store != nil {
 		g.accounts.Restore(g.store)
 	}
@@ -186,7 +186,7 @@
 	return max(first-s.now, 0)
 }
 
-func (s *simulation) attempt(g *gateway, tracker *till.RequestTracker, partner, zone int, trueUnits float64) {
+func (s *simulation) attempt(g *gateway, tracker *account.RequestTracker, partner, zone int, trueUnits float64) {
 	tracker.OnAttemptStart(zone)
 	g.trackers[tracker] = true
 	g.persist()
--- a/internal/settlement/play/simulation_test.go
+++ b/internal/settlement/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"flag"
--- a/internal/testing/faultinjection/relay/proxy.go
+++ b/internal/testing/faultinjection/faultproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package relay stands between two processes of a test, on loopback: it passes HTTP calls on and, on command, does to
 // them what networks do. One relay carries one direction of calls: the calls of one process to another.
-package relay
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/testing/faultinjection/relay/proxy_test.go
+++ b/internal/testing/faultinjection/faultproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"context"
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -7,7 +7,7 @@
 
 	"harrierhoist/internal/settlement"
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection/relay"
+	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
 // partnerTerms have a hall and its customers each. What a and b owe each other is settled where a story says so.
@@ -57,7 +57,7 @@
 // and the next one too. What is owed at the end is what the servers did, to the unit.
 func TestSettlement_debtsExactThroughLeaderChangesAndDuplicates(t *testing.T) {
 	s := startScenarioWith(t, partnerTerms+noSettlementRule+failoverTerms)
-	s.SetFault(nil, nil, relay.Fault{Duplicate: true, OnlyPath: "/digests"})
+	s.SetFault(nil, nil, faultproxy.Fault{Duplicate: true, OnlyPath: "/digests"})
 	s.failZone("hall-a", "hall-b")
 	for range 2 {
 		old := s.Leader()
--- a/internal/testing/faultinjection/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/coordination/link"
-	"harrierhoist/internal/coordination/tables"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection/relay"
+	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
 // LeaseDuration is that of the stories: short, so that they are. Each process confirms what it holds some five times in it.
@@ -39,8 +39,8 @@
 	// GatewayTerms are the parts' tables in the gateways' files, VoterTerms in the voters'.
 	GatewayTerms, VoterTerms string
 
-	proxies       map[[2]string]*relay.Proxy
-	client        *link.Client
+	proxies       map[[2]string]*faultproxy.Proxy
+	client        *transport.Client
 	commandNumber uint64 // of the latest command
 }
 
@@ -48,8 +48,8 @@
 // start the processes.
 func (env *Environment) AddVoters(terms, voterTerms string) *VoterCluster {
 	env.T.Helper()
-	c := &VoterCluster{env: env, GatewayTerms: terms, VoterTerms: voterTerms, proxies: map[[2]string]*relay.Proxy{},
-		client: link.NewClient(link.Network{}, 4)}
+	c := &VoterCluster{env: env, GatewayTerms: terms, VoterTerms: voterTerms, proxies: map[[2]string]*faultproxy.Proxy{},
+		client: transport.NewClient(transport.Network{}, 4)}
 	env.T.Cleanup(c.client.Close)
 	for i := range 3 {
 		c.Voters = append(c.Voters, c.newVoter(fmt.Sprintf("v%d", i+1), uint64(i+1), 0))
@@ -129,14 +129,14 @@
 }
 
 // Proxy is the relay for calls of one process to a voter.
-func (c *VoterCluster) Proxy(from, to string) *relay.Proxy {
+func (c *VoterCluster) Proxy(from, to string) *faultproxy.Proxy {
 	c.env.T.Helper()
 	key := [2]string{from, to}
 	if proxy := c.proxies[key]; proxy != nil {
 		return proxy
 	}
 	i := slices.IndexFunc(c.Voters, func(v *Voter) bool { return v.Name == to })
-	proxy, err := relay.New(c.Voters[i].Addr)
+	proxy, err := faultproxy.New(c.Voters[i].Addr)
 	must(c.env.T, err)
 	c.env.T.Cleanup(proxy.Close)
 	c.proxies[key] = proxy
@@ -144,7 +144,7 @@
 }
 
 // SetFault puts a fault on all links from some processes to others; none named: all.
-func (c *VoterCluster) SetFault(from, to []string, f relay.Fault) {
+func (c *VoterCluster) SetFault(from, to []string, f faultproxy.Fault) {
 	for key, proxy := range c.proxies {
 		if (len(from) == 0 || slices.Contains(from, key[0])) && (len(to) == 0 || slices.Contains(to, key[1])) {
 			proxy.SetFault(f)
@@ -154,12 +154,12 @@
 
 // Isolate cuts a process off from all others, both ways; what others see of it too.
 func (c *VoterCluster) Isolate(names ...string) {
-	c.SetFault(names, nil, relay.Fault{DropRequests: true})
-	c.SetFault(nil, names, relay.Fault{DropRequests: true})
+	c.SetFault(names, nil, faultproxy.Fault{DropRequests: true})
+	c.SetFault(nil, names, faultproxy.Fault{DropRequests: true})
 }
 
 // ClearFaults ends all faults between processes.
-func (c *VoterCluster) ClearFaults() { c.SetFault(nil, nil, relay.Fault{}) }
+func (c *VoterCluster) ClearFaults() { c.SetFault(nil, nil, faultproxy.Fault{}) }
 
 // Start starts voters, or all of them.
 func (c *VoterCluster) Start(voters ...*Voter) {
@@ -173,7 +173,7 @@
 }
 
 // Status is what a voter says of itself.
-func (c *VoterCluster) Status(v *Voter) (link.VoterInfo, error) {
+func (c *VoterCluster) Status(v *Voter) (transport.VoterInfo, error) {
 	return c.client.Info(c.env.T.Context(), v.Addr)
 }
 
@@ -200,7 +200,7 @@
 }
 
 // Read reads a table with the word of a majority.
-func (c *VoterCluster) Read(table string) (entry tables.Table) {
+func (c *VoterCluster) Read(table string) (entry statemachine.Table) {
 	c.env.T.Helper()
 	fakes.Eventually(c.env.T, "a read of "+table, func() bool {
 		for _, v := range c.Voters {
@@ -223,9 +223,9 @@
 	c.env.T.Helper()
 	for {
 		c.commandNumber++
-		command := tables.Command{Kind: tables.Write, Proposer: "drill/1", Number: c.commandNumber, Table: table,
+		command := statemachine.Command{Kind: statemachine.Write, Proposer: "drill/1", Number: c.commandNumber, Table: table,
 			Epoch: c.Read(table).Epoch, Value: value}
-		var r tables.Result
+		var r statemachine.Result
 		fakes.Eventually(c.env.T, "a write of "+table, func() bool {
 			for _, v := range c.Voters {
 				ctx, cancel := context.WithTimeout(c.env.T.Context(), writeTimeout)
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -5,18 +5,20 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/testing/faultinjection/relay"
+	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
-var dropRequests = relay.Fault{DropRequests: true}
+var dropRequests = faultproxy.Fault{DropRequests: true}
 
 // 4. The leader's word arrives nowhere while others' arrives at it, or the other way round. Another leads, and a hall's
 // loss is answered.
 func TestVoters_leaderWithOneWayPartition(t *testing.T) {
 	for name, way := range map[string]func(s *scenario, leader string){
-		"its calls":     func(s *scenario, leader string) { s.SetFault([]string{leader}, nil, dropRequests) },
-		"calls to it":   func(s *scenario, leader string) { s.SetFault(nil, []string{leader}, dropRequests) },
-		"their answers": func(s *scenario, leader string) { s.SetFault(nil, []string{leader}, relay.Fault{DropResponses: true}) },
+		"its calls":   func(s *scenario, leader string) { s.SetFault([]string{leader}, nil, dropRequests) },
+		"calls to it": func(s *scenario, leader string) { s.SetFault(nil, []string{leader}, dropRequests) },
+		"their answers": func(s *scenario, leader string) {
+			s.SetFault(nil, []string{leader}, faultproxy.Fault{DropResponses: true})
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startScenario(t)
--- a/internal/pool/elective_test.go
+++ b/internal/upstream/subset/elective_test.go
@@ -1,4 +1,4 @@
-package pool
+package subset
 
 import (
 	"slices"
--- a/internal/pool/subset.go
+++ b/internal/upstream/subset/subset.go
@@ -6,7 +6,7 @@
 // hall's ring. Where the arcs begin is spread evenly over the gateways, and an arc is as long as the gateway's
 // pushes can keep open; so each server stands in arcs that bring it the same pushes, whatever each gateway's own
 // share of the traffic. docs/fleet-connections.md weighs this against other ways.
-package pool
+package subset
 
 import (
 	"cmp"
--- a/internal/zonestats/names.go
+++ b/internal/zonestats/names.go
@@ -8,7 +8,7 @@
 	"math"
 	"strconv"
 
-	"harrierhoist/internal/coordination/evidence"
+	"harrierhoist/internal/coordination/observation"
 )
 
 // The judgements of a hall by one gateway: the part of the servers there, of those that it knows of late, that answer,
@@ -20,35 +20,37 @@
 )
 
 // AwakeTime names the milliseconds that gateways in a hall were awake.
-func AwakeTime(zone string) string { return evidence.JoinName("time", zone) }
+func AwakeTime(zone string) string { return observation.JoinName("time", zone) }
 
 // HealthTime names the milliseconds in which gateways in a hall judged another, or their own, to be at a quarter (0 to 4).
 // Where a gateway knows nothing of late, it adds to none.
 func HealthTime(from, to string, quarter int) string {
-	return evidence.JoinName("judged", from, to, strconv.Itoa(quarter))
+	return observation.JoinName("judged", from, to, strconv.Itoa(quarter))
 }
 
 // Offered names the units of the tasks that came in at a hall's gateways, in thousandths; repeats by clients among them.
-func Offered(zone string) string { return evidence.JoinName("came", zone) }
+func Offered(zone string) string { return observation.JoinName("came", zone) }
 
 // Admitted names the units, in thousandths, of the tasks that quotas let in at a hall's gateways, at their clients' first try: pushed,
 // or not, as there was no room. It is the demand that the decider goes by.
-func Admitted(zone string) string { return evidence.JoinName("let", zone) }
+func Admitted(zone string) string { return observation.JoinName("let", zone) }
 
 // Attempted names the units, in thousandths, of all pushes from a hall to a hall.
-func Attempted(from, to string) string { return evidence.JoinName("pushed", from, to) }
+func Attempted(from, to string) string { return observation.JoinName("pushed", from, to) }
 
 // Outcomes are the ways in which Ended counts that pushes end.
 func Outcomes() []string { return []string{outcomeAnswered, outcomeFailed, outcomeRejected} }
 
 // Completed names the pushes from a hall to a hall that ended well, ill, or full (turned away).
-func Completed(from, to, outcome string) string { return evidence.JoinName("ended", from, to, outcome) }
+func Completed(from, to, outcome string) string {
+	return observation.JoinName("ended", from, to, outcome)
+}
 
 // AnswerTime names the milliseconds that answers took, by halls.
-func AnswerTime(from, to string) string { return evidence.JoinName("took", from, to) }
+func AnswerTime(from, to string) string { return observation.JoinName("took", from, to) }
 
 // CounterCalls names the calls to the counter of a hall's gateways that ended well, or late (in time for no task, or not at all).
-func CounterCalls(zone, outcome string) string { return evidence.JoinName("count", zone, outcome) }
+func CounterCalls(zone, outcome string) string { return observation.JoinName("count", zone, outcome) }
 
 // Strength is told in bands, so that the word of one gateway with a wrong list moves no mean: who sums up takes the
 // band of the middle gateway, and the mean within it.
@@ -68,10 +70,10 @@
 
 // ReadyTime names the milliseconds in which gateways anywhere had a hall's strength in a band.
 func ReadyTime(zone string, band int) string {
-	return evidence.JoinName("ready", zone, strconv.Itoa(band))
+	return observation.JoinName("ready", zone, strconv.Itoa(band))
 }
 
 // ReadyPower names the sum of the strengths in that band: in ready, warm servers of power 1, times milliseconds.
 func ReadyPower(zone string, band int) string {
-	return evidence.JoinName("strength", zone, strconv.Itoa(band))
+	return observation.JoinName("strength", zone, strconv.Itoa(band))
 }
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/pool"
+	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
@@ -39,7 +39,7 @@
 	notified      bool
 	onlyRestarted bool // with the cold servers
 	module        *policy.Gateway
-	pool          *pool.Subset
+	pool          *subset.Subset
 	attempts      map[uint32]int
 	units         map[uint32]float64
 	lastID        uint32
@@ -132,7 +132,7 @@
 		panic(err)
 	}
 	g.incarnation++
-	g.module, g.pool, g.units = module, pool.New(g.index, len(g.gateways), 15*time.Second), map[uint32]float64{}
+	g.module, g.pool, g.units = module, subset.New(g.index, len(g.gateways), 15*time.Second), map[uint32]float64{}
 	g.attempts = map[uint32]int{}
 	g.sendEndpoints(policy.ListCached)
 }
@@ -144,7 +144,7 @@
 
 // sendEndpoints hands the module its part of the servers that it was told of.
 func (g *gateway) sendEndpoints(kind policy.ListKind) {
-	var all []pool.Candidate
+	var all []subset.Candidate
 	for _, s := range g.servers {
 		l := policy.Endpoint{Server: s.number, State: policy.Ready, Capacity: 1, Rack: int(s.number) / 4}
 		switch fresh := slices.Contains(g.restarted(), s); {
@@ -155,7 +155,7 @@
 		case fresh && !g.silentBefore:
 			continue
 		}
-		all = append(all, pool.Candidate{NameHash: pool.HashName(fmt.Sprint(s.number)), Endpoint: l})
+		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: l})
 	}
 	part, sharers := g.pool.Select(g.now, all)
 	g.module.SetSharers(sharers)
