--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -117,7 +117,8 @@
 }
 
 func emulateCommand() *cobra.Command {
-	return &cobra.Command{Use: "emulate WORLD.toml", Short: "start a world's servers, counter, discovery and real gateways on loopback until Ctrl-C",
+	return &cobra.Command{
+		Use: "emulate WORLD.toml", Short: "start a world's servers, counter, discovery and real gateways on loopback until Ctrl-C",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			w, err := scenario.Read(args[0])
 			if err != nil {
@@ -138,13 +139,16 @@
 			}
 			<-cmd.Context().Done()
 			return nil
-		}}
+		},
+	}
 }
 
 func demoCommand() *cobra.Command {
 	length, dir := 12*time.Second, ""
-	c := &cobra.Command{Use: "demo", Short: "two real gateways before emulated servers, one of which is lost on the way", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, length, dir) }}
+	c := &cobra.Command{
+		Use: "demo", Short: "two real gateways before emulated servers, one of which is lost on the way", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, length, dir) },
+	}
 	c.Flags().DurationVar(&length, "for", length, "how long load is sent")
 	c.Flags().StringVar(&dir, "charts", os.TempDir(), "folder for the chart")
 	return c
@@ -213,8 +217,12 @@
 	series := []struct {
 		name string
 		of   func(load.Second) int
-	}{{"offered", func(s load.Second) int { return s.Offered }}, {"in time", func(s load.Second) int { return s.InTime }},
-		{"rejected", func(s load.Second) int { return s.Rejected }}, {"failed", func(s load.Second) int { return s.Failed }}}
+	}{
+		{"offered", func(s load.Second) int { return s.Offered }},
+		{"in time", func(s load.Second) int { return s.InTime }},
+		{"rejected", func(s load.Second) int { return s.Rejected }},
+		{"failed", func(s load.Second) int { return s.Failed }},
+	}
 	for i, s := range series {
 		points := plotter.XYs{}
 		for n, sec := range r.Seconds {
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -34,9 +34,11 @@
 }
 
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "loadlab",
+	c := &cobra.Command{
+		Use:          "loadlab",
 		Short:        "the laboratory of harrierhoist: emulated servers, load, experiments, reports",
-		SilenceUsage: true, SilenceErrors: true}
+		SilenceUsage: true, SilenceErrors: true,
+	}
 	c.AddCommand(checkCommand(), runCommand(), compareCommand(), reportCommand(), searchCommand(), sizeCommand(),
 		loadCommand(),
 		emulateCommand(), demoCommand(), troublesCommand(), gatewayCommand())
@@ -44,7 +46,8 @@
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check WORLD.toml...", Short: "check world files: every error, with its line and column",
+	return &cobra.Command{
+		Use: "check WORLD.toml...", Short: "check world files: every error, with its line and column",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			var all []error
@@ -59,12 +62,14 @@
 					w.Servers.Count, w.Load.Rate, w.Length.D(), len(w.Troubles))
 			}
 			return errors.Join(all...)
-		}}
+		},
+	}
 }
 
 func searchCommand() *cobra.Command {
 	tries, most, seed, out, policy := 0, 0, uint64(0), "", ""
-	c := &cobra.Command{Use: "search WORLD.toml",
+	c := &cobra.Command{
+		Use:   "search WORLD.toml",
 		Short: "look for the schedule of troubles that breaks a rule or loses most, and shrink it",
 		Args:  cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			w, err := scenario.Read(args[0])
@@ -99,7 +104,8 @@
 				return nil
 			}
 			return os.WriteFile(out, text, 0o644)
-		}}
+		},
+	}
 	c.Flags().IntVarP(&tries, "tries", "n", 40, "schedules to draw")
 	c.Flags().IntVar(&most, "troubles", 4, "the most troubles in one")
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the search and of the plays")
@@ -111,7 +117,8 @@
 func sizeCommand() *cobra.Command {
 	var sizes []int
 	seconds := 10
-	c := &cobra.Command{Use: "size WORLD.toml",
+	c := &cobra.Command{
+		Use:   "size WORLD.toml",
 		Short: "how fast plays go, and what they cost, from few gateways to thousands", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			w, err := scenario.Read(args[0])
@@ -140,7 +147,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntSliceVar(&sizes, "gateways", []int{10, 100, 1000}, "sizes")
 	c.Flags().IntVar(&seconds, "seconds", 10, "of virtual time, at most")
 	return c
@@ -149,7 +157,8 @@
 func loadCommand() *cobra.Command {
 	var gateways []string
 	rate, length, file, seed := 0.0, 10*time.Second, "", uint64(1)
-	c := &cobra.Command{Use: "load",
+	c := &cobra.Command{
+		Use:   "load",
 		Short: "drive running gateways at a given rate, open loop; Ctrl-C ends it with its report", Args: cobra.NoArgs,
 		Example: "  loadlab load --gateway 127.0.0.1:6379 --rate 200 --for 30s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -170,7 +179,8 @@
 			}
 			r.Write(cmd.OutOrStdout(), w.Lanes)
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringSliceVarP(&gateways, "gateway", "g", nil, "address of a gateway; may be given often")
 	c.Flags().Float64VarP(&rate, "rate", "r", 0, "tasks a second; the world's where it is 0")
 	c.Flags().DurationVar(&length, "for", length, "how long")
@@ -181,17 +191,21 @@
 }
 
 func troublesCommand() *cobra.Command {
-	return &cobra.Command{Use: "troubles", Short: "the troubles by name", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "troubles", Short: "the troubles by name", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, name := range scenario.KindNames() {
 				fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", name, scenario.Kinds[name].What)
 			}
-		}}
+		},
+	}
 }
 
 // gatewayCommand is a gateway of the laboratory's own, as a process: the demo starts some.
 func gatewayCommand() *cobra.Command {
-	return &cobra.Command{Use: "gateway CONFIG.json", Short: "run one gateway, as harrierhoist does",
+	return &cobra.Command{
+		Use: "gateway CONFIG.json", Short: "run one gateway, as harrierhoist does",
 		Args: cobra.ExactArgs(1), Hidden: true,
-		RunE: func(_ *cobra.Command, args []string) error { return gateway.Run(args[0]) }}
+		RunE: func(_ *cobra.Command, args []string) error { return gateway.Run(args[0]) },
+	}
 }
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -17,7 +17,8 @@
 func runCommand() *cobra.Command {
 	out, workers, seeds := "", 0, 0
 	var gateways []int
-	c := &cobra.Command{Use: "run PLAN.toml", Short: "play a plan in virtual time: worlds x sizes x variants x seeds",
+	c := &cobra.Command{
+		Use: "run PLAN.toml", Short: "play a plan in virtual time: worlds x sizes x variants x seeds",
 		Args:    cobra.ExactArgs(1),
 		Example: "  loadlab run scenarios/plans/baselines.toml --out results.jsonl",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -55,7 +56,8 @@
 			fmt.Fprintln(cmd.OutOrStdout())
 			report.WriteFailover(cmd.OutOrStdout(), lines)
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVarP(&out, "out", "o", "results.jsonl", "file for the results, a line of JSON each")
 	c.Flags().IntVar(&seeds, "seeds", 0, "seeds in place of the plan's")
 	c.Flags().IntSliceVarP(&gateways, "gateways", "g", nil, "sizes in place of the plan's")
@@ -65,7 +67,8 @@
 
 func compareCommand() *cobra.Command {
 	var variants []string
-	c := &cobra.Command{Use: "compare A.jsonl [B.jsonl]",
+	c := &cobra.Command{
+		Use:     "compare A.jsonl [B.jsonl]",
 		Short:   "pair two sets of results by world, size and seed: means, 95% intervals, what is noise",
 		Args:    cobra.RangeArgs(1, 2),
 		Example: "  loadlab compare before.jsonl after.jsonl\n  loadlab compare results.jsonl --variants even,module",
@@ -91,7 +94,8 @@
 			}
 			report.WriteComparisons(cmd.OutOrStdout(), pairs)
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringSliceVar(&variants, "variants", nil, "two variants, A and B")
 	return c
 }
@@ -107,7 +111,8 @@
 
 func reportCommand() *cobra.Command {
 	dir := ""
-	c := &cobra.Command{Use: "report RESULTS.jsonl...", Short: "write tables (Markdown) and charts (SVG) of results",
+	c := &cobra.Command{
+		Use: "report RESULTS.jsonl...", Short: "write tables (Markdown) and charts (SVG) of results",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			var all []*experiment.Result
@@ -129,7 +134,8 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "\n![%s](%s)\n", strings.TrimSuffix(filepath.Base(n), ".svg"), n)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVarP(&dir, "charts", "c", "charts", "folder for the charts")
 	return c
 }
--- a/internal/conformance/common.go
+++ b/internal/conformance/common.go
@@ -70,8 +70,10 @@
 		fakes.Eventually(t, "the table is written", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), writeEvery)
 			defer cancel()
-			r, err := u.client.Propose(ctx, u.address, log.Command{Kind: log.Write, Proposer: "rows/1", Number: 1,
-				Table: table, Value: value})
+			r, err := u.client.Propose(ctx, u.address, log.Command{
+				Kind: log.Write, Proposer: "rows/1", Number: 1,
+				Table: table, Value: value,
+			})
 			return err == nil && r.Applied
 		})
 	}
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -97,8 +97,10 @@
 	d := site(plan, p.width)
 	var classes []pairs
 	for _, l := range d.Classes {
-		classes = append(classes, pairs{"Name": l.Name, "AimMs": l.LatencyObjective.Milliseconds(),
-			"DeadlineMs": l.Timeout.Milliseconds(), "Effect": "read_like", "Worth": l.Weight})
+		classes = append(classes, pairs{
+			"Name": l.Name, "AimMs": l.LatencyObjective.Milliseconds(),
+			"DeadlineMs": l.Timeout.Milliseconds(), "Effect": "read_like", "Worth": l.Weight,
+		})
 	}
 	return pairs{
 		"name": "n0", "discovery": p.discovery.Addr, "counter": p.counter.Addr,
@@ -106,15 +108,21 @@
 		"settings": pairs{
 			"Balancers": d.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{"hall-a"}, "Models": []string{"m2"},
 			"Discovery": "push", "TickMs": d.ClockTick.Milliseconds(),
-			"FamilyInfo": pairs{"HasCounter": d.HasCounter, "CountLimitMs": d.CountTimeout.Milliseconds(),
-				"Settles": d.ReportsUnits, "MostUnits": d.MaxUnits},
+			"FamilyInfo": pairs{
+				"HasCounter": d.HasCounter, "CountLimitMs": d.CountTimeout.Milliseconds(),
+				"Settles": d.ReportsUnits, "MostUnits": d.MaxUnits,
+			},
 			"Report": pairs{"Fields": []string{}, "How": "off"},
-			"PolicyLimits": pairs{"Cancelling": d.CanCancel, "TryLimit": d.MaxAttempts, "RetryAfter": d.RetryAfter,
+			"PolicyLimits": pairs{
+				"Cancelling": d.CanCancel, "TryLimit": d.MaxAttempts, "RetryAfter": d.RetryAfter,
 				"MaxRetryAfterMs": d.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": connectWithin.Milliseconds(),
-				"IdleCloseMs": 30000, "StreamsPerConn": 100},
-			"Rules": pairs{"AnswerSlackMs": d.ArrivalSlack.Milliseconds(), "DrainGraceMs": d.DrainGrace.Milliseconds(),
+				"IdleCloseMs": 30000, "StreamsPerConn": 100,
+			},
+			"Rules": pairs{
+				"AnswerSlackMs": d.ArrivalSlack.Milliseconds(), "DrainGraceMs": d.DrainGrace.Milliseconds(),
 				"ColdFrom": d.WarmUpStart, "WarmAfterMs": d.WarmUpTime.Milliseconds(), "FallMultiple": d.OverloadFactor,
-				"TipAfterMs": d.OverloadSpan.Milliseconds()},
+				"TipAfterMs": d.OverloadSpan.Milliseconds(),
+			},
 			"RequestClasses": classes,
 			"TiersOfService": []pairs{{"Name": plan.Name, "UnitsPerS": plan.Rate, "PeakUnits": plan.Burst}},
 		},
--- a/internal/conformance/module.go
+++ b/internal/conformance/module.go
@@ -68,8 +68,10 @@
 
 func newModule(t testing.TB, row Row, p Plan, v Variant) *module {
 	t.Helper()
-	m := &module{t: t, windows: windowsOf(customer, p), gateways: max(row.Gateways, 1), now: origin,
-		totals: map[uint64]float64{}, pushed: map[uint32]uint32{}}
+	m := &module{
+		t: t, windows: windowsOf(customer, p), gateways: max(row.Gateways, 1), now: origin,
+		totals: map[uint64]float64{}, pushed: map[uint32]uint32{},
+	}
 	g, err := v.Module(site(p, row.Gateways), seed, m)
 	if err != nil {
 		t.Fatal(err)
@@ -86,8 +88,10 @@
 func (m *module) do(s step) {
 	switch s.verb {
 	case "task":
-		t := policy.Request{ID: uint32(s.task), Class: s.lane, Customer: s.customer, GatewayCount: m.gateways, Units: s.units,
-			Deadline: m.now + lanes[s.lane].patience}
+		t := policy.Request{
+			ID: uint32(s.task), Class: s.lane, Customer: s.customer, GatewayCount: m.gateways, Units: s.units,
+			Deadline: m.now + lanes[s.lane].patience,
+		}
 		if t.Customer == 0 {
 			t.Customer = m.windows.customer
 		}
@@ -165,6 +169,7 @@
 func (m *module) SetTimer(token uint64, after time.Duration) {
 	m.wakes = append(m.wakes, wake{token, m.now + after})
 }
+
 func (m *module) Count(n uint64, _ time.Duration, units float64) {
 	m.calls = append(m.calls, policy.CountResult{Name: n, Total: units})
 	m.seen.add(m.windows.call(m.now, n, units)...)
--- a/internal/conformance/process.go
+++ b/internal/conformance/process.go
@@ -89,8 +89,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, plan: plan.Name, width: max(row.Gateways, 1), counter: fakes.NewCounter(t),
-		variant: v, asides: new(atomic.Int64), answers: map[int]chan float64{}}
+	p := &process{
+		t: t, plan: plan.Name, width: max(row.Gateways, 1), counter: fakes.NewCounter(t),
+		variant: v, asides: new(atomic.Int64), answers: map[int]chan float64{},
+	}
 	var hosts []string
 	for i := range servers {
 		p.servers = append(p.servers, fakes.NewServer(t, p.served))
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -37,9 +37,12 @@
 func counted(phase countingrule.Phase, edge time.Duration) func() []byte {
 	return func() []byte {
 		now := time.Duration(time.Now().UnixNano())
-		return countingrule.Table{Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
-			Rules: []countingrule.Rule{byCustomer}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{SamplePermille: sample, CallsPermille: callsPlayed,
-				DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60},
+		return countingrule.Table{
+			Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
+			Rules: []countingrule.Rule{byCustomer}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{
+				SamplePermille: sample, CallsPermille: callsPlayed,
+				DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60,
+			},
 		}.Encode()
 	}
 }
@@ -56,8 +59,10 @@
 
 // planned gives a plan that shares hall-b out: all that comes in there is pushed to hall-a.
 func planned() []byte {
-	p := failover.Plan{Rows: map[string]map[string]int{"hall-b": {"hall-a": 1000}, "hall-a": {"hall-a": 1000}},
-		Health: map[string]int{"hall-a": 1000, "hall-b": 0}}
+	p := failover.Plan{
+		Rows:   map[string]map[string]int{"hall-b": {"hall-a": 1000}, "hall-a": {"hall-a": 1000}},
+		Health: map[string]int{"hall-a": 1000, "hall-b": 0},
+	}
 	value, err := p.Encode()
 	if err != nil {
 		panic(err) // maps of strings and numbers are always encoded
@@ -67,8 +72,10 @@
 
 // shedding gives a plan by which what comes in at hall-b fits nowhere.
 func shedding() []byte {
-	p := failover.Plan{Rows: map[string]map[string]int{"hall-b": {"hall-b": 1000}},
-		Shed: map[string]int{"hall-b": 1000}, Health: map[string]int{"hall-a": 1000, "hall-b": 0}}
+	p := failover.Plan{
+		Rows: map[string]map[string]int{"hall-b": {"hall-b": 1000}},
+		Shed: map[string]int{"hall-b": 1000}, Health: map[string]int{"hall-a": 1000, "hall-b": 0},
+	}
 	value, err := p.Encode()
 	if err != nil {
 		panic(err) // the same
@@ -78,8 +85,10 @@
 
 func settling() []byte {
 	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
-	value, err := settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
-		Nets: []settlement.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
+	value, err := settlement.State{
+		Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
+		Nets:   []settlement.Amount{{Pair: pair, Sum: 1_000_000}},
+	}.Encode()
 	if err != nil {
 		panic(err) // plain numbers and words
 	}
@@ -90,37 +99,57 @@
 	step := `"counting: a step"`
 	two := []string{"hall-a", "hall-b"}
 	for _, s := range []state{
-		{name: "in common", text: "a follower of a voter; nothing is decided",
-			hall: "hall-a", says: []string{`"takes part in what is held in common"`}},
-		{name: "a hall out", text: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
+		{
+			name: "in common", text: "a follower of a voter; nothing is decided",
+			hall: "hall-a", says: []string{`"takes part in what is held in common"`},
+		},
+		{
+			name: "a hall out", text: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm,
-			table: failover.Table, value: planned, says: []string{`"a plan is in force"`}},
-		{name: "plan's lease over", text: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
+			table: failover.Table, value: planned, says: []string{`"a plan is in force"`},
+		},
+		{
+			name: "plan's lease over", text: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
 			hall: "hall-a", halls: two, terms: failoverTerm, table: failover.Table,
-			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`}},
-		{name: "canary", text: "a new rule is played on the row's customer beside the old one",
+			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`},
+		},
+		{
+			name: "canary", text: "a new rule is played on the row's customer beside the old one",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseCanary, 0),
-			says: []string{step}, fits: sampled, aside: true},
-		{name: "activation named", text: "the new rule's edge is named and an hour off; the row's customer is still played",
+			says: []string{step}, fits: sampled, aside: true,
+		},
+		{
+			name: "activation named", text: "the new rule's edge is named and an hour off; the row's customer is still played",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
-			value: counted(countingrule.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true},
-		{name: "activated", text: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
+			value: counted(countingrule.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true,
+		},
+		{
+			name: "activated", text: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
 			value: counted(countingrule.PhaseScheduled, -time.Minute), says: []string{step}, key: ruleKey,
-			fits: sampled, aside: true},
-		{name: "edge passed", text: "the same, with the edge come while the process served", hall: "hall-a",
+			fits: sampled, aside: true,
+		},
+		{
+			name: "edge passed", text: "the same, with the edge come while the process served", hall: "hall-a",
 			terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseScheduled, edgeSoon), span: edgeSoon,
-			says: []string{step}, key: ruleKey, fits: sampled, aside: true},
-		{name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
+			says: []string{step}, key: ruleKey, fits: sampled, aside: true,
+		},
+		{
+			name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm, table: failover.Table,
-			value: shedding, says: []string{`"a plan is in force"`}},
-		{name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
+			value: shedding, says: []string{`"a plan is in force"`},
+		},
+		{
+			name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
 			value: counted(countingrule.PhaseCanary, 0), says: []string{step}, aside: true,
-			over: []string{"counting: what rule holds is not known"}},
-		{name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
+			over: []string{"counting: what rule holds is not known"},
+		},
+		{
+			name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
 			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
-			value: settling, says: []string{`"debts are being settled"`}},
+			value: settling, says: []string{`"debts are being settled"`},
+		},
 	} {
 		all = append(all, s.variant())
 	}
@@ -129,14 +158,20 @@
 
 // inModule are the states that change how the module is made or what its events carry.
 var inModule = []Variant{
-	{Name: "rules' plans", Text: "the plans of a counting rule stand behind the file's",
+	{
+		Name: "rules' plans", Text: "the plans of a counting rule stand behind the file's",
 		Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 			return policy.New(countingrule.WithRulePlans(site, []countingrule.Rule{byCustomer}), seed, host)
-		}},
-	{Name: "preferring", Text: "each task prefers the owner of a further, elective server",
-		Module: elective(preferred)},
-	{Name: "electives beside", Text: "the list has an elective server, and no task prefers its owner",
-		Module: elective(0), Never: []string{"push * elective"}},
+		},
+	},
+	{
+		Name: "preferring", Text: "each task prefers the owner of a further, elective server",
+		Module: elective(preferred),
+	},
+	{
+		Name: "electives beside", Text: "the list has an elective server, and no task prefers its owner",
+		Module: elective(0), Never: []string{"push * elective"},
+	},
 }
 
 const preferred = 2 // the owner of the elective servers
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -62,8 +62,10 @@
 }
 
 func newPlain(site policy.Settings, seed int64, host policy.Host) *plain {
-	return &plain{site: site, host: host, chance: rand.New(rand.NewSource(seed)), out: map[uint32]int{},
-		tasks: map[uint32]*task{}, stores: map[uint64]*store{}}
+	return &plain{
+		site: site, host: host, chance: rand.New(rand.NewSource(seed)), out: map[uint32]int{},
+		tasks: map[uint32]*task{}, stores: map[uint64]*store{},
+	}
 }
 
 // Random lets all in, to a server drawn at random.
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -33,8 +33,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Counter{Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, until: map[string]time.Time{},
-		each: time.Duration(float64(time.Second) / w.Counter.Rate), queue: w.Counter.Queue.D()}
+	c := &Counter{
+		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, until: map[string]time.Time{},
+		each: time.Duration(float64(time.Second) / w.Counter.Rate), queue: w.Counter.Queue.D(),
+	}
 	go func() {
 		for {
 			conn, err := listener.Accept()
--- a/internal/lab/emulation/live.go
+++ b/internal/lab/emulation/live.go
@@ -47,8 +47,10 @@
 func Start(w *scenario.World, seed uint64) (*World, error) {
 	l := &World{World: w}
 	site := w.Deployment(0)
-	l.Book = &Book{start: time.Now(), Ledger: invariants.New(invariants.Limits{AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
-		DrainGrace: w.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans})}
+	l.Book = &Book{start: time.Now(), Ledger: invariants.New(invariants.Limits{
+		AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
+		DrainGrace:  w.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans,
+	})}
 	var err error
 	if l.Discovery, err = newDiscovery(); err != nil {
 		return nil, err
@@ -88,8 +90,10 @@
 	var hosts []host
 	for _, s := range l.Servers {
 		if s.health != "terminated" {
-			hosts = append(hosts, host{Host: s.Name, Dial: s.Addr, Site: hallName(s.hall), Class: "std", Block: s.cell, Health: s.health,
-				Share: 1, BornMs: s.born})
+			hosts = append(hosts, host{
+				Host: s.Name, Dial: s.Addr, Site: hallName(s.hall), Class: "std", Block: s.cell, Health: s.health,
+				Share: 1, BornMs: s.born,
+			})
 		}
 	}
 	l.Discovery.tell(hosts)
@@ -125,12 +129,16 @@
 	groups := map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
 	var lanes, plans []map[string]any
 	for _, n := range w.Lanes {
-		lanes = append(lanes, map[string]any{"Name": n.Name, "AimMs": ms(n.SoftLimit), "DeadlineMs": ms(n.Patience), "Worth": n.Gain,
-			"LateShare": n.Late, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.Window)})
+		lanes = append(lanes, map[string]any{
+			"Name": n.Name, "AimMs": ms(n.SoftLimit), "DeadlineMs": ms(n.Patience), "Worth": n.Gain,
+			"LateShare": n.Late, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.Window),
+		})
 	}
 	for _, p := range w.Plans {
-		plans = append(plans, map[string]any{"Name": p.Name, "UnitsPerS": p.Rate, "PeakUnits": p.Burst, "CeilingRate": p.CeilingRate,
-			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverCost})
+		plans = append(plans, map[string]any{
+			"Name": p.Name, "UnitsPerS": p.Rate, "PeakUnits": p.Burst, "CeilingRate": p.CeilingRate,
+			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverCost,
+		})
 	}
 	var halls []string
 	for i := range w.Gateways.Halls {
@@ -141,13 +149,21 @@
 	if l.Counter != nil {
 		counter = l.Counter.Addr
 	}
-	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", me), "listen": listen, "discovery": l.Discovery.Addr, "counter": counter,
+	return json.Marshal(map[string]any{
+		"name": fmt.Sprintf("n%d", me), "listen": listen, "discovery": l.Discovery.Addr, "counter": counter,
 		"seed": fmt.Sprintf("%016x", w.Seed*1000+uint64(me)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
-		"settings": map[string]any{"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": halls, "Models": []string{"std"},
+		"settings": map[string]any{
+			"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": halls, "Models": []string{"std"},
 			"TickMs": 2, "RequestClasses": lanes, "TiersOfService": plans,
 			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
-			"Rules": map[string]any{"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.ColdFrom, "WarmAfterMs": ms(w.Servers.WarmAfter),
-				"FallMultiple": w.Rules.FallMultiple, "TipAfterMs": ms(w.Rules.TipAfter), "AnswerSlackMs": ms(w.Rules.AnswerSlack)},
-			"PolicyLimits": map[string]any{"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.Pushes,
-				"ConnectTimeoutMs": ms(w.Network.Connect), "IdleCloseMs": ms(w.Servers.Idle)}}})
+			"Rules": map[string]any{
+				"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.ColdFrom, "WarmAfterMs": ms(w.Servers.WarmAfter),
+				"FallMultiple": w.Rules.FallMultiple, "TipAfterMs": ms(w.Rules.TipAfter), "AnswerSlackMs": ms(w.Rules.AnswerSlack),
+			},
+			"PolicyLimits": map[string]any{
+				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.Pushes,
+				"ConnectTimeoutMs": ms(w.Network.Connect), "IdleCloseMs": ms(w.Servers.Idle),
+			},
+		},
+	})
 }
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -46,9 +46,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: l, number: number, health: "in_service",
+	s := &Server{
+		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: l, number: number, health: "in_service",
 		listener: listener, cores: make(chan struct{}, l.World.Servers.Cores), chance: rand.New(rand.NewPCG(seed, 9)),
-		conns: map[net.Conn]struct{}{}}
+		conns: map[net.Conn]struct{}{},
+	}
 	s.Slow(1)
 	go s.accept()
 	return s, nil
--- a/internal/lab/invariants/ledger.go
+++ b/internal/lab/invariants/ledger.go
@@ -109,9 +109,11 @@
 
 // New makes an empty ledger.
 func New(limits Limits) *Ledger {
-	return &Ledger{limits: limits, tasks: map[uint64]*entry{}, away: map[told]time.Duration{},
+	return &Ledger{
+		limits: limits, tasks: map[uint64]*entry{}, away: map[told]time.Duration{},
 		keys: map[uint64]time.Duration{}, stores: map[uint64]*store{},
-		still: map[int][2]time.Duration{}}
+		still: map[int][2]time.Duration{},
+	}
 }
 
 func (l *Ledger) breach(b Breach) {
@@ -155,8 +157,10 @@
 // close checks a task whose time is over.
 func (l *Ledger) close(e *entry) {
 	if e.finals == 0 && !e.dead && !l.excused(e) {
-		l.breach(Breach{Rule: Lost, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-			What: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", e.Taken.Seconds(), e.Expires.Seconds())})
+		l.breach(Breach{
+			Rule: Lost, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
+			What: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", e.Taken.Seconds(), e.Expires.Seconds()),
+		})
 	}
 }
 
@@ -212,8 +216,10 @@
 func (l *Ledger) Pushed(at time.Duration, gateway int, server uint32, task uint64) {
 	l.now = at
 	if since, away := l.away[told{gateway, server}]; away && at > since+l.limits.DrainGrace {
-		l.breach(Breach{Rule: Drain, Task: task, Gateway: gateway, Server: server,
-			What: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds())})
+		l.breach(Breach{
+			Rule: Drain, Task: task, Gateway: gateway, Server: server,
+			What: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds()),
+		})
 	}
 	e := l.tasks[task]
 	if e == nil || e.sent {
@@ -245,8 +251,10 @@
 	}
 	if p.CeilingRate > 0 {
 		if s.ceiling -= e.Units; s.ceiling < -p.CeilingSlack {
-			l.breach(Breach{Rule: Ceiling, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-				What: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -s.ceiling, p.CeilingSlack)})
+			l.breach(Breach{
+				Rule: Ceiling, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
+				What: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -s.ceiling, p.CeilingSlack),
+			})
 		}
 	}
 }
@@ -277,13 +285,17 @@
 	switch e.Lane.Effect {
 	case policy.NonIdempotent:
 		if e.ran > 1 {
-			l.breach(Breach{Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				What: fmt.Sprintf("run %d of an effectful task", e.ran)})
+			l.breach(Breach{
+				Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
+				What: fmt.Sprintf("run %d of an effectful task", e.ran),
+			})
 		}
 	case policy.Keyed:
 		if first, done := l.keys[e.Key]; done {
-			l.breach(Breach{Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				What: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds())})
+			l.breach(Breach{
+				Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
+				What: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds()),
+			})
 		} else {
 			l.keys[e.Key] = at
 		}
@@ -293,8 +305,10 @@
 // Fell tells that a server fell over while it was cold.
 func (l *Ledger) Fell(at time.Duration, server uint32, sent, capacity float64) {
 	l.now = at
-	l.breach(Breach{Rule: Cold, Gateway: -1, Server: server,
-		What: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", sent, capacity)})
+	l.breach(Breach{
+		Rule: Cold, Gateway: -1, Server: server,
+		What: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", sent, capacity),
+	})
 }
 
 // Finish closes all tasks whose time is over.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -200,8 +200,10 @@
 	}
 	n := len(d.Gateways)
 	lane := sort.SearchFloat64s(d.lanes, chance.Float64()*d.lanes[len(d.lanes)-1])
-	return task{id: id, customer: before + uint64(chance.IntN(w.Plans[plan].Customers)) + 1, lane: min(lane, len(w.Lanes)-1), plan: plan,
-		units: min(max(float64(int(w.Load.Units*chance.ExpFloat64()+0.5)), 1), 3*w.Load.Units), width: n, gateway: d.Gateways[chance.IntN(n)]}
+	return task{
+		id: id, customer: before + uint64(chance.IntN(w.Plans[plan].Customers)) + 1, lane: min(lane, len(w.Lanes)-1), plan: plan,
+		units: min(max(float64(int(w.Load.Units*chance.ExpFloat64()+0.5)), 1), 3*w.Load.Units), width: n, gateway: d.Gateways[chance.IntN(n)],
+	}
 }
 
 // ask sends a task and waits for its answer.
@@ -231,8 +233,10 @@
 	if d.Book != nil {
 		d.Book.Note(func(l *invariants.Ledger, at time.Duration) {
 			site := d.World.Deployment(0)
-			l.Taken(invariants.Task{ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
-				Expires: at + left})
+			l.Taken(invariants.Task{
+				ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
+				Expires: at + left,
+			})
 		})
 	}
 	_ = conn.SetDeadline(until.Add(50 * time.Millisecond))
--- a/internal/lab/scenario/common.go
+++ b/internal/lab/scenario/common.go
@@ -34,8 +34,10 @@
 // commonUsual is off; its times are those of the program.
 func commonUsual() Common {
 	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
-	return Common{How: None, Voters: 3, Digest: ms(200), Decide: ms(100), Commit: [2]Span{ms(2), ms(20)}, Lease: ms(2000),
-		Wait: ms(500), Leaderless: [2]Span{ms(300), ms(900)}}
+	return Common{
+		How: None, Voters: 3, Digest: ms(200), Decide: ms(100), Commit: [2]Span{ms(2), ms(20)}, Lease: ms(2000),
+		Wait: ms(500), Leaderless: [2]Span{ms(300), ms(900)},
+	}
 }
 
 // wrong checks what the file says of it.
--- a/internal/lab/scenario/deployment.go
+++ b/internal/lab/scenario/deployment.go
@@ -19,12 +19,16 @@
 	effects := map[string]policy.Effect{"pure": policy.Idempotent, "receipted": policy.Keyed, "effectful": policy.NonIdempotent}
 	groups := map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupRack}
 	for _, l := range w.Lanes {
-		d.Classes = append(d.Classes, policy.TrafficClass{Name: l.Name, LatencyObjective: l.SoftLimit.D(), Timeout: l.Patience.D(),
-			Weight: l.Gain, LateFraction: l.Late, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.Window.D()})
+		d.Classes = append(d.Classes, policy.TrafficClass{
+			Name: l.Name, LatencyObjective: l.SoftLimit.D(), Timeout: l.Patience.D(),
+			Weight: l.Gain, LateFraction: l.Late, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.Window.D(),
+		})
 	}
 	for _, p := range w.Plans {
-		d.Plans = append(d.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverCost})
+		d.Plans = append(d.Plans, policy.Plan{
+			Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
+			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverCost,
+		})
 	}
 	return d
 }
--- a/internal/lab/scenario/kinds.go
+++ b/internal/lab/scenario/kinds.go
@@ -21,8 +21,10 @@
 	"lane_silent":   {What: "part of the servers never answer one lane"},
 	"deploy":        {What: "part of the servers are replaced by cold ones, evenly over the time: draining is told first"},
 	"mass_change":   {What: "part of the servers are replaced at once: old ones are gone without draining"},
-	"hall_lost": {What: "servers of a hall fall silent, part of them or, at 0, all; they come back cold",
-		Halls: true},
+	"hall_lost": {
+		What:  "servers of a hall fall silent, part of them or, at 0, all; they come back cold",
+		Halls: true,
+	},
 	"hall_cut":         {What: "nothing passes between a hall and the others", Halls: true},
 	"link_cut":         {What: "nothing passes between hall and to", Halls: true, Link: true},
 	"blind":            {What: "part of the gateways reach no server"},
--- a/internal/lab/simulation/alone.go
+++ b/internal/lab/simulation/alone.go
@@ -20,9 +20,11 @@
 	f.serial++
 	f.book.Add(observation.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.spread(counts)})
 	now := f.c.e.now
-	value, write := f.decider.Decide(now, coordination.ControllerInput{Sums: f.book.Sums(), LeadingSince: f.since,
+	value, write := f.decider.Decide(now, coordination.ControllerInput{
+		Sums: f.book.Sums(), LeadingSince: f.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(string) statemachine.Table { return statemachine.Table{Epoch: f.held.Epoch, Value: f.held.Value} }})
+		Table:  func(string) statemachine.Table { return statemachine.Table{Epoch: f.held.Epoch, Value: f.held.Value} },
+	})
 	if write {
 		f.c.judge(value)
 		f.take(statemachine.Table{Epoch: f.held.Epoch + 1, Value: value}, forever)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -77,8 +77,10 @@
 		parts = own
 	}
 	spread := parts[0] + (parts[1]-parts[0])*c.draw.Float64()
-	return &customer{id: id, plan: plan, first: c.draw.IntN(n), width: min(max(int(math.Round(spread*float64(n))), 1), n),
-		left: e.w.Plans[plan].Burst, at: e.now}
+	return &customer{
+		id: id, plan: plan, first: c.draw.IntN(n), width: min(max(int(math.Round(spread*float64(n))), 1), n),
+		left: e.w.Plans[plan].Burst, at: e.now,
+	}
 }
 
 // offer sets the next arrival: they come by chance at the rate that holds now, and do not wait for answers.
--- a/internal/lab/simulation/common.go
+++ b/internal/lab/simulation/common.go
@@ -154,9 +154,11 @@
 	for name, n := range l.merged.Sums() {
 		sums[name] += n
 	}
-	value, write := c.decider.Decide(c.e.now, coordination.ControllerInput{Sums: sums, LeadingSince: c.since,
+	value, write := c.decider.Decide(c.e.now, coordination.ControllerInput{
+		Sums: sums, LeadingSince: c.since,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(table string) statemachine.Table { return c.held(table) }})
+		Table:  func(table string) statemachine.Table { return c.held(table) },
+	})
 	if !write {
 		return
 	}
--- a/internal/lab/simulation/crowd_test.go
+++ b/internal/lab/simulation/crowd_test.go
@@ -10,8 +10,10 @@
 
 // crowded is three halls at three fifths of their strength, of whose tries four in five come through one from second 4 to 14.
 func crowded(how string, troubles ...scenario.Trouble) *scenario.World {
-	w := threeHalls(how, append(troubles, scenario.Trouble{Kind: "crowd", At: span(4 * time.Second),
-		For: span(10 * time.Second), Part: 0.7})...)
+	w := threeHalls(how, append(troubles, scenario.Trouble{
+		Kind: "crowd", At: span(4 * time.Second),
+		For: span(10 * time.Second), Part: 0.7,
+	})...)
 	w.Load.Rate = 400
 	return w
 }
@@ -36,8 +38,10 @@
 // demand, and nothing moves.
 func TestAFloodBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
-	w := crowded(scenario.All, scenario.Trouble{Kind: "flood", Plan: "enterprise", Size: 20, At: span(4 * time.Second),
-		For: span(10 * time.Second)})
+	w := crowded(scenario.All, scenario.Trouble{
+		Kind: "flood", Plan: "enterprise", Size: 20, At: span(4 * time.Second),
+		For: span(10 * time.Second),
+	})
 	w.Load.Rate = 150
 	p := &w.Plans[2]
 	p.Customers, p.Rate, p.Burst = 1, 20, 40
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -76,14 +76,18 @@
 
 // begin sets a play up.
 func begin(w *scenario.World, seed uint64, made baseline.Make) (*engine, error) {
-	e := &engine{w: w, now: origin, make: made, site: w.Deployment(0), loadTimes: 1, lagTimes: 1, cut: map[int]bool{},
+	e := &engine{
+		w: w, now: origin, make: made, site: w.Deployment(0), loadTimes: 1, lagTimes: 1, cut: map[int]bool{},
 		links: map[[2]int]bool{}, regions: w.RegionOf(),
 		sent:   make([]time.Duration, w.Gateways.Halls),
-		lately: make([][]float64, w.Gateways.Halls)}
+		lately: make([][]float64, w.Gateways.Halls),
+	}
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
 	e.chance, e.arrivals, e.fate = stream(1), stream(2), stream(3)
-	e.ledger = invariants.New(invariants.Limits{AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
-		Plans: e.site.Plans})
+	e.ledger = invariants.New(invariants.Limits{
+		AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
+		Plans: e.site.Plans,
+	})
 	e.planTimes = make([]float64, len(w.Plans))
 	for i := range e.planTimes {
 		e.planTimes[i] = 1
--- a/internal/lab/simulation/follow.go
+++ b/internal/lab/simulation/follow.go
@@ -103,9 +103,11 @@
 	}
 	f.steer.Update() // it may see its own hall with other eyes
 	f.serial++
-	d := observation.Digest{Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
+	d := observation.Digest{
+		Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
 		Session: f.session,
-		Counts:  counts}
+		Counts:  counts,
+	}
 	v := c.voters[f.voter]
 	if !v.dead && c.send(f.g.hall, v.hall, func() {
 		if !v.dead {
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -130,9 +130,11 @@
 	if g.follower != nil && g.follower.shed(t) {
 		return
 	}
-	g.d.HandleRequest(e.now, policy.Request{ID: t.local, Class: t.lane, Plan: r.customer.plan, Customer: r.customer.id,
+	g.d.HandleRequest(e.now, policy.Request{
+		ID: t.local, Class: t.lane, Plan: r.customer.plan, Customer: r.customer.id,
 		FirstGateway: r.customer.first, GatewayCount: r.customer.width, Units: r.told, Deadline: t.expires, Repeat: t.number > 0 &&
-			e.w.Clients.Marks})
+			e.w.Clients.Marks,
+	})
 }
 
 // kill ends a gateway; what it held is its clients' to repeat, and its servers go on with what they have.
--- a/internal/lab/simulation/push.go
+++ b/internal/lab/simulation/push.go
@@ -26,8 +26,10 @@
 	e := g.e
 	t := g.tries[task]
 	s := e.servers[to-1]
-	a := &attempt{g: g, life: g.life, try: t, local: task, number: len(t.attempts), server: s, at: e.now, until: until,
-		work: t.request.work}
+	a := &attempt{
+		g: g, life: g.life, try: t, local: task, number: len(t.attempts), server: s, at: e.now, until: until,
+		work: t.request.work,
+	}
 	t.attempts = append(t.attempts, a)
 	g.pool.CountAttempt(e.now)
 	e.result.Pushes++
@@ -130,8 +132,10 @@
 		if how == policy.Answered && !t.over {
 			g.final(t, served)
 		}
-		g.d.HandleAttemptResult(e.now, policy.AttemptResult{RequestID: a.local, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.at,
-			Final: t.over, ActualUnits: cost})
+		g.d.HandleAttemptResult(e.now, policy.AttemptResult{
+			RequestID: a.local, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.at,
+			Final: t.over, ActualUnits: cost,
+		})
 	})
 }
 
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -61,8 +61,10 @@
 
 // less is what came since an earlier total.
 func (s Second) less(was Second) Second {
-	return Second{s.Offered - was.Offered, s.InTime - was.InTime, s.Refused - was.Refused, s.Failed - was.Failed,
-		s.Gain - was.Gain, s.Due - was.Due, s.Pushes - was.Pushes, s.Crossed - was.Crossed}
+	return Second{
+		s.Offered - was.Offered, s.InTime - was.InTime, s.Refused - was.Refused, s.Failed - was.Failed,
+		s.Gain - was.Gain, s.Due - was.Due, s.Pushes - was.Pushes, s.Crossed - was.Crossed,
+	}
 }
 
 // Messages are what voters take from gateways, and from each other.
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -106,8 +106,10 @@
 // broken makes the module with one fault.
 func broken(spoil func(f *faulty, site *policy.Settings)) baseline.Make {
 	return func(site policy.Settings, seed int64, host policy.Host) (baseline.Decider, error) {
-		f := &faulty{Host: host, twin: map[uint32]bool{}, at: map[uint32]uint32{}, till: map[uint32]time.Duration{},
-			lane: map[uint32]policy.Effect{}, site: site}
+		f := &faulty{
+			Host: host, twin: map[uint32]bool{}, at: map[uint32]uint32{}, till: map[uint32]time.Duration{},
+			lane: map[uint32]policy.Effect{}, site: site,
+		}
 		spoil(f, &site)
 		g, err := policy.New(site, seed, f)
 		f.Decider = g
@@ -177,8 +179,10 @@
 	for _, kind := range scenario.KindNames() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			w := small(scenario.Trouble{Kind: kind, At: span(2 * time.Second), For: span(4 * time.Second), Part: 0.3, Size: 2, Hall: 1,
-				Lane: "paid-confirm", Plan: "office"})
+			w := small(scenario.Trouble{
+				Kind: kind, At: span(2 * time.Second), For: span(4 * time.Second), Part: 0.3, Size: 2, Hall: 1,
+				Lane: "paid-confirm", Plan: "office",
+			})
 			r := play(t, w, 7, baseline.Module)
 			if r.Broken != [invariants.Rules]int{} {
 				t.Errorf("rules broken: %v, first %v", r.Broken, r.Breaches[0])
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -46,9 +46,11 @@
 // addServer starts a server; since 0 means long ago.
 func (e *engine) addServer(hall, cell int, since time.Duration) *server {
 	speed := e.w.Servers.Speed
-	s := &server{e: e, id: uint32(len(e.servers) + 1), hall: hall, cell: cell, since: since, stage: policy.Ready, slow: 1,
+	s := &server{
+		e: e, id: uint32(len(e.servers) + 1), hall: hall, cell: cell, since: since, stage: policy.Ready, slow: 1,
 		speed: speed[0] + (speed[1]-speed[0])*e.chance.Float64(), running: map[*attempt]bool{}, errors: e.w.Servers.Errors,
-		mute: map[int]bool{}, keys: map[uint64]time.Duration{}}
+		mute: map[int]bool{}, keys: map[uint64]time.Duration{},
+	}
 	if since > 0 {
 		s.starts = 1
 	}
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -35,8 +35,10 @@
 	w.Servers.Handshake, w.Servers.Connections = 0, 1e6
 	w.Network.Same, w.Network.Cross, w.Network.Jitter = 0, 0, 0
 	work := 20 * time.Millisecond
-	w.Lanes = []scenario.Lane{{Name: "only", Share: 1, Work: scenario.Span(work), Spread: "exponential",
-		SoftLimit: scenario.Span(time.Hour), Patience: scenario.Span(time.Hour), Gain: 1, Effect: "pure"}}
+	w.Lanes = []scenario.Lane{{
+		Name: "only", Share: 1, Work: scenario.Span(work), Spread: "exponential",
+		SoftLimit: scenario.Span(time.Hour), Patience: scenario.Span(time.Hour), Gain: 1, Effect: "pure",
+	}}
 	w.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
 	w.Counter.Rate = 0
 	w.Clients.Retries = 0
--- a/internal/lab/simulation/tries.go
+++ b/internal/lab/simulation/tries.go
@@ -60,9 +60,11 @@
 			c.answered(t, died) // refused: it was not taken
 			return
 		}
-		e.ledger.Taken(invariants.Task{ID: t.id, Key: r.key, Customer: who.id, Lane: *lane, Plan: who.plan, Gateway: g.n,
+		e.ledger.Taken(invariants.Task{
+			ID: t.id, Key: r.key, Customer: who.id, Lane: *lane, Plan: who.plan, Gateway: g.n,
 			Units: r.told,
-			Taken: e.now, Expires: expires})
+			Taken: e.now, Expires: expires,
+		})
 		life := g.life
 		g.do(life, func() {
 			if e.now >= expires {
--- a/internal/lab/simulation/trouble_test.go
+++ b/internal/lab/simulation/trouble_test.go
@@ -52,8 +52,10 @@
 		"leader_lost":  {scenario.Trouble{}, func(p pair) bool { return sum(p.with.PlanMs) > sum(p.without.PlanMs)+500 }},
 		"answers_lost": {scenario.Trouble{Part: 0.3}, moreFailed},
 		"resets":       {scenario.Trouble{Part: 0.3}, moreFailed},
-		"counter_slow": {scenario.Trouble{Size: 100},
-			func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 }},
+		"counter_slow": {
+			scenario.Trouble{Size: 100},
+			func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 },
+		},
 		"counter_silent":   {scenario.Trouble{}, func(p pair) bool { return p.with.Calls < p.without.Calls*9/10 }},
 		"counter_refusing": {scenario.Trouble{}, func(p pair) bool { return p.with.CallsRefused > p.without.CallsRefused+20 }},
 		"counter_empty":    {scenario.Trouble{}, func(p pair) bool { return p.with.Beyond > p.without.Beyond }},
@@ -67,8 +69,10 @@
 		"kill": {scenario.Trouble{Part: 1}, func(p pair) bool {
 			return during(p.with, 3, 7, inTime) < during(p.without, 3, 7, inTime)/5
 		}},
-		"rolling": {scenario.Trouble{Part: 1, Size: 2},
-			func(p pair) bool { return p.with.Broken0 > p.without.Broken0+20 }},
+		"rolling": {
+			scenario.Trouble{Part: 1, Size: 2},
+			func(p pair) bool { return p.with.Broken0 > p.without.Broken0+20 },
+		},
 		"crowd": {scenario.Trouble{Part: 0.9, Hall: 1}, func(p pair) bool {
 			return p.with.Hottest > 1.25*p.without.Hottest
 		}},
@@ -93,8 +97,10 @@
 				also = append(also, scenario.Trouble{Kind: "mass_change", At: span(3500 * time.Millisecond), Part: 0.5})
 			}
 			if kind == "leader_lost" {
-				also = append(also, scenario.Trouble{Kind: "hall_lost", At: span(3 * time.Second), For: span(4 * time.Second),
-					Hall: 1})
+				also = append(also, scenario.Trouble{
+					Kind: "hall_lost", At: span(3 * time.Second), For: span(4 * time.Second),
+					Hall: 1,
+				})
 			}
 			world := func(troubles ...scenario.Trouble) *scenario.World {
 				w := small(troubles...)
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -38,8 +38,10 @@
 // pass sends the leader what this voter merged.
 func (v *voter) pass(leader *voter) {
 	v.serial++
-	d := observation.Digest{Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
-		Counts: v.direct.Sums()}
+	d := observation.Digest{
+		Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
+		Counts: v.direct.Sums(),
+	}
 	v.c.send(v.hall, leader.hall, func() {
 		if !leader.dead {
 			v.c.count(leader, func(m *Messages) *int { return &m.Merged })
--- a/internal/listener/disconnect_test.go
+++ b/internal/listener/disconnect_test.go
@@ -84,7 +84,8 @@
 // Commands that stand before the end of a client who is gone already are not begun.
 func TestDisconnect_pipelinedRequestsAreNotStarted(t *testing.T) {
 	for name, leave := range map[string]func(*testClient){
-		"closed": func(c *testClient) { _ = c.Close() }, "half closed": func(c *testClient) { _ = c.CloseWrite() }} {
+		"closed": func(c *testClient) { _ = c.Close() }, "half closed": func(c *testClient) { _ = c.CloseWrite() },
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := fakes.NewServer(t, answerNothing)
--- a/internal/listener/drain_fixture_test.go
+++ b/internal/listener/drain_fixture_test.go
@@ -124,18 +124,22 @@
 func newDrainFixture(t *testing.T, places int, hook func(*tappedConn), answer func(words []string) string) *drainFixture {
 	t.Helper()
 	t.Parallel()
-	site := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true,
+	site := policy.Settings{
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: 2 * time.Second, Timeout: 3 * time.Second, Effect: policy.Idempotent}},
-		Plans:   []policy.Plan{{Name: "wide", Rate: 100000, Burst: 100000}}}
+		Plans:   []policy.Plan{{Name: "wide", Rate: 100000, Burst: 100000}},
+	}
 	core, logs := observer.New(zapcore.WarnLevel)
 	g, err := dispatch.New(site, 7, dispatch.Dependencies{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go g.RunTimers(t.Context())
-	h := &drainFixture{T: t, TCPListener: fakes.Listen(t).(*net.TCPListener), server: fakes.NewServer(t, answer), logs: logs,
-		came: make(chan *tappedConn, 1000), served: make(chan error, 1)}
+	h := &drainFixture{
+		T: t, TCPListener: fakes.Listen(t).(*net.TCPListener), server: fakes.NewServer(t, answer), logs: logs,
+		came: make(chan *tappedConn, 1000), served: make(chan error, 1),
+	}
 	g.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s-1", Address: h.server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
 	h.f = New(&site, g, upstream.New(time.Second, time.Minute, nil, 100), places, 0, zap.New(core))
 	h.f.Ready()
--- a/internal/listener/fixture_test.go
+++ b/internal/listener/fixture_test.go
@@ -29,12 +29,15 @@
 
 // testSettings has a lane that is safe to repeat and one that is not, and two plans.
 func testSettings() policy.Settings {
-	return policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 4096, CanCancel: true, RetryAfter: true,
+	return policy.Settings{
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 4096, CanCancel: true, RetryAfter: true,
 		DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
 		Classes: []policy.TrafficClass{
 			{Name: "look", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second, Effect: policy.Idempotent},
-			{Name: "pay", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second, Effect: policy.NonIdempotent}},
-		Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6}, {Name: "open", Rate: 1e6, Burst: 1e6}}}
+			{Name: "pay", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second, Effect: policy.NonIdempotent},
+		},
+		Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6}, {Name: "open", Rate: 1e6, Burst: 1e6}},
+	}
 }
 
 // newFixture begins a story whose front holds so many bytes; it serves once a listener is given.
@@ -51,8 +54,10 @@
 	t.Helper()
 	given.HasCounter = count != nil
 	f := upstream.New(2*time.Second, 10*time.Second, nil, 2000)
-	g, err := dispatch.New(given, 7, dispatch.Dependencies{IdleTimeout: f.IdleTimeout(), CheckHealth: func(dispatch.Server, func(dispatch.Result)) {},
-		Count: func(_ uint64, _ float64, _ time.Duration, told func(float64, policy.Outcome)) { count(told) }}, zap.NewNop())
+	g, err := dispatch.New(given, 7, dispatch.Dependencies{
+		IdleTimeout: f.IdleTimeout(), CheckHealth: func(dispatch.Server, func(dispatch.Result)) {},
+		Count: func(_ uint64, _ float64, _ time.Duration, told func(float64, policy.Outcome)) { count(told) },
+	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/listener/fuzz_test.go
+++ b/internal/listener/fuzz_test.go
@@ -31,10 +31,15 @@
 	f.Add("ping", "", "", "", "", false, uint8(0))
 	f.Add("SVC.QUERY", "0000000200000000", id, "c=look,t=open,d=480", "", false, uint8(3))
 	f.Add("SVC.QUERY", "+000000000000005", "", "c=look,t=open,d=480", "", false, uint8(3))
-	site := &policy.Settings{Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
-		Classes: []policy.TrafficClass{{Name: "look", Timeout: 2 * time.Second}, {Name: "gone", Timeout: time.Second, Retired: true},
+	site := &policy.Settings{
+		Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
+		Classes: []policy.TrafficClass{
+			{Name: "look", Timeout: 2 * time.Second},
+			{Name: "gone", Timeout: time.Second, Retired: true},
 			{Name: "book", Timeout: time.Second, Effect: policy.Keyed},
-			{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent}}}
+			{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent},
+		},
+	}
 	f.Fuzz(func(t *testing.T, verb, customer, id, list, value string, body bool, n uint8) {
 		words := []string{verb, customer, id, list}[:1+int(n)%4]
 		text := fakes.FormatCommand(words...)
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -15,8 +15,10 @@
 	given := testSettings()
 	given.MaxUnits = 50
 	given.MaxRetryAfter = 2 * time.Second
-	given.Classes = append(given.Classes, policy.TrafficClass{Name: "book", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second,
-		Effect: policy.Keyed, DedupWindow: 10 * time.Second})
+	given.Classes = append(given.Classes, policy.TrafficClass{
+		Name: "book", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second,
+		Effect: policy.Keyed, DedupWindow: 10 * time.Second,
+	})
 	given.Plans = append(given.Plans, policy.Plan{Name: "small", Rate: 0.001, Burst: 10})
 	return given
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -61,9 +61,11 @@
 
 // New makes a front that holds at most so many connections, and so many bytes of what clients ask; 0: no bound on them.
 func New(site *policy.Settings, g *dispatch.Dispatcher, f *upstream.Pool, most, bytes int, log *zap.Logger) *Listener {
-	fr := &Listener{dispatcher: g, upstream: f, log: log, openIDs: map[string]struct{}{},
+	fr := &Listener{
+		dispatcher: g, upstream: f, log: log, openIDs: map[string]struct{}{},
 		slots: make(chan struct{}, max(most, 1)), clients: map[*client]struct{}{},
-		acceptDone: make(chan struct{}), drainDone: make(chan struct{}), idleWorkers: make(chan job)}
+		acceptDone: make(chan struct{}), drainDone: make(chan struct{}), idleWorkers: make(chan job),
+	}
 	if bytes > 0 {
 		fr.memory.limit = max(bytes, minMemory)
 	}
@@ -94,8 +96,10 @@
 		if easy := int(relaxedSlotShare * float64(cap(f.slots))); len(f.slots) > easy {
 			f.evict(easy)
 		}
-		c := &client{listener: f, conn: resp.NewConn(conn), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
-			requests: map[*dispatch.Request]struct{}{}, lastUsed: time.Now(), unanswered: true}
+		c := &client{
+			listener: f, conn: resp.NewConn(conn), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
+			requests: map[*dispatch.Request]struct{}{}, lastUsed: time.Now(), unanswered: true,
+		}
 		for range maxInFlightPerConn {
 			c.inFlightTokens <- struct{}{}
 		}
--- a/internal/resp/peerstate.go
+++ b/internal/resp/peerstate.go
@@ -10,8 +10,10 @@
 
 // peerClosedStates are the states of the system's TCP in which the other side has ended the connection, or it was reset; what came
 // before may still wait to be read. Of linux/tcp_states.h.
-var peerClosedStates = []uint8{unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING,
-	unix.BPF_TCP_TIME_WAIT}
+var peerClosedStates = []uint8{
+	unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING,
+	unix.BPF_TCP_TIME_WAIT,
+}
 
 // PeerState tells without waiting how long ago the latest bytes came to this machine, to a few milliseconds (they may have
 // waited for a place, or while this process stood still), and whether the other side has gone. A read sees its end
