--- a/internal/resp/await_test.go
+++ b/internal/resp/await_test.go
@@ -13,7 +13,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// The wait for a message reads none of it: whoever asks sees it standing, and an end of the connection says so.
+// Await consumes nothing: IsQuiet still sees the message, and closing the connection tells the peer that it was not read.
 func TestAwaitConsumesNoByte(t *testing.T) {
 	c, far := connPair(t)
 	_, _ = io.WriteString(far, "*")
@@ -21,15 +21,15 @@
 		t.Fatal(err)
 	}
 	if c.IsQuiet() {
-		t.Error("a message that came is not seen any more")
+		t.Error("a message that has arrived is not seen any more")
 	}
-	_ = c.Close() // in order: only over unread bytes it is a reset
+	_ = c.Close() // an orderly close: only unread bytes make it a reset
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the other side sees %v", err)
+		t.Errorf("the peer sees %v", err)
 	}
 }
 
-// A wait ends with the other side, with its own time and with the connection, as a read does.
+// Await fails when the peer closes, at the deadline and when the connection is closed, as a read does.
 func TestAwaitFailsAsReadDoes(t *testing.T) {
 	for want, end := range map[error]func(c *Conn, far net.Conn){
 		io.EOF:                 func(_ *Conn, far net.Conn) { _ = far.Close() },
@@ -47,7 +47,7 @@
 	}
 }
 
-// Where there is no descriptor the wait has to read a byte, and the message has it all the same.
+// Without a descriptor Await has to read a byte; the message contains it all the same.
 func TestAwaitWithoutDescriptor(t *testing.T) {
 	near, far := net.Pipe()
 	c := NewConn(near)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Scant, what was read on is used up, and no more is read than the message needs that had begun.
+// After StopReadAhead the bytes that were read ahead are used up, and no byte behind the last message is read.
 func TestStopReadAheadReadsNothingBehindMessage(t *testing.T) {
 	c, far := connPair(t)
 	ping := fakes.FormatCommand("PING")
@@ -83,7 +83,7 @@
 	}
 }
 
-// The end of the other side is seen behind bytes that stand there, and none of them is read.
+// The close of the peer is seen behind unread bytes, and none of them is read.
 func TestAwaitPeerCloseBehindUnreadBytes(t *testing.T) {
 	for name, half := range map[string]bool{"first": true, "not first": false} {
 		c, far := connPair(t)
@@ -94,7 +94,7 @@
 		fakes.Eventually(t, "a byte", func() bool { return !c.IsQuiet() })
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 		if err := c.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: ended, with %v, before the end", name, err)
+			t.Errorf("%s: returned %v before the peer closed", name, err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		got := make(chan error)
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -1,37 +1,38 @@
 package resp
 
 import (
+	"errors"
 	"io"
 	"net"
-	"os"
 	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection, used by one reader and one writer at a time.
+// halfCloser is a connection whose sending half can be closed on its own.
+type halfCloser interface{ CloseWrite() error }
+
+// Conn is one connection. One goroutine may read from it while another writes to it.
 type Conn struct {
 	net.Conn
-	rawConn    syscall.RawConn       // nil where there is no descriptor
-	readable   func(fd uintptr) bool // stood, made once: a wait allocates nothing for it
-	peekError  error                 // how the wait ended
+	rawConn    syscall.RawConn       // nil if the connection has no descriptor
+	readable   func(fd uintptr) bool // isReadable, made once so that waiting does not allocate
+	peekError  error                 // result of the latest wait
 	peekBuffer [1]byte
-	reader     *messageReader // nil while nothing is being read
+	reader     *messageReader // nil while no message is being read
 }
 
-// NewConn speaks RESP2 on a connection.
+// NewConn returns a connection that speaks RESP2 over conn.
 func NewConn(conn net.Conn) *Conn {
 	c := &Conn{Conn: conn}
 	c.readable = c.isReadable
 	if sock, ok := conn.(syscall.Conn); ok {
-		c.rawConn, _ = sock.SyscallConn()
+		c.rawConn, _ = sock.SyscallConn() // fails on a closed connection only, where reading fails as well
 	}
 	return c
 }
 
-// Await waits for the next message. The reader's buffer is taken from the pool when its first byte is there. That byte
-// is left where it stands: until the message is read, Quiet sees it, and an end of the connection says it was not read.
+// Await waits for the next message and takes a reader from the pool when its first byte has arrived. It consumes no byte: until
+// the message is read, IsQuiet reports it, and closing the connection resets it, which tells the peer that it was not read.
 func (c *Conn) Await() error {
 	if c.reader == nil {
 		first, err := c.waitReadable()
@@ -39,14 +40,15 @@
 			return err
 		}
 		c.reader = readerPool.Get().(*messageReader)
-		c.reader.conn, c.reader.peeked = c.Conn, first
+		c.reader.conn = c.Conn
+		c.reader.peeked = first
 		c.reader.R.Reset(c.reader)
 	}
 	c.reader.remaining = maxMessageSize
 	return nil
 }
 
-// waitReadable waits until a byte stands in the system. Without a descriptor it has to be read, and is given back.
+// waitReadable waits until a byte can be read. Without a descriptor it has to read that byte, and returns it.
 func (c *Conn) waitReadable() (first []byte, err error) {
 	if c.rawConn == nil {
 		_, err = io.ReadFull(c.Conn, c.peekBuffer[:])
@@ -58,21 +60,7 @@
 	return nil, c.peekError
 }
 
-// isReadable looks, in the wait, whether a byte or the end has come.
-func (c *Conn) isReadable(fd uintptr) bool {
-	n, err := peek(int(fd), c.peekBuffer[:])
-	switch c.peekError = nil; {
-	case err == unix.EAGAIN:
-		return false
-	case err != nil:
-		c.peekError = os.NewSyscallError("recvfrom", err)
-	case n == 0:
-		c.peekError = io.EOF
-	}
-	return true
-}
-
-// releaseIfDrained gives the reader back, unless it has read on into the next message.
+// releaseIfDrained returns the reader to the pool, unless it has read ahead into the next message.
 func (c *Conn) releaseIfDrained() {
 	if c.reader != nil && c.reader.R.Buffered() == 0 && len(c.reader.peeked) == 0 {
 		c.releaseReader()
@@ -80,68 +68,46 @@
 }
 
 func (c *Conn) releaseReader() {
-	if c.reader != nil {
-		c.reader.conn, c.reader.peeked, c.reader.noReadAhead = nil, nil, false
-		readerPool.Put(c.reader)
-		c.reader = nil
+	if c.reader == nil {
+		return
 	}
+	c.reader.conn = nil
+	c.reader.peeked = nil
+	c.reader.noReadAhead = false
+	readerPool.Put(c.reader)
+	c.reader = nil
 }
 
-// closeReading ends reading for good.
+// closeReading ends reading for good and returns the error that the caller is to see.
 func (c *Conn) closeReading(err error) error {
 	c.releaseReader()
-	if err == io.ErrUnexpectedEOF {
+	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return io.EOF
 	}
 	return err
 }
 
-// IsQuiet tells, without waiting, that the connection stands and nothing has come on it that was not read.
-func (c *Conn) IsQuiet() bool {
-	quiet := false
-	c.withDescriptor(func(fd int) {
-		_, err := peek(fd, make([]byte, 1))
-		quiet = err == unix.EAGAIN
-	})
-	return quiet
-}
-
-// peek looks for a byte, without waiting, and leaves it where it stands; none and no error is the end.
-func peek(fd int, first []byte) (n int, err error) {
-	for {
-		if n, _, err = unix.Recvfrom(fd, first, unix.MSG_PEEK|unix.MSG_DONTWAIT); err != unix.EINTR {
-			return n, err
-		}
-	}
-}
-
-// StopReadAhead has no more read, until the connection is drained, than the message in hand needs.
+// StopReadAhead makes the reader consume no byte behind the current message, until the connection is drained.
 func (c *Conn) StopReadAhead() {
 	if c.reader != nil {
 		c.reader.noReadAhead = true
 	}
 }
 
-// withDescriptor lends the descriptor, if the connection has one and is open.
-func (c *Conn) withDescriptor(use func(fd int)) {
-	if c.rawConn != nil {
-		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) })
-	}
-}
-
-// IsDrained tells, to whoever reads, that nothing was read on behind the last message.
+// IsDrained reports whether nothing was read ahead of the last message. Only the reading goroutine may call it.
 func (c *Conn) IsDrained() bool { return c.reader == nil }
 
-// CloseAfterError ends the connection after a message that could not be read: closed with that still coming, it would be
-// reset, and the other side might never see the answer. What comes is thrown away, for so long at most, and no
-// more than a message: reading on from one who has 60 MB to send would cost more than it is owed.
-func (c *Conn) CloseAfterError(most time.Duration) {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(most))
+// CloseAfterError closes the connection after a message that could not be read. Closed while the rest of that message
+// arrives, the connection would be reset, and the peer might never see the answer. So the sending half is closed first, and
+// what arrives is discarded for at most the timeout, and at most for the size of one message.
+func (c *Conn) CloseAfterError(timeout time.Duration) {
+	if half, ok := c.Conn.(halfCloser); ok && half.CloseWrite() == nil {
+		_ = c.SetReadDeadline(time.Now().Add(timeout))
 		part := bufferPool.Get().(*[bufferSize]byte)
-		for left := maxMessageSize; left > 0; {
+		for remaining := maxMessageSize; remaining > 0; {
 			n, err := c.Read(part[:])
-			if left -= n; err != nil {
+			remaining -= n
+			if err != nil {
 				break
 			}
 		}
@@ -150,14 +116,14 @@
 	_ = c.Close()
 }
 
-// Reset closes the connection by a reset: what crosses that was not read, and the other side can tell. Closed in
-// order, the system would confirm what still comes in that moment, as if it had been read.
+// Reset closes the connection by a TCP reset, which tells the peer that what it sent meanwhile was not read. On an orderly close
+// the system would acknowledge bytes that arrive in that moment, as if they had been read.
 func (c *Conn) Reset() {
-	if tcp, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
+	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// Abort makes whoever reads or writes stop at once.
+// Abort makes pending and later reads and writes fail at once with os.ErrDeadlineExceeded.
 func (c *Conn) Abort() { _ = c.SetDeadline(time.Unix(1, 0)) }
--- a/internal/resp/fuzz_test.go
+++ b/internal/resp/fuzz_test.go
@@ -9,64 +9,69 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// readResult is what is kept of a message, to compare readings.
+// readResult is the outcome of reading a message, for comparison.
 type readResult struct {
 	Words    []string
 	Body     string
 	Kind     byte
-	HasValue bool // there is a value
+	HasValue bool
 	Error    string
 }
 
-func (s *readResult) record(b *Bulk, err error) {
-	if s.HasValue = b != nil; s.HasValue {
-		s.Body = b.String()
-		b.Free()
-	}
-	if err != nil {
-		s.Error = err.Error()
+// record takes over a value, which is nil if there is none.
+func (r *readResult) record(value *Bulk) {
+	if r.HasValue = value != nil; r.HasValue {
+		r.Body = value.String()
+		value.Free()
 	}
 }
 
-// readCommands reads all that a client sent, so many bytes at a time, until an error; values are held where there is room.
-func readCommands(t *testing.T, data []byte, step int, room bool) (all []readResult) {
-	const words = 4
+// maxWords is how many words a command of the fuzz tests may have besides its value.
+const maxWords = 4
+
+// readCommands reads commands from data, step bytes at a time, until an error; values are kept if there is memory.
+func readCommands(t *testing.T, data []byte, step int, memory bool) (all []readResult) {
+	t.Helper()
 	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
 			return append(all, readResult{Error: err.Error()})
 		}
-		cmd, err := c.ReadCommand(words, func(int) bool { return room })
-		var s readResult
-		if err == nil {
-			if n := len(cmd.Words); n < 1 || n > words || (cmd.Body != nil || cmd.Discarded) && n != words || cmd.Discarded && room {
-				t.Fatalf("a command of %d words, with a value: %v, thrown away: %v", n, cmd.Body != nil, cmd.Discarded)
-			}
-			if cmd.Body != nil && !room {
-				t.Fatal("a value is held for which there was no room")
-			}
-			if cmd.Body != nil && cmd.Body.size > maxValueSize || slices.ContainsFunc(cmd.Words, isTooLong) {
-				t.Fatal("a word or a value beyond its limit")
-			}
-			checkRoundTrip(t, cmd)
-			s.Words = cmd.Words
-			s.record(cmd.Body, nil)
-		} else {
+		cmd, err := c.ReadCommand(maxWords, func(int) bool { return memory })
+		if err != nil {
 			if c.reader != nil || cmd != nil {
-				t.Fatalf("after %v a buffer is held", err)
+				t.Fatalf("a buffer is held after %v", err)
 			}
-			s.record(nil, err)
-		}
-		if all = append(all, s); err != nil {
-			return all
+			return append(all, readResult{Error: err.Error()})
 		}
+		checkCommand(t, cmd, memory)
+		result := readResult{Words: cmd.Words}
+		result.record(cmd.Body)
+		all = append(all, result)
+	}
+}
+
+// checkCommand checks a command against the limits of the protocol, and that it is passed on unchanged.
+func checkCommand(t *testing.T, cmd *Command, memory bool) {
+	t.Helper()
+	hasValue := cmd.Body != nil || cmd.Discarded
+	if n := len(cmd.Words); n < 1 || n > maxWords || hasValue && n != maxWords || cmd.Discarded && memory {
+		t.Fatalf("a command of %d words, with a value: %v, discarded: %v", n, cmd.Body != nil, cmd.Discarded)
 	}
+	if cmd.Body != nil && !memory {
+		t.Fatal("a value is kept without memory for it")
+	}
+	if cmd.Body != nil && cmd.Body.size > maxValueSize || slices.ContainsFunc(cmd.Words, isTooLong) {
+		t.Fatal("a word or a value beyond its limit")
+	}
+	checkRoundTrip(t, cmd)
 }
 
 func isTooLong(word string) bool { return len(word) > maxWordSize }
 
-// checkRoundTrip checks that a command, written, reads back as itself.
+// checkRoundTrip checks that a command that is written is read back as it was.
 func checkRoundTrip(t *testing.T, cmd *Command) {
+	t.Helper()
 	out := &fakes.ScriptedConn{}
 	if err := NewConn(out).WriteCommand(cmd); err != nil {
 		t.Fatal(err)
@@ -75,7 +80,7 @@
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := c.ReadCommand(4, nil)
+	again, err := c.ReadCommand(maxWords, nil)
 	if err != nil || !slices.Equal(again.Words, cmd.Words) || (again.Body == nil) != (cmd.Body == nil) ||
 		cmd.Body != nil && again.Body.String() != cmd.Body.String() || !c.IsDrained() {
 		t.Fatalf("%q reads back as %+v, %v", out.Output.Bytes(), again, err)
@@ -83,8 +88,8 @@
 	again.Body.Free()
 }
 
-// Whatever a client sends: no panic, the limits hold, a command passes on unchanged, and it is all one how the network
-// cuts the bytes up, and whether there is room for values.
+// Whatever a client sends: no panic, the limits hold, a command passes unchanged, and the result depends neither on how the
+// network splits the bytes nor on whether there is memory for values.
 func FuzzReadCommand(f *testing.F) {
 	query := fakes.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
@@ -103,48 +108,52 @@
 		if !reflect.DeepEqual(whole, parts) {
 			t.Fatalf("%d bytes at a time: %+v, at once: %+v", step, parts, whole)
 		}
-		thrown := readCommands(t, data, int(step), false)
+		discarded := readCommands(t, data, int(step), false)
 		for i := range whole {
 			whole[i].HasValue, whole[i].Body = false, ""
 		}
-		if !reflect.DeepEqual(whole, thrown) {
-			t.Fatalf("with values thrown away: %+v, else: %+v", thrown, whole)
+		if !reflect.DeepEqual(whole, discarded) {
+			t.Fatalf("with values discarded: %+v, else: %+v", discarded, whole)
 		}
 	})
 }
 
-// readReplies reads all that a server sent, until an error.
+// readReplies reads replies from data, step bytes at a time, until an error.
 func readReplies(t *testing.T, data []byte, step int) (all []readResult) {
+	t.Helper()
 	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
 			return append(all, readResult{Error: err.Error()})
 		}
-		r, err := c.ReadReply()
-		var s readResult
-		if err == nil {
-			value := r.Kind == '$' || r.Kind == '*'
-			if !value && (r.Kind != '+' && r.Kind != '-' && r.Kind != ':' || r.Value != nil) || r.Kind != '*' && len(r.Attributes) > 0 {
-				t.Fatalf("a reply of kind %q with value %v and %d notes", r.Kind, r.Value != nil, len(r.Attributes))
-			}
-			if r.Value != nil && r.Value.size > maxValueSize || slices.ContainsFunc(r.Attributes, isTooLong) {
-				t.Fatal("a note or a value beyond its limit")
+		reply, err := c.ReadReply()
+		if err != nil {
+			if c.reader != nil || reply != nil {
+				t.Fatalf("a buffer is held after %v", err)
 			}
-			s = readResult{Words: append([]string{r.Line}, r.Attributes...), Kind: r.Kind}
-			s.record(r.Value, nil)
-		} else {
-			if c.reader != nil || r != nil {
-				t.Fatalf("after %v a buffer is held", err)
-			}
-			s.record(nil, err)
-		}
-		if all = append(all, s); err != nil {
-			return all
+			return append(all, readResult{Error: err.Error()})
 		}
+		checkReply(t, reply)
+		result := readResult{Words: append([]string{reply.Line}, reply.Attributes...), Kind: reply.Kind}
+		result.record(reply.Value)
+		all = append(all, result)
+	}
+}
+
+// checkReply checks a reply against the limits of the protocol.
+func checkReply(t *testing.T, reply *Reply) {
+	t.Helper()
+	isLine := strings.IndexByte("+-:", reply.Kind) >= 0
+	isValue := reply.Kind == kindBulk || reply.Kind == kindArray
+	if !isLine && !isValue || isLine && reply.Value != nil || reply.Kind != kindArray && len(reply.Attributes) > 0 {
+		t.Fatalf("a reply of kind %q with value %v and %d attributes", reply.Kind, reply.Value != nil, len(reply.Attributes))
+	}
+	if reply.Value != nil && reply.Value.size > maxValueSize || slices.ContainsFunc(reply.Attributes, isTooLong) {
+		t.Fatal("an attribute or a value beyond its limit")
 	}
 }
 
-// Whatever a server sends: no panic, the limits hold, and it is all one how the network cuts the bytes up.
+// Whatever a server sends: no panic, the limits hold, and the result does not depend on how the network splits the bytes.
 func FuzzReadReply(f *testing.F) {
 	served := fakes.FormatValue("hello", 3)
 	for _, text := range []string{
--- a/internal/resp/peerstate.go
+++ b/internal/resp/peerstate.go
@@ -1,6 +1,8 @@
 package resp
 
 import (
+	"errors"
+	"io"
 	"os"
 	"slices"
 	"time"
@@ -8,39 +10,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerClosedStates are the states of the system's TCP in which the other side has ended the connection, or it was reset; what came
-// before may still wait to be read. Of linux/tcp_states.h.
+// peerClosedStates are the TCP states (linux/tcp_states.h) in which the peer has closed its sending half or the connection was
+// reset. Bytes that arrived before may still be unread.
 var peerClosedStates = []uint8{
-	unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING,
+	unix.BPF_TCP_CLOSE,
+	unix.BPF_TCP_CLOSE_WAIT,
+	unix.BPF_TCP_LAST_ACK,
+	unix.BPF_TCP_CLOSING,
 	unix.BPF_TCP_TIME_WAIT,
 }
 
-// PeerState tells without waiting how long ago the latest bytes came to this machine, to a few milliseconds (they may have
-// waited for a place, or while this process stood still), and whether the other side has gone. A read sees its end
-// only behind all that came before it, which may be more than is read on with requests in hand. An end that itself
-// stands outside, behind a full window, nobody can see. Where the system tells no state the end is seen as it is read.
-func (c *Conn) PeerState() (age time.Duration, gone bool) {
-	gone = c.rawConn != nil // closed on this side, there is no descriptor to ask
+// PeerState returns, without waiting, how long ago the latest bytes arrived at this machine, to a few milliseconds, and whether
+// the peer has closed the connection. The bytes may have been queued while this process was busy or stopped. A read would see
+// the close only behind all unread bytes, which may be more than is read ahead. A close that itself waits behind a full receive
+// window cannot be seen. On connections without a TCP state, only reading reports the close.
+func (c *Conn) PeerState() (age time.Duration, closed bool) {
+	closed = c.rawConn != nil // stays so if this side has closed: then there is no descriptor to ask
 	c.withDescriptor(func(fd int) {
-		gone = false
-		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+		closed = false
+		info, err := tcpInfo(fd)
 		if err != nil {
 			return
 		}
 		age = time.Duration(info.Last_data_recv) * time.Millisecond
-		gone = slices.Contains(peerClosedStates, info.State)
+		closed = slices.Contains(peerClosedStates, info.State)
 	})
-	return age, gone
+	return age, closed
 }
 
-// IsPeerClosed tells without waiting whether the other side has gone.
+// IsPeerClosed reports, without waiting, whether the peer has closed the connection.
 func (c *Conn) IsPeerClosed() bool {
-	_, gone := c.PeerState()
-	return gone
+	_, closed := c.PeerState()
+	return closed
 }
 
-// AwaitPeerClose waits, reading nothing, until the other side has closed or reset the connection. Behind bytes that stand there
-// only the system's state tells.
+// AwaitPeerClose waits until the peer has closed or reset the connection, and reads nothing. It returns os.ErrInvalid on a
+// connection without a descriptor, and otherwise fails as a read does, for example at the read deadline.
 func (c *Conn) AwaitPeerClose() error {
 	if c.rawConn == nil {
 		return os.ErrInvalid
@@ -48,20 +53,66 @@
 	return c.rawConn.Read(func(fd uintptr) bool {
 		n, err := peek(int(fd), make([]byte, 1))
 		if err != nil || n == 0 {
-			return err != unix.EAGAIN
+			return !errors.Is(err, unix.EAGAIN)
 		}
-		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		info, err := tcpInfo(int(fd)) // behind unread bytes, only the state tells
 		return err == nil && slices.Contains(peerClosedStates, info.State)
 	})
 }
 
-// HasUnacknowledged tells that the other side's system has not confirmed all that was written. A reset would throw that away.
+// HasUnacknowledged reports whether the peer's system has not yet acknowledged all that was written. A reset would discard it.
 func (c *Conn) HasUnacknowledged() bool {
-	unsent := false
+	pending := false
 	c.withDescriptor(func(fd int) {
-		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			unsent = info.Unacked > 0 || info.Notsent_bytes > 0
+		if info, err := tcpInfo(fd); err == nil {
+			pending = info.Unacked > 0 || info.Notsent_bytes > 0
 		}
 	})
-	return unsent
+	return pending
+}
+
+// IsQuiet reports, without waiting, whether the connection is open and has no unread bytes.
+func (c *Conn) IsQuiet() bool {
+	quiet := false
+	c.withDescriptor(func(fd int) {
+		_, err := peek(fd, make([]byte, 1))
+		quiet = errors.Is(err, unix.EAGAIN)
+	})
+	return quiet
+}
+
+// isReadable reports whether a byte, the end or an error has arrived, and keeps the latter two in peekError.
+func (c *Conn) isReadable(fd uintptr) bool {
+	n, err := peek(int(fd), c.peekBuffer[:])
+	c.peekError = nil
+	switch {
+	case errors.Is(err, unix.EAGAIN):
+		return false
+	case err != nil:
+		c.peekError = os.NewSyscallError("recvfrom", err)
+	case n == 0:
+		c.peekError = io.EOF
+	}
+	return true
+}
+
+// withDescriptor calls use with the descriptor, if the connection has one and is open.
+func (c *Conn) withDescriptor(use func(fd int)) {
+	if c.rawConn != nil {
+		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) }) // fails on a closed connection only: use is not called then
+	}
+}
+
+// peek reads a byte without waiting and without consuming it. No byte and no error means the end.
+func peek(fd int, first []byte) (n int, err error) {
+	for {
+		n, _, err = unix.Recvfrom(fd, first, unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return n, err
+		}
+	}
+}
+
+func tcpInfo(fd int) (*unix.TCPInfo, error) {
+	return unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 }
--- a/internal/resp/peerstate_test.go
+++ b/internal/resp/peerstate_test.go
@@ -1,6 +1,7 @@
 package resp
 
 import (
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -19,17 +20,17 @@
 	_, _ = io.WriteString(far, "x")
 	fakes.Eventually(t, "the age", func() bool { return age() >= 50*time.Millisecond })
 	if _, err := c.Read(make([]byte, 1)); err != nil || age() < 50*time.Millisecond {
-		t.Errorf("reading made them %v old (%v)", age(), err)
+		t.Errorf("after the read the age is %v (%v)", age(), err)
 	}
 }
 
 func TestIsPeerClosedBehindUnreadBytes(t *testing.T) {
-	for name, leave := range map[string]func(c *Conn, far *net.TCPConn){
+	for name, closePeer := range map[string]func(c *Conn, far *net.TCPConn){
 		"closed":      func(_ *Conn, far *net.TCPConn) { _ = far.Close() },
 		"half closed": func(_ *Conn, far *net.TCPConn) { _ = far.CloseWrite() },
 		"reset":       func(_ *Conn, far *net.TCPConn) { _, _ = far.SetLinger(0), far.Close() },
 		"closed here": func(c *Conn, _ *net.TCPConn) { _ = c.Close() },
-		"closed after our half": func(c *Conn, far *net.TCPConn) {
+		"closed after this side's half": func(c *Conn, far *net.TCPConn) {
 			_, _ = c.Conn.(*net.TCPConn).CloseWrite(), far.Close()
 		},
 	} {
@@ -37,31 +38,31 @@
 		_, _ = io.WriteString(far, strings.Repeat("x", 2*bufferSize))
 		fakes.Eventually(t, "the bytes", func() bool { return !c.IsQuiet() })
 		if c.IsPeerClosed() {
-			t.Errorf("%s: gone before", name)
+			t.Errorf("%s: reported as closed before", name)
 		}
-		leave(c, far.(*net.TCPConn))
+		closePeer(c, far.(*net.TCPConn))
 		fakes.Eventually(t, name, c.IsPeerClosed)
 	}
 	c, _ := connPair(t)
 	if _ = c.Conn.(*net.TCPConn).CloseWrite(); c.IsPeerClosed() {
-		t.Error("our own half close was taken for the client's")
+		t.Error("the half close of this side is reported as the peer's")
 	}
 	if near, _ := net.Pipe(); NewConn(near).IsPeerClosed() {
-		t.Error("gone where nobody can tell")
+		t.Error("reported as closed without a TCP state")
 	}
 }
 
-// A value for which there is no room is thrown away whole, and the next command is read.
+// A value for which there is no memory is discarded, and the next command is read.
 func TestReadCommandDiscardsValueWithoutCapacity(t *testing.T) {
 	for _, size := range []int{0, 1, bufferSize, maxValueSize} {
 		c := connOf(t, fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+fakes.FormatCommand("PING"))
-		asked := -1
+		reserved := -1
 		cmd, err := c.ReadCommand(4, func(size int) bool {
-			asked = size
+			reserved = size
 			return false
 		})
-		if err != nil || cmd.Body != nil || !cmd.Discarded || len(cmd.Words) != 4 || asked != size {
-			t.Fatalf("size %d: got %+v, %v, asked for %d", size, cmd, err, asked)
+		if err != nil || cmd.Body != nil || !cmd.Discarded || len(cmd.Words) != 4 || reserved != size {
+			t.Fatalf("size %d: got %+v, %v, reserved %d", size, cmd, err, reserved)
 		}
 		if err := c.Await(); err != nil {
 			t.Fatal(err)
@@ -70,10 +71,10 @@
 			t.Fatalf("behind it: got %+v, %v", ping, err)
 		}
 	}
-	for text, bad := range map[string]bool{"$3\r\nabcd\r\n": true, "$3\r\nab": false, "$65537\r\n": true} {
+	for text, malformed := range map[string]bool{"$3\r\nabcd\r\n": true, "$3\r\nab": false, "$65537\r\n": true} {
 		c := connOf(t, "*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n"+text)
 		_, err := c.ReadCommand(4, func(int) bool { return false })
-		if _, is := err.(ProtocolError); err == nil || is != bad {
+		if err == nil || errors.As(err, new(ProtocolError)) != malformed {
 			t.Errorf("%q: got %v", text, err)
 		}
 	}
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -7,41 +7,33 @@
 	"strconv"
 )
 
-// Command is an array of words and perhaps a value behind them.
+// The kinds of RESP2 values that start with their kind and a number.
+const (
+	kindArray = '*'
+	kindBulk  = '$'
+)
+
+// Command is an array of words, optionally followed by a value.
 type Command struct {
 	Words     []string
-	Body      *Bulk
-	Discarded bool // there was a value, which was not held
+	Body      *Bulk // nil if there is none, or if it was discarded
+	Discarded bool  // there was a value, and it was not kept
 }
 
-// ReadCommand reads a command of at most so many words and one value more, after Await. A value is read only if there is
-// room for its size, else it is thrown away as it comes; without a function there always is.
-func (c *Conn) ReadCommand(words int, room func(size int) bool) (*Command, error) {
-	n, err := c.readHeader('*')
+// ReadCommand reads a command of at most maxWords words and one value, after Await. Before a value is read, reserve is asked
+// whether there is memory for its size; if not, the value is discarded as it arrives. A nil reserve always allows it. The error
+// is a ProtocolError if the peer violates the protocol; after any error the connection cannot be read any more.
+func (c *Conn) ReadCommand(maxWords int, reserve func(size int) bool) (*Command, error) {
+	length, err := c.readHeader(kindArray)
 	if err != nil {
 		return nil, c.closeReading(err)
 	}
-	if n < 1 || n > words+1 {
+	if length < 1 || length > maxWords+1 {
 		return nil, c.closeReading(ProtocolError("wrong number of words"))
 	}
-	cmd := &Command{Words: make([]string, 0, words)}
-	for i := range n {
-		size, err := c.readHeader('$')
-		switch {
-		case err != nil:
-		case size < 0:
-			err = ProtocolError("a word is missing")
-		case i < words:
-			var word string
-			word, err = c.readWord(size)
-			cmd.Words = append(cmd.Words, word)
-		case room == nil || size > maxValueSize || room(size):
-			cmd.Body, err = c.readBulk(size)
-		default:
-			cmd.Discarded = true
-			err = c.discard(size)
-		}
-		if err != nil {
+	cmd := &Command{Words: make([]string, 0, maxWords)}
+	for i := range length {
+		if err := c.readElement(cmd, i < maxWords, reserve); err != nil {
 			return nil, c.closeReading(err)
 		}
 	}
@@ -49,15 +41,37 @@
 	return cmd, nil
 }
 
-// Reply is what comes back: a line (of a status or an error), or a value and the notes behind it.
+// readElement reads the next word of a command, or its value.
+func (c *Conn) readElement(cmd *Command, isWord bool, reserve func(size int) bool) error {
+	size, err := c.readHeader(kindBulk)
+	if err != nil {
+		return err
+	}
+	switch {
+	case size < 0:
+		return ProtocolError("a word is missing")
+	case isWord:
+		word, err := c.readWord(size)
+		cmd.Words = append(cmd.Words, word)
+		return err
+	case reserve == nil || size > maxValueSize || reserve(size):
+		cmd.Body, err = c.readBulk(size)
+		return err
+	default:
+		cmd.Discarded = true
+		return c.discard(size)
+	}
+}
+
+// Reply is a server's reply: a status or error line, or a value with attributes behind it.
 type Reply struct {
-	Kind       byte // as in RESP2
+	Kind       byte // the first byte of the RESP2 reply
 	Line       string
-	Value      *Bulk    // nil where it is null
-	Attributes []string // empty where they are null
+	Value      *Bulk    // nil if it is null
+	Attributes []string // an element is empty if it is null
 }
 
-// ReadReply reads a reply, after Await.
+// ReadReply reads a reply, after Await. Its errors are those of ReadCommand.
 func (c *Conn) ReadReply() (*Reply, error) {
 	r, err := c.readReply()
 	if err != nil {
@@ -75,36 +89,66 @@
 		return r, errors.Join(err, ProtocolError("an empty line"))
 	}
 	r.Kind, r.Line = line[0], line[1:]
-	n, size := 1, -1
 	switch r.Kind {
 	case '+', '-', ':':
 		return r, nil
-	case '$':
-		size, err = parseLength(r.Line)
-	case '*':
-		if n, err = parseLength(r.Line); err == nil && n < 1 {
-			err = ProtocolError("an array with no value")
-		}
-		if err == nil {
-			size, err = c.readHeader('$')
+	case kindBulk:
+		size, err := parseLength(r.Line)
+		if err != nil {
+			return r, err
 		}
+		return r, c.readReplyValue(r, size)
+	case kindArray:
+		return r, c.readReplyArray(r)
 	default:
-		err = ProtocolError("an unknown kind of reply")
+		return r, ProtocolError("an unknown kind of reply")
 	}
-	if err == nil && size >= 0 {
-		r.Value, err = c.readBulk(size)
+}
+
+// readReplyArray reads a value and the attributes behind it; the header of the array is in r.Line.
+func (c *Conn) readReplyArray(r *Reply) error {
+	length, err := parseLength(r.Line)
+	if err != nil {
+		return err
+	}
+	if length < 1 {
+		return ProtocolError("an array with no value")
 	}
-	for ; err == nil && n > 1; n-- {
-		var note string
-		if size, err = c.readHeader('$'); err == nil && size >= 0 {
-			note, err = c.readWord(size)
+	size, err := c.readHeader(kindBulk)
+	if err != nil {
+		return err
+	}
+	if err := c.readReplyValue(r, size); err != nil {
+		return err
+	}
+	for range length - 1 {
+		attribute, err := c.readAttribute()
+		r.Attributes = append(r.Attributes, attribute)
+		if err != nil {
+			return err
 		}
-		r.Attributes = append(r.Attributes, note)
 	}
-	return r, err
+	return nil
+}
+
+// readReplyValue reads the value of a reply; a negative size means null.
+func (c *Conn) readReplyValue(r *Reply, size int) (err error) {
+	if size >= 0 {
+		r.Value, err = c.readBulk(size)
+	}
+	return err
+}
+
+// readAttribute reads a word, which is empty if it is null.
+func (c *Conn) readAttribute() (string, error) {
+	size, err := c.readHeader(kindBulk)
+	if err != nil || size < 0 {
+		return "", err
+	}
+	return c.readWord(size)
 }
 
-// readHeader reads a line of a kind and a number; -1 means null.
+// readHeader reads a line that consists of a kind and a length; -1 means null.
 func (c *Conn) readHeader(kind byte) (int, error) {
 	line, err := c.reader.ReadLineBytes()
 	if err != nil {
@@ -116,7 +160,7 @@
 	return parseLength(string(line[1:]))
 }
 
-// parseLength reads a length in the one form in which it is written.
+// parseLength parses a length. Only its shortest decimal form is allowed.
 func parseLength(text string) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil || n < -1 || strconv.Itoa(n) != text {
@@ -136,24 +180,20 @@
 	return string(word[:size]), checkTerminator(word[size:])
 }
 
-// readBulk reads a value; if that fails its buffers are back in the pool.
+// readBulk reads a value. On an error its buffers are back in the pool.
 func (c *Conn) readBulk(size int) (*Bulk, error) {
 	if size > maxValueSize {
 		return nil, ProtocolError("value too long")
 	}
 	b := &Bulk{size: size}
 	var err error
-	for left := size; left > 0 && err == nil; left -= bufferSize {
+	for remaining := size; remaining > 0 && err == nil; remaining -= bufferSize {
 		part := bufferPool.Get().(*[bufferSize]byte)
 		b.parts = append(b.parts, part)
-		_, err = io.ReadFull(c.reader.R, part[:min(left, bufferSize)])
-	}
-	var end [2]byte
-	if err == nil {
-		_, err = io.ReadFull(c.reader.R, end[:])
+		_, err = io.ReadFull(c.reader.R, part[:min(remaining, bufferSize)])
 	}
 	if err == nil {
-		err = checkTerminator(end[:])
+		err = c.readTerminator()
 	}
 	if err != nil {
 		b.Free()
@@ -162,11 +202,15 @@
 	return b, nil
 }
 
-// discard reads a value and keeps none of it.
+// discard reads a value and keeps nothing of it.
 func (c *Conn) discard(size int) error {
 	if _, err := c.reader.R.Discard(size); err != nil {
 		return err
 	}
+	return c.readTerminator()
+}
+
+func (c *Conn) readTerminator() error {
 	var end [2]byte
 	if _, err := io.ReadFull(c.reader.R, end[:]); err != nil {
 		return err
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp speaks RESP2, on net/textproto over net. A connection holds buffers only from the first byte
-// of a message to its last: one that waits holds none.
+// Package resp reads and writes RESP2 messages on net/textproto over net. A connection holds a buffer only from the first
+// byte of a message to its last: a connection that waits holds none.
 package resp
 
 import (
@@ -9,19 +9,20 @@
 	"sync"
 )
 
+// Sizes in bytes.
 const (
-	bufferSize     = 4 << 10  // the one size of buffers: most messages fit
-	maxValueSize   = 64 << 10 // the largest value, as the protocol says
+	bufferSize     = 4 << 10  // the one size of pooled buffers: most messages fit
+	maxValueSize   = 64 << 10 // the largest value that the protocol allows
 	maxWordSize    = 1 << 10  // the longest word that is not a value
 	maxMessageSize = maxValueSize + 4*maxWordSize
 )
 
-// A BadMessage says what is wrong with what the other side sent. No more can be read from it then.
+// A ProtocolError says how a message of the peer violates the protocol. Nothing more can be read from that connection.
 type ProtocolError string
 
-func (b ProtocolError) Error() string { return string(b) }
+func (e ProtocolError) Error() string { return string(e) }
 
-// The pools. Readers and writers hold one buffer of the one size each.
+// The pools. Readers and writers hold one buffer of bufferSize each.
 var (
 	readerPool = sync.Pool{New: func() any {
 		in := &messageReader{}
@@ -32,14 +33,14 @@
 	bufferPool = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 )
 
-// messageReader is a textproto.Reader and where it reads from: the byte that the wait had to read, if any, then the
-// connection, but no more than a message may hold. That bounds lines without an end.
+// messageReader is a textproto.Reader together with its source: the byte that waiting had to consume, if any, then the
+// connection, limited to the size of one message. The limit bounds lines that never end.
 type messageReader struct {
 	*textproto.Reader
 	conn        net.Conn
 	peeked      []byte
-	remaining   int
-	noReadAhead bool // byte by byte: nothing behind the message is read on
+	remaining   int  // bytes that the message may still have
+	noReadAhead bool // read byte by byte, so that nothing behind the message is consumed
 }
 
 // Read feeds the buffered reader.
@@ -60,13 +61,13 @@
 	return n, err
 }
 
-// Bulk is a value, in as many buffers as it needs.
+// Bulk is a value, held in pooled buffers.
 type Bulk struct {
 	parts []*[bufferSize]byte
 	size  int
 }
 
-// Free gives the buffers back. A nil value has none.
+// Free returns the buffers to the pool. Freeing a nil value does nothing.
 func (b *Bulk) Free() {
 	if b == nil {
 		return
@@ -77,7 +78,7 @@
 	b.parts, b.size = nil, 0
 }
 
-// String is the value as text.
+// String returns the value as text.
 func (b *Bulk) String() string {
 	text := make([]byte, 0, b.size)
 	for _, part := range b.parts {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,14 +11,14 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// connPair is a connection, and the other end of it.
+// connPair returns a connection and its other end.
 func connPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	near, far := fakes.ConnPair(t)
 	return NewConn(near), far
 }
 
-// connOf gives a connection what the other end writes.
+// connOf returns a connection whose peer has sent text and closed its sending half.
 func connOf(t *testing.T, text string) *Conn {
 	t.Helper()
 	c, far := connPair(t)
@@ -50,15 +50,15 @@
 		out, far := connPair(t)
 		go func() { _, _ = out.WriteCommand(cmd), out.Close() }()
 		if got, _ := io.ReadAll(far); string(got) != fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body) {
-			t.Errorf("size %d: %d bytes written otherwise", size, len(got))
+			t.Errorf("size %d: %d bytes written, not the same", size, len(got))
 		}
 	}
 }
 
 func TestReadCommandTellsMalformedFromDisconnected(t *testing.T) {
 	for name, c := range map[string]struct {
-		text string
-		bad  bool
+		text      string
+		malformed bool
 	}{
 		"inline":           {"PING\r\n", true},
 		"no words":         {"*0\r\n", true},
@@ -76,8 +76,7 @@
 		"cut in a value":   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nxx", false},
 	} {
 		_, err := connOf(t, c.text).ReadCommand(4, nil)
-		var bad ProtocolError
-		if err == nil || errors.As(err, &bad) != c.bad {
+		if err == nil || errors.As(err, new(ProtocolError)) != c.malformed {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -108,7 +107,7 @@
 	}
 	for _, text := range []string{"\r\n", "?x\r\n", "*0\r\n", "*1\r\n+x\r\n", "$70000\r\n", "*2\r\n$1\r\na\r\n"} {
 		if got, err := connOf(t, text).ReadReply(); err == nil {
-			t.Errorf("%q was taken for %+v", text, got)
+			t.Errorf("%q is read as %+v", text, got)
 		}
 	}
 }
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// WriteCommand writes a command in one go if it fits a buffer. An error means that its last byte was not.
+// WriteCommand writes a command, in one system call if it fits a buffer. An error means that its last byte was not written.
 func (c *Conn) WriteCommand(cmd *Command) error {
 	return c.write(func(w *bufio.Writer) {
 		n := len(cmd.Words)
 		if cmd.Body != nil {
 			n++
 		}
-		writeHeader(w, '*', n)
+		writeHeader(w, kindArray, n)
 		for _, word := range cmd.Words {
-			writeHeader(w, '$', len(word))
+			writeHeader(w, kindBulk, len(word))
 			_, _ = w.WriteString(word)
 			_, _ = w.WriteString("\r\n")
 		}
@@ -24,7 +24,7 @@
 	})
 }
 
-// WriteLine writes a status or an error, whose first byte is its kind.
+// WriteLine writes a status or error line; its first byte is its kind.
 func (c *Conn) WriteLine(line string) error {
 	return c.write(func(w *bufio.Writer) {
 		_, _ = w.WriteString(line)
@@ -32,12 +32,12 @@
 	})
 }
 
-// WriteValue writes a value.
+// WriteValue writes a bulk value.
 func (c *Conn) WriteValue(b *Bulk) error {
 	return c.write(func(w *bufio.Writer) { writeBulk(w, b) })
 }
 
-// write lends a writer; its errors stay with it until the flush.
+// write passes a pooled writer to fill and flushes it. The writer keeps its first error, which the flush returns.
 func (c *Conn) write(fill func(*bufio.Writer)) error {
 	w := writerPool.Get().(*bufio.Writer)
 	w.Reset(c.Conn)
@@ -49,11 +49,11 @@
 }
 
 func writeBulk(w *bufio.Writer, b *Bulk) {
-	writeHeader(w, '$', b.size)
-	left := b.size
+	writeHeader(w, kindBulk, b.size)
+	remaining := b.size
 	for _, part := range b.parts {
-		_, _ = w.Write(part[:min(left, bufferSize)])
-		left -= bufferSize
+		_, _ = w.Write(part[:min(remaining, bufferSize)])
+		remaining -= bufferSize
 	}
 	_, _ = w.WriteString("\r\n")
 }
