--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -7,14 +7,15 @@
 	"harrierhoist/policy"
 )
 
-// attempt is a push on its way to a server. Until its first byte it can be called off, and then it surely never ran;
-// from there on it can only be given up, and may have run. One step tells the two apart, so that none is both.
+// attempt is an attempt of a request at a server. Until its first byte it can be cancelled, and then it surely never ran;
+// from there on it can only be abandoned, and may have run. One atomic step tells the two apart, so that none is both.
 type attempt struct {
 	server  Server // as it was listed when it was chosen
 	state   atomic.Uint32
 	abandon context.CancelFunc
 }
 
+// The states of an attempt.
 const (
 	attemptUnbegun = iota
 	attemptBegun
@@ -24,24 +25,27 @@
 // begin tells whether the first byte may go out; from then on the attempt counts as begun.
 func (a *attempt) begin() bool { return a.state.CompareAndSwap(attemptUnbegun, attemptBegun) }
 
-// cancelUnbegun ends an attempt that has not begun: nothing is to reach a server for a client that has gone, for a task that
-// has its final answer, or at a server that the list takes out of service. It leaves one that has begun as it is. Harm:
-// a connection that was coming up is lost.
+// cancelUnbegun ends an attempt that has not begun, and leaves one that has as it is: nothing is to reach a server for a
+// client that has gone, for a request that has its final answer, or at a server that the endpoint list takes out of
+// service. The price is a connection that was coming up.
 func (a *attempt) cancelUnbegun() {
 	if a != nil && a.state.CompareAndSwap(attemptUnbegun, attemptCancelled) {
 		a.abandon()
 	}
 }
 
-// cancelUnbegunAttempts calls off the attempts that have not begun at servers which the list does not have any more as they were
-// chosen: gone, draining, at another address, or in a new life. The module seats the tasks elsewhere.
+// isStale tells whether the endpoint list does not have the attempt's server any more as it was chosen: it is removed,
+// draining, at another address, or was started again.
+func (a *attempt) isStale(current Server) bool {
+	return current.Endpoint.State != policy.Ready || current.Address != a.server.Address ||
+		current.Endpoint.StartedAt != a.server.Endpoint.StartedAt
+}
+
+// cancelUnbegunAttempts cancels the stale attempts that have not begun. The gateway finds their requests other servers.
 func (d *Dispatcher) cancelUnbegunAttempts() {
 	for _, r := range d.requests {
-		if a := r.current; a != nil {
-			server := d.servers[r.server]
-			if server.Endpoint.State != policy.Ready || server.Address != a.server.Address || server.Endpoint.StartedAt != a.server.Endpoint.StartedAt {
-				a.cancelUnbegun()
-			}
+		if r.current != nil && r.current.isStale(d.servers.byNumber[r.server]) {
+			r.current.cancelUnbegun()
 		}
 	}
 }
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -9,137 +9,174 @@
 	"harrierhoist/policy"
 )
 
-// notifyEndpoint has discovery tell one server's entry.
-func (f *fixture) notifyEndpoint(name, address string, stage policy.EndpointState, since time.Duration) {
-	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{Name: name, Address: address, Endpoint: policy.Endpoint{State: stage, StartedAt: since}}})
+// notifyEndpoint has discovery bring a change of one server.
+func (f *fixture) notifyEndpoint(name, address string, state policy.EndpointState, startedAt time.Duration) {
+	f.Helper()
+	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{
+		Name: name, Address: address, Endpoint: policy.Endpoint{State: state, StartedAt: startedAt},
+	}})
 }
 
-// What takes an attempt's reason away calls it off at once while nothing of it was written, and leaves it as it is from
-// its first byte on, where nothing may be given up. It was asked of nobody: the module only marked the task as over.
+// cancelCause takes the reason of an attempt at server s-1 away.
+type cancelCause struct {
+	name     string
+	happens  func(f *fixture, request *Request)
+	next     Action // after an attempt that was cancelled
+	isUsable bool   // the server may be chosen again as it was
+}
+
+// What takes an attempt's reason away cancels it at once while nothing of it was written, and leaves it as it is from its
+// first byte on, where the deployment has no cancelling. Nobody was asked to: the gateway only marked the request as
+// completed.
 func TestAttempt_cancelledUntilFirstByteOnly(t *testing.T) {
-	for name, c := range map[string]struct {
-		happens func(f *fixture, r *Request)
-		next    Action // of an attempt that was called off
-	}{
-		"the client goes":         {func(_ *fixture, r *Request) { r.Disconnect() }, Disconnected},
-		"the final answer is due": {func(f *fixture, r *Request) { f.expire(r) }, Reject},
-		"the server drains":       {func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", "here", policy.Draining, 0) }, Forward},
-		"the server is gone":      {func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", "here", policy.Removed, 0) }, Forward},
-		"a whole list leaves it":  {func(f *fixture, _ *Request) { f.dispatcher.HandleEndpoints(policy.ListFull, nil) }, Forward},
-		"it moves":                {func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", "there", policy.Ready, 0) }, Forward},
-		"it is in a new life":     {func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", "here", policy.Ready, 1) }, Forward},
-		"it drains and comes again": {func(f *fixture, r *Request) {
+	notify := func(address string, state policy.EndpointState, startedAt time.Duration) func(*fixture, *Request) {
+		return func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", address, state, startedAt) }
+	}
+	for _, cause := range []cancelCause{
+		{name: "client disconnects", happens: func(_ *fixture, request *Request) { request.Disconnect() }, next: Disconnected},
+		{name: "final answer is due", happens: func(f *fixture, request *Request) { f.expire(request) }, next: Reject},
+		{name: "server drains", happens: notify("here", policy.Draining, 0), next: Forward},
+		{name: "server is removed", happens: notify("here", policy.Removed, 0), next: Forward},
+		{name: "full list leaves server out", happens: func(f *fixture, _ *Request) {
+			f.dispatcher.HandleEndpoints(policy.ListFull, nil)
+		}, next: Forward},
+		{name: "server has another address", happens: notify("there", policy.Ready, 0), next: Forward},
+		{name: "server was started again", happens: notify("here", policy.Ready, 1), next: Forward},
+		{name: "server is removed and comes back", happens: func(f *fixture, _ *Request) {
 			f.setEndpoint(policy.ListFull, policy.Removed)
 			f.setEndpoint(policy.ListFull, policy.Ready)
-		}, Forward},
+		}, next: Forward, isUsable: true},
 	} {
-		for _, begun := range []bool{false, true} {
-			for _, class := range []int{0, 1} {
-				t.Run(fmt.Sprint(name, ", begun ", begun, ", lane ", class), func(t *testing.T) {
-					t.Parallel()
-					f := newFixture(t, withLongTimeouts, func(d *policy.Settings) { d.CanCancel = false })
-					r, forward := f.forwarded(class, time.Hour)
-					if begun && !forward.Begin() {
-						t.Fatal("it may not begin")
-					}
-					c.happens(f, r)
-					if cancelled := forward.Context.Err() != nil; cancelled == begun {
-						t.Fatalf("called off: %v", cancelled)
-					}
-					if forward.Begin() {
-						t.Fatal("it may begin, or twice")
-					}
-					if begun {
-						return
-					}
-					f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
-					r.ReportResult(Result{Outcome: policy.NotSent})
-					want := c.next
-					if want == Reject && class == 1 {
-						want = Terminate // that it was called off came after the final answer
-					}
-					if got := f.expectAction(r, want); c.next == Forward && got.Server.Name == "s-1" && got.Server.Address == forward.Server.Address &&
-						got.Server.Endpoint.StartedAt == forward.Server.Endpoint.StartedAt && name != "it drains and comes again" {
-						t.Errorf("and sent there again: %+v", got.Server)
-					}
-				})
-			}
+		for _, class := range []int{0, 1} {
+			t.Run(fmt.Sprint(cause.name, ", unbegun, class ", class), func(t *testing.T) {
+				t.Parallel()
+				cause.checkUnbegun(t, class)
+			})
+			t.Run(fmt.Sprint(cause.name, ", begun, class ", class), func(t *testing.T) {
+				t.Parallel()
+				cause.checkBegun(t, class)
+			})
 		}
 	}
 }
 
-// A list that says the same of a server, or something of another, calls nothing off.
+func withoutCancelling(settings *policy.Settings) { settings.CanCancel = false }
+
+// checkBegun wants an attempt that has begun left as it is.
+func (c *cancelCause) checkBegun(t *testing.T, class int) {
+	t.Helper()
+	f := newFixture(t, withLongTimeouts, withoutCancelling)
+	request, forward := f.forwarded(class, time.Hour)
+	if !forward.Begin() {
+		t.Fatal("Begin refuses the first byte")
+	}
+	c.happens(f, request)
+	if forward.Context.Err() != nil {
+		t.Fatal("cancelled after its first byte")
+	}
+	if forward.Begin() {
+		t.Fatal("Begin allows the first byte twice")
+	}
+}
+
+// checkUnbegun wants an attempt that has not begun cancelled, and the request dealt with otherwise.
+func (c *cancelCause) checkUnbegun(t *testing.T, class int) {
+	t.Helper()
+	f := newFixture(t, withLongTimeouts, withoutCancelling)
+	request, forward := f.forwarded(class, time.Hour)
+	c.happens(f, request)
+	if forward.Context.Err() == nil {
+		t.Fatal("not cancelled")
+	}
+	if forward.Begin() {
+		t.Fatal("Begin allows the first byte after it was cancelled")
+	}
+	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
+	request.ReportResult(Result{Outcome: policy.NotSent})
+	want := c.next
+	if want == Reject && class == 1 {
+		want = Terminate // the report that it was not sent came after the final answer
+	}
+	next := f.expectAction(request, want)
+	isSame := next.Server.Name == "s-1" && next.Server.Address == forward.Server.Address &&
+		next.Server.Endpoint.StartedAt == forward.Server.Endpoint.StartedAt
+	if next.Action == Forward && isSame && !c.isUsable {
+		t.Errorf("forwarded there again: %+v", next.Server)
+	}
+}
+
+// A list that says the same of a server, or something of another, cancels nothing.
 func TestAttempt_continuesWhenItsServerIsUnchanged(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
-	r, forward := f.forwarded(0, time.Hour)
+	request, forward := f.forwarded(0, time.Hour)
 	f.setEndpoint(policy.ListFull, policy.Ready)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Draining, 0)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
 	if forward.Context.Err() != nil || !forward.Begin() {
-		t.Error("called off")
+		t.Error("cancelled")
 	}
-	r.ReportResult(Result{Outcome: policy.Answered})
+	request.ReportResult(Result{Outcome: policy.Answered})
 }
 
-// A first byte and a call off that come in the same moment never both happen.
+// A first byte and a cancellation that come in the same moment never both happen.
 func TestAttempt_beginAndCancelExcludeEachOther(t *testing.T) {
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) { d.CanCancel, d.HasCounter = false, false })
 	for range 200 {
-		r := f.admit(0, 0, time.Hour)
-		forward := f.expectAction(r, Forward)
+		request := f.admit(0, 0, time.Hour)
+		forward := f.expectAction(request, Forward)
 		began := make(chan bool)
 		go func() { began <- forward.Begin() }()
-		r.Disconnect()
+		request.Disconnect()
 		if <-began == (forward.Context.Err() != nil) {
-			t.Fatalf("begun and called off alike")
+			t.Fatal("begun and cancelled alike")
 		}
-		r.ReportResult(Result{Outcome: policy.NotSent})
-		f.expectAction(r, Disconnected)
+		request.ReportResult(Result{Outcome: policy.NotSent})
+		f.expectAction(request, Disconnected)
 	}
 }
 
-// A task whose client goes while no attempt is out gets none: it waits for the counter, for a server, or for the next
-// try.
+// A request whose client disconnects while no attempt is in flight gets none: it waits for the counter, for a server, or for
+// a retry.
 func TestRequest_noAttemptAfterDisconnect(t *testing.T) {
-	for name, bring := range map[string]func(f *fixture) *Request{
-		"a counter total": func(f *fixture) *Request { return f.admit(0, 0, time.Hour) },
-		"a server": func(f *fixture) *Request {
+	for name, arrange := range map[string]func(f *fixture) *Request{
+		"waits for the counter": func(f *fixture) *Request { return f.admit(0, 0, time.Hour) },
+		"waits for a server": func(f *fixture) *Request {
 			f.setEndpoint(policy.ListFull, policy.Draining)
-			r := f.admit(0, 0, time.Hour)
+			request := f.admit(0, 0, time.Hour)
 			(<-f.counterCalls).reply(0, policy.Answered)
-			return r
+			return request
 		},
-		"a retry": func(f *fixture) *Request {
-			r, forward := f.forwarded(0, time.Hour)
+		"waits for a retry": func(f *fixture) *Request {
+			request, forward := f.forwarded(0, time.Hour)
 			f.setEndpoint(policy.ListFull, policy.Draining)
 			forward.Begin()
-			r.ReportResult(Result{Outcome: policy.Rejected})
-			return r
+			request.ReportResult(Result{Outcome: policy.Rejected})
+			return request
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, withLongTimeouts)
-			r := bring(f)
-			r.Disconnect()
+			request := arrange(f)
+			request.Disconnect()
 			f.setEndpoint(policy.ListFull, policy.Ready)
-			f.expectAction(r, Disconnected)
-			other := f.admit(0, 0, time.Hour) // the waits of before are over once this one has had its turn
-			fakes.Eventually(t, "a push", func() bool {
+			f.expectAction(request, Disconnected)
+			other := f.admit(0, 0, time.Hour) // once this one has its turn, the earlier one has had it
+			fakes.Eventually(t, "an attempt", func() bool {
 				for len(f.counterCalls) > 0 {
 					(<-f.counterCalls).reply(0, policy.Answered)
 				}
 				return len(other.decisions) > 0
 			})
-			time.Sleep(25 * time.Millisecond)
-			if len(r.decisions) != 0 || len(f.dispatcher.requests) != 1 {
-				t.Errorf("%d choices more, %d errands", len(r.decisions), len(f.dispatcher.requests))
+			time.Sleep(25 * time.Millisecond) // requests look for a server every 20 ms: that nothing follows is seen only later
+			if len(request.decisions) != 0 || len(f.dispatcher.requests) != 1 {
+				t.Errorf("%d more decisions, %d requests in flight", len(request.decisions), len(f.dispatcher.requests))
 			}
 		})
 	}
 }
 
-// A receipted task is repeated within its window alone, to the last byte: the time to be out by goes with the push.
+// A keyed request is retried within its window alone, to the last byte: the write deadline goes with the attempt.
 func TestWriteDeadline_retryOfKeyedRequestEndsWithWindow(t *testing.T) {
 	const window = time.Minute
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) {
@@ -147,50 +184,50 @@
 	})
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	before := time.Now()
-	r, forward := f.forwarded(0, time.Hour)
+	request, forward := f.forwarded(0, time.Hour)
 	if !forward.WriteDeadline.Equal(forward.Deadline) {
-		t.Errorf("the first has until %v, not %v", forward.WriteDeadline, forward.Deadline)
+		t.Errorf("the first has the write deadline %v, not %v", forward.WriteDeadline, forward.Deadline)
 	}
 	forward.Begin()
 	after := time.Now()
-	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} { // the third goes by the first too
-		r.ReportResult(Result{Outcome: outcome})
-		forward = f.expectAction(r, Forward)
+	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} { // the window of the third counts from the first too
+		request.ReportResult(Result{Outcome: outcome})
+		forward = f.expectAction(request, Forward)
 		if forward.WriteDeadline.Before(before.Add(window)) || forward.WriteDeadline.After(after.Add(window)) {
-			t.Errorf("out by %v, after the first %v", forward.WriteDeadline, forward.WriteDeadline.Sub(before))
+			t.Errorf("write deadline %v, after the first %v", forward.WriteDeadline, forward.WriteDeadline.Sub(before))
 		}
 	}
 }
 
-// One that surely never ran bounds nothing.
+// An attempt that surely never ran starts no window.
 func TestWriteDeadline_attemptThatNeverRanStartsNoWindow(t *testing.T) {
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) {
 		d.Classes[0].Effect, d.Classes[0].DedupWindow = policy.Keyed, time.Minute
 	})
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
-	r, _ := f.forwarded(0, time.Hour)
-	r.ReportResult(Result{Outcome: policy.ConnectFailed})
-	if forward := f.expectAction(r, Forward); !forward.WriteDeadline.Equal(forward.Deadline) {
-		t.Errorf("out by %v", forward.WriteDeadline)
+	request, _ := f.forwarded(0, time.Hour)
+	request.ReportResult(Result{Outcome: policy.ConnectFailed})
+	if forward := f.expectAction(request, Forward); !forward.WriteDeadline.Equal(forward.Deadline) {
+		t.Errorf("write deadline %v", forward.WriteDeadline)
 	}
 }
 
-// Nothing that the module asks for waits for the carrier of a task: a choice not yet taken and the final answer fit.
+// Nothing that the gateway asks for waits for the carrier of a request: a decision not yet read and the final one fit.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
-	r, _ := f.forwarded(0, time.Hour)
+	request, _ := f.forwarded(0, time.Hour)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	f.notifyEndpoint("s-1", "here", policy.Draining, 0)
-	r.ReportResult(Result{Outcome: policy.NotSent})
-	f.expire(r) // pushed again, and rejected before anyone looked
-	r.Disconnect()
-	again := f.expectAction(r, Forward)
+	request.ReportResult(Result{Outcome: policy.NotSent})
+	f.expire(request) // forwarded again, and rejected before anyone read that
+	request.Disconnect()
+	again := f.expectAction(request, Forward)
 	if again.Begin() {
-		t.Error("it may begin after the final answer")
+		t.Error("Begin allows the first byte after the final answer")
 	}
-	r.ReportResult(Result{Outcome: policy.NotSent})
-	f.expectAction(r, Reject)
-	if len(r.decisions) != 0 || len(f.dispatcher.requests) != 0 {
-		t.Errorf("%d choices more, %d errands", len(r.decisions), len(f.dispatcher.requests))
+	request.ReportResult(Result{Outcome: policy.NotSent})
+	f.expectAction(request, Reject)
+	if len(request.decisions) != 0 || len(f.dispatcher.requests) != 0 {
+		t.Errorf("%d more decisions, %d requests in flight", len(request.decisions), len(f.dispatcher.requests))
 	}
 }
--- a/internal/dispatch/counting.go
+++ b/internal/dispatch/counting.go
@@ -6,37 +6,37 @@
 	"harrierhoist/policy"
 )
 
-// CountingRules says under which counts tasks fall, where that is not always their customer's. All but Wait's answer is
-// called under the gate's lock and may neither wait nor call back.
+// CountingRules say under which counts requests fall, where that is not always their customer's. All methods are called
+// under the dispatcher's lock and may neither wait nor call back.
 type CountingRules interface {
-	// WithRulePlans gives settings with the rules' own plans behind them. Shaped takes them as they are in force, and gives them
-	// as clients may know them: with the rules' plans closed.
+	// WithRulePlans gives settings with the rules' own plans behind them. WithoutRulePlans takes them as they are in force, and
+	// gives them as clients may know them: with the rules' plans retired.
 	WithRulePlans(settings policy.Settings) policy.Settings
 	WithoutRulePlans(settings policy.Settings) policy.Settings
-	// Assign gives the counts of a task that is taken now. It keeps them whatever holds later.
+	// Assign gives the counts of a request that is admitted now. It keeps them whatever holds later.
 	Assign(now time.Duration, spec RequestSpec) CountAssignment
-	// HandleCounterCall tells that the module calls the counter.
+	// HandleCounterCall tells that the gateway calls the counter.
 	HandleCounterCall()
 }
 
-// CountAssignment is how a task is counted.
+// CountAssignment is how a request is counted.
 type CountAssignment struct {
-	Key         uint64 // stands for its customer in the module
-	Plan        int
-	Width       int
-	Weight      float64 // of a unit
-	PerCustomer bool    // counted under its customer: what a server tells of the customer's use holds
-	// CheckOthers asks the other counts that the task has to pass, nil where there are none. It calls then once, from another
-	// goroutine, without the gate's lock.
+	Key          uint64 // stands for its customer in the gateway
+	Plan         int
+	GatewayCount int
+	Weight       float64 // of a unit
+	PerCustomer  bool    // counted under its customer: what a server tells of the customer's use holds
+	// CheckOthers asks the other counts that the request has to pass, nil where there are none. It calls then once, from another
+	// goroutine, without the dispatcher's lock.
 	CheckOthers func(then func(pass bool))
-	// Completed is told once, when the task has its final answer: whether it was pushed, and its true weighted units (0: not
-	// told).
-	Completed func(pushed bool, units float64)
+	// Completed is called once, when the request has its final answer: whether it was forwarded, and its true weighted units
+	// (0: not told).
+	Completed func(forwarded bool, units float64)
 
 	billedUnits float64
 }
 
-// weightResult turns an outcome's units to those of the task's count.
+// weightResult turns a result's units to those of the request's count.
 func (a *CountAssignment) weightResult(result Result) Result {
 	result.Billed *= a.Weight
 	a.billedUnits = result.Billed
@@ -46,8 +46,8 @@
 	return result
 }
 
-// SetCountingRules has tasks counted as c says, from here on; called again, it takes the plans anew. An error means that nothing
-// has changed.
+// SetCountingRules has requests counted by rules from here on; called again, it takes their plans anew. An error means that
+// nothing has changed.
 func (d *Dispatcher) SetCountingRules(rules CountingRules) error {
 	now := d.lock()
 	defer d.unlock()
@@ -60,32 +60,42 @@
 	return err
 }
 
-// CallCounter calls the counter past the module. It neither waits nor calls back before it returns.
-func (d *Dispatcher) CallCounter(name uint64, units float64, ttl time.Duration, reply func(float64, policy.Outcome)) {
+// CallCounter calls the counter past the gateway. It neither waits nor calls back before it returns.
+func (d *Dispatcher) CallCounter(
+	name uint64, units float64, ttl time.Duration, reply func(total float64, outcome policy.Outcome),
+) {
 	d.dependencies.Count(name, units, ttl, reply)
 }
 
-// Now is the clock that windows go by, which all gateways share.
-func (d *Dispatcher) Now() time.Duration { return d.now() }
+// handleCounterReply takes the counter's reply to a call of the gateway's.
+func (d *Dispatcher) handleCounterReply(now time.Duration, call *counterCall, total float64, outcome policy.Outcome) {
+	latency := now - call.startedAt
+	if d.recorder != nil {
+		d.recorder.AddCounterCall(outcome != policy.Answered || d.counterTimeout > 0 && latency > d.counterTimeout)
+	}
+	reply := policy.CountResult{Name: call.name, Total: total, Latency: latency, Outcome: outcome}
+	d.counterCalls.complete(call, reply, func(reply policy.CountResult) { d.gateway.HandleCount(d.clock.now(), reply) })
+}
 
-// admitByRules hands a task to the module under its count, once the other counts let it pass.
-func (d *Dispatcher) admitByRules(now time.Duration, r *Request, spec RequestSpec, request policy.Request) {
+// admitByRules hands a request to the gateway under its count, once the other counts let it pass.
+func (d *Dispatcher) admitByRules(now time.Duration, request *Request, spec RequestSpec, asked policy.Request) {
 	assignment := d.rules.Assign(now, spec)
-	r.assignment = &assignment
-	request.Customer, request.Plan, request.GatewayCount, request.Units = assignment.Key, assignment.Plan, assignment.Width, spec.Units*assignment.Weight
+	request.assignment = &assignment
+	asked.Customer, asked.Plan, asked.GatewayCount = assignment.Key, assignment.Plan, assignment.GatewayCount
+	asked.Units = spec.Units * assignment.Weight
 	if assignment.CheckOthers == nil {
-		d.gateway.HandleRequest(now, request)
+		d.gateway.HandleRequest(now, asked)
 		return
 	}
 	assignment.CheckOthers(func(pass bool) {
 		now := d.lock()
 		defer d.unlock()
 		switch {
-		case r.completed: // its client has gone
-		case pass && now < request.Deadline:
-			d.gateway.HandleRequest(now, request)
+		case request.completed: // its client has gone
+		case pass && now < asked.Deadline:
+			d.gateway.HandleRequest(now, asked)
 		default:
-			r.finish(Decision{Action: Reject})
+			request.finish(Decision{Action: Reject})
 		}
 	})
 }
--- /dev/null
+++ b/internal/dispatch/decision.go
@@ -0,0 +1,44 @@
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"harrierhoist/policy"
+)
+
+// Action is what is to be done with a request.
+type Action uint8
+
+// The actions. All but Forward are final.
+const (
+	Forward      Action = iota // make an attempt at a server, and report its result
+	Reject                     // answer that asking again is harmless
+	Terminate                  // answer that it failed, with no word on whether it ran
+	Disconnected               // its client has gone: no answer is owed
+)
+
+// Decision is an action and what goes with it.
+type Decision struct {
+	Action Action
+	// Server is where an attempt goes.
+	Server Server
+	// Deadline is when an attempt that has no answer is given up.
+	Deadline time.Time
+	// WriteDeadline is when an attempt that is not written to its last byte must not be any more; Deadline at the latest.
+	WriteDeadline time.Time
+	// Context ends when an attempt is to be given up at once.
+	Context context.Context
+	// Begin is asked once, right before an attempt's first byte, which is written only where it returns true.
+	Begin func() bool
+	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: not told.
+	RetryAfter time.Duration
+}
+
+// Result tells how an attempt, or a health check, ended.
+type Result struct {
+	Outcome    policy.Outcome
+	Billed     float64 // true units; 0: not told
+	Use        float64 // 1 + the part of its rate that the customer used of late; 0: not told
+	LoadReport []float32
+}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -13,70 +13,99 @@
 type Server struct {
 	Name, Address string
 	Endpoint      policy.Endpoint // its number is given here
-	fingerprint   uint64          // of its name
+	nameHash      uint64
 }
 
-// HandleEndpoints takes the servers: all of them, or those that changed. One that is gone is forgotten, and so is its number:
-// the same name later is a new server to the module.
-func (d *Dispatcher) HandleEndpoints(kind policy.ListKind, servers []Server) {
-	now := d.lock()
-	defer d.unlock()
-	if kind == policy.ListFailed {
-		d.gateway.HandleEndpoints(now, kind, nil)
-		return
-	}
-	removed := map[string]uint32{} // names that a whole list leaves out
+// serverTable holds the servers of the endpoint list under the numbers that the gateway knows them by.
+type serverTable struct {
+	byNumber map[uint32]Server
+	numbers  map[string]uint32 // by name
+	last     uint32            // the latest number; none is used twice
+}
+
+func newServerTable() serverTable {
+	return serverTable{byNumber: map[uint32]Server{}, numbers: map[string]uint32{}}
+}
+
+// update takes the list, or what changed of it. A server that is removed is forgotten, and so is its number: the same name
+// later is a new server to the gateway.
+func (t *serverTable) update(kind policy.ListKind, servers []Server) {
+	removed := map[string]uint32{} // names that a full list leaves out
 	if kind != policy.ListDelta {
-		removed = maps.Clone(d.serverNumbers)
+		removed = maps.Clone(t.numbers)
 	}
 	for _, server := range servers {
-		number, known := d.serverNumbers[server.Name]
-		if server.Endpoint.State == policy.Removed {
-			if known {
-				removed[server.Name] = number
-			}
-			continue
-		}
-		delete(removed, server.Name)
-		if !known {
-			d.lastServerNumber++
-			number = d.lastServerNumber
-			d.serverNumbers[server.Name] = number
+		if server.Endpoint.State != policy.Removed {
+			delete(removed, server.Name)
+			t.put(server)
+		} else if number, known := t.numbers[server.Name]; known {
+			removed[server.Name] = number
 		}
-		server.Endpoint.Server, server.fingerprint = number, d.servers[number].fingerprint
-		if !known {
-			server.fingerprint = subset.HashName(server.Name)
-		}
-		d.servers[number] = server
 	}
 	for name, number := range removed {
-		delete(d.serverNumbers, name)
-		delete(d.servers, number)
+		delete(t.numbers, name)
+		delete(t.byNumber, number)
+	}
+}
+
+// put takes an entry of the list.
+func (t *serverTable) put(server Server) {
+	number, known := t.numbers[server.Name]
+	if !known {
+		t.last++
+		number = t.last
+		t.numbers[server.Name] = number
+		server.nameHash = subset.HashName(server.Name)
+	} else {
+		server.nameHash = t.byNumber[number].nameHash
 	}
+	server.Endpoint.Server = number
+	t.byNumber[number] = server
+}
+
+// candidates gives all servers in the order in which they were first named.
+func (t *serverTable) candidates() []subset.Candidate {
+	all := make([]subset.Candidate, 0, len(t.byNumber))
+	for _, number := range slices.Sorted(maps.Keys(t.byNumber)) {
+		server := t.byNumber[number]
+		all = append(all, subset.Candidate{NameHash: server.nameHash, Endpoint: server.Endpoint})
+	}
+	return all
+}
+
+// HandleEndpoints takes the endpoint list, or what changed of it, and cancels what was about to go to servers that it takes
+// out of service. Where the list failed, the earlier one stands.
+func (d *Dispatcher) HandleEndpoints(kind policy.ListKind, servers []Server) {
+	now := d.lock()
+	defer d.unlock()
+	if kind == policy.ListFailed {
+		d.gateway.HandleEndpoints(now, kind, nil)
+		return
+	}
+	d.servers.update(kind, servers)
 	d.updateGateway(now, kind)
 	d.cancelUnbegunAttempts()
 }
 
-// updateGateway gives the module the servers of our part that are ready, in the order in which they were first named. To
-// it the others are gone: it pushes to ready ones alone, and what is out elsewhere goes on.
+// updateGateway gives the gateway the servers of our subset that are ready. To it the others are removed: it makes attempts
+// at ready ones alone, and what is in flight elsewhere goes on.
 func (d *Dispatcher) updateGateway(now time.Duration, kind policy.ListKind) {
-	numbers := slices.Sorted(maps.Keys(d.servers))
-	all := make([]subset.Candidate, 0, len(numbers))
-	for _, number := range numbers {
-		server := d.servers[number]
-		all = append(all, subset.Candidate{NameHash: server.fingerprint, Endpoint: server.Endpoint})
-	}
-	if d.dependencies.Recorder != nil {
+	all := d.servers.candidates()
+	if d.recorder != nil {
 		d.recordEndpoints(now, all)
 	}
-	assigned, sharers := d.subset.Select(now, all)
-	assigned = d.account.AddElective(d.subset, now, assigned, all)
+	selected, sharers := d.subset.Select(now, all)
+	selected = d.accounts.AddElective(d.subset, now, selected, all)
 	if kind == policy.ListDelta {
 		kind = policy.ListFull
 	}
 	d.gateway.SetSharers(sharers)
-	d.gateway.HandleEndpoints(now, kind, assigned)
+	d.gateway.HandleEndpoints(now, kind, selected)
 }
 
-// Wanted is told when the list of servers is to be asked for again.
-func (d *Dispatcher) Wanted() <-chan struct{} { return d.watch }
+// refreshEndpoints does so again where the list has not changed but what is made of it has.
+func (d *Dispatcher) refreshEndpoints(now time.Duration) {
+	if len(d.servers.byNumber) > 0 {
+		d.updateGateway(now, policy.ListFull)
+	}
+}
--- a/internal/dispatch/settlement.go
+++ b/internal/dispatch/settlement.go
@@ -5,17 +5,15 @@
 	"harrierhoist/policy"
 )
 
-// SetAccount has a till count from here on what tasks owe; those in hand are left out.
-func (d *Dispatcher) SetAccount(acct *account.Accounts) {
+// SetAccounts has accounts count from here on what requests owe; those in flight are left out.
+func (d *Dispatcher) SetAccounts(accounts *account.Accounts) {
 	now := d.lock()
 	defer d.unlock()
-	d.account = acct
-	if len(d.servers) > 0 {
-		d.updateGateway(now, policy.ListFull)
-	}
+	d.accounts = accounts
+	d.refreshEndpoints(now)
 }
 
-// UpdateElective hands the module the servers that the till's shares now call for.
+// UpdateElective gives the gateway the servers that the accounts' shares now call for.
 func (d *Dispatcher) UpdateElective() {
 	now := d.lock()
 	defer d.unlock()
--- a/internal/dispatch/settlement_test.go
+++ b/internal/dispatch/settlement_test.go
@@ -9,86 +9,94 @@
 	"harrierhoist/policy"
 )
 
-// newSettlingFixture is a story whose gate keeps debts: its hall is b's, the other c's, and customers of the plan are a's.
+// newSettlingFixture has a dispatcher that accounts for settlement: its zone is b's, the other c's, and customers of the first
+// plan are a's.
 func newSettlingFixture(t *testing.T) (*fixture, *account.Accounts) {
+	t.Helper()
 	f := newFixture(t)
 	terms := settlement.DefaultTerms()
 	terms.On = true
-	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}},
-		{Name: "c", Zones: []string{"hc"}}}
-	acct := account.New(terms, account.Settings{Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
-		Classes: []policy.TrafficClass{{LatencyObjective: time.Second}, {LatencyObjective: time.Second, Effect: policy.NonIdempotent}}}, "x", 1,
+	terms.Partners = []settlement.Partner{
+		{Name: "a", Plans: []string{"wide"}},
+		{Name: "b", Zones: []string{"hb"}},
+		{Name: "c", Zones: []string{"hc"}},
+	}
+	accounts := account.New(terms, account.Settings{
+		Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
+		Classes: []policy.TrafficClass{{LatencyObjective: time.Second}, {LatencyObjective: time.Second, Effect: policy.NonIdempotent}},
+	}, "x", 1,
 		func() time.Duration { return 0 })
-	f.dispatcher.SetAccount(acct)
-	done := t.Context().Done()
+	f.dispatcher.SetAccounts(accounts)
 	go func() {
 		for { // charges are calls too
 			select {
 			case call := <-f.counterCalls:
 				call.reply(0, policy.Answered)
-			case <-done:
+			case <-t.Context().Done():
 				return
 			}
 		}
 	}()
-	return f, acct
+	return f, accounts
 }
 
-// forwardedWithoutCall brings a task as far as its push.
+// forwardedWithoutCall brings a request as far as its first attempt; its call to the counter is replied to elsewhere.
 func (f *fixture) forwardedWithoutCall(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
-	r := f.admit(class, 0, timeout)
-	return r, f.expectAction(r, Forward)
+	request := f.admit(class, 0, timeout)
+	return request, f.expectAction(request, Forward)
 }
 
-func totalOwed(acct *account.Accounts) (sum uint64) {
-	acct.ReportDebts(func(_ string, n uint64) { sum += n })
+func totalDebt(accounts *account.Accounts) (sum uint64) {
+	accounts.ReportDebts(func(_ string, n uint64) { sum += n })
 	return sum
 }
 
-// What a push owes is counted as it ends, also where its client is gone by then or its task has been terminated.
-func TestSettlement_attemptsAreOwedAsTheyEnd(t *testing.T) {
-	f, acct := newSettlingFixture(t)
-	r, _ := f.forwardedWithoutCall(0, time.Second)
-	r.ReportResult(Result{Outcome: policy.Answered, Billed: 3.5})
-	if got := totalOwed(acct); got != 3500 {
-		t.Errorf("%d owed", got)
+// What an attempt owes is counted as it ends, also where its client has disconnected by then or its request was terminated.
+func TestSettlement_attemptsCountAsDebtWhenTheyEnd(t *testing.T) {
+	f, accounts := newSettlingFixture(t)
+	request, _ := f.forwardedWithoutCall(0, time.Second)
+	request.ReportResult(Result{Outcome: policy.Answered, Billed: 3.5})
+	if got := totalDebt(accounts); got != 3500 {
+		t.Errorf("debt of %d", got)
 	}
-	r, _ = f.forwardedWithoutCall(0, time.Second)
-	r.Disconnect()
-	r.ReportResult(Result{Outcome: policy.Reset})
-	if got := totalOwed(acct); got != 5500 {
-		t.Errorf("%d owed with a client that left", got)
+	request, _ = f.forwardedWithoutCall(0, time.Second)
+	request.Disconnect()
+	request.ReportResult(Result{Outcome: policy.Reset})
+	if got := totalDebt(accounts); got != 5500 {
+		t.Errorf("debt of %d with a client that disconnected", got)
 	}
-	r, forward := f.forwardedWithoutCall(1, 100*time.Millisecond)
+	request, forward := f.forwardedWithoutCall(1, 100*time.Millisecond)
 	<-forward.Context.Done()
-	r.ReportResult(Result{Outcome: policy.Cancelled})
-	f.expectAction(r, Terminate)
-	if got := totalOwed(acct); got != 7500 {
-		t.Errorf("%d owed with a task terminated", got)
+	request.ReportResult(Result{Outcome: policy.Cancelled})
+	f.expectAction(request, Terminate)
+	if got := totalDebt(accounts); got != 7500 {
+		t.Errorf("debt of %d with a request terminated", got)
 	}
 	counts := map[string]uint64{}
-	acct.ReportMetrics(func(name string, n uint64) { counts[name] = n })
-	requests, late := counts[settlement.MetricName(settlement.MetricRequests, "a")], counts[settlement.MetricName(settlement.MetricLate, "a")]
+	accounts.ReportMetrics(func(name string, n uint64) { counts[name] = n })
+	requests := counts[settlement.MetricName(settlement.MetricRequests, "a")]
+	late := counts[settlement.MetricName(settlement.MetricLate, "a")]
 	if requests != 2 || late != 1 {
-		t.Errorf("%d tasks, %d late", requests, late)
+		t.Errorf("%d requests, %d late", requests, late)
 	}
 }
 
-// A creditor's elective tasks go to the far server that the debtor lends, while something is settled.
+// A creditor's elective requests go to the far server that the debtor lends, while something is settled.
 func TestSettlement_electiveRequestsGoToDebtorsServers(t *testing.T) {
-	f, acct := newSettlingFixture(t)
+	f, accounts := newSettlingFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}})
 	pair := settlement.Pair{Debtor: "c", Creditor: "a"}
 	for _, shares := range [][]settlement.Share{nil, {{Pair: pair, PPM: settlement.PartsPerMillion}}, nil} {
-		acct.ApplyState(settlement.State{Shares: shares}, time.Hour)
+		accounts.ApplyState(settlement.State{Shares: shares}, time.Hour)
 		f.dispatcher.UpdateElective()
 		for range 20 {
-			r, decision := f.forwardedWithoutCall(0, time.Second)
-			if (r.claim.PreferredPartner() == 3) != (shares != nil) || shares != nil && decision.Server.Endpoint.Zone != 1 {
-				t.Fatalf("shares %v: prefers %d, pushed to hall %d", shares, r.claim.PreferredPartner(), decision.Server.Endpoint.Zone)
+			request, decision := f.forwardedWithoutCall(0, time.Second)
+			preferred, zone := request.tracker.PreferredPartner(), decision.Server.Endpoint.Zone
+			if (preferred == 3) != (shares != nil) || shares != nil && zone != 1 {
+				t.Fatalf("shares %v: prefers %d, forwarded to zone %d", shares, preferred, zone)
 			}
-			r.ReportResult(Result{Outcome: policy.Answered, Billed: 2})
+			request.ReportResult(Result{Outcome: policy.Answered, Billed: 2})
 		}
 	}
 }
--- a/internal/dispatch/steering.go
+++ b/internal/dispatch/steering.go
@@ -9,113 +9,120 @@
 	"harrierhoist/policy"
 )
 
-// This file is how the gate is steered between halls, and how it tells what it sees of them. Without a witness and
+// This file is how the dispatcher is steered between zones, and how it records what it sees of them. Without a recorder and
 // without weights nothing of it runs.
 
-// shedRetryAfter is how long a client whose task fits in no hall is told to stay away: a quarter of the tightest soft limit, as
-// the module says where no server can be had. Room elsewhere is shared by lot, so another try soon may find some: with a
-// second in its place more of those shed ran out of time (docs/failover.md).
-func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
-	shortest := time.Duration(math.MaxInt64)
-	for _, class := range classes {
-		if !class.Retired {
-			shortest = min(shortest, class.LatencyObjective)
-		}
-	}
-	return shortest / 4
-}
-
-// Steering is how the gate is steered.
+// Steering says how the dispatcher spreads its attempts over zones.
 type Steering struct {
-	// Weights are by the number of a hall in what proportion its servers are handed to the module; nil: as the list
+	// Weights are by the number of a zone in what proportion its servers are handed to the gateway; nil: as the endpoint list
 	// has them.
 	Weights []float64
-	// ShedFraction is the part of tasks that is rejected at once, 0 to 1.
+	// ShedFraction is the part of requests that is rejected at once, 0 to 1.
 	ShedFraction float64
 }
 
-// SetSteering has the gate steered so from here on for as long as a lease stands, and then the other way, at once with the next
-// task, whoever slept meanwhile. What is out goes on.
-func (d *Dispatcher) SetSteering(by Steering, lease time.Duration, after Steering) {
+// steeringLease ends a steering on time, and says what follows.
+type steeringLease struct {
+	expires time.Duration
+	next    *Steering // nil: the steering has no end
+}
+
+// SetSteering has the dispatcher steered so from here on for as long as a lease stands, and then the other way, at once
+// with the next request, whoever slept meanwhile. What is in flight goes on.
+func (d *Dispatcher) SetSteering(steering Steering, lease time.Duration, after Steering) {
 	now := d.lock()
 	defer d.unlock()
-	d.steeringExpires, d.nextSteering = now+lease, &after
+	d.steering = steeringLease{expires: now + lease, next: &after}
 	if lease <= 0 {
-		d.nextSteering = nil
-		by = after
+		d.steering.next = nil
+		steering = after
 	}
-	d.applySteering(now, by)
+	d.applySteering(now, steering)
 }
 
-func (d *Dispatcher) applySteering(now time.Duration, by Steering) {
-	if d.subset.SetWeights(by.Weights, by.ShedFraction) && len(d.servers) > 0 {
-		d.updateGateway(now, policy.ListFull)
+func (d *Dispatcher) applySteering(now time.Duration, steering Steering) {
+	if d.subset.SetWeights(steering.Weights, steering.ShedFraction) {
+		d.refreshEndpoints(now)
 	}
 }
 
-// refreshSteering keeps the part in line with the time: with the end of a lease, and with the rate of pushes.
+// refreshSteering keeps the subset in line with the time: with the end of a lease, and with the rate of attempts.
 func (d *Dispatcher) refreshSteering(now time.Duration) {
 	switch {
-	case d.nextSteering != nil && now >= d.steeringExpires:
-		by := *d.nextSteering
-		d.nextSteering = nil
-		d.applySteering(now, by)
+	case d.steering.next != nil && now >= d.steering.expires:
+		steering := *d.steering.next
+		d.steering.next = nil
+		d.applySteering(now, steering)
 	case d.subset.IsDue(now):
 		d.updateGateway(now, policy.ListFull)
 	}
 }
 
-// shedRequest rejects a task at once where the plan says that it fits in no hall. It guards the other halls against what
-// a lost one leaves; the module alone would push it to them. It was not pushed, so any client may come again. Harm: it is
-// not asked whether the customer's quota would have had it rejected anyway.
-func (d *Dispatcher) shedRequest(r *Request, repeat bool) bool {
-	recorder := d.dependencies.Recorder
-	if recorder != nil && !repeat {
-		recorder.AddOffered(r.units)
+// shedRequest rejects a request at once where the plan says that it fits in no zone. It guards the other zones against what
+// a lost one leaves; the gateway alone would forward it to them. It was not forwarded, so any client may ask again. The
+// price: it is not asked whether the customer's quota would have had it rejected anyway.
+func (d *Dispatcher) shedRequest(r *Request) bool {
+	isOffered := d.recorder != nil && !r.isRepeat
+	if isOffered {
+		d.recorder.AddOffered(r.units)
 	}
 	if !d.subset.ShouldShed() {
 		return false
 	}
-	if recorder != nil && !repeat {
-		recorder.AddShed(r.units)
+	if isOffered {
+		d.recorder.AddShed(r.units)
 	}
 	r.completed = true
 	r.decisions <- Decision{Action: Reject, RetryAfter: d.shedRetryAfter}
 	return true
 }
 
-// SetRecorder has a witness told from here on what goes on by hall; pushes that are out end with it.
+// shedRetryAfter is how long a client whose request fits in no zone is told to stay away: a quarter of the tightest latency
+// objective, as the gateway says where no server can be had. Capacity elsewhere is shared by lot, so asking again soon may
+// find some: with a second in its place more of those shed ran out of time (docs/failover.md).
+func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
+	tightest := time.Duration(math.MaxInt64)
+	for _, class := range classes {
+		if !class.Retired {
+			tightest = min(tightest, class.LatencyObjective)
+		}
+	}
+	return tightest / shedRetryDivisor
+}
+
+// shedRetryDivisor is the part of the tightest latency objective that a client stays away.
+const shedRetryDivisor = 4
+
+// SetRecorder has a recorder told from here on what goes on in each zone; attempts in flight are told as they end.
 func (d *Dispatcher) SetRecorder(recorder *zonestats.Recorder) {
 	now := d.lock()
 	defer d.unlock()
-	d.dependencies.Recorder = recorder
+	d.recorder = recorder
 	recorder.Reconfigure(&d.settings)
-	if len(d.servers) > 0 {
-		d.updateGateway(now, policy.ListFull)
-	}
+	d.refreshEndpoints(now)
 }
 
-// recordEndpoints tells the witness the whole list.
+// recordEndpoints tells the recorder the full endpoint list.
 func (d *Dispatcher) recordEndpoints(now time.Duration, all []subset.Candidate) {
 	list := make([]policy.Endpoint, 0, len(all))
-	for _, s := range all {
-		list = append(list, s.Endpoint)
+	for _, server := range all {
+		list = append(list, server.Endpoint)
 	}
-	d.dependencies.Recorder.SetEndpoints(now, list)
+	d.recorder.SetEndpoints(now, list)
 }
 
-// WriteZoneCounts gives the witness's counts, as Commons.Witness wants them. Without a witness there are none.
+// WriteZoneCounts gives the recorder's counts, for the coordination node to observe. Without a recorder there are none.
 func (d *Dispatcher) WriteZoneCounts(add func(name string, n uint64)) {
 	now := d.lock()
 	defer d.unlock()
-	if recorder := d.dependencies.Recorder; recorder != nil {
-		recorder.WriteCounts(now, add)
+	if d.recorder != nil {
+		d.recorder.WriteCounts(now, add)
 	}
 }
 
-// IsZoneLost tells whether by this gateway's own evidence its own hall is lost.
+// IsZoneLost tells whether by this gateway's own observations its own zone is lost.
 func (d *Dispatcher) IsZoneLost() bool {
 	d.lock()
 	defer d.unlock()
-	return d.dependencies.Recorder != nil && d.dependencies.Recorder.IsZoneLost()
+	return d.recorder != nil && d.recorder.IsZoneLost()
 }
--- a/internal/enforce/reservations.go
+++ b/internal/enforce/reservations.go
@@ -24,9 +24,9 @@
 		versions = []uint64{0}
 	}
 	assignment := e.resolved[versions[0]].Assign(request.Customer, request.Class, request.Plan)
-	decision := dispatch.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, Width: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
+	decision := dispatch.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, GatewayCount: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
 	if assignment.Shared {
-		decision.Width = e.settings.Gateways
+		decision.GatewayCount = e.settings.Gateways
 	}
 	var reserved []countingrule.Reservation
 	for _, v := range versions[1:] {
--- a/internal/settlement/runtime/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -37,7 +37,7 @@
 	if store != nil {
 		accounts.Restore(store)
 	}
-	dispatcher.SetAccount(accounts)
+	dispatcher.SetAccounts(accounts)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
