--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,5 +1,5 @@
-// Package cluster names what its parts and the processes' deciders pass to each other: the types between the
-// packages below it and those that use what the processes hold in common. It does nothing itself.
+// Package coordination defines the types that the packages below it, which replicate a few small tables among a group of
+// voters, share with the packages that read those tables or compute their values. It has no behavior of its own.
 package coordination
 
 import (
@@ -8,45 +8,50 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// CachedTable is a table as this process holds it.
+// CachedTable is this process's copy of a table and the lease under which it may act on it.
 type CachedTable struct {
 	Name  string
-	Epoch uint64 // 0: never written, or never heard of
+	Epoch uint64 // 0: never written, or never received
 	Value []byte
-	// LeaseEnd is when the lease on it ends, on this process's monotonic clock (time since it started). It counts from
-	// when the read that brought or confirmed it was sent, never from when its answer came.
+	// LeaseEnd is on this process's monotonic clock, see Client.Now. The lease counts from the moment at which the read that
+	// brought or confirmed the value was sent, never from the arrival of its response.
 	LeaseEnd time.Duration
 }
 
-// Client is what a process asks of what all hold in common. No call waits for another process, and all of them may
-// be made by several goroutines at once.
+// Client is what a process uses of the replicated tables. No method waits for another process, and all of them are safe
+// for concurrent use.
 type Client interface {
-	// Now is the monotonic clock that leases are told on.
+	// Now returns the monotonic clock that leases are measured on.
 	Now() time.Duration
-	// Cached gives a table as last heard, with its lease, which may be over.
+	// Cached returns the last known value of a table with its lease, which may have expired.
 	Cached(table string) CachedTable
-	// Changed gives a channel that is closed with the next change of any table or of the right to hold one.
+	// Changed returns a channel that is closed at the next change of any table or of the validity of any lease.
 	Changed() <-chan struct{}
-	// RegisterCounters has a function called before each digest: it gives the counts of this process since its start.
+	// RegisterCounters adds a function that is called before each digest is sent; it reports this process's counters,
+	// cumulative since its start.
 	RegisterCounters(counts func(add func(name string, n uint64)))
-	// RegisterExactCounters is the same for counts that are passed on process by process.
+	// RegisterExactCounters is the same for counters that are forwarded to the leader per process instead of as sums.
 	RegisterExactCounters(counts func(add func(name string, n uint64)))
 }
 
-// ControllerInput is what a decider goes by: sums of evidence over all processes, and totals from the log.
+// ControllerInput is what a controller computes its table from.
 type ControllerInput struct {
-	Sums         map[string]uint64                     // grow only while one process leads
-	Totals       func(table string) map[string]uint64  // of the committed state
-	Table        func(table string) statemachine.Table // the committed state
-	LeadingSince time.Duration                         // when this process began to lead, on the same clock as now
+	// Sums are the counters of all processes, summed up. They never decrease while the same process leads.
+	Sums map[string]uint64
+	// Totals returns the committed totals of a table.
+	Totals func(table string) map[string]uint64
+	// Table returns the committed value of a table.
+	Table func(table string) statemachine.Table
+	// LeadingSince is when this process became the leader, on the clock of Controller.Decide.
+	LeadingSince time.Duration
 }
 
-// Controller turns what all processes saw into the next value of its table. One runs at the leader; what it must not
-// forget with a leader stands in the value. It is free of I/O and clocks.
+// Controller computes the next value of one table from the counters of all processes. The leader runs it; whatever has to
+// outlive a leader must be part of the value. A Controller does no I/O and reads no clock.
 type Controller interface {
-	// Table is the table that it writes.
+	// Table returns the name of the table that it writes.
 	Table() string
-	// Decide gives the table's next value, or write false where it is to stay. A value that loses against another
-	// write is not written; Decide is then asked again with what stands.
-	Decide(now time.Duration, seen ControllerInput) (value []byte, write bool)
+	// Decide returns the table's next value, or write == false to leave it as it is. If another write is applied first
+	// the value is dropped, and Decide is called again with the new state.
+	Decide(now time.Duration, input ControllerInput) (value []byte, write bool)
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -11,7 +11,7 @@
 // What processes of the version before send each other must stay readable, and what they read must stay what is sent.
 func TestGolden_memberAndStatus(t *testing.T) {
 	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", DiskID: "00112233445566778899aabbccddeeff"}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		value, into any
 		want        string
 	}{
@@ -20,16 +20,16 @@
 		"empty":  {&Status{}, new(Status), goldenEmptyStatus},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := cbor.Marshal(c.value)
-			if err != nil || hex.EncodeToString(got) != c.want {
+			got, err := cbor.Marshal(test.value)
+			if err != nil || hex.EncodeToString(got) != test.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
-			bytes, err := hex.DecodeString(c.want)
+			bytes, err := hex.DecodeString(test.want)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := cbor.Unmarshal(bytes, c.into); err != nil || !reflect.DeepEqual(c.into, c.value) {
-				t.Errorf("decoded as %+v, %v", c.into, err)
+			if err := cbor.Unmarshal(bytes, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
+				t.Errorf("decoded as %+v, %v", test.into, err)
 			}
 		})
 	}
--- a/internal/coordination/voter.go
+++ b/internal/coordination/voter.go
@@ -11,47 +11,49 @@
 
 // Errors of a Voter.
 var (
-	// ErrNotLeader: another voter leads, or none; the proposal was not taken and may be made elsewhere.
+	// ErrNotLeader means that another voter leads, or none: the proposal was not accepted and may be made elsewhere.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrOutcomeUnknown: whether the proposal was or will be written is not known; the same numbered command may be proposed again.
-	ErrOutcomeUnknown = errors.New("not known whether it is written")
-	// ErrNoQuorum: no majority confirmed the read within the context.
-	ErrNoQuorum = errors.New("no majority answers")
-	// ErrStopped: this voter has ended, or its disk failed it.
+	// ErrOutcomeUnknown means that the proposal may or may not be committed. The same numbered command may be proposed again.
+	ErrOutcomeUnknown = errors.New("not known whether the proposal is committed")
+	// ErrNoQuorum means that no majority confirmed the read within the context.
+	ErrNoQuorum = errors.New("no majority of voters answers")
+	// ErrStopped means that this voter was closed, or stopped because its disk failed.
 	ErrStopped = errors.New("this voter has stopped")
 )
 
-// Member is a voter as the others know it. A disk that was lost comes back under a new number.
+// Member is a voter as the others know it. A voter that lost its disk comes back under a new number.
 type Member struct {
-	Number  uint64 `cbor:"1,keyasint"` // from 1; never used twice
+	Number  uint64 `cbor:"1,keyasint"` // from 1, never reused
 	Name    string `cbor:"2,keyasint"` // of its process
-	Address string `cbor:"3,keyasint"` // host:port of its link
-	DiskID  string `cbor:"4,keyasint"` // mark of the disk that the number was given to, 32 hex digits
+	Address string `cbor:"3,keyasint"` // host:port on which other processes reach it
+	DiskID  string `cbor:"4,keyasint"` // of the disk that the number was given to, 32 hex digits; empty: not known yet
 }
 
-// Status is a voter as it sees itself; it may be behind.
+// Status is a voter's own view, which may lag behind the others'.
 type Status struct {
 	Number  uint64   `cbor:"Number"`
 	Leader  uint64   `cbor:"Leader"` // 0: none known
 	Term    uint64   `cbor:"Term"`
-	Applied uint64   `cbor:"Applied"`
+	Applied uint64   `cbor:"Applied"` // index of the last log entry applied
 	Members []Member `cbor:"Members"`
 }
 
-// Voter is one of the few processes that hold the log. All calls may be made by several goroutines at once.
+// Voter is one of the few processes that replicate the log. All methods are safe for concurrent use.
 type Voter interface {
-	// HandleMessage takes a message of another voter; one that makes no sense is dropped with an error.
+	// HandleMessage takes a message of another voter. The error says why the message was rejected.
 	HandleMessage(ctx context.Context, message []byte) error
-	// Propose has a command written: it returns once the command is applied at this voter, which must lead. Errors:
-	// ErrNotLeader, ErrUnknown (the context ended or the leader changed meanwhile), ErrStopped.
-	Propose(ctx context.Context, c statemachine.Command) (statemachine.Result, error)
-	// Read gives the tables that stand at a later epoch than known names (0: never heard of), as confirmed by a majority
-	// since the call; where there is none it waits for one up to wait, and then gives none: a majority has confirmed that
-	// nothing changed before the end of the wait. Many waiting reads cost one confirmation. Errors: ErrNoQuorum, ErrStopped.
+	// Propose replicates a command and returns its result once it is applied at this voter, which must be the leader.
+	// Errors: ErrNotLeader, ErrOutcomeUnknown (the context ended or the leader changed meanwhile), ErrStopped.
+	Propose(ctx context.Context, command statemachine.Command) (statemachine.Result, error)
+	// Read returns the tables whose epoch is later than the known one (0: never received), as confirmed by a majority since
+	// the call. If there is none it waits for up to wait; an empty result then means that a majority confirmed that nothing
+	// had changed. Concurrent reads share one confirmation. Errors: ErrNoQuorum, ErrStopped.
 	Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error)
-	// AddDigests takes digests of processes that send theirs here, or of another voter (what it merged).
+	// AddDigests merges digests that processes sent to this voter.
 	AddDigests(digests []observation.Digest)
-	// ChangeMembership adds a member, or removes the one of that number. Errors as Propose, or what is wrong with the change.
+	// ChangeMembership adds a member, or removes the one with that number. Errors: those of Propose, or why the change is
+	// invalid.
 	ChangeMembership(ctx context.Context, m Member, remove bool) error
+	// Status returns the voter's current status.
 	Status() Status
 }
