--- a/internal/coordination/consensus/gatherer.go
+++ b/internal/coordination/consensus/gatherer.go
@@ -4,73 +4,88 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// exactCountsInterval is with how many messages to the leader exact counts go along: the log is told them once a second.
+// exactCountsInterval is with how many messages to the leader exact counts are sent along: the log takes them once a second.
 const exactCountsInterval = 5
 
-// Gatherer is the evidence at one voter: what processes told it, and while it leads what the other voters pass on. The
-// two stay apart, and only the first is passed on, so that nothing goes round and counts twice. Not safe for use by
-// several goroutines at once.
+// Gatherer merges the digests that arrive at one voter: those of processes and, while the voter leads, those of other
+// voters. The two are kept apart and only the first are forwarded, so that nothing travels in a circle and counts twice.
+// It is not safe for concurrent use.
 type Gatherer struct {
 	voterName     string
 	incarnation   uint64
-	processCounts *observation.Merger
-	exactCounts   *observation.Merger
-	voterCounts   *observation.Merger
-	leaderTerm    uint64 // that this voter leads in; 0: it doesn't
-	serial        uint64
+	processCounts *observation.Merger // digests of processes
+	voterCounts   *observation.Merger // sums that other voters forwarded in leaderTerm
+	exactCounts   *observation.Merger // exact counts from both
+	leaderTerm    uint64              // term in which this voter leads; 0: it doesn't
+	serial        uint64              // of the last digest for a leader
 }
 
-// NewGatherer makes an empty one for a voter in one of its lives.
+// NewGatherer makes an empty gatherer for one incarnation of a voter.
 func NewGatherer(name string, incarnation uint64) *Gatherer {
-	return &Gatherer{voterName: name, incarnation: incarnation, processCounts: observation.NewMerger(), exactCounts: observation.NewMerger(), voterCounts: observation.NewMerger()}
+	return &Gatherer{
+		voterName:     name,
+		incarnation:   incarnation,
+		processCounts: observation.NewMerger(),
+		voterCounts:   observation.NewMerger(),
+		exactCounts:   observation.NewMerger(),
+	}
 }
 
-// AddFromProcesses takes digests of processes.
+// AddFromProcesses merges digests of processes.
 func (g *Gatherer) AddFromProcesses(digests []observation.Digest) {
 	for _, d := range digests {
 		g.processCounts.Add(d)
-		g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+		g.addExact(d)
 	}
 }
 
-// AddFromVoter takes what another voter passes on. Sums of one that turned to this voter before it led, or after, are lost.
+// AddFromVoter merges what another voter forwarded. Sums that were meant for the leader of another term are dropped.
 func (g *Gatherer) AddFromVoter(digests []observation.Digest) {
 	for _, d := range digests {
 		if d.Counts != nil && d.Session == g.leaderTerm {
 			g.voterCounts.Add(d)
 		}
 		if d.Exact != nil {
-			g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+			g.addExact(d)
 		}
 	}
 }
 
-// SetLeaderTerm tells the term that this voter leads in; 0: it doesn't. With a new one the others' sums begin anew.
+func (g *Gatherer) addExact(d observation.Digest) {
+	g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+}
+
+// SetLeaderTerm sets the term in which this voter leads; 0: it doesn't. A new term starts with no sums of other voters.
 func (g *Gatherer) SetLeaderTerm(term uint64) {
 	if term != g.leaderTerm {
 		g.leaderTerm, g.voterCounts = term, observation.NewMerger()
 	}
 }
 
-// ForLeader gives what is to be told to the leader of a term.
+// ForLeader returns the digests to forward to the leader of a term.
 func (g *Gatherer) ForLeader(term uint64) []observation.Digest {
 	g.serial++
-	// A new leader has another session: what it is told first is where its counting begins.
-	all := []observation.Digest{{Process: g.voterName, Incarnation: g.incarnation, Serial: g.serial, Session: term, Counts: g.processCounts.Sums()}}
+	digests := []observation.Digest{{
+		Process:     g.voterName,
+		Incarnation: g.incarnation,
+		Serial:      g.serial,
+		Session:     term, // a new leader starts to count at the first digest that it receives
+		Counts:      g.processCounts.Sums(),
+	}}
 	if g.serial%exactCountsInterval == 0 {
-		all = append(all, g.exactCounts.ExactCounts()...)
+		digests = append(digests, g.exactCounts.ExactCounts()...)
 	}
-	return all
+	return digests
 }
 
-// Sums are those over all processes, while this voter leads.
+// Sums returns the sums over all processes; they are complete while this voter leads. The map is the caller's.
 func (g *Gatherer) Sums() map[string]uint64 {
-	all := g.processCounts.Sums()
-	for name, number := range g.voterCounts.Sums() {
-		all[name] += number
+	sums := g.processCounts.Sums()
+	for name, n := range g.voterCounts.Sums() {
+		sums[name] += n
 	}
-	return all
+	return sums
 }
 
-// ExactCounts are the exact counts that reached this voter.
+// ExactCounts returns the exact counts that reached this voter, per process and incarnation.
 func (g *Gatherer) ExactCounts() []observation.Digest { return g.exactCounts.ExactCounts() }
--- a/internal/coordination/consensus/golden_test.go
+++ b/internal/coordination/consensus/golden_test.go
@@ -20,41 +20,43 @@
 // goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
 func goldenCluster(t *testing.T) *testCluster {
 	t.Helper()
-	tc := newTestCluster(t, 3)
-	leader := tc.waitForLeader()
+	cluster := newTestCluster(t, 3)
+	leader := cluster.waitForLeader()
 	for i := range uint64(3) {
-		tc.mustWrite(i+1, i)
-	}
-	tc.mustWrite(3, 2) // repeated
-	tc.mustWrite(4, 1) // at an earlier epoch
-	if _, err := leader.Propose(statemachine.Command{Kind: statemachine.RaiseTotals, Table: "exact",
-		Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 3}}); err != nil {
+		cluster.mustWrite(i+1, i)
+	}
+	cluster.mustWrite(3, 2) // repeated
+	cluster.mustWrite(4, 1) // at an earlier epoch
+	if _, err := leader.Propose(statemachine.Command{
+		Kind: statemachine.RaiseTotals, Table: "exact",
+		Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 3},
+	}); err != nil {
 		t.Fatal(err)
 	}
-	tc.settle()
+	cluster.settle()
 	lagging := leader.Self().Number%3 + 1
-	delete(tc.nodes, lagging)
+	delete(cluster.nodes, lagging)
 	if _, err := leader.ChangeMembership(testMember(4), false); err != nil {
 		t.Fatal(err)
 	}
-	tc.settle()
+	cluster.settle()
 	if err := leader.Compact(2); err != nil {
 		t.Fatal(err)
 	}
-	tc.startNode(testMember(4), Incarnation{1, 9}, nil)
-	tc.startNode(testMember(lagging), Incarnation{2, 5}, nil)
+	cluster.startNode(testMember(4), Incarnation{1, 9}, nil)
+	cluster.startNode(testMember(lagging), Incarnation{2, 5}, nil)
 	for range 2 * snapshotTimeoutTicks {
 		leader.Tick()
-		tc.settle()
+		cluster.settle()
 	}
-	tc.mustWrite(5, 3)
-	if len(tc.rejected) > 0 {
-		t.Fatal(tc.rejected)
+	cluster.mustWrite(5, 3)
+	if len(cluster.rejected) > 0 {
+		t.Fatal(cluster.rejected)
 	}
-	return tc
+	return cluster
 }
 
-// recordLines gives the records of all voters as lines of text.
+// recordLines returns the records of all voters as lines of text.
 func (tc *testCluster) recordLines() string {
 	var b strings.Builder
 	for number := uint64(1); number <= 4; number++ {
@@ -65,7 +67,7 @@
 	return b.String()
 }
 
-// readRecords reads them back.
+// readRecords is the inverse of recordLines.
 func readRecords(t *testing.T, text string) map[uint64][][]byte {
 	t.Helper()
 	all := map[uint64][][]byte{}
@@ -91,15 +93,15 @@
 
 // The records of the same events are the same bytes, and so are the messages.
 func TestGolden_recordsAndMessagesOfACluster(t *testing.T) {
-	tc := goldenCluster(t)
-	if got := tc.recordLines(); got != goldenFile(t, "records.hex") {
+	cluster := goldenCluster(t)
+	if got := cluster.recordLines(); got != goldenFile(t, "records.hex") {
 		t.Errorf("records:\n%s", got)
 	}
 	sum := sha256.New()
-	for _, m := range tc.sent {
-		fmt.Fprintf(sum, "%d %x\n", m.To.Number, m.Body)
+	for _, m := range cluster.sent {
+		_, _ = fmt.Fprintf(sum, "%d %x\n", m.To.Number, m.Body)
 	}
-	if got := fmt.Sprintf("%d messages, %x", len(tc.sent), sum.Sum(nil)); got != goldenMessages {
+	if got := fmt.Sprintf("%d messages, %x", len(cluster.sent), sum.Sum(nil)); got != goldenMessages {
 		t.Errorf("%s", got)
 	}
 }
@@ -142,35 +144,47 @@
 // What stands in the log, in a snapshot and between voters, one of each.
 func TestGolden_encodings(t *testing.T) {
 	one := testMember(1)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		value, into any
 		want        string
 	}{
-		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &statemachine.Command{Kind: statemachine.Write, Proposer: "g1/1", Number: 3,
-			Table: "plan", Epoch: 2, Value: []byte("v")}}, new(logEntry), goldenCommand},
+		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &statemachine.Command{
+			Kind: statemachine.Write, Proposer: "g1/1", Number: 3,
+			Table: "plan", Epoch: 2, Value: []byte("v"),
+		}}, new(logEntry), goldenCommand},
 		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, new(logEntry), goldenDisk},
 		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(membershipChange), goldenChange},
-		"picture": {&snapshotData{Membership: membership{Members: []coordination.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
-			State: []byte("state")}, new(snapshotData), goldenSnapshotData},
-		"record": {&record{Self: &one, Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("e1"), []byte("e2")},
-			HardState: []byte("hard")}, new(record), goldenRecord},
-		"envelope": {&envelope{From: one, Incarnation: Incarnation{2, 1 << 50}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1"), []byte("m2")}},
-			new(envelope), goldenEnvelope},
-		"envelope with digests": {&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []observation.Digest{{Process: "g1",
-			Incarnation: 3, Serial: 4, Session: 5, Counts: map[string]uint64{"n": 1}, Exact: map[string]uint64{"m": 2}}}},
-			new(envelope), goldenDigests},
+		"picture": {&snapshotData{
+			Membership: membership{Members: []coordination.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
+			State:      []byte("state"),
+		}, new(snapshotData), goldenSnapshotData},
+		"record": {&record{
+			Self: &one, Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("e1"), []byte("e2")},
+			HardState: []byte("hard"),
+		}, new(record), goldenRecord},
+		"envelope": {
+			&envelope{From: one, Incarnation: Incarnation{2, 1 << 50}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1"), []byte("m2")}},
+			new(envelope), goldenEnvelope,
+		},
+		"envelope with digests": {
+			&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []observation.Digest{{
+				Process:     "g1",
+				Incarnation: 3, Serial: 4, Session: 5, Counts: map[string]uint64{"n": 1}, Exact: map[string]uint64{"m": 2},
+			}}},
+			new(envelope), goldenDigests,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := encMode.Marshal(c.value)
-			if err != nil || hex.EncodeToString(got) != c.want {
+			got, err := encMode.Marshal(test.value)
+			if err != nil || hex.EncodeToString(got) != test.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
-			encoded, err := hex.DecodeString(c.want)
+			encoded, err := hex.DecodeString(test.want)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := cbor.Unmarshal(encoded, c.into); err != nil || !reflect.DeepEqual(c.into, c.value) {
-				t.Errorf("decoded as %+v, %v", c.into, err)
+			if err := cbor.Unmarshal(encoded, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
+				t.Errorf("decoded as %+v, %v", test.into, err)
 			}
 		})
 	}
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -1,11 +1,10 @@
-// Package core is a voter without its surroundings: the raft of go.etcd.io/raft/v3, the tables that its log makes, and
-// the members. It knows no disk, socket, clock or goroutine: ticks, messages and calls are handed in, and what is to be
-// written, sent and answered comes out. The same events with the same seed give the same actions.
+// Package consensus is one voter of the replicated log without its surroundings: the Raft implementation of
+// go.etcd.io/raft/v3, the state machine that the log drives, and the membership. It has no disk, socket, clock or
+// goroutine of its own: ticks, messages and calls come in as method calls; records to write, messages to send and results
+// come out. The same calls with the same seed give the same output.
 package consensus
 
 import (
-	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -20,50 +19,49 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// All times are in ticks: the host says how long one lasts.
+// Timing of the Raft protocol, in ticks. The host decides how long a tick lasts.
 const (
-	heartbeatTicks       = 2       // twice within the time that a vote is refused for, with room for one lost
-	minElectionTicks     = 10      // least time without a word of the leader before another may be voted for
-	snapshotTimeoutTicks = 40      // after which a snapshot that nobody answered for is taken as lost
-	maxMessageBytes      = 1 << 20 // most of the entries in one message: below the links' limit for a body
-	maxInflightMessages  = 64      // messages on the way to one voter before its answers are waited for
-	maxUncommittedBytes  = 8 << 20 // bytes of proposals not yet written anywhere: beyond them proposals are refused
+	heartbeatTicks       = 2  // two heartbeats fit into the time for which votes are refused, with room for a lost one
+	minElectionTicks     = 10 // shortest time without a message of the leader before another voter can be elected
+	snapshotTimeoutTicks = 40 // a snapshot that was not acknowledged by then counts as lost
 )
 
-// Errors of a Core.
-var (
-	ErrCorrupt       = errors.New("what the disk holds does not fit together")
-	ErrChangePending = errors.New("another change of the members is under way")
-	ErrRejected      = errors.New("message refused")
-	// ErrDiskMismatch: the number was given to another disk. One that was emptied needs a new number.
-	ErrDiskMismatch = errors.New("this number belongs to another disk")
+// Limits of what is sent and accepted.
+const (
+	maxMessageBytes     = 1 << 20 // entries in one message; below the transport's limit for a body
+	maxInflightMessages = 64      // messages sent to one voter before its acknowledgments are awaited
+	maxUncommittedBytes = 8 << 20 // proposals that are not yet committed; beyond it new ones are rejected
 )
 
-// Incarnation is one start of a voter on its disk. Two lives of the same count on one mark mean that the disk was copied.
+// Incarnation is one start of a voter on its disk. Two incarnations with the same count on one disk ID mean that the disk
+// was copied.
 type Incarnation struct {
 	Count uint64 `cbor:"1,keyasint"` // of starts on this disk, from 1
 	Nonce uint64 `cbor:"2,keyasint"` // drawn at the start
 }
 
-// Node is one voter. Not safe for use by several goroutines at once.
+// Node is one voter. It is not safe for concurrent use.
 type Node struct {
-	self         coordination.Member
-	incarnation  Incarnation
-	raftNode     *raft.RawNode
-	storage      *raft.MemoryStorage
+	self        coordination.Member
+	incarnation Incarnation
+	rng         *rand.Rand
+
+	raftNode *raft.RawNode
+	storage  *raft.MemoryStorage // mirrors what is on disk
+
+	// What the applied part of the log amounts to.
 	state        *statemachine.State
 	membership   membership
-	confState    *raftpb.ConfState // as of the last entry applied
+	confState    *raftpb.ConfState
 	appliedIndex uint64
 	appliedTerm  uint64 // of the last entry applied
-	// pendingChangeTerm is the term in which a change of the members was proposed that is not yet applied; 0: none
-	pendingChangeTerm  uint64
-	lastSeq            uint64 // of calls: grows over lives, as its upper half is the life's count
-	rng                *rand.Rand
-	ticksWithoutLeader int            // ticks since a leader was heard of or a vote given
-	electionTimeout    int            // ticks of quiet until this voter stands for election
-	snapshotAge        map[uint64]int // ticks since a snapshot was sent, by number
-	peers              map[uint64]peer
+
+	pendingChangeTerm  uint64          // term in which a membership change was proposed that is not yet applied; 0: none
+	lastSeq            uint64          // of calls; grows over incarnations, as their count is its upper half
+	ticksWithoutLeader int             // since a message of the leader arrived or a vote was given
+	electionTimeout    int             // value of ticksWithoutLeader at which this voter stands for election
+	snapshotAge        map[uint64]int  // ticks since a snapshot was sent, by the receiver's number
+	peers              map[uint64]peer // as last heard from, by number
 }
 
 var encMode = func() cbor.EncMode {
@@ -74,25 +72,35 @@
 	return m
 }()
 
-// discardLogger is the library's log: what the operators must know comes back as an error or stands in Status.
+// discardLogger drops the library's log: whatever operators must know is returned as an error or is part of Status.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// silenceRaftStorage gives it to the library's store as well, which has one for all.
+// silenceRaftStorage sets discardLogger for raft.MemoryStorage, which only has a global logger.
 var silenceRaftStorage = sync.OnceFunc(func() { raft.SetLogger(discardLogger) })
 
-// NewNode makes a voter of what its disk holds. With none, first are the members that begin the log: all of them must be
-// given the same, disks included, and the host must have Base written before anything else. Without those either, it
-// waits for a leader that adds it. What the disk says of the voter's number goes before self. Errors: ErrSpoilt, or a
-// number that is not among first.
-func NewNode(self coordination.Member, incarnation Incarnation, initialMembers []coordination.Member, records [][]byte, seed uint64) (n *Node, err error) {
+// NewNode makes a voter from the records on its disk. If there are none, initialMembers begin the log: all of them must be
+// started with the same list, disk IDs included, and the host must write Checkpoint before anything else. If there are no
+// initial members either, the voter waits until a leader adds it. A member in the records takes precedence over self.
+// Errors: ErrCorrupt, or self is not among initialMembers.
+func NewNode(self coordination.Member, incarnation Incarnation, initialMembers []coordination.Member, records [][]byte,
+	seed uint64,
+) (n *Node, err error) {
 	defer func() {
-		if p := recover(); p != nil { // the library's word for a log with gaps
+		if p := recover(); p != nil { // how the library reports a log with gaps
 			n, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 	}()
 	silenceRaftStorage()
-	n = &Node{self: self, incarnation: incarnation, storage: raft.NewMemoryStorage(), state: statemachine.New(), lastSeq: incarnation.Count << 32,
-		rng: rand.New(rand.NewPCG(seed, self.Number)), snapshotAge: map[uint64]int{}, peers: map[uint64]peer{}}
+	n = &Node{
+		self:        self,
+		incarnation: incarnation,
+		rng:         rand.New(rand.NewPCG(seed, self.Number)),
+		storage:     raft.NewMemoryStorage(),
+		state:       statemachine.New(),
+		lastSeq:     incarnation.Count << 32,
+		snapshotAge: map[uint64]int{},
+		peers:       map[uint64]peer{},
+	}
 	if len(records) == 0 && len(initialMembers) > 0 {
 		if err := n.bootstrap(initialMembers); err != nil {
 			return nil, err
@@ -101,79 +109,105 @@
 	if err := n.replay(records); err != nil {
 		return nil, err
 	}
-	snap, _ := n.storage.Snapshot() // gives no error
-	if err := n.restoreSnapshot(snap); err != nil {
+	snapshot, _ := n.storage.Snapshot() // never fails
+	if err := n.restoreSnapshot(snapshot); err != nil {
 		return nil, err
 	}
-	n.raftNode, err = raft.NewRawNode(&raft.Config{ID: n.self.Number, ElectionTick: minElectionTicks,
-		HeartbeatTick: heartbeatTicks, Storage: snapshotStorage{n.storage, n}, Applied: n.appliedIndex, MaxSizePerMsg: maxMessageBytes,
-		MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: discardLogger, DisableProposalForwarding: true, StepDownOnRemoval: true})
-	if err != nil {
+	if n.raftNode, err = raft.NewRawNode(n.raftConfig()); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	n.resetElectionTimer()
 	return n, nil
 }
 
-// resetElectionTimer begins a new patience, as the library would: it draws from a source that no seed can set, so the core counts
-// the ticks of one that doesn't lead itself.
+func (n *Node) raftConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        n.self.Number,
+		ElectionTick:              minElectionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   snapshotStorage{n.storage, n},
+		Applied:                   n.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		Logger:                    discardLogger,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+	}
+}
+
+// resetElectionTimer draws a new election timeout. The library would draw one itself, but from a source that cannot be
+// seeded; so the node counts the ticks of a voter that does not lead.
 func (n *Node) resetElectionTimer() {
 	n.ticksWithoutLeader, n.electionTimeout = 0, minElectionTicks+n.rng.IntN(minElectionTicks)
 }
 
-// Tick is one step of the host's clock.
+// Tick advances the node's time by one tick.
 func (n *Node) Tick() {
 	if n.IsLeader() {
 		n.raftNode.Tick()
-		for id := range n.snapshotAge {
-			n.snapshotAge[id]++
-			if n.snapshotAge[id] >= snapshotTimeoutTicks {
-				delete(n.snapshotAge, id)
-				n.raftNode.ReportSnapshot(id, raft.SnapshotFinish)
-			}
-		}
+		n.expireSnapshots()
 		return
 	}
 	clear(n.snapshotAge)
-	// Counts for the refusal of votes alone, and draws nothing; it is marked as old in the library, which has no
-	// other way to leave the drawing to its user.
+	// TickQuiesced only counts the time for which votes are refused; it draws nothing. It is marked as deprecated, but the
+	// library has no other way to leave the drawing to its user.
 	n.raftNode.TickQuiesced()
 	if n.ticksWithoutLeader++; n.ticksWithoutLeader >= n.electionTimeout {
 		n.resetElectionTimer()
-		_ = n.raftNode.Campaign() // one that isn't a member stays quiet
+		_ = n.raftNode.Campaign() // fails on a node that is not a member, which must not campaign
+	}
+}
+
+// expireSnapshots ends the wait for snapshots that were not acknowledged in time, so that they are sent again.
+func (n *Node) expireSnapshots() {
+	for id := range n.snapshotAge {
+		n.snapshotAge[id]++
+		if n.snapshotAge[id] >= snapshotTimeoutTicks {
+			delete(n.snapshotAge, id)
+			n.raftNode.ReportSnapshot(id, raft.SnapshotFinish)
+		}
 	}
 }
 
-// IsLeader tells whether this voter leads, as far as it knows.
+// IsLeader reports whether this voter leads, as far as it knows.
 func (n *Node) IsLeader() bool { return n.raftNode.BasicStatus().RaftState == raft.StateLeader }
 
-// Leader is the number of the voter that leads, as far as this one knows; 0: none.
+// IsEstablishedLeader reports whether this voter leads and has applied an entry of its own term, and with it everything
+// that was ever acknowledged.
+func (n *Node) IsEstablishedLeader() bool {
+	status := n.raftNode.BasicStatus()
+	return status.RaftState == raft.StateLeader && n.appliedTerm == status.GetTerm()
+}
+
+// Leader returns the number of the voter that leads, as far as this one knows; 0: none.
 func (n *Node) Leader() uint64 { return n.raftNode.BasicStatus().Lead }
 
-// AppliedIndex is the index of the last entry applied.
+// AppliedIndex returns the index of the last entry applied.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// IsEstablishedLeader tells whether it leads and has applied an entry of its own term: all that was ever acknowledged.
-func (n *Node) IsEstablishedLeader() bool {
-	s := n.raftNode.BasicStatus()
-	return s.RaftState == raft.StateLeader && n.appliedTerm == s.HardState.GetTerm()
-}
-
-// State is the tables as applied; it is the core's own and must not be changed.
+// State returns the applied state, which remains the node's own and must not be changed.
 func (n *Node) State() *statemachine.State { return n.state }
 
-// Self is this voter as its disk has it.
+// Self returns this voter as its disk has it.
 func (n *Node) Self() coordination.Member { return n.self }
 
-// Status is this voter as it sees itself.
+// Status returns this voter's own view.
 func (n *Node) Status() coordination.Status {
-	s := n.raftNode.BasicStatus()
-	return coordination.Status{Number: n.self.Number, Leader: s.Lead, Term: s.HardState.GetTerm(), Applied: n.appliedIndex,
-		Members: n.membership.list()}
+	status := n.raftNode.BasicStatus()
+	return coordination.Status{
+		Number:  n.self.Number,
+		Leader:  status.Lead,
+		Term:    status.GetTerm(),
+		Applied: n.appliedIndex,
+		Members: n.membership.list(),
+	}
 }
 
-// TransferLeadership hands the lead to the member that has most of the log, before a planned end.
+// TransferLeadership hands the leadership to the member whose log is the longest, before a planned shutdown.
 func (n *Node) TransferLeadership() {
 	best, match := uint64(0), uint64(0)
 	n.raftNode.WithProgress(func(id uint64, _ raft.ProgressType, p progress) {
@@ -185,39 +219,3 @@
 		n.raftNode.TransferLeader(best)
 	}
 }
-
-// logEntry is what stands in the log beside changes of the members.
-type logEntry struct {
-	Seq     uint64                `cbor:"1,keyasint"` // of the call at the voter that proposed it
-	From    uint64                `cbor:"2,keyasint"`
-	Command *statemachine.Command `cbor:"3,keyasint,omitempty"`
-	Disk    *coordination.Member  `cbor:"4,keyasint,omitempty"` // Number and Disk: the disk that the number is from now on
-}
-
-func (n *Node) propose(e logEntry) (uint64, error) {
-	n.lastSeq++
-	e.Seq, e.From = n.lastSeq, n.self.Number
-	data, err := encMode.Marshal(e)
-	if err != nil {
-		return 0, err
-	}
-	if err := n.raftNode.Propose(data); err != nil {
-		return 0, coordination.ErrNotLeader
-	}
-	return n.lastSeq, nil
-}
-
-// Propose has a command written, and gives the number under which Done tells its result. Error: ErrNotLeader, also
-// where more waits to be written than fits.
-func (n *Node) Propose(cmd statemachine.Command) (uint64, error) {
-	return n.propose(logEntry{Command: &cmd})
-}
-
-// RequestReadIndex asks a majority whether what is applied here is the latest, and gives the number under which Done tells the
-// index that it is good for. It may be lost: ask again.
-func (n *Node) RequestReadIndex() uint64 {
-	n.lastSeq++
-	ctx := binary.BigEndian.AppendUint64(nil, n.self.Number)
-	n.raftNode.ReadIndex(binary.BigEndian.AppendUint64(ctx, n.lastSeq))
-	return n.lastSeq
-}
--- a/internal/coordination/consensus/ready.go
+++ b/internal/coordination/consensus/ready.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 
@@ -10,74 +9,72 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// Ready is what the host has to do, in this order: send Early; write Record and sync it; send Messages; call Done. Where
-// the record cannot be written nothing more may be sent, and the voter has ended.
+// Ready is what the host has to do, in this order: send EarlyMessages; write Record and sync it; send Messages; call
+// Advance. If the record cannot be written, nothing more may be sent and the voter has to stop.
 type Ready struct {
-	// EarlyMessages are a leader's entries for the others, which may sync them while it does: it counts itself among those who
-	// have them once its own are on disk (Ongaro, Consensus: Bridging Theory and Practice, 2014, 10.2.1).
+	// EarlyMessages are a leader's entries for the others, which may sync them while the leader does: it counts itself
+	// among those who have them once its own are on disk (Ongaro, Consensus: Bridging Theory and Practice, 2014, 10.2.1).
 	EarlyMessages []Message
-	Record        []byte // nil: nothing, or only how far is committed, which the others tell again
+	Record        []byte // nil: nothing, or only the commit index, which the others send again
 	Messages      []Message
 	raft          raft.Ready
 }
 
-// Message is for one other voter.
-type Message struct {
-	To   coordination.Member
-	Body []byte
+func (r *Ready) durable() durableState {
+	return durableState{r.raft.Snapshot, r.raft.Entries, r.raft.HardState}
 }
 
-// AppliedResult is what became of calls.
+// AppliedResult is what came of earlier calls.
 type AppliedResult struct {
 	Outcomes     []Outcome
 	ReadIndexes  []ReadIndex
-	StateChanged bool // something was applied
+	StateChanged bool // an entry or a snapshot was applied
 }
 
-// Outcome is that of one proposal or change.
+// Outcome is the result of a proposal or of a membership change.
 type Outcome struct {
-	Seq    uint64
+	Seq    uint64 // as Propose or ChangeMembership returned it
 	Result statemachine.Result
-	Err    error
+	Err    error // of a membership change: why it was invalid
 }
 
-// ReadIndex tells that a majority was asked after the call: once Index is applied here, what stands is no older than
-// it.
+// ReadIndex is the answer to RequestReadIndex: a majority was asked after the call, and once Index is applied here, the
+// state is no older than the call.
 type ReadIndex struct{ Seq, Index uint64 }
 
-// Ready gives what is to be done next, or false. It must be followed by Done.
+// Ready returns what is to be done next, or false. It must be followed by Advance.
 func (n *Node) Ready() (Ready, bool, error) {
 	if !n.raftNode.HasReady() {
 		return Ready{}, false, nil
 	}
 	ready := Ready{raft: n.raftNode.Ready()}
-	if rd := &ready.raft; rd.MustSync || !raft.IsEmptySnap(rd.Snapshot) {
+	if ready.raft.MustSync || !raft.IsEmptySnap(ready.raft.Snapshot) {
 		var err error
-		if ready.Record, err = encodeRecord(nil, rd.Snapshot, rd.Entries, rd.HardState); err != nil {
+		if ready.Record, err = ready.durable().encode(nil); err != nil {
 			return Ready{}, false, err
 		}
 	}
-	early, late := n.splitEarly(ready.raft)
-	var err, err2 error
-	ready.EarlyMessages, err = n.addressMessages(early)
-	ready.Messages, err2 = n.addressMessages(late)
-	return ready, true, errors.Join(err, err2)
+	early, late := n.splitEarly(&ready.raft)
+	var earlyErr, lateErr error
+	ready.EarlyMessages, earlyErr = n.addressMessages(early)
+	ready.Messages, lateErr = n.addressMessages(late)
+	return ready, true, errors.Join(earlyErr, lateErr)
 }
 
-// splitEarly parts the messages that may be sent before the record is on disk: those of a leader whose term and vote are
-// there already.
-func (n *Node) splitEarly(rd raft.Ready) (early, late []*raftpb.Message) {
-	was, _, _ := n.storage.InitialState() // gives no error
-	hardState := rd.HardState
-	if !raft.IsEmptyHardState(hardState) && (hardState.GetTerm() != was.GetTerm() || hardState.GetVote() != was.GetVote()) ||
-		!raft.IsEmptySnap(rd.Snapshot) {
-		return nil, rd.Messages
-	}
-	for _, m := range rd.Messages {
+// splitEarly separates the messages that may be sent before the record is on disk: the entries of a leader whose term and
+// vote are there already.
+func (n *Node) splitEarly(ready *raft.Ready) (early, late []*raftpb.Message) {
+	onDisk, _, _ := n.storage.InitialState() // never fails
+	hardState := ready.HardState
+	changed := !raft.IsEmptyHardState(hardState) &&
+		(hardState.GetTerm() != onDisk.GetTerm() || hardState.GetVote() != onDisk.GetVote())
+	if changed || !raft.IsEmptySnap(ready.Snapshot) {
+		return nil, ready.Messages
+	}
+	for _, m := range ready.Messages {
 		if m.GetType() == raftpb.MsgApp {
 			early = append(early, m)
 		} else {
@@ -87,9 +84,10 @@
 	return early, late
 }
 
-// Advance tells the core that the record is on disk and the messages are sent.
+// Advance takes notice that the record is on disk and the messages are sent, and applies what is committed. After an error,
+// such as ErrDiskMismatch, the voter has to stop.
 func (n *Node) Advance(ready Ready) (applied AppliedResult, err error) {
-	if err := n.appendToStorage(ready.raft.Snapshot, ready.raft.Entries, ready.raft.HardState); err != nil {
+	if err := n.appendToStorage(ready.durable()); err != nil {
 		return applied, err
 	}
 	if !raft.IsEmptySnap(ready.raft.Snapshot) {
@@ -105,8 +103,8 @@
 		applied.StateChanged = true
 	}
 	for _, s := range ready.raft.ReadStates {
-		if len(s.RequestCtx) == 16 && binary.BigEndian.Uint64(s.RequestCtx) == n.self.Number {
-			applied.ReadIndexes = append(applied.ReadIndexes, ReadIndex{binary.BigEndian.Uint64(s.RequestCtx[8:]), s.Index})
+		if number, seq, ok := decodeReadContext(s.RequestCtx); ok && number == n.self.Number {
+			applied.ReadIndexes = append(applied.ReadIndexes, ReadIndex{seq, s.Index})
 		}
 	}
 	n.raftNode.Advance(ready.raft)
@@ -125,7 +123,7 @@
 		return n.applyMembershipChange(entry, applied)
 	}
 	if len(entry.GetData()) == 0 {
-		return nil // a new leader's first, or a change that came while another was under way
+		return nil // a new leader's first entry, or a membership change that came while another was pending
 	}
 	var decoded logEntry
 	if err := cbor.Unmarshal(entry.GetData(), &decoded); err != nil {
@@ -144,29 +142,20 @@
 	return nil
 }
 
-// setDiskID writes down a disk where none stands yet: the first one stays.
-func (m *membership) setDiskID(member coordination.Member) {
-	for i := range m.Members {
-		if m.Members[i].Number == member.Number && m.Members[i].DiskID == "" {
-			m.Members[i].DiskID = member.DiskID
-		}
-	}
-}
-
 func (n *Node) applyMembershipChange(entry *raftpb.Entry, applied *AppliedResult) error {
 	confChange := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), confChange); err != nil {
 		return err
 	}
-	if len(confChange.GetContext()) == 0 { // not one of ours
-		return fmt.Errorf("%w: a change without its member", ErrCorrupt)
+	if len(confChange.GetContext()) == 0 { // not made by ChangeMembership
+		return fmt.Errorf("%w: a membership change without its member", ErrCorrupt)
 	}
 	var decoded membershipChange
 	if err := cbor.Unmarshal(confChange.GetContext(), &decoded); err != nil {
 		return err
 	}
 	n.pendingChangeTerm = 0
-	err := n.membership.validate(decoded.Member, decoded.Remove) // all voters find the same
+	err := n.membership.validate(decoded.Member, decoded.Remove) // every voter comes to the same result
 	if err == nil {
 		n.membership.update(decoded.Member, decoded.Remove)
 		n.confState = n.raftNode.ApplyConfChange(confChange)
--- a/internal/coordination/consensus/record.go
+++ b/internal/coordination/consensus/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
@@ -11,146 +12,118 @@
 	"harrierhoist/internal/coordination"
 )
 
-// record is what is written to the disk at once.
+// record is what is written to the disk in one piece.
 type record struct {
-	Self      *coordination.Member `cbor:"1,keyasint,omitempty"` // in the first one
-	Snapshot  []byte               `cbor:"2,keyasint,omitempty"`
-	Entries   [][]byte             `cbor:"3,keyasint,omitempty"`
-	HardState []byte               `cbor:"4,keyasint,omitempty"`
+	Self      *coordination.Member `cbor:"1,keyasint,omitempty"` // in a checkpoint
+	Snapshot  []byte               `cbor:"2,keyasint,omitempty"` // raftpb.Snapshot
+	Entries   [][]byte             `cbor:"3,keyasint,omitempty"` // raftpb.Entry each
+	HardState []byte               `cbor:"4,keyasint,omitempty"` // raftpb.HardState
 }
 
-func encodeRecord(self *coordination.Member, snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) ([]byte, error) {
-	contents := record{Self: self}
+// durableState is what a record holds, in Raft's types. Each part may be empty.
+type durableState struct {
+	snapshot  *raftpb.Snapshot
+	entries   []*raftpb.Entry
+	hardState *raftpb.HardState
+}
+
+// encode makes a record; self is nil but in a checkpoint.
+func (d durableState) encode(self *coordination.Member) ([]byte, error) {
+	encoded := record{Self: self}
 	var err error
-	if !raft.IsEmptySnap(snapshot) {
-		if contents.Snapshot, err = proto.Marshal(snapshot); err != nil {
+	if !raft.IsEmptySnap(d.snapshot) {
+		if encoded.Snapshot, err = proto.Marshal(d.snapshot); err != nil {
 			return nil, err
 		}
 	}
-	for _, entry := range entries {
+	for _, entry := range d.entries {
 		b, err := proto.Marshal(entry)
 		if err != nil {
 			return nil, err
 		}
-		contents.Entries = append(contents.Entries, b)
+		encoded.Entries = append(encoded.Entries, b)
 	}
-	if !raft.IsEmptyHardState(hardState) {
-		if contents.HardState, err = proto.Marshal(hardState); err != nil {
+	if !raft.IsEmptyHardState(d.hardState) {
+		if encoded.HardState, err = proto.Marshal(d.hardState); err != nil {
 			return nil, err
 		}
 	}
-	return encMode.Marshal(contents)
+	return encMode.Marshal(encoded)
+}
+
+// decodeRecord is the inverse of encode; self is nil where the record has none.
+func decodeRecord(b []byte) (self *coordination.Member, durable durableState, err error) {
+	var encoded record
+	if err := cbor.Unmarshal(b, &encoded); err != nil {
+		return nil, durable, err
+	}
+	durable.snapshot, durable.hardState = &raftpb.Snapshot{}, &raftpb.HardState{}
+	if err := proto.Unmarshal(encoded.Snapshot, durable.snapshot); err != nil {
+		return nil, durable, err
+	}
+	if err := proto.Unmarshal(encoded.HardState, durable.hardState); err != nil {
+		return nil, durable, err
+	}
+	for _, b := range encoded.Entries {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(b, entry); err != nil {
+			return nil, durable, err
+		}
+		durable.entries = append(durable.entries, entry)
+	}
+	return encoded.Self, durable, nil
 }
 
-// appendToStorage puts what is on disk into the store that raft reads from.
-func (n *Node) appendToStorage(snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) error {
-	if !raft.IsEmptySnap(snapshot) {
-		if err := n.storage.ApplySnapshot(snapshot); err != nil {
+// appendToStorage puts what is on disk into the storage that Raft reads from.
+func (n *Node) appendToStorage(d durableState) error {
+	if !raft.IsEmptySnap(d.snapshot) {
+		if err := n.storage.ApplySnapshot(d.snapshot); err != nil {
 			return err
 		}
 	}
-	if err := n.storage.Append(entries); err != nil {
+	if err := n.storage.Append(d.entries); err != nil {
 		return err
 	}
-	if raft.IsEmptyHardState(hardState) {
+	if raft.IsEmptyHardState(d.hardState) {
 		return nil
 	}
-	return n.storage.SetHardState(hardState)
+	return n.storage.SetHardState(d.hardState)
 }
 
-// replay reads what the disk holds, in the order in which it was written.
+// replay reads the records on disk in the order in which they were written.
 func (n *Node) replay(records [][]byte) error {
 	for i, b := range records {
-		var contents record
-		if err := cbor.Unmarshal(b, &contents); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
-		}
-		if contents.Self != nil {
-			n.self = *contents.Self
-		}
-		snapshot, hardState := &raftpb.Snapshot{}, &raftpb.HardState{}
-		if err := proto.Unmarshal(contents.Snapshot, snapshot); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
+		self, durable, err := decodeRecord(b)
+		if err == nil {
+			err = n.appendToStorage(durable)
 		}
-		if err := proto.Unmarshal(contents.HardState, hardState); err != nil {
+		if err != nil {
 			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
 		}
-		var entries []*raftpb.Entry
-		for _, b := range contents.Entries {
-			entry := &raftpb.Entry{}
-			if err := proto.Unmarshal(b, entry); err != nil {
-				return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
-			}
-			entries = append(entries, entry)
-		}
-		if err := n.appendToStorage(snapshot, entries, hardState); err != nil {
-			return fmt.Errorf("%w: record %d: %w", ErrCorrupt, i, err)
+		if self != nil {
+			n.self = *self
 		}
 	}
-	hardState, _, _ := n.storage.InitialState() // gives no error
-	if last, _ := n.storage.LastIndex(); hardState.GetCommit() > last {
+	hardState, _, _ := n.storage.InitialState() // never fails
+	last, _ := n.storage.LastIndex()            // never fails
+	if hardState.GetCommit() > last {
 		return fmt.Errorf("%w: %d entries are missing at its end", ErrCorrupt, hardState.GetCommit()-last)
 	}
 	return nil
 }
 
-// Checkpoint is all that this voter must hold, as one record: the disk may put it in place of all that it has.
+// Checkpoint returns everything that this voter must hold on disk as one record, which may replace all earlier ones.
 func (n *Node) Checkpoint() ([]byte, error) {
-	snapshot, _ := n.storage.Snapshot() // neither gives an error
-	hardState, _, _ := n.storage.InitialState()
-	first, _ := n.storage.FirstIndex()
-	last, _ := n.storage.LastIndex()
-	var entries []*raftpb.Entry
+	var d durableState
+	d.snapshot, _ = n.storage.Snapshot()         // never fails
+	d.hardState, _, _ = n.storage.InitialState() // never fails
+	first, _ := n.storage.FirstIndex()           // never fails
+	last, _ := n.storage.LastIndex()             // never fails
 	if last >= first {
 		var err error
-		if entries, err = n.storage.Entries(first, last+1, 1<<62); err != nil {
+		if d.entries, err = n.storage.Entries(first, last+1, math.MaxUint64); err != nil {
 			return nil, err
 		}
 	}
-	return encodeRecord(&n.self, snapshot, entries, hardState)
-}
-
-// snapshotStorage is what raft reads its log from. The snapshot that it sends to another voter is of what is applied now: one that
-// was made before a member joined does not name it, and the member would refuse it.
-type snapshotStorage struct {
-	*raft.MemoryStorage
-	node *Node
-}
-
-// Snapshot implements raft.Storage.
-func (s snapshotStorage) Snapshot() (*raftpb.Snapshot, error) {
-	data, err := s.node.encodeSnapshot()
-	index, term := s.node.appliedIndex, s.node.appliedTerm
-	return &raftpb.Snapshot{Data: data,
-		Metadata: &raftpb.SnapshotMetadata{ConfState: s.node.confState, Index: &index, Term: &term}}, err
-}
-
-// encodeSnapshot is all that the voters hold alike.
-func (n *Node) encodeSnapshot() ([]byte, error) {
-	state, err := n.state.Snapshot()
-	if err != nil {
-		return nil, err
-	}
-	return encMode.Marshal(snapshotData{n.membership, state})
-}
-
-// Compact makes a snapshot of what is applied and drops the entries before it, but for the latest keep: a voter that
-// is not further behind gets those, not all of it.
-func (n *Node) Compact(keep uint64) error {
-	snapshot, _ := n.storage.Snapshot()
-	if n.appliedIndex <= snapshot.GetMetadata().GetIndex() {
-		return nil
-	}
-	data, err := n.encodeSnapshot()
-	if err != nil {
-		return err
-	}
-	if _, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState, data); err != nil {
-		return err
-	}
-	first, _ := n.storage.FirstIndex()
-	if n.appliedIndex > keep && n.appliedIndex-keep >= first {
-		return n.storage.Compact(n.appliedIndex - keep)
-	}
-	return nil
+	return d.encode(&n.self)
 }
