--- a/internal/coordination/wal/bench_test.go
+++ b/internal/coordination/wal/bench_test.go
@@ -11,8 +11,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// reportLatency reports the median and the 99th of 100 of what each call took.
+// reportLatency reports the median and the 99th percentile of the calls.
 func reportLatency(b *testing.B, do func(i int) error) {
+	b.Helper()
 	took := make([]time.Duration, 0, b.N)
 	b.ResetTimer()
 	for i := range b.N {
@@ -27,18 +28,18 @@
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
 }
 
-var benchmarkRecord = make([]byte, 300) // about one decision with what raft says beside it
+var benchmarkRecord = make([]byte, 300) // about the size of a controller's write with what Raft adds to it
 
-// One write and sync of a block at the end of a file: what no log can be faster than.
+// One write and sync of a block at the end of a file: no log can be faster.
 func BenchmarkFile_sync(b *testing.B) {
-	f, err := os.OpenFile(filepath.Join(b.TempDir(), "f"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(filepath.Join(b.TempDir(), "f"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer f.Close()
-	one := make([]byte, blockSize)
+	b.Cleanup(func() { _ = f.Close() })
+	block := make([]byte, blockSize)
 	reportLatency(b, func(int) error {
-		if _, err := f.Write(one); err != nil {
+		if _, err := f.Write(block); err != nil {
 			return err
 		}
 		return f.Sync()
@@ -50,23 +51,24 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	b.Cleanup(func() { _ = l.Close() })
 	reportLatency(b, func(int) error { return l.Append(benchmarkRecord) })
 }
 
+// The same in an embedded database, for comparison.
 func BenchmarkBbolt_put(b *testing.B) {
-	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
+	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), fileMode, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer db.Close()
+	b.Cleanup(func() { _ = db.Close() })
 	reportLatency(b, func(i int) error {
 		return db.Update(func(tx *bbolt.Tx) error {
-			k, err := tx.CreateBucketIfNotExists([]byte("log"))
+			bucket, err := tx.CreateBucketIfNotExists([]byte("log"))
 			if err != nil {
 				return err
 			}
-			return k.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), benchmarkRecord)
+			return bucket.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), benchmarkRecord)
 		})
 	})
 }
--- a/internal/coordination/wal/golden_test.go
+++ b/internal/coordination/wal/golden_test.go
@@ -38,7 +38,7 @@
 	return all
 }
 
-// goldenLog is a folder whose mark and inode are not drawn, without its log.
+// goldenLog is a folder without a log, whose disk ID and inode a test sets.
 func goldenLog(t *testing.T) *Log {
 	t.Helper()
 	l := &Log{folder: t.TempDir(), ops: OSFileOps{}}
@@ -57,13 +57,13 @@
 
 // The same records make the same log, byte for byte.
 func TestGolden_logIsWritten(t *testing.T) {
-	l := goldenLog(t)
-	l.header = entry{DiskID: goldenDiskID, Inode: goldenInode, Incarnation: 1}
-	if err := l.replaceLog(nil); err != nil {
+	voterLog := goldenLog(t)
+	voterLog.header = entry{DiskID: goldenDiskID, Inode: goldenInode, Incarnation: 1}
+	if err := voterLog.replaceLog(nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range goldenRecords(t) {
-		if err := l.Append(r); err != nil {
+		if err := voterLog.Append(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -71,55 +71,56 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := l.logBytes(t); !bytes.Equal(got, want) || l.Size() != int64(len(want)) {
-		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), l.Size())
+	if got := voterLog.logBytes(t); !bytes.Equal(got, want) || voterLog.Size() != int64(len(want)) {
+		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), voterLog.Size())
 	}
 }
 
-// A log that the version before wrote is read, and written anew at its opening as that would have done.
+// A log that the version before wrote is read, and rewritten at its opening as that version did.
 func TestGolden_logIsRead(t *testing.T) {
 	log, err := os.ReadFile("testdata/log")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := goldenLog(t)
-	if err := os.WriteFile(filepath.Join(l.folder, logName), log, 0o600); err != nil {
+	voterLog := goldenLog(t)
+	if err := os.WriteFile(filepath.Join(voterLog.folder, logName), log, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.load(goldenInode + 1); !errors.Is(err, ErrCopied) {
+	if err := voterLog.load(goldenInode + 1); !errors.Is(err, ErrCopied) {
 		t.Errorf("with another inode: %v", err)
 	}
-	l = &Log{folder: l.folder, ops: OSFileOps{}}
-	t.Cleanup(func() { _ = l.Close() })
-	if err := l.load(goldenInode); err != nil {
+	voterLog = &Log{folder: voterLog.folder, ops: OSFileOps{}}
+	t.Cleanup(func() { _ = voterLog.Close() })
+	if err := voterLog.load(goldenInode); err != nil {
 		t.Fatal(err)
 	}
-	if life, _ := l.Incarnation(); !slices.EqualFunc(l.Records(), goldenRecords(t), bytes.Equal) || life != 2 ||
-		l.DiskID() != goldenDiskID || l.Repaired() != 0 {
-		t.Errorf("%d records, life %d, mark %s, %d healed", len(l.Records()), life, l.DiskID(), l.Repaired())
+	records, id, repaired := voterLog.Records(), voterLog.DiskID(), voterLog.Repaired()
+	if incarnation, _ := voterLog.Incarnation(); !slices.EqualFunc(records, goldenRecords(t), bytes.Equal) ||
+		incarnation != 2 || id != goldenDiskID || repaired != 0 {
+		t.Errorf("%d records, incarnation %d, disk ID %s, %d repaired", len(records), incarnation, id, repaired)
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(l.logBytes(t))); got != goldenReopened {
+	if got := fmt.Sprintf("%x", sha256.Sum256(voterLog.logBytes(t))); got != goldenReopened {
 		t.Errorf("after its opening %s", got)
 	}
-	if err := l.Rewrite(goldenRecords(t)[0]); err != nil {
+	if err := voterLog.Rewrite(goldenRecords(t)[0]); err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(l.logBytes(t))); got != goldenRewritten {
+	if got := fmt.Sprintf("%x", sha256.Sum256(voterLog.logBytes(t))); got != goldenRewritten {
 		t.Errorf("after it was rewritten %s", got)
 	}
 }
 
-// A folder has its mark as text in a file of its own, by which a voter of the version before would know it.
+// A folder has its disk ID as text in a file of its own, as in the version before.
 func TestGolden_filesOfAFolder(t *testing.T) {
 	folder := t.TempDir()
-	l, err := Open(folder)
+	voterLog, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	mark, err := os.ReadFile(filepath.Join(folder, "mark"))
-	if err != nil || string(mark) != l.DiskID()+"\n" {
-		t.Errorf("mark %q of a disk %s, %v", mark, l.DiskID(), err)
+	t.Cleanup(func() { _ = voterLog.Close() })
+	id, err := os.ReadFile(filepath.Join(folder, "mark"))
+	if err != nil || string(id) != voterLog.DiskID()+"\n" {
+		t.Errorf("file %q of a disk %s, %v", id, voterLog.DiskID(), err)
 	}
 	files, err := os.ReadDir(folder)
 	var names []string
--- a/internal/coordination/wal/log.go
+++ b/internal/coordination/wal/log.go
@@ -1,5 +1,6 @@
-// Package disk keeps a voter's records on disk: what it must not forget, in the order in which it was saved. It finds
-// torn and flipped bytes, a folder that was copied, and a log that is gone, and says so rather than give back less.
+// Package wal is a voter's write-ahead log: the records that it must not forget, on disk, in the order in which they were
+// appended. It notices torn writes, flipped bytes, a folder that was copied and a log that is missing, and returns an error
+// rather than fewer records than were acknowledged.
 package wal
 
 import (
@@ -15,88 +16,80 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of a Disk.
+// Errors of a Log.
 var (
-	// ErrCorrupt: something that was saved can't be read; the voter needs an empty folder and a new number.
-	ErrCorrupt = errors.New("the log on disk is spoilt")
-	// ErrCopied: the folder was copied from another, which may still be in use.
+	// ErrCorrupt means that something that was appended cannot be read; the voter needs an empty folder and a new number.
+	ErrCorrupt = errors.New("the log on disk is corrupt")
+	// ErrCopied means that the folder was copied from another one, which may still be in use.
 	ErrCopied = errors.New("the folder was copied from another")
-	// ErrInUse: another process has it.
+	// ErrInUse means that another process has the folder open.
 	ErrInUse = errors.New("the folder is in use")
-	// ErrWriteFailed: a write or sync went wrong. What is on disk is not known from then on, so nothing more is saved.
+	// ErrWriteFailed means that a write or sync failed. What is on disk is not known from then on, so nothing more is
+	// written.
 	ErrWriteFailed = errors.New("the disk failed")
 )
 
 // The files of a folder.
 const (
-	logName     = "log"  // all that is saved
-	rewriteName = "next" // a log being made anew
-	idName      = "mark" // made once and never again: its inode tells a copy
-	newIDName   = "new"  // a mark whose first log is not yet made
+	logName     = "log"  // all records
+	rewriteName = "next" // a log that is being rewritten
+	idName      = "mark" // the disk ID; made once and never again, so that its inode tells a copy
+	newIDName   = "new"  // a disk ID whose first log is not complete yet
 	lockName    = "lock"
 )
 
-// FileOps does what can go wrong on a disk; tests have hands that fail.
-type FileOps interface {
-	Write(f *os.File, b []byte) error
-	Sync(f *os.File) error
-}
-
-// OSFileOps is the hand that does as told.
-type OSFileOps struct{}
-
-// Write writes all of b.
-func (OSFileOps) Write(f *os.File, b []byte) error {
-	_, err := f.Write(b)
-	return err
-}
+const (
+	folderMode = 0o700
+	fileMode   = 0o600
+)
 
-// Sync returns once what was written is on disk.
-func (OSFileOps) Sync(f *os.File) error { return f.Sync() }
+const diskIDBytes = 16
 
-// entry is what one frame of the log holds.
+// entry is the payload of one frame of the log. The first one holds no record.
 type entry struct {
 	DiskID      string `cbor:"1,keyasint,omitempty"` // in the first
-	Inode       uint64 `cbor:"2,keyasint,omitempty"` // of the mark's file, in the first
-	Incarnation uint64 `cbor:"3,keyasint,omitempty"` // a start, or in the first: starts so far
+	Inode       uint64 `cbor:"2,keyasint,omitempty"` // of the disk ID's file, in the first
+	Incarnation uint64 `cbor:"3,keyasint,omitempty"` // in the first: how often the folder was opened
 	Record      []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// Log is one voter's folder. Not safe for use by several goroutines at once.
+// Log is one voter's folder. It is not safe for concurrent use.
 type Log struct {
-	folder    string
-	ops       FileOps
-	lockFile  *os.File
-	logFile   *os.File
-	header    entry // without a record
+	folder   string
+	ops      FileOps
+	lockFile *os.File
+	logFile  *os.File
+	failure  error // of an earlier write
+
+	header   entry    // the log's first entry
+	nonce    uint64   // of this opening
+	records  [][]byte // as found at the opening
+	repaired int
+
 	nextFrame uint64
-	size      int64
-	records   [][]byte
-	repaired  int
-	failure   error
-	nonce     uint64
+	size      int64 // bytes
 }
 
-// Open opens a folder, and makes it where there is none.
+// Open opens a folder, and creates it if it does not exist. For errors see OpenWith.
 func Open(folder string) (*Log, error) { return OpenWith(folder, OSFileOps{}) }
 
-// OpenWith opens a folder whose writes go through a hand. Errors: ErrSpoilt, ErrCopied, ErrUsed, ErrFailed, or what the
-// system says.
+// OpenWith opens a folder and writes to it through ops. Errors: ErrCorrupt, ErrCopied, ErrInUse, ErrWriteFailed, or the
+// system's.
 func OpenWith(folder string, ops FileOps) (*Log, error) {
 	l := &Log{folder: folder, ops: ops}
 	if err := l.open(); err != nil {
-		_ = l.Close()
+		_ = l.Close() // the first error says more
 		return nil, fmt.Errorf("%s: %w", folder, err)
 	}
 	return l, nil
 }
 
 func (l *Log) open() error {
-	if err := os.MkdirAll(l.folder, 0o700); err != nil {
+	if err := os.MkdirAll(l.folder, folderMode); err != nil {
 		return err
 	}
 	var err error
-	if l.lockFile, err = os.OpenFile(l.path(lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if l.lockFile, err = os.OpenFile(l.path(lockName), os.O_CREATE|os.O_RDWR, fileMode); err != nil {
 		return err
 	}
 	if err := unix.Flock(int(l.lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
@@ -105,7 +98,7 @@
 	var drawn [8]byte
 	_, _ = rand.Read(drawn[:]) // never fails
 	l.nonce = binary.BigEndian.Uint64(drawn[:])
-	_ = os.Remove(l.path(rewriteName)) // one that was never put in place
+	_ = os.Remove(l.path(rewriteName)) // a rewrite that was not completed; usually there is none
 	inode, err := l.inode(idName)
 	if errors.Is(err, os.ErrNotExist) {
 		return l.create()
@@ -119,31 +112,24 @@
 func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
 
 func (l *Log) inode(name string) (uint64, error) {
-	var s unix.Stat_t
-	if err := unix.Stat(l.path(name), &s); err != nil {
+	var stat unix.Stat_t
+	if err := unix.Stat(l.path(name), &stat); err != nil {
 		return 0, &os.PathError{Op: "stat", Path: l.path(name), Err: err}
 	}
-	return s.Ino, nil
+	return stat.Ino, nil
 }
 
-// create begins a folder. One that a crash left half made has acknowledged nothing, and is begun again.
+// create makes a new folder's files. A folder that a crash left half made has acknowledged nothing, and is made again.
 func (l *Log) create() error {
 	if _, err := l.inode(newIDName); err != nil {
 		if _, err := l.inode(logName); err == nil {
 			return fmt.Errorf("%w: there is a log without its mark", ErrCorrupt)
 		}
 	}
-	var drawn [16]byte
-	_, _ = rand.Read(drawn[:]) // never fails
-	l.header = entry{DiskID: hex.EncodeToString(drawn[:]), Incarnation: 1}
-	f, err := os.Create(l.path(newIDName))
-	if err != nil {
+	if err := l.writeNewID(); err != nil {
 		return err
 	}
-	defer f.Close()
-	if err := errors.Join(l.ops.Write(f, []byte(l.header.DiskID+"\n")), l.ops.Sync(f)); err != nil {
-		return fmt.Errorf("%w: %w", ErrWriteFailed, err)
-	}
+	var err error
 	if l.header.Inode, err = l.inode(newIDName); err != nil {
 		return err
 	}
@@ -156,22 +142,53 @@
 	return l.syncFolder()
 }
 
-// load reads what a folder holds and writes down that a new life begins.
+// writeNewID draws a disk ID and writes it to its preliminary file.
+func (l *Log) writeNewID() error {
+	var drawn [diskIDBytes]byte
+	_, _ = rand.Read(drawn[:]) // never fails
+	l.header = entry{DiskID: hex.EncodeToString(drawn[:]), Incarnation: 1}
+	f, err := os.Create(l.path(newIDName))
+	if err != nil {
+		return err
+	}
+	defer func() { _ = f.Close() }() // it is synced, or the open fails
+	if err := errors.Join(l.ops.Write(f, []byte(l.header.DiskID+"\n")), l.ops.Sync(f)); err != nil {
+		return fmt.Errorf("%w: %w", ErrWriteFailed, err)
+	}
+	return nil
+}
+
+// load reads a folder's log and records that a new incarnation begins.
 func (l *Log) load(inode uint64) error {
-	all, err := os.ReadFile(l.path(logName))
+	log, err := os.ReadFile(l.path(logName))
 	if errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%w: there is a mark without its log", ErrCorrupt)
 	}
 	if err != nil {
 		return err
 	}
-	scanned, err := readFrames(all)
+	scanned, err := readFrames(log)
 	if err != nil {
 		return err
 	}
-	for i, b := range scanned.payloads {
+	if err := l.decodeEntries(scanned.payloads); err != nil {
+		return err
+	}
+	switch {
+	case l.header.DiskID == "":
+		return fmt.Errorf("%w: its first frame can't be read", ErrCorrupt)
+	case l.header.Inode != inode:
+		return ErrCopied
+	}
+	l.repaired = scanned.damaged
+	l.header.Incarnation++
+	return l.replaceLog(l.records)
+}
+
+func (l *Log) decodeEntries(payloads [][]byte) error {
+	for i, payload := range payloads {
 		var decoded entry
-		if err := cbor.Unmarshal(b, &decoded); err != nil {
+		if err := cbor.Unmarshal(payload, &decoded); err != nil {
 			return fmt.Errorf("%w: frame %d: %w", ErrCorrupt, i, err)
 		}
 		if i == 0 {
@@ -182,34 +199,26 @@
 			l.records = append(l.records, decoded.Record)
 		}
 	}
-	switch {
-	case l.header.DiskID == "":
-		return fmt.Errorf("%w: its first frame can't be read", ErrCorrupt)
-	case l.header.Inode != inode:
-		return ErrCopied
-	}
-	l.repaired = scanned.damaged
-	l.header.Incarnation++
-	return l.replaceLog(l.records)
+	return nil
 }
 
-// DiskID is drawn when the folder is made: 32 hex digits.
+// DiskID returns what was drawn when the folder was made: 32 hex digits.
 func (l *Log) DiskID() string { return l.header.DiskID }
 
-// Incarnation is how often the folder was opened, and a number drawn at this opening.
+// Incarnation returns how often the folder was opened, and a nonce drawn at this opening.
 func (l *Log) Incarnation() (count, nonce uint64) { return l.header.Incarnation, l.nonce }
 
-// Records are those saved since the folder was made or rewritten, as found when it was opened.
+// Records returns what was appended since the folder was made or rewritten, as found when it was opened.
 func (l *Log) Records() [][]byte { return l.records }
 
-// Repaired is how many spoilt copies of frames, or ends of an unfinished write, were found when it was opened. Each frame
-// stands twice, so that nothing of them is missing.
+// Repaired returns how many damaged copies of frames, or ends of a torn write, were found when the folder was opened. Every
+// frame is written twice, so no record is missing for them.
 func (l *Log) Repaired() int { return l.repaired }
 
-// Size is the log's, in bytes.
+// Size returns the size of the log in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Close gives the folder back.
+// Close releases the folder.
 func (l *Log) Close() error {
 	var err error
 	if l.logFile != nil {
