--- a/internal/coordination/statemachine/golden_test.go
+++ b/internal/coordination/statemachine/golden_test.go
@@ -11,30 +11,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A log that was written by the version before holds these commands; its bytes must mean the same, and be the same.
+// A log that the version before wrote holds these commands: their bytes must mean the same and stay the same.
 func TestGolden_commandsAndResults(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		value, into any
 		want        string
 	}{
-		"write": {&Command{Kind: Write, Proposer: "g1/7", Number: 9, Table: "plan", Epoch: 4, Value: []byte("value")},
-			new(Command), goldenWrite},
-		"raise": {&Command{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"a": 7, "b": 1 << 40}},
-			new(Command), goldenRaise},
+		"write": {
+			&Command{Kind: Write, Proposer: "g1/7", Number: 9, Table: "plan", Epoch: 4, Value: []byte("value")},
+			new(Command), goldenWrite,
+		},
+		"raise": {
+			&Command{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"a": 7, "b": 1 << 40}},
+			new(Command), goldenRaise,
+		},
 		"result": {&Result{Applied: true, Epoch: 5}, new(Result), goldenResult},
 		"entry":  {&Table{Epoch: 5, Value: []byte("value"), Index: 77}, new(Table), goldenEntry},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := encMode.Marshal(c.value)
-			if err != nil || hex.EncodeToString(got) != c.want {
+			got, err := encMode.Marshal(test.value)
+			if err != nil || hex.EncodeToString(got) != test.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
-			encoded, err := hex.DecodeString(c.want)
+			encoded, err := hex.DecodeString(test.want)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := cbor.Unmarshal(encoded, c.into); err != nil || !reflect.DeepEqual(c.into, c.value) {
-				t.Errorf("decoded as %+v, %v", c.into, err)
+			if err := cbor.Unmarshal(encoded, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
+				t.Errorf("decoded as %+v, %v", test.into, err)
 			}
 		})
 	}
@@ -47,7 +51,7 @@
 	goldenEntry  = "a30105024576616c756503184d"
 )
 
-// goldenState is what a snapshot under testdata was made of: tables written, refused and repeated, and totals.
+// goldenState is what the snapshot under testdata was made of: tables written, rejected and repeated, and totals.
 func goldenState() *State {
 	s := New()
 	for i, command := range []Command{
@@ -64,16 +68,23 @@
 	return s
 }
 
-// A snapshot that the version before wrote is read, and written again byte for byte.
-func TestGolden_snapshot(t *testing.T) {
+// goldenSnapshot is what the version before wrote.
+func goldenSnapshot(t *testing.T) []byte {
+	t.Helper()
 	text, err := os.ReadFile("testdata/snapshot.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	snapshot, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
+	return snapshot
+}
+
+// A snapshot that the version before wrote is read, and written again byte for byte.
+func TestGolden_snapshot(t *testing.T) {
+	want := goldenSnapshot(t)
 	if got, err := goldenState().Snapshot(); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written as %x, %v", got, err)
 	}
@@ -84,12 +95,20 @@
 	if got, err := s.Snapshot(); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written again as %x, %v", got, err)
 	}
+}
+
+// What a snapshot of the version before means.
+func TestGolden_snapshotContent(t *testing.T) {
+	s := New()
+	if err := s.Restore(goldenSnapshot(t)); err != nil {
+		t.Fatal(err)
+	}
 	if plan, rules := s.Table("plan"), s.Table("rules"); s.AppliedIndex() != 18 || string(plan.Value) != "second" ||
 		plan.Epoch != 2 || plan.Index != 12 || !bytes.Equal(rules.Value, []byte{0, 1, 0xff}) ||
 		s.Totals("exact")["g1\x1f7\x1fowed"] != 12 {
 		t.Errorf("read as %+v", s)
 	}
 	if again := s.Apply(19, writeCommand("g1/1", 2, 1, "repeated")); !again.Applied || again.Epoch != 2 {
-		t.Errorf("the answer to a repeated command is %+v", again)
+		t.Errorf("the result of a repeated command is %+v", again)
 	}
 }
--- a/internal/coordination/statemachine/state_test.go
+++ b/internal/coordination/statemachine/state_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func writeCommand(by string, number, epoch uint64, value string) Command {
-	return Command{Kind: Write, Proposer: by, Number: number, Table: "plan", Epoch: epoch, Value: []byte(value)}
+func writeCommand(proposer string, number, epoch uint64, value string) Command {
+	return Command{Kind: Write, Proposer: proposer, Number: number, Table: "plan", Epoch: epoch, Value: []byte(value)}
 }
 
-// Two that decide at once on the same table: one of them is written, the other hears where the table stands.
+// Of two concurrent writes of the same table one is applied; the other returns the current epoch.
 func TestApply_writeAtAnEarlierEpochIsNotApplied(t *testing.T) {
 	s := New()
 	first, second := s.Apply(1, writeCommand("a/1", 1, 0, "x")), s.Apply(2, writeCommand("b/1", 1, 0, "y"))
@@ -18,7 +18,7 @@
 	}
 }
 
-// A proposer that hears no answer proposes again; both come into the log.
+// A proposer that receives no response proposes again, and both entries are committed.
 func TestApply_repeatedCommandIsAppliedOnce(t *testing.T) {
 	s := New()
 	s.Apply(1, writeCommand("a/1", 1, 0, "x"))
@@ -30,7 +30,7 @@
 	}
 }
 
-// An entry that a restart plays again changes nothing.
+// An entry that is replayed after a restart changes nothing.
 func TestApply_replayedEntryChangesNothing(t *testing.T) {
 	s := New()
 	s.Apply(5, Command{Kind: RaiseTotals, Table: "debts", Totals: map[string]uint64{"a": 7}})
@@ -45,27 +45,28 @@
 	s := New()
 	s.Apply(1, writeCommand("a/1", 1, 0, "x"))
 	s.Apply(2, Command{Kind: RaiseTotals, Table: "debts", Totals: map[string]uint64{"a": 7}})
-	one, err := s.Snapshot()
+	snapshot, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := New()
-	if err := r.Restore(one); err != nil {
+	restored := New()
+	if err := restored.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	two, _ := r.Snapshot()
-	if !bytes.Equal(one, two) || r.AppliedIndex() != 2 || r.Table("plan").Epoch != 1 || r.Totals("debts")["a"] != 7 {
-		t.Errorf("restored %+v", r)
+	again, err := restored.Snapshot()
+	if err != nil || !bytes.Equal(snapshot, again) || restored.AppliedIndex() != 2 ||
+		restored.Table("plan").Epoch != 1 || restored.Totals("debts")["a"] != 7 {
+		t.Errorf("restored %+v, %v", restored, err)
 	}
-	if again := r.Apply(3, writeCommand("a/1", 1, 0, "x")); !again.Applied || again.Epoch != 1 {
-		t.Errorf("forgot what was applied: %+v", again)
+	if repeated := restored.Apply(3, writeCommand("a/1", 1, 0, "x")); !repeated.Applied || repeated.Epoch != 1 {
+		t.Errorf("the result of a repeated command is lost: %+v", repeated)
 	}
-	if err := r.Restore([]byte("spoilt")); err == nil || r.AppliedIndex() != 3 {
-		t.Errorf("took a spoilt snapshot: %v, index %d", err, r.AppliedIndex())
+	if err := restored.Restore([]byte("malformed")); err == nil || restored.AppliedIndex() != 3 {
+		t.Errorf("malformed snapshot: %v, index %d", err, restored.AppliedIndex())
 	}
 }
 
-// Proposers that are gone must not fill the memory of every voter.
+// Past incarnations of processes must not fill the memory of every voter.
 func TestApply_oldestProposersAreEvicted(t *testing.T) {
 	s := New()
 	for i := range uint64(maxProposers + 100) {
