--- a/internal/coordination/observation/golden_test.go
+++ b/internal/coordination/observation/golden_test.go
@@ -14,28 +14,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		digest Digest
 		want   string
 	}{
-		"full": {Digest{Process: "g1", Incarnation: 1 << 60, Serial: 3, Session: 2,
+		"full": {Digest{
+			Process: "g1", Incarnation: 1 << 60, Serial: 3, Session: 2,
 			Counts: map[string]uint64{JoinName("push", "hall-a/1", "answered"): 12, "pushes": 1 << 35},
-			Exact:  map[string]uint64{JoinName("owed", "acme"): 9}}, goldenDigest},
-		"sums of a voter": {Digest{Process: "v2", Incarnation: 4, Serial: 1, Session: 7,
-			Counts: map[string]uint64{}}, goldenSums},
+			Exact:  map[string]uint64{JoinName("owed", "acme"): 9},
+		}, goldenDigest},
+		"sums of a voter": {Digest{
+			Process: "v2", Incarnation: 4, Serial: 1, Session: 7,
+			Counts: map[string]uint64{},
+		}, goldenSums},
 		"empty": {Digest{}, goldenEmpty},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := mode.Marshal(c.digest)
-			if err != nil || hex.EncodeToString(got) != c.want {
+			got, err := mode.Marshal(test.digest)
+			if err != nil || hex.EncodeToString(got) != test.want {
 				t.Errorf("encoded as %x, %v", got, err)
 			}
-			encoded, err := hex.DecodeString(c.want)
+			encoded, err := hex.DecodeString(test.want)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var digest Digest
-			if err := cbor.Unmarshal(encoded, &digest); err != nil || !reflect.DeepEqual(digest, c.digest) {
+			if err := cbor.Unmarshal(encoded, &digest); err != nil || !reflect.DeepEqual(digest, test.digest) {
 				t.Errorf("decoded as %+v, %v", digest, err)
 			}
 		})
--- a/internal/coordination/observation/merger.go
+++ b/internal/coordination/observation/merger.go
@@ -1,75 +1,62 @@
-// Package evidence is what processes saw, in a form that a lost, doubled, late or reordered message cannot falsify:
-// every process sends all that it has counted since its start, and whoever takes it keeps the latest. It knows no
-// sockets and no clock.
 package observation
 
 import (
 	"cmp"
 	"maps"
 	"slices"
-	"strings"
 )
 
-// Digest is all that one process has counted in one life.
-type Digest struct {
-	Process     string `cbor:"1,keyasint"` // its name in the operator's file
-	Incarnation uint64 `cbor:"2,keyasint"` // of this life; a later life has a larger one
-	Serial      uint64 `cbor:"3,keyasint"` // from 1, larger with each digest of a life
-	// Session grows within a life each time the process turns to another voter: what it counted before then was, or
-	// was not, told to the one before.
-	Session uint64 `cbor:"6,keyasint"`
-	// Counts only grow within a life. They are merged on the way: voters pass on sums. A process that turns to
-	// another voter loses what it counted between two digests; nothing counts twice.
-	Counts map[string]uint64 `cbor:"4,keyasint"`
-	// Exact only grow within a life, and are passed on process by process up to the log.
-	Exact map[string]uint64 `cbor:"5,keyasint"`
+// Merger merges digests. It starts to count a session at the first digest of it that it receives, as another merger may
+// have counted what came before, and adds the growth of later ones. It is not safe for concurrent use.
+type Merger struct {
+	latest   map[string]*processState // latest incarnation, by process
+	previous map[string][]*processState
+	sums     map[string]uint64
 }
 
-const separator = "\x1f"
-
-// JoinName makes the name of a count of its parts; parts hold no unit separator (0x1f).
-func JoinName(parts ...string) string { return strings.Join(parts, separator) }
-
-// SplitName are the parts of a name.
-func SplitName(name string) []string { return strings.Split(name, separator) }
-
-// processState is a process in one of its lives.
+// processState is what is known of one incarnation of a process.
 type processState struct {
 	incarnation, session, serial uint64
 	counts, exact                map[string]uint64
 }
 
-// Merger merges digests. The first digest of a session that a book sees is where its counting begins, as another book may
-// have counted what came before; it adds what later ones have more. Not safe for use by several goroutines at once.
-type Merger struct {
-	latest   map[string]*processState // the latest of each process
-	previous map[string][]*processState
-	sums     map[string]uint64
-}
-
-// maxPrevious is how many earlier lives of a process are kept for what is exact in them: what the latest of these had
-// counted may not be in the log yet, and its last digests may still be on their way.
+// maxPrevious is how many earlier incarnations of a process are kept for their exact counts: these may not be in the log
+// yet, and the last digests may still be on their way.
 const maxPrevious = 4
 
-// NewMerger makes an empty book.
+// NewMerger makes an empty merger.
 func NewMerger() *Merger {
-	return &Merger{latest: map[string]*processState{}, previous: map[string][]*processState{}, sums: map[string]uint64{}}
+	return &Merger{
+		latest:   map[string]*processState{},
+		previous: map[string][]*processState{},
+		sums:     map[string]uint64{},
+	}
 }
 
-// Add takes a digest and tells whether it was news: a late or doubled one, or one of an earlier life, is none; what is
-// exact in one of an earlier life counts all the same.
-// A count that a digest has less of than an earlier one of the same life is taken as it stood.
-func (m *Merger) Add(digest Digest) (changed bool) {
+// Add merges a digest and reports whether it was the latest of its process. Of a digest of an earlier incarnation only the
+// exact counts are merged; any other late or duplicate one changes nothing. A count that is lower than in an earlier digest
+// of the same incarnation is taken to be unchanged.
+func (m *Merger) Add(digest Digest) (latest bool) {
 	state := m.latest[digest.Process]
 	switch {
 	case state == nil || digest.Incarnation > state.incarnation:
 		if state != nil {
 			m.mergePrevious(digest.Process, state)
 		}
-		m.latest[digest.Process] = &processState{digest.Incarnation, digest.Session, digest.Serial, maps.Clone(digest.Counts), maps.Clone(digest.Exact)}
+		m.latest[digest.Process] = &processState{
+			incarnation: digest.Incarnation,
+			session:     digest.Session,
+			serial:      digest.Serial,
+			counts:      maps.Clone(digest.Counts),
+			exact:       maps.Clone(digest.Exact),
+		}
 		return true
 	case digest.Incarnation < state.incarnation:
-		m.mergePrevious(digest.Process, &processState{incarnation: digest.Incarnation, serial: digest.Serial, exact: maps.Clone(digest.Exact)})
+		m.mergePrevious(digest.Process, &processState{
+			incarnation: digest.Incarnation,
+			serial:      digest.Serial,
+			exact:       maps.Clone(digest.Exact),
+		})
 		return false
 	case digest.Serial <= state.serial || digest.Session < state.session:
 		return false
@@ -79,8 +66,8 @@
 	}
 	state.serial = digest.Serial
 	for name, n := range digest.Counts {
-		if was := state.counts[name]; n > was {
-			m.sums[name] += n - was
+		if before := state.counts[name]; n > before {
+			m.sums[name] += n - before
 		}
 	}
 	state.counts = mergeMax(state.counts, digest.Counts)
@@ -88,19 +75,21 @@
 	return true
 }
 
-// mergePrevious keeps what is exact in an earlier life.
+// mergePrevious keeps the exact counts of an earlier incarnation.
 func (m *Merger) mergePrevious(process string, state *processState) {
 	previous := m.previous[process]
-	i, found := slices.BinarySearchFunc(previous, state.incarnation, func(other *processState, n uint64) int { return cmp.Compare(other.incarnation, n) })
+	byIncarnation := func(s *processState, incarnation uint64) int { return cmp.Compare(s.incarnation, incarnation) }
+	i, found := slices.BinarySearchFunc(previous, state.incarnation, byIncarnation)
 	if found {
-		previous[i].serial, previous[i].exact = max(previous[i].serial, state.serial), mergeMax(previous[i].exact, state.exact)
+		known := previous[i]
+		known.serial, known.exact = max(known.serial, state.serial), mergeMax(known.exact, state.exact)
 		return
 	}
 	previous = slices.Insert(previous, i, state)
 	m.previous[process] = previous[max(0, len(previous)-maxPrevious):]
 }
 
-// mergeMax gives the larger of each count.
+// mergeMax raises each count to the larger of the two and returns the first map, or a new one if that is nil.
 func mergeMax(merged, counts map[string]uint64) map[string]uint64 {
 	if merged == nil {
 		merged = map[string]uint64{}
@@ -111,25 +100,25 @@
 	return merged
 }
 
-// Sums are what was counted by all since the book began, by name. The map is the caller's.
+// Sums returns what all processes have counted since the merger was made, by name. The map is the caller's.
 func (m *Merger) Sums() map[string]uint64 { return maps.Clone(m.sums) }
 
-// ExactCounts are the exact counts of each process in its latest lives, in the order of their names, earlier lives first.
+// ExactCounts returns the exact counts of each process in its last incarnations, by process name, earlier incarnations
+// first.
 func (m *Merger) ExactCounts() []Digest {
-	var all []Digest
-	for _, name := range slices.Sorted(maps.Keys(m.latest)) {
-		for _, state := range append(slices.Clone(m.previous[name]), m.latest[name]) {
+	var digests []Digest
+	for _, process := range slices.Sorted(maps.Keys(m.latest)) {
+		for _, state := range append(slices.Clone(m.previous[process]), m.latest[process]) {
 			if len(state.exact) == 0 {
 				continue
 			}
-			all = append(all, Digest{Process: name, Incarnation: state.incarnation, Serial: state.serial, Exact: maps.Clone(state.exact)})
+			digests = append(digests, Digest{
+				Process:     process,
+				Incarnation: state.incarnation,
+				Serial:      state.serial,
+				Exact:       maps.Clone(state.exact),
+			})
 		}
 	}
-	return all
-}
-
-// Forget drops a process that has not been heard of for long. A digest of the same life begins anew.
-func (m *Merger) Forget(process string) {
-	delete(m.latest, process)
-	delete(m.previous, process)
+	return digests
 }
--- a/internal/coordination/observation/merger_rapid_test.go
+++ b/internal/coordination/observation/merger_rapid_test.go
@@ -6,48 +6,66 @@
 	"pgregory.net/rapid"
 )
 
-// A process counts, tells one of three voters at a time, and is restarted; its digests are lost, doubled and late. All
-// voters together never have more than was counted, and one that hears all of a session has what grew in it.
+// addressedDigest is a digest on its way to a voter.
+type addressedDigest struct {
+	voter  int
+	digest Digest
+}
+
+// countingProcess counts, sends its digests to one of three voters at a time, and is restarted.
+type countingProcess struct {
+	digest  Digest // the last one sent
+	voter   int
+	count   uint64 // of this incarnation
+	counted uint64 // by all incarnations
+	sent    []addressedDigest
+}
+
+// step is one thing that happens to the process.
+func (p *countingProcess) step(t *rapid.T) {
+	switch rapid.IntRange(0, 9).Draw(t, "step") {
+	case 0: // it switches to another voter
+		p.voter, p.digest.Session = rapid.IntRange(0, 2).Draw(t, "voter"), p.digest.Session+1
+	case 1: // it restarts
+		p.digest, p.count = Digest{Process: "g", Incarnation: p.digest.Incarnation + 1}, 0
+	default:
+		growth := rapid.Uint64Range(0, 5).Draw(t, "growth")
+		p.count, p.counted, p.digest.Serial = p.count+growth, p.counted+growth, p.digest.Serial+1
+		p.digest.Counts, p.digest.Exact = map[string]uint64{"n": p.count}, map[string]uint64{"n": p.count}
+		p.sent = append(p.sent, addressedDigest{p.voter, p.digest})
+	}
+}
+
+// deliver has some of the digests on their way arrive, in any order; some of them are duplicated.
+func (p *countingProcess) deliver(t *rapid.T, voters []*Merger) {
+	for len(p.sent) > 0 && rapid.Bool().Draw(t, "arrives") {
+		i := rapid.IntRange(0, len(p.sent)-1).Draw(t, "which")
+		voters[p.sent[i].voter].Add(p.sent[i].digest)
+		if rapid.Bool().Draw(t, "once") {
+			p.sent = append(p.sent[:i:i], p.sent[i+1:]...)
+		}
+	}
+}
+
+// Digests are lost, duplicated and late: all voters together never have more than was counted.
 func TestMerger_votersNeverSumToMoreThanWasCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type sent struct {
-			to int
-			d  Digest
-		}
-		mergers := []*Merger{NewMerger(), NewMerger(), NewMerger()}
-		var way []sent
-		counted, n, voter := uint64(0), uint64(0), 0
-		digest := Digest{Process: "g", Incarnation: 1}
+		voters := []*Merger{NewMerger(), NewMerger(), NewMerger()}
+		process := countingProcess{digest: Digest{Process: "g", Incarnation: 1}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "step") {
-			case 0: // turns to another voter
-				voter, digest.Session = rapid.IntRange(0, 2).Draw(t, "to"), digest.Session+1
-			case 1: // a new life
-				digest, n = Digest{Process: "g", Incarnation: digest.Incarnation + 1}, 0
-			default:
-				grown := rapid.Uint64Range(0, 5).Draw(t, "grown")
-				n, counted, digest.Serial = n+grown, counted+grown, digest.Serial+1
-				digest.Counts, digest.Exact = map[string]uint64{"n": n}, map[string]uint64{"n": n}
-				way = append(way, sent{voter, digest})
-			}
-			for len(way) > 0 && rapid.Bool().Draw(t, "arrives") {
-				i := rapid.IntRange(0, len(way)-1).Draw(t, "which")
-				mergers[way[i].to].Add(way[i].d)
-				if rapid.Bool().Draw(t, "once") {
-					way = append(way[:i:i], way[i+1:]...)
-				}
-			}
+			process.step(t)
+			process.deliver(t, voters)
 			sum := uint64(0)
-			for _, m := range mergers {
-				sum += m.Sums()["n"]
-				for _, e := range m.ExactCounts() {
-					if e.Exact["n"] > counted {
-						t.Fatalf("%d exact of %d", e.Exact["n"], counted)
+			for _, voter := range voters {
+				sum += voter.Sums()["n"]
+				for _, exact := range voter.ExactCounts() {
+					if exact.Exact["n"] > process.counted {
+						t.Fatalf("exact count %d of %d", exact.Exact["n"], process.counted)
 					}
 				}
 			}
-			if sum > counted {
-				t.Fatalf("%d of %d counted", sum, counted)
+			if sum > process.counted {
+				t.Fatalf("sum %d of %d", sum, process.counted)
 			}
 		}
 	})
