--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -79,7 +79,10 @@
 		return coordination.ErrStopped
 	}
 	self := coordination.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
-	running, err := voter.Open(self, initialMembers, h.storage, h.node.controllers(cfg), h.send, h.node.logger)
+	running, err := voter.Open(voter.Options{
+		Self: self, InitialMembers: initialMembers, Log: h.storage, Controllers: h.node.controllers(cfg),
+		Send: h.send, Logger: h.node.logger,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/voter/bench_test.go
+++ b/internal/coordination/voter/bench_test.go
@@ -1,7 +1,6 @@
 package voter
 
 import (
-	"context"
 	"fmt"
 	"slices"
 	"testing"
@@ -12,14 +11,14 @@
 
 // One write at a time through three voters with a real disk each, messages in memory.
 func BenchmarkVoter_Commit(b *testing.B) {
-	tc := newTestCluster(b, 3)
-	tc.startAll(tempFolders(b, 3))
-	leader := tc.waitForLeader()
+	group := newTestCluster(b, 3)
+	group.startAll(tempFolders(b, 3))
+	leader := group.waitForLeader()
 	took := make([]time.Duration, 0, b.N)
 	b.ResetTimer()
 	for i := range b.N {
 		began := time.Now()
-		if _, err := leader.Propose(context.Background(), writeCommand(uint64(i+1), uint64(i), "a decision")); err != nil {
+		if _, err := leader.Propose(b.Context(), writeCommand(uint64(i+1), uint64(i), "a decision")); err != nil {
 			b.Fatal(err)
 		}
 		took = append(took, time.Since(began))
@@ -34,9 +33,9 @@
 func BenchmarkVoter_Take(b *testing.B) {
 	for _, processes := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
-			tc := newTestCluster(b, 1)
-			tc.startAll(tempFolders(b, 1))
-			v := tc.waitForLeader()
+			group := newTestCluster(b, 1)
+			group.startAll(tempFolders(b, 1))
+			v := group.waitForLeader()
 			var names []string
 			for i := range 60 {
 				names = append(names, fmt.Sprint("count ", i))
@@ -61,17 +60,17 @@
 
 // Reads that come all at once and wait for nothing, at one of three voters.
 func BenchmarkVoter_Reads(b *testing.B) {
-	tc := newTestCluster(b, 3)
-	tc.startAll(tempFolders(b, 3))
-	tc.mustWrite(writeCommand(1, 0, "a"))
+	group := newTestCluster(b, 3)
+	group.startAll(tempFolders(b, 3))
+	group.mustWrite(writeCommand(1, 0, "a"))
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := tc.waitForLeader()
+			v := group.waitForLeader()
 			for range b.N {
 				done := make(chan error, n)
 				for range n {
 					go func() {
-						_, err := v.Read(context.Background(), nil, 0)
+						_, err := v.Read(b.Context(), nil, 0)
 						done <- err
 					}()
 				}
--- a/internal/coordination/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -21,15 +21,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testCluster is some voters in one process, with real disks and clocks, and messages handed over in memory.
+// testCluster is some voters in one process, with real disks and clocks, and messages delivered in memory.
 type testCluster struct {
 	t              testing.TB
 	initialMembers []coordination.Member
-	mu             sync.Mutex
-	voters         map[uint64]*Voter
-	storages       map[uint64]*wal.Log
-	isolated       map[uint64]bool
-	deliveries     sync.WaitGroup
+
+	mu         sync.Mutex // guards what follows
+	voters     map[uint64]*Voter
+	storages   map[uint64]*wal.Log
+	isolated   map[uint64]bool
+	deliveries sync.WaitGroup
 }
 
 func newTestCluster(t testing.TB, n int) *testCluster {
@@ -50,23 +51,18 @@
 	return coordination.Member{Number: n, Name: fmt.Sprintf("v%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 7000+n)}
 }
 
-func (tc *testCluster) start(n uint64, folder string, fileOps wal.FileOps, initialMembers []coordination.Member, controllers ...coordination.Controller) error {
+func (tc *testCluster) start(n uint64, folder string, fileOps wal.FileOps, initialMembers []coordination.Member,
+	controllers ...coordination.Controller,
+) error {
 	storage, err := wal.OpenWith(folder, fileOps)
 	if err != nil {
 		return err
 	}
-	v, err := Open(member(n), initialMembers, storage, controllers, func(to coordination.Member, message []byte) {
-		tc.mu.Lock()
-		other, cut := tc.voters[to.Number], tc.isolated[n] || tc.isolated[to.Number]
-		tc.mu.Unlock()
-		if other != nil && !cut {
-			tc.deliveries.Go(func() {
-				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-				defer cancel()
-				_ = other.HandleMessage(ctx, message)
-			})
-		}
-	}, zap.NewNop())
+	v, err := Open(Options{
+		Self: member(n), InitialMembers: initialMembers, Log: storage, Controllers: controllers,
+		Send:   func(to coordination.Member, message []byte) { tc.deliver(n, to.Number, message) },
+		Logger: zap.NewNop(),
+	})
 	if err != nil {
 		return errors.Join(err, storage.Close())
 	}
@@ -76,9 +72,24 @@
 	return nil
 }
 
+// deliver hands a message over, unless one of the two voters is isolated.
+func (tc *testCluster) deliver(from, to uint64, message []byte) {
+	tc.mu.Lock()
+	receiver, isolated := tc.voters[to], tc.isolated[from] || tc.isolated[to]
+	tc.mu.Unlock()
+	if receiver == nil || isolated {
+		return
+	}
+	tc.deliveries.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		_ = receiver.HandleMessage(ctx, message) // a message that is rejected is as good as lost
+	})
+}
+
 func (tc *testCluster) startAll(folders []string, controllers ...coordination.Controller) {
-	for i, f := range folders {
-		if err := tc.start(uint64(i+1), f, wal.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
+	for i, folder := range folders {
+		if err := tc.start(uint64(i+1), folder, wal.OSFileOps{}, tc.initialMembers, controllers...); err != nil {
 			tc.t.Fatal(err)
 		}
 	}
@@ -91,8 +102,9 @@
 	delete(tc.storages, n)
 	tc.mu.Unlock()
 	if v != nil {
-		_ = v.Close()
-		_ = storage.Close()
+		if err := errors.Join(v.Close(), storage.Close()); err != nil {
+			tc.t.Errorf("voter %d: %v", n, err)
+		}
 	}
 }
 
@@ -126,8 +138,10 @@
 }
 
 func writeCommand(number, epoch uint64, value string) statemachine.Command {
-	return statemachine.Command{Kind: statemachine.Write, Proposer: "test/1", Number: number, Table: "plan", Epoch: epoch,
-		Value: []byte(value)}
+	return statemachine.Command{
+		Kind: statemachine.Write, Proposer: "test/1", Number: number, Table: "plan", Epoch: epoch,
+		Value: []byte(value),
+	}
 }
 
 func (tc *testCluster) mustWrite(command statemachine.Command) statemachine.Result {
@@ -145,11 +159,11 @@
 // fullDisk is a disk that is full from some write on.
 type fullDisk struct {
 	wal.OSFileOps
-	full func() bool
+	full *atomic.Bool
 }
 
 func (f fullDisk) Write(file *os.File, b []byte) error {
-	if f.full() {
+	if f.full.Load() {
 		return errors.New("no space left")
 	}
 	return f.OSFileOps.Write(file, b)
--- a/internal/coordination/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"strconv"
+	"sync"
 	"time"
 
 	"harrierhoist/internal/coordination"
@@ -10,134 +11,128 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// forwardDigests tells the leader what was merged here.
-func (l *eventLoop) forwardDigests() {
-	status := l.consensus.Status()
-	if status.Leader == 0 || status.Leader == status.Number {
-		return
-	}
-	l.voter.mu.Lock()
-	all := l.voter.gatherer.ForLeader(status.Term)
-	l.voter.mu.Unlock()
-	if m, ok, err := l.consensus.DigestMessage(all); ok && err == nil {
-		l.send(m.To, m.Body)
-	}
-}
+// processStart is the origin of the controllers' and reads' clock; it is monotonic.
+var processStart = time.Now()
 
-// controllerInput is what the deciders go by, or false: this voter doesn't lead, or doesn't know all that was acknowledged yet.
-func (v *Voter) controllerInput(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
-	type answer struct {
-		sums  map[string]uint64
-		since time.Duration
-		ok    bool
-	}
-	got := make(chan answer, 1)
-	if v.enqueue(ctx, func(l *eventLoop) {
-		l.consensus.ProposeDiskIDs()
-		if !l.consensus.IsEstablishedLeader() || l.leadTerm == 0 {
-			got <- answer{}
-			return
-		}
-		v.mu.Lock()
-		sums := v.gatherer.Sums()
-		v.mu.Unlock()
-		got <- answer{sums, l.leadSince, true}
-	}) != nil {
-		return input, 0, false
-	}
-	select {
-	case a := <-got:
-		input = coordination.ControllerInput{Sums: a.sums, LeadingSince: a.since, Totals: func(table string) map[string]uint64 {
-			return query(v, func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) })
-		}, Table: func(table string) statemachine.Table {
-			return query(v, func(l *eventLoop) statemachine.Table { return l.consensus.State().Table(table) })
-		}}
-		return input, time.Since(processStart), a.ok
-	case <-v.stopped:
-		return input, 0, false
-	}
+// elapsed is the time since processStart.
+func elapsed() time.Duration { return time.Since(processStart) }
+
+// controllerRunner runs the controllers while this voter leads, and writes what they decide. It has a goroutine of its
+// own, so that a long decision delays no heartbeat.
+type controllerRunner struct {
+	proposer string // names the commands: the voter's process and the incarnation of its disk
+	mailbox  *mailbox
+	digests  *digestStore
+	propose  func(context.Context, statemachine.Command) (statemachine.Result, error)
+
+	lastNumber         uint64    // of the latest command
+	exactCountsWritten time.Time // when they were last compared with the log
+
+	mu          sync.Mutex // guards controllers
+	controllers []coordination.Controller
 }
 
-// processStart is what the deciders' clock counts from; it is monotonic.
-var processStart = time.Now()
+func (r *controllerRunner) set(controllers []coordination.Controller) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.controllers = controllers
+}
 
-// query has the owner look something up; the zero value once the voter has ended.
-func query[T any](v *Voter, lookUp func(*eventLoop) T) (none T) {
-	got := make(chan T, 1)
-	if v.enqueue(context.Background(), func(l *eventLoop) { got <- lookUp(l) }) != nil {
-		return none
-	}
-	select {
-	case t := <-got:
-		return t
-	case <-v.stopped:
-		return none
-	}
+func (r *controllerRunner) current() []coordination.Controller {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.controllers
 }
 
-// runControllers asks the deciders while this voter leads, and writes what they decide. It has a goroutine of its own, so that
-// a long decision delays no heartbeat.
-func (v *Voter) runControllers(proposer string) {
+// run works until the context ends.
+func (r *controllerRunner) run(ctx context.Context) {
 	ticker := time.NewTicker(controlInterval)
 	defer ticker.Stop()
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	v.goroutines.Go(func() { // ends what waits below once the voter ends
-		<-v.stopped
-		cancel()
-	})
-	number, raised := uint64(0), time.Now()
+	r.exactCountsWritten = time.Now()
 	for {
 		select {
 		case <-ticker.C:
-		case <-v.stopped:
+		case <-ctx.Done():
 			return
 		}
-		seen, now, ok := v.controllerInput(ctx)
+		input, now, ok := r.input(ctx)
 		if !ok {
 			continue
 		}
-		v.mu.Lock()
-		controllers := v.controllers
-		v.mu.Unlock()
-		for _, d := range controllers {
-			held := seen.Table(d.Table())
-			value, write := d.Decide(now, seen)
-			if !write {
-				continue
-			}
-			number++
-			v.proposeOnce(ctx, statemachine.Command{Kind: statemachine.Write, Proposer: proposer, Number: number, Table: d.Table(), Epoch: held.Epoch,
-				Value: value})
+		r.runControllers(ctx, now, input)
+		if time.Since(r.exactCountsWritten) >= exactCountsInterval {
+			r.exactCountsWritten = time.Now()
+			r.writeExactCounts(ctx, input.Totals(ExactTable))
+		}
+	}
+}
+
+// input is what the controllers go by, or false: this voter doesn't lead, or doesn't know yet all that was acknowledged.
+func (r *controllerRunner) input(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
+	type leadership struct {
+		sums  map[string]uint64
+		since time.Duration
+	}
+	leads, err := ask(ctx, r.mailbox, func(loop *eventLoop) *leadership {
+		loop.consensus.ProposeDiskIDs()
+		if !loop.consensus.IsEstablishedLeader() || loop.leadTerm == 0 {
+			return nil
 		}
-		if time.Since(raised) >= raiseInterval {
-			raised = time.Now()
-			v.raiseExactCounts(ctx, seen.Totals(ExactTable))
+		return &leadership{r.digests.sums(), loop.leadSince}
+	})
+	if err != nil || leads == nil {
+		return input, 0, false
+	}
+	return coordination.ControllerInput{
+		Sums:         leads.sums,
+		LeadingSince: leads.since,
+		Totals: func(table string) map[string]uint64 {
+			// Where the voter has stopped there are none; nothing decided by them can be written any more.
+			totals, _ := ask(ctx, r.mailbox, func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) })
+			return totals
+		},
+		Table: func(table string) statemachine.Table {
+			found, _ := ask(ctx, r.mailbox, func(l *eventLoop) statemachine.Table { return l.consensus.State().Table(table) })
+			return found
+		},
+	}, elapsed(), true
+}
+
+func (r *controllerRunner) runControllers(ctx context.Context, now time.Duration, input coordination.ControllerInput) {
+	for _, controller := range r.current() {
+		current := input.Table(controller.Table())
+		value, write := controller.Decide(now, input)
+		if !write {
+			continue
 		}
+		r.lastNumber++
+		r.write(ctx, statemachine.Command{
+			Kind: statemachine.Write, Proposer: r.proposer, Number: r.lastNumber,
+			Table: controller.Table(), Epoch: current.Epoch, Value: value,
+		})
 	}
 }
 
-// proposeOnce proposes once. A write that is lost or comes too late is no matter: the decider is asked again with what stands.
-func (v *Voter) proposeOnce(ctx context.Context, command statemachine.Command) {
+// write proposes a command once. Its error does not matter: where the write is lost or comes too late, the controllers
+// run again with what the table then holds.
+func (r *controllerRunner) write(ctx context.Context, command statemachine.Command) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, _ = v.Propose(ctx, command)
+	_, _ = r.propose(ctx, command)
 }
 
-// raiseExactCounts writes the exact counts that grew since they were written last, by whichever leader.
-func (v *Voter) raiseExactCounts(ctx context.Context, stand map[string]uint64) {
+// writeExactCounts writes the exact counts that are beyond those in the log, whichever leader wrote these.
+func (r *controllerRunner) writeExactCounts(ctx context.Context, written map[string]uint64) {
 	grown := map[string]uint64{}
-	v.mu.Lock()
-	for _, d := range v.gatherer.ExactCounts() {
-		for name, n := range d.Exact {
-			full := observation.JoinName(d.Process, strconv.FormatUint(d.Incarnation, 10), name)
-			if n > stand[full] {
-				grown[full] = n
+	for _, digest := range r.digests.exactCounts() {
+		for name, count := range digest.Exact {
+			full := observation.JoinName(digest.Process, strconv.FormatUint(digest.Incarnation, 10), name)
+			if count > written[full] {
+				grown[full] = count
 			}
 		}
 	}
-	v.mu.Unlock()
 	if len(grown) > 0 {
-		v.proposeOnce(ctx, statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: grown})
+		r.write(ctx, statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: grown})
 	}
 }
--- /dev/null
+++ b/internal/coordination/voter/digests.go
@@ -0,0 +1,51 @@
+package voter
+
+import (
+	"sync"
+
+	"harrierhoist/internal/coordination/consensus"
+	"harrierhoist/internal/coordination/observation"
+)
+
+// digestStore guards the voter's gatherer: processes add digests to it, the event loop adds those of other voters and
+// forwards what was merged, and the controllers read the sums.
+type digestStore struct {
+	mu       sync.Mutex
+	gatherer *consensus.Gatherer
+}
+
+func (s *digestStore) addFromProcesses(digests []observation.Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gatherer.AddFromProcesses(digests)
+}
+
+func (s *digestStore) addFromVoter(digests []observation.Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gatherer.AddFromVoter(digests)
+}
+
+func (s *digestStore) setLeaderTerm(term uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gatherer.SetLeaderTerm(term)
+}
+
+func (s *digestStore) forLeader(term uint64) []observation.Digest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.gatherer.ForLeader(term)
+}
+
+func (s *digestStore) sums() map[string]uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.gatherer.Sums()
+}
+
+func (s *digestStore) exactCounts() []observation.Digest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.gatherer.ExactCounts()
+}
--- a/internal/coordination/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -12,50 +13,68 @@
 	"harrierhoist/internal/coordination/wal"
 )
 
-// eventLoop owns the core, the disk's writes and all calls that wait. One goroutine works at it.
+// maxLoggedRejections is how many reasons to reject a message are logged: a faulty sender must not fill the log.
+const maxLoggedRejections = 16
+
+// eventLoop owns the consensus node, the writes to the log and all calls that wait. One goroutine runs it.
 type eventLoop struct {
-	voter            *Voter
-	consensus        *consensus.Node
-	storage          *wal.Log
-	send             func(to coordination.Member, message []byte)
-	logger           *zap.Logger
-	pendingProposals map[uint64]chan consensus.Outcome // proposals and changes
+	consensus *consensus.Node
+	storage   *wal.Log
+	mailbox   *mailbox
+	stopping  <-chan struct{}
+	digests   *digestStore
+	status    *atomic.Pointer[coordination.Status]
+	send      func(to coordination.Member, message []byte)
+	logger    *zap.Logger
+
+	pendingProposals map[uint64]chan consensus.Outcome // also membership changes; by the node's sequence number
 	pendingReads     *consensus.ReadQueue
-	loggedLeader     uint64        // as last said in the log
-	leadTerm         uint64        // the term that it leads in; 0: none
-	leadSince        time.Duration // it leads
+	leadTerm         uint64        // the term that this voter leads in; 0: none
+	leadSince        time.Duration // when that term was first seen, on the clock of elapsed
+	loggedLeader     uint64
 	loggedRejections map[string]bool
-	compactAt        int64 // bytes of log after which it is made anew
+	compactAt        int64 // bytes of log at which it is rewritten next
 }
 
-func newEventLoop(v *Voter, node *consensus.Node, storage *wal.Log, send func(coordination.Member, []byte), logger *zap.Logger) *eventLoop {
-	return &eventLoop{voter: v, consensus: node, storage: storage, send: send, logger: logger, pendingProposals: map[uint64]chan consensus.Outcome{},
-		pendingReads: consensus.NewReadQueue(node), loggedRejections: map[string]bool{}, compactAt: minCompactBytes}
+func newEventLoop(v *Voter, node *consensus.Node, options Options) *eventLoop {
+	return &eventLoop{
+		consensus:        node,
+		storage:          options.Log,
+		mailbox:          v.mailbox,
+		stopping:         v.stopping,
+		digests:          v.digests,
+		status:           &v.status,
+		send:             options.Send,
+		logger:           options.Logger,
+		pendingProposals: map[uint64]chan consensus.Outcome{},
+		pendingReads:     consensus.NewReadQueue(node),
+		loggedRejections: map[string]bool{},
+		compactAt:        minCompactBytes,
+	}
 }
 
-// run works until the voter is to end or its disk fails it. A voter that can't write is as good as dead to the others,
-// and must be: what it would go on to say might not be there after the next start.
+// run works until the voter is stopped or its log fails. A voter that cannot write is as good as dead to the others,
+// and must be: what it would go on to acknowledge might not be there after the next start.
 func (l *eventLoop) run() {
-	defer close(l.voter.stopped)
+	defer close(l.mailbox.stopped)
 	ticker, forward := time.NewTicker(tickInterval), time.NewTicker(forwardInterval)
 	defer ticker.Stop()
 	defer forward.Stop()
 	for {
-		over, err := l.handleNextEvent(ticker.C, forward.C)
+		stop, err := l.handleNextEvent(ticker.C, forward.C)
 		if err != nil {
-			l.logger.Error("this voter has stopped", zap.Error(err))
+			l.logger.Error("voter: stopped after a failure", zap.Error(err))
 		}
-		if over || err != nil {
-			l.voter.stop()
+		if stop || err != nil {
 			return
 		}
 	}
 }
 
-// handleNextEvent does what the core has ready, and then waits for the next event.
-func (l *eventLoop) handleNextEvent(ticks, forward <-chan time.Time) (over bool, err error) {
+// handleNextEvent does what the consensus node has ready, and then waits for the next event.
+func (l *eventLoop) handleNextEvent(ticks, forward <-chan time.Time) (stop bool, err error) {
 	defer func() {
-		// The library's word for what must never be, such as entries that others know this disk had and that are gone.
+		// The raft library panics on what must never be, such as entries that others know this log had and that are gone.
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", consensus.ErrCorrupt, p)
 		}
@@ -64,34 +83,34 @@
 		return true, err
 	}
 	select {
-	case <-l.voter.stopping:
+	case <-l.stopping:
 		return true, nil
-	case do := <-l.voter.calls:
-		do(l)
+	case call := <-l.mailbox.calls:
+		call(l)
 		l.drainCalls()
 	case <-ticks:
-		l.drainCalls() // what came while the process slept or wrote counts before the time that passed
+		l.drainCalls() // what came while the process was suspended or wrote counts before the time that passed
 		l.consensus.Tick()
-		l.pendingReads.Tick(time.Since(processStart))
+		l.pendingReads.Tick(elapsed())
 	case <-forward:
 		l.forwardDigests()
 	}
 	return false, nil
 }
 
-// drainCalls takes the calls that wait already.
+// drainCalls handles the calls that are queued already, so that one sync serves all of them.
 func (l *eventLoop) drainCalls() {
 	for range maxCallsPerSync {
 		select {
-		case do := <-l.voter.calls:
-			do(l)
+		case call := <-l.mailbox.calls:
+			call(l)
 		default:
 			return
 		}
 	}
 }
 
-// processReady does what the core has ready: write, send, answer.
+// processReady writes, sends and answers what the consensus node has ready, until there is nothing more.
 func (l *eventLoop) processReady() error {
 	for {
 		ready, ok, err := l.consensus.Ready()
@@ -101,22 +120,18 @@
 		if !ok {
 			break
 		}
-		for _, m := range ready.EarlyMessages {
-			l.send(m.To, m.Body)
-		}
+		l.sendAll(ready.EarlyMessages)
 		if ready.Record != nil {
 			if err := l.storage.Append(ready.Record); err != nil {
 				return err
 			}
 		}
-		for _, m := range ready.Messages {
-			l.send(m.To, m.Body)
-		}
-		done, err := l.consensus.Advance(ready)
+		l.sendAll(ready.Messages)
+		applied, err := l.consensus.Advance(ready)
 		if err != nil {
 			return err
 		}
-		l.complete(done)
+		l.complete(applied)
 	}
 	if err := l.compactLog(); err != nil {
 		return err
@@ -125,7 +140,13 @@
 	return nil
 }
 
-// compactLog makes the log anew once it is long.
+func (l *eventLoop) sendAll(messages []consensus.Message) {
+	for _, message := range messages {
+		l.send(message.To, message.Body)
+	}
+}
+
+// compactLog rewrites the log from a snapshot once it is long.
 func (l *eventLoop) compactLog() error {
 	if l.storage.Size() < l.compactAt {
 		return nil
@@ -133,30 +154,29 @@
 	if err := l.consensus.Compact(retainedEntries); err != nil {
 		return err
 	}
-	base, err := l.consensus.Checkpoint()
+	checkpoint, err := l.consensus.Checkpoint()
 	if err != nil {
 		return err
 	}
-	if err := l.storage.Rewrite(base); err != nil {
+	if err := l.storage.Rewrite(checkpoint); err != nil {
 		return err
 	}
-	l.compactAt = max(minCompactBytes, 2*l.storage.Size()) // a large state is not written again at every turn
+	l.compactAt = max(minCompactBytes, 2*l.storage.Size()) // a large state is not rewritten after every event
 	return nil
 }
 
-// publishStatus notes who leads.
+// publishStatus makes the node's status known to callers. With a new term, or without the lead, the outcome of
+// proposals that wait is not known.
 func (l *eventLoop) publishStatus() {
 	status := l.consensus.Status()
 	leadTerm := uint64(0)
 	if l.consensus.IsLeader() {
 		leadTerm = status.Term
 	}
-	l.voter.mu.Lock()
-	l.voter.status = status
-	l.voter.gatherer.SetLeaderTerm(leadTerm)
-	l.voter.mu.Unlock()
+	l.status.Store(&status)
+	l.digests.setLeaderTerm(leadTerm)
 	if leadTerm != l.leadTerm {
-		l.leadTerm, l.leadSince = leadTerm, time.Since(processStart)
+		l.leadTerm, l.leadSince = leadTerm, elapsed()
 		for seq, done := range l.pendingProposals {
 			done <- consensus.Outcome{Err: coordination.ErrOutcomeUnknown}
 			delete(l.pendingProposals, seq)
@@ -164,12 +184,12 @@
 	}
 	if status.Leader != l.loggedLeader && status.Leader != 0 {
 		l.loggedLeader = status.Leader
-		l.logger.Info("a voter leads", zap.Uint64("number", status.Leader), zap.Uint64("term", status.Term))
+		l.logger.Info("voter: leader changed", zap.Uint64("number", status.Leader), zap.Uint64("term", status.Term))
 	}
 }
 
-func (l *eventLoop) propose(propose func(*eventLoop) (uint64, error), done chan consensus.Outcome) {
-	seq, err := propose(l)
+func (l *eventLoop) propose(propose func(*consensus.Node) (uint64, error), done chan consensus.Outcome) {
+	seq, err := propose(l.consensus)
 	if err != nil {
 		done <- consensus.Outcome{Err: err}
 		return
@@ -177,29 +197,37 @@
 	l.pendingProposals[seq] = done
 }
 
-// complete gives callers what became of their calls.
-func (l *eventLoop) complete(d consensus.AppliedResult) {
-	for _, o := range d.Outcomes {
-		if done, ok := l.pendingProposals[o.Seq]; ok {
-			done <- o
-			delete(l.pendingProposals, o.Seq)
+// complete gives callers the outcome of their proposals and reads.
+func (l *eventLoop) complete(applied consensus.AppliedResult) {
+	for _, outcome := range applied.Outcomes {
+		if done, ok := l.pendingProposals[outcome.Seq]; ok {
+			done <- outcome
+			delete(l.pendingProposals, outcome.Seq)
 		}
 	}
-	l.pendingReads.HandleApplied(d, time.Since(processStart))
+	l.pendingReads.HandleApplied(applied, elapsed())
 }
 
-// handleMessage takes a message. What is refused is said once for each reason, as it comes again with each message.
+// handleMessage hands a message of another voter to the consensus node. A rejection is logged once for each reason, as
+// it comes again with each message.
 func (l *eventLoop) handleMessage(message []byte) error {
 	digests, err := l.consensus.HandleMessage(message)
 	if errors.Is(err, consensus.ErrRejected) && !l.loggedRejections[err.Error()] && len(l.loggedRejections) < maxLoggedRejections {
 		l.loggedRejections[err.Error()] = true
-		l.logger.Warn("message of another voter", zap.Error(err))
+		l.logger.Warn("voter: message rejected", zap.Error(err))
 	}
-	l.voter.mu.Lock()
-	defer l.voter.mu.Unlock()
-	l.voter.gatherer.AddFromVoter(digests)
+	l.digests.addFromVoter(digests)
 	return err
 }
 
-// maxLoggedRejections is how many reasons to refuse a message are said: a faulty sender must not fill the log.
-const maxLoggedRejections = 16
+// forwardDigests sends the leader what was merged here.
+func (l *eventLoop) forwardDigests() {
+	status := l.consensus.Status()
+	if status.Leader == 0 || status.Leader == status.Number {
+		return
+	}
+	// A message that cannot be made now is made anew at the next turn, with all that this one had.
+	if message, ok, err := l.consensus.DigestMessage(l.digests.forLeader(status.Term)); ok && err == nil {
+		l.send(message.To, message.Body)
+	}
+}
--- a/internal/coordination/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -14,11 +14,11 @@
 // What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the log that it had
 // before: testdata has the commands as the code wrote them before its names changed.
 func TestGolden_leaderCommandsInTheLog(t *testing.T) {
-	tc, folder := newTestCluster(t, 1), t.TempDir()
-	if err := tc.start(1, folder, wal.OSFileOps{}, tc.initialMembers, sumController{}); err != nil {
+	group, folder := newTestCluster(t, 1), t.TempDir()
+	if err := group.start(1, folder, wal.OSFileOps{}, group.initialMembers, sumController{}); err != nil {
 		t.Fatal(err)
 	}
-	v := tc.waitForLeader()
+	v := group.waitForLeader()
 	stands := func(value string) {
 		t.Helper()
 		fakes.Eventually(t, "the decision "+value, func() bool {
@@ -29,7 +29,7 @@
 	stands("0 0")
 	v.AddDigests([]observation.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
 	stands("0 300")
-	tc.stop(1)
+	group.stop(1)
 	var log []byte
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
 	if err != nil {
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -1,12 +1,12 @@
-// Package voter runs one of the few processes that hold what all have in common: it hands clock, disk and messages to
-// the core, and gives callers their answers.
+// Package voter runs one voter of the coordination group: it drives the consensus node with a clock, the write-ahead
+// log and the messages of the other voters, runs the controllers while this voter leads, and answers callers.
 package voter
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,215 +14,155 @@
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/consensus"
 	"harrierhoist/internal/coordination/observation"
-	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/coordination/wal"
 )
 
-// Times of a voter.
+// Intervals and timeouts of a voter.
 const (
-	// tickInterval is the core's: it makes heartbeats every 50 ms and elections after 250 to 500 ms without one. A leader is
-	// replaced well within the 2 s that the tables' lease lasts.
+	// tickInterval is the consensus node's tick: heartbeats go out every 50 ms and an election starts after 250 to
+	// 500 ms without one. A leader is replaced well within the 2 s that a table's lease lasts.
 	tickInterval = 25 * time.Millisecond
-	// forwardInterval is how often what was merged is told to the leader.
+	// forwardInterval is how often merged digests are sent to the leader.
 	forwardInterval = 200 * time.Millisecond
-	// controlInterval is how often the deciders are asked.
+	// controlInterval is how often the controllers run.
 	controlInterval = 100 * time.Millisecond
-	// writeTimeout is how long a decider's write is waited for before the deciders are asked again.
+	// writeTimeout is how long a controller's write is waited for before the controllers run again.
 	writeTimeout = time.Second
-	// raiseInterval is how often exact counts go to the log, at most.
-	raiseInterval = time.Second
+	// exactCountsInterval is how often exact counts are written to the log, at most.
+	exactCountsInterval = time.Second
 )
 
 // Sizes of a voter.
 const (
-	mailboxSize     = 1024    // calls that wait for the core; beyond them messages of other voters are dropped
-	maxCallsPerSync = 256     // calls taken before what came of them is written: one sync for all
-	minCompactBytes = 8 << 20 // bytes of log on disk after which it is made anew from a snapshot
-	retainedEntries = 1024    // entries kept for voters that are behind: about the last minutes
+	mailboxSize     = 1024    // queued calls; beyond them messages of other voters are dropped
+	maxCallsPerSync = 256     // calls handled before their records are written: one sync for all of them
+	minCompactBytes = 8 << 20 // size of the log at which it is first rewritten from a snapshot
+	retainedEntries = 1024    // entries kept behind the snapshot for voters that lag: about the last minutes
 )
 
-// ExactTable is the table that exact counts are raised in, under process, incarnation (decimal) and name.
+// ExactTable is the table of exact counts; its totals are named by process, incarnation (decimal) and count.
 const ExactTable = "exact"
 
-// Voter is a running voter; see cluster.Voter for what its calls do.
+// Options are what Open needs. All but InitialMembers and Controllers are required.
+type Options struct {
+	// Self names this voter. Its number counts only where the log is empty; later the log's own does.
+	Self coordination.Member
+	// InitialMembers start the log where the logs of all voters are empty, the same at all of them. Where they carry
+	// disk IDs, no other disk is ever accepted in their place. None: the voter waits until a leader adds it.
+	InitialMembers []coordination.Member
+	// Log stays the caller's, to be closed after Close.
+	Log *wal.Log
+	// Controllers run while this voter leads.
+	Controllers []coordination.Controller
+	// Send hands over a message for another voter. It must not block, and may lose the message.
+	Send func(to coordination.Member, message []byte)
+	// Logger takes the voter's log lines.
+	Logger *zap.Logger
+}
+
+// LogOwnerError tells that a write-ahead log was written by another voter.
+type LogOwnerError struct{ Owner, Self coordination.Member }
+
+// Error implements error.
+func (e *LogOwnerError) Error() string {
+	return fmt.Sprintf("this disk is that of voter %s at %s: %s at %s needs an empty folder and a new number",
+		e.Owner.Name, e.Owner.Address, e.Self.Name, e.Self.Address)
+}
+
+// Voter is a running voter; coordination.Voter says what its calls do.
 type Voter struct {
-	calls      chan func(*eventLoop)
-	stopping   chan struct{} // closed when it is to end
-	stopped    chan struct{} // closed when it has ended
+	mailbox    *mailbox
+	digests    *digestStore
+	runner     *controllerRunner
+	status     atomic.Pointer[coordination.Status] // written by the event loop
+	stopping   chan struct{}                       // closed to end the event loop
 	stopOnce   sync.Once
 	goroutines sync.WaitGroup
-
-	mu          sync.Mutex // of what follows
-	gatherer    *consensus.Gatherer
-	controllers []coordination.Controller
-	status      coordination.Status
 }
 
 var _ coordination.Voter = (*Voter)(nil)
 
-// Open starts a voter. Self names it: its number counts on an empty disk alone, later the disk's own does. First are
-// the members that begin the log where all disks are empty, the same at all of them; where their disks' marks are given,
-// no other disk is ever taken for theirs. None: the voter waits until a leader adds it. Send is handed a message for
-// another voter; it must not block, and may lose it. The disk stays the caller's, to be closed after Close.
-func Open(self coordination.Member, initialMembers []coordination.Member, storage *wal.Log, controllers []coordination.Controller,
-	send func(to coordination.Member, message []byte), logger *zap.Logger) (*Voter, error) {
-	self.DiskID = storage.DiskID()
-	count, nonce := storage.Incarnation()
-	node, err := consensus.NewNode(self, consensus.Incarnation{Count: count, Nonce: nonce}, initialMembers, storage.Records(), nonce)
+// Open starts a voter. Errors: a *LogOwnerError, or what is wrong with the log.
+func Open(options Options) (*Voter, error) {
+	incarnation, _ := options.Log.Incarnation()
+	node, err := openNode(options)
 	if err != nil {
 		return nil, err
 	}
-	if was := node.Self(); was.Name != self.Name || was.Address != self.Address {
-		return nil, fmt.Errorf("this disk is that of voter %s at %s: %s at %s needs an empty folder and a new number",
-			was.Name, was.Address, self.Name, self.Address)
-	}
-	if len(storage.Records()) == 0 {
-		base, err := node.Checkpoint()
-		if err != nil {
-			return nil, err
-		}
-		if err := storage.Rewrite(base); err != nil {
-			return nil, err
-		}
-	}
-	if n := storage.Repaired(); n > 0 {
-		logger.Warn("spoilt copies in a voter's log, read from their doubles", zap.Int("frames", n))
+	if n := options.Log.Repaired(); n > 0 {
+		options.Logger.Warn("voter: corrupt copies of log frames repaired", zap.Int("frames", n))
 	}
-	v := &Voter{calls: make(chan func(*eventLoop), mailboxSize), stopping: make(chan struct{}), stopped: make(chan struct{}),
-		gatherer: consensus.NewGatherer(self.Name, count), controllers: controllers, status: node.Status()}
-	l := newEventLoop(v, node, storage, send, logger)
-	v.goroutines.Go(func() { l.run() })
-	v.goroutines.Go(func() { v.runControllers(fmt.Sprintf("%s/%d", self.Name, count)) })
-	return v, nil
-}
-
-// Close ends the voter. Calls that wait end with ErrStopped.
-func (v *Voter) Close() error {
-	v.stop()
-	v.goroutines.Wait()
-	return nil
-}
-
-func (v *Voter) stop() { v.stopOnce.Do(func() { close(v.stopping) }) }
-
-// enqueue has the owner of the core do something. It does not wait until that is done.
-func (v *Voter) enqueue(ctx context.Context, do func(*eventLoop)) error {
-	select {
-	case <-v.stopped:
-		return coordination.ErrStopped
-	default:
+	voter := &Voter{
+		mailbox:  newMailbox(),
+		digests:  &digestStore{gatherer: consensus.NewGatherer(options.Self.Name, incarnation)},
+		stopping: make(chan struct{}),
 	}
-	select {
-	case v.calls <- do:
-		return nil
-	case <-v.stopped:
-		return coordination.ErrStopped
-	case <-ctx.Done():
-		return ctx.Err()
+	voter.runner = &controllerRunner{
+		proposer:    fmt.Sprintf("%s/%d", options.Self.Name, incarnation),
+		mailbox:     voter.mailbox,
+		digests:     voter.digests,
+		propose:     voter.Propose,
+		controllers: options.Controllers,
 	}
+	status := node.Status()
+	voter.status.Store(&status)
+	loop := newEventLoop(voter, node, options)
+	ctx, cancel := context.WithCancel(context.Background()) // ends with the event loop
+	voter.goroutines.Go(func() {
+		defer cancel()
+		loop.run()
+	})
+	voter.goroutines.Go(func() { voter.runner.run(ctx) })
+	return voter, nil
 }
 
-// HandleMessage implements cluster.Voter.
-func (v *Voter) HandleMessage(ctx context.Context, message []byte) error {
-	refused := make(chan error, 1)
-	if err := v.enqueue(ctx, func(l *eventLoop) { refused <- l.handleMessage(message) }); err != nil {
-		return err
+// openNode restores the consensus node from the log. An empty log is begun with the node's first checkpoint.
+func openNode(options Options) (*consensus.Node, error) {
+	self, records := options.Self, options.Log.Records()
+	self.DiskID = options.Log.DiskID()
+	count, nonce := options.Log.Incarnation()
+	node, err := consensus.NewNode(self, consensus.Incarnation{Count: count, Nonce: nonce}, options.InitialMembers, records, nonce)
+	if err != nil {
+		return nil, err
 	}
-	return v.await(ctx, refused)
-}
-
-func (v *Voter) await(ctx context.Context, from chan error) error {
-	select {
-	case err := <-from:
-		return err
-	case <-v.stopped:
-		return coordination.ErrStopped
-	case <-ctx.Done():
-		return ctx.Err()
+	if owner := node.Self(); owner.Name != self.Name || owner.Address != self.Address {
+		return nil, &LogOwnerError{Owner: owner, Self: self}
 	}
-}
-
-// Propose implements cluster.Voter.
-func (v *Voter) Propose(ctx context.Context, command statemachine.Command) (statemachine.Result, error) {
-	return v.proposeAndWait(ctx, func(l *eventLoop) (uint64, error) { return l.consensus.Propose(command) })
-}
-
-// ChangeMembership implements cluster.Voter.
-func (v *Voter) ChangeMembership(ctx context.Context, m coordination.Member, remove bool) error {
-	_, err := v.proposeAndWait(ctx, func(l *eventLoop) (uint64, error) { return l.consensus.ChangeMembership(m, remove) })
-	return err
-}
-
-func (v *Voter) proposeAndWait(ctx context.Context, propose func(*eventLoop) (uint64, error)) (statemachine.Result, error) {
-	done := make(chan consensus.Outcome, 1)
-	if err := v.enqueue(ctx, func(l *eventLoop) { l.propose(propose, done) }); err != nil {
-		if errors.Is(err, coordination.ErrStopped) {
-			return statemachine.Result{}, err
-		}
-		return statemachine.Result{}, coordination.ErrNotLeader // it was not even looked at
+	if len(records) > 0 {
+		return node, nil
 	}
-	select {
-	case o := <-done:
-		return o.Result, o.Err
-	case <-v.stopped:
-		return statemachine.Result{}, coordination.ErrStopped
-	case <-ctx.Done():
-		return statemachine.Result{}, coordination.ErrOutcomeUnknown
+	checkpoint, err := node.Checkpoint()
+	if err != nil {
+		return nil, err
 	}
+	return node, options.Log.Rewrite(checkpoint)
 }
 
-// Read implements cluster.Voter.
-func (v *Voter) Read(ctx context.Context, known map[string]uint64,
-	wait time.Duration) (map[string]statemachine.Table, error) {
-	answer := make(chan map[string]statemachine.Table, 1)
-	r := &consensus.PendingRead{KnownEpochs: known, Deadline: time.Since(processStart) + wait,
-		Respond: func(found map[string]statemachine.Table) { answer <- found }, IsCanceled: func() bool { return ctx.Err() != nil }}
-	if err := v.enqueue(ctx, func(l *eventLoop) { l.pendingReads.Add(r, time.Since(processStart)) }); err != nil {
-		if errors.Is(err, coordination.ErrStopped) {
-			return nil, err
-		}
-		return nil, coordination.ErrNoQuorum
-	}
-	select {
-	case found := <-answer:
-		return found, nil
-	case <-v.stopped:
-		return nil, coordination.ErrStopped
-	case <-ctx.Done():
-		return nil, coordination.ErrNoQuorum
-	}
+// Close ends the voter and waits for its goroutines. Calls that wait end with ErrStopped.
+func (v *Voter) Close() error {
+	v.stopOnce.Do(func() { close(v.stopping) })
+	v.goroutines.Wait()
+	return nil
 }
 
-// AddDigests implements cluster.Voter.
-func (v *Voter) AddDigests(digests []observation.Digest) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.gatherer.AddFromProcesses(digests)
-}
+// AddDigests implements coordination.Voter.
+func (v *Voter) AddDigests(digests []observation.Digest) { v.digests.addFromProcesses(digests) }
 
-// Status implements cluster.Voter.
-func (v *Voter) Status() coordination.Status {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.status
-}
+// Status implements coordination.Voter.
+func (v *Voter) Status() coordination.Status { return *v.status.Load() }
 
-// SetControllers puts other deciders in place, as the operators' file was read again.
-func (v *Voter) SetControllers(controllers []coordination.Controller) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.controllers = controllers
-}
+// SetControllers replaces the controllers, after the operators' file was read again.
+func (v *Voter) SetControllers(controllers []coordination.Controller) { v.runner.set(controllers) }
 
-// TransferLeadership hands the lead to another voter, where this one leads, and returns once that one leads or the context ends.
-// Gone as soon as the lead is, it could end with its vote for the next leader unsent.
+// TransferLeadership hands the lead to another voter, where this one leads, and returns once that one leads or the
+// context ends. A voter that stopped at once could end with its vote for the next leader unsent.
 func (v *Voter) TransferLeadership(ctx context.Context) {
 	self := v.Status().Number
 	if v.Status().Leader != self {
 		return
 	}
 	for leader := self; leader == self || leader == 0; leader = v.Status().Leader {
-		if v.enqueue(ctx, func(l *eventLoop) { l.consensus.TransferLeadership() }) != nil {
+		if v.mailbox.enqueue(ctx, func(l *eventLoop) { l.consensus.TransferLeadership() }) != nil {
 			return
 		}
 		select {
--- a/internal/coordination/voter/voter_test.go
+++ b/internal/coordination/voter/voter_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -16,74 +15,74 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// All voters are killed at once and started again: what was acknowledged stands, and is not written twice.
-func TestVoter_allKilledAtOnceKeepAcknowledgedWrites(t *testing.T) {
-	tc, f := newTestCluster(t, 3), tempFolders(t, 3)
-	tc.startAll(f)
-	if r := tc.mustWrite(writeCommand(1, 0, "a")); !r.Applied || r.Epoch != 1 {
+// All voters are stopped at once and started again: what was acknowledged is still there, and is not written twice.
+func TestVoter_acknowledgedWritesSurviveARestartOfAll(t *testing.T) {
+	group, folders := newTestCluster(t, 3), tempFolders(t, 3)
+	group.startAll(folders)
+	if r := group.mustWrite(writeCommand(1, 0, "a")); !r.Applied || r.Epoch != 1 {
 		t.Fatalf("%+v", r)
 	}
 	for id := range uint64(3) {
-		tc.stop(id + 1)
+		group.stop(id + 1)
 	}
-	tc.startAll(f)
-	if r := tc.mustWrite(writeCommand(1, 0, "a")); !r.Applied || r.Epoch != 1 {
+	group.startAll(folders)
+	if r := group.mustWrite(writeCommand(1, 0, "a")); !r.Applied || r.Epoch != 1 {
 		t.Errorf("written again: %+v", r)
 	}
 	for id := range uint64(3) {
-		got, err := tc.voters[id+1].Read(shortContext(t), nil, 0)
+		got, err := group.voters[id+1].Read(shortContext(t), nil, 0)
 		if err != nil || string(got["plan"].Value) != "a" || got["plan"].Epoch != 1 {
 			t.Errorf("voter %d: %v, %v", id+1, got, err)
 		}
 	}
 }
 
-// A leader cut off from the others confirms no read and writes nothing; the others go on without it.
+// A leader isolated from the others answers no read and writes nothing; the others go on without it.
 func TestVoter_isolatedLeaderAnswersNoRead(t *testing.T) {
-	tc := newTestCluster(t, 3)
-	tc.startAll(tempFolders(t, 3))
-	tc.mustWrite(writeCommand(1, 0, "a"))
-	old := tc.waitForLeader()
-	tc.mu.Lock()
-	tc.isolated[old.Status().Number] = true
-	tc.mu.Unlock()
+	group := newTestCluster(t, 3)
+	group.startAll(tempFolders(t, 3))
+	group.mustWrite(writeCommand(1, 0, "a"))
+	old := group.waitForLeader()
+	group.mu.Lock()
+	group.isolated[old.Status().Number] = true
+	group.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if got, err := old.Read(ctx, nil, 0); !errors.Is(err, coordination.ErrNoQuorum) {
 		t.Errorf("%v, %v", got, err)
 	}
-	if r := tc.mustWrite(writeCommand(2, 1, "b")); r.Epoch != 2 {
+	if r := group.mustWrite(writeCommand(2, 1, "b")); r.Epoch != 2 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A read waits for news and brings it; without any it ends with its wait.
+// A read waits for a change and returns it; without any it ends with its wait.
 func TestVoter_readWaitsForAChange(t *testing.T) {
-	tc := newTestCluster(t, 3)
-	tc.startAll(tempFolders(t, 3))
-	tc.mustWrite(writeCommand(1, 0, "a"))
+	group := newTestCluster(t, 3)
+	group.startAll(tempFolders(t, 3))
+	group.mustWrite(writeCommand(1, 0, "a"))
 	known := map[string]uint64{"plan": 1}
-	for _, v := range tc.voters {
+	for _, v := range group.voters {
 		if got, err := v.Read(shortContext(t), known, 50*time.Millisecond); err != nil || len(got) != 0 {
 			t.Errorf("%v, %v", got, err)
 		}
 	}
 	changes := make(chan map[string]statemachine.Table, 3)
-	for _, v := range tc.voters {
-		tc.deliveries.Go(func() {
+	for _, v := range group.voters {
+		group.deliveries.Go(func() {
 			got, _ := v.Read(shortContext(t), known, 4*time.Second)
 			changes <- got
 		})
 	}
-	tc.mustWrite(writeCommand(2, 1, "b"))
+	group.mustWrite(writeCommand(2, 1, "b"))
 	for range 3 {
 		if got := <-changes; string(got["plan"].Value) != "b" {
-			t.Errorf("read brought %v", got)
+			t.Errorf("read returned %v", got)
 		}
 	}
 }
 
-// sumController is a decider that writes the sum it sees where it is another than what stands.
+// sumController writes the sum that it sees where the table holds another.
 type sumController struct{}
 
 func (sumController) Table() string { return "sum" }
@@ -92,20 +91,22 @@
 	return []byte(now), now != string(input.Table("sum").Value)
 }
 
-// What processes tell any voter reaches the deciders at the leader once, whoever leads.
+// Digests sent to any voter reach the controllers at the leader once, whoever leads.
 func TestVoter_digestsReachTheControllers(t *testing.T) {
-	tc := newTestCluster(t, 3)
-	tc.startAll(tempFolders(t, 3), sumController{})
-	leader := tc.waitForLeader()
+	group := newTestCluster(t, 3)
+	group.startAll(tempFolders(t, 3), sumController{})
+	leader := group.waitForLeader()
 	var follower *Voter
-	for _, v := range tc.voters {
+	for _, v := range group.voters {
 		if v != leader {
 			follower = v
 		}
 	}
 	addDigest := func(serial, n uint64) {
-		follower.AddDigests([]observation.Digest{{Process: "g1", Incarnation: 7, Serial: serial,
-			Counts: map[string]uint64{"pushes": n}, Exact: map[string]uint64{"owed": n}}})
+		follower.AddDigests([]observation.Digest{{
+			Process: "g1", Incarnation: 7, Serial: serial,
+			Counts: map[string]uint64{"pushes": n}, Exact: map[string]uint64{"owed": n},
+		}})
 	}
 	addDigest(1, 100)
 	serial, n := uint64(1), uint64(100)
@@ -116,31 +117,26 @@
 	fakes.Eventually(t, "growth at the leader", func() bool {
 		serial, n = serial+1, n+10
 		addDigest(serial, n)
-		time.Sleep(20 * time.Millisecond)
 		var sum, exact uint64
 		_, _ = fmt.Sscan(seen(), &sum, &exact)
 		if sum > n-100 || exact > n {
-			t.Fatalf("more than was told: %d, %d of %d", sum, exact, n)
+			t.Fatalf("more than was counted: %d, %d of %d", sum, exact, n)
 		}
 		return sum > 0 && exact > 0
 	})
 	fakes.Eventually(t, "last count", func() bool { return seen()[len(seen())-len(fmt.Sprint(n)):] == fmt.Sprint(n) })
 }
 
-// A voter whose disk is full ends: it says nothing more, and callers hear that it has stopped.
+// A voter whose disk is full stops: it sends nothing more, and its callers get ErrStopped.
 func TestVoter_fullDiskStopsIt(t *testing.T) {
-	tc := newTestCluster(t, 1)
-	var mu sync.Mutex
-	full := false
-	hand := fullDisk{full: func() bool { mu.Lock(); defer mu.Unlock(); return full }}
-	if err := tc.start(1, t.TempDir(), hand, tc.initialMembers); err != nil {
+	group := newTestCluster(t, 1)
+	var full atomic.Bool
+	if err := group.start(1, t.TempDir(), fullDisk{full: &full}, group.initialMembers); err != nil {
 		t.Fatal(err)
 	}
-	v := tc.waitForLeader()
-	tc.mustWrite(writeCommand(1, 0, "a"))
-	mu.Lock()
-	full = true
-	mu.Unlock()
+	v := group.waitForLeader()
+	group.mustWrite(writeCommand(1, 0, "a"))
+	full.Store(true)
 	if r, err := v.Propose(shortContext(t), writeCommand(2, 1, "b")); !errors.Is(err, coordination.ErrStopped) {
 		t.Errorf("%+v, %v", r, err)
 	}
@@ -149,81 +145,81 @@
 	}
 }
 
-// A leader whose disk has become slow can't say that it is there while it waits for it: another leads, writes go on, and
-// the slow one still holds what it acknowledged.
+// A leader whose disk has become slow sends no heartbeats while it waits for it: another voter leads, writes go on, and
+// the slow one still has what it acknowledged.
 func TestVoter_leaderWithASlowDiskIsReplaced(t *testing.T) {
-	tc, takes := newTestCluster(t, 3), make([]atomic.Int64, 4)
+	group, syncDelays := newTestCluster(t, 3), make([]atomic.Int64, 4)
 	for i := range uint64(3) {
-		if err := tc.start(i+1, t.TempDir(), slowDisk{syncDelay: &takes[i+1]}, tc.initialMembers); err != nil {
+		if err := group.start(i+1, t.TempDir(), slowDisk{syncDelay: &syncDelays[i+1]}, group.initialMembers); err != nil {
 			t.Fatal(err)
 		}
 	}
-	tc.mustWrite(writeCommand(1, 0, "a"))
-	old := tc.waitForLeader()
-	takes[old.Status().Number].Store(int64(700 * time.Millisecond))
+	group.mustWrite(writeCommand(1, 0, "a"))
+	old := group.waitForLeader()
+	syncDelays[old.Status().Number].Store(int64(700 * time.Millisecond))
 	for i := range uint64(20) {
-		if r := tc.mustWrite(writeCommand(i+2, i+1, "b")); !r.Applied || r.Epoch != i+2 {
+		if r := group.mustWrite(writeCommand(i+2, i+1, "b")); !r.Applied || r.Epoch != i+2 {
 			t.Fatalf("write %d: %+v", i, r)
 		}
 	}
-	if tc.waitForLeader() == old {
-		t.Error("the slow one leads")
+	if group.waitForLeader() == old {
+		t.Error("the slow voter still leads")
 	}
-	takes[old.Status().Number].Store(0)
+	syncDelays[old.Status().Number].Store(0)
 	if got, err := old.Read(shortContext(t), nil, 0); err != nil || got["plan"].Epoch != 21 {
 		t.Errorf("%v, %v", got["plan"].Epoch, err)
 	}
 }
 
-// A voter whose folder was emptied comes back under its old number: the others refuse it, it ends, and what was
-// acknowledged stands. Under a new number it joins and holds all.
+// A voter whose folder was emptied comes back under its old number: the others reject it, it stops, and what was
+// acknowledged is still there. Under a new number it joins and gets everything.
 func TestVoter_emptiedFolderNeedsANewNumber(t *testing.T) {
-	tc, f := newTestCluster(t, 3), tempFolders(t, 3)
-	tc.startAll(f)
-	tc.mustWrite(writeCommand(1, 0, "a"))
-	lead := tc.waitForLeader().Status().Number
+	group, folders := newTestCluster(t, 3), tempFolders(t, 3)
+	group.startAll(folders)
+	group.mustWrite(writeCommand(1, 0, "a"))
+	lead := group.waitForLeader().Status().Number
 	emptiedNumber := lead%3 + 1
-	fakes.Eventually(t, "marks of all disks", func() bool {
-		for _, m := range tc.waitForLeader().Status().Members {
+	fakes.Eventually(t, "the IDs of all disks", func() bool {
+		for _, m := range group.waitForLeader().Status().Members {
 			if m.DiskID == "" {
 				return false
 			}
 		}
 		return true
 	})
-	tc.stop(emptiedNumber)
-	tc.mustWrite(writeCommand(2, 1, "b"))
-	if err := tc.start(emptiedNumber, t.TempDir(), wal.OSFileOps{}, tc.initialMembers); err != nil {
+	group.stop(emptiedNumber)
+	group.mustWrite(writeCommand(2, 1, "b"))
+	if err := group.start(emptiedNumber, t.TempDir(), wal.OSFileOps{}, group.initialMembers); err != nil {
 		t.Fatal(err)
 	}
-	tc.mu.Lock()
-	emptied := tc.voters[emptiedNumber]
-	tc.mu.Unlock()
+	group.mu.Lock()
+	emptied := group.voters[emptiedNumber]
+	group.mu.Unlock()
 	if _, err := emptied.Read(shortContext(t), nil, 0); !errors.Is(err, coordination.ErrStopped) {
-		t.Errorf("it goes on: %v", err)
+		t.Errorf("it still answers: %v", err)
 	}
-	tc.stop(emptiedNumber)
-	if err := tc.start(4, t.TempDir(), wal.OSFileOps{}, nil); err != nil {
+	group.stop(emptiedNumber)
+	if err := group.start(4, t.TempDir(), wal.OSFileOps{}, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		m      coordination.Member
+	for _, change := range []struct {
+		member coordination.Member
 		remove bool
 	}{{member(emptiedNumber), true}, {member(4), false}} {
-		fakes.Eventually(t, "change of the members", func() bool {
-			return tc.waitForLeader().ChangeMembership(shortContext(t), c.m, c.remove) == nil
+		fakes.Eventually(t, "change of the membership", func() bool {
+			return group.waitForLeader().ChangeMembership(shortContext(t), change.member, change.remove) == nil
 		})
 	}
-	got, err := tc.voters[4].Read(shortContext(t), nil, 0)
+	got, err := group.voters[4].Read(shortContext(t), nil, 0)
 	if err != nil || string(got["plan"].Value) != "b" {
 		t.Errorf("the new voter holds %v, %v", got, err)
 	}
-	old := tc.waitForLeader()
+	old := group.waitForLeader()
 	old.TransferLeadership(shortContext(t))
-	if status := old.Status(); status.Leader == 0 || status.Leader == status.Number { // ended now, its vote might not be sent
-		t.Errorf("it resigned to nobody: %+v", status)
+	if status := old.Status(); status.Leader == 0 || status.Leader == status.Number { // stopped now, its vote might not be sent
+		t.Errorf("it handed the lead to nobody: %+v", status)
 	}
-	if next := tc.waitForLeader(); next == old {
-		t.Error("the leader did not resign")
+	if next := group.waitForLeader(); next == old {
+		t.Error("no other voter leads")
 	}
 }
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -111,7 +111,7 @@
 	full := s.Leader()
 	must(t, full.SetDiskFull(true))
 	s.failZone("hall-a", "hall-b")
-	s.waitForLog(full.Process, "this voter has stopped", 1)
+	s.waitForLog(full.Process, "voter: stopped after a failure", 1)
 	full.Kill()
 	s.VoterCluster.Start(full)
 	s.SetZoneBehavior("hall-a", Healthy)
