--- a/internal/zonestats/digest.go
+++ b/internal/zonestats/digest.go
@@ -1,118 +1,69 @@
 package zonestats
 
-import (
-	"math"
-	"time"
-)
-
-// This file is what a digest is made of: the judgements of halls since the one before, and all counts.
+import "time"
 
-// health gives the quarter at which a hall is seen, or false: nothing is known of late. So many pushes out without an
-// answer are a silence.
-func (z *zoneStats) health(now time.Duration, out int) (int, bool) {
-	if z.waitingSince != 0 && z.inFlight >= out && now-z.waitingSince > z.silenceTimeout() {
-		return Lost, true
-	}
-	sound, known, freshWell, freshIll := 0, 0, 0, 0
-	for server, l := range z.results {
-		age := now - l.at
-		if age > resultMemory {
-			delete(z.results, server)
-			continue
-		}
-		known++
-		if l.answered {
-			sound++
-		}
-		switch {
-		case age > freshTime:
-		case l.answered:
-			freshWell++
-		default:
-			freshIll++
-		}
-	}
-	switch {
-	case known == 0:
-		clear(z.failedRun)
-		return 0, false
-	case len(z.failedRun) >= minFailedRun || freshIll >= minFreshFailures && freshWell == 0:
-		return Lost, true
-	case freshIll > 0 && freshWell == 0:
-		return Failing, true
-	}
-	return int(math.Round(Healthy * float64(sound) / float64(known))), true
-}
+const (
+	// maxDigestSpan is the longest time between two digests that a gateway answers for: of what it was paused beyond that it
+	// observed nothing.
+	maxDigestSpan = 500 * time.Millisecond
+	// lossConfirmTime is how long a gateway's own zone must look lost before it goes by that alone.
+	lossConfirmTime = time.Second
+)
 
-// WriteCounts gives all counts so far; it is called before each digest, each 0.2 s or so, and judges the time since the
-// call before.
+// WriteCounts gives all counts so far. It is called before each digest, each 0.2 s or so, and counts the health and the power
+// of each zone for the time since the call before.
 func (r *Recorder) WriteCounts(now time.Duration, add func(name string, n uint64)) {
-	span := now - r.countedUntil
-	if r.countedUntil == 0 || span > 2*maxDigestSpan || span < 0 {
-		span = 0 // it began, or stood still
-	}
-	span = min(span, maxDigestSpan)
-	r.countedUntil = now
-	ms := uint64(span / time.Millisecond)
-	r.countedUntil -= span % time.Millisecond // the rest counts with the next
-	r.awake += time.Duration(ms) * time.Millisecond
-	for i, z := range r.zones {
-		q, known := z.health(now, 1)
-		if known {
-			z.healthTime[q] += ms
+	ms := r.awakeSince(now)
+	for i, zone := range r.zones {
+		if quarter, known := zone.health(now, 1); known {
+			zone.healthTime[quarter] += ms
 		}
-		power := r.readyPower(now, z)
+		power := r.readyPower(now, zone)
 		if r.hasEndpoints {
-			b := PowerBand(power)
-			z.readyTime[b] += ms
-			z.readyPower[b] += power * float64(ms)
+			band := PowerBand(power)
+			zone.readyTime[band] += ms
+			zone.readyPower[band] += power * float64(ms)
 		}
 		if i == r.own {
-			alone, heard := z.health(now, minFailedRun)
-			r.updateOwnZone(now, alone, heard, power)
+			r.updateOwnZone(now, power)
 		}
-		z.writeCounts(add)
+		zone.writeCounts(add)
 	}
-	add(r.awakeTimeName, uint64(r.awake/time.Millisecond))
-	add(r.offeredName, uint64(r.offered))
-	add(r.admittedName, uint64(r.admitted))
-	add(r.callsDoneName, r.counterCalls[0])
-	add(r.callsLateName, r.counterCalls[1])
+	add(r.names.awakeTime, uint64(r.awake/time.Millisecond))
+	add(r.names.offered, uint64(r.offered))
+	add(r.names.admitted, uint64(r.admitted))
+	add(r.names.callsDone, r.callsDone)
+	add(r.names.callsLate, r.callsLate)
 }
 
-// writeCounts gives the counts of a hall that are not nought.
-func (z *zoneStats) writeCounts(add func(name string, n uint64)) {
-	some := func(name string, n uint64) {
-		if n > 0 {
-			add(name, n)
-		}
-	}
-	for q, n := range z.healthTime {
-		some(z.healthTimeNames[q], n)
-	}
-	for i, n := range z.completed {
-		some(z.completedNames[i], n)
-	}
-	some(z.attemptedName, uint64(z.attempted))
-	some(z.answerTimeName, uint64(z.answerTime))
-	for b, n := range z.readyTime {
-		some(z.readyTimeNames[b], n)
-		some(z.readyPowerNames[b], uint64(z.readyPower[b]))
+// awakeSince is the milliseconds that the gateway was awake since the call before; 0 at its start and after a pause.
+func (r *Recorder) awakeSince(now time.Duration) uint64 {
+	span := now - r.countedUntil
+	if r.countedUntil == 0 || span > 2*maxDigestSpan || span < 0 {
+		span = 0
 	}
+	span = min(span, maxDigestSpan)
+	r.countedUntil = now - span%time.Millisecond // the rest counts with the next call
+	span = span.Truncate(time.Millisecond)
+	r.awake += span
+	return uint64(span / time.Millisecond)
 }
 
-// updateOwnZone keeps whether our own hall is lost as far as we alone can see. It stays so until half of it answers. One push that
-// hangs is a word among many gateways, but alone it would have nearly all other tasks shed: silence takes runLeast
-// pushes out here. Harm: a gateway with fewer sees a silent hall only as its pushes end.
-func (r *Recorder) updateOwnZone(now time.Duration, q int, known bool, power float64) {
-	looks := r.hasEndpoints && power <= 0 || known && q == Lost
+// updateOwnZone keeps whether the own zone is lost as far as this gateway alone can observe. It stays so until half of the zone
+// answers. One attempt that hangs is an observation among those of many gateways, but alone it would have nearly all other
+// requests shed: here silence takes minFailedRun attempts in flight. Drawback: a gateway with fewer observes a silent zone
+// only as its attempts end.
+func (r *Recorder) updateOwnZone(now time.Duration, power float64) {
+	quarter, known := r.zones[r.own].health(now, minFailedRun)
+	seemsLost := r.hasEndpoints && power <= 0 || known && quarter == Lost
+	isAnswering := known && quarter > Failing
 	switch {
-	case !looks && (!known || q <= Failing):
+	case !seemsLost && isAnswering:
+		r.lossSeenSince, r.ownZoneLost = 0, false
+	case !seemsLost:
 		if !r.ownZoneLost {
 			r.lossSeenSince = 0
 		}
-	case !looks:
-		r.lossSeenSince, r.ownZoneLost = 0, false
 	case r.lossSeenSince == 0:
 		r.lossSeenSince = now
 	case now-r.lossSeenSince >= lossConfirmTime:
@@ -120,5 +71,5 @@
 	}
 }
 
-// IsZoneLost tells whether by this gateway's own evidence its own hall is lost.
+// IsZoneLost tells whether the own zone is lost by this gateway's own observations.
 func (r *Recorder) IsZoneLost() bool { return r.ownZoneLost }
--- a/internal/zonestats/names.go
+++ b/internal/zonestats/names.go
@@ -1,7 +1,3 @@
-// Package witness keeps the counts of what one gateway sees of halls: the evidence of failover. It is handed events
-// and the time, and knows no sockets and no clock. All counts only grow; all times in them are milliseconds that the
-// gateway was awake, so that one gateway adds at most one second to any of them each second, whatever it believes:
-// a sum over a span, by that span, is the number of distinct gateways that saw it.
 package zonestats
 
 import (
@@ -11,56 +7,86 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// The judgements of a hall by one gateway: the part of the servers there, of those that it knows of late, that answer,
-// in quarters. Ill or worse speaks of loss.
+// How much of a zone answers, as one gateway observes it: the part of the zone's servers, of those that it knows of late, that
+// answer, in quarters. Failing or less speaks of a loss.
 const (
 	Lost    = 0
 	Failing = 1
 	Healthy = 4
 )
 
-// AwakeTime names the milliseconds that gateways in a hall were awake.
-func AwakeTime(zone string) string { return observation.JoinName("time", zone) }
+// The first parts of the counts' names. They go between processes of different releases: they never change.
+const (
+	nameAwakeTime    = "time"
+	nameHealthTime   = "judged"
+	nameOffered      = "came"
+	nameAdmitted     = "let"
+	nameAttempted    = "pushed"
+	nameCompleted    = "ended"
+	nameAnswerTime   = "took"
+	nameCounterCalls = "count"
+	nameReadyTime    = "ready"
+	nameReadyPower   = "strength"
+)
+
+// The outcomes of attempts in the counts' names. They never change either.
+const (
+	OutcomeAnswered = "well"
+	OutcomeFailed   = "ill"
+	OutcomeRejected = "full"
+)
+
+// The outcomes of calls to the counter in the counts' names.
+const (
+	callDone = "well"
+	callLate = "late"
+)
+
+// Outcomes are the outcomes of attempts that Completed counts.
+func Outcomes() []string { return []string{OutcomeAnswered, OutcomeFailed, OutcomeRejected} }
 
-// HealthTime names the milliseconds in which gateways in a hall judged another, or their own, to be at a quarter (0 to 4).
-// Where a gateway knows nothing of late, it adds to none.
+// AwakeTime names the milliseconds that the gateways of a zone were awake.
+func AwakeTime(zone string) string { return observation.JoinName(nameAwakeTime, zone) }
+
+// HealthTime names the milliseconds in which the gateways of a zone held another zone, or their own, to be at a quarter (Lost
+// to Healthy). A gateway that knows nothing of late adds to none.
 func HealthTime(from, to string, quarter int) string {
-	return observation.JoinName("judged", from, to, strconv.Itoa(quarter))
+	return observation.JoinName(nameHealthTime, from, to, strconv.Itoa(quarter))
 }
 
-// Offered names the units of the tasks that came in at a hall's gateways, in thousandths; repeats by clients among them.
-func Offered(zone string) string { return observation.JoinName("came", zone) }
-
-// Admitted names the units, in thousandths, of the tasks that quotas let in at a hall's gateways, at their clients' first try: pushed,
-// or not, as there was no room. It is the demand that the decider goes by.
-func Admitted(zone string) string { return observation.JoinName("let", zone) }
+// Offered names the units, in thousandths, of the requests that came in at a zone's gateways, but for repeats by clients.
+func Offered(zone string) string { return observation.JoinName(nameOffered, zone) }
 
-// Attempted names the units, in thousandths, of all pushes from a hall to a hall.
-func Attempted(from, to string) string { return observation.JoinName("pushed", from, to) }
+// Admitted names the units, in thousandths, of the requests that quotas admitted at a zone's gateways, at their clients' first
+// try: attempted, or not, for want of capacity. It is the demand that the failover controller goes by.
+func Admitted(zone string) string { return observation.JoinName(nameAdmitted, zone) }
 
-// Outcomes are the ways in which Ended counts that pushes end.
-func Outcomes() []string { return []string{outcomeAnswered, outcomeFailed, outcomeRejected} }
+// Attempted names the units, in thousandths, of all attempts from a zone on another.
+func Attempted(from, to string) string { return observation.JoinName(nameAttempted, from, to) }
 
-// Completed names the pushes from a hall to a hall that ended well, ill, or full (turned away).
+// Completed names the attempts from a zone on another that ended with an outcome, one of Outcomes.
 func Completed(from, to, outcome string) string {
-	return observation.JoinName("ended", from, to, outcome)
+	return observation.JoinName(nameCompleted, from, to, outcome)
 }
 
-// AnswerTime names the milliseconds that answers took, by halls.
-func AnswerTime(from, to string) string { return observation.JoinName("took", from, to) }
+// AnswerTime names the milliseconds that answers took, by zones.
+func AnswerTime(from, to string) string { return observation.JoinName(nameAnswerTime, from, to) }
 
-// CounterCalls names the calls to the counter of a hall's gateways that ended well, or late (in time for no task, or not at all).
-func CounterCalls(zone, outcome string) string { return observation.JoinName("count", zone, outcome) }
+// CounterCalls names the calls of a zone's gateways to the counter that were done in time, or late: in time for no request, or
+// not at all.
+func CounterCalls(zone, outcome string) string {
+	return observation.JoinName(nameCounterCalls, zone, outcome)
+}
 
-// Strength is told in bands, so that the word of one gateway with a wrong list moves no mean: who sums up takes the
-// band of the middle gateway, and the mean within it.
+// Ready power is reported in bands, so that one gateway with a wrong endpoint list moves no mean: the median gateway's band is
+// taken, and the mean within it.
 const (
-	PowerBands   = 64   // band 0 is no strength at all
-	firstBandEnd = 0.1  // strength at which band 1 ends, in servers of power 1
-	bandRatio    = 1.25 // of a band's ends
+	PowerBands   = 64   // band 0 is no power at all
+	firstBandEnd = 0.1  // the power at which band 1 ends, in servers of power 1
+	bandRatio    = 1.25 // of the ends of consecutive bands
 )
 
-// PowerBand is the band of a strength.
+// PowerBand is the band of a ready power: 0 to PowerBands-1.
 func PowerBand(power float64) int {
 	if power <= 0 {
 		return 0
@@ -68,12 +94,12 @@
 	return min(max(1+int(math.Ceil(math.Log(power/firstBandEnd)/math.Log(bandRatio))), 1), PowerBands-1)
 }
 
-// ReadyTime names the milliseconds in which gateways anywhere had a hall's strength in a band.
+// ReadyTime names the milliseconds in which gateways of any zone held a zone's ready power to be in a band.
 func ReadyTime(zone string, band int) string {
-	return observation.JoinName("ready", zone, strconv.Itoa(band))
+	return observation.JoinName(nameReadyTime, zone, strconv.Itoa(band))
 }
 
-// ReadyPower names the sum of the strengths in that band: in ready, warm servers of power 1, times milliseconds.
+// ReadyPower names the sum of the ready powers in that band: in servers of power 1 that are ready and warm, times milliseconds.
 func ReadyPower(zone string, band int) string {
-	return observation.JoinName("strength", zone, strconv.Itoa(band))
+	return observation.JoinName(nameReadyPower, zone, strconv.Itoa(band))
 }
