--- a/internal/failover/controller.go
+++ b/internal/failover/controller.go
@@ -1,3 +1,7 @@
+// Package failover decides to which zones the requests that come in at a zone are sent, by what all gateways observed. The
+// leader runs a Controller that turns merged observations into a Plan; gateways act on the plan while their lease on it
+// stands. The package is free of I/O, clocks and randomness: the same observations give the same plans. docs/failover.md
+// weighs it against other designs.
 package failover
 
 import (
@@ -9,32 +13,32 @@
 	"harrierhoist/internal/zonestats"
 )
 
-// Controller turns evidence into plans. It runs at the leader and is made anew with each new leader: all that it must know
-// of earlier plans stands in the value.
+// Controller turns observations into plans. It runs on the leader and is made anew by each new leader: all that it must
+// know of earlier plans is in the stored value.
 type Controller struct {
 	settings   Settings
-	lease      time.Duration
+	lease      time.Duration // the longest that a gateway acts on a plan after the next one was written
 	zones      []string
-	regionOf   []int
+	regionOf   []int // by zone, the index of its region
 	countNames *countNames
 	samples    samples
 	estimates  *estimates
 
 	started       bool
-	epoch         uint64
-	noPlan        bool            // no plan stands: all are taken to serve near, as gateways without one do
-	plan          *Plan           // the one that stands, or an empty one
-	rows          [][]int         // its rows, by hall
-	holdDownUntil []time.Duration // until when a hall rests; 0: it doesn't
-	previousUntil time.Duration   // until when some may act on the rows before
-	planSince     time.Duration   // when this decider saw the plan first
+	epoch         uint64          // of the plan in force
+	noPlan        bool            // no plan is in force: all zones are taken to serve locally, as gateways without a plan do
+	plan          *Plan           // the plan in force, or an empty one
+	rows          [][]int         // its rows, by zone index, in thousandths
+	holdDownUntil []time.Duration // by zone, the end of its hold-down; 0: none
+	previousUntil time.Duration   // until then some gateways may act on the rows before
+	planSince     time.Duration   // when this controller first saw the plan
 }
 
-// New makes a decider. Lease is the longest that a gateway acts on a plan after another was written.
+// New makes a controller. The lease is the longest that a gateway acts on a plan after another one was written.
 func New(settings Settings, lease time.Duration) *Controller {
 	c := &Controller{settings: settings.WithDefaults(), lease: lease, zones: settings.Zones()}
-	for i, r := range settings.Regions {
-		for range r.Zones {
+	for i, region := range settings.Regions {
+		for range region.Zones {
 			c.regionOf = append(c.regionOf, i)
 		}
 	}
@@ -45,15 +49,19 @@
 
 var _ coordination.Controller = (*Controller)(nil)
 
-// Table is the table that it writes.
+// Table is the name of the table that the controller writes.
 func (c *Controller) Table() string { return Table }
 
-// Decide gives the next plan, or write false where the one that stands is to stay. It is called some ten times a second.
-func (c *Controller) Decide(now time.Duration, seen coordination.ControllerInput) (value []byte, write bool) {
-	if e := seen.Table(Table); !c.started || e.Epoch != c.epoch {
-		c.adoptPlan(now, e)
+// Decide gives the next plan's stored form; write is false where the plan in force is to stay. It is called some ten times a
+// second.
+func (c *Controller) Decide(now time.Duration, input coordination.ControllerInput) (value []byte, write bool) {
+	if table := input.Table(Table); !c.started || table.Epoch != c.epoch {
+		c.adoptPlan(now, table)
 	}
-	if !c.samples.add(c.countNames.sample(now, seen.Sums)) || !c.estimates.update(c.samples) || c.noPlan && now < c.estimates.firstSampleAt+demandRiseTime {
+	if !c.samples.add(c.countNames.sample(now, input.Sums)) || !c.estimates.update(c.samples) {
+		return nil, false
+	}
+	if c.noPlan && now < c.estimates.firstSampleAt+demandRiseTime {
 		return nil, false
 	}
 	next := c.nextPlan(now)
@@ -61,33 +69,33 @@
 		return nil, false
 	}
 	value, err := next.Encode()
-	return value, err == nil // maps of strings and numbers are always encoded
+	return value, err == nil // maps of strings and numbers can always be encoded
 }
 
-// adoptPlan takes the plan that stands. What is not known of it is taken at its worst: that it was written just now.
-func (c *Controller) adoptPlan(now time.Duration, e statemachine.Table) {
-	plan, err := DecodePlan(e.Value)
-	c.noPlan = err != nil || plan == nil // a spoilt one is written anew
+// adoptPlan takes over the plan in force. What is not known of it is assumed at its worst: that it was written just now.
+func (c *Controller) adoptPlan(now time.Duration, table statemachine.Table) {
+	plan, err := DecodePlan(table.Value)
+	c.noPlan = err != nil || plan == nil // a malformed plan is written anew
 	if c.noPlan {
 		plan = &Plan{}
 	}
 	rows := c.rowsOf(plan)
-	for from, zone := range c.zones {
+	for i, zone := range c.zones {
 		switch {
 		case !slices.Contains(plan.HoldDown, zone):
-			c.holdDownUntil[from] = 0
-		case c.rows == nil || !slices.Equal(rows[from], c.rows[from]) || c.plan.Shed[zone] != plan.Shed[zone]:
-			c.holdDownUntil[from] = now + c.settings.holdDown()
+			c.holdDownUntil[i] = 0
+		case c.rows == nil || !slices.Equal(rows[i], c.rows[i]) || c.plan.Shed[zone] != plan.Shed[zone]:
+			c.holdDownUntil[i] = now + c.settings.holdDown()
 		}
 	}
 	if !c.started && !c.noPlan {
 		c.restoreEstimates(now, plan)
 	}
-	c.started, c.epoch, c.plan, c.rows = true, e.Epoch, plan, rows
+	c.started, c.epoch, c.plan, c.rows = true, table.Epoch, plan, rows
 	c.previousUntil, c.planSince = now+c.lease, now
 }
 
-// rowsOf is a plan's rows by the places of halls. A row that the plan lacks, or one of other halls, is near.
+// rowsOf gives a plan's rows by zone index. A row that the plan lacks, or that names other zones, is local.
 func (c *Controller) rowsOf(plan *Plan) (rows [][]int) {
 	for from, fromZone := range c.zones {
 		row, sum := make([]int, len(c.zones)), 0
@@ -104,14 +112,14 @@
 	return rows
 }
 
-// restoreEstimates has a new leader begin with the demand that the plan was made for, and hold to be lost what it does, until it
-// hears otherwise.
+// restoreEstimates has a new leader start with the demand that the plan was made for, and with the losses that the plan
+// states, until observations say otherwise.
 func (c *Controller) restoreEstimates(now time.Duration, plan *Plan) {
 	c.estimates.demandKnown = true
-	for to, zone := range c.zones {
-		c.estimates.demand[to] = float64(plan.Demand[zone]) / 1000
-		if plannedHealth, ok := plan.Health[zone]; ok && plannedHealth <= fullShare*zonestats.Failing/zonestats.Healthy {
-			c.estimates.health[to], c.estimates.healthAt[to] = plannedHealth*zonestats.Healthy/fullShare, now
+	for i, zone := range c.zones {
+		c.estimates.demand[i] = float64(plan.Demand[zone]) / 1000
+		if health, ok := plan.Health[zone]; ok && health <= fullShare*zonestats.Failing/zonestats.Healthy {
+			c.estimates.health[i], c.estimates.healthAt[i] = health*zonestats.Healthy/fullShare, now
 		}
 	}
 	for from, fromZone := range c.zones {
--- a/internal/failover/controller_test.go
+++ b/internal/failover/controller_test.go
@@ -1,109 +1,108 @@
 package failover
 
-// What a situation leads to stands in situations.toml; here are those that take their course over time.
+// What a situation leads to is in situations.toml; here are situations that develop over time.
 
 import (
 	"testing"
 	"time"
+
+	"harrierhoist/internal/zonestats"
 )
 
-// calmFixture is a world that has settled, all near.
-func calmFixture(t *testing.T, gateways int) *fixture {
+// calmSimulation is three zones that have settled, all local.
+func calmSimulation(t *testing.T, gateways int) *simulation {
+	t.Helper()
+	sim := threeZones(gateways)
+	wantNoMove(t, sim, 6*time.Second)
+	return sim
+}
+
+// wantNoMove lets time pass and wants no request moved.
+func wantNoMove(t *testing.T, sim *simulation, span time.Duration) {
 	t.Helper()
-	fx := threeZones(gateways)
-	fx.run(6 * time.Second)
-	for i := range fx.zones {
-		fx.wantBetween(t, "near", fx.share(i, i), 1, 1)
+	sim.run(span)
+	for zone := range sim.zones {
+		sim.wantBetween(t, "local share", sim.share(zone, zone), 1, 1)
 	}
-	return fx
 }
 
-// Coming back goes by steps, a least stay apart, though all its servers are ready at once.
+// Recovery goes by steps, a hold-down apart, though all servers are ready at once.
 func TestController_recoversInSteps(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.healthy[0] = 0
-	fx.run(5 * time.Second)
-	fx.healthy[0] = 1
-	at, was := time.Duration(0), fx.share(0, 0)
-	for fx.share(0, 0) < 1 && fx.now < 5*time.Minute {
-		fx.run(tick)
-		if current := fx.share(0, 0); current != was {
-			if current > was+0.26 || at > 0 && fx.now-at < 10*time.Second {
-				t.Errorf("from %.2f to %.2f after %v", was, current, fx.now-at)
+	sim := calmSimulation(t, 3)
+	sim.healthy[0] = 0
+	sim.run(5 * time.Second)
+	sim.healthy[0] = 1
+	movedAt, before := time.Duration(0), sim.share(0, 0)
+	for sim.share(0, 0) < 1 && sim.now < 5*time.Minute {
+		sim.run(tick)
+		if current := sim.share(0, 0); current != before {
+			if current > before+0.26 || movedAt > 0 && sim.now-movedAt < 10*time.Second {
+				t.Errorf("from %.2f to %.2f after %v", before, current, sim.now-movedAt)
 			}
-			at, was = fx.now, current
+			movedAt, before = sim.now, current
 		}
 	}
-	fx.wantBetween(t, "back", fx.share(0, 0), 1, 1)
-	fx.wantBetween(t, "seconds that took", fx.now.Seconds(), 30, 80)
+	sim.wantBetween(t, "recovered share", sim.share(0, 0), 1, 1)
+	sim.wantBetween(t, "seconds that took", sim.now.Seconds(), 30, 80)
 }
 
-// A link between two halls is lost while others reach both: what used it goes elsewhere, nothing else moves.
+// A link between two zones is lost while others reach both: what used it goes elsewhere, nothing else moves.
 func TestController_lostLinkIsNoLostZone(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.healthy[0] = 0
-	fx.run(15 * time.Second)
-	fx.lostLinks[[2]int{0, 1}] = true
-	fx.run(3 * time.Second)
-	fx.wantBetween(t, "over the lost link", fx.share(0, 1), 0, 0)
-	fx.wantBetween(t, "elsewhere", fx.share(0, 2), 0.55, 0.61)
-	fx.wantBetween(t, "b at home", fx.share(1, 1), 1, 1)
-	fx.wantBetween(t, "c at home", fx.share(2, 2), 1, 1)
-}
-
-// wantNoMove lets a world go on and wants no task moved.
-func wantNoMove(t *testing.T, fx *fixture, span time.Duration) {
-	t.Helper()
-	fx.run(span)
-	for i := range fx.zones {
-		fx.wantBetween(t, "near", fx.share(i, i), 1, 1)
-	}
+	sim := calmSimulation(t, 3)
+	sim.healthy[0] = 0
+	sim.run(15 * time.Second)
+	sim.lostLinks[[2]int{0, 1}] = true
+	sim.run(3 * time.Second)
+	sim.wantBetween(t, "over the lost link", sim.share(0, 1), 0, 0)
+	sim.wantBetween(t, "elsewhere", sim.share(0, 2), 0.55, 0.61)
+	sim.wantBetween(t, "local share of b", sim.share(1, 1), 1, 1)
+	sim.wantBetween(t, "local share of c", sim.share(2, 2), 1, 1)
 }
 
-// One gateway sees no hall answer and has an empty list: its word moves nothing, of two as of ten.
+// One gateway observes no zone answer and has an empty endpoint list: that moves nothing, of two gateways as of ten.
 func TestController_oneBlindGatewayMovesNothing(t *testing.T) {
-	for _, n := range []int{2, 3, 10} {
-		fx := calmFixture(t, n)
-		fx.blindGateway[0] = true
-		wantNoMove(t, fx, 30*time.Second)
+	for _, gateways := range []int{2, 3, 10} {
+		sim := calmSimulation(t, gateways)
+		sim.blindGateway[0] = true
+		wantNoMove(t, sim, 30*time.Second)
 	}
 }
 
-// A digest held back for long brings much of one gateway's word at once.
+// A digest held back for long brings many observations of one gateway at once.
 func TestController_lateDigestsMoveNothing(t *testing.T) {
-	fx := calmFixture(t, 3)
+	sim := calmSimulation(t, 3)
 	for range 20 {
-		for _, toZone := range fx.zones {
-			fx.add("judged\x1fa\x1f"+toZone+"\x1f0", 5000)
+		for _, toZone := range sim.zones {
+			sim.add(zonestats.HealthTime("a", toZone, zonestats.Lost), 5000)
 		}
-		fx.add("time\x1fa", 5000)
-		fx.add("let\x1fa", 5000*50.0/3)
-		wantNoMove(t, fx, 3*time.Second)
+		sim.add(zonestats.AwakeTime("a"), 5000)
+		sim.add(zonestats.Admitted("a"), 5000*50.0/3)
+		wantNoMove(t, sim, 3*time.Second)
 	}
 }
 
-// Gateways that stand, or can't reach a voter, tell nothing: nothing moves, and what they push is remembered.
+// Gateways that are paused, or can't reach a voter, report nothing: nothing moves, and what they send is remembered.
 func TestController_silentGatewaysMoveNothing(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.silent[1] = true
-	wantNoMove(t, fx, 10*time.Second)
-	fx.healthy[0] = 0
-	fx.run(2 * time.Second)
-	fx.wantBetween(t, "load at b", fx.load(1), 60, 83) // what is remembered fades by a percent in three seconds
+	sim := calmSimulation(t, 3)
+	sim.silent[1] = true
+	wantNoMove(t, sim, 10*time.Second)
+	sim.healthy[0] = 0
+	sim.run(2 * time.Second)
+	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // what is remembered fades by a percent in three seconds
 }
 
-// A flood at a hall that is well overflows only above the utilisation asked for.
+// A flood at a healthy zone overflows only above the maximum utilisation.
 func TestController_overflowsOnlyAboveMaxUtilisation(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.demand[0] = 78
-	wantNoMove(t, fx, 20*time.Second)
-	fx.demand[0] = 120
-	fx.run(25 * time.Second)
-	fx.wantBetween(t, "home", fx.load(0), 78, 85)
-	fx.wantBetween(t, "b", fx.load(1), 75, 80.01)
+	sim := calmSimulation(t, 3)
+	sim.demand[0] = 78
+	wantNoMove(t, sim, 20*time.Second)
+	sim.demand[0] = 120
+	sim.run(25 * time.Second)
+	sim.wantBetween(t, "load at a", sim.load(0), 78, 85)
+	sim.wantBetween(t, "load at b", sim.load(1), 75, 80.01)
 	moves := 0
-	for i, p := range fx.plans[1:] {
-		if p.plan.Rows["a"]["a"] != fx.plans[i].plan.Rows["a"]["a"] {
+	for i, written := range sim.plans[1:] {
+		if written.plan.Rows["a"]["a"] != sim.plans[i].plan.Rows["a"]["a"] {
 			moves++
 		}
 	}
@@ -112,29 +111,29 @@
 	}
 }
 
-// A receiver fails while the hall that sends to it rests: that hall flees again at once, and only from it.
+// A receiver fails while the zone that sends to it is in hold-down: that zone leaves it at once, and only it.
 func TestController_failingReceiverIsRelievedAtOnce(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.healthy[0] = 0
-	fx.run(2 * time.Second)
-	fx.healthy[1] = 0
-	fx.run(2 * time.Second)
-	fx.wantBetween(t, "to b", fx.share(0, 1), 0, 0)
-	fx.wantBetween(t, "load at c", fx.load(2), 79, 80.01)
+	sim := calmSimulation(t, 3)
+	sim.healthy[0] = 0
+	sim.run(2 * time.Second)
+	sim.healthy[1] = 0
+	sim.run(2 * time.Second)
+	sim.wantBetween(t, "share of b", sim.share(0, 1), 0, 0)
+	sim.wantBetween(t, "load at c", sim.load(2), 79, 80.01)
 }
 
-// A new leader has no clock of the old: who rested goes on resting for a whole stay from its start.
+// A new leader shares no clock with the old one: zones in hold-down stay so for a full hold-down from its start.
 func TestController_newLeaderKeepsHoldDown(t *testing.T) {
-	fx := calmFixture(t, 3)
-	fx.healthy[0] = 0
-	fx.run(2 * time.Second)
-	fx.healthy[0] = 1
-	fx.run(2 * time.Second)
-	fx.newLeader()
-	fx.now += time.Hour
-	was := fx.share(0, 0)
-	fx.run(9900 * time.Millisecond)
-	fx.wantBetween(t, "home within the stay", fx.share(0, 0), was, was)
-	fx.run(8 * time.Second)
-	fx.wantBetween(t, "home after it", fx.share(0, 0), was+0.2, was+0.26)
+	sim := calmSimulation(t, 3)
+	sim.healthy[0] = 0
+	sim.run(2 * time.Second)
+	sim.healthy[0] = 1
+	sim.run(2 * time.Second)
+	sim.newLeader()
+	sim.now += time.Hour
+	before := sim.share(0, 0)
+	sim.run(9900 * time.Millisecond)
+	sim.wantBetween(t, "local share within the hold-down", sim.share(0, 0), before, before)
+	sim.run(8 * time.Second)
+	sim.wantBetween(t, "local share after it", sim.share(0, 0), before+0.2, before+0.26)
 }
--- a/internal/failover/estimates.go
+++ b/internal/failover/estimates.go
@@ -1,252 +1,217 @@
 package failover
 
 import (
-	"math"
+	"cmp"
 	"slices"
 	"time"
 
 	"harrierhoist/internal/zonestats"
 )
 
-// estimates is what the decider holds to be true of halls; it outlives the evidence for it.
-type estimates struct {
-	settings      *Settings
-	health        []int           // by hall the quarters that answer
-	healthAt      []time.Duration // when that was last told
-	linkHealth    [][]int         // by from and to the same; -1: not known
-	linkHealthAt  [][]time.Duration
-	readyPower    []float64       // listed, ready and warm, in servers of power 1; below 0: not told yet
-	demand        []float64       // units a second let in
-	gateways      []float64       // gateways
-	smoothing     []time.Duration // over how long demand is measured
-	hasHeadroom   []bool          // a hall that serves its own tasks and is not full
-	isReporting   []bool          // any gateway of the hall told anything of late
-	lastSampleAt  time.Duration
-	firstSampleAt time.Duration // of the first look
-	demandKnown   bool          // demand was known before that
-}
-
 const (
-	// demandRiseTime and easeOver are over how long demand follows what is measured at a hall that serves its own tasks and is
-	// not full: long enough that chance, where few tasks come in, is no flood (over 1 s it moved tasks in vain).
-	demandRiseTime = 2 * time.Second
-	demandFallTime = 5 * time.Second
-	// minSmoothedAttempts is over how many pushes at the least, and quietMost the longest that this makes it.
-	minSmoothedAttempts = 80.0
-	maxQuietSmoothing   = 20 * time.Second
-	// constrainedFallTime is the same for less demand, at any other hall: while it is lost or full, less is let in than will be. It
-	// guards a receiver against filling up in between. Harm: after a flood, overflow lasts longer than it must.
-	constrainedFallTime = 20 * time.Second
-	// silentFallTime is the same for a hall whose gateways tell nothing at all: they may be cut off from the voters alone,
-	// and push on. Harm: if they are gone, room in their hall is kept for nobody.
-	silentFallTime = 5 * time.Minute
-	// healthMemoryHoldDowns is after how many least stays without a word a loss is no longer believed: of a link that a plan avoids
-	// nothing is heard. If it is still lost, that shows within seconds, on one step of the tasks.
+	// healthMemoryHoldDowns is after how many hold-downs without a report a loss is no longer believed: nothing is observed
+	// of a link that a plan avoids. If it is still lost, that shows within seconds, on one recovery step of the requests.
 	healthMemoryHoldDowns = 3
-	// maxReportAge is how old the word of one hall on another may be to be weighed against that of a third.
+	// maxReportAge is how old what one zone observes of another may be to be weighed against what a third observes.
 	maxReportAge = time.Second
+	// unknown stands for a health, a power or a demand of which nothing is known.
+	unknown = -1
 )
 
-func newEstimates(settings *Settings, halls int) *estimates {
-	e := &estimates{settings: settings, health: make([]int, halls), healthAt: make([]time.Duration, halls),
-		readyPower: make([]float64, halls), demand: make([]float64, halls), gateways: make([]float64, halls),
-		isReporting: make([]bool, halls), hasHeadroom: make([]bool, halls),
-		smoothing: make([]time.Duration, halls)}
-	for i := range halls {
-		e.health[i], e.readyPower[i], e.demand[i], e.hasHeadroom[i] = zonestats.Healthy, -1, -1, true
-		row := make([]int, halls)
-		for to := range row {
-			row[to] = -1
-		}
-		e.linkHealth = append(e.linkHealth, row)
-		e.linkHealthAt = append(e.linkHealthAt, make([]time.Duration, halls))
-	}
-	return e
-}
+// estimates are what the controller holds to be true of zones; they outlive the observations that they come from. All slices
+// are by zone index.
+type estimates struct {
+	settings     *Settings
+	health       []int           // quarters of the zone that answer
+	healthAt     []time.Duration // when that was last observed
+	linkHealth   [][]int         // by from and to: quarters of to that answer from, or unknown
+	linkHealthAt [][]time.Duration
+	readyPower   []float64 // of the listed servers that are ready and warm, in servers of power 1; or unknown
+	isReporting  []bool    // any gateway of the zone reported of late
+	gateways     []float64 // how many gateways report
 
-// agreedHealth is the quarter that the gateways of a hall agree on for another in a span: the least that the part asked for
-// see or worse, counted in distinct gateways; -1: too few say anything.
-func (e *estimates) agreedHealth(start, end *sample, from, to int) int {
-	span := float64((end.at - start.at) / time.Millisecond)
-	var said [zonestats.Healthy + 1]float64
-	all := 0.0
-	for q := range said {
-		said[q] = (end.health[from][to][q] - start.health[from][to][q]) / span
-		all += said[q]
-	}
-	least := minReportedShare * float64(e.settings.MinGateways)
-	if all <= least {
-		return -1
-	}
-	sum := 0.0
-	for q, n := range said {
-		if sum += n; sum > least && sum >= e.settings.AgreementShare*all {
-			return q
-		}
-	}
-	return -1
+	demand      []float64       // units a second admitted
+	smoothing   []time.Duration // over how long demand was last measured
+	hasHeadroom []bool          // the zone serves all of its own requests and is not full
+	demandKnown bool            // demand was known before the first sample
+
+	lastSampleAt  time.Duration
+	firstSampleAt time.Duration
 }
 
-// agreedPower is a hall's listed strength in a span as the gateways agree on it, of all halls together.
-func (e *estimates) agreedPower(start, end *sample, to int) float64 {
-	span := float64((end.at - start.at) / time.Millisecond)
-	all := 0.0
-	for b := range end.readyTime[to] {
-		all += (end.readyTime[to][b] - start.readyTime[to][b]) / span
+func newEstimates(settings *Settings, zones int) *estimates {
+	e := &estimates{
+		settings: settings, health: make([]int, zones), healthAt: make([]time.Duration, zones),
+		readyPower: make([]float64, zones), isReporting: make([]bool, zones), gateways: make([]float64, zones),
+		demand: make([]float64, zones), smoothing: make([]time.Duration, zones), hasHeadroom: make([]bool, zones),
+	}
+	for zone := range zones {
+		e.health[zone], e.hasHeadroom[zone] = zonestats.Healthy, true
+		e.readyPower[zone], e.demand[zone] = unknown, unknown
+		e.linkHealth = append(e.linkHealth, slices.Repeat([]int{unknown}, zones))
+		e.linkHealthAt = append(e.linkHealthAt, make([]time.Duration, zones))
 	}
-	least := minReportedShare * float64(e.settings.MinGateways)
-	sum := 0.0
-	for b := range end.readyTime[to] {
-		n := end.readyTime[to][b] - start.readyTime[to][b]
-		if sum += n / span; n > 0 && sum > least && sum >= e.settings.AgreementShare*all {
-			return (end.readyPower[to][b] - start.readyPower[to][b]) / n
-		}
-	}
-	return -1
+	return e
 }
 
-// update takes what was seen. False: not enough yet.
-func (e *estimates) update(s samples) bool {
-	spans, ok := s.halves(confirmSpan)
+// update takes in the latest samples, and reports whether enough is known to plan by.
+func (e *estimates) update(observed samples) bool {
+	quick, ok := observed.halves(confirmSpan)
 	if !ok {
 		return false
 	}
-	long, far := s.halves(slowConfirmSpan)
-	now := s[len(s)-1].at
-	step := now - e.lastSampleAt
+	slow, hasSlow := observed.halves(slowConfirmSpan)
+	now := observed.last().at
+	elapsed := now - e.lastSampleAt
 	if e.lastSampleAt == 0 {
-		step, e.firstSampleAt = 0, now
+		elapsed, e.firstSampleAt = 0, now
 	}
 	e.lastSampleAt = now
 	for from := range e.linkHealth {
-		e.updateDemand(s, from, step)
+		e.updateDemand(observed, from, elapsed)
 		for to := range e.linkHealth {
-			a, b := e.agreedHealth(spans[0][0], spans[0][1], from, to), e.agreedHealth(spans[1][0], spans[1][1], from, to)
-			if max(a, b) > zonestats.Failing && far {
-				if x, y := e.agreedHealth(long[0][0], long[0][1], from, to), e.agreedHealth(long[1][0], long[1][1], from, to); min(x, y) >= 0 {
-					a, b = x, y
+			older, newer := e.agreedHealth(quick.older, from, to), e.agreedHealth(quick.newer, from, to)
+			if max(older, newer) > zonestats.Failing && hasSlow {
+				slowOlder, slowNewer := e.agreedHealth(slow.older, from, to), e.agreedHealth(slow.newer, from, to)
+				if slowOlder != unknown && slowNewer != unknown {
+					older, newer = slowOlder, slowNewer
 				}
 			}
-			if a < 0 || b < 0 {
-				if e.linkHealthAt[from][to]+healthMemoryHoldDowns*e.settings.holdDown() < now {
-					e.linkHealth[from][to] = -1
-				}
-				continue
-			}
-			e.linkHealthAt[from][to] = now
-			if e.linkHealth[from][to] < 0 || !far {
-				e.linkHealth[from][to] = max(a, b)
-			}
-			e.linkHealth[from][to] = min(max(e.linkHealth[from][to], min(a, b)), max(a, b)) // moves as far as both halves say
-		}
-		a, b := e.agreedPower(spans[0][0], spans[0][1], from), e.agreedPower(spans[1][0], spans[1][1], from)
-		switch was := e.readyPower[from]; {
-		case a < 0 || b < 0:
-		case was < 0:
-			e.readyPower[from] = max(a, b)
-		default:
-			e.readyPower[from] = min(max(was, min(a, b)), max(a, b))
+			e.updateLink(now, from, to, older, newer, !hasSlow)
 		}
+		e.updateReadyPower(quick, from)
 	}
 	e.updateHealth(now)
-	return !slices.ContainsFunc(e.readyPower, func(s float64) bool { return s < 0 })
+	return !slices.ContainsFunc(e.readyPower, func(power float64) bool { return power < 0 })
 }
 
-// updateHealth says of each hall how much of it answers: as those see it that see most, since what others miss may be their link.
-// Where its own gateways, that had tasks, tell nothing, others' word speaks of their links to it alone: it may be cut off
-// from them and from the voters, and serve its own. Harm: if it is gone, each hall has to find that out for itself.
-func (e *estimates) updateHealth(now time.Duration) {
-	for to := range e.health {
-		best := -1
-		for from := range e.linkHealth {
-			if e.linkHealth[from][to] >= 0 && e.linkHealthAt[from][to]+maxReportAge >= now {
-				best = max(best, e.linkHealth[from][to])
-			}
-		}
-		switch {
-		case best >= 0 && best <= zonestats.Failing && !e.isReporting[to] && e.demand[to] > minDemand:
-		case best >= 0:
-			e.health[to], e.healthAt[to] = best, now
-		case e.healthAt[to]+healthMemoryHoldDowns*e.settings.holdDown() < now:
-			e.health[to] = zonestats.Healthy
+// updateLink takes in what a zone's gateways agree on for another zone, in the older and in the newer interval. An estimate
+// that isn't steady yet starts anew each time.
+func (e *estimates) updateLink(now time.Duration, from, to, older, newer int, startAnew bool) {
+	health, seenAt := &e.linkHealth[from][to], &e.linkHealthAt[from][to]
+	if older == unknown || newer == unknown {
+		if *seenAt+e.healthMemory() < now {
+			*health = unknown
 		}
+		return
+	}
+	*seenAt = now
+	if *health == unknown || startAnew {
+		*health = max(older, newer)
 	}
+	*health = follow(*health, older, newer)
 }
 
-// isSettled tells that demand is known well enough to move a hall's tasks for its sake.
-func (e *estimates) isSettled(from int) bool {
-	return e.demandKnown || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[from], maxQuietSmoothing)
+// updateReadyPower takes in a zone's power as listed at the gateways of all zones.
+func (e *estimates) updateReadyPower(quick halves, zone int) {
+	older, newer := e.agreedPower(quick.older, zone), e.agreedPower(quick.newer, zone)
+	switch power := e.readyPower[zone]; {
+	case older < 0 || newer < 0:
+	case power < 0:
+		e.readyPower[zone] = max(older, newer)
+	default:
+		e.readyPower[zone] = follow(power, older, newer)
+	}
 }
 
-// updateDemand takes how many gateways a hall has and what they let in. Both go by each gateway's own time, so that a digest
-// that comes late and holds much is no flood.
-func (e *estimates) updateDemand(s samples, from int, step time.Duration) {
-	last := s[len(s)-1]
-	var gateways []float64
-	end, first := last, last
-	for i := range rateSpans {
-		start := s.before(time.Duration(i+1) * rateSpan)
-		if start == nil || start.at >= end.at {
-			break
-		}
-		gateways = append(gateways, reportingGateways(start, end, from))
-		if end = start; i < 2 {
-			first = start
-		}
+// follow moves an estimate as far as both of two observations say.
+func follow[T cmp.Ordered](estimate, a, b T) T { return min(max(estimate, min(a, b)), max(a, b)) }
+
+// healthMemory is for how long an observed loss is believed.
+func (e *estimates) healthMemory() time.Duration {
+	return healthMemoryHoldDowns * e.settings.holdDown()
+}
+
+// agreedHealth is the quarter that the gateways of a zone agree on for another zone in an interval: the lowest that the
+// agreement share of them observe, or lower, counted in distinct gateways; unknown: too few report.
+func (e *estimates) agreedHealth(i interval, from, to int) int {
+	var observers byHealth[float64]
+	all := 0.0
+	for quarter := range observers {
+		observers[quarter] = (i.end.health[from][to][quarter] - i.start.health[from][to][quarter]) / i.milliseconds()
+		all += observers[quarter]
 	}
-	if len(gateways) == 0 {
-		return
+	if all <= e.minObservers() {
+		return unknown
 	}
-	e.isReporting[from] = gateways[0] > 0
-	slices.Sort(gateways)
-	e.gateways[from] = gateways[len(gateways)/2]
-	each := last.awake[from] - first.awake[from]
-	if each <= 0 {
-		e.demand[from] *= math.Exp(-float64(step) / float64(silentFallTime))
-		return
+	sum := 0.0
+	for quarter, n := range observers {
+		if sum += n; e.agree(sum, all) {
+			return quarter
+		}
 	}
-	// Thousandths of units over milliseconds are units over seconds.
-	rate := (last.admitted[from] - first.admitted[from]) / each * e.gateways[from]
-	smoothing := constrainedFallTime
-	switch {
-	case rate > e.demand[from]:
-		smoothing = demandRiseTime
-	case e.hasHeadroom[from]:
-		smoothing = demandFallTime
+	return unknown
+}
+
+// agreedPower is a zone's listed power in an interval as the gateways of all zones together agree on it; below 0: they don't.
+func (e *estimates) agreedPower(i interval, zone int) float64 {
+	all := 0.0
+	for band := range i.end.readyTime[zone] {
+		all += (i.end.readyTime[zone][band] - i.start.readyTime[zone][band]) / i.milliseconds()
 	}
-	if e.demand[from] < 0 {
-		e.demand[from] = rate
+	sum := 0.0
+	for band := range i.end.readyTime[zone] {
+		inBand := i.end.readyTime[zone][band] - i.start.readyTime[zone][band]
+		if sum += inBand / i.milliseconds(); inBand > 0 && e.agree(sum, all) {
+			return (i.end.readyPower[zone][band] - i.start.readyPower[zone][band]) / inBand
+		}
 	}
-	attempts := (last.completed[from] - first.completed[from]) / each * e.gateways[from] * 1000 // a second
-	smoothing = max(smoothing, time.Duration(min(minSmoothedAttempts/max(attempts, 1), maxQuietSmoothing.Seconds())*float64(time.Second)))
-	if e.smoothing[from] = smoothing; !e.demandKnown {
-		smoothing = min(smoothing, max(e.lastSampleAt-e.firstSampleAt, step)) // at first the mean of all so far
+	return unknown
+}
+
+// minObservers is how many gateways' worth of reported time is too little to go by.
+func (e *estimates) minObservers() float64 { return minReportedShare * float64(e.settings.MinGateways) }
+
+// agree tells whether so many gateways of all that report are enough to go by.
+func (e *estimates) agree(gateways, all float64) bool {
+	return gateways > e.minObservers() && gateways >= e.settings.AgreementShare*all
+}
+
+// updateHealth says of each zone how much of it answers: as those zones observe it that observe most, since what others miss
+// may be their link. Where its own gateways, which had requests, report nothing, what others observe speaks of their links
+// to it alone: the zone may be cut off from them and from the voters, and serve its own requests. Drawback: if it is gone,
+// each zone has to find that out for itself.
+func (e *estimates) updateHealth(now time.Duration) {
+	for to := range e.health {
+		best := unknown
+		for from := range e.linkHealth {
+			if e.linkHealth[from][to] != unknown && e.linkHealthAt[from][to]+maxReportAge >= now {
+				best = max(best, e.linkHealth[from][to])
+			}
+		}
+		switch {
+		case best != unknown && best <= zonestats.Failing && !e.isReporting[to] && e.demand[to] > minDemand:
+		case best != unknown:
+			e.health[to], e.healthAt[to] = best, now
+		case e.healthAt[to]+e.healthMemory() < now:
+			e.health[to] = zonestats.Healthy
+		}
 	}
-	e.demand[from] += (rate - e.demand[from]) * -math.Expm1(-float64(step)/float64(max(smoothing, 1)))
 }
 
-// capacity is what a hall bears, in units a second, and the quarters of it that answer. What all halls suffer alike, as from
-// a bad release, counts for none: then no hall is a better place than another. A hall of which nothing is known counts
-// as sound.
-func (e *estimates) capacity(to int, zone string) (units float64, health float64) {
-	if e.readyPower[to] <= 0 {
+// capacity is how many units a second a zone can take, and the quarters of it that answer. What all zones suffer alike, as
+// from a bad release, counts for nothing: then no zone is a better place than another. A zone of which nothing is known
+// counts as healthy.
+func (e *estimates) capacity(zone int, name string) (units, quarters float64) {
+	if e.readyPower[zone] <= 0 {
 		return 0, 0
 	}
 	best := 0
-	for i, q := range e.health {
-		if e.readyPower[i] > 0 {
-			best = max(best, q)
+	for other, health := range e.health {
+		if e.readyPower[other] > 0 {
+			best = max(best, health)
 		}
 	}
-	health = zonestats.Healthy
+	quarters = zonestats.Healthy
 	if best > zonestats.Failing {
-		health = zonestats.Healthy * float64(e.health[to]) / float64(best)
+		quarters = zonestats.Healthy * float64(e.health[zone]) / float64(best)
 	}
-	return e.readyPower[to] * e.settings.capacity(zone) * health / zonestats.Healthy, health
+	return e.readyPower[zone] * e.settings.capacity(name) * quarters / zonestats.Healthy, quarters
 }
 
-// isLinkLost tells that a link between two halls is lost, or that within one: most of the one don't reach the other, which
-// others do.
+// isLinkLost tells that the link between two zones, or within one, is lost: the one observes little of the other, of which
+// others observe more.
 func (e *estimates) isLinkLost(from, to int) bool {
-	return e.linkHealth[from][to] >= 0 && e.linkHealth[from][to] <= zonestats.Failing && e.health[to] > zonestats.Failing
+	link := e.linkHealth[from][to]
+	return link != unknown && link <= zonestats.Failing && e.health[to] > zonestats.Failing
 }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -16,9 +16,6 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
-
-	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/coordination/statemachine"
 )
 
 // storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
@@ -108,8 +105,8 @@
 	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
 }
 
-// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a plan is
-// written, its bytes, and how gateways act on it.
+// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a
+// plan is written, its bytes, and how gateways act on it.
 func TestController_drawnStreamDecidesAsBefore(t *testing.T) {
 	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
@@ -126,44 +123,35 @@
 	}
 }
 
-// decideDrawn plays a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
+// decideDrawn runs a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
 // make of it.
 func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum hash.Hash) []writtenPlan {
 	random := rand.New(rand.NewPCG(seed, 31))
-	fx := drawFixture(random)
-	set(&fx.settings, &fx.lease)
-	fx.newLeader()
-	fx.run(6 * time.Second)
+	sim := drawSimulation(random)
+	set(&sim.settings, &sim.lease)
+	sim.newLeader()
+	sim.run(6 * time.Second)
 	for i := range 14 {
 		if i%3 == 0 { // many faults at once leave little to decide
-			clear(fx.silent)
-			clear(fx.blindGateway)
+			clear(sim.silent)
+			clear(sim.blindGateway)
 		}
-		fx.injectFault(random)
-		for end := fx.now + time.Duration(2+random.IntN(14))*time.Second; fx.now < end; {
-			step := fx.now + tick
-			fx.now = step
-			fx.report()
-			seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) statemachine.Table { return fx.entry }}
-			value, write := fx.controller.Decide(fx.now, seen)
-			fmt.Fprintf(sum, "%d %v %x\n", fx.now, write, value)
+		sim.injectFault(random)
+		for end := sim.now + time.Duration(2+random.IntN(14))*time.Second; sim.now < end; {
+			value, write := sim.step()
+			sum.Write(fmt.Appendf(nil, "%d %v %x\n", sim.now, write, value))
 			if !write {
 				continue
 			}
-			plan, err := DecodePlan(value)
-			if err != nil {
-				panic(err)
-			}
-			fx.entry = statemachine.Table{Epoch: fx.entry.Epoch + 1, Value: value}
-			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
-			for _, zone := range append(slices.Clone(fx.zones), "elsewhere") {
+			plan := sim.latest()
+			for _, zone := range append(slices.Clone(sim.zones), "elsewhere") {
 				part, alone, well := plan.Assignment(zone), plan.FallbackAssignment(zone, true), plan.FallbackAssignment(zone, false)
-				fmt.Fprintln(sum, zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
-					well.Shed, plan.Describe(zone))
+				sum.Write(fmt.Appendln(nil, zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
+					well.Shed, plan.Describe(zone)))
 			}
 		}
 	}
-	return fx.plans
+	return sim.plans
 }
 
 // TestController_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of a plan and every reason.
@@ -214,9 +202,8 @@
 failover.regions: at least one region with a name and its halls is wanted, not none
 `
 
-// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
-func TestSettings_refusalsAreStable(t *testing.T) {
-	const file = `
+// invalidSettings is a file that is wrong in all its keys.
+const invalidSettings = `
 on = true
 bears = 1e10
 utilisation_most = 1.2
@@ -235,8 +222,11 @@
 name = "south"
 halls = ["", "b"]
 `
+
+// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
+func TestSettings_refusalsAreStable(t *testing.T) {
 	var settings Settings
-	if err := toml.NewDecoder(strings.NewReader(file)).DisallowUnknownFields().Decode(&settings); err != nil {
+	if err := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields().Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
--- a/internal/failover/layout.go
+++ b/internal/failover/layout.go
@@ -2,147 +2,165 @@
 
 import "math"
 
-// layout is what is to be laid out. All figures are units a second, by hall or by pair (from, to).
+// layout distributes the demand of all zones over all zones. All figures are units a second, by zone index or by pair
+// (from, to).
 type layout struct {
 	regionOf       []int
 	demand         []float64
 	capacity       []float64
-	maxUtilisation float64     // the part of bears that is planned at most
+	maxUtilisation float64     // the part of capacity that is planned at most
 	lostLinks      [][]bool    // links not to be used
-	previous       [][]float64 // what may still be pushed by those that have not heard of the latest plan
-	fixed          [][]float64 // rows that stay; nil: those to be laid out
-	low            [][]float64 // of a row to be laid out: what stays where it is
+	previous       [][]float64 // what may still be sent by gateways that have not got the latest plan
+	fixed          [][]float64 // rows that stay; nil: the row is to be computed
+	low            [][]float64 // of a row to be computed: what stays where it is
 	high           [][]float64 // and what a pair may get at most
-	probes         []float64   // what tries the own hall, which is avoided
-	liftLocal      []bool      // the own hall may get more than high before anything is left
-	loads          []float64
-	spare          []float64 // by receiver: room above what old plans may still bring
+	probes         []float64   // what probes the own zone while it is avoided
+	liftLocal      []bool      // the own zone may get more than high before anything stays unplaced
+
+	// The result so far.
+	allocation [][]float64
+	unplaced   []float64 // by sender
+	loads      []float64 // by receiver
+	spare      []float64 // by receiver: capacity above what previous plans may still bring
 }
 
-// layoutRounds is how often what is left is shared out among the receivers of a kind: each round fills one of them up, or
+// tier is how near a receiver is to a sender. Nearer tiers are filled first.
+type tier int
+
+const (
+	tierLocal  tier = iota // the own zone
+	tierRegion             // another zone of the region
+	tierRemote             // a zone of another region
+	tierLifted             // the own zone once more, without the limit of a recovery step
+)
+
+// maxRounds is how often what is unplaced is shared out among the receivers of a tier: each round fills one of them up, or
 // places all.
-const layoutRounds = 12
+const maxRounds = 12
+
+// negligibleRate is a rate, in units a second, that counts as none.
+const negligibleRate = 1e-9
 
-// compute lays the rows out: the own hall first, then those of the region, then the others; left is what fits nowhere.
-// No receiver gets more than the most of what it bears, nor, with what may still come by old plans, more than it bears.
-// Among halls equally near what is left is shared out by their room.
-func (l *layout) compute() (allocation [][]float64, unplaced []float64) {
+// compute lays the rows out: the own zone first, then those of the region, then the others. What fits nowhere stays unplaced.
+// No receiver gets more than the maximum utilisation of its capacity nor, with what may still come by previous plans, more
+// than its capacity. Among receivers of one tier what is unplaced is shared out by their available capacity.
+func (l *layout) compute() {
+	l.reset()
+	l.placeFixed()
+	for from := range l.demand {
+		if l.fixed[from] == nil && l.probes[from] > 0 {
+			amount := min(l.probes[from], l.unplaced[from])
+			l.allocation[from][from] += amount // capacity isn't asked of a zone that is avoided
+			l.unplaced[from] -= amount
+		}
+	}
+	for _, t := range []tier{tierLocal, tierRegion, tierRemote, tierLifted} {
+		for range maxRounds {
+			if !l.shareOut(t) {
+				break
+			}
+		}
+	}
+}
+
+// reset starts with nothing placed, and with what previous plans leave spare.
+func (l *layout) reset() {
 	n := len(l.demand)
-	allocation = make([][]float64, n)
+	l.allocation, l.unplaced = make([][]float64, n), make([]float64, n)
 	l.loads, l.spare = make([]float64, n), make([]float64, n)
 	for to := range n {
+		l.allocation[to] = make([]float64, n)
 		l.spare[to] = l.capacity[to]
 		for from := range n {
 			l.spare[to] -= l.previous[from][to]
 		}
 		l.spare[to] = max(l.spare[to], 0)
 	}
-	unplaced = make([]float64, n)
-	for from := range n {
-		allocation[from] = make([]float64, n)
-		row := l.low
-		if l.fixed[from] != nil {
-			row = l.fixed
-		} else {
-			unplaced[from] = l.demand[from]
+}
+
+// placeFixed places the rows that stay, and of the others what stays where it is.
+func (l *layout) placeFixed() {
+	for from := range l.demand {
+		row := l.fixed[from]
+		if row == nil {
+			row = l.low[from]
+			l.unplaced[from] = l.demand[from]
 		}
-		for to, amount := range row[from] {
-			l.place(allocation, unplaced, from, to, amount)
+		for to, amount := range row {
+			l.place(from, to, amount)
 		}
 		if l.fixed[from] != nil {
-			unplaced[from] = 0
+			l.unplaced[from] = 0
 		}
 	}
-	for from := range n {
-		if l.fixed[from] == nil && l.probes[from] > 0 {
-			amount := min(l.probes[from], unplaced[from])
-			allocation[from][from], unplaced[from] = allocation[from][from]+amount, unplaced[from]-amount // of what is avoided no room is asked
-		}
-	}
-	for _, tier := range []int{0, 1, 2, tierLifted} {
-		for range layoutRounds {
-			if !l.shareOut(allocation, unplaced, tier) {
-				break
-			}
-		}
-	}
-	return allocation, unplaced
 }
 
-func (l *layout) place(allocation [][]float64, unplaced []float64, from, to int, amount float64) {
-	l.spare[to] = max(l.spare[to]-l.excess(allocation, from, to, amount), 0)
-	allocation[from][to] += amount
+// place gives a pair a further amount.
+func (l *layout) place(from, to int, amount float64) {
+	l.spare[to] = max(l.spare[to]-l.excess(from, to, amount), 0)
+	l.allocation[from][to] += amount
 	l.loads[to] += amount
-	unplaced[from] -= amount
+	l.unplaced[from] -= amount
 }
 
-// excess is how much of a further x for a pair is above what old plans may bring there anyway.
-func (l *layout) excess(allocation [][]float64, from, to int, amount float64) float64 {
-	return max(allocation[from][to]+amount-max(l.previous[from][to], allocation[from][to]), 0)
+// excess is how much of a further amount for a pair is above what previous plans may bring there anyway.
+func (l *layout) excess(from, to int, amount float64) float64 {
+	placed := l.allocation[from][to]
+	return max(placed+amount-max(l.previous[from][to], placed), 0)
 }
 
-// available is how much more a pair may get, others aside.
-func (l *layout) available(allocation [][]float64, from, to, tier int) float64 {
-	kind, high := l.tier(from, to), l.high[from][to]
-	if tier == tierLifted && l.liftLocal[from] && from == to {
-		kind, high = tierLifted, math.Inf(1)
+// available is how much more a pair may get in a tier, other senders aside.
+func (l *layout) available(from, to int, t tier) float64 {
+	pairTier, high := l.tier(from, to), l.high[from][to]
+	if t == tierLifted && l.liftLocal[from] && from == to {
+		pairTier, high = tierLifted, math.Inf(1)
 	}
-	if l.lostLinks[from][to] || kind != tier {
+	if l.lostLinks[from][to] || pairTier != t {
 		return 0
 	}
-	room := min(l.maxUtilisation*l.capacity[to]-l.loads[to], high-allocation[from][to],
-		max(l.previous[from][to]-allocation[from][to], 0)+l.spare[to])
-	return max(room, 0)
+	placed := l.allocation[from][to]
+	amount := min(l.maxUtilisation*l.capacity[to]-l.loads[to], high-placed, max(l.previous[from][to]-placed, 0)+l.spare[to])
+	return max(amount, 0)
 }
 
-// tierLifted is the own hall once more, without the limit of a step.
-const tierLifted = 3
+// tier is how near a receiver is to a sender.
+func (l *layout) tier(from, to int) tier { return tierOf(l.regionOf, from, to) }
 
-// tier is how near a hall is to another.
-func (l *layout) tier(from, to int) int {
+func tierOf(regionOf []int, from, to int) tier {
 	switch {
 	case from == to:
-		return 0
-	case l.regionOf[from] == l.regionOf[to]:
-		return 1
+		return tierLocal
+	case regionOf[from] == regionOf[to]:
+		return tierRegion
 	}
-	return 2
+	return tierRemote
 }
 
-// shareOut shares out what is left among the receivers of a kind, and tells whether any of it was placed.
-func (l *layout) shareOut(allocation [][]float64, unplaced []float64, tier int) bool {
-	n := len(unplaced)
-	ask := make([][]float64, n)
-	asked, above := make([]float64, n), make([]float64, n)
-	for from := range n {
-		ask[from] = make([]float64, n)
-		sum := 0.0
-		for to := range n {
-			if unplaced[from] > negligibleRate {
-				ask[from][to] = l.available(allocation, from, to, tier)
-				sum += ask[from][to]
-			}
-		}
-		for to := range n {
-			if sum > 0 {
-				ask[from][to] *= min(unplaced[from]/sum, 1)
-			}
-			asked[to] += ask[from][to]
-			above[to] += l.excess(allocation, from, to, ask[from][to])
+// shareOut shares what is unplaced out among the receivers of a tier once, and reports whether any of it was placed.
+func (l *layout) shareOut(t tier) bool {
+	asked := make([][]float64, len(l.demand))
+	for from := range asked {
+		asked[from] = l.ask(from, t)
+	}
+	askedOf, excessOf := make([]float64, len(l.demand)), make([]float64, len(l.demand))
+	for from, row := range asked {
+		for to, amount := range row {
+			askedOf[to] += amount
+			excessOf[to] += l.excess(from, to, amount)
 		}
 	}
 	placed := false
-	for to := range n {
-		part := 1.0
-		if room := max(l.maxUtilisation*l.capacity[to]-l.loads[to], 0); asked[to] > room {
-			part = room / asked[to]
+	for to := range asked {
+		granted := 1.0
+		if free := max(l.maxUtilisation*l.capacity[to]-l.loads[to], 0); askedOf[to] > free {
+			granted = free / askedOf[to]
 		}
-		if above[to] > l.spare[to] {
-			part = min(part, l.spare[to]/above[to])
+		if excessOf[to] > l.spare[to] {
+			granted = min(granted, l.spare[to]/excessOf[to])
 		}
-		for from := range n {
-			if amount := ask[from][to] * part; amount > negligibleRate {
-				l.place(allocation, unplaced, from, to, amount)
+		for from := range asked {
+			if amount := asked[from][to] * granted; amount > negligibleRate {
+				l.place(from, to, amount)
 				placed = true
 			}
 		}
@@ -150,12 +168,28 @@
 	return placed
 }
 
-// negligibleRate is a rate, in units a second, that is none.
-const negligibleRate = 1e-9
+// ask gives what a sender asks of each receiver of a tier: what is unplaced, by their available capacity.
+func (l *layout) ask(from int, t tier) []float64 {
+	asked := make([]float64, len(l.demand))
+	if l.unplaced[from] <= negligibleRate {
+		return asked
+	}
+	sum := 0.0
+	for to := range asked {
+		asked[to] = l.available(from, to, t)
+		sum += asked[to]
+	}
+	if sum > 0 {
+		for to := range asked {
+			asked[to] *= min(l.unplaced[from]/sum, 1)
+		}
+	}
+	return asked
+}
 
-// toThousandths are the shares of a row: what is lost to whole numbers stays at home.
-func toThousandths(row []float64, left float64, own int) (shares []int, shed int) {
-	sum := left
+// toThousandths gives the shares of a row. What is lost to whole numbers stays local.
+func toThousandths(row []float64, unplaced float64, own int) (shares []int, shed int) {
+	sum := unplaced
 	for _, amount := range row {
 		sum += amount
 	}
@@ -164,11 +198,11 @@
 		shares[own] = fullShare
 		return shares, 0
 	}
-	part := func(amount float64) int { return int(math.Floor(max(amount, 0)/sum*fullShare + 1e-6)) }
-	shares[own], shed = fullShare, part(left)
+	share := func(amount float64) int { return int(math.Floor(max(amount, 0)/sum*fullShare + 1e-6)) }
+	shares[own], shed = fullShare, share(unplaced)
 	for to, amount := range row {
 		if to != own {
-			shares[to] = part(amount)
+			shares[to] = share(amount)
 			shares[own] -= shares[to]
 		}
 	}
--- a/internal/failover/layout_test.go
+++ b/internal/failover/layout_test.go
@@ -4,87 +4,88 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// Less strength never gets more: the layout, without limits of links and steps.
+// emptyLayout is a layout of so many zones in one region without demand, capacity, or limits of links and steps.
+func emptyLayout(n int) *layout {
+	l := &layout{
+		maxUtilisation: 0.8, regionOf: make([]int, n), demand: make([]float64, n), capacity: make([]float64, n),
+		fixed: make([][]float64, n), probes: make([]float64, n), liftLocal: make([]bool, n),
+	}
+	for range n {
+		l.lostLinks, l.previous = append(l.lostLinks, make([]bool, n)), append(l.previous, make([]float64, n))
+		l.low, l.high = append(l.low, make([]float64, n)), append(l.high, slices.Repeat([]float64{math.Inf(1)}, n))
+	}
+	return l
+}
+
+// With less capacity a zone never gets more.
 func TestLayout_lessCapacityNeverGetsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(2, 5).Draw(t, "halls")
-		l := &layout{maxUtilisation: 0.8, fixed: make([][]float64, n), probes: make([]float64, n), liftLocal: make([]bool, n)}
-		for range n {
-			l.regionOf = append(l.regionOf, rapid.IntRange(0, 1).Draw(t, "region"))
-			l.demand = append(l.demand, rapid.Float64Range(1, 100).Draw(t, "demand"))
-			l.capacity = append(l.capacity, rapid.Float64Range(0, 100).Draw(t, "bears"))
-			l.lostLinks, l.previous = append(l.lostLinks, make([]bool, n)), append(l.previous, make([]float64, n))
-			high := make([]float64, n)
-			for i := range high {
-				high[i] = math.Inf(1)
-			}
-			l.low, l.high = append(l.low, make([]float64, n)), append(l.high, high)
+		n := rapid.IntRange(2, 5).Draw(t, "zones")
+		result := emptyLayout(n)
+		for zone := range n {
+			result.regionOf[zone] = rapid.IntRange(0, 1).Draw(t, "region")
+			result.demand[zone] = rapid.Float64Range(1, 100).Draw(t, "demand")
+			result.capacity[zone] = rapid.Float64Range(0, 100).Draw(t, "capacity")
 		}
-		l.compute()
-		less := rapid.IntRange(0, n-1).Draw(t, "less")
-		was := l.loads
-		l.capacity[less] *= rapid.Float64Range(0, 1).Draw(t, "part")
-		l.compute()
-		for i, load := range l.loads {
-			if load > l.maxUtilisation*l.capacity[i]+1e-6 {
-				t.Fatalf("hall %d gets %v and bears %v", i, load, l.capacity[i])
+		result.compute()
+		weaker := rapid.IntRange(0, n-1).Draw(t, "weaker")
+		before := result.loads
+		result.capacity[weaker] *= rapid.Float64Range(0, 1).Draw(t, "part")
+		result.compute()
+		for zone, load := range result.loads {
+			if load > result.maxUtilisation*result.capacity[zone]+1e-6 {
+				t.Fatalf("zone %d gets %v with a capacity of %v", zone, load, result.capacity[zone])
 			}
 		}
-		if l.loads[less] > was[less]+1e-6 {
-			t.Fatalf("hall %d gets %v, and got %v with more strength", less, l.loads[less], was[less])
+		if result.loads[weaker] > before[weaker]+1e-6 {
+			t.Fatalf("zone %d gets %v, and got %v with more capacity", weaker, result.loads[weaker], before[weaker])
 		}
 	})
 }
 
-// checkPreviousRows lays out a drawn situation with old plans in force, and tells where more than a hall bears may come by old and new
-// together. Reckon: the layout is told of the old plans.
-func checkPreviousRows(seed uint64, reckon bool) error {
+// checkPreviousRows lays out a drawn situation with previous plans in force, and tells where more than a zone's capacity may
+// come by previous and new plans together. With reserve the layout knows of the previous plans.
+func checkPreviousRows(seed uint64, reserve bool) error {
 	random := rand.New(rand.NewPCG(seed, 3))
 	n := 2 + random.IntN(4)
-	rows := func(most float64) (m [][]float64) {
+	result := emptyLayout(n)
+	previous := make([][]float64, n)
+	for from := range n {
 		for range n {
-			row := make([]float64, n)
-			for i := range row {
-				row[i] = most * random.Float64()
-			}
-			m = append(m, row)
+			previous[from] = append(previous[from], 30*random.Float64())
 		}
-		return m
 	}
-	before, none := rows(30), rows(0)
-	l := &layout{maxUtilisation: 0.8, regionOf: make([]int, n), lostLinks: make([][]bool, n), previous: before, fixed: make([][]float64, n),
-		low: none, high: rows(0), probes: make([]float64, n), liftLocal: make([]bool, n)}
-	for from := range n {
-		l.demand, l.capacity = append(l.demand, 80*random.Float64()), append(l.capacity, 100*random.Float64())
-		l.lostLinks[from] = make([]bool, n)
-		for to := range n {
-			l.high[from][to] = math.Inf(1)
-		}
+	if reserve {
+		result.previous = previous
+	}
+	for range 2 * n * n { // unused: each seed keeps its situation
+		random.Float64()
 	}
-	if !reckon {
-		l.previous = none
+	for zone := range n {
+		result.demand[zone], result.capacity[zone] = 80*random.Float64(), 100*random.Float64()
 	}
-	allocation, _ := l.compute()
+	result.compute()
 	for to := range n {
-		was, both := 0.0, 0.0
+		before, both := 0.0, 0.0
 		for from := range n {
-			was += before[from][to]
-			both += max(before[from][to], allocation[from][to])
+			before += previous[from][to]
+			both += max(previous[from][to], result.allocation[from][to])
 		}
-		if both > max(was, l.capacity[to])+1e-6 {
-			return fmt.Errorf("hall %d: %.2f by old and new, %.2f by old, bears %.2f", to, both, was, l.capacity[to])
+		if both > max(before, result.capacity[to])+1e-6 {
+			return fmt.Errorf("zone %d: %.2f by previous and new, %.2f by previous, capacity %.2f", to, both, before, result.capacity[to])
 		}
 	}
 	return nil
 }
 
-// While a lease runs some act on the old plan and some on the new: no hall may get more than it bears by both. A layout
-// that does not reckon with the old plan is found.
+// While a lease runs some gateways act on the previous plan and some on the new: no zone may get more than its capacity by
+// both. A layout that does not reserve for the previous plan is found.
 func TestLayout_reservesForPreviousPlans(t *testing.T) {
 	found := uint64(0)
 	for seed := range uint64(500) {
@@ -95,7 +96,7 @@
 			found = seed + 1
 		}
 	}
-	if t.Logf("planted bug found after %d runs", found); found == 0 {
-		t.Error("the planted bug is not found")
+	if t.Logf("seeded defect found after %d runs", found); found == 0 {
+		t.Error("the seeded defect is not found")
 	}
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -10,126 +10,134 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Table is the table that holds the plan.
+// Table is the name of the table that holds the plan.
 const Table = "failover"
 
-// fullShare is all of a hall's tasks.
+// fullShare is all requests of a zone, in thousandths.
 const fullShare = 1000
 
-// Plan is the value of the table. All shares are thousandths of the tasks that come in at a hall.
+// Plan is the value of the table. All shares are thousandths of the requests that come in at a zone.
 type Plan struct {
-	// Rows are by the hall that tasks come in at the shares over the halls that they are pushed to: they sum to 1000.
+	// Rows are, by the zone at which requests come in, the shares of the zones that they are sent to: they sum to 1000.
 	Rows map[string]map[string]int `cbor:"1,keyasint"`
-	// Health is by hall the part of its listed strength that answers, in thousandths: 0 is a hall lost.
+	// Health is, by zone, the part of its listed power that answers, in thousandths: 0 is a lost zone.
 	Health map[string]int `cbor:"2,keyasint"`
-	// Fallback are the shares that a hall may push elsewhere by its own evidence where it hears no plan and its own hall
-	// is lost. Those of all halls to one fit above what plans use there.
+	// Fallback are the shares that a zone may send elsewhere by its gateways' own observations where they have no plan and
+	// their own zone is lost. The shares of all zones to one fit above what plans use there.
 	Fallback map[string]map[string]int `cbor:"3,keyasint"`
-	// Previous are the rows of the plan before, which some may act on until their lease ends; nil: none do.
+	// Previous are the rows before, which some gateways may act on until their lease ends; nil: none do.
 	Previous map[string]map[string]int `cbor:"4,keyasint"`
-	// HoldDown are the halls that moved less than a least stay before this plan was written. The value holds no time,
-	// as no two processes share a clock: a new leader has them rest for a whole stay from when it began.
+	// HoldDown are the zones that were in hold-down when this plan was written. The value holds no time, as no two processes
+	// share a clock: a new leader holds them down for a full hold-down from its own start.
 	HoldDown []string `cbor:"5,keyasint"`
-	// LostLinks are the pairs of halls (from, to) whose link is held to be lost.
+	// LostLinks are the pairs of zones (from, to) whose link is held to be lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
-	// Shed is what of a row's share of its own hall fits nowhere and is rejected at once, as that hall is lost or on its
-	// way back. At a hall that is merely full the module sheds, and this is 0.
+	// Shed is the part of a row's local share that fits nowhere and is rejected at once, as the zone is lost or recovering.
+	// In a zone that is merely full the policy module sheds, and this is 0.
 	Shed map[string]int `cbor:"7,keyasint"`
-	// Reasons says for operators, in words, what moved, by hall.
+	// Reasons tell operators, by zone, why its row moved last.
 	Reasons map[string]string `cbor:"8,keyasint"`
-	// Demand is by hall what it was made for, in thousandths of a unit a second: where a new leader begins.
+	// Demand is, by zone, the demand that the plan was made for, in thousandths of a unit a second: where a new leader starts.
 	Demand map[string]uint64 `cbor:"9,keyasint"`
 }
 
+// encoding is canonical: the same plan has the same bytes.
 var encoding = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // the library's own options are valid
 	}
 	return m
 }()
 
-// DecodePlan reads a plan from the table's value. No value is no plan, without an error.
+// DecodePlan reads a plan from the table's value. An empty value is no plan (nil) without an error.
 func DecodePlan(value []byte) (*Plan, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
 	plan := &Plan{}
-	return plan, cbor.Unmarshal(value, plan)
+	if err := cbor.Unmarshal(value, plan); err != nil {
+		return nil, fmt.Errorf("malformed failover plan: %w", err)
+	}
+	return plan, nil
 }
 
-// Encode is the value of a plan: the same plan, the same bytes.
-func (plan *Plan) Encode() ([]byte, error) { return encoding.Marshal(plan) }
+// Encode gives the plan's stored form: the same plan, the same bytes.
+func (p *Plan) Encode() ([]byte, error) { return encoding.Marshal(p) }
 
-// Assignment is how a gateway in a hall acts.
+// Assignment is how a gateway in a zone acts.
 type Assignment struct {
-	// Weights are by hall in what proportion its servers are handed to the module. All 0: to none.
+	// Weights are, by zone, in what proportion its servers are offered to the policy module. All 0: none are.
 	Weights map[string]float64
-	// Shed is the part of the tasks to be rejected at once, as they fit nowhere: 0 to 1.
+	// Shed is the part of the requests, 0 to 1, that is rejected at once, as it fits nowhere.
 	Shed float64
 }
 
-// Assignment gives how a gateway in a hall acts on the plan. A hall that answers in part gets more of its servers handed over,
-// as the module sets those aside that don't. A hall that the plan doesn't know serves near.
-func (plan *Plan) Assignment(zone string) Assignment {
-	row := plan.Rows[zone]
+// Zones are the zones with weight, in the order of their names.
+func (a Assignment) Zones() []string { return sortedKeys(a.Weights) }
+
+// local is the assignment of a gateway that sends all requests to its own zone.
+func local(zone string) Assignment { return Assignment{Weights: map[string]float64{zone: 1}} }
+
+// Assignment gives how a gateway in a zone acts on the plan. Of a zone that answers in part more servers are offered, as the
+// policy module ejects those that don't. A zone that the plan doesn't know serves locally.
+func (p *Plan) Assignment(zone string) Assignment {
+	row := p.Rows[zone]
 	if len(row) == 0 {
-		return Assignment{Weights: map[string]float64{zone: 1}}
+		return local(zone)
 	}
-	part := Assignment{Weights: map[string]float64{}, Shed: float64(plan.Shed[zone]) / fullShare}
+	assignment := Assignment{Weights: map[string]float64{}, Shed: float64(p.Shed[zone]) / fullShare}
 	for _, toZone := range sortedKeys(row) {
 		share := float64(row[toZone]) / fullShare
 		if toZone == zone {
-			share -= part.Shed
+			share -= assignment.Shed
 		}
-		if plannedHealth := plan.Health[toZone]; plannedHealth > 0 {
-			share *= fullShare / float64(plannedHealth)
+		if health := p.Health[toZone]; health > 0 {
+			share *= fullShare / float64(health)
 		}
 		if share > 0 {
-			part.Weights[toZone] = share
+			assignment.Weights[toZone] = share
 		}
 	}
-	return part
+	return assignment
 }
 
-// fallbackProbeShare is the part of tasks that tries the own hall, held to be lost, without a plan: as few as let a gateway see it
-// come back within its memory.
+// fallbackProbeShare is the part of requests that probes the own zone, held to be lost, without a plan: the fewest that let
+// a gateway see it recover within the memory of its observations.
 const fallbackProbeShare = 0.05
 
-// FallbackAssignment gives how a gateway in a hall acts on the latest plan after its lease: near, by its own evidence alone. With
-// its own hall lost it pushes elsewhere what the plan has set apart for that, and sheds the rest. A nil plan has
-// set nothing apart.
-func (plan *Plan) FallbackAssignment(zone string, lost bool) Assignment {
-	if !lost {
-		return Assignment{Weights: map[string]float64{zone: 1}}
+// FallbackAssignment gives how a gateway in a zone acts once its lease on the latest plan has ended: locally, by its own
+// observations alone. With its own zone lost it sends to others what the plan has reserved for that, and sheds the rest. A
+// nil plan has reserved nothing.
+func (p *Plan) FallbackAssignment(zone string, isLost bool) Assignment {
+	if !isLost {
+		return local(zone)
 	}
-	part := Assignment{Weights: map[string]float64{zone: fallbackProbeShare}, Shed: 1 - fallbackProbeShare}
-	if plan == nil {
-		return part
+	assignment := Assignment{Weights: map[string]float64{zone: fallbackProbeShare}, Shed: 1 - fallbackProbeShare}
+	if p == nil {
+		return assignment
 	}
-	for _, toZone := range sortedKeys(plan.Fallback[zone]) {
-		share := float64(plan.Fallback[zone][toZone]) / fullShare
-		if share = min(share, part.Shed); share > 0 && toZone != zone {
-			part.Weights[toZone] = share
-			part.Shed -= share
+	for _, toZone := range sortedKeys(p.Fallback[zone]) {
+		share := float64(p.Fallback[zone][toZone]) / fullShare
+		if share = min(share, assignment.Shed); share > 0 && toZone != zone {
+			assignment.Weights[toZone] = share
+			assignment.Shed -= share
 		}
 	}
-	return part
+	return assignment
 }
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// Zones are the halls with weight, in the order of their names.
-func (p Assignment) Zones() []string { return sortedKeys(p.Weights) }
-
-// Describe gives a hall's row in words, in thousandths.
-func (plan *Plan) Describe(zone string) string {
-	var all []string
-	for _, toZone := range sortedKeys(plan.Rows[zone]) {
-		all = append(all, fmt.Sprintf("%s %d", toZone, plan.Rows[zone][toZone]))
+// Describe gives a zone's row in words, in thousandths.
+func (p *Plan) Describe(zone string) string {
+	var shares []string
+	for _, toZone := range sortedKeys(p.Rows[zone]) {
+		shares = append(shares, fmt.Sprintf("%s %d", toZone, p.Rows[zone][toZone]))
 	}
-	if shed := plan.Shed[zone]; shed > 0 {
-		all = append(all, fmt.Sprintf("shed %d of its own", shed))
+	if shed := p.Shed[zone]; shed > 0 {
+		shares = append(shares, fmt.Sprintf("shed %d of its own", shed))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(shares, ", ")
 }
+
+// sortedKeys are a map's keys in their order.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/failover/plan_input.go
+++ b/internal/failover/plan_input.go
@@ -8,171 +8,186 @@
 	"harrierhoist/internal/zonestats"
 )
 
-// planInput is what a plan is made for: all by the places of halls.
+// planInput is what a plan is made for: everything by zone index, or by pair (from, to).
 type planInput struct {
 	*Controller
 	now         time.Duration
 	capacity    []float64 // units a second; 0: lost
-	health      []float64
-	demand      []float64
+	health      []float64 // quarters that answer
+	demand      []float64 // units a second
 	lostLinks   [][]bool
-	shares      [][]float64 // of the plan that stands, less what is shed
-	toLeave     [][]bool    // of these, what is to be fled from: lost, shut, or pushed over
-	unreachable [][]bool    // of these, what is lost or shut
-	previous    [][]float64 // the most that anybody may still push by earlier plans
+	shares      [][]float64 // of the plan in force, less what is shed
+	loads       []float64   // units a second that the plan in force sends to a zone
+	toLeave     [][]bool    // of shares, what is to be moved away: from what is unreachable or overloaded
+	unreachable [][]bool    // of these, what goes to a lost zone or over a lost link
+	previous    [][]float64 // the most, in units a second, that any gateway may still send by this plan or earlier ones
 }
 
-// overloadThreshold is the part of what a hall bears from which what goes there flees without a rest: halfway from the most that is
-// planned there to all.
-func (in *planInput) overloadThreshold() float64 { return (in.settings.MaxUtilisation + 1) / 2 }
+const (
+	// minDemand is the demand of a zone at which nothing is known to come in, in units a second: a row needs some.
+	minDemand = 0.001
+	// roundingTolerance is what whole thousandths may be off, for all zones of a row together.
+	roundingTolerance = 0.02
+	// minSubset is how many servers a gateway is offered at the least, and by how many gateways each server is used at the
+	// least in the mean (package subset): probes must reach at least one server at some gateways.
+	minSubset = 8
+)
 
-// nextPlan gives the next plan; nil: the one that stands is to stay.
+// How far what a plan says for gateways without one may be off, as a part and in thousandths, before it is written anew.
+const (
+	fallbackTolerance = 0.3
+	minFallbackChange = 20
+)
+
+// nextPlan gives the next plan; nil: the plan in force is to stay.
 func (c *Controller) nextPlan(now time.Duration) *Plan {
-	in := c.newPlanInput(now)
-	rows, shed, moved := in.computeRows()
+	input := c.newPlanInput(now)
+	rows, shed, moved := input.computeRows()
 	hasMoved := slices.Contains(moved, true)
 	heldDown := []string{}
-	for from, zone := range c.zones {
-		if moved[from] || c.holdDownUntil[from] > now {
+	for i, zone := range c.zones {
+		if moved[i] || c.holdDownUntil[i] > now {
 			heldDown = append(heldDown, zone)
 		}
 	}
-	plan := in.buildPlan(rows, shed, moved)
+	plan := input.buildPlan(rows, shed, moved)
 	plan.HoldDown = heldDown
-	if hasMoved {
-		plan.Previous = in.previousRows()
-	} else {
-		if plan.Previous = c.plan.Previous; now >= c.previousUntil && len(heldDown) == 0 {
-			plan.Previous = nil
-		}
+	switch {
+	case hasMoved:
+		plan.Previous = input.previousRows()
+	case now < c.previousUntil || len(heldDown) > 0:
+		plan.Previous = c.plan.Previous
 	}
-	if hasMoved || c.noPlan || in.isStale(plan) {
+	if hasMoved || c.noPlan || input.isStale(plan) {
 		return plan
 	}
 	return nil
 }
 
-// isStale tells that what a plan says beside its rows is to be written anew. This alone moves no task between halls; it
-// happens at most once a lease, and the figures of use to gateways without a plan at most once a stay.
-func (in *planInput) isStale(plan *Plan) bool {
-	old := in.plan
-	if in.now < in.planSince+in.lease {
-		return false
-	}
-	if len(plan.HoldDown) == 0 && (len(old.HoldDown) > 0 || old.Previous != nil) || !slices.Equal(plan.LostLinks, old.LostLinks) {
-		return true
-	}
-	for _, zone := range in.zones {
-		if math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/zonestats.Healthy {
-			return true
-		}
-		if in.now < in.planSince+in.settings.holdDown() {
-			continue
-		}
-		for _, toZone := range in.zones {
-			a, b := float64(plan.Fallback[zone][toZone]), float64(old.Fallback[zone][toZone])
-			if a < b*(1-fallbackTolerance)-minFallbackChange || a*(1-fallbackTolerance)-minFallbackChange > b {
-				return true
+// newPlanInput gathers what the next plan is made for.
+func (c *Controller) newPlanInput(now time.Duration) *planInput {
+	input := &planInput{Controller: c, now: now, loads: make([]float64, len(c.zones))}
+	for i, zone := range c.zones {
+		capacity, health := c.estimates.capacity(i, zone)
+		if c.holdDownUntil[i] > now {
+			if planned, ok := c.plan.Health[zone]; ok && planned == 0 {
+				capacity, health = 0, 0 // a zone that was lost stays so for a hold-down
 			}
 		}
+		input.capacity, input.health = append(input.capacity, capacity), append(input.health, health)
+		input.demand = append(input.demand, max(c.estimates.demand[i], minDemand))
 	}
-	return false
+	for from := range c.zones {
+		input.addRow(from)
+	}
+	for from := range c.zones {
+		isBelowMax := input.loads[from] < c.settings.MaxUtilisation*input.capacity[from]
+		c.estimates.hasHeadroom[from] = isBelowMax && input.shares[from][from] == 1
+		input.addLeaving(from)
+	}
+	return input
 }
 
-// aloneSlack and aloneLeast are by how much, as a part and in thousandths, shares for those without a plan may be off
-// before they are written anew.
-const (
-	fallbackTolerance = 0.3
-	minFallbackChange = 20
-)
-
-func (c *Controller) newPlanInput(now time.Duration) *planInput {
-	in := &planInput{Controller: c, now: now}
-	n := len(c.zones)
-	for from, zone := range c.zones {
-		units, health := c.estimates.capacity(from, zone)
-		if c.holdDownUntil[from] > now {
-			if plannedHealth, ok := c.plan.Health[zone]; ok && plannedHealth == 0 {
-				units, health = 0, 0 // a hall that was lost stays so for a least stay
-			}
+// addRow gathers where a zone's requests go by the plan in force, and where they may still go by earlier ones.
+func (in *planInput) addRow(from int) {
+	n, fromZone := len(in.zones), in.zones[from]
+	lostLinks, shares, previous := make([]bool, n), make([]float64, n), make([]float64, n)
+	for to, toZone := range in.zones {
+		wasLost := in.holdDownUntil[from] > in.now && slices.Contains(in.plan.LostLinks, [2]string{fromZone, toZone})
+		lostLinks[to] = wasLost || in.estimates.isLinkLost(from, to)
+		shares[to] = float64(in.rows[from][to]) / fullShare
+		if to == from {
+			shares[to] -= float64(in.plan.Shed[fromZone]) / fullShare
 		}
-		in.capacity, in.health = append(in.capacity, units), append(in.health, health)
-		in.demand = append(in.demand, max(c.estimates.demand[from], minDemand))
+		previous[to] = float64(in.largestShare(from, to)) / fullShare * in.demand[from]
+		in.loads[to] += shares[to] * in.demand[from]
 	}
-	loads := make([]float64, n)
-	for from, fromZone := range c.zones {
-		lostLinks, shares, previous := make([]bool, n), make([]float64, n), make([]float64, n)
-		for to, toZone := range c.zones {
-			lostLinks[to] = c.estimates.isLinkLost(from, to)
-			pair := [2]string{fromZone, toZone}
-			lostLinks[to] = lostLinks[to] || c.holdDownUntil[from] > now && slices.Contains(c.plan.LostLinks, pair)
-			shares[to] = float64(c.rows[from][to]) / fullShare
-			if to == from {
-				shares[to] -= float64(c.plan.Shed[fromZone]) / fullShare
-			}
-			largest := c.rows[from][to]
-			if now < c.previousUntil {
-				largest = max(largest, c.plan.Previous[fromZone][toZone])
-			}
-			previous[to] = float64(largest) / fullShare * in.demand[from]
-			loads[to] += shares[to] * in.demand[from]
-		}
-		in.lostLinks, in.shares, in.previous = append(in.lostLinks, lostLinks), append(in.shares, shares), append(in.previous, previous)
+	in.lostLinks, in.shares, in.previous = append(in.lostLinks, lostLinks), append(in.shares, shares), append(in.previous, previous)
+}
+
+// largestShare is the most, in thousandths, that any gateway of a zone may send to another by the plan in force or by the
+// one before it.
+func (in *planInput) largestShare(from, to int) int {
+	largest := in.rows[from][to]
+	if in.now < in.previousUntil {
+		largest = max(largest, in.plan.Previous[in.zones[from]][in.zones[to]])
 	}
-	for from := range n {
-		c.estimates.hasHeadroom[from] = loads[from] < c.settings.MaxUtilisation*in.capacity[from] && in.shares[from][from] == 1
-		toLeave, unreachable := make([]bool, n), make([]bool, n)
-		for to := range n {
-			if in.shares[from][to] > 0 && (to != from || in.shares[from][to] > in.probeShare(from)+roundingTolerance) {
-				unreachable[to] = in.capacity[to] <= 0 || in.lostLinks[from][to]
-				toLeave[to] = unreachable[to] || c.estimates.isSettled(from) && loads[to] > in.overloadThreshold()*in.capacity[to]
-			}
+	return largest
+}
+
+// addLeaving gathers from where a zone's requests are to be moved away. Its probes may stay.
+func (in *planInput) addLeaving(from int) {
+	toLeave, unreachable := make([]bool, len(in.zones)), make([]bool, len(in.zones))
+	for to, share := range in.shares[from] {
+		if share <= 0 || to == from && share <= in.probeShare(from)+roundingTolerance {
+			continue
 		}
-		in.toLeave, in.unreachable = append(in.toLeave, toLeave), append(in.unreachable, unreachable)
+		unreachable[to] = in.capacity[to] <= 0 || in.lostLinks[from][to]
+		overloaded := in.estimates.isSettled(from) && in.loads[to] > in.overloadThreshold()*in.capacity[to]
+		toLeave[to] = unreachable[to] || overloaded
 	}
-	return in
+	in.toLeave, in.unreachable = append(in.toLeave, toLeave), append(in.unreachable, unreachable)
 }
 
-const (
-	// minDemand is the demand of a hall that nothing is known to come in at, in units a second: a row needs some.
-	minDemand = 0.001
-	// roundingTolerance is what whole thousandths may be off, for all halls of a row together.
-	roundingTolerance = 0.02
-	// minSubset is how many servers a gateway is handed at the least, and by how many each is at the least in the mean
-	// (package pool): the trial must be at least one server at some gateways.
-	minSubset = 8
-)
+// overloadThreshold is the part of a zone's capacity from which on requests leave it without regard to a hold-down: halfway
+// from the most that is planned there to all.
+func (in *planInput) overloadThreshold() float64 { return (in.settings.MaxUtilisation + 1) / 2 }
 
-// probeShare is the part of a hall's tasks that tries it while it is lost: what the terms say, and in a small fleet so much that
-// half as many gateways again as must speak are handed one of its servers. 0: nothing is listed there.
-func (in *planInput) probeShare(from int) float64 {
-	if in.capacity[from] > 0 && !in.lostLinks[from][from] || in.estimates.readyPower[from] <= 0 {
+// probeShare is the part of a zone's requests that probes it while it is lost: what the settings say, and in a small fleet so
+// much that half as many gateways again as must report are offered one of its servers. 0: no server is listed there.
+func (in *planInput) probeShare(zone int) float64 {
+	if in.capacity[zone] > 0 && !in.lostLinks[zone][zone] || in.estimates.readyPower[zone] <= 0 {
 		return 0
 	}
 	servers, gateways := 0.0, 1.0
-	for to := range in.zones {
-		servers, gateways = servers+in.estimates.readyPower[to], gateways+in.estimates.gateways[to]
+	for other := range in.zones {
+		servers, gateways = servers+in.estimates.readyPower[other], gateways+in.estimates.gateways[other]
 	}
-	part := max(minSubset, min(servers, minSubset*servers/gateways))
-	least := 1.5 * float64(in.settings.MinGateways) / part / max(in.estimates.gateways[from], 1)
+	subset := max(minSubset, min(servers, minSubset*servers/gateways))
+	least := 1.5 * float64(in.settings.MinGateways) / subset / max(in.estimates.gateways[zone], 1)
 	return max(in.settings.ProbeShare, min(least, 1.0/minSubset))
 }
 
-// previousRows is by pair the most that anybody may push by the plan that stands or by one before it.
+// previousRows is, by pair, the most that any gateway may send by the plan in force or by the one before it.
 func (in *planInput) previousRows() map[string]map[string]int {
-	all := map[string]map[string]int{}
+	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
 		row := map[string]int{}
 		for to, toZone := range in.zones {
-			largest := in.rows[from][to]
-			if in.now < in.previousUntil {
-				largest = max(largest, in.plan.Previous[fromZone][toZone])
-			}
-			if largest > 0 {
+			if largest := in.largestShare(from, to); largest > 0 {
 				row[toZone] = largest
 			}
 		}
-		all[fromZone] = row
+		rows[fromZone] = row
+	}
+	return rows
+}
+
+// isStale tells that what a plan says besides its rows is to be written anew. This alone moves no request between zones; it
+// happens at most once a lease, and for the sake of gateways without a plan at most once a hold-down.
+func (in *planInput) isStale(plan *Plan) bool {
+	old := in.plan
+	if in.now < in.planSince+in.lease {
+		return false
+	}
+	if len(plan.HoldDown) == 0 && (len(old.HoldDown) > 0 || old.Previous != nil) || !slices.Equal(plan.LostLinks, old.LostLinks) {
+		return true
+	}
+	for _, zone := range in.zones {
+		if math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/zonestats.Healthy {
+			return true
+		}
+		if in.now >= in.planSince+in.settings.holdDown() && in.isFallbackStale(plan.Fallback[zone], old.Fallback[zone]) {
+			return true
+		}
 	}
-	return all
+	return false
+}
+
+// isFallbackStale tells that a zone's fallback row is too far off to stay.
+func (in *planInput) isFallbackStale(row, old map[string]int) bool {
+	return slices.ContainsFunc(in.zones, func(zone string) bool {
+		now, before := float64(row[zone]), float64(old[zone])
+		return now < before*(1-fallbackTolerance)-minFallbackChange || now*(1-fallbackTolerance)-minFallbackChange > before
+	})
 }
--- /dev/null
+++ b/internal/failover/plan_test.go
@@ -0,0 +1,75 @@
+package failover
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// A plan is the same after it was stored, and the same bytes again.
+func TestPlan_roundTrip(t *testing.T) {
+	sim := threeZones(3)
+	sim.run(6 * time.Second)
+	sim.healthy[0], sim.lostLinks[[2]int{1, 2}] = 0, true
+	sim.run(3 * time.Second)
+	plan, err := DecodePlan(sim.entry.Value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := plan.Encode()
+	if d := cmp.Diff(string(sim.entry.Value), string(again)); d != "" || err != nil {
+		t.Error(err, d)
+	}
+}
+
+func TestDecodePlan_withoutPlan(t *testing.T) {
+	if plan, err := DecodePlan(nil); plan != nil || err != nil {
+		t.Errorf("no value is %v, %v", plan, err)
+	}
+	if plan, err := DecodePlan([]byte("malformed")); plan != nil || err == nil {
+		t.Errorf("a malformed value is %v, %v", plan, err)
+	}
+}
+
+// A partition: gateways with a plan act on it, those without on what some earlier plan reserved. Whatever the split of the
+// gateways and the age of their plans, no zone gets more than its capacity but by its own requests.
+func TestFallback_partitionNeverOverloadsThirdZone(t *testing.T) {
+	for seed := range uint64(40) {
+		random := rand.New(rand.NewPCG(seed, 4))
+		sim := drawSimulation(random)
+		sim.newLeader()
+		sim.run(6 * time.Second)
+		for range 4 {
+			sim.healthy[random.IntN(len(sim.zones))] = 0
+			sim.run(time.Duration(random.IntN(6)) * time.Second)
+		}
+		sim.run(3 * time.Second)
+		for to, toZone := range sim.zones {
+			ofOthers := sim.partitionedLoad(random, to)
+			own := float64(sim.latest().Rows[toZone][toZone]-sim.latest().Shed[toZone]) / fullShare * sim.demand[to]
+			capacity := sim.readyPower[to] * sim.settings.Capacity
+			if ofOthers > 1 && ofOthers+min(own, 0.8*capacity) > capacity*1.02 {
+				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, with a capacity of %.1f", seed, toZone, ofOthers, own, capacity)
+			}
+		}
+	}
+}
+
+// partitionedLoad is what a zone gets from others, in units a second, where a drawn part of each zone's gateways is without
+// the latest plan and falls back on a drawn earlier one.
+func (s *simulation) partitionedLoad(random *rand.Rand, to int) float64 {
+	load := 0.0
+	for from, fromZone := range s.zones {
+		if from == to {
+			continue
+		}
+		earlier := s.plans[random.IntN(len(s.plans))].plan
+		fallback := earlier.FallbackAssignment(fromZone, true).Weights[s.zones[to]]
+		without := random.Float64()
+		share := float64(s.latest().Rows[fromZone][s.zones[to]])/fullShare*(1-without) + fallback*without
+		load += share * s.demand[from]
+	}
+	return load
+}
--- a/internal/failover/samples.go
+++ b/internal/failover/samples.go
@@ -7,95 +7,106 @@
 )
 
 const (
-	// confirmSpan is the length of each of the two spans, one after the other, that must both speak of a change before it
-	// counts: digests come in lumps, and a late one of one gateway, that holds much, lies in one of them alone.
+	// confirmSpan is the length of each of the two consecutive spans that must both show a change before it counts: digests
+	// arrive in bursts, and a late one of one gateway, which holds much, falls into one of the spans alone.
 	confirmSpan = 400 * time.Millisecond
-	// slowConfirmSpan is the same for what is no loss: how much of a hall answers. A few failures by chance are forgotten in
+	// slowConfirmSpan is the same for what is no loss: how much of a zone answers. A few random failures are forgotten in
 	// that time, and to be late there costs less.
 	slowConfirmSpan = 1600 * time.Millisecond
-	// minSampleInterval is the least time between two looks that are kept.
+	// minSampleInterval is the least time between two samples that are kept.
 	minSampleInterval = 80 * time.Millisecond
-	// sampleRetention is how far back looks are kept: the rates of demand are the middle one of five spans.
+	// sampleRetention is how far back samples are kept: demand is the median rate of rateSpans spans of rateSpan each, and so
+	// is the number of gateways.
 	sampleRetention = rateSpans*rateSpan + confirmSpan
-	// rateSpan and rates: demand is taken over the last of so many spans, and gateways are counted as the middle one.
-	rateSpan  = 800 * time.Millisecond
-	rateSpans = 5
-	// minReportedShare is the part of a gateway's time that must be told to count it: digests are late and unevenly cut.
+	rateSpan        = 800 * time.Millisecond
+	rateSpans       = 5
+	// minReportedShare is the part of a gateway's time that must be reported to count it: digests are late and unevenly cut.
 	minReportedShare = 0.7
 )
 
-// countNames are the names of the counts that are looked at, made once.
+// byHealth is an array over the quarters of a zone's servers that answer: from zonestats.Lost to zonestats.Healthy.
+type byHealth[T any] [zonestats.Healthy + 1]T
+
+// byPowerBand is an array over the bands of a zone's ready power.
+type byPowerBand[T any] [zonestats.PowerBands]T
+
+// countNames are the names of the counts that are sampled, made once.
 type countNames struct {
-	awake, admitted       []string
-	completed             [][]string                        // by from, all
-	health                [][][zonestats.Healthy + 1]string // from, to
-	readyTime, readyPower [][zonestats.PowerBands]string
+	awake, admitted       []string             // by zone
+	completed             [][]string           // by zone, those of all outcomes and receivers
+	health                [][]byHealth[string] // by from and to
+	readyTime, readyPower []byPowerBand[string]
 }
 
 func newCountNames(zones []string) *countNames {
-	c := &countNames{}
+	names := &countNames{}
 	for _, zone := range zones {
-		c.awake, c.admitted = append(c.awake, zonestats.AwakeTime(zone)), append(c.admitted, zonestats.Admitted(zone))
-		var row [][zonestats.Healthy + 1]string
+		names.awake, names.admitted = append(names.awake, zonestats.AwakeTime(zone)), append(names.admitted, zonestats.Admitted(zone))
 		var completed []string
+		var health []byHealth[string]
 		for _, toZone := range zones {
 			for _, outcome := range zonestats.Outcomes() {
 				completed = append(completed, zonestats.Completed(zone, toZone, outcome))
 			}
-			var js [zonestats.Healthy + 1]string
-			for q := range js {
-				js[q] = zonestats.HealthTime(zone, toZone, q)
+			var byQuarter byHealth[string]
+			for quarter := range byQuarter {
+				byQuarter[quarter] = zonestats.HealthTime(zone, toZone, quarter)
 			}
-			row = append(row, js)
+			health = append(health, byQuarter)
 		}
-		c.health, c.completed = append(c.health, row), append(c.completed, completed)
-		var readyTime, readyPower [zonestats.PowerBands]string
-		for b := range zonestats.PowerBands {
-			readyTime[b], readyPower[b] = zonestats.ReadyTime(zone, b), zonestats.ReadyPower(zone, b)
+		names.completed, names.health = append(names.completed, completed), append(names.health, health)
+		var readyTime, readyPower byPowerBand[string]
+		for band := range zonestats.PowerBands {
+			readyTime[band], readyPower[band] = zonestats.ReadyTime(zone, band), zonestats.ReadyPower(zone, band)
 		}
-		c.readyTime, c.readyPower = append(c.readyTime, readyTime), append(c.readyPower, readyPower)
+		names.readyTime, names.readyPower = append(names.readyTime, readyTime), append(names.readyPower, readyPower)
 	}
-	return c
+	return names
 }
 
-// sample is the sums at a time.
+// sample is the sums of the counts at a time: of all gateways, since their start.
 type sample struct {
 	at                    time.Duration
-	awake, admitted       []float64
-	completed             []float64 // pushes of the hall's gateways
-	health                [][][zonestats.Healthy + 1]float64
-	readyTime, readyPower [][zonestats.PowerBands]float64
+	awake                 []float64 // by zone, milliseconds that its gateways were awake
+	admitted              []float64 // by zone, thousandths of units admitted there
+	completed             []float64 // by zone, attempts of its gateways that ended
+	health                [][]byHealth[float64]
+	readyTime, readyPower []byPowerBand[float64]
 }
 
+// sample reads the counts of all zones from the merged sums.
 func (c *countNames) sample(now time.Duration, sums map[string]uint64) *sample {
-	s := &sample{at: now}
-	for i := range c.awake {
-		s.awake, s.admitted = append(s.awake, float64(sums[c.awake[i]])), append(s.admitted, float64(sums[c.admitted[i]]))
+	next := &sample{at: now}
+	for from := range c.awake {
+		next.awake = append(next.awake, float64(sums[c.awake[from]]))
+		next.admitted = append(next.admitted, float64(sums[c.admitted[from]]))
 		completed := 0.0
-		for _, name := range c.completed[i] {
+		for _, name := range c.completed[from] {
 			completed += float64(sums[name])
 		}
-		s.completed = append(s.completed, completed)
-		row := make([][zonestats.Healthy + 1]float64, len(c.awake))
-		for to := range row {
-			for q := range row[to] {
-				row[to][q] = float64(sums[c.health[i][to][q]])
+		next.completed = append(next.completed, completed)
+		health := make([]byHealth[float64], len(c.awake))
+		for to := range health {
+			for quarter := range health[to] {
+				health[to][quarter] = float64(sums[c.health[from][to][quarter]])
 			}
 		}
-		s.health = append(s.health, row)
-		var readyTime, readyPower [zonestats.PowerBands]float64
-		for b := range readyTime {
-			readyTime[b], readyPower[b] = float64(sums[c.readyTime[i][b]]), float64(sums[c.readyPower[i][b]])
+		next.health = append(next.health, health)
+		var readyTime, readyPower byPowerBand[float64]
+		for band := range readyTime {
+			readyTime[band] = float64(sums[c.readyTime[from][band]])
+			readyPower[band] = float64(sums[c.readyPower[from][band]])
 		}
-		s.readyTime, s.readyPower = append(s.readyTime, readyTime), append(s.readyPower, readyPower)
+		next.readyTime, next.readyPower = append(next.readyTime, readyTime), append(next.readyPower, readyPower)
 	}
-	return s
+	return next
 }
 
-// samples are the latest, oldest first.
+// samples are the latest samples, oldest first.
 type samples []*sample
 
-// add keeps a look, and drops those that are too old. False: it came too soon after the last to tell anything.
+// add keeps a sample and drops those that are too old. It reports false, and keeps nothing, where the sample comes too soon
+// after the last to tell anything.
 func (s *samples) add(next *sample) bool {
 	if n := len(*s); n > 0 && next.at < (*s)[n-1].at+minSampleInterval {
 		return false
@@ -107,9 +118,12 @@
 	return true
 }
 
-// before is the latest look that is at least so old, seen from the last; nil: there is none.
+// last is the latest sample.
+func (s samples) last() *sample { return s[len(s)-1] }
+
+// before is the latest sample at least so much older than the last; nil: there is none.
 func (s samples) before(age time.Duration) *sample {
-	now := s[len(s)-1].at
+	now := s.last().at
 	for i := len(s) - 1; i >= 0; i-- {
 		if s[i].at <= now-age {
 			return s[i]
@@ -118,17 +132,26 @@
 	return nil
 }
 
-// halves are the two spans that must agree, the older first, each by its two looks; false: not looked for that long yet.
-func (s samples) halves(half time.Duration) (spans [2][2]*sample, ok bool) {
-	last := s[len(s)-1]
-	mid, first := s.before(half), s.before(2*half)
-	if mid == nil || first == nil || first.at >= mid.at {
-		return spans, false
-	}
-	return [2][2]*sample{{first, mid}, {mid, last}}, true
+// interval is what was counted between two samples.
+type interval struct{ start, end *sample }
+
+// milliseconds is the interval's length.
+func (i interval) milliseconds() float64 { return float64((i.end.at - i.start.at) / time.Millisecond) }
+
+// gateways is how many gateways of a zone reported their time in the interval.
+func (i interval) gateways(zone int) float64 {
+	return (i.end.awake[zone] - i.start.awake[zone]) / i.milliseconds()
 }
 
-// reportingGateways is how many gateways of a hall told of their time in a span.
-func reportingGateways(start, end *sample, zone int) float64 {
-	return (end.awake[zone] - start.awake[zone]) / float64((end.at-start.at)/time.Millisecond)
+// halves are two consecutive intervals that must both show a change.
+type halves struct{ older, newer interval }
+
+// halves gives the last two intervals of a length; ok is false where samples don't go back that far yet.
+func (s samples) halves(span time.Duration) (h halves, ok bool) {
+	last := s.last()
+	middle, first := s.before(span), s.before(2*span)
+	if middle == nil || first == nil || first.at >= middle.at {
+		return halves{}, false
+	}
+	return halves{interval{first, middle}, interval{middle, last}}, true
 }
--- a/internal/failover/simulation_test.go
+++ b/internal/failover/simulation_test.go
@@ -1,6 +1,8 @@
 package failover
 
 import (
+	"fmt"
+	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -9,18 +11,21 @@
 	"harrierhoist/internal/zonestats"
 )
 
-// fixture is halls with gateways that tell what they see of them, as sums that a decider goes by. It is the world's own
-// truth that the plans are held against.
-type fixture struct {
+// tick is how often the simulation's gateways report and its controller decides.
+const tick = 100 * time.Millisecond
+
+// simulation is zones with gateways that report what they observe of them, as sums that a controller goes by. Plans are held
+// against what is true in the simulation, not against what the controller believes. Slices are by zone index.
+type simulation struct {
 	zones        []string
-	gateways     []int           // by hall
-	demand       []float64       // units a second that quotas let in, pushed or not
-	unadmitted   map[int]float64 // and, by hall, that they don't
-	readyPower   []float64       // strength by the list
+	gateways     []int
+	demand       []float64       // units a second that quotas admit, whether or not an attempt follows
+	unadmitted   map[int]float64 // and, by zone, that they don't
+	readyPower   []float64       // as listed
 	healthy      []float64       // part of it that answers
 	lostLinks    map[[2]int]bool
-	blindGateway map[int]bool // halls whose first gateway sees nothing answer, its list being empty
-	silent       map[int]bool // halls whose gateways' digests don't come
+	blindGateway map[int]bool // zones whose first gateway observes no answer and has an empty endpoint list
+	silent       map[int]bool // zones whose gateways' digests don't arrive
 	now          time.Duration
 	faultAt      time.Duration // when something last changed
 	sums         map[string]uint64
@@ -36,109 +41,173 @@
 	plan *Plan
 }
 
-const tick = 100 * time.Millisecond
+// threeZones is three zones in two regions, with so many gateways each, that have a capacity of 100 units a second each.
+func threeZones(gateways int) *simulation {
+	sim := &simulation{
+		lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{}, sums: map[string]uint64{},
+		unadmitted: map[int]float64{}, lease: 2 * time.Second,
+		settings: Settings{Enabled: true, Capacity: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}},
+	}
+	for _, zone := range []string{"a", "b", "c"} {
+		sim.addZone(zone, gateways, 50, 10)
+	}
+	sim.newLeader()
+	return sim
+}
+
+func (s *simulation) addZone(name string, gateways int, demand, readyPower float64) {
+	s.zones, s.gateways, s.demand = append(s.zones, name), append(s.gateways, gateways), append(s.demand, demand)
+	s.readyPower, s.healthy = append(s.readyPower, readyPower), append(s.healthy, 1)
+}
+
+// drawSimulation draws two to five zones in up to three regions.
+func drawSimulation(random *rand.Rand) *simulation {
+	sim := threeZones(0)
+	sim.zones, sim.gateways, sim.demand, sim.readyPower, sim.healthy = nil, nil, nil, nil, nil
+	sim.settings.Regions = nil
+	for i := range 2 + random.IntN(4) {
+		name := string(rune('a' + i))
+		gateways, demand := 2+random.IntN(5), 20+60*random.Float64()
+		sim.addZone(name, gateways, demand, float64(5+random.IntN(11)))
+		if n := len(sim.settings.Regions); n == 0 || n < 3 && random.IntN(2) == 0 {
+			sim.settings.Regions = append(sim.settings.Regions, Region{Name: "r" + name})
+		}
+		region := &sim.settings.Regions[len(sim.settings.Regions)-1]
+		region.Zones = append(region.Zones, name)
+	}
+	return sim
+}
 
-// threeZones is three halls in two regions, with so many gateways each, that bear 100 units a second each.
-func threeZones(gateways int) *fixture {
-	fx := &fixture{zones: []string{"a", "b", "c"}, lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{},
-		sums: map[string]uint64{}, unadmitted: map[int]float64{}, lease: 2 * time.Second,
-		settings: Settings{Enabled: true, Capacity: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}}}
-	for range fx.zones {
-		fx.gateways, fx.demand = append(fx.gateways, gateways), append(fx.demand, 50)
-		fx.readyPower, fx.healthy = append(fx.readyPower, 10), append(fx.healthy, 1)
+// injectFault draws a change and says what is true after it.
+func (s *simulation) injectFault(random *rand.Rand) string {
+	n := len(s.zones)
+	zone, other := random.IntN(n), random.IntN(n)
+	switch random.IntN(8) {
+	case 0, 1:
+		s.healthy[zone] = []float64{0, 0, 0.5, 1, 1, 1}[random.IntN(6)]
+	case 2:
+		s.readyPower[zone] = float64(random.IntN(16))
+	case 3:
+		if zone != other {
+			s.lostLinks[[2]int{zone, other}] = !s.lostLinks[[2]int{zone, other}]
+		}
+	case 4:
+		s.demand[zone] *= 0.5 + random.Float64()
+	case 5:
+		s.silent[zone] = !s.silent[zone]
+	case 6:
+		s.blindGateway[zone] = !s.blindGateway[zone]
+	case 7:
+		s.newLeader()
 	}
-	fx.newLeader()
-	return fx
+	return fmt.Sprintf("healthy %v, ready power %v, demand %.0f, lost links %v, silent %v, blind gateways %v", s.healthy,
+		s.readyPower, s.demand, s.lostLinks, s.silent, s.blindGateway)
 }
 
-// newLeader has a new leader begin, with a clock of its own.
-func (fx *fixture) newLeader() { fx.controller = New(fx.settings, fx.lease) }
+// newLeader has a new controller start.
+func (s *simulation) newLeader() { s.controller = New(s.settings, s.lease) }
 
-func (fx *fixture) add(name string, n float64) { fx.sums[name] += uint64(n) }
+func (s *simulation) add(name string, n float64) { s.sums[name] += uint64(n) }
 
-// share is the part of a hall's tasks pushed to another by the plan that stands.
-func (fx *fixture) share(from, to int) float64 {
-	if len(fx.plans) == 0 {
+// share is the part of a zone's requests sent to another by the plan in force.
+func (s *simulation) share(from, to int) float64 {
+	if len(s.plans) == 0 {
 		return map[bool]float64{true: 1}[from == to]
 	}
-	plan := fx.plans[len(fx.plans)-1].plan
-	amount := float64(plan.Rows[fx.zones[from]][fx.zones[to]])
+	plan := s.latest()
+	share := float64(plan.Rows[s.zones[from]][s.zones[to]])
 	if from == to {
-		amount -= float64(plan.Shed[fx.zones[from]])
+		share -= float64(plan.Shed[s.zones[from]])
 	}
-	return amount / fullShare
+	return share / fullShare
 }
 
+// latest is the plan in force.
+func (s *simulation) latest() *Plan { return s.plans[len(s.plans)-1].plan }
+
 // report has all gateways count a tick.
-func (fx *fixture) report() {
-	ms := float64(tick / time.Millisecond)
-	for from, fromZone := range fx.zones {
-		if fx.silent[from] {
+func (s *simulation) report() {
+	milliseconds := float64(tick / time.Millisecond)
+	for from, fromZone := range s.zones {
+		if s.silent[from] {
 			continue
 		}
-		fx.add(zonestats.AwakeTime(fromZone), ms*float64(fx.gateways[from]))
-		fx.add(zonestats.Admitted(fromZone), fx.demand[from]*ms)
-		fx.add(zonestats.Offered(fromZone), (fx.demand[from]+fx.unadmitted[from])*ms)
-		fx.add(zonestats.Completed(fromZone, fromZone, "well"), 10) // a hundred pushes a second
-		for g := range fx.gateways[from] {
-			blind := g == 0 && fx.blindGateway[from]
-			for to, toZone := range fx.zones {
-				strength := fx.readyPower[to]
-				if blind {
-					strength = 0
-				}
-				b := zonestats.PowerBand(strength)
-				fx.add(zonestats.ReadyTime(toZone, b), ms)
-				fx.add(zonestats.ReadyPower(toZone, b), ms*strength)
-				q := int(fx.healthy[to]*zonestats.Healthy + 0.5)
-				if blind || fx.lostLinks[[2]int{from, to}] {
-					q = zonestats.Lost
-				}
-				if fx.share(from, to) > 0 && fx.readyPower[to] > 0 || blind {
-					fx.add(zonestats.HealthTime(fromZone, toZone, q), ms)
-				}
-			}
+		s.add(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
+		s.add(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
+		s.add(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
+		s.add(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // a hundred attempts a second
+		for gateway := range s.gateways[from] {
+			s.reportGateway(from, gateway == 0 && s.blindGateway[from], milliseconds)
+		}
+	}
+}
+
+// reportGateway has one gateway count what it observes of all zones in so many milliseconds.
+func (s *simulation) reportGateway(from int, isBlind bool, milliseconds float64) {
+	for to, toZone := range s.zones {
+		power := s.readyPower[to]
+		if isBlind {
+			power = 0
+		}
+		band := zonestats.PowerBand(power)
+		s.add(zonestats.ReadyTime(toZone, band), milliseconds)
+		s.add(zonestats.ReadyPower(toZone, band), milliseconds*power)
+		quarter := int(s.healthy[to]*zonestats.Healthy + 0.5)
+		if isBlind || s.lostLinks[[2]int{from, to}] {
+			quarter = zonestats.Lost
+		}
+		if s.share(from, to) > 0 && s.readyPower[to] > 0 || isBlind {
+			s.add(zonestats.HealthTime(s.zones[from], toZone, quarter), milliseconds)
 		}
 	}
 }
 
-// run lets the world go on for a while, and gives the plans written meanwhile.
-func (fx *fixture) run(span time.Duration) []writtenPlan {
-	first := len(fx.plans)
-	for end := fx.now + span; fx.now < end; {
-		fx.now += tick
-		fx.report()
-		seen := coordination.ControllerInput{Sums: fx.sums, Table: func(string) statemachine.Table { return fx.entry }}
-		if value, write := fx.controller.Decide(fx.now, seen); write {
-			plan, err := DecodePlan(value)
-			if err != nil {
-				panic(err)
-			}
-			fx.entry = statemachine.Table{Epoch: fx.entry.Epoch + 1, Value: value}
-			fx.plans = append(fx.plans, writtenPlan{fx.now, plan})
+// run lets time pass, and gives the plans written meanwhile.
+func (s *simulation) run(span time.Duration) []writtenPlan {
+	first := len(s.plans)
+	for end := s.now + span; s.now < end; {
+		s.step()
+	}
+	return s.plans[first:]
+}
+
+// step lets a tick pass, and gives what the controller decided.
+func (s *simulation) step() (value []byte, write bool) {
+	s.now += tick
+	s.report()
+	input := coordination.ControllerInput{Sums: s.sums, Table: func(string) statemachine.Table { return s.entry }}
+	value, write = s.controller.Decide(s.now, input)
+	if write {
+		plan, err := DecodePlan(value)
+		if err != nil {
+			panic(err)
 		}
+		s.entry = statemachine.Table{Epoch: s.entry.Epoch + 1, Value: value}
+		s.plans = append(s.plans, writtenPlan{s.now, plan})
 	}
-	return fx.plans[first:]
+	return value, write
 }
 
-// load is what is pushed to a hall by the plan that stands.
-func (fx *fixture) load(to int) float64 {
+// load is what is sent to a zone by the plan in force, in units a second.
+func (s *simulation) load(to int) float64 {
 	sum := 0.0
-	for from := range fx.zones {
-		sum += fx.share(from, to) * fx.demand[from]
+	for from := range s.zones {
+		sum += s.share(from, to) * s.demand[from]
 	}
 	return sum
 }
 
-func (fx *fixture) wantBetween(t *testing.T, what string, got, least, most float64) {
+func (s *simulation) wantBetween(t *testing.T, what string, got, least, most float64) {
 	t.Helper()
 	if got < least || got > most {
-		plan, _ := DecodePlan(fx.entry.Value)
-		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, plan)
+		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, s.latest())
 	}
 }
 
-// isLocal tells whether all of a hall's tasks stay there.
-func (plan *Plan) isLocal(zone string) bool {
-	return len(plan.Rows[zone]) == 0 || plan.Rows[zone][zone] == fullShare
+// isLocal tells whether all of a zone's requests stay there.
+func (p *Plan) isLocal(zone string) bool {
+	return len(p.Rows[zone]) == 0 || p.Rows[zone][zone] == fullShare
 }
+
+// isAllLocal tells whether all requests of the simulation's three zones stay where they come in.
+func (p *Plan) isAllLocal() bool { return p.isLocal("a") && p.isLocal("b") && p.isLocal("c") }
--- a/internal/failover/situations_test.go
+++ b/internal/failover/situations_test.go
@@ -14,75 +14,99 @@
 //go:embed situations.toml
 var situationRows []byte
 
-// Each row of the file is played, and what it names is checked.
+// situation is a row of situations.toml, whose head explains its keys.
+type situation struct {
+	Name       string             `toml:"name"`
+	Gateways   int                `toml:"gateways"`
+	Demand     map[string]float64 `toml:"demand"`
+	Unadmitted map[string]float64 `toml:"unadmitted"`
+	Healthy    map[string]float64 `toml:"healthy"`
+	ReadyPower map[string]float64 `toml:"ready_power"`
+	LostLinks  []string           `toml:"lost_links"`
+	Blind      []string           `toml:"blind"`
+	Silent     []string           `toml:"silent"`
+	Seconds    float64            `toml:"seconds"`
+	Shares     map[string]int     `toml:"shares"`
+	Shed       map[string]int     `toml:"shed"`
+	Lost       []string           `toml:"lost"`
+	Slack      float64            `toml:"slack"`
+}
+
+// Each row of the file is run, and what it names is checked.
 func TestController_situations(t *testing.T) {
 	var file struct {
-		Row []struct {
-			Name                  string             `toml:"name"`
-			Gateways              int                `toml:"gateways"`
-			Demand, Sound, Listed map[string]float64 `toml:",omitempty"`
-			Beyond                map[string]float64
-			Cut, Blind, Mute      []string
-			Seconds               float64 `toml:"seconds"`
-			Shares, Shed          map[string]int
-			Lost                  []string
-			Slack                 float64
-		} `toml:"row"`
+		Rows []situation `toml:"row"`
 	}
 	if err := toml.NewDecoder(bytes.NewReader(situationRows)).DisallowUnknownFields().Decode(&file); err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range file.Row {
+	for _, row := range file.Rows {
 		t.Run(row.Name, func(t *testing.T) {
 			t.Parallel()
-			fx := threeZones(max(row.Gateways, 3-2*row.Gateways))
-			at := func(name string) int { return slices.Index(fx.zones, name) }
-			fx.run(5 * time.Second)
-			for zone, amount := range row.Demand {
-				fx.demand[at(zone)] = amount
-			}
-			for zone, amount := range row.Beyond {
-				fx.unadmitted[at(zone)] = amount
-			}
-			fx.run(25 * time.Second) // demand comes first, as it would
-			for zone, amount := range row.Sound {
-				fx.healthy[at(zone)] = amount
-			}
-			for zone, amount := range row.Listed {
-				fx.readyPower[at(zone)] = amount
-			}
-			for _, pair := range row.Cut {
-				fx.lostLinks[[2]int{at(pair[:1]), at(pair[1:])}] = true
-			}
-			for _, zone := range row.Blind {
-				fx.blindGateway[at(zone)] = true
-			}
-			for _, zone := range row.Mute {
-				fx.silent[at(zone)] = true
-			}
-			fx.run(time.Duration(row.Seconds * float64(time.Second)))
-			plan := fx.plans[len(fx.plans)-1].plan
-			slack := max(row.Slack, 30)
-			for pair, share := range row.Shares {
-				fromZone, toZone := pair[:1], pair[1:]
-				got := plan.Rows[fromZone][toZone]
-				if len(row.Lost) > 0 && fromZone == toZone {
-					got -= plan.Shed[fromZone]
-				}
-				if math.Abs(float64(got-share)) > slack {
-					t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)", fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
-				}
-			}
-			for zone, share := range row.Shed {
-				if math.Abs(float64(plan.Shed[zone]-share)) > slack {
-					t.Errorf("%s sheds %d, not %d", zone, plan.Shed[zone], share)
-				}
-			}
-			for _, zone := range fx.zones {
-				if lost := plan.Health[zone] == 0; lost != slices.Contains(row.Lost, zone) {
-					t.Errorf("%s is lost: %v", zone, lost)
-				}
-			}
+			sim := row.run()
+			row.check(t, sim)
 		})
 	}
 }
+
+// run makes three zones, and what the row says true of them.
+func (s *situation) run() *simulation {
+	gateways := s.Gateways
+	if gateways == 0 {
+		gateways = 3
+	}
+	sim := threeZones(gateways)
+	index := func(zone string) int { return slices.Index(sim.zones, zone) }
+	sim.run(5 * time.Second)
+	for zone, demand := range s.Demand {
+		sim.demand[index(zone)] = demand
+	}
+	for zone, demand := range s.Unadmitted {
+		sim.unadmitted[index(zone)] = demand
+	}
+	sim.run(25 * time.Second) // demand changes before the faults do, as it would
+	for zone, part := range s.Healthy {
+		sim.healthy[index(zone)] = part
+	}
+	for zone, power := range s.ReadyPower {
+		sim.readyPower[index(zone)] = power
+	}
+	for _, pair := range s.LostLinks {
+		sim.lostLinks[[2]int{index(pair[:1]), index(pair[1:])}] = true
+	}
+	for _, zone := range s.Blind {
+		sim.blindGateway[index(zone)] = true
+	}
+	for _, zone := range s.Silent {
+		sim.silent[index(zone)] = true
+	}
+	sim.run(time.Duration(s.Seconds * float64(time.Second)))
+	return sim
+}
+
+// check holds the plan in force against the row.
+func (s *situation) check(t *testing.T, sim *simulation) {
+	t.Helper()
+	plan := sim.latest()
+	slack := max(s.Slack, 30)
+	for pair, share := range s.Shares {
+		fromZone, toZone := pair[:1], pair[1:]
+		got := plan.Rows[fromZone][toZone]
+		if len(s.Lost) > 0 && fromZone == toZone {
+			got -= plan.Shed[fromZone]
+		}
+		if math.Abs(float64(got-share)) > slack {
+			t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)", fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
+		}
+	}
+	for zone, share := range s.Shed {
+		if math.Abs(float64(plan.Shed[zone]-share)) > slack {
+			t.Errorf("%s sheds %d, not %d", zone, plan.Shed[zone], share)
+		}
+	}
+	for _, zone := range sim.zones {
+		if isLost := plan.Health[zone] == 0; isLost != slices.Contains(s.Lost, zone) {
+			t.Errorf("%s is lost: %v", zone, isLost)
+		}
+	}
+}
