--- a/internal/countingrule/admission.go
+++ b/internal/countingrule/admission.go
@@ -6,45 +6,10 @@
 	"harrierhoist/policy"
 )
 
-const ( // as the module has them, so that both count under the same names (a test holds them together)
-	windowRefills = 2.0
-	minWindow     = time.Second
-	maxTTL        = 60 * time.Second
-)
-
-const roundingError = 1e-9 // units: sums of parts come out a little off
-
-// Window is a stretch of time in which a count goes by one name.
-type Window struct {
-	Name  uint64        // at the counter
-	Start time.Duration // on the clock that windows go by
-	TTL   time.Duration // how long the counter is to keep the name
-	Index int64
-}
-
-// WindowAt gives the window of a key that a time falls in, under a plan's rate and burst: the module's own.
-func WindowAt(key uint64, plan *policy.Plan, now time.Duration) Window {
-	length := time.Duration(windowRefills * plan.Burst / plan.Rate * float64(time.Second))
-	length = min(max(length, minWindow), maxTTL/2)
-	offset := time.Duration(windowHash(key, 0) % uint64(length))
-	index := int64((now + offset) / length)
-	return Window{windowHash(key, index), time.Duration(index)*length - offset, min(max(2*length, minWindow), maxTTL), index}
-}
-
-// windowHash is the module's hash of customer and window.
-func windowHash(customer uint64, window int64) uint64 {
-	mixed := (customer*0x9e3779b97f4a7c15 + uint64(window)) * 0xbf58476d1ce4e5b9
-	return mixed ^ mixed>>31
-}
-
-// Remaining is what a count has left at a time, by its total in the window without the task that asks: weighted units.
-func Remaining(plan *policy.Plan, window Window, now time.Duration, count float64) float64 {
-	return max(min(plan.Burst+plan.Rate*(now-window.Start).Seconds()-count, plan.Burst), 0)
-}
-
-// Admission is the desk of the counts that a task has to pass beside the module's own: it takes the units with the
-// question, so that what two processes ask at once passes no limit, and gives back what was not used. It guards the
-// limit of a rule that may be in force unknown to us. Harm: what waits for its answer is held as used.
+// Admission admits requests by the keys that they have to pass beside the decision module's own. It adds the units with
+// the read of the count, so that what two processes ask at once exceeds no limit, and settles the difference later. It
+// protects the limit of a rule that may be in force without this process's knowledge. Its cost: what awaits its answer
+// is held as used. Not safe for use by several goroutines at once.
 type Admission struct {
 	localShare float64              // of a limit that this process uses where the counter does not answer
 	keys       map[uint64]*keyState // by key
@@ -53,18 +18,26 @@
 
 // keyState is what this process knows of a key.
 type keyState struct {
-	sampledAt      time.Duration // of the latest total
-	remaining      float64       // that it left, less what passed here since
-	localRemaining float64       // that this process's share of the limit holds
-	windowIndex    int64         // the window
+	sampledAt      time.Duration // when the latest count was read
+	remaining      float64       // that the count left, less what was admitted here since
+	localRemaining float64       // of this process's share of the limit
+	windowIndex    int64
 }
 
-// NewAdmission makes a desk; a fleet of so many gateways shares each count.
+// refill adds what the plan's rate gave up to a time.
+func (s *keyState) refill(plan *policy.Plan, localShare float64, now time.Duration) {
+	refilled := plan.Rate * max(now-s.sampledAt, 0).Seconds()
+	s.sampledAt = max(now, s.sampledAt)
+	s.remaining = min(s.remaining+refilled, plan.Burst)
+	s.localRemaining = min(s.localRemaining+refilled*localShare, plan.Burst*localShare)
+}
+
+// NewAdmission makes the admission at one of so many gateways that share each count.
 func NewAdmission(gateways int) *Admission {
 	return &Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
 }
 
-// Reservation is one task's units at one count. Its units go back, all or in part, by Settle.
+// Reservation is one request's units at one key. They are given back, all or in part, by Settle.
 type Reservation struct {
 	Window
 	Units      float64 // weighted
@@ -74,74 +47,91 @@
 	reservedAt time.Duration
 }
 
-// Reserve gives the hold whose units are to be added to the count now.
-func (a *Admission) Reserve(c Assignment, plan policy.Plan, units float64, now time.Duration) Reservation {
-	if now > a.sweptAt+maxTTL {
-		a.sweptAt = now
-		for key, state := range a.keys {
-			if state.sampledAt+maxTTL < now {
-				delete(a.keys, key)
-			}
+// Reserve gives the reservation whose units are to be added to the key's count now.
+func (a *Admission) Reserve(assignment Assignment, plan policy.Plan, units float64, now time.Duration) Reservation {
+	a.sweep(now)
+	return Reservation{
+		Window:     WindowAt(assignment.Key, &plan, now),
+		Units:      units * assignment.Weight,
+		Weight:     assignment.Weight,
+		key:        assignment.Key,
+		plan:       plan,
+		reservedAt: now,
+	}
+}
+
+// sweep forgets keys whose windows the counter has dropped by now.
+func (a *Admission) sweep(now time.Duration) {
+	if now <= a.sweptAt+maxTTL {
+		return
+	}
+	a.sweptAt = now
+	for key, state := range a.keys {
+		if state.sampledAt+maxTTL < now {
+			delete(a.keys, key)
 		}
 	}
-	return Reservation{WindowAt(c.Key, &plan, now), units * c.Weight, c.Weight, c.Key, plan, now}
 }
 
-// HandleCount takes the counter's answer (read false: none came in time) and tells whether the task passes. Where the window
-// was untouched, before is the one before it, to be read with nought: what Lacks makes of its total is to be added to
-// this window's count, as the module does. Until that stands, and where another process is to do it, our own latest
-// look bounds the room.
+// HandleCount takes the counter's answer (answered false: none came in time) and tells whether the request is admitted.
+// Where the window was untouched, previous is the one before it, to be read with zero units: what Deficit makes of its
+// count is to be added to this window's, as the decision module does. Until that is done, and where another process is
+// to do it, this process's latest read bounds what remains.
 func (a *Admission) HandleCount(reservation Reservation, count float64, answered bool) (admitted bool, previous *Window) {
+	plan, units := &reservation.plan, reservation.Units
 	state := a.keys[reservation.key]
 	if state == nil {
-		state = &keyState{sampledAt: reservation.reservedAt, remaining: reservation.plan.Burst, localRemaining: reservation.plan.Burst * a.localShare, windowIndex: -1}
+		state = &keyState{
+			sampledAt: reservation.reservedAt, remaining: plan.Burst, localRemaining: plan.Burst * a.localShare,
+			windowIndex: -1,
+		}
 		a.keys[reservation.key] = state
 	}
-	newWindow, elapsed := state.windowIndex != reservation.Index, max(reservation.reservedAt-state.sampledAt, 0).Seconds()
-	state.windowIndex, state.sampledAt = reservation.Index, max(reservation.reservedAt, state.sampledAt)
-	state.remaining = min(state.remaining+reservation.plan.Rate*elapsed, reservation.plan.Burst)
-	state.localRemaining = min(state.localRemaining+reservation.plan.Rate*elapsed*a.localShare, reservation.plan.Burst*a.localShare)
+	newWindow := state.windowIndex != reservation.Index
+	state.windowIndex = reservation.Index
+	state.refill(plan, a.localShare, reservation.reservedAt)
 	remaining := min(state.localRemaining, state.remaining)
 	if answered {
-		state.remaining = min(state.remaining, Remaining(&reservation.plan, reservation.Window, reservation.reservedAt, count-reservation.Units))
+		state.remaining = min(state.remaining, Remaining(plan, reservation.Window, reservation.reservedAt, count-units))
 		remaining = state.remaining
-		if newWindow && count <= reservation.Units+roundingError {
-			window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
+		if newWindow && count <= units+roundingError {
+			window := WindowAt(reservation.key, plan, reservation.Start-1)
 			previous = &window
 		}
 	}
-	if admitted = remaining >= reservation.Units-roundingError; admitted {
-		state.remaining, state.localRemaining = state.remaining-reservation.Units, max(state.localRemaining-reservation.Units, 0)
+	if admitted = remaining >= units-roundingError; admitted {
+		state.remaining, state.localRemaining = state.remaining-units, max(state.localRemaining-units, 0)
 	}
 	return admitted, previous
 }
 
-// Deficit is what a store lacked at the end of the window before, whose total was read with nought.
-func (reservation Reservation) Deficit(previous Window, count float64) float64 {
-	return reservation.plan.Burst - Remaining(&reservation.plan, previous, reservation.Start, count)
+// Deficit is what a key was short of its burst at the end of the window before, by the count read there with zero units.
+func (r Reservation) Deficit(previous Window, count float64) float64 {
+	return r.plan.Burst - Remaining(&r.plan, previous, r.Start, count)
 }
 
-// ChargeState is whether a hold's units stand in its count.
+// ChargeState is what is known of whether a reservation's units are in its key's count.
 type ChargeState uint8
 
-// What can be known of that.
+// The states of a charge.
 const (
 	ChargeUnknown ChargeState = iota // no answer yet, or the connection was lost
 	Charged
 	NotCharged
 )
 
-// Settle gives what is to be added to the hold's count once the task is over, by the weighted units that it used. What
-// may not have been added is not taken off again: a count too high rejects, one too low passes a limit.
-func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, added ChargeState) float64 {
+// Settle gives what is to be added to the reservation's count once the request has ended, by the weighted units that it
+// used. What may not have been added is not taken off again: a count too high rejects, one too low exceeds a limit.
+func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, charge ChargeState) float64 {
 	if state := a.keys[reservation.key]; state != nil && admitted {
 		state.remaining += reservation.Units - used
 	}
-	switch added {
+	switch charge {
 	case Charged:
 		return used - reservation.Units
 	case NotCharged:
 		return used
+	default:
+		return max(used-reservation.Units, 0)
 	}
-	return max(used-reservation.Units, 0)
 }
--- a/internal/countingrule/candidates_rapid_test.go
+++ b/internal/countingrule/candidates_rapid_test.go
@@ -9,41 +9,59 @@
 	"pgregory.net/rapid"
 )
 
-// switchViolation draws a history of trials, switches and ways back, as the decider writes it with edges so far ahead, and a
-// process that reads the table once, at any time. It tells where what truly holds is not among what the process goes by
-// some time after, or is not all of it while the lease of 20 stands.
-func switchViolation(t *rapid.T, lead time.Duration) string {
-	const lease = 20
-	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
-	type entry struct {
-		at    time.Duration
-		table Table
-	}
-	history, now := []entry{{0, Table{}}}, time.Duration(0)
-	for range rapid.IntRange(2, 12).Draw(t, "steps") {
-		table := history[len(history)-1].table
-		now += time.Duration(rapid.IntRange(1, 30).Draw(t, "pause"))
-		next := rapid.Uint64Range(0, 2).Draw(t, "next")
-		moved := (table.Phase == PhaseScheduled || table.Phase == PhaseRollback) && now > table.SwitchAt
+// committed is a table from the time of its commit on.
+type committed struct {
+	at    time.Duration
+	table Table
+}
+
+// nextTable draws a step of the controller that is proposed at a time, with a switch so far ahead, and false where the
+// controller would do nothing.
+func nextTable(t *rapid.T, table Table, now, lead time.Duration) (Table, bool) {
+	next := rapid.Uint64Range(0, 2).Draw(t, "next")
+	switch table.Phase {
+	case PhaseIdle:
 		switch {
-		case table.Phase == PhaseIdle && next == table.From || (table.Phase == PhaseScheduled || table.Phase == PhaseRollback) && !moved:
-			continue
-		case table.Phase == PhaseIdle && next == table.Previous:
+		case next == table.From:
+			return table, false
+		case next == table.Previous:
 			table.Phase, table.To, table.SwitchAt = PhaseRollback, next, now+lead
-		case table.Phase == PhaseIdle && !slices.Contains(table.Refused, next):
+		case !slices.Contains(table.Refused, next):
 			table.Phase, table.To = PhaseCanary, next
-		case table.Phase == PhaseCanary && next == 0:
+		}
+	case PhaseCanary:
+		if next == 0 {
 			table.Refused = append(slices.Clone(table.Refused), table.To)
 			table.Phase, table.To = PhaseIdle, table.From
-		case table.Phase == PhaseCanary:
+		} else {
 			table.Phase, table.SwitchAt = PhaseScheduled, now+lead
+		}
+	case PhaseScheduled, PhaseRollback:
+		switch {
+		case now <= table.SwitchAt:
+			return table, false
 		case table.Phase == PhaseScheduled && next == 0:
 			table.Refused = append(slices.Clone(table.Refused), table.To)
 			table.Phase, table.From, table.To, table.SwitchAt = PhaseRollback, table.To, table.From, now+lead
-		case moved:
+		default:
 			table = Table{From: table.To, To: table.To, Previous: table.From, Refused: table.Refused}
 		}
-		history = append(history, entry{now, table})
+	}
+	return table, true
+}
+
+// switchViolation draws a history of trials, switches and rollbacks, as the controller writes it with switches so far
+// ahead, and a process that reads the table once, at any time. It tells where the version in force is not among the
+// process's candidates some time after, or is not the only one while the lease of 20 holds.
+func switchViolation(t *rapid.T, lead time.Duration) string {
+	const lease = 20
+	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
+	history, now := []committed{{0, Table{}}}, time.Duration(0)
+	for range rapid.IntRange(2, 12).Draw(t, "steps") {
+		now += time.Duration(rapid.IntRange(1, 30).Draw(t, "pause"))
+		if table, ok := nextTable(t, history[len(history)-1].table, now, lead); ok {
+			history = append(history, committed{now, table})
+		}
 	}
 	tableAt := func(at time.Duration) Table {
 		table := history[0].table
@@ -55,12 +73,12 @@
 		return table
 	}
 	for readAt := range now + 1 {
-		for at := readAt; at < readAt+60; at += 3 {
-			known, truth := tableAt(readAt), tableAt(at)
-			inForce, leased := truth.InForce(at), at < readAt+lease
-			got := known.CandidateVersions(at, leased, true, config)
+		for now := readAt; now < readAt+60; now += 3 {
+			known, truth := tableAt(readAt), tableAt(now)
+			inForce, leased := truth.InForce(now), now < readAt+lease
+			got := known.CandidateVersions(now, leased, true, config)
 			if !slices.Contains(got, inForce) || leased && len(got) != 1 {
-				return fmt.Sprintf("%d holds, %v stand; read at %d, now %d, %+v", inForce, got, readAt, at, history)
+				return fmt.Sprintf("%d is in force, candidates %v; read at %d, now %d, %+v", inForce, got, readAt, now, history)
 			}
 		}
 	}
@@ -75,11 +93,11 @@
 	})
 }
 
-// The same check finds an edge that is nearer than a lease.
+// The same check finds a switch that is nearer than a lease.
 func TestCandidateVersions_checkFindsSwitchWithinALease(t *testing.T) {
-	gen := rapid.Custom(func(t *rapid.T) string { return switchViolation(t, 15) })
+	generator := rapid.Custom(func(t *rapid.T) string { return switchViolation(t, 15) })
 	for runs := range 1000 {
-		if gen.Example(runs) != "" {
+		if generator.Example(runs) != "" {
 			t.Logf("found after %d runs", runs+1)
 			return
 		}
--- a/internal/countingrule/golden_test.go
+++ b/internal/countingrule/golden_test.go
@@ -7,13 +7,12 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
-	"github.com/pelletier/go-toml/v2"
-
 	"harrierhoist/policy"
+
+	"github.com/pelletier/go-toml/v2"
 )
 
 // The files under testdata were written by the program before its names were changed. What is stored, what goes between
@@ -35,10 +34,14 @@
 // everyRule has each form of a rule that a table can hold.
 func everyRule() []Rule {
 	return []Rule{
-		{Version: 1, Key: []string{"customer", "lane"}, Weights: []Weight{{Class: "pay", Permille: 3000}},
-			Limits: []Limit{{Plan: "small", Rate: 3, Burst: 12.5}}},
-		{Version: 2, Key: []string{"group"}, Groups: []Group{{Name: "one", Customers: []uint64{1, 2, math.MaxInt64}},
-			{Name: "two", Customers: []uint64{4}}}, Limits: []Limit{{Plan: "*", Rate: 5, Burst: 20}}},
+		{
+			Version: 1, Key: []string{"customer", "lane"}, Weights: []Weight{{Class: "pay", Permille: 3000}},
+			Limits: []Limit{{Plan: "small", Rate: 3, Burst: 12.5}},
+		},
+		{Version: 2, Key: []string{"group"}, Groups: []Group{
+			{Name: "one", Customers: []uint64{1, 2, math.MaxInt64}},
+			{Name: "two", Customers: []uint64{4}},
+		}, Limits: []Limit{{Plan: "*", Rate: 5, Burst: 20}}},
 		{Version: 1 << 40, Key: []string{"group", "plan", "customer"}, Mask: 0xff00ff},
 	}
 }
@@ -47,17 +50,28 @@
 func storedTables() map[string]Table {
 	return map[string]Table{
 		"table-empty.cbor": {},
-		"table-still.cbor": {Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: everyRule(), Refused: []uint64{3, 1 << 50},
-			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold"},
-		"table-canary.cbor": {Phase: PhaseCanary, From: 1, To: 2, Rules: everyRule()[:2], Seed: 0x9e3779b97f4a7c15,
+		"table-still.cbor": {
+			Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: everyRule(), Refused: []uint64{3, 1 << 50},
+			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold",
+		},
+		"table-canary.cbor": {
+			Phase: PhaseCanary, From: 1, To: 2, Rules: everyRule()[:2], Seed: 0x9e3779b97f4a7c15,
 			Since: 1_764_652_800_123_456_789, Reason: "as the file says", TrialState: []byte{0xa0, 1, 2, 3},
-			Canary: CanaryConfig{SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
-				DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500}},
-		"table-named.cbor": {Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: everyRule()[:1],
-			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells"},
-		"table-back.cbor": {Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second, Rules: everyRule()[2:],
+			Canary: CanaryConfig{
+				SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
+				RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
+				DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
+			},
+		},
+		"table-named.cbor": {
+			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: everyRule()[:1],
+			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
+		},
+		"table-back.cbor": {
+			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second, Rules: everyRule()[2:],
 			Refused: []uint64{1}, Since: 1_764_652_995 * time.Second,
-			Reason: "0.500 of the units are let in, 0.900 were foretold"},
+			Reason: "0.500 of the units are let in, 0.900 were foretold",
+		},
 	}
 }
 
@@ -107,14 +121,14 @@
 		fmt.Fprintf(&out, "for clients %q closed %v\n", plan.Name, plan.Retired)
 	}
 	for _, rule := range append([]Rule{{}}, rules...) {
-		fitted, err := Resolve(rule, settings)
+		resolved, err := Resolve(rule, settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, customer := range []uint64{0, 1, 2, 4, 0x123456789abcdef, math.MaxInt64} {
 			for class := range 2 {
 				for plan := range 3 {
-					c := fitted.Assign(customer, class, plan)
+					c := resolved.Assign(customer, class, plan)
 					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v", rule.Version, customer, class, plan,
 						c.Key, c.Plan, c.Weight, c.Shared)
 					if plan := &settings.Plans[c.Plan]; plan.Rate > 0 {
@@ -130,29 +144,30 @@
 	golden(t, "names.txt", out.Bytes())
 }
 
-// The second desk's answers, bit by bit: what it holds, lets pass and gives back.
+// What is reserved, admitted and settled, bit by bit.
 func TestGolden_admission(t *testing.T) {
 	var out bytes.Buffer
 	plan := policy.Plan{Rate: 1.5, Burst: 8}
 	for _, gateways := range []int{0, 1, 4} {
-		a, total := NewAdmission(gateways), map[uint64]float64{}
+		admission, total := NewAdmission(gateways), map[uint64]float64{}
 		now := 1_764_652_800 * time.Second
 		for i := range 60 {
 			now += time.Duration(i*i%7) * 400 * time.Millisecond
 			c := Assignment{Version: 1, Key: uint64(i % 3), Weight: 1 + float64(i%2)/2}
-			reservation := a.Reserve(c, plan, float64(1+i%3), now)
+			reservation := admission.Reserve(c, plan, float64(1+i%3), now)
 			answered := i%5 != 4
 			if answered {
 				total[reservation.Name] += reservation.Units
 			}
-			admitted, previous := a.HandleCount(reservation, total[reservation.Name], answered)
-			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v", gateways, i, reservation.Name, reservation.TTL, reservation.Units, admitted)
+			admitted, previous := admission.HandleCount(reservation, total[reservation.Name], answered)
+			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v", gateways, i, reservation.Name, reservation.TTL,
+				reservation.Units, admitted)
 			if previous != nil {
 				deficit := reservation.Deficit(*previous, total[previous.Name])
 				fmt.Fprintf(&out, ", before %x from %d lacked %v", previous.Name, previous.Start, deficit)
 			}
 			used, added := reservation.Units*float64(i%4)/2, ChargeState(i%3)
-			correction := a.Settle(reservation, admitted, used, added)
+			correction := admission.Settle(reservation, admitted, used, added)
 			total[reservation.Name] += correction
 			fmt.Fprintf(&out, ", used %v, settled %v\n", used, correction)
 		}
@@ -172,8 +187,10 @@
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file); err != nil {
 		t.Fatal(err)
 	}
-	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
-		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53, DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500}}
+	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{
+		SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
+		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53, DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
+	}}
 	if !reflect.DeepEqual(file.Counting, want) {
 		t.Errorf("read %+v, want %+v", file.Counting, want)
 	}
@@ -186,105 +203,3 @@
 	}
 	golden(t, "rules-written.toml", written.Bytes())
 }
-
-// refusals are changes to the file of TestOperatorsFileIsRead, each with one fault or more.
-var refusals = []struct{ name, from, to string }{
-	{"try unknown", "try = 2", "try = 9"},
-	{"version twice", "version = 2", "version = 1"},
-	{"version nought", "version = 1\n", "version = 0\n"},
-	{"key unknown", `["customer", "lane"]`, `["customer", "hall"]`},
-	{"key twice", `["customer", "lane"]`, `["customer", "customer"]`},
-	{"key of no customer", `["customer", "lane"]`, `["lane"]`},
-	{"key empty", `["customer", "lane"]`, `[]`},
-	{"groups without group in the key", `["group"]`, `["customer"]`},
-	{"group in the key without groups", `["customer", "lane"]`, `["group"]`},
-	{"mask beside groups", "version = 2\n", "version = 2\nmask = 255\n"},
-	{"mask of few bits", "mask = 16711935", "mask = 15"},
-	{"group without a name", `name = "one"`, `name = ""`},
-	{"group's name twice", `name = "two"`, `name = "one"`},
-	{"group without customers", "customers = [4]", "customers = []"},
-	{"customer twice", "customers = [4]", "customers = [2]"},
-	{"weight's lane empty", `lane = "pay"`, `lane = ""`},
-	{"weight's lane twice", `{lane = "pay", thousandths = 3000}`,
-		`{lane = "pay", thousandths = 3000}, {lane = "pay", thousandths = 4000}`},
-	{"weight nought", "thousandths = 3000", "thousandths = 0"},
-	{"weight too large", "thousandths = 3000", "thousandths = 100001"},
-	{"limit's plan empty", `plan = "small"`, `plan = ""`},
-	{"limit's plan twice", `{plan = "small", rate = 3.0, burst = 12.5}`,
-		`{plan = "small", rate = 3.0, burst = 12.5}, {plan = "small", rate = 3.0, burst = 12.5}`},
-	{"rate nought", "rate = 3.0", "rate = 0.0"},
-	{"rate not a number", "rate = 3.0", "rate = nan"},
-	{"rate infinite", "rate = 3.0", "rate = inf"},
-	{"burst below nought", "burst = 12.5", "burst = -1.0"},
-	{"limit by plan where plans share a count", `plan = "*"`, `plan = "small"`},
-	{"sample low", "sample = 20", "sample = 0"},
-	{"sample high", "sample = 20", "sample = 81"},
-	{"calls low", "calls = 60", "calls = 59"},
-	{"calls nought", "calls = 60", "calls = 0"},
-	{"calls high", "calls = 60", "calls = 251"},
-	{"deadline low", "deadline_s = 600", "deadline_s = 119"},
-	{"deadline high", "deadline_s = 600", "deadline_s = 86401"},
-	{"wrong low", "wrong = 50", "wrong = 0"},
-	{"wrong high", "wrong = 50", "wrong = 201"},
-	{"rejected low", "rejected = 21", "rejected = 0"},
-	{"rejected high", "rejected = 21", "rejected = 501"},
-	{"let_in high", "let_in = 52", "let_in = 501"},
-	{"beyond high", "beyond = 53", "beyond = 501"},
-	{"leave high", "leave = 100", "leave = 501"},
-	{"watch_s low", "watch_s = 300", "watch_s = 0"},
-	{"watch_s high", "watch_s = 300", "watch_s = 86401"},
-	{"lead_ms high", "lead_ms = 1500", "lead_ms = 600001"},
-	{"several faults", "[counting.canary]\nsample = 20\ncalls = 60", "[counting.canary]\nsample = 0\ncalls = 300"},
-}
-
-// Each refusal stays as operators know it: one line with the key and what is allowed.
-func TestGolden_refusals(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "rules.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out bytes.Buffer
-	for _, c := range refusals {
-		changed := strings.Replace(string(text), c.from, c.to, 1)
-		if changed == string(text) {
-			t.Errorf("%s: %q is not in the file", c.name, c.from)
-		}
-		var file struct {
-			Counting Config `toml:"counting"`
-		}
-		if err := toml.Unmarshal([]byte(changed), &file); err != nil {
-			t.Errorf("%s: %v", c.name, err)
-		}
-		fmt.Fprintf(&out, "%s\n", c.name)
-		for _, fault := range file.Counting.Check() {
-			fmt.Fprintf(&out, "    %s\n", fault)
-		}
-	}
-	config := Config{Canary: CanaryConfig{}}
-	for i := range uint64(33) {
-		config.Rules = append(config.Rules, Rule{Version: i + 1, Key: []string{"customer"}})
-	}
-	many := Group{Name: "many"}
-	for customer := range uint64(10_001) {
-		many.Customers = append(many.Customers, customer)
-	}
-	config.Rules[0] = Rule{Version: 1, Key: []string{"group", "customer"}, Groups: []Group{many}}
-	fmt.Fprintf(&out, "too many rules and customers, no canary\n")
-	for _, fault := range config.Check() {
-		fmt.Fprintf(&out, "    %s\n", fault)
-	}
-	fmt.Fprintf(&out, "no rule and no canary\n")
-	for _, fault := range (&Config{}).Check() {
-		fmt.Fprintf(&out, "    %s\n", fault)
-	}
-	ceiling := testSettings()
-	ceiling.Plans[0].CeilingRate = 1
-	for _, settings := range []policy.Settings{testSettings(), ceiling} {
-		settings.Plans[1].MaxInFlight = 2
-		rule := everyRule()[1]
-		if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err != nil {
-			fmt.Fprintf(&out, "cannot hold\n    %s\n", err)
-		}
-	}
-	golden(t, "refusals.txt", out.Bytes())
-}
--- a/internal/countingrule/resolve.go
+++ b/internal/countingrule/resolve.go
@@ -3,77 +3,52 @@
 import (
 	"fmt"
 	"slices"
-	"strconv"
-	"strings"
-
-	"github.com/cespare/xxhash/v2"
 
 	"harrierhoist/policy"
+
+	"github.com/cespare/xxhash/v2"
 )
 
-// Assignment is the count that a task falls under.
+// noPlan stands for the rule's plan where the request's plan has no rate.
+const noPlan = -1
+
+// Assignment is the counter key that a request is charged to.
 type Assignment struct {
 	Version uint64  // of the rule
-	Key     uint64  // stands for the customer in the module, and so in the counter's names
-	Plan    int     // its number in the deployment that Plans gave
-	Weight  float64 // a unit counts this much
-	Shared  bool    // customers share it: tasks of it come through any gateway
+	Key     uint64  // stands for the customer in the decision module, and so in the counter's names
+	Plan    int     // index in the settings that WithRulePlans gave
+	Weight  float64 // what a unit counts
+	Shared  bool    // by several customers: its requests come through any gateway
 }
 
-// Resolved is a rule beside a deployment's lanes and plans.
+// Resolved is a rule resolved against the classes and plans of settings. It does not change, and may be used by several
+// goroutines at once.
 type Resolved struct {
 	Rule
-	classHashes, planHashes []uint64 // marks of the names, by number
+	classHashes, planHashes []uint64 // of the names, by index
 	classWeights            []float64
-	planIndexes             []int // of the rule's plan, by the number of the task's; -1: it has no rate, and stays under rule 0
+	planIndexes             []int // of the rule's plan by the index of the request's; noPlan stays under rule 0
 	groupHashes             map[uint64]uint64
-	usesPart                [4]bool // by parts
+	usesPart                [len(keyParts)]bool
 }
 
-const separator = "\x1f" // no name in settings holds it, so no client can ask for a rule's own plans
-
-func rulePlanName(version uint64, plan string) string {
-	return "rule" + separator + strconv.FormatUint(version, 10) + separator + plan
-}
-
-// WithRulePlans gives a deployment with the rules' own plans behind its plans. With rule 0 alone it is as it was.
-func WithRulePlans(settings policy.Settings, rules []Rule) policy.Settings {
-	planCount := len(settings.Plans)
-	settings.Plans = slices.Clone(settings.Plans)
-	for _, rule := range rules {
-		for _, plan := range settings.Plans[:planCount] {
-			if plan.Rate <= 0 || rule.Version == 0 {
-				continue
-			}
-			plan.Name = rulePlanName(rule.Version, plan.Name)
-			for _, limit := range rule.Limits {
-				if rulePlanName(rule.Version, limit.Plan) == plan.Name || limit.Plan == "*" && !slices.ContainsFunc(rule.Limits, func(other Limit) bool {
-					return rulePlanName(rule.Version, other.Plan) == plan.Name
-				}) {
-					plan.Rate, plan.Burst = limit.Rate, limit.Burst
-				}
-			}
-			settings.Plans = append(settings.Plans, plan)
-		}
-	}
-	return settings
+// SharedCountError tells that a rule cannot apply: its counts are shared by customers, and a plan limits each of them.
+type SharedCountError struct {
+	Version uint64 // of the rule
+	Plan    string // the plan's name
 }
 
-// ClientSettings gives a deployment as clients may know it: no client asks for a rule's own plan.
-func ClientSettings(settings policy.Settings) policy.Settings {
-	settings.Plans = slices.Clone(settings.Plans)
-	for i := range settings.Plans {
-		plan := &settings.Plans[i]
-		plan.Retired = plan.Retired || strings.HasPrefix(plan.Name, "rule"+separator)
-	}
-	return settings
+func (e *SharedCountError) Error() string {
+	return fmt.Sprintf("rule %d must have customer in its key: plan %q limits each customer's pushes out, or has a ceiling",
+		e.Version, e.Plan)
 }
 
-// Resolve lays a rule beside a deployment that Plans gave. An error tells why the rule cannot hold there.
+// Resolve resolves a rule against settings that WithRulePlans gave. Its error, a *SharedCountError, tells why the rule
+// cannot apply there.
 func Resolve(rule Rule, settings policy.Settings) (*Resolved, error) {
 	resolved := &Resolved{Rule: rule, groupHashes: map[uint64]uint64{}}
 	for i, part := range keyParts {
-		resolved.usesPart[i] = slices.Contains(rule.Key, part) || rule.Version == 0 && i == 0
+		resolved.usesPart[i] = slices.Contains(rule.Key, part) || rule.Version == 0 && part == partCustomer
 	}
 	for _, group := range rule.Groups {
 		for _, customer := range group.Customers {
@@ -81,57 +56,77 @@
 		}
 	}
 	for _, class := range settings.Classes {
-		weight := uint64(unitWeight)
-		for _, classWeight := range rule.Weights {
-			if classWeight.Class == class.Name {
-				weight = classWeight.Permille
-			}
-		}
-		resolved.classHashes, resolved.classWeights = append(resolved.classHashes, xxhash.Sum64String(class.Name)), append(resolved.classWeights, float64(weight)/unitWeight)
+		resolved.classHashes = append(resolved.classHashes, xxhash.Sum64String(class.Name))
+		resolved.classWeights = append(resolved.classWeights, rule.classWeight(class.Name))
 	}
 	for i, plan := range settings.Plans {
-		planIndex := i
+		index := i
 		if rule.Version > 0 {
-			planIndex = slices.IndexFunc(settings.Plans, func(candidate policy.Plan) bool { return candidate.Name == rulePlanName(rule.Version, plan.Name) })
+			index = indexOfPlan(settings.Plans, rulePlanName(rule.Version, plan.Name))
 		}
-		resolved.planHashes, resolved.planIndexes = append(resolved.planHashes, xxhash.Sum64String(plan.Name)), append(resolved.planIndexes, planIndex)
-		if planIndex >= 0 && !resolved.usesPart[0] && (plan.MaxInFlight > 0 || plan.CeilingRate > 0) && !plan.Retired {
-			return nil, fmt.Errorf("rule %d must have customer in its key: plan %q limits each customer's"+
-				" pushes out, or has a ceiling",
-				rule.Version, plan.Name)
+		resolved.planHashes = append(resolved.planHashes, xxhash.Sum64String(plan.Name))
+		resolved.planIndexes = append(resolved.planIndexes, index)
+		limitsCustomers := (plan.MaxInFlight > 0 || plan.CeilingRate > 0) && !plan.Retired
+		if index != noPlan && limitsCustomers && resolved.isShared() {
+			return nil, &SharedCountError{rule.Version, plan.Name}
 		}
 	}
 	return resolved, nil
 }
 
-// Assign gives the count of a task by its lane's and plan's number.
-func (resolved *Resolved) Assign(customer uint64, class, plan int) Assignment {
-	if resolved.Version == 0 || plan >= len(resolved.planIndexes) || resolved.planIndexes[plan] < 0 || class >= len(resolved.classHashes) {
+// indexOfPlan gives noPlan where no plan has the name.
+func indexOfPlan(plans []policy.Plan, name string) int {
+	return slices.IndexFunc(plans, func(plan policy.Plan) bool { return plan.Name == name })
+}
+
+// classWeight is what a unit of a class counts.
+func (r *Rule) classWeight(class string) float64 {
+	permille := uint64(unitWeight)
+	for _, weight := range r.Weights {
+		if weight.Class == class {
+			permille = weight.Permille
+		}
+	}
+	return float64(permille) / unitWeight
+}
+
+// isShared tells whether customers share the rule's counts.
+func (r *Resolved) isShared() bool { return !r.usesPart[0] }
+
+// Assign gives the counter key of a request by the indexes of its class and plan.
+func (r *Resolved) Assign(customer uint64, class, plan int) Assignment {
+	if r.Version == 0 || plan >= len(r.planIndexes) || r.planIndexes[plan] == noPlan || class >= len(r.classHashes) {
 		return Assignment{Key: customer, Plan: plan, Weight: 1}
 	}
-	words := []uint64{resolved.Version, 0, 0, 0, 0}
-	for i, word := range []uint64{customer, resolved.groupKey(customer), resolved.planHashes[plan], resolved.classHashes[class]} {
-		if resolved.usesPart[i] {
+	words := [1 + len(keyParts)]uint64{r.Version}
+	for i, word := range [len(keyParts)]uint64{customer, r.groupKey(customer), r.planHashes[plan], r.classHashes[class]} {
+		if r.usesPart[i] {
 			words[i+1] = word
 		}
 	}
-	return Assignment{resolved.Version, Hash(words...), resolved.planIndexes[plan], resolved.classWeights[class], !resolved.usesPart[0]}
+	return Assignment{
+		Version: r.Version,
+		Key:     Hash(words[:]...),
+		Plan:    r.planIndexes[plan],
+		Weight:  r.classWeights[class],
+		Shared:  r.isShared(),
+	}
 }
 
-// groupKey is the mark of a customer's group.
-func (resolved *Resolved) groupKey(customer uint64) uint64 {
-	if resolved.Mask != 0 {
-		return customer & resolved.Mask
+// groupKey is what a customer's group is hashed by.
+func (r *Resolved) groupKey(customer uint64) uint64 {
+	if r.Mask != 0 {
+		return customer & r.Mask
 	}
-	if group, ok := resolved.groupHashes[customer]; ok {
+	if group, ok := r.groupHashes[customer]; ok {
 		return group
 	}
-	return Hash(customer, 1) // of its own; a hash, so that it is no named group's
+	return Hash(customer, 1) // a group of its own; hashed, so that it is no listed group's
 }
 
 // Hash hashes words to one, the same at every process.
 func Hash(words ...uint64) uint64 {
-	var text [8 * 6]byte
+	var text [8 * 6]byte // room for the longest key without an allocation
 	buffer := text[:0]
 	for _, word := range words {
 		for i := range 8 {
--- /dev/null
+++ b/internal/countingrule/resolve_test.go
@@ -0,0 +1,120 @@
+package countingrule
+
+import (
+	"errors"
+	"slices"
+	"testing"
+	"time"
+
+	"harrierhoist/policy"
+
+	"pgregory.net/rapid"
+)
+
+func mustResolve(t testing.TB, rule Rule, settings policy.Settings) *Resolved {
+	t.Helper()
+	resolved, err := Resolve(rule, settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resolved
+}
+
+// Under rule 0 a request is what it was to the decision module, and so are the plans.
+func TestRuleZero_changesNothing(t *testing.T) {
+	settings := WithRulePlans(testSettings(), parseConfig(t, completeFile).Rules)
+	resolved := mustResolve(t, Rule{}, settings)
+	plans := testSettings().Plans
+	if !slices.Equal(settings.Plans[:3], plans) || !slices.Equal(WithRulePlans(testSettings(), nil).Plans, plans) {
+		t.Fatalf("plans %+v", settings.Plans)
+	}
+	clientPlans := ClientSettings(settings).Plans
+	if clientPlans[2].Retired || !clientPlans[3].Retired || settings.Plans[3].Retired {
+		t.Errorf("clients see %+v", clientPlans)
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		customer, plan := rapid.Uint64().Draw(t, "customer"), rapid.IntRange(0, 2).Draw(t, "plan")
+		if got := resolved.Assign(customer, 1, plan); got != (Assignment{Key: customer, Plan: plan, Weight: 1}) {
+			t.Fatalf("%+v", got)
+		}
+	})
+}
+
+// Requests that are alike in the parts of the rule's key share a count, and no others do.
+func TestAssign_keyFollowsTheRule(t *testing.T) {
+	rules := parseConfig(t, completeFile).Rules
+	settings := WithRulePlans(testSettings(), rules)
+	byClass, byGroup := mustResolve(t, rules[0], settings), mustResolve(t, rules[1], settings)
+	look, pay := byClass.Assign(7, 0, 0), byClass.Assign(7, 1, 0)
+	if look.Key == pay.Key || pay.Weight != 3 || look.Weight != 1 || settings.Plans[look.Plan].Rate != 3 {
+		t.Errorf("by class: %+v, %+v", look, pay)
+	}
+	if wide := byClass.Assign(7, 0, 1); settings.Plans[wide.Plan].Rate != 100 || wide.Plan == 1 {
+		t.Errorf("a plan that the rule does not name: %+v", wide)
+	}
+	if out := byClass.Assign(7, 0, 2); out != (Assignment{Key: 7, Plan: 2, Weight: 1}) {
+		t.Errorf("a plan without a rate: %+v", out)
+	}
+	first, second, alone := byGroup.Assign(1, 0, 0), byGroup.Assign(2, 1, 1), byGroup.Assign(9, 0, 0)
+	if first.Key != second.Key || first.Key == alone.Key || !first.Shared || settings.Plans[second.Plan].Burst != 20 ||
+		settings.Plans[alone.Plan].Burst != 20 {
+		t.Errorf("by group: %+v, %+v, %+v", first, second, alone)
+	}
+	unknown := Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}
+	if mustResolve(t, unknown, settings).Assign(0x1234, 0, 2).Key != 0x1234 {
+		t.Error("a rule that has no plan in the settings counts a request")
+	}
+}
+
+func TestResolve_errorNamesRuleAndPlan(t *testing.T) {
+	rule := Rule{Version: 4, Key: []string{"group"}, Mask: 0xff, Limits: []Limit{{"*", 1, 1}}}
+	settings := testSettings()
+	settings.Plans[1].MaxInFlight = 2
+	_, err := Resolve(rule, WithRulePlans(settings, []Rule{rule}))
+	var shared *SharedCountError
+	if !errors.As(err, &shared) || *shared != (SharedCountError{Version: 4, Plan: "wide"}) {
+		t.Errorf("%v, want an error about rule 4 and plan wide", err)
+	}
+}
+
+// countingHost is a host that keeps the counter's names.
+type countingHost struct{ countNames []uint64 }
+
+func (h *countingHost) Attempt(uint32, uint32, time.Duration) {}
+func (h *countingHost) Cancel(uint32, int)                    {}
+func (h *countingHost) Reject(uint32, time.Duration)          {}
+func (h *countingHost) Terminate(uint32)                      {}
+func (h *countingHost) Count(name uint64, _ time.Duration, _ float64) {
+	h.countNames = append(h.countNames, name)
+}
+func (h *countingHost) CheckHealth(uint32)             {}
+func (h *countingHost) SendPeer(int, []byte)           {}
+func (h *countingHost) WatchEndpoints()                {}
+func (h *countingHost) SetTimer(uint64, time.Duration) {}
+func (h *countingHost) CancelTimer(uint64)             {}
+func (h *countingHost) Log(string)                     {}
+
+// A key goes by the decision module's own names: else two processes would count it under two.
+func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		settings := testSettings()
+		settings.Plans[0].Rate = rapid.Float64Range(0.01, 1000).Draw(t, "rate")
+		settings.Plans[0].Burst = rapid.Float64Range(2, 5000).Draw(t, "burst")
+		customer := rapid.Uint64().Draw(t, "customer")
+		now := time.Duration(rapid.Int64Range(int64(time.Hour), int64(500_000*time.Hour)).Draw(t, "now"))
+		host := &countingHost{}
+		module, err := policy.New(settings, 1, host)
+		if err != nil {
+			t.Fatal(err)
+		}
+		module.HandleEndpoints(now, policy.ListFull, []policy.Endpoint{{Server: 1, State: policy.Ready}})
+		module.HandleRequest(now, policy.Request{
+			ID: 1, Customer: customer, GatewayCount: 1, Units: 1,
+			Deadline: now + 2*time.Second,
+		})
+		window := WindowAt(customer, &settings.Plans[0], now)
+		if !slices.Equal(host.countNames, []uint64{window.Name}) || now < window.Start {
+			t.Fatalf("names %v, window %+v", host.countNames, window)
+		}
+	})
+}
--- /dev/null
+++ b/internal/countingrule/table_test.go
@@ -0,0 +1,56 @@
+package countingrule
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestCandidateVersions_oneWhenCertainElseAll(t *testing.T) {
+	config := &Config{DesiredVersion: 5, Rules: []Rule{{Version: 4}, {Version: 5}}}
+	scheduled := Table{Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 100}
+	canary := Table{Phase: PhaseCanary, To: 5}
+	refused := Table{From: 4, To: 4, Refused: []uint64{5}}
+	rollback := Table{Phase: PhaseRollback, From: 1, To: 0, SwitchAt: 100, Refused: []uint64{4, 5}}
+	for _, test := range []struct {
+		name             string
+		table            Table
+		now              time.Duration
+		leased, received bool
+		want             []uint64
+	}{
+		{"before the switch", scheduled, 99, true, true, []uint64{0}},
+		{"at the switch", scheduled, 100, true, true, []uint64{1}},
+		{"no lease, but no switch is undone before its time", scheduled, 99, false, true, []uint64{0}},
+		{"no lease: undone, or followed by one of the file", scheduled, 100, false, true, []uint64{1, 0, 4, 5}},
+		{"canary without a lease", canary, 50, false, true, []uint64{0, 4, 5}},
+		{"canary", canary, 50, true, true, []uint64{0}},
+		{"restarted: any may be in force", Table{}, 50, false, false, []uint64{0, 4, 5}},
+		{"no lease: operators may go back", refused, 50, false, true, []uint64{4, 0}},
+		{"rolled back without a lease", rollback, 100, false, true, []uint64{0, 1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got := test.table.CandidateVersions(test.now, test.leased, test.received, config)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("%v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestTable_decodesAsEncoded(t *testing.T) {
+	table := Table{
+		Phase: PhaseScheduled, From: 1, To: 2, SwitchAt: time.Hour, Rules: parseConfig(t, completeFile).Rules,
+		Refused: []uint64{7}, TrialState: []byte{1},
+	}
+	decoded, err := Decode(table.Encode())
+	if err != nil || decoded.SwitchAt != table.SwitchAt || !decoded.Rules[1].Equal(table.Rules[1]) || decoded.Refused[0] != 7 {
+		t.Errorf("%+v, %v", decoded, err)
+	}
+	if rule, ok := decoded.Rule(0); !ok || rule.Version != 0 {
+		t.Error("rule 0 needs no entry")
+	}
+	if _, err := Decode([]byte("malformed")); err == nil {
+		t.Error("a malformed value was decoded")
+	}
+}
