--- a/internal/canary/controller_rapid_test.go
+++ b/internal/canary/controller_rapid_test.go
@@ -8,87 +8,139 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/countingrule"
+
+	"pgregory.net/rapid"
 )
 
-// newController is a decider of drawn terms; several of them, one after the other, lead.
-func newController(config *countingrule.Config, origin time.Duration) *Controller {
-	return &Controller{Config: func() *countingrule.Config { return config }, Lease: 2 * time.Second, ReadWait: time.Second, ClockOrigin: origin}
+// history draws what a controller is given: observations, new leaders and new files.
+type history struct {
+	config           *countingrule.Config
+	controller, twin *Controller // given the same events
+	now, since       time.Duration
+	entry            statemachine.Table
+	sums             map[string]uint64
+	harmUnits        uint64 // of a bucket's 1000, admitted by the old rule alone
+}
+
+func newHistory(t *rapid.T) *history {
+	config := configFor(scaledLimits(1))
+	second := scaledLimits(2)
+	second.Version = 2
+	config.Rules = append(config.Rules, second)
+	h := &history{config: config, now: time.Minute, sums: map[string]uint64{}}
+	h.lead(time.Hour)
+	h.drawHarm(t)
+	return h
 }
 
-// Whatever evidence comes, whoever leads and whatever the file says meanwhile: a step never changes at once what holds,
-// names no edge that some process may not hear of in time, takes nothing back before its edge, and tries nothing that
-// was refused. The same events give the same value.
+// lead begins the leadership of another process, with a clock of another origin.
+func (h *history) lead(origin time.Duration) {
+	h.controller, h.twin = newController(h.config, origin), newController(h.config, origin)
+}
+
+func (h *history) drawHarm(t *rapid.T) {
+	h.harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
+}
+
+// clock is the common clock.
+func (h *history) clock() time.Duration { return h.controller.ClockOrigin + h.now }
+
+// advance draws what comes next, beside the table as it stands.
+func (h *history) advance(t *rapid.T, table *countingrule.Table) {
+	h.now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
+	switch rapid.IntRange(0, 80).Draw(t, "what") {
+	case 0:
+		shift := time.Duration(rapid.IntRange(0, 100).Draw(t, "shift")) * time.Minute
+		h.lead(h.clock() - shift)
+		h.now, h.since, h.sums = shift, shift, map[string]uint64{}
+	case 1:
+		h.config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
+	}
+	if (table.Phase == countingrule.PhaseScheduled) == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
+		h.drawHarm(t)
+	}
+	fingerprint := Fingerprint(table.Seed)
+	for i := range Buckets {
+		h.sums[bucketName(fingerprint, i, nameRequested)] += 1000
+		h.sums[bucketName(fingerprint, i, nameOldOnly)] += h.harmUnits
+	}
+	for version := range uint64(3) {
+		prefix := fmt.Sprintf("canary\x1f%s\x1freal\x1f%d\x1f", fingerprint, version)
+		h.sums[prefix+nameRequested] += 300_000
+		h.sums[prefix+nameAdmitted] += 300_000 - 200*h.harmUnits
+	}
+}
+
+// decide has both controllers decide, which must agree, and gives the next table where there is one.
+func (h *history) decide(t *rapid.T) (next countingrule.Table, write bool) {
+	input := coordination.ControllerInput{
+		Sums: maps.Clone(h.sums), LeadingSince: h.since,
+		Table: func(string) statemachine.Table { return h.entry },
+	}
+	value, write := h.controller.Decide(h.now, input)
+	again, writeAgain := h.twin.Decide(h.now, input)
+	if write != writeAgain || !bytes.Equal(value, again) {
+		t.Fatal("the same events, another value")
+	}
+	if write {
+		h.entry = statemachine.Table{Epoch: h.entry.Epoch + 1, Value: value}
+	}
+	return decodeTable(t, value), write
+}
+
+func decodeTable(t *rapid.T, value []byte) countingrule.Table {
+	table, err := countingrule.Decode(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return table
+}
+
+// checkStep checks a step from one table to the next.
+func checkStep(t *rapid.T, previous, next *countingrule.Table, now time.Duration) {
+	if previous.InForce(now) != next.InForce(now) {
+		t.Fatalf("%d is in force, and at once %d: %+v to %+v", previous.InForce(now), next.InForce(now), previous, next)
+	}
+	if next.Phase >= countingrule.PhaseScheduled && next.SwitchAt != previous.SwitchAt {
+		if next.SwitchAt < now+4*time.Second {
+			t.Fatalf("a switch only %v ahead", next.SwitchAt-now)
+		}
+		if previous.Phase >= countingrule.PhaseScheduled && now < previous.SwitchAt {
+			t.Fatal("a switch is undone before its time")
+		}
+	}
+	if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.Refused, next.To) {
+		t.Fatalf("%d was refused, and is tried again", next.To)
+	}
+}
+
+// Whatever is observed, whoever leads and whatever the file says meanwhile: a step never changes at once which version is
+// in force, schedules no switch that some process may not hear of in time, undoes none before its time, and tries nothing
+// that was refused. The same events give the same value.
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		config := &countingrule.Config{DesiredVersion: 1, Rules: []countingrule.Rule{scaledLimits(1), scaledLimits(2)}, Canary: canaryConfig()}
-		config.Rules[1].Version = 2
-		c, twin := newController(config, time.Hour), newController(config, time.Hour)
-		now, since, entry, sums := time.Minute, time.Duration(0), statemachine.Table{}, map[string]uint64{}
-		harmUnits := rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
+		h := newHistory(t)
 		for range rapid.IntRange(60, 150).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
-			previous, err := countingrule.Decode(entry.Value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			switch rapid.IntRange(0, 80).Draw(t, "what") {
-			case 0: // another leads, by another monotonic clock
-				shift := time.Duration(rapid.IntRange(0, 100).Draw(t, "shift")) * time.Minute
-				c, twin = newController(config, c.ClockOrigin+now-shift), newController(config, c.ClockOrigin+now-shift)
-				now, since, sums = shift, shift, map[string]uint64{}
-			case 1:
-				config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
-			}
-			if (previous.Phase == countingrule.PhaseScheduled) == (harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
-				harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
-			}
-			for i := range Buckets {
-				sums[bucketName(Fingerprint(previous.Seed), i, nameRequested)] += 1000
-				sums[bucketName(Fingerprint(previous.Seed), i, nameOldOnly)] += harmUnits
-			}
-			for v := range uint64(3) {
-				prefix := fmt.Sprintf("canary\x1f%s\x1freal\x1f%d\x1f", Fingerprint(previous.Seed), v)
-				sums[prefix+nameRequested] += 300_000
-				sums[prefix+nameAdmitted] += 300_000 - 200*harmUnits
-			}
-			seen := coordination.ControllerInput{Sums: maps.Clone(sums), LeadingSince: since, Table: func(string) statemachine.Table { return entry }}
-			value, write := c.Decide(now, seen)
-			encodedAgain, writeAgain := twin.Decide(now, seen)
-			if write != writeAgain || !bytes.Equal(value, encodedAgain) {
-				t.Fatal("the same events, another value")
-			}
+			previous := decodeTable(t, h.entry.Value)
+			h.advance(t, &previous)
+			next, write := h.decide(t)
 			if !write {
 				continue
 			}
-			next, _ := countingrule.Decode(value)
-			at := c.ClockOrigin + now
-			if previous.InForce(at) != next.InForce(at) {
-				t.Fatalf("%d holds, and at once %d: %+v to %+v", previous.InForce(at), next.InForce(at), previous, next)
-			}
-			if moved := next.Phase >= countingrule.PhaseScheduled && next.SwitchAt != previous.SwitchAt; moved && next.SwitchAt < at+4*time.Second {
-				t.Fatalf("edge %v only ahead", next.SwitchAt-at)
-			} else if moved && previous.Phase >= countingrule.PhaseScheduled && at < previous.SwitchAt {
-				t.Fatal("taken back before its edge")
-			}
-			if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.Refused, next.To) {
-				t.Fatalf("%d was refused, and is tried again", next.To)
-			}
+			checkStep(t, &previous, &next, h.clock())
 			if next.Phase == countingrule.PhaseScheduled && previous.Phase == countingrule.PhaseCanary {
 				activated++
 			}
 			if next.Phase == countingrule.PhaseRollback && len(next.Refused) > len(previous.Refused) {
 				rolledBack++
 			}
-			entry = statemachine.Table{Epoch: entry.Epoch + 1, Value: value}
 		}
 	})
-	t.Logf("%d activations, %d undone", activated, rolledBack)
+	t.Logf("%d activations, %d rolled back", activated, rolledBack)
 	if activated == 0 {
 		t.Error("nothing was ever activated")
 	}
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// recorder hashes numbers, by their bits, and words.
+// recorder hashes numbers, by their bits, and words. Writing to a hash never fails.
 type recorder struct{ hash.Hash }
 
 func newRecorder() recorder { return recorder{sha256.New()} }
@@ -46,9 +46,9 @@
 	for _, v := range values {
 		switch v := v.(type) {
 		case string:
-			fmt.Fprintf(r, "%d:%s;", len(v), v)
+			_, _ = fmt.Fprintf(r, "%d:%s;", len(v), v)
 		case []byte:
-			fmt.Fprintf(r, "%d:%s;", len(v), v)
+			_, _ = fmt.Fprintf(r, "%d:%s;", len(v), v)
 		case float64:
 			_ = binary.Write(r, binary.BigEndian, math.Float64bits(v))
 		default:
@@ -59,8 +59,8 @@
 
 func (r recorder) sum() string { return hex.EncodeToString(r.Sum(nil)) }
 
-// observations gives plays' observations by name.
-func observations(shadows ...*Shadow) map[string]uint64 {
+// reported gives shadow evaluations' observations by name.
+func reported(shadows ...*Shadow) map[string]uint64 {
 	accumulated := map[string]uint64{}
 	for _, shadow := range shadows {
 		shadow.Report(func(name string, n uint64) { accumulated[name] += n })
@@ -75,8 +75,10 @@
 }
 
 func TestGolden_storedTrialState(t *testing.T) {
-	full := TrialState{NextBucket: 17, Sums: map[string]uint64{"both": 12, "real\x1f1\x1fasked": 1 << 40}, Forecast: 0.9125,
-		Observed: 0.875, Checks: 3, Deviations: 1, RequestedUnits: 200_000, AdmittedUnits: 175_000}
+	full := TrialState{
+		NextBucket: 17, Sums: map[string]uint64{"both": 12, "real\x1f1\x1fasked": 1 << 40}, Forecast: 0.9125,
+		Observed: 0.875, Checks: 3, Deviations: 1, RequestedUnits: 200_000, AdmittedUnits: 175_000,
+	}
 	for i := range full.Tests {
 		for n := range 5 {
 			full.Tests[i].Add(float64(n*i)/40, 0.05)
@@ -100,8 +102,8 @@
 	}
 }
 
-// driveShadow plays tasks that a seed draws under two rules, with answers that come late or not at all, a budget that runs
-// dry at times, and other weights of classes midway. It hashes each call and, from time to time, the observations.
+// driveShadow evaluates requests that a seed draws under two rules, with answers that come late or not at all, a budget
+// that is empty at times, and other weights of classes midway. It hashes each call and, from time to time, the observations.
 func driveShadow(t *testing.T, seed uint64, rule countingrule.Rule) (*Shadow, string) {
 	t.Helper()
 	rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}}
@@ -114,12 +116,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shadow, counts, recorder := NewShadow(sample, current, resolved, settings, seed, 250), counter{}, newRecorder()
+	shadow, counts, out := NewShadow(sample, current, resolved, settings, seed, 250), counter{}, newRecorder()
 	random, now := rand.New(rand.NewPCG(seed, 17)), 1_764_652_800*time.Second
 	var waiting []Call
 	send := func(calls []Call) {
 		for _, call := range calls {
-			recorder.add(call.Name, call.Units, int64(call.TTL), call.ID)
+			out.add(call.Name, call.Units, int64(call.TTL), call.ID)
 			waiting = append(waiting, call)
 		}
 	}
@@ -127,7 +129,7 @@
 		now += time.Duration(random.IntN(int(12 * time.Millisecond)))
 		shadow.AddBudget(uint64(random.IntN(12)))
 		customer, class := uint64(random.IntN(200)), random.IntN(2)
-		recorder.add(shadow.IsSampled(customer))
+		out.add(shadow.IsSampled(customer))
 		send(shadow.HandleRequest(now, Request{Customer: customer, Class: class, Units: float64(1 + random.IntN(3))}))
 		if shadow.IsSampled(customer) {
 			shadow.RecordActual(uint64(random.IntN(2)), 1.25, random.IntN(4) > 0)
@@ -140,15 +142,15 @@
 		}
 		send(shadow.Flush(now))
 		if i%1000 == 0 {
-			recorder.addCounts(observations(shadow))
+			out.addCounts(reported(shadow))
 		}
 		if i == 10_000 {
 			settings.Classes[1].Weight = 3
 			shadow.Reconfigure(current, resolved, settings)
 		}
 	}
-	recorder.addCounts(observations(shadow))
-	return shadow, recorder.sum()
+	out.addCounts(reported(shadow))
+	return shadow, out.sum()
 }
 
 func TestGolden_shadow(t *testing.T) {
@@ -166,15 +168,17 @@
 func TestGolden_observationNames(t *testing.T) {
 	merging, _ := driveShadow(t, 3, pairedCustomers(1))
 	splitting, _ := driveShadow(t, 4, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"}})
-	counts := observations(merging, splitting)
+	counts := reported(merging, splitting)
 	var out bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&out, "%s %d\n", strings.ReplaceAll(name, "\x1f", "/"), counts[name])
 	}
-	for _, kind := range []string{"3/old", "3/new", "3/both", "3/neither", "3/blind", "3/tasks", "3/merged", "4/split",
+	for _, kind := range []string{
+		"3/old", "3/new", "3/both", "3/neither", "3/blind", "3/tasks", "3/merged", "4/split",
 		"3/calls", "3/real/0/asked", "3/real/1/in", "3/lane/look/small/both", "3/lane/pay/small/gain-neither",
 		"3/lane/pay/small/gain-old", "3/lane/look/small/gain-new", "3/cell/14/asked", "3/cell/14/old", "3/cell/14/new",
-		"3/cell/14/beyond"} {
+		"3/cell/14/beyond",
+	} {
 		if name := "canary\x1f" + strings.ReplaceAll(kind, "/", "\x1f"); counts[name] == 0 {
 			t.Errorf("no observation named %q", name)
 		}
@@ -184,74 +188,3 @@
 	}
 	golden(t, "observations.txt", out.Bytes())
 }
-
-// record hashes all that a world's decider writes, and what its processes saw.
-func (s *simulation) record(until time.Duration) string {
-	recorder, epoch := newRecorder(), uint64(0)
-	s.advance(until, func() bool {
-		if s.table.Epoch != epoch {
-			epoch = s.table.Epoch
-			recorder.add(int64(s.now), epoch, s.table.Value)
-		}
-		return false
-	})
-	recorder.addCounts(s.sums())
-	return recorder.sum()
-}
-
-// Each value that a decider writes over a trial, from its start to what follows it, and each process's observations.
-func TestGolden_trials(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		rule countingrule.Rule
-		seed uint64
-		want string
-	}{
-		{"5% more", scaledLimits(1.05), 1,
-			"43a602e446e865c281aa34d4a59a1c316dc7735194a7b23e7b3828757fcb0539"},
-		{"5% more", scaledLimits(1.05), 2,
-			"489dc4d099266e0af10d50aa36dea2f2be7bec9541813a8ba01a8dcb55e7e73a"},
-		{"half", scaledLimits(0.5), 1,
-			"979cfd599aefffed8475cda7878640d9ffefc016221a04299384c6d32258f333"},
-		{"half", scaledLimits(0.5), 2,
-			"02883c2d7475ce002750d0ffaf82bc40d8817216a5c9a26f350f370ccd6de48f"},
-		{"pairs", pairedCustomers(1), 1,
-			"3a0c0fe01676d0adfb6a6c9c69411dd9d9a59bbac9e64ae61f0dfaf748f55504"},
-		{"pairs", pairedCustomers(1), 2,
-			"a1e66b0588a91991636bfc620647bc0cefbf3a08f74f1e5178d1ea531fc4e1a4"},
-	} {
-		s := newSimulation(c.rule, c.seed)
-		if got := s.record(s.now + 240*time.Second); got != c.want {
-			t.Errorf("%s, seed %d: %s, want %s; %s", c.name, c.seed, got, c.want, s.tableValue().Reason)
-		}
-	}
-	s := newSimulation(scaledLimits(1.05), 1)
-	s.failureRate = 0.33
-	const want = "a2445a262503f2213471dc41953facbddf3c5ca6777c58a99226d1f13b2a2b42"
-	if got := s.record(s.now + 240*time.Second); got != want {
-		t.Errorf("undone: %s, want %s; %s", got, want, s.tableValue().Reason)
-	}
-}
-
-// The reasons that stand in the stored table are read by people and by tools of theirs.
-func TestGolden_refusalReasons(t *testing.T) {
-	group := func(version, mask uint64, groups ...countingrule.Group) countingrule.Rule {
-		return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
-	}
-	one := countingrule.Group{Name: "one", Customers: []uint64{1, 2}}
-	for _, c := range []struct {
-		old, next countingrule.Rule
-		want      string
-	}{
-		{group(1, 0xff00), group(2, 0x00ff),
-			"the masks of both rules have fewer than 5 bits in common: too much hangs together to sample"},
-		{group(1, 0xff00), group(2, 0, one),
-			"one rule's groups are listed and the other's made by a mask: what hangs together cannot be told"},
-	} {
-		config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{c.old, c.next}, Canary: canaryConfig()}
-		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{c.old}})
-		if !ok || table.Reason != c.want {
-			t.Errorf("%v, %q, want %q", ok, table.Reason, c.want)
-		}
-	}
-}
--- /dev/null
+++ b/internal/canary/golden_trials_test.go
@@ -0,0 +1,95 @@
+package canary
+
+import (
+	"testing"
+	"time"
+
+	"harrierhoist/internal/countingrule"
+)
+
+// record hashes all that a simulation's controller writes, and what its processes observed.
+func (s *simulation) record(until time.Duration) string {
+	out, epoch := newRecorder(), uint64(0)
+	s.advance(until, func() bool {
+		if s.table.Epoch != epoch {
+			epoch = s.table.Epoch
+			out.add(int64(s.now), epoch, s.table.Value)
+		}
+		return false
+	})
+	out.addCounts(s.sums())
+	return out.sum()
+}
+
+// Each value that a controller writes over a trial, from its start to what follows it, and each process's observations.
+func TestGolden_trials(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		rule countingrule.Rule
+		seed uint64
+		want string
+	}{
+		{
+			"5% more", scaledLimits(1.05), 1,
+			"43a602e446e865c281aa34d4a59a1c316dc7735194a7b23e7b3828757fcb0539",
+		},
+		{
+			"5% more", scaledLimits(1.05), 2,
+			"489dc4d099266e0af10d50aa36dea2f2be7bec9541813a8ba01a8dcb55e7e73a",
+		},
+		{
+			"half", scaledLimits(0.5), 1,
+			"979cfd599aefffed8475cda7878640d9ffefc016221a04299384c6d32258f333",
+		},
+		{
+			"half", scaledLimits(0.5), 2,
+			"02883c2d7475ce002750d0ffaf82bc40d8817216a5c9a26f350f370ccd6de48f",
+		},
+		{
+			"pairs", pairedCustomers(1), 1,
+			"3a0c0fe01676d0adfb6a6c9c69411dd9d9a59bbac9e64ae61f0dfaf748f55504",
+		},
+		{
+			"pairs", pairedCustomers(1), 2,
+			"a1e66b0588a91991636bfc620647bc0cefbf3a08f74f1e5178d1ea531fc4e1a4",
+		},
+	} {
+		s := newSimulation(test.rule, test.seed)
+		if got := s.record(s.now + 240*time.Second); got != test.want {
+			t.Errorf("%s, seed %d: %s, want %s; %s", test.name, test.seed, got, test.want, s.tableValue().Reason)
+		}
+	}
+	s := newSimulation(scaledLimits(1.05), 1)
+	s.failureRate = 0.33
+	const want = "a2445a262503f2213471dc41953facbddf3c5ca6777c58a99226d1f13b2a2b42"
+	if got := s.record(s.now + 240*time.Second); got != want {
+		t.Errorf("undone: %s, want %s; %s", got, want, s.tableValue().Reason)
+	}
+}
+
+// The reasons that stand in the stored table are read by people and by tools of theirs.
+func TestGolden_refusalReasons(t *testing.T) {
+	group := func(version, mask uint64, groups ...countingrule.Group) countingrule.Rule {
+		return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
+	}
+	one := countingrule.Group{Name: "one", Customers: []uint64{1, 2}}
+	for _, test := range []struct {
+		old, next countingrule.Rule
+		want      string
+	}{
+		{
+			group(1, 0xff00), group(2, 0x00ff),
+			"the masks of both rules have fewer than 5 bits in common: too much hangs together to sample",
+		},
+		{
+			group(1, 0xff00), group(2, 0, one),
+			"one rule's groups are listed and the other's made by a mask: what hangs together cannot be told",
+		},
+	} {
+		config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{test.old, test.next}, Canary: canaryConfig()}
+		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{test.old}})
+		if !ok || table.Reason != test.want {
+			t.Errorf("%v, %q, want %q", ok, table.Reason, test.want)
+		}
+	}
+}
--- a/internal/canary/observations.go
+++ b/internal/canary/observations.go
@@ -7,49 +7,59 @@
 	"harrierhoist/policy"
 )
 
-// The names of what a process counts, behind "canary" and the canary's mark. Units and gain are in thousandths.
+// The names of observations, behind nameCanary and the canary's fingerprint. They go between processes, and the leader
+// matches them: they never change. Units and weights are in thousandths.
 const (
-	nameRequested  = "asked"   // units asked
-	nameOldOnly    = "old"     // let in by the old rule alone
+	nameCanary     = "canary"
+	nameRequested  = "asked"   // units requested
+	nameOldOnly    = "old"     // admitted by the old rule alone
 	nameNewOnly    = "new"     // by the new rule alone
 	nameBoth       = "both"    // by both
 	nameNeither    = "neither" // by neither
-	nameOverLimit  = "beyond"  // let in by the new rule beyond its limit
-	nameEstimated  = "blind"   // tasks played without a total
+	nameOverLimit  = "beyond"  // admitted by the new rule beyond its limit
+	nameEstimated  = "blind"   // requests decided without a count
 	nameRequests   = "tasks"
-	nameMergedKeys = "merged" // keys of the new rule in which several of the old came together, as this process saw
-	nameSplitKeys  = "split"  // keys of the old rule that fell into several of the new
+	nameMergedKeys = "merged" // keys of the new rule that joined several of the old, as this process saw
+	nameSplitKeys  = "split"  // keys of the old rule that were split into several of the new
 	nameCalls      = "calls"
-	nameActual     = "real"  // units of the sample's tasks by the version that they were taken under
-	nameAdmitted   = "in"    // and how many of them were pushed
-	nameBucket     = "cell"  // by cell
-	nameClass      = "lane"  // by lane and plan
-	prefixWeighted = "gain-" // before the four fates: gain in place of units
-	maxTrackedKeys = 20_000  // keys whose merging is followed
+	nameActual     = "real"  // units of the sample's requests by the version that they were admitted under
+	nameAdmitted   = "in"    // and how many of them were forwarded
+	nameBucket     = "cell"  // by bucket
+	nameClass      = "lane"  // by class and plan
+	prefixWeighted = "gain-" // before the four outcomes: priority weight in place of units
 )
 
-// Observations are what one process saw of a canary. They only grow.
-type Observations struct {
-	salt                  uint64
+// maxTrackedKeys is how many keys are followed to see which merge and which are split.
+const maxTrackedKeys = 20_000
+
+// severalKeys stands for a key that met several keys of the other rule.
+const severalKeys = 0
+
+// observations are what one process counted of a canary. The counts only grow.
+type observations struct {
 	fingerprint           string
-	Calls                 uint64
+	calls                 uint64
 	counts                map[string]uint64
 	buckets               [Buckets]bucketUnits
-	mergedFrom, splitInto map[uint64]uint64 // the first key met on the other side; 0: several
-	classNames, planNames []string          // names by number
+	mergedFrom, splitInto map[uint64]uint64 // the first key met under the other rule, or severalKeys
+	classNames, planNames []string          // by index
 	classWeights          []float64
 }
 
-// bucketUnits are a cell's units in thousandths.
+// bucketUnits are a bucket's units in thousandths.
 type bucketUnits struct{ requested, oldOnly, newOnly, overLimit uint64 }
 
-func newObservations(salt uint64) *Observations {
-	return &Observations{salt: salt, fingerprint: Fingerprint(salt), counts: map[string]uint64{}, mergedFrom: map[uint64]uint64{},
-		splitInto: map[uint64]uint64{}}
+func newObservations(fingerprint string) *observations {
+	return &observations{
+		fingerprint: fingerprint,
+		counts:      map[string]uint64{},
+		mergedFrom:  map[uint64]uint64{},
+		splitInto:   map[uint64]uint64{},
+	}
 }
 
-// setNames takes the names of lanes and plans by number.
-func (o *Observations) setNames(settings policy.Settings) {
+// setNames takes the names of classes and plans by their indexes.
+func (o *observations) setNames(settings policy.Settings) {
 	o.classNames, o.classWeights, o.planNames = nil, nil, nil
 	for _, class := range settings.Classes {
 		o.classNames, o.classWeights = append(o.classNames, class.Name), append(o.classWeights, class.Weight)
@@ -59,46 +69,47 @@
 	}
 }
 
-// Fingerprint is a canary's mark in the names of its evidence.
-func Fingerprint(salt uint64) string { return strconv.FormatUint(salt, 36) }
+// Fingerprint is a canary's part of the names of its observations.
+func Fingerprint(seed uint64) string { return strconv.FormatUint(seed, 36) }
 
 func thousandths(v float64) uint64 { return uint64(max(v, 0)*1000 + 0.5) }
 
-// record counts a task that both sides have spoken on.
-func (o *Observations) record(bucket int, shadowed *shadowRequest) {
-	units, inBucket := thousandths(shadowed.request.Units), &o.buckets[bucket]
+// record counts a request that both sides have decided.
+func (o *observations) record(bucket int, shadowed *shadowRequest) {
+	request, inBucket := &shadowed.request, &o.buckets[bucket]
+	units := thousandths(request.Units)
 	o.counts[nameRequests]++
 	inBucket.requested += units
 	inBucket.overLimit += thousandths(shadowed.overLimit)
 	outcome := nameNeither
 	switch {
-	case shadowed.admitted[0] && shadowed.admitted[1]:
+	case shadowed.admitted[oldSide] && shadowed.admitted[newSide]:
 		outcome = nameBoth
-	case shadowed.admitted[0]:
+	case shadowed.admitted[oldSide]:
 		outcome = nameOldOnly
 		inBucket.oldOnly += units
-	case shadowed.admitted[1]:
+	case shadowed.admitted[newSide]:
 		outcome = nameNewOnly
 		inBucket.newOnly += units
 	}
-	prefix := observation.JoinName(nameClass, o.classNames[shadowed.request.Class], o.planNames[shadowed.request.Plan])
+	prefix := observation.JoinName(nameClass, o.classNames[request.Class], o.planNames[request.Plan])
 	o.counts[observation.JoinName(prefix, outcome)] += units
-	o.counts[observation.JoinName(prefix, prefixWeighted+outcome)] += thousandths(o.classWeights[shadowed.request.Class])
+	o.counts[observation.JoinName(prefix, prefixWeighted+outcome)] += thousandths(o.classWeights[request.Class])
 	o.counts[outcome] += units
 	if shadowed.estimated {
 		o.counts[nameEstimated]++
 	}
 }
 
-// trackKeys follows which keys came together and which fell apart.
-func (o *Observations) trackKeys(old, next uint64) {
+// trackKeys counts the keys that the new rule merges and splits.
+func (o *observations) trackKeys(old, next uint64) {
 	track := func(others map[uint64]uint64, key, other uint64, name string) {
 		known, ok := others[key]
 		switch {
 		case !ok && len(others) < maxTrackedKeys:
 			others[key] = other
-		case ok && known != 0 && known != other:
-			others[key] = 0
+		case ok && known != severalKeys && known != other:
+			others[key] = severalKeys
 			o.counts[name]++
 		}
 	}
@@ -106,8 +117,8 @@
 	track(o.splitInto, old, next, nameSplitKeys)
 }
 
-// RecordActual counts a task of the sample as it went: taken under a version, pushed or not.
-func (o *Observations) RecordActual(version uint64, units float64, forwarded bool) {
+// recordActual counts the actual outcome of a sampled request.
+func (o *observations) recordActual(version uint64, units float64, forwarded bool) {
 	prefix := observation.JoinName(nameActual, strconv.FormatUint(version, 10))
 	o.counts[observation.JoinName(prefix, nameRequested)] += thousandths(units)
 	if forwarded {
@@ -115,24 +126,32 @@
 	}
 }
 
-// Report gives the counts as evidence.
-func (o *Observations) Report(add func(name string, n uint64)) {
+// report gives each observation by its full name.
+func (o *observations) report(add func(name string, n uint64)) {
 	for name, n := range o.counts {
-		add(observation.JoinName("canary", o.fingerprint, name), n)
+		add(observation.JoinName(nameCanary, o.fingerprint, name), n)
 	}
-	add(observation.JoinName("canary", o.fingerprint, nameCalls), o.Calls)
+	add(observation.JoinName(nameCanary, o.fingerprint, nameCalls), o.calls)
 	for i, inBucket := range o.buckets {
 		if inBucket.requested == 0 {
 			continue
 		}
-		for name, n := range map[string]uint64{nameRequested: inBucket.requested, nameOldOnly: inBucket.oldOnly, nameNewOnly: inBucket.newOnly, nameOverLimit: inBucket.overLimit} {
-			if n > 0 {
-				add(bucketName(o.fingerprint, i, name), n)
+		for _, count := range []struct {
+			name  string
+			units uint64
+		}{
+			{nameRequested, inBucket.requested},
+			{nameOldOnly, inBucket.oldOnly},
+			{nameNewOnly, inBucket.newOnly},
+			{nameOverLimit, inBucket.overLimit},
+		} {
+			if count.units > 0 {
+				add(bucketName(o.fingerprint, i, count.name), count.units)
 			}
 		}
 	}
 }
 
-func bucketName(fingerprint string, bucket int, kind string) string {
-	return observation.JoinName("canary", fingerprint, nameBucket, strconv.Itoa(bucket), kind)
+func bucketName(fingerprint string, bucket int, name string) string {
+	return observation.JoinName(nameCanary, fingerprint, nameBucket, strconv.Itoa(bucket), name)
 }
--- a/internal/canary/sample.go
+++ b/internal/canary/sample.go
@@ -1,6 +1,6 @@
-// Package canary plays a new counting rule beside the old one on a sample of whole keys and judges it: which keys are
-// in, what either rule would have let in by counts of its own at the counter, and a verdict that holds whenever it is
-// looked at. It touches no task and is free of I/O and clocks.
+// Package canary evaluates a new counting rule beside the one in force, on a sample of whole keys, and judges it: which
+// keys are in the sample, what either rule would have admitted by counts of its own at the counter, and a verdict that
+// holds whenever it is examined. It changes no request's decision and is free of I/O and clocks.
 package canary
 
 import (
@@ -13,29 +13,39 @@
 	"harrierhoist/internal/countingrule"
 )
 
-// Buckets are the parts that the sampled keys fall into by hash; each is looked at once, one after the other. A bound of
-// 2% needs about 210 of them where nothing is out of order (docs/counting-rules.md).
+// Buckets are the parts that the sampled keys fall into by hash; each is tested once, one after the other. A bound of 2%
+// needs about 210 of them where nothing is wrong (docs/counting-rules.md).
 const Buckets = 256
 
-// Sample says which customers are played. A customer is in or out together with all that share a count with it under
-// either rule.
+// minSharedBits is how many bits two masks must have in common: with fewer, too few components can be drawn.
+const minSharedBits = 5
+
+// Why two rules cannot be sampled. The texts are stored in the table as the reason of a refusal.
+var (
+	ErrMixedGroups = errors.New("one rule's groups are listed and the other's made by a mask: what" +
+		" hangs together cannot be told")
+	ErrMasksApart = errors.New("the masks of both rules have fewer than 5 bits in common: too much hangs together to sample")
+)
+
+// Sample says which customers are sampled. Customers that share a count under either rule, or through others, are one
+// component: all of them are in the sample or none. A sample does not change and may be used by several goroutines.
 type Sample struct {
 	seed, threshold uint64
 	mask            uint64            // of the customer's number; all ones: by whole customers
-	parents         map[uint64]uint64 // of customers in listed groups: the least customer that they hang together with
+	parents         map[uint64]uint64 // of customers in listed groups: the least customer of their component
 }
 
-// NewSample makes the sample of two rules, of a share in thousandths. All processes with the same seed make the same.
-// An error tells that too much hangs together to take a part of it.
+// NewSample makes the sample of two rules: so many permille of the components. All processes with the same seed make the
+// same sample. Its error is ErrMixedGroups or ErrMasksApart: too much is connected to take a part of it.
 func NewSample(old, next countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{seed: seed, threshold: math.MaxUint64 / 1000 * permille, mask: math.MaxUint64, parents: map[uint64]uint64{}}
 	listed := false
 	for _, rule := range []countingrule.Rule{old, next} {
-		if rule.Version == 0 || slices.Contains(rule.Key, "customer") {
-			continue // each of its counts is one customer's
+		if rule.IsPerCustomer() {
+			continue
 		}
 		if rule.Mask != 0 {
-			sample.mask &= rule.Mask // customers that differ only outside of either mask hang together through others
+			sample.mask &= rule.Mask // customers that differ only outside of either mask are connected through others
 			continue
 		}
 		listed = true
@@ -46,11 +56,10 @@
 		}
 	}
 	if listed && sample.mask != math.MaxUint64 {
-		return nil, errors.New("one rule's groups are listed and the other's made by a mask: what" +
-			" hangs together cannot be told")
+		return nil, ErrMixedGroups
 	}
-	if bits.OnesCount64(sample.mask) < 5 {
-		return nil, errors.New("the masks of both rules have fewer than 5 bits in common: too much hangs together to sample")
+	if bits.OnesCount64(sample.mask) < minSharedBits {
+		return nil, ErrMasksApart
 	}
 	for _, customer := range slices.Sorted(maps.Keys(sample.parents)) {
 		sample.parents[customer] = sample.find(customer)
@@ -58,16 +67,17 @@
 	return sample, nil
 }
 
-// union and root are union and find: of two roots the lesser is kept, so that the order does not matter.
-func (sample *Sample) union(a, b uint64) {
-	a, b = sample.find(a), sample.find(b)
-	sample.parents[max(a, b)] = min(a, b)
-	sample.parents[min(a, b)] = min(a, b)
+// union connects two customers. Of two roots the lesser is kept, so that the order does not matter.
+func (s *Sample) union(a, b uint64) {
+	a, b = s.find(a), s.find(b)
+	s.parents[max(a, b)] = min(a, b)
+	s.parents[min(a, b)] = min(a, b)
 }
 
-func (sample *Sample) find(customer uint64) uint64 {
+// find gives the root of a customer's component.
+func (s *Sample) find(customer uint64) uint64 {
 	for {
-		parent, ok := sample.parents[customer]
+		parent, ok := s.parents[customer]
 		if !ok || parent == customer {
 			return customer
 		}
@@ -75,16 +85,16 @@
 	}
 }
 
-// ComponentKey is what a customer hangs together with: two customers that share a count under either rule have the same.
-func (sample *Sample) ComponentKey(customer uint64) uint64 {
-	if root, ok := sample.parents[customer]; ok {
+// ComponentKey is the same for two customers that share a count under either rule.
+func (s *Sample) ComponentKey(customer uint64) uint64 {
+	if root, ok := s.parents[customer]; ok {
 		return root
 	}
-	return customer & sample.mask
+	return customer & s.mask
 }
 
-// Bucket gives a customer's cell, and whether it is played at all.
-func (sample *Sample) Bucket(customer uint64) (bucket int, admitted bool) {
-	hash := countingrule.Hash(sample.seed, sample.ComponentKey(customer))
-	return int(countingrule.Hash(hash, 1) % Buckets), hash < sample.threshold
+// Bucket gives a customer's bucket, and whether it is sampled at all.
+func (s *Sample) Bucket(customer uint64) (bucket int, sampled bool) {
+	hash := countingrule.Hash(s.seed, s.ComponentKey(customer))
+	return int(countingrule.Hash(hash, 1) % Buckets), hash < s.threshold
 }
--- /dev/null
+++ b/internal/canary/sample_test.go
@@ -0,0 +1,160 @@
+package canary
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/policy"
+
+	"pgregory.net/rapid"
+)
+
+func testSettings() policy.Settings {
+	return policy.Settings{
+		Gateways: 4,
+		Classes:  []policy.TrafficClass{{Name: "look", Weight: 1}, {Name: "pay", Weight: 2}},
+		Plans:    []policy.Plan{{Name: "small", Rate: 2, Burst: 10}},
+	}
+}
+
+// resolve gives a rule resolved against settings with its plans, and these.
+func resolve(t testing.TB, rule countingrule.Rule) (*countingrule.Resolved, policy.Settings) {
+	t.Helper()
+	settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
+	resolved, err := countingrule.Resolve(rule, settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resolved, settings
+}
+
+func byMask(version, mask uint64) countingrule.Rule {
+	return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask}
+}
+
+// drawRule draws a rule of groups over few customers, so that the two rules' groups overlap.
+func drawRule(t *rapid.T, version uint64) countingrule.Rule {
+	rule := countingrule.Rule{
+		Version: version, Key: []string{"group"},
+		Limits: []countingrule.Limit{{Plan: "*", Rate: 1, Burst: 1}},
+	}
+	if rapid.Bool().Draw(t, "by customer") {
+		rule.Key = []string{"customer", "lane"}
+		return rule
+	}
+	next := uint64(1)
+	for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
+		group := countingrule.Group{Name: fmt.Sprint(i)}
+		for range rapid.IntRange(1, 4).Draw(t, "customers") {
+			next += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
+			group.Customers = append(group.Customers, next)
+		}
+		rule.Groups = append(rule.Groups, group)
+	}
+	return rule
+}
+
+// splitKey looks for a counter key, of either rule, of which some customers are sampled and some not, or are in two
+// buckets.
+func splitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
+	type placement struct {
+		bucket  int
+		sampled bool
+	}
+	old, next := drawRule(t, 1), drawRule(t, 2)
+	sample, err := NewSample(old, next, rapid.Uint64().Draw(t, "seed"), 300)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, rule := range []countingrule.Rule{old, next} {
+		resolved, err := countingrule.Resolve(rule, countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule}))
+		if err != nil {
+			t.Fatal(err)
+		}
+		first := map[uint64]placement{}
+		for customer := range uint64(100) {
+			bucket, sampled := bucketOf(sample, customer)
+			key := resolved.Assign(customer, 0, 0).Key
+			if known, ok := first[key]; ok && known != (placement{bucket, sampled}) {
+				return fmt.Sprintf("rule %d splits the key of customer %d", rule.Version, customer)
+			}
+			first[key] = placement{bucket, sampled}
+		}
+	}
+	return ""
+}
+
+func TestSample_splitsNoKey(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		if violation := splitKey(t, (*Sample).Bucket); violation != "" {
+			t.Fatal(violation)
+		}
+	})
+}
+
+// The same check finds a sample that goes by customers, and one that follows one rule's groups but no further.
+func TestSample_checkFindsASplitKey(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		broken func(*Sample, uint64) (int, bool)
+	}{
+		{"by customer", func(sample *Sample, customer uint64) (int, bool) {
+			hash := countingrule.Hash(sample.seed, customer)
+			return int(hash % Buckets), hash < sample.threshold
+		}},
+		{"one step only", func(sample *Sample, customer uint64) (int, bool) {
+			neighbours := *sample
+			neighbours.parents = map[uint64]uint64{}
+			if root := sample.parents[customer]; root != 0 && customer-root < 4 {
+				neighbours.parents[customer] = root
+			}
+			return neighbours.Bucket(customer)
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			generator := rapid.Custom(func(t *rapid.T) string { return splitKey(t, test.broken) })
+			for runs := range 200 {
+				if generator.Example(runs) != "" {
+					t.Logf("found after %d runs", runs+1)
+					return
+				}
+			}
+			t.Error("not found in 200 runs")
+		})
+	}
+}
+
+// Two masks connect what either leaves open; with few bits in common there is nothing to draw from.
+func TestSample_masksShareTheirCommonBits(t *testing.T) {
+	sample, err := NewSample(byMask(1, 0xfff0), byMask(2, 0xff0f), 3, 500)
+	if err != nil {
+		t.Fatal(err)
+	}
+	key := sample.ComponentKey(0x1234)
+	if key != sample.ComponentKey(0x12ff) || key == sample.ComponentKey(0x1334) {
+		t.Errorf("components by other bits than the masks share: %+v", sample)
+	}
+}
+
+func TestSample_refusals(t *testing.T) {
+	listed := countingrule.Rule{
+		Version: 2, Key: []string{"group"},
+		Groups: []countingrule.Group{{Name: "a", Customers: []uint64{1, 2}}},
+	}
+	for _, test := range []struct {
+		name string
+		next countingrule.Rule
+		want error
+	}{
+		{"all customers are one component", byMask(2, 0x00ff), ErrMasksApart},
+		{"a list beside a mask", listed, ErrMixedGroups},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := NewSample(byMask(1, 0xff00), test.next, 3, 500); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+		})
+	}
+}
--- a/internal/canary/shadow.go
+++ b/internal/canary/shadow.go
@@ -8,230 +8,182 @@
 )
 
 const (
-	maxBudget  = 64.0             // calls saved up a side: a burst of tasks, not an hour's
-	flushDelay = time.Second      // units let in that no later task of their key brings to the counter go alone
-	keyTTL     = 60 * time.Second // a key not seen so long has no window left at the counter
-	maxKeys    = 50_000           // keys a side that a process remembers; more are not played
+	maxBudget  = 64.0             // calls saved up a side: a burst of requests, not an hour's
+	flushDelay = time.Second      // after which units that no later request of their key added are added alone
+	keyTTL     = 60 * time.Second // a key not used so long has no window left at the counter
+	maxKeys    = 50_000           // a side that a process keeps; more are not evaluated
 )
 
-// Call is a call to the counter that a play asks for. Its answer goes to Told.
-type Call struct {
-	Name  uint64
-	Units float64
-	TTL   time.Duration
-	ID    uint64
-}
+// The sides of the shadow evaluation.
+const (
+	oldSide = iota
+	newSide
+	sideCount
+)
 
-// Shadow plays the old rule (side 0) and the new one (side 1) on the tasks of the sample, both by the same plain desk and
-// by counts of their own, so that what differs is the rules' doing. Not safe for use by several goroutines at once.
-type Shadow struct {
-	*Observations
-	sample      *Sample
-	sides       [2]side
-	plans       []policy.Plan
-	callShare   float64 // of a call that each call of the gateway earns
-	outstanding map[uint64]outstandingCall
-	lastID      uint64
-	sweptAt     time.Duration
+// Request is a request as the shadow evaluation sees it.
+type Request struct {
+	Customer    uint64
+	Class, Plan int // indexes in the settings
+	Units       float64
 }
 
+// Shadow evaluates the old rule and the new one on the sampled requests, both by the same plain admission and by counts
+// of their own, so that what differs is the rules' doing. Not safe for use by several goroutines at once.
+type Shadow struct {
+	observations *observations
+	sample       *Sample
+	seed         uint64 // of the canary: hashed into the keys, so that their names are no rule's
+	sides        [sideCount]side
+	plans        []policy.Plan
+	callShare    float64 // of a call that each call of the gateway earns
+	outstanding  map[uint64]outstandingCall
+	lastID       uint64
+	sweptAt      time.Duration
+}
+
+// side is one of the two rules with its keys.
 type side struct {
 	rule       *countingrule.Resolved
 	keys       map[uint64]*keyState
-	flushQueue []*keyState // with units that may have to go alone, in the order in which that was found
-	// budget is what this side may spend: each has half of the play's, so that neither sees less than the other.
+	flushQueue []*keyState // with units that may have to be added alone, in the order in which that was found
+	// budget is the calls that this side may make: each has half of the evaluation's, so that neither sees less than the
+	// other.
 	budget float64
 }
 
-// NewShadow begins a play. Salt is the canary's own: names made with it are no rule's. Calls is the share of the
-// gateway's calls that may be spent, in thousandths.
-func NewShadow(sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, salt, calls uint64) *Shadow {
-	shadow := &Shadow{Observations: newObservations(salt), sample: sample, callShare: float64(calls) / 1000, outstanding: map[uint64]outstandingCall{}}
-	shadow.sides[0].keys, shadow.sides[1].keys = map[uint64]*keyState{}, map[uint64]*keyState{}
-	shadow.Reconfigure(old, next, settings)
-	return shadow
+// shadowRequest is one request on both sides.
+type shadowRequest struct {
+	request   Request
+	pending   int // sides that await a count
+	admitted  [sideCount]bool
+	overLimit float64 // units admitted by the new rule beyond its limit
+	estimated bool    // a side was decided without a count
+}
+
+// NewShadow begins a shadow evaluation. The seed is the canary's own, callsPermille the share of the gateway's calls to
+// the counter that may be spent on it.
+func NewShadow(sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64) *Shadow {
+	s := &Shadow{
+		observations: newObservations(Fingerprint(seed)),
+		sample:       sample,
+		seed:         seed,
+		callShare:    float64(callsPermille) / 1000,
+		outstanding:  map[uint64]outstandingCall{},
+	}
+	for i := range s.sides {
+		s.sides[i].keys = map[uint64]*keyState{}
+	}
+	s.Reconfigure(old, next, settings)
+	return s
 }
 
-// Reconfigure goes on with the same rules beside other lanes and plans, which have kept their numbers.
-func (shadow *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
-	shadow.sides[0].rule, shadow.sides[1].rule, shadow.plans = old, next, settings.Plans
-	shadow.setNames(settings)
+// Reconfigure goes on with the same rules beside other classes and plans, which have kept their indexes.
+func (s *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
+	s.sides[oldSide].rule, s.sides[newSide].rule, s.plans = old, next, settings.Plans
+	s.observations.setNames(settings)
 }
 
-// AddBudget takes word of n calls that the gateway made for its tasks.
-func (shadow *Shadow) AddBudget(n uint64) {
-	for i := range shadow.sides {
-		shadow.sides[i].budget = min(shadow.sides[i].budget+shadow.callShare/2*float64(n), maxBudget)
+// AddBudget takes word of n calls that the gateway made for its requests.
+func (s *Shadow) AddBudget(n uint64) {
+	for i := range s.sides {
+		s.sides[i].budget = min(s.sides[i].budget+s.callShare/sideCount*float64(n), maxBudget)
 	}
 }
 
 // IsSampled tells whether a customer is in the sample.
-func (shadow *Shadow) IsSampled(customer uint64) bool {
-	_, admitted := shadow.sample.Bucket(customer)
-	return admitted
+func (s *Shadow) IsSampled(customer uint64) bool {
+	_, sampled := s.sample.Bucket(customer)
+	return sampled
 }
 
-// HandleRequest plays a task, if it is in the sample, and gives the calls to be made for it.
-func (shadow *Shadow) HandleRequest(now time.Duration, request Request) (calls []Call) {
-	if !shadow.IsSampled(request.Customer) || shadow.plans[request.Plan].Rate <= 0 {
+// Report gives what this process counted, by the names of the observations.
+func (s *Shadow) Report(add func(name string, n uint64)) { s.observations.report(add) }
+
+// RecordActual counts the actual outcome of a sampled request: the version that it was admitted under, its units, and
+// whether it was forwarded.
+func (s *Shadow) RecordActual(version uint64, units float64, forwarded bool) {
+	s.observations.recordActual(version, units, forwarded)
+}
+
+// CallCount is how many calls to the counter the evaluation has made.
+func (s *Shadow) CallCount() uint64 { return s.observations.calls }
+
+// HandleRequest evaluates a request, if it is in the sample, and gives the calls to be made for it.
+func (s *Shadow) HandleRequest(now time.Duration, request Request) (calls []Call) {
+	if !s.IsSampled(request.Customer) || s.plans[request.Plan].Rate <= 0 {
 		return nil
 	}
-	var states [2]*keyState
-	var keys [2]uint64
-	for i := range shadow.sides {
-		assignment := shadow.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
+	var states [sideCount]*keyState
+	var keys [sideCount]uint64
+	for i := range s.sides {
+		assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
 		keys[i] = assignment.Key
-		if states[i] = shadow.openKey(i, assignment, now); states[i] == nil {
+		if states[i] = s.openKey(i, assignment, now); states[i] == nil {
 			return nil
 		}
 	}
-	shadow.trackKeys(keys[0], keys[1])
-	shadowed, estimated := &shadowRequest{request: request, pending: 2}, min(shadow.sides[0].budget, shadow.sides[1].budget) < 1 // both sides see a total, or neither
+	s.observations.trackKeys(keys[oldSide], keys[newSide])
+	// Both sides read a count, or neither does.
+	estimated := min(s.sides[oldSide].budget, s.sides[newSide].budget) < 1
+	shadowed := &shadowRequest{request: request, pending: sideCount, estimated: estimated}
 	for i, state := range states {
 		if estimated {
-			shadowed.estimated = true
-			shadow.decide(i, state, shadowed, now, state.estimate(now))
+			s.decide(i, state, shadowed, now, state.estimate(now))
 			continue
 		}
-		calls = append(calls, shadow.startCall(i, state, now, shadowed))
+		calls = append(calls, s.startCall(i, state, now, shadowed))
 	}
 	return calls
 }
 
-// openKey finds a key's book; nil where there are too many.
-func (shadow *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
-	keys := shadow.sides[i].keys
-	key := countingrule.Hash(shadow.salt, uint64(i), assignment.Version, assignment.Key)
+// openKey finds a key's state on a side; nil where the side has too many keys.
+func (s *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
+	keys := s.sides[i].keys
+	key := countingrule.Hash(s.seed, uint64(i), assignment.Version, assignment.Key)
 	state := keys[key]
 	if state == nil {
 		if len(keys) >= maxKeys {
 			return nil
 		}
-		plan := shadow.plans[assignment.Plan]
-		state = &keyState{key: key, plan: plan, window: countingrule.WindowAt(key, &plan, now), sampledAt: now, remaining: plan.Burst}
+		plan := s.plans[assignment.Plan]
+		window := countingrule.WindowAt(key, &plan, now)
+		state = &keyState{key: key, plan: plan, window: window, sampledAt: now, remaining: plan.Burst}
 		keys[key] = state
 	}
 	state.lastUsed = now
 	return state
 }
 
-// startCall brings a book's pending units to its count.
-func (shadow *Shadow) startCall(i int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
-	shadow.spend(i)
-	shadow.lastID++
-	window := countingrule.WindowAt(state.key, &state.plan, now)
-	shadow.outstanding[shadow.lastID] = outstandingCall{side: i, state: state, window: window, sentAt: now, units: state.pending, request: shadowed}
-	call := Call{window.Name, state.pending, window.TTL, shadow.lastID}
-	state.pending, state.flushAt = 0, 0
-	return call
-}
-
-func (shadow *Shadow) spend(side int) {
-	shadow.sides[side].budget--
-	shadow.Calls++
-}
-
-// scheduleFlush has a book's pending units go alone after a while.
-func (shadow *Shadow) scheduleFlush(i int, state *keyState, now time.Duration) {
-	if state.flushAt == 0 {
-		state.flushAt = now + flushDelay
-		shadow.sides[i].flushQueue = append(shadow.sides[i].flushQueue, state)
-	}
-}
-
-// HandleCount takes a call's answer; read is false where none came or the counter turned it away. It gives the calls that
-// follow: whoever finds a window untouched carries over what the one before lacked at its end, as the module does.
-func (shadow *Shadow) HandleCount(now time.Duration, id uint64, count float64, answered bool) (calls []Call) {
-	call, ok := shadow.outstanding[id]
-	if !ok {
-		return nil
-	}
-	delete(shadow.outstanding, id)
-	state := call.state
-	if call.readsPrevious {
-		if deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.sentAt, count); answered && deficit > 0 {
-			shadow.spend(call.side)
-			window := countingrule.WindowAt(state.key, &state.plan, now)
-			return []Call{{window.Name, deficit, window.TTL, 0}} // nobody waits for its answer
-		}
-		return nil
-	}
-	remaining := state.estimate(now)
-	if answered {
-		remaining = state.observe(call.window, call.sentAt, count)
-		shadow.measureOverLimit(call, count)
-		if count <= call.units && state.carriedWindow != call.window.Index {
-			state.carriedWindow = call.window.Index
-			calls = append(calls, shadow.readPreviousWindow(call))
-		}
-	} else if state.pending += call.units; state.pending > 0 {
-		shadow.scheduleFlush(call.side, state, now)
-	}
-	if call.request != nil {
-		call.request.estimated = call.request.estimated || !answered
-		shadow.decide(call.side, state, call.request, now, remaining)
-	}
-	return calls
-}
-
-// readPreviousWindow reads the window before the one that a call found untouched.
-func (shadow *Shadow) readPreviousWindow(call outstandingCall) Call {
-	shadow.spend(call.side)
-	shadow.lastID++
-	end := call.window.Start - 1
-	window := countingrule.WindowAt(call.state.key, &call.state.plan, end)
-	shadow.outstanding[shadow.lastID] = outstandingCall{side: call.side, state: call.state, window: window, sentAt: end, readsPrevious: true}
-	return Call{window.Name, 0, window.TTL, shadow.lastID}
-}
-
-// measureOverLimit counts what a call brought beyond the new rule's limit: let in, as the count lagged.
-func (shadow *Shadow) measureOverLimit(call outstandingCall, count float64) {
-	limit := call.state.plan.Burst + call.state.plan.Rate*(call.sentAt-call.window.Start).Seconds()
-	if call.side == 1 && call.request != nil {
-		call.request.overLimit = min(max(count-limit, 0), call.units)
-	}
-}
-
-// decide is one side's word on a task.
-func (shadow *Shadow) decide(i int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
-	assignment := shadow.sides[i].rule.Assign(shadowed.request.Customer, shadowed.request.Class, shadowed.request.Plan)
-	units := shadowed.request.Units * assignment.Weight
+// decide decides a request on one side, and counts it once both have decided.
+func (s *Shadow) decide(i int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
+	request := &shadowed.request
+	assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
+	units := request.Units * assignment.Weight
 	if remaining-state.pending >= units {
 		shadowed.admitted[i] = true
 		state.pending += units
-		shadow.scheduleFlush(i, state, now)
+		s.sides[i].scheduleFlush(state, now)
 	}
 	if shadowed.pending--; shadowed.pending == 0 {
-		bucket, _ := shadow.sample.Bucket(shadowed.request.Customer)
-		shadow.record(bucket, shadowed)
+		bucket, _ := s.sample.Bucket(request.Customer)
+		s.observations.record(bucket, shadowed)
 	}
 }
 
-// Flush gives the calls for units that no later task brought, as far as the budget reaches, and forgets keys long unseen.
-func (shadow *Shadow) Flush(now time.Duration) (calls []Call) {
-	if now < shadow.sweptAt+flushDelay/2 {
-		return nil
+// scheduleFlush has a key's pending units added alone after a while.
+func (s *side) scheduleFlush(state *keyState, now time.Duration) {
+	if state.flushAt == 0 {
+		state.flushAt = now + flushDelay
+		s.flushQueue = append(s.flushQueue, state)
 	}
-	shadow.sweptAt = now
-	for i := range shadow.sides {
-		side := &shadow.sides[i]
-		remaining := side.flushQueue[:0]
-		for _, state := range side.flushQueue {
-			switch {
-			case state.flushAt == 0: // a task brought them
-			case now >= state.flushAt && side.budget >= 1:
-				calls = append(calls, shadow.startCall(i, state, now, nil))
-			default:
-				remaining = append(remaining, state)
-			}
-		}
-		clear(side.flushQueue[len(remaining):])
-		side.flushQueue = remaining
-		for key, state := range side.keys {
-			if now > state.lastUsed+keyTTL && state.flushAt == 0 {
-				delete(side.keys, key)
-			}
+}
+
+// forgetUnused forgets the keys whose windows the counter has dropped by now.
+func (s *side) forgetUnused(now time.Duration) {
+	for key, state := range s.keys {
+		if now > state.lastUsed+keyTTL && state.flushAt == 0 {
+			delete(s.keys, key)
 		}
 	}
-	return calls
 }
--- a/internal/countingrule/config.go
+++ b/internal/countingrule/config.go
@@ -3,7 +3,10 @@
 // while it cannot know. It is free of I/O and clocks: the same table, time and request give the same key.
 package countingrule
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // Config is the operators' configuration of counting rules, the table [counting] of their file.
 type Config struct {
@@ -28,6 +31,9 @@
 // Equal tells whether two rules mean the same.
 func (r Rule) Equal(other Rule) bool { return fmt.Sprintf("%v", r) == fmt.Sprintf("%v", other) }
 
+// IsPerCustomer tells whether each of the rule's counts is one customer's.
+func (r Rule) IsPerCustomer() bool { return r.Version == 0 || slices.Contains(r.Key, partCustomer) }
+
 // Group is a group of customers that share a count.
 type Group struct {
 	Name      string   `toml:"name" cbor:"1,keyasint"`
--- a/internal/countingrule/resolve.go
+++ b/internal/countingrule/resolve.go
@@ -67,7 +67,7 @@
 		resolved.planHashes = append(resolved.planHashes, xxhash.Sum64String(plan.Name))
 		resolved.planIndexes = append(resolved.planIndexes, index)
 		limitsCustomers := (plan.MaxInFlight > 0 || plan.CeilingRate > 0) && !plan.Retired
-		if index != noPlan && limitsCustomers && resolved.isShared() {
+		if index != noPlan && limitsCustomers && !rule.IsPerCustomer() {
 			return nil, &SharedCountError{rule.Version, plan.Name}
 		}
 	}
@@ -90,9 +90,6 @@
 	return float64(permille) / unitWeight
 }
 
-// isShared tells whether customers share the rule's counts.
-func (r *Resolved) isShared() bool { return !r.usesPart[0] }
-
 // Assign gives the counter key of a request by the indexes of its class and plan.
 func (r *Resolved) Assign(customer uint64, class, plan int) Assignment {
 	if r.Version == 0 || plan >= len(r.planIndexes) || r.planIndexes[plan] == noPlan || class >= len(r.classHashes) {
@@ -109,7 +106,7 @@
 		Key:     Hash(words[:]...),
 		Plan:    r.planIndexes[plan],
 		Weight:  r.classWeights[class],
-		Shared:  r.isShared(),
+		Shared:  !r.usesPart[0], // the first of keyParts is the customer
 	}
 }
 
--- a/internal/lab/rulesimulation/forecast.go
+++ b/internal/lab/rulesimulation/forecast.go
@@ -84,7 +84,7 @@
 		shadow.Report(func(name string, count uint64) {
 			observed[name[len("canary\x1f")+len(canary.Fingerprint(seed))+1:]] += count
 		})
-		forecast.Calls += float64(shadow.Calls) / accepted
+		forecast.Calls += float64(shadow.CallCount()) / accepted
 	}
 	byOldRule, byNewRule := float64(observed["both"]+observed["old"]), float64(observed["both"]+observed["new"])
 	forecast.Before, forecast.Observed = admitted[0]/requested[0], admitted[1]/requested[1]
