--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,39 +8,46 @@
 	"os"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"harrierhoist/policy"
 )
 
-// Gateway is what a gateway on sockets is told at its start, and again on SIGHUP.
+// Gateway is the configuration of one gateway, as it is read at start and again on SIGHUP.
 type Gateway struct {
-	Name, Listen, Discovery, Counter string
+	Name string
 
-	Seed     int64
-	Cores    float64
-	MemoryMB int
-	Sockets  int
+	Listen, Discovery, Counter string // host:port; Counter is empty where there is none
 
-	Settings       policy.Settings
-	Zones, Kinds   []string      // their names; the module knows them by their places
-	ConnectTimeout time.Duration // a connection not up by then is none
-	IdleTimeout    time.Duration // servers close what stands idle so long
+	Seed     int64   // of all that the gateway draws at random
+	Cores    float64 // CPU cores that it may use; 0: not limited
+	MemoryMB int     // megabytes (1<<20 bytes) that it may use; 0: not limited
+	Sockets  int     // file descriptors that it may hold
 
-	KnownEndpoints json.RawMessage // the servers as last had, in discovery's form
+	Settings        policy.Settings
+	Zones, Hardware []string      // names of zones and of kinds of server; the module knows both by their indexes
+	ConnectTimeout  time.Duration // bounds the setup of a connection to a server or the counter
+	IdleTimeout     time.Duration // servers close connections that are idle for so long
+
+	KnownEndpoints json.RawMessage // the endpoint list of an earlier run, in discovery's form; empty or null: none
 }
 
-// What lies beyond these is a slip, and could stand in for all of the machine.
+// Upper bounds of the limits. Greater values are slips, and would stand for all of the machine.
 const (
 	maxCores    = 1 << 16
-	maxMemoryMB = 1 << 30 // megabytes
+	maxMemoryMB = 1 << 30
+)
+
+var (
+	errNoPath         = errors.New("no configuration file is named (RELAY_CONFIG)")
+	errKnownEndpoints = errors.New("configuration: known: a list in discovery's form is wanted, an object with hosts, or null")
+	errNoCounter      = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
 )
 
-// Read reads the configuration file. Errors name the file, the key and what is allowed there, in one line.
+// Read reads a configuration file. An error is one line that names the file, the key and the values allowed there.
 func Read(path string) (*Gateway, error) {
 	if path == "" {
-		return nil, errors.New("no configuration file is named (RELAY_CONFIG)")
+		return nil, errNoPath
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,120 +60,128 @@
 	return gateway, nil
 }
 
-// KeepRestartOnly takes from an earlier configuration what only a restart can change, and gives the keys of what differed.
-func (gateway *Gateway) KeepRestartOnly(previous *Gateway) (keys []string) {
-	keep := func(key string, same bool, take func()) {
+// KeepRestartOnly takes over from the previous configuration what only a restart can change, and returns the keys of what
+// differed.
+func (g *Gateway) KeepRestartOnly(previous *Gateway) (keys []string) {
+	keep := func(key string, same bool, restore func()) {
 		if !same {
 			keys = append(keys, key)
-			take()
+			restore()
 		}
 	}
-	settings, previousSettings := &gateway.Settings, &previous.Settings
-	keep("name", gateway.Name == previous.Name, func() { gateway.Name = previous.Name })
-	keep("listen", gateway.Listen == previous.Listen, func() { gateway.Listen = previous.Listen })
-	keep("seed", gateway.Seed == previous.Seed, func() { gateway.Seed = previous.Seed })
-	keep("limits", gateway.Cores == previous.Cores && gateway.MemoryMB == previous.MemoryMB && gateway.Sockets == previous.Sockets, func() {
-		gateway.Cores, gateway.MemoryMB, gateway.Sockets = previous.Cores, previous.MemoryMB, previous.Sockets
+	settings, was := &g.Settings, &previous.Settings
+	keep("name", g.Name == previous.Name, func() { g.Name = previous.Name })
+	keep("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
+	keep("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
+	keep("limits", g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets, func() {
+		g.Cores, g.MemoryMB, g.Sockets = previous.Cores, previous.MemoryMB, previous.Sockets
+	})
+	keep("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
+		g.Zones, settings.Zones, settings.MyZone = previous.Zones, was.Zones, was.MyZone
 	})
-	keep("settings.Dcs", slices.Equal(gateway.Zones, previous.Zones), func() {
-		gateway.Zones, settings.Zones, settings.MyZone = previous.Zones, previousSettings.Zones, previousSettings.MyZone
+	keep("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
+	keep("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
+		settings.LoadReportFields = was.LoadReportFields
 	})
-	keep("settings.Models", slices.Equal(gateway.Kinds, previous.Kinds), func() { gateway.Kinds = previous.Kinds })
-	keep("settings.Report.Fields", slices.Equal(settings.LoadReportFields, previousSettings.LoadReportFields), func() { settings.LoadReportFields = previousSettings.LoadReportFields })
-	keep("settings.PolicyLimits.ConnectTimeoutMs", gateway.ConnectTimeout == previous.ConnectTimeout, func() { gateway.ConnectTimeout = previous.ConnectTimeout })
-	keep("settings.PolicyLimits.IdleCloseMs", gateway.IdleTimeout == previous.IdleTimeout, func() { gateway.IdleTimeout = previous.IdleTimeout })
+	keep("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
+		g.ConnectTimeout = previous.ConnectTimeout
+	})
+	keep("settings.PolicyLimits.IdleCloseMs", g.IdleTimeout == previous.IdleTimeout, func() { g.IdleTimeout = previous.IdleTimeout })
 	return keys
 }
 
-func parse(text []byte) (*Gateway, error) {
-	var file struct {
-		Name, Listen, Discovery, Counter, Seed string
+// file is the layout of a configuration file. It is an alias without tags, as a refusal's text prints the type of what
+// cannot be decoded: a name or a tag would change the operators' lines.
+type file = struct {
+	Name, Listen, Discovery, Counter, Seed string
 
-		Limits struct {
-			Cores    float64
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int
-		}
-		Known    json.RawMessage
-		Settings map[string]any
+	Limits struct {
+		Cores    float64
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int
 	}
-	if err := json.Unmarshal(text, &file); err != nil {
+	Known    json.RawMessage
+	Settings map[string]any
+}
+
+func parse(text []byte) (*Gateway, error) {
+	var content file
+	if err := json.Unmarshal(text, &content); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	for name, value := range map[string]string{"listen": file.Listen, "discovery": file.Discovery, "counter": file.Counter} {
-		_, port, err := net.SplitHostPort(value)
-		if err == nil {
-			_, err = net.LookupPort("tcp", port)
-		}
-		if err != nil && (value != "" || name != "counter") {
-			return nil, fmt.Errorf("configuration: %s: host:port is wanted: %w", name, err)
-		}
-	}
-	if file.Limits.Sockets <= 0 {
-		return nil, fmt.Errorf("configuration: limits.sockets: a whole number above 0 is wanted, not %d", file.Limits.Sockets)
-	}
-	if c := file.Limits.Cores; c < 0 || c > maxCores {
-		return nil, fmt.Errorf("configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g", maxCores, c)
+	if err := checkAddresses(&content); err != nil {
+		return nil, err
 	}
-	if m := file.Limits.MemoryMB; m < 0 || m > maxMemoryMB {
-		return nil, fmt.Errorf("configuration: limits.memory_mb: a whole number from 0 (not told) to %d is wanted, not %d",
-			maxMemoryMB, m)
+	if err := checkLimits(&content); err != nil {
+		return nil, err
 	}
 	var known struct{ Hosts []json.RawMessage }
-	if len(file.Known) > 0 && json.Unmarshal(file.Known, &known) != nil {
-		return nil, errors.New("configuration: known: a list in discovery's form is wanted, an object with hosts, or null")
+	if len(content.Known) > 0 && json.Unmarshal(content.Known, &known) != nil {
+		return nil, errKnownEndpoints
 	}
-	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	seed, err := strconv.ParseUint(content.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: seed: 16 hex digits are wanted, not %q", file.Seed)
+		return nil, fmt.Errorf("configuration: seed: 16 hex digits are wanted, not %q", content.Seed)
 	}
-	values := &Values{byPath: map[string]string{}}
-	values.flatten("", file.Settings)
-	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
-	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // with none a connection could come up for ever
-	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxFigure)
-	gateway := &Gateway{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter,
-		Seed: int64(seed), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
-		Sockets: file.Limits.Sockets, Zones: values.List("Dcs"), Kinds: values.List("Models"),
-		ConnectTimeout: Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs")),
-		IdleTimeout:    Milliseconds(values.Number("PolicyLimits.IdleCloseMs")),
-		KnownEndpoints: file.Known}
-	gateway.Settings, err = ReadSettings(values)
-	if err == nil {
-		if unfit := gateway.Settings.Validate(); unfit != nil {
-			err = fmt.Errorf("settings: RequestClasses, TiersOfService: %w", unfit)
-		}
+	gateway := &Gateway{
+		Name: content.Name, Listen: content.Listen, Discovery: content.Discovery, Counter: content.Counter, Seed: int64(seed),
+		Cores: content.Limits.Cores, MemoryMB: content.Limits.MemoryMB, Sockets: content.Limits.Sockets,
+		KnownEndpoints: content.Known,
 	}
-	if err == nil && gateway.Settings.HasCounter && gateway.Counter == "" {
-		err = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
+	if err := gateway.readSettings(content.Settings); err != nil {
+		return nil, err
 	}
-	return gateway, err
+	return gateway, nil
 }
 
-// flatten lays nested JSON out as the lines do: plain values by path, plain lists joined by commas, lists of
-// objects by count and place.
-func (values *Values) flatten(path string, value any) {
-	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
-	switch v := value.(type) {
-	case map[string]any:
-		for key, inner := range v {
-			values.flatten(under(key), inner)
+func checkAddresses(content *file) error {
+	for name, address := range map[string]string{
+		"listen": content.Listen, "discovery": content.Discovery, "counter": content.Counter,
+	} {
+		_, port, err := net.SplitHostPort(address)
+		if err == nil {
+			_, err = net.LookupPort("tcp", port)
 		}
-	case []any:
-		var plain []string
-		for i, inner := range v {
-			if _, object := inner.(map[string]any); object {
-				values.flatten(under(strconv.Itoa(i)), inner)
-			} else {
-				plain = append(plain, fmt.Sprint(inner))
-			}
+		if err != nil && (address != "" || name != "counter") {
+			return fmt.Errorf("configuration: %s: host:port is wanted: %w", name, err)
 		}
-		values.byPath[under("count")] = strconv.Itoa(len(v))
-		values.byPath[path] = strings.Join(plain, ",")
-	case float64:
-		values.byPath[path] = strconv.FormatFloat(v, 'g', -1, 64)
-	case nil:
-	default:
-		values.byPath[path] = fmt.Sprint(v)
 	}
+	return nil
+}
+
+func checkLimits(content *file) error {
+	limits := &content.Limits
+	switch {
+	case limits.Sockets <= 0:
+		return fmt.Errorf("configuration: limits.sockets: a whole number above 0 is wanted, not %d", limits.Sockets)
+	case limits.Cores < 0 || limits.Cores > maxCores:
+		return fmt.Errorf("configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g", maxCores, limits.Cores)
+	case limits.MemoryMB < 0 || limits.MemoryMB > maxMemoryMB:
+		return fmt.Errorf("configuration: limits.memory_mb: a whole number from 0 (not told) to %d is wanted, not %d",
+			maxMemoryMB, limits.MemoryMB)
+	}
+	return nil
+}
+
+// readSettings reads what stands under the file's key settings.
+func (g *Gateway) readSettings(nested map[string]any) error {
+	values := newValues()
+	values.flatten("", nested)
+	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
+	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // without it a dial could last for ever
+	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxFigure)
+	g.Zones, g.Hardware = values.List("Dcs"), values.List("Models")
+	g.ConnectTimeout = Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs"))
+	g.IdleTimeout = Milliseconds(values.Number("PolicyLimits.IdleCloseMs"))
+	var err error
+	if g.Settings, err = ReadSettings(values); err != nil {
+		return err
+	}
+	if err := g.Settings.Validate(); err != nil {
+		return fmt.Errorf("settings: RequestClasses, TiersOfService: %w", err)
+	}
+	if g.Settings.HasCounter && g.Counter == "" {
+		return errNoCounter
+	}
+	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -9,25 +10,48 @@
 	"time"
 )
 
-func TestParseLines(t *testing.T) {
-	values, err := ParseLines("A.Ms=2.5\nB=true\nC=x,y\nE=\nUnheardOf=1\n")
+func TestParseLines_readsValuesByPath(t *testing.T) {
+	values, err := ParseLines("A.Ms=2.5\nB=true\nC=x,y\nE=\nUnknown=1\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if values.Number("A.Ms") != 2.5 || !values.Bool("B") || len(values.List("C")) != 2 || values.List("E") != nil || values.Int("none") != 0 {
-		t.Errorf("read wrongly: %+v", values)
+	if values.Number("A.Ms") != 2.5 || !values.Bool("B") || len(values.List("C")) != 2 || values.List("E") != nil ||
+		values.Int("none") != 0 || values.Err() != nil {
+		t.Errorf("got %+v", values)
 	}
-	if values.Require("D"); values.Err() == nil || values.Err().Error() != "settings: D is missing" {
-		t.Errorf("got %v", values.Err())
-	}
-	if q, _ := ParseLines("C=x"); q.Number("C") != 0 || q.Err() == nil {
-		t.Error("a number that is none was taken")
-	}
-	if q, _ := ParseLines("C=x"); q.Bool("C") || q.Enum("C", "z") != 0 || q.Err() == nil {
-		t.Error("a flag and a choice that are none were taken")
+}
+
+func TestValues_firstErrorStays(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		read func(values *Values) (zero bool)
+		want string
+	}{
+		{"missing", func(v *Values) bool { v.Require("A", "D"); return true }, "settings: D is missing"},
+		{"no number", func(v *Values) bool { return v.Number("C") == 0 }, `settings: C is not a number: "x"`},
+		{"no truth value", func(v *Values) bool { return !v.Bool("C") }, `settings: C is neither true nor false: "x"`},
+		{"none of the words", func(v *Values) bool { return v.Enum("C", "z", "y") == 0 }, `settings: C is none of z, y: "x"`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			values, err := ParseLines("A=1\nC=x")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !c.read(values) {
+				t.Error("a malformed value was read")
+			}
+			values.Require("other")
+			var setting *SettingError
+			if err := values.Err(); !errors.As(err, &setting) || err.Error() != c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
 	}
+}
+
+func TestParseLines_lineWithoutEqualsSignIsRefused(t *testing.T) {
 	if _, err := ParseLines("nonsense"); err == nil {
-		t.Error("a line without '=' was taken")
+		t.Error("read without an error")
 	}
 }
 
@@ -40,12 +64,21 @@
 "Effect":"read_like"},{"Name":"hold","AimMs":400,"DeadlineMs":1500,"Effect":"idempotency_key","Group":"cell"}],
 "TiersOfService":[{"Name":"start","UnitsPerS":2.2,"PeakUnits":12}],"SomethingNew":{"Deep":[1,[2]]}}}`
 
+// sampleWith is the sample file with the first of a text replaced, which has to be there.
+func sampleWith(t *testing.T, old, replacement string) []byte {
+	t.Helper()
+	if !strings.Contains(sampleFile, old) {
+		t.Fatalf("no %q in the sample", old)
+	}
+	return []byte(strings.Replace(sampleFile, old, replacement, 1))
+}
+
 func TestParse_nestedSettingsReadTheSameAsLines(t *testing.T) {
 	gateway, err := parse([]byte(sampleFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, _ := ParseLines("Balancers=2\nMe=1\nMyZone=0\nDcs=a,b\nReport.Fields=\nFamilyInfo.HasCounter=true\n" +
+	lines, err := ParseLines("Balancers=2\nMe=1\nMyZone=0\nDcs=a,b\nReport.Fields=\nFamilyInfo.HasCounter=true\n" +
 		"FamilyInfo.CountLimitMs=30.5\nPolicyLimits.TryLimit=6\nRules.DrainGraceMs=1000\nRules.ColdFrom=0.15\n" +
 		"Rules.WarmAfterMs=16000\nRules.FallMultiple=2\nRules.TipAfterMs=1500\nRequestClasses.count=2\n" +
 		"RequestClasses.0.Name=look\nRequestClasses.0.AimMs=600\nRequestClasses.0.DeadlineMs=2500\n" +
@@ -53,6 +86,9 @@
 		"RequestClasses.1.DeadlineMs=1500\nRequestClasses.1.Effect=idempotency_key\nRequestClasses.1.Group=cell\n" +
 		"TiersOfService.count=1\nTiersOfService.0.Name=start\nTiersOfService.0.UnitsPerS=2.2\n" +
 		"TiersOfService.0.PeakUnits=12\n")
+	if err != nil {
+		t.Fatal(err)
+	}
 	want, err := ReadSettings(lines)
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +97,8 @@
 		t.Errorf("got  %+v\nwant %+v", gateway.Settings, want)
 	}
 	if gateway.Seed != -1 || gateway.Sockets != 1024 || gateway.MemoryMB != 192 || gateway.Cores != 1 ||
-		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second || len(gateway.Zones) != 2 || gateway.Kinds[0] != "m" {
+		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second || len(gateway.Zones) != 2 ||
+		gateway.Hardware[0] != "m" {
 		t.Errorf("got %+v", gateway)
 	}
 }
@@ -72,48 +109,42 @@
 		`"127.0.0.1:3"`: `""`, `"TryLimit":6,`: ``, `"read_like"`: `"odd"`, `"IdleCloseMs":30000,`: ``, `}}}`: `}}`,
 		`"cell"`: `"odd"`, `30.5`: `"x"`,
 	} {
-		_, err := parse([]byte(strings.Replace(sampleFile, old, bad, 1)))
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: got %v", bad, old, err)
-		}
+		t.Run(bad+" for "+old, func(t *testing.T) {
+			if _, err := parse(sampleWith(t, old, bad)); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v", err)
+			}
+		})
 	}
-	if _, err := Read(""); err == nil {
-		t.Error("no file was taken")
+	if _, err := Read(""); !errors.Is(err, errNoPath) {
+		t.Errorf("no path: got %v", err)
 	}
 }
 
-// An operator with a wrong value was told the key alone, or not what is allowed there; with several files about,
-// which one was wrong was left to guess. One line names the file, the key and what is allowed.
+// An operator with a wrong value was told the key alone, or not what is allowed there; with several files about, which one
+// was wrong was left to guess.
 func TestRead_refusalNamesFileKeyAndAllowedValues(t *testing.T) {
-	good := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"00000000000000aa","limits":{"sockets":%s},` +
-		`"settings":{}}`
-	for _, c := range []struct{ sockets, key, allowed string }{
-		{`0`, "limits.sockets", "above 0"},
-		{`-3`, "limits.sockets", "above 0"},
+	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED","limits":{"sockets":SOCKETS},"settings":{}}`
+	for _, c := range []struct{ name, sockets, seed, want string }{
+		{"no sockets", "0", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
+		{"sockets below 0", "-3", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
+		{"a seed that is no number", "8", "xyz", "seed: 16 hex digits are wanted"},
 	} {
-		path := filepath.Join(t.TempDir(), "gateway.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(good, "%s", c.sockets, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := Read(path)
-		if err == nil {
-			t.Fatalf("sockets %s taken", c.sockets)
-		}
-		msg := err.Error()
-		if !strings.Contains(msg, path) || !strings.Contains(msg, c.key) || !strings.Contains(msg, c.allowed) ||
-			strings.Contains(msg, "\n") {
-			t.Errorf("sockets %s: %q", c.sockets, msg)
-		}
-	}
-	path := filepath.Join(t.TempDir(), "gateway.json")
-	_ = os.WriteFile(path, []byte(strings.Replace(strings.Replace(good, "%s", "8", 1), "00000000000000aa", "xyz", 1)), 0o600)
-	if _, err := Read(path); err == nil || !strings.Contains(err.Error(), path) ||
-		!strings.Contains(err.Error(), "seed: 16 hex digits are wanted") {
-		t.Errorf("got %v", err)
+		t.Run(c.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "gateway.json")
+			text := strings.NewReplacer("SOCKETS", c.sockets, "SEED", c.seed).Replace(file)
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Read(path)
+			if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), c.want) ||
+				strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v", err)
+			}
+		})
 	}
 }
 
-// A figure out of range was taken as it was, and two lanes of one name were told apart by nobody.
+// A figure out of range was taken as it was, and two traffic classes could have one name.
 func TestParse_figureOutOfRangeIsRefusedWithKeyAndRange(t *testing.T) {
 	for old, c := range map[string]struct{ bad, want string }{
 		`"Balancers":2`:          {`"Balancers":0`, "Balancers must be from 1 to"},
@@ -134,28 +165,39 @@
 		`"127.0.0.1:3"`:          {`"127.0.0.1:x y"`, "counter: host:port is wanted"},
 		`"known":{`:              {`"known":[],"Unused":{`, "known: a list in discovery's form is wanted"},
 		`"hosts":[]`:             {`"hosts":{}`, "known: a list in discovery's form is wanted"},
-		`"known":`:               {`"known":null,"Unused":`, ""},
-		`"Deep":[1,[2]]`:         {`"Deep":[1,[2]]`, ""},
-		`"HasCounter":true`:      {`"HasCounter":true,"MeterMs":1000`, ""},
-		`"IdleCloseMs":30000`:    {`"IdleCloseMs":30000,"SecondCopies":true`, ""},
-		`"DrainGraceMs":1000`:    {`"DrainGraceMs":500`, ""},
-		`"WarmAfterMs":16000`:    {`"WarmAfterMs":18000`, ""},
-		`"FallMultiple":2`:       {`"FallMultiple":2.5`, ""},
-		`"TipAfterMs":1500`:      {`"TipAfterMs":2000`, ""},
-		`"Effect":"read_like"`:   {`"Effect":"read_like","Worth":3`, ""},
-		`"DeadlineMs":1500`:      {`"DeadlineMs":3000`, ""},
-		`"StreamsPerConn":100`:   {`"StreamsPerConn":100,"RetryAfter":false`, ""},
-		`"ConnectTimeoutMs":25`:  {`"ConnectTimeoutMs":25`, ""},
 	} {
-		gateway, err := parse([]byte(strings.Replace(sampleFile, old, c.bad, 1)))
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: refused: %v", c.bad, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%s: %v, want %q", c.bad, err, c.want)
-		case strings.Contains(c.bad, `"MeterMs":1000`) && gateway.Settings.UsageSpan != time.Second:
-			t.Errorf("the meter's time is %v", gateway.Settings.UsageSpan)
-		}
+		t.Run(c.bad, func(t *testing.T) {
+			_, err := parse(sampleWith(t, old, c.bad))
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want %q", err, c.want)
+			}
+		})
+	}
+}
+
+func TestParse_otherAllowedValuesAreTaken(t *testing.T) {
+	for old, other := range map[string]string{
+		`"known":`:              `"known":null,"Unused":`,
+		`"Deep":[1,[2]]`:        `"Deep":[1,[2]]`,
+		`"IdleCloseMs":30000`:   `"IdleCloseMs":30000,"SecondCopies":true`,
+		`"DrainGraceMs":1000`:   `"DrainGraceMs":500`,
+		`"WarmAfterMs":16000`:   `"WarmAfterMs":18000`,
+		`"FallMultiple":2`:      `"FallMultiple":2.5`,
+		`"TipAfterMs":1500`:     `"TipAfterMs":2000`,
+		`"Effect":"read_like"`:  `"Effect":"read_like","Worth":3`,
+		`"DeadlineMs":1500`:     `"DeadlineMs":3000`,
+		`"StreamsPerConn":100`:  `"StreamsPerConn":100,"RetryAfter":false`,
+		`"ConnectTimeoutMs":25`: `"ConnectTimeoutMs":25`,
+	} {
+		t.Run(other, func(t *testing.T) {
+			if _, err := parse(sampleWith(t, old, other)); err != nil {
+				t.Errorf("refused: %v", err)
+			}
+		})
+	}
+	gateway, err := parse(sampleWith(t, `"HasCounter":true`, `"HasCounter":true,"MeterMs":1000`))
+	if err != nil || gateway.Settings.UsageSpan != time.Second {
+		t.Errorf("MeterMs: read %+v, %v", gateway, err)
 	}
 }
 
@@ -164,24 +206,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(strings.Replace(sampleFile, `"127.0.0.1:1"`, `"127.0.0.1:9"`, 1), `"Models":["m"]`, `"Models":["m","n"]`, 1)
-	gateway, err := parse([]byte(strings.Replace(text, `"UnitsPerS":2.2`, `"UnitsPerS":3`, 1)))
+	text := strings.NewReplacer(`"127.0.0.1:1"`, `"127.0.0.1:9"`, `"Models":["m"]`, `"Models":["m","n"]`,
+		`"UnitsPerS":2.2`, `"UnitsPerS":3`).Replace(sampleFile)
+	gateway, err := parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	keys := gateway.KeepRestartOnly(previous)
-	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen || len(gateway.Kinds) != 1 ||
-		gateway.Settings.Plans[0].Rate != 3 {
+	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen ||
+		len(gateway.Hardware) != 1 || gateway.Settings.Plans[0].Rate != 3 {
 		t.Errorf("kept %v, and have %+v", keys, gateway)
 	}
 }
 
-// Settings without a lane were found out only after the counter had moved to the address beside them.
+// Settings without a traffic class were found out only after the counter had moved to the address beside them.
 func TestParse_settingsWithoutClassOrPlanAreRefused(t *testing.T) {
 	for _, key := range []string{"RequestClasses", "TiersOfService"} {
-		text := strings.Replace(sampleFile, `"`+key+`":[`, `"`+key+`":[],"Unused":[`, 1)
-		if _, err := parse([]byte(text)); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("no %s: %v", key, err)
-		}
+		t.Run(key, func(t *testing.T) {
+			_, err := parse(sampleWith(t, `"`+key+`":[`, `"`+key+`":[],"Unused":[`))
+			if err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v", err)
+			}
+		})
 	}
 }
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -1,22 +1,35 @@
-// Package boot reads what a gateway is told at its start: the settings, which the simulator hands over as
-// lines and a configuration file as nested JSON, and what goes with them on sockets.
+// Package config reads the configuration of a gateway. The settings of the decision module come from the simulator as
+// lines of text and from a configuration file as nested JSON; a file also has the addresses and limits of a process.
 package config
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
 )
 
-// Values are settings: a value at each path. Unknown paths are simply never asked for.
+// Values are settings by their path, such as "Rules.DrainGraceMs" or "RequestClasses.0.Name". Getters of a value that is
+// malformed return zero, and the first such error stays in Err. Unknown paths are ignored.
 type Values struct {
 	byPath map[string]string
 	err    error
 }
 
-// ParseLines reads settings written as lines.
+// SettingError is a setting that is missing or has a value that is not allowed.
+type SettingError struct {
+	Path    string
+	Problem string // what is wrong, with what is allowed; it follows the path in a sentence
+}
+
+// Error names the path first.
+func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
+
+func newValues() *Values { return &Values{byPath: map[string]string{}} }
+
+// ParseLines reads settings written one to a line as PATH=VALUE. Empty lines are skipped.
 func ParseLines(text string) (*Values, error) {
-	values := &Values{byPath: map[string]string{}}
+	values := newValues()
 	for i, line := range strings.Split(text, "\n") {
 		if line = strings.TrimSuffix(line, "\r"); line == "" {
 			continue
@@ -30,91 +43,122 @@
 	return values, nil
 }
 
-// Err is the first thing found wrong by the getters.
-func (values *Values) Err() error { return values.err }
-
-func (values *Values) fail(path, what string) {
-	if values.err == nil {
-		values.err = fmt.Errorf("settings: %s %s", path, what)
-	}
-}
-
-// Require says that a path must be there.
-func (values *Values) Require(paths ...string) {
-	for _, path := range paths {
-		if _, ok := values.byPath[path]; !ok {
-			values.fail(path, "is missing")
+// flatten adds nested JSON in the form of lines: plain values by path, plain lists joined by commas, lists of objects by
+// their count and their indexes.
+func (v *Values) flatten(path string, nested any) {
+	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+	switch value := nested.(type) {
+	case map[string]any:
+		for key, inner := range value {
+			v.flatten(under(key), inner)
+		}
+	case []any:
+		var plain []string
+		for i, inner := range value {
+			if _, isObject := inner.(map[string]any); isObject {
+				v.flatten(under(strconv.Itoa(i)), inner)
+			} else {
+				plain = append(plain, fmt.Sprint(inner))
+			}
 		}
+		v.byPath[under("count")] = strconv.Itoa(len(value))
+		v.byPath[path] = strings.Join(plain, ",")
+	case float64:
+		v.byPath[path] = strconv.FormatFloat(value, 'g', -1, 64)
+	case nil: // as if the key were absent
+	default:
+		v.byPath[path] = fmt.Sprint(value)
 	}
 }
 
-// Text gives the words at a path, empty where there are none.
-func (values *Values) Text(path string) string { return values.byPath[path] }
+// Err returns the first error that a getter or a check found; it is a *SettingError.
+func (v *Values) Err() error { return v.err }
 
-// Number gives the number at a path, 0 where there is none.
-func (values *Values) Number(path string) float64 {
-	text, ok := values.byPath[path]
-	if !ok || text == "" {
-		return 0
+func (v *Values) fail(path, problem string) {
+	if v.err == nil {
+		v.err = &SettingError{Path: path, Problem: problem}
 	}
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || v != v {
-		values.fail(path, fmt.Sprintf("is not a number: %q", text))
-		return 0
+}
+
+// Require checks that paths have a value.
+func (v *Values) Require(paths ...string) {
+	for _, path := range paths {
+		if _, ok := v.byPath[path]; !ok {
+			v.fail(path, "is missing")
+		}
 	}
-	return v
 }
 
-// RequireRange says that a figure, where it is told, must lie between two, both allowed.
-func (values *Values) RequireRange(path string, least, most float64) {
-	if v := values.Number(path); values.Text(path) != "" && (v < least || v > most) {
-		values.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, v))
+// RequireRange checks that the number at a path, if there is one, lies from least to most, both included.
+func (v *Values) RequireRange(path string, least, most float64) {
+	if number := v.Number(path); v.Text(path) != "" && (number < least || number > most) {
+		v.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, number))
 	}
 }
 
-// requireUnique says that names under a path must not be told twice; names left out are no names.
-func (values *Values) requireUnique(path string, n int, name func(int) string) {
+// requireUnique checks that no two of the first n entries under a path have one name; an empty name is none.
+func (v *Values) requireUnique(path string, n int, name func(int) string) {
 	for i := range n {
 		for k := range i {
 			if name(i) != "" && name(i) == name(k) {
-				values.fail(fmt.Sprintf("%s.%d.Name", path, i), fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)))
+				v.fail(fmt.Sprintf("%s.%d.Name", path, i), fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)))
 			}
 		}
 	}
 }
 
-// Int gives the whole number at a path, 0 where there is none.
-func (values *Values) Int(path string) int { return int(values.Number(path)) }
+// Text returns the value at a path as it is written; empty where there is none.
+func (v *Values) Text(path string) string { return v.byPath[path] }
+
+// Number returns the number at a path; 0 where there is none.
+func (v *Values) Number(path string) float64 {
+	text, ok := v.byPath[path]
+	if !ok || text == "" {
+		return 0
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || number != number { // NaN
+		v.fail(path, fmt.Sprintf("is not a number: %q", text))
+		return 0
+	}
+	return number
+}
+
+// Int returns the number at a path without its fraction; 0 where there is none.
+func (v *Values) Int(path string) int { return int(v.Number(path)) }
+
+// Span returns the duration that a path has in milliseconds; 0 where there is none.
+func (v *Values) Span(path string) time.Duration { return Milliseconds(v.Number(path)) }
 
-// Bool gives the truth at a path, false where there is none.
-func (values *Values) Bool(path string) bool {
-	switch text := values.byPath[path]; text {
+// Bool returns the truth value at a path; false where there is none.
+func (v *Values) Bool(path string) bool {
+	switch text := v.byPath[path]; text {
 	case "true":
 		return true
 	case "false", "":
 		return false
 	default:
-		values.fail(path, fmt.Sprintf("is neither true nor false: %q", text))
+		v.fail(path, fmt.Sprintf("is neither true nor false: %q", text))
 		return false
 	}
 }
 
-// Enum gives the place of the value at a path among words; other values are an error.
-func (values *Values) Enum(path string, words ...string) int {
-	text := values.byPath[path]
-	for i, w := range words {
-		if text == w {
+// Enum returns the index of the value at a path among the allowed words.
+func (v *Values) Enum(path string, words ...string) int {
+	text := v.byPath[path]
+	for i, word := range words {
+		if text == word {
 			return i
 		}
 	}
-	values.fail(path, fmt.Sprintf("is none of %s: %q", strings.Join(words, ", "), text))
+	v.fail(path, fmt.Sprintf("is none of %s: %q", strings.Join(words, ", "), text))
 	return 0
 }
 
-// List gives the values at a path, none where it is empty.
-func (values *Values) List(path string) []string {
-	if values.byPath[path] == "" {
+// List returns the values at a path, which are separated by commas; none where it is empty.
+func (v *Values) List(path string) []string {
+	if v.byPath[path] == "" {
 		return nil
 	}
-	return strings.Split(values.byPath[path], ",")
+	return strings.Split(v.byPath[path], ",")
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -40,7 +40,7 @@
 
 // New makes a roster that hands what it learns to the gate, first of all the list as last held.
 func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
-	w := &Watcher{dispatcher: dispatcher, log: log, zones: configuration.Zones, kinds: configuration.Kinds, firstApplied: make(chan struct{}),
+	w := &Watcher{dispatcher: dispatcher, log: log, zones: configuration.Zones, kinds: configuration.Hardware, firstApplied: make(chan struct{}),
 		random: rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
 		dial:   (&net.Dialer{Timeout: pushedListTimeout}).DialContext, // one that hangs holds no descriptor for longer
 		agent:  agent{configuration.Discovery, !configuration.Settings.PollList}, cancelSession: func() {}}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -56,7 +56,7 @@
 		ended.Wait()
 	})
 	ended.Go(func() { dispatcher.RunTimers(ctx) })
-	configuration := &config.Gateway{Discovery: discovery, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"m1", "m2"},
+	configuration := &config.Gateway{Discovery: discovery, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Hardware: []string{"m1", "m2"},
 		KnownEndpoints: []byte(known), Seed: seed}
 	w, err := New(configuration, dispatcher, log)
 	if err == nil {
