--- a/policy/admission.go
+++ b/policy/admission.go
@@ -26,7 +26,7 @@
 }
 
 // evictIdle drops customers not seen for as long as a count or a charge lasts; two are looked at for each
-// request. It guards against customers who come once. Harm: a bucket that takes longer to refill counts as
+// request. It guards against customers who come once. Cost: a bucket that takes longer to refill counts as
 // full.
 func (a *admission) evictIdle() {
 	for range min(len(a.customerList), 2) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// objectiveOf says when a request's latency objective ends. A request given less time than first tries of its
-// class and plan has used up some of it: a repeat has what its earlier tries left, a first try what our
+// objectiveOf returns when a request's latency objective ends. A request given less time than first tries of
+// its class and plan has used up some of it: a repeat has what its earlier tries left, a first try what our
 // standstill left. What a first try lacks beyond that is its client's own timeout: it is not late.
 func (a *admission) objectiveOf(request *requestState) time.Duration {
 	class, slack := request.class, a.env.settings.ArrivalSlack
@@ -65,7 +65,7 @@
 // customer's pending charges. What is late, or has too little time left for its units, is rejected at once:
 // such clients come again with more. While calls are left out, repeats of sparse customers are rejected
 // uncounted: they would take calls from first tries, and each be one more chance of its request to pass
-// unseen. Harm: a request rejected by chance.
+// unseen. Cost: a request rejected by chance.
 func (a *admission) check(request *requestState) {
 	customer, now := request.customer, a.env.now
 	customer.refill(now)
@@ -89,8 +89,8 @@
 	}
 }
 
-// callsCounterFor tells, by lot while calls fail, whether the counter is called: the rather, the nearer the
-// customer is to its limit and the fewer gateways it has.
+// callsCounterFor reports, at random while calls fail, whether the counter is called: the rather, the nearer
+// the customer is to its limit and the fewer gateways it has.
 func (a *admission) callsCounterFor(customer *customerState) bool {
 	if !a.env.settings.HasCounter || customer.windowLength <= 0 || a.env.now < customer.blockedUntil {
 		return false
@@ -99,7 +99,7 @@
 	return a.env.random.Float64() < math.Pow(a.callProbability, need)
 }
 
-// decide admits a request or rejects it; counted tells that a count was read for it just now.
+// decide admits a request or rejects it; counted: a count was read for it just now.
 func (a *admission) decide(request *requestState, counted bool) {
 	request.awaitsCount = false
 	if request.completed {
@@ -146,9 +146,9 @@
 
 // withinQuota compares the request with what the customer's bucket can hold: what it can have got in the
 // window, not one burst whatever came before. That guards against two bursts back to back at a window's edge,
-// and against rejecting a customer with units left at its end. The last units go by lot: the count lags, and
-// a sharp edge would admit all requests of an answer's time at once. Where it does not fit, it gives the
-// units missing.
+// and against rejecting a customer with units left at its end. The last units go at random: the count lags,
+// and a sharp edge would admit all requests of an answer's time at once. Where it does not fit, it returns
+// the units missing.
 func (a *admission) withinQuota(request *requestState, usual time.Duration) (missing float64, within bool) {
 	customer, units := request.customer, request.Units
 	free := customer.available - customer.uncountedByOthers(usual) - units
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -197,7 +197,7 @@
 
 // A request takes its units once an attempt came complete to a server, whatever became of it there.
 func TestQuota_whatReachedNoServerIsNotCharged(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		ends    []Outcome
 		charged float64
@@ -208,18 +208,18 @@
 		{"none, then an error", []Outcome{ConnectFailed, NotSent, Errored}, 3},
 		{"cancelled, then an answer", []Outcome{NotSent, Answered}, 3},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			world := newHarness(t, testSettings(), 8)
 			world.request(1, 0, 0, 3)
-			for n, how := range c.ends {
+			for n, how := range test.ends {
 				world.wantAttempts(1, n+1)
 				world.finishAttempt(1, how)
 			}
 			world.advance(2 * time.Second)
 			world.request(2, 0, 0, 1) // brings what is pending
 			world.wantAttempts(2, 1)
-			if got := world.countedUnits(0); got != c.charged {
-				t.Errorf("charged %g, want %g", got, c.charged)
+			if got := world.countedUnits(0); got != test.charged {
+				t.Errorf("charged %g, want %g", got, test.charged)
 			}
 		})
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -61,14 +61,14 @@
 	}
 }
 
-// capacityWait is how long a request waits for a server, and what its client is told if it finds none or its
-// attempts fail.
+// capacityWait is how long a request waits for a server, and what its client gets as Retry-After if it finds
+// none or its attempts fail.
 func (b *balancer) capacityWait() time.Duration {
 	return time.Duration(capacityWaitFraction * float64(b.env.tightestObjective))
 }
 
 // pickServer draws two servers at random and takes the one with the lower load score; where none has room, it
-// says until when to wait for one.
+// returns until when to wait for one.
 func (b *balancer) pickServer(request *requestState) (picked *server, waitUntil time.Duration) {
 	if len(b.ready) == 0 {
 		return nil, request.objectiveAt
@@ -118,8 +118,8 @@
 	return preferring(candidates, func(s *server) bool { return !s.isWarm() })
 }
 
-// preferring gives those servers for which a condition holds, or all where it holds for none. It changes the
-// slice in place.
+// preferring returns those servers for which a condition holds, or all where it holds for none. It changes
+// the slice in place.
 func preferring(servers []*server, holds func(*server) bool) []*server {
 	if !slices.ContainsFunc(servers, holds) {
 		return servers
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// updateCallProbability leaves calls out, by lot, as they fail or answer late.
+// updateCallProbability leaves calls out, at random, as they fail or answer late.
 func (a *admission) updateCallProbability(fast, accepted bool) {
 	if fast {
 		a.fastAnswers = min(a.fastAnswers+1, maxFastAnswers)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -21,7 +21,7 @@
 	c.windowOffset = time.Duration(counterName(c.id, 0) % uint64(max(c.windowLength, 1)))
 }
 
-// windowAt gives the number of the window that a time falls in, windowStart a window's start.
+// windowAt returns the number of the window that a time falls in, windowStart a window's start.
 func (c *customerState) windowAt(at time.Duration) int64 {
 	return int64((at + c.windowOffset) / c.windowLength)
 }
@@ -36,16 +36,16 @@
 	return x ^ x>>31
 }
 
-// countsInFlight tells that the customer's count is one of attempts in flight, not of units.
+// countsInFlight reports whether the customer's count is one of attempts in flight, not of units.
 func (c *customerState) countsInFlight() bool { return c.plan.Rate <= 0 && c.plan.MaxInFlight > 0 }
 
-// isSparse tells that requests come here too seldom to learn of the customer: our share of a burst holds
+// isSparse reports whether requests come here too seldom to learn of the customer: our share of a burst holds
 // under two of them.
 func (c *customerState) isSparse(units float64) bool {
 	return c.plan.Burst < sparseRequests*units*c.gateways
 }
 
-// isExhausted tells that no count could admit so many units, and that no charge waits for a call.
+// isExhausted reports whether no count could admit so many units and no charge waits for a call.
 func (c *customerState) isExhausted(units float64) bool {
 	return c.plan.Rate > 0 && c.available+c.assumedByOthers < units && len(c.pending) == 0
 }
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -4,10 +4,10 @@
 
 // This file is the ejection of failing servers.
 
-// isEjectedFor tells whether a server gets no requests of this one's class, whatever the trouble looks like:
-// fast errors and refused connections (which draw requests, as few are in flight there), rejections, silence.
-// Its class's own record counts; where the class was not tried there, the latest of another's, as others may
-// be served. Harm: a good server is left alone for a while.
+// isEjectedFor reports whether a server gets no requests of this one's class, whatever the trouble looks
+// like: fast errors and refused connections (which draw requests, as few are in flight there), rejections,
+// silence. Its class's own record counts; where the class was not tried there, the latest of another's, as
+// others may be served. Cost: a good server is left alone for a while.
 func (s *server) isEjectedFor(request *requestState) bool {
 	own, now := s.health[request.Class], s.env.now
 	for _, other := range s.inFlight {
@@ -49,7 +49,7 @@
 
 // ejectionThreshold is the failure score at which a server is ejected. One failure does: healthy servers
 // hardly ever fail, and hundreds of gateways see no more. Two in a row where failures strike everywhere, as
-// malformed answers do: by one each would be ejected in turn, and the rest overrun. Harm: a bad one gets an
+// malformed answers do: by one each would be ejected in turn, and the rest overrun. Cost: a bad one gets an
 // attempt more.
 func (b *balancer) ejectionThreshold() int {
 	suspected, recent := 0, 2*b.ejectionTime()
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -25,26 +25,36 @@
 // Only the first attempt of an idempotent request that prefers their owner goes to elective servers; its retries, other
 // classes' and other requests never do.
 func TestElective_serversTakeElectiveAttemptsOnly(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
+		name         string
 		class, owner int
 		elective     bool
-	}{{0, 9, true}, {0, 0, false}, {0, 8, false}, {1, 9, false}, {2, 9, false}, {3, 9, false}} {
-		world := newElectiveHarness(t)
-		for id := range uint32(40) {
-			world.requestPreferring(id+1, c.class, c.owner)
-			first := world.attempts[len(world.attempts)-1].server
-			if (first > 4) != c.elective {
-				t.Fatalf("%+v: request %d sent to %d", c, id+1, first)
-			}
-			world.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
-			for world.attempts[len(world.attempts)-1].request == id+1 && !world.attempts[len(world.attempts)-1].ended {
-				if again := world.attempts[len(world.attempts)-1].server; again > 4 {
-					t.Fatalf("%+v: request %d retried at %d", c, id+1, again)
+	}{
+		{"idempotent, prefers the owner", 0, 9, true},
+		{"prefers nobody", 0, 0, false},
+		{"prefers another owner", 0, 8, false},
+		{"keyed within a rack", 1, 9, false},
+		{"non-idempotent", 2, 9, false},
+		{"keyed", 3, 9, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			world := newElectiveHarness(t)
+			for id := range uint32(40) {
+				world.requestPreferring(id+1, test.class, test.owner)
+				first := world.attempts[len(world.attempts)-1].server
+				if (first > 4) != test.elective {
+					t.Fatalf("request %d sent to %d", id+1, first)
 				}
-				world.finishAttempt(id+1, Answered)
+				world.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
+				for world.attempts[len(world.attempts)-1].request == id+1 && !world.attempts[len(world.attempts)-1].ended {
+					if again := world.attempts[len(world.attempts)-1].server; again > 4 {
+						t.Fatalf("request %d retried at %d", id+1, again)
+					}
+					world.finishAttempt(id+1, Answered)
+				}
+				world.advance(time.Second)
 			}
-			world.advance(time.Second)
-		}
+		})
 	}
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -47,14 +47,14 @@
 	g.dispatch(now, request.attempts[result.Attempt].server, &attemptEnded{request, result})
 }
 
-// HandleStreamStart tells that a streamed answer has started: the request has no deadline any more.
+// HandleStreamStart takes word that a streamed answer has started: the request has no deadline any more.
 func (g *Gateway) HandleStreamStart(_ time.Duration, requestID uint32, _ int) {
 	if request := g.requests[requestID]; request != nil {
 		request.streaming = true
 	}
 }
 
-// HandleDisconnect tells that the request's client has left.
+// HandleDisconnect takes word that the request's client has left.
 func (g *Gateway) HandleDisconnect(now time.Duration, requestID uint32) {
 	if request := g.requests[requestID]; request != nil {
 		g.dispatch(now, g.lifecycle, clientDisconnected{request})
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -38,7 +38,7 @@
 }
 
 // New makes a module that knows nothing of an earlier incarnation. It asks nothing of the host yet. The error
-// says what is missing in the settings.
+// is ErrIncompleteSettings.
 func New(settings Settings, seed int64, host Host) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -60,5 +60,5 @@
 	return g, nil
 }
 
-// SetSharers tells how many gateways send attempts to each listed server, where each has a subset of them.
+// SetSharers sets how many gateways send attempts to each listed server, where each has a subset of them.
 func (g *Gateway) SetSharers(gateways float64) { g.balancer.sharingGateways = max(gateways, 1) }
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -79,8 +79,8 @@
 
 func (w *goldenWorld) Terminate(task uint32) { w.record("terminate", task) }
 
-func (w *goldenWorld) Count(name uint64, keep time.Duration, units float64) {
-	w.record("count", name, keep, units)
+func (w *goldenWorld) Count(name uint64, ttl time.Duration, units float64) {
+	w.record("count", name, ttl, units)
 	took, outcome := w.between(0, 5*ms), Answered
 	if w.phase() == 3 || w.chance(0.03) {
 		switch w.random.Intn(12) {
@@ -154,8 +154,8 @@
 	if len(w.requests) >= goldenRequests {
 		return
 	}
-	at := w.random.Intn(len(w.listed))
-	switch s := &w.listed[at]; w.random.Intn(12) {
+	index := w.random.Intn(len(w.listed))
+	switch s := &w.listed[index]; w.random.Intn(12) {
 	case 0:
 		s.State = Draining
 	case 1:
@@ -176,9 +176,9 @@
 	case 2:
 		w.module.HandleEndpoints(w.now, ListFailed, nil)
 	case 3:
-		w.module.HandleEndpoints(w.now, ListFull, slices.Clone(w.listed[:at]))
+		w.module.HandleEndpoints(w.now, ListFull, slices.Clone(w.listed[:index]))
 	default:
-		w.module.HandleEndpoints(w.now, ListDelta, []Endpoint{w.listed[at]})
+		w.module.HandleEndpoints(w.now, ListDelta, []Endpoint{w.listed[index]})
 	}
 	w.after(w.between(200*ms, 3*time.Second), w.listChange)
 }
--- a/policy/host.go
+++ b/policy/host.go
@@ -5,7 +5,7 @@
 // This file is what the module and the gateway around it hand each other. Times are spans since the origin of
 // the clock that all gateways share, unless they are named after what they last.
 
-// Outcome tells how an attempt, a call to the counter or a health check ended.
+// Outcome is how an attempt, a call to the counter or a health check ended.
 type Outcome uint8
 
 // The outcomes.
@@ -30,7 +30,7 @@
 	Draining
 )
 
-// ListKind tells what an endpoint list brings.
+// ListKind is what an endpoint list brings.
 type ListKind uint8
 
 // The kinds of list.
@@ -65,14 +65,14 @@
 	FirstGateway int // of those that serve the customer
 	GatewayCount int // how many serve it
 	Units        float64
-	Deadline     time.Duration // when the client gives this try up
+	Deadline     time.Duration // when the client abandons this try
 	Repeat       bool          // the client has tried before
 	// PreferOwner is the owner whose servers the first attempt of an idempotent request goes to, if one of them
 	// has capacity; 0: none.
 	PreferOwner int
 }
 
-// AttemptResult tells how an attempt ended.
+// AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	RequestID   uint32
 	Attempt     int // of the request, counted from 0
@@ -100,12 +100,12 @@
 	Attempt(requestID, server uint32, until time.Duration)
 	// Cancel gives up an attempt, counted from 0. Its result comes all the same.
 	Cancel(requestID uint32, attempt int)
-	// Reject gives the final answer that makes trying again harmless, after the given span (0: not told).
+	// Reject gives the final answer that makes trying again harmless, after the given span (0: none).
 	Reject(requestID uint32, retryAfter time.Duration)
 	// Terminate gives the final answer that does not say whether the request ran.
 	Terminate(requestID uint32)
-	// Count adds units to a name at the counter, which keeps it for the given span, and reads the total.
-	Count(name uint64, keep time.Duration, units float64)
+	// Count adds units to a name at the counter, which keeps it for the span ttl, and reads the total.
+	Count(name uint64, ttl time.Duration, units float64)
 	CheckHealth(server uint32)
 	// SendPeer sends a message to a gateway; below 0: to all.
 	SendPeer(gateway int, text []byte)
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -21,7 +21,7 @@
 	return attempt && same && now < ran.startedAt+r.class.DedupWindow, r.class.Group == GroupAll
 }
 
-// sharesGroup tells whether two servers drop each other's repeats of the class.
+// sharesGroup reports whether two servers drop each other's repeats of the class.
 func (c *TrafficClass) sharesGroup(a, b *server) bool {
 	switch c.Group {
 	case GroupZone:
@@ -33,7 +33,7 @@
 	}
 }
 
-// canSettleAt tells whether a request may go to a server to settle what its owner owes: with its first
+// canSettleAt reports whether a request may go to a server to settle what its owner owes: with its first
 // attempt alone, and where that does no harm.
 func (r *requestState) canSettleAt(s *server) bool {
 	return r.PreferOwner != 0 && r.PreferOwner == s.Owner && len(r.attempts) == 0 &&
@@ -69,7 +69,7 @@
 	}
 }
 
-// retries tells whether a request is worth another attempt: while no overload is seen, and while it can be
+// retries reports whether a request is worth another attempt: while no overload is seen, and while it can be
 // answered within its objective.
 func (l *lifecycle) retries(request *requestState) bool {
 	permitted, _ := request.permits(l.env.now, nil, &l.env.settings)
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -7,45 +7,49 @@
 
 func TestRetry_byOutcomeAndEffect(t *testing.T) {
 	const terminated, rejected = "terminate 1", "reject 1 away 125ms"
-	for _, c := range []struct {
+	for _, test := range []struct {
+		name     string
 		class    int
 		ends     Outcome
 		attempts int
 		last     string
 	}{
-		{0, Errored, 3, rejected},
-		{0, TimedOut, 3, rejected},
-		{0, Rejected, 3, rejected},
-		{1, Errored, 3, terminated},
-		{1, Reset, 3, terminated},
-		{1, ConnectFailed, 3, rejected},
-		{2, Errored, 1, terminated},
-		{2, TimedOut, 1, terminated},
-		{2, Rejected, 3, rejected},
-		{3, Errored, 3, rejected},
-		{3, Cancelled, 3, rejected},
+		{"idempotent, error", 0, Errored, 3, rejected},
+		{"idempotent, timeout", 0, TimedOut, 3, rejected},
+		{"idempotent, rejected", 0, Rejected, 3, rejected},
+		{"keyed within a rack, error", 1, Errored, 3, terminated},
+		{"keyed within a rack, reset", 1, Reset, 3, terminated},
+		{"keyed within a rack, no connection", 1, ConnectFailed, 3, rejected},
+		{"non-idempotent, error", 2, Errored, 1, terminated},
+		{"non-idempotent, timeout", 2, TimedOut, 1, terminated},
+		{"non-idempotent, rejected", 2, Rejected, 3, rejected},
+		{"keyed, error", 3, Errored, 3, rejected},
+		{"keyed, cancelled", 3, Cancelled, 3, rejected},
 	} {
-		world := newHarness(t, testSettings(), 8)
-		world.request(1, c.class, 0, 1)
-		for world.attemptsOf(1) < 3 {
-			before := world.attemptsOf(1)
-			world.finishAttempt(1, c.ends)
-			if world.attemptsOf(1) == before {
-				break
+		t.Run(test.name, func(t *testing.T) {
+			world := newHarness(t, testSettings(), 8)
+			world.request(1, test.class, 0, 1)
+			for world.attemptsOf(1) < 3 {
+				before := world.attemptsOf(1)
+				world.finishAttempt(1, test.ends)
+				if world.attemptsOf(1) == before {
+					break
+				}
+			}
+			if world.occurrences(terminated)+world.occurrences(rejected) == 0 {
+				world.finishAttempt(1, test.ends)
+			}
+			world.wantAttempts(1, test.attempts)
+			world.want(test.last, 1)
+			if test.class != 1 || test.ends == ConnectFailed {
+				return
 			}
-		}
-		if world.occurrences(terminated)+world.occurrences(rejected) == 0 {
-			world.finishAttempt(1, c.ends)
-		}
-		world.wantAttempts(1, c.attempts)
-		world.want(c.last, 1)
-		if c.class == 1 && c.ends != ConnectFailed {
-			for _, p := range world.attempts {
-				if (p.server-1)/2 != (world.attempts[0].server-1)/2 {
+			for _, attempt := range world.attempts {
+				if (attempt.server-1)/2 != (world.attempts[0].server-1)/2 {
 					t.Errorf("a keyed request that may have run left its rack: %v", world.attempts)
 				}
 			}
-		}
+		})
 	}
 }
 
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -210,7 +210,7 @@
 	lost := func(f *quotaSimulation) { // over one edge of each customer, or two
 		f.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
 	}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name      string
 		gateways  int
 		counter   func(*quotaSimulation)
@@ -226,13 +226,13 @@
 		{"20 gateways, counter lost for 12 s", 20, lost, 0.14, 0.42},
 		{"100 gateways, counter lost for 12 s", 100, lost, 0.42, 1.00},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := &quotaSimulation{random: rand.New(rand.NewSource(1))}
-			if tt.counter != nil {
-				tt.counter(f)
+			if test.counter != nil {
+				test.counter(f)
 			}
-			f.run(tt.gateways, 12, 45*time.Second)
-			for times, most := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: tt.two, 5: tt.five} {
+			f.run(test.gateways, 12, 45*time.Second)
+			for times, most := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
 				if got := f.overQuota[times] / f.quota[times]; got > most {
 					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", times, got, most)
 				}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -8,7 +8,7 @@
 // This file takes new settings into a running module. It decides nothing: what was learned and what is under
 // way is carried over to the new classes and plans, by their names.
 
-// AlignWith gives the settings with their classes and plans at the indices that earlier settings gave them,
+// AlignWith returns the settings with their classes and plans at the indices that earlier settings gave them,
 // by name: a request that was read by index just before stands for the same class and plan after. What is new
 // comes behind; what is missing stays at its index, retired, for the requests in flight.
 func (s Settings) AlignWith(earlier Settings) Settings {
@@ -18,7 +18,7 @@
 	return s
 }
 
-// align does so for one kind; key gives a value's name, and where it says that it is retired.
+// align does so for one kind; key returns a value's name and its Retired field.
 func align[T any](current, earlier []T, key func(*T) (string, *bool)) []T {
 	aligned := slices.Clone(earlier)
 	for i := range aligned {
@@ -37,10 +37,10 @@
 	return aligned
 }
 
-// Reconfigure takes new settings and gives them as they are in force: classes and plans where AlignWith puts
-// them. Requests in flight end under the class that they came with. Customers' quotas and attempts in flight
-// go on; a customer whose quota has changed begins its windows anew, and no count of an earlier one decides
-// in them. With an error nothing has changed.
+// Reconfigure takes new settings and returns them as they are in force: classes and plans where AlignWith
+// puts them. Requests in flight end under the class that they came with. Customers' quotas and attempts in
+// flight go on; a customer whose quota has changed begins its windows anew, and no count of an earlier one
+// decides in them. With an error nothing has changed.
 func (g *Gateway) Reconfigure(now time.Duration, settings Settings) (Settings, error) {
 	earlier := g.settings
 	settings = settings.AlignWith(earlier)
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -9,8 +9,8 @@
 // otherSettings have classes and plans in another order, some of each missing and one new, other limits, no
 // Retry-After.
 func otherSettings() Settings {
-	d := testSettings()
-	d.Classes = []TrafficClass{
+	settings := testSettings()
+	settings.Classes = []TrafficClass{
 		{Name: "read", LatencyObjective: 300 * ms, Timeout: time.Second, Weight: 1, Effect: Idempotent},
 		{
 			Name: "mark", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2, Effect: Keyed,
@@ -18,14 +18,14 @@
 		},
 		{Name: "look", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 1, Effect: Idempotent},
 	}
-	d.Plans = []Plan{
+	settings.Plans = []Plan{
 		{Name: "out", MaxInFlight: 1},
 		{Name: "new", Rate: 5, Burst: 10},
 		{Name: "small", Rate: 4, Burst: 4},
 		{Name: "wide", MaxInFlight: 2},
 	}
-	d.RetryAfter, d.UsageSpan = false, time.Second
-	return d
+	settings.RetryAfter, settings.UsageSpan = false, time.Second
+	return settings
 }
 
 func (h *harness) reconfigure(d Settings) Settings {
--- a/policy/request_state.go
+++ b/policy/request_state.go
@@ -53,12 +53,12 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended })
 }
 
-// hasArrived tells whether an attempt came complete to a server.
+// hasArrived reports whether an attempt came complete to a server.
 func (r *requestState) hasArrived() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverArrived })
 }
 
-// firstThatMayHaveRun gives the first attempt that is not proven never to have run; nil: there is none.
+// firstThatMayHaveRun returns the first attempt that is not proven never to have run; nil: there is none.
 func (r *requestState) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
@@ -68,16 +68,16 @@
 	return nil
 }
 
-// IsAdmitted tells whether admission has let a request in that is not over yet. It changes nothing. A host
+// IsAdmitted reports whether admission has let a request in that is not over yet. It changes nothing. A host
 // that is told to reject a request learns from it why: the customer's quota, or too little capacity.
 func (g *Gateway) IsAdmitted(requestID uint32) bool {
 	request := g.requests[requestID]
 	return request != nil && request.admitted
 }
 
-// RetryDeadline tells when the dedup window of a keyed request ends, if an attempt before its latest may have
-// run; else 0. It changes nothing. A host can hold back an attempt that was asked for in time and whose first
-// byte would leave too late.
+// RetryDeadline returns when the dedup window of a keyed request ends, if an attempt before its latest may
+// have run; else 0. It changes nothing. A host can hold back an attempt that was asked for in time and whose
+// first byte would leave too late.
 func (g *Gateway) RetryDeadline(requestID uint32) time.Duration {
 	request := g.requests[requestID]
 	if request == nil || request.class.Effect != Keyed || len(request.attempts) == 0 {
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -20,7 +20,7 @@
 	r.next = (r.next + 1) % size
 }
 
-// newest gives the n-th sample from the newest, counted from 0.
+// newest returns the n-th sample from the newest, counted from 0.
 func (r *ring[T]) newest(n int) T {
 	return r.samples[(r.next-1-n+2*len(r.samples))%len(r.samples)]
 }
@@ -37,7 +37,7 @@
 	slices.Sort(l.sorted)
 }
 
-// decile gives the n-th of ten, 0 before any sample.
+// decile returns the n-th decile, 0 before any sample.
 func (l *latencies) decile(n int) time.Duration {
 	if len(l.sorted) == 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return latencies{ring[time.Duration]{slices.Clone(l.samples), l.next}, slices.Clone(l.sorted)}
 }
 
-// latencySample is the part of its latency objective that an attempt took. Queues pass: it tells of now until
+// latencySample is the part of its latency objective that an attempt took. Queues pass: it is valid until
 // some time after its start.
 type latencySample struct {
 	validUntil        time.Duration
--- a/policy/server.go
+++ b/policy/server.go
@@ -25,8 +25,8 @@
 	s.env.send(s.lifecycle, m)
 }
 
-// isFull tells that we have as many attempts in flight at a server as it answers us in the time that one may
-// take (Little's law), and our part of a few more. It guards against a queue that outlives its cause, in
+// isFull reports whether we have as many attempts in flight at a server as it answers us in the time that one
+// may take (Little's law), and our part of a few more. It guards against a queue that outlives its cause, in
 // which all work is done and all of it late, whatever filled it. With a bound under one attempt, as with many
 // gateways, one server's answers tell too little; shedding speaks then. Of servers whose rate is not known,
 // with so many exploring attempts in flight at them, no more are tried at once than leaves the other
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -89,7 +89,7 @@
 var ErrIncompleteSettings = errors.New(
 	"a gateway needs at least one lane, one plan and its place among the gateways")
 
-// Validate gives ErrIncompleteSettings where settings cannot be used at all.
+// Validate returns ErrIncompleteSettings where settings cannot be used at all.
 func (s *Settings) Validate() error {
 	open := func(c TrafficClass) bool { return !c.Retired }
 	if !slices.ContainsFunc(s.Classes, open) || len(s.Plans) == 0 || s.Gateways < 1 {
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -8,7 +8,7 @@
 
 // This file is how the balancer sheds load while the servers together are too slow.
 
-// sheds tells, by lot, whether a request is rejected as the servers are overloaded.
+// sheds reports, at random, whether a request is rejected as the servers are overloaded.
 func (b *balancer) sheds(request *requestState) bool {
 	draw := b.env.random.Float64()
 	return draw >= math.Pow(min(b.admissionProbability(), 1), b.relativeCost(request))
@@ -44,7 +44,7 @@
 }
 
 // relativeCost is how much less a request weighs for its work than all classes and plans on the mean: the
-// power of the chance that it is forwarded under overload. Work is the class's latency a unit. Harm: classes
+// power of the chance that it is forwarded under overload. Work is the class's latency a unit. Cost: classes
 // and plans that weigh little are served least when there is too little for all.
 func (b *balancer) relativeCost(request *requestState) float64 {
 	own, sum, n := 0.0, 0.0, 0.0
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -14,11 +14,11 @@
 
 func (s *server) isWarm() bool { return s.warmUpFraction() >= 1 }
 
-// slowStartAllows tells, by lot, whether a warming server may have an attempt from us now. The chance is what
-// the time since we last considered it brings, at its least warm-up fraction of what a warm one gets, and
-// less for a request of more than the mean work. Nothing is saved up. It guards against overloading a server
-// that has just started, also by hundreds of gateways in one moment (docs/design.md). Harm: a gateway with
-// few requests leaves most of its share unused.
+// slowStartAllows reports, at random, whether a warming server may have an attempt from us now. The chance is
+// what the time since we last considered it brings, at its least warm-up fraction of what a warm one gets,
+// and less for a request of more than the mean work. Nothing is saved up. It guards against overloading a
+// server that has just started, also by hundreds of gateways in one moment (docs/design.md). Cost: a gateway
+// with few requests leaves most of its share unused.
 func (s *server) slowStartAllows(request *requestState) bool {
 	share, settings := s.warmUpFraction(), &s.env.settings
 	if share >= 1 {
--- a/policy/slow_start_host_test.go
+++ b/policy/slow_start_host_test.go
@@ -8,37 +8,37 @@
 )
 
 // Attempt takes a request to a server: it queues there, and its work takes the longer, the less the server is warmed up.
-func (g *gateway) Attempt(requestID, to uint32, until time.Duration) {
-	s, work, incarnation, at := g.servers[to-1], g.units[requestID]/g.meanUnits, g.incarnation, g.now
-	g.subset.CountAttempt(at)
+func (g *gateway) Attempt(requestID, serverID uint32, until time.Duration) {
+	target, work, incarnation, start := g.servers[serverID-1], g.units[requestID]/g.meanUnits, g.incarnation, g.now
+	g.subset.CountAttempt(start)
 	number := g.attempts[requestID]
 	g.attempts[requestID]++
-	s.sent = append(s.sent, arrival{at, work, g.notified})
+	target.sent = append(target.sent, arrival{start, work, g.notified})
 	end := func(wait time.Duration, how policy.Outcome) {
-		if how == policy.Answered && at+wait > until {
-			wait, how = until-at, policy.TimedOut
+		if how == policy.Answered && start+wait > until {
+			wait, how = until-start, policy.TimedOut
 		}
 		g.after(wait, func() {
 			if g.incarnation == incarnation {
 				g.module.HandleAttemptResult(g.now, policy.AttemptResult{
-					RequestID: requestID, Attempt: number, Server: to, Outcome: how, Latency: g.now - at,
+					RequestID: requestID, Attempt: number, Server: serverID, Outcome: how, Latency: g.now - start,
 					Final: how == policy.Answered,
 				})
 			}
 		})
 	}
-	free := max(s.free, at+networkDelay)
+	free := max(target.free, start+networkDelay)
 	begin := time.Hour + restartAt
 	switch {
-	case g.silentBefore && slices.Contains(g.restarted(), s) && at < begin && at > begin-2*time.Second:
-		end(until-at, policy.TimedOut)
-	case s.failing && g.random.Float64() < 0.5:
+	case g.silentBefore && slices.Contains(g.restarted(), target) && start < begin && start > begin-2*time.Second:
+		end(until-start, policy.TimedOut)
+	case target.failing && g.random.Float64() < 0.5:
 		end(2*networkDelay, policy.Errored)
-	case free > at+time.Second:
+	case free > start+time.Second:
 		end(2*networkDelay, policy.Rejected)
 	default:
-		s.free = free + time.Duration(work/warmRate/g.warmUpFraction(s, at)*float64(time.Second))
-		end(s.free+networkDelay-at, policy.Answered)
+		target.free = free + time.Duration(work/warmRate/g.warmUpFraction(target, start)*float64(time.Second))
+		end(target.free+networkDelay-start, policy.Answered)
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -33,59 +33,62 @@
 	minShare          float64                              // the least part of their due that the warming ones must get
 }
 
-func warmUpCases() []warmUpCase {
-	burst := func(low, high float64, at time.Duration) func(time.Duration) float64 {
-		return func(t time.Duration) float64 {
-			if t < at {
-				return low
-			}
-			return high
+// burst is a load that is low until a time, and high from then on.
+func burst(low, high float64, from time.Duration) func(time.Duration) float64 {
+	return func(t time.Duration) float64 {
+		if t < from {
+			return low
 		}
+		return high
 	}
-	// Most see the mean, some see several times that.
-	uneven := func(_ time.Duration, g int) float64 { return []float64{0.6, 0.6, 0.8, 0.6, 2.4}[g%5] }
-	return []warmUpCase{
-		{name: "steady", restartedFraction: 0.2, minShare: 0.5},
-		{name: "uneven gateways", restartedFraction: 0.2, gatewayShare: uneven, minShare: 0.5},
-		{name: "idle, then a burst", restartedFraction: 0.2, load: burst(0.2, 1, restartAt+2*time.Second)},
-		// What gateways had saved up while they were at rest met, in one moment, the only servers that were left.
-		{
-			name: "at rest, then all at once on the warming one", restartedFraction: 0.05, watchTime: 20 * time.Second,
-			warmServersLeave: 18 * time.Second, load: func(t time.Duration) float64 {
-				switch {
-				case t < restartAt+4*time.Second:
-					return 1
-				case t < restartAt+18*time.Second:
-					return 0
-				}
-				return 4
-			},
-		},
-		{name: "a burst beyond all servers", restartedFraction: 0.2, load: burst(0.4, 2, restartAt+time.Second)},
-		{name: "all gateways restarted", restartedFraction: 0.2, restart: restartAt + 1500*time.Millisecond},
-		{name: "notified within six seconds", restartedFraction: 0.2, notifiedAfter: func(g int) time.Duration {
-			return time.Duration(g) * 2654435761 % (6 * time.Second)
-		}},
-		{name: "half of the servers", restartedFraction: 0.5, load: burst(0.7, 0.7, 0)},
-		{name: "half of the servers, too much for the rest", restartedFraction: 0.5},
-		{name: "retries", restartedFraction: 0.2, load: burst(0.7, 0.7, 0), failing: 0.3, minShare: 0.5},
-		{name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7, units: func(lot float64) float64 {
-			return map[bool]float64{true: 8, false: 1}[lot < 0.1]
-		}},
-		{name: "a shift of traffic", restartedFraction: 0.2, gatewayShare: func(t time.Duration, g int) float64 {
+}
+
+// uneven gives most gateways less than the mean, and some several times that.
+func uneven(_ time.Duration, gateway int) float64 {
+	return []float64{0.6, 0.6, 0.8, 0.6, 2.4}[gateway%5]
+}
+
+var warmUpCases = []warmUpCase{
+	{name: "steady", restartedFraction: 0.2, minShare: 0.5},
+	{name: "uneven gateways", restartedFraction: 0.2, gatewayShare: uneven, minShare: 0.5},
+	{name: "idle, then a burst", restartedFraction: 0.2, load: burst(0.2, 1, restartAt+2*time.Second)},
+	// What gateways had saved up while they were at rest met, in one moment, the only servers that were left.
+	{
+		name: "at rest, then all at once on the warming one", restartedFraction: 0.05, watchTime: 20 * time.Second,
+		warmServersLeave: 18 * time.Second, load: func(t time.Duration) float64 {
 			switch {
-			case t < restartAt-3*time.Second:
+			case t < restartAt+4*time.Second:
 				return 1
-			case (t < restartAt+2*time.Second) == (g%2 == 0):
-				return 1.96
+			case t < restartAt+18*time.Second:
+				return 0
 			}
-			return 0.04
-		}},
-		{
-			name: "a zone back", restartedFraction: 0.33, load: burst(0.7, 0.7, 0), silentBefore: true,
-			notifiedAfter: func(g int) time.Duration { return time.Duration(g) * 2654435761 % time.Second },
+			return 4
 		},
-	}
+	},
+	{name: "a burst beyond all servers", restartedFraction: 0.2, load: burst(0.4, 2, restartAt+time.Second)},
+	{name: "all gateways restarted", restartedFraction: 0.2, restart: restartAt + 1500*time.Millisecond},
+	{name: "notified within six seconds", restartedFraction: 0.2, notifiedAfter: func(g int) time.Duration {
+		return time.Duration(g) * 2654435761 % (6 * time.Second)
+	}},
+	{name: "half of the servers", restartedFraction: 0.5, load: burst(0.7, 0.7, 0)},
+	{name: "half of the servers, too much for the rest", restartedFraction: 0.5},
+	{name: "retries", restartedFraction: 0.2, load: burst(0.7, 0.7, 0), failing: 0.3, minShare: 0.5},
+	{name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7, units: func(lot float64) float64 {
+		return map[bool]float64{true: 8, false: 1}[lot < 0.1]
+	}},
+	{name: "a shift of traffic", restartedFraction: 0.2, gatewayShare: func(t time.Duration, gateway int) float64 {
+		switch {
+		case t < restartAt-3*time.Second:
+			return 1
+		case (t < restartAt+2*time.Second) == (gateway%2 == 0):
+			return 1.96
+		}
+		return 0.04
+	}},
+	{
+		name: "a zone back", restartedFraction: 0.33, load: burst(0.7, 0.7, 0), silentBefore: true,
+		notifiedAfter: func(g int) time.Duration { return time.Duration(g) * 2654435761 % time.Second },
+	},
 }
 
 type arrival struct {
@@ -109,23 +112,23 @@
 // its budget N with a deviation of 2 sqrt(N) + 2, and that budget. Like the rule, it passes over what gateways sent that
 // had not been notified of the start, if it was a third.
 func (f *simulation) worstOverload() (part, budget float64) {
-	for _, s := range f.restarted() {
+	for _, warming := range f.restarted() {
 		sum, known, first := 0.0, 0.0, 0
-		for _, a := range s.sent {
-			if a.at < s.since {
+		for _, one := range warming.sent {
+			if one.at < warming.since {
 				first++
 				continue
 			}
-			sum += a.work
-			if a.notified {
-				known += a.work
+			sum += one.work
+			if one.notified {
+				known += one.work
 			}
-			for ; s.sent[first].at <= a.at-f.settings.OverloadSpan; first++ {
-				if sum -= s.sent[first].work; s.sent[first].notified {
-					known -= s.sent[first].work
+			for ; warming.sent[first].at <= one.at-f.settings.OverloadSpan; first++ {
+				if sum -= warming.sent[first].work; warming.sent[first].notified {
+					known -= warming.sent[first].work
 				}
 			}
-			n := f.settings.OverloadFactor * f.warmUpFraction(s, a.at) * warmRate * f.settings.OverloadSpan.Seconds()
+			n := f.settings.OverloadFactor * f.warmUpFraction(warming, one.at) * warmRate * f.settings.OverloadSpan.Seconds()
 			if p := sum / (n + 2*math.Sqrt(n) + 2); p > part && known > sum*2/3 {
 				part, budget = p, n
 			}
@@ -157,14 +160,14 @@
 // kept, and estimated it by as many others as had shared its servers before, so that hundreds spent theirs in the same
 // moment.
 func TestSlowStart_overAllGateways(t *testing.T) {
-	for _, d := range warmUpCases() {
-		t.Run(d.name, func(t *testing.T) {
+	for _, test := range warmUpCases {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for _, gateways := range []int{2, 20, 30, 300} {
 				got := 0.0
 				const seeds = 2
 				for seed := range int64(seeds) {
-					f := simulate(d, gateways, seed+1)
+					f := simulate(test, gateways, seed+1)
 					part, n := f.worstOverload()
 					got += f.shareOfDue() / seeds
 					t.Logf("%d gateways: %.2f of a budget of %.1f and its deviation; share %.2f", gateways, part, n, f.shareOfDue())
@@ -173,8 +176,8 @@
 							seed+1, part, n)
 					}
 				}
-				if got < d.minShare || d.minShare > 0 && got > 1.2 {
-					t.Errorf("%d gateways: the warming servers got %.2f of their due, want %.2f to 1.2", gateways, got, d.minShare)
+				if got < test.minShare || test.minShare > 0 && got > 1.2 {
+					t.Errorf("%d gateways: the warming servers got %.2f of their due, want %.2f to 1.2", gateways, got, test.minShare)
 				}
 			}
 		})
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -53,18 +53,18 @@
 
 // overloadCounter has the counter accept some calls and reject the others, and gives how often it was called and how
 // often it rejected, in the second half. Each request is of a sparse customer of its own.
-func (h *harness) overloadCounter(requests int, takes func(call int) bool) (calls, refused int) {
+func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, refused int) {
 	h.down = true
 	n := 0
 	for i := range requests {
 		id := uint32(1000 + i)
 		h.send(Request{ID: id, Plan: 1, Customer: uint64(1000 + i), Units: 1})
 		for len(h.calls) > 0 {
-			c := h.calls[0]
+			call := h.calls[0]
 			h.calls = h.calls[1:]
 			n++
 			how := Answered
-			if !takes(n) {
+			if !accepts(n) {
 				how = Rejected
 			}
 			if i > requests/2 {
@@ -73,7 +73,7 @@
 					refused++
 				}
 			}
-			h.countResult(CountResult{Name: c.name, Latency: ms, Outcome: how})
+			h.countResult(CountResult{Name: call.name, Latency: ms, Outcome: how})
 		}
 		h.advance(5 * ms)
 		h.finishAttempt(id, Answered)
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -14,11 +14,11 @@
 // Admission by what a customer's bucket holds, and by its limit on attempts in flight.
 const (
 	sparseRequests          = 2.0              // requests a burst under which a gateway learns too little
-	sparseRampFactor        = 4.0              // a sparse customer's last units, in answer times: drawn by lot
+	sparseRampFactor        = 4.0              // a sparse customer's last units, in answer times: by chance
 	blockedFraction         = 0.25             // of an answer time: how long a limit that was reached stays so
 	guessedInFlightFraction = 0.07             // of the limit on attempts in flight: may be used uncounted
 	demandDecay             = 20 * time.Second // over which a customer's own first tries tell its demand
-	maxUsageReports         = 8.0              // usage reports that are averaged: each tells of a moment
+	maxUsageReports         = 8.0              // usage reports that are averaged: each covers a moment
 	requiredDecile          = 8                // of latencies: a request with less time left is rejected
 	arrivalTicks            = 2                // the final answer is due this long before the client leaves
 )
@@ -46,7 +46,7 @@
 // Ejection of failing servers.
 const (
 	failureWeight     = 3                      // score of a failure; a rejection scores 1: it may be chance
-	suspectedFraction = 0.25                   // where more of the ready servers failed lately, one tells little
+	suspectedFraction = 0.25                   // where more of the ready servers failed, one proves little
 	minSuspected      = 2.0                    // and more than so many: these may all be bad
 	minEjection       = time.Second            // a server stays ejected at least so long
 	ejectionAttempts  = 4.0                    // and for so many of our usual attempts at one
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -119,9 +119,9 @@
 	for _, world := range []*harness{one, two} {
 		world.nearWindowEdge(100, 20*ms)
 	}
-	customer, at := one.nearWindowEdge(100, 20*ms)
+	customer, edge := one.nearWindowEdge(100, 20*ms)
 	two.advance(one.now - two.now)
-	for id := uint32(2); id <= 3; id++ { // the first of each are in flight at once, the second bring what they took
+	for id := uint32(2); id <= 3; id++ { // the first of each are in flight edge once, the second bring what they took
 		for _, world := range []*harness{one, two} {
 			world.requestOfSmallPlan(id, 100, float64(3-id)*4.5)
 		}
@@ -129,12 +129,12 @@
 			world.finishAttempt(id, Answered)
 		}
 	}
-	before, later := counterName(100, customer.windowAt(at-1)), counterName(100, customer.windowAt(at))
+	before, later := counterName(100, customer.windowAt(edge-1)), counterName(100, customer.windowAt(edge))
 	if got := one.count[before]; got != 9 {
 		t.Fatalf("%v units stand in the window before, want 9", got)
 	}
 	for _, world := range []*harness{one, two} {
-		world.crossWindowEdge(world.gateway.admission.customers[100], at, ms)
+		world.crossWindowEdge(world.gateway.admission.customers[100], edge, ms)
 		world.down = true
 		world.requestOfSmallPlan(4, 100, 0.5)
 	}
@@ -157,16 +157,16 @@
 
 // No count comes after the edge: the estimate goes on from before it.
 func TestWindowEdge_noResultAfterIt(t *testing.T) {
-	for _, o := range []Outcome{TimedOut, Rejected, ConnectFailed} {
+	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
-		customer, at := world.nearWindowEdge(100, 50*ms)
+		customer, edge := world.nearWindowEdge(100, 50*ms)
 		world.requestOfSmallPlan(2, customer.id, 8)
 		world.finishAttempt(2, Answered)
-		world.crossWindowEdge(customer, at, ms)
+		world.crossWindowEdge(customer, edge, ms)
 		world.down = true
 		world.requestOfSmallPlan(3, customer.id, 4)
 		for _, c := range world.calls {
-			world.countResult(CountResult{Name: c.name, Outcome: o})
+			world.countResult(CountResult{Name: c.name, Outcome: outcome})
 		}
 		world.wantAttempts(3, 0)
 	}
@@ -176,22 +176,22 @@
 // what we took the other gateway to forward still hold. Each of the customer's gateways forwarded its half, and after
 // the edge its half again.
 func TestWindowEdge_counterReturnsAfterIt(t *testing.T) {
-	for _, o := range []Outcome{TimedOut, Rejected, ConnectFailed} {
+	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
-		customer, at := world.nearWindowEdge(100, 400*ms)
+		customer, edge := world.nearWindowEdge(100, 400*ms)
 		world.down = true
 		sent := 0.0
 		for id := uint32(2); id < 12; id++ {
 			world.gateway.admission.callProbability = 1
 			world.requestOfSmallPlan(id, customer.id, 1)
 			for _, c := range world.calls {
-				world.countResult(CountResult{Name: c.name, Outcome: o})
+				world.countResult(CountResult{Name: c.name, Outcome: outcome})
 			}
 			world.calls = nil
 			sent += float64(world.attemptsOf(id))
 			world.finishAttempt(id, Answered)
 		}
-		world.crossWindowEdge(customer, at, ms)
+		world.crossWindowEdge(customer, edge, ms)
 		world.down, world.calls, world.gateway.admission.callProbability = false, nil, 1
 		for id := uint32(12); id < 22; id++ {
 			world.requestOfSmallPlan(id, customer.id, 1)
@@ -199,7 +199,7 @@
 			world.finishAttempt(id, Answered)
 		}
 		if sent < 2 || sent > 6 { // half of 10, and what came in 0.4 s
-			t.Errorf("%v: %v units forwarded, want about 5", o, sent)
+			t.Errorf("%v: %v units forwarded, want about 5", outcome, sent)
 		}
 	}
 }
