--- a/internal/coordination/simulation/faults.go
+++ b/internal/coordination/simulation/faults.go
@@ -4,9 +4,37 @@
 	"time"
 )
 
-// injectFault draws the faults of a run.
+// How long faults last and how often they come.
+const (
+	minFaultDuration   = 50 * time.Millisecond
+	faultDurationRange = 1500 * time.Millisecond
+	maxFaultInterval   = 800 * time.Millisecond
+	maxSyncDelay       = 400 * time.Millisecond
+	lossyMaxRate       = 0.4
+	lossyMaxDelay      = 100 * time.Millisecond
+	replaceInterval    = 300 * time.Millisecond // between two steps of a replacement
+)
+
+// fault injects a fault into a voter or the network. It lasts for the given duration.
+type fault func(s *simulation, n *node, duration time.Duration)
+
+// faults are equally probable.
+var faults = []fault{
+	crashWhileWriting,
+	crashWhileWriting,
+	crashAll,
+	suspendNode,
+	isolate,
+	dropOutgoing,
+	loseMessages,
+	fillDisk,
+	slowDisk,
+	func(s *simulation, n *node, _ time.Duration) { s.replaceVoter(n) },
+}
+
+// injectFault draws a fault and the time of the next one.
 func (s *simulation) injectFault() {
-	if s.now >= faultsUntil {
+	if s.now() >= faultsUntil {
 		s.healFaults()
 		return
 	}
@@ -14,49 +42,65 @@
 	if leader := s.leader(); leader != nil && s.rng.IntN(2) == 0 {
 		n = leader
 	}
-	span := 50*time.Millisecond + time.Duration(s.rng.Int64N(int64(1500*time.Millisecond)))
-	switch s.rng.IntN(10) {
-	case 0, 1:
-		n.crashPoint = 1 + s.rng.IntN(crashPoints)
-		s.after(span, func() { n.restart() })
-	case 2: // all at once
-		for _, n := range s.activeNodes() {
-			n.crash()
-			s.after(span, func() { n.restart() })
-		}
-	case 3:
-		n.suspend(span, s.rng.IntN(2) == 0)
-	case 4: // both ways
-		for _, o := range s.nodes {
-			s.partitioned[[2]uint64{n.member.Number, o.member.Number}] = true
-			s.partitioned[[2]uint64{o.member.Number, n.member.Number}] = true
-		}
-		s.after(span, func() { clear(s.partitioned) })
-	case 5: // one way
-		for _, o := range s.nodes {
-			s.partitioned[[2]uint64{n.member.Number, o.member.Number}] = true
-		}
-		s.after(span, func() { clear(s.partitioned) })
-	case 6:
-		s.lossRate, s.maxDelay = s.rng.Float64()*0.4, 100*time.Millisecond
-		s.after(span, func() { s.lossRate, s.maxDelay = 0, 2*time.Millisecond })
-	case 7:
-		n.diskFull = true
-		s.after(span, func() { n.diskFull = false; n.crash(); n.restart() })
-	case 8:
-		n.syncDelay = time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))
-		s.after(span, func() { n.syncDelay = 0 })
-	case 9:
-		s.replaceVoter(n)
+	duration := minFaultDuration + s.drawDuration(faultDurationRange)
+	faults[s.rng.IntN(len(faults))](s, n, duration)
+	s.after(s.drawDuration(maxFaultInterval), s.injectFault)
+}
+
+func crashWhileWriting(s *simulation, n *node, duration time.Duration) {
+	n.crashPoint = noCrash + 1 + crashPoint(s.rng.IntN(int(crashPoints)))
+	s.after(duration, n.restart)
+}
+
+func crashAll(s *simulation, _ *node, duration time.Duration) {
+	for _, n := range s.activeNodes() {
+		n.crash()
+		s.after(duration, n.restart)
+	}
+}
+
+func suspendNode(s *simulation, n *node, duration time.Duration) {
+	n.suspend(duration, s.rng.IntN(2) == 0)
+}
+
+func isolate(s *simulation, n *node, duration time.Duration) {
+	for _, other := range s.nodes {
+		s.network.partitioned[link{n.member.Number, other.member.Number}] = true
+		s.network.partitioned[link{other.member.Number, n.member.Number}] = true
 	}
-	s.after(time.Duration(s.rng.Int64N(int64(800*time.Millisecond))), s.injectFault)
+	s.after(duration, func() { clear(s.network.partitioned) })
+}
+
+func dropOutgoing(s *simulation, n *node, duration time.Duration) {
+	for _, other := range s.nodes {
+		s.network.partitioned[link{n.member.Number, other.member.Number}] = true
+	}
+	s.after(duration, func() { clear(s.network.partitioned) })
+}
+
+func loseMessages(s *simulation, _ *node, duration time.Duration) {
+	s.network.lossRate, s.network.maxDelay = s.rng.Float64()*lossyMaxRate, lossyMaxDelay
+	s.after(duration, func() { s.network.lossRate, s.network.maxDelay = 0, normalMaxDelay })
+}
+
+func fillDisk(s *simulation, n *node, duration time.Duration) {
+	n.diskFull = true
+	s.after(duration, func() {
+		n.diskFull = false
+		n.crash()
+		n.restart()
+	})
+}
+
+func slowDisk(s *simulation, n *node, duration time.Duration) {
+	n.syncDelay = s.drawDuration(maxSyncDelay)
+	s.after(duration, func() { n.syncDelay = 0 })
 }
 
 func (s *simulation) healFaults() {
-	clear(s.partitioned)
-	s.lossRate, s.maxDelay = 0, 2*time.Millisecond
+	s.network.heal()
 	for _, n := range s.activeNodes() {
-		n.crashPoint, n.diskFull, n.syncDelay = 0, false, 0
+		n.crashPoint, n.diskFull, n.syncDelay = noCrash, false, 0
 		n.restart()
 	}
 }
@@ -69,26 +113,31 @@
 	s.replaced = true
 	n.crash()
 	n.diskLost = true
-	fresh := newNode(s, uint64(len(s.nodes)+1))
-	s.nodes = append(s.nodes, fresh)
-	fresh.start(nil)
-	s.every(300*time.Millisecond, func() bool {
-		leader := s.leader()
-		if leader == nil || s.now > runDuration {
-			return s.now <= runDuration
-		}
-		there, gone := false, true
-		for _, m := range leader.consensus.Status().Members {
-			there, gone = there || m.Number == fresh.member.Number, gone && m.Number != n.member.Number
+	replacement := newNode(s, uint64(len(s.nodes)+1))
+	s.nodes = append(s.nodes, replacement)
+	replacement.start(nil)
+	s.every(replaceInterval, func() bool { return s.continueReplacement(n, replacement) })
+}
+
+// continueReplacement asks the leader for the next membership change. It returns false once there is none left.
+func (s *simulation) continueReplacement(lost, replacement *node) bool {
+	leader := s.leader()
+	if leader == nil || s.now() > runDuration {
+		return s.now() <= runDuration
+	}
+	added, removed := false, true
+	for _, member := range leader.consensus.Status().Members {
+		added = added || member.Number == replacement.member.Number
+		removed = removed && member.Number != lost.member.Number
+	}
+	leader.execute(func() {
+		// A change that is not made is asked for again at the next step.
+		switch {
+		case !removed:
+			_, _ = leader.consensus.ChangeMembership(lost.member, true)
+		case !added:
+			_, _ = leader.consensus.ChangeMembership(replacement.member, false)
 		}
-		leader.execute(func() {
-			switch {
-			case !gone:
-				_, _ = leader.consensus.ChangeMembership(n.member, true) // asked again until it is so
-			case !there:
-				_, _ = leader.consensus.ChangeMembership(fresh.member, false)
-			}
-		})
-		return !there || !gone
 	})
+	return !added || !removed
 }
--- a/internal/coordination/simulation/invariants.go
+++ b/internal/coordination/simulation/invariants.go
@@ -6,32 +6,32 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// tableState is the table as one that is in one place would have it.
+// tableState is the table as a single copy of it would be.
 type tableState struct {
 	epoch uint64
 	value string
 }
 
-// tableModel is a table that is written by comparing its epoch first: what all answers together must look like.
+// tableModel is a table whose writes compare the epoch first. All answers to clients together must fit it.
 var tableModel = porcupine.Model{
 	Init: func() any { return tableState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, c, a := state.(tableState), input.(call), output.(answer)
-		if !c.write {
-			return !a.known || a.epoch == s.epoch && a.value == s.value, s
+		current, request, returned := state.(tableState), input.(call), output.(answer)
+		if !request.write {
+			return !returned.known || returned.epoch == current.epoch && returned.value == current.value, current
 		}
-		fits := c.epoch == s.epoch
-		if fits {
-			s = tableState{s.epoch + 1, c.value}
+		applies := request.epoch == current.epoch
+		if applies {
+			current = tableState{current.epoch + 1, request.value}
 		}
-		return !a.known || a.applied == fits && a.epoch == s.epoch, s
+		return !returned.known || returned.applied == applies && returned.epoch == current.epoch, current
 	},
 }
 
-// maxApplyLag is how far a voter may be behind the leader at the end: what is on its way.
+// maxApplyLag is how many entries a voter may be behind the leader at the end: those that are on their way.
 const maxApplyLag = 5
 
-// checkEndState looks at what can be told at the end only.
+// checkEndState checks what can only be told at the end of a run.
 func (s *simulation) checkEndState() {
 	for _, c := range s.clients {
 		c.recordPending()
@@ -44,6 +44,12 @@
 		s.violation("no leader %v after the last fault", runDuration-faultsUntil)
 		return
 	}
+	s.checkConvergence(leader)
+	s.report.Trace = s.trace.Sum64()
+}
+
+// checkConvergence checks that all voters hold what the leader holds.
+func (s *simulation) checkConvergence(leader *node) {
 	want, err := leader.consensus.State().Snapshot()
 	for _, n := range s.activeNodes() {
 		got, e := n.consensus.State().Snapshot()
@@ -51,39 +57,43 @@
 		case err != nil || e != nil:
 			s.violation("%v, %v", err, e)
 		case n.consensus.AppliedIndex()+maxApplyLag < leader.consensus.AppliedIndex():
-			s.violation("voter %d is at entry %d, the leader at %d", n.member.Number, n.consensus.AppliedIndex(), leader.consensus.AppliedIndex())
+			s.violation("voter %d is at entry %d, the leader at %d",
+				n.member.Number, n.consensus.AppliedIndex(), leader.consensus.AppliedIndex())
 		case n.consensus.AppliedIndex() == leader.consensus.AppliedIndex() && !bytes.Equal(got, want):
 			s.violation("voters %d and %d differ at the same entry", n.member.Number, leader.member.Number)
 		}
 	}
-	s.report.Trace = s.trace.Sum64()
 }
 
-// checkInvariants checks what must hold at any moment.
+// checkInvariants checks what must hold at any moment. The gatherer learns of the node's leadership here.
 func (n *node) checkInvariants() {
 	if !n.up {
 		return
 	}
-	s := n.sim
-	for e := n.consensus.State().Table(tableName).Epoch; s.highestEpoch < e; {
-		s.highestEpoch++
-		s.committedAt[s.highestEpoch] = s.now
-	}
+	n.sim.recordCommits(n.consensus.State().Table(tableName).Epoch)
 	if !n.consensus.IsLeader() {
 		n.gatherer.SetLeaderTerm(0)
 		return
 	}
 	term := n.consensus.Status().Term
 	n.gatherer.SetLeaderTerm(term)
-	if was, ok := s.leaderOfTerm[term]; ok && was != n.member.Number {
-		s.violation("voters %d and %d both lead in term %d", was, n.member.Number, term)
+	if other, ok := n.sim.leaderOfTerm[term]; ok && other != n.member.Number {
+		n.sim.violation("voters %d and %d both lead in term %d", other, n.member.Number, term)
+	}
+	n.sim.leaderOfTerm[term] = n.member.Number
+	reported := uint64(0)
+	for _, r := range n.sim.reporters {
+		reported += r.count
 	}
-	s.leaderOfTerm[term] = n.member.Number
-	reportedCount := uint64(0)
-	for _, r := range s.reporters {
-		reportedCount += r.count
+	if sum := n.gatherer.Sums()[countName]; sum > reported {
+		n.sim.violation("digests counted twice at voter %d", n.member.Number)
 	}
-	if summedCount := n.gatherer.Sums()[countName]; summedCount > reportedCount {
-		s.violation("evidence counted twice at voter %d", n.member.Number)
+}
+
+// recordCommits notes when an epoch was first applied.
+func (s *simulation) recordCommits(epoch uint64) {
+	for s.highestEpoch < epoch {
+		s.highestEpoch++
+		s.committedAt[s.highestEpoch] = s.now()
 	}
 }
--- a/internal/coordination/simulation/node.go
+++ b/internal/coordination/simulation/node.go
@@ -8,96 +8,89 @@
 	"harrierhoist/internal/coordination/consensus"
 )
 
-// The places at which a crash may come, while a record is written and messages are sent.
-const (
-	beforeWrite = iota + 1
-	beforeSync  // what was written may be there after the crash, or not
-	beforeSend
-	midSend
-	crashPoints = midSend
-)
-
-// maxRecords is how many records a disk holds before it is made anew: few, so that runs see it.
-const maxRecords = 40
-
 // node is a voter with a disk that keeps only what was synced.
 type node struct {
 	sim         *simulation
 	member      coordination.Member
-	synced      [][]byte
-	unsynced    [][]byte // said to be synced, by a disk that lies
 	incarnation uint64
-	consensus   *consensus.Node
-	readQueue   *consensus.ReadQueue
-	gatherer    *consensus.Gatherer
-	up          bool
-	diskLost    bool // its disk, for good
-	diskFull    bool
-	crashPoint  int
-	syncDelay   time.Duration // what a sync takes; 0: no time
-	syncing     bool          // waits for it, and does nothing else
-	suspended   bool
-	clockLag    time.Duration // its clock, while others' went on
-	deferred    []func()      // what came while it slept
-	proposals   map[uint64]func(consensus.Outcome)
+
+	consensus *consensus.Node
+	readQueue *consensus.ReadQueue
+	gatherer  *consensus.Gatherer
+	proposals map[uint64]func(consensus.Outcome) // that wait for their outcome, by sequence number
+
+	synced   [][]byte // records on disk
+	unsynced [][]byte // records that a lying disk reports as synced
+
+	up         bool
+	diskLost   bool // for good
+	diskFull   bool
+	crashPoint crashPoint
+	syncDelay  time.Duration
+	syncing    bool // waits for a sync, and does nothing else
+	suspended  bool
+	clockLag   time.Duration // of its clock, which may stop while it is suspended
+	deferred   []func()      // what arrived while it was busy
 }
 
 func newNode(s *simulation, number uint64) *node {
-	return &node{sim: s, member: coordination.Member{Number: number, Name: fmt.Sprint("v", number),
-		Address: fmt.Sprint("a", number), DiskID: fmt.Sprint("d", number)}}
+	return &node{sim: s, member: coordination.Member{
+		Number:  number,
+		Name:    fmt.Sprint("v", number),
+		Address: fmt.Sprint("a", number),
+		DiskID:  fmt.Sprint("d", number),
+	}}
 }
 
-// initialMembers are the members that begin, with the marks of their disks in some runs.
-func (s *simulation) initialMembers() (all []coordination.Member) {
+// initialMembers are the members that begin the log. In some runs their disk IDs are not known yet.
+func (s *simulation) initialMembers() []coordination.Member {
 	known := s.rng.IntN(2) == 0
+	var members []coordination.Member
 	for _, n := range s.nodes {
-		m := n.member
+		member := n.member
 		if !known {
-			m.DiskID = ""
+			member.DiskID = ""
 		}
-		all = append(all, m)
+		members = append(members, member)
 	}
-	return all
+	return members
 }
 
-func (n *node) now() time.Duration { return n.sim.now - n.clockLag }
+func (n *node) now() time.Duration { return n.sim.now() - n.clockLag }
 
-func (n *node) start(first []coordination.Member) {
+func (n *node) start(initialMembers []coordination.Member) {
 	n.incarnation++
 	incarnation, seed := consensus.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
-	raftNode, err := consensus.NewNode(n.member, incarnation, first, n.synced, seed)
+	started, err := consensus.NewNode(n.member, incarnation, initialMembers, n.synced, seed)
 	if err != nil {
-		n.sim.violation("voter %d: %v", n.member.Number, err)
+		n.violation(err)
 		return
 	}
 	if len(n.synced) == 0 {
-		n.writeCheckpoint(raftNode)
+		n.writeCheckpoint(started)
 	}
-	n.consensus, n.readQueue, n.gatherer = raftNode, consensus.NewReadQueue(raftNode), consensus.NewGatherer(n.member.Name, n.incarnation)
-	n.up, n.suspended, n.syncing, n.deferred, n.crashPoint = true, false, false, nil, 0
+	n.consensus = started
+	n.readQueue = consensus.NewReadQueue(started)
+	n.gatherer = consensus.NewGatherer(n.member.Name, n.incarnation)
 	n.proposals = map[uint64]func(consensus.Outcome){}
-	own := func() bool { return n.up && n.incarnation == incarnation.Count }
-	n.sim.every(tickInterval, func() bool {
-		if own() && !n.isBusy() {
-			n.execute(func() { n.consensus.Tick(); n.readQueue.Tick(n.now()) })
-		}
-		return own()
-	})
-	n.sim.every(forwardInterval, func() bool {
-		if own() && !n.isBusy() {
-			n.execute(n.forwardDigests)
+	n.up, n.suspended, n.syncing, n.deferred, n.crashPoint = true, false, false, nil, noCrash
+	n.every(tickInterval, func() { n.consensus.Tick(); n.readQueue.Tick(n.now()) })
+	n.every(forwardInterval, n.forwardDigests)
+}
+
+// every executes an action again and again in this incarnation. It is left out while the node is busy.
+func (n *node) every(interval time.Duration, action func()) {
+	incarnation := n.incarnation
+	running := func() bool { return n.up && n.incarnation == incarnation }
+	n.sim.every(interval, func() bool {
+		if running() && !n.isBusy() {
+			n.execute(action)
 		}
-		return own()
+		return running()
 	})
 }
 
-func (n *node) writeCheckpoint(raftNode *consensus.Node) {
-	b, err := raftNode.Checkpoint()
-	if err != nil {
-		n.sim.violation("voter %d: %v", n.member.Number, err)
-	}
-	n.synced, n.unsynced = [][]byte{b}, nil
-}
+func (n *node) violation(what any) { n.sim.violation("voter %d: %v", n.member.Number, what) }
 
 func (n *node) crash() { n.up, n.unsynced, n.deferred = false, nil, nil }
 
@@ -107,19 +100,20 @@
 	}
 }
 
-func (n *node) suspend(span time.Duration, stands bool) {
+// suspend stops the node for a while, as a paused process; its clock may stop with it.
+func (n *node) suspend(duration time.Duration, clockStops bool) {
 	if n.suspended || !n.up {
 		return
 	}
 	n.suspended = true
 	incarnation := n.incarnation
-	n.sim.after(span, func() {
+	n.sim.after(duration, func() {
 		if n.incarnation != incarnation || !n.up {
 			return
 		}
 		n.suspended = false
-		if stands {
-			n.clockLag += span
+		if clockStops {
+			n.clockLag += duration
 		}
 		n.runDeferred()
 	})
@@ -127,7 +121,7 @@
 
 func (n *node) isBusy() bool { return n.suspended || n.syncing }
 
-// runDeferred does what came while the voter was busy.
+// runDeferred does what arrived while the node was busy.
 func (n *node) runDeferred() {
 	for len(n.deferred) > 0 && n.up && !n.isBusy() {
 		action := n.deferred[0]
@@ -136,7 +130,7 @@
 	}
 }
 
-// execute has something done at a voter that is there, and what follows from it.
+// execute runs an action at a node that is up, and what follows from it; a busy node does so later.
 func (n *node) execute(action func()) {
 	switch {
 	case !n.up:
@@ -146,8 +140,8 @@
 		return
 	}
 	defer func() {
-		if p := recover(); p != nil { // the library's word for what must never be
-			n.sim.violation("voter %d: %v", n.member.Number, p)
+		if p := recover(); p != nil { // how the library reports a broken invariant
+			n.violation(p)
 			n.crash()
 		}
 	}()
@@ -155,22 +149,30 @@
 	n.processReady()
 }
 
-// processReady does what the core has ready, and looks at what came of it.
-func (n *node) processReady() {
-	for n.up && !n.syncing {
-		ready, ok, err := n.consensus.Ready()
-		if err != nil {
-			n.sim.violation("voter %d: %v", n.member.Number, err)
-		}
-		if !ok || !n.handleReady(ready) {
-			break
-		}
+// forwardDigests sends the leader what was merged here.
+func (n *node) forwardDigests() {
+	n.consensus.ProposeDiskIDs()
+	status := n.consensus.Status()
+	if status.Leader == 0 || status.Leader == status.Number {
+		return
+	}
+	if m, ok, err := n.consensus.DigestMessage(n.gatherer.ForLeader(status.Term)); ok && err == nil {
+		n.send([]consensus.Message{m})
 	}
-	if n.up && !n.syncing && len(n.synced)+len(n.unsynced) > maxRecords {
-		if err := n.consensus.Compact(10); err != nil {
-			n.sim.violation("voter %d: %v", n.member.Number, err)
+}
+
+func (n *node) send(messages []consensus.Message) {
+	for _, m := range messages {
+		to := n.sim.nodeByNumber(m.To.Number)
+		if to == nil {
+			continue
 		}
-		n.writeCheckpoint(n.consensus)
+		n.sim.network.deliver(n.member.Number, m.To.Number, func() {
+			to.execute(func() {
+				if digests, err := to.consensus.HandleMessage(m.Body); err == nil {
+					to.gatherer.AddFromVoter(digests)
+				}
+			})
+		})
 	}
-	n.checkInvariants()
 }
--- a/internal/coordination/simulation/ready.go
+++ b/internal/coordination/simulation/ready.go
@@ -6,48 +6,98 @@
 	"harrierhoist/internal/coordination/consensus"
 )
 
-// handleReady writes, sends and applies, or crashes in the midst of it.
+// crashPoint is where a crash comes while a record is written and messages are sent.
+type crashPoint int
+
+const (
+	noCrash     crashPoint = iota
+	beforeWrite            // nothing of the record is on disk
+	beforeSync             // the record may be on disk after the crash, or not
+	beforeSend             // the record is on disk, no message is sent
+	midSend                // some of the messages are sent
+	crashPoints = midSend
+)
+
+// Compaction of a node's records.
+const (
+	maxRecords      = 40 // after which they are replaced by a checkpoint: few, so that runs do it
+	retainedEntries = 10
+)
+
+// The fields of a consensus record that tell whether it only holds a vote; see its encoding.
+const (
+	recordSnapshot = 2
+	recordEntries  = 3
+)
+
+// processReady does what the consensus node has ready, and checks what came of it.
+func (n *node) processReady() {
+	for n.up && !n.syncing {
+		ready, ok, err := n.consensus.Ready()
+		if err != nil {
+			n.violation(err)
+		}
+		if !ok || !n.handleReady(ready) {
+			break
+		}
+	}
+	if n.up && !n.syncing && len(n.synced)+len(n.unsynced) > maxRecords {
+		if err := n.consensus.Compact(retainedEntries); err != nil {
+			n.violation(err)
+		}
+		n.writeCheckpoint(n.consensus)
+	}
+	n.checkInvariants()
+}
+
+// handleReady writes, sends and applies, or crashes in between. It returns false if the node cannot go on now.
 func (n *node) handleReady(ready consensus.Ready) bool {
-	crashPoint := n.crashPoint
+	crashAt := n.crashPoint
 	if ready.Record == nil {
-		crashPoint = 0
+		crashAt = noCrash
 	}
 	n.send(ready.EarlyMessages)
 	if n.sim.bug == SendBeforeSync {
 		n.send(ready.Messages)
 	}
-	if crashPoint == beforeWrite || crashPoint == beforeSync && n.sim.rng.IntN(2) == 0 || ready.Record != nil && n.diskFull {
+	if crashAt == beforeWrite || crashAt == beforeSync && n.sim.rng.IntN(2) == 0 || ready.Record != nil && n.diskFull {
 		n.crash()
 		return false
 	}
 	if ready.Record == nil {
-		return n.finishReady(ready, 0)
+		return n.finishReady(ready, noCrash)
 	}
 	if n.syncDelay > 0 {
-		n.syncing = true
-		incarnation := n.incarnation
-		n.sim.after(n.syncDelay, func() {
-			if !n.up || n.incarnation != incarnation {
-				return // it died before the sync was over
-			}
-			n.syncing = false
-			n.saveRecord(ready.Record)
-			n.deferred = append([]func(){func() { n.finishReady(ready, crashPoint) }}, n.deferred...) // before what came meanwhile
-			n.runDeferred()
-		})
+		n.syncLater(ready, crashAt)
 		return false
 	}
 	n.saveRecord(ready.Record)
-	return n.finishReady(ready, crashPoint)
+	return n.finishReady(ready, crashAt)
+}
+
+// syncLater writes a record to a slow disk.
+func (n *node) syncLater(ready consensus.Ready, crashAt crashPoint) {
+	n.syncing = true
+	incarnation := n.incarnation
+	n.sim.after(n.syncDelay, func() {
+		if !n.up || n.incarnation != incarnation {
+			return // it crashed before the sync was complete
+		}
+		n.syncing = false
+		n.saveRecord(ready.Record)
+		finish := func() { n.finishReady(ready, crashAt) }
+		n.deferred = append([]func(){finish}, n.deferred...) // before what arrived meanwhile
+		n.runDeferred()
+	})
 }
 
 // finishReady goes on once the record is on disk.
-func (n *node) finishReady(ready consensus.Ready, crashPoint int) bool {
-	if crashPoint == beforeSync || crashPoint == beforeSend {
+func (n *node) finishReady(ready consensus.Ready, crashAt crashPoint) bool {
+	switch crashAt {
+	case beforeSync, beforeSend:
 		n.crash()
 		return false
-	}
-	if crashPoint == midSend {
+	case midSend:
 		n.send(ready.Messages[:n.sim.rng.IntN(len(ready.Messages)+1)])
 		n.crash()
 		return false
@@ -55,61 +105,41 @@
 	if n.sim.bug != SendBeforeSync {
 		n.send(ready.Messages)
 	}
-	done, err := n.consensus.Advance(ready)
+	applied, err := n.consensus.Advance(ready)
 	if err != nil {
-		n.sim.violation("voter %d: %v", n.member.Number, err)
+		n.violation(err)
 		n.crash()
 		return false
 	}
-	for _, o := range done.Outcomes {
-		if answer := n.proposals[o.Seq]; answer != nil {
-			delete(n.proposals, o.Seq)
-			answer(o)
+	for _, outcome := range applied.Outcomes {
+		if respond := n.proposals[outcome.Seq]; respond != nil {
+			delete(n.proposals, outcome.Seq)
+			respond(outcome)
 		}
 	}
-	n.readQueue.HandleApplied(done, n.now())
+	n.readQueue.HandleApplied(applied, n.now())
 	return true
 }
 
 func (n *node) saveRecord(record []byte) {
-	var parts map[uint64]cbor.RawMessage
-	if n.sim.bug == VoteWithoutSync && cbor.Unmarshal(record, &parts) == nil && parts[3] == nil && parts[2] == nil {
+	if n.sim.bug == VoteWithoutSync && isVote(record) {
 		n.unsynced = append(n.unsynced, record)
 		return
 	}
 	n.synced = append(n.synced, record)
 }
 
-func (n *node) send(messages []consensus.Message) {
-	for _, m := range messages {
-		to := n.sim.node(m.To.Number)
-		if to == nil {
-			continue
-		}
-		n.sim.deliver(n.member.Number, m.To.Number, func() {
-			to.execute(func() {
-				if digests, err := to.consensus.HandleMessage(m.Body); err == nil {
-					to.gatherer.AddFromVoter(digests)
-				}
-			})
-		})
-	}
+// isVote reports whether a record holds neither entries nor a snapshot.
+func isVote(record []byte) bool {
+	var fields map[uint64]cbor.RawMessage
+	return cbor.Unmarshal(record, &fields) == nil && fields[recordEntries] == nil && fields[recordSnapshot] == nil
 }
 
-func (s *simulation) node(number uint64) *node {
-	if number == 0 || number > uint64(len(s.nodes)) {
-		return nil
-	}
-	return s.nodes[number-1]
-}
-
-func (n *node) forwardDigests() {
-	n.consensus.ProposeDiskIDs()
-	status := n.consensus.Status()
-	if status.Leader == 0 || status.Leader == status.Number {
-		return
-	}
-	if m, ok, err := n.consensus.DigestMessage(n.gatherer.ForLeader(status.Term)); ok && err == nil {
-		n.send([]consensus.Message{m})
+// writeCheckpoint replaces all records by one.
+func (n *node) writeCheckpoint(from *consensus.Node) {
+	checkpoint, err := from.Checkpoint()
+	if err != nil {
+		n.violation(err)
 	}
+	n.synced, n.unsynced = [][]byte{checkpoint}, nil
 }
--- a/internal/coordination/simulation/simulation.go
+++ b/internal/coordination/simulation/simulation.go
@@ -1,196 +1,154 @@
-// Package play plays several voters, their clients and the holders of leases in virtual time: cores, reads and evidence
-// are the real ones, while disk, messages and clocks are drawn from a seed, with all that goes wrong with them. The same
-// seed gives the same run, event by event.
+// Package simulation runs several voters, their clients and the holders of leases in virtual time. Consensus, reads and the
+// merging of digests are the real ones; disks, messages and clocks are simulated, and draw from a seed whatever can go wrong
+// with them. The same seed gives the same run, event by event.
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 	"github.com/cespare/xxhash/v2"
-)
-
-// Bug is a fault planted in the surroundings of the cores, which the checks must find.
-type Bug int
 
-// The planted bugs.
-const (
-	NoBug               Bug = iota
-	VoteWithoutSync         // the disk says a vote is synced; a crash forgets it
-	SendBeforeSync          // messages go out before what they speak of is on disk
-	CommandAppliedTwice     // a command is asked for again under a new number
-	LeaseByWallClock        // a lease ends by a clock that is set back
-	LeaseFromResponse       // a lease counts from when the answer came
-	LeaseIgnored            // a holder goes on after its lease
-	DigestsCountedTwice     // a process that turns to another voter does not say so
-	ReadWithoutQuorum       // a voter answers reads from what it has
+	"harrierhoist/internal/virtualtime"
 )
 
 // Times of a run.
 const (
 	tickInterval    = 25 * time.Millisecond
 	leaseDuration   = 2 * time.Second
-	faultsUntil     = 6 * time.Second // faults are drawn until then; then all heals
+	faultsUntil     = 6 * time.Second // faults are injected until then; afterwards everything recovers
 	runDuration     = 14 * time.Second
 	forwardInterval = 200 * time.Millisecond
 )
 
-// Report is what a run came to.
+// Who takes part in a run besides the voters.
+const (
+	clientCount      = 3
+	leaseHolderCount = 2 // and as many reporters
+)
+
+// Report is the result of a run.
 type Report struct {
-	Violations []string // what the checks found; none: all held
-	Answered   int      // calls answered
+	Violations []string // of an invariant; none: all held
+	Answered   int      // calls of clients
 	Events     int
-	Trace      uint64        // of all events: two runs of a seed have the same
-	Without    time.Duration // time in which no voter led and knew it, until the end of the faults
-}
-
-type event struct {
-	at  time.Duration
-	seq int
-	do  func()
-}
-
-type agenda []event
-
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].seq < a[k].seq
-}
-func (a agenda) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *agenda) Push(e any)   { *a = append(*a, e.(event)) }
-func (a *agenda) Pop() any {
-	last := len(*a) - 1
-	e := (*a)[last]
-	*a = (*a)[:last]
-	return e
+	Trace      uint64 // hash of all events: two runs of a seed have the same
 }
 
 // simulation is one run.
 type simulation struct {
-	bug          Bug
-	rng          *rand.Rand
-	now          time.Duration
-	agenda       agenda
-	seq          int
-	nodes        []*node
+	bug     Bug
+	rng     *rand.Rand
+	clock   *virtualtime.Scheduler
+	network *network
+
+	nodes        []*node // by number, from 1
 	clients      []*client
 	leaseHolders []*leaseHolder
 	reporters    []*reporter
-	lossRate     float64            // of messages
-	maxDelay     time.Duration      // most delay of a message
-	partitioned  map[[2]uint64]bool // from, to
-	committedAt  map[uint64]time.Duration
-	highestEpoch uint64 // highest epoch applied anywhere
+	replaced     bool // a voter; once a run
+
+	committedAt  map[uint64]time.Duration // by epoch of the table
+	highestEpoch uint64                   // applied by any voter
 	leaderOfTerm map[uint64]uint64
 	history      []porcupine.Operation
-	trace        *xxhash.Digest
-	report       Report
-	reported     map[string]bool
-	replaced     bool // a voter, once a run
+
+	trace    *xxhash.Digest
+	report   Report
+	reported map[string]bool // violations
 }
 
-// Run plays one seed with three or five voters and a bug.
+// Run simulates one seed, with three voters if it is even and five if it is odd, and with a bug.
 func Run(seed uint64, bug Bug) Report {
-	s := newSimulation(seed, bug, 3+2*int(seed%2))
-	s.after(0, s.injectFault)
-	s.runUntil(runDuration)
-	s.checkEndState()
-	return s.report
+	sim := newSimulation(seed, bug, 3+2*int(seed%2))
+	sim.after(0, sim.injectFault)
+	sim.runUntil(runDuration)
+	sim.checkEndState()
+	return sim.report
 }
 
 func newSimulation(seed uint64, bug Bug, voters int) *simulation {
-	s := &simulation{bug: bug, rng: rand.New(rand.NewPCG(seed, 29)), partitioned: map[[2]uint64]bool{}, maxDelay: 2 * time.Millisecond,
-		committedAt: map[uint64]time.Duration{}, leaderOfTerm: map[uint64]uint64{}, trace: xxhash.New(), reported: map[string]bool{}}
+	rng := rand.New(rand.NewPCG(seed, 29))
+	clock := virtualtime.New(0)
+	sim := &simulation{
+		bug:          bug,
+		rng:          rng,
+		clock:        clock,
+		network:      newNetwork(clock, rng),
+		committedAt:  map[uint64]time.Duration{},
+		leaderOfTerm: map[uint64]uint64{},
+		trace:        xxhash.New(),
+		reported:     map[string]bool{},
+	}
+	clock.BeforeEvent = func(at time.Duration, sequence uint64) {
+		sim.report.Events++
+		sim.traceEvent("%d %d", at, sequence)
+	}
 	for i := range voters {
-		s.nodes = append(s.nodes, newNode(s, uint64(i+1)))
+		sim.nodes = append(sim.nodes, newNode(sim, uint64(i+1)))
 	}
-	first := s.initialMembers()
-	for _, n := range s.nodes {
-		n.start(first)
+	initialMembers := sim.initialMembers()
+	for _, n := range sim.nodes {
+		n.start(initialMembers)
 	}
-	for i := range 3 {
-		s.clients = append(s.clients, newClient(s, i))
+	for i := range clientCount {
+		sim.clients = append(sim.clients, newClient(sim, i))
 	}
-	for i := range 2 {
-		s.leaseHolders = append(s.leaseHolders, newLeaseHolder(s, i))
-		s.reporters = append(s.reporters, newReporter(s, i))
+	for i := range leaseHolderCount {
+		sim.leaseHolders = append(sim.leaseHolders, newLeaseHolder(sim, i))
+		sim.reporters = append(sim.reporters, newReporter(sim, i))
 	}
-	return s
+	return sim
 }
 
-func (s *simulation) runUntil(until time.Duration) {
-	for len(s.agenda) > 0 && s.agenda[0].at <= until {
-		e := heap.Pop(&s.agenda).(event)
-		s.now = e.at
-		s.report.Events++
-		s.traceEvent("%d %d", e.at, e.seq)
-		e.do()
-	}
-}
+func (s *simulation) now() time.Duration { return s.clock.Now() }
 
-func (s *simulation) traceEvent(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.trace, format, args...)
-}
+func (s *simulation) runUntil(until time.Duration) { s.clock.RunUntil(until) }
+
+func (s *simulation) after(delay time.Duration, action func()) { s.clock.After(delay, action) }
 
-// after has something done after a while.
-func (s *simulation) after(after time.Duration, action func()) {
-	s.seq++
-	heap.Push(&s.agenda, event{s.now + after, s.seq, action})
+// every runs an action again and again until it returns false, at first after a part of the interval that is drawn.
+func (s *simulation) every(interval time.Duration, action func() bool) {
+	s.clock.Every(s.drawDuration(interval), interval, action)
 }
 
-// every has something done again and again until it says no.
-func (s *simulation) every(d time.Duration, do func() bool) {
-	var again func()
-	again = func() {
-		if do() {
-			s.after(d, again)
-		}
-	}
-	s.after(time.Duration(s.rng.Int64N(int64(d))), again)
+// drawDuration draws from 0 up to but not including the limit.
+func (s *simulation) drawDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(limit)))
 }
 
-// deliver takes a message over a way that may lose, double and delay it. Calls of clients have the number 0.
-func (s *simulation) deliver(from, to uint64, action func()) {
-	if s.partitioned[[2]uint64{from, to}] || s.rng.Float64() < s.lossRate {
-		return
-	}
-	copies := 1
-	if s.rng.Float64() < 0.02 {
-		copies = 2
-	}
-	for range copies {
-		late := s.maxDelay/20 + time.Duration(s.rng.Int64N(int64(s.maxDelay)))
-		if s.rng.Float64() < 0.01 {
-			late += time.Duration(s.rng.Int64N(int64(time.Second))) // held back on the way
-		}
-		s.after(late, action)
-	}
+func (s *simulation) traceEvent(format string, args ...any) {
+	_, _ = fmt.Fprintf(s.trace, format, args...) // a hash never fails
 }
 
+// violation reports what broke, each only once.
 func (s *simulation) violation(format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
 	if !s.reported[what] {
 		s.reported[what] = true
-		s.report.Violations = append(s.report.Violations, fmt.Sprintf("%v: %s", s.now, what))
+		s.report.Violations = append(s.report.Violations, fmt.Sprintf("%v: %s", s.now(), what))
 	}
 }
 
 // activeNodes are the voters that are members or about to be.
 func (s *simulation) activeNodes() []*node {
-	var all []*node
+	var active []*node
 	for _, n := range s.nodes {
 		if !n.diskLost {
-			all = append(all, n)
+			active = append(active, n)
 		}
 	}
-	return all
+	return active
 }
 
-func (s *simulation) randomNode() *node { l := s.activeNodes(); return l[s.rng.IntN(len(l))] }
+func (s *simulation) randomNode() *node {
+	active := s.activeNodes()
+	return active[s.rng.IntN(len(active))]
+}
 
+// leader is a voter that leads and can work; nil: none.
 func (s *simulation) leader() *node {
 	for _, n := range s.activeNodes() {
 		if n.up && !n.suspended && n.consensus.IsEstablishedLeader() {
@@ -199,3 +157,14 @@
 	}
 	return nil
 }
+
+// nodeByNumber returns the voter with a number; nil: there is none.
+func (s *simulation) nodeByNumber(number uint64) *node {
+	if number == 0 || number > uint64(len(s.nodes)) {
+		return nil
+	}
+	return s.nodes[number-1]
+}
+
+// chooseNode returns the voter that a client asks. Clients know all voters, also those that are not members.
+func (s *simulation) chooseNode(index int) *node { return s.nodes[index%len(s.nodes)] }
