--- a/internal/virtualtime/scheduler.go
+++ b/internal/virtualtime/scheduler.go
@@ -33,6 +33,9 @@
 // Now returns the time of the event that is running, or that ran last.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
+// Scheduled returns how many events were scheduled so far, including those that ran.
+func (s *Scheduler) Scheduled() uint64 { return s.lastSequence }
+
 // At schedules an action. An action in the past runs at the current time, after all that is scheduled for it already.
 func (s *Scheduler) At(at time.Duration, action func()) {
 	s.lastSequence++
--- a/internal/virtualtime/scheduler_test.go
+++ b/internal/virtualtime/scheduler_test.go
@@ -124,7 +124,7 @@
 	s.At(2*time.Second, func() {})
 	s.At(time.Second, func() { s.After(0, func() {}) })
 	s.RunUntil(time.Minute)
-	if want := []string{"1s 2", "1s 3", "2s 1"}; !slices.Equal(seen, want) {
-		t.Errorf("seen %v, want %v", seen, want)
+	if want := []string{"1s 2", "1s 3", "2s 1"}; !slices.Equal(seen, want) || s.Scheduled() != 3 {
+		t.Errorf("seen %v, want %v; %d scheduled", seen, want, s.Scheduled())
 	}
 }
