--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -1,19 +1,19 @@
 package policy
 
 import (
-	"container/heap"
 	"math/rand"
 	"testing"
 	"time"
+
+	"harrierhoist/internal/virtualtime"
 )
 
 // quotaSimulation is many gateways under one clock, with one counter that answers after a while and rejects some
 // calls, and customers whose true token buckets it keeps: a bucket gives a request its units with its first attempt,
 // and nothing to one that finds too few.
 type quotaSimulation struct {
-	now           time.Duration
+	*virtualtime.Scheduler
 	random        *rand.Rand
-	events        quotaEvents
 	gateways      []*quotaGateway
 	counts        map[uint64]float64
 	counterRate   float64 // calls a second that the counter accepts; 0: all
@@ -48,30 +48,6 @@
 	refilledAt time.Duration
 }
 
-type quotaEvent struct {
-	at     time.Duration
-	number int
-	do     func()
-}
-
-type quotaEvents []quotaEvent
-
-func (q quotaEvents) Len() int { return len(q) }
-func (q quotaEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
-}
-func (q quotaEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *quotaEvents) Push(e any)   { *q = append(*q, e.(quotaEvent)) }
-func (q *quotaEvents) Pop() any {
-	e := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return e
-}
-
-func (f *quotaSimulation) after(d time.Duration, does func()) {
-	heap.Push(&f.events, quotaEvent{f.now + max(d, 0), int(f.random.Int31()), does})
-}
-
 func (h *quotaGateway) Attempt(requestID, server uint32, _ time.Duration) {
 	t := h.tries[requestID]
 	number := t.attempts
@@ -79,8 +55,8 @@
 		t.customer.take(h.quotaSimulation, t.units)
 	}
 	took := time.Duration(50+h.random.Intn(100)) * ms
-	h.after(took, func() {
-		h.module.HandleAttemptResult(h.now, AttemptResult{
+	h.After(took, func() {
+		h.module.HandleAttemptResult(h.Now(), AttemptResult{
 			RequestID: requestID, Attempt: number, Server: server, Outcome: Answered, Latency: took, Final: true,
 		})
 	})
@@ -89,36 +65,36 @@
 // Reject has the client come again soon, whatever Retry-After says: in time to be served.
 func (h *quotaGateway) Reject(requestID uint32, _ time.Duration) {
 	if t := h.tries[requestID]; t.tries < 2 {
-		h.after(time.Duration(20+h.random.Intn(130))*ms, func() { h.send(t.customer, t.units, t.tries+1, t.deadline) })
+		h.After(time.Duration(20+h.random.Intn(130))*ms, func() { h.send(t.customer, t.units, t.tries+1, t.deadline) })
 	}
 }
 
 func (h *quotaGateway) Count(name uint64, _ time.Duration, units float64) {
 	took := time.Duration(1+h.random.Intn(8)) * ms
-	if h.counterOutage[0] < h.now && h.now < h.counterOutage[1] {
-		h.after(30*ms, func() { h.module.HandleCount(h.now, CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut}) })
+	if h.counterOutage[0] < h.Now() && h.Now() < h.counterOutage[1] {
+		h.After(30*ms, func() { h.module.HandleCount(h.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut}) })
 		return
 	}
-	full := h.counterRate > 0 && h.counterFreeAt > h.now+100*ms
+	full := h.counterRate > 0 && h.counterFreeAt > h.Now()+100*ms
 	if h.counterRate > 0 && !full {
-		h.counterFreeAt = max(h.counterFreeAt, h.now) + time.Duration(float64(time.Second)/h.counterRate)
+		h.counterFreeAt = max(h.counterFreeAt, h.Now()) + time.Duration(float64(time.Second)/h.counterRate)
 	}
-	h.after(took/2, func() {
+	h.After(took/2, func() {
 		tally := CountResult{Name: name, Latency: took, Outcome: Rejected}
 		if !full {
 			h.counts[name] += units
 			tally.Total, tally.Outcome = h.counts[name], Answered
 		}
-		h.after(took-took/2, func() { h.module.HandleCount(h.now, tally) })
+		h.After(took-took/2, func() { h.module.HandleCount(h.Now(), tally) })
 	})
 }
 
 func (h *quotaGateway) SetTimer(token uint64, after time.Duration) {
 	h.timers[token]++
 	stands := h.timers[token]
-	h.after(after, func() {
+	h.After(after, func() {
 		if h.timers[token] == stands {
-			h.module.HandleTimer(h.now, token)
+			h.module.HandleTimer(h.Now(), token)
 		}
 	})
 }
@@ -137,7 +113,7 @@
 }
 
 func (c *quotaCustomer) take(f *quotaSimulation, units float64) {
-	if c.refill(f.now); c.available >= units {
+	if c.refill(f.Now()); c.available >= units {
 		c.available -= units
 		f.withinQuota[c.demand] += units
 	} else {
@@ -147,13 +123,13 @@
 
 // send brings a try to any gateway.
 func (f *quotaSimulation) send(who *quotaCustomer, units float64, tries int, ends time.Duration) {
-	if f.now >= ends {
+	if f.Now() >= ends {
 		return
 	}
 	h := f.gateways[f.random.Intn(len(f.gateways))]
 	t := &quotaTry{id: uint32(len(f.tries) + 1), customer: who, units: units, gateway: h, tries: tries, deadline: ends}
 	f.tries[t.id] = t
-	h.module.HandleRequest(f.now, Request{
+	h.module.HandleRequest(f.Now(), Request{
 		ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends, Repeat: tries > 0,
 	})
 }
@@ -161,17 +137,17 @@
 // scheduleNext has a customer's next request come after a random while, and so on to the end.
 func (f *quotaSimulation) scheduleNext(who *quotaCustomer, end time.Duration) {
 	rate := who.demand * testSettings().Plans[1].Rate / 1.5
-	f.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.now < end {
-			f.send(who, float64(1+f.random.Intn(2)), 0, f.now+2*time.Second)
+	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		if f.Now() < end {
+			f.send(who, float64(1+f.random.Intn(2)), 0, f.Now()+2*time.Second)
 			f.scheduleNext(who, end)
 		}
 	})
 }
 
 // run has customers with four sorts of demand, so many of each, send requests for a while.
-func (f *quotaSimulation) run(gateways, each int, lasts time.Duration) {
-	f.now, f.counts, f.tries = time.Minute, map[uint64]float64{}, map[uint32]*quotaTry{}
+func (f *quotaSimulation) run(t *testing.T, gateways, each int, lasts time.Duration) {
+	f.Scheduler, f.counts, f.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
 	f.overQuota, f.quota, f.withinQuota = map[float64]float64{}, map[float64]float64{}, map[float64]float64{}
 	var list []Endpoint
 	for i := range uint32(40) {
@@ -181,22 +157,22 @@
 	d.Gateways = gateways
 	for i := range gateways {
 		h := &quotaGateway{quotaSimulation: f, timers: map[uint64]int{}}
-		h.module, _ = New(d, int64(i), h)
-		h.module.HandleEndpoints(f.now, ListCached, list)
+		var err error
+		if h.module, err = New(d, int64(i), h); err != nil {
+			t.Fatal(err)
+		}
+		h.module.HandleEndpoints(f.Now(), ListCached, list)
 		f.gateways = append(f.gateways, h)
 	}
-	end := f.now + lasts
+	end := f.Now() + lasts
 	for _, times := range []float64{0.5, 1, 2, 5} {
 		for range each {
-			c := &quotaCustomer{id: f.random.Uint64() >> 31, demand: times, available: 10, refilledAt: f.now}
+			c := &quotaCustomer{id: f.random.Uint64() >> 31, demand: times, available: 10, refilledAt: f.Now()}
 			f.scheduleNext(c, end)
 			f.quota[times] += 10 + testSettings().Plans[1].Rate*lasts.Seconds()
 		}
 	}
-	for len(f.events) > 0 {
-		e := heap.Pop(&f.events).(quotaEvent)
-		f.now = e.at
-		e.do()
+	for f.Step() {
 	}
 }
 
@@ -231,10 +207,10 @@
 			if test.counter != nil {
 				test.counter(f)
 			}
-			f.run(test.gateways, 12, 45*time.Second)
-			for times, most := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
-				if got := f.overQuota[times] / f.quota[times]; got > most {
-					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", times, got, most)
+			f.run(t, test.gateways, 12, 45*time.Second)
+			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
+				if got := f.overQuota[demand] / f.quota[demand]; got > limit {
+					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", demand, got, limit)
 				}
 			}
 		})
--- a/policy/slow_start_host_test.go
+++ b/policy/slow_start_host_test.go
@@ -9,7 +9,7 @@
 
 // Attempt takes a request to a server: it queues there, and its work takes the longer, the less the server is warmed up.
 func (g *gateway) Attempt(requestID, serverID uint32, until time.Duration) {
-	target, work, incarnation, start := g.servers[serverID-1], g.units[requestID]/g.meanUnits, g.incarnation, g.now
+	target, work, incarnation, start := g.servers[serverID-1], g.units[requestID]/g.meanUnits, g.incarnation, g.Now()
 	g.subset.CountAttempt(start)
 	number := g.attempts[requestID]
 	g.attempts[requestID]++
@@ -18,10 +18,10 @@
 		if how == policy.Answered && start+wait > until {
 			wait, how = until-start, policy.TimedOut
 		}
-		g.after(wait, func() {
+		g.After(wait, func() {
 			if g.incarnation == incarnation {
-				g.module.HandleAttemptResult(g.now, policy.AttemptResult{
-					RequestID: requestID, Attempt: number, Server: serverID, Outcome: how, Latency: g.now - start,
+				g.module.HandleAttemptResult(g.Now(), policy.AttemptResult{
+					RequestID: requestID, Attempt: number, Server: serverID, Outcome: how, Latency: g.Now() - start,
 					Final: how == policy.Answered,
 				})
 			}
@@ -44,9 +44,9 @@
 
 func (g *gateway) SetTimer(token uint64, after time.Duration) {
 	incarnation := g.incarnation
-	g.after(after, func() {
+	g.After(after, func() {
 		if g.incarnation == incarnation {
-			g.module.HandleTimer(g.now, token)
+			g.module.HandleTimer(g.Now(), token)
 		}
 	})
 }
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -2,24 +2,23 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"fmt"
 	"math/rand"
 	"slices"
 	"time"
 
 	"harrierhoist/internal/upstream/subset"
+	"harrierhoist/internal/virtualtime"
 	"harrierhoist/policy"
 )
 
 // simulation is all gateways and servers of a run.
 type simulation struct {
 	warmUpCase
+	*virtualtime.Scheduler
 	settings policy.Settings
-	now, end time.Duration
+	end      time.Duration
 	random   *rand.Rand
-	events   events
-	count    int
 	gateways []*gateway
 	servers  []*server
 }
@@ -45,31 +44,6 @@
 	lastID        uint32
 }
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].order < e[k].order
-}
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
-func (e *events) Pop() any {
-	v := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return v
-}
-
-func (f *simulation) after(d time.Duration, do func()) {
-	f.count++
-	heap.Push(&f.events, event{f.now + d, f.count, do})
-}
-
 // simulate runs a case with so many gateways.
 func simulate(c warmUpCase, gateways int, seed int64) *simulation {
 	servers := 20
@@ -77,7 +51,7 @@
 		servers = 30
 	}
 	f := &simulation{
-		warmUpCase: c, now: time.Hour, random: rand.New(rand.NewSource(seed)), settings: simulationSettings(gateways),
+		warmUpCase: c, Scheduler: virtualtime.New(time.Hour), random: rand.New(rand.NewSource(seed)), settings: simulationSettings(gateways),
 	}
 	f.end = time.Hour + restartAt + cmp.Or(c.watchTime, watchTime)
 	f.meanUnits = cmp.Or(c.meanUnits, 1)
@@ -90,15 +64,13 @@
 	for _, g := range f.gateways {
 		g.schedule()
 	}
-	f.after(restartAt, func() {
+	f.After(restartAt, func() {
 		for _, s := range f.restarted() {
-			s.since, s.free = f.now, f.now
+			s.since, s.free = f.Now(), f.Now()
 		}
 	})
-	for len(f.events) > 0 && f.events[0].at < f.end {
-		e := heap.Pop(&f.events).(event)
-		f.now = e.at
-		e.do()
+	for at, ok := f.Next(); ok && at < f.end; at, ok = f.Next() {
+		f.Step()
 	}
 	return f
 }
@@ -120,19 +92,19 @@
 
 // schedule plans what happens to one gateway.
 func (g *gateway) schedule() {
-	g.after(0, g.start)
+	g.After(0, g.start)
 	if g.restart > 0 {
-		g.after(g.restart, g.start)
+		g.After(g.restart, g.start)
 	}
-	g.after(time.Duration(g.random.Float64()*float64(100*time.Millisecond)), g.arrive)
-	g.after(restartAt, func() {
+	g.After(time.Duration(g.random.Float64()*float64(100*time.Millisecond)), g.arrive)
+	g.After(restartAt, func() {
 		wait := networkDelay
 		if g.notifiedAfter != nil {
 			wait += g.notifiedAfter(g.index)
 		}
-		g.after(wait, g.notify)
+		g.After(wait, g.notify)
 		if g.warmServersLeave > 0 {
-			g.after(g.warmServersLeave+wait, func() {
+			g.After(g.warmServersLeave+wait, func() {
 				g.onlyRestarted = true
 				g.sendEndpoints(policy.ListFull)
 			})
@@ -172,14 +144,14 @@
 		}
 		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: l})
 	}
-	part, sharers := g.subset.Select(g.now, all)
+	part, sharers := g.subset.Select(g.Now(), all)
 	g.module.SetSharers(sharers)
-	g.module.HandleEndpoints(g.now, kind, part)
+	g.module.HandleEndpoints(g.Now(), kind, part)
 }
 
 // arrive brings a request, if one comes within the next moment, and looks again after it.
 func (g *gateway) arrive() {
-	t, rate := g.now-time.Hour, steadyLoad*warmRate*float64(len(g.servers))/float64(len(g.gateways))
+	t, rate := g.Now()-time.Hour, steadyLoad*warmRate*float64(len(g.servers))/float64(len(g.gateways))
 	if g.load != nil {
 		rate *= g.load(t)
 	}
@@ -192,11 +164,11 @@
 		wait = time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 	}
 	if wait >= moment {
-		g.after(moment, g.arrive)
+		g.After(moment, g.arrive)
 		return
 	}
-	g.after(wait, func() {
-		if g.subset.IsDue(g.now) {
+	g.After(wait, func() {
+		if g.subset.IsDue(g.Now()) {
 			g.sendEndpoints(policy.ListFull)
 		}
 		units := 1.0
@@ -205,9 +177,9 @@
 		}
 		g.lastID++
 		g.units[g.lastID] = units
-		g.module.HandleRequest(g.now, policy.Request{
+		g.module.HandleRequest(g.Now(), policy.Request{
 			ID: g.lastID, Class: min(int(g.lastID%5), 1), Customer: uint64(g.lastID % 7),
-			GatewayCount: len(g.gateways), Units: units, Deadline: g.now + 2*time.Second,
+			GatewayCount: len(g.gateways), Units: units, Deadline: g.Now() + 2*time.Second,
 		})
 		g.arrive()
 	})
