--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter runs the decision module on the simulator's wire, on standard input and output.
+// Command simadapter runs the gateway's decisions behind the simulator's frames, on standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := host.Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/simulator/host/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -9,10 +9,9 @@
 	"harrierhoist/internal/simulator/frame"
 )
 
-// A golden run plays a whole day of frames through the adapter's loop, and its replies hash to what the code of the day
-// on which this test was written answered: the decisions and their order, the random draws, the timers and the bytes of
-// the frames, all in one. Only the wording of log lines stays out of the hash. The adapter takes no new settings while it
-// runs (it has no signal for that, and the wire no event): a gateway that is retired starts again with others here.
+// A golden run takes some ten thousand events through the adapter's loop, and its replies hash to what the code answered when
+// this test was written: the decisions and their order, the random draws, the timers and the bytes of the frames, all in one. Only the wording of log lines stays out of the hash. The adapter takes no new settings while it
+// runs (it has no signal for that, and the frames no event): a gateway that is stopped starts again with others here.
 //
 // The hashes hold for amd64, where Go fuses no multiplication with an addition.
 
@@ -212,7 +211,7 @@
 	}
 }
 
-// checkCoverage wants a run of some thousand events, of every kind that its settings know, and no failure of the module.
+// checkCoverage wants a run of some thousand events, of every kind that its settings know, and no failure of the gateway.
 func (s *simulator) checkCoverage() {
 	s.t.Helper()
 	total := 0
@@ -228,7 +227,9 @@
 			s.t.Errorf("no event of code %d", code)
 		}
 	}
-	for _, code := range []byte{frame.ActionAttempt, frame.ActionReject, frame.ActionTerminate, frame.ActionSetTimer, frame.ActionWatchEndpoints} {
+	for _, code := range []byte{
+		frame.ActionAttempt, frame.ActionReject, frame.ActionTerminate, frame.ActionSetTimer, frame.ActionWatchEndpoints,
+	} {
 		if s.actions[code] == 0 {
 			s.t.Errorf("no action of code %d", code)
 		}
@@ -237,6 +238,6 @@
 		s.t.Errorf("%d calls to the counter", s.actions[frame.ActionCount])
 	}
 	if s.actions[frame.ActionInternalError] != 0 {
-		s.t.Error("the module failed")
+		s.t.Error("the gateway failed")
 	}
 }
--- a/internal/simulator/host/simulated_events_test.go
+++ b/internal/simulator/host/simulated_events_test.go
@@ -8,7 +8,7 @@
 	requestsOfRun  = 1500
 	serversOfRun   = 9
 	customersOfRun = 40
-	restartAtMs    = 9000 // from the start, when a gateway is retired
+	restartAtMs    = 9000 // from the start, when a gateway is stopped
 	restartAfterMs = 700  // how long it is away
 	faultFromMs    = 4000
 	faultUntilMs   = 7000
@@ -16,17 +16,17 @@
 	burstUntilMs   = 15000
 )
 
-// The codes by which the wire tells outcomes, and one that it does not have.
+// The codes by which the frames tell outcomes, and one that they do not have.
 const (
-	howAnswered  = 0
-	howErrored   = 5
-	howRejected  = 11
-	howReset     = 104
-	howTimedOut  = 110
-	howNoConnect = 111
-	howNotSent   = 114
-	howCancelled = 125
-	howUnknown   = 77
+	codeAnswered      = 0
+	codeErrored       = 5
+	codeRejected      = 11
+	codeReset         = 104
+	codeTimedOut      = 110
+	codeConnectFailed = 111
+	codeNotSent       = 114
+	codeCancelled     = 125
+	codeUnknown       = 77
 )
 
 // start lays out the servers and the first events of a run.
@@ -34,7 +34,7 @@
 	s.gateways = make([]simulatedGateway, s.settings.gateways)
 	for i := range serversOfRun {
 		s.servers = append(s.servers, simulatedServer{
-			id: s.random.Uint32(), stage: 2, power: 0.5 + s.random.Float32(),
+			id: s.random.Uint32(), state: stateReady, power: 0.5 + s.random.Float32(),
 			zone: i % s.settings.zones, sinceMs: float64(i%3) * 700,
 		})
 	}
@@ -53,19 +53,19 @@
 	salt := s.random.Uint64()
 	s.schedule(gateway, inMs, func() []byte {
 		s.gateways[gateway].running = true
-		s.schedule(gateway, 0, func() []byte { return s.view(2, s.servers) })
+		s.schedule(gateway, 0, func() []byte { return s.view(listCached, s.servers) })
 		return encodeRecord(frame.EventStart, u64(salt), u32(uint32(len(text))), []byte(text))
 	})
 }
 
-// restart retires a gateway and has it started again with other settings.
+// restart stops a gateway and has it started again with other settings.
 func (s *simulator) restart(gateway uint32) {
 	s.schedule(gateway, restartAtMs, func() []byte {
 		s.gateways[gateway] = simulatedGateway{incarnation: s.gateways[gateway].incarnation + 1}
-		for _, r := range s.requests {
-			for hop := range r.attempts {
-				if r.gateway == gateway {
-					r.attempts[hop].end()
+		for _, request := range s.requests {
+			for number := range request.attempts {
+				if request.gateway == gateway {
+					request.attempts[number].end()
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// submit sends a request to a gateway of its customer's set; options is 2 for one that asks again.
+// submit sends a request to a gateway of its customer's set; options are 2 for one that is asked again.
 func (s *simulator) submit(customer uint64, options uint8) {
 	first, width := int(customer)%s.settings.gateways, 1+int(customer)%2
 	gateway := uint32((first + s.random.Intn(width)) % s.settings.gateways)
@@ -97,101 +97,107 @@
 	}
 	s.latestID++
 	id := s.latestID
-	r := &simulatedRequest{
-		gateway: gateway, class: uint8(s.random.Intn(s.settings.classes)), units: float64(1 + s.random.Intn(6)), customer: customer,
+	request := &simulatedRequest{
+		gateway: gateway, class: uint8(s.random.Intn(s.settings.classes)), units: float64(1 + s.random.Intn(6)),
+		customer: customer,
 	}
-	s.requests[id] = r
+	s.requests[id] = request
 	lasts := float64(900+s.random.Intn(3)*600) * (0.2 + 0.8*s.random.Float64())
 	expires, plan := s.clockMs+lasts, uint32(customer)%uint32(s.settings.plans)
 	s.schedule(gateway, 0, func() []byte {
-		return encodeRecord(frame.EventRequest, u32(id), []byte{options}, u32(plan), f64(expires), u64(0x9e3779b97f4a7c15*(customer+1)),
-			f32(float32(first)), []byte{r.class}, f32(float32(width)), f32(float32(r.units)))
+		return encodeRecord(frame.EventRequest, u32(id), []byte{options}, u32(plan), f64(expires),
+			u64(0x9e3779b97f4a7c15*(customer+1)), f32(float32(first)), []byte{request.class}, f32(float32(width)),
+			f32(float32(request.units)))
 	})
 	if s.random.Intn(20) == 0 {
-		lasts *= s.random.Float64() // its client goes early
+		lasts *= s.random.Float64() // its client disconnects early
 	}
 	s.schedule(gateway, lasts, func() []byte {
-		if r.final {
+		if request.final {
 			return nil
 		}
-		r.final = true
+		request.final = true
 		return encodeRecord(frame.EventDisconnect, u32(id))
 	})
 }
 
 // rejected has half of the clients ask again when they are asked to.
-func (s *simulator) rejected(id uint32, awayMs float64) {
-	r := s.requests[id]
-	r.final = true
+func (s *simulator) rejected(id uint32, retryAfterMs float64) {
+	request := s.requests[id]
+	request.final = true
 	if s.random.Intn(2) == 0 {
-		s.schedule(0, awayMs+10*s.random.Float64(), func() []byte {
-			s.submit(r.customer, 2)
+		s.schedule(0, retryAfterMs+10*s.random.Float64(), func() []byte {
+			s.submit(request.customer, 2)
 			return nil
 		})
 	}
 }
 
 // attempt has a server answer, or fail, some time after an attempt was sent to it.
-func (s *simulator) attempt(id uint32, untilMs float64, server uint32) {
-	r := s.requests[id]
-	hop, at := len(r.attempts), s.serverAt(server)
-	r.attempts = append(r.attempts, simulatedAttempt{server: at})
-	at.inFlight++
-	tookMs := 7 * r.units * (0.5 + s.random.ExpFloat64()) * (1 + 0.15*float64(at.inFlight)) / float64(at.power)
-	outcome := s.drawOutcome(at)
+func (s *simulator) attempt(id uint32, deadlineMs float64, serverID uint32) {
+	request := s.requests[id]
+	number, server := len(request.attempts), s.serverOf(serverID)
+	request.attempts = append(request.attempts, simulatedAttempt{server: server})
+	server.inFlight++
+	tookMs := 7 * request.units * (0.5 + s.random.ExpFloat64()) * (1 + 0.15*float64(server.inFlight)) / float64(server.power)
+	outcome := s.drawOutcome(server)
 	switch {
-	case outcome == howNoConnect || outcome == howRejected || outcome == howNotSent:
+	case outcome == codeConnectFailed || outcome == codeRejected || outcome == codeNotSent:
 		tookMs = 1 + 3*s.random.Float64()
-	case outcome == howTimedOut || s.clockMs+tookMs >= untilMs:
-		outcome, tookMs = howTimedOut, max(untilMs-s.clockMs, 0)
+	case outcome == codeTimedOut || s.clockMs+tookMs >= deadlineMs:
+		outcome, tookMs = codeTimedOut, max(deadlineMs-s.clockMs, 0)
 	case s.random.Intn(4) == 0:
-		s.schedule(r.gateway, tookMs/2, func() []byte {
-			if r.attempts[hop].ended {
+		s.schedule(request.gateway, tookMs/2, func() []byte {
+			if request.attempts[number].ended {
 				return nil
 			}
-			return encodeRecord(frame.EventStreamStart, u32(id), f64(tookMs/2), u16(uint16(hop)), u32(server))
+			return encodeRecord(frame.EventStreamStart, u32(id), f64(tookMs/2), u16(uint16(number)), u32(serverID))
 		})
 	}
-	s.respond(id, hop, tookMs, outcome)
+	s.respond(id, number, tookMs, outcome)
 }
 
-func (s *simulator) drawOutcome(at *simulatedServer) uint8 {
-	if s.clockMs > at.failsFromMs && s.clockMs < at.failsUntilMs {
-		return []uint8{howErrored, howReset, howTimedOut}[s.random.Intn(3)]
+var rareOutcomes = []uint8{
+	codeErrored, codeErrored, codeRejected, codeReset, codeTimedOut, codeConnectFailed, codeNotSent, codeUnknown,
+}
+
+func (s *simulator) drawOutcome(server *simulatedServer) uint8 {
+	if s.clockMs > server.failsFromMs && s.clockMs < server.failsUntilMs {
+		return []uint8{codeErrored, codeReset, codeTimedOut}[s.random.Intn(3)]
 	}
-	if at.inFlight > 10 || at.stage != 2 {
-		return howRejected
+	if server.inFlight > 10 || server.state != stateReady {
+		return codeRejected
 	}
 	if rare := s.random.Intn(100); rare < 12 {
-		return []uint8{howErrored, howErrored, howRejected, howReset, howTimedOut, howNoConnect, howNotSent, howUnknown}[rare%8]
+		return rareOutcomes[rare%len(rareOutcomes)]
 	}
-	return howAnswered
+	return codeAnswered
 }
 
 // respond tells how an attempt ended, unless it has ended by then.
-func (s *simulator) respond(id uint32, hop int, tookMs float64, outcome uint8) {
-	r := s.requests[id]
-	at := r.attempts[hop].server
-	billed, use := uint16(r.units)+uint16(s.random.Intn(3)), uint16(s.random.Intn(180))
-	load := []float32{float32(at.inFlight), s.random.Float32(), 1}[:s.random.Intn(4)]
-	s.schedule(r.gateway, tookMs, func() []byte {
-		if !r.attempts[hop].end() {
+func (s *simulator) respond(id uint32, number int, tookMs float64, outcome uint8) {
+	request := s.requests[id]
+	server := request.attempts[number].server
+	billed, use := uint16(request.units)+uint16(s.random.Intn(3)), uint16(s.random.Intn(180))
+	load := []float32{float32(server.inFlight), s.random.Float32(), 1}[:s.random.Intn(4)]
+	s.schedule(request.gateway, tookMs, func() []byte {
+		if !request.attempts[number].end() {
 			return nil
 		}
-		r.final = r.final || outcome == howAnswered
+		request.final = request.final || outcome == codeAnswered
 		done := byte(0)
-		if r.final {
+		if request.final {
 			done = 1
 		}
-		if outcome != howAnswered && outcome != howErrored {
+		if outcome != codeAnswered && outcome != codeErrored {
 			billed, use, load = 0, 0, nil
 		}
-		return encodeRecord(frame.EventAttemptResult, u32(id), u16(uint16(hop)), u32(at.id), []byte{outcome}, f64(tookMs), []byte{done}, u16(use),
-			u16(billed), figures(load))
+		return encodeRecord(frame.EventAttemptResult, u32(id), u16(uint16(number)), u32(server.id), []byte{outcome}, f64(tookMs),
+			[]byte{done}, u16(use), u16(billed), figures(load))
 	})
 }
 
-// end tells whether the attempt was out until now.
+// end tells whether the attempt was in flight until now.
 func (a *simulatedAttempt) end() bool {
 	if a.ended {
 		return false
--- a/internal/simulator/host/simulator_test.go
+++ b/internal/simulator/host/simulator_test.go
@@ -13,7 +13,7 @@
 	"harrierhoist/internal/simulator/frame"
 )
 
-// simulator is the far end of the adapter's pipe: it is read for frames of events and written the replies, whose actions
+// simulator is the far end of the adapter's pipe: frames of events are read from it, and replies written to it, whose actions
 // bring the next events. All that happens is drawn from one seed.
 type simulator struct {
 	t        *testing.T
@@ -53,7 +53,7 @@
 
 type simulatedServer struct {
 	id                        uint32
-	stage                     uint8
+	state                     uint8
 	power                     float32
 	sinceMs                   float64
 	zone                      int
@@ -66,7 +66,7 @@
 	class    uint8
 	units    float64
 	customer uint64
-	final    bool // it has its answer, or its client has gone
+	final    bool // it has its final answer, or its client has disconnected
 	attempts []simulatedAttempt
 }
 
@@ -116,8 +116,8 @@
 }
 
 const (
-	stepMs = 5
-	endMs  = 27000
+	clockStepMs = 5
+	endMs       = 27000
 )
 
 // nextFrame gathers what is due by the next step at which anything is.
@@ -126,7 +126,7 @@
 		return nil
 	}
 	for s.queue[0].atMs > s.clockMs {
-		s.clockMs += stepMs
+		s.clockMs += clockStepMs
 	}
 	if s.clockMs > endMs {
 		return nil
@@ -155,7 +155,7 @@
 	return append(append(encoded, u32(s.serial)...), body...)
 }
 
-// Write takes a reply: it goes into the hash but for the text of log lines, and its actions are carried out.
+// Write takes a reply: it goes into the hash but for the text of log lines, and its actions are performed.
 func (s *simulator) Write(reply []byte) (int, error) {
 	_, _ = s.digest.Write(reply[4:12])
 	var gateway uint32
@@ -170,14 +170,14 @@
 		case frame.ActionInstance:
 			gateway = binary.LittleEndian.Uint32(record[5:])
 		default:
-			s.carryOut(gateway, code, record[5:])
+			s.perform(gateway, code, record[5:])
 		}
 		_, _ = s.digest.Write(record)
 	}
 	return len(reply), nil
 }
 
-func (s *simulator) carryOut(gateway uint32, code byte, body []byte) {
+func (s *simulator) perform(gateway uint32, code byte, body []byte) {
 	word := func(at int) uint32 { return binary.LittleEndian.Uint32(body[at:]) }
 	long := func(at int) uint64 { return binary.LittleEndian.Uint64(body[at:]) }
 	number := func(at int) float64 { return math.Float64frombits(long(at)) }
@@ -190,7 +190,7 @@
 		s.requests[word(0)].final = true
 	case frame.ActionCancel:
 		hop := int(binary.LittleEndian.Uint16(body[4:]))
-		s.respond(word(0), hop, 1+4*s.random.Float64(), howCancelled)
+		s.respond(word(0), hop, 1+4*s.random.Float64(), codeCancelled)
 	case frame.ActionSetTimer:
 		token := long(0)
 		s.schedule(gateway, number(8), func() []byte { return encodeRecord(frame.EventTimer, u64(token)) })
