--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,10 +1,10 @@
-// Package fleet keeps connections to servers: it pushes tasks to them, gives pushes up and probes. Where to is
-// said by others. One push goes on a connection at a time, so that none waits behind a longer one.
+// Package upstream keeps the connections to servers: it makes attempts of requests on them, cancels these, and checks the
+// servers' health. Where an attempt goes is said by others. One command goes on a connection at a time, so that none waits
+// behind a longer one.
 package upstream
 
 import (
 	"context"
-	"sync"
 	"time"
 
 	"harrierhoist/internal/dispatch"
@@ -12,69 +12,54 @@
 	"harrierhoist/policy"
 )
 
-const (
-	// The part of the servers' idle limit after which we drop a connection. The limit is theirs and may be kept
-	// early; half leaves room for that and for a slow machine.
-	idleTimeoutDivisor = 2
-	// So long a connection rests after an answer: what a server sends some milliseconds behind it, which would be taken
-	// for the next task's answer, is here by then, and the connection is not quiet. Harm: a task that comes sooner costs a
-	// handshake. Measured on a day of 30 gateways with such answers: one in 70 of those that find a connection.
-	minIdleBeforeReuse = 20 * time.Millisecond
-	// percentPerUnit is the unit in which servers tell a customer's use of its rate.
-	percentPerUnit = 100
-)
+// idleTimeoutDivisor is the part of the servers' idle limit after which we close a connection. The limit is theirs and may
+// be kept early; half leaves room for that and for a slow machine.
+const idleTimeoutDivisor = 2
 
-// Pool owns the connections to servers.
+// Pool makes attempts at servers on the connections that it owns. It is safe for concurrent use.
 type Pool struct {
-	connectTimeout, idleTimeout time.Duration
-	loadFields                  []string // the figures of a load report
-
-	maxConnections  int
-	mu              sync.Mutex
-	open            int // connections that are up, or coming up
-	idleLosses      idleLosses
-	idleConnections map[endpointKey][]*connection // idle ones, the latest used last
-}
-
-// endpointKey is where a connection goes: a new server at an old address gets none of the earlier one's.
-type endpointKey struct{ name, address string }
-
-func keyOf(s dispatch.Server) endpointKey { return endpointKey{s.Name, s.Address} }
-
-// connection is a connection and when it was last used.
-type connection struct {
-	*resp.Conn
-	lastUsed time.Time // zero: not yet
+	connections    *connectionSet
+	connectTimeout time.Duration
+	loadFields     []string // the names of the figures of a load report; none: servers report no load
 }
 
-// New makes a fleet that holds at most so many connections.
+// New makes a pool that holds at most maxConnections. A connection has connectTimeout to come up; idleLimit is how long
+// servers keep one that nobody uses.
 func New(connectTimeout, idleLimit time.Duration, loadFields []string, maxConnections int) *Pool {
-	return &Pool{connectTimeout: connectTimeout, idleTimeout: idleLimit / idleTimeoutDivisor, loadFields: loadFields, maxConnections: maxConnections,
-		idleConnections: map[endpointKey][]*connection{}}
+	return &Pool{
+		connections:    newConnectionSet(connectTimeout, idleLimit/idleTimeoutDivisor, maxConnections),
+		connectTimeout: connectTimeout, loadFields: loadFields,
+	}
 }
 
 // IdleTimeout is how long a connection that nobody uses is kept.
-func (p *Pool) IdleTimeout() time.Duration { return p.idleTimeout }
+func (p *Pool) IdleTimeout() time.Duration { return p.connections.idleTimeout }
+
+// RunIdleCleanup closes connections in time that nobody uses, until the context ends.
+func (p *Pool) RunIdleCleanup(ctx context.Context) { p.connections.runCleanup(ctx) }
 
-// CheckHealth asks a server for its load, or only whether it is there where servers tell no load.
+// CheckHealth asks a server for its load report, or only whether it is there where servers report no load. Done is called
+// once, before CheckHealth returns.
 func (p *Pool) CheckHealth(server dispatch.Server, done func(dispatch.Result)) {
-	deadline := time.Now().Add(p.connectTimeout)
-	conn, err := p.acquire(context.Background(), keyOf(server), deadline)
+	done(p.checkHealth(server))
+}
+
+func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
+	ctx, key, deadline := context.Background(), keyOf(server), time.Now().Add(p.connectTimeout)
+	conn, err := p.connections.acquire(ctx, key, deadline)
 	if err != nil {
-		done(dispatch.Result{Outcome: policy.ConnectFailed})
-		return
+		return dispatch.Result{Outcome: policy.ConnectFailed}
 	}
 	words := []string{"PING"}
 	if len(p.loadFields) > 0 {
 		words = []string{"INFO", "load"}
 	}
-	reply, state := p.exchange(context.Background(), conn, &resp.Command{Words: words}, deadline, deadline)
+	reply, state := p.exchange(ctx, conn, &resp.Command{Words: words}, deadline, deadline)
 	if state != exchangeAnswered {
-		p.closeConnection(conn)
-		done(dispatch.Result{Outcome: policy.TimedOut})
-		return
+		p.connections.close(conn)
+		return dispatch.Result{Outcome: policy.TimedOut}
 	}
-	p.putIdle(keyOf(server), conn)
+	p.connections.putIdle(key, conn)
 	result := dispatch.Result{Outcome: policy.Errored}
 	if reply.Kind != '-' {
 		result.Outcome = policy.Answered
@@ -83,5 +68,5 @@
 		p.readFigures(&result, reply.Value.String())
 		reply.Value.Free()
 	}
-	done(result)
+	return result
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -10,9 +10,19 @@
 	"harrierhoist/policy"
 )
 
-// parseReply reads a reply. Good are the forms that servers show: an array of the value, use and load; ERR failed or
-// BUSY with notes at most. Anything else is spoilt: the task may have run, whatever the line says.
-func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, good bool) {
+const (
+	// replyAttributes is how many attributes follow a value: use and load, either perhaps null.
+	replyAttributes = 2
+	// maxFigure is the largest figure that is taken from an attribute: the counter adds no more at once. Charged with a
+	// malformed one, a customer would never come back inside its quota.
+	maxFigure = 1e9
+	// percent is the unit in which servers tell a customer's use of its rate.
+	percent = 100
+)
+
+// parseReply reads a reply. Well-formed are the forms that servers show: an array of the value, use and load; ERR failed or
+// BUSY with attributes at most. Anything else is malformed: the request may have run, whatever the line says.
+func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, wellFormed bool) {
 	attributes := reply.Attributes
 	switch words := strings.Fields(reply.Line); {
 	case reply.Kind == '*' && reply.Value != nil && len(attributes) == replyAttributes:
@@ -31,34 +41,28 @@
 	return result, reply.Value, true
 }
 
-// replyAttributes is how many notes follow a value: use and load, either perhaps null.
-const replyAttributes = 2
-
 func isNoAttribute(word string) bool { return !strings.Contains(word, "=") }
 
-// maxFigure is the largest figure that is taken from a note: the counter adds no more at once. Charged with a spoilt
-// one, a customer would never come back inside its quota.
-const maxFigure = 1e9
-
-// readFigures takes the figures from a note such as used=37,cost=4.
+// readFigures takes the figures from an attribute such as used=37,cost=4. One that is no figure, or out of its range, is
+// ignored.
 func (p *Pool) readFigures(result *dispatch.Result, attribute string) {
-	loadReport := make([]float32, 0, len(p.loadFields))
 	figures := map[string]float64{}
 	for pair := range strings.SplitSeq(attribute, ",") {
 		name, text, _ := strings.Cut(pair, "=")
-		if v, err := strconv.ParseFloat(text, 64); err == nil && v >= 0 && v <= maxFigure {
-			figures[name] = v
+		if figure, err := strconv.ParseFloat(text, 64); err == nil && figure >= 0 && figure <= maxFigure {
+			figures[name] = figure
 		}
 	}
 	if cost, found := figures["cost"]; found {
 		result.Billed = cost
 	}
 	if used, found := figures["used"]; found {
-		result.Use = 1 + used/percentPerUnit
+		result.Use = 1 + used/percent
 	}
+	loadReport := make([]float32, 0, len(p.loadFields))
 	for _, name := range p.loadFields {
-		if v, found := figures[name]; found {
-			loadReport = append(loadReport, float32(v))
+		if figure, found := figures[name]; found {
+			loadReport = append(loadReport, float32(figure))
 		}
 	}
 	if len(loadReport) > 0 {
