--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -212,7 +212,8 @@
 	}
 }
 
-// Nothing that the gateway asks for waits for the carrier of a request: a decision not yet read and the final one fit.
+// Nothing that the gateway asks for waits for the goroutine that carries a request: a decision not yet read and the final one
+// fit.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
 	request, _ := f.forwarded(0, time.Hour)
--- a/internal/dispatch/counting.go
+++ b/internal/dispatch/counting.go
@@ -26,22 +26,22 @@
 	GatewayCount int
 	Weight       float64 // of a unit
 	PerCustomer  bool    // counted under its customer: what a server tells of the customer's use holds
-	// CheckOthers asks the other counts that the request has to pass, nil where there are none. It calls then once, from another
-	// goroutine, without the dispatcher's lock.
+	// CheckOthers asks the other counts that the request has to pass, nil where there are none. It calls the function given to
+	// it once, from another goroutine, without the dispatcher's lock.
 	CheckOthers func(then func(pass bool))
 	// Completed is called once, when the request has its final answer: whether it was forwarded, and its true weighted units
-	// (0: not told).
+	// (0: not reported).
 	Completed func(forwarded bool, units float64)
 
-	billedUnits float64
+	actualUnits float64
 }
 
 // weightResult turns a result's units to those of the request's count.
 func (a *CountAssignment) weightResult(result Result) Result {
-	result.Billed *= a.Weight
-	a.billedUnits = result.Billed
+	result.ActualUnits *= a.Weight
+	a.actualUnits = result.ActualUnits
 	if !a.PerCustomer {
-		result.Use = 0
+		result.Usage = 0
 	}
 	return result
 }
--- a/internal/dispatch/counting_test.go
+++ b/internal/dispatch/counting_test.go
@@ -7,7 +7,7 @@
 	"harrierhoist/policy"
 )
 
-// fakeRules count all requests under one key, each with the next weight, and check no other count unless told to.
+// fakeRules count all requests under one key, each with the next weight, and check other counts only where the test gives a function for it.
 type fakeRules struct {
 	nextWeights []float64
 	checkOthers func(func(bool))
@@ -42,7 +42,7 @@
 	rules := &fakeRules{nextWeights: []float64{3, 1}}
 	f.setRules(rules)
 	request, _ := f.forwarded(0, time.Second)
-	request.ReportResult(Result{Outcome: policy.Answered, Billed: 5, Use: 1.5})
+	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5, Usage: 1.5})
 	f.admit(0, 0, time.Second)
 	for call := range f.counterCalls { // a new window may be opened first
 		if call.units > 0 {
@@ -89,7 +89,7 @@
 			}
 			f.expectAction(request, want) // the final decision is made, and the answer is here as well
 			request.Disconnect()
-			request.ReportResult(Result{Outcome: policy.Answered, Billed: 5})
+			request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5})
 			request.Disconnect()
 			f.dispatcher.lock()
 			defer f.dispatcher.unlock()
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -23,22 +23,22 @@
 	Action Action
 	// Server is where an attempt goes.
 	Server Server
-	// Deadline is when an attempt that has no answer is given up.
+	// Deadline is when an attempt that has no answer is abandoned.
 	Deadline time.Time
 	// WriteDeadline is when an attempt that is not written to its last byte must not be any more; Deadline at the latest.
 	WriteDeadline time.Time
-	// Context ends when an attempt is to be given up at once.
+	// Context ends when an attempt is to be abandoned at once.
 	Context context.Context
 	// Begin is asked once, right before an attempt's first byte, which is written only where it returns true.
 	Begin func() bool
-	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: not told.
+	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: it is not asked.
 	RetryAfter time.Duration
 }
 
 // Result tells how an attempt, or a health check, ended.
 type Result struct {
-	Outcome    policy.Outcome
-	Billed     float64 // true units; 0: not told
-	Use        float64 // 1 + the part of its rate that the customer used of late; 0: not told
-	LoadReport []float32
+	Outcome     policy.Outcome
+	ActualUnits float64 // true units; 0: not reported
+	Usage       float64 // 1 + the part of its rate that the customer used of late; 0: not reported
+	LoadReport  []float32
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	settings         policy.Settings // as last given, without what the rules add
 	loadReportLength int             // how many figures a load report has
 	counterTimeout   time.Duration   // a call to the counter that took longer is late; 0: none is
-	shedRetryAfter   time.Duration   // what the client of a request that is shed is told; 0: nothing
+	shedRetryAfter   time.Duration   // for the client of a request that is shed; 0: none
 }
 
 // New makes a dispatcher with a gateway that has no memory of an earlier incarnation. Its decisions are drawn from the seed.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -15,7 +15,7 @@
 	reply func(float64, policy.Outcome)
 }
 
-// fixture is a dispatcher with one server, and a counter that replies when it is told to.
+// fixture is a dispatcher with one server, and a counter that replies when the test has it reply.
 type fixture struct {
 	*testing.T
 	dispatcher   *Dispatcher
@@ -106,7 +106,7 @@
 	if got.Server.Address != "here" || time.Until(got.Deadline) > time.Second || got.Context.Err() != nil {
 		t.Errorf("decided %+v", got)
 	}
-	request.ReportResult(Result{Outcome: policy.Answered, Billed: 5})
+	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5})
 	for f.admit(0, 0, time.Second); ; { // a new window may be opened first
 		if call = <-f.counterCalls; call.units == 5 {
 			return
@@ -156,7 +156,7 @@
 	f := newFixture(t)
 	request, _ := f.forwarded(0, time.Second)
 	request.Disconnect()
-	request.Disconnect() // told twice, it stays disconnected
+	request.Disconnect() // the second changes nothing
 	request.ReportResult(Result{Outcome: policy.Reset})
 	f.expectAction(request, Disconnected)
 	if n := len(f.dispatcher.requests); n != 0 {
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -10,7 +10,7 @@
 // host is the policy.Host of a dispatcher: it carries out what the gateway asks for, within the call and under the lock.
 type host struct{ dispatcher *Dispatcher }
 
-// Attempt hands the carrier of a request a server.
+// Attempt gives the goroutine that carries a request a server.
 func (h host) Attempt(requestID, serverID uint32, deadline time.Duration) {
 	dispatcher := h.dispatcher
 	request := dispatcher.requests[requestID]
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -7,8 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// maxUnreadDecisions is how many decisions of a request can wait for its carrier: an attempt and the final one. So the
-// dispatcher never waits for a carrier.
+// maxUnreadDecisions is how many decisions of a request can wait to be read: an attempt and the final one. So the
+// dispatcher never waits for the goroutine that carries it.
 const maxUnreadDecisions = 2
 
 // RequestSpec is what a client asks.
@@ -78,7 +78,7 @@
 	now := dispatcher.lock()
 	defer dispatcher.unlock()
 	r.current.abandon()
-	r.tracker.OnAttemptEnd(now, result.Outcome, result.Billed)
+	r.tracker.OnAttemptEnd(now, result.Outcome, result.ActualUnits)
 	if dispatcher.recorder != nil {
 		dispatcher.recorder.AddResult(now, r.zone, r.server, result.Outcome, now-r.attemptedAt)
 	}
@@ -90,11 +90,11 @@
 	}
 	dispatcher.gateway.HandleAttemptResult(now, policy.AttemptResult{
 		RequestID: r.id, Attempt: r.attempts - 1, Server: r.server, Outcome: result.Outcome, Latency: now - r.attemptedAt,
-		Final: r.completed, ActualUnits: result.Billed, Usage: result.Use, LoadReport: dispatcher.checkedLoadReport(result.LoadReport),
+		Final: r.completed, ActualUnits: result.ActualUnits, Usage: result.Usage, LoadReport: dispatcher.checkedLoadReport(result.LoadReport),
 	})
 }
 
-// Disconnect tells that the client has gone. Told again, or after the final decision, it does nothing.
+// Disconnect tells that the client has gone. Called again, or after the final decision, it does nothing.
 func (r *Request) Disconnect() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
@@ -117,6 +117,6 @@
 	r.completed = true
 	delete(r.dispatcher.requests, r.id)
 	if r.assignment != nil && r.assignment.Completed != nil {
-		r.assignment.Completed(r.attempts > 0, r.assignment.billedUnits)
+		r.assignment.Completed(r.attempts > 0, r.assignment.actualUnits)
 	}
 }
--- a/internal/dispatch/settlement_test.go
+++ b/internal/dispatch/settlement_test.go
@@ -56,7 +56,7 @@
 func TestSettlement_attemptsCountAsDebtWhenTheyEnd(t *testing.T) {
 	f, accounts := newSettlingFixture(t)
 	request, _ := f.forwardedWithoutCall(0, time.Second)
-	request.ReportResult(Result{Outcome: policy.Answered, Billed: 3.5})
+	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 3.5})
 	if got := totalDebt(accounts); got != 3500 {
 		t.Errorf("debt of %d", got)
 	}
@@ -96,7 +96,7 @@
 			if (preferred == 3) != (shares != nil) || shares != nil && zone != 1 {
 				t.Fatalf("shares %v: prefers %d, forwarded to zone %d", shares, preferred, zone)
 			}
-			request.ReportResult(Result{Outcome: policy.Answered, Billed: 2})
+			request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 2})
 		}
 	}
 }
--- a/internal/dispatch/steering.go
+++ b/internal/dispatch/steering.go
@@ -77,7 +77,7 @@
 	return true
 }
 
-// shedRetryAfter is how long a client whose request fits in no zone is told to stay away: a quarter of the tightest latency
+// shedRetryAfter is how long a client whose request fits in no zone is asked to stay away: a quarter of the tightest latency
 // objective, as the gateway says where no server can be had. Capacity elsewhere is shared by lot, so asking again soon may
 // find some: with a second in its place more of those shed ran out of time (docs/failover.md).
 func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
@@ -93,7 +93,7 @@
 // shedRetryDivisor is the part of the tightest latency objective that a client stays away.
 const shedRetryDivisor = 4
 
-// SetRecorder has a recorder told from here on what goes on in each zone; attempts in flight are told as they end.
+// SetRecorder has a recorder record from here on what goes on in each zone, and of attempts in flight how they end.
 func (d *Dispatcher) SetRecorder(recorder *zonestats.Recorder) {
 	now := d.lock()
 	defer d.unlock()
--- a/internal/enforce/enforcer_test.go
+++ b/internal/enforce/enforcer_test.go
@@ -119,7 +119,7 @@
 	if request.Next().Action != dispatch.Forward {
 		return false
 	}
-	request.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 1})
+	request.ReportResult(dispatch.Result{Outcome: policy.Answered, ActualUnits: 1})
 	return true
 }
 
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -71,7 +71,7 @@
 		if c := e.Next(); c.Action != dispatch.Forward {
 			t.Fatalf("verdict %d", c.Action)
 		}
-		e.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 3.5})
+		e.ReportResult(dispatch.Result{Outcome: policy.Answered, ActualUnits: 3.5})
 	})
 	run(func(*dispatch.Dispatcher) {})
 }
--- a/internal/simulator/frame/decode.go
+++ b/internal/simulator/frame/decode.go
@@ -79,7 +79,7 @@
 	EventAttemptResult: func(d *decoder) Message {
 		return AttemptResult{
 			RequestID: d.u32(), Attempt: d.u16(), Server: d.u32(), Outcome: d.u8(), ElapsedMs: d.f64(),
-			Final: d.u8() != 0, UsePercent: d.u16(), BilledUnits: d.u16(), LoadReport: d.loadReport(),
+			Final: d.u8() != 0, UsagePercent: d.u16(), ActualUnits: d.u16(), LoadReport: d.loadReport(),
 		}
 	},
 	EventPeerMessage: func(d *decoder) Message {
--- a/internal/simulator/frame/events.go
+++ b/internal/simulator/frame/events.go
@@ -57,15 +57,15 @@
 
 // AttemptResult tells how an attempt ended.
 type AttemptResult struct {
-	RequestID   uint32
-	Attempt     uint16
-	Server      uint32
-	Outcome     uint8
-	ElapsedMs   float64
-	Final       bool   // the request has its final answer
-	UsePercent  uint16 // 1 + the customer's use in percent of its rate; 0: not told
-	BilledUnits uint16 // 0: not told
-	LoadReport  []float32
+	RequestID    uint32
+	Attempt      uint16
+	Server       uint32
+	Outcome      uint8
+	ElapsedMs    float64
+	Final        bool   // the request has its final answer
+	UsagePercent uint16 // 1 + the customer's use in percent of its rate; 0: not reported
+	ActualUnits  uint16 // 0: not reported
+	LoadReport   []float32
 }
 
 // PeerMessage is a message of another instance.
--- a/internal/simulator/frame/frame_test.go
+++ b/internal/simulator/frame/frame_test.go
@@ -53,7 +53,7 @@
 	{
 		"attempt result", "3c 19000000 c4913a5d 0000 074a1203 00 0000000000803240 01 5600 0300 00", 60,
 		AttemptResult{
-			RequestID: 0x5d3a91c4, Server: 0x03124a07, ElapsedMs: 18.5, Final: true, UsePercent: 86, BilledUnits: 3,
+			RequestID: 0x5d3a91c4, Server: 0x03124a07, ElapsedMs: 18.5, Final: true, UsagePercent: 86, ActualUnits: 3,
 		},
 	},
 	{
--- a/internal/simulator/host/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -127,7 +127,7 @@
 		},
 	},
 	{
-		name: "limits on attempts in flight, ceilings, use told, hedging", zones: 2, gateways: 4, classes: 3, plans: 3,
+		name: "limits on attempts in flight, ceilings, usage reported, hedging", zones: 2, gateways: 4, classes: 3, plans: 3,
 		lines: goldenCommon + `Balancers=4
 MyZone=0
 Dcs=a,b
--- a/internal/simulator/host/host_test.go
+++ b/internal/simulator/host/host_test.go
@@ -159,9 +159,9 @@
 }
 
 // A server's word on a customer's use has to reach the gateway as the part that it stands for.
-func TestQuotaUse_percentOfRate(t *testing.T) {
+func TestUsageOf_percentOfRate(t *testing.T) {
 	for percentPlusOne, want := range map[uint16]float64{0: 0, 1: 1, 38: 1.37, 251: 3.5} {
-		if got := quotaUse(percentPlusOne); math.Abs(got-want) > 1e-9 {
+		if got := usageOf(percentPlusOne); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%d stands for %v, want %v", percentPlusOne, got, want)
 		}
 	}
--- a/internal/simulator/host/translate.go
+++ b/internal/simulator/host/translate.go
@@ -8,7 +8,7 @@
 	"harrierhoist/policy"
 )
 
-// percent is the unit in which a customer's use of its rate is told.
+// percent is the unit in which a customer's use of its rate is reported.
 const percent = 100
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -25,7 +25,7 @@
 	return policy.AttemptResult{
 		RequestID: message.RequestID, Attempt: int(message.Attempt), Server: message.Server,
 		Outcome: outcomeOf(message.Outcome), Latency: config.Milliseconds(message.ElapsedMs), Final: message.Final,
-		ActualUnits: float64(message.BilledUnits), Usage: quotaUse(message.UsePercent), LoadReport: message.LoadReport,
+		ActualUnits: float64(message.ActualUnits), Usage: usageOf(message.UsagePercent), LoadReport: message.LoadReport,
 	}
 }
 
@@ -56,8 +56,8 @@
 	return policy.Errored
 }
 
-// quotaUse turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0 stays not told.
-func quotaUse(percentPlusOne uint16) float64 {
+// quotaUse turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0 stays not reported.
+func usageOf(percentPlusOne uint16) float64 {
 	if percentPlusOne == 0 {
 		return 0
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -47,7 +47,7 @@
 		if (value != nil) != (got.Outcome == policy.Answered) || wellFormed != (got.Outcome != policy.Reset) {
 			t.Fatalf("%q: outcome %v with value %v, well-formed %v", data, got.Outcome, value != nil, wellFormed)
 		}
-		figures := []float64{got.Billed, got.Use}
+		figures := []float64{got.ActualUnits, got.Usage}
 		for _, v := range got.LoadReport {
 			figures = append(figures, float64(v))
 		}
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -98,8 +98,8 @@
 		attemptOnce(t, pool, server, policy.Answered)
 		// Only just answered, however slow we are.
 		pool.connections.idle[keyOfAddress(server.Addr)][0].lastUsed = time.Now().Add(time.Minute)
-		if got := attemptOnce(t, pool, server, policy.Answered); got.Billed != 1 {
-			t.Errorf("billed %v, as the other answer says", got.Billed)
+		if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 {
+			t.Errorf("billed %v, as the other answer says", got.ActualUnits)
 		}
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -63,8 +63,8 @@
 			if !strings.HasPrefix(words, "SVC.QUERY 01 02 c=a,d=") || !strings.HasSuffix(words, ",k=7") {
 				t.Errorf("sent %q", words)
 			}
-			if got.Billed != test.billed {
-				t.Errorf("billed %v, want %v", got.Billed, test.billed)
+			if got.ActualUnits != test.billed {
+				t.Errorf("billed %v, want %v", got.ActualUnits, test.billed)
 			}
 		})
 	}
@@ -126,8 +126,8 @@
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7) })
 	pool := newTestPool(10)
 	attemptOnce(t, pool, server, policy.Answered)
-	if got := attemptOnce(t, pool, server, policy.Answered); got.Billed != 1 || server.ConnCount() != 2 {
-		t.Errorf("billed %v on %d connections", got.Billed, server.ConnCount())
+	if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 || server.ConnCount() != 2 {
+		t.Errorf("billed %v on %d connections", got.ActualUnits, server.ConnCount())
 	}
 }
 
@@ -151,22 +151,22 @@
 		server := fakes.NewServer(t, func([]string) string {
 			return fmt.Sprintf("*3\r\n$1\r\nv\r\n$%d\r\n%s\r\n$-1\r\n", len(attribute), attribute)
 		})
-		if got := attemptOnce(t, newTestPool(9), server, policy.Answered); got.Billed != 0 {
-			t.Errorf("%s: billed %v", attribute, got.Billed)
+		if got := attemptOnce(t, newTestPool(9), server, policy.Answered); got.ActualUnits != 0 {
+			t.Errorf("%s: billed %v", attribute, got.ActualUnits)
 		}
 	}
 }
 
 // The use of a customer's rate that servers tell has to reach the result.
-func TestReadFigures_quotaUse(t *testing.T) {
+func TestReadFigures_usage(t *testing.T) {
 	pool := &Pool{}
 	for attribute, want := range map[string]float64{
 		"used=37,cost=4": 1.37, "used=0": 1, "cost=4": 0, "used=x": 0, "used=-3": 0,
 	} {
 		var result dispatch.Result
 		pool.readFigures(&result, attribute)
-		if result.Use < want-1e-9 || result.Use > want+1e-9 {
-			t.Errorf("%s stands for %v, want %v", attribute, result.Use, want)
+		if result.Usage < want-1e-9 || result.Usage > want+1e-9 {
+			t.Errorf("%s stands for %v, want %v", attribute, result.Usage, want)
 		}
 	}
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -16,7 +16,7 @@
 	// maxFigure is the largest figure that is taken from an attribute: the counter adds no more at once. Charged with a
 	// malformed one, a customer would never come back inside its quota.
 	maxFigure = 1e9
-	// percent is the unit in which servers tell a customer's use of its rate.
+	// percent is the unit in which servers report a customer's use of its rate.
 	percent = 100
 )
 
@@ -54,10 +54,10 @@
 		}
 	}
 	if cost, found := figures["cost"]; found {
-		result.Billed = cost
+		result.ActualUnits = cost
 	}
 	if used, found := figures["used"]; found {
-		result.Use = 1 + used/percent
+		result.Usage = 1 + used/percent
 	}
 	loadReport := make([]float32, 0, len(p.loadFields))
 	for _, name := range p.loadFields {
