--- a/internal/coordination/observation/merger_rapid_test.go
+++ b/internal/coordination/observation/merger_rapid_test.go
@@ -21,8 +21,8 @@
 	sent    []addressedDigest
 }
 
-// step is one thing that happens to the process.
-func (p *countingProcess) step(t *rapid.T) {
+// proceed draws the next thing that happens to the process.
+func (p *countingProcess) proceed(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0: // it switches to another voter
 		p.voter, p.digest.Session = rapid.IntRange(0, 2).Draw(t, "voter"), p.digest.Session+1
@@ -53,7 +53,7 @@
 		voters := []*Merger{NewMerger(), NewMerger(), NewMerger()}
 		process := countingProcess{digest: Digest{Process: "g", Incarnation: 1}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			process.step(t)
+			process.proceed(t)
 			process.deliver(t, voters)
 			sum := uint64(0)
 			for _, voter := range voters {
--- a/internal/coordination/observation/merger_test.go
+++ b/internal/coordination/observation/merger_test.go
@@ -27,16 +27,16 @@
 		}
 		rng.Shuffle(len(sent), func(i, k int) { sent[i], sent[k] = sent[k], sent[i] })
 		sent = append(sent[:rng.IntN(len(sent))], sent[:rng.IntN(len(sent))]...) // some lost, some duplicated
-		m := NewMerger()
-		m.Add(newDigest(1, 40))
+		merger := NewMerger()
+		merger.Add(newDigest(1, 40))
 		for _, digest := range sent {
-			m.Add(digest)
+			merger.Add(digest)
 		}
-		m.Add(newDigest(99, 500))
-		if got := m.Sums()["attempts"]; got != 460 {
+		merger.Add(newDigest(99, 500))
+		if got := merger.Sums()["attempts"]; got != 460 {
 			t.Fatalf("seed %d: %d attempts, not 460", seed, got)
 		}
-		if exact := m.ExactCounts(); len(exact) != 1 || exact[0].Exact["owed"] != 500 {
+		if exact := merger.ExactCounts(); len(exact) != 1 || exact[0].Exact["owed"] != 500 {
 			t.Fatalf("seed %d: exact counts %v", seed, exact)
 		}
 	}
@@ -44,18 +44,18 @@
 
 // A process that crashed and restarted counts from 0; digests of its earlier incarnation that still arrive are ignored.
 func TestMerger_earlierIncarnationIsIgnored(t *testing.T) {
-	m := NewMerger()
-	m.Add(newDigest(1, 100))
-	m.Add(newDigest(2, 130))
+	merger := NewMerger()
+	merger.Add(newDigest(1, 100))
+	merger.Add(newDigest(2, 130))
 	again := newDigest(1, 5)
 	again.Incarnation = 8
-	if !m.Add(again) || m.Add(newDigest(3, 900)) {
+	if !merger.Add(again) || merger.Add(newDigest(3, 900)) {
 		t.Error("the later incarnation does not take precedence")
 	}
 	again.Serial, again.Counts = 2, map[string]uint64{"attempts": 9}
-	m.Add(again)
-	if want := map[string]uint64{"attempts": 34}; !maps.Equal(m.Sums(), want) {
-		t.Errorf("sums %v, want %v", m.Sums(), want)
+	merger.Add(again)
+	if want := map[string]uint64{"attempts": 34}; !maps.Equal(merger.Sums(), want) {
+		t.Errorf("sums %v, want %v", merger.Sums(), want)
 	}
 }
 
@@ -83,22 +83,22 @@
 
 // A process restarts before the log has the exact counts of its earlier incarnation, and that incarnation's last digest
 // arrives later still: exact counts of every incarnation count.
-func TestMerger_exactCountsOfAnEarlierIncarnationAreKept(t *testing.T) {
-	m := NewMerger()
-	m.Add(newDigest(1, 100))
+func TestMerger_exactCountsOfAnEarlierIncarnationAreRetained(t *testing.T) {
+	merger := NewMerger()
+	merger.Add(newDigest(1, 100))
 	again := newDigest(1, 5)
 	again.Incarnation = 8
-	m.Add(again)
-	if exact := m.ExactCounts(); len(exact) != 2 || exact[0].Exact["owed"] != 100 {
+	merger.Add(again)
+	if exact := merger.ExactCounts(); len(exact) != 2 || exact[0].Exact["owed"] != 100 {
 		t.Errorf("exact counts %+v", exact)
 	}
-	m.Add(newDigest(3, 130)) // late, of the earlier incarnation
-	m.Add(newDigest(2, 120)) // later still
-	exact := m.ExactCounts()
+	merger.Add(newDigest(3, 130)) // late, of the earlier incarnation
+	merger.Add(newDigest(2, 120)) // later still
+	exact := merger.ExactCounts()
 	if len(exact) != 2 || exact[0].Incarnation != 7 || exact[0].Exact["owed"] != 130 || exact[1].Exact["owed"] != 5 {
 		t.Errorf("exact counts %+v", exact)
 	}
-	if m.Sums()["attempts"] != 0 {
-		t.Errorf("sums %v", m.Sums())
+	if merger.Sums()["attempts"] != 0 {
+		t.Errorf("sums %v", merger.Sums())
 	}
 }
