--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -204,14 +204,14 @@
 	c.leader()
 	c.writeTable("plan", 2, "three")
 	c.kill("v1", "v2", "v3")
-	c.waitForLog("g1", "its lease is over")
+	c.waitForLog("g1", "follower: lease expired")
 	c.start("v1", "v2", "v3")
 	if e := c.readTable("plan"); e.Epoch != 3 || string(e.Value) != "three" {
 		t.Errorf("held after all were killed: %+v", e)
 	}
-	c.waitForLog("g1", "is confirmed again")
+	c.waitForLog("g1", "follower: lease renewed")
 	c.waitForLog("g1", `"plan":3`)
-	if n := strings.Count(c.logs["g1"].String(), "its lease is over"); n != 1 {
+	if n := strings.Count(c.logs["g1"].String(), "follower: lease expired"); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 	_ = c.processes["g1"].Process.Signal(syscall.SIGTERM)
--- a/internal/coordination/follower/cache.go
+++ b/internal/coordination/follower/cache.go
@@ -8,81 +8,84 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// tableCache is what a process holds of the tables. It takes answers in any order, late or doubled ones too.
+// tableCache is what a process has of the tables. It accepts results in any order, late and duplicate ones too. It may be
+// used by several goroutines at once.
 type tableCache struct {
-	mu             sync.RWMutex
+	mu             sync.RWMutex // guards what follows
 	tables         map[string]coordination.CachedTable
-	confirmedUntil time.Duration // until when it is confirmed that tables not held were never written
-	changed        chan struct{}
+	confirmedUntil time.Duration // the lease of all tables, also of those that were never written
+	changed        chan struct{} // closed and replaced with each change
 }
 
 func newTableCache() *tableCache {
 	return &tableCache{tables: map[string]coordination.CachedTable{}, changed: make(chan struct{})}
 }
 
-// knownEpochs are the epochs held.
+// knownEpochs are the epochs of the tables in the cache.
 func (c *tableCache) knownEpochs() map[string]uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	known := make(map[string]uint64, len(c.tables))
-	for name, held := range c.tables {
-		known[name] = held.Epoch
+	for name, cached := range c.tables {
+		known[name] = cached.Epoch
 	}
 	return known
 }
 
-// merge takes the answer to a read, and holds all until a time that counts from when it was sent. An epoch never goes
-// back, nor does a lease. An answer that knows less than is held confirms it all the same: what is held was written
-// after that answer was confirmed, so after the read was sent.
-func (c *tableCache) merge(answer map[string]statemachine.Table, until time.Duration) {
+// merge adds the tables that a read returned, and extends the lease of all to a time that counts from when the read was
+// sent. An epoch never goes back, nor does a lease. A result that is behind the cache confirms it all the same: what is
+// cached was written after that result was confirmed, so after the read was sent.
+func (c *tableCache) merge(tables map[string]statemachine.Table, leaseEnd time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changed := until > c.confirmedUntil && c.confirmedUntil == 0
-	for name, e := range answer {
-		if held := c.tables[name]; e.Epoch > held.Epoch {
-			c.tables[name] = coordination.CachedTable{Name: name, Epoch: e.Epoch, Value: e.Value}
+	changed := leaseEnd > c.confirmedUntil && c.confirmedUntil == 0
+	for name, table := range tables {
+		if cached := c.tables[name]; table.Epoch > cached.Epoch {
+			c.tables[name] = coordination.CachedTable{Name: name, Epoch: table.Epoch, Value: table.Value}
 			changed = true
 		}
 	}
-	c.confirmedUntil = max(c.confirmedUntil, until)
-	for name, held := range c.tables {
-		held.LeaseEnd = c.confirmedUntil
-		c.tables[name] = held
+	c.confirmedUntil = max(c.confirmedUntil, leaseEnd)
+	for name, cached := range c.tables {
+		cached.LeaseEnd = c.confirmedUntil
+		c.tables[name] = cached
 	}
 	if changed {
 		c.wakeWaiters()
 	}
 }
 
-// wakeWaiters wakes those who wait for a change. The lock is held.
+// wakeWaiters wakes those that wait for a change. The caller holds the lock.
 func (c *tableCache) wakeWaiters() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// notifyLeaseChange wakes them because a lease ended or came back.
+// notifyLeaseChange wakes those that wait for a change, as the lease expired or was renewed.
 func (c *tableCache) notifyLeaseChange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wakeWaiters()
 }
 
+// get gives a table with its lease; at epoch 0 where it is not in the cache.
 func (c *tableCache) get(table string) coordination.CachedTable {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if held, ok := c.tables[table]; ok {
-		return held
+	if cached, ok := c.tables[table]; ok {
+		return cached
 	}
 	return coordination.CachedTable{Name: table, LeaseEnd: c.confirmedUntil}
 }
 
+// nextChange gives a channel that is closed with the next change.
 func (c *tableCache) nextChange() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.changed
 }
 
-// leaseEnd is when the latest confirmation ends.
+// leaseEnd is when the lease ends.
 func (c *tableCache) leaseEnd() time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/coordination/follower/cache_test.go
+++ b/internal/coordination/follower/cache_test.go
@@ -12,65 +12,70 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// What a process may act on until a time was the table's value at some moment no longer than a lease before that time,
-// and epochs never go back: whatever comes late, twice or in another order.
+// A cached value that may be used until a time was the table's value at some moment no longer than a lease before that
+// time, and epochs never go back: whatever comes late, twice or in another order.
 func TestTableCache_valueIsNeverOlderThanItsLease(t *testing.T) {
-	const lease = 2 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		// The voters' history: at which second the table came to each epoch.
-		var written []time.Duration
-		at := time.Duration(0)
-		for range rapid.IntRange(0, 8).Draw(t, "writes") {
-			at += time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond
-			written = append(written, at)
-		}
-		epochAt := func(when time.Duration) (epoch uint64) {
-			for _, w := range written {
-				if w <= when {
-					epoch++
-				}
-			}
-			return epoch
-		}
+		const lease = 2 * time.Second
+		history := drawHistory(t)
 		type read struct {
-			known  map[string]uint64
-			answer map[string]statemachine.Table
+			tables map[string]statemachine.Table
 			sent   time.Duration
 		}
-		c := newTableCache()
 		var reads []read
-		highest := uint64(0)
+		cache, highest := newTableCache(), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "reads") {
 			sent := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "sent")) * time.Millisecond
-			seen := sent + time.Duration(rapid.IntRange(0, 500).Draw(t, "way"))*time.Millisecond // confirmed then
-			r := read{known: c.knownEpochs(), sent: sent, answer: map[string]statemachine.Table{}}
-			if e := epochAt(seen); e > r.known["plan"] {
-				r.answer["plan"] = statemachine.Table{Epoch: e, Value: fmt.Append(nil, e)}
-			} else if e < r.known["plan"] {
+			confirmed := sent + time.Duration(rapid.IntRange(0, 500).Draw(t, "delay"))*time.Millisecond
+			known, result := cache.knownEpochs()["plan"], read{sent: sent, tables: map[string]statemachine.Table{}}
+			if epoch := history.epochAt(confirmed); epoch > known {
+				result.tables["plan"] = statemachine.Table{Epoch: epoch, Value: fmt.Append(nil, epoch)}
+			} else if epoch < known {
 				continue // no voter confirms that it has less than was read before
 			}
-			reads = append(reads, r)
+			reads = append(reads, result)
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
-				r := rapid.SampledFrom(reads).Draw(t, "which")
-				c.merge(r.answer, r.sent+lease)
-				held := c.get("plan")
-				if held.Epoch < highest {
-					t.Fatalf("epoch %d after %d", held.Epoch, highest)
+				arrived := rapid.SampledFrom(reads).Draw(t, "which")
+				cache.merge(arrived.tables, arrived.sent+lease)
+				cached := cache.get("plan")
+				if cached.Epoch < highest {
+					t.Fatalf("epoch %d after %d", cached.Epoch, highest)
 				}
-				highest = held.Epoch
-				if held.Epoch > 0 && string(held.Value) != fmt.Sprint(held.Epoch) {
-					t.Fatalf("epoch %d has the value of %s", held.Epoch, held.Value)
+				highest = cached.Epoch
+				if cached.Epoch > 0 && string(cached.Value) != fmt.Sprint(cached.Epoch) {
+					t.Fatalf("epoch %d has the value of %s", cached.Epoch, cached.Value)
 				}
 				// It was the value at some moment from the lease's beginning on.
-				if held.LeaseEnd > 0 && epochAt(held.LeaseEnd-lease) > held.Epoch {
-					t.Fatalf("epoch %d held until %v, and at %v it was %d", held.Epoch, held.LeaseEnd, held.LeaseEnd-lease, epochAt(held.LeaseEnd-lease))
+				if from := cached.LeaseEnd - lease; cached.LeaseEnd > 0 && history.epochAt(from) > cached.Epoch {
+					t.Fatalf("epoch %d cached until %v, and at %v it was %d", cached.Epoch, cached.LeaseEnd, from, history.epochAt(from))
 				}
 			}
 		}
 	})
 }
 
-// slowSource takes its time to answer.
+// history is when a table of the voters came to each epoch.
+type history []time.Duration
+
+func drawHistory(t *rapid.T) (h history) {
+	at := time.Duration(0)
+	for range rapid.IntRange(0, 8).Draw(t, "writes") {
+		at += time.Duration(rapid.IntRange(1, 3000).Draw(t, "pause")) * time.Millisecond
+		h = append(h, at)
+	}
+	return h
+}
+
+func (h history) epochAt(when time.Duration) (epoch uint64) {
+	for _, written := range h {
+		if written <= when {
+			epoch++
+		}
+	}
+	return epoch
+}
+
+// slowSource takes 700 ms of the test's clock to answer.
 type slowSource struct {
 	silentSource
 	now *time.Duration
@@ -81,14 +86,14 @@
 	return ReadResult{Tables: map[string]statemachine.Table{"plan": {Epoch: 1}}, GroupID: []byte("g")}, nil
 }
 
-// An answer that was long on its way tells what was, not what is: the lease counts from when the read was sent.
+// A result that was long on its way tells what was, not what is: the lease counts from when the read was sent.
 func TestFollower_leaseCountsFromTheSendingOfTheRead(t *testing.T) {
 	now := 10 * time.Second
 	f := New("g1", 1, nil, Timing{}, func() time.Duration { return now }, zap.NewNop())
-	if err := f.readOnce(t.Context(), slowSource{now: &now}, 0, 2*time.Second); err != nil {
+	if err := f.reader.readOnce(t.Context(), slowSource{now: &now}, 0, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if held := f.Cached("plan"); held.Epoch != 1 || held.LeaseEnd != 12*time.Second || now != 10700*time.Millisecond {
-		t.Errorf("held %+v at %v", held, now)
+	if cached := f.Cached("plan"); cached.Epoch != 1 || cached.LeaseEnd != 12*time.Second || now != 10700*time.Millisecond {
+		t.Errorf("cached %+v at %v", cached, now)
 	}
 }
--- a/internal/coordination/follower/clock.go
+++ b/internal/coordination/follower/clock.go
@@ -6,14 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemUptime is a clock for leases: time since the machine's start. Unlike Go's own monotonic clock it goes on while the
-// machine is suspended, so that a process that wakes finds its leases over. It takes a system call, some 0.1 us.
+// processStart is the origin of the clock where the kernel has no better one.
+var processStart = time.Now()
+
+// SystemUptime is a clock for leases: the time since the machine's start. Unlike Go's own monotonic clock it goes on
+// while the machine is suspended, so that a process that wakes finds its leases expired. A call takes some 0.1 us.
 func SystemUptime() time.Duration {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(processStart) // a kernel without it; none that Go runs on
+	var uptime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime); err != nil {
+		return time.Since(processStart) // a kernel without this clock; Go runs on none
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(uptime.Nano())
 }
-
-var processStart = time.Now()
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -9,43 +9,53 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// How digests are paced.
+// Pace of the digests.
 const (
-	slowDivisor    = 4   // a digest is slow that takes more than this part of the pause between two
-	slowdownFactor = 1.5 // the pause after a slow one
-	recoveryFactor = 0.9 // and after one that was not
-	maxSlowdown    = 8   // at the most: 1.6 s of 200 ms
-	jitterDivisor  = 2   // digests are drawn apart by half of their pause, so that fleets do not beat
+	slowDivisor    = 4   // a digest is slow that takes more than this part of the interval between two
+	slowdownFactor = 1.5 // of the interval after a slow digest
+	recoveryFactor = 0.9 // of the interval after one that was not slow
+	maxSlowdown    = 8   // of the interval: 1.6 s of 200 ms
+	jitterDivisor  = 2   // jitter is half of the interval, so that processes do not send in step
 )
 
-// sendDigests sends a digest at each of its times. One that is lost is not sent again: the next has all that it had.
-func (f *Follower) sendDigests(ctx context.Context) {
+// digestSender sends the digests of one incarnation of a process to the source in use.
+type digestSender struct {
+	process     string
+	incarnation uint64
+	clock       func() time.Duration
+	sources     *sourceSelector
+	counters    *counterRegistry
+}
+
+// run sends digests until the context ends. One that is lost is not sent again: the next one has all that it had.
+func (s *digestSender) run(ctx context.Context) {
 	slowdown := 1.0
 	for serial := uint64(1); ; serial++ {
-		_, _, timing := f.currentSource()
+		_, _, timing := s.sources.current()
 		half := time.Duration(slowdown * float64(timing.DigestInterval) / jitterDivisor)
 		if !sleep(ctx, half+rand.N(2*half+1)) {
 			return
 		}
-		merged, exact := f.counters.collect()
-		source, session, _ := f.currentSource()
+		merged, exact := s.counters.collect()
+		source, session, _ := s.sources.current()
 		if source == nil || len(merged)+len(exact) == 0 {
 			continue
 		}
-		d := observation.Digest{Process: f.process, Incarnation: f.incarnation, Serial: serial, Session: session,
-			Counts: merged, Exact: exact}
-		sent := f.clock()
-		err := source.SendDigest(ctx, d)
+		sent := s.clock()
+		err := source.SendDigest(ctx, observation.Digest{
+			Process: s.process, Incarnation: s.incarnation, Serial: serial, Session: session,
+			Counts: merged, Exact: exact,
+		})
 		if err != nil && ctx.Err() == nil {
-			f.switchSource(session)
+			s.sources.switchFrom(session)
 		}
-		slowdown = nextSlowdown(slowdown, err != nil || f.clock()-sent > timing.DigestInterval/slowDivisor)
+		slowdown = nextSlowdown(slowdown, err != nil || s.clock()-sent > timing.DigestInterval/slowDivisor)
 	}
 }
 
-// nextSlowdown has digests come less often while the voters are slow to take them, and as before soon after. It guards
-// against a fleet that is more than its voters can bear, where each digest that comes too late would be followed by
-// another; the harm is that what is seen in common comes up to paceMost times later.
+// nextSlowdown has digests come less often while the voters are slow to take them, and at the full rate again soon
+// after. It guards against more processes than the voters can bear, where each digest that comes too late would be
+// followed by another; the harm is that controllers see counts up to maxSlowdown times later.
 func nextSlowdown(slowdown float64, slow bool) float64 {
 	if slow {
 		return min(slowdown*slowdownFactor, maxSlowdown)
@@ -53,30 +63,40 @@
 	return max(slowdown*recoveryFactor, 1)
 }
 
-// counterRegistry are what a process has counted since its start.
+// counterSource adds what a part of the process has counted since its start.
+type counterSource = func(add func(name string, n uint64))
+
+// counterRegistry has all that a process counts. It may be used by several goroutines at once.
 type counterRegistry struct {
-	mu     sync.Mutex
-	merged []func(add func(string, uint64))
-	exact  []func(add func(string, uint64))
+	mu     sync.Mutex // guards what follows
+	merged []counterSource
+	exact  []counterSource
+}
+
+func (r *counterRegistry) register(source counterSource) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.merged = append(r.merged, source)
 }
 
-func (r *counterRegistry) register(to *[]func(add func(string, uint64)), f func(add func(string, uint64))) {
+func (r *counterRegistry) registerExact(source counterSource) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	*to = append(*to, f)
+	r.exact = append(r.exact, source)
 }
 
-// collect has every witness give its counts; two that give the same name are added.
+// collect gives all counts; two of the same name are added.
 func (r *counterRegistry) collect() (merged, exact map[string]uint64) {
 	r.mu.Lock()
-	m, e := r.merged, r.exact
+	mergedSources, exactSources := r.merged, r.exact
 	r.mu.Unlock()
-	gather := func(from []func(add func(string, uint64))) map[string]uint64 {
-		all := map[string]uint64{}
-		for _, f := range from {
-			f(func(name string, n uint64) { all[name] += n })
-		}
-		return all
+	return sum(mergedSources), sum(exactSources)
+}
+
+func sum(sources []counterSource) map[string]uint64 {
+	total := map[string]uint64{}
+	for _, source := range sources {
+		source(func(name string, n uint64) { total[name] += n })
 	}
-	return gather(m), gather(e)
+	return total
 }
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -14,11 +14,12 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
+// A write at the voter reaches the cache, with a lease.
 func TestFollower_cachesWritesAsTheyCome(t *testing.T) {
 	v := newFakeSource("v1")
 	f, _ := startFollower(t, quickTiming, v)
-	if held := f.Cached("plan"); held.Epoch != 0 {
-		t.Errorf("holds %+v", held)
+	if cached := f.Cached("plan"); cached.Epoch != 0 {
+		t.Errorf("cached %+v", cached)
 	}
 	for epoch := uint64(1); epoch < 4; epoch++ {
 		changed := f.Changed()
@@ -29,16 +30,16 @@
 			return f.Cached("plan").Epoch == epoch
 		})
 	}
-	if held := f.Cached("plan"); string(held.Value) != "3" || held.LeaseEnd <= f.Now() {
-		t.Errorf("holds %+v at %v", held, f.Now())
+	if cached := f.Cached("plan"); string(cached.Value) != "3" || cached.LeaseEnd <= f.Now() {
+		t.Errorf("cached %+v at %v", cached, f.Now())
 	}
-	// A table that was never written is held as such, with a lease of its own.
-	if held := f.Cached("debts"); held.Epoch != 0 || held.LeaseEnd <= f.Now() {
-		t.Errorf("holds %+v at %v", held, f.Now())
+	// That a table was never written is confirmed by a lease too.
+	if cached := f.Cached("debts"); cached.Epoch != 0 || cached.LeaseEnd <= f.Now() {
+		t.Errorf("cached %+v at %v", cached, f.Now())
 	}
 }
 
-// A process cut off from all voters: its lease ends in time, it says so once, and once when it is back.
+// A process isolated from all voters: its lease expires in time, which is logged once, and once when it is renewed.
 func TestFollower_isolatedLeaseExpiresInTimeAndIsLoggedOnce(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 1, "x")
@@ -47,19 +48,21 @@
 	fakes.Eventually(t, "the plan", func() bool { return f.Cached("plan").Epoch == 1 })
 	one.isolated.Store(true)
 	two.isolated.Store(true)
-	cut := f.Now()
+	isolatedAt := f.Now()
 	changed := f.Changed()
-	fakes.Eventually(t, "the end of the lease", func() bool { return countLines(logs, "its lease is over") == 1 })
+	fakes.Eventually(t, "the end of the lease", func() bool { return countLines(logs, "lease expired") == 1 })
 	<-changed
-	held := f.Cached("plan")
-	if held.Epoch != 1 || held.LeaseEnd > f.Now() || held.LeaseEnd > cut+quickTiming.Lease {
-		t.Errorf("cut off at %v, held %+v", cut, held)
+	cached := f.Cached("plan")
+	if cached.Epoch != 1 || cached.LeaseEnd > f.Now() || cached.LeaseEnd > isolatedAt+quickTiming.Lease {
+		t.Errorf("isolated at %v, cached %+v", isolatedAt, cached)
 	}
-	time.Sleep(quickTiming.Lease) // it is said once, not each time
+	time.Sleep(quickTiming.Lease) // it is logged once, not at each look
 	one.isolated.Store(false)
-	fakes.Eventually(t, "the lease again", func() bool { return countLines(logs, "confirmed again") == 1 && f.Cached("plan").LeaseEnd > f.Now() })
-	if n := countLines(logs, "its lease is over"); n != 1 {
-		t.Errorf("said %d times", n)
+	fakes.Eventually(t, "the lease again", func() bool {
+		return countLines(logs, "lease renewed") == 1 && f.Cached("plan").LeaseEnd > f.Now()
+	})
+	if n := countLines(logs, "lease expired"); n != 1 {
+		t.Errorf("logged %d times", n)
 	}
 }
 
@@ -74,54 +77,58 @@
 	one.isolated.Store(true)
 	fakes.Eventually(t, "digests at the other", func() bool { return len(two.received()) > 2 })
 	time.Sleep(2 * quickTiming.Lease)
-	if countLines(logs, "lease is over") > 0 || f.Cached(GroupTable).LeaseEnd <= f.Now() {
-		t.Error("the lease ended")
+	if countLines(logs, "lease expired") > 0 || f.Cached(GroupTable).LeaseEnd <= f.Now() {
+		t.Error("the lease expired")
 	}
 	all := append(one.received(), two.received()...)
-	for i, d := range all[1:] {
-		was := all[i]
-		if d.Serial <= was.Serial || d.Counts["pushes"] <= was.Counts["pushes"] || d.Exact["owed"] != 8 ||
-			d.Process != "g1" || d.Incarnation != 3 || d.Session < was.Session {
-			t.Errorf("%+v after %+v", d, was)
+	for i, digest := range all[1:] {
+		previous := all[i]
+		if digest.Serial <= previous.Serial || digest.Counts["pushes"] <= previous.Counts["pushes"] || digest.Exact["owed"] != 8 ||
+			digest.Process != "g1" || digest.Incarnation != 3 || digest.Session < previous.Session {
+			t.Errorf("%+v after %+v", digest, previous)
 		}
 	}
 	if last := all[len(all)-1]; last.Session == all[0].Session {
-		t.Error("it turned to another voter in the same session")
+		t.Error("the session is the same at another voter")
 	}
 }
 
-// A voter that sleeps answers nothing, and does not hang up either. Whoever asks what is held does not wait for it.
+// A silent voter answers nothing, and does not close its connection either. Lookups do not wait for it.
 func TestFollower_lookupsNeverWaitForAVoter(t *testing.T) {
-	f := New("g1", 3, []Source{silentSource{}}, Timing{Lease: time.Hour, DigestInterval: time.Millisecond}, SystemUptime, zap.NewNop())
+	timing := Timing{Lease: time.Hour, DigestInterval: time.Millisecond}
+	f := New("g1", 3, []Source{silentSource{}}, timing, SystemUptime, zap.NewNop())
 	f.RegisterCounters(func(add func(string, uint64)) { add("pushes", 1) })
-	ctx, end := context.WithCancel(context.Background())
-	var done sync.WaitGroup
-	done.Go(func() { f.Run(ctx) })
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { f.Run(ctx) })
 	began := time.Now()
 	for range 100_000 {
 		f.Cached("plan")
 		f.Changed()
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("100,000 looks took %v", took)
+		t.Errorf("100,000 lookups took %v", took)
 	}
-	end()
-	done.Wait()
+	cancel()
+	running.Wait()
 }
 
+// silentSource is a voter that never answers.
 type silentSource struct{}
 
-func (silentSource) Name() string { return "asleep" }
+func (silentSource) Name() string { return "silent" }
+
 func (silentSource) SendDigest(ctx context.Context, _ observation.Digest) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
+
 func (silentSource) Read(ctx context.Context, _ map[string]uint64, _ time.Duration) (ReadResult, error) {
 	<-ctx.Done()
 	return ReadResult{}, ctx.Err()
 }
 
-// Voters that lost all disks begin their epochs anew: a plan held from before must not look confirmed by them.
+// Voters that lost all disks count their epochs anew: a plan cached from before must not look confirmed by them.
 func TestFollower_tablesOfAnotherGroupAreRejected(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 5, "old")
@@ -130,17 +137,20 @@
 	two.groupID = []byte("h")
 	two.set("plan", 2, "new")
 	one.isolated.Store(true)
-	fakes.Eventually(t, "a word on it", func() bool { return countLines(logs, "began anew") == 1 && countLines(logs, "its lease is over") == 1 })
-	if held := f.Cached("plan"); held.Epoch != 5 || held.LeaseEnd > f.Now() {
-		t.Errorf("holds %+v at %v", held, f.Now())
+	fakes.Eventually(t, "both log lines", func() bool {
+		return countLines(logs, "started anew") == 1 && countLines(logs, "lease expired") == 1
+	})
+	if cached := f.Cached("plan"); cached.Epoch != 5 || cached.LeaseEnd > f.Now() {
+		t.Errorf("cached %+v at %v", cached, f.Now())
 	}
 }
 
-// A fleet is spread over the voters.
+// Processes are spread over the voters.
 func TestPreferenceOrder_spreadsProcessesOverVoters(t *testing.T) {
 	first := map[string]int{}
 	for i := range 3000 {
-		order := PreferenceOrder(fmt.Sprintf("gateway-%d", i), []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c")})
+		voters := []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c")}
+		order := PreferenceOrder(fmt.Sprintf("gateway-%d", i), voters)
 		first[order[0].Name()]++
 		if len(order) != 3 || order[0].Name() == order[1].Name() || order[1].Name() == order[2].Name() {
 			t.Fatalf("order %v", order)
@@ -153,15 +163,15 @@
 	}
 }
 
-// Voters that are slow get fewer digests, and as many as before soon after they are quick again.
+// Slow voters get fewer digests, and as many as before soon after they are quick again.
 func TestNextSlowdown_backsOffFromSlowVotersAndRecovers(t *testing.T) {
 	slowdown := 1.0
 	for range 100 {
-		if next := nextSlowdown(slowdown, true); next < slowdown || next > maxSlowdown {
+		next := nextSlowdown(slowdown, true)
+		if next < slowdown || next > maxSlowdown {
 			t.Fatalf("%g after %g", next, slowdown)
-		} else {
-			slowdown = next
 		}
+		slowdown = next
 	}
 	n := 0
 	for ; slowdown > 1; n++ {
--- a/internal/coordination/follower/golden_test.go
+++ b/internal/coordination/follower/golden_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The order in which processes take the voters is that of before: a fleet half of which is new is spread as one.
+// The order in which processes prefer the voters is that of before: processes of both versions are spread alike.
 func TestGolden_preferenceOrder(t *testing.T) {
 	sources := []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c"), newFakeSource("d"), newFakeSource("e")}
 	var got []string
--- a/internal/coordination/follower/lease.go
+++ b/internal/coordination/follower/lease.go
@@ -9,46 +9,54 @@
 )
 
 const (
-	leasePollDivisor = 32              // the part of a lease within which it is seen that it is back
-	epochLogInterval = 5 * time.Second // between two lines on what is held: a table may change every second
+	leasePollDivisor = 32              // the part of a lease within which it is seen that it was renewed
+	epochLogInterval = 5 * time.Second // between two lines on the epochs: a table may change every second
 )
 
-// watchLease says once when the lease is over and once when it is back, and wakes those who hold tables.
-func (f *Follower) watchLease(ctx context.Context) {
-	began := f.clock()
-	over := false
+// leaseWatcher logs what becomes of the lease and of the tables, and wakes those that wait for a change of the lease.
+type leaseWatcher struct {
+	clock   func() time.Duration
+	sources *sourceSelector
+	cache   *tableCache
+	logger  *zap.Logger
+}
+
+// watchLease logs once when the lease expires and once when it is renewed, until the context ends.
+func (w *leaseWatcher) watchLease(ctx context.Context) {
+	started := w.clock()
+	expired := false
 	for {
-		_, _, timing := f.currentSource()
-		until := f.cache.leaseEnd()
-		left := max(until, began+timing.Lease) - f.clock()
+		_, _, timing := w.sources.current()
+		leaseEnd := w.cache.leaseEnd()
+		left := max(leaseEnd, started+timing.Lease) - w.clock()
 		switch {
-		case left <= 0 && !over:
-			over = true
-			f.logger.Warn("no voter confirms what is held in common: its lease is over", zap.Bool("ever", until > 0))
-			f.cache.notifyLeaseChange()
-		case left > 0 && over:
-			over = false
-			f.logger.Info("what is held in common is confirmed again")
-			f.cache.notifyLeaseChange()
+		case left <= 0 && !expired:
+			expired = true
+			w.logger.Warn("follower: lease expired, no voter confirms the tables", zap.Bool("ever", leaseEnd > 0))
+			w.cache.notifyLeaseChange()
+		case left > 0 && expired:
+			expired = false
+			w.logger.Info("follower: lease renewed, the tables are confirmed again")
+			w.cache.notifyLeaseChange()
 		}
-		next := timing.Lease / leasePollDivisor
+		pause := timing.Lease / leasePollDivisor
 		if left > 0 {
-			next = left
+			pause = left
 		}
-		if !sleep(ctx, next) {
+		if !sleep(ctx, pause) {
 			return
 		}
 	}
 }
 
-// logEpochs says which tables are held, by epoch, after they changed.
-func (f *Follower) logEpochs(ctx context.Context) {
+// logEpochs logs the epochs of the tables after they changed, until the context ends.
+func (w *leaseWatcher) logEpochs(ctx context.Context) {
 	logged := map[string]uint64{}
 	for {
-		changed := f.Changed()
-		if known := f.cache.knownEpochs(); !maps.Equal(known, logged) {
+		changed := w.cache.nextChange()
+		if known := w.cache.knownEpochs(); !maps.Equal(known, logged) {
 			logged = known
-			f.logger.Info("held in common", zap.Any("epochs", known))
+			w.logger.Info("follower: tables changed", zap.Any("epochs", known))
 			if !sleep(ctx, epochLogInterval) {
 				return
 			}
--- a/internal/coordination/follower/source_test.go
+++ b/internal/coordination/follower/source_test.go
@@ -24,63 +24,59 @@
 	groupID  []byte
 	isolated atomic.Bool
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	tables  map[string]statemachine.Table
 	changed chan struct{}
 	digests []observation.Digest
-	reads   int
 }
 
-var errIsolated = errors.New("cut off")
+var errIsolated = errors.New("isolated")
 
 func newFakeSource(name string) *fakeSource {
-	v := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]statemachine.Table{}, changed: make(chan struct{})}
-	v.set(GroupTable, 1, "g")
-	return v
+	source := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]statemachine.Table{}, changed: make(chan struct{})}
+	source.set(GroupTable, 1, "g")
+	return source
 }
 
-func (v *fakeSource) Name() string { return v.name }
+func (s *fakeSource) Name() string { return s.name }
 
-func (v *fakeSource) set(table string, epoch uint64, value string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.tables[table] = statemachine.Table{Epoch: epoch, Value: []byte(value)}
-	close(v.changed)
-	v.changed = make(chan struct{})
+func (s *fakeSource) set(table string, epoch uint64, value string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tables[table] = statemachine.Table{Epoch: epoch, Value: []byte(value)}
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (v *fakeSource) SendDigest(_ context.Context, d observation.Digest) error {
-	if v.isolated.Load() {
+func (s *fakeSource) SendDigest(_ context.Context, d observation.Digest) error {
+	if s.isolated.Load() {
 		return errIsolated
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.digests = append(v.digests, d)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.digests = append(s.digests, d)
 	return nil
 }
 
-func (v *fakeSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (ReadResult, error) {
-	v.mu.Lock()
-	v.reads++
-	v.mu.Unlock()
+func (s *fakeSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (ReadResult, error) {
 	for end := time.After(wait); ; {
-		v.mu.Lock()
-		found, changed := map[string]statemachine.Table{}, v.changed
-		for name, e := range v.tables {
-			if e.Epoch > known[name] {
-				found[name] = e
+		s.mu.Lock()
+		found, changed := map[string]statemachine.Table{}, s.changed
+		for name, table := range s.tables {
+			if table.Epoch > known[name] {
+				found[name] = table
 			}
 		}
-		v.mu.Unlock()
-		if v.isolated.Load() {
+		s.mu.Unlock()
+		if s.isolated.Load() {
 			return ReadResult{}, errIsolated
 		}
 		if len(found) > 0 {
-			return ReadResult{Tables: found, GroupID: v.groupID}, nil
+			return ReadResult{Tables: found, GroupID: s.groupID}, nil
 		}
 		select {
 		case <-end:
-			return ReadResult{GroupID: v.groupID}, nil
+			return ReadResult{GroupID: s.groupID}, nil
 		case <-changed:
 		case <-ctx.Done():
 			return ReadResult{}, ctx.Err()
@@ -89,10 +85,10 @@
 }
 
 // received gives the digests so far.
-func (v *fakeSource) received() []observation.Digest {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return append([]observation.Digest{}, v.digests...)
+func (s *fakeSource) received() []observation.Digest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]observation.Digest{}, s.digests...)
 }
 
 // quickTiming is a timing for tests: a lease of 400 ms.
@@ -100,16 +96,17 @@
 
 // startFollower runs a follower until the test ends.
 func startFollower(t *testing.T, timing Timing, fakes ...*fakeSource) (*Follower, *observer.ObservedLogs) {
+	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
 	var sources []Source
-	for _, v := range fakes {
-		sources = append(sources, v)
+	for _, fake := range fakes {
+		sources = append(sources, fake)
 	}
 	f := New("g1", 3, sources, timing, SystemUptime, zap.New(core))
-	ctx, end := context.WithCancel(context.Background())
-	var done sync.WaitGroup
-	done.Go(func() { f.Run(ctx) })
-	t.Cleanup(func() { end(); done.Wait() })
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { f.Run(ctx) })
+	t.Cleanup(func() { cancel(); running.Wait() })
 	return f, logs
 }
 
--- a/internal/testing/faultinjection/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -61,8 +61,8 @@
 	s.ClearFaults()
 	for _, g := range s.GatewaysIn("hall-b") {
 		s.waitForLog(g.Process, "a plan is in force", 2)
-		if n := g.Log.Count("its lease is over"); n != 1 {
-			t.Errorf("%s said %d times that its lease is over", g.Name, n)
+		if n := g.Log.Count("follower: lease expired"); n != 1 {
+			t.Errorf("%s logged %d times that its lease expired", g.Name, n)
 		}
 	}
 	s.expectNoAttempts("hall-b", "hall-c", s.startedAt)
