--- a/internal/coordination/transport/bench_test.go
+++ b/internal/coordination/transport/bench_test.go
@@ -8,19 +8,20 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// what a gateway that pushes to six halls tells.
-func zoneDigest(serial uint64) []observation.Digest {
-	d := observation.Digest{Process: "g1", Incarnation: 1, Serial: serial, Counts: map[string]uint64{}}
-	for hall := range 6 {
-		for of := range 8 {
-			d.Counts[observation.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of))] = serial * uint64(of)
+// zoneDigest is that of a gateway that makes attempts in six zones.
+func zoneDigest() []observation.Digest {
+	digest := observation.Digest{Process: "g1", Incarnation: 1, Serial: 1, Counts: map[string]uint64{}}
+	for zone := range 6 {
+		for outcome := range 8 {
+			name := observation.JoinName("push", "hall-a", fmt.Sprint("hall-", zone), fmt.Sprint("outcome-", outcome))
+			digest.Counts[name] = uint64(outcome)
 		}
 	}
-	return []observation.Digest{d}
+	return []observation.Digest{digest}
 }
 
 func BenchmarkDigest_decode(b *testing.B) {
-	body, _ := encoding.Marshal(zoneDigest(1))
+	body, _ := encoding.Marshal(zoneDigest())
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,28 +34,24 @@
 
 func BenchmarkDigest_merge(b *testing.B) {
 	merger := observation.NewMerger()
-	d := zoneDigest(1)[0]
+	digest := zoneDigest()[0]
 	for b.Loop() {
-		d.Serial++
-		merger.Add(d)
+		digest.Serial++
+		merger.Add(digest)
 	}
 }
 
 func BenchmarkDigest_encode(b *testing.B) {
-	d := zoneDigest(1)
+	digests := zoneDigest()
 	for b.Loop() {
-		_, _ = encoding.Marshal(d)
+		_, _ = encoding.Marshal(digests)
 	}
 }
 
 func BenchmarkDigest_call(b *testing.B) {
-	listener, _ := Network{}.Listen("127.0.0.1:0")
-	s := Serve(listener, fakeHost{newFakeVoter()}, 16, nil)
-	defer s.Close()
-	c := NewClient(Network{}, 2)
-	defer c.Close()
+	address, client := startServer(b, newFakeVoter())
 	for b.Loop() {
-		if err := c.Digests(b.Context(), listener.Addr().String(), zoneDigest(1)); err != nil {
+		if err := client.Digests(b.Context(), address, zoneDigest()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -12,18 +12,36 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// Client makes calls to voters, on few connections that are used again. It owns them. All calls may be made by several
-// goroutines at once; none repeats itself.
+// StatusError tells that a voter answered a call with a status other than that of success.
+type StatusError struct {
+	Address, Path string
+	Status        int
+	Message       string // the beginning of the body
+}
+
+// Error implements error.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s%s: status %d: %s", e.Address, e.Path, e.Status, e.Message)
+}
+
+// maxStatusMessage is how much of a refusal's body is read, in bytes.
+const maxStatusMessage = 200
+
+// Client makes calls to voters, on few connections that are reused. It owns them. It may be used by several goroutines
+// at once. No call is retried. Errors of a call: a *StatusError, a *NotLoopbackError, or the connection's.
 type Client struct {
 	http http.Client
 }
 
 // NewClient makes a client that opens at most so many connections to each voter.
-func NewClient(network Network, each int) *Client {
+func NewClient(network Network, connectionsPerVoter int) *Client {
 	return &Client{http.Client{
-		Transport: &http.Transport{DialContext: network.dialer(), MaxConnsPerHost: each, MaxIdleConnsPerHost: each,
+		Transport: &http.Transport{
+			DialContext:     network.dialer(),
+			MaxConnsPerHost: connectionsPerVoter, MaxIdleConnsPerHost: connectionsPerVoter,
 			IdleConnTimeout:    idleTimeout / 2, // before the other end closes it: a call sent into a closing one is lost
-			DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes},
+			DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
+		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -31,70 +49,91 @@
 // Close closes connections that no call is on.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call sends a body and takes the answer, both where there are any.
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, address, path string, request, result any) error {
+// call sends a body and decodes the response into a result; either may be nil.
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, address, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var body []byte
-	if request != nil {
-		var err error
-		if body, err = encoding.Marshal(request); err != nil {
-			return err
-		}
-	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	request, err := newRequest(ctx, method, address, path, body)
 	if err != nil {
 		return err
 	}
-	r.GetBody = nil // the client's own second try of a call: a proposal would be repeated unseen
-	r.Header.Set(headerChecksum, checksum(body))
-	r.Header.Set("User-Agent", "") // short
-	response, err := c.http.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		_, _ = io.CopyN(io.Discard, response.Body, 1<<10) // so that the connection can be used again
+		// What is left is read so that the connection can be reused; without it the next call opens another.
+		_, _ = io.CopyN(io.Discard, response.Body, 1<<10)
 		_ = response.Body.Close()
 	}()
 	switch {
 	case response.StatusCode == http.StatusNoContent && result == nil:
 		return nil
 	case response.StatusCode != http.StatusOK || result == nil:
-		why, _ := io.ReadAll(io.LimitReader(response.Body, 200))
-		return fmt.Errorf("%s%s: status %d: %s", address, path, response.StatusCode, bytes.TrimSpace(why))
+		// What of the message cannot be read is left out: the status says enough.
+		message, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusMessage))
+		return &StatusError{
+			Address: address, Path: path, Status: response.StatusCode,
+			Message: string(bytes.TrimSpace(message)),
+		}
 	}
 	return readBody(response.Body, response.ContentLength, maxBodyBytes, response.Header.Get(headerChecksum), result)
 }
 
-// Info asks a voter what it is. It may be repeated.
+func newRequest(ctx context.Context, method, address, path string, body any) (*http.Request, error) {
+	var encoded []byte
+	if body != nil {
+		var err error
+		if encoded, err = encoding.Marshal(body); err != nil {
+			return nil, err
+		}
+	}
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(encoded))
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // net/http would use it to retry a call: a proposal would be repeated unseen
+	request.Header.Set(headerChecksum, checksum(encoded))
+	request.Header.Set("User-Agent", "") // short
+	return request, nil
+}
+
+// Info asks a voter who it is. It may be retried.
 func (c *Client) Info(ctx context.Context, address string) (VoterInfo, error) {
 	var info VoterInfo
 	err := c.call(ctx, dialTimeout+responseGrace, http.MethodGet, address, pathInfo, nil, &info)
 	return info, err
 }
 
-// Digests tells a voter what processes saw. It may be repeated.
+// Digests sends a voter the digests of processes. It may be retried.
 func (c *Client) Digests(ctx context.Context, address string, digests []observation.Digest) error {
 	return c.call(ctx, dialTimeout+responseGrace, http.MethodPost, address, pathDigests, digests, nil)
 }
 
-// Read is cluster.Voter's, of the voter at an address, with the mark of the tables' beginning. It may be repeated.
+// Read is that of coordination.Voter, at the voter of an address, with the voters' group ID. It may be retried.
 func (c *Client) Read(ctx context.Context, address string, known map[string]uint64, wait time.Duration) (
-	found map[string]statemachine.Table, group []byte, err error) {
+	found map[string]statemachine.Table, groupID []byte, err error,
+) {
 	var response Response
-	if err := c.call(ctx, wait+responseGrace, http.MethodPost, address, pathRead, ReadRequest{known, wait}, &response); err != nil {
+	request := ReadRequest{KnownEpochs: known, Wait: wait}
+	if err := c.call(ctx, wait+responseGrace, http.MethodPost, address, pathRead, request, &response); err != nil {
 		return nil, nil, err
 	}
 	return response.Tables, response.GroupID, decodeError(response.Error)
 }
 
-// Propose is cluster.Voter's, of the voter at an address. After an error other than cluster.ErrNotLeader the command
+// Propose is that of coordination.Voter, at the voter of an address. After an error other than ErrNotLeader the command
 // may be written all the same: it may be proposed again under the same number, and under no other.
 func (c *Client) Propose(ctx context.Context, address string, command statemachine.Command) (statemachine.Result, error) {
 	var response Response
-	if err := c.call(ctx, proposeTimeout+responseGrace, http.MethodPost, address, pathPropose, command, &response); err != nil {
+	timeout := proposeTimeout + responseGrace
+	if err := c.call(ctx, timeout, http.MethodPost, address, pathPropose, command, &response); err != nil {
 		return statemachine.Result{}, err
 	}
 	return response.Result, decodeError(response.Error)
 }
+
+// sendMessages hands a voter messages of another one. It is never retried: their sender sends anew what matters.
+func (c *Client) sendMessages(ctx context.Context, timeout time.Duration, address string, batch MessageBatch) error {
+	return c.call(ctx, timeout, http.MethodPost, address, pathMessages, batch, nil)
+}
--- /dev/null
+++ b/internal/coordination/transport/encoding.go
@@ -0,0 +1,59 @@
+package transport
+
+import (
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+)
+
+// errMalformed: a body is not what was sent, or not what such a body is made of. Its text goes on the wire.
+var errMalformed = errors.New("spoilt body")
+
+var (
+	encoding = must(cbor.EncOptions{}.EncMode()) // no order of keys: sorting the counts of a digest doubled its cost
+	// What a body can hold is bounded, so that a malformed one makes no work.
+	decoding = must(cbor.DecOptions{
+		DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 1 << 17,
+		MaxMapPairs: 1 << 17, IndefLength: cbor.IndefLengthForbidden,
+	}.DecMode())
+)
+
+func must[T any](mode T, err error) T {
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	return mode
+}
+
+// checksum is that of a body: 16 hex digits.
+func checksum(body []byte) string {
+	hash := xxhash.New()
+	_, _ = hash.Write(body) // never fails
+	return hex.EncodeToString(hash.Sum(nil))
+}
+
+// readBody reads a body of a stated length and decodes it. Errors: errMalformed, or the connection's.
+func readBody(r io.Reader, length, limit int64, wantChecksum string, into any) error {
+	if length < 0 || length > limit {
+		return fmt.Errorf("%w: a length from 0 to %d is wanted, not %d", errMalformed, limit, length)
+	}
+	body, err := io.ReadAll(io.LimitReader(r, length+1))
+	if err != nil {
+		return err
+	}
+	if int64(len(body)) != length {
+		return fmt.Errorf("%w: %d bytes of %d", errMalformed, len(body), length)
+	}
+	if !strings.EqualFold(wantChecksum, checksum(body)) {
+		return fmt.Errorf("%w: its sum is another", errMalformed)
+	}
+	if err := decoding.Unmarshal(body, into); err != nil {
+		return fmt.Errorf("%w: %w", errMalformed, err)
+	}
+	return nil
+}
--- a/internal/coordination/transport/golden_http_test.go
+++ b/internal/coordination/transport/golden_http_test.go
@@ -5,11 +5,11 @@
 	"bytes"
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"regexp"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -22,7 +22,7 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// goldenVoter answers as the golden responses say, and holds what it was handed.
+// goldenVoter answers as the golden responses say, and passes on what it receives.
 type goldenVoter struct {
 	coordination.Voter
 	received chan any
@@ -70,30 +70,28 @@
 
 // The calls of a client, with all that stands before their bodies. HOST stands for the address.
 func TestGolden_clientRequests(t *testing.T) {
-	for file, call := range map[string]func(c *Client, address string) error{
-		"standing": func(c *Client, address string) error {
-			_, err := c.Info(t.Context(), address)
+	for file, call := range map[string]func(client *Client, address string) error{
+		"standing": func(client *Client, address string) error {
+			_, err := client.Info(t.Context(), address)
 			return err
 		},
-		"messages": func(c *Client, address string) error {
-			return c.call(t.Context(), batchTimeout, http.MethodPost, address, pathMessages, goldenBatch(), nil)
+		"messages": func(client *Client, address string) error {
+			return client.call(t.Context(), batchTimeout, http.MethodPost, address, pathMessages, goldenBatch(), nil)
 		},
-		"digests": func(c *Client, address string) error { return c.Digests(t.Context(), address, goldenDigests()) },
-		"read": func(c *Client, address string) error {
-			_, _, err := c.Read(t.Context(), address, map[string]uint64{"plan": 1 << 20}, 1500*time.Millisecond)
+		"digests": func(client *Client, address string) error {
+			return client.Digests(t.Context(), address, goldenDigests())
+		},
+		"read": func(client *Client, address string) error {
+			_, _, err := client.Read(t.Context(), address, map[string]uint64{"plan": 1 << 20}, 1500*time.Millisecond)
 			return err
 		},
-		"propose": func(c *Client, address string) error {
-			_, err := c.Propose(t.Context(), address, goldenWrite())
+		"propose": func(client *Client, address string) error {
+			_, err := client.Propose(t.Context(), address, goldenWrite())
 			return err
 		},
 	} {
 		t.Run(file, func(t *testing.T) {
-			listener, err := Network{}.Listen("127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer listener.Close()
+			listener := listen(t)
 			address, got := listener.Addr().String(), make(chan []byte, 1)
 			go func() {
 				defer close(got)
@@ -101,7 +99,7 @@
 				if err != nil {
 					return
 				}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }() // the response is sent by then
 				got <- exchange(t, conn, func(r *bufio.Reader) (io.ReadCloser, error) {
 					request, err := http.ReadRequest(r)
 					if err != nil {
@@ -111,7 +109,7 @@
 				})
 				_, _ = io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 			}()
-			if err := call(newTestClient(t, Network{}), address); err == nil || err.Error() != address+"/"+file+": status 503: " {
+			if err := call(newTestClient(t), address); err == nil || err.Error() != address+"/"+file+": status 503: " {
 				t.Errorf("the answer is taken as %v", err)
 			}
 			checkGolden(t, file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST")))
@@ -121,55 +119,56 @@
 
 var dateLine = regexp.MustCompile(`\r\nDate: [^\r]*\r\n`)
 
-// The answers of a server to each call, good or bad, and what it hands to its voter. DATE stands for the time.
-func TestGolden_serverResponses(t *testing.T) {
+// goldenExchange is a call as bytes, the file of its response, and what the voter receives by it.
+type goldenExchange struct {
+	file     string
+	call     string
+	received []any
+	err      error // of the voter
+	missing  bool  // the voter has not started
+}
+
+func goldenExchanges(t *testing.T) []goldenExchange {
 	request := func(file string) string { return string(goldenFile(t, file+".request")) }
-	body := func(file string) string {
-		text := string(goldenFile(t, file))
-		return "Body-Sum: " + checksum([]byte(text)) + "\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
+	postBytes := func(path, body string) string {
+		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: HOST\r\nContent-Length: %d\r\nBody-Sum: %s\r\n\r\n%s",
+			path, len(body), checksum([]byte(body)), body)
 	}
+	post := func(path, file string) string { return postBytes(path, string(goldenFile(t, file))) }
 	batch := goldenBatch()
-	for _, row := range []struct {
-		file    string // of the answer
-		call    string
-		handed  []any
-		fault   error
-		missing bool // the voter has not begun
-	}{
+	return []goldenExchange{
 		{file: "standing", call: request("standing")},
-		{file: "messages", call: request("messages"), handed: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]}},
-		{file: "digests", call: request("digests"), handed: []any{goldenDigests()}},
-		{file: "read", call: request("read"), handed: []any{goldenReadRequest()}},
-		{file: "read-fault", call: request("read"), fault: coordination.ErrNoQuorum, handed: []any{goldenReadRequest()}},
-		{file: "propose", call: request("propose"), handed: []any{goldenWrite()}},
-		{file: "propose", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-raise.cbor"), handed: []any{goldenRaise()}},
-		{file: "propose-fault", call: request("propose"), handed: []any{goldenWrite()}, fault: coordination.ErrNotLeader},
+		{file: "messages", call: request("messages"), received: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]}},
+		{file: "digests", call: request("digests"), received: []any{goldenDigests()}},
+		{file: "read", call: request("read"), received: []any{goldenReadRequest()}},
+		{file: "read-fault", call: request("read"), err: coordination.ErrNoQuorum, received: []any{goldenReadRequest()}},
+		{file: "propose", call: request("propose"), received: []any{goldenWrite()}},
+		{file: "propose", call: post("/propose", "propose-raise.cbor"), received: []any{goldenRaise()}},
+		{file: "propose-fault", call: request("propose"), received: []any{goldenWrite()}, err: coordination.ErrNotLeader},
 		{file: "not-begun", call: request("messages"), missing: true},
 		{file: "not-begun", call: request("digests"), missing: true},
 		{file: "not-begun", call: request("read"), missing: true},
 		{file: "not-begun", call: request("propose"), missing: true},
-		{file: "for-another", call: "POST /messages HTTP/1.1\r\nHost: HOST\r\n" + body("messages-none.cbor")},
+		{file: "for-another", call: post("/messages", "messages-none.cbor")},
 		{file: "no-length", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
 		{file: "no-sum", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\n\r\n\xa0"},
 		{file: "too-long", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 4194305\r\n\r\n"},
-		{file: "no-value", call: "POST /read HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\nBody-Sum: " +
-			checksum([]byte{0xff}) + "\r\n\r\n\xff"},
-		{file: "no-digest", call: "POST /digests HTTP/1.1\r\nHost: HOST\r\nContent-Length: 2\r\nBody-Sum: " +
-			checksum([]byte{0x81, 0xa0}) + "\r\n\r\n\x81\xa0"},
-		{file: "no-proposer", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\nContent-Length: 1\r\nBody-Sum: " +
-			checksum([]byte{0xa0}) + "\r\n\r\n\xa0"},
-		{file: "no-number", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-unnumbered.cbor")},
-		{file: "no-kind", call: "POST /propose HTTP/1.1\r\nHost: HOST\r\n" + body("propose-kind.cbor")},
+		{file: "no-value", call: postBytes("/read", "\xff")},
+		{file: "no-digest", call: postBytes("/digests", "\x81\xa0")},
+		{file: "no-proposer", call: postBytes("/propose", "\xa0")},
+		{file: "no-number", call: post("/propose", "propose-unnumbered.cbor")},
+		{file: "no-kind", call: post("/propose", "propose-kind.cbor")},
 		{file: "no-call", call: "GET /else HTTP/1.1\r\nHost: HOST\r\n\r\n"},
 		{file: "no-method", call: "GET /read HTTP/1.1\r\nHost: HOST\r\n\r\n"},
-	} {
+	}
+}
+
+// The responses of a server to each call, good or bad, and what its voter receives. DATE stands for the time.
+func TestGolden_serverResponses(t *testing.T) {
+	for _, row := range goldenExchanges(t) {
 		name, _, _ := strings.Cut(row.call, " HTTP")
 		t.Run(row.file+" "+name, func(t *testing.T) {
-			listener, err := Network{}.Listen("127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			voter := goldenVoter{received: make(chan any, 8), err: row.fault}
+			listener, voter := listen(t), goldenVoter{received: make(chan any, 8), err: row.err}
 			host := goldenHost{voter}
 			if row.missing {
 				host.voter = nil
@@ -180,16 +179,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { _ = conn.Close() })
+			t.Cleanup(func() { _ = conn.Close() }) // the server has closed it
 			if _, err := io.WriteString(conn, row.call); err != nil {
 				t.Fatal(err)
 			}
 			got := exchange(t, conn, func(r *bufio.Reader) (io.ReadCloser, error) {
-				answer, err := http.ReadResponse(r, nil)
+				response, err := http.ReadResponse(r, nil)
 				if err != nil {
 					return nil, err
 				}
-				return answer.Body, nil
+				return response.Body, nil
 			})
 			checkGolden(t, row.file+".answer", dateLine.ReplaceAll(got, []byte("\r\nDate: DATE\r\n")))
 			server.Close()
@@ -198,7 +197,7 @@
 			for item := range voter.received {
 				received = append(received, item)
 			}
-			if d := cmp.Diff(row.handed, received); d != "" {
+			if d := cmp.Diff(row.received, received); d != "" {
 				t.Error(d)
 			}
 		})
--- a/internal/coordination/transport/golden_test.go
+++ b/internal/coordination/transport/golden_test.go
@@ -45,18 +45,23 @@
 
 func goldenDigests() []observation.Digest {
 	return []observation.Digest{
-		{Process: "g1", Incarnation: 1764633600000000001, Serial: 42, Session: 3,
-			Counts: map[string]uint64{"push\x1fhall-a\x1fhall-b\x1fok": 70000}, Exact: map[string]uint64{"owed\x1fnorth\x1fsouth": 24}},
+		{
+			Process: "g1", Incarnation: 1764633600000000001, Serial: 42, Session: 3,
+			Counts: map[string]uint64{"push\x1fhall-a\x1fhall-b\x1fok": 70000}, Exact: map[string]uint64{"owed\x1fnorth\x1fsouth": 24},
+		},
 		{Process: "g2", Incarnation: 2, Serial: 1},
 	}
 }
 
 func goldenWrite() statemachine.Command {
-	return statemachine.Command{Kind: statemachine.Write, Proposer: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff")}
+	return statemachine.Command{
+		Kind: statemachine.Write, Proposer: "v1/3", Number: 9, Table: "plan", Epoch: 5, Value: []byte("value\x00\xff"),
+	}
 }
 
 func goldenRaise() statemachine.Command {
-	return statemachine.Command{Kind: statemachine.RaiseTotals, Proposer: "v1/3", Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 300}}
+	totals := map[string]uint64{"g1\x1f7\x1fowed": 300}
+	return statemachine.Command{Kind: statemachine.RaiseTotals, Proposer: "v1/3", Table: "exact", Totals: totals}
 }
 
 func goldenTables() map[string]statemachine.Table {
@@ -134,7 +139,7 @@
 		if got := encodeError(wireErr); got != word {
 			t.Errorf("%v is sent as %q, not %q", wireErr, got, word)
 		}
-		if got := decodeError(word); got != wireErr {
+		if got := decodeError(word); !isSame(got, wireErr) {
 			t.Errorf("%q is heard as %v, not %v", word, got, wireErr)
 		}
 	}
--- a/internal/coordination/transport/network.go
+++ b/internal/coordination/transport/network.go
@@ -8,42 +8,50 @@
 	"syscall"
 )
 
-// Network says where links may go: they are plain, so they stay on loopback unless the network is said to be private.
+// Network says where connections may go. They are not encrypted, so they stay on loopback unless the network is private.
 type Network struct {
-	// Private is the operators' word that nobody else is on the network: process.private_network of their file.
+	// Private tells that nobody else is on the network: process.private_network of the operators' file.
 	Private bool
 }
 
-// Listen opens a voter's listener. An address other than loopback is refused unless the network is private.
+// NotLoopbackError tells that an address is not on loopback while the network is not private.
+type NotLoopbackError struct{ Address string }
+
+// Error implements error.
+func (e *NotLoopbackError) Error() string {
+	return fmt.Sprintf("%s is not a loopback address: links are plain, and go there only where "+
+		"process.private_network = true", e.Address)
+}
+
+// Listen opens a voter's listener. Errors: a *NotLoopbackError, or the system's.
 func (n Network) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	if err := n.checkAddress(listener.Addr().String()); err != nil {
-		_ = listener.Close()
+		_ = listener.Close() // it is not used; the error that matters is the address's
 		return nil, err
 	}
 	return listener, nil
 }
 
-// checkAddress gives an error for an address, already looked up, that links may not go to.
+// checkAddress gives an error for an address, already resolved, that connections may not go to.
 func (n Network) checkAddress(address string) error {
-	at, err := netip.ParseAddrPort(address)
+	resolved, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return err
 	}
-	if !n.Private && !at.Addr().Unmap().IsLoopback() {
-		return fmt.Errorf("%s is not a loopback address: links are plain, and go there only where "+
-			"process.private_network = true", address)
+	if !n.Private && !resolved.Addr().Unmap().IsLoopback() {
+		return &NotLoopbackError{Address: address}
 	}
 	return nil
 }
 
-// dialer dials what it may. A name is judged by what it stands for at each dial.
+// dialer dials allowed addresses only. A name is judged by what it resolves to at each dial.
 func (n Network) dialer() func(ctx context.Context, network, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, Control: func(_, address string, _ syscall.RawConn) error {
+	dialer := net.Dialer{Timeout: dialTimeout, Control: func(_, address string, _ syscall.RawConn) error {
 		return n.checkAddress(address)
 	}}
-	return d.DialContext
+	return dialer.DialContext
 }
--- a/internal/coordination/transport/sender.go
+++ b/internal/coordination/transport/sender.go
@@ -2,92 +2,71 @@
 
 import (
 	"context"
-	"net/http"
 	"sync"
 	"time"
 )
 
-// Limits of what waits for another voter.
+// Limits of the messages that wait for another voter.
 const (
-	maxQueuedMessages   = 512                      // messages: a second's worth at a busy leader
-	maxQueuedBytes      = 32 << 20                 // bytes: half of what one body may hold
-	maxBatchMessages    = 64                       // messages in one body
-	callsPerVoter       = 2                        // calls at a time to one voter: one that gets no answer holds up no others
+	maxQueuedMessages   = 512                      // a second's worth at a busy leader
+	maxQueuedBytes      = 32 << 20                 // half of what one body may hold
+	maxBatchMessages    = 64                       // in one body
+	callsPerVoter       = 2                        // at a time: one that gets no response holds up no others
 	batchTimeout        = 500 * time.Millisecond   // a message older than an election is of no use
-	batchTimeoutPerByte = time.Second / (16 << 20) // and a snapshot's bytes take their time
-	failurePause        = 20 * time.Millisecond    // a voter that is down is not called without end
+	batchTimeoutPerByte = time.Second / (16 << 20) // more for a snapshot
+	failurePause        = 20 * time.Millisecond    // a voter that is down is not called without pause
 )
 
-// MessageSender sends voters' messages to each other: it never waits, keeps a bounded queue for each voter and drops what
-// does not fit, as what matters is sent anew. It owns its goroutines.
+// MessageSender sends voters' messages to each other. It never waits: it keeps a bounded queue for each voter and drops
+// what does not fit, as the consensus node sends anew what matters. It owns its goroutines.
 type MessageSender struct {
 	client     *Client
-	ctx        context.Context
+	ctx        context.Context // of all deliveries; ends in Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
-	mu         sync.Mutex
-	queues     map[uint64]*sendQueue
-}
 
-type sendQueue struct {
-	mu       sync.Mutex
-	address  string
-	messages [][]byte
-	bytes    int
-	ready    chan struct{} // has a token while something waits
-	cancel   context.CancelFunc
-	dropped  uint64
+	mu     sync.Mutex // guards queues
+	queues map[uint64]*sendQueue
 }
 
-// NewMessageSender makes one that sends as far as links may go.
+// NewMessageSender makes a sender that sends as far as the network allows.
 func NewMessageSender(network Network) *MessageSender {
-	ctx, end := context.WithCancel(context.Background())
-	return &MessageSender{client: NewClient(network, callsPerVoter), ctx: ctx, cancel: end, queues: map[uint64]*sendQueue{}}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &MessageSender{
+		client: NewClient(network, callsPerVoter), ctx: ctx, cancel: cancel, queues: map[uint64]*sendQueue{},
+	}
 }
 
-// Send has a message sent to the voter of a number at an address, or dropped. The message is the postbox's from then
-// on.
+// Send sends a message to the voter of a number at an address, or drops it. The message must not be changed later.
 func (ms *MessageSender) Send(number uint64, address string, message []byte) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	if ms.ctx.Err() != nil {
 		return
 	}
-	q := ms.queues[number]
-	if q == nil {
-		ctx, end := context.WithCancel(ms.ctx)
-		q = &sendQueue{ready: make(chan struct{}, 1), cancel: end}
-		ms.queues[number] = q
+	queue := ms.queues[number]
+	if queue == nil {
+		ctx, cancel := context.WithCancel(ms.ctx)
+		queue = &sendQueue{ready: make(chan struct{}, 1), cancel: cancel}
+		ms.queues[number] = queue
 		for range callsPerVoter {
-			ms.goroutines.Go(func() { ms.deliver(ctx, number, q) })
+			ms.goroutines.Go(func() { ms.deliver(ctx, number, queue) })
 		}
 	}
-	q.enqueue(address, message)
+	queue.enqueue(address, message)
 }
 
-// RemoveVoter drops what waits for a voter that is none any more.
+// RemoveVoter drops what waits for a voter that is no member any more.
 func (ms *MessageSender) RemoveVoter(number uint64) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	if q := ms.queues[number]; q != nil {
-		q.cancel()
+	if queue := ms.queues[number]; queue != nil {
+		queue.cancel()
 		delete(ms.queues, number)
 	}
 }
 
-// Dropped tells how many messages to a voter had no room.
-func (ms *MessageSender) Dropped(number uint64) uint64 {
-	ms.mu.Lock()
-	defer ms.mu.Unlock()
-	if q := ms.queues[number]; q != nil {
-		q.mu.Lock()
-		defer q.mu.Unlock()
-		return q.dropped
-	}
-	return 0
-}
-
-// Close drops what waits and ends.
+// Close drops what waits and returns once all deliveries have ended.
 func (ms *MessageSender) Close() {
 	ms.mu.Lock()
 	ms.cancel()
@@ -96,6 +75,42 @@
 	ms.client.Close()
 }
 
+// deliver sends what is queued, batch by batch, until the context ends. A batch that fails is dropped.
+func (ms *MessageSender) deliver(ctx context.Context, number uint64, queue *sendQueue) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-queue.ready:
+		}
+		address, messages, size := queue.dequeueBatch()
+		if len(messages) == 0 {
+			continue
+		}
+		timeout := batchTimeout + time.Duration(size)*batchTimeoutPerByte
+		if ms.client.sendMessages(ctx, timeout, address, MessageBatch{To: number, Messages: messages}) == nil {
+			continue
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(failurePause):
+		}
+	}
+}
+
+// sendQueue has the messages that wait for one voter.
+type sendQueue struct {
+	ready  chan struct{} // has a token while something waits
+	cancel context.CancelFunc
+
+	mu       sync.Mutex // guards what follows
+	address  string     // host:port, the latest that was given
+	messages [][]byte
+	bytes    int
+	dropped  uint64 // messages that had no room
+}
+
 func (q *sendQueue) enqueue(address string, message []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -105,50 +120,29 @@
 		return
 	}
 	q.messages, q.bytes = append(q.messages, message), q.bytes+len(message)
-	select {
-	case q.ready <- struct{}{}:
-	default:
-	}
+	q.signal()
 }
 
-// dequeueBatch gives the messages of the next body.
-func (q *sendQueue) dequeueBatch() (address string, batch [][]byte, bytes int) {
+// dequeueBatch takes the messages of the next body, and their size in bytes.
+func (q *sendQueue) dequeueBatch() (address string, messages [][]byte, size int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := min(len(q.messages), maxBatchMessages)
-	batch = append(batch, q.messages[:n]...)
-	for _, m := range batch {
-		bytes += len(m)
+	messages = append(messages, q.messages[:n]...)
+	for _, message := range messages {
+		size += len(message)
 	}
-	q.messages, q.bytes = append(q.messages[:0:0], q.messages[n:]...), q.bytes-bytes
+	q.messages, q.bytes = append(q.messages[:0:0], q.messages[n:]...), q.bytes-size
 	if len(q.messages) > 0 {
-		select {
-		case q.ready <- struct{}{}:
-		default:
-		}
+		q.signal()
 	}
-	return q.address, batch, bytes
+	return q.address, messages, size
 }
 
-func (ms *MessageSender) deliver(ctx context.Context, number uint64, q *sendQueue) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-q.ready:
-		}
-		address, batch, bytes := q.dequeueBatch()
-		if len(batch) == 0 {
-			continue
-		}
-		timeout := batchTimeout + time.Duration(bytes)*batchTimeoutPerByte
-		if ms.client.call(ctx, timeout, http.MethodPost, address, pathMessages, MessageBatch{number, batch}, nil) == nil {
-			continue
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(failurePause):
-		}
+// signal wakes one delivery. The caller holds the lock.
+func (q *sendQueue) signal() {
+	select {
+	case q.ready <- struct{}{}:
+	default:
 	}
 }
--- a/internal/coordination/transport/voter_test.go
+++ b/internal/coordination/transport/voter_test.go
@@ -2,7 +2,8 @@
 
 import (
 	"context"
-	"maps"
+	"errors"
+	"net"
 	"sync"
 	"testing"
 	"time"
@@ -18,9 +19,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeVoter is a voter that holds its tables in memory, and notes what it was handed.
+// fakeVoter is a voter that has its tables in memory, and records what it receives.
 type fakeVoter struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows
 	state    *statemachine.State
 	index    uint64
 	names    map[string]bool
@@ -35,38 +36,40 @@
 	return &fakeVoter{state: statemachine.New(), names: map[string]bool{}, changed: make(chan struct{})}
 }
 
-func (m *fakeVoter) HandleMessage(_ context.Context, message []byte) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.messages = append(m.messages, message)
+func (v *fakeVoter) HandleMessage(_ context.Context, message []byte) error {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.messages = append(v.messages, message)
 	return nil
 }
 
-func (m *fakeVoter) Propose(_ context.Context, command statemachine.Command) (statemachine.Result, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.proposed++; m.err != nil {
-		return statemachine.Result{}, m.err
+func (v *fakeVoter) Propose(_ context.Context, command statemachine.Command) (statemachine.Result, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.proposed++; v.err != nil {
+		return statemachine.Result{}, v.err
 	}
-	m.index++
-	m.names[command.Table] = true
-	close(m.changed)
-	m.changed = make(chan struct{})
-	return m.state.Apply(m.index, command), nil
+	v.index++
+	v.names[command.Table] = true
+	close(v.changed)
+	v.changed = make(chan struct{})
+	return v.state.Apply(v.index, command), nil
 }
 
-func (m *fakeVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error) {
+func (v *fakeVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (
+	map[string]statemachine.Table, error,
+) {
 	for end := time.After(wait); ; {
-		m.mu.Lock()
-		found, changed, wireErr := map[string]statemachine.Table{}, m.changed, m.err
-		for name := range m.names {
-			if e := m.state.Table(name); e.Epoch > known[name] {
-				found[name] = e
+		v.mu.Lock()
+		found, changed, err := map[string]statemachine.Table{}, v.changed, v.err
+		for name := range v.names {
+			if table := v.state.Table(name); table.Epoch > known[name] {
+				found[name] = table
 			}
 		}
-		m.mu.Unlock()
-		if len(found) > 0 || wireErr != nil {
-			return found, wireErr
+		v.mu.Unlock()
+		if len(found) > 0 || err != nil {
+			return found, err
 		}
 		select {
 		case <-end:
@@ -78,20 +81,21 @@
 	}
 }
 
-func (m *fakeVoter) AddDigests(digests []observation.Digest) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.digests = append(m.digests, digests...)
+func (v *fakeVoter) AddDigests(digests []observation.Digest) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.digests = append(v.digests, digests...)
 }
 
-func (m *fakeVoter) ChangeMembership(context.Context, coordination.Member, bool) error { return nil }
-func (m *fakeVoter) Status() coordination.Status                                       { return coordination.Status{Number: 7, Leader: 7} }
+func (v *fakeVoter) ChangeMembership(context.Context, coordination.Member, bool) error { return nil }
 
-// received gives what it was handed so far.
-func (m *fakeVoter) received() (steps, digests, proposed int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.messages), len(m.digests), m.proposed
+func (v *fakeVoter) Status() coordination.Status { return coordination.Status{Number: 7, Leader: 7} }
+
+// received counts what it received so far.
+func (v *fakeVoter) received() (messages, digests, proposals int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return len(v.messages), len(v.digests), v.proposed
 }
 
 // fakeHost is the process of a voter.
@@ -101,78 +105,38 @@
 func (h fakeHost) Info() VoterInfo           { return VoterInfo{Number: 7, Name: "v7", Started: h.voter != nil} }
 func (h fakeHost) GroupID() []byte           { return []byte("g") }
 
-// startServer starts a server for a voter on loopback, and gives its address and a client.
-func startServer(t *testing.T, voter coordination.Voter, maxConnections int) (string, *Client) {
+// listen opens a listener on loopback that is closed with the test.
+func listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := Network{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(listener, fakeHost{voter}, maxConnections, zap.NewNop())
-	t.Cleanup(s.Close)
-	return listener.Addr().String(), newTestClient(t, Network{})
+	t.Cleanup(func() { _ = listener.Close() }) // most tests have closed it by then
+	return listener
 }
 
-func newTestClient(t *testing.T, network Network) *Client {
-	c := NewClient(network, 2)
-	t.Cleanup(c.Close)
-	return c
+// startServer starts a server for a voter on loopback, and gives its address and a client.
+func startServer(t testing.TB, voter coordination.Voter) (string, *Client) {
+	t.Helper()
+	listener := listen(t)
+	server := Serve(listener, fakeHost{voter}, 16, zap.NewNop())
+	t.Cleanup(server.Close)
+	return listener.Addr().String(), newTestClient(t)
 }
 
-func newDigest(n uint64) observation.Digest {
-	return observation.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
+func newTestClient(t testing.TB) *Client {
+	t.Helper()
+	client := NewClient(Network{}, 2)
+	t.Cleanup(client.Close)
+	return client
 }
 
-func TestClient_callsReachTheVoter(t *testing.T) {
-	voter := newFakeVoter()
-	address, c := startServer(t, voter, 16)
-	if err := c.Digests(t.Context(), address, []observation.Digest{newDigest(5)}); err != nil || !maps.Equal(voter.digests[0].Counts, newDigest(5).Counts) {
-		t.Error(err, voter.digests)
-	}
-	write := statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
-	read := make(chan map[string]statemachine.Table)
-	go func() { // it waits for the write
-		found, group, err := c.Read(t.Context(), address, map[string]uint64{"plan": 0}, 5*time.Second)
-		if err != nil || string(group) != "g" {
-			t.Error(err)
-		}
-		read <- found
-	}()
-	if r, err := c.Propose(t.Context(), address, write); err != nil || !r.Applied || r.Epoch != 1 {
-		t.Error(r, err)
-	}
-	if e := (<-read)["plan"]; e.Epoch != 1 || string(e.Value) != "x" {
-		t.Errorf("read %+v", e)
-	}
-	if found, _, err := c.Read(t.Context(), address, map[string]uint64{"plan": 1}, time.Millisecond); err != nil || len(found) > 0 {
-		t.Errorf("read %v, %v", found, err)
-	}
-	if info, err := c.Info(t.Context(), address); err != nil || info.Name != "v7" || !info.Started {
-		t.Error(info, err)
-	}
-	for _, wireErr := range wireErrors {
-		voter.err = wireErr
-		if _, err := c.Propose(t.Context(), address, write); err != wireErr {
-			t.Errorf("%v came as %v", wireErr, err)
-		}
-		if _, _, err := c.Read(t.Context(), address, nil, 0); err != wireErr {
-			t.Errorf("%v came as %v", wireErr, err)
-		}
-	}
+func newDigest(n uint64) observation.Digest {
+	return observation.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
 }
 
-// A voter that waits to begin must not count as one that answers.
-func TestServer_voterThatHasNotStartedAcceptsNothing(t *testing.T) {
-	address, c := startServer(t, nil, 16)
-	if info, err := c.Info(t.Context(), address); err != nil || info.Started {
-		t.Error(info, err)
-	}
-	if _, _, err := c.Read(t.Context(), address, nil, 0); err == nil {
-		t.Error("a read is answered")
-	}
-	if c.Digests(t.Context(), address, []observation.Digest{newDigest(1)}) == nil {
-		t.Error("a digest is taken")
-	}
-}
+// isSame tells whether two errors are the very same, not one around the other.
+func isSame(a, b error) bool { return errors.Is(a, b) && errors.Is(b, a) }
 
 var eventually = fakes.Eventually
