--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -79,7 +79,7 @@
 func settling() []byte {
 	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
 	value, err := settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
-		Nets: []settlement.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
+		NetDebts: []settlement.Amount{{Pair: pair, Sum: 1_000_000}}}.Encode()
 	if err != nil {
 		panic(err) // plain numbers and words
 	}
--- a/internal/settlement/account/accounts.go
+++ b/internal/settlement/account/accounts.go
@@ -53,9 +53,11 @@
 // New makes the till of a life of the counts, by which the log tells them from others of the same process: no two
 // lives of a process have the same name. Now is the clock that leases are told on.
 func New(terms settlement.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
-	a := &Accounts{random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[settlement.Pair]*balance{},
+	a := &Accounts{
+		random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[settlement.Pair]*balance{},
 		metrics: map[string]*[settlement.MetricCount]uint64{},
-		now:     now}
+		now:     now,
+	}
 	a.Reconfigure(terms, settings)
 	return a
 }
--- a/internal/settlement/account/accounts_test.go
+++ b/internal/settlement/account/accounts_test.go
@@ -20,13 +20,16 @@
 func testTerms() settlement.Terms {
 	terms := settlement.DefaultTerms()
 	terms.On = true
-	terms.Partners = []settlement.Partner{{Name: "a", Zones: []string{"ha"}, Customers: []string{"0000000000000001"}},
-		{Name: "b", Zones: []string{"hb"}, Plans: []string{"wide"}}}
+	terms.Partners = []settlement.Partner{
+		{Name: "a", Zones: []string{"ha"}, Customers: []string{"0000000000000001"}},
+		{Name: "b", Zones: []string{"hb"}, Plans: []string{"wide"}},
+	}
 	return terms
 }
 
 var testSettings = Settings{Zones: []string{"ha", "hb", "nobody's"}, Plans: []string{"small", "wide"}, Classes: []policy.TrafficClass{
-	{LatencyObjective: 600 * time.Millisecond}, {LatencyObjective: 600 * time.Millisecond, Effect: policy.NonIdempotent}}}
+	{LatencyObjective: 600 * time.Millisecond}, {LatencyObjective: 600 * time.Millisecond, Effect: policy.NonIdempotent},
+}}
 
 func clockAtZero() time.Duration { return 0 }
 
@@ -49,10 +52,17 @@
 		billed float64
 		want   uint64
 	}{
-		{1, policy.Answered, 5.25, 5250}, {1, policy.Answered, 0, 2000},
-		{1, policy.Errored, 0, 2000}, {1, policy.TimedOut, 0, 2000},
-		{1, policy.Reset, 0, 2000}, {1, policy.Cancelled, 0, 2000}, {1, policy.Rejected, 0, 0}, {1, policy.ConnectFailed, 0, 0},
-		{1, policy.NotSent, 0, 0}, {0, policy.Answered, 5, 0}, {2, policy.Answered, 5, 0},
+		{1, policy.Answered, 5.25, 5250},
+		{1, policy.Answered, 0, 2000},
+		{1, policy.Errored, 0, 2000},
+		{1, policy.TimedOut, 0, 2000},
+		{1, policy.Reset, 0, 2000},
+		{1, policy.Cancelled, 0, 2000},
+		{1, policy.Rejected, 0, 0},
+		{1, policy.ConnectFailed, 0, 0},
+		{1, policy.NotSent, 0, 0},
+		{0, policy.Answered, 5, 0},
+		{2, policy.Answered, 5, 0},
 	} {
 		a := New(testTerms(), testSettings, "x", 1, clockAtZero)
 		tracker := a.TrackRequest(0, policy.Request{Customer: 1, Plan: 1, Units: 2})
@@ -103,8 +113,10 @@
 	a.TrackRequest(0, request).OnRequestEnd(false) // never pushed
 	got := map[string]uint64{}
 	a.ReportMetrics(func(name string, n uint64) { got[name] = n })
-	for metric, want := range map[settlement.Metric]uint64{settlement.MetricRequests: 3, settlement.MetricLate: 2, settlement.MetricIdempotentUnits: 8000,
-		settlement.MetricIdempotentRequests: 4, settlement.MetricServedUnits: 9000} {
+	for metric, want := range map[settlement.Metric]uint64{
+		settlement.MetricRequests: 3, settlement.MetricLate: 2, settlement.MetricIdempotentUnits: 8000,
+		settlement.MetricIdempotentRequests: 4, settlement.MetricServedUnits: 9000,
+	} {
 		if n := got[settlement.MetricName(metric, "a")]; n != want {
 			t.Errorf("evidence %d is %d, not %d", metric, n, want)
 		}
@@ -133,9 +145,11 @@
 	if !slices.Equal(owners, []int{1, 0, 0}) || maxFraction != 0.2 {
 		t.Errorf("lends %v, %v", owners, maxFraction)
 	}
-	for name, request := range map[string]policy.Request{"effectful": {Customer: 9, Plan: 1, Class: 1},
-		"repeat":   {Customer: 9, Plan: 1, Repeat: true},
-		"debtor's": {Customer: 1}} {
+	for name, request := range map[string]policy.Request{
+		"effectful": {Customer: 9, Plan: 1, Class: 1},
+		"repeat":    {Customer: 9, Plan: 1, Repeat: true},
+		"debtor's":  {Customer: 1},
+	} {
 		if n := count(request); n != 0 {
 			t.Errorf("%s: %d prefer", name, n)
 		}
@@ -168,8 +182,8 @@
 		t.Error("goes by a table that no decider keeps")
 	}
 	left := []settlement.Amount{{Pair: settlement.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}}
-	table(settlement.State{Nets: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}}})
-	table(settlement.State{Nets: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}, {Amount: left[0], Number: 2}}})
+	table(settlement.State{NetDebts: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}}})
+	table(settlement.State{NetDebts: left, ForgivenessLog: []settlement.Forgiveness{{Amount: left[0], Number: 1}, {Amount: left[0], Number: 2}}})
 	fakes.Eventually(t, "lines of the log", func() bool {
 		return logs.FilterMessage("a debt is forgiven for its age").Len() == 2 &&
 			logs.FilterMessage("a debt stands with a partner that is not in the file").Len() == 1 &&
--- a/internal/settlement/account/golden_test.go
+++ b/internal/settlement/account/golden_test.go
@@ -21,9 +21,11 @@
 	terms := testTerms()
 	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
 	a := New(terms, testSettings, "x", 42, clockAtZero)
-	a.ApplyState(settlement.State{Shares: []settlement.Share{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion / 5},
+	a.ApplyState(settlement.State{Shares: []settlement.Share{
+		{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion / 5},
 		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
-		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2}}}, time.Second)
+		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2},
+	}}, time.Second)
 	all := sha256.New()
 	drawn := map[int]int{}
 	for i := range 10_000 {
--- a/internal/settlement/account/run.go
+++ b/internal/settlement/account/run.go
@@ -122,10 +122,10 @@
 	partners := a.partners
 	a.mu.Unlock()
 	knownPairs := map[settlement.Pair]bool{}
-	for _, n := range previous.Nets {
+	for _, n := range previous.NetDebts {
 		knownPairs[n.Pair] = true
 	}
-	for _, n := range state.Nets {
+	for _, n := range state.NetDebts {
 		if (partners.PartnerNumber(n.Debtor) == 0 || partners.PartnerNumber(n.Creditor) == 0) && !knownPairs[n.Pair] {
 			log.Warn("a debt stands with a partner that is not in the file", zap.String("debtor", n.Debtor),
 				zap.String("creditor", n.Creditor), zap.Uint64("thousandths", n.Sum))
--- a/internal/settlement/account/tracker.go
+++ b/internal/settlement/account/tracker.go
@@ -45,8 +45,10 @@
 		return nil
 	}
 	class := &a.settings.Classes[request.Class]
-	t := &RequestTracker{accounts: a, partners: a.partners, partner: partner, units: request.Units, estimate: settlement.Thousandths(request.Units), startedAt: now,
-		latencyObjective: class.LatencyObjective, isElectable: class.Effect == policy.Idempotent && !request.Repeat, isCounted: request.Repeat}
+	t := &RequestTracker{
+		accounts: a, partners: a.partners, partner: partner, units: request.Units, estimate: settlement.Thousandths(request.Units), startedAt: now,
+		latencyObjective: class.LatencyObjective, isElectable: class.Effect == policy.Idempotent && !request.Repeat, isCounted: request.Repeat,
+	}
 	if t.isElectable && len(a.shares) > 0 && a.now() < a.sharesUntil {
 		draw := a.random.Float64()
 		for _, s := range a.shares {
--- a/internal/settlement/aging.go
+++ b/internal/settlement/aging.go
@@ -2,78 +2,95 @@
 
 import "slices"
 
-// lotsPerDebt is how many lots a pair's debt is kept in, about: an age is told to a sixteenth of that of forgiveness.
+// lotsPerDebt is about how many lots a pair's debt is kept in: ages are exact to that part of the forgiveness age.
 const lotsPerDebt = 16
 
-// ageDebts brings the lots in line with the net debts and forgives those that are too old. What is paid off is the oldest;
-// a lot begins with the first unit that came in it, so that none is forgiven later than the file says by more than
-// the time that the clock of the table lost.
-func (state *State) ageDebts(netDebts []Amount, terms Terms) {
-	owed := map[Pair]uint64{}
-	for _, n := range netDebts {
-		owed[n.Pair] = n.Sum
-	}
-	inLots := map[Pair]uint64{}
-	for _, l := range state.Lots {
-		inLots[l.Pair] += l.Sum
-	}
-	// The oldest stand first. What is more in the lots than is owed has been paid, or turned round.
-	lots := state.Lots[:0]
-	for _, l := range state.Lots {
-		if paid := inLots[l.Pair] - min(inLots[l.Pair], owed[l.Pair]); paid > 0 {
-			paid = min(paid, l.Sum)
-			l.Sum -= paid
-			inLots[l.Pair] -= paid
+// ageDebts brings the lots in line with the net debts, and forgives those that are too old. Payments reduce the oldest
+// lots first. A lot is as old as its first unit, so nothing is forgiven later than the terms say by more than what
+// State.Clock lost with leaders.
+func (s *State) ageDebts(netDebts []Amount, terms Terms) {
+	inLots := s.payOldestLots(netDebts)
+	for _, debt := range netDebts {
+		_, _, forgiveAfter := terms.pairTerms(debt.Debtor, debt.Creditor)
+		maxAge := uint64(forgiveAfter * 1000)
+		if added := debt.Sum - inLots[debt.Pair]; added > 0 {
+			s.addToLots(Amount{debt.Pair, added}, maxAge/lotsPerDebt)
 		}
-		if l.Sum > 0 {
-			lots = append(lots, l)
+		if forgiveAfter > 0 {
+			s.forgiveOlder(debt.Pair, maxAge)
 		}
 	}
-	state.Lots = lots
-	for _, n := range netDebts {
-		_, _, forgiveAfter := terms.pairTerms(n.Debtor, n.Creditor)
-		if added := n.Sum - inLots[n.Pair]; added > 0 {
-			state.addToLots(Amount{n.Pair, added}, uint64(forgiveAfter*1000)/lotsPerDebt)
+}
+
+// payOldestLots takes from the lots what is no longer owed: it was paid, or the pair's net debt changed sides. It
+// returns the sum that each pair has in lots then.
+func (s *State) payOldestLots(netDebts []Amount) (inLots map[Pair]uint64) {
+	remaining := map[Pair]uint64{}
+	for _, debt := range netDebts {
+		remaining[debt.Pair] = debt.Sum
+	}
+	inLots = map[Pair]uint64{}
+	for _, lot := range s.Lots {
+		inLots[lot.Pair] += lot.Sum
+	}
+	lots := s.Lots[:0]
+	for _, lot := range s.Lots {
+		if paid := inLots[lot.Pair] - min(inLots[lot.Pair], remaining[lot.Pair]); paid > 0 {
+			paid = min(paid, lot.Sum)
+			lot.Sum -= paid
+			inLots[lot.Pair] -= paid
 		}
-		if forgiveAfter > 0 {
-			state.forgiveOlder(n.Pair, uint64(forgiveAfter*1000))
+		if lot.Sum > 0 {
+			lots = append(lots, lot)
 		}
 	}
+	s.Lots = lots
+	return inLots
 }
 
-// addToLots puts a sum into the pair's latest lot, or into a new one if that is older than a grain.
-func (state *State) addToLots(a Amount, grain uint64) {
-	for i := len(state.Lots) - 1; i >= 0; i-- {
-		if l := &state.Lots[i]; l.Pair == a.Pair {
-			if state.Clock-l.Since <= grain || grain == 0 {
-				l.Sum += a.Sum
+// addToLots adds an amount to the pair's latest lot, or to a new one if that is older than maxLotAge in ms; 0 means that
+// the latest is used whatever its age.
+func (s *State) addToLots(amount Amount, maxLotAge uint64) {
+	for i := len(s.Lots) - 1; i >= 0; i-- {
+		if lot := &s.Lots[i]; lot.Pair == amount.Pair {
+			if s.Clock-lot.Since <= maxLotAge || maxLotAge == 0 {
+				lot.Sum += amount.Sum
 				return
 			}
 			break
 		}
 	}
-	state.Lots = append(state.Lots, Lot{a, state.Clock})
+	s.Lots = append(s.Lots, Lot{amount, s.Clock})
 }
 
-// forgiveOlder strikes the pair's lots of an age, and says each.
-func (state *State) forgiveOlder(pair Pair, maxAge uint64) {
-	state.Lots = slices.DeleteFunc(state.Lots, func(l Lot) bool {
-		age := state.Clock - l.Since
-		if l.Pair != pair || age < maxAge {
+// forgiveOlder deletes the pair's lots of an age in ms, and logs each.
+func (s *State) forgiveOlder(pair Pair, maxAge uint64) {
+	s.Lots = slices.DeleteFunc(s.Lots, func(lot Lot) bool {
+		age := s.Clock - lot.Since
+		if lot.Pair != pair || age < maxAge {
 			return false
 		}
-		number := uint64(1)
-		if n := len(state.ForgivenessLog); n > 0 {
-			number = state.ForgivenessLog[n-1].Number + 1
-		}
-		state.ForgivenessLog = append(state.ForgivenessLog, Forgiveness{l.Amount, number, age})
-		state.ForgivenessLog = state.ForgivenessLog[max(0, len(state.ForgivenessLog)-maxForgivenessLog):]
-		i := slices.IndexFunc(state.Forgiven, func(a Amount) bool { return a.Pair == pair })
+		s.logForgiveness(lot.Amount, age)
+		i := slices.IndexFunc(s.Forgiven, func(a Amount) bool { return a.Pair == pair })
 		if i < 0 {
-			i = len(state.Forgiven)
-			state.Forgiven = append(state.Forgiven, Amount{Pair: pair})
+			i = len(s.Forgiven)
+			s.Forgiven = append(s.Forgiven, Amount{Pair: pair})
 		}
-		state.Forgiven[i].Sum += l.Sum
+		s.Forgiven[i].Sum += lot.Sum
 		return true
 	})
 }
+
+func (s *State) logForgiveness(amount Amount, age uint64) {
+	number := s.lastForgiveness() + 1
+	s.ForgivenessLog = append(s.ForgivenessLog, Forgiveness{amount, number, age})
+	s.ForgivenessLog = s.ForgivenessLog[max(0, len(s.ForgivenessLog)-maxForgivenessLog):]
+}
+
+// lastForgiveness returns the number of the latest entry of the forgiveness log; 0 where it is empty.
+func (s *State) lastForgiveness() uint64 {
+	if n := len(s.ForgivenessLog); n > 0 {
+		return s.ForgivenessLog[n-1].Number
+	}
+	return 0
+}
--- a/internal/settlement/controller_test.go
+++ b/internal/settlement/controller_test.go
@@ -11,15 +11,15 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// controllerFixture is a log, and the evidence that its leader has: three partners with 1,000 tasks a second each.
+// controllerFixture is a log and what its leader observes: three partners with 1,000 requests per second each.
 type controllerFixture struct {
 	now, since time.Duration
 	counts     map[string]uint64
 	state      *statemachine.State
 	index      uint64
 	zoneStatus map[string]ZoneStatus
-	late       map[string]uint64 // a second, by partner
-	elective   map[string]uint64
+	late       map[string]uint64 // requests per second, by partner
+	elective   map[string]uint64 // attempts per second, by partner; a quarter of them is placed
 	controller *Controller
 }
 
@@ -33,8 +33,10 @@
 }
 
 func newControllerFixture(terms Terms) *controllerFixture {
-	f := &controllerFixture{now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: statemachine.New(), zoneStatus: map[string]ZoneStatus{},
-		late: map[string]uint64{}, elective: map[string]uint64{}}
+	f := &controllerFixture{
+		now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: statemachine.New(),
+		zoneStatus: map[string]ZoneStatus{}, late: map[string]uint64{}, elective: map[string]uint64{},
+	}
 	f.changeLeader(terms)
 	return f
 }
@@ -48,17 +50,22 @@
 
 func (f *controllerFixture) addDebt(debtor, creditor string, units uint64) {
 	f.index++
-	f.state.Apply(f.index, statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: map[string]uint64{
-		observation.JoinName("g", "1", DebtCountName("x", Pair{debtor, creditor})): units * 1000}})
+	f.state.Apply(f.index, statemachine.Command{
+		Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: map[string]uint64{
+			observation.JoinName("g", "1", DebtCountName("x", Pair{debtor, creditor})): units * 1000,
+		},
+	})
 }
 
-// advance lets seconds pass, each with what the gateways count in it.
+// advance lets seconds pass, each with what the gateways count in it and a decision.
 func (f *controllerFixture) advance(seconds int) {
 	for range seconds {
 		f.now += time.Second
 		for _, p := range []string{"a", "b", "c"} {
-			for metric, n := range map[Metric]uint64{MetricRequests: 1000, MetricLate: f.late[p], MetricIdempotentUnits: 600_000, MetricIdempotentRequests: 500, MetricServedUnits: 1_000_000,
-				MetricElective: f.elective[p], MetricElectivePlaced: f.elective[p] / 4} {
+			for metric, n := range map[Metric]uint64{
+				MetricRequests: 1000, MetricLate: f.late[p], MetricIdempotentUnits: 600_000, MetricIdempotentRequests: 500,
+				MetricServedUnits: 1_000_000, MetricElective: f.elective[p], MetricElectivePlaced: f.elective[p] / 4,
+			} {
 				f.counts[MetricName(metric, p)] += n
 			}
 		}
@@ -68,11 +75,13 @@
 
 func (f *controllerFixture) decide() {
 	entry := f.state.Table(TableName)
-	value, write := f.controller.Decide(f.now, coordination.ControllerInput{Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since,
-		Table: f.state.Table})
+	value, write := f.controller.Decide(f.now, coordination.ControllerInput{
+		Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since, Table: f.state.Table,
+	})
 	if write {
 		f.index++
-		f.state.Apply(f.index, statemachine.Command{Kind: statemachine.Write, Table: TableName, Epoch: entry.Epoch, Value: value})
+		f.state.Apply(f.index,
+			statemachine.Command{Kind: statemachine.Write, Table: TableName, Epoch: entry.Epoch, Value: value})
 	}
 }
 
@@ -84,106 +93,119 @@
 	return state
 }
 
-// shareNames gives the shares that stand, in words.
-func (f *controllerFixture) shareNames() (all []string) {
-	for _, x := range f.storedState().Shares {
-		all = append(all, x.Creditor+" to "+x.Debtor)
+// shareNames returns the shares in force, in words.
+func (f *controllerFixture) shareNames() (names []string) {
+	for _, share := range f.storedState().Shares {
+		names = append(names, share.Creditor+" to "+share.Debtor)
 	}
-	return all
+	return names
+}
+
+// pairCases are debts, and in want the shares that are set after 40 s.
+var pairCases = []struct {
+	name    string
+	arrange func(*controllerFixture, *Terms)
+	want    []string
+}{
+	{"debtors serve their creditors' requests", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("a", "b", 900)
+		f.addDebt("c", "b", 500)
+	}, []string{"b to a", "b to c"}},
+	{"debts in both directions net out", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("a", "b", 900)
+		f.addDebt("b", "a", 899)
+	}, nil},
+	{"a small debt is left alone", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 4) }, nil},
+	{"a partner that has left takes nothing", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("gone", "b", 900)
+	}, nil},
+	{"a rule excludes the pair", func(f *controllerFixture, terms *Terms) {
+		f.addDebt("a", "b", 900)
+		terms.Rules = []PairRule{{Between: []string{"b", "a"}, Settle: new(bool)}}
+	}, nil},
+	{"failover needs the debtor's zone", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("a", "b", 900)
+		f.zoneStatus["hall-a"] = ZoneStatus{FailingOver: true}
+	}, nil},
+	{"the creditor's zone has little headroom", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("a", "b", 900)
+		f.zoneStatus["hall-b"] = ZoneStatus{Headroom: 0.1}
+	}, nil},
+	{"the debtor is served badly already", func(f *controllerFixture, _ *Terms) {
+		f.addDebt("a", "b", 900)
+		f.late["a"] = 200
+	}, nil},
+	{"off", func(f *controllerFixture, terms *Terms) {
+		f.addDebt("a", "b", 900)
+		terms.On = false
+	}, nil},
 }
 
 func TestController_choosesPairsToSettle(t *testing.T) {
-	no := false
-	stories := []struct {
-		name string
-		do   func(*controllerFixture, *Terms)
-		want []string
-	}{
-		{"debtors serve their creditors' tasks", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 900); f.addDebt("c", "b", 500) },
-			[]string{"b to a", "b to c"}},
-		{"what is owed both ways nets out", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 900); f.addDebt("b", "a", 899) }, nil},
-		{"a small debt is left alone", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 4) }, nil},
-		{"a partner that has left is not steered to", func(f *controllerFixture, _ *Terms) { f.addDebt("gone", "b", 900) }, nil},
-		{"a rule says that a pair does not settle", func(f *controllerFixture, t *Terms) {
-			f.addDebt("a", "b", 900)
-			t.Rules = []PairRule{{Between: []string{"b", "a"}, Settle: &no}}
-		}, nil},
-		{"failover needs the debtor's hall", func(f *controllerFixture, _ *Terms) {
-			f.addDebt("a", "b", 900)
-			f.zoneStatus["hall-a"] = ZoneStatus{FailingOver: true}
-		}, nil},
-		{"the creditor's hall is nearly full", func(f *controllerFixture, _ *Terms) {
-			f.addDebt("a", "b", 900)
-			f.zoneStatus["hall-b"] = ZoneStatus{Headroom: 0.1}
-		}, nil},
-		{"a debtor that is served badly as it is", func(f *controllerFixture, _ *Terms) {
-			f.addDebt("a", "b", 900)
-			f.late["a"] = 200
-		}, nil},
-		{"off", func(f *controllerFixture, t *Terms) { f.addDebt("a", "b", 900); t.On = false }, nil},
-	}
-	for _, c := range stories {
-		terms := testTerms()
-		f := newControllerFixture(terms)
-		c.do(f, &terms)
-		f.controller.terms = terms
-		f.advance(40)
-		if got := f.shareNames(); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
-		}
+	for _, test := range pairCases {
+		t.Run(test.name, func(t *testing.T) {
+			terms := testTerms()
+			f := newControllerFixture(terms)
+			test.arrange(f, &terms)
+			f.controller.terms = terms
+			f.advance(40)
+			if got := f.shareNames(); !slices.Equal(got, test.want) {
+				t.Errorf("shares %q, want %q", got, test.want)
+			}
+		})
 	}
 }
 
-// A partner that fares worse by more than the stated part while debts are settled: all is steered back within seconds.
-// One whose servers hardly have room is taken less from.
+// A partner that loses more than the terms allow while debts are settled stops its settlement within seconds. One whose
+// servers hardly have capacity slows it down.
 func TestController_stopsAndSlowsWhenPartnerIsHarmed(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 50_000)
 	f.advance(60)
 	before := f.storedState()
 	if before.sharePPM(Pair{"a", "b"}) == 0 || before.partnerState("a").Pace != PartsPerMillion {
-		t.Fatalf("not settling: %+v", before)
+		t.Fatalf("not settling at full pace: %+v", before)
 	}
 	f.zoneStatus["hall-b"] = ZoneStatus{FailingOver: true}
 	f.advance(2)
 	if len(f.storedState().Shares) > 0 {
-		t.Error("goes on while failover needs a hall")
+		t.Error("settles while failover needs a zone")
 	}
 	clear(f.zoneStatus)
 	f.advance(60)
-	f.late["a"] = 30 // of 1,000: six times what may be
+	f.late["a"] = 30 // of 1,000: six times what the terms allow
 	f.advance(25)
 	if state := f.storedState(); len(state.Shares) > 0 || state.partnerState("a").HoldUntil <= state.Clock {
-		t.Errorf("still steers: %+v", state)
+		t.Errorf("settles in spite of the loss: %+v", state)
 	}
 	f.late["a"] = 0
 	f.advance(150)
 	if f.storedState().sharePPM(Pair{"a", "b"}) == 0 {
-		t.Errorf("does not settle any more: %+v", f.storedState())
+		t.Errorf("does not settle again: %+v", f.storedState())
 	}
 	pace := f.storedState().partnerState("a").Pace
-	f.elective["a"] = 100 // of which a quarter finds room
+	f.elective["a"] = 100 // of which a quarter is placed
 	f.advance(15)
 	if state := f.storedState(); state.partnerState("a").Pace >= pace/2 {
-		t.Errorf("goes on at pace %d", state.partnerState("a").Pace)
+		t.Errorf("settles at pace %d, and before at %d", state.partnerState("a").Pace, pace)
 	}
 }
 
-// A leader is lost in mid-settlement, and with it all that it saw: the next keeps the shares that stand, and the debts;
-// and a leader whose file has no debts ends what stands.
+// A leader is lost during a settlement, and all that it saw: the next keeps the shares in force, and the debts. A leader
+// whose terms are off ends the settlement.
 func TestController_newLeaderContinuesFromStoredState(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 50_000)
 	f.advance(60)
-	current := f.storedState()
+	before := f.storedState()
 	f.changeLeader(testTerms())
 	f.advance(1)
-	now, pair := f.storedState(), Pair{"a", "b"}
-	if now.sharePPM(pair) != current.sharePPM(pair) || now.Clock < current.Clock || now.Clock > current.Clock+70_000 {
-		t.Errorf("%+v, then %+v", current, now)
+	after, pair := f.storedState(), Pair{"a", "b"}
+	if after.sharePPM(pair) != before.sharePPM(pair) || after.Clock < before.Clock || after.Clock > before.Clock+70_000 {
+		t.Errorf("%+v, then %+v", before, after)
 	}
 	f.advance(30)
-	if f.storedState().sharePPM(Pair{"a", "b"}) == 0 {
+	if f.storedState().sharePPM(pair) == 0 {
 		t.Error("does not settle any more")
 	}
 	off := testTerms()
@@ -191,29 +213,29 @@
 	f.changeLeader(off)
 	f.advance(2)
 	if len(f.storedState().Shares) > 0 {
-		t.Error("shares stand that nobody decides")
+		t.Error("shares are in force though the terms are off")
 	}
 }
 
-// It rests now and then, and sees anew how all fare without.
+// A settlement rests now and then, to see anew how partners are served without it.
 func TestController_pausesSettlementPeriodically(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 5_000_000)
-	rests := 0
+	rested := 0
 	for range 700 {
 		f.advance(1)
 		if state := f.storedState(); state.StartedAt > 0 && len(state.Shares) == 0 {
-			rests++
+			rested++
 		}
 	}
-	if rests < 10 || rests > 60 {
-		t.Errorf("rested %d s in 700", rests)
+	if rested < 10 || rested > 60 {
+		t.Errorf("rested %d s in 700", rested)
 	}
 }
 
 func TestZoneStatusOfPlan_marksZonesThatFailoverUses(t *testing.T) {
-	got := ZoneStatusOfPlan(map[string]map[string]int{"a": {"a": 500, "b": 500}, "b": {"b": 1000}, "c": {"c": 1000, "a": 0},
-		"d": {"d": 1000}},
+	got := ZoneStatusOfPlan(
+		map[string]map[string]int{"a": {"a": 500, "b": 500}, "b": {"b": 1000}, "c": {"c": 1000, "a": 0}, "d": {"d": 1000}},
 		map[string]int{"c": 1000, "d": 400})
 	if !got["a"].FailingOver || !got["b"].FailingOver || got["c"].FailingOver || !got["d"].FailingOver {
 		t.Errorf("%+v", got)
--- a/internal/settlement/fairness.go
+++ b/internal/settlement/fairness.go
@@ -1,86 +1,115 @@
 package settlement
 
-// Flow is what a creditor wants of a debtor, and its weight among the others.
-type Flow struct{ Demand, Weight float64 } // Weight above 0
+// Flow is what one creditor could send to one debtor.
+type Flow struct {
+	Demand float64
+	Weight float64 // above 0; among the other flows
+}
 
-// Limit is what several flows share: the sum of each flow times what one of it takes stays at most at Most.
+// Limit is a capacity that several flows share: the sum of each flow's rate times its UsePerFlow stays within Capacity.
 type Limit struct {
 	Capacity   float64
-	UsePerFlow []float64 // by flow; 0: takes none
+	UsePerFlow []float64 // by flow; 0: the flow uses none of it
 }
 
-// roundingTolerance is the part by which a sum may miss its limit: rounding.
+// roundingTolerance is the part by which a sum may miss its limit.
 const roundingTolerance = 1e-9
 
-// MaxMinFair gives the flows that are weighted max-min fair within the limits: none can have more without one that has
-// less for its weight getting less still, or without passing what it wants. All rise together by weight, and each
-// stops where it has what it wants or a limit that it takes of is full (progressive filling: Bertsekas and Gallager,
-// Data Networks, 1992, 6.5.2).
+// MaxMinFair returns the rates of the flows that are weighted max-min fair within the limits: no flow could have more
+// without exceeding its demand or taking from one that has less for its weight. All rates rise together, by weight, and
+// each stops at its demand or when a limit that it uses is full (progressive filling: Bertsekas and Gallager, Data
+// Networks, 1992, 6.5.2).
 func MaxMinFair(flows []Flow, limits []Limit) []float64 {
-	rates := make([]float64, len(flows))
-	rising := make([]bool, len(flows))
-	risingCount := 0
-	for i, f := range flows {
-		if rising[i] = f.Demand > 0 && f.Weight > 0; rising[i] {
-			risingCount++
+	f := newFilling(flows, limits)
+	for f.risingCount > 0 {
+		increment := f.largestIncrement()
+		for i, flow := range flows {
+			if f.rising[i] {
+				f.rates[i] += increment * flow.Weight
+			}
+		}
+		before := f.risingCount
+		f.stopFull()
+		if f.risingCount == before {
+			break // only by rounding: the rates so far are within all limits
 		}
 	}
-	for risingCount > 0 {
-		increment := -1.0
-		limitIncrement := func(s float64) {
-			if s = max(s, 0); increment < 0 || s < increment {
-				increment = s
-			}
+	return f.rates
+}
+
+// filling is the state of a progressive filling.
+type filling struct {
+	flows       []Flow
+	limits      []Limit
+	rates       []float64 // by flow
+	rising      []bool    // by flow
+	risingCount int
+}
+
+func newFilling(flows []Flow, limits []Limit) *filling {
+	f := &filling{flows: flows, limits: limits, rates: make([]float64, len(flows)), rising: make([]bool, len(flows))}
+	for i, flow := range flows {
+		if f.rising[i] = flow.Demand > 0 && flow.Weight > 0; f.rising[i] {
+			f.risingCount++
 		}
-		for i, f := range flows {
-			if rising[i] {
-				limitIncrement((f.Demand - rates[i]) / f.Weight)
-			}
+	}
+	return f
+}
+
+// largestIncrement returns by how much, for each unit of weight, all rising flows can rise together until the first of
+// them has its demand or the first limit is full.
+func (f *filling) largestIncrement() float64 {
+	increment := -1.0 // none yet
+	bound := func(candidate float64) {
+		if candidate = max(candidate, 0); increment < 0 || candidate < increment {
+			increment = candidate
 		}
-		for _, l := range limits {
-			if used, growth := l.usage(flows, rates, rising); growth > 0 {
-				limitIncrement((l.Capacity - used) / growth)
-			}
+	}
+	for i, flow := range f.flows {
+		if f.rising[i] {
+			bound((flow.Demand - f.rates[i]) / flow.Weight)
 		}
-		for i, f := range flows {
-			if rising[i] {
-				rates[i] += increment * f.Weight
-			}
+	}
+	for _, limit := range f.limits {
+		if used, growth := f.usage(limit); growth > 0 {
+			bound((limit.Capacity - used) / growth)
 		}
-		before := risingCount
-		stop := func(i int) {
-			if rising[i] {
-				rising[i] = false
-				risingCount--
-			}
+	}
+	return increment
+}
+
+// stopFull stops flows that have their demand, and those that use a limit that is full.
+func (f *filling) stopFull() {
+	for i, flow := range f.flows {
+		if f.rates[i] >= flow.Demand*(1-roundingTolerance) {
+			f.stop(i)
 		}
-		for i, f := range flows {
-			if rates[i] >= f.Demand*(1-roundingTolerance) {
-				stop(i)
-			}
+	}
+	for _, limit := range f.limits {
+		if used, _ := f.usage(limit); used < limit.Capacity*(1-roundingTolerance) {
+			continue
 		}
-		for _, l := range limits {
-			if used, _ := l.usage(flows, rates, rising); used >= l.Capacity*(1-roundingTolerance) {
-				for i := range flows {
-					if l.UsePerFlow[i] > 0 {
-						stop(i)
-					}
-				}
+		for i := range f.flows {
+			if limit.UsePerFlow[i] > 0 {
+				f.stop(i)
 			}
 		}
-		if risingCount == before {
-			break // cannot be but by rounding: what rose so far is within all limits
-		}
 	}
-	return rates
 }
 
-// usage is what the flows take of a limit, and how much more at each step of those that still rise.
-func (l Limit) usage(flows []Flow, rates []float64, rising []bool) (used, growth float64) {
-	for i, usePerFlow := range l.UsePerFlow {
-		used += usePerFlow * rates[i]
-		if rising[i] {
-			growth += usePerFlow * flows[i].Weight
+func (f *filling) stop(flow int) {
+	if f.rising[flow] {
+		f.rising[flow] = false
+		f.risingCount--
+	}
+}
+
+// usage returns how much of a limit is used, and by how much that grows with each unit of increment.
+func (f *filling) usage(limit Limit) (used, growth float64) {
+	for i, perFlow := range limit.UsePerFlow {
+		used += perFlow * f.rates[i]
+		if f.rising[i] {
+			growth += perFlow * f.flows[i].Weight
 		}
 	}
 	return used, growth
--- a/internal/settlement/guard.go
+++ b/internal/settlement/guard.go
@@ -3,61 +3,42 @@
 import (
 	"math"
 	"time"
-
-	"harrierhoist/internal/coordination/observation"
 )
 
-// Metric is a kind of evidence, counted for each partner by gateways since their start. Units are in thousandths.
-type Metric int
-
-// The kinds of evidence.
+// What makes a harm to a partner stand out from chance.
 const (
-	MetricRequests           Metric = iota // the partner's tasks that were first tries, were pushed and are over
-	MetricLate                             // of these, those late or without an answer
-	MetricSlow                             // of these, those that took over half of their soft limit, the late among them
-	MetricIdempotentUnits                  // units of its pure tasks' first pushes
-	MetricIdempotentRequests               // their number
-	MetricServedUnits                      // units that its servers answered, whosesoever
-	MetricElective                         // first pushes of others that were to go to its servers to settle
-	MetricElectivePlaced                   // of these, those that did
-	MetricCount                            // how many kinds there are
+	// fadeTimeConstant is how far back requests count: a longer one tells smaller losses from chance.
+	fadeTimeConstant = 60 * time.Second
+	// minBaselineRequests is how many of a partner's requests must be seen before a settlement: fewer say nothing of how
+	// it is served.
+	minBaselineRequests = 200
+	// sureStdErrors is by how many standard errors a loss must stand out before the partner's settlements are stopped.
+	sureStdErrors = 2.0
+	// likelyStdErrors is the same before their pace is halved.
+	likelyStdErrors = 1.0
+	// maxSlowFraction is the fraction of requests that may become slow: a queue shows there before any is late.
+	maxSlowFraction = 0.05
 )
 
-const metricPrefix = "debts" // the first part of each name
-
-var metricNames = [MetricCount]string{"tasks", "late", "slow", "pure", "pures", "served", "asked", "went"}
-
-// MetricName makes the name of an evidence count of this package.
-func MetricName(metric Metric, partner string) string {
-	return observation.JoinName(metricPrefix, metricNames[metric], partner)
-}
-
+// How long a partner is left alone after sure harm.
 const (
-	fadeTimeConstant    = 60 * time.Second    // how far back a partner's tasks are weighed: longer tells smaller losses from chance
-	minBaselineRequests = 200                 // tasks seen before a settlement, for each partner: fewer tell nothing of its service
-	sureStdErrors       = 2.0                 // standard errors by which a loss must stand out before all is steered back
-	likelyStdErrors     = 1.0                 // the same before the pace is halved
-	maxSlowFraction     = 0.05                // part of tasks that may be slow for it: a queue shows there before any is late
-	maxHoldMillis       = 3600_000            // ms that a partner is left alone at the most
-	paceBoundGrowth     = 1.004               // growth of the pace's bound per change: doubled in nine minutes
-	queueDrainFactor    = 2.0                 // a queue drains at least as long as it grew: so much more is late than was seen
-	minHoldMillis       = 30_000              // ms for which a partner is then left alone: longer than a queue lasts
-	initialPace         = PartsPerMillion / 4 // the pace at which a settlement begins
-	paceInterval        = 3 * time.Second     // between changes of pace: what a change does is seen by then
-	paceGrowth          = 1.5                 // per change, while nobody is worse off
-	minElectiveSample   = 50                  // pushes asked for before it is judged how many found room
-	minPlacedFraction   = 0.5                 // part of these that must have found room
+	minHoldMillis = 30_000    // longer than a queue lasts
+	maxHoldMillis = 3_600_000 // an hour
+	// queueDrainFactor is how many times the loss seen so far is late in the end: a queue takes as long to drain as it
+	// took to grow, at least.
+	queueDrainFactor = 2.0
 )
 
-// serviceStats is what was seen of a partner's tasks, fading.
+// serviceStats is how a partner's requests were served; counts fade.
 type serviceStats struct{ requests, late, slow float64 }
 
-func (t *serviceStats) add(more serviceStats, passed time.Duration) {
+// add adds what was counted in the time that passed, and fades what was there before.
+func (s *serviceStats) add(more serviceStats, passed time.Duration) {
 	decay := math.Exp(-float64(passed) / float64(fadeTimeConstant))
-	t.requests, t.late, t.slow = t.requests*decay+more.requests, t.late*decay+more.late, t.slow*decay+more.slow
+	s.requests, s.late, s.slow = s.requests*decay+more.requests, s.late*decay+more.late, s.slow*decay+more.slow
 }
 
-// harmLevel is how bad it is for a partner: nothing, likely, sure.
+// harmLevel is how certain it is that a settlement harms a partner.
 type harmLevel uint8
 
 const (
@@ -66,42 +47,43 @@
 	harmSure
 )
 
-// assessHarm compares what a partner has while debts are settled with what it had before. It guards against a settlement
-// that pushes over those who lend or those whose tasks go far. Harm: a day that turns bad for another reason stops
-// the settlement too; and with few tasks a loss is taken for chance until more are seen.
+// assessHarm compares how a partner is served during a settlement with how it was before. It guards against a settlement
+// that overloads a debtor, or whose requests suffer from the longer way. Its cost: a day that turns bad for another
+// reason stops the settlement too, and with few requests a loss passes for chance until more are seen.
 func assessHarm(baseline PartnerState, seen serviceStats, maxLossFraction float64) harmLevel {
 	if seen.requests < 1 || baseline.Requests < 1 {
 		return noHarm
 	}
 	lateFraction := baseline.Late / baseline.Requests
 	excess := seen.late - lateFraction*seen.requests
-	// A partner of which nothing was late has been seen late in less than one of its tasks.
+	// A partner of which nothing was late has been seen late in less than one of its requests.
 	chance := max(lateFraction, 1/baseline.Requests)
-	spread := math.Sqrt(seen.requests * chance * (1 - min(chance, 0.999)) * (1 + seen.requests/baseline.Requests))
+	stdError := math.Sqrt(seen.requests * chance * (1 - min(chance, 0.999)) * (1 + seen.requests/baseline.Requests))
 	switch {
-	case excess > maxLossFraction*seen.requests+sureStdErrors*spread:
+	case excess > maxLossFraction*seen.requests+sureStdErrors*stdError:
 		return harmSure
-	case excess > maxLossFraction/2*seen.requests+likelyStdErrors*spread:
+	case excess > maxLossFraction/2*seen.requests+likelyStdErrors*stdError:
 		return harmLikely
 	}
 	return noHarm
 }
 
-// isQueueing tells that answers of the last few seconds came slower than before the settlement, though in time: a queue
-// grows. It guards against what judge sees only once tasks are late. Harm: a settlement slower than need be.
+// isQueueing reports whether answers of the last few seconds were slower than before the settlement, though in time: a
+// queue grows. It guards against what assessHarm sees only once requests are late. Its cost: a settlement slower than
+// it need be.
 func isQueueing(baseline PartnerState, seen serviceStats) bool {
 	if seen.requests < 1 || baseline.Requests < 1 {
 		return false
 	}
-	lateFraction := baseline.Slow / baseline.Requests
-	chance := min(max(lateFraction, 1/baseline.Requests), 0.999)
-	spread := math.Sqrt(seen.requests * chance * (1 - chance) * (1 + seen.requests/baseline.Requests))
-	return seen.slow-lateFraction*seen.requests > maxSlowFraction*seen.requests+sureStdErrors*spread
+	slowFraction := baseline.Slow / baseline.Requests
+	chance := min(max(slowFraction, 1/baseline.Requests), 0.999)
+	stdError := math.Sqrt(seen.requests * chance * (1 - chance) * (1 + seen.requests/baseline.Requests))
+	return seen.slow-slowFraction*seen.requests > maxSlowFraction*seen.requests+sureStdErrors*stdError
 }
 
-// holdMillis is for how long in ms a partner is left alone that fares worse: until what it lost is no more than the part
-// of its tasks that it may lose, all since then counted.
-func holdMillis(baseline PartnerState, seen serviceStats, rate, maxLossFraction float64) uint64 {
-	lostRequests := (seen.late - baseline.Late/baseline.Requests*seen.requests) * queueDrainFactor
-	return uint64(min(max(lostRequests/(maxLossFraction*max(rate, 1e-3))*1000, minHoldMillis), maxHoldMillis))
+// holdMillis returns for how many ms a partner that is harmed has no part in settlements: until what it lost is no more
+// than the fraction of its requests that it may lose, all requests since then counted. requestRate is per second.
+func holdMillis(baseline PartnerState, seen serviceStats, requestRate, maxLossFraction float64) uint64 {
+	lost := (seen.late - baseline.Late/baseline.Requests*seen.requests) * queueDrainFactor
+	return uint64(min(max(lost/(maxLossFraction*max(requestRate, 1e-3))*1000, minHoldMillis), maxHoldMillis))
 }
--- a/internal/settlement/ledger.go
+++ b/internal/settlement/ledger.go
@@ -2,88 +2,101 @@
 
 import (
 	"cmp"
-	"maps"
+	"math"
 	"slices"
 
 	"harrierhoist/internal/coordination/observation"
 )
 
-// ExactTable is the table of totals in which voters put the exact counts of processes.
+// ExactTable is the table of totals in which voters keep the exact counts of processes. It is stored: it never changes.
 const ExactTable = "exact"
 
-const debtPrefix = "owe" // the first part of the name of each of our exact counts
+// debtPrefix is the first part of the name of each debt count. It is stored and sent: it never changes.
+const debtPrefix = "owe"
 
-// Pair is who owes and whom. Both are partners' names, also of partners that have left.
+// Pair is a debtor and its creditor, by partners' names; either may have left since.
 type Pair struct {
 	Debtor   string `cbor:"1,keyasint"`
 	Creditor string `cbor:"2,keyasint"`
 }
 
-func (pair Pair) compare(other Pair) int {
-	return cmp.Or(cmp.Compare(pair.Debtor, other.Debtor), cmp.Compare(pair.Creditor, other.Creditor))
+func (p Pair) compare(o Pair) int {
+	return cmp.Or(cmp.Compare(p.Debtor, o.Debtor), cmp.Compare(p.Creditor, o.Creditor))
 }
 
-func (pair Pair) reversed() Pair { return Pair{pair.Creditor, pair.Debtor} }
+func (p Pair) reversed() Pair { return Pair{p.Creditor, p.Debtor} }
 
-// Amount is what stands for a pair, in thousandths of units.
+// Amount is a sum that a pair's debtor owes its creditor.
 type Amount struct {
 	Pair
-	Sum uint64 `cbor:"3,keyasint"`
+	Sum uint64 `cbor:"3,keyasint"` // thousandths of units
 }
 
-// LedgerAmount is what a process in one life of its ledger counted.
+// LedgerAmount is an amount as one ledger of a process has it.
 type LedgerAmount struct {
 	Amount
 	LedgerID string `cbor:"4,keyasint"`
 }
 
-// DebtCountName names an exact count: what a process in one life of its ledger has counted that a debtor owes a creditor. A
-// ledger kept on disk lives on with its process's next incarnation.
+// DebtCountName returns the name of the exact count that a process keeps of what a debtor owes a creditor. A ledger that
+// is stored outlives its process: the process's next incarnation goes on under the same ID.
 func DebtCountName(ledgerID string, pair Pair) string {
 	return observation.JoinName(debtPrefix, ledgerID, pair.Debtor, pair.Creditor)
 }
 
-// Ledger is all that was ever owed, by pair, in thousandths of units: it only grows.
+// Parts of the name of a total in the log: the voters put the process and its incarnation before the count's own name.
+const (
+	totalProcess = iota
+	totalIncarnation
+	totalPrefix
+	totalLedgerID
+	totalDebtor
+	totalCreditor
+	totalParts
+)
+
+// Ledger is all that was ever owed, by pair, in thousandths of units. It only grows.
 type Ledger map[Pair]uint64
 
-// ReadLedger adds the totals of the log up to a ledger. A count that several incarnations of a process told, as one that
-// took its ledger over from disk does, stands once, at the most that any of them told. Names that are not ours are
-// passed over.
+// ReadLedger sums the log's totals. A count that several incarnations of a process reported, as one that restored its
+// ledger does, stands once, at the highest that any of them reported. Names that are no debt counts are skipped.
 func ReadLedger(totals map[string]uint64) Ledger {
-	type count struct {
-		process, life string
-		pair          Pair
+	type source struct {
+		process, ledgerID string
+		pair              Pair
 	}
-	counts := map[count]uint64{}
+	counts := map[source]uint64{}
 	for name, sum := range totals {
-		// process, incarnation, then the count's own name
-		if p := observation.SplitName(name); len(p) == 6 && p[2] == debtPrefix && p[4] != p[5] {
-			c := count{p[0], p[3], Pair{p[4], p[5]}}
-			counts[c] = max(counts[c], sum)
+		parts := observation.SplitName(name)
+		if len(parts) != totalParts || parts[totalPrefix] != debtPrefix || parts[totalDebtor] == parts[totalCreditor] {
+			continue
 		}
+		s := source{parts[totalProcess], parts[totalLedgerID], Pair{parts[totalDebtor], parts[totalCreditor]}}
+		counts[s] = max(counts[s], sum)
 	}
 	ledger := Ledger{}
-	for c, sum := range counts {
-		ledger[c.pair] += sum
+	for s, sum := range counts {
+		ledger[s.pair] += sum
 	}
 	return ledger
 }
 
-// NetDebts nets the debts of each pair out: what a pair's debtor still owes, less what was forgiven, in the order of the
+// NetDebts nets both directions of each pair, less what was forgiven: what each debtor still owes, in the order of the
 // names. Pairs that are even are left out.
-func (ledger Ledger) NetDebts(forgiven []Amount) []Amount {
-	balances := map[Pair]int64{} // by pair, the names in order: what the first owes the second; below 0 the other way round
+func (l Ledger) NetDebts(forgiven []Amount) []Amount {
+	// By pair with its names in order: what the first owes the second, negative the other way round.
+	balances := map[Pair]int64{}
 	add := func(pair Pair, sum int64) {
 		if pair.Debtor > pair.Creditor {
 			pair, sum = pair.reversed(), -sum
 		}
 		balances[pair] += sum
 	}
-	for pair, sum := range ledger {
+	for pair, sum := range l {
 		add(pair, int64(sum))
 	}
-	for _, f := range forgiven {
-		add(f.Pair, -int64(f.Sum))
+	for _, amount := range forgiven {
+		add(amount.Pair, -int64(amount.Sum))
 	}
 	var netDebts []Amount
 	for pair, sum := range balances {
@@ -98,21 +111,23 @@
 	return netDebts
 }
 
-// Balances are what each partner is owed less what it owes, by name, in thousandths of units: they sum to zero.
+// Balances returns, by partner, what it is owed less what it owes, in thousandths of units. They sum to zero.
 func Balances(netDebts []Amount) map[string]int64 {
-	all := map[string]int64{}
-	for _, n := range netDebts {
-		all[n.Debtor] -= int64(n.Sum)
-		all[n.Creditor] += int64(n.Sum)
+	balances := map[string]int64{}
+	for _, debt := range netDebts {
+		balances[debt.Debtor] -= int64(debt.Sum)
+		balances[debt.Creditor] += int64(debt.Sum)
 	}
-	return all
+	return balances
 }
 
-// PartnerNames are all that stand in the ledger, in order.
-func (ledger Ledger) PartnerNames() []string {
-	all := map[string]bool{}
-	for pair := range ledger {
-		all[pair.Debtor], all[pair.Creditor] = true, true
+// maxUnits bounds one amount, so that its thousandths fit into an integer.
+const maxUnits = 1e12
+
+// Thousandths converts units to thousandths, rounded to the nearest. What is no positive finite number gives 0.
+func Thousandths(units float64) uint64 {
+	if !(units > 0) || math.IsInf(units, 1) {
+		return 0
 	}
-	return slices.Sorted(maps.Keys(all))
+	return uint64(math.Round(min(units, maxUnits) * 1000))
 }
--- a/internal/settlement/ledger_test.go
+++ b/internal/settlement/ledger_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// ledgerTotalName is a name in the log: process, incarnation and the count's own name.
+// ledgerTotalName returns the name of a total in the log: process, incarnation and the count's own name.
 func ledgerTotalName(process, incarnation, ledgerID, debtor, creditor string) string {
 	return observation.JoinName(process, incarnation, DebtCountName(ledgerID, Pair{debtor, creditor}))
 }
@@ -19,38 +19,13 @@
 // Digests come in any order, more than once, of any incarnation, to any leader: the ledger is what was owed, and the
 // balances sum to zero whatever was forgiven.
 func TestReadLedger_isExactForAnyDeliveryOrder(t *testing.T) {
-	names := []string{"a", "b", "c", "left"}
 	rapid.Check(t, func(t *rapid.T) {
 		state := statemachine.New()
-		want := Ledger{}
-		var told []map[string]uint64
-		for process := range rapid.IntRange(1, 3).Draw(t, "processes") {
-			disk := rapid.Bool().Draw(t, "disk")
-			owed := map[string]uint64{}
-			for incarnation := range rapid.IntRange(1, 3).Draw(t, "lives") {
-				ledgerID := fmt.Sprint(incarnation)
-				if disk {
-					ledgerID = "kept"
-				} else {
-					clear(owed)
-				}
-				for range rapid.IntRange(1, 4).Draw(t, "digests") {
-					i, k := rapid.IntRange(0, 3).Draw(t, "debtor"), rapid.IntRange(1, 3).Draw(t, "creditor")
-					pair := Pair{names[i], names[(i+k)%4]}
-					n := rapid.Uint64Range(0, 1e9).Draw(t, "owed")
-					want[pair] += n
-					owed[DebtCountName(ledgerID, pair)] += n
-					d := map[string]uint64{}
-					for name, sum := range owed {
-						d[observation.JoinName(fmt.Sprint("g", process), fmt.Sprint(incarnation), name)] = sum
-					}
-					told = append(told, d)
-				}
-			}
-		}
-		told = append(told, rapid.SliceOf(rapid.SampledFrom(told)).Draw(t, "doubled")...)
-		for i, d := range rapid.Permutation(told).Draw(t, "order") {
-			state.Apply(uint64(i+1), statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: d})
+		want, digests := drawDigests(t)
+		digests = append(digests, rapid.SliceOf(rapid.SampledFrom(digests)).Draw(t, "duplicates")...)
+		for i, digest := range rapid.Permutation(digests).Draw(t, "order") {
+			state.Apply(uint64(i+1),
+				statemachine.Command{Kind: statemachine.RaiseTotals, Table: ExactTable, Totals: digest})
 			sum := int64(0)
 			for _, b := range Balances(ReadLedger(state.Totals(ExactTable)).NetDebts([]Amount{{Pair{"a", "left"}, 5}})) {
 				sum += b
@@ -63,51 +38,97 @@
 		maps.DeleteFunc(want, func(_ Pair, n uint64) bool { return n == 0 })
 		maps.DeleteFunc(got, func(_ Pair, n uint64) bool { return n == 0 })
 		if !maps.Equal(got, want) {
-			t.Fatalf("ledger %v, truly %v", got, want)
+			t.Fatalf("ledger %v, want %v", got, want)
 		}
 	})
 }
 
+// drawDigests draws what some processes count over some incarnations, with a stored ledger or without, as totals of the
+// log by digest. It returns what is owed in all beside them.
+func drawDigests(t *rapid.T) (want Ledger, digests []map[string]uint64) {
+	names := []string{"a", "b", "c", "left"}
+	want = Ledger{}
+	for process := range rapid.IntRange(1, 3).Draw(t, "processes") {
+		isStored := rapid.Bool().Draw(t, "stored")
+		counts := map[string]uint64{}
+		for incarnation := range rapid.IntRange(1, 3).Draw(t, "incarnations") {
+			ledgerID := fmt.Sprint(incarnation)
+			if isStored {
+				ledgerID = "stored"
+			} else {
+				clear(counts)
+			}
+			for range rapid.IntRange(1, 4).Draw(t, "digests") {
+				i, k := rapid.IntRange(0, 3).Draw(t, "debtor"), rapid.IntRange(1, 3).Draw(t, "creditor")
+				pair := Pair{names[i], names[(i+k)%4]}
+				n := rapid.Uint64Range(0, 1e9).Draw(t, "added")
+				want[pair] += n
+				counts[DebtCountName(ledgerID, pair)] += n
+				digest := map[string]uint64{}
+				for name, sum := range counts {
+					digest[observation.JoinName(fmt.Sprint("g", process), fmt.Sprint(incarnation), name)] = sum
+				}
+				digests = append(digests, digest)
+			}
+		}
+	}
+	return want, digests
+}
+
 func TestLedger_NetDebtsOffsetsBothDirections(t *testing.T) {
-	ledger := ReadLedger(map[string]uint64{ledgerTotalName("g1", "1", "x", "a", "b"): 700, ledgerTotalName("g2", "1", "y", "b", "a"): 200,
-		ledgerTotalName("g1", "2", "x", "a", "b"): 900, ledgerTotalName("g1", "1", "x", "c", "gone"): 50, ledgerTotalName("g1", "1", "x", "c", "c"): 7,
-		observation.JoinName("g1", "1", "another part's"): 9})
-	netDebts := ledger.NetDebts([]Amount{{Pair{"c", "gone"}, 10}})
-	if want := []Amount{{Pair{"a", "b"}, 700}, {Pair{"c", "gone"}, 40}}; !slices.Equal(netDebts, want) {
-		t.Errorf("%v, want %v", netDebts, want)
+	ledger := ReadLedger(map[string]uint64{
+		ledgerTotalName("g1", "1", "x", "a", "b"):         700,
+		ledgerTotalName("g2", "1", "y", "b", "a"):         200,
+		ledgerTotalName("g1", "2", "x", "a", "b"):         900,
+		ledgerTotalName("g1", "1", "x", "c", "gone"):      50,
+		ledgerTotalName("g1", "1", "x", "c", "c"):         7,
+		observation.JoinName("g1", "1", "another part's"): 9,
+	})
+	got := ledger.NetDebts([]Amount{{Pair{"c", "gone"}, 10}})
+	if want := []Amount{{Pair{"a", "b"}, 700}, {Pair{"c", "gone"}, 40}}; !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
 	}
-	if got := ledger.PartnerNames(); !slices.Equal(got, []string{"a", "b", "c", "gone"}) {
+	if got := partnerNames(ledger); !slices.Equal(got, []string{"a", "b", "c", "gone"}) {
 		t.Errorf("names %v", got)
 	}
 }
 
-// What is paid off is the oldest; what is too old is forgiven and said, once, also where the partner has left.
+// partnerNames returns all names in a ledger, in order.
+func partnerNames(ledger Ledger) []string {
+	names := map[string]bool{}
+	for pair := range ledger {
+		names[pair.Debtor], names[pair.Creditor] = true, true
+	}
+	return slices.Sorted(maps.Keys(names))
+}
+
+// Payments reduce the oldest lots; what is too old is forgiven and logged once, also where the partner has left.
 func TestState_oldDebtsAreForgivenOnce(t *testing.T) {
 	terms := DefaultTerms()
 	terms.ForgiveAfter = 1000
-	none := 0.0
-	terms.Rules = []PairRule{{Between: []string{"a", "c"}, ForgiveAfter: &none}}
+	never := 0.0
+	terms.Rules = []PairRule{{Between: []string{"a", "c"}, ForgiveAfter: &never}}
 	state, ledger := State{}, Ledger{}
-	for s := range uint64(2400) {
-		state.Clock = s * 1000
-		switch s {
+	for second := range uint64(2400) {
+		state.Clock = second * 1000
+		switch second {
 		case 100:
 			ledger[Pair{"a", "b"}], ledger[Pair{"a", "c"}] = 500, 500
 		case 600:
 			ledger[Pair{"a", "b"}] += 300
 		case 900:
-			ledger[Pair{"b", "a"}] += 200 // the oldest 200 are paid
+			ledger[Pair{"b", "a"}] += 200 // pays the oldest 200
 		}
 		state.ageDebts(ledger.NetDebts(state.Forgiven), terms)
 	}
-	var said []string
+	var logged []string
 	for _, e := range state.ForgivenessLog {
-		said = append(said, fmt.Sprintf("%d: %s-%s %d after %d", e.Number, e.Debtor, e.Creditor, e.Sum, e.Age/1000))
+		logged = append(logged, fmt.Sprintf("%d: %s-%s %d after %d", e.Number, e.Debtor, e.Creditor, e.Sum, e.Age/1000))
 	}
-	if want := []string{"1: a-b 300 after 1000", "2: a-b 300 after 1000"}; !slices.Equal(said, want) {
-		t.Errorf("said %q", said)
+	if want := []string{"1: a-b 300 after 1000", "2: a-b 300 after 1000"}; !slices.Equal(logged, want) {
+		t.Errorf("forgiveness log %q, want %q", logged, want)
 	}
-	if netDebts := ledger.NetDebts(state.Forgiven); !slices.Equal(netDebts, []Amount{{Pair{"a", "c"}, 500}}) {
-		t.Errorf("open %v", netDebts)
+	if got := ledger.NetDebts(state.Forgiven); !slices.Equal(got, []Amount{{Pair{"a", "c"}, 500}}) {
+		t.Errorf("net debts %v", got)
 	}
 }
--- a/internal/settlement/runtime/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -20,7 +20,8 @@
 // closed once all is on disk. Halls are the names in the order of the settings. Without a folder nothing is kept on
 // disk. The till is for other terms later (Reshape). Errors: a folder that cannot be used, or is another process's.
 func Start(ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
-	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*account.Accounts, <-chan struct{}, error) {
+	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
+) (*account.Accounts, <-chan struct{}, error) {
 	var store account.Store
 	closeStore := func() error { return nil }
 	if folder != "" {
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -33,9 +33,11 @@
 	terms := settlement.DefaultTerms()
 	terms.On = true
 	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}}}
-	settings := policy.Settings{Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
+	settings := policy.Settings{
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: time.Second}},
-		Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}}}
+		Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}},
+	}
 	folder := t.TempDir()
 	run := func(do func(*dispatch.Dispatcher)) {
 		dispatcher, err := dispatch.New(settings, 7, dispatch.Dependencies{}, zap.NewNop())
--- a/internal/settlement/shares.go
+++ b/internal/settlement/shares.go
@@ -1,21 +1,26 @@
 package settlement
 
 import (
-	"time"
-
 	"slices"
+	"time"
 
 	"harrierhoist/internal/coordination"
 )
 
-// setShares works out the shares. A debtor's servers take tasks of its creditor: each is then owed by the creditor, and the
-// net debt falls by it. That it fell is seen in the totals alone.
+const (
+	maxEpisodeMillis = 300_000          // a settlement rests after that, to see anew how partners are served without it
+	restMillis       = 15_000           // of such a rest: the settlement's tail, and some seconds to see
+	maxBaselineWait  = 30 * time.Second // that a start waits for partners of which too little was seen
+	startDebtFactor  = 2                // a debt starts to be settled at so many times MinDebt, and ends at MinDebt
+)
+
+// setShares works out the shares. A debtor's servers take requests of its creditor: the creditor then owes for each, and
+// the net debt falls by it. That it fell shows in the totals alone.
 func (c *Controller) setShares(now time.Duration, excluded map[string]bool, current State, next *State) {
 	starting := len(current.Shares) == 0
-	if len(c.samples) <= minRateSamples {
-		next.Shares = current.Shares // a new leader has no rates yet
-		if starting {
-			next.Shares = nil
+	if len(c.samples) <= minRateSamples { // a new leader has no rates yet: what is in force goes on, nothing starts
+		if !starting {
+			next.Shares = current.Shares
 		}
 		return
 	}
@@ -29,121 +34,148 @@
 	if starting {
 		c.recordBaseline(next)
 	}
+	found := c.findCandidates(excluded, current, next)
+	if len(found.pairs) == 0 ||
+		starting && found.sampleTooSmall && now < c.lastSettlingAt+settlementTail+maxBaselineWait {
+		return
+	}
+	next.Shares = c.divide(found)
+	if starting && len(next.Shares) > 0 {
+		next.StartedAt = next.Clock
+	}
+}
+
+// candidates are the pairs whose debts may be settled now.
+type candidates struct {
+	pairs          []Pair
+	flows          []Flow             // by pair
+	creditorRates  map[string]float64 // thousandths of units per second that a creditor has to move
+	sampleTooSmall bool               // too little was seen of a partner that would be one
+}
+
+func (c *Controller) findCandidates(excluded map[string]bool, current State, next *State) candidates {
+	found := candidates{creditorRates: map[string]float64{}}
 	weights := c.terms.creditorWeights()
-	var pairs []Pair
-	var flows []Flow
-	sampleTooSmall := false       // too little was seen of a partner that may have a part
-	rates := map[string]float64{} // units a second that a creditor has to move
-	for _, n := range next.Nets {
-		settle, maxShare, _ := c.terms.pairTerms(n.Debtor, n.Creditor)
-		least := c.terms.MinDebt * 1000
-		if current.sharePPM(n.Pair) == 0 {
-			least *= 2 // so that it does not begin and end in turn
+	for _, debt := range next.NetDebts {
+		settle, maxShare, _ := c.terms.pairTerms(debt.Debtor, debt.Creditor)
+		minDebt := c.terms.MinDebt * 1000
+		if current.sharePPM(debt.Pair) == 0 {
+			minDebt *= startDebtFactor // so that it does not start and end in turn
 		}
-		debtor, creditor := next.partnerState(n.Debtor), next.partnerState(n.Creditor)
-		if !settle || weights[n.Debtor] == 0 || weights[n.Creditor] == 0 || float64(n.Sum) < least ||
-			excluded[n.Debtor] || excluded[n.Creditor] || next.Clock < max(debtor.HoldUntil, creditor.HoldUntil) {
+		debtor, creditor := next.partnerState(debt.Debtor), next.partnerState(debt.Creditor)
+		if !settle || weights[debt.Debtor] == 0 || weights[debt.Creditor] == 0 || float64(debt.Sum) < minDebt ||
+			excluded[debt.Debtor] || excluded[debt.Creditor] || next.Clock < max(debtor.HoldUntil, creditor.HoldUntil) {
 			continue
 		}
-		sampleTooSmall = sampleTooSmall || min(debtor.Requests, creditor.Requests) < minBaselineRequests
+		found.sampleTooSmall = found.sampleTooSmall || min(debtor.Requests, creditor.Requests) < minBaselineRequests
 		if !c.isEligible(debtor) || !c.isEligible(creditor) {
 			continue
 		}
-		units := c.rate(MetricIdempotentUnits, n.Creditor)
-		rates[n.Creditor] = units
+		rate := c.rate(MetricIdempotentUnits, debt.Creditor)
+		found.creditorRates[debt.Creditor] = rate
 		pace := float64(min(debtor.Pace, creditor.Pace)) / PartsPerMillion
-		want := min(float64(n.Sum)/c.terms.SettleTimeConstant, maxShare*units) * pace
-		pairs, flows = append(pairs, n.Pair), append(flows, Flow{want, weights[n.Creditor]})
-	}
-	if len(flows) == 0 || starting && sampleTooSmall && now < c.lastSettlingAt+settlementTail+maxBaselineWait {
-		return
-	}
-	for i, x := range MaxMinFair(flows, c.flowLimits(pairs, rates)) {
-		if units := rates[pairs[i].Creditor]; units > 0 {
-			if part := uint64(x / units * PartsPerMillion); part > 0 {
-				next.Shares = append(next.Shares, Share{pairs[i], part})
-			}
-		}
-	}
-	if starting && len(next.Shares) > 0 {
-		next.StartedAt = next.Clock
+		demand := min(float64(debt.Sum)/c.terms.SettleTimeConstant, maxShare*rate) * pace
+		found.pairs = append(found.pairs, debt.Pair)
+		found.flows = append(found.flows, Flow{demand, weights[debt.Creditor]})
 	}
+	return found
 }
 
-// isEligible tells whether a partner may have a part: it was seen to be served well without a settlement.
-func (c *Controller) isEligible(status PartnerState) bool {
-	return status.Requests >= minBaselineRequests && status.Late <= (1-c.terms.MinOnTimeFraction)*status.Requests
+// isEligible reports whether a partner may take part: it was seen to be served well without a settlement.
+func (c *Controller) isEligible(partner PartnerState) bool {
+	return partner.Requests >= minBaselineRequests && partner.Late <= (1-c.terms.MinOnTimeFraction)*partner.Requests
 }
 
-// recordBaseline takes down how partners fare without a settlement. A leader that has seen too little begins none.
+// recordBaseline stores how partners are served without a settlement. A leader that has seen too little starts none.
 func (c *Controller) recordBaseline(next *State) {
 	for _, p := range c.terms.Partners {
-		status := next.partnerState(p.Name)
-		status.Requests, status.Late, status.Slow = 0, 0, 0
+		partner := next.partnerState(p.Name)
+		partner.Requests, partner.Late, partner.Slow = 0, 0, 0
 		if seen := c.baseline[p.Name]; seen != nil {
-			status.Requests, status.Late, status.Slow = seen.requests, seen.late, seen.slow
+			partner.Requests, partner.Late, partner.Slow = seen.requests, seen.late, seen.slow
 		}
-		next.setPartnerState(status)
+		next.setPartnerState(partner)
 	}
 }
 
-// excludedPartners gives the partners that failover needs whole: one of their halls is out, or has too little left.
-func (c *Controller) excludedPartners(seen coordination.ControllerInput) map[string]bool {
-	all := map[string]bool{}
+// excludedPartners returns the partners whose zones failover needs: one of them is failing over, or has too little
+// headroom.
+func (c *Controller) excludedPartners(input coordination.ControllerInput) map[string]bool {
+	excluded := map[string]bool{}
 	if c.zoneStatus == nil {
-		return all
+		return excluded
 	}
-	statuses := c.zoneStatus(seen)
+	statuses := c.zoneStatus(input)
 	for _, p := range c.terms.Partners {
 		if slices.ContainsFunc(p.Zones, func(name string) bool {
-			h, known := statuses[name]
-			return known && (h.FailingOver || h.Headroom >= 0 && h.Headroom < c.terms.MinHeadroom)
+			zone, known := statuses[name]
+			return known && (zone.FailingOver || zone.Headroom >= 0 && zone.Headroom < c.terms.MinHeadroom)
 		}) {
-			all[p.Name] = true
+			excluded[p.Name] = true
 		}
 	}
-	return all
+	return excluded
 }
 
-// flowLimits are what the flows of the pairs share, in thousandths of units a second: what a debtor's halls lend, what a
-// creditor's tasks bear, and the pushes between halls.
-func (c *Controller) flowLimits(pairs []Pair, rates map[string]float64) []Limit {
-	betweenZones := Limit{Capacity: c.terms.MaxMovedRate, UsePerFlow: make([]float64, len(pairs))}
-	lending, borrowing := map[string]*Limit{}, map[string]*Limit{}
-	var all []Limit
+// divide returns the candidates' fair shares; those that round to nothing are left out.
+func (c *Controller) divide(found candidates) (shares []Share) {
+	for i, rate := range MaxMinFair(found.flows, c.flowLimits(found)) {
+		if creditorRate := found.creditorRates[found.pairs[i].Creditor]; creditorRate > 0 {
+			if ppm := uint64(rate / creditorRate * PartsPerMillion); ppm > 0 {
+				shares = append(shares, Share{found.pairs[i], ppm})
+			}
+		}
+	}
+	return shares
+}
+
+// flowLimits returns what the flows share, in thousandths of units per second: what each debtor's zones lend, and what
+// each creditor may move; and, in attempts per second, what moves between zones in all.
+func (c *Controller) flowLimits(found candidates) []Limit {
+	limitOf := func(capacity float64) *Limit { return &Limit{capacity, make([]float64, len(found.pairs))} }
+	betweenZones := limitOf(c.terms.MaxMovedRate)
+	lending, moving := map[string]*Limit{}, map[string]*Limit{}
 	for _, p := range c.terms.Partners {
-		lending[p.Name] = &Limit{c.terms.MaxLendFraction * c.rate(MetricServedUnits, p.Name), make([]float64, len(pairs))}
-		borrowing[p.Name] = &Limit{c.terms.MaxShare * rates[p.Name], make([]float64, len(pairs))}
+		lending[p.Name] = limitOf(c.terms.MaxLendFraction * c.rate(MetricServedUnits, p.Name))
+		moving[p.Name] = limitOf(c.terms.MaxShare * found.creditorRates[p.Name])
 	}
-	for i, pair := range pairs {
-		if units := rates[pair.Creditor]; units > 0 {
-			betweenZones.UsePerFlow[i] = c.rate(MetricIdempotentRequests, pair.Creditor) / units
+	for i, pair := range found.pairs {
+		if rate := found.creditorRates[pair.Creditor]; rate > 0 {
+			betweenZones.UsePerFlow[i] = c.rate(MetricIdempotentRequests, pair.Creditor) / rate
 		}
-		lending[pair.Debtor].UsePerFlow[i], borrowing[pair.Creditor].UsePerFlow[i] = 1, 1
+		lending[pair.Debtor].UsePerFlow[i], moving[pair.Creditor].UsePerFlow[i] = 1, 1
 	}
+	var limits []Limit
 	for _, p := range c.terms.Partners {
-		all = append(all, *lending[p.Name], *borrowing[p.Name])
+		limits = append(limits, *lending[p.Name], *moving[p.Name])
 	}
-	return append(all, betweenZones)
+	return append(limits, *betweenZones)
 }
 
-// ZoneStatusOfPlan tells from a plan of failover which halls are to be left alone: those that it moves tasks from or to, and
-// those of which not all that is listed answers. Rows are shares by the hall that tasks come in at and the hall they
-// are pushed to; sound is by hall the part that answers; both are in thousandths. What is left is not known by it.
+// Thousandths in a plan of failover.
+const (
+	allRequests     = 1000
+	minHealthyShare = 900
+)
+
+// ZoneStatusOfPlan returns the zones that a plan of failover needs: those that it moves requests from or to, and those
+// of which too few servers answer. Routes are shares by the zone that requests come in at and the zone that they are
+// attempted in; healthy is the share of a zone's listed servers that answers; both in thousandths. A plan tells no
+// headroom.
 func ZoneStatusOfPlan(routes map[string]map[string]int, healthy map[string]int) map[string]ZoneStatus {
-	const whole, answers = 1000, 900
-	all := map[string]ZoneStatus{}
-	for from, row := range routes {
-		for to, share := range row {
-			if to == from && share < whole || to != from && share > 0 {
-				all[from], all[to] = ZoneStatus{true, -1}, ZoneStatus{true, -1}
+	needed := ZoneStatus{FailingOver: true, Headroom: -1}
+	statuses := map[string]ZoneStatus{}
+	for origin, shares := range routes {
+		for target, share := range shares {
+			if target == origin && share < allRequests || target != origin && share > 0 {
+				statuses[origin], statuses[target] = needed, needed
 			}
 		}
 	}
-	for hall, part := range healthy {
-		if part < answers {
-			all[hall] = ZoneStatus{true, -1}
+	for zone, share := range healthy {
+		if share < minHealthyShare {
+			statuses[zone] = needed
 		}
 	}
-	return all
+	return statuses
 }
--- a/internal/settlement/shares_test.go
+++ b/internal/settlement/shares_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is owed, whoever leads: shares stay within what the terms allow, none goes against the net debt, and the
-// same events give the same bytes.
+// Whatever is owed and whoever leads: shares stay within the terms, none goes against the net debt, and the same events
+// give the same state.
 func TestController_sharesStayWithinTerms(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		terms := testTerms()
@@ -20,11 +20,11 @@
 		one, two := newControllerFixture(terms), newControllerFixture(terms)
 		for range rapid.IntRange(1, 5).Draw(r, "steps") {
 			i, k := rapid.IntRange(0, 2).Draw(r, "debtor"), rapid.IntRange(1, 2).Draw(r, "creditor")
-			sum, lead := rapid.SampledFrom([]uint64{0, 3, 900, 1e6}).Draw(r, "owed"), rapid.Bool().Draw(r, "lead")
+			sum, changeLeader := rapid.SampledFrom([]uint64{0, 3, 900, 1e6}).Draw(r, "owed"), rapid.Bool().Draw(r, "lead")
 			seconds := rapid.IntRange(1, 50).Draw(r, "seconds")
 			for _, f := range []*controllerFixture{one, two} {
 				f.addDebt(terms.Partners[i].Name, terms.Partners[(i+k)%3].Name, sum)
-				if lead {
+				if changeLeader {
 					f.changeLeader(terms)
 				}
 				f.advance(seconds)
@@ -33,32 +33,40 @@
 			if fmt.Sprint(state) != fmt.Sprint(two.storedState()) {
 				r.Fatalf("%v and %v", state, two.storedState())
 			}
-			moved, lent, borne := 0.0, map[string]float64{}, map[string]float64{}
-			for _, x := range state.Shares {
-				lateFraction := float64(x.PPM) / PartsPerMillion
-				moved, lent[x.Debtor], borne[x.Creditor] = moved+lateFraction*500, lent[x.Debtor]+lateFraction*600, borne[x.Creditor]+lateFraction
-				if !slices.ContainsFunc(state.Nets, func(n Amount) bool { return n.Pair == x.Pair && n.Sum > 0 }) {
-					r.Fatalf("%v, though %v is owed", x, state.Nets)
-				}
-			}
-			for name := range lent {
-				if lent[name] > terms.MaxLendFraction*1000*1.001 {
-					r.Fatalf("%s lends %v", name, lent[name])
-				}
-			}
-			for name := range borne {
-				if borne[name] > terms.MaxShare*1.001 {
-					r.Fatalf("%v of %s's tasks are moved", borne[name], name)
-				}
-			}
-			if moved > terms.MaxMovedRate*1.001 {
-				r.Fatalf("%v pushes a second", moved)
-			}
+			checkShares(r, state, terms)
 		}
 	})
 }
 
-// A debtor's halls lend 300 units a second; two creditors want 300 each, and one weighs twice the other's.
+// checkShares fails where shares exceed what the terms allow or go against the net debts. Rates are the fixture's.
+func checkShares(r *rapid.T, state State, terms Terms) {
+	const rounding = 1.001
+	moved, lent, shared := 0.0, map[string]float64{}, map[string]float64{}
+	for _, share := range state.Shares {
+		fraction := float64(share.PPM) / PartsPerMillion
+		moved += fraction * 500
+		lent[share.Debtor] += fraction * 600
+		shared[share.Creditor] += fraction
+		if !slices.ContainsFunc(state.NetDebts, func(a Amount) bool { return a.Pair == share.Pair && a.Sum > 0 }) {
+			r.Fatalf("share %v, though the debts are %v", share, state.NetDebts)
+		}
+	}
+	for name, units := range lent {
+		if units > terms.MaxLendFraction*1000*rounding {
+			r.Fatalf("%s lends %v", name, units)
+		}
+	}
+	for name, fraction := range shared {
+		if fraction > terms.MaxShare*rounding {
+			r.Fatalf("%v of %s's requests are moved", fraction, name)
+		}
+	}
+	if moved > terms.MaxMovedRate*rounding {
+		r.Fatalf("%v attempts per second are moved", moved)
+	}
+}
+
+// A debtor's zones lend 300 units per second; two creditors demand 300 each, and one has twice the other's weight.
 func TestController_dividesLendingByCreditorWeight(t *testing.T) {
 	terms := testTerms()
 	terms.Partners[1].Weight, terms.MaxMovedRate = 2, 1000
@@ -67,14 +75,14 @@
 	f.addDebt("a", "c", 900_000)
 	f.advance(60)
 	state := f.storedState()
-	lastValue, c := state.sharePPM(Pair{"a", "b"}), state.sharePPM(Pair{"a", "c"})
-	if lastValue < 333_000 || lastValue > 333_400 || c < 166_500 || c > 166_700 {
-		t.Errorf("shares %d and %d, want a third and a sixth", lastValue, c)
+	heavy, light := state.sharePPM(Pair{"a", "b"}), state.sharePPM(Pair{"a", "c"})
+	if heavy < 333_000 || heavy > 333_400 || light < 166_500 || light > 166_700 {
+		t.Errorf("shares %d and %d, want a third and a sixth", heavy, light)
 	}
-	terms.MaxMovedRate = 125 // of 250 pushes a second
+	terms.MaxMovedRate = 125 // of 250 attempts per second
 	f.changeLeader(terms)
 	f.advance(10)
 	if state = f.storedState(); state.sharePPM(Pair{"a", "b"}) > 166_700 {
-		t.Errorf("shares %+v with half of the pushes", state.Shares)
+		t.Errorf("shares %+v with half of the attempts", state.Shares)
 	}
 }
--- a/internal/settlement/simulation/coordination.go
+++ b/internal/settlement/simulation/coordination.go
@@ -62,8 +62,10 @@
 
 func (s *simulation) newDigest(g *gateway) observation.Digest {
 	g.serial++
-	digest := observation.Digest{Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(s.leadingSince),
-		Counts: map[string]uint64{}, Exact: map[string]uint64{}}
+	digest := observation.Digest{
+		Process: g.name, Incarnation: g.incarnation, Serial: g.serial, Session: uint64(s.leadingSince),
+		Counts: map[string]uint64{}, Exact: map[string]uint64{},
+	}
 	g.accounts.ReportMetrics(func(name string, n uint64) { digest.Counts[name] = n })
 	g.accounts.ReportDebts(func(name string, n uint64) { digest.Exact[name] = n })
 	return digest
@@ -130,8 +132,10 @@
 	}
 	entry := s.state.Table(settlement.TableName)
 	held := entry
-	value, write := s.controller.Decide(s.now, coordination.ControllerInput{Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
-		Table: func(string) statemachine.Table { return held }})
+	value, write := s.controller.Decide(s.now, coordination.ControllerInput{
+		Sums: s.observations.Sums(), Totals: s.totals, LeadingSince: s.leadingSince,
+		Table: func(string) statemachine.Table { return held },
+	})
 	if !write || s.MessageFaults && s.random.Float64() < 0.1 { // lost against another write, or with the leader
 		return
 	}
--- a/internal/settlement/simulation/golden_test.go
+++ b/internal/settlement/simulation/golden_test.go
@@ -25,13 +25,15 @@
 			"648210104c69df45188f1234d90cd6640081c372f82b7e2681a4b0d5a2d34562",
 			"9393a20f2d672312f77b9852be1ac5b515e5559576372555d901ad046e4bf059",
 		}},
-		{"faults with disks", func(scenario *Scenario) {
-			scenario.MessageFaults, scenario.GatewayCrashes, scenario.WithStores, scenario.AfterOutage = true, true, true, 120*time.Second
-		},
+		{
+			"faults with disks", func(scenario *Scenario) {
+				scenario.MessageFaults, scenario.GatewayCrashes, scenario.WithStores, scenario.AfterOutage = true, true, true, 120*time.Second
+			},
 			[2]string{
 				"fbde7f8d18b7724dd592ea65e2a6b842eb98ec8e31aca9bb52cc48ddeb55f00f",
 				"38ab41a39f8540b3ee8e568d4101f241da7b59bf78dd1202a4aa0a25b1e1b4a7",
-			}},
+			},
+		},
 		{"faults without disks, a slow hall", func(scenario *Scenario) {
 			scenario.MessageFaults, scenario.GatewayCrashes, scenario.AfterOutage, scenario.SlowFrom, scenario.Terms.ForgiveAfter = true, true, 120*time.Second, 100*time.Second, 60
 		}, [2]string{
--- a/internal/settlement/simulation/simulation.go
+++ b/internal/settlement/simulation/simulation.go
@@ -67,8 +67,10 @@
 
 // Run plays it.
 func Run(scenario Scenario) Result {
-	s := &simulation{Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: statemachine.New(), observations: observation.NewMerger(),
-		receivedTotals: map[string]uint64{}, trueDebts: map[settlement.Pair]uint64{}}
+	s := &simulation{
+		Scenario: &scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), state: statemachine.New(), observations: observation.NewMerger(),
+		receivedTotals: map[string]uint64{}, trueDebts: map[settlement.Pair]uint64{},
+	}
 	s.firstAttempts = [2][]int{make([]int, scenario.Partners), make([]int, scenario.Partners)}
 	s.result.SettledAfter = -1
 	for i := range scenario.Partners {
@@ -81,8 +83,10 @@
 		s.serverFreeAt = append(s.serverFreeAt, make([]time.Duration, servers))
 	}
 	s.settings.Plans = []string{"plan"}
-	s.settings.Classes = []policy.TrafficClass{{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.Idempotent},
-		{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.NonIdempotent}}
+	s.settings.Classes = []policy.TrafficClass{
+		{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.Idempotent},
+		{LatencyObjective: latencyObjective, Timeout: requestTimeout, Effect: policy.NonIdempotent},
+	}
 	for i := range scenario.Partners * scenario.GatewaysPerZone {
 		g := &gateway{name: fmt.Sprintf("g%d", i), zone: i % scenario.Partners, trackers: map[*account.RequestTracker]bool{}}
 		if scenario.WithStores {
--- a/internal/settlement/simulation/simulation_test.go
+++ b/internal/settlement/simulation/simulation_test.go
@@ -17,11 +17,15 @@
 	terms.On = true
 	for i := range 3 {
 		from := uint64(i+1) << 16
-		terms.Partners = append(terms.Partners, settlement.Partner{Name: string(rune('a' + i)),
-			Zones: []string{fmt.Sprintf("hall-%d", i)}, Customers: []string{fmt.Sprintf("%016x-%016x", from, from+0xffff)}})
+		terms.Partners = append(terms.Partners, settlement.Partner{
+			Name:  string(rune('a' + i)),
+			Zones: []string{fmt.Sprintf("hall-%d", i)}, Customers: []string{fmt.Sprintf("%016x-%016x", from, from+0xffff)},
+		})
+	}
+	return Scenario{
+		Seed: seed, Terms: terms, Partners: 3, GatewaysPerZone: 2, RequestRate: 100, IdempotentFraction: 0.6, ServersPerZone: 9,
+		BeforeOutage: 30 * time.Second, Outage: 60 * time.Second, AfterOutage: 240 * time.Second, WithController: true,
 	}
-	return Scenario{Seed: seed, Terms: terms, Partners: 3, GatewaysPerZone: 2, RequestRate: 100, IdempotentFraction: 0.6, ServersPerZone: 9,
-		BeforeOutage: 30 * time.Second, Outage: 60 * time.Second, AfterOutage: 240 * time.Second, WithController: true}
 }
 
 // A hall is lost for a minute; after it what its partner owes is settled, and nobody is served worse for it.
@@ -120,11 +124,16 @@
 		servers, weak int
 		blind         bool
 	}{
-		{"careful", 0.25, 0.2, 9, 0, false}, {"as it is", 0.5, 0.3, 9, 0, false}, {"eager", 0.9, 1, 9, 0, false},
-		{"as it is, 67 %", 0.5, 0.3, 6, 0, false}, {"as it is, 80 %", 0.5, 0.3, 5, 0, false},
-		{"debtor at 80 %", 0.5, 0.3, 9, 5, false}, {"blind", 0.5, 0.3, 9, 0, true},
+		{"careful", 0.25, 0.2, 9, 0, false},
+		{"as it is", 0.5, 0.3, 9, 0, false},
+		{"eager", 0.9, 1, 9, 0, false},
+		{"as it is, 67 %", 0.5, 0.3, 6, 0, false},
+		{"as it is, 80 %", 0.5, 0.3, 5, 0, false},
+		{"debtor at 80 %", 0.5, 0.3, 9, 5, false},
+		{"blind", 0.5, 0.3, 9, 0, true},
 		{"blind, debtor at 67 %", 0.5, 0.3, 9, 6, true},
-		{"blind, debtor at 80 %", 0.5, 0.3, 9, 5, true}, {"blind, 80 %", 0.5, 0.3, 5, 0, true},
+		{"blind, debtor at 80 %", 0.5, 0.3, 9, 5, true},
+		{"blind, 80 %", 0.5, 0.3, 5, 0, true},
 	} {
 		var settled time.Duration
 		never, moved, most, lost := 0, 0, 0, 0.0
--- a/internal/settlement/state.go
+++ b/internal/settlement/state.go
@@ -7,115 +7,117 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TableName is the name of the table that the decider writes.
+// TableName is the replicated table that holds the State. It is stored and sent: it never changes.
 const TableName = "debts"
 
-// PartsPerMillion is the whole of a Share's Part and of a Standing's Pace.
+// PartsPerMillion is the whole of which a Share's PPM and a partner's Pace are parts.
 const PartsPerMillion = 1_000_000
 
-// Share is the part of a creditor's elective pushes that go to a debtor's servers.
+// maxForgivenessLog is how many entries are kept, for gateways that were down for a while.
+const maxForgivenessLog = 32
+
+// Share is the part of a creditor's first attempts of idempotent requests that go to a debtor's servers.
 type Share struct {
 	Pair
-	PPM uint64 `cbor:"3,keyasint"` // of Whole
+	PPM uint64 `cbor:"3,keyasint"`
 }
 
-// Lot is a part of a net debt that came at one time, in thousandths of units.
+// Lot is a part of a net debt that arose at one time.
 type Lot struct {
 	Amount
-	Since uint64 `cbor:"4,keyasint"` // on the clock of the table
+	Since uint64 `cbor:"4,keyasint"` // on State.Clock
 }
 
-// Forgiveness says that a debt was forgiven for its age.
+// Forgiveness records that a debt was forgiven for its age.
 type Forgiveness struct {
 	Amount
-	Number uint64 `cbor:"4,keyasint"` // from 1, of all ever
+	Number uint64 `cbor:"4,keyasint"` // from 1, over all that were ever forgiven
 	Age    uint64 `cbor:"5,keyasint"` // ms
 }
 
-// PartnerState is what is known of a partner while its debts are settled.
+// PartnerState is what is known of a partner while its debts are settled. Its requests are counts that fade, and so no
+// whole numbers.
 type PartnerState struct {
 	Partner   string  `cbor:"1,keyasint"`
-	Pace      uint64  `cbor:"2,keyasint"` // of Whole: how fast what it has a part in may be settled
-	HoldUntil uint64  `cbor:"3,keyasint"` // until when it has no part in any settlement, on the clock of the table
+	Pace      uint64  `cbor:"2,keyasint"` // ppm of the full rate at which its pairs may be settled
+	HoldUntil uint64  `cbor:"3,keyasint"` // on State.Clock: none of its pairs is settled before
 	Requests  float64 `cbor:"4,keyasint"` // seen before the settlement began
 	Late      float64 `cbor:"5,keyasint"` // of these, late or without an answer
-	Slow      float64 `cbor:"6,keyasint"` // of these, over half of their soft limit
-	MaxPace   uint64  `cbor:"7,keyasint"` // of Whole: bound of the pace since it did harm; 0: none
+	Slow      float64 `cbor:"6,keyasint"` // of these, slower than half of their latency objective
+	MaxPace   uint64  `cbor:"7,keyasint"` // ppm: bound of the pace since it did harm; 0 means none
 }
 
-// State is what the table holds: all that a new leader must know. What is owed is not in it but for show: that is read
-// from the log's totals each time, so that nothing can be settled twice.
+// State is the value of the replicated table: all that a new leader must know. Debts stand in it for show and for their
+// age only. What is owed is read from the log's totals each time, so that nothing can be settled twice.
 type State struct {
-	// Clock is for how many ms all leaders together have led, as far as they wrote it: another process's monotonic clock
+	// Clock is how long all leaders together have led, in ms, as far as they wrote it: another process's monotonic clock
 	// means nothing here, and a wall clock steps.
 	Clock          uint64         `cbor:"1,keyasint"`
 	Shares         []Share        `cbor:"2,keyasint"`
-	Nets           []Amount       `cbor:"3,keyasint"` // as they stood; also of partners that have left
-	Lots           []Lot          `cbor:"4,keyasint"`
-	Forgiven       []Amount       `cbor:"5,keyasint"` // all ever
-	ForgivenessLog []Forgiveness  `cbor:"6,keyasint"` // the latest saidMost
-	Partners       []PartnerState `cbor:"7,keyasint"`
-	StartedAt      uint64         `cbor:"8,keyasint"` // when shares were last begun
-	RestUntil      uint64         `cbor:"9,keyasint"` // until when nothing is begun
+	NetDebts       []Amount       `cbor:"3,keyasint"` // when the state was written; of partners that have left too
+	Lots           []Lot          `cbor:"4,keyasint"` // by age, the oldest first
+	Forgiven       []Amount       `cbor:"5,keyasint"` // in all
+	ForgivenessLog []Forgiveness  `cbor:"6,keyasint"` // the latest maxForgivenessLog
+	Partners       []PartnerState `cbor:"7,keyasint"` // by name
+	StartedAt      uint64         `cbor:"8,keyasint"` // on Clock: when a settlement last started
+	RestUntil      uint64         `cbor:"9,keyasint"` // on Clock: no settlement starts before
 }
 
-const maxForgivenessLog = 32 // entries of forgiveness kept for processes that were away for a while
-
 var canonicalEncoding = func() cbor.EncMode {
-	m, err := cbor.CanonicalEncOptions().EncMode()
+	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the library's own options
 	}
-	return m
+	return mode
 }()
 
-// Encode gives the value as bytes: the same value, the same bytes.
-func (state State) Encode() ([]byte, error) { return canonicalEncoding.Marshal(state) }
+// Encode returns the state as stored: equal states give equal bytes.
+func (s State) Encode() ([]byte, error) { return canonicalEncoding.Marshal(s) }
 
-// DecodeState reads a value; none at all is one in which nothing stands.
-func DecodeState(encoded []byte) (state State, err error) {
+// DecodeState reads a stored state; no bytes at all are an empty one. Its error is that of the decoder.
+func DecodeState(encoded []byte) (s State, err error) {
 	if len(encoded) == 0 {
-		return state, nil
+		return s, nil
 	}
-	err = cbor.Unmarshal(encoded, &state)
-	return state, err
+	err = cbor.Unmarshal(encoded, &s)
+	return s, err
 }
 
-// partnerState is a partner's, as it is at first where the value has none.
-func (state State) partnerState(partner string) PartnerState {
-	for _, status := range state.Partners {
-		if status.Partner == partner {
-			return status
+// partnerState returns a partner's state; one that is not there yet has its initial pace.
+func (s State) partnerState(name string) PartnerState {
+	for _, p := range s.Partners {
+		if p.Partner == name {
+			return p
 		}
 	}
-	return PartnerState{Partner: partner, Pace: initialPace}
+	return PartnerState{Partner: name, Pace: initialPace}
 }
 
-// setPartnerState puts a partner's standing in place, in the order of the names.
-func (state *State) setPartnerState(status PartnerState) {
-	i, found := slices.BinarySearchFunc(state.Partners, status.Partner, func(o PartnerState, name string) int {
-		return cmp.Compare(o.Partner, name)
+// setPartnerState replaces or inserts a partner's state, in the order of the names.
+func (s *State) setPartnerState(partner PartnerState) {
+	i, found := slices.BinarySearchFunc(s.Partners, partner.Partner, func(p PartnerState, name string) int {
+		return cmp.Compare(p.Partner, name)
 	})
 	if found {
-		state.Partners[i] = status
+		s.Partners[i] = partner
 	} else {
-		state.Partners = slices.Insert(state.Partners, i, status)
+		s.Partners = slices.Insert(s.Partners, i, partner)
 	}
 }
 
-// sharePPM is that of a pair; 0 where none stands.
-func (state State) sharePPM(pair Pair) uint64 {
-	for _, s := range state.Shares {
-		if s.Pair == pair {
-			return s.PPM
+// sharePPM returns a pair's share; 0 where it has none.
+func (s State) sharePPM(pair Pair) uint64 {
+	for _, share := range s.Shares {
+		if share.Pair == pair {
+			return share.PPM
 		}
 	}
 	return 0
 }
 
-// clone gives a value whose lists may be changed.
-func (state State) clone() State {
-	state.Lots, state.Forgiven, state.ForgivenessLog = slices.Clone(state.Lots), slices.Clone(state.Forgiven), slices.Clone(state.ForgivenessLog)
-	state.Partners = slices.Clone(state.Partners)
-	return state
+// clone returns a state whose lots, partners and forgiveness may be changed without changing s.
+func (s State) clone() State {
+	s.Lots, s.Forgiven = slices.Clone(s.Lots), slices.Clone(s.Forgiven)
+	s.ForgivenessLog, s.Partners = slices.Clone(s.ForgivenessLog), slices.Clone(s.Partners)
+	return s
 }
--- /dev/null
+++ b/internal/settlement/terms_check.go
@@ -0,0 +1,128 @@
+package settlement
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Check returns all that is wrong with the terms, one error for each, with its key and what is allowed there. Terms that
+// are off are not checked.
+func (t Terms) Check() []error {
+	if !t.On {
+		return nil
+	}
+	c := termsChecker{firstKeys: map[string]string{}}
+	c.checkLimits(t)
+	if n := len(t.Partners); n < 2 || n > maxPartners {
+		c.refuse("partner", fmt.Sprintf("from 2 to %d of them", maxPartners), n)
+	}
+	for i, p := range t.Partners {
+		c.checkPartner(fmt.Sprintf("partner.%d.", i), p)
+	}
+	c.checkCustomers(t)
+	for i, rule := range t.Rules {
+		c.checkRule(fmt.Sprintf("rule.%d.", i), rule)
+	}
+	return c.faults
+}
+
+// Kinds of names of which each may stand once in the file.
+const (
+	partnerKind = "name"
+	zoneKind    = "hall"
+	planKind    = "plan"
+	ruleKind    = "rule between"
+)
+
+// termsChecker collects what is wrong with terms.
+type termsChecker struct {
+	faults    []error
+	firstKeys map[string]string // by kind and name, the key at which the name stood first
+}
+
+func (c *termsChecker) refuse(key, constraint string, value any) {
+	c.faults = append(c.faults, fmt.Errorf("%s: %s, not %v", key, constraint, value))
+}
+
+// checkRange refuses values out of a range, NaN among them.
+func (c *termsChecker) checkRange(key string, value, lowest, highest float64) {
+	if !(value >= lowest && value <= highest) {
+		c.refuse(key, fmt.Sprintf("from %v to %v", lowest, highest), value)
+	}
+}
+
+func (c *termsChecker) checkUnique(kind, name, key string) {
+	if first, ok := c.firstKeys[kind+" "+name]; ok {
+		c.refuse(key, fmt.Sprintf("a %s stands once; %s has it too", kind, first), name)
+	}
+	c.firstKeys[kind+" "+name] = key
+}
+
+func (c *termsChecker) checkLimits(t Terms) {
+	c.checkRange("settle_over_s", t.SettleTimeConstant, 5, 86400)
+	c.checkRange("share_most", t.MaxShare, 0, 0.9)
+	c.checkRange("moved_most", t.MaxMovedRate, 0, 1e6)
+	c.checkRange("lend_most", t.MaxLendFraction, 0, 1)
+	c.checkRange("loss_most", t.MaxLossFraction, 0.0001, 0.1)
+	c.checkRange("room_least", t.MinHeadroom, 0.05, 0.9)
+	c.checkRange("well_least", t.MinOnTimeFraction, 0.5, 1)
+	c.checkRange("least", t.MinDebt, 0.001, 1e9)
+	c.checkForgiveAfter("forgive_after_s", t.ForgiveAfter)
+}
+
+func (c *termsChecker) checkForgiveAfter(key string, seconds float64) {
+	if seconds != 0 {
+		c.checkRange(key, seconds, 60, 1e9)
+	}
+}
+
+func (c *termsChecker) checkPartner(key string, partner Partner) {
+	if !partnerNamePattern.MatchString(partner.Name) {
+		c.refuse(key+"name", "1 to 64 letters, digits, '_', '.' and '-', the first a letter or digit", strconv.Quote(partner.Name))
+	}
+	c.checkUnique(partnerKind, partner.Name, key+"name")
+	for _, zone := range partner.Zones {
+		c.checkUnique(zoneKind, zone, key+"halls")
+	}
+	for _, plan := range partner.Plans {
+		c.checkUnique(planKind, plan, key+"plans")
+	}
+	if partner.Weight != 0 {
+		c.checkRange(key+"weight", partner.Weight, 0.01, 100)
+	}
+	if len(partner.Zones)+len(partner.Customers)+len(partner.Plans) == 0 {
+		c.refuse(key+"halls", "halls, customers or plans are wanted", "none")
+	}
+}
+
+func (c *termsChecker) checkCustomers(t Terms) {
+	ranges, faults := t.customerRanges()
+	c.faults = append(c.faults, faults...)
+	for i := 1; i < len(ranges); i++ {
+		if ranges[i].first <= ranges[i-1].last {
+			c.refuse(fmt.Sprintf("partner.%d.customers", ranges[i].partner-1), "a customer stands once",
+				fmt.Sprintf("%016x of partner.%d too", ranges[i].first, ranges[i-1].partner-1))
+		}
+	}
+}
+
+func (c *termsChecker) checkRule(key string, rule PairRule) {
+	if len(rule.Between) != 2 || rule.Between[0] == rule.Between[1] {
+		c.refuse(key+"between", "two partners are wanted", rule.Between)
+		return
+	}
+	for _, name := range rule.Between {
+		if c.firstKeys[partnerKind+" "+name] == "" {
+			c.refuse(key+"between", "a partner of this file is wanted", strconv.Quote(name))
+		}
+	}
+	c.checkUnique(ruleKind, strings.Join(slices.Sorted(slices.Values(rule.Between)), " and "), key+"between")
+	if rule.MaxShare != nil {
+		c.checkRange(key+"share_most", *rule.MaxShare, 0, 0.9)
+	}
+	if rule.ForgiveAfter != nil {
+		c.checkForgiveAfter(key+"forgive_after_s", *rule.ForgiveAfter)
+	}
+}
--- a/internal/settlement/terms_test.go
+++ b/internal/settlement/terms_test.go
@@ -23,39 +23,61 @@
 share_most = 0.1
 `
 
-// Each slip is told with its key, and all of them at once.
-func TestTerms_CheckNamesEachFault(t *testing.T) {
-	for _, c := range []struct{ old, bad, want string }{
-		{"", "", ""},
-		{"on = true", "on = false\nloss_most = 9.0", ""},
-		{"on = true", "on = true\nloss_most = 0.5", "loss_most: from 0.0001 to 0.1, not 0.5"},
-		{"on = true", "on = true\nforgive_after_s = 5.0", "forgive_after_s: from 60"},
-		{`"south"`, `"no rth"`, "partner.1.name: 1 to 64 letters"},
-		{`name = "south"`, `name = "north"`, "partner.1.name: a name stands once; partner.0.name has it too"},
-		{`["s1"]`, `["n1"]`, "partner.1.halls: a hall stands once"},
-		{`"0000000000000030"`, `"30"`, "partner.0.customers: 16 hex digits"},
-		{`"0000000000000030"`, `"0000000000000018"`, "partner.0.customers: a customer stands once"},
-		{`"0000000000000030"`, `"0000000200000000"`, "partner.0.customers: 16 hex digits below 0000000200000000"},
-		{`weight = 2`, `weight = 1000`, "partner.1.weight: from 0.01 to 100"},
-		{`share_most = 0.1`, `share_most = 0.95`, "rule.0.share_most"},
-		{`["north", "south"]`, `["north", "east"]`, `rule.0.between: a partner of this file is wanted, not "east"`},
-		{`share_most = 0.1`, "[[rule]]\nbetween = [\"south\", \"north\"]", "rule.1.between: a rule between stands once"},
-		{"[[rule]]\nbetween = [\"north\", \"south\"]", "[[rule]]\nbetween = [\"north\"]", "rule.0.between: two partners"},
+func TestTerms_CheckNamesKeyOfFault(t *testing.T) {
+	for _, test := range []struct{ name, old, bad, want string }{
+		{"complete file", "", "", ""},
+		{"off: not checked", "on = true", "on = false\nloss_most = 9.0", ""},
+		{"number out of range", "on = true", "on = true\nloss_most = 0.5", "loss_most: from 0.0001 to 0.1, not 0.5"},
+		{"forgiven too early", "on = true", "on = true\nforgive_after_s = 5.0", "forgive_after_s: from 60"},
+		{"name with a blank", `"south"`, `"no rth"`, "partner.1.name: 1 to 64 letters"},
+		{
+			"name twice", `name = "south"`, `name = "north"`,
+			"partner.1.name: a name stands once; partner.0.name has it too",
+		},
+		{"zone twice", `["s1"]`, `["n1"]`, "partner.1.halls: a hall stands once"},
+		{"customer too short", `"0000000000000030"`, `"30"`, "partner.0.customers: 16 hex digits"},
+		{
+			"customer in a range too", `"0000000000000030"`, `"0000000000000018"`,
+			"partner.0.customers: a customer stands once",
+		},
+		{
+			"customer too large", `"0000000000000030"`, `"0000000200000000"`,
+			"partner.0.customers: 16 hex digits below 0000000200000000",
+		},
+		{"weight out of range", `weight = 2`, `weight = 1000`, "partner.1.weight: from 0.01 to 100"},
+		{"share of a pair out of range", `share_most = 0.1`, `share_most = 0.95`, "rule.0.share_most"},
+		{
+			"rule with an unknown partner", `["north", "south"]`, `["north", "east"]`,
+			`rule.0.between: a partner of this file is wanted, not "east"`,
+		},
+		{
+			"two rules for a pair", `share_most = 0.1`, "[[rule]]\nbetween = [\"south\", \"north\"]",
+			"rule.1.between: a rule between stands once",
+		},
+		{
+			"rule with one partner", "[[rule]]\nbetween = [\"north\", \"south\"]", "[[rule]]\nbetween = [\"north\"]",
+			"rule.0.between: two partners",
+		},
 	} {
-		terms := DefaultTerms()
-		d := toml.NewDecoder(strings.NewReader(strings.Replace(termsFile, c.old, c.bad, 1))).DisallowUnknownFields()
-		if err := d.Decode(&terms); err != nil {
-			t.Fatalf("%q: %v", c.bad, err)
-		}
-		faults := terms.Check()
-		if (c.want == "") != (len(faults) == 0) || len(faults) > 0 && !strings.HasPrefix(faults[0].Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.bad, faults, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			terms := DefaultTerms()
+			text := strings.Replace(termsFile, test.old, test.bad, 1)
+			if err := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields().Decode(&terms); err != nil {
+				t.Fatalf("%q: %v", test.bad, err)
+			}
+			faults := terms.Check()
+			if (test.want == "") != (len(faults) == 0) || len(faults) > 0 && !strings.HasPrefix(faults[0].Error(), test.want) {
+				t.Errorf("%q: %v, want %q", test.bad, faults, test.want)
+			}
+		})
 	}
-	two := DefaultTerms()
-	two.On, two.MaxLossFraction, two.MinDebt = true, 2, 0
-	if n := len(two.Check()); n != 3 { // and no partners
-		t.Errorf("%d errors: %v", n, two.Check())
+}
+
+func TestTerms_CheckReturnsAllFaults(t *testing.T) {
+	terms := DefaultTerms() // without partners
+	terms.On, terms.MaxLossFraction, terms.MinDebt = true, 2, 0
+	if faults := terms.Check(); len(faults) != 3 {
+		t.Errorf("%d faults: %v", len(faults), faults)
 	}
 }
 
@@ -67,17 +89,25 @@
 	index := NewPartnerIndex(terms, []string{"s1", "x", "n2"}, []string{"small", "wide"})
 	for customer, want := range map[uint64]int{0xf: 0, 0x10: 1, 0x1f: 1, 0x20: 0, 0x30: 1, 0x31: 0} {
 		if got := index.PartnerOf(customer, 0); got != want {
-			t.Errorf("customer %x is of %d, not %d", customer, got, want)
+			t.Errorf("partner of customer %x is %d, want %d", customer, got, want)
 		}
 	}
 	if index.PartnerOf(0x10, 1) != 1 || index.PartnerOf(0x99, 1) != 2 || index.PartnerOf(0x99, 7) != 0 {
-		t.Error("a customer that is named is not of its plan's partner, and others are")
+		t.Error("the plan's partner is taken for a customer that another names, or not for one that none names")
 	}
-	if index.ZoneOwner(0) != 2 || index.ZoneOwner(1) != 0 || index.ZoneOwner(2) != 1 || index.ZoneOwner(9) != 0 ||
-		index.PartnerNumber("south") != 2 || index.PartnerNumber("east") != 0 {
-		t.Error("halls or names are told wrongly")
+	if index.ZoneOwner(0) != 2 || index.ZoneOwner(1) != 0 || index.ZoneOwner(2) != 1 || index.ZoneOwner(9) != 0 {
+		t.Error("wrong owner of a zone")
+	}
+	if index.PartnerNumber("south") != 2 || index.PartnerNumber("east") != 0 {
+		t.Error("wrong number of a partner")
+	}
+}
+
+func TestThousandths_roundsAndRefusesNegative(t *testing.T) {
+	if got := Thousandths(1.2345); got != 1235 && got != 1234 {
+		t.Errorf("1.2345 units are %d thousandths", got)
 	}
-	if Thousandths(1.2345) != 1235 && Thousandths(1.2345) != 1234 || Thousandths(-1) != 0 || Thousandths(0.0004) != 0 {
-		t.Error("not whole thousandths")
+	if Thousandths(-1) != 0 || Thousandths(0.0004) != 0 {
+		t.Error("a negative or vanishing amount is not 0")
 	}
 }
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -35,7 +35,7 @@
 	s.t.Helper()
 	v, err := settlement.DecodeState(s.Read(settlement.TableName).Value)
 	must(s.t, err)
-	for _, n := range v.Nets {
+	for _, n := range v.NetDebts {
 		if n.Debtor == debtor && n.Creditor == creditor {
 			return float64(n.Sum) / 1000
 		}
