--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -120,7 +120,7 @@
 			over: []string{"counting: what rule holds is not known"}},
 		{name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
 			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
-			value: settling, says: []string{`"debts are being settled"`}},
+			value: settling, says: []string{`"settlement: started"`}},
 	} {
 		all = append(all, s.variant())
 	}
--- a/internal/settlement/account/accounts.go
+++ b/internal/settlement/account/accounts.go
@@ -1,6 +1,6 @@
-// Package till counts at one gateway what partners owe each other, and says which tasks are to go to a debtor's
-// servers. What it is called with on a task's way takes one short lock and waits for nothing; disk and links are the
-// business of the goroutine of Run.
+// Package account keeps one gateway's part of the settlement: it counts what partners owe each other for the requests
+// that pass here, and draws which requests are to go to a debtor's servers. What is called on a request's way takes one
+// short lock and waits for nothing; the store and the replicated table are the business of the goroutine of Run.
 package account
 
 import (
@@ -13,77 +13,73 @@
 	"harrierhoist/policy"
 )
 
-// Settings is what a gateway's till must know of it.
+// Settings are the parts of a gateway's settings that accounts go by.
 type Settings struct {
-	Zones   []string // names, as numbered
-	Plans   []string
+	Zones   []string // names, by zone number
+	Plans   []string // names, by plan number
 	Classes []policy.TrafficClass
 }
 
-// Accounts is a gateway's. All calls may be made by several goroutines at once.
+// Accounts are a gateway's. They may be used by several goroutines at once. Where the receiver is nil, TrackRequest,
+// SetPolicy and AddElective do nothing.
 type Accounts struct {
-	mu              sync.Mutex
-	terms           settlement.Terms
-	settings        Settings
-	partners        *settlement.PartnerIndex
-	random          *rand.Rand
-	ledgerID        string // of the counts below
-	initialLedgerID string // the life that this process was given
+	mu       sync.Mutex
+	terms    settlement.Terms
+	settings Settings
+	partners *settlement.PartnerIndex
+	random   *rand.Rand
+	now      func() time.Duration // the clock of leases
+
+	ledgerID        string // of balances
+	initialLedgerID string // that this process was given
 	balances        map[settlement.Pair]*balance
-	metrics         map[string]*[settlement.MetricCount]uint64 // evidence, by partner
-	shares          []share                                    // by lot; none while nothing is settled
-	sharesUntil     time.Duration                              // by now
-	now             func() time.Duration
-	stored          []settlement.LedgerAmount // what goes into digests; of earlier lives too
-	changed         chan struct{}             // a sum has changed; nil where no disk is kept
+	metrics         map[string]*[settlement.MetricCount]uint64 // by partner
+
+	shares      []share // none while nothing is settled
+	sharesUntil time.Duration
+
+	stored  []settlement.LedgerAmount // what is in the store and so may be reported; of earlier ledgers too
+	changed chan struct{}             // has an element once a balance has changed; nil without a store
 }
 
-// balance is what stands for a pair, in thousandths of units.
+// balance is what a pair's debtor owes, in thousandths of units.
 type balance struct {
 	debt     uint64 // only grows
-	inFlight uint64 // told of pushes that are out
+	inFlight uint64 // estimates of attempts that have not ended
 }
 
-// share is a part of a creditor's elective pushes.
+// share is the fraction of a creditor's electable requests that prefer a debtor's servers.
 type share struct {
-	creditor, debtor int
+	creditor, debtor int // partner numbers
 	fraction         float64
 }
 
-// New makes the till of a life of the counts, by which the log tells them from others of the same process: no two
-// lives of a process have the same name. Now is the clock that leases are told on.
+// randomStream keeps the draws apart from others of the same seed.
+const randomStream = 0xdeb7
+
+// New makes accounts with a ledger of their own. The log tells it by its ID from other ledgers of the same process, so
+// no two incarnations of a process have the same ID. The clock is that on which leases are measured.
 func New(terms settlement.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
 	a := &Accounts{
-		random: rand.New(rand.NewPCG(seed, 0xdeb7)), ledgerID: ledgerID, initialLedgerID: ledgerID, balances: map[settlement.Pair]*balance{},
-		metrics: map[string]*[settlement.MetricCount]uint64{},
-		now:     now,
+		random:          rand.New(rand.NewPCG(seed, randomStream)),
+		now:             now,
+		ledgerID:        ledgerID,
+		initialLedgerID: ledgerID,
+		balances:        map[settlement.Pair]*balance{},
+		metrics:         map[string]*[settlement.MetricCount]uint64{},
 	}
-	a.Reconfigure(terms, settings)
-	return a
-}
-
-// Reconfigure takes other terms. What was counted stands; tasks on their way are counted by the terms that they began
-// under.
-func (a *Accounts) Reconfigure(terms settlement.Terms, settings Settings) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
 	a.configure(terms, settings)
+	return a
 }
 
-// configure takes both under the lock: what one caller leaves as it was must be what stands when it is taken, as terms come
-// with SIGHUP and lanes and plans with counting rules as well.
-func (a *Accounts) configure(terms settlement.Terms, settings Settings) {
-	a.terms, a.settings, a.partners, a.shares = terms, settings, settlement.NewPartnerIndex(terms, settings.Zones, settings.Plans), nil
-}
-
-// SetTerms takes other terms for the same site.
+// SetTerms changes the terms. What was counted stays; requests in flight are counted by the terms that they began under.
 func (a *Accounts) SetTerms(terms settlement.Terms) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.configure(terms, a.settings)
 }
 
-// SetPolicy takes lanes and plans anew: they keep the numbers that they had.
+// SetPolicy changes traffic classes and plans. Those that stay keep their numbers.
 func (a *Accounts) SetPolicy(classes []policy.TrafficClass, plans []policy.Plan) {
 	if a == nil {
 		return
@@ -97,7 +93,14 @@
 	a.configure(a.terms, settings)
 }
 
-// ApplyState takes the table: its shares hold until a time of the clock.
+// configure sets terms and settings under the lock: terms change with SIGHUP, classes and plans with counting rules too,
+// and what one caller leaves as it is must be what is there when its change is made. Shares wait for the next ApplyState.
+func (a *Accounts) configure(terms settlement.Terms, settings Settings) {
+	a.terms, a.settings, a.shares = terms, settings, nil
+	a.partners = settlement.NewPartnerIndex(terms, settings.Zones, settings.Plans)
+}
+
+// ApplyState takes the shares of the replicated state, which hold until a time of the clock.
 func (a *Accounts) ApplyState(state settlement.State, until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,18 +109,19 @@
 		return
 	}
 	for _, s := range state.Shares {
-		if c, d := a.partners.PartnerNumber(s.Creditor), a.partners.PartnerNumber(s.Debtor); c > 0 && d > 0 && s.PPM > 0 {
-			a.shares = append(a.shares, share{c, d, float64(s.PPM) / settlement.PartsPerMillion})
+		creditor, debtor := a.partners.PartnerNumber(s.Creditor), a.partners.PartnerNumber(s.Debtor)
+		if creditor > 0 && debtor > 0 && s.PPM > 0 {
+			a.shares = append(a.shares, share{creditor, debtor, float64(s.PPM) / settlement.PartsPerMillion})
 		}
 	}
 }
 
-// LendingZones tells for each hall whose it is if tasks may go there to settle, else 0; lent is the largest part of any
-// creditor's tasks that may. Nil where nothing is settled.
+// LendingZones returns, by zone, the partner that it belongs to where requests may go there for settlement, else 0; and
+// the largest fraction of any creditor's requests that may. Owners are nil while nothing is settled.
 func (a *Accounts) LendingZones() (owners []int, maxFraction float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.shares) == 0 || a.now() >= a.sharesUntil {
+	if !a.isSettling() {
 		return nil, 0
 	}
 	for zone := range a.partners.ZoneCount() {
@@ -132,9 +136,14 @@
 	return owners, maxFraction
 }
 
-// AddElective gives the servers that a part lays out for elective pushes beside it, and marks those of the part itself that
-// they may prefer. With nothing to settle the part is given back as it is.
-func (a *Accounts) AddElective(subset *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate) []policy.Endpoint {
+// isSettling reports, under the lock, whether shares are in force.
+func (a *Accounts) isSettling() bool { return len(a.shares) > 0 && a.now() < a.sharesUntil }
+
+// AddElective adds to the selected servers those that elective attempts need, and marks those of the selected that they
+// may prefer. While nothing is settled the selection is returned as it is.
+func (a *Accounts) AddElective(
+	servers *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate,
+) []policy.Endpoint {
 	if a == nil {
 		return selected
 	}
@@ -142,31 +151,61 @@
 	if owners == nil {
 		return selected
 	}
-	return subset.AddElective(now, selected, all, owners, maxFraction)
+	return servers.AddElective(now, selected, all, owners, maxFraction)
 }
 
-// ReportMetrics gives the evidence.
+// ReportMetrics passes on all metrics, for a digest.
 func (a *Accounts) ReportMetrics(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name, c := range a.metrics {
-		for what, n := range c {
-			add(settlement.MetricName(settlement.Metric(what), name), n)
+	for partner, counts := range a.metrics {
+		for metric, n := range counts {
+			add(settlement.MetricName(settlement.Metric(metric), partner), n)
 		}
 	}
 }
 
-// ReportDebts gives the exact counts: those on disk where one is kept, so that none is told that a later life would
-// not know, else those in memory.
+// ReportDebts passes on the debts, for a digest: with a store only those that are in it, so that none is reported that a
+// later incarnation would not know.
 func (a *Accounts) ReportDebts(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, c := range a.stored {
-		add(settlement.DebtCountName(c.LedgerID, c.Pair), c.Sum)
+	for _, amount := range a.stored {
+		add(settlement.DebtCountName(amount.LedgerID, amount.Pair), amount.Sum)
 	}
 	if a.changed == nil {
-		for p, pairBalance := range a.balances {
-			add(settlement.DebtCountName(a.ledgerID, p), pairBalance.debt)
+		for pair, b := range a.balances {
+			add(settlement.DebtCountName(a.ledgerID, pair), b.debt)
 		}
 	}
 }
+
+// balanceOf returns a pair's balance under the lock; one is made where there is none.
+func (a *Accounts) balanceOf(pair settlement.Pair) *balance {
+	b := a.balances[pair]
+	if b == nil {
+		b = &balance{}
+		a.balances[pair] = b
+	}
+	return b
+}
+
+// addMetric adds to a partner's metric under the lock.
+func (a *Accounts) addMetric(partners *settlement.PartnerIndex, metric settlement.Metric, partner int, n uint64) {
+	name := partners.Names[partner]
+	if a.metrics[name] == nil {
+		a.metrics[name] = new([settlement.MetricCount]uint64)
+	}
+	a.metrics[name][metric] += n
+}
+
+// signalChange has the store follow the balances.
+func (a *Accounts) signalChange() {
+	if a.changed == nil {
+		return
+	}
+	select {
+	case a.changed <- struct{}{}:
+	default: // signalled already: the next write has this change too
+	}
+}
--- a/internal/settlement/account/fake_test.go
+++ b/internal/settlement/account/fake_test.go
@@ -3,24 +3,33 @@
 import (
 	"errors"
 	"sync"
+	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/testing/fakes"
 )
 
-// fakeCoordination is what all hold in common, in a test's hands.
+// fakeCoordination holds one table and a clock, which a test sets.
 type fakeCoordination struct {
 	sync.Mutex
-	held    coordination.CachedTable
+	table   coordination.CachedTable
 	now     time.Duration
 	changed chan struct{}
-	exact   func(add func(string, uint64))
+	exact   func(add func(string, uint64)) // nil: none registered yet
+}
+
+func newFakeCoordination() *fakeCoordination {
+	return &fakeCoordination{changed: make(chan struct{})}
 }
 
-func (f *fakeCoordination) update(do func()) {
+// update changes fields, and tells those who wait for a change.
+func (f *fakeCoordination) update(change func()) {
 	f.Lock()
 	defer f.Unlock()
-	do()
+	change()
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -34,7 +43,7 @@
 func (f *fakeCoordination) Cached(string) coordination.CachedTable {
 	f.Lock()
 	defer f.Unlock()
-	return f.held
+	return f.table
 }
 
 func (f *fakeCoordination) Changed() <-chan struct{} {
@@ -45,17 +54,24 @@
 
 func (f *fakeCoordination) RegisterCounters(func(func(string, uint64))) {}
 
-func (f *fakeCoordination) RegisterExactCounters(e func(func(string, uint64))) {
+func (f *fakeCoordination) RegisterExactCounters(counts func(func(string, uint64))) {
+	f.Lock()
+	defer f.Unlock()
+	f.exact = counts
+}
+
+func (f *fakeCoordination) isRegistered() bool {
 	f.Lock()
 	defer f.Unlock()
-	f.exact = e
+	return f.exact != nil
 }
 
+// updateSignal gets an element with each call.
 type updateSignal chan struct{}
 
 func (s updateSignal) UpdateElective() { s <- struct{}{} }
 
-// memoryStore is one in a test's hands.
+// memoryStore keeps balances in memory, and fails when a test says so.
 type memoryStore struct {
 	sync.Mutex
 	isFailing bool
@@ -63,20 +79,37 @@
 	balances  []StoredBalance
 }
 
-func (d *memoryStore) Write(ledgerID string, balances []StoredBalance) error {
-	d.Lock()
-	defer d.Unlock()
-	if d.isFailing {
-		return errors.New("no space left")
+var errStoreFull = errors.New("no space left")
+
+func (m *memoryStore) Write(ledgerID string, balances []StoredBalance) error {
+	m.Lock()
+	defer m.Unlock()
+	if m.isFailing {
+		return errStoreFull
 	}
-	d.ledgerID, d.balances = ledgerID, balances
+	m.ledgerID, m.balances = ledgerID, balances
 	return nil
 }
 
-func (d *memoryStore) Restored() (string, []StoredBalance) { return d.ledgerID, d.balances }
+func (m *memoryStore) Restored() (string, []StoredBalance) { return m.ledgerID, m.balances }
 
-func (f *fakeCoordination) isRegistered() bool {
-	f.Lock()
-	defer f.Unlock()
-	return f.exact != nil
+func (m *memoryStore) fail() {
+	m.Lock()
+	defer m.Unlock()
+	m.isFailing = true
+}
+
+// runAccounts has accounts run until the function returned is called, which waits for their end.
+func runAccounts(
+	t *testing.T, a *Accounts, f *fakeCoordination, updates updateSignal, store Store, log *zap.Logger,
+) (stop func()) {
+	t.Helper()
+	ctx, cancel := newTestContext(t)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		a.Run(ctx, f, updates, store, log)
+	}()
+	fakes.Eventually(t, "counters registered", f.isRegistered)
+	return func() { cancel(); <-ended }
 }
--- a/internal/settlement/account/golden_test.go
+++ b/internal/settlement/account/golden_test.go
@@ -13,10 +13,10 @@
 	"harrierhoist/policy"
 )
 
-// goldenDraws is the SHA-256 of which of 10,000 tasks prefer a debtor's servers, drawn at 8c168ca.
+// goldenDraws is the SHA-256 of which of 10,000 requests prefer a debtor's servers, drawn at 8c168ca.
 const goldenDraws = "ac62757cf5b2d1e11dd49c47e18a06be7bd8aea9c59805901c0d214c8eee9fb0"
 
-// Which tasks are drawn to settle a debt is a till's seed's, and nothing else's.
+// Which requests are drawn to settle a debt depends on the seed and on nothing else.
 func TestGolden_electiveDraws(t *testing.T) {
 	terms := testTerms()
 	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
@@ -35,67 +35,76 @@
 		}
 		prefer := a.TrackRequest(0, request).PreferredPartner()
 		drawn[prefer]++
-		fmt.Fprintln(all, prefer)
+		all.Write(fmt.Appendln(nil, prefer))
 	}
 	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDraws {
 		t.Errorf("%v hash to %s, want %s", drawn, got, goldenDraws)
 	}
 }
 
-// Names and sums of all that a gateway tells, as they go into its digests.
+// goldenMetrics and goldenDebts are the names and sums that a gateway reports in its digests after goldenAttempts.
+var (
+	goldenMetrics = []string{
+		"debts\x1fasked\x1fa=2",
+		"debts\x1fasked\x1fb=0",
+		"debts\x1flate\x1fa=2",
+		"debts\x1flate\x1fb=1",
+		"debts\x1fpure\x1fa=4000",
+		"debts\x1fpure\x1fb=6000",
+		"debts\x1fpures\x1fa=2",
+		"debts\x1fpures\x1fb=2",
+		"debts\x1fserved\x1fa=3000",
+		"debts\x1fserved\x1fb=6250",
+		"debts\x1fslow\x1fa=2",
+		"debts\x1fslow\x1fb=2",
+		"debts\x1ftasks\x1fa=3",
+		"debts\x1ftasks\x1fb=2",
+		"debts\x1fwent\x1fa=1",
+		"debts\x1fwent\x1fb=0",
+	}
+	goldenDebts = []string{"owe\x1f1k2j3\x1fa\x1fb=7250", "owe\x1f1k2j3\x1fb\x1fa=3000"}
+)
+
+var goldenAttempts = []struct {
+	request policy.Request
+	zone    int
+	outcome policy.Outcome
+	elapsed time.Duration
+	billed  float64
+}{
+	{policy.Request{Customer: 1, Units: 2}, 1, policy.Answered, 100 * time.Millisecond, 5.25},
+	{policy.Request{Customer: 1, Units: 2, Class: 1}, 1, policy.TimedOut, time.Second, 0},
+	{policy.Request{Customer: 1, Units: 2}, 1, policy.Rejected, 0, 0},
+	{policy.Request{Customer: 9, Plan: 1, Units: 3}, 0, policy.Answered, 400 * time.Millisecond, 0},
+	{policy.Request{Customer: 9, Plan: 1, Units: 3}, 1, policy.Answered, 700 * time.Millisecond, 1},
+}
+
 func TestGolden_reportedCounts(t *testing.T) {
 	a := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
-	a.ApplyState(settlement.State{Shares: []settlement.Share{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion}}}, time.Second)
-	for _, c := range []struct {
-		task policy.Request
-		hall int
-		how  policy.Outcome
-		took time.Duration
-		cost float64
-	}{
-		{policy.Request{Customer: 1, Units: 2}, 1, policy.Answered, 100 * time.Millisecond, 5.25},
-		{policy.Request{Customer: 1, Units: 2, Class: 1}, 1, policy.TimedOut, time.Second, 0},
-		{policy.Request{Customer: 1, Units: 2}, 1, policy.Rejected, 0, 0},
-		{policy.Request{Customer: 9, Plan: 1, Units: 3}, 0, policy.Answered, 400 * time.Millisecond, 0},
-		{policy.Request{Customer: 9, Plan: 1, Units: 3}, 1, policy.Answered, 700 * time.Millisecond, 1},
-	} {
-		tracker := a.TrackRequest(0, c.task)
-		tracker.OnAttemptStart(c.hall)
-		tracker.OnAttemptEnd(c.took, c.how, c.cost)
+	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
+	shares := []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion}}
+	a.ApplyState(settlement.State{Shares: shares}, time.Second)
+	for _, attempt := range goldenAttempts {
+		tracker := a.TrackRequest(0, attempt.request)
+		tracker.OnAttemptStart(attempt.zone)
+		tracker.OnAttemptEnd(attempt.elapsed, attempt.outcome, attempt.billed)
 		tracker.OnRequestEnd(false)
 	}
-	for name, c := range map[string]struct {
-		counts func(add func(string, uint64))
+	for name, test := range map[string]struct {
+		report func(add func(string, uint64))
 		want   []string
 	}{
-		"counts": {a.ReportMetrics, []string{
-			"debts\x1fasked\x1fa=2",
-			"debts\x1fasked\x1fb=0",
-			"debts\x1flate\x1fa=2",
-			"debts\x1flate\x1fb=1",
-			"debts\x1fpure\x1fa=4000",
-			"debts\x1fpure\x1fb=6000",
-			"debts\x1fpures\x1fa=2",
-			"debts\x1fpures\x1fb=2",
-			"debts\x1fserved\x1fa=3000",
-			"debts\x1fserved\x1fb=6250",
-			"debts\x1fslow\x1fa=2",
-			"debts\x1fslow\x1fb=2",
-			"debts\x1ftasks\x1fa=3",
-			"debts\x1ftasks\x1fb=2",
-			"debts\x1fwent\x1fa=1",
-			"debts\x1fwent\x1fb=0",
-		}},
-		"exact": {a.ReportDebts, []string{"owe\x1f1k2j3\x1fa\x1fb=7250", "owe\x1f1k2j3\x1fb\x1fa=3000"}},
+		"metrics": {a.ReportMetrics, goldenMetrics},
+		"debts":   {a.ReportDebts, goldenDebts},
 	} {
-		got := map[string]uint64{}
-		c.counts(func(name string, n uint64) { got[name] = n })
+		counts := map[string]uint64{}
+		test.report(func(name string, n uint64) { counts[name] = n })
 		var lines []string
-		for _, name := range slices.Sorted(maps.Keys(got)) {
-			lines = append(lines, fmt.Sprintf("%s=%d", name, got[name]))
+		for _, name := range slices.Sorted(maps.Keys(counts)) {
+			lines = append(lines, fmt.Sprintf("%s=%d", name, counts[name]))
 		}
-		if !slices.Equal(lines, c.want) {
-			t.Errorf("%s are %q, want %q", name, lines, c.want)
+		if !slices.Equal(lines, test.want) {
+			t.Errorf("%s are %q, want %q", name, lines, test.want)
 		}
 	}
 }
