--- a/internal/settlement/journal/golden_test.go
+++ b/internal/settlement/journal/golden_test.go
@@ -15,8 +15,8 @@
 
 // goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
 var goldenWrites = []struct {
-	life string
-	kept []account.StoredBalance
+	ledgerID string
+	balances []account.StoredBalance
 }{
 	{"1k2j3", []account.StoredBalance{{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
 	{"1k2j3", nil},
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
+	defer func() { _ = packed.Close() }() // only read
 	unpacked, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
@@ -46,13 +46,14 @@
 		t.Fatal(err)
 	}
 	last := goldenWrites[len(goldenWrites)-1]
-	if ledgerID, balances := openJournal(t, before).Restored(); ledgerID != last.life || !reflect.DeepEqual(balances, last.kept) {
-		t.Errorf("read %q, %v, want %q, %v", ledgerID, balances, last.life, last.kept)
+	ledgerID, balances := openJournal(t, before).Restored()
+	if ledgerID != last.ledgerID || !reflect.DeepEqual(balances, last.balances) {
+		t.Errorf("read %q, %v, want %q, %v", ledgerID, balances, last.ledgerID, last.balances)
 	}
 	now := t.TempDir()
 	j := openJournal(t, now)
 	for _, r := range goldenWrites {
-		if err := j.Write(r.life, r.kept); err != nil {
+		if err := j.Write(r.ledgerID, r.balances); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -61,7 +62,7 @@
 	}
 }
 
-// What the operators read at the start where the folder cannot be used.
+// What operators read at the start where the folder cannot be used.
 func TestGolden_refusals(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
--- a/internal/settlement/journal/journal.go
+++ b/internal/settlement/journal/journal.go
@@ -1,6 +1,7 @@
-// Package journal keeps a gateway's counts of debts in a file that outlives its process: three slots, each
-// with a number, a length and a sum of its bytes. The one last synced is left alone until a later one is, and the two
-// others are written in turn: a write cut off by the process's death or by loss of power leaves one before it whole.
+// Package journal stores a gateway's balances in a file that outlives its process. The file has three slots, each for a
+// record with a sequence number, a length and a checksum. The record last synced is left alone until a later one is
+// synced, and the two other slots are written in turn: a write that is cut off, by the process's death or by loss of
+// power, leaves an earlier record complete.
 package journal
 
 import (
@@ -20,107 +21,136 @@
 	"harrierhoist/internal/settlement/account"
 )
 
+// Layout of the file. It is stored: it never changes.
 const (
-	fileName     = "debts"
-	slotSize     = 512 << 10 // bytes: 64 partners' pairs, with names of 64 letters
-	slotCount    = 3
-	headerSize   = 24              // bytes: number, length, sum
-	syncInterval = 1 * time.Second // what the machine's loss of power may take
+	fileName  = "debts"
+	slotCount = 3
+	slotSize  = 512 << 10 // bytes: the pairs of 64 partners with names of 64 letters
+
+	// A record's header: sequence number, length of the body, checksum of the body xor the sequence number; 8 bytes each,
+	// little-endian.
+	lengthOffset   = 8
+	checksumOffset = 16
+	headerSize     = 24
 )
 
-// Journal is one process's file. Its calls come from one goroutine.
+// syncInterval is what loss of power may cost.
+const syncInterval = time.Second
+
+// ErrNoCompleteRecord is the error of a file that holds something, and no complete record: what was owed is not known.
+var ErrNoCompleteRecord = errors.New("none of its records is whole: remove it to begin anew")
+
+// Journal is the file of one process. It is not safe for use by several goroutines at once.
 type Journal struct {
 	file       *os.File
 	sequence   uint64 // of the latest record
-	slot       int64  // its slot
-	syncedSlot int64  // the slot of the latest that is synced
+	slot       int64  // of the latest record
+	syncedSlot int64  // of the latest record that is synced
 	syncedAt   time.Time
-	ledgerID   string
-	balances   []account.StoredBalance
+	ledgerID   string                  // when opened
+	balances   []account.StoredBalance // when opened
 }
 
 var _ account.Store = (*Journal)(nil)
 
+// record is the body of a record.
 type record struct {
 	LedgerID string                  `cbor:"1,keyasint"`
 	Balances []account.StoredBalance `cbor:"2,keyasint"`
 }
 
-// Open opens the file in a folder, or makes it. Errors: one that another process holds; one of which no slot can
-// be read though it holds something, as then what was owed is not known.
+// Open opens the file in a folder, or creates it. It fails where another process has it (unix.EWOULDBLOCK), and with
+// ErrNoCompleteRecord.
 func Open(folder string) (*Journal, error) {
 	path := filepath.Join(folder, fileName)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, err
+		return nil, err // it names the file
 	}
-	j := &Journal{file: file}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: another process has it: %w", path, err), file.Close())
 	}
-	if err := j.recover(); err != nil {
+	j := &Journal{file: file}
+	if err := j.load(); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), file.Close())
 	}
 	return j, nil
 }
 
-// recover takes the later of the slots that are whole.
-func (j *Journal) recover() error {
+// load takes the latest of the complete records.
+func (j *Journal) load() error {
 	hasData := false
-	for i := range int64(slotCount) {
+	for slot := range int64(slotCount) {
 		buffer := make([]byte, slotSize)
-		n, err := j.file.ReadAt(buffer, i*slotSize)
+		n, err := j.file.ReadAt(buffer, slot*slotSize)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		buffer = buffer[:n]
 		hasData = hasData || slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 })
-		sequence, decoded, isComplete := decodeRecord(buffer)
+		sequence, r, isComplete := decodeRecord(buffer)
 		if isComplete && sequence > j.sequence {
-			j.sequence, j.slot, j.syncedSlot, j.ledgerID, j.balances = sequence, i, i, decoded.LedgerID, decoded.Balances
+			j.sequence, j.slot, j.syncedSlot = sequence, slot, slot
+			j.ledgerID, j.balances = r.LedgerID, r.Balances
 		}
 	}
 	if hasData && j.sequence == 0 {
-		return errors.New("none of its records is whole: remove it to begin anew")
+		return ErrNoCompleteRecord
 	}
 	return nil
 }
 
-func decodeRecord(buffer []byte) (sequence uint64, decoded record, isComplete bool) {
+// decodeRecord reads a slot; a record that was cut off or corrupted is not complete.
+func decodeRecord(buffer []byte) (sequence uint64, r record, isComplete bool) {
 	if len(buffer) < headerSize {
-		return 0, decoded, false
+		return 0, r, false
 	}
 	sequence = binary.LittleEndian.Uint64(buffer)
-	length := binary.LittleEndian.Uint64(buffer[8:])
-	if sequence == 0 || length > uint64(len(buffer)-headerSize) ||
-		xxhash.Sum64(buffer[headerSize:headerSize+length])^sequence != binary.LittleEndian.Uint64(buffer[16:]) {
-		return 0, decoded, false
+	length := binary.LittleEndian.Uint64(buffer[lengthOffset:])
+	if sequence == 0 || length > uint64(len(buffer)-headerSize) {
+		return 0, r, false
 	}
-	return sequence, decoded, cbor.Unmarshal(buffer[headerSize:headerSize+length], &decoded) == nil
+	body := buffer[headerSize : headerSize+length]
+	if xxhash.Sum64(body)^sequence != binary.LittleEndian.Uint64(buffer[checksumOffset:]) {
+		return 0, r, false
+	}
+	return sequence, r, cbor.Unmarshal(body, &r) == nil
 }
 
-// Restored is what the file held when it was opened.
-func (j *Journal) Restored() (string, []account.StoredBalance) { return j.ledgerID, j.balances }
-
-// Write writes the counts into a slot that holds neither the latest nor the latest that is synced. They outlive the
-// process once it returns, and the machine's loss of power once synced, at most a second later with the next write.
-func (j *Journal) Write(ledgerID string, balances []account.StoredBalance) error {
-	body, err := cbor.Marshal(record{ledgerID, balances})
+// encodeRecord returns a record as stored.
+func encodeRecord(sequence uint64, r record) ([]byte, error) {
+	body, err := cbor.Marshal(r)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	if len(body) > slotSize-headerSize {
-		return fmt.Errorf("%d bytes are too many for one record", len(body))
+		return nil, fmt.Errorf("%d bytes are too many for one record", len(body))
 	}
-	sequence := j.sequence + 1
 	buffer := binary.LittleEndian.AppendUint64(nil, sequence)
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(len(body)))
 	buffer = binary.LittleEndian.AppendUint64(buffer, xxhash.Sum64(body)^sequence)
+	return append(buffer, body...), nil
+}
+
+// Restored returns what the file had when it was opened.
+func (j *Journal) Restored() (ledgerID string, balances []account.StoredBalance) {
+	return j.ledgerID, j.balances
+}
+
+// Write writes the balances into a slot that has neither the latest record nor the latest that is synced. They outlive
+// the process once it returns. They outlive loss of power once synced: by this write, or by the first one that comes
+// syncInterval after the last sync.
+func (j *Journal) Write(ledgerID string, balances []account.StoredBalance) error {
+	sequence := j.sequence + 1
+	buffer, err := encodeRecord(sequence, record{ledgerID, balances})
+	if err != nil {
+		return err
+	}
 	slot := (j.slot + 1) % slotCount
 	if slot == j.syncedSlot {
 		slot = (slot + 1) % slotCount
 	}
-	if _, err := j.file.WriteAt(append(buffer, body...), slot*slotSize); err != nil {
+	if _, err := j.file.WriteAt(buffer, slot*slotSize); err != nil {
 		return err
 	}
 	j.sequence, j.slot = sequence, slot
@@ -133,5 +163,5 @@
 	return nil
 }
 
-// Close syncs the file and gives it up.
+// Close syncs and closes the file, which lets another process open it.
 func (j *Journal) Close() error { return errors.Join(j.file.Sync(), j.file.Close()) }
--- a/internal/settlement/journal/journal_test.go
+++ b/internal/settlement/journal/journal_test.go
@@ -1,12 +1,14 @@
 package journal
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
 	"testing"
 
 	"go.etcd.io/bbolt"
+	"golang.org/x/sys/unix"
 
 	"harrierhoist/internal/settlement"
 	"harrierhoist/internal/settlement/account"
@@ -16,18 +18,42 @@
 	return []account.StoredBalance{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
 }
 
-func openJournal(t *testing.T, folder string) *Journal {
+func openJournal(t testing.TB, folder string) *Journal {
 	t.Helper()
 	j, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = j.Close() })
+	t.Cleanup(func() { _ = j.Close() }) // a test may have closed it
 	return j
 }
 
-// The process dies while it writes, or the power goes: whichever record is spoilt, the file holds one that is whole,
-// at the latest that which was synced.
+func closeJournal(t *testing.T, j *Journal) {
+	t.Helper()
+	if err := j.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// corrupt flips a bit in the body of the record in a slot.
+func corrupt(t *testing.T, path string, slot int64) {
+	t.Helper()
+	file, err := os.OpenFile(path, os.O_RDWR, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := slot*slotSize + headerSize + 3
+	buffer := make([]byte, 1)
+	_, readErr := file.ReadAt(buffer, at)
+	buffer[0] ^= 4
+	_, writeErr := file.WriteAt(buffer, at)
+	if err := errors.Join(readErr, writeErr, file.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The process dies while it writes, or the power fails: whichever record is corrupt, the file has an earlier one that is
+// complete, at the latest the one that was synced.
 func TestJournal_corruptRecordLeavesEarlierOne(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
@@ -36,78 +62,70 @@
 			t.Fatal(err)
 		}
 	}
-	_ = j.Close()
-	path := filepath.Join(folder, fileName)
+	closeJournal(t, j)
 	for _, want := range []uint64{9, 8, 1} {
 		j = openJournal(t, folder)
-		if ledgerID, k := j.Restored(); ledgerID != "x" || !slices.Equal(k, testBalances(want)) {
-			t.Fatalf("%q, %v, want %d", ledgerID, k, want)
+		if ledgerID, balances := j.Restored(); ledgerID != "x" || !slices.Equal(balances, testBalances(want)) {
+			t.Fatalf("restored %q, %v, want record %d", ledgerID, balances, want)
 		}
 		slot := j.slot
-		_ = j.Close()
-		file, _ := os.OpenFile(path, os.O_RDWR, 0)
-		buffer := make([]byte, 1)
-		_, _ = file.ReadAt(buffer, slot*slotSize+headerSize+3)
-		buffer[0] ^= 4
-		_, _ = file.WriteAt(buffer, slot*slotSize+headerSize+3)
-		_ = file.Close()
+		closeJournal(t, j)
+		corrupt(t, filepath.Join(folder, fileName), slot)
 	}
-	if _, err := Open(folder); err == nil {
-		t.Error("a file without a whole record is taken for a new one: what was owed would be lost unsaid")
+	if _, err := Open(folder); !errors.Is(err, ErrNoCompleteRecord) {
+		t.Errorf("of a file without a complete record: %v, want %v", err, ErrNoCompleteRecord)
 	}
 }
 
-// Two processes with one folder would count in one life.
+// Two processes with one folder would count in one ledger.
 func TestOpen_refusesFolderInUse(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
-	if _, err := Open(folder); err == nil {
-		t.Error("opened twice")
+	if _, err := Open(folder); !errors.Is(err, unix.EWOULDBLOCK) {
+		t.Errorf("of a folder in use: %v, want %v", err, unix.EWOULDBLOCK)
 	}
-	_ = j.Close()
+	closeJournal(t, j)
 	openJournal(t, folder)
 }
 
-// What docs/debts.md says of the ways weighed: our file and bbolt, each without and with a sync.
+// The figures of docs/debts.md: this file and bbolt, each without and with a sync.
 func BenchmarkWrite(b *testing.B) {
-	var pairs []account.StoredBalance
-	for range 12 {
-		pairs = append(pairs, testBalances(1)...)
+	balances := slices.Repeat(testBalances(1), 12)
+	for name, isSynced := range map[string]bool{"file": false, "file, synced each time": true} {
+		b.Run(name, func(b *testing.B) {
+			j := openJournal(b, b.TempDir())
+			for b.Loop() {
+				if err := j.Write("x", balances); err != nil {
+					b.Fatal(err)
+				}
+				if isSynced {
+					if err := j.file.Sync(); err != nil {
+						b.Fatal(err)
+					}
+				}
+			}
+		})
 	}
-	b.Run("file", func(b *testing.B) {
-		j, err := Open(b.TempDir())
-		if err != nil {
-			b.Fatal(err)
-		}
-		for b.Loop() {
-			_ = j.Write("x", pairs)
-		}
-	})
-	b.Run("file, synced each time", func(b *testing.B) {
-		j, err := Open(b.TempDir())
-		if err != nil {
-			b.Fatal(err)
-		}
-		for b.Loop() {
-			_ = j.Write("x", pairs)
-			_ = j.file.Sync()
-		}
-	})
-	for name, lazy := range map[string]bool{"bbolt": true, "bbolt, synced each time": false} {
+	for name, isSynced := range map[string]bool{"bbolt": false, "bbolt, synced each time": true} {
 		b.Run(name, func(b *testing.B) {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: lazy})
+			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !isSynced})
 			if err != nil {
 				b.Fatal(err)
 			}
+			b.Cleanup(func() { _ = db.Close() })
 			for b.Loop() {
-				_ = db.Update(func(tx *bbolt.Tx) error {
-					bucket, err := tx.CreateBucketIfNotExists([]byte("debts"))
-					if err != nil {
-						return err
-					}
-					return bucket.Put([]byte("counts"), make([]byte, 300))
-				})
+				if err := db.Update(putCounts); err != nil {
+					b.Fatal(err)
+				}
 			}
 		})
 	}
 }
+
+func putCounts(tx *bbolt.Tx) error {
+	bucket, err := tx.CreateBucketIfNotExists([]byte("debts"))
+	if err != nil {
+		return err
+	}
+	return bucket.Put([]byte("counts"), make([]byte, 300))
+}
--- a/internal/settlement/runtime/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -1,4 +1,5 @@
-// Package keep puts the parts of debts together in a running gateway.
+// Package runtime puts the parts of the settlement together in a running gateway: its accounts, their journal on disk,
+// the replicated table and the dispatcher.
 package runtime
 
 import (
@@ -16,11 +17,12 @@
 	"harrierhoist/policy"
 )
 
-// Start has a gateway count debts and settle them by what all hold in common, until the context ends; the channel is
-// closed once all is on disk. Halls are the names in the order of the settings. Without a folder nothing is kept on
-// disk. The till is for other terms later (Reshape). Errors: a folder that cannot be used, or is another process's.
-func Start(ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
-	coordination coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
+// Start has a gateway count and settle debts until the context ends; the channel is closed once all is stored. Zones are
+// names in the order of the settings. Without a folder nothing is stored. The accounts are returned for other terms
+// later (SetTerms). Its errors are those of journal.Open.
+func Start(
+	ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
+	client coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
 ) (*account.Accounts, <-chan struct{}, error) {
 	var store account.Store
 	closeStore := func() error { return nil }
@@ -31,9 +33,9 @@
 		}
 		store, closeStore = j, j.Close
 	}
-	// A wall clock that steps back to the same nanosecond would give two lives one name; nothing else is told by it.
+	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same nanosecond.
 	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
-	accounts := account.New(terms, account.Settings{Zones: zones}, ledgerID, uint64(seed), coordination.Now)
+	accounts := account.New(terms, account.Settings{Zones: zones}, ledgerID, uint64(seed), client.Now)
 	accounts.SetPolicy(settings.Classes, settings.Plans)
 	if store != nil {
 		accounts.Restore(store)
@@ -42,9 +44,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		accounts.Run(ctx, coordination, dispatcher, store, log)
+		accounts.Run(ctx, client, dispatcher, store, log)
 		if err := closeStore(); err != nil {
-			log.Error("the disk keeps no debts of the last second", zap.Error(err))
+			log.Error("settlement: closing the debt journal failed, the last second may be lost", zap.Error(err))
 		}
 	}()
 	return accounts, ended, nil
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"context"
+	"errors"
 	"strings"
 	"testing"
 	"time"
 
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
 
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/dispatch"
@@ -16,64 +18,79 @@
 	"harrierhoist/policy"
 )
 
-// noCoordination is what a process has in common with nobody.
+// noCoordination is a client without tables. It passes on what registers exact counters.
 type noCoordination struct {
-	exact chan func(func(string, uint64))
+	registered chan func(func(string, uint64))
 }
 
-func (noCoordination) Now() time.Duration                                   { return time.Second }
-func (noCoordination) Cached(string) coordination.CachedTable               { return coordination.CachedTable{} }
-func (noCoordination) Changed() <-chan struct{}                             { return nil }
-func (noCoordination) RegisterCounters(func(func(string, uint64)))          {}
-func (a noCoordination) RegisterExactCounters(e func(func(string, uint64))) { a.exact <- e }
+func (noCoordination) Now() time.Duration                          { return time.Second }
+func (noCoordination) Cached(string) coordination.CachedTable      { return coordination.CachedTable{} }
+func (noCoordination) Changed() <-chan struct{}                    { return nil }
+func (noCoordination) RegisterCounters(func(func(string, uint64))) {}
+func (n noCoordination) RegisterExactCounters(counts func(func(string, uint64))) {
+	n.registered <- counts
+}
 
-// A gateway counts what a push owes, ends, and starts again on the same folder: its first digest tells it.
-func TestStart_debtsSurviveRestart(t *testing.T) {
-	defer goleak.VerifyNone(t)
+func testTerms() settlement.Terms {
 	terms := settlement.DefaultTerms()
 	terms.On = true
 	terms.Partners = []settlement.Partner{{Name: "a", Plans: []string{"wide"}}, {Name: "b", Zones: []string{"hb"}}}
-	settings := policy.Settings{
-		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
-		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: time.Second}},
-		Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}},
+	return terms
+}
+
+var testSettings = policy.Settings{
+	Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, OverloadSpan: time.Second,
+	Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: time.Second}},
+	Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}},
+}
+
+// runGateway starts a gateway on a folder, uses it, waits until 3.5 units are reported that a owes b, and ends it.
+func runGateway(t *testing.T, folder string, use func(*dispatch.Dispatcher)) {
+	t.Helper()
+	dispatcher, err := dispatch.New(testSettings, 7, dispatch.Dependencies{}, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	run := func(do func(*dispatch.Dispatcher)) {
-		dispatcher, err := dispatch.New(settings, 7, dispatch.Dependencies{}, zap.NewNop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(context.Background())
-		in := noCoordination{make(chan func(func(string, uint64)), 1)}
-		_, ended, err := Start(ctx, terms, settings, []string{"hb"}, 7, folder, in, dispatcher, zap.NewNop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, _, err := Start(ctx, terms, settings, []string{"hb"}, 7, folder, in, dispatcher, zap.NewNop()); err == nil {
-			t.Error("two tills count in one folder")
-		}
-		do(dispatcher)
-		exact := <-in.exact
-		fakes.Eventually(t, "the debt in the digest", func() bool {
-			owed := uint64(0)
-			exact(func(name string, n uint64) {
-				if strings.HasSuffix(name, "\x1fa\x1fb") {
-					owed += n
-				}
-			})
-			return owed == 3500
-		})
-		cancel()
-		<-ended
+	ctx, cancel := context.WithCancel(t.Context())
+	client := noCoordination{make(chan func(func(string, uint64)), 1)}
+	start := func() (<-chan struct{}, error) {
+		_, ended, err := Start(ctx, testTerms(), testSettings, []string{"hb"}, 7, folder, client, dispatcher, zap.NewNop())
+		return ended, err
+	}
+	ended, err := start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := start(); !errors.Is(err, unix.EWOULDBLOCK) {
+		t.Errorf("second start on the folder: %v, want %v", err, unix.EWOULDBLOCK)
 	}
-	run(func(dispatcher *dispatch.Dispatcher) {
-		dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s", Endpoint: policy.Endpoint{State: policy.Ready}}})
-		e := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
-		if c := e.Next(); c.Action != dispatch.Forward {
-			t.Fatalf("verdict %d", c.Action)
+	use(dispatcher)
+	report := <-client.registered
+	fakes.Eventually(t, "the debt reported", func() bool {
+		owed := uint64(0)
+		report(func(name string, n uint64) {
+			if strings.HasSuffix(name, "\x1fa\x1fb") {
+				owed += n
+			}
+		})
+		return owed == 3500
+	})
+	cancel()
+	<-ended
+}
+
+// A gateway counts what an attempt owes, ends, and starts again on the same folder: its first digest reports the debt.
+func TestStart_debtsSurviveRestart(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	folder := t.TempDir()
+	runGateway(t, folder, func(dispatcher *dispatch.Dispatcher) {
+		server := dispatch.Server{Name: "s", Endpoint: policy.Endpoint{State: policy.Ready}}
+		dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{server})
+		request := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
+		if decision := request.Next(); decision.Action != dispatch.Forward {
+			t.Fatalf("action %d, want forward", decision.Action)
 		}
-		e.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 3.5})
+		request.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 3.5})
 	})
-	run(func(*dispatch.Dispatcher) {})
+	runGateway(t, folder, func(*dispatch.Dispatcher) {})
 }
