--- a/internal/settlement/runtime/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -40,7 +40,7 @@
 	if store != nil {
 		accounts.Restore(store)
 	}
-	dispatcher.SetAccount(accounts)
+	dispatcher.SetAccounts(accounts)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
