--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -86,8 +86,8 @@
 func settling() []byte {
 	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
 	value, err := settlement.State{
-		Shares: []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
-		Nets:   []settlement.Amount{{Pair: pair, Sum: 1_000_000}},
+		Shares:   []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
+		NetDebts: []settlement.Amount{{Pair: pair, Sum: 1_000_000}},
 	}.Encode()
 	if err != nil {
 		panic(err) // plain numbers and words
@@ -148,7 +148,7 @@
 		{
 			name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
 			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
-			value: settling, says: []string{`"debts are being settled"`},
+			value: settling, says: []string{`"settlement: started"`},
 		},
 	} {
 		all = append(all, s.variant())
