--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -181,7 +181,7 @@
 		c.Fatal(err)
 	}
 	c.run(name, "RELAY_CONFIG="+config, "RELAY_COMMON="+c.writeFile(name, ""))
-	c.waitForLog(name, `"ready"`)
+	c.waitForLog(name, `"gateway: ready"`)
 }
 
 // What one process writes all hold, whoever leads; what was acknowledged outlives the end of all voters at once.
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -116,7 +116,7 @@
 	a := newSilentDiscovery(t, fakes.FormatList(2, true, fakes.FormatHost("s-2", later.Addr, "in_service")))
 	gateway.process, gateway.log = startWithDescriptorLimit(t, 64, fmt.Sprintf(configurationTemplate, gateway.addr, a.addr, gateway.counter.Addr, 1024,
 		fakes.FormatList(1, true, fakes.FormatHost("s-1", gateway.server.Addr, "in_service"))))
-	fakes.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"ready"`) })
+	fakes.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"gateway: ready"`) })
 
 	ended, stop := connectIdleClients(t, gateway.addr, 120)
 	fakes.Eventually(t, "a flood", func() bool { return ended.Load() >= 40 }) // all places taken, twice over
--- a/cmd/harrierhoist/drain_test.go
+++ b/cmd/harrierhoist/drain_test.go
@@ -22,7 +22,7 @@
 	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
+	fakes.Eventually(t, "the signal", func() bool { return strings.Contains(gateway.log.String(), "gateway: shutting down") })
 	fresh, mum := gateway.connect(), gateway.connect()
 	for _, c := range []*client{idle, fresh} {
 		c.send(queryCommand("c=look,t=wide,d=4800"))
--- a/cmd/harrierhoist/faults_test.go
+++ b/cmd/harrierhoist/faults_test.go
@@ -84,14 +84,14 @@
 func TestReload_movesCounterAndDiscovery(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	c := gateway.connect()
-	gateway.reload(`{"listen":`, "the new configuration is not taken")
+	gateway.reload(`{"listen":`, "gateway: configuration refused")
 	c.send(queryCommand("c=look,t=wide,d=4800"))
 	c.want("hello")
 	gateway.counter.NextCall(t)
 
 	other := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("other", 1) })
 	count, list := fakes.NewCounter(t), fakes.NewDiscovery(t, fakes.FormatHost("s-2", other.Addr, "in_service"))
-	gateway.reload(fmt.Sprintf(configurationTemplate, gateway.addr, list.Addr, count.Addr, 1024, "null"), "a new configuration")
+	gateway.reload(fmt.Sprintf(configurationTemplate, gateway.addr, list.Addr, count.Addr, 1024, "null"), "gateway: configuration reloaded")
 	for q := ""; !strings.HasPrefix(q, "since=1&"); { // told
 		q = <-list.Queries
 	}
--- a/cmd/harrierhoist/notified_test.go
+++ b/cmd/harrierhoist/notified_test.go
@@ -26,7 +26,7 @@
 			gateway := startGateway(t, 1024, answerHello)
 			other := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("other", 1) })
 			gateway.reload(strings.Replace(fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, "null"),
-				`"Discovery":"push"`, fmt.Sprintf(`"Discovery":%q`, mode), 1), "a new configuration")
+				`"Discovery":"push"`, fmt.Sprintf(`"Discovery":%q`, mode), 1), "gateway: configuration reloaded")
 			calls, back := make(chan http.HandlerFunc, len(run)), make(chan time.Time, 1)
 			for _, ill := range run {
 				calls <- ill
--- a/cmd/harrierhoist/reload_test.go
+++ b/cmd/harrierhoist/reload_test.go
@@ -29,7 +29,7 @@
 			_ = gateway.process.Process.Signal(s)
 		}
 	}
-	const asked, taken = `"asked to end"`, `"a new configuration"`
+	const asked, taken = `"gateway: shutting down"`, `"gateway: configuration reloaded"`
 	for name, story := range map[string]func(gateway *gatewayUnderTest, good string){
 		"asked to end twice": func(gateway *gatewayUnderTest, _ string) {
 			send(gateway, syscall.SIGTERM)
@@ -71,14 +71,14 @@
 		"a broken file, then asked to end": func(gateway *gatewayUnderTest, _ string) {
 			replaceFile(gateway.T, gateway.configPath, `{"listen":`)
 			send(gateway, syscall.SIGHUP)
-			waitForLog(gateway.T, gateway.log, "the new configuration is not taken")
+			waitForLog(gateway.T, gateway.log, "gateway: configuration refused")
 			send(gateway, syscall.SIGTERM)
 			waitForLog(gateway.T, gateway.log, asked)
 		},
 		"a file that is gone, then asked to end": func(gateway *gatewayUnderTest, _ string) {
 			_ = os.Remove(gateway.configPath)
 			send(gateway, syscall.SIGHUP)
-			waitForLog(gateway.T, gateway.log, "the new configuration is not taken")
+			waitForLog(gateway.T, gateway.log, "gateway: configuration refused")
 			send(gateway, syscall.SIGTERM)
 			waitForLog(gateway.T, gateway.log, asked)
 		},
@@ -178,7 +178,7 @@
 				fakes.Eventually(t, "the silent agent asked", func() bool { return silent.calls.Load() > 0 })
 				_ = gateway.process.Process.Signal(syscall.SIGHUP)
 			}
-			waitForLog(t, gateway.log, `"ready"`)
+			waitForLog(t, gateway.log, `"gateway: ready"`)
 			gateway.wantServedAt("new", to)
 			_ = gateway.process.Process.Signal(syscall.SIGTERM)
 			gateway.waitForCleanExit()
--- a/cmd/harrierhoist/settings_test.go
+++ b/cmd/harrierhoist/settings_test.go
@@ -99,7 +99,7 @@
 
 	c := gateway.connect()
 	for round := range 3 {
-		gateway.reload(there, "a new configuration")
+		gateway.reload(there, "gateway: configuration reloaded")
 		c.send(queryCommand("c=read,t=open,d=4800,units=1"))
 		c.want("hello")
 		c.send(submitCommand("body"))
@@ -112,7 +112,7 @@
 			time.Sleep(1100 * time.Millisecond)
 			drained.Store(true)
 		}
-		gateway.reload(old, "a new configuration")
+		gateway.reload(old, "gateway: configuration reloaded")
 		c.send(submitCommand("body"))
 		c.want("hello")
 		c.send(queryCommand("c=read,t=open,d=4800,units=1"))
@@ -143,7 +143,7 @@
 	gateway := startGateway(t, 1024, answerHello)
 	config := strings.Replace(reshapedConfiguration(gateway, gateway.discovery.Addr, gateway.counter.Addr), "8c1f30d27a5be964", "8c1f30d27a5be965", 1)
 	config = strings.Replace(config, `"Dcs":["hall-a"]`, `"Dcs":["hall-a","hall-b"]`, 1)
-	gateway.reload(config, "a new configuration")
+	gateway.reload(config, "gateway: configuration reloaded")
 	if !strings.Contains(gateway.log.String(), `"keys":["seed","settings.Dcs"]`) {
 		t.Errorf("not named: %s", gateway.log)
 	}
@@ -157,7 +157,7 @@
 	gateway := startGateway(t, 1024, answerHello)
 	without := strings.Replace(fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, "", 1024, "null"), `"HasCounter":true`, `"HasCounter":false`, 1)
 	for _, config := range []string{without, fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, "null")} {
-		gateway.reload(config, "a new configuration")
+		gateway.reload(config, "gateway: configuration reloaded")
 		c := gateway.connect()
 		c.send(queryCommand("c=look,t=wide,d=4800,units=1"))
 		c.want("hello")
--- a/cmd/harrierhoist/start_test.go
+++ b/cmd/harrierhoist/start_test.go
@@ -125,7 +125,7 @@
 	asks.want("-ERR not ready")
 	c.wantClosed()
 	gateway.waitForCleanExit()
-	if strings.Contains(gateway.log.String(), `"ready"`) {
+	if strings.Contains(gateway.log.String(), `"gateway: ready"`) {
 		t.Error("ready although it was asked to end")
 	}
 }
--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -16,7 +16,7 @@
 	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
 		gateway.Fatal(err)
 	}
-	fakes.Eventually(gateway, "the signal", func() bool { return strings.Contains(gateway.log.String(), "asked to end") })
+	fakes.Eventually(gateway, "the signal", func() bool { return strings.Contains(gateway.log.String(), "gateway: shutting down") })
 }
 
 // waitForCleanDrain waits for the end of the program, which has to be in order.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -60,33 +60,33 @@
 	return gateway, nil
 }
 
-// KeepRestartOnly takes over from the previous configuration what only a restart can change, and returns the keys of what
+// RetainRestartOnly takes over from the previous configuration what only a restart can change, and returns the keys of what
 // differed.
-func (g *Gateway) KeepRestartOnly(previous *Gateway) (keys []string) {
-	keep := func(key string, same bool, restore func()) {
+func (g *Gateway) RetainRestartOnly(previous *Gateway) (keys []string) {
+	retain := func(key string, same bool, restore func()) {
 		if !same {
 			keys = append(keys, key)
 			restore()
 		}
 	}
 	settings, was := &g.Settings, &previous.Settings
-	keep("name", g.Name == previous.Name, func() { g.Name = previous.Name })
-	keep("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
-	keep("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
-	keep("limits", g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets, func() {
+	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
+	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
+	retain("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
+	retain("limits", g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets, func() {
 		g.Cores, g.MemoryMB, g.Sockets = previous.Cores, previous.MemoryMB, previous.Sockets
 	})
-	keep("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
+	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
 		g.Zones, settings.Zones, settings.MyZone = previous.Zones, was.Zones, was.MyZone
 	})
-	keep("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
-	keep("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
+	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
+	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
 		settings.LoadReportFields = was.LoadReportFields
 	})
-	keep("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
+	retain("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
 		g.ConnectTimeout = previous.ConnectTimeout
 	})
-	keep("settings.PolicyLimits.IdleCloseMs", g.IdleTimeout == previous.IdleTimeout, func() { g.IdleTimeout = previous.IdleTimeout })
+	retain("settings.PolicyLimits.IdleCloseMs", g.IdleTimeout == previous.IdleTimeout, func() { g.IdleTimeout = previous.IdleTimeout })
 	return keys
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -122,7 +122,7 @@
 
 // An operator with a wrong value was told the key alone, or not what is allowed there; with several files about, which one
 // was wrong was left to guess.
-func TestRead_refusalNamesFileKeyAndAllowedValues(t *testing.T) {
+func TestRead_refusalNamesFileKeyAndAllowedRange(t *testing.T) {
 	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED","limits":{"sockets":SOCKETS},"settings":{}}`
 	for _, c := range []struct{ name, sockets, seed, want string }{
 		{"no sockets", "0", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestParse_otherAllowedValuesAreTaken(t *testing.T) {
+func TestParse_otherAllowedRangeAreTaken(t *testing.T) {
 	for old, other := range map[string]string{
 		`"known":`:              `"known":null,"Unused":`,
 		`"Deep":[1,[2]]`:        `"Deep":[1,[2]]`,
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestKeepRestartOnly_keepsAndNamesWhatChanged(t *testing.T) {
+func TestRetainRestartOnly_namesWhatChanged(t *testing.T) {
 	previous, err := parse([]byte(sampleFile))
 	if err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keys := gateway.KeepRestartOnly(previous)
+	keys := gateway.RetainRestartOnly(previous)
 	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen ||
 		len(gateway.Hardware) != 1 || gateway.Settings.Plans[0].Rate != 3 {
 		t.Errorf("kept %v, and have %+v", keys, gateway)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -29,8 +29,8 @@
 			OverloadFactor: 2.25, OverloadSpan: 1500 * time.Millisecond, LoadReportFields: []string{"cpu", "queue"}, MailboxRate: 900,
 			Classes: []policy.TrafficClass{
 				{
-					Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1, Effect: policy.Idempotent,
-					Stream: true,
+					Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1,
+					Effect: policy.Idempotent, Stream: true,
 				},
 				{
 					Name: "hold", LatencyObjective: 400125 * time.Microsecond, Timeout: 1500 * time.Millisecond, Weight: 3, LateFraction: 0.5,
@@ -67,7 +67,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	// No field is left out of the comparison: each has a value other than its zero value (Closed has no key).
+	// No field is left out of the comparison: each has a value other than its zero value (Retired has no key, and only another class is a stream).
 	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
@@ -86,15 +86,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rows [][2]string
+	var edits [][2]string
 	for line := range strings.Lines(string(text)) {
 		edit, refusal, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if !ok {
 			t.Fatalf("no tab in %q", line)
 		}
-		rows = append(rows, [2]string{edit, refusal})
+		edits = append(edits, [2]string{edit, refusal})
 	}
-	return rows
+	return edits
 }
 
 // edited is full.json after some edits.
@@ -112,28 +112,28 @@
 		path, value, set := strings.Cut(edit, "=")
 		path = strings.TrimPrefix(path, "-")
 		keys := strings.Split(path, ".")
-		at := root
+		parent := root
 		for _, key := range keys[:len(keys)-1] {
-			if list, ok := at.([]any); ok {
-				place, err := strconv.Atoi(key)
+			if list, ok := parent.([]any); ok {
+				index, err := strconv.Atoi(key)
 				if err != nil {
 					t.Fatalf("%s: %v", edit, err)
 				}
-				at = list[place]
+				parent = list[index]
 			} else {
-				at = at.(map[string]any)[key]
+				parent = parent.(map[string]any)[key]
 			}
 		}
 		last := keys[len(keys)-1]
 		if !set {
-			delete(at.(map[string]any), last)
+			delete(parent.(map[string]any), last)
 			continue
 		}
 		var inner any
 		if err := json.Unmarshal([]byte(value), &inner); err != nil {
 			t.Fatalf("%s: %v", edit, err)
 		}
-		at.(map[string]any)[last] = inner
+		parent.(map[string]any)[last] = inner
 	}
 	if text, err = json.Marshal(root); err != nil {
 		t.Fatal(err)
@@ -143,8 +143,8 @@
 
 func TestGolden_everyRefusalOfABadFileIsWordedAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway.json")
-	for _, row := range refusals(t) {
-		edits, want := row[0], row[1]
+	for _, refusal := range refusals(t) {
+		edits, want := refusal[0], refusal[1]
 		t.Run(edits, func(t *testing.T) {
 			if err := os.WriteFile(path, edited(t, edits), 0o600); err != nil {
 				t.Fatal(err)
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -21,7 +21,7 @@
 	ports      = 10000
 	portsApart = 101 // between tests whose process numbers follow each other: more than one needs
 	taken      = "address already in use"
-	ready      = `"msg":"ready"` // without it another program might answer there
+	ready      = `"msg":"gateway: ready"` // without it another program might answer there
 	startsMost = 20
 )
 
--- a/internal/conformance/play.go
+++ b/internal/conformance/play.go
@@ -77,7 +77,7 @@
 				t.Fatal(err)
 			}
 			fakes.Eventually(t, "settings taken", func() bool {
-				return strings.Contains(r.Log(), "a new configuration")
+				return strings.Contains(r.Log(), "gateway: configuration reloaded")
 			})
 		}
 	},
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -6,7 +6,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
 	"slices"
 	"sync/atomic"
 	"time"
@@ -27,45 +26,46 @@
 	"harrierhoist/internal/zonestats"
 )
 
-// membership is this gateway's part in what processes hold in common; nil where no charter is named.
+// membership is this process's part in coordination; nil where no coordination file is named.
 type membership struct {
 	process        *node.Node
 	enforcer       *enforce.Enforcer // nil where counting rules are off
-	account        *account.Accounts // nil where debts are off
-	settlementDone <-chan struct{}
+	account        *account.Accounts // nil where settlement is off
+	settlementDone <-chan struct{}   // closed once settlement has stored its state
 }
 
-// processStart is when the deciders' clock began, within a few milliseconds: a canary's edges go by the wall.
+// processStart is when the controllers' clock began, within a few milliseconds: a canary's stages go by the wall clock.
 var processStart = time.Now()
 
-// readsPerLease is how many waiting reads one lease lasts.
+// readsPerLease is how many long polls fit in a lease.
 const readsPerLease = 4
 
-// plannedZones tells the settlement what failover's plan says of the halls: that goes first.
+// plannedZones is what failover's plan says of the zones: settlement gives way to it.
 func plannedZones(seen coordination.ControllerInput) map[string]settlement.ZoneStatus {
 	plan, err := failover.DecodePlan(seen.Table(failover.Table).Value)
 	if err != nil || plan == nil {
-		return nil
+		return nil // a plan of another version, or none yet: settlement goes by the zones alone
 	}
 	return settlement.ZoneStatusOfPlan(plan.Rows, plan.Health)
 }
 
-// joinCoordination starts what a charter names, if one is named.
+// joinCoordination starts the process's node as a coordination file says; no path: no node.
 func joinCoordination(path string, log *zap.Logger) (*membership, error) {
 	if path == "" {
 		return nil, nil
 	}
-	p, err := node.Open(path, newControllers(), log)
+	process, err := node.Open(path, newControllers(), log)
 	if err != nil {
 		return nil, err
 	}
-	return &membership{process: p}, nil
+	return &membership{process: process}, nil
 }
 
-// newControllers gives those that run where a voter leads, by what the charter says. Calls come one after another.
+// newControllers returns the controllers that run where a voter leads, by its configuration. It is called by one goroutine
+// at a time.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	var trial *canary.Controller // one for all files, while the lease stays: a file read again does not begin a trial anew
+	var trial *canary.Controller // one for all configurations, while the lease stays: a reload does not begin a canary anew
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
@@ -85,71 +85,93 @@
 	}
 }
 
-// start has the gateway act on what is held in common. An error is a file that does not fit the gateway's.
-func (c *membership) start(ctx context.Context, running *instance) error {
-	if c == nil {
+// start has the gateway act on the replicated tables until the context ends. An error is a coordination file that does not
+// fit the gateway's configuration.
+func (m *membership) start(ctx context.Context, running *instance) error {
+	if m == nil {
 		return nil
 	}
-	shared, terms := c.process.Client(), c.process.Config()
+	terms := m.process.Config()
 	if terms.FailoverEnabled() {
-		hall := terms.Process.Zone
-		if !slices.Contains(running.configuration.Zones, hall) {
-			return fmt.Errorf("RELAY_COMMON: process.hall must be one of settings.Dcs of RELAY_CONFIG, %q, where "+
-				"failover is on, not %q", running.configuration.Zones, hall)
+		if err := m.startFailover(ctx, running, terms.Process.Zone); err != nil {
+			return err
 		}
-		running.dispatcher.SetRecorder(zonestats.New(running.configuration.Zones, slices.Index(running.configuration.Zones, hall), &running.configuration.Settings))
-		go routing.New(shared, running.dispatcher, running.configuration.Zones, hall, running.log).Run(ctx)
 	}
 	if terms.Counting != nil {
-		c.enforcer = enforce.New(terms.Counting, running.log)
-		go func() {
-			if err := c.enforcer.Run(ctx, shared, running.dispatcher); err != nil {
-				running.log.Error("counting rules are not followed: tasks are counted as ever", zap.Error(err))
-			}
-		}()
+		m.startEnforcer(ctx, running, terms.Counting)
 	}
 	if terms.SettlementEnabled() {
-		var err error
-		c.account, c.settlementDone, err = runtime.Start(ctx, *terms.Settlement, running.configuration.Settings, running.configuration.Zones, running.configuration.Seed,
-			terms.Process.Folder, shared, running.dispatcher, running.log)
-		if err != nil {
-			return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
+		return m.startSettlement(ctx, running, terms)
+	}
+	return nil
+}
+
+func (m *membership) startFailover(ctx context.Context, running *instance, zone string) error {
+	zones := running.configuration.Zones
+	if !slices.Contains(zones, zone) {
+		return fmt.Errorf("RELAY_COMMON: process.hall must be one of settings.Dcs of RELAY_CONFIG, %q, where "+
+			"failover is on, not %q", zones, zone)
+	}
+	running.dispatcher.SetRecorder(zonestats.New(zones, slices.Index(zones, zone), &running.configuration.Settings))
+	go routing.New(m.process.Client(), running.dispatcher, zones, zone, running.log).Run(ctx)
+	return nil
+}
+
+func (m *membership) startEnforcer(ctx context.Context, running *instance, rules *countingrule.Config) {
+	client := m.process.Client()
+	m.enforcer = enforce.New(rules, running.log)
+	go func() {
+		if err := m.enforcer.Run(ctx, client, running.dispatcher); err != nil {
+			running.log.Error("enforce: counting rules off, requests count under their customer", zap.Error(err))
 		}
+	}()
+}
+
+func (m *membership) startSettlement(ctx context.Context, running *instance, terms *config.Config) error {
+	var err error
+	m.account, m.settlementDone, err = runtime.Start(ctx, *terms.Settlement, running.configuration.Settings,
+		running.configuration.Zones, running.configuration.Seed, terms.Process.Folder, m.process.Client(), running.dispatcher,
+		running.log)
+	if err != nil {
+		return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
 	}
 	return nil
 }
 
-// reload takes the charter again. Parts whose terms changed are told here.
-func (c *membership) reload() {
-	if c == nil || !c.process.Reload() {
+// reload reads the coordination file again, and hands changed terms to the parts that run.
+func (m *membership) reload() {
+	if m == nil || !m.process.Reload() {
 		return
 	}
-	if c.enforcer != nil {
-		c.enforcer.Reconfigure(c.process.Config().Counting)
+	terms := m.process.Config()
+	if m.enforcer != nil {
+		m.enforcer.Reconfigure(terms.Counting)
 	}
-	if terms := c.process.Config(); c.account != nil && terms.Settlement != nil {
-		c.account.SetTerms(*terms.Settlement)
+	if m.account != nil && terms.Settlement != nil {
+		m.account.SetTerms(*terms.Settlement)
 	}
 }
 
-func (c *membership) resign() {
-	if c != nil {
-		c.process.TransferLeadership()
+// transferLeadership gives the lead to another voter, if this process has it.
+func (m *membership) transferLeadership() {
+	if m != nil {
+		m.process.TransferLeadership()
 	}
 }
 
-// close ends what is held in common; the parts' context has ended.
-func (c *membership) close() {
-	if c != nil {
-		if c.settlementDone != nil {
-			<-c.settlementDone
-		}
-		c.process.Close()
+// close stops the node, after settlement has stored its state; the context given to start has ended.
+func (m *membership) close() {
+	if m == nil {
+		return
+	}
+	if m.settlementDone != nil {
+		<-m.settlementDone
 	}
+	m.process.Close()
 }
 
-// runVoter runs a voter without a gateway, until it is asked to end.
-func runVoter(path string, hup, term <-chan os.Signal) error {
+// runVoter runs a voter without a gateway, until the process is asked to end.
+func runVoter(path string, signals *signals) error {
 	configuration, err := config.Read(path)
 	if err != nil {
 		return err
@@ -161,21 +183,21 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }()
-	c, err := joinCoordination(path, log)
+	defer func() { _ = log.Sync() }() // standard error may be one that cannot be synced
+	member, err := joinCoordination(path, log)
 	if err != nil {
 		return err
 	}
-	log.Info("ready")
+	log.Info("voter: ready")
 	for {
 		select {
-		case <-hup:
-			c.reload()
-		case <-term:
-			log.Info("asked to end")
-			c.resign()
-			c.close()
-			log.Info("ended")
+		case <-signals.reload:
+			member.reload()
+		case <-signals.terminate:
+			log.Info("voter: shutting down")
+			member.transferLeadership()
+			member.close()
+			log.Info("voter: stopped")
 			return nil
 		}
 	}
--- a/internal/gateway/coordination_alone.go
+++ b/internal/gateway/coordination_alone.go
@@ -5,15 +5,14 @@
 import (
 	"context"
 	"errors"
-	"os"
 
 	"go.uber.org/zap"
 )
 
-// A build with the tag alone has nothing of what processes hold in common: linked but never used, that code still takes
-// some 5 MB of resident memory and a part of the start (docs/cluster.md, Measured).
+// A build with the tag alone has no code of coordination: linked but never used, that code still takes some 5 MB of
+// resident memory and a part of the start (docs/cluster.md, Measured).
 
-// errCoordinationNotBuilt is a charter named for such a build.
+// errCoordinationNotBuilt refuses a coordination file in such a build.
 var errCoordinationNotBuilt = errors.New("RELAY_COMMON: this program was built with the tag alone, " +
 	"and takes no part in what is held in common")
 
@@ -26,9 +25,9 @@
 	return nil, nil
 }
 
-func runVoter(string, <-chan os.Signal, <-chan os.Signal) error { return errCoordinationNotBuilt }
+func runVoter(string, *signals) error { return errCoordinationNotBuilt }
 
 func (*membership) start(context.Context, *instance) error { return nil }
 func (*membership) reload()                                {}
-func (*membership) resign()                                {}
+func (*membership) transferLeadership()                    {}
 func (*membership) close()                                 {}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package daemon is one gateway on sockets, put together from its parts, with its signals and its log. The command
-// harrierhoist runs it, and so does the laboratory for gateways of its own.
+// Package gateway runs one gateway process: it builds the gateway from its parts, and handles signals and
+// reconfiguration. The command harrierhoist runs it, and so does the laboratory for gateways of its own. With a
+// coordination file the process also takes part in what processes decide together; with that file alone it is a voter.
 package gateway
 
 import (
@@ -7,49 +8,38 @@
 	"fmt"
 	"net"
 	"os"
-	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/config"
-	"harrierhoist/internal/counter"
-	"harrierhoist/internal/discovery"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/listener"
-	"harrierhoist/internal/upstream"
-	"harrierhoist/policy"
 )
 
+// Shares of the memory limit.
 const (
-	heapDivisor          = 2 // the part of the memory limit that the heap may grow to before it is swept harder
-	requestMemoryDivisor = 4 // the part of it that clients' words and values, and servers' answers, may hold at once
-
-	// maxReadyWait bounds the wait for discovery's first list, whatever the settings give a connection: of restarted
-	// processes nine in ten have to be ready within 10 s, and one that stands still may lose some of that.
-	maxReadyWait = 3 * time.Second
+	heapDivisor          = 2 // the heap may grow to this part of it before it is collected harder
+	requestMemoryDivisor = 4 // requests and answers in flight may hold this part of it
 )
 
-// Run serves as the file at a path says, until it is asked to end.
+// maxReadyWait bounds the wait for discovery's first list, whatever connect timeout is set: of restarted processes nine in
+// ten have to be ready within 10 s, and one that is paused by the system may lose some of that.
+const maxReadyWait = 3 * time.Second
+
+// Run runs a gateway on the configuration file at a path, until the process is asked to end.
 func Run(path string) error { return RunWithCoordination(path, "") }
 
-// RunWithCoordination is Run of a process that takes part in what processes hold in common, as the charter at a path says; none: it
-// takes no part. A voter needs no file but the charter.
+// RunWithCoordination is Run of a process that takes part in coordination as the file at coordinationPath says; empty: it
+// takes no part. Without path it is a voter, which needs no other file.
 func RunWithCoordination(path, coordinationPath string) error {
-	// Before anything else: unasked for, either would end the program, and reset clients that have connected by then.
-	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
-	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(term)
+	// Before anything else: unhandled, either signal would end the program, and reset clients that have connected by then.
+	signals := notifySignals()
+	defer signals.stop()
 	if path == "" && coordinationPath != "" {
-		return runVoter(coordinationPath, hup, term)
+		return runVoter(coordinationPath, signals)
 	}
-	configuration, err := readConfiguration(path, term)
+	configuration, err := readConfiguration(path, signals.terminate)
 	if configuration == nil {
 		return err
 	}
@@ -58,97 +48,17 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }()
-	log = log.With(zap.String("gateway", configuration.Name))
-
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	connectionsPerSide := connectionLimit(configuration, log)
-	settings := &configuration.Settings
-	upstreams := upstream.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
-	running := &instance{configPath: path, configuration: configuration, log: log}
-	outside := dispatch.Dependencies{IdleTimeout: upstreams.IdleTimeout(), CheckHealth: func(s dispatch.Server, heard func(dispatch.Result)) { go upstreams.CheckHealth(s, heard) },
-		Count: func(name uint64, units float64, keep time.Duration, heard func(float64, policy.Outcome)) {
-			running.counter.Load().Add(name, units, keep, heard) // settings with a counter come into force once there is one
-		}}
-	running.setCounterAddress(configuration)
-	dispatcher, err := dispatch.New(*settings, configuration.Seed, outside, log)
-	if err != nil {
-		return err
-	}
-	watcher, err := discovery.New(configuration, dispatcher, log)
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	clients := listener.New(settings, dispatcher, upstreams, connectionsPerSide, configuration.MemoryMB<<20/requestMemoryDivisor, log)
-	running.dispatcher, running.watcher, running.clients = dispatcher, watcher, clients
-	socket, err := net.Listen("tcp", configuration.Listen)
+	defer func() { _ = log.Sync() }() // standard error may be one that cannot be synced
+	running, err := newInstance(path, configuration, log.With(zap.String("gateway", configuration.Name)))
 	if err != nil {
-		return fmt.Errorf("%s: configuration: listen: an address of this machine that is free is wanted: %w", path, err)
-	}
-	member, err := joinCoordination(coordinationPath, log)
-	if err != nil {
-		_ = socket.Close()
-		return err
-	}
-	defer func() {
-		cancel() // what the parts keep on disk is written once their context has ended
-		member.close()
-	}()
-	if err := member.start(ctx, running); err != nil {
-		_ = socket.Close()
 		return err
 	}
-	go dispatcher.RunTimers(ctx)
-	go watcher.Run(ctx)
-	go upstreams.RunIdleCleanup(ctx)
-	go clients.Sweep(ctx)
-	ending := make(chan struct{})
-	go func() {
-		select { // a list that may be old serves where discovery is silent
-		case <-watcher.FirstList():
-		case <-time.After(min(configuration.ConnectTimeout, maxReadyWait)):
-		case <-ending: // one that ends is no more to be taken in
-			return
-		}
-		clients.Ready()
-		log.Info("ready", zap.String("listen", configuration.Listen))
-	}()
-
-	go func() {
-		for {
-			select {
-			case <-hup:
-				running.reload()
-				member.reload()
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
-
-	go func() {
-		<-term
-		close(ending)
-		log.Info("asked to end")
-		go member.resign()
-		clients.Drain(socket)
-		cancel()
-	}()
-	if err := clients.Serve(socket); err != nil {
-		return err
-	}
-	<-ctx.Done()
-	if count := running.counter.Load(); count != nil {
-		count.Close()
-	}
-	log.Info("ended")
-	return nil
+	return running.serve(coordinationPath, signals)
 }
 
-// readConfiguration reads the file; nothing and no error if the program is asked to end before it has: nobody was served yet, and a
-// disk that hangs must not hold the end up.
-func readConfiguration(path string, term <-chan os.Signal) (*config.Gateway, error) {
+// readConfiguration reads the file. It returns neither a configuration nor an error if the process is asked to end first:
+// nobody was served yet, and a disk that hangs must not delay the end.
+func readConfiguration(path string, terminate <-chan os.Signal) (*config.Gateway, error) {
 	var configuration *config.Gateway
 	var err error
 	done := make(chan struct{})
@@ -159,74 +69,95 @@
 	select {
 	case <-done:
 		return configuration, err
-	case <-term:
+	case <-terminate:
 		return nil, nil
 	}
 }
 
-// instance is what a new configuration changes in the running program.
-type instance struct {
-	configPath    string
-	configuration *config.Gateway
-	counter       atomic.Pointer[counter.Counter] // none while no settings had one
-	dispatcher    *dispatch.Dispatcher
-	watcher       *discovery.Watcher
-	clients       *listener.Listener
-	log           *zap.Logger
-}
-
-// setCounterAddress has calls go to the counter that is named, if any is.
-func (running *instance) setCounterAddress(configuration *config.Gateway) {
-	if configuration.Counter == "" {
-		return
+// applyRuntimeLimits has the runtime respect the limits of cores and memory.
+func applyRuntimeLimits(configuration *config.Gateway) {
+	if configuration.Cores > 0 {
+		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
 	}
-	if count := running.counter.Load(); count != nil {
-		count.SetAddress(configuration.Counter)
-	} else {
-		running.counter.Store(counter.New(configuration.Counter, configuration.ConnectTimeout, running.log))
+	if configuration.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(configuration.MemoryMB) << 20 / heapDivisor)
 	}
 }
 
-// reload reads the configuration again and takes it in place: addresses, and all settings but those that only a
-// restart can change, which are named. One that is not good leaves the old one in force.
-func (running *instance) reload() {
-	configuration, err := config.Read(running.configPath)
+// serve serves clients until the process is asked to end and all that was in flight is answered.
+func (i *instance) serve(coordinationPath string, signals *signals) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	socket, err := net.Listen("tcp", i.configuration.Listen)
 	if err != nil {
-		running.log.Error("the new configuration is not taken", zap.Error(err))
-		return
+		return fmt.Errorf("%s: configuration: listen: an address of this machine that is free is wanted: %w", i.configPath, err)
 	}
-	if fixed := configuration.KeepRestartOnly(running.configuration); len(fixed) > 0 {
-		running.log.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
-	}
-	running.setCounterAddress(configuration)
-	settings, err := running.clients.Reconfigure(configuration.Settings)
+	member, err := joinCoordination(coordinationPath, i.log)
 	if err != nil {
-		running.log.Error("the new configuration is not taken", zap.Error(err))
-		return
+		_ = socket.Close() // the error to report is the other one
+		return err
 	}
-	running.watcher.SetAgent(configuration.Discovery, !configuration.Settings.PollList)
-	running.configuration = configuration
-	var classes, plans []string
-	for _, class := range settings.Classes {
-		if !class.Retired {
-			classes = append(classes, class.Name)
-		}
+	defer func() {
+		cancel() // what settlement stores is written once its context has ended
+		member.close()
+	}()
+	if err := member.start(ctx, i); err != nil {
+		_ = socket.Close()
+		return err
 	}
-	for _, plan := range settings.Plans {
-		if !plan.Retired {
-			plans = append(plans, plan.Name)
-		}
+	i.startBackground(ctx)
+	terminating := make(chan struct{})
+	go i.becomeReady(terminating)
+	go i.handleReloads(ctx, signals.reload, member)
+	go func() {
+		<-signals.terminate
+		close(terminating)
+		i.log.Info("gateway: shutting down")
+		go member.transferLeadership()
+		i.clients.Drain(socket)
+		cancel()
+	}()
+	if err := i.clients.Serve(socket); err != nil {
+		return err
+	}
+	<-ctx.Done()
+	if client := i.counter.Load(); client != nil {
+		client.Close()
 	}
-	running.log.Info("a new configuration", zap.String("discovery", configuration.Discovery), zap.String("counter", configuration.Counter),
-		zap.Int("gateways", settings.Gateways), zap.Strings("lanes", classes), zap.Strings("plans", plans))
+	i.log.Info("gateway: stopped")
+	return nil
 }
 
-// applyRuntimeLimits keeps the runtime within what is handed in.
-func applyRuntimeLimits(configuration *config.Gateway) {
-	if configuration.Cores > 0 {
-		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
+// startBackground starts the parts' own goroutines, which end with the context.
+func (i *instance) startBackground(ctx context.Context) {
+	go i.dispatcher.RunTimers(ctx)
+	go i.watcher.Run(ctx)
+	go i.upstreams.RunIdleCleanup(ctx)
+	go i.clients.Sweep(ctx)
+}
+
+// becomeReady lets clients in once discovery's first list is applied, or after a while without it: the list of an earlier
+// run serves where discovery does not answer. A gateway that terminates is not announced any more.
+func (i *instance) becomeReady(terminating <-chan struct{}) {
+	select {
+	case <-i.watcher.FirstList():
+	case <-time.After(min(i.configuration.ConnectTimeout, maxReadyWait)):
+	case <-terminating:
+		return
 	}
-	if configuration.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(configuration.MemoryMB) << 20 / heapDivisor)
+	i.clients.Ready()
+	i.log.Info("gateway: ready", zap.String("listen", i.configuration.Listen))
+}
+
+// handleReloads reads the configuration again on each signal, until the context ends.
+func (i *instance) handleReloads(ctx context.Context, reload <-chan os.Signal, member *membership) {
+	for {
+		select {
+		case <-reload:
+			i.reload()
+			member.reload()
+		case <-ctx.Done():
+			return
+		}
 	}
 }
--- /dev/null
+++ b/internal/gateway/instance.go
@@ -0,0 +1,105 @@
+package gateway
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/counter"
+	"harrierhoist/internal/discovery"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/listener"
+	"harrierhoist/internal/upstream"
+	"harrierhoist/policy"
+)
+
+// instance is the running gateway: its parts, and what a new configuration changes in them.
+type instance struct {
+	configPath    string
+	configuration *config.Gateway                 // in force; read and replaced by handleReloads alone once it runs
+	counter       atomic.Pointer[counter.Counter] // nil until settings with a counter are in force
+	dispatcher    *dispatch.Dispatcher
+	watcher       *discovery.Watcher
+	upstreams     *upstream.Pool
+	clients       *listener.Listener
+	log           *zap.Logger
+}
+
+func newInstance(configPath string, configuration *config.Gateway, log *zap.Logger) (*instance, error) {
+	connectionsPerSide := connectionLimit(configuration, log)
+	settings := &configuration.Settings
+	upstreams := upstream.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
+	i := &instance{configPath: configPath, configuration: configuration, upstreams: upstreams, log: log}
+	i.setCounterAddress(configuration)
+	var err error
+	if i.dispatcher, err = dispatch.New(*settings, configuration.Seed, i.dependencies(), log); err != nil {
+		return nil, err
+	}
+	if i.watcher, err = discovery.New(configuration, i.dispatcher, log); err != nil {
+		return nil, fmt.Errorf("%s: %w", configPath, err)
+	}
+	requestMemory := configuration.MemoryMB << 20 / requestMemoryDivisor
+	i.clients = listener.New(settings, i.dispatcher, upstreams, connectionsPerSide, requestMemory, log)
+	return i, nil
+}
+
+// dependencies are the calls that the dispatcher makes into the network.
+func (i *instance) dependencies() dispatch.Dependencies {
+	return dispatch.Dependencies{
+		IdleTimeout: i.upstreams.IdleTimeout(),
+		CheckHealth: func(server dispatch.Server, done func(dispatch.Result)) { go i.upstreams.CheckHealth(server, done) },
+		Count: func(name uint64, units float64, ttl time.Duration, reply func(float64, policy.Outcome)) {
+			i.counter.Load().Add(name, units, ttl, reply) // settings with a counter come into force once there is one
+		},
+	}
+}
+
+// setCounterAddress has calls go to the counter that a configuration names, if it names one.
+func (i *instance) setCounterAddress(configuration *config.Gateway) {
+	if configuration.Counter == "" {
+		return
+	}
+	if client := i.counter.Load(); client != nil {
+		client.SetAddress(configuration.Counter)
+	} else {
+		i.counter.Store(counter.New(configuration.Counter, configuration.ConnectTimeout, i.log))
+	}
+}
+
+// reload reads the configuration again and puts it in force: addresses, and all settings but those that only a restart
+// can change, whose keys are logged. One that is refused leaves the earlier one in force.
+func (i *instance) reload() {
+	configuration, err := config.Read(i.configPath)
+	if err != nil {
+		i.log.Error("gateway: configuration refused", zap.Error(err))
+		return
+	}
+	if keys := configuration.RetainRestartOnly(i.configuration); len(keys) > 0 {
+		i.log.Warn("gateway: changed settings need a restart", zap.Strings("keys", keys))
+	}
+	i.setCounterAddress(configuration)
+	settings, err := i.clients.Reconfigure(configuration.Settings)
+	if err != nil {
+		i.log.Error("gateway: configuration refused", zap.Error(err))
+		return
+	}
+	i.watcher.SetAgent(configuration.Discovery, !configuration.Settings.PollList)
+	i.configuration = configuration
+	var classes, plans []string
+	for _, class := range settings.Classes {
+		if !class.Retired {
+			classes = append(classes, class.Name)
+		}
+	}
+	for _, plan := range settings.Plans {
+		if !plan.Retired {
+			plans = append(plans, plan.Name)
+		}
+	}
+	i.log.Info("gateway: configuration reloaded", zap.String("discovery", configuration.Discovery),
+		zap.String("counter", configuration.Counter), zap.Int("gateways", settings.Gateways),
+		zap.Strings("classes", classes), zap.Strings("plans", plans))
+}
