--- a/internal/counter/failure_test.go
+++ b/internal/counter/failure_test.go
@@ -15,7 +15,7 @@
 	"harrierhoist/policy"
 )
 
-// unreachableAddress is an address where no connection comes up: its one place for those not accepted is taken.
+// unreachableAddress is an address where dials hang: the listener's backlog, of one, is taken.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -26,60 +26,61 @@
 	if err == nil {
 		err = unix.Listen(fd, 0)
 	}
-	at, _ := unix.Getsockname(fd)
-	name, ok := at.(*unix.SockaddrInet4)
-	if err != nil || !ok {
+	if err != nil {
 		t.Fatal(err)
 	}
+	bound, err := unix.Getsockname(fd)
+	name, ok := bound.(*unix.SockaddrInet4)
+	if err != nil || !ok {
+		t.Fatalf("bound to %v, %v", bound, err)
+	}
 	addr := (&net.TCPAddr{IP: name.Addr[:], Port: name.Port}).String()
-	fakes.Eventually(t, "an address that is deaf", func() bool {
-		c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
+	fakes.Eventually(t, "a dial that hangs", func() bool {
+		dialed, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err == nil {
-			t.Cleanup(func() { _ = c.Close() })
+			t.Cleanup(func() { _ = dialed.Close() })
 		}
 		return err != nil
 	})
 	return addr
 }
 
-// waitForDial waits until a connection comes up on the line of a name.
+// waitForDial waits until the shard of a name dials.
 func (c *caller) waitForDial(name uint64) {
 	c.Helper()
-	s := c.c.shards[name%shardCount]
-	fakes.Eventually(c, "a connection that comes up", func() bool {
+	s := c.client.shards[name%shardCount]
+	fakes.Eventually(c, "a dial", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.cancelDial != nil
 	})
 }
 
-// A call that waited for a connection to a counter that says nothing was turned away as the counter moved, and so were
-// those behind it; they waited for as long as a connection may take to come up before that.
+// Calls that waited for the dial of a silent counter failed as the address changed, and so did those queued behind them,
+// after they had waited for as long as a dial may take.
 func TestSetAddress_queuedCallsGoToTheNewAddress(t *testing.T) {
 	from, to := unreachableAddress(t), fakes.NewCounter(t)
-	c := &caller{T: t, c: New(from, time.Hour, zap.NewNop()), results: make(chan result, 100)}
-	defer c.c.Close()
+	c := newCallerWith(t, from, time.Hour, zap.NewNop())
 	c.add(8, 1)
 	c.waitForDial(8)
 	c.add(8, 2)
-	c.c.SetAddress("127.0.0.1:1")
-	c.c.SetAddress(from) // there and back again
+	c.client.SetAddress("127.0.0.1:1")
+	c.client.SetAddress(from) // there and back again
 	c.waitForDial(8)
-	c.c.SetAddress(to.Addr)
+	c.client.SetAddress(to.Addr)
 	c.want(result{0, 1, policy.Answered})
 	c.want(result{1, 3, policy.Answered})
 }
 
-// Half an answer is none, whether nothing follows, the connection ends or it is reset, and also one byte at a time: the call
-// may have been added, and the next one goes on a connection of its own.
+// Half an answer is none: the call may have been added, and the next one goes on a connection of its own.
 func TestAdd_incompleteAnswerTimesOut(t *testing.T) {
-	for name, after := range map[string]func(conn *net.TCPConn){
-		"nothing": func(*net.TCPConn) {},
-		"the end": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
-		"a reset": func(conn *net.TCPConn) { _, _ = conn.SetLinger(0), conn.Close() },
-		"a byte at a time": func(conn *net.TCPConn) {
+	for name, after := range map[string]func(accepted *net.TCPConn){
+		"then silence": func(*net.TCPConn) {},
+		"then the end": func(accepted *net.TCPConn) { _ = accepted.CloseWrite() },
+		"then a reset": func(accepted *net.TCPConn) { _, _ = accepted.SetLinger(0), accepted.Close() },
+		"then a byte at a time": func(accepted *net.TCPConn) {
 			for {
-				if _, err := conn.Write([]byte("0")); err != nil { // the other side has given up
+				if _, err := accepted.Write([]byte("0")); err != nil { // the client has given up
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -88,97 +89,83 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := fakes.Listen(t)
-			c := &caller{T: t, c: New(l.Addr().String(), time.Second, zap.NewNop()), results: make(chan result, 100)}
-			defer c.c.Close()
-			called := func() *net.TCPConn {
-				conn, err := l.Accept()
-				if err == nil {
-					t.Cleanup(func() { _ = conn.Close() })
-					_, err = io.ReadFull(conn, make([]byte, len("incr 8 1 4000\r\n")))
-				}
-				if err != nil {
-					t.Fatal(err)
-				}
-				return conn.(*net.TCPConn)
-			}
+			listener := fakes.Listen(t)
+			c := newCaller(t, listener.Addr().String())
 			c.add(8, 1)
-			conn := called()
-			_, _ = io.WriteString(conn, "ok 7")
-			after(conn)
+			accepted := acceptCall(t, listener)
+			_, _ = io.WriteString(accepted, "ok 7")
+			after(accepted)
 			c.want(result{0, 0, policy.TimedOut})
 			c.add(8, 1)
-			_, _ = io.WriteString(called(), "ok 9\r\n")
+			_, _ = io.WriteString(acceptCall(t, listener), "ok 9\r\n")
 			c.want(result{1, 9, policy.Answered})
 		})
 	}
 }
 
-// A counter that takes each connection and ends it had a line in the log for every call.
+// A counter that accepts each connection and ends it had a line in the log for every call.
 func TestLossLog_counterThatEndsEveryConnectionIsLoggedOnce(t *testing.T) {
-	l := fakes.Listen(t)
+	listener := fakes.Listen(t)
 	go func() {
 		for {
-			conn, err := l.Accept()
+			accepted, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			_ = conn.(*net.TCPConn).SetLinger(0)
+			_ = accepted.(*net.TCPConn).SetLinger(0)
 			var first [1]byte
-			_, _ = conn.Read(first[:]) // the call is out
-			_ = conn.Close()
+			_, _ = accepted.Read(first[:]) // the call was written
+			_ = accepted.Close()
 		}
 	}()
 	core, logs := observer.New(zap.InfoLevel)
-	c := &caller{T: t, c: New(l.Addr().String(), time.Second, zap.New(core)), results: make(chan result, 100)}
-	defer c.c.Close()
+	c := newCallerWith(t, listener.Addr().String(), time.Second, zap.New(core))
 	for i := range 50 {
 		c.add(8, 1)
 		c.want(result{i, 0, policy.TimedOut})
 	}
-	if n := logs.FilterMessage("a connection to the counter is lost").Len(); n != 1 {
-		t.Errorf("told %d times", n)
+	if n := logs.FilterMessage("counter: connection lost").Len(); n != 1 {
+		t.Errorf("logged %d times", n)
 	}
 }
 
-// A closed counter had no way to end its goroutines and its connections, whatever its lines were at.
+// A closed client had no way to end its goroutines and its connections, whatever its shards were at.
 func TestClose_endsAllCallsAndLeavesNoGoroutine(t *testing.T) {
-	for name, c := range map[string]struct {
-		addr func(l net.Listener) string
-		how  policy.Outcome
+	pending := func(c *caller, listener net.Listener) {
+		c.add(8, 1)
+		acceptCall(c.T, listener)
+	}
+	for name, row := range map[string]struct {
+		reachable bool
+		call      func(c *caller, listener net.Listener)
+		outcome   policy.Outcome
 	}{
-		"calls out":                   {func(l net.Listener) string { return l.Addr().String() }, policy.TimedOut},
-		"calls out where it was":      {func(l net.Listener) string { return l.Addr().String() }, policy.TimedOut},
-		"calls wait for a connection": {func(net.Listener) string { return unreachableAddress(t) }, policy.ConnectFailed},
+		"pending calls": {true, pending, policy.TimedOut},
+		"pending calls at an earlier address": {true, func(c *caller, listener net.Listener) {
+			pending(c, listener)
+			c.client.SetAddress("127.0.0.1:1")
+		}, policy.TimedOut},
+		"calls that wait for a dial": {false, func(c *caller, _ net.Listener) {
+			c.add(8, 1)
+			c.waitForDial(8)
+			c.add(8, 1)
+		}, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := fakes.Listen(t)
-			addr := c.addr(l)
-			before := goleak.IgnoreCurrent()
-			called := &caller{T: t, c: New(addr, time.Hour, zap.NewNop()), results: make(chan result, 100)}
-			called.add(8, 1)
-			if addr == l.Addr().String() {
-				conn, err := l.Accept()
-				if err == nil {
-					defer conn.Close()
-					_, err = io.ReadFull(conn, make([]byte, len("incr 8 1 4000\r\n")))
-				}
-				if err != nil {
-					t.Fatal(err)
-				}
-				if name == "calls out where it was" {
-					called.c.SetAddress("127.0.0.1:1")
-				}
-			} else {
-				called.waitForDial(8)
-				called.add(8, 1)
+			listener := fakes.Listen(t)
+			addr := listener.Addr().String()
+			if !row.reachable {
+				addr = unreachableAddress(t)
 			}
-			called.c.Close()
-			for n := range called.calls {
-				called.want(result{n, 0, c.how})
+			before := goleak.IgnoreCurrent()
+			caller := newCallerWith(t, addr, time.Hour, zap.NewNop())
+			row.call(caller, listener)
+			caller.client.Close()
+			for number := range caller.calls {
+				caller.want(result{number, 0, row.outcome})
 			}
-			called.add(8, 1)
-			called.want(result{called.calls - 1, 0, policy.ConnectFailed})
+			caller.add(8, 1)
+			caller.want(result{caller.calls - 1, 0, policy.ConnectFailed})
 			goleak.VerifyNone(t, before)
 		})
 	}
--- a/internal/counter/fuzz_test.go
+++ b/internal/counter/fuzz_test.go
@@ -8,11 +8,12 @@
 	"harrierhoist/policy"
 )
 
-// Whatever line the counter answers with: no panic, a total that can be reckoned with, and nothing but its own words
-// taken for an answer.
+// FuzzAnswer reads any line: it must not panic, a total must be finite, and nothing but the protocol's words is an answer.
 func FuzzAnswer(f *testing.F) {
-	for _, line := range []string{"ok 4.5", "ok -3", "ok 1e9", "ok 0x1p4", "ok nan", "ok inf", "ok 1e999", "ok", "ok ", "ok  1", "busy", "error",
-		"busybusy", "pong", "", "ok 7\r\nok 8", "ok 7\n", "OK 7", "ok 1_0"} {
+	for _, line := range []string{
+		"ok 4.5", "ok -3", "ok 1e9", "ok 0x1p4", "ok nan", "ok inf", "ok 1e999", "ok", "ok ", "ok  1", "busy", "error",
+		"busybusy", "pong", "", "ok 7\r\nok 8", "ok 7\n", "OK 7", "ok 1_0",
+	} {
 		f.Add(line + "\r\n")
 		f.Add(line)
 	}
@@ -23,19 +24,19 @@
 		}
 		text, ended := strings.CutSuffix(line, "\r\n")
 		if !ended || strings.ContainsAny(text, "\r\n") || math.IsNaN(total) || math.IsInf(total, 0) {
-			t.Fatalf("%q was taken for %v", line, total)
+			t.Fatalf("%q was read as %v", line, total)
 		}
 		switch outcome {
 		case policy.Answered:
 			if !strings.HasPrefix(text, "ok ") {
-				t.Fatalf("%q was taken for a total", line)
+				t.Fatalf("%q was read as a total", line)
 			}
 		case policy.Rejected:
 			if text != "busy" && text != "error" || total != 0 {
-				t.Fatalf("%q was taken for %v with %v", line, outcome, total)
+				t.Fatalf("%q was read as %v with %v", line, outcome, total)
 			}
 		default:
-			t.Fatalf("%q was taken for %v", line, outcome)
+			t.Fatalf("%q was read as %v", line, outcome)
 		}
 	})
 }
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -12,12 +12,12 @@
 )
 
 // Each call, byte for byte but for the end of its line.
-func TestGolden_callsAreWordedAsBefore(t *testing.T) {
-	for _, c := range []struct {
-		name  uint64
-		units float64
-		keep  time.Duration
-		want  string
+func TestGolden_callsAreWrittenAsBefore(t *testing.T) {
+	for _, row := range []struct {
+		name     uint64
+		units    float64
+		lifetime time.Duration
+		want     string
 	}{
 		{7, 2.5, 4 * time.Second, "incr 7 2.5 4000"},
 		{0, -0.1, 0, "incr 0 -0.1 1"},
@@ -26,13 +26,13 @@
 		{9223372036854775808, 1e-7, 36 * time.Hour, "incr 9223372036854775808 0.0000001 129600000"},
 		{8, 0.30000000000000004, 2 * time.Millisecond, "incr 8 0.30000000000000004 2"},
 	} {
-		t.Run(c.want, func(t *testing.T) {
-			s := fakes.NewCounter(t)
-			counter := New(s.Addr, time.Second, zap.NewNop())
+		t.Run(row.want, func(t *testing.T) {
+			server := fakes.NewCounter(t)
+			counter := New(server.Addr, time.Second, zap.NewNop())
 			defer counter.Close()
 			ended := make(chan struct{})
-			counter.Add(c.name, c.units, c.keep, func(float64, policy.Outcome) { close(ended) })
-			if got := s.NextCall(t); got != c.want {
+			counter.Add(row.name, row.units, row.lifetime, func(float64, policy.Outcome) { close(ended) })
+			if got := server.NextCall(t); got != row.want {
 				t.Errorf("called %q", got)
 			}
 			<-ended
--- a/internal/counter/read.go
+++ b/internal/counter/read.go
@@ -11,55 +11,55 @@
 	"harrierhoist/policy"
 )
 
-// readAnswers matches answers with calls, in order. A line is as long as the reader's one buffer at most: an answer
-// without an end ends the connection and takes no memory.
-func (s *shard) readAnswers(c *connection) {
+// readAnswers matches answers with pending calls, in order, until the connection ends. A line is at most as long as the
+// reader's one buffer: an answer without an end ends the connection and takes no memory.
+func (s *shard) readAnswers(conn *connection) {
 	for {
-		text, err := c.text.R.ReadSlice('\n')
-		why := "a spoilt answer"
+		line, reason := conn.text.R.ReadSlice('\n')
 		switch {
-		case err == nil:
-			why = s.deliver(c, string(text))
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			why = "silent"
-		case err != bufio.ErrBufferFull:
-			why = err.Error()
+		case reason == nil:
+			reason = s.deliver(conn, string(line))
+		case errors.Is(reason, os.ErrDeadlineExceeded):
+			reason = errSilent
+		case errors.Is(reason, bufio.ErrBufferFull):
+			reason = errMalformed
 		}
-		if why != "" {
-			s.disconnect(c, why)
+		if reason != nil {
+			s.disconnect(conn, reason)
 			return
 		}
 	}
 }
 
-// deliver tells the oldest call on a connection its answer, and says why the connection is to end, if it is. A
-// spoilt answer leaves its call among those that may have been added: it was.
-func (s *shard) deliver(c *connection, text string) (end string) {
+// deliver hands an answer to the oldest pending call of a connection. An error is why the connection has to end; a
+// malformed answer leaves its call pending, as it may have been added.
+func (s *shard) deliver(conn *connection, line string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(c.pending) == 0 {
-		return "an answer to no call"
+	if len(conn.pending) == 0 {
+		return errUnexpected
 	}
-	total, outcome, valid := parseAnswer(text)
+	total, outcome, valid := parseAnswer(line)
 	if !valid {
-		return "a spoilt answer"
+		return errMalformed
 	}
-	request := c.pending[0]
-	c.pending = c.pending[1:]
-	s.setReadDeadline(c)
-	request.done(total, outcome)
-	if s.current != c && len(c.pending) == 0 {
-		return "the counter has moved"
+	oldest := conn.pending[0]
+	conn.pending = conn.pending[1:]
+	s.setReadDeadline(conn)
+	oldest.done(total, outcome)
+	if s.current != conn && len(conn.pending) == 0 {
+		return errAddressChanged
 	}
-	return ""
+	return nil
 }
 
-// parseAnswer reads a line: what is turned away or no such call has added nothing. Any other line is spoilt.
+// parseAnswer reads a line. A call that was rejected (busy) or not understood (error) has added nothing. Any other line
+// than these and a total is not valid.
 func parseAnswer(line string) (total float64, outcome policy.Outcome, valid bool) {
 	text, ended := strings.CutSuffix(line, "\r\n")
 	if figure, ok := strings.CutPrefix(text, "ok "); ok {
-		v, err := strconv.ParseFloat(figure, 64)
-		return v, policy.Answered, ended && err == nil && !math.IsNaN(v) && !math.IsInf(v, 0)
+		total, err := strconv.ParseFloat(figure, 64)
+		return total, policy.Answered, ended && err == nil && !math.IsNaN(total) && !math.IsInf(total, 0)
 	}
 	return 0, policy.Rejected, ended && (text == "busy" || text == "error")
 }
