--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -80,13 +80,13 @@
 		took, least, most time.Duration // by a call; of the pause after it, once the run has lasted
 		perCall           time.Duration // a gateway calls no oftener
 	}{
-		{err: errTimeout, poll: true, took: pushedListTimeout, least: minSilencePause, most: maxSilencePause, perCall: 1600 * time.Millisecond},
+		{err: errTimeout, poll: true, took: listTimeout, least: minSilencePause, most: maxSilencePause, perCall: 1600 * time.Millisecond},
 		{err: errRejected, poll: true, least: 600 * time.Millisecond, most: 2 * time.Second, perCall: 1200 * time.Millisecond},
 		{err: errRejected, least: 600 * time.Millisecond, most: 2 * time.Second, perCall: 1200 * time.Millisecond},
 		{err: io.EOF, poll: true, watched: true, least: 600 * time.Millisecond, most: 2 * time.Second,
 			perCall: 1200 * time.Millisecond},
-		{err: errTimeout, took: pushedListTimeout, perCall: pushedListTimeout},
-		{err: io.EOF, least: minPushedPause, most: maxPushedPause, perCall: 120 * time.Millisecond},
+		{err: errTimeout, took: listTimeout, perCall: listTimeout},
+		{err: io.EOF, least: minPause, most: maxPause, perCall: 120 * time.Millisecond},
 		{err: errTimeout, watched: true, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
 		{err: errTimeout, poll: true, watched: true, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
 	} {
@@ -95,8 +95,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &session{Watcher: &Watcher{dispatcher: dispatcher, log: zap.NewNop(), random: rand.New(rand.NewPCG(1, 1))}, isPushed: !c.poll,
-				retry: newBackoff()}
+			s := newSession(&Watcher{dispatcher: dispatcher, log: zap.NewNop(), random: rand.New(rand.NewPCG(1, 1))}, agent{isPolled: c.poll})
 			for range 3 {
 				s.handleFailure(c.err, c.watched)
 			}
@@ -126,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &session{Watcher: &Watcher{dispatcher: dispatcher, log: zap.NewNop(), firstApplied: make(chan struct{})}, retry: newBackoff()}
+	s := newSession(&Watcher{dispatcher: dispatcher, log: zap.NewNop(), firstApplied: make(chan struct{})}, agent{isPolled: true})
 	for range 5 {
 		s.handleFailure(errRejected, true)
 	}
@@ -148,12 +147,12 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		pushed bool
+		polled bool
 		err    error
 		second time.Duration // at least
-	}{{true, io.EOF, minPushedPause}, {true, errVersionMismatch, minPushedPause}, {false, errVersionMismatch, firstBackoff / 2}} {
+	}{{false, io.EOF, minPause}, {false, errVersionMismatch, minPause}, {true, errVersionMismatch, firstBackoff / 2}} {
 		w := &Watcher{dispatcher: dispatcher, log: zap.NewNop(), random: rand.New(rand.NewPCG(1, 1))}
-		s := &session{Watcher: w, isPushed: c.pushed, retry: newBackoff()}
+		s := newSession(w, agent{isPolled: c.polled})
 		if first, second := s.handleFailure(c.err, true), s.handleFailure(c.err, true); first != 0 || second < c.second {
 			t.Errorf("pauses of %v, %v after %v", first, second, c.err)
 		}
@@ -207,7 +206,7 @@
 		}
 		begun := nextCall(t, calls)
 		last := nextCallWhere(t, calls, func(a agentCall) bool { return a.all == 9 })
-		if each := last.at.Sub(begun.at) / 8; each < minPushedStagger {
+		if each := last.at.Sub(begun.at) / 8; each < minStagger {
 			t.Errorf("a call every %v", each)
 		}
 		if n := most.Load(); n < 2 || n > int64(maxParallelCalls) {
@@ -229,7 +228,7 @@
 		for range watches {
 			last = nextCallWhere(t, calls, agentCall.isWatch)
 		}
-		if each := last.at.Sub(first.at) / watches; each < minPushedPause {
+		if each := last.at.Sub(first.at) / watches; each < minPause {
 			t.Errorf("a watch every %v", each)
 		}
 	})
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -24,7 +24,7 @@
 			}
 			writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 		})
-		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(back) > pushedListTimeout+maxSilencePause {
+		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(back) > listTimeout+maxSilencePause {
 			t.Errorf("in force after %v", next.at.Sub(back))
 		}
 	})
--- a/internal/discovery/empty_test.go
+++ b/internal/discovery/empty_test.go
@@ -81,7 +81,7 @@
 				t.Errorf("in force then: %q", name)
 			}
 			told := func(text string) int { return logs.FilterMessageSnippet(text).Len() }
-			if told("asked once more") != 1 || told("it is obeyed, and no server is left") != c.warned {
+			if told("confirmation requested") != 1 || told("empty endpoint list confirmed") != c.warned {
 				t.Errorf("said %+v", logs.All())
 			}
 		})
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -21,9 +21,9 @@
 	} {
 		f.Add([]byte(text))
 	}
-	w := &Watcher{zones: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2"}}
+	d := &decoder{zones: []string{"hall-a", "hall-b"}, hardware: []string{"m1", "m2"}}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		received, err := w.decodeAnswer(body)
+		received, err := d.decodeAnswer(body)
 		if err != nil {
 			if received != nil {
 				t.Fatalf("%q is no list (%v) and was taken for %+v", body, err, received)
@@ -32,8 +32,8 @@
 		}
 		for _, s := range received.servers {
 			// A share that is not above 0 is as good as none to the module.
-			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(w.zones) ||
-				at.Hardware < 0 || at.Hardware >= len(w.kinds) || at.State > policy.Draining {
+			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(d.zones) ||
+				at.Hardware < 0 || at.Hardware >= len(d.hardware) || at.State > policy.Draining {
 				t.Fatalf("%q: %+v", body, at)
 			}
 		}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -24,7 +24,7 @@
 	"harrierhoist/policy"
 )
 
-func entry(name, dial string, stage policy.EndpointState) dispatch.Server {
+func listed(name, dial string, stage policy.EndpointState) dispatch.Server {
 	return dispatch.Server{Name: name, Address: dial, Endpoint: policy.Endpoint{State: stage}}
 }
 
@@ -33,7 +33,7 @@
 		StartedAt: 1796126169357500 * time.Microsecond, Rack: 3, Zone: 1, Hardware: 2}}
 	const all = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,"health":"in_service","share":0.75,` +
 		`"born_ms":1796126169357.5}`
-	w := &Watcher{zones: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2", "m3"}}
+	d := &decoder{zones: []string{"hall-a", "hall-b"}, hardware: []string{"m1", "m2", "m3"}}
 	for _, c := range []struct {
 		name, body string
 		seq        int64
@@ -54,29 +54,29 @@
 		{"unknown keys", `{"seq":3,"whole":true,"hosts":[` + strings.Replace(all, "{", `{"more":[{"host":"x"}],`, 1) + `],"more":{}}`,
 			3, true, []dispatch.Server{full}, false},
 		{"few keys", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","health":"in_service"}]}`,
-			3, true, []dispatch.Server{entry("s-1", "x", policy.Ready)}, false},
+			3, true, []dispatch.Server{listed("s-1", "x", policy.Ready)}, false},
 		{"a site and a class that are unknown", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
-			`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{entry("s-1", "x", policy.Ready)}, false},
+			`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{listed("s-1", "x", policy.Ready)}, false},
 		{"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
 			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},{"host":"f","dial":""}]}`, 3, true,
-			[]dispatch.Server{entry("a", "x", policy.Ready), entry("b", "x", policy.Draining), entry("c", "x", policy.Removed),
-				entry("d", "x", policy.Removed), entry("e", "x", policy.Removed), entry("f", "", policy.Removed)}, false},
+			[]dispatch.Server{listed("a", "x", policy.Ready), listed("b", "x", policy.Draining), listed("c", "x", policy.Removed),
+				listed("d", "x", policy.Removed), listed("e", "x", policy.Removed), listed("f", "", policy.Removed)}, false},
 		{"none left", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
-			[]dispatch.Server{entry("c", "x", policy.Removed)}, true},
+			[]dispatch.Server{listed("c", "x", policy.Removed)}, true},
 		{"one name twice", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"a","dial":"y","health":"terminating"}]}`, 3, false,
-			[]dispatch.Server{entry("a", "x", policy.Ready), entry("a", "y", policy.Draining)}, false},
+			[]dispatch.Server{listed("a", "x", policy.Ready), listed("a", "y", policy.Draining)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			received, err := w.decodeAnswer([]byte(c.body))
+			received, err := d.decodeAnswer([]byte(c.body))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if received.version != c.seq || received.isFull != c.whole || received.isEmpty() != c.none || !reflect.DeepEqual(received.servers, c.servers) {
 				t.Errorf("got  %+v\nwant %d %v %+v", received, c.seq, c.whole, c.servers)
 			}
-			if known, err := w.decodeKnown([]byte(c.body)); err != nil || !reflect.DeepEqual(known.servers, c.servers) {
+			if known, err := d.decodeKnown([]byte(c.body)); err != nil || !reflect.DeepEqual(known.servers, c.servers) {
 				t.Errorf("as last had: %+v, %v", known, err)
 			}
 		})
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -10,7 +10,7 @@
 
 // What is no list is refused whole. One bad entry spoils its list.
 func TestDecodeAnswer_malformedListIsRefused(t *testing.T) {
-	w := &Watcher{zones: []string{"hall-a"}, kinds: []string{"m2"}}
+	d := &decoder{zones: []string{"hall-a"}, hardware: []string{"m2"}}
 	good := readyHost("s-1")
 	for name, body := range map[string]string{
 		"nothing":              "",
@@ -34,7 +34,7 @@
 		"no dial, terminating": fakes.FormatList(7, false, good, fakes.FormatHost("s-2", "", "terminating")),
 		"a share of text":      fakes.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
 	} {
-		if received, err := w.decodeAnswer([]byte(body)); err == nil {
+		if received, err := d.decodeAnswer([]byte(body)); err == nil {
 			t.Errorf("%s: read as %+v", name, received)
 		}
 	}
@@ -56,7 +56,7 @@
 		{fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
 		{`{"seq":6,"whole":false,"hosts":null}`, "", true},
 	} {
-		received, err := w.decodeAnswer([]byte(c.body))
+		received, err := w.decoder.decodeAnswer([]byte(c.body))
 		if err != nil || received.isEmpty() != c.none {
 			t.Fatalf("%s: %+v, %v", c.body, received, err)
 		}
@@ -69,7 +69,7 @@
 	if w.apply(t.Context(), none); w.wouldEmpty(none) {
 		t.Error("no server is left, and one could be lost")
 	}
-	if received, err := w.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up")))); err != nil ||
+	if received, err := w.decoder.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up")))); err != nil ||
 		received.servers[0].Endpoint.State != policy.Removed {
 		t.Errorf("got %+v, %v", received, err)
 	}
@@ -77,9 +77,9 @@
 
 // A list as last had may be of another program, and is read as far as it has entries.
 func TestDecodeKnown_needsNoVersion(t *testing.T) {
-	w := &Watcher{}
+	d := &decoder{}
 	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + readyHost("s-1") + `]}`: 1} {
-		if received, err := w.decodeKnown([]byte(text)); err != nil || len(received.servers) != servers {
+		if received, err := d.decodeKnown([]byte(text)); err != nil || len(received.servers) != servers {
 			t.Errorf("%s: %+v, %v", text, received, err)
 		}
 	}
--- a/internal/discovery/malformed_test.go
+++ b/internal/discovery/malformed_test.go
@@ -47,7 +47,7 @@
 			if c := e.Next(); c.Action != dispatch.Forward || c.Server.Name != "s-1" {
 				t.Errorf("verdict %v to %q: the list as last had was given up", c.Action, c.Server.Name)
 			}
-			if n := logs.FilterMessageSnippet("does not answer").Len(); n != 1 {
+			if n := logs.FilterMessageSnippet("discovery: no valid answer").Len(); n != 1 {
 				t.Errorf("said %d times", n)
 			}
 		})
@@ -56,8 +56,8 @@
 
 // Lists may come indented.
 func TestDecodeAnswer_indentedListIsRead(t *testing.T) {
-	w := &Watcher{zones: []string{"hall-a"}, kinds: []string{"m2"}}
-	received, err := w.decodeAnswer([]byte("\n{\r\n\t\"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    " +
+	d := &decoder{zones: []string{"hall-a"}, hardware: []string{"m2"}}
+	received, err := d.decodeAnswer([]byte("\n{\r\n\t\"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    " +
 		strings.ReplaceAll(fakes.FormatHost("s-1", "1.2.3.4:5", "terminating"), ",", ",\n      ") + "\n  ]\n}\n\n"))
 	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 1 || received.servers[0].Endpoint.State != policy.Draining {
 		t.Errorf("got %+v, %v", received, err)
--- a/internal/discovery/pipe_test.go
+++ b/internal/discovery/pipe_test.go
@@ -66,7 +66,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
 	w := found.(*pipeListener)
-	ctx, cancel := context.WithTimeout(ctx, pushedListTimeout) // as Roster.dial does
+	ctx, cancel := context.WithTimeout(ctx, listTimeout) // as Roster.dial does
 	defer cancel()
 	near, far := net.Pipe()
 	select {
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		nextCallWhere(t, calls, func(a agentCall) bool { return a.isWatchFrom(41) })
-		fakes.Eventually(t, "a warning", func() bool { return logs.FilterMessageSnippet("does not answer").Len() == 1 })
+		fakes.Eventually(t, "a warning", func() bool { return logs.FilterMessageSnippet("discovery: no valid answer").Len() == 1 })
 		if name := chosenServer(dispatcher); name != "s-1" {
 			t.Errorf("in force meanwhile: %q", name)
 		}
--- a/internal/discovery/setagent_test.go
+++ b/internal/discovery/setagent_test.go
@@ -76,7 +76,7 @@
 		w, dispatcher := newIdleWatcher(t, old)
 		runWatcher(t, w)
 		nextCallWhere(t, olds, func(a agentCall) bool { return a.isWatchFrom(7) })
-		w.SetAgent(next, true)
+		w.SetAgent(next, false)
 		close(let)
 		nextCall(t, nexts)
 		if name := chosenServer(dispatcher); name != "s-1" {
@@ -95,7 +95,7 @@
 		w.apply(ctx, &endpointList{isFull: true, servers: []dispatch.Server{one}})
 	}
 	tell("s-1")
-	w.SetAgent("b:1", true)
+	w.SetAgent("b:1", false)
 	tell("s-2")
 	if name := chosenServer(dispatcher); name != "s-1" {
 		t.Errorf("in force: %q", name)
@@ -121,14 +121,14 @@
 			}
 			w, dispatcher := newIdleWatcher(t, addrs["a"])
 			for _, to := range moves.before {
-				w.SetAgent(addrs[to], true)
+				w.SetAgent(addrs[to], false)
 			}
 			runWatcher(t, w)
 			if len(moves.after) > 0 {
 				nextCallWhere(t, calls["a"], agentCall.isWatch)
 			}
 			for _, to := range moves.after {
-				w.SetAgent(addrs[to], true)
+				w.SetAgent(addrs[to], false)
 			}
 			if a := nextCallWhere(t, calls[moves.last], func(agentCall) bool { return true }); a.query != "" {
 				t.Errorf("asked first with %q", a.query)
@@ -161,12 +161,12 @@
 		w, _ := newIdleWatcher(t, addr)
 		runWatcher(t, w)
 		open := nextCallWhere(t, calls, agentCall.isWatch)
-		w.SetAgent(addr, true)
+		w.SetAgent(addr, false)
 		close(let)
 		if a := nextCall(t, calls); !a.isWatchFrom(8) || a.connection != open.connection {
 			t.Errorf("asked %+v", a)
 		}
-		w.SetAgent(addr, false)
+		w.SetAgent(addr, true)
 		if a := nextCall(t, calls); a.isWatch() || a.connection == open.connection {
 			t.Errorf("asked %+v", a)
 		}
@@ -192,7 +192,7 @@
 			})
 			w, _ := newIdleWatcher(t, addr)
 			seen, logs := observer.New(zap.InfoLevel)
-			w.agent.isPushed, w.log = !poll, zap.New(seen)
+			w.agent.isPolled, w.log = poll, zap.New(seen)
 			end, ended := runWatcher(t, w)
 			most := int64(1)
 			if name == "silence" && !poll {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -74,7 +74,7 @@
 		if !open.isWatchFrom(7) || first.query != "" || second.query != "" {
 			t.Fatalf("asked %+v, %+v, %+v", open, first, second)
 		}
-		if pause := second.at.Sub(first.at) - pushedListTimeout; pause < firstBackoff/2 {
+		if pause := second.at.Sub(first.at) - listTimeout; pause < firstBackoff/2 {
 			t.Errorf("asked again after a pause of %v", pause)
 		}
 		silent.Store(false)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -76,8 +76,8 @@
 }
 
 func TestDecodeAnswer_readsEntries(t *testing.T) {
-	w := &Watcher{zones: []string{"a", "hall-a"}, kinds: []string{"m1", "m2"}}
-	received, err := w.decodeAnswer([]byte(fakes.FormatList(41, true, fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
+	d := &decoder{zones: []string{"a", "hall-a"}, hardware: []string{"m1", "m2"}}
+	received, err := d.decodeAnswer([]byte(fakes.FormatList(41, true, fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
 		fakes.FormatHost("s-2", "x", "terminating"), fakes.FormatHost("s-3", "x", "terminated"),
 		strings.Replace(fakes.FormatHost("s-4", "x", "in_service"), `"born_ms":0`, `"born_ms":1796126169357`, 1))))
 	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 4 {
@@ -129,7 +129,7 @@
 	for q := ""; !strings.HasPrefix(q, "since=1&"); { // a watch that the old one will not end
 		q = <-old.Queries
 	}
-	w.SetAgent(next.Addr, true)
+	w.SetAgent(next.Addr, false)
 	if q := <-next.Queries; q != "" {
 		t.Errorf("asked first with %q", q)
 	}
@@ -224,7 +224,7 @@
 		if c := e.Next(); c.Action != dispatch.Forward {
 			t.Errorf("verdict %v: the list as last had was given up", c.Action)
 		}
-		if n := logs.FilterMessageSnippet("does not answer").Len(); n != 1 {
+		if n := logs.FilterMessageSnippet("discovery: no valid answer").Len(); n != 1 {
 			t.Errorf("said %d times", n)
 		}
 	})
