--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -87,7 +87,7 @@
 }
 
 func inCommon() (all []Variant) {
-	step := `"counting: a step"`
+	step := `"counting: table changed"`
 	two := []string{"hall-a", "hall-b"}
 	for _, s := range []state{
 		{name: "in common", text: "a follower of a voter; nothing is decided",
@@ -117,7 +117,7 @@
 		{name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
 			value: counted(countingrule.PhaseCanary, 0), says: []string{step}, aside: true,
-			over: []string{"counting: what rule holds is not known"}},
+			over: []string{"counting: version in force uncertain"}},
 		{name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
 			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
 			value: settling, says: []string{`"debts are being settled"`}},
--- a/internal/countingrule/admission.go
+++ b/internal/countingrule/admission.go
@@ -34,7 +34,14 @@
 
 // NewAdmission makes the admission at one of so many gateways that share each count.
 func NewAdmission(gateways int) *Admission {
-	return &Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
+	a := &Admission{}
+	a.Reset(gateways)
+	return a
+}
+
+// Reset forgets what is known of all keys; so many gateways share each count from here on.
+func (a *Admission) Reset(gateways int) {
+	*a = Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
 }
 
 // Reservation is one request's units at one key. They are given back, all or in part, by Settle.
--- /dev/null
+++ b/internal/enforce/canaryrun.go
@@ -0,0 +1,89 @@
+package enforce
+
+import (
+	"time"
+
+	"harrierhoist/internal/canary"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
+)
+
+// canaryRun is this process's part of a canary, while there is one. It is under the enforcer's lock.
+type canaryRun struct {
+	shadow        *canary.Shadow // nil: no canary runs
+	seed          uint64         // of the shadow evaluation
+	unearnedCalls uint64         // that the decision module made since they were last added to the budget
+}
+
+// update begins and ends the canary as the table says.
+func (c *canaryRun) update(rules *ruleSet) {
+	table := &rules.table
+	active := table.Phase == countingrule.PhaseCanary || table.Phase == countingrule.PhaseScheduled
+	old, next := rules.switched()
+	if !active || old == nil {
+		c.shadow = nil
+		return
+	}
+	if c.shadow != nil && c.seed == table.Seed {
+		return
+	}
+	sample, err := canary.NewSample(old.Rule, next.Rule, table.Seed, table.Canary.SamplePermille)
+	if err != nil { // the controller refuses such a rule, and says why in the table
+		c.shadow = nil
+		return
+	}
+	c.shadow = canary.NewShadow(sample, old, next, rules.settings, table.Seed, table.Canary.CallsPermille)
+	c.seed = table.Seed
+}
+
+// reconfigure goes on beside other settings.
+func (c *canaryRun) reconfigure(rules *ruleSet) {
+	old, next := rules.switched()
+	if c.shadow == nil || old == nil {
+		c.shadow = nil
+		return
+	}
+	c.shadow.Reconfigure(old, next, rules.settings)
+}
+
+func (c *canaryRun) addBudget() {
+	c.shadow.AddBudget(c.unearnedCalls)
+	c.unearnedCalls = 0
+}
+
+// flush gives the calls for units that wait too long.
+func (c *canaryRun) flush(now time.Duration) []canary.Call {
+	if c.shadow == nil {
+		return nil
+	}
+	c.addBudget()
+	return c.shadow.Flush(now)
+}
+
+// handleRequest evaluates a request, if it is sampled, and gives the calls to be made for it.
+func (c *canaryRun) handleRequest(now time.Duration, request *dispatch.RequestSpec) (calls []canary.Call, sampled bool) {
+	if c.shadow == nil || !c.shadow.IsSampled(request.Customer) {
+		return nil, false
+	}
+	c.addBudget()
+	return c.shadow.HandleRequest(now, canary.Request{
+		Customer: request.Customer,
+		Class:    request.Class,
+		Plan:     request.Plan,
+		Units:    request.Units,
+	}), true
+}
+
+// recordActual counts the actual outcome of a request that was sampled. The canary may have ended meanwhile.
+func (c *canaryRun) recordActual(version uint64, units float64, forwarded bool) {
+	if c.shadow != nil {
+		c.shadow.RecordActual(version, units, forwarded)
+	}
+}
+
+// report gives the canary's observations.
+func (c *canaryRun) report(add func(name string, n uint64)) {
+	if c.shadow != nil {
+		c.shadow.Report(add)
+	}
+}
--- a/internal/enforce/enforcer.go
+++ b/internal/enforce/enforcer.go
@@ -1,10 +1,10 @@
-// Package clerk has a gateway's tasks counted by the rule that the processes hold in common: it stands between the
-// gate, the counter and what is held. It decides nothing: counting says which rules hold, canary what a new one does.
+// Package enforce has a gateway's requests counted by the rule in force: it stands between the dispatcher, the counter
+// and the replicated table of counting rules. It decides nothing: countingrule says which versions may be in force,
+// canary what a new rule would do.
 package enforce
 
 import (
 	"context"
-	"slices"
 	"sync"
 	"time"
 
@@ -17,52 +17,48 @@
 	"harrierhoist/policy"
 )
 
-const updateInterval = 250 * time.Millisecond // how often the play's late units go, and the lease is looked at for the log
+// updateInterval is how often the shadow evaluation's units are flushed, and the table's lease is examined.
+const updateInterval = 250 * time.Millisecond
 
-// Enforcer counts by rule. Its lock is taken under the gate's, never the other way round.
+// Enforcer counts requests by rule. It implements dispatch.CountingRules. Its lock is taken under the dispatcher's,
+// never the other way round.
 type Enforcer struct {
 	log        *zap.Logger
 	node       coordination.Client
 	dispatcher *dispatch.Dispatcher
 
-	mu            sync.Mutex
-	config        *countingrule.Config
-	settings      policy.Settings     // as in force
-	rules         []countingrule.Rule // known, by the table first
-	rulesMerged   bool                // they have those of the table and the file as last heard
-	plansApplied  bool                // the plans have them all
-	resolved      map[uint64]*countingrule.Resolved
-	table         countingrule.Table
-	epoch         uint64
-	unearnedCalls uint64 // made for tasks since the play last earned
-	shadow        *canary.Shadow
-	shadowSeed    uint64 // of the play
-	admission     *countingrule.Admission
-	ambiguous     bool // logged
+	mu        sync.Mutex
+	rules     ruleSet
+	canary    canaryRun
+	admission *countingrule.Admission
+	uncertain bool // logged
 }
 
-// New makes a clerk of a file's terms.
+// New makes an enforcer of a file's configuration.
 func New(config *countingrule.Config, log *zap.Logger) *Enforcer {
-	return &Enforcer{config: config, log: log, resolved: map[uint64]*countingrule.Resolved{}, admission: countingrule.NewAdmission(1)}
-}
-
-// HandleCounterCall is for the gate: the canary lives on a share of the module's calls.
-func (e *Enforcer) HandleCounterCall() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.unearnedCalls++
+	return &Enforcer{
+		log:       log,
+		rules:     ruleSet{log: log, config: config, resolved: map[uint64]*countingrule.Resolved{}},
+		admission: countingrule.NewAdmission(1),
+	}
 }
 
-func (e *Enforcer) addUnits(name uint64, units float64, ttl time.Duration, done func(float64, policy.Outcome)) {
-	e.dispatcher.CallCounter(name, units, ttl, done)
+// Run has a dispatcher's requests counted by the rule in force and follows the table until the context ends. Its error
+// tells that the dispatcher takes none of the rules: requests are counted by rule 0.
+func (e *Enforcer) Run(ctx context.Context, node coordination.Client, dispatcher *dispatch.Dispatcher) error {
+	if err := e.start(node, dispatcher); err != nil {
+		return err
+	}
+	e.loop(ctx)
+	return nil
 }
 
-// start puts the clerk between a gate and what is held in common: tasks are taken by rule from here on.
+// start puts the enforcer between a dispatcher and the table: requests are counted by rule from here on.
 func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	e.dispatcher, e.node = dispatcher, node
 	held, _ := e.readTable()
 	e.mu.Lock()
-	e.applyTable(held)
+	e.rules.apply(held)
 	e.mu.Unlock()
 	if err := dispatcher.SetCountingRules(e); err != nil {
 		return err
@@ -70,30 +66,11 @@
 	node.RegisterCounters(func(add func(string, uint64)) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.shadow != nil {
-			e.shadow.Report(add)
-		}
+		e.canary.report(add)
 	})
 	return nil
 }
 
-// Reconfigure takes the terms of a file that was read again.
-func (e *Enforcer) Reconfigure(config *countingrule.Config) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.config, e.rulesMerged = config, false
-}
-
-// Run has a gate's tasks counted by the rule in force and follows the table until the context ends. An error tells that
-// the gate takes none of it: tasks are counted as ever.
-func (e *Enforcer) Run(ctx context.Context, node coordination.Client, dispatcher *dispatch.Dispatcher) error {
-	if err := e.start(node, dispatcher); err != nil {
-		return err
-	}
-	e.loop(ctx)
-	return nil
-}
-
 func (e *Enforcer) loop(ctx context.Context) {
 	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
@@ -109,123 +86,150 @@
 	}
 }
 
-// update takes in what is new: rules into the gate's plans, a canary begun or ended, the play's late calls.
+// update brings new rules into the dispatcher's plans, begins or ends a canary, and flushes its calls.
 func (e *Enforcer) update() {
 	now := e.dispatcher.Now()
 	held, leased := e.readTable()
 	e.mu.Lock()
-	newRules := e.applyTable(held)
-	candidates := e.candidates(now, leased)
-	if ambiguous := len(candidates) > 1; ambiguous != e.ambiguous {
-		e.ambiguous = ambiguous
-		e.log.Info("counting: what rule holds is not known: what passes must pass all of these", zap.Bool("so", ambiguous),
-			zap.Uint64s("rules", candidates))
-	}
+	newRules := e.rules.apply(held)
+	e.logCertainty(e.rules.candidates(now, leased))
 	e.mu.Unlock()
 	if newRules {
 		if err := e.dispatcher.SetCountingRules(e); err != nil {
-			e.log.Error("counting: the rules' plans are not taken", zap.Error(err))
+			e.log.Error("counting: plans of the rules rejected", zap.Error(err))
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.updateShadow()
-	if e.shadow != nil {
-		e.shadow.AddBudget(e.unearnedCalls)
-		e.unearnedCalls = 0
-		e.sendShadowCalls(e.shadow.Flush(now))
-	}
+	e.canary.update(&e.rules)
+	e.sendCanaryCalls(e.canary.flush(now))
 }
 
-// applyTable takes in the table as held, and tells whether it brought a rule that the plans do not have yet.
-func (e *Enforcer) applyTable(held coordination.CachedTable) (newRules bool) {
-	if held.Epoch > e.epoch { // another may have heard a later one meanwhile
-		table, err := countingrule.Decode(held.Value)
-		if err != nil {
-			e.log.Error("counting: the table cannot be read; what was held stands", zap.Error(err))
-		} else {
-			if table.Phase != e.table.Phase || table.To != e.table.To || table.From != e.table.From {
-				e.log.Info("counting: a step", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.From),
-					zap.Uint64("to", table.To),
-					zap.Time("edge", time.Unix(0, int64(table.SwitchAt))), zap.String("why", table.Reason))
-			}
-			e.table = table
-		}
-		e.epoch, e.rulesMerged = held.Epoch, false
-	}
-	if e.rulesMerged {
-		return !e.plansApplied
+// logCertainty logs when it becomes uncertain which version is in force, and when it is certain again.
+func (e *Enforcer) logCertainty(candidates []uint64) {
+	uncertain := len(candidates) > 1
+	if uncertain == e.uncertain {
+		return
 	}
-	e.rulesMerged = true
-	for i, rule := range slices.Concat(e.table.Rules, e.config.Rules) {
-		known := slices.IndexFunc(e.rules, func(other countingrule.Rule) bool { return other.Version == rule.Version })
-		if known < 0 {
-			e.rules, e.plansApplied = append(e.rules, rule), false
-		} else if i < len(e.table.Rules) && !e.rules[known].Equal(rule) { // what is committed is what the version means
-			e.rules[known], e.plansApplied = rule, false
-		}
+	e.uncertain = uncertain
+	if uncertain {
+		e.log.Info("counting: version in force uncertain, all candidates must admit", zap.Uint64s("versions", candidates))
+	} else {
+		e.log.Info("counting: version in force certain", zap.Uint64s("versions", candidates))
 	}
-	return !e.plansApplied
 }
 
-// readTable gives the table as held, and whether its lease stands; one that was never written has a lease too. It is called
-// without the clerk's lock: those who hold it in common ask for our counts under a lock of theirs.
+// Reconfigure takes the configuration of a file that was read again.
+func (e *Enforcer) Reconfigure(config *countingrule.Config) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.rules.setConfig(config)
+}
+
+// readTable gives the table as cached, and whether its lease holds; one that was never written has a lease too. It is
+// called without the enforcer's lock: the node asks for our observations under a lock of its own.
 func (e *Enforcer) readTable() (held coordination.CachedTable, leased bool) {
 	held = e.node.Cached(countingrule.TableName)
 	return held, e.node.Now() < held.LeaseEnd
 }
 
-func (e *Enforcer) candidates(now time.Duration, leased bool) []uint64 {
-	return slices.DeleteFunc(e.table.CandidateVersions(now, leased, e.epoch > 0, e.config),
-		func(v uint64) bool { return e.resolved[v] == nil })
-}
-
-// WithRulePlans is for the gate.
+// WithRulePlans gives settings with the rules' own plans behind them.
 func (e *Enforcer) WithRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.plansApplied = true
-	return countingrule.WithRulePlans(settings, e.rules)
+	return e.rules.withPlans(settings)
 }
 
-// WithoutRulePlans is for the gate.
+// WithoutRulePlans takes settings as they are in force and gives them as clients may know them.
 func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settings, e.admission = settings, countingrule.NewAdmission(settings.Gateways)
-	for _, rule := range append([]countingrule.Rule{{}}, e.rules...) {
-		resolved, err := countingrule.Resolve(rule, settings)
-		if err != nil {
-			e.log.Error("counting: a rule cannot hold here", zap.Error(err))
-			delete(e.resolved, rule.Version)
-			continue
-		}
-		e.resolved[rule.Version] = resolved
+	e.rules.resolve(settings)
+	e.admission.Reset(settings.Gateways)
+	e.canary.reconfigure(&e.rules)
+	return countingrule.ClientSettings(settings)
+}
+
+// HandleCounterCall takes word of a call that the decision module makes: the canary's calls are a share of these.
+func (e *Enforcer) HandleCounterCall() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.canary.unearnedCalls++
+}
+
+// Assign gives the counter keys of a request by the versions that may be in force now. It keeps them whatever comes into
+// force later.
+func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
+	held, leased := e.readTable()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.rules.apply(held)
+	versions := e.rules.candidates(now, leased)
+	if len(versions) == 0 { // none of them can be resolved here
+		versions = []uint64{0}
 	}
-	if old, next := e.resolved[e.table.From], e.resolved[e.table.To]; e.shadow != nil && old != nil && next != nil {
-		e.shadow.Reconfigure(old, next, settings)
-	} else {
-		e.shadow = nil
+	first := e.rules.assign(versions[0], &request)
+	counted := dispatch.CountAssignment{
+		Key:         first.Key,
+		Plan:        first.Plan,
+		Width:       request.GatewayCount,
+		Weight:      first.Weight,
+		PerCustomer: first.Version == 0,
 	}
-	return countingrule.ClientSettings(settings)
+	if first.Shared {
+		counted.Width = e.rules.settings.Gateways
+	}
+	others := e.reserve(now, versions[1:], first, &request)
+	if others != nil {
+		counted.CheckOthers = others.charge
+	}
+	calls, sampled := e.canary.handleRequest(now, &request)
+	e.sendCanaryCalls(calls)
+	if sampled || others != nil {
+		counted.Completed = func(forwarded bool, units float64) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			if sampled {
+				e.canary.recordActual(first.Version, request.Units, forwarded)
+			}
+			if others != nil {
+				others.complete(forwarded, units)
+			}
+		}
+	}
+	return counted
 }
 
-// updateShadow begins and ends the play.
-func (e *Enforcer) updateShadow() {
-	table := &e.table
-	active := table.Phase == countingrule.PhaseCanary || table.Phase == countingrule.PhaseScheduled
-	old, next := e.resolved[table.From], e.resolved[table.To]
-	if !active || old == nil || next == nil {
-		e.shadow = nil
-		return
+// reserve reserves a request's units at the counter keys that it has beside the first; nil where it has none.
+func (e *Enforcer) reserve(now time.Duration, versions []uint64, first countingrule.Assignment,
+	request *dispatch.RequestSpec,
+) *reservations {
+	var reserved []countingrule.Reservation
+	for _, version := range versions {
+		other := e.rules.assign(version, request)
+		if plan := e.rules.settings.Plans[other.Plan]; other.Key != first.Key && plan.Rate > 0 {
+			reserved = append(reserved, e.admission.Reserve(other, plan, request.Units, now))
+		}
 	}
-	if e.shadow != nil && e.shadowSeed == table.Seed {
-		return
+	if len(reserved) == 0 {
+		return nil
 	}
-	sample, err := canary.NewSample(old.Rule, next.Rule, table.Seed, table.Canary.SamplePermille)
-	if err != nil {
-		e.shadow = nil
-		return
+	timeout := e.rules.settings.Classes[request.Class].LatencyObjective / timeoutDivisor
+	return newReservations(&e.mu, e.admission, e.dispatcher, reserved, timeout, first.Weight)
+}
+
+// sendCanaryCalls makes calls of the canary's. An answer may come once the canary has ended; it is dropped then. The
+// lock is held.
+func (e *Enforcer) sendCanaryCalls(calls []canary.Call) {
+	shadow := e.canary.shadow
+	for _, call := range calls {
+		e.dispatcher.CallCounter(call.Name, call.Units, call.TTL, func(count float64, outcome policy.Outcome) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			followUps := shadow.HandleCount(e.dispatcher.Now(), call.ID, count, outcome == policy.Answered)
+			if shadow == e.canary.shadow {
+				e.sendCanaryCalls(followUps)
+			}
+		})
 	}
-	e.shadow, e.shadowSeed = canary.NewShadow(sample, old, next, e.settings, table.Seed, table.Canary.CallsPermille), table.Seed
 }
--- /dev/null
+++ b/internal/enforce/fixture_test.go
@@ -0,0 +1,194 @@
+package enforce
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/policy"
+)
+
+// fakeNode caches the table that a test sets.
+type fakeNode struct {
+	mu      sync.Mutex
+	start   time.Time
+	held    coordination.CachedTable
+	changed chan struct{}
+	report  func(add func(string, uint64))
+}
+
+func (n *fakeNode) Now() time.Duration { return time.Since(n.start) }
+
+func (n *fakeNode) Cached(string) coordination.CachedTable {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.held
+}
+
+func (n *fakeNode) Changed() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.changed
+}
+
+func (n *fakeNode) RegisterCounters(report func(add func(string, uint64))) { n.report = report }
+func (n *fakeNode) RegisterExactCounters(func(add func(string, uint64)))   {}
+
+// setTable has the process receive a table, with a lease that holds or one that is over.
+func (n *fakeNode) setTable(table countingrule.Table, leased bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.held = coordination.CachedTable{
+		Name: countingrule.TableName, Epoch: n.held.Epoch + 1,
+		Value: table.Encode(),
+	}
+	if leased {
+		n.held.LeaseEnd = time.Hour
+	}
+	close(n.changed)
+	n.changed = make(chan struct{})
+}
+
+// fakeCounter answers at once.
+type fakeCounter struct {
+	mu     sync.Mutex
+	totals map[uint64]float64
+	names  []uint64 // in the order of the calls
+	silent bool     // it answers no more
+}
+
+func (c *fakeCounter) call(name uint64, units float64, _ time.Duration, done func(float64, policy.Outcome)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.totals[name] += units
+	c.names = append(c.names, name)
+	if total := c.totals[name]; !c.silent {
+		go done(total, policy.Answered)
+	}
+}
+
+func (c *fakeCounter) silence() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent = true
+}
+
+// total is what a name was charged, and whether it was ever called.
+func (c *fakeCounter) total(name uint64) (units float64, found bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	units, found = c.totals[name]
+	return units, found
+}
+
+// calls are the names of all calls, in their order.
+func (c *fakeCounter) calls() []uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]uint64(nil), c.names...)
+}
+
+// groupRule has two customers share a count with room for one request of theirs.
+var groupRule = countingrule.Rule{
+	Version: 1,
+	Key:     []string{"group"},
+	Groups:  []countingrule.Group{{Name: "both", Customers: []uint64{5, 6}}},
+	Weights: []countingrule.Weight{{Class: "look", Permille: 2000}},
+	Limits:  []countingrule.Limit{{Plan: "*", Rate: 0.1, Burst: 3}},
+}
+
+// groupTable is a table of the group's rule.
+func groupTable(phase countingrule.Phase) countingrule.Table {
+	return countingrule.Table{Phase: phase, To: groupRule.Version, Rules: []countingrule.Rule{groupRule}}
+}
+
+// fixture is a dispatcher with one server and a counter, and an enforcer that may not be started.
+type fixture struct {
+	node       *fakeNode
+	counter    *fakeCounter
+	dispatcher *dispatch.Dispatcher
+	enforcer   *Enforcer
+	logs       *observer.ObservedLogs
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	core, logs := observer.New(zap.InfoLevel)
+	f := &fixture{
+		node:     &fakeNode{start: time.Now(), changed: make(chan struct{})},
+		counter:  &fakeCounter{totals: map[uint64]float64{}},
+		enforcer: New(&countingrule.Config{Rules: []countingrule.Rule{groupRule}}, zap.New(core)),
+		logs:     logs,
+	}
+	settings := policy.Settings{
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 5,
+		MaxRetryAfter: time.Second, RetryAfter: true, ArrivalSlack: 8 * time.Millisecond, ReportsUnits: true,
+		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1}},
+		Plans:   []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}},
+	}
+	var err error
+	f.dispatcher, err = dispatch.New(settings, 7, dispatch.Dependencies{Count: f.counter.call}, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	run(t, f.dispatcher.RunTimers)
+	f.dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{
+		{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: policy.Ready}},
+	})
+	return f
+}
+
+// run runs a function until the test ends.
+func run(t *testing.T, loop func(context.Context)) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.WithoutCancel(t.Context()))
+	var running sync.WaitGroup
+	running.Go(func() { loop(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+}
+
+func newStartedFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := newFixture(t)
+	if err := f.enforcer.start(f.node, f.dispatcher); err != nil {
+		t.Fatal(err)
+	}
+	run(t, f.enforcer.loop)
+	return f
+}
+
+// serveOne takes a customer's request to its end and tells whether it was forwarded.
+func (f *fixture) serveOne(customer uint64) bool {
+	request := f.dispatcher.Admit(dispatch.RequestSpec{Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second})
+	if request.Next().Action != dispatch.Forward {
+		return false
+	}
+	request.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 1})
+	return true
+}
+
+// countName is the counter's name for a customer under a version, now.
+func (f *fixture) countName(version, customer uint64) uint64 {
+	f.enforcer.mu.Lock()
+	defer f.enforcer.mu.Unlock()
+	assignment := f.enforcer.rules.resolved[version].Assign(customer, 0, 0)
+	plan := f.enforcer.rules.settings.Plans[assignment.Plan]
+	return countingrule.WindowAt(assignment.Key, &plan, f.dispatcher.Now()).Name
+}
+
+// observations are those that the node would report, with their parts set apart by slashes.
+func (f *fixture) observations() map[string]uint64 {
+	counts := map[string]uint64{}
+	f.node.report(func(name string, n uint64) { counts[slashed(name)] = n })
+	return counts
+}
--- a/internal/enforce/reservations.go
+++ b/internal/enforce/reservations.go
@@ -4,148 +4,128 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/canary"
 	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/dispatch"
 	"harrierhoist/policy"
 )
 
-// timeoutDivisor is the part of the soft limit that the other counts may take to answer, as the module's own check.
+// timeoutDivisor is the part of the latency objective that the other counts may take to answer, as the decision
+// module's own check.
 const timeoutDivisor = 4
 
-// Assign is for the gate: a task is counted by what holds now, and so is all that comes of it later.
-func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
-	held, leased := e.readTable()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.applyTable(held)
-	versions := e.candidates(now, leased)
-	if len(versions) == 0 { // no rule in force is known here: today's
-		versions = []uint64{0}
-	}
-	assignment := e.resolved[versions[0]].Assign(request.Customer, request.Class, request.Plan)
-	decision := dispatch.CountAssignment{Key: assignment.Key, Plan: assignment.Plan, Width: request.GatewayCount, Weight: assignment.Weight, PerCustomer: assignment.Version == 0}
-	if assignment.Shared {
-		decision.Width = e.settings.Gateways
-	}
-	var reserved []countingrule.Reservation
-	for _, v := range versions[1:] {
-		other := e.resolved[v].Assign(request.Customer, request.Class, request.Plan)
-		if plan := e.settings.Plans[other.Plan]; other.Key != assignment.Key && plan.Rate > 0 {
-			reserved = append(reserved, e.admission.Reserve(other, plan, request.Units, now))
-		}
-	}
-	var reservations *reservations
-	if len(reserved) > 0 {
-		reservations = e.newReservations(reserved, request, assignment.Weight)
-		decision.CheckOthers = reservations.charge
-	}
-	sampled := e.shadow != nil && e.shadow.IsSampled(request.Customer)
-	if sampled {
-		e.shadow.AddBudget(e.unearnedCalls)
-		e.unearnedCalls = 0
-		e.sendShadowCalls(e.shadow.HandleRequest(now, canary.Request{Customer: request.Customer, Class: request.Class, Plan: request.Plan, Units: request.Units}))
-	}
-	if sampled || reservations != nil {
-		decision.Completed = func(forwarded bool, units float64) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			if sampled && e.shadow != nil {
-				e.shadow.RecordActual(assignment.Version, request.Units, forwarded)
-			}
-			if reservations != nil {
-				reservations.complete(forwarded, units)
-			}
-		}
-	}
-	return decision
+// counterCaller calls the counter past the decision module. It neither waits nor calls back before it returns.
+type counterCaller interface {
+	CallCounter(name uint64, units float64, ttl time.Duration, done func(count float64, outcome policy.Outcome))
 }
 
-// sendShadowCalls makes the play's calls. An answer may come once the play is over; it is not heard then.
-func (e *Enforcer) sendShadowCalls(calls []canary.Call) {
-	shadow := e.shadow
-	for _, call := range calls {
-		e.addUnits(call.Name, call.Units, call.TTL, func(count float64, outcome policy.Outcome) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			if followUps := shadow.HandleCount(e.dispatcher.Now(), call.ID, count, outcome == policy.Answered); shadow == e.shadow {
-				e.sendShadowCalls(followUps)
-			}
-		})
-	}
-}
-
-// reservations are a task's units at the counts that it has to pass beside the module's.
+// reservations are a request's units at the counter keys that it has to pass beside the decision module's.
 type reservations struct {
-	*Enforcer
-	all     []countingrule.Reservation
+	counter counterCaller
 	timeout time.Duration
-	weight  float64 // by which the module counts: true units come multiplied by it
+	weight  float64 // by which the decision module counts: actual units come multiplied by it
+	done    func(admitted bool)
 
-	// These are under the clerk's lock.
-	done      func(bool)
-	pending   int
+	mu        *sync.Mutex // the enforcer's: it guards what follows
+	admission *countingrule.Admission
+	all       []reservation
+	pending   int // counts that have not answered
 	admitted  bool
-	completed bool // the task is over
+	completed bool // the request has ended
 	forwarded bool
-	units     float64
-	charges   []countingrule.ChargeState // by hold
-	passedBy  []bool
+	units     float64 // that it used, unweighted; 0: not known
+}
+
+// reservation is what became of one of them.
+type reservation struct {
+	countingrule.Reservation
+	charge   countingrule.ChargeState
+	admitted bool
 }
 
-func (e *Enforcer) newReservations(reserved []countingrule.Reservation, request dispatch.RequestSpec, weight float64) *reservations {
-	timeout := e.settings.Classes[request.Class].LatencyObjective / timeoutDivisor
-	return &reservations{Enforcer: e, all: reserved, timeout: timeout, weight: weight, pending: len(reserved), admitted: true,
-		charges: make([]countingrule.ChargeState, len(reserved)), passedBy: make([]bool, len(reserved))}
+func newReservations(mu *sync.Mutex, admission *countingrule.Admission, counter counterCaller,
+	reserved []countingrule.Reservation, timeout time.Duration, weight float64,
+) *reservations {
+	r := &reservations{
+		counter: counter, timeout: timeout, weight: weight,
+		mu: mu, admission: admission, pending: len(reserved), admitted: true,
+	}
+	for _, one := range reserved {
+		r.all = append(r.all, reservation{Reservation: one})
+	}
+	return r
 }
 
-// charge has the counts asked; a count that does not answer in time goes by this process's own share.
+// charge adds the units to the counts and calls done once all have answered; one that does not answer in time admits by
+// this process's own share.
 func (r *reservations) charge(done func(admitted bool)) {
 	r.done = done
 	for i := range r.all {
+		one := &r.all[i]
 		var once sync.Once
-		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(i, 0, false) }) })
-		r.addUnits(r.all[i].Name, r.all[i].Units, r.all[i].TTL, func(count float64, outcome policy.Outcome) {
+		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(one, 0, false) }) })
+		r.counter.CallCounter(one.Name, one.Units, one.TTL, func(count float64, outcome policy.Outcome) {
 			timer.Stop()
-			r.Enforcer.mu.Lock()
-			if outcome == policy.Answered {
-				r.charges[i] = countingrule.Charged
-			} else if outcome != policy.TimedOut {
-				r.charges[i] = countingrule.NotCharged
-			}
-			r.Enforcer.mu.Unlock()
-			once.Do(func() { r.handleCount(i, count, outcome == policy.Answered) })
+			r.recordCharge(one, outcome)
+			once.Do(func() { r.handleCount(one, count, outcome == policy.Answered) })
 		})
 	}
 }
 
-func (r *reservations) handleCount(i int, count float64, answered bool) {
-	reservation := r.all[i]
-	r.Enforcer.mu.Lock()
-	passed, previous := r.admission.HandleCount(reservation, count, answered)
-	r.Enforcer.mu.Unlock()
+// recordCharge records whether the units are in the count: after a timeout that is not known.
+func (r *reservations) recordCharge(one *reservation, outcome policy.Outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch outcome {
+	case policy.Answered:
+		one.charge = countingrule.Charged
+	case policy.TimedOut:
+	default:
+		one.charge = countingrule.NotCharged
+	}
+}
+
+// handleCount takes a count's answer, and carries over the deficit of the window before where the count's is new.
+func (r *reservations) handleCount(one *reservation, count float64, answered bool) {
+	r.mu.Lock()
+	admitted, previous := r.admission.HandleCount(one.Reservation, count, answered)
+	r.mu.Unlock()
 	if previous != nil {
-		r.addUnits(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
-			if deficit := reservation.Deficit(*previous, count); outcome == policy.Answered && deficit > 0 {
-				r.addUnits(reservation.Name, deficit, reservation.TTL, func(float64, policy.Outcome) {})
-			}
-		})
+		r.carryOver(one.Reservation, *previous)
 	}
-	r.Enforcer.mu.Lock()
-	r.passedBy[i] = passed
-	r.admitted = r.admitted && passed
+	if last, all := r.recordAnswer(one, admitted); last {
+		r.done(all)
+	}
+}
+
+// recordAnswer tells whether it was the last answer, and whether all counts admitted the request.
+func (r *reservations) recordAnswer(one *reservation, admitted bool) (last, all bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	one.admitted = admitted
+	r.admitted = r.admitted && admitted
 	r.pending--
-	last, admitted := r.pending == 0, r.admitted
-	if last && r.completed { // its client has gone meanwhile
+	last = r.pending == 0
+	if last && r.completed { // its client has disconnected meanwhile
 		r.settle()
 	}
-	r.Enforcer.mu.Unlock()
-	if last {
-		r.done(admitted)
-	}
+	return last, r.admitted
 }
 
-// complete takes word that the task has its final answer. The clerk's lock is held.
+// carryOver adds the deficit of the previous window to the reservation's.
+func (r *reservations) carryOver(to countingrule.Reservation, previous countingrule.Window) {
+	r.counter.CallCounter(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
+		if deficit := to.Deficit(previous, count); outcome == policy.Answered && deficit > 0 {
+			r.add(to, deficit)
+		}
+	})
+}
+
+// add adds units to a reservation's count. Nothing depends on the answer.
+func (r *reservations) add(to countingrule.Reservation, units float64) {
+	r.counter.CallCounter(to.Name, units, to.TTL, func(float64, policy.Outcome) {})
+}
+
+// complete takes word that the request has its final answer: whether it was forwarded, and its actual units as the
+// decision module counts them (0: not known). The lock is held.
 func (r *reservations) complete(forwarded bool, units float64) {
 	r.completed, r.forwarded, r.units = true, forwarded, units/r.weight
 	if r.pending == 0 {
@@ -153,19 +133,25 @@
 	}
 }
 
-// settle gives back what a task did not use, or charges what it used beyond. It comes once: with the last count's
-// answer or with the final answer, whichever is later.
+// settle gives back what the request did not use, or charges what it used beyond. It comes once: with the last count's
+// answer or with the final answer, whichever is later. The lock is held.
 func (r *reservations) settle() {
-	for i, reservation := range r.all {
-		used := 0.0
-		if r.forwarded {
-			used = reservation.Units
-			if r.units > 0 {
-				used = reservation.Weight * r.units
-			}
-		}
-		if correction := r.admission.Settle(reservation, r.passedBy[i], used, r.charges[i]); correction != 0 {
-			r.addUnits(reservation.Name, correction, reservation.TTL, func(float64, policy.Outcome) {})
+	for i := range r.all {
+		one := &r.all[i]
+		if correction := r.admission.Settle(one.Reservation, one.admitted, r.used(one), one.charge); correction != 0 {
+			r.add(one.Reservation, correction)
 		}
 	}
 }
+
+// used are the weighted units that the request used of a reservation: all of them where the actual units are not known.
+func (r *reservations) used(one *reservation) float64 {
+	switch {
+	case !r.forwarded:
+		return 0
+	case r.units > 0:
+		return one.Weight * r.units
+	default:
+		return one.Units
+	}
+}
--- /dev/null
+++ b/internal/enforce/rules.go
@@ -0,0 +1,110 @@
+package enforce
+
+import (
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/policy"
+)
+
+// ruleSet is what a process knows of the rules. It is under the enforcer's lock.
+type ruleSet struct {
+	log          *zap.Logger
+	config       *countingrule.Config
+	settings     policy.Settings     // in force
+	known        []countingrule.Rule // what the table says of a version goes first
+	merged       bool                // known has the rules of the table and of the configuration
+	plansApplied bool                // the settings' plans have them all
+	resolved     map[uint64]*countingrule.Resolved
+	table        countingrule.Table
+	epoch        uint64 // of the table; 0: none was received
+}
+
+func (r *ruleSet) setConfig(config *countingrule.Config) { r.config, r.merged = config, false }
+
+// apply takes a table as cached, and tells whether there is a rule that the plans do not have yet.
+func (r *ruleSet) apply(held coordination.CachedTable) (newRules bool) {
+	if held.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
+		r.epoch, r.merged = held.Epoch, false
+		r.decode(held.Value)
+	}
+	if !r.merged {
+		r.merge()
+	}
+	return !r.plansApplied
+}
+
+func (r *ruleSet) decode(value []byte) {
+	table, err := countingrule.Decode(value)
+	if err != nil {
+		r.log.Error("counting: table malformed, the previous one stays", zap.Error(err))
+		return
+	}
+	if table.Phase != r.table.Phase || table.To != r.table.To || table.From != r.table.From {
+		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.From),
+			zap.Uint64("to", table.To), zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))),
+			zap.String("reason", table.Reason))
+	}
+	r.table = table
+}
+
+// merge takes in the rules of the table and of the configuration. What is committed is what the version means.
+func (r *ruleSet) merge() {
+	r.merged = true
+	for i, rule := range slices.Concat(r.table.Rules, r.config.Rules) {
+		at := slices.IndexFunc(r.known, func(other countingrule.Rule) bool { return other.Version == rule.Version })
+		isCommitted := i < len(r.table.Rules)
+		switch {
+		case at < 0:
+			r.known, r.plansApplied = append(r.known, rule), false
+		case isCommitted && !r.known[at].Equal(rule):
+			r.known[at], r.plansApplied = rule, false
+		}
+	}
+}
+
+// withPlans gives settings with the plans of all known rules.
+func (r *ruleSet) withPlans(settings policy.Settings) policy.Settings {
+	r.plansApplied = true
+	return countingrule.WithRulePlans(settings, r.known)
+}
+
+// resolve resolves all known rules against settings that are in force now.
+func (r *ruleSet) resolve(settings policy.Settings) {
+	r.settings = settings
+	for _, rule := range append([]countingrule.Rule{{}}, r.known...) {
+		resolved, err := countingrule.Resolve(rule, settings)
+		if err != nil {
+			r.log.Error("counting: rule not applicable", zap.Uint64("version", rule.Version), zap.Error(err))
+			delete(r.resolved, rule.Version)
+			continue
+		}
+		r.resolved[rule.Version] = resolved
+	}
+}
+
+// candidates are the versions that may be in force, as far as they are resolved here.
+func (r *ruleSet) candidates(now time.Duration, leased bool) []uint64 {
+	received := r.epoch > 0
+	return slices.DeleteFunc(r.table.CandidateVersions(now, leased, received, r.config),
+		func(version uint64) bool { return r.resolved[version] == nil })
+}
+
+// assign gives a request's counter key under a version that is resolved.
+func (r *ruleSet) assign(version uint64, request *dispatch.RequestSpec) countingrule.Assignment {
+	return r.resolved[version].Assign(request.Customer, request.Class, request.Plan)
+}
+
+// switched gives the rules before and after the table's switch, nil where one is not resolved here.
+func (r *ruleSet) switched() (old, next *countingrule.Resolved) {
+	old, next = r.resolved[r.table.From], r.resolved[r.table.To]
+	if old == nil || next == nil {
+		return nil, nil
+	}
+	return old, next
+}
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -36,7 +36,7 @@
 	t.Parallel()
 	s := startEnvironment(t, harmfulRuleTerms, harmfulRuleTerms, lightRequests)
 	for _, g := range s.Gateways {
-		s.waitForLog(g.Process, `"so":false`, 1)
+		s.waitForLog(g.Process, `"counting: version in force certain"`, 1)
 	}
 	s.waitForServed(200)
 	before := s.Recorder.ResultCounts()
@@ -81,7 +81,7 @@
 		})
 	}
 	for _, g := range s.Gateways {
-		s.waitForLog(g.Process, `"so":false`, 1)
+		s.waitForLog(g.Process, `"counting: version in force certain"`, 1)
 	}
 	waitForAdmitted(0.8, 1.2, "tasks let in by today's rule")
 	now := time.Now()
