--- a/internal/lab/rulesimulation/forecast.go
+++ b/internal/lab/rulesimulation/forecast.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/rand/v2"
+	"strings"
 	"time"
 
 	"harrierhoist/internal/canary"
@@ -10,84 +11,137 @@
 	"harrierhoist/policy"
 )
 
-// Forecast is what a canary foretold and what followed: parts of the sample's units let in.
+// When a simulated canary goes through its phases, from the simulation's start.
+const (
+	canaryStart     = 10 * time.Second
+	canaryMeasured  = 40 * time.Second // requests accepted later count for the outcome
+	canaryScheduled = 140 * time.Second
+	canaryArrivals  = 240 * time.Second // requests come until then
+	canaryEnd       = 250 * time.Second
+)
+
+// The sample of a simulated canary.
+const (
+	canaryCustomers      = 300
+	canarySamplePermille = 300
+	canaryCallsPermille  = 250
+	canaryFlushInterval  = 250 * time.Millisecond
+	canaryOwnCalls       = 12 // of a gateway for each request: as much as a sample of one key in 25 would have
+)
+
+// Forecast is what a canary forecast and what followed: parts of the sample's units that were admitted.
 type Forecast struct {
 	Before, Forecast, Observed float64
-	Calls                      float64 // of the play, a task of the fleet
+	Calls                      float64 // of the shadow evaluation, for each request that was accepted
+}
+
+// canarySimulation is a simulation with a shadow evaluation at each gateway.
+type canarySimulation struct {
+	*Simulation
+	seed                uint64
+	sample              *canary.Sample
+	shadows             map[*gateway]*canary.Shadow
+	accepted            float64    // requests
+	requested, admitted [2]float64 // units of the sample by version
 }
 
-// RunForecast plays a canary beside so many gateways with the module itself for two minutes, then switches to the rule.
-// Its 300 customers come through any of them.
-func RunForecast(seed uint64, gateways int, rule countingrule.Rule) (forecast Forecast, err error) {
+// RunForecast simulates a canary beside so many gateways with the decision module itself for two minutes, then switches
+// to the rule. Its customers come through any of the gateways. Its error is that of canary.NewSample.
+func RunForecast(seed uint64, gateways int, rule countingrule.Rule) (Forecast, error) {
+	sample, err := canary.NewSample(countingrule.Rule{}, rule, seed, canarySamplePermille)
+	if err != nil {
+		return Forecast{}, err
+	}
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 0.5, Burst: 5}}
 	settings.Gateways = gateways
-	s := newSimulation(seed, settings, []countingrule.Rule{rule})
-	sample, err := canary.NewSample(countingrule.Rule{}, rule, seed, 300)
-	if err != nil {
-		return forecast, err
+	c := &canarySimulation{
+		Simulation: newSimulation(seed, settings, []countingrule.Rule{rule}),
+		seed:       seed,
+		sample:     sample,
+		shadows:    map[*gateway]*canary.Shadow{},
 	}
-	const customers = 300
-	rates := rand.New(rand.NewPCG(seed, 5))
-	var requested, admitted [2]float64
-	observed := map[string]uint64{}
-	shadows, accepted := map[*gateway]*canary.Shadow{}, 0.0
-	var perform func(*gateway, []canary.Call)
-	perform = func(g *gateway, calls []canary.Call) {
-		for _, call := range calls {
-			g.addUnits(call.Name, call.Units, func(count float64) { perform(g, shadows[g].HandleCount(g.now, call.ID, count, true)) })
-		}
+	for _, g := range c.gateways {
+		c.shadows[g] = canary.NewShadow(sample, c.resolved[0], c.resolved[1], c.settings, seed, canaryCallsPermille)
 	}
-	for _, g := range s.gateways {
-		shadows[g] = canary.NewShadow(sample, s.resolved[0], s.resolved[1], s.settings, seed, 250)
-	}
-	s.onAdmission = func(g *gateway, request *request) {
-		accepted++
-		if s.table.Phase == countingrule.PhaseCanary {
-			shadows[g].AddBudget(12) // as much as a sample of one key in 25 would have
-			perform(g, shadows[g].HandleRequest(g.now, canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
-		}
-	}
-	s.onCompletion = func(_ *gateway, request *request) {
-		if bucket, ok := sample.Bucket(request.customer); ok && bucket >= 0 && request.acceptedAt > time.Hour+40*time.Second {
-			requested[request.assignment.Version]++
-			if request.forwarded {
-				admitted[request.assignment.Version]++
-			}
-		}
-	}
-	for customer := range uint64(customers) {
+	c.onAdmission, c.onCompletion = c.evaluate, c.recordOutcome
+	c.scheduleCustomers()
+	c.after(canaryStart+time.Second, c.flush)
+	c.after(canaryStart, func() { c.table.Phase, c.table.To = countingrule.PhaseCanary, 1 })
+	c.after(canaryScheduled, func() {
+		c.table.Phase, c.table.SwitchAt = countingrule.PhaseScheduled, c.now+switchLead
+	})
+	c.run(epoch + canaryEnd)
+	return c.forecast(), nil
+}
+
+// scheduleCustomers has each customer send requests at a rate of its own.
+func (c *canarySimulation) scheduleCustomers() {
+	rates := rand.New(rand.NewPCG(c.seed, 5))
+	for customer := range uint64(canaryCustomers) {
 		meanInterval := 2.5e9 / math.Exp(0.7*rates.NormFloat64())
+		wait := func() time.Duration { return time.Duration(c.random.ExpFloat64() * meanInterval) }
 		var arrive func()
 		arrive = func() {
-			if s.now < time.Hour+240*time.Second {
-				s.gateways[s.random.IntN(len(s.gateways))].accept(customer, s.random.IntN(2))
-				s.after(time.Duration(s.random.ExpFloat64()*meanInterval), arrive)
+			if c.now < epoch+canaryArrivals {
+				c.acceptAnywhere(func() uint64 { return customer })
+				c.after(wait(), arrive)
 			}
 		}
-		s.after(time.Duration(s.random.ExpFloat64()*meanInterval), arrive)
+		c.after(wait(), arrive)
 	}
-	var flush func()
-	flush = func() {
-		for _, g := range s.gateways {
-			perform(g, shadows[g].Flush(s.now))
-		}
-		if s.table.Phase == countingrule.PhaseCanary {
-			s.after(250*time.Millisecond, flush)
-		}
-	}
-	s.after(11*time.Second, flush)
-	s.after(10*time.Second, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
-	s.after(140*time.Second, func() { s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.now+switchLead })
-	s.run(time.Hour + 250*time.Second)
-	for _, shadow := range shadows {
-		shadow.Report(func(name string, count uint64) {
-			observed[name[len("canary\x1f")+len(canary.Fingerprint(seed))+1:]] += count
+}
+
+// call makes the shadow evaluation's calls to the counter, and those that follow from their answers.
+func (c *canarySimulation) call(g *gateway, calls []canary.Call) {
+	for _, call := range calls {
+		g.addUnits(call.Name, call.Units, func(count float64) {
+			c.call(g, c.shadows[g].HandleCount(c.now, call.ID, count, true))
 		})
-		forecast.Calls += float64(shadow.CallCount()) / accepted
 	}
-	byOldRule, byNewRule := float64(observed["both"]+observed["old"]), float64(observed["both"]+observed["new"])
-	forecast.Before, forecast.Observed = admitted[0]/requested[0], admitted[1]/requested[1]
-	forecast.Forecast = min(forecast.Before*byNewRule/byOldRule, 1)
-	return forecast, nil
+}
+
+// evaluate evaluates a request in the canary.
+func (c *canarySimulation) evaluate(g *gateway, request *request) {
+	c.accepted++
+	if c.table.Phase != countingrule.PhaseCanary {
+		return
+	}
+	c.shadows[g].AddBudget(canaryOwnCalls)
+	c.call(g, c.shadows[g].HandleRequest(c.now, canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
+}
+
+// recordOutcome counts what became of a request of the sample.
+func (c *canarySimulation) recordOutcome(_ *gateway, request *request) {
+	if _, sampled := c.sample.Bucket(request.customer); !sampled || request.acceptedAt <= epoch+canaryMeasured {
+		return
+	}
+	c.requested[request.assignment.Version]++
+	if request.forwarded {
+		c.admitted[request.assignment.Version]++
+	}
+}
+
+// flush flushes the shadow evaluations while the canary runs.
+func (c *canarySimulation) flush() {
+	for _, g := range c.gateways {
+		c.call(g, c.shadows[g].Flush(c.now))
+	}
+	if c.table.Phase == countingrule.PhaseCanary {
+		c.after(canaryFlushInterval, c.flush)
+	}
+}
+
+// forecast compares what the canary observed with what followed.
+func (c *canarySimulation) forecast() (f Forecast) {
+	prefix := "canary\x1f" + canary.Fingerprint(c.seed) + "\x1f"
+	observed := map[string]float64{}
+	for _, g := range c.gateways {
+		shadow := c.shadows[g]
+		shadow.Report(func(name string, n uint64) { observed[strings.TrimPrefix(name, prefix)] += float64(n) })
+		f.Calls += float64(shadow.CallCount()) / c.accepted
+	}
+	f.Before, f.Observed = c.admitted[0]/c.requested[0], c.admitted[1]/c.requested[1]
+	f.Forecast = min(f.Before*(observed["both"]+observed["new"])/(observed["both"]+observed["old"]), 1)
+	return f
 }
--- a/internal/lab/rulesimulation/golden_test.go
+++ b/internal/lab/rulesimulation/golden_test.go
@@ -12,31 +12,36 @@
 
 // The hashes were written before the program's names were changed: what the simulations give must stay.
 
-// record hashes all that a fleet's servers, clients and counter saw.
+// record hashes all that a simulation's servers, clients and counter saw.
 func (s *Simulation) record() string {
 	out := sha256.New()
+	add := func(values ...any) { _, _ = fmt.Fprintln(out, values...) } // writing to a hash never fails
 	for _, request := range s.requests {
-		fmt.Fprintln(out, request.id, request.customer, request.class, int64(request.acceptedAt), int64(request.forwardedAt), request.assignment.Version, request.assignment.Key, request.assignment.Plan,
-			request.assignment.Weight, request.assignment.Shared, request.forwarded, request.passed, request.answers, request.lost, request.weight, request.billed, int64(request.deadline))
+		assignment := &request.assignment
+		add(request.id, request.customer, request.class, int64(request.acceptedAt), int64(request.forwardedAt),
+			assignment.Version, assignment.Key, assignment.Plan, assignment.Weight, assignment.Shared,
+			request.forwarded, request.passed, request.answers, request.lost, request.weight, request.billed,
+			int64(request.deadline))
 		for _, reservation := range request.reservations {
-			fmt.Fprintln(out, reservation.Name, int64(reservation.Start), int64(reservation.TTL), reservation.Index, reservation.Units, reservation.Weight)
+			add(reservation.Name, int64(reservation.Start), int64(reservation.TTL), reservation.Index, reservation.Units,
+				reservation.Weight)
 		}
 	}
 	for _, totals := range []map[uint64]float64{s.counter, s.charged} {
 		for _, name := range slices.Sorted(maps.Keys(totals)) {
-			fmt.Fprintln(out, name, totals[name])
+			add(name, totals[name])
 		}
 	}
-	fmt.Fprintln(out, int64(s.now), s.sequence, s.WorstOverrun(), s.Forwarded(), s.CheckAnswers())
+	add(int64(s.now), s.sequence, s.WorstOverrun(), s.Forwarded(), s.CheckAnswers())
 	return fmt.Sprintf("%x", out.Sum(nil))
 }
 
 func TestGolden_switches(t *testing.T) {
-	for _, c := range []struct {
-		seed  uint64
-		plant Bug
-		calm  bool
-		want  string
+	for _, test := range []struct {
+		seed uint64
+		bug  Bug
+		calm bool
+		want string
 	}{
 		{1, NoBug, false, "d0595db7146371d8528e2a03004d624ab9eb47949825cc718db9c6e9368b32b3"},
 		{2, NoBug, false, "3fbcd4cdac3c715172ad417b1caee59ce86949bce6103807dcf96122f66aff7a"},
@@ -49,18 +54,15 @@
 	} {
 		settings, rule := TightScenario()
 		rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}, {Class: "look", Permille: 2000}}
-		if got := RunSwitch(c.seed, settings, rule, c.plant, c.calm).record(); got != c.want {
-			t.Errorf("seed %d, planted %q, calm %v: %s, want %s", c.seed, c.plant, c.calm, got, c.want)
+		if got := RunSwitch(test.seed, settings, rule, test.bug, test.calm).record(); got != test.want {
+			t.Errorf("seed %d, bug %q, calm %v: %s, want %s", test.seed, test.bug, test.calm, got, test.want)
 		}
 	}
 }
 
 func TestGolden_forecasts(t *testing.T) {
-	half := countingrule.Rule{Version: 1, Key: []string{"customer"},
-		Limits: []countingrule.Limit{{Plan: "small", Rate: 0.25, Burst: 2.5}}}
-	weighs := countingrule.Rule{Version: 1, Key: []string{"customer"},
-		Weights: []countingrule.Weight{{Class: "pay", Permille: 2000}}}
-	for _, c := range []struct {
+	half, weighs := scaledLimits(0.5), weightedClass()
+	for _, test := range []struct {
 		name string
 		rule countingrule.Rule
 		seed uint64
@@ -71,14 +73,15 @@
 		{"pay weighs 2", weighs, 1, "5eb5732b26661c328e34e1157deb237123659ae585094bbb3e02801c32f28b25"},
 		{"pay weighs 2", weighs, 2, "52b5330061299c16405f6c38897494939dd715024b5fba381e8484a3ca0a9d32"},
 	} {
-		forecast, err := RunForecast(c.seed, 4, c.rule)
+		forecast, err := RunForecast(test.seed, 4, test.rule)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Calls is a sum over gateways in any order: its last bits differ.
-		got := fmt.Sprintf("%x", sha256.Sum256(fmt.Appendln(nil, forecast.Before, forecast.Forecast, forecast.Observed, fmt.Sprintf("%.9g", forecast.Calls))))
-		if got != c.want {
-			t.Errorf("%s, seed %d: %s, want %s", c.name, c.seed, got, c.want)
+		figures := fmt.Appendln(nil, forecast.Before, forecast.Forecast, forecast.Observed,
+			fmt.Sprintf("%.9g", forecast.Calls)) // a sum over gateways, in any order where the hash was drawn
+		got := fmt.Sprintf("%x", sha256.Sum256(figures))
+		if got != test.want {
+			t.Errorf("%s, seed %d: %s, want %s", test.name, test.seed, got, test.want)
 		}
 	}
 }
--- a/internal/lab/rulesimulation/host.go
+++ b/internal/lab/rulesimulation/host.go
@@ -6,64 +6,78 @@
 	"harrierhoist/policy"
 )
 
+// These methods make a gateway the host of its decision module.
+var _ policy.Host = (*gateway)(nil)
+
 // Attempt has a server answer after 20 to 60 ms.
 func (g *gateway) Attempt(id, server uint32, _ time.Duration) {
 	request := g.inFlight[id]
 	if request == nil {
 		return
 	}
-	request.forwarded, request.forwardedAt = true, g.now
-	g.deliver(g.between(20*time.Millisecond, 60*time.Millisecond), func() {
-		weight := request.weight
-		if g.bug == BugWrongRule { // what the rule in force now would have it weigh
-			weight = g.resolved[g.table.InForce(g.now)].Assign(request.customer, request.class, 0).Weight
-		}
-		request.billed = weight
+	request.forwarded, request.forwardedAt = true, g.sim.now
+	g.deliver(g.sim.between(20*time.Millisecond, 60*time.Millisecond), func() {
+		request.billed = g.billedWeight(request)
 		g.complete(id)
-		g.module.HandleAttemptResult(g.now, policy.AttemptResult{RequestID: id, Server: server, Outcome: policy.Answered,
-			Latency: 40 * time.Millisecond, Final: true,
-			ActualUnits: weight})
+		g.module.HandleAttemptResult(g.sim.now, policy.AttemptResult{
+			RequestID:   id,
+			Server:      server,
+			Outcome:     policy.Answered,
+			Latency:     40 * time.Millisecond,
+			Final:       true,
+			ActualUnits: request.billed,
+		})
 	})
 }
 
+// billedWeight is what an answered request weighs.
+func (g *gateway) billedWeight(request *request) float64 {
+	if g.sim.bug == BugWrongRule { // what the rule in force now would have it weigh
+		inForce := g.sim.resolved[g.table.InForce(g.sim.now)]
+		return inForce.Assign(request.customer, request.class, 0).Weight
+	}
+	return request.weight
+}
+
 // Cancel is not needed: servers always answer.
 func (g *gateway) Cancel(uint32, int) {}
 
-// Reject is a final answer.
+// Reject gives the final answer.
 func (g *gateway) Reject(id uint32, _ time.Duration) { g.complete(id) }
 
-// Terminate is one.
+// Terminate gives the final answer.
 func (g *gateway) Terminate(id uint32) { g.complete(id) }
 
 // Count calls the counter.
 func (g *gateway) Count(name uint64, _ time.Duration, units float64) {
-	at := g.now
-	if g.handlingCount { // what a window carries over to the next is no task's
-		g.charged[name] -= units
+	sentAt := g.sim.now
+	if g.handlingCount { // what is carried over from one window to the next is no request's
+		g.sim.charged[name] -= units
 	}
 	g.addUnits(name, units, func(count float64) {
 		g.handlingCount = true
 		defer func() { g.handlingCount = false }()
-		g.module.HandleCount(g.now, policy.CountResult{Name: name, Total: count, Latency: g.now - at})
+		now := g.sim.now
+		g.module.HandleCount(now, policy.CountResult{Name: name, Total: count, Latency: now - sentAt})
 	})
 }
 
-// CheckHealth is not asked for.
+// CheckHealth is never called: the settings have no health checks.
 func (g *gateway) CheckHealth(uint32) {}
 
 // SendPeer reaches nobody.
 func (g *gateway) SendPeer(int, []byte) {}
 
-// WatchEndpoints is not needed: the list stands.
+// WatchEndpoints is not needed: the endpoint list stays.
 func (g *gateway) WatchEndpoints() {}
 
-// SetTimer wakes the module later.
+// SetTimer calls the module later.
 func (g *gateway) SetTimer(token uint64, delay time.Duration) {
-	g.deliver(delay, func() { g.module.HandleTimer(g.now, token) })
+	g.deliver(delay, func() { g.module.HandleTimer(g.sim.now, token) })
 }
 
-// CancelTimer need not be heeded.
+// CancelTimer may be ignored: the module knows which timers it cancelled.
 func (g *gateway) CancelTimer(uint64) {}
 
-// Log is not kept.
+// Log drops the line.
 func (g *gateway) Log(string) {}
