--- a/internal/enforce/enforcer.go
+++ b/internal/enforce/enforcer.go
@@ -170,14 +170,14 @@
 	}
 	first := e.rules.assign(versions[0], &request)
 	counted := dispatch.CountAssignment{
-		Key:         first.Key,
-		Plan:        first.Plan,
-		Width:       request.GatewayCount,
-		Weight:      first.Weight,
-		PerCustomer: first.Version == 0,
+		Key:          first.Key,
+		Plan:         first.Plan,
+		GatewayCount: request.GatewayCount,
+		Weight:       first.Weight,
+		PerCustomer:  first.Version == 0,
 	}
 	if first.Shared {
-		counted.Width = e.rules.settings.Gateways
+		counted.GatewayCount = e.rules.settings.Gateways
 	}
 	others := e.reserve(now, versions[1:], first, &request)
 	if others != nil {
