--- a/internal/conformance/change_test.go
+++ b/internal/conformance/change_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	changesAtOnce = 3 // builds side by side: the cores are shared
-	changeLimit   = "50s"
-	root          = "../.."
+	maxParallelChanges = 3 // builds side by side: the cores are shared
+	changeTimeout      = "50s"
+	repoRoot           = "../.."
 )
 
-var failed = regexp.MustCompile(`(?m)^ +--- FAIL: TestRows/[^/]+/(\S+)/(module|process)`)
+var failedRow = regexp.MustCompile(`(?m)^ +--- FAIL: TestRows/[^/]+/(\S+)/(module|process)`)
 
 // Each changed program is built in place of the real one by an overlay: all rows are played against its module, and
 // some against a process of it. Those named for the change must fail. Each row must be failed by some change, wherever
@@ -28,24 +28,24 @@
 	if testing.Short() {
 		t.Skip("builds the module for each change")
 	}
-	all, places := tables(t), make(chan bool, changesAtOnce)
+	suite, places := loadSuite(t), make(chan bool, maxParallelChanges)
 	var mu sync.Mutex
 	proven := map[string]bool{}
 	t.Run("change", func(t *testing.T) {
-		for _, c := range all.Changes {
-			t.Run(c.Name, func(t *testing.T) {
+		for _, change := range suite.Changes {
+			t.Run(change.Name, func(t *testing.T) {
 				t.Parallel()
 				places <- true
 				defer func() { <-places }()
-				overlay, variant := changed(t, c), strings.ReplaceAll(cmp.Or(c.Variant, Plain.Name), " ", "_")
+				overlay, variant := writeOverlay(t, change), strings.ReplaceAll(cmp.Or(change.Variant, Plain.Name), " ", "_")
 				got := map[string]bool{}
-				if len(c.Caught) > 0 {
-					fails(t, got, overlay, "^TestRows$/^"+variant+"$/./^module$")
+				if len(change.ModuleRows) > 0 {
+					collectFailures(t, got, overlay, "^TestRows$/^"+variant+"$/./^module$")
 				}
-				if len(c.Sockets) > 0 {
-					fails(t, got, overlay, "^TestRows$/^"+variant+"$/^("+strings.Join(c.Sockets, "|")+")$/^process$")
+				if len(change.ProcessRows) > 0 {
+					collectFailures(t, got, overlay, "^TestRows$/^"+variant+"$/^("+strings.Join(change.ProcessRows, "|")+")$/^process$")
 				}
-				for where, rows := range map[string][]string{"module": c.Caught, "process": c.Sockets} {
+				for where, rows := range map[string][]string{"module": change.ModuleRows, "process": change.ProcessRows} {
 					for _, row := range rows {
 						if !got[row+" "+where] {
 							t.Errorf("row %s holds against the %s with this change", row, where)
@@ -60,9 +60,9 @@
 			})
 		}
 	})
-	for _, r := range all.Rows {
+	for _, r := range suite.Rows {
 		for _, where := range []string{"module", "process"} {
-			if r.at(where) && !proven[r.ID+" "+where] {
+			if r.runsAgainst(where) && !proven[r.ID+" "+where] {
 				t.Errorf("row %s: no change makes it fail against the %s", r.ID, where)
 			}
 		}
@@ -70,11 +70,11 @@
 }
 
 // changed writes the sources of a changed program and gives the overlay's file.
-func changed(t *testing.T, c Change) string {
+func writeOverlay(t *testing.T, change Change) string {
 	t.Helper()
 	dir, texts, replace := t.TempDir(), map[string]string{}, map[string]string{}
-	for _, e := range c.Edits {
-		path, err := filepath.Abs(filepath.Join(root, e.File))
+	for _, e := range change.Edits {
+		path, err := filepath.Abs(filepath.Join(repoRoot, e.File))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,23 +108,23 @@
 }
 
 // fails plays rows with an overlay and notes those that fail, as the row and module or process.
-func fails(t *testing.T, rows map[string]bool, overlay, run string) {
+func collectFailures(t *testing.T, rows map[string]bool, overlay, run string) {
 	t.Helper()
-	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-timeout="+changeLimit, "-overlay="+overlay,
+	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-timeout="+changeTimeout, "-overlay="+overlay,
 		"-run="+run, "-v", ".")
-	cmd.Env = append(os.Environ(), overlayAt+"="+overlay)
+	cmd.Env = append(os.Environ(), overlayVariable+"="+overlay)
 	out, err := cmd.CombinedOutput()
 	if !strings.Contains(string(out), "--- ") || strings.Contains(string(out), "\npanic: ") {
 		t.Fatalf("the rows were not played to the end: %v\n%s", err, out)
 	}
-	for _, m := range failed.FindAllSubmatch(out, -1) {
+	for _, m := range failedRow.FindAllSubmatch(out, -1) {
 		rows[string(m[1])+" "+string(m[2])] = true
 	}
 }
 
 // A data file that lost a row, names what is not there or has a word too much is refused, with all that is wrong.
-func TestTablesAreChecked(t *testing.T) {
-	text := string(clauses)
+func TestParse_reportsEveryError(t *testing.T) {
+	text := string(suiteFile)
 	for _, c := range []struct{ old, new, want string }{
 		{`clause = "told-units"`, `clause = "told-unit"`, `no clause "told-unit"`},
 		{`clause = "told-units"`, `clause = "early-end"`, `clause "told-units" has no row`},
--- a/internal/conformance/clauses.go
+++ b/internal/conformance/clauses.go
@@ -14,21 +14,21 @@
 )
 
 //go:embed clauses.toml
-var clauses []byte
+var suiteFile []byte
 
 // Tables is the data file.
-type Tables struct {
-	Never   []string `toml:"never"` // patterns that no row may show
-	Clauses []Clause `toml:"clause"`
-	Plans   []Plan   `toml:"plan"`
-	Rows    []Row    `toml:"row"`
-	Changes []Change `toml:"change"`
+type Suite struct {
+	Forbidden []string `toml:"never"` // patterns that no row may show
+	Clauses   []Clause `toml:"clause"`
+	Plans     []Plan   `toml:"plan"`
+	Rows      []Row    `toml:"row"`
+	Changes   []Change `toml:"change"`
 }
 
 // Clause is one thing that the design page says.
 type Clause struct {
 	ID     string `toml:"id"`
-	Words  string `toml:"words"`  // ours
+	Text   string `toml:"words"`  // ours
 	Source string `toml:"source"` // the paragraph of the design page
 }
 
@@ -41,31 +41,31 @@
 
 // Row is a clause in play. Steps and patterns are explained at play and seen.
 type Row struct {
-	ID       string   `toml:"id"`
-	Clause   string   `toml:"clause"`
-	Text     string   `toml:"text"`
-	Where    string   `toml:"where"`    // module, process or both
-	Plan     string   `toml:"plan"`     // name of a plan; of every task
-	Gateways int      `toml:"gateways"` // in the deployment and in the customers' sets; 0: one
-	Crosses  bool     `toml:"crosses"`  // an edge of the customer's windows comes soon: the process waits for it
-	Given    []string `toml:"given"`    // steps that are not watched
-	Event    []string `toml:"event"`    // steps that are
-	Must     []string `toml:"must"`     // patterns seen in this order, others may stand between
-	Exactly  bool     `toml:"exactly"`  // no others may
-	MustNot  []string `toml:"must_not"` // patterns not seen; "X before Y": not until Y is seen
+	ID            string   `toml:"id"`
+	Clause        string   `toml:"clause"`
+	Text          string   `toml:"text"`
+	Target        string   `toml:"where"`    // module, process or both
+	Plan          string   `toml:"plan"`     // name of a plan; of every task
+	Gateways      int      `toml:"gateways"` // in the deployment and in the customers' sets; 0: one
+	CrossesWindow bool     `toml:"crosses"`  // an edge of the customer's windows comes soon: the process waits for it
+	Given         []string `toml:"given"`    // steps that are not watched
+	Events        []string `toml:"event"`    // steps that are
+	Expected      []string `toml:"must"`     // patterns seen in this order, others may stand between
+	Exactly       bool     `toml:"exactly"`  // no others may
+	Forbidden     []string `toml:"must_not"` // patterns not seen; "X before Y": not until Y is seen
 	// But are the variants that it is not played with, as the part changes the clause on purpose, with the reason.
-	But map[string]string `toml:"but"`
+	Exclusions map[string]string `toml:"but"`
 	// Only is the one variant that it is played with; empty: all that do not stand for their own rows alone.
-	Only string `toml:"only"`
+	OnlyVariant string `toml:"only"`
 }
 
 // Change is a changed program that rows must catch: what each edit replaces stands once in its file.
 type Change struct {
-	Name    string   `toml:"name"`
-	Variant string   `toml:"variant"` // that the rows are played with; empty: plain
-	Edits   []Edit   `toml:"edit"`
-	Caught  []string `toml:"caught"`  // rows that fail with it against the module; others may as well
-	Sockets []string `toml:"sockets"` // rows played against a process with it, which all fail
+	Name        string   `toml:"name"`
+	Variant     string   `toml:"variant"` // that the rows are played with; empty: plain
+	Edits       []Edit   `toml:"edit"`
+	ModuleRows  []string `toml:"caught"`  // rows that fail with it against the module; others may as well
+	ProcessRows []string `toml:"sockets"` // rows played against a process with it, which all fail
 }
 
 // Edit replaces text in a file.
@@ -76,94 +76,94 @@
 }
 
 // Load reads the data file and gives all that is wrong with it at once.
-func Load() (*Tables, error) { return Parse(clauses) }
+func Load() (*Suite, error) { return Parse(suiteFile) }
 
 // Parse reads tables: a clause without a row, a row without a clause, a name used twice and an unknown key are errors.
-func Parse(text []byte) (*Tables, error) {
-	var t Tables
-	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&t); err != nil {
+func Parse(text []byte) (*Suite, error) {
+	var s Suite
+	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
 		return nil, fmt.Errorf("clauses.toml: %w", err)
 	}
-	return &t, t.check()
+	return &s, s.validate()
 }
 
-func (t *Tables) check() error {
-	var wrong []error
-	say := func(form string, a ...any) { wrong = append(wrong, fmt.Errorf("clauses.toml: "+form, a...)) }
+func (s *Suite) validate() error {
+	var problems []error
+	report := func(form string, a ...any) { problems = append(problems, fmt.Errorf("clauses.toml: "+form, a...)) }
 	named, rows, caught := map[string]int{}, map[string]bool{}, map[string]bool{}
-	for _, c := range t.Clauses {
-		if _, twice := named[c.ID]; twice || c.ID == "" || c.Words == "" || c.Source == "" {
-			say("clause %q: needs an id of its own, words and a source", c.ID)
+	for _, c := range s.Clauses {
+		if _, twice := named[c.ID]; twice || c.ID == "" || c.Text == "" || c.Source == "" {
+			report("clause %q: needs an id of its own, words and a source", c.ID)
 		}
 		named[c.ID] = 0
 	}
-	for _, r := range t.Rows {
+	for _, r := range s.Rows {
 		if _, known := named[r.Clause]; !known {
-			say("row %q: no clause %q", r.ID, r.Clause)
+			report("row %q: no clause %q", r.ID, r.Clause)
 		}
 		named[r.Clause]++
 		if rows[r.ID] || r.ID == "" {
-			say("row %q: needs an id of its own", r.ID)
+			report("row %q: needs an id of its own", r.ID)
 		}
 		rows[r.ID] = true
-		if r.Where != "module" && r.Where != "process" && r.Where != "both" {
-			say("row %q: where is %q, allowed are module, process, both", r.ID, r.Where)
+		if r.Target != "module" && r.Target != "process" && r.Target != "both" {
+			report("row %q: where is %q, allowed are module, process, both", r.ID, r.Target)
 		}
-		if _, err := t.plan(r.Plan); err != nil {
-			say("row %q: %w", r.ID, err)
+		if _, err := s.findPlan(r.Plan); err != nil {
+			report("row %q: %w", r.ID, err)
 		}
-		for name, why := range r.But {
-			if why == "" || name == Plain.Name || !played(name) {
-				say("row %q: but %q needs a variant other than plain, and a reason", r.ID, name)
+		for name, why := range r.Exclusions {
+			if why == "" || name == Plain.Name || !isVariant(name) {
+				report("row %q: but %q needs a variant other than plain, and a reason", r.ID, name)
 			}
 		}
-		if r.Only != "" && !played(r.Only) {
-			say("row %q: only %q is no variant", r.ID, r.Only)
+		if r.OnlyVariant != "" && !isVariant(r.OnlyVariant) {
+			report("row %q: only %q is no variant", r.ID, r.OnlyVariant)
 		}
-		if len(r.Event) == 0 || len(r.Must) == 0 {
-			say("row %q: needs an event and what must follow", r.ID)
+		if len(r.Events) == 0 || len(r.Expected) == 0 {
+			report("row %q: needs an event and what must follow", r.ID)
 		}
-		for _, s := range slices.Concat(r.Given, r.Event) {
-			if _, err := read(s); err != nil {
-				say("row %q: %w", r.ID, err)
+		for _, s := range slices.Concat(r.Given, r.Events) {
+			if _, err := parseStep(s); err != nil {
+				report("row %q: %w", r.ID, err)
 			}
 		}
 	}
-	for _, c := range t.Clauses {
+	for _, c := range s.Clauses {
 		if named[c.ID] == 0 {
-			say("clause %q has no row", c.ID)
+			report("clause %q has no row", c.ID)
 		}
 	}
-	for _, c := range t.Changes {
-		if caught[c.Name] || len(c.Edits) == 0 || len(c.Caught)+len(c.Sockets) == 0 {
-			say("change %q: needs a name of its own, edits, and rows that catch it", c.Name)
+	for _, change := range s.Changes {
+		if caught[change.Name] || len(change.Edits) == 0 || len(change.ModuleRows)+len(change.ProcessRows) == 0 {
+			report("change %q: needs a name of its own, edits, and rows that catch it", change.Name)
 		}
-		caught[c.Name] = true
-		if c.Variant != "" && !played(c.Variant) {
-			say("change %q: no variant %q", c.Name, c.Variant)
+		caught[change.Name] = true
+		if change.Variant != "" && !isVariant(change.Variant) {
+			report("change %q: no variant %q", change.Name, change.Variant)
 		}
-		for _, id := range slices.Concat(c.Caught, c.Sockets) {
+		for _, id := range slices.Concat(change.ModuleRows, change.ProcessRows) {
 			if !rows[id] {
-				say("change %q: no row %q", c.Name, id)
+				report("change %q: no row %q", change.Name, id)
 			}
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
-func (t *Tables) plan(name string) (Plan, error) {
-	for _, p := range t.Plans {
-		if p.Name == name && p.Rate > 0 && p.Burst > 0 {
-			return p, nil
+func (s *Suite) findPlan(name string) (Plan, error) {
+	for _, plan := range s.Plans {
+		if plan.Name == name && plan.Rate > 0 && plan.Burst > 0 {
+			return plan, nil
 		}
 	}
 	return Plan{}, fmt.Errorf("no plan %q with a rate and a burst", name)
 }
 
 // played tells whether a variant has that name.
-func played(name string) bool {
-	return slices.ContainsFunc(Variants, func(v Variant) bool { return v.Name == name })
+func isVariant(name string) bool {
+	return slices.ContainsFunc(Variants, func(variant Variant) bool { return variant.Name == name })
 }
 
 // at tells whether a row is played there.
-func (r *Row) at(where string) bool { return r.Where == "both" || r.Where == where }
+func (r *Row) runsAgainst(where string) bool { return r.Target == "both" || r.Target == where }
--- a/internal/conformance/client.go
+++ b/internal/conformance/client.go
@@ -15,51 +15,51 @@
 
 // This file is what the clients of a process, and the other gateways at its counter, do and wait for.
 
-func (p *process) do(s step) {
+func (p *processTarget) execute(s step) {
 	p.t.Helper()
 	switch s.verb {
 	case "task":
-		p.send(s)
+		p.sendRequest(s)
 	case "answer":
-		p.await(fmt.Sprintf("push %d", s.task), 0)
-		p.answer(s.task) <- s.units
-		p.await(fmt.Sprintf("answered %d", s.task), 0)
+		p.await(fmt.Sprintf("push %d", s.request), 0)
+		p.answerChannel(s.request) <- s.units
+		p.await(fmt.Sprintf("answered %d", s.request), 0)
 	case "others":
-		p.others(s.units)
+		p.chargeAsOthers(s.units)
 	case "counter":
-		if p.letGo != nil {
-			p.letGo()
-			p.letGo = nil
+		if p.releaseCounter != nil {
+			p.releaseCounter()
+			p.releaseCounter = nil
 		}
-		if s.word == "silent" {
-			p.letGo = sync.OnceFunc(p.counter.Hold())
-			p.t.Cleanup(p.letGo)
+		if s.argument == "silent" {
+			p.releaseCounter = sync.OnceFunc(p.counter.Hold())
+			p.t.Cleanup(p.releaseCounter)
 		}
 	case "wait":
-		time.Sleep(s.span)
+		time.Sleep(s.duration)
 	case "edge":
-		time.Sleep(p.windows.edge(clock()) + beyond)
+		time.Sleep(p.windows.untilNext(wallClock()) + clockMargin)
 	case "mark":
-		p.seen.add("mark " + s.word)
+		p.events.add("mark " + s.argument)
 	case "talks":
-		p.talks()
+		p.recordConnections()
 	}
 }
 
 // send sends a task from a client of its own and waits for what comes of it first: with a silent counter its call,
 // else its push or its final answer.
-func (p *process) send(s step) {
+func (p *processTarget) sendRequest(s step) {
 	p.t.Helper()
 	who := s.customer
 	if who == 0 {
 		who = p.windows.customer
 	}
-	l := lanes[s.lane]
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=0", l.name, p.plan, l.patience.Milliseconds(),
-		s.units, p.width)
-	before := len(p.seen.from(0))
+	l := classes[s.class]
+	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=0", l.name, p.plan, l.timeout.Milliseconds(),
+		s.units, p.gatewayCount)
+	before := len(p.events.since(0))
 	go func() {
-		line := p.ask(fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", who), fmt.Sprintf("%016x", s.task), list))
+		line := p.sendCommand(fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", who), fmt.Sprintf("%016x", s.request), list))
 		how := "no answer"
 		switch {
 		case strings.HasPrefix(line, "$"):
@@ -69,23 +69,23 @@
 		case strings.HasPrefix(line, "-ERR"):
 			how = "terminated"
 		}
-		p.seen.add(fmt.Sprintf("%s %d", how, s.task))
+		p.events.add(fmt.Sprintf("%s %d", how, s.request))
 	}()
-	if p.letGo != nil {
+	if p.releaseCounter != nil {
 		p.await("count * *", before)
 		return
 	}
-	p.await(fmt.Sprintf("* %d", s.task), before)
+	p.await(fmt.Sprintf("* %d", s.request), before)
 }
 
 // ask sends a command on a connection of its own and gives the first line of the answer; "" where none comes.
-func (p *process) ask(command string) string {
+func (p *processTarget) sendCommand(command string) string {
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(2 * lanes[1].patience))
+	_ = c.SetDeadline(time.Now().Add(2 * classes[1].timeout))
 	if _, err := io.WriteString(c, command); err != nil {
 		return ""
 	}
@@ -94,26 +94,26 @@
 }
 
 // others charges the row's customer as another gateway would.
-func (p *process) others(units float64) {
+func (p *processTarget) chargeAsOthers(units float64) {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.counter.Addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer c.Close()
-	name := p.windows.name(p.windows.number(clock()))
-	_, _ = fmt.Fprintf(c, "incr %d %g %s\r\n", name, units, othersKey)
+	name := p.windows.counterName(p.windows.index(wallClock()))
+	_, _ = fmt.Fprintf(c, "incr %d %g %s\r\n", name, units, otherGatewaysTTL)
 	if line, err := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(line, "ok ") {
 		p.t.Fatalf("the counter says %q, %v", line, err)
 	}
 }
 
 // await waits until a pattern was seen after the first n.
-func (p *process) await(pattern string, n int) {
+func (p *processTarget) await(pattern string, n int) {
 	p.t.Helper()
-	p.until(func(lines [][]string) bool {
+	p.waitUntil(func(lines [][]string) bool {
 		for _, l := range lines[n:] {
-			if fits(l, pattern) {
+			if matches(l, pattern) {
 				return true
 			}
 		}
@@ -121,21 +121,21 @@
 	})
 }
 
-func (p *process) until(enough func([][]string) bool) {
-	wait := soonest
-	if os.Getenv(overlayAt) != "" {
-		wait = changedWait
+func (p *processTarget) waitUntil(enough func([][]string) bool) {
+	wait := eventTimeout
+	if os.Getenv(overlayVariable) != "" {
+		wait = changedEventTimeout
 	}
-	for end := time.Now().Add(wait); !enough(p.seen.from(0)) && time.Now().Before(end); {
+	for end := time.Now().Add(wait); !enough(p.events.since(0)) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // settled waits until what was seen is enough, and then until nothing more is.
-func (p *process) settled(enough func([][]string) bool) *seen {
-	p.until(enough)
-	for n := -1; n != len(p.seen.from(0)); time.Sleep(quiet) {
-		n = len(p.seen.from(0))
+func (p *processTarget) awaitEvents(enough func([][]string) bool) *eventLog {
+	p.waitUntil(enough)
+	for n := -1; n != len(p.events.since(0)); time.Sleep(quietPeriod) {
+		n = len(p.events.since(0))
 	}
-	return &p.seen
+	return &p.events
 }
--- a/internal/conformance/common.go
+++ b/internal/conformance/common.go
@@ -24,14 +24,14 @@
 // state wants it. No decider runs there, so the state stays for as long as a row is played.
 
 const (
-	leaseLong  = "30s"       // outlives a row on a busy machine
-	leaseShort = "500ms"     // is over soon after the voter has gone
-	votersMost = 20          // ports that may be taken meanwhile
-	writeEvery = time.Second // for one try to have a table written
+	longLease      = "30s"       // outlives a row on a busy machine
+	shortLease     = "500ms"     // is over soon after the voter has gone
+	maxVoterStarts = 20          // ports that may be taken meanwhile
+	writeTimeout   = time.Second // for one try to have a table written
 )
 
 // union is one voter, and what its followers' files say of it.
-type union struct {
+type testVoter struct {
 	*node.Node
 	address, dir string
 	client       *transport.Client
@@ -39,27 +39,27 @@
 
 // unions are those that rows share; Clean closes them.
 var (
-	unions     []*union
-	unionsLock sync.Mutex
+	sharedVoters     []*testVoter
+	sharedVotersLock sync.Mutex
 )
 
 // begin opens a voter that holds one table; an empty name holds none.
-func begin(t testing.TB, table string, value []byte) *union {
+func startVoter(t testing.TB, table string, value []byte) *testVoter {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "conformance-voter")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &union{dir: dir, client: transport.NewClient(transport.Network{}, 1)}
-	for range votersMost { // the port may be taken by another between the two
-		u.address = address(ported.Add(1))
+	v := &testVoter{dir: dir, client: transport.NewClient(transport.Network{}, 1)}
+	for range maxVoterStarts { // the port may be taken by another between the two
+		v.address = listenAddress(portsUsed.Add(1))
 		path := filepath.Join(dir, "voter.toml")
-		text := "[process]\nname = \"v1\"\nsingle = true\nvoter = true\ndisk = \"" + dir + "/disk\"\n" + u.voters(leaseLong)
+		text := "[process]\nname = \"v1\"\nsingle = true\nvoter = true\ndisk = \"" + dir + "/disk\"\n" + v.votersConfig(longLease)
 		if err = os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		none := func(*config.Config) []coordination.Controller { return nil }
-		if u.Node, err = node.Open(path, none, zap.NewNop()); err == nil {
+		if v.Node, err = node.Open(path, none, zap.NewNop()); err == nil {
 			break
 		}
 	}
@@ -68,117 +68,117 @@
 	}
 	if table != "" {
 		fakes.Eventually(t, "the table is written", func() bool {
-			ctx, cancel := context.WithTimeout(context.Background(), writeEvery)
+			ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 			defer cancel()
-			r, err := u.client.Propose(ctx, u.address, log.Command{
+			r, err := v.client.Propose(ctx, v.address, log.Command{
 				Kind: log.Write, Proposer: "rows/1", Number: 1,
 				Table: table, Value: value,
 			})
 			return err == nil && r.Applied
 		})
 	}
-	return u
+	return v
 }
 
-func (u *union) voters(lease string) string {
-	return fmt.Sprintf("[timing]\nlease = %q\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = %q\n", lease, u.address)
+func (v *testVoter) votersConfig(lease string) string {
+	return fmt.Sprintf("[timing]\nlease = %q\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = %q\n", lease, v.address)
 }
 
 // end closes the voter.
-func (u *union) end() {
-	u.client.Close()
-	u.Close()
-	_ = os.RemoveAll(u.dir)
+func (v *testVoter) stop() {
+	v.client.Close()
+	v.Close()
+	_ = os.RemoveAll(v.dir)
 }
 
 // state is a part's state at a process.
-type state struct {
-	name, text string
-	hall       string // the process's
-	terms      string // of the part, in the process's file
-	table      string // its table; "" where nothing is decided
-	value      func() []byte
-	says       []string // the process's log, once the state is in force
-	halls      []string // of the settings, the process's own first; nil: hall-a alone
-	away       bool     // the last of the row's servers stands in hall-b
-	over       []string // the log once the voter has gone and the lease is over; nil: it stays
-	key        func(customer uint64) uint64
-	fits       func(customer uint64) bool
-	alone      bool
-	span       time.Duration // that a row waits for until the state has come, with a voter of its own
-	aside      bool
+type partState struct {
+	name, description   string
+	zone                string // the process's
+	config              string // of the part, in the process's file
+	table               string // its table; "" where nothing is decided
+	value               func() []byte
+	readyLines          []string // the process's log, once the state is in force
+	zones               []string // of the settings, the process's own first; nil: hall-a alone
+	lastServerElsewhere bool     // the last of the row's servers stands in hall-b
+	leaseLostLines      []string // the log once the voter has gone and the lease is over; nil: it stays
+	counterKey          func(customer uint64) uint64
+	acceptsCustomer     func(customer uint64) bool
+	onlyNamedRows       bool
+	settleTime          time.Duration // that a row waits for until the state has come, with a voter of its own
+	makesOwnCalls       bool
 }
 
 // variant gives the state as a variant. Rows share one voter, unless it has to go.
-func (s state) variant() Variant {
+func (s partState) variant() Variant {
 	var lock sync.Mutex
-	var one *union
-	shared := func(t testing.TB) *union {
+	var one *testVoter
+	shared := func(t testing.TB) *testVoter {
 		lock.Lock()
 		defer lock.Unlock()
 		if one == nil {
-			one = s.begin(t)
-			unionsLock.Lock()
-			defer unionsLock.Unlock()
-			unions = append(unions, one)
+			one = s.startVoter(t)
+			sharedVotersLock.Lock()
+			defer sharedVotersLock.Unlock()
+			sharedVoters = append(sharedVoters, one)
 		}
 		return one
 	}
-	v := Variant{Name: s.name, Text: s.text, Key: s.key, Fits: s.fits, Aside: s.aside, Alone: s.alone}
-	v.Process = func(t testing.TB, l *Launch) {
+	variant := Variant{Name: s.name, Description: s.description, CounterKey: s.counterKey, AcceptsCustomer: s.acceptsCustomer, MakesOwnCalls: s.makesOwnCalls, OnlyNamedRows: s.onlyNamedRows}
+	variant.Process = func(t testing.TB, launch *Launch) {
 		t.Helper()
-		if s.over == nil && s.span == 0 {
-			s.ready(t, l, shared(t), leaseLong, nil)
+		if s.leaseLostLines == nil && s.settleTime == 0 {
+			s.prepare(t, launch, shared(t), longLease, nil)
 			return
 		}
-		u := s.begin(t)
-		gone := sync.OnceFunc(u.end)
+		v := s.startVoter(t)
+		gone := sync.OnceFunc(v.stop)
 		t.Cleanup(gone)
-		if s.over == nil {
-			s.ready(t, l, u, leaseLong, func() { time.Sleep(s.span) })
+		if s.leaseLostLines == nil {
+			s.prepare(t, launch, v, longLease, func() { time.Sleep(s.settleTime) })
 			return
 		}
-		s.ready(t, l, u, leaseShort, gone)
+		s.prepare(t, launch, v, shortLease, gone)
 	}
-	return v
+	return variant
 }
 
-func (s state) begin(t testing.TB) *union {
+func (s partState) startVoter(t testing.TB) *testVoter {
 	t.Helper()
 	var value []byte
 	if s.value != nil {
 		value = s.value()
 	}
-	return begin(t, s.table, value)
+	return startVoter(t, s.table, value)
 }
 
 // ready writes a follower's file and waits, once it serves, until the state is in force.
-func (s state) ready(t testing.TB, l *Launch, u *union, lease string, gone func()) {
+func (s partState) prepare(t testing.TB, launch *Launch, v *testVoter, lease string, gone func()) {
 	t.Helper()
-	path := filepath.Join(l.Dir, "common.toml")
-	text := fmt.Sprintf("[process]\nname = \"g1\"\nsingle = true\nhall = %q\n", s.hall) + u.voters(lease) + s.terms
+	path := filepath.Join(launch.Dir, "common.toml")
+	text := fmt.Sprintf("[process]\nname = \"g1\"\nsingle = true\nhall = %q\n", s.zone) + v.votersConfig(lease) + s.config
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l.Env, l.Peers = append(l.Env, "RELAY_COMMON="+path), append(l.Peers, u.address)
-	if s.halls != nil {
-		l.Config["settings"].(map[string]any)["Dcs"] = s.halls
+	launch.Env, launch.Peers = append(launch.Env, "RELAY_COMMON="+path), append(launch.Peers, v.address)
+	if s.zones != nil {
+		launch.Config["settings"].(map[string]any)["Dcs"] = s.zones
 	}
-	if s.away {
-		last := &l.Hosts[len(l.Hosts)-1]
+	if s.lastServerElsewhere {
+		last := &launch.Hosts[len(launch.Hosts)-1]
 		*last = strings.Replace(*last, `"site":"hall-a"`, `"site":"hall-b"`, 1)
 	}
-	l.Ready = func(r Running) {
-		for _, line := range s.says {
-			fakes.Eventually(t, line, func() bool { return strings.Contains(r.Log(), line) })
+	launch.OnReady = func(instance Instance) {
+		for _, line := range s.readyLines {
+			fakes.Eventually(t, line, func() bool { return strings.Contains(instance.Log(), line) })
 		}
 		if gone == nil {
 			return
 		}
-		before := r.Log() // what is said of no lease may have been said before there was one
+		before := instance.Log() // what is said of no lease may have been said before there was one
 		gone()
-		for _, line := range s.over {
-			fakes.Eventually(t, line, func() bool { return strings.Contains(r.Log()[len(before):], line) })
+		for _, line := range s.leaseLostLines {
+			fakes.Eventually(t, line, func() bool { return strings.Contains(instance.Log()[len(before):], line) })
 		}
 	}
 }
--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/conformance_test.go
@@ -9,28 +9,28 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	Clean()
+	Cleanup()
 	os.Exit(code)
 }
 
-func tables(t *testing.T) *Tables {
+func loadSuite(t *testing.T) *Suite {
 	t.Helper()
-	all, err := Load()
+	suite, err := Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return suite
 }
 
 func TestRows(t *testing.T) {
-	all := tables(t)
-	for _, v := range Variants {
-		t.Run(v.Name, func(t *testing.T) {
+	suite := loadSuite(t)
+	for _, variant := range Variants {
+		t.Run(variant.Name, func(t *testing.T) {
 			t.Parallel()
-			for _, r := range all.Rows {
+			for _, r := range suite.Rows {
 				t.Run(r.ID, func(t *testing.T) {
 					t.Parallel()
-					Play(t, all, r, v)
+					Run(t, suite, r, variant)
 				})
 			}
 		})
@@ -39,16 +39,16 @@
 
 // Under load a closed listener lived on in a program that was just starting, and a row's gateway found its address
 // taken.
-func TestATakenAddressIsLeftForAnother(t *testing.T) {
-	taken, err := net.Listen("tcp", address(ported.Load()+1))
+func TestStart_retriesAddressInUse(t *testing.T) {
+	taken, err := net.Listen("tcp", listenAddress(portsUsed.Load()+1))
 	if err == nil { // else somebody else has it
 		defer taken.Close()
 	}
-	all := tables(t)
-	i := slices.IndexFunc(all.Rows, func(r Row) bool { return r.ID == "first-check" })
-	before := ported.Load()
-	PlayProcess(t, all, all.Rows[i], Plain)
-	if n := ported.Load() - before; n < 2 {
+	suite := loadSuite(t)
+	i := slices.IndexFunc(suite.Rows, func(r Row) bool { return r.ID == "first-check" })
+	before := portsUsed.Load()
+	RunProcess(t, suite, suite.Rows[i], Plain)
+	if n := portsUsed.Load() - before; n < 2 {
 		t.Errorf("%d addresses used, want another after the one that is taken", n)
 	}
 }
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -17,31 +17,31 @@
 // Ports for processes to listen at lie below those that the system gives to callers and to listeners without a wish.
 // They are not tried before: a listener that was closed may live on for a moment in a program that starts beside.
 const (
-	portFirst  = 20000
-	ports      = 10000
-	portsApart = 101 // between tests whose process numbers follow each other: more than one needs
-	taken      = "address already in use"
-	ready      = `"msg":"gateway: ready"` // without it another program might answer there
-	startsMost = 20
+	firstPort    = 20000
+	portCount    = 10000
+	portStride   = 101 // between tests whose process numbers follow each other: more than one needs
+	addressInUse = "address already in use"
+	readyLine    = `"msg":"gateway: ready"` // without it another program might answer there
+	maxStarts    = 20
 )
 
-var ported atomic.Int64 // how many were used by this test
+var portsUsed atomic.Int64 // how many were used by this test
 
 // address gives the n-th address of this test's own: tests side by side begin far apart.
-func address(n int64) string {
-	return fmt.Sprintf("127.0.0.1:%d", portFirst+(int64(os.Getpid())*portsApart+n)%ports)
+func listenAddress(n int64) string {
+	return fmt.Sprintf("127.0.0.1:%d", firstPort+(int64(os.Getpid())*portStride+n)%portCount)
 }
 
 // start starts the program at a free address and waits until it serves. One that finds its address taken is started
 // once more at another.
-func (p *process) start(path string, l *Launch) Running {
+func (p *processTarget) start(path string, launch *Launch) Instance {
 	p.t.Helper()
-	file, log := filepath.Join(l.Dir, "config.json"), filepath.Join(l.Dir, "log")
-	r := Running{Config: file, Log: func() string { text, _ := os.ReadFile(log); return string(text) }}
-	for range startsMost {
-		p.addr = address(ported.Add(1))
-		l.Config["listen"] = p.addr
-		text, err := json.Marshal(l.Config)
+	file, log := filepath.Join(launch.Dir, "config.json"), filepath.Join(launch.Dir, "log")
+	instance := Instance{ConfigFile: file, Log: func() string { text, _ := os.ReadFile(log); return string(text) }}
+	for range maxStarts {
+		p.addr = listenAddress(portsUsed.Add(1))
+		launch.Config["listen"] = p.addr
+		text, err := json.Marshal(launch.Config)
 		if err == nil {
 			err = os.WriteFile(file, text, 0o600)
 		}
@@ -53,7 +53,7 @@
 			p.t.Fatal(err)
 		}
 		cmd := exec.Command(path)
-		cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+file), l.Env...)
+		cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+file), launch.Env...)
 		cmd.Stdout, cmd.Stderr = out, out
 		err = cmd.Start()
 		_ = out.Close()
@@ -69,32 +69,32 @@
 				return true
 			default:
 			}
-			return strings.Contains(r.Log(), ready) && p.ask(fakes.FormatCommand("PING")) == "+PONG"
+			return strings.Contains(instance.Log(), readyLine) && p.sendCommand(fakes.FormatCommand("PING")) == "+PONG"
 		})
 		select {
 		case <-ended:
-			if strings.Contains(r.Log(), taken) {
+			if strings.Contains(instance.Log(), addressInUse) {
 				continue
 			}
-			p.t.Fatalf("the gateway ended: %s", r.Log())
+			p.t.Fatalf("the gateway ended: %s", instance.Log())
 		default:
 		}
-		p.pid, r.Pid = cmd.Process.Pid, cmd.Process.Pid
+		p.pid, instance.PID = cmd.Process.Pid, cmd.Process.Pid
 		p.t.Cleanup(func() {
 			if p.t.Failed() {
-				p.t.Logf("the gateway's log: %s", r.Log())
+				p.t.Logf("the gateway's log: %s", instance.Log())
 			}
 		})
-		return r
+		return instance
 	}
 	p.t.Fatal("no free address")
-	return r
+	return instance
 }
 
 // launchConfig is what a gateway is told at its start, in its own form: the same deployment as site gives the module.
-func launchConfig(p *process, plan Plan) map[string]any {
+func launchConfig(p *processTarget, plan Plan) map[string]any {
 	type pairs = map[string]any
-	d := site(plan, p.width)
+	d := settingsFor(plan, p.gatewayCount)
 	var classes []pairs
 	for _, l := range d.Classes {
 		classes = append(classes, pairs{
@@ -104,7 +104,7 @@
 	}
 	return pairs{
 		"name": "n0", "discovery": p.discovery.Addr, "counter": p.counter.Addr,
-		"seed": fmt.Sprintf("%016x", seed), "limits": pairs{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"seed": fmt.Sprintf("%016x", randomSeed), "limits": pairs{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"settings": pairs{
 			"Balancers": d.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{"hall-a"}, "Models": []string{"m2"},
 			"Discovery": "push", "TickMs": d.ClockTick.Milliseconds(),
@@ -115,7 +115,7 @@
 			"Report": pairs{"Fields": []string{}, "How": "off"},
 			"PolicyLimits": pairs{
 				"Cancelling": d.CanCancel, "TryLimit": d.MaxAttempts, "RetryAfter": d.RetryAfter,
-				"MaxRetryAfterMs": d.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": connectWithin.Milliseconds(),
+				"MaxRetryAfterMs": d.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": counterConnectTimeout.Milliseconds(),
 				"IdleCloseMs": 30000, "StreamsPerConn": 100,
 			},
 			"Rules": pairs{
@@ -131,7 +131,7 @@
 
 // talks notes, once each and in the order of their names, whom the process is connected with, by the system's tables.
 // Clients are left out: those are who came to its own address.
-func (p *process) talks() {
+func (p *processTarget) recordConnections() {
 	p.t.Helper()
 	own := map[string]bool{} // its sockets' numbers
 	links, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.pid))
@@ -155,24 +155,24 @@
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", p.pid, table))
 		for _, line := range strings.Split(string(text), "\n")[1:] {
 			f := strings.Fields(line)
-			if len(f) < 10 || !own[f[9]] || endpoint(f[1]) == p.addr {
+			if len(f) < 10 || !own[f[9]] || parseAddress(f[1]) == p.addr {
 				continue
 			}
-			name, known := names[endpoint(f[2])]
+			name, known := names[parseAddress(f[2])]
 			if !known {
-				name = "elsewhere " + table + " " + endpoint(f[2])
+				name = "elsewhere " + table + " " + parseAddress(f[2])
 			}
 			with = append(with, "talks "+name)
 		}
 	}
 	slices.Sort(with)
 	for _, line := range slices.Compact(with) {
-		p.seen.add(line)
+		p.events.add(line)
 	}
 }
 
 // endpoint reads an address of the system's tables, as 0100007F:1F90; what it cannot read it gives as it is.
-func endpoint(text string) string {
+func parseAddress(text string) string {
 	var a, b, c, d byte
 	var port int
 	n, _ := fmt.Sscanf(text, "%02X%02X%02X%02X:%04X", &d, &c, &b, &a, &port)
--- a/internal/conformance/page.go
+++ b/internal/conformance/page.go
@@ -7,27 +7,27 @@
 )
 
 //go:embed page.md.tmpl
-var frame string
+var pageTemplate string
 
 // Page writes docs/conformance.md from the tables.
-func (t *Tables) Page() (string, error) {
+func (s *Suite) Page() (string, error) {
 	page, err := template.New("page").Funcs(template.FuncMap{
-		"rows": t.of, "but": t.but, "listed": listed, "names": func(ids []string) string { return strings.Join(ids, ", ") },
-	}).Parse(frame)
+		"rows": s.rowsOf, "but": s.exclusionsOf, "listed": formatList, "names": func(ids []string) string { return strings.Join(ids, ", ") },
+	}).Parse(pageTemplate)
 	if err != nil {
 		return "", err
 	}
 	var out strings.Builder
 	err = page.Execute(&out, struct {
-		*Tables
+		*Suite
 		Variants []Variant
-	}{t, Variants})
+	}{s, Variants})
 	return out.String(), err
 }
 
 // of gives a clause's rows.
-func (t *Tables) of(clause string) (rows []Row) {
-	for _, r := range t.Rows {
+func (s *Suite) rowsOf(clause string) (rows []Row) {
+	for _, r := range s.Rows {
 		if r.Clause == clause {
 			rows = append(rows, r)
 		}
@@ -36,9 +36,9 @@
 }
 
 // but gives the rows that a variant leaves out, each with the reason.
-func (t *Tables) but(variant string) (rows []string) {
-	for _, r := range t.Rows {
-		if why := r.But[variant]; why != "" {
+func (s *Suite) exclusionsOf(variant string) (rows []string) {
+	for _, r := range s.Rows {
+		if why := r.Exclusions[variant]; why != "" {
 			rows = append(rows, r.ID+": "+why)
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 // listed writes steps or patterns for a cell of the page.
-func listed(items []string) string {
+func formatList(items []string) string {
 	out := make([]string, len(items))
 	for i, s := range items {
 		out[i] = "`" + s + "`"
--- a/internal/conformance/page_test.go
+++ b/internal/conformance/page_test.go
@@ -10,9 +10,9 @@
 
 var update = flag.Bool("update", false, "write docs/conformance.md")
 
-func TestPageIsWrittenFromTheTables(t *testing.T) {
-	const path = root + "/docs/conformance.md"
-	want, err := tables(t).Page()
+func TestPageMatchesSuite(t *testing.T) {
+	const path = repoRoot + "/docs/conformance.md"
+	want, err := loadSuite(t).Page()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/conformance/play.go
+++ b/internal/conformance/play.go
@@ -14,47 +14,47 @@
 // Variant is a way to make the gateway under test: plain, or with a part switched on, in one of its states. The same
 // rows are played with each of Variants.
 type Variant struct {
-	Name string
-	Text string // what the state is, for the page
+	Name        string
+	Description string // what the state is, for the page
 	// Module makes the module behind a host; nil: no row is played against the module.
 	Module func(site policy.Settings, seed int64, host policy.Host) (Module, error)
 	// Process readies a process before it starts; nil: no row is played against a process.
 	Process func(t testing.TB, p *Launch)
 	// Key gives what stands for a customer in the names of its counts; nil: its own number.
-	Key func(customer uint64) uint64
+	CounterKey func(customer uint64) uint64
 	// Fits tells whether a customer may be a process row's; nil: any may.
-	Fits func(customer uint64) bool
+	AcceptsCustomer func(customer uint64) bool
 	// Aside says that the part makes calls of its own at the counter: those under other names than the row's
 	// customer's are not looked at.
-	Aside bool
+	MakesOwnCalls bool
 	// Alone says that only rows that name the variant are played with it, as the part changes all others on purpose.
-	Alone bool
-	Never []string // patterns that no row may show with it
+	OnlyNamedRows bool
+	Forbidden     []string // patterns that no row may show with it
 }
 
 // Launch is how a process starts: a variant may add to it.
 type Launch struct {
-	Dir    string          // for files; gone with the test
-	Env    []string        // added to that of the test
-	Config map[string]any  // of the gateway, as it is written in JSON
-	Hosts  []string        // the servers, as discovery lists them
-	Peers  []string        // addresses that it may be connected with besides counter, discovery, servers and clients
-	Ready  func(r Running) // called once it serves, before the row begins; nil: nothing is to be done then
+	Dir     string                  // for files; gone with the test
+	Env     []string                // added to that of the test
+	Config  map[string]any          // of the gateway, as it is written in JSON
+	Hosts   []string                // the servers, as discovery lists them
+	Peers   []string                // addresses that it may be connected with besides counter, discovery, servers and clients
+	OnReady func(instance Instance) // called once it serves, before the row begins; nil: nothing is to be done then
 }
 
 // Running is a process that serves.
-type Running struct {
-	Pid    int
-	Config string        // the file of its configuration
-	Log    func() string // what it has logged so far
+type Instance struct {
+	PID        int
+	ConfigFile string        // the file of its configuration
+	Log        func() string // what it has logged so far
 }
 
 // Variants are those that the tests play. A part that can be switched on adds one for each of its states.
-var Variants = slices.Concat([]Variant{Plain, Reshaped}, inModule, inCommon())
+var Variants = slices.Concat([]Variant{Plain, Reconfigured}, moduleVariants, coordinatedVariants())
 
 // Plain is the gateway as it is, with all parts off.
 var Plain = Variant{
-	Name: "plain", Text: "all parts are off",
+	Name: "plain", Description: "all parts are off",
 	Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		return policy.New(site, seed, host)
 	},
@@ -62,83 +62,83 @@
 }
 
 // Reshaped has taken its settings once more while it ran: nothing may follow from that.
-var Reshaped = Variant{
-	Name: "reshaped", Text: "the settings were taken once more while it ran",
+var Reconfigured = Variant{
+	Name: "reshaped", Description: "the settings were taken once more while it ran",
 	Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		g, err := policy.New(site, seed, host)
 		if err == nil {
-			_, err = g.Reconfigure(origin, site)
+			_, err = g.Reconfigure(startTime, site)
 		}
 		return g, err
 	},
-	Process: func(t testing.TB, l *Launch) {
-		l.Ready = func(r Running) {
-			if err := syscall.Kill(r.Pid, syscall.SIGHUP); err != nil {
+	Process: func(t testing.TB, launch *Launch) {
+		launch.OnReady = func(instance Instance) {
+			if err := syscall.Kill(instance.PID, syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 			fakes.Eventually(t, "settings taken", func() bool {
-				return strings.Contains(r.Log(), "gateway: configuration reloaded")
+				return strings.Contains(instance.Log(), "gateway: configuration reloaded")
 			})
 		}
 	},
 }
 
 // player plays steps.
-type player interface {
-	do(s step)
+type target interface {
+	execute(s step)
 	// settled waits until what was seen is enough, or will not come any more, and gives it.
-	settled(enough func(lines [][]string) bool) *seen
+	awaitEvents(enough func(lines [][]string) bool) *eventLog
 }
 
 // Play plays a row against the module and against a process, each where the row and the variant say so.
-func Play(t *testing.T, tables *Tables, row Row, v Variant) {
-	if row.But[v.Name] != "" || row.Only != v.Name && (row.Only != "" || v.Alone) {
+func Run(t *testing.T, suite *Suite, row Row, variant Variant) {
+	if row.Exclusions[variant.Name] != "" || row.OnlyVariant != variant.Name && (row.OnlyVariant != "" || variant.OnlyNamedRows) {
 		return // by its nature the part changes it on purpose
 	}
-	if row.at("module") && v.Module != nil {
-		t.Run("module", func(t *testing.T) { PlayModule(t, tables, row, v) })
+	if row.runsAgainst("module") && variant.Module != nil {
+		t.Run("module", func(t *testing.T) { RunModule(t, suite, row, variant) })
 	}
-	if row.at("process") && v.Process != nil {
-		t.Run("process", func(t *testing.T) { PlayProcess(t, tables, row, v) })
+	if row.runsAgainst("process") && variant.Process != nil {
+		t.Run("process", func(t *testing.T) { RunProcess(t, suite, row, variant) })
 	}
 }
 
 // PlayModule plays a row against the module.
-func PlayModule(t testing.TB, tables *Tables, row Row, v Variant) {
+func RunModule(t testing.TB, suite *Suite, row Row, variant Variant) {
 	t.Helper()
-	play(t, tables, row, v, func(p Plan) player { return newModule(t, row, p, v) })
+	run(t, suite, row, variant, func(plan Plan) target { return newModuleTarget(t, row, plan, variant) })
 }
 
 // PlayProcess plays a row against a process of the program.
-func PlayProcess(t testing.TB, tables *Tables, row Row, v Variant) {
+func RunProcess(t testing.TB, suite *Suite, row Row, variant Variant) {
 	t.Helper()
-	play(t, tables, row, v, func(p Plan) player { return newProcess(t, row, p, v) })
+	run(t, suite, row, variant, func(plan Plan) target { return newProcessTarget(t, row, plan, variant) })
 }
 
-func play(t testing.TB, tables *Tables, row Row, v Variant, make func(Plan) player) {
+func run(t testing.TB, suite *Suite, row Row, variant Variant, make func(Plan) target) {
 	t.Helper()
-	plan, err := tables.plan(row.Plan)
+	plan, err := suite.findPlan(row.Plan)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := make(plan)
 	steps := func(texts []string) {
 		for _, text := range texts {
-			s, err := read(text)
+			s, err := parseStep(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.do(s)
+			p.execute(s)
 		}
 	}
 	steps(row.Given)
-	before := len(p.settled(func([][]string) bool { return true }).from(0))
-	steps(row.Event)
-	lines := p.settled(func(lines [][]string) bool { // holds, or does not any more
-		return len(follows(lines[before:], row)) == 0 || len(forbidden(lines[before:], row.MustNot)) > 0
-	}).from(before)
-	for _, wrong := range judge(lines, row, slices.Concat(tables.Never, v.Never)) {
-		t.Errorf("%s: %s\nseen: %s", row.Text, wrong, told(lines))
+	before := len(p.awaitEvents(func([][]string) bool { return true }).since(0))
+	steps(row.Events)
+	lines := p.awaitEvents(func(lines [][]string) bool { // holds, or does not any more
+		return len(missingEvents(lines[before:], row)) == 0 || len(forbiddenEvents(lines[before:], row.Forbidden)) > 0
+	}).since(before)
+	for _, wrong := range violations(lines, row, slices.Concat(suite.Forbidden, variant.Forbidden)) {
+		t.Errorf("%s: %s\nseen: %s", row.Text, wrong, formatEvents(lines))
 	}
 }
 
--- a/internal/conformance/seen.go
+++ b/internal/conformance/seen.go
@@ -13,26 +13,26 @@
 //	push N          the task goes to a server
 //	answered N, rejected N, terminated N: its client's final answer
 //	tell, probe, cancel N: what the module asks of its host besides
-type seen struct {
-	mu    sync.Mutex
-	lines [][]string // each with all its faces, of which a pattern may match any
+type eventLog struct {
+	mu     sync.Mutex
+	events [][]string // each with all its faces, of which a pattern may match any
 }
 
-func (s *seen) add(faces ...string) {
+func (s *eventLog) add(faces ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = append(s.lines, faces)
+	s.events = append(s.events, faces)
 }
 
 // from gives what was seen after the first n.
-func (s *seen) from(n int) [][]string {
+func (s *eventLog) since(n int) [][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.lines[n:])
+	return slices.Clone(s.events[n:])
 }
 
 // fits tells whether a line matches a pattern: word by word, * is any.
-func fits(faces []string, pattern string) bool {
+func matches(faces []string, pattern string) bool {
 	want := strings.Fields(pattern)
 	return slices.ContainsFunc(faces, func(face string) bool {
 		return slices.EqualFunc(strings.Fields(face), want, func(a, b string) bool { return a == b || b == "*" })
@@ -40,19 +40,19 @@
 }
 
 // judge holds what was seen against what a row says, and gives what is wrong.
-func judge(lines [][]string, row Row, never []string) []string {
-	return append(follows(lines, row), forbidden(lines, slices.Concat(row.MustNot, never))...)
+func violations(lines [][]string, row Row, never []string) []string {
+	return append(missingEvents(lines, row), forbiddenEvents(lines, slices.Concat(row.Forbidden, never))...)
 }
 
 // forbidden gives what must not have been seen.
-func forbidden(lines [][]string, patterns []string) (wrong []string) {
+func forbiddenEvents(lines [][]string, patterns []string) (wrong []string) {
 	for _, pattern := range patterns {
 		bad, end, ends := strings.Cut(pattern, " before ")
 		for _, l := range lines {
-			if ends && fits(l, end) {
+			if ends && matches(l, end) {
 				break
 			}
-			if fits(l, bad) {
+			if matches(l, bad) {
 				wrong = append(wrong, fmt.Sprintf("%q must not be seen (%s)", l[0], pattern))
 				break
 			}
@@ -62,23 +62,23 @@
 }
 
 // follows gives what is lacking or too much of what must follow.
-func follows(lines [][]string, row Row) []string {
+func missingEvents(lines [][]string, row Row) []string {
 	next := 0
 	for _, l := range lines {
-		if next < len(row.Must) && fits(l, row.Must[next]) {
+		if next < len(row.Expected) && matches(l, row.Expected[next]) {
 			next++
 		} else if row.Exactly {
 			return []string{fmt.Sprintf("%q is too much, or comes too early", l[0])}
 		}
 	}
-	if next < len(row.Must) {
-		return []string{fmt.Sprintf("%q is not seen", row.Must[next])}
+	if next < len(row.Expected) {
+		return []string{fmt.Sprintf("%q is not seen", row.Expected[next])}
 	}
 	return nil
 }
 
 // told writes what was seen, for a failure.
-func told(lines [][]string) string {
+func formatEvents(lines [][]string) string {
 	var out []string
 	for _, l := range lines {
 		out = append(out, strings.Join(l, " = "))
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -14,33 +14,35 @@
 
 // byCustomer is a rule under which a count is a customer's and a unit weighs one: all clauses hold as they are, under
 // other names.
-var byCustomer = countingrule.Rule{Version: 1, Key: []string{"customer"}}
+var customerRule = countingrule.Rule{Version: 1, Key: []string{"customer"}}
 
 // ruleKey is what stands for a customer under it, reckoned from what docs/counting-rules.md says.
-func ruleKey(customer uint64) uint64 { return countingrule.Hash(byCustomer.Version, customer, 0, 0, 0) }
+func ruleKey(customer uint64) uint64 {
+	return countingrule.Hash(customerRule.Version, customer, 0, 0, 0)
+}
 
 const (
-	sampleSeed  = 5
-	sample      = 80     // thousandths of the keys
-	callsPlayed = 20_000 // thousandths: a row makes few calls, and its tasks are to be played
-	edgeSoon    = 2 * time.Second
-	countedTerm = "[counting]\ntry = 1\n[[counting.rule]]\nversion = 1\nkey = [\"customer\"]\n" +
+	sampleSeed      = 5
+	samplePermille  = 80     // thousandths of the keys
+	callsPermille   = 20_000 // thousandths: a row makes few calls, and its tasks are to be played
+	activationDelay = 2 * time.Second
+	countingConfig  = "[counting]\ntry = 1\n[[counting.rule]]\nversion = 1\nkey = [\"customer\"]\n" +
 		"[counting.canary]\nsample = 80\ncalls = 250\ndeadline_s = 600\nwrong = 50\nrejected = 20\n" +
 		"let_in = 20\nbeyond = 20\nleave = 100\nwatch_s = 60\nlead_ms = 1000\n"
-	failoverTerm = "[failover]\non = true\nbears = 100.0\n[[failover.regions]]\nname = \"r\"\n" +
+	failoverConfig = "[failover]\non = true\nbears = 100.0\n[[failover.regions]]\nname = \"r\"\n" +
 		"halls = [\"hall-a\", \"hall-b\"]\n"
-	debtsTerm = "[debts]\non = true\n[[debts.partner]]\nname = \"north\"\nhalls = [\"hall-a\"]\n" +
+	settlementConfig = "[debts]\non = true\n[[debts.partner]]\nname = \"north\"\nhalls = [\"hall-a\"]\n" +
 		"plans = [\"roomy\", \"small\", \"slow\", \"quick\"]\n[[debts.partner]]\nname = \"south\"\nhalls = [\"hall-b\"]\n"
 )
 
 // counted gives a counting table: its edge lies so far from the start of the first row.
-func counted(phase countingrule.Phase, edge time.Duration) func() []byte {
+func countingTable(phase countingrule.Phase, edge time.Duration) func() []byte {
 	return func() []byte {
 		now := time.Duration(time.Now().UnixNano())
 		return countingrule.Table{
-			Phase: phase, To: byCustomer.Version, SwitchAt: now + edge, Since: now,
-			Rules: []countingrule.Rule{byCustomer}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{
-				SamplePermille: sample, CallsPermille: callsPlayed,
+			Phase: phase, To: customerRule.Version, SwitchAt: now + edge, Since: now,
+			Rules: []countingrule.Rule{customerRule}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{
+				SamplePermille: samplePermille, CallsPermille: callsPermille,
 				DeadlineSeconds: 600, ErrorPermille: 50, RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60,
 			},
 		}.Encode()
@@ -48,8 +50,8 @@
 }
 
 // played has a row's customer in the canary's sample.
-func sampled(customer uint64) bool {
-	s, err := canary.NewSample(countingrule.Rule{}, byCustomer, sampleSeed, sample)
+func isSampled(customer uint64) bool {
+	s, err := canary.NewSample(countingrule.Rule{}, customerRule, sampleSeed, samplePermille)
 	if err != nil {
 		return false
 	}
@@ -58,7 +60,7 @@
 }
 
 // planned gives a plan that shares hall-b out: all that comes in there is pushed to hall-a.
-func planned() []byte {
+func drainedZonePlan() []byte {
 	p := failover.Plan{
 		Rows:   map[string]map[string]int{"hall-b": {"hall-a": 1000}, "hall-a": {"hall-a": 1000}},
 		Health: map[string]int{"hall-a": 1000, "hall-b": 0},
@@ -71,7 +73,7 @@
 }
 
 // shedding gives a plan by which what comes in at hall-b fits nowhere.
-func shedding() []byte {
+func sheddingPlan() []byte {
 	p := failover.Plan{
 		Rows: map[string]map[string]int{"hall-b": {"hall-b": 1000}},
 		Shed: map[string]int{"hall-b": 1000}, Health: map[string]int{"hall-a": 1000, "hall-b": 0},
@@ -83,7 +85,7 @@
 	return value
 }
 
-func settling() []byte {
+func settlementState() []byte {
 	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
 	value, err := settlement.State{
 		Shares:   []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 2}},
@@ -95,60 +97,60 @@
 	return value
 }
 
-func inCommon() (all []Variant) {
+func coordinatedVariants() (all []Variant) {
 	step := `"counting: table changed"`
 	two := []string{"hall-a", "hall-b"}
-	for _, s := range []state{
+	for _, s := range []partState{
 		{
-			name: "in common", text: "a follower of a voter; nothing is decided",
-			hall: "hall-a", says: []string{`"takes part in what is held in common"`},
+			name: "in common", description: "a follower of a voter; nothing is decided",
+			zone: "hall-a", readyLines: []string{`"takes part in what is held in common"`},
 		},
 		{
-			name: "a hall out", text: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
-			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm,
-			table: failover.Table, value: planned, says: []string{`"a plan is in force"`},
+			name: "a hall out", description: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
+			zone: "hall-b", zones: []string{"hall-b", "hall-a"}, config: failoverConfig,
+			table: failover.Table, value: drainedZonePlan, readyLines: []string{`"a plan is in force"`},
 		},
 		{
-			name: "plan's lease over", text: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
-			hall: "hall-a", halls: two, terms: failoverTerm, table: failover.Table,
-			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`},
+			name: "plan's lease over", description: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
+			zone: "hall-a", zones: two, config: failoverConfig, table: failover.Table,
+			value: drainedZonePlan, readyLines: []string{`"a plan is in force"`}, leaseLostLines: []string{`"no plan in force`},
 		},
 		{
-			name: "canary", text: "a new rule is played on the row's customer beside the old one",
-			hall: "hall-a", terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseCanary, 0),
-			says: []string{step}, fits: sampled, aside: true,
+			name: "canary", description: "a new rule is played on the row's customer beside the old one",
+			zone: "hall-a", config: countingConfig, table: countingrule.TableName, value: countingTable(countingrule.PhaseCanary, 0),
+			readyLines: []string{step}, acceptsCustomer: isSampled, makesOwnCalls: true,
 		},
 		{
-			name: "activation named", text: "the new rule's edge is named and an hour off; the row's customer is still played",
-			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
-			value: counted(countingrule.PhaseScheduled, time.Hour), says: []string{step}, fits: sampled, aside: true,
+			name: "activation named", description: "the new rule's edge is named and an hour off; the row's customer is still played",
+			zone: "hall-a", config: countingConfig, table: countingrule.TableName,
+			value: countingTable(countingrule.PhaseScheduled, time.Hour), readyLines: []string{step}, acceptsCustomer: isSampled, makesOwnCalls: true,
 		},
 		{
-			name: "activated", text: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
-			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
-			value: counted(countingrule.PhaseScheduled, -time.Minute), says: []string{step}, key: ruleKey,
-			fits: sampled, aside: true,
+			name: "activated", description: "past the edge: a rule whose key is the customer, with weight 1, counts by its own names",
+			zone: "hall-a", config: countingConfig, table: countingrule.TableName,
+			value: countingTable(countingrule.PhaseScheduled, -time.Minute), readyLines: []string{step}, counterKey: ruleKey,
+			acceptsCustomer: isSampled, makesOwnCalls: true,
 		},
 		{
-			name: "edge passed", text: "the same, with the edge come while the process served", hall: "hall-a",
-			terms: countedTerm, table: countingrule.TableName, value: counted(countingrule.PhaseScheduled, edgeSoon), span: edgeSoon,
-			says: []string{step}, key: ruleKey, fits: sampled, aside: true,
+			name: "edge passed", description: "the same, with the edge come while the process served", zone: "hall-a",
+			config: countingConfig, table: countingrule.TableName, value: countingTable(countingrule.PhaseScheduled, activationDelay), settleTime: activationDelay,
+			readyLines: []string{step}, counterKey: ruleKey, acceptsCustomer: isSampled, makesOwnCalls: true,
 		},
 		{
-			name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
-			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm, table: failover.Table,
-			value: shedding, says: []string{`"a plan is in force"`},
+			name: "shedding", description: "a plan sheds all that comes in: nothing is asked, and no other row can hold", onlyNamedRows: true,
+			zone: "hall-b", zones: []string{"hall-b", "hall-a"}, config: failoverConfig, table: failover.Table,
+			value: sheddingPlan, readyLines: []string{`"a plan is in force"`},
 		},
 		{
-			name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
-			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
-			value: counted(countingrule.PhaseCanary, 0), says: []string{step}, aside: true,
-			over: []string{"counting: version in force uncertain"},
+			name: "unconfirmed", description: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
+			zone: "hall-a", config: countingConfig, table: countingrule.TableName,
+			value: countingTable(countingrule.PhaseCanary, 0), readyLines: []string{step}, makesOwnCalls: true,
+			leaseLostLines: []string{"counting: version in force uncertain"},
 		},
 		{
-			name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
-			hall: "hall-a", halls: two, away: true, terms: debtsTerm, table: settlement.TableName,
-			value: settling, says: []string{`"settlement: started"`},
+			name: "settlement", description: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
+			zone: "hall-a", zones: two, lastServerElsewhere: true, config: settlementConfig, table: settlement.TableName,
+			value: settlementState, readyLines: []string{`"settlement: started"`},
 		},
 	} {
 		all = append(all, s.variant())
@@ -157,44 +159,44 @@
 }
 
 // inModule are the states that change how the module is made or what its events carry.
-var inModule = []Variant{
+var moduleVariants = []Variant{
 	{
-		Name: "rules' plans", Text: "the plans of a counting rule stand behind the file's",
+		Name: "rules' plans", Description: "the plans of a counting rule stand behind the file's",
 		Module: func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
-			return policy.New(countingrule.WithRulePlans(site, []countingrule.Rule{byCustomer}), seed, host)
+			return policy.New(countingrule.WithRulePlans(site, []countingrule.Rule{customerRule}), seed, host)
 		},
 	},
 	{
-		Name: "preferring", Text: "each task prefers the owner of a further, elective server",
-		Module: elective(preferred),
+		Name: "preferring", Description: "each task prefers the owner of a further, elective server",
+		Module: withElectiveServer(electiveOwner),
 	},
 	{
-		Name: "electives beside", Text: "the list has an elective server, and no task prefers its owner",
-		Module: elective(0), Never: []string{"push * elective"},
+		Name: "electives beside", Description: "the list has an elective server, and no task prefers its owner",
+		Module: withElectiveServer(0), Forbidden: []string{"push * elective"},
 	},
 }
 
-const preferred = 2 // the owner of the elective servers
+const electiveOwner = 2 // the owner of the elective servers
 
 // electing is a module whose list has an elective server more, with tasks that prefer its owner or nobody's.
-type electing struct {
+type electiveModule struct {
 	Module
-	prefer int
+	preferOwner int
 }
 
-func elective(prefer int) func(policy.Settings, int64, policy.Host) (Module, error) {
+func withElectiveServer(prefer int) func(policy.Settings, int64, policy.Host) (Module, error) {
 	return func(site policy.Settings, seed int64, host policy.Host) (Module, error) {
 		g, err := policy.New(site, seed, host)
-		return electing{g, prefer}, err
+		return electiveModule{g, prefer}, err
 	}
 }
 
-func (e electing) HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint) {
-	more := policy.Endpoint{Server: servers + 1, State: policy.Ready, Capacity: 1, Owner: preferred, Elective: true}
+func (e electiveModule) HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint) {
+	more := policy.Endpoint{Server: serverCount + 1, State: policy.Ready, Capacity: 1, Owner: electiveOwner, Elective: true}
 	e.Module.HandleEndpoints(now, kind, append(list, more))
 }
 
-func (e electing) HandleRequest(now time.Duration, t policy.Request) {
-	t.PreferOwner = e.prefer
+func (e electiveModule) HandleRequest(now time.Duration, t policy.Request) {
+	t.PreferOwner = e.preferOwner
 	e.Module.HandleRequest(now, t)
 }
