--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -26,24 +26,24 @@
 )
 
 // sockets handed to each gateway of the laboratory.
-const sockets = 512
+const socketsPerGateway = 512
 
 // fleet is a world that runs, and gateways before it, each a process of this program.
-type fleet struct {
+type cluster struct {
 	*emulation.World
-	addrs []string
-	procs []*exec.Cmd
-	dir   string
+	addresses []string
+	processes []*exec.Cmd
+	dir       string
 }
 
 // startFleet starts emulated servers, counter and discovery, and gateways on free ports; it waits until they are ready.
-func startFleet(ctx context.Context, w *scenario.World, log io.Writer) (*fleet, error) {
-	l, err := emulation.Start(w, w.Seed)
+func startCluster(ctx context.Context, w *scenario.World, log io.Writer) (*cluster, error) {
+	world, err := emulation.Start(w, w.Seed)
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{World: l}
-	if f.dir, err = os.MkdirTemp("", "loadlab-"); err != nil {
+	c := &cluster{World: world}
+	if c.dir, err = os.MkdirTemp("", "loadlab-"); err != nil {
 		return nil, err
 	}
 	program, err := os.Executable()
@@ -57,11 +57,11 @@
 		}
 		addr := probe.Addr().String()
 		_ = probe.Close()
-		told, err := l.Told(n, addr, sockets)
+		told, err := world.GatewayConfig(n, addr, socketsPerGateway)
 		if err != nil {
 			return nil, err
 		}
-		file := filepath.Join(f.dir, fmt.Sprintf("n%d.json", n))
+		file := filepath.Join(c.dir, fmt.Sprintf("n%d.json", n))
 		if err := os.WriteFile(file, told, 0o600); err != nil {
 			return nil, err
 		}
@@ -70,23 +70,23 @@
 		p.WaitDelay = 5 * time.Second
 		p.Stderr = log
 		if err := p.Start(); err != nil {
-			f.stop()
+			c.stop()
 			return nil, err
 		}
-		f.procs = append(f.procs, p)
-		f.addrs = append(f.addrs, addr)
+		c.processes = append(c.processes, p)
+		c.addresses = append(c.addresses, addr)
 	}
-	for _, addr := range f.addrs {
-		if err := ready(ctx, addr, 10*time.Second); err != nil {
-			f.stop()
+	for _, addr := range c.addresses {
+		if err := waitReady(ctx, addr, 10*time.Second); err != nil {
+			c.stop()
 			return nil, err
 		}
 	}
-	return f, nil
+	return c, nil
 }
 
 // ready waits until a gateway answers PING with PONG.
-func ready(ctx context.Context, addr string, within time.Duration) error {
+func waitReady(ctx context.Context, addr string, within time.Duration) error {
 	for end := time.Now().Add(within); ctx.Err() == nil && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
@@ -105,15 +105,15 @@
 	return fmt.Errorf("the gateway at %s is not ready after %v", addr, within)
 }
 
-func (f *fleet) stop() {
-	for _, p := range f.procs {
+func (c *cluster) stop() {
+	for _, p := range c.processes {
 		_ = p.Process.Signal(syscall.SIGTERM)
 	}
-	for _, p := range f.procs {
+	for _, p := range c.processes {
 		_ = p.Wait()
 	}
-	f.Close()
-	_ = os.RemoveAll(f.dir)
+	c.Close()
+	_ = os.RemoveAll(c.dir)
 }
 
 func emulateCommand() *cobra.Command {
@@ -124,17 +124,17 @@
 			if err != nil {
 				return err
 			}
-			f, err := startFleet(cmd.Context(), w, cmd.ErrOrStderr())
+			c, err := startCluster(cmd.Context(), w, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			defer f.stop()
+			defer c.stop()
 			out := json.NewEncoder(cmd.OutOrStdout())
 			counter := ""
-			if f.Counter != nil {
-				counter = f.Counter.Addr
+			if c.Counter != nil {
+				counter = c.Counter.Addr
 			}
-			if err := out.Encode(map[string]any{"gateways": f.addrs, "discovery": f.Discovery.Addr, "counter": counter}); err != nil {
+			if err := out.Encode(map[string]any{"gateways": c.addresses, "discovery": c.Discovery.Addr, "counter": counter}); err != nil {
 				return err
 			}
 			<-cmd.Context().Done()
@@ -144,12 +144,12 @@
 }
 
 func demoCommand() *cobra.Command {
-	length, dir := 12*time.Second, ""
+	duration, dir := 12*time.Second, ""
 	c := &cobra.Command{
 		Use: "demo", Short: "two real gateways before emulated servers, one of which is lost on the way", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, length, dir) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, duration, dir) },
 	}
-	c.Flags().DurationVar(&length, "for", length, "how long load is sent")
+	c.Flags().DurationVar(&duration, "for", duration, "how long load is sent")
 	c.Flags().StringVar(&dir, "charts", os.TempDir(), "folder for the chart")
 	return c
 }
@@ -167,40 +167,40 @@
 	return w, nil
 }
 
-func demo(cmd *cobra.Command, length time.Duration, dir string) error {
+func demo(cmd *cobra.Command, duration time.Duration, dir string) error {
 	w, err := demoWorld()
 	if err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
-	f, err := startFleet(cmd.Context(), w, io.Discard)
+	c, err := startCluster(cmd.Context(), w, io.Discard)
 	if err != nil {
 		return err
 	}
-	defer f.stop()
-	fmt.Fprintf(out, "%d emulated servers, a counter, discovery; gateways at %v\n", len(f.Servers), f.addrs)
-	fmt.Fprintf(out, "%g tasks a second for %v; the first server falls silent for the middle third\n", w.Load.Rate, length)
-	time.AfterFunc(length/3, func() { f.Servers[0].Silence(true) })
-	time.AfterFunc(2*length/3, func() { f.Servers[0].Silence(false) })
-	d := &load.Driver{World: w, Gateways: f.addrs, Rate: w.Load.Rate, Length: length, Seed: 1, Book: f.Book, Progress: cmd.ErrOrStderr()}
-	r, err := d.Run(cmd.Context())
+	defer c.stop()
+	fmt.Fprintf(out, "%d emulated servers, a counter, discovery; gateways at %v\n", len(c.Servers), c.addresses)
+	fmt.Fprintf(out, "%g tasks a second for %v; the first server falls silent for the middle third\n", w.Load.Rate, duration)
+	time.AfterFunc(duration/3, func() { c.Servers[0].SetSilent(true) })
+	time.AfterFunc(2*duration/3, func() { c.Servers[0].SetSilent(false) })
+	driver := &load.Driver{World: w, Gateways: c.addresses, Rate: w.Load.Rate, Duration: duration, Seed: 1, Recorder: c.Recorder, Progress: cmd.ErrOrStderr()}
+	report, err := driver.Run(cmd.Context())
 	if err != nil {
 		return err
 	}
-	r.Write(out, w.Lanes)
+	report.WriteTable(out, w.Lanes)
 	fmt.Fprintf(out, "\n%-8s %8s\n", "server", "tasks")
-	for _, s := range f.Servers {
-		fmt.Fprintf(out, "%-8s %8d\n", s.Name, s.Tasks.Load())
+	for _, s := range c.Servers {
+		fmt.Fprintf(out, "%-8s %8d\n", s.Name, s.Started.Load())
 	}
-	f.Book.Note(func(l *invariants.Ledger, at time.Duration) {
+	c.Recorder.Record(func(l *invariants.Ledger, at time.Duration) {
 		l.Finish(at)
-		fmt.Fprintf(out, "\nunits sent on %.0f, beyond quotas %.0f; calls to the counter %d\n", l.Sent, l.Beyond, f.Counter.Calls.Load())
+		fmt.Fprintf(out, "\nunits sent on %.0f, beyond quotas %.0f; calls to the counter %d\n", l.Sent, l.Beyond, c.Counter.Calls.Load())
 		fmt.Fprintf(out, "rules broken, by the servers' and clients' record: %v\n", l.Counts)
 		for _, b := range l.Breaches {
 			fmt.Fprintln(out, " ", b)
 		}
 	})
-	file, err := chart(dir, r, length)
+	file, err := chart(dir, report, duration)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 }
 
 // chart draws what came of each second.
-func chart(dir string, r *load.Report, length time.Duration) (string, error) {
+func chart(dir string, report *load.Report, duration time.Duration) (string, error) {
 	p := plot.New()
 	p.Title.Text = "tasks by the second in which they were due"
 	p.X.Label.Text, p.Y.Label.Text = "second", "tasks"
@@ -225,7 +225,7 @@
 	}
 	for i, s := range series {
 		points := plotter.XYs{}
-		for n, sec := range r.Seconds {
+		for n, sec := range report.Seconds {
 			points = append(points, plotter.XY{X: float64(n), Y: float64(s.of(sec))})
 		}
 		line, err := plotter.NewLine(points)
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -41,7 +41,7 @@
 	}
 	c.AddCommand(checkCommand(), runCommand(), compareCommand(), reportCommand(), searchCommand(), sizeCommand(),
 		loadCommand(),
-		emulateCommand(), demoCommand(), troublesCommand(), gatewayCommand())
+		emulateCommand(), demoCommand(), faultsCommand(), gatewayCommand())
 	return c
 }
 
@@ -67,7 +67,7 @@
 }
 
 func searchCommand() *cobra.Command {
-	tries, most, seed, out, policy := 0, 0, uint64(0), "", ""
+	drawCount, maxFaults, seed, out, policy := 0, 0, uint64(0), "", ""
 	c := &cobra.Command{
 		Use:   "search WORLD.toml",
 		Short: "look for the schedule of troubles that breaks a rule or loses most, and shrink it",
@@ -79,7 +79,7 @@
 			if baseline.All[policy] == nil {
 				return fmt.Errorf("--policy is %q; one of %s is allowed", policy, strings.Join(baseline.Names, ", "))
 			}
-			f, err := search.Run(w, seed, tries, most, policy, func(f *search.Finding) {
+			f, err := search.Run(w, seed, drawCount, maxFaults, policy, func(f *search.Finding) {
 				fmt.Fprintf(cmd.ErrOrStderr(), "play %d: loses %.3f, rules broken %d\n", f.Runs, f.Loss, f.Result.Violations)
 			})
 			if err != nil || f == nil {
@@ -106,8 +106,8 @@
 			return os.WriteFile(out, text, 0o644)
 		},
 	}
-	c.Flags().IntVarP(&tries, "tries", "n", 40, "schedules to draw")
-	c.Flags().IntVar(&most, "troubles", 4, "the most troubles in one")
+	c.Flags().IntVarP(&drawCount, "tries", "n", 40, "schedules to draw")
+	c.Flags().IntVar(&maxFaults, "troubles", 4, "the most troubles in one")
 	c.Flags().Uint64Var(&seed, "seed", 1, "of the search and of the plays")
 	c.Flags().StringVarP(&out, "out", "o", "", "file for the world that was found")
 	c.Flags().StringVar(&policy, "policy", "module", "whose losses are looked for")
@@ -156,7 +156,7 @@
 
 func loadCommand() *cobra.Command {
 	var gateways []string
-	rate, length, file, seed := 0.0, 10*time.Second, "", uint64(1)
+	rate, duration, file, seed := 0.0, 10*time.Second, "", uint64(1)
 	c := &cobra.Command{
 		Use:   "load",
 		Short: "drive running gateways at a given rate, open loop; Ctrl-C ends it with its report", Args: cobra.NoArgs,
@@ -172,25 +172,25 @@
 			if rate <= 0 {
 				rate = w.Load.Rate
 			}
-			d := &load.Driver{World: w, Gateways: gateways, Rate: rate, Length: length, Seed: seed, Progress: cmd.ErrOrStderr()}
-			r, err := d.Run(cmd.Context())
+			driver := &load.Driver{World: w, Gateways: gateways, Rate: rate, Duration: duration, Seed: seed, Progress: cmd.ErrOrStderr()}
+			report, err := driver.Run(cmd.Context())
 			if err != nil {
 				return err
 			}
-			r.Write(cmd.OutOrStdout(), w.Lanes)
+			report.WriteTable(cmd.OutOrStdout(), w.Lanes)
 			return nil
 		},
 	}
 	c.Flags().StringSliceVarP(&gateways, "gateway", "g", nil, "address of a gateway; may be given often")
 	c.Flags().Float64VarP(&rate, "rate", "r", 0, "tasks a second; the world's where it is 0")
-	c.Flags().DurationVar(&length, "for", length, "how long")
+	c.Flags().DurationVar(&duration, "for", duration, "how long")
 	c.Flags().StringVarP(&file, "world", "w", "", "world file with the lanes and plans; the default's where there is none")
 	c.Flags().Uint64Var(&seed, "seed", 1, "of what is asked, and of the tasks' ids")
 	_ = c.MarkFlagRequired("gateway")
 	return c
 }
 
-func troublesCommand() *cobra.Command {
+func faultsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "troubles", Short: "the troubles by name", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestLoadEndsWithItsReportOnCtrlC(t *testing.T) {
+func TestLoad_reportsAfterInterrupt(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -22,22 +22,22 @@
 		Args:    cobra.ExactArgs(1),
 		Example: "  loadlab run scenarios/plans/baselines.toml --out results.jsonl",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := experiment.ReadPlan(args[0])
+			plan, err := experiment.ReadPlan(args[0])
 			if err != nil {
 				return err
 			}
 			if seeds > 0 {
-				p.Seeds = seeds
+				plan.Seeds = seeds
 			}
 			if len(gateways) > 0 {
-				p.Gateways = gateways
+				plan.Gateways = gateways
 			}
 			file, err := os.CreateTemp(filepath.Dir(out), ".results-*")
 			if err != nil {
 				return err
 			}
 			defer os.Remove(file.Name())
-			err = p.Run(workers, file, func(n, of int, l *experiment.Result) {
+			err = plan.Run(workers, file, func(n, of int, l *experiment.Result) {
 				fmt.Fprintf(cmd.ErrOrStderr(), "%d of %d: %s, %d gateways, %s, seed %d: service %.3f, net %.3f, %.1fs\n", n, of,
 					l.Scenario, l.Gateways,
 					l.Variant, l.Seed, l.Service, l.Net, l.WallSeconds)
@@ -86,7 +86,7 @@
 				return errors.New("one file alone needs --variants A,B")
 			}
 			if len(variants) == 2 {
-				a, b = only(a, variants[0]), only(b, variants[1])
+				a, b = ofVariant(a, variants[0]), ofVariant(b, variants[1])
 			}
 			pairs := experiment.Compare(a, b)
 			if len(pairs) == 0 {
@@ -100,7 +100,7 @@
 	return c
 }
 
-func only(lines []*experiment.Result, variant string) (some []*experiment.Result) {
+func ofVariant(lines []*experiment.Result, variant string) (some []*experiment.Result) {
 	for _, l := range lines {
 		if l.Variant == variant {
 			some = append(some, l)
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -15,27 +15,27 @@
 
 // Counter is an emulated counter.
 type Counter struct {
-	Addr     string
-	listener net.Listener
-	mu       sync.Mutex
-	totals   map[string]float64
-	until    map[string]time.Time
-	free     time.Time
-	each     time.Duration
-	queue    time.Duration
-	silent   atomic.Bool
-	Calls    atomic.Int64
-	Refused  atomic.Int64
+	Addr        string
+	listener    net.Listener
+	mu          sync.Mutex
+	totals      map[string]float64
+	expiresAt   map[string]time.Time
+	freeAt      time.Time
+	serviceTime time.Duration
+	maxWait     time.Duration
+	silent      atomic.Bool
+	Calls       atomic.Int64
+	Rejected    atomic.Int64
 }
 
-func newCounter(w *scenario.World) (*Counter, error) {
+func newCounter(spec *scenario.World) (*Counter, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	c := &Counter{
-		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, until: map[string]time.Time{},
-		each: time.Duration(float64(time.Second) / w.Counter.Rate), queue: w.Counter.Queue.D(),
+		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, expiresAt: map[string]time.Time{},
+		serviceTime: time.Duration(float64(time.Second) / spec.Counter.Rate), maxWait: spec.Counter.Queue.D(),
 	}
 	go func() {
 		for {
@@ -50,14 +50,14 @@
 }
 
 // Silence has the counter take calls and answer none.
-func (c *Counter) Silence(on bool) { c.silent.Store(on) }
+func (c *Counter) SetSilent(on bool) { c.silent.Store(on) }
 
 // Empty has it forget all.
-func (c *Counter) Empty() {
+func (c *Counter) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.totals)
-	clear(c.until)
+	clear(c.expiresAt)
 }
 
 func (c *Counter) close() { _ = c.listener.Close() }
@@ -66,7 +66,7 @@
 	defer conn.Close()
 	in := bufio.NewScanner(conn)
 	for in.Scan() {
-		line, wait := c.call(in.Text())
+		line, wait := c.handleCall(in.Text())
 		time.Sleep(wait)
 		if c.silent.Load() {
 			continue
@@ -77,7 +77,7 @@
 	}
 }
 
-func (c *Counter) call(text string) (line string, wait time.Duration) {
+func (c *Counter) handleCall(text string) (line string, wait time.Duration) {
 	if text == "ping" {
 		return "pong", 0
 	}
@@ -86,7 +86,7 @@
 		return "error", 0
 	}
 	units, err := strconv.ParseFloat(words[2], 64)
-	life, err2 := strconv.Atoi(words[3])
+	ttl, err2 := strconv.Atoi(words[3])
 	if errors.Join(err, err2) != nil {
 		return "error", 0
 	}
@@ -94,18 +94,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if wait = max(c.free.Sub(now), 0); wait > c.queue {
-		c.Refused.Add(1)
+	if wait = max(c.freeAt.Sub(now), 0); wait > c.maxWait {
+		c.Rejected.Add(1)
 		return "busy", 0
 	}
-	if c.free.Before(now) {
-		c.free = now
+	if c.freeAt.Before(now) {
+		c.freeAt = now
 	}
-	c.free = c.free.Add(c.each)
-	if now.After(c.until[words[1]]) {
+	c.freeAt = c.freeAt.Add(c.serviceTime)
+	if now.After(c.expiresAt[words[1]]) {
 		c.totals[words[1]] = 0
-		c.until[words[1]] = now.Add(time.Duration(life) * time.Millisecond)
+		c.expiresAt[words[1]] = now.Add(time.Duration(ttl) * time.Millisecond)
 	}
 	c.totals[words[1]] += units
-	return "ok " + strconv.FormatFloat(c.totals[words[1]], 'g', 7, 64), wait + c.each
+	return "ok " + strconv.FormatFloat(c.totals[words[1]], 'g', 7, 64), wait + c.serviceTime
 }
--- a/internal/lab/emulation/live.go
+++ b/internal/lab/emulation/live.go
@@ -14,155 +14,155 @@
 )
 
 const (
-	loopback = "127.0.0.1:0"
-	unknown  = -1 // the gateway that a push came from: a server cannot tell
+	loopback       = "127.0.0.1:0"
+	unknownGateway = -1 // the gateway that a push came from: a server cannot tell
 )
 
 // Book is a ledger that many may write in.
-type Book struct {
+type Recorder struct {
 	mu sync.Mutex
 	*invariants.Ledger
 	start time.Time
 }
 
 // Note lends the ledger and the time since the start.
-func (b *Book) Note(note func(l *invariants.Ledger, at time.Duration)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	note(b.Ledger, time.Since(b.start))
+func (r *Recorder) Record(note func(l *invariants.Ledger, at time.Duration)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	note(r.Ledger, time.Since(r.start))
 }
 
 // World is a world that runs.
 type World struct {
 	*scenario.World
-	Book      *Book
+	Recorder  *Recorder
 	Counter   *Counter
 	Discovery *Discovery
 	Servers   []*Server
 	mu        sync.Mutex
-	named     int
+	started   int
 }
 
 // Start starts a world's servers, counter and discovery.
-func Start(w *scenario.World, seed uint64) (*World, error) {
-	l := &World{World: w}
-	site := w.Deployment(0)
-	l.Book = &Book{start: time.Now(), Ledger: invariants.New(invariants.Limits{
-		AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
-		DrainGrace:  w.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans,
+func Start(spec *scenario.World, seed uint64) (*World, error) {
+	w := &World{World: spec}
+	site := spec.Deployment(0)
+	w.Recorder = &Recorder{start: time.Now(), Ledger: invariants.New(invariants.Limits{
+		AnswerSlack: spec.Rules.AnswerSlack.D() + 50*time.Millisecond,
+		DrainGrace:  spec.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans,
 	})}
 	var err error
-	if l.Discovery, err = newDiscovery(); err != nil {
+	if w.Discovery, err = newDiscovery(); err != nil {
 		return nil, err
 	}
-	if w.Counter.Rate > 0 {
-		if l.Counter, err = newCounter(w); err != nil {
+	if spec.Counter.Rate > 0 {
+		if w.Counter, err = newCounter(spec); err != nil {
 			return nil, err
 		}
 	}
-	for i := range w.Servers.Count {
-		if _, err := l.Add(i%w.Gateways.Halls, i/w.Servers.Cell, seed+uint64(i), 0); err != nil {
+	for i := range spec.Servers.Count {
+		if _, err := w.AddServer(i%spec.Gateways.Halls, i/spec.Servers.Cell, seed+uint64(i), 0); err != nil {
 			return nil, err
 		}
 	}
-	l.Tell()
-	return l, nil
+	w.PublishEndpoints()
+	return w, nil
 }
 
 // Add starts a server; born 0 means long ago.
-func (l *World) Add(hall, cell int, seed uint64, bornMs int64) (*Server, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.named++
-	s, err := newServer(l, uint32(l.named), seed)
+func (w *World) AddServer(hall, cell int, seed uint64, bornMs int64) (*Server, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.started++
+	s, err := newServer(w, uint32(w.started), seed)
 	if err != nil {
 		return nil, err
 	}
-	s.hall, s.cell, s.born = hall, cell, bornMs
-	l.Servers = append(l.Servers, s)
+	s.zone, s.rack, s.startedMs = hall, cell, bornMs
+	w.Servers = append(w.Servers, s)
 	return s, nil
 }
 
 // Tell has discovery tell the whole list as it stands.
-func (l *World) Tell() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var hosts []host
-	for _, s := range l.Servers {
+func (w *World) PublishEndpoints() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var hosts []listedHost
+	for _, s := range w.Servers {
 		if s.health != "terminated" {
-			hosts = append(hosts, host{
-				Host: s.Name, Dial: s.Addr, Site: hallName(s.hall), Class: "std", Block: s.cell, Health: s.health,
-				Share: 1, BornMs: s.born,
+			hosts = append(hosts, listedHost{
+				Host: s.Name, Dial: s.Addr, Site: zoneName(s.zone), Class: "std", Block: s.rack, Health: s.health,
+				Share: 1, BornMs: s.startedMs,
 			})
 		}
 	}
-	l.Discovery.tell(hosts)
+	w.Discovery.publish(hosts)
 }
 
 // Mark sets what discovery says of a server: "in_service", "terminating" or "terminated".
-func (l *World) Mark(s *Server, health string) {
-	l.mu.Lock()
+func (w *World) SetHealth(s *Server, health string) {
+	w.mu.Lock()
 	s.health = health
-	l.mu.Unlock()
+	w.mu.Unlock()
 	s.draining.Store(health == "terminating")
-	l.Tell()
+	w.PublishEndpoints()
 }
 
 // Close ends all of it.
-func (l *World) Close() {
-	for _, s := range l.Servers {
+func (w *World) Close() {
+	for _, s := range w.Servers {
 		s.Kill()
 	}
-	if l.Counter != nil {
-		l.Counter.close()
+	if w.Counter != nil {
+		w.Counter.close()
 	}
-	l.Discovery.close()
+	w.Discovery.close()
 }
 
-func hallName(n int) string { return "hall-" + string(rune('a'+n%26)) }
+func zoneName(n int) string { return "hall-" + string(rune('a'+n%26)) }
 
 // Told is the configuration that a gateway of this world is started with, as JSON.
-func (l *World) Told(me int, listen string, sockets int) ([]byte, error) {
-	w := l.World
+func (w *World) GatewayConfig(me int, listen string, sockets int) ([]byte, error) {
+	spec := w.World
 	ms := func(s scenario.Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
 	effects := map[string]string{"pure": "read_like", "receipted": "idempotency_key", "effectful": "non_idempotent"}
 	groups := map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
-	var lanes, plans []map[string]any
-	for _, n := range w.Lanes {
-		lanes = append(lanes, map[string]any{
+	var classes, plans []map[string]any
+	for _, n := range spec.Lanes {
+		classes = append(classes, map[string]any{
 			"Name": n.Name, "AimMs": ms(n.SoftLimit), "DeadlineMs": ms(n.Patience), "Worth": n.Gain,
 			"LateShare": n.Late, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.Window),
 		})
 	}
-	for _, p := range w.Plans {
+	for _, p := range spec.Plans {
 		plans = append(plans, map[string]any{
 			"Name": p.Name, "UnitsPerS": p.Rate, "PeakUnits": p.Burst, "CeilingRate": p.CeilingRate,
 			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverCost,
 		})
 	}
-	var halls []string
-	for i := range w.Gateways.Halls {
-		halls = append(halls, hallName(i))
+	var zones []string
+	for i := range spec.Gateways.Halls {
+		zones = append(zones, zoneName(i))
 	}
-	d := w.Deployment(me)
+	d := spec.Deployment(me)
 	counter := ""
-	if l.Counter != nil {
-		counter = l.Counter.Addr
+	if w.Counter != nil {
+		counter = w.Counter.Addr
 	}
 	return json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", me), "listen": listen, "discovery": l.Discovery.Addr, "counter": counter,
-		"seed": fmt.Sprintf("%016x", w.Seed*1000+uint64(me)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
+		"name": fmt.Sprintf("n%d", me), "listen": listen, "discovery": w.Discovery.Addr, "counter": counter,
+		"seed": fmt.Sprintf("%016x", spec.Seed*1000+uint64(me)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
 		"settings": map[string]any{
-			"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": halls, "Models": []string{"std"},
-			"TickMs": 2, "RequestClasses": lanes, "TiersOfService": plans,
-			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
+			"Balancers": spec.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": zones, "Models": []string{"std"},
+			"TickMs": 2, "RequestClasses": classes, "TiersOfService": plans,
+			"FamilyInfo": map[string]any{"HasCounter": w.Counter != nil, "CountLimitMs": ms(spec.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
 			"Rules": map[string]any{
-				"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.ColdFrom, "WarmAfterMs": ms(w.Servers.WarmAfter),
-				"FallMultiple": w.Rules.FallMultiple, "TipAfterMs": ms(w.Rules.TipAfter), "AnswerSlackMs": ms(w.Rules.AnswerSlack),
+				"DrainGraceMs": ms(spec.Rules.DrainGrace), "ColdFrom": spec.Servers.ColdFrom, "WarmAfterMs": ms(spec.Servers.WarmAfter),
+				"FallMultiple": spec.Rules.FallMultiple, "TipAfterMs": ms(spec.Rules.TipAfter), "AnswerSlackMs": ms(spec.Rules.AnswerSlack),
 			},
 			"PolicyLimits": map[string]any{
-				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.Pushes,
-				"ConnectTimeoutMs": ms(w.Network.Connect), "IdleCloseMs": ms(w.Servers.Idle),
+				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": spec.Gateways.Pushes,
+				"ConnectTimeoutMs": ms(spec.Network.Connect), "IdleCloseMs": ms(spec.Servers.Idle),
 			},
 		},
 	})
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -22,55 +22,55 @@
 	Name, Addr string
 	world      *World
 	number     uint32
-	hall, cell int
-	born       int64
+	zone, rack int
+	startedMs  int64
 	health     string
 	listener   net.Listener
 	cores      chan struct{}
-	waiting    atomic.Int64
+	queued     atomic.Int64
 	draining   atomic.Bool
 	silent     atomic.Bool
-	errors     atomic.Uint64 // part, as bits
-	slow       atomic.Uint64 // times, as bits
-	Tasks      atomic.Int64  // that began
-	Busy       atomic.Int64  // turned away
+	errorRate  atomic.Uint64 // part, as bits
+	slowdown   atomic.Uint64 // times, as bits
+	Started    atomic.Int64  // that began
+	Rejected   atomic.Int64  // turned away
 
 	mu     sync.Mutex
-	chance *rand.Rand
+	random *rand.Rand
 	conns  map[net.Conn]struct{}
-	over   bool
+	closed bool
 }
 
-func newServer(l *World, number uint32, seed uint64) (*Server, error) {
+func newServer(w *World, number uint32, seed uint64) (*Server, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: l, number: number, health: "in_service",
-		listener: listener, cores: make(chan struct{}, l.World.Servers.Cores), chance: rand.New(rand.NewPCG(seed, 9)),
+		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: w, number: number, health: "in_service",
+		listener: listener, cores: make(chan struct{}, w.World.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
 		conns: map[net.Conn]struct{}{},
 	}
-	s.Slow(1)
+	s.SetSlowdown(1)
 	go s.accept()
 	return s, nil
 }
 
 // Silence has the server take all and answer nothing, or answer again.
-func (s *Server) Silence(on bool) { s.silent.Store(on) }
+func (s *Server) SetSilent(on bool) { s.silent.Store(on) }
 
 // Fail has it fail a part of its tasks at once.
-func (s *Server) Fail(part float64) { s.errors.Store(math.Float64bits(part)) }
+func (s *Server) SetErrorRate(part float64) { s.errorRate.Store(math.Float64bits(part)) }
 
 // Slow has it work so many times slower.
-func (s *Server) Slow(times float64) { s.slow.Store(math.Float64bits(times)) }
+func (s *Server) SetSlowdown(times float64) { s.slowdown.Store(math.Float64bits(times)) }
 
 // Kill ends it: connections are reset, new ones refused.
 func (s *Server) Kill() {
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.closed = true
 	for c := range s.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -86,7 +86,7 @@
 			return
 		}
 		s.mu.Lock()
-		if s.over {
+		if s.closed {
 			s.mu.Unlock()
 			_ = c.Close()
 			return
@@ -113,7 +113,7 @@
 		if err != nil {
 			return
 		}
-		text := s.answer(cmd)
+		text := s.handleRequest(cmd)
 		cmd.Body.Free()
 		if text == "" || s.silent.Load() {
 			continue
@@ -125,7 +125,7 @@
 }
 
 // answer works on a command and gives its answer; empty means none.
-func (s *Server) answer(cmd *resp.Command) string {
+func (s *Server) handleRequest(cmd *resp.Command) string {
 	if cmd.Words[0] == "PING" {
 		return "+PONG"
 	}
@@ -138,32 +138,32 @@
 		terms[name] = value
 	}
 	id, err := strconv.ParseUint(cmd.Words[2], 16, 64)
-	lane := slices.IndexFunc(s.world.Lanes, func(l scenario.Lane) bool { return l.Name == terms["c"] })
-	if err != nil || lane < 0 {
+	class := slices.IndexFunc(s.world.Lanes, func(l scenario.Lane) bool { return l.Name == terms["c"] })
+	if err != nil || class < 0 {
 		return "-SYNTAX"
 	}
 	if s.silent.Load() {
 		return ""
 	}
-	if s.draining.Load() || s.waiting.Load() >= int64(s.world.World.Servers.Queue+cap(s.cores)) {
-		s.Busy.Add(1)
+	if s.draining.Load() || s.queued.Load() >= int64(s.world.World.Servers.Queue+cap(s.cores)) {
+		s.Rejected.Add(1)
 		return "-BUSY"
 	}
 	s.mu.Lock()
-	failed := s.chance.Float64() < math.Float64frombits(s.errors.Load())
-	took := s.work(lane)
+	failed := s.random.Float64() < math.Float64frombits(s.errorRate.Load())
+	took := s.drawWork(class)
 	s.mu.Unlock()
-	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Pushed(at, unknown, s.number, id) })
+	s.world.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Pushed(at, unknownGateway, s.number, id) })
 	if failed {
 		return "-ERR failed"
 	}
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
+	s.queued.Add(1)
+	defer s.queued.Add(-1)
 	s.cores <- struct{}{}
 	defer func() { <-s.cores }()
-	s.Tasks.Add(1)
-	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
-	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slow.Load())))
+	s.Started.Add(1)
+	s.world.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
+	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slowdown.Load())))
 	units := terms["units"]
 	value := Value(id)
 	note := fmt.Sprintf("used=%s,cost=%s", units, units)
@@ -174,15 +174,15 @@
 func Value(id uint64) string { return fmt.Sprintf("done %016x", id) }
 
 // work draws a task's time.
-func (s *Server) work(lane int) time.Duration {
-	l := &s.world.Lanes[lane]
+func (s *Server) drawWork(class int) time.Duration {
+	l := &s.world.Lanes[class]
 	mean := float64(l.Work.D())
 	switch l.Spread {
 	case "exponential":
-		mean *= s.chance.ExpFloat64()
+		mean *= s.random.ExpFloat64()
 	case "lognormal":
 		sigma := math.Sqrt(math.Log(1 + l.CV*l.CV))
-		mean *= math.Exp(sigma*s.chance.NormFloat64() - sigma*sigma/2)
+		mean *= math.Exp(sigma*s.random.NormFloat64() - sigma*sigma/2)
 	}
 	return time.Duration(mean)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -27,14 +27,14 @@
 	World    *scenario.World
 	Gateways []string // their addresses
 	Rate     float64  // tasks a second
-	Length   time.Duration
+	Duration time.Duration
 	Seed     uint64
-	Book     *emulation.Book // nil where the servers are not ours
-	Progress io.Writer       // nil: none
+	Recorder *emulation.Recorder // nil where the servers are not ours
+	Progress io.Writer           // nil: none
 
-	mu    sync.Mutex
-	idle  map[string][]*resp.Conn
-	lanes []float64
+	mu          sync.Mutex
+	idle        map[string][]*resp.Conn
+	classShares []float64
 }
 
 // Second is what came of the tasks that were due in one second.
@@ -42,22 +42,22 @@
 
 // Report is what a run gives.
 type Report struct {
-	Offered, Served, InTime, Rejected, Terminated, Broken, Wrong int
-	Length                                                       time.Duration
-	Seconds                                                      []Second
-	Times                                                        []*hdrhistogram.Histogram // by lane, from when tasks were due
-	Lateness                                                     *hdrhistogram.Histogram   // of the sending itself
+	Offered, Served, InTime, Rejected, Terminated, Disconnected, WrongAnswers int
+	Duration                                                                  time.Duration
+	Seconds                                                                   []Second
+	Latencies                                                                 []*hdrhistogram.Histogram // by lane, from when tasks were due
+	SendDelay                                                                 *hdrhistogram.Histogram   // of the sending itself
 }
 
 // verdicts of one task.
-type end uint8
+type outcome uint8
 
 const (
-	served end = iota
-	wrong
+	served outcome = iota
+	wrongAnswer
 	rejected
 	terminated
-	broken
+	disconnected
 )
 
 // Run sends until the length is over or the context ends, waits for what is out, and reports.
@@ -66,12 +66,12 @@
 		return nil, fmt.Errorf("load needs a rate of more than nought and a gateway; got %g and %d", d.Rate, len(d.Gateways))
 	}
 	d.idle = map[string][]*resp.Conn{}
-	r := &Report{Lateness: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
+	r := &Report{SendDelay: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 	for range d.World.Lanes {
-		r.Times = append(r.Times, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
+		r.Latencies = append(r.Latencies, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
 	}
-	d.sums()
-	chance := rand.New(rand.NewPCG(d.Seed, 21))
+	d.sumShares()
+	random := rand.New(rand.NewPCG(d.Seed, 21))
 	began := time.Now()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -83,11 +83,11 @@
 	due := time.Duration(0)
 	id := d.Seed<<32 + 1
 	for {
-		due += time.Duration(chance.ExpFloat64() / d.Rate * float64(time.Second))
-		if due >= d.Length {
+		due += time.Duration(random.ExpFloat64() / d.Rate * float64(time.Second))
+		if due >= d.Duration {
 			break
 		}
-		t := d.draw(chance, id)
+		req := d.drawRequest(random, id)
 		id++
 		select {
 		case <-ctx.Done():
@@ -100,16 +100,16 @@
 		go func(due time.Duration) {
 			defer wait.Done()
 			late := time.Since(began) - due
-			how := d.ask(t, began.Add(due))
+			result := d.send(req, began.Add(due))
 			took := time.Since(began) - due
 			mu.Lock()
 			defer mu.Unlock()
-			_ = r.Lateness.RecordValue(max(late.Microseconds(), 1))
-			r.add(int(due/time.Second), t, how, took, d.World.Lanes[t.lane].SoftLimit.D())
+			_ = r.SendDelay.RecordValue(max(late.Microseconds(), 1))
+			r.record(int(due/time.Second), req, result, took, d.World.Lanes[req.class].SoftLimit.D())
 		}(due)
 	}
 	wait.Wait()
-	r.Length = time.Since(began)
+	r.Duration = time.Since(began)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, list := range d.idle {
@@ -120,18 +120,18 @@
 	return r, nil
 }
 
-func (r *Report) add(second int, t task, how end, took, soft time.Duration) {
+func (r *Report) record(second int, req request, result outcome, took, soft time.Duration) {
 	for len(r.Seconds) <= second {
 		r.Seconds = append(r.Seconds, Second{})
 	}
 	s := &r.Seconds[second]
 	r.Offered++
 	s.Offered++
-	switch how {
+	switch result {
 	case served:
 		r.Served++
 		s.Served++
-		_ = r.Times[t.lane].RecordValue(max(took.Microseconds(), 1))
+		_ = r.Latencies[req.class].RecordValue(max(took.Microseconds(), 1))
 		if took <= soft {
 			r.InTime++
 			s.InTime++
@@ -139,13 +139,13 @@
 	case rejected:
 		r.Rejected++
 		s.Rejected++
-	case wrong:
-		r.Wrong++
+	case wrongAnswer:
+		r.WrongAnswers++
 	case terminated:
 		r.Terminated++
 		s.Failed++
-	case broken:
-		r.Broken++
+	case disconnected:
+		r.Disconnected++
 		s.Failed++
 	}
 }
@@ -163,78 +163,78 @@
 		}
 		mu.Lock()
 		fmt.Fprintf(d.Progress, "\r%4.0fs  offered %d  served %d  in time %d  rejected %d  failed %d ", time.Since(began).Seconds(), r.Offered, r.Served,
-			r.InTime, r.Rejected, r.Terminated+r.Broken)
+			r.InTime, r.Rejected, r.Terminated+r.Disconnected)
 		mu.Unlock()
 	}
 }
 
 // task is one to be asked.
-type task struct {
-	id, customer uint64
-	lane, plan   int
-	units        float64
-	first, width int
-	gateway      string
+type request struct {
+	id, customer        uint64
+	class, plan         int
+	units               float64
+	first, gatewayCount int
+	gateway             string
 }
 
-func (d *Driver) sums() {
+func (d *Driver) sumShares() {
 	sum := 0.0
-	d.lanes = nil
+	d.classShares = nil
 	for _, l := range d.World.Lanes {
 		sum += l.Share
-		d.lanes = append(d.lanes, sum)
+		d.classShares = append(d.classShares, sum)
 	}
 }
 
-func (d *Driver) draw(chance *rand.Rand, id uint64) task {
+func (d *Driver) drawRequest(random *rand.Rand, id uint64) request {
 	w := d.World
 	share := 0.0
 	for _, p := range w.Plans {
 		share += p.Share
 	}
-	at, plan, before := chance.Float64()*share, 0, uint64(0)
+	at, plan, before := random.Float64()*share, 0, uint64(0)
 	for plan < len(w.Plans)-1 && at >= w.Plans[plan].Share {
 		at -= w.Plans[plan].Share
 		before += uint64(w.Plans[plan].Customers)
 		plan++
 	}
 	n := len(d.Gateways)
-	lane := sort.SearchFloat64s(d.lanes, chance.Float64()*d.lanes[len(d.lanes)-1])
-	return task{
-		id: id, customer: before + uint64(chance.IntN(w.Plans[plan].Customers)) + 1, lane: min(lane, len(w.Lanes)-1), plan: plan,
-		units: min(max(float64(int(w.Load.Units*chance.ExpFloat64()+0.5)), 1), 3*w.Load.Units), width: n, gateway: d.Gateways[chance.IntN(n)],
+	lane := sort.SearchFloat64s(d.classShares, random.Float64()*d.classShares[len(d.classShares)-1])
+	return request{
+		id: id, customer: before + uint64(random.IntN(w.Plans[plan].Customers)) + 1, class: min(lane, len(w.Lanes)-1), plan: plan,
+		units: min(max(float64(int(w.Load.Units*random.ExpFloat64()+0.5)), 1), 3*w.Load.Units), gatewayCount: n, gateway: d.Gateways[random.IntN(n)],
 	}
 }
 
 // ask sends a task and waits for its answer.
-func (d *Driver) ask(t task, due time.Time) end {
-	lane := &d.World.Lanes[t.lane]
+func (d *Driver) send(req request, due time.Time) outcome {
+	lane := &d.World.Lanes[req.class]
 	until := due.Add(lane.Patience.D())
 	left := time.Until(until)
 	if left <= 0 {
-		return broken
+		return disconnected
 	}
-	conn, err := d.take(t.gateway, left)
+	conn, err := d.acquireConn(req.gateway, left)
 	if err != nil {
-		return broken
+		return disconnected
 	}
 	verb, key := "SVC.QUERY", ""
 	if lane.Effect != "pure" {
 		verb = "SVC.SUBMIT"
 	}
 	if lane.Effect == "receipted" {
-		key = fmt.Sprintf("k=%016x,", t.id)
+		key = fmt.Sprintf("k=%016x,", req.id)
 	}
-	words := []string{verb, fmt.Sprintf("%016x", t.customer), fmt.Sprintf("%016x", t.id), fmt.Sprintf("c=%s,t=%s,d=%d,%sunits=%g,spread=%d,first=%d",
-		lane.Name, d.World.Plans[t.plan].Name, left.Milliseconds(), key, t.units, t.width, t.first)}
+	words := []string{verb, fmt.Sprintf("%016x", req.customer), fmt.Sprintf("%016x", req.id), fmt.Sprintf("c=%s,t=%s,d=%d,%sunits=%g,spread=%d,first=%d",
+		lane.Name, d.World.Plans[req.plan].Name, left.Milliseconds(), key, req.units, req.gatewayCount, req.first)}
 	if verb == "SVC.SUBMIT" {
 		words = append(words, "body")
 	}
-	if d.Book != nil {
-		d.Book.Note(func(l *invariants.Ledger, at time.Duration) {
+	if d.Recorder != nil {
+		d.Recorder.Record(func(l *invariants.Ledger, at time.Duration) {
 			site := d.World.Deployment(0)
 			l.Taken(invariants.Task{
-				ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
+				ID: req.id, Key: req.id, Customer: req.customer, Lane: site.Classes[req.class], Plan: req.plan, Units: req.units, Taken: at,
 				Expires: at + left,
 			})
 		})
@@ -243,24 +243,24 @@
 	reply, err := d.exchange(conn, words)
 	if err != nil {
 		_ = conn.Close()
-		return broken
+		return disconnected
 	}
-	d.keep(t.gateway, conn)
-	how, made := terminated, true
+	d.releaseConn(req.gateway, conn)
+	result, made := terminated, true
 	switch {
 	case reply.Value != nil:
-		how = served
-		if made = reply.Value.String() == emulation.Value(t.id); !made {
-			how = wrong
+		result = served
+		if made = reply.Value.String() == emulation.Value(req.id); !made {
+			result = wrongAnswer
 		}
 		reply.Value.Free()
 	case reply.Kind == '-' && strings.HasPrefix(reply.Line, "BUSY"):
-		how = rejected
+		result = rejected
 	}
-	if d.Book != nil {
-		d.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Final(at, t.id, made) })
+	if d.Recorder != nil {
+		d.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Final(at, req.id, made) })
 	}
-	return how
+	return result
 }
 
 func (d *Driver) exchange(c *resp.Conn, words []string) (*resp.Reply, error) {
@@ -273,7 +273,7 @@
 	return c.ReadReply()
 }
 
-func (d *Driver) take(addr string, within time.Duration) (*resp.Conn, error) {
+func (d *Driver) acquireConn(addr string, within time.Duration) (*resp.Conn, error) {
 	d.mu.Lock()
 	if list := d.idle[addr]; len(list) > 0 {
 		c := list[len(list)-1]
@@ -283,7 +283,7 @@
 			return c, nil
 		}
 		_ = c.Close()
-		return d.take(addr, within)
+		return d.acquireConn(addr, within)
 	}
 	d.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", addr, within)
@@ -293,22 +293,22 @@
 	return resp.NewConn(conn), nil
 }
 
-func (d *Driver) keep(addr string, c *resp.Conn) {
+func (d *Driver) releaseConn(addr string, c *resp.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.idle[addr] = append(d.idle[addr], c)
 }
 
 // Write writes the report as a table.
-func (r *Report) Write(out io.Writer, lanes []scenario.Lane) {
+func (r *Report) WriteTable(out io.Writer, lanes []scenario.Lane) {
 	part := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
 	fmt.Fprintf(out, "offered %d in %.1f s; served %.1f%%, in time %.1f%%, rejected %.1f%%, terminated %.1f%%, connections broken %.1f%%, wrong answers %d\n",
-		r.Offered, r.Length.Seconds(), part(r.Served), part(r.InTime), part(r.Rejected), part(r.Terminated), part(r.Broken), r.Wrong)
+		r.Offered, r.Duration.Seconds(), part(r.Served), part(r.InTime), part(r.Rejected), part(r.Terminated), part(r.Disconnected), r.WrongAnswers)
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	fmt.Fprintf(out, "%-16s %9s %9s %9s %9s %9s\n", "lane", "served", "p50 ms", "p99 ms", "p99.9 ms", "most ms")
 	for i, l := range lanes {
-		h := r.Times[i]
+		h := r.Latencies[i]
 		fmt.Fprintf(out, "%-16s %9d %9.1f %9.1f %9.1f %9.1f\n", l.Name, h.TotalCount(), ms(h, 50), ms(h, 99), ms(h, 99.9), float64(h.Max())/1000)
 	}
-	fmt.Fprintf(out, "tasks left %.2f ms late at p99 (the driver's own lateness; it is in the times)\n", ms(r.Lateness, 99))
+	fmt.Fprintf(out, "tasks left %.2f ms late at p99 (the driver's own lateness; it is in the times)\n", ms(r.SendDelay, 99))
 }
