--- a/internal/testing/fakes/counter.go
+++ b/internal/testing/fakes/counter.go
@@ -23,30 +23,45 @@
 func NewCounter(t testing.TB) *Counter {
 	listener := Listen(t)
 	c := &Counter{Addr: listener.Addr().String(), totals: map[string]float64{}, Calls: make(chan string, 10000)}
-	serveConns(t, listener, func(conn net.Conn) {
-		lines := bufio.NewScanner(conn)
-		for lines.Scan() {
-			c.Calls <- lines.Text()
-			if seen := c.observer.Load(); seen != nil {
-				(*seen)(lines.Text())
-			}
-			var name string
-			var units float64
-			var incarnation int
-			_, err := fmt.Sscanf(lines.Text(), "incr %s %g %d", &name, &units, &incarnation)
-			c.mu.Lock()
-			if err != nil {
-				_, _ = io.WriteString(conn, "error\r\n")
-			} else {
-				c.totals[name] += units
-				_, _ = fmt.Fprintf(conn, "ok %g\r\n", c.totals[name])
-			}
-			c.mu.Unlock()
-		}
-	})
+	serveConns(t, listener, c.serve)
 	return c
 }
 
+// serve reads calls, also while the counter is held, and answers them in order.
+func (c *Counter) serve(conn net.Conn) {
+	calls := make(chan string, 1000)
+	defer close(calls)
+	go func() {
+		for call := range calls {
+			c.answer(conn, call)
+		}
+	}()
+	lines := bufio.NewScanner(conn)
+	for lines.Scan() {
+		c.Calls <- lines.Text()
+		if seen := c.observer.Load(); seen != nil {
+			(*seen)(lines.Text())
+		}
+		calls <- lines.Text()
+	}
+}
+
+// answer waits while the counter is held.
+func (c *Counter) answer(conn net.Conn, call string) {
+	var name string
+	var units float64
+	var lifetime int
+	_, err := fmt.Sscanf(call, "incr %s %g %d", &name, &units, &lifetime)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err != nil {
+		_, _ = io.WriteString(conn, "error\r\n")
+		return
+	}
+	c.totals[name] += units
+	_, _ = fmt.Fprintf(conn, "ok %g\r\n", c.totals[name])
+}
+
 // Observe has a function called with each call that comes from now on, before it is answered; it must not wait.
 func (c *Counter) Observe(seen func(call string)) { c.observer.Store(&seen) }
 
