--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -28,14 +28,14 @@
 	Rejected    atomic.Int64
 }
 
-func newCounter(spec *scenario.World) (*Counter, error) {
+func newCounter(spec *scenario.Scenario) (*Counter, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	c := &Counter{
 		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, expiresAt: map[string]time.Time{},
-		serviceTime: time.Duration(float64(time.Second) / spec.Counter.Rate), maxWait: spec.Counter.Queue.D(),
+		serviceTime: time.Duration(float64(time.Second) / spec.Counter.Rate), maxWait: spec.Counter.MaxWait.D(),
 	}
 	go func() {
 		for {
--- a/internal/lab/emulation/live.go
+++ b/internal/lab/emulation/live.go
@@ -21,20 +21,20 @@
 // Book is a ledger that many may write in.
 type Recorder struct {
 	mu sync.Mutex
-	*invariants.Ledger
+	*invariants.Checker
 	start time.Time
 }
 
 // Note lends the ledger and the time since the start.
-func (r *Recorder) Record(note func(l *invariants.Ledger, at time.Duration)) {
+func (r *Recorder) Record(note func(l *invariants.Checker, at time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	note(r.Ledger, time.Since(r.start))
+	note(r.Checker, time.Since(r.start))
 }
 
 // World is a world that runs.
 type World struct {
-	*scenario.World
+	*scenario.Scenario
 	Recorder  *Recorder
 	Counter   *Counter
 	Discovery *Discovery
@@ -44,10 +44,10 @@
 }
 
 // Start starts a world's servers, counter and discovery.
-func Start(spec *scenario.World, seed uint64) (*World, error) {
-	w := &World{World: spec}
-	site := spec.Deployment(0)
-	w.Recorder = &Recorder{start: time.Now(), Ledger: invariants.New(invariants.Limits{
+func Start(spec *scenario.Scenario, seed uint64) (*World, error) {
+	w := &World{Scenario: spec}
+	site := spec.PolicySettings(0)
+	w.Recorder = &Recorder{start: time.Now(), Checker: invariants.New(invariants.Limits{
 		AnswerSlack: spec.Rules.AnswerSlack.D() + 50*time.Millisecond,
 		DrainGrace:  spec.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans,
 	})}
@@ -61,7 +61,7 @@
 		}
 	}
 	for i := range spec.Servers.Count {
-		if _, err := w.AddServer(i%spec.Gateways.Halls, i/spec.Servers.Cell, seed+uint64(i), 0); err != nil {
+		if _, err := w.AddServer(i%spec.Gateways.Zones, i/spec.Servers.RackSize, seed+uint64(i), 0); err != nil {
 			return nil, err
 		}
 	}
@@ -123,28 +123,28 @@
 
 // Told is the configuration that a gateway of this world is started with, as JSON.
 func (w *World) GatewayConfig(me int, listen string, sockets int) ([]byte, error) {
-	spec := w.World
+	spec := w.Scenario
 	ms := func(s scenario.Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
 	effects := map[string]string{"pure": "read_like", "receipted": "idempotency_key", "effectful": "non_idempotent"}
 	groups := map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
 	var classes, plans []map[string]any
-	for _, n := range spec.Lanes {
+	for _, n := range spec.Classes {
 		classes = append(classes, map[string]any{
-			"Name": n.Name, "AimMs": ms(n.SoftLimit), "DeadlineMs": ms(n.Patience), "Worth": n.Gain,
-			"LateShare": n.Late, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.Window),
+			"Name": n.Name, "AimMs": ms(n.LatencyObjective), "DeadlineMs": ms(n.Timeout), "Worth": n.Weight,
+			"LateShare": n.LateFraction, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.DedupWindow),
 		})
 	}
 	for _, p := range spec.Plans {
 		plans = append(plans, map[string]any{
 			"Name": p.Name, "UnitsPerS": p.Rate, "PeakUnits": p.Burst, "CeilingRate": p.CeilingRate,
-			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverCost,
+			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverQuotaCost,
 		})
 	}
 	var zones []string
-	for i := range spec.Gateways.Halls {
+	for i := range spec.Gateways.Zones {
 		zones = append(zones, zoneName(i))
 	}
-	d := spec.Deployment(me)
+	d := spec.PolicySettings(me)
 	counter := ""
 	if w.Counter != nil {
 		counter = w.Counter.Addr
@@ -155,14 +155,14 @@
 		"settings": map[string]any{
 			"Balancers": spec.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": zones, "Models": []string{"std"},
 			"TickMs": 2, "RequestClasses": classes, "TiersOfService": plans,
-			"FamilyInfo": map[string]any{"HasCounter": w.Counter != nil, "CountLimitMs": ms(spec.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
+			"FamilyInfo": map[string]any{"HasCounter": w.Counter != nil, "CountLimitMs": ms(spec.Counter.Timeout), "Settles": true, "MostUnits": d.MaxUnits},
 			"Rules": map[string]any{
-				"DrainGraceMs": ms(spec.Rules.DrainGrace), "ColdFrom": spec.Servers.ColdFrom, "WarmAfterMs": ms(spec.Servers.WarmAfter),
-				"FallMultiple": spec.Rules.FallMultiple, "TipAfterMs": ms(spec.Rules.TipAfter), "AnswerSlackMs": ms(spec.Rules.AnswerSlack),
+				"DrainGraceMs": ms(spec.Rules.DrainGrace), "ColdFrom": spec.Servers.WarmUpStart, "WarmAfterMs": ms(spec.Servers.WarmUpTime),
+				"FallMultiple": spec.Rules.OverloadFactor, "TipAfterMs": ms(spec.Rules.OverloadSpan), "AnswerSlackMs": ms(spec.Rules.AnswerSlack),
 			},
 			"PolicyLimits": map[string]any{
-				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": spec.Gateways.Pushes,
-				"ConnectTimeoutMs": ms(spec.Network.Connect), "IdleCloseMs": ms(spec.Servers.Idle),
+				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": spec.Gateways.MaxAttempts,
+				"ConnectTimeoutMs": ms(spec.Network.ConnectTimeout), "IdleCloseMs": ms(spec.Servers.IdleTimeout),
 			},
 		},
 	})
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -48,7 +48,7 @@
 	}
 	s := &Server{
 		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: w, number: number, health: "in_service",
-		listener: listener, cores: make(chan struct{}, w.World.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
+		listener: listener, cores: make(chan struct{}, w.Scenario.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
 		conns: map[net.Conn]struct{}{},
 	}
 	s.SetSlowdown(1)
@@ -138,14 +138,14 @@
 		terms[name] = value
 	}
 	id, err := strconv.ParseUint(cmd.Words[2], 16, 64)
-	class := slices.IndexFunc(s.world.Lanes, func(l scenario.Lane) bool { return l.Name == terms["c"] })
+	class := slices.IndexFunc(s.world.Classes, func(l scenario.TrafficClass) bool { return l.Name == terms["c"] })
 	if err != nil || class < 0 {
 		return "-SYNTAX"
 	}
 	if s.silent.Load() {
 		return ""
 	}
-	if s.draining.Load() || s.queued.Load() >= int64(s.world.World.Servers.Queue+cap(s.cores)) {
+	if s.draining.Load() || s.queued.Load() >= int64(s.world.Scenario.Servers.QueueLimit+cap(s.cores)) {
 		s.Rejected.Add(1)
 		return "-BUSY"
 	}
@@ -153,7 +153,7 @@
 	failed := s.random.Float64() < math.Float64frombits(s.errorRate.Load())
 	took := s.drawWork(class)
 	s.mu.Unlock()
-	s.world.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Pushed(at, unknownGateway, s.number, id) })
+	s.world.Recorder.Record(func(l *invariants.Checker, at time.Duration) { l.AttemptSent(at, unknownGateway, s.number, id) })
 	if failed {
 		return "-ERR failed"
 	}
@@ -162,7 +162,7 @@
 	s.cores <- struct{}{}
 	defer func() { <-s.cores }()
 	s.Started.Add(1)
-	s.world.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
+	s.world.Recorder.Record(func(l *invariants.Checker, at time.Duration) { l.EffectRan(at, s.number, id) })
 	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slowdown.Load())))
 	units := terms["units"]
 	value := Value(id)
@@ -175,9 +175,9 @@
 
 // work draws a task's time.
 func (s *Server) drawWork(class int) time.Duration {
-	l := &s.world.Lanes[class]
+	l := &s.world.Classes[class]
 	mean := float64(l.Work.D())
-	switch l.Spread {
+	switch l.Distribution {
 	case "exponential":
 		mean *= s.random.ExpFloat64()
 	case "lognormal":
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -24,7 +24,7 @@
 
 // Driver sends load.
 type Driver struct {
-	World    *scenario.World
+	World    *scenario.Scenario
 	Gateways []string // their addresses
 	Rate     float64  // tasks a second
 	Duration time.Duration
@@ -67,7 +67,7 @@
 	}
 	d.idle = map[string][]*resp.Conn{}
 	r := &Report{SendDelay: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
-	for range d.World.Lanes {
+	for range d.World.Classes {
 		r.Latencies = append(r.Latencies, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
 	}
 	d.sumShares()
@@ -105,7 +105,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			_ = r.SendDelay.RecordValue(max(late.Microseconds(), 1))
-			r.record(int(due/time.Second), req, result, took, d.World.Lanes[req.class].SoftLimit.D())
+			r.record(int(due/time.Second), req, result, took, d.World.Classes[req.class].LatencyObjective.D())
 		}(due)
 	}
 	wait.Wait()
@@ -180,7 +180,7 @@
 func (d *Driver) sumShares() {
 	sum := 0.0
 	d.classShares = nil
-	for _, l := range d.World.Lanes {
+	for _, l := range d.World.Classes {
 		sum += l.Share
 		d.classShares = append(d.classShares, sum)
 	}
@@ -201,15 +201,15 @@
 	n := len(d.Gateways)
 	lane := sort.SearchFloat64s(d.classShares, random.Float64()*d.classShares[len(d.classShares)-1])
 	return request{
-		id: id, customer: before + uint64(random.IntN(w.Plans[plan].Customers)) + 1, class: min(lane, len(w.Lanes)-1), plan: plan,
-		units: min(max(float64(int(w.Load.Units*random.ExpFloat64()+0.5)), 1), 3*w.Load.Units), gatewayCount: n, gateway: d.Gateways[random.IntN(n)],
+		id: id, customer: before + uint64(random.IntN(w.Plans[plan].Customers)) + 1, class: min(lane, len(w.Classes)-1), plan: plan,
+		units: min(max(float64(int(w.Load.MeanUnits*random.ExpFloat64()+0.5)), 1), 3*w.Load.MeanUnits), gatewayCount: n, gateway: d.Gateways[random.IntN(n)],
 	}
 }
 
 // ask sends a task and waits for its answer.
 func (d *Driver) send(req request, due time.Time) outcome {
-	lane := &d.World.Lanes[req.class]
-	until := due.Add(lane.Patience.D())
+	lane := &d.World.Classes[req.class]
+	until := due.Add(lane.Timeout.D())
 	left := time.Until(until)
 	if left <= 0 {
 		return disconnected
@@ -231,11 +231,11 @@
 		words = append(words, "body")
 	}
 	if d.Recorder != nil {
-		d.Recorder.Record(func(l *invariants.Ledger, at time.Duration) {
-			site := d.World.Deployment(0)
-			l.Taken(invariants.Task{
-				ID: req.id, Key: req.id, Customer: req.customer, Lane: site.Classes[req.class], Plan: req.plan, Units: req.units, Taken: at,
-				Expires: at + left,
+		d.Recorder.Record(func(l *invariants.Checker, at time.Duration) {
+			site := d.World.PolicySettings(0)
+			l.RequestAccepted(invariants.Request{
+				ID: req.id, Key: req.id, Customer: req.customer, Class: site.Classes[req.class], Plan: req.plan, Units: req.units, AcceptedAt: at,
+				Deadline: at + left,
 			})
 		})
 	}
@@ -258,7 +258,7 @@
 		result = rejected
 	}
 	if d.Recorder != nil {
-		d.Recorder.Record(func(l *invariants.Ledger, at time.Duration) { l.Final(at, req.id, made) })
+		d.Recorder.Record(func(l *invariants.Checker, at time.Duration) { l.RequestAnswered(at, req.id, made) })
 	}
 	return result
 }
@@ -300,7 +300,7 @@
 }
 
 // Write writes the report as a table.
-func (r *Report) WriteTable(out io.Writer, lanes []scenario.Lane) {
+func (r *Report) WriteTable(out io.Writer, lanes []scenario.TrafficClass) {
 	part := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
 	fmt.Fprintf(out, "offered %d in %.1f s; served %.1f%%, in time %.1f%%, rejected %.1f%%, terminated %.1f%%, connections broken %.1f%%, wrong answers %d\n",
 		r.Offered, r.Duration.Seconds(), part(r.Served), part(r.InTime), part(r.Rejected), part(r.Terminated), part(r.Disconnected), r.WrongAnswers)
