--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -1,6 +1,5 @@
-// Package charter reads the operators' own file of what processes hold in common: who this process is, which
-// processes are voters, and the terms of each part that is decided in common. Where no file is named, none of it
-// starts.
+// Package config reads the operators' file of the coordination (RELAY_COMMON): who this process is, which processes are
+// voters, and the settings of each part that is decided in common. Where no file is named, none of it starts.
 package config
 
 import (
@@ -12,35 +11,37 @@
 	"harrierhoist/internal/settlement"
 )
 
-// Config is the file. Times are written as "200ms" or "2s".
+// Config is the file. Its tags are the operators' keys.
 type Config struct {
 	Process Process `toml:"process"`
 	Voters  []Voter `toml:"voter"`
 	Timing  Timing  `toml:"timing"`
 
-	// The parts, each a table with its terms; one that is left out is off. A part adds one line here, and its
-	// terms have a method Check() []error whose errors name the key and what is allowed.
+	// The parts, each a table with its settings; one that is left out is off. A part adds a line here and in Parts.
 	Failover   *failover.Settings   `toml:"failover"`
 	Counting   *countingrule.Config `toml:"counting"`
 	Settlement *settlement.Terms    `toml:"debts"`
 }
 
+// Part is a part's own table. The errors of Check name the key and what is allowed.
+type Part interface{ Check() []error }
+
 // Process is who this process is.
 type Process struct {
 	Name   string `toml:"name"`   // another for each process, 1 to 64 letters, digits, '.', '_' and '-'
-	Zone   string `toml:"hall"`   // that it stands in; needed by the parts that go by halls
+	Zone   string `toml:"hall"`   // that it stands in; needed by the parts that go by zones
 	Voter  bool   `toml:"voter"`  // whether it is one of the voters named below
-	Listen string `toml:"listen"` // host:port of a voter's link; where left out, its address below
-	Folder string `toml:"disk"`   // a voter's folder; where debts are on, any gateway's, for what it counted
-	// PrivateNetwork says that the network between the processes is private: links are plain, so without it
-	// nothing but loopback is listened on or dialled.
+	Listen string `toml:"listen"` // host:port that a voter listens on; where left out, its address below
+	Folder string `toml:"disk"`   // of a voter's log; where debts are settled, of any gateway's journal
+	// PrivateNetwork says that the network between the processes is private: connections are not encrypted, so without
+	// it nothing but loopback is listened on or dialled.
 	PrivateNetwork bool `toml:"private_network"`
-	// MaxConnections is how many a voter's link takes at a time: two for each process that follows it.
+	// MaxConnections is how many a voter accepts at a time: two for each process that follows it.
 	MaxConnections int  `toml:"connections"`
 	SingleVoter    bool `toml:"single"` // one voter alone is enough: for trials
 }
 
-// Voter is one of the processes that hold the log.
+// Voter is one of the processes that hold the replicated log.
 type Voter struct {
 	Number  uint64 `toml:"number"` // from 1, never used twice: a disk that was lost comes back under a new one
 	Name    string `toml:"name"`   // of its process
@@ -51,53 +52,72 @@
 
 // Timing is how often processes talk. It is the same in all files of one installation.
 type Timing struct {
-	Lease          Duration `toml:"lease"`        // how long a table holds after the read that confirmed it was sent
+	Lease          Duration `toml:"lease"`        // how long a table may be used after the read that confirmed it was sent
 	DigestInterval Duration `toml:"digest_every"` // between two digests of a process
 }
 
-// What Timing may be, and is where the file says nothing.
+// Defaults and bounds of the lease.
 const (
-	defaultLease = 2 * time.Second        // a hall lost is to be acted on everywhere within about that
+	defaultLease = 2 * time.Second        // the loss of a zone is to be acted on everywhere within about that
 	minLease     = 500 * time.Millisecond // shorter, one lost message ends it
-	maxLease     = 30 * time.Second       // longer, a process cut off acts on what is long past
+	maxLease     = 30 * time.Second       // longer, an isolated process acts on what is long past
+)
+
+// Defaults and bounds of the interval between digests.
+const (
+	defaultDigestInterval = 200 * time.Millisecond
+	minDigestInterval     = 50 * time.Millisecond // more often, 3,000 processes are a burden to the voters
+	maxDigestInterval     = 5 * time.Second       // less often, controllers see too late
+)
 
+// Defaults and bounds of a voter's connections.
+const (
 	defaultConnections = 1024 // 300 processes on one voter, with room
 	minConnections     = 16
 	maxConnections     = 65536
-
-	defaultDigestInterval = 200 * time.Millisecond
-	minDigestInterval     = 50 * time.Millisecond // more often, 3,000 processes are a burden to the voters
-	maxDigestInterval     = 5 * time.Second       // less often, deciders see too late
 )
 
 // Duration is a length of time in the file: "200ms", "2s".
 type Duration struct {
 	time.Duration
-	invalid string // as written where it is none; a bare number is none, as it has no unit
+	invalid string // the text in the file where it is no duration; a bare number is none, as it has no unit
 }
 
-// UnmarshalText reads a length of time as Go writes it. What is none is told with all else that is wrong.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if s.Duration, s.invalid = d, ""; err != nil || string(text) == "0" {
-		s.invalid = string(text)
+// UnmarshalText reads a length of time as Go writes it. What is none is reported with all else that is wrong.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if d.Duration, d.invalid = parsed, ""; err != nil || string(text) == "0" {
+		d.invalid = string(text)
 	}
 	return nil
 }
 
-// Parts are the parts' own tables that the file has, by the table's name.
-func (c *Config) Parts() map[string]interface{ Check() []error } {
-	terms := map[string]interface{ Check() []error }{}
+// newConfig has the values of what a file leaves out.
+func newConfig() *Config {
+	terms := settlement.DefaultTerms()
+	return &Config{
+		Process: Process{MaxConnections: defaultConnections},
+		Timing: Timing{
+			Lease:          Duration{Duration: defaultLease},
+			DigestInterval: Duration{Duration: defaultDigestInterval},
+		},
+		Settlement: &terms,
+	}
+}
+
+// Parts are the parts' own tables that the file has, by the table's key.
+func (c *Config) Parts() map[string]Part {
+	parts := map[string]Part{}
 	if c.Failover != nil {
-		terms["failover"] = c.Failover
+		parts["failover"] = c.Failover
 	}
 	if c.Counting != nil {
-		terms["counting"] = c.Counting
+		parts["counting"] = c.Counting
 	}
 	if c.SettlementEnabled() {
-		terms["debts"] = c.Settlement
+		parts["debts"] = c.Settlement
 	}
-	return terms
+	return parts
 }
 
 // FailoverEnabled tells whether failover is on.
@@ -111,41 +131,41 @@
 	if !c.Process.Voter {
 		return nil
 	}
-	i := slices.IndexFunc(c.Voters, func(voter Voter) bool { return voter.Name == c.Process.Name })
-	if i < 0 {
+	index := slices.IndexFunc(c.Voters, func(voter Voter) bool { return voter.Name == c.Process.Name })
+	if index < 0 {
 		return nil
 	}
-	return &c.Voters[i]
+	return &c.Voters[index]
 }
 
-// RetainRestartOnly takes from an earlier file what only a restart can change, and gives the keys of what differed.
-func (c *Config) RetainRestartOnly(old *Config) (keys []string) {
-	was, now := old.Process, c.Process
-	for _, k := range []struct {
+// RetainRestartOnly takes over from the configuration in force what only a restart can change, and gives the keys that
+// differed.
+func (c *Config) RetainRestartOnly(inForce *Config) (keys []string) {
+	before, now := inForce.Process, c.Process
+	for _, setting := range []struct {
 		key  string
 		same bool
 	}{
-		{"process.name", was.Name == now.Name},
-		{"process.hall", was.Zone == now.Zone},
-		{"process.voter", was.Voter == now.Voter},
-		{"process.listen", was.Listen == now.Listen},
-		{"process.disk", was.Folder == now.Folder},
-		{"process.private_network", was.PrivateNetwork == now.PrivateNetwork},
-		{"process.connections", was.MaxConnections == now.MaxConnections},
-		{"process.single", was.SingleVoter == now.SingleVoter},
+		{"process.name", before.Name == now.Name},
+		{"process.hall", before.Zone == now.Zone},
+		{"process.voter", before.Voter == now.Voter},
+		{"process.listen", before.Listen == now.Listen},
+		{"process.disk", before.Folder == now.Folder},
+		{"process.private_network", before.PrivateNetwork == now.PrivateNetwork},
+		{"process.connections", before.MaxConnections == now.MaxConnections},
+		{"process.single", before.SingleVoter == now.SingleVoter},
 	} {
-		if !k.same {
-			keys = append(keys, k.key)
+		if !setting.same {
+			keys = append(keys, setting.key)
 		}
 	}
-	c.Process = was
-	// A part comes and goes with a restart; its terms change in place.
-	if c.FailoverEnabled() != old.FailoverEnabled() {
-		keys, c.Failover = append(keys, "failover"), old.Failover
+	c.Process = before
+	// Parts are turned on and off by a restart; their settings change in place.
+	if c.FailoverEnabled() != inForce.FailoverEnabled() {
+		keys, c.Failover = append(keys, "failover"), inForce.Failover
 	}
-	if (c.Counting == nil) != (old.Counting == nil) {
-		keys, c.Counting = append(keys, "counting"), old.Counting
+	if (c.Counting == nil) != (inForce.Counting == nil) {
+		keys, c.Counting = append(keys, "counting"), inForce.Counting
 	}
-	//   PLACE debts: the same
 	return keys
 }
--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -36,6 +36,7 @@
 replaces = 3
 `
 
+// What a file leaves out has its default.
 func TestRead_fillsInDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "common.toml")
 	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
@@ -45,74 +46,106 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Self() == nil || c.Self().Number != 1 || c.Timing.Lease.Duration != 3*time.Second ||
-		c.Timing.DigestInterval.Duration != defaultDigestInterval || c.Process.MaxConnections != defaultConnections || len(c.Parts()) != 0 {
+	if c.Self() == nil || c.Self().Number != 1 || c.Timing.Lease.Duration != 3*time.Second || len(c.Parts()) != 0 ||
+		c.Timing.DigestInterval.Duration != defaultDigestInterval || c.Process.MaxConnections != defaultConnections {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Each row changes the good file in one place, and gives all lines that must be said, without the file's name.
-func TestRead_namesKeyAndAllowedValueOfEachFault(t *testing.T) {
-	for _, row := range []struct{ old, new, want string }{
-		{`name = "v1"`, `name = "v 1"`, `process.name must be 1 to 64 letters, digits, '.', '_' or '-', not "v 1"
-process.voter must be false where no [[voter]] has the name of this process, "v 1"`},
-		{`hall = "hall-a"`, `hal = "hall-a"`, `process.hal is no key; [process] takes connections, disk, hall, listen, name, private_network, single, voter`},
-		{`voter = true`, `voter = "yes"`, `process.voter must be true or false (line 5)
+// faults change the valid file in one place each; lines are those of the error, without the file's name.
+var faults = []struct{ name, old, new, lines string }{
+	{
+		"process name with a blank", `name = "v1"`, `name = "v 1"`,
+		`process.name must be 1 to 64 letters, digits, '.', '_' or '-', not "v 1"
+process.voter must be false where no [[voter]] has the name of this process, "v 1"`,
+	},
+	{
+		"unknown key", `hall = "hall-a"`, `hal = "hall-a"`,
+		`process.hal is no key; [process] takes connections, disk, hall, listen, name, private_network, single, voter`,
+	},
+	{"voter as text", `voter = true`, `voter = "yes"`, `process.voter must be true or false (line 5)
 process.disk must be left out where neither process.voter nor debts.on is true, not "/var/lib/harrierhoist"`},
-		{`voter = true`, `voter = true
+	{"too few connections", `voter = true`, `voter = true
 connections = 3`, `process.connections must be from 16 to 65536, not 3`},
-		{`voter = true`, `voter = true
+	{"connections below 0", `voter = true`, `voter = true
 connections = -3`, `process.connections must be from 16 to 65536, not -3`},
-		{`disk = "/var/lib/harrierhoist"`, ``, `process.disk must name a folder where process.voter = true`},
-		{`hall = "hall-a"`, `listen = "127.0.0.1"`, `process.listen must be host:port with a port from 1 to 65535, not "127.0.0.1"`},
-		{`lease = "3s"`, `lease = 3`, `timing.lease must be a time such as "200ms" or "2s", not 3`},
-		{`lease = "3s"`, `lease = "3 s"`, `timing.lease must be a time such as "200ms" or "2s", not 3 s`},
-		{`lease = "3s"`, `lease = "100ms"`, `timing.lease must be from 500ms to 30s, not 100ms`},
-		{`lease = "3s"`, `digest_every = "1h"`, `timing.digest_every must be from 50ms to 5s, not 1h0m0s`},
-		{`number = 2`, `number = 1`, `voter.2.number must be 1 or more and no other voter's, not 1`},
-		{`number = 2`, `number = -2`, `voter.number must be a whole number, 0 or more (line 17)
+	{"voter without a folder", `disk = "/var/lib/harrierhoist"`, ``, `process.disk must name a folder where process.voter = true`},
+	{
+		"address without a port", `hall = "hall-a"`, `listen = "127.0.0.1"`,
+		`process.listen must be host:port with a port from 1 to 65535, not "127.0.0.1"`,
+	},
+	{"lease as a number", `lease = "3s"`, `lease = 3`, `timing.lease must be a time such as "200ms" or "2s", not 3`},
+	{"lease with a blank", `lease = "3s"`, `lease = "3 s"`, `timing.lease must be a time such as "200ms" or "2s", not 3 s`},
+	{"lease too short", `lease = "3s"`, `lease = "100ms"`, `timing.lease must be from 500ms to 30s, not 100ms`},
+	{"digests too rare", `lease = "3s"`, `digest_every = "1h"`, `timing.digest_every must be from 50ms to 5s, not 1h0m0s`},
+	{"number of another voter", `number = 2`, `number = 1`, `voter.2.number must be 1 or more and no other voter's, not 1`},
+	{"number below 0", `number = 2`, `number = -2`, `voter.number must be a whole number, 0 or more (line 17)
 voter.2.number must be 1 or more and no other voter's, not 0`},
-		{`"[::1]:7412"`, `"127.0.0.1:7411"`, `voter.2.address must be no other voter's, not "127.0.0.1:7411"`},
-		{`"[::1]:7412"`, `"192.0.2.7:7412"`, `voter.2.address must be a loopback address (127.x.x.x, [::1] or localhost), not "192.0.2.7:7412", ` +
-			`unless process.private_network = true says that the network is private`},
-		{`"[::1]:7412"`, `"gateway.example:7412"`, `voter.2.address must be a loopback address (127.x.x.x, [::1] or localhost), not ` +
-			`"gateway.example:7412", unless process.private_network = true says that the network is private`},
-		{`replaces = 3`, `replaces = 5`, `voter.3.replaces must be below its own number and named once, not 5`},
-		{`replaces = 3`, `replaces = 2`, `voter.3.replaces must be the number of a voter that is named no longer, not 2`},
-		{`name = "v2"`, `name = "v3"`, `voter.3.name must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not "v3"`},
-		{`replaces = 3`, `replaces = 3
+	{
+		"address of another voter", `"[::1]:7412"`, `"127.0.0.1:7411"`,
+		`voter.2.address must be no other voter's, not "127.0.0.1:7411"`,
+	},
+	{
+		"address not on loopback", `"[::1]:7412"`, `"192.0.2.7:7412"`,
+		`voter.2.address must be a loopback address (127.x.x.x, [::1] or localhost), not "192.0.2.7:7412", ` +
+			`unless process.private_network = true says that the network is private`,
+	},
+	{
+		"name not on loopback", `"[::1]:7412"`, `"gateway.example:7412"`,
+		`voter.2.address must be a loopback address (127.x.x.x, [::1] or localhost), not ` +
+			`"gateway.example:7412", unless process.private_network = true says that the network is private`,
+	},
+	{
+		"replaces a higher number", `replaces = 3`, `replaces = 5`,
+		`voter.3.replaces must be below its own number and named once, not 5`,
+	},
+	{
+		"replaces a voter of the file", `replaces = 3`, `replaces = 2`,
+		`voter.3.replaces must be the number of a voter that is named no longer, not 2`,
+	},
+	{
+		"name of another voter", `name = "v2"`, `name = "v3"`,
+		`voter.3.name must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not "v3"`,
+	},
+	{"four voters", `replaces = 3`, `replaces = 3
 [[voter]]
 number = 5
 name = "v4"
 address = "127.0.0.1:7414"`, `voter must be 3 or 5 voters (or 1 where process.single = true, for trials), not 4`},
-		{`[timing]`, `[time]`, `time is no key; the file takes counting, debts, failover, process, timing, voter`},
-		{`[timing]`, `[timing`, `line 8: `},
-		{`[timing]`, `[failover]
+	{"unknown table", `[timing]`, `[time]`, `time is no key; the file takes counting, debts, failover, process, timing, voter`},
+	{"no TOML", `[timing]`, `[timing`, `line 8: `},
+	{"faults of a part", `[timing]`, `[failover]
 on = true
 utilisation_most = 2.0
 [timing]`, `failover.bears: a number from 0.001 to 1e+09 is wanted, not 0
 failover.regions: at least one region with a name and its halls is wanted, not none
 failover.utilisation_most: a number from 0.3 to 0.95 is wanted, not 2`},
-	} {
-		if strings.Count(validFile, row.old) == 0 {
-			t.Fatalf("%q is not in the file", row.old)
-		}
-		_, faults := parse([]byte(strings.Replace(validFile, row.old, row.new, 1)))
-		var got []string
-		for _, f := range faults {
-			got = append(got, f.Error())
-		}
-		want := strings.Split(row.want, "\n")
-		if strings.HasSuffix(row.want, ": ") && len(got) == 1 && strings.HasPrefix(got[0], row.want) {
-			continue
-		}
-		if slices.Sort(got); !slices.Equal(got, slices.Sorted(slices.Values(want))) {
-			t.Errorf("%q:\n got %q\nwant %q", row.new, got, want)
-		}
+}
+
+// A fault is reported with its key and what is allowed.
+func TestRead_reportsKeyAndValidValuesOfEachFault(t *testing.T) {
+	for _, row := range faults {
+		t.Run(row.name, func(t *testing.T) {
+			if strings.Count(validFile, row.old) == 0 {
+				t.Fatalf("%q is not in the file", row.old)
+			}
+			_, faults := parse([]byte(strings.Replace(validFile, row.old, row.new, 1)))
+			var got []string
+			for _, fault := range faults {
+				got = append(got, fault.Error())
+			}
+			if strings.HasSuffix(row.lines, ": ") && len(got) == 1 && strings.HasPrefix(got[0], row.lines) {
+				return // the rest is the decoder's
+			}
+			want := strings.Split(row.lines, "\n")
+			if slices.Sort(got); !slices.Equal(got, slices.Sorted(slices.Values(want))) {
+				t.Errorf("\n got %q\nwant %q", got, want)
+			}
+		})
 	}
 }
 
-// An operator who is told one fault at a time mends a file in as many rounds as it has faults.
+// An operator who sees one fault at a time mends a file in as many rounds as it has faults.
 func TestRead_reportsAllFaultsAtOnceWithTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "common.toml")
 	text := "[process]\nname = 7\nvoter = 1\nhul = \"a\"\n[timing]\nlease = \"1ms\"\n"
@@ -121,12 +154,12 @@
 	}
 	_, err := Read(path)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	lines := FaultLines(err)
 	for _, key := range []string{"process.name", "process.voter", "process.hul", "timing.lease", "voter"} {
-		if !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, path+": "+key+" ") }) {
-			t.Errorf("%s is not told: %q", key, lines)
+		if !slices.ContainsFunc(lines, func(line string) bool { return strings.HasPrefix(line, path+": "+key+" ") }) {
+			t.Errorf("%s is not reported: %q", key, lines)
 		}
 	}
 	if _, err = Read(path + ".none"); err == nil || !strings.Contains(err.Error(), path+".none") {
@@ -134,13 +167,16 @@
 	}
 }
 
+// In a private network addresses may be other than loopback.
 func TestRead_privateNetworkAllowsOtherAddresses(t *testing.T) {
-	far := strings.Replace(validFile, `"[::1]:7412"`, `"192.0.2.7:7412"`, 1)
-	if _, faults := parse([]byte(strings.Replace(far, "voter = true", "voter = true\nprivate_network = true", 1))); len(faults) > 0 {
+	file := strings.Replace(validFile, `"[::1]:7412"`, `"192.0.2.7:7412"`, 1)
+	file = strings.Replace(file, "voter = true", "voter = true\nprivate_network = true", 1)
+	if _, faults := parse([]byte(file)); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
 
+// What only a restart can change stays as it was, and its keys are given.
 func TestConfig_restartOnlyKeysAreRetainedAndNamed(t *testing.T) {
 	old, _ := parse([]byte(validFile))
 	now, faults := parse([]byte(strings.Replace(strings.Replace(validFile, "hall-a", "hall-b", 1), "3s", "4s", 1)))
@@ -153,6 +189,7 @@
 	}
 }
 
+// The example in the deploy folder is a valid file.
 func TestRead_exampleIsValid(t *testing.T) {
 	c, err := Read("../../../deploy/common.example.toml")
 	if err != nil || c.Self() == nil || len(c.Voters) != 3 {
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -19,14 +19,20 @@
 // goldenFile is an operators' file that holds every key, none at its default.
 const goldenFile = "testdata/full.toml"
 
-// The operators' file keeps its keys: each of them comes to the field that it came to before.
+// The operators' file keeps its keys: each of them is read into the same field as before.
 func TestGolden_fullFile(t *testing.T) {
 	got, err := Read(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	no, yes, share, forgive := false, true, 0.1, 86400.0
-	want := &Config{
+	if d := cmp.Diff(goldenConfig(), got, cmpopts.EquateComparable(Duration{})); d != "" {
+		t.Error(d)
+	}
+}
+
+// goldenConfig is what the golden file holds.
+func goldenConfig() *Config {
+	return &Config{
 		Process: Process{
 			Name: "v1", Zone: "hall-a", Voter: true, Listen: "127.0.0.1:7511", Folder: "/var/lib/harrierhoist/v1",
 			PrivateNetwork: true, MaxConnections: 2048, SingleVoter: true,
@@ -43,50 +49,60 @@
 				{Name: "north", Zones: []string{"hall-a", "hall-b"}},
 				{Name: "south", Zones: []string{"hall-c"}},
 			},
-			Capacity: 120.5, CapacityByZone: map[string]float64{"hall-b": 80.25}, MaxUtilisation: 0.75, HoldDownSeconds: 12.5, RecoveryStep: 0.5,
+			Capacity: 120.5, CapacityByZone: map[string]float64{"hall-b": 80.25},
+			MaxUtilisation: 0.75, HoldDownSeconds: 12.5, RecoveryStep: 0.5,
 			MinMove: 0.06, AgreementShare: 0.7, MinGateways: 3, ProbeShare: 0.03,
 		},
-		Counting: &countingrule.Config{
-			DesiredVersion: 2,
-			Rules: []countingrule.Rule{
-				{
-					Version: 1, Key: []string{"group"},
-					Groups:  []countingrule.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
-					Weights: []countingrule.Weight{{Class: "batch", Permille: 500}},
-					Limits:  []countingrule.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
-				},
-				{
-					Version: 2, Key: []string{"customer", "group", "plan", "lane"}, Mask: 0xff00,
-					Limits: []countingrule.Limit{{Plan: "team", Rate: 12, Burst: 24}},
-				},
+		Counting:   goldenCounting(),
+		Settlement: goldenSettlement(),
+	}
+}
+
+func goldenCounting() *countingrule.Config {
+	return &countingrule.Config{
+		DesiredVersion: 2,
+		Rules: []countingrule.Rule{
+			{
+				Version: 1, Key: []string{"group"},
+				Groups:  []countingrule.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
+				Weights: []countingrule.Weight{{Class: "batch", Permille: 500}},
+				Limits:  []countingrule.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
 			},
-			Canary: countingrule.CanaryConfig{
-				SamplePermille: 20, CallsPermille: 90, DeadlineSeconds: 3600, ErrorPermille: 50, RejectedPermille: 11, AdmittedPermille: 12, OverLimitPermille: 13, DeviationPermille: 14,
-				WatchSeconds: 600, LeadMillis: 2500,
+			{
+				Version: 2, Key: []string{"customer", "group", "plan", "lane"}, Mask: 0xff00,
+				Limits: []countingrule.Limit{{Plan: "team", Rate: 12, Burst: 24}},
 			},
 		},
-		Settlement: &settlement.Terms{
-			On: true,
-			Partners: []settlement.Partner{
-				{Name: "north", Zones: []string{"hall-a", "hall-b"}, Plans: []string{"team", "solo"}, Weight: 2.5},
-				{Name: "south", Zones: []string{"hall-c"},
-					Customers: []string{"0000000000000100-00000000000001ff", "0000000000000300"}},
-				{Name: "west", Customers: []string{"0000000000000400"}},
-			},
-			Rules: []settlement.PairRule{
-				{Between: []string{"north", "south"}, Settle: &no},
-				{Between: []string{"west", "north"}, Settle: &yes, MaxShare: &share, ForgiveAfter: &forgive},
-			},
-			SettleTimeConstant: 30, MaxShare: 0.25, MaxMovedRate: 150, MaxLendFraction: 0.4, MaxLossFraction: 0.004, MinHeadroom: 0.3, MinOnTimeFraction: 0.95,
-			MinDebt: 6.5, ForgiveAfter: 7200,
+		Canary: countingrule.CanaryConfig{
+			SamplePermille: 20, CallsPermille: 90, DeadlineSeconds: 3600, ErrorPermille: 50,
+			RejectedPermille: 11, AdmittedPermille: 12, OverLimitPermille: 13, DeviationPermille: 14,
+			WatchSeconds: 600, LeadMillis: 2500,
 		},
 	}
-	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
-		t.Error(d)
+}
+
+func goldenSettlement() *settlement.Terms {
+	return &settlement.Terms{
+		On: true,
+		Partners: []settlement.Partner{
+			{Name: "north", Zones: []string{"hall-a", "hall-b"}, Plans: []string{"team", "solo"}, Weight: 2.5},
+			{
+				Name: "south", Zones: []string{"hall-c"},
+				Customers: []string{"0000000000000100-00000000000001ff", "0000000000000300"},
+			},
+			{Name: "west", Customers: []string{"0000000000000400"}},
+		},
+		Rules: []settlement.PairRule{
+			{Between: []string{"north", "south"}, Settle: new(false)},
+			{Between: []string{"west", "north"}, Settle: new(true), MaxShare: new(0.1), ForgiveAfter: new(86400.0)},
+		},
+		SettleTimeConstant: 30, MaxShare: 0.25, MaxMovedRate: 150,
+		MaxLendFraction: 0.4, MaxLossFraction: 0.004, MinHeadroom: 0.3, MinOnTimeFraction: 0.95,
+		MinDebt: 6.5, ForgiveAfter: 7200,
 	}
 }
 
-// What a file leaves out keeps the value that it had before.
+// What a file leaves out has the same value as before.
 func TestGolden_defaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "least.toml")
 	text := "[process]\nname = \"g1\"\nsingle = true\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = \"127.0.0.1:7411\"\n"
@@ -101,8 +117,10 @@
 		Process: Process{Name: "g1", SingleVoter: true, MaxConnections: 1024},
 		Voters:  []Voter{{Number: 1, Name: "v1", Address: "127.0.0.1:7411"}},
 		Timing:  Timing{Lease: Duration{Duration: 2 * time.Second}, DigestInterval: Duration{Duration: 200 * time.Millisecond}},
-		Settlement: &settlement.Terms{SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
-			MinOnTimeFraction: 0.9, MinDebt: 5},
+		Settlement: &settlement.Terms{
+			SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
+			MinOnTimeFraction: 0.9, MinDebt: 5,
+		},
 	}
 	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
 		t.Error(d)
@@ -113,7 +131,7 @@
 // in one place; FILE stands for its path.
 func TestGolden_refusals(t *testing.T) {
 	var golden struct {
-		Rows []struct {
+		Refusals []struct {
 			Name    string   `toml:"name"`
 			Replace string   `toml:"replace"`
 			With    string   `toml:"with"`
@@ -131,34 +149,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(golden.Rows) < 100 {
-		t.Errorf("%d rows", len(golden.Rows))
+	if len(golden.Refusals) < 100 {
+		t.Errorf("%d refusals", len(golden.Refusals))
 	}
-	for _, row := range golden.Rows {
-		t.Run(row.Name, func(t *testing.T) {
-			if n := strings.Count(string(full), row.Replace); n != 1 {
-				t.Fatalf("%q stands %d times in %s", row.Replace, n, goldenFile)
+	for _, refusal := range golden.Refusals {
+		t.Run(refusal.Name, func(t *testing.T) {
+			if n := strings.Count(string(full), refusal.Replace); n != 1 {
+				t.Fatalf("%q stands %d times in %s", refusal.Replace, n, goldenFile)
 			}
 			path := filepath.Join(t.TempDir(), "common.toml")
-			if err := os.WriteFile(path, []byte(strings.Replace(string(full), row.Replace, row.With, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(string(full), refusal.Replace, refusal.With, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			_, err := Read(path)
 			if err == nil {
-				t.Fatal("the file is taken")
+				t.Fatal("the file is accepted")
 			}
 			var got []string
 			for _, line := range FaultLines(err) {
 				got = append(got, strings.Replace(line, path, "FILE", 1))
 			}
-			if d := cmp.Diff(row.Lines, got); d != "" {
+			if d := cmp.Diff(refusal.Lines, got); d != "" {
 				t.Error(d)
 			}
 		})
 	}
 }
 
-// A file that cannot be read is told by the system's own words, with its path.
+// A file that cannot be read is reported in the system's own words, with its path.
 func TestGolden_missingFile(t *testing.T) {
 	_, err := Read("testdata/none.toml")
 	if err == nil || err.Error() != "open testdata/none.toml: no such file or directory" {
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -10,8 +10,6 @@
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"harrierhoist/internal/settlement"
 )
 
 // Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and what is allowed.
@@ -20,38 +18,38 @@
 	if err != nil {
 		return nil, err // the error names the file
 	}
-	c, faults := parse(text)
+	config, faults := parse(text)
 	for i, fault := range faults {
 		faults[i] = fmt.Errorf("%s: %w", path, fault)
 	}
 	if len(faults) > 0 {
 		return nil, errors.Join(faults...)
 	}
-	return c, nil
+	return config, nil
 }
 
-// parse reads a text and gives all that is wrong with it. The decoder stops at the first value of the wrong kind: its
-// line is emptied and the rest read again, so that all of them are told at once.
+// FaultLines are the lines of an error of Read.
+func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
+
+// parse reads a text and gives all that is wrong with it. The decoder stops at the first value of the wrong type: its
+// line is emptied and the rest read again, so that all faults are reported at once.
 func parse(text []byte) (*Config, []error) {
 	lines := bytes.Split(text, []byte("\n"))
 	var faults []error
 	for {
-		c := &Config{Process: Process{MaxConnections: defaultConnections},
-			Timing: Timing{Lease: Duration{Duration: defaultLease}, DigestInterval: Duration{Duration: defaultDigestInterval}}}
-		terms := settlement.DefaultTerms()
-		c.Settlement = &terms
-		err := toml.NewDecoder(bytes.NewReader(bytes.Join(lines, []byte("\n")))).DisallowUnknownFields().Decode(c)
-		var missing *toml.StrictMissingError
-		var decodeErr *toml.DecodeError
+		config := newConfig()
+		err := toml.NewDecoder(bytes.NewReader(bytes.Join(lines, []byte("\n")))).DisallowUnknownFields().Decode(config)
+		var unknown *toml.StrictMissingError
+		var wrongType *toml.DecodeError
 		switch {
-		case errors.As(err, &missing):
-			for _, e := range missing.Errors {
-				faults = append(faults, unknownKeyError(e.Key()))
+		case errors.As(err, &unknown):
+			for _, key := range unknown.Errors {
+				faults = append(faults, unknownKeyError(key.Key()))
 			}
-		case errors.As(err, &decodeErr):
-			line, _ := decodeErr.Position()
-			faults = append(faults, wrongTypeError(decodeErr, line))
-			if len(decodeErr.Key()) == 0 || line < 1 || line > len(lines) || len(lines[line-1]) == 0 {
+		case errors.As(err, &wrongType):
+			line, _ := wrongType.Position()
+			faults = append(faults, wrongTypeError(wrongType, line))
+			if len(wrongType.Key()) == 0 || line < 1 || line > len(lines) || len(lines[line-1]) == 0 {
 				return nil, faults // not TOML: what follows cannot be judged
 			}
 			lines[line-1] = nil
@@ -59,28 +57,29 @@
 		case err != nil:
 			return nil, append(faults, err)
 		}
-		return c, append(faults, c.validate()...)
+		return config, append(faults, config.validate()...)
 	}
 }
 
-// unknownKeyError says what may stand where a key is not known.
+// unknownKeyError tells which keys may stand in the place of one that is not known.
 func unknownKeyError(key toml.Key) error {
-	table, at := reflect.TypeFor[Config](), 0
-	for ; at < len(key)-1; at++ {
-		field, ok := fieldByKey(table, key[at])
+	table, depth := reflect.TypeFor[Config](), 0
+	for ; depth < len(key)-1; depth++ {
+		field, ok := fieldByKey(table, key[depth])
 		if !ok {
 			break
 		}
 		table = elementType(field.Type)
 	}
-	where := "the file"
-	if at > 0 {
-		where = "[" + strings.Join(key[:at], ".") + "]"
+	place := "the file"
+	if depth > 0 {
+		place = "[" + strings.Join(key[:depth], ".") + "]"
 	}
-	return fmt.Errorf("%s is no key; %s takes %s", strings.Join(key, "."), where, strings.Join(tableKeys(table), ", "))
+	message := fmt.Sprintf("is no key; %s takes %s", place, strings.Join(tableKeys(table), ", "))
+	return &KeyError{Key: strings.Join(key, "."), Message: message}
 }
 
-// wrongTypeError says what may stand where a value is of the wrong kind.
+// wrongTypeError tells what may stand in the place of a value of the wrong type.
 func wrongTypeError(decodeErr *toml.DecodeError, line int) error {
 	table := reflect.TypeFor[Config]()
 	for _, key := range decodeErr.Key() {
@@ -94,26 +93,28 @@
 	if table == nil || len(decodeErr.Key()) == 0 {
 		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
-	return fmt.Errorf("%s must be %s (line %d)", strings.Join(decodeErr.Key(), "."), expectedValue(table), line)
+	message := fmt.Sprintf("must be %s (line %d)", expectedValue(table), line)
+	return &KeyError{Key: strings.Join(decodeErr.Key(), "."), Message: message}
 }
 
+// expectedValue names the values of a type in an operator's words.
 func expectedValue(t reflect.Type) string {
-	switch {
-	case t.Kind() == reflect.Bool:
+	switch t.Kind() {
+	case reflect.Bool:
 		return "true or false"
-	case t.Kind() == reflect.String:
+	case reflect.String:
 		return "text in quotes"
-	case t.Kind() == reflect.Struct:
+	case reflect.Struct:
 		return "a table"
-	case t.Kind() == reflect.Slice:
+	case reflect.Slice:
 		return "a list"
-	case t.Kind() == reflect.Float64:
+	case reflect.Float64:
 		return "a number"
 	}
 	return "a whole number, 0 or more"
 }
 
-// elementType is what a key's value is made of.
+// elementType is the type behind pointers, lists and maps.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
@@ -121,6 +122,7 @@
 	return t
 }
 
+// fieldByKey finds the field of a key in a table.
 func fieldByKey(table reflect.Type, key string) (reflect.StructField, bool) {
 	if table.Kind() != reflect.Struct {
 		return reflect.StructField{}, false
@@ -133,19 +135,16 @@
 	return reflect.StructField{}, false
 }
 
-// tableKeys are the keys that a table takes.
-func tableKeys(t reflect.Type) (all []string) {
+// tableKeys are the keys that a table takes, sorted.
+func tableKeys(t reflect.Type) (keys []string) {
 	if t.Kind() != reflect.Struct {
 		return []string{"no further keys"}
 	}
 	for i := range t.NumField() {
 		if name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ","); name != "" {
-			all = append(all, name)
+			keys = append(keys, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
-
-// FaultLines are the lines of an error of Read.
-func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
--- a/internal/coordination/config/validate.go
+++ b/internal/coordination/config/validate.go
@@ -11,105 +11,151 @@
 	"time"
 )
 
+// KeyError tells what is wrong with the value of a key, and what is allowed.
+type KeyError struct{ Key, Message string }
+
+// Error implements error: one line.
+func (e *KeyError) Error() string { return e.Key + " " + e.Message }
+
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// validate gives all that is wrong with what the file says.
-func (c *Config) validate() (faults []error) {
-	fault := func(key, form string, args ...any) {
-		faults = append(faults, fmt.Errorf("%s "+form, append([]any{key}, args...)...))
+// validator collects all that is wrong with a configuration.
+type validator struct {
+	config *Config
+	faults []error
+}
+
+// validate gives all that is wrong with the configuration, in the order of the file's tables.
+func (c *Config) validate() []error {
+	v := validator{config: c}
+	v.checkProcess()
+	v.checkRole()
+	v.checkVoters()
+	v.checkReplacements()
+	v.checkVoterCount()
+	v.checkDuration("timing.lease", c.Timing.Lease, minLease, maxLease)
+	v.checkDuration("timing.digest_every", c.Timing.DigestInterval, minDigestInterval, maxDigestInterval)
+	if n := c.Process.MaxConnections; n < minConnections || n > maxConnections {
+		v.add("process.connections", "must be from %d to %d, not %d", minConnections, maxConnections, n)
 	}
-	process := c.Process
-	if !namePattern.MatchString(process.Name) {
-		fault("process.name", "must be 1 to 64 letters, digits, '.', '_' or '-', not %q", process.Name)
+	parts := c.Parts()
+	for _, key := range slices.Sorted(maps.Keys(parts)) {
+		v.faults = append(v.faults, parts[key].Check()...)
 	}
-	if process.Zone != "" && !namePattern.MatchString(process.Zone) {
-		fault("process.hall", "must be 1 to 64 letters, digits, '.', '_' or '-', not %q", process.Zone)
+	return v.faults
+}
+
+func (v *validator) add(key, format string, args ...any) {
+	v.faults = append(v.faults, &KeyError{Key: key, Message: fmt.Sprintf(format, args...)})
+}
+
+func (v *validator) checkProcess() {
+	const form = "must be 1 to 64 letters, digits, '.', '_' or '-', not %q"
+	if !namePattern.MatchString(v.config.Process.Name) {
+		v.add("process.name", form, v.config.Process.Name)
 	}
-	address := func(key, value string) {
-		if !isHostPort(value) {
-			fault(key, "must be host:port with a port from 1 to 65535, not %q", value)
-		} else if !process.PrivateNetwork && !IsLoopback(value) {
-			fault(key, "must be a loopback address (127.x.x.x, [::1] or localhost), not %q,"+
-				" unless process.private_network = true says that the network is private", value)
-		}
+	if v.config.Process.Zone != "" && !namePattern.MatchString(v.config.Process.Zone) {
+		v.add("process.hall", form, v.config.Process.Zone)
 	}
-	if process.Voter {
-		if process.Folder == "" {
-			fault("process.disk", "must name a folder where process.voter = true")
-		}
-		if c.Self() == nil {
-			fault("process.voter", "must be false where no [[voter]] has the name of this process, %q", process.Name)
-		}
-		if process.Listen != "" {
-			address("process.listen", process.Listen)
-		}
-	} else {
+}
+
+// checkRole checks what a voter needs, or what only a voter may have.
+func (v *validator) checkRole() {
+	process := v.config.Process
+	if !process.Voter {
 		if process.Listen != "" {
-			fault("process.listen", "must be left out where process.voter is not true, not %q", process.Listen)
+			v.add("process.listen", "must be left out where process.voter is not true, not %q", process.Listen)
 		}
-		if process.Folder != "" && !c.SettlementEnabled() {
-			fault("process.disk", "must be left out where neither process.voter nor debts.on is true, not %q", process.Folder)
+		if process.Folder != "" && !v.config.SettlementEnabled() {
+			v.add("process.disk", "must be left out where neither process.voter nor debts.on is true, not %q", process.Folder)
 		}
+		return
+	}
+	if process.Folder == "" {
+		v.add("process.disk", "must name a folder where process.voter = true")
+	}
+	if v.config.Self() == nil {
+		v.add("process.voter", "must be false where no [[voter]] has the name of this process, %q", process.Name)
+	}
+	if process.Listen != "" {
+		v.checkAddress("process.listen", process.Listen)
 	}
+}
+
+func (v *validator) checkAddress(key, address string) {
+	if !isHostPort(address) {
+		v.add(key, "must be host:port with a port from 1 to 65535, not %q", address)
+	} else if !v.config.Process.PrivateNetwork && !IsLoopback(address) {
+		v.add(key, "must be a loopback address (127.x.x.x, [::1] or localhost), not %q,"+
+			" unless process.private_network = true says that the network is private", address)
+	}
+}
+
+// checkVoters checks each voter by itself and against those before it.
+func (v *validator) checkVoters() {
 	names, numbers, addresses, replaced := map[string]bool{}, map[uint64]bool{}, map[string]bool{}, map[uint64]bool{}
-	for i, voter := range c.Voters {
-		at := fmt.Sprintf("voter.%d.", i+1)
+	for i, voter := range v.config.Voters {
+		key := fmt.Sprintf("voter.%d.", i+1)
 		if !namePattern.MatchString(voter.Name) || names[voter.Name] {
-			fault(at+"name", "must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not %q", voter.Name)
+			v.add(key+"name", "must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not %q", voter.Name)
 		}
 		if voter.Number == 0 || numbers[voter.Number] {
-			fault(at+"number", "must be 1 or more and no other voter's, not %d", voter.Number)
+			v.add(key+"number", "must be 1 or more and no other voter's, not %d", voter.Number)
 		}
-		address(at+"address", voter.Address)
+		v.checkAddress(key+"address", voter.Address)
 		if addresses[voter.Address] {
-			fault(at+"address", "must be no other voter's, not %q", voter.Address)
+			v.add(key+"address", "must be no other voter's, not %q", voter.Address)
 		}
-		if voter.ReplacesNumber != 0 && (voter.ReplacesNumber >= voter.Number || replaced[voter.ReplacesNumber]) {
-			fault(at+"replaces", "must be below its own number and named once, not %d", voter.ReplacesNumber)
+		if n := voter.ReplacesNumber; n != 0 && (n >= voter.Number || replaced[n]) {
+			v.add(key+"replaces", "must be below its own number and named once, not %d", n)
 		}
 		names[voter.Name], numbers[voter.Number], addresses[voter.Address] = true, true, true
 		replaced[voter.ReplacesNumber] = voter.ReplacesNumber != 0
 	}
-	for i, voter := range c.Voters {
-		if numbers[voter.ReplacesNumber] && voter.ReplacesNumber != 0 {
-			fault(fmt.Sprintf("voter.%d.replaces", i+1),
-				"must be the number of a voter that is named no longer, not %d", voter.ReplacesNumber)
-		}
-	}
-	switch n := len(c.Voters); {
-	case n == 3 || n == 5 || n == 1 && process.SingleVoter:
-	case process.SingleVoter:
-		fault("voter", "must be 1, 3 or 5 voters, not %d", n)
-	default:
-		fault("voter", "must be 3 or 5 voters (or 1 where process.single = true, for trials), not %d", n)
+}
+
+// checkReplacements checks that no voter replaces one that is still in the file.
+func (v *validator) checkReplacements() {
+	numbers := map[uint64]bool{}
+	for _, voter := range v.config.Voters {
+		numbers[voter.Number] = true
 	}
-	within := func(key string, s Duration, least, most time.Duration) {
-		if s.invalid != "" {
-			fault(key, `must be a time such as "200ms" or "2s", not %s`, s.invalid)
-		} else if s.Duration < least || s.Duration > most {
-			fault(key, "must be from %v to %v, not %v", least, most, s.Duration)
+	for i, voter := range v.config.Voters {
+		if n := voter.ReplacesNumber; n != 0 && numbers[n] {
+			v.add(fmt.Sprintf("voter.%d.replaces", i+1), "must be the number of a voter that is named no longer, not %d", n)
 		}
 	}
-	within("timing.lease", c.Timing.Lease, minLease, maxLease)
-	within("timing.digest_every", c.Timing.DigestInterval, minDigestInterval, maxDigestInterval)
-	if process.MaxConnections < minConnections || process.MaxConnections > maxConnections {
-		fault("process.connections", "must be from %d to %d, not %d", minConnections, maxConnections, process.MaxConnections)
+}
+
+func (v *validator) checkVoterCount() {
+	switch n := len(v.config.Voters); {
+	case n == 3 || n == 5 || n == 1 && v.config.Process.SingleVoter:
+	case v.config.Process.SingleVoter:
+		v.add("voter", "must be 1, 3 or 5 voters, not %d", n)
+	default:
+		v.add("voter", "must be 3 or 5 voters (or 1 where process.single = true, for trials), not %d", n)
 	}
-	terms := c.Parts()
-	for _, table := range slices.Sorted(maps.Keys(terms)) {
-		faults = append(faults, terms[table].Check()...)
+}
+
+func (v *validator) checkDuration(key string, d Duration, shortest, longest time.Duration) {
+	if d.invalid != "" {
+		v.add(key, `must be a time such as "200ms" or "2s", not %s`, d.invalid)
+	} else if d.Duration < shortest || d.Duration > longest {
+		v.add(key, "must be from %v to %v, not %v", shortest, longest, d.Duration)
 	}
-	return faults
 }
 
 func isHostPort(address string) bool {
 	host, port, err := net.SplitHostPort(address)
-	n, bad := strconv.ParseUint(port, 10, 16)
-	return err == nil && host != "" && bad == nil && n > 0
+	if err != nil || host == "" {
+		return false
+	}
+	number, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && number > 0
 }
 
-// IsLoopback tells whether a host:port is one that never leaves this machine. A name other than localhost is none, as
-// what it stands for can change.
+// IsLoopback tells whether a host:port never leaves this machine. A name other than localhost does not count, as what
+// it resolves to can change.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
