--- a/cmd/harrierhoist/voters_test.go
+++ b/cmd/harrierhoist/voters_test.go
@@ -76,7 +76,7 @@
 		c.writeFile(name, c.diskPath(name))
 		_ = c.processes[name].Process.Signal(syscall.SIGHUP)
 	}
-	c.waitForLog("v2", "this voter has begun")
+	c.waitForLog("v2", "coordination: voter started")
 	c.writeTable("plan", 1, "two")
 	c.waitForLog("v2", `"plan":2`)
 	c.kill("v1") // the new one counts: with it a majority stands
@@ -94,8 +94,8 @@
 	good, _ := os.ReadFile(c.writeFile("v1", c.diskPath("v1")))
 	for text, line := range map[string]string{
 		strings.Replace(string(good), "single", "singel", 1): "process.singel is no key",
-		strings.Replace(string(good), "hall-a", "hall-b", 1): `left as it was: this takes a restart","process":"v1","keys":["process.hall"]`,
-		string(good) + "[timing]\nlease = \"1s\"\n":          "a new charter",
+		strings.Replace(string(good), "hall-a", "hall-b", 1): `coordination: changed settings need a restart","process":"v1","keys":["process.hall"]`,
+		string(good) + "[timing]\nlease = \"1s\"\n":          "coordination: new configuration in force",
 	} {
 		if err := os.WriteFile(c.writeFile("v1", c.diskPath("v1")), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -91,7 +91,7 @@
 	two := []string{"hall-a", "hall-b"}
 	for _, s := range []state{
 		{name: "in common", text: "a follower of a voter; nothing is decided",
-			hall: "hall-a", says: []string{`"takes part in what is held in common"`}},
+			hall: "hall-a", says: []string{`"coordination: started"`}},
 		{name: "a hall out", text: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm,
 			table: failover.Table, value: planned, says: []string{`"a plan is in force"`}},
--- a/internal/coordination/node/bootstrap_test.go
+++ b/internal/coordination/node/bootstrap_test.go
@@ -17,76 +17,100 @@
 }
 
 func emptyInfo(number uint64, disk string) transport.VoterInfo {
-	m := member(number, disk)
-	return transport.VoterInfo{Number: number, Name: m.Name, Address: m.Address, DiskID: disk}
+	empty := member(number, disk)
+	return transport.VoterInfo{Number: number, Name: empty.Name, Address: empty.Address, DiskID: disk}
 }
 
 func startedInfo(number uint64, initialMembers []coordination.Member, members ...coordination.Member) transport.VoterInfo {
-	return transport.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: coordination.Status{Members: members}}
+	status := coordination.Status{Members: members}
+	return transport.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: status}
 }
 
 // An empty disk is a new one or a lost one; a voter that takes the second for the first votes twice. The rows are what
-// voter 1, with the empty disk "d1", hears in its rounds of asking, and how it may go on after the last.
+// voter 1, with the empty disk "d1", learns in its rounds of queries, and how it may go on after the last.
 func TestBootstrap_decisionWithAnEmptyDisk(t *testing.T) {
-	d1, d2, d3 := member(1, "d1"), member(2, "d2"), member(3, "d3")
+	one, two, three := member(1, "d1"), member(2, "d2"), member(3, "d3")
+	all, lost, unknown := []coordination.Member{one, two, three}, member(1, "lost"), member(1, "")
+	empty2, empty3 := emptyInfo(2, "d2"), emptyInfo(3, "d3")
 	type round = map[uint64]transport.VoterInfo
-	for name, row := range map[string]struct {
-		rounds []round
-		begin  bool
-		first  int
+	for _, row := range []struct {
+		name           string
+		rounds         []round
+		start          bool
+		initialMembers int
 	}{
-		"nobody answers":              {[]round{{}}, false, 0},
-		"one other is empty":          {[]round{{2: emptyInfo(2, "d2")}}, false, 0},
-		"all are empty":               {[]round{{2: emptyInfo(2, "d2"), 3: emptyInfo(3, "d3")}}, true, 3},
-		"all were, one after another": {[]round{{2: emptyInfo(2, "d2")}, {3: emptyInfo(3, "d3")}}, true, 3},
-		"another heard it and began":  {[]round{{2: startedInfo(2, []coordination.Member{d1, d2, d3}, d1, d2, d3)}}, true, 3},
-		"another heard a lost disk of it and began": {[]round{
-			{2: startedInfo(2, []coordination.Member{member(1, "lost"), d2, d3}, member(1, ""), d2, d3)}}, false, 0},
-		"its number has another disk":    {[]round{{2: startedInfo(2, nil, member(1, "lost"), d2, d3)}}, false, 0},
-		"its number has no disk yet":     {[]round{{2: startedInfo(2, nil, member(1, ""), d2, d3)}}, false, 0},
-		"its number is not taken in":     {[]round{{2: startedInfo(2, nil, d2, d3)}}, false, 0},
-		"it was taken in with this disk": {[]round{{2: startedInfo(2, nil, d1, d2, d3)}}, true, 0},
-		"two were empty, then one has begun with it": {[]round{{3: emptyInfo(3, "d3")},
-			{2: startedInfo(2, nil, member(1, ""), d2, d3)}}, false, 0},
-		"all were empty, but its number is known by another disk": {[]round{{2: emptyInfo(2, "d2")},
-			{3: startedInfo(3, nil, member(1, "lost"), d2, d3), 2: emptyInfo(2, "d2")}}, false, 0},
+		{"nobody answers", []round{{}}, false, 0},
+		{"one other is empty", []round{{2: empty2}}, false, 0},
+		{"all are empty", []round{{2: empty2, 3: empty3}}, true, 3},
+		{"all were, one after another", []round{{2: empty2}, {3: empty3}}, true, 3},
+		{"another got its answer and started", []round{{2: startedInfo(2, all, one, two, three)}}, true, 3},
+		{"another got the answer of a lost disk of it and started", []round{
+			{2: startedInfo(2, []coordination.Member{lost, two, three}, unknown, two, three)},
+		}, false, 0},
+		{"its number has another disk", []round{{2: startedInfo(2, nil, lost, two, three)}}, false, 0},
+		{"its number has no disk yet", []round{{2: startedInfo(2, nil, unknown, two, three)}}, false, 0},
+		{"its number is not a member's", []round{{2: startedInfo(2, nil, two, three)}}, false, 0},
+		{"it was added with this disk", []round{{2: startedInfo(2, nil, one, two, three)}}, true, 0},
+		{"two were empty, then one has started with it", []round{
+			{3: empty3}, {2: startedInfo(2, nil, unknown, two, three)},
+		}, false, 0},
+		{"all were empty, but its number is known by another disk", []round{
+			{2: empty2}, {3: startedInfo(3, nil, lost, two, three), 2: empty2},
+		}, false, 0},
 	} {
-		b := bootstrap{map[uint64]coordination.Member{}}
-		var decision bootstrapDecision
-		for _, heard := range row.rounds {
-			decision = b.decide(d1, []config.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, heard)
-		}
-		if decision.start != row.begin || len(decision.initialMembers) != row.first || decision.start == (decision.reason != "") {
-			t.Errorf("%s: %+v", name, decision)
-		}
-		for i, f := range decision.initialMembers {
-			if f.Number != uint64(i+1) || f.DiskID == "" {
-				t.Errorf("%s: begins with %+v", name, decision.initialMembers)
+		t.Run(row.name, func(t *testing.T) {
+			known := bootstrap{map[uint64]coordination.Member{}}
+			var decision bootstrapDecision
+			for _, infos := range row.rounds {
+				decision = known.decide(one, []config.Voter{{Number: 1}, {Number: 2}, {Number: 3}}, infos)
 			}
-		}
+			if decision.start != row.start || len(decision.initialMembers) != row.initialMembers ||
+				decision.start == (decision.reason != "") {
+				t.Errorf("%+v", decision)
+			}
+			for i, initial := range decision.initialMembers {
+				if initial.Number != uint64(i+1) || initial.DiskID == "" {
+					t.Errorf("starts with %+v", decision.initialMembers)
+				}
+			}
+		})
+	}
+}
+
+// A voter whose number the file has lost starts no log, though all voters of the file have empty disks.
+func TestBootstrap_numberThatIsNotInTheFileWaits(t *testing.T) {
+	known := bootstrap{map[uint64]coordination.Member{}}
+	infos := map[uint64]transport.VoterInfo{2: emptyInfo(2, "d2"), 3: emptyInfo(3, "d3"), 4: emptyInfo(4, "d4")}
+	configured := []config.Voter{{Number: 2}, {Number: 3}, {Number: 4}}
+	if decision := known.decide(member(1, "d1"), configured, infos); decision.start || decision.reason == "" {
+		t.Errorf("%+v", decision)
 	}
 }
 
 // The leader's next step to a voter that its file names.
 func TestNextMemberChange(t *testing.T) {
-	three := []coordination.Member{member(1, "d1"), member(2, "d2"), member(3, "d3")}
-	for name, row := range map[string]struct {
-		members []coordination.Member
-		named   config.Voter
-		remove  uint64
-		add     bool
+	one, two, three, four := member(1, "d1"), member(2, "d2"), member(3, "d3"), member(4, "d4")
+	replacement := config.Voter{Number: 4, ReplacesNumber: 2}
+	for _, row := range []struct {
+		name       string
+		members    []coordination.Member
+		configured config.Voter
+		remove     uint64
+		add        bool
 	}{
-		"one that is there":         {three, config.Voter{Number: 2}, 0, false},
-		"a replacement, first":      {three, config.Voter{Number: 4, ReplacesNumber: 2}, 2, false},
-		"a replacement, then":       {[]coordination.Member{three[0], three[2]}, config.Voter{Number: 4, ReplacesNumber: 2}, 0, true},
-		"a replacement, done":       {append(three[:1:1], three[2], member(4, "d4")), config.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
-		"a further one":             {three, config.Voter{Number: 4}, 0, true},
-		"one of the past":           {[]coordination.Member{three[1], three[2], member(4, "d4")}, config.Voter{Number: 1}, 0, false},
-		"replaced twice, old file":  {[]coordination.Member{three[0], three[2], member(5, "d5")}, config.Voter{Number: 4, ReplacesNumber: 2}, 0, false},
-		"replaced twice, next file": {[]coordination.Member{three[0], three[2], member(4, "d4")}, config.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
+		{"one that is there", []coordination.Member{one, two, three}, config.Voter{Number: 2}, 0, false},
+		{"a replacement, first", []coordination.Member{one, two, three}, replacement, 2, false},
+		{"a replacement, then", []coordination.Member{one, three}, replacement, 0, true},
+		{"a replacement, done", []coordination.Member{one, three, four}, replacement, 0, false},
+		{"a further one", []coordination.Member{one, two, three}, config.Voter{Number: 4}, 0, true},
+		{"one of the past", []coordination.Member{two, three, four}, config.Voter{Number: 1}, 0, false},
+		{"replaced twice, old file", []coordination.Member{one, three, member(5, "d5")}, replacement, 0, false},
+		{"replaced twice, next file", []coordination.Member{one, three, four}, config.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
 	} {
-		if remove, add := nextMemberChange(row.members, row.named); remove != row.remove || add != row.add {
-			t.Errorf("%s: remove %d, add %v", name, remove, add)
-		}
+		t.Run(row.name, func(t *testing.T) {
+			if remove, add := nextMemberChange(row.members, row.configured); remove != row.remove || add != row.add {
+				t.Errorf("remove %d, add %v", remove, add)
+			}
+		})
 	}
 }
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -1,5 +1,5 @@
-// Package commons puts together what a process needs to take part in what all hold in common, as the operators' file
-// says: the follower that every process has and, in a voter, its link, its disk and the voter itself.
+// Package node puts together what a process needs to take part in the coordination, as the operators' file says: the
+// follower that every process has and, in a voter, its server, its log and the voter itself.
 package node
 
 import (
@@ -16,95 +16,123 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
-// connectionsPerVoter is how many connections a process opens to a voter: one for the read that waits, one for digests.
+// connectionsPerVoter is how many connections a process opens to a voter: one for the waiting read, one for digests.
 const connectionsPerVoter = 2
 
-// transferTimeout is how long an end waits for another voter to take the lead.
+// transferTimeout is how long a planned end waits for another voter to take the lead.
 const transferTimeout = time.Second
 
-// Node is this process's part. It owns all that it starts, and gives it back in Close.
+// ControllerFactory makes the controllers that run where this process's voter leads, by the configuration in force.
+type ControllerFactory func(*config.Config) []coordination.Controller
+
+// Node is this process's part in the coordination. It owns all that it starts, and ends it in Close.
 type Node struct {
-	path        string
-	controllers func(*config.Config) []coordination.Controller
-	logger      *zap.Logger
-	client      *transport.Client
-	follower    *follower.Follower
-	host        *voterHost // nil where it only follows
+	path     string
+	logger   *zap.Logger
+	client   *transport.Client
+	follower *follower.Follower
+	host     *voterHost // nil where it only follows
 
 	config    atomic.Pointer[config.Config]
-	reloading sync.Mutex // one file is taken after the other
+	reloading sync.Mutex // serialises reloads
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Open starts what the file at a path names. The deciders are those of the leader, by the file. Errors are of the
-// file, or of the address and the disk that it names.
-func Open(path string, controllers func(*config.Config) []coordination.Controller, logger *zap.Logger) (*Node, error) {
+// Open starts what the file at a path names. Errors are of the file, or of the address and the disk that it names.
+func Open(path string, controllers ControllerFactory, logger *zap.Logger) (*Node, error) {
 	cfg, err := config.Read(path)
 	if err != nil {
 		return nil, err
 	}
 	network := transport.Network{Private: cfg.Process.PrivateNetwork}
-	n := &Node{path: path, controllers: controllers, logger: logger.With(zap.String("process", cfg.Process.Name)),
-		client: transport.NewClient(network, connectionsPerVoter)}
+	n := &Node{
+		path: path, logger: logger.With(zap.String("process", cfg.Process.Name)),
+		client: transport.NewClient(network, connectionsPerVoter),
+	}
 	n.config.Store(cfg)
-	// Where a clock was set back between two lives, what the later one counts is not heard until it has passed the
-	// earlier.
+	// Where the clock was set back between two incarnations, what the later one counts is ignored until it has passed
+	// the earlier.
 	incarnation := uint64(time.Now().UnixNano())
-	ctx, end := context.WithCancel(context.Background())
-	n.cancel = end
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel = cancel
 	if cfg.Process.Voter {
-		if n.host, err = n.openVoterHost(ctx, cfg, network, incarnation); err != nil {
-			end()
+		n.host, err = openVoterHost(ctx, cfg, hostOptions{
+			path: path, incarnation: incarnation, network: network, client: n.client,
+			config: n.Config, controllers: controllers, logger: n.logger,
+		})
+		if err != nil {
+			cancel()
 			n.client.Close()
 			return nil, err
 		}
 	}
-	n.follower = follower.New(cfg.Process.Name, incarnation, n.sources(cfg), followerTiming(cfg), follower.SystemUptime, n.logger)
+	n.follower = follower.New(cfg.Process.Name, incarnation, n.sources(cfg), followerTiming(cfg), follower.SystemUptime,
+		n.logger)
 	n.goroutines.Go(func() { n.follower.Run(ctx) })
 	if n.host != nil {
-		n.host.serve(cfg)
-		n.goroutines.Go(func() { n.host.run(ctx) })
+		n.host.serve(cfg, n.follower)
+		n.goroutines.Go(func() { n.runHost(ctx) })
 	}
-	n.logger.Info("takes part in what is held in common", zap.Bool("voter", cfg.Process.Voter),
-		zap.Int("voters", len(cfg.Voters)))
+	n.logger.Info("coordination: started", zap.Bool("voter", cfg.Process.Voter), zap.Int("voters", len(cfg.Voters)))
 	return n, nil
 }
 
+// runHost starts the voter as soon as it knows how, and then does what the leader does outside the controllers.
+func (n *Node) runHost(ctx context.Context) {
+	if n.host.runningVoter() == nil {
+		starter := &bootstrapper{
+			host: n.host, client: n.client, config: n.Config, logger: n.logger,
+			started: n.reconfigureFollower, // it had turned to other voters meanwhile
+		}
+		if !starter.run(ctx) {
+			return
+		}
+	}
+	members := &reconciler{
+		host: n.host, client: n.client, follower: n.follower, config: n.Config, logger: n.logger, nextNumber: 1,
+	}
+	members.run(ctx)
+}
+
+func (n *Node) reconfigureFollower(cfg *config.Config) {
+	n.follower.Reconfigure(n.sources(cfg), followerTiming(cfg))
+}
+
 func followerTiming(cfg *config.Config) follower.Timing {
 	return follower.Timing{Lease: cfg.Timing.Lease.Duration, DigestInterval: cfg.Timing.DigestInterval.Duration}
 }
 
-// Client is what the process's parts ask.
+// Client is what the parts of the process ask.
 func (n *Node) Client() coordination.Client { return n.follower }
 
-// Config is the file in force.
+// Config is the configuration in force.
 func (n *Node) Config() *config.Config { return n.config.Load() }
 
-// Reload reads the file again and takes what can change in place: voters, timing, the parts' terms. What only a
-// restart can change is named in the log; a file that is not good leaves all as it was. It tells whether it was taken.
+// Reload reads the file again and puts in force what can change in place: voters, timing, the parts' settings. The keys
+// of what only a restart can change are logged; a bad file changes nothing. It tells whether the file was accepted.
 func (n *Node) Reload() bool {
 	cfg, err := config.Read(n.path)
 	if err != nil {
-		n.logger.Error("the new charter is not taken", zap.Strings("faults", config.FaultLines(err)))
+		n.logger.Error("coordination: new configuration rejected", zap.Strings("faults", config.FaultLines(err)))
 		return false
 	}
 	n.reloading.Lock()
 	defer n.reloading.Unlock()
-	if fixed := cfg.RetainRestartOnly(n.Config()); len(fixed) > 0 {
-		n.logger.Warn("left as it was: this takes a restart", zap.Strings("keys", fixed))
+	if keys := cfg.RetainRestartOnly(n.Config()); len(keys) > 0 {
+		n.logger.Warn("coordination: changed settings need a restart", zap.Strings("keys", keys))
 	}
 	n.config.Store(cfg)
-	n.follower.Reconfigure(n.sources(cfg), followerTiming(cfg))
+	n.reconfigureFollower(cfg)
 	if n.host != nil {
 		n.host.reload(cfg)
 	}
-	n.logger.Info("a new charter", zap.Int("voters", len(cfg.Voters)))
+	n.logger.Info("coordination: new configuration in force", zap.Int("voters", len(cfg.Voters)))
 	return true
 }
 
-// TransferLeadership gives the lead away where this process has it: before a planned end.
+// TransferLeadership hands the lead to another voter where this process has it: before a planned end.
 func (n *Node) TransferLeadership() {
 	if n.host == nil {
 		return
@@ -114,7 +142,7 @@
 	n.host.transferLeadership(ctx)
 }
 
-// Close ends all of it.
+// Close ends all of it and waits.
 func (n *Node) Close() {
 	n.cancel()
 	if n.host != nil {
--- a/internal/coordination/node/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -1,12 +1,9 @@
 package node
 
 import (
-	"cmp"
 	"context"
 	"crypto/rand"
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"go.uber.org/zap"
@@ -15,93 +12,126 @@
 	"harrierhoist/internal/coordination/config"
 	"harrierhoist/internal/coordination/follower"
 	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/coordination/transport"
+	"harrierhoist/internal/coordination/voter"
 )
 
-// How the leader looks after the members.
+// How the leader looks after the group.
 const (
 	reconcileInterval = 500 * time.Millisecond // a replacement is a matter of seconds
-	reconcileTimeout  = 3 * time.Second        // a change that no majority takes by then is looked at anew
-	groupIDBytes      = 16                     // of the group's mark: never drawn twice
+	reconcileTimeout  = 3 * time.Second        // a change that no majority accepts by then is looked at anew
+	groupIDBytes      = 16                     // never drawn twice
 )
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+// proposerName names the reconciler in the commands that it writes. It is stored in the log.
+const proposerName = "steward"
 
-// reconcile does, at the leader, what stands outside the deciders: it gives the group its mark, and makes the members
+// reconciler does at the leader what is outside the controllers: it writes the group ID, and changes the members to
 // those that the file names.
-func (h *voterHost) reconcile(ctx context.Context) {
-	for n := uint64(1); ; {
+type reconciler struct {
+	host       *voterHost
+	client     *transport.Client
+	follower   *follower.Follower
+	config     func() *config.Config // in force
+	logger     *zap.Logger
+	nextNumber uint64 // of its commands
+}
+
+// run works until the context ends.
+func (r *reconciler) run(ctx context.Context) {
+	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(reconcileInterval):
 		}
-		running := h.runningVoter()
-		status := running.Status()
-		if status.Leader == 0 || status.Leader != status.Number {
-			continue
+		running := r.host.runningVoter()
+		if status := running.Status(); status.Leader != 0 && status.Leader == status.Number {
+			r.reconcile(ctx, running, status)
 		}
-		within, cancel := context.WithTimeout(ctx, reconcileTimeout)
-		if held := h.node.follower.Cached(follower.GroupTable); held.Epoch == 0 && held.LeaseEnd > h.node.follower.Now() {
-			groupID := make([]byte, groupIDBytes)
-			_, _ = rand.Read(groupID) // never fails
-			by := fmt.Sprintf("%s/%d/steward", h.node.Config().Process.Name, h.incarnation)
-			_, _ = running.Propose(within, statemachine.Command{Kind: statemachine.Write, Proposer: by, Number: n, Table: follower.GroupTable,
-				Value: groupID}) // if it is not written, the next look sees it
-			n++
-		}
-		h.reconcileMembers(within, status)
-		cancel()
 	}
 }
 
-// reconcileMembers takes the next step from the members that are to those that the file names.
-func (h *voterHost) reconcileMembers(ctx context.Context, status coordination.Status) {
-	cfg := h.node.Config()
-	running, logger := h.runningVoter(), h.node.logger
-	for _, configured := range cfg.Voters {
+func (r *reconciler) reconcile(ctx context.Context, running *voter.Voter, status coordination.Status) {
+	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
+	defer cancel()
+	if group := r.follower.Cached(follower.GroupTable); group.Epoch == 0 && group.LeaseEnd > r.follower.Now() {
+		r.writeGroupID(ctx, running)
+	}
+	r.reconcileMembers(ctx, running, status)
+}
+
+// writeGroupID writes a new group ID. Where it is not written, the next turn sees it.
+func (r *reconciler) writeGroupID(ctx context.Context, running *voter.Voter) {
+	groupID := make([]byte, groupIDBytes)
+	_, _ = rand.Read(groupID) // never fails
+	_, _ = running.Propose(ctx, statemachine.Command{
+		Kind:     statemachine.Write,
+		Proposer: fmt.Sprintf("%s/%d/%s", r.config().Process.Name, r.host.incarnation, proposerName),
+		Number:   r.nextNumber, Table: follower.GroupTable, Value: groupID,
+	})
+	r.nextNumber++
+}
+
+// reconcileMembers takes the next step from the present members to those that the file names.
+func (r *reconciler) reconcileMembers(ctx context.Context, running *voter.Voter, status coordination.Status) {
+	for _, configured := range r.config().Voters {
 		remove, add := nextMemberChange(status.Members, configured)
 		if !add && remove == 0 {
 			continue
 		}
 		// The old one goes only when the new one is there, its disk empty: until then the old one may yet come back.
-		info, err := h.node.client.Info(ctx, configured.Address)
+		info, err := r.client.Info(ctx, configured.Address)
 		if err != nil || info.Started || info.Number != configured.Number || info.Name != configured.Name {
 			continue
 		}
-		if remove == status.Number {
-			logger.Info("this voter is to be replaced: it gives the lead away")
+		switch remove {
+		case 0:
+			r.addMember(ctx, running, info)
+		case status.Number:
+			r.logger.Info("coordination: leader is to be replaced, transferring leadership")
 			running.TransferLeadership(ctx)
-			return
+		default:
+			r.removeMember(ctx, running, remove, configured.Number)
 		}
-		if remove != 0 {
-			err = running.ChangeMembership(ctx, coordination.Member{Number: remove}, true)
-			logger.Info("a voter is taken out", zap.Uint64("number", remove), zap.Uint64("replaced by", configured.Number),
-				zap.Error(err))
-			if err == nil {
-				h.sender.RemoveVoter(remove)
-			}
-			return
-		}
-		m := coordination.Member{Number: configured.Number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
-		err = running.ChangeMembership(ctx, m, false)
-		logger.Info("a voter is taken in", zap.Uint64("number", m.Number), zap.String("name", m.Name), zap.Error(err))
+		return // one change at a time
+	}
+}
+
+func (r *reconciler) addMember(ctx context.Context, running *voter.Voter, info transport.VoterInfo) {
+	member := coordination.Member{Number: info.Number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
+	fields := []zap.Field{zap.Uint64("number", member.Number), zap.String("name", member.Name)}
+	if err := running.ChangeMembership(ctx, member, false); err != nil {
+		r.logger.Info("coordination: voter not added yet", append(fields, zap.Error(err))...)
+		return
+	}
+	r.logger.Info("coordination: voter added", fields...)
+}
+
+func (r *reconciler) removeMember(ctx context.Context, running *voter.Voter, number, replacement uint64) {
+	fields := []zap.Field{zap.Uint64("number", number), zap.Uint64("replaced_by", replacement)}
+	if err := running.ChangeMembership(ctx, coordination.Member{Number: number}, true); err != nil {
+		r.logger.Info("coordination: voter not removed yet", append(fields, zap.Error(err))...)
 		return
 	}
+	r.logger.Info("coordination: voter removed", fields...)
+	r.host.sender.RemoveVoter(number)
 }
 
-// nextMemberChange is the next step to a voter that the file names. First the one that it replaces goes: while it is dead, it
-// counts among those of whom a majority must answer, and a fifth in place of a fourth would need one more of them.
+// nextMemberChange is the next step to a voter that the file names. First the one that it replaces is removed: while
+// that one is dead, it counts among those of whom a majority must answer, and a fifth in place of a fourth would need
+// one more of them.
 func nextMemberChange(members []coordination.Member, configured config.Voter) (remove uint64, add bool) {
-	top := uint64(0)
-	for _, m := range members {
-		top = max(top, m.Number)
-		if m.Number == configured.Number {
+	highest := uint64(0)
+	for _, member := range members {
+		highest = max(highest, member.Number)
+		if member.Number == configured.Number {
 			return 0, false
 		}
-		if m.Number == configured.ReplacesNumber {
-			remove = m.Number
+		if member.Number == configured.ReplacesNumber {
+			remove = member.Number
 		}
 	}
-	// A number below is one of the past, in an old file.
-	return remove, remove == 0 && configured.Number > top
+	// A number below the highest is one of the past, in an old file.
+	return remove, remove == 0 && configured.Number > highest
 }
--- a/internal/coordination/node/sources.go
+++ b/internal/coordination/node/sources.go
@@ -11,63 +11,69 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
+// localReadGrace is what the response of this process's own voter may take beyond the wait that was asked for.
+const localReadGrace = 300 * time.Millisecond
+
+// sources are the voters of the file in the order in which this process prefers them: its own first.
+func (n *Node) sources(cfg *config.Config) []follower.Source {
+	var local, remote []follower.Source
+	for _, voter := range cfg.Voters {
+		if n.host != nil && voter.Name == cfg.Process.Name {
+			local = append(local, localVoter{voter.Name, n.host.Voter})
+		} else {
+			remote = append(remote, remoteVoter{voter.Name, voter.Address, n.client})
+		}
+	}
+	return append(local, follower.PreferenceOrder(cfg.Process.Name, remote)...)
+}
+
 // localVoter is this process's own voter as a source.
 type localVoter struct {
 	name  string
-	voter func() coordination.Voter
+	voter func() coordination.Voter // nil until it has started
 }
 
-// localReadGrace is what the own voter's answer may take beyond the wait that was asked for.
-const localReadGrace = 300 * time.Millisecond
-
-func (o localVoter) Name() string { return o.name }
+// Name implements follower.Source.
+func (l localVoter) Name() string { return l.name }
 
-func (o localVoter) SendDigest(_ context.Context, d observation.Digest) error {
-	v := o.voter()
-	if v == nil {
+// SendDigest implements follower.Source.
+func (l localVoter) SendDigest(_ context.Context, digest observation.Digest) error {
+	voter := l.voter()
+	if voter == nil {
 		return coordination.ErrStopped
 	}
-	v.AddDigests([]observation.Digest{d})
+	voter.AddDigests([]observation.Digest{digest})
 	return nil
 }
 
-func (o localVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
-	v := o.voter()
-	if v == nil {
+// Read implements follower.Source.
+func (l localVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
+	voter := l.voter()
+	if voter == nil {
 		return follower.ReadResult{}, coordination.ErrStopped
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+localReadGrace)
 	defer cancel()
-	found, err := v.Read(ctx, known, wait)
+	found, err := voter.Read(ctx, known, wait)
 	return follower.ReadResult{Tables: found, FromOwnVoter: true}, err
 }
 
-// remoteVoter is a voter at the end of a link.
+// remoteVoter is another process's voter as a source.
 type remoteVoter struct {
 	name, address string
 	client        *transport.Client
 }
 
+// Name implements follower.Source.
 func (r remoteVoter) Name() string { return r.name }
 
-func (r remoteVoter) SendDigest(ctx context.Context, d observation.Digest) error {
-	return r.client.Digests(ctx, r.address, []observation.Digest{d})
+// SendDigest implements follower.Source.
+func (r remoteVoter) SendDigest(ctx context.Context, digest observation.Digest) error {
+	return r.client.Digests(ctx, r.address, []observation.Digest{digest})
 }
 
+// Read implements follower.Source.
 func (r remoteVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
-	found, group, err := r.client.Read(ctx, r.address, known, wait)
-	return follower.ReadResult{Tables: found, GroupID: group}, err
-}
-
-// sources are the voters of the file in the order in which this process takes them: its own first.
-func (n *Node) sources(cfg *config.Config) []follower.Source {
-	var mine, others []follower.Source
-	for _, v := range cfg.Voters {
-		if n.host != nil && v.Name == cfg.Process.Name {
-			mine = append(mine, localVoter{v.Name, n.host.Voter})
-		} else {
-			others = append(others, remoteVoter{v.Name, v.Address, n.client})
-		}
-	}
-	return append(mine, follower.PreferenceOrder(cfg.Process.Name, others)...)
+	found, groupID, err := r.client.Read(ctx, r.address, known, wait)
+	return follower.ReadResult{Tables: found, GroupID: groupID}, err
 }
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -17,96 +17,144 @@
 	"harrierhoist/internal/coordination/wal"
 )
 
-// voterHost is a voter's place in its process: its link, its disk, and the voter once it has begun.
+// AddressInUseError tells that a voter answers at this voter's address already.
+type AddressInUseError struct {
+	Address string
+	Voter   transport.VoterInfo
+}
+
+// Error implements error.
+func (e *AddressInUseError) Error() string {
+	return fmt.Sprintf("voter %d, process %q, answers at %s already", e.Voter.Number, e.Voter.Name, e.Address)
+}
+
+// NumberMismatchError tells that a folder holds the log of a voter of another number than the file's.
+type NumberMismatchError struct{ Log, File uint64 }
+
+// Error implements error.
+func (e *NumberMismatchError) Error() string {
+	return fmt.Sprintf("holds the log of voter %d, and the file says %d: a new number takes an empty folder", e.Log, e.File)
+}
+
+// hostOptions are what a voter host needs of its process.
+type hostOptions struct {
+	path        string // of the file
+	incarnation uint64
+	network     transport.Network
+	client      *transport.Client
+	config      func() *config.Config // in force
+	controllers ControllerFactory
+	logger      *zap.Logger
+}
+
+// voterHost is a voter's place in its process: its server, its log, and the voter once it has started.
 type voterHost struct {
-	node        *Node
 	incarnation uint64
-	storage     *wal.Log
-	listener    net.Listener
-	server      *transport.Server // it owns the listener
-	sender      *transport.MessageSender
+	config      func() *config.Config
+	controllers ControllerFactory
+	logger      *zap.Logger
+
+	storage  *wal.Log
+	listener net.Listener
+	server   *transport.Server // owns the listener
+	sender   *transport.MessageSender
+	follower *follower.Follower // of the process; set by serve
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards what follows
 	self           config.Voter
-	initialMembers []coordination.Member // with whom it began in this life, with the marks of their disks
+	initialMembers []coordination.Member // with whom it started the log in this incarnation, with the IDs of their disks
 	voter          *voter.Voter
-	stopped        bool // no voter is opened any more
+	stopped        bool // no voter is started any more
 }
 
-// openVoterHost opens a voter's disk and link. The voter itself begins when it knows how.
-func (n *Node) openVoterHost(ctx context.Context, cfg *config.Config, network transport.Network, incarnation uint64) (*voterHost, error) {
+// openVoterHost opens a voter's log and listener. Where the log is empty, the voter is started later.
+func openVoterHost(ctx context.Context, cfg *config.Config, options hostOptions) (*voterHost, error) {
 	self := *cfg.Self()
 	// Two processes on one file, the second of which listens elsewhere, would be one voter twice.
-	if other, err := n.client.Info(ctx, self.Address); err == nil {
-		return nil, fmt.Errorf("%s: voter %d, process %q, answers at %s already",
-			n.path, other.Number, other.Name, self.Address)
+	if other, err := options.client.Info(ctx, self.Address); err == nil {
+		return nil, fmt.Errorf("%s: %w", options.path, &AddressInUseError{Address: self.Address, Voter: other})
 	}
 	address := cfg.Process.Listen
 	if address == "" {
 		address = self.Address
 	}
-	listener, err := network.Listen(address)
+	listener, err := options.network.Listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("%s: process.listen: %w", n.path, err)
+		return nil, fmt.Errorf("%s: process.listen: %w", options.path, err)
 	}
 	storage, err := wal.Open(cfg.Process.Folder)
 	if err != nil {
-		_ = listener.Close()
-		return nil, fmt.Errorf("%s: process.disk: %w", n.path, err)
+		_ = listener.Close() // nobody has connected; the error that matters is the disk's
+		return nil, fmt.Errorf("%s: process.disk: %w", options.path, err)
+	}
+	h := &voterHost{
+		incarnation: options.incarnation, config: options.config, controllers: options.controllers, logger: options.logger,
+		storage: storage, listener: listener, sender: transport.NewMessageSender(options.network), self: self,
 	}
-	h := &voterHost{node: n, incarnation: incarnation, storage: storage, self: self, sender: transport.NewMessageSender(network),
-		listener: listener}
 	if len(storage.Records()) > 0 {
-		if err := h.startVoter(cfg, nil); err != nil {
-			_ = listener.Close()
+		if err := h.startVoter(ctx, cfg, nil); err != nil {
+			_ = listener.Close() // as above
 			h.sender.Close()
-			return nil, errors.Join(fmt.Errorf("%s: process.disk: %w", n.path, err), storage.Close())
+			return nil, errors.Join(fmt.Errorf("%s: process.disk: %w", options.path, err), storage.Close())
 		}
 	}
 	return h, nil
 }
 
 // serve answers other processes from now on.
-func (h *voterHost) serve(cfg *config.Config) {
-	h.server = transport.Serve(h.listener, h, cfg.Process.MaxConnections, h.node.logger)
+func (h *voterHost) serve(cfg *config.Config, f *follower.Follower) {
+	h.follower = f
+	h.server = transport.Serve(h.listener, h, cfg.Process.MaxConnections, h.logger)
+}
+
+// member is this voter as the others are to know it.
+func (h *voterHost) member() coordination.Member {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.memberLocked()
 }
 
-// startVoter opens the voter: with the members that begin the log, or none where the log is on its disk or comes from others.
-func (h *voterHost) startVoter(cfg *config.Config, initialMembers []coordination.Member) error {
+func (h *voterHost) memberLocked() coordination.Member {
+	return coordination.Member{
+		Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID(),
+	}
+}
+
+// startVoter starts the voter: with the members that start the log, or none where the log is on its disk or comes from
+// others. Errors: ErrStopped, a *NumberMismatchError, or the voter's.
+func (h *voterHost) startVoter(ctx context.Context, cfg *config.Config, initialMembers []coordination.Member) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
 		return coordination.ErrStopped
 	}
-	self := coordination.Member{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID()}
-	running, err := voter.Open(voter.Options{
-		Self: self, InitialMembers: initialMembers, Log: h.storage, Controllers: h.node.controllers(cfg),
-		Send: h.send, Logger: h.node.logger,
+	started, err := voter.Open(ctx, voter.Options{
+		Self: h.memberLocked(), InitialMembers: initialMembers, Log: h.storage, Controllers: h.controllers(cfg),
+		Send: h.send, Logger: h.logger,
 	})
 	if err != nil {
 		return err
 	}
-	if n := running.Status().Number; n != h.self.Number {
-		return errors.Join(fmt.Errorf("holds the log of voter %d, and the file says %d:"+
-			" a new number takes an empty folder", n, h.self.Number), running.Close())
+	if number := started.Status().Number; number != h.self.Number {
+		return errors.Join(&NumberMismatchError{Log: number, File: h.self.Number}, started.Close())
 	}
-	h.voter, h.initialMembers = running, initialMembers
+	h.voter, h.initialMembers = started, initialMembers
 	return nil
 }
 
-// send hands a voter's message to the links. Where a voter is, the file says; what the log says is for processes
-// whose file does not name it yet.
+// send hands a voter's message to the sender. The file says where a voter is; the log's address is for voters that the
+// file of this process does not name yet.
 func (h *voterHost) send(to coordination.Member, message []byte) {
 	address := to.Address
-	for _, v := range h.node.Config().Voters {
-		if v.Number == to.Number {
-			address = v.Address
+	for _, configured := range h.config().Voters {
+		if configured.Number == to.Number {
+			address = configured.Address
 		}
 	}
 	h.sender.Send(to.Number, address, message)
 }
 
-// Voter implements link.Host.
+// Voter implements transport.Host.
 func (h *voterHost) Voter() coordination.Voter {
 	if running := h.runningVoter(); running != nil {
 		return running
@@ -114,17 +162,21 @@
 	return nil
 }
 
+// runningVoter is the voter, nil until it has started.
 func (h *voterHost) runningVoter() *voter.Voter {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.voter
 }
 
-// Info implements link.Host.
+// Info implements transport.Host.
 func (h *voterHost) Info() transport.VoterInfo {
 	h.mu.Lock()
-	running, info := h.voter, transport.VoterInfo{Number: h.self.Number, Name: h.self.Name, Address: h.self.Address,
-		DiskID: h.storage.DiskID(), Started: h.voter != nil, Incarnation: h.incarnation, InitialMembers: h.initialMembers}
+	member, running := h.memberLocked(), h.voter
+	info := transport.VoterInfo{
+		Number: member.Number, Name: member.Name, Address: member.Address, DiskID: member.DiskID,
+		Started: running != nil, Incarnation: h.incarnation, InitialMembers: h.initialMembers,
+	}
 	h.mu.Unlock()
 	if running != nil {
 		info.Status = running.Status()
@@ -132,21 +184,22 @@
 	return info
 }
 
-// GroupID implements link.Host.
-func (h *voterHost) GroupID() []byte { return h.node.follower.Cached(follower.GroupTable).Value }
+// GroupID implements transport.Host.
+func (h *voterHost) GroupID() []byte { return h.follower.Cached(follower.GroupTable).Value }
 
-// reload takes a new file. A voter that has not begun takes its number from it; one that has keeps its own.
+// reload takes over a new configuration. A voter that has not started takes its number from it; one that has started
+// stays what it is.
 func (h *voterHost) reload(cfg *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if self := cfg.Self(); self != nil && (h.voter == nil || self.Number == h.self.Number) {
 		h.self = *self
 	} else {
-		h.node.logger.Warn("left as it was: this takes a restart, with an empty folder as its disk",
+		h.logger.Warn("coordination: changed voter number needs a restart with an empty folder",
 			zap.Strings("keys", []string{"voter.number"}))
 	}
 	if h.voter != nil {
-		h.voter.SetControllers(h.node.controllers(cfg))
+		h.voter.SetControllers(h.controllers(cfg))
 	}
 }
 
@@ -163,15 +216,17 @@
 	h.stopped = true
 	h.mu.Unlock()
 	if running != nil {
-		_ = running.Close()
+		if err := running.Close(); err != nil {
+			h.logger.Warn("coordination: closing the voter failed", zap.Error(err))
+		}
 	}
 }
 
-// close gives back what the seat holds, once its goroutines have ended.
+// close ends server and sender and closes the log, once the host's goroutines have ended.
 func (h *voterHost) close() {
 	h.server.Close()
 	h.sender.Close()
 	if err := h.storage.Close(); err != nil {
-		h.node.logger.Warn("the disk of this voter did not close", zap.Error(err))
+		h.logger.Warn("coordination: closing the voter's log failed", zap.Error(err))
 	}
 }
--- a/internal/coordination/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	v, err := Open(Options{
+	v, err := Open(tc.t.Context(), Options{
 		Self: member(n), InitialMembers: initialMembers, Log: storage, Controllers: controllers,
 		Send:   func(to coordination.Member, message []byte) { tc.deliver(n, to.Number, message) },
 		Logger: zap.NewNop(),
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -82,8 +82,9 @@
 
 var _ coordination.Voter = (*Voter)(nil)
 
-// Open starts a voter. Errors: a *LogOwnerError, or what is wrong with the log.
-func Open(options Options) (*Voter, error) {
+// Open starts a voter that runs until Close: of the context only the values are used. Errors: a *LogOwnerError, or what
+// is wrong with the log.
+func Open(ctx context.Context, options Options) (*Voter, error) {
 	incarnation, _ := options.Log.Incarnation()
 	node, err := openNode(options)
 	if err != nil {
@@ -107,7 +108,7 @@
 	status := node.Status()
 	voter.status.Store(&status)
 	loop := newEventLoop(voter, node, options)
-	ctx, cancel := context.WithCancel(context.Background()) // ends with the event loop
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ends with the event loop
 	voter.goroutines.Go(func() {
 		defer cancel()
 		loop.run()
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -97,7 +97,7 @@
 		g.Signal(syscall.SIGHUP)
 	}
 	s.VoterCluster.Start(s.Voters[1])
-	s.waitForLog(s.Voters[1].Process, "this voter has begun", 1)
+	s.waitForLog(s.Voters[1].Process, "coordination: voter started", 1)
 	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
 	s.Voters[0].Kill() // the new one counts: with it a majority stands
 	s.failZone("hall-b", "hall-a")
