--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -120,10 +120,10 @@
 	return parts
 }
 
-// FailoverEnabled tells whether failover is on.
+// FailoverEnabled reports whether failover is on.
 func (c *Config) FailoverEnabled() bool { return c.Failover != nil && c.Failover.Enabled }
 
-// SettlementEnabled tells whether debts between partners are counted and settled.
+// SettlementEnabled reports whether debts between partners are counted and settled.
 func (c *Config) SettlementEnabled() bool { return c.Settlement != nil && c.Settlement.On }
 
 // Self is the entry of this process among the voters, nil where it is none.
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// unknownKeyError tells which keys may stand in the place of one that is not known.
+// unknownKeyError reports which keys may stand in the place of one that is not known.
 func unknownKeyError(key toml.Key) error {
 	table, depth := reflect.TypeFor[Config](), 0
 	for ; depth < len(key)-1; depth++ {
@@ -79,7 +79,7 @@
 	return &KeyError{Key: strings.Join(key, "."), Message: message}
 }
 
-// wrongTypeError tells what may stand in the place of a value of the wrong type.
+// wrongTypeError reports what may stand in the place of a value of the wrong type.
 func wrongTypeError(decodeErr *toml.DecodeError, line int) error {
 	table := reflect.TypeFor[Config]()
 	for _, key := range decodeErr.Key() {
--- a/internal/coordination/config/validate.go
+++ b/internal/coordination/config/validate.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// KeyError tells what is wrong with the value of a key, and what is allowed.
+// KeyError reports what is wrong with the value of a key, and what is allowed.
 type KeyError struct{ Key, Message string }
 
 // Error implements error: one line.
@@ -154,7 +154,7 @@
 	return err == nil && number > 0
 }
 
-// IsLoopback tells whether a host:port never leaves this machine. A name other than localhost does not count, as what
+// IsLoopback reports whether a host:port never leaves this machine. A name other than localhost does not count, as what
 // it resolves to can change.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -103,7 +103,7 @@
 	f.counters.registerExact(counts)
 }
 
-// sleep waits, and tells whether the context goes on.
+// sleep waits, and reports whether the context goes on.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/coordination/follower/reader.go
+++ b/internal/coordination/follower/reader.go
@@ -32,7 +32,7 @@
 	cache   *tableCache
 	logger  *zap.Logger
 
-	foreignGroupLogged bool // once in the life of a process
+	foreignGroupLogged bool // once a process
 }
 
 // run reads until the context ends.
--- a/internal/coordination/follower/sources.go
+++ b/internal/coordination/follower/sources.go
@@ -50,7 +50,7 @@
 	return s.sources[s.index], s.session, s.timing
 }
 
-// switchFrom goes over to the next source, if the session that failed is still in force. It tells whether all sources
+// switchFrom goes over to the next source, if the session that failed is still in force. It reports whether all sources
 // had their turn.
 func (s *sourceSelector) switchFrom(session uint64) (round bool) {
 	s.mu.Lock()
--- a/internal/coordination/node/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -103,7 +103,7 @@
 	logger  *zap.Logger
 }
 
-// run asks the other voters until it knows how to start the voter. It tells whether the voter has started.
+// run asks the other voters until it knows how to start the voter. It reports whether the voter has started.
 func (b *bootstrapper) run(ctx context.Context) bool {
 	retry := &backoff.ExponentialBackOff{
 		InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -111,7 +111,7 @@
 func (n *Node) Config() *config.Config { return n.config.Load() }
 
 // Reload reads the file again and puts in force what can change in place: voters, timing, the parts' settings. The keys
-// of what only a restart can change are logged; a bad file changes nothing. It tells whether the file was accepted.
+// of what only a restart can change are logged; a bad file changes nothing. It reports whether the file was accepted.
 func (n *Node) Reload() bool {
 	cfg, err := config.Read(n.path)
 	if err != nil {
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -17,7 +17,7 @@
 	"harrierhoist/internal/coordination/wal"
 )
 
-// AddressInUseError tells that a voter answers at this voter's address already.
+// AddressInUseError reports that a voter answers at this voter's address already.
 type AddressInUseError struct {
 	Address string
 	Voter   transport.VoterInfo
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("voter %d, process %q, answers at %s already", e.Voter.Number, e.Voter.Name, e.Address)
 }
 
-// NumberMismatchError tells that a folder holds the log of a voter of another number than the file's.
+// NumberMismatchError reports that a folder holds the log of a voter of another number than the file's.
 type NumberMismatchError struct{ Log, File uint64 }
 
 // Error implements error.
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -12,7 +12,7 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// StatusError tells that a voter answered a call with a status other than that of success.
+// StatusError reports that a voter answered a call with a status other than that of success.
 type StatusError struct {
 	Address, Path string
 	Status        int
--- a/internal/coordination/transport/network.go
+++ b/internal/coordination/transport/network.go
@@ -10,11 +10,11 @@
 
 // Network says where connections may go. They are not encrypted, so they stay on loopback unless the network is private.
 type Network struct {
-	// Private tells that nobody else is on the network: process.private_network of the operators' file.
+	// Private reports that nobody else is on the network: process.private_network of the operators' file.
 	Private bool
 }
 
-// NotLoopbackError tells that an address is not on loopback while the network is not private.
+// NotLoopbackError reports that an address is not on loopback while the network is not private.
 type NotLoopbackError struct{ Address string }
 
 // Error implements error.
--- a/internal/coordination/transport/voter_test.go
+++ b/internal/coordination/transport/voter_test.go
@@ -136,7 +136,7 @@
 	return observation.Digest{Process: "g1", Incarnation: 3, Serial: n, Counts: map[string]uint64{"pushes": n}}
 }
 
-// isSame tells whether two errors are the very same, not one around the other.
+// isSame reports whether two errors are the very same, not one around the other.
 func isSame(a, b error) bool { return errors.Is(a, b) && errors.Is(b, a) }
 
 var eventually = fakes.Eventually
--- a/internal/coordination/voter/bench_test.go
+++ b/internal/coordination/voter/bench_test.go
@@ -35,7 +35,7 @@
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
 			group := newTestCluster(b, 1)
 			group.startAll(tempFolders(b, 1))
-			v := group.waitForLeader()
+			leader := group.waitForLeader()
 			var names []string
 			for i := range 60 {
 				names = append(names, fmt.Sprint("count ", i))
@@ -52,7 +52,7 @@
 						all[k].Counts[name] = uint64(i)
 					}
 				}
-				v.AddDigests(all)
+				leader.AddDigests(all)
 			}
 		})
 	}
@@ -65,12 +65,12 @@
 	group.mustWrite(writeCommand(1, 0, "a"))
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := group.waitForLeader()
+			leader := group.waitForLeader()
 			for range b.N {
 				done := make(chan error, n)
 				for range n {
 					go func() {
-						_, err := v.Read(b.Context(), nil, 0)
+						_, err := leader.Read(b.Context(), nil, 0)
 						done <- err
 					}()
 				}
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -60,7 +60,7 @@
 	Logger *zap.Logger
 }
 
-// LogOwnerError tells that a write-ahead log was written by another voter.
+// LogOwnerError reports that a write-ahead log was written by another voter.
 type LogOwnerError struct{ Owner, Self coordination.Member }
 
 // Error implements error.
