--- a/internal/canary/sample_test.go
+++ b/internal/canary/sample_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
+	"pgregory.net/rapid"
+
 	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
-
-	"pgregory.net/rapid"
 )
 
 func testSettings() policy.Settings {
--- a/internal/countingrule/golden_test.go
+++ b/internal/countingrule/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/policy"
-
 	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/policy"
 )
 
 // The files under testdata were written by the program before its names were changed. What is stored, what goes between
