--- a/internal/lab/rulesimulation/checks.go
+++ b/internal/lab/rulesimulation/checks.go
@@ -110,7 +110,7 @@
 // addNames adds the counter's names of a key, in all windows of the simulation.
 func (s *Simulation) addNames(keys map[uint64]uint64, assignment *countingrule.Assignment) {
 	plan := &s.settings.Plans[assignment.Plan]
-	for at := epoch; at < s.now; at += time.Second / 2 {
+	for at := epoch; at < s.clock.Now(); at += time.Second / 2 {
 		keys[countingrule.WindowAt(assignment.Key, plan, at).Name] = assignment.Key
 	}
 }
--- a/internal/lab/rulesimulation/forecast.go
+++ b/internal/lab/rulesimulation/forecast.go
@@ -66,12 +66,12 @@
 	}
 	c.onAdmission, c.onCompletion = c.evaluate, c.recordOutcome
 	c.scheduleCustomers()
-	c.after(canaryStart+time.Second, c.flush)
-	c.after(canaryStart, func() { c.table.Phase, c.table.To = countingrule.PhaseCanary, 1 })
-	c.after(canaryScheduled, func() {
-		c.table.Phase, c.table.SwitchAt = countingrule.PhaseScheduled, c.now+switchLead
+	c.clock.Every(canaryStart+time.Second, canaryFlushInterval, c.flush)
+	c.clock.After(canaryStart, func() { c.table.Phase, c.table.To = countingrule.PhaseCanary, 1 })
+	c.clock.After(canaryScheduled, func() {
+		c.table.Phase, c.table.SwitchAt = countingrule.PhaseScheduled, c.clock.Now()+switchLead
 	})
-	c.run(epoch + canaryEnd)
+	c.clock.AdvanceTo(epoch + canaryEnd)
 	return c.forecast(), nil
 }
 
@@ -83,12 +83,12 @@
 		wait := func() time.Duration { return time.Duration(c.random.ExpFloat64() * meanInterval) }
 		var arrive func()
 		arrive = func() {
-			if c.now < epoch+canaryArrivals {
+			if c.clock.Now() < epoch+canaryArrivals {
 				c.acceptAnywhere(func() uint64 { return customer })
-				c.after(wait(), arrive)
+				c.clock.After(wait(), arrive)
 			}
 		}
-		c.after(wait(), arrive)
+		c.clock.After(wait(), arrive)
 	}
 }
 
@@ -96,7 +96,7 @@
 func (c *canarySimulation) call(g *gateway, calls []canary.Call) {
 	for _, call := range calls {
 		g.addUnits(call.Name, call.Units, func(count float64) {
-			c.call(g, c.shadows[g].HandleCount(c.now, call.ID, count, true))
+			c.call(g, c.shadows[g].HandleCount(c.clock.Now(), call.ID, count, true))
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		return
 	}
 	c.shadows[g].AddBudget(canaryOwnCalls)
-	c.call(g, c.shadows[g].HandleRequest(c.now, canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
+	c.call(g, c.shadows[g].HandleRequest(c.clock.Now(), canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
 }
 
 // recordOutcome counts what became of a request of the sample.
@@ -122,14 +122,12 @@
 	}
 }
 
-// flush flushes the shadow evaluations while the canary runs.
-func (c *canarySimulation) flush() {
+// flush flushes the shadow evaluations, and tells whether the canary goes on.
+func (c *canarySimulation) flush() (again bool) {
 	for _, g := range c.gateways {
-		c.call(g, c.shadows[g].Flush(c.now))
-	}
-	if c.table.Phase == countingrule.PhaseCanary {
-		c.after(canaryFlushInterval, c.flush)
+		c.call(g, c.shadows[g].Flush(c.clock.Now()))
 	}
+	return c.table.Phase == countingrule.PhaseCanary
 }
 
 // forecast compares what the canary observed with what followed.
--- a/internal/lab/rulesimulation/gateway.go
+++ b/internal/lab/rulesimulation/gateway.go
@@ -36,13 +36,13 @@
 	for i := range uint32(4) {
 		endpoints = append(endpoints, policy.Endpoint{Server: i + 1, State: policy.Ready})
 	}
-	g.module.HandleEndpoints(g.sim.now, policy.ListFull, endpoints)
+	g.module.HandleEndpoints(g.sim.clock.Now(), policy.ListFull, endpoints)
 }
 
 // deliver brings the gateway an event after a time: once it is awake, and in the same incarnation.
 func (g *gateway) deliver(delay time.Duration, action func()) {
 	incarnation := g.incarnation
-	g.sim.after(delay, func() {
+	g.sim.clock.After(delay, func() {
 		switch {
 		case incarnation != g.incarnation:
 		case g.asleep:
@@ -63,15 +63,15 @@
 	}
 }
 
-// renewLease reads the table. The lease counts from when the read was sent.
-func (g *gateway) renewLease() {
+// renewLease reads the table, again and again. The lease counts from when the read was sent.
+func (g *gateway) renewLease() (again bool) {
 	if !g.isolated && !g.asleep {
-		sentAt, table := g.sim.now, g.sim.table
+		sentAt, table := g.sim.clock.Now(), g.sim.table
 		g.deliver(g.sim.between(time.Millisecond, 20*time.Millisecond), func() {
 			g.hasTable, g.leaseEnd, g.table = true, sentAt+tableLease, table
 		})
 	}
-	g.sim.after(readInterval, g.renewLease)
+	return true
 }
 
 // accept does what the enforcer and the dispatcher do with a request.
@@ -79,17 +79,17 @@
 	s := g.sim
 	accepted := &request{
 		id: uint32(len(s.requests) + 1), customer: customer, class: class,
-		acceptedAt: s.now, deadline: s.now + time.Second,
+		acceptedAt: s.clock.Now(), deadline: s.clock.Now() + time.Second,
 	}
 	s.requests = append(s.requests, accepted)
 	g.deliver(0, func() { g.admit(accepted) })
 	incarnation := g.incarnation
-	s.after(3*time.Second, func() { accepted.lost = accepted.lost || incarnation != g.incarnation })
+	s.clock.After(3*time.Second, func() { accepted.lost = accepted.lost || incarnation != g.incarnation })
 }
 
 func (g *gateway) admit(request *request) {
 	s := g.sim
-	if request.acceptedAt = s.now; request.deadline <= request.acceptedAt { // it waited while the gateway slept
+	if request.acceptedAt = s.clock.Now(); request.deadline <= request.acceptedAt { // it waited while the gateway slept
 		request.answers++
 		return
 	}
@@ -99,7 +99,7 @@
 	request.weight = request.assignment.Weight
 	for _, version := range versions[1:] {
 		other := s.resolved[version].Assign(request.customer, request.class, 0)
-		request.reservations = append(request.reservations, g.admission.Reserve(other, s.settings.Plans[other.Plan], 1, s.now))
+		request.reservations = append(request.reservations, g.admission.Reserve(other, s.settings.Plans[other.Plan], 1, s.clock.Now()))
 	}
 	if s.onAdmission != nil {
 		s.onAdmission(g, request)
@@ -109,7 +109,7 @@
 
 // candidates are the versions that a request has to pass now.
 func (g *gateway) candidates() []uint64 {
-	now := g.sim.now
+	now := g.sim.clock.Now()
 	if g.sim.bug == BugNoLease {
 		return []uint64{g.table.InForce(now)}
 	}
@@ -146,11 +146,11 @@
 
 // forward hands a request to the decision module, or rejects it.
 func (g *gateway) forward(request *request, admitted bool) {
-	if !admitted || g.sim.now >= request.deadline {
+	if !admitted || g.sim.clock.Now() >= request.deadline {
 		g.complete(request.id)
 		return
 	}
-	g.module.HandleRequest(g.sim.now, policy.Request{
+	g.module.HandleRequest(g.sim.clock.Now(), policy.Request{
 		ID:           request.id,
 		Class:        request.class,
 		Plan:         request.assignment.Plan,
@@ -164,7 +164,7 @@
 // addUnits calls the counter.
 func (g *gateway) addUnits(name uint64, units float64, done func(count float64)) {
 	s := g.sim
-	s.after(s.between(time.Millisecond, 3*time.Millisecond), func() {
+	s.clock.After(s.between(time.Millisecond, 3*time.Millisecond), func() {
 		s.counter[name] += units
 		s.charged[name] += units
 		count := s.counter[name]
--- a/internal/lab/rulesimulation/golden_test.go
+++ b/internal/lab/rulesimulation/golden_test.go
@@ -32,7 +32,7 @@
 			add(name, totals[name])
 		}
 	}
-	add(int64(s.now), s.sequence, s.WorstOverrun(), s.Forwarded(), s.CheckAnswers())
+	add(int64(s.clock.Now()), s.clock.Scheduled(), s.WorstOverrun(), s.Forwarded(), s.CheckAnswers())
 	return fmt.Sprintf("%x", out.Sum(nil))
 }
 
--- a/internal/lab/rulesimulation/host.go
+++ b/internal/lab/rulesimulation/host.go
@@ -15,11 +15,11 @@
 	if request == nil {
 		return
 	}
-	request.forwarded, request.forwardedAt = true, g.sim.now
+	request.forwarded, request.forwardedAt = true, g.sim.clock.Now()
 	g.deliver(g.sim.between(20*time.Millisecond, 60*time.Millisecond), func() {
 		request.billed = g.billedWeight(request)
 		g.complete(id)
-		g.module.HandleAttemptResult(g.sim.now, policy.AttemptResult{
+		g.module.HandleAttemptResult(g.sim.clock.Now(), policy.AttemptResult{
 			RequestID:   id,
 			Server:      server,
 			Outcome:     policy.Answered,
@@ -33,7 +33,7 @@
 // billedWeight is what an answered request weighs.
 func (g *gateway) billedWeight(request *request) float64 {
 	if g.sim.bug == BugWrongRule { // what the rule in force now would have it weigh
-		inForce := g.sim.resolved[g.table.InForce(g.sim.now)]
+		inForce := g.sim.resolved[g.table.InForce(g.sim.clock.Now())]
 		return inForce.Assign(request.customer, request.class, 0).Weight
 	}
 	return request.weight
@@ -50,14 +50,14 @@
 
 // Count calls the counter.
 func (g *gateway) Count(name uint64, _ time.Duration, units float64) {
-	sentAt := g.sim.now
+	sentAt := g.sim.clock.Now()
 	if g.handlingCount { // what is carried over from one window to the next is no request's
 		g.sim.charged[name] -= units
 	}
 	g.addUnits(name, units, func(count float64) {
 		g.handlingCount = true
 		defer func() { g.handlingCount = false }()
-		now := g.sim.now
+		now := g.sim.clock.Now()
 		g.module.HandleCount(now, policy.CountResult{Name: name, Total: count, Latency: now - sentAt})
 	})
 }
@@ -73,7 +73,7 @@
 
 // SetTimer calls the module later.
 func (g *gateway) SetTimer(token uint64, delay time.Duration) {
-	g.deliver(delay, func() { g.module.HandleTimer(g.sim.now, token) })
+	g.deliver(delay, func() { g.module.HandleTimer(g.sim.clock.Now(), token) })
 }
 
 // CancelTimer may be ignored: the module knows which timers it cancelled.
--- a/internal/lab/rulesimulation/simulation.go
+++ b/internal/lab/rulesimulation/simulation.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/virtualtime"
 	"harrierhoist/policy"
 )
 
@@ -31,9 +32,7 @@
 // Simulation is the gateways, a counter, servers that always answer and the table.
 type Simulation struct {
 	random       *rand.Rand
-	now          time.Duration
-	queue        eventQueue
-	sequence     int // of the latest event scheduled
+	clock        *virtualtime.Scheduler
 	counter      map[uint64]float64
 	charged      map[uint64]float64 // by name, without what was carried over
 	table        countingrule.Table
@@ -66,7 +65,7 @@
 func newSimulation(seed uint64, settings policy.Settings, rules []countingrule.Rule) *Simulation {
 	simulation := &Simulation{
 		random:   rand.New(rand.NewPCG(seed, 11)),
-		now:      epoch,
+		clock:    virtualtime.New(epoch),
 		counter:  map[uint64]float64{},
 		charged:  map[uint64]float64{},
 		resolved: map[uint64]*countingrule.Resolved{},
@@ -80,7 +79,7 @@
 		g := &gateway{sim: simulation, config: &countingrule.Config{DesiredVersion: rules[0].Version, Rules: rules}}
 		simulation.gateways = append(simulation.gateways, g)
 		g.start()
-		simulation.after(0, g.renewLease)
+		simulation.clock.Every(0, readInterval, g.renewLease)
 	}
 	return simulation
 }
--- a/internal/lab/rulesimulation/switch.go
+++ b/internal/lab/rulesimulation/switch.go
@@ -36,10 +36,10 @@
 	simulation.scheduleSwitch()
 	if !calm {
 		for _, g := range simulation.gateways[:2] { // never a majority of four
-			simulation.after(simulation.between(4*time.Second, 12*time.Second), func() { simulation.injectFault(g) })
+			simulation.clock.After(simulation.between(4*time.Second, 12*time.Second), func() { simulation.injectFault(g) })
 		}
 	}
-	simulation.run(epoch + switchEnd)
+	simulation.clock.AdvanceTo(epoch + switchEnd)
 	return simulation
 }
 
@@ -47,22 +47,22 @@
 func (s *Simulation) scheduleArrivals() {
 	var arrive func()
 	arrive = func() {
-		if s.now < epoch+switchArrivals {
+		if s.clock.Now() < epoch+switchArrivals {
 			s.acceptAnywhere(func() uint64 { return 1 + s.random.Uint64N(8) })
-			s.after(s.between(0, 25*time.Millisecond), arrive)
+			s.clock.After(s.between(0, 25*time.Millisecond), arrive)
 		}
 	}
-	s.after(time.Second, arrive)
+	s.clock.After(time.Second, arrive)
 }
 
 // scheduleSwitch has the table go through the phases of a switch and its rollback.
 func (s *Simulation) scheduleSwitch() {
-	s.after(switchCanary, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
-	s.after(switchScheduled, func() {
-		s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.now+switchLead
+	s.clock.After(switchCanary, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
+	s.clock.After(switchScheduled, func() {
+		s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.clock.Now()+switchLead
 	})
-	s.after(switchRollback, func() {
-		s.table.Phase, s.table.SwitchAt = countingrule.PhaseRollback, s.now+switchLead
+	s.clock.After(switchRollback, func() {
+		s.table.Phase, s.table.SwitchAt = countingrule.PhaseRollback, s.clock.Now()+switchLead
 		s.table.From, s.table.To = 1, 0
 	})
 }
@@ -73,15 +73,15 @@
 	heal := func() { g.isolated = false }
 	switch s.random.IntN(4) {
 	case 0:
-		s.after(at, func() { g.isolated = true })
-		s.after(at+duration, heal)
+		s.clock.After(at, func() { g.isolated = true })
+		s.clock.After(at+duration, heal)
 	case 1:
-		s.after(at, func() { g.asleep = true })
-		s.after(at+duration, g.resume)
+		s.clock.After(at, func() { g.asleep = true })
+		s.clock.After(at+duration, g.resume)
 	case 2: // it dies and comes back without a table
-		s.after(at, func() { g.start(); g.isolated = true })
-		s.after(at+duration, heal)
+		s.clock.After(at, func() { g.start(); g.isolated = true })
+		s.clock.After(at+duration, heal)
 	case 3:
-		s.after(at, g.start)
+		s.clock.After(at, g.start)
 	}
 }
