--- a/internal/routing/updater.go
+++ b/internal/routing/updater.go
@@ -1,6 +1,7 @@
-// Package steer keeps one gateway to the plan that all hold in common: it hands the gate the shares of its own hall while
-// the lease on the plan stands, and after that serves near by its own evidence. It runs beside the tasks, never on their
-// path: the gate acts on what it was last handed, and on the end of the lease, without it.
+// Package routing keeps one gateway to the failover plan that all processes share: it hands the dispatcher the shares of the
+// gateway's own zone while the lease on the plan stands, and after that has it serve locally by its own observations. It
+// runs beside the requests, never on their path: the dispatcher acts on what it was last handed, and on the end of the
+// lease, without it.
 package routing
 
 import (
@@ -15,17 +16,20 @@
 	"harrierhoist/internal/failover"
 )
 
-// checkInterval is how often it is looked whether the own hall is lost, or the lease renewed.
+// checkInterval is how often the loss of the own zone and the lease are checked.
 const checkInterval = 200 * time.Millisecond
 
-// Dispatcher is what is steered.
+// Dispatcher is what follows the steering.
 type Dispatcher interface {
+	// SetSteering steers by the one value until the lease ends, and then by the other. A lease of 0 is over.
 	SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering)
+	// WriteZoneCounts gives the counts of what the gateway observes of zones.
 	WriteZoneCounts(add func(name string, n uint64))
+	// IsZoneLost tells whether the own zone is lost by the gateway's own observations.
 	IsZoneLost() bool
 }
 
-// Updater is the state of one gateway's steering.
+// Updater hands one gateway's dispatcher its steering. It is not safe for concurrent use.
 type Updater struct {
 	tables     coordination.Client
 	dispatcher Dispatcher
@@ -33,30 +37,31 @@
 	zone       string
 	log        *zap.Logger
 
-	epoch       uint64
-	plan        *failover.Plan // the latest heard of; nil: none
-	loggedRow   string         // what was last said of it
-	inForce     bool           // a plan is in force
-	stateLogged bool           // whether one is, has been said
-	applied     appliedSteering
+	epoch   uint64         // of the plan
+	plan    *failover.Plan // the latest; nil: none
+	applied appliedSteering
+
+	loggedRow     string // the row that was logged last
+	isStateLogged bool   // whether a plan is in force was logged
+	wasInForce    bool   // and was it
 }
 
-// appliedSteering is what the gate was last handed; the lease is by its end.
+// appliedSteering is what the dispatcher was last handed; the lease by its end, 0 without a plan in force.
 type appliedSteering struct {
 	leased, fallback dispatch.Steering
-	until            time.Duration
+	leaseEnd         time.Duration
 }
 
-// New makes the steering of a gateway in a hall. Halls are all of them, in the order of the list's numbers.
+// New makes the updater of a gateway in a zone. Zones are all of them, in the order of the endpoint list's indexes.
 func New(tables coordination.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
 	return &Updater{tables: tables, dispatcher: dispatcher, zones: zones, zone: zone, log: log}
 }
 
-// Run steers until the context ends, and has the witness asked for its counts.
+// Run keeps the steering up to date until the context ends, and registers the dispatcher's counts for digests.
 func (u *Updater) Run(ctx context.Context) {
 	u.tables.RegisterCounters(u.dispatcher.WriteZoneCounts)
-	beat := time.NewTicker(checkInterval)
-	defer beat.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	for {
 		changed := u.tables.Changed()
 		u.Update()
@@ -64,85 +69,86 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-beat.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Update looks at what is held and hands the gate what follows from it.
+// Update reads the plan and its lease, and hands the dispatcher what follows from them, where that has changed.
 func (u *Updater) Update() {
 	table := u.tables.Cached(failover.Table)
 	if table.Epoch != u.epoch {
 		u.loadPlan(table)
 	}
-	left := table.LeaseEnd - u.tables.Now()
-	inForce := u.plan != nil && left > 0
+	lease := table.LeaseEnd - u.tables.Now()
+	inForce := u.plan != nil && lease > 0
 	next := appliedSteering{fallback: u.steeringOf(u.plan.FallbackAssignment(u.zone, u.dispatcher.IsZoneLost()))}
 	if inForce {
-		next.leased, next.until = u.steeringOf(u.plan.Assignment(u.zone)), table.LeaseEnd
+		next.leased, next.leaseEnd = u.steeringOf(u.plan.Assignment(u.zone)), table.LeaseEnd
 	} else {
-		left = 0
+		lease = 0
 	}
 	u.logState(inForce)
 	if next.equal(u.applied) {
 		return
 	}
 	u.applied = next
-	u.dispatcher.SetSteering(next.leased, left, next.fallback)
+	u.dispatcher.SetSteering(next.leased, lease, next.fallback)
 }
 
-// loadPlan reads a plan. One that makes no sense is none.
+// loadPlan takes over a plan. A malformed one counts as none.
 func (u *Updater) loadPlan(table coordination.CachedTable) {
 	u.epoch = table.Epoch
 	plan, err := failover.DecodePlan(table.Value)
 	if err != nil {
-		u.log.Error("the plan makes no sense; this gateway serves near", zap.Uint64("epoch", table.Epoch), zap.Error(err))
+		u.log.Error("routing: malformed plan, serving locally", zap.Uint64("epoch", table.Epoch), zap.Error(err))
 	}
-	if u.plan = plan; err != nil || plan == nil {
-		u.plan = nil
+	if u.plan = plan; plan == nil {
 		return
 	}
 	if row := plan.Describe(u.zone); row != u.loggedRow {
 		u.loggedRow = row
-		u.log.Info("a plan for this hall", zap.Uint64("epoch", table.Epoch), zap.String("shares", row),
-			zap.String("why", plan.Reasons[u.zone]))
+		u.log.Info("routing: new shares for this zone", zap.Uint64("epoch", table.Epoch), zap.String("shares", row),
+			zap.String("reason", plan.Reasons[u.zone]))
 	}
 }
 
-// logState tells once that there is no plan in force, and that there is one again.
+// logState logs once that there is no plan in force, and that there is one again.
 func (u *Updater) logState(inForce bool) {
-	if u.stateLogged && u.inForce == inForce {
+	if u.isStateLogged && u.wasInForce == inForce {
 		return
 	}
-	u.stateLogged, u.inForce = true, inForce
+	u.isStateLogged, u.wasInForce = true, inForce
 	if inForce {
-		u.log.Info("a plan is in force")
+		u.log.Info("routing: plan in force")
 	} else {
-		u.log.Warn("no plan in force: near, by this gateway's own evidence")
+		u.log.Warn("routing: no plan in force, serving locally")
 	}
 }
 
-// steeringOf is a part by the numbers of halls. A hall of the plan that the list doesn't have gets nothing, and its share is
-// shed: the others were not planned to bear it.
+// steeringOf is an assignment by the indexes of zones. A zone of the plan that the endpoint list doesn't have gets nothing, and
+// its share is shed: the others were not planned to take it.
 func (u *Updater) steeringOf(assignment failover.Assignment) dispatch.Steering {
-	leased := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
+	steering := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
 	sum, found := 0.0, 0.0
 	for _, zone := range assignment.Zones() {
-		sum += assignment.Weights[zone]
+		weight := assignment.Weights[zone]
+		sum += weight
 		if i := slices.Index(u.zones, zone); i >= 0 {
-			leased.Weights[i] = assignment.Weights[zone]
-			found += assignment.Weights[zone]
+			steering.Weights[i] = weight
+			found += weight
 		}
 	}
 	if sum > 0 {
-		leased.ShedFraction += (1 - leased.ShedFraction) * (1 - found/sum)
+		steering.ShedFraction += (1 - steering.ShedFraction) * (1 - found/sum)
 	}
-	return leased
+	return steering
 }
 
-func (h appliedSteering) equal(o appliedSteering) bool {
-	same := func(a, b dispatch.Steering) bool {
-		return a.ShedFraction == b.ShedFraction && slices.Equal(a.Weights, b.Weights)
-	}
-	return h.until == o.until && same(h.leased, o.leased) && same(h.fallback, o.fallback)
+func (a appliedSteering) equal(b appliedSteering) bool {
+	return a.leaseEnd == b.leaseEnd && equal(a.leased, b.leased) && equal(a.fallback, b.fallback)
+}
+
+func equal(a, b dispatch.Steering) bool {
+	return a.ShedFraction == b.ShedFraction && slices.Equal(a.Weights, b.Weights)
 }
--- a/internal/routing/updater_test.go
+++ b/internal/routing/updater_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"math"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -16,18 +18,18 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// fake stands in for what the processes hold in common, and for the gate.
+// fake stands in for the shared tables and for the dispatcher.
 type fake struct {
 	mu               sync.Mutex
 	now              time.Duration
-	held             coordination.CachedTable
+	table            coordination.CachedTable
 	changed          chan struct{}
 	zoneLost         bool
 	countsRegistered bool
-	leased           dispatch.Steering // in force now
+	leased           dispatch.Steering
 	fallback         dispatch.Steering
-	until            time.Duration
-	applied          int
+	leaseEnd         time.Duration
+	applied          int // how often steering was set
 }
 
 func (f *fake) Now() time.Duration { return f.now }
@@ -35,7 +37,7 @@
 func (f *fake) Cached(string) coordination.CachedTable {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.table
 }
 
 func (f *fake) Changed() <-chan struct{} { return f.changed }
@@ -48,24 +50,27 @@
 func (f *fake) SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leased, f.fallback, f.until, f.applied = leased, fallback, f.now+lease, f.applied+1
+	f.leased, f.fallback, f.leaseEnd, f.applied = leased, fallback, f.now+lease, f.applied+1
 }
 
-// inForce is how the gate acts now.
+// inForce is how the dispatcher acts now.
 func (f *fake) inForce() dispatch.Steering {
-	if f.now >= f.until {
+	if f.now >= f.leaseEnd {
 		return f.fallback
 	}
 	return f.leased
 }
 
-func (f *fake) setTable(t *testing.T, epoch uint64, p *failover.Plan) {
+// setTable has a plan in force for two seconds.
+func (f *fake) setTable(t *testing.T, epoch uint64, plan *failover.Plan) {
 	t.Helper()
-	value, err := p.Encode()
+	value, err := plan.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.held = coordination.CachedTable{Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.table = coordination.CachedTable{Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second}
 }
 
 func newFixture(t *testing.T) (*fake, *Updater, *observer.ObservedLogs) {
@@ -75,45 +80,53 @@
 	return f, New(f, f, []string{"a", "b", "c"}, "a", zap.New(core)), lines
 }
 
-var testPlan = &failover.Plan{Rows: map[string]map[string]int{"a": {"a": 250, "b": 750}},
-	Fallback: map[string]map[string]int{"a": {"b": 100, "c": 50}}}
+var testPlan = &failover.Plan{
+	Rows:     map[string]map[string]int{"a": {"a": 250, "b": 750}},
+	Fallback: map[string]map[string]int{"a": {"b": 100, "c": 50}},
+}
 
-func (f *fake) wantSteering(t *testing.T, what string, shed float64, weights ...float64) {
+func (f *fake) wantSteering(t *testing.T, when string, shed float64, weights ...float64) {
 	t.Helper()
+	isClose := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 	got := f.inForce()
-	same := got.ShedFraction > shed-1e-9 && got.ShedFraction < shed+1e-9 && len(got.Weights) == len(weights)
-	for i := range weights {
-		same = same && got.Weights[i] > weights[i]-1e-9 && got.Weights[i] < weights[i]+1e-9
-	}
-	if !same {
-		t.Errorf("%s: %+v, want %v and %v shed", what, got, weights, shed)
+	if !isClose(got.ShedFraction, shed) || !slices.EqualFunc(got.Weights, weights, isClose) {
+		t.Errorf("%s: %+v, want %v and %v shed", when, got, weights, shed)
 	}
 }
 
-// A plan holds for its lease and not a moment longer, then the gateway serves near; each is said once.
+func (f *fake) awaitApplied(t *testing.T, times int) {
+	t.Helper()
+	fakes.Eventually(t, "steering is set", func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return f.applied == times
+	})
+}
+
+// A plan holds for its lease and not a moment longer, then the gateway serves locally; each is logged once.
 func TestUpdate_planForItsLeaseThenLocal(t *testing.T) {
 	f, u, lines := newFixture(t)
 	u.Update()
-	f.wantSteering(t, "no plan heard of", 0, 1, 0, 0)
+	f.wantSteering(t, "without a plan", 0, 1, 0, 0)
 	f.setTable(t, 1, testPlan)
 	for range 5 {
 		u.Update()
-		f.wantSteering(t, "the plan", 0, 0.25, 0.75, 0)
+		f.wantSteering(t, "with the plan", 0, 0.25, 0.75, 0)
 	}
-	f.now += 2 * time.Second // and nobody looks
+	f.now += 2 * time.Second // and no update
 	f.wantSteering(t, "after the lease", 0, 1, 0, 0)
 	u.Update()
 	u.Update()
 	f.wantSteering(t, "after the lease", 0, 1, 0, 0)
-	if n := lines.FilterMessageSnippet("no plan in force").Len(); n != 2 || lines.Len() != 4 {
+	if n := lines.FilterMessage("routing: no plan in force, serving locally").Len(); n != 2 || lines.Len() != 4 {
 		t.Errorf("lines %v", lines.All())
 	}
 	if f.applied != 3 {
-		t.Errorf("the gate was steered %d times", f.applied)
+		t.Errorf("steering was set %d times", f.applied)
 	}
 }
 
-// Without a plan in force and with its own hall lost, a gateway sends to others what the last plan set apart for that.
+// Without a plan in force and with its own zone lost, a gateway sends to others what the last plan reserved for that.
 func TestUpdate_fallbackWithOwnZoneLost(t *testing.T) {
 	f, u, _ := newFixture(t)
 	f.zoneLost = true
@@ -124,49 +137,43 @@
 	f.wantSteering(t, "the plan goes first", 0, 0.25, 0.75, 0)
 	f.now += 3 * time.Second
 	u.Update()
-	f.wantSteering(t, "what was set apart", 0.8, 0.05, 0.1, 0.05)
+	f.wantSteering(t, "what was reserved", 0.8, 0.05, 0.1, 0.05)
 }
 
-// A value that makes no sense is no plan; a hall that the list does not have sheds its share.
-func TestUpdate_malformedPlans(t *testing.T) {
+// A malformed value is no plan.
+func TestUpdate_malformedPlan(t *testing.T) {
 	f, u, lines := newFixture(t)
 	f.setTable(t, 1, testPlan)
-	f.held.Value = []byte("spoilt")
+	f.table.Value = []byte("malformed")
 	u.Update()
-	f.wantSteering(t, "spoilt", 0, 1, 0, 0)
-	if lines.FilterMessageSnippet("makes no sense").Len() != 1 {
+	f.wantSteering(t, "malformed", 0, 1, 0, 0)
+	if lines.FilterMessage("routing: malformed plan, serving locally").Len() != 1 {
 		t.Errorf("lines %v", lines.All())
 	}
-	f.setTable(t, 2, &failover.Plan{Rows: map[string]map[string]int{"a": {"a": 400, "x": 600}}})
-	u.Update()
-	f.wantSteering(t, "unknown hall", 0.6, 0.4, 0, 0)
 }
 
-func (f *fake) awaitApplied(t *testing.T, times int) {
-	t.Helper()
-	fakes.Eventually(t, "the gate is steered", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return f.applied == times
-	})
+// The share of a zone that the endpoint list does not have is shed.
+func TestUpdate_unknownZone(t *testing.T) {
+	f, u, _ := newFixture(t)
+	f.setTable(t, 2, &failover.Plan{Rows: map[string]map[string]int{"a": {"a": 400, "x": 600}}})
+	u.Update()
+	f.wantSteering(t, "unknown zone", 0.6, 0.4, 0, 0)
 }
 
-// Run takes news at once, and leaves nothing behind.
+// Run applies changes at once, and leaves nothing behind.
 func TestRun_appliesChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f, u, _ := newFixture(t)
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); u.Run(ctx) }()
 	f.awaitApplied(t, 1)
-	f.mu.Lock()
 	f.setTable(t, 1, testPlan)
-	f.mu.Unlock()
 	f.changed <- struct{}{}
 	f.awaitApplied(t, 2)
 	cancel()
 	<-ended
 	if !f.countsRegistered {
-		t.Error("the witness is not asked")
+		t.Error("the counts are not registered")
 	}
 }
--- a/internal/testing/faultinjection/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -123,7 +123,7 @@
 func TestCountingRule_failoverDuringActivation(t *testing.T) {
 	s := startEnvironment(t, groupRuleTerms, failoverTerms, groupRequests)
 	for _, g := range s.Gateways {
-		s.waitForLog(g.Process, "a plan is in force", 1)
+		s.waitForLog(g.Process, "routing: plan in force", 1)
 	}
 	edge := s.activateRule()
 	s.SetZoneBehavior("hall-a", Down)
--- a/internal/testing/faultinjection/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	s := startEnvironment(t, terms, terms, mixedRequests)
 	for _, g := range s.Gateways {
-		s.waitForLog(g.Process, "a plan is in force", 1)
+		s.waitForLog(g.Process, "routing: plan in force", 1)
 	}
 	s.startedAt = time.Now()
 	for _, zone := range s.Zones {
@@ -171,7 +171,7 @@
 		all = append(all, v.Process)
 	}
 	for _, p := range all {
-		for _, phrase := range []string{"panic", "DATA RACE", "makes no sense"} {
+		for _, phrase := range []string{"panic", "DATA RACE", "malformed plan"} {
 			if p.Log.Count(phrase) > 0 {
 				s.t.Errorf("%s has %q in its log:\n%s", p.Name, phrase, p.Log.String())
 			}
--- a/internal/testing/faultinjection/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -60,7 +60,7 @@
 	s.waitForFraction("hall-c", "hall-c", minLocalFraction, 1)
 	s.ClearFaults()
 	for _, g := range s.GatewaysIn("hall-b") {
-		s.waitForLog(g.Process, "a plan is in force", 2)
+		s.waitForLog(g.Process, "routing: plan in force", 2)
 		if n := g.Log.Count("its lease is over"); n != 1 {
 			t.Errorf("%s said %d times that its lease is over", g.Name, n)
 		}
