--- a/internal/settlement/account/accounts_test.go
+++ b/internal/settlement/account/accounts_test.go
@@ -81,18 +81,18 @@
 		{"answered in nobody's zone", nobodysZone, policy.Answered, 5, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a := newTestAccounts()
-			tracker := a.TrackRequest(0, policy.Request{Customer: 1, Plan: 1, Units: 2})
+			accounts := newTestAccounts()
+			tracker := accounts.TrackRequest(0, policy.Request{Customer: 1, Plan: 1, Units: 2})
 			tracker.OnAttemptStart(test.zone)
-			if got := debtOfA(a, "x"); got != 0 {
+			if got := debtOfA(accounts, "x"); got != 0 {
 				t.Errorf("%d owed before the attempt ended", got)
 			}
 			tracker.OnAttemptEnd(time.Second, test.outcome, test.billed)
 			sum := uint64(0)
-			for _, n := range debtCounts(a) {
+			for _, n := range debtCounts(accounts) {
 				sum += n
 			}
-			if got := debtOfA(a, "x"); got != test.want || sum != test.want {
+			if got := debtOfA(accounts, "x"); got != test.want || sum != test.want {
 				t.Errorf("%d owed, %d in all, want %d", got, sum, test.want)
 			}
 		})
@@ -110,9 +110,9 @@
 // A request is counted once, as its first attempt went; repeats and clients that disconnected tell nothing of how it was
 // served.
 func TestRequestTracker_countsServiceOncePerRequest(t *testing.T) {
-	a := newTestAccounts()
+	accounts := newTestAccounts()
 	begin := func(repeat bool) *RequestTracker {
-		tracker := a.TrackRequest(0, policy.Request{Customer: 1, Units: 2, Repeat: repeat})
+		tracker := accounts.TrackRequest(0, policy.Request{Customer: 1, Units: 2, Repeat: repeat})
 		tracker.OnAttemptStart(0)
 		return tracker
 	}
@@ -128,10 +128,10 @@
 	disconnected.OnAttemptEnd(0, policy.Reset, 0)
 
 	begin(true).OnAttemptEnd(100*time.Millisecond, policy.Answered, 3)
-	a.TrackRequest(0, policy.Request{Customer: 1, Units: 2}).OnRequestEnd(false) // never attempted
+	accounts.TrackRequest(0, policy.Request{Customer: 1, Units: 2}).OnRequestEnd(false) // never attempted
 
 	got := map[string]uint64{}
-	a.ReportMetrics(func(name string, n uint64) { got[name] = n })
+	accounts.ReportMetrics(func(name string, n uint64) { got[name] = n })
 	for metric, want := range map[settlement.Metric]uint64{
 		settlement.MetricRequests: 3, settlement.MetricLate: 2, settlement.MetricIdempotentUnits: 8000,
 		settlement.MetricIdempotentRequests: 4, settlement.MetricServedUnits: 9000,
@@ -145,13 +145,13 @@
 // Of a creditor's idempotent requests that are no repeats, the share prefers the debtor's servers while the lease holds.
 func TestAccounts_preferDebtorForStatedFraction(t *testing.T) {
 	now := time.Duration(0)
-	a := New(testTerms(), testSettings, "x", 1, func() time.Duration { return now })
+	accounts := New(testTerms(), testSettings, "x", 1, func() time.Duration { return now })
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	shares := []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 5}}
-	a.ApplyState(settlement.State{Shares: shares}, time.Second)
+	accounts.ApplyState(settlement.State{Shares: shares}, time.Second)
 	countPreferring := func(request policy.Request) (n int) {
 		for range 10_000 {
-			if a.TrackRequest(0, request).PreferredPartner() == 1 {
+			if accounts.TrackRequest(0, request).PreferredPartner() == 1 {
 				n++
 			}
 		}
@@ -161,7 +161,7 @@
 	if n := countPreferring(idempotent); math.Abs(float64(n)-2000) > 200 {
 		t.Errorf("%d of 10,000 prefer, want about 2,000", n)
 	}
-	owners, maxFraction := a.LendingZones()
+	owners, maxFraction := accounts.LendingZones()
 	if !slices.Equal(owners, []int{1, 0, 0}) || maxFraction != 0.2 {
 		t.Errorf("lending zones %v, %v", owners, maxFraction)
 	}
@@ -175,36 +175,36 @@
 		}
 	}
 	now = time.Second
-	if owners, _ := a.LendingZones(); countPreferring(idempotent) != 0 || owners != nil {
+	if owners, _ := accounts.LendingZones(); countPreferring(idempotent) != 0 || owners != nil {
 		t.Error("goes on after the lease's end")
 	}
 }
 
 // Shares are taken from the table while its lease holds and a controller writes it; what is forgiven is logged once.
 func TestAccounts_RunFollowsTable(t *testing.T) {
-	f := newFakeCoordination()
-	a := New(testTerms(), testSettings, "x", 1, f.Now)
+	client := newFakeCoordination()
+	accounts := New(testTerms(), testSettings, "x", 1, client.Now)
 	core, logs := observer.New(zapcore.InfoLevel)
 	updates := make(updateSignal, 10)
-	stop := runAccounts(t, a, f, updates, nil, zap.New(core))
+	stop := runAccounts(t, accounts, client, updates, nil, zap.New(core))
 	write := func(state settlement.State) {
 		t.Helper()
 		value, err := state.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.update(func() {
-			f.table = coordination.CachedTable{
-				Name: settlement.TableName, Epoch: f.table.Epoch + 1, Value: value, LeaseEnd: time.Hour,
+		client.update(func() {
+			client.table = coordination.CachedTable{
+				Name: settlement.TableName, Epoch: client.table.Epoch + 1, Value: value, LeaseEnd: time.Hour,
 			}
 		})
 	}
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	write(settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: 500}}})
 	<-updates
-	f.update(func() { f.now = settlement.StaleAfter }) // nobody has written it again
+	client.update(func() { client.now = settlement.StaleAfter }) // nobody has written it again
 	<-updates
-	if owners, _ := a.LendingZones(); owners != nil {
+	if owners, _ := accounts.LendingZones(); owners != nil {
 		t.Error("follows a table that no controller writes")
 	}
 	left := settlement.Amount{Pair: settlement.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}
--- a/internal/settlement/account/golden_test.go
+++ b/internal/settlement/account/golden_test.go
@@ -20,8 +20,8 @@
 func TestGolden_electiveDraws(t *testing.T) {
 	terms := testTerms()
 	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
-	a := New(terms, testSettings, "x", 42, clockAtZero)
-	a.ApplyState(settlement.State{Shares: []settlement.Share{
+	accounts := New(terms, testSettings, "x", 42, clockAtZero)
+	accounts.ApplyState(settlement.State{Shares: []settlement.Share{
 		{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion / 5},
 		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
 		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2},
@@ -33,7 +33,7 @@
 		if i%3 == 0 {
 			request.Customer = 1
 		}
-		prefer := a.TrackRequest(0, request).PreferredPartner()
+		prefer := accounts.TrackRequest(0, request).PreferredPartner()
 		drawn[prefer]++
 		all.Write(fmt.Appendln(nil, prefer))
 	}
@@ -80,12 +80,12 @@
 }
 
 func TestGolden_reportedCounts(t *testing.T) {
-	a := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
+	accounts := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	shares := []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion}}
-	a.ApplyState(settlement.State{Shares: shares}, time.Second)
+	accounts.ApplyState(settlement.State{Shares: shares}, time.Second)
 	for _, attempt := range goldenAttempts {
-		tracker := a.TrackRequest(0, attempt.request)
+		tracker := accounts.TrackRequest(0, attempt.request)
 		tracker.OnAttemptStart(attempt.zone)
 		tracker.OnAttemptEnd(attempt.elapsed, attempt.outcome, attempt.billed)
 		tracker.OnRequestEnd(false)
@@ -94,8 +94,8 @@
 		report func(add func(string, uint64))
 		want   []string
 	}{
-		"metrics": {a.ReportMetrics, goldenMetrics},
-		"debts":   {a.ReportDebts, goldenDebts},
+		"metrics": {accounts.ReportMetrics, goldenMetrics},
+		"debts":   {accounts.ReportDebts, goldenDebts},
 	} {
 		counts := map[string]uint64{}
 		test.report(func(name string, n uint64) { counts[name] = n })
--- a/internal/settlement/account/store_test.go
+++ b/internal/settlement/account/store_test.go
@@ -14,33 +14,33 @@
 // another ledger.
 func TestAccounts_countsSurviveRestartAndStoreFailure(t *testing.T) {
 	store := &memoryStore{ledgerID: "first"}
-	start := func() (a *Accounts, stop func()) {
-		f := newFakeCoordination()
-		a = New(testTerms(), testSettings, "fresh", 1, f.Now)
-		a.Restore(store)
-		return a, runAccounts(t, a, f, make(updateSignal, 10), store, zap.NewNop())
+	start := func() (accounts *Accounts, stop func()) {
+		client := newFakeCoordination()
+		accounts = New(testTerms(), testSettings, "fresh", 1, client.Now)
+		accounts.Restore(store)
+		return accounts, runAccounts(t, accounts, client, make(updateSignal, 10), store, zap.NewNop())
 	}
-	attempt := func(a *Accounts) *RequestTracker {
-		tracker := a.TrackRequest(0, policy.Request{Customer: 1, Units: 2})
+	attempt := func(accounts *Accounts) *RequestTracker {
+		tracker := accounts.TrackRequest(0, policy.Request{Customer: 1, Units: 2})
 		tracker.OnAttemptStart(1)
 		return tracker
 	}
 
-	a, stop := start()
-	attempt(a).OnAttemptEnd(0, policy.Answered, 7)
-	attempt(a) // in flight as the process dies
-	fakes.Eventually(t, "the debt reported", func() bool { return debtOfA(a, "first") == 7000 })
+	accounts, stop := start()
+	attempt(accounts).OnAttemptEnd(0, policy.Answered, 7)
+	attempt(accounts) // in flight as the process dies
+	fakes.Eventually(t, "the debt reported", func() bool { return debtOfA(accounts, "first") == 7000 })
 	stop()
 
-	a, stop = start()
-	fakes.Eventually(t, "the estimate owed", func() bool { return debtOfA(a, "first") == 9000 })
+	accounts, stop = start()
+	fakes.Eventually(t, "the estimate owed", func() bool { return debtOfA(accounts, "first") == 9000 })
 	store.fail()
-	attempt(a).OnAttemptEnd(0, policy.Answered, 3)
+	attempt(accounts).OnAttemptEnd(0, policy.Answered, 3)
 	fakes.Eventually(t, "another ledger", func() bool {
-		return debtOfA(a, "fresh+") == 3000 && debtOfA(a, "first") == 9000
+		return debtOfA(accounts, "fresh+") == 3000 && debtOfA(accounts, "first") == 9000
 	})
-	attempt(a).OnAttemptEnd(0, policy.Answered, 1)
-	if got := debtOfA(a, "fresh+"); got != 4000 {
+	attempt(accounts).OnAttemptEnd(0, policy.Answered, 1)
+	if got := debtOfA(accounts, "fresh+"); got != 4000 {
 		t.Errorf("%d reported in the other ledger, want 4000", got)
 	}
 	stop()
--- a/internal/settlement/account/tracker.go
+++ b/internal/settlement/account/tracker.go
@@ -87,9 +87,8 @@
 	if t == nil {
 		return
 	}
-	a := t.accounts
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	t.accounts.mu.Lock()
+	defer t.accounts.mu.Unlock()
 	t.zone = zone
 	owner := t.partners.ZoneOwner(zone)
 	if t.isElectable && !t.isAttempted {
@@ -99,9 +98,9 @@
 	if owner == 0 || owner == t.partner {
 		return
 	}
-	t.charged = a.balanceOf(settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]})
+	t.charged = t.accounts.balanceOf(settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]})
 	t.charged.inFlight += t.estimate
-	a.signalChange()
+	t.accounts.signalChange()
 }
 
 func (t *RequestTracker) countFirstAttempt(owner int) {
@@ -122,9 +121,8 @@
 	if t == nil {
 		return
 	}
-	a := t.accounts
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	t.accounts.mu.Lock()
+	defer t.accounts.mu.Unlock()
 	debt := t.estimate
 	switch outcome {
 	case policy.Answered:
@@ -140,7 +138,7 @@
 		t.charged.debt += debt
 		t.charged.inFlight -= t.estimate
 		t.charged = nil
-		a.signalChange()
+		t.accounts.signalChange()
 	}
 }
 
--- a/internal/settlement/fairness_test.go
+++ b/internal/settlement/fairness_test.go
@@ -17,23 +17,23 @@
 			flows[i] = Flow{rapid.Float64Range(0, 100).Draw(t, "demand"), rapid.Float64Range(0.01, 100).Draw(t, "weight")}
 		}
 		limits := make([]Limit, rapid.IntRange(0, 5).Draw(t, "limits"))
-		for k := range limits {
-			limits[k] = Limit{rapid.Float64Range(0, 200).Draw(t, "capacity"), make([]float64, n)}
+		for limitIndex := range limits {
+			limits[limitIndex] = Limit{rapid.Float64Range(0, 200).Draw(t, "capacity"), make([]float64, n)}
 			for i := range n {
-				limits[k].UsePerFlow[i] = rapid.SampledFrom([]float64{0, 0, 1, 0.5, 3}).Draw(t, "use per flow")
+				limits[limitIndex].UsePerFlow[i] = rapid.SampledFrom([]float64{0, 0, 1, 0.5, 3}).Draw(t, "use per flow")
 			}
 		}
 		rates := MaxMinFair(flows, limits)
 		full := make([]bool, len(limits))
-		for k, limit := range limits {
+		for limitIndex, limit := range limits {
 			used := 0.0
 			for i := range n {
 				used += limit.UsePerFlow[i] * rates[i]
 			}
 			if used > limit.Capacity*(1+tolerance)+tolerance {
-				t.Fatalf("limit %d: %v used of %v", k, used, limit.Capacity)
+				t.Fatalf("limit %d: %v used of %v", limitIndex, used, limit.Capacity)
 			}
-			full[k] = used >= limit.Capacity*(1-tolerance)-tolerance
+			full[limitIndex] = used >= limit.Capacity*(1-tolerance)-tolerance
 		}
 		for i, flow := range flows {
 			if rates[i] < 0 || rates[i] > flow.Demand*(1+tolerance) {
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -67,13 +67,13 @@
 	use(dispatcher)
 	report := <-client.registered
 	fakes.Eventually(t, "the debt reported", func() bool {
-		owed := uint64(0)
+		sum := uint64(0)
 		report(func(name string, n uint64) {
 			if strings.HasSuffix(name, "\x1fa\x1fb") {
-				owed += n
+				sum += n
 			}
 		})
-		return owed == 3500
+		return sum == 3500
 	})
 	cancel()
 	<-ended
--- a/internal/settlement/simulation/scenario.go
+++ b/internal/settlement/simulation/scenario.go
@@ -6,59 +6,54 @@
 	"harrierhoist/internal/settlement"
 )
 
-// Scenario says what is played. Partners bring a hall each.
+// PlantedBug is a fault in the simulated coordination that a run must find.
+type PlantedBug string
+
+// The planted bugs.
+const (
+	NoPlantedBug           PlantedBug = ""
+	DebtLostWithLeader     PlantedBug = "debt lost with a leader"   // debts are read from the leader's memory
+	SettlementAppliedTwice PlantedBug = "settlement applied twice"  // what shares moved is forgiven too
+	LateDigestCountedTwice PlantedBug = "late digest counted twice" // each digest adds to what came before
+)
+
+// Scenario is what is simulated. Each partner has one zone.
 type Scenario struct {
 	Seed               uint64
 	Terms              settlement.Terms
 	Partners           int
-	GatewaysPerZone    int           // in each hall
-	RequestRate        float64       // tasks a second of each partner
-	IdempotentFraction float64       // part of them that are pure
-	ServersPerZone     int           // in each hall; each does one task at a time
-	FirstZoneServers   int           // servers in the first hall, if others than in the rest
-	BeforeOutage       time.Duration // before the first partner's hall is lost
-	Outage             time.Duration // how long it is lost
-	AfterOutage        time.Duration
-	IgnoreQueues       bool // gateways don't see the queues that they push to to settle
-	WithController     bool // false: the same without a decider
-
-	MessageFaults  bool          // digests go wrong, leaders change
-	GatewayCrashes bool          // gateways die
-	WithStores     bool          // gateways keep their counts
-	PlantedBug     string        // name of a planted bug; empty: none
-	SlowFrom       time.Duration // from when the halls of the second partner are slow for a while; 0: never
+	GatewaysPerZone    int
+	RequestRate        float64 // requests per second of each partner
+	IdempotentFraction float64 // of the requests
+	ServersPerZone     int     // each works on one request at a time
+	FirstZoneServers   int     // in the first zone; 0: as many as in the others
+
+	BeforeOutage time.Duration // the first partner's zone is lost after it
+	Outage       time.Duration
+	AfterOutage  time.Duration
+
+	IgnoreQueues   bool // gateways make elective attempts whatever the queue at the servers
+	WithController bool // false: nothing is settled
+	MessageFaults  bool // digests are lost, duplicated and late, and leaders change
+	GatewayCrashes bool
+	WithStores     bool // gateways store their ledgers
+	PlantedBug     PlantedBug
+	SlowFrom       time.Duration // when the second partner's servers become slow for 20 s; 0: never
 }
 
-// Result is what came of it.
-type Result struct {
-	PeakDebt          uint64        // largest sum of net debts, in thousandths
-	SettledAfter      time.Duration // from the end of the outage until 5 % of the peak is left; below 0: never
-	OnTime            []float64     // by partner, of first tries after the outage
-	FinalDebt         uint64        // sum of net debts at the end
-	Moved             int           // pushes made to settle
-	MaxMovedPerSecond int           // in any second
-	Lost              uint64        // units that the log never heard of, in thousandths
-	Violations        []string      // what no run may show
-}
+// end returns when the last request comes in.
+func (s *Scenario) end() time.Duration { return s.outageEnd() + s.AfterOutage }
 
-// event is what happens at a time.
-type event struct {
-	at       time.Duration
-	sequence int // the order of those at one time
-	run      func()
-}
-
-type eventQueue []event
+func (s *Scenario) outageEnd() time.Duration { return s.BeforeOutage + s.Outage }
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].sequence < a[k].sequence
-}
-func (a eventQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	old := *a
-	e := old[len(old)-1]
-	*a = old[:len(old)-1]
-	return e
+// Result is what a run came to. Debts are in thousandths of units.
+type Result struct {
+	PeakDebt          uint64        // the largest sum of net debts
+	FinalDebt         uint64        // the sum of net debts at the end
+	SettledAfter      time.Duration // from the end of the outage until 5 % of the peak is left; negative: never
+	OnTime            []float64     // by partner, the fraction of first attempts after the outage
+	Moved             int           // elective attempts at a debtor's servers
+	MaxMovedPerSecond int
+	Lost              uint64   // debts that never came to the log
+	Violations        []string // what no run may show
 }
