--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -18,7 +18,7 @@
 	return &Gateway{
 		Name: "n3", Listen: "127.0.0.1:4001", Discovery: "127.0.0.1:4002", Counter: "127.0.0.1:4003",
 		Seed: -245, Cores: 2.5, MemoryMB: 192, Sockets: 1024,
-		Zones: []string{"hall-a", "hall-b", "hall-c"}, Kinds: []string{"m1", "m2"},
+		Zones: []string{"hall-a", "hall-b", "hall-c"}, Hardware: []string{"m1", "m2"},
 		ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second,
 		KnownEndpoints: json.RawMessage(`{"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": "10.1.0.18:6379"}]}`),
 		Settings: policy.Settings{
@@ -28,20 +28,30 @@
 			MaxAttempts: 6, ArrivalSlack: 8 * time.Millisecond, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second,
 			OverloadFactor: 2.25, OverloadSpan: 1500 * time.Millisecond, LoadReportFields: []string{"cpu", "queue"}, MailboxRate: 900,
 			Classes: []policy.TrafficClass{
-				{Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1, Effect: policy.Idempotent,
-					Stream: true},
-				{Name: "hold", LatencyObjective: 400125 * time.Microsecond, Timeout: 1500 * time.Millisecond, Weight: 3, LateFraction: 0.5,
-					Effect: policy.Keyed, Group: policy.GroupZone, DedupWindow: time.Second},
-				{Name: "keep", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
-					Group: policy.GroupRack},
-				{Name: "note", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
-					Group: policy.GroupAll},
+				{
+					Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1,
+					Effect: policy.Idempotent, Stream: true,
+				},
+				{
+					Name: "hold", LatencyObjective: 400125 * time.Microsecond, Timeout: 1500 * time.Millisecond, Weight: 3, LateFraction: 0.5,
+					Effect: policy.Keyed, Group: policy.GroupZone, DedupWindow: time.Second,
+				},
+				{
+					Name: "keep", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
+					Group: policy.GroupRack,
+				},
+				{
+					Name: "note", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, Effect: policy.Keyed,
+					Group: policy.GroupAll,
+				},
 				{Name: "pay", LatencyObjective: time.Microsecond, Timeout: 1000000 * time.Second, Effect: policy.NonIdempotent},
 				{LatencyObjective: time.Millisecond, Timeout: 2 * time.Millisecond, Effect: policy.Idempotent},
 			},
 			Plans: []policy.Plan{
-				{Name: "start", Rate: 2.2, Burst: 12, MaxInFlight: 4, CeilingRate: 3.5, CeilingBurst: 20, CeilingSlack: 0.1, Price: 1.25,
-					OverQuotaWeight: 0.4, OverQuotaCost: 7},
+				{
+					Name: "start", Rate: 2.2, Burst: 12, MaxInFlight: 4, CeilingRate: 3.5, CeilingBurst: 20, CeilingSlack: 0.1, Price: 1.25,
+					OverQuotaWeight: 0.4, OverQuotaCost: 7,
+				},
 				{Name: "open"},
 			},
 		},
@@ -57,7 +67,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	// No field is left out of the comparison: each has a value other than its zero value (Closed has no key).
+	// No field is left out of the comparison: each has a value other than its zero value (Retired has no key, and only another class is a stream).
 	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
@@ -76,15 +86,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rows [][2]string
+	var edits [][2]string
 	for line := range strings.Lines(string(text)) {
 		edit, refusal, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if !ok {
 			t.Fatalf("no tab in %q", line)
 		}
-		rows = append(rows, [2]string{edit, refusal})
+		edits = append(edits, [2]string{edit, refusal})
 	}
-	return rows
+	return edits
 }
 
 // edited is full.json after some edits.
@@ -102,28 +112,28 @@
 		path, value, set := strings.Cut(edit, "=")
 		path = strings.TrimPrefix(path, "-")
 		keys := strings.Split(path, ".")
-		at := root
+		parent := root
 		for _, key := range keys[:len(keys)-1] {
-			if list, ok := at.([]any); ok {
-				place, err := strconv.Atoi(key)
+			if list, ok := parent.([]any); ok {
+				index, err := strconv.Atoi(key)
 				if err != nil {
 					t.Fatalf("%s: %v", edit, err)
 				}
-				at = list[place]
+				parent = list[index]
 			} else {
-				at = at.(map[string]any)[key]
+				parent = parent.(map[string]any)[key]
 			}
 		}
 		last := keys[len(keys)-1]
 		if !set {
-			delete(at.(map[string]any), last)
+			delete(parent.(map[string]any), last)
 			continue
 		}
 		var inner any
 		if err := json.Unmarshal([]byte(value), &inner); err != nil {
 			t.Fatalf("%s: %v", edit, err)
 		}
-		at.(map[string]any)[last] = inner
+		parent.(map[string]any)[last] = inner
 	}
 	if text, err = json.Marshal(root); err != nil {
 		t.Fatal(err)
@@ -133,8 +143,8 @@
 
 func TestGolden_everyRefusalOfABadFileIsWordedAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway.json")
-	for _, row := range refusals(t) {
-		edits, want := row[0], row[1]
+	for _, refusal := range refusals(t) {
+		edits, want := refusal[0], refusal[1]
 		t.Run(edits, func(t *testing.T) {
 			if err := os.WriteFile(path, edited(t, edits), 0o600); err != nil {
 				t.Fatal(err)
@@ -195,8 +205,10 @@
 // Keys that nobody asks for are no fault.
 func TestGolden_unknownKeysAreNotRefused(t *testing.T) {
 	want := fullConfiguration().Settings
-	for _, edits := range []string{"more=7", `settings.More={"Deep":[{"a":1}]}`, "settings.SomethingNew=null",
-		"-settings.SomethingNew"} {
+	for _, edits := range []string{
+		"more=7", `settings.More={"Deep":[{"a":1}]}`, "settings.SomethingNew=null",
+		"-settings.SomethingNew",
+	} {
 		got, err := parse(edited(t, edits))
 		if err != nil {
 			t.Errorf("%s: %v", edits, err)
--- a/internal/testing/faultinjection/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -60,7 +60,7 @@
 	s.waitForFraction("hall-c", "hall-c", minLocalFraction, 1)
 	s.ClearFaults()
 	for _, g := range s.GatewaysIn("hall-b") {
-		s.waitForLog(g.Process, "a plan is in force", 2)
+		s.waitForLog(g.Process, "routing: plan in force", 2)
 		if n := g.Log.Count("follower: lease expired"); n != 1 {
 			t.Errorf("%s logged %d times that its lease expired", g.Name, n)
 		}
@@ -121,7 +121,7 @@
 	isolated := s.Gateways[0]
 	epoch := s.Read("failover").Epoch
 	s.hideZone(isolated, "hall-a")
-	s.waitForLog(isolated.Process, "a server is set aside", 4)
+	s.waitForLog(isolated.Process, "policy: server ejected", 4)
 	from := time.Now()
 	fakes.Eventually(t, "three seconds and more tasks", func() bool {
 		return time.Since(from) > 3*time.Second && s.Recorder.AttemptsByRoute(from)[[2]string{"hall-a", "hall-a"}] > minSample
