--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Comparison is what two sets of results say of one figure: the mean difference, B less A, over plays of the same world,
-// size and seed, with a 95% interval.
+// Comparison is what two sets of results, A and B, say of one metric: the mean difference over runs of the same scenario,
+// size and seed, with a 95% confidence interval.
 type Comparison struct {
 	Scenario     string
 	Gateways     int
 	Metric       string
 	Pairs        int
-	MeanA, MeanB float64 // means
-	Diff         float64
-	Low, High    float64
+	MeanA, MeanB float64
+	Diff         float64 // B less A
+	Low, High    float64 // bounds of the interval
 }
 
-// IsNoise tells that the interval holds nought: nothing is shown.
-func (p Comparison) IsNoise() bool { return p.Pairs < 2 || p.Low <= 0 && p.High >= 0 }
+// IsNoise tells that the interval holds 0: nothing is shown.
+func (c Comparison) IsNoise() bool { return c.Pairs < 2 || c.Low <= 0 && c.High >= 0 }
 
 // Metrics are what is compared, in the order of tables.
 var Metrics = []struct {
@@ -36,53 +36,65 @@
 	{"broken", func(result *Result) float64 { return float64(result.Violations) }},
 }
 
-// resamples of the bootstrap.
-const resamples = 4000
+// size is a scenario at a number of gateways.
+type size struct {
+	scenario string
+	gateways int
+}
 
-// Compare pairs results by world, size and seed.
+// pair is two results of the same scenario, size and seed.
+type pair struct{ a, b *Result }
+
+// Compare pairs results by scenario, size and seed, and compares all metrics.
 func Compare(a, b []*Result) []Comparison {
+	pairs, order := pairUp(a, b)
+	var comparisons []Comparison
+	for _, size := range order {
+		for _, metric := range Metrics {
+			comparison := Comparison{Scenario: size.scenario, Gateways: size.gateways, Metric: metric.Name, Pairs: len(pairs[size])}
+			diffs := make([]float64, 0, comparison.Pairs)
+			for _, pair := range pairs[size] {
+				comparison.MeanA += metric.Of(pair.a) / float64(comparison.Pairs)
+				comparison.MeanB += metric.Of(pair.b) / float64(comparison.Pairs)
+				diffs = append(diffs, metric.Of(pair.b)-metric.Of(pair.a))
+			}
+			comparison.Diff = comparison.MeanB - comparison.MeanA
+			comparison.Low, comparison.High = ConfidenceInterval(diffs)
+			comparisons = append(comparisons, comparison)
+		}
+	}
+	return comparisons
+}
+
+// pairUp gives the pairs by scenario and size, and these in the order in which they first come in b.
+func pairUp(a, b []*Result) (pairs map[size][]pair, order []size) {
 	type key struct {
-		world    string
-		gateways int
-		seed     uint64
+		size
+		seed uint64
 	}
-	first := map[key]*Result{}
+	keyOf := func(result *Result) key { return key{size{result.Scenario, result.Gateways}, result.Seed} }
+	inA := map[key]*Result{}
 	for _, result := range a {
-		first[key{result.Scenario, result.Gateways, result.Seed}] = result
-	}
-	type group struct {
-		world    string
-		gateways int
+		inA[keyOf(result)] = result
 	}
-	pairs := map[group][][2]*Result{}
-	var order []group
+	pairs = map[size][]pair{}
 	for _, result := range b {
-		g := group{result.Scenario, result.Gateways}
-		if m := first[key{result.Scenario, result.Gateways, result.Seed}]; m != nil {
-			if pairs[g] == nil {
-				order = append(order, g)
-			}
-			pairs[g] = append(pairs[g], [2]*Result{m, result})
+		key := keyOf(result)
+		other := inA[key]
+		if other == nil {
+			continue
 		}
-	}
-	var all []Comparison
-	for _, g := range order {
-		for _, f := range Metrics {
-			p := Comparison{Scenario: g.world, Gateways: g.gateways, Metric: f.Name, Pairs: len(pairs[g])}
-			diffs := make([]float64, 0, p.Pairs)
-			for _, m := range pairs[g] {
-				p.MeanA += f.Of(m[0]) / float64(p.Pairs)
-				p.MeanB += f.Of(m[1]) / float64(p.Pairs)
-				diffs = append(diffs, f.Of(m[1])-f.Of(m[0]))
-			}
-			p.Diff = p.MeanB - p.MeanA
-			p.Low, p.High = ConfidenceInterval(diffs)
-			all = append(all, p)
+		if pairs[key.size] == nil {
+			order = append(order, key.size)
 		}
+		pairs[key.size] = append(pairs[key.size], pair{other, result})
 	}
-	return all
+	return pairs, order
 }
 
+// resamples is how often the bootstrap draws values anew.
+const resamples = 4000
+
 // ConfidenceInterval is the 95% interval of a mean, by bootstrap with a fixed seed: the same values give the same interval.
 func ConfidenceInterval(values []float64) (low, high float64) {
 	n := len(values)
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -7,7 +7,10 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// mildFaults are the troubles that a day without a lost hall may have, and the largest part that each strikes.
+// faultStream is the random stream that faults are drawn from.
+const faultStream = 77
+
+// mildFaults are the faults that a day without a lost zone may have, and the largest part that each affects and its size.
 var mildFaults = []struct {
 	kind       string
 	part, size float64
@@ -29,35 +32,38 @@
 	{"leader_lost", 0, 0},
 }
 
-// DrawMildFaults draws so many mild troubles for a world: the same seed gives the same day at any size.
-func DrawMildFaults(base *scenario.World, seed uint64, n int) []scenario.Trouble {
-	random := rand.New(rand.NewPCG(seed, 77))
-	length := base.Length.D()
-	var all []scenario.Trouble
+// DrawMildFaults draws so many mild faults for a scenario: the same seed gives the same faults at any size.
+func DrawMildFaults(world *scenario.World, seed uint64, n int) []scenario.Trouble {
+	random := rand.New(rand.NewPCG(seed, faultStream))
+	length := float64(world.Length.D())
+	var faults []scenario.Trouble
 	for range n {
-		m := mildFaults[random.IntN(len(mildFaults))]
-		at, long, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
-		t := scenario.Trouble{Kind: m.kind, At: scenario.Span(float64(length) * (0.1 + 0.6*at)),
-			For:  scenario.Span(float64(length) * (0.05 + 0.25*long)),
-			Part: m.part * part, Size: m.size * size}
-		if m.size > 1 {
-			t.Size = max(t.Size, 1)
+		mild := mildFaults[random.IntN(len(mildFaults))]
+		at, span, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
+		fault := scenario.Trouble{
+			Kind: mild.kind,
+			At:   scenario.Span(length * (0.1 + 0.6*at)),
+			For:  scenario.Span(length * (0.05 + 0.25*span)),
+			Part: mild.part * part, Size: mild.size * size,
+		}
+		if mild.size > 1 {
+			fault.Size = max(fault.Size, 1)
 		}
-		all = append(all, t)
+		faults = append(faults, fault)
 	}
-	return all
+	return faults
 }
 
-// apply makes the world of a story.
+// apply makes the scenario with the profile's faults.
 func (p *FaultProfile) apply(base *scenario.World, seed uint64) *scenario.World {
-	c := *base
-	c.Name += ": " + p.Name
+	world := *base
+	world.Name += ": " + p.Name
 	if p.Load > 0 {
-		c.Load.Rate *= p.Load
+		world.Load.Rate *= p.Load
 	}
 	if p.Length > 0 {
-		c.Length = p.Length
+		world.Length = p.Length
 	}
-	c.Troubles = append(slices.Clone(p.Faults), DrawMildFaults(&c, seed, p.DrawnFaults)...)
-	return &c
+	world.Troubles = append(slices.Clone(p.Faults), DrawMildFaults(&world, seed, p.DrawnFaults)...)
+	return &world
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -28,16 +28,20 @@
 // TestResult_encodingIsStable holds the kept form of results: files of earlier runs are read and compared.
 func TestResult_encodingIsStable(t *testing.T) {
 	second := scenario.Span(time.Second)
-	line := Result{Plan: "p", Scenario: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Revision: "b", Service: 0.25, Net: 0.5,
-		OverQuota: 0.75, Rejected: 1, Failed: 2, FailedBetween: 3, FailedTerminated: 4, FailedWithGateway: 5, FailedInFlight: 6, CrossZone: 7, CrossRegion: 8, Plans: 9, WrongPlans: 10,
-		FailoverMs: []int{11}, VoterMessages: simulation.Messages{Digests: 12, Merged: 13, Reads: 14},
-		LeaderMessages: simulation.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
-		Handshakes: 23, LoadDeviation: 24, P50: []float64{25}, P99: []float64{26}, P999: []float64{27}, Classes: []string{"l"}, Violations: 28,
-		FirstViolation: "f", WallSeconds: 29,
+	result := Result{
+		Plan: "p", Scenario: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Revision: "b", Service: 0.25, Net: 0.5,
+		OverQuota: 0.75, Rejected: 1, Failed: 2, FailedBetween: 3, FailedTerminated: 4, FailedWithGateway: 5, FailedInFlight: 6,
+		CrossZone: 7, CrossRegion: 8, Plans: 9, WrongPlans: 10, FailoverMs: []int{11},
+		VoterMessages:  simulation.Messages{Digests: 12, Merged: 13, Reads: 14},
+		LeaderMessages: simulation.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19,
+		PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22, Handshakes: 23, LoadDeviation: 24, P50: []float64{25},
+		P99: []float64{26}, P999: []float64{27}, Classes: []string{"l"}, Violations: 28, FirstViolation: "f", WallSeconds: 29,
 		Timeline: []simulation.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
-		Faults: []scenario.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
-			Plan: "p"}}}
-	got, err := json.Marshal(line)
+		Faults: []scenario.Trouble{{
+			Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l", Plan: "p",
+		}},
+	}
+	got, err := json.Marshal(result)
 	if d := cmp.Diff(goldenResult, string(got)); d != "" || err != nil {
 		t.Errorf("%v %s", err, d)
 	}
@@ -51,8 +55,8 @@
 	if err := json.Unmarshal([]byte(goldenResult), &read); err != nil {
 		t.Fatal(err)
 	}
-	read.WallSeconds = line.WallSeconds
-	if d := cmp.Diff(line, read); d != "" {
+	read.WallSeconds = result.WallSeconds
+	if d := cmp.Diff(result, read); d != "" {
 		t.Error(d)
 	}
 }
@@ -64,7 +68,7 @@
 	`ged":0,"Reads":0},"led":{"Digests":0,"Merged":0,"Reads":0},"length_s":0,"hottest":0,"warmest":0,"tries":0,"calls":0,"han` +
 	`dshakes":0,"uneven":0,"p50_ms":null,"p99_ms":null,"p999_ms":null,"lanes":null,"broken":0,"seconds":null}`
 
-// goldenDraws is the hash of drawn days, intervals and comparisons.
+// goldenDraws is the hash of drawn faults, intervals and comparisons.
 const goldenDraws = "015a02f0b27bd180587aec2beeb118a7bbd3c040e5e2fd36dc737a579d880c01"
 
 // TestDraws_areStable holds the order of random draws and the figures that follow from them.
@@ -76,11 +80,11 @@
 			t.Fatal(err)
 		}
 		for seed := range uint64(20) {
-			day, err := json.Marshal(DrawMildFaults(base, seed, 5))
+			faults, err := json.Marshal(DrawMildFaults(base, seed, 5))
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(sum, "%s\n", day)
+			sum.Write(append(faults, '\n'))
 		}
 	}
 	random := rand.New(rand.NewPCG(2026, 43))
@@ -93,9 +97,10 @@
 			b = append(b, &Result{Scenario: "w", Seed: seed, Service: random.Float64(), Net: random.Float64(), Violations: 1})
 		}
 		low, high := ConfidenceInterval(values)
-		fmt.Fprintln(sum, low, high)
-		for _, p := range Compare(a, b) {
-			fmt.Fprintln(sum, p.Scenario, p.Gateways, p.Metric, p.Pairs, p.MeanA, p.MeanB, p.Diff, p.Low, p.High, p.IsNoise())
+		sum.Write(fmt.Appendln(nil, low, high))
+		for _, c := range Compare(a, b) {
+			sum.Write(fmt.Appendln(nil, c.Scenario, c.Gateways, c.Metric, c.Pairs, c.MeanA, c.MeanB, c.Diff, c.Low, c.High,
+				c.IsNoise()))
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != goldenDraws {
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,112 +14,132 @@
 	"harrierhoist/internal/lab/simulation"
 )
 
-// Result is one result, as it is kept.
+// Result is one result, as it is kept: the keys are those of files of earlier runs.
 type Result struct {
-	Plan                  string              `json:"plan,omitempty"`
-	Scenario              string              `json:"world"`
-	Gateways              int                 `json:"gateways"`
-	Servers               int                 `json:"servers"`
-	Variant               string              `json:"variant"`
-	Seed                  uint64              `json:"seed"`
-	Revision              string              `json:"build"`
-	Service               float64             `json:"service"` // part of the due gain that was served in time
-	Net                   float64             `json:"net"`     // less what units beyond quotas cost
-	OverQuota             float64             `json:"beyond"`  // part of the units sent on that were beyond quotas
-	Rejected              float64             `json:"refused"` // part of the requests
-	Failed                float64             `json:"failed"`
-	FailedBetween         float64             `json:"failed_between"`    // time ran out after a rejected try
-	FailedTerminated      float64             `json:"failed_terminated"` // the last try was terminated
-	FailedWithGateway     float64             `json:"failed_died"`       // the last try ended with its gateway
-	FailedInFlight        float64             `json:"failed_out"`        // their time ran out while a try was out
-	CrossZone             float64             `json:"crossed"`           // part of the pushes that went to another hall
-	CrossRegion           float64             `json:"far"`               // to another region
-	Plans                 int                 `json:"plans,omitempty"`   // written
-	WrongPlans            int                 `json:"wrong,omitempty"`   // of them, that newly held to be lost what was not
-	FailoverMs            []int               `json:"plan_ms,omitempty"` // from the loss of a hall until a gateway pushed elsewhere
-	VoterMessages         simulation.Messages `json:"held"`              // what came to voters
-	LeaderMessages        simulation.Messages `json:"led"`               // to the one that led
-	LengthSeconds         float64             `json:"length_s"`          // of the world
-	PeakUtilisation       float64             `json:"hottest"`           // highest utilisation of a whole hall in a second
-	PeakUtilisationOver5s float64             `json:"warmest"`           // the same over five seconds
-	Tries                 float64             `json:"tries"`             // a request
-	CounterCalls          float64             `json:"calls"`             // to the counter, a request
-	Handshakes            float64             `json:"handshakes"`        // a push
-	LoadDeviation         float64             `json:"uneven"`            // load of servers: deviation over mean
-	P50                   []float64           `json:"p50_ms"`            // by lane
-	P99                   []float64           `json:"p99_ms"`
-	P999                  []float64           `json:"p999_ms"`
-	Classes               []string            `json:"lanes"`
-	Violations            int                 `json:"broken"` // rules, how often
-	FirstViolation        string              `json:"first_breach,omitempty"`
-	Timeline              []simulation.Second `json:"seconds"`
-	Faults                []scenario.Trouble  `json:"troubles,omitempty"`
-	WallSeconds           float64             `json:"-"` // seconds: not part of the result, which is the same every time
+	Plan     string `json:"plan,omitempty"`
+	Scenario string `json:"world"`
+	Gateways int    `json:"gateways"`
+	Servers  int    `json:"servers"`
+	Variant  string `json:"variant"`
+	Seed     uint64 `json:"seed"`
+	Revision string `json:"build"` // of the program
+
+	Service   float64 `json:"service"` // part of the due weight that was served in time
+	Net       float64 `json:"net"`     // less what units beyond quotas cost
+	OverQuota float64 `json:"beyond"`  // part of the forwarded units that were beyond quotas
+
+	// Parts of the requests.
+	Rejected          float64 `json:"refused"`
+	Failed            float64 `json:"failed"`
+	FailedBetween     float64 `json:"failed_between"`    // the deadline passed after a rejected try
+	FailedTerminated  float64 `json:"failed_terminated"` // the last try was terminated
+	FailedWithGateway float64 `json:"failed_died"`       // the last try ended with its gateway
+	FailedInFlight    float64 `json:"failed_out"`        // the deadline passed while a try was in flight
+
+	CrossZone   float64 `json:"crossed"`           // part of the attempts that went to another zone
+	CrossRegion float64 `json:"far"`               // and to another region
+	Plans       int     `json:"plans,omitempty"`   // failover plans written
+	WrongPlans  int     `json:"wrong,omitempty"`   // of these, those that newly held to be lost what was not
+	FailoverMs  []int   `json:"plan_ms,omitempty"` // from the loss of a zone until a gateway made attempts elsewhere
+
+	VoterMessages         simulation.Messages `json:"held"`       // what came to all voters
+	LeaderMessages        simulation.Messages `json:"led"`        // what came to the leader
+	LengthSeconds         float64             `json:"length_s"`   // of the scenario
+	PeakUtilisation       float64             `json:"hottest"`    // the highest of a whole zone in a second
+	PeakUtilisationOver5s float64             `json:"warmest"`    // the same over five seconds
+	Tries                 float64             `json:"tries"`      // by clients, a request
+	CounterCalls          float64             `json:"calls"`      // a request
+	Handshakes            float64             `json:"handshakes"` // an attempt
+	LoadDeviation         float64             `json:"uneven"`     // of servers: deviation over mean
+
+	// Answer times in milliseconds, by traffic class.
+	P50     []float64 `json:"p50_ms"`
+	P99     []float64 `json:"p99_ms"`
+	P999    []float64 `json:"p999_ms"`
+	Classes []string  `json:"lanes"`
+
+	Violations     int                 `json:"broken"` // of invariants, how often
+	FirstViolation string              `json:"first_breach,omitempty"`
+	Timeline       []simulation.Second `json:"seconds"`
+	Faults         []scenario.Trouble  `json:"troubles,omitempty"`
+	// WallSeconds is how long the simulation took. It isn't kept: a result is the same every time.
+	WallSeconds float64 `json:"-"`
 }
 
-// Revision names the program that made a result: the revision it was built from, if that is known.
+// Revision names the program that makes results: the revision that it was built from, if that is known.
 func Revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
 	revision, dirty := "unknown", ""
-	for _, s := range info.Settings {
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value[:min(len(s.Value), 12)]
-		case s.Key == "vcs.modified" && s.Value == "true":
+		case setting.Key == "vcs.revision":
+			revision = setting.Value[:min(len(setting.Value), 12)]
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			dirty = "+"
 		}
 	}
 	return revision + dirty
 }
 
-// RunScenario plays one world and gives its line.
-func RunScenario(base *scenario.World, policy string, seed uint64) (*Result, error) {
-	began := time.Now()
-	r, err := simulation.Play(base, seed, baseline.All[policy])
+// RunScenario simulates one scenario under a policy and gives its result.
+func RunScenario(world *scenario.World, policy string, seed uint64) (*Result, error) {
+	started := time.Now()
+	run, err := simulation.Play(world, seed, baseline.All[policy])
 	if err != nil {
 		return nil, err
 	}
-	r.Percentiles()
+	run.Percentiles()
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
-	result := &Result{Scenario: base.Name, Gateways: base.Gateways.Count, Servers: base.Servers.Count, Variant: policy, Seed: seed,
-		Revision: Revision(),
-		Service:  r.Service(), Net: r.Net(), OverQuota: r.Beyond / max(r.Units, 1e-9), Rejected: part(r.Refused, r.Offered),
-		Failed: part(r.Failed, r.Offered), FailedBetween: part(r.Ends.Between, r.Offered), FailedTerminated: part(r.Ends.Terminated,
-			r.Offered),
-		FailedWithGateway: part(r.Ends.Died, r.Offered), FailedInFlight: part(r.Ends.Out, r.Offered), CrossZone: part(r.Crossed, r.Pushes),
-		CrossRegion: part(r.Far, r.Pushes), PeakUtilisation: r.Hottest, PeakUtilisationOver5s: r.Warmest, Plans: r.Plans, WrongPlans: r.Wrong,
-		FailoverMs: r.PlanMs, VoterMessages: r.Held, LeaderMessages: r.Led, LengthSeconds: base.Length.D().Seconds(), Tries: part(r.Tries, r.Offered),
-		CounterCalls: part(r.Calls, r.Offered),
-		Handshakes:   part(r.Handshakes, r.Pushes), LoadDeviation: r.Uneven, P50: r.P50, P99: r.P99, P999: r.P999, Classes: r.Lanes,
-		Timeline: r.Seconds, Faults: base.Troubles, WallSeconds: time.Since(began).Seconds()}
-	for _, n := range r.Broken {
+	result := &Result{
+		Scenario: world.Name, Gateways: world.Gateways.Count, Servers: world.Servers.Count, Variant: policy, Seed: seed,
+		Revision: Revision(), LengthSeconds: world.Length.D().Seconds(), Faults: world.Troubles,
+
+		Service: run.Service(), Net: run.Net(), OverQuota: run.Beyond / max(run.Units, 1e-9),
+		Rejected: part(run.Refused, run.Offered), Failed: part(run.Failed, run.Offered),
+		FailedBetween:     part(run.Ends.Between, run.Offered),
+		FailedTerminated:  part(run.Ends.Terminated, run.Offered),
+		FailedWithGateway: part(run.Ends.Died, run.Offered),
+		FailedInFlight:    part(run.Ends.Out, run.Offered),
+
+		CrossZone: part(run.Crossed, run.Pushes), CrossRegion: part(run.Far, run.Pushes),
+		Plans: run.Plans, WrongPlans: run.Wrong, FailoverMs: run.PlanMs, VoterMessages: run.Held, LeaderMessages: run.Led,
+		PeakUtilisation: run.Hottest, PeakUtilisationOver5s: run.Warmest, LoadDeviation: run.Uneven,
+		Tries: part(run.Tries, run.Offered), CounterCalls: part(run.Calls, run.Offered),
+		Handshakes: part(run.Handshakes, run.Pushes),
+
+		P50: run.P50, P99: run.P99, P999: run.P999, Classes: run.Lanes, Timeline: run.Seconds,
+		WallSeconds: time.Since(started).Seconds(),
+	}
+	for _, n := range run.Broken {
 		result.Violations += n
 	}
-	if len(r.Breaches) > 0 {
-		result.FirstViolation = r.Breaches[0].String()
+	if len(run.Breaches) > 0 {
+		result.FirstViolation = run.Breaches[0].String()
 	}
 	return result, nil
 }
 
-// ReadResults reads results.
+// ReadResults reads a file of results.
 func ReadResults(file string) ([]*Result, error) {
-	f, err := os.Open(file)
+	text, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	var all []*Result
-	dec := json.NewDecoder(f)
+	defer func() { _ = text.Close() }() // it was only read
+	var results []*Result
+	decoder := json.NewDecoder(text)
 	for {
 		result := &Result{}
-		if err := dec.Decode(result); err == io.EOF {
-			return all, nil
-		} else if err != nil {
-			return nil, fmt.Errorf("%s: result %d: %w", file, len(all)+1, err)
+		err := decoder.Decode(result)
+		if errors.Is(err, io.EOF) {
+			return results, nil
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: result %d: %w", file, len(results)+1, err)
 		}
-		all = append(all, result)
+		results = append(results, result)
 	}
 }
