--- a/internal/testing/fakes/counter.go
+++ b/internal/testing/fakes/counter.go
@@ -10,50 +10,62 @@
 	"testing"
 )
 
-// Counter adds. While it is held it takes calls and answers none; once let go it answers them all.
+// Counter is a fake counter: it adds up the units of each name. While held it takes calls and answers none; once
+// released it answers them all.
 type Counter struct {
-	Addr     string
+	Addr  string
+	Calls chan string // each call as it came
+
 	mu       sync.Mutex
 	totals   map[string]float64
-	Calls    chan string
 	observer atomic.Pointer[func(call string)]
 }
 
-// NewCounter starts a counter.
+// NewCounter starts a counter that ends with the test.
 func NewCounter(t testing.TB) *Counter {
+	t.Helper()
 	listener := Listen(t)
 	c := &Counter{Addr: listener.Addr().String(), totals: map[string]float64{}, Calls: make(chan string, 10000)}
-	serveConns(t, listener, func(conn net.Conn) {
-		lines := bufio.NewScanner(conn)
-		for lines.Scan() {
-			c.Calls <- lines.Text()
-			if seen := c.observer.Load(); seen != nil {
-				(*seen)(lines.Text())
-			}
-			var name string
-			var units float64
-			var incarnation int
-			_, err := fmt.Sscanf(lines.Text(), "incr %s %g %d", &name, &units, &incarnation)
-			c.mu.Lock()
-			if err != nil {
-				_, _ = io.WriteString(conn, "error\r\n")
-			} else {
-				c.totals[name] += units
-				_, _ = fmt.Fprintf(conn, "ok %g\r\n", c.totals[name])
-			}
-			c.mu.Unlock()
-		}
-	})
+	serveConns(t, listener, c.serve)
 	return c
 }
 
-// Observe has a function called with each call that comes from now on, before it is answered; it must not wait.
-func (c *Counter) Observe(seen func(call string)) { c.observer.Store(&seen) }
+func (c *Counter) serve(conn net.Conn) {
+	for lines := bufio.NewScanner(conn); lines.Scan(); {
+		c.Calls <- lines.Text()
+		if observe := c.observer.Load(); observe != nil {
+			(*observe)(lines.Text())
+		}
+		c.answer(conn, lines.Text())
+	}
+}
 
-// NextCall is the next call that came.
-func (c *Counter) NextCall(t testing.TB) string { return receive(t, c.Calls, "call") }
+// answer counts a call and answers it, unless the counter is held: then it waits.
+func (c *Counter) answer(conn net.Conn, call string) {
+	var name string
+	var units float64
+	var incarnation int
+	_, err := fmt.Sscanf(call, "incr %s %g %d", &name, &units, &incarnation)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	text := "error\r\n"
+	if err == nil {
+		c.totals[name] += units
+		text = fmt.Sprintf("ok %g\r\n", c.totals[name])
+	}
+	_, _ = io.WriteString(conn, text) // the caller may have gone; what it sent before counts all the same
+}
+
+// Observe has a function called with each later call, before it is answered. The function must not wait.
+func (c *Counter) Observe(observe func(call string)) { c.observer.Store(&observe) }
+
+// NextCall returns the next call that came, and waits for one.
+func (c *Counter) NextCall(t testing.TB) string {
+	t.Helper()
+	return receive(t, c.Calls, "call")
+}
 
-// Hold makes it silent until the function given back is called.
+// Hold makes the counter silent until the function returned is called.
 func (c *Counter) Hold() (release func()) {
 	c.mu.Lock()
 	return c.mu.Unlock
--- a/internal/testing/fakes/discovery.go
+++ b/internal/testing/fakes/discovery.go
@@ -13,62 +13,36 @@
 	"time"
 )
 
-// Discovery lists hosts, and tells changes to those that watch, as an agent does: a call without a version gets all
-// that it has, and a watch ends after its time with no entries.
+// Discovery is a fake agent of discovery. A call without a version gets the complete list; one with a version is a watch,
+// which gets the next version, or no entries once its time is over.
 type Discovery struct {
-	Addr     string
+	Addr    string
+	Queries chan string // of the calls that came, as many as fit
+
 	mu       sync.Mutex
-	versions []string // by version, from 1
-	hosts    []string // all of the latest version
-	changed  chan struct{}
-	failure  http.HandlerFunc
-	Queries  chan string
+	versions []string         // what each version published, the first at 0
+	hosts    []string         // all entries of the latest version
+	changed  chan struct{}    // closed with the next version
+	failure  http.HandlerFunc // answers in place of a list; nil: none
 }
 
-// FormatHost writes an entry of the list.
+// FormatHost returns an entry of a list in discovery's form.
 func FormatHost(name, dial, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-a","class":"m2","block":1,"health":%q,"share":1.0,`+
 		`"born_ms":0}`, name, dial, health)
 }
 
-// NewDiscovery starts one with a first list.
+// FormatList returns a list in discovery's form; full: a complete list, and no changes.
+func FormatList(seq int, full bool, hosts ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, full, strings.Join(hosts, ","))
+}
+
+// NewDiscovery starts an agent with a first list, which ends with the test.
 func NewDiscovery(t testing.TB, hosts ...string) *Discovery {
+	t.Helper()
 	d := &Discovery{changed: make(chan struct{}), Queries: make(chan string, 1000)}
 	d.Publish(true, hosts...)
-	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
-		select {
-		case d.Queries <- request.URL.RawQuery:
-		default: // nobody looks at them
-		}
-		since, err := strconv.Atoi(request.URL.Query().Get("since"))
-		wait, _ := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
-		end := time.After(time.Duration(wait) * time.Millisecond)
-		d.mu.Lock()
-		if failure := d.failure; failure != nil {
-			d.mu.Unlock()
-			failure(response, request)
-			return
-		}
-		for err == nil && since >= len(d.versions) {
-			changed := d.changed
-			d.mu.Unlock()
-			select {
-			case <-changed:
-			case <-end:
-				_, _ = io.WriteString(response, FormatList(since, false))
-				return
-			case <-request.Context().Done():
-				return
-			}
-			d.mu.Lock()
-		}
-		text := FormatList(len(d.versions), true, d.hosts...)
-		if err == nil {
-			text = d.versions[since]
-		}
-		d.mu.Unlock()
-		_, _ = io.WriteString(response, text)
-	}))
+	server := httptest.NewServer(d)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
@@ -77,7 +51,56 @@
 	return d
 }
 
-// Publish adds a version: the whole list, or what changed.
+// ServeHTTP answers a call.
+func (d *Discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	select {
+	case d.Queries <- request.URL.RawQuery:
+	default: // the test does not read them
+	}
+	d.mu.Lock()
+	failure := d.failure
+	d.mu.Unlock()
+	if failure != nil {
+		failure(response, request)
+		return
+	}
+	text, ok := d.answer(request)
+	if !ok {
+		return
+	}
+	_, _ = io.WriteString(response, text) // a caller that has gone is no fault of the test's
+}
+
+// answer returns the list for a call, or false where the caller has gone before there was one.
+func (d *Discovery) answer(request *http.Request) (text string, ok bool) {
+	query := request.URL.Query()
+	since, err := strconv.Atoi(query.Get("since"))
+	if err != nil { // no watch
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return FormatList(len(d.versions), true, d.hosts...), true
+	}
+	wait, _ := strconv.Atoi(query.Get("timeout_ms")) // none: the watch ends at once
+	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timer.Stop()
+	for {
+		d.mu.Lock()
+		versions, changed := d.versions, d.changed
+		d.mu.Unlock()
+		if since < len(versions) {
+			return versions[since], true
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			return FormatList(since, false), true
+		case <-request.Context().Done():
+			return "", false
+		}
+	}
+}
+
+// Publish adds a version: the complete list, or what changed.
 func (d *Discovery) Publish(full bool, hosts ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,25 +108,20 @@
 	if full {
 		d.hosts = nil
 	}
-	for _, h := range hosts {
-		name, _, _ := strings.Cut(h, ",")
+	for _, host := range hosts {
+		name, _, _ := strings.Cut(host, ",")
 		d.hosts = slices.DeleteFunc(d.hosts, func(old string) bool { return strings.HasPrefix(old, name+",") })
-		if !strings.Contains(h, `"health":"terminated"`) {
-			d.hosts = append(d.hosts, h)
+		if !strings.Contains(host, `"health":"terminated"`) {
+			d.hosts = append(d.hosts, host)
 		}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Fail has each call that comes from now on answered by a function; nil: by a list again.
+// Fail has a function answer each later call; nil: the lists again.
 func (d *Discovery) Fail(failure http.HandlerFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failure = failure
 }
-
-// FormatList writes a list in discovery's form.
-func FormatList(seq int, full bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, full, strings.Join(hosts, ","))
-}
--- a/internal/testing/fakes/fakes.go
+++ b/internal/testing/fakes/fakes.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins, for tests, of what a gateway talks with: servers, discovery and the
-// counter, each on a loopback address of its own.
+// Package fakes has, for tests, small fakes of what a gateway talks with: servers, discovery and the counter, each on a
+// loopback address of its own.
 package fakes
 
 import (
@@ -13,19 +13,20 @@
 
 var listenerCount atomic.Uint32
 
-// Listen gives a listener that ends with the test, on a loopback host of its own: on one that all share, what another test's
-// gateway still calls, or probes, would be a port that was given out again.
+// Listen returns a listener that is closed with the test, on a loopback host of its own: on a shared host its port might
+// be one that another test's gateway still calls or checks.
 func Listen(t testing.TB) net.Listener {
+	t.Helper()
 	pid, n := os.Getpid(), listenerCount.Add(1)
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8%250, pid%256, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() }) // a fake may have closed it
 	return listener
 }
 
-// ConnPair is a connection and the other end of it.
+// ConnPair returns both ends of a connection.
 func ConnPair(t testing.TB) (near, far net.Conn) {
 	t.Helper()
 	listener := Listen(t)
@@ -36,14 +37,15 @@
 	if near, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = far.Close(), near.Close() })
+	t.Cleanup(func() { _, _ = far.Close(), near.Close() }) // a test may have closed them
 	return near, far
 }
 
-// serveConns hands each connection to a goroutine until the test ends; then it closes the listener and them all, also one
-// that came in that moment.
+// serveConns hands each connection to a goroutine of its own until the test ends. Then it closes the listener and all
+// connections, one that was accepted at that moment among them.
 func serveConns(t testing.TB, listener net.Listener, serve func(net.Conn)) {
-	var all []net.Conn
+	t.Helper()
+	var conns []net.Conn
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -52,33 +54,33 @@
 			if err != nil {
 				return
 			}
-			all = append(all, conn)
+			conns = append(conns, conn)
 			go serve(conn)
 		}
 	}()
 	t.Cleanup(func() {
-		_ = listener.Close()
+		_ = listener.Close() // the goroutine ends with it
 		<-ended
-		for _, conn := range all {
-			_ = conn.Close()
+		for _, conn := range conns {
+			_ = conn.Close() // the other side may have closed it
 		}
 	})
 }
 
-// waitTimeout is far beyond what anything here takes: who waits so long has failed.
+// waitTimeout is far beyond what anything here takes: what takes longer has failed.
 const waitTimeout = 20 * time.Second
 
-// Eventually waits until something is seen.
-func Eventually(t testing.TB, what string, seen func() bool) {
+// Eventually waits until a condition holds.
+func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !seen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: not seen", what)
 		}
 	}
 }
 
-func receive[T any](t testing.TB, from chan T, what string) T {
+func receive[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
--- a/internal/testing/fakes/saturated.go
+++ b/internal/testing/fakes/saturated.go
@@ -9,21 +9,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// SaturatedServer is a server whose machine takes no connection more: those that dial it hang, and come up late or never.
+// SaturatedServer is a server whose backlog is full: connections to it are established late or never.
 type SaturatedServer struct {
-	Addr string
-	net.Listener
+	Addr     string
+	listener *net.TCPListener
 }
 
-// NewSaturatedServer starts one: its one place is taken before it accepts any.
+// NewSaturatedServer starts a server that ends with the test. One connection fills its backlog, and it accepts none.
 func NewSaturatedServer(t testing.TB) *SaturatedServer {
+	t.Helper()
+	listener := listenWithoutBacklog(t)
+	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // CollectBytes may have ended it
+	return &SaturatedServer{Addr: listener.Addr().String(), listener: listener}
+}
+
+// listenWithoutBacklog makes a listener that has one connection waiting at most.
+func listenWithoutBacklog(t testing.TB) *net.TCPListener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer file.Close()
+	defer func() { _ = file.Close() }() // the listener has a copy of the descriptor
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -34,29 +47,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() })
-	conn, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
+	return listener.(*net.TCPListener)
+}
+
+// Accept accepts the next connection, which makes room for another.
+func (s *SaturatedServer) Accept() (net.Conn, error) { return s.listener.Accept() }
+
+// Close ends the server.
+func (s *SaturatedServer) Close() error { return s.listener.Close() }
+
+// CollectBytes accepts connections, one after the other, until none comes within a time, and returns what they write.
+func (s *SaturatedServer) CollectBytes(t testing.TB, within time.Duration) (all string) {
+	t.Helper()
+	if err := s.listener.SetDeadline(time.Now().Add(within)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() })
-	return &SaturatedServer{Addr: listener.Addr().String(), Listener: listener}
+	for {
+		conn, err := s.Accept()
+		if err != nil {
+			return all
+		}
+		all += readAll(t, conn, within)
+	}
 }
 
-// CollectBytes makes room, and gives what all who come within a time write before they end; it ends them after it.
-func (f *SaturatedServer) CollectBytes(t testing.TB, within time.Duration) (all string) {
+// readAll reads what a connection writes within a time, and closes it.
+func readAll(t testing.TB, conn net.Conn, within time.Duration) (all string) {
 	t.Helper()
-	_ = f.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(within))
+	defer func() { _ = conn.Close() }() // its end is what the test waits for
+	if err := conn.SetReadDeadline(time.Now().Add(within)); err != nil {
+		t.Fatal(err)
+	}
+	buffer := make([]byte, 1<<10)
 	for {
-		conn, err := f.Accept()
+		n, err := conn.Read(buffer)
+		all += string(buffer[:n])
 		if err != nil {
 			return all
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(within))
-		part := make([]byte, 1<<10)
-		for n := 0; err == nil; all += string(part[:n]) {
-			n, err = conn.Read(part)
-		}
-		_ = conn.Close()
 	}
 }
--- a/internal/testing/fakes/scripted.go
+++ b/internal/testing/fakes/scripted.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ScriptedConn is a connection on which what the other side sent is there already; then it ends. What is written on it is
-// kept. It has no descriptor.
+// ScriptedConn is a connection that has already received all of its input; then it ends. It keeps what is written to it,
+// and has no descriptor.
 type ScriptedConn struct {
-	net.Conn // nil: nothing else is called
+	net.Conn // nil: no other method is called
 	Input    []byte
-	MaxRead  int // so many bytes at most come with one read; 0: all
+	MaxRead  int // bytes that one Read returns at most; 0: no limit
 	Output   bytes.Buffer
 }
 
-// Read gives what comes next.
+// Read returns the next part of the input.
 func (s *ScriptedConn) Read(p []byte) (int, error) {
 	if len(s.Input) == 0 {
 		return 0, io.EOF
@@ -30,7 +30,7 @@
 	return n, nil
 }
 
-// Write keeps.
+// Write appends to the output.
 func (s *ScriptedConn) Write(p []byte) (int, error) { return s.Output.Write(p) }
 
 // Close does nothing.
--- a/internal/testing/fakes/server.go
+++ b/internal/testing/fakes/server.go
@@ -10,94 +10,119 @@
 	"testing"
 )
 
-// ReadCommand reads a command as words; it is plain and trusting.
-func ReadCommand(in *bufio.Reader) ([]string, error) {
-	line, err := in.ReadString('\n')
+// ReadCommand reads a command, and returns its words. It trusts the lengths that it reads.
+func ReadCommand(reader *bufio.Reader) ([]string, error) {
+	line, err := reader.ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
-	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
-	if err != nil || n < 1 { // one that took our port for another's
+	count, err := strconv.Atoi(strings.TrimSpace(line[1:]))
+	if err != nil || count < 1 { // from one that takes this port for another's
 		return nil, fmt.Errorf("no command: %q", line)
 	}
-	var words []string
-	for range n {
-		if line, err = in.ReadString('\n'); err != nil {
+	words := make([]string, 0, count)
+	for range count {
+		word, err := readWord(reader)
+		if err != nil {
 			return nil, err
 		}
-		size, _ := strconv.Atoi(strings.TrimSpace(line[1:]))
-		word := make([]byte, size+2)
-		if _, err := io.ReadFull(in, word); err != nil {
-			return nil, err
-		}
-		words = append(words, string(word[:size]))
+		words = append(words, word)
 	}
 	return words, nil
 }
 
-// FormatCommand writes words as a command.
+func readWord(reader *bufio.Reader) (string, error) {
+	line, err := reader.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	size, err := strconv.Atoi(strings.TrimSpace(line[1:]))
+	if err != nil {
+		return "", fmt.Errorf("no length: %q", line)
+	}
+	word := make([]byte, size+len("\r\n"))
+	if _, err := io.ReadFull(reader, word); err != nil {
+		return "", err
+	}
+	return string(word[:size]), nil
+}
+
+// FormatCommand returns words in the form of a command.
 func FormatCommand(words ...string) string {
-	text := fmt.Sprintf("*%d\r\n", len(words))
-	for _, w := range words {
-		text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(words))
+	for _, word := range words {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
 	}
-	return text
+	return text.String()
 }
 
-// FormatValue writes an answer of a server: a value and its cost.
+// FormatValue returns a server's answer: a value, and its cost in units.
 func FormatValue(value string, cost int) string {
 	attributes := fmt.Sprintf("used=10,cost=%d", cost)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(attributes), attributes)
 }
 
-// Server answers each command by a function; an empty answer means silence, Hang up closes the connection.
+// Server is a fake server that answers each command by a function. An empty answer is none at all; CloseConn closes the
+// connection.
 type Server struct {
 	Addr     string
-	conns    chan net.Conn
-	commands chan []string
+	answer   func(words []string) string
+	conns    chan net.Conn // as many as fit: the tests that use them have few
+	commands chan []string // the same
 }
 
-// CloseConn as an answer closes the connection.
-const CloseConn = "hang up"
+// CloseConn is the answer that closes the connection.
+const CloseConn = "close the connection"
 
-// NewServer starts a server.
+// NewServer starts a server that ends with the test.
 func NewServer(t testing.TB, answer func(words []string) string) *Server {
+	t.Helper()
 	listener := Listen(t)
-	s := &Server{Addr: listener.Addr().String(), conns: make(chan net.Conn, 1000), commands: make(chan []string, 1000)}
-	serveConns(t, listener, func(conn net.Conn) {
+	s := &Server{
+		Addr: listener.Addr().String(), answer: answer, conns: make(chan net.Conn, 1000), commands: make(chan []string, 1000),
+	}
+	serveConns(t, listener, s.serve)
+	return s
+}
+
+func (s *Server) serve(conn net.Conn) {
+	select {
+	case s.conns <- conn:
+	default: // a load whose answers close connections makes a thousand in a second
+	}
+	for reader := bufio.NewReader(conn); ; {
+		words, err := ReadCommand(reader)
+		if err != nil {
+			return
+		}
 		select {
-		case s.conns <- conn:
-		default: // as below: a load whose answers end connections has made a thousand in a second
+		case s.commands <- words:
+		default: // under load the server must not wait for a test to read them
 		}
-		in := bufio.NewReader(conn)
-		for {
-			words, err := ReadCommand(in)
-			if err != nil {
-				return
-			}
-			select {
-			case s.commands <- words:
-			default: // as many as a story looks at are kept; under load it must not stand still for the rest
-			}
-			text := answer(words)
-			if text == CloseConn {
-				_ = conn.Close()
-				return
-			}
-			_, _ = io.WriteString(conn, text)
+		text := s.answer(words)
+		if text == CloseConn {
+			_ = conn.Close() // the other side sees it
+			return
 		}
-	})
-	return s
+		_, _ = io.WriteString(conn, text) // the other side may have gone; what it sent before is still taken
+	}
 }
 
-// ConnCount is how many connections came.
+// ConnCount returns how many connections came and were not taken by NextConn.
 func (s *Server) ConnCount() int { return len(s.conns) }
 
-// NextConn is the next connection that came.
-func (s *Server) NextConn(t testing.TB) net.Conn { return receive(t, s.conns, "connection") }
+// NextConn returns the next connection that came, and waits for one.
+func (s *Server) NextConn(t testing.TB) net.Conn {
+	t.Helper()
+	return receive(t, s.conns, "connection")
+}
 
-// NextCommand is the next command that came.
-func (s *Server) NextCommand(t testing.TB) []string { return receive(t, s.commands, "command") }
+// NextCommand returns the words of the next command that came, and waits for one.
+func (s *Server) NextCommand(t testing.TB) []string {
+	t.Helper()
+	return receive(t, s.commands, "command")
+}
 
-// PendingCommands is how many commands came and were not looked at.
+// PendingCommands returns how many commands came and were not taken by NextCommand.
 func (s *Server) PendingCommands() int { return len(s.commands) }
