--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -96,7 +96,7 @@
 }
 
 func inCommon() (all []Variant) {
-	step := `"counting: a step"`
+	step := `"counting: table changed"`
 	two := []string{"hall-a", "hall-b"}
 	for _, s := range []state{
 		{
@@ -106,12 +106,12 @@
 		{
 			name: "a hall out", text: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm,
-			table: failover.Table, value: planned, says: []string{`"a plan is in force"`},
+			table: failover.Table, value: planned, says: []string{`"routing: plan in force"`},
 		},
 		{
 			name: "plan's lease over", text: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
 			hall: "hall-a", halls: two, terms: failoverTerm, table: failover.Table,
-			value: planned, says: []string{`"a plan is in force"`}, over: []string{`"no plan in force`},
+			value: planned, says: []string{`"routing: plan in force"`}, over: []string{`"routing: no plan in force`},
 		},
 		{
 			name: "canary", text: "a new rule is played on the row's customer beside the old one",
@@ -137,13 +137,13 @@
 		{
 			name: "shedding", text: "a plan sheds all that comes in: nothing is asked, and no other row can hold", alone: true,
 			hall: "hall-b", halls: []string{"hall-b", "hall-a"}, terms: failoverTerm, table: failover.Table,
-			value: shedding, says: []string{`"a plan is in force"`},
+			value: shedding, says: []string{`"routing: plan in force"`},
 		},
 		{
 			name: "unconfirmed", text: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
 			hall: "hall-a", terms: countedTerm, table: countingrule.TableName,
 			value: counted(countingrule.PhaseCanary, 0), says: []string{step}, aside: true,
-			over: []string{"counting: what rule holds is not known"},
+			over: []string{"counting: version in force uncertain"},
 		},
 		{
 			name: "settlement", text: "a debts table with shares is in force, and half of the creditor's servers are a debtor's",
--- a/internal/countingrule/config_test.go
+++ b/internal/countingrule/config_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/policy"
-
 	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/policy"
 )
 
 // testSettings has a plan that a rule's limit names, one that no limit names, and one without a rate.
--- a/internal/countingrule/golden_refusals_test.go
+++ b/internal/countingrule/golden_refusals_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"harrierhoist/policy"
-
 	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/policy"
 )
 
 // refusals are changes to the file of TestGolden_operatorsFile, each with one fault or more.
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -90,7 +90,7 @@
 		if decision := request.Next(); decision.Action != dispatch.Forward {
 			t.Fatalf("action %d, want forward", decision.Action)
 		}
-		request.ReportResult(dispatch.Result{Outcome: policy.Answered, Billed: 3.5})
+		request.ReportResult(dispatch.Result{Outcome: policy.Answered, ActualUnits: 3.5})
 	})
 	runGateway(t, folder, func(*dispatch.Dispatcher) {})
 }
