--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -7,49 +7,53 @@
 	"io"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 )
 
+// Errors of calls. Others are those of the network.
 var (
-	errTimeout         = errors.New("discovery is silent")
-	errRejected        = errors.New("discovery turns the call away")
-	errConnectionEnded = errors.New("the connection that the list came on has ended")
-	errTooLong         = fmt.Errorf("an answer of over %d bytes", maxListBytes)
-	errNotFull         = errors.New("changes in place of the whole list")
-	errVersionMismatch = errors.New("discovery's version does not follow ours")
+	errTimeout         = errors.New("no answer in time")
+	errRejected        = errors.New("call rejected")
+	errConnectionEnded = errors.New("the connection of the latest list has ended")
+	errTooLong         = fmt.Errorf("answer of over %d bytes", maxListBytes)
+	errNotFull         = errors.New("changes in place of the full list")
+	errVersionMismatch = errors.New("version does not follow ours")
+	errMalformed       = errors.New("an answer that is no list")
 )
 
-// connection is one connection to an agent, and is given up with it. net/http sends a call once more by itself if a connection
-// that it kept ends as the call begins; a watch sent so from our version to an agent that started anew, in a lower one,
-// would be held, or told that there is nothing new. Harm: an agent that ends its connections and doesn't say so is
-// asked for whole lists alone. One that does say so is dialed again, and found out by its version.
+// dialer is net.Dialer.DialContext.
+type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// connection is one connection to an agent, and is never dialed twice. net/http sends a call once more by itself if a
+// persistent connection ends as the call begins; a watch sent so from our version to an agent that restarted, in a lower
+// one, would be held, or answered that nothing changed. Cost: an agent that ends its connections without saying so is asked
+// for full lists alone. One that does say so is dialed again, and found out by its version.
 type connection struct {
 	http.Client
 	hasDialed atomic.Bool
 }
 
-func (w *Watcher) newConnection() *connection {
+func newConnection(dial dialer) *connection {
 	c := &connection{}
-	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialOnce := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if c.hasDialed.Swap(true) {
 			return nil, errConnectionEnded
 		}
-		return w.dial(ctx, network, addr)
+		return dial(ctx, network, addr)
 	}
-	c.Transport = &http.Transport{MaxConnsPerHost: 1, DialContext: dial}
+	c.Transport = &http.Transport{MaxConnsPerHost: 1, DialContext: dialOnce}
 	c.CheckRedirect = func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // nobody but the agent tells us lists: it counts as turned away
+		return http.ErrUseLastResponse // nobody but the agent gives lists: a redirect counts as rejected
 	}
 	return c
 }
 
 func (c *connection) close() { c.CloseIdleConnections() }
 
-// get calls once, over the whole answer for at most so long. A call that fails so has lost its connection too.
-func (c *connection) get(ctx context.Context, url string, most time.Duration) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// get calls once; the timeout bounds the call with its whole answer. A call that fails has lost its connection too.
+func (c *connection) get(ctx context.Context, url string, timeout time.Duration) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	status, body, err := c.fetch(ctx, url)
 	switch {
@@ -66,105 +70,18 @@
 }
 
 func (c *connection) fetch(ctx context.Context, url string) (status int, body []byte, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := c.Do(req)
+	response, err := c.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	if resp.Close {
+	defer func() { _ = response.Body.Close() }() // what was read is complete, or has its own error
+	if response.Close {
 		c.hasDialed.Store(false)
 	}
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
-	return resp.StatusCode, body, err
-}
-
-// fetchFull asks for the whole list, always on a new connection. Further calls begin beside one that is left unanswered,
-// each on a connection of its own, and the first good answer ends them all. Guards against an agent that is back from
-// an outage while our call from before is still out, and, where lists are asked for, against giving up a call that
-// waits for its turn at a discovery that is overbooked: it costs that its turn all the same, what it is answered a
-// moment later counts as told, and calls given up so by all keep it overbooked.
-func (s *session) fetchFull(ctx context.Context) (*endpointList, error) {
-	s.connection.close()
-	s.connection = s.newConnection()
-	least, most, wait := minPushedStagger, maxPushedStagger, pushedListTimeout
-	if !s.isPushed {
-		least, most, wait = minPolledStagger, maxPolledStagger, polledListTimeout
-	}
-	beside := int(wait / least)
-	type answer struct {
-		*connection
-		list *endpointList
-		err  error
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	answers := make(chan answer, beside)
-	var calls sync.WaitGroup
-	defer func() {
-		cancel()
-		calls.Wait()
-		close(answers)
-		for a := range answers {
-			a.close()
-		}
-	}()
-	call := func(c *connection) {
-		calls.Go(func() {
-			got, err := s.decodeFull(c.get(ctx, s.url, wait))
-			answers <- answer{c, got, err}
-		})
-	}
-	call(s.connection)
-	next := time.NewTimer(s.randomBetween(least, most))
-	defer next.Stop()
-	for begun, out := 1, 1; ; {
-		select {
-		case <-next.C:
-			if begun++; begun < beside {
-				next.Reset(s.randomBetween(least, most))
-			}
-			out++
-			call(s.newConnection())
-		case a := <-answers:
-			out--
-			// The first one's failure ends the others, which began after it, at an agent that answers at once.
-			if a.err == nil || out == 0 || s.isPushed && a.connection == s.connection {
-				s.connection = a.connection
-				return a.list, a.err
-			}
-			a.close() // it may have failed by what it was told, on a connection that stands
-		}
-	}
-}
-
-func (s *session) decodeFull(body []byte, err error) (*endpointList, error) {
-	if err != nil {
-		return nil, err
-	}
-	received, err := s.decodeAnswer(body)
-	if err == nil && !received.isFull {
-		return nil, errNotFull
-	}
-	return received, err
-}
-
-// fetchDelta asks for what is new since our version. Changes that do not follow it are none of ours: an agent that started
-// anew counts from the front, and what changed before its first is told by its whole list alone.
-func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
-	wait := s.randomBetween(minWatch, maxWatch)
-	if !s.isPushed {
-		wait = s.randomBetween(minPolledWatch, maxPolledWatch)
-	}
-	body, err := s.connection.get(ctx, fmt.Sprintf("%s?since=%d&timeout_ms=%d", s.url, s.version, wait.Milliseconds()), wait+watchGrace)
-	if err != nil {
-		return nil, err
-	}
-	received, err := s.decodeAnswer(body)
-	if err == nil && !received.isFull && (received.version < s.version || received.version == s.version && len(received.servers) > 0) {
-		return nil, fmt.Errorf("%w: %d after %d", errVersionMismatch, received.version, s.version)
-	}
-	return received, err
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
+	return response.StatusCode, body, err
 }
--- a/internal/discovery/empty_test.go
+++ b/internal/discovery/empty_test.go
@@ -7,143 +7,120 @@
 	"testing"
 	"testing/synctest"
 
-	"go.uber.org/zap"
-	"go.uber.org/zap/zaptest/observer"
-
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A whole list with no server, where there were some, is an agent that lost its list, or the truth. It is obeyed once a
-// second call, on a new connection, tells the same; until then the last list stands, and a list that names servers wins.
+// emptiedAgent gives s-1 in version 8, and a full list in its place to the first watch. From then on it holds watches; its
+// next full list waits for release and is answered by a function, and later ones by another.
+func emptiedAgent(t *testing.T, empty string, second, later func(net.Conn)) (
+	addr string, calls chan agentCall, release chan bool,
+) {
+	t.Helper()
+	release = make(chan bool)
+	var emptied, again atomic.Bool
+	addr, calls = scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
+		switch {
+		case call.isWatch() && emptied.Swap(true):
+			holdOpen(conn)
+		case call.isWatch():
+			writeAnswer(conn, empty)
+		case !emptied.Load():
+			writeFull(conn, 8, "s-1")
+		default:
+			<-release
+			if again.Swap(true) {
+				later(conn)
+			} else {
+				second(conn)
+			}
+		}
+	})
+	return addr, calls, release
+}
+
+// A full list with no server, where there were some, is of an agent that lost its list, or the truth. It is applied once a
+// second call, on a new connection, gives the same; until then the last list stands, and one that names servers wins.
 func TestRun_emptyFullListIsAppliedOnceConfirmed(t *testing.T) {
-	gone := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
-	none := func(c net.Conn) { writeAnswer(c, fakes.FormatList(9, true)) }
-	some := func(c net.Conn) { writeAnswer(c, fakes.FormatList(9, true, readyHost("s-2"))) }
-	for name, c := range map[string]struct {
-		empty  string
-		second func(c net.Conn)
-		after  string // in force once that is answered
-		warned int    // that it is obeyed
+	removed := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
+	none, some := answering(fullList(9)), answering(fullList(9, "s-2"))
+	for name, row := range map[string]struct {
+		empty         string
+		second, later func(conn net.Conn)
+		after         string // the server then
+		confirmed     int    // lines logged on it
 	}{
-		"empty again":               {fakes.FormatList(9, true), none, "", 1},
-		"null again":                {`{"seq":9,"whole":true,"hosts":null}`, none, "", 1},
-		"all terminated, then none": {fakes.FormatList(9, true, gone), none, "", 1},
-		"servers again":             {fakes.FormatList(9, true), some, "s-2", 0},
-		"a failure, then empty":     {fakes.FormatList(9, true), agentFailures["503"], "", 1},
-		"silence, then empty":       {fakes.FormatList(9, true), holdOpen, "", 1},
+		"empty again":               {fullList(9), none, none, "", 1},
+		"null again":                {`{"seq":9,"whole":true,"hosts":null}`, none, none, "", 1},
+		"all terminated, then none": {fakes.FormatList(9, true, removed), none, none, "", 1},
+		"servers again":             {fullList(9), some, some, "s-2", 0},
+		"a failure, then empty":     {fullList(9), agentFailures["503"], none, "", 1},
+		"silence, then empty":       {fullList(9), holdOpen, none, "", 1},
 	} {
-		runVirtualInEachMode(t, name, func(t *testing.T, poll bool) {
-			let := make(chan bool)
-			var emptied, again atomic.Bool
-			addr, calls := scriptedAgent(listen(t), func(a agentCall, conn net.Conn) {
-				switch {
-				case a.isWatch() && emptied.Swap(true):
-					holdOpen(conn)
-				case a.isWatch():
-					writeAnswer(conn, c.empty)
-				case !emptied.Load():
-					writeAnswer(conn, fakes.FormatList(8, true, readyHost("s-1")))
-				default:
-					<-let
-					if !again.Swap(true) {
-						c.second(conn)
-					} else if c.after == "" {
-						none(conn)
-					} else {
-						some(conn)
-					}
-				}
-			})
-			settings := forwardingSettings()
-			settings.PollList = poll
-			seen, logs := observer.New(zap.InfoLevel)
-			_, dispatcher, err := startWatcherWith(t, settings, addr, "null", zap.New(seen))
-			if err != nil {
-				t.Fatal(err)
-			}
-			first := nextCallWhere(t, calls, agentCall.isWatch)
-			second := nextCall(t, calls)
-			if second.query != "" || second.connection == first.connection {
-				t.Errorf("asked once more: %+v after %+v", second, first)
-			}
-			if took := second.at.Sub(first.at); took > maxUpdateDelay/2 {
-				t.Errorf("asked once more after %v", took)
+		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
+			addr, calls, release := emptiedAgent(t, row.empty, row.second, row.later)
+			w := startWatcher(t, addr, options{isPolled: isPolled})
+			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
+			if full.isWatch() || full.connection == watch.connection {
+				t.Errorf("called %+v after %+v", full, watch)
 			}
-			if name := chosenServer(dispatcher); name != "s-1" {
-				t.Errorf("in force meanwhile: %q", name)
+			if took := full.at.Sub(watch.at); took > maxUpdateDelay/2 {
+				t.Errorf("confirmation requested after %v", took)
 			}
-			close(let)
-			next := nextCallWhere(t, calls, func(a agentCall) bool { return a.isWatchFrom(9) })
-			if took := next.at.Sub(first.at); took > maxUpdateDelay {
-				t.Errorf("in force after %v", took)
-			}
-			if name := chosenServer(dispatcher); name != c.after {
-				t.Errorf("in force then: %q", name)
-			}
-			told := func(text string) int { return logs.FilterMessageSnippet(text).Len() }
-			if told("asked once more") != 1 || told("it is obeyed, and no server is left") != c.warned {
-				t.Errorf("said %+v", logs.All())
+			w.wantServer("before the confirmation", "s-1")
+			close(release)
+			next := nextCallWhere(t, calls, watchFrom(9))
+			if took := next.at.Sub(watch.at); took > maxUpdateDelay {
+				t.Errorf("applied after %v", took)
 			}
+			w.wantServer("after the confirmation", row.after)
+			w.wantLogged("confirmation requested", 1)
+			w.wantLogged("empty endpoint list confirmed", row.confirmed)
 		})
 	}
 }
 
-// Changes that leave no server are changes like others. So is an empty list where there was none to lose.
+// Changes that leave no server are changes like others. So is an empty list where there was no server before.
 func TestRun_deltaThatLeavesNoServerIsAppliedAtOnce(t *testing.T) {
-	d := fakes.NewDiscovery(t, readyHost("s-1"))
-	seen, logs := observer.New(zap.InfoLevel)
-	w, dispatcher, err := startWatcherWith(t, forwardingSettings(), d.Addr, "null", zap.New(seen))
-	if err != nil {
-		t.Fatal(err)
-	}
+	discovery := fakes.NewDiscovery(t, readyHost("s-1"))
+	w := startWatcher(t, discovery.Addr, options{})
 	<-w.FirstList()
-	d.Publish(false, fakes.FormatHost("s-1", "127.0.0.1:9", "terminated"))
-	for q := ""; !strings.HasPrefix(q, "since=2&"); {
-		q = <-d.Queries
-	}
-	if name := chosenServer(dispatcher); name != "" {
-		t.Errorf("in force: %q", name)
-	}
-	none := fakes.NewDiscovery(t)
-	w, _, err = startWatcherWith(t, forwardingSettings(), none.Addr, fakes.FormatList(1, true), zap.New(seen))
-	if err != nil {
-		t.Fatal(err)
+	discovery.Publish(false, fakes.FormatHost("s-1", "127.0.0.1:9", "terminated"))
+	for query := ""; !strings.HasPrefix(query, "since=2&"); {
+		query = <-discovery.Queries
 	}
+	w.wantServer("after the change", "")
+	w.wantLogged("", 0)
+
+	empty := fakes.NewDiscovery(t)
+	w = startWatcher(t, empty.Addr, options{known: fullList(1)})
 	<-w.FirstList()
-	if n := logs.Len(); n != 0 {
-		t.Errorf("said %+v", logs.All())
-	}
+	w.wantLogged("", 0)
 }
 
-// Ready is who has a list in force that discovery told: an empty one, with servers known from before, is none yet.
+// A gateway is ready by a list of discovery that is applied: an empty one, with servers of an earlier run, is none yet.
 func TestFirstList_isClosedByAnAppliedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		let := make(chan bool)
-		addr, calls := scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
+		release := make(chan bool)
+		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 			switch {
-			case a.all == 1:
-				writeAnswer(c, fakes.FormatList(9, true))
-			case a.query == "":
-				<-let
-				writeAnswer(c, fakes.FormatList(9, true, readyHost("s-1")))
+			case call.number == 1:
+				writeFull(conn, 9)
+			case !call.isWatch():
+				<-release
+				writeFull(conn, 9, "s-1")
 			default:
-				holdOpen(c)
+				holdOpen(conn)
 			}
 		})
-		w, dispatcher, err := startWatcherWith(t, forwardingSettings(), addr, fakes.FormatList(1, true, readyHost("s-0")), zap.NewNop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		nextCallWhere(t, calls, func(a agentCall) bool { return a.all == 2 })
+		w := startWatcher(t, addr, options{known: fullList(1, "s-0")})
+		nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 2 })
 		select {
 		case <-w.FirstList():
-			t.Error("ready by a list that is not in force")
+			t.Error("ready by a list that is not applied")
 		default:
 		}
-		close(let)
+		close(release)
 		<-w.FirstList()
-		if name := chosenServer(dispatcher); name != "s-1" {
-			t.Errorf("in force: %q", name)
-		}
+		w.wantServer("once ready", "s-1")
 	})
 }
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -11,125 +11,183 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/testing/fakes"
 )
 
-const maxSilence = 3 * time.Second // from silence to a whole answer
+const (
+	maxSilence     = 3 * time.Second // from silence to a full list
+	maxUpdateDelay = 5 * time.Second // from when an agent could give its list to when it is applied
+)
 
-// agentCall is a call that came to an agent: when, on which of its connections, as which call there, and as which of
-// all, each from 1.
+// agentCall is a call that came to an agent: when, on which of its connections, as which call there, and as which of all,
+// each from 1.
 type agentCall struct {
-	at                    time.Time
-	connection, call, all int
-	path, query           string
+	at                               time.Time
+	connection, onConnection, number int
+	path, query                      string
 }
 
-func (a agentCall) isWatchFrom(seq int) bool {
-	return strings.HasPrefix(a.query, fmt.Sprintf("since=%d&timeout_ms=", seq))
+func (call agentCall) isWatchFrom(version int) bool {
+	return strings.HasPrefix(call.query, fmt.Sprintf("since=%d&timeout_ms=", version))
 }
 
-func (a agentCall) isWatch() bool { return a.query != "" }
+func (call agentCall) isWatch() bool { return call.query != "" }
+
+// watchFrom is isWatchFrom as a condition.
+func watchFrom(version int) func(agentCall) bool {
+	return func(call agentCall) bool { return call.isWatchFrom(version) }
+}
 
-// scriptedAgent stands in for discovery's agent at a listener, by a function for every call.
-func scriptedAgent(l net.Listener, answers func(a agentCall, c net.Conn)) (addr string, calls chan agentCall) {
+// scriptedAgent stands in for an agent at a listener; a function answers each call.
+func scriptedAgent(listener net.Listener, respond func(call agentCall, conn net.Conn)) (addr string, calls chan agentCall) {
 	calls = make(chan agentCall, 1000)
 	var mu sync.Mutex
-	all := 0
-	serve := func(number int, c net.Conn) {
-		defer c.Close()
-		in := bufio.NewReader(c)
-		for call := 1; ; call++ {
-			req, err := http.ReadRequest(in)
+	total := 0
+	serve := func(connection int, conn net.Conn) {
+		defer func() { _ = conn.Close() }()
+		reader := bufio.NewReader(conn)
+		for onConnection := 1; ; onConnection++ {
+			request, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			all++
-			a := agentCall{time.Now(), number, call, all, req.URL.Path, req.URL.RawQuery}
-			calls <- a
+			total++
+			call := agentCall{time.Now(), connection, onConnection, total, request.URL.Path, request.URL.RawQuery}
+			calls <- call
 			mu.Unlock()
-			answers(a, c)
+			respond(call, conn)
 		}
 	}
 	go func() {
-		for number := 1; ; number++ {
-			c, err := l.Accept()
+		for connection := 1; ; connection++ {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(number, c)
+			go serve(connection, conn)
 		}
 	}()
-	return l.Addr().String(), calls
+	return listener.Addr().String(), calls
 }
 
-// listThenAgent answers the first call on each connection with the whole list in the version of the connection's number, and
-// later ones by the function.
-func listThenAgent(t *testing.T, later func(conn int, c net.Conn)) (addr string, calls chan agentCall) {
+// listThenAgent answers the first call on each connection with the full list, in the version of the connection's number, and
+// later ones by a function.
+func listThenAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
-	return scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
-		if a.call == 1 {
-			writeAnswer(c, fakes.FormatList(a.connection, true, readyHost("s-1")))
+	return scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
+		if call.onConnection == 1 {
+			writeFull(conn, call.connection, "s-1")
 		} else {
-			later(a.connection, c)
+			later(call.connection, conn)
 		}
 	})
 }
 
+// fullListAgent answers calls for the full list with one server, and holds watches.
+func fullListAgent(t *testing.T, version int, server string) (addr string, calls chan agentCall) {
+	t.Helper()
+	return scriptedAgent(listen(t), fullThenHold(version, server))
+}
+
+func fullThenHold(version int, server string) func(agentCall, net.Conn) {
+	return func(call agentCall, conn net.Conn) {
+		if call.isWatch() {
+			holdOpen(conn)
+		} else {
+			writeFull(conn, version, server)
+		}
+	}
+}
+
 func readyHost(name string) string { return fakes.FormatHost(name, "127.0.0.1:9", "in_service") }
 
-func writeAnswer(c io.Writer, body string) {
-	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+// fullList is the full list of ready servers.
+func fullList(version int, servers ...string) string {
+	var hosts []string
+	for _, name := range servers {
+		hosts = append(hosts, readyHost(name))
+	}
+	return fakes.FormatList(version, true, hosts...)
 }
 
-// holdOpen leaves a call without a word until its caller gives it up.
-func holdOpen(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+func writeFull(conn io.Writer, version int, servers ...string) {
+	writeAnswer(conn, fullList(version, servers...))
+}
+
+func writeAnswer(conn io.Writer, body string) {
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// answering answers a call with a body.
+func answering(body string) func(net.Conn) {
+	return func(conn net.Conn) { writeAnswer(conn, body) }
+}
+
+// cutOff writes an answer that does not end, and closes the connection.
+func cutOff(text string) func(net.Conn) {
+	return func(conn net.Conn) {
+		_, _ = io.WriteString(conn, text)
+		_ = conn.Close()
+	}
+}
+
+// holdOpen leaves a call unanswered until its caller gives it up.
+func holdOpen(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
 
 // resetConnection ends a connection as a process that dies does.
-func resetConnection(c net.Conn) {
-	if c, ok := c.(*net.TCPConn); ok {
-		_ = c.SetLinger(0)
+func resetConnection(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 }
 
 // trickle writes a head, and blanks after it until its caller gives it up.
 func trickle(head string) func(net.Conn) {
-	return func(c net.Conn) {
-		for _, err := io.WriteString(c, head); err == nil; _, err = io.WriteString(c, " ") {
+	return func(conn net.Conn) {
+		for _, err := io.WriteString(conn, head); err == nil; _, err = io.WriteString(conn, " ") {
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
 }
 
-// nextCall is the next that comes to an agent.
+// agentFailures are the ways in which a call to an agent fails.
+var agentFailures = map[string]func(net.Conn){
+	"silence": holdOpen, "reset": resetConnection, "trickle": trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
+	"503": func(conn net.Conn) {
+		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	},
+	"cut off":       cutOff("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
+	"empty":         answering(""),
+	"changes":       answering(fakes.FormatList(9, false, readyHost("s-9"))),
+	"wrong content": answering("<html><body>It works!</body></html>"),
+	"never ends": func(conn net.Conn) {
+		blanks := strings.Repeat(" ", 1<<16)
+		for _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+fullList(9, "s-9")); err == nil; {
+			_, err = io.WriteString(conn, blanks)
+		}
+	},
+}
+
+// nextCall is the next call that comes to an agent.
 func nextCall(t *testing.T, calls chan agentCall) agentCall {
 	t.Helper()
 	select {
-	case a := <-calls:
-		return a
+	case call := <-calls:
+		return call
 	case <-time.After(20 * time.Second):
 		t.Fatal("no call came")
 		panic("unreachable")
 	}
 }
 
-// nextCallWhere is the first call that is seen.
-func nextCallWhere(t *testing.T, calls chan agentCall, seen func(agentCall) bool) agentCall {
+// nextCallWhere is the next call for which a condition holds.
+func nextCallWhere(t *testing.T, calls chan agentCall, condition func(agentCall) bool) agentCall {
 	t.Helper()
 	for {
-		if a := nextCall(t, calls); seen(a) {
-			return a
+		if call := nextCall(t, calls); condition(call) {
+			return call
 		}
 	}
 }
-
-// chosenServer names the server that a task is pushed to; none: "".
-func chosenServer(dispatcher *dispatch.Dispatcher) string {
-	e := dispatcher.Admit(dispatch.RequestSpec{Class: 0, Plan: 0, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
-	if c := e.Next(); c.Action == dispatch.Forward {
-		return c.Server.Name
-	}
-	return ""
-}
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -8,11 +8,12 @@
 	"harrierhoist/policy"
 )
 
-// Whatever comes in place of a list: no panic, and what is taken for a list can be reckoned with.
+// FuzzDecode reads any answer: it must not panic, and the figures of what it reads as a list must be finite and in range.
 func FuzzDecode(f *testing.F) {
 	one, two := fakes.FormatHost("s-1", "10.1.0.18:6379", "in_service"), fakes.FormatHost("s-2", "x", "terminating")
 	for _, text := range []string{
-		fakes.FormatList(41, true, one, two), fakes.FormatList(43, false, fakes.FormatHost("s-2", "x", "terminated")), fakes.FormatList(1, true),
+		fakes.FormatList(41, true, one, two), fakes.FormatList(43, false, fakes.FormatHost("s-2", "x", "terminated")),
+		fakes.FormatList(1, true),
 		"", "null", "{}", "[]", "{", `{"hosts":null}`, `{"hosts":[null]}`, `{"hosts":[{}]}`, `{"seq":1.5}`, `{"seq":-1,"whole":true}`,
 		`{"seq":99999999999999999999}`, "{\n \"seq\": 41,\r\n\t\"hosts\": [ " + one + " ]\n}\n", `{"SEQ":7,"seq":8}`,
 		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":-1}]}`,
@@ -21,19 +22,19 @@
 	} {
 		f.Add([]byte(text))
 	}
-	w := &Watcher{zones: []string{"hall-a", "hall-b"}, kinds: []string{"m1", "m2"}}
+	d := &decoder{zones: []string{"hall-a", "hall-b"}, hardware: []string{"m1", "m2"}}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		received, err := w.decodeAnswer(body)
+		received, err := d.decodeAnswer(body)
 		if err != nil {
 			if received != nil {
-				t.Fatalf("%q is no list (%v) and was taken for %+v", body, err, received)
+				t.Fatalf("%q is malformed (%v) and was read as %+v", body, err, received)
 			}
 			return
 		}
 		for _, s := range received.servers {
-			// A share that is not above 0 is as good as none to the module.
-			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(w.zones) ||
-				at.Hardware < 0 || at.Hardware >= len(w.kinds) || at.State > policy.Draining {
+			// A capacity that is not above 0 counts as none.
+			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(d.zones) ||
+				at.Hardware < 0 || at.Hardware >= len(d.hardware) || at.State > policy.Draining {
 				t.Fatalf("%q: %+v", body, at)
 			}
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 
@@ -11,81 +10,97 @@
 	"harrierhoist/policy"
 )
 
-// endpointList is an answer of discovery.
+// endpointList is an answer of discovery: the full list, or what changed after a version.
 type endpointList struct {
 	version int64
 	isFull  bool
 	servers []dispatch.Server
 }
 
-var errMalformed = errors.New("an answer that is no list")
+// isEmpty tells whether the list leaves no server.
+func (l *endpointList) isEmpty() bool {
+	return !slices.ContainsFunc(l.servers, func(server dispatch.Server) bool { return server.Endpoint.State != policy.Removed })
+}
+
+// decoder reads lists. Zones and kinds of hardware are numbered by their index; unknown names count as the first.
+type decoder struct{ zones, hardware []string }
 
-// decodeAnswer reads an answer. One bad entry spoils it all: what an answer mixed up tells of other servers is no better,
-// and part of a whole list would take the rest for gone.
-func (w *Watcher) decodeAnswer(body []byte) (*endpointList, error) {
-	var page struct {
+// entry is the layout of an endpoint in a list. It is an alias without tags, as a refusal's text prints the type of what
+// cannot be decoded: a name or a tag would change the operators' lines.
+type entry = struct {
+	Host, Dial, Site, Class, Health string
+
+	Block  int
+	Share  float64
+	BornMs float64 `json:"born_ms"`
+}
+
+// decodeAnswer reads an answer. One malformed entry makes it malformed as a whole: what an answer mixed up says of other
+// servers is no better, and a part of a full list would take the rest for gone.
+func (d *decoder) decodeAnswer(body []byte) (*endpointList, error) {
+	var answer struct {
 		Seq   *int64
 		Whole *bool
 		Hosts json.RawMessage
 	}
-	if err := json.Unmarshal(body, &page); err != nil {
+	if err := json.Unmarshal(body, &answer); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if page.Seq == nil || page.Whole == nil || page.Hosts == nil {
+	if answer.Seq == nil || answer.Whole == nil || answer.Hosts == nil {
 		return nil, fmt.Errorf("%w: seq, whole or hosts is missing", errMalformed)
 	}
-	received, err := w.decodeEntries(page.Hosts)
+	servers, err := d.decodeEntries(answer.Hosts)
 	if err != nil {
 		return nil, err
 	}
-	received.version, received.isFull = *page.Seq, *page.Whole
-	for _, s := range received.servers {
-		if s.Name == "" || s.Address == "" && s.Endpoint.State != policy.Removed {
+	for _, server := range servers {
+		if server.Name == "" || server.Address == "" && server.Endpoint.State != policy.Removed {
 			return nil, fmt.Errorf("%w: an entry without host or dial", errMalformed)
 		}
 	}
-	return received, nil
+	return &endpointList{version: *answer.Seq, isFull: *answer.Whole, servers: servers}, nil
 }
 
-// decodeKnown reads a list as last had, which is told with the settings.
-func (w *Watcher) decodeKnown(text []byte) (*endpointList, error) {
-	var page struct{ Hosts json.RawMessage }
-	if err := json.Unmarshal(text, &page); err != nil || page.Hosts == nil {
-		return &endpointList{}, err
+// decodeKnown reads the list of an earlier run, which comes with the configuration and needs no version.
+func (d *decoder) decodeKnown(text []byte) (*endpointList, error) {
+	var known struct{ Hosts json.RawMessage }
+	if err := json.Unmarshal(text, &known); err != nil {
+		return nil, err
+	}
+	if known.Hosts == nil {
+		return &endpointList{}, nil
 	}
-	return w.decodeEntries(page.Hosts)
+	servers, err := d.decodeEntries(known.Hosts)
+	if err != nil {
+		return nil, err
+	}
+	return &endpointList{servers: servers}, nil
 }
 
-// decodeEntries reads those of a list. A server in a state whose word we do not know is not there: nothing is pushed to it.
-// Of two entries with one name the later stands.
-func (w *Watcher) decodeEntries(hosts []byte) (*endpointList, error) {
-	var entries []struct {
-		Host, Dial, Site, Class, Health string
-
-		Block  int
-		Share  float64
-		BornMs float64 `json:"born_ms"`
-	}
+// decodeEntries reads the entries of a list. A server in an unknown state counts as gone: nothing is sent to it. Of two
+// entries with one name the later stands.
+func (d *decoder) decodeEntries(hosts []byte) ([]dispatch.Server, error) {
+	var entries []entry
 	if err := json.Unmarshal(hosts, &entries); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	received := &endpointList{}
-	for _, h := range entries {
-		stage := policy.Removed
-		switch h.Health {
-		case "in_service":
-			stage = policy.Ready
-		case "terminating":
-			stage = policy.Draining
-		}
-		received.servers = append(received.servers, dispatch.Server{Name: h.Host, Address: h.Dial, Endpoint: policy.Endpoint{
-			State: stage, Capacity: h.Share, StartedAt: config.Milliseconds(h.BornMs), Rack: h.Block,
-			Zone: max(slices.Index(w.zones, h.Site), 0), Hardware: max(slices.Index(w.kinds, h.Class), 0)}})
+	var servers []dispatch.Server
+	for _, e := range entries {
+		servers = append(servers, dispatch.Server{Name: e.Host, Address: e.Dial, Endpoint: policy.Endpoint{
+			State: stateOf(e.Health), Capacity: e.Share, StartedAt: config.Milliseconds(e.BornMs), Rack: e.Block,
+			Zone: max(slices.Index(d.zones, e.Site), 0), Hardware: max(slices.Index(d.hardware, e.Class), 0),
+		}})
 	}
-	return received, nil
+	return servers, nil
 }
 
-// isEmpty tells that the list leaves no server.
-func (received *endpointList) isEmpty() bool {
-	return !slices.ContainsFunc(received.servers, func(s dispatch.Server) bool { return s.Endpoint.State != policy.Removed })
+func stateOf(health string) policy.EndpointState {
+	switch health {
+	case "in_service":
+		return policy.Ready
+	case "terminating":
+		return policy.Draining
+	default:
+		return policy.Removed
+	}
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -3,14 +3,33 @@
 import (
 	"strings"
 	"testing"
+	"time"
 
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
-// What is no list is refused whole. One bad entry spoils its list.
+func TestDecodeAnswer_readsEntries(t *testing.T) {
+	d := &decoder{zones: []string{"a", "hall-a"}, hardware: []string{"m1", "m2"}}
+	received, err := d.decodeAnswer([]byte(fakes.FormatList(41, true, fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
+		fakes.FormatHost("s-2", "x", "terminating"), fakes.FormatHost("s-3", "x", "terminated"),
+		strings.Replace(fakes.FormatHost("s-4", "x", "in_service"), `"born_ms":0`, `"born_ms":1796126169357`, 1))))
+	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 4 {
+		t.Fatalf("got %+v, %v", received, err)
+	}
+	want := policy.Endpoint{State: policy.Ready, Capacity: 1, Rack: 1, Zone: 1, Hardware: 1}
+	if first := received.servers[0]; first.Name != "s-1" || first.Address != "1.2.3.4:5" || first.Endpoint != want {
+		t.Errorf("got %+v", first)
+	}
+	if received.servers[1].Endpoint.State != policy.Draining || received.servers[2].Endpoint.State != policy.Removed ||
+		received.servers[3].Endpoint.StartedAt != 1796126169357*time.Millisecond {
+		t.Errorf("got %+v", received.servers[1:])
+	}
+}
+
+// One malformed entry makes a list malformed as a whole.
 func TestDecodeAnswer_malformedListIsRefused(t *testing.T) {
-	w := &Watcher{zones: []string{"hall-a"}, kinds: []string{"m2"}}
+	d := &decoder{zones: []string{"hall-a"}, hardware: []string{"m2"}}
 	good := readyHost("s-1")
 	for name, body := range map[string]string{
 		"nothing":              "",
@@ -34,53 +53,55 @@
 		"no dial, terminating": fakes.FormatList(7, false, good, fakes.FormatHost("s-2", "", "terminating")),
 		"a share of text":      fakes.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
 	} {
-		if received, err := w.decodeAnswer([]byte(body)); err == nil {
-			t.Errorf("%s: read as %+v", name, received)
-		}
+		t.Run(name, func(t *testing.T) {
+			if received, err := d.decodeAnswer([]byte(body)); err == nil {
+				t.Errorf("read as %+v", received)
+			}
+		})
 	}
 }
 
-// A server that is gone needs no address; one in a state whose word we do not know gets nothing new; the later of two entries
-// with one name stands.
+// A server that was removed needs no address; one in an unknown state gets nothing; the later of two entries with one name
+// stands.
 func TestDecodeAnswer_unusualEntries(t *testing.T) {
 	t.Parallel()
-	w, dispatcher := newIdleWatcher(t, "127.0.0.1:1")
-	for _, c := range []struct {
-		body, after string
-		none        bool
+	w := newWatcher(t, "127.0.0.1:1", options{})
+	for _, row := range []struct {
+		name, body, after string
+		isEmpty           bool
 	}{
-		{fakes.FormatList(1, true, readyHost("s-1"), fakes.FormatHost("s-2", "", "terminated")), "s-1", false},
-		{fakes.FormatList(2, true, fakes.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
-		{fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false},
-		{fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
-		{fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
-		{`{"seq":6,"whole":false,"hosts":null}`, "", true},
+		{"removed, no address", fakes.FormatList(1, true, readyHost("s-1"), fakes.FormatHost("s-2", "", "terminated")), "s-1", false},
+		{"an unknown state", fakes.FormatList(2, true, fakes.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
+		{"ready, then draining", fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false},
+		{"draining, then up", fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
+		{"no state", fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
+		{"null", `{"seq":6,"whole":false,"hosts":null}`, "", true},
 	} {
-		received, err := w.decodeAnswer([]byte(c.body))
-		if err != nil || received.isEmpty() != c.none {
-			t.Fatalf("%s: %+v, %v", c.body, received, err)
+		received, err := w.decoder.decodeAnswer([]byte(row.body))
+		if err != nil || received.isEmpty() != row.isEmpty {
+			t.Fatalf("%s: %+v, %v", row.name, received, err)
 		}
 		w.apply(t.Context(), received)
-		if name := chosenServer(dispatcher); name != c.after {
-			t.Errorf("%s: in force: %q", c.body, name)
-		}
+		w.wantServer(row.name, row.after)
 	}
 	none := &endpointList{isFull: true}
 	if w.apply(t.Context(), none); w.wouldEmpty(none) {
 		t.Error("no server is left, and one could be lost")
 	}
-	if received, err := w.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up")))); err != nil ||
-		received.servers[0].Endpoint.State != policy.Removed {
+	received, err := w.decoder.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up"))))
+	if err != nil || received.servers[0].Endpoint.State != policy.Removed {
 		t.Errorf("got %+v, %v", received, err)
 	}
 }
 
-// A list as last had may be of another program, and is read as far as it has entries.
+// The list of an earlier run may be of another program, and is read as far as it has entries.
 func TestDecodeKnown_needsNoVersion(t *testing.T) {
-	w := &Watcher{}
+	d := &decoder{}
 	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + readyHost("s-1") + `]}`: 1} {
-		if received, err := w.decodeKnown([]byte(text)); err != nil || len(received.servers) != servers {
-			t.Errorf("%s: %+v, %v", text, received, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			if received, err := d.decodeKnown([]byte(text)); err != nil || len(received.servers) != servers {
+				t.Errorf("got %+v, %v", received, err)
+			}
+		})
 	}
 }
--- a/internal/discovery/overbooked_test.go
+++ b/internal/discovery/overbooked_test.go
@@ -10,82 +10,80 @@
 	"testing/synctest"
 	"time"
 
-	"go.uber.org/zap"
-
-	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/testing/fakes"
 )
 
-// overbookedAgent is a discovery that takes a call every 0.3 s and turns away what would wait for its turn longer than its
-// time-out: 2 s, or what a watch says. A call that is given up keeps its turn.
+// overbookedAgent takes a call every 0.3 s, and rejects what would wait for its turn longer than its timeout: 2 s, or what
+// a watch says. A call that is given up uses its turn.
 type overbookedAgent struct {
 	mu       sync.Mutex
-	nextTurn time.Time     // when the next turn is
-	changed  chan struct{} // closed with version 2, in which s-2 is in the place of s-1
+	nextTurn time.Time
+	changed  chan struct{} // closed with version 2, in which s-2 replaces s-1
 }
 
-func (o *overbookedAgent) handle(a agentCall, c net.Conn) {
-	query, _ := url.ParseQuery(a.query)
+// waitForTurn waits for a call's turn, and returns false if the call is rejected.
+func (a *overbookedAgent) waitForTurn(limit time.Duration) bool {
+	begun := time.Now()
+	a.mu.Lock()
+	if a.nextTurn.Before(begun) {
+		a.nextTurn = begun
+	}
+	wait := a.nextTurn.Sub(begun)
+	if wait > limit {
+		a.mu.Unlock()
+		return false
+	}
+	a.nextTurn = a.nextTurn.Add(300 * time.Millisecond)
+	a.mu.Unlock()
+	time.Sleep(wait)
+	return true
+}
+
+func (a *overbookedAgent) handle(call agentCall, conn net.Conn) {
+	query, _ := url.ParseQuery(call.query)
 	limit := 2 * time.Second
 	if ms, err := strconv.Atoi(query.Get("timeout_ms")); err == nil {
 		limit = time.Duration(ms) * time.Millisecond
 	}
 	begun := time.Now()
-	o.mu.Lock()
-	if o.nextTurn.Before(begun) {
-		o.nextTurn = begun
-	}
-	turn := o.nextTurn.Sub(begun)
-	if turn > limit {
-		o.mu.Unlock()
-		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	if !a.waitForTurn(limit) {
+		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	o.nextTurn = o.nextTurn.Add(300 * time.Millisecond)
-	o.mu.Unlock()
-	time.Sleep(turn)
 	if query.Get("since") == "1" {
 		select {
-		case <-o.changed:
+		case <-a.changed:
 		case <-time.After(time.Until(begun.Add(limit))):
-			writeAnswer(c, fakes.FormatList(1, false))
+			writeAnswer(conn, fakes.FormatList(1, false))
 			return
 		}
 	}
 	select {
-	case <-o.changed:
-		writeAnswer(c, fakes.FormatList(2, true, readyHost("s-2")))
+	case <-a.changed:
+		writeFull(conn, 2, "s-2")
 	default:
-		writeAnswer(c, fakes.FormatList(1, true, readyHost("s-1")))
+		writeFull(conn, 1, "s-1")
 	}
 }
 
-// Where lists are asked for, six gateways that start together overbook discovery for a while. With calls given up after a
-// second, and watches of 1.2 to 1.5 s, they kept it so: some had no list for 20 s.
+// Where discovery is polled, six gateways that start together overbook it for a while. With calls given up after a second,
+// and watches of 1.2 to 1.5 s, they went on overbooking it: some had no list for 20 s.
 func TestRun_overbookedDiscoveryIsReadByAll(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
-			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // who waits for a turn ends
-			o := &overbookedAgent{changed: make(chan struct{})}
-			addr, _ := scriptedAgent(listen(t), o.handle)
-			settings := forwardingSettings()
-			settings.PollList = true
-			var gates []*dispatch.Dispatcher
+			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
+			agent := &overbookedAgent{changed: make(chan struct{})}
+			addr, _ := scriptedAgent(listen(t), agent.handle)
+			var watchers []*watched
 			for seed := range int64(6) {
-				_, dispatcher, err := startSeededWatcher(t, settings, addr, fakes.FormatList(1, true, readyHost("s-1")), zap.NewNop(), seed+1)
-				if err != nil {
-					t.Fatal(err)
-				}
-				gates = append(gates, dispatcher)
+				watchers = append(watchers, startWatcher(t, addr, options{isPolled: true, known: fullList(1, "s-1"), seed: seed + 1}))
 			}
 			time.Sleep(after)
-			close(o.changed)
+			close(agent.changed)
 			time.Sleep(6 * time.Second)
 			synctest.Wait()
-			for i, dispatcher := range gates {
-				if name := chosenServer(dispatcher); name != "s-2" {
-					t.Errorf("gateway %d: in force after 6 s: %q", i, name)
-				}
+			for i, w := range watchers {
+				w.wantServer("gateway "+strconv.Itoa(i)+" after 6 s", "s-2")
 			}
 		})
 	}
--- a/internal/discovery/parallel_test.go
+++ b/internal/discovery/parallel_test.go
@@ -2,28 +2,81 @@
 
 import (
 	"net"
+	"sync/atomic"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A call beside one that is held, answered with what is no list, had its connection kept for good, with its descriptor.
+// A call that the agent was answering as it fell silent does not delay us once it is back: another begins in parallel, and
+// ends it with its answer.
+func TestFetchFull_parallelCallBesideAHeldOne(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ended := make(chan bool)
+		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
+			switch {
+			case call.number == 1:
+				holdOpen(conn)
+				close(ended)
+			case !call.isWatch():
+				select {
+				case <-ended:
+					t.Error("the held call was given up first")
+				default:
+				}
+				writeFull(conn, 7, "s-1")
+			default:
+				holdOpen(conn)
+			}
+		})
+		startWatcher(t, addr, options{})
+		watch := nextCallWhere(t, calls, agentCall.isWatch)
+		if !watch.isWatchFrom(7) || watch.connection == 1 || watch.onConnection == 1 {
+			t.Errorf("went on with %+v", watch)
+		}
+		<-ended
+	})
+}
+
+// There are never more than four calls at once.
+func TestFetchFull_parallelCallsAreBounded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var open, most atomic.Int64
+		addr, calls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
+			n := open.Add(1)
+			for seen := most.Load(); n > seen && !most.CompareAndSwap(seen, n); seen = most.Load() {
+			}
+			holdOpen(conn)
+			open.Add(-1)
+		})
+		startWatcher(t, addr, options{})
+		first := nextCall(t, calls)
+		last := nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 9 })
+		if each := last.at.Sub(first.at) / 8; each < minStagger {
+			t.Errorf("a call every %v", each)
+		}
+		if n := most.Load(); n < 2 || n > int64(maxParallelCalls) {
+			t.Errorf("%d calls at once", n)
+		}
+	})
+}
+
+// A parallel call whose answer is malformed had its connection left open for good, with its descriptor.
 func TestFetchFull_failedParallelCallHasItsConnectionClosed(t *testing.T) {
-	l, ended := fakes.Listen(t), make(chan struct{})
-	addr, calls := scriptedAgent(l, func(a agentCall, c net.Conn) {
-		switch a.connection {
-		case 2:
-			writeAnswer(c, "no list")
-			holdOpen(c) // until its caller ends it
-			close(ended)
-		default:
-			holdOpen(c)
+	listener, ended := fakes.Listen(t), make(chan struct{})
+	addr, calls := scriptedAgent(listener, func(call agentCall, conn net.Conn) {
+		if call.connection != 2 {
+			holdOpen(conn)
+			return
 		}
+		writeAnswer(conn, "no list")
+		holdOpen(conn) // until its caller closes it
+		close(ended)
 	})
-	if _, err := startWatcherInMode(t, false, addr, "null"); err != nil {
-		t.Fatal(err)
-	}
-	nextCallWhere(t, calls, func(a agentCall) bool { return a.connection == 2 })
+	startWatcher(t, addr, options{})
+	nextCallWhere(t, calls, func(call agentCall) bool { return call.connection == 2 })
 	fakes.Eventually(t, "its end", func() bool {
 		select {
 		case <-ended:
@@ -33,3 +86,17 @@
 		}
 	})
 }
+
+// Dials that hang delay none that would not: an agent that accepts connections again is read as soon as after silence.
+func TestRun_hangingDialIsGivenUp(t *testing.T) {
+	runVirtualInEachMode(t, "unreachable for six seconds", func(t *testing.T, isPolled bool) {
+		listener := listen(t)
+		startWatcher(t, listener.Addr().String(), options{isPolled: isPolled})
+		time.Sleep(6 * time.Second)
+		reachableAt := time.Now()
+		_, calls := scriptedAgent(listener, fullThenHold(7, "s-1"))
+		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(reachableAt) > listTimeout+maxSilencePause {
+			t.Errorf("applied after %v", next.at.Sub(reachableAt))
+		}
+	})
+}
--- a/internal/discovery/pipe_test.go
+++ b/internal/discovery/pipe_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// pipeListener is a listener within the process, for stories whose clock stands still while anybody has something to do: what comes
-// first in them, and how long it takes, is the same on a machine that is busy. Its connections end without resets.
+// pipeListener is a listener within the process, for tests on a virtual clock, which stands still while any goroutine can
+// run: the order of events and their times are the same on a busy machine. Its connections end without resets.
 type pipeListener struct {
 	addr   string
 	conns  chan net.Conn
@@ -27,68 +27,70 @@
 )
 
 func listen(t *testing.T) net.Listener {
-	return listenAt(t, fmt.Sprintf("wire-%d:1", pipeCount.Add(1)))
+	t.Helper()
+	return listenAt(t, fmt.Sprintf("pipe-%d:1", pipeCount.Add(1)))
 }
 
 // listenAt takes over an address whose listener was closed.
 func listenAt(t *testing.T, addr string) net.Listener {
-	w := &pipeListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
-	pipeListeners.Store(addr, w)
+	t.Helper()
+	l := &pipeListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
+	pipeListeners.Store(addr, l)
 	t.Cleanup(func() {
-		_ = w.Close()
-		time.Sleep(100 * time.Millisecond) // who sleeps sees the end; the clock stops with the story
+		_ = l.Close()
+		time.Sleep(100 * time.Millisecond) // goroutines that sleep see the end; the clock stops with the test
 	})
-	return w
+	return l
 }
 
-func (w *pipeListener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-w.conns:
-		return c, nil
-	case <-w.closed:
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (w *pipeListener) Close() error {
-	w.once.Do(func() { close(w.closed) })
+func (l *pipeListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (w *pipeListener) Addr() net.Addr  { return w }
-func (w *pipeListener) Network() string { return "wire" }
-func (w *pipeListener) String() string  { return w.addr }
+func (l *pipeListener) Addr() net.Addr  { return l }
+func (l *pipeListener) Network() string { return "pipe" }
+func (l *pipeListener) String() string  { return l.addr }
 
-// dialPipe connects with a wire, or over sockets.
+// dialPipe connects to a pipeListener, or over sockets.
 func dialPipe(ctx context.Context, network, addr string) (net.Conn, error) {
 	found, ok := pipeListeners.Load(addr)
 	if !ok {
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
-	w := found.(*pipeListener)
-	ctx, cancel := context.WithTimeout(ctx, pushedListTimeout) // as Roster.dial does
+	l := found.(*pipeListener)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout) // as Watcher.dial does
 	defer cancel()
 	near, far := net.Pipe()
 	select {
-	case w.conns <- far:
+	case l.conns <- far:
 		return near, nil
-	case <-w.closed:
+	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// runVirtual runs a test on a clock of its own.
+// runVirtual runs a subtest on a virtual clock.
 func runVirtual(t *testing.T, name string, test func(t *testing.T)) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) { synctest.Test(t, test) })
 }
 
-// runVirtualInEachMode runs a story where lists are pushed to the agent, and where they are asked for.
-func runVirtualInEachMode(t *testing.T, name string, test func(t *testing.T, asked bool)) {
+// runVirtualInEachMode runs a subtest where the agent is notified, and where discovery is polled.
+func runVirtualInEachMode(t *testing.T, name string, test func(t *testing.T, isPolled bool)) {
 	t.Helper()
-	for mode, asked := range map[string]bool{"pushed": false, "asked for": true} {
-		runVirtual(t, name+", "+mode, func(t *testing.T) { test(t, asked) })
+	for mode, isPolled := range map[string]bool{"notified": false, "polled": true} {
+		runVirtual(t, name+", "+mode, func(t *testing.T) { test(t, isPolled) })
 	}
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -2,101 +2,96 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"harrierhoist/internal/testing/fakes"
 )
 
-// An agent that fell silent in mid-watch was asked again 6.5 s after the watch was opened, with a waiting call. Silence
-// may begin in the moment at which a watch is opened: the whole list is had within 3 s of that, on a new connection.
+// An agent that fell silent in a watch was called again 6.5 s after the watch began, with a call that waits. Silence may
+// begin in the moment at which a watch begins: the full list is there within 3 s of that, on a new connection.
 func TestWatch_silenceIsFollowedByAFullListAtOnce(t *testing.T) {
-	for name, later := range map[string]func(net.Conn){
-		"says nothing":            func(net.Conn) {},
+	for name, respond := range map[string]func(net.Conn){
+		"no answer":               func(net.Conn) {},
 		"trickles a list":         trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
 		"trickles without an end": trickle("HTTP/1.1 200 OK\r\n\r\n"),
 		"trickles a head":         trickle("HTTP/1.1 200 OK\r\nX:"),
-		"stops within a list": func(c net.Conn) {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,")
+		"stops within a list": func(conn net.Conn) {
+			_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,")
 		},
 	} {
 		runVirtual(t, name, func(t *testing.T) {
-			addr, calls := listThenAgent(t, func(_ int, c net.Conn) { later(c) })
-			if _, err := startWatcher(t, addr, "null"); err != nil {
-				t.Fatal(err)
+			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
+			startWatcher(t, addr, options{})
+			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
+			next := nextCallWhere(t, calls, agentCall.isWatch)
+			if !watch.isWatchFrom(watch.connection) || full.isWatch() || full.connection <= watch.connection ||
+				!next.isWatchFrom(next.connection) || next.connection == watch.connection {
+				t.Fatalf("called %+v, then %+v, then %+v", watch, full, next)
 			}
-			open, anew, next := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls), nextCallWhere(t, calls, agentCall.isWatch)
-			if !open.isWatchFrom(open.connection) || anew.isWatch() || anew.connection <= open.connection || !next.isWatchFrom(next.connection) || next.connection == open.connection {
-				t.Fatalf("asked %+v, then %+v, then %+v", open, anew, next)
+			if took := next.at.Sub(watch.at); took > maxSilence {
+				t.Errorf("the full list was there after %v", took)
 			}
-			if took := next.at.Sub(open.at); took > maxSilence {
-				t.Errorf("the whole list was had after %v", took)
+			var timeout int64 // of the watch, in ms
+			if _, err := fmt.Sscanf(watch.query, fmt.Sprintf("since=%d&timeout_ms=%%d", watch.connection), &timeout); err != nil {
+				t.Fatal(err)
 			}
-			var wait time.Duration // of the watch
-			_, _ = fmt.Sscanf(open.query, fmt.Sprintf("since=%d&timeout_ms=%%d", open.connection), &wait)
-			if pause := anew.at.Sub(open.at) - wait*time.Millisecond - watchGrace; pause > firstBackoff*3/4 {
-				t.Errorf("asked anew after a pause of %v", pause)
+			if pause := full.at.Sub(watch.at) - time.Duration(timeout)*time.Millisecond - watchGrace; pause > firstBackoff*3/4 {
+				t.Errorf("full list requested after a pause of %v", pause)
 			}
 		})
 	}
 }
 
-// holdingAgent is a discovery that holds every watch without a word, and every other call as well while it is silent.
-func holdingAgent(t *testing.T) (addr string, calls chan agentCall, silent *atomic.Bool) {
+// silenceableAgent holds every watch, and every other call as well while it is silent.
+func silenceableAgent(t *testing.T) (addr string, calls chan agentCall, silent *atomic.Bool) {
 	t.Helper()
 	silent = &atomic.Bool{}
-	addr, calls = scriptedAgent(listen(t), func(a agentCall, c net.Conn) {
-		if silent.Load() || a.isWatch() {
-			holdOpen(c)
-			return
+	addr, calls = scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
+		if silent.Load() {
+			holdOpen(conn)
+		} else {
+			fullThenHold(7, "s-1")(call, conn)
 		}
-		writeAnswer(c, fakes.FormatList(7, true, readyHost("s-1")))
 	})
 	return addr, calls, silent
 }
 
-// A discovery silent to the call after a silent watch as well is asked again after a drawn pause, never with a waiting
-// call; its first answer ends the run, and the next is a watch.
+// A discovery that is silent to the call after a silent watch as well is called again after a random pause, never with a
+// call that waits; its first answer ends the run, and the next call is a watch.
 func TestRun_lastingSilenceIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		addr, calls, silent := holdingAgent(t)
-		if _, err := startWatcherInMode(t, true, addr, "null"); err != nil {
-			t.Fatal(err)
-		}
+		addr, calls, silent := silenceableAgent(t)
+		startWatcher(t, addr, options{isPolled: true})
 		<-calls
-		open := <-calls
+		watch := <-calls
 		silent.Store(true)
 		first, second := <-calls, <-calls
-		if !open.isWatchFrom(7) || first.query != "" || second.query != "" {
-			t.Fatalf("asked %+v, %+v, %+v", open, first, second)
+		if !watch.isWatchFrom(7) || first.isWatch() || second.isWatch() {
+			t.Fatalf("called %+v, %+v, %+v", watch, first, second)
 		}
-		if pause := second.at.Sub(first.at) - pushedListTimeout; pause < firstBackoff/2 {
-			t.Errorf("asked again after a pause of %v", pause)
+		if pause := second.at.Sub(first.at) - listTimeout; pause < firstBackoff/2 {
+			t.Errorf("called again after a pause of %v", pause)
 		}
 		silent.Store(false)
-		if third, next := <-calls, <-calls; third.query != "" || !next.isWatchFrom(7) {
-			t.Errorf("asked %+v, %+v", third, next)
+		if third, next := <-calls, <-calls; third.isWatch() || !next.isWatchFrom(7) {
+			t.Errorf("called %+v, %+v", third, next)
 		}
 	})
 }
 
-// Forty watches that fall silent at once, as on a herd day: each is asked anew once without a pause, then with
-// growing ones: three calls each in six seconds. Asked on without pauses they made five.
+// Forty watches that fall silent at once: each is followed by a call without a pause, then by others with growing ones:
+// three calls each in six seconds. Without pauses they made five.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 6 * time.Second
-		addr, calls, silent := holdingAgent(t)
+		addr, calls, silent := silenceableAgent(t)
 		for range gateways {
-			if _, err := startWatcherInMode(t, true, addr, "null"); err != nil {
-				t.Fatal(err)
-			}
+			startWatcher(t, addr, options{isPolled: true})
 		}
 		for watches := 0; watches < gateways; {
-			if a := <-calls; a.isWatchFrom(7) {
+			if call := <-calls; call.isWatchFrom(7) {
 				watches++
 			}
 		}
@@ -108,35 +103,33 @@
 	})
 }
 
-// An agent that lists are pushed to was down for 8 s, into a release: it had a drain from when it was back, while gateways
-// still paused for up to 12 s, and pushed to the server over a second on. It is found again within the second
-// that a drain leaves, and is not asked on without pauses meanwhile.
-func TestRun_pushedAgentIsFoundAgainAtOnce(t *testing.T) {
+// An agent that is notified was down for 8 s, into a release: it knew a drain from when it was back, while gateways still
+// paused for up to 12 s, and sent requests to the server over a second on. It is found again within the second that a drain
+// leaves, and is not called without pauses meanwhile.
+func TestRun_notifiedAgentIsFoundAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasting, drain = 6 * time.Second, time.Second
-		addr, calls, silent := holdingAgent(t)
-		if _, err := startWatcherInMode(t, false, addr, "null"); err != nil {
-			t.Fatal(err)
-		}
+		addr, calls, silent := silenceableAgent(t)
+		startWatcher(t, addr, options{})
 		<-calls
 		<-calls
 		silent.Store(true)
 		time.Sleep(lasting)
 		silent.Store(false)
-		back, n := time.Now(), len(calls)
-		for range n {
+		recoveredAt, made := time.Now(), len(calls)
+		for range made {
 			<-calls
 		}
-		for a := range calls {
-			if a.isWatchFrom(7) {
-				if took := a.at.Sub(back); took > drain {
-					t.Errorf("the list was had %v after the agent was back", took)
+		for call := range calls {
+			if call.isWatchFrom(7) {
+				if took := call.at.Sub(recoveredAt); took > drain {
+					t.Errorf("the list was there %v after the agent was back", took)
 				}
 				break
 			}
 		}
-		if most := int(3 * lasting / time.Second); n > most || n < 4 {
-			t.Errorf("%d calls in %v", n, lasting)
+		if most := int(3 * lasting / time.Second); made > most || made < 4 {
+			t.Errorf("%d calls in %v", made, lasting)
 		}
 	})
 }
--- /dev/null
+++ b/internal/discovery/watched_test.go
@@ -0,0 +1,133 @@
+package discovery
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"harrierhoist/internal/config"
+	"harrierhoist/internal/dispatch"
+	"harrierhoist/policy"
+)
+
+// watched is a watcher under test, with the dispatcher that it feeds and what it logs.
+type watched struct {
+	*Watcher
+	t          *testing.T
+	dispatcher *dispatch.Dispatcher
+	logs       *observer.ObservedLogs
+}
+
+// options of a watcher; the zero value has an agent that is notified, and no list of an earlier run.
+type options struct {
+	isPolled bool
+	known    string // the list of an earlier run
+	seed     int64
+}
+
+// newWatcher makes a watcher that does not run yet.
+func newWatcher(t *testing.T, addr string, with options) *watched {
+	t.Helper()
+	core, logs := observer.New(zap.InfoLevel)
+	settings := forwardingSettings()
+	settings.PollList = with.isPolled
+	log := zap.New(core)
+	dispatcher := newDispatcher(t, settings, log)
+	ctx, cancel := context.WithCancel(t.Context())
+	var timers sync.WaitGroup
+	timers.Go(func() { dispatcher.RunTimers(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		timers.Wait()
+	})
+	configuration := &config.Gateway{
+		Discovery: addr, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Hardware: []string{"m1", "m2"},
+		KnownEndpoints: []byte(with.known), Seed: with.seed,
+	}
+	w, err := New(configuration, dispatcher, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.dial = dialPipe
+	return &watched{w, t, dispatcher, logs}
+}
+
+// startWatcher makes a watcher that runs until the test ends.
+func startWatcher(t *testing.T, addr string, with options) *watched {
+	t.Helper()
+	w := newWatcher(t, addr, with)
+	w.start()
+	return w
+}
+
+// start has the watcher run until the test ends, or until it is stopped; ended is closed then.
+func (w *watched) start() (stop func(), ended chan bool) {
+	ctx, stop := context.WithCancel(w.t.Context())
+	ended = make(chan bool)
+	go func() {
+		w.Run(ctx)
+		close(ended)
+	}()
+	w.t.Cleanup(func() { stop(); <-ended })
+	return stop, ended
+}
+
+// wantServer checks which server a request is forwarded to; none: "".
+func (w *watched) wantServer(when, want string) {
+	w.t.Helper()
+	if got := chosenServer(w.dispatcher); got != want {
+		w.t.Errorf("%s: forwarded to %q, want %q", when, got, want)
+	}
+}
+
+// wantLogged checks how many log lines have a text.
+func (w *watched) wantLogged(text string, want int) {
+	w.t.Helper()
+	if got := w.logs.FilterMessageSnippet(text).Len(); got != want {
+		w.t.Errorf("%q logged %d times, want %d: %+v", text, got, want, w.logs.All())
+	}
+}
+
+// newIdleSession is a session of a watcher that neither runs nor has a list.
+func newIdleSession(t *testing.T, isPolled bool) *session {
+	t.Helper()
+	return newSession(&Watcher{
+		dispatcher: newDispatcher(t, forwardingSettings(), zap.NewNop()), log: zap.NewNop(),
+		random: rand.New(rand.NewPCG(1, 1)), firstApplied: make(chan struct{}),
+	}, agent{isPolled: isPolled})
+}
+
+func newDispatcher(t *testing.T, settings policy.Settings, log *zap.Logger) *dispatch.Dispatcher {
+	t.Helper()
+	dispatcher, err := dispatch.New(settings, 1, dispatch.Dependencies{}, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return dispatcher
+}
+
+// forwardingSettings have a request forwarded to any server that is ready.
+func forwardingSettings() policy.Settings {
+	return policy.Settings{
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5,
+		ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second, DrainGrace: time.Second,
+		Classes: []policy.TrafficClass{{
+			Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second, Effect: policy.Idempotent,
+		}},
+		Plans: []policy.Plan{{Name: "open"}},
+	}
+}
+
+// chosenServer names the server that a request is forwarded to; none: "".
+func chosenServer(dispatcher *dispatch.Dispatcher) string {
+	request := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
+	if decision := request.Next(); decision.Action == dispatch.Forward {
+		return decision.Server.Name
+	}
+	return ""
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package roster keeps up with discovery: which servers there are, by a watch that is begun again at once, also
-// where discovery moves to another address.
+// Package discovery follows the endpoint list: which servers there are, and which of them drain. It reads the list from an
+// agent on this machine, by long polls (watches) that are begun again at once, also where the agent's address changes.
 package discovery
 
 import (
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net"
 	"sync"
+	"time"
 
 	"go.uber.org/zap"
 
@@ -16,73 +17,94 @@
 	"harrierhoist/policy"
 )
 
-// Watcher asks discovery's agent.
+// Watcher hands the endpoint list and its changes to a dispatcher.
 type Watcher struct {
 	dispatcher   *dispatch.Dispatcher
 	log          *zap.Logger
-	zones, kinds []string
+	decoder      decoder
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
-	random       *rand.Rand    // of Watch's goroutine
-	firstApplied chan struct{} // closed with the first list in force
+	random       *rand.Rand    // used by Run's goroutine alone
+	firstApplied chan struct{} // closed with the first list that discovery gave and that was applied
 	closeFirst   sync.Once
 
 	mu            sync.Mutex
 	agent         agent
-	cancelSession context.CancelFunc // ends the watch of an address; what it hears from then on is not applied
-	hasServers    bool               // the gate has servers
+	cancelSession context.CancelFunc // ends the session with an agent; what it receives from then on is not applied
+	hasServers    bool               // the dispatcher has servers
 }
 
-// agent is an agent, and whether lists are pushed to it.
+// agent is where discovery is read.
 type agent struct {
-	addr     string
-	isPushed bool
+	addr     string // host:port
+	isPolled bool   // the agent is not notified of changes: its discovery is polled
 }
 
-// New makes a roster that hands what it learns to the gate, first of all the list as last held.
+// New makes a watcher, and hands the dispatcher the endpoints of an earlier run, if the configuration has some. The only
+// error is one of that list.
 func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
-	w := &Watcher{dispatcher: dispatcher, log: log, zones: configuration.Zones, kinds: configuration.Hardware, firstApplied: make(chan struct{}),
-		random: rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
-		dial:   (&net.Dialer{Timeout: pushedListTimeout}).DialContext, // one that hangs holds no descriptor for longer
-		agent:  agent{configuration.Discovery, !configuration.Settings.PollList}, cancelSession: func() {}}
+	w := &Watcher{
+		dispatcher: dispatcher, log: log,
+		decoder:       decoder{zones: configuration.Zones, hardware: configuration.Hardware},
+		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // one that hangs holds no descriptor for longer
+		random:        rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
+		firstApplied:  make(chan struct{}),
+		agent:         agent{configuration.Discovery, configuration.Settings.PollList},
+		cancelSession: func() {},
+	}
 	if len(configuration.KnownEndpoints) > 0 && string(configuration.KnownEndpoints) != "null" {
-		received, err := w.decodeKnown(configuration.KnownEndpoints)
+		known, err := w.decoder.decodeKnown(configuration.KnownEndpoints)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
-		dispatcher.HandleEndpoints(policy.ListCached, received.servers)
-		w.hasServers = !received.isEmpty()
+		dispatcher.HandleEndpoints(policy.ListCached, known.servers)
+		w.hasServers = !known.isEmpty()
 	}
 	return w, nil
 }
 
-// FirstList is closed once a list that discovery told is in force.
+// FirstList is closed once a list that discovery gave is applied.
 func (w *Watcher) FirstList() <-chan struct{} { return w.firstApplied }
 
-// SetAgent has another address watched, to whose agent lists are pushed, or not. Once it returns, nothing that the old one
-// still answers is applied: it may be older than what the new one tells.
-func (w *Watcher) SetAgent(addr string, isPushed bool) {
+// SetAgent has another agent watched, or the same in another mode. Once it returns, nothing that the earlier one still
+// answers is applied: it may be older than what the new one gives.
+func (w *Watcher) SetAgent(addr string, isPolled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if to := (agent{addr, isPushed}); to != w.agent {
-		w.agent = to
+	if next := (agent{addr, isPolled}); next != w.agent {
+		w.agent = next
 		w.cancelSession()
 	}
 }
 
-// Run keeps up until the context ends, at one address after the other, each from its whole list.
+// Run follows the list until the context ends: one agent after the other, each from its full list.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		here, end := context.WithCancel(ctx)
-		agent := w.agent
-		w.cancelSession = end
+		sessionCtx, cancel := context.WithCancel(ctx)
+		current := w.agent
+		w.cancelSession = cancel
 		w.mu.Unlock()
-		w.follow(here, agent)
-		end()
+		w.follow(sessionCtx, current)
+		cancel()
+	}
+}
+
+// follow follows the list of one agent until the context ends. After any failure the full list is requested, rather than
+// what changed since our version: an agent that failed may have restarted and lost its versions, and would answer that
+// nothing changed.
+func (w *Watcher) follow(ctx context.Context, current agent) {
+	s := newSession(w, current)
+	defer func() { s.connection.close() }()
+	for wantFull := true; ctx.Err() == nil; {
+		var pause time.Duration
+		wantFull, pause = s.call(ctx, wantFull)
+		if !sleep(ctx, pause) {
+			return
+		}
 	}
 }
 
-// apply hands a list to the gate, unless its watch has ended meanwhile.
+// apply hands a list to the dispatcher, unless its session has ended meanwhile.
 func (w *Watcher) apply(ctx context.Context, received *endpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,9 +122,29 @@
 	w.closeFirst.Do(func() { close(w.firstApplied) })
 }
 
-// wouldEmpty tells that a list would leave the gate without any of the servers that it has.
+// wouldEmpty tells whether a list would leave the dispatcher without any of the servers that it has.
 func (w *Watcher) wouldEmpty(received *endpointList) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return received.isFull && received.isEmpty() && w.hasServers
 }
+
+// randomBetween draws a time, from least on and below most.
+func (w *Watcher) randomBetween(least, most time.Duration) time.Duration {
+	return least + time.Duration(w.random.Int64N(int64(most-least)))
+}
+
+// sleep waits, and returns false if the context ended first.
+func sleep(ctx context.Context, pause time.Duration) bool {
+	if pause <= 0 {
+		return ctx.Err() == nil
+	}
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -86,7 +86,7 @@
 		i.log.Error("gateway: configuration refused", zap.Error(err))
 		return
 	}
-	i.watcher.SetAgent(configuration.Discovery, !configuration.Settings.PollList)
+	i.watcher.SetAgent(configuration.Discovery, configuration.Settings.PollList)
 	i.configuration = configuration
 	var classes, plans []string
 	for _, class := range settings.Classes {
