--- /dev/null
+++ b/internal/failover/invariants_test.go
@@ -0,0 +1,211 @@
+package failover
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestMain has rapid draw from a fixed seed: the same verdict every time.
+func TestMain(m *testing.M) {
+	if err := flag.Set("rapid.seed", "2026"); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
+// simulate runs a drawn simulation through drawn faults with a controller that goes by changed settings, and gives the first
+// invariant that it breaks, of those that the unchanged settings promise.
+func simulate(seed uint64, change func(*Settings, *time.Duration)) error {
+	random := rand.New(rand.NewPCG(seed, 29))
+	sim := drawSimulation(random)
+	promised := sim.settings.WithDefaults()
+	lease := sim.lease
+	change(&sim.settings, &lease)
+	newLeader := func() { sim.controller = New(sim.settings, lease) }
+	newLeader()
+	sim.run(6 * time.Second)
+	for range 6 {
+		state := sim.injectFault(random)
+		sim.faultAt = sim.now
+		newLeader()
+		for end := sim.now + time.Duration(2+random.IntN(14))*time.Second; sim.now < end; {
+			earlier := append([]writtenPlan{}, sim.plans...)
+			if len(sim.run(tick)) == 0 {
+				continue
+			}
+			if err := sim.checkPlan(earlier, sim.plans[len(sim.plans)-1], promised); err != nil {
+				return fmt.Errorf("seed %d at %v: %w (%s)", seed, sim.now, err, state)
+			}
+		}
+	}
+	return nil
+}
+
+func sameRow(a, b *Plan, zone string) bool {
+	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
+}
+
+// lastMove is when a zone's requests last moved; 0: not yet.
+func lastMove(plans []writtenPlan, zone string) time.Duration {
+	for i := len(plans) - 1; i > 0; i-- {
+		if !sameRow(plans[i-1].plan, plans[i].plan, zone) {
+			return plans[i].at
+		}
+	}
+	return 0
+}
+
+// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still act on.
+func (s *simulation) maxEarlier(earlier []writtenPlan, fromZone, toZone string) float64 {
+	largest := 0
+	for i, written := range earlier {
+		if i == len(earlier)-1 || earlier[i+1].at > s.now-s.lease {
+			largest = max(largest, written.plan.Rows[fromZone][toZone])
+		}
+	}
+	return float64(largest)
+}
+
+// checkPlan holds a plan, just written, against what was promised, by what the controller holds to be true: that this is
+// what the simulation reports is what the tests of situations show.
+func (s *simulation) checkPlan(earlier []writtenPlan, written writtenPlan, promised Settings) error {
+	for to := range s.zones {
+		if err := s.checkReceiver(earlier, written.plan, promised, to); err != nil {
+			return err
+		}
+	}
+	for _, zone := range s.zones {
+		if err := checkRow(written.plan, zone); err != nil {
+			return err
+		}
+		if len(earlier) == 0 {
+			continue
+		}
+		if err := s.checkMove(earlier, written, promised, zone); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkReceiver checks that a zone gets no more than its capacity, but by its own requests.
+func (s *simulation) checkReceiver(earlier []writtenPlan, plan *Plan, promised Settings, to int) error {
+	toZone := s.zones[to]
+	capacity, _ := s.controller.estimates.capacity(to, toZone)
+	load, ofOthers, both, previous := 0.0, 0.0, 0.0, 0.0
+	for from, fromZone := range s.zones {
+		demand := max(s.controller.estimates.demand[from], minDemand)
+		share := float64(plan.Rows[fromZone][toZone])
+		if from == to {
+			share -= float64(plan.Shed[fromZone])
+		} else {
+			ofOthers += share / fullShare * demand
+		}
+		load += share / fullShare * demand
+		old := s.maxEarlier(earlier, fromZone, toZone)
+		both, previous = both+max(share, old)/fullShare*demand, previous+old/fullShare*demand
+	}
+	slack := 0.01*capacity + 0.05
+	if ofOthers > slack && load > (promised.MaxUtilisation+1)/2*capacity+slack {
+		return fmt.Errorf("%s gets %.1f, %.1f of it from others, with a capacity of %.1f", toZone, load, ofOthers, capacity)
+	}
+	if ofOthers > slack && both > max(capacity, previous)+slack {
+		return fmt.Errorf("%s gets %.1f by previous plans or the new one, %.1f by previous ones, with a capacity of %.1f", toZone,
+			both, previous, capacity)
+	}
+	return nil
+}
+
+// checkRow checks that a row is one.
+func checkRow(plan *Plan, zone string) error {
+	sum := 0
+	for _, share := range plan.Rows[zone] {
+		if sum += share; share < 0 {
+			return fmt.Errorf("a share of %s is %d", zone, share)
+		}
+	}
+	if sum != fullShare || plan.Shed[zone] > plan.Rows[zone][zone] {
+		return fmt.Errorf("row of %s: %v, shed %d", zone, plan.Rows[zone], plan.Shed[zone])
+	}
+	return nil
+}
+
+// checkMove checks that a zone's row moves no sooner, no further and for no other reason than was promised.
+func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, promised Settings, zone string) error {
+	last, plan := earlier[len(earlier)-1].plan, written.plan
+	isOrdinary, hasMoved := plan.Reasons[zone] == reasonOrdinary, !sameRow(last, plan, zone)
+	if at := lastMove(earlier, zone); isOrdinary && at > 0 && written.at < at+promised.holdDown() && hasMoved {
+		return fmt.Errorf("%s moved at %v, and again", zone, at)
+	}
+	for to, toZone := range s.zones {
+		isHealthy := written.at > s.faultAt+3*time.Second && s.healthy[to] > 0 && s.readyPower[to] > 0
+		if isHealthy && strings.Contains(plan.Reasons[zone], toZone+reasonZoneLost) && hasMoved {
+			return fmt.Errorf("%s leaves %s, which is healthy", zone, toZone)
+		}
+	}
+	ownShare := func(plan *Plan) int { return plan.Rows[zone][zone] - plan.Shed[zone] }
+	rise := ownShare(plan) - ownShare(last)
+	if float64(rise) > promised.RecoveryStep*fullShare+21 && (last.Shed[zone] > 0 || isOrdinary) {
+		return fmt.Errorf("%s recovers by %d at once, from %+v to %+v", zone, rise, last, plan)
+	}
+	return nil
+}
+
+func TestController_drawnFaultsBreakNoInvariant(t *testing.T) {
+	unchanged := func(*Settings, *time.Duration) {}
+	for part := range uint64(8) {
+		t.Run(fmt.Sprint(part), func(t *testing.T) {
+			t.Parallel()
+			for seed := part * 8; seed < part*8+8; seed++ {
+				if err := simulate(seed, unchanged); err != nil {
+					t.Error(err)
+				}
+			}
+		})
+	}
+}
+
+// Defects seeded in a controller are found by the same simulation.
+func TestSimulate_findsSeededDefects(t *testing.T) {
+	for name, change := range map[string]func(*Settings, *time.Duration){
+		"plan above the receiver's capacity": func(s *Settings, _ *time.Duration) { s.MaxUtilisation = 1.3 },
+		"recovery without steps":             func(s *Settings, _ *time.Duration) { s.RecoveryStep = 1 },
+		"one gateway's observations":         func(s *Settings, _ *time.Duration) { s.MinGateways, s.AgreementShare = 1, 0.15 },
+		"no hold-down":                       func(s *Settings, _ *time.Duration) { s.HoldDownSeconds = 1 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(200) {
+				if err := simulate(seed, change); err != nil {
+					t.Logf("found after %d runs: %v", seed+1, err)
+					return
+				}
+			}
+			t.Error("not found in 200 runs")
+		})
+	}
+}
+
+// The same sums give the same bytes, whatever the order of maps.
+func TestController_sameObservationsSamePlan(t *testing.T) {
+	var first []byte
+	for range 3 {
+		sim := threeZones(3)
+		sim.run(6 * time.Second)
+		sim.healthy[0], sim.demand[1] = 0, 77
+		sim.run(20 * time.Second)
+		if first == nil {
+			first = sim.entry.Value
+		}
+		if !bytes.Equal(first, sim.entry.Value) {
+			t.Fatal("another plan")
+		}
+	}
+}
--- a/internal/failover/simulation_test.go
+++ b/internal/failover/simulation_test.go
@@ -1,236 +1,213 @@
 package failover
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
-	"maps"
 	"math/rand/v2"
-	"os"
-	"strings"
 	"testing"
 	"time"
+
+	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/zonestats"
 )
 
-// The same verdict every time: rapid draws from a seed of our own.
-func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "2026"); err != nil {
-		panic(err)
+// tick is how often the simulation's gateways report and its controller decides.
+const tick = 100 * time.Millisecond
+
+// simulation is zones with gateways that report what they observe of them, as sums that a controller goes by. Plans are held
+// against what is true in the simulation, not against what the controller believes. Slices are by zone index.
+type simulation struct {
+	zones        []string
+	gateways     []int
+	demand       []float64       // units a second that quotas admit, whether or not an attempt follows
+	unadmitted   map[int]float64 // and, by zone, that they don't
+	readyPower   []float64       // as listed
+	healthy      []float64       // part of it that answers
+	lostLinks    map[[2]int]bool
+	blindGateway map[int]bool // zones whose first gateway observes no answer and has an empty endpoint list
+	silent       map[int]bool // zones whose gateways' digests don't arrive
+	now          time.Duration
+	faultAt      time.Duration // when something last changed
+	sums         map[string]uint64
+	entry        statemachine.Table
+	lease        time.Duration
+	settings     Settings
+	controller   *Controller
+	plans        []writtenPlan
+}
+
+type writtenPlan struct {
+	at   time.Duration
+	plan *Plan
+}
+
+// threeZones is three zones in two regions, with so many gateways each, that have a capacity of 100 units a second each.
+func threeZones(gateways int) *simulation {
+	sim := &simulation{
+		lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{}, sums: map[string]uint64{},
+		unadmitted: map[int]float64{}, lease: 2 * time.Second,
+		settings: Settings{Enabled: true, Capacity: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}},
 	}
-	os.Exit(m.Run())
+	for _, zone := range []string{"a", "b", "c"} {
+		sim.addZone(zone, gateways, 50, 10)
+	}
+	sim.newLeader()
+	return sim
+}
+
+func (s *simulation) addZone(name string, gateways int, demand, readyPower float64) {
+	s.zones, s.gateways, s.demand = append(s.zones, name), append(s.gateways, gateways), append(s.demand, demand)
+	s.readyPower, s.healthy = append(s.readyPower, readyPower), append(s.healthy, 1)
 }
 
-// drawFixture is a world drawn by lot: two to five halls in up to three regions.
-func drawFixture(random *rand.Rand) *fixture {
-	fx := threeZones(0)
-	fx.zones, fx.gateways, fx.demand, fx.readyPower, fx.healthy = nil, nil, nil, nil, nil
-	fx.settings.Regions = nil
+// drawSimulation draws two to five zones in up to three regions.
+func drawSimulation(random *rand.Rand) *simulation {
+	sim := threeZones(0)
+	sim.zones, sim.gateways, sim.demand, sim.readyPower, sim.healthy = nil, nil, nil, nil, nil
+	sim.settings.Regions = nil
 	for i := range 2 + random.IntN(4) {
 		name := string(rune('a' + i))
-		fx.zones, fx.gateways = append(fx.zones, name), append(fx.gateways, 2+random.IntN(5))
-		fx.demand = append(fx.demand, 20+60*random.Float64())
-		fx.readyPower, fx.healthy = append(fx.readyPower, float64(5+random.IntN(11))), append(fx.healthy, 1)
-		if r := len(fx.settings.Regions); r == 0 || r < 3 && random.IntN(2) == 0 {
-			fx.settings.Regions = append(fx.settings.Regions, Region{Name: "r" + name})
+		gateways, demand := 2+random.IntN(5), 20+60*random.Float64()
+		sim.addZone(name, gateways, demand, float64(5+random.IntN(11)))
+		if n := len(sim.settings.Regions); n == 0 || n < 3 && random.IntN(2) == 0 {
+			sim.settings.Regions = append(sim.settings.Regions, Region{Name: "r" + name})
 		}
-		r := &fx.settings.Regions[len(fx.settings.Regions)-1]
-		r.Zones = append(r.Zones, name)
+		region := &sim.settings.Regions[len(sim.settings.Regions)-1]
+		region.Zones = append(region.Zones, name)
 	}
-	return fx
+	return sim
 }
 
-// injectFault changes something in the world by lot.
-func (fx *fixture) injectFault(random *rand.Rand) string {
-	n := len(fx.zones)
-	h, to := random.IntN(n), random.IntN(n)
-	switch kind := random.IntN(8); kind {
+// injectFault draws a change and says what is true after it.
+func (s *simulation) injectFault(random *rand.Rand) string {
+	n := len(s.zones)
+	zone, other := random.IntN(n), random.IntN(n)
+	switch random.IntN(8) {
 	case 0, 1:
-		fx.healthy[h] = []float64{0, 0, 0.5, 1, 1, 1}[random.IntN(6)]
+		s.healthy[zone] = []float64{0, 0, 0.5, 1, 1, 1}[random.IntN(6)]
 	case 2:
-		fx.readyPower[h] = float64(random.IntN(16))
+		s.readyPower[zone] = float64(random.IntN(16))
 	case 3:
-		if h != to {
-			fx.lostLinks[[2]int{h, to}] = !fx.lostLinks[[2]int{h, to}]
+		if zone != other {
+			s.lostLinks[[2]int{zone, other}] = !s.lostLinks[[2]int{zone, other}]
 		}
 	case 4:
-		fx.demand[h] *= 0.5 + random.Float64()
+		s.demand[zone] *= 0.5 + random.Float64()
 	case 5:
-		fx.silent[h] = !fx.silent[h]
+		s.silent[zone] = !s.silent[zone]
 	case 6:
-		fx.blindGateway[h] = !fx.blindGateway[h]
+		s.blindGateway[zone] = !s.blindGateway[zone]
 	case 7:
-		fx.newLeader()
+		s.newLeader()
 	}
-	return fmt.Sprintf("sound %v, listed %v, demand %.0f, cut %v, mute %v, blind %v", fx.healthy, fx.readyPower, fx.demand,
-		fx.lostLinks, fx.silent, fx.blindGateway)
+	return fmt.Sprintf("healthy %v, ready power %v, demand %.0f, lost links %v, silent %v, blind gateways %v", s.healthy,
+		s.readyPower, s.demand, s.lostLinks, s.silent, s.blindGateway)
 }
 
-// simulate lets a drawn world go through troubles with a decider that goes by terms of its own, and gives the first promise
-// that it breaks, of those that the file's terms make.
-func simulate(seed uint64, own func(*Settings, *time.Duration)) error {
-	random := rand.New(rand.NewPCG(seed, 29))
-	fx := drawFixture(random)
-	promised := fx.settings.WithDefaults()
-	lease := fx.lease
-	own(&fx.settings, &lease)
-	lead := func() {
-		fx.controller = New(fx.settings, lease)
-		fx.controller.settings = fx.settings.WithDefaults()
-		fx.controller.estimates.settings = &fx.controller.settings
+// newLeader has a new controller start.
+func (s *simulation) newLeader() { s.controller = New(s.settings, s.lease) }
+
+func (s *simulation) add(name string, n float64) { s.sums[name] += uint64(n) }
+
+// share is the part of a zone's requests sent to another by the plan in force.
+func (s *simulation) share(from, to int) float64 {
+	if len(s.plans) == 0 {
+		return map[bool]float64{true: 1}[from == to]
 	}
-	lead()
-	fx.run(6 * time.Second)
-	for range 6 {
-		said := fx.injectFault(random)
-		fx.faultAt = fx.now
-		lead()
-		for end := fx.now + time.Duration(2+random.IntN(14))*time.Second; fx.now < end; {
-			was := append([]writtenPlan{}, fx.plans...)
-			if len(fx.run(tick)) == 0 {
-				continue
-			}
-			if err := fx.check(was, fx.plans[len(fx.plans)-1], promised); err != nil {
-				return fmt.Errorf("seed %d at %v: %w (%s)", seed, fx.now, err, said)
-			}
-		}
+	plan := s.latest()
+	share := float64(plan.Rows[s.zones[from]][s.zones[to]])
+	if from == to {
+		share -= float64(plan.Shed[s.zones[from]])
 	}
-	return nil
+	return share / fullShare
 }
 
-func (fx *fixture) sameRow(a, b *Plan, zone string) bool {
-	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
-}
+// latest is the plan in force.
+func (s *simulation) latest() *Plan { return s.plans[len(s.plans)-1].plan }
 
-// lastMove is when a hall's tasks last moved; 0: not yet.
-func (fx *fixture) lastMove(was []writtenPlan, zone string) time.Duration {
-	for i := len(was) - 1; i > 0; i-- {
-		if !fx.sameRow(was[i-1].plan, was[i].plan, zone) {
-			return was[i].at
+// report has all gateways count a tick.
+func (s *simulation) report() {
+	milliseconds := float64(tick / time.Millisecond)
+	for from, fromZone := range s.zones {
+		if s.silent[from] {
+			continue
+		}
+		s.add(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
+		s.add(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
+		s.add(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
+		s.add(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // a hundred attempts a second
+		for gateway := range s.gateways[from] {
+			s.reportGateway(from, gateway == 0 && s.blindGateway[from], milliseconds)
 		}
 	}
-	return 0
 }
 
-// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still hold.
-func (fx *fixture) maxEarlier(was []writtenPlan, fromZone, toZone string) float64 {
-	largest := 0
-	for i, p := range was {
-		if i == len(was)-1 || was[i+1].at > fx.now-fx.lease {
-			largest = max(largest, p.plan.Rows[fromZone][toZone])
+// reportGateway has one gateway count what it observes of all zones in so many milliseconds.
+func (s *simulation) reportGateway(from int, isBlind bool, milliseconds float64) {
+	for to, toZone := range s.zones {
+		power := s.readyPower[to]
+		if isBlind {
+			power = 0
+		}
+		band := zonestats.PowerBand(power)
+		s.add(zonestats.ReadyTime(toZone, band), milliseconds)
+		s.add(zonestats.ReadyPower(toZone, band), milliseconds*power)
+		quarter := int(s.healthy[to]*zonestats.Healthy + 0.5)
+		if isBlind || s.lostLinks[[2]int{from, to}] {
+			quarter = zonestats.Lost
+		}
+		if s.share(from, to) > 0 && s.readyPower[to] > 0 || isBlind {
+			s.add(zonestats.HealthTime(s.zones[from], toZone, quarter), milliseconds)
 		}
 	}
-	return float64(largest)
 }
 
-// check holds a plan, just written, against what was promised, by what the decider holds to be true: that this is what
-// the world tells is what the stories show.
-func (fx *fixture) check(was []writtenPlan, now writtenPlan, promised Settings) error {
-	e, plan := fx.controller.estimates, now.plan
-	for to, toZone := range fx.zones {
-		bears, _ := e.capacity(to, toZone)
-		load, foreign, both, before := 0.0, 0.0, 0.0, 0.0
-		for from, fromZone := range fx.zones {
-			d := max(e.demand[from], minDemand)
-			amount := float64(plan.Rows[fromZone][toZone])
-			if from == to {
-				amount -= float64(plan.Shed[fromZone])
-			} else {
-				foreign += amount / fullShare * d
-			}
-			load += amount / fullShare * d
-			old := fx.maxEarlier(was, fromZone, toZone)
-			both, before = both+max(amount, old)/fullShare*d, before+old/fullShare*d
-		}
-		slack := 0.01*bears + 0.05
-		if foreign > slack && load > (promised.MaxUtilisation+1)/2*bears+slack {
-			return fmt.Errorf("%s gets %.1f, of that %.1f of others, and bears %.1f", toZone, load, foreign, bears)
-		}
-		if foreign > slack && both > max(bears, before)+slack {
-			return fmt.Errorf("%s gets %.1f by old plans or new, %.1f by old ones, and bears %.1f", toZone, both, before, bears)
-		}
+// run lets time pass, and gives the plans written meanwhile.
+func (s *simulation) run(span time.Duration) []writtenPlan {
+	first := len(s.plans)
+	for end := s.now + span; s.now < end; {
+		s.step()
 	}
-	for _, fromZone := range fx.zones {
-		sum := 0
-		for _, x := range plan.Rows[fromZone] {
-			if sum += x; x < 0 {
-				return fmt.Errorf("a share of %s is %d", fromZone, x)
-			}
-		}
-		if sum != fullShare || plan.Shed[fromZone] > plan.Rows[fromZone][fromZone] {
-			return fmt.Errorf("row of %s: %v, shed %d", fromZone, plan.Rows[fromZone], plan.Shed[fromZone])
-		}
-		if len(was) == 0 {
-			continue
-		}
-		last := was[len(was)-1].plan
-		at := fx.lastMove(was, fromZone)
-		if plan.Reasons[fromZone] == reasonOrdinary && at > 0 && now.at < at+promised.holdDown() && !fx.sameRow(last, plan, fromZone) {
-			return fmt.Errorf("%s moved at %v, and again", fromZone, at)
-		}
-		for to, toZone := range fx.zones {
-			well := now.at > fx.faultAt+3*time.Second && fx.healthy[to] > 0 && fx.readyPower[to] > 0
-			if well && strings.Contains(plan.Reasons[fromZone], toZone+" is lost") && !fx.sameRow(last, plan, fromZone) {
-				return fmt.Errorf("%s flees from %s, which is well", fromZone, toZone)
-			}
-		}
-		home := func(plan *Plan) int { return plan.Rows[fromZone][fromZone] - plan.Shed[fromZone] }
-		if up := home(plan) - home(last); float64(up) > promised.RecoveryStep*fullShare+21 &&
-			(last.Shed[fromZone] > 0 || plan.Reasons[fromZone] == reasonOrdinary) {
-			return fmt.Errorf("%s comes back by %d at once, from %+v to %+v", fromZone, up, last, plan)
-		}
-	}
-	return nil
+	return s.plans[first:]
 }
 
-func unchanged(*Settings, *time.Duration) {}
-
-func TestController_drawnFaultsBreakNoInvariant(t *testing.T) {
-	for part := range uint64(8) {
-		t.Run(fmt.Sprint(part), func(t *testing.T) {
-			t.Parallel()
-			for seed := part * 8; seed < part*8+8; seed++ {
-				if err := simulate(seed, unchanged); err != nil {
-					t.Error(err)
-				}
-			}
-		})
+// step lets a tick pass, and gives what the controller decided.
+func (s *simulation) step() (value []byte, write bool) {
+	s.now += tick
+	s.report()
+	input := coordination.ControllerInput{Sums: s.sums, Table: func(string) statemachine.Table { return s.entry }}
+	value, write = s.controller.Decide(s.now, input)
+	if write {
+		plan, err := DecodePlan(value)
+		if err != nil {
+			panic(err)
+		}
+		s.entry = statemachine.Table{Epoch: s.entry.Epoch + 1, Value: value}
+		s.plans = append(s.plans, writtenPlan{s.now, plan})
 	}
+	return value, write
 }
 
-// Bugs planted in a decider are found by the same play.
-func TestSimulate_findsSeededDefects(t *testing.T) {
-	for name, plant := range map[string]func(*Settings, *time.Duration){
-		"plan above the receiver's strength": func(t *Settings, _ *time.Duration) { t.MaxUtilisation = 1.3 },
-		"return without steps":               func(t *Settings, _ *time.Duration) { t.RecoveryStep = 1 },
-		"one gateway's word":                 func(t *Settings, _ *time.Duration) { t.MinGateways, t.AgreementShare = 1, 0.15 },
-		"no rest":                            func(t *Settings, _ *time.Duration) { t.HoldDownSeconds = 1 },
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			for seed := range uint64(200) {
-				if err := simulate(seed, plant); err != nil {
-					t.Logf("found after %d runs: %v", seed+1, err)
-					return
-				}
-			}
-			t.Error("not found in 200 runs")
-		})
+// load is what is sent to a zone by the plan in force, in units a second.
+func (s *simulation) load(to int) float64 {
+	sum := 0.0
+	for from := range s.zones {
+		sum += s.share(from, to) * s.demand[from]
 	}
+	return sum
 }
 
-// The same sums give the same bytes, whatever the order of maps.
-func TestController_sameObservationsSamePlan(t *testing.T) {
-	var first []byte
-	for range 3 {
-		fx := threeZones(3)
-		fx.run(6 * time.Second)
-		fx.healthy[0], fx.demand[1] = 0, 77
-		fx.run(20 * time.Second)
-		if first == nil {
-			first = fx.entry.Value
-		}
-		if !bytes.Equal(first, fx.entry.Value) {
-			t.Fatal("another plan")
-		}
+func (s *simulation) wantBetween(t *testing.T, what string, got, least, most float64) {
+	t.Helper()
+	if got < least || got > most {
+		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, s.latest())
 	}
 }
+
+// isLocal tells whether all of a zone's requests stay there.
+func (p *Plan) isLocal(zone string) bool {
+	return len(p.Rows[zone]) == 0 || p.Rows[zone][zone] == fullShare
+}
+
+// isAllLocal tells whether all requests of the simulation's three zones stay where they come in.
+func (p *Plan) isAllLocal() bool { return p.isLocal("a") && p.isLocal("b") && p.isLocal("c") }
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -97,7 +97,7 @@
 		g.Signal(syscall.SIGHUP)
 	}
 	s.VoterCluster.Start(s.Voters[1])
-	s.waitForLog(s.Voters[1].Process, "this voter has begun", 1)
+	s.waitForLog(s.Voters[1].Process, "coordination: voter started", 1)
 	s.waitForFraction("hall-a", "hall-a", minLocalFraction, 1)
 	s.Voters[0].Kill() // the new one counts: with it a majority stands
 	s.failZone("hall-b", "hall-a")
@@ -111,7 +111,7 @@
 	full := s.Leader()
 	must(t, full.SetDiskFull(true))
 	s.failZone("hall-a", "hall-b")
-	s.waitForLog(full.Process, "this voter has stopped", 1)
+	s.waitForLog(full.Process, "voter: stopped after a failure", 1)
 	full.Kill()
 	s.VoterCluster.Start(full)
 	s.SetZoneBehavior("hall-a", Healthy)
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -1,34 +1,34 @@
 package policy
 
 import (
-	"container/heap"
 	"math/rand"
 	"testing"
 	"time"
+
+	"harrierhoist/internal/virtualtime"
 )
 
-// quotaSimulation is many gateways under one clock, with one counter of sums that answers after a while and
-// turns some calls away, and customers whose true stores it keeps: a store gives a task its units as it is
-// pushed, and nothing to one that finds too little.
+// quotaSimulation is many gateways under one clock, with one counter that answers after a while and rejects some
+// calls, and customers whose true token buckets it keeps: a bucket gives a request its units with its first attempt,
+// and nothing to one that finds too few.
 type quotaSimulation struct {
-	now           time.Duration
+	*virtualtime.Scheduler
 	random        *rand.Rand
-	events        quotaEvents
 	gateways      []*quotaGateway
 	counts        map[uint64]float64
-	counterRate   float64 // calls a second that the counter takes; 0: all
+	counterRate   float64 // calls a second that the counter accepts; 0: all
 	counterFreeAt time.Duration
 	counterOutage [2]time.Duration // from when to when no call is answered
 	tries         map[uint32]*quotaTry
 	overQuota     map[float64]float64 // units, by how often its quota a customer asks
 	quota         map[float64]float64
-	withinQuota   map[float64]float64 // units that the stores gave
+	withinQuota   map[float64]float64 // units that the buckets gave
 }
 
 type quotaGateway struct {
 	*quotaSimulation
 	module *Gateway
-	timers map[uint64]int // wakes that stand
+	timers map[uint64]int // how often each was set or cancelled
 }
 
 type quotaTry struct {
@@ -48,76 +48,53 @@
 	refilledAt time.Duration
 }
 
-type quotaEvent struct {
-	at     time.Duration
-	number int
-	do     func()
-}
-
-type quotaEvents []quotaEvent
-
-func (q quotaEvents) Len() int { return len(q) }
-func (q quotaEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
-}
-func (q quotaEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *quotaEvents) Push(e any)   { *q = append(*q, e.(quotaEvent)) }
-func (q *quotaEvents) Pop() any {
-	e := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return e
-}
-
-func (f *quotaSimulation) after(d time.Duration, does func()) {
-	heap.Push(&f.events, quotaEvent{f.now + max(d, 0), int(f.random.Int31()), does})
-}
-
-func (h *quotaGateway) Attempt(task, server uint32, _ time.Duration) {
-	t := h.tries[task]
+func (h *quotaGateway) Attempt(requestID, server uint32, _ time.Duration) {
+	t := h.tries[requestID]
 	number := t.attempts
 	if t.attempts++; number == 0 {
 		t.customer.take(h.quotaSimulation, t.units)
 	}
 	took := time.Duration(50+h.random.Intn(100)) * ms
-	h.after(took, func() {
-		h.module.HandleAttemptResult(h.now, AttemptResult{RequestID: task, Attempt: number, Server: server, Outcome: Answered, Latency: took,
-			Final: true})
+	h.After(took, func() {
+		h.module.HandleAttemptResult(h.Now(), AttemptResult{
+			RequestID: requestID, Attempt: number, Server: server, Outcome: Answered, Latency: took, Final: true,
+		})
 	})
 }
 
-// Reject has the client come again soon, whatever it was told: in time to be served.
-func (h *quotaGateway) Reject(task uint32, _ time.Duration) {
-	if t := h.tries[task]; t.tries < 2 {
-		h.after(time.Duration(20+h.random.Intn(130))*ms, func() { h.send(t.customer, t.units, t.tries+1, t.deadline) })
+// Reject has the client come again soon, whatever Retry-After says: in time to be served.
+func (h *quotaGateway) Reject(requestID uint32, _ time.Duration) {
+	if t := h.tries[requestID]; t.tries < 2 {
+		h.After(time.Duration(20+h.random.Intn(130))*ms, func() { h.send(t.customer, t.units, t.tries+1, t.deadline) })
 	}
 }
 
 func (h *quotaGateway) Count(name uint64, _ time.Duration, units float64) {
 	took := time.Duration(1+h.random.Intn(8)) * ms
-	if h.counterOutage[0] < h.now && h.now < h.counterOutage[1] {
-		h.after(30*ms, func() { h.module.HandleCount(h.now, CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut}) })
+	if h.counterOutage[0] < h.Now() && h.Now() < h.counterOutage[1] {
+		h.After(30*ms, func() { h.module.HandleCount(h.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut}) })
 		return
 	}
-	full := h.counterRate > 0 && h.counterFreeAt > h.now+100*ms
+	full := h.counterRate > 0 && h.counterFreeAt > h.Now()+100*ms
 	if h.counterRate > 0 && !full {
-		h.counterFreeAt = max(h.counterFreeAt, h.now) + time.Duration(float64(time.Second)/h.counterRate)
+		h.counterFreeAt = max(h.counterFreeAt, h.Now()) + time.Duration(float64(time.Second)/h.counterRate)
 	}
-	h.after(took/2, func() {
+	h.After(took/2, func() {
 		tally := CountResult{Name: name, Latency: took, Outcome: Rejected}
 		if !full {
 			h.counts[name] += units
 			tally.Total, tally.Outcome = h.counts[name], Answered
 		}
-		h.after(took-took/2, func() { h.module.HandleCount(h.now, tally) })
+		h.After(took-took/2, func() { h.module.HandleCount(h.Now(), tally) })
 	})
 }
 
 func (h *quotaGateway) SetTimer(token uint64, after time.Duration) {
 	h.timers[token]++
 	stands := h.timers[token]
-	h.after(after, func() {
+	h.After(after, func() {
 		if h.timers[token] == stands {
-			h.module.HandleTimer(h.now, token)
+			h.module.HandleTimer(h.Now(), token)
 		}
 	})
 }
@@ -136,7 +113,7 @@
 }
 
 func (c *quotaCustomer) take(f *quotaSimulation, units float64) {
-	if c.refill(f.now); c.available >= units {
+	if c.refill(f.Now()); c.available >= units {
 		c.available -= units
 		f.withinQuota[c.demand] += units
 	} else {
@@ -146,30 +123,31 @@
 
 // send brings a try to any gateway.
 func (f *quotaSimulation) send(who *quotaCustomer, units float64, tries int, ends time.Duration) {
-	if f.now >= ends {
+	if f.Now() >= ends {
 		return
 	}
 	h := f.gateways[f.random.Intn(len(f.gateways))]
 	t := &quotaTry{id: uint32(len(f.tries) + 1), customer: who, units: units, gateway: h, tries: tries, deadline: ends}
 	f.tries[t.id] = t
-	h.module.HandleRequest(f.now, Request{ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends,
-		Repeat: tries > 0})
+	h.module.HandleRequest(f.Now(), Request{
+		ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends, Repeat: tries > 0,
+	})
 }
 
 // scheduleNext has a customer's next request come after a random while, and so on to the end.
 func (f *quotaSimulation) scheduleNext(who *quotaCustomer, end time.Duration) {
 	rate := who.demand * testSettings().Plans[1].Rate / 1.5
-	f.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.now < end {
-			f.send(who, float64(1+f.random.Intn(2)), 0, f.now+2*time.Second)
+	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		if f.Now() < end {
+			f.send(who, float64(1+f.random.Intn(2)), 0, f.Now()+2*time.Second)
 			f.scheduleNext(who, end)
 		}
 	})
 }
 
-// run has customers of four sorts, so many of each, ask for a while.
-func (f *quotaSimulation) run(gateways, each int, lasts time.Duration) {
-	f.now, f.counts, f.tries = time.Minute, map[uint64]float64{}, map[uint32]*quotaTry{}
+// run has customers with four sorts of demand, so many of each, send requests for a while.
+func (f *quotaSimulation) run(t *testing.T, gateways, each int, lasts time.Duration) {
+	f.Scheduler, f.counts, f.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
 	f.overQuota, f.quota, f.withinQuota = map[float64]float64{}, map[float64]float64{}, map[float64]float64{}
 	var list []Endpoint
 	for i := range uint32(40) {
@@ -179,37 +157,36 @@
 	d.Gateways = gateways
 	for i := range gateways {
 		h := &quotaGateway{quotaSimulation: f, timers: map[uint64]int{}}
-		h.module, _ = New(d, int64(i), h)
-		h.module.HandleEndpoints(f.now, ListCached, list)
+		var err error
+		if h.module, err = New(d, int64(i), h); err != nil {
+			t.Fatal(err)
+		}
+		h.module.HandleEndpoints(f.Now(), ListCached, list)
 		f.gateways = append(f.gateways, h)
 	}
-	end := f.now + lasts
+	end := f.Now() + lasts
 	for _, times := range []float64{0.5, 1, 2, 5} {
 		for range each {
-			c := &quotaCustomer{id: f.random.Uint64() >> 31, demand: times, available: 10, refilledAt: f.now}
+			c := &quotaCustomer{id: f.random.Uint64() >> 31, demand: times, available: 10, refilledAt: f.Now()}
 			f.scheduleNext(c, end)
 			f.quota[times] += 10 + testSettings().Plans[1].Rate*lasts.Seconds()
 		}
 	}
-	for len(f.events) > 0 {
-		e := heap.Pop(&f.events).(quotaEvent)
-		f.now = e.at
-		e.do()
+	for f.Step() {
 	}
 }
 
-// The units sent on beyond the true stores, as a part of what these gave at most, stay under a bound for
-// customers that ask twice and five times their quota, and under 0.05 for those that ask half of it and
-// all. What remains is the lag, as no count knows what is out; and, where calls are left out or the counter
-// is lost, what is let in with no total: the more gateways, the less does one know (docs/fleet-quotas.md,
-// The bound). Before what was sent on over a window's edge counted, two gateways that lost their counter
-// over one let through 0.11 and 0.15.
+// The units forwarded beyond the true buckets, as a part of what these could give, stay under a bound for customers
+// that ask for twice and five times their quota, and under 0.05 for those that ask for half of it and all. What remains
+// is the lag, as no count shows what is in flight; and, where calls are left out or the counter is lost, what is
+// admitted without a count: the more gateways, the less does one know (docs/fleet-quotas.md, The bound). Before what was
+// forwarded over a window's edge counted, two gateways that lost their counter over one let through 0.11 and 0.15.
 func TestQuota_holdsOverManyGateways(t *testing.T) {
-	crowded := func(f *quotaSimulation) { f.counterRate = 100 }
+	overloaded := func(f *quotaSimulation) { f.counterRate = 100 }
 	lost := func(f *quotaSimulation) { // over one edge of each customer, or two
 		f.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
 	}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name      string
 		gateways  int
 		counter   func(*quotaSimulation)
@@ -218,22 +195,22 @@
 		{"2 gateways", 2, nil, 0.04, 0.07},
 		{"20 gateways", 20, nil, 0.08, 0.16},
 		{"100 gateways", 100, nil, 0.11, 0.18},
-		{"2 gateways, three calls for four tasks", 2, crowded, 0.10, 0.12},
-		{"20 gateways, three calls for four tasks", 20, crowded, 0.23, 0.85},
-		{"100 gateways, three calls for four tasks", 100, crowded, 0.33, 1.20},
+		{"2 gateways, three calls for four requests", 2, overloaded, 0.10, 0.12},
+		{"20 gateways, three calls for four requests", 20, overloaded, 0.23, 0.85},
+		{"100 gateways, three calls for four requests", 100, overloaded, 0.33, 1.20},
 		{"2 gateways, counter lost for 12 s", 2, lost, 0.06, 0.09},
 		{"20 gateways, counter lost for 12 s", 20, lost, 0.14, 0.42},
 		{"100 gateways, counter lost for 12 s", 100, lost, 0.42, 1.00},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := &quotaSimulation{random: rand.New(rand.NewSource(1))}
-			if tt.counter != nil {
-				tt.counter(f)
+			if test.counter != nil {
+				test.counter(f)
 			}
-			f.run(tt.gateways, 12, 45*time.Second)
-			for times, most := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: tt.two, 5: tt.five} {
-				if got := f.overQuota[times] / f.quota[times]; got > most {
-					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", times, got, most)
+			f.run(t, test.gateways, 12, 45*time.Second)
+			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
+				if got := f.overQuota[demand] / f.quota[demand]; got > limit {
+					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", demand, got, limit)
 				}
 			}
 		})
