--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -52,10 +53,7 @@
 			if err != nil {
 				return err
 			}
-			report.WriteTable(cmd.OutOrStdout(), lines)
-			fmt.Fprintln(cmd.OutOrStdout())
-			report.WriteFailover(cmd.OutOrStdout(), lines)
-			return nil
+			return writeTables(cmd.OutOrStdout(), lines)
 		},
 	}
 	c.Flags().StringVarP(&out, "out", "o", "results.jsonl", "file for the results, a line of JSON each")
@@ -92,14 +90,24 @@
 			if len(pairs) == 0 {
 				return errors.New("nothing pairs: no play of the same world, size and seed in both")
 			}
-			report.WriteComparisons(cmd.OutOrStdout(), pairs)
-			return nil
+			return report.WriteComparisons(cmd.OutOrStdout(), pairs)
 		},
 	}
 	c.Flags().StringSliceVar(&variants, "variants", nil, "two variants, A and B")
 	return c
 }
 
+// writeTables writes the tables of results: all figures, and what became of failover plans.
+func writeTables(out io.Writer, results []*experiment.Result) error {
+	if err := report.WriteTable(out, results); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(out, "\n"); err != nil {
+		return err
+	}
+	return report.WriteFailover(out, results)
+}
+
 func only(lines []*experiment.Result, variant string) (some []*experiment.Result) {
 	for _, l := range lines {
 		if l.Variant == variant {
@@ -127,9 +135,9 @@
 			if err != nil {
 				return err
 			}
-			report.WriteTable(cmd.OutOrStdout(), all)
-			fmt.Fprintln(cmd.OutOrStdout())
-			report.WriteFailover(cmd.OutOrStdout(), all)
+			if err := writeTables(cmd.OutOrStdout(), all); err != nil {
+				return err
+			}
 			for _, n := range names {
 				fmt.Fprintf(cmd.OutOrStdout(), "\n![%s](%s)\n", strings.TrimSuffix(filepath.Base(n), ".svg"), n)
 			}
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"image/color"
-	"math"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,120 +17,150 @@
 	"harrierhoist/internal/lab/experiment"
 )
 
-// WriteCharts writes the charts into a folder and gives their names.
+// The size of a chart.
+const (
+	chartWidth  = 7 * vg.Inch
+	chartHeight = 3.5 * vg.Inch
+)
+
+const (
+	// maxDrawnService is the top of the axis of service: more than is due is drawn there.
+	maxDrawnService = 1.2
+	// minDrawnFault is the least width of a fault's shade, in seconds.
+	minDrawnFault = 0.2
+)
+
+// chart draws the results of one scenario and size, grouped by variant.
+type chart struct {
+	name string // the end of the file's name
+	draw func(groups [][]*experiment.Result) (*plot.Plot, error)
+}
+
+var charts = []chart{{"service", serviceOverTime}, {"times", answerTimes}, {"units", overQuotaUnits}}
+
+// WriteCharts writes the charts into a folder and gives their files, sorted.
 func WriteCharts(dir string, results []*experiment.Result) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	var names []string
-	byWorld := map[string][][]*experiment.Result{}
-	var order []string
-	for _, runs := range groupRuns(results) {
+	var files []string
+	save := func(name string, drawn *plot.Plot) error {
+		file := filepath.Join(dir, name+".svg")
+		files = append(files, file)
+		return drawn.Save(chartWidth, chartHeight, file)
+	}
+	groups := groupRuns(results)
+	byScenario := map[string][][]*experiment.Result{}
+	for _, runs := range groups {
 		key := fmt.Sprintf("%s-%d", runs[0].Scenario, runs[0].Gateways)
-		if byWorld[key] == nil {
-			order = append(order, key)
-		}
-		byWorld[key] = append(byWorld[key], runs)
+		byScenario[key] = append(byScenario[key], runs)
 	}
-	for _, key := range order {
-		for name, draw := range map[string]func([][]*experiment.Result) (*plot.Plot, error){"service": serviceOverTime,
-			"times": answerTimes, "units": overQuotaUnits} {
-			p, err := draw(byWorld[key])
+	for key, groups := range byScenario {
+		for _, chart := range charts {
+			drawn, err := chart.draw(groups)
 			if err != nil {
 				return nil, err
 			}
-			file := filepath.Join(dir, fmt.Sprintf("%s-%s.svg", strings.ReplaceAll(key, " ", "-"), name))
-			if err := p.Save(7*vg.Inch, 3.5*vg.Inch, file); err != nil {
+			if err := save(strings.ReplaceAll(key, " ", "-")+"-"+chart.name, drawn); err != nil {
 				return nil, err
 			}
-			names = append(names, file)
 		}
 	}
-	p, err := byGatewayCount(groupRuns(results))
+	drawn, err := netByGateways(groups)
 	if err != nil {
 		return nil, err
 	}
-	if p != nil {
-		file := filepath.Join(dir, "sizes.svg")
-		if err := p.Save(7*vg.Inch, 3.5*vg.Inch, file); err != nil {
+	if drawn != nil {
+		if err := save("sizes", drawn); err != nil {
 			return nil, err
 		}
-		names = append(names, file)
 	}
-	slices.Sort(names)
-	return names, nil
+	slices.Sort(files)
+	return files, nil
 }
 
-// serviceOverTime draws the part of the due gain that is served, second by second, with troubles shaded.
+// titled starts a chart of one scenario and size.
+func titled(groups [][]*experiment.Result, of string) *plot.Plot {
+	drawn := plot.New()
+	drawn.Title.Text = fmt.Sprintf("%s, %d gateways: %s", groups[0][0].Scenario, groups[0][0].Gateways, of)
+	return drawn
+}
+
+// serviceOverTime draws the part of the due weight that is served, second by second, with faults shaded.
 func serviceOverTime(groups [][]*experiment.Result) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: service over time", groups[0][0].Scenario, groups[0][0].Gateways)
-	p.X.Label.Text, p.Y.Label.Text = "second", "gain served over due"
-	p.Y.Min, p.Y.Max = 0, 1.2
-	for _, t := range groups[0][0].Faults {
-		from, to := t.At.D().Seconds(), max((t.At+t.For).D().Seconds(), t.At.D().Seconds()+0.2)
-		shade, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: 1.2}, {X: from, Y: 1.2}})
+	drawn := titled(groups, "service over time")
+	drawn.X.Label.Text, drawn.Y.Label.Text = "second", "weight served over due"
+	drawn.Y.Min, drawn.Y.Max = 0, maxDrawnService
+	for _, fault := range groups[0][0].Faults {
+		from := fault.At.D().Seconds()
+		to := max((fault.At + fault.For).D().Seconds(), from+minDrawnFault)
+		shade, err := plotter.NewPolygon(plotter.XYs{
+			{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: maxDrawnService}, {X: from, Y: maxDrawnService},
+		})
 		if err != nil {
 			return nil, err
 		}
-		shade.Color, shade.LineStyle.Width = color.RGBA{R: 230, G: 190, B: 150, A: 90}, 0
-		p.Add(shade)
+		shade.Color, shade.Width = color.RGBA{R: 230, G: 190, B: 150, A: 90}, 0
+		drawn.Add(shade)
 	}
 	for i, runs := range groups {
-		points := plotter.XYs{}
-		for s := range runs[0].Timeline {
-			gain, due := 0.0, 0.0
-			for _, result := range runs {
-				if s < len(result.Timeline) {
-					gain, due = gain+result.Timeline[s].Gain, due+result.Timeline[s].Due
-				}
-			}
-			if due > 0 {
-				points = append(points, plotter.XY{X: float64(s) + 1, Y: math.Min(gain/due, 1.2)})
-			}
-		}
-		line, err := plotter.NewLine(points)
+		line, err := plotter.NewLine(servicePoints(runs))
 		if err != nil {
 			return nil, err
 		}
 		line.Color = plotutil.Color(i)
-		p.Add(line)
-		p.Legend.Add(runs[0].Variant, line)
+		drawn.Add(line)
+		drawn.Legend.Add(runs[0].Variant, line)
+	}
+	return drawn, nil
+}
+
+// servicePoints are the service of all runs together, second by second.
+func servicePoints(runs []*experiment.Result) plotter.XYs {
+	points := plotter.XYs{}
+	for second := range runs[0].Timeline {
+		served, due := 0.0, 0.0
+		for _, result := range runs {
+			if second < len(result.Timeline) {
+				served, due = served+result.Timeline[second].Gain, due+result.Timeline[second].Due
+			}
+		}
+		if due > 0 {
+			points = append(points, plotter.XY{X: float64(second) + 1, Y: min(served/due, maxDrawnService)})
+		}
 	}
-	return p, nil
+	return points
 }
 
 // answerTimes draws the percentiles of answer times.
 func answerTimes(groups [][]*experiment.Result) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: answer times", groups[0][0].Scenario, groups[0][0].Gateways)
-	p.Y.Label.Text = "ms, slowest lane"
-	names := []string{"p50", "p99", "p99.9"}
+	drawn := titled(groups, "answer times")
+	drawn.Y.Label.Text = "ms, slowest class"
 	width := vg.Points(14)
 	for i, runs := range groups {
 		values := plotter.Values{
 			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P50) }),
 			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P99) }),
-			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P999) })}
+			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P999) }),
+		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
 			return nil, err
 		}
 		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
 		bars.Offset = width * vg.Length(float64(i)-float64(len(groups)-1)/2)
-		p.Add(bars)
-		p.Legend.Add(runs[0].Variant, bars)
+		drawn.Add(bars)
+		drawn.Legend.Add(runs[0].Variant, bars)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	p.NominalX(names...)
-	return p, nil
+	drawn.Legend.Top, drawn.Legend.Left = true, true
+	drawn.NominalX("p50", "p99", "p99.9")
+	return drawn, nil
 }
 
-// overQuotaUnits draws what was sent on beyond quotas.
+// overQuotaUnits draws what was forwarded beyond quotas.
 func overQuotaUnits(groups [][]*experiment.Result) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %d gateways: units beyond quotas", groups[0][0].Scenario, groups[0][0].Gateways)
-	p.Y.Label.Text = "part of the units sent on"
+	drawn := titled(groups, "units beyond quotas")
+	drawn.Y.Label.Text = "part of the forwarded units"
 	var names []string
 	var values plotter.Values
 	for _, runs := range groups {
@@ -143,41 +172,41 @@
 		return nil, err
 	}
 	bars.Color = plotutil.Color(2)
-	p.Add(bars)
-	p.NominalX(names...)
-	return p, nil
+	drawn.Add(bars)
+	drawn.NominalX(names...)
+	return drawn, nil
 }
 
-// byGatewayCount draws the net service against the number of gateways, where there are several.
-func byGatewayCount(groups [][]*experiment.Result) (*plot.Plot, error) {
-	by := map[string]plotter.XYs{}
+// netByGateways draws the net service against the number of gateways; nil: there is one number alone.
+func netByGateways(groups [][]*experiment.Result) (*plot.Plot, error) {
+	lines := map[string]plotter.XYs{}
 	var order []string
-	most := map[int]bool{}
+	sizes := map[int]bool{}
 	for _, runs := range groups {
 		key := runs[0].Scenario + " " + runs[0].Variant
-		if by[key] == nil {
+		if lines[key] == nil {
 			order = append(order, key)
 		}
-		most[runs[0].Gateways] = true
-		by[key] = append(by[key], plotter.XY{X: float64(runs[0].Gateways), Y: meanOf(runs,
-			func(result *experiment.Result) float64 { return result.Net })})
+		sizes[runs[0].Gateways] = true
+		net := meanOf(runs, func(result *experiment.Result) float64 { return result.Net })
+		lines[key] = append(lines[key], plotter.XY{X: float64(runs[0].Gateways), Y: net})
 	}
-	if len(most) < 2 {
+	if len(sizes) < 2 {
 		return nil, nil
 	}
-	p := plot.New()
-	p.Title.Text = "net service against the number of gateways"
-	p.X.Label.Text, p.Y.Label.Text = "gateways", "net service"
-	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	drawn := plot.New()
+	drawn.Title.Text = "net service against the number of gateways"
+	drawn.X.Label.Text, drawn.Y.Label.Text = "gateways", "net service"
+	drawn.X.Scale, drawn.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, key := range order {
-		slices.SortFunc(by[key], func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
-		line, points, err := plotter.NewLinePoints(by[key])
+		slices.SortFunc(lines[key], func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
+		line, points, err := plotter.NewLinePoints(lines[key])
 		if err != nil {
 			return nil, err
 		}
 		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
-		p.Add(line, points)
-		p.Legend.Add(key, line)
+		drawn.Add(line, points)
+		drawn.Legend.Add(key, line)
 	}
-	return p, nil
+	return drawn, nil
 }
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -4,46 +4,67 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 
 	"harrierhoist/internal/lab/experiment"
+	"harrierhoist/internal/lab/simulation"
 )
 
-// WriteFailover writes what became of plans, where any were written: a row a world, size and variant, over all seeds.
-func WriteFailover(out io.Writer, results []*experiment.Result) {
-	begun := false
+// WriteFailover writes what became of failover plans: a row a scenario, size and variant, over all seeds. It writes nothing
+// where no plan was written.
+func WriteFailover(out io.Writer, results []*experiment.Result) error {
+	t := newTable("world", "gateways", "variant", "runs", "plans", "wrong", "gateways moved", "ms p50", "ms p99",
+		"digests/s", "at the leader", "reads/s", "at the leader", "merged/s there")
+	hasRows := false
 	for _, runs := range groupRuns(results) {
-		plans, wrong := 0, 0
-		var ms []int
-		for _, result := range runs {
-			plans, wrong, ms = plans+result.Plans, wrong+result.WrongPlans, append(ms, result.FailoverMs...)
+		if cells := failoverRow(runs); cells != nil {
+			t.addRow(cells...)
+			hasRows = true
 		}
-		if plans == 0 {
-			continue
-		}
-		if !begun {
-			fmt.Fprintln(out,
-				"| world | gateways | variant | plays | plans | wrong | gateways moved | ms p50 | ms p99 "+
-					"| digests/s | at the leader | reads/s | at the leader | merged/s there |")
-			fmt.Fprintln(out, strings.Repeat("| --- ", 14)+"|")
-			begun = true
-		}
-		slices.Sort(ms)
-		p50, p99 := "-", "-"
-		if n := len(ms); n > 0 {
-			p50, p99 = fmt.Sprint(ms[(n-1)/2]), fmt.Sprint(ms[(n-1)*99/100])
-		}
-		fmt.Fprintf(out, "| %s | %d | %s | %d | %d | %d | %d | %s | %s | %.0f | %.0f | %.0f | %.0f | %.0f |\n", runs[0].Scenario,
-			runs[0].Gateways, runs[0].Variant, len(runs), plans,
-			wrong, len(ms), p50, p99, meanRate(runs, func(result *experiment.Result) int { return result.VoterMessages.Digests }),
-			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Digests }),
-			meanRate(runs, func(result *experiment.Result) int { return result.VoterMessages.Reads }),
-			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Reads }),
-			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Merged }))
 	}
+	if !hasRows {
+		return nil
+	}
+	return t.writeTo(out)
 }
 
-// meanRate is the mean of a count, a second of the world.
-func meanRate(runs []*experiment.Result, of func(*experiment.Result) int) float64 {
-	return meanOf(runs, func(result *experiment.Result) float64 { return float64(of(result)) / result.LengthSeconds })
+// failoverRow is the row of one scenario, size and variant; nil: no plan was written.
+func failoverRow(runs []*experiment.Result) []string {
+	plans, wrong := 0, 0
+	var times []int
+	for _, result := range runs {
+		plans, wrong, times = plans+result.Plans, wrong+result.WrongPlans, append(times, result.FailoverMs...)
+	}
+	if plans == 0 {
+		return nil
+	}
+	slices.Sort(times)
+	p50, p99 := "-", "-"
+	if n := len(times); n > 0 {
+		p50, p99 = fmt.Sprint(times[(n-1)/2]), fmt.Sprint(times[(n-1)*99/100])
+	}
+	atVoters := func(result *experiment.Result) simulation.Messages { return result.VoterMessages }
+	atLeader := func(result *experiment.Result) simulation.Messages { return result.LeaderMessages }
+	voters, leader := meanRates(runs, atVoters), meanRates(runs, atLeader)
+	return []string{
+		runs[0].Scenario, fmt.Sprint(runs[0].Gateways), runs[0].Variant, fmt.Sprint(len(runs)), fmt.Sprint(plans),
+		fmt.Sprint(wrong), fmt.Sprint(len(times)), p50, p99,
+		voters.digests, leader.digests, voters.reads, leader.reads, leader.merged,
+	}
+}
+
+// rates are messages a second of simulated time, as they are written.
+type rates struct{ digests, merged, reads string }
+
+// meanRates are the mean rates of messages over runs.
+func meanRates(runs []*experiment.Result, of func(*experiment.Result) simulation.Messages) rates {
+	mean := func(count func(simulation.Messages) int) string {
+		return fmt.Sprintf("%.0f", meanOf(runs, func(result *experiment.Result) float64 {
+			return float64(count(of(result))) / result.LengthSeconds
+		}))
+	}
+	return rates{
+		digests: mean(func(m simulation.Messages) int { return m.Digests }),
+		merged:  mean(func(m simulation.Messages) int { return m.Merged }),
+		reads:   mean(func(m simulation.Messages) int { return m.Reads }),
+	}
 }
--- /dev/null
+++ b/internal/lab/report/failover_test.go
@@ -0,0 +1,15 @@
+package report
+
+import (
+	"bytes"
+	"testing"
+
+	"harrierhoist/internal/lab/experiment"
+)
+
+func TestWriteFailover_nothingWithoutPlans(t *testing.T) {
+	var out bytes.Buffer
+	if err := WriteFailover(&out, []*experiment.Result{{Scenario: "calm", LengthSeconds: 1}}); err != nil || out.Len() > 0 {
+		t.Errorf("%v, %q", err, out.String())
+	}
+}
