--- a/internal/lab/search/golden_test.go
+++ b/internal/lab/search/golden_test.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"testing"
 
@@ -27,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(sum, "%s\n", schedule)
+			sum.Write(append(schedule, '\n'))
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != goldenFaults {
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
-// Package search looks for a schedule of troubles that breaks a rule or loses most, and shrinks what it found to the
-// least that still does.
+// Package search looks for the schedule of faults that breaks an invariant or loses most service, and shrinks what it found to
+// the least that still does.
 package search
 
 import (
@@ -11,139 +11,189 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Finding is a schedule and what it does.
+const (
+	// searchStream is the random stream that schedules are drawn from.
+	searchStream = 77
+	// minLossKept is the part of the loss that a smaller schedule has to keep.
+	minLossKept = 0.9
+	// minFaultLength is how short a fault is made at the least.
+	minFaultLength = time.Second
+)
+
+// Finding is a schedule of faults and what it does.
 type Finding struct {
 	Scenario      *scenario.World
 	Result        *experiment.Result
-	Loss          float64 // net service lost against the same world without troubles
+	Loss          float64 // net service lost against the same scenario without faults
 	Runs          int     // that the search took
-	RemovedFaults int     // troubles that were taken out again
+	RemovedFaults int     // that were removed again
 }
 
-// IsWorseThan orders what was found: a broken rule before any loss.
-func (finding *Finding) IsWorseThan(other *Finding) bool {
-	if (finding.Result.Violations > 0) != (other.Result.Violations > 0) {
-		return finding.Result.Violations > 0
+// IsWorseThan orders findings: a broken invariant before any loss.
+func (f *Finding) IsWorseThan(other *Finding) bool {
+	if (f.Result.Violations > 0) != (other.Result.Violations > 0) {
+		return f.Result.Violations > 0
 	}
-	return finding.Loss > other.Loss
+	return f.Loss > other.Loss
+}
+
+// simulator runs a scenario under schedules of faults.
+type simulator struct {
+	base     *scenario.World
+	policy   string
+	seed     uint64
+	calmNet  float64 // net service without faults
+	finished int     // runs
 }
 
-// Run draws schedules of up to so many troubles and keeps the worst. Tell is told of each that is worse than all
-// before it.
-func Run(base *scenario.World, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
-	random := rand.New(rand.NewPCG(seed, 77))
-	plain := *base
-	plain.Troubles = nil
-	baseline, err := experiment.RunScenario(&plain, policy, seed)
+// newSimulator runs a scenario without faults first, to compare with.
+func newSimulator(base *scenario.World, policy string, seed uint64) (*simulator, error) {
+	s := &simulator{base: base, policy: policy, seed: seed}
+	calm, err := s.run(nil)
 	if err != nil {
 		return nil, err
 	}
-	plays := 1
-	play := func(troubles []scenario.Trouble) (*Finding, error) {
-		c := *base
-		c.Troubles = troubles
-		l, err := experiment.RunScenario(&c, policy, seed)
-		plays++
-		if err != nil {
-			return nil, err
-		}
-		return &Finding{Scenario: &c, Result: l, Loss: baseline.Net - l.Net, Runs: plays}, nil
+	s.calmNet = calm.Result.Net
+	return s, nil
+}
+
+// run runs the scenario under a schedule.
+func (s *simulator) run(faults []scenario.Trouble) (*Finding, error) {
+	world := *s.base
+	world.Troubles = faults
+	result, err := experiment.RunScenario(&world, s.policy, s.seed)
+	s.finished++
+	if err != nil {
+		return nil, err
+	}
+	return &Finding{Scenario: &world, Result: result, Loss: s.calmNet - result.Net, Runs: s.finished}, nil
+}
+
+// Run draws so many schedules of up to maxFaults faults, keeps the worst and shrinks it. Found is called with each finding that
+// is worse than all before it. Without a schedule there is no finding (nil).
+func Run(base *scenario.World, seed uint64, schedules, maxFaults int, policy string, found func(*Finding)) (*Finding, error) {
+	random := rand.New(rand.NewPCG(seed, searchStream))
+	simulator, err := newSimulator(base, policy, seed)
+	if err != nil {
+		return nil, err
 	}
 	var worst *Finding
-	for range tries {
-		finding, err := play(DrawFaults(random, base, 1+random.IntN(most)))
+	for range schedules {
+		finding, err := simulator.run(DrawFaults(random, base, 1+random.IntN(maxFaults)))
 		if err != nil {
 			return nil, err
 		}
 		if worst == nil || finding.IsWorseThan(worst) {
 			worst = finding
-			tell(finding)
+			found(finding)
 		}
 	}
 	if worst == nil {
 		return nil, nil
 	}
-	worst, err = shrink(worst, play)
-	if worst != nil {
-		worst.Runs = plays
+	if worst, err = simulator.shrink(worst); err != nil {
+		return nil, err
 	}
-	return worst, err
+	worst.Runs = simulator.finished
+	return worst, nil
 }
 
-// minLossKept is how much of the loss a smaller schedule has to keep.
-const minLossKept = 0.9
-
-// shrink takes troubles out, one at a time, and then shortens those left, while a broken rule stays broken or nine
-// tenths of the loss stay.
-func shrink(finding *Finding, play func([]scenario.Trouble) (*Finding, error)) (*Finding, error) {
-	still := func(other *Finding) bool {
-		if finding.Result.Violations > 0 {
-			return other.Result.Violations > 0
+// shrink removes faults, one at a time, and then shortens those left, while a broken invariant stays broken or most of the loss
+// stays.
+func (s *simulator) shrink(worst *Finding) (*Finding, error) {
+	isAsBad := func(finding *Finding) bool {
+		if worst.Result.Violations > 0 {
+			return finding.Result.Violations > 0
 		}
-		return other.Loss >= minLossKept*finding.Loss
+		return finding.Loss >= minLossKept*worst.Loss
 	}
-	least, out := finding, 0
-	for again := true; again; {
-		again = false
-		for i := range least.Scenario.Troubles {
-			if len(least.Scenario.Troubles) == 1 {
-				break
-			}
-			other, err := play(slices.Delete(slices.Clone(least.Scenario.Troubles), i, i+1))
-			if err != nil {
-				return nil, err
-			}
-			if still(other) {
-				least, again = other, true
-				out++
-				break
-			}
+	least, removed := worst, 0
+	for {
+		fewer, err := s.removeOne(least, isAsBad)
+		if err != nil {
+			return nil, err
+		}
+		if fewer == nil {
+			break
+		}
+		least = fewer
+		removed++
+	}
+	least, err := s.shorten(least, isAsBad)
+	if err != nil {
+		return nil, err
+	}
+	least.RemovedFaults = removed
+	return least, nil
+}
+
+// removeOne gives the schedule without the first fault that can go; nil: none can.
+func (s *simulator) removeOne(finding *Finding, isAsBad func(*Finding) bool) (*Finding, error) {
+	faults := finding.Scenario.Troubles
+	if len(faults) == 1 {
+		return nil, nil
+	}
+	for i := range faults {
+		fewer, err := s.run(slices.Delete(slices.Clone(faults), i, i+1))
+		if err != nil {
+			return nil, err
+		}
+		if isAsBad(fewer) {
+			return fewer, nil
 		}
 	}
+	return nil, nil
+}
+
+// shorten halves each fault in turn as often as it can be.
+func (s *simulator) shorten(least *Finding, isAsBad func(*Finding) bool) (*Finding, error) {
 	for i := range least.Scenario.Troubles {
-		for least.Scenario.Troubles[i].For.D() > time.Second {
-			shorter := slices.Clone(least.Scenario.Troubles)
-			shorter[i].For /= 2
-			other, err := play(shorter)
+		for least.Scenario.Troubles[i].For.D() > minFaultLength {
+			faults := slices.Clone(least.Scenario.Troubles)
+			faults[i].For /= 2
+			shorter, err := s.run(faults)
 			if err != nil {
 				return nil, err
 			}
-			if !still(other) {
+			if !isAsBad(shorter) {
 				break
 			}
-			least = other
+			least = shorter
 		}
 	}
-	least.RemovedFaults = out
 	return least, nil
 }
 
-// DrawFaults draws a schedule of so many troubles that a world allows.
-func DrawFaults(random *rand.Rand, base *scenario.World, n int) []scenario.Trouble {
+// DrawFaults draws a schedule of so many faults that a scenario allows, in the order of their start.
+func DrawFaults(random *rand.Rand, world *scenario.World, n int) []scenario.Trouble {
 	var kinds []string
 	for _, name := range scenario.KindNames() {
-		k := scenario.Kinds[name]
-		if (!k.Counter || base.Counter.Rate > 0) && (!k.Halls || base.Gateways.Halls > 1) {
+		kind := scenario.Kinds[name]
+		if (!kind.Counter || world.Counter.Rate > 0) && (!kind.Halls || world.Gateways.Halls > 1) {
 			kinds = append(kinds, name)
 		}
 	}
-	length := base.Length.D().Seconds()
-	seconds := func(from, to float64) scenario.Span {
+	length := world.Length.D().Seconds()
+	span := func(from, to float64) scenario.Span {
 		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
 	}
-	var all []scenario.Trouble
+	var faults []scenario.Trouble
 	for range n {
-		t := scenario.Trouble{Kind: kinds[random.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
-			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10, Hall: random.IntN(base.Gateways.Halls),
-			Lane: base.Lanes[random.IntN(len(base.Lanes))].Name, Plan: base.Plans[random.IntN(len(base.Plans))].Name}
-		switch t.Kind {
+		fault := scenario.Trouble{
+			Kind: kinds[random.IntN(len(kinds))], At: span(0.1*length, 0.7*length), For: span(1, 0.4*length),
+			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10,
+			Hall: random.IntN(world.Gateways.Halls),
+			Lane: world.Lanes[random.IntN(len(world.Lanes))].Name,
+			Plan: world.Plans[random.IntN(len(world.Plans))].Name,
+		}
+		switch fault.Kind {
 		case "server_errors":
-			t.Size = float64(2+random.IntN(9)) / 10
+			fault.Size = float64(2+random.IntN(9)) / 10
 		case "answers_lost", "resets":
-			t.Part = float64(1+random.IntN(20)) / 100
+			fault.Part = float64(1+random.IntN(20)) / 100
 		}
-		all = append(all, t)
+		faults = append(faults, fault)
 	}
-	slices.SortStableFunc(all, func(a, b scenario.Trouble) int { return int(a.At - b.At) })
-	return all
+	slices.SortStableFunc(faults, func(a, b scenario.Trouble) int { return int(a.At - b.At) })
+	return faults
 }
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -7,35 +7,51 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-func TestRun_findsAndShrinksTheWorst(t *testing.T) {
-	base, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
+// smallWorld is a short scenario of three gateways.
+func smallWorld(t *testing.T) *scenario.World {
+	t.Helper()
+	world, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := 0
-	finding, err := Run(base, 4, 8, 4, "module", func(*Finding) { told++ })
+	return world
+}
+
+func TestRun_findsAndShrinksTheWorst(t *testing.T) {
+	world := smallWorld(t)
+	announced := 0
+	finding, err := Run(world, 4, 8, 4, "module", func(*Finding) { announced++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if finding.Loss < 0.05 || told == 0 || len(finding.Scenario.Troubles) == 0 {
-		t.Errorf("found a loss of %.3f with %d troubles", finding.Loss, len(finding.Scenario.Troubles))
+	if finding.Loss < 0.05 || announced == 0 || len(finding.Scenario.Troubles) == 0 {
+		t.Errorf("found a loss of %.3f with %d faults, %d announced", finding.Loss, len(finding.Scenario.Troubles), announced)
+	}
+	again, err := Run(world, 4, 8, 4, "module", func(*Finding) {})
+	if err != nil {
+		t.Fatal(err)
 	}
-	again, err := Run(base, 4, 8, 4, "module", func(*Finding) {})
-	if err != nil || again.Loss != finding.Loss || len(again.Scenario.Troubles) != len(finding.Scenario.Troubles) {
-		t.Errorf("the same seed finds another: %.3f and %.3f, %v", finding.Loss, again.Loss, err)
+	if again.Loss != finding.Loss || len(again.Scenario.Troubles) != len(finding.Scenario.Troubles) {
+		t.Errorf("the same seed finds another: %.3f and %.3f", finding.Loss, again.Loss)
 	}
 }
 
 func TestShrink_keepsWhatHurts(t *testing.T) {
-	base, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
+	simulator, err := newSimulator(smallWorld(t), "module", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := scenario.Span(time.Second)
 	harmless := scenario.Trouble{Kind: "list_lag", At: second, For: second, Size: 1}
 	kill := scenario.Trouble{Kind: "kill", At: 2 * second, For: 4 * second, Part: 1}
-	finding, plays := shrinkFaults(t, base, []scenario.Trouble{harmless, kill, harmless})
+	finding, err := simulator.run([]scenario.Trouble{harmless, kill, harmless})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if finding, err = simulator.shrink(finding); err != nil {
+		t.Fatal(err)
+	}
 	if len(finding.Scenario.Troubles) != 1 || finding.Scenario.Troubles[0].Kind != "kill" || finding.RemovedFaults != 2 {
-		t.Errorf("left after %d plays: %+v, %d taken out", plays, finding.Scenario.Troubles, finding.RemovedFaults)
+		t.Errorf("left after %d runs: %+v, %d removed", simulator.finished, finding.Scenario.Troubles, finding.RemovedFaults)
 	}
 }
