--- a/internal/routing/updater_test.go
+++ b/internal/routing/updater_test.go
@@ -140,7 +140,7 @@
 	f.wantSteering(t, "what was reserved", 0.8, 0.05, 0.1, 0.05)
 }
 
-// A malformed value is no plan.
+// A malformed value is no plan; the next plan is followed again.
 func TestUpdate_malformedPlan(t *testing.T) {
 	f, u, lines := newFixture(t)
 	f.setTable(t, 1, testPlan)
@@ -150,6 +150,9 @@
 	if lines.FilterMessage("routing: malformed plan, serving locally").Len() != 1 {
 		t.Errorf("lines %v", lines.All())
 	}
+	f.setTable(t, 2, testPlan)
+	u.Update()
+	f.wantSteering(t, "the next plan", 0, 0.25, 0.75, 0)
 }
 
 // The share of a zone that the endpoint list does not have is shed.
--- a/internal/zonestats/golden_test.go
+++ b/internal/zonestats/golden_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// countDrawn plays 500 digests' worth of drawn events in the second of three halls, and hashes all counts of each.
+// countDrawn takes 500 digests' worth of drawn events in the second of three zones, and hashes all counts of each.
 func countDrawn(seed uint64, settings *policy.Settings) string {
 	random := rand.New(rand.NewPCG(seed, 37))
 	zones := []string{"a", "b", "c"}
