--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -33,21 +33,21 @@
 }
 
 // DrawMildFaults draws so many mild faults for a scenario: the same seed gives the same faults at any size.
-func DrawMildFaults(world *scenario.World, seed uint64, n int) []scenario.Trouble {
+func DrawMildFaults(world *scenario.Scenario, seed uint64, n int) []scenario.Fault {
 	random := rand.New(rand.NewPCG(seed, faultStream))
 	length := float64(world.Length.D())
-	var faults []scenario.Trouble
+	var faults []scenario.Fault
 	for range n {
 		mild := mildFaults[random.IntN(len(mildFaults))]
 		at, span, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
-		fault := scenario.Trouble{
-			Kind: mild.kind,
-			At:   scenario.Span(length * (0.1 + 0.6*at)),
-			For:  scenario.Span(length * (0.05 + 0.25*span)),
-			Part: mild.part * part, Size: mild.size * size,
+		fault := scenario.Fault{
+			Kind:     mild.kind,
+			Start:    scenario.Span(length * (0.1 + 0.6*at)),
+			Duration: scenario.Span(length * (0.05 + 0.25*span)),
+			Fraction: mild.part * part, Magnitude: mild.size * size,
 		}
 		if mild.size > 1 {
-			fault.Size = max(fault.Size, 1)
+			fault.Magnitude = max(fault.Magnitude, 1)
 		}
 		faults = append(faults, fault)
 	}
@@ -55,7 +55,7 @@
 }
 
 // apply makes the scenario with the profile's faults.
-func (p *FaultProfile) apply(base *scenario.World, seed uint64) *scenario.World {
+func (p *FaultProfile) apply(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	world := *base
 	world.Name += ": " + p.Name
 	if p.Load > 0 {
@@ -64,6 +64,6 @@
 	if p.Length > 0 {
 		world.Length = p.Length
 	}
-	world.Troubles = append(slices.Clone(p.Faults), DrawMildFaults(&world, seed, p.DrawnFaults)...)
+	world.Faults = append(slices.Clone(p.Faults), DrawMildFaults(&world, seed, p.DrawnFaults)...)
 	return &world
 }
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -33,10 +33,10 @@
 
 // FaultProfile is the faults of a scenario, in place of what its file says.
 type FaultProfile struct {
-	Name   string             `toml:"name"`
-	Load   float64            `toml:"load"`   // times the scenario's; 0: as it is
-	Length scenario.Span      `toml:"length"` // 0: the scenario's
-	Faults []scenario.Trouble `toml:"trouble"`
+	Name   string           `toml:"name"`
+	Load   float64          `toml:"load"`   // times the scenario's; 0: as it is
+	Length scenario.Span    `toml:"length"` // 0: the scenario's
+	Faults []scenario.Fault `toml:"trouble"`
 	// DrawnFaults is how many faults are drawn for each seed besides, none of which loses a zone or cuts it off.
 	DrawnFaults int `toml:"drawn"`
 }
@@ -57,7 +57,7 @@
 	}
 	plan := &Plan{Seeds: defaultSeeds}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(plan); err != nil {
-		return nil, scenario.Faults(file, err)
+		return nil, scenario.DecodeErrors(file, err)
 	}
 	if len(plan.Variants) == 0 {
 		for _, name := range baseline.Names {
@@ -87,10 +87,10 @@
 	require(p.Seeds > 0, "seeds is %d; 1 at least", p.Seeds)
 	names := map[string]bool{}
 	for i, variant := range p.Variants {
-		require(baseline.All[variant.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, variant.Policy,
+		require(baseline.ByName[variant.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, variant.Policy,
 			strings.Join(baseline.Names, ", "))
 		isKnown := variant.Coordination == "" ||
-			slices.Contains([]string{scenario.None, scenario.Own, scenario.All}, variant.Coordination)
+			slices.Contains([]string{scenario.CoordinationNone, scenario.CoordinationLocal, scenario.CoordinationShared}, variant.Coordination)
 		require(isKnown, "variant %d: common is %q; none, own or common is allowed", i+1, variant.Coordination)
 		require(!names[variant.Name], "variant %d: %q is there twice", i+1, variant.Name)
 		names[variant.Name] = true
--- a/internal/lab/experiment/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -47,8 +47,8 @@
 		base.Plans[0].Customers != 200 {
 		t.Errorf("%d servers, %g requests a second, %d customers", world.Servers.Count, world.Load.Rate, world.Plans[0].Customers)
 	}
-	if world := Scaled(base, 1); world.Gateways.Halls != 1 || world.Servers.Count < 1 {
-		t.Errorf("one gateway: %d zones, %d servers", world.Gateways.Halls, world.Servers.Count)
+	if world := Scaled(base, 1); world.Gateways.Zones != 1 || world.Servers.Count < 1 {
+		t.Errorf("one gateway: %d zones, %d servers", world.Gateways.Zones, world.Servers.Count)
 	}
 }
 
@@ -86,13 +86,13 @@
 		if err := world.Check("day"); err != nil {
 			t.Fatal(err)
 		}
-		for _, fault := range world.Troubles {
-			if scenario.Kinds[fault.Kind].Halls {
+		for _, fault := range world.Faults {
+			if scenario.FaultKinds[fault.Kind].NeedsZones {
 				t.Errorf("seed %d has %s", seed, fault.Kind)
 			}
 		}
 	}
-	if base.Load.Rate != 470 || len(base.Troubles) != 0 {
+	if base.Load.Rate != 470 || len(base.Faults) != 0 {
 		t.Error("the scenario itself was changed")
 	}
 }
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -61,7 +61,7 @@
 	Violations     int                 `json:"broken"` // of invariants, how often
 	FirstViolation string              `json:"first_breach,omitempty"`
 	Timeline       []simulation.Second `json:"seconds"`
-	Faults         []scenario.Trouble  `json:"troubles,omitempty"`
+	Faults         []scenario.Fault    `json:"troubles,omitempty"`
 	// WallSeconds is how long the simulation took. It isn't kept: a result is the same every time.
 	WallSeconds float64 `json:"-"`
 }
@@ -85,39 +85,39 @@
 }
 
 // RunScenario simulates one scenario under a policy and gives its result.
-func RunScenario(world *scenario.World, policy string, seed uint64) (*Result, error) {
+func RunScenario(world *scenario.Scenario, policy string, seed uint64) (*Result, error) {
 	started := time.Now()
-	run, err := simulation.Play(world, seed, baseline.All[policy])
+	run, err := simulation.Run(world, seed, baseline.ByName[policy])
 	if err != nil {
 		return nil, err
 	}
-	run.Percentiles()
+	run.ComputePercentiles()
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	result := &Result{
 		Scenario: world.Name, Gateways: world.Gateways.Count, Servers: world.Servers.Count, Variant: policy, Seed: seed,
-		Revision: Revision(), LengthSeconds: world.Length.D().Seconds(), Faults: world.Troubles,
+		Revision: Revision(), LengthSeconds: world.Length.D().Seconds(), Faults: world.Faults,
 
-		Service: run.Service(), Net: run.Net(), OverQuota: run.Beyond / max(run.Units, 1e-9),
-		Rejected: part(run.Refused, run.Offered), Failed: part(run.Failed, run.Offered),
-		FailedBetween:     part(run.Ends.Between, run.Offered),
-		FailedTerminated:  part(run.Ends.Terminated, run.Offered),
-		FailedWithGateway: part(run.Ends.Died, run.Offered),
-		FailedInFlight:    part(run.Ends.Out, run.Offered),
+		Service: run.Service(), Net: run.Net(), OverQuota: run.OverQuotaUnits / max(run.ForwardedUnits, 1e-9),
+		Rejected: part(run.RejectedRequests, run.Offered), Failed: part(run.Failed, run.Offered),
+		FailedBetween:     part(run.FailureCauses.BetweenTries, run.Offered),
+		FailedTerminated:  part(run.FailureCauses.Terminated, run.Offered),
+		FailedWithGateway: part(run.FailureCauses.WithGateway, run.Offered),
+		FailedInFlight:    part(run.FailureCauses.InFlight, run.Offered),
 
-		CrossZone: part(run.Crossed, run.Pushes), CrossRegion: part(run.Far, run.Pushes),
-		Plans: run.Plans, WrongPlans: run.Wrong, FailoverMs: run.PlanMs, VoterMessages: run.Held, LeaderMessages: run.Led,
-		PeakUtilisation: run.Hottest, PeakUtilisationOver5s: run.Warmest, LoadDeviation: run.Uneven,
-		Tries: part(run.Tries, run.Offered), CounterCalls: part(run.Calls, run.Offered),
-		Handshakes: part(run.Handshakes, run.Pushes),
+		CrossZone: part(run.CrossZone, run.Attempts), CrossRegion: part(run.CrossRegion, run.Attempts),
+		Plans: run.Plans, WrongPlans: run.WrongPlans, FailoverMs: run.FailoverMs, VoterMessages: run.VoterMessages, LeaderMessages: run.LeaderMessages,
+		PeakUtilisation: run.PeakUtilisation, PeakUtilisationOver5s: run.PeakUtilisationOver5s, LoadDeviation: run.LoadDeviation,
+		Tries: part(run.Tries, run.Offered), CounterCalls: part(run.CounterCalls, run.Offered),
+		Handshakes: part(run.Handshakes, run.Attempts),
 
-		P50: run.P50, P99: run.P99, P999: run.P999, Classes: run.Lanes, Timeline: run.Seconds,
+		P50: run.P50, P99: run.P99, P999: run.P999, Classes: run.Classes, Timeline: run.Timeline,
 		WallSeconds: time.Since(started).Seconds(),
 	}
-	for _, n := range run.Broken {
+	for _, n := range run.ViolationCounts {
 		result.Violations += n
 	}
-	if len(run.Breaches) > 0 {
-		result.FirstViolation = run.Breaches[0].String()
+	if len(run.Violations) > 0 {
+		result.FirstViolation = run.Violations[0].String()
 	}
 	return result, nil
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -12,7 +12,7 @@
 
 // job is one simulation to be run.
 type job struct {
-	world   *scenario.World
+	world   *scenario.Scenario
 	variant Variant
 	seed    uint64
 }
@@ -112,19 +112,19 @@
 }
 
 // apply changes a scenario as a variant says.
-func (v *Variant) apply(world *scenario.World) *scenario.World {
+func (v *Variant) apply(world *scenario.Scenario) *scenario.Scenario {
 	if v.Subset != nil {
-		world.Gateways.Pool = *v.Subset
+		world.Gateways.Subset = *v.Subset
 	}
 	if v.Coordination != "" {
-		world.Common.How = v.Coordination
+		world.Coordination.Mode = v.Coordination
 	}
 	return world
 }
 
 // Scaled makes a scenario of another number of gateways, with servers, load, customers and counter in proportion. 0 gateways:
 // a copy as it is.
-func Scaled(base *scenario.World, gateways int) *scenario.World {
+func Scaled(base *scenario.Scenario, gateways int) *scenario.Scenario {
 	world := *base
 	if gateways <= 0 || gateways == base.Gateways.Count {
 		return &world
@@ -132,7 +132,7 @@
 	times := float64(gateways) / float64(base.Gateways.Count)
 	scale := func(n int) int { return max(int(math.Round(float64(n)*times)), 1) }
 	world.Gateways.Count = gateways
-	world.Gateways.Halls = min(base.Gateways.Halls, gateways)
+	world.Gateways.Zones = min(base.Gateways.Zones, gateways)
 	world.Servers.Count = scale(base.Servers.Count)
 	world.Load.Rate *= times
 	world.Counter.Rate *= times
--- a/internal/lab/invariants/ledger.go
+++ b/internal/lab/invariants/ledger.go
@@ -14,35 +14,35 @@
 
 // The rules.
 const (
-	Lost    Rule = iota // a task that a gateway took has no final answer in time, or two, or one that no server made
-	Twice               // an effect happened twice
-	Drain               // a push left for a server after its grace, counted from when the gateway was told
-	Cold                // a cold server was pushed over
-	Ceiling             // a customer's units passed its ceiling and the slack
-	rules
+	RequestLost      Rule = iota // a task that a gateway took has no final answer in time, or two, or one that no server made
+	EffectRepeated               // an effect happened twice
+	DrainViolated                // a push left for a server after its grace, counted from when the gateway was told
+	WarmUpOverloaded             // a cold server was pushed over
+	CeilingExceeded              // a customer's units passed its ceiling and the slack
+	ruleCount
 )
 
 // Rules is their number.
-const Rules = int(rules)
+const RuleCount = int(ruleCount)
 
 func (r Rule) String() string {
 	return [...]string{"no task lost", "no effect twice", "drains kept", "no cold server pushed over", "ceilings kept"}[r]
 }
 
 // Breach is one broken rule.
-type Breach struct {
-	Rule     Rule
-	At       time.Duration
-	Task     uint64 // 0: of no one task
-	Gateway  int    // -1: of no one gateway
-	Server   uint32
-	Customer uint64
-	What     string
+type Violation struct {
+	Rule        Rule
+	At          time.Duration
+	Request     uint64 // 0: of no one task
+	Gateway     int    // -1: of no one gateway
+	Server      uint32
+	Customer    uint64
+	Description string
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("%s at %.3fs: task %d, gateway %d, server %d, customer %d: %s", b.Rule, b.At.Seconds(), b.Task, b.Gateway,
-		b.Server, b.Customer, b.What)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s at %.3fs: task %d, gateway %d, server %d, customer %d: %s", v.Rule, v.At.Seconds(), v.Request, v.Gateway,
+		v.Server, v.Customer, v.Description)
 }
 
 // Limits are the figures that the rules name.
@@ -52,273 +52,273 @@
 }
 
 // Task is a try as its client sent it. Key is common to a request's tries; 0: none.
-type Task struct {
-	ID, Key, Customer uint64
-	Lane              policy.TrafficClass
-	Plan, Gateway     int
-	Units             float64
-	Taken, Expires    time.Duration
+type Request struct {
+	ID, Key, Customer    uint64
+	Class                policy.TrafficClass
+	Plan, Gateway        int
+	Units                float64
+	AcceptedAt, Deadline time.Duration
 }
 
-type entry struct {
-	Task
-	finals int
-	dead   bool // its gateway died with it
-	sent   bool
-	inside bool // its units stood in the store when it was first sent on
-	ran    int
+type requestState struct {
+	Request
+	answers     int
+	gatewayDied bool // its gateway died with it
+	forwarded   bool
+	withinQuota bool // its units stood in the store when it was first sent on
+	runs        int
 }
 
 // told is a server that a gateway knows to want nothing more.
-type told struct {
+type notification struct {
 	gateway int
 	server  uint32
 }
 
 // store is what a customer has left, truly.
-type store struct {
-	left, ceiling float64
-	at            time.Duration
+type bucket struct {
+	tokens, ceilingTokens float64
+	refilledAt            time.Duration
 }
 
 // Ledger takes what is seen, in the order of time.
-type Ledger struct {
-	limits Limits
-	tasks  map[uint64]*entry
-	queue  []uint64 // by the time they were taken
-	away   map[told]time.Duration
-	keys   map[uint64]time.Duration // when a receipted effect first happened
-	stores map[uint64]*store
-	still  map[int][2]time.Duration // when a gateway's machine stood still last
-	now    time.Duration
+type Checker struct {
+	limits       Limits
+	requests     map[uint64]*requestState
+	queue        []uint64 // by the time they were taken
+	unreadySince map[notification]time.Duration
+	keyedEffects map[uint64]time.Duration // when a receipted effect first happened
+	buckets      map[uint64]*bucket
+	pauses       map[int][2]time.Duration // when a gateway's machine stood still last
+	now          time.Duration
 
 	// Breaches are the first few of each rule; Counts has them all.
-	Breaches []Breach
-	Counts   [Rules]int
+	Violations []Violation
+	Counts     [RuleCount]int
 	// Units that were sent on, and those of them beyond their customers' stores.
-	Sent, Beyond float64
+	ForwardedUnits, OverQuotaUnits float64
 	// BeyondGain is the gain of the tasks sent on beyond, times what their plans say that costs.
-	BeyondGain float64
+	OverQuotaPenalty float64
 }
 
 // breachesKept is how many breaches of a rule are kept with their words.
-const breachesKept = 20
+const maxDescribedViolations = 20
 
 // memory is how long after its end a task is remembered: an effect may come late.
-const memory = 20 * time.Second
+const requestRetention = 20 * time.Second
 
 // New makes an empty ledger.
-func New(limits Limits) *Ledger {
-	return &Ledger{
-		limits: limits, tasks: map[uint64]*entry{}, away: map[told]time.Duration{},
-		keys: map[uint64]time.Duration{}, stores: map[uint64]*store{},
-		still: map[int][2]time.Duration{},
+func New(limits Limits) *Checker {
+	return &Checker{
+		limits: limits, requests: map[uint64]*requestState{}, unreadySince: map[notification]time.Duration{},
+		keyedEffects: map[uint64]time.Duration{}, buckets: map[uint64]*bucket{},
+		pauses: map[int][2]time.Duration{},
 	}
 }
 
-func (l *Ledger) breach(b Breach) {
-	b.At = l.now
-	if l.Counts[b.Rule]++; l.Counts[b.Rule] <= breachesKept {
-		l.Breaches = append(l.Breaches, b)
+func (c *Checker) record(v Violation) {
+	v.At = c.now
+	if c.Counts[v.Rule]++; c.Counts[v.Rule] <= maxDescribedViolations {
+		c.Violations = append(c.Violations, v)
 	}
 }
 
 // Broken tells whether any rule is.
-func (l *Ledger) Broken() bool { return l.Counts != [Rules]int{} }
+func (c *Checker) HasViolations() bool { return c.Counts != [RuleCount]int{} }
 
 // Taken tells that a gateway's machine has taken a whole task.
-func (l *Ledger) Taken(t Task) {
-	l.now = t.Taken
-	l.tasks[t.ID] = &entry{Task: t}
-	l.queue = append(l.queue, t.ID)
-	for len(l.queue) > 0 {
-		e := l.tasks[l.queue[0]]
-		if l.now < e.Expires+memory {
+func (c *Checker) RequestAccepted(t Request) {
+	c.now = t.AcceptedAt
+	c.requests[t.ID] = &requestState{Request: t}
+	c.queue = append(c.queue, t.ID)
+	for len(c.queue) > 0 {
+		e := c.requests[c.queue[0]]
+		if c.now < e.Deadline+requestRetention {
 			break
 		}
-		l.close(e)
-		delete(l.tasks, e.ID)
-		l.queue = l.queue[1:]
+		c.expire(e)
+		delete(c.requests, e.ID)
+		c.queue = c.queue[1:]
 	}
 }
 
 // Still tells that a gateway's machine stands still until a time. A task whose time ends then is not owed an answer.
-func (l *Ledger) Still(at time.Duration, gateway int, until time.Duration) {
-	l.now = at
-	l.still[gateway] = [2]time.Duration{at, until}
+func (c *Checker) GatewayPaused(at time.Duration, gateway int, until time.Duration) {
+	c.now = at
+	c.pauses[gateway] = [2]time.Duration{at, until}
 }
 
 // excused tells whether a task's time ended while its gateway's machine stood still, or a moment after.
-func (l *Ledger) excused(e *entry) bool {
-	s, stood := l.still[e.Gateway]
-	return stood && e.Expires >= s[0] && e.Expires <= s[1]+l.limits.AnswerSlack
+func (c *Checker) isExcused(e *requestState) bool {
+	s, stood := c.pauses[e.Gateway]
+	return stood && e.Deadline >= s[0] && e.Deadline <= s[1]+c.limits.AnswerSlack
 }
 
 // close checks a task whose time is over.
-func (l *Ledger) close(e *entry) {
-	if e.finals == 0 && !e.dead && !l.excused(e) {
-		l.breach(Breach{
-			Rule: Lost, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-			What: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", e.Taken.Seconds(), e.Expires.Seconds()),
+func (c *Checker) expire(e *requestState) {
+	if e.answers == 0 && !e.gatewayDied && !c.isExcused(e) {
+		c.record(Violation{
+			Rule: RequestLost, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer,
+			Description: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", e.AcceptedAt.Seconds(), e.Deadline.Seconds()),
 		})
 	}
 }
 
 // Final tells that a client has got an answer; made says whether a value in it is one that a server made for this
 // task.
-func (l *Ledger) Final(at time.Duration, task uint64, made bool) {
-	l.now = at
-	e := l.tasks[task]
+func (c *Checker) RequestAnswered(at time.Duration, task uint64, made bool) {
+	c.now = at
+	e := c.requests[task]
 	if e == nil {
 		return
 	}
-	e.finals++
+	e.answers++
 	say := func(what string) {
-		l.breach(Breach{Rule: Lost, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer, What: what})
+		c.record(Violation{Rule: RequestLost, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer, Description: what})
 	}
 	switch {
-	case e.finals > 1:
-		say(fmt.Sprintf("answer number %d", e.finals))
+	case e.answers > 1:
+		say(fmt.Sprintf("answer number %d", e.answers))
 	case !made:
 		say("served with what no server made for it")
-	case at > e.Expires+l.limits.AnswerSlack && !l.excused(e):
-		say(fmt.Sprintf("answered %.3fs after its time", (at - e.Expires).Seconds()))
+	case at > e.Deadline+c.limits.AnswerSlack && !c.isExcused(e):
+		say(fmt.Sprintf("answered %.3fs after its time", (at - e.Deadline).Seconds()))
 	}
 }
 
 // Died tells that a gateway died: what it held is no longer owed.
-func (l *Ledger) Died(at time.Duration, gateway int) {
-	l.now = at
-	for _, id := range l.queue {
-		if e := l.tasks[id]; e.Gateway == gateway && e.finals == 0 {
-			e.dead = true
+func (c *Checker) GatewayDied(at time.Duration, gateway int) {
+	c.now = at
+	for _, id := range c.queue {
+		if e := c.requests[id]; e.Gateway == gateway && e.answers == 0 {
+			e.gatewayDied = true
 		}
 	}
-	for t := range l.away {
+	for t := range c.unreadySince {
 		if t.gateway == gateway {
-			delete(l.away, t) // its next life is told anew
+			delete(c.unreadySince, t) // its next life is told anew
 		}
 	}
 }
 
 // Told tells that a gateway was told a server's stage.
-func (l *Ledger) Told(at time.Duration, gateway int, server uint32, stage policy.EndpointState) {
-	l.now = at
-	t := told{gateway, server}
+func (c *Checker) EndpointNotified(at time.Duration, gateway int, server uint32, stage policy.EndpointState) {
+	c.now = at
+	t := notification{gateway, server}
 	if stage == policy.Ready {
-		delete(l.away, t)
-	} else if _, known := l.away[t]; !known {
-		l.away[t] = at
+		delete(c.unreadySince, t)
+	} else if _, known := c.unreadySince[t]; !known {
+		c.unreadySince[t] = at
 	}
 }
 
 // Pushed tells that a push left a gateway's machine for a server.
-func (l *Ledger) Pushed(at time.Duration, gateway int, server uint32, task uint64) {
-	l.now = at
-	if since, away := l.away[told{gateway, server}]; away && at > since+l.limits.DrainGrace {
-		l.breach(Breach{
-			Rule: Drain, Task: task, Gateway: gateway, Server: server,
-			What: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds()),
+func (c *Checker) AttemptSent(at time.Duration, gateway int, server uint32, task uint64) {
+	c.now = at
+	if since, away := c.unreadySince[notification{gateway, server}]; away && at > since+c.limits.DrainGrace {
+		c.record(Violation{
+			Rule: DrainViolated, Request: task, Gateway: gateway, Server: server,
+			Description: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds()),
 		})
 	}
-	e := l.tasks[task]
-	if e == nil || e.sent {
+	e := c.requests[task]
+	if e == nil || e.forwarded {
 		return
 	}
-	e.sent = true
-	l.spend(e)
+	e.forwarded = true
+	c.spend(e)
 }
 
 // spend takes a task's units from its customer's store and ceiling.
-func (l *Ledger) spend(e *entry) {
-	p := &l.limits.Plans[e.Plan]
-	s := l.stores[e.Customer]
+func (c *Checker) spend(e *requestState) {
+	p := &c.limits.Plans[e.Plan]
+	s := c.buckets[e.Customer]
 	if s == nil {
-		s = &store{left: p.Burst, ceiling: p.CeilingBurst, at: l.now}
-		l.stores[e.Customer] = s
+		s = &bucket{tokens: p.Burst, ceilingTokens: p.CeilingBurst, refilledAt: c.now}
+		c.buckets[e.Customer] = s
 	}
-	passed := (l.now - s.at).Seconds()
-	s.at = l.now
-	s.left = min(s.left+p.Rate*passed, p.Burst)
-	s.ceiling = min(s.ceiling+p.CeilingRate*passed, p.CeilingBurst)
-	l.Sent += e.Units
-	e.inside = p.Rate <= 0 || s.left >= e.Units
-	if !e.inside {
-		l.Beyond += e.Units
-		l.BeyondGain += e.Lane.Weight * p.Price * e.Units * p.OverQuotaCost
+	passed := (c.now - s.refilledAt).Seconds()
+	s.refilledAt = c.now
+	s.tokens = min(s.tokens+p.Rate*passed, p.Burst)
+	s.ceilingTokens = min(s.ceilingTokens+p.CeilingRate*passed, p.CeilingBurst)
+	c.ForwardedUnits += e.Units
+	e.withinQuota = p.Rate <= 0 || s.tokens >= e.Units
+	if !e.withinQuota {
+		c.OverQuotaUnits += e.Units
+		c.OverQuotaPenalty += e.Class.Weight * p.Price * e.Units * p.OverQuotaCost
 	} else if p.Rate > 0 {
-		s.left -= e.Units
+		s.tokens -= e.Units
 	}
 	if p.CeilingRate > 0 {
-		if s.ceiling -= e.Units; s.ceiling < -p.CeilingSlack {
-			l.breach(Breach{
-				Rule: Ceiling, Task: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-				What: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -s.ceiling, p.CeilingSlack),
+		if s.ceilingTokens -= e.Units; s.ceilingTokens < -p.CeilingSlack {
+			c.record(Violation{
+				Rule: CeilingExceeded, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer,
+				Description: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -s.ceilingTokens, p.CeilingSlack),
 			})
 		}
 	}
 }
 
 // Settled gives back to a customer's store what a task was told to cost more than it did.
-func (l *Ledger) Settled(task uint64, units float64) {
-	if e := l.tasks[task]; e != nil && e.inside {
-		if s := l.stores[e.Customer]; s != nil {
-			s.left += e.Units - units
+func (c *Checker) UnitsSettled(task uint64, units float64) {
+	if e := c.requests[task]; e != nil && e.withinQuota {
+		if s := c.buckets[e.Customer]; s != nil {
+			s.tokens += e.Units - units
 		}
 	}
 }
 
 // Inside tells whether a task's units stood in the store when it was first sent on.
-func (l *Ledger) Inside(task uint64) bool {
-	e := l.tasks[task]
-	return e != nil && e.inside
+func (c *Checker) IsWithinQuota(task uint64) bool {
+	e := c.requests[task]
+	return e != nil && e.withinQuota
 }
 
 // Ran tells that a server began a task's work, and so its effect.
-func (l *Ledger) Ran(at time.Duration, server uint32, task uint64) {
-	l.now = at
-	e := l.tasks[task]
+func (c *Checker) EffectRan(at time.Duration, server uint32, task uint64) {
+	c.now = at
+	e := c.requests[task]
 	if e == nil {
 		return
 	}
-	e.ran++
-	switch e.Lane.Effect {
+	e.runs++
+	switch e.Class.Effect {
 	case policy.NonIdempotent:
-		if e.ran > 1 {
-			l.breach(Breach{
-				Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				What: fmt.Sprintf("run %d of an effectful task", e.ran),
+		if e.runs > 1 {
+			c.record(Violation{
+				Rule: EffectRepeated, Request: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
+				Description: fmt.Sprintf("run %d of an effectful task", e.runs),
 			})
 		}
 	case policy.Keyed:
-		if first, done := l.keys[e.Key]; done {
-			l.breach(Breach{
-				Rule: Twice, Task: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				What: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds()),
+		if first, done := c.keyedEffects[e.Key]; done {
+			c.record(Violation{
+				Rule: EffectRepeated, Request: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
+				Description: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds()),
 			})
 		} else {
-			l.keys[e.Key] = at
+			c.keyedEffects[e.Key] = at
 		}
 	}
 }
 
 // Fell tells that a server fell over while it was cold.
-func (l *Ledger) Fell(at time.Duration, server uint32, sent, capacity float64) {
-	l.now = at
-	l.breach(Breach{
-		Rule: Cold, Gateway: -1, Server: server,
-		What: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", sent, capacity),
+func (c *Checker) ServerOverloaded(at time.Duration, server uint32, sent, capacity float64) {
+	c.now = at
+	c.record(Violation{
+		Rule: WarmUpOverloaded, Gateway: -1, Server: server,
+		Description: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", sent, capacity),
 	})
 }
 
 // Finish closes all tasks whose time is over.
-func (l *Ledger) Finish(at time.Duration) {
-	l.now = at
-	for _, id := range l.queue {
-		if e := l.tasks[id]; at >= e.Expires {
-			l.close(e)
+func (c *Checker) Finish(at time.Duration) {
+	c.now = at
+	for _, id := range c.queue {
+		if e := c.requests[id]; at >= e.Deadline {
+			c.expire(e)
 		}
 	}
-	l.queue = nil
-	clear(l.tasks)
+	c.queue = nil
+	clear(c.requests)
 }
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -92,8 +92,8 @@
 	drawn.X.Label.Text, drawn.Y.Label.Text = "second", "weight served over due"
 	drawn.Y.Min, drawn.Y.Max = 0, maxDrawnService
 	for _, fault := range groups[0][0].Faults {
-		from := fault.At.D().Seconds()
-		to := max((fault.At + fault.For).D().Seconds(), from+minDrawnFault)
+		from := fault.Start.D().Seconds()
+		to := max((fault.Start + fault.Duration).D().Seconds(), from+minDrawnFault)
 		shade, err := plotter.NewPolygon(plotter.XYs{
 			{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: maxDrawnService}, {X: from, Y: maxDrawnService},
 		})
@@ -122,7 +122,7 @@
 		served, due := 0.0, 0.0
 		for _, result := range runs {
 			if second < len(result.Timeline) {
-				served, due = served+result.Timeline[second].Gain, due+result.Timeline[second].Due
+				served, due = served+result.Timeline[second].ServedValue, due+result.Timeline[second].DueValue
 			}
 		}
 		if due > 0 {
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -64,7 +64,7 @@
 	}
 	return rates{
 		digests: mean(func(m simulation.Messages) int { return m.Digests }),
-		merged:  mean(func(m simulation.Messages) int { return m.Merged }),
+		merged:  mean(func(m simulation.Messages) int { return m.MergedDigests }),
 		reads:   mean(func(m simulation.Messages) int { return m.Reads }),
 	}
 }
--- a/internal/lab/scenario/deployment.go
+++ b/internal/lab/scenario/deployment.go
@@ -7,27 +7,27 @@
 )
 
 // Deployment is what a gateway of this world is handed at its start.
-func (w *World) Deployment(me int) policy.Settings {
+func (s *Scenario) PolicySettings(me int) policy.Settings {
 	d := policy.Settings{
-		Gateways: w.Gateways.Count, MyIndex: me, MyZone: me % w.Gateways.Halls, Zones: w.Gateways.Halls,
-		ClockTick: 2 * time.Millisecond, HasCounter: w.Counter.Rate > 0, CountTimeout: w.Counter.Limit.D(), ReportsUnits: w.Load.Told > 0,
-		MaxUnits: 3 * w.Load.Units, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		MaxAttempts: w.Gateways.Pushes, ArrivalSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
-		WarmUpStart: w.Servers.ColdFrom, WarmUpTime: w.Servers.WarmAfter.D(), OverloadFactor: w.Rules.FallMultiple,
-		OverloadSpan: w.Rules.TipAfter.D(),
+		Gateways: s.Gateways.Count, MyIndex: me, MyZone: me % s.Gateways.Zones, Zones: s.Gateways.Zones,
+		ClockTick: 2 * time.Millisecond, HasCounter: s.Counter.Rate > 0, CountTimeout: s.Counter.Timeout.D(), ReportsUnits: s.Load.DeclaredDeviation > 0,
+		MaxUnits: 3 * s.Load.MeanUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		MaxAttempts: s.Gateways.MaxAttempts, ArrivalSlack: s.Rules.AnswerSlack.D(), DrainGrace: s.Rules.DrainGrace.D(),
+		WarmUpStart: s.Servers.WarmUpStart, WarmUpTime: s.Servers.WarmUpTime.D(), OverloadFactor: s.Rules.OverloadFactor,
+		OverloadSpan: s.Rules.OverloadSpan.D(),
 	}
 	effects := map[string]policy.Effect{"pure": policy.Idempotent, "receipted": policy.Keyed, "effectful": policy.NonIdempotent}
 	groups := map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupRack}
-	for _, l := range w.Lanes {
+	for _, l := range s.Classes {
 		d.Classes = append(d.Classes, policy.TrafficClass{
-			Name: l.Name, LatencyObjective: l.SoftLimit.D(), Timeout: l.Patience.D(),
-			Weight: l.Gain, LateFraction: l.Late, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.Window.D(),
+			Name: l.Name, LatencyObjective: l.LatencyObjective.D(), Timeout: l.Timeout.D(),
+			Weight: l.Weight, LateFraction: l.LateFraction, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.DedupWindow.D(),
 		})
 	}
-	for _, p := range w.Plans {
+	for _, p := range s.Plans {
 		d.Plans = append(d.Plans, policy.Plan{
 			Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverCost,
+			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverQuotaCost,
 		})
 	}
 	return d
--- a/internal/lab/scenario/world.go
+++ b/internal/lab/scenario/world.go
@@ -31,113 +31,113 @@
 func (s Span) D() time.Duration { return time.Duration(s) }
 
 // World is a whole file, with what it leaves out filled in.
-type World struct {
+type Scenario struct {
 	Name   string `toml:"name"`
 	Seed   uint64 `toml:"seed"`   // of all chance; a run may override it
 	Length Span   `toml:"length"` // in which tasks are offered; answers are waited for after it
 
-	Gateways  Gateways  `toml:"gateways"`
-	Servers   Servers   `toml:"servers"`
-	Lanes     []Lane    `toml:"lane"`
-	Plans     []Plan    `toml:"plan"`
-	Load      Load      `toml:"load"`
-	Clients   Clients   `toml:"clients"`
-	Counter   Counter   `toml:"counter"`
-	Discovery Discovery `toml:"discovery"`
-	Network   Network   `toml:"network"`
-	Rules     Rules     `toml:"rules"`
-	Common    Common    `toml:"common"`
+	Gateways     Gateways       `toml:"gateways"`
+	Servers      Servers        `toml:"servers"`
+	Classes      []TrafficClass `toml:"lane"`
+	Plans        []Plan         `toml:"plan"`
+	Load         Load           `toml:"load"`
+	Clients      Clients        `toml:"clients"`
+	Counter      Counter        `toml:"counter"`
+	Discovery    Discovery      `toml:"discovery"`
+	Network      Network        `toml:"network"`
+	Rules        Rules          `toml:"rules"`
+	Coordination Coordination   `toml:"common"`
 	// Failover names no regions, as they are the gateways'; bears, at 0, is what servers are made to.
 	Failover failover.Settings `toml:"failover"`
-	Troubles []Trouble         `toml:"trouble"`
+	Faults   []Fault           `toml:"trouble"`
 }
 
 // Gateways are the machines under test.
 type Gateways struct {
 	Count int `toml:"count"`
-	Halls int `toml:"halls"`
+	Zones int `toml:"halls"`
 	// Regions are the halls of each region; none: all halls are of one.
 	Regions [][]int `toml:"regions"`
 	// Pool has a gateway push to the part of the servers that its pushes can keep open, as on sockets.
-	Pool bool `toml:"pool"`
+	Subset bool `toml:"pool"`
 	// Pushes is the most pushes of a task.
-	Pushes int `toml:"pushes"`
+	MaxAttempts int `toml:"pushes"`
 }
 
 // Servers are the back end. Each has cores that work on one task at a time and a queue before them.
 type Servers struct {
-	Count       int        `toml:"count"`
-	Cores       int        `toml:"cores"`
-	Queue       int        `toml:"queue"` // tasks that wait; more are turned away
-	Speed       [2]float64 `toml:"speed"` // drawn for each
-	Cell        int        `toml:"cell"`  // servers in a cell
-	Connections int        `toml:"connections"`
-	Idle        Span       `toml:"idle"`      // a connection that rests so long is closed
-	Handshake   Span       `toml:"handshake"` // work for a new connection
-	ColdFrom    float64    `toml:"cold_from"` // part of its speed that a server starts with
-	WarmAfter   Span       `toml:"warm_after"`
-	Errors      float64    `toml:"errors"` // part of the tasks that fail at any time
-	Stop        string     `toml:"stop"`   // which given-up work stops: "none", "queued" or "all"
+	Count          int        `toml:"count"`
+	Cores          int        `toml:"cores"`
+	QueueLimit     int        `toml:"queue"` // tasks that wait; more are turned away
+	Speed          [2]float64 `toml:"speed"` // drawn for each
+	RackSize       int        `toml:"cell"`  // servers in a cell
+	MaxConnections int        `toml:"connections"`
+	IdleTimeout    Span       `toml:"idle"`      // a connection that rests so long is closed
+	HandshakeWork  Span       `toml:"handshake"` // work for a new connection
+	WarmUpStart    float64    `toml:"cold_from"` // part of its speed that a server starts with
+	WarmUpTime     Span       `toml:"warm_after"`
+	ErrorRate      float64    `toml:"errors"` // part of the tasks that fail at any time
+	Cancellation   string     `toml:"stop"`   // which given-up work stops: "none", "queued" or "all"
 }
 
 // Lane is a kind of task.
-type Lane struct {
-	Name      string  `toml:"name"`
-	Share     float64 `toml:"share"`
-	Work      Span    `toml:"work"`   // mean, on one core of speed 1
-	Spread    string  `toml:"spread"` // "exponential", "lognormal" or "fixed"
-	CV        float64 `toml:"cv"`     // of a lognormal: deviation over mean
-	SoftLimit Span    `toml:"soft_limit"`
-	Patience  Span    `toml:"patience"`
-	Gain      float64 `toml:"gain"`
-	Late      float64 `toml:"late"`   // part of the gain after the soft limit
-	Effect    string  `toml:"effect"` // "pure", "receipted" or "effectful"
-	Group     string  `toml:"group"`  // of a receipted lane: "all", "hall" or "cell"
-	Window    Span    `toml:"window"`
+type TrafficClass struct {
+	Name             string  `toml:"name"`
+	Share            float64 `toml:"share"`
+	Work             Span    `toml:"work"`   // mean, on one core of speed 1
+	Distribution     string  `toml:"spread"` // "exponential", "lognormal" or "fixed"
+	CV               float64 `toml:"cv"`     // of a lognormal: deviation over mean
+	LatencyObjective Span    `toml:"soft_limit"`
+	Timeout          Span    `toml:"patience"`
+	Weight           float64 `toml:"gain"`
+	LateFraction     float64 `toml:"late"`   // part of the gain after the soft limit
+	Effect           string  `toml:"effect"` // "pure", "receipted" or "effectful"
+	Group            string  `toml:"group"`  // of a receipted lane: "all", "hall" or "cell"
+	DedupWindow      Span    `toml:"window"`
 }
 
 // Plan is what customers have bought.
 type Plan struct {
-	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of the tasks
-	Customers    int     `toml:"customers"`
-	Rate         float64 `toml:"rate"` // units a second; 0: no quota
-	Burst        float64 `toml:"burst"`
-	CeilingRate  float64 `toml:"ceiling_rate"`
-	CeilingBurst float64 `toml:"ceiling_burst"`
-	CeilingSlack float64 `toml:"ceiling_slack"`
-	Price        float64 `toml:"price"`
-	OverCost     float64 `toml:"over_cost"` // part of its gain that a task beyond quota costs
+	Name          string  `toml:"name"`
+	Share         float64 `toml:"share"` // of the tasks
+	Customers     int     `toml:"customers"`
+	Rate          float64 `toml:"rate"` // units a second; 0: no quota
+	Burst         float64 `toml:"burst"`
+	CeilingRate   float64 `toml:"ceiling_rate"`
+	CeilingBurst  float64 `toml:"ceiling_burst"`
+	CeilingSlack  float64 `toml:"ceiling_slack"`
+	Price         float64 `toml:"price"`
+	OverQuotaCost float64 `toml:"over_cost"` // part of its gain that a task beyond quota costs
 	// Spread is the part of the gateways that its customers come through, drawn for each; the load's where it is not set.
-	Spread [2]float64 `toml:"spread"`
+	GatewayShare [2]float64 `toml:"spread"`
 }
 
 // Load is what customers ask, whether answers come or not.
 type Load struct {
-	Rate   float64    `toml:"rate"` // tasks a second, first tries, over all gateways
-	Skew   float64    `toml:"skew"` // of customers' sizes within a plan: 0 alike; the n-th is n^-skew
-	Units  float64    `toml:"units"`
-	Told   float64    `toml:"told"`   // deviation of the units told from the true ones, over the true; 0: told exactly
-	Spread [2]float64 `toml:"spread"` // part of the gateways that a customer comes through, drawn for each
-	Once   float64    `toml:"once"`   // part of the tasks that are of customers seen once
-	Swing  float64    `toml:"swing"`  // the rate swings by this part, over 20 s
+	Rate              float64    `toml:"rate"` // tasks a second, first tries, over all gateways
+	Skew              float64    `toml:"skew"` // of customers' sizes within a plan: 0 alike; the n-th is n^-skew
+	MeanUnits         float64    `toml:"units"`
+	DeclaredDeviation float64    `toml:"told"`   // deviation of the units told from the true ones, over the true; 0: told exactly
+	GatewayShare      [2]float64 `toml:"spread"` // part of the gateways that a customer comes through, drawn for each
+	OneTimeShare      float64    `toml:"once"`   // part of the tasks that are of customers seen once
+	Swing             float64    `toml:"swing"`  // the rate swings by this part, over 20 s
 }
 
 // Clients send the tasks of customers.
 type Clients struct {
-	Retries int     `toml:"retries"` // further tries, each through another gateway of the set
-	Backoff Span    `toml:"backoff"`
-	Honour  float64 `toml:"honour"` // part that stays away as long as it is told
-	Marks   bool    `toml:"marks"`  // repeats are marked
-	Notice  Span    `toml:"notice"` // until a dead gateway gets nothing more
+	Retries         int     `toml:"retries"` // further tries, each through another gateway of the set
+	Backoff         Span    `toml:"backoff"`
+	RetryAfterShare float64 `toml:"honour"` // part that stays away as long as it is told
+	MarkRepeats     bool    `toml:"marks"`  // repeats are marked
+	Notice          Span    `toml:"notice"` // until a dead gateway gets nothing more
 }
 
 // Counter is what all gateways count with. A rate of 0 means that there is none.
 type Counter struct {
-	Rate  float64 `toml:"rate"` // calls a second
-	Queue Span    `toml:"queue"`
-	Takes Span    `toml:"takes"` // besides waiting
-	Limit Span    `toml:"limit"` // a call with no answer by then ends
+	Rate        float64 `toml:"rate"` // calls a second
+	MaxWait     Span    `toml:"queue"`
+	ServiceTime Span    `toml:"takes"` // besides waiting
+	Timeout     Span    `toml:"limit"` // a call with no answer by then ends
 }
 
 // Discovery tells each gateway of changes after a lag.
@@ -147,31 +147,31 @@
 
 // Network lies between all of them.
 type Network struct {
-	Same    Span    `toml:"same"`  // one way, in a hall
-	Cross   Span    `toml:"cross"` // between halls
-	Far     Span    `toml:"far"`   // between regions; 0: as between halls
-	Jitter  float64 `toml:"jitter"`
-	Connect Span    `toml:"connect"` // a connection not up by then is none
+	SameZone       Span    `toml:"same"`  // one way, in a hall
+	CrossZone      Span    `toml:"cross"` // between halls
+	CrossRegion    Span    `toml:"far"`   // between regions; 0: as between halls
+	Jitter         float64 `toml:"jitter"`
+	ConnectTimeout Span    `toml:"connect"` // a connection not up by then is none
 }
 
 // Rules are the figures of the five rules.
 type Rules struct {
-	DrainGrace   Span    `toml:"drain_grace"`
-	AnswerSlack  Span    `toml:"answer_slack"`
-	FallMultiple float64 `toml:"fall_multiple"` // a cold server sent more than so many times its capacity falls
-	TipAfter     Span    `toml:"tip_after"`     // over this time
-	Fall         Span    `toml:"fall"`          // and is down so long
+	DrainGrace       Span    `toml:"drain_grace"`
+	AnswerSlack      Span    `toml:"answer_slack"`
+	OverloadFactor   float64 `toml:"fall_multiple"` // a cold server sent more than so many times its capacity falls
+	OverloadSpan     Span    `toml:"tip_after"`     // over this time
+	OverloadDowntime Span    `toml:"fall"`          // and is down so long
 }
 
 // Trouble is one thing that goes wrong, by name (docs/lab.md lists them). Part and Size mean what its kind says.
-type Trouble struct {
-	Kind string  `toml:"kind"`
-	At   Span    `toml:"at"`
-	For  Span    `toml:"for"`
-	Part float64 `toml:"part"`
-	Size float64 `toml:"size"`
-	Lane string  `toml:"lane"`
-	Plan string  `toml:"plan"`
-	Hall int     `toml:"hall"`
-	To   int     `toml:"to"` // the other hall of a link
+type Fault struct {
+	Kind      string  `toml:"kind"`
+	Start     Span    `toml:"at"`
+	Duration  Span    `toml:"for"`
+	Fraction  float64 `toml:"part"`
+	Magnitude float64 `toml:"size"`
+	Class     string  `toml:"lane"`
+	Plan      string  `toml:"plan"`
+	Zone      int     `toml:"hall"`
+	OtherZone int     `toml:"to"` // the other hall of a link
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -22,7 +22,7 @@
 
 // Finding is a schedule of faults and what it does.
 type Finding struct {
-	Scenario      *scenario.World
+	Scenario      *scenario.Scenario
 	Result        *experiment.Result
 	Loss          float64 // net service lost against the same scenario without faults
 	Runs          int     // that the search took
@@ -39,7 +39,7 @@
 
 // simulator runs a scenario under schedules of faults.
 type simulator struct {
-	base     *scenario.World
+	base     *scenario.Scenario
 	policy   string
 	seed     uint64
 	calmNet  float64 // net service without faults
@@ -47,7 +47,7 @@
 }
 
 // newSimulator runs a scenario without faults first, to compare with.
-func newSimulator(base *scenario.World, policy string, seed uint64) (*simulator, error) {
+func newSimulator(base *scenario.Scenario, policy string, seed uint64) (*simulator, error) {
 	s := &simulator{base: base, policy: policy, seed: seed}
 	calm, err := s.run(nil)
 	if err != nil {
@@ -58,9 +58,9 @@
 }
 
 // run runs the scenario under a schedule.
-func (s *simulator) run(faults []scenario.Trouble) (*Finding, error) {
+func (s *simulator) run(faults []scenario.Fault) (*Finding, error) {
 	world := *s.base
-	world.Troubles = faults
+	world.Faults = faults
 	result, err := experiment.RunScenario(&world, s.policy, s.seed)
 	s.finished++
 	if err != nil {
@@ -71,7 +71,7 @@
 
 // Run draws so many schedules of up to maxFaults faults, keeps the worst and shrinks it. Found is called with each finding that
 // is worse than all before it. Without a schedule there is no finding (nil).
-func Run(base *scenario.World, seed uint64, schedules, maxFaults int, policy string, found func(*Finding)) (*Finding, error) {
+func Run(base *scenario.Scenario, seed uint64, schedules, maxFaults int, policy string, found func(*Finding)) (*Finding, error) {
 	random := rand.New(rand.NewPCG(seed, searchStream))
 	simulator, err := newSimulator(base, policy, seed)
 	if err != nil {
@@ -129,7 +129,7 @@
 
 // removeOne gives the schedule without the first fault that can go; nil: none can.
 func (s *simulator) removeOne(finding *Finding, isAsBad func(*Finding) bool) (*Finding, error) {
-	faults := finding.Scenario.Troubles
+	faults := finding.Scenario.Faults
 	if len(faults) == 1 {
 		return nil, nil
 	}
@@ -147,10 +147,10 @@
 
 // shorten halves each fault in turn as often as it can be.
 func (s *simulator) shorten(least *Finding, isAsBad func(*Finding) bool) (*Finding, error) {
-	for i := range least.Scenario.Troubles {
-		for least.Scenario.Troubles[i].For.D() > minFaultLength {
-			faults := slices.Clone(least.Scenario.Troubles)
-			faults[i].For /= 2
+	for i := range least.Scenario.Faults {
+		for least.Scenario.Faults[i].Duration.D() > minFaultLength {
+			faults := slices.Clone(least.Scenario.Faults)
+			faults[i].Duration /= 2
 			shorter, err := s.run(faults)
 			if err != nil {
 				return nil, err
@@ -165,11 +165,11 @@
 }
 
 // DrawFaults draws a schedule of so many faults that a scenario allows, in the order of their start.
-func DrawFaults(random *rand.Rand, world *scenario.World, n int) []scenario.Trouble {
+func DrawFaults(random *rand.Rand, world *scenario.Scenario, n int) []scenario.Fault {
 	var kinds []string
-	for _, name := range scenario.KindNames() {
-		kind := scenario.Kinds[name]
-		if (!kind.Counter || world.Counter.Rate > 0) && (!kind.Halls || world.Gateways.Halls > 1) {
+	for _, name := range scenario.FaultKindNames() {
+		kind := scenario.FaultKinds[name]
+		if (!kind.NeedsCounter || world.Counter.Rate > 0) && (!kind.NeedsZones || world.Gateways.Zones > 1) {
 			kinds = append(kinds, name)
 		}
 	}
@@ -177,23 +177,23 @@
 	span := func(from, to float64) scenario.Span {
 		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
 	}
-	var faults []scenario.Trouble
+	var faults []scenario.Fault
 	for range n {
-		fault := scenario.Trouble{
-			Kind: kinds[random.IntN(len(kinds))], At: span(0.1*length, 0.7*length), For: span(1, 0.4*length),
-			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10,
-			Hall: random.IntN(world.Gateways.Halls),
-			Lane: world.Lanes[random.IntN(len(world.Lanes))].Name,
-			Plan: world.Plans[random.IntN(len(world.Plans))].Name,
+		fault := scenario.Fault{
+			Kind: kinds[random.IntN(len(kinds))], Start: span(0.1*length, 0.7*length), Duration: span(1, 0.4*length),
+			Fraction: float64(1+random.IntN(8)) / 10, Magnitude: 1 + float64(random.IntN(40))/10,
+			Zone:  random.IntN(world.Gateways.Zones),
+			Class: world.Classes[random.IntN(len(world.Classes))].Name,
+			Plan:  world.Plans[random.IntN(len(world.Plans))].Name,
 		}
 		switch fault.Kind {
 		case "server_errors":
-			fault.Size = float64(2+random.IntN(9)) / 10
+			fault.Magnitude = float64(2+random.IntN(9)) / 10
 		case "answers_lost", "resets":
-			fault.Part = float64(1+random.IntN(20)) / 100
+			fault.Fraction = float64(1+random.IntN(20)) / 100
 		}
 		faults = append(faults, fault)
 	}
-	slices.SortStableFunc(faults, func(a, b scenario.Trouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(faults, func(a, b scenario.Fault) int { return int(a.Start - b.Start) })
 	return faults
 }
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -8,7 +8,7 @@
 )
 
 // smallWorld is a short scenario of three gateways.
-func smallWorld(t *testing.T) *scenario.World {
+func smallWorld(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	world, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
 	if err != nil {
@@ -24,14 +24,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if finding.Loss < 0.05 || announced == 0 || len(finding.Scenario.Troubles) == 0 {
-		t.Errorf("found a loss of %.3f with %d faults, %d announced", finding.Loss, len(finding.Scenario.Troubles), announced)
+	if finding.Loss < 0.05 || announced == 0 || len(finding.Scenario.Faults) == 0 {
+		t.Errorf("found a loss of %.3f with %d faults, %d announced", finding.Loss, len(finding.Scenario.Faults), announced)
 	}
 	again, err := Run(world, 4, 8, 4, "module", func(*Finding) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again.Loss != finding.Loss || len(again.Scenario.Troubles) != len(finding.Scenario.Troubles) {
+	if again.Loss != finding.Loss || len(again.Scenario.Faults) != len(finding.Scenario.Faults) {
 		t.Errorf("the same seed finds another: %.3f and %.3f", finding.Loss, again.Loss)
 	}
 }
@@ -42,16 +42,16 @@
 		t.Fatal(err)
 	}
 	second := scenario.Span(time.Second)
-	harmless := scenario.Trouble{Kind: "list_lag", At: second, For: second, Size: 1}
-	kill := scenario.Trouble{Kind: "kill", At: 2 * second, For: 4 * second, Part: 1}
-	finding, err := simulator.run([]scenario.Trouble{harmless, kill, harmless})
+	harmless := scenario.Fault{Kind: "list_lag", Start: second, Duration: second, Magnitude: 1}
+	kill := scenario.Fault{Kind: "kill", Start: 2 * second, Duration: 4 * second, Fraction: 1}
+	finding, err := simulator.run([]scenario.Fault{harmless, kill, harmless})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if finding, err = simulator.shrink(finding); err != nil {
 		t.Fatal(err)
 	}
-	if len(finding.Scenario.Troubles) != 1 || finding.Scenario.Troubles[0].Kind != "kill" || finding.RemovedFaults != 2 {
-		t.Errorf("left after %d runs: %+v, %d removed", simulator.finished, finding.Scenario.Troubles, finding.RemovedFaults)
+	if len(finding.Scenario.Faults) != 1 || finding.Scenario.Faults[0].Kind != "kill" || finding.RemovedFaults != 2 {
+		t.Errorf("left after %d runs: %+v, %d removed", simulator.finished, finding.Scenario.Faults, finding.RemovedFaults)
 	}
 }
--- a/internal/lab/simulation/common.go
+++ b/internal/lab/simulation/common.go
@@ -16,84 +16,84 @@
 // messages
 // between them and the gateways. Deciders, witnesses, evidence and plans are those of the program; the log is a drawn
 // time. It has chance of its own, so that the world is the same with it and without.
-type common struct {
-	e         *engine
-	w         *scenario.Common
-	terms     failover.Settings
-	halls     []string
-	draw      *rand.Rand
-	voters    []*voter
-	followers []*follower // by gateway
-	leader    *voter      // nil: none
-	term      uint64      // grows with each leader
-	decider   coordination.Controller
-	since     time.Duration // when the leader began
-	writing   bool          // a decision is on its way to the log
-	electing  bool
-	entry     statemachine.Table // the table as written
-	lost      []*loss
-	back      time.Duration   // when what was lost last came back
-	wrong     map[string]bool // what the plan in force holds to be lost and is not
+type coordinator struct {
+	engine           *engine
+	settings         *scenario.Coordination
+	failoverSettings failover.Settings
+	zones            []string
+	random           *rand.Rand
+	voters           []*voter
+	followers        []*follower // by gateway
+	leader           *voter      // nil: none
+	term             uint64      // grows with each leader
+	controller       coordination.Controller
+	leadingSince     time.Duration // when the leader began
+	committing       bool          // a decision is on its way to the log
+	electing         bool
+	table            statemachine.Table // the table as written
+	losses           []*loss
+	reconnectedAt    time.Duration   // when what was lost last came back
+	wrongLosses      map[string]bool // what the plan in force holds to be lost and is not
 }
 
 // newCommon sets up what the world says; nil where it says none.
-func newCommon(e *engine, draw *rand.Rand) *common {
-	w := &e.w.Common
-	if w.How == scenario.None {
+func newCoordinator(e *engine, draw *rand.Rand) *coordinator {
+	w := &e.scenario.Coordination
+	if w.Mode == scenario.CoordinationNone {
 		return nil
 	}
-	c := &common{e: e, w: w, terms: e.w.Terms(), draw: draw, wrong: map[string]bool{}}
-	for n := range e.w.Gateways.Halls {
-		c.halls = append(c.halls, scenario.HallName(n))
+	c := &coordinator{engine: e, settings: w, failoverSettings: e.scenario.FailoverSettings(), random: draw, wrongLosses: map[string]bool{}}
+	for n := range e.scenario.Gateways.Zones {
+		c.zones = append(c.zones, scenario.ZoneName(n))
 	}
-	for n := range e.w.Gateways.Count {
-		c.followers = append(c.followers, &follower{c: c, n: n})
+	for n := range e.scenario.Gateways.Count {
+		c.followers = append(c.followers, &follower{coordinator: c, index: n})
 	}
-	if w.How == scenario.Own {
+	if w.Mode == scenario.CoordinationLocal {
 		return c
 	}
 	for n := range w.Voters {
-		v := &voter{c: c, n: n, hall: n % e.w.Gateways.Halls}
+		v := &voter{coordinator: c, index: n, zone: n % e.scenario.Gateways.Zones}
 		v.start()
 		c.voters = append(c.voters, v)
 	}
-	c.lead(c.voters[draw.IntN(len(c.voters))])
-	e.after(w.Decide.D(), c.tick)
+	c.startLeading(c.voters[draw.IntN(len(c.voters))])
+	e.after(w.DecisionInterval.D(), c.tick)
 	return c
 }
 
 // reaches tells whether messages pass between two halls of processes.
-func (c *common) reaches(a, b int) bool { return !c.e.parted(a, b) }
+func (c *coordinator) canReach(a, b int) bool { return !c.engine.isCut(a, b) }
 
 // send has a message arrive, or not; it tells which, as its sender finds out by no answer.
-func (c *common) send(from, to int, arrive func()) bool {
-	if !c.reaches(from, to) || c.w.Loss > 0 && c.draw.Float64() < c.w.Loss {
+func (c *coordinator) send(from, to int, arrive func()) bool {
+	if !c.canReach(from, to) || c.settings.MessageLoss > 0 && c.random.Float64() < c.settings.MessageLoss {
 		return false
 	}
-	c.e.after(c.e.hopBy(c.draw, from, to), arrive)
+	c.engine.after(c.engine.delayBy(c.random, from, to), arrive)
 	return true
 }
 
 // count counts a message that a voter takes.
-func (c *common) count(v *voter, of func(*Messages) *int) {
-	if c.e.now >= origin+c.e.w.Length.D() {
+func (c *coordinator) countMessage(v *voter, of func(*Messages) *int) {
+	if c.engine.now >= origin+c.engine.scenario.Length.D() {
 		return // answers alone are waited for
 	}
-	*of(&c.e.result.Held)++
+	*of(&c.engine.result.VoterMessages)++
 	if v == c.leader {
-		*of(&c.e.result.Led)++
+		*of(&c.engine.result.LeaderMessages)++
 	}
 }
 
-func (c *common) drawn(s [2]scenario.Span) time.Duration {
-	return s[0].D() + time.Duration(c.draw.Float64()*float64(s[1]-s[0]))
+func (c *coordinator) drawBetween(s [2]scenario.Span) time.Duration {
+	return s[0].D() + time.Duration(c.random.Float64()*float64(s[1]-s[0]))
 }
 
 // backed tells whether a voter lives and reaches a majority.
-func (c *common) backed(v *voter) bool {
+func (c *coordinator) hasMajority(v *voter) bool {
 	n := 0
 	for _, o := range c.voters {
-		if !o.dead && c.reaches(v.hall, o.hall) {
+		if !o.dead && c.canReach(v.zone, o.zone) {
 			n++
 		}
 	}
@@ -101,25 +101,25 @@
 }
 
 // lead has a voter begin to lead, with a decider that knows nothing but what is written.
-func (c *common) lead(v *voter) {
+func (c *coordinator) startLeading(v *voter) {
 	c.term++
-	c.leader, c.since, c.writing, c.electing = v, c.e.now, false, false
+	c.leader, c.leadingSince, c.committing, c.electing = v, c.engine.now, false, false
 	v.merged = observation.NewMerger()
-	c.decider = failover.New(c.terms, c.w.Lease.D())
-	v.apply(c.entry)
+	c.controller = failover.New(c.failoverSettings, c.settings.Lease.D())
+	v.apply(c.table)
 }
 
 // elect has a voter lead after a drawn time, if any can.
-func (c *common) elect() {
+func (c *coordinator) elect() {
 	if c.electing {
 		return
 	}
 	c.electing = true
-	c.e.after(c.drawn(c.w.Leaderless), func() {
+	c.engine.after(c.drawBetween(c.settings.ElectionTime), func() {
 		c.electing = false
-		for _, i := range c.draw.Perm(len(c.voters)) {
-			if c.backed(c.voters[i]) {
-				c.lead(c.voters[i])
+		for _, i := range c.random.Perm(len(c.voters)) {
+			if c.hasMajority(c.voters[i]) {
+				c.startLeading(c.voters[i])
 				return
 			}
 		}
@@ -128,10 +128,10 @@
 }
 
 // tick is the leader's work between two decisions, and the notice that there is none.
-func (c *common) tick() {
-	c.e.after(c.w.Decide.D(), c.tick)
-	if c.leader != nil && !c.backed(c.leader) {
-		c.leader, c.decider = nil, nil
+func (c *coordinator) tick() {
+	c.engine.after(c.settings.DecisionInterval.D(), c.tick)
+	if c.leader != nil && !c.hasMajority(c.leader) {
+		c.leader, c.controller = nil, nil
 	}
 	if c.leader == nil {
 		c.elect()
@@ -139,49 +139,49 @@
 	}
 	for _, v := range c.voters {
 		if v != c.leader && !v.dead {
-			v.pass(c.leader)
+			v.sendDigest(c.leader)
 		}
 	}
-	if !c.writing {
+	if !c.committing {
 		c.decide()
 	}
 }
 
 // decide asks the decider, and has the log take what it says.
-func (c *common) decide() {
+func (c *coordinator) decide() {
 	l, term := c.leader, c.term
 	sums := l.direct.Sums()
 	for name, n := range l.merged.Sums() {
 		sums[name] += n
 	}
-	value, write := c.decider.Decide(c.e.now, coordination.ControllerInput{
-		Sums: sums, LeadingSince: c.since,
+	value, write := c.controller.Decide(c.engine.now, coordination.ControllerInput{
+		Sums: sums, LeadingSince: c.leadingSince,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(table string) statemachine.Table { return c.held(table) },
+		Table:  func(table string) statemachine.Table { return c.tableNamed(table) },
 	})
 	if !write {
 		return
 	}
-	c.writing = true
-	c.e.after(c.drawn(c.w.Commit), func() {
-		if c.term != term || c.leader == nil || !c.backed(l) {
+	c.committing = true
+	c.engine.after(c.drawBetween(c.settings.CommitTime), func() {
+		if c.term != term || c.leader == nil || !c.hasMajority(l) {
 			return // another leads, or nobody took it
 		}
-		c.writing = false
-		c.entry = statemachine.Table{Epoch: c.entry.Epoch + 1, Value: slices.Clone(value), Index: c.entry.Epoch + 1}
-		c.judge(value)
-		l.apply(c.entry)
+		c.committing = false
+		c.table = statemachine.Table{Epoch: c.table.Epoch + 1, Value: slices.Clone(value), Index: c.table.Epoch + 1}
+		c.judgePlan(value)
+		l.apply(c.table)
 		for _, v := range c.voters {
 			if v != l {
-				v.catchUp(l, c.entry)
+				v.replicate(l, c.table)
 			}
 		}
 	})
 }
 
-func (c *common) held(table string) statemachine.Table {
-	if table != c.decider.Table() {
+func (c *coordinator) tableNamed(table string) statemachine.Table {
+	if table != c.controller.Table() {
 		return statemachine.Table{}
 	}
-	return c.entry
+	return c.table
 }
--- a/internal/lab/simulation/common_test.go
+++ b/internal/lab/simulation/common_test.go
@@ -12,139 +12,139 @@
 )
 
 // threeHalls is a world of three halls in two regions, decided as said.
-func threeHalls(how string, troubles ...scenario.Trouble) *scenario.World {
-	w := small(troubles...)
-	w.Length = span(16 * time.Second)
-	w.Gateways.Count, w.Gateways.Halls, w.Gateways.Regions = 12, 3, [][]int{{0, 1}, {2}}
-	w.Servers.Count, w.Load.Rate = 18, 250
-	for i := range w.Plans {
-		w.Plans[i].Rate, w.Plans[i].Burst, w.Plans[i].CeilingRate = 0, 0, 0
+func threeZones(how string, troubles ...scenario.Fault) *scenario.Scenario {
+	spec := smallScenario(troubles...)
+	spec.Length = span(16 * time.Second)
+	spec.Gateways.Count, spec.Gateways.Zones, spec.Gateways.Regions = 12, 3, [][]int{{0, 1}, {2}}
+	spec.Servers.Count, spec.Load.Rate = 18, 250
+	for i := range spec.Plans {
+		spec.Plans[i].Rate, spec.Plans[i].Burst, spec.Plans[i].CeilingRate = 0, 0, 0
 	}
-	w.Common.How = how
-	return w
+	spec.Coordination.Mode = how
+	return spec
 }
 
-func lostHall(hall int, at, long time.Duration) scenario.Trouble {
-	return scenario.Trouble{Kind: "hall_lost", Hall: hall, At: span(at), For: span(long)}
+func zoneLossFault(hall int, at, long time.Duration) scenario.Fault {
+	return scenario.Fault{Kind: "hall_lost", Zone: hall, Start: span(at), Duration: span(long)}
 }
 
 // A hall is lost: who decides in common pushes elsewhere within two seconds, next door before another region; on a
 // calm day all is pushed near, which the program as it is does not do.
-func TestALostHallIsLeftWithinTwoSeconds(t *testing.T) {
+func TestCoordination_lostZoneIsLeftWithinTwoSeconds(t *testing.T) {
 	t.Parallel()
-	calm, plain := play(t, threeHalls(scenario.All), 1, baseline.Module), play(t, threeHalls(scenario.None), 1, baseline.Module)
-	if part := float64(calm.Crossed) / float64(calm.Pushes); part > 0.02 || calm.Wrong > 0 {
-		t.Errorf("calm: %.3f between halls, %d wrong", part, calm.Wrong)
+	calm, plain := mustRun(t, threeZones(scenario.CoordinationShared), 1, baseline.Module), mustRun(t, threeZones(scenario.CoordinationNone), 1, baseline.Module)
+	if part := float64(calm.CrossZone) / float64(calm.Attempts); part > 0.02 || calm.WrongPlans > 0 {
+		t.Errorf("calm: %.3f between halls, %d wrong", part, calm.WrongPlans)
 	}
-	if plain.Plans != 0 || plain.Crossed*3 < plain.Pushes || plain.Offered != calm.Offered ||
-		plain.GainDue != calm.GainDue {
-		t.Errorf("as it is: %d plans, %d of %d crossed, %d and %d offered", plain.Plans, plain.Crossed, plain.Pushes,
+	if plain.Plans != 0 || plain.CrossZone*3 < plain.Attempts || plain.Offered != calm.Offered ||
+		plain.DueValue != calm.DueValue {
+		t.Errorf("as it is: %d plans, %d of %d crossed, %d and %d offered", plain.Plans, plain.CrossZone, plain.Attempts,
 			plain.Offered, calm.Offered)
 	}
-	if m := calm.Held; m.Digests < 12*5*15 || m.Digests > 12*5*16 || calm.Led.Merged < 2*10*15 ||
-		calm.Led.Merged > 2*10*16 {
-		t.Errorf("12 gateways and two voters, five and ten messages a second for 16 s: %+v, leader %+v", m, calm.Led)
+	if m := calm.VoterMessages; m.Digests < 12*5*15 || m.Digests > 12*5*16 || calm.LeaderMessages.MergedDigests < 2*10*15 ||
+		calm.LeaderMessages.MergedDigests > 2*10*16 {
+		t.Errorf("12 gateways and two voters, five and ten messages a second for 16 s: %+v, leader %+v", m, calm.LeaderMessages)
 	}
-	lost := play(t, threeHalls(scenario.All, lostHall(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
-	if len(lost.PlanMs) != 4 || slices.Max(lost.PlanMs) > 2000 || lost.Wrong > 0 {
-		t.Errorf("gateways left after %v ms; %d wrong", lost.PlanMs, lost.Wrong)
+	lost := mustRun(t, threeZones(scenario.CoordinationShared, zoneLossFault(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
+	if len(lost.FailoverMs) != 4 || slices.Max(lost.FailoverMs) > 2000 || lost.WrongPlans > 0 {
+		t.Errorf("gateways left after %v ms; %d wrong", lost.FailoverMs, lost.WrongPlans)
 	}
-	if lost.Far*3 > lost.Crossed || lost.Crossed*10 < lost.Pushes {
-		t.Errorf("%d crossed, %d of them to another region, of %d", lost.Crossed, lost.Far, lost.Pushes)
+	if lost.CrossRegion*3 > lost.CrossZone || lost.CrossZone*10 < lost.Attempts {
+		t.Errorf("%d crossed, %d of them to another region, of %d", lost.CrossZone, lost.CrossRegion, lost.Attempts)
 	}
 }
 
 // Voters that are cut off, killed and unheard must never have a gateway act on a plan whose lease, told from when it
 // asked, is over, nor hold one that was not written; and once all is well again all act on the latest.
-func TestNoGatewayActsOnAPlanAfterItsLease(t *testing.T) {
+func TestCoordination_noGatewayActsOnAPlanAfterItsLease(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := threeHalls(scenario.All, lostHall(0, 3*time.Second, 8*time.Second),
-			scenario.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)},
-			scenario.Trouble{Kind: "hall_cut", Hall: 1, At: span(5 * time.Second), For: span(4 * time.Second)},
-			scenario.Trouble{Kind: "hall_cut", Hall: 2, At: span(6 * time.Second), For: span(4 * time.Second)},
-			scenario.Trouble{Kind: "standstill", Part: 0.3, At: span(5 * time.Second), For: span(3 * time.Second)},
-			scenario.Trouble{Kind: "kill", Part: 0.3, At: span(7 * time.Second), For: span(time.Second)})
-		w.Common.Loss = 0.1
-		e, err := begin(w, seed, baseline.Module)
+		spec := threeZones(scenario.CoordinationShared, zoneLossFault(0, 3*time.Second, 8*time.Second),
+			scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)},
+			scenario.Fault{Kind: "hall_cut", Zone: 1, Start: span(5 * time.Second), Duration: span(4 * time.Second)},
+			scenario.Fault{Kind: "hall_cut", Zone: 2, Start: span(6 * time.Second), Duration: span(4 * time.Second)},
+			scenario.Fault{Kind: "standstill", Fraction: 0.3, Start: span(5 * time.Second), Duration: span(3 * time.Second)},
+			scenario.Fault{Kind: "kill", Fraction: 0.3, Start: span(7 * time.Second), Duration: span(time.Second)})
+		spec.Coordination.MessageLoss = 0.1
+		e, err := newEngine(spec, seed, baseline.Module)
 		if err != nil {
 			t.Fatal(err)
 		}
 		over, holding, written := 0, 0, uint64(0)
 		stood := map[uint64]time.Duration{} // until when each epoch was the latest
-		for now := origin; now < origin+w.Length.D(); now += 50 * time.Millisecond {
+		for now := origin; now < origin+spec.Length.D(); now += 50 * time.Millisecond {
 			e.until(now)
-			for past := e.common.entry.Epoch; past > 0 && stood[past-1] == 0; past-- {
+			for past := e.coordinator.table.Epoch; past > 0 && stood[past-1] == 0; past-- {
 				stood[past-1] = now
 			}
-			if now < origin+w.Length.D()-w.Common.Lease.D() {
-				written = e.common.entry.Epoch
+			if now < origin+spec.Length.D()-spec.Coordination.Lease.D() {
+				written = e.coordinator.table.Epoch
 			}
-			for _, f := range e.common.followers {
-				if !f.g.alive || e.now < f.g.still {
+			for _, f := range e.coordinator.followers {
+				if !f.gateway.alive || e.now < f.gateway.pausedUntil {
 					continue
 				}
-				if f.held.Epoch > e.common.entry.Epoch || f.held.LeaseEnd > e.now+w.Common.Lease.D() {
-					t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", seed, f.n, f.held.Epoch,
-						e.common.entry.Epoch, f.held.LeaseEnd, e.now)
+				if f.cached.Epoch > e.coordinator.table.Epoch || f.cached.LeaseEnd > e.now+spec.Coordination.Lease.D() {
+					t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", seed, f.index, f.cached.Epoch,
+						e.coordinator.table.Epoch, f.cached.LeaseEnd, e.now)
 				}
-				if f.held.LeaseEnd > e.now {
-					if end := stood[f.held.Epoch]; end > 0 && now-end > w.Common.Lease.D() {
-						t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", seed, f.n, f.held.Epoch, now-end)
+				if f.cached.LeaseEnd > e.now {
+					if end := stood[f.cached.Epoch]; end > 0 && now-end > spec.Coordination.Lease.D() {
+						t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", seed, f.index, f.cached.Epoch, now-end)
 					}
 					continue
 				}
 				over++
-				if f.keep(); !alone(t, f) { // as with its next task
-					t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", seed, e.now-origin, f.n, f.by)
+				if f.expireSteering(); !followsFallback(t, f) { // as with its next task
+					t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", seed, e.now-origin, f.index, f.steering)
 				}
 			}
 		}
 		if over == 0 {
 			t.Fatalf("seed %d: no lease ended, nothing was shown", seed)
 		}
-		for _, f := range e.common.followers {
-			if f.held.LeaseEnd > e.now && f.held.Epoch < written {
-				t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d stood a lease ago", seed, f.n, f.held.Epoch,
+		for _, f := range e.coordinator.followers {
+			if f.cached.LeaseEnd > e.now && f.cached.Epoch < written {
+				t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d stood a lease ago", seed, f.index, f.cached.Epoch,
 					written)
 			}
-			if f.held.LeaseEnd > e.now {
+			if f.cached.LeaseEnd > e.now {
 				holding++
 			}
 		}
-		if holding < len(e.common.followers)*2/3 { // messages are still lost: some wait for their next read
+		if holding < len(e.coordinator.followers)*2/3 { // messages are still lost: some wait for their next read
 			t.Errorf("seed %d: at the end %d gateways hold a lease", seed, holding)
 		}
 	}
 }
 
 // alone tells whether a gateway acts as the plan it last held has it act by itself, its own hall lost or not.
-func alone(t *testing.T, f *follower) bool {
-	p, err := failover.DecodePlan(f.held.Value)
+func followsFallback(t *testing.T, f *follower) bool {
+	p, err := failover.DecodePlan(f.cached.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, lost := range []bool{false, true} {
-		part, same := p.FallbackAssignment(f.c.halls[f.g.hall], lost), true
-		for n, hall := range f.c.halls {
-			same = same && f.by.Weights[n] == part.Weights[hall]
+		part, same := p.FallbackAssignment(f.coordinator.zones[f.gateway.zone], lost), true
+		for n, hall := range f.coordinator.zones {
+			same = same && f.steering.Weights[n] == part.Weights[hall]
 		}
-		if same && f.by.ShedFraction == part.Shed {
+		if same && f.steering.ShedFraction == part.Shed {
 			return true
 		}
 	}
 	return false
 }
 
-func TestPlaysInCommonAreTheSameEveryTime(t *testing.T) {
+func TestCoordination_sameSeedGivesTheSameRun(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{scenario.Own, scenario.All} {
+	for _, how := range []string{scenario.CoordinationLocal, scenario.CoordinationShared} {
 		var texts [2]string
 		for i := range texts {
-			w := threeHalls(how, lostHall(1, 3*time.Second, 5*time.Second),
-				scenario.Trouble{Kind: "leader_lost", At: span(4 * time.Second), For: span(2 * time.Second)})
-			w.Common.Loss, w.Gateways.Pool = 0.05, true
-			text, _ := json.Marshal(play(t, w, 3, baseline.Module))
+			spec := threeZones(how, zoneLossFault(1, 3*time.Second, 5*time.Second),
+				scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)})
+			spec.Coordination.MessageLoss, spec.Gateways.Subset = 0.05, true
+			text, _ := json.Marshal(mustRun(t, spec, 3, baseline.Module))
 			texts[i] = string(text)
 		}
 		if texts[0] != texts[1] {
--- a/internal/lab/simulation/follow.go
+++ b/internal/lab/simulation/follow.go
@@ -19,125 +19,125 @@
 
 const (
 	// missesMost is how many digests in a row without an answer have a gateway turn to another voter.
-	missesMost = 2
+	maxMissedDigests = 2
 	// readLate is how long after its wait a read is given up.
-	readLate = 300 * time.Millisecond
+	readTimeoutSlack = 300 * time.Millisecond
 	// readPause is the time between a read that failed and the next.
-	readPause = 100 * time.Millisecond
+	readRetryPause = 100 * time.Millisecond
 	// forever is a lease that does not end: of what a gateway decides itself.
-	forever = time.Duration(math.MaxInt64)
+	endlessLease = time.Duration(math.MaxInt64)
 	// shedAway is as in the gate.
-	shedAway = time.Second
+	shedRetryAfter = time.Second
 )
 
 // follower is a gateway's part in what is held in common.
 type follower struct {
-	c               *common
-	n               int
-	g               *gateway
-	w               *zonestats.Recorder
+	coordinator     *coordinator
+	index           int
+	gateway         *gateway
+	recorder        *zonestats.Recorder
 	voter, misses   int
 	serial, session uint64
-	reading         uint64 // counts reads; an answer to an earlier one is late
-	held            coordination.CachedTable
-	steer           *routing.Updater
-	by              dispatch.Steering  // what the pool is steered by
-	until           time.Duration      // when that ends
-	after           *dispatch.Steering // and what follows; nil: it has no end
+	lastRead        uint64 // counts reads; an answer to an earlier one is late
+	cached          coordination.CachedTable
+	updater         *routing.Updater
+	steering        dispatch.Steering  // what the pool is steered by
+	steeringUntil   time.Duration      // when that ends
+	nextSteering    *dispatch.Steering // and what follows; nil: it has no end
 	// Of those that decide alone.
-	book    *observation.Merger
-	decider coordination.Controller
-	since   time.Duration
+	observations *observation.Merger
+	controller   coordination.Controller
+	leadingSince time.Duration
 }
 
 // begin begins a life of a gateway: it holds nothing.
-func (f *follower) begin(g *gateway) {
-	c := f.c
-	*f = follower{c: c, n: f.n, g: g, session: f.session + 1, reading: f.reading + 1}
-	f.w = zonestats.New(c.halls, g.hall, &c.e.site)
-	f.steer = routing.New(commons{f}, f, c.halls, c.halls[g.hall], zap.NewNop())
-	if c.w.How == scenario.Own {
-		f.alone()
+func (f *follower) start(g *gateway) {
+	c := f.coordinator
+	*f = follower{coordinator: c, index: f.index, gateway: g, session: f.session + 1, lastRead: f.lastRead + 1}
+	f.recorder = zonestats.New(c.zones, g.zone, &c.engine.settings)
+	f.updater = routing.New(cachedTables{f}, f, c.zones, c.zones[g.zone], zap.NewNop())
+	if c.settings.Mode == scenario.CoordinationLocal {
+		f.startLocalController()
 	} else {
-		f.voter = f.nearest()
+		f.voter = f.nearestVoter()
 		f.read()
 	}
-	first := c.w.Digest.D() * time.Duration(f.n%97+1) / 97 // not all at once
-	life := g.life
-	c.e.after(first, func() { f.beat(life) })
-	f.steer.Update()
+	first := c.settings.DigestInterval.D() * time.Duration(f.index%97+1) / 97 // not all at once
+	life := g.incarnation
+	c.engine.after(first, func() { f.sendDigests(life) })
+	f.updater.Update()
 }
 
 // nearest is the voter that it turns to first: in its hall, else in its region, else any.
-func (f *follower) nearest() int {
-	regions, voters := f.c.e.regions, f.c.voters
+func (f *follower) nearestVoter() int {
+	regions, voters := f.coordinator.engine.regions, f.coordinator.voters
 	for _, near := range []func(hall int) bool{
-		func(hall int) bool { return hall == f.g.hall },
-		func(hall int) bool { return regions[hall] == regions[f.g.hall] },
+		func(hall int) bool { return hall == f.gateway.zone },
+		func(hall int) bool { return regions[hall] == regions[f.gateway.zone] },
 	} {
 		for i := range voters {
-			if v := (f.n + i) % len(voters); near(voters[v].hall) {
+			if v := (f.index + i) % len(voters); near(voters[v].zone) {
 				return v
 			}
 		}
 	}
-	return f.n % len(voters)
+	return f.index % len(voters)
 }
 
 // beat sends a digest, and again after its time.
-func (f *follower) beat(life int) {
-	if f.g.life != life || !f.g.alive {
+func (f *follower) sendDigests(life int) {
+	if f.gateway.incarnation != life || !f.gateway.alive {
 		return
 	}
-	f.c.e.after(f.c.w.Digest.D(), func() { f.beat(life) })
-	f.g.do(life, f.digest)
+	f.coordinator.engine.after(f.coordinator.settings.DigestInterval.D(), func() { f.sendDigests(life) })
+	f.gateway.run(life, f.sendDigest)
 }
 
-func (f *follower) digest() {
-	c, now := f.c, f.c.e.now
+func (f *follower) sendDigest() {
+	c, now := f.coordinator, f.coordinator.engine.now
 	counts := map[string]uint64{}
-	f.w.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
-	if c.w.How == scenario.Own {
-		f.decide(counts)
+	f.recorder.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
+	if c.settings.Mode == scenario.CoordinationLocal {
+		f.decideLocally(counts)
 		return
 	}
-	f.steer.Update() // it may see its own hall with other eyes
+	f.updater.Update() // it may see its own hall with other eyes
 	f.serial++
 	d := observation.Digest{
-		Process: fmt.Sprint("g", f.n), Incarnation: uint64(f.g.life), Serial: f.serial,
+		Process: fmt.Sprint("g", f.index), Incarnation: uint64(f.gateway.incarnation), Serial: f.serial,
 		Session: f.session,
 		Counts:  counts,
 	}
 	v := c.voters[f.voter]
-	if !v.dead && c.send(f.g.hall, v.hall, func() {
+	if !v.dead && c.send(f.gateway.zone, v.zone, func() {
 		if !v.dead {
-			c.count(v, func(m *Messages) *int { return &m.Digests })
+			c.countMessage(v, func(m *Messages) *int { return &m.Digests })
 			v.direct.Add(d)
 		}
 	}) {
 		f.misses = 0
 		return
 	}
-	if f.misses++; f.misses >= missesMost {
-		f.turn()
+	if f.misses++; f.misses >= maxMissedDigests {
+		f.switchVoter()
 	}
 }
 
 // turn goes over to the next voter.
-func (f *follower) turn() {
-	f.voter, f.misses = (f.voter+1)%len(f.c.voters), 0
+func (f *follower) switchVoter() {
+	f.voter, f.misses = (f.voter+1)%len(f.coordinator.voters), 0
 	f.session++
 }
 
 // read asks for what is later than held, again and again.
 func (f *follower) read() {
-	c, g, life, sent := f.c, f.g, f.g.life, f.c.e.now
-	f.reading++
-	mine := f.reading
+	c, g, life, sent := f.coordinator, f.gateway, f.gateway.incarnation, f.coordinator.engine.now
+	f.lastRead++
+	mine := f.lastRead
 	again := func(after time.Duration) {
-		c.e.after(after, func() {
-			g.do(life, func() {
-				if f.reading == mine {
+		c.engine.after(after, func() {
+			g.run(life, func() {
+				if f.lastRead == mine {
 					f.read()
 				}
 			})
@@ -145,26 +145,26 @@
 	}
 	v := c.voters[f.voter]
 	answer := func(e statemachine.Table, confirmed bool) {
-		c.send(v.hall, g.hall, func() {
-			g.do(life, func() {
-				if f.reading != mine {
+		c.send(v.zone, g.zone, func() {
+			g.run(life, func() {
+				if f.lastRead != mine {
 					return
 				}
 				if !confirmed {
-					f.turn()
-					again(readPause)
+					f.switchVoter()
+					again(readRetryPause)
 					return
 				}
-				f.take(e, sent+c.w.Lease.D())
+				f.adopt(e, sent+c.settings.Lease.D())
 				f.read()
 			})
 		})
 	}
-	c.send(g.hall, v.hall, func() { v.read(&read{known: f.held.Epoch, answer: answer}) })
-	c.e.after(c.w.Wait.D()+readLate, func() {
-		g.do(life, func() {
-			if f.reading == mine {
-				f.turn()
+	c.send(g.zone, v.zone, func() { v.read(&read{knownEpoch: f.cached.Epoch, answer: answer}) })
+	c.engine.after(c.settings.ReadWait.D()+readTimeoutSlack, func() {
+		g.run(life, func() {
+			if f.lastRead == mine {
+				f.switchVoter()
 				f.read()
 			}
 		})
@@ -172,10 +172,10 @@
 }
 
 // take takes a table with its lease.
-func (f *follower) take(e statemachine.Table, until time.Duration) {
-	if e.Epoch < f.held.Epoch {
+func (f *follower) adopt(e statemachine.Table, until time.Duration) {
+	if e.Epoch < f.cached.Epoch {
 		return
 	}
-	f.held = coordination.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
-	f.steer.Update()
+	f.cached = coordination.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
+	f.updater.Update()
 }
--- a/internal/lab/simulation/push.go
+++ b/internal/lab/simulation/push.go
@@ -8,149 +8,149 @@
 
 // attempt is a push on its way.
 type attempt struct {
-	g      *gateway
-	life   int
-	try    *try
-	local  uint32 // the gateway's number for the task
-	number int
-	server *server
-	at     time.Duration
-	until  time.Duration
-	work   time.Duration
-	fresh  bool // it made its connection
-	over   bool // its outcome was told
+	gateway       *gateway
+	incarnation   int
+	try           *try
+	requestID     uint32 // the gateway's number for the task
+	number        int
+	server        *server
+	startedAt     time.Duration
+	deadline      time.Duration
+	work          time.Duration
+	newConnection bool // it made its connection
+	done          bool // its outcome was told
 }
 
 // Attempt sends a task to a server.
 func (g *gateway) Attempt(task, to uint32, until time.Duration) {
-	e := g.e
+	e := g.engine
 	t := g.tries[task]
 	s := e.servers[to-1]
 	a := &attempt{
-		g: g, life: g.life, try: t, local: task, number: len(t.attempts), server: s, at: e.now, until: until,
+		gateway: g, incarnation: g.incarnation, try: t, requestID: task, number: len(t.attempts), server: s, startedAt: e.now, deadline: until,
 		work: t.request.work,
 	}
 	t.attempts = append(t.attempts, a)
-	g.pool.CountAttempt(e.now)
-	e.result.Pushes++
-	e.pushed(a)
-	e.ledger.Pushed(e.now, g.n, to, t.id)
+	g.subset.CountAttempt(e.now)
+	e.result.Attempts++
+	e.recordAttempt(a)
+	e.checker.AttemptSent(e.now, g.index, to, t.id)
 	if f := g.follower; f != nil {
-		f.w.AddAttempt(e.now, s.hall, t.request.told, a.number == 0 && !f.again(t))
+		f.recorder.AddAttempt(e.now, s.zone, t.request.declaredUnits, a.number == 0 && !f.isRepeat(t))
 	}
-	c := g.conns[to]
+	c := g.idle[to]
 	if c == nil {
-		c = &conns{}
-		g.conns[to] = c
+		c = &idleConnections{}
+		g.idle[to] = c
 	}
-	hop := e.hop(g.hall, s.hall)
-	reach := !g.cutFrom(s) && !s.silent
+	hop := e.delay(g.zone, s.zone)
+	reach := !g.isCutFrom(s) && !s.silent
 	kept := false
-	for len(c.rest) > 0 && !kept {
-		last := c.rest[len(c.rest)-1]
-		c.rest = c.rest[:len(c.rest)-1]
-		kept = e.now-last < e.w.Servers.Idle.D()/2
+	for len(c.lastUsed) > 0 && !kept {
+		last := c.lastUsed[len(c.lastUsed)-1]
+		c.lastUsed = c.lastUsed[:len(c.lastUsed)-1]
+		kept = e.now-last < e.scenario.Servers.IdleTimeout.D()/2
 		if !kept {
-			s.conns = max(s.conns-1, 0)
+			s.connections = max(s.connections-1, 0)
 		}
 	}
-	e.at(until, func() { e.outcome(a, policy.TimedOut, 0) })
+	e.at(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
 	switch {
 	case kept && s.dead:
-		e.after(2*hop, func() { e.outcome(a, policy.ConnectFailed, 0) }) // seen closed before it was used
+		e.after(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) }) // seen closed before it was used
 		return
 	case !kept && s.dead && reach:
-		e.after(2*hop, func() { e.outcome(a, policy.ConnectFailed, 0) })
+		e.after(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) })
 		return
 	case !kept && !reach:
-		e.after(e.w.Network.Connect.D(), func() { e.outcome(a, policy.ConnectFailed, 0) })
+		e.after(e.scenario.Network.ConnectTimeout.D(), func() { e.endAttempt(a, policy.ConnectFailed, 0) })
 		return
-	case !kept && s.conns >= e.w.Servers.Connections:
+	case !kept && s.connections >= e.scenario.Servers.MaxConnections:
 		e.result.Handshakes++
-		e.after(2*hop, func() { e.outcome(a, policy.Rejected, 0) })
+		e.after(2*hop, func() { e.endAttempt(a, policy.Rejected, 0) })
 		return
 	case !reach:
 		return
 	}
 	if !kept {
-		a.fresh = true
-		s.conns++
+		a.newConnection = true
+		s.connections++
 		e.result.Handshakes++
 		hop *= 3 // there, back and there with the task
 	}
 	e.after(hop, func() {
-		if g.cutFrom(s) {
+		if g.isCutFrom(s) {
 			return
 		}
-		if e.resets > 0 && e.chance.Float64() < e.resets {
-			e.after(hop, func() { e.outcome(a, policy.Reset, 0) })
-			if e.chance.Float64() < 0.5 {
+		if e.resetRate > 0 && e.modelRandom.Float64() < e.resetRate {
+			e.after(hop, func() { e.endAttempt(a, policy.Reset, 0) })
+			if e.modelRandom.Float64() < 0.5 {
 				return // it never ran
 			}
 		}
-		s.arrive(a)
+		s.receive(a)
 	})
 }
 
 // cutFrom tells whether nothing passes between a gateway and a server.
-func (g *gateway) cutFrom(s *server) bool { return g.blind || g.e.parted(g.hall, s.hall) }
+func (g *gateway) isCutFrom(s *server) bool { return g.isolated || g.engine.isCut(g.zone, s.zone) }
 
 // reply brings a server's answer back.
 func (e *engine) reply(a *attempt, how policy.Outcome, cost float64) {
-	if e.answersLost > 0 && e.chance.Float64() < e.answersLost {
+	if e.answerLoss > 0 && e.modelRandom.Float64() < e.answerLoss {
 		return
 	}
-	if a.server.silent || a.g.cutFrom(a.server) {
+	if a.server.silent || a.gateway.isCutFrom(a.server) {
 		return
 	}
-	e.after(e.hop(a.g.hall, a.server.hall), func() { e.outcome(a, how, cost) })
+	e.after(e.delay(a.gateway.zone, a.server.zone), func() { e.endAttempt(a, how, cost) })
 }
 
 // outcome tells a gateway how a push ended, once.
-func (e *engine) outcome(a *attempt, how policy.Outcome, cost float64) {
-	g := a.g
-	g.do(a.life, func() {
-		if a.over {
+func (e *engine) endAttempt(a *attempt, how policy.Outcome, cost float64) {
+	g := a.gateway
+	g.run(a.incarnation, func() {
+		if a.done {
 			return
 		}
-		a.over = true
+		a.done = true
 		if g.follower != nil {
-			g.follower.w.AddResult(e.now, a.server.hall, a.server.id, how, e.now-a.at)
+			g.follower.recorder.AddResult(e.now, a.server.zone, a.server.id, how, e.now-a.startedAt)
 		}
 		switch how {
 		case policy.Answered, policy.Errored, policy.Rejected:
-			if c := g.conns[a.server.id]; !a.server.dead {
-				c.rest = append(c.rest, e.now)
+			if c := g.idle[a.server.id]; !a.server.dead {
+				c.lastUsed = append(c.lastUsed, e.now)
 			}
 		default:
-			a.server.conns = max(a.server.conns-1, 0)
+			a.server.connections = max(a.server.connections-1, 0)
 			if how == policy.TimedOut || how == policy.Cancelled {
-				e.giveUp(a)
+				e.abandon(a)
 			}
 		}
 		t := a.try
-		if how == policy.Answered && !t.over {
-			g.final(t, served)
+		if how == policy.Answered && !t.done {
+			g.answer(t, served)
 		}
-		g.d.HandleAttemptResult(e.now, policy.AttemptResult{
-			RequestID: a.local, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.at,
-			Final: t.over, ActualUnits: cost,
+		g.policy.HandleAttemptResult(e.now, policy.AttemptResult{
+			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.startedAt,
+			Final: t.done, ActualUnits: cost,
 		})
 	})
 }
 
 // giveUp tells a server that nobody waits.
-func (e *engine) giveUp(a *attempt) {
-	if !a.g.cutFrom(a.server) {
-		e.after(e.hop(a.g.hall, a.server.hall), func() { a.server.stop(a) })
+func (e *engine) abandon(a *attempt) {
+	if !a.gateway.isCutFrom(a.server) {
+		e.after(e.delay(a.gateway.zone, a.server.zone), func() { a.server.cancel(a) })
 	}
 }
 
 // final gives a try its one answer.
-func (g *gateway) final(t *try, what verdict) {
-	t.over = true
-	delete(g.tries, t.local)
-	g.e.clients.answered(t, what)
+func (g *gateway) answer(t *try, what answer) {
+	t.done = true
+	delete(g.tries, t.requestID)
+	g.engine.clients.handleAnswer(t, what)
 }
 
 // Cancel gives a push up; the gateway hears how it ended behind what it does now.
@@ -160,5 +160,5 @@
 		return
 	}
 	a := t.attempts[number]
-	g.e.after(0, func() { g.e.outcome(a, policy.Cancelled, 0) })
+	g.engine.after(0, func() { g.engine.endAttempt(a, policy.Cancelled, 0) })
 }
--- a/internal/lab/simulation/steered.go
+++ b/internal/lab/simulation/steered.go
@@ -12,47 +12,47 @@
 // This file is where the program's own steering meets a gateway that is played: what package gate does between the two.
 
 // commons is what a follower holds, as the steering asks for it.
-type commons struct{ f *follower }
+type cachedTables struct{ f *follower }
 
 // Now is the virtual time.
-func (c commons) Now() time.Duration { return c.f.c.e.now }
+func (c cachedTables) Now() time.Duration { return c.f.coordinator.engine.now }
 
 // Cached is the one table.
-func (c commons) Cached(string) coordination.CachedTable { return c.f.held }
+func (c cachedTables) Cached(string) coordination.CachedTable { return c.f.cached }
 
 // Changed is not waited for: steps are taken with each change.
-func (c commons) Changed() <-chan struct{} { return nil }
+func (c cachedTables) Changed() <-chan struct{} { return nil }
 
 // RegisterCounters is not used: digests take counts from the witness itself.
-func (c commons) RegisterCounters(func(add func(name string, n uint64))) {}
+func (c cachedTables) RegisterCounters(func(add func(name string, n uint64))) {}
 
 // RegisterExactCounters is not used.
-func (c commons) RegisterExactCounters(func(add func(name string, n uint64))) {}
+func (c cachedTables) RegisterExactCounters(func(add func(name string, n uint64))) {}
 
 // SetSteering steers the pool until the lease ends, and then the other way with the next task.
 func (f *follower) SetSteering(by dispatch.Steering, lease time.Duration, after dispatch.Steering) {
-	f.until, f.after = f.c.e.now+lease, &after
+	f.steeringUntil, f.nextSteering = f.coordinator.engine.now+lease, &after
 	if lease <= 0 {
-		f.after = nil
+		f.nextSteering = nil
 		by = after
 	}
-	f.steered(by)
+	f.applySteering(by)
 }
 
-func (f *follower) steered(by dispatch.Steering) {
-	f.by = by
-	if f.g.pool.SetWeights(by.Weights, by.ShedFraction) {
-		f.g.hand()
+func (f *follower) applySteering(by dispatch.Steering) {
+	f.steering = by
+	if f.gateway.subset.SetWeights(by.Weights, by.ShedFraction) {
+		f.gateway.updateEndpoints()
 	}
-	f.c.inForce(f)
+	f.coordinator.recordFailover(f)
 }
 
 // keep sees, with each task, to the end of a lease.
-func (f *follower) keep() {
-	if f.after != nil && f.c.e.now >= f.until {
-		by := *f.after
-		f.after = nil
-		f.steered(by)
+func (f *follower) expireSteering() {
+	if f.nextSteering != nil && f.coordinator.engine.now >= f.steeringUntil {
+		by := *f.nextSteering
+		f.nextSteering = nil
+		f.applySteering(by)
 	}
 }
 
@@ -60,41 +60,43 @@
 func (f *follower) WriteZoneCounts(func(name string, n uint64)) {}
 
 // IsZoneLost tells whether it sees its own hall lost.
-func (f *follower) IsZoneLost() bool { return f.w.IsZoneLost() }
+func (f *follower) IsZoneLost() bool { return f.recorder.IsZoneLost() }
 
 // told tells its witness the whole list.
-func (f *follower) told(all []subset.Candidate) {
+func (f *follower) setEndpoints(all []subset.Candidate) {
 	list := make([]policy.Endpoint, 0, len(all))
 	for _, s := range all {
 		list = append(list, s.Endpoint)
 	}
-	f.w.SetEndpoints(f.c.e.now, list)
+	f.recorder.SetEndpoints(f.coordinator.engine.now, list)
 }
 
 // again tells whether a client says that it asks again.
-func (f *follower) again(t *try) bool { return t.number > 0 && f.c.e.w.Clients.Marks }
+func (f *follower) isRepeat(t *try) bool {
+	return t.number > 0 && f.coordinator.engine.scenario.Clients.MarkRepeats
+}
 
 // turned tells its witness of a try that the module rejects, as the gate does: demand, if it was for room.
-func (f *follower) turned(t *try) {
-	module, is := f.g.d.(*policy.Gateway)
-	if is && module.IsAdmitted(t.local) && len(t.attempts) == 0 && !f.again(t) {
-		f.w.AddShed(t.request.told)
+func (f *follower) recordRejection(t *try) {
+	module, is := f.gateway.policy.(*policy.Gateway)
+	if is && module.IsAdmitted(t.requestID) && len(t.attempts) == 0 && !f.isRepeat(t) {
+		f.recorder.AddShed(t.request.declaredUnits)
 	}
 }
 
 // shed rejects a try at once where it fits in no hall.
-func (f *follower) shed(t *try) bool {
-	repeat := f.again(t)
+func (f *follower) shedIfFull(t *try) bool {
+	repeat := f.isRepeat(t)
 	if !repeat {
-		f.w.AddOffered(t.request.told)
+		f.recorder.AddOffered(t.request.declaredUnits)
 	}
-	if !f.g.pool.ShouldShed() {
+	if !f.gateway.subset.ShouldShed() {
 		return false
 	}
 	if !repeat {
-		f.w.AddShed(t.request.told)
+		f.recorder.AddShed(t.request.declaredUnits)
 	}
-	t.away = shedAway
-	f.g.final(t, rejected)
+	t.retryAfter = shedRetryAfter
+	f.gateway.answer(t, rejected)
 	return true
 }
--- a/internal/lab/simulation/tries.go
+++ b/internal/lab/simulation/tries.go
@@ -8,173 +8,173 @@
 )
 
 type try struct {
-	id       uint64
-	request  *request
-	gateway  *gateway
-	lane     int
-	number   int
-	local    uint32
-	cost     float64
-	expires  time.Duration
-	attempts []*attempt
-	over     bool
-	away     time.Duration
+	id          uint64
+	request     *request
+	gateway     *gateway
+	class       int
+	number      int
+	requestID   uint32
+	actualUnits float64
+	deadline    time.Duration
+	attempts    []*attempt
+	done        bool
+	retryAfter  time.Duration
 }
 
 // verdict is what a client gets.
-type verdict int
+type answer int
 
 const (
-	served verdict = iota
+	served answer = iota
 	rejected
 	terminated
-	died       // the connection broke: its gateway died
-	unanswered // none came in time
+	connectionLost // the connection broke: its gateway died
+	unanswered     // none came in time
 )
 
 // send sends a try through a gateway of the customer's set, if it can be another than the last.
 func (c *clients) send(r *request, number int, last *gateway) {
-	e := c.e
-	lane := &e.site.Classes[r.lane]
-	expires := r.began + lane.Timeout
+	e := c.engine
+	lane := &e.settings.Classes[r.class]
+	expires := r.startedAt + lane.Timeout
 	if e.now >= expires {
-		c.lost(r, r.last)
+		c.fail(r, r.lastAnswer)
 		return
 	}
 	who := r.customer
-	g := e.gateways[(who.first+c.draw.IntN(who.width))%len(e.gateways)]
+	g := e.gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(e.gateways)]
 	for range 4 { // dead ones are noticed by and by, and the one tried last is left out where others are
-		if g != last && (g.alive || c.draw.Float64() < 0.3) || who.width == 1 {
+		if g != last && (g.alive || c.random.Float64() < 0.3) || who.gatewayCount == 1 {
 			break
 		}
-		g = e.gateways[(who.first+c.draw.IntN(who.width))%len(e.gateways)]
+		g = e.gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(e.gateways)]
 	}
-	if through := e.crowded.through(c); through != nil {
+	if through := e.hotspot.drawGateway(c); through != nil {
 		g = through
 	}
-	c.nextTry++
-	t := &try{id: c.nextTry, request: r, gateway: g, lane: r.lane, number: number, expires: expires, cost: r.units}
+	c.lastTry++
+	t := &try{id: c.lastTry, request: r, gateway: g, class: r.class, number: number, deadline: expires, actualUnits: r.units}
 	e.result.Tries++
 	e.after(500*time.Microsecond, func() {
 		if !g.alive {
-			c.answered(t, died) // refused: it was not taken
+			c.handleAnswer(t, connectionLost) // refused: it was not taken
 			return
 		}
-		e.ledger.Taken(invariants.Task{
-			ID: t.id, Key: r.key, Customer: who.id, Lane: *lane, Plan: who.plan, Gateway: g.n,
-			Units: r.told,
-			Taken: e.now, Expires: expires,
+		e.checker.RequestAccepted(invariants.Request{
+			ID: t.id, Key: r.key, Customer: who.id, Class: *lane, Plan: who.plan, Gateway: g.index,
+			Units:      r.declaredUnits,
+			AcceptedAt: e.now, Deadline: expires,
 		})
-		life := g.life
-		g.do(life, func() {
+		life := g.incarnation
+		g.run(life, func() {
 			if e.now >= expires {
 				// Its client has gone: it was read too late to answer.
-				e.ledger.Final(expires, t.id, true)
+				e.checker.RequestAnswered(expires, t.id, true)
 				return
 			}
-			g.take(t)
+			g.accept(t)
 		})
-		e.at(expires, func() { c.gone(t, life) })
+		e.at(expires, func() { c.disconnect(t, life) })
 	})
 }
 
 // gone tells a gateway that a client waits no more.
-func (c *clients) gone(t *try, life int) {
-	if t.over {
+func (c *clients) disconnect(t *try, life int) {
+	if t.done {
 		return
 	}
-	t.gateway.do(life, func() {
-		if t.over {
+	t.gateway.run(life, func() {
+		if t.done {
 			return
 		}
-		t.over = true
-		delete(t.gateway.tries, t.local)
-		t.gateway.d.HandleDisconnect(c.e.now, t.local)
+		t.done = true
+		delete(t.gateway.tries, t.requestID)
+		t.gateway.policy.HandleDisconnect(c.engine.now, t.requestID)
 		for _, a := range t.attempts {
-			c.e.after(0, func() { c.e.outcome(a, policy.Cancelled, 0) })
+			c.engine.after(0, func() { c.engine.endAttempt(a, policy.Cancelled, 0) })
 		}
 	})
-	c.lost(t.request, unanswered)
+	c.fail(t.request, unanswered)
 }
 
 // answered takes the answer to a try.
-func (c *clients) answered(t *try, what verdict) {
-	e, r := c.e, t.request
-	if what != died {
-		e.ledger.Final(e.now, t.id, true)
+func (c *clients) handleAnswer(t *try, what answer) {
+	e, r := c.engine, t.request
+	if what != connectionLost {
+		e.checker.RequestAnswered(e.now, t.id, true)
 	}
 	res := &e.result
 	switch what {
 	case served:
-		if e.w.Load.Told > 0 {
-			e.ledger.Settled(t.id, r.units)
+		if e.scenario.Load.DeclaredDeviation > 0 {
+			e.checker.UnitsSettled(t.id, r.units)
 		}
-		if r.ended {
+		if r.done {
 			return
 		}
-		r.ended = true
-		took := e.now - r.began
-		res.took(r.lane, took)
-		lane := &e.site.Classes[r.lane]
+		r.done = true
+		took := e.now - r.startedAt
+		res.recordAnswerTime(r.class, took)
+		lane := &e.settings.Classes[r.class]
 		gain := 0.0
 		if took <= lane.LatencyObjective {
 			res.InTime++
-			gain = c.gain(r)
+			gain = c.value(r)
 		} else {
 			res.Late++
-			gain = c.gain(r) * lane.LateFraction
+			gain = c.value(r) * lane.LateFraction
 		}
-		if e.ledger.Inside(t.id) {
-			res.GainServed += gain
+		if e.checker.IsWithinQuota(t.id) {
+			res.ServedValue += gain
 		}
 		return
 	case rejected:
-		res.Rejected++
+		res.RejectedTries++
 	case terminated:
-		res.Terminated++
-	case died:
-		res.Broken0++
+		res.TerminatedTries++
+	case connectionLost:
+		res.BrokenConnections++
 	}
-	if r.ended { // its gateway stood still: the client went long ago
+	if r.done { // its gateway stood still: the client went long ago
 		return
 	}
-	lane := &e.site.Classes[r.lane]
-	r.last = what
-	unsent := what == rejected || what == died && len(t.attempts) == 0
+	lane := &e.settings.Classes[r.class]
+	r.lastAnswer = what
+	unsent := what == rejected || what == connectionLost && len(t.attempts) == 0
 	may := unsent || lane.Effect == policy.Idempotent || lane.Effect == policy.Keyed && lane.Group == policy.GroupAll &&
-		e.now < r.began+lane.DedupWindow
-	if !may || t.number >= e.w.Clients.Retries {
+		e.now < r.startedAt+lane.DedupWindow
+	if !may || t.number >= e.scenario.Clients.Retries {
 		if what == rejected {
-			res.Refused++
+			res.RejectedRequests++
 		} else {
-			c.lost(r, what)
+			c.fail(r, what)
 		}
-		r.ended = true
+		r.done = true
 		return
 	}
-	wait := e.w.Clients.Backoff.D()
-	if what == rejected && t.away > 0 && c.draw.Float64() < e.w.Clients.Honour {
-		wait = max(t.away, 0)
+	wait := e.scenario.Clients.Backoff.D()
+	if what == rejected && t.retryAfter > 0 && c.random.Float64() < e.scenario.Clients.RetryAfterShare {
+		wait = max(t.retryAfter, 0)
 	}
 	e.after(wait, func() { c.send(r, t.number+1, t.gateway) })
 }
 
 // lost ends a request that failed, by what its last try got.
-func (c *clients) lost(r *request, last verdict) {
-	if r.ended {
+func (c *clients) fail(r *request, last answer) {
+	if r.done {
 		return
 	}
-	r.ended = true
-	res := &c.e.result
+	r.done = true
+	res := &c.engine.result
 	res.Failed++
 	switch last {
 	case rejected:
-		res.Ends.Between++
+		res.FailureCauses.BetweenTries++
 	case terminated:
-		res.Ends.Terminated++
-	case died:
-		res.Ends.Died++
+		res.FailureCauses.Terminated++
+	case connectionLost:
+		res.FailureCauses.WithGateway++
 	default:
-		res.Ends.Out++
+		res.FailureCauses.InFlight++
 	}
 }
--- a/internal/lab/simulation/trouble.go
+++ b/internal/lab/simulation/trouble.go
@@ -8,132 +8,138 @@
 )
 
 // trouble is one thing that goes wrong: it begins, and ends after its time.
-type trouble interface {
+type fault interface {
 	begin(e *engine)
 	end(e *engine)
 }
 
 // troubles makes each kind of trouble. A new one is a type of its own, a line here and one in world.Kinds.
-var troubles = map[string]func(scenario.Trouble) trouble{
-	"server_lost":   func(t scenario.Trouble) trouble { return &serversLost{part: t.Part} },
-	"server_errors": func(t scenario.Trouble) trouble { return &serversChange{part: t.Part, set: errorsOf(t.Size)} },
-	"server_slow":   func(t scenario.Trouble) trouble { return &serversChange{part: t.Part, set: slowBy(t.Size)} },
-	"lane_silent":   func(t scenario.Trouble) trouble { return &laneSilent{t: t} },
-	"deploy":        func(t scenario.Trouble) trouble { return &deploy{part: t.Part, over: t.For.D()} },
-	"mass_change":   func(t scenario.Trouble) trouble { return &massChange{part: t.Part} },
-	"hall_lost":     func(t scenario.Trouble) trouble { return &serversLost{hall: t.Hall, whole: true, part: t.Part} },
-	"link_cut":      func(t scenario.Trouble) trouble { return &linkCut{[2]int{min(t.Hall, t.To), max(t.Hall, t.To)}} },
-	"crowd":         func(t scenario.Trouble) trouble { return &crowd{hall: t.Hall, part: t.Part} },
-	"blind":         func(t scenario.Trouble) trouble { return &blind{part: t.Part} },
-	"hall_cut":      func(t scenario.Trouble) trouble { return &hallCut{t.Hall} },
-	"leader_lost":   func(scenario.Trouble) trouble { return &leaderLost{} },
-	"answers_lost": func(t scenario.Trouble) trouble {
-		return &figure{on: func(e *engine) *float64 { return &e.answersLost }, to: t.Part}
+var faultConstructors = map[string]func(scenario.Fault) fault{
+	"server_lost": func(t scenario.Fault) fault { return &serverLoss{fraction: t.Fraction} },
+	"server_errors": func(t scenario.Fault) fault {
+		return &serverChange{fraction: t.Fraction, set: setErrorRate(t.Magnitude)}
 	},
-	"resets": func(t scenario.Trouble) trouble {
-		return &figure{on: func(e *engine) *float64 { return &e.resets }, to: t.Part}
+	"server_slow": func(t scenario.Fault) fault {
+		return &serverChange{fraction: t.Fraction, set: setSlowdown(t.Magnitude)}
 	},
-	"counter_slow": func(t scenario.Trouble) trouble {
-		return &figure{on: func(e *engine) *float64 { return &e.counter.slow }, to: t.Size}
+	"lane_silent": func(t scenario.Fault) fault { return &classSilence{fault: t} },
+	"deploy":      func(t scenario.Fault) fault { return &rollingDeploy{fraction: t.Fraction, duration: t.Duration.D()} },
+	"mass_change": func(t scenario.Fault) fault { return &massReplacement{fraction: t.Fraction} },
+	"hall_lost":   func(t scenario.Fault) fault { return &serverLoss{zone: t.Zone, ofZone: true, fraction: t.Fraction} },
+	"link_cut": func(t scenario.Fault) fault {
+		return &linkCut{[2]int{min(t.Zone, t.OtherZone), max(t.Zone, t.OtherZone)}}
 	},
-	"counter_silent":   func(scenario.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
-	"counter_refusing": func(scenario.Trouble) trouble { return &flag{func(e *engine) *bool { return &e.counter.refuses }} },
-	"counter_empty":    func(scenario.Trouble) trouble { return counterEmpty{} },
-	"counter_split":    func(scenario.Trouble) trouble { return counterSplit{} },
-	"burst": func(t scenario.Trouble) trouble {
-		return &figure{on: func(e *engine) *float64 { return &e.loadTimes }, to: t.Size}
+	"crowd":       func(t scenario.Fault) fault { return &hotspot{zone: t.Zone, fraction: t.Fraction} },
+	"blind":       func(t scenario.Fault) fault { return &gatewayIsolation{fraction: t.Fraction} },
+	"hall_cut":    func(t scenario.Fault) fault { return &zoneIsolation{t.Zone} },
+	"leader_lost": func(scenario.Fault) fault { return &leaderLoss{} },
+	"answers_lost": func(t scenario.Fault) fault {
+		return &valueChange{target: func(e *engine) *float64 { return &e.answerLoss }, value: t.Fraction}
 	},
-	"flood": func(t scenario.Trouble) trouble { return &flood{t: t} },
-	"kill":  func(t scenario.Trouble) trouble { return &kill{part: t.Part} },
-	"rolling": func(t scenario.Trouble) trouble {
-		return &rolling{part: t.Part, over: t.For.D(), away: seconds(t.Size)}
+	"resets": func(t scenario.Fault) fault {
+		return &valueChange{target: func(e *engine) *float64 { return &e.resetRate }, value: t.Fraction}
 	},
-	"standstill": func(t scenario.Trouble) trouble { return &standstill{t.Part, t.For.D()} },
-	"list_lag": func(t scenario.Trouble) trouble {
-		return &figure{on: func(e *engine) *float64 { return &e.lagTimes }, to: t.Size}
+	"counter_slow": func(t scenario.Fault) fault {
+		return &valueChange{target: func(e *engine) *float64 { return &e.counter.slowdown }, value: t.Magnitude}
 	},
-	"list_lost": func(t scenario.Trouble) trouble { return &listLost{part: t.Part} },
+	"counter_silent":   func(scenario.Fault) fault { return &switchOn{func(e *engine) *bool { return &e.counter.silent }} },
+	"counter_refusing": func(scenario.Fault) fault { return &switchOn{func(e *engine) *bool { return &e.counter.rejecting }} },
+	"counter_empty":    func(scenario.Fault) fault { return counterReset{} },
+	"counter_split":    func(scenario.Fault) fault { return counterSplit{} },
+	"burst": func(t scenario.Fault) fault {
+		return &valueChange{target: func(e *engine) *float64 { return &e.loadFactor }, value: t.Magnitude}
+	},
+	"flood": func(t scenario.Fault) fault { return &planFlood{fault: t} },
+	"kill":  func(t scenario.Fault) fault { return &gatewayKill{fraction: t.Fraction} },
+	"rolling": func(t scenario.Fault) fault {
+		return &rollingRestart{fraction: t.Fraction, duration: t.Duration.D(), downtime: secondsOf(t.Magnitude)}
+	},
+	"standstill": func(t scenario.Fault) fault { return &gatewayPause{t.Fraction, t.Duration.D()} },
+	"list_lag": func(t scenario.Fault) fault {
+		return &valueChange{target: func(e *engine) *float64 { return &e.lagFactor }, value: t.Magnitude}
+	},
+	"list_lost": func(t scenario.Fault) fault { return &discoveryLoss{fraction: t.Fraction} },
 }
 
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+func secondsOf(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
 // schedule sets a trouble's begin and end.
-func (e *engine) schedule(t scenario.Trouble) error {
-	made := troubles[t.Kind]
+func (e *engine) scheduleFault(t scenario.Fault) error {
+	made := faultConstructors[t.Kind]
 	if made == nil {
 		return fmt.Errorf("trouble %q is not known", t.Kind)
 	}
 	what := made(t)
-	e.at(origin+t.At.D(), func() { what.begin(e) })
-	e.at(origin+t.At.D()+t.For.D(), func() { what.end(e) })
+	e.at(origin+t.Start.D(), func() { what.begin(e) })
+	e.at(origin+t.Start.D()+t.Duration.D(), func() { what.end(e) })
 	return nil
 }
 
 // hallCut cuts a hall off from the others.
-type hallCut struct{ hall int }
+type zoneIsolation struct{ zone int }
 
-func (t *hallCut) begin(e *engine) { e.cut[t.hall] = true }
+func (t *zoneIsolation) begin(e *engine) { e.isolatedZones[t.zone] = true }
 
-func (t *hallCut) end(e *engine) {
-	delete(e.cut, t.hall)
-	e.linked()
+func (t *zoneIsolation) end(e *engine) {
+	delete(e.isolatedZones, t.zone)
+	e.recordReconnection()
 }
 
 // linkCut cuts the link between two halls.
-type linkCut struct{ ends [2]int }
+type linkCut struct{ zones [2]int }
 
-func (t *linkCut) begin(e *engine) { e.links[t.ends] = true }
+func (t *linkCut) begin(e *engine) { e.cutLinks[t.zones] = true }
 func (t *linkCut) end(e *engine) {
-	delete(e.links, t.ends)
-	e.linked()
+	delete(e.cutLinks, t.zones)
+	e.recordReconnection()
 }
 
 // linked tells those who hold things in common that what was cut is no more.
-func (e *engine) linked() {
-	if e.common != nil {
-		e.common.back = e.now
+func (e *engine) recordReconnection() {
+	if e.coordinator != nil {
+		e.coordinator.reconnectedAt = e.now
 	}
 }
 
 // leaderLost kills the voter that leads; it comes back with its disk, and nothing of what others saw.
-type leaderLost struct{ hit *voter }
+type leaderLoss struct{ affected *voter }
 
-func (t *leaderLost) begin(e *engine) {
-	if e.common != nil && e.common.leader != nil {
-		t.hit = e.common.leader
-		t.hit.dead = true
-		t.hit.reads = nil
+func (t *leaderLoss) begin(e *engine) {
+	if e.coordinator != nil && e.coordinator.leader != nil {
+		t.affected = e.coordinator.leader
+		t.affected.dead = true
+		t.affected.waitingReads = nil
 	}
 }
 
-func (t *leaderLost) end(*engine) {
-	if t.hit != nil {
-		t.hit.start()
+func (t *leaderLoss) end(*engine) {
+	if t.affected != nil {
+		t.affected.start()
 	}
 }
 
 // figure sets a figure of the world and sets it back.
-type figure struct {
-	on       func(*engine) *float64
-	to, from float64
+type valueChange struct {
+	target          func(*engine) *float64
+	value, previous float64
 }
 
-func (t *figure) begin(e *engine) { t.from, *t.on(e) = *t.on(e), t.to }
+func (t *valueChange) begin(e *engine) { t.previous, *t.target(e) = *t.target(e), t.value }
 
-func (t *figure) end(e *engine) { *t.on(e) = t.from }
+func (t *valueChange) end(e *engine) { *t.target(e) = t.previous }
 
 // flag raises a flag and lowers it.
-type flag struct{ on func(*engine) *bool }
+type switchOn struct{ target func(*engine) *bool }
 
-func (t *flag) begin(e *engine) { *t.on(e) = true }
+func (t *switchOn) begin(e *engine) { *t.target(e) = true }
 
-func (t *flag) end(e *engine) { *t.on(e) = false }
+func (t *switchOn) end(e *engine) { *t.target(e) = false }
 
 // counterEmpty has the counter forget.
-type counterEmpty struct{}
+type counterReset struct{}
 
-func (counterEmpty) begin(e *engine) { e.counter.totals = [2]map[uint64]total{{}, {}} }
-func (counterEmpty) end(*engine)     {}
+func (counterReset) begin(e *engine) { e.counter.totals = [2]map[uint64]total{{}, {}} }
+func (counterReset) end(*engine)     {}
 
 // counterSplit gives each half of the gateways a counter, which starts with the same totals.
 type counterSplit struct{}
@@ -150,16 +156,16 @@
 func (counterSplit) end(e *engine) { e.counter.split = false }
 
 // flood has the customers of one plan ask more.
-type flood struct{ t scenario.Trouble }
+type planFlood struct{ fault scenario.Fault }
 
-func (t *flood) times(e *engine, to float64) {
-	for i, p := range e.w.Plans {
-		if p.Name == t.t.Plan || t.t.Plan == "" && i == 0 {
-			e.planTimes[i] = to
+func (t *planFlood) setFactor(e *engine, to float64) {
+	for i, p := range e.scenario.Plans {
+		if p.Name == t.fault.Plan || t.fault.Plan == "" && i == 0 {
+			e.planLoadFactors[i] = to
 		}
 	}
 }
 
-func (t *flood) begin(e *engine) { t.times(e, max(t.t.Size, 1)) }
+func (t *planFlood) begin(e *engine) { t.setFactor(e, max(t.fault.Magnitude, 1)) }
 
-func (t *flood) end(e *engine) { t.times(e, 1) }
+func (t *planFlood) end(e *engine) { t.setFactor(e, 1) }
--- a/internal/lab/simulation/trouble_gateways.go
+++ b/internal/lab/simulation/trouble_gateways.go
@@ -5,135 +5,135 @@
 )
 
 // kill ends gateways at once; they start again after the time.
-type kill struct {
-	part float64
-	hit  []*gateway
+type gatewayKill struct {
+	fraction float64
+	affected []*gateway
 }
 
-func (t *kill) begin(e *engine) {
-	for _, i := range e.some(len(e.gateways), t.part) {
+func (t *gatewayKill) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), t.fraction) {
 		if g := e.gateways[i]; g.alive {
 			g.kill()
-			t.hit = append(t.hit, g)
+			t.affected = append(t.affected, g)
 		}
 	}
 }
 
-func (t *kill) end(e *engine) {
-	for _, g := range t.hit {
-		e.again(g)
+func (t *gatewayKill) end(e *engine) {
+	for _, g := range t.affected {
+		e.restartGateway(g)
 	}
 }
 
 // again starts a gateway anew; it was started once with the same settings, so that it can.
-func (e *engine) again(g *gateway) {
-	if err := g.start(e.fate.Uint64()); err != nil {
+func (e *engine) restartGateway(g *gateway) {
+	if err := g.start(e.faultRandom.Uint64()); err != nil {
 		panic(err)
 	}
 }
 
 // rolling restarts gateways in turn.
-type rolling struct {
-	part       float64
-	over, away time.Duration
+type rollingRestart struct {
+	fraction           float64
+	duration, downtime time.Duration
 }
 
-func (t *rolling) begin(e *engine) {
-	hit := e.some(len(e.gateways), t.part)
+func (t *rollingRestart) begin(e *engine) {
+	hit := e.pick(len(e.gateways), t.fraction)
 	for k, i := range hit {
 		g := e.gateways[i]
-		e.after(time.Duration(float64(t.over)*float64(k)/float64(len(hit))), func() {
+		e.after(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
 			if !g.alive {
 				return
 			}
 			g.kill()
-			e.after(max(t.away, time.Millisecond), func() { e.again(g) })
+			e.after(max(t.downtime, time.Millisecond), func() { e.restartGateway(g) })
 		})
 	}
 }
 
-func (t *rolling) end(*engine) {}
+func (t *rollingRestart) end(*engine) {}
 
 // crowd has a part of the tries come through one hall's gateways.
-type crowd struct {
-	hall int
-	part float64
+type hotspot struct {
+	zone     int
+	fraction float64
 }
 
-func (t *crowd) begin(e *engine) { e.crowded = t }
-func (t *crowd) end(e *engine) {
-	if e.crowded == t {
-		e.crowded = nil
+func (t *hotspot) begin(e *engine) { e.hotspot = t }
+func (t *hotspot) end(e *engine) {
+	if e.hotspot == t {
+		e.hotspot = nil
 	}
 }
 
 // through draws a gateway for a try where one hall is crowded; nil: it goes its own way.
-func (t *crowd) through(c *clients) *gateway {
-	if t == nil || c.draw.Float64() >= t.part {
+func (t *hotspot) drawGateway(c *clients) *gateway {
+	if t == nil || c.random.Float64() >= t.fraction {
 		return nil
 	}
-	halls := c.e.w.Gateways.Halls
-	there := (len(c.e.gateways) - t.hall + halls - 1) / halls
+	halls := c.engine.scenario.Gateways.Zones
+	there := (len(c.engine.gateways) - t.zone + halls - 1) / halls
 	if there <= 0 {
 		return nil
 	}
-	return c.e.gateways[c.draw.IntN(there)*halls+t.hall]
+	return c.engine.gateways[c.random.IntN(there)*halls+t.zone]
 }
 
 // blind has gateways that reach no server: what they send is lost on the way.
-type blind struct {
-	part float64
-	hit  []*gateway
+type gatewayIsolation struct {
+	fraction float64
+	affected []*gateway
 }
 
-func (t *blind) begin(e *engine) {
-	for _, i := range e.some(len(e.gateways), t.part) {
-		t.hit = append(t.hit, e.gateways[i])
-		e.gateways[i].blind = true
+func (t *gatewayIsolation) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), t.fraction) {
+		t.affected = append(t.affected, e.gateways[i])
+		e.gateways[i].isolated = true
 	}
 }
 
-func (t *blind) end(*engine) {
-	for _, g := range t.hit {
-		g.blind = false
+func (t *gatewayIsolation) end(*engine) {
+	for _, g := range t.affected {
+		g.isolated = false
 	}
 }
 
 // standstill stops gateways' machines for a time: what comes waits.
-type standstill struct {
-	part float64
-	long time.Duration
+type gatewayPause struct {
+	fraction float64
+	duration time.Duration
 }
 
-func (t *standstill) begin(e *engine) {
-	for _, i := range e.some(len(e.gateways), t.part) {
-		e.gateways[i].still = e.now + t.long
-		e.ledger.Still(e.now, i, e.now+t.long)
+func (t *gatewayPause) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), t.fraction) {
+		e.gateways[i].pausedUntil = e.now + t.duration
+		e.checker.GatewayPaused(e.now, i, e.now+t.duration)
 	}
 }
 
-func (t *standstill) end(*engine) {}
+func (t *gatewayPause) end(*engine) {}
 
 // listLost keeps discovery's news from gateways until it ends.
-type listLost struct {
-	part float64
-	hit  []*gateway
+type discoveryLoss struct {
+	fraction float64
+	affected []*gateway
 }
 
-func (t *listLost) begin(e *engine) {
-	for _, i := range e.some(len(e.gateways), t.part) {
-		t.hit = append(t.hit, e.gateways[i])
-		e.gateways[i].deaf = true
+func (t *discoveryLoss) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), t.fraction) {
+		t.affected = append(t.affected, e.gateways[i])
+		e.gateways[i].discoveryLost = true
 	}
 }
 
-func (t *listLost) end(*engine) {
-	for _, g := range t.hit {
-		g.deaf = false
-		held := g.held
-		g.held = nil
+func (t *discoveryLoss) end(*engine) {
+	for _, g := range t.affected {
+		g.discoveryLost = false
+		held := g.missedChanges
+		g.missedChanges = nil
 		for _, l := range held {
-			g.told(l)
+			g.notify(l)
 		}
 	}
 }
--- a/internal/lab/simulation/trouble_servers.go
+++ b/internal/lab/simulation/trouble_servers.go
@@ -8,174 +8,174 @@
 )
 
 // serversLost has servers fall silent, with all connections open, and come back cold.
-type serversLost struct {
-	part  float64
-	hall  int
-	whole bool // a whole hall, or a part of one
-	hit   []*server
+type serverLoss struct {
+	fraction float64
+	zone     int
+	ofZone   bool // a whole hall, or a part of one
+	affected []*server
 }
 
-func (t *serversLost) begin(e *engine) {
-	up := e.up()
-	if t.whole {
+func (t *serverLoss) begin(e *engine) {
+	up := e.readyServers()
+	if t.ofZone {
 		for _, s := range up {
-			if s.hall == t.hall {
-				t.hit = append(t.hit, s)
+			if s.zone == t.zone {
+				t.affected = append(t.affected, s)
 			}
 		}
-		if all := t.hit; t.part > 0 {
-			t.hit = nil
-			for _, i := range e.some(len(all), t.part) {
-				t.hit = append(t.hit, all[i])
+		if all := t.affected; t.fraction > 0 {
+			t.affected = nil
+			for _, i := range e.pick(len(all), t.fraction) {
+				t.affected = append(t.affected, all[i])
 			}
 		}
 	} else {
-		for _, i := range e.some(len(up), t.part) {
-			t.hit = append(t.hit, up[i])
+		for _, i := range e.pick(len(up), t.fraction) {
+			t.affected = append(t.affected, up[i])
 		}
 	}
-	for _, s := range t.hit {
+	for _, s := range t.affected {
 		s.silent = true
 	}
-	if t.whole && t.part == 0 && e.common != nil {
-		e.common.hallLost(t.hall)
+	if t.ofZone && t.fraction == 0 && e.coordinator != nil {
+		e.coordinator.zoneLost(t.zone)
 	}
 }
 
-func (t *serversLost) end(e *engine) {
-	for _, s := range t.hit {
-		if s.stage == policy.Ready {
+func (t *serverLoss) end(e *engine) {
+	for _, s := range t.affected {
+		if s.state == policy.Ready {
 			s.restart()
-			e.tell(s)
+			e.announce(s)
 		}
 	}
-	if t.whole && e.common != nil {
-		e.common.hallBack(t.hall)
+	if t.ofZone && e.coordinator != nil {
+		e.coordinator.zoneRestored(t.zone)
 	}
 }
 
 // serversChange changes something of some servers and sets it back.
-type serversChange struct {
-	part float64
-	set  func(s *server, on bool)
-	hit  []*server
+type serverChange struct {
+	fraction float64
+	set      func(s *server, on bool)
+	affected []*server
 }
 
-func errorsOf(part float64) func(*server, bool) {
+func setErrorRate(part float64) func(*server, bool) {
 	return func(s *server, on bool) {
-		s.errors = s.e.w.Servers.Errors
+		s.errorRate = s.engine.scenario.Servers.ErrorRate
 		if on {
-			s.errors = part
+			s.errorRate = part
 		}
 	}
 }
 
-func slowBy(times float64) func(*server, bool) {
+func setSlowdown(times float64) func(*server, bool) {
 	return func(s *server, on bool) {
-		s.slow = 1
+		s.slowdown = 1
 		if on {
-			s.slow = max(times, 1)
+			s.slowdown = max(times, 1)
 		}
 	}
 }
 
-func (t *serversChange) begin(e *engine) {
-	up := e.up()
-	for _, i := range e.some(len(up), t.part) {
-		t.hit = append(t.hit, up[i])
+func (t *serverChange) begin(e *engine) {
+	up := e.readyServers()
+	for _, i := range e.pick(len(up), t.fraction) {
+		t.affected = append(t.affected, up[i])
 		t.set(up[i], true)
 	}
 }
 
-func (t *serversChange) end(*engine) {
-	for _, s := range t.hit {
+func (t *serverChange) end(*engine) {
+	for _, s := range t.affected {
 		t.set(s, false)
 	}
 }
 
 // laneSilent has servers swallow the tasks of one lane.
-type laneSilent struct {
-	t   scenario.Trouble
-	hit []*server
+type classSilence struct {
+	fault    scenario.Fault
+	affected []*server
 }
 
-func (t *laneSilent) lane(e *engine) int {
-	for i, l := range e.w.Lanes {
-		if l.Name == t.t.Lane {
+func (t *classSilence) class(e *engine) int {
+	for i, l := range e.scenario.Classes {
+		if l.Name == t.fault.Class {
 			return i
 		}
 	}
 	return 0
 }
 
-func (t *laneSilent) begin(e *engine) {
-	up := e.up()
-	for _, i := range e.some(len(up), t.t.Part) {
-		t.hit = append(t.hit, up[i])
-		up[i].mute[t.lane(e)] = true
+func (t *classSilence) begin(e *engine) {
+	up := e.readyServers()
+	for _, i := range e.pick(len(up), t.fault.Fraction) {
+		t.affected = append(t.affected, up[i])
+		up[i].silentClasses[t.class(e)] = true
 	}
 }
 
-func (t *laneSilent) end(e *engine) {
-	for _, s := range t.hit {
-		delete(s.mute, t.lane(e))
+func (t *classSilence) end(e *engine) {
+	for _, s := range t.affected {
+		delete(s.silentClasses, t.class(e))
 	}
 }
 
 // replace starts a cold server in the place of one, and gives it.
-func (e *engine) replace(old *server) *server {
-	s := e.addServer(old.hall, old.cell, e.now)
-	e.tell(s)
+func (e *engine) replaceServer(old *server) *server {
+	s := e.addServer(old.zone, old.rack, e.now)
+	e.announce(s)
 	return s
 }
 
 // deploy replaces servers one by one: the old one is told to drain, and ends two seconds after the grace.
-type deploy struct {
-	part float64
-	over time.Duration
+type rollingDeploy struct {
+	fraction float64
+	duration time.Duration
 }
 
-func (t *deploy) begin(e *engine) {
-	up := e.up()
-	hit := e.some(len(up), t.part)
+func (t *rollingDeploy) begin(e *engine) {
+	up := e.readyServers()
+	hit := e.pick(len(up), t.fraction)
 	for k, i := range hit {
 		s := up[i]
-		e.after(time.Duration(float64(t.over)*float64(k)/float64(len(hit))), func() {
-			if s.stage != policy.Ready {
+		e.after(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
+			if s.state != policy.Ready {
 				return
 			}
-			e.replace(s)
-			s.stage = policy.Draining
-			e.tell(s)
-			last := time.Duration(float64(e.w.Discovery.Lag[1].D())*max(e.lagTimes, 1)) + e.w.Rules.DrainGrace.D()
-			for _, l := range e.site.Classes {
-				last = max(last, e.w.Rules.DrainGrace.D()+l.Timeout)
+			e.replaceServer(s)
+			s.state = policy.Draining
+			e.announce(s)
+			last := time.Duration(float64(e.scenario.Discovery.Lag[1].D())*max(e.lagFactor, 1)) + e.scenario.Rules.DrainGrace.D()
+			for _, l := range e.settings.Classes {
+				last = max(last, e.scenario.Rules.DrainGrace.D()+l.Timeout)
 			}
 			e.after(last+2*time.Second, func() {
-				s.stage = policy.Removed
-				s.die()
+				s.state = policy.Removed
+				s.dropWork()
 				s.dead = true
-				e.tell(s)
+				e.announce(s)
 			})
 		})
 	}
 }
 
-func (t *deploy) end(*engine) {}
+func (t *rollingDeploy) end(*engine) {}
 
 // massChange has servers gone at once, with cold ones in their place.
-type massChange struct{ part float64 }
+type massReplacement struct{ fraction float64 }
 
-func (t *massChange) begin(e *engine) {
-	up := e.up()
-	for _, i := range e.some(len(up), t.part) {
+func (t *massReplacement) begin(e *engine) {
+	up := e.readyServers()
+	for _, i := range e.pick(len(up), t.fraction) {
 		s := up[i]
-		s.stage = policy.Removed
-		s.die()
+		s.state = policy.Removed
+		s.dropWork()
 		s.dead = true
-		e.tell(s)
-		e.replace(s)
+		e.announce(s)
+		e.replaceServer(s)
 	}
 }
 
-func (t *massChange) end(*engine) {}
+func (t *massReplacement) end(*engine) {}
