--- a/internal/lab/invariants/ledger.go
+++ b/internal/lab/invariants/ledger.go
@@ -31,13 +31,13 @@
 
 // Breach is one broken rule.
 type Breach struct {
-	Rule     Rule
-	At       time.Duration
-	Task     uint64 // 0: of no one task
-	Gateway  int    // -1: of no one gateway
-	Server   uint32
-	Customer uint64
-	What     string
+	Rule     Rule          `json:"Rule"`
+	At       time.Duration `json:"At"`
+	Task     uint64        `json:"Task"`    // 0: of no one task
+	Gateway  int           `json:"Gateway"` // -1: of no one gateway
+	Server   uint32        `json:"Server"`
+	Customer uint64        `json:"Customer"`
+	What     string        `json:"What"`
 }
 
 func (b Breach) String() string {
--- a/internal/lab/scenario/world.go
+++ b/internal/lab/scenario/world.go
@@ -165,13 +165,13 @@
 
 // Trouble is one thing that goes wrong, by name (docs/lab.md lists them). Part and Size mean what its kind says.
 type Trouble struct {
-	Kind string  `toml:"kind"`
-	At   Span    `toml:"at"`
-	For  Span    `toml:"for"`
-	Part float64 `toml:"part"`
-	Size float64 `toml:"size"`
-	Lane string  `toml:"lane"`
-	Plan string  `toml:"plan"`
-	Hall int     `toml:"hall"`
-	To   int     `toml:"to"` // the other hall of a link
+	Kind string  `toml:"kind" json:"Kind"`
+	At   Span    `toml:"at" json:"At"`
+	For  Span    `toml:"for" json:"For"`
+	Part float64 `toml:"part" json:"Part"`
+	Size float64 `toml:"size" json:"Size"`
+	Lane string  `toml:"lane" json:"Lane"`
+	Plan string  `toml:"plan" json:"Plan"`
+	Hall int     `toml:"hall" json:"Hall"`
+	To   int     `toml:"to" json:"To"` // the other hall of a link
 }
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -15,38 +15,55 @@
 	Seed  uint64 `json:"seed"`
 
 	// Requests, however many tries each took. Due are those that a perfect count would let in.
-	Offered, Due, InTime, Late, Refused, Failed int
+	Offered int `json:"Offered"`
+	Due     int `json:"Due"`
+	InTime  int `json:"InTime"`
+	Late    int `json:"Late"`
+	Refused int `json:"Refused"`
+	Failed  int `json:"Failed"`
 	// Ends says why each that failed did.
-	Ends Ends
+	Ends Ends `json:"Ends"`
 	// Gain that was due, and gain that was served in time inside quotas.
-	GainDue, GainServed float64
-
-	Tries, Rejected, Terminated int
-	Broken0                     int `json:"BrokenConnections"` // tries whose gateway was dead or died
-	Pushes, Handshakes          int
+	GainDue    float64 `json:"GainDue"`
+	GainServed float64 `json:"GainServed"`
+
+	Tries      int `json:"Tries"`
+	Rejected   int `json:"Rejected"`
+	Terminated int `json:"Terminated"`
+	Broken0    int `json:"BrokenConnections"` // tries whose gateway was dead or died
+	Pushes     int `json:"Pushes"`
+	Handshakes int `json:"Handshakes"`
 	// Crossed are the pushes to another hall than the gateway's own; Far are those of them to another region.
-	Crossed, Far int
+	Crossed int `json:"Crossed"`
+	Far     int `json:"Far"`
 	// Hottest is the work sent to a hall in a second over what its servers can do in one, at its highest over all
 	// seconds and all halls that stood whole (wholeLeast).
-	Hottest float64
+	Hottest float64 `json:"Hottest"`
 	// Warmest is the same over five seconds.
-	Warmest float64
+	Warmest float64 `json:"Warmest"`
 	// Plans were written, of which Wrong newly held to be lost what was not. PlanMs are the milliseconds from the loss of
 	// a whole hall until a gateway that pushed there pushed elsewhere, or until the hall came back.
-	Plans, Wrong int
-	PlanMs       []int
+	Plans  int   `json:"Plans"`
+	Wrong  int   `json:"Wrong"`
+	PlanMs []int `json:"PlanMs"`
 	// Held is what came to the voters in all, and to the one that led.
-	Held, Led Messages
-
-	Calls, CallsRefused       int
-	Units, Beyond, BeyondGain float64
-	Uneven                    float64 // load of servers that stood all day: deviation over mean
-	Broken                    [invariants.Rules]int
-	Breaches                  []invariants.Breach
-	Seconds                   []Second
-	Events                    int
-	Lanes                     []string
-	P50, P99, P999            []float64 // ms, by lane, of all that were served
+	Held Messages `json:"Held"`
+	Led  Messages `json:"Led"`
+
+	Calls        int                   `json:"Calls"`
+	CallsRefused int                   `json:"CallsRefused"`
+	Units        float64               `json:"Units"`
+	Beyond       float64               `json:"Beyond"`
+	BeyondGain   float64               `json:"BeyondGain"`
+	Uneven       float64               `json:"Uneven"` // load of servers that stood all day: deviation over mean
+	Broken       [invariants.Rules]int `json:"Broken"`
+	Breaches     []invariants.Breach   `json:"Breaches"`
+	Seconds      []Second              `json:"Seconds"`
+	Events       int                   `json:"Events"`
+	Lanes        []string              `json:"Lanes"`
+	P50          []float64             `json:"P50"` // ms, by lane, of all that were served
+	P99          []float64             `json:"P99"`
+	P999         []float64             `json:"P999"`
 
 	totals []Second
 	times  []*hdrhistogram.Histogram
@@ -54,9 +71,14 @@
 
 // Second is what came of one second of the play.
 type Second struct {
-	Offered, InTime, Refused, Failed int
-	Gain, Due                        float64
-	Pushes, Crossed                  int
+	Offered int     `json:"Offered"`
+	InTime  int     `json:"InTime"`
+	Refused int     `json:"Refused"`
+	Failed  int     `json:"Failed"`
+	Gain    float64 `json:"Gain"`
+	Due     float64 `json:"Due"`
+	Pushes  int     `json:"Pushes"`
+	Crossed int     `json:"Crossed"`
 }
 
 // less is what came since an earlier total.
@@ -69,15 +91,17 @@
 
 // Messages are what voters take from gateways, and from each other.
 type Messages struct {
-	Digests, Merged, Reads int
+	Digests int `json:"Digests"`
+	Merged  int `json:"Merged"`
+	Reads   int `json:"Reads"`
 }
 
 // Ends are the requests that failed, by what ended them.
 type Ends struct {
-	Between    int // their time ran out between tries, the last of which was rejected
-	Terminated int // the last try was terminated
-	Died       int // the last try ended with its gateway
-	Out        int // their time ran out while a try was out
+	Between    int `json:"Between"`    // their time ran out between tries, the last of which was rejected
+	Terminated int `json:"Terminated"` // the last try was terminated
+	Died       int `json:"Died"`       // the last try ended with its gateway
+	Out        int `json:"Out"`        // their time ran out while a try was out
 }
 
 func newResult(w *scenario.World, seed uint64) Result {
