--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -37,7 +37,7 @@
 }
 
 // startFleet starts emulated servers, counter and discovery, and gateways on free ports; it waits until they are ready.
-func startFleet(ctx context.Context, w *scenario.World, log io.Writer) (*fleet, error) {
+func startFleet(ctx context.Context, w *scenario.Scenario, log io.Writer) (*fleet, error) {
 	l, err := emulation.Start(w, w.Seed)
 	if err != nil {
 		return nil, err
@@ -155,14 +155,14 @@
 }
 
 // demoWorld is sound, small and half loaded.
-func demoWorld() (*scenario.World, error) {
+func demoWorld() (*scenario.Scenario, error) {
 	w, err := scenario.Parse("demo", nil)
 	if err != nil {
 		return nil, err
 	}
 	w.Name = "demo"
-	w.Gateways.Count, w.Gateways.Halls = 2, 1
-	w.Servers.Count, w.Servers.Cell = 8, 4
+	w.Gateways.Count, w.Gateways.Zones = 2, 1
+	w.Servers.Count, w.Servers.RackSize = 8, 4
 	w.Load.Rate = 120
 	return w, nil
 }
@@ -187,16 +187,16 @@
 	if err != nil {
 		return err
 	}
-	r.Write(out, w.Lanes)
+	r.Write(out, w.Classes)
 	fmt.Fprintf(out, "\n%-8s %8s\n", "server", "tasks")
 	for _, s := range f.Servers {
 		fmt.Fprintf(out, "%-8s %8d\n", s.Name, s.Tasks.Load())
 	}
-	f.Book.Note(func(l *invariants.Ledger, at time.Duration) {
+	f.Book.Note(func(l *invariants.Checker, at time.Duration) {
 		l.Finish(at)
-		fmt.Fprintf(out, "\nunits sent on %.0f, beyond quotas %.0f; calls to the counter %d\n", l.Sent, l.Beyond, f.Counter.Calls.Load())
+		fmt.Fprintf(out, "\nunits sent on %.0f, beyond quotas %.0f; calls to the counter %d\n", l.ForwardedUnits, l.OverQuotaUnits, f.Counter.Calls.Load())
 		fmt.Fprintf(out, "rules broken, by the servers' and clients' record: %v\n", l.Counts)
-		for _, b := range l.Breaches {
+		for _, b := range l.Violations {
 			fmt.Fprintln(out, " ", b)
 		}
 	})
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -59,7 +59,7 @@
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s: %d gateways, %d servers, %g tasks a second for %v, %d troubles\n", f,
 					w.Name, w.Gateways.Count,
-					w.Servers.Count, w.Load.Rate, w.Length.D(), len(w.Troubles))
+					w.Servers.Count, w.Load.Rate, w.Length.D(), len(w.Faults))
 			}
 			return errors.Join(all...)
 		},
@@ -76,7 +76,7 @@
 			if err != nil {
 				return err
 			}
-			if baseline.All[policy] == nil {
+			if baseline.ByName[policy] == nil {
 				return fmt.Errorf("--policy is %q; one of %s is allowed", policy, strings.Join(baseline.Names, ", "))
 			}
 			f, err := search.Run(w, seed, tries, most, policy, func(f *search.Finding) {
@@ -93,9 +93,9 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "worst of %d plays: loses %.3f, rules broken %d, %d troubles left, %d taken out\n",
 				f.Runs, f.Loss, f.Result.Violations,
-				len(f.Scenario.Troubles), f.RemovedFaults)
-			for _, t := range f.Scenario.Troubles {
-				fmt.Fprintf(cmd.OutOrStdout(), "  %s at %v for %v, part %g, size %g\n", t.Kind, t.At.D(), t.For.D(), t.Part, t.Size)
+				len(f.Scenario.Faults), f.RemovedFaults)
+			for _, t := range f.Scenario.Faults {
+				fmt.Fprintf(cmd.OutOrStdout(), "  %s at %v for %v, part %g, size %g\n", t.Kind, t.Start.D(), t.Duration.D(), t.Fraction, t.Magnitude)
 			}
 			if f.Result.FirstViolation != "" {
 				fmt.Fprintln(cmd.OutOrStdout(), " ", f.Result.FirstViolation)
@@ -177,7 +177,7 @@
 			if err != nil {
 				return err
 			}
-			r.Write(cmd.OutOrStdout(), w.Lanes)
+			r.Write(cmd.OutOrStdout(), w.Classes)
 			return nil
 		},
 	}
@@ -194,8 +194,8 @@
 	return &cobra.Command{
 		Use: "troubles", Short: "the troubles by name", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, name := range scenario.KindNames() {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", name, scenario.Kinds[name].What)
+			for _, name := range scenario.FaultKindNames() {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", name, scenario.FaultKinds[name].Description)
 			}
 		},
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -12,7 +12,7 @@
 )
 
 // Decider is the face of the module to those who host it.
-type Decider interface {
+type Policy interface {
 	SetSharers(by float64)
 	HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint)
 	HandleRequest(now time.Duration, t policy.Request)
@@ -23,91 +23,91 @@
 }
 
 // Make makes a decider.
-type Make func(site policy.Settings, seed int64, host policy.Host) (Decider, error)
+type Constructor func(settings policy.Settings, seed int64, host policy.Host) (Policy, error)
 
 // Module makes the module itself.
-func Module(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
-	return policy.New(site, seed, host)
+func Module(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
+	return policy.New(settings, seed, host)
 }
 
 // All are the policies by name.
-var All = map[string]Make{"module": Module, "random": Random, "even": Even, "bucket": Bucket}
+var ByName = map[string]Constructor{"module": Module, "random": Random, "even": Even, "bucket": Bucket}
 
 // Names are the policies in the order of tables.
 var Names = []string{"module", "random", "even", "bucket"}
 
 // plain is what the three have in common.
-type plain struct {
-	site    policy.Settings
-	host    policy.Host
-	chance  *rand.Rand
-	ready   []uint32
-	out     map[uint32]int // pushes by server
-	tasks   map[uint32]*task
-	stores  map[uint64]*store
-	limited func(t policy.Request) float64 // part of the plan that a gateway may give out; 0: all is let in
-	pick    func(p *plain) uint32
-}
-
-type task struct {
+type baselinePolicy struct {
+	settings   policy.Settings
+	host       policy.Host
+	random     *rand.Rand
+	ready      []uint32
+	inFlight   map[uint32]int // pushes by server
+	requests   map[uint32]*request
+	buckets    map[uint64]*bucket
+	quotaShare func(t policy.Request) float64 // part of the plan that a gateway may give out; 0: all is let in
+	pickServer func(p *baselinePolicy) uint32
+}
+
+type request struct {
 	policy.Request
-	server uint32
-	pushed bool
-	over   bool
+	server    uint32
+	attempted bool
+	done      bool
 }
 
-type store struct {
-	left float64
-	at   time.Duration
+type bucket struct {
+	tokens     float64
+	refilledAt time.Duration
 }
 
-func newPlain(site policy.Settings, seed int64, host policy.Host) *plain {
-	return &plain{
-		site: site, host: host, chance: rand.New(rand.NewSource(seed)), out: map[uint32]int{},
-		tasks: map[uint32]*task{}, stores: map[uint64]*store{},
+func newBaselinePolicy(settings policy.Settings, seed int64, host policy.Host) *baselinePolicy {
+	return &baselinePolicy{
+		settings: settings, host: host, random: rand.New(rand.NewSource(seed)), inFlight: map[uint32]int{},
+		requests: map[uint32]*request{}, buckets: map[uint64]*bucket{},
 	}
 }
 
 // Random lets all in, to a server drawn at random.
-func Random(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
-	p := newPlain(site, seed, host)
-	p.limited = func(policy.Request) float64 { return 0 }
-	p.pick = (*plain).drawn
+func Random(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
+	p := newBaselinePolicy(settings, seed, host)
+	p.quotaShare = func(policy.Request) float64 { return 0 }
+	p.pickServer = (*baselinePolicy).randomServer
 	return p, nil
 }
 
 // Even gives each customer its even share of the limit at each gateway of its set, and pushes where it has least
 // out.
-func Even(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
-	p := newPlain(site, seed, host)
-	p.limited = func(t policy.Request) float64 { return 1 / float64(max(t.GatewayCount, 1)) }
-	p.pick = (*plain).least
+func Even(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
+	p := newBaselinePolicy(settings, seed, host)
+	p.quotaShare = func(t policy.Request) float64 { return 1 / float64(max(t.GatewayCount, 1)) }
+	p.pickServer = (*baselinePolicy).leastLoaded
 	return p, nil
 }
 
 // Bucket gives each customer its whole limit at each gateway, and pushes to the better of two drawn at random.
-func Bucket(site policy.Settings, seed int64, host policy.Host) (Decider, error) {
-	p := newPlain(site, seed, host)
-	p.limited = func(policy.Request) float64 { return 1 }
-	p.pick = (*plain).two
+func Bucket(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
+	p := newBaselinePolicy(settings, seed, host)
+	p.quotaShare = func(policy.Request) float64 { return 1 }
+	p.pickServer = (*baselinePolicy).betterOfTwo
 	return p, nil
 }
 
-func (p *plain) drawn() uint32 { return p.ready[p.chance.Intn(len(p.ready))] }
+func (p *baselinePolicy) randomServer() uint32 { return p.ready[p.random.Intn(len(p.ready))] }
 
-func (p *plain) two() uint32 {
-	a, b := p.drawn(), p.drawn()
-	if p.out[b] < p.out[a] {
+func (p *baselinePolicy) betterOfTwo() uint32 {
+	a, b := p.randomServer(), p.randomServer()
+	if p.inFlight[b] < p.inFlight[a] {
 		return b
 	}
 	return a
 }
 
-func (p *plain) least() uint32 {
-	first := p.chance.Intn(len(p.ready))
+func (p *baselinePolicy) leastLoaded() uint32 {
+	first := p.random.Intn(len(p.ready))
 	best := p.ready[first]
 	for i := range p.ready {
-		if s := p.ready[(first+i)%len(p.ready)]; p.out[s] < p.out[best] {
+		if s := p.ready[(first+i)%len(p.ready)]; p.inFlight[s] < p.inFlight[best] {
 			best = s
 		}
 	}
@@ -115,10 +115,10 @@
 }
 
 // SetSharers tells nothing that these use.
-func (p *plain) SetSharers(float64) {}
+func (p *baselinePolicy) SetSharers(float64) {}
 
 // HandleEndpoints keeps the ready ones.
-func (p *plain) HandleEndpoints(_ time.Duration, kind policy.ListKind, list []policy.Endpoint) {
+func (p *baselinePolicy) HandleEndpoints(_ time.Duration, kind policy.ListKind, list []policy.Endpoint) {
 	if kind == policy.ListFailed {
 		return
 	}
@@ -134,87 +134,87 @@
 }
 
 // HandleRequest pushes a task or rejects it.
-func (p *plain) HandleRequest(now time.Duration, t policy.Request) {
-	j := &task{Request: t}
-	p.tasks[t.ID] = j
-	if !p.let(now, t) || len(p.ready) == 0 {
-		p.reject(j)
+func (p *baselinePolicy) HandleRequest(now time.Duration, t policy.Request) {
+	r := &request{Request: t}
+	p.requests[t.ID] = r
+	if !p.admit(now, t) || len(p.ready) == 0 {
+		p.reject(r)
 		return
 	}
-	p.host.SetTimer(uint64(t.ID), t.Deadline-now-2*p.site.ClockTick)
-	j.server, j.pushed = p.pick(p), true
-	p.out[j.server]++
-	p.host.Attempt(t.ID, j.server, t.Deadline)
+	p.host.SetTimer(uint64(t.ID), t.Deadline-now-2*p.settings.ClockTick)
+	r.server, r.attempted = p.pickServer(p), true
+	p.inFlight[r.server]++
+	p.host.Attempt(t.ID, r.server, t.Deadline)
 }
 
 // let takes a task's units from this gateway's part of the customer's store.
-func (p *plain) let(now time.Duration, t policy.Request) bool {
-	plan, part := &p.site.Plans[t.Plan], p.limited(t)
+func (p *baselinePolicy) admit(now time.Duration, t policy.Request) bool {
+	plan, part := &p.settings.Plans[t.Plan], p.quotaShare(t)
 	if part <= 0 || plan.Rate <= 0 {
 		return true
 	}
 	most := max(plan.Burst*part, t.Units) // a share under one task would let none in, ever
-	s := p.stores[t.Customer]
+	s := p.buckets[t.Customer]
 	if s == nil {
-		s = &store{left: most, at: now}
-		p.stores[t.Customer] = s
+		s = &bucket{tokens: most, refilledAt: now}
+		p.buckets[t.Customer] = s
 	}
-	s.left = min(s.left+plan.Rate*part*(now-s.at).Seconds(), most)
-	s.at = now
-	if s.left < t.Units {
+	s.tokens = min(s.tokens+plan.Rate*part*(now-s.refilledAt).Seconds(), most)
+	s.refilledAt = now
+	if s.tokens < t.Units {
 		return false
 	}
-	s.left -= t.Units
+	s.tokens -= t.Units
 	return true
 }
 
-func (p *plain) reject(j *task) {
-	j.over = true
-	delete(p.tasks, j.ID)
-	p.host.Reject(j.ID, 0)
+func (p *baselinePolicy) reject(r *request) {
+	r.done = true
+	delete(p.requests, r.ID)
+	p.host.Reject(r.ID, 0)
 }
 
 // HandleAttemptResult ends a task with its one push.
-func (p *plain) HandleAttemptResult(_ time.Duration, e policy.AttemptResult) {
-	j := p.tasks[e.RequestID]
-	p.out[e.Server]--
-	if j == nil {
+func (p *baselinePolicy) HandleAttemptResult(_ time.Duration, e policy.AttemptResult) {
+	r := p.requests[e.RequestID]
+	p.inFlight[e.Server]--
+	if r == nil {
 		return
 	}
-	delete(p.tasks, j.ID)
-	p.host.CancelTimer(uint64(j.ID))
-	if j.over || e.Final {
+	delete(p.requests, r.ID)
+	p.host.CancelTimer(uint64(r.ID))
+	if r.done || e.Final {
 		return
 	}
 	never := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectFailed || e.Outcome == policy.NotSent
-	if lane := p.site.Classes[j.Class]; never || lane.Effect == policy.Idempotent {
-		p.host.Reject(j.ID, 0)
+	if lane := p.settings.Classes[r.Class]; never || lane.Effect == policy.Idempotent {
+		p.host.Reject(r.ID, 0)
 	} else {
-		p.host.Terminate(j.ID)
+		p.host.Terminate(r.ID)
 	}
 }
 
 // HandleDisconnect forgets a task whose client has gone.
-func (p *plain) HandleDisconnect(_ time.Duration, task uint32) {
-	if j := p.tasks[task]; j != nil {
-		j.over = true
+func (p *baselinePolicy) HandleDisconnect(_ time.Duration, task uint32) {
+	if r := p.requests[task]; r != nil {
+		r.done = true
 	}
 }
 
 // HandleTimer ends a task whose time is up.
-func (p *plain) HandleTimer(_ time.Duration, token uint64) {
-	j := p.tasks[uint32(token)]
-	if j == nil || j.over {
+func (p *baselinePolicy) HandleTimer(_ time.Duration, token uint64) {
+	r := p.requests[uint32(token)]
+	if r == nil || r.done {
 		return
 	}
-	j.over = true
-	if p.site.Classes[j.Class].Effect == policy.Idempotent {
-		p.host.Reject(j.ID, 0)
+	r.done = true
+	if p.settings.Classes[r.Class].Effect == policy.Idempotent {
+		p.host.Reject(r.ID, 0)
 	} else {
-		p.host.Terminate(j.ID)
+		p.host.Terminate(r.ID)
 	}
-	p.host.Cancel(j.ID, 0)
+	p.host.Cancel(r.ID, 0)
 }
 
 // HandleCount is never told: none of these calls the counter.
-func (p *plain) HandleCount(time.Duration, policy.CountResult) {}
+func (p *baselinePolicy) HandleCount(time.Duration, policy.CountResult) {}
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -28,14 +28,14 @@
 	Refused  atomic.Int64
 }
 
-func newCounter(w *scenario.World) (*Counter, error) {
+func newCounter(w *scenario.Scenario) (*Counter, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	c := &Counter{
 		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, until: map[string]time.Time{},
-		each: time.Duration(float64(time.Second) / w.Counter.Rate), queue: w.Counter.Queue.D(),
+		each: time.Duration(float64(time.Second) / w.Counter.Rate), queue: w.Counter.MaxWait.D(),
 	}
 	go func() {
 		for {
--- a/internal/lab/emulation/live.go
+++ b/internal/lab/emulation/live.go
@@ -21,20 +21,20 @@
 // Book is a ledger that many may write in.
 type Book struct {
 	mu sync.Mutex
-	*invariants.Ledger
+	*invariants.Checker
 	start time.Time
 }
 
 // Note lends the ledger and the time since the start.
-func (b *Book) Note(note func(l *invariants.Ledger, at time.Duration)) {
+func (b *Book) Note(note func(l *invariants.Checker, at time.Duration)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	note(b.Ledger, time.Since(b.start))
+	note(b.Checker, time.Since(b.start))
 }
 
 // World is a world that runs.
 type World struct {
-	*scenario.World
+	*scenario.Scenario
 	Book      *Book
 	Counter   *Counter
 	Discovery *Discovery
@@ -44,10 +44,10 @@
 }
 
 // Start starts a world's servers, counter and discovery.
-func Start(w *scenario.World, seed uint64) (*World, error) {
-	l := &World{World: w}
-	site := w.Deployment(0)
-	l.Book = &Book{start: time.Now(), Ledger: invariants.New(invariants.Limits{
+func Start(w *scenario.Scenario, seed uint64) (*World, error) {
+	l := &World{Scenario: w}
+	site := w.PolicySettings(0)
+	l.Book = &Book{start: time.Now(), Checker: invariants.New(invariants.Limits{
 		AnswerSlack: w.Rules.AnswerSlack.D() + 50*time.Millisecond,
 		DrainGrace:  w.Rules.DrainGrace.D() + 50*time.Millisecond, Plans: site.Plans,
 	})}
@@ -61,7 +61,7 @@
 		}
 	}
 	for i := range w.Servers.Count {
-		if _, err := l.Add(i%w.Gateways.Halls, i/w.Servers.Cell, seed+uint64(i), 0); err != nil {
+		if _, err := l.Add(i%w.Gateways.Zones, i/w.Servers.RackSize, seed+uint64(i), 0); err != nil {
 			return nil, err
 		}
 	}
@@ -123,28 +123,28 @@
 
 // Told is the configuration that a gateway of this world is started with, as JSON.
 func (l *World) Told(me int, listen string, sockets int) ([]byte, error) {
-	w := l.World
+	w := l.Scenario
 	ms := func(s scenario.Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
 	effects := map[string]string{"pure": "read_like", "receipted": "idempotency_key", "effectful": "non_idempotent"}
 	groups := map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
 	var lanes, plans []map[string]any
-	for _, n := range w.Lanes {
+	for _, n := range w.Classes {
 		lanes = append(lanes, map[string]any{
-			"Name": n.Name, "AimMs": ms(n.SoftLimit), "DeadlineMs": ms(n.Patience), "Worth": n.Gain,
-			"LateShare": n.Late, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.Window),
+			"Name": n.Name, "AimMs": ms(n.LatencyObjective), "DeadlineMs": ms(n.Timeout), "Worth": n.Weight,
+			"LateShare": n.LateFraction, "Effect": effects[n.Effect], "Group": groups[n.Group], "WindowMs": ms(n.DedupWindow),
 		})
 	}
 	for _, p := range w.Plans {
 		plans = append(plans, map[string]any{
 			"Name": p.Name, "UnitsPerS": p.Rate, "PeakUnits": p.Burst, "CeilingRate": p.CeilingRate,
-			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverCost,
+			"CapDepth": p.CeilingBurst, "CeilingSlack": p.CeilingSlack, "Pays": p.Price, "OverCost": p.OverQuotaCost,
 		})
 	}
 	var halls []string
-	for i := range w.Gateways.Halls {
+	for i := range w.Gateways.Zones {
 		halls = append(halls, hallName(i))
 	}
-	d := w.Deployment(me)
+	d := w.PolicySettings(me)
 	counter := ""
 	if l.Counter != nil {
 		counter = l.Counter.Addr
@@ -155,14 +155,14 @@
 		"settings": map[string]any{
 			"Balancers": w.Gateways.Count, "Me": me, "MyZone": d.MyZone, "Dcs": halls, "Models": []string{"std"},
 			"TickMs": 2, "RequestClasses": lanes, "TiersOfService": plans,
-			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Limit), "Settles": true, "MostUnits": d.MaxUnits},
+			"FamilyInfo": map[string]any{"HasCounter": l.Counter != nil, "CountLimitMs": ms(w.Counter.Timeout), "Settles": true, "MostUnits": d.MaxUnits},
 			"Rules": map[string]any{
-				"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.ColdFrom, "WarmAfterMs": ms(w.Servers.WarmAfter),
-				"FallMultiple": w.Rules.FallMultiple, "TipAfterMs": ms(w.Rules.TipAfter), "AnswerSlackMs": ms(w.Rules.AnswerSlack),
+				"DrainGraceMs": ms(w.Rules.DrainGrace), "ColdFrom": w.Servers.WarmUpStart, "WarmAfterMs": ms(w.Servers.WarmUpTime),
+				"FallMultiple": w.Rules.OverloadFactor, "TipAfterMs": ms(w.Rules.OverloadSpan), "AnswerSlackMs": ms(w.Rules.AnswerSlack),
 			},
 			"PolicyLimits": map[string]any{
-				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.Pushes,
-				"ConnectTimeoutMs": ms(w.Network.Connect), "IdleCloseMs": ms(w.Servers.Idle),
+				"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": 2000, "TryLimit": w.Gateways.MaxAttempts,
+				"ConnectTimeoutMs": ms(w.Network.ConnectTimeout), "IdleCloseMs": ms(w.Servers.IdleTimeout),
 			},
 		},
 	})
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -48,7 +48,7 @@
 	}
 	s := &Server{
 		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: l, number: number, health: "in_service",
-		listener: listener, cores: make(chan struct{}, l.World.Servers.Cores), chance: rand.New(rand.NewPCG(seed, 9)),
+		listener: listener, cores: make(chan struct{}, l.Scenario.Servers.Cores), chance: rand.New(rand.NewPCG(seed, 9)),
 		conns: map[net.Conn]struct{}{},
 	}
 	s.Slow(1)
@@ -138,14 +138,14 @@
 		terms[name] = value
 	}
 	id, err := strconv.ParseUint(cmd.Words[2], 16, 64)
-	lane := slices.IndexFunc(s.world.Lanes, func(l scenario.Lane) bool { return l.Name == terms["c"] })
+	lane := slices.IndexFunc(s.world.Classes, func(l scenario.TrafficClass) bool { return l.Name == terms["c"] })
 	if err != nil || lane < 0 {
 		return "-SYNTAX"
 	}
 	if s.silent.Load() {
 		return ""
 	}
-	if s.draining.Load() || s.waiting.Load() >= int64(s.world.World.Servers.Queue+cap(s.cores)) {
+	if s.draining.Load() || s.waiting.Load() >= int64(s.world.Scenario.Servers.QueueLimit+cap(s.cores)) {
 		s.Busy.Add(1)
 		return "-BUSY"
 	}
@@ -153,7 +153,7 @@
 	failed := s.chance.Float64() < math.Float64frombits(s.errors.Load())
 	took := s.work(lane)
 	s.mu.Unlock()
-	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Pushed(at, unknown, s.number, id) })
+	s.world.Book.Note(func(l *invariants.Checker, at time.Duration) { l.AttemptSent(at, unknown, s.number, id) })
 	if failed {
 		return "-ERR failed"
 	}
@@ -162,7 +162,7 @@
 	s.cores <- struct{}{}
 	defer func() { <-s.cores }()
 	s.Tasks.Add(1)
-	s.world.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Ran(at, s.number, id) })
+	s.world.Book.Note(func(l *invariants.Checker, at time.Duration) { l.EffectRan(at, s.number, id) })
 	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slow.Load())))
 	units := terms["units"]
 	value := Value(id)
@@ -175,9 +175,9 @@
 
 // work draws a task's time.
 func (s *Server) work(lane int) time.Duration {
-	l := &s.world.Lanes[lane]
+	l := &s.world.Classes[lane]
 	mean := float64(l.Work.D())
-	switch l.Spread {
+	switch l.Distribution {
 	case "exponential":
 		mean *= s.chance.ExpFloat64()
 	case "lognormal":
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -34,10 +34,10 @@
 
 // FaultProfile is what goes wrong in a world, in place of what its file says.
 type FaultProfile struct {
-	Name   string             `toml:"name"`
-	Load   float64            `toml:"load"`   // times the world's; 0: as it is
-	Length scenario.Span      `toml:"length"` // 0: the world's
-	Faults []scenario.Trouble `toml:"trouble"`
+	Name   string           `toml:"name"`
+	Load   float64          `toml:"load"`   // times the world's; 0: as it is
+	Length scenario.Span    `toml:"length"` // 0: the world's
+	Faults []scenario.Fault `toml:"trouble"`
 	// DrawnFaults is how many troubles are drawn for each seed besides, none of which loses a hall or cuts it off.
 	DrawnFaults int `toml:"drawn"`
 }
@@ -58,7 +58,7 @@
 	}
 	p := &Plan{Seeds: 3}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
-		return nil, scenario.Faults(file, err)
+		return nil, scenario.DecodeErrors(file, err)
 	}
 	var all []error
 	say := func(good bool, format string, args ...any) {
@@ -78,9 +78,9 @@
 		if v.Name == "" {
 			p.Variants[i].Name = v.Policy
 		}
-		say(baseline.All[v.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, v.Policy,
+		say(baseline.ByName[v.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, v.Policy,
 			strings.Join(baseline.Names, ", "))
-		say(v.Coordination == "" || slices.Contains([]string{scenario.None, scenario.Own, scenario.All}, v.Coordination),
+		say(v.Coordination == "" || slices.Contains([]string{scenario.CoordinationNone, scenario.CoordinationLocal, scenario.CoordinationShared}, v.Coordination),
 			"variant %d: common is %q; none, own or common is allowed", i+1, v.Coordination)
 		say(!seen[p.Variants[i].Name], "variant %d: %q is there twice", i+1, p.Variants[i].Name)
 		seen[p.Variants[i].Name] = true
@@ -95,7 +95,7 @@
 }
 
 // Scaled makes a world of another number of gateways, with servers, load, customers and counter in proportion.
-func Scaled(base *scenario.World, gateways int) *scenario.World {
+func Scaled(base *scenario.Scenario, gateways int) *scenario.Scenario {
 	c := *base
 	if gateways <= 0 || gateways == base.Gateways.Count {
 		return &c
@@ -103,7 +103,7 @@
 	times := float64(gateways) / float64(base.Gateways.Count)
 	scale := func(n int) int { return max(int(math.Round(float64(n)*times)), 1) }
 	c.Gateways.Count = gateways
-	c.Gateways.Halls = min(base.Gateways.Halls, gateways)
+	c.Gateways.Zones = min(base.Gateways.Zones, gateways)
 	c.Servers.Count = scale(base.Servers.Count)
 	c.Load.Rate *= times
 	c.Counter.Rate *= times
@@ -116,7 +116,7 @@
 
 // job is one play to be done.
 type job struct {
-	scenario *scenario.World
+	scenario *scenario.Scenario
 	variant  Variant
 	seed     uint64
 }
@@ -139,10 +139,10 @@
 				for seed := range p.Seeds {
 					s := Scaled(base, n)
 					if v.Subset != nil {
-						s.Gateways.Pool = *v.Subset
+						s.Gateways.Subset = *v.Subset
 					}
 					if v.Coordination != "" {
-						s.Common.How = v.Coordination
+						s.Coordination.Mode = v.Coordination
 					}
 					if len(p.Profiles) == 0 {
 						jobs = append(jobs, job{s, v, uint64(seed + 1)})
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -68,8 +68,8 @@
 		base.Plans[0].Customers != 200 {
 		t.Errorf("%d servers, %g tasks a second, %d customers", s.Servers.Count, s.Load.Rate, s.Plans[0].Customers)
 	}
-	if s := Scaled(base, 1); s.Gateways.Halls != 1 || s.Servers.Count < 1 {
-		t.Errorf("one gateway: %d halls, %d servers", s.Gateways.Halls, s.Servers.Count)
+	if s := Scaled(base, 1); s.Gateways.Zones != 1 || s.Servers.Count < 1 {
+		t.Errorf("one gateway: %d halls, %d servers", s.Gateways.Zones, s.Servers.Count)
 	}
 }
 
@@ -97,13 +97,13 @@
 		if err := day.Check("day"); err != nil {
 			t.Fatal(err)
 		}
-		for _, tr := range day.Troubles {
-			if scenario.Kinds[tr.Kind].Halls {
+		for _, tr := range day.Faults {
+			if scenario.FaultKinds[tr.Kind].NeedsZones {
 				t.Errorf("seed %d has %s", seed, tr.Kind)
 			}
 		}
 	}
-	if base.Load.Rate != 470 || len(base.Troubles) != 0 {
+	if base.Load.Rate != 470 || len(base.Faults) != 0 {
 		t.Error("the world itself was changed")
 	}
 }
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -30,18 +30,18 @@
 }
 
 // DrawMildFaults draws so many mild troubles for a world: the same seed gives the same day at any size.
-func DrawMildFaults(base *scenario.World, seed uint64, n int) []scenario.Trouble {
+func DrawMildFaults(base *scenario.Scenario, seed uint64, n int) []scenario.Fault {
 	random := rand.New(rand.NewPCG(seed, 77))
 	length := base.Length.D()
-	var all []scenario.Trouble
+	var all []scenario.Fault
 	for range n {
 		m := mildFaults[random.IntN(len(mildFaults))]
 		at, long, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
-		t := scenario.Trouble{Kind: m.kind, At: scenario.Span(float64(length) * (0.1 + 0.6*at)),
-			For:  scenario.Span(float64(length) * (0.05 + 0.25*long)),
-			Part: m.part * part, Size: m.size * size}
+		t := scenario.Fault{Kind: m.kind, Start: scenario.Span(float64(length) * (0.1 + 0.6*at)),
+			Duration: scenario.Span(float64(length) * (0.05 + 0.25*long)),
+			Fraction: m.part * part, Magnitude: m.size * size}
 		if m.size > 1 {
-			t.Size = max(t.Size, 1)
+			t.Magnitude = max(t.Magnitude, 1)
 		}
 		all = append(all, t)
 	}
@@ -49,7 +49,7 @@
 }
 
 // apply makes the world of a story.
-func (p *FaultProfile) apply(base *scenario.World, seed uint64) *scenario.World {
+func (p *FaultProfile) apply(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	c := *base
 	c.Name += ": " + p.Name
 	if p.Load > 0 {
@@ -58,6 +58,6 @@
 	if p.Length > 0 {
 		c.Length = p.Length
 	}
-	c.Troubles = append(slices.Clone(p.Faults), DrawMildFaults(&c, seed, p.DrawnFaults)...)
+	c.Faults = append(slices.Clone(p.Faults), DrawMildFaults(&c, seed, p.DrawnFaults)...)
 	return &c
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -30,12 +30,12 @@
 	second := scenario.Span(time.Second)
 	line := Result{Plan: "p", Scenario: "w", Gateways: 1, Servers: 2, Variant: "v", Seed: 3, Revision: "b", Service: 0.25, Net: 0.5,
 		OverQuota: 0.75, Rejected: 1, Failed: 2, FailedBetween: 3, FailedTerminated: 4, FailedWithGateway: 5, FailedInFlight: 6, CrossZone: 7, CrossRegion: 8, Plans: 9, WrongPlans: 10,
-		FailoverMs: []int{11}, VoterMessages: simulation.Messages{Digests: 12, Merged: 13, Reads: 14},
-		LeaderMessages: simulation.Messages{Digests: 15, Merged: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
+		FailoverMs: []int{11}, VoterMessages: simulation.Messages{Digests: 12, MergedDigests: 13, Reads: 14},
+		LeaderMessages: simulation.Messages{Digests: 15, MergedDigests: 16, Reads: 17}, LengthSeconds: 18, PeakUtilisation: 19, PeakUtilisationOver5s: 20, Tries: 21, CounterCalls: 22,
 		Handshakes: 23, LoadDeviation: 24, P50: []float64{25}, P99: []float64{26}, P999: []float64{27}, Classes: []string{"l"}, Violations: 28,
 		FirstViolation: "f", WallSeconds: 29,
-		Timeline: []simulation.Second{{Offered: 1, InTime: 2, Refused: 3, Failed: 4, Gain: 5, Due: 6, Pushes: 7, Crossed: 8}},
-		Faults: []scenario.Trouble{{Kind: "kill", At: second, For: 2 * second, Part: 0.5, Size: 2, Hall: 1, Lane: "l",
+		Timeline: []simulation.Second{{Offered: 1, InTime: 2, Rejected: 3, Failed: 4, ServedValue: 5, DueValue: 6, Attempts: 7, CrossZone: 8}},
+		Faults: []scenario.Fault{{Kind: "kill", Start: second, Duration: 2 * second, Fraction: 0.5, Magnitude: 2, Zone: 1, Class: "l",
 			Plan: "p"}}}
 	got, err := json.Marshal(line)
 	if d := cmp.Diff(goldenResult, string(got)); d != "" || err != nil {
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -52,7 +52,7 @@
 	Violations            int                 `json:"broken"` // rules, how often
 	FirstViolation        string              `json:"first_breach,omitempty"`
 	Timeline              []simulation.Second `json:"seconds"`
-	Faults                []scenario.Trouble  `json:"troubles,omitempty"`
+	Faults                []scenario.Fault    `json:"troubles,omitempty"`
 	WallSeconds           float64             `json:"-"` // seconds: not part of the result, which is the same every time
 }
 
@@ -75,30 +75,30 @@
 }
 
 // RunScenario plays one world and gives its line.
-func RunScenario(base *scenario.World, policy string, seed uint64) (*Result, error) {
+func RunScenario(base *scenario.Scenario, policy string, seed uint64) (*Result, error) {
 	began := time.Now()
-	r, err := simulation.Play(base, seed, baseline.All[policy])
+	r, err := simulation.Run(base, seed, baseline.ByName[policy])
 	if err != nil {
 		return nil, err
 	}
-	r.Percentiles()
+	r.ComputePercentiles()
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	result := &Result{Scenario: base.Name, Gateways: base.Gateways.Count, Servers: base.Servers.Count, Variant: policy, Seed: seed,
 		Revision: Revision(),
-		Service:  r.Service(), Net: r.Net(), OverQuota: r.Beyond / max(r.Units, 1e-9), Rejected: part(r.Refused, r.Offered),
-		Failed: part(r.Failed, r.Offered), FailedBetween: part(r.Ends.Between, r.Offered), FailedTerminated: part(r.Ends.Terminated,
+		Service:  r.Service(), Net: r.Net(), OverQuota: r.OverQuotaUnits / max(r.ForwardedUnits, 1e-9), Rejected: part(r.RejectedRequests, r.Offered),
+		Failed: part(r.Failed, r.Offered), FailedBetween: part(r.FailureCauses.BetweenTries, r.Offered), FailedTerminated: part(r.FailureCauses.Terminated,
 			r.Offered),
-		FailedWithGateway: part(r.Ends.Died, r.Offered), FailedInFlight: part(r.Ends.Out, r.Offered), CrossZone: part(r.Crossed, r.Pushes),
-		CrossRegion: part(r.Far, r.Pushes), PeakUtilisation: r.Hottest, PeakUtilisationOver5s: r.Warmest, Plans: r.Plans, WrongPlans: r.Wrong,
-		FailoverMs: r.PlanMs, VoterMessages: r.Held, LeaderMessages: r.Led, LengthSeconds: base.Length.D().Seconds(), Tries: part(r.Tries, r.Offered),
-		CounterCalls: part(r.Calls, r.Offered),
-		Handshakes:   part(r.Handshakes, r.Pushes), LoadDeviation: r.Uneven, P50: r.P50, P99: r.P99, P999: r.P999, Classes: r.Lanes,
-		Timeline: r.Seconds, Faults: base.Troubles, WallSeconds: time.Since(began).Seconds()}
-	for _, n := range r.Broken {
+		FailedWithGateway: part(r.FailureCauses.WithGateway, r.Offered), FailedInFlight: part(r.FailureCauses.InFlight, r.Offered), CrossZone: part(r.CrossZone, r.Attempts),
+		CrossRegion: part(r.CrossRegion, r.Attempts), PeakUtilisation: r.PeakUtilisation, PeakUtilisationOver5s: r.PeakUtilisationOver5s, Plans: r.Plans, WrongPlans: r.WrongPlans,
+		FailoverMs: r.FailoverMs, VoterMessages: r.VoterMessages, LeaderMessages: r.LeaderMessages, LengthSeconds: base.Length.D().Seconds(), Tries: part(r.Tries, r.Offered),
+		CounterCalls: part(r.CounterCalls, r.Offered),
+		Handshakes:   part(r.Handshakes, r.Attempts), LoadDeviation: r.LoadDeviation, P50: r.P50, P99: r.P99, P999: r.P999, Classes: r.Classes,
+		Timeline: r.Timeline, Faults: base.Faults, WallSeconds: time.Since(began).Seconds()}
+	for _, n := range r.ViolationCounts {
 		result.Violations += n
 	}
-	if len(r.Breaches) > 0 {
-		result.FirstViolation = r.Breaches[0].String()
+	if len(r.Violations) > 0 {
+		result.FirstViolation = r.Violations[0].String()
 	}
 	return result, nil
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -24,7 +24,7 @@
 
 // Driver sends load.
 type Driver struct {
-	World    *scenario.World
+	World    *scenario.Scenario
 	Gateways []string // their addresses
 	Rate     float64  // tasks a second
 	Length   time.Duration
@@ -67,7 +67,7 @@
 	}
 	d.idle = map[string][]*resp.Conn{}
 	r := &Report{Lateness: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
-	for range d.World.Lanes {
+	for range d.World.Classes {
 		r.Times = append(r.Times, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
 	}
 	d.sums()
@@ -105,7 +105,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			_ = r.Lateness.RecordValue(max(late.Microseconds(), 1))
-			r.add(int(due/time.Second), t, how, took, d.World.Lanes[t.lane].SoftLimit.D())
+			r.add(int(due/time.Second), t, how, took, d.World.Classes[t.lane].LatencyObjective.D())
 		}(due)
 	}
 	wait.Wait()
@@ -180,7 +180,7 @@
 func (d *Driver) sums() {
 	sum := 0.0
 	d.lanes = nil
-	for _, l := range d.World.Lanes {
+	for _, l := range d.World.Classes {
 		sum += l.Share
 		d.lanes = append(d.lanes, sum)
 	}
@@ -201,15 +201,15 @@
 	n := len(d.Gateways)
 	lane := sort.SearchFloat64s(d.lanes, chance.Float64()*d.lanes[len(d.lanes)-1])
 	return task{
-		id: id, customer: before + uint64(chance.IntN(w.Plans[plan].Customers)) + 1, lane: min(lane, len(w.Lanes)-1), plan: plan,
-		units: min(max(float64(int(w.Load.Units*chance.ExpFloat64()+0.5)), 1), 3*w.Load.Units), width: n, gateway: d.Gateways[chance.IntN(n)],
+		id: id, customer: before + uint64(chance.IntN(w.Plans[plan].Customers)) + 1, lane: min(lane, len(w.Classes)-1), plan: plan,
+		units: min(max(float64(int(w.Load.MeanUnits*chance.ExpFloat64()+0.5)), 1), 3*w.Load.MeanUnits), width: n, gateway: d.Gateways[chance.IntN(n)],
 	}
 }
 
 // ask sends a task and waits for its answer.
 func (d *Driver) ask(t task, due time.Time) end {
-	lane := &d.World.Lanes[t.lane]
-	until := due.Add(lane.Patience.D())
+	lane := &d.World.Classes[t.lane]
+	until := due.Add(lane.Timeout.D())
 	left := time.Until(until)
 	if left <= 0 {
 		return broken
@@ -231,11 +231,11 @@
 		words = append(words, "body")
 	}
 	if d.Book != nil {
-		d.Book.Note(func(l *invariants.Ledger, at time.Duration) {
-			site := d.World.Deployment(0)
-			l.Taken(invariants.Task{
-				ID: t.id, Key: t.id, Customer: t.customer, Lane: site.Classes[t.lane], Plan: t.plan, Units: t.units, Taken: at,
-				Expires: at + left,
+		d.Book.Note(func(l *invariants.Checker, at time.Duration) {
+			site := d.World.PolicySettings(0)
+			l.RequestAccepted(invariants.Request{
+				ID: t.id, Key: t.id, Customer: t.customer, Class: site.Classes[t.lane], Plan: t.plan, Units: t.units, AcceptedAt: at,
+				Deadline: at + left,
 			})
 		})
 	}
@@ -258,7 +258,7 @@
 		how = rejected
 	}
 	if d.Book != nil {
-		d.Book.Note(func(l *invariants.Ledger, at time.Duration) { l.Final(at, t.id, made) })
+		d.Book.Note(func(l *invariants.Checker, at time.Duration) { l.RequestAnswered(at, t.id, made) })
 	}
 	return how
 }
@@ -300,7 +300,7 @@
 }
 
 // Write writes the report as a table.
-func (r *Report) Write(out io.Writer, lanes []scenario.Lane) {
+func (r *Report) Write(out io.Writer, lanes []scenario.TrafficClass) {
 	part := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
 	fmt.Fprintf(out, "offered %d in %.1f s; served %.1f%%, in time %.1f%%, rejected %.1f%%, terminated %.1f%%, connections broken %.1f%%, wrong answers %d\n",
 		r.Offered, r.Length.Seconds(), part(r.Served), part(r.InTime), part(r.Rejected), part(r.Terminated), part(r.Broken), r.Wrong)
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -69,7 +69,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "second", "gain served over due"
 	p.Y.Min, p.Y.Max = 0, 1.2
 	for _, t := range groups[0][0].Faults {
-		from, to := t.At.D().Seconds(), max((t.At+t.For).D().Seconds(), t.At.D().Seconds()+0.2)
+		from, to := t.Start.D().Seconds(), max((t.Start+t.Duration).D().Seconds(), t.Start.D().Seconds()+0.2)
 		shade, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: 1.2}, {X: from, Y: 1.2}})
 		if err != nil {
 			return nil, err
@@ -83,7 +83,7 @@
 			gain, due := 0.0, 0.0
 			for _, result := range runs {
 				if s < len(result.Timeline) {
-					gain, due = gain+result.Timeline[s].Gain, due+result.Timeline[s].Due
+					gain, due = gain+result.Timeline[s].ServedValue, due+result.Timeline[s].DueValue
 				}
 			}
 			if due > 0 {
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -39,7 +39,7 @@
 			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Digests }),
 			meanRate(runs, func(result *experiment.Result) int { return result.VoterMessages.Reads }),
 			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Reads }),
-			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.Merged }))
+			meanRate(runs, func(result *experiment.Result) int { return result.LeaderMessages.MergedDigests }))
 	}
 }
 
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -23,10 +23,10 @@
 			Net: x / 11, OverQuota: x / 12, Rejected: x / 13, FailedBetween: x / 14, FailedTerminated: x / 15, FailedWithGateway: x / 16, FailedInFlight: x / 17, Tries: x,
 			CounterCalls: 2 * x, Handshakes: 3 * x, CrossZone: x / 18, CrossRegion: x / 19, PeakUtilisation: x / 20, PeakUtilisationOver5s: x / 21, LoadDeviation: x / 22,
 			P50: []float64{x, 2 * x}, P99: []float64{4 * x, 3 * x}, P999: []float64{9 * x}, Violations: i, LengthSeconds: 30,
-			Timeline: []simulation.Second{{Gain: x, Due: 6}, {Gain: 2 * x, Due: 12}}}
+			Timeline: []simulation.Second{{ServedValue: x, DueValue: 6}, {ServedValue: 2 * x, DueValue: 12}}}
 		if i == 2 || i == 3 {
 			result.Plans, result.WrongPlans, result.FailoverMs = i, 1, []int{300, 100, 200}
-			result.VoterMessages, result.LeaderMessages = simulation.Messages{Digests: 600, Merged: 300, Reads: 90}, simulation.Messages{Digests: 60, Merged: 30}
+			result.VoterMessages, result.LeaderMessages = simulation.Messages{Digests: 600, MergedDigests: 300, Reads: 90}, simulation.Messages{Digests: 60, MergedDigests: 30}
 		}
 		if i == 3 {
 			result.FailoverMs = nil
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -13,13 +13,13 @@
 )
 
 // Fault is one thing wrong with a file.
-type Fault struct {
+type FileError struct {
 	File         string
 	Line, Column int // from 1; 0: not at one place
 	What         string
 }
 
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	if f.Line == 0 {
 		return f.File + ": " + f.What
 	}
@@ -27,7 +27,7 @@
 }
 
 // Read reads a file. The error joins a Fault for each thing that is wrong.
-func Read(file string) (*World, error) {
+func Read(file string) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -36,28 +36,28 @@
 }
 
 // Parse reads a file's text.
-func Parse(file string, text []byte) (*World, error) {
+func Parse(file string, text []byte) (*Scenario, error) {
 	w := Default()
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := dec.Decode(&w); err != nil {
-		return nil, Faults(file, err)
+		return nil, DecodeErrors(file, err)
 	}
-	if len(w.Lanes) == 0 {
-		w.Lanes = lanesUsual()
+	if len(w.Classes) == 0 {
+		w.Classes = defaultClasses()
 	}
 	if len(w.Plans) == 0 {
-		w.Plans = plansUsual()
+		w.Plans = defaultPlans()
 	}
-	for i := range w.Lanes {
-		l := &w.Lanes[i]
-		if l.Spread == "" {
-			l.Spread = "exponential"
+	for i := range w.Classes {
+		l := &w.Classes[i]
+		if l.Distribution == "" {
+			l.Distribution = "exponential"
 		}
 		if l.Effect == "" {
 			l.Effect = "pure"
 		}
-		if l.Gain == 0 {
-			l.Gain = 1
+		if l.Weight == 0 {
+			l.Weight = 1
 		}
 	}
 	for i := range w.Plans {
@@ -65,20 +65,20 @@
 			p.Price = 1
 		}
 	}
-	if err := w.check(file, places(text)); err != nil {
+	if err := w.check(file, keyPositions(text)); err != nil {
 		return nil, err
 	}
 	return &w, nil
 }
 
 // Check checks a world that was changed after it was read; the error joins a Fault for each thing that is wrong.
-func (w *World) Check(file string) error { return w.check(file, nil) }
+func (s *Scenario) Check(file string) error { return s.check(file, nil) }
 
-func (w *World) check(file string, at map[string]unstable.Position) error {
+func (s *Scenario) check(file string, at map[string]unstable.Position) error {
 	var all []error
-	for _, wrong := range w.wrong() {
-		f := Fault{File: file, What: wrong.path + " " + wrong.what}
-		for path := wrong.path; f.Line == 0 && path != ""; { // the nearest that the file names
+	for _, wrong := range s.problems() {
+		f := FileError{File: file, What: wrong.key + " " + wrong.message}
+		for path := wrong.key; f.Line == 0 && path != ""; { // the nearest that the file names
 			if p, ok := at[path]; ok {
 				f.Line, f.Column = p.Line, p.Column
 			}
@@ -91,7 +91,7 @@
 }
 
 // Faults gives the decoder's errors their places.
-func Faults(file string, err error) error {
+func DecodeErrors(file string, err error) error {
 	var missing *toml.StrictMissingError
 	var bad *toml.DecodeError
 	switch {
@@ -99,18 +99,18 @@
 		var all []error
 		for _, e := range missing.Errors {
 			line, column := e.Position()
-			all = append(all, Fault{file, line, column, "no such key: " + strings.Join(e.Key(), ".")})
+			all = append(all, FileError{file, line, column, "no such key: " + strings.Join(e.Key(), ".")})
 		}
 		return errors.Join(all...)
 	case errors.As(err, &bad):
 		line, column := bad.Position()
-		return Fault{file, line, column, strings.TrimPrefix(bad.Error(), "toml: ")}
+		return FileError{file, line, column, strings.TrimPrefix(bad.Error(), "toml: ")}
 	}
-	return Fault{File: file, What: err.Error()}
+	return FileError{File: file, What: err.Error()}
 }
 
 // places finds where each key of a file stands.
-func places(text []byte) map[string]unstable.Position {
+func keyPositions(text []byte) map[string]unstable.Position {
 	at := map[string]unstable.Position{}
 	var p unstable.Parser
 	p.Reset(text)
--- a/internal/lab/scenario/world_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestTheWorldsOfTheProjectAreSound(t *testing.T) {
+func TestRead_scenariosOfTheProjectAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../../../scenarios/worlds/*.toml")
 	if len(files) < 6 {
 		t.Fatalf("%d worlds found", len(files))
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestEveryErrorHasItsPlaceAndAllAreToldAtOnce(t *testing.T) {
+func TestParse_reportsAllErrorsWithPositions(t *testing.T) {
 	text := `name = "wrong"
 length = "0s"
 
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestUnknownKeysAndWrongTypesHaveTheirPlaces(t *testing.T) {
+func TestParse_unknownKeysAndWrongTypesHavePositions(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n": "w.toml:5:1: no such key: servers.threads",
 		"[servers]\ncores = \"two\"\n":                        "w.toml:2:9:",
@@ -85,14 +85,14 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
-		var f Fault
+		var f FileError
 		if !errors.As(err, &f) {
 			t.Errorf("%q: no Fault in %v", text, err)
 		}
 	}
 }
 
-func TestContradictionsBetweenWorldAndTrouble(t *testing.T) {
+func TestParse_reportsContradictions(t *testing.T) {
 	for text, want := range map[string]string{
 		"[counter]\nrate = 0\n[[trouble]]\nkind = \"counter_silent\"\n": "and this world has no counter",
 		"[gateways]\nhalls = 1\n[[trouble]]\nkind = \"hall_cut\"\n":     "and this world has one hall",
@@ -118,9 +118,9 @@
 		f.Add(string(text))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		w, err := Parse("w.toml", []byte(text))
-		if (w == nil) == (err == nil) {
-			t.Fatalf("world %v with error %v", w, err)
+		s, err := Parse("w.toml", []byte(text))
+		if (s == nil) == (err == nil) {
+			t.Fatalf("world %v with error %v", s, err)
 		}
 	})
 }
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -13,7 +13,7 @@
 
 // Finding is a schedule and what it does.
 type Finding struct {
-	Scenario      *scenario.World
+	Scenario      *scenario.Scenario
 	Result        *experiment.Result
 	Loss          float64 // net service lost against the same world without troubles
 	Runs          int     // that the search took
@@ -30,18 +30,18 @@
 
 // Run draws schedules of up to so many troubles and keeps the worst. Tell is told of each that is worse than all
 // before it.
-func Run(base *scenario.World, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
+func Run(base *scenario.Scenario, seed uint64, tries, most int, policy string, tell func(*Finding)) (*Finding, error) {
 	random := rand.New(rand.NewPCG(seed, 77))
 	plain := *base
-	plain.Troubles = nil
+	plain.Faults = nil
 	baseline, err := experiment.RunScenario(&plain, policy, seed)
 	if err != nil {
 		return nil, err
 	}
 	plays := 1
-	play := func(troubles []scenario.Trouble) (*Finding, error) {
+	play := func(troubles []scenario.Fault) (*Finding, error) {
 		c := *base
-		c.Troubles = troubles
+		c.Faults = troubles
 		l, err := experiment.RunScenario(&c, policy, seed)
 		plays++
 		if err != nil {
@@ -75,7 +75,7 @@
 
 // shrink takes troubles out, one at a time, and then shortens those left, while a broken rule stays broken or nine
 // tenths of the loss stay.
-func shrink(finding *Finding, play func([]scenario.Trouble) (*Finding, error)) (*Finding, error) {
+func shrink(finding *Finding, play func([]scenario.Fault) (*Finding, error)) (*Finding, error) {
 	still := func(other *Finding) bool {
 		if finding.Result.Violations > 0 {
 			return other.Result.Violations > 0
@@ -85,11 +85,11 @@
 	least, out := finding, 0
 	for again := true; again; {
 		again = false
-		for i := range least.Scenario.Troubles {
-			if len(least.Scenario.Troubles) == 1 {
+		for i := range least.Scenario.Faults {
+			if len(least.Scenario.Faults) == 1 {
 				break
 			}
-			other, err := play(slices.Delete(slices.Clone(least.Scenario.Troubles), i, i+1))
+			other, err := play(slices.Delete(slices.Clone(least.Scenario.Faults), i, i+1))
 			if err != nil {
 				return nil, err
 			}
@@ -100,10 +100,10 @@
 			}
 		}
 	}
-	for i := range least.Scenario.Troubles {
-		for least.Scenario.Troubles[i].For.D() > time.Second {
-			shorter := slices.Clone(least.Scenario.Troubles)
-			shorter[i].For /= 2
+	for i := range least.Scenario.Faults {
+		for least.Scenario.Faults[i].Duration.D() > time.Second {
+			shorter := slices.Clone(least.Scenario.Faults)
+			shorter[i].Duration /= 2
 			other, err := play(shorter)
 			if err != nil {
 				return nil, err
@@ -119,11 +119,11 @@
 }
 
 // DrawFaults draws a schedule of so many troubles that a world allows.
-func DrawFaults(random *rand.Rand, base *scenario.World, n int) []scenario.Trouble {
+func DrawFaults(random *rand.Rand, base *scenario.Scenario, n int) []scenario.Fault {
 	var kinds []string
-	for _, name := range scenario.KindNames() {
-		k := scenario.Kinds[name]
-		if (!k.Counter || base.Counter.Rate > 0) && (!k.Halls || base.Gateways.Halls > 1) {
+	for _, name := range scenario.FaultKindNames() {
+		k := scenario.FaultKinds[name]
+		if (!k.NeedsCounter || base.Counter.Rate > 0) && (!k.NeedsZones || base.Gateways.Zones > 1) {
 			kinds = append(kinds, name)
 		}
 	}
@@ -131,19 +131,19 @@
 	seconds := func(from, to float64) scenario.Span {
 		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
 	}
-	var all []scenario.Trouble
+	var all []scenario.Fault
 	for range n {
-		t := scenario.Trouble{Kind: kinds[random.IntN(len(kinds))], At: seconds(0.1*length, 0.7*length), For: seconds(1, 0.4*length),
-			Part: float64(1+random.IntN(8)) / 10, Size: 1 + float64(random.IntN(40))/10, Hall: random.IntN(base.Gateways.Halls),
-			Lane: base.Lanes[random.IntN(len(base.Lanes))].Name, Plan: base.Plans[random.IntN(len(base.Plans))].Name}
+		t := scenario.Fault{Kind: kinds[random.IntN(len(kinds))], Start: seconds(0.1*length, 0.7*length), Duration: seconds(1, 0.4*length),
+			Fraction: float64(1+random.IntN(8)) / 10, Magnitude: 1 + float64(random.IntN(40))/10, Zone: random.IntN(base.Gateways.Zones),
+			Class: base.Classes[random.IntN(len(base.Classes))].Name, Plan: base.Plans[random.IntN(len(base.Plans))].Name}
 		switch t.Kind {
 		case "server_errors":
-			t.Size = float64(2+random.IntN(9)) / 10
+			t.Magnitude = float64(2+random.IntN(9)) / 10
 		case "answers_lost", "resets":
-			t.Part = float64(1+random.IntN(20)) / 100
+			t.Fraction = float64(1+random.IntN(20)) / 100
 		}
 		all = append(all, t)
 	}
-	slices.SortStableFunc(all, func(a, b scenario.Trouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(all, func(a, b scenario.Fault) int { return int(a.Start - b.Start) })
 	return all
 }
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if finding.Loss < 0.05 || told == 0 || len(finding.Scenario.Troubles) == 0 {
-		t.Errorf("found a loss of %.3f with %d troubles", finding.Loss, len(finding.Scenario.Troubles))
+	if finding.Loss < 0.05 || told == 0 || len(finding.Scenario.Faults) == 0 {
+		t.Errorf("found a loss of %.3f with %d troubles", finding.Loss, len(finding.Scenario.Faults))
 	}
 	again, err := Run(base, 4, 8, 4, "module", func(*Finding) {})
-	if err != nil || again.Loss != finding.Loss || len(again.Scenario.Troubles) != len(finding.Scenario.Troubles) {
+	if err != nil || again.Loss != finding.Loss || len(again.Scenario.Faults) != len(finding.Scenario.Faults) {
 		t.Errorf("the same seed finds another: %.3f and %.3f, %v", finding.Loss, again.Loss, err)
 	}
 }
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	second := scenario.Span(time.Second)
-	harmless := scenario.Trouble{Kind: "list_lag", At: second, For: second, Size: 1}
-	kill := scenario.Trouble{Kind: "kill", At: 2 * second, For: 4 * second, Part: 1}
-	finding, plays := shrinkFaults(t, base, []scenario.Trouble{harmless, kill, harmless})
-	if len(finding.Scenario.Troubles) != 1 || finding.Scenario.Troubles[0].Kind != "kill" || finding.RemovedFaults != 2 {
-		t.Errorf("left after %d plays: %+v, %d taken out", plays, finding.Scenario.Troubles, finding.RemovedFaults)
+	harmless := scenario.Fault{Kind: "list_lag", Start: second, Duration: second, Magnitude: 1}
+	kill := scenario.Fault{Kind: "kill", Start: 2 * second, Duration: 4 * second, Fraction: 1}
+	finding, plays := shrinkFaults(t, base, []scenario.Fault{harmless, kill, harmless})
+	if len(finding.Scenario.Faults) != 1 || finding.Scenario.Faults[0].Kind != "kill" || finding.RemovedFaults != 2 {
+		t.Errorf("left after %d plays: %+v, %d taken out", plays, finding.Scenario.Faults, finding.RemovedFaults)
 	}
 }
--- a/internal/lab/search/shrink_test.go
+++ b/internal/lab/search/shrink_test.go
@@ -8,17 +8,17 @@
 )
 
 // shrinkFaults plays a schedule and shrinks it.
-func shrinkFaults(t *testing.T, base *scenario.World, troubles []scenario.Trouble) (*Finding, int) {
+func shrinkFaults(t *testing.T, base *scenario.Scenario, troubles []scenario.Fault) (*Finding, int) {
 	t.Helper()
 	baseline, err := experiment.RunScenario(base, "module", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	plays := 0
-	play := func(troubles []scenario.Trouble) (*Finding, error) {
+	play := func(troubles []scenario.Fault) (*Finding, error) {
 		plays++
 		c := *base
-		c.Troubles = troubles
+		c.Faults = troubles
 		l, err := experiment.RunScenario(&c, "module", 1)
 		return &Finding{Scenario: &c, Result: l, Loss: baseline.Net - l.Net}, err
 	}
--- a/internal/lab/simulation/encoding_test.go
+++ b/internal/lab/simulation/encoding_test.go
@@ -9,7 +9,7 @@
 
 // TestResult_encodingIsStable holds the keys of a result in JSON, whatever its fields are called.
 func TestResult_encodingIsStable(t *testing.T) {
-	r := Result{Seconds: []Second{{}}, Breaches: []invariants.Breach{{}}}
+	r := Result{Timeline: []Second{{}}, Violations: []invariants.Violation{{}}}
 	got, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/gateway_host.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-type wake struct{ off bool }
+type timer struct{ cancelled bool }
 
 // Reject is a final answer that makes trying again harmless.
 func (g *gateway) Reject(task uint32, away time.Duration) {
 	if t := g.tries[task]; t != nil {
-		t.away = away
+		t.retryAfter = away
 		if g.follower != nil {
-			g.follower.turned(t)
+			g.follower.recordRejection(t)
 		}
-		g.final(t, rejected)
+		g.answer(t, rejected)
 	}
 }
 
 // Terminate is a final answer that promises nothing.
 func (g *gateway) Terminate(task uint32) {
 	if t := g.tries[task]; t != nil {
-		g.final(t, terminated)
+		g.answer(t, terminated)
 	}
 }
 
 // Count calls the counter.
 func (g *gateway) Count(name uint64, keep time.Duration, units float64) {
-	g.e.counter.call(g, name, keep, units)
+	g.engine.counter.call(g, name, keep, units)
 }
 
 // CheckHealth is not played.
@@ -40,27 +40,27 @@
 
 // SetTimer calls Woke after a time.
 func (g *gateway) SetTimer(token uint64, after time.Duration) {
-	w := &wake{}
-	g.wakes[token] = w
-	life := g.life
-	g.e.clock.After(after, func() {
-		g.do(life, func() {
-			if w.off {
+	w := &timer{}
+	g.timers[token] = w
+	life := g.incarnation
+	g.engine.clock.After(after, func() {
+		g.run(life, func() {
+			if w.cancelled {
 				return
 			}
-			if g.wakes[token] == w {
-				delete(g.wakes, token)
+			if g.timers[token] == w {
+				delete(g.timers, token)
 			}
-			g.d.HandleTimer(g.e.clock.Now(), token)
+			g.policy.HandleTimer(g.engine.clock.Now(), token)
 		})
 	})
 }
 
 // CancelTimer takes a wake back.
 func (g *gateway) CancelTimer(token uint64) {
-	if w := g.wakes[token]; w != nil {
-		w.off = true
-		delete(g.wakes, token)
+	if w := g.timers[token]; w != nil {
+		w.cancelled = true
+		delete(g.timers, token)
 	}
 }
 
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -18,8 +18,8 @@
 	t.Helper()
 	h := sha256.New()
 	writeValue(t, h, reflect.ValueOf(*r))
-	for i := range r.times {
-		_, _ = fmt.Fprintln(h, r.Times(i).TotalCount(), r.Times(i).Mean())
+	for i := range r.answerTimes {
+		_, _ = fmt.Fprintln(h, r.AnswerTimes(i).TotalCount(), r.AnswerTimes(i).Mean())
 	}
 	return hex.EncodeToString(h.Sum(nil))[:16]
 }
@@ -56,26 +56,26 @@
 }
 
 // busy is a world of three zones with a fault of most kinds.
-func busy(how string) *scenario.World {
+func busy(how string) *scenario.Scenario {
 	second := func(n float64) scenario.Span { return span(time.Duration(n * float64(time.Second))) }
-	w := threeHalls(how,
-		scenario.Trouble{Kind: "deploy", At: second(1), For: second(3), Part: 0.5},
-		scenario.Trouble{Kind: "server_slow", At: second(2), For: second(4), Part: 0.2, Size: 4},
-		scenario.Trouble{Kind: "server_errors", At: second(3), For: second(3), Part: 0.1, Size: 0.5},
-		lostHall(0, 4*time.Second, 4*time.Second),
-		scenario.Trouble{Kind: "leader_lost", At: second(5), For: second(2)},
-		scenario.Trouble{Kind: "kill", At: second(6), For: second(1), Part: 0.3},
-		scenario.Trouble{Kind: "resets", At: second(6), For: second(4), Part: 0.05},
-		scenario.Trouble{Kind: "answers_lost", At: second(7), For: second(2), Part: 0.05},
-		scenario.Trouble{Kind: "counter_silent", At: second(8), For: second(2)},
-		scenario.Trouble{Kind: "counter_slow", At: second(10), For: second(2), Size: 5},
-		scenario.Trouble{Kind: "hall_cut", At: second(9), For: second(2), Hall: 1},
-		scenario.Trouble{Kind: "list_lag", At: second(3), For: second(6), Size: 5},
-		scenario.Trouble{Kind: "list_lost", At: second(2), For: second(5), Part: 0.3},
-		scenario.Trouble{Kind: "standstill", At: second(11), For: second(1), Part: 0.3},
-		scenario.Trouble{Kind: "burst", At: second(12), For: second(2), Size: 2},
-		scenario.Trouble{Kind: "mass_change", At: second(13), Part: 0.4})
-	return w
+	spec := threeZones(how,
+		scenario.Fault{Kind: "deploy", Start: second(1), Duration: second(3), Fraction: 0.5},
+		scenario.Fault{Kind: "server_slow", Start: second(2), Duration: second(4), Fraction: 0.2, Magnitude: 4},
+		scenario.Fault{Kind: "server_errors", Start: second(3), Duration: second(3), Fraction: 0.1, Magnitude: 0.5},
+		zoneLossFault(0, 4*time.Second, 4*time.Second),
+		scenario.Fault{Kind: "leader_lost", Start: second(5), Duration: second(2)},
+		scenario.Fault{Kind: "kill", Start: second(6), Duration: second(1), Fraction: 0.3},
+		scenario.Fault{Kind: "resets", Start: second(6), Duration: second(4), Fraction: 0.05},
+		scenario.Fault{Kind: "answers_lost", Start: second(7), Duration: second(2), Fraction: 0.05},
+		scenario.Fault{Kind: "counter_silent", Start: second(8), Duration: second(2)},
+		scenario.Fault{Kind: "counter_slow", Start: second(10), Duration: second(2), Magnitude: 5},
+		scenario.Fault{Kind: "hall_cut", Start: second(9), Duration: second(2), Zone: 1},
+		scenario.Fault{Kind: "list_lag", Start: second(3), Duration: second(6), Magnitude: 5},
+		scenario.Fault{Kind: "list_lost", Start: second(2), Duration: second(5), Fraction: 0.3},
+		scenario.Fault{Kind: "standstill", Start: second(11), Duration: second(1), Fraction: 0.3},
+		scenario.Fault{Kind: "burst", Start: second(12), Duration: second(2), Magnitude: 2},
+		scenario.Fault{Kind: "mass_change", Start: second(13), Fraction: 0.4})
+	return spec
 }
 
 // TestGolden holds what the simulation gives: the values of whole runs, two seeds each, recorded before the tree was made
@@ -83,20 +83,20 @@
 func TestGolden(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		world func() *scenario.World
-		made  baseline.Make
+		world func() *scenario.Scenario
+		made  baseline.Constructor
 		want  [2]string
 	}{
-		{"calm", func() *scenario.World { return small() }, baseline.Module, [2]string{"36785b5ff5a89070", "7a7ae75aa2945e2a"}},
-		{"faults, each gateway alone", func() *scenario.World { return busy(scenario.None) }, baseline.Module, [2]string{"0ca19b290633a1d5", "3d02ff8a5c9a5eb7"}},
-		{"faults, decided in common", func() *scenario.World { return busy(scenario.All) }, baseline.Module, [2]string{"5e4c086ceea8d706", "d71154050fb2b40d"}},
-		{"faults, local buckets", func() *scenario.World { return busy(scenario.None) }, baseline.Bucket, [2]string{"097dbf236b7d955a", "8a2f963745a32323"}},
-		{"calm, random servers", func() *scenario.World { return small() }, baseline.Random, [2]string{"1ab322b068477e1a", "2ed541938fbab3dd"}},
+		{"calm", func() *scenario.Scenario { return smallScenario() }, baseline.Module, [2]string{"36785b5ff5a89070", "7a7ae75aa2945e2a"}},
+		{"faults, each gateway alone", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Module, [2]string{"0ca19b290633a1d5", "3d02ff8a5c9a5eb7"}},
+		{"faults, decided in common", func() *scenario.Scenario { return busy(scenario.CoordinationShared) }, baseline.Module, [2]string{"5e4c086ceea8d706", "d71154050fb2b40d"}},
+		{"faults, local buckets", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Bucket, [2]string{"097dbf236b7d955a", "8a2f963745a32323"}},
+		{"calm, random servers", func() *scenario.Scenario { return smallScenario() }, baseline.Random, [2]string{"1ab322b068477e1a", "2ed541938fbab3dd"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed, want := range c.want {
-				if got := hashOf(t, play(t, c.world(), uint64(seed+1), c.made)); got != want {
+				if got := hashOf(t, mustRun(t, c.world(), uint64(seed+1), c.made)); got != want {
 					t.Errorf("seed %d: hash %s, recorded %s", seed+1, got, want)
 				}
 			}
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -11,31 +11,31 @@
 
 // server is one back end: cores that each work on one task, and a queue before them.
 type server struct {
-	e          *engine
+	engine     *engine
 	id         uint32
-	mark       uint64 // of its name, as in the gateway's part of the servers
-	hall, cell int
+	nameHash   uint64 // of its name, as in the gateway's part of the servers
+	zone, rack int
 	speed      float64
-	since      time.Duration // of its latest start; 0: long ago
-	starts     int           // in the play
-	stage      policy.EndpointState
-
-	dead   bool // its process is gone: connections are refused
-	silent bool // its machine is gone: nothing comes back
-	errors float64
-	slow   float64
-	mute   map[int]bool // lanes that it never answers
-	fallen time.Duration
-
-	busy    int
-	queue   []*attempt
-	running map[*attempt]bool
-	conns   int
-	recent  []arrival // within TipAfter, while it is cold
-	asked   float64   // sum of their work
-	worked  time.Duration
-	life    int // counts deaths: what was begun before one does not end
-	keys    map[uint64]time.Duration
+	startedAt  time.Duration // of its latest start; 0: long ago
+	restarts   int           // in the play
+	state      policy.EndpointState
+
+	dead            bool // its process is gone: connections are refused
+	silent          bool // its machine is gone: nothing comes back
+	errorRate       float64
+	slowdown        float64
+	silentClasses   map[int]bool // lanes that it never answers
+	overloadedUntil time.Duration
+
+	busyCores      int
+	queue          []*attempt
+	running        map[*attempt]bool
+	connections    int
+	recentArrivals []arrival // within TipAfter, while it is cold
+	recentWork     float64   // sum of their work
+	workDone       time.Duration
+	incarnation    int // counts deaths: what was begun before one does not end
+	dedupUntil     map[uint64]time.Duration
 }
 
 type arrival struct {
@@ -45,83 +45,83 @@
 
 // addServer starts a server; since 0 means long ago.
 func (e *engine) addServer(hall, cell int, since time.Duration) *server {
-	speed := e.w.Servers.Speed
+	speed := e.scenario.Servers.Speed
 	s := &server{
-		e: e, id: uint32(len(e.servers) + 1), hall: hall, cell: cell, since: since, stage: policy.Ready, slow: 1,
-		speed: speed[0] + (speed[1]-speed[0])*e.chance.Float64(), running: map[*attempt]bool{}, errors: e.w.Servers.Errors,
-		mute: map[int]bool{}, keys: map[uint64]time.Duration{},
+		engine: e, id: uint32(len(e.servers) + 1), zone: hall, rack: cell, startedAt: since, state: policy.Ready, slowdown: 1,
+		speed: speed[0] + (speed[1]-speed[0])*e.modelRandom.Float64(), running: map[*attempt]bool{}, errorRate: e.scenario.Servers.ErrorRate,
+		silentClasses: map[int]bool{}, dedupUntil: map[uint64]time.Duration{},
 	}
 	if since > 0 {
-		s.starts = 1
+		s.restarts = 1
 	}
-	s.mark = subset.HashName("s-" + strconv.Itoa(int(s.id)))
+	s.nameHash = subset.HashName("s-" + strconv.Itoa(int(s.id)))
 	e.servers = append(e.servers, s)
 	return s
 }
 
-func (s *server) listed() policy.Endpoint {
-	return policy.Endpoint{Server: s.id, State: s.stage, Capacity: 1, StartedAt: s.since, Rack: s.cell, Zone: s.hall}
+func (s *server) endpoint() policy.Endpoint {
+	return policy.Endpoint{Server: s.id, State: s.state, Capacity: 1, StartedAt: s.startedAt, Rack: s.rack, Zone: s.zone}
 }
 
 // warmth is the part of its speed that it has.
-func (s *server) warmth() float64 {
-	if s.since == 0 || s.e.w.Servers.WarmAfter <= 0 {
+func (s *server) warmUpFraction() float64 {
+	if s.startedAt == 0 || s.engine.scenario.Servers.WarmUpTime <= 0 {
 		return 1
 	}
-	grown := float64(s.e.clock.Now()-s.since) / float64(s.e.w.Servers.WarmAfter)
-	from := s.e.w.Servers.ColdFrom
+	grown := float64(s.engine.clock.Now()-s.startedAt) / float64(s.engine.scenario.Servers.WarmUpTime)
+	from := s.engine.scenario.Servers.WarmUpStart
 	return min(1, from+(1-from)*max(grown, 0))
 }
 
 // capacity is in core-seconds of speed 1 a second.
 func (s *server) capacity() float64 {
-	return float64(s.e.w.Servers.Cores) * s.speed * s.warmth() / s.slow
+	return float64(s.engine.scenario.Servers.Cores) * s.speed * s.warmUpFraction() / s.slowdown
 }
 
 // restart brings a server back cold.
 func (s *server) restart() {
-	s.die()
-	s.dead, s.silent, s.fallen = false, false, 0
-	s.since = s.e.clock.Now()
-	s.starts++
-	s.keys = map[uint64]time.Duration{}
+	s.dropWork()
+	s.dead, s.silent, s.overloadedUntil = false, false, 0
+	s.startedAt = s.engine.clock.Now()
+	s.restarts++
+	s.dedupUntil = map[uint64]time.Duration{}
 }
 
 // die ends all that it has.
-func (s *server) die() {
-	s.life++
+func (s *server) dropWork() {
+	s.incarnation++
 	for a := range s.running {
 		delete(s.running, a)
 	}
-	s.queue, s.busy, s.recent, s.asked = nil, 0, nil, 0
+	s.queue, s.busyCores, s.recentArrivals, s.recentWork = nil, 0, nil, 0
 }
 
 // arrive takes a push that has come whole.
-func (s *server) arrive(a *attempt) {
-	e := s.e
+func (s *server) receive(a *attempt) {
+	e := s.engine
 	switch {
 	case s.dead:
 		e.reply(a, policy.Reset, 0)
 		return
-	case s.silent || s.mute[a.try.lane]:
+	case s.silent || s.silentClasses[a.try.class]:
 		return
-	case s.stage == policy.Draining:
+	case s.state == policy.Draining:
 		e.reply(a, policy.Rejected, 0)
 		return
 	}
-	if s.warmth() < 1 && s.tips(a) {
+	if s.warmUpFraction() < 1 && s.checkOverload(a) {
 		return
 	}
 	switch {
-	case e.clock.Now() < s.fallen:
+	case e.clock.Now() < s.overloadedUntil:
 		e.reply(a, policy.Errored, 0)
-	case s.errors > 0 && e.chance.Float64() < s.errors:
+	case s.errorRate > 0 && e.modelRandom.Float64() < s.errorRate:
 		e.reply(a, policy.Errored, 0)
-	case s.remembers(a):
-		e.reply(a, policy.Answered, a.try.cost)
-	case s.busy < e.w.Servers.Cores:
-		s.begin(a)
-	case len(s.queue) >= e.w.Servers.Queue:
+	case s.isDuplicate(a):
+		e.reply(a, policy.Answered, a.try.actualUnits)
+	case s.busyCores < e.scenario.Servers.Cores:
+		s.startWork(a)
+	case len(s.queue) >= e.scenario.Servers.QueueLimit:
 		e.reply(a, policy.Rejected, 0)
 	default:
 		s.queue = append(s.queue, a)
@@ -130,34 +130,34 @@
 
 // tips tells whether a push makes a cold server fall: more work was sent to it over TipAfter than the stated multiple
 // of what it can do now.
-func (s *server) tips(a *attempt) bool {
-	e, over := s.e, s.e.w.Rules.TipAfter.D()
-	s.recent = append(s.recent, arrival{e.clock.Now(), a.work.Seconds()})
-	s.asked += a.work.Seconds()
-	for s.recent[0].at < e.clock.Now()-over {
-		s.asked -= s.recent[0].work
-		s.recent = s.recent[1:]
+func (s *server) checkOverload(a *attempt) bool {
+	e, over := s.engine, s.engine.scenario.Rules.OverloadSpan.D()
+	s.recentArrivals = append(s.recentArrivals, arrival{e.clock.Now(), a.work.Seconds()})
+	s.recentWork += a.work.Seconds()
+	for s.recentArrivals[0].at < e.clock.Now()-over {
+		s.recentWork -= s.recentArrivals[0].work
+		s.recentArrivals = s.recentArrivals[1:]
 	}
 	// A handful of tasks is no overload, however heavy: it needs as many as the cores and four more.
-	rate, most := s.asked/over.Seconds(), s.capacity()*e.w.Rules.FallMultiple
-	if e.clock.Now() < s.fallen || len(s.recent) < e.w.Servers.Cores+4 || rate <= most {
+	rate, most := s.recentWork/over.Seconds(), s.capacity()*e.scenario.Rules.OverloadFactor
+	if e.clock.Now() < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+4 || rate <= most {
 		return false
 	}
-	s.fallen = e.clock.Now() + e.w.Rules.Fall.D()
-	e.ledger.Fell(e.clock.Now(), s.id, rate, s.capacity())
+	s.overloadedUntil = e.clock.Now() + e.scenario.Rules.OverloadDowntime.D()
+	e.checker.ServerOverloaded(e.clock.Now(), s.id, rate, s.capacity())
 	return false
 }
 
 // remembers tells whether this group of servers has a receipt for the task's key.
-func (s *server) remembers(a *attempt) bool {
-	lane := &s.e.site.Classes[a.try.lane]
+func (s *server) isDuplicate(a *attempt) bool {
+	lane := &s.engine.settings.Classes[a.try.class]
 	if lane.Effect != policy.Keyed {
 		return false
 	}
-	for _, o := range s.e.servers {
-		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupZone && o.hall == s.hall ||
-			lane.Group == policy.GroupRack && o.cell == s.cell
-		if until, has := o.keys[a.try.request.key]; same && has && s.e.clock.Now() < until {
+	for _, o := range s.engine.servers {
+		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupZone && o.zone == s.zone ||
+			lane.Group == policy.GroupRack && o.rack == s.rack
+		if until, has := o.dedupUntil[a.try.request.key]; same && has && s.engine.clock.Now() < until {
 			return true
 		}
 	}
@@ -165,46 +165,46 @@
 }
 
 // begin works on a task; its effect happens now.
-func (s *server) begin(a *attempt) {
-	e := s.e
-	if s.remembers(a) { // another of the group began it while it waited here
-		e.reply(a, policy.Answered, a.try.cost)
+func (s *server) startWork(a *attempt) {
+	e := s.engine
+	if s.isDuplicate(a) { // another of the group began it while it waited here
+		e.reply(a, policy.Answered, a.try.actualUnits)
 		return
 	}
-	s.busy++
+	s.busyCores++
 	s.running[a] = true
-	e.ledger.Ran(e.clock.Now(), s.id, a.try.id)
-	if lane := &e.site.Classes[a.try.lane]; lane.Effect == policy.Keyed {
-		s.keys[a.try.request.key] = e.clock.Now() + lane.DedupWindow + 2*time.Second
+	e.checker.EffectRan(e.clock.Now(), s.id, a.try.id)
+	if lane := &e.settings.Classes[a.try.class]; lane.Effect == policy.Keyed {
+		s.dedupUntil[a.try.request.key] = e.clock.Now() + lane.DedupWindow + 2*time.Second
 	}
-	took := time.Duration(float64(a.work) / (s.speed * s.warmth()) * s.slow)
-	if a.fresh {
-		took += e.w.Servers.Handshake.D()
+	took := time.Duration(float64(a.work) / (s.speed * s.warmUpFraction()) * s.slowdown)
+	if a.newConnection {
+		took += e.scenario.Servers.HandshakeWork.D()
 	}
-	s.worked += took
-	life := s.life
+	s.workDone += took
+	life := s.incarnation
 	e.clock.After(took, func() {
-		if s.life != life || !s.running[a] {
+		if s.incarnation != life || !s.running[a] {
 			return
 		}
 		delete(s.running, a)
-		s.busy--
-		e.reply(a, policy.Answered, a.try.cost)
-		s.next()
+		s.busyCores--
+		e.reply(a, policy.Answered, a.try.actualUnits)
+		s.startQueued()
 	})
 }
 
-func (s *server) next() {
-	for s.busy < s.e.w.Servers.Cores && len(s.queue) > 0 {
+func (s *server) startQueued() {
+	for s.busyCores < s.engine.scenario.Servers.Cores && len(s.queue) > 0 {
 		a := s.queue[0]
 		s.queue = s.queue[1:]
-		s.begin(a)
+		s.startWork(a)
 	}
 }
 
 // stop hears that a push was given up.
-func (s *server) stop(a *attempt) {
-	how := s.e.w.Servers.Stop
+func (s *server) cancel(a *attempt) {
+	how := s.engine.scenario.Servers.Cancellation
 	if how == "none" || s.dead || s.silent {
 		return
 	}
@@ -216,21 +216,21 @@
 	}
 	if how == "all" && s.running[a] {
 		delete(s.running, a)
-		s.busy--
-		s.next()
+		s.busyCores--
+		s.startQueued()
 	}
 }
 
 // draw gives a task's work.
-func (e *engine) draw(lane int) time.Duration {
-	l := &e.w.Lanes[lane]
+func (e *engine) drawWork(lane int) time.Duration {
+	l := &e.scenario.Classes[lane]
 	mean := float64(l.Work.D())
-	switch l.Spread {
+	switch l.Distribution {
 	case "exponential":
-		return time.Duration(mean * e.arrivals.ExpFloat64())
+		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
 	case "lognormal":
 		sigma := math.Sqrt(math.Log(1 + l.CV*l.CV))
-		return time.Duration(mean * math.Exp(sigma*e.arrivals.NormFloat64()-sigma*sigma/2))
+		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
 	}
 	return time.Duration(mean)
 }
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -26,18 +26,18 @@
 }
 
 // open is a world without limits of any kind: tasks come by chance to servers of so many cores.
-func open(servers, cores int, rho float64, length time.Duration) *scenario.World {
+func openScenario(servers, cores int, rho float64, length time.Duration) *scenario.Scenario {
 	w := scenario.Default()
 	w.Length = scenario.Span(length)
-	w.Gateways.Count, w.Gateways.Halls = 1, 1
-	w.Servers.Count, w.Servers.Cores, w.Servers.Queue = servers, cores, 1e6
+	w.Gateways.Count, w.Gateways.Zones = 1, 1
+	w.Servers.Count, w.Servers.Cores, w.Servers.QueueLimit = servers, cores, 1e6
 	w.Servers.Speed = [2]float64{1, 1}
-	w.Servers.Handshake, w.Servers.Connections = 0, 1e6
-	w.Network.Same, w.Network.Cross, w.Network.Jitter = 0, 0, 0
+	w.Servers.HandshakeWork, w.Servers.MaxConnections = 0, 1e6
+	w.Network.SameZone, w.Network.CrossZone, w.Network.Jitter = 0, 0, 0
 	work := 20 * time.Millisecond
-	w.Lanes = []scenario.Lane{{
-		Name: "only", Share: 1, Work: scenario.Span(work), Spread: "exponential",
-		SoftLimit: scenario.Span(time.Hour), Patience: scenario.Span(time.Hour), Gain: 1, Effect: "pure",
+	w.Classes = []scenario.TrafficClass{{
+		Name: "only", Share: 1, Work: scenario.Span(work), Distribution: "exponential",
+		LatencyObjective: scenario.Span(time.Hour), Timeout: scenario.Span(time.Hour), Weight: 1, Effect: "pure",
 	}}
 	w.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
 	w.Counter.Rate = 0
@@ -46,7 +46,7 @@
 	return &w
 }
 
-func TestOneServerWaitsAsErlangSays(t *testing.T) {
+func TestServer_waitsMatchErlangC(t *testing.T) {
 	for _, s := range []struct {
 		cores int
 		rho   float64
@@ -55,15 +55,15 @@
 		if s.rho > 0.8 {
 			tasks *= 2
 		}
-		w := open(1, s.cores, s.rho, 0)
-		w.Length = scenario.Span(time.Duration(tasks / w.Load.Rate * float64(time.Second)))
-		r, err := Play(w, 11, baseline.Random)
+		spec := openScenario(1, s.cores, s.rho, 0)
+		spec.Length = scenario.Span(time.Duration(tasks / spec.Load.Rate * float64(time.Second)))
+		r, err := Run(spec, 11, baseline.Random)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, wait := erlangC(s.cores, s.rho)
 		want := (1 + wait) * 20 // ms: work and wait
-		got := r.Times(0).Mean()/1000 - 0.5
+		got := r.AnswerTimes(0).Mean()/1000 - 0.5
 		// The way to the gateway is in the time. A mean within 3% needs some 200,000 tasks at 0.9.
 		if off := math.Abs(got/want - 1); off > 0.03 {
 			t.Errorf("%d cores at %.0f%%: %.2f ms, theory says %.2f (%.1f%% off)", s.cores, s.rho*100, got, want, off*100)
@@ -73,17 +73,17 @@
 	}
 }
 
-func TestTwoChoicesShortenTheTailAsIsKnown(t *testing.T) {
+func TestServers_twoChoicesMatchTheory(t *testing.T) {
 	// With many servers of one core, the part that holds k tasks or more tends to rho^k with one random choice
 	// and to rho^(2^k - 1) with two (Vvedenskaya, Dobrushin, Karpelevich 1996). By Little's law the mean time in
 	// the system over the mean work is the sum of those parts over k, by rho.
 	rho := 0.8
-	mean := func(made baseline.Make) float64 {
-		r, err := Play(open(200, 1, rho, 12*time.Second), 5, made)
+	mean := func(made baseline.Constructor) float64 {
+		r, err := Run(openScenario(200, 1, rho, 12*time.Second), 5, made)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return (r.Times(0).Mean()/1000 - 0.5) / 20
+		return (r.AnswerTimes(0).Mean()/1000 - 0.5) / 20
 	}
 	one, two := 1/(1-rho), 0.0
 	for k := 1; k < 12; k++ {
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -11,73 +11,73 @@
 
 // voter is one of the few that hold the log.
 type voter struct {
-	c       *common
-	n, hall int
-	dead    bool
-	life    uint64
-	serial  uint64
-	direct  *observation.Merger // of gateways
-	merged  *observation.Merger // of other voters, where it leads
-	entry   statemachine.Table  // as applied here
-	reads   []*read
+	coordinator  *coordinator
+	index, zone  int
+	dead         bool
+	incarnation  uint64
+	serial       uint64
+	direct       *observation.Merger // of gateways
+	merged       *observation.Merger // of other voters, where it leads
+	table        statemachine.Table  // as applied here
+	waitingReads []*read
 }
 
 // read is a read that waits for news.
 type read struct {
-	known  uint64
-	done   bool
-	answer func(e statemachine.Table, confirmed bool)
+	knownEpoch uint64
+	done       bool
+	answer     func(e statemachine.Table, confirmed bool)
 }
 
 func (v *voter) start() {
-	v.life++
+	v.incarnation++
 	v.serial, v.dead = 0, false
 	v.direct, v.merged = observation.NewMerger(), observation.NewMerger()
 }
 
 // pass sends the leader what this voter merged.
-func (v *voter) pass(leader *voter) {
+func (v *voter) sendDigest(leader *voter) {
 	v.serial++
 	d := observation.Digest{
-		Process: "voter " + scenario.HallName(v.n), Incarnation: v.life, Serial: v.serial, Session: v.c.term,
+		Process: "voter " + scenario.ZoneName(v.index), Incarnation: v.incarnation, Serial: v.serial, Session: v.coordinator.term,
 		Counts: v.direct.Sums(),
 	}
-	v.c.send(v.hall, leader.hall, func() {
+	v.coordinator.send(v.zone, leader.zone, func() {
 		if !leader.dead {
-			v.c.count(leader, func(m *Messages) *int { return &m.Merged })
+			v.coordinator.countMessage(leader, func(m *Messages) *int { return &m.MergedDigests })
 			leader.merged.Add(d)
 		}
 	})
 }
 
 // catchUp brings an entry to a voter, again and again until it is there or a later one stands.
-func (v *voter) catchUp(l *voter, e statemachine.Table) {
-	c := v.c
-	if c.entry.Epoch != e.Epoch || v.entry.Epoch >= e.Epoch {
+func (v *voter) replicate(l *voter, e statemachine.Table) {
+	c := v.coordinator
+	if c.table.Epoch != e.Epoch || v.table.Epoch >= e.Epoch {
 		return
 	}
-	if v.dead || !c.send(l.hall, v.hall, func() { v.apply(e) }) {
-		c.e.clock.After(c.w.Decide.D(), func() { v.catchUp(l, e) })
+	if v.dead || !c.send(l.zone, v.zone, func() { v.apply(e) }) {
+		c.engine.clock.After(c.settings.DecisionInterval.D(), func() { v.replicate(l, e) })
 	}
 }
 
 // apply takes an entry, which answers reads that wait for it.
 func (v *voter) apply(e statemachine.Table) {
-	if v.dead || e.Epoch <= v.entry.Epoch {
+	if v.dead || e.Epoch <= v.table.Epoch {
 		return
 	}
-	v.entry = e
-	waiting := v.reads
-	v.reads = nil
+	v.table = e
+	waiting := v.waitingReads
+	v.waitingReads = nil
 	for _, r := range waiting {
-		v.finish(r)
+		v.answer(r)
 	}
 }
 
 // confirmed tells whether a majority confirms to a voter what it has.
-func (v *voter) confirmed() bool {
-	l := v.c.leader
-	return l != nil && !v.dead && v.c.backed(l) && v.c.reaches(v.hall, l.hall)
+func (v *voter) isConfirmed() bool {
+	l := v.coordinator.leader
+	return l != nil && !v.dead && v.coordinator.hasMajority(l) && v.coordinator.canReach(v.zone, l.zone)
 }
 
 // read answers with what is later than known, or at the end of the wait with nothing.
@@ -85,28 +85,28 @@
 	if v.dead {
 		return
 	}
-	v.c.count(v, func(m *Messages) *int { return &m.Reads })
-	if v.entry.Epoch > r.known || !v.confirmed() {
-		v.finish(r)
+	v.coordinator.countMessage(v, func(m *Messages) *int { return &m.Reads })
+	if v.table.Epoch > r.knownEpoch || !v.isConfirmed() {
+		v.answer(r)
 		return
 	}
-	v.reads = append(v.reads, r)
-	v.c.e.clock.After(v.c.w.Wait.D(), func() {
-		v.reads = slices.DeleteFunc(v.reads, func(o *read) bool { return o == r })
-		v.finish(r)
+	v.waitingReads = append(v.waitingReads, r)
+	v.coordinator.engine.clock.After(v.coordinator.settings.ReadWait.D(), func() {
+		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(o *read) bool { return o == r })
+		v.answer(r)
 	})
 }
 
 // finish answers a read, once, after the round by which the leader confirms.
-func (v *voter) finish(r *read) {
+func (v *voter) answer(r *read) {
 	if r.done || v.dead {
 		return
 	}
 	r.done = true
 	took := time.Duration(0)
-	if l := v.c.leader; l != nil && l != v {
-		took = 2 * v.c.e.hopBy(v.c.draw, v.hall, l.hall)
+	if l := v.coordinator.leader; l != nil && l != v {
+		took = 2 * v.coordinator.engine.delayBy(v.coordinator.random, v.zone, l.zone)
 	}
-	need := v.c.entry.Epoch // what a majority has: an answer without it is none
-	v.c.e.clock.After(took, func() { r.answer(v.entry, v.confirmed() && v.entry.Epoch >= need) })
+	need := v.coordinator.table.Epoch // what a majority has: an answer without it is none
+	v.coordinator.engine.clock.After(took, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= need) })
 }
