--- a/internal/lab/scenario/world.go
+++ b/internal/lab/scenario/scenario.go
@@ -165,13 +165,13 @@
 
 // Trouble is one thing that goes wrong, by name (docs/lab.md lists them). Part and Size mean what its kind says.
 type Fault struct {
-	Kind      string  `toml:"kind"`
-	Start     Span    `toml:"at"`
-	Duration  Span    `toml:"for"`
-	Fraction  float64 `toml:"part"`
-	Magnitude float64 `toml:"size"`
-	Class     string  `toml:"lane"`
-	Plan      string  `toml:"plan"`
-	Zone      int     `toml:"hall"`
-	OtherZone int     `toml:"to"` // the other hall of a link
+	Kind      string  `toml:"kind" json:"Kind"`
+	Start     Span    `toml:"at" json:"At"`
+	Duration  Span    `toml:"for" json:"For"`
+	Fraction  float64 `toml:"part" json:"Part"`
+	Magnitude float64 `toml:"size" json:"Size"`
+	Class     string  `toml:"lane" json:"Lane"`
+	Plan      string  `toml:"plan" json:"Plan"`
+	Zone      int     `toml:"hall" json:"Hall"`
+	OtherZone int     `toml:"to" json:"To"` // the other hall of a link
 }
--- a/internal/lab/simulation/push.go
+++ b/internal/lab/simulation/attempt.go
@@ -27,16 +27,16 @@
 	t := g.tries[task]
 	s := e.servers[to-1]
 	a := &attempt{
-		gateway: g, incarnation: g.incarnation, try: t, requestID: task, number: len(t.attempts), server: s, startedAt: e.now, deadline: until,
+		gateway: g, incarnation: g.incarnation, try: t, requestID: task, number: len(t.attempts), server: s, startedAt: e.clock.Now(), deadline: until,
 		work: t.request.work,
 	}
 	t.attempts = append(t.attempts, a)
-	g.subset.CountAttempt(e.now)
+	g.subset.CountAttempt(e.clock.Now())
 	e.result.Attempts++
 	e.recordAttempt(a)
-	e.checker.AttemptSent(e.now, g.index, to, t.id)
+	e.checker.AttemptSent(e.clock.Now(), g.index, to, t.id)
 	if f := g.follower; f != nil {
-		f.recorder.AddAttempt(e.now, s.zone, t.request.declaredUnits, a.number == 0 && !f.isRepeat(t))
+		f.recorder.AddAttempt(e.clock.Now(), s.zone, t.request.declaredUnits, a.number == 0 && !f.isRepeat(t))
 	}
 	c := g.idle[to]
 	if c == nil {
@@ -49,25 +49,25 @@
 	for len(c.lastUsed) > 0 && !kept {
 		last := c.lastUsed[len(c.lastUsed)-1]
 		c.lastUsed = c.lastUsed[:len(c.lastUsed)-1]
-		kept = e.now-last < e.scenario.Servers.IdleTimeout.D()/2
+		kept = e.clock.Now()-last < e.scenario.Servers.IdleTimeout.D()/2
 		if !kept {
 			s.connections = max(s.connections-1, 0)
 		}
 	}
-	e.at(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
+	e.clock.At(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
 	switch {
 	case kept && s.dead:
-		e.after(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) }) // seen closed before it was used
+		e.clock.After(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) }) // seen closed before it was used
 		return
 	case !kept && s.dead && reach:
-		e.after(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) })
+		e.clock.After(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) })
 		return
 	case !kept && !reach:
-		e.after(e.scenario.Network.ConnectTimeout.D(), func() { e.endAttempt(a, policy.ConnectFailed, 0) })
+		e.clock.After(e.scenario.Network.ConnectTimeout.D(), func() { e.endAttempt(a, policy.ConnectFailed, 0) })
 		return
 	case !kept && s.connections >= e.scenario.Servers.MaxConnections:
 		e.result.Handshakes++
-		e.after(2*hop, func() { e.endAttempt(a, policy.Rejected, 0) })
+		e.clock.After(2*hop, func() { e.endAttempt(a, policy.Rejected, 0) })
 		return
 	case !reach:
 		return
@@ -78,12 +78,12 @@
 		e.result.Handshakes++
 		hop *= 3 // there, back and there with the task
 	}
-	e.after(hop, func() {
+	e.clock.After(hop, func() {
 		if g.isCutFrom(s) {
 			return
 		}
 		if e.resetRate > 0 && e.modelRandom.Float64() < e.resetRate {
-			e.after(hop, func() { e.endAttempt(a, policy.Reset, 0) })
+			e.clock.After(hop, func() { e.endAttempt(a, policy.Reset, 0) })
 			if e.modelRandom.Float64() < 0.5 {
 				return // it never ran
 			}
@@ -103,7 +103,7 @@
 	if a.server.silent || a.gateway.isCutFrom(a.server) {
 		return
 	}
-	e.after(e.delay(a.gateway.zone, a.server.zone), func() { e.endAttempt(a, how, cost) })
+	e.clock.After(e.delay(a.gateway.zone, a.server.zone), func() { e.endAttempt(a, how, cost) })
 }
 
 // outcome tells a gateway how a push ended, once.
@@ -115,12 +115,12 @@
 		}
 		a.done = true
 		if g.follower != nil {
-			g.follower.recorder.AddResult(e.now, a.server.zone, a.server.id, how, e.now-a.startedAt)
+			g.follower.recorder.AddResult(e.clock.Now(), a.server.zone, a.server.id, how, e.clock.Now()-a.startedAt)
 		}
 		switch how {
 		case policy.Answered, policy.Errored, policy.Rejected:
 			if c := g.idle[a.server.id]; !a.server.dead {
-				c.lastUsed = append(c.lastUsed, e.now)
+				c.lastUsed = append(c.lastUsed, e.clock.Now())
 			}
 		default:
 			a.server.connections = max(a.server.connections-1, 0)
@@ -132,8 +132,8 @@
 		if how == policy.Answered && !t.done {
 			g.answer(t, served)
 		}
-		g.policy.HandleAttemptResult(e.now, policy.AttemptResult{
-			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.now - a.startedAt,
+		g.policy.HandleAttemptResult(e.clock.Now(), policy.AttemptResult{
+			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.clock.Now() - a.startedAt,
 			Final: t.done, ActualUnits: cost,
 		})
 	})
@@ -142,7 +142,7 @@
 // giveUp tells a server that nobody waits.
 func (e *engine) abandon(a *attempt) {
 	if !a.gateway.isCutFrom(a.server) {
-		e.after(e.delay(a.gateway.zone, a.server.zone), func() { a.server.cancel(a) })
+		e.clock.After(e.delay(a.gateway.zone, a.server.zone), func() { a.server.cancel(a) })
 	}
 }
 
@@ -160,5 +160,5 @@
 		return
 	}
 	a := t.attempts[number]
-	g.engine.after(0, func() { g.engine.endAttempt(a, policy.Cancelled, 0) })
+	g.engine.clock.After(0, func() { g.engine.endAttempt(a, policy.Cancelled, 0) })
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -79,7 +79,7 @@
 	spread := parts[0] + (parts[1]-parts[0])*c.random.Float64()
 	return &customer{
 		id: id, plan: plan, firstGateway: c.random.IntN(n), gatewayCount: min(max(int(math.Round(spread*float64(n))), 1), n),
-		tokens: e.scenario.Plans[plan].Burst, refilledAt: e.now,
+		tokens: e.scenario.Plans[plan].Burst, refilledAt: e.clock.Now(),
 	}
 }
 
@@ -93,13 +93,13 @@
 	}
 	rate := e.scenario.Load.Rate * e.loadFactor * share / whole
 	if e.scenario.Load.Swing > 0 {
-		rate *= 1 + e.scenario.Load.Swing*math.Sin(2*math.Pi*(e.now-origin).Seconds()/20)
+		rate *= 1 + e.scenario.Load.Swing*math.Sin(2*math.Pi*(e.clock.Now()-origin).Seconds()/20)
 	}
-	next := e.now + time.Duration(e.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
+	next := e.clock.Now() + time.Duration(e.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
 	if next >= origin+e.scenario.Length.D() {
 		return
 	}
-	e.at(next, func() {
+	e.clock.At(next, func() {
 		c.arrive()
 		c.scheduleArrival()
 	})
@@ -125,7 +125,7 @@
 	}
 	lane := sort.SearchFloat64s(c.cumulativeShares, e.arrivalRandom.Float64()*c.cumulativeShares[len(c.cumulativeShares)-1])
 	units := min(max(math.Round(e.scenario.Load.MeanUnits*e.arrivalRandom.ExpFloat64()), 1), 3*e.scenario.Load.MeanUnits)
-	r := &request{customer: who, class: min(lane, len(c.cumulativeShares)-1), units: units, declaredUnits: units, startedAt: e.now}
+	r := &request{customer: who, class: min(lane, len(c.cumulativeShares)-1), units: units, declaredUnits: units, startedAt: e.clock.Now()}
 	if e.scenario.Load.DeclaredDeviation > 0 {
 		s := e.scenario.Load.DeclaredDeviation
 		r.declaredUnits = min(max(units*math.Exp(s*e.arrivalRandom.NormFloat64()-s*s/2), 0.1), 3*e.scenario.Load.MeanUnits)
@@ -137,8 +137,8 @@
 	if plans.Rate <= 0 {
 		r.isDue = true
 	} else {
-		who.tokens = min(who.tokens+plans.Rate*(e.now-who.refilledAt).Seconds(), plans.Burst)
-		who.refilledAt = e.now
+		who.tokens = min(who.tokens+plans.Rate*(e.clock.Now()-who.refilledAt).Seconds(), plans.Burst)
+		who.refilledAt = e.clock.Now()
 		if r.isDue = who.tokens >= units; r.isDue {
 			who.tokens -= units
 		}
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -1,7 +1,9 @@
+// Package simulation runs a scenario in virtual time: servers, counter, discovery, network and clients are models, and every
+// gateway is an instance of the policy, in this process. A scenario and a seed give the same run to the last byte, whatever
+// else runs. What it leaves out, against real gateways on sockets, stands in docs/lab.md.
 package simulation
 
 import (
-	"container/heap"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -9,6 +11,7 @@
 	"harrierhoist/internal/lab/baseline"
 	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/virtualtime"
 	"harrierhoist/policy"
 )
 
@@ -18,9 +21,7 @@
 // engine is one play.
 type engine struct {
 	scenario *scenario.Scenario
-	now      time.Duration
-	seq      uint64
-	agenda   agenda
+	clock    *virtualtime.Scheduler
 	settings policy.Settings
 
 	modelRandom   *rand.Rand // of servers' work and the network
@@ -59,25 +60,15 @@
 	for _, l := range e.settings.Classes {
 		end = max(end, origin+spec.Length.D()+l.Timeout+time.Second)
 	}
-	e.until(end)
+	e.clock.RunUntil(end)
 	e.checker.Finish(end)
 	return e.finish(), nil
 }
 
-// until plays on until a time.
-func (e *engine) until(end time.Duration) {
-	for len(e.agenda) > 0 && e.agenda[0].at <= end {
-		next := heap.Pop(&e.agenda).(event)
-		e.now = next.at
-		next.run()
-		e.result.Events++
-	}
-}
-
 // begin sets a play up.
 func newEngine(spec *scenario.Scenario, seed uint64, made baseline.Constructor) (*engine, error) {
 	e := &engine{
-		scenario: spec, now: origin, newPolicy: made, settings: spec.PolicySettings(0), loadFactor: 1, lagFactor: 1, isolatedZones: map[int]bool{},
+		scenario: spec, clock: virtualtime.New(origin), newPolicy: made, settings: spec.PolicySettings(0), loadFactor: 1, lagFactor: 1, isolatedZones: map[int]bool{},
 		cutLinks: map[[2]int]bool{}, regions: spec.ZoneRegions(),
 		zoneWork:          make([]time.Duration, spec.Gateways.Zones),
 		recentUtilisation: make([][]float64, spec.Gateways.Zones),
@@ -93,6 +84,7 @@
 		e.planLoadFactors[i] = 1
 	}
 	e.result = newResult(spec, seed)
+	e.clock.BeforeEvent = func(time.Duration, uint64) { e.result.Events++ }
 	for i := range spec.Servers.Count {
 		e.addServer(i%spec.Gateways.Zones, i/spec.Gateways.Zones/spec.Servers.RackSize*spec.Gateways.Zones+i%spec.Gateways.Zones, 0)
 	}
@@ -117,7 +109,7 @@
 	}
 	e.clients.scheduleArrival()
 	for s := 1; s <= int(math.Ceil(spec.Length.D().Seconds())); s++ {
-		e.at(origin+time.Duration(s)*time.Second, e.closeSecond)
+		e.clock.At(origin+time.Duration(s)*time.Second, e.closeSecond)
 	}
 	return e, nil
 }
@@ -169,7 +161,7 @@
 	for _, g := range e.gateways {
 		lag := e.scenario.Discovery.Lag[0].D()
 		lag += time.Duration(e.modelRandom.Float64() * float64(e.scenario.Discovery.Lag[1].D()-lag))
-		g.lastChangeAt = max(g.lastChangeAt, e.now+time.Duration(float64(lag)*e.lagFactor))
-		e.at(g.lastChangeAt, func() { g.notify(listed) })
+		g.lastChangeAt = max(g.lastChangeAt, e.clock.Now()+time.Duration(float64(lag)*e.lagFactor))
+		e.clock.At(g.lastChangeAt, func() { g.notify(listed) })
 	}
 }
--- a/internal/lab/simulation/trouble.go
+++ b/internal/lab/simulation/fault.go
@@ -70,8 +70,8 @@
 		return fmt.Errorf("trouble %q is not known", t.Kind)
 	}
 	what := made(t)
-	e.at(origin+t.Start.D(), func() { what.begin(e) })
-	e.at(origin+t.Start.D()+t.Duration.D(), func() { what.end(e) })
+	e.clock.At(origin+t.Start.D(), func() { what.begin(e) })
+	e.clock.At(origin+t.Start.D()+t.Duration.D(), func() { what.end(e) })
 	return nil
 }
 
@@ -97,7 +97,7 @@
 // linked tells those who hold things in common that what was cut is no more.
 func (e *engine) recordReconnection() {
 	if e.coordinator != nil {
-		e.coordinator.reconnectedAt = e.now
+		e.coordinator.reconnectedAt = e.clock.Now()
 	}
 }
 
--- a/internal/lab/simulation/trouble_gateways.go
+++ b/internal/lab/simulation/fault_gateways.go
@@ -42,12 +42,12 @@
 	hit := e.pick(len(e.gateways), t.fraction)
 	for k, i := range hit {
 		g := e.gateways[i]
-		e.after(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
+		e.clock.After(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
 			if !g.alive {
 				return
 			}
 			g.kill()
-			e.after(max(t.downtime, time.Millisecond), func() { e.restartGateway(g) })
+			e.clock.After(max(t.downtime, time.Millisecond), func() { e.restartGateway(g) })
 		})
 	}
 }
@@ -107,8 +107,8 @@
 
 func (t *gatewayPause) begin(e *engine) {
 	for _, i := range e.pick(len(e.gateways), t.fraction) {
-		e.gateways[i].pausedUntil = e.now + t.duration
-		e.checker.GatewayPaused(e.now, i, e.now+t.duration)
+		e.gateways[i].pausedUntil = e.clock.Now() + t.duration
+		e.checker.GatewayPaused(e.clock.Now(), i, e.clock.Now()+t.duration)
 	}
 }
 
--- a/internal/lab/simulation/follow.go
+++ b/internal/lab/simulation/follower.go
@@ -64,7 +64,7 @@
 	}
 	first := c.settings.DigestInterval.D() * time.Duration(f.index%97+1) / 97 // not all at once
 	life := g.incarnation
-	c.engine.after(first, func() { f.sendDigests(life) })
+	c.engine.clock.After(first, func() { f.sendDigests(life) })
 	f.updater.Update()
 }
 
@@ -89,12 +89,12 @@
 	if f.gateway.incarnation != life || !f.gateway.alive {
 		return
 	}
-	f.coordinator.engine.after(f.coordinator.settings.DigestInterval.D(), func() { f.sendDigests(life) })
+	f.coordinator.engine.clock.After(f.coordinator.settings.DigestInterval.D(), func() { f.sendDigests(life) })
 	f.gateway.run(life, f.sendDigest)
 }
 
 func (f *follower) sendDigest() {
-	c, now := f.coordinator, f.coordinator.engine.now
+	c, now := f.coordinator, f.coordinator.engine.clock.Now()
 	counts := map[string]uint64{}
 	f.recorder.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
 	if c.settings.Mode == scenario.CoordinationLocal {
@@ -131,11 +131,11 @@
 
 // read asks for what is later than held, again and again.
 func (f *follower) read() {
-	c, g, life, sent := f.coordinator, f.gateway, f.gateway.incarnation, f.coordinator.engine.now
+	c, g, life, sent := f.coordinator, f.gateway, f.gateway.incarnation, f.coordinator.engine.clock.Now()
 	f.lastRead++
 	mine := f.lastRead
 	again := func(after time.Duration) {
-		c.engine.after(after, func() {
+		c.engine.clock.After(after, func() {
 			g.run(life, func() {
 				if f.lastRead == mine {
 					f.read()
@@ -161,7 +161,7 @@
 		})
 	}
 	c.send(g.zone, v.zone, func() { v.read(&read{knownEpoch: f.cached.Epoch, answer: answer}) })
-	c.engine.after(c.settings.ReadWait.D()+readTimeoutSlack, func() {
+	c.engine.clock.After(c.settings.ReadWait.D()+readTimeoutSlack, func() {
 		g.run(life, func() {
 			if f.lastRead == mine {
 				f.switchVoter()
--- a/internal/lab/simulation/steered.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -15,7 +15,7 @@
 type cachedTables struct{ f *follower }
 
 // Now is the virtual time.
-func (c cachedTables) Now() time.Duration { return c.f.coordinator.engine.now }
+func (c cachedTables) Now() time.Duration { return c.f.coordinator.engine.clock.Now() }
 
 // Cached is the one table.
 func (c cachedTables) Cached(string) coordination.CachedTable { return c.f.cached }
@@ -31,7 +31,7 @@
 
 // SetSteering steers the pool until the lease ends, and then the other way with the next task.
 func (f *follower) SetSteering(by dispatch.Steering, lease time.Duration, after dispatch.Steering) {
-	f.steeringUntil, f.nextSteering = f.coordinator.engine.now+lease, &after
+	f.steeringUntil, f.nextSteering = f.coordinator.engine.clock.Now()+lease, &after
 	if lease <= 0 {
 		f.nextSteering = nil
 		by = after
@@ -49,7 +49,7 @@
 
 // keep sees, with each task, to the end of a lease.
 func (f *follower) expireSteering() {
-	if f.nextSteering != nil && f.coordinator.engine.now >= f.steeringUntil {
+	if f.nextSteering != nil && f.coordinator.engine.clock.Now() >= f.steeringUntil {
 		by := *f.nextSteering
 		f.nextSteering = nil
 		f.applySteering(by)
@@ -68,7 +68,7 @@
 	for _, s := range all {
 		list = append(list, s.Endpoint)
 	}
-	f.recorder.SetEndpoints(f.coordinator.engine.now, list)
+	f.recorder.SetEndpoints(f.coordinator.engine.clock.Now(), list)
 }
 
 // again tells whether a client says that it asks again.
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -57,7 +57,7 @@
 	for _, s := range e.servers {
 		if s.state != policy.Removed {
 			g.endpoints[s.id] = s.endpoint()
-			e.checker.EndpointNotified(e.now, g.index, s.id, s.state)
+			e.checker.EndpointNotified(e.clock.Now(), g.index, s.id, s.state)
 		}
 	}
 	if g.follower != nil {
@@ -72,8 +72,8 @@
 func (g *gateway) run(life int, run func()) {
 	switch {
 	case !g.alive || g.incarnation != life:
-	case g.engine.now < g.pausedUntil:
-		g.engine.at(g.pausedUntil, func() { g.run(life, run) })
+	case g.engine.clock.Now() < g.pausedUntil:
+		g.engine.clock.At(g.pausedUntil, func() { g.run(life, run) })
 	default:
 		run()
 	}
@@ -88,7 +88,7 @@
 		g.missedChanges = append(g.missedChanges, l)
 		return
 	}
-	g.engine.checker.EndpointNotified(g.engine.now, g.index, l.Server, l.State)
+	g.engine.checker.EndpointNotified(g.engine.clock.Now(), g.index, l.Server, l.State)
 	g.run(g.incarnation, func() {
 		if l.State == policy.Removed {
 			delete(g.endpoints, l.Server)
@@ -109,9 +109,9 @@
 	if g.follower != nil {
 		g.follower.setEndpoints(all)
 	}
-	part, sharers := g.subset.Select(g.engine.now, all)
+	part, sharers := g.subset.Select(g.engine.clock.Now(), all)
 	g.policy.SetSharers(sharers)
-	g.policy.HandleEndpoints(g.engine.now, policy.ListFull, part)
+	g.policy.HandleEndpoints(g.engine.clock.Now(), policy.ListFull, part)
 }
 
 // take takes a try that has come whole.
@@ -120,7 +120,7 @@
 	if g.follower != nil {
 		g.follower.expireSteering()
 	}
-	if g.subset.IsDue(e.now) {
+	if g.subset.IsDue(e.clock.Now()) {
 		g.updateEndpoints()
 	}
 	g.lastRequestID++
@@ -130,7 +130,7 @@
 	if g.follower != nil && g.follower.shedIfFull(t) {
 		return
 	}
-	g.policy.HandleRequest(e.now, policy.Request{
+	g.policy.HandleRequest(e.clock.Now(), policy.Request{
 		ID: t.requestID, Class: t.class, Plan: r.customer.plan, Customer: r.customer.id,
 		FirstGateway: r.customer.firstGateway, GatewayCount: r.customer.gatewayCount, Units: r.declaredUnits, Deadline: t.deadline, Repeat: t.number > 0 &&
 			e.scenario.Clients.MarkRepeats,
@@ -140,7 +140,7 @@
 // kill ends a gateway; what it held is its clients' to repeat, and its servers go on with what they have.
 func (g *gateway) kill() {
 	g.alive = false
-	g.engine.checker.GatewayDied(g.engine.now, g.index)
+	g.engine.checker.GatewayDied(g.engine.clock.Now(), g.index)
 	held := slices.Sorted(maps.Keys(g.tries))
 	for _, id := range held {
 		t := g.tries[id]
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/gateway_host.go
@@ -43,7 +43,7 @@
 	w := &timer{}
 	g.timers[token] = w
 	life := g.incarnation
-	g.engine.after(after, func() {
+	g.engine.clock.After(after, func() {
 		g.run(life, func() {
 			if w.cancelled {
 				return
@@ -51,7 +51,7 @@
 			if g.timers[token] == w {
 				delete(g.timers, token)
 			}
-			g.policy.HandleTimer(g.engine.now, token)
+			g.policy.HandleTimer(g.engine.clock.Now(), token)
 		})
 	})
 }
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -15,38 +15,55 @@
 	Seed     uint64 `json:"seed"`
 
 	// Requests, however many tries each took. Due are those that a perfect count would let in.
-	Offered, Due, InTime, Late, RejectedRequests, Failed int
+	Offered          int `json:"Offered"`
+	Due              int `json:"Due"`
+	InTime           int `json:"InTime"`
+	Late             int `json:"Late"`
+	RejectedRequests int `json:"Refused"`
+	Failed           int `json:"Failed"`
 	// Ends says why each that failed did.
-	FailureCauses FailureCauses
+	FailureCauses FailureCauses `json:"Ends"`
 	// Gain that was due, and gain that was served in time inside quotas.
-	DueValue, ServedValue float64
-
-	Tries, RejectedTries, TerminatedTries int
-	BrokenConnections                     int `json:"BrokenConnections"` // tries whose gateway was dead or died
-	Attempts, Handshakes                  int
+	DueValue    float64 `json:"GainDue"`
+	ServedValue float64 `json:"GainServed"`
+
+	Tries             int `json:"Tries"`
+	RejectedTries     int `json:"Rejected"`
+	TerminatedTries   int `json:"Terminated"`
+	BrokenConnections int `json:"BrokenConnections"` // tries whose gateway was dead or died
+	Attempts          int `json:"Pushes"`
+	Handshakes        int `json:"Handshakes"`
 	// Crossed are the pushes to another hall than the gateway's own; Far are those of them to another region.
-	CrossZone, CrossRegion int
+	CrossZone   int `json:"Crossed"`
+	CrossRegion int `json:"Far"`
 	// Hottest is the work sent to a hall in a second over what its servers can do in one, at its highest over all
 	// seconds and all halls that stood whole (wholeLeast).
-	PeakUtilisation float64
+	PeakUtilisation float64 `json:"Hottest"`
 	// Warmest is the same over five seconds.
-	PeakUtilisationOver5s float64
+	PeakUtilisationOver5s float64 `json:"Warmest"`
 	// Plans were written, of which Wrong newly held to be lost what was not. PlanMs are the milliseconds from the loss of
 	// a whole hall until a gateway that pushed there pushed elsewhere, or until the hall came back.
-	Plans, WrongPlans int
-	FailoverMs        []int
+	Plans      int   `json:"Plans"`
+	WrongPlans int   `json:"Wrong"`
+	FailoverMs []int `json:"PlanMs"`
 	// Held is what came to the voters in all, and to the one that led.
-	VoterMessages, LeaderMessages Messages
-
-	CounterCalls, RejectedCounterCalls               int
-	ForwardedUnits, OverQuotaUnits, OverQuotaPenalty float64
-	LoadDeviation                                    float64 // load of servers that stood all day: deviation over mean
-	ViolationCounts                                  [invariants.RuleCount]int
-	Violations                                       []invariants.Violation
-	Timeline                                         []Second
-	Events                                           int
-	Classes                                          []string
-	P50, P99, P999                                   []float64 // ms, by lane, of all that were served
+	VoterMessages  Messages `json:"Held"`
+	LeaderMessages Messages `json:"Led"`
+
+	CounterCalls         int                       `json:"Calls"`
+	RejectedCounterCalls int                       `json:"CallsRefused"`
+	ForwardedUnits       float64                   `json:"Units"`
+	OverQuotaUnits       float64                   `json:"Beyond"`
+	OverQuotaPenalty     float64                   `json:"BeyondGain"`
+	LoadDeviation        float64                   `json:"Uneven"` // load of servers that stood all day: deviation over mean
+	ViolationCounts      [invariants.RuleCount]int `json:"Broken"`
+	Violations           []invariants.Violation    `json:"Breaches"`
+	Timeline             []Second                  `json:"Seconds"`
+	Events               int                       `json:"Events"`
+	Classes              []string                  `json:"Lanes"`
+	P50                  []float64                 `json:"P50"` // ms, by lane, of all that were served
+	P99                  []float64                 `json:"P99"`
+	P999                 []float64                 `json:"P999"`
 
 	totals      []Second
 	answerTimes []*hdrhistogram.Histogram
@@ -54,9 +71,14 @@
 
 // Second is what came of one second of the play.
 type Second struct {
-	Offered, InTime, Rejected, Failed int
-	ServedValue, DueValue             float64
-	Attempts, CrossZone               int
+	Offered     int     `json:"Offered"`
+	InTime      int     `json:"InTime"`
+	Rejected    int     `json:"Refused"`
+	Failed      int     `json:"Failed"`
+	ServedValue float64 `json:"Gain"`
+	DueValue    float64 `json:"Due"`
+	Attempts    int     `json:"Pushes"`
+	CrossZone   int     `json:"Crossed"`
 }
 
 // less is what came since an earlier total.
@@ -69,15 +91,17 @@
 
 // Messages are what voters take from gateways, and from each other.
 type Messages struct {
-	Digests, MergedDigests, Reads int
+	Digests       int `json:"Digests"`
+	MergedDigests int `json:"Merged"`
+	Reads         int `json:"Reads"`
 }
 
 // Ends are the requests that failed, by what ended them.
 type FailureCauses struct {
-	BetweenTries int // their time ran out between tries, the last of which was rejected
-	Terminated   int // the last try was terminated
-	WithGateway  int // the last try ended with its gateway
-	InFlight     int // their time ran out while a try was out
+	BetweenTries int `json:"Between"`    // their time ran out between tries, the last of which was rejected
+	Terminated   int `json:"Terminated"` // the last try was terminated
+	WithGateway  int `json:"Died"`       // the last try ended with its gateway
+	InFlight     int `json:"Out"`        // their time ran out while a try was out
 }
 
 func newResult(spec *scenario.Scenario, seed uint64) Result {
--- a/internal/lab/simulation/tries.go
+++ b/internal/lab/simulation/try.go
@@ -37,7 +37,7 @@
 	e := c.engine
 	lane := &e.settings.Classes[r.class]
 	expires := r.startedAt + lane.Timeout
-	if e.now >= expires {
+	if e.clock.Now() >= expires {
 		c.fail(r, r.lastAnswer)
 		return
 	}
@@ -55,7 +55,7 @@
 	c.lastTry++
 	t := &try{id: c.lastTry, request: r, gateway: g, class: r.class, number: number, deadline: expires, actualUnits: r.units}
 	e.result.Tries++
-	e.after(500*time.Microsecond, func() {
+	e.clock.After(500*time.Microsecond, func() {
 		if !g.alive {
 			c.handleAnswer(t, connectionLost) // refused: it was not taken
 			return
@@ -63,18 +63,18 @@
 		e.checker.RequestAccepted(invariants.Request{
 			ID: t.id, Key: r.key, Customer: who.id, Class: *lane, Plan: who.plan, Gateway: g.index,
 			Units:      r.declaredUnits,
-			AcceptedAt: e.now, Deadline: expires,
+			AcceptedAt: e.clock.Now(), Deadline: expires,
 		})
 		life := g.incarnation
 		g.run(life, func() {
-			if e.now >= expires {
+			if e.clock.Now() >= expires {
 				// Its client has gone: it was read too late to answer.
 				e.checker.RequestAnswered(expires, t.id, true)
 				return
 			}
 			g.accept(t)
 		})
-		e.at(expires, func() { c.disconnect(t, life) })
+		e.clock.At(expires, func() { c.disconnect(t, life) })
 	})
 }
 
@@ -89,9 +89,9 @@
 		}
 		t.done = true
 		delete(t.gateway.tries, t.requestID)
-		t.gateway.policy.HandleDisconnect(c.engine.now, t.requestID)
+		t.gateway.policy.HandleDisconnect(c.engine.clock.Now(), t.requestID)
 		for _, a := range t.attempts {
-			c.engine.after(0, func() { c.engine.endAttempt(a, policy.Cancelled, 0) })
+			c.engine.clock.After(0, func() { c.engine.endAttempt(a, policy.Cancelled, 0) })
 		}
 	})
 	c.fail(t.request, unanswered)
@@ -101,7 +101,7 @@
 func (c *clients) handleAnswer(t *try, what answer) {
 	e, r := c.engine, t.request
 	if what != connectionLost {
-		e.checker.RequestAnswered(e.now, t.id, true)
+		e.checker.RequestAnswered(e.clock.Now(), t.id, true)
 	}
 	res := &e.result
 	switch what {
@@ -113,7 +113,7 @@
 			return
 		}
 		r.done = true
-		took := e.now - r.startedAt
+		took := e.clock.Now() - r.startedAt
 		res.recordAnswerTime(r.class, took)
 		lane := &e.settings.Classes[r.class]
 		gain := 0.0
@@ -142,7 +142,7 @@
 	r.lastAnswer = what
 	unsent := what == rejected || what == connectionLost && len(t.attempts) == 0
 	may := unsent || lane.Effect == policy.Idempotent || lane.Effect == policy.Keyed && lane.Group == policy.GroupAll &&
-		e.now < r.startedAt+lane.DedupWindow
+		e.clock.Now() < r.startedAt+lane.DedupWindow
 	if !may || t.number >= e.scenario.Clients.Retries {
 		if what == rejected {
 			res.RejectedRequests++
@@ -156,7 +156,7 @@
 	if what == rejected && t.retryAfter > 0 && c.random.Float64() < e.scenario.Clients.RetryAfterShare {
 		wait = max(t.retryAfter, 0)
 	}
-	e.after(wait, func() { c.send(r, t.number+1, t.gateway) })
+	e.clock.After(wait, func() { c.send(r, t.number+1, t.gateway) })
 }
 
 // lost ends a request that failed, by what its last try got.
