--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -103,17 +103,17 @@
 	for _, s := range []partState{
 		{
 			name: "in common", description: "a follower of a voter; nothing is decided",
-			zone: "hall-a", readyLines: []string{`"takes part in what is held in common"`},
+			zone: "hall-a", readyLines: []string{`"coordination: started"`},
 		},
 		{
 			name: "a hall out", description: "failover's plan in force shares the gateway's own hall out: all is pushed to the other",
 			zone: "hall-b", zones: []string{"hall-b", "hall-a"}, config: failoverConfig,
-			table: failover.Table, value: drainedZonePlan, readyLines: []string{`"a plan is in force"`},
+			table: failover.Table, value: drainedZonePlan, readyLines: []string{`"routing: plan in force"`},
 		},
 		{
 			name: "plan's lease over", description: "a plan was in force, the voter has gone, its lease is over: near by own evidence",
 			zone: "hall-a", zones: two, config: failoverConfig, table: failover.Table,
-			value: drainedZonePlan, readyLines: []string{`"a plan is in force"`}, leaseLostLines: []string{`"no plan in force`},
+			value: drainedZonePlan, readyLines: []string{`"routing: plan in force"`}, leaseLostLines: []string{`"routing: no plan in force`},
 		},
 		{
 			name: "canary", description: "a new rule is played on the row's customer beside the old one",
@@ -139,7 +139,7 @@
 		{
 			name: "shedding", description: "a plan sheds all that comes in: nothing is asked, and no other row can hold", onlyNamedRows: true,
 			zone: "hall-b", zones: []string{"hall-b", "hall-a"}, config: failoverConfig, table: failover.Table,
-			value: sheddingPlan, readyLines: []string{`"a plan is in force"`},
+			value: sheddingPlan, readyLines: []string{`"routing: plan in force"`},
 		},
 		{
 			name: "unconfirmed", description: "a canary was heard of, the voter has gone, its lease is over: both rules must allow",
--- a/internal/countingrule/resolve_test.go
+++ b/internal/countingrule/resolve_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"harrierhoist/policy"
-
 	"pgregory.net/rapid"
+
+	"harrierhoist/policy"
 )
 
 func mustResolve(t testing.TB, rule Rule, settings policy.Settings) *Resolved {
--- a/internal/lab/invariants/ledger.go
+++ b/internal/lab/invariants/checker.go
@@ -31,13 +31,13 @@
 
 // Breach is one broken rule.
 type Violation struct {
-	Rule        Rule
-	At          time.Duration
-	Request     uint64 // 0: of no one task
-	Gateway     int    // -1: of no one gateway
-	Server      uint32
-	Customer    uint64
-	Description string
+	Rule        Rule          `json:"Rule"`
+	At          time.Duration `json:"At"`
+	Request     uint64        `json:"Task"`    // 0: of no one task
+	Gateway     int           `json:"Gateway"` // -1: of no one gateway
+	Server      uint32        `json:"Server"`
+	Customer    uint64        `json:"Customer"`
+	Description string        `json:"What"`
 }
 
 func (v Violation) String() string {
--- a/internal/lab/simulation/common.go
+++ b/internal/lab/simulation/coordinator.go
@@ -58,7 +58,7 @@
 		c.voters = append(c.voters, v)
 	}
 	c.startLeading(c.voters[draw.IntN(len(c.voters))])
-	e.after(w.DecisionInterval.D(), c.tick)
+	e.clock.After(w.DecisionInterval.D(), c.tick)
 	return c
 }
 
@@ -70,13 +70,13 @@
 	if !c.canReach(from, to) || c.settings.MessageLoss > 0 && c.random.Float64() < c.settings.MessageLoss {
 		return false
 	}
-	c.engine.after(c.engine.delayBy(c.random, from, to), arrive)
+	c.engine.clock.After(c.engine.delayBy(c.random, from, to), arrive)
 	return true
 }
 
 // count counts a message that a voter takes.
 func (c *coordinator) countMessage(v *voter, of func(*Messages) *int) {
-	if c.engine.now >= origin+c.engine.scenario.Length.D() {
+	if c.engine.clock.Now() >= origin+c.engine.scenario.Length.D() {
 		return // answers alone are waited for
 	}
 	*of(&c.engine.result.VoterMessages)++
@@ -103,7 +103,7 @@
 // lead has a voter begin to lead, with a decider that knows nothing but what is written.
 func (c *coordinator) startLeading(v *voter) {
 	c.term++
-	c.leader, c.leadingSince, c.committing, c.electing = v, c.engine.now, false, false
+	c.leader, c.leadingSince, c.committing, c.electing = v, c.engine.clock.Now(), false, false
 	v.merged = observation.NewMerger()
 	c.controller = failover.New(c.failoverSettings, c.settings.Lease.D())
 	v.apply(c.table)
@@ -115,7 +115,7 @@
 		return
 	}
 	c.electing = true
-	c.engine.after(c.drawBetween(c.settings.ElectionTime), func() {
+	c.engine.clock.After(c.drawBetween(c.settings.ElectionTime), func() {
 		c.electing = false
 		for _, i := range c.random.Perm(len(c.voters)) {
 			if c.hasMajority(c.voters[i]) {
@@ -129,7 +129,7 @@
 
 // tick is the leader's work between two decisions, and the notice that there is none.
 func (c *coordinator) tick() {
-	c.engine.after(c.settings.DecisionInterval.D(), c.tick)
+	c.engine.clock.After(c.settings.DecisionInterval.D(), c.tick)
 	if c.leader != nil && !c.hasMajority(c.leader) {
 		c.leader, c.controller = nil, nil
 	}
@@ -154,7 +154,7 @@
 	for name, n := range l.merged.Sums() {
 		sums[name] += n
 	}
-	value, write := c.controller.Decide(c.engine.now, coordination.ControllerInput{
+	value, write := c.controller.Decide(c.engine.clock.Now(), coordination.ControllerInput{
 		Sums: sums, LeadingSince: c.leadingSince,
 		Totals: func(string) map[string]uint64 { return nil },
 		Table:  func(table string) statemachine.Table { return c.tableNamed(table) },
@@ -163,7 +163,7 @@
 		return
 	}
 	c.committing = true
-	c.engine.after(c.drawBetween(c.settings.CommitTime), func() {
+	c.engine.clock.After(c.drawBetween(c.settings.CommitTime), func() {
 		if c.term != term || c.leader == nil || !c.hasMajority(l) {
 			return // another leads, or nobody took it
 		}
--- a/internal/lab/simulation/common_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -73,7 +73,7 @@
 		over, holding, written := 0, 0, uint64(0)
 		stood := map[uint64]time.Duration{} // until when each epoch was the latest
 		for now := origin; now < origin+spec.Length.D(); now += 50 * time.Millisecond {
-			e.until(now)
+			e.clock.RunUntil(now)
 			for past := e.coordinator.table.Epoch; past > 0 && stood[past-1] == 0; past-- {
 				stood[past-1] = now
 			}
@@ -81,14 +81,14 @@
 				written = e.coordinator.table.Epoch
 			}
 			for _, f := range e.coordinator.followers {
-				if !f.gateway.alive || e.now < f.gateway.pausedUntil {
+				if !f.gateway.alive || e.clock.Now() < f.gateway.pausedUntil {
 					continue
 				}
-				if f.cached.Epoch > e.coordinator.table.Epoch || f.cached.LeaseEnd > e.now+spec.Coordination.Lease.D() {
+				if f.cached.Epoch > e.coordinator.table.Epoch || f.cached.LeaseEnd > e.clock.Now()+spec.Coordination.Lease.D() {
 					t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", seed, f.index, f.cached.Epoch,
-						e.coordinator.table.Epoch, f.cached.LeaseEnd, e.now)
+						e.coordinator.table.Epoch, f.cached.LeaseEnd, e.clock.Now())
 				}
-				if f.cached.LeaseEnd > e.now {
+				if f.cached.LeaseEnd > e.clock.Now() {
 					if end := stood[f.cached.Epoch]; end > 0 && now-end > spec.Coordination.Lease.D() {
 						t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", seed, f.index, f.cached.Epoch, now-end)
 					}
@@ -96,7 +96,7 @@
 				}
 				over++
 				if f.expireSteering(); !followsFallback(t, f) { // as with its next task
-					t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", seed, e.now-origin, f.index, f.steering)
+					t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", seed, e.clock.Now()-origin, f.index, f.steering)
 				}
 			}
 		}
@@ -104,11 +104,11 @@
 			t.Fatalf("seed %d: no lease ended, nothing was shown", seed)
 		}
 		for _, f := range e.coordinator.followers {
-			if f.cached.LeaseEnd > e.now && f.cached.Epoch < written {
+			if f.cached.LeaseEnd > e.clock.Now() && f.cached.Epoch < written {
 				t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d stood a lease ago", seed, f.index, f.cached.Epoch,
 					written)
 			}
-			if f.cached.LeaseEnd > e.now {
+			if f.cached.LeaseEnd > e.clock.Now() {
 				holding++
 			}
 		}
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -40,15 +40,15 @@
 // where the counter is silent, whose connection is given up in the time that one may take to come up.
 func (c *counter) call(g *gateway, name uint64, keep time.Duration, units float64) {
 	e := c.engine
-	began, life := e.now, g.incarnation
+	began, life := e.clock.Now(), g.incarnation
 	c.calls++
 	tell := func(after time.Duration, units float64, how policy.Outcome) {
-		e.after(after, func() {
+		e.clock.After(after, func() {
 			g.run(life, func() {
 				if f := g.follower; f != nil {
-					f.recorder.AddCounterCall(how != policy.Answered || e.now-began > e.scenario.Counter.Timeout.D())
+					f.recorder.AddCounterCall(how != policy.Answered || e.clock.Now()-began > e.scenario.Counter.Timeout.D())
 				}
-				g.policy.HandleCount(e.now, policy.CountResult{Name: name, Total: units, Latency: e.now - began, Outcome: how})
+				g.policy.HandleCount(e.clock.Now(), policy.CountResult{Name: name, Total: units, Latency: e.clock.Now() - began, Outcome: how})
 			})
 		})
 	}
@@ -60,16 +60,16 @@
 	}
 	h := c.half(g)
 	takes := time.Duration(float64(time.Second) / c.engine.scenario.Counter.Rate * c.slowdown)
-	wait := max(c.freeAt[h]-e.now, 0)
+	wait := max(c.freeAt[h]-e.clock.Now(), 0)
 	if wait > e.scenario.Counter.MaxWait.D() {
 		c.rejectedCalls++
 		tell(2*hop, 0, policy.Rejected)
 		return
 	}
-	c.freeAt[h] = max(c.freeAt[h], e.now) + takes
+	c.freeAt[h] = max(c.freeAt[h], e.clock.Now()) + takes
 	t := c.totals[h][name]
-	if t.expiresAt <= e.now {
-		t = total{expiresAt: e.now + keep}
+	if t.expiresAt <= e.clock.Now() {
+		t = total{expiresAt: e.clock.Now() + keep}
 	}
 	t.units += units
 	c.totals[h][name] = t
--- a/internal/lab/simulation/inforce.go
+++ b/internal/lab/simulation/failover.go
@@ -39,7 +39,7 @@
 
 // hallLost begins to measure until when gateways push to a hall.
 func (c *coordinator) zoneLost(hall int) {
-	l := &loss{zone: hall, at: c.engine.now, pending: map[int]bool{}}
+	l := &loss{zone: hall, at: c.engine.clock.Now(), pending: map[int]bool{}}
 	for _, f := range c.followers {
 		if f.shareOf(hall) > maxResidualShare {
 			l.pending[f.index] = true
@@ -50,13 +50,13 @@
 
 // hallBack ends that: those who never moved count with the whole time.
 func (c *coordinator) zoneRestored(hall int) {
-	c.reconnectedAt = c.engine.now
+	c.reconnectedAt = c.engine.clock.Now()
 	c.losses = slices.DeleteFunc(c.losses, func(l *loss) bool {
 		if l.zone != hall {
 			return false
 		}
 		for range l.pending {
-			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.now - l.at).Milliseconds()))
+			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.clock.Now() - l.at).Milliseconds()))
 		}
 		return true
 	})
@@ -67,7 +67,7 @@
 	for _, l := range c.losses {
 		if l.pending[f.index] && f.shareOf(l.zone) <= maxResidualShare {
 			delete(l.pending, f.index)
-			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.now - l.at).Milliseconds()))
+			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.clock.Now() - l.at).Milliseconds()))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		panic(fmt.Sprint("the decider wrote no plan: ", err))
 	}
 	now, full := c.engine.zoneCapacities()
-	cut := len(c.engine.isolatedZones)+len(c.engine.cutLinks) > 0 || c.reconnectedAt > 0 && c.engine.now < c.reconnectedAt+reconnectionGrace
+	cut := len(c.engine.isolatedZones)+len(c.engine.cutLinks) > 0 || c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
 	wrong := map[string]bool{}
 	for n, hall := range c.zones {
 		if sound, told := p.Health[hall]; told && sound == 0 && !cut && now[n] > maxLostCapacity*full[n] {
--- a/internal/lab/simulation/trouble_servers.go
+++ b/internal/lab/simulation/fault_servers.go
@@ -124,7 +124,7 @@
 
 // replace starts a cold server in the place of one, and gives it.
 func (e *engine) replaceServer(old *server) *server {
-	s := e.addServer(old.zone, old.rack, e.now)
+	s := e.addServer(old.zone, old.rack, e.clock.Now())
 	e.announce(s)
 	return s
 }
@@ -140,7 +140,7 @@
 	hit := e.pick(len(up), t.fraction)
 	for k, i := range hit {
 		s := up[i]
-		e.after(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
+		e.clock.After(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
 			if s.state != policy.Ready {
 				return
 			}
@@ -151,7 +151,7 @@
 			for _, l := range e.settings.Classes {
 				last = max(last, e.scenario.Rules.DrainGrace.D()+l.Timeout)
 			}
-			e.after(last+2*time.Second, func() {
+			e.clock.After(last+2*time.Second, func() {
 				s.state = policy.Removed
 				s.dropWork()
 				s.dead = true
--- a/internal/lab/simulation/alone.go
+++ b/internal/lab/simulation/local_controller.go
@@ -9,7 +9,7 @@
 
 // alone has it decide on its own evidence.
 func (f *follower) startLocalController() {
-	f.observations, f.leadingSince = observation.NewMerger(), f.coordinator.engine.now
+	f.observations, f.leadingSince = observation.NewMerger(), f.coordinator.engine.clock.Now()
 	terms := f.coordinator.failoverSettings
 	terms.MinGateways = 1 // there is no other whose word it hears
 	f.controller = failover.New(terms, 0)
@@ -19,7 +19,7 @@
 func (f *follower) decideLocally(counts map[string]uint64) {
 	f.serial++
 	f.observations.Add(observation.Digest{Process: "own", Incarnation: 1, Serial: f.serial, Counts: f.extrapolate(counts)})
-	now := f.coordinator.engine.now
+	now := f.coordinator.engine.clock.Now()
 	value, write := f.controller.Decide(now, coordination.ControllerInput{
 		Sums: f.observations.Sums(), LeadingSince: f.leadingSince,
 		Totals: func(string) map[string]uint64 { return nil },
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -68,7 +68,7 @@
 	if s.startedAt == 0 || s.engine.scenario.Servers.WarmUpTime <= 0 {
 		return 1
 	}
-	grown := float64(s.engine.now-s.startedAt) / float64(s.engine.scenario.Servers.WarmUpTime)
+	grown := float64(s.engine.clock.Now()-s.startedAt) / float64(s.engine.scenario.Servers.WarmUpTime)
 	from := s.engine.scenario.Servers.WarmUpStart
 	return min(1, from+(1-from)*max(grown, 0))
 }
@@ -82,7 +82,7 @@
 func (s *server) restart() {
 	s.dropWork()
 	s.dead, s.silent, s.overloadedUntil = false, false, 0
-	s.startedAt = s.engine.now
+	s.startedAt = s.engine.clock.Now()
 	s.restarts++
 	s.dedupUntil = map[uint64]time.Duration{}
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	switch {
-	case e.now < s.overloadedUntil:
+	case e.clock.Now() < s.overloadedUntil:
 		e.reply(a, policy.Errored, 0)
 	case s.errorRate > 0 && e.modelRandom.Float64() < s.errorRate:
 		e.reply(a, policy.Errored, 0)
@@ -132,19 +132,19 @@
 // of what it can do now.
 func (s *server) checkOverload(a *attempt) bool {
 	e, over := s.engine, s.engine.scenario.Rules.OverloadSpan.D()
-	s.recentArrivals = append(s.recentArrivals, arrival{e.now, a.work.Seconds()})
+	s.recentArrivals = append(s.recentArrivals, arrival{e.clock.Now(), a.work.Seconds()})
 	s.recentWork += a.work.Seconds()
-	for s.recentArrivals[0].at < e.now-over {
+	for s.recentArrivals[0].at < e.clock.Now()-over {
 		s.recentWork -= s.recentArrivals[0].work
 		s.recentArrivals = s.recentArrivals[1:]
 	}
 	// A handful of tasks is no overload, however heavy: it needs as many as the cores and four more.
 	rate, most := s.recentWork/over.Seconds(), s.capacity()*e.scenario.Rules.OverloadFactor
-	if e.now < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+4 || rate <= most {
+	if e.clock.Now() < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+4 || rate <= most {
 		return false
 	}
-	s.overloadedUntil = e.now + e.scenario.Rules.OverloadDowntime.D()
-	e.checker.ServerOverloaded(e.now, s.id, rate, s.capacity())
+	s.overloadedUntil = e.clock.Now() + e.scenario.Rules.OverloadDowntime.D()
+	e.checker.ServerOverloaded(e.clock.Now(), s.id, rate, s.capacity())
 	return false
 }
 
@@ -157,7 +157,7 @@
 	for _, o := range s.engine.servers {
 		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupZone && o.zone == s.zone ||
 			lane.Group == policy.GroupRack && o.rack == s.rack
-		if until, has := o.dedupUntil[a.try.request.key]; same && has && s.engine.now < until {
+		if until, has := o.dedupUntil[a.try.request.key]; same && has && s.engine.clock.Now() < until {
 			return true
 		}
 	}
@@ -173,9 +173,9 @@
 	}
 	s.busyCores++
 	s.running[a] = true
-	e.checker.EffectRan(e.now, s.id, a.try.id)
+	e.checker.EffectRan(e.clock.Now(), s.id, a.try.id)
 	if lane := &e.settings.Classes[a.try.class]; lane.Effect == policy.Keyed {
-		s.dedupUntil[a.try.request.key] = e.now + lane.DedupWindow + 2*time.Second
+		s.dedupUntil[a.try.request.key] = e.clock.Now() + lane.DedupWindow + 2*time.Second
 	}
 	took := time.Duration(float64(a.work) / (s.speed * s.warmUpFraction()) * s.slowdown)
 	if a.newConnection {
@@ -183,7 +183,7 @@
 	}
 	s.workDone += took
 	life := s.incarnation
-	e.after(took, func() {
+	e.clock.After(took, func() {
 		if s.incarnation != life || !s.running[a] {
 			return
 		}
--- a/internal/lab/simulation/record.go
+++ b/internal/lab/simulation/utilisation.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		full[s.zone] += float64(e.scenario.Servers.Cores) * s.speed
-		if !s.dead && !s.silent && e.now >= s.overloadedUntil {
+		if !s.dead && !s.silent && e.clock.Now() >= s.overloadedUntil {
 			now[s.zone] += s.capacity()
 		}
 	}
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -57,7 +57,7 @@
 		return
 	}
 	if v.dead || !c.send(l.zone, v.zone, func() { v.apply(e) }) {
-		c.engine.after(c.settings.DecisionInterval.D(), func() { v.replicate(l, e) })
+		c.engine.clock.After(c.settings.DecisionInterval.D(), func() { v.replicate(l, e) })
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	v.waitingReads = append(v.waitingReads, r)
-	v.coordinator.engine.after(v.coordinator.settings.ReadWait.D(), func() {
+	v.coordinator.engine.clock.After(v.coordinator.settings.ReadWait.D(), func() {
 		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(o *read) bool { return o == r })
 		v.answer(r)
 	})
@@ -108,5 +108,5 @@
 		took = 2 * v.coordinator.engine.delayBy(v.coordinator.random, v.zone, l.zone)
 	}
 	need := v.coordinator.table.Epoch // what a majority has: an answer without it is none
-	v.coordinator.engine.after(took, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= need) })
+	v.coordinator.engine.clock.After(took, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= need) })
 }
