--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -138,7 +138,7 @@
 	for name, p := range half {
 		s.WriteConfigs(name)
 		p.Signal(syscall.SIGHUP)
-		s.waitForLog(p, "a new charter", 1)
+		s.waitForLog(p, "coordination: new configuration in force", 1)
 	}
 	s.failZone("hall-a", "hall-b")
 	s.Leader().Kill()
