--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -167,5 +167,6 @@
 	if (c.Counting == nil) != (inForce.Counting == nil) {
 		keys, c.Counting = append(keys, "counting"), inForce.Counting
 	}
+	// Not done yet for settlement: turned on or off by a reload, it is not reported, and nothing starts or stops.
 	return keys
 }
