--- a/internal/docscheck/oncall_test.go
+++ b/internal/docscheck/oncall_test.go
@@ -10,14 +10,16 @@
 	"testing"
 )
 
-// oncallPage is the page of one who is on call. In its tables the column logLineColumn holds log lines, each between
-// backticks and as the code has it, or noLogLine.
+// In the tables of the page of one who is on call the column logLineColumn holds log lines, each between backticks and as
+// the code has it, or noLogLine.
 const (
-	oncallPage    = "../../docs/oncall.md"
 	logLineColumn = "log line"
 	noLogLine     = "-"
 )
 
+// operatorPages are the other pages that quote log lines or name tests.
+var operatorPages = []string{"cluster", "counting-rules", "debts", "drill", "failover", "migration"}
+
 var backticked = regexp.MustCompile("`([^`]*)`")
 
 // pageLine is a text between backticks on the page.
@@ -30,15 +32,12 @@
 // TestOncall_namesTheCodesLogLines fails where a log line of the page is in no Go file of the product, or a warning or
 // error that the code logs is not on the page.
 func TestOncall_namesTheCodesLogLines(t *testing.T) {
-	page, err := os.ReadFile(oncallPage)
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := readPage(t, "oncall")
 	messages, problems := messagesIn(t, productPackages(t))
 	if len(messages) == 0 {
 		t.Fatal("no log line found in the code")
 	}
-	for _, problem := range append(problems, compare(string(page), messages)...) {
+	for _, problem := range append(problems, compare(page, messages)...) {
 		t.Error(problem)
 	}
 }
@@ -46,12 +45,8 @@
 // TestPages_quoteLogLinesAsInTheCode fails where another page for operators quotes a log line that is in no Go file.
 func TestPages_quoteLogLinesAsInTheCode(t *testing.T) {
 	messages, _ := messagesIn(t, productPackages(t))
-	for _, name := range []string{"cluster", "counting-rules", "debts", "drill", "failover", "migration"} {
-		page, err := os.ReadFile(filepath.Join(filepath.Dir(oncallPage), name+".md"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, problems := logLinesOf(string(page), messages)
+	for _, name := range operatorPages {
+		_, problems := logLinesOf(readPage(t, name), messages)
 		for _, problem := range problems {
 			t.Errorf("%s.md: %s", name, problem)
 		}
@@ -172,6 +167,16 @@
 	return lines, problems
 }
 
+// readPage reads a page by its name under docs.
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	page, err := os.ReadFile(filepath.Join("../../docs", name+".md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
+}
+
 // productPackages are the folders of the product's code: what runs at operators', not the laboratory and the tests.
 func productPackages(t *testing.T) []string {
 	t.Helper()
