--- a/cmd/harrierhoist/clients_test.go
+++ b/cmd/harrierhoist/clients_test.go
@@ -29,7 +29,7 @@
 			gateway.connect()
 		}
 	}
-	if strings.Count(gateway.log.String(), "could not be accepted") > 0 {
+	if strings.Count(gateway.log.String(), "listener: accept failed") > 0 {
 		t.Error(gateway.log)
 	}
 }
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -143,7 +143,7 @@
 		c.send(queryCommand("c=look,t=wide,d=9000"))
 		c.want("later")
 	}
-	if n := strings.Count(gateway.log.String(), "could not be accepted"); n > 0 {
+	if n := strings.Count(gateway.log.String(), "listener: accept failed"); n > 0 {
 		t.Errorf("%d times no client could be accepted", n)
 	}
 	if !strings.Contains(gateway.log.String(), `"sockets":1024,"descriptors":64`) {
--- a/internal/listener/acceptbackoff.go
+++ b/internal/listener/acceptbackoff.go
@@ -8,34 +8,43 @@
 	"go.uber.org/zap"
 )
 
+// After a failed accept the listener waits for initialAcceptBackoff, and twice as long after each further failure, up to
+// maxAcceptBackoff: other goroutines release what is lacking, and retrying at once would take the processor time that they
+// need for it. Cost: a client that connects in that moment waits as much longer.
 const (
-	// After an accept that failed the next waits from shortFirst, twice as long each time, to shortMost: what is
-	// lacking is given back by others, and asking on and on takes the time that they need for it. Harm: a client
-	// that connects just then waits so much longer.
-	acceptBackoffMin  = time.Millisecond
-	acceptBackoffMax  = 100 * time.Millisecond
-	acceptLogInterval = 10 * time.Second // between lines in the log, which had one for every try
+	initialAcceptBackoff = time.Millisecond
+	maxAcceptBackoff     = 100 * time.Millisecond
+	acceptLogInterval    = 10 * time.Second // between log lines, of which there would be one for each failure
 )
 
-// acceptBackoff is how accepting fails at present; of Serve alone.
+// acceptBackoff tracks failures to accept. Only the goroutine of Serve uses it.
 type acceptBackoff struct {
 	delay       time.Duration
-	lastFailure time.Time // when accepting failed
-	lastLogged  time.Time // when the log said so
+	lastFailure time.Time
+	lastLogged  time.Time
 }
 
-// wait waits after an accept that failed, and where descriptors lack has one idle client give its own back.
-func (s *acceptBackoff) wait(f *Listener, err error) {
-	now := time.Now()
-	if s.delay = min(2*s.delay, acceptBackoffMax); now.Sub(s.lastFailure) > 2*acceptBackoffMax { // clients were accepted since
-		s.delay = acceptBackoffMin
+// next records a failure, and returns how long to wait after it and whether it should be logged.
+func (b *acceptBackoff) next(now time.Time) (delay time.Duration, shouldLog bool) {
+	b.delay = min(2*b.delay, maxAcceptBackoff)
+	if now.Sub(b.lastFailure) > 2*maxAcceptBackoff { // connections were accepted since
+		b.delay = initialAcceptBackoff
 	}
-	if s.lastFailure = now; now.Sub(s.lastLogged) >= acceptLogInterval {
-		s.lastLogged = now
-		f.log.Warn("a client could not be accepted", zap.Error(err))
+	b.lastFailure = now
+	if shouldLog = now.Sub(b.lastLogged) >= acceptLogInterval; shouldLog {
+		b.lastLogged = now
+	}
+	return b.delay, shouldLog
+}
+
+// handleAcceptError waits after a failed accept. If file descriptors are exhausted, it evicts an idle connection first.
+func (l *Listener) handleAcceptError(backoff *acceptBackoff, err error) {
+	delay, shouldLog := backoff.next(time.Now())
+	if shouldLog {
+		l.log.Warn("listener: accept failed", zap.Error(err))
 	}
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-		f.evict(0)
+		l.connections.evict(0)
 	}
-	time.Sleep(s.delay)
+	time.Sleep(delay)
 }
--- a/internal/listener/acceptbackoff_test.go
+++ b/internal/listener/acceptbackoff_test.go
@@ -10,32 +10,34 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// exhaustedListener is a listener without a descriptor for its next client until so many idle ones have given theirs back.
+// exhaustedListener has no file descriptor for a connection until so many idle connections were closed.
 type exhaustedListener struct {
 	net.Listener
-	f        *Listener
+	table    *connectionTable
 	needed   int
 	attempts int
 }
 
 func (l *exhaustedListener) Accept() (net.Conn, error) {
-	if l.attempts++; l.f.closedClients() >= l.needed || l.attempts > 50 {
+	if l.attempts++; l.table.closedCount() >= l.needed || l.attempts > 50 {
 		return nil, net.ErrClosed
 	}
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// Without a descriptor for the next client, nothing was done but to ask again, a thousand times a second, with a line
-// each time.
+// Without a file descriptor for the next connection, each failed accept evicts one, and they are logged once.
 func TestAccept_evictsIdleClientsWithoutDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	f := fullListener(t, 2) // six of eight are idle
-	f.acceptDone, f.log = make(chan struct{}), zap.New(core)
-	l := &exhaustedListener{f: f, needed: 5}
-	if err := f.Serve(l); err != nil {
+	l := &Listener{connections: fullConnectionTable(t, 2), drain: newDrainState(), log: zap.New(core)} // six of eight are idle
+	socket := &exhaustedListener{table: l.connections, needed: 5}
+	if err := l.Serve(socket); err != nil {
 		t.Fatal(err)
 	}
-	if f.closedClients() != l.needed || l.attempts != l.needed+1 || logs.Len() != 1 {
-		t.Errorf("%d idle clients made room, %d tries, %d lines", f.closedClients(), l.attempts, logs.Len())
+	closed := l.connections.closedCount()
+	if closed != socket.needed || socket.attempts != socket.needed+1 {
+		t.Errorf("%d connections evicted, %d attempts", closed, socket.attempts)
+	}
+	if logs.Len() != 1 || logs.FilterMessage("listener: accept failed").Len() != 1 {
+		t.Errorf("logged %v", logs.All())
 	}
 }
--- a/internal/listener/client.go
+++ b/internal/listener/client.go
@@ -2,179 +2,166 @@
 
 import (
 	"errors"
+	"maps"
 	"net/textproto"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
 	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
+	"harrierhoist/internal/upstream"
 )
 
-// client is one connection.
+const (
+	commandTimeout        = time.Second           // a client that takes longer over a command is none; see silentTimeout
+	malformedCloseTimeout = time.Second           // how long a client has to read the answer to a malformed command
+	rejectedCommandPause  = 10 * time.Millisecond // between the commands of a client, after one that was answered at once
+	maxInFlightPerConn    = 16                    // requests in flight on a connection: clients send one, floods send hundreds
+)
+
+// client reads the commands of one connection and has them answered in order.
 type client struct {
 	listener       *Listener
-	conn           *resp.Conn
-	inFlightTokens chan struct{}      // one a task that may yet come in hand: bounds them
-	pipeline       textproto.Pipeline // answers go in the order of their tasks
+	conn           *connection
+	inFlightTokens chan struct{}      // one for each command that may yet be in flight
+	pipeline       textproto.Pipeline // puts the answers in the order of the commands
 
-	mu         sync.Mutex
-	requests   map[*dispatch.Request]struct{}
-	commands   int       // commands in hand
-	lastUsed   time.Time // when it came, or was last answered
-	unanswered bool      // nothing was answered yet
-	closed     bool      // the connection has ended
-	closedAt   time.Time // when its last answer ended it; zero: not so
+	mu       sync.Mutex                     // guards requests
+	requests map[*dispatch.Request]struct{} // admitted, and not completed
+}
 
-	readAhead bool // the reader's own: it has read on into the next command, which is counted
+func newClient(l *Listener, conn *resp.Conn) *client {
+	c := &client{
+		listener: l, conn: newConnection(conn, l.drain), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
+		requests: map[*dispatch.Request]struct{}{},
+	}
+	for range maxInFlightPerConn {
+		c.inFlightTokens <- struct{}{}
+	}
+	return c
 }
 
-// serve reads commands until the client goes, which it sees also while tasks are out. It owns the connection.
+// serve reads commands until the client disconnects, which it notices also while requests are in flight. It owns the
+// connection.
 func (c *client) serve() {
 	defer c.disconnect()
-	for c.awaitCommand() && c.waitConnected(c.inFlightTokens, nil) {
-		cmd, err := c.readCommand()
-		var bad resp.ProtocolError
-		stuck := errors.Is(err, os.ErrDeadlineExceeded) && c.hasOtherCommands() // half a command: those before it are answered yet
-		if err != nil && !stuck && !errors.As(err, &bad) {
-			return
-		}
-		c.countReadAhead()
-		turn := c.pipeline.Next()
-		if err != nil {
-			c.answerMalformed(turn, stuck, bad)
+	for c.conn.awaitCommand() && c.conn.waitConnected(c.inFlightTokens, nil) {
+		if !c.serveCommand() {
 			return
 		}
-		age, gone := c.conn.PeerState()
-		if gone && len(cmd.Words) > 1 { // who only asks whether we are there may end its sending with that
-			c.discard(cmd)
-			return
-		}
-		if e, what, line := c.admitCommand(cmd, age); line != "" {
-			c.discard(cmd)
-			go c.answer(turn, func() error { return c.conn.WriteLine(line) })
-			if line != answerPong {
-				time.Sleep(rejectedCommandPause) // else one that goes on and on takes all of our time
-			}
-		} else {
-			c.listener.startWork(job{c, turn, e, what, cmd.memory})
-		}
 	}
 }
 
-// answer writes an answer when its turn has come. In a front that closes, the last one ends the connection.
-func (c *client) answer(turn uint, write func() error) {
-	c.pipeline.StartResponse(turn)
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	var err error
-	if c.listener.draining.Load() {
-		err = c.answerLast(write)
-	} else {
-		err = write()
+// serveCommand reads one command and starts its execution. It returns false if nothing more is to be read.
+func (c *client) serveCommand() bool {
+	command, err := c.readCommand()
+	var malformed resp.ProtocolError
+	// A command that has come only in part has no answer, but the commands before it get theirs.
+	isPartial := errors.Is(err, os.ErrDeadlineExceeded) && c.conn.isPipelined()
+	if err != nil && !isPartial && !errors.As(err, &malformed) {
+		return false
 	}
+	c.conn.countReadAhead()
+	turn := c.pipeline.Next()
 	if err != nil {
-		_ = c.conn.Close() // before the next one's turn: behind part of this answer, it would be read as the rest
+		c.answerUnreadable(turn, isPartial, malformed)
+		return false
 	}
-	c.mu.Lock()
-	c.commands--
-	c.lastUsed, c.unanswered = time.Now(), false
-	c.mu.Unlock()
-	c.pipeline.EndResponse(turn)
-	c.inFlightTokens <- struct{}{}
+	age, isClosed := c.conn.PeerState()
+	if isClosed && len(command.Words) > 1 { // a health check, of one word, may close its sending half with it
+		c.discard(command)
+		return false
+	}
+	request, message, reply := c.admitCommand(command, age)
+	if reply == "" {
+		c.listener.workers.run(job{c, turn, request, message, command.memory})
+		return true
+	}
+	c.discard(command)
+	go c.answer(turn, func() error { return c.conn.WriteLine(reply) })
+	if reply != replyPong {
+		time.Sleep(rejectedCommandPause) // a client that sends such commands on and on would take all processor time
+	}
+	return true
 }
 
-// idleState tells since when the connection has been idle, if it is, and whether it never asked anything: closed then,
-// it costs its client nothing but a new one. Who has just connected has sent a task, or is about to; closed on, it
-// would take that for lost.
-func (c *client) idleState() (since time.Time, mum, idle bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastUsed, c.unanswered && c.commands == 0, c.isIdle()
+// admitCommand parses a command and admits the request under the same settings, or returns a line that answers it at once.
+func (c *client) admitCommand(command *pendingCommand, age time.Duration) (*dispatch.Request, *upstream.Command, string) {
+	c.listener.settingsMu.RLock()
+	defer c.listener.settingsMu.RUnlock()
+	spec, message, reply := c.listener.parse(command, age)
+	if reply != "" {
+		return nil, nil, reply
+	}
+	return c.admit(spec), message, ""
 }
 
-func (c *client) isIdle() bool {
-	return c.commands == 0 && !c.closed && (!c.unanswered || time.Since(c.lastUsed) >= newClientGrace)
+// admit passes a request to the dispatcher, and remembers it so as to report a disconnect.
+func (c *client) admit(spec dispatch.RequestSpec) *dispatch.Request {
+	request := c.listener.dispatcher.Admit(spec)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[request] = struct{}{}
+	return request
 }
 
-// closeIfIdle ends the connection if it is idle, and tells whether it did. What has come and was not read yet is to be
-// read and answered: no byte of a command is read before begin. What crosses the end is not taken: the client can
-// tell, and sends it again elsewhere. An answer that is still on its way to a slow client would go with the end.
-func (c *client) closeIfIdle() bool {
+// complete forgets a request that needs no report of a disconnect any more.
+func (c *client) complete(request *dispatch.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isIdle() || !c.conn.IsQuiet() || c.conn.HasUnacknowledged() && time.Since(c.lastUsed) < writeTimeout {
-		return false
-	}
-	c.closed = true
-	c.conn.Reset()
-	return true
+	delete(c.requests, request)
 }
 
-// awaitCommand waits for a command and counts it; false: nothing more is read.
-func (c *client) awaitCommand() bool {
-	if c.readAhead {
-		c.readAhead = false
-		return c.conn.Await() == nil
+// answer writes an answer when its turn has come. During a drain the last answer closes the connection.
+func (c *client) answer(turn uint, write func() error) {
+	c.pipeline.StartResponse(turn)
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only, where the write fails as well
+	var err error
+	if c.listener.drain.active.Load() {
+		err = c.conn.writeLast(write)
+	} else {
+		err = write()
 	}
-	if err := c.conn.Await(); err == nil && c.beginCommand() {
-		return true
-	} else if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		c.awaitClose()
+	if err != nil {
+		_ = c.conn.Close() // before the next turn: an answer behind a part of this one would be read as its rest
 	}
-	return false
+	c.conn.endCommand()
+	c.pipeline.EndResponse(turn)
+	c.inFlightTokens <- struct{}{}
 }
 
-// beginCommand counts a command whose first byte has come, unless the connection was given up meanwhile, or ends with the
-// answers that are in hand.
-func (c *client) beginCommand() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed || (c.commands > 0 || !c.unanswered) && c.listener.isReadOver() {
-		return false
+// answerUnreadable answers a command that could not be read, in its turn, and closes the connection. A partial command has no
+// answer of its own: those before it are written.
+func (c *client) answerUnreadable(turn uint, isPartial bool, malformed resp.ProtocolError) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		c.answer(turn, func() error {
+			if isPartial {
+				return nil
+			}
+			return c.conn.WriteLine("-ERR " + malformed.Error())
+		})
+	}()
+	if c.conn.waitConnected(done, nil) {
+		c.conn.CloseAfterError(malformedCloseTimeout)
 	}
-	c.commands++
-	return true
 }
 
-// countReadAhead counts the next command as soon as a byte of it was read, while the one before is still counted: in between,
-// its answer would end the connection, and what was read on would be lost.
-func (c *client) countReadAhead() {
-	if c.conn.IsDrained() {
-		return
-	}
-	if c.listener.isReadOver() {
-		c.conn.StopReadAhead()
+// disconnect reports to the dispatcher which requests have lost their client, and gives the slot back.
+func (c *client) disconnect() {
+	c.conn.markClosed()
+	for _, request := range c.openRequests() {
+		request.Disconnect()
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.readAhead = true
-	c.commands++
+	_ = c.conn.Close() // it may be closed already
+	c.listener.connections.remove(c.conn)
 }
 
-// hasOtherCommands tells whether other commands are in hand than the one that is being read.
-func (c *client) hasOtherCommands() bool {
+func (c *client) openRequests() []*dispatch.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.commands > 1
-}
-
-// disconnect tells the gate which tasks have lost their client, and gives the place back.
-func (c *client) disconnect() {
-	c.mu.Lock()
-	c.closed = true
-	var left []*dispatch.Request
-	for e := range c.requests {
-		left = append(left, e)
-	}
-	c.mu.Unlock()
-	for _, e := range left {
-		e.Disconnect()
-	}
-	_ = c.conn.Close()
-	f := c.listener
-	f.mu.Lock()
-	delete(f.clients, c)
-	f.mu.Unlock()
-	<-f.slots
-	f.clientsDone.Done()
+	return slices.Collect(maps.Keys(c.requests))
 }
--- /dev/null
+++ b/internal/listener/client_test.go
@@ -0,0 +1,104 @@
+package listener
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// testClient is the client's end of a connection.
+type testClient struct {
+	*testing.T
+	*net.TCPConn
+	in *bufio.Reader
+}
+
+func (f *fixture) dial() *testClient {
+	f.Helper()
+	return f.dialWith(&net.Dialer{})
+}
+
+// dialNarrow connects a client whose system takes only a little before the client reads.
+func (f *fixture) dialNarrow() *testClient {
+	f.Helper()
+	return f.dialWith(&net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+	}})
+}
+
+func (f *fixture) dialWith(dialer *net.Dialer) *testClient {
+	f.Helper()
+	conn, err := dialer.Dial("tcp", f.socket.Addr().String())
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
+	return &testClient{f.T, conn.(*net.TCPConn), bufio.NewReader(conn)}
+}
+
+func (c *testClient) send(text string) {
+	c.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		c.Fatal(err)
+	}
+}
+
+// readAnswer reads an answer: a line, or the bytes of a value.
+func (c *testClient) readAnswer() string {
+	c.Helper()
+	line, err := c.in.ReadString('\n')
+	if size := 0; err == nil && line[0] == '$' {
+		_, _ = fmt.Sscanf(line, "$%d", &size)
+		value := make([]byte, size+2)
+		_, err = io.ReadFull(c.in, value)
+		line = string(value)
+	}
+	if err != nil {
+		c.Fatal(err)
+	}
+	return strings.TrimSuffix(line, "\r\n")
+}
+
+// want reads an answer and compares it with a pattern.
+func (c *testClient) want(pattern string) {
+	c.Helper()
+	if answer := c.readAnswer(); !regexp.MustCompile("^(" + pattern + ")$").MatchString(answer) {
+		c.Fatalf("answered %.40q, want %.40s", answer, pattern)
+	}
+}
+
+// wantClose wants no more than the end of the connection: an orderly close.
+func (c *testClient) wantClose() {
+	c.Helper()
+	if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
+		c.Fatalf("%d more bytes, error %v; want an orderly close", len(rest), err)
+	}
+}
+
+// wantReset wants no more than the end of the connection: a reset.
+func (c *testClient) wantReset() {
+	c.Helper()
+	if rest, err := io.ReadAll(c.in); len(rest) > 0 || !errors.Is(err, syscall.ECONNRESET) {
+		c.Fatalf("%d more bytes, error %v; want a reset", len(rest), err)
+	}
+}
+
+// wantWriteError wants a further write to fail because the listener has closed the connection.
+func (c *testClient) wantWriteError() {
+	c.Helper()
+	_, err := c.Write([]byte("x"))
+	if err == nil { // the reset may come with this one
+		_, err = c.Write([]byte("x"))
+	}
+	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		c.Errorf("a further write ended with %v", err)
+	}
+}
--- a/internal/listener/close.go
+++ b/internal/listener/close.go
@@ -10,63 +10,74 @@
 )
 
 const (
-	closeTimeout      = time.Second           // a client has so long to close a connection that its last answer ended
-	closePollInterval = 50 * time.Millisecond // how often it is looked for what ended
+	closeTimeout      = time.Second           // how long a client has to close a connection that its last answer closed
+	closePollInterval = 50 * time.Millisecond // between looks at whether such a connection was closed
 )
 
-// answerLast writes an answer in a front that closes, and ends the connection with it if nothing else is in hand on it. The
-// end of the answer and the end of the connection go out in one: ended a moment after it, the connection could cross
-// the next task of a client that asks at once. The reader sees the client close, or lingers over what was sent on.
-func (c *client) answerLast(write func() error) error {
+// halfCloser is a connection whose sending half can be closed on its own.
+type halfCloser interface{ CloseWrite() error }
+
+// writeLast writes an answer during a drain, and closes the sending half with it if no other command is in flight. The end of
+// the answer and of the connection leave in one segment: closed a moment later, the connection could cross the next request
+// of a client that asks at once. The reader then waits for the client to close, or leaves what it still sends unread.
+func (c *connection) writeLast(write func() error) error {
 	c.setCork(1)
 	err := write()
 	c.mu.Lock()
-	if !c.closed && err == nil && c.commands == 1 && c.conn.IsQuiet() {
+	if !c.closed && err == nil && c.commands == 1 && c.IsQuiet() {
 		c.closed, c.closedAt = true, time.Now()
 	}
-	over := c.closed
+	isOver := c.closed && err == nil
 	c.mu.Unlock()
-	if half, ok := c.conn.Conn.(interface{ CloseWrite() error }); over && err == nil && ok && half.CloseWrite() == nil {
-		_ = c.conn.SetReadDeadline(time.Now().Add(closeTimeout))
+	if half, ok := c.Conn.Conn.(halfCloser); isOver && ok && half.CloseWrite() == nil {
+		_ = c.SetReadDeadline(time.Now().Add(closeTimeout)) // fails on a closed connection only, where the reader has ended
 		return nil
 	}
 	c.setCork(0)
-	if over && err == nil {
-		_ = c.conn.Close()
+	if isOver {
+		_ = c.Close()
 	}
 	return err
 }
 
-// awaitClose reads nothing more, and waits until the client has closed a connection whose last answer has ended it, or is
-// about to; or until it has had its time for that. A close over what came and is not read resets the connection, and
-// the system would throw away what it still holds of the answer. Harm: a client that never closes keeps its place so long.
-func (c *client) awaitClose() {
+// awaitClose reads nothing more, and waits until the client has closed a connection that the last answer has closed or is about
+// to close, or until the client's time for that is over. Closing a connection with unread bytes resets it, and the system
+// would discard what it still holds of the answer. Cost: a client that never closes keeps its slot for that time.
+func (c *connection) awaitClose() {
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(closePollInterval))
-		if err := c.conn.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		_ = c.SetReadDeadline(time.Now().Add(closePollInterval))
+		if err := c.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		c.mu.Lock()
-		last := c.commands == 0 && !c.closed // answered just before the front closed
-		if last {
-			c.closed, c.closedAt = true, time.Now()
-		}
-		past := time.Since(c.closedAt)
-		waits := c.closedAt.IsZero() || past < closeTimeout || past < writeTimeout && c.conn.HasUnacknowledged()
-		c.mu.Unlock()
-		if half, ok := c.conn.Conn.(interface{ CloseWrite() error }); last && ok {
-			_ = half.CloseWrite()
+		closedNow, isWaiting := c.closeAnswered()
+		if half, ok := c.Conn.Conn.(halfCloser); closedNow && ok {
+			_ = half.CloseWrite() // on an error the client sees the close when its time is over
 		}
-		if !waits {
+		if !isWaiting {
 			return
 		}
 	}
 }
 
-// setCork has the system keep back the last bytes written, or let them go. Without it they are merely sent sooner.
-func (c *client) setCork(on int) {
-	if sock, ok := c.conn.Conn.(syscall.Conn); ok {
-		if raw, err := sock.SyscallConn(); err == nil {
+// closeAnswered marks the connection closed if its last answer was written just before the drain began, without closing it.
+// It reports that, and whether to wait on for the client to close.
+func (c *connection) closeAnswered() (closedNow, isWaiting bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	closedNow = c.commands == 0 && !c.closed
+	if closedNow {
+		c.closed, c.closedAt = true, time.Now()
+	}
+	waited := time.Since(c.closedAt)
+	isWaiting = c.closedAt.IsZero() || waited < closeTimeout || waited < writeTimeout && c.HasUnacknowledged()
+	return closedNow, isWaiting
+}
+
+// setCork makes the system hold back the last partial segment written (1), or send it (0). Where that is not possible, it is
+// merely sent sooner.
+func (c *connection) setCork(on int) {
+	if socket, ok := c.Conn.Conn.(syscall.Conn); ok {
+		if raw, err := socket.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) {
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_CORK, on)
 			})
--- a/internal/listener/close_test.go
+++ b/internal/listener/close_test.go
@@ -3,110 +3,109 @@
 import (
 	"errors"
 	"io"
-	"syscall"
 	"testing"
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Commands read on with the one before, whose answer comes first: it does not end the connection over them.
+// Commands that were read ahead with the one before: its answer does not close the connection before theirs.
 func TestDrain_answersAllCommandsReadAtOnce(t *testing.T) {
-	h := newDrainFixture(t, 8, nil, answerHello)
-	h.startDraining()
-	c := h.dial()
-	odd := fakes.FormatCommand("ODD") // answered at once, and the reader pauses behind it
-	c.send(odd + odd + odd + odd)
+	f := newDrainFixture(t, 8, nil, answerHello)
+	f.activateDrain(time.Hour)
+	c := f.dial()
+	unknown := fakes.FormatCommand("ODD") // answered at once, and the reader pauses behind it
+	c.send(unknown + unknown + unknown + unknown)
 	for range 4 {
 		c.want("-ERR unknown command")
 	}
-	c.wantEnd(nil)
+	c.wantClose()
 	_ = c.Close()
-	h.awaitEmpty()
+	f.awaitEmpty()
 }
 
-// One answer of three is out as the front closes.
+// One of three answers is written as the drain begins.
 func TestDrain_answersPipelinedRequestsInOrder(t *testing.T) {
-	let := map[int]chan bool{2: make(chan bool), 3: make(chan bool)}
-	h := newDrainFixture(t, 8, nil, answerByNumber(let))
-	rests := h.dial()
-	c := h.dial()
+	release := map[int]chan bool{2: make(chan bool), 3: make(chan bool)}
+	f := newDrainFixture(t, 8, nil, answerByNumber(release))
+	idle := f.dial()
+	c := f.dial()
 	c.send(query(1) + query(2) + query(3))
 	c.want("value 1")
-	ended := h.drain()
-	rests.wantEnd(syscall.ECONNRESET)
-	close(let[3])
-	close(let[2])
+	finished := f.startDrain()
+	idle.wantReset()
+	close(release[3])
+	close(release[2])
 	c.want("value 2")
 	c.want("value 3")
-	c.wantEnd(nil)
+	c.wantClose()
 	_ = c.Close()
-	h.awaitDrained(ended)
+	f.awaitDrained(finished)
 }
 
-// Half a command stands as the front closes; the other half comes.
+// Half of a command has been read as the drain begins, and the other half arrives later.
 func TestDrain_answersCommandReadInPart(t *testing.T) {
-	h := newDrainFixture(t, 8, nil, answerHello)
-	c := h.dial()
+	f := newDrainFixture(t, 8, nil, answerHello)
+	c := f.dial()
 	text := query(1)
 	c.send(text[:20])
-	near := <-h.came
-	fakes.Eventually(t, "its half", func() bool { return near.read.Load() == 20 })
-	h.startDraining()
-	h.f.closeIdle()
+	near := <-f.accepted
+	fakes.Eventually(t, "the first half read", func() bool { return near.readBytes.Load() == 20 })
+	f.activateDrain(time.Hour)
+	f.connections.closeIdle(isDueInDrain)
 	c.send(text[20:])
 	c.want("hello")
-	c.wantEnd(nil)
+	c.wantClose()
 	_ = c.Close()
-	h.awaitEmpty()
+	f.awaitEmpty()
 }
 
-// Half a command that never becomes whole ends the connection, but not before what was read before it is answered.
+// A command that is never completed closes the connection, but not before the commands before it are answered.
 func TestPartialCommand_earlierRequestsAreAnswered(t *testing.T) {
-	let := map[int]chan bool{1: make(chan bool)}
-	given := make(chan bool, 100)
-	h := newDrainFixture(t, 8, func(c *tappedConn) {
-		c.words = func(at time.Time) { given <- at.IsZero() }
-	}, answerByNumber(let))
-	c := h.dial()
+	release := map[int]chan bool{1: make(chan bool)}
+	isRead := make(chan bool, 100)
+	f := newDrainFixture(t, 8, func(c *tappedConn) {
+		c.onReadDeadline = func(deadline time.Time) { isRead <- deadline.IsZero() }
+	}, answerByNumber(release))
+	c := f.dial()
 	c.send(query(1) + query(2)[:30])
-	for n := 0; n < 2; { // the words of the first are read, those of the second given up
-		if <-given {
+	for n := 0; n < 2; { // the first command is read, the second one given up
+		if <-isRead {
 			n++
 		}
 	}
-	close(let[1])
+	close(release[1])
 	c.want("value 1")
-	c.wantEnd(nil)
+	c.wantClose()
 }
 
-// An answer that fails half-way is not followed by the next one, which would be read as its rest.
+// An answer whose write fails in the middle is not followed by the next one, which would be read as its rest.
 func TestFailedAnswer_nextIsNotWritten(t *testing.T) {
-	let := map[int]chan bool{1: make(chan bool)}
+	release := map[int]chan bool{1: make(chan bool)}
 	events := make(chan string, 10)
-	var at *client
-	h := newDrainFixture(t, 8, func(c *tappedConn) {
-		hold := once(func() { at.mu.Lock() }) // nobody counts the answer as over before it is seen what follows it
-		c.write = func(p []byte) (int, error) {
+	var conn *connection
+	f := newDrainFixture(t, 8, func(near *tappedConn) {
+		hold := once(func() { conn.mu.Lock() }) // the answer cannot be counted as written before the test has seen what follows it
+		near.write = func(p []byte) (int, error) {
 			hold()
 			events <- "write"
-			n, _ := c.TCPConn.Write(p[:3])
-			return n, errors.New("it failed")
+			n, _ := near.TCPConn.Write(p[:3])
+			return n, errors.New("write fails")
 		}
-		c.closes = once(func() { events <- "close" })
-	}, answerByNumber(let))
-	c := h.dial()
-	at = h.clientOf(c)
-	c.send(query(1) + ping)
-	h.server.NextCommand(t)
-	close(let[1])
-	first, then := <-events, <-events
-	at.mu.Unlock()
-	if first != "write" || then != "close" {
-		t.Errorf("%s, then %s", first, then)
+		near.beforeClose = once(func() { events <- "close" })
+	}, answerByNumber(release))
+	client := f.dial()
+	conn = f.connectionOf(client)
+	client.send(query(1) + pingCommand)
+	f.server.NextCommand(t)
+	close(release[1])
+	first, second := <-events, <-events
+	conn.mu.Unlock()
+	if first != "write" || second != "close" {
+		t.Errorf("%s, then %s", first, second)
 	}
-	if rest, _ := io.ReadAll(c.in); len(rest) != 3 {
-		t.Errorf("the client got %q", rest)
+	if received, _ := io.ReadAll(client.in); len(received) != 3 {
+		t.Errorf("the client received %q", received)
 	}
-	h.awaitEmpty()
+	f.awaitEmpty()
 }
--- a/internal/listener/disconnect.go
+++ b/internal/listener/disconnect.go
@@ -1,54 +1,32 @@
 package listener
 
-import (
-	"time"
+import "time"
 
-	"harrierhoist/internal/resp"
-)
-
-// disconnectPollInterval is how often a client is looked at while nothing is read from it: from its end on, what it asked counts as
-// not wanted after 0.1 s.
+// disconnectPollInterval is how often a client is checked for a disconnect while nothing is read from it. 0.1 s after a client
+// has disconnected, its requests must not be attempted any more.
 const disconnectPollInterval = 25 * time.Millisecond
 
-// waitConnected waits for something while nothing is read from the client. False: the time is over, or the client has gone.
-// It guards against an end that stands behind bytes that are not read: a client that sends much at once and goes would
-// have its tasks carried on, and tried again, for nobody.
-func (c *client) waitConnected(done <-chan struct{}, limit <-chan time.Time) bool {
+// waitConnected waits for done while nothing is read from the client. It returns false if limit fires first, or if the client
+// disconnects. A disconnect behind unread bytes would not be noticed otherwise: the requests of a client that sends many at
+// once and disconnects would be attempted and retried for nobody.
+func (c *connection) waitConnected(done <-chan struct{}, limit <-chan time.Time) bool {
 	select {
 	case <-done:
 		return true
 	default:
 	}
-	look := time.NewTicker(disconnectPollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(disconnectPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return true
 		case <-limit:
 			return false
-		case <-look.C:
-			if c.conn.IsPeerClosed() {
+		case <-ticker.C:
+			if c.IsPeerClosed() {
 				return false
 			}
 		}
 	}
 }
-
-// answerMalformed answers a message that could not be read, in its turn, and ends the connection. One that got stuck half-way has
-// no answer of its own: those before it are answered.
-func (c *client) answerMalformed(turn uint, stuck bool, bad resp.ProtocolError) {
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		c.answer(turn, func() error {
-			if stuck {
-				return nil
-			}
-			return c.conn.WriteLine("-ERR " + bad.Error())
-		})
-	}()
-	if c.waitConnected(done, nil) {
-		c.conn.CloseAfterError(malformedCloseTimeout)
-	}
-}
--- a/internal/listener/disconnect_test.go
+++ b/internal/listener/disconnect_test.go
@@ -12,108 +12,113 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// disconnectBound is what an end may take to be noticed. It is to be 0.1 s, which goneLook keeps; the rest is for a machine that is
-// busy with other tests. What goes wrong takes 14 s, the tasks' deadline.
+// disconnectBound is within what a disconnect must be noticed here. The listener is to notice it within 0.1 s, as
+// disconnectPollInterval provides; the rest is for a machine that is busy with other tests. A disconnect that is missed takes
+// 14 s, the requests' deadline.
 const disconnectBound = commandTimeout / 2
 
-// disconnects is how a client leaves.
+// disconnects are the ways in which a client disconnects.
 var disconnects = map[string]func(*testClient){
 	"closes":      func(c *testClient) { _ = c.Close() },
 	"half closes": func(c *testClient) { _ = c.CloseWrite() },
 	"resets":      func(c *testClient) { _, _ = c.SetLinger(0), c.Close() },
 }
 
-// A client's end is noticed whatever the reader does with what the client sent before: each task of it is given up.
+// sentBehind is what a client sends behind its first query; "look" stands for another query. Then so many commands are in
+// flight, and so many requests attempted.
+var sentBehind = map[string]struct {
+	text      string
+	inFlight  int
+	attempted int
+}{
+	"nothing":                             {"", 1, 1},
+	"more requests than may be in flight": {strings.Repeat("look", 60), maxInFlightPerConn + 1, maxInFlightPerConn},
+	"malformed command":                   {"*x\r\n", 2, 1},
+	"long malformed command":              {"*x\r\n" + strings.Repeat("y", 100<<10), 2, 1},
+	"many unknown commands":               {strings.Repeat(fakes.FormatCommand("FOO"), 300), maxInFlightPerConn + 1, 1},
+	"value too long": {
+		"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n" + strings.Repeat("y", 65537), 2, 1,
+	},
+	"partial command":                 {"*4\r\n$9\r\nSVC.Q", 2, 1},
+	"partial value":                   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nyy", 2, 1},
+	"request, then a partial command": {"look*4\r\n$9\r\nSVC.Q", 3, 2},
+}
+
+// A disconnect is noticed whatever the reader does with what the client sent before: all requests of the client end.
 func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
-	for name, send := range map[string]struct {
-		behind string
-		inHand int // commands
-		begun  int // tasks
-	}{
-		"nothing more":           {"", 1, 1},
-		"more than is in hand":   {strings.Repeat("look", 60), maxInFlightPerConn + 1, maxInFlightPerConn},
-		"words that are none":    {"*x\r\n", 2, 1},
-		"much that is no words":  {"*x\r\n" + strings.Repeat("y", 100<<10), 2, 1},
-		"bad words in a row":     {strings.Repeat(fakes.FormatCommand("FOO"), 300), maxInFlightPerConn + 1, 1},
-		"a value that is long":   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n" + strings.Repeat("y", 65537), 2, 1},
-		"half a command":         {"*4\r\n$9\r\nSVC.Q", 2, 1},
-		"half a value":           {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nyy", 2, 1},
-		"a command and half one": {"look*4\r\n$9\r\nSVC.Q", 3, 2},
-	} {
-		for way, leave := range disconnects {
+	for name, sent := range sentBehind {
+		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, answerNothing)
-				s := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start() // it takes a few tasks under each of its names
-				c := s.dial()
+				f := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start() // a few attempts under each of its names
+				c := f.dial()
 				c.send(queryCommand())
-				for rest, more := send.behind, true; more; {
+				for rest, more := sent.text, true; more; {
 					var text string
 					if text, rest, more = strings.Cut(rest, "look"); more {
 						text += queryCommand()
 					}
 					c.send(text)
 				}
-				fakes.Eventually(t, "all in hand", func() bool { return s.inHand() == send.inHand })
-				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == send.begun })
-				checkDisconnect(t, s, server, func() { leave(c) })
+				fakes.Eventually(t, "all in flight", func() bool { return f.connections.unansweredCommands() == sent.inFlight })
+				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == sent.attempted })
+				checkDisconnect(t, f, server, func() { disconnect(c) })
 			})
 		}
 	}
 }
 
-// checkDisconnect checks that a client that leaves is soon noticed, and that its tasks, whose attempts then fail at the server, are not
-// tried again: each had one attempt.
-func checkDisconnect(t *testing.T, s *fixture, server *fakes.Server, leave func()) {
+// checkDisconnect checks that a client's disconnect is noticed soon, and that its requests, whose attempts then fail, are not
+// retried: each had one attempt.
+func checkDisconnect(t *testing.T, f *fixture, server *fakes.Server, disconnect func()) {
 	t.Helper()
-	tasks, left := server.PendingCommands(), time.Now()
-	leave()
-	fakes.Eventually(t, "the end", func() bool { return s.clientCount() == 0 })
-	if took := time.Since(left); took > disconnectBound {
+	attempts, disconnected := server.PendingCommands(), time.Now()
+	disconnect()
+	fakes.Eventually(t, "the connection's end", func() bool { return f.connectionCount() == 0 })
+	if took := time.Since(disconnected); took > disconnectBound {
 		t.Errorf("noticed after %v", took)
 	}
 	for server.ConnCount() > 0 {
 		_ = server.NextConn(t).Close()
 	}
-	s.awaitEmpty()
-	if n := server.PendingCommands(); n != tasks {
-		t.Errorf("%d attempts for %d tasks", n, tasks)
+	f.awaitEmpty()
+	if n := server.PendingCommands(); n != attempts {
+		t.Errorf("%d attempts for %d requests", n, attempts)
 	}
 }
 
-// Commands that stand before the end of a client who is gone already are not begun.
+// Commands of a client that has disconnected before they are read are not begun.
 func TestDisconnect_pipelinedRequestsAreNotStarted(t *testing.T) {
-	for name, leave := range map[string]func(*testClient){
-		"closed": func(c *testClient) { _ = c.Close() }, "half closed": func(c *testClient) { _ = c.CloseWrite() },
-	} {
-		t.Run(name, func(t *testing.T) {
+	for _, way := range []string{"closes", "half closes"} {
+		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			server := fakes.NewServer(t, answerNothing)
-			s := newFixture(t, 0, server)
-			c := s.dial()
+			f := newFixture(t, 0, server)
+			c := f.dial()
 			c.send(queryCommand() + queryCommand() + submitCommand("body") + fakes.FormatCommand("FOO") + queryCommand())
-			leave(c)
-			over := make(chan struct{})
-			s.start(func(conn *net.TCPConn) net.Conn {
-				fakes.Eventually(t, "the end", resp.NewConn(conn).IsPeerClosed)
-				return closeNotifier{conn, sync.OnceFunc(func() { close(over) })}
+			disconnects[way](c)
+			closed := make(chan struct{})
+			f.start(func(conn *net.TCPConn) net.Conn {
+				fakes.Eventually(t, "the disconnect", resp.NewConn(conn).IsPeerClosed)
+				return closeNotifier{conn, sync.OnceFunc(func() { close(closed) })}
 			})
-			<-over
-			s.awaitEmpty()
+			<-closed
+			f.awaitEmpty()
 			if n := server.ConnCount() + server.PendingCommands(); n != 0 {
-				t.Errorf("%d begun", n)
+				t.Errorf("%d connections and attempts at the server, want none", n)
 			}
 		})
 	}
 }
 
-// closeNotifier is a connection that tells of its close.
+// closeNotifier is a connection that reports its close.
 type closeNotifier struct {
 	*net.TCPConn
-	closed func()
+	onClose func()
 }
 
 func (c closeNotifier) Close() error {
-	c.closed()
+	c.onClose()
 	return c.TCPConn.Close()
 }
--- a/internal/listener/disconnect_waiting_test.go
+++ b/internal/listener/disconnect_waiting_test.go
@@ -6,67 +6,82 @@
 	"sync"
 	"testing"
 
-	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
-// A client that leaves while its tasks wait, for a server or for the counter's total, has none of them begun once what they
-// waited for is there.
+// heldCounter holds the calls to a counter until they are answered.
+type heldCounter struct {
+	mu    sync.Mutex // guards calls
+	calls []countCallback
+}
+
+func (h *heldCounter) count(reply countCallback) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls = append(h.calls, reply)
+}
+
+// answer answers all calls that were made, also those for clients that have disconnected.
+func (h *heldCounter) answer() {
+	h.mu.Lock()
+	calls := h.calls
+	h.calls = nil
+	h.mu.Unlock()
+	for _, reply := range calls {
+		reply(0, policy.Answered)
+	}
+}
+
+// A client disconnects while its requests wait: none of them is attempted once what they waited for is there.
 func TestDisconnect_waitingRequestsAreNotStarted(t *testing.T) {
-	for name, counted := range map[string]bool{"for a server": false, "for a total": true} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
-			given, servers := testSettings(), []*fakes.Server(nil)
-			var mu sync.Mutex
-			var calls []countCallback
-			var count func(countCallback)
-			if counted {
-				given.CountTimeout = given.Classes[0].Timeout
-				servers = append(servers, server)
-				count = func(told countCallback) {
-					mu.Lock()
-					defer mu.Unlock()
-					calls = append(calls, told)
-				}
-			}
-			s := newFixtureWith(t, given, count, 0, servers...).start()
-			leaves, stays := s.dial(), s.dial()
-			leaves.send(queryCommand() + submitCommand("body") + queryCommand())
-			fakes.Eventually(t, "all in hand", func() bool { return s.inHand() == 3 })
-			_ = leaves.Close()
-			fakes.Eventually(t, "the end", func() bool { return s.clientCount() == 1 })
-			if !counted {
-				s.gate.HandleEndpoints(policy.ListFull, []dispatch.Server{{Name: "s-0", Address: server.Addr, Endpoint: policy.Endpoint{State: policy.Ready}}})
-			}
-			stays.send(queryCommand())
-			fakes.Eventually(t, "the other", func() bool { // totals come, also for those that had left
-				mu.Lock()
-				all := calls
-				calls = nil
-				mu.Unlock()
-				for _, told := range all {
-					told(0, policy.Answered)
-				}
-				return server.PendingCommands() > 0
-			})
-			if line := stays.readAnswer(); line != "hello" {
-				t.Errorf("the other: answered %q", line)
-			}
-			_ = stays.Close()
-			s.awaitEmpty()
-			if n := server.PendingCommands(); n != 1 {
-				t.Errorf("%d begun", n)
-			}
-		})
+	t.Run("for a server", func(t *testing.T) {
+		t.Parallel()
+		server := fakes.NewServer(t, answerHello)
+		f := newFixture(t, 0).start()
+		checkWaitingRequests(t, f, server, func() {
+			f.dispatcher.HandleEndpoints(policy.ListFull, endpointsOf([]*fakes.Server{server}))
+		}, func() {})
+	})
+	t.Run("for a count", func(t *testing.T) {
+		t.Parallel()
+		server := fakes.NewServer(t, answerHello)
+		settings, counter := testSettings(), &heldCounter{}
+		settings.CountTimeout = settings.Classes[0].Timeout
+		f := newFixtureWith(t, settings, counter.count, 0, server).start()
+		checkWaitingRequests(t, f, server, func() {}, counter.answer)
+	})
+}
+
+// checkWaitingRequests checks that the requests of a client that disconnects are not attempted, while those of another client
+// are. After the disconnect, provide is called once, and poll again and again until there is an attempt.
+func checkWaitingRequests(t *testing.T, f *fixture, server *fakes.Server, provide, poll func()) {
+	t.Helper()
+	leaving, staying := f.dial(), f.dial()
+	leaving.send(queryCommand() + submitCommand("body") + queryCommand())
+	fakes.Eventually(t, "all in flight", func() bool { return f.connections.unansweredCommands() == 3 })
+	_ = leaving.Close()
+	fakes.Eventually(t, "the connection's end", func() bool { return f.connectionCount() == 1 })
+	provide()
+	staying.send(queryCommand())
+	fakes.Eventually(t, "the other client's attempt", func() bool {
+		poll()
+		return server.PendingCommands() > 0
+	})
+	if line := staying.readAnswer(); line != "hello" {
+		t.Errorf("the other client: answered %q", line)
+	}
+	_ = staying.Close()
+	f.awaitEmpty()
+	if n := server.PendingCommands(); n != 1 {
+		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
-// The end of a client that takes nothing is seen while an answer is being written to it and tasks are behind that.
+// The disconnect of a client that reads nothing is noticed while an answer is being written to it and requests are behind that.
 func TestDisconnect_isNoticedWhileAnswerIsWritten(t *testing.T) {
-	for name, more := range map[string]int{"some behind": 2, "more than is in hand": 2 * maxInFlightPerConn} {
-		for way, leave := range disconnects {
+	for name, pipelined := range map[string]int{"some pipelined": 2, "more than may be in flight": 2 * maxInFlightPerConn} {
+		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, func(words []string) string {
@@ -75,26 +90,28 @@
 					}
 					return ""
 				})
-				s := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start(func(conn *net.TCPConn) net.Conn {
-					_ = conn.SetWriteBuffer(4 << 10) // far less than the answer
-					return conn
-				})
-				c := s.dial()
-				_ = c.SetReadBuffer(4 << 10)
-				c.send(fakes.FormatCommand("SVC.QUERY", uniqueID(), "first", "c=look,t=wide,d=14000"))
-				for range more {
-					c.send(queryCommand())
+				f := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start(withSmallWriteBuffer)
+				client := f.dial()
+				_ = client.SetReadBuffer(4 << 10)
+				client.send(fakes.FormatCommand("SVC.QUERY", uniqueID(), "first", "c=look,t=wide,d=14000"))
+				for range pipelined {
+					client.send(queryCommand())
 				}
-				begun := min(1+more, maxInFlightPerConn)
-				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == begun })
-				fakes.Eventually(t, "the answer", func() bool {
-					s.mu.Lock()
-					defer s.mu.Unlock()
-					_, open := s.openIDs["first"]
-					return !open && len(s.openIDs) == begun-1
+				attempted := min(1+pipelined, maxInFlightPerConn)
+				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == attempted })
+				fakes.Eventually(t, "the answer being written", func() bool {
+					open := f.openIDs()
+					_, isFirstOpen := open["first"]
+					return !isFirstOpen && len(open) == attempted-1
 				})
-				checkDisconnect(t, s, server, func() { leave(c) })
+				checkDisconnect(t, f, server, func() { disconnect(client) })
 			})
 		}
 	}
 }
+
+// withSmallWriteBuffer makes a connection's system hold far less than the longest answer.
+func withSmallWriteBuffer(conn *net.TCPConn) net.Conn {
+	_ = conn.SetWriteBuffer(4 << 10)
+	return conn
+}
--- a/internal/listener/drain.go
+++ b/internal/listener/drain.go
@@ -1,124 +1,106 @@
 package listener
 
 import (
-	"errors"
 	"net"
-	"os"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
 )
 
+// Times of a drain, which begins at SIGTERM.
 const (
-	backlogTimeout    = 100 * time.Millisecond // who stands in line to be accepted comes within this of the one before
-	readAfterTerm     = 700 * time.Millisecond // after SIGTERM: what comes later may be found unanswered by SIGKILL
-	killGrace         = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline (talkMost, if longer), no sooner
-	killMargin        = 100 * time.Millisecond // before SIGKILL all that is read late is decided
-	drainIdleTimeout  = 250 * time.Millisecond // who was answered within this asks on: its next answer ends its connection
-	drainPollInterval = 50 * time.Millisecond  // how often connections that have been idle for longer are looked for
+	// acceptAfterTerm: clients connect for 0.4 s after SIGTERM, and every limit has 50 ms more.
+	acceptAfterTerm = 450 * time.Millisecond
+	// backlogTimeout: a connection of the backlog is accepted within this of the one before.
+	backlogTimeout = 100 * time.Millisecond
+	// readAfterTerm: what arrives later may be found unanswered by SIGKILL.
+	readAfterTerm = 700 * time.Millisecond
+	// killGrace: SIGKILL comes this long after the longest deadline, or after writeTimeout if that is shorter, and no sooner.
+	killGrace = 700 * time.Millisecond
+	// killMargin: all that is read late is decided this long before SIGKILL.
+	killMargin = 100 * time.Millisecond
+	// drainIdleTimeout: a client that was answered within this asks again, and its next answer closes its connection.
+	drainIdleTimeout = 250 * time.Millisecond
+	// drainPollInterval is the time between searches for connections that have been idle for longer.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// Drain keeps taking for a while, then only those who stand in line, ends each connection with an answer, or where it
-// stays idle, and waits until everything held is answered. It gives up only long after SIGKILL is due: what SIGKILL finds
-// unanswered came early and has a long deadline, or is not read any more; given up by ourselves it would be lost.
-func (f *Listener) Drain(l net.Listener) {
-	defer close(f.drainDone)
-	began := time.Now()
-	time.Sleep(acceptAfterTerm)
-	f.readUntil, f.answerUntil = began.Add(readAfterTerm), began.Add(f.killDelay()-killMargin)
-	// Before the front closes: accept sets a time of its own then, which this would undo.
-	if line, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || line.SetDeadline(time.Unix(1, 0)) != nil {
-		_ = l.Close()
-	}
-	f.draining.Store(true)
-	gone := make(chan struct{})
-	go func() {
-		defer close(gone)
-		<-f.acceptDone
-		f.clientsDone.Wait()
-	}()
-	for time.Since(began) < f.longestTimeout()+killGrace+writeTimeout { // all deadlines are over, and the times to write an answer
-		f.closeIdle()                        // also while somebody waits for a place
-		if time.Now().After(f.answerUntil) { // whoever comes on and on
-			_ = l.Close()
-		}
-		select {
-		case <-gone:
-			return
-		case <-time.After(drainPollInterval):
-		}
-	}
-	if left := f.inFlight(); left > 0 {
-		f.log.Warn("ended before all clients had their answers", zap.Int("answers", left))
-	}
+// drainState is how far a drain has come.
+type drainState struct {
+	active      atomic.Bool   // the last answer on a connection closes it
+	readUntil   time.Time     // then no more is read behind what is in flight; set before active
+	answerUntil time.Time     // by then everything read late is answered; set before active
+	acceptDone  chan struct{} // closed once Serve accepts no more
+	finished    chan struct{} // closed once Drain waits for no client any more
 }
 
-// accept takes the next connection. In a front that closes, the listener is closed once none stands in line: what
-// the system has accepted may hold a task, and would be reset.
-func (f *Listener) accept(l net.Listener) (net.Conn, error) {
-	for {
-		closing := f.draining.Load()
-		if line, ok := l.(interface{ SetDeadline(time.Time) error }); ok && closing {
-			_ = line.SetDeadline(time.Now().Add(backlogTimeout))
-		}
-		conn, err := l.Accept()
-		switch {
-		case !errors.Is(err, os.ErrDeadlineExceeded):
-			return conn, err
-		case closing:
-			_ = l.Close()
-		default:
-			time.Sleep(time.Millisecond) // the front is about to close
-		}
-	}
+func newDrainState() *drainState {
+	return &drainState{acceptDone: make(chan struct{}), finished: make(chan struct{})}
 }
 
-// longestTimeout is the longest deadline of all classes.
-func (f *Listener) longestTimeout() (most time.Duration) {
-	for _, l := range f.parser.Load().classes {
-		most = max(most, l.Timeout)
-	}
-	return most
-}
+// isReadOver reports that no command is read any more on a connection, except one that was begun, or the first. A client that
+// sends on and on is stopped by this: otherwise only a pause would close its connection.
+func (d *drainState) isReadOver() bool { return d.active.Load() && time.Now().After(d.readUntil) }
 
-// killDelay is how long after SIGTERM SIGKILL comes at the soonest.
-func (f *Listener) killDelay() time.Duration {
-	return min(f.longestTimeout(), writeTimeout) + killGrace
-}
-
-// boundTimeout is a patience, in a front that closes no longer than all is to be answered.
-func (f *Listener) boundTimeout(patience time.Duration) time.Duration {
-	if f.draining.Load() {
-		patience = min(patience, time.Until(f.answerUntil))
+// boundTimeout returns a request's timeout, cut during a drain to the time by which all is to be answered.
+func (d *drainState) boundTimeout(timeout time.Duration) time.Duration {
+	if d.active.Load() {
+		timeout = min(timeout, time.Until(d.answerUntil))
 	}
-	return patience
+	return timeout
 }
 
-// isReadOver tells that a front that closes reads no more commands on a connection than it has begun to, or one. Guards
-// against who sends on without a pause: only a pause ended its connection.
-func (f *Listener) isReadOver() bool { return f.draining.Load() && time.Now().After(f.readUntil) }
-
-// inFlight is how many commands have no answer yet.
-func (f *Listener) inFlight() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.clients {
-		c.mu.Lock()
-		n += c.commands
-		c.mu.Unlock()
+// Drain accepts connections for a while, then only those of the backlog, closes each connection with an answer, or where it
+// stays idle, and waits until all commands are answered. It gives up only long after SIGKILL is due: a command that SIGKILL
+// finds unanswered came early and has a long deadline, or is not read any more; given up here it would be lost.
+func (l *Listener) Drain(socket net.Listener) {
+	defer close(l.drain.finished)
+	began := time.Now()
+	time.Sleep(acceptAfterTerm)
+	l.drain.readUntil, l.drain.answerUntil = began.Add(readAfterTerm), began.Add(l.killDelay()-killMargin)
+	// Before the drain is active: accept sets a deadline of its own then, which this would undo.
+	if d, ok := socket.(deadlineSetter); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
+		_ = socket.Close()
+	}
+	l.drain.active.Store(true)
+	if l.awaitClients(socket, began) {
+		return
+	}
+	if count := l.connections.unansweredCommands(); count > 0 {
+		l.log.Warn("listener: drain timed out with unanswered commands", zap.Int("unanswered", count))
 	}
-	return n
 }
 
-// closeIdle closes the connections that have been idle for a while. Guards against the end of one crossing a task on its
-// way, which is lost then: a client that was just answered is likely to be sending its next. Harm: a connection that
-// goes idle as the drain begins is held for so much longer.
-func (f *Listener) closeIdle() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.clients {
-		if since, _, idle := c.idleState(); idle && time.Since(since) >= drainIdleTimeout {
-			c.closeIfIdle()
+// awaitClients closes idle connections until no client is left, and returns true then. It returns false after all deadlines,
+// and the times to write an answer, are over.
+func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		<-l.drain.acceptDone
+		l.connections.open.Wait()
+	}()
+	for time.Since(began) < l.parser.Load().longestTimeout()+killGrace+writeTimeout {
+		l.connections.closeIdle(isDueInDrain)      // also while a connection waits for a slot
+		if time.Now().After(l.drain.answerUntil) { // clients that connect on and on
+			_ = socket.Close() // it may be closed already
+		}
+		select {
+		case <-done:
+			return true
+		case <-time.After(drainPollInterval):
 		}
 	}
+	return false
+}
+
+// isDueInDrain reports whether an idle connection is to be closed during a drain. A client that was just answered is likely to be
+// sending its next request, which would be lost if it crossed the close. Cost: a connection that becomes idle as the drain
+// begins is held for that long.
+func isDueInDrain(idleTime time.Duration, _ bool) bool { return idleTime >= drainIdleTimeout }
+
+// killDelay returns how long after SIGTERM SIGKILL comes at the earliest.
+func (l *Listener) killDelay() time.Duration {
+	return min(l.parser.Load().longestTimeout(), writeTimeout) + killGrace
 }
--- a/internal/listener/drain_test.go
+++ b/internal/listener/drain_test.go
@@ -1,7 +1,6 @@
 package listener
 
 import (
-	"bufio"
 	"errors"
 	"io"
 	"net"
@@ -15,155 +14,153 @@
 	"harrierhoist/policy"
 )
 
-// Connections stand in line as the front closes, and the one before them waits for a place: all are answered, and none
-// comes behind them.
+// Connections are in the backlog as the drain begins, and the one before them waits for a slot: all are answered, and none is
+// accepted behind them.
 func TestDrain_answersConnectionsInTheBacklog(t *testing.T) {
-	let := map[int]chan bool{1: make(chan bool)}
-	h := newDrainFixture(t, 1, nil, answerByNumber(let))
-	holds := h.dial()
-	holds.send(query(1))
-	h.server.NextCommand(t)
-	waits, stands, too := h.dial(), h.dial(), h.dial()
-	waits.send(query(2))
-	<-h.came
-	<-h.came // of these, the first is accepted and has no place; the others stand in the system
-	stands.send(query(3))
-	too.send(query(4))
-	ended := h.drain()
-	fakes.Eventually(t, "the end of reading on", h.f.isReadOver)
-	close(let[1])
-	for i, c := range []*drainClient{holds, waits, stands, too} {
+	release := map[int]chan bool{1: make(chan bool)}
+	f := newDrainFixture(t, 1, nil, answerByNumber(release))
+	served := f.dial()
+	served.send(query(1))
+	f.server.NextCommand(t)
+	waiting, inBacklog, alsoInBacklog := f.dial(), f.dial(), f.dial()
+	waiting.send(query(2))
+	<-f.accepted
+	<-f.accepted // the first of the three is accepted and has no slot; the others are in the system's backlog
+	inBacklog.send(query(3))
+	alsoInBacklog.send(query(4))
+	finished := f.startDrain()
+	fakes.Eventually(t, "the end of reading", f.drain.isReadOver)
+	close(release[1])
+	for i, c := range []*testClient{served, waiting, inBacklog, alsoInBacklog} {
 		c.want([]string{"value 1", "value 2", "value 3", "value 4"}[i])
-		c.wantEnd(nil)
+		c.wantClose()
 		_ = c.Close()
 	}
-	h.awaitDrained(ended)
-	if err := <-h.served; err != nil {
+	f.awaitDrained(finished)
+	if err := <-f.served; err != nil {
 		t.Error(err)
 	}
-	if conn, err := h.redial(); err == nil {
+	if conn, err := net.Dial("tcp", f.socket.Addr().String()); err == nil {
 		_ = conn.Close()
-		t.Error("the line was not closed")
+		t.Error("the socket was not closed")
 	}
 }
 
-func (h *drainFixture) redial() (io.Closer, error) {
-	return net.Dial("tcp", h.TCPListener.Addr().String())
-}
-
-// A client that sends on and on without a pause: what was begun to be read is answered, the rest is plainly not read,
-// and the drain ends in time.
+// A client sends on and on without a pause: commands whose reading was begun are answered, the others are not read, and the
+// drain ends in time.
 func TestDrain_endsClientThatNeverPauses(t *testing.T) {
-	h := newDrainFixture(t, 8, nil, answerHello)
-	c := h.dial()
-	near := <-h.came
+	f := newDrainFixture(t, 8, nil, answerHello)
+	client := f.dial()
+	near := <-f.accepted
 	go func() {
-		for many := strings.Repeat(ping, 1000); ; {
-			if _, err := io.WriteString(c, many); err != nil {
+		for commands := strings.Repeat(pingCommand, 1000); ; {
+			if _, err := io.WriteString(client, commands); err != nil {
 				return
 			}
 		}
 	}()
-	answers, odd := 0, 0
-	got := make(chan error)
+	answers, unexpected := 0, 0
+	ended := make(chan error)
 	go func() {
-		for in := bufio.NewReader(c); ; {
-			line, err := in.ReadString('\n')
+		for {
+			line, err := client.in.ReadString('\n')
 			if err != nil {
-				got <- err
+				ended <- err
 				return
 			}
 			if answers++; line != "+PONG\r\n" {
-				odd++
+				unexpected++
 			}
 		}
 	}()
 	began := time.Now()
-	ended := h.drain()
-	if err := <-got; err != io.EOF {
+	finished := f.startDrain()
+	if err := <-ended; !errors.Is(err, io.EOF) {
 		t.Errorf("the answers ended with %v", err)
 	}
-	_ = c.Close()
-	h.awaitDrained(ended)
+	_ = client.Close()
+	f.awaitDrained(finished)
 	if took := time.Since(began); took > writeTimeout+killGrace {
 		t.Errorf("the drain took %v", took)
 	}
-	if read := int(near.read.Load()); odd > 0 || read != answers*len(ping) {
-		t.Errorf("%d answers, %d of them odd, to %d commands that were read", answers, odd, read/len(ping))
+	if read := int(near.readBytes.Load()); unexpected > 0 || read != answers*len(pingCommand) {
+		t.Errorf("%d answers, %d of them unexpected, to %d commands that were read", answers, unexpected, read/len(pingCommand))
 	}
 }
 
-// Where no more is to be read, what was read on already is answered, and no byte behind that is taken.
+// Once no more is to be read, commands that were read ahead are answered, and no byte behind them is read.
 func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
-	const many, buffer = 300, 4 << 10
-	h := newDrainFixture(t, 8, func(near *tappedConn) {
-		near.waited = once(func() {
+	const commands, bufferSize = 300, 4 << 10
+	f := newDrainFixture(t, 8, func(near *tappedConn) {
+		near.afterWait = once(func() {
 			raw, _ := near.TCPConn.SyscallConn()
-			fakes.Eventually(t, "all that was sent", func() (all bool) {
+			fakes.Eventually(t, "the arrival of all commands", func() (arrived bool) {
 				_ = raw.Control(func(fd uintptr) {
-					n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 2*buffer), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-					all = n == many*len(ping)
+					n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 2*bufferSize), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+					arrived = n == commands*len(pingCommand)
 				})
-				return all
+				return arrived
 			})
 		})
 	}, answerHello)
-	h.startDraining(0)
-	c := h.dial()
-	near := <-h.came
-	c.send(strings.Repeat(ping, many))
-	taken := buffer/len(ping) + 1 // the last of them in part
-	for range taken {
+	f.activateDrain(0)
+	c := f.dial()
+	near := <-f.accepted
+	c.send(strings.Repeat(pingCommand, commands))
+	readAhead := bufferSize/len(pingCommand) + 1 // the last of them in part
+	for range readAhead {
 		c.want(`\+PONG`)
 	}
-	c.wantEnd(nil)
-	if n := int(near.read.Load()); n != taken*len(ping) {
-		t.Errorf("%d bytes were read, for %d answers", n, taken)
+	c.wantClose()
+	if n := int(near.readBytes.Load()); n != readAhead*len(pingCommand) {
+		t.Errorf("%d bytes were read, for %d answers", n, readAhead)
 	}
 }
 
-// An answer can't be written, and somebody waits for a place behind it: what is read late has only the time that SIGKILL
-// leaves, nothing is given up before SIGKILL is due, and the drain ends all the same.
+// An answer cannot be written, and a connection waits for its slot: what is read late has only the time that SIGKILL leaves,
+// nothing is given up before SIGKILL is due, and the drain ends nevertheless.
 func TestDrain_endsThoughAnAnswerIsStuck(t *testing.T) {
-	stop := make(chan bool)
-	t.Cleanup(func() { close(stop) })
-	var stuck atomic.Bool
-	h := newDrainFixture(t, 1, func(c *tappedConn) {
-		c.write = func(p []byte) (int, error) {
-			stuck.Store(true)
-			<-stop
-			return 0, errors.New("over")
+	release := make(chan bool)
+	t.Cleanup(func() { close(release) })
+	var isStuck atomic.Bool
+	f := newDrainFixture(t, 1, func(near *tappedConn) {
+		near.write = func([]byte) (int, error) {
+			isStuck.Store(true)
+			<-release
+			return 0, errors.New("write fails")
 		}
 	}, answerHello)
-	c := h.dial()
-	c.send(query(1))
-	fakes.Eventually(t, "the answer", stuck.Load)
-	waits := h.dial()
+	client := f.dial()
+	client.send(query(1))
+	fakes.Eventually(t, "the answer being written", isStuck.Load)
+	waiting := f.dial()
 	began := time.Now()
-	ended := h.drain()
-	if p := h.f.boundTimeout(time.Hour); p <= 0 || p > time.Until(began.Add(writeTimeout+killGrace)) {
-		t.Errorf("a request read now has %v", p)
+	finished := f.startDrain()
+	if timeout := f.drain.boundTimeout(time.Hour); timeout <= 0 || timeout > time.Until(began.Add(writeTimeout+killGrace)) {
+		t.Errorf("a request that is read now has a timeout of %v", timeout)
 	}
-	h.awaitDrained(ended)
-	if took := time.Since(began); took < writeTimeout+killGrace { // how late a full machine is with the end, over bounds
+	f.awaitDrained(finished)
+	if took := time.Since(began); took < writeTimeout+killGrace { // no upper bound: a busy machine may be late
 		t.Errorf("the drain took %v", took)
 	}
-	waits.wantEnd(syscall.ECONNRESET)
-	if err := <-h.served; err != nil || h.logs.FilterMessage("ended before all clients had their answers").Len() != 1 {
-		t.Errorf("served until %v; said %v", err, h.logs.All())
+	waiting.wantReset()
+	if err := <-f.served; err != nil || f.logs.FilterMessage("listener: drain timed out with unanswered commands").Len() != 1 {
+		t.Errorf("Serve returned %v; logged %v", err, f.logs.All())
 	}
 }
 
-// SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer.
+// SIGKILL comes 0.7 s after the longest timeout of a class, which counts as 3 s if it is longer.
 func TestKillDelay(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		500 * time.Millisecond: 1200 * time.Millisecond,
 		3 * time.Second:        3700 * time.Millisecond,
 		9 * time.Second:        3700 * time.Millisecond,
 	} {
-		site := policy.Settings{Classes: []policy.TrafficClass{{Name: "a", Timeout: longest / 2}, {Name: "b", Timeout: longest}}}
-		if got := New(&site, nil, nil, 1, 0, nil).killDelay(); got != want {
-			t.Errorf("with %v it is taken to come after %v, want %v", longest, got, want)
-		}
+		t.Run(longest.String(), func(t *testing.T) {
+			settings := policy.Settings{Classes: []policy.TrafficClass{{Name: "a", Timeout: longest / 2}, {Name: "b", Timeout: longest}}}
+			if got := New(&settings, nil, nil, 1, 0, nil).killDelay(); got != want {
+				t.Errorf("SIGKILL expected after %v, want %v", got, want)
+			}
+		})
 	}
 }
--- a/internal/listener/fixture_test.go
+++ b/internal/listener/fixture_test.go
@@ -1,17 +1,16 @@
 package listener
 
 import (
-	"bufio"
-	"context"
 	"fmt"
-	"io"
+	"maps"
 	"net"
-	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+	"go.uber.org/zap/zaptest/observer"
 
 	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/testing/fakes"
@@ -19,15 +18,27 @@
 	"harrierhoist/policy"
 )
 
-// fixture is a front on a loopback address with a gate and a fleet behind it, and servers that the story plays.
+// fixture is a listener on a loopback address with a dispatcher, upstream connections and the servers that a test gives it.
 type fixture struct {
 	*testing.T
 	*Listener
-	gate        *dispatch.Dispatcher
-	tcpListener net.Listener
+	dispatcher *dispatch.Dispatcher
+	socket     net.Listener
+	logs       *observer.ObservedLogs // warnings and errors
 }
 
-// testSettings has a lane that is safe to repeat and one that is not, and two plans.
+// fixtureOptions is in what fixtures differ.
+type fixtureOptions struct {
+	settings       policy.Settings
+	count          func(countCallback) // called under the dispatcher's lock; nil: there is no counter
+	maxConnections int
+	maxMemory      int // in bytes; 0: no bound
+}
+
+// countCallback is what a call to the counter calls with the total.
+type countCallback func(float64, policy.Outcome)
+
+// testSettings has an idempotent class and a non-idempotent one, and two plans.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 4096, CanCancel: true, RetryAfter: true,
@@ -40,44 +51,54 @@
 	}
 }
 
-// newFixture begins a story whose front holds so many bytes; it serves once a listener is given.
-func newFixture(t *testing.T, bytes int, servers ...*fakes.Server) *fixture {
+// newFixture returns a fixture with a bound on memory, in bytes. It accepts no connection before start.
+func newFixture(t *testing.T, maxMemory int, servers ...*fakes.Server) *fixture {
 	t.Helper()
-	return newFixtureWith(t, testSettings(), nil, bytes, servers...)
+	return newFixtureWith(t, testSettings(), nil, maxMemory, servers...)
 }
 
-// countCallback is a call to the counter that waits for its answer.
-type countCallback func(float64, policy.Outcome)
+// newFixtureWith is newFixture with settings, and with a counter if count is not nil.
+func newFixtureWith(
+	t *testing.T, settings policy.Settings, count func(countCallback), maxMemory int, servers ...*fakes.Server,
+) *fixture {
+	t.Helper()
+	return fixtureOptions{settings: settings, count: count, maxConnections: 256, maxMemory: maxMemory}.newFixture(t, servers...)
+}
 
-// newFixtureWith is play with settings and a counter whose calls go to a function, under the gate's lock.
-func newFixtureWith(t *testing.T, given policy.Settings, count func(countCallback), bytes int, servers ...*fakes.Server) *fixture {
+func (o fixtureOptions) newFixture(t *testing.T, servers ...*fakes.Server) *fixture {
 	t.Helper()
-	given.HasCounter = count != nil
-	f := upstream.New(2*time.Second, 10*time.Second, nil, 2000)
-	g, err := dispatch.New(given, 7, dispatch.Dependencies{
-		IdleTimeout: f.IdleTimeout(), CheckHealth: func(dispatch.Server, func(dispatch.Result)) {},
-		Count: func(_ uint64, _ float64, _ time.Duration, told func(float64, policy.Outcome)) { count(told) },
+	o.settings.HasCounter = o.count != nil
+	upstreams := upstream.New(2*time.Second, 10*time.Second, nil, 2000)
+	dispatcher, err := dispatch.New(o.settings, 7, dispatch.Dependencies{
+		IdleTimeout: upstreams.IdleTimeout(), CheckHealth: func(dispatch.Server, func(dispatch.Result)) {},
+		Count: func(_ uint64, _ float64, _ time.Duration, reply func(float64, policy.Outcome)) { o.count(reply) },
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	go g.RunTimers(ctx)
-	var list []dispatch.Server
-	for i, s := range servers {
-		list = append(list, dispatch.Server{Name: fmt.Sprintf("s-%d", i), Address: s.Addr, Endpoint: policy.Endpoint{State: policy.Ready}})
+	go dispatcher.RunTimers(t.Context())
+	if len(servers) > 0 {
+		dispatcher.HandleEndpoints(policy.ListFull, endpointsOf(servers))
 	}
-	if len(list) > 0 {
-		g.HandleEndpoints(policy.ListFull, list)
+	core, logs := observer.New(zapcore.WarnLevel)
+	l := New(&o.settings, dispatcher, upstreams, o.maxConnections, o.maxMemory, zap.New(core))
+	return &fixture{t, l, dispatcher, fakes.Listen(t), logs}
+}
+
+// endpointsOf lists servers as ready.
+func endpointsOf(servers []*fakes.Server) (list []dispatch.Server) {
+	for i, server := range servers {
+		list = append(list, dispatch.Server{
+			Name: fmt.Sprintf("s-%d", i), Address: server.Addr, Endpoint: policy.Endpoint{State: policy.Ready},
+		})
 	}
-	return &fixture{t, New(&given, g, f, 256, bytes, zap.NewNop()), g, fakes.Listen(t)}
+	return list
 }
 
-// start has clients taken; each connection is first handed to the functions given.
-func (s *fixture) start(first ...func(*net.TCPConn) net.Conn) *fixture {
-	go func() { _ = s.Serve(wrappingListener{s.tcpListener, first}) }()
-	return s
+// start makes the fixture accept connections, each of them through the wrappers first.
+func (f *fixture) start(wrappers ...func(*net.TCPConn) net.Conn) *fixture {
+	go func() { _ = f.Serve(wrappingListener{f.socket, wrappers}) }()
+	return f
 }
 
 type wrappingListener struct {
@@ -85,89 +106,41 @@
 	wrappers []func(*net.TCPConn) net.Conn
 }
 
-func (l wrappingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	for _, first := range l.wrappers {
+func (w wrappingListener) Accept() (net.Conn, error) {
+	conn, err := w.Listener.Accept()
+	for _, wrap := range w.wrappers {
 		if err == nil {
-			c = first(c.(*net.TCPConn))
+			conn = wrap(conn.(*net.TCPConn))
 		}
 	}
-	return c, err
-}
-
-// testClient is a client.
-type testClient struct {
-	*fixture
-	*net.TCPConn
-	in *bufio.Reader
-}
-
-func (s *fixture) dial() *testClient {
-	s.Helper()
-	conn, err := net.Dial("tcp", s.tcpListener.Addr().String())
-	if err != nil {
-		s.Fatal(err)
-	}
-	s.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetReadDeadline(time.Now().Add(30 * time.Second))
-	return &testClient{s, conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return conn, err
 }
 
-func (c *testClient) send(text string) {
-	c.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
-		c.Fatal(err)
-	}
+// connectionCount returns how many connections are open.
+func (f *fixture) connectionCount() int {
+	f.connections.mu.Lock()
+	defer f.connections.mu.Unlock()
+	return len(f.connections.connections)
 }
 
-// readAnswer reads an answer: a line, or what a value holds.
-func (c *testClient) readAnswer() string {
-	c.Helper()
-	line, err := c.in.ReadString('\n')
-	if size := 0; err == nil && line[0] == '$' {
-		_, _ = fmt.Sscanf(line, "$%d", &size)
-		value := make([]byte, size+2)
-		_, err = io.ReadFull(c.in, value)
-		line = string(value)
-	}
-	if err != nil {
-		c.Fatal(err)
-	}
-	return strings.TrimSuffix(line, "\r\n")
+// openIDs returns the IDs of the requests in flight.
+func (f *fixture) openIDs() map[string]struct{} {
+	f.requestIDs.mu.Lock()
+	defer f.requestIDs.mu.Unlock()
+	return maps.Clone(f.requestIDs.ids)
 }
 
-// inHand is how many commands the front has in hand, of all its clients.
-func (s *fixture) inHand() (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.clients {
-		c.mu.Lock()
-		n += c.commands
-		c.mu.Unlock()
-	}
-	return n
-}
-
-// clientCount is how many clients there are.
-func (s *fixture) clientCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.clients)
-}
-
-// awaitEmpty waits until the front has no client and carries nothing.
-func (s *fixture) awaitEmpty() {
-	s.Helper()
-	fakes.Eventually(s, "all gone", func() bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return len(s.clients) == 0 && len(s.openIDs) == 0
+// awaitEmpty waits until no connection is open and no request is in flight.
+func (f *fixture) awaitEmpty() {
+	f.Helper()
+	fakes.Eventually(f, "no connection and no request", func() bool {
+		return f.connectionCount() == 0 && len(f.connections.slots) == 0 && len(f.openIDs()) == 0
 	})
 }
 
-var lastNumber atomic.Int64
+var lastID atomic.Int64
 
-func uniqueID() string { return fmt.Sprintf("%016x", lastNumber.Add(1)) }
+func uniqueID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
 func queryCommand() string {
 	return fakes.FormatCommand("SVC.QUERY", uniqueID(), uniqueID(), "c=look,t=wide,d=14000")
@@ -177,4 +150,8 @@
 	return fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", body)
 }
 
+var pingCommand = fakes.FormatCommand("PING")
+
 func answerNothing([]string) string { return "" }
+
+func answerHello([]string) string { return fakes.FormatValue("hello", 1) }
--- a/internal/listener/fuzz_test.go
+++ b/internal/listener/fuzz_test.go
@@ -5,13 +5,41 @@
 	"testing"
 	"time"
 
+	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/resp"
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
-// Whatever words a client puts in a command: no panic; a task that is taken holds what the module takes for granted,
-// and passes on as it was worded but for the time; one that is not leaves no id open.
+// fuzzSettings has classes of all effects, and a class and a plan that are retired.
+var fuzzSettings = &policy.Settings{
+	Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
+	Classes: []policy.TrafficClass{
+		{Name: "look", Timeout: 2 * time.Second},
+		{Name: "gone", Timeout: time.Second, Retired: true},
+		{Name: "book", Timeout: time.Second, Effect: policy.Keyed},
+		{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent},
+	},
+}
+
+// fuzzCommand is a command as fuzzing composes it: a part of its words, with a value if hasBody.
+type fuzzCommand struct {
+	verb, customer, id, list, body string
+	hasBody                        bool
+	wordCount                      uint8
+}
+
+func (c fuzzCommand) String() string {
+	words := []string{c.verb, c.customer, c.id, c.list}[:1+int(c.wordCount)%4]
+	if c.hasBody {
+		words = append(words, c.body)
+	}
+	return fakes.FormatCommand(words...)
+}
+
+// Whatever words a client puts into a command, parsing does not panic. A request that is parsed holds what the policy takes for
+// granted, and is forwarded as it was worded except for the deadline. One that is rejected leaves no ID open.
 func FuzzParse(f *testing.F) {
 	const customer, id = "00000000b4d65521", "9b1f03aa5c7e2d41"
 	for _, list := range []string{
@@ -31,61 +59,88 @@
 	f.Add("ping", "", "", "", "", false, uint8(0))
 	f.Add("SVC.QUERY", "0000000200000000", id, "c=look,t=open,d=480", "", false, uint8(3))
 	f.Add("SVC.QUERY", "+000000000000005", "", "c=look,t=open,d=480", "", false, uint8(3))
-	site := &policy.Settings{
-		Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
-		Classes: []policy.TrafficClass{
-			{Name: "look", Timeout: 2 * time.Second},
-			{Name: "gone", Timeout: time.Second, Retired: true},
-			{Name: "book", Timeout: time.Second, Effect: policy.Keyed},
-			{Name: "once", Timeout: 3 * time.Second, Effect: policy.NonIdempotent},
-		},
+	f.Fuzz(func(t *testing.T, verb, customer, id, list, body string, hasBody bool, wordCount uint8) {
+		checkParse(t, fuzzCommand{verb, customer, id, list, body, hasBody, wordCount})
+	})
+}
+
+// checkParse reads and parses a command, and checks the outcome.
+func checkParse(t *testing.T, sent fuzzCommand) {
+	t.Helper()
+	conn := resp.NewConn(&fakes.ScriptedConn{Input: []byte(sent.String())})
+	if conn.Await() != nil {
+		t.Fatal("no command")
 	}
-	f.Fuzz(func(t *testing.T, verb, customer, id, list, value string, body bool, n uint8) {
-		words := []string{verb, customer, id, list}[:1+int(n)%4]
-		text := fakes.FormatCommand(words...)
-		if body {
-			text = fakes.FormatCommand(append(words, value)...)
-		}
-		c := &client{listener: New(site, nil, nil, 1, 0, nil), conn: resp.NewConn(&fakes.ScriptedConn{Input: []byte(text)})}
-		if c.conn.Await() != nil {
-			t.Fatal("no command")
-		}
-		read, err := c.conn.ReadCommand(maxCommandWords, nil)
-		if err != nil {
-			return
-		}
-		defer read.Body.Free()
-		task, e, line := c.parse(&pendingCommand{Command: read}, 0)
-		if line != "" {
-			if e != nil || len(c.listener.openIDs) > 0 || strings.ContainsAny(line, "\r\n") {
-				t.Fatalf("refused by %q, with %+v and %d open", line, e, len(c.listener.openIDs))
-			}
-			return
-		}
-		lane := site.Classes[task.Class]
-		if task.Plan != 0 || lane.Retired || task.Customer >= maxCustomer || task.Repeat && !strings.Contains(list, "r=1") {
-			t.Fatalf("%q was taken for %+v", list, task)
-		}
-		if task.Timeout <= 0 || task.Timeout > lane.Timeout || !(task.Units > 0) || task.Units > site.MaxUnits {
-			t.Fatalf("%q was taken for %+v: patience or units out of range", list, task)
-		}
-		if task.GatewayCount < 1 || task.GatewayCount > site.Gateways || task.FirstGateway < 0 || task.FirstGateway >= site.Gateways {
-			t.Fatalf("%q was taken for %+v: a set out of range", list, task)
-		}
-		if (lane.Effect == policy.Idempotent) != (verb == "SVC.QUERY") || lane.Effect == policy.Keyed && !strings.Contains(list, "k=") {
-			t.Fatalf("%q was taken for lane %s", list, lane.Name)
-		}
-		time, whole := strings.CutPrefix(list, e.ParamsBefore)
-		time, end := strings.CutSuffix(time, e.ParamsAfter)
-		if ms, good := parseDecimal(time); !whole || !end || !good || !(ms > 0) ||
-			!strings.HasSuffix(","+e.ParamsBefore, ",d=") || e.ParamsAfter != "" && e.ParamsAfter[0] != ',' {
-			t.Fatalf("%q was cut into %q, %q and %q", list, e.ParamsBefore, time, e.ParamsAfter)
-		}
-		if e.Verb != verb || e.Customer != customer || e.ID != id || (e.Body != nil) != body || body && e.Body.String() != value {
-			t.Fatalf("worded %+v", e)
-		}
-		if _, open := c.listener.openIDs[id]; !open || len(c.listener.openIDs) != 1 {
-			t.Fatalf("%q is not open", id)
+	command, err := conn.ReadCommand(maxCommandWords, nil)
+	if err != nil {
+		return
+	}
+	defer command.Body.Free()
+	l := New(fuzzSettings, nil, nil, 1, 0, nil)
+	spec, message, reply := l.parse(&pendingCommand{Command: command}, 0)
+	openIDs := l.requestIDs.ids
+	if reply != "" {
+		if message != nil || len(openIDs) > 0 || strings.ContainsAny(reply, "\r\n") {
+			t.Fatalf("rejected by %q, with message %+v and %d IDs open", reply, message, len(openIDs))
 		}
-	})
+		return
+	}
+	sent.checkSpec(t, spec)
+	sent.checkClass(t, spec)
+	sent.checkMessage(t, message)
+	sent.checkDeadline(t, message)
+	if _, isOpen := openIDs[sent.id]; !isOpen || len(openIDs) != 1 {
+		t.Fatalf("%q is not open", sent.id)
+	}
+}
+
+// checkSpec checks that all numbers of a request are in range.
+func (c fuzzCommand) checkSpec(t *testing.T, spec dispatch.RequestSpec) {
+	t.Helper()
+	if spec.Plan != 0 || spec.Customer >= maxCustomer || spec.Repeat && !strings.Contains(c.list, "r=1") {
+		t.Fatalf("%q was parsed as %+v", c.list, spec)
+	}
+	if spec.Timeout <= 0 || !(spec.Units > 0) || spec.Units > fuzzSettings.MaxUnits {
+		t.Fatalf("%q was parsed as %+v: timeout or units out of range", c.list, spec)
+	}
+	first, count := spec.FirstGateway, spec.GatewayCount
+	if count < 1 || count > fuzzSettings.Gateways || first < 0 || first >= fuzzSettings.Gateways {
+		t.Fatalf("%q was parsed as %+v: gateways out of range", c.list, spec)
+	}
+}
+
+// checkClass checks that a request fits its class.
+func (c fuzzCommand) checkClass(t *testing.T, spec dispatch.RequestSpec) {
+	t.Helper()
+	class := fuzzSettings.Classes[spec.Class]
+	if class.Retired || spec.Timeout > class.Timeout {
+		t.Fatalf("%q was parsed as %+v, of class %+v", c.list, spec, class)
+	}
+	isQuery, hasKey := c.verb == "SVC.QUERY", strings.Contains(c.list, "k=")
+	if (class.Effect == policy.Idempotent) != isQuery || class.Effect == policy.Keyed && !hasKey {
+		t.Fatalf("%q was parsed as of class %s", c.list, class.Name)
+	}
+}
+
+// checkMessage checks that a message holds the words that were sent.
+func (c fuzzCommand) checkMessage(t *testing.T, message *upstream.Command) {
+	t.Helper()
+	if message.Verb != c.verb || message.Customer != c.customer || message.ID != c.id {
+		t.Fatalf("message %+v for %+v", message, c)
+	}
+	if (message.Body != nil) != c.hasBody || c.hasBody && message.Body.String() != c.body {
+		t.Fatalf("message %+v for %+v", message, c)
+	}
+}
+
+// checkDeadline checks that a message's parameters are those that were sent, cut around the deadline's value.
+func (c fuzzCommand) checkDeadline(t *testing.T, message *upstream.Command) {
+	t.Helper()
+	deadline, hasPrefix := strings.CutPrefix(c.list, message.ParamsBefore)
+	deadline, hasSuffix := strings.CutSuffix(deadline, message.ParamsAfter)
+	milliseconds, isValid := parseDecimal(deadline)
+	isCutOut := strings.HasSuffix(","+message.ParamsBefore, ",d=") && (message.ParamsAfter == "" || message.ParamsAfter[0] == ',')
+	if !hasPrefix || !hasSuffix || !isCutOut || !isValid || !(milliseconds > 0) {
+		t.Fatalf("%q was cut into %q, %q and %q", c.list, message.ParamsBefore, deadline, message.ParamsAfter)
+	}
 }
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -23,84 +23,133 @@
 	return given
 }
 
-// TestGoldenAnswers holds each form of answer on a client's connection, byte for byte, as recorded before the tree was made
-// readable.
+const goldenCustomer = "0000000000000005"
+
+func goldenQuery(list string) string {
+	return fakes.FormatCommand("SVC.QUERY", goldenCustomer, uniqueID(), list)
+}
+
+func goldenSubmit(list, body string) string {
+	return fakes.FormatCommand("SVC.SUBMIT", goldenCustomer, uniqueID(), list, body)
+}
+
+func goldenServed([]string) string { return fakes.FormatValue("hello", 3) }
+
+func goldenFailed([]string) string { return "-ERR failed\r\n" }
+
+// goldenAnswers holds each form of answer on a client's connection, as recorded before the package was made readable.
+var goldenAnswers = map[string]struct {
+	sent   string
+	ready  bool
+	server func([]string) string // nil: none is listed
+	want   string
+	goesOn bool // the connection goes on
+}{
+	"ping before the list":  {fakes.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
+	"ping":                  {fakes.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
+	"ping in small letters": {fakes.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
+	"unknown command":       {fakes.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
+	"too few words": {
+		fakes.FormatCommand("SVC.QUERY", goldenCustomer), true, nil, "-ERR wrong number of words\r\n", true,
+	},
+	"a query with a value": {
+		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true,
+	},
+	"a submit with none": {
+		fakes.FormatCommand("SVC.SUBMIT", goldenCustomer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true,
+	},
+	"no customer": {
+		fakes.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true,
+	},
+	"a customer beyond all": {
+		fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true,
+	},
+	"a doubled name": {goldenQuery("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"an empty name":  {goldenQuery("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"an empty value": {goldenQuery("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"an unknown class": {
+		goldenQuery("c=nope,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true,
+	},
+	"a class of other effect": {
+		goldenQuery("c=pay,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true,
+	},
+	"an unknown plan": {
+		goldenQuery("c=look,t=nope,d=100"), true, nil, "-ERR unknown, no number or out of range: t\r\n", true,
+	},
+	"a deadline that is none": {
+		goldenQuery("c=look,t=wide,d=x"), true, nil, "-ERR unknown, no number or out of range: d\r\n", true,
+	},
+	"a deadline that is past": {goldenQuery("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
+	"a deadline beyond all":   {goldenQuery("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
+	"units that are none": {
+		goldenQuery("c=look,t=wide,d=100,units=x"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true,
+	},
+	"units beyond the most": {
+		goldenQuery("c=look,t=wide,d=100,units=51"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true,
+	},
+	"a repeat that is no flag": {
+		goldenQuery("c=look,t=wide,d=100,r=2"), true, nil, "-ERR unknown, no number or out of range: r\r\n", true,
+	},
+	"a set of gateways too big": {
+		goldenQuery("c=look,t=wide,d=100,spread=2"), true, nil, "-ERR unknown, no number or out of range: spread\r\n", true,
+	},
+	"a first gateway too big": {
+		goldenQuery("c=look,t=wide,d=100,first=1"), true, nil, "-ERR unknown, no number or out of range: first\r\n", true,
+	},
+	"no class": {
+		goldenQuery("t=wide,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
+	},
+	"no plan": {
+		goldenQuery("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
+	},
+	"no deadline": {
+		goldenQuery("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
+	},
+	"no key": {
+		goldenSubmit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
+	},
+	"no id": {
+		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true,
+	},
+	"served":                  {goldenQuery("c=look,t=wide,d=14000"), true, goldenServed, "$5\r\nhello\r\n", true},
+	"served, with a key":      {goldenSubmit("c=book,t=wide,d=14000,k=7", "x"), true, goldenServed, "$5\r\nhello\r\n", true},
+	"failed":                  {goldenSubmit("c=pay,t=wide,d=14000", "x"), true, goldenFailed, "-ERR failed\r\n", true},
+	"beyond the quota":        {goldenQuery("c=look,t=small,d=14000,units=20"), true, goldenServed, "-BUSY 2000\r\n", true},
+	"a command of no words":   {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+	"a command of many words": {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+	"a word that is missing":  {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
+	"a line of another kind":  {"PING\r\n", true, nil, "-ERR no line of kind *\r\n", false},
+	"a length that is none":   {"*x\r\n", true, nil, "-ERR a length is no number\r\n", false},
+	"a word that is too long": {"*1\r\n$1025\r\n", true, nil, "-ERR word too long\r\n", false},
+	"a value that is too long": {
+		"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n", true, nil, "-ERR value too long\r\n", false,
+	},
+	"a word that does not end": {"*1\r\n$4\r\nPINGxx", true, nil, "-ERR a value does not end where it says\r\n", false},
+	"a message too long":       {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
+}
+
+// TestGoldenAnswers compares each form of answer byte for byte.
 func TestGoldenAnswers(t *testing.T) {
-	const customer = "0000000000000005"
-	query := func(list string) string { return fakes.FormatCommand("SVC.QUERY", customer, uniqueID(), list) }
-	submit := func(list, body string) string {
-		return fakes.FormatCommand("SVC.SUBMIT", customer, uniqueID(), list, body)
-	}
-	served := func([]string) string { return fakes.FormatValue("hello", 3) }
-	failed := func([]string) string { return "-ERR failed\r\n" }
-	for name, c := range map[string]struct {
-		sent   string
-		ready  bool
-		server func([]string) string // nil: none is listed
-		want   string
-		goesOn bool // the connection goes on
-	}{
-		"ping before the list":      {fakes.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
-		"ping":                      {fakes.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
-		"ping in small letters":     {fakes.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
-		"unknown command":           {fakes.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
-		"too few words":             {fakes.FormatCommand("SVC.QUERY", customer), true, nil, "-ERR wrong number of words\r\n", true},
-		"a query with a value":      {fakes.FormatCommand("SVC.QUERY", customer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true},
-		"a submit with none":        {fakes.FormatCommand("SVC.SUBMIT", customer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true},
-		"no customer":               {fakes.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
-		"a customer beyond all":     {fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true},
-		"a doubled name":            {query("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
-		"an empty name":             {query("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
-		"an empty value":            {query("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
-		"an unknown class":          {query("c=nope,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true},
-		"a class of other effect":   {query("c=pay,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true},
-		"an unknown plan":           {query("c=look,t=nope,d=100"), true, nil, "-ERR unknown, no number or out of range: t\r\n", true},
-		"a deadline that is none":   {query("c=look,t=wide,d=x"), true, nil, "-ERR unknown, no number or out of range: d\r\n", true},
-		"a deadline that is past":   {query("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
-		"a deadline beyond all":     {query("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
-		"units that are none":       {query("c=look,t=wide,d=100,units=x"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true},
-		"units beyond the most":     {query("c=look,t=wide,d=100,units=51"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true},
-		"a repeat that is no flag":  {query("c=look,t=wide,d=100,r=2"), true, nil, "-ERR unknown, no number or out of range: r\r\n", true},
-		"a set of gateways too big": {query("c=look,t=wide,d=100,spread=2"), true, nil, "-ERR unknown, no number or out of range: spread\r\n", true},
-		"a first gateway too big":   {query("c=look,t=wide,d=100,first=1"), true, nil, "-ERR unknown, no number or out of range: first\r\n", true},
-		"no class":                  {query("t=wide,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no plan":                   {query("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no deadline":               {query("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no key":                    {submit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true},
-		"no id":                     {fakes.FormatCommand("SVC.QUERY", customer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true},
-		"served":                    {query("c=look,t=wide,d=14000"), true, served, "$5\r\nhello\r\n", true},
-		"served, with a key":        {submit("c=book,t=wide,d=14000,k=7", "x"), true, served, "$5\r\nhello\r\n", true},
-		"failed":                    {submit("c=pay,t=wide,d=14000", "x"), true, failed, "-ERR failed\r\n", true},
-		"beyond the quota":          {query("c=look,t=small,d=14000,units=20"), true, served, "-BUSY 2000\r\n", true},
-		"a command of no words":     {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
-		"a command of many words":   {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
-		"a word that is missing":    {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
-		"a line of another kind":    {"PING\r\n", true, nil, "-ERR no line of kind *\r\n", false},
-		"a length that is none":     {"*x\r\n", true, nil, "-ERR a length is no number\r\n", false},
-		"a word that is too long":   {"*1\r\n$1025\r\n", true, nil, "-ERR word too long\r\n", false},
-		"a value that is too long":  {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n", true, nil, "-ERR value too long\r\n", false},
-		"a word that does not end":  {"*1\r\n$4\r\nPINGxx", true, nil, "-ERR a value does not end where it says\r\n", false},
-		"a message too long":        {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
-	} {
+	for name, golden := range goldenAnswers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var servers []*fakes.Server
-			if c.server != nil {
-				servers = append(servers, fakes.NewServer(t, c.server))
+			if golden.server != nil {
+				servers = append(servers, fakes.NewServer(t, golden.server))
 			}
-			s := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
-			if c.ready {
-				s.Ready()
+			f := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
+			if golden.ready {
+				f.Ready()
 			}
-			s.start()
-			client := s.dial()
-			client.send(c.sent)
-			got := make([]byte, len(c.want))
+			f.start()
+			client := f.dial()
+			client.send(golden.sent)
+			got := make([]byte, len(golden.want))
 			n, err := io.ReadFull(client.in, got)
-			if string(got[:n]) != c.want {
-				t.Fatalf("answered %q (%v), recorded %q", got[:n], err, c.want)
+			if string(got[:n]) != golden.want {
+				t.Fatalf("answered %q (%v), recorded %q", got[:n], err, golden.want)
 			}
-			if !c.goesOn {
+			if !golden.goesOn {
 				if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
 					t.Fatalf("behind the answer %q, %v; recorded: the end", rest, err)
 				}
@@ -114,11 +163,11 @@
 	}
 }
 
-// A request whose id another open request has is answered at once; one whose servers are all full is told when to come again.
+// A request with the ID of another one in flight is answered at once.
 func TestGoldenAnswersWithOthersOpen(t *testing.T) {
 	server := fakes.NewServer(t, answerNothing)
-	s := newFixture(t, 0, server).start()
-	first, second := s.dial(), s.dial()
+	f := newFixture(t, 0, server).start()
+	first, second := f.dial(), f.dial()
 	first.send(fakes.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
 	fakes.Eventually(t, "the first request", func() bool { return server.PendingCommands() == 1 })
 	second.send(fakes.FormatCommand("SVC.QUERY", "0000000000000005", "same", "c=look,t=wide,d=14000"))
--- /dev/null
+++ b/internal/listener/lastanswer_test.go
@@ -0,0 +1,93 @@
+package listener
+
+import (
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// A request arrives between the check for one and the half-close with the last answer: the answer arrives complete, the request
+// is not read, and its client sees an orderly close.
+func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
+	for name, dial := range map[string]func(*fixture) *testClient{"fast": (*fixture).dial, "slow": (*fixture).dialNarrow} {
+		t.Run(name, func(t *testing.T) {
+			var client *testClient
+			var isCrossing atomic.Bool
+			noticed := make(chan bool, 100) // the reader closes the connection, or goes on waiting for the client to close it
+			notice := func() {
+				if isCrossing.Load() {
+					noticed <- true
+				}
+			}
+			f := newDrainFixture(t, 8, func(near *tappedConn) {
+				near.beforeClose, near.onReadDeadline = notice, func(time.Time) { notice() }
+				near.beforeCloseWrite = once(func() {
+					isCrossing.Store(true)
+					client.send(query(2))
+					<-noticed
+					isCrossing.Store(false)
+				})
+			}, answerLongValue)
+			client = dial(f.fixture)
+			first, near := query(1), <-f.accepted
+			f.activateDrain(time.Hour)
+			client.send(first)
+			client.want(longValue)
+			client.wantClose()
+			if n := near.readBytes.Load(); int(n) != len(first) || f.server.PendingCommands() != 1 {
+				t.Errorf("%d bytes were read of %d, %d requests forwarded", n, len(first), f.server.PendingCommands())
+			}
+			_ = client.Close()
+			f.awaitEmpty()
+		})
+	}
+}
+
+// A request has arrived, and the reader has seen it but not counted it yet, as what would be the last answer is written.
+func TestDrain_requestReceivedBeforeTheLastAnswerIsAnswered(t *testing.T) {
+	release := map[int]chan bool{1: make(chan bool)}
+	seen, resume := make(chan bool), make(chan bool)
+	f := newDrainFixture(t, 8, func(near *tappedConn) {
+		hold := once(func() { seen <- true; <-resume })
+		near.afterWait = func() {
+			if near.readBytes.Load() > 0 {
+				hold()
+			}
+		}
+	}, answerByNumber(release))
+	c := f.dial()
+	f.activateDrain(time.Hour)
+	c.send(query(1))
+	f.server.NextCommand(t)
+	c.send(query(2))
+	<-seen
+	close(release[1])
+	c.want("value 1")
+	close(resume)
+	c.want("value 2")
+	c.wantClose()
+}
+
+// What arrives after the half-close is not read, also from a client that does not close the connection.
+func TestDrain_clientThatNeverClosesIsClosed(t *testing.T) {
+	for name, later := range map[string]string{"silent": "", "sends another request": query(2)} {
+		t.Run(name, func(t *testing.T) {
+			f := newDrainFixture(t, 8, nil, answerHello)
+			client := f.dial()
+			near := <-f.accepted
+			f.activateDrain(time.Hour)
+			first := query(1)
+			client.send(first)
+			client.want("hello")
+			client.wantClose()
+			client.send(later)
+			f.awaitEmpty()
+			if n := near.readBytes.Load(); int(n) != len(first) {
+				t.Errorf("%d bytes were read of %d", n, len(first))
+			}
+			if later != "" {
+				client.wantWriteError()
+			}
+		})
+	}
+}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,10 +1,14 @@
-// Package front serves clients: it accepts, reads tasks, has each carried, and answers in the order of the
-// tasks on a connection.
+// Package listener serves the gateway's clients. It accepts connections, parses requests, has each one executed by the
+// dispatcher's decisions, and answers in the order of the requests on a connection.
+//
+// Two pairs of locks nest: Listener.settingsMu around the dispatcher's own lock and the leaves openRequestIDs.mu and client.mu,
+// and connectionTable.mu around connection.mu. Nothing else is locked while one of the others is held.
 package listener
 
 import (
 	"errors"
 	"net"
+	"os"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,96 +21,98 @@
 	"harrierhoist/policy"
 )
 
-const (
-	acceptAfterTerm       = 450 * time.Millisecond // after SIGTERM clients come for 0.4 s, and every limit has 50 ms more
-	maxCommandWords       = 4                      // of a command, besides a value
-	writeTimeout          = 3 * time.Second        // the longest deadline counted: who takes longer over an answer has gone
-	commandTimeout        = time.Second            // who takes longer over a command is no client; with mumMost under 3 s
-	relaxedSlotShare      = 0.6                    // of the places: more are for floods. Clients keep to a third of the sockets
-	silentTimeout         = 1500 * time.Millisecond
-	minIdleBeforeEvict    = 2 * time.Second        // clients ask again within this, if they do
-	idleTimeout           = 10 * time.Second       // a client that asks no more has gone, or opens another connection
-	sweepInterval         = 250 * time.Millisecond // at idle connections
-	newClientGrace        = 100 * time.Millisecond // who has just connected is about to send; after this it is idle like others
-	slotRetryInterval     = 20 * time.Millisecond  // how often a place is looked for
-	malformedCloseTimeout = time.Second            // a client whose words were no command has so long to read that
-	rejectedCommandPause  = 10 * time.Millisecond  // between commands of a client after one that could not be used
-	maxInFlightPerConn    = 16                     // tasks in hand of one connection: clients send one, floods hundreds
-	maxCustomer           = 1 << 33                // their numbers are below
-)
-
-// Listener owns the connections of clients.
+// Listener serves the connections of clients. It is safe for concurrent use.
 type Listener struct {
 	dispatcher  *dispatch.Dispatcher
 	upstream    *upstream.Pool
 	log         *zap.Logger
 	ready       atomic.Bool
-	idleWorkers chan job // to carriers that are free
-	memory      memoryLimiter
-
-	settingsLock sync.RWMutex // held for reading from a task's first word to its admission
-	parser       atomic.Pointer[requestParser]
+	workers     *workerPool
+	memory      *memoryLimiter
+	requestIDs  *openRequestIDs
+	connections *connectionTable
+	drain       *drainState
 
-	slots       chan struct{} // one a connection; one more may have come and wait
-	mu          sync.Mutex
-	clients     map[*client]struct{}
-	openIDs     map[string]struct{} // of open tasks
-	draining    atomic.Bool
-	readUntil   time.Time      // in a front that closes: until then, more is read behind what is in hand
-	answerUntil time.Time      // in a front that closes: by then all is answered
-	acceptDone  chan struct{}  // closed once nothing more is accepted
-	drainDone   chan struct{}  // closed once nobody waits for clients any more
-	clientsDone sync.WaitGroup // clients
+	settingsMu sync.RWMutex // held for reading from a request's parsing to its admission, for writing by Reconfigure
+	parser     atomic.Pointer[requestParser]
 }
 
-// New makes a front that holds at most so many connections, and so many bytes of what clients ask; 0: no bound on them.
-func New(site *policy.Settings, g *dispatch.Dispatcher, f *upstream.Pool, most, bytes int, log *zap.Logger) *Listener {
-	fr := &Listener{
-		dispatcher: g, upstream: f, log: log, openIDs: map[string]struct{}{},
-		slots: make(chan struct{}, max(most, 1)), clients: map[*client]struct{}{},
-		acceptDone: make(chan struct{}), drainDone: make(chan struct{}), idleWorkers: make(chan job),
+// New returns a listener that holds at most maxConnections connections and maxMemory bytes of requests in flight; without a
+// bound on memory if maxMemory is 0.
+func New(
+	settings *policy.Settings, dispatcher *dispatch.Dispatcher, upstreams *upstream.Pool, maxConnections, maxMemory int,
+	log *zap.Logger,
+) *Listener {
+	l := &Listener{
+		dispatcher: dispatcher, upstream: upstreams, log: log, workers: newWorkerPool(),
+		memory: newMemoryLimiter(maxMemory), requestIDs: newOpenRequestIDs(),
+		connections: newConnectionTable(maxConnections), drain: newDrainState(),
 	}
-	if bytes > 0 {
-		fr.memory.limit = max(bytes, minMemory)
-	}
-	fr.setParser(site)
-	return fr
+	l.parser.Store(newRequestParser(settings))
+	return l
 }
 
-// Ready lets PING be answered well from here on.
-func (f *Listener) Ready() { f.ready.Store(true) }
+// Ready makes PING succeed from here on.
+func (l *Listener) Ready() { l.ready.Store(true) }
 
-// Serve accepts clients until the listener is closed, by itself or by Drain.
-func (f *Listener) Serve(l net.Listener) error {
-	defer close(f.acceptDone)
-	var lack acceptBackoff
+// Reconfigure applies new settings to the dispatcher and the parser, and returns them as they are in force. No request is
+// parsed by the old settings and admitted under the new ones: a class may keep its name and get another effect, and a request
+// that was sent as non-idempotent would be retried.
+func (l *Listener) Reconfigure(settings policy.Settings) (policy.Settings, error) {
+	l.settingsMu.Lock()
+	defer l.settingsMu.Unlock()
+	settings, err := l.dispatcher.Reconfigure(settings)
+	if err == nil {
+		l.parser.Store(newRequestParser(&settings))
+	}
+	return settings, err
+}
+
+// Serve accepts connections until socket is closed, by the caller or by Drain. It returns nil then.
+func (l *Listener) Serve(socket net.Listener) error {
+	defer close(l.drain.acceptDone)
+	var backoff acceptBackoff
 	for {
-		conn, err := f.accept(l)
+		conn, err := l.accept(socket)
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return nil
-			}
-			lack.wait(f, err)
+			l.handleAcceptError(&backoff, err)
 			continue
 		}
-		if !f.acquireSlot() {
+		if !l.connections.acquireSlot(l.drain.finished) {
 			resp.NewConn(conn).Reset()
 			return nil
 		}
-		if easy := int(relaxedSlotShare * float64(cap(f.slots))); len(f.slots) > easy {
-			f.evict(easy)
-		}
-		c := &client{
-			listener: f, conn: resp.NewConn(conn), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
-			requests: map[*dispatch.Request]struct{}{}, lastUsed: time.Now(), unanswered: true,
+		l.connections.evictOverRelaxedLimit()
+		c := newClient(l, resp.NewConn(conn))
+		l.connections.add(c.conn)
+		go c.serve()
+	}
+}
+
+// accept returns the next connection. While the listener drains, the socket is closed once the backlog is empty: a connection
+// that the system has accepted may hold a request, and closing the socket would reset it.
+func (l *Listener) accept(socket net.Listener) (net.Conn, error) {
+	for {
+		isDraining := l.drain.active.Load()
+		if d, ok := socket.(deadlineSetter); ok && isDraining {
+			_ = d.SetDeadline(time.Now().Add(backlogTimeout)) // fails on a closed socket only, where Accept fails as well
 		}
-		for range maxInFlightPerConn {
-			c.inFlightTokens <- struct{}{}
+		conn, err := socket.Accept()
+		switch {
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			return conn, err
+		case isDraining:
+			_ = socket.Close() // the next Accept reports the close
+		default:
+			time.Sleep(time.Millisecond) // Drain is about to mark the drain as active
 		}
-		f.mu.Lock()
-		f.clients[c] = struct{}{}
-		f.mu.Unlock()
-		f.clientsDone.Add(1)
-		go c.serve()
 	}
 }
+
+// deadlineSetter is a socket whose Accept can be given a deadline.
+type deadlineSetter interface {
+	SetDeadline(deadline time.Time) error
+}
--- a/internal/listener/memory.go
+++ b/internal/listener/memory.go
@@ -1,124 +1,61 @@
 package listener
 
-import (
-	"sync"
-	"time"
+import "sync"
 
-	"harrierhoist/internal/resp"
-)
-
-// maxRequestOverhead is what a task may hold besides its value: its words, and a server's answer, as resp bounds them.
+// maxRequestOverhead is how many bytes a request may hold besides its value: its words, and a server's answer, as resp bounds
+// them.
 const maxRequestOverhead = 68 << 10
 
-// minMemory is the least that all tasks in hand may hold at once: two of the largest, and as much again for those that
-// have a connection to themselves.
+// minMemory is the least bound on the bytes of all requests in flight: two of the largest, and as much again for those that are
+// not pipelined.
 const minMemory = 4 * (maxRequestOverhead + 64<<10)
 
-// memoryTimeout is how long a task waits for room: refused sooner, its client is sooner served elsewhere.
-const memoryTimeout = 500 * time.Millisecond
-
-// memoryLimiter bounds the bytes that tasks in hand may hold: places alone would let sixteen values a connection add up beyond
-// any memory. A task takes the most that it may hold at once, before its value is read, so that none waits for room
-// while it holds some; all comes back with its answer. Those written behind others of their connection get half:
-// clients send one at a time, floods many. Harm: an answer counts as the longest, so that with many sockets for little
-// memory tasks wait, and are refused, while there is memory left.
+// memoryLimiter bounds the bytes that requests in flight may hold: bounded only by the number of connections, sixteen values on
+// each could exceed any memory. A request reserves the most that it may hold, before its value is read, so that none waits for
+// memory while it holds some. It releases all with its answer. Pipelined requests share one half: clients send one request at a
+// time, floods send many. Cost: an answer counts as the longest possible, so that with many connections and a low bound,
+// requests wait and are rejected while there is memory left.
 type memoryLimiter struct {
-	mu    sync.Mutex
-	limit int // 0: no bound
-	used  int
-	freed chan struct{} // closed when something comes back; nil: nobody waits
-}
+	limit int // in bytes; 0: no bound
 
-// acquire takes so many bytes, or tells what to wait for.
-func (r *memoryLimiter) acquire(n int, behind bool) (wait <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	most := r.limit
-	if behind {
-		most /= 2
-	}
-	if r.limit == 0 || r.used+n <= most {
-		r.used += n
-		return nil
-	}
-	if r.freed == nil {
-		r.freed = make(chan struct{})
-	}
-	return r.freed
+	mu    sync.Mutex // guards used and freed
+	used  int
+	freed chan struct{} // closed when bytes are released; nil: nobody waits
 }
 
-// release gives them back.
-func (r *memoryLimiter) release(n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.used -= n
-	if r.freed != nil && n > 0 {
-		close(r.freed)
-		r.freed = nil
+// newMemoryLimiter returns a limiter with a bound of at least minMemory bytes; without a bound if limit is 0.
+func newMemoryLimiter(limit int) *memoryLimiter {
+	if limit <= 0 {
+		return &memoryLimiter{}
 	}
+	return &memoryLimiter{limit: max(limit, minMemory)}
 }
 
-// pendingCommand is one as it was read, and the room that it has.
-type pendingCommand struct {
-	*resp.Command
-	memory          int
-	waitedForMemory time.Duration // for room
-}
-
-// discard gives back what a command holds that is not passed on.
-func (c *client) discard(cmd *pendingCommand) {
-	cmd.Body.Free()
-	c.listener.memory.release(cmd.memory)
-	cmd.memory = 0
-}
-
-// readCommand reads a command. If in time there is no room for it, it is thrown away as it comes: the client is held up
-// meanwhile, and no more of what it sends is read.
-func (c *client) readCommand() (*pendingCommand, error) {
-	cmd := &pendingCommand{}
-	until := time.Now().Add(commandTimeout)
-	_ = c.conn.SetReadDeadline(until)
-	hold := func(size int) bool {
-		if c.listener.memory.acquire(maxRequestOverhead+size, c.isPipelined()) == nil {
-			cmd.memory = maxRequestOverhead + size
-			return true
-		}
-		began := time.Now()
-		if c.waitMemory(maxRequestOverhead + size) {
-			cmd.memory = maxRequestOverhead + size
-		}
-		cmd.waitedForMemory = time.Since(began)
-		_ = c.conn.SetReadDeadline(until.Add(cmd.waitedForMemory)) // that time was not its own
-		return cmd.memory > 0
+// acquire reserves size bytes and returns nil, or a channel that is closed when it is worth trying again.
+func (m *memoryLimiter) acquire(size int, isPipelined bool) (wait <-chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	limit := m.limit
+	if isPipelined {
+		limit /= 2
 	}
-	var err error
-	if cmd.Command, err = c.conn.ReadCommand(maxCommandWords, hold); err == nil && cmd.memory == 0 && len(cmd.Words) == maxCommandWords {
-		cmd.Discarded = cmd.Discarded || !hold(0)
+	if m.limit == 0 || m.used+size <= limit {
+		m.used += size
+		return nil
 	}
-	_ = c.conn.SetReadDeadline(time.Time{})
-	if err != nil {
-		c.listener.memory.release(cmd.memory)
+	if m.freed == nil {
+		m.freed = make(chan struct{})
 	}
-	return cmd, err
+	return m.freed
 }
 
-// waitMemory waits for room, and tells whether it was had in time, and the client has not gone.
-func (c *client) waitMemory(size int) bool {
-	limit := time.After(memoryTimeout)
-	for {
-		freed := c.listener.memory.acquire(size, c.isPipelined())
-		if freed == nil {
-			return true
-		}
-		if !c.waitConnected(freed, limit) {
-			return false
-		}
+// release gives back size bytes.
+func (m *memoryLimiter) release(size int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.used -= size
+	if m.freed != nil && size > 0 {
+		close(m.freed)
+		m.freed = nil
 	}
 }
-
-// isPipelined tells whether a command stands behind others in hand.
-func (c *client) isPipelined() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.commands > 1
-}
--- a/internal/listener/memory_test.go
+++ b/internal/listener/memory_test.go
@@ -1,7 +1,6 @@
 package listener
 
 import (
-	"net"
 	"slices"
 	"strings"
 	"sync"
@@ -12,183 +11,194 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// longestBody is the longest value.
+// longestBody is the longest value that a command may have.
 var longestBody = strings.Repeat("b", 64<<10)
 
-// blockingServer has a server hold its answers until it is let go, and counts the values that it was sent and has not answered.
+// blockingServer holds its answers until release is closed, and counts the requests that it was sent and has not answered.
 type blockingServer struct {
 	*fakes.Server
-	release               chan struct{}
-	mu                    sync.Mutex
+	release chan struct{}
+
+	mu                    sync.Mutex // guards the fields below
 	inFlight, maxInFlight int
 }
 
 func newBlockingServer(t *testing.T, answer string) *blockingServer {
-	h := &blockingServer{release: make(chan struct{})}
-	h.Server = fakes.NewServer(t, func([]string) string {
-		h.mu.Lock()
-		h.inFlight++
-		h.maxInFlight = max(h.maxInFlight, h.inFlight)
-		h.mu.Unlock()
-		<-h.release
-		h.mu.Lock()
-		h.inFlight--
-		h.mu.Unlock()
+	t.Helper()
+	s := &blockingServer{release: make(chan struct{})}
+	s.Server = fakes.NewServer(t, func([]string) string {
+		s.addInFlight(1)
+		<-s.release
+		s.addInFlight(-1)
 		return fakes.FormatValue(answer, 1)
 	})
-	return h
+	return s
+}
+
+func (s *blockingServer) addInFlight(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight += n
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
+}
+
+func (s *blockingServer) unanswered() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inFlight
+}
+
+func (m *memoryLimiter) usedBytes() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.used
 }
 
-func (h *blockingServer) unanswered() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.inFlight
+// awaitMemoryReleased waits until no memory is reserved.
+func (f *fixture) awaitMemoryReleased() {
+	f.Helper()
+	fakes.Eventually(f, "all memory released", func() bool { return f.memory.usedBytes() == 0 })
 }
 
-// Clients send the longest values at once, and the server answers late with as long ones. What all of them hold stays
-// within the bound; each request gets one answer, and those that were refused were never sent on.
+// Clients send the longest values at once, and the server answers late with values as long. What all of them hold stays within
+// the bound. Each request gets one answer, and those that were rejected were never forwarded.
 func TestMemoryLimit_boundsValuesInFlight(t *testing.T) {
-	const clients, each, bytes = 12, 2, 1 << 20
+	const clients, requestsEach, maxMemory = 12, 2, 1 << 20
 	server := newBlockingServer(t, longestBody)
-	s := newFixture(t, bytes, slices.Repeat([]*fakes.Server{server.Server}, 20)...).start()
-	var answered, refused atomic.Int64
+	f := newFixture(t, maxMemory, slices.Repeat([]*fakes.Server{server.Server}, 20)...).start()
+	var served, rejected atomic.Int64
 	var all sync.WaitGroup
 	for range clients {
-		c := s.dial()
+		c := f.dial()
 		all.Go(func() {
 			c.send(submitCommand(longestBody) + submitCommand(longestBody))
 		})
 		all.Go(func() {
-			for range each {
+			for range requestsEach {
 				switch line := c.readAnswer(); {
 				case line == longestBody:
-					answered.Add(1)
+					served.Add(1)
 				case strings.HasPrefix(line, "-BUSY"):
-					refused.Add(1)
+					rejected.Add(1)
 				default:
 					t.Errorf("answered %.40q", line)
 				}
 			}
 		})
 	}
-	most := bytes / (maxRequestOverhead + len(longestBody))
-	fakes.Eventually(t, "as many as there is room for", func() bool { return server.unanswered() == most })
-	fakes.Eventually(t, "the others refused", func() bool { return refused.Load() >= int64(clients-most) })
+	maxInFlight := maxMemory / (maxRequestOverhead + len(longestBody))
+	fakes.Eventually(t, "as many requests as there is memory for", func() bool { return server.unanswered() == maxInFlight })
+	fakes.Eventually(t, "the others rejected", func() bool { return rejected.Load() >= int64(clients-maxInFlight) })
 	close(server.release)
 	all.Wait()
-	if n := answered.Load() + refused.Load(); n != clients*each || answered.Load() < int64(most) {
-		t.Errorf("%d answered and %d refused of %d", answered.Load(), refused.Load(), clients*each)
+	if n := served.Load() + rejected.Load(); n != clients*requestsEach || served.Load() < int64(maxInFlight) {
+		t.Errorf("%d served and %d rejected of %d", served.Load(), rejected.Load(), clients*requestsEach)
 	}
-	if n := server.PendingCommands(); int64(n) != answered.Load() {
-		t.Errorf("%d sent on, %d answered", n, answered.Load())
+	if n := server.PendingCommands(); int64(n) != served.Load() {
+		t.Errorf("%d forwarded, %d served", n, served.Load())
 	}
-	if server.maxInFlight > most {
-		t.Errorf("%d held at once, with room for %d", server.maxInFlight, most)
+	if server.maxInFlight > maxInFlight {
+		t.Errorf("%d in flight at once, with memory for %d", server.maxInFlight, maxInFlight)
 	}
-	fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+	f.awaitMemoryReleased()
 }
 
-func (r *memoryLimiter) usedBytes() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.used
+// longSubmit is a submit with the longest value.
+var longSubmit = fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
+
+// memoryHolders are clients that could keep memory reserved.
+var memoryHolders = map[string]func(c *testClient, f *fixture, server *blockingServer){
+	"sends one byte at a time": func(c *testClient, f *fixture, _ *blockingServer) {
+		c.send(longSubmit[:len(longSubmit)/2])
+		fakes.Eventually(c, "memory reserved", func() bool { return f.memory.usedBytes() > 0 })
+		for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) { // until the connection is closed
+			time.Sleep(commandTimeout / 8) // the client's slowness, not a wait for something
+		}
+	},
+	"value without its end": func(c *testClient, _ *fixture, _ *blockingServer) {
+		c.send(longSubmit[:len(longSubmit)-2] + "xx")
+		if line := c.readAnswer(); line != "-ERR a value does not end where it says" {
+			c.Errorf("answered %.40q", line)
+		}
+	},
+	"unknown class": func(c *testClient, _ *fixture, _ *blockingServer) {
+		c.send(strings.Replace(longSubmit, "c=pay", "c=nay", 1))
+		if line := c.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
+			c.Errorf("answered %.40q", line)
+		}
+	},
+	"pipelines many and disconnects": func(c *testClient, _ *fixture, server *blockingServer) {
+		go func() { _, _ = c.Write([]byte(strings.Repeat(submitCommand(longestBody), 40))) }() // until the connection is closed
+		fakes.Eventually(c, "the first request", func() bool { return server.unanswered() > 0 })
+		_, _ = c.SetLinger(0), c.Close()
+	},
+	"reads no answer": func(c *testClient, f *fixture, server *blockingServer) {
+		c.send(queryCommand() + queryCommand() + queryCommand())
+		fakes.Eventually(c, "the last request", func() bool { return server.unanswered() == 3 })
+		close(server.release)
+		fakes.Eventually(c, "the connection's end", func() bool { return f.connectionCount() == 0 })
+	},
 }
 
-// What clients hold up or leave behind takes no room, and nobody else waits for it.
+// All memory is released whatever a client does, also if it is slow or disconnects.
 func TestMemoryLimit_isReleasedWhateverClientsDo(t *testing.T) {
-	long := fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
-	for name, do := range map[string]func(c *testClient, server *blockingServer){
-		"one byte now and then": func(c *testClient, _ *blockingServer) {
-			c.send(long[:len(long)/2])
-			fakes.Eventually(c, "room taken", func() bool { return c.memory.usedBytes() > 0 })
-			for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) { // until it is closed
-				time.Sleep(commandTimeout / 8)
-			}
-		},
-		"no end where it says": func(c *testClient, _ *blockingServer) {
-			c.send(long[:len(long)-2] + "xx")
-			if line := c.readAnswer(); line != "-ERR a value does not end where it says" {
-				c.Errorf("answered %.40q", line)
-			}
-		},
-		"no task": func(c *testClient, _ *blockingServer) {
-			c.send(strings.Replace(long, "c=pay", "c=nay", 1))
-			if line := c.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
-				c.Errorf("answered %.40q", line)
-			}
-		},
-		"much at once, and gone": func(c *testClient, server *blockingServer) {
-			go func() { _, _ = c.Write([]byte(strings.Repeat(submitCommand(longestBody), 40))) }() // until it is closed
-			fakes.Eventually(c, "the first", func() bool { return server.unanswered() > 0 })
-			_, _ = c.SetLinger(0), c.Close()
-		},
-		"reads no answer": func(c *testClient, server *blockingServer) {
-			c.send(queryCommand() + queryCommand() + queryCommand())
-			fakes.Eventually(c, "the last", func() bool { return server.unanswered() == 3 })
-			close(server.release)
-			fakes.Eventually(c, "its end", func() bool { return c.clientCount() == 0 })
-		},
-	} {
+	for name, act := range memoryHolders {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := newBlockingServer(t, longestBody)
-			s := newFixture(t, 4<<20, slices.Repeat([]*fakes.Server{server.Server}, 8)...)
-			s.start(func(conn *net.TCPConn) net.Conn {
-				_ = conn.SetWriteBuffer(4 << 10)
-				return conn
-			})
-			c := s.dial()
+			f := newFixture(t, 4<<20, slices.Repeat([]*fakes.Server{server.Server}, 8)...).start(withSmallWriteBuffer)
+			c := f.dial()
 			_ = c.SetReadBuffer(4 << 10)
-			do(c, server)
+			act(c, f, server)
 			_ = c.Close()
 			select {
 			case <-server.release:
 			default:
 				close(server.release)
 			}
-			s.awaitEmpty()
-			fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+			f.awaitEmpty()
+			f.awaitMemoryReleased()
 		})
 	}
 }
 
-// Where there is no room, who asks for it waits a while and is refused; who needs none is answered at once, and the end
-// of one that waits is seen.
+// Without free memory, a request waits for some time and is rejected. A command that needs none is answered at once, and the
+// disconnect of a client that waits is noticed.
 func TestMemoryLimit_rejectsWithoutCapacity(t *testing.T) {
-	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
-	s := newFixture(t, 4<<20, server).start()
-	c, leaves := s.dial(), s.dial()
-	ask := func(text, want string) {
+	server := fakes.NewServer(t, answerHello)
+	f := newFixture(t, 4<<20, server).start()
+	client, leaving := f.dial(), f.dial()
+	check := func(command, want string) {
 		t.Helper()
-		c.send(text)
-		if line := c.readAnswer(); line != want {
+		client.send(command)
+		if line := client.readAnswer(); line != want {
 			t.Errorf("answered %.40q, want %q", line, want)
 		}
 	}
-	ask(queryCommand(), "hello")
-	fakes.Eventually(t, "all the room", func() bool { return s.memory.acquire(s.memory.limit, false) == nil })
-	ask(queryCommand(), "-BUSY")
-	ask(submitCommand(longestBody), "-BUSY")
-	ask(fakes.FormatCommand("PING"), "-ERR not ready")
+	check(queryCommand(), "hello")
+	fakes.Eventually(t, "all memory reserved", func() bool { return f.memory.acquire(f.memory.limit, false) == nil })
+	check(queryCommand(), "-BUSY")
+	check(submitCommand(longestBody), "-BUSY")
+	check(pingCommand, "-ERR not ready")
 	if n := server.PendingCommands(); n != 1 {
-		t.Errorf("%d sent on", n)
+		t.Errorf("%d forwarded, want 1", n)
 	}
-	fakes.Eventually(t, "all answered", func() bool { return s.inHand() == 0 })
-	leaves.send(submitCommand("body"))
-	fakes.Eventually(t, "the one that leaves", func() bool { return s.inHand() == 1 })
-	left := time.Now()
-	_ = leaves.Close()
-	fakes.Eventually(t, "its end", func() bool { return s.clientCount() == 1 })
-	if took := time.Since(left); took > memoryTimeout*3/5 {
+	fakes.Eventually(t, "all answered", func() bool { return f.connections.unansweredCommands() == 0 })
+	leaving.send(submitCommand("body"))
+	fakes.Eventually(t, "the leaving client's request", func() bool { return f.connections.unansweredCommands() == 1 })
+	disconnected := time.Now()
+	_ = leaving.Close()
+	fakes.Eventually(t, "the connection's end", func() bool { return f.connectionCount() == 1 })
+	if took := time.Since(disconnected); took > memoryTimeout*3/5 {
 		t.Errorf("noticed after %v", took)
 	}
-	c.send(submitCommand(longestBody) + queryCommand())
-	fakes.Eventually(t, "the one that waits", func() bool { return s.inHand() == 1 })
-	s.memory.release(s.memory.limit)
+	client.send(submitCommand(longestBody) + queryCommand())
+	fakes.Eventually(t, "the waiting request", func() bool { return f.connections.unansweredCommands() == 1 })
+	f.memory.release(f.memory.limit)
 	for range 2 {
-		if line := c.readAnswer(); line != "hello" {
-			t.Errorf("with room again: answered %.40q", line)
+		if line := client.readAnswer(); line != "hello" {
+			t.Errorf("with memory again: answered %.40q", line)
 		}
 	}
-	fakes.Eventually(t, "all given back", func() bool { return s.memory.usedBytes() == 0 })
+	f.awaitMemoryReleased()
 }
