--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -10,33 +10,18 @@
 	"maps"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"reflect"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/testing/golden"
 )
 
 // The files under testdata and the hashes were written by the program before its names were changed. What is stored,
 // what goes between processes and what the simulations give must stay as these have it.
 
-// golden compares bytes with those of a file under testdata.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
-	}
-}
-
 // recorder hashes numbers, by their bits, and words. Writing to a hash never fails.
 type recorder struct{ hash.Hash }
 
@@ -84,20 +69,10 @@
 			full.Tests[i].Add(float64(n*i)/40, 0.05)
 		}
 	}
+	encode := func(state TrialState) ([]byte, error) { return state.encode(), nil }
 	for name, state := range map[string]TrialState{"trial-empty.cbor": {}, "trial-full.cbor": full} {
 		t.Run(name, func(t *testing.T) {
-			golden(t, name, state.encode())
-			stored, err := os.ReadFile(filepath.Join("testdata", name))
-			if err != nil {
-				t.Fatal(err)
-			}
-			decoded, err := decodeTrialState(stored)
-			if err != nil || !reflect.DeepEqual(decoded, state) {
-				t.Errorf("read %+v, %v; want %+v", decoded, err, state)
-			}
-			if encodedAgain := decoded.encode(); !bytes.Equal(encodedAgain, stored) {
-				t.Errorf("written again:\n%x\nstored:\n%x", encodedAgain, stored)
-			}
+			golden.CheckStored(t, golden.Read(t, name), state, encode, decodeTrialState)
 		})
 	}
 }
@@ -186,5 +161,5 @@
 	if got := bucketName(Fingerprint(1<<40), 12, nameOverLimit); got != "canary\x1fe13wu1og\x1fcell\x1f12\x1fbeyond" {
 		t.Errorf("%q", got)
 	}
-	golden(t, "observations.txt", out.Bytes())
+	golden.Check(t, "observations.txt", out.Bytes())
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -82,12 +83,8 @@
 // edit is PATH=VALUE (JSON) or -PATH, which removes the key; some are joined by " && ".
 func refusals(t *testing.T) [][2]string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "refusals.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var edits [][2]string
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(golden.Read(t, "refusals.txt"))) {
 		edit, refusal, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if !ok {
 			t.Fatalf("no tab in %q", line)
@@ -100,12 +97,8 @@
 // edited is full.json after some edits.
 func edited(t *testing.T, edits string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "full.json"))
 	var root any
-	if err == nil {
-		err = json.Unmarshal(text, &root)
-	}
-	if err != nil {
+	if err := json.Unmarshal(golden.Read(t, "full.json"), &root); err != nil {
 		t.Fatal(err)
 	}
 	for _, edit := range strings.Split(edits, " && ") {
@@ -135,7 +128,8 @@
 		}
 		parent.(map[string]any)[last] = inner
 	}
-	if text, err = json.Marshal(root); err != nil {
+	text, err := json.Marshal(root)
+	if err != nil {
 		t.Fatal(err)
 	}
 	return text
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -14,14 +14,15 @@
 	"harrierhoist/internal/countingrule"
 	"harrierhoist/internal/failover"
 	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenFile is an operators' file that holds every key, none at its default.
-const goldenFile = "testdata/full.toml"
+const goldenFile = "full.toml"
 
 // The operators' file keeps its keys: each of them is read into the same field as before.
 func TestGolden_fullFile(t *testing.T) {
-	got, err := Read(goldenFile)
+	got, err := Read(filepath.Join("testdata", goldenFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +131,7 @@
 // Every refusal of a bad file is the line that it was before. Each row of testdata/refusals.toml changes the full file
 // in one place; FILE stands for its path.
 func TestGolden_refusals(t *testing.T) {
-	var golden struct {
+	var file struct {
 		Refusals []struct {
 			Name    string   `toml:"name"`
 			Replace string   `toml:"replace"`
@@ -138,27 +139,20 @@
 			Lines   []string `toml:"lines"`
 		} `toml:"row"`
 	}
-	text, err := os.ReadFile("testdata/refusals.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := toml.Unmarshal(text, &golden); err != nil {
-		t.Fatal(err)
-	}
-	full, err := os.ReadFile(goldenFile)
-	if err != nil {
+	if err := toml.Unmarshal(golden.Read(t, "refusals.toml"), &file); err != nil {
 		t.Fatal(err)
 	}
-	if len(golden.Refusals) < 100 {
-		t.Errorf("%d refusals", len(golden.Refusals))
+	full := string(golden.Read(t, goldenFile))
+	if len(file.Refusals) < 100 {
+		t.Errorf("%d refusals", len(file.Refusals))
 	}
-	for _, refusal := range golden.Refusals {
+	for _, refusal := range file.Refusals {
 		t.Run(refusal.Name, func(t *testing.T) {
-			if n := strings.Count(string(full), refusal.Replace); n != 1 {
+			if n := strings.Count(full, refusal.Replace); n != 1 {
 				t.Fatalf("%q stands %d times in %s", refusal.Replace, n, goldenFile)
 			}
 			path := filepath.Join(t.TempDir(), "common.toml")
-			if err := os.WriteFile(path, []byte(strings.Replace(string(full), refusal.Replace, refusal.With, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(full, refusal.Replace, refusal.With, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			_, err := Read(path)
--- a/internal/coordination/consensus/golden_test.go
+++ b/internal/coordination/consensus/golden_test.go
@@ -5,16 +5,14 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
@@ -82,21 +80,10 @@
 	return all
 }
 
-func goldenFile(t *testing.T, name string) string {
-	t.Helper()
-	text, err := os.ReadFile("testdata/" + name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // The records of the same events are the same bytes, and so are the messages.
 func TestGolden_recordsAndMessagesOfACluster(t *testing.T) {
 	cluster := goldenCluster(t)
-	if got := cluster.recordLines(); got != goldenFile(t, "records.hex") {
-		t.Errorf("records:\n%s", got)
-	}
+	golden.Check(t, "records.hex", []byte(cluster.recordLines()))
 	sum := sha256.New()
 	for _, m := range cluster.sent {
 		_, _ = fmt.Fprintf(sum, "%d %x\n", m.To.Number, m.Body)
@@ -111,7 +98,7 @@
 // What a disk holds from the version before is read: members, tables and all that follows; and written again the same.
 func TestGolden_recordsAreRead(t *testing.T) {
 	states, bases := "", ""
-	records := readRecords(t, goldenFile(t, "records.hex"))
+	records := readRecords(t, string(golden.Read(t, "records.hex")))
 	for number := uint64(1); number <= 4; number++ {
 		n, err := NewNode(testMember(number), Incarnation{3, 1}, nil, records[number], number)
 		if err != nil {
@@ -133,59 +120,45 @@
 		bases += fmt.Sprintf("%d %x\n", number, base)
 		states += fmt.Sprintf("%d applied %d, %d members, %x\n", number, n.AppliedIndex(), len(n.Status().Members), snapshot)
 	}
-	if bases != goldenFile(t, "bases.hex") {
-		t.Errorf("bases:\n%s", bases)
-	}
-	if states != goldenFile(t, "states.txt") {
-		t.Errorf("states:\n%s", states)
-	}
+	golden.Check(t, "bases.hex", []byte(bases))
+	golden.Check(t, "states.txt", []byte(states))
 }
 
 // What stands in the log, in a snapshot and between voters, one of each.
 func TestGolden_encodings(t *testing.T) {
 	one := testMember(1)
 	for name, test := range map[string]struct {
-		value, into any
-		want        string
+		value any
+		want  string
 	}{
 		"command": {&logEntry{Seq: 1<<32 + 5, From: 2, Command: &statemachine.Command{
 			Kind: statemachine.Write, Proposer: "g1/1", Number: 3,
 			Table: "plan", Epoch: 2, Value: []byte("v"),
-		}}, new(logEntry), goldenCommand},
-		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, new(logEntry), goldenDisk},
-		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, new(membershipChange), goldenChange},
+		}}, goldenCommand},
+		"mark":   {&logEntry{Seq: 1<<32 + 6, From: 2, Disk: &one}, goldenDisk},
+		"change": {&membershipChange{Seq: 1<<32 + 7, From: 2, Member: one, Remove: true}, goldenChange},
 		"picture": {&snapshotData{
 			Membership: membership{Members: []coordination.Member{one, testMember(2)}, HighestNumber: 2, ClusterID: 1 << 63},
 			State:      []byte("state"),
-		}, new(snapshotData), goldenSnapshotData},
+		}, goldenSnapshotData},
 		"record": {&record{
 			Self: &one, Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("e1"), []byte("e2")},
 			HardState: []byte("hard"),
-		}, new(record), goldenRecord},
+		}, goldenRecord},
 		"envelope": {
 			&envelope{From: one, Incarnation: Incarnation{2, 1 << 50}, ClusterID: 9, RaftMessages: [][]byte{[]byte("m1"), []byte("m2")}},
-			new(envelope), goldenEnvelope,
+			goldenEnvelope,
 		},
 		"envelope with digests": {
 			&envelope{From: one, Incarnation: Incarnation{2, 5}, Digests: []observation.Digest{{
 				Process:     "g1",
 				Incarnation: 3, Serial: 4, Session: 5, Counts: map[string]uint64{"n": 1}, Exact: map[string]uint64{"m": 2},
 			}}},
-			new(envelope), goldenDigests,
+			goldenDigests,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := encMode.Marshal(test.value)
-			if err != nil || hex.EncodeToString(got) != test.want {
-				t.Errorf("encoded as %x, %v", got, err)
-			}
-			encoded, err := hex.DecodeString(test.want)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := cbor.Unmarshal(encoded, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
-				t.Errorf("decoded as %+v, %v", test.into, err)
-			}
+			golden.CheckCBOR(t, encMode.Marshal, test.value, test.want)
 		})
 	}
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -1,36 +1,26 @@
 package coordination
 
 import (
-	"encoding/hex"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 // What processes of the version before send each other must stay readable, and what they read must stay what is sent.
 func TestGolden_memberAndStatus(t *testing.T) {
 	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", DiskID: "00112233445566778899aabbccddeeff"}
 	for name, test := range map[string]struct {
-		value, into any
-		want        string
+		value any
+		want  string
 	}{
-		"member": {&member, new(Member), goldenMember},
-		"status": {&Status{Number: 3, Leader: 1, Term: 7, Applied: 900, Members: []Member{member}}, new(Status), goldenStatus},
-		"empty":  {&Status{}, new(Status), goldenEmptyStatus},
+		"member": {&member, goldenMember},
+		"status": {&Status{Number: 3, Leader: 1, Term: 7, Applied: 900, Members: []Member{member}}, goldenStatus},
+		"empty":  {&Status{}, goldenEmptyStatus},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := cbor.Marshal(test.value)
-			if err != nil || hex.EncodeToString(got) != test.want {
-				t.Errorf("encoded as %x, %v", got, err)
-			}
-			bytes, err := hex.DecodeString(test.want)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := cbor.Unmarshal(bytes, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
-				t.Errorf("decoded as %+v, %v", test.into, err)
-			}
+			golden.CheckCBOR(t, cbor.Marshal, test.value, test.want)
 		})
 	}
 }
--- a/internal/coordination/observation/golden_test.go
+++ b/internal/coordination/observation/golden_test.go
@@ -1,11 +1,11 @@
 package observation
 
 import (
-	"encoding/hex"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 // Digests travel between processes of two versions while one replaces the other.
@@ -30,18 +30,7 @@
 		"empty": {Digest{}, goldenEmpty},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := mode.Marshal(test.digest)
-			if err != nil || hex.EncodeToString(got) != test.want {
-				t.Errorf("encoded as %x, %v", got, err)
-			}
-			encoded, err := hex.DecodeString(test.want)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var digest Digest
-			if err := cbor.Unmarshal(encoded, &digest); err != nil || !reflect.DeepEqual(digest, test.digest) {
-				t.Errorf("decoded as %+v, %v", digest, err)
-			}
+			golden.CheckCBOR(t, mode.Marshal, test.digest, test.want)
 		})
 	}
 	if got := JoinName("push", "hall-a/1", ""); got != "push\x1fhall-a/1\x1f" {
--- a/internal/coordination/statemachine/golden_test.go
+++ b/internal/coordination/statemachine/golden_test.go
@@ -2,44 +2,30 @@
 
 import (
 	"bytes"
-	"encoding/hex"
-	"os"
-	"reflect"
-	"strings"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
+	"harrierhoist/internal/testing/golden"
 )
 
 // A log that the version before wrote holds these commands: their bytes must mean the same and stay the same.
 func TestGolden_commandsAndResults(t *testing.T) {
 	for name, test := range map[string]struct {
-		value, into any
-		want        string
+		value any
+		want  string
 	}{
 		"write": {
 			&Command{Kind: Write, Proposer: "g1/7", Number: 9, Table: "plan", Epoch: 4, Value: []byte("value")},
-			new(Command), goldenWrite,
+			goldenWrite,
 		},
 		"raise": {
 			&Command{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"a": 7, "b": 1 << 40}},
-			new(Command), goldenRaise,
+			goldenRaise,
 		},
-		"result": {&Result{Applied: true, Epoch: 5}, new(Result), goldenResult},
-		"entry":  {&Table{Epoch: 5, Value: []byte("value"), Index: 77}, new(Table), goldenEntry},
+		"result": {&Result{Applied: true, Epoch: 5}, goldenResult},
+		"entry":  {&Table{Epoch: 5, Value: []byte("value"), Index: 77}, goldenEntry},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := encMode.Marshal(test.value)
-			if err != nil || hex.EncodeToString(got) != test.want {
-				t.Errorf("encoded as %x, %v", got, err)
-			}
-			encoded, err := hex.DecodeString(test.want)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := cbor.Unmarshal(encoded, test.into); err != nil || !reflect.DeepEqual(test.into, test.value) {
-				t.Errorf("decoded as %+v, %v", test.into, err)
-			}
+			golden.CheckCBOR(t, encMode.Marshal, test.value, test.want)
 		})
 	}
 }
@@ -68,23 +54,9 @@
 	return s
 }
 
-// goldenSnapshot is what the version before wrote.
-func goldenSnapshot(t *testing.T) []byte {
-	t.Helper()
-	text, err := os.ReadFile("testdata/snapshot.hex")
-	if err != nil {
-		t.Fatal(err)
-	}
-	snapshot, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return snapshot
-}
-
 // A snapshot that the version before wrote is read, and written again byte for byte.
 func TestGolden_snapshot(t *testing.T) {
-	want := goldenSnapshot(t)
+	want := golden.ReadHex(t, "snapshot.hex")
 	if got, err := goldenState().Snapshot(); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written as %x, %v", got, err)
 	}
@@ -100,7 +72,7 @@
 // What a snapshot of the version before means.
 func TestGolden_snapshotContent(t *testing.T) {
 	s := New()
-	if err := s.Restore(goldenSnapshot(t)); err != nil {
+	if err := s.Restore(golden.ReadHex(t, "snapshot.hex")); err != nil {
 		t.Fatal(err)
 	}
 	if plan, rules := s.Table("plan"), s.Table("rules"); s.AppliedIndex() != 18 || string(plan.Value) != "second" ||
--- a/internal/coordination/transport/golden_http_test.go
+++ b/internal/coordination/transport/golden_http_test.go
@@ -20,6 +20,7 @@
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenVoter answers as the golden responses say, and passes on what it receives.
@@ -112,7 +113,7 @@
 			if err := call(newTestClient(t), address); err == nil || err.Error() != address+"/"+file+": status 503: " {
 				t.Errorf("the answer is taken as %v", err)
 			}
-			checkGolden(t, file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST")))
+			golden.Check(t, "golden/"+file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST")))
 		})
 	}
 }
@@ -129,12 +130,12 @@
 }
 
 func goldenExchanges(t *testing.T) []goldenExchange {
-	request := func(file string) string { return string(goldenFile(t, file+".request")) }
+	request := func(file string) string { return string(golden.Read(t, "golden/"+file+".request")) }
 	postBytes := func(path, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: HOST\r\nContent-Length: %d\r\nBody-Sum: %s\r\n\r\n%s",
 			path, len(body), checksum([]byte(body)), body)
 	}
-	post := func(path, file string) string { return postBytes(path, string(goldenFile(t, file))) }
+	post := func(path, file string) string { return postBytes(path, string(golden.Read(t, "golden/"+file))) }
 	batch := goldenBatch()
 	return []goldenExchange{
 		{file: "standing", call: request("standing")},
@@ -190,7 +191,7 @@
 				}
 				return response.Body, nil
 			})
-			checkGolden(t, row.file+".answer", dateLine.ReplaceAll(got, []byte("\r\nDate: DATE\r\n")))
+			golden.Check(t, "golden/"+row.file+".answer", dateLine.ReplaceAll(got, []byte("\r\nDate: DATE\r\n")))
 			server.Close()
 			close(voter.received)
 			var received []any
--- a/internal/coordination/transport/golden_test.go
+++ b/internal/coordination/transport/golden_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
@@ -15,6 +13,7 @@
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
+	"harrierhoist/internal/testing/golden"
 )
 
 // Golden values: bytes under testdata/golden were written by the code before its names changed. Maps in them have one
@@ -68,23 +67,6 @@
 	return map[string]statemachine.Table{"plan": {Epoch: 6, Value: []byte("value"), Index: 1234}}
 }
 
-func goldenFile(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// checkGolden tells where bytes differ from a golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := goldenFile(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n got %q\nwant %q", name, got, want)
-	}
-}
-
 // Each body that processes send each other is read as it was, and written again byte for byte.
 func TestGolden_bodies(t *testing.T) {
 	for _, row := range []struct {
@@ -108,7 +90,7 @@
 		{"propose-answer-fault", Response{Error: "not leader"}},
 	} {
 		t.Run(row.file, func(t *testing.T) {
-			want := goldenFile(t, row.file+".cbor")
+			want := golden.Read(t, "golden/"+row.file+".cbor")
 			read := reflect.New(reflect.TypeOf(row.value))
 			if err := readBody(bytes.NewReader(want), int64(len(want)), maxBodyBytes, checksum(want), read.Interface()); err != nil {
 				t.Fatal(err)
@@ -121,7 +103,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				checkGolden(t, row.file+".cbor", written)
+				golden.Check(t, "golden/"+row.file+".cbor", written)
 			}
 		})
 	}
--- a/internal/coordination/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -9,6 +9,7 @@
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/wal"
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/golden"
 )
 
 // What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the log that it had
@@ -43,11 +44,7 @@
 		log = append(log, text...)
 	}
 	for _, name := range []string{"decision.cbor", "exact.cbor"} {
-		want, err := os.ReadFile(filepath.Join("testdata", name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(want) == 0 || !bytes.Contains(log, want) {
+		if want := golden.Read(t, name); len(want) == 0 || !bytes.Contains(log, want) {
 			t.Errorf("%s is not in the log: %q", name, want)
 		}
 	}
--- a/internal/coordination/wal/golden_test.go
+++ b/internal/coordination/wal/golden_test.go
@@ -11,6 +11,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 const (
@@ -21,11 +23,7 @@
 // goldenRecords are records of a voter, with a snapshot among them, and some of the sizes around a block's.
 func goldenRecords(t *testing.T) (all [][]byte) {
 	t.Helper()
-	text, err := os.ReadFile("testdata/records.hex")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(golden.Read(t, "records.hex"))) {
 		record, err := hex.DecodeString(strings.TrimSpace(line))
 		if err != nil {
 			t.Fatal(err)
@@ -67,10 +65,7 @@
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile("testdata/log")
-	if err != nil {
-		t.Fatal(err)
-	}
+	want := golden.Read(t, "log")
 	if got := voterLog.logBytes(t); !bytes.Equal(got, want) || voterLog.Size() != int64(len(want)) {
 		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), voterLog.Size())
 	}
@@ -78,12 +73,8 @@
 
 // A log that the version before wrote is read, and rewritten at its opening as that version did.
 func TestGolden_logIsRead(t *testing.T) {
-	log, err := os.ReadFile("testdata/log")
-	if err != nil {
-		t.Fatal(err)
-	}
 	voterLog := goldenLog(t)
-	if err := os.WriteFile(filepath.Join(voterLog.folder, logName), log, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(voterLog.folder, logName), golden.Read(t, "log"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := voterLog.load(goldenInode + 1); !errors.Is(err, ErrCopied) {
--- a/internal/countingrule/golden_refusals_test.go
+++ b/internal/countingrule/golden_refusals_test.go
@@ -3,13 +3,12 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
 
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -69,14 +68,11 @@
 
 // Each refusal stays as operators know it: one line with the key and what is allowed.
 func TestGolden_refusals(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "rules.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := string(golden.Read(t, "rules.toml"))
 	var out bytes.Buffer
 	for _, c := range refusals {
-		changed := strings.Replace(string(text), c.from, c.to, 1)
-		if changed == string(text) {
+		changed := strings.Replace(text, c.from, c.to, 1)
+		if changed == text {
 			t.Errorf("%s: %q is not in the file", c.name, c.from)
 		}
 		var file struct {
@@ -116,5 +112,5 @@
 			fmt.Fprintf(&out, "cannot hold\n    %s\n", err)
 		}
 	}
-	golden(t, "refusals.txt", out.Bytes())
+	golden.Check(t, "refusals.txt", out.Bytes())
 }
--- a/internal/countingrule/golden_test.go
+++ b/internal/countingrule/golden_test.go
@@ -4,33 +4,19 @@
 	"bytes"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
 // The files under testdata were written by the program before its names were changed. What is stored, what goes between
 // processes and what operators read and write must stay as these files have it, byte for byte.
 
-// golden compares bytes with those of a file under testdata.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
-	}
-}
-
 // everyRule has each form of a rule that a table can hold.
 func everyRule() []Rule {
 	return []Rule{
@@ -76,20 +62,10 @@
 }
 
 func TestGolden_storedTable(t *testing.T) {
+	encode := func(table Table) ([]byte, error) { return table.Encode(), nil }
 	for name, table := range storedTables() {
 		t.Run(name, func(t *testing.T) {
-			golden(t, name, table.Encode())
-			stored, err := os.ReadFile(filepath.Join("testdata", name))
-			if err != nil {
-				t.Fatal(err)
-			}
-			decoded, err := Decode(stored)
-			if err != nil || !reflect.DeepEqual(decoded, table) {
-				t.Errorf("read %+v, %v; want %+v", decoded, err, table)
-			}
-			if again := decoded.Encode(); !bytes.Equal(again, stored) {
-				t.Errorf("written again:\n%x\nstored:\n%x", again, stored)
-			}
+			golden.CheckStored(t, golden.Read(t, name), table, encode, Decode)
 		})
 	}
 	if TableName != "counting" {
@@ -141,7 +117,7 @@
 		}
 	}
 	fmt.Fprintf(&out, "mix %x %x %x\n", Hash(), Hash(1, 2), Hash(1, 2, 3, 4, 5))
-	golden(t, "names.txt", out.Bytes())
+	golden.Check(t, "names.txt", out.Bytes())
 }
 
 // What is reserved, admitted and settled, bit by bit.
@@ -172,19 +148,15 @@
 			fmt.Fprintf(&out, ", used %v, settled %v\n", used, correction)
 		}
 	}
-	golden(t, "second.txt", out.Bytes())
+	golden.Check(t, "second.txt", out.Bytes())
 }
 
 // The operators' file keeps its keys.
 func TestGolden_operatorsFile(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "rules.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var file struct {
 		Counting Config `toml:"counting"`
 	}
-	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file); err != nil {
+	if err := toml.NewDecoder(bytes.NewReader(golden.Read(t, "rules.toml"))).DisallowUnknownFields().Decode(&file); err != nil {
 		t.Fatal(err)
 	}
 	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{
@@ -201,5 +173,5 @@
 	if err := toml.NewEncoder(&written).Encode(file); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "rules-written.toml", written.Bytes())
+	golden.Check(t, "rules-written.toml", written.Bytes())
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -6,8 +6,6 @@
 	"cmp"
 	"fmt"
 	"net"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -21,6 +19,7 @@
 	"harrierhoist/internal/config"
 	"harrierhoist/internal/dispatch"
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -221,13 +220,7 @@
 		{"polled", true, "calls_polled.txt"},
 	} {
 		runVirtual(t, row.name, func(t *testing.T) {
-			want, err := os.ReadFile(filepath.Join("testdata", row.file))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got := strings.Join(recorded(t, row.isPolled, 3), "\n") + "\n"; got != string(want) {
-				t.Errorf("called\n%s", got)
-			}
+			golden.Check(t, row.file, []byte(strings.Join(recorded(t, row.isPolled, 3), "\n")+"\n"))
 		})
 	}
 }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -7,8 +7,6 @@
 	"hash"
 	"maps"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -16,6 +14,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 // storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
@@ -47,33 +47,7 @@
 func TestPlan_encodingIsStable(t *testing.T) {
 	for name, plan := range storedPlans {
 		t.Run(name, func(t *testing.T) {
-			file := filepath.Join("testdata", "plan-"+name+".hex")
-			written, err := plan.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			text, err := os.ReadFile(file)
-			if err != nil {
-				t.Fatal(err)
-			}
-			stored, err := hex.DecodeString(strings.TrimSpace(string(text)))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(written)); d != "" {
-				t.Errorf("written otherwise: %s", d)
-			}
-			read, err := DecodePlan(stored)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if d := cmp.Diff(plan, read); d != "" {
-				t.Errorf("read otherwise: %s", d)
-			}
-			again, err := read.Encode()
-			if d := cmp.Diff(hex.EncodeToString(stored), hex.EncodeToString(again)); d != "" || err != nil {
-				t.Errorf("read and written otherwise: %v %s", err, d)
-			}
+			golden.CheckStored(t, golden.ReadHex(t, "plan-"+name+".hex"), plan, (*Plan).Encode, DecodePlan)
 		})
 	}
 }
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -13,6 +13,7 @@
 
 	"harrierhoist/internal/lab/experiment"
 	"harrierhoist/internal/lab/simulation"
+	"harrierhoist/internal/testing/golden"
 )
 
 // testResults are made-up results of two scenarios and two variants.
@@ -54,10 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile("testdata/tables.md")
-	if err != nil {
-		t.Fatal(err)
-	}
+	want := golden.Read(t, "tables.md")
 	if d := cmp.Diff(withoutHeadings(string(want)), withoutHeadings(out.String())); d != "" {
 		t.Error(d)
 	}
--- a/internal/settlement/golden_test.go
+++ b/internal/settlement/golden_test.go
@@ -5,13 +5,13 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"errors"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenDecisions is the SHA-256 of all values that the table took in TestGolden_decisions, drawn at 8c168ca.
@@ -37,17 +37,7 @@
 func TestGolden_storedState(t *testing.T) {
 	for name, want := range map[string]State{"table.cbor": goldenState, "table-empty.cbor": {}} {
 		t.Run(name, func(t *testing.T) {
-			stored, err := os.ReadFile(filepath.Join("testdata", name))
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := DecodeState(stored)
-			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read %+v (%v), want %+v", got, err, want)
-			}
-			if written, err := want.Encode(); err != nil || !bytes.Equal(written, stored) {
-				t.Errorf("written %x (%v), want %x", written, err, stored)
-			}
+			golden.CheckStored(t, golden.Read(t, name), want, State.Encode, DecodeState)
 		})
 	}
 }
@@ -83,12 +73,8 @@
 
 // The operators' file: every key, and what each means.
 func TestGolden_terms(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	got := DefaultTerms()
-	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&got); err != nil {
+	if err := toml.NewDecoder(bytes.NewReader(golden.Read(t, "terms.toml"))).DisallowUnknownFields().Decode(&got); err != nil {
 		t.Fatal(err)
 	}
 	no, share, forgive := false, 0.25, 7200.0
@@ -194,14 +180,11 @@
 
 // Each one-line refusal of a bad file, whole, in its order.
 func TestGolden_refusals(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "terms.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := string(golden.Read(t, "terms.toml"))
 	for _, test := range goldenRefusals {
-		bad := strings.Replace(string(text), test.old, test.bad, 1)
+		bad := strings.Replace(text, test.old, test.bad, 1)
 		terms := DefaultTerms()
-		if err := toml.Unmarshal([]byte(bad), &terms); err != nil || bad == string(text) {
+		if err := toml.Unmarshal([]byte(bad), &terms); err != nil || bad == text {
 			t.Fatalf("%q: %v", test.bad, err)
 		}
 		if got := errors.Join(terms.Check()...); got == nil || got.Error() != test.want {
--- /dev/null
+++ b/internal/testing/golden/golden.go
@@ -0,0 +1,80 @@
+// Package golden holds, for tests, what is stored or sent to fixtures: files under the testdata of the test's package, and
+// encodings in hex. The fixtures are constants of the formats: no test writes them.
+package golden
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Read returns the bytes of a file under testdata.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// ReadHex returns the bytes that a file under testdata has in hex.
+func ReadHex(t testing.TB, name string) []byte {
+	t.Helper()
+	return decodeHex(t, strings.TrimSpace(string(Read(t, name))))
+}
+
+// Check compares bytes with those of a file under testdata.
+func Check(t testing.TB, name string, got []byte) {
+	t.Helper()
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+// CheckCBOR encodes a value, or a pointer to one, and compares the bytes with those in hex, which must decode as the value.
+func CheckCBOR(t testing.TB, marshal func(any) ([]byte, error), value any, wantHex string) {
+	t.Helper()
+	if got, err := marshal(value); err != nil || hex.EncodeToString(got) != wantHex {
+		t.Errorf("encoded as %x, %v; want %s", got, err, wantHex)
+	}
+	decoded := reflect.New(reflect.TypeOf(value))
+	err := cbor.Unmarshal(decodeHex(t, wantHex), decoded.Interface())
+	if got := decoded.Elem().Interface(); err != nil || !reflect.DeepEqual(got, value) {
+		t.Errorf("decoded as %+v, %v; want %+v", got, err, value)
+	}
+}
+
+// CheckStored holds the stored form of a value to bytes: the value is encoded as they are, they decode as the value, and
+// what they decode as is encoded as they are again.
+func CheckStored[T any](
+	t testing.TB, stored []byte, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error),
+) {
+	t.Helper()
+	if got, err := encode(value); err != nil || !bytes.Equal(got, stored) {
+		t.Errorf("encoded as\n%x, %v; want\n%x", got, err, stored)
+	}
+	decoded, err := decode(stored)
+	if err != nil || !reflect.DeepEqual(decoded, value) {
+		t.Errorf("decoded as %+v, %v; want %+v", decoded, err, value)
+		return
+	}
+	if again, err := encode(decoded); err != nil || !bytes.Equal(again, stored) {
+		t.Errorf("encoded again as\n%x, %v; want\n%x", again, err, stored)
+	}
+}
+
+func decodeHex(t testing.TB, text string) []byte {
+	t.Helper()
+	decoded, err := hex.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return decoded
+}
