--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -6,156 +6,176 @@
 	"harrierhoist/policy"
 )
 
-// attempt is a push on its way.
+// resetBeforeRunShare is the part of the resets that strike before the server begins.
+const resetBeforeRunShare = 0.5
+
+// attempt is a request on its way to one server and back.
 type attempt struct {
 	gateway       *gateway
-	incarnation   int
+	incarnation   int // of the gateway
 	try           *try
-	requestID     uint32 // the gateway's number for the task
-	number        int
+	requestID     uint32 // by which the gateway calls the try
+	number        int    // within the try, from 0
 	server        *server
 	startedAt     time.Duration
 	deadline      time.Duration
 	work          time.Duration
-	newConnection bool // it made its connection
-	done          bool // its outcome was told
+	newConnection bool // no idle connection was left
+	done          bool // the gateway knows its outcome
 }
 
-// Attempt sends a task to a server.
-func (g *gateway) Attempt(task, to uint32, until time.Duration) {
-	e := g.engine
-	t := g.tries[task]
+// Attempt implements policy.Host: it sends a request to a server.
+func (g *gateway) Attempt(requestID, to uint32, until time.Duration) {
+	e, t := g.engine, g.tries[requestID]
 	s := e.servers[to-1]
 	a := &attempt{
-		gateway: g, incarnation: g.incarnation, try: t, requestID: task, number: len(t.attempts), server: s, startedAt: e.clock.Now(), deadline: until,
-		work: t.request.work,
+		gateway: g, incarnation: g.incarnation, try: t, requestID: requestID, number: len(t.attempts), server: s,
+		startedAt: e.clock.Now(), deadline: until, work: t.request.work,
 	}
 	t.attempts = append(t.attempts, a)
 	g.subset.CountAttempt(e.clock.Now())
-	e.result.Attempts++
 	e.recordAttempt(a)
-	e.checker.AttemptSent(e.clock.Now(), g.index, to, t.id)
 	if f := g.follower; f != nil {
 		f.recorder.AddAttempt(e.clock.Now(), s.zone, t.request.declaredUnits, a.number == 0 && !f.isRepeat(t))
 	}
-	c := g.idle[to]
+	delay := e.delay(g.zone, s.zone)
+	reused := g.takeIdleConnection(s)
+	e.clock.At(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
+	if !e.connect(a, reused, delay) {
+		return
+	}
+	if !reused {
+		delay *= 3 // there, back and there with the request
+	}
+	e.clock.After(delay, func() { e.deliver(a, delay) })
+}
+
+// takeIdleConnection takes the idle connection to a server that was used last, and closes those that were idle too long.
+// It returns false if none is left.
+func (g *gateway) takeIdleConnection(s *server) bool {
+	c := g.idle[s.id]
 	if c == nil {
 		c = &idleConnections{}
-		g.idle[to] = c
+		g.idle[s.id] = c
 	}
-	hop := e.delay(g.zone, s.zone)
-	reach := !g.isCutFrom(s) && !s.silent
-	kept := false
-	for len(c.lastUsed) > 0 && !kept {
+	for len(c.lastUsed) > 0 {
 		last := c.lastUsed[len(c.lastUsed)-1]
 		c.lastUsed = c.lastUsed[:len(c.lastUsed)-1]
-		kept = e.clock.Now()-last < e.scenario.Servers.IdleTimeout.D()/2
-		if !kept {
-			s.connections = max(s.connections-1, 0)
+		if g.engine.clock.Now()-last < g.engine.scenario.Servers.IdleTimeout.D()/2 {
+			return true
 		}
+		s.connections = max(s.connections-1, 0)
 	}
-	e.clock.At(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
+	return false
+}
+
+// connect makes the connection of an attempt that has none to reuse. It returns false if the request does not reach the
+// server; it then has scheduled the outcome, other than the timeout.
+func (e *engine) connect(a *attempt, reused bool, delay time.Duration) bool {
+	s := a.server
+	end := func(after time.Duration, outcome policy.Outcome) {
+		e.clock.After(after, func() { e.endAttempt(a, outcome, 0) })
+	}
+	isReachable := !a.gateway.isCutFrom(s) && !s.silent
 	switch {
-	case kept && s.dead:
-		e.clock.After(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) }) // seen closed before it was used
-		return
-	case !kept && s.dead && reach:
-		e.clock.After(2*hop, func() { e.endAttempt(a, policy.ConnectFailed, 0) })
-		return
-	case !kept && !reach:
-		e.clock.After(e.scenario.Network.ConnectTimeout.D(), func() { e.endAttempt(a, policy.ConnectFailed, 0) })
-		return
-	case !kept && s.connections >= e.scenario.Servers.MaxConnections:
+	case s.dead && (reused || isReachable):
+		end(2*delay, policy.ConnectFailed) // a reused connection is found closed before anything is sent on it
+		return false
+	case !reused && !isReachable:
+		end(e.scenario.Network.ConnectTimeout.D(), policy.ConnectFailed)
+		return false
+	case !reused && s.connections >= e.scenario.Servers.MaxConnections:
 		e.result.Handshakes++
-		e.clock.After(2*hop, func() { e.endAttempt(a, policy.Rejected, 0) })
-		return
-	case !reach:
-		return
+		end(2*delay, policy.Rejected)
+		return false
+	case !isReachable:
+		return false
 	}
-	if !kept {
+	if !reused {
 		a.newConnection = true
 		s.connections++
 		e.result.Handshakes++
-		hop *= 3 // there, back and there with the task
 	}
-	e.clock.After(hop, func() {
-		if g.isCutFrom(s) {
+	return true
+}
+
+// deliver hands a request to its server, unless it is lost on the way.
+func (e *engine) deliver(a *attempt, delay time.Duration) {
+	if a.gateway.isCutFrom(a.server) {
+		return
+	}
+	if e.faults.resetRate > 0 && e.modelRandom.Float64() < e.faults.resetRate {
+		e.clock.After(delay, func() { e.endAttempt(a, policy.Reset, 0) })
+		if e.modelRandom.Float64() < resetBeforeRunShare {
 			return
 		}
-		if e.resetRate > 0 && e.modelRandom.Float64() < e.resetRate {
-			e.clock.After(hop, func() { e.endAttempt(a, policy.Reset, 0) })
-			if e.modelRandom.Float64() < 0.5 {
-				return // it never ran
-			}
-		}
-		s.receive(a)
-	})
+	}
+	a.server.receive(a)
 }
 
-// cutFrom tells whether nothing passes between a gateway and a server.
+// isCutFrom reports whether nothing passes between a gateway and a server.
 func (g *gateway) isCutFrom(s *server) bool { return g.isolated || g.engine.isCut(g.zone, s.zone) }
 
-// reply brings a server's answer back.
-func (e *engine) reply(a *attempt, how policy.Outcome, cost float64) {
-	if e.answerLoss > 0 && e.modelRandom.Float64() < e.answerLoss {
+// reply sends a server's answer back.
+func (e *engine) reply(a *attempt, outcome policy.Outcome, actualUnits float64) {
+	if e.faults.answerLoss > 0 && e.modelRandom.Float64() < e.faults.answerLoss {
 		return
 	}
 	if a.server.silent || a.gateway.isCutFrom(a.server) {
 		return
 	}
-	e.clock.After(e.delay(a.gateway.zone, a.server.zone), func() { e.endAttempt(a, how, cost) })
+	e.clock.After(e.delay(a.gateway.zone, a.server.zone), func() { e.endAttempt(a, outcome, actualUnits) })
 }
 
-// outcome tells a gateway how a push ended, once.
-func (e *engine) endAttempt(a *attempt, how policy.Outcome, cost float64) {
+// endAttempt reports an attempt's first outcome to its gateway; later ones are ignored.
+func (e *engine) endAttempt(a *attempt, outcome policy.Outcome, actualUnits float64) {
 	g := a.gateway
 	g.run(a.incarnation, func() {
 		if a.done {
 			return
 		}
 		a.done = true
+		now := e.clock.Now()
 		if g.follower != nil {
-			g.follower.recorder.AddResult(e.clock.Now(), a.server.zone, a.server.id, how, e.clock.Now()-a.startedAt)
-		}
-		switch how {
-		case policy.Answered, policy.Errored, policy.Rejected:
-			if c := g.idle[a.server.id]; !a.server.dead {
-				c.lastUsed = append(c.lastUsed, e.clock.Now())
-			}
-		default:
-			a.server.connections = max(a.server.connections-1, 0)
-			if how == policy.TimedOut || how == policy.Cancelled {
-				e.abandon(a)
-			}
+			g.follower.recorder.AddResult(now, a.server.zone, a.server.id, outcome, now-a.startedAt)
 		}
+		e.releaseConnection(a, outcome)
 		t := a.try
-		if how == policy.Answered && !t.done {
-			g.answer(t, served)
+		if outcome == policy.Answered && !t.done {
+			g.finishTry(t, served)
 		}
-		g.policy.HandleAttemptResult(e.clock.Now(), policy.AttemptResult{
-			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: how, Latency: e.clock.Now() - a.startedAt,
-			Final: t.done, ActualUnits: cost,
+		g.policy.HandleAttemptResult(now, policy.AttemptResult{
+			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: outcome, Latency: now - a.startedAt,
+			Final: t.done, ActualUnits: actualUnits,
 		})
 	})
 }
 
-// giveUp tells a server that nobody waits.
+// releaseConnection keeps the connection of an attempt that got an answer, and closes any other.
+func (e *engine) releaseConnection(a *attempt, outcome policy.Outcome) {
+	switch outcome {
+	case policy.Answered, policy.Errored, policy.Rejected:
+		if c := a.gateway.idle[a.server.id]; !a.server.dead {
+			c.lastUsed = append(c.lastUsed, e.clock.Now())
+		}
+	default:
+		a.server.connections = max(a.server.connections-1, 0)
+		if outcome == policy.TimedOut || outcome == policy.Cancelled {
+			e.abandon(a)
+		}
+	}
+}
+
+// abandon has a server learn that nobody waits for an attempt any longer.
 func (e *engine) abandon(a *attempt) {
 	if !a.gateway.isCutFrom(a.server) {
 		e.clock.After(e.delay(a.gateway.zone, a.server.zone), func() { a.server.cancel(a) })
 	}
 }
 
-// final gives a try its one answer.
-func (g *gateway) answer(t *try, what answer) {
-	t.done = true
-	delete(g.tries, t.requestID)
-	g.engine.clients.handleAnswer(t, what)
-}
-
-// Cancel gives a push up; the gateway hears how it ended behind what it does now.
-func (g *gateway) Cancel(task uint32, number int) {
-	t := g.tries[task]
+// Cancel implements policy.Host: it gives an attempt up. The policy gets the outcome after the call that it makes now.
+func (g *gateway) Cancel(requestID uint32, number int) {
+	t := g.tries[requestID]
 	if t == nil || number >= len(t.attempts) {
 		return
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -7,93 +7,106 @@
 	"time"
 )
 
-// clients send the tasks of customers, whether answers come or not, and try again through other gateways.
+const (
+	// firstOneTimeCustomer is the number after which customers that ask only once are numbered: above all others.
+	firstOneTimeCustomer = 1 << 32
+	// swingPeriod is the period of the load's swing, in seconds.
+	swingPeriod = 20
+	// maxUnitsOverMean bounds a request's units, as a multiple of their mean.
+	maxUnitsOverMean = 3
+	// minDeclaredUnits is the least that a request declares.
+	minDeclaredUnits = 0.1
+)
+
+// clients send the requests of customers in an open loop, whether answers come or not, and retry through other gateways.
 type clients struct {
 	engine              *engine
 	random              *rand.Rand
 	plans               []planCustomers
-	cumulativeShares    []float64 // running sums of their shares
+	cumulativeShares    []float64 // of the classes
 	lastKey             uint64
 	lastTry             uint64
 	lastOneTimeCustomer uint64
 }
 
-// planned are the customers of a plan.
+// planCustomers are the customers of a plan.
 type planCustomers struct {
-	share           float64
+	share           float64 // of the requests
 	customers       []*customer
-	cumulativeSizes []float64 // running sums
+	cumulativeSizes []float64
 }
 
+// customer is a customer with the token bucket that a perfect count of its first tries would leave.
 type customer struct {
 	id                         uint64
 	plan                       int
 	firstGateway, gatewayCount int
-	tokens                     float64 // what a perfect count of first tries leaves in the store
+	tokens                     float64
 	refilledAt                 time.Duration
 }
 
-// request is what a customer wants; its tries go through different gateways.
+// request is what a customer asks for; its tries go through different gateways.
 type request struct {
 	customer      *customer
 	key           uint64
 	class         int
 	work          time.Duration
-	units         float64 // true
+	units         float64 // true ones
 	declaredUnits float64
 	startedAt     time.Duration
-	isDue         bool // a perfect count would let it in
+	isDue         bool // a perfect count would admit it
 	done          bool
 	lastAnswer    answer // of the latest try that ended
 }
 
-func newClients(e *engine, setup *rand.Rand) *clients {
-	c := &clients{engine: e, random: setup}
+// newClients draws the customers of all plans.
+func newClients(e *engine, random *rand.Rand) *clients {
+	c := &clients{engine: e, random: random, lastOneTimeCustomer: firstOneTimeCustomer}
 	id := uint64(1)
-	for i, p := range e.scenario.Plans {
-		pl := planCustomers{share: p.Share}
+	for i, plan := range e.scenario.Plans {
+		p := planCustomers{share: plan.Share}
 		sum := 0.0
-		for n := range p.Customers {
-			pl.customers = append(pl.customers, c.newCustomer(id, i))
+		for n := range plan.Customers {
+			p.customers = append(p.customers, c.newCustomer(id, i))
 			sum += math.Pow(float64(n+1), -e.scenario.Load.Skew)
-			pl.cumulativeSizes = append(pl.cumulativeSizes, sum)
+			p.cumulativeSizes = append(p.cumulativeSizes, sum)
 			id++
 		}
-		c.plans = append(c.plans, pl)
+		c.plans = append(c.plans, p)
 	}
 	sum := 0.0
-	for _, l := range e.scenario.Classes {
-		sum += l.Share
+	for _, class := range e.scenario.Classes {
+		sum += class.Share
 		c.cumulativeShares = append(c.cumulativeShares, sum)
 	}
-	c.lastOneTimeCustomer = 1 << 32
 	return c
 }
 
+// newCustomer draws the gateways that a customer comes through.
 func (c *clients) newCustomer(id uint64, plan int) *customer {
 	e, n := c.engine, len(c.engine.gateways)
-	parts := e.scenario.Load.GatewayShare
+	share := e.scenario.Load.GatewayShare
 	if own := e.scenario.Plans[plan].GatewayShare; own[1] > 0 {
-		parts = own
+		share = own
 	}
-	spread := parts[0] + (parts[1]-parts[0])*c.random.Float64()
+	drawn := share[0] + (share[1]-share[0])*c.random.Float64()
 	return &customer{
-		id: id, plan: plan, firstGateway: c.random.IntN(n), gatewayCount: min(max(int(math.Round(spread*float64(n))), 1), n),
+		id: id, plan: plan, firstGateway: c.random.IntN(n), gatewayCount: min(max(int(math.Round(drawn*float64(n))), 1), n),
 		tokens: e.scenario.Plans[plan].Burst, refilledAt: e.clock.Now(),
 	}
 }
 
-// offer sets the next arrival: they come by chance at the rate that holds now, and do not wait for answers.
+// scheduleArrival draws the time of the next request by the rate that holds now; arrivals do not wait for answers.
 func (c *clients) scheduleArrival() {
 	e := c.engine
-	share, whole := 0.0, 0.0
+	present, usual := 0.0, 0.0
 	for i, p := range c.plans {
-		share += p.share * e.planLoadFactors[i]
-		whole += p.share
+		present += p.share * e.faults.planLoadFactors[i]
+		usual += p.share
 	}
-	rate := e.scenario.Load.Rate * e.loadFactor * share / whole
+	rate := e.scenario.Load.Rate * e.faults.loadFactor * present / usual
 	if e.scenario.Load.Swing > 0 {
-		rate *= 1 + e.scenario.Load.Swing*math.Sin(2*math.Pi*(e.clock.Now()-origin).Seconds()/20)
+		rate *= 1 + e.scenario.Load.Swing*math.Sin(2*math.Pi*(e.clock.Now()-origin).Seconds()/swingPeriod)
 	}
 	next := e.clock.Now() + time.Duration(e.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
 	if next >= origin+e.scenario.Length.D() {
@@ -105,54 +118,78 @@
 	})
 }
 
-// ask makes a request.
+// arrive draws a request and sends its first try.
 func (c *clients) arrive() {
-	e := c.engine
-	share := 0.0
-	for i, p := range c.plans {
-		share += p.share * e.planLoadFactors[i]
-	}
-	at, plan := e.arrivalRandom.Float64()*share, 0
-	for plan < len(c.plans)-1 && at >= c.plans[plan].share*e.planLoadFactors[plan] {
-		at -= c.plans[plan].share * e.planLoadFactors[plan]
-		plan++
+	result := &c.engine.result
+	r := c.drawRequest()
+	r.isDue = c.engine.isDue(r)
+	result.Offered++
+	if r.isDue {
+		result.Due++
+		result.DueValue += c.value(r)
 	}
+	c.send(r, 0, nil)
+}
+
+// drawRequest draws a request. The order of the draws decides what all later ones are.
+func (c *clients) drawRequest() *request {
+	e, load, random := c.engine, &c.engine.scenario.Load, c.engine.arrivalRandom
+	plan := c.drawPlan()
 	p := &c.plans[plan]
-	who := p.customers[sort.SearchFloat64s(p.cumulativeSizes, e.arrivalRandom.Float64()*p.cumulativeSizes[len(p.cumulativeSizes)-1])]
-	if e.scenario.Load.OneTimeShare > 0 && e.arrivalRandom.Float64() < e.scenario.Load.OneTimeShare {
+	who := p.customers[drawIndex(random, p.cumulativeSizes)]
+	if load.OneTimeShare > 0 && random.Float64() < load.OneTimeShare {
 		c.lastOneTimeCustomer++
 		who = c.newCustomer(c.lastOneTimeCustomer, plan)
 	}
-	lane := sort.SearchFloat64s(c.cumulativeShares, e.arrivalRandom.Float64()*c.cumulativeShares[len(c.cumulativeShares)-1])
-	units := min(max(math.Round(e.scenario.Load.MeanUnits*e.arrivalRandom.ExpFloat64()), 1), 3*e.scenario.Load.MeanUnits)
-	r := &request{customer: who, class: min(lane, len(c.cumulativeShares)-1), units: units, declaredUnits: units, startedAt: e.clock.Now()}
-	if e.scenario.Load.DeclaredDeviation > 0 {
-		s := e.scenario.Load.DeclaredDeviation
-		r.declaredUnits = min(max(units*math.Exp(s*e.arrivalRandom.NormFloat64()-s*s/2), 0.1), 3*e.scenario.Load.MeanUnits)
+	class := min(drawIndex(random, c.cumulativeShares), len(c.cumulativeShares)-1)
+	maxUnits := maxUnitsOverMean * load.MeanUnits
+	units := min(max(math.Round(load.MeanUnits*random.ExpFloat64()), 1), maxUnits)
+	r := &request{customer: who, class: class, units: units, declaredUnits: units, startedAt: e.clock.Now()}
+	if s := load.DeclaredDeviation; s > 0 {
+		r.declaredUnits = min(max(units*math.Exp(s*random.NormFloat64()-s*s/2), minDeclaredUnits), maxUnits)
 	}
-	r.work = e.drawWork(r.class)
+	r.work = e.drawWork(class)
 	c.lastKey++
 	r.key = c.lastKey
-	plans := &e.scenario.Plans[plan]
-	if plans.Rate <= 0 {
-		r.isDue = true
-	} else {
-		who.tokens = min(who.tokens+plans.Rate*(e.clock.Now()-who.refilledAt).Seconds(), plans.Burst)
-		who.refilledAt = e.clock.Now()
-		if r.isDue = who.tokens >= units; r.isDue {
-			who.tokens -= units
-		}
+	return r
+}
+
+// drawPlan draws a plan by the load that each has now.
+func (c *clients) drawPlan() int {
+	factors := c.engine.faults.planLoadFactors
+	sum := 0.0
+	for i, p := range c.plans {
+		sum += p.share * factors[i]
 	}
-	res := &e.result
-	res.Offered++
-	if r.isDue {
-		res.Due++
-		res.DueValue += c.value(r)
+	at, plan := c.engine.arrivalRandom.Float64()*sum, 0
+	for plan < len(c.plans)-1 && at >= c.plans[plan].share*factors[plan] {
+		at -= c.plans[plan].share * factors[plan]
+		plan++
 	}
-	c.send(r, 0, nil)
+	return plan
+}
+
+// drawIndex draws an index by cumulative weights.
+func drawIndex(random *rand.Rand, cumulative []float64) int {
+	return sort.SearchFloat64s(cumulative, random.Float64()*cumulative[len(cumulative)-1])
+}
+
+// isDue reports whether a perfect count admits a request, and takes its units.
+func (e *engine) isDue(r *request) bool {
+	plan, who := &e.scenario.Plans[r.customer.plan], r.customer
+	if plan.Rate <= 0 {
+		return true
+	}
+	who.tokens = min(who.tokens+plan.Rate*(e.clock.Now()-who.refilledAt).Seconds(), plan.Burst)
+	who.refilledAt = e.clock.Now()
+	if who.tokens < r.units {
+		return false
+	}
+	who.tokens -= r.units
+	return true
 }
 
-// gain is what a request is worth when it is answered in time.
+// value is what a request counts when it is answered within its latency objective: weight times price times units.
 func (c *clients) value(r *request) float64 {
 	return c.engine.scenario.Classes[r.class].Weight * c.engine.scenario.Plans[r.customer.plan].Price * r.units
 }
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -1,81 +1,102 @@
 package simulation
 
 import (
+	"maps"
 	"time"
 
 	"harrierhoist/policy"
 )
 
-// counter is one line of calls, each of which takes a time; it may be split in two.
+// counter takes calls one after the other. A fault may split it in two, each half for half of the gateways.
 type counter struct {
 	engine        *engine
-	freeAt        [2]time.Duration // when each half has done what it took
+	freeAt        [2]time.Duration // when each half has done all calls that it took
 	totals        [2]map[uint64]total
-	slowdown      float64
-	silent        bool
+	slowdown      float64 // factor on the time of a call
+	silent        bool    // it counts calls and answers none
 	rejecting     bool
-	split         bool
+	isSplit       bool
 	calls         int
 	rejectedCalls int
 }
 
+// total is the count of one window.
 type total struct {
 	units     float64
 	expiresAt time.Duration
 }
 
+// counterCall is a call of a gateway.
+type counterCall struct {
+	gateway     *gateway
+	incarnation int // of the gateway
+	name        uint64
+	startedAt   time.Duration
+}
+
 func newCounter(e *engine) *counter {
 	return &counter{engine: e, slowdown: 1, totals: [2]map[uint64]total{{}, {}}}
 }
 
-// half is the counter that a gateway reaches.
+// half is the half of the counter that a gateway reaches.
 func (c *counter) half(g *gateway) int {
-	if c.split && g.index >= len(c.engine.gateways)/2 {
+	if c.isSplit && g.index >= len(c.engine.gateways)/2 {
 		return 1
 	}
 	return 0
 }
 
-// call takes a gateway's call. On sockets no call ends by time, however late its total: nor does one here, but
-// where the counter is silent, whose connection is given up in the time that one may take to come up.
+// split gives the second half of the gateways a counter of their own, with the same totals.
+func (c *counter) split() {
+	c.isSplit = true
+	c.totals[1] = maps.Clone(c.totals[0])
+}
+
+// reset makes the counter forget all totals.
+func (c *counter) reset() { c.totals = [2]map[uint64]total{{}, {}} }
+
+// call takes a gateway's call. As on sockets, a late answer is an answer: a call times out only where the counter is
+// silent, after the time that its connection may take to come up.
 func (c *counter) call(g *gateway, name uint64, keep time.Duration, units float64) {
-	e := c.engine
-	began, life := e.clock.Now(), g.incarnation
+	e, now, settings := c.engine, c.engine.clock.Now(), &c.engine.scenario.Counter
+	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: now}
 	c.calls++
-	tell := func(after time.Duration, units float64, how policy.Outcome) {
-		e.clock.After(after, func() {
-			g.run(life, func() {
-				if f := g.follower; f != nil {
-					f.recorder.AddCounterCall(how != policy.Answered || e.clock.Now()-began > e.scenario.Counter.Timeout.D())
-				}
-				g.policy.HandleCount(e.clock.Now(), policy.CountResult{Name: name, Total: units, Latency: e.clock.Now() - began, Outcome: how})
-			})
-		})
-	}
-	hop := e.scenario.Network.SameZone.D()
-	if c.rejecting {
+	roundTrip := 2 * e.scenario.Network.SameZone.D()
+	half := c.half(g)
+	wait := max(c.freeAt[half]-now, 0)
+	if c.rejecting || wait > settings.MaxWait.D() {
 		c.rejectedCalls++
-		tell(2*hop, 0, policy.Rejected)
+		e.answerCall(call, roundTrip, 0, policy.Rejected)
 		return
 	}
-	h := c.half(g)
-	takes := time.Duration(float64(time.Second) / c.engine.scenario.Counter.Rate * c.slowdown)
-	wait := max(c.freeAt[h]-e.clock.Now(), 0)
-	if wait > e.scenario.Counter.MaxWait.D() {
-		c.rejectedCalls++
-		tell(2*hop, 0, policy.Rejected)
-		return
-	}
-	c.freeAt[h] = max(c.freeAt[h], e.clock.Now()) + takes
-	t := c.totals[h][name]
-	if t.expiresAt <= e.clock.Now() {
-		t = total{expiresAt: e.clock.Now() + keep}
+	serviceTime := time.Duration(float64(time.Second) / settings.Rate * c.slowdown)
+	c.freeAt[half] = max(c.freeAt[half], now) + serviceTime
+	t := c.totals[half][name]
+	if t.expiresAt <= now {
+		t = total{expiresAt: now + keep}
 	}
 	t.units += units
-	c.totals[h][name] = t
+	c.totals[half][name] = t
 	if c.silent {
-		tell(e.scenario.Network.ConnectTimeout.D(), 0, policy.TimedOut)
+		e.answerCall(call, e.scenario.Network.ConnectTimeout.D(), 0, policy.TimedOut)
 		return
 	}
-	tell(2*hop+wait+takes+time.Duration(float64(e.scenario.Counter.ServiceTime.D())*c.slowdown), t.units, policy.Answered)
+	latency := time.Duration(float64(settings.ServiceTime.D()) * c.slowdown)
+	e.answerCall(call, roundTrip+wait+serviceTime+latency, t.units, policy.Answered)
+}
+
+// answerCall ends a call after a time.
+func (e *engine) answerCall(call *counterCall, after time.Duration, units float64, outcome policy.Outcome) {
+	g := call.gateway
+	e.clock.After(after, func() {
+		g.run(call.incarnation, func() {
+			latency := e.clock.Now() - call.startedAt
+			if g.follower != nil {
+				g.follower.recorder.AddCounterCall(outcome != policy.Answered || latency > e.scenario.Counter.Timeout.D())
+			}
+			g.policy.HandleCount(e.clock.Now(), policy.CountResult{
+				Name: call.name, Total: units, Latency: latency, Outcome: outcome,
+			})
+		})
+	})
 }
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -15,95 +15,96 @@
 	"harrierhoist/policy"
 )
 
-// origin is where the clock of all machines stands when a play starts: not at nought, which decisions take for never.
+// origin is the time of all clocks when a run starts. It is not 0, which the policy takes for "never".
 const origin = 1000 * time.Hour
 
-// engine is one play.
+// Streams of random numbers, a generator for each purpose: two policies meet the same customers and the same faults.
+const (
+	modelStream = iota + 1
+	arrivalStream
+	faultStream
+	gatewayStream
+	clientStream
+	coordinationStream
+)
+
+// engine is one run of a scenario. All its parts run on the goroutine that runs its clock.
 type engine struct {
 	scenario *scenario.Scenario
+	seed     uint64
 	clock    *virtualtime.Scheduler
-	settings policy.Settings
+	settings policy.Settings // of any gateway; they differ in their index and zone alone
 
-	modelRandom   *rand.Rand // of servers' work and the network
-	arrivalRandom *rand.Rand // of what customers ask: the same whatever the gateways do
-	faultRandom   *rand.Rand // of troubles: whom they strike
+	modelRandom   *rand.Rand // work of servers, delays of the network
+	arrivalRandom *rand.Rand // requests of customers: the same whatever the gateways do
+	faultRandom   *rand.Rand // which servers and gateways a fault affects
 
-	servers     []*server // all that ever were; the number is the place and 1
+	servers     []*server // all that ever ran, by their number less 1
 	gateways    []*gateway
 	counter     *counter
-	coordinator *coordinator // nil: nothing is held in common
+	coordinator *coordinator // nil: the gateways share nothing
 	clients     *clients
 	checker     *invariants.Checker
 	newPolicy   baseline.Constructor
 
-	loadFactor        float64 // what burst makes of the load
-	planLoadFactors   []float64
-	lagFactor         float64
-	answerLoss        float64
-	resetRate         float64
-	isolatedZones     map[int]bool // halls cut off from the others
-	hotspot           *hotspot
-	cutLinks          map[[2]int]bool // pairs of halls, the lower first, between which nothing passes
-	regions           []int           // of each hall
-	zoneWork          []time.Duration // work sent to each hall in this second
-	recentUtilisation [][]float64     // of each hall, its utilisation in the latest seconds in which it stood whole
+	faults            faultState
+	regions           []int           // by zone
+	zoneWork          []time.Duration // work sent to each zone in the present second
+	recentUtilisation [][]float64     // of each zone, in the latest seconds in a row in which it had its capacity
 	result            Result
 }
 
-// Play plays a world with a policy under a seed.
-func Run(spec *scenario.Scenario, seed uint64, made baseline.Constructor) (*Result, error) {
-	e, err := newEngine(spec, seed, made)
+// faultState is what faults change besides servers, gateways, counter and voters.
+type faultState struct {
+	loadFactor      float64
+	planLoadFactors []float64
+	lagFactor       float64         // of discovery
+	answerLoss      float64         // probability
+	resetRate       float64         // probability
+	isolatedZones   map[int]bool    // nothing passes between one of these and another zone
+	cutLinks        map[[2]int]bool // pairs of zones, the lower first, between which nothing passes
+	hotspot         *hotspot        // nil: none
+}
+
+// Run runs a scenario under a policy. The error is of the policy's constructor or of a fault of unknown kind.
+func Run(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*Result, error) {
+	e, err := newEngine(spec, seed, newPolicy)
 	if err != nil {
 		return nil, err
 	}
 	end := origin + spec.Length.D()
-	for _, l := range e.settings.Classes {
-		end = max(end, origin+spec.Length.D()+l.Timeout+time.Second)
+	for _, class := range e.settings.Classes {
+		end = max(end, origin+spec.Length.D()+class.Timeout+time.Second)
 	}
 	e.clock.RunUntil(end)
 	e.checker.Finish(end)
 	return e.finish(), nil
 }
 
-// begin sets a play up.
-func newEngine(spec *scenario.Scenario, seed uint64, made baseline.Constructor) (*engine, error) {
+// newEngine sets a run up. The order of its steps is the order of their draws and events.
+func newEngine(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*engine, error) {
 	e := &engine{
-		scenario: spec, clock: virtualtime.New(origin), newPolicy: made, settings: spec.PolicySettings(0), loadFactor: 1, lagFactor: 1, isolatedZones: map[int]bool{},
-		cutLinks: map[[2]int]bool{}, regions: spec.ZoneRegions(),
+		scenario: spec, seed: seed, clock: virtualtime.New(origin), newPolicy: newPolicy,
+		settings: spec.PolicySettings(0), faults: newFaultState(len(spec.Plans)), regions: spec.ZoneRegions(),
 		zoneWork:          make([]time.Duration, spec.Gateways.Zones),
 		recentUtilisation: make([][]float64, spec.Gateways.Zones),
+		result:            newResult(spec, seed),
 	}
-	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	e.modelRandom, e.arrivalRandom, e.faultRandom = stream(1), stream(2), stream(3)
+	e.modelRandom, e.arrivalRandom, e.faultRandom = e.random(modelStream), e.random(arrivalStream), e.random(faultStream)
 	e.checker = invariants.New(invariants.Limits{
 		AnswerSlack: spec.Rules.AnswerSlack.D(), DrainGrace: spec.Rules.DrainGrace.D(),
 		Plans: e.settings.Plans,
 	})
-	e.planLoadFactors = make([]float64, len(spec.Plans))
-	for i := range e.planLoadFactors {
-		e.planLoadFactors[i] = 1
-	}
-	e.result = newResult(spec, seed)
 	e.clock.BeforeEvent = func(time.Duration, uint64) { e.result.Events++ }
-	for i := range spec.Servers.Count {
-		e.addServer(i%spec.Gateways.Zones, i/spec.Gateways.Zones/spec.Servers.RackSize*spec.Gateways.Zones+i%spec.Gateways.Zones, 0)
-	}
+	e.addServers()
 	e.counter = newCounter(e)
-	e.coordinator = newCoordinator(e, stream(6))
-	setup := stream(4)
-	for n := range spec.Gateways.Count {
-		g := &gateway{engine: e, index: n, zone: n % spec.Gateways.Zones}
-		if e.coordinator != nil {
-			g.follower = e.coordinator.followers[n]
-		}
-		e.gateways = append(e.gateways, g)
-		if err := g.start(setup.Uint64()); err != nil {
-			return nil, err
-		}
+	e.coordinator = newCoordinator(e, e.random(coordinationStream))
+	if err := e.addGateways(); err != nil {
+		return nil, err
 	}
-	e.clients = newClients(e, stream(5))
-	for i := range spec.Faults {
-		if err := e.scheduleFault(spec.Faults[i]); err != nil {
+	e.clients = newClients(e, e.random(clientStream))
+	for _, f := range spec.Faults {
+		if err := e.scheduleFault(f); err != nil {
 			return nil, err
 		}
 	}
@@ -114,54 +115,62 @@
 	return e, nil
 }
 
-// hop is the time that a message takes between two halls.
-func (e *engine) delay(a, b int) time.Duration { return e.delayBy(e.modelRandom, a, b) }
+// newFaultState is the state without any fault.
+func newFaultState(plans int) faultState {
+	f := faultState{
+		loadFactor: 1, planLoadFactors: make([]float64, plans), lagFactor: 1,
+		isolatedZones: map[int]bool{}, cutLinks: map[[2]int]bool{},
+	}
+	for i := range f.planLoadFactors {
+		f.planLoadFactors[i] = 1
+	}
+	return f
+}
+
+// random makes the generator of a stream.
+func (e *engine) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(e.seed, stream)) }
 
-func (e *engine) delayBy(chance *rand.Rand, a, b int) time.Duration {
-	d := e.scenario.Network.SameZone.D()
-	switch {
-	case e.regions[a] != e.regions[b] && e.scenario.Network.CrossRegion > 0:
-		d = e.scenario.Network.CrossRegion.D()
-	case a != b:
-		d = e.scenario.Network.CrossZone.D()
+// addServers starts the first servers, in the zones in turn; a rack is of one zone.
+func (e *engine) addServers() {
+	zones, rackSize := e.scenario.Gateways.Zones, e.scenario.Servers.RackSize
+	for i := range e.scenario.Servers.Count {
+		zone := i % zones
+		e.addServer(zone, i/zones/rackSize*zones+zone, 0)
 	}
-	return time.Duration(float64(d) * (1 + e.scenario.Network.Jitter*(2*chance.Float64()-1)))
 }
 
-// parted tells whether nothing passes between two halls.
-func (e *engine) isCut(a, b int) bool {
-	return a != b && (e.isolatedZones[a] || e.isolatedZones[b] || e.cutLinks[[2]int{min(a, b), max(a, b)}])
+// addGateways starts the gateways, in the zones in turn.
+func (e *engine) addGateways() error {
+	seeds := e.random(gatewayStream)
+	for n := range e.scenario.Gateways.Count {
+		g := &gateway{engine: e, index: n, zone: n % e.scenario.Gateways.Zones}
+		if e.coordinator != nil {
+			g.follower = e.coordinator.followers[n]
+		}
+		e.gateways = append(e.gateways, g)
+		if err := g.start(seeds.Uint64()); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// some draws a part of n things, at least one where the part is more than nought.
-func (e *engine) pick(n int, part float64) []int {
-	if n == 0 || part <= 0 {
+// pick draws a fraction of n things for a fault, at least one where the fraction is over 0, and returns their indices.
+func (e *engine) pick(n int, fraction float64) []int {
+	if n == 0 || fraction <= 0 {
 		return nil
 	}
-	k := min(max(int(math.Round(part*float64(n))), 1), n)
-	drawn := e.faultRandom.Perm(n)[:k]
-	return drawn
+	count := min(max(int(math.Round(fraction*float64(n))), 1), n)
+	return e.faultRandom.Perm(n)[:count]
 }
 
-// up are the places of the servers that a list would call ready.
+// readyServers returns the servers that discovery lists as ready.
 func (e *engine) readyServers() []*server {
-	var all []*server
+	var ready []*server
 	for _, s := range e.servers {
 		if s.state == policy.Ready {
-			all = append(all, s)
+			ready = append(ready, s)
 		}
 	}
-	return all
-}
-
-// tell has discovery tell a change to every gateway, each after a lag of its own; to one gateway, changes come in
-// their order.
-func (e *engine) announce(s *server) {
-	listed := s.endpoint()
-	for _, g := range e.gateways {
-		lag := e.scenario.Discovery.Lag[0].D()
-		lag += time.Duration(e.modelRandom.Float64() * float64(e.scenario.Discovery.Lag[1].D()-lag))
-		g.lastChangeAt = max(g.lastChangeAt, e.clock.Now()+time.Duration(float64(lag)*e.lagFactor))
-		e.clock.At(g.lastChangeAt, func() { g.notify(listed) })
-	}
+	return ready
 }
--- a/internal/lab/simulation/failover.go
+++ b/internal/lab/simulation/failover.go
@@ -80,7 +80,7 @@
 		panic(fmt.Sprint("the decider wrote no plan: ", err))
 	}
 	now, full := c.engine.zoneCapacities()
-	cut := len(c.engine.isolatedZones)+len(c.engine.cutLinks) > 0 || c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
+	cut := len(c.engine.faults.isolatedZones)+len(c.engine.faults.cutLinks) > 0 || c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
 	wrong := map[string]bool{}
 	for n, hall := range c.zones {
 		if sound, told := p.Health[hall]; told && sound == 0 && !cut && now[n] > maxLostCapacity*full[n] {
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -7,165 +7,119 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// trouble is one thing that goes wrong: it begins, and ends after its time.
+// fault is one thing that goes wrong: it begins, and ends after its time.
 type fault interface {
 	begin(e *engine)
 	end(e *engine)
 }
 
-// troubles makes each kind of trouble. A new one is a type of its own, a line here and one in world.Kinds.
+// faultConstructors makes a fault of each kind. A new kind is a type, a line here and one in scenario.FaultKinds.
 var faultConstructors = map[string]func(scenario.Fault) fault{
-	"server_lost": func(t scenario.Fault) fault { return &serverLoss{fraction: t.Fraction} },
-	"server_errors": func(t scenario.Fault) fault {
-		return &serverChange{fraction: t.Fraction, set: setErrorRate(t.Magnitude)}
-	},
-	"server_slow": func(t scenario.Fault) fault {
-		return &serverChange{fraction: t.Fraction, set: setSlowdown(t.Magnitude)}
-	},
-	"lane_silent": func(t scenario.Fault) fault { return &classSilence{fault: t} },
-	"deploy":      func(t scenario.Fault) fault { return &rollingDeploy{fraction: t.Fraction, duration: t.Duration.D()} },
-	"mass_change": func(t scenario.Fault) fault { return &massReplacement{fraction: t.Fraction} },
-	"hall_lost":   func(t scenario.Fault) fault { return &serverLoss{zone: t.Zone, ofZone: true, fraction: t.Fraction} },
-	"link_cut": func(t scenario.Fault) fault {
-		return &linkCut{[2]int{min(t.Zone, t.OtherZone), max(t.Zone, t.OtherZone)}}
-	},
-	"crowd":       func(t scenario.Fault) fault { return &hotspot{zone: t.Zone, fraction: t.Fraction} },
-	"blind":       func(t scenario.Fault) fault { return &gatewayIsolation{fraction: t.Fraction} },
-	"hall_cut":    func(t scenario.Fault) fault { return &zoneIsolation{t.Zone} },
+	// Servers
+	"server_lost":   func(f scenario.Fault) fault { return &serverLoss{fraction: f.Fraction} },
+	"server_errors": newErrorRateChange,
+	"server_slow":   newSlowdown,
+	"lane_silent":   func(f scenario.Fault) fault { return &classSilence{fault: f} },
+	"deploy":        func(f scenario.Fault) fault { return &rollingDeploy{fraction: f.Fraction, duration: f.Duration.D()} },
+	"mass_change":   func(f scenario.Fault) fault { return &massReplacement{fraction: f.Fraction} },
+	"hall_lost":     func(f scenario.Fault) fault { return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction} },
+
+	// Network
+	"hall_cut":     func(f scenario.Fault) fault { return &zoneIsolation{f.Zone} },
+	"link_cut":     newLinkCut,
+	"answers_lost": changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.answerLoss }),
+	"resets":       changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.resetRate }),
+
+	// Gateways, and what they share
+	"kill":        func(f scenario.Fault) fault { return &gatewayKill{fraction: f.Fraction} },
+	"rolling":     newRollingRestart,
+	"standstill":  func(f scenario.Fault) fault { return &gatewayPause{f.Fraction, f.Duration.D()} },
+	"blind":       func(f scenario.Fault) fault { return &gatewayIsolation{fraction: f.Fraction} },
 	"leader_lost": func(scenario.Fault) fault { return &leaderLoss{} },
-	"answers_lost": func(t scenario.Fault) fault {
-		return &valueChange{target: func(e *engine) *float64 { return &e.answerLoss }, value: t.Fraction}
-	},
-	"resets": func(t scenario.Fault) fault {
-		return &valueChange{target: func(e *engine) *float64 { return &e.resetRate }, value: t.Fraction}
-	},
-	"counter_slow": func(t scenario.Fault) fault {
-		return &valueChange{target: func(e *engine) *float64 { return &e.counter.slowdown }, value: t.Magnitude}
-	},
-	"counter_silent":   func(scenario.Fault) fault { return &switchOn{func(e *engine) *bool { return &e.counter.silent }} },
-	"counter_refusing": func(scenario.Fault) fault { return &switchOn{func(e *engine) *bool { return &e.counter.rejecting }} },
+
+	// Counter
+	"counter_slow":     changeTo(magnitudeOf, func(e *engine) *float64 { return &e.counter.slowdown }),
+	"counter_silent":   func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
+	"counter_refusing": func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.rejecting }} },
 	"counter_empty":    func(scenario.Fault) fault { return counterReset{} },
 	"counter_split":    func(scenario.Fault) fault { return counterSplit{} },
-	"burst": func(t scenario.Fault) fault {
-		return &valueChange{target: func(e *engine) *float64 { return &e.loadFactor }, value: t.Magnitude}
-	},
-	"flood": func(t scenario.Fault) fault { return &planFlood{fault: t} },
-	"kill":  func(t scenario.Fault) fault { return &gatewayKill{fraction: t.Fraction} },
-	"rolling": func(t scenario.Fault) fault {
-		return &rollingRestart{fraction: t.Fraction, duration: t.Duration.D(), downtime: secondsOf(t.Magnitude)}
-	},
-	"standstill": func(t scenario.Fault) fault { return &gatewayPause{t.Fraction, t.Duration.D()} },
-	"list_lag": func(t scenario.Fault) fault {
-		return &valueChange{target: func(e *engine) *float64 { return &e.lagFactor }, value: t.Magnitude}
-	},
-	"list_lost": func(t scenario.Fault) fault { return &discoveryLoss{fraction: t.Fraction} },
-}
 
-func secondsOf(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+	// Load
+	"burst": changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.loadFactor }),
+	"flood": func(f scenario.Fault) fault { return &planFlood{fault: f} },
+	"crowd": func(f scenario.Fault) fault { return &hotspot{zone: f.Zone, fraction: f.Fraction} },
 
-// schedule sets a trouble's begin and end.
-func (e *engine) scheduleFault(t scenario.Fault) error {
-	made := faultConstructors[t.Kind]
-	if made == nil {
-		return fmt.Errorf("trouble %q is not known", t.Kind)
-	}
-	what := made(t)
-	e.clock.At(origin+t.Start.D(), func() { what.begin(e) })
-	e.clock.At(origin+t.Start.D()+t.Duration.D(), func() { what.end(e) })
-	return nil
+	// Discovery
+	"list_lag":  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.lagFactor }),
+	"list_lost": func(f scenario.Fault) fault { return &discoveryLoss{fraction: f.Fraction} },
 }
 
-// hallCut cuts a hall off from the others.
-type zoneIsolation struct{ zone int }
-
-func (t *zoneIsolation) begin(e *engine) { e.isolatedZones[t.zone] = true }
-
-func (t *zoneIsolation) end(e *engine) {
-	delete(e.isolatedZones, t.zone)
-	e.recordReconnection()
-}
-
-// linkCut cuts the link between two halls.
-type linkCut struct{ zones [2]int }
-
-func (t *linkCut) begin(e *engine) { e.cutLinks[t.zones] = true }
-func (t *linkCut) end(e *engine) {
-	delete(e.cutLinks, t.zones)
-	e.recordReconnection()
-}
-
-// linked tells those who hold things in common that what was cut is no more.
-func (e *engine) recordReconnection() {
-	if e.coordinator != nil {
-		e.coordinator.reconnectedAt = e.clock.Now()
-	}
-}
-
-// leaderLost kills the voter that leads; it comes back with its disk, and nothing of what others saw.
-type leaderLoss struct{ affected *voter }
-
-func (t *leaderLoss) begin(e *engine) {
-	if e.coordinator != nil && e.coordinator.leader != nil {
-		t.affected = e.coordinator.leader
-		t.affected.dead = true
-		t.affected.waitingReads = nil
-	}
-}
-
-func (t *leaderLoss) end(*engine) {
-	if t.affected != nil {
-		t.affected.start()
+// scheduleFault schedules a fault's begin and end.
+func (e *engine) scheduleFault(f scenario.Fault) error {
+	newFault := faultConstructors[f.Kind]
+	if newFault == nil {
+		return fmt.Errorf("unknown kind of fault %q", f.Kind)
 	}
+	made := newFault(f)
+	e.clock.At(origin+f.Start.D(), func() { made.begin(e) })
+	e.clock.At(origin+f.Start.D()+f.Duration.D(), func() { made.end(e) })
+	return nil
 }
 
-// figure sets a figure of the world and sets it back.
+// valueChange changes a value and changes it back.
 type valueChange struct {
 	target          func(*engine) *float64
 	value, previous float64
 }
 
-func (t *valueChange) begin(e *engine) { t.previous, *t.target(e) = *t.target(e), t.value }
+// changeTo makes the constructor of a fault that sets a value to its fraction or magnitude.
+func changeTo(value func(scenario.Fault) float64, target func(*engine) *float64) func(scenario.Fault) fault {
+	return func(f scenario.Fault) fault { return &valueChange{target: target, value: value(f)} }
+}
+
+func (f *valueChange) begin(e *engine) { f.previous, *f.target(e) = *f.target(e), f.value }
 
-func (t *valueChange) end(e *engine) { *t.target(e) = t.previous }
+func (f *valueChange) end(e *engine) { *f.target(e) = f.previous }
 
-// flag raises a flag and lowers it.
-type switchOn struct{ target func(*engine) *bool }
+// flag sets a flag and clears it.
+type flag struct{ target func(*engine) *bool }
 
-func (t *switchOn) begin(e *engine) { *t.target(e) = true }
+func (f *flag) begin(e *engine) { *f.target(e) = true }
 
-func (t *switchOn) end(e *engine) { *t.target(e) = false }
+func (f *flag) end(e *engine) { *f.target(e) = false }
 
-// counterEmpty has the counter forget.
+// counterReset has the counter forget all totals, once.
 type counterReset struct{}
 
-func (counterReset) begin(e *engine) { e.counter.totals = [2]map[uint64]total{{}, {}} }
-func (counterReset) end(*engine)     {}
+func (counterReset) begin(e *engine) { e.counter.reset() }
 
-// counterSplit gives each half of the gateways a counter, which starts with the same totals.
+func (counterReset) end(*engine) {}
+
+// counterSplit gives each half of the gateways a counter.
 type counterSplit struct{}
 
-func (counterSplit) begin(e *engine) {
-	c := e.counter
-	c.split = true
-	c.totals[1] = map[uint64]total{}
-	for name, t := range c.totals[0] {
-		c.totals[1][name] = t
-	}
-}
+func (counterSplit) begin(e *engine) { e.counter.split() }
 
-func (counterSplit) end(e *engine) { e.counter.split = false }
+func (counterSplit) end(e *engine) { e.counter.isSplit = false }
 
-// flood has the customers of one plan ask more.
+// planFlood has the customers of one plan ask more; of the first plan if the fault names none.
 type planFlood struct{ fault scenario.Fault }
 
-func (t *planFlood) setFactor(e *engine, to float64) {
-	for i, p := range e.scenario.Plans {
-		if p.Name == t.fault.Plan || t.fault.Plan == "" && i == 0 {
-			e.planLoadFactors[i] = to
+func (f *planFlood) begin(e *engine) { f.setFactor(e, max(f.fault.Magnitude, 1)) }
+
+func (f *planFlood) end(e *engine) { f.setFactor(e, 1) }
+
+func (f *planFlood) setFactor(e *engine, factor float64) {
+	for i, plan := range e.scenario.Plans {
+		if plan.Name == f.fault.Plan || f.fault.Plan == "" && i == 0 {
+			e.faults.planLoadFactors[i] = factor
 		}
 	}
 }
 
-func (t *planFlood) begin(e *engine) { t.setFactor(e, max(t.fault.Magnitude, 1)) }
+// secondsOf makes a duration of seconds.
+func secondsOf(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+
+func fractionOf(f scenario.Fault) float64 { return f.Fraction }
 
-func (t *planFlood) end(e *engine) { t.setFactor(e, 1) }
+func magnitudeOf(f scenario.Fault) float64 { return f.Magnitude }
--- a/internal/lab/simulation/fault_gateways.go
+++ b/internal/lab/simulation/fault_gateways.go
@@ -1,139 +1,174 @@
 package simulation
 
 import (
+	"fmt"
 	"time"
+
+	"harrierhoist/internal/lab/scenario"
 )
 
-// kill ends gateways at once; they start again after the time.
+// gatewayKill kills gateways at once; they start again at its end.
 type gatewayKill struct {
 	fraction float64
 	affected []*gateway
 }
 
-func (t *gatewayKill) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), t.fraction) {
+func (f *gatewayKill) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), f.fraction) {
 		if g := e.gateways[i]; g.alive {
 			g.kill()
-			t.affected = append(t.affected, g)
+			f.affected = append(f.affected, g)
 		}
 	}
 }
 
-func (t *gatewayKill) end(e *engine) {
-	for _, g := range t.affected {
+func (f *gatewayKill) end(e *engine) {
+	for _, g := range f.affected {
 		e.restartGateway(g)
 	}
 }
 
-// again starts a gateway anew; it was started once with the same settings, so that it can.
+// restartGateway starts a gateway again.
 func (e *engine) restartGateway(g *gateway) {
 	if err := g.start(e.faultRandom.Uint64()); err != nil {
-		panic(err)
+		// It started before with the same settings: a policy that refuses them now is broken, and so is the run.
+		panic(fmt.Errorf("gateway %d did not start again: %w", g.index, err))
 	}
 }
 
-// rolling restarts gateways in turn.
+// minDowntime is the least time for which a gateway is down in a rolling restart.
+const minDowntime = time.Millisecond
+
+// rollingRestart restarts gateways in turn.
 type rollingRestart struct {
 	fraction           float64
 	duration, downtime time.Duration
 }
 
-func (t *rollingRestart) begin(e *engine) {
-	hit := e.pick(len(e.gateways), t.fraction)
-	for k, i := range hit {
+func newRollingRestart(f scenario.Fault) fault {
+	return &rollingRestart{fraction: f.Fraction, duration: f.Duration.D(), downtime: secondsOf(f.Magnitude)}
+}
+
+func (f *rollingRestart) begin(e *engine) {
+	picked := e.pick(len(e.gateways), f.fraction)
+	for n, i := range picked {
 		g := e.gateways[i]
-		e.clock.After(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
+		e.clock.After(turnOf(n, len(picked), f.duration), func() {
 			if !g.alive {
 				return
 			}
 			g.kill()
-			e.clock.After(max(t.downtime, time.Millisecond), func() { e.restartGateway(g) })
+			e.clock.After(max(f.downtime, minDowntime), func() { e.restartGateway(g) })
 		})
 	}
 }
 
-func (t *rollingRestart) end(*engine) {}
+func (f *rollingRestart) end(*engine) {}
 
-// crowd has a part of the tries come through one hall's gateways.
+// turnOf is when the n-th of so many comes where they take turns over a time.
+func turnOf(n, count int, over time.Duration) time.Duration {
+	return time.Duration(float64(over) * float64(n) / float64(count))
+}
+
+// hotspot has a fraction of the tries come in through the gateways of one zone.
 type hotspot struct {
 	zone     int
 	fraction float64
 }
 
-func (t *hotspot) begin(e *engine) { e.hotspot = t }
-func (t *hotspot) end(e *engine) {
-	if e.hotspot == t {
-		e.hotspot = nil
+func (f *hotspot) begin(e *engine) { e.faults.hotspot = f }
+
+func (f *hotspot) end(e *engine) {
+	if e.faults.hotspot == f {
+		e.faults.hotspot = nil
 	}
 }
 
-// through draws a gateway for a try where one hall is crowded; nil: it goes its own way.
-func (t *hotspot) drawGateway(c *clients) *gateway {
-	if t == nil || c.random.Float64() >= t.fraction {
+// drawGateway draws the gateway of a try that comes in through the zone; nil: this one does not. The receiver may be nil.
+func (f *hotspot) drawGateway(c *clients) *gateway {
+	if f == nil || c.random.Float64() >= f.fraction {
 		return nil
 	}
-	halls := c.engine.scenario.Gateways.Zones
-	there := (len(c.engine.gateways) - t.zone + halls - 1) / halls
-	if there <= 0 {
+	zones := c.engine.scenario.Gateways.Zones
+	inZone := (len(c.engine.gateways) - f.zone + zones - 1) / zones
+	if inZone <= 0 {
 		return nil
 	}
-	return c.engine.gateways[c.random.IntN(there)*halls+t.zone]
+	return c.engine.gateways[c.random.IntN(inZone)*zones+f.zone]
 }
 
-// blind has gateways that reach no server: what they send is lost on the way.
+// gatewayIsolation has gateways reach no server: what they send is lost on the way.
 type gatewayIsolation struct {
 	fraction float64
 	affected []*gateway
 }
 
-func (t *gatewayIsolation) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), t.fraction) {
-		t.affected = append(t.affected, e.gateways[i])
+func (f *gatewayIsolation) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), f.fraction) {
+		f.affected = append(f.affected, e.gateways[i])
 		e.gateways[i].isolated = true
 	}
 }
 
-func (t *gatewayIsolation) end(*engine) {
-	for _, g := range t.affected {
+func (f *gatewayIsolation) end(*engine) {
+	for _, g := range f.affected {
 		g.isolated = false
 	}
 }
 
-// standstill stops gateways' machines for a time: what comes waits.
+// gatewayPause pauses gateways' machines: what happens to them waits.
 type gatewayPause struct {
 	fraction float64
 	duration time.Duration
 }
 
-func (t *gatewayPause) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), t.fraction) {
-		e.gateways[i].pausedUntil = e.clock.Now() + t.duration
-		e.checker.GatewayPaused(e.clock.Now(), i, e.clock.Now()+t.duration)
+func (f *gatewayPause) begin(e *engine) {
+	now := e.clock.Now()
+	for _, i := range e.pick(len(e.gateways), f.fraction) {
+		e.gateways[i].pausedUntil = now + f.duration
+		e.checker.GatewayPaused(now, i, now+f.duration)
 	}
 }
 
-func (t *gatewayPause) end(*engine) {}
+func (f *gatewayPause) end(*engine) {}
 
-// listLost keeps discovery's news from gateways until it ends.
+// discoveryLoss keeps the notifications of discovery from gateways until it ends.
 type discoveryLoss struct {
 	fraction float64
 	affected []*gateway
 }
 
-func (t *discoveryLoss) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), t.fraction) {
-		t.affected = append(t.affected, e.gateways[i])
+func (f *discoveryLoss) begin(e *engine) {
+	for _, i := range e.pick(len(e.gateways), f.fraction) {
+		f.affected = append(f.affected, e.gateways[i])
 		e.gateways[i].discoveryLost = true
 	}
 }
 
-func (t *discoveryLoss) end(*engine) {
-	for _, g := range t.affected {
+func (f *discoveryLoss) end(*engine) {
+	for _, g := range f.affected {
 		g.discoveryLost = false
-		held := g.missedChanges
+		missed := g.missedChanges
 		g.missedChanges = nil
-		for _, l := range held {
-			g.notify(l)
+		for _, endpoint := range missed {
+			g.notify(endpoint)
 		}
 	}
 }
+
+// leaderLoss kills the voter that leads; it starts again with its table, and without the observations of others.
+type leaderLoss struct{ affected *voter }
+
+func (f *leaderLoss) begin(e *engine) {
+	if e.coordinator != nil && e.coordinator.leader != nil {
+		f.affected = e.coordinator.leader
+		f.affected.dead = true
+		f.affected.waitingReads = nil
+	}
+}
+
+func (f *leaderLoss) end(*engine) {
+	if f.affected != nil {
+		f.affected.start()
+	}
+}
--- a/internal/lab/simulation/fault_servers.go
+++ b/internal/lab/simulation/fault_servers.go
@@ -1,181 +1,173 @@
 package simulation
 
 import (
+	"slices"
 	"time"
 
 	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/policy"
 )
 
-// serversLost has servers fall silent, with all connections open, and come back cold.
+// serverLoss makes servers silent, with all connections open; at its end they start again and warm up.
 type serverLoss struct {
-	fraction float64
+	fraction float64 // of a zone, 0: all of its servers
 	zone     int
-	ofZone   bool // a whole hall, or a part of one
+	ofZone   bool // of the servers of one zone, or of all
 	affected []*server
 }
 
-func (t *serverLoss) begin(e *engine) {
-	up := e.readyServers()
-	if t.ofZone {
-		for _, s := range up {
-			if s.zone == t.zone {
-				t.affected = append(t.affected, s)
-			}
-		}
-		if all := t.affected; t.fraction > 0 {
-			t.affected = nil
-			for _, i := range e.pick(len(all), t.fraction) {
-				t.affected = append(t.affected, all[i])
-			}
-		}
+func (f *serverLoss) begin(e *engine) {
+	candidates := e.readyServers()
+	if f.ofZone {
+		candidates = slices.DeleteFunc(candidates, func(s *server) bool { return s.zone != f.zone })
+	}
+	if f.isWholeZone() {
+		f.affected = candidates
 	} else {
-		for _, i := range e.pick(len(up), t.fraction) {
-			t.affected = append(t.affected, up[i])
-		}
+		f.affected = e.pickServers(candidates, f.fraction)
 	}
-	for _, s := range t.affected {
+	for _, s := range f.affected {
 		s.silent = true
 	}
-	if t.ofZone && t.fraction == 0 && e.coordinator != nil {
-		e.coordinator.zoneLost(t.zone)
+	if f.isWholeZone() && e.coordinator != nil {
+		e.coordinator.zoneLost(f.zone)
 	}
 }
 
-func (t *serverLoss) end(e *engine) {
-	for _, s := range t.affected {
+func (f *serverLoss) end(e *engine) {
+	for _, s := range f.affected {
 		if s.state == policy.Ready {
 			s.restart()
 			e.announce(s)
 		}
 	}
-	if t.ofZone && e.coordinator != nil {
-		e.coordinator.zoneRestored(t.zone)
+	if f.ofZone && e.coordinator != nil {
+		e.coordinator.zoneRestored(f.zone)
+	}
+}
+
+func (f *serverLoss) isWholeZone() bool { return f.ofZone && f.fraction <= 0 }
+
+// pickServers draws a fraction of some servers.
+func (e *engine) pickServers(from []*server, fraction float64) []*server {
+	var picked []*server
+	for _, i := range e.pick(len(from), fraction) {
+		picked = append(picked, from[i])
 	}
+	return picked
 }
 
-// serversChange changes something of some servers and sets it back.
+// serverChange changes some servers and changes them back.
 type serverChange struct {
 	fraction float64
 	set      func(s *server, on bool)
 	affected []*server
 }
 
-func setErrorRate(part float64) func(*server, bool) {
-	return func(s *server, on bool) {
+func newErrorRateChange(f scenario.Fault) fault {
+	return &serverChange{fraction: f.Fraction, set: func(s *server, on bool) {
 		s.errorRate = s.engine.scenario.Servers.ErrorRate
 		if on {
-			s.errorRate = part
+			s.errorRate = f.Magnitude
 		}
-	}
+	}}
 }
 
-func setSlowdown(times float64) func(*server, bool) {
-	return func(s *server, on bool) {
+func newSlowdown(f scenario.Fault) fault {
+	return &serverChange{fraction: f.Fraction, set: func(s *server, on bool) {
 		s.slowdown = 1
 		if on {
-			s.slowdown = max(times, 1)
+			s.slowdown = max(f.Magnitude, 1)
 		}
-	}
+	}}
 }
 
-func (t *serverChange) begin(e *engine) {
-	up := e.readyServers()
-	for _, i := range e.pick(len(up), t.fraction) {
-		t.affected = append(t.affected, up[i])
-		t.set(up[i], true)
+func (f *serverChange) begin(e *engine) {
+	f.affected = e.pickServers(e.readyServers(), f.fraction)
+	for _, s := range f.affected {
+		f.set(s, true)
 	}
 }
 
-func (t *serverChange) end(*engine) {
-	for _, s := range t.affected {
-		t.set(s, false)
+func (f *serverChange) end(*engine) {
+	for _, s := range f.affected {
+		f.set(s, false)
 	}
 }
 
-// laneSilent has servers swallow the tasks of one lane.
+// classSilence has servers never answer the requests of one class, the first if the fault names none.
 type classSilence struct {
 	fault    scenario.Fault
 	affected []*server
 }
 
-func (t *classSilence) class(e *engine) int {
-	for i, l := range e.scenario.Classes {
-		if l.Name == t.fault.Class {
-			return i
-		}
+func (f *classSilence) begin(e *engine) {
+	f.affected = e.pickServers(e.readyServers(), f.fault.Fraction)
+	for _, s := range f.affected {
+		s.silentClasses[f.class(e)] = true
 	}
-	return 0
 }
 
-func (t *classSilence) begin(e *engine) {
-	up := e.readyServers()
-	for _, i := range e.pick(len(up), t.fault.Fraction) {
-		t.affected = append(t.affected, up[i])
-		up[i].silentClasses[t.class(e)] = true
+func (f *classSilence) end(e *engine) {
+	for _, s := range f.affected {
+		delete(s.silentClasses, f.class(e))
 	}
 }
 
-func (t *classSilence) end(e *engine) {
-	for _, s := range t.affected {
-		delete(s.silentClasses, t.class(e))
-	}
+func (f *classSilence) class(e *engine) int {
+	named := func(c scenario.TrafficClass) bool { return c.Name == f.fault.Class }
+	return max(slices.IndexFunc(e.scenario.Classes, named), 0)
 }
 
-// replace starts a cold server in the place of one, and gives it.
-func (e *engine) replaceServer(old *server) *server {
-	s := e.addServer(old.zone, old.rack, e.clock.Now())
-	e.announce(s)
-	return s
+// replaceServer starts a server in the place of another; it warms up.
+func (e *engine) replaceServer(old *server) {
+	e.announce(e.addServer(old.zone, old.rack, e.clock.Now()))
 }
 
-// deploy replaces servers one by one: the old one is told to drain, and ends two seconds after the grace.
+// removalMargin is how long after the last request may have ended a drained server ends its process.
+const removalMargin = 2 * time.Second
+
+// rollingDeploy replaces servers one by one: the old one drains, and ends when all that it may still get has ended.
 type rollingDeploy struct {
 	fraction float64
 	duration time.Duration
 }
 
-func (t *rollingDeploy) begin(e *engine) {
-	up := e.readyServers()
-	hit := e.pick(len(up), t.fraction)
-	for k, i := range hit {
-		s := up[i]
-		e.clock.After(time.Duration(float64(t.duration)*float64(k)/float64(len(hit))), func() {
+func (f *rollingDeploy) begin(e *engine) {
+	picked := e.pickServers(e.readyServers(), f.fraction)
+	for n, s := range picked {
+		e.clock.After(turnOf(n, len(picked), f.duration), func() {
 			if s.state != policy.Ready {
 				return
 			}
 			e.replaceServer(s)
 			s.state = policy.Draining
 			e.announce(s)
-			last := time.Duration(float64(e.scenario.Discovery.Lag[1].D())*max(e.lagFactor, 1)) + e.scenario.Rules.DrainGrace.D()
-			for _, l := range e.settings.Classes {
-				last = max(last, e.scenario.Rules.DrainGrace.D()+l.Timeout)
-			}
-			e.clock.After(last+2*time.Second, func() {
-				s.state = policy.Removed
-				s.dropWork()
-				s.dead = true
-				e.announce(s)
-			})
+			e.clock.After(e.drainTime()+removalMargin, s.remove)
 		})
 	}
 }
 
-func (t *rollingDeploy) end(*engine) {}
+func (f *rollingDeploy) end(*engine) {}
+
+// drainTime is how long a draining server may get attempts, or have some in flight.
+func (e *engine) drainTime() time.Duration {
+	grace := e.scenario.Rules.DrainGrace.D()
+	longest := time.Duration(float64(e.scenario.Discovery.Lag[1].D())*max(e.faults.lagFactor, 1)) + grace
+	for _, class := range e.settings.Classes {
+		longest = max(longest, grace+class.Timeout)
+	}
+	return longest
+}
 
-// massChange has servers gone at once, with cold ones in their place.
+// massReplacement removes servers at once, without draining, and starts others in their place.
 type massReplacement struct{ fraction float64 }
 
-func (t *massReplacement) begin(e *engine) {
-	up := e.readyServers()
-	for _, i := range e.pick(len(up), t.fraction) {
-		s := up[i]
-		s.state = policy.Removed
-		s.dropWork()
-		s.dead = true
-		e.announce(s)
+func (f *massReplacement) begin(e *engine) {
+	for _, s := range e.pickServers(e.readyServers(), f.fraction) {
+		s.remove()
 		e.replaceServer(s)
 	}
 }
 
-func (t *massReplacement) end(*engine) {}
+func (f *massReplacement) end(*engine) {}
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -97,6 +97,6 @@
 		f.recorder.AddShed(t.request.declaredUnits)
 	}
 	t.retryAfter = shedRetryAfter
-	f.gateway.answer(t, rejected)
+	f.gateway.finishTry(t, rejected)
 	return true
 }
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -10,46 +10,45 @@
 	"harrierhoist/policy"
 )
 
-// gateway is one machine with an instance of the decisions.
+// gateway is one machine with an instance of the policy, which it hosts (gateway_host.go, attempt.go).
 type gateway struct {
 	engine        *engine
 	index         int
 	zone          int
 	policy        baseline.Policy
-	incarnation   int // counts its starts; what was meant for an earlier one does not come
+	incarnation   int // counts its starts; what was meant for an earlier one is dropped
 	alive         bool
 	pausedUntil   time.Duration // it does nothing until then
-	discoveryLost bool          // discovery tells it nothing
-	isolated      bool          // nothing passes between it and servers
+	discoveryLost bool          // it gets no notifications of discovery
+	isolated      bool          // nothing passes between it and any server
 	missedChanges []policy.Endpoint
-	lastChangeAt  time.Duration // when the latest of what discovery tells it comes
+	lastChangeAt  time.Duration // when the latest notification that is under way arrives
 	endpoints     map[uint32]policy.Endpoint
 	subset        *subset.Subset
-	tries         map[uint32]*try
+	tries         map[uint32]*try // without an answer
 	lastRequestID uint32
 	timers        map[uint64]*timer
-	idle          map[uint32]*idleConnections
-	// follower is its part in what is held in common; nil: nothing is.
-	follower *follower
+	idle          map[uint32]*idleConnections // by server
+	follower      *follower                   // nil: the gateways share nothing
 }
 
-// conns are the connections to one server that rest; each end of a push puts one back.
+// idleConnections are the connections to one server that no attempt uses.
 type idleConnections struct {
-	lastUsed []time.Duration // when each was used last
+	lastUsed []time.Duration // of each, when its last attempt ended
 }
 
-// start makes a new instance, which knows the list as it is.
+// start makes a new instance of the policy, which knows the endpoints as they are.
 func (g *gateway) start(seed uint64) error {
 	e := g.engine
 	g.incarnation++
 	g.alive = true
-	g.endpoints, g.tries, g.timers, g.idle = map[uint32]policy.Endpoint{}, map[uint32]*try{}, map[uint64]*timer{},
-		map[uint32]*idleConnections{}
-	kept := time.Duration(0)
+	g.endpoints, g.tries = map[uint32]policy.Endpoint{}, map[uint32]*try{}
+	g.timers, g.idle = map[uint64]*timer{}, map[uint32]*idleConnections{}
+	keepOpen := time.Duration(0)
 	if e.scenario.Gateways.Subset {
-		kept = e.scenario.Servers.IdleTimeout.D() / 2
+		keepOpen = e.scenario.Servers.IdleTimeout.D() / 2
 	}
-	g.subset = subset.New(g.index, e.scenario.Gateways.Count, kept)
+	g.subset = subset.New(g.index, e.scenario.Gateways.Count, keepOpen)
 	var err error
 	if g.policy, err = e.newPolicy(e.scenario.PolicySettings(g.index), int64(seed), g); err != nil {
 		return err
@@ -68,55 +67,55 @@
 	return nil
 }
 
-// do runs what comes to a gateway: now, when it no longer stands still, or never.
-func (g *gateway) run(life int, run func()) {
+// run runs what happens to an incarnation of a gateway: now, after its pause, or never if that incarnation has ended.
+func (g *gateway) run(incarnation int, action func()) {
 	switch {
-	case !g.alive || g.incarnation != life:
+	case !g.alive || g.incarnation != incarnation:
 	case g.engine.clock.Now() < g.pausedUntil:
-		g.engine.clock.At(g.pausedUntil, func() { g.run(life, run) })
+		g.engine.clock.At(g.pausedUntil, func() { g.run(incarnation, action) })
 	default:
-		run()
+		action()
 	}
 }
 
-// told takes a change of the list.
-func (g *gateway) notify(l policy.Endpoint) {
+// notify takes a change of an endpoint.
+func (g *gateway) notify(endpoint policy.Endpoint) {
 	if !g.alive {
-		return // its next life is told all
+		return // its next incarnation starts with all of them
 	}
 	if g.discoveryLost {
-		g.missedChanges = append(g.missedChanges, l)
+		g.missedChanges = append(g.missedChanges, endpoint)
 		return
 	}
-	g.engine.checker.EndpointNotified(g.engine.clock.Now(), g.index, l.Server, l.State)
+	g.engine.checker.EndpointNotified(g.engine.clock.Now(), g.index, endpoint.Server, endpoint.State)
 	g.run(g.incarnation, func() {
-		if l.State == policy.Removed {
-			delete(g.endpoints, l.Server)
+		if endpoint.State == policy.Removed {
+			delete(g.endpoints, endpoint.Server)
 		} else {
-			g.endpoints[l.Server] = l
+			g.endpoints[endpoint.Server] = endpoint
 		}
 		g.updateEndpoints()
 	})
 }
 
-// hand gives the decisions the servers of the part that are ready.
+// updateEndpoints hands the policy the endpoints of the gateway's subset.
 func (g *gateway) updateEndpoints() {
-	numbers := slices.Sorted(maps.Keys(g.endpoints))
-	all := make([]subset.Candidate, 0, len(numbers))
-	for _, n := range numbers {
-		all = append(all, subset.Candidate{NameHash: g.engine.servers[n-1].nameHash, Endpoint: g.endpoints[n]})
+	ids := slices.Sorted(maps.Keys(g.endpoints))
+	candidates := make([]subset.Candidate, 0, len(ids))
+	for _, id := range ids {
+		candidates = append(candidates, subset.Candidate{NameHash: g.engine.servers[id-1].nameHash, Endpoint: g.endpoints[id]})
 	}
 	if g.follower != nil {
-		g.follower.setEndpoints(all)
+		g.follower.setEndpoints(candidates)
 	}
-	part, sharers := g.subset.Select(g.engine.clock.Now(), all)
+	selected, sharers := g.subset.Select(g.engine.clock.Now(), candidates)
 	g.policy.SetSharers(sharers)
-	g.policy.HandleEndpoints(g.engine.clock.Now(), policy.ListFull, part)
+	g.policy.HandleEndpoints(g.engine.clock.Now(), policy.ListFull, selected)
 }
 
-// take takes a try that has come whole.
+// accept takes a complete request.
 func (g *gateway) accept(t *try) {
-	e := g.engine
+	e, r := g.engine, t.request
 	if g.follower != nil {
 		g.follower.expireSteering()
 	}
@@ -126,23 +125,28 @@
 	g.lastRequestID++
 	t.requestID = g.lastRequestID
 	g.tries[t.requestID] = t
-	r := t.request
 	if g.follower != nil && g.follower.shedIfFull(t) {
 		return
 	}
 	g.policy.HandleRequest(e.clock.Now(), policy.Request{
 		ID: t.requestID, Class: t.class, Plan: r.customer.plan, Customer: r.customer.id,
-		FirstGateway: r.customer.firstGateway, GatewayCount: r.customer.gatewayCount, Units: r.declaredUnits, Deadline: t.deadline, Repeat: t.number > 0 &&
-			e.scenario.Clients.MarkRepeats,
+		FirstGateway: r.customer.firstGateway, GatewayCount: r.customer.gatewayCount, Units: r.declaredUnits,
+		Deadline: t.deadline, Repeat: t.number > 0 && e.scenario.Clients.MarkRepeats,
 	})
 }
 
-// kill ends a gateway; what it held is its clients' to repeat, and its servers go on with what they have.
+// finishTry gives a try its only answer.
+func (g *gateway) finishTry(t *try, with answer) {
+	t.done = true
+	delete(g.tries, t.requestID)
+	g.engine.clients.handleAnswer(t, with)
+}
+
+// kill ends a gateway. Its clients may retry what it held; its servers go on with the attempts they have.
 func (g *gateway) kill() {
 	g.alive = false
 	g.engine.checker.GatewayDied(g.engine.clock.Now(), g.index)
-	held := slices.Sorted(maps.Keys(g.tries))
-	for _, id := range held {
+	for _, id := range slices.Sorted(maps.Keys(g.tries)) {
 		t := g.tries[id]
 		t.done = true
 		g.engine.clients.handleAnswer(t, connectionLost)
--- a/internal/lab/simulation/gateway_host.go
+++ b/internal/lab/simulation/gateway_host.go
@@ -4,23 +4,26 @@
 	"time"
 )
 
+// The methods of policy.Host; Attempt and Cancel stand in attempt.go.
+
+// timer is a timer of the policy.
 type timer struct{ cancelled bool }
 
-// Reject is a final answer that makes trying again harmless.
-func (g *gateway) Reject(task uint32, away time.Duration) {
-	if t := g.tries[task]; t != nil {
-		t.retryAfter = away
+// Reject answers a request so that retrying it is harmless.
+func (g *gateway) Reject(requestID uint32, retryAfter time.Duration) {
+	if t := g.tries[requestID]; t != nil {
+		t.retryAfter = retryAfter
 		if g.follower != nil {
 			g.follower.recordRejection(t)
 		}
-		g.answer(t, rejected)
+		g.finishTry(t, rejected)
 	}
 }
 
-// Terminate is a final answer that promises nothing.
-func (g *gateway) Terminate(task uint32) {
-	if t := g.tries[task]; t != nil {
-		g.answer(t, terminated)
+// Terminate answers a request without a word on whether it ran.
+func (g *gateway) Terminate(requestID uint32) {
+	if t := g.tries[requestID]; t != nil {
+		g.finishTry(t, terminated)
 	}
 }
 
@@ -29,26 +32,26 @@
 	g.engine.counter.call(g, name, keep, units)
 }
 
-// CheckHealth is not played.
+// CheckHealth is not simulated.
 func (g *gateway) CheckHealth(uint32) {}
 
 // SendPeer reaches nobody, as on sockets.
 func (g *gateway) SendPeer(int, []byte) {}
 
-// WatchEndpoints is not needed: discovery tells unasked.
+// WatchEndpoints does nothing: discovery notifies unasked.
 func (g *gateway) WatchEndpoints() {}
 
-// SetTimer calls Woke after a time.
+// SetTimer calls HandleTimer after a time.
 func (g *gateway) SetTimer(token uint64, after time.Duration) {
-	w := &timer{}
-	g.timers[token] = w
-	life := g.incarnation
+	t := &timer{}
+	g.timers[token] = t
+	incarnation := g.incarnation
 	g.engine.clock.After(after, func() {
-		g.run(life, func() {
-			if w.cancelled {
+		g.run(incarnation, func() {
+			if t.cancelled {
 				return
 			}
-			if g.timers[token] == w {
+			if g.timers[token] == t {
 				delete(g.timers, token)
 			}
 			g.policy.HandleTimer(g.engine.clock.Now(), token)
@@ -56,13 +59,13 @@
 	})
 }
 
-// CancelTimer takes a wake back.
+// CancelTimer cancels a timer that has not fired.
 func (g *gateway) CancelTimer(token uint64) {
-	if w := g.timers[token]; w != nil {
-		w.cancelled = true
+	if t := g.timers[token]; t != nil {
+		t.cancelled = true
 		delete(g.timers, token)
 	}
 }
 
-// Log is not kept.
+// Log drops the line.
 func (g *gateway) Log(string) {}
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -9,21 +9,25 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Result is the record of a play.
+// maxAnswerTime is the longest answer time that is counted.
+const maxAnswerTime = time.Minute
+
+// Result is the record of a run. Its keys in JSON are those of earlier results.
 type Result struct {
 	Scenario string `json:"world"`
 	Seed     uint64 `json:"seed"`
 
-	// Requests, however many tries each took. Due are those that a perfect count would let in.
+	// Requests, however many tries each took. Due are those that a perfect count of first tries admits.
 	Offered          int `json:"Offered"`
 	Due              int `json:"Due"`
 	InTime           int `json:"InTime"`
 	Late             int `json:"Late"`
 	RejectedRequests int `json:"Refused"`
 	Failed           int `json:"Failed"`
-	// Ends says why each that failed did.
+	// FailureCauses has each that failed once.
 	FailureCauses FailureCauses `json:"Ends"`
-	// Gain that was due, and gain that was served in time inside quotas.
+	// DueValue is the value of the requests that were due, ServedValue that of those served in time and within quotas; a
+	// request's value is its class's weight times its plan's price times its units.
 	DueValue    float64 `json:"GainDue"`
 	ServedValue float64 `json:"GainServed"`
 
@@ -33,20 +37,20 @@
 	BrokenConnections int `json:"BrokenConnections"` // tries whose gateway was dead or died
 	Attempts          int `json:"Pushes"`
 	Handshakes        int `json:"Handshakes"`
-	// Crossed are the pushes to another hall than the gateway's own; Far are those of them to another region.
+	// CrossZone are the attempts to another zone than the gateway's own; CrossRegion are those of them to another region.
 	CrossZone   int `json:"Crossed"`
 	CrossRegion int `json:"Far"`
-	// Hottest is the work sent to a hall in a second over what its servers can do in one, at its highest over all
-	// seconds and all halls that stood whole (wholeLeast).
+	// PeakUtilisation is the work sent to a zone in a second over what its servers can do in one, at its highest over all
+	// seconds and all zones that had their capacity (minReadyCapacity).
 	PeakUtilisation float64 `json:"Hottest"`
-	// Warmest is the same over five seconds.
+	// PeakUtilisationOver5s is the same over five seconds.
 	PeakUtilisationOver5s float64 `json:"Warmest"`
-	// Plans were written, of which Wrong newly held to be lost what was not. PlanMs are the milliseconds from the loss of
-	// a whole hall until a gateway that pushed there pushed elsewhere, or until the hall came back.
+	// Plans were written, of which WrongPlans newly held to be lost what was not. FailoverMs are the milliseconds from the
+	// loss of a whole zone until a gateway that sent attempts there sent them elsewhere, or until the zone was restored.
 	Plans      int   `json:"Plans"`
 	WrongPlans int   `json:"Wrong"`
 	FailoverMs []int `json:"PlanMs"`
-	// Held is what came to the voters in all, and to the one that led.
+	// VoterMessages came to all voters, LeaderMessages to the one that led.
 	VoterMessages  Messages `json:"Held"`
 	LeaderMessages Messages `json:"Led"`
 
@@ -55,13 +59,13 @@
 	ForwardedUnits       float64                   `json:"Units"`
 	OverQuotaUnits       float64                   `json:"Beyond"`
 	OverQuotaPenalty     float64                   `json:"BeyondGain"`
-	LoadDeviation        float64                   `json:"Uneven"` // load of servers that stood all day: deviation over mean
+	LoadDeviation        float64                   `json:"Uneven"` // of servers that ran all the time: deviation over mean
 	ViolationCounts      [invariants.RuleCount]int `json:"Broken"`
 	Violations           []invariants.Violation    `json:"Breaches"`
 	Timeline             []Second                  `json:"Seconds"`
 	Events               int                       `json:"Events"`
 	Classes              []string                  `json:"Lanes"`
-	P50                  []float64                 `json:"P50"` // ms, by lane, of all that were served
+	P50                  []float64                 `json:"P50"` // milliseconds, by class, of all that were served
 	P99                  []float64                 `json:"P99"`
 	P999                 []float64                 `json:"P999"`
 
@@ -69,7 +73,7 @@
 	answerTimes []*hdrhistogram.Histogram
 }
 
-// Second is what came of one second of the play.
+// Second is what happened in one second of the run.
 type Second struct {
 	Offered     int     `json:"Offered"`
 	InTime      int     `json:"InTime"`
@@ -81,43 +85,47 @@
 	CrossZone   int     `json:"Crossed"`
 }
 
-// less is what came since an earlier total.
-func (s Second) minus(was Second) Second {
+// minus is what happened since an earlier total.
+func (s Second) minus(earlier Second) Second {
 	return Second{
-		s.Offered - was.Offered, s.InTime - was.InTime, s.Rejected - was.Rejected, s.Failed - was.Failed,
-		s.ServedValue - was.ServedValue, s.DueValue - was.DueValue, s.Attempts - was.Attempts, s.CrossZone - was.CrossZone,
+		s.Offered - earlier.Offered, s.InTime - earlier.InTime, s.Rejected - earlier.Rejected, s.Failed - earlier.Failed,
+		s.ServedValue - earlier.ServedValue, s.DueValue - earlier.DueValue,
+		s.Attempts - earlier.Attempts, s.CrossZone - earlier.CrossZone,
 	}
 }
 
-// Messages are what voters take from gateways, and from each other.
+// Messages are the messages that voters get: digests of gateways, digests that other voters merged, and reads.
 type Messages struct {
 	Digests       int `json:"Digests"`
 	MergedDigests int `json:"Merged"`
 	Reads         int `json:"Reads"`
 }
 
-// Ends are the requests that failed, by what ended them.
+// FailureCauses are the requests that failed, by what ended them.
 type FailureCauses struct {
-	BetweenTries int `json:"Between"`    // their time ran out between tries, the last of which was rejected
+	BetweenTries int `json:"Between"`    // deadline passed between tries, the last of which was rejected
 	Terminated   int `json:"Terminated"` // the last try was terminated
 	WithGateway  int `json:"Died"`       // the last try ended with its gateway
-	InFlight     int `json:"Out"`        // their time ran out while a try was out
+	InFlight     int `json:"Out"`        // deadline passed while a try was in flight
 }
 
+// newResult is the result before the first event.
 func newResult(spec *scenario.Scenario, seed uint64) Result {
 	r := Result{Scenario: spec.Name, Seed: seed}
-	for _, l := range spec.Classes {
-		r.Classes = append(r.Classes, l.Name)
-		r.answerTimes = append(r.answerTimes, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
+	for _, class := range spec.Classes {
+		r.Classes = append(r.Classes, class.Name)
+		r.answerTimes = append(r.answerTimes, hdrhistogram.New(1, maxAnswerTime.Microseconds(), 3))
 	}
 	return r
 }
 
-func (r *Result) recordAnswerTime(lane int, took time.Duration) {
-	_ = r.answerTimes[lane].RecordValue(max(took.Microseconds(), 1))
+// recordAnswerTime counts the time that a request of a class took to be served.
+func (r *Result) recordAnswerTime(class int, took time.Duration) {
+	// The error is for times over maxAnswerTime, beyond any deadline: they are left out.
+	_ = r.answerTimes[class].RecordValue(max(took.Microseconds(), 1))
 }
 
-// Percentiles fills in the times of each lane.
+// ComputePercentiles fills in the percentiles of the answer times of each class.
 func (r *Result) ComputePercentiles() {
 	r.P50, r.P99, r.P999 = nil, nil, nil
 	for _, h := range r.answerTimes {
@@ -126,11 +134,11 @@
 	}
 }
 
-// Times are the answer times of a lane.
-func (r *Result) AnswerTimes(lane int) *hdrhistogram.Histogram { return r.answerTimes[lane] }
+// AnswerTimes are the answer times of a class, in microseconds.
+func (r *Result) AnswerTimes(class int) *hdrhistogram.Histogram { return r.answerTimes[class] }
 
-// Service is the part of the due gain that was served in time.
+// Service is the part of the due value that was served in time.
 func (r *Result) Service() float64 { return r.ServedValue / max(r.DueValue, 1e-9) }
 
-// Net is the service less what units beyond quotas cost.
+// Net is Service less what units beyond quotas cost.
 func (r *Result) Net() float64 { return (r.ServedValue - r.OverQuotaPenalty) / max(r.DueValue, 1e-9) }
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"strconv"
 	"time"
 
@@ -9,49 +10,58 @@
 	"harrierhoist/policy"
 )
 
-// server is one back end: cores that each work on one task, and a queue before them.
+const (
+	// receiptSlack is how much longer than the class's window a server remembers an idempotency key.
+	receiptSlack = 2 * time.Second
+	// overloadMargin is how many requests more than its cores a server must have got lately before it can be overloaded:
+	// a handful of requests is no overload, however heavy they are.
+	overloadMargin = 4
+)
+
+// server is one back end: cores that each work on one request, and a queue in front of them.
 type server struct {
 	engine     *engine
 	id         uint32
-	nameHash   uint64 // of its name, as in the gateway's part of the servers
+	nameHash   uint64 // as in the subsets of gateways
 	zone, rack int
 	speed      float64
-	startedAt  time.Duration // of its latest start; 0: long ago
-	restarts   int           // in the play
+	startedAt  time.Duration // latest start; 0: long before the run
+	restarts   int           // starts within the run
 	state      policy.EndpointState
 
 	dead            bool // its process is gone: connections are refused
 	silent          bool // its machine is gone: nothing comes back
 	errorRate       float64
-	slowdown        float64
-	silentClasses   map[int]bool // lanes that it never answers
+	slowdown        float64      // factor on the time that work takes
+	silentClasses   map[int]bool // classes that it never answers
 	overloadedUntil time.Duration
 
 	busyCores      int
 	queue          []*attempt
 	running        map[*attempt]bool
 	connections    int
-	recentArrivals []arrival // within TipAfter, while it is cold
-	recentWork     float64   // sum of their work
+	recentArrivals []arrival // within the overload span, while it is warming up
+	recentWork     float64   // sum of their work, in seconds
 	workDone       time.Duration
-	incarnation    int // counts deaths: what was begun before one does not end
-	dedupUntil     map[uint64]time.Duration
+	incarnation    int                      // work of an earlier one does not end
+	dedupUntil     map[uint64]time.Duration // by idempotency key
 }
 
+// arrival is a request that a server got.
 type arrival struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds
 }
 
-// addServer starts a server; since 0 means long ago.
-func (e *engine) addServer(hall, cell int, since time.Duration) *server {
+// addServer starts a server; startedAt 0 means long ago.
+func (e *engine) addServer(zone, rack int, startedAt time.Duration) *server {
 	speed := e.scenario.Servers.Speed
 	s := &server{
-		engine: e, id: uint32(len(e.servers) + 1), zone: hall, rack: cell, startedAt: since, state: policy.Ready, slowdown: 1,
-		speed: speed[0] + (speed[1]-speed[0])*e.modelRandom.Float64(), running: map[*attempt]bool{}, errorRate: e.scenario.Servers.ErrorRate,
-		silentClasses: map[int]bool{}, dedupUntil: map[uint64]time.Duration{},
+		engine: e, id: uint32(len(e.servers) + 1), zone: zone, rack: rack, startedAt: startedAt, state: policy.Ready,
+		slowdown: 1, speed: speed[0] + (speed[1]-speed[0])*e.modelRandom.Float64(), running: map[*attempt]bool{},
+		errorRate: e.scenario.Servers.ErrorRate, silentClasses: map[int]bool{}, dedupUntil: map[uint64]time.Duration{},
 	}
-	if since > 0 {
+	if startedAt > 0 {
 		s.restarts = 1
 	}
 	s.nameHash = subset.HashName("s-" + strconv.Itoa(int(s.id)))
@@ -59,26 +69,27 @@
 	return s
 }
 
+// endpoint is the server as discovery lists it.
 func (s *server) endpoint() policy.Endpoint {
 	return policy.Endpoint{Server: s.id, State: s.state, Capacity: 1, StartedAt: s.startedAt, Rack: s.rack, Zone: s.zone}
 }
 
-// warmth is the part of its speed that it has.
+// warmUpFraction is the part of its speed that it has.
 func (s *server) warmUpFraction() float64 {
-	if s.startedAt == 0 || s.engine.scenario.Servers.WarmUpTime <= 0 {
+	settings := &s.engine.scenario.Servers
+	if s.startedAt == 0 || settings.WarmUpTime <= 0 {
 		return 1
 	}
-	grown := float64(s.engine.clock.Now()-s.startedAt) / float64(s.engine.scenario.Servers.WarmUpTime)
-	from := s.engine.scenario.Servers.WarmUpStart
-	return min(1, from+(1-from)*max(grown, 0))
+	elapsed := float64(s.engine.clock.Now()-s.startedAt) / float64(settings.WarmUpTime)
+	return min(1, settings.WarmUpStart+(1-settings.WarmUpStart)*max(elapsed, 0))
 }
 
-// capacity is in core-seconds of speed 1 a second.
+// capacity is the work that it does in a second, in seconds on a core of speed 1.
 func (s *server) capacity() float64 {
 	return float64(s.engine.scenario.Servers.Cores) * s.speed * s.warmUpFraction() / s.slowdown
 }
 
-// restart brings a server back cold.
+// restart starts a server again, which then warms up.
 func (s *server) restart() {
 	s.dropWork()
 	s.dead, s.silent, s.overloadedUntil = false, false, 0
@@ -87,16 +98,22 @@
 	s.dedupUntil = map[uint64]time.Duration{}
 }
 
-// die ends all that it has.
+// remove ends a server's process for good.
+func (s *server) remove() {
+	s.state = policy.Removed
+	s.dropWork()
+	s.dead = true
+	s.engine.announce(s)
+}
+
+// dropWork ends all that it has begun or queued.
 func (s *server) dropWork() {
 	s.incarnation++
-	for a := range s.running {
-		delete(s.running, a)
-	}
+	clear(s.running)
 	s.queue, s.busyCores, s.recentArrivals, s.recentWork = nil, 0, nil, 0
 }
 
-// arrive takes a push that has come whole.
+// receive takes a complete request.
 func (s *server) receive(a *attempt) {
 	e := s.engine
 	switch {
@@ -109,8 +126,8 @@
 		e.reply(a, policy.Rejected, 0)
 		return
 	}
-	if s.warmUpFraction() < 1 && s.checkOverload(a) {
-		return
+	if s.warmUpFraction() < 1 {
+		s.checkOverload(a)
 	}
 	switch {
 	case e.clock.Now() < s.overloadedUntil:
@@ -128,72 +145,77 @@
 	}
 }
 
-// tips tells whether a push makes a cold server fall: more work was sent to it over TipAfter than the stated multiple
-// of what it can do now.
-func (s *server) checkOverload(a *attempt) bool {
-	e, over := s.engine, s.engine.scenario.Rules.OverloadSpan.D()
-	s.recentArrivals = append(s.recentArrivals, arrival{e.clock.Now(), a.work.Seconds()})
+// checkOverload counts a request that a server gets while it is warming up. It overloads the server if the work sent over
+// the overload span is more than the scenario's factor times what the server can do now.
+func (s *server) checkOverload(a *attempt) {
+	e, rules, now := s.engine, &s.engine.scenario.Rules, s.engine.clock.Now()
+	span := rules.OverloadSpan.D()
+	s.recentArrivals = append(s.recentArrivals, arrival{now, a.work.Seconds()})
 	s.recentWork += a.work.Seconds()
-	for s.recentArrivals[0].at < e.clock.Now()-over {
+	for s.recentArrivals[0].at < now-span {
 		s.recentWork -= s.recentArrivals[0].work
 		s.recentArrivals = s.recentArrivals[1:]
 	}
-	// A handful of tasks is no overload, however heavy: it needs as many as the cores and four more.
-	rate, most := s.recentWork/over.Seconds(), s.capacity()*e.scenario.Rules.OverloadFactor
-	if e.clock.Now() < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+4 || rate <= most {
-		return false
+	rate, limit := s.recentWork/span.Seconds(), s.capacity()*rules.OverloadFactor
+	if now < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+overloadMargin || rate <= limit {
+		return
 	}
-	s.overloadedUntil = e.clock.Now() + e.scenario.Rules.OverloadDowntime.D()
-	e.checker.ServerOverloaded(e.clock.Now(), s.id, rate, s.capacity())
-	return false
+	s.overloadedUntil = now + rules.OverloadDowntime.D()
+	e.checker.ServerOverloaded(now, s.id, rate, s.capacity())
 }
 
-// remembers tells whether this group of servers has a receipt for the task's key.
+// isDuplicate reports whether a server of this one's group remembers the request's idempotency key.
 func (s *server) isDuplicate(a *attempt) bool {
-	lane := &s.engine.settings.Classes[a.try.class]
-	if lane.Effect != policy.Keyed {
+	class := &s.engine.settings.Classes[a.try.class]
+	if class.Effect != policy.Keyed {
 		return false
 	}
-	for _, o := range s.engine.servers {
-		same := lane.Group == policy.GroupAll || lane.Group == policy.GroupZone && o.zone == s.zone ||
-			lane.Group == policy.GroupRack && o.rack == s.rack
-		if until, has := o.dedupUntil[a.try.request.key]; same && has && s.engine.clock.Now() < until {
+	for _, other := range s.engine.servers {
+		sameGroup := class.Group == policy.GroupAll || class.Group == policy.GroupZone && other.zone == s.zone ||
+			class.Group == policy.GroupRack && other.rack == s.rack
+		if until, known := other.dedupUntil[a.try.request.key]; sameGroup && known && s.engine.clock.Now() < until {
 			return true
 		}
 	}
 	return false
 }
 
-// begin works on a task; its effect happens now.
+// startWork begins a request on a free core; its effect happens now.
 func (s *server) startWork(a *attempt) {
 	e := s.engine
-	if s.isDuplicate(a) { // another of the group began it while it waited here
+	if s.isDuplicate(a) { // another of the group began it while it was queued here
 		e.reply(a, policy.Answered, a.try.actualUnits)
 		return
 	}
 	s.busyCores++
 	s.running[a] = true
 	e.checker.EffectRan(e.clock.Now(), s.id, a.try.id)
-	if lane := &e.settings.Classes[a.try.class]; lane.Effect == policy.Keyed {
-		s.dedupUntil[a.try.request.key] = e.clock.Now() + lane.DedupWindow + 2*time.Second
+	if class := &e.settings.Classes[a.try.class]; class.Effect == policy.Keyed {
+		s.dedupUntil[a.try.request.key] = e.clock.Now() + class.DedupWindow + receiptSlack
 	}
 	took := time.Duration(float64(a.work) / (s.speed * s.warmUpFraction()) * s.slowdown)
 	if a.newConnection {
 		took += e.scenario.Servers.HandshakeWork.D()
 	}
 	s.workDone += took
-	life := s.incarnation
+	incarnation := s.incarnation
 	e.clock.After(took, func() {
-		if s.incarnation != life || !s.running[a] {
+		if s.incarnation != incarnation || !s.running[a] {
 			return
 		}
-		delete(s.running, a)
-		s.busyCores--
+		s.release(a)
 		e.reply(a, policy.Answered, a.try.actualUnits)
 		s.startQueued()
 	})
 }
 
+// release frees the core of a request.
+func (s *server) release(a *attempt) {
+	delete(s.running, a)
+	s.busyCores--
+}
+
+// startQueued begins queued requests while cores are free.
 func (s *server) startQueued() {
 	for s.busyCores < s.engine.scenario.Servers.Cores && len(s.queue) > 0 {
 		a := s.queue[0]
@@ -202,34 +224,31 @@
 	}
 }
 
-// stop hears that a push was given up.
+// cancel handles the notice that nobody waits for an attempt, as far as the scenario's servers heed it.
 func (s *server) cancel(a *attempt) {
-	how := s.engine.scenario.Servers.Cancellation
-	if how == "none" || s.dead || s.silent {
+	scope := s.engine.scenario.Servers.Cancellation
+	if scope == "none" || s.dead || s.silent {
 		return
 	}
-	for i, q := range s.queue {
-		if q == a {
-			s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
-			return
-		}
+	if i := slices.Index(s.queue, a); i >= 0 {
+		s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
+		return
 	}
-	if how == "all" && s.running[a] {
-		delete(s.running, a)
-		s.busyCores--
+	if scope == "all" && s.running[a] {
+		s.release(a)
 		s.startQueued()
 	}
 }
 
-// draw gives a task's work.
-func (e *engine) drawWork(lane int) time.Duration {
-	l := &e.scenario.Classes[lane]
-	mean := float64(l.Work.D())
-	switch l.Distribution {
+// drawWork draws a request's work, as time on a core of speed 1.
+func (e *engine) drawWork(class int) time.Duration {
+	c := &e.scenario.Classes[class]
+	mean := float64(c.Work.D())
+	switch c.Distribution {
 	case "exponential":
 		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
 	case "lognormal":
-		sigma := math.Sqrt(math.Log(1 + l.CV*l.CV))
+		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
 		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
 	}
 	return time.Duration(mean)
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -7,174 +7,203 @@
 	"harrierhoist/policy"
 )
 
+const (
+	// clientDelay is the time from a client to its gateway.
+	clientDelay = 500 * time.Microsecond
+	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or was tried last.
+	maxGatewayDraws = 4
+	// deadGatewayShare is the probability that a client takes a dead gateway it drew: their death is noticed by and by.
+	deadGatewayShare = 0.3
+)
+
+// try is a request as sent through one gateway.
 type try struct {
 	id          uint64
 	request     *request
 	gateway     *gateway
 	class       int
-	number      int
-	requestID   uint32
+	number      int    // within the request, from 0
+	requestID   uint32 // by which the gateway calls it
 	actualUnits float64
 	deadline    time.Duration
 	attempts    []*attempt
 	done        bool
-	retryAfter  time.Duration
+	retryAfter  time.Duration // from the answer; 0: none
 }
 
-// verdict is what a client gets.
+// answer is what a client gets for a try.
 type answer int
 
 const (
 	served answer = iota
 	rejected
 	terminated
-	connectionLost // the connection broke: its gateway died
-	unanswered     // none came in time
+	connectionLost // its gateway died
+	unanswered     // no answer by the deadline
 )
 
-// send sends a try through a gateway of the customer's set, if it can be another than the last.
+// send sends a try through a gateway of the customer's set, other than the last one where there is another.
 func (c *clients) send(r *request, number int, last *gateway) {
 	e := c.engine
-	lane := &e.settings.Classes[r.class]
-	expires := r.startedAt + lane.Timeout
-	if e.clock.Now() >= expires {
+	class := &e.settings.Classes[r.class]
+	deadline := r.startedAt + class.Timeout
+	if e.clock.Now() >= deadline {
 		c.fail(r, r.lastAnswer)
 		return
 	}
-	who := r.customer
-	g := e.gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(e.gateways)]
-	for range 4 { // dead ones are noticed by and by, and the one tried last is left out where others are
-		if g != last && (g.alive || c.random.Float64() < 0.3) || who.gatewayCount == 1 {
-			break
-		}
-		g = e.gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(e.gateways)]
-	}
-	if through := e.hotspot.drawGateway(c); through != nil {
-		g = through
-	}
+	g := c.drawGateway(r.customer, last)
 	c.lastTry++
-	t := &try{id: c.lastTry, request: r, gateway: g, class: r.class, number: number, deadline: expires, actualUnits: r.units}
+	t := &try{id: c.lastTry, request: r, gateway: g, class: r.class, number: number, deadline: deadline, actualUnits: r.units}
 	e.result.Tries++
-	e.clock.After(500*time.Microsecond, func() {
+	e.clock.After(clientDelay, func() {
 		if !g.alive {
-			c.handleAnswer(t, connectionLost) // refused: it was not taken
+			c.handleAnswer(t, connectionLost) // refused: it was not accepted
 			return
 		}
 		e.checker.RequestAccepted(invariants.Request{
-			ID: t.id, Key: r.key, Customer: who.id, Class: *lane, Plan: who.plan, Gateway: g.index,
-			Units:      r.declaredUnits,
-			AcceptedAt: e.clock.Now(), Deadline: expires,
+			ID: t.id, Key: r.key, Customer: r.customer.id, Class: *class, Plan: r.customer.plan, Gateway: g.index,
+			Units: r.declaredUnits, AcceptedAt: e.clock.Now(), Deadline: deadline,
 		})
-		life := g.incarnation
-		g.run(life, func() {
-			if e.clock.Now() >= expires {
-				// Its client has gone: it was read too late to answer.
-				e.checker.RequestAnswered(expires, t.id, true)
+		incarnation := g.incarnation
+		g.run(incarnation, func() {
+			if e.clock.Now() >= deadline {
+				// The gateway was paused: it reads the request after its client disconnected.
+				e.checker.RequestAnswered(deadline, t.id, true)
 				return
 			}
 			g.accept(t)
 		})
-		e.clock.At(expires, func() { c.disconnect(t, life) })
+		e.clock.At(deadline, func() { c.disconnect(t, incarnation) })
 	})
 }
 
-// gone tells a gateway that a client waits no more.
-func (c *clients) disconnect(t *try, life int) {
+// drawGateway draws the gateway for a customer's next try.
+func (c *clients) drawGateway(who *customer, last *gateway) *gateway {
+	gateways := c.engine.gateways
+	draw := func() *gateway { return gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(gateways)] }
+	g := draw()
+	for range maxGatewayDraws {
+		if g != last && (g.alive || c.random.Float64() < deadGatewayShare) || who.gatewayCount == 1 {
+			break
+		}
+		g = draw()
+	}
+	if crowded := c.engine.faults.hotspot.drawGateway(c); crowded != nil {
+		g = crowded
+	}
+	return g
+}
+
+// disconnect ends a try at its deadline if it has no answer: its client waits no longer.
+func (c *clients) disconnect(t *try, incarnation int) {
 	if t.done {
 		return
 	}
-	t.gateway.run(life, func() {
+	e := c.engine
+	t.gateway.run(incarnation, func() {
 		if t.done {
 			return
 		}
 		t.done = true
 		delete(t.gateway.tries, t.requestID)
-		t.gateway.policy.HandleDisconnect(c.engine.clock.Now(), t.requestID)
+		t.gateway.policy.HandleDisconnect(e.clock.Now(), t.requestID)
 		for _, a := range t.attempts {
-			c.engine.clock.After(0, func() { c.engine.endAttempt(a, policy.Cancelled, 0) })
+			e.clock.After(0, func() { e.endAttempt(a, policy.Cancelled, 0) })
 		}
 	})
 	c.fail(t.request, unanswered)
 }
 
-// answered takes the answer to a try.
-func (c *clients) handleAnswer(t *try, what answer) {
-	e, r := c.engine, t.request
-	if what != connectionLost {
+// handleAnswer takes the answer to a try.
+func (c *clients) handleAnswer(t *try, got answer) {
+	e, r, result := c.engine, t.request, &c.engine.result
+	if got != connectionLost {
 		e.checker.RequestAnswered(e.clock.Now(), t.id, true)
 	}
-	res := &e.result
-	switch what {
+	switch got {
 	case served:
-		if e.scenario.Load.DeclaredDeviation > 0 {
-			e.checker.UnitsSettled(t.id, r.units)
-		}
-		if r.done {
-			return
-		}
-		r.done = true
-		took := e.clock.Now() - r.startedAt
-		res.recordAnswerTime(r.class, took)
-		lane := &e.settings.Classes[r.class]
-		gain := 0.0
-		if took <= lane.LatencyObjective {
-			res.InTime++
-			gain = c.value(r)
-		} else {
-			res.Late++
-			gain = c.value(r) * lane.LateFraction
-		}
-		if e.checker.IsWithinQuota(t.id) {
-			res.ServedValue += gain
-		}
+		c.complete(t)
 		return
 	case rejected:
-		res.RejectedTries++
+		result.RejectedTries++
 	case terminated:
-		res.TerminatedTries++
+		result.TerminatedTries++
 	case connectionLost:
-		res.BrokenConnections++
+		result.BrokenConnections++
 	}
-	if r.done { // its gateway stood still: the client went long ago
+	if r.done { // its gateway was paused: the client disconnected long ago
 		return
 	}
-	lane := &e.settings.Classes[r.class]
-	r.lastAnswer = what
-	unsent := what == rejected || what == connectionLost && len(t.attempts) == 0
-	may := unsent || lane.Effect == policy.Idempotent || lane.Effect == policy.Keyed && lane.Group == policy.GroupAll &&
-		e.clock.Now() < r.startedAt+lane.DedupWindow
-	if !may || t.number >= e.scenario.Clients.Retries {
-		if what == rejected {
-			res.RejectedRequests++
+	r.lastAnswer = got
+	if !c.canRetry(t, got) || t.number >= e.scenario.Clients.Retries {
+		if got == rejected {
+			result.RejectedRequests++
 		} else {
-			c.fail(r, what)
+			c.fail(r, got)
 		}
 		r.done = true
 		return
 	}
 	wait := e.scenario.Clients.Backoff.D()
-	if what == rejected && t.retryAfter > 0 && c.random.Float64() < e.scenario.Clients.RetryAfterShare {
-		wait = max(t.retryAfter, 0)
+	if got == rejected && t.retryAfter > 0 && c.random.Float64() < e.scenario.Clients.RetryAfterShare {
+		wait = t.retryAfter
 	}
 	e.clock.After(wait, func() { c.send(r, t.number+1, t.gateway) })
 }
 
-// lost ends a request that failed, by what its last try got.
+// complete ends a request that was served.
+func (c *clients) complete(t *try) {
+	e, r, result := c.engine, t.request, &c.engine.result
+	if e.scenario.Load.DeclaredDeviation > 0 {
+		e.checker.UnitsSettled(t.id, r.units)
+	}
+	if r.done {
+		return
+	}
+	r.done = true
+	took := e.clock.Now() - r.startedAt
+	result.recordAnswerTime(r.class, took)
+	class := &e.settings.Classes[r.class]
+	value := c.value(r)
+	if took <= class.LatencyObjective {
+		result.InTime++
+	} else {
+		result.Late++
+		value *= class.LateFraction
+	}
+	if e.checker.IsWithinQuota(t.id) {
+		result.ServedValue += value
+	}
+}
+
+// canRetry reports whether a client may send a request again after an answer: where it did not run, or may run again.
+func (c *clients) canRetry(t *try, got answer) bool {
+	class := &c.engine.settings.Classes[t.class]
+	switch {
+	case got == rejected || got == connectionLost && len(t.attempts) == 0:
+		return true
+	case class.Effect == policy.Keyed && class.Group == policy.GroupAll:
+		return c.engine.clock.Now() < t.request.startedAt+class.DedupWindow
+	}
+	return class.Effect == policy.Idempotent
+}
+
+// fail ends a request that failed, by the answer to its last try.
 func (c *clients) fail(r *request, last answer) {
 	if r.done {
 		return
 	}
 	r.done = true
-	res := &c.engine.result
-	res.Failed++
+	result := &c.engine.result
+	result.Failed++
 	switch last {
 	case rejected:
-		res.FailureCauses.BetweenTries++
+		result.FailureCauses.BetweenTries++
 	case terminated:
-		res.FailureCauses.Terminated++
+		result.FailureCauses.Terminated++
 	case connectionLost:
-		res.FailureCauses.WithGateway++
+		result.FailureCauses.WithGateway++
 	default:
-		res.FailureCauses.InFlight++
+		result.FailureCauses.InFlight++
 	}
 }
--- a/internal/lab/simulation/utilisation.go
+++ b/internal/lab/simulation/utilisation.go
@@ -6,16 +6,18 @@
 	"harrierhoist/policy"
 )
 
-// wholeLeast is the part of a hall's full strength that it must have for the work sent to it to say something of
-// those who send it: a hall that was struck, or whose servers are cold, is no receiver.
-const minReadyCapacity = 0.9
-
-// warmOver is the seconds over which a hall's utilisation is taken besides a single one, in which chance alone brings
-// a small hall half as much again.
-const peakSeconds = 5
+const (
+	// minReadyCapacity is the part of its full capacity that a zone must have for its utilisation to say something of those
+	// who send to it: a zone that a fault struck, or whose servers are warming up, is left out.
+	minReadyCapacity = 0.9
+	// peakSeconds is the number of seconds over which a zone's utilisation is taken besides a single one, in which chance
+	// alone brings a small zone half as much again.
+	peakSeconds = 5
+)
 
-// pushed records a push to a hall.
+// recordAttempt counts an attempt that leaves its gateway.
 func (e *engine) recordAttempt(a *attempt) {
+	e.result.Attempts++
 	from, to := a.gateway.zone, a.server.zone
 	e.zoneWork[to] += a.work
 	if from != to {
@@ -24,10 +26,11 @@
 	if e.regions[from] != e.regions[to] {
 		e.result.CrossRegion++
 	}
+	e.checker.AttemptSent(e.clock.Now(), a.gateway.index, a.server.id, a.try.id)
 }
 
-// strengths are what the servers of each hall can do now and what they could at their best, in core-seconds of
-// speed 1 a second.
+// zoneCapacities returns what the servers of each zone can do now and what they could at their best, in seconds of work on
+// a core of speed 1 in a second.
 func (e *engine) zoneCapacities() (now, full []float64) {
 	now, full = make([]float64, len(e.zoneWork)), make([]float64, len(e.zoneWork))
 	for _, s := range e.servers {
@@ -42,40 +45,52 @@
 	return now, full
 }
 
-// second closes a second of the play's record.
+// closeSecond adds a second to the result's timeline.
 func (e *engine) closeSecond() {
+	e.closeUtilisation()
+	r := &e.result
+	now := Second{
+		r.Offered, r.InTime, r.RejectedRequests, r.Failed, r.ServedValue, r.DueValue, r.Attempts, r.CrossZone,
+	}
+	last := Second{}
+	if n := len(r.totals); n > 0 {
+		last = r.totals[n-1]
+	}
+	r.Timeline = append(r.Timeline, now.minus(last))
+	r.totals = append(r.totals, now)
+}
+
+// closeUtilisation takes the utilisation of each zone in the second that ends.
+func (e *engine) closeUtilisation() {
 	r := &e.result
-	strength, full := e.zoneCapacities()
-	for hall, work := range e.zoneWork {
-		if strength[hall] <= 0 || strength[hall] < minReadyCapacity*full[hall] {
-			e.recentUtilisation[hall] = nil
+	capacity, full := e.zoneCapacities()
+	for zone, work := range e.zoneWork {
+		if capacity[zone] <= 0 || capacity[zone] < minReadyCapacity*full[zone] {
+			e.recentUtilisation[zone] = nil
 			continue
 		}
-		used := work.Seconds() / strength[hall]
+		used := work.Seconds() / capacity[zone]
 		r.PeakUtilisation = max(r.PeakUtilisation, used)
-		l := append(e.recentUtilisation[hall], used)
-		e.recentUtilisation[hall] = l[max(len(l)-peakSeconds, 0):]
-		if len(l) >= peakSeconds {
+		recent := e.recentUtilisation[zone]
+		recent = append(recent, used)
+		recent = recent[max(len(recent)-peakSeconds, 0):]
+		e.recentUtilisation[zone] = recent
+		if len(recent) == peakSeconds {
 			sum := 0.0
-			for _, one := range e.recentUtilisation[hall] {
+			for _, one := range recent {
 				sum += one
 			}
 			r.PeakUtilisationOver5s = max(r.PeakUtilisationOver5s, sum/peakSeconds)
 		}
 	}
 	clear(e.zoneWork)
-	now := Second{r.Offered, r.InTime, r.RejectedRequests, r.Failed, r.ServedValue, r.DueValue, r.Attempts, r.CrossZone}
-	last := Second{}
-	if n := len(r.totals); n > 0 {
-		last = r.totals[n-1]
-	}
-	r.Timeline = append(r.Timeline, now.minus(last))
-	r.totals = append(r.totals, now)
 }
 
+// finish completes the result at the end of a run.
 func (e *engine) finish() *Result {
 	r := &e.result
-	r.ForwardedUnits, r.OverQuotaUnits, r.OverQuotaPenalty = e.checker.ForwardedUnits, e.checker.OverQuotaUnits, e.checker.OverQuotaPenalty
+	r.ForwardedUnits, r.OverQuotaUnits = e.checker.ForwardedUnits, e.checker.OverQuotaUnits
+	r.OverQuotaPenalty = e.checker.OverQuotaPenalty
 	r.Violations, r.ViolationCounts = e.checker.Violations, e.checker.Counts
 	r.CounterCalls, r.RejectedCounterCalls = e.counter.calls, e.counter.rejectedCalls
 	var loads []float64
@@ -88,18 +103,18 @@
 	return r
 }
 
-// uneven is the deviation of loads over their mean.
+// relativeDeviation is the standard deviation of loads over their mean.
 func relativeDeviation(loads []float64) float64 {
-	sum, square := 0.0, 0.0
-	for _, l := range loads {
-		sum += l
+	sum, squares := 0.0, 0.0
+	for _, load := range loads {
+		sum += load
 	}
 	mean := sum / float64(max(len(loads), 1))
-	for _, l := range loads {
-		square += (l - mean) * (l - mean)
+	for _, load := range loads {
+		squares += (load - mean) * (load - mean)
 	}
 	if mean == 0 {
 		return 0
 	}
-	return math.Sqrt(square/float64(len(loads))) / mean
+	return math.Sqrt(squares/float64(len(loads))) / mean
 }
