--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -193,3 +193,17 @@
 func (c *clients) value(r *request) float64 {
 	return c.engine.scenario.Classes[r.class].Weight * c.engine.scenario.Plans[r.customer.plan].Price * r.units
 }
+
+// drawWork draws a request's work, as time on a core of speed 1.
+func (e *engine) drawWork(class int) time.Duration {
+	c := &e.scenario.Classes[class]
+	mean := float64(c.Work.D())
+	switch c.Distribution {
+	case "exponential":
+		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
+	case "lognormal":
+		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
+		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
+	}
+	return time.Duration(mean)
+}
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -12,10 +12,9 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// common is what the processes hold in common, played: voters in halls, one of which leads and decides, and the
-// messages
-// between them and the gateways. Deciders, witnesses, evidence and plans are those of the program; the log is a drawn
-// time. It has chance of its own, so that the world is the same with it and without.
+// coordinator simulates what the processes share: voters in zones, one of which leads and runs the controller of failover,
+// and the messages between them and the gateways. Controllers, zone statistics, observations and plans are the gateway's
+// own code; the replicated log is a drawn time. Its random numbers are its own, so that all else is the same without it.
 type coordinator struct {
 	engine           *engine
 	settings         *scenario.Coordination
@@ -27,45 +26,48 @@
 	leader           *voter      // nil: none
 	term             uint64      // grows with each leader
 	controller       coordination.Controller
-	leadingSince     time.Duration // when the leader began
-	committing       bool          // a decision is on its way to the log
+	leadingSince     time.Duration
+	committing       bool // the log has a value that is not written yet
 	electing         bool
-	table            statemachine.Table // the table as written
+	table            statemachine.Table // as written
 	losses           []*loss
-	reconnectedAt    time.Duration   // when what was lost last came back
-	wrongLosses      map[string]bool // what the plan in force holds to be lost and is not
+	reconnectedAt    time.Duration   // when a zone or link was last restored; 0: never
+	wrongLosses      map[string]bool // what the latest plan holds to be lost and is not
 }
 
-// newCommon sets up what the world says; nil where it says none.
-func newCoordinator(e *engine, draw *rand.Rand) *coordinator {
-	w := &e.scenario.Coordination
-	if w.Mode == scenario.CoordinationNone {
+// newCoordinator makes what the scenario says; nil: the gateways share nothing.
+func newCoordinator(e *engine, random *rand.Rand) *coordinator {
+	settings := &e.scenario.Coordination
+	if settings.Mode == scenario.CoordinationNone {
 		return nil
 	}
-	c := &coordinator{engine: e, settings: w, failoverSettings: e.scenario.FailoverSettings(), random: draw, wrongLosses: map[string]bool{}}
+	c := &coordinator{
+		engine: e, settings: settings, failoverSettings: e.scenario.FailoverSettings(), random: random,
+		wrongLosses: map[string]bool{},
+	}
 	for n := range e.scenario.Gateways.Zones {
 		c.zones = append(c.zones, scenario.ZoneName(n))
 	}
 	for n := range e.scenario.Gateways.Count {
 		c.followers = append(c.followers, &follower{coordinator: c, index: n})
 	}
-	if w.Mode == scenario.CoordinationLocal {
+	if settings.Mode == scenario.CoordinationLocal {
 		return c
 	}
-	for n := range w.Voters {
+	for n := range settings.Voters {
 		v := &voter{coordinator: c, index: n, zone: n % e.scenario.Gateways.Zones}
 		v.start()
 		c.voters = append(c.voters, v)
 	}
-	c.startLeading(c.voters[draw.IntN(len(c.voters))])
-	e.clock.After(w.DecisionInterval.D(), c.tick)
+	c.startLeading(c.voters[random.IntN(len(c.voters))])
+	e.clock.After(settings.DecisionInterval.D(), c.tick)
 	return c
 }
 
-// reaches tells whether messages pass between two halls of processes.
+// canReach reports whether messages pass between processes of two zones.
 func (c *coordinator) canReach(a, b int) bool { return !c.engine.isCut(a, b) }
 
-// send has a message arrive, or not; it tells which, as its sender finds out by no answer.
+// send sends a message. It returns false if the message is lost; its sender learns that by getting no answer.
 func (c *coordinator) send(from, to int, arrive func()) bool {
 	if !c.canReach(from, to) || c.settings.MessageLoss > 0 && c.random.Float64() < c.settings.MessageLoss {
 		return false
@@ -74,33 +76,34 @@
 	return true
 }
 
-// count counts a message that a voter takes.
-func (c *coordinator) countMessage(v *voter, of func(*Messages) *int) {
+// countMessage counts a message that a voter gets.
+func (c *coordinator) countMessage(v *voter, kind func(*Messages) *int) {
 	if c.engine.clock.Now() >= origin+c.engine.scenario.Length.D() {
-		return // answers alone are waited for
+		return // only the answers of requests are waited for
 	}
-	*of(&c.engine.result.VoterMessages)++
+	*kind(&c.engine.result.VoterMessages)++
 	if v == c.leader {
-		*of(&c.engine.result.LeaderMessages)++
+		*kind(&c.engine.result.LeaderMessages)++
 	}
 }
 
-func (c *coordinator) drawBetween(s [2]scenario.Span) time.Duration {
-	return s[0].D() + time.Duration(c.random.Float64()*float64(s[1]-s[0]))
+// drawBetween draws a time between two.
+func (c *coordinator) drawBetween(bounds [2]scenario.Span) time.Duration {
+	return bounds[0].D() + time.Duration(c.random.Float64()*float64(bounds[1]-bounds[0]))
 }
 
-// backed tells whether a voter lives and reaches a majority.
+// hasMajority reports whether a voter is alive and reaches a majority of the voters.
 func (c *coordinator) hasMajority(v *voter) bool {
-	n := 0
-	for _, o := range c.voters {
-		if !o.dead && c.canReach(v.zone, o.zone) {
-			n++
+	reached := 0
+	for _, other := range c.voters {
+		if !other.dead && c.canReach(v.zone, other.zone) {
+			reached++
 		}
 	}
-	return !v.dead && n > len(c.voters)/2
+	return !v.dead && reached > len(c.voters)/2
 }
 
-// lead has a voter begin to lead, with a decider that knows nothing but what is written.
+// startLeading makes a voter the leader, with a controller that knows the table and nothing else.
 func (c *coordinator) startLeading(v *voter) {
 	c.term++
 	c.leader, c.leadingSince, c.committing, c.electing = v, c.engine.clock.Now(), false, false
@@ -109,7 +112,7 @@
 	v.apply(c.table)
 }
 
-// elect has a voter lead after a drawn time, if any can.
+// elect makes a voter with a majority the leader after a drawn time; again and again while there is none.
 func (c *coordinator) elect() {
 	if c.electing {
 		return
@@ -127,7 +130,7 @@
 	})
 }
 
-// tick is the leader's work between two decisions, and the notice that there is none.
+// tick runs once in a decision interval: it has the leader decide, or notices that there is none.
 func (c *coordinator) tick() {
 	c.engine.clock.After(c.settings.DecisionInterval.D(), c.tick)
 	if c.leader != nil && !c.hasMajority(c.leader) {
@@ -147,40 +150,47 @@
 	}
 }
 
-// decide asks the decider, and has the log take what it says.
+// decide runs the controller, and appends what it writes to the log.
 func (c *coordinator) decide() {
-	l, term := c.leader, c.term
-	sums := l.direct.Sums()
-	for name, n := range l.merged.Sums() {
+	leader, term := c.leader, c.term
+	sums := leader.direct.Sums()
+	for name, n := range leader.merged.Sums() {
 		sums[name] += n
 	}
 	value, write := c.controller.Decide(c.engine.clock.Now(), coordination.ControllerInput{
 		Sums: sums, LeadingSince: c.leadingSince,
 		Totals: func(string) map[string]uint64 { return nil },
-		Table:  func(table string) statemachine.Table { return c.tableNamed(table) },
+		Table:  c.tableNamed,
 	})
 	if !write {
 		return
 	}
 	c.committing = true
 	c.engine.clock.After(c.drawBetween(c.settings.CommitTime), func() {
-		if c.term != term || c.leader == nil || !c.hasMajority(l) {
-			return // another leads, or nobody took it
-		}
-		c.committing = false
-		c.table = statemachine.Table{Epoch: c.table.Epoch + 1, Value: slices.Clone(value), Index: c.table.Epoch + 1}
-		c.judgePlan(value)
-		l.apply(c.table)
-		for _, v := range c.voters {
-			if v != l {
-				v.replicate(l, c.table)
-			}
+		if c.term != term || c.leader == nil || !c.hasMajority(leader) {
+			return // another voter leads, or no majority has the entry
 		}
+		c.commit(leader, value)
 	})
 }
 
-func (c *coordinator) tableNamed(table string) statemachine.Table {
-	if table != c.controller.Table() {
+// commit writes a table and replicates it.
+func (c *coordinator) commit(leader *voter, value []byte) {
+	c.committing = false
+	epoch := c.table.Epoch + 1
+	c.table = statemachine.Table{Epoch: epoch, Value: slices.Clone(value), Index: epoch}
+	c.judgePlan(value)
+	leader.apply(c.table)
+	for _, v := range c.voters {
+		if v != leader {
+			v.replicate(leader, c.table)
+		}
+	}
+}
+
+// tableNamed is the table as the controller reads it.
+func (c *coordinator) tableNamed(name string) statemachine.Table {
+	if name != c.controller.Table() {
 		return statemachine.Table{}
 	}
 	return c.table
--- a/internal/lab/simulation/failover.go
+++ b/internal/lab/simulation/failover.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// movedMost is the part of a gateway's tasks that may still try a lost hall with the plan in force.
+	// maxResidualShare is the share of a gateway's requests that may still go to a lost zone once failover is complete.
 	maxResidualShare = 0.1
-	// lostMost is the part of its full strength below which a hall may be held to be lost.
+	// maxLostCapacity is the part of its full capacity up to which a zone may be held to be lost.
 	maxLostCapacity = 0.4
-	// backWithin is how long what came back may be held to be lost still: of a link that a plan avoids nothing is heard,
-	// and a loss is believed for three least stays without a word.
+	// reconnectionGrace is how long a zone or link that was restored may still be held to be lost: nothing is observed of a
+	// link that a plan avoids, and a loss is believed for three hold-down times without an observation.
 	reconnectionGrace = 45 * time.Second
 )
 
-// loss is a hall that was lost whole, and the gateways that have yet to push elsewhere.
+// loss is a zone that was lost as a whole, with the gateways that have yet to send their attempts elsewhere.
 type loss struct {
 	zone    int
 	at      time.Duration
 	pending map[int]bool
 }
 
-// moved gives the part of a gateway's tasks that go to a hall.
-func (f *follower) shareOf(hall int) float64 {
+// shareOf is the share of the gateway's requests that go to a zone.
+func (f *follower) shareOf(zone int) float64 {
 	sum := 0.0
 	for _, weight := range f.steering.Weights {
 		sum += weight
@@ -34,69 +34,89 @@
 	if sum <= 0 {
 		return 0
 	}
-	return (1 - f.steering.ShedFraction) * f.steering.Weights[hall] / sum
+	return (1 - f.steering.ShedFraction) * f.steering.Weights[zone] / sum
 }
 
-// hallLost begins to measure until when gateways push to a hall.
-func (c *coordinator) zoneLost(hall int) {
-	l := &loss{zone: hall, at: c.engine.clock.Now(), pending: map[int]bool{}}
+// zoneLost begins to measure until when gateways send attempts to a zone.
+func (c *coordinator) zoneLost(zone int) {
+	l := &loss{zone: zone, at: c.engine.clock.Now(), pending: map[int]bool{}}
 	for _, f := range c.followers {
-		if f.shareOf(hall) > maxResidualShare {
+		if f.shareOf(zone) > maxResidualShare {
 			l.pending[f.index] = true
 		}
 	}
 	c.losses = append(c.losses, l)
 }
 
-// hallBack ends that: those who never moved count with the whole time.
-func (c *coordinator) zoneRestored(hall int) {
+// zoneRestored ends that: gateways that never went elsewhere count with the time until now.
+func (c *coordinator) zoneRestored(zone int) {
 	c.reconnectedAt = c.engine.clock.Now()
 	c.losses = slices.DeleteFunc(c.losses, func(l *loss) bool {
-		if l.zone != hall {
+		if l.zone != zone {
 			return false
 		}
 		for range l.pending {
-			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.clock.Now() - l.at).Milliseconds()))
+			c.addFailoverTime(l)
 		}
 		return true
 	})
 }
 
-// inForce looks whether a gateway pushes elsewhere now.
+// recordFailover checks whether a gateway sends its attempts elsewhere now.
 func (c *coordinator) recordFailover(f *follower) {
 	for _, l := range c.losses {
 		if l.pending[f.index] && f.shareOf(l.zone) <= maxResidualShare {
 			delete(l.pending, f.index)
-			c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.clock.Now() - l.at).Milliseconds()))
+			c.addFailoverTime(l)
 		}
 	}
 }
 
-// judge counts a plan, and a wrong failover where it newly holds a hall or a link to be lost that is not.
+func (c *coordinator) addFailoverTime(l *loss) {
+	c.engine.result.FailoverMs = append(c.engine.result.FailoverMs, int((c.engine.clock.Now() - l.at).Milliseconds()))
+}
+
+// judgePlan counts a plan, and each zone or link that it newly holds to be lost and is not.
 func (c *coordinator) judgePlan(value []byte) {
 	c.engine.result.Plans++
-	p, err := failover.DecodePlan(value)
-	if err != nil || p == nil {
-		panic(fmt.Sprint("the decider wrote no plan: ", err))
+	plan, err := failover.DecodePlan(value)
+	if err != nil || plan == nil {
+		// The controller and the decoder are of the same program: a run that goes on after this shows nothing.
+		panic(fmt.Sprint("the controller of failover wrote a malformed plan: ", err))
 	}
-	now, full := c.engine.zoneCapacities()
-	cut := len(c.engine.faults.isolatedZones)+len(c.engine.faults.cutLinks) > 0 || c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
 	wrong := map[string]bool{}
-	for n, hall := range c.zones {
-		if sound, told := p.Health[hall]; told && sound == 0 && !cut && now[n] > maxLostCapacity*full[n] {
-			wrong[hall] = true
+	if !c.isAnythingCut() {
+		wrong = c.wrongLossesOf(plan)
+	}
+	for lost := range wrong {
+		if !c.wrongLosses[lost] {
+			c.engine.result.WrongPlans++
 		}
 	}
-	for _, link := range p.LostLinks {
-		from, to := slices.Index(c.zones, link[0]), slices.Index(c.zones, link[1])
-		if !cut && now[from] > maxLostCapacity*full[from] && now[to] > maxLostCapacity*full[to] {
-			wrong[link[0]+" "+link[1]] = true
+	c.wrongLosses = wrong
+}
+
+// isAnythingCut reports whether a zone or link is cut, or was lately.
+func (c *coordinator) isAnythingCut() bool {
+	faults := &c.engine.faults
+	return len(faults.isolatedZones)+len(faults.cutLinks) > 0 ||
+		c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
+}
+
+// wrongLossesOf returns the zones and links that a plan holds to be lost though the zones have their capacity.
+func (c *coordinator) wrongLossesOf(plan *failover.Plan) map[string]bool {
+	wrong := map[string]bool{}
+	now, full := c.engine.zoneCapacities()
+	hasCapacity := func(zone int) bool { return now[zone] > maxLostCapacity*full[zone] }
+	for n, zone := range c.zones {
+		if health, known := plan.Health[zone]; known && health == 0 && hasCapacity(n) {
+			wrong[zone] = true
 		}
 	}
-	for what := range wrong {
-		if !c.wrongLosses[what] {
-			c.engine.result.WrongPlans++
+	for _, link := range plan.LostLinks {
+		if hasCapacity(slices.Index(c.zones, link[0])) && hasCapacity(slices.Index(c.zones, link[1])) {
+			wrong[link[0]+" "+link[1]] = true
 		}
 	}
-	c.wrongLosses = wrong
+	return wrong
 }
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -18,65 +18,63 @@
 )
 
 const (
-	// missesMost is how many digests in a row without an answer have a gateway turn to another voter.
+	// maxMissedDigests is how many digests in a row without an answer make a gateway turn to another voter.
 	maxMissedDigests = 2
-	// readLate is how long after its wait a read is given up.
+	// readTimeoutSlack is how long after its wait a read without an answer is given up.
 	readTimeoutSlack = 300 * time.Millisecond
-	// readPause is the time between a read that failed and the next.
+	// readRetryPause is the time between a read that failed and the next.
 	readRetryPause = 100 * time.Millisecond
-	// forever is a lease that does not end: of what a gateway decides itself.
+	// digestPhases is the number of phases over which the gateways' digests are spread.
+	digestPhases = 97
+	// endlessLease is the lease of a table that a gateway decides by itself.
 	endlessLease = time.Duration(math.MaxInt64)
-	// shedAway is as in the gate.
-	shedRetryAfter = time.Second
 )
 
-// follower is a gateway's part in what is held in common.
+// follower is a gateway's part in coordination: it sends digests to a voter, reads the table, and has it steer the gateway.
 type follower struct {
 	coordinator     *coordinator
 	index           int
 	gateway         *gateway
 	recorder        *zonestats.Recorder
-	voter, misses   int
+	voter           int // that it talks to
+	missedDigests   int // in a row
 	serial, session uint64
-	lastRead        uint64 // counts reads; an answer to an earlier one is late
+	lastRead        uint64 // number of the latest read; an answer to an earlier one is late
 	cached          coordination.CachedTable
 	updater         *routing.Updater
-	steering        dispatch.Steering  // what the pool is steered by
-	steeringUntil   time.Duration      // when that ends
-	nextSteering    *dispatch.Steering // and what follows; nil: it has no end
-	// Of those that decide alone.
-	observations *observation.Merger
-	controller   coordination.Controller
-	leadingSince time.Duration
+	steering        dispatch.Steering  // of the gateway's subset
+	steeringUntil   time.Duration      // when it ends
+	nextSteering    *dispatch.Steering // what follows it; nil: it does not end
+	local           localController    // where each gateway decides by itself
 }
 
-// begin begins a life of a gateway: it holds nothing.
+// start starts with an incarnation of the gateway; nothing of the last one is left.
 func (f *follower) start(g *gateway) {
 	c := f.coordinator
 	*f = follower{coordinator: c, index: f.index, gateway: g, session: f.session + 1, lastRead: f.lastRead + 1}
 	f.recorder = zonestats.New(c.zones, g.zone, &c.engine.settings)
 	f.updater = routing.New(cachedTables{f}, f, c.zones, c.zones[g.zone], zap.NewNop())
 	if c.settings.Mode == scenario.CoordinationLocal {
-		f.startLocalController()
+		f.local = newLocalController(c)
 	} else {
 		f.voter = f.nearestVoter()
 		f.read()
 	}
-	first := c.settings.DigestInterval.D() * time.Duration(f.index%97+1) / 97 // not all at once
-	life := g.incarnation
-	c.engine.clock.After(first, func() { f.sendDigests(life) })
+	first := c.settings.DigestInterval.D() * time.Duration(f.index%digestPhases+1) / digestPhases
+	incarnation := g.incarnation
+	c.engine.clock.After(first, func() { f.sendDigests(incarnation) })
 	f.updater.Update()
 }
 
-// nearest is the voter that it turns to first: in its hall, else in its region, else any.
+// nearestVoter is the voter that it starts with: of its zone, else of its region, else any.
 func (f *follower) nearestVoter() int {
 	regions, voters := f.coordinator.engine.regions, f.coordinator.voters
-	for _, near := range []func(hall int) bool{
-		func(hall int) bool { return hall == f.gateway.zone },
-		func(hall int) bool { return regions[hall] == regions[f.gateway.zone] },
+	for _, isNear := range []func(zone int) bool{
+		func(zone int) bool { return zone == f.gateway.zone },
+		func(zone int) bool { return regions[zone] == regions[f.gateway.zone] },
 	} {
 		for i := range voters {
-			if v := (f.index + i) % len(voters); near(voters[v].zone) {
+			if v := (f.index + i) % len(voters); isNear(voters[v].zone) {
 				return v
 			}
 		}
@@ -84,98 +82,96 @@
 	return f.index % len(voters)
 }
 
-// beat sends a digest, and again after its time.
-func (f *follower) sendDigests(life int) {
-	if f.gateway.incarnation != life || !f.gateway.alive {
+// sendDigests sends a digest in each interval until the incarnation ends.
+func (f *follower) sendDigests(incarnation int) {
+	if f.gateway.incarnation != incarnation || !f.gateway.alive {
 		return
 	}
-	f.coordinator.engine.clock.After(f.coordinator.settings.DigestInterval.D(), func() { f.sendDigests(life) })
-	f.gateway.run(life, f.sendDigest)
+	f.coordinator.engine.clock.After(f.coordinator.settings.DigestInterval.D(), func() { f.sendDigests(incarnation) })
+	f.gateway.run(incarnation, f.sendDigest)
 }
 
+// sendDigest sends what the gateway counted to its voter, or decides by it where each gateway decides by itself.
 func (f *follower) sendDigest() {
-	c, now := f.coordinator, f.coordinator.engine.clock.Now()
+	c := f.coordinator
 	counts := map[string]uint64{}
-	f.recorder.WriteCounts(now, func(name string, n uint64) { counts[name] += n })
+	f.recorder.WriteCounts(c.engine.clock.Now(), func(name string, n uint64) { counts[name] += n })
 	if c.settings.Mode == scenario.CoordinationLocal {
 		f.decideLocally(counts)
 		return
 	}
-	f.updater.Update() // it may see its own hall with other eyes
+	f.updater.Update() // whether the gateway's own zone is lost may have changed
 	f.serial++
-	d := observation.Digest{
+	digest := observation.Digest{
 		Process: fmt.Sprint("g", f.index), Incarnation: uint64(f.gateway.incarnation), Serial: f.serial,
-		Session: f.session,
-		Counts:  counts,
+		Session: f.session, Counts: counts,
 	}
 	v := c.voters[f.voter]
-	if !v.dead && c.send(f.gateway.zone, v.zone, func() {
-		if !v.dead {
-			c.countMessage(v, func(m *Messages) *int { return &m.Digests })
-			v.direct.Add(d)
-		}
-	}) {
-		f.misses = 0
+	if !v.dead && c.send(f.gateway.zone, v.zone, func() { v.receiveDigest(digest) }) {
+		f.missedDigests = 0
 		return
 	}
-	if f.misses++; f.misses >= maxMissedDigests {
+	if f.missedDigests++; f.missedDigests >= maxMissedDigests {
 		f.switchVoter()
 	}
 }
 
-// turn goes over to the next voter.
+// switchVoter turns to the next voter.
 func (f *follower) switchVoter() {
-	f.voter, f.misses = (f.voter+1)%len(f.coordinator.voters), 0
+	f.voter, f.missedDigests = (f.voter+1)%len(f.coordinator.voters), 0
 	f.session++
 }
 
-// read asks for what is later than held, again and again.
+// read asks its voter for a later table, and reads again after each answer or timeout.
 func (f *follower) read() {
-	c, g, life, sent := f.coordinator, f.gateway, f.gateway.incarnation, f.coordinator.engine.clock.Now()
+	c, g, sentAt := f.coordinator, f.gateway, f.coordinator.engine.clock.Now()
 	f.lastRead++
-	mine := f.lastRead
-	again := func(after time.Duration) {
-		c.engine.clock.After(after, func() {
-			g.run(life, func() {
-				if f.lastRead == mine {
-					f.read()
-				}
-			})
-		})
-	}
-	v := c.voters[f.voter]
-	answer := func(e statemachine.Table, confirmed bool) {
-		c.send(v.zone, g.zone, func() {
-			g.run(life, func() {
-				if f.lastRead != mine {
-					return
-				}
-				if !confirmed {
-					f.switchVoter()
-					again(readRetryPause)
-					return
-				}
-				f.adopt(e, sent+c.settings.Lease.D())
-				f.read()
-			})
-		})
+	current, v := reading{f, f.lastRead, g.incarnation}, c.voters[f.voter]
+	answer := func(table statemachine.Table, confirmed bool) {
+		c.send(v.zone, g.zone, func() { current.run(func() { f.handleRead(current, table, confirmed, sentAt) }) })
 	}
 	c.send(g.zone, v.zone, func() { v.read(&read{knownEpoch: f.cached.Epoch, answer: answer}) })
 	c.engine.clock.After(c.settings.ReadWait.D()+readTimeoutSlack, func() {
-		g.run(life, func() {
-			if f.lastRead == mine {
-				f.switchVoter()
-				f.read()
-			}
+		current.run(func() {
+			f.switchVoter()
+			f.read()
 		})
 	})
 }
 
-// take takes a table with its lease.
-func (f *follower) adopt(e statemachine.Table, until time.Duration) {
-	if e.Epoch < f.cached.Epoch {
+// handleRead takes the answer to a read. A lease counts from when the read was sent.
+func (f *follower) handleRead(current reading, table statemachine.Table, confirmed bool, sentAt time.Duration) {
+	c := f.coordinator
+	if !confirmed {
+		f.switchVoter()
+		c.engine.clock.After(readRetryPause, func() { current.run(f.read) })
+		return
+	}
+	f.adopt(table, sentAt+c.settings.Lease.D())
+	f.read()
+}
+
+// reading is a read that a follower has begun.
+type reading struct {
+	follower    *follower
+	number      uint64
+	incarnation int // of the gateway
+}
+
+// run runs an action unless the gateway's incarnation has ended or another read has begun.
+func (r reading) run(action func()) {
+	r.follower.gateway.run(r.incarnation, func() {
+		if r.follower.lastRead == r.number {
+			action()
+		}
+	})
+}
+
+// adopt caches a table with its lease, unless a later one is cached.
+func (f *follower) adopt(table statemachine.Table, leaseEnd time.Duration) {
+	if table.Epoch < f.cached.Epoch {
 		return
 	}
-	f.cached = coordination.CachedTable{Name: failover.Table, Epoch: e.Epoch, Value: e.Value, LeaseEnd: until}
+	f.cached = coordination.CachedTable{Name: failover.Table, Epoch: table.Epoch, Value: table.Value, LeaseEnd: leaseEnd}
 	f.updater.Update()
 }
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -9,91 +9,95 @@
 	"harrierhoist/policy"
 )
 
-// This file is where the program's own steering meets a gateway that is played: what package gate does between the two.
+// This file connects the gateway's own routing to a simulated gateway: it is what package dispatch does between the two.
 
-// commons is what a follower holds, as the steering asks for it.
-type cachedTables struct{ f *follower }
+// shedRetryAfter is the Retry-After of requests that are shed.
+const shedRetryAfter = time.Second
+
+// cachedTables gives package routing what a follower has cached.
+type cachedTables struct{ follower *follower }
 
 // Now is the virtual time.
-func (c cachedTables) Now() time.Duration { return c.f.coordinator.engine.clock.Now() }
+func (c cachedTables) Now() time.Duration { return c.follower.coordinator.engine.clock.Now() }
 
-// Cached is the one table.
-func (c cachedTables) Cached(string) coordination.CachedTable { return c.f.cached }
+// Cached is the one table that there is.
+func (c cachedTables) Cached(string) coordination.CachedTable { return c.follower.cached }
 
-// Changed is not waited for: steps are taken with each change.
+// Changed returns a channel that never closes: the follower calls Update with each change.
 func (c cachedTables) Changed() <-chan struct{} { return nil }
 
-// RegisterCounters is not used: digests take counts from the witness itself.
+// RegisterCounters does nothing: digests take the counts from the recorder.
 func (c cachedTables) RegisterCounters(func(add func(name string, n uint64))) {}
 
-// RegisterExactCounters is not used.
+// RegisterExactCounters does nothing, either.
 func (c cachedTables) RegisterExactCounters(func(add func(name string, n uint64))) {}
 
-// SetSteering steers the pool until the lease ends, and then the other way with the next task.
-func (f *follower) SetSteering(by dispatch.Steering, lease time.Duration, after dispatch.Steering) {
-	f.steeringUntil, f.nextSteering = f.coordinator.engine.clock.Now()+lease, &after
+// SetSteering steers the gateway's subset until the lease ends; the next steering then holds from the next request on.
+func (f *follower) SetSteering(steering dispatch.Steering, lease time.Duration, next dispatch.Steering) {
+	f.steeringUntil, f.nextSteering = f.coordinator.engine.clock.Now()+lease, &next
 	if lease <= 0 {
 		f.nextSteering = nil
-		by = after
+		steering = next
 	}
-	f.applySteering(by)
+	f.applySteering(steering)
 }
 
-func (f *follower) applySteering(by dispatch.Steering) {
-	f.steering = by
-	if f.gateway.subset.SetWeights(by.Weights, by.ShedFraction) {
+// applySteering has the subset follow a steering.
+func (f *follower) applySteering(steering dispatch.Steering) {
+	f.steering = steering
+	if f.gateway.subset.SetWeights(steering.Weights, steering.ShedFraction) {
 		f.gateway.updateEndpoints()
 	}
 	f.coordinator.recordFailover(f)
 }
 
-// keep sees, with each task, to the end of a lease.
+// expireSteering goes over to the next steering if the lease has ended. Each request calls it.
 func (f *follower) expireSteering() {
 	if f.nextSteering != nil && f.coordinator.engine.clock.Now() >= f.steeringUntil {
-		by := *f.nextSteering
+		next := *f.nextSteering
 		f.nextSteering = nil
-		f.applySteering(by)
+		f.applySteering(next)
 	}
 }
 
-// WriteZoneCounts is not used.
+// WriteZoneCounts does nothing: digests take the counts from the recorder.
 func (f *follower) WriteZoneCounts(func(name string, n uint64)) {}
 
-// IsZoneLost tells whether it sees its own hall lost.
+// IsZoneLost reports whether the gateway holds its own zone to be lost.
 func (f *follower) IsZoneLost() bool { return f.recorder.IsZoneLost() }
 
-// told tells its witness the whole list.
-func (f *follower) setEndpoints(all []subset.Candidate) {
-	list := make([]policy.Endpoint, 0, len(all))
-	for _, s := range all {
-		list = append(list, s.Endpoint)
+// setEndpoints gives the recorder the complete list of endpoints.
+func (f *follower) setEndpoints(candidates []subset.Candidate) {
+	list := make([]policy.Endpoint, 0, len(candidates))
+	for _, c := range candidates {
+		list = append(list, c.Endpoint)
 	}
 	f.recorder.SetEndpoints(f.coordinator.engine.clock.Now(), list)
 }
 
-// again tells whether a client says that it asks again.
+// isRepeat reports whether the client marked a try as a repeat.
 func (f *follower) isRepeat(t *try) bool {
 	return t.number > 0 && f.coordinator.engine.scenario.Clients.MarkRepeats
 }
 
-// turned tells its witness of a try that the module rejects, as the gate does: demand, if it was for room.
+// recordRejection counts a try that the module rejects for want of capacity: it is demand all the same.
 func (f *follower) recordRejection(t *try) {
-	module, is := f.gateway.policy.(*policy.Gateway)
-	if is && module.IsAdmitted(t.requestID) && len(t.attempts) == 0 && !f.isRepeat(t) {
+	module, isModule := f.gateway.policy.(*policy.Gateway)
+	if isModule && module.IsAdmitted(t.requestID) && len(t.attempts) == 0 && !f.isRepeat(t) {
 		f.recorder.AddShed(t.request.declaredUnits)
 	}
 }
 
-// shed rejects a try at once where it fits in no hall.
+// shedIfFull rejects a try at once where no zone has capacity for it. It returns false if it did not.
 func (f *follower) shedIfFull(t *try) bool {
-	repeat := f.isRepeat(t)
-	if !repeat {
+	isRepeat := f.isRepeat(t)
+	if !isRepeat {
 		f.recorder.AddOffered(t.request.declaredUnits)
 	}
 	if !f.gateway.subset.ShouldShed() {
 		return false
 	}
-	if !repeat {
+	if !isRepeat {
 		f.recorder.AddShed(t.request.declaredUnits)
 	}
 	t.retryAfter = shedRetryAfter
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"math"
 	"slices"
 	"strconv"
 	"time"
@@ -239,17 +238,3 @@
 		s.startQueued()
 	}
 }
-
-// drawWork draws a request's work, as time on a core of speed 1.
-func (e *engine) drawWork(class int) time.Duration {
-	c := &e.scenario.Classes[class]
-	mean := float64(c.Work.D())
-	switch c.Distribution {
-	case "exponential":
-		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
-	case "lognormal":
-		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
-		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
-	}
-	return time.Duration(mean)
-}
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -9,64 +9,75 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// voter is one of the few that hold the log.
+// voter is one of the processes that hold the replicated log.
 type voter struct {
 	coordinator  *coordinator
 	index, zone  int
 	dead         bool
 	incarnation  uint64
 	serial       uint64
-	direct       *observation.Merger // of gateways
-	merged       *observation.Merger // of other voters, where it leads
+	direct       *observation.Merger // digests of gateways
+	merged       *observation.Merger // digests of other voters, while it leads
 	table        statemachine.Table  // as applied here
 	waitingReads []*read
 }
 
-// read is a read that waits for news.
+// read is a read of a follower that waits for a later table.
 type read struct {
 	knownEpoch uint64
 	done       bool
-	answer     func(e statemachine.Table, confirmed bool)
+	answer     func(table statemachine.Table, confirmed bool)
 }
 
+// start starts a voter; it keeps its table, as that is on its disk.
 func (v *voter) start() {
 	v.incarnation++
 	v.serial, v.dead = 0, false
 	v.direct, v.merged = observation.NewMerger(), observation.NewMerger()
 }
 
-// pass sends the leader what this voter merged.
+// receiveDigest takes a gateway's digest.
+func (v *voter) receiveDigest(digest observation.Digest) {
+	if v.dead {
+		return
+	}
+	v.coordinator.countMessage(v, func(m *Messages) *int { return &m.Digests })
+	v.direct.Add(digest)
+}
+
+// sendDigest sends the leader what this voter got from gateways.
 func (v *voter) sendDigest(leader *voter) {
+	c := v.coordinator
 	v.serial++
-	d := observation.Digest{
-		Process: "voter " + scenario.ZoneName(v.index), Incarnation: v.incarnation, Serial: v.serial, Session: v.coordinator.term,
+	digest := observation.Digest{
+		Process: "voter " + scenario.ZoneName(v.index), Incarnation: v.incarnation, Serial: v.serial, Session: c.term,
 		Counts: v.direct.Sums(),
 	}
-	v.coordinator.send(v.zone, leader.zone, func() {
+	c.send(v.zone, leader.zone, func() {
 		if !leader.dead {
-			v.coordinator.countMessage(leader, func(m *Messages) *int { return &m.MergedDigests })
-			leader.merged.Add(d)
+			c.countMessage(leader, func(m *Messages) *int { return &m.MergedDigests })
+			leader.merged.Add(digest)
 		}
 	})
 }
 
-// catchUp brings an entry to a voter, again and again until it is there or a later one stands.
-func (v *voter) replicate(l *voter, e statemachine.Table) {
+// replicate sends a table to a voter, again and again until it has it or a later one is written.
+func (v *voter) replicate(leader *voter, table statemachine.Table) {
 	c := v.coordinator
-	if c.table.Epoch != e.Epoch || v.table.Epoch >= e.Epoch {
+	if c.table.Epoch != table.Epoch || v.table.Epoch >= table.Epoch {
 		return
 	}
-	if v.dead || !c.send(l.zone, v.zone, func() { v.apply(e) }) {
-		c.engine.clock.After(c.settings.DecisionInterval.D(), func() { v.replicate(l, e) })
+	if v.dead || !c.send(leader.zone, v.zone, func() { v.apply(table) }) {
+		c.engine.clock.After(c.settings.DecisionInterval.D(), func() { v.replicate(leader, table) })
 	}
 }
 
-// apply takes an entry, which answers reads that wait for it.
-func (v *voter) apply(e statemachine.Table) {
-	if v.dead || e.Epoch <= v.table.Epoch {
+// apply applies a table, and answers the reads that wait for it.
+func (v *voter) apply(table statemachine.Table) {
+	if v.dead || table.Epoch <= v.table.Epoch {
 		return
 	}
-	v.table = e
+	v.table = table
 	waiting := v.waitingReads
 	v.waitingReads = nil
 	for _, r := range waiting {
@@ -74,39 +85,40 @@
 	}
 }
 
-// confirmed tells whether a majority confirms to a voter what it has.
+// isConfirmed reports whether the leader, backed by a majority, can confirm that a voter's table is the latest.
 func (v *voter) isConfirmed() bool {
-	l := v.coordinator.leader
-	return l != nil && !v.dead && v.coordinator.hasMajority(l) && v.coordinator.canReach(v.zone, l.zone)
+	leader := v.coordinator.leader
+	return leader != nil && !v.dead && v.coordinator.hasMajority(leader) && v.coordinator.canReach(v.zone, leader.zone)
 }
 
-// read answers with what is later than known, or at the end of the wait with nothing.
+// read answers a read once there is a later table than it knows, at the latest after the wait.
 func (v *voter) read(r *read) {
 	if v.dead {
 		return
 	}
-	v.coordinator.countMessage(v, func(m *Messages) *int { return &m.Reads })
+	c := v.coordinator
+	c.countMessage(v, func(m *Messages) *int { return &m.Reads })
 	if v.table.Epoch > r.knownEpoch || !v.isConfirmed() {
 		v.answer(r)
 		return
 	}
 	v.waitingReads = append(v.waitingReads, r)
-	v.coordinator.engine.clock.After(v.coordinator.settings.ReadWait.D(), func() {
-		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(o *read) bool { return o == r })
+	c.engine.clock.After(c.settings.ReadWait.D(), func() {
+		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(other *read) bool { return other == r })
 		v.answer(r)
 	})
 }
 
-// finish answers a read, once, after the round by which the leader confirms.
+// answer answers a read, once, after the round trip by which the leader confirms the table.
 func (v *voter) answer(r *read) {
 	if r.done || v.dead {
 		return
 	}
 	r.done = true
-	took := time.Duration(0)
-	if l := v.coordinator.leader; l != nil && l != v {
-		took = 2 * v.coordinator.engine.delayBy(v.coordinator.random, v.zone, l.zone)
+	c, roundTrip := v.coordinator, time.Duration(0)
+	if leader := c.leader; leader != nil && leader != v {
+		roundTrip = 2 * c.engine.delayBy(c.random, v.zone, leader.zone)
 	}
-	need := v.coordinator.table.Epoch // what a majority has: an answer without it is none
-	v.coordinator.engine.clock.After(took, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= need) })
+	minEpoch := c.table.Epoch // what a majority has: an answer with less is not confirmed
+	c.engine.clock.After(roundTrip, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= minEpoch) })
 }
