--- a/internal/lab/simulation/coordinator_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -11,51 +11,43 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// threeHalls is a world of three halls in two regions, decided as said.
-func threeZones(how string, troubles ...scenario.Fault) *scenario.Scenario {
-	spec := smallScenario(troubles...)
-	spec.Length = span(16 * time.Second)
-	spec.Gateways.Count, spec.Gateways.Zones, spec.Gateways.Regions = 12, 3, [][]int{{0, 1}, {2}}
-	spec.Servers.Count, spec.Load.Rate = 18, 250
-	for i := range spec.Plans {
-		spec.Plans[i].Rate, spec.Plans[i].Burst, spec.Plans[i].CeilingRate = 0, 0, 0
-	}
-	spec.Coordination.Mode = how
-	return spec
-}
-
-func zoneLossFault(hall int, at, long time.Duration) scenario.Fault {
-	return scenario.Fault{Kind: "hall_lost", Zone: hall, Start: span(at), Duration: span(long)}
-}
-
-// A hall is lost: who decides in common pushes elsewhere within two seconds, next door before another region; on a
-// calm day all is pushed near, which the program as it is does not do.
-func TestCoordination_lostZoneIsLeftWithinTwoSeconds(t *testing.T) {
+// Without a fault, coordinated gateways send nearly all attempts within their zone, which they don't without coordination.
+func TestCoordination_calmRunStaysWithinZones(t *testing.T) {
 	t.Parallel()
-	calm, plain := mustRun(t, threeZones(scenario.CoordinationShared), 1, baseline.Module), mustRun(t, threeZones(scenario.CoordinationNone), 1, baseline.Module)
-	if part := float64(calm.CrossZone) / float64(calm.Attempts); part > 0.02 || calm.WrongPlans > 0 {
-		t.Errorf("calm: %.3f between halls, %d wrong", part, calm.WrongPlans)
+	shared := mustRun(t, threeZones(scenario.CoordinationShared), 1, baseline.Module)
+	alone := mustRun(t, threeZones(scenario.CoordinationNone), 1, baseline.Module)
+	if part := float64(shared.CrossZone) / float64(shared.Attempts); part > 0.02 || shared.WrongPlans > 0 {
+		t.Errorf("coordinated: %.3f of the attempts between zones, %d wrong plans, want 0.02 at most and none", part, shared.WrongPlans)
 	}
-	if plain.Plans != 0 || plain.CrossZone*3 < plain.Attempts || plain.Offered != calm.Offered ||
-		plain.DueValue != calm.DueValue {
-		t.Errorf("as it is: %d plans, %d of %d crossed, %d and %d offered", plain.Plans, plain.CrossZone, plain.Attempts,
-			plain.Offered, calm.Offered)
+	if alone.Plans != 0 || alone.CrossZone*3 < alone.Attempts {
+		t.Errorf("not coordinated: %d plans, %d of %d attempts between zones", alone.Plans, alone.CrossZone, alone.Attempts)
 	}
-	if m := calm.VoterMessages; m.Digests < 12*5*15 || m.Digests > 12*5*16 || calm.LeaderMessages.MergedDigests < 2*10*15 ||
-		calm.LeaderMessages.MergedDigests > 2*10*16 {
-		t.Errorf("12 gateways and two voters, five and ten messages a second for 16 s: %+v, leader %+v", m, calm.LeaderMessages)
+	if alone.Offered != shared.Offered || alone.DueValue != shared.DueValue {
+		t.Errorf("%d requests of value %.1f are offered without coordination, %d of %.1f with it", alone.Offered, alone.DueValue,
+			shared.Offered, shared.DueValue)
 	}
+	// 12 gateways send five digests a second for 16 s, and two voters merge ten a second.
+	digests, merged := shared.VoterMessages.Digests, shared.LeaderMessages.MergedDigests
+	if digests < 12*5*15 || digests > 12*5*16 || merged < 2*10*15 || merged > 2*10*16 {
+		t.Errorf("%d digests of gateways, %d merged by the leader", digests, merged)
+	}
+}
+
+// A zone is lost: coordinated gateways go elsewhere within two seconds, and to the same region before another.
+func TestCoordination_lostZoneIsLeftWithinTwoSeconds(t *testing.T) {
+	t.Parallel()
 	lost := mustRun(t, threeZones(scenario.CoordinationShared, zoneLossFault(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
 	if len(lost.FailoverMs) != 4 || slices.Max(lost.FailoverMs) > 2000 || lost.WrongPlans > 0 {
-		t.Errorf("gateways left after %v ms; %d wrong", lost.FailoverMs, lost.WrongPlans)
+		t.Errorf("failover after %v ms, %d wrong plans, want 2000 ms at most for each of 4 gateways, and none", lost.FailoverMs,
+			lost.WrongPlans)
 	}
 	if lost.CrossRegion*3 > lost.CrossZone || lost.CrossZone*10 < lost.Attempts {
-		t.Errorf("%d crossed, %d of them to another region, of %d", lost.CrossZone, lost.CrossRegion, lost.Attempts)
+		t.Errorf("%d of %d attempts between zones, %d of them between regions", lost.CrossZone, lost.Attempts, lost.CrossRegion)
 	}
 }
 
-// Voters that are cut off, killed and unheard must never have a gateway act on a plan whose lease, told from when it
-// asked, is over, nor hold one that was not written; and once all is well again all act on the latest.
+// Voters that are cut off and killed, and lost messages, must never have a gateway act on a plan after its lease, which counts
+// from when the gateway asked, or hold a plan that was not written. When all is well again, the gateways act on the latest.
 func TestCoordination_noGatewayActsOnAPlanAfterItsLease(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -70,66 +62,99 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, holding, written := 0, 0, uint64(0)
-		stood := map[uint64]time.Duration{} // until when each epoch was the latest
+		w := &leaseWatch{engine: e, seed: seed, lease: spec.Coordination.Lease.D(), replacedAt: map[uint64]time.Duration{}}
 		for now := origin; now < origin+spec.Length.D(); now += 50 * time.Millisecond {
 			e.clock.RunUntil(now)
-			for past := e.coordinator.table.Epoch; past > 0 && stood[past-1] == 0; past-- {
-				stood[past-1] = now
-			}
-			if now < origin+spec.Length.D()-spec.Coordination.Lease.D() {
-				written = e.coordinator.table.Epoch
-			}
+			w.observe(now)
 			for _, f := range e.coordinator.followers {
-				if !f.gateway.alive || e.clock.Now() < f.gateway.pausedUntil {
-					continue
-				}
-				if f.cached.Epoch > e.coordinator.table.Epoch || f.cached.LeaseEnd > e.clock.Now()+spec.Coordination.Lease.D() {
-					t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", seed, f.index, f.cached.Epoch,
-						e.coordinator.table.Epoch, f.cached.LeaseEnd, e.clock.Now())
-				}
-				if f.cached.LeaseEnd > e.clock.Now() {
-					if end := stood[f.cached.Epoch]; end > 0 && now-end > spec.Coordination.Lease.D() {
-						t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", seed, f.index, f.cached.Epoch, now-end)
-					}
-					continue
-				}
-				over++
-				if f.expireSteering(); !followsFallback(t, f) { // as with its next task
-					t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", seed, e.clock.Now()-origin, f.index, f.steering)
-				}
+				w.checkFollower(t, f, now)
 			}
 		}
-		if over == 0 {
-			t.Fatalf("seed %d: no lease ended, nothing was shown", seed)
+		w.checkEnd(t)
+	}
+}
+
+// leaseWatch checks the leases of a run from step to step.
+type leaseWatch struct {
+	engine        *engine
+	seed          uint64
+	lease         time.Duration
+	replacedAt    map[uint64]time.Duration // when an epoch was no longer the latest
+	expired       int                      // how often a follower was seen without a lease
+	writtenInTime uint64                   // the latest epoch a lease before the end
+}
+
+// observe notes which epoch is the latest.
+func (w *leaseWatch) observe(now time.Duration) {
+	latest := w.engine.coordinator.table.Epoch
+	for past := latest; past > 0 && w.replacedAt[past-1] == 0; past-- {
+		w.replacedAt[past-1] = now
+	}
+	if now < origin+w.engine.scenario.Length.D()-w.lease {
+		w.writtenInTime = latest
+	}
+}
+
+// checkFollower checks what a gateway holds and acts on.
+func (w *leaseWatch) checkFollower(t *testing.T, f *follower, now time.Duration) {
+	t.Helper()
+	clock, latest := w.engine.clock.Now(), w.engine.coordinator.table.Epoch
+	if !f.gateway.alive || clock < f.gateway.pausedUntil {
+		return
+	}
+	if f.cached.Epoch > latest || f.cached.LeaseEnd > clock+w.lease {
+		t.Fatalf("seed %d: gateway %d holds epoch %d of %d until %v at %v", w.seed, f.index, f.cached.Epoch, latest,
+			f.cached.LeaseEnd, clock)
+	}
+	if f.cached.LeaseEnd > clock {
+		if end := w.replacedAt[f.cached.Epoch]; end > 0 && now-end > w.lease {
+			t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", w.seed, f.index, f.cached.Epoch, now-end)
 		}
-		for _, f := range e.coordinator.followers {
-			if f.cached.LeaseEnd > e.clock.Now() && f.cached.Epoch < written {
-				t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d stood a lease ago", seed, f.index, f.cached.Epoch,
-					written)
-			}
-			if f.cached.LeaseEnd > e.clock.Now() {
-				holding++
-			}
+		return
+	}
+	w.expired++
+	if f.expireSteering(); !followsFallback(t, f) { // as with its next request
+		t.Fatalf("seed %d: at %v gateway %d acts on %v after its lease", w.seed, clock-origin, f.index, f.steering)
+	}
+}
+
+// checkEnd checks that leases ended, and that the gateways hold the latest plan again.
+func (w *leaseWatch) checkEnd(t *testing.T) {
+	t.Helper()
+	if w.expired == 0 {
+		t.Fatalf("seed %d: no lease ended, nothing was shown", w.seed)
+	}
+	holding, followers := 0, w.engine.coordinator.followers
+	for _, f := range followers {
+		if f.cached.LeaseEnd <= w.engine.clock.Now() {
+			continue
 		}
-		if holding < len(e.coordinator.followers)*2/3 { // messages are still lost: some wait for their next read
-			t.Errorf("seed %d: at the end %d gateways hold a lease", seed, holding)
+		holding++
+		if f.cached.Epoch < w.writtenInTime {
+			t.Errorf("seed %d: at the end gateway %d holds epoch %d, and %d was written a lease ago", w.seed, f.index,
+				f.cached.Epoch, w.writtenInTime)
 		}
 	}
+	if holding < len(followers)*2/3 { // messages are still lost: some wait for their next read
+		t.Errorf("seed %d: at the end %d of %d gateways hold a lease", w.seed, holding, len(followers))
+	}
 }
 
-// alone tells whether a gateway acts as the plan it last held has it act by itself, its own hall lost or not.
+// followsFallback reports whether a gateway acts as its latest plan says for a gateway without a lease, its own zone lost or
+// not.
 func followsFallback(t *testing.T, f *follower) bool {
-	p, err := failover.DecodePlan(f.cached.Value)
+	t.Helper()
+	plan, err := failover.DecodePlan(f.cached.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, lost := range []bool{false, true} {
-		part, same := p.FallbackAssignment(f.coordinator.zones[f.gateway.zone], lost), true
-		for n, hall := range f.coordinator.zones {
-			same = same && f.steering.Weights[n] == part.Weights[hall]
+	for _, isLost := range []bool{false, true} {
+		fallback := plan.FallbackAssignment(f.coordinator.zones[f.gateway.zone], isLost)
+		same := f.steering.ShedFraction == fallback.Shed
+		for n, zone := range f.coordinator.zones {
+			same = same && f.steering.Weights[n] == fallback.Weights[zone]
 		}
-		if same && f.steering.ShedFraction == part.Shed {
+		if same {
 			return true
 		}
 	}
@@ -138,17 +163,22 @@
 
 func TestCoordination_sameSeedGivesTheSameRun(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{scenario.CoordinationLocal, scenario.CoordinationShared} {
-		var texts [2]string
-		for i := range texts {
-			spec := threeZones(how, zoneLossFault(1, 3*time.Second, 5*time.Second),
-				scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)})
-			spec.Coordination.MessageLoss, spec.Gateways.Subset = 0.05, true
-			text, _ := json.Marshal(mustRun(t, spec, 3, baseline.Module))
-			texts[i] = string(text)
-		}
-		if texts[0] != texts[1] {
-			t.Errorf("%s: two plays differ", how)
-		}
+	for _, mode := range []string{scenario.CoordinationLocal, scenario.CoordinationShared} {
+		t.Run(mode, func(t *testing.T) {
+			var texts [2]string
+			for i := range texts {
+				spec := threeZones(mode, zoneLossFault(1, 3*time.Second, 5*time.Second),
+					scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)})
+				spec.Coordination.MessageLoss, spec.Gateways.Subset = 0.05, true
+				text, err := json.Marshal(mustRun(t, spec, 3, baseline.Module))
+				if err != nil {
+					t.Fatal(err)
+				}
+				texts[i] = string(text)
+			}
+			if texts[0] != texts[1] {
+				t.Error("two runs with one seed differ")
+			}
+		})
 	}
 }
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// busy is a world of three zones with a fault of most kinds.
-func busy(how string) *scenario.Scenario {
+// busy is a scenario of three zones with a fault of most kinds.
+func busy(mode string) *scenario.Scenario {
 	second := func(n float64) scenario.Span { return span(time.Duration(n * float64(time.Second))) }
-	spec := threeZones(how,
+	spec := threeZones(mode,
 		scenario.Fault{Kind: "deploy", Start: second(1), Duration: second(3), Fraction: 0.5},
 		scenario.Fault{Kind: "server_slow", Start: second(2), Duration: second(4), Fraction: 0.2, Magnitude: 4},
 		scenario.Fault{Kind: "server_errors", Start: second(3), Duration: second(3), Fraction: 0.1, Magnitude: 0.5},
@@ -82,21 +82,36 @@
 // readable. Whatever is renamed or moved, a run goes the same way to the last draw.
 func TestGolden(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		world func() *scenario.Scenario
-		made  baseline.Constructor
-		want  [2]string
+		name      string
+		spec      func() *scenario.Scenario
+		newPolicy baseline.Constructor
+		want      [2]string
 	}{
-		{"calm", func() *scenario.Scenario { return smallScenario() }, baseline.Module, [2]string{"36785b5ff5a89070", "7a7ae75aa2945e2a"}},
-		{"faults, each gateway alone", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Module, [2]string{"0ca19b290633a1d5", "3d02ff8a5c9a5eb7"}},
-		{"faults, decided in common", func() *scenario.Scenario { return busy(scenario.CoordinationShared) }, baseline.Module, [2]string{"5e4c086ceea8d706", "d71154050fb2b40d"}},
-		{"faults, local buckets", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Bucket, [2]string{"097dbf236b7d955a", "8a2f963745a32323"}},
-		{"calm, random servers", func() *scenario.Scenario { return smallScenario() }, baseline.Random, [2]string{"1ab322b068477e1a", "2ed541938fbab3dd"}},
+		{
+			"calm", func() *scenario.Scenario { return smallScenario() }, baseline.Module,
+			[2]string{"36785b5ff5a89070", "7a7ae75aa2945e2a"},
+		},
+		{
+			"faults, each gateway alone", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Module,
+			[2]string{"0ca19b290633a1d5", "3d02ff8a5c9a5eb7"},
+		},
+		{
+			"faults, decided in common", func() *scenario.Scenario { return busy(scenario.CoordinationShared) }, baseline.Module,
+			[2]string{"5e4c086ceea8d706", "d71154050fb2b40d"},
+		},
+		{
+			"faults, local buckets", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Bucket,
+			[2]string{"097dbf236b7d955a", "8a2f963745a32323"},
+		},
+		{
+			"calm, random servers", func() *scenario.Scenario { return smallScenario() }, baseline.Random,
+			[2]string{"1ab322b068477e1a", "2ed541938fbab3dd"},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed, want := range c.want {
-				if got := hashOf(t, mustRun(t, c.world(), uint64(seed+1), c.made)); got != want {
+				if got := hashOf(t, mustRun(t, c.spec(), uint64(seed+1), c.newPolicy)); got != want {
 					t.Errorf("seed %d: hash %s, recorded %s", seed+1, got, want)
 				}
 			}
--- a/internal/lab/simulation/hotspot_test.go
+++ b/internal/lab/simulation/hotspot_test.go
@@ -8,48 +8,47 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// crowded is three halls at three fifths of their strength, of whose tries four in five come through one from second 4 to 14.
-func hotspotScenario(how string, troubles ...scenario.Fault) *scenario.Scenario {
-	spec := threeZones(how, append(troubles, scenario.Fault{
-		Kind: "crowd", Start: span(4 * time.Second),
-		Duration: span(10 * time.Second), Fraction: 0.7,
+// hotspotScenario is three zones at three fifths of their capacity; from second 4 to 14, four tries in five come in at one.
+func hotspotScenario(mode string, faults ...scenario.Fault) *scenario.Scenario {
+	spec := threeZones(mode, append(faults, scenario.Fault{
+		Kind: "crowd", Start: span(4 * time.Second), Duration: span(10 * time.Second), Fraction: 0.7,
 	})...)
 	spec.Load.Rate = 400
 	return spec
 }
 
-// A hall that more comes in at than it bears: its gateways turn the rest away before any push, so that pushes tell
-// nothing of it. It goes to other halls all the same, and those are not pushed over for it.
+// TestHotspot_overflowsToOtherZones: more comes in at a zone than it has capacity for. Its gateways reject the rest before
+// any attempt, so that attempts tell nothing of it. It goes to other zones all the same, and does not overload them.
 func TestHotspot_overflowsToOtherZones(t *testing.T) {
 	t.Parallel()
 	r := mustRun(t, hotspotScenario(scenario.CoordinationShared), 1, baseline.Module)
 	if part := float64(r.CrossZone) / float64(r.Attempts); part < 0.12 || part > 0.3 {
-		t.Errorf("%.3f of the pushes go to another hall", part)
+		t.Errorf("%.3f of the attempts go to another zone, want 0.12 to 0.3", part)
 	}
-	if refused := float64(r.RejectedRequests+r.Failed) / float64(r.Offered); refused > 0.04 {
-		t.Errorf("%.3f of the requests get no answer", refused)
+	if rejected := float64(r.RejectedRequests+r.Failed) / float64(r.Offered); rejected > 0.04 {
+		t.Errorf("%.3f of the requests are not served, want 0.04 at most", rejected)
 	}
 	if r.WrongPlans > 0 || r.PeakUtilisationOver5s > 1.05 {
-		t.Errorf("%d wrong; over five seconds a hall gets %.2f of what it can do", r.WrongPlans, r.PeakUtilisationOver5s)
+		t.Errorf("%d wrong plans, peak utilisation over five seconds %.2f, want none and 1.05 at most", r.WrongPlans,
+			r.PeakUtilisationOver5s)
 	}
 }
 
-// One customer floods a crowded hall with many times what the hall bears, nearly all of it beyond its quota: that is no
-// demand, and nothing moves.
+// TestHotspot_loadBeyondQuotaMovesNothing: one customer floods the zone with many times its capacity, nearly all of it
+// beyond the customer's quota. That is no demand.
 func TestHotspot_loadBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
 	spec := hotspotScenario(scenario.CoordinationShared, scenario.Fault{
-		Kind: "flood", Plan: "enterprise", Magnitude: 20, Start: span(4 * time.Second),
-		Duration: span(10 * time.Second),
+		Kind: "flood", Plan: "enterprise", Magnitude: 20, Start: span(4 * time.Second), Duration: span(10 * time.Second),
 	})
 	spec.Load.Rate = 150
-	p := &spec.Plans[2]
-	p.Customers, p.Rate, p.Burst = 1, 20, 40
+	plan := &spec.Plans[2]
+	plan.Customers, plan.Rate, plan.Burst = 1, 20, 40
 	r := mustRun(t, spec, 1, baseline.Module)
 	if r.CrossZone > 0 || r.WrongPlans > 0 {
-		t.Errorf("%d of %d pushes go to another hall; %d wrong", r.CrossZone, r.Attempts, r.WrongPlans)
+		t.Errorf("%d of %d attempts go to another zone, %d wrong plans, want none", r.CrossZone, r.Attempts, r.WrongPlans)
 	}
 	if r.Offered < 8000 || r.RejectedRequests+r.Failed < r.Offered/2 {
-		t.Errorf("%d requests, of which %d and %d were not served, are no flood", r.Offered, r.RejectedRequests, r.Failed)
+		t.Errorf("%d requests, of which %d were rejected and %d failed, are no flood", r.Offered, r.RejectedRequests, r.Failed)
 	}
 }
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// erlangC is the chance that a task waits at c cores kept busy by a part rho, and so the mean wait over the mean
-// work: C / (c (1 - rho)).
+// erlangC is the probability that a request waits at c cores with utilisation rho, and the mean wait over the mean work that
+// follows from it: C / (c (1 - rho)).
 func erlangC(c int, rho float64) (waits, mean float64) {
 	a := float64(c) * rho
 	sum, term := 0.0, 1.0
@@ -25,65 +25,72 @@
 	return waits, waits / (float64(c) * (1 - rho))
 }
 
-// open is a world without limits of any kind: tasks come by chance to servers of so many cores.
+// openScenario is a scenario without limits of any kind: requests come at random to servers of so many cores.
 func openScenario(servers, cores int, rho float64, length time.Duration) *scenario.Scenario {
-	w := scenario.Default()
-	w.Length = scenario.Span(length)
-	w.Gateways.Count, w.Gateways.Zones = 1, 1
-	w.Servers.Count, w.Servers.Cores, w.Servers.QueueLimit = servers, cores, 1e6
-	w.Servers.Speed = [2]float64{1, 1}
-	w.Servers.HandshakeWork, w.Servers.MaxConnections = 0, 1e6
-	w.Network.SameZone, w.Network.CrossZone, w.Network.Jitter = 0, 0, 0
+	spec := scenario.Default()
+	spec.Length = scenario.Span(length)
+	spec.Gateways.Count, spec.Gateways.Zones = 1, 1
+	spec.Servers.Count, spec.Servers.Cores, spec.Servers.QueueLimit = servers, cores, 1e6
+	spec.Servers.Speed = [2]float64{1, 1}
+	spec.Servers.HandshakeWork, spec.Servers.MaxConnections = 0, 1e6
+	spec.Network.SameZone, spec.Network.CrossZone, spec.Network.Jitter = 0, 0, 0
 	work := 20 * time.Millisecond
-	w.Classes = []scenario.TrafficClass{{
+	spec.Classes = []scenario.TrafficClass{{
 		Name: "only", Share: 1, Work: scenario.Span(work), Distribution: "exponential",
 		LatencyObjective: scenario.Span(time.Hour), Timeout: scenario.Span(time.Hour), Weight: 1, Effect: "pure",
 	}}
-	w.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
-	w.Counter.Rate = 0
-	w.Clients.Retries = 0
-	w.Load.Rate = rho * float64(servers*cores) / work.Seconds()
-	return &w
+	spec.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
+	spec.Counter.Rate = 0
+	spec.Clients.Retries = 0
+	spec.Load.Rate = rho * float64(servers*cores) / work.Seconds()
+	return &spec
 }
 
+// clientDelayMs is the time from a client to its gateway, in milliseconds; answer times have it in them.
+const clientDelayMs = 0.5
+
 func TestServer_waitsMatchErlangC(t *testing.T) {
-	for _, s := range []struct {
-		cores int
-		rho   float64
-	}{{1, 0.5}, {2, 0.5}, {4, 0.7}, {16, 0.9}} {
-		tasks := 100000.0
-		if s.rho > 0.8 {
-			tasks *= 2
-		}
-		spec := openScenario(1, s.cores, s.rho, 0)
-		spec.Length = scenario.Span(time.Duration(tasks / spec.Load.Rate * float64(time.Second)))
-		r, err := Run(spec, 11, baseline.Random)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, wait := erlangC(s.cores, s.rho)
-		want := (1 + wait) * 20 // ms: work and wait
-		got := r.AnswerTimes(0).Mean()/1000 - 0.5
-		// The way to the gateway is in the time. A mean within 3% needs some 200,000 tasks at 0.9.
-		if off := math.Abs(got/want - 1); off > 0.03 {
-			t.Errorf("%d cores at %.0f%%: %.2f ms, theory says %.2f (%.1f%% off)", s.cores, s.rho*100, got, want, off*100)
-		} else {
-			t.Logf("%d cores at %.0f%%: %.2f ms, theory %.2f (%.1f%% off), %d tasks", s.cores, s.rho*100, got, want, off*100, r.Offered)
-		}
+	for _, c := range []struct {
+		name     string
+		cores    int
+		rho      float64
+		requests float64 // a mean within 3% needs some 200,000 at 0.9
+	}{
+		{"one core at 0.5", 1, 0.5, 100_000},
+		{"two cores at 0.5", 2, 0.5, 100_000},
+		{"four cores at 0.7", 4, 0.7, 100_000},
+		{"sixteen cores at 0.9", 16, 0.9, 200_000},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			spec := openScenario(1, c.cores, c.rho, 0)
+			spec.Length = scenario.Span(time.Duration(c.requests / spec.Load.Rate * float64(time.Second)))
+			r, err := Run(spec, 11, baseline.Random)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, wait := erlangC(c.cores, c.rho)
+			want := (1 + wait) * 20 // ms: work and wait
+			got := r.AnswerTimes(0).Mean()/1000 - clientDelayMs
+			off := math.Abs(got/want - 1)
+			t.Logf("%.2f ms, theory %.2f (%.1f%% off), %d requests", got, want, off*100, r.Offered)
+			if off > 0.03 {
+				t.Errorf("%.2f ms, theory says %.2f (%.1f%% off)", got, want, off*100)
+			}
+		})
 	}
 }
 
 func TestServers_twoChoicesMatchTheory(t *testing.T) {
-	// With many servers of one core, the part that holds k tasks or more tends to rho^k with one random choice
-	// and to rho^(2^k - 1) with two (Vvedenskaya, Dobrushin, Karpelevich 1996). By Little's law the mean time in
-	// the system over the mean work is the sum of those parts over k, by rho.
-	rho := 0.8
-	mean := func(made baseline.Constructor) float64 {
-		r, err := Run(openScenario(200, 1, rho, 12*time.Second), 5, made)
+	// With many servers of one core, the part that has k requests or more tends to rho^k with one random choice and to
+	// rho^(2^k - 1) with two (Vvedenskaya, Dobrushin, Karpelevich 1996). By Little's law the mean time in the system over the
+	// mean work is the sum of those parts over k, by rho.
+	const rho = 0.8
+	mean := func(newPolicy baseline.Constructor) float64 {
+		r, err := Run(openScenario(200, 1, rho, 12*time.Second), 5, newPolicy)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return (r.AnswerTimes(0).Mean()/1000 - 0.5) / 20
+		return (r.AnswerTimes(0).Mean()/1000 - clientDelayMs) / 20
 	}
 	one, two := 1/(1-rho), 0.0
 	for k := 1; k < 12; k++ {
@@ -92,7 +99,7 @@
 	if got := mean(baseline.Random); math.Abs(got/one-1) > 0.05 {
 		t.Errorf("one choice: %.2f, theory %.2f", got, one)
 	}
-	// One gateway sees all tasks, so its own counts are the servers' true ones.
+	// One gateway sees all requests, so that its own counts are the servers' true ones.
 	if got := mean(baseline.Bucket); math.Abs(got/two-1) > 0.05 {
 		t.Errorf("two choices: %.2f, theory %.2f", got, two)
 	}
--- a/internal/lab/simulation/utilisation_test.go
+++ b/internal/lab/simulation/utilisation_test.go
@@ -8,44 +8,54 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// A column that throws together what ended in different ways says nothing of any of them: each request that failed
-// stands under one end, also where gateways die or stand still while their clients go.
+// TestResult_eachFailedRequestHasOneCause: each failed request counts under one cause, also where gateways die or are paused
+// while their clients disconnect.
 func TestResult_eachFailedRequestHasOneCause(t *testing.T) {
-	for kind, of := range map[string]func(FailureCauses) int{
-		"":              func(e FailureCauses) int { return e.BetweenTries },
-		"server_errors": func(e FailureCauses) int { return e.Terminated },
-		"kill":          func(e FailureCauses) int { return e.WithGateway },
-		"standstill":    func(e FailureCauses) int { return e.InFlight },
+	for _, c := range []struct {
+		name  string
+		kind  string // of the fault; empty: none
+		cause func(FailureCauses) int
+	}{
+		{"overload", "", func(f FailureCauses) int { return f.BetweenTries }},
+		{"server errors", "server_errors", func(f FailureCauses) int { return f.Terminated }},
+		{"gateways killed", "kill", func(f FailureCauses) int { return f.WithGateway }},
+		{"gateways paused", "standstill", func(f FailureCauses) int { return f.InFlight }},
 	} {
-		spec := smallScenario()
-		if kind != "" {
-			spec = smallScenario(scenario.Fault{Kind: kind, Start: span(3 * time.Second), Duration: span(4 * time.Second), Fraction: 0.5, Magnitude: 0.8})
-		}
-		spec.Load.Rate = 500
-		r := mustRun(t, spec, 3, baseline.Module)
-		e := r.FailureCauses
-		if sum := e.BetweenTries + e.Terminated + e.WithGateway + e.InFlight; sum != r.Failed || of(e) == 0 {
-			t.Errorf("%q: %d failed, ends %+v", kind, r.Failed, e)
-		}
-		if ended := r.InTime + r.Late + r.RejectedRequests + r.Failed; ended > r.Offered {
-			t.Errorf("%q: %d ended of %d", kind, ended, r.Offered)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			spec := smallScenario()
+			if c.kind != "" {
+				spec.Faults = []scenario.Fault{{
+					Kind: c.kind, Start: span(3 * time.Second), Duration: span(4 * time.Second), Fraction: 0.5, Magnitude: 0.8,
+				}}
+			}
+			spec.Load.Rate = 500
+			r := mustRun(t, spec, 3, baseline.Module)
+			f := r.FailureCauses
+			if all := f.BetweenTries + f.Terminated + f.WithGateway + f.InFlight; all != r.Failed || c.cause(f) == 0 {
+				t.Errorf("%d requests failed, by cause %+v", r.Failed, f)
+			}
+			if ended := r.InTime + r.Late + r.RejectedRequests + r.Failed; ended > r.Offered {
+				t.Errorf("%d requests ended of %d", ended, r.Offered)
+			}
+		})
 	}
 }
 
-// With two halls of one region and one of another, chance alone sends two pushes of three to another hall, and
-// four of nine to another region; a hall that is sent all its servers can do is at 1.
+// TestResult_countsAttemptsBetweenZonesAndRegions: with two zones in one region and one in another, random servers are in
+// another zone for two attempts of three, and in another region for four of nine. A zone that is sent all that its servers
+// can do has a utilisation of 1.
 func TestResult_countsAttemptsBetweenZonesAndRegions(t *testing.T) {
 	spec := smallScenario()
 	spec.Gateways.Zones, spec.Gateways.Regions = 3, [][]int{{0, 1}, {2}}
 	spec.Servers.Count = 18
 	r := mustRun(t, spec, 3, baseline.Random)
-	crossed, far := float64(r.CrossZone)/float64(r.Attempts), float64(r.CrossRegion)/float64(r.Attempts)
-	if crossed < 0.62 || crossed > 0.71 || far < 0.4 || far > 0.49 {
-		t.Errorf("%.3f between halls, %.3f between regions", crossed, far)
+	crossZone, crossRegion := float64(r.CrossZone)/float64(r.Attempts), float64(r.CrossRegion)/float64(r.Attempts)
+	if crossZone < 0.62 || crossZone > 0.71 || crossRegion < 0.4 || crossRegion > 0.49 {
+		t.Errorf("%.3f of the attempts between zones, %.3f between regions, want 0.62 to 0.71 and 0.4 to 0.49", crossZone,
+			crossRegion)
 	}
 	mean := spec.Load.Rate * 0.058 / (18 * 2)
 	if r.PeakUtilisation < mean || r.PeakUtilisation > 2.2*mean {
-		t.Errorf("hottest %.2f where halls are at %.2f in the mean", r.PeakUtilisation, mean)
+		t.Errorf("peak utilisation %.2f where the mean is %.2f", r.PeakUtilisation, mean)
 	}
 }
