--- a/internal/conformance/change_test.go
+++ b/internal/conformance/change_test.go
@@ -7,74 +7,86 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"slices"
 	"strings"
-	"sync"
 	"testing"
 )
 
 const (
-	maxParallelChanges = 3 // builds side by side: the cores are shared
+	maxParallelChanges = 3 // programs built at the same time: the cores are shared
 	changeTimeout      = "50s"
 	repoRoot           = "../.."
 )
 
+// failedRow finds the rows that failed in the output of go test -v.
 var failedRow = regexp.MustCompile(`(?m)^ +--- FAIL: TestRows/[^/]+/(\S+)/(module|process)`)
 
-// Each changed program is built in place of the real one by an overlay: all rows are played against its module, and
-// some against a process of it. Those named for the change must fail. Each row must be failed by some change, wherever
-// it is played.
+// rowRun is a row together with what it ran against.
+type rowRun struct{ row, target string }
+
+// Each broken program is built in place of the real one by an overlay. All rows run against its module, and some against
+// a process of it. Those named for the change must fail. Each row must be failed by some change, wherever it runs.
 func TestChangesAreCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the module for each change")
 	}
-	suite, places := loadSuite(t), make(chan bool, maxParallelChanges)
-	var mu sync.Mutex
-	proven := map[string]bool{}
+	suite, places := loadSuite(t), make(chan struct{}, maxParallelChanges)
+	caught := make([]map[rowRun]bool, len(suite.Changes))
 	t.Run("change", func(t *testing.T) {
-		for _, change := range suite.Changes {
+		for i, change := range suite.Changes {
 			t.Run(change.Name, func(t *testing.T) {
 				t.Parallel()
-				places <- true
+				places <- struct{}{}
 				defer func() { <-places }()
-				overlay, variant := writeOverlay(t, change), strings.ReplaceAll(cmp.Or(change.Variant, Plain.Name), " ", "_")
-				got := map[string]bool{}
-				if len(change.ModuleRows) > 0 {
-					collectFailures(t, got, overlay, "^TestRows$/^"+variant+"$/./^module$")
-				}
-				if len(change.ProcessRows) > 0 {
-					collectFailures(t, got, overlay, "^TestRows$/^"+variant+"$/^("+strings.Join(change.ProcessRows, "|")+")$/^process$")
-				}
-				for where, rows := range map[string][]string{"module": change.ModuleRows, "process": change.ProcessRows} {
-					for _, row := range rows {
-						if !got[row+" "+where] {
-							t.Errorf("row %s holds against the %s with this change", row, where)
-						}
-					}
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				for row := range got {
-					proven[row] = true
-				}
+				caught[i] = checkChange(t, change)
 			})
 		}
 	})
-	for _, r := range suite.Rows {
-		for _, where := range []string{"module", "process"} {
-			if r.runsAgainst(where) && !proven[r.ID+" "+where] {
-				t.Errorf("row %s: no change makes it fail against the %s", r.ID, where)
+	for _, row := range suite.Rows {
+		for _, target := range []string{againstModule, againstProcess} {
+			if row.runsAgainst(target) && !anyCaught(caught, rowRun{row.ID, target}) {
+				t.Errorf("row %s: no change makes it fail against the %s", row.ID, target)
 			}
 		}
 	}
 }
 
-// changed writes the sources of a changed program and gives the overlay's file.
+func anyCaught(caught []map[rowRun]bool, run rowRun) bool {
+	for _, failed := range caught {
+		if failed[run] {
+			return true
+		}
+	}
+	return false
+}
+
+// checkChange runs the rows against a broken program, requires those named to fail, and returns all that did.
+func checkChange(t *testing.T, change Change) map[rowRun]bool {
+	t.Helper()
+	overlay, variant := writeOverlay(t, change), strings.ReplaceAll(cmp.Or(change.Variant, Plain.Name), " ", "_")
+	failed := map[rowRun]bool{}
+	if len(change.ModuleRows) > 0 {
+		collectFailures(t, failed, overlay, "^TestRows$/^"+variant+"$/./^module$")
+	}
+	if len(change.ProcessRows) > 0 {
+		collectFailures(t, failed, overlay,
+			"^TestRows$/^"+variant+"$/^("+strings.Join(change.ProcessRows, "|")+")$/^process$")
+	}
+	for target, rows := range map[string][]string{againstModule: change.ModuleRows, againstProcess: change.ProcessRows} {
+		for _, row := range rows {
+			if !failed[rowRun{row, target}] {
+				t.Errorf("row %s passes against the %s with this change", row, target)
+			}
+		}
+	}
+	return failed
+}
+
+// writeOverlay writes the sources of a broken program and returns the path of the overlay file.
 func writeOverlay(t *testing.T, change Change) string {
 	t.Helper()
 	dir, texts, replace := t.TempDir(), map[string]string{}, map[string]string{}
-	for _, e := range change.Edits {
-		path, err := filepath.Abs(filepath.Join(repoRoot, e.File))
+	for _, edit := range change.Edits {
+		path, err := filepath.Abs(filepath.Join(repoRoot, edit.File))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,10 +97,10 @@
 			}
 			texts[path] = string(text)
 		}
-		if n := strings.Count(texts[path], e.Old); n != 1 {
-			t.Fatalf("%q stands %d times in %s, want once", e.Old, n, e.File)
+		if n := strings.Count(texts[path], edit.Old); n != 1 {
+			t.Fatalf("%q stands %d times in %s, want once", edit.Old, n, edit.File)
 		}
-		texts[path] = strings.Replace(texts[path], e.Old, e.New, 1)
+		texts[path] = strings.Replace(texts[path], edit.Old, edit.New, 1)
 		replace[path] = filepath.Join(dir, filepath.Base(path))
 	}
 	for path, text := range texts {
@@ -107,46 +119,17 @@
 	return file
 }
 
-// fails plays rows with an overlay and notes those that fail, as the row and module or process.
-func collectFailures(t *testing.T, rows map[string]bool, overlay, run string) {
+// collectFailures runs rows with an overlay and adds those that fail.
+func collectFailures(t *testing.T, failed map[rowRun]bool, overlay, pattern string) {
 	t.Helper()
 	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-timeout="+changeTimeout, "-overlay="+overlay,
-		"-run="+run, "-v", ".")
+		"-run="+pattern, "-v", ".")
 	cmd.Env = append(os.Environ(), overlayVariable+"="+overlay)
 	out, err := cmd.CombinedOutput()
 	if !strings.Contains(string(out), "--- ") || strings.Contains(string(out), "\npanic: ") {
-		t.Fatalf("the rows were not played to the end: %v\n%s", err, out)
-	}
-	for _, m := range failedRow.FindAllSubmatch(out, -1) {
-		rows[string(m[1])+" "+string(m[2])] = true
-	}
-}
-
-// A data file that lost a row, names what is not there or has a word too much is refused, with all that is wrong.
-func TestParse_reportsEveryError(t *testing.T) {
-	text := string(suiteFile)
-	for _, c := range []struct{ old, new, want string }{
-		{`clause = "told-units"`, `clause = "told-unit"`, `no clause "told-unit"`},
-		{`clause = "told-units"`, `clause = "early-end"`, `clause "told-units" has no row`},
-		{`id = "names-on-sockets"`, `id = "names"`, `row "names": needs an id of its own`},
-		{`where = "process"`, `where = "sockets"`, `allowed are module, process, both`},
-		{`"others 10", "task 1 units 1"]`, `"others ten"]`, `step "others ten"`},
-		{`crosses = true`, `cross = true`, `strict mode`},
-		{`caught = ["true-units"]`, `caught = ["true-unit"]`, `no row "true-unit"`},
-	} {
-		if !strings.Contains(text, c.old) {
-			t.Errorf("%q is not in the file", c.old)
-		}
-		_, err := Parse([]byte(strings.Replace(text, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
-		}
+		t.Fatalf("the rows did not run to the end: %v\n%s", err, out)
 	}
-	broken := strings.NewReplacer(`clause = "told-units"`, `clause = "x"`, `plan = "small"`, `plan = "y"`).Replace(text)
-	_, err := Parse([]byte(broken))
-	if lines := strings.Split(err.Error(), "\n"); len(lines) < 3 || !slices.ContainsFunc(lines, func(l string) bool {
-		return strings.Contains(l, `no plan "y"`)
-	}) {
-		t.Errorf("not all is told at once: %v", err)
+	for _, match := range failedRow.FindAllSubmatch(out, -1) {
+		failed[rowRun{string(match[1]), string(match[2])}] = true
 	}
 }
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -2,182 +2,165 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync/atomic"
 
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Ports for processes to listen at lie below those that the system gives to callers and to listeners without a wish.
-// They are not tried before: a listener that was closed may live on for a moment in a program that starts beside.
+// Processes listen on ports below the system's ephemeral range. A port is not probed before: a listener that was closed
+// may live on for a moment in a program that is just being started by another test.
+const (
+	firstPort  = 20000
+	portCount  = 10000
+	portStride = 101 // between test processes with consecutive IDs; a run may need more
+	maxStarts  = 20  // of one process, each on another port
+)
+
+// What a starting process logs.
 const (
-	firstPort    = 20000
-	portCount    = 10000
-	portStride   = 101 // between tests whose process numbers follow each other: more than one needs
 	addressInUse = "address already in use"
-	readyLine    = `"msg":"gateway: ready"` // without it another program might answer there
-	maxStarts    = 20
+	readyLine    = `"msg":"gateway: ready"` // without it another program might answer on the port
 )
 
-var portsUsed atomic.Int64 // how many were used by this test
+var errAddressInUse = errors.New("address in use")
 
-// address gives the n-th address of this test's own: tests side by side begin far apart.
+// portsUsed is how many ports this test process has used.
+var portsUsed atomic.Int64
+
+// listenAddress returns the n-th address of this test process. Concurrent test processes start far apart.
 func listenAddress(n int64) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstPort+(int64(os.Getpid())*portStride+n)%portCount)
 }
 
-// start starts the program at a free address and waits until it serves. One that finds its address taken is started
-// once more at another.
+// start starts the program on a free address and waits until it serves. If the address is taken it starts it once more
+// on another.
 func (p *processTarget) start(path string, launch *Launch) Instance {
 	p.t.Helper()
-	file, log := filepath.Join(launch.Dir, "config.json"), filepath.Join(launch.Dir, "log")
-	instance := Instance{ConfigFile: file, Log: func() string { text, _ := os.ReadFile(log); return string(text) }}
+	logFile := filepath.Join(launch.Dir, "log")
+	instance := Instance{ConfigFile: filepath.Join(launch.Dir, "config.json"), Log: func() string {
+		text, err := os.ReadFile(logFile)
+		if err != nil {
+			return err.Error()
+		}
+		return string(text)
+	}}
 	for range maxStarts {
-		p.addr = listenAddress(portsUsed.Add(1))
-		launch.Config["listen"] = p.addr
-		text, err := json.Marshal(launch.Config)
+		err := p.startOnce(path, logFile, launch, &instance)
 		if err == nil {
-			err = os.WriteFile(file, text, 0o600)
+			p.t.Cleanup(func() {
+				if p.t.Failed() {
+					p.t.Logf("the gateway's log: %s", instance.Log())
+				}
+			})
+			return instance
 		}
-		if err != nil {
-			p.t.Fatal(err)
-		}
-		out, err := os.Create(log)
-		if err != nil {
+		if !errors.Is(err, errAddressInUse) {
 			p.t.Fatal(err)
 		}
-		cmd := exec.Command(path)
-		cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+file), launch.Env...)
-		cmd.Stdout, cmd.Stderr = out, out
-		err = cmd.Start()
-		_ = out.Close()
-		if err != nil {
-			p.t.Fatal(err)
-		}
-		ended := make(chan struct{})
-		go func() { _ = cmd.Wait(); close(ended) }()
-		p.t.Cleanup(func() { _ = cmd.Process.Kill(); <-ended })
-		fakes.Eventually(p.t, "a gateway that serves or has ended", func() bool {
-			select {
-			case <-ended:
-				return true
-			default:
-			}
-			return strings.Contains(instance.Log(), readyLine) && p.sendCommand(fakes.FormatCommand("PING")) == "+PONG"
-		})
-		select {
-		case <-ended:
-			if strings.Contains(instance.Log(), addressInUse) {
-				continue
-			}
-			p.t.Fatalf("the gateway ended: %s", instance.Log())
-		default:
-		}
-		p.pid, instance.PID = cmd.Process.Pid, cmd.Process.Pid
-		p.t.Cleanup(func() {
-			if p.t.Failed() {
-				p.t.Logf("the gateway's log: %s", instance.Log())
-			}
-		})
-		return instance
 	}
 	p.t.Fatal("no free address")
 	return instance
 }
 
-// launchConfig is what a gateway is told at its start, in its own form: the same deployment as site gives the module.
-func launchConfig(p *processTarget, plan Plan) map[string]any {
-	type pairs = map[string]any
-	d := settingsFor(plan, p.gatewayCount)
-	var classes []pairs
-	for _, l := range d.Classes {
-		classes = append(classes, pairs{
-			"Name": l.Name, "AimMs": l.LatencyObjective.Milliseconds(),
-			"DeadlineMs": l.Timeout.Milliseconds(), "Effect": "read_like", "Worth": l.Weight,
-		})
-	}
-	return pairs{
-		"name": "n0", "discovery": p.discovery.Addr, "counter": p.counter.Addr,
-		"seed": fmt.Sprintf("%016x", randomSeed), "limits": pairs{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"settings": pairs{
-			"Balancers": d.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{"hall-a"}, "Models": []string{"m2"},
-			"Discovery": "push", "TickMs": d.ClockTick.Milliseconds(),
-			"FamilyInfo": pairs{
-				"HasCounter": d.HasCounter, "CountLimitMs": d.CountTimeout.Milliseconds(),
-				"Settles": d.ReportsUnits, "MostUnits": d.MaxUnits,
-			},
-			"Report": pairs{"Fields": []string{}, "How": "off"},
-			"PolicyLimits": pairs{
-				"Cancelling": d.CanCancel, "TryLimit": d.MaxAttempts, "RetryAfter": d.RetryAfter,
-				"MaxRetryAfterMs": d.MaxRetryAfter.Milliseconds(), "ConnectTimeoutMs": counterConnectTimeout.Milliseconds(),
-				"IdleCloseMs": 30000, "StreamsPerConn": 100,
-			},
-			"Rules": pairs{
-				"AnswerSlackMs": d.ArrivalSlack.Milliseconds(), "DrainGraceMs": d.DrainGrace.Milliseconds(),
-				"ColdFrom": d.WarmUpStart, "WarmAfterMs": d.WarmUpTime.Milliseconds(), "FallMultiple": d.OverloadFactor,
-				"TipAfterMs": d.OverloadSpan.Milliseconds(),
-			},
-			"RequestClasses": classes,
-			"TiersOfService": []pairs{{"Name": plan.Name, "UnitsPerS": plan.Rate, "PeakUnits": plan.Burst}},
-		},
-	}
-}
-
-// talks notes, once each and in the order of their names, whom the process is connected with, by the system's tables.
-// Clients are left out: those are who came to its own address.
-func (p *processTarget) recordConnections() {
+func (p *processTarget) startOnce(path, logFile string, launch *Launch, instance *Instance) error {
 	p.t.Helper()
-	own := map[string]bool{} // its sockets' numbers
-	links, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.pid))
-	for _, l := range links {
-		if to, _ := os.Readlink(l); strings.HasPrefix(to, "socket:[") {
-			own[strings.Trim(to, "socket:[]")] = true
-		}
+	p.addr = listenAddress(portsUsed.Add(1))
+	launch.Config["listen"] = p.addr
+	text, err := json.Marshal(launch.Config)
+	if err != nil {
+		return err
 	}
-	if len(own) == 0 {
-		p.t.Fatal("the process has no sockets")
+	if err := os.WriteFile(instance.ConfigFile, text, 0o600); err != nil {
+		return err
 	}
-	names := map[string]string{p.counter.Addr: "counter", p.discovery.Addr: "discovery"}
-	for _, s := range p.servers {
-		names[s.Addr] = "server"
+	out, err := os.Create(logFile)
+	if err != nil {
+		return err
 	}
-	for _, a := range p.peers {
-		names[a] = "peer"
+	cmd := exec.Command(path)
+	cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+instance.ConfigFile), launch.Env...)
+	cmd.Stdout, cmd.Stderr = out, out
+	if err := errors.Join(cmd.Start(), out.Close()); err != nil {
+		return err
 	}
-	var with []string
-	for _, table := range []string{"tcp", "tcp6", "udp", "udp6"} {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", p.pid, table))
-		for _, line := range strings.Split(string(text), "\n")[1:] {
-			f := strings.Fields(line)
-			if len(f) < 10 || !own[f[9]] || parseAddress(f[1]) == p.addr {
-				continue
-			}
-			name, known := names[parseAddress(f[2])]
-			if !known {
-				name = "elsewhere " + table + " " + parseAddress(f[2])
-			}
-			with = append(with, "talks "+name)
+	ended := make(chan struct{})
+	go func() {
+		_ = cmd.Wait() // the exit status says nothing: the process is killed at the end, and its log tells why it ended
+		close(ended)
+	}()
+	p.t.Cleanup(func() {
+		_ = cmd.Process.Kill() // fails if it has ended
+		<-ended
+	})
+	p.pid, instance.PID = cmd.Process.Pid, cmd.Process.Pid
+	return p.awaitReady(instance, ended)
+}
+
+// awaitReady waits until the process serves. If it has ended instead, that is an error.
+func (p *processTarget) awaitReady(instance *Instance, ended <-chan struct{}) error {
+	p.t.Helper()
+	hasEnded := func() bool {
+		select {
+		case <-ended:
+			return true
+		default:
+			return false
 		}
 	}
-	slices.Sort(with)
-	for _, line := range slices.Compact(with) {
-		p.events.add(line)
+	fakes.Eventually(p.t, "a gateway that serves or has ended", func() bool {
+		return hasEnded() ||
+			strings.Contains(instance.Log(), readyLine) && p.sendCommand(fakes.FormatCommand("PING")) == "+PONG"
+	})
+	switch {
+	case !hasEnded():
+		return nil
+	case strings.Contains(instance.Log(), addressInUse):
+		return errAddressInUse
 	}
+	return fmt.Errorf("the gateway ended: %s", instance.Log())
 }
 
-// endpoint reads an address of the system's tables, as 0100007F:1F90; what it cannot read it gives as it is.
-func parseAddress(text string) string {
-	var a, b, c, d byte
-	var port int
-	n, _ := fmt.Sscanf(text, "%02X%02X%02X%02X:%04X", &d, &c, &b, &a, &port)
-	if n != 5 || len(text) != len("0100007F:1F90") {
-		return text
+// launchConfig is a gateway's configuration in the platform's form: the same settings as settingsFor gives the module.
+func launchConfig(p *processTarget, plan Plan) map[string]any {
+	type object = map[string]any
+	settings := settingsFor(plan, p.gatewayCount)
+	var requestClasses []object
+	for _, c := range settings.Classes {
+		requestClasses = append(requestClasses, object{
+			"Name": c.Name, "AimMs": c.LatencyObjective.Milliseconds(),
+			"DeadlineMs": c.Timeout.Milliseconds(), "Effect": "read_like", "Worth": c.Weight,
+		})
+	}
+	return object{
+		"name": "n0", "discovery": p.discovery.Addr, "counter": p.counter.Addr,
+		"seed": fmt.Sprintf("%016x", randomSeed), "limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"settings": object{
+			"Balancers": settings.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{zoneA}, "Models": []string{"m2"},
+			"Discovery": "push", "TickMs": settings.ClockTick.Milliseconds(),
+			"FamilyInfo": object{
+				"HasCounter": settings.HasCounter, "CountLimitMs": settings.CountTimeout.Milliseconds(),
+				"Settles": settings.ReportsUnits, "MostUnits": settings.MaxUnits,
+			},
+			"Report": object{"Fields": []string{}, "How": "off"},
+			"PolicyLimits": object{
+				"Cancelling": settings.CanCancel, "TryLimit": settings.MaxAttempts, "RetryAfter": settings.RetryAfter,
+				"MaxRetryAfterMs":  settings.MaxRetryAfter.Milliseconds(),
+				"ConnectTimeoutMs": counterConnectTimeout.Milliseconds(),
+				"IdleCloseMs":      30000, "StreamsPerConn": 100,
+			},
+			"Rules": object{
+				"AnswerSlackMs": settings.ArrivalSlack.Milliseconds(), "DrainGraceMs": settings.DrainGrace.Milliseconds(),
+				"ColdFrom": settings.WarmUpStart, "WarmAfterMs": settings.WarmUpTime.Milliseconds(),
+				"FallMultiple": settings.OverloadFactor, "TipAfterMs": settings.OverloadSpan.Milliseconds(),
+			},
+			"RequestClasses": requestClasses,
+			"TiersOfService": []object{{"Name": plan.Name, "UnitsPerS": plan.Rate, "PeakUnits": plan.Burst}},
+		},
 	}
-	return fmt.Sprintf("%s:%d", net.IPv4(a, b, c, d), port)
 }
--- a/internal/conformance/page.go
+++ b/internal/conformance/page.go
@@ -9,10 +9,11 @@
 //go:embed page.md.tmpl
 var pageTemplate string
 
-// Page writes docs/conformance.md from the tables.
+// Page returns the text of docs/conformance.md.
 func (s *Suite) Page() (string, error) {
 	page, err := template.New("page").Funcs(template.FuncMap{
-		"rows": s.rowsOf, "but": s.exclusionsOf, "listed": formatList, "names": func(ids []string) string { return strings.Join(ids, ", ") },
+		"rows": s.rowsOf, "but": s.exclusionsOf, "listed": formatList,
+		"names": func(ids []string) string { return strings.Join(ids, ", ") },
 	}).Parse(pageTemplate)
 	if err != nil {
 		return "", err
@@ -25,31 +26,31 @@
 	return out.String(), err
 }
 
-// of gives a clause's rows.
+// rowsOf returns a clause's rows.
 func (s *Suite) rowsOf(clause string) (rows []Row) {
-	for _, r := range s.Rows {
-		if r.Clause == clause {
-			rows = append(rows, r)
+	for _, row := range s.Rows {
+		if row.Clause == clause {
+			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// but gives the rows that a variant leaves out, each with the reason.
+// exclusionsOf returns the rows that a variant leaves out, each with the reason.
 func (s *Suite) exclusionsOf(variant string) (rows []string) {
-	for _, r := range s.Rows {
-		if why := r.Exclusions[variant]; why != "" {
-			rows = append(rows, r.ID+": "+why)
+	for _, row := range s.Rows {
+		if reason := row.Exclusions[variant]; reason != "" {
+			rows = append(rows, row.ID+": "+reason)
 		}
 	}
 	return rows
 }
 
-// listed writes steps or patterns for a cell of the page.
+// formatList writes steps or patterns for a cell of the page.
 func formatList(items []string) string {
 	out := make([]string, len(items))
-	for i, s := range items {
-		out[i] = "`" + s + "`"
+	for i, item := range items {
+		out[i] = "`" + item + "`"
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/run_test.go
@@ -1,6 +1,7 @@
 package conformance
 
 import (
+	"fmt"
 	"net"
 	"os"
 	"slices"
@@ -9,7 +10,10 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	Cleanup()
+	if err := Cleanup(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		code = max(code, 1)
+	}
 	os.Exit(code)
 }
 
@@ -22,15 +26,16 @@
 	return suite
 }
 
+// TestRows runs each row with each variant: TestRows/VARIANT/ROW/module and TestRows/VARIANT/ROW/process.
 func TestRows(t *testing.T) {
 	suite := loadSuite(t)
 	for _, variant := range Variants {
 		t.Run(variant.Name, func(t *testing.T) {
 			t.Parallel()
-			for _, r := range suite.Rows {
-				t.Run(r.ID, func(t *testing.T) {
+			for _, row := range suite.Rows {
+				t.Run(row.ID, func(t *testing.T) {
 					t.Parallel()
-					Run(t, suite, r, variant)
+					Run(t, suite, row, variant)
 				})
 			}
 		})
@@ -41,11 +46,11 @@
 // taken.
 func TestStart_retriesAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", listenAddress(portsUsed.Load()+1))
-	if err == nil { // else somebody else has it
-		defer taken.Close()
+	if err == nil { // else another process listens there
+		t.Cleanup(func() { _ = taken.Close() })
 	}
 	suite := loadSuite(t)
-	i := slices.IndexFunc(suite.Rows, func(r Row) bool { return r.ID == "first-check" })
+	i := slices.IndexFunc(suite.Rows, func(row Row) bool { return row.ID == "first-check" })
 	before := portsUsed.Load()
 	RunProcess(t, suite, suite.Rows[i], Plain)
 	if n := portsUsed.Load() - before; n < 2 {
--- a/internal/conformance/step.go
+++ b/internal/conformance/step.go
@@ -1,6 +1,7 @@
 package conformance
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -8,135 +9,128 @@
 	"time"
 )
 
-// step is one thing that happens, as a row writes it:
-//
-//	task N units U [customer C] [lane L]   a task comes; without C it is the row's customer's, without L lane short
-//	answer N [billed U]                    the server answers its push; without U the answer reports no units
-//	others U                               other gateways charge the row's customer, in its present window
-//	counter silent, counter back           calls are taken and not answered; all are answered
-//	wait D, edge                           time passes: so long; until the next window of the row's customer starts
-//	mark W                                 nothing; "mark W" is seen
-//	talks                                  "talks X" is seen for each other process that the gateway is connected with
+// verb is the first word of a step.
+type verb string
+
+// The steps of a row, as it writes them.
+const (
+	// stepRequest is "request N units U [customer C] [class L]": a request arrives. Without C it is the row's
+	// customer's, without L of class short.
+	stepRequest verb = "request"
+	// stepAnswer is "answer N [billed U]": the server answers request N. Without U the answer reports no units.
+	stepAnswer verb = "answer"
+	// stepOthers is "others U": other gateways charge the row's customer, in its current window.
+	stepOthers verb = "others"
+	// stepCounter is "counter silent" (calls are accepted and not answered) or "counter back" (all are answered).
+	stepCounter verb = "counter"
+	// stepWait is "wait D": so much time passes.
+	stepWait verb = "wait"
+	// stepEdge is "edge": time passes until the next window of the row's customer starts.
+	stepEdge verb = "edge"
+	// stepMark is "mark W": nothing happens, and the event "mark W" is recorded.
+	stepMark verb = "mark"
+	// stepConnections is "connections": "connection X" is recorded for each other process that the gateway is
+	// connected to.
+	stepConnections verb = "connections"
+)
+
+const counterSilent, counterBack = "silent", "back"
+
+// step is one action of a row.
 type step struct {
-	verb     string
+	verb     verb
 	request  int
 	units    float64
 	customer uint64 // 0: the row's
-	class    int
+	class    int    // index in classes
 	argument string
 	duration time.Duration
 }
 
+// class is a traffic class of the rows' requests.
 type class struct {
 	name               string
 	objective, timeout time.Duration
 }
 
-// lanes are those of the rows. Both are pure; a check may take a quarter of a soft limit. A process has to be quick
-// within that quarter, so it is long. Long tasks outlive a minute, so that a book with an old charge is kept.
+// classes are the traffic classes of the rows; both are idempotent. A check may take a quarter of the latency objective.
+// A process has to be quick within that quarter, so the objective is long. Requests of class long outlive a minute, so
+// that the state of a customer with a stale charge is kept.
 var classes = []class{
 	{"short", 4 * time.Second, 8 * time.Second},
 	{"long", 4 * time.Second, 2 * time.Minute},
 }
 
-// read reads a step.
+var (
+	errEmptyStep   = errors.New("an empty step")
+	errUnknownStep = errors.New("no such step")
+	errIncomplete  = errors.New("a request needs a number, units and a class")
+)
+
+// parseStep reads a step.
 func parseStep(text string) (step, error) {
 	words := strings.Fields(text)
 	if len(words) == 0 {
-		return step{}, fmt.Errorf("an empty step")
+		return step{}, errEmptyStep
 	}
-	s, rest := step{verb: words[0]}, words[1:]
-	var err error
-	note := func(e error) {
-		if err == nil && e != nil {
-			err = e
-		}
-	}
-	number := func(word string) float64 {
-		v, e := strconv.ParseFloat(word, 64)
-		note(e)
-		return v
-	}
-	switch {
-	case (s.verb == "task" || s.verb == "answer") && len(rest)%2 == 1:
-		s.request = int(number(rest[0]))
-		for i := 1; i < len(rest); i += 2 {
-			switch value := rest[i+1]; {
-			case rest[i] == "units" && s.verb == "task", rest[i] == "billed" && s.verb == "answer":
-				s.units = number(value)
-			case rest[i] == "customer" && s.verb == "task":
-				s.customer = uint64(number(value))
-			case rest[i] == "lane" && s.verb == "task":
-				s.class = slices.IndexFunc(classes, func(l class) bool { return l.name == value })
-			default:
-				note(fmt.Errorf("no %q there", rest[i]))
-			}
-		}
-		if s.request < 1 || s.class < 0 || s.verb == "task" && s.units <= 0 {
-			note(fmt.Errorf("a task needs a number, units and a lane"))
-		}
-	case s.verb == "others" && len(rest) == 1:
-		s.units = number(rest[0])
-	case s.verb == "wait" && len(rest) == 1:
-		var e error
-		s.duration, e = time.ParseDuration(rest[0])
-		note(e)
-	case s.verb == "mark" && len(rest) == 1, text == "counter silent", text == "counter back":
-		s.argument = rest[0]
-	case (s.verb == "edge" || s.verb == "talks") && len(rest) == 0:
-	default:
-		note(fmt.Errorf("no such step"))
-	}
-	if err != nil {
+	s := step{verb: verb(words[0])}
+	if err := s.parseArguments(words[1:]); err != nil {
 		return s, fmt.Errorf("step %q: %w", text, err)
 	}
 	return s, nil
 }
 
-// windows reckons a customer's windows from what the clauses say of their length and names, apart from the module.
-type windows struct {
-	customer       uint64
-	key            uint64 // that names are made of: the customer, or what a counting rule has in its place
-	length, offset time.Duration
+// argumentCount is how many words follow the verb, for all verbs but those of requests and answers.
+var argumentCount = map[verb]int{
+	stepOthers: 1, stepWait: 1, stepMark: 1, stepCounter: 1, stepEdge: 0, stepConnections: 0,
 }
 
-const (
-	burstsPerWindow    = 2.0 // bursts that come at the rate in a window
-	maxWindow          = 30 * time.Second
-	minWindow          = time.Second
-	customerMultiplier = 0x9e3779b97f4a7c15
-	finalMultiplier    = 0xbf58476d1ce4e5b9
-	finalShift         = 31
-	offsetIndex        = 0 // the number whose name gives the offset of a customer's windows
-)
-
-func newWindows(customer uint64, plan Plan) windows {
-	length := time.Duration(burstsPerWindow * plan.Burst / plan.Rate * float64(time.Second))
-	w := windows{customer: customer, key: customer, length: min(max(length, minWindow), maxWindow)}
-	w.offset = time.Duration(w.counterName(offsetIndex) % uint64(w.length))
-	return w
-}
-
-func (w windows) counterName(number int64) uint64 {
-	x := (w.key*customerMultiplier + uint64(number)) * finalMultiplier
-	return x ^ x>>finalShift
-}
-
-func (w windows) index(at time.Duration) int64 { return int64((at + w.offset) / w.length) }
-
-// edge is how long it is until the next window starts.
-func (w windows) untilNext(at time.Duration) time.Duration {
-	return time.Duration(w.index(at)+1)*w.length - w.offset - at
+func (s *step) parseArguments(words []string) (err error) {
+	if s.verb == stepRequest || s.verb == stepAnswer {
+		return s.parseRequest(words)
+	}
+	if count, known := argumentCount[s.verb]; !known || len(words) != count {
+		return errUnknownStep
+	}
+	switch s.verb {
+	case stepOthers:
+		s.units, err = strconv.ParseFloat(words[0], 64)
+	case stepWait:
+		s.duration, err = time.ParseDuration(words[0])
+	case stepMark, stepCounter:
+		s.argument = words[0]
+	}
+	if s.verb == stepCounter && s.argument != counterSilent && s.argument != counterBack {
+		return errUnknownStep
+	}
+	return err
 }
 
-// call gives the faces of a call to the counter: by the window's place beside the present one, and by its name. A name
-// that is none of these windows' is strange.
-func (w windows) callEvents(at time.Duration, name uint64, units float64) []string {
-	place := "strange"
-	for i, word := range []string{"last", "now", "next"} {
-		if w.counterName(w.index(at)+int64(i)-1) == name {
-			place = word
+// parseRequest reads the number of a request or an answer, and pairs of a word and its value.
+func (s *step) parseRequest(words []string) (err error) {
+	if len(words)%2 == 0 {
+		return errUnknownStep
+	}
+	if s.request, err = strconv.Atoi(words[0]); err != nil {
+		return err
+	}
+	for pair := range slices.Chunk(words[1:], 2) {
+		switch word, value := pair[0], pair[1]; {
+		case word == "units" && s.verb == stepRequest, word == "billed" && s.verb == stepAnswer:
+			s.units, err = strconv.ParseFloat(value, 64)
+		case word == "customer" && s.verb == stepRequest:
+			s.customer, err = strconv.ParseUint(value, 10, 64)
+		case word == "class" && s.verb == stepRequest:
+			s.class = slices.IndexFunc(classes, func(c class) bool { return c.name == value })
+		default:
+			err = fmt.Errorf("no %q there", word)
+		}
+		if err != nil {
+			return err
 		}
 	}
-	return []string{fmt.Sprintf("count %s %g", place, units), fmt.Sprintf("count %016x %g", name, units)}
+	if s.request < 1 || s.class < 0 || s.verb == stepRequest && s.units <= 0 {
+		return errIncomplete
+	}
+	return nil
 }
