--- a/internal/canary/controller_rapid_test.go
+++ b/internal/canary/controller_rapid_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
+	"pgregory.net/rapid"
+
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/countingrule"
-
-	"pgregory.net/rapid"
 )
 
 // history draws what a controller is given: observations, new leaders and new files.
--- a/internal/canary/trialstate.go
+++ b/internal/canary/trialstate.go
@@ -5,10 +5,10 @@
 	"strconv"
 	"strings"
 
+	"github.com/fxamacker/cbor/v2"
+
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/countingrule"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
 // TrialState is what a trial has shown so far. It is stored in the table: it must outlive a leader.
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -14,11 +14,11 @@
 
 // What processes log once a state is in force.
 const (
-	coordinationLine = `"takes part in what is held in common"`
+	coordinationLine = `"coordination: started"`
 	tableLine        = `"counting: table changed"`
 	uncertainLine    = "counting: version in force uncertain"
-	planLine         = `"a plan is in force"`
-	noPlanLine       = `"no plan in force`
+	planLine         = `"routing: plan in force"`
+	noPlanLine       = `"routing: no plan in force`
 	settlementLine   = `"settlement: started"`
 )
 
--- a/internal/conformance/step.go
+++ b/internal/conformance/step.go
@@ -115,17 +115,7 @@
 		return err
 	}
 	for pair := range slices.Chunk(words[1:], 2) {
-		switch word, value := pair[0], pair[1]; {
-		case word == "units" && s.verb == stepRequest, word == "billed" && s.verb == stepAnswer:
-			s.units, err = strconv.ParseFloat(value, 64)
-		case word == "customer" && s.verb == stepRequest:
-			s.customer, err = strconv.ParseUint(value, 10, 64)
-		case word == "class" && s.verb == stepRequest:
-			s.class = slices.IndexFunc(classes, func(c class) bool { return c.name == value })
-		default:
-			err = fmt.Errorf("no %q there", word)
-		}
-		if err != nil {
+		if err := s.parsePair(pair[0], pair[1]); err != nil {
 			return err
 		}
 	}
@@ -134,3 +124,17 @@
 	}
 	return nil
 }
+
+func (s *step) parsePair(word, value string) (err error) {
+	switch {
+	case word == "units" && s.verb == stepRequest, word == "billed" && s.verb == stepAnswer:
+		s.units, err = strconv.ParseFloat(value, 64)
+	case word == "customer" && s.verb == stepRequest:
+		s.customer, err = strconv.ParseUint(value, 10, 64)
+	case word == "class" && s.verb == stepRequest:
+		s.class = slices.IndexFunc(classes, func(c class) bool { return c.name == value })
+	default:
+		err = fmt.Errorf("no %q there", word)
+	}
+	return err
+}
--- a/internal/countingrule/resolve.go
+++ b/internal/countingrule/resolve.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"slices"
 
-	"harrierhoist/policy"
-
 	"github.com/cespare/xxhash/v2"
+
+	"harrierhoist/policy"
 )
 
 // noPlan stands for the rule's plan where the request's plan has no rate.
