--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,8 +1,9 @@
 // Package coordination defines the types that the packages below it, which replicate a few small tables among a group of
-// voters, share with the packages that read those tables or compute their values. It has no behavior of its own.
+// voters, share with the packages that read those tables or compute their values, and the loop of those that read them.
 package coordination
 
 import (
+	"context"
 	"time"
 
 	"harrierhoist/internal/coordination/statemachine"
@@ -34,6 +35,22 @@
 	RegisterExactCounters(counts func(add func(name string, n uint64)))
 }
 
+// FollowTables calls update at once, at every change of a table or a lease, and at every interval, until the context ends.
+func FollowTables(ctx context.Context, client Client, interval time.Duration, update func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		changed := client.Changed() // taken before the update: a change during it is followed by another
+		update()
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed:
+		case <-ticker.C:
+		}
+	}
+}
+
 // ControllerInput is what a controller computes its table from.
 type ControllerInput struct {
 	// Sums are the counters of all processes, summed up. They never decrease while the same process leads.
--- a/internal/enforce/enforcer.go
+++ b/internal/enforce/enforcer.go
@@ -72,18 +72,7 @@
 }
 
 func (e *Enforcer) loop(ctx context.Context) {
-	ticker := time.NewTicker(updateInterval)
-	defer ticker.Stop()
-	for {
-		changed := e.node.Changed()
-		e.update()
-		select {
-		case <-ctx.Done():
-			return
-		case <-changed:
-		case <-ticker.C:
-		}
-	}
+	coordination.FollowTables(ctx, e.node, updateInterval, e.update)
 }
 
 // update brings new rules into the dispatcher's plans, begins or ends a canary, and flushes its calls.
--- a/internal/routing/updater.go
+++ b/internal/routing/updater.go
@@ -60,18 +60,7 @@
 // Run keeps the steering up to date until the context ends, and registers the dispatcher's counts for digests.
 func (u *Updater) Run(ctx context.Context) {
 	u.tables.RegisterCounters(u.dispatcher.WriteZoneCounts)
-	ticker := time.NewTicker(checkInterval)
-	defer ticker.Stop()
-	for {
-		changed := u.tables.Changed()
-		u.Update()
-		select {
-		case <-ctx.Done():
-			return
-		case <-changed:
-		case <-ticker.C:
-		}
-	}
+	coordination.FollowTables(ctx, u.tables, checkInterval, u.Update)
 }
 
 // Update reads the plan and its lease, and hands the dispatcher what follows from them, where that has changed.
--- a/internal/settlement/account/run.go
+++ b/internal/settlement/account/run.go
@@ -45,11 +45,8 @@
 
 // followTable applies each value of the table, and has the dispatcher select servers anew where other zones lend.
 func (a *Accounts) followTable(ctx context.Context, client coordination.Client, updater ElectiveUpdater, log *zap.Logger) {
-	tick := time.NewTicker(leaseCheckInterval)
-	defer tick.Stop()
 	f := &follower{}
-	for {
-		changed := client.Changed()
+	coordination.FollowTables(ctx, client, leaseCheckInterval, func() {
 		cached := client.Cached(settlement.TableName)
 		if cached.Epoch != f.epoch {
 			a.readState(f, cached, log)
@@ -57,13 +54,7 @@
 		}
 		a.ApplyState(f.state, min(cached.LeaseEnd, f.epochSeenAt+settlement.StaleAfter))
 		a.updateOwners(f, updater, log)
-		select {
-		case <-ctx.Done():
-			return
-		case <-changed:
-		case <-tick.C:
-		}
-	}
+	})
 }
 
 // readState decodes a new value of the table. Nothing is settled by one that cannot be read.
