--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -2,141 +2,188 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// wrong is what the checks found.
+// The wording of the checks is that of the file: its keys, and the words of docs/lab.md.
+
+// problem is one thing that is wrong with a scenario.
 type problem struct{ key, message string }
 
-// wrong checks a world that was filled in.
-func (s *Scenario) problems() (all []problem) {
-	say := func(good bool, path, format string, args ...any) {
-		if !good {
-			all = append(all, problem{path, fmt.Sprintf(format, args...)})
-		}
+// checker collects the problems of a scenario.
+type checker struct{ problems []problem }
+
+// check adds a problem unless a condition holds.
+func (c *checker) check(ok bool, key, format string, args ...any) {
+	if !ok {
+		c.problems = append(c.problems, problem{key, fmt.Sprintf(format, args...)})
 	}
-	within := func(path string, v, least, most float64) {
-		say(v >= least && v <= most, path, "is %g; from %g to %g is allowed", v, least, most)
+}
+
+func (c *checker) within(key string, v, lowest, highest float64) {
+	c.check(v >= lowest && v <= highest, key, "is %g; from %g to %g is allowed", v, lowest, highest)
+}
+
+func (c *checker) positive(key string, s Span) {
+	c.check(s > 0, key, "is %v; it has to be more than nought", s.D())
+}
+
+func (c *checker) notNegative(key string, s Span) { c.check(s >= 0, key, "is less than nought") }
+
+func (c *checker) moreThanZero(key string, v float64) {
+	c.check(v > 0, key, "is %g; more than nought is allowed", v)
+}
+
+func (c *checker) zeroOrMore(key string, v float64) {
+	c.check(v >= 0, key, "is %g; nought at least", v)
+}
+
+func (c *checker) oneOf(key, got string, words ...string) {
+	c.check(slices.Contains(words, got), key, "is %q; one of %q is allowed", got, words)
+}
+
+// gatewayShare checks two parts of the gateways.
+func (c *checker) gatewayShare(ok bool, key string, share [2]float64) {
+	c.check(ok && share[0] <= share[1] && share[1] <= 1, key,
+		"is %v; two parts of the gateways, the first no more than the second, are allowed", share)
+}
+
+// problems checks a scenario that has its defaults. The order is the order in which they are reported.
+func (s *Scenario) problems() []problem {
+	c := &checker{}
+	c.positive("length", s.Length)
+	c.within("gateways.count", float64(s.Gateways.Count), 1, 100000)
+	c.within("gateways.halls", float64(s.Gateways.Zones), 1, maxZones)
+	s.checkRegions(c)
+	s.Coordination.check(c)
+	s.checkFailover(c)
+	c.within("gateways.pushes", float64(s.Gateways.MaxAttempts), 1, 16)
+	s.Servers.check(c)
+	classes, share := map[string]bool{}, 0.0
+	for i := range s.Classes {
+		s.Classes[i].check(c, i, classes)
+		share += s.Classes[i].Share
 	}
-	positive := func(path string, s Span) { say(s > 0, path, "is %v; it has to be more than nought", s.D()) }
-
-	positive("length", s.Length)
-	within("gateways.count", float64(s.Gateways.Count), 1, 100000)
-	within("gateways.halls", float64(s.Gateways.Zones), 1, maxZones)
-	s.checkRegions(say)
-	s.Coordination.check(say)
-	s.checkFailover(say)
-	within("gateways.pushes", float64(s.Gateways.MaxAttempts), 1, 16)
-	servers := s.Servers
-	within("servers.count", float64(servers.Count), 1, 100000)
-	within("servers.cores", float64(servers.Cores), 1, 1024)
-	within("servers.queue", float64(servers.QueueLimit), 0, 1e6)
-	say(servers.Speed[0] > 0 && servers.Speed[0] <= servers.Speed[1], "servers.speed",
-		"is %v; the first is more than nought and no more than the second", servers.Speed)
-	within("servers.cell", float64(servers.RackSize), 1, 1e6)
-	within("servers.connections", float64(servers.MaxConnections), 1, 1e6)
-	positive("servers.idle", servers.IdleTimeout)
-	say(servers.HandshakeWork >= 0, "servers.handshake", "is less than nought")
-	within("servers.cold_from", servers.WarmUpStart, 0.01, 1)
-	say(servers.WarmUpTime >= 0, "servers.warm_after", "is less than nought")
-	within("servers.errors", servers.ErrorRate, 0, 1)
-	choice := func(path, got string, words ...string) {
-		for _, word := range words {
-			if got == word {
-				return
-			}
-		}
-		say(false, path, "is %q; one of %q is allowed", got, words)
+	c.check(share > 0, "lane", "no lane has a share of the tasks")
+	plans, share := map[string]bool{}, 0.0
+	for i := range s.Plans {
+		s.Plans[i].check(c, i, plans)
+		share += s.Plans[i].Share
 	}
-	choice("servers.stop", servers.Cancellation, "none", "queued", "all")
-
-	names := map[string]bool{}
-	share := 0.0
-	for i, l := range s.Classes {
-		at := func(key string) string { return fmt.Sprintf("lane.%d.%s", i, key) }
-		say(l.Name != "" && !names[l.Name], at("name"), "is %q; each lane has a name of its own", l.Name)
-		names[l.Name] = true
-		share += l.Share
-		say(l.Share >= 0, at("share"), "is %g; nought at least", l.Share)
-		positive(at("work"), l.Work)
-		choice(at("spread"), l.Distribution, "exponential", "lognormal", "fixed")
-		say(l.Distribution != "lognormal" || l.CV > 0, at("cv"), "is %g; a lognormal needs one of more than nought", l.CV)
-		say(l.Distribution == "lognormal" || l.CV == 0, at("cv"), "is for a lognormal alone, and the spread is %q", l.Distribution)
-		positive(at("soft_limit"), l.LatencyObjective)
-		say(l.Timeout >= l.LatencyObjective, at("patience"),
-			"is %v, less than the soft limit of %v", l.Timeout.D(), l.LatencyObjective.D())
-		say(l.Weight > 0, at("gain"), "is %g; more than nought is allowed", l.Weight)
-		within(at("late"), l.LateFraction, 0, 1)
-		choice(at("effect"), l.Effect, "pure", "receipted", "effectful")
-		if l.Effect == "receipted" {
-			choice(at("group"), l.Group, "all", "hall", "cell")
-			positive(at("window"), l.DedupWindow)
-		} else {
-			say(l.Group == "", at("group"), "is for a receipted lane alone, and this one is %s", l.Effect)
-		}
+	c.check(share > 0, "plan", "no plan has a share of the tasks")
+	s.checkLoad(c)
+	s.checkEnvironment(c)
+	for i := range s.Faults {
+		s.checkFault(c, i, classes, plans)
 	}
-	say(share > 0, "lane", "no lane has a share of the tasks")
-	share = 0
-	plans := map[string]bool{}
-	for i, p := range s.Plans {
-		at := func(key string) string { return fmt.Sprintf("plan.%d.%s", i, key) }
-		say(p.Name != "" && !plans[p.Name], at("name"), "is %q; each plan has a name of its own", p.Name)
-		plans[p.Name] = true
-		share += p.Share
-		say(p.Share >= 0, at("share"), "is %g; nought at least", p.Share)
-		within(at("customers"), float64(p.Customers), 1, 1e7)
-		say(p.Rate >= 0, at("rate"), "is %g; nought at least", p.Rate)
-		say(p.Rate == 0 && p.Burst == 0 || p.Rate > 0 && p.Burst > 0, at("burst"),
-			"is %g with a rate of %g; both, or neither", p.Burst, p.Rate)
-		say(p.CeilingRate == 0 || p.CeilingRate >= p.Rate, at("ceiling_rate"),
-			"is %g, less than the rate of %g", p.CeilingRate, p.Rate)
-		say(p.CeilingRate == 0 || p.CeilingBurst > 0, at("ceiling_burst"), "is missing beside a ceiling_rate")
-		say(p.OverQuotaCost >= 0, at("over_cost"), "is %g; nought at least", p.OverQuotaCost)
-		say(p.GatewayShare[0] >= 0 && p.GatewayShare[0] <= p.GatewayShare[1] && p.GatewayShare[1] <= 1, at("spread"),
-			"is %v; two parts of the gateways, the first no more than the second, are allowed", p.GatewayShare)
+	return c.problems
+}
+
+func (s *Servers) check(c *checker) {
+	c.within("servers.count", float64(s.Count), 1, 100000)
+	c.within("servers.cores", float64(s.Cores), 1, 1024)
+	c.within("servers.queue", float64(s.QueueLimit), 0, 1e6)
+	c.check(s.Speed[0] > 0 && s.Speed[0] <= s.Speed[1], "servers.speed",
+		"is %v; the first is more than nought and no more than the second", s.Speed)
+	c.within("servers.cell", float64(s.RackSize), 1, 1e6)
+	c.within("servers.connections", float64(s.MaxConnections), 1, 1e6)
+	c.positive("servers.idle", s.IdleTimeout)
+	c.notNegative("servers.handshake", s.HandshakeWork)
+	c.within("servers.cold_from", s.WarmUpStart, 0.01, 1)
+	c.notNegative("servers.warm_after", s.WarmUpTime)
+	c.within("servers.errors", s.ErrorRate, 0, 1)
+	c.oneOf("servers.stop", s.Cancellation, CancelNone, CancelQueued, CancelAll)
+}
+
+// check checks the class at an index, and adds its name to those before it.
+func (l *TrafficClass) check(c *checker, index int, names map[string]bool) {
+	key := func(name string) string { return fmt.Sprintf("lane.%d.%s", index, name) }
+	c.check(l.Name != "" && !names[l.Name], key("name"), "is %q; each lane has a name of its own", l.Name)
+	names[l.Name] = true
+	c.zeroOrMore(key("share"), l.Share)
+	c.positive(key("work"), l.Work)
+	c.oneOf(key("spread"), l.Distribution, DistributionExponential, DistributionLognormal, DistributionFixed)
+	isLognormal := l.Distribution == DistributionLognormal
+	c.check(!isLognormal || l.CV > 0, key("cv"), "is %g; a lognormal needs one of more than nought", l.CV)
+	c.check(isLognormal || l.CV == 0, key("cv"), "is for a lognormal alone, and the spread is %q", l.Distribution)
+	c.positive(key("soft_limit"), l.LatencyObjective)
+	c.check(l.Timeout >= l.LatencyObjective, key("patience"),
+		"is %v, less than the soft limit of %v", l.Timeout.D(), l.LatencyObjective.D())
+	c.moreThanZero(key("gain"), l.Weight)
+	c.within(key("late"), l.LateFraction, 0, 1)
+	c.oneOf(key("effect"), l.Effect, EffectIdempotent, EffectKeyed, EffectNonIdempotent)
+	if l.Effect == EffectKeyed {
+		c.oneOf(key("group"), l.Group, GroupAll, GroupZone, GroupRack)
+		c.positive(key("window"), l.DedupWindow)
+	} else {
+		c.check(l.Group == "", key("group"), "is for a receipted lane alone, and this one is %s", l.Effect)
 	}
-	say(share > 0, "plan", "no plan has a share of the tasks")
-	say(s.Load.Rate > 0, "load.rate", "is %g; more than nought is allowed", s.Load.Rate)
-	within("load.skew", s.Load.Skew, 0, 3)
-	say(s.Load.MeanUnits > 0, "load.units", "is %g; more than nought is allowed", s.Load.MeanUnits)
-	within("load.told", s.Load.DeclaredDeviation, 0, 2)
-	say(s.Load.GatewayShare[0] > 0 && s.Load.GatewayShare[0] <= s.Load.GatewayShare[1] && s.Load.GatewayShare[1] <= 1, "load.spread",
-		"is %v; two parts of the gateways, the first no more than the second, are allowed", s.Load.GatewayShare)
-	within("load.once", s.Load.OneTimeShare, 0, 1)
-	within("load.swing", s.Load.Swing, 0, 1)
-	within("clients.retries", float64(s.Clients.Retries), 0, 10)
-	within("clients.honour", s.Clients.RetryAfterShare, 0, 1)
-	say(s.Clients.Backoff >= 0, "clients.backoff", "is less than nought")
-	say(s.Counter.Rate >= 0, "counter.rate", "is %g; nought, for none, or more", s.Counter.Rate)
+}
+
+// check checks the plan at an index, and adds its name to those before it.
+func (p *Plan) check(c *checker, index int, names map[string]bool) {
+	key := func(name string) string { return fmt.Sprintf("plan.%d.%s", index, name) }
+	c.check(p.Name != "" && !names[p.Name], key("name"), "is %q; each plan has a name of its own", p.Name)
+	names[p.Name] = true
+	c.zeroOrMore(key("share"), p.Share)
+	c.within(key("customers"), float64(p.Customers), 1, 1e7)
+	c.zeroOrMore(key("rate"), p.Rate)
+	c.check(p.Rate == 0 && p.Burst == 0 || p.Rate > 0 && p.Burst > 0, key("burst"),
+		"is %g with a rate of %g; both, or neither", p.Burst, p.Rate)
+	c.check(p.CeilingRate == 0 || p.CeilingRate >= p.Rate, key("ceiling_rate"),
+		"is %g, less than the rate of %g", p.CeilingRate, p.Rate)
+	c.check(p.CeilingRate == 0 || p.CeilingBurst > 0, key("ceiling_burst"), "is missing beside a ceiling_rate")
+	c.zeroOrMore(key("over_cost"), p.OverQuotaCost)
+	c.gatewayShare(p.GatewayShare[0] >= 0, key("spread"), p.GatewayShare)
+}
+
+// checkLoad checks the load and the clients.
+func (s *Scenario) checkLoad(c *checker) {
+	c.moreThanZero("load.rate", s.Load.Rate)
+	c.within("load.skew", s.Load.Skew, 0, 3)
+	c.moreThanZero("load.units", s.Load.MeanUnits)
+	c.within("load.told", s.Load.DeclaredDeviation, 0, 2)
+	c.gatewayShare(s.Load.GatewayShare[0] > 0, "load.spread", s.Load.GatewayShare)
+	c.within("load.once", s.Load.OneTimeShare, 0, 1)
+	c.within("load.swing", s.Load.Swing, 0, 1)
+	c.within("clients.retries", float64(s.Clients.Retries), 0, 10)
+	c.within("clients.honour", s.Clients.RetryAfterShare, 0, 1)
+	c.notNegative("clients.backoff", s.Clients.Backoff)
+}
+
+// checkEnvironment checks the counter, discovery, the network and the numbers of the rules.
+func (s *Scenario) checkEnvironment(c *checker) {
+	c.check(s.Counter.Rate >= 0, "counter.rate", "is %g; nought, for none, or more", s.Counter.Rate)
 	if s.Counter.Rate > 0 {
-		positive("counter.limit", s.Counter.Timeout)
+		c.positive("counter.limit", s.Counter.Timeout)
 	}
-	say(s.Discovery.Lag[0] >= 0 && s.Discovery.Lag[0] <= s.Discovery.Lag[1], "discovery.lag",
-		"the first is no more than the second")
-	positive("network.connect", s.Network.ConnectTimeout)
-	within("network.jitter", s.Network.Jitter, 0, 1)
-	say(s.Network.CrossRegion == 0 || s.Network.CrossRegion >= s.Network.CrossZone, "network.far", "is less than network.cross")
-	say(s.Network.SameZone >= 0 && s.Network.CrossZone >= s.Network.SameZone, "network.cross", "is less than network.same")
-	say(s.Rules.OverloadFactor > 1, "rules.fall_multiple", "is %g; more than 1 is allowed", s.Rules.OverloadFactor)
-	positive("rules.tip_after", s.Rules.OverloadSpan)
-
-	for i, t := range s.Faults {
-		at := func(key string) string { return fmt.Sprintf("trouble.%d.%s", i, key) }
-		k, known := FaultKinds[t.Kind]
-		say(known, at("kind"), "is %q; known are %s", t.Kind, strings.Join(FaultKindNames(), ", "))
-		if !known {
-			continue
-		}
-		say(t.Start >= 0 && t.Start < s.Length, at("at"), "is %v; within the length of %v is allowed", t.Start.D(), s.Length.D())
-		say(t.Duration >= 0, at("for"), "is less than nought")
-		within(at("part"), t.Fraction, 0, 1)
-		say(!k.NeedsCounter || s.Counter.Rate > 0, at("kind"), "is %q, and this world has no counter", t.Kind)
-		say(!k.NeedsZones || s.Gateways.Zones > 1, at("kind"), "is %q, and this world has one hall", t.Kind)
-		say(t.Class == "" || names[t.Class], at("lane"), "is %q, which is no lane", t.Class)
-		say(t.Plan == "" || plans[t.Plan], at("plan"), "is %q, which is no plan", t.Plan)
-		within(at("hall"), float64(t.Zone), 0, float64(s.Gateways.Zones-1))
-		within(at("to"), float64(t.OtherZone), 0, float64(s.Gateways.Zones-1))
-		say(!k.IsLink || t.Zone != t.OtherZone, at("to"), "is the same hall, %d; a link has two ends", t.OtherZone)
+	lag, network := s.Discovery.Lag, &s.Network
+	c.check(lag[0] >= 0 && lag[0] <= lag[1], "discovery.lag", "the first is no more than the second")
+	c.positive("network.connect", network.ConnectTimeout)
+	c.within("network.jitter", network.Jitter, 0, 1)
+	c.check(network.CrossRegion == 0 || network.CrossRegion >= network.CrossZone, "network.far", "is less than network.cross")
+	c.check(network.SameZone >= 0 && network.CrossZone >= network.SameZone, "network.cross", "is less than network.same")
+	c.check(s.Rules.OverloadFactor > 1, "rules.fall_multiple", "is %g; more than 1 is allowed", s.Rules.OverloadFactor)
+	c.positive("rules.tip_after", s.Rules.OverloadSpan)
+}
+
+// checkFault checks the fault at an index.
+func (s *Scenario) checkFault(c *checker, index int, classes, plans map[string]bool) {
+	f, key := &s.Faults[index], func(name string) string { return fmt.Sprintf("trouble.%d.%s", index, name) }
+	kind, known := FaultKinds[f.Kind]
+	c.check(known, key("kind"), "is %q; known are %s", f.Kind, strings.Join(FaultKindNames(), ", "))
+	if !known {
+		return
 	}
-	return all
+	c.check(f.Start >= 0 && f.Start < s.Length, key("at"), "is %v; within the length of %v is allowed", f.Start.D(), s.Length.D())
+	c.notNegative(key("for"), f.Duration)
+	c.within(key("part"), f.Fraction, 0, 1)
+	c.check(!kind.NeedsCounter || s.Counter.Rate > 0, key("kind"), "is %q, and this world has no counter", f.Kind)
+	c.check(!kind.NeedsZones || s.Gateways.Zones > 1, key("kind"), "is %q, and this world has one hall", f.Kind)
+	c.check(f.Class == "" || classes[f.Class], key("lane"), "is %q, which is no lane", f.Class)
+	c.check(f.Plan == "" || plans[f.Plan], key("plan"), "is %q, which is no plan", f.Plan)
+	c.within(key("hall"), float64(f.Zone), 0, float64(s.Gateways.Zones-1))
+	c.within(key("to"), float64(f.OtherZone), 0, float64(s.Gateways.Zones-1))
+	c.check(!kind.IsLink || f.Zone != f.OtherZone, key("to"), "is the same hall, %d; a link has two ends", f.OtherZone)
 }
--- a/internal/lab/scenario/coordination.go
+++ b/internal/lab/scenario/coordination.go
@@ -1,8 +1,6 @@
 package scenario
 
 import (
-	"math"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -10,100 +8,93 @@
 	"harrierhoist/internal/failover"
 )
 
-// Common says whether gateways decide in common where tasks are pushed, and what the processes between them are like.
+// Coordination says whether gateways decide together where attempts go, and what the processes between them are like.
 type Coordination struct {
-	// How is "none", as without any of it; "own", the decider on each gateway's own evidence alone; or "common".
 	Mode             string  `toml:"how"`
-	Voters           int     `toml:"voters"`     // in halls in turn
+	Voters           int     `toml:"voters"`     // in the zones in turn
 	DigestInterval   Span    `toml:"digest"`     // between two digests of a gateway
 	DecisionInterval Span    `toml:"decide"`     // between two decisions of the leader
-	CommitTime       [2]Span `toml:"commit"`     // from a decision until it is written, drawn
+	CommitTime       [2]Span `toml:"commit"`     // from a decision until it is written, drawn between the two
 	Lease            Span    `toml:"lease"`      // on a table, from when the read was sent
-	ReadWait         Span    `toml:"wait"`       // that a read waits for news
-	ElectionTime     [2]Span `toml:"leaderless"` // from the loss of a leader to the next, drawn
+	ReadWait         Span    `toml:"wait"`       // of a read, for a later table
+	ElectionTime     [2]Span `toml:"leaderless"` // from the loss of a leader to the next, drawn between the two
 	MessageLoss      float64 `toml:"loss"`       // part of the messages between processes that are lost
 }
 
-// The ways to decide where tasks are pushed.
+// Modes of coordination.
 const (
-	CoordinationNone   = "none"
-	CoordinationLocal  = "own"
-	CoordinationShared = "common"
+	CoordinationNone   = "none"   // the gateways share nothing
+	CoordinationLocal  = "own"    // each gateway runs the controller of failover on its own observations
+	CoordinationShared = "common" // the leader of the voters runs it
 )
 
-// commonUsual is off; its times are those of the program.
+// minInterval is the shortest interval, lease or wait.
+const minInterval = Span(time.Millisecond)
+
+// defaultCoordination is off; its times are those of the gateway.
 func defaultCoordination() Coordination {
-	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
 	return Coordination{
-		Mode: CoordinationNone, Voters: 3, DigestInterval: ms(200), DecisionInterval: ms(100), CommitTime: [2]Span{ms(2), ms(20)}, Lease: ms(2000),
-		ReadWait: ms(500), ElectionTime: [2]Span{ms(300), ms(900)},
+		Mode: CoordinationNone, Voters: 3, DigestInterval: ms(200), DecisionInterval: ms(100),
+		CommitTime: [2]Span{ms(2), ms(20)}, Lease: ms(2000), ReadWait: ms(500), ElectionTime: [2]Span{ms(300), ms(900)},
 	}
 }
 
-// wrong checks what the file says of it.
-func (c *Coordination) check(say func(good bool, path, format string, args ...any)) {
-	say(slices.Contains([]string{CoordinationNone, CoordinationLocal, CoordinationShared}, c.Mode), "common.how", "is %q; one of %q is allowed", c.Mode,
-		[]string{CoordinationNone, CoordinationLocal, CoordinationShared})
-	say(c.Voters == 1 || c.Voters == 3 || c.Voters == 5, "common.voters", "is %d; 1, 3 or 5 is allowed", c.Voters)
-	for key, s := range map[string]Span{"digest": c.DigestInterval, "decide": c.DecisionInterval, "lease": c.Lease, "wait": c.ReadWait} {
-		say(s.D() >= time.Millisecond, "common."+key, "is %v; 1ms at least is allowed", s.D())
+func (o *Coordination) check(c *checker) {
+	c.oneOf("common.how", o.Mode, CoordinationNone, CoordinationLocal, CoordinationShared)
+	c.check(o.Voters == 1 || o.Voters == 3 || o.Voters == 5, "common.voters", "is %d; 1, 3 or 5 is allowed", o.Voters)
+	for _, interval := range []struct {
+		key string
+		is  Span
+	}{
+		{"digest", o.DigestInterval},
+		{"decide", o.DecisionInterval},
+		{"lease", o.Lease},
+		{"wait", o.ReadWait},
+	} {
+		c.check(interval.is >= minInterval, "common."+interval.key, "is %v; 1ms at least is allowed", interval.is.D())
 	}
-	for key, s := range map[string][2]Span{"commit": c.CommitTime, "leaderless": c.ElectionTime} {
-		say(s[0] >= 0 && s[0] <= s[1], "common."+key, "is %v; the first is no more than the second", s)
+	for _, bounds := range []struct {
+		key string
+		are [2]Span
+	}{{"commit", o.CommitTime}, {"leaderless", o.ElectionTime}} {
+		c.check(bounds.are[0] >= 0 && bounds.are[0] <= bounds.are[1], "common."+bounds.key,
+			"is %v; the first is no more than the second", bounds.are)
 	}
-	say(c.MessageLoss >= 0 && c.MessageLoss < 1, "common.loss", "is %g; from 0 to less than 1 is allowed", c.MessageLoss)
+	c.check(o.MessageLoss >= 0 && o.MessageLoss < 1, "common.loss", "is %g; from 0 to less than 1 is allowed", o.MessageLoss)
 }
 
-// HallName is a hall's name where halls go by names.
+// ZoneName is the name of a zone where zones have names.
 func ZoneName(n int) string { return "hall-" + strconv.Itoa(n) }
 
-// Terms are those of failover: what the file says, with this world's halls and what its servers bear.
+// FailoverSettings are the settings of failover: what the file says, with the scenario's regions and its servers' capacity.
 func (s *Scenario) FailoverSettings() failover.Settings {
-	t := s.Failover
-	t.Enabled = true
-	by := map[int][]string{}
-	for hall, region := range s.ZoneRegions() {
-		by[region] = append(by[region], ZoneName(hall))
+	settings := s.Failover
+	settings.Enabled = true
+	zonesOf := map[int][]string{}
+	for zone, region := range s.ZoneRegions() {
+		zonesOf[region] = append(zonesOf[region], ZoneName(zone))
 	}
 	for region := range max(len(s.Gateways.Regions), 1) {
-		if len(by[region]) > 0 {
-			t.Regions = append(t.Regions, failover.Region{Name: "region-" + strconv.Itoa(region), Zones: by[region]})
+		if zones := zonesOf[region]; len(zones) > 0 {
+			settings.Regions = append(settings.Regions, failover.Region{Name: "region-" + strconv.Itoa(region), Zones: zones})
 		}
 	}
-	if t.Capacity == 0 {
-		t.Capacity = float64(s.Servers.Cores) / s.MeanWork() * s.meanUnits()
-	}
-	return t
-}
-
-// MeanWork is the mean work of a task, in seconds on a core of speed 1.
-func (s *Scenario) MeanWork() float64 {
-	sum, share := 0.0, 0.0
-	for _, l := range s.Classes {
-		sum, share = sum+l.Share*l.Work.D().Seconds(), share+l.Share
-	}
-	return sum / share
-}
-
-// meanUnits is the mean of a task's units: exponential ones, rounded, from 1 to three times the mean.
-func (s *Scenario) meanUnits() float64 {
-	mean := 1.0
-	for k := 2.0; k <= 3*s.Load.MeanUnits; k++ {
-		mean += math.Exp(-(k - 0.5) / s.Load.MeanUnits)
+	if settings.Capacity == 0 {
+		settings.Capacity = float64(s.Servers.Cores) / s.meanWork() * s.meanUnits()
 	}
-	return mean
+	return settings
 }
 
-// failoverWrong tells what is wrong with the terms of failover.
-func (s *Scenario) checkFailover(say func(good bool, path, format string, args ...any)) {
-	say(len(s.Failover.Regions) == 0, "failover.regions", "is not for a world; gateways.regions is")
+// checkFailover checks the settings of failover as they follow from the scenario.
+func (s *Scenario) checkFailover(c *checker) {
+	c.check(len(s.Failover.Regions) == 0, "failover.regions", "is not for a world; gateways.regions is")
 	if len(s.Classes) == 0 || s.Gateways.Zones > maxZones || s.Gateways.Zones < 1 {
 		return
 	}
 	for _, err := range s.FailoverSettings().Check() {
-		path, what, _ := strings.Cut(err.Error(), ": ")
-		if s.Failover.Capacity != 0 || path != "failover.bears" { // what lanes are wrong for is told of the lanes
-			say(false, path, "%s", what)
+		key, message, _ := strings.Cut(err.Error(), ": ")
+		if s.Failover.Capacity != 0 || key != "failover.bears" { // what is wrong by the classes is reported of the classes
+			c.check(false, key, "%s", message)
 		}
 	}
 }
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -1,10 +1,11 @@
 package scenario
 
-import (
-	"time"
-)
+import "time"
 
-// Default is a small sound world.
+// ms makes a span of milliseconds.
+func ms(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
+
+// Default is a small valid scenario, without classes and plans.
 func Default() Scenario {
 	return Scenario{
 		Coordination: defaultCoordination(),
@@ -13,7 +14,7 @@
 		Servers: Servers{
 			Count: 12, Cores: 2, QueueLimit: 40, Speed: [2]float64{0.9, 1.1}, RackSize: 6, MaxConnections: 1200,
 			IdleTimeout: Span(30 * time.Second), HandshakeWork: Span(time.Millisecond), WarmUpStart: 0.25,
-			WarmUpTime: Span(12 * time.Second), Cancellation: "queued",
+			WarmUpTime: Span(12 * time.Second), Cancellation: CancelQueued,
 		},
 		Load: Load{Rate: 150, MeanUnits: 2, GatewayShare: [2]float64{0.5, 1}},
 		Clients: Clients{
@@ -36,25 +37,25 @@
 	}
 }
 
-// lanesUsual and plansUsual stand where a file has none.
+// defaultClasses are the classes of a file that has none.
 func defaultClasses() []TrafficClass {
-	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
 	return []TrafficClass{
 		{
-			Name: "availability", Share: 0.5, Work: ms(60), Distribution: "exponential", LatencyObjective: ms(600),
-			Timeout: ms(2500), Weight: 1, Effect: "pure",
+			Name: "availability", Share: 0.5, Work: ms(60), Distribution: DistributionExponential, LatencyObjective: ms(600),
+			Timeout: ms(2500), Weight: 1, Effect: EffectIdempotent,
 		},
 		{
-			Name: "desk-hold", Share: 0.3, Work: ms(50), Distribution: "exponential", LatencyObjective: ms(400), Timeout: ms(1500), Weight: 3,
-			Effect: "receipted", Group: "cell", DedupWindow: ms(1000),
+			Name: "desk-hold", Share: 0.3, Work: ms(50), Distribution: DistributionExponential, LatencyObjective: ms(400),
+			Timeout: ms(1500), Weight: 3, Effect: EffectKeyed, Group: GroupRack, DedupWindow: ms(1000),
 		},
 		{
-			Name: "paid-confirm", Share: 0.2, Work: ms(60), Distribution: "lognormal", CV: 1,
-			LatencyObjective: ms(500), Timeout: ms(1200), Weight: 3, Effect: "effectful",
+			Name: "paid-confirm", Share: 0.2, Work: ms(60), Distribution: DistributionLognormal, CV: 1,
+			LatencyObjective: ms(500), Timeout: ms(1200), Weight: 3, Effect: EffectNonIdempotent,
 		},
 	}
 }
 
+// defaultPlans are the plans of a file that has none.
 func defaultPlans() []Plan {
 	return []Plan{
 		{Name: "start", Share: 0.3, Customers: 100, Rate: 2, Burst: 12, Price: 0.6, OverQuotaCost: 1},
@@ -65,3 +66,30 @@
 		{Name: "enterprise", Share: 0.4, Customers: 8, Rate: 40, Burst: 80, Price: 1.6, OverQuotaCost: 0.6},
 	}
 }
+
+// setDefaults fills in what a file left out.
+func (s *Scenario) setDefaults() {
+	if len(s.Classes) == 0 {
+		s.Classes = defaultClasses()
+	}
+	if len(s.Plans) == 0 {
+		s.Plans = defaultPlans()
+	}
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		if class.Distribution == "" {
+			class.Distribution = DistributionExponential
+		}
+		if class.Effect == "" {
+			class.Effect = EffectIdempotent
+		}
+		if class.Weight == 0 {
+			class.Weight = 1
+		}
+	}
+	for i := range s.Plans {
+		if plan := &s.Plans[i]; plan.Price == 0 {
+			plan.Price = 1
+		}
+	}
+}
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"fmt"
 	"os"
-	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -35,12 +34,8 @@
 
 // TestSettings_areStable holds the settings that follow from the project's scenarios.
 func TestSettings_areStable(t *testing.T) {
-	files, err := filepath.Glob("../../../scenarios/worlds/*.toml")
-	if err != nil || len(files) < 6 {
-		t.Fatalf("%d scenarios found: %v", len(files), err)
-	}
 	sum := sha256.New()
-	for _, file := range files {
+	for _, file := range projectScenarios(t) {
 		s, err := Read(file)
 		if err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/lab/scenario/load.go
@@ -0,0 +1,28 @@
+package scenario
+
+import "math"
+
+// maxUnitsOverMean bounds the units of a request, as a multiple of their mean.
+const maxUnitsOverMean = 3
+
+// meanWork is the mean work of a request, in seconds on a core of speed 1.
+func (s *Scenario) meanWork() float64 {
+	sum, share := 0.0, 0.0
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		sum, share = sum+class.Share*class.Work.D().Seconds(), share+class.Share
+	}
+	return sum / share
+}
+
+// MaxUnits is the most units of a request.
+func (l *Load) MaxUnits() float64 { return maxUnitsOverMean * l.MeanUnits }
+
+// meanUnits is the mean of a request's units: exponential ones, rounded, from 1 to MaxUnits.
+func (s *Scenario) meanUnits() float64 {
+	mean := 1.0
+	for k := 2.0; k <= s.Load.MaxUnits(); k++ {
+		mean += math.Exp(-(k - 0.5) / s.Load.MeanUnits)
+	}
+	return mean
+}
--- a/internal/lab/scenario/policy_settings.go
+++ b/internal/lab/scenario/policy_settings.go
@@ -6,29 +6,48 @@
 	"harrierhoist/policy"
 )
 
-// Deployment is what a gateway of this world is handed at its start.
-func (s *Scenario) PolicySettings(me int) policy.Settings {
-	d := policy.Settings{
-		Gateways: s.Gateways.Count, MyIndex: me, MyZone: me % s.Gateways.Zones, Zones: s.Gateways.Zones,
-		ClockTick: 2 * time.Millisecond, HasCounter: s.Counter.Rate > 0, CountTimeout: s.Counter.Timeout.D(), ReportsUnits: s.Load.DeclaredDeviation > 0,
-		MaxUnits: 3 * s.Load.MeanUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		MaxAttempts: s.Gateways.MaxAttempts, ArrivalSlack: s.Rules.AnswerSlack.D(), DrainGrace: s.Rules.DrainGrace.D(),
-		WarmUpStart: s.Servers.WarmUpStart, WarmUpTime: s.Servers.WarmUpTime.D(), OverloadFactor: s.Rules.OverloadFactor,
-		OverloadSpan: s.Rules.OverloadSpan.D(),
+const (
+	// clockTick is the resolution of the gateways' clocks.
+	clockTick = 2 * time.Millisecond
+	// maxRetryAfter is the longest Retry-After of an answer.
+	maxRetryAfter = 2 * time.Second
+)
+
+// effects and groups are the policy's values for the words of the file.
+var (
+	effects = map[string]policy.Effect{
+		EffectIdempotent: policy.Idempotent, EffectKeyed: policy.Keyed, EffectNonIdempotent: policy.NonIdempotent,
+	}
+	groups = map[string]policy.Group{
+		GroupAll: policy.GroupAll, GroupZone: policy.GroupZone, GroupRack: policy.GroupRack,
+	}
+)
+
+// PolicySettings are the settings of the policy on the gateway at an index.
+func (s *Scenario) PolicySettings(index int) policy.Settings {
+	settings := policy.Settings{
+		Gateways: s.Gateways.Count, MyIndex: index, MyZone: index % s.Gateways.Zones, Zones: s.Gateways.Zones,
+		ClockTick: clockTick, HasCounter: s.Counter.Rate > 0, CountTimeout: s.Counter.Timeout.D(),
+		ReportsUnits: s.Load.DeclaredDeviation > 0, MaxUnits: s.Load.MaxUnits(), CanCancel: true, RetryAfter: true,
+		MaxRetryAfter: maxRetryAfter, MaxAttempts: s.Gateways.MaxAttempts, ArrivalSlack: s.Rules.AnswerSlack.D(),
+		DrainGrace: s.Rules.DrainGrace.D(), WarmUpStart: s.Servers.WarmUpStart, WarmUpTime: s.Servers.WarmUpTime.D(),
+		OverloadFactor: s.Rules.OverloadFactor, OverloadSpan: s.Rules.OverloadSpan.D(),
 	}
-	effects := map[string]policy.Effect{"pure": policy.Idempotent, "receipted": policy.Keyed, "effectful": policy.NonIdempotent}
-	groups := map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupRack}
-	for _, l := range s.Classes {
-		d.Classes = append(d.Classes, policy.TrafficClass{
-			Name: l.Name, LatencyObjective: l.LatencyObjective.D(), Timeout: l.Timeout.D(),
-			Weight: l.Weight, LateFraction: l.LateFraction, Effect: effects[l.Effect], Group: groups[l.Group], DedupWindow: l.DedupWindow.D(),
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		settings.Classes = append(settings.Classes, policy.TrafficClass{
+			Name: class.Name, LatencyObjective: class.LatencyObjective.D(), Timeout: class.Timeout.D(), Weight: class.Weight,
+			LateFraction: class.LateFraction, Effect: effects[class.Effect], Group: groups[class.Group],
+			DedupWindow: class.DedupWindow.D(),
 		})
 	}
-	for _, p := range s.Plans {
-		d.Plans = append(d.Plans, policy.Plan{
-			Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverQuotaCost: p.OverQuotaCost,
+	for i := range s.Plans {
+		plan := &s.Plans[i]
+		settings.Plans = append(settings.Plans, policy.Plan{
+			Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst, CeilingRate: plan.CeilingRate,
+			CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack, Price: plan.Price,
+			OverQuotaCost: plan.OverQuotaCost,
 		})
 	}
-	return d
+	return settings
 }
--- a/internal/lab/scenario/regions.go
+++ b/internal/lab/scenario/regions.go
@@ -1,37 +1,36 @@
 package scenario
 
-// hallsMost is the most halls of a world: more than any installation has.
+// maxZones is the most zones of a scenario: more than any installation has.
 const maxZones = 64
 
-// RegionOf gives the region of each hall, from 0. A hall that the file names in no region, as it names none, is of
-// region 0.
+// ZoneRegions returns the region of each zone, from 0. A zone that the file names in no region is in region 0.
 func (s *Scenario) ZoneRegions() []int {
-	of := make([]int, s.Gateways.Zones)
-	for region, halls := range s.Gateways.Regions {
-		for _, h := range halls {
-			if h >= 0 && h < len(of) { // a world made smaller may have fewer halls
-				of[h] = region
+	regionOf := make([]int, s.Gateways.Zones)
+	for region, zones := range s.Gateways.Regions {
+		for _, zone := range zones {
+			if zone >= 0 && zone < len(regionOf) { // a scenario scaled down may have fewer zones
+				regionOf[zone] = region
 			}
 		}
 	}
-	return of
+	return regionOf
 }
 
-// regionsWrong tells what is wrong with the regions: each hall stands in one, where there are any.
-func (s *Scenario) checkRegions(say func(good bool, path, format string, args ...any)) {
+// checkRegions checks that each zone is in one region, where there are any.
+func (s *Scenario) checkRegions(c *checker) {
 	if len(s.Gateways.Regions) == 0 || s.Gateways.Zones > maxZones {
 		return
 	}
+	const key = "gateways.regions"
 	seen := map[int]int{}
-	for _, halls := range s.Gateways.Regions {
-		for _, h := range halls {
-			seen[h]++
-			say(h >= 0 && h < s.Gateways.Zones, "gateways.regions", "names hall %d; from 0 to %d is allowed", h,
-				s.Gateways.Zones-1)
-			say(seen[h] == 1, "gateways.regions", "names hall %d twice", h)
+	for _, zones := range s.Gateways.Regions {
+		for _, zone := range zones {
+			seen[zone]++
+			c.check(zone >= 0 && zone < s.Gateways.Zones, key, "names hall %d; from 0 to %d is allowed", zone, s.Gateways.Zones-1)
+			c.check(seen[zone] == 1, key, "names hall %d twice", zone)
 		}
 	}
-	for h := range s.Gateways.Zones {
-		say(seen[h] > 0, "gateways.regions", "leaves out hall %d", h)
+	for zone := range s.Gateways.Zones {
+		c.check(seen[zone] > 0, key, "leaves out hall %d", zone)
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package world reads the description of a world that the laboratory plays: gateways, servers, lanes, plans,
-// customers, the counter, discovery, the network, the rules, and the troubles that strike. The file is TOML and
-// strict: a key that is not known, or that contradicts another, is an error with its line and column, and all
-// errors are told at once. docs/lab.md explains every key.
+// Package scenario reads the description of a scenario that the laboratory runs: gateways, servers, traffic classes, plans,
+// customers, the counter, discovery, the network, the rules, and the faults that strike. The file is TOML and strict: a key
+// that is not known, or that contradicts another, is an error with its line and column, and all errors are reported at once.
+// docs/lab.md explains every key.
 package scenario
 
 import (
@@ -30,11 +30,11 @@
 // D is the span as a duration.
 func (s Span) D() time.Duration { return time.Duration(s) }
 
-// World is a whole file, with what it leaves out filled in.
+// Scenario is a complete file, with defaults for what it leaves out.
 type Scenario struct {
 	Name   string `toml:"name"`
-	Seed   uint64 `toml:"seed"`   // of all chance; a run may override it
-	Length Span   `toml:"length"` // in which tasks are offered; answers are waited for after it
+	Seed   uint64 `toml:"seed"`   // of all random numbers; a run may override it
+	Length Span   `toml:"length"` // in which requests are offered; a run goes on until they have ended
 
 	Gateways     Gateways       `toml:"gateways"`
 	Servers      Servers        `toml:"servers"`
@@ -47,7 +47,7 @@
 	Network      Network        `toml:"network"`
 	Rules        Rules          `toml:"rules"`
 	Coordination Coordination   `toml:"common"`
-	// Failover names no regions, as they are the gateways'; bears, at 0, is what servers are made to.
+	// Failover has no regions, as those are the gateways'; its capacity, at 0, is what the servers are made to do.
 	Failover failover.Settings `toml:"failover"`
 	Faults   []Fault           `toml:"trouble"`
 }
@@ -56,50 +56,78 @@
 type Gateways struct {
 	Count int `toml:"count"`
 	Zones int `toml:"halls"`
-	// Regions are the halls of each region; none: all halls are of one.
+	// Regions are the zones of each region; none: all zones are in one.
 	Regions [][]int `toml:"regions"`
-	// Pool has a gateway push to the part of the servers that its pushes can keep open, as on sockets.
+	// Subset has a gateway use the part of the servers to which its attempts can keep connections open, as on sockets.
 	Subset bool `toml:"pool"`
-	// Pushes is the most pushes of a task.
+	// MaxAttempts is the most attempts of a request.
 	MaxAttempts int `toml:"pushes"`
 }
 
-// Servers are the back end. Each has cores that work on one task at a time and a queue before them.
+// Servers are the back end. Each has cores that work on one request at a time, and a queue in front of them.
 type Servers struct {
 	Count          int        `toml:"count"`
 	Cores          int        `toml:"cores"`
-	QueueLimit     int        `toml:"queue"` // tasks that wait; more are turned away
-	Speed          [2]float64 `toml:"speed"` // drawn for each
-	RackSize       int        `toml:"cell"`  // servers in a cell
+	QueueLimit     int        `toml:"queue"` // queued requests; more are rejected
+	Speed          [2]float64 `toml:"speed"` // drawn for each server
+	RackSize       int        `toml:"cell"`  // servers in a rack
 	MaxConnections int        `toml:"connections"`
-	IdleTimeout    Span       `toml:"idle"`      // a connection that rests so long is closed
+	IdleTimeout    Span       `toml:"idle"`      // a connection that is idle so long is closed
 	HandshakeWork  Span       `toml:"handshake"` // work for a new connection
 	WarmUpStart    float64    `toml:"cold_from"` // part of its speed that a server starts with
 	WarmUpTime     Span       `toml:"warm_after"`
-	ErrorRate      float64    `toml:"errors"` // part of the tasks that fail at any time
-	Cancellation   string     `toml:"stop"`   // which given-up work stops: "none", "queued" or "all"
+	ErrorRate      float64    `toml:"errors"` // part of the requests that fail at any time
+	Cancellation   string     `toml:"stop"`   // which abandoned work ends early
 }
 
-// Lane is a kind of task.
+// What work of an abandoned attempt a server ends early.
+const (
+	CancelNone   = "none"
+	CancelQueued = "queued"
+	CancelAll    = "all"
+)
+
+// TrafficClass is a kind of request.
 type TrafficClass struct {
 	Name             string  `toml:"name"`
-	Share            float64 `toml:"share"`
+	Share            float64 `toml:"share"`  // of the requests
 	Work             Span    `toml:"work"`   // mean, on one core of speed 1
-	Distribution     string  `toml:"spread"` // "exponential", "lognormal" or "fixed"
+	Distribution     string  `toml:"spread"` // of the work
 	CV               float64 `toml:"cv"`     // of a lognormal: deviation over mean
 	LatencyObjective Span    `toml:"soft_limit"`
 	Timeout          Span    `toml:"patience"`
 	Weight           float64 `toml:"gain"`
-	LateFraction     float64 `toml:"late"`   // part of the gain after the soft limit
-	Effect           string  `toml:"effect"` // "pure", "receipted" or "effectful"
-	Group            string  `toml:"group"`  // of a receipted lane: "all", "hall" or "cell"
-	DedupWindow      Span    `toml:"window"`
+	LateFraction     float64 `toml:"late"` // part of the weight after the latency objective
+	Effect           string  `toml:"effect"`
+	Group            string  `toml:"group"`  // of a keyed class
+	DedupWindow      Span    `toml:"window"` // of a keyed class
 }
 
+// Distributions of the work of requests.
+const (
+	DistributionExponential = "exponential"
+	DistributionLognormal   = "lognormal"
+	DistributionFixed       = "fixed"
+)
+
+// Effects of requests.
+const (
+	EffectIdempotent    = "pure"
+	EffectKeyed         = "receipted"
+	EffectNonIdempotent = "effectful"
+)
+
+// Groups of servers that share the memory of idempotency keys.
+const (
+	GroupAll  = "all"
+	GroupZone = "hall"
+	GroupRack = "cell"
+)
+
 // Plan is what customers have bought.
 type Plan struct {
 	Name          string  `toml:"name"`
-	Share         float64 `toml:"share"` // of the tasks
+	Share         float64 `toml:"share"` // of the requests
 	Customers     int     `toml:"customers"`
 	Rate          float64 `toml:"rate"` // units a second; 0: no quota
 	Burst         float64 `toml:"burst"`
@@ -107,63 +135,65 @@
 	CeilingBurst  float64 `toml:"ceiling_burst"`
 	CeilingSlack  float64 `toml:"ceiling_slack"`
 	Price         float64 `toml:"price"`
-	OverQuotaCost float64 `toml:"over_cost"` // part of its gain that a task beyond quota costs
-	// Spread is the part of the gateways that its customers come through, drawn for each; the load's where it is not set.
+	OverQuotaCost float64 `toml:"over_cost"` // part of its value that a request beyond quota costs
+	// GatewayShare is the part of the gateways that its customers come through, drawn for each; 0: the load's.
 	GatewayShare [2]float64 `toml:"spread"`
 }
 
 // Load is what customers ask, whether answers come or not.
 type Load struct {
-	Rate              float64    `toml:"rate"` // tasks a second, first tries, over all gateways
-	Skew              float64    `toml:"skew"` // of customers' sizes within a plan: 0 alike; the n-th is n^-skew
+	Rate              float64    `toml:"rate"` // requests a second over all gateways, retries not counted
+	Skew              float64    `toml:"skew"` // of customers' sizes within a plan: the n-th is n^-skew; 0: all alike
 	MeanUnits         float64    `toml:"units"`
-	DeclaredDeviation float64    `toml:"told"`   // deviation of the units told from the true ones, over the true; 0: told exactly
+	DeclaredDeviation float64    `toml:"told"`   // deviation of declared units from true ones, over the true; 0: exact
 	GatewayShare      [2]float64 `toml:"spread"` // part of the gateways that a customer comes through, drawn for each
-	OneTimeShare      float64    `toml:"once"`   // part of the tasks that are of customers seen once
+	OneTimeShare      float64    `toml:"once"`   // part of the requests that are of customers seen once
 	Swing             float64    `toml:"swing"`  // the rate swings by this part, over 20 s
 }
 
-// Clients send the tasks of customers.
+// Clients send the requests of customers.
 type Clients struct {
-	Retries         int     `toml:"retries"` // further tries, each through another gateway of the set
+	Retries         int     `toml:"retries"` // each through another gateway of the set
 	Backoff         Span    `toml:"backoff"`
-	RetryAfterShare float64 `toml:"honour"` // part that stays away as long as it is told
-	MarkRepeats     bool    `toml:"marks"`  // repeats are marked
+	RetryAfterShare float64 `toml:"honour"` // part that waits as long as Retry-After says
+	MarkRepeats     bool    `toml:"marks"`
 	Notice          Span    `toml:"notice"` // until a dead gateway gets nothing more
 }
 
 // Counter is what all gateways count with. A rate of 0 means that there is none.
 type Counter struct {
-	Rate        float64 `toml:"rate"` // calls a second
-	MaxWait     Span    `toml:"queue"`
+	Rate        float64 `toml:"rate"`  // calls a second
+	MaxWait     Span    `toml:"queue"` // calls that would wait longer are rejected
 	ServiceTime Span    `toml:"takes"` // besides waiting
-	Timeout     Span    `toml:"limit"` // a call with no answer by then ends
+	Timeout     Span    `toml:"limit"` // a call without an answer by then has failed
 }
 
-// Discovery tells each gateway of changes after a lag.
+// Discovery notifies each gateway of changes after a lag.
 type Discovery struct {
-	Lag [2]Span `toml:"lag"`
+	Lag [2]Span `toml:"lag"` // drawn between the two
 }
 
 // Network lies between all of them.
 type Network struct {
-	SameZone       Span    `toml:"same"`  // one way, in a hall
-	CrossZone      Span    `toml:"cross"` // between halls
-	CrossRegion    Span    `toml:"far"`   // between regions; 0: as between halls
-	Jitter         float64 `toml:"jitter"`
-	ConnectTimeout Span    `toml:"connect"` // a connection not up by then is none
+	SameZone       Span    `toml:"same"`    // delay, one way
+	CrossZone      Span    `toml:"cross"`   // delay between zones
+	CrossRegion    Span    `toml:"far"`     // delay between regions; 0: as between zones
+	Jitter         float64 `toml:"jitter"`  // part of the delay
+	ConnectTimeout Span    `toml:"connect"` // a connection that is not up by then has failed
 }
 
-// Rules are the figures of the five rules.
+// Rules are the numbers of the five rules that package invariants checks.
 type Rules struct {
-	DrainGrace       Span    `toml:"drain_grace"`
-	AnswerSlack      Span    `toml:"answer_slack"`
-	OverloadFactor   float64 `toml:"fall_multiple"` // a cold server sent more than so many times its capacity falls
-	OverloadSpan     Span    `toml:"tip_after"`     // over this time
-	OverloadDowntime Span    `toml:"fall"`          // and is down so long
+	DrainGrace  Span `toml:"drain_grace"`
+	AnswerSlack Span `toml:"answer_slack"`
+	// A server that is warming up fails for OverloadDowntime if the work sent to it over OverloadSpan is more than its
+	// capacity times OverloadFactor.
+	OverloadFactor   float64 `toml:"fall_multiple"`
+	OverloadSpan     Span    `toml:"tip_after"`
+	OverloadDowntime Span    `toml:"fall"`
 }
 
-// Trouble is one thing that goes wrong, by name (docs/lab.md lists them). Part and Size mean what its kind says.
+// Fault is one thing that goes wrong. Fraction and Magnitude mean what its kind says.
 type Fault struct {
 	Kind      string  `toml:"kind" json:"Kind"`
 	Start     Span    `toml:"at" json:"At"`
@@ -173,5 +203,5 @@
 	Class     string  `toml:"lane" json:"Lane"`
 	Plan      string  `toml:"plan" json:"Plan"`
 	Zone      int     `toml:"hall" json:"Hall"`
-	OtherZone int     `toml:"to" json:"To"` // the other hall of a link
+	OtherZone int     `toml:"to" json:"To"` // the other zone of a link
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,13 +8,19 @@
 	"testing"
 )
 
-func TestRead_scenariosOfTheProjectAreValid(t *testing.T) {
-	files, _ := filepath.Glob("../../../scenarios/worlds/*.toml")
-	if len(files) < 6 {
-		t.Fatalf("%d worlds found", len(files))
+// projectScenarios returns the scenario files of the project.
+func projectScenarios(t testing.TB) []string {
+	t.Helper()
+	files, err := filepath.Glob("../../../scenarios/worlds/*.toml")
+	if err != nil || len(files) < 6 {
+		t.Fatalf("%d scenarios found: %v", len(files), err)
 	}
-	for _, f := range files {
-		if _, err := Read(f); err != nil {
+	return files
+}
+
+func TestRead_scenariosOfTheProjectAreValid(t *testing.T) {
+	for _, file := range projectScenarios(t) {
+		if _, err := Read(file); err != nil {
 			t.Error(err)
 		}
 	}
@@ -55,7 +61,7 @@
 `
 	_, err := Parse("w.toml", []byte(text))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("a broken file was accepted")
 	}
 	for _, want := range []string{
 		"w.toml:2:1: length is 0s",
@@ -69,58 +75,94 @@
 		"w.toml:31:1: trouble.1.at is 1m39s",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s\nin:\n%v", want, err)
+			t.Errorf("missing: %s\nin:\n%v", want, err)
 		}
 	}
 }
 
 func TestParse_unknownKeysAndWrongTypesHavePositions(t *testing.T) {
-	for text, want := range map[string]string{
-		"name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n": "w.toml:5:1: no such key: servers.threads",
-		"[servers]\ncores = \"two\"\n":                        "w.toml:2:9:",
-		"length = \"12 parsecs\"\n":                           "w.toml:1:",
-		"length = \n":                                         "w.toml:1:",
+	for _, c := range []struct{ name, text, want string }{
+		{"unknown key", "name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n", "w.toml:5:1: no such key: servers.threads"},
+		{"text for a number", "[servers]\ncores = \"two\"\n", "w.toml:2:9:"},
+		{"unknown unit", "length = \"12 parsecs\"\n", "w.toml:1:"},
+		{"missing value", "length = \n", "w.toml:1:"},
 	} {
-		_, err := Parse("w.toml", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
-		}
-		var f FileError
-		if !errors.As(err, &f) {
-			t.Errorf("%q: no Fault in %v", text, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("w.toml", []byte(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+			var fileError FileError
+			if !errors.As(err, &fileError) {
+				t.Errorf("no FileError in %v", err)
+			}
+		})
 	}
 }
 
 func TestParse_reportsContradictions(t *testing.T) {
-	for text, want := range map[string]string{
-		"[counter]\nrate = 0\n[[trouble]]\nkind = \"counter_silent\"\n": "and this world has no counter",
-		"[gateways]\nhalls = 1\n[[trouble]]\nkind = \"hall_cut\"\n":     "and this world has one hall",
-		"[gateways]\nhalls = 3\nregions = [[0, 1]]\n":                   "gateways.regions leaves out hall 2",
-		"[gateways]\nhalls = 2\nregions = [[0, 1], [1]]\n":              "gateways.regions names hall 1 twice",
-		"[gateways]\nhalls = 2\nregions = [[0, 2], [1]]\n":              "gateways.regions names hall 2; from 0 to 1",
-		"[[trouble]]\nkind = \"link_cut\"\nhall = 1\nto = 1\n":          "a link has two ends",
-		"[[trouble]]\nkind = \"flood\"\nplan = \"gold\"\n":              `"gold", which is no plan`,
-		"[[trouble]]\nkind = \"lane_silent\"\nlane = \"x\"\n":           `"x", which is no lane`,
-		"[[plan]]\nname=\"p\"\nshare=1\ncustomers=1\nrate=2\n":          "burst is 0 with a rate of 2",
-		"[servers]\nspeed = [2.0, 1.0]\n":                               "the first is more than nought and no more than the second",
+	for _, c := range []struct{ name, text, want string }{
+		{
+			"fault of a missing counter",
+			"[counter]\nrate = 0\n[[trouble]]\nkind = \"counter_silent\"\n", "and this world has no counter",
+		},
+		{
+			"isolation of the only zone",
+			"[gateways]\nhalls = 1\n[[trouble]]\nkind = \"hall_cut\"\n", "and this world has one hall",
+		},
+		{
+			"zone without a region",
+			"[gateways]\nhalls = 3\nregions = [[0, 1]]\n", "gateways.regions leaves out hall 2",
+		},
+		{
+			"zone in two regions",
+			"[gateways]\nhalls = 2\nregions = [[0, 1], [1]]\n", "gateways.regions names hall 1 twice",
+		},
+		{
+			"region with an unknown zone",
+			"[gateways]\nhalls = 2\nregions = [[0, 2], [1]]\n", "gateways.regions names hall 2; from 0 to 1",
+		},
+		{
+			"link with one end",
+			"[[trouble]]\nkind = \"link_cut\"\nhall = 1\nto = 1\n", "a link has two ends",
+		},
+		{
+			"fault of an unknown plan",
+			"[[trouble]]\nkind = \"flood\"\nplan = \"gold\"\n", `"gold", which is no plan`,
+		},
+		{
+			"fault of an unknown class",
+			"[[trouble]]\nkind = \"lane_silent\"\nlane = \"x\"\n", `"x", which is no lane`,
+		},
+		{
+			"rate without burst",
+			"[[plan]]\nname=\"p\"\nshare=1\ncustomers=1\nrate=2\n", "burst is 0 with a rate of 2",
+		},
+		{
+			"speeds in the wrong order",
+			"[servers]\nspeed = [2.0, 1.0]\n", "the first is more than nought and no more than the second",
+		},
 	} {
-		if _, err := Parse("w.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := Parse("w.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	files, _ := filepath.Glob("../../../scenarios/worlds/*.toml")
-	for _, name := range files {
-		text, _ := os.ReadFile(name)
+	for _, file := range projectScenarios(f) {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			f.Fatal(err)
+		}
 		f.Add(string(text))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("w.toml", []byte(text))
 		if (s == nil) == (err == nil) {
-			t.Fatalf("world %v with error %v", s, err)
+			t.Fatalf("scenario %v with error %v", s, err)
 		}
 	})
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"sort"
 	"time"
+
+	"harrierhoist/internal/lab/scenario"
 )
 
 const (
@@ -12,8 +14,6 @@
 	firstOneTimeCustomer = 1 << 32
 	// swingPeriod is the period of the load's swing, in seconds.
 	swingPeriod = 20
-	// maxUnitsOverMean bounds a request's units, as a multiple of their mean.
-	maxUnitsOverMean = 3
 	// minDeclaredUnits is the least that a request declares.
 	minDeclaredUnits = 0.1
 )
@@ -142,7 +142,7 @@
 		who = c.newCustomer(c.lastOneTimeCustomer, plan)
 	}
 	class := min(drawIndex(random, c.cumulativeShares), len(c.cumulativeShares)-1)
-	maxUnits := maxUnitsOverMean * load.MeanUnits
+	maxUnits := load.MaxUnits()
 	units := min(max(math.Round(load.MeanUnits*random.ExpFloat64()), 1), maxUnits)
 	r := &request{customer: who, class: class, units: units, declaredUnits: units, startedAt: e.clock.Now()}
 	if s := load.DeclaredDeviation; s > 0 {
@@ -199,9 +199,9 @@
 	c := &e.scenario.Classes[class]
 	mean := float64(c.Work.D())
 	switch c.Distribution {
-	case "exponential":
+	case scenario.DistributionExponential:
 		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
-	case "lognormal":
+	case scenario.DistributionLognormal:
 		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
 		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
 	}
--- a/internal/lab/simulation/coordinator_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -52,11 +52,11 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		spec := threeZones(scenario.CoordinationShared, zoneLossFault(0, 3*time.Second, 8*time.Second),
-			scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)},
-			scenario.Fault{Kind: "hall_cut", Zone: 1, Start: span(5 * time.Second), Duration: span(4 * time.Second)},
-			scenario.Fault{Kind: "hall_cut", Zone: 2, Start: span(6 * time.Second), Duration: span(4 * time.Second)},
-			scenario.Fault{Kind: "standstill", Fraction: 0.3, Start: span(5 * time.Second), Duration: span(3 * time.Second)},
-			scenario.Fault{Kind: "kill", Fraction: 0.3, Start: span(7 * time.Second), Duration: span(time.Second)})
+			scenario.Fault{Kind: scenario.LeaderLoss, Start: span(4 * time.Second), Duration: span(2 * time.Second)},
+			scenario.Fault{Kind: scenario.ZoneIsolation, Zone: 1, Start: span(5 * time.Second), Duration: span(4 * time.Second)},
+			scenario.Fault{Kind: scenario.ZoneIsolation, Zone: 2, Start: span(6 * time.Second), Duration: span(4 * time.Second)},
+			scenario.Fault{Kind: scenario.GatewayPause, Fraction: 0.3, Start: span(5 * time.Second), Duration: span(3 * time.Second)},
+			scenario.Fault{Kind: scenario.GatewayKill, Fraction: 0.3, Start: span(7 * time.Second), Duration: span(time.Second)})
 		spec.Coordination.MessageLoss = 0.1
 		e, err := newEngine(spec, seed, baseline.Module)
 		if err != nil {
@@ -168,7 +168,7 @@
 			var texts [2]string
 			for i := range texts {
 				spec := threeZones(mode, zoneLossFault(1, 3*time.Second, 5*time.Second),
-					scenario.Fault{Kind: "leader_lost", Start: span(4 * time.Second), Duration: span(2 * time.Second)})
+					scenario.Fault{Kind: scenario.LeaderLoss, Start: span(4 * time.Second), Duration: span(2 * time.Second)})
 				spec.Coordination.MessageLoss, spec.Gateways.Subset = 0.05, true
 				text, err := json.Marshal(mustRun(t, spec, 3, baseline.Module))
 				if err != nil {
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -16,42 +16,42 @@
 // faultConstructors makes a fault of each kind. A new kind is a type, a line here and one in scenario.FaultKinds.
 var faultConstructors = map[string]func(scenario.Fault) fault{
 	// Servers
-	"server_lost":   func(f scenario.Fault) fault { return &serverLoss{fraction: f.Fraction} },
-	"server_errors": newErrorRateChange,
-	"server_slow":   newSlowdown,
-	"lane_silent":   func(f scenario.Fault) fault { return &classSilence{fault: f} },
-	"deploy":        func(f scenario.Fault) fault { return &rollingDeploy{fraction: f.Fraction, duration: f.Duration.D()} },
-	"mass_change":   func(f scenario.Fault) fault { return &massReplacement{fraction: f.Fraction} },
-	"hall_lost":     func(f scenario.Fault) fault { return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction} },
+	scenario.ServerLoss:      func(f scenario.Fault) fault { return &serverLoss{fraction: f.Fraction} },
+	scenario.ServerErrors:    newErrorRateChange,
+	scenario.ServerSlowdown:  newSlowdown,
+	scenario.ClassSilence:    func(f scenario.Fault) fault { return &classSilence{fault: f} },
+	scenario.RollingDeploy:   func(f scenario.Fault) fault { return &rollingDeploy{fraction: f.Fraction, duration: f.Duration.D()} },
+	scenario.MassReplacement: func(f scenario.Fault) fault { return &massReplacement{fraction: f.Fraction} },
+	scenario.ZoneLoss:        func(f scenario.Fault) fault { return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction} },
 
 	// Network
-	"hall_cut":     func(f scenario.Fault) fault { return &zoneIsolation{f.Zone} },
-	"link_cut":     newLinkCut,
-	"answers_lost": changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.answerLoss }),
-	"resets":       changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.resetRate }),
+	scenario.ZoneIsolation:    func(f scenario.Fault) fault { return &zoneIsolation{f.Zone} },
+	scenario.LinkCut:          newLinkCut,
+	scenario.AnswerLoss:       changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.answerLoss }),
+	scenario.ConnectionResets: changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.resetRate }),
 
 	// Gateways, and what they share
-	"kill":        func(f scenario.Fault) fault { return &gatewayKill{fraction: f.Fraction} },
-	"rolling":     newRollingRestart,
-	"standstill":  func(f scenario.Fault) fault { return &gatewayPause{f.Fraction, f.Duration.D()} },
-	"blind":       func(f scenario.Fault) fault { return &gatewayIsolation{fraction: f.Fraction} },
-	"leader_lost": func(scenario.Fault) fault { return &leaderLoss{} },
+	scenario.GatewayKill:      func(f scenario.Fault) fault { return &gatewayKill{fraction: f.Fraction} },
+	scenario.RollingRestart:   newRollingRestart,
+	scenario.GatewayPause:     func(f scenario.Fault) fault { return &gatewayPause{f.Fraction, f.Duration.D()} },
+	scenario.GatewayIsolation: func(f scenario.Fault) fault { return &gatewayIsolation{fraction: f.Fraction} },
+	scenario.LeaderLoss:       func(scenario.Fault) fault { return &leaderLoss{} },
 
 	// Counter
-	"counter_slow":     changeTo(magnitudeOf, func(e *engine) *float64 { return &e.counter.slowdown }),
-	"counter_silent":   func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
-	"counter_refusing": func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.rejecting }} },
-	"counter_empty":    func(scenario.Fault) fault { return counterReset{} },
-	"counter_split":    func(scenario.Fault) fault { return counterSplit{} },
+	scenario.CounterSlowdown:  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.counter.slowdown }),
+	scenario.CounterSilence:   func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
+	scenario.CounterRejection: func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.rejecting }} },
+	scenario.CounterReset:     func(scenario.Fault) fault { return counterReset{} },
+	scenario.CounterSplit:     func(scenario.Fault) fault { return counterSplit{} },
 
 	// Load
-	"burst": changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.loadFactor }),
-	"flood": func(f scenario.Fault) fault { return &planFlood{fault: f} },
-	"crowd": func(f scenario.Fault) fault { return &hotspot{zone: f.Zone, fraction: f.Fraction} },
+	scenario.LoadBurst: changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.loadFactor }),
+	scenario.PlanFlood: func(f scenario.Fault) fault { return &planFlood{fault: f} },
+	scenario.Hotspot:   func(f scenario.Fault) fault { return &hotspot{zone: f.Zone, fraction: f.Fraction} },
 
 	// Discovery
-	"list_lag":  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.lagFactor }),
-	"list_lost": func(f scenario.Fault) fault { return &discoveryLoss{fraction: f.Fraction} },
+	scenario.DiscoveryLag:  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.lagFactor }),
+	scenario.DiscoveryLoss: func(f scenario.Fault) fault { return &discoveryLoss{fraction: f.Fraction} },
 }
 
 // scheduleFault schedules a fault's begin and end.
--- a/internal/lab/simulation/fault_test.go
+++ b/internal/lab/simulation/fault_test.go
@@ -44,55 +44,56 @@
 	fault     scenario.Fault
 	isVisible func(c comparison) bool
 }{
-	"server_lost":   {scenario.Fault{Fraction: 0.4}, fewerInTime},
-	"server_errors": {scenario.Fault{Fraction: 0.5, Magnitude: 1}, moreFailed},
-	"server_slow":   {scenario.Fault{Fraction: 0.5, Magnitude: 8}, fewerInTime},
-	"lane_silent":   {scenario.Fault{Fraction: 0.6, Class: "paid-confirm"}, moreFailed},
-	"deploy": {
+	scenario.ServerLoss:     {scenario.Fault{Fraction: 0.4}, fewerInTime},
+	scenario.ServerErrors:   {scenario.Fault{Fraction: 0.5, Magnitude: 1}, moreFailed},
+	scenario.ServerSlowdown: {scenario.Fault{Fraction: 0.5, Magnitude: 8}, fewerInTime},
+	scenario.ClassSilence:   {scenario.Fault{Fraction: 0.6, Class: "paid-confirm"}, moreFailed},
+	scenario.RollingDeploy: {
 		scenario.Fault{Fraction: 1},
 		func(c comparison) bool { return c.with.Handshakes > c.without.Handshakes*5/4 },
 	},
-	"mass_change": {scenario.Fault{Fraction: 0.5}, moreFailed},
-	"hall_lost":   {scenario.Fault{Zone: 1}, fewerInTime},
-	"hall_cut":    {scenario.Fault{Zone: 1}, fewerInTime},
-	"link_cut":    {scenario.Fault{Zone: 1, OtherZone: 0}, fewerInTime},
-	"blind":       {scenario.Fault{Fraction: 0.4}, fewerInTime},
-	"leader_lost": {
+	scenario.MassReplacement:  {scenario.Fault{Fraction: 0.5}, moreFailed},
+	scenario.ZoneLoss:         {scenario.Fault{Zone: 1}, fewerInTime},
+	scenario.ZoneIsolation:    {scenario.Fault{Zone: 1}, fewerInTime},
+	scenario.LinkCut:          {scenario.Fault{Zone: 1, OtherZone: 0}, fewerInTime},
+	scenario.GatewayIsolation: {scenario.Fault{Fraction: 0.4}, fewerInTime},
+	scenario.LeaderLoss: {
 		scenario.Fault{},
 		func(c comparison) bool { return sum(c.with.FailoverMs) > sum(c.without.FailoverMs)+500 },
 	},
-	"answers_lost": {scenario.Fault{Fraction: 0.3}, moreFailed},
-	"resets":       {scenario.Fault{Fraction: 0.3}, moreFailed},
-	"counter_slow": {scenario.Fault{Magnitude: 100}, moreCallsRejected},
-	"counter_silent": {
+	scenario.AnswerLoss:       {scenario.Fault{Fraction: 0.3}, moreFailed},
+	scenario.ConnectionResets: {scenario.Fault{Fraction: 0.3}, moreFailed},
+	scenario.CounterSlowdown:  {scenario.Fault{Magnitude: 100}, moreCallsRejected},
+	scenario.CounterSilence: {
 		scenario.Fault{},
 		func(c comparison) bool { return c.with.CounterCalls < c.without.CounterCalls*9/10 },
 	},
-	"counter_refusing": {scenario.Fault{}, moreCallsRejected},
-	"counter_empty":    {scenario.Fault{}, moreOverQuota},
-	"counter_split":    {scenario.Fault{}, moreOverQuota},
-	"burst":            {scenario.Fault{Magnitude: 3}, moreThanTwiceOffered},
-	"flood":            {scenario.Fault{Magnitude: 8, Plan: "start"}, moreThanTwiceOffered},
-	"kill":             {scenario.Fault{Fraction: 1}, hardlyAnyInTime},
-	"rolling": {
+	scenario.CounterRejection: {scenario.Fault{}, moreCallsRejected},
+	scenario.CounterReset:     {scenario.Fault{}, moreOverQuota},
+	scenario.CounterSplit:     {scenario.Fault{}, moreOverQuota},
+	scenario.LoadBurst:        {scenario.Fault{Magnitude: 3}, moreThanTwiceOffered},
+	scenario.PlanFlood:        {scenario.Fault{Magnitude: 8, Plan: "start"}, moreThanTwiceOffered},
+	scenario.GatewayKill:      {scenario.Fault{Fraction: 1}, hardlyAnyInTime},
+	scenario.RollingRestart: {
 		scenario.Fault{Fraction: 1, Magnitude: 2},
 		func(c comparison) bool { return c.with.BrokenConnections > c.without.BrokenConnections+20 },
 	},
-	"crowd": {
+	scenario.Hotspot: {
 		scenario.Fault{Fraction: 0.9, Zone: 1},
 		func(c comparison) bool { return c.with.PeakUtilisation > 1.25*c.without.PeakUtilisation },
 	},
-	"standstill": {scenario.Fault{Fraction: 1}, hardlyAnyInTime},
-	"list_lag":   {scenario.Fault{Magnitude: 20}, fewerInTime},
-	"list_lost":  {scenario.Fault{Fraction: 1}, fewerInTime},
+	scenario.GatewayPause:  {scenario.Fault{Fraction: 1}, hardlyAnyInTime},
+	scenario.DiscoveryLag:  {scenario.Fault{Magnitude: 20}, fewerInTime},
+	scenario.DiscoveryLoss: {scenario.Fault{Fraction: 1}, fewerInTime},
 }
 
 // companionFaults are in both runs of a comparison, for faults that show only beside another one.
 func companionFaults(kind string) []scenario.Fault {
 	switch kind {
-	case "list_lag", "list_lost": // half of the servers are replaced: who is not notified goes on sending to the old ones
-		return []scenario.Fault{{Kind: "mass_change", Start: span(3500 * time.Millisecond), Fraction: 0.5}}
-	case "leader_lost": // a zone is lost: without a plan, gateways go on sending attempts there
+	case scenario.DiscoveryLag, scenario.DiscoveryLoss:
+		// Half of the servers are replaced: gateways that are not notified go on sending to the old ones.
+		return []scenario.Fault{{Kind: scenario.MassReplacement, Start: span(3500 * time.Millisecond), Fraction: 0.5}}
+	case scenario.LeaderLoss: // a zone is lost: without a plan, gateways go on sending attempts there
 		return []scenario.Fault{zoneLossFault(1, 3*time.Second, 4*time.Second)}
 	}
 	return nil
@@ -103,9 +104,9 @@
 	spec := smallScenario(faults...)
 	spec.Load.Rate = 300
 	switch kind {
-	case "leader_lost", "crowd": // without coordination, gateways send attempts to all zones
+	case scenario.LeaderLoss, scenario.Hotspot: // without coordination, gateways send attempts to all zones
 		spec.Coordination.Mode = scenario.CoordinationShared
-	case "counter_empty", "counter_split": // counts matter to customers near their limits
+	case scenario.CounterReset, scenario.CounterSplit: // counts matter to customers near their limits
 		for i := range spec.Plans {
 			spec.Plans[i].Rate /= 3
 		}
--- a/internal/lab/simulation/helpers_test.go
+++ b/internal/lab/simulation/helpers_test.go
@@ -39,7 +39,7 @@
 
 // zoneLossFault is the loss of a whole zone.
 func zoneLossFault(zone int, start, duration time.Duration) scenario.Fault {
-	return scenario.Fault{Kind: "hall_lost", Zone: zone, Start: span(start), Duration: span(duration)}
+	return scenario.Fault{Kind: scenario.ZoneLoss, Zone: zone, Start: span(start), Duration: span(duration)}
 }
 
 func span(d time.Duration) scenario.Span { return scenario.Span(d) }
--- a/internal/lab/simulation/hotspot_test.go
+++ b/internal/lab/simulation/hotspot_test.go
@@ -11,7 +11,7 @@
 // hotspotScenario is three zones at three fifths of their capacity; from second 4 to 14, four tries in five come in at one.
 func hotspotScenario(mode string, faults ...scenario.Fault) *scenario.Scenario {
 	spec := threeZones(mode, append(faults, scenario.Fault{
-		Kind: "crowd", Start: span(4 * time.Second), Duration: span(10 * time.Second), Fraction: 0.7,
+		Kind: scenario.Hotspot, Start: span(4 * time.Second), Duration: span(10 * time.Second), Fraction: 0.7,
 	})...)
 	spec.Load.Rate = 400
 	return spec
@@ -39,7 +39,7 @@
 func TestHotspot_loadBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
 	spec := hotspotScenario(scenario.CoordinationShared, scenario.Fault{
-		Kind: "flood", Plan: "enterprise", Magnitude: 20, Start: span(4 * time.Second), Duration: span(10 * time.Second),
+		Kind: scenario.PlanFlood, Plan: "enterprise", Magnitude: 20, Start: span(4 * time.Second), Duration: span(10 * time.Second),
 	})
 	spec.Load.Rate = 150
 	plan := &spec.Plans[2]
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -16,9 +16,13 @@
 
 // TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
 func TestChecker_findsEachViolation(t *testing.T) {
-	deploy := scenario.Fault{Kind: "deploy", Start: span(2 * time.Second), Duration: span(3 * time.Second), Fraction: 0.6}
-	resets := scenario.Fault{Kind: "resets", Start: span(time.Second), Duration: span(9 * time.Second), Fraction: 0.1}
-	replacement := scenario.Fault{Kind: "mass_change", Start: span(2 * time.Second), Fraction: 0.7}
+	deploy := scenario.Fault{
+		Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(3 * time.Second), Fraction: 0.6,
+	}
+	resets := scenario.Fault{
+		Kind: scenario.ConnectionResets, Start: span(time.Second), Duration: span(9 * time.Second), Fraction: 0.1,
+	}
+	replacement := scenario.Fault{Kind: scenario.MassReplacement, Start: span(2 * time.Second), Fraction: 0.7}
 	for _, c := range []struct {
 		rule     invariants.Rule
 		name     string
@@ -112,9 +116,10 @@
 
 // TestRun_sameSeedGivesTheSameBytes runs two seeds, several times each and side by side.
 func TestRun_sameSeedGivesTheSameBytes(t *testing.T) {
-	spec := smallScenario(scenario.Fault{Kind: "kill", Start: span(2 * time.Second), Duration: span(time.Second), Fraction: 0.5},
-		scenario.Fault{Kind: "deploy", Start: span(3 * time.Second), Duration: span(3 * time.Second), Fraction: 0.5},
-		scenario.Fault{Kind: "counter_silent", Start: span(5 * time.Second), Duration: span(3 * time.Second)})
+	spec := smallScenario(
+		scenario.Fault{Kind: scenario.GatewayKill, Start: span(2 * time.Second), Duration: span(time.Second), Fraction: 0.5},
+		scenario.Fault{Kind: scenario.RollingDeploy, Start: span(3 * time.Second), Duration: span(3 * time.Second), Fraction: 0.5},
+		scenario.Fault{Kind: scenario.CounterSilence, Start: span(5 * time.Second), Duration: span(3 * time.Second)})
 	spec.Gateways.Subset = true
 	spec.Load.DeclaredDeviation, spec.Load.OneTimeShare = 0.4, 0.1
 	texts := make([]string, 6)
@@ -158,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := smallScenario(scenario.Fault{
-				Kind: "deploy", Start: span(2 * time.Second), Duration: span(2 * time.Second), Fraction: 0.5,
+				Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(2 * time.Second), Fraction: 0.5,
 			})
 			change(spec)
 			r := mustRun(t, spec, 2, baseline.Module)
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
@@ -226,14 +227,14 @@
 // cancel handles the notice that nobody waits for an attempt, as far as the scenario's servers heed it.
 func (s *server) cancel(a *attempt) {
 	scope := s.engine.scenario.Servers.Cancellation
-	if scope == "none" || s.dead || s.silent {
+	if scope == scenario.CancelNone || s.dead || s.silent {
 		return
 	}
 	if i := slices.Index(s.queue, a); i >= 0 {
 		s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
 		return
 	}
-	if scope == "all" && s.running[a] {
+	if scope == scenario.CancelAll && s.running[a] {
 		s.release(a)
 		s.startQueued()
 	}
--- a/internal/lab/simulation/utilisation_test.go
+++ b/internal/lab/simulation/utilisation_test.go
@@ -17,9 +17,9 @@
 		cause func(FailureCauses) int
 	}{
 		{"overload", "", func(f FailureCauses) int { return f.BetweenTries }},
-		{"server errors", "server_errors", func(f FailureCauses) int { return f.Terminated }},
-		{"gateways killed", "kill", func(f FailureCauses) int { return f.WithGateway }},
-		{"gateways paused", "standstill", func(f FailureCauses) int { return f.InFlight }},
+		{"server errors", scenario.ServerErrors, func(f FailureCauses) int { return f.Terminated }},
+		{"gateways killed", scenario.GatewayKill, func(f FailureCauses) int { return f.WithGateway }},
+		{"gateways paused", scenario.GatewayPause, func(f FailureCauses) int { return f.InFlight }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := smallScenario()
