--- a/internal/testing/faultinjection/address.go
+++ b/internal/testing/faultinjection/address.go
@@ -8,13 +8,16 @@
 	"testing"
 )
 
-// firstPort is the first port that is given out.
-const firstPort = 10000
+// Ports are given out from firstPort to lastPort.
+const (
+	firstPort = 10_000
+	lastPort  = 20_000
+)
 
-var latestPort atomic.Int32
+var latestPort atomic.Int32 // less firstPort
 
-// FreeAddr is an address that no other process takes: a port on an address of 127.0.0.0/8 that is this process's own, by
-// its id. What the system gives for port 0 may be taken again before who is to have it listens, or while it is dead.
+// FreeAddr returns an address that no other process takes: a port on an address of 127.0.0.0/8 that belongs to this
+// process by its ID. What the system gives for port 0 may be taken again before its user listens, or while it is down.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := freeAddr()
@@ -29,11 +32,11 @@
 	for {
 		port := firstPort + latestPort.Add(1)
 		addr := fmt.Sprintf("127.%d.%d.%d:%d", 100+id>>16&0x1f, id>>8&0xff, id&0xff, port)
-		l, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err == nil {
-			return addr, l.Close()
+			return addr, listener.Close()
 		}
-		if port > firstPort<<1 {
+		if port > lastPort {
 			return "", err
 		}
 	}
--- a/internal/testing/faultinjection/client.go
+++ b/internal/testing/faultinjection/client.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -15,8 +16,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// answerGrace is what a client waits beyond its patience: half a second is what the operators' page counts as not lost,
-// and as much again is for a machine busy with other tests.
+// answerGrace is what a client waits beyond its timeout: by the operators' page an answer half a second late is not lost,
+// and as much again is for a machine that is busy with other tests.
 const answerGrace = time.Second
 
 // Request is what a client asks for.
@@ -27,37 +28,37 @@
 	Timeout     time.Duration
 }
 
-// Clients send tasks to gateways, whether answers come or not, and write down how each ended.
+// Clients send requests to gateways at a rate that does not depend on answers, and record how each ended.
 type Clients struct {
-	recorder *Recorder
-	lastID   atomic.Uint64
-	pending  sync.WaitGroup
+	recorder   *Recorder
+	mustAnswer func(addr string, since time.Time) bool
+	lastID     atomic.Uint64
+	pending    sync.WaitGroup // loads and requests
 
-	mu         sync.Mutex
-	idle       map[string][]net.Conn // by gateway's address
-	mustAnswer func(addr string, from time.Time) bool
+	mu   sync.Mutex
+	idle map[string][]net.Conn // by gateway's address
 }
 
-// NewClients makes clients; owes tells whether the gateway at an address was awake and alive since a time: others owe
-// no answer in time.
-func NewClients(recorder *Recorder, mustAnswer func(addr string, from time.Time) bool) *Clients {
-	return &Clients{recorder: recorder, idle: map[string][]net.Conn{}, mustAnswer: mustAnswer}
+// NewClients makes clients. MustAnswer reports whether the gateway at an address has been running since a time: others
+// need not answer in time.
+func NewClients(recorder *Recorder, mustAnswer func(addr string, since time.Time) bool) *Clients {
+	return &Clients{recorder: recorder, mustAnswer: mustAnswer, idle: map[string][]net.Conn{}}
 }
 
-// OfferLoad sends tasks to one gateway at a rate, each by itself, until the context ends. Draw gives each task; the seed
-// makes its chance. Wait waits for the answers.
+// OfferLoad sends requests to one gateway at a rate per second until the context ends. Draw returns each request, from
+// random numbers of the seed. Wait waits for the answers.
 func (c *Clients) OfferLoad(ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Request) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c.pending.Go(func() {
 		due := time.Now()
 		for {
 			due = due.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-			t := time.NewTimer(time.Until(due))
+			timer := time.NewTimer(time.Until(due))
 			select {
 			case <-ctx.Done():
-				t.Stop()
+				timer.Stop()
 				return
-			case <-t.C:
+			case <-timer.C:
 			}
 			request := draw(random)
 			c.pending.Go(func() { c.Send(addr, request) })
@@ -65,87 +66,107 @@
 	})
 }
 
-// Wait waits until every task has ended.
+// Wait waits until all loads and requests have ended.
 func (c *Clients) Wait() { c.pending.Wait() }
 
-// Send sends one task and waits for how it ends.
+// Send sends one request, and waits for its result.
 func (c *Clients) Send(addr string, request Request) Result {
 	id := fmt.Sprintf("%016x", c.lastID.Add(1))
-	began := time.Now()
-	result := c.exchange(addr, id, request, began)
-	if result == Unanswered && !c.mustAnswer(addr, began) {
+	startedAt := time.Now()
+	result := c.exchange(addr, id, request, startedAt.Add(request.Timeout+answerGrace))
+	if result == Unanswered && !c.mustAnswer(addr, startedAt) {
 		result = Disconnected
 	}
 	c.recorder.RecordResult(id, result)
 	return result
 }
 
-func (c *Clients) exchange(addr, id string, request Request, began time.Time) Result {
+// exchange sends a request on an idle connection or a new one, and keeps it if there was an answer.
+func (c *Clients) exchange(addr, id string, request Request, deadline time.Time) Result {
 	conn, err := c.acquireConn(addr)
 	if err != nil {
 		return Disconnected
 	}
-	_ = conn.SetDeadline(began.Add(request.Timeout + answerGrace))
-	phrase := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d", request.Class, request.Plan, request.Timeout.Milliseconds(), request.Units)
-	text := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", request.Customer), id, phrase)
-	if request.Class != "look" {
-		text = fakes.FormatCommand("SVC.SUBMIT", fmt.Sprintf("%016x", request.Customer), id, phrase, "body")
+	result := exchangeOn(conn, id, request, deadline)
+	if result == Disconnected || result == Unanswered {
+		_ = conn.Close() // it is of no more use
+	} else {
+		c.releaseConn(addr, conn)
 	}
-	if _, err = io.WriteString(conn, text); err != nil {
-		_ = conn.Close()
+	return result
+}
+
+// exchangeOn sends a request and reads its answer.
+func exchangeOn(conn net.Conn, id string, request Request, deadline time.Time) Result {
+	if conn.SetDeadline(deadline) != nil {
 		return Disconnected
 	}
-	in := bufio.NewReader(conn)
-	line, err := in.ReadString('\n')
+	if _, err := io.WriteString(conn, formatRequest(id, request)); err != nil {
+		return Disconnected
+	}
+	reader := bufio.NewReader(conn)
+	line, err := reader.ReadString('\n')
+	var netError net.Error
 	switch {
+	case errors.As(err, &netError) && netError.Timeout():
+		return Unanswered
 	case err != nil:
-		_ = conn.Close()
-		if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-			return Unanswered
-		}
 		return Disconnected
 	case strings.HasPrefix(line, "$"):
-		if _, err = in.ReadString('\n'); err != nil {
-			_ = conn.Close()
+		if _, err := reader.ReadString('\n'); err != nil { // the value
 			return Disconnected
 		}
-		c.releaseConn(addr, conn)
 		return Served
 	case strings.HasPrefix(line, "-BUSY"):
-		c.releaseConn(addr, conn)
 		return Rejected
 	}
-	c.releaseConn(addr, conn)
 	return Terminated
 }
 
+func formatRequest(id string, request Request) string {
+	customer := fmt.Sprintf("%016x", request.Customer)
+	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d", request.Class, request.Plan, request.Timeout.Milliseconds(),
+		request.Units)
+	if request.Class == IdempotentClass {
+		return fakes.FormatCommand("SVC.QUERY", customer, id, attributes)
+	}
+	return fakes.FormatCommand("SVC.SUBMIT", customer, id, attributes, "body")
+}
+
 func (c *Clients) acquireConn(addr string) (net.Conn, error) {
-	c.mu.Lock()
-	all := c.idle[addr]
-	if n := len(all); n > 0 {
-		conn := all[n-1]
-		c.idle[addr] = all[:n-1]
-		c.mu.Unlock()
+	if conn := c.takeIdle(addr); conn != nil {
 		return conn, nil
 	}
-	c.mu.Unlock()
 	return net.DialTimeout("tcp", addr, answerGrace)
 }
 
-// releaseConn keeps a connection for another task.
+// takeIdle returns the connection released last, nil if there is none.
+func (c *Clients) takeIdle(addr string) net.Conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := c.idle[addr]
+	if len(conns) == 0 {
+		return nil
+	}
+	last := len(conns) - 1
+	c.idle[addr] = conns[:last]
+	return conns[last]
+}
+
+// releaseConn keeps a connection for another request.
 func (c *Clients) releaseConn(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[addr] = append(c.idle[addr], conn)
 }
 
-// Close closes what is idle.
+// Close closes the idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, all := range c.idle {
-		for _, conn := range all {
-			_ = conn.Close()
+	for _, conns := range c.idle {
+		for _, conn := range conns {
+			_ = conn.Close() // the gateway may have gone
 		}
 	}
 	clear(c.idle)
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/faultinjection/process.go
@@ -2,10 +2,12 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -13,108 +15,106 @@
 	"golang.org/x/sys/unix"
 )
 
-// buildFlags are those with which the program is built: as the tests are.
+// buildFlags are those with which the tests themselves are built.
 var buildFlags []string
 
-// Build builds the program into a folder and gives its path.
-func Build(folder string) (string, error) {
+// Build builds the program into a folder, and returns its path.
+func Build(ctx context.Context, folder string) (string, error) {
 	path := filepath.Join(folder, "harrierhoist")
-	args := append(append([]string{"build"}, buildFlags...), "-o", path, "harrierhoist/cmd/harrierhoist")
-	out, err := exec.Command("go", args...).CombinedOutput()
-	if err != nil {
+	args := slices.Concat([]string{"build"}, buildFlags, []string{"-o", path, "harrierhoist/cmd/harrierhoist"})
+	if out, err := exec.CommandContext(ctx, "go", args...).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
 	return path, nil
 }
 
-// Log is what a process wrote, over all its lives.
+// Log is what a process wrote, over all its incarnations. It may be used by several goroutines at once.
 type Log struct {
-	mu  sync.Mutex
-	buf bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-// Write takes what it writes.
+// Write appends to the log.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.buf.Write(p)
+	return l.buffer.Write(p)
 }
 
-// String is all of it.
+// String returns all of the log.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.buf.String()
+	return l.buffer.String()
 }
 
-// Count is how often words are in it.
-func (l *Log) Count(phrase string) int { return strings.Count(l.String(), phrase) }
+// Count returns how often a text is in the log.
+func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
 
-// Process is one process of the program, which may be started again after its end.
+// Process is a process of the program, which may be started again after its end.
 type Process struct {
 	Name string
 	Log  Log
 
 	program string
 	env     []string
-	cmd     *exec.Cmd
-	ended   chan struct{}
+	command *exec.Cmd     // nil: never started
+	ended   chan struct{} // closed when it has ended
 }
 
-// NewProcess names a process that is not running yet; env is added to this process's own.
-func NewProcess(program, name string, environ ...string) *Process {
-	return &Process{Name: name, program: program, env: environ}
+// NewProcess makes a process that does not run yet. Its environment is this process's own and env.
+func NewProcess(program, name string, env ...string) *Process {
+	return &Process{Name: name, program: program, env: env}
 }
 
-// SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or succeed again. A disk that
-// takes writes and fails to sync can't be made without special rights: package disk's own tests have one.
+// SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or succeed again. (A disk that
+// takes writes and fails to sync can't be made without special rights: package wal's own tests have one.)
 func (p *Process) SetDiskFull(full bool) error {
 	var limit unix.Rlimit
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
+	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return err
 	}
 	if limit.Cur = limit.Max; full {
-		limit.Cur = 1 // the signal that comes with such a write is none to a Go program: the write itself fails
+		limit.Cur = 1 // a Go program ignores the signal that comes with such a write: the write itself fails
 	}
-	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
+	return unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Start starts it.
+// Start starts the process.
 func (p *Process) Start() error {
-	p.cmd = exec.Command(p.program)
-	p.cmd.Env = append(os.Environ(), p.env...)
-	p.cmd.Stdout, p.cmd.Stderr = &p.Log, &p.Log
-	if err := p.cmd.Start(); err != nil {
+	command := exec.Command(p.program)
+	command.Env = append(os.Environ(), p.env...)
+	command.Stdout, command.Stderr = &p.Log, &p.Log
+	if err := command.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
-	p.ended = ended
-	cmd := p.cmd
+	p.command, p.ended = command, ended
 	go func() {
-		_ = cmd.Wait()
-		close(ended)
+		defer close(ended)
+		_ = command.Wait() // scenarios end processes as they like: its status tells nothing
 	}()
 	return nil
 }
 
-// Signal sends a signal: SIGSTOP to let it stand still, SIGCONT to let it go on, SIGTERM, SIGHUP.
+// Signal sends a signal, unless the process has ended: SIGSTOP to pause it, SIGCONT to resume it, SIGTERM, SIGHUP.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.IsRunning() {
-		_ = p.cmd.Process.Signal(s)
+		_ = p.command.Process.Signal(s) // it may end just now
 	}
 }
 
-// Kill ends it at once and waits for the end.
+// Kill ends the process at once, and waits for its end.
 func (p *Process) Kill() {
-	if p.cmd != nil {
-		_ = p.cmd.Process.Kill()
+	if p.command != nil {
+		_ = p.command.Process.Kill() // it may have ended
 		<-p.ended
 	}
 }
 
-// IsRunning tells whether it was started and has not ended.
+// IsRunning reports whether the process was started and has not ended.
 func (p *Process) IsRunning() bool {
-	if p.cmd == nil {
+	if p.command == nil {
 		return false
 	}
 	select {
--- a/internal/testing/faultinjection/race_test.go
+++ b/internal/testing/faultinjection/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package drill
+package faultinjection
 
 func init() { buildFlags = append(buildFlags, "-race") }
--- a/internal/testing/faultinjection/recorder.go
+++ b/internal/testing/faultinjection/recorder.go
@@ -1,5 +1,6 @@
-// Package drill starts several processes of the program on loopback, with emulated servers, a counter and clients
-// around them and relays between them, and causes faults. What counts is what servers, clients and the counter saw.
+// Package faultinjection starts several processes of the program on loopback, with fake servers, a counter, discovery and
+// clients around them and proxies between them, and injects faults. What counts is what servers, clients and the counter
+// see.
 package faultinjection
 
 import (
@@ -10,51 +11,56 @@
 	"time"
 )
 
-// Result is how a client's task ended.
+// Result is how a client's request ended.
 type Result uint8
 
-// The ends of a task at its client.
+// The results of a request.
 const (
 	Served Result = iota
 	Rejected
 	Terminated
-	Disconnected // the connection ended first
-	Unanswered   // no final answer in its patience and the time that a client waits besides
+	Disconnected // the connection ended before an answer
+	Unanswered   // no answer within the timeout and answerGrace
 	resultCount
 )
 
-// Attempt is a task that came to a server.
+// Attempt is a request as it came to a server.
 type Attempt struct {
 	ID, Server, Zone, Customer string
 
-	Origin      string // the hall that it came in at, where the story gives each its own customers
+	Origin      string // the zone that it came in at, where each zone has customers of its own
 	Class       string
 	Units       float64
 	ReceivedAt  time.Time
-	IsCompleted bool // to its end
+	IsCompleted bool
 }
 
-// Recorder is what servers and clients saw.
+// Route is the zone that a request came in at, and the zone of an attempt of it.
+type Route [2]string
+
+// Recorder records what servers and clients see. It may be used by several goroutines at once.
 type Recorder struct {
-	Zones []string // by number, as customers tell theirs: see Customer
+	Zones []string // by number; see CustomerID
 
 	mu            sync.Mutex
-	attempts      []Attempt
+	attempts      []Attempt // in the order in which they came
 	results       map[string]Result
 	resultCounts  [resultCount]int
-	answeredTwice []string // ids that got a second final answer
+	answeredTwice []string // IDs
 }
 
-// NewRecorder makes an empty one.
-func NewRecorder() *Recorder { return &Recorder{results: map[string]Result{}} }
+// NewRecorder makes an empty recorder.
+func NewRecorder(zones []string) *Recorder {
+	return &Recorder{Zones: zones, results: map[string]Result{}}
+}
 
-// zoneShift is where in a customer's number the number of its hall stands.
+// zoneShift is where the zone's number begins in a customer's.
 const zoneShift = 24
 
-// CustomerID is the number of a customer whose tasks come in at the hall of a number.
+// CustomerID returns the number of a customer whose requests come in at a zone.
 func CustomerID(zone int, n uint64) uint64 { return uint64(zone)<<zoneShift | n }
 
-// RecordAttempt tells of a push that a server took, and gives its place.
+// RecordAttempt records an attempt that a server accepted, and returns its index.
 func (r *Recorder) RecordAttempt(attempt Attempt) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,14 +72,14 @@
 	return len(r.attempts) - 1
 }
 
-// RecordCompletion tells that the push at a place ran to its end.
+// RecordCompletion records that a server completed the attempt of an index.
 func (r *Recorder) RecordCompletion(index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts[index].IsCompleted = true
 }
 
-// RecordResult tells how a client's task ended.
+// RecordResult records how a client's request ended.
 func (r *Recorder) RecordResult(id string, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,63 +90,51 @@
 	r.resultCounts[result]++
 }
 
-// ResultCounts are the numbers of tasks by how they ended.
+// ResultCounts returns the number of requests by result.
 func (r *Recorder) ResultCounts() [resultCount]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.resultCounts
 }
 
-// AttemptsByZone gives the pushes that came after a time, by the hall of their server.
-func (r *Recorder) AttemptsByZone(from time.Time) map[string]int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	zones := map[string]int{}
-	for i := len(r.attempts) - 1; i >= 0 && r.attempts[i].ReceivedAt.After(from); i-- {
-		zones[r.attempts[i].Zone]++
-	}
-	return zones
-}
-
-// AttemptsByRoute gives the pushes that came after a time, by the halls that their tasks came in at and were pushed to. The hall
-// that a task came in at is told by its customer.
-func (r *Recorder) AttemptsByRoute(from time.Time) map[[2]string]int {
+// AttemptsByRoute returns the number of attempts that came after a time, by route.
+func (r *Recorder) AttemptsByRoute(since time.Time) map[Route]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	flow := map[[2]string]int{}
-	for i := len(r.attempts) - 1; i >= 0 && r.attempts[i].ReceivedAt.After(from); i-- {
-		flow[[2]string{r.attempts[i].Origin, r.attempts[i].Zone}]++
+	counts := map[Route]int{}
+	for i := len(r.attempts) - 1; i >= 0 && r.attempts[i].ReceivedAt.After(since); i-- {
+		counts[Route{r.attempts[i].Origin, r.attempts[i].Zone}]++
 	}
-	return flow
+	return counts
 }
 
-// Attempts are all pushes so far.
+// Attempts returns all attempts so far.
 func (r *Recorder) Attempts() []Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.attempts)
 }
 
-// Violations tells what broke the rules that hold whatever fails: a task without its final answer or with two, and an
-// effectful task that ran to its end twice.
+// Violations returns what broke the rules that hold whatever fails: a request without an answer or with two, and a
+// non-idempotent request that came to servers twice.
 func (r *Recorder) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var wrong []string
+	var violations []string
 	if n := r.resultCounts[Unanswered]; n > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d tasks without a final answer", n))
+		violations = append(violations, fmt.Sprintf("%d requests without an answer", n))
 	}
-	if len(r.answeredTwice) > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d tasks with two final answers", len(r.answeredTwice)))
+	if n := len(r.answeredTwice); n > 0 {
+		violations = append(violations, fmt.Sprintf("%d requests with two answers", n))
 	}
-	ran := map[string]int{}
+	attempts := map[string]int{}
 	for _, attempt := range r.attempts {
-		if attempt.Class != "pay" {
+		if attempt.Class != NonIdempotentClass {
 			continue
 		}
-		if ran[attempt.ID]++; ran[attempt.ID] == 2 {
-			wrong = append(wrong, "effectful task "+attempt.ID+" came to servers twice")
+		if attempts[attempt.ID]++; attempts[attempt.ID] == 2 {
+			violations = append(violations, "non-idempotent request "+attempt.ID+" came to servers twice")
 		}
 	}
-	return wrong
+	return violations
 }
--- a/internal/testing/faultinjection/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -3,15 +3,15 @@
 import (
 	"flag"
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
 )
 
-// failoverTerms has two regions of three halls. Clients ask for some 160 units a second in each hall, of which 4 servers bear
-// 400: 320 are planned there at most, so a hall bears another's tasks besides its own, and no third's.
+// failoverTerms has two regions with three zones. Clients ask for some 160 units per second in each zone. A zone's 4 servers
+// have a capacity of 400, of which 320 are planned at most: it serves another zone's requests besides its own, and no
+// third's.
 const failoverTerms = `[failover]
 on = true
 bears = 100
@@ -26,19 +26,19 @@
 `
 
 const (
-	requestRate       = 40   // tasks a second of each gateway, of two units in the mean
-	zoneCapacity      = 400  // units a second of a hall, by the terms
-	minLocalFraction  = 0.98 // of tasks are pushed in their own hall on calm days
-	minMovedFraction  = 0.8  // at least, of a lost hall's: the rest tries it
-	minServedFraction = 0.6  // at least, of what clients ask, is pushed elsewhere once a plan has moved a hall: what tries it is not
-	loadWindowSeconds = 3    // seconds over which a hall's load is looked at: over one, chance alone passes by a quarter
-	minSample         = 20   // pushes that make a share
+	requestRate       = 40   // requests per second at each gateway, of two units on average
+	zoneCapacity      = 400  // units per second, by the terms
+	minLocalFraction  = 0.98 // of attempts are in their own zone while all is well
+	minMovedFraction  = 0.8  // of a lost zone's attempts are elsewhere: the rest tries it
+	minServedFraction = 0.6  // of a lost zone's requests are attempted elsewhere: those that try it are not
+	loadWindowSeconds = 3    // over which a zone's load is measured: over one second, chance alone exceeds it by a quarter
+	minSample         = 20   // attempts that make a fraction
 )
 
-// withoutVoters plays the stories without voters, each gateway by its own evidence: all must fail.
-var withoutVoters = flag.Bool("without", false, "play the stories without voters: they must fail")
+// withoutVoters runs the scenarios without voters, each gateway by its own observations: all must fail.
+var withoutVoters = flag.Bool("without", false, "run the scenarios without voters: they must fail")
 
-// scenario is a world with something in common that is calm, and clients that ask.
+// scenario is an environment with voters, and clients that send requests.
 type scenario struct {
 	*Environment
 	*VoterCluster
@@ -47,7 +47,7 @@
 	t         *testing.T
 }
 
-// startScenario starts all of it, and waits until a plan is in force everywhere and tasks are pushed near.
+// startScenario starts all processes, and waits until a plan is in force everywhere and attempts are in their own zones.
 func startScenario(t *testing.T) *scenario {
 	t.Helper()
 	return startScenarioWith(t, failoverTerms)
@@ -66,11 +66,11 @@
 	return s
 }
 
-// startEnvironment starts all of it with parts' terms, and has clients ask for what is drawn in each hall.
-func startEnvironment(t *testing.T, gateways, voters string, draw func(zone int) func(*rand.Rand) Request) *scenario {
+// startEnvironment starts all processes with the terms of gateways and voters, and has clients send requests.
+func startEnvironment(t *testing.T, gatewayTerms, voterTerms string, draw drawFunc) *scenario {
 	t.Helper()
 	env := newThreeZones(t)
-	s := &scenario{Environment: env, VoterCluster: env.AddVoters(gateways, voters), t: t}
+	s := &scenario{Environment: env, VoterCluster: env.AddVoters(gatewayTerms, voterTerms), t: t}
 	t.Cleanup(func() {
 		for i := 0; i < len(env.Gateways) && t.Failed(); i += 2 {
 			t.Logf("%s:\n%s", env.Gateways[i].Name, env.Gateways[i].Log.String())
@@ -84,102 +84,121 @@
 	return s
 }
 
-// waitForLog waits until a process has said words so often.
-func (s *scenario) waitForLog(p *Process, phrase string, times int) {
+// waitForLog waits until a process has logged a text a number of times.
+func (s *scenario) waitForLog(p *Process, text string, times int) {
 	s.t.Helper()
 	if *withoutVoters {
 		return
 	}
-	fakes.Eventually(s.t, p.Name+" says "+phrase, func() bool { return p.Log.Count(phrase) >= times })
+	fakes.Eventually(s.t, p.Name+" logs "+text, func() bool { return p.Log.Count(text) >= times })
 }
 
-// routeFraction is the part of the pushes of a hall's tasks, in the last second or since a time if that is later, that went to a
-// hall; -1 where there are few.
+// routeFraction returns the fraction of a zone's attempts that are in a zone, in the last second or since a time if that
+// is later; -1 where there are too few.
 func (s *scenario) routeFraction(from, to string, since time.Time) float64 {
 	if second := time.Now().Add(-time.Second); second.After(since) {
 		since = second
 	}
-	flow, all := s.Recorder.AttemptsByRoute(since), 0
+	counts, total := s.Recorder.AttemptsByRoute(since), 0
 	for _, zone := range s.Zones {
-		all += flow[[2]string{from, zone}]
+		total += counts[Route{from, zone}]
 	}
-	if all < minSample {
+	if total < minSample {
 		return -1
 	}
-	return float64(flow[[2]string{from, to}]) / float64(all)
+	return float64(counts[Route{from, to}]) / float64(total)
 }
 
-// waitForFraction waits until, of the pushes from here on, such a part of one hall's goes to another.
+// waitForFraction waits until the fraction of a zone's attempts from now on that are in a zone is within bounds.
 func (s *scenario) waitForFraction(from, to string, minFraction, maxFraction float64) {
 	s.t.Helper()
-	since, is := time.Now(), 0.0
+	since, fraction := time.Now(), 0.0
 	defer func() {
 		if s.t.Failed() {
-			s.t.Logf("from %s to %s: %.2f; all: %v", from, to, is, s.Recorder.AttemptsByRoute(time.Now().Add(-time.Second)))
+			counts := s.Recorder.AttemptsByRoute(time.Now().Add(-time.Second))
+			s.t.Logf("from %s to %s: %.2f; all: %v", from, to, fraction, counts)
 		}
 	}()
-	fakes.Eventually(s.t, fmt.Sprintf("%.2f to %.2f of the tasks of %s in %s", minFraction, maxFraction, from, to), func() bool {
-		is = s.routeFraction(from, to, since)
-		return is >= minFraction && is <= maxFraction
+	what := fmt.Sprintf("%.2f to %.2f of the attempts of %s in %s", minFraction, maxFraction, from, to)
+	fakes.Eventually(s.t, what, func() bool {
+		fraction = s.routeFraction(from, to, since)
+		return fraction >= minFraction && fraction <= maxFraction
 	})
 }
 
-// waitForLoad waits until servers of a hall get at least such a part of what clients ask of another in a second from here
-// on.
+// waitForLoad waits until a zone gets, in a second from now on, at least a fraction of what clients ask for in a zone.
 func (s *scenario) waitForLoad(from, to string, minFraction float64) {
 	s.t.Helper()
-	since, n := time.Now(), 0
-	fakes.Eventually(s.t, fmt.Sprintf("%.2f of what is asked in %s served in %s", minFraction, from, to), func() bool {
+	since := time.Now()
+	fakes.Eventually(s.t, fmt.Sprintf("%.2f of the requests of %s served in %s", minFraction, from, to), func() bool {
 		now := time.Now()
 		if now.Sub(since) > time.Second {
 			since = now.Add(-time.Second)
 		}
-		n = s.Recorder.AttemptsByRoute(since)[[2]string{from, to}]
+		n := s.Recorder.AttemptsByRoute(since)[Route{from, to}]
 		return float64(n) >= minFraction*requestRate*float64(len(s.GatewaysIn(from)))
 	})
 }
 
-// expectNoAttempts wants no push from a hall to another since a time.
-func (s *scenario) expectNoAttempts(from, to string, since time.Time) {
+// expectNoAttempts fails where there was an attempt on a route since a time.
+func (s *scenario) expectNoAttempts(route Route, since time.Time) {
 	s.t.Helper()
-	if n := s.Recorder.AttemptsByRoute(since)[[2]string{from, to}]; n > 0 {
-		s.t.Errorf("%d pushes from %s to %s", n, from, to)
+	if n := s.Recorder.AttemptsByRoute(since)[route]; n > 0 {
+		s.t.Errorf("%d attempts on route %v", n, route)
 	}
 }
 
-// finish waits for the answers, and wants no rule broken and no hall pushed over what it bears.
+// finish waits for the answers, and fails where a rule was broken, a zone overloaded, or a process logged what it must not.
 func (s *scenario) finish() {
 	s.t.Helper()
 	s.stopLoad()
-	if wrong := s.Recorder.Violations(); len(wrong) > 0 {
-		s.t.Errorf("%v; ends %v", wrong, s.Recorder.ResultCounts())
+	if violations := s.Recorder.Violations(); len(violations) > 0 {
+		s.t.Errorf("%v; results %v", violations, s.Recorder.ResultCounts())
 	}
-	units := map[string]float64{}
+	s.checkLoad()
+	s.checkLogs()
+}
+
+// window is a span of loadWindowSeconds in a zone.
+type window struct {
+	zone   string
+	number int64
+}
+
+// checkLoad fails where a zone got more than its capacity.
+func (s *scenario) checkLoad() {
+	s.t.Helper()
+	rates := map[window]float64{} // units per second
 	for _, attempt := range s.Recorder.Attempts() {
-		units[fmt.Sprintf("%s in seconds %d", attempt.Zone, attempt.ReceivedAt.Unix()/loadWindowSeconds)] += attempt.Units / loadWindowSeconds
+		rates[window{attempt.Zone, attempt.ReceivedAt.Unix() / loadWindowSeconds}] += attempt.Units / loadWindowSeconds
 	}
-	for zone, n := range units {
-		if n > zoneCapacity {
-			s.t.Errorf("%s: %.0f units a second, and it bears %d", zone, n, zoneCapacity)
+	for w, rate := range rates {
+		if rate > zoneCapacity {
+			s.t.Errorf("%s in window %d: %.0f units per second, and its capacity is %d", w.zone, w.number, rate, zoneCapacity)
 		}
 	}
-	all := []*Process{}
+}
+
+// checkLogs fails where a process logged what no process may.
+func (s *scenario) checkLogs() {
+	s.t.Helper()
+	var processes []*Process
 	for _, g := range s.Gateways {
-		all = append(all, g.Process)
+		processes = append(processes, g.Process)
 	}
 	for _, v := range s.Voters {
-		all = append(all, v.Process)
+		processes = append(processes, v.Process)
 	}
-	for _, p := range all {
-		for _, phrase := range []string{"panic", "DATA RACE", "malformed plan"} {
-			if p.Log.Count(phrase) > 0 {
-				s.t.Errorf("%s has %q in its log:\n%s", p.Name, phrase, p.Log.String())
+	for _, p := range processes {
+		for _, text := range []string{"panic", "DATA RACE", "malformed plan"} {
+			if p.Log.Count(text) > 0 {
+				s.t.Errorf("%s has %q in its log:\n%s", p.Name, text, p.Log.String())
 			}
 		}
 	}
 }
 
-// failZone has a hall's servers die, and waits until its tasks are in another.
+// failZone has a zone's servers go down, and waits until its requests are served in another.
 func (s *scenario) failZone(zone, to string) {
 	s.t.Helper()
 	s.SetZoneBehavior(zone, Down)
--- a/internal/testing/faultinjection/server.go
+++ b/internal/testing/faultinjection/server.go
@@ -15,15 +15,15 @@
 // Behavior is how a server behaves.
 type Behavior uint8
 
-// The moods of a server.
+// The behaviors of a server.
 const (
 	Healthy      Behavior = iota
-	Down                  // refuses connections and resets those it has
+	Down                  // refuses connections, and resets those it has
 	Unresponsive          // takes everything and answers nothing
 	Failing               // answers with errors
 )
 
-// Server is an emulated server: it works on at most so many tasks at once, each for a time, and turns more away.
+// Server is a fake server. It works on a number of requests at once, each for a time, and rejects others.
 type Server struct {
 	Name, Zone, Addr string
 
@@ -31,165 +31,167 @@
 	serviceTime   time.Duration
 	maxConcurrent int
 
-	mu          sync.Mutex
-	behavior    Behavior
-	listener    net.Listener
-	conns       map[net.Conn]struct{}
-	inFlight    int
-	peak        int
-	restartedAt time.Time
+	mu       sync.Mutex
+	behavior Behavior
+	listener net.Listener
+	conns    map[net.Conn]struct{}
+	inFlight int
 }
 
-// NewServer starts one; most is how many tasks it works on at once.
+// NewServer starts a server on an address that stays its own while it is down.
 func NewServer(name, zone string, serviceTime time.Duration, maxConcurrent int, recorder *Recorder) (*Server, error) {
-	s := &Server{Name: name, Zone: zone, recorder: recorder, serviceTime: serviceTime, maxConcurrent: maxConcurrent, conns: map[net.Conn]struct{}{}}
-	addr, err := freeAddr() // its own while it is dead, too
+	addr, err := freeAddr()
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s.Addr = addr
-	s.acceptFrom(l)
+	s := &Server{
+		Name: name, Zone: zone, Addr: addr, recorder: recorder, serviceTime: serviceTime, maxConcurrent: maxConcurrent,
+		conns: map[net.Conn]struct{}{},
+	}
+	s.acceptFrom(listener)
 	return s, nil
 }
 
-func (s *Server) acceptFrom(l net.Listener) {
+func (s *Server) acceptFrom(listener net.Listener) {
 	s.mu.Lock()
-	s.listener = l
+	s.listener = listener
 	s.mu.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
-				return
+				return // closed
 			}
 			s.mu.Lock()
-			s.conns[c] = struct{}{}
+			s.conns[conn] = struct{}{}
 			s.mu.Unlock()
-			go s.serve(c)
+			go s.serve(conn)
 		}
 	}()
 }
 
-// SetBehavior changes the mood. One that is dead and becomes another listens again, and says since when it runs.
+// Behavior returns how the server behaves.
+func (s *Server) Behavior() Behavior {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.behavior
+}
+
+// SetBehavior changes how the server behaves. One that was down listens again.
 func (s *Server) SetBehavior(behavior Behavior) error {
 	s.mu.Lock()
-	was := s.behavior
+	previous := s.behavior
 	s.behavior = behavior
-	if behavior == Down && was != Down {
-		_ = s.listener.Close()
-		for c := range s.conns {
-			if tcp, ok := c.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0)
-			}
-			_ = c.Close()
-		}
-		clear(s.conns)
+	if behavior == Down && previous != Down {
+		s.stopListening()
 	}
 	s.mu.Unlock()
-	if was == Down && behavior != Down {
-		l, err := net.Listen("tcp", s.Addr)
-		if err != nil {
-			return err
-		}
-		s.mu.Lock()
-		s.restartedAt = time.Now()
-		s.mu.Unlock()
-		s.acceptFrom(l)
+	if previous != Down || behavior == Down {
+		return nil
+	}
+	listener, err := net.Listen("tcp", s.Addr)
+	if err != nil {
+		return err
 	}
+	s.acceptFrom(listener)
 	return nil
 }
 
-// SetMaxConcurrent changes how many tasks it works on at once.
-func (s *Server) SetMaxConcurrent(maxConcurrent int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.maxConcurrent = maxConcurrent
+// stopListening closes the listener and resets all connections, under the lock.
+func (s *Server) stopListening() {
+	_ = s.listener.Close() // nobody else closes it
+	for conn := range s.conns {
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // fails on a closed connection alone
+		}
+		_ = conn.Close()
+	}
+	clear(s.conns)
 }
 
-// Peak is the most tasks at once since the last call.
-func (s *Server) Peak() int {
+// Close ends the server.
+func (s *Server) Close() { _ = s.SetBehavior(Down) } // fails only where it has to listen
+
+// admit returns the behavior, and takes a place for a request where the server is healthy and has one.
+func (s *Server) admit() (behavior Behavior, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.peak
-	s.peak = s.inFlight
-	return p
+	if s.behavior != Healthy || s.inFlight >= s.maxConcurrent {
+		return s.behavior, false
+	}
+	s.inFlight++
+	return s.behavior, true
 }
 
-// Close ends it.
-func (s *Server) Close() { _ = s.SetBehavior(Down) }
-
-// admit reads the mood; take is to take a place for a task where one is free.
-func (s *Server) admit(take bool) (behavior Behavior, full bool) {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if take && s.behavior == Healthy {
-		if s.inFlight >= s.maxConcurrent {
-			return s.behavior, true
-		}
-		s.inFlight++
-		s.peak = max(s.peak, s.inFlight)
-	}
-	return s.behavior, false
+	s.inFlight--
 }
 
-func (s *Server) serve(c net.Conn) {
+// minAttemptWords is the length of a request; shorter commands are pings.
+const minAttemptWords = 4
+
+func (s *Server) serve(conn net.Conn) {
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close() // the gateway or stopListening may have closed it
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	in := bufio.NewReader(c)
-	for {
-		words, err := fakes.ReadCommand(in)
+	for reader := bufio.NewReader(conn); ; {
+		words, err := fakes.ReadCommand(reader)
 		if err != nil {
 			return
 		}
-		if len(words) < 4 {
-			_, _ = io.WriteString(c, "+PONG\r\n")
-			continue
-		}
-		behavior, full := s.admit(true)
-		switch {
-		case behavior == Unresponsive:
-			continue
-		case behavior == Failing:
-			_, _ = io.WriteString(c, "-ERR failed\r\n")
-			continue
-		case full:
-			_, _ = io.WriteString(c, "-BUSY\r\n")
-			continue
+		answer := "+PONG\r\n"
+		if len(words) >= minAttemptWords {
+			answer = s.answer(words)
 		}
-		attempt := parseAttempt(words)
-		attempt.Server, attempt.Zone = s.Name, s.Zone
-		index := s.recorder.RecordAttempt(attempt)
-		time.Sleep(s.serviceTime)
-		s.mu.Lock()
-		s.inFlight--
-		s.mu.Unlock()
-		s.recorder.RecordCompletion(index)
-		if behavior, _ := s.admit(false); behavior == Unresponsive {
-			continue
-		}
-		if _, err := io.WriteString(c, fakes.FormatValue("done", int(attempt.Units))); err != nil {
+		if _, err := io.WriteString(conn, answer); err != nil {
 			return
 		}
 	}
 }
 
-// parseAttempt reads a command of a push.
+// answer works on a request and returns the answer, empty where there is to be none.
+func (s *Server) answer(words []string) string {
+	behavior, admitted := s.admit()
+	switch {
+	case behavior == Unresponsive:
+		return ""
+	case behavior == Failing:
+		return "-ERR failed\r\n"
+	case behavior == Healthy && !admitted:
+		return "-BUSY\r\n"
+	}
+	attempt := parseAttempt(words)
+	attempt.Server, attempt.Zone = s.Name, s.Zone
+	index := s.recorder.RecordAttempt(attempt)
+	time.Sleep(s.serviceTime)
+	if admitted {
+		s.release()
+	}
+	s.recorder.RecordCompletion(index)
+	if s.Behavior() == Unresponsive {
+		return ""
+	}
+	return fakes.FormatValue("done", int(attempt.Units))
+}
+
+// parseAttempt reads the command of an attempt.
 func parseAttempt(words []string) Attempt {
 	attempt := Attempt{Customer: words[1], ID: words[2], Units: 1}
-	for _, pair := range strings.Split(words[3], ",") {
-		switch key, value, _ := strings.Cut(pair, "="); key {
+	for attribute := range strings.SplitSeq(words[3], ",") {
+		switch key, value, _ := strings.Cut(attribute, "="); key {
 		case "c":
 			attempt.Class = value
 		case "units":
-			attempt.Units, _ = strconv.ParseFloat(value, 64)
+			attempt.Units, _ = strconv.ParseFloat(value, 64) // a malformed number counts as none
 		}
 	}
 	return attempt
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -30,20 +30,20 @@
 
 const noSettlementRule = "[[debts.rule]]\nbetween = [\"a\", \"b\"]\nsettle = false\n"
 
-// storedDebt is what one partner owes another by the table, in units.
+// storedDebt returns what one partner owes another by the table, in units.
 func (s *scenario) storedDebt(debtor, creditor string) float64 {
 	s.t.Helper()
-	v, err := settlement.DecodeState(s.Read(settlement.TableName).Value)
+	state, err := settlement.DecodeState(s.Read(settlement.TableName).Value)
 	must(s.t, err)
-	for _, n := range v.NetDebts {
-		if n.Debtor == debtor && n.Creditor == creditor {
-			return float64(n.Sum) / 1000
+	for _, debt := range state.NetDebts {
+		if debt.Debtor == debtor && debt.Creditor == creditor {
+			return float64(debt.Sum) / 1000
 		}
 	}
 	return 0
 }
 
-// completedUnits is what servers of a hall did for the customers of another, in units.
+// completedUnits returns the units that a zone's servers worked for the customers of a zone.
 func (s *scenario) completedUnits(from, to string) (units float64) {
 	for _, attempt := range s.Recorder.Attempts() {
 		if attempt.Origin == from && attempt.Zone == to {
@@ -53,8 +53,8 @@
 	return units
 }
 
-// 15. A hall is lost and its tasks run at another partner's, while every digest arrives twice, the leader is killed,
-// and the next one too. What is owed at the end is what the servers did, to the unit.
+// 15. A zone is lost and its requests run at another partner's, while every digest arrives twice, the leader is killed,
+// and the next one too. What is owed at the end is what the servers worked, to the unit.
 func TestSettlement_debtsExactThroughLeaderChangesAndDuplicates(t *testing.T) {
 	s := startScenarioWith(t, partnerTerms+noSettlementRule+failoverTerms)
 	s.SetFault(nil, nil, faultproxy.Fault{Duplicate: true, OnlyPath: "/digests"})
@@ -67,18 +67,18 @@
 		s.Leader()
 	}
 	s.finish()
-	is, was := 0.0, s.completedUnits("hall-a", "hall-b")-s.completedUnits("hall-b", "hall-a")
-	defer func() { t.Logf("owed %.3f, done %.3f", is, was) }()
-	fakes.Eventually(t, fmt.Sprintf("a debt of %.3f", was), func() bool {
-		is = s.storedDebt("a", "b")
-		return is == was
+	got, want := 0.0, s.completedUnits("hall-a", "hall-b")-s.completedUnits("hall-b", "hall-a")
+	defer func() { t.Logf("owed %.3f, completed %.3f", got, want) }()
+	fakes.Eventually(t, fmt.Sprintf("a debt of %.3f", want), func() bool {
+		got = s.storedDebt("a", "b")
+		return got == want
 	})
-	if c := s.storedDebt("a", "c"); c != s.completedUnits("hall-a", "hall-c") {
-		t.Errorf("owed to c %.3f, done there %.3f", c, s.completedUnits("hall-a", "hall-c"))
+	if got, want := s.storedDebt("a", "c"), s.completedUnits("hall-a", "hall-c"); got != want {
+		t.Errorf("owed to c %.3f, completed there %.3f", got, want)
 	}
 }
 
-// 16. A debt is being settled when its debtor's hall fails. The creditor's tasks come home and are served there.
+// 16. A debt is being settled when its debtor's zone fails. The creditor's requests come back and are served in its zone.
 func TestSettlement_debtorZoneFailsMeanwhile(t *testing.T) {
 	s := startScenarioWith(t, partnerTerms+failoverTerms)
 	s.failZone("hall-a", "hall-b")
@@ -90,6 +90,6 @@
 	s.waitForFraction("hall-b", "hall-b", minLocalFraction, 1)
 	s.waitForLoad("hall-b", "hall-b", minServedFraction)
 	from := time.Now()
-	s.expectNoAttempts("hall-b", "hall-c", from)
+	s.expectNoAttempts(Route{"hall-b", "hall-c"}, from)
 	s.finish()
 }
--- a/internal/testing/faultinjection/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -15,43 +15,46 @@
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
-// LeaseDuration is that of the stories: short, so that they are. Each process confirms what it holds some five times in it.
+// LeaseDuration is short, so that scenarios are. Processes confirm what they hold about five times in it.
 const LeaseDuration = time.Second
 
-// readWithin is how long the harness waits for one voter's word, and writeWithin for a write's.
 const (
-	readTimeout  = time.Second
+	voterCount   = 3
+	readTimeout  = time.Second // of one voter's answer to the test itself
 	writeTimeout = 2 * time.Second
 )
 
-// Voter is a voter's process, without a gateway.
+// Voter is the process of a voter, without a gateway.
 type Voter struct {
 	*Process
-	Number, Replaces uint64
-	Addr, Dir        string
+	Number   uint64
+	Replaces uint64 // number of the voter that it takes the place of; 0: none
+	Addr     string
+	Dir      string // of its log
 }
 
-// VoterCluster is what the processes of a world hold in common: three voters and, from each process to each other voter, a
-// relay. Every process finds the voters at its own relays, by its own file.
+// VoterCluster is three voters and, from each process to each other voter, a proxy. Each process has a configuration of
+// its own, in which the voters are at its own proxies.
 type VoterCluster struct {
-	env    *Environment
 	Voters []*Voter
-	// GatewayTerms are the parts' tables in the gateways' files, VoterTerms in the voters'.
+	// GatewayTerms and VoterTerms are the tables of failover, counting and debts in the processes' configurations.
 	GatewayTerms, VoterTerms string
 
-	proxies       map[[2]string]*faultproxy.Proxy
+	env           *Environment
+	proxies       map[[2]string]*faultproxy.Proxy // by names of caller and voter
 	client        *transport.Client
-	commandNumber uint64 // of the latest command
+	commandNumber uint64 // of the latest write
 }
 
-// AddVoters makes the voters v1 to v3 and the files of all, with the parts' terms in them. Start and Gateways' Start
-// start the processes.
-func (env *Environment) AddVoters(terms, voterTerms string) *VoterCluster {
+// AddVoters makes voters v1 to v3, and the configurations of all processes. The processes are yet to be started.
+func (env *Environment) AddVoters(gatewayTerms, voterTerms string) *VoterCluster {
 	env.T.Helper()
-	c := &VoterCluster{env: env, GatewayTerms: terms, VoterTerms: voterTerms, proxies: map[[2]string]*faultproxy.Proxy{},
-		client: transport.NewClient(transport.Network{}, 4)}
+	c := &VoterCluster{
+		env: env, GatewayTerms: gatewayTerms, VoterTerms: voterTerms, proxies: map[[2]string]*faultproxy.Proxy{},
+		client: transport.NewClient(transport.Network{}, 4),
+	}
 	env.T.Cleanup(c.client.Close)
-	for i := range 3 {
+	for i := range voterCount {
 		c.Voters = append(c.Voters, c.newVoter(fmt.Sprintf("v%d", i+1), uint64(i+1), 0))
 	}
 	for _, g := range env.Gateways {
@@ -62,9 +65,12 @@
 }
 
 func (c *VoterCluster) newVoter(name string, number, replaces uint64) *Voter {
-	v := &Voter{Number: number, Replaces: replaces, Addr: FreeAddr(c.env.T),
-		Dir: filepath.Join(c.env.Folder, fmt.Sprintf("disk%d", number))}
-	v.Process = NewProcess(c.env.Program, name, "RELAY_CONFIG=", "RELAY_COMMON="+c.configPath(name))
+	c.env.T.Helper()
+	v := &Voter{
+		Process: NewProcess(c.env.Program, name, "RELAY_CONFIG=", "RELAY_COMMON="+c.configPath(name)),
+		Number:  number, Replaces: replaces, Addr: FreeAddr(c.env.T),
+		Dir: filepath.Join(c.env.Folder, fmt.Sprintf("disk%d", number)),
+	}
 	c.env.T.Cleanup(func() {
 		v.Kill()
 		if c.env.T.Failed() {
@@ -74,7 +80,8 @@
 	return v
 }
 
-// Replace makes a voter that takes the place of another, on a folder of its own; Files and SIGHUP tell the others.
+// Replace makes a voter that takes the place of another, with a folder of its own. WriteConfigs and SIGHUP tell the other
+// processes.
 func (c *VoterCluster) Replace(old *Voter, name string, number uint64) *Voter {
 	c.env.T.Helper()
 	v := c.newVoter(name, number, old.Number)
@@ -86,41 +93,34 @@
 	return filepath.Join(c.env.Folder, name+".toml")
 }
 
-// WriteConfigs writes the files of all processes, or of those named.
+// WriteConfigs writes the configurations of the processes named; none named: of all.
 func (c *VoterCluster) WriteConfigs(names ...string) {
 	c.env.T.Helper()
+	isWritten := func(name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	for _, v := range c.Voters {
-		c.writeConfig(v.Name, "", v.Dir, names)
+		if isWritten(v.Name) {
+			c.writeConfig(v.Name, fmt.Sprintf("voter = true\ndisk = %q\n", v.Dir), c.VoterTerms)
+		}
 	}
 	for _, g := range c.env.Gateways {
-		c.writeConfig(g.Name, g.Zone, "", names)
+		if isWritten(g.Name) {
+			c.writeConfig(g.Name, fmt.Sprintf("hall = %q\n", g.Zone), c.GatewayTerms)
+		}
 	}
 }
 
-func (c *VoterCluster) writeConfig(name, zone, disk string, only []string) {
+// writeConfig writes a process's configuration: what it has in the table [process], and the terms.
+func (c *VoterCluster) writeConfig(name, process, terms string) {
 	c.env.T.Helper()
-	if len(only) > 0 && !slices.Contains(only, name) {
-		return
-	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "[process]\nname = %q\n", name)
-	if zone != "" {
-		fmt.Fprintf(&text, "hall = %q\n", zone)
-	}
-	if disk != "" {
-		fmt.Fprintf(&text, "voter = true\ndisk = %q\n", disk)
-	}
-	terms := c.GatewayTerms
-	if disk != "" {
-		terms = c.VoterTerms
-	}
+	fmt.Fprintf(&text, "[process]\nname = %q\n%s", name, process)
 	fmt.Fprintf(&text, "[timing]\nlease = %q\ndigest_every = \"100ms\"\n%s", LeaseDuration.String(), terms)
 	for _, v := range c.Voters {
-		at := v.Addr
+		addr := v.Addr
 		if v.Name != name {
-			at = c.Proxy(name, v.Name).Addr
+			addr = c.proxy(name, v).Addr
 		}
-		fmt.Fprintf(&text, "[[voter]]\nnumber = %d\nname = %q\naddress = %q\n", v.Number, v.Name, at)
+		fmt.Fprintf(&text, "[[voter]]\nnumber = %d\nname = %q\naddress = %q\n", v.Number, v.Name, addr)
 		if v.Replaces > 0 {
 			fmt.Fprintf(&text, "replaces = %d\n", v.Replaces)
 		}
@@ -128,68 +128,64 @@
 	must(c.env.T, os.WriteFile(c.configPath(name), []byte(text.String()), 0o600))
 }
 
-// Proxy is the relay for calls of one process to a voter.
-func (c *VoterCluster) Proxy(from, to string) *faultproxy.Proxy {
+// proxy returns the proxy for calls of a process to a voter; one is made where there is none.
+func (c *VoterCluster) proxy(from string, to *Voter) *faultproxy.Proxy {
 	c.env.T.Helper()
-	key := [2]string{from, to}
-	if proxy := c.proxies[key]; proxy != nil {
-		return proxy
+	key := [2]string{from, to.Name}
+	if p := c.proxies[key]; p != nil {
+		return p
 	}
-	i := slices.IndexFunc(c.Voters, func(v *Voter) bool { return v.Name == to })
-	proxy, err := faultproxy.New(c.Voters[i].Addr)
+	p, err := faultproxy.New(to.Addr)
 	must(c.env.T, err)
-	c.env.T.Cleanup(proxy.Close)
-	c.proxies[key] = proxy
-	return proxy
+	c.env.T.Cleanup(p.Close)
+	c.proxies[key] = p
+	return p
 }
 
-// SetFault puts a fault on all links from some processes to others; none named: all.
-func (c *VoterCluster) SetFault(from, to []string, f faultproxy.Fault) {
-	for key, proxy := range c.proxies {
+// SetFault sets a fault on the calls of some processes to some voters; nil: of all, to all.
+func (c *VoterCluster) SetFault(from, to []string, fault faultproxy.Fault) {
+	for key, p := range c.proxies {
 		if (len(from) == 0 || slices.Contains(from, key[0])) && (len(to) == 0 || slices.Contains(to, key[1])) {
-			proxy.SetFault(f)
+			p.SetFault(fault)
 		}
 	}
 }
 
-// Isolate cuts a process off from all others, both ways; what others see of it too.
+// Isolate drops all calls of processes and to them.
 func (c *VoterCluster) Isolate(names ...string) {
-	c.SetFault(names, nil, faultproxy.Fault{DropRequests: true})
-	c.SetFault(nil, names, faultproxy.Fault{DropRequests: true})
+	c.SetFault(names, nil, dropRequests)
+	c.SetFault(nil, names, dropRequests)
 }
 
+var dropRequests = faultproxy.Fault{DropRequests: true}
+
 // ClearFaults ends all faults between processes.
 func (c *VoterCluster) ClearFaults() { c.SetFault(nil, nil, faultproxy.Fault{}) }
 
-// Start starts voters, or all of them.
+// Start starts voters; none named: all.
 func (c *VoterCluster) Start(voters ...*Voter) {
 	c.env.T.Helper()
 	if len(voters) == 0 {
 		voters = c.Voters
 	}
 	for _, v := range voters {
-		must(c.env.T, v.Process.Start())
+		must(c.env.T, v.Start())
 	}
 }
 
-// Status is what a voter says of itself.
-func (c *VoterCluster) Status(v *Voter) (transport.VoterInfo, error) {
-	return c.client.Info(c.env.T.Context(), v.Addr)
-}
-
-// Leader waits until a voter leads, as it says and a majority with it, and gives it.
+// Leader waits until a voter leads by its own word and a majority's, and returns it.
 func (c *VoterCluster) Leader() (leader *Voter) {
 	c.env.T.Helper()
 	fakes.Eventually(c.env.T, "a leader", func() bool {
 		votes := map[uint64]int{}
 		for _, v := range c.Voters {
-			if s, err := c.Status(v); err == nil && s.Started {
-				votes[s.Status.Leader]++
+			if info, err := c.info(v); err == nil && info.Started {
+				votes[info.Status.Leader]++
 			}
 		}
 		for _, v := range c.Voters {
-			s, err := c.Status(v)
-			if err == nil && s.Status.Leader == s.Number && votes[s.Number] > len(c.Voters)/2 {
+			info, err := c.info(v)
+			if err == nil && info.Status.Leader == info.Number && votes[info.Number] > len(c.Voters)/2 {
 				leader = v
 				return true
 			}
@@ -199,47 +195,50 @@
 	return leader
 }
 
-// Read reads a table with the word of a majority.
-func (c *VoterCluster) Read(table string) (entry statemachine.Table) {
+func (c *VoterCluster) info(v *Voter) (transport.VoterInfo, error) {
+	return c.client.Info(c.env.T.Context(), v.Addr)
+}
+
+// untilOneSucceeds calls voters, one after the other, until a call succeeds.
+func (c *VoterCluster) untilOneSucceeds(what string, timeout time.Duration, call func(context.Context, *Voter) error) {
 	c.env.T.Helper()
-	fakes.Eventually(c.env.T, "a read of "+table, func() bool {
-		for _, v := range c.Voters {
-			ctx, cancel := context.WithTimeout(c.env.T.Context(), readTimeout)
-			found, _, err := c.client.Read(ctx, v.Addr, nil, 0)
-			cancel()
-			if err == nil {
-				entry = found[table]
-				return true
-			}
-		}
-		return false
+	fakes.Eventually(c.env.T, what, func() bool {
+		return slices.ContainsFunc(c.Voters, func(v *Voter) bool {
+			ctx, cancel := context.WithTimeout(c.env.T.Context(), timeout)
+			defer cancel()
+			return call(ctx, v) == nil // the next voter is tried, until the wait for one that succeeds fails
+		})
 	})
-	return entry
 }
 
-// Write writes a table on the epoch that it stands at, and gives the new one. Where another write was first, it is done
-// again; what may have been written is proposed again under its number alone.
-func (c *VoterCluster) Write(table string, value []byte) (epoch uint64) {
+// Read returns a table as a majority confirms it.
+func (c *VoterCluster) Read(name string) (table statemachine.Table) {
+	c.env.T.Helper()
+	c.untilOneSucceeds("a read of "+name, readTimeout, func(ctx context.Context, v *Voter) error {
+		tables, _, err := c.client.Read(ctx, v.Addr, nil, 0)
+		table = tables[name]
+		return err
+	})
+	return table
+}
+
+// Write writes a table and returns its new epoch. Where another write came first, it is written again on that one; what
+// may have been written is proposed again under the same number.
+func (c *VoterCluster) Write(name string, value []byte) (epoch uint64) {
 	c.env.T.Helper()
 	for {
 		c.commandNumber++
-		command := statemachine.Command{Kind: statemachine.Write, Proposer: "drill/1", Number: c.commandNumber, Table: table,
-			Epoch: c.Read(table).Epoch, Value: value}
-		var r statemachine.Result
-		fakes.Eventually(c.env.T, "a write of "+table, func() bool {
-			for _, v := range c.Voters {
-				ctx, cancel := context.WithTimeout(c.env.T.Context(), writeTimeout)
-				got, err := c.client.Propose(ctx, v.Addr, command)
-				cancel()
-				if err == nil {
-					r = got
-					return true
-				}
-			}
-			return false
+		command := statemachine.Command{
+			Kind: statemachine.Write, Proposer: "drill/1", Number: c.commandNumber, Table: name,
+			Epoch: c.Read(name).Epoch, Value: value,
+		}
+		var result statemachine.Result
+		c.untilOneSucceeds("a write of "+name, writeTimeout, func(ctx context.Context, v *Voter) (err error) {
+			result, err = c.client.Propose(ctx, v.Addr, command)
+			return err
 		})
-		if r.Applied {
-			return r.Epoch
+		if result.Applied {
+			return result.Epoch
 		}
 	}
 }
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -8,9 +8,7 @@
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
-var dropRequests = faultproxy.Fault{DropRequests: true}
-
-// 4. The leader's word arrives nowhere while others' arrives at it, or the other way round. Another leads, and a hall's
+// 4. The leader's calls arrive nowhere while others' arrive at it, or the other way round. Another leads, and a zone's
 // loss is answered.
 func TestVoters_leaderWithOneWayPartition(t *testing.T) {
 	for name, way := range map[string]func(s *scenario, leader string){
@@ -32,8 +30,8 @@
 	}
 }
 
-// 5. The leader stands still past its lease; meanwhile another plan comes into force. Awake, it still believes to lead
-// and holds the old plan: no gateway goes back to it.
+// 5. The leader is paused past its lease; meanwhile another plan comes into force. Resumed, it still believes that it leads
+// and has the old plan: no gateway goes back to that.
 func TestVoters_leaderPausedPastLeaseThenResumed(t *testing.T) {
 	s := startScenario(t)
 	old := s.Leader()
@@ -44,17 +42,17 @@
 	old.Signal(syscall.SIGCONT)
 	s.Leader()
 	if e := s.Read("failover").Epoch; e <= epoch {
-		t.Errorf("the plan stands at %d, and stood at %d", e, epoch)
+		t.Errorf("the plan is at epoch %d, and was at %d", e, epoch)
 	}
 	s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
-	if n := s.Recorder.AttemptsByRoute(from)[[2]string{"hall-a", "hall-a"}]; n > 0 {
-		t.Errorf("%d pushes to the lost hall", n)
+	if n := s.Recorder.AttemptsByRoute(from)[Route{"hall-a", "hall-a"}]; n > 0 {
+		t.Errorf("%d attempts in the lost zone", n)
 	}
 	s.finish()
 }
 
-// 7. All voters are killed at once when a hall's tasks have moved. Gateways go on; what was acknowledged is there when
-// the voters are back, and the tasks are where they were.
+// 7. All voters are killed at once after a zone's requests have moved. Gateways go on; what was acknowledged is there when
+// the voters are back, and the requests are where they were.
 func TestVoters_allKilledDuringFailover(t *testing.T) {
 	s := startScenario(t)
 	s.failZone("hall-a", "hall-b")
@@ -72,7 +70,7 @@
 	s.waitForServed(100)
 	s.VoterCluster.Start()
 	if e := s.Read("failover").Epoch; e < epoch {
-		t.Errorf("the plan stands at %d, and %d was acknowledged", e, epoch)
+		t.Errorf("the plan is at epoch %d, and %d was acknowledged", e, epoch)
 	}
 	s.waitForFraction("hall-a", "hall-b", minMovedFraction, 1)
 	s.SetZoneBehavior("hall-a", Healthy)
@@ -80,8 +78,8 @@
 	s.finish()
 }
 
-// 8. A voter's disk is lost and another takes its place, under a new number, while a hall comes back cold. The tasks
-// come home by steps all the same.
+// 8. A voter's disk is lost and another takes its place, under a new number, while a zone comes back and warms up. Its
+// requests come back by steps all the same.
 func TestVoters_replacedWhileZoneRecovers(t *testing.T) {
 	s := startScenario(t)
 	s.failZone("hall-a", "hall-b")
@@ -104,8 +102,8 @@
 	s.finish()
 }
 
-// 17. The leader's disk is full when it is to write the next plan. It stops, and says so; another leads and writes it.
-// With room again, and started again, it is one of the three.
+// 17. The leader's disk is full when it is to write the next plan. It stops, and logs it; another leads and writes the plan.
+// With space again, and started again, it is one of the three.
 func TestVoters_leaderWithFullDisk(t *testing.T) {
 	s := startScenario(t)
 	full := s.Leader()
@@ -126,15 +124,16 @@
 	s.finish()
 }
 
-// 18. All processes run on the old file, then half of them on a new one with other terms. Whichever file the leader
-// has, a hall's loss is answered, and its return.
+// 18. All processes run on the old configuration, then half of them on a new one with other terms. Whichever the leader
+// has, a zone's loss is answered, and its return.
 func TestVoters_halfOfProcessesOnNewConfig(t *testing.T) {
 	s := startScenario(t)
 	s.GatewayTerms = failoverTerms + "[failover.bears_by]\n\"hall-a\" = 120\n"
 	s.VoterTerms = s.GatewayTerms
-	half := map[string]*Process{"v1": s.Voters[0].Process, "hall-a-g0": s.Gateways[0].Process,
-		"hall-b-g0": s.Gateways[2].Process,
-		"hall-c-g0": s.Gateways[4].Process}
+	half := map[string]*Process{
+		"v1": s.Voters[0].Process, "hall-a-g0": s.Gateways[0].Process, "hall-b-g0": s.Gateways[2].Process,
+		"hall-c-g0": s.Gateways[4].Process,
+	}
 	for name, p := range half {
 		s.WriteConfigs(name)
 		p.Signal(syscall.SIGHUP)
