--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -52,10 +53,7 @@
 			if err != nil {
 				return err
 			}
-			report.WriteTable(cmd.OutOrStdout(), lines)
-			fmt.Fprintln(cmd.OutOrStdout())
-			report.WriteFailover(cmd.OutOrStdout(), lines)
-			return nil
+			return writeTables(cmd.OutOrStdout(), lines)
 		},
 	}
 	c.Flags().StringVarP(&out, "out", "o", "results.jsonl", "file for the results, a line of JSON each")
@@ -86,21 +84,31 @@
 				return errors.New("one file alone needs --variants A,B")
 			}
 			if len(variants) == 2 {
-				a, b = only(a, variants[0]), only(b, variants[1])
+				a, b = ofVariant(a, variants[0]), ofVariant(b, variants[1])
 			}
 			pairs := experiment.Compare(a, b)
 			if len(pairs) == 0 {
 				return errors.New("nothing pairs: no play of the same world, size and seed in both")
 			}
-			report.WriteComparisons(cmd.OutOrStdout(), pairs)
-			return nil
+			return report.WriteComparisons(cmd.OutOrStdout(), pairs)
 		},
 	}
 	c.Flags().StringSliceVar(&variants, "variants", nil, "two variants, A and B")
 	return c
 }
 
-func only(lines []*experiment.Result, variant string) (some []*experiment.Result) {
+// writeTables writes the tables of results: all figures, and what became of failover plans.
+func writeTables(out io.Writer, results []*experiment.Result) error {
+	if err := report.WriteTable(out, results); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(out, "\n"); err != nil {
+		return err
+	}
+	return report.WriteFailover(out, results)
+}
+
+func ofVariant(lines []*experiment.Result, variant string) (some []*experiment.Result) {
 	for _, l := range lines {
 		if l.Variant == variant {
 			some = append(some, l)
@@ -127,9 +135,9 @@
 			if err != nil {
 				return err
 			}
-			report.WriteTable(cmd.OutOrStdout(), all)
-			fmt.Fprintln(cmd.OutOrStdout())
-			report.WriteFailover(cmd.OutOrStdout(), all)
+			if err := writeTables(cmd.OutOrStdout(), all); err != nil {
+				return err
+			}
 			for _, n := range names {
 				fmt.Fprintf(cmd.OutOrStdout(), "\n![%s](%s)\n", strings.TrimSuffix(filepath.Base(n), ".svg"), n)
 			}
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -1,7 +1,9 @@
+// Package simulation runs a scenario in virtual time: servers, counter, discovery, network and clients are models, and every
+// gateway is an instance of the policy, in this process. A scenario and a seed give the same run to the last byte, whatever
+// else runs. What it leaves out, against real gateways on sockets, stands in docs/lab.md.
 package simulation
 
 import (
-	"container/heap"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -9,167 +11,166 @@
 	"harrierhoist/internal/lab/baseline"
 	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/virtualtime"
 	"harrierhoist/policy"
 )
 
-// origin is where the clock of all machines stands when a play starts: not at nought, which decisions take for never.
+// origin is the time of all clocks when a run starts. It is not 0, which the policy takes for "never".
 const origin = 1000 * time.Hour
 
-// engine is one play.
+// Streams of random numbers, a generator for each purpose: two policies meet the same customers and the same faults.
+const (
+	modelStream = iota + 1
+	arrivalStream
+	faultStream
+	gatewayStream
+	clientStream
+	coordinationStream
+)
+
+// engine is one run of a scenario. All its parts run on the goroutine that runs its clock.
 type engine struct {
-	w      *scenario.World
-	now    time.Duration
-	seq    uint64
-	agenda agenda
-	site   policy.Settings
-
-	chance   *rand.Rand // of servers' work and the network
-	arrivals *rand.Rand // of what customers ask: the same whatever the gateways do
-	fate     *rand.Rand // of troubles: whom they strike
-
-	servers  []*server // all that ever were; the number is the place and 1
-	gateways []*gateway
-	counter  *counter
-	common   *common // nil: nothing is held in common
-	clients  *clients
-	ledger   *invariants.Ledger
-	make     baseline.Make
-
-	loadTimes   float64 // what burst makes of the load
-	planTimes   []float64
-	lagTimes    float64
-	answersLost float64
-	resets      float64
-	cut         map[int]bool // halls cut off from the others
-	crowded     *crowd
-	links       map[[2]int]bool // pairs of halls, the lower first, between which nothing passes
-	regions     []int           // of each hall
-	sent        []time.Duration // work sent to each hall in this second
-	lately      [][]float64     // of each hall, its utilisation in the latest seconds in which it stood whole
-	result      Result
+	scenario *scenario.Scenario
+	seed     uint64
+	clock    *virtualtime.Scheduler
+	settings policy.Settings // of any gateway; they differ in their index and zone alone
+
+	modelRandom   *rand.Rand // work of servers, delays of the network
+	arrivalRandom *rand.Rand // requests of customers: the same whatever the gateways do
+	faultRandom   *rand.Rand // which servers and gateways a fault affects
+
+	servers     []*server // all that ever ran, by their number less 1
+	gateways    []*gateway
+	counter     *counter
+	coordinator *coordinator // nil: the gateways share nothing
+	clients     *clients
+	checker     *invariants.Checker
+	newPolicy   baseline.Constructor
+
+	faults            faultState
+	regions           []int           // by zone
+	zoneWork          []time.Duration // work sent to each zone in the present second
+	recentUtilisation [][]float64     // of each zone, in the latest seconds in a row in which it had its capacity
+	result            Result
+}
+
+// faultState is what faults change besides servers, gateways, counter and voters.
+type faultState struct {
+	loadFactor      float64
+	planLoadFactors []float64
+	lagFactor       float64         // of discovery
+	answerLoss      float64         // probability
+	resetRate       float64         // probability
+	isolatedZones   map[int]bool    // nothing passes between one of these and another zone
+	cutLinks        map[[2]int]bool // pairs of zones, the lower first, between which nothing passes
+	hotspot         *hotspot        // nil: none
 }
 
-// Play plays a world with a policy under a seed.
-func Play(w *scenario.World, seed uint64, made baseline.Make) (*Result, error) {
-	e, err := begin(w, seed, made)
+// Run runs a scenario under a policy. The error is of the policy's constructor or of a fault of unknown kind.
+func Run(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*Result, error) {
+	e, err := newEngine(spec, seed, newPolicy)
 	if err != nil {
 		return nil, err
 	}
-	end := origin + w.Length.D()
-	for _, l := range e.site.Classes {
-		end = max(end, origin+w.Length.D()+l.Timeout+time.Second)
+	end := origin + spec.Length.D()
+	for _, class := range e.settings.Classes {
+		end = max(end, origin+spec.Length.D()+class.Timeout+time.Second)
 	}
-	e.until(end)
-	e.ledger.Finish(end)
+	e.clock.RunUntil(end)
+	e.checker.Finish(end)
 	return e.finish(), nil
 }
 
-// until plays on until a time.
-func (e *engine) until(end time.Duration) {
-	for len(e.agenda) > 0 && e.agenda[0].at <= end {
-		next := heap.Pop(&e.agenda).(event)
-		e.now = next.at
-		next.run()
-		e.result.Events++
-	}
-}
-
-// begin sets a play up.
-func begin(w *scenario.World, seed uint64, made baseline.Make) (*engine, error) {
+// newEngine sets a run up. The order of its steps is the order of their draws and events.
+func newEngine(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*engine, error) {
 	e := &engine{
-		w: w, now: origin, make: made, site: w.Deployment(0), loadTimes: 1, lagTimes: 1, cut: map[int]bool{},
-		links: map[[2]int]bool{}, regions: w.RegionOf(),
-		sent:   make([]time.Duration, w.Gateways.Halls),
-		lately: make([][]float64, w.Gateways.Halls),
+		scenario: spec, seed: seed, clock: virtualtime.New(origin), newPolicy: newPolicy,
+		settings: spec.PolicySettings(0), faults: newFaultState(len(spec.Plans)), regions: spec.ZoneRegions(),
+		zoneWork:          make([]time.Duration, spec.Gateways.Zones),
+		recentUtilisation: make([][]float64, spec.Gateways.Zones),
+		result:            newResult(spec, seed),
 	}
-	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	e.chance, e.arrivals, e.fate = stream(1), stream(2), stream(3)
-	e.ledger = invariants.New(invariants.Limits{
-		AnswerSlack: w.Rules.AnswerSlack.D(), DrainGrace: w.Rules.DrainGrace.D(),
-		Plans: e.site.Plans,
+	e.modelRandom, e.arrivalRandom, e.faultRandom = e.random(modelStream), e.random(arrivalStream), e.random(faultStream)
+	e.checker = invariants.New(invariants.Limits{
+		AnswerSlack: spec.Rules.AnswerSlack.D(), DrainGrace: spec.Rules.DrainGrace.D(),
+		Plans: e.settings.Plans,
 	})
-	e.planTimes = make([]float64, len(w.Plans))
-	for i := range e.planTimes {
-		e.planTimes[i] = 1
-	}
-	e.result = newResult(w, seed)
-	for i := range w.Servers.Count {
-		e.addServer(i%w.Gateways.Halls, i/w.Gateways.Halls/w.Servers.Cell*w.Gateways.Halls+i%w.Gateways.Halls, 0)
-	}
+	e.clock.BeforeEvent = func(time.Duration, uint64) { e.result.Events++ }
+	e.addServers()
 	e.counter = newCounter(e)
-	e.common = newCommon(e, stream(6))
-	setup := stream(4)
-	for n := range w.Gateways.Count {
-		g := &gateway{e: e, n: n, hall: n % w.Gateways.Halls}
-		if e.common != nil {
-			g.follower = e.common.followers[n]
-		}
-		e.gateways = append(e.gateways, g)
-		if err := g.start(setup.Uint64()); err != nil {
-			return nil, err
-		}
+	e.coordinator = newCoordinator(e, e.random(coordinationStream))
+	if err := e.addGateways(); err != nil {
+		return nil, err
 	}
-	e.clients = newClients(e, stream(5))
-	for i := range w.Troubles {
-		if err := e.schedule(w.Troubles[i]); err != nil {
+	e.clients = newClients(e, e.random(clientStream))
+	for _, f := range spec.Faults {
+		if err := e.scheduleFault(f); err != nil {
 			return nil, err
 		}
 	}
-	e.clients.offer()
-	for s := 1; s <= int(math.Ceil(w.Length.D().Seconds())); s++ {
-		e.at(origin+time.Duration(s)*time.Second, e.second)
+	e.clients.scheduleArrival()
+	for s := 1; s <= int(math.Ceil(spec.Length.D().Seconds())); s++ {
+		e.clock.At(origin+time.Duration(s)*time.Second, e.closeSecond)
 	}
 	return e, nil
 }
 
-// hop is the time that a message takes between two halls.
-func (e *engine) hop(a, b int) time.Duration { return e.hopBy(e.chance, a, b) }
+// newFaultState is the state without any fault.
+func newFaultState(plans int) faultState {
+	f := faultState{
+		loadFactor: 1, planLoadFactors: make([]float64, plans), lagFactor: 1,
+		isolatedZones: map[int]bool{}, cutLinks: map[[2]int]bool{},
+	}
+	for i := range f.planLoadFactors {
+		f.planLoadFactors[i] = 1
+	}
+	return f
+}
+
+// random makes the generator of a stream.
+func (e *engine) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(e.seed, stream)) }
 
-func (e *engine) hopBy(chance *rand.Rand, a, b int) time.Duration {
-	d := e.w.Network.Same.D()
-	switch {
-	case e.regions[a] != e.regions[b] && e.w.Network.Far > 0:
-		d = e.w.Network.Far.D()
-	case a != b:
-		d = e.w.Network.Cross.D()
+// addServers starts the first servers, in the zones in turn; a rack is of one zone.
+func (e *engine) addServers() {
+	zones, rackSize := e.scenario.Gateways.Zones, e.scenario.Servers.RackSize
+	for i := range e.scenario.Servers.Count {
+		zone := i % zones
+		e.addServer(zone, i/zones/rackSize*zones+zone, 0)
 	}
-	return time.Duration(float64(d) * (1 + e.w.Network.Jitter*(2*chance.Float64()-1)))
 }
 
-// parted tells whether nothing passes between two halls.
-func (e *engine) parted(a, b int) bool {
-	return a != b && (e.cut[a] || e.cut[b] || e.links[[2]int{min(a, b), max(a, b)}])
+// addGateways starts the gateways, in the zones in turn.
+func (e *engine) addGateways() error {
+	seeds := e.random(gatewayStream)
+	for n := range e.scenario.Gateways.Count {
+		g := &gateway{engine: e, index: n, zone: n % e.scenario.Gateways.Zones}
+		if e.coordinator != nil {
+			g.follower = e.coordinator.followers[n]
+		}
+		e.gateways = append(e.gateways, g)
+		if err := g.start(seeds.Uint64()); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// some draws a part of n things, at least one where the part is more than nought.
-func (e *engine) some(n int, part float64) []int {
-	if n == 0 || part <= 0 {
+// pick draws a fraction of n things for a fault, at least one where the fraction is over 0, and returns their indices.
+func (e *engine) pick(n int, fraction float64) []int {
+	if n == 0 || fraction <= 0 {
 		return nil
 	}
-	k := min(max(int(math.Round(part*float64(n))), 1), n)
-	drawn := e.fate.Perm(n)[:k]
-	return drawn
+	count := min(max(int(math.Round(fraction*float64(n))), 1), n)
+	return e.faultRandom.Perm(n)[:count]
 }
 
-// up are the places of the servers that a list would call ready.
-func (e *engine) up() []*server {
-	var all []*server
+// readyServers returns the servers that discovery lists as ready.
+func (e *engine) readyServers() []*server {
+	var ready []*server
 	for _, s := range e.servers {
-		if s.stage == policy.Ready {
-			all = append(all, s)
+		if s.state == policy.Ready {
+			ready = append(ready, s)
 		}
 	}
-	return all
-}
-
-// tell has discovery tell a change to every gateway, each after a lag of its own; to one gateway, changes come in
-// their order.
-func (e *engine) tell(s *server) {
-	listed := s.listed()
-	for _, g := range e.gateways {
-		lag := e.w.Discovery.Lag[0].D()
-		lag += time.Duration(e.chance.Float64() * float64(e.w.Discovery.Lag[1].D()-lag))
-		g.heard = max(g.heard, e.now+time.Duration(float64(lag)*e.lagTimes))
-		e.at(g.heard, func() { g.told(listed) })
-	}
+	return ready
 }
--- /dev/null
+++ b/internal/lab/simulation/gateway_host.go
@@ -0,0 +1,71 @@
+package simulation
+
+import (
+	"time"
+)
+
+// The methods of policy.Host; Attempt and Cancel stand in attempt.go.
+
+// timer is a timer of the policy.
+type timer struct{ cancelled bool }
+
+// Reject answers a request so that retrying it is harmless.
+func (g *gateway) Reject(requestID uint32, retryAfter time.Duration) {
+	if t := g.tries[requestID]; t != nil {
+		t.retryAfter = retryAfter
+		if g.follower != nil {
+			g.follower.recordRejection(t)
+		}
+		g.finishTry(t, rejected)
+	}
+}
+
+// Terminate answers a request without a word on whether it ran.
+func (g *gateway) Terminate(requestID uint32) {
+	if t := g.tries[requestID]; t != nil {
+		g.finishTry(t, terminated)
+	}
+}
+
+// Count calls the counter.
+func (g *gateway) Count(name uint64, keep time.Duration, units float64) {
+	g.engine.counter.call(g, name, keep, units)
+}
+
+// CheckHealth is not simulated.
+func (g *gateway) CheckHealth(uint32) {}
+
+// SendPeer reaches nobody, as on sockets.
+func (g *gateway) SendPeer(int, []byte) {}
+
+// WatchEndpoints does nothing: discovery notifies unasked.
+func (g *gateway) WatchEndpoints() {}
+
+// SetTimer calls HandleTimer after a time.
+func (g *gateway) SetTimer(token uint64, after time.Duration) {
+	t := &timer{}
+	g.timers[token] = t
+	incarnation := g.incarnation
+	g.engine.clock.After(after, func() {
+		g.run(incarnation, func() {
+			if t.cancelled {
+				return
+			}
+			if g.timers[token] == t {
+				delete(g.timers, token)
+			}
+			g.policy.HandleTimer(g.engine.clock.Now(), token)
+		})
+	})
+}
+
+// CancelTimer cancels a timer that has not fired.
+func (g *gateway) CancelTimer(token uint64) {
+	if t := g.timers[token]; t != nil {
+		t.cancelled = true
+		delete(g.timers, token)
+	}
+}
+
+// Log drops the line.
+func (g *gateway) Log(string) {}
--- a/internal/testing/fakes/counter.go
+++ b/internal/testing/fakes/counter.go
@@ -10,6 +10,9 @@
 	"testing"
 )
 
+// maxUnanswered is how many calls of a connection are read while the counter is held.
+const maxUnanswered = 1000
+
 // Counter is a fake counter: it adds up the units of each name. While held it takes calls and answers none; once
 // released it answers them all.
 type Counter struct {
@@ -30,13 +33,21 @@
 	return c
 }
 
+// serve reads calls, also while the counter is held, and answers them in order.
 func (c *Counter) serve(conn net.Conn) {
+	unanswered := make(chan string, maxUnanswered)
+	defer close(unanswered)
+	go func() {
+		for call := range unanswered {
+			c.answer(conn, call)
+		}
+	}()
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		c.Calls <- lines.Text()
 		if observe := c.observer.Load(); observe != nil {
 			(*observe)(lines.Text())
 		}
-		c.answer(conn, lines.Text())
+		unanswered <- lines.Text()
 	}
 }
 
