--- a/cmd/harrierhoist/clients_test.go
+++ b/cmd/harrierhoist/clients_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -9,27 +8,24 @@
 
 func TestIdleClient_isClosedInTime(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
-	mum, half, stays := gateway.connect(), gateway.connect(), gateway.connect()
-	half.send("*4\r\n$9\r\nSVC.Q")
-	stays.send(queryCommand("c=look,t=wide,d=4800"))
-	stays.want("hello")
-	mum.wantClosed()
-	half.wantClosed()
-	stays.send(queryCommand("c=look,t=wide,d=4800"))
-	stays.want("hello")
+	idle, incomplete, active := gateway.connect(), gateway.connect(), gateway.connect()
+	incomplete.send("*4\r\n$9\r\nSVC.Q")
+	active.query(lookList, "hello")
+	idle.wantClosed()
+	incomplete.wantClosed()
+	active.query(lookList, "hello")
 }
 
 func TestIdleClients_floodTakesNoConnectionFromOthers(t *testing.T) {
-	gateway := startGateway(t, 40, answerHello) // eight places
+	gateway := startGateway(t, 40, answerHello) // eight connections
 	c := gateway.connect()
 	for range 5 {
-		c.send(queryCommand("c=look,t=wide,d=4800"))
-		c.want("hello")
+		c.query(lookList, "hello")
 		for range 20 {
 			gateway.connect()
 		}
 	}
-	if strings.Count(gateway.log.String(), "could not be accepted") > 0 {
+	if gateway.log.Count("could not be accepted") > 0 {
 		t.Error(gateway.log)
 	}
 }
@@ -42,39 +38,35 @@
 		gateway.server.NextCommand(t)
 		_ = c.Close()
 	}
-	_ = gateway.process.Process.Signal(syscall.SIGTERM)
-	if err := gateway.process.Wait(); err != nil { // with nobody to answer, it need not wait for the server
-		t.Errorf("ended with %v: %s", err, gateway.log)
-	}
+	gateway.signal(syscall.SIGTERM)
+	gateway.waitForCleanExit() // with nobody to answer, it need not wait for the server
 }
 
 func TestClients_moreThanConnections(t *testing.T) {
-	gateway := startGateway(t, 40, answerHello) // eight places
+	gateway := startGateway(t, 40, answerHello) // eight connections
 	var idle []*client
 	for range 30 {
 		c := gateway.connect()
-		c.send(queryCommand("c=look,t=wide,d=4800"))
-		c.want("hello")
+		c.query(lookList, "hello")
 		idle = append(idle, c)
 	}
-	idle[0].wantClosed() // it stood idle longest
+	idle[0].wantClosed() // it was idle longest
 }
 
 func TestIdleClients_areClosedBeforeAllConnectionsAreTaken(t *testing.T) {
-	gateway := startGateway(t, 40, answerHello) // eight places, and clients hold no more than they may
-	var stay []*client
+	gateway := startGateway(t, 40, answerHello) // eight connections, and clients hold no more than they may
+	var connected []*client
 	for range 6 {
 		c := gateway.connect()
-		c.send(queryCommand("c=look,t=wide,d=4800"))
-		c.want("hello")
-		stay = append(stay, c)
+		c.query(lookList, "hello")
+		connected = append(connected, c)
 	}
-	_ = stay[0].SetDeadline(time.Now().Add(5 * time.Second)) // as idle as that, it would be closed later still
-	stay[0].wantClosed()
+	_ = connected[0].SetDeadline(time.Now().Add(5 * time.Second)) // as idle as that, it would be closed later still
+	connected[0].wantClosed()
 }
 
 func TestIncompleteClients_blockNobody(t *testing.T) {
-	gateway := startGateway(t, 40, answerHello) // eight places
+	gateway := startGateway(t, 40, answerHello) // eight connections
 	for i := range 9 {
 		if c := gateway.connect(); i%2 == 0 {
 			c.send("*4\r\n$9\r\nSVC.Q")
@@ -82,7 +74,6 @@
 	}
 	for range 8 {
 		c := gateway.connect()
-		c.send(queryCommand("c=look,t=wide,d=9000"))
-		c.want("hello")
+		c.query(longLookList, "hello")
 	}
 }
--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -6,7 +6,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -14,23 +13,28 @@
 	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/faultinjection"
 )
 
-// voterCluster is voters of the built program on loopback, each with its file and its folder.
+// voterCluster is voters of the program under test on loopback, each with its file and its folder.
 type voterCluster struct {
 	*testing.T
 	dir       string
 	addresses map[string]string
-	voters    string // their tables in every file
+	voters    string // their tables, which stand in every file
 	processes map[string]*exec.Cmd
-	logs      map[string]*logBuffer
+	logs      map[string]*faultinjection.Log
 	client    *transport.Client
 	number    uint64 // of the latest command
 }
 
 func newVoterCluster(t *testing.T, names ...string) *voterCluster {
-	c := &voterCluster{T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{}, logs: map[string]*logBuffer{},
-		client: transport.NewClient(transport.Network{}, 2)}
+	t.Helper()
+	c := &voterCluster{
+		T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{},
+		logs: map[string]*faultinjection.Log{},
+		client: transport.NewClient(transport.Network{}, 2),
+	}
 	t.Cleanup(c.client.Close)
 	for i, name := range names {
 		c.addresses[name] = freeAddress(t)
@@ -39,12 +43,7 @@
 	return c
 }
 
-func freeAddress(t *testing.T) string {
-	l := fakes.Listen(t)
-	defer l.Close()
-	return l.Addr().String()
-}
-
+// voterTable is a voter in a coordination file; replaces is the number of the one that it replaces, 0: none.
 func voterTable(number uint64, name, address string, replaces uint64) string {
 	text := fmt.Sprintf("[[voter]]\nnumber = %d\nname = %q\naddress = %q\n", number, name, address)
 	if replaces > 0 {
@@ -53,7 +52,7 @@
 	return text
 }
 
-// writeFile writes a process's file and gives its path; a voter has a folder of its own.
+// writeFile writes a process's coordination file and returns its path; a voter has a folder of its own.
 func (c *voterCluster) writeFile(name, disk string) string {
 	c.Helper()
 	text := fmt.Sprintf("[process]\nname = %q\nhall = \"hall-a\"\n", name)
@@ -61,9 +60,7 @@
 		text += fmt.Sprintf("voter = true\ndisk = %q\n", disk)
 	}
 	path := filepath.Join(c.dir, name+".toml")
-	if err := os.WriteFile(path, []byte(text+c.voters), 0o600); err != nil {
-		c.Fatal(err)
-	}
+	replaceFile(c.T, path, text+c.voters)
 	return path
 }
 
@@ -77,26 +74,13 @@
 	}
 }
 
+// run starts a process under a name.
 func (c *voterCluster) run(name string, env ...string) {
 	c.Helper()
-	cmd, log := exec.Command(program), &logBuffer{}
-	cmd.Env = append(os.Environ(), env...)
-	cmd.Stdout, cmd.Stderr = log, log
-	if err := cmd.Start(); err != nil {
-		c.Fatal(err)
-	}
-	c.Cleanup(func() {
-		_ = cmd.Process.Kill()
-		_ = cmd.Wait()
-		requireNoRace(c.T, log)
-		if c.Failed() {
-			c.Logf("%s:\n%s", name, log)
-		}
-	})
-	c.processes[name], c.logs[name] = cmd, log
+	c.processes[name], c.logs[name] = startProgram(c.T, env...)
 }
 
-// kill ends processes at once, with no chance to say goodbye.
+// kill ends processes at once, with no chance to shut down.
 func (c *voterCluster) kill(names ...string) {
 	for _, name := range names {
 		_ = c.processes[name].Process.Kill()
@@ -106,14 +90,14 @@
 	}
 }
 
-// leader gives the name of a voter that says it leads, and that others follow.
+// leader returns the name of a voter that leads by its own word and that of all others who answer, a majority.
 func (c *voterCluster) leader() (leader string) {
 	c.Helper()
 	fakes.Eventually(c, "a leader", func() bool {
 		votes := map[uint64]int{}
 		for name, address := range c.addresses {
-			if s, err := c.client.Info(c.Context(), address); err == nil && s.Started && s.Status.Leader != 0 {
-				if votes[s.Status.Leader]++; s.Status.Leader == s.Number {
+			if info, err := c.client.Info(c.Context(), address); err == nil && info.Started && info.Status.Leader != 0 {
+				if votes[info.Status.Leader]++; info.Status.Leader == info.Number {
 					leader = name
 				}
 			}
@@ -129,16 +113,20 @@
 	return leader
 }
 
-// writeTable has a table written, on the epoch that it stands at, and gives its new epoch. A command whose end is not known
-// is proposed again under its number.
-func (c *voterCluster) writeTable(table string, epoch uint64, value string) {
+// planTable is the table that tests write.
+const planTable = "plan"
+
+// writePlan has the plan written, at the epoch that it has. A command whose result is unknown is proposed again under its
+// number.
+func (c *voterCluster) writePlan(epoch uint64, value string) {
 	c.Helper()
 	c.number++
 	fakes.Eventually(c, "a write", func() bool {
 		for _, address := range c.addresses {
-			r, err := c.client.Propose(c.Context(), address, statemachine.Command{Kind: statemachine.Write, Proposer: "test/1", Number: c.number,
-				Table: table, Epoch: epoch, Value: []byte(value)})
-			if err == nil && r.Applied {
+			result, err := c.client.Propose(c.Context(), address, statemachine.Command{
+				Kind: statemachine.Write, Proposer: "test/1", Number: c.number, Table: planTable, Epoch: epoch, Value: []byte(value),
+			})
+			if err == nil && result.Applied {
 				return true
 			}
 		}
@@ -146,8 +134,8 @@
 	})
 }
 
-// readTable reads a table with the word of a majority.
-func (c *voterCluster) readTable(table string) (e statemachine.Table) {
+// readPlan reads the plan as a majority confirms it.
+func (c *voterCluster) readPlan() (plan statemachine.Table) {
 	c.Helper()
 	fakes.Eventually(c, "a read", func() bool {
 		for _, address := range c.addresses {
@@ -155,67 +143,79 @@
 			found, _, err := c.client.Read(ctx, address, nil, 0)
 			cancel()
 			if err == nil {
-				e = found[table]
+				plan = found[planTable]
 				return true
 			}
 		}
 		return false
 	})
-	return e
+	return plan
 }
 
-func (c *voterCluster) waitForLog(name, line string) {
+// waitForLog waits until a text is in the log of a process.
+func (c *voterCluster) waitForLog(name, text string) {
 	c.Helper()
-	fakes.Eventually(c, name+" says "+line, func() bool { return strings.Contains(c.logs[name].String(), line) })
+	waitForLog(c.T, c.logs[name], text)
 }
 
-// startGateway starts a gateway that follows.
-func (c *voterCluster) startGateway(name string) {
+// signal sends a signal to a process.
+func (c *voterCluster) signal(name string, signal os.Signal) {
 	c.Helper()
-	gateway := &gatewayUnderTest{T: c.T, addr: freeAddress(c.T), server: fakes.NewServer(c.T, answerHello), counter: fakes.NewCounter(c.T)}
-	entry := fakes.FormatHost("s-1", gateway.server.Addr, "in_service")
-	gateway.discovery = fakes.NewDiscovery(c.T, entry)
-	config := filepath.Join(c.dir, name+".json")
-	text := fmt.Sprintf(configurationTemplate, gateway.addr, gateway.discovery.Addr, gateway.counter.Addr, 1024, fakes.FormatList(1, true, entry))
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+	if err := c.processes[name].Process.Signal(signal); err != nil {
 		c.Fatal(err)
 	}
-	c.run(name, "RELAY_CONFIG="+config, "RELAY_COMMON="+c.writeFile(name, ""))
+}
+
+// waitForCleanExit waits for the end of a process, which has to be one without an error.
+func (c *voterCluster) waitForCleanExit(name string) {
+	c.Helper()
+	if err := c.processes[name].Wait(); err != nil {
+		c.Errorf("%s: ended with %v", name, err)
+	}
+}
+
+// startGateway starts a gateway that follows the voters.
+func (c *voterCluster) startGateway(name string) {
+	c.Helper()
+	gateway := newGateway(c.T, answerHello)
+	gateway.addr, gateway.configPath = freeAddress(c.T), filepath.Join(c.dir, name+".json")
+	gateway.discovery = fakes.NewDiscovery(c.T, gateway.host())
+	replaceFile(c.T, gateway.configPath, configuration(gateway.addr, gateway.discovery.Addr, gateway.counter.Addr,
+		fakes.FormatList(1, true, gateway.host())))
+	c.run(name, "RELAY_CONFIG="+gateway.configPath, "RELAY_COMMON="+c.writeFile(name, ""))
 	c.waitForLog(name, `"gateway: ready"`)
 }
 
-// What one process writes all hold, whoever leads; what was acknowledged outlives the end of all voters at once.
+// What one process writes all have, whoever leads; what was acknowledged survives the end of all voters at once.
 func TestVoters_writesAreReplicatedAndDurable(t *testing.T) {
 	t.Parallel()
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
 	c.startGateway("g1")
 	c.startGateway("g2")
-	c.writeTable("plan", 0, "one")
+	c.writePlan(0, "one")
 	for _, name := range []string{"v1", "v2", "v3", "g1", "g2"} {
 		c.waitForLog(name, `"plan":1`)
 	}
 	leader := c.leader()
 	c.kill(leader)
-	c.writeTable("plan", 1, "two")
+	c.writePlan(1, "two")
 	c.waitForLog("g1", `"plan":2`)
 	c.waitForLog("g2", `"plan":2`)
 	c.start(leader)
 	c.leader()
-	c.writeTable("plan", 2, "three")
+	c.writePlan(2, "three")
 	c.kill("v1", "v2", "v3")
 	c.waitForLog("g1", "follower: lease expired")
 	c.start("v1", "v2", "v3")
-	if e := c.readTable("plan"); e.Epoch != 3 || string(e.Value) != "three" {
-		t.Errorf("held after all were killed: %+v", e)
+	if plan := c.readPlan(); plan.Epoch != 3 || string(plan.Value) != "three" {
+		t.Errorf("after all were killed: %+v", plan)
 	}
 	c.waitForLog("g1", "follower: lease renewed")
 	c.waitForLog("g1", `"plan":3`)
-	if n := strings.Count(c.logs["g1"].String(), "follower: lease expired"); n != 1 {
-		t.Errorf("said %d times", n)
-	}
-	_ = c.processes["g1"].Process.Signal(syscall.SIGTERM)
-	if err := c.processes["g1"].Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+	if n := c.logs["g1"].Count("follower: lease expired"); n != 1 {
+		t.Errorf("logged %d times", n)
 	}
+	c.signal("g1", syscall.SIGTERM)
+	c.waitForCleanExit("g1")
 }
--- a/cmd/harrierhoist/cost_test.go
+++ b/cmd/harrierhoist/cost_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"os/exec"
@@ -10,8 +11,8 @@
 	"time"
 )
 
-// Measures what the program costs with nothing in common, against an earlier build of it: BEFORE and NOW name the two,
-// built alike. Its table is in docs/cluster.md.
+// TestCostWithoutCoordination measures what the program costs without coordination, against an earlier build of it: BEFORE
+// and NOW name the two, built alike. Its table is in docs/cluster.md.
 func TestCostWithoutCoordination(t *testing.T) {
 	before, now := os.Getenv("BEFORE"), os.Getenv("NOW")
 	if before == "" || now == "" {
@@ -21,37 +22,11 @@
 	defer func() { program = built }()
 	const rounds = 9
 	programs := map[string]string{"before": before, "now": now}
-	starts, tasks := map[string][]time.Duration{}, map[string][]time.Duration{}
-	memory, private := map[string][]int{}, map[string][]int{}
+	costs := map[string]*costSamples{"before": {}, "now": {}}
 	for range rounds {
 		for name, path := range programs {
 			program = path
-			t.Run(name, func(t *testing.T) {
-				began := time.Now()
-				gateway := startGateway(t, 1024, answerHello)
-				starts[name] = append(starts[name], time.Since(began))
-				c := &voterCluster{T: t}
-				c.processes = map[string]*exec.Cmd{"g": gateway.process}
-				client := gateway.connect()
-				for range 200 { // warm
-					client.send(queryCommand("c=look,t=wide,d=4800,units=1"))
-					client.want("hello")
-				}
-				was, _, _ := c.resourcesUsed("g")
-				const each = 3000
-				for range each {
-					for gateway.server.PendingCommands() > 0 { // else the stand-in stops once so many wait
-						gateway.server.NextCommand(t)
-					}
-					client.send(queryCommand("c=look,t=wide,d=4800,units=1"))
-					client.want("hello|-BUSY.*")
-				}
-				cpu, _, _ := c.resourcesUsed("g")
-				tasks[name] = append(tasks[name], (cpu-was)/each)
-				memory[name] = append(memory[name], residentKB(gateway.process.Process.Pid, "VmRSS:"))
-				private[name] = append(private[name], residentKB(gateway.process.Process.Pid, "RssAnon:"))
-				_ = gateway.process.Process.Kill()
-			})
+			t.Run(name, costs[name].measure)
 		}
 	}
 	for _, name := range []string{"before", "now"} {
@@ -59,15 +34,48 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		slices.Sort(starts[name])
-		slices.Sort(memory[name])
-		slices.Sort(private[name])
-		slices.Sort(tasks[name])
-		t.Logf("%s: file %d kB; medians of %d: start to ready %v, resident %d kB, of it its own %d kB, CPU a task %v",
-			name, info.Size()>>10, rounds, starts[name][rounds/2], memory[name][rounds/2], private[name][rounds/2], tasks[name][rounds/2])
+		cost := costs[name]
+		t.Logf("%s: file %d kB; medians of %d: start to ready %v, resident %d kB, of it its own %d kB, CPU a request %v",
+			name, info.Size()>>10, rounds, median(cost.starts), median(cost.memory), median(cost.private), median(cost.requests))
 	}
 }
 
+// costSamples are what a program cost in each round.
+type costSamples struct {
+	starts, requests []time.Duration // until ready; CPU time of a request
+	memory, private  []int           // resident, in kB; without the pages of the program's file
+}
+
+func (s *costSamples) measure(t *testing.T) {
+	begun := time.Now()
+	gateway := startGateway(t, 1024, answerHello)
+	s.starts = append(s.starts, time.Since(begun))
+	process := &voterCluster{T: t, processes: map[string]*exec.Cmd{"g": gateway.process}}
+	client := gateway.connect()
+	const list = "c=look,t=wide,d=4800,units=1"
+	for range 200 { // warm up
+		client.query(list, "hello")
+	}
+	before, _, _ := process.resourcesUsed("g")
+	const requests = 3000
+	for range requests {
+		for gateway.server.PendingCommands() > 0 { // else the fake stops once so many wait
+			gateway.server.NextCommand(t)
+		}
+		client.query(list, "hello|-BUSY.*")
+	}
+	after, _, _ := process.resourcesUsed("g")
+	s.requests = append(s.requests, (after-before)/requests)
+	s.memory = append(s.memory, residentKB(gateway.process.Process.Pid, "VmRSS:"))
+	s.private = append(s.private, residentKB(gateway.process.Process.Pid, "RssAnon:"))
+	_ = gateway.process.Process.Kill()
+}
+
+func median[T cmp.Ordered](samples []T) T {
+	slices.Sort(samples)
+	return samples[len(samples)/2]
+}
+
 // residentKB is a figure of a process's memory in kB; RssAnon is without the pages of its file, which the system shares
 // among processes and drops at will.
 func residentKB(pid int, what string) (kb int) {
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -6,18 +6,18 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/faultinjection"
 )
 
-// silentDiscovery is discovery's: it says nothing until it is back, and then tells one list.
+// silentDiscovery answers nothing until it resumes, and then gives one list.
 type silentDiscovery struct {
 	addr   string
 	resume chan struct{}
@@ -25,128 +25,117 @@
 }
 
 func newSilentDiscovery(t *testing.T, list string) *silentDiscovery {
-	a := &silentDiscovery{resume: make(chan struct{})}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.calls.Add(1)
+	t.Helper()
+	d := &silentDiscovery{resume: make(chan struct{})}
+	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		d.calls.Add(1)
 		select {
-		case <-a.resume:
-		case <-r.Context().Done():
+		case <-d.resume:
+		case <-request.Context().Done():
 			return
 		}
-		if !r.URL.Query().Has("since") {
-			_, _ = io.WriteString(w, list)
+		if !request.URL.Query().Has("since") {
+			_, _ = io.WriteString(response, list)
 			return
 		}
 		select {
-		case <-time.After(time.Second): // no news
-			_, _ = io.WriteString(w, strings.Replace(list, `"whole":true`, `"whole":false`, 1))
-		case <-r.Context().Done():
+		case <-time.After(time.Second): // no change
+			_, _ = io.WriteString(response, strings.Replace(list, `"whole":true`, `"whole":false`, 1))
+		case <-request.Context().Done():
 		}
 	}))
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	a.addr = strings.TrimPrefix(server.URL, "http://")
-	return a
+	d.addr = strings.TrimPrefix(server.URL, "http://")
+	return d
 }
 
-// startWithDescriptorLimit starts a gateway to which the system gives so many descriptors.
-func startWithDescriptorLimit(t *testing.T, descriptors int, config string) (*exec.Cmd, *logBuffer) {
+// startWithDescriptorLimit starts a gateway to which the system gives a number of descriptors.
+func startWithDescriptorLimit(t *testing.T, descriptors int, configuration string) (*exec.Cmd, *faultinjection.Log) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cmd, log := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, program)), &logBuffer{}
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
-	cmd.Stdout, cmd.Stderr = log, log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		_, _ = cmd.Process.Kill(), cmd.Wait()
-		requireNoRace(t, log)
-	})
-	return cmd, log
+	path := configFile(t)
+	replaceFile(t, path, configuration)
+	limited := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, program))
+	return startCommand(t, limited, "RELAY_CONFIG="+path)
 }
 
-// connectIdleClients keeps so many connections to an address that say nothing: one that is ended is made again. It gives how many
-// were ended so far.
-func connectIdleClients(t *testing.T, addr string, n int) (ended *atomic.Int64, stop func()) {
-	ended = &atomic.Int64{}
-	stopped := make(chan struct{})
+// idleClients are connections that send nothing. One that is closed is replaced.
+type idleClients struct {
+	closed  atomic.Int64 // by the other side
+	stopped chan struct{}
+	stop    func()
+}
+
+func connectIdleClients(t *testing.T, addr string, n int) *idleClients {
+	t.Helper()
+	c := &idleClients{stopped: make(chan struct{})}
+	c.stop = sync.OnceFunc(func() { close(c.stopped) })
 	for range n {
-		go func() {
-			for {
-				c, err := net.Dial("tcp", addr)
-				if err == nil {
-					over := make(chan struct{})
-					go func() { defer close(over); _, _ = c.Read(make([]byte, 1)) }()
-					select {
-					case <-over:
-						ended.Add(1)
-					case <-stopped:
-					}
-					_ = c.Close()
-				}
-				select {
-				case <-stopped:
-					return
-				default:
-				}
-			}
-		}()
+		go c.reconnect(addr)
 	}
-	var once atomic.Bool
-	stop = func() {
-		if once.CompareAndSwap(false, true) {
-			close(stopped)
+	t.Cleanup(c.stop)
+	return c
+}
+
+func (c *idleClients) reconnect(addr string) {
+	for {
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			c.holdOpen(conn)
+		}
+		select {
+		case <-c.stopped:
+			return
+		default:
 		}
 	}
-	t.Cleanup(stop)
-	return ended, stop
 }
 
-// The file said a thousand sockets and the system gave 64: clients that said nothing took them all, and no server, no
-// counter and no agent could be called until they went.
+// holdOpen leaves a connection open until it is closed by the other side.
+func (c *idleClients) holdOpen(conn net.Conn) {
+	ended := make(chan struct{})
+	go func() { defer close(ended); _, _ = conn.Read(make([]byte, 1)) }()
+	select {
+	case <-ended:
+		c.closed.Add(1)
+	case <-c.stopped:
+	}
+	_ = conn.Close()
+}
+
+// The file said a thousand sockets and the system gave 64: idle clients took them all, and no server, no counter and no
+// agent could be called until they disconnected.
 func TestDescriptors_idleClientsLeaveSomeForUpstreams(t *testing.T) {
-	gateway := &gatewayUnderTest{T: t, addr: loopbackAddress(t), server: fakes.NewServer(t, answerHello), counter: fakes.NewCounter(t)}
-	later := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("later", 1) })
-	a := newSilentDiscovery(t, fakes.FormatList(2, true, fakes.FormatHost("s-2", later.Addr, "in_service")))
-	gateway.process, gateway.log = startWithDescriptorLimit(t, 64, fmt.Sprintf(configurationTemplate, gateway.addr, a.addr, gateway.counter.Addr, 1024,
-		fakes.FormatList(1, true, fakes.FormatHost("s-1", gateway.server.Addr, "in_service"))))
-	fakes.Eventually(t, "ready", func() bool { return strings.Contains(gateway.log.String(), `"gateway: ready"`) })
+	gateway := newGateway(t, answerHello)
+	later := fakes.NewServer(t, answering("later"))
+	discovery := newSilentDiscovery(t, fakes.FormatList(2, true, fakes.FormatHost("s-2", later.Addr, "in_service")))
+	gateway.process, gateway.log = startWithDescriptorLimit(t, 64,
+		configuration(gateway.addr, discovery.addr, gateway.counter.Addr, fakes.FormatList(1, true, gateway.host())))
+	waitForLog(t, gateway.log, `"gateway: ready"`)
 
-	ended, stop := connectIdleClients(t, gateway.addr, 120)
-	fakes.Eventually(t, "a flood", func() bool { return ended.Load() >= 40 }) // all places taken, twice over
-	c := gateway.connect()
-	c.send(queryCommand("c=look,t=wide,d=9000"))
-	c.want("hello")
+	idle := connectIdleClients(t, gateway.addr, 120)
+	fakes.Eventually(t, "a flood", func() bool { return idle.closed.Load() >= 40 }) // all connections taken, twice over
+	gateway.connect().query(longLookList, "hello")
 	gateway.counter.NextCall(t) // neither was called before
-	asked := a.calls.Load()
-	fakes.Eventually(t, "the agent asked", func() bool { return a.calls.Load() > asked+2 }) // on new connections
-	close(a.resume)
-	fakes.Eventually(t, "the list in force", func() bool {
-		c := gateway.connect()
-		c.send(queryCommand("c=look,t=wide,d=9000"))
-		defer c.Close()
-		line, _ := c.in.ReadString('\n')
-		if strings.HasPrefix(line, "$") {
-			line, _ = c.in.ReadString('\n')
-		}
-		return line == "later\r\n"
+	before := discovery.calls.Load()
+	fakes.Eventually(t, "calls to discovery", func() bool { return discovery.calls.Load() > before+2 }) // on new connections
+	close(discovery.resume)
+	fakes.Eventually(t, "the list applied", func() bool {
+		client := gateway.connect()
+		defer func() { _ = client.Close() }()
+		client.send(queryCommand(longLookList))
+		answer, _ := client.readAnswer()
+		return answer == "later"
 	})
-	stop()
+	idle.stop()
 	for range 30 { // and all is as before
-		c := gateway.connect()
-		c.send(queryCommand("c=look,t=wide,d=9000"))
-		c.want("later")
+		gateway.connect().query(longLookList, "later")
 	}
-	if n := strings.Count(gateway.log.String(), "could not be accepted"); n > 0 {
+	if n := gateway.log.Count("could not be accepted"); n > 0 {
 		t.Errorf("%d times no client could be accepted", n)
 	}
 	if !strings.Contains(gateway.log.String(), `"sockets":1024,"descriptors":64`) {
-		t.Errorf("not said that there are fewer: %s", gateway.log)
+		t.Errorf("no line on fewer descriptors: %s", gateway.log)
 	}
 }
--- a/cmd/harrierhoist/disconnect_test.go
+++ b/cmd/harrierhoist/disconnect_test.go
@@ -11,8 +11,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A client sends much at once and goes, with tasks at the server: its end is seen behind what nobody reads, and as the
-// server then hangs up, none of its tasks is sent on again, nor one that was not read.
+// A client sends much at once and disconnects, with requests at the server: its end is seen behind what nobody reads, and as
+// the server then closes, none of its requests is retried, nor one forwarded that was not read.
 func TestDisconnect_noFurtherRequestIsStarted(t *testing.T) {
 	t.Parallel()
 	end := make(chan struct{})
@@ -21,23 +21,20 @@
 		return fakes.CloseConn
 	})
 	c := gateway.connect()
-	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 3) + queryCommand("c=look,t=wide,d=8000") + queryCommand("c=look,t=wide,d=8000"))
-	fakes.Eventually(t, "its tasks", func() bool { return gateway.server.PendingCommands() == 2 })
-	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 400) + queryCommand("c=look,t=wide,d=8000") + "*x\r\n")
-	left := time.Now()
+	const list = "c=look,t=wide,d=8000"
+	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 3) + queryCommand(list) + queryCommand(list))
+	fakes.Eventually(t, "its requests", func() bool { return gateway.server.PendingCommands() == 2 })
+	c.send(strings.Repeat(fakes.FormatCommand("FOO"), 400) + queryCommand(list) + "*x\r\n")
+	closedAt := time.Now()
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
-	_, _ = io.Copy(io.Discard, c) // until it is ended: so its end was seen
-	if took := time.Since(left); took > time.Second {
-		t.Errorf("its end was seen after %v", took)
+	_, _ = io.Copy(io.Discard, c) // until the gateway closes it, so the end was seen
+	if took := time.Since(closedAt); took > time.Second {
+		t.Errorf("the end was seen after %v", took)
 	}
 	close(end)
-	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := gateway.process.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
-	}
+	gateway.signal(syscall.SIGTERM)
+	gateway.waitForCleanExit()
 	if n := gateway.server.PendingCommands(); n != 2 {
-		t.Errorf("%d sent on in place of 2", n)
+		t.Errorf("%d forwarded in place of 2", n)
 	}
 }
--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -21,7 +21,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// countingSource is a voter at the end of a link whose calls are counted.
+// countingSource is a voter whose calls are counted.
 type countingSource struct {
 	name, address  string
 	client         *transport.Client
@@ -41,7 +41,7 @@
 	return follower.ReadResult{Tables: found, GroupID: group}, err
 }
 
-// resourcesUsed is what a process has used so far: CPU, and bytes that it read and wrote, on sockets and disk alike.
+// resourcesUsed is what a process has used so far: CPU time, and bytes that it read and wrote, on sockets and disk alike.
 func (c *voterCluster) resourcesUsed(name string) (cpu time.Duration, in, out int64) {
 	pid := c.processes[name].Process.Pid
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -51,115 +51,142 @@
 		_, _ = fmt.Sscan(string(stat), &ran)
 		cpu += time.Duration(ran)
 	}
-	io, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
-	_, _ = fmt.Sscanf(string(io), "rchar: %d\nwchar: %d", &in, &out)
+	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
+	_, _ = fmt.Sscanf(string(stat), "rchar: %d\nwchar: %d", &in, &out)
 	return cpu, in, out
 }
 
-// Measures what followers cost the voters; BURDEN says how many, by commas. Its table is in docs/cluster.md.
+// TestFollowerLoad measures what followers cost the voters; BURDEN says how many, separated by commas. Its table is in
+// docs/cluster.md.
 func TestFollowerLoad(t *testing.T) {
 	sizes := os.Getenv("BURDEN")
 	if sizes == "" {
 		t.Skip("a measurement: BURDEN=30,300,3000")
 	}
 	for size := range strings.SplitSeq(sizes, ",") {
-		n, _ := strconv.Atoi(size)
-		t.Run(size, func(t *testing.T) { measureBurden(t, n) })
+		n, err := strconv.Atoi(size)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Run(size, func(t *testing.T) { measureFollowers(t, n) })
 	}
 }
 
-// followerStartSpan is how long the followers take to start.
-const followerStartSpan = 6 * time.Second
-
-func measureBurden(t *testing.T, n int) {
-	c := newVoterCluster(t, "v1", "v2", "v3")
-	c.voters = "connections = 8192\n" + c.voters // ends [process]
-	c.start("v1", "v2", "v3")
-	c.writeTable("plan", 0, "0")
-	calls := map[string]*[2]atomic.Int64{}
-	for name := range c.addresses {
-		calls[name] = &[2]atomic.Int64{}
-	}
-	ctx, end := context.WithCancel(t.Context())
-	var running sync.WaitGroup
-	defer running.Wait()
-	defer end()
-	var all []*follower.Follower
+const (
+	followerStartSpan = 6 * time.Second // in which the followers start
+	measuredWrites    = 10              // one a second
+)
+
+// followerFleet is followers within the test's process, of voters in processes of their own.
+type followerFleet struct {
+	*voterCluster
+	followers []*follower.Follower
+	calls     map[string]*callCounts // by voter
+}
+
+type callCounts struct{ digests, reads atomic.Int64 }
+
+// startFollowers starts followers one after the other, until the context ends; running waits for them.
+func (f *followerFleet) startFollowers(ctx context.Context, n int, running *sync.WaitGroup) {
 	for i := range n {
 		process, client := fmt.Sprintf("g%d", i), transport.NewClient(transport.Network{}, 2)
 		var voters []follower.Source
 		for _, name := range []string{"v1", "v2", "v3"} {
-			voters = append(voters, countingSource{name, c.addresses[name], client, &calls[name][0], &calls[name][1]})
+			voters = append(voters, countingSource{name, f.addresses[name], client, &f.calls[name].digests, &f.calls[name].reads})
 		}
-		f := follower.New(process, 1, follower.PreferenceOrder(process, voters),
+		one := follower.New(process, 1, follower.PreferenceOrder(process, voters),
 			follower.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follower.SystemUptime, zap.NewNop())
 		var count atomic.Uint64
-		f.RegisterCounters(func(add func(string, uint64)) { // as many as a gateway that pushes to six halls has
-			for hall := range 6 {
-				for of := range 8 {
-					add(observation.JoinName("push", "hall-a", fmt.Sprint("hall-", hall), fmt.Sprint("outcome-", of)), count.Add(1))
+		one.RegisterCounters(func(add func(string, uint64)) { // as many as a gateway with attempts in six zones has
+			for zone := range 6 {
+				for outcome := range 8 {
+					name := observation.JoinName("push", "hall-a", fmt.Sprint("hall-", zone), fmt.Sprint("outcome-", outcome))
+					add(name, count.Add(1))
 				}
 			}
 		})
-		all = append(all, f)
-		running.Go(func() { f.Run(ctx); client.Close() })
+		f.followers = append(f.followers, one)
+		running.Go(func() { one.Run(ctx); client.Close() })
 		time.Sleep(followerStartSpan / time.Duration(n))
 	}
-	holds := func(epoch uint64) int {
-		held := 0
-		for _, f := range all {
-			if h := f.Cached("plan"); h.Epoch >= epoch && h.LeaseEnd > f.Now() {
-				held++
-			}
+}
+
+// following is how many followers have the plan of an epoch or a later one, under a lease.
+func (f *followerFleet) following(epoch uint64) (n int) {
+	for _, one := range f.followers {
+		if plan := one.Cached(planTable); plan.Epoch >= epoch && plan.LeaseEnd > one.Now() {
+			n++
 		}
-		return held
-	}
-	fakes.Eventually(t, "all follow", func() bool { return holds(1) == n })
-	time.Sleep(2 * time.Second)
-	leader := c.leader()
-	type sample struct {
-		cpu            time.Duration
-		in, out        int64
-		digests, reads int64
 	}
-	look := func() map[string]sample {
-		at := map[string]sample{}
-		for name := range c.addresses {
-			cpu, in, out := c.resourcesUsed(name)
-			at[name] = sample{cpu, in, out, calls[name][0].Load(), calls[name][1].Load()}
-		}
-		return at
+	return n
+}
+
+// voterLoad is what a voter has used and been called so far.
+type voterLoad struct {
+	cpu            time.Duration
+	in, out        int64
+	digests, reads int64
+}
+
+func (f *followerFleet) loads() map[string]voterLoad {
+	loads := map[string]voterLoad{}
+	for name := range f.addresses {
+		cpu, in, out := f.resourcesUsed(name)
+		loads[name] = voterLoad{cpu, in, out, f.calls[name].digests.Load(), f.calls[name].reads.Load()}
 	}
-	before, began := look(), time.Now()
-	const writes = 10
-	var half, last []time.Duration // from the write's answer until half, and all, of the followers hold it
-	lapsed := 0
-	for epoch := uint64(1); epoch <= writes; epoch++ {
-		c.writeTable("plan", epoch, strings.Repeat("p", 4096))
-		wrote, next := time.Now(), time.Now().Add(time.Second)
-		for held, halfway := 0, false; held < n && time.Since(wrote) < 5*time.Second; {
-			if held = holds(epoch + 1); held*2 >= n && !halfway {
-				half, halfway = append(half, time.Since(wrote)), true
+	return loads
+}
+
+// writeDelays writes plans, and returns sorted how long each took from the write's answer until half, and all, of the
+// followers had it; and how many leases had expired a second after each.
+func (f *followerFleet) writeDelays() (half, all []time.Duration, expired int) {
+	n := len(f.followers)
+	for epoch := uint64(1); epoch <= measuredWrites; epoch++ {
+		f.writePlan(epoch, strings.Repeat("p", 4096))
+		written := time.Now()
+		for have, isHalf := 0, false; have < n && time.Since(written) < 5*time.Second; {
+			if have = f.following(epoch + 1); have*2 >= n && !isHalf {
+				half, isHalf = append(half, time.Since(written)), true
 			}
 			time.Sleep(time.Millisecond)
 		}
-		last = append(last, time.Since(wrote))
-		time.Sleep(time.Until(next))
-		lapsed += n - holds(1)
+		all = append(all, time.Since(written))
+		time.Sleep(time.Until(written.Add(time.Second)))
+		expired += n - f.following(1)
 	}
-	took := time.Since(began).Seconds()
-	after := look()
 	slices.Sort(half)
-	slices.Sort(last)
+	slices.Sort(all)
+	return half, all, expired
+}
+
+func measureFollowers(t *testing.T, n int) {
+	fleet := &followerFleet{voterCluster: newVoterCluster(t, "v1", "v2", "v3"), calls: map[string]*callCounts{}}
+	fleet.voters = "connections = 8192\n" + fleet.voters // ends [process]
+	fleet.start("v1", "v2", "v3")
+	fleet.writePlan(0, "0")
+	for name := range fleet.addresses {
+		fleet.calls[name] = &callCounts{}
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer cancel()
+	fleet.startFollowers(ctx, n, &running)
+	fakes.Eventually(t, "all follow", func() bool { return fleet.following(1) == n })
+	time.Sleep(2 * time.Second)
+	leader := fleet.leader()
+	before, begun := fleet.loads(), time.Now()
+	half, all, expired := fleet.writeDelays()
+	took, after := time.Since(begun).Seconds(), fleet.loads()
 	for _, name := range []string{"v1", "v2", "v3"} {
-		a, b := before[name], after[name]
+		was, is := before[name], after[name]
 		t.Logf("%d followers: %s (leads: %v): %.0f digests/s, %.0f reads/s, %.0f kB/s in, %.0f kB/s out, %.1f%% of a core", n, name,
-			name == leader, float64(b.digests-a.digests)/took, float64(b.reads-a.reads)/took, float64(b.in-a.in)/took/1e3,
-			float64(b.out-a.out)/took/1e3, 100*(b.cpu-a.cpu).Seconds()/took)
+			name == leader, float64(is.digests-was.digests)/took, float64(is.reads-was.reads)/took, float64(is.in-was.in)/took/1e3,
+			float64(is.out-was.out)/took/1e3, 100*(is.cpu-was.cpu).Seconds()/took)
 	}
-	t.Logf("%d followers: from a write's answer to half of them %v, to all %v (medians of %d); at the most %v; leases over: %d",
-		n, half[writes/2], last[writes/2], writes, last[writes-1], lapsed)
-	if lapsed > 0 || len(half) < writes {
+	t.Logf("%d followers: from a write's answer to half of them %v, to all %v (medians of %d); at the most %v; leases expired: %d",
+		n, half[len(half)/2], all[measuredWrites/2], measuredWrites, all[measuredWrites-1], expired)
+	if expired > 0 || len(half) < measuredWrites {
 		t.Error("the fleet is too much for its voters")
 	}
 }
--- a/cmd/harrierhoist/raced_test.go
+++ b/cmd/harrierhoist/raced_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// slower is how much less a program does in a second that looks for data races.
+// raceSlowdown is how much less a program does in a second that looks for data races.
 const slower = 5
--- a/cmd/harrierhoist/requests_test.go
+++ b/cmd/harrierhoist/requests_test.go
@@ -13,18 +13,17 @@
 func TestRequests_areServedAndChargedTrueUnits(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	c := gateway.connect()
-	c.send(queryCommand("c=look,t=wide,d=4800,units=2,spread=1,first=0"))
-	c.want("hello")
+	c.query("c=look,t=wide,d=4800,units=2,spread=1,first=0", "hello")
 	got := gateway.server.NextCommand(t)
 	if ok, _ := regexp.MatchString(`^SVC.QUERY 00000000b4d65521 [0-9a-f]{16} c=look,t=wide,d=4[0-9]{3},units=2,spread=1,first=0$`,
 		strings.Join(got, " ")); !ok {
-		t.Errorf("passed on %q", got)
+		t.Errorf("forwarded %q", got)
 	}
 	body := strings.Repeat("b", 64<<10)
 	c.send(submitCommand(body))
 	c.want("hello")
 	if got = gateway.server.NextCommand(t); len(got) != 5 || got[0] != "SVC.SUBMIT" || got[4] != body {
-		t.Errorf("passed on %d words", len(got))
+		t.Errorf("forwarded %d words", len(got))
 	}
 	for call := ""; !strings.Contains(call, " 3 "); { // the true units of the first, with the check of the second
 		call = gateway.counter.NextCall(t)
@@ -35,13 +34,11 @@
 	gateway := startGateway(t, 1024, answerHello)
 	c := gateway.connect()
 	for range 2 {
-		c.send(queryCommand("c=look,t=small,d=4800,units=3"))
-		c.want("hello|-BUSY [0-9]+")
+		c.query("c=look,t=small,d=4800,units=3", "hello|-BUSY [0-9]+")
 	}
-	c.send(queryCommand("c=look,t=small,d=4800,units=3"))
-	c.want("-BUSY [0-9]+")
+	c.query("c=look,t=small,d=4800,units=3", "-BUSY [0-9]+")
 	if n := gateway.server.PendingCommands(); n > 1 {
-		t.Errorf("%d pushes", n)
+		t.Errorf("%d attempts", n)
 	}
 }
 
@@ -49,7 +46,7 @@
 	gateway := startGateway(t, 1024, answerHello)
 	for text, stays := range map[string]bool{
 		queryCommand("c=nothing,t=wide,d=480"):                                                     true,
-		queryCommand("c=pay,t=wide,d=480"):                                                         true, // effectful, but asked as a query
+		queryCommand("c=pay,t=wide,d=480"):                                                         true, // not idempotent
 		queryCommand("c=look,t=nothing,d=480"):                                                     true,
 		queryCommand("c=look,t=wide,d=0"):                                                          true,
 		queryCommand("c=look,t=wide,d=-5"):                                                         true,
@@ -58,7 +55,7 @@
 		queryCommand(""):                                                                           true,
 		queryCommand("c=look,t=wide,d=0x1p9"):                                                      true,
 		queryCommand("c=look,t=wide,d=9,units=-1"):                                                 true,
-		queryCommand("c=look,t=wide,d=9,units=7"):                                                  true, // more than a task can take
+		queryCommand("c=look,t=wide,d=9,units=7"):                                                  true, // more than a request may use
 		queryCommand("c=look,t=wide,d=9,first=1"):                                                  true, // there is one gateway
 		queryCommand("c=look,t=wide,d=9,spread=2"):                                                 true,
 		queryCommand("c=look,t=wide,d=9,spread=0"):                                                 true,
@@ -88,8 +85,7 @@
 		_, _ = io.WriteString(c, text) // may be cut short where it has no end
 		c.want("-ERR .*")
 		if stays {
-			c.send(queryCommand("c=look,t=wide,d=4800"))
-			c.want("hello")
+			c.query(lookList, "hello")
 			continue
 		}
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
@@ -98,25 +94,25 @@
 }
 
 func TestRequestID_inUseIsRefused(t *testing.T) {
-	first := make(chan bool)
-	gateway := startGateway(t, 1024, func([]string) string { <-first; return fakes.FormatValue("hello", 1) })
+	release := make(chan bool)
+	gateway := startGateway(t, 1024, func([]string) string { <-release; return fakes.FormatValue("hello", 1) })
 	c, other := gateway.connect(), gateway.connect()
-	same := queryCommand("c=look,t=wide,d=4800")
+	same := queryCommand(lookList)
 	c.send(same)
 	gateway.server.NextCommand(t)
 	other.send(same)
 	other.want("-ERR .*")
-	close(first)
+	close(release)
 	c.want("hello")
-	other.send(same) // open no more
+	other.send(same) // not in use any more
 	other.want("hello")
 }
 
 func TestAnswers_keepTheOrderOfRequests(t *testing.T) {
-	first := make(chan bool)
+	release := make(chan bool)
 	gateway := startGateway(t, 1024, func(words []string) string {
 		if strings.Contains(words[3], "n=1") {
-			<-first
+			<-release
 			return fakes.FormatValue("one", 1)
 		}
 		return fakes.FormatValue("two", 1)
@@ -124,8 +120,8 @@
 	c := gateway.connect()
 	c.send(queryCommand("c=look,t=wide,d=4800,n=1") + queryCommand("c=look,t=wide,d=4800,n=2") + fakes.FormatCommand("PING"))
 	gateway.server.NextCommand(t)
-	gateway.server.NextCommand(t) // both are out at once
-	close(first)
+	gateway.server.NextCommand(t) // both are in flight at once
+	close(release)
 	c.want("one")
 	c.want("two")
 	c.want("\\+PONG")
--- a/cmd/harrierhoist/restart_test.go
+++ b/cmd/harrierhoist/restart_test.go
@@ -17,140 +17,153 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-const processCount = 30 // processes that are started at once
-
-// countingProxy is an address whose connections are counted on their way to another; nowhere: they are taken and left.
-func countingProxy(t *testing.T, to string) (addr string, conns *atomic.Int64) {
-	l := fakes.Listen(t)
-	conns = &atomic.Int64{}
+// countingProxy is an address whose connections are counted and passed on to another; empty: they are accepted and held.
+func countingProxy(t *testing.T, target string) (addr string, connections *atomic.Int64) {
+	t.Helper()
+	listener := fakes.Listen(t)
+	connections = &atomic.Int64{}
 	go func() {
 		for {
-			c, err := l.Accept()
+			near, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			conns.Add(1)
-			t.Cleanup(func() { _ = c.Close() })
-			if to == "" {
+			connections.Add(1)
+			t.Cleanup(func() { _ = near.Close() })
+			if target == "" {
 				continue
 			}
-			far, err := net.Dial("tcp", to)
+			far, err := net.Dial("tcp", target)
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(far, c); _ = far.Close() }()
-			go func() { _, _ = io.Copy(c, far); _ = c.Close() }()
+			go func() { _, _ = io.Copy(far, near); _ = far.Close() }()
+			go func() { _, _ = io.Copy(near, far); _ = near.Close() }()
 		}
 	}()
-	return l.Addr().String(), conns
+	return listener.Addr().String(), connections
 }
 
-// unusedAddress is an address where nobody listens.
-func unusedAddress(t *testing.T) string { return loopbackAddress(t) }
-
-// rejectingDiscovery is an agent that turns every call away.
+// rejectingDiscovery is an agent that rejects every call.
 func rejectingDiscovery(t *testing.T) string {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(http.StatusServiceUnavailable)
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
+		response.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://")
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// waitUntilReady waits until a gateway says that it is ready.
-func waitUntilReady(t *testing.T, addr string) {
-	fakes.Eventually(t, "ready at "+addr, func() bool {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			return false
-		}
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(time.Second))
-		_, _ = io.WriteString(c, fakes.FormatCommand("PING"))
-		line, _ := bufio.NewReader(c).ReadString('\n')
-		return line == "+PONG\r\n"
-	})
+// restartedFleet is many gateways that are started at once, with connections to what they share counted.
+type restartedFleet struct {
+	*testing.T
+	addrs              []string
+	counter            *fakes.Counter
+	counterConnections *atomic.Int64
+	serverConnections  *atomic.Int64
+	discoveryCalls     *atomic.Int64 // connections to the silent agent
 }
 
-// Thirty processes started at once while discovery is down, in each way in which it can be: nine in ten are ready within
-// ten seconds, whatever the settings say of connections and whatever list was had. What they do then crowds nobody:
-// nothing is called before a task comes, and a task of one customer at each costs a few calls and a connection each.
-func TestStart_thirtyAtOnceAreReadyInTimeAndOverloadNobody(t *testing.T) {
+const fleetSize = 30
+
+// startFleet starts a gateway with each combination of discovery (silent, not there, rejecting) and endpoint list of an
+// earlier run (none, one that holds, one with a server that is gone); a fifth of them dial for a minute. It returns how
+// long each took until it was ready.
+func startFleet(t *testing.T) (fleet *restartedFleet, took []time.Duration) {
+	t.Helper()
 	server := fakes.NewServer(t, answerHello)
-	serverAddr, pushes := countingProxy(t, server.Addr)
-	counter := fakes.NewCounter(t)
-	counterAddr, lines := countingProxy(t, counter.Addr)
-	silent, asks := countingProxy(t, "")
-	agents := []string{silent, unusedAddress(t), rejectingDiscovery(t)}
-	known := []string{"null", // none; one that holds; an old one, half of it gone
-		fakes.FormatList(1, true, fakes.FormatHost("s-1", serverAddr, "in_service")),
-		fakes.FormatList(1, true, fakes.FormatHost("s-1", serverAddr, "in_service"), fakes.FormatHost("s-0", loopbackAddress(t), "in_service"))}
-	addrs, took := make([]string, processCount), make([]time.Duration, processCount)
-	dir := t.TempDir()
-	files := make([]string, processCount)
-	for i := range processCount {
-		addrs[i] = loopbackAddress(t)
-		files[i] = strings.Replace(fmt.Sprintf(configurationTemplate, addrs[i], agents[i%3], counterAddr, 256, known[i/3%3]),
-			`"Balancers":1,"Me":0`, fmt.Sprintf(`"Balancers":%d,"Me":%d`, processCount, i), 1)
-		files[i] = strings.Replace(files[i], "8c1f30d27a5be964", fmt.Sprintf("8c1f30d27a5be9%02x", i), 1)
+	f := &restartedFleet{T: t, addrs: make([]string, fleetSize), counter: fakes.NewCounter(t)}
+	serverAddr, serverConnections := countingProxy(t, server.Addr)
+	counterAddr, counterConnections := countingProxy(t, f.counter.Addr)
+	silent, discoveryCalls := countingProxy(t, "")
+	f.serverConnections, f.counterConnections, f.discoveryCalls = serverConnections, counterConnections, discoveryCalls
+	agents := []string{silent, loopbackAddress(), rejectingDiscovery(t)}
+	host := fakes.FormatHost("s-1", serverAddr, "in_service")
+	known := []string{
+		"null", fakes.FormatList(1, true, host),
+		fakes.FormatList(1, true, host, fakes.FormatHost("s-0", loopbackAddress(), "in_service")),
+	}
+	texts := make([]string, fleetSize)
+	for i := range texts {
+		f.addrs[i] = loopbackAddress()
+		texts[i] = strings.NewReplacer(
+			`"Balancers":1,"Me":0`, fmt.Sprintf(`"Balancers":%d,"Me":%d`, fleetSize, i),
+			"8c1f30d27a5be964", fmt.Sprintf("8c1f30d27a5be9%02x", i),
+		).Replace(fmt.Sprintf(configurationTemplate, f.addrs[i], agents[i%3], counterAddr, 256, known[i/3%3]))
 		if i%5 == 0 {
-			files[i] = strings.Replace(files[i], `"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, 1)
+			texts[i] = strings.Replace(texts[i], `"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, 1)
 		}
 	}
-	var all sync.WaitGroup
-	for i := range processCount {
-		began := time.Now()
-		startWithConfiguration(t, filepath.Join(dir, fmt.Sprint(i)), files[i])
-		all.Go(func() {
-			waitUntilReady(t, addrs[i])
-			took[i] = time.Since(began)
+	took = make([]time.Duration, fleetSize)
+	folder := t.TempDir()
+	var waiting sync.WaitGroup
+	for i, text := range texts {
+		begun := time.Now()
+		startWithConfiguration(t, filepath.Join(folder, fmt.Sprint(i)), text)
+		waiting.Go(func() {
+			waitUntilReady(t, f.addrs[i])
+			took[i] = time.Since(begun)
 		})
 	}
-	all.Wait()
-	slow := 0
-	for _, d := range took {
-		if d > 10*time.Second {
-			slow++
-		}
-	}
-	if slow > processCount/10 {
-		t.Errorf("%d of %d took over 10 s: %v", slow, processCount, took)
-	}
-	if n := lines.Load() + pushes.Load(); n > 0 {
-		t.Errorf("%d connections to counter and servers before any task", n)
-	}
-	t.Logf("ready after %v; the silent agent was asked %d times by %d", took, asks.Load(), processCount/3)
+	waiting.Wait()
+	return f, took
+}
 
-	answers := make([]string, processCount)
-	for i := range processCount {
-		all.Go(func() {
-			c, err := net.Dial("tcp", addrs[i])
+// requestAtEach sends a request of one customer to each gateway, and returns the first lines of the answers.
+func (f *restartedFleet) requestAtEach() (answers []string) {
+	f.Helper()
+	answers = make([]string, fleetSize)
+	var waiting sync.WaitGroup
+	for i, addr := range f.addrs {
+		waiting.Go(func() {
+			conn, err := net.Dial("tcp", addr)
 			if err != nil {
-				t.Error(err)
+				f.Error(err)
 				return
 			}
-			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-			_, _ = io.WriteString(c, queryCommand(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", processCount)))
-			line, err := bufio.NewReader(c).ReadString('\n')
-			if err != nil {
-				t.Error(err)
+			defer func() { _ = conn.Close() }()
+			_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
+			_, _ = io.WriteString(conn, queryCommand(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", fleetSize)))
+			if answers[i], err = bufio.NewReader(conn).ReadString('\n'); err != nil {
+				f.Error(err)
 			}
-			answers[i] = line
 		})
 	}
-	all.Wait()
-	time.Sleep(time.Second) // what comes of them later
-	calls := len(counter.Calls)
-	t.Logf("%d tasks, one at each: %d calls on %d connections to the counter, %d connections to a server",
-		processCount, calls, lines.Load(), pushes.Load())
-	// A look, the window before and what it lacked, and the charge; of two names, each on a connection.
-	if calls > 4*processCount || lines.Load() > 2*processCount || pushes.Load() > processCount {
-		t.Error("the counter or the servers were crowded")
+	waiting.Wait()
+	return answers
+}
+
+// Thirty processes started at once while discovery is down, in each way in which it can be: nine in ten are ready within
+// ten seconds, whatever connect timeout is set and whatever list is known. What they do then overloads nobody: nothing is
+// called before a request comes, and a request of one customer at each costs a few calls and a connection each.
+func TestStart_thirtyAtOnceAreReadyInTimeAndOverloadNobody(t *testing.T) {
+	fleet, took := startFleet(t)
+	slow := 0
+	for _, span := range took {
+		if span > 10*time.Second {
+			slow++
+		}
+	}
+	if slow > fleetSize/10 {
+		t.Errorf("%d of %d took over 10 s: %v", slow, fleetSize, took)
+	}
+	if n := fleet.counterConnections.Load() + fleet.serverConnections.Load(); n > 0 {
+		t.Errorf("%d connections to counter and servers before any request", n)
+	}
+	t.Logf("ready after %v; the silent agent was called %d times by %d", took, fleet.discoveryCalls.Load(), fleetSize/3)
+
+	answers := fleet.requestAtEach()
+	time.Sleep(time.Second) // what follows from them later
+	calls, toCounter, toServers := len(fleet.counter.Calls), fleet.counterConnections.Load(), fleet.serverConnections.Load()
+	t.Logf("%d requests, one at each: %d calls on %d connections to the counter, %d connections to a server",
+		fleetSize, calls, toCounter, toServers)
+	// A sample, the window before and what it lacked, and the charge; of two names, each on a connection.
+	if calls > 4*fleetSize || toCounter > 2*fleetSize || toServers > fleetSize {
+		t.Error("the counter or the servers were overloaded")
 	}
-	for i, line := range answers {
-		if had := i/3%3 != 0; had != strings.HasPrefix(line, "$") {
-			t.Errorf("with a list: %v; answered %q", had, line)
+	for i, answer := range answers {
+		if hasList := i/3%3 != 0; hasList != strings.HasPrefix(answer, "$") {
+			t.Errorf("with a list: %v; answered %q", hasList, answer)
 		}
 	}
 }
--- a/cmd/harrierhoist/shutdown_test.go
+++ b/cmd/harrierhoist/shutdown_test.go
@@ -15,21 +15,21 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// continuousClient sends one task after the other on a connection until the gateway ends it, and looks before each whether it
-// has. A task that was sent on an open connection and not answered in whole is lost.
+// continuousClient sends one request after the other on a connection until the gateway closes it, and looks before each
+// whether it has. A request that was sent on an open connection and not answered completely is lost.
 type continuousClient struct {
 	*client
-	pause    func() time.Duration // between an answer and the next task
+	pause    func() time.Duration // between an answer and the next request
 	command  func() string
-	perWrite int // tasks written in one
+	perWrite int // requests in one write
 	answered int
 	rejected int // of these
 	lost     error
 }
 
-// isEnded tells, without waiting, whether the gateway has ended the connection.
-func (o *continuousClient) isEnded() bool {
-	raw, err := o.Conn.(syscall.Conn).SyscallConn()
+// isEnded tells, without waiting, whether the gateway has closed the connection.
+func (c *continuousClient) isEnded() bool {
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
 	}
@@ -42,56 +42,65 @@
 	return ended
 }
 
-func (o *continuousClient) run() {
+func (c *continuousClient) run() {
 	for {
-		time.Sleep(o.pause())
-		if o.isEnded() {
+		time.Sleep(c.pause())
+		if c.isEnded() {
 			return
 		}
 		text := ""
-		for range o.perWrite {
-			text += o.command()
+		for range c.perWrite {
+			text += c.command()
 		}
-		if _, err := io.WriteString(o.Conn, text); err != nil {
-			return // closed before the whole was written: not taken
+		if _, err := io.WriteString(c.Conn, text); err != nil {
+			return // closed before all was written: none of it is the gateway's
 		}
-		for range o.perWrite {
-			line, err := o.in.ReadString('\n')
-			if size := 0; err == nil && strings.HasPrefix(line, "$") {
-				_, _ = fmt.Sscanf(line, "$%d", &size)
-				_, err = o.in.Discard(size + 2)
-			}
-			if strings.HasPrefix(line, "-BUSY") {
-				o.rejected++
-			} else if strings.HasPrefix(line, "-") {
-				err = errors.New(line)
-			}
-			if err != nil {
-				o.lost = err
+		for range c.perWrite {
+			if c.lost = c.readWholeAnswer(); c.lost != nil {
 				return
 			}
-			o.answered++
+			c.answered++
 		}
 	}
 }
 
-// After SIGTERM clients send on every connection that stays open, up to SIGKILL. Each task gets its answer, and none is
-// lost with a connection that was open when it was sent: tasks at once after an answer, now and then, in pairs, long
-// ones, large. (Sent in the very moment at which a connection idle for a quarter of a second is closed, one would be.)
+// readWholeAnswer reads an answer of any size. One that is an error, other than a rejection, is returned as one.
+func (c *continuousClient) readWholeAnswer() error {
+	line, err := c.in.ReadString('\n')
+	switch {
+	case err != nil:
+		return err
+	case strings.HasPrefix(line, "-BUSY"):
+		c.rejected++
+	case strings.HasPrefix(line, "-"):
+		return errors.New(line)
+	case strings.HasPrefix(line, "$"):
+		size := 0
+		if _, err := fmt.Sscanf(line, "$%d", &size); err != nil {
+			return err
+		}
+		_, err = c.in.Discard(size + 2)
+	}
+	return err
+}
+
+// After SIGTERM clients send on every connection that stays open, up to SIGKILL. Each request gets its answer, and none is
+// lost with a connection that was open when it was sent: requests at once after an answer, now and then, in pairs, long ones,
+// large. (Sent in the very moment at which a connection idle for a quarter of a second is closed, one would be.)
 func TestTerminate_noRequestOnAnOpenConnectionIsLost(t *testing.T) {
 	sendThroughShutdown(t, 200/raceSlowdown, []time.Duration{1, 1, time.Millisecond, 100 * time.Millisecond})
 }
 
-// Asked to end with little to do, the gateway refuses no task either.
+// Terminated with little to do, the gateway rejects no request either.
 func TestTerminate_noRequestOnAnOpenConnectionIsRejected(t *testing.T) {
-	if refused := sendThroughShutdown(t, 4, []time.Duration{80 * time.Millisecond}); refused > 0 {
-		t.Errorf("%d tasks refused", refused)
+	if rejected := sendThroughShutdown(t, 4, []time.Duration{80 * time.Millisecond}); rejected > 0 {
+		t.Errorf("%d requests rejected", rejected)
 	}
 }
 
-// sendThroughShutdown has so many clients send on, each with pauses drawn up to one of these, past SIGTERM and until the gateway has
-// ended or is killed. It gives how many tasks were refused.
-func sendThroughShutdown(t *testing.T, clients int, pauses []time.Duration) (refused int) {
+// sendThroughShutdown has clients send requests, each with pauses drawn up to one of these, past SIGTERM and until the
+// gateway has ended or is killed. It returns how many requests were rejected.
+func sendThroughShutdown(t *testing.T, clients int, pauses []time.Duration) (rejected int) {
 	t.Helper()
 	large := fakes.FormatValue(strings.Repeat("x", 1<<18), 1)
 	gateway := startGateway(t, 1024, func(words []string) string {
@@ -103,46 +112,39 @@
 		}
 		return fakes.FormatValue("hello", 1)
 	})
-	draw := rand.New(rand.NewPCG(7, 0))
-	var all []*continuousClient
-	var asked atomic.Int64
+	random := rand.New(rand.NewPCG(7, 0))
+	var senders []*continuousClient
+	var sent atomic.Int64
 	for i := range clients {
-		o := &continuousClient{client: gateway.connect(), perWrite: 1 + i%3/2}
-		most := pauses[i%len(pauses)]
-		kind := "small"
-		switch i / 4 % 8 {
-		case 6:
-			kind = "long"
-		case 7:
-			kind = "large"
-		}
-		own := rand.New(rand.NewPCG(draw.Uint64(), 0))
-		o.pause = func() time.Duration { return time.Duration(own.Int64N(int64(most))) }
-		o.command = func() string { asked.Add(1); return queryCommand("c=look,t=wide,d=2900,units=1,n=" + kind) }
-		all = append(all, o)
+		longest, kind := pauses[i%len(pauses)], []string{"small", "small", "small", "small", "small", "small", "long", "large"}[i/4%8]
+		own := rand.New(rand.NewPCG(random.Uint64(), 0))
+		senders = append(senders, &continuousClient{
+			client: gateway.connect(), perWrite: 1 + i%3/2,
+			pause: func() time.Duration { return time.Duration(own.Int64N(int64(longest))) },
+			command: func() string {
+				sent.Add(1)
+				return queryCommand("c=look,t=wide,d=2900,units=1,n=" + kind)
+			},
+		})
 	}
-	var senders sync.WaitGroup
-	for _, o := range all {
-		senders.Go(o.run)
-	}
-	fakes.Eventually(t, "load", func() bool { return asked.Load() > int64(5*clients) })
-	if err := gateway.process.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	var running sync.WaitGroup
+	for _, sender := range senders {
+		running.Go(sender.run)
 	}
+	fakes.Eventually(t, "load", func() bool { return sent.Load() > int64(5*clients) })
+	gateway.signal(syscall.SIGTERM)
 	kill := time.AfterFunc(3700*time.Millisecond, func() { _ = gateway.process.Process.Kill() }) // 3 s and 0.7 s more
 	defer kill.Stop()
-	if err := gateway.process.Wait(); err != nil {
-		t.Errorf("ended with %v: %s", err, gateway.log)
-	}
-	senders.Wait()
+	gateway.waitForCleanExit()
+	running.Wait()
 	answered := 0
-	for i, o := range all {
-		answered += o.answered
-		refused += o.rejected
-		if o.lost != nil {
-			t.Errorf("connection %d: a task lost after %d answered: %v", i, o.answered, o.lost)
+	for i, sender := range senders {
+		answered += sender.answered
+		rejected += sender.rejected
+		if sender.lost != nil {
+			t.Errorf("connection %d: a request lost after %d answered: %v", i, sender.answered, sender.lost)
 		}
 	}
-	t.Logf("%d tasks answered, %d of them refused", answered, refused)
-	return refused
+	t.Logf("%d requests answered, %d of them rejected", answered, rejected)
+	return rejected
 }
--- a/cmd/harrierhoist/voters_test.go
+++ b/cmd/harrierhoist/voters_test.go
@@ -11,36 +11,38 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A voter asked to end gives the lead away: when it has ended, another leads, by the one election that it asked for. One
-// that did not vote may hear of it a moment later.
+// A voter that shuts down transfers the leadership: when it has ended, another leads, by the one election that it asked for.
+// One that did not vote may learn of it a moment later.
 func TestVoters_terminatedLeaderTransfersLeadership(t *testing.T) {
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
-	c.writeTable("plan", 0, "one")
+	c.writePlan(0, "one")
 	leader := c.leader()
-	was, _ := c.client.Info(t.Context(), c.addresses[leader])
-	_ = c.processes[leader].Process.Signal(syscall.SIGTERM)
-	if err := c.processes[leader].Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+	before, err := c.client.Info(t.Context(), c.addresses[leader])
+	if err != nil {
+		t.Fatal(err)
 	}
+	c.signal(leader, syscall.SIGTERM)
+	c.waitForCleanExit(leader)
 	delete(c.addresses, leader)
-	leads := 0
+	leaders := 0
 	for name, address := range c.addresses {
-		is, err := c.client.Info(t.Context(), address)
+		info, err := c.client.Info(t.Context(), address)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if is.Status.Leader == is.Number {
-			leads++
+		if info.Status.Leader == info.Number {
+			leaders++
 		}
 	}
-	if leads != 1 {
-		t.Errorf("%d voters lead once the old leader has ended", leads)
+	if leaders != 1 {
+		t.Errorf("%d voters lead once the earlier leader has ended", leaders)
 	}
 	for name, address := range c.addresses {
 		fakes.Eventually(t, name+" follows the new leader", func() bool {
-			is, err := c.client.Info(t.Context(), address)
-			return err == nil && is.Status.Leader != was.Number && is.Status.Leader != 0 && is.Status.Term == was.Status.Term+1
+			info, err := c.client.Info(t.Context(), address)
+			return err == nil && info.Status.Leader != before.Number && info.Status.Leader != 0 &&
+				info.Status.Term == before.Status.Term+1
 		})
 	}
 }
@@ -51,16 +53,16 @@
 	t.Parallel()
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
-	c.writeTable("plan", 0, "one")
-	fakes.Eventually(t, "the disks' marks", func() bool {
-		s, _ := c.client.Info(t.Context(), c.addresses["v1"])
-		n := 0
-		for _, m := range s.Status.Members {
-			if m.DiskID != "" {
-				n++
+	c.writePlan(0, "one")
+	fakes.Eventually(t, "the disks' fingerprints", func() bool {
+		info, err := c.client.Info(t.Context(), c.addresses["v1"])
+		known := 0
+		for _, member := range info.Status.Members {
+			if member.DiskID != "" {
+				known++
 			}
 		}
-		return n == 3
+		return err == nil && known == 3
 	})
 	c.kill("v2")
 	if err := os.RemoveAll(c.diskPath("v2")); err != nil {
@@ -68,83 +70,87 @@
 	}
 	c.start("v2")
 	c.waitForLog("v2", "a lost disk comes back under a new number")
-	if s, err := c.client.Info(t.Context(), c.addresses["v2"]); err != nil || s.Started {
-		t.Errorf("%+v, %v", s, err)
+	if info, err := c.client.Info(t.Context(), c.addresses["v2"]); err != nil || info.Started {
+		t.Errorf("%+v, %v", info, err)
 	}
-	c.voters = strings.Replace(c.voters, voterTable(2, "v2", c.addresses["v2"], 0), voterTable(4, "v2", c.addresses["v2"], 2), 1)
+	c.voters = strings.Replace(c.voters, voterTable(2, "v2", c.addresses["v2"], 0),
+		voterTable(4, "v2", c.addresses["v2"], 2), 1)
 	for _, name := range []string{"v1", "v2", "v3"} {
 		c.writeFile(name, c.diskPath(name))
-		_ = c.processes[name].Process.Signal(syscall.SIGHUP)
+		c.signal(name, syscall.SIGHUP)
 	}
 	c.waitForLog("v2", "coordination: voter started")
-	c.writeTable("plan", 1, "two")
+	c.writePlan(1, "two")
 	c.waitForLog("v2", `"plan":2`)
 	c.kill("v1") // the new one counts: with it a majority stands
-	c.writeTable("plan", 2, "three")
+	c.writePlan(2, "three")
 	c.start("v1")
 	c.leader()
 }
 
-// A bad file on SIGHUP leaves all as it was, and says what is wrong with it; what takes a restart is named.
+// A bad file on SIGHUP leaves all as it was, and its fault is logged; so are settings that need a restart.
 func TestVoters_reloadReadsTheConfigurationAgain(t *testing.T) {
 	c := newVoterCluster(t, "v1")
 	c.voters = "single = true\n" + c.voters // ends [process]
 	c.start("v1")
-	c.writeTable("plan", 0, "one")
-	good, _ := os.ReadFile(c.writeFile("v1", c.diskPath("v1")))
+	c.writePlan(0, "one")
+	good, err := os.ReadFile(c.writeFile("v1", c.diskPath("v1")))
+	if err != nil {
+		t.Fatal(err)
+	}
 	for text, line := range map[string]string{
 		strings.Replace(string(good), "single", "singel", 1): "process.singel is no key",
-		strings.Replace(string(good), "hall-a", "hall-b", 1): `coordination: changed settings need a restart","process":"v1","keys":["process.hall"]`,
-		string(good) + "[timing]\nlease = \"1s\"\n":          "coordination: new configuration in force",
+		strings.Replace(string(good), "hall-a", "hall-b", 1): `coordination: changed settings need a restart",` +
+			`"process":"v1","keys":["process.hall"]`,
+		string(good) + "[timing]\nlease = \"1s\"\n": "coordination: new configuration in force",
 	} {
-		if err := os.WriteFile(c.writeFile("v1", c.diskPath("v1")), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_ = c.processes["v1"].Process.Signal(syscall.SIGHUP)
+		replaceFile(t, c.writeFile("v1", c.diskPath("v1")), text)
+		c.signal("v1", syscall.SIGHUP)
 		c.waitForLog("v1", line)
 	}
-	c.writeTable("plan", 1, "two")
+	c.writePlan(1, "two")
 }
 
-// What a charter must not say ends the program in plain lines, each with the file and the key.
+// A bad coordination file ends the process with plain lines, each with the file and the key.
 func TestVoters_badConfigurationIsPlainLines(t *testing.T) {
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.voters = strings.Replace(c.voters, c.addresses["v2"], "192.0.2.1:7400", 1)
 	path := c.writeFile("v1", c.diskPath("v1"))
-	for charter, keys := range map[string][]string{path: {"voter.2.address"}, path + ".none": {"no such file"}} {
-		c.run("v1", "RELAY_CONFIG=", "RELAY_COMMON="+charter)
+	for file, keys := range map[string][]string{path: {"voter.2.address"}, path + ".none": {"no such file"}} {
+		c.run("v1", "RELAY_CONFIG=", "RELAY_COMMON="+file)
 		err := c.processes["v1"].Wait()
 		lines := strings.Split(strings.TrimSpace(c.logs["v1"].String()), "\n")
 		if err == nil || len(lines) != len(keys) {
 			t.Fatalf("ended with %v: %q", err, lines)
 		}
 		for i, key := range keys {
-			if !strings.HasPrefix(lines[i], "harrierhoist: ") || !strings.Contains(lines[i], charter) || !strings.Contains(lines[i], key) {
+			if !strings.HasPrefix(lines[i], "harrierhoist: ") || !strings.Contains(lines[i], file) || !strings.Contains(lines[i], key) {
 				t.Error(lines[i])
 			}
 		}
 	}
 }
 
-// Two processes on the files of one voter would be one voter twice: the second does not start.
+// Two processes on the files of one voter would vote twice: the second does not start.
 func TestVoters_secondProcessOnTheSameFilesIsRefused(t *testing.T) {
 	c := newVoterCluster(t, "v1")
 	c.voters = "single = true\n" + c.voters
 	c.start("v1")
-	c.writeTable("plan", 0, "one")
-	text, _ := os.ReadFile(c.writeFile("v1", c.diskPath("v1")))
-	other := c.writeFile("v1", c.diskPath("other")) + ".other"
-	moved := strings.Replace(string(text), "voter = true", fmt.Sprintf("voter = true\nlisten = %q", freeAddress(t)), 1)
-	if err := os.WriteFile(other, []byte(moved), 0o600); err != nil {
+	c.writePlan(0, "one")
+	text, err := os.ReadFile(c.writeFile("v1", c.diskPath("v1")))
+	if err != nil {
 		t.Fatal(err)
 	}
+	other := c.writeFile("v1", c.diskPath("other")) + ".other"
+	replaceFile(t, other, strings.Replace(string(text), "voter = true",
+		fmt.Sprintf("voter = true\nlisten = %q", freeAddress(t)), 1))
 	c.run("other", "RELAY_CONFIG=", "RELAY_COMMON="+other)
 	if err := c.processes["other"].Wait(); err == nil || !strings.Contains(c.logs["other"].String(), "answers at") {
 		t.Errorf("ended with %v: %s", err, c.logs["other"])
 	}
 }
 
-// The parts that are on begin with the gateway, by the hall that it stands in; one that its halls do not have is refused.
+// What is on starts with the gateway, by the zone that it is in; a zone that its settings do not have is refused.
 func TestCoordination_startsWithTheGateway(t *testing.T) {
 	c := newVoterCluster(t, "v1")
 	c.voters = "single = true\n" + c.voters + `
@@ -159,19 +165,20 @@
 `
 	c.start("v1")
 	c.startGateway("g1")
-	c.writeTable("plan", 0, "one")
+	c.writePlan(0, "one")
 	c.waitForLog("g1", `"plan":1`)
-	text, _ := os.ReadFile(c.writeFile("g1", ""))
-	if err := os.WriteFile(c.dir+"/else.toml", []byte(strings.ReplaceAll(string(text), "hall-a", "hall-z")), 0o600); err != nil {
+	text, err := os.ReadFile(c.writeFile("g1", ""))
+	if err != nil {
 		t.Fatal(err)
 	}
-	config, _ := os.ReadFile(c.dir + "/g1.json")
-	config = regexp.MustCompile(`"listen":"[^"]*"`).ReplaceAll(config, fmt.Appendf(nil, `"listen":%q`, freeAddress(t)))
-	if err := os.WriteFile(c.dir+"/else.json", config, 0o600); err != nil {
+	replaceFile(t, c.dir+"/else.toml", strings.ReplaceAll(string(text), "hall-a", "hall-z"))
+	if text, err = os.ReadFile(c.dir + "/g1.json"); err != nil {
 		t.Fatal(err)
 	}
+	listen := regexp.MustCompile(`"listen":"[^"]*"`)
+	replaceFile(t, c.dir+"/else.json", listen.ReplaceAllString(string(text), fmt.Sprintf(`"listen":%q`, freeAddress(t))))
 	c.run("else", "RELAY_CONFIG="+c.dir+"/else.json", "RELAY_COMMON="+c.dir+"/else.toml")
-	if err := c.processes["else"].Wait(); err == nil || strings.Count(c.logs["else"].String(), "process.hall must be one of") != 1 {
+	if err := c.processes["else"].Wait(); err == nil || c.logs["else"].Count("process.hall must be one of") != 1 {
 		t.Errorf("ended with %v: %s", err, c.logs["else"])
 	}
 }
