--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -13,7 +13,7 @@
 func (g *gatewayUnderTest) waitForCompleteDrain() {
 	g.Helper()
 	g.waitForCleanExit()
-	if strings.Contains(g.log.String(), "before all clients") {
+	if strings.Contains(g.log.String(), "listener: drain timed out") {
 		g.Errorf("ended too early: %s", g.log)
 	}
 }
