--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -104,15 +104,21 @@
 	c.want(result{1, 6, policy.Answered})
 }
 
+// wantNextCallAnswered makes a second call, which goes on a connection of its own and is answered.
+func (c *caller) wantNextCallAnswered(listener net.Listener) {
+	c.Helper()
+	c.add(8, 1)
+	_, _ = io.WriteString(acceptCall(c.T, listener), "ok 9\r\n")
+	c.want(result{1, 9, policy.Answered})
+}
+
 func TestAdd_lostConnectionTimesOutAndIsReplaced(t *testing.T) {
 	listener := fakes.Listen(t)
 	c := newCaller(t, listener.Addr().String())
 	c.add(8, 1)
 	_ = acceptCall(t, listener).Close()
 	c.want(result{0, 0, policy.TimedOut})
-	c.add(8, 1)
-	_, _ = io.WriteString(acceptCall(t, listener), "ok 9\r\n")
-	c.want(result{1, 9, policy.Answered})
+	c.wantNextCallAnswered(listener)
 }
 
 func TestAdd_refusedConnectionIsConnectFailed(t *testing.T) {
--- a/internal/counter/failure_test.go
+++ b/internal/counter/failure_test.go
@@ -96,9 +96,7 @@
 			_, _ = io.WriteString(accepted, "ok 7")
 			after(accepted)
 			c.want(result{0, 0, policy.TimedOut})
-			c.add(8, 1)
-			_, _ = io.WriteString(acceptCall(t, listener), "ok 9\r\n")
-			c.want(result{1, 9, policy.Answered})
+			c.wantNextCallAnswered(listener)
 		})
 	}
 }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -197,14 +197,19 @@
 halls = ["", "b"]
 `
 
-// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
-func TestSettings_refusalsAreStable(t *testing.T) {
-	var settings Settings
+// readInvalidSettings returns what the file says: it is wrong in its values only.
+func readInvalidSettings(t *testing.T) (settings Settings) {
+	t.Helper()
 	if err := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields().Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
+	return settings
+}
+
+// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
+func TestSettings_refusalsAreStable(t *testing.T) {
 	var lines []string
-	for _, err := range settings.Check() {
+	for _, err := range readInvalidSettings(t).Check() {
 		lines = append(lines, err.Error())
 	}
 	lines = append(lines, Settings{Enabled: true}.Check()[0].Error())
--- a/internal/failover/settings_test.go
+++ b/internal/failover/settings_test.go
@@ -6,15 +6,11 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/pelletier/go-toml/v2"
 )
 
 // An operator learns of all that is wrong at once, by key and with what is allowed.
 func TestCheck_reportsAllErrors(t *testing.T) {
-	var settings Settings
-	if err := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields().Decode(&settings); err != nil {
-		t.Fatal(err)
-	}
+	settings := readInvalidSettings(t)
 	var keys []string
 	for _, err := range settings.Check() {
 		if !strings.Contains(err.Error(), " is wanted, not ") {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -44,10 +44,7 @@
 
 func TestQuota_rejectsAtTheLimitWithRetryAfter(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	for id := uint32(1); id <= 5; id++ {
-		world.request(id, 0, 1, 1.9)
-		world.finishAttempt(id, Answered)
-	}
+	world.serveInTurn(5, 1, 1.9, 0)
 	world.request(6, 0, 1, 1.9)
 	world.want("reject 6 away 950ms", 1)
 	world.wantAttempts(6, 0)
@@ -85,10 +82,7 @@
 
 func TestQuota_noCallWhereNoCountCouldAdmit(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	for id := uint32(1); id <= 5; id++ {
-		world.request(id, 0, 1, 1.9)
-		world.finishAttempt(id, Answered)
-	}
+	world.serveInTurn(5, 1, 1.9, 0)
 	world.request(6, 0, 1, 1.9) // brings the last charges
 	before := len(world.log)
 	world.request(7, 0, 1, 1.9)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -68,11 +68,7 @@
 
 func TestPlacement_boundsInFlightAndTheRestWaitsOrIsRejected(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	for id := uint32(1); id <= 40; id++ {
-		world.request(id, 0, 0, 1)
-		world.advance(20 * ms)
-		world.finishAttempt(id, Answered)
-	}
+	world.serveInTurn(40, 0, 1, 20*ms)
 	before := len(world.attempts)
 	for id := uint32(100); id < 160; id++ {
 		world.request(id, 0, 0, 1)
@@ -115,11 +111,7 @@
 		world := newHarness(t, d, 4)
 		world.gateway.random.Seed(seed)
 		world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 9, State: Ready, StartedAt: world.now}})
-		for id := uint32(1); id <= 8; id++ { // a request a second of each gateway, over five servers
-			world.request(id, 0, 0, 1)
-			world.advance(500 * ms)
-			world.finishAttempt(id, Answered)
-		}
+		world.serveInTurn(8, 0, 1, 500*ms) // a request a second of each gateway, over five servers
 		forwarded += world.attemptsTo(9, 0)
 	}
 	// Warm ones get 40 a second; a warming one a fifth and more of that: some 50 in four seconds, not 100 at once.
@@ -215,11 +207,7 @@
 // A gateway estimated its attempts at a warm server as before when five times as many had come to share each.
 func TestAttemptInterval_followsTheSharingGateways(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	for id := uint32(1); id <= 40; id++ {
-		world.request(id, 0, 0, 1)
-		world.advance(20 * ms)
-		world.finishAttempt(id, Answered)
-	}
+	world.serveInTurn(40, 0, 1, 20*ms)
 	before := world.gateway.balancer.attemptInterval()
 	world.gateway.SetSharers(10)
 	if now := world.gateway.balancer.attemptInterval(); (now - 5*before).Abs() > ms {
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -70,10 +70,7 @@
 
 func TestCounter_returnsEmpty(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	for id := uint32(1); id <= 5; id++ {
-		world.request(id, 0, 1, 1.9)
-		world.finishAttempt(id, Answered)
-	}
+	world.serveInTurn(5, 1, 1.9, 0)
 	clear(world.count)
 	world.request(6, 0, 1, 1.9)
 	world.wantAttempts(6, 0)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -68,6 +68,17 @@
 	h.answerCounter()
 }
 
+// serveInTurn brings requests 1 to n of a plan, each after the one before was answered, and that after a time.
+func (h *harness) serveInTurn(n uint32, plan int, units float64, after time.Duration) {
+	for id := uint32(1); id <= n; id++ {
+		h.request(id, 0, plan, units)
+		if after > 0 {
+			h.advance(after)
+		}
+		h.finishAttempt(id, Answered)
+	}
+}
+
 // send brings a request; left out, it has the harness's gateways and two seconds.
 func (h *harness) send(r Request) {
 	r.GatewayCount = cmp.Or(r.GatewayCount, h.gatewayCount)
--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -45,10 +45,7 @@
 
 func TestEjection_silenceInOneClassEjectsForThatClassOnly(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	for id := uint32(1); id <= 8; id++ {
-		world.request(id, 0, 0, 1)
-		world.finishAttempt(id, Answered) // both serve those that look
-	}
+	world.serveInTurn(8, 0, 1, 0) // both serve those that look
 	world.request(9, 2, 0, 1)
 	world.advance(2 * time.Second) // those that pay get no answer
 	silent := world.gateway.balancer.servers[world.attempts[8].server-1]
