--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -13,7 +13,7 @@
 	"harrierhoist/internal/coordination/statemachine"
 	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // voterCluster is voters of the program under test on loopback, each with its file and its folder.
@@ -23,7 +23,7 @@
 	addresses map[string]string
 	voters    string // their tables, which stand in every file
 	processes map[string]*exec.Cmd
-	logs      map[string]*faultinjection.Log
+	logs      map[string]*subprocess.Log
 	client    *transport.Client
 	number    uint64 // of the latest command
 }
@@ -32,7 +32,7 @@
 	t.Helper()
 	c := &voterCluster{
 		T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{},
-		logs: map[string]*faultinjection.Log{},
+		logs:   map[string]*subprocess.Log{},
 		client: transport.NewClient(transport.Network{}, 2),
 	}
 	t.Cleanup(c.client.Close)
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // silentDiscovery answers nothing until it resumes, and then gives one list.
@@ -53,7 +53,7 @@
 }
 
 // startWithDescriptorLimit starts a gateway to which the system gives a number of descriptors.
-func startWithDescriptorLimit(t *testing.T, descriptors int, configuration string) (*exec.Cmd, *faultinjection.Log) {
+func startWithDescriptorLimit(t *testing.T, descriptors int, configuration string) (*exec.Cmd, *subprocess.Log) {
 	t.Helper()
 	path := configFile(t)
 	replaceFile(t, path, configuration)
--- a/cmd/harrierhoist/gateway_test.go
+++ b/cmd/harrierhoist/gateway_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 const configurationTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","counter":%q,
@@ -41,7 +41,7 @@
 	addr       string
 	process    *exec.Cmd
 	configPath string
-	log        *faultinjection.Log
+	log        *subprocess.Log
 	server     *fakes.Server
 	counter    *fakes.Counter
 	discovery  *fakes.Discovery
--- a/cmd/harrierhoist/main_test.go
+++ b/cmd/harrierhoist/main_test.go
@@ -1,13 +1,14 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"testing"
 
 	"go.uber.org/goleak"
+
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // program is the path of the built program under test.
@@ -17,11 +18,7 @@
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "harrierhoist")
 	if err == nil {
-		program = filepath.Join(folder, "harrierhoist")
-		var output []byte
-		if output, err = exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-			err = fmt.Errorf("%w: %s", err, output)
-		}
+		program, err = subprocess.Build(context.Background(), folder)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/harrierhoist/process_test.go
+++ b/cmd/harrierhoist/process_test.go
@@ -13,23 +13,23 @@
 	"golang.org/x/sys/unix"
 
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/testing/faultinjection"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // waitForLog waits until a text is in the log.
-func waitForLog(t *testing.T, log *faultinjection.Log, text string) {
+func waitForLog(t *testing.T, log *subprocess.Log, text string) {
 	t.Helper()
 	fakes.Eventually(t, text, func() bool { return strings.Contains(log.String(), text) })
 }
 
 // startProgram starts the program under test; the test's end kills it.
-func startProgram(t *testing.T, env ...string) (*exec.Cmd, *faultinjection.Log) {
+func startProgram(t *testing.T, env ...string) (*exec.Cmd, *subprocess.Log) {
 	t.Helper()
 	return startCommand(t, exec.Command(program), env...)
 }
 
 // startWithConfiguration starts the program on a configuration, which it writes to a path.
-func startWithConfiguration(t *testing.T, path, configuration string) (*exec.Cmd, *faultinjection.Log) {
+func startWithConfiguration(t *testing.T, path, configuration string) (*exec.Cmd, *subprocess.Log) {
 	t.Helper()
 	replaceFile(t, path, configuration)
 	return startProgram(t, "RELAY_CONFIG="+path)
@@ -37,9 +37,9 @@
 
 // startCommand starts a command of the program. Built under GOFLAGS=-race, a data race that it sees in itself fails the
 // test; the log of a test that fails is shown.
-func startCommand(t *testing.T, command *exec.Cmd, env ...string) (*exec.Cmd, *faultinjection.Log) {
+func startCommand(t *testing.T, command *exec.Cmd, env ...string) (*exec.Cmd, *subprocess.Log) {
 	t.Helper()
-	log := &faultinjection.Log{}
+	log := &subprocess.Log{}
 	command.Env = append(os.Environ(), env...)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
--- a/internal/conformance/launch.go
+++ b/internal/conformance/launch.go
@@ -5,12 +5,11 @@
 	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
 	"sync/atomic"
 
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // Processes listen on ports below the system's ephemeral range. A port is not probed before: a listener that was closed
@@ -42,88 +41,59 @@
 // on another.
 func (p *processTarget) start(path string, launch *Launch) Instance {
 	p.t.Helper()
-	logFile := filepath.Join(launch.Dir, "log")
-	instance := Instance{ConfigFile: filepath.Join(launch.Dir, "config.json"), Log: func() string {
-		text, err := os.ReadFile(logFile)
-		if err != nil {
-			return err.Error()
-		}
-		return string(text)
-	}}
 	for range maxStarts {
-		err := p.startOnce(path, logFile, launch, &instance)
+		configFile := filepath.Join(launch.Dir, "config.json")
+		gateway, err := p.startOnce(path, configFile, launch)
 		if err == nil {
 			p.t.Cleanup(func() {
 				if p.t.Failed() {
-					p.t.Logf("the gateway's log: %s", instance.Log())
+					p.t.Logf("the gateway's log: %s", gateway.Log.String())
 				}
 			})
-			return instance
+			return Instance{PID: p.pid, ConfigFile: configFile, Log: gateway.Log.String}
 		}
 		if !errors.Is(err, errAddressInUse) {
 			p.t.Fatal(err)
 		}
 	}
 	p.t.Fatal("no free address")
-	return instance
+	return Instance{}
 }
 
-func (p *processTarget) startOnce(path, logFile string, launch *Launch, instance *Instance) error {
+func (p *processTarget) startOnce(path, configFile string, launch *Launch) (*subprocess.Process, error) {
 	p.t.Helper()
 	p.addr = listenAddress(portsUsed.Add(1))
 	launch.Config["listen"] = p.addr
 	text, err := json.Marshal(launch.Config)
 	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(instance.ConfigFile, text, 0o600); err != nil {
-		return err
+		return nil, err
 	}
-	out, err := os.Create(logFile)
-	if err != nil {
-		return err
+	if err := os.WriteFile(configFile, text, 0o600); err != nil {
+		return nil, err
 	}
-	cmd := exec.Command(path)
-	cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+instance.ConfigFile), launch.Env...)
-	cmd.Stdout, cmd.Stderr = out, out
-	if err := errors.Join(cmd.Start(), out.Close()); err != nil {
-		return err
+	gateway := subprocess.NewProcess(path, "gateway", append([]string{"RELAY_CONFIG=" + configFile}, launch.Env...)...)
+	if err := gateway.Start(); err != nil {
+		return nil, err
 	}
-	ended := make(chan struct{})
-	go func() {
-		_ = cmd.Wait() // the exit status says nothing: the process is killed at the end, and its log tells why it ended
-		close(ended)
-	}()
-	p.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // fails if it has ended
-		<-ended
-	})
-	p.pid, instance.PID = cmd.Process.Pid, cmd.Process.Pid
-	return p.awaitReady(instance, ended)
+	p.t.Cleanup(gateway.Kill)
+	p.pid = gateway.PID()
+	return gateway, p.awaitReady(gateway)
 }
 
 // awaitReady waits until the process serves. If it has ended instead, that is an error.
-func (p *processTarget) awaitReady(instance *Instance, ended <-chan struct{}) error {
+func (p *processTarget) awaitReady(gateway *subprocess.Process) error {
 	p.t.Helper()
-	hasEnded := func() bool {
-		select {
-		case <-ended:
-			return true
-		default:
-			return false
-		}
-	}
 	fakes.Eventually(p.t, "a gateway that serves or has ended", func() bool {
-		return hasEnded() ||
-			strings.Contains(instance.Log(), readyLine) && p.sendCommand(fakes.FormatCommand("PING")) == "+PONG"
+		return !gateway.IsRunning() ||
+			gateway.Log.Count(readyLine) > 0 && p.sendCommand(fakes.FormatCommand("PING")) == "+PONG"
 	})
 	switch {
-	case !hasEnded():
+	case gateway.IsRunning():
 		return nil
-	case strings.Contains(instance.Log(), addressInUse):
+	case gateway.Log.Count(addressInUse) > 0:
 		return errAddressInUse
 	}
-	return fmt.Errorf("the gateway ended: %s", instance.Log())
+	return fmt.Errorf("the gateway ended: %s", gateway.Log.String())
 }
 
 // launchConfig is a gateway's configuration in the platform's form: the same settings as settingsFor gives the module.
--- a/internal/conformance/program.go
+++ b/internal/conformance/program.go
@@ -1,12 +1,12 @@
 package conformance
 
 import (
+	"context"
 	"errors"
-	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"sync"
+
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // overlayVariable names the environment variable with the path of a file of replaced sources (go build -overlay): the
@@ -23,12 +23,7 @@
 		return "", err
 	}
 	buildDir = dir
-	path := filepath.Join(dir, "harrierhoist")
-	build := exec.Command("go", "build", "-overlay="+os.Getenv(overlayVariable), "-o", path, "harrierhoist/cmd/harrierhoist")
-	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
-	}
-	return path, nil
+	return subprocess.Build(context.Background(), dir, "-overlay="+os.Getenv(overlayVariable))
 })
 
 // Cleanup stops the shared voters and removes what was built. It is called when all tests have ended.
--- a/internal/testing/faultinjection/environment.go
+++ b/internal/testing/faultinjection/environment.go
@@ -14,11 +14,12 @@
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // Gateway is a gateway's process.
 type Gateway struct {
-	*Process
+	*subprocess.Process
 	Zone, Addr, ConfigPath string
 
 	mu           sync.Mutex
@@ -103,7 +104,7 @@
 			total: len(config.Zones) * config.GatewaysPerZone,
 		})
 		must(env.T, os.WriteFile(g.ConfigPath, text, 0o600))
-		g.Process = NewProcess(env.Program, name, "RELAY_CONFIG="+g.ConfigPath)
+		g.Process = subprocess.NewProcess(env.Program, name, "RELAY_CONFIG="+g.ConfigPath)
 		env.T.Cleanup(g.Kill)
 		env.Gateways = append(env.Gateways, g)
 	}
--- a/internal/testing/faultinjection/plain_test.go
+++ b/internal/testing/faultinjection/plain_test.go
@@ -11,9 +11,13 @@
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/subprocess"
 )
 
-var program string
+var (
+	program    string
+	buildFlags []string // with which the tests themselves are built
+)
 
 func TestMain(m *testing.M) {
 	os.Exit(runTests(m))
@@ -24,7 +28,7 @@
 	folder, err := os.MkdirTemp("", "faultinjection")
 	if err == nil {
 		defer func() { _ = os.RemoveAll(folder) }() // in the system's folder for such
-		program, err = Build(context.Background(), folder)
+		program, err = subprocess.Build(context.Background(), folder, buildFlags...)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testing/faultinjection/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // failoverTerms has two regions with three zones. Clients ask for some 160 units per second in each zone. A zone's 4 servers
@@ -85,7 +86,7 @@
 }
 
 // waitForLog waits until a process has logged a text a number of times.
-func (s *scenario) waitForLog(p *Process, text string, times int) {
+func (s *scenario) waitForLog(p *subprocess.Process, text string, times int) {
 	s.t.Helper()
 	if *withoutVoters {
 		return
@@ -182,7 +183,7 @@
 // checkLogs fails where a process logged what no process may.
 func (s *scenario) checkLogs() {
 	s.t.Helper()
-	var processes []*Process
+	var processes []*subprocess.Process
 	for _, g := range s.Gateways {
 		processes = append(processes, g.Process)
 	}
--- a/internal/testing/faultinjection/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -13,6 +13,7 @@
 	"harrierhoist/internal/coordination/transport"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // LeaseDuration is short, so that scenarios are. Processes confirm what they hold about five times in it.
@@ -26,7 +27,7 @@
 
 // Voter is the process of a voter, without a gateway.
 type Voter struct {
-	*Process
+	*subprocess.Process
 	Number   uint64
 	Replaces uint64 // number of the voter that it takes the place of; 0: none
 	Addr     string
@@ -58,7 +59,7 @@
 		c.Voters = append(c.Voters, c.newVoter(fmt.Sprintf("v%d", i+1), uint64(i+1), 0))
 	}
 	for _, g := range env.Gateways {
-		g.env = append(g.env, "RELAY_COMMON="+c.configPath(g.Name))
+		g.AddEnv("RELAY_COMMON=" + c.configPath(g.Name))
 	}
 	c.WriteConfigs()
 	return c
@@ -67,7 +68,7 @@
 func (c *VoterCluster) newVoter(name string, number, replaces uint64) *Voter {
 	c.env.T.Helper()
 	v := &Voter{
-		Process: NewProcess(c.env.Program, name, "RELAY_CONFIG=", "RELAY_COMMON="+c.configPath(name)),
+		Process: subprocess.NewProcess(c.env.Program, name, "RELAY_CONFIG=", "RELAY_COMMON="+c.configPath(name)),
 		Number:  number, Replaces: replaces, Addr: FreeAddr(c.env.T),
 		Dir: filepath.Join(c.env.Folder, fmt.Sprintf("disk%d", number)),
 	}
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // 4. The leader's calls arrive nowhere while others' arrive at it, or the other way round. Another leads, and a zone's
@@ -130,7 +131,7 @@
 	s := startScenario(t)
 	s.GatewayTerms = failoverTerms + "[failover.bears_by]\n\"hall-a\" = 120\n"
 	s.VoterTerms = s.GatewayTerms
-	half := map[string]*Process{
+	half := map[string]*subprocess.Process{
 		"v1": s.Voters[0].Process, "hall-a-g0": s.Gateways[0].Process, "hall-b-g0": s.Gateways[2].Process,
 		"hall-c-g0": s.Gateways[4].Process,
 	}
--- a/internal/testing/faultinjection/process.go
+++ b/internal/testing/subprocess/subprocess.go
@@ -1,4 +1,6 @@
-package faultinjection
+// Package subprocess builds, for tests, the program, and runs it: its log is kept, and it may be killed, paused, started
+// again, or have its disk fill up.
+package subprocess
 
 import (
 	"bytes"
@@ -15,13 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// buildFlags are those with which the tests themselves are built.
-var buildFlags []string
-
-// Build builds the program into a folder, and returns its path.
-func Build(ctx context.Context, folder string) (string, error) {
+// Build builds the program into a folder, with flags of go build, and returns its path.
+func Build(ctx context.Context, folder string, flags ...string) (string, error) {
 	path := filepath.Join(folder, "harrierhoist")
-	args := slices.Concat([]string{"build"}, buildFlags, []string{"-o", path, "harrierhoist/cmd/harrierhoist"})
+	args := slices.Concat([]string{"build"}, flags, []string{"-o", path, "harrierhoist/cmd/harrierhoist"})
 	if out, err := exec.CommandContext(ctx, "go", args...).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -67,17 +66,20 @@
 	return &Process{Name: name, program: program, env: env}
 }
 
+// AddEnv adds to the environment of the process, from its next start on.
+func (p *Process) AddEnv(env ...string) { p.env = append(p.env, env...) }
+
 // SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or succeed again. (A disk that
 // takes writes and fails to sync can't be made without special rights: package wal's own tests have one.)
 func (p *Process) SetDiskFull(full bool) error {
 	var limit unix.Rlimit
-	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
+	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return err
 	}
 	if limit.Cur = limit.Max; full {
 		limit.Cur = 1 // a Go program ignores the signal that comes with such a write: the write itself fails
 	}
-	return unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
+	return unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil)
 }
 
 // Start starts the process.
@@ -92,11 +94,14 @@
 	p.command, p.ended = command, ended
 	go func() {
 		defer close(ended)
-		_ = command.Wait() // scenarios end processes as they like: its status tells nothing
+		_ = command.Wait() // tests end processes as they like: its status tells nothing
 	}()
 	return nil
 }
 
+// PID returns the process ID of its last start.
+func (p *Process) PID() int { return p.command.Process.Pid }
+
 // Signal sends a signal, unless the process has ended: SIGSTOP to pause it, SIGCONT to resume it, SIGTERM, SIGHUP.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.IsRunning() {
