--- a/internal/conformance/page.go
+++ b/internal/conformance/page.go
@@ -7,49 +7,50 @@
 )
 
 //go:embed page.md.tmpl
-var frame string
+var pageTemplate string
 
-// Page writes docs/conformance.md from the tables.
-func (t *Tables) Page() (string, error) {
+// Page returns the text of docs/conformance.md.
+func (s *Suite) Page() (string, error) {
 	page, err := template.New("page").Funcs(template.FuncMap{
-		"rows": t.of, "but": t.but, "listed": listed, "names": func(ids []string) string { return strings.Join(ids, ", ") },
-	}).Parse(frame)
+		"rows": s.rowsOf, "but": s.exclusionsOf, "listed": formatList,
+		"names": func(ids []string) string { return strings.Join(ids, ", ") },
+	}).Parse(pageTemplate)
 	if err != nil {
 		return "", err
 	}
 	var out strings.Builder
 	err = page.Execute(&out, struct {
-		*Tables
+		*Suite
 		Variants []Variant
-	}{t, Variants})
+	}{s, Variants})
 	return out.String(), err
 }
 
-// of gives a clause's rows.
-func (t *Tables) of(clause string) (rows []Row) {
-	for _, r := range t.Rows {
-		if r.Clause == clause {
-			rows = append(rows, r)
+// rowsOf returns a clause's rows.
+func (s *Suite) rowsOf(clause string) (rows []Row) {
+	for _, row := range s.Rows {
+		if row.Clause == clause {
+			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// but gives the rows that a variant leaves out, each with the reason.
-func (t *Tables) but(variant string) (rows []string) {
-	for _, r := range t.Rows {
-		if why := r.But[variant]; why != "" {
-			rows = append(rows, r.ID+": "+why)
+// exclusionsOf returns the rows that a variant leaves out, each with the reason.
+func (s *Suite) exclusionsOf(variant string) (rows []string) {
+	for _, row := range s.Rows {
+		if reason := row.Exclusions[variant]; reason != "" {
+			rows = append(rows, row.ID+": "+reason)
 		}
 	}
 	return rows
 }
 
-// listed writes steps or patterns for a cell of the page.
-func listed(items []string) string {
+// formatList writes steps or patterns for a cell of the page.
+func formatList(items []string) string {
 	out := make([]string, len(items))
-	for i, s := range items {
-		out[i] = "`" + s + "`"
+	for i, item := range items {
+		out[i] = "`" + item + "`"
 	}
 	return strings.Join(out, ", ")
 }
--- /dev/null
+++ b/internal/lab/simulation/fault.go
@@ -0,0 +1,125 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"harrierhoist/internal/lab/scenario"
+)
+
+// fault is one thing that goes wrong: it begins, and ends after its time.
+type fault interface {
+	begin(e *engine)
+	end(e *engine)
+}
+
+// faultConstructors makes a fault of each kind. A new kind is a type, a line here and one in scenario.FaultKinds.
+var faultConstructors = map[string]func(scenario.Fault) fault{
+	// Servers
+	"server_lost":   func(f scenario.Fault) fault { return &serverLoss{fraction: f.Fraction} },
+	"server_errors": newErrorRateChange,
+	"server_slow":   newSlowdown,
+	"lane_silent":   func(f scenario.Fault) fault { return &classSilence{fault: f} },
+	"deploy":        func(f scenario.Fault) fault { return &rollingDeploy{fraction: f.Fraction, duration: f.Duration.D()} },
+	"mass_change":   func(f scenario.Fault) fault { return &massReplacement{fraction: f.Fraction} },
+	"hall_lost":     func(f scenario.Fault) fault { return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction} },
+
+	// Network
+	"hall_cut":     func(f scenario.Fault) fault { return &zoneIsolation{f.Zone} },
+	"link_cut":     newLinkCut,
+	"answers_lost": changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.answerLoss }),
+	"resets":       changeTo(fractionOf, func(e *engine) *float64 { return &e.faults.resetRate }),
+
+	// Gateways, and what they share
+	"kill":        func(f scenario.Fault) fault { return &gatewayKill{fraction: f.Fraction} },
+	"rolling":     newRollingRestart,
+	"standstill":  func(f scenario.Fault) fault { return &gatewayPause{f.Fraction, f.Duration.D()} },
+	"blind":       func(f scenario.Fault) fault { return &gatewayIsolation{fraction: f.Fraction} },
+	"leader_lost": func(scenario.Fault) fault { return &leaderLoss{} },
+
+	// Counter
+	"counter_slow":     changeTo(magnitudeOf, func(e *engine) *float64 { return &e.counter.slowdown }),
+	"counter_silent":   func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
+	"counter_refusing": func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.rejecting }} },
+	"counter_empty":    func(scenario.Fault) fault { return counterReset{} },
+	"counter_split":    func(scenario.Fault) fault { return counterSplit{} },
+
+	// Load
+	"burst": changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.loadFactor }),
+	"flood": func(f scenario.Fault) fault { return &planFlood{fault: f} },
+	"crowd": func(f scenario.Fault) fault { return &hotspot{zone: f.Zone, fraction: f.Fraction} },
+
+	// Discovery
+	"list_lag":  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.faults.lagFactor }),
+	"list_lost": func(f scenario.Fault) fault { return &discoveryLoss{fraction: f.Fraction} },
+}
+
+// scheduleFault schedules a fault's begin and end.
+func (e *engine) scheduleFault(f scenario.Fault) error {
+	newFault := faultConstructors[f.Kind]
+	if newFault == nil {
+		return fmt.Errorf("unknown kind of fault %q", f.Kind)
+	}
+	made := newFault(f)
+	e.clock.At(origin+f.Start.D(), func() { made.begin(e) })
+	e.clock.At(origin+f.Start.D()+f.Duration.D(), func() { made.end(e) })
+	return nil
+}
+
+// valueChange changes a value and changes it back.
+type valueChange struct {
+	target          func(*engine) *float64
+	value, previous float64
+}
+
+// changeTo makes the constructor of a fault that sets a value to its fraction or magnitude.
+func changeTo(value func(scenario.Fault) float64, target func(*engine) *float64) func(scenario.Fault) fault {
+	return func(f scenario.Fault) fault { return &valueChange{target: target, value: value(f)} }
+}
+
+func (f *valueChange) begin(e *engine) { f.previous, *f.target(e) = *f.target(e), f.value }
+
+func (f *valueChange) end(e *engine) { *f.target(e) = f.previous }
+
+// flag sets a flag and clears it.
+type flag struct{ target func(*engine) *bool }
+
+func (f *flag) begin(e *engine) { *f.target(e) = true }
+
+func (f *flag) end(e *engine) { *f.target(e) = false }
+
+// counterReset has the counter forget all totals, once.
+type counterReset struct{}
+
+func (counterReset) begin(e *engine) { e.counter.reset() }
+
+func (counterReset) end(*engine) {}
+
+// counterSplit gives each half of the gateways a counter.
+type counterSplit struct{}
+
+func (counterSplit) begin(e *engine) { e.counter.split() }
+
+func (counterSplit) end(e *engine) { e.counter.isSplit = false }
+
+// planFlood has the customers of one plan ask more; of the first plan if the fault names none.
+type planFlood struct{ fault scenario.Fault }
+
+func (f *planFlood) begin(e *engine) { f.setFactor(e, max(f.fault.Magnitude, 1)) }
+
+func (f *planFlood) end(e *engine) { f.setFactor(e, 1) }
+
+func (f *planFlood) setFactor(e *engine, factor float64) {
+	for i, plan := range e.scenario.Plans {
+		if plan.Name == f.fault.Plan || f.fault.Plan == "" && i == 0 {
+			e.faults.planLoadFactors[i] = factor
+		}
+	}
+}
+
+// secondsOf makes a duration of seconds.
+func secondsOf(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+
+func fractionOf(f scenario.Fault) float64 { return f.Fraction }
+
+func magnitudeOf(f scenario.Fault) float64 { return f.Magnitude }
