--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,5 +1,5 @@
-// Package ledger checks the five rules from what servers, clients and discovery saw. It is never told what a
-// gateway says of itself. It names the task, the times and the rule of each breach.
+// Package invariants checks the five rules from what servers, clients and discovery observed. Nothing that a gateway says of
+// itself counts. Each violation has its time, its rule, and the request, gateway, server and customer concerned.
 package invariants
 
 import (
@@ -9,49 +9,20 @@
 	"harrierhoist/policy"
 )
 
-// Rule is one of the five.
-type Rule int
-
-// The rules.
 const (
-	RequestLost      Rule = iota // a task that a gateway took has no final answer in time, or two, or one that no server made
-	EffectRepeated               // an effect happened twice
-	DrainViolated                // a push left for a server after its grace, counted from when the gateway was told
-	WarmUpOverloaded             // a cold server was pushed over
-	CeilingExceeded              // a customer's units passed its ceiling and the slack
-	ruleCount
+	// maxDescribedViolations is how many violations of a rule are kept; all are counted.
+	maxDescribedViolations = 20
+	// requestRetention is how long after its deadline a request is remembered: an effect may come late.
+	requestRetention = 20 * time.Second
 )
 
-// Rules is their number.
-const RuleCount = int(ruleCount)
-
-func (r Rule) String() string {
-	return [...]string{"no task lost", "no effect twice", "drains kept", "no cold server pushed over", "ceilings kept"}[r]
-}
-
-// Breach is one broken rule.
-type Violation struct {
-	Rule        Rule          `json:"Rule"`
-	At          time.Duration `json:"At"`
-	Request     uint64        `json:"Task"`    // 0: of no one task
-	Gateway     int           `json:"Gateway"` // -1: of no one gateway
-	Server      uint32        `json:"Server"`
-	Customer    uint64        `json:"Customer"`
-	Description string        `json:"What"`
-}
-
-func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.3fs: task %d, gateway %d, server %d, customer %d: %s", v.Rule, v.At.Seconds(), v.Request, v.Gateway,
-		v.Server, v.Customer, v.Description)
-}
-
-// Limits are the figures that the rules name.
+// Limits are the numbers that the rules name.
 type Limits struct {
 	AnswerSlack, DrainGrace time.Duration
 	Plans                   []policy.Plan
 }
 
-// Task is a try as its client sent it. Key is common to a request's tries; 0: none.
+// Request is a request as its client sent it to one gateway. Key is the same for all tries of a request; 0: none.
 type Request struct {
 	ID, Key, Customer    uint64
 	Class                policy.TrafficClass
@@ -60,263 +31,207 @@
 	AcceptedAt, Deadline time.Duration
 }
 
+// requestState is what happened to a request.
 type requestState struct {
 	Request
 	answers     int
-	gatewayDied bool // its gateway died with it
+	gatewayDied bool // while it had the request
 	forwarded   bool
-	withinQuota bool // its units stood in the store when it was first sent on
+	withinQuota bool // the customer had its units when it was first forwarded
 	runs        int
 }
 
-// told is a server that a gateway knows to want nothing more.
+// notification is of a server that a gateway was notified of.
 type notification struct {
 	gateway int
 	server  uint32
 }
 
-// store is what a customer has left, truly.
-type bucket struct {
-	tokens, ceilingTokens float64
-	refilledAt            time.Duration
-}
+// pause is a time in which a gateway's machine was paused.
+type pause struct{ from, until time.Duration }
 
-// Ledger takes what is seen, in the order of time.
+// Checker takes observations in the order of time. It is not safe for concurrent use.
 type Checker struct {
 	limits       Limits
 	requests     map[uint64]*requestState
-	queue        []uint64 // by the time they were taken
+	queue        []uint64 // requests in the order in which they were accepted
 	unreadySince map[notification]time.Duration
-	keyedEffects map[uint64]time.Duration // when a receipted effect first happened
-	buckets      map[uint64]*bucket
-	pauses       map[int][2]time.Duration // when a gateway's machine stood still last
+	keyedEffects map[uint64]time.Duration // by key, when the effect first happened
+	buckets      map[uint64]*bucket       // by customer
+	pauses       map[int]pause            // the latest of each gateway
 	now          time.Duration
 
-	// Breaches are the first few of each rule; Counts has them all.
+	// Violations are the first few of each rule; Counts counts all.
 	Violations []Violation
 	Counts     [RuleCount]int
-	// Units that were sent on, and those of them beyond their customers' stores.
+	// ForwardedUnits are the units of requests that were forwarded, OverQuotaUnits those beyond their customers' quotas.
 	ForwardedUnits, OverQuotaUnits float64
-	// BeyondGain is the gain of the tasks sent on beyond, times what their plans say that costs.
+	// OverQuotaPenalty is the value of the requests that were forwarded beyond quotas, times what their plans say that costs.
 	OverQuotaPenalty float64
 }
 
-// breachesKept is how many breaches of a rule are kept with their words.
-const maxDescribedViolations = 20
-
-// memory is how long after its end a task is remembered: an effect may come late.
-const requestRetention = 20 * time.Second
-
-// New makes an empty ledger.
+// New makes a checker without observations.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits: limits, requests: map[uint64]*requestState{}, unreadySince: map[notification]time.Duration{},
-		keyedEffects: map[uint64]time.Duration{}, buckets: map[uint64]*bucket{},
-		pauses: map[int][2]time.Duration{},
+		keyedEffects: map[uint64]time.Duration{}, buckets: map[uint64]*bucket{}, pauses: map[int]pause{},
 	}
 }
 
-func (c *Checker) record(v Violation) {
+// violated records a violation at the present time.
+func (c *Checker) violated(v Violation) {
 	v.At = c.now
 	if c.Counts[v.Rule]++; c.Counts[v.Rule] <= maxDescribedViolations {
 		c.Violations = append(c.Violations, v)
 	}
 }
 
-// Broken tells whether any rule is.
-func (c *Checker) HasViolations() bool { return c.Counts != [RuleCount]int{} }
-
-// Taken tells that a gateway's machine has taken a whole task.
-func (c *Checker) RequestAccepted(t Request) {
-	c.now = t.AcceptedAt
-	c.requests[t.ID] = &requestState{Request: t}
-	c.queue = append(c.queue, t.ID)
+// RequestAccepted observes that a gateway's machine has accepted a complete request.
+func (c *Checker) RequestAccepted(r Request) {
+	c.now = r.AcceptedAt
+	c.requests[r.ID] = &requestState{Request: r}
+	c.queue = append(c.queue, r.ID)
 	for len(c.queue) > 0 {
-		e := c.requests[c.queue[0]]
-		if c.now < e.Deadline+requestRetention {
+		oldest := c.requests[c.queue[0]]
+		if c.now < oldest.Deadline+requestRetention {
 			break
 		}
-		c.expire(e)
-		delete(c.requests, e.ID)
+		c.expire(oldest)
+		delete(c.requests, oldest.ID)
 		c.queue = c.queue[1:]
 	}
 }
 
-// Still tells that a gateway's machine stands still until a time. A task whose time ends then is not owed an answer.
+// GatewayPaused observes that a gateway's machine is paused until a time. A request whose deadline is within the pause is
+// not owed an answer.
 func (c *Checker) GatewayPaused(at time.Duration, gateway int, until time.Duration) {
 	c.now = at
-	c.pauses[gateway] = [2]time.Duration{at, until}
+	c.pauses[gateway] = pause{at, until}
 }
 
-// excused tells whether a task's time ended while its gateway's machine stood still, or a moment after.
-func (c *Checker) isExcused(e *requestState) bool {
-	s, stood := c.pauses[e.Gateway]
-	return stood && e.Deadline >= s[0] && e.Deadline <= s[1]+c.limits.AnswerSlack
+// isExcused reports whether a request's deadline was while its gateway was paused, or a moment after.
+func (c *Checker) isExcused(r *requestState) bool {
+	p, wasPaused := c.pauses[r.Gateway]
+	return wasPaused && r.Deadline >= p.from && r.Deadline <= p.until+c.limits.AnswerSlack
 }
 
-// close checks a task whose time is over.
-func (c *Checker) expire(e *requestState) {
-	if e.answers == 0 && !e.gatewayDied && !c.isExcused(e) {
-		c.record(Violation{
-			Rule: RequestLost, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-			Description: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", e.AcceptedAt.Seconds(), e.Deadline.Seconds()),
+// expire checks a request whose deadline has passed.
+func (c *Checker) expire(r *requestState) {
+	if r.answers == 0 && !r.gatewayDied && !c.isExcused(r) {
+		c.violated(Violation{
+			Rule: RequestLost, Request: r.ID, Gateway: r.Gateway, Customer: r.Customer,
+			Description: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", r.AcceptedAt.Seconds(), r.Deadline.Seconds()),
 		})
 	}
 }
 
-// Final tells that a client has got an answer; made says whether a value in it is one that a server made for this
-// task.
-func (c *Checker) RequestAnswered(at time.Duration, task uint64, made bool) {
+// RequestAnswered observes that a client has got an answer. authentic is false if it has a value that no server made for
+// this request.
+func (c *Checker) RequestAnswered(at time.Duration, id uint64, authentic bool) {
 	c.now = at
-	e := c.requests[task]
-	if e == nil {
+	r := c.requests[id]
+	if r == nil {
 		return
 	}
-	e.answers++
-	say := func(what string) {
-		c.record(Violation{Rule: RequestLost, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer, Description: what})
-	}
+	r.answers++
+	var description string
 	switch {
-	case e.answers > 1:
-		say(fmt.Sprintf("answer number %d", e.answers))
-	case !made:
-		say("served with what no server made for it")
-	case at > e.Deadline+c.limits.AnswerSlack && !c.isExcused(e):
-		say(fmt.Sprintf("answered %.3fs after its time", (at - e.Deadline).Seconds()))
+	case r.answers > 1:
+		description = fmt.Sprintf("answer number %d", r.answers)
+	case !authentic:
+		description = "served with what no server made for it"
+	case at > r.Deadline+c.limits.AnswerSlack && !c.isExcused(r):
+		description = fmt.Sprintf("answered %.3fs after its time", (at - r.Deadline).Seconds())
+	default:
+		return
 	}
+	c.violated(Violation{Rule: RequestLost, Request: r.ID, Gateway: r.Gateway, Customer: r.Customer, Description: description})
 }
 
-// Died tells that a gateway died: what it held is no longer owed.
+// GatewayDied observes that a gateway died: the requests that it had are no longer owed an answer.
 func (c *Checker) GatewayDied(at time.Duration, gateway int) {
 	c.now = at
 	for _, id := range c.queue {
-		if e := c.requests[id]; e.Gateway == gateway && e.answers == 0 {
-			e.gatewayDied = true
+		if r := c.requests[id]; r.Gateway == gateway && r.answers == 0 {
+			r.gatewayDied = true
 		}
 	}
-	for t := range c.unreadySince {
-		if t.gateway == gateway {
-			delete(c.unreadySince, t) // its next life is told anew
+	for n := range c.unreadySince {
+		if n.gateway == gateway {
+			delete(c.unreadySince, n) // its next incarnation is notified anew
 		}
 	}
 }
 
-// Told tells that a gateway was told a server's stage.
-func (c *Checker) EndpointNotified(at time.Duration, gateway int, server uint32, stage policy.EndpointState) {
+// EndpointNotified observes that a gateway was notified of a server's state.
+func (c *Checker) EndpointNotified(at time.Duration, gateway int, server uint32, state policy.EndpointState) {
 	c.now = at
-	t := notification{gateway, server}
-	if stage == policy.Ready {
-		delete(c.unreadySince, t)
-	} else if _, known := c.unreadySince[t]; !known {
-		c.unreadySince[t] = at
+	n := notification{gateway, server}
+	if state == policy.Ready {
+		delete(c.unreadySince, n)
+	} else if _, known := c.unreadySince[n]; !known {
+		c.unreadySince[n] = at
 	}
 }
 
-// Pushed tells that a push left a gateway's machine for a server.
-func (c *Checker) AttemptSent(at time.Duration, gateway int, server uint32, task uint64) {
+// AttemptSent observes that an attempt left a gateway's machine for a server.
+func (c *Checker) AttemptSent(at time.Duration, gateway int, server uint32, id uint64) {
 	c.now = at
-	if since, away := c.unreadySince[notification{gateway, server}]; away && at > since+c.limits.DrainGrace {
-		c.record(Violation{
-			Rule: DrainViolated, Request: task, Gateway: gateway, Server: server,
+	if since, unready := c.unreadySince[notification{gateway, server}]; unready && at > since+c.limits.DrainGrace {
+		c.violated(Violation{
+			Rule: DrainViolated, Request: id, Gateway: gateway, Server: server,
 			Description: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds()),
 		})
 	}
-	e := c.requests[task]
-	if e == nil || e.forwarded {
+	r := c.requests[id]
+	if r == nil || r.forwarded {
 		return
 	}
-	e.forwarded = true
-	c.spend(e)
-}
-
-// spend takes a task's units from its customer's store and ceiling.
-func (c *Checker) spend(e *requestState) {
-	p := &c.limits.Plans[e.Plan]
-	s := c.buckets[e.Customer]
-	if s == nil {
-		s = &bucket{tokens: p.Burst, ceilingTokens: p.CeilingBurst, refilledAt: c.now}
-		c.buckets[e.Customer] = s
-	}
-	passed := (c.now - s.refilledAt).Seconds()
-	s.refilledAt = c.now
-	s.tokens = min(s.tokens+p.Rate*passed, p.Burst)
-	s.ceilingTokens = min(s.ceilingTokens+p.CeilingRate*passed, p.CeilingBurst)
-	c.ForwardedUnits += e.Units
-	e.withinQuota = p.Rate <= 0 || s.tokens >= e.Units
-	if !e.withinQuota {
-		c.OverQuotaUnits += e.Units
-		c.OverQuotaPenalty += e.Class.Weight * p.Price * e.Units * p.OverQuotaCost
-	} else if p.Rate > 0 {
-		s.tokens -= e.Units
-	}
-	if p.CeilingRate > 0 {
-		if s.ceilingTokens -= e.Units; s.ceilingTokens < -p.CeilingSlack {
-			c.record(Violation{
-				Rule: CeilingExceeded, Request: e.ID, Gateway: e.Gateway, Customer: e.Customer,
-				Description: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -s.ceilingTokens, p.CeilingSlack),
-			})
-		}
-	}
-}
-
-// Settled gives back to a customer's store what a task was told to cost more than it did.
-func (c *Checker) UnitsSettled(task uint64, units float64) {
-	if e := c.requests[task]; e != nil && e.withinQuota {
-		if s := c.buckets[e.Customer]; s != nil {
-			s.tokens += e.Units - units
-		}
-	}
-}
-
-// Inside tells whether a task's units stood in the store when it was first sent on.
-func (c *Checker) IsWithinQuota(task uint64) bool {
-	e := c.requests[task]
-	return e != nil && e.withinQuota
+	r.forwarded = true
+	c.spend(r)
 }
 
-// Ran tells that a server began a task's work, and so its effect.
-func (c *Checker) EffectRan(at time.Duration, server uint32, task uint64) {
+// EffectRan observes that a server began a request, and so its effect.
+func (c *Checker) EffectRan(at time.Duration, server uint32, id uint64) {
 	c.now = at
-	e := c.requests[task]
-	if e == nil {
+	r := c.requests[id]
+	if r == nil {
 		return
 	}
-	e.runs++
-	switch e.Class.Effect {
+	r.runs++
+	repeated := Violation{Rule: EffectRepeated, Request: r.ID, Gateway: r.Gateway, Server: server, Customer: r.Customer}
+	switch r.Class.Effect {
 	case policy.NonIdempotent:
-		if e.runs > 1 {
-			c.record(Violation{
-				Rule: EffectRepeated, Request: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				Description: fmt.Sprintf("run %d of an effectful task", e.runs),
-			})
+		if r.runs > 1 {
+			repeated.Description = fmt.Sprintf("run %d of an effectful task", r.runs)
+			c.violated(repeated)
 		}
 	case policy.Keyed:
-		if first, done := c.keyedEffects[e.Key]; done {
-			c.record(Violation{
-				Rule: EffectRepeated, Request: e.ID, Gateway: e.Gateway, Server: server, Customer: e.Customer,
-				Description: fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds()),
-			})
+		if first, done := c.keyedEffects[r.Key]; done {
+			repeated.Description = fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds())
+			c.violated(repeated)
 		} else {
-			c.keyedEffects[e.Key] = at
+			c.keyedEffects[r.Key] = at
 		}
 	}
 }
 
-// Fell tells that a server fell over while it was cold.
-func (c *Checker) ServerOverloaded(at time.Duration, server uint32, sent, capacity float64) {
+// ServerOverloaded observes that a server failed of overload while it was warming up. Work and capacity are in seconds on a
+// core of speed 1 in a second.
+func (c *Checker) ServerOverloaded(at time.Duration, server uint32, work, capacity float64) {
 	c.now = at
-	c.record(Violation{
+	c.violated(Violation{
 		Rule: WarmUpOverloaded, Gateway: -1, Server: server,
-		Description: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", sent, capacity),
+		Description: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", work, capacity),
 	})
 }
 
-// Finish closes all tasks whose time is over.
+// Finish checks all requests whose deadline has passed, and forgets the others.
 func (c *Checker) Finish(at time.Duration) {
 	c.now = at
 	for _, id := range c.queue {
-		if e := c.requests[id]; at >= e.Deadline {
-			c.expire(e)
+		if r := c.requests[id]; at >= r.Deadline {
+			c.expire(r)
 		}
 	}
 	c.queue = nil
