--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bufio"
 	"bytes"
 	"encoding/json"
 	"os"
@@ -9,7 +10,6 @@
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 )
 
 // TestMain lets this test be the program: demo and emulate start gateways as processes of their own.
@@ -21,11 +21,11 @@
 	os.Exit(m.Run())
 }
 
-// run runs a sub-command and gives what it prints.
+// run runs a command and returns what it prints.
 func run(t *testing.T, args ...string) string {
 	t.Helper()
 	var out, log bytes.Buffer
-	c := root()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&log)
@@ -35,54 +35,58 @@
 	return out.String()
 }
 
-func TestSubCommands(t *testing.T) {
+const calm = "../../scenarios/worlds/calm.toml"
+
+// Later commands read what earlier ones wrote.
+func TestCommands(t *testing.T) {
 	dir := t.TempDir()
-	results, found := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "found.toml")
-	if got := run(t, "check", "../../scenarios/worlds/calm.toml"); !strings.Contains(got, "calm: 30 gateways, 20 servers") {
-		t.Error(got)
-	}
-	if got := run(t, "run", "../../scenarios/plans/smoke.toml", "-o", results); strings.Count(got, "| release |") != 2 {
-		t.Error(got)
-	}
-	if got := run(t, "compare", results, "--variants", "random,module"); !strings.Contains(got, "| release | 4 | net |") {
-		t.Error(got)
-	}
-	got := run(t, "report", results, "-c", filepath.Join(dir, "charts"))
-	charts, _ := filepath.Glob(filepath.Join(dir, "charts", "*.svg"))
-	if len(charts) != 3 || !strings.Contains(got, "release-4-service.svg") {
-		t.Errorf("%v\n%s", charts, got)
-	}
-	if got := run(t, "size", "../../scenarios/worlds/calm.toml", "--gateways", "3", "--seconds", "2"); strings.Count(got, "| 3 |") != 2 {
-		t.Error(got)
-	}
-	if got := run(t, "search", "../../scenarios/worlds/calm.toml", "-n", "1", "--troubles", "1", "-o", found); !strings.Contains(got, "worst of") {
-		t.Error(got)
-	}
-	if got := run(t, "check", found); !strings.Contains(got, "calm-found") {
-		t.Error(got)
-	}
-	if got := run(t, "troubles"); !strings.Contains(got, "counter_split") {
-		t.Error(got)
+	results, charts, found := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "charts"), filepath.Join(dir, "found.toml")
+	for _, c := range []struct {
+		name  string
+		args  []string
+		want  string
+		times int // 0: at least once
+	}{
+		{"check", []string{"check", calm}, "calm: 30 gateways, 20 servers", 0},
+		{"run", []string{"run", "../../scenarios/plans/smoke.toml", "-o", results}, "| release |", 2},
+		{"compare", []string{"compare", results, "--variants", "random,module"}, "| release | 4 | net |", 0},
+		{"report", []string{"report", results, "-c", charts}, "release-4-service.svg", 0},
+		{"size", []string{"size", calm, "--gateways", "3", "--seconds", "2"}, "| 3 |", 2},
+		{"search", []string{"search", calm, "-n", "1", "--troubles", "1", "-o", found}, "worst of", 0},
+		{"check what was found", []string{"check", found}, "calm-found", 0},
+		{"troubles", []string{"troubles"}, "counter_split", 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := run(t, c.args...)
+			if n := strings.Count(got, c.want); n == 0 || c.times > 0 && n != c.times {
+				t.Errorf("%q stands %d times in\n%s", c.want, n, got)
+			}
+		})
+	}
+	if written, err := filepath.Glob(filepath.Join(charts, "*.svg")); err != nil || len(written) != 3 {
+		t.Errorf("%v, %v, want 3 charts", written, err)
 	}
 }
 
 func TestDemo(t *testing.T) {
 	got := run(t, "demo", "--for", "3s", "--charts", t.TempDir())
-	for _, want := range []string{"gateways at [127.0.0.1:", "served", "s-0008", "rules broken, by the servers' and clients' record: [0 0 0 0 0]", "chart: "} {
+	for _, want := range []string{
+		"gateways at [127.0.0.1:", "served", "s-0008", "rules broken, by the servers' and clients' record: [0 0 0 0 0]", "chart: ",
+	} {
 		if !strings.Contains(got, want) {
 			t.Errorf("no %q in\n%s", want, got)
 		}
 	}
 }
 
-func TestLoad_reportsAfterInterrupt(t *testing.T) {
-	program, err := os.Executable()
-	if err != nil {
+// startGateway starts emulate with one gateway and returns the gateway's address.
+func startGateway(t *testing.T, program string) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "s.toml")
+	if err := os.WriteFile(file, []byte("[gateways]\ncount = 1\nhalls = 1\n[servers]\ncount = 4\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	world := filepath.Join(t.TempDir(), "w.toml")
-	_ = os.WriteFile(world, []byte("[gateways]\ncount = 1\nhalls = 1\n[servers]\ncount = 4\n"), 0o600)
-	emulate := exec.Command(program, "emulate", world)
+	emulate := exec.Command(program, "emulate", file)
 	out, err := emulate.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -90,23 +94,46 @@
 	if err := emulate.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() {
-		_ = emulate.Process.Signal(syscall.SIGINT)
-		_ = emulate.Wait()
-	}()
-	var told struct{ Gateways []string }
-	if err := json.NewDecoder(out).Decode(&told); err != nil || len(told.Gateways) != 1 {
-		t.Fatal(err, told)
+	t.Cleanup(func() {
+		if err := emulate.Process.Signal(syscall.SIGINT); err != nil {
+			t.Error(err)
+		}
+		if err := emulate.Wait(); err != nil {
+			t.Error(err)
+		}
+	})
+	var addresses struct{ Gateways []string }
+	if err := json.NewDecoder(out).Decode(&addresses); err != nil || len(addresses.Gateways) != 1 {
+		t.Fatal(err, addresses)
 	}
-	load := exec.Command(program, "load", "-g", told.Gateways[0], "--rate", "50", "--for", "60s")
+	return addresses.Gateways[0]
+}
+
+func TestLoad_interruptEndsItWithItsReport(t *testing.T) {
+	program, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	load := exec.Command(program, "load", "-g", startGateway(t, program), "--rate", "50", "--for", "60s")
 	var report bytes.Buffer
 	load.Stdout = &report
+	progress, err := load.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
 	if err := load.Start(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1500 * time.Millisecond)
-	_ = load.Process.Signal(syscall.SIGINT)
-	if err := load.Wait(); err != nil || !strings.Contains(report.String(), "availability") || strings.Contains(report.String(), "offered 0 ") {
-		t.Errorf("%v\n%s", err, report.String())
+	if _, err := bufio.NewReader(progress).ReadString('v'); err != nil { // the first line of progress: "offered N  served"
+		t.Error(err)
+	}
+	if err := load.Process.Signal(syscall.SIGINT); err != nil {
+		t.Error(err)
+	}
+	if err := load.Wait(); err != nil {
+		t.Error(err)
+	}
+	if got := report.String(); !strings.Contains(got, "availability") || strings.Contains(got, "offered 0 ") {
+		t.Errorf("report:\n%s", got)
 	}
 }
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -43,7 +43,7 @@
 		},
 		{
 			name:        "plan's lease expired",
-			description: "a plan was in force, the voter has stopped, its lease has expired: routed nearby by the gateway's own observations",
+			description: "a plan was in force, the voter has stopped, its lease has expired: served locally",
 			zone:        zoneA, zones: []string{zoneA, zoneB}, config: failoverConfig, table: failover.Table,
 			value: drainedZonePlan, readyLines: []string{planLine}, leaseLostLines: []string{noPlanLine},
 		},
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -13,19 +13,24 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Counter is an emulated counter.
+// Counter is an emulated counter. It serves calls one after the other; a call that would wait too long is rejected.
 type Counter struct {
-	Addr        string
+	Addr  string
+	Calls atomic.Int64 // well-formed ones
+
 	listener    net.Listener
-	mu          sync.Mutex
-	totals      map[string]float64
-	expiresAt   map[string]time.Time
-	freeAt      time.Time
-	serviceTime time.Duration
-	maxWait     time.Duration
-	silent      atomic.Bool
-	Calls       atomic.Int64
-	Rejected    atomic.Int64
+	serviceTime time.Duration // of a call
+	maxWait     time.Duration // for the calls before it
+
+	mu     sync.Mutex
+	names  map[string]count
+	freeAt time.Time // when the calls accepted so far are served
+}
+
+// count is the number under a name.
+type count struct {
+	total     float64
+	expiresAt time.Time
 }
 
 func newCounter(spec *scenario.Scenario) (*Counter, error) {
@@ -34,50 +39,38 @@
 		return nil, err
 	}
 	c := &Counter{
-		Addr: listener.Addr().String(), listener: listener, totals: map[string]float64{}, expiresAt: map[string]time.Time{},
+		Addr: listener.Addr().String(), listener: listener, names: map[string]count{},
 		serviceTime: time.Duration(float64(time.Second) / spec.Counter.Rate), maxWait: spec.Counter.MaxWait.D(),
 	}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go c.serve(conn)
-		}
-	}()
+	go c.accept()
 	return c, nil
 }
 
-// Silence has the counter take calls and answer none.
-func (c *Counter) SetSilent(on bool) { c.silent.Store(on) }
+func (c *Counter) close() error { return c.listener.Close() }
 
-// Empty has it forget all.
-func (c *Counter) Clear() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	clear(c.totals)
-	clear(c.expiresAt)
+func (c *Counter) accept() {
+	for {
+		conn, err := c.listener.Accept()
+		if err != nil {
+			return // closed
+		}
+		go c.serve(conn)
+	}
 }
 
-func (c *Counter) close() { _ = c.listener.Close() }
-
 func (c *Counter) serve(conn net.Conn) {
-	defer conn.Close()
-	in := bufio.NewScanner(conn)
-	for in.Scan() {
-		line, wait := c.handleCall(in.Text())
+	defer func() { _ = conn.Close() }() // nothing is left to be written
+	for lines := bufio.NewScanner(conn); lines.Scan(); {
+		answer, wait := c.handleCall(lines.Text())
 		time.Sleep(wait)
-		if c.silent.Load() {
-			continue
-		}
-		if _, err := conn.Write([]byte(line + "\r\n")); err != nil {
+		if _, err := conn.Write([]byte(answer + "\r\n")); err != nil {
 			return
 		}
 	}
 }
 
-func (c *Counter) handleCall(text string) (line string, wait time.Duration) {
+// handleCall returns the answer to a call, and how long it takes.
+func (c *Counter) handleCall(text string) (answer string, wait time.Duration) {
 	if text == "ping" {
 		return "pong", 0
 	}
@@ -85,9 +78,10 @@
 	if len(words) != 4 || words[0] != "incr" {
 		return "error", 0
 	}
-	units, err := strconv.ParseFloat(words[2], 64)
-	ttl, err2 := strconv.Atoi(words[3])
-	if errors.Join(err, err2) != nil {
+	name := words[1]
+	units, unitsErr := strconv.ParseFloat(words[2], 64)
+	lifetimeMs, lifetimeErr := strconv.Atoi(words[3])
+	if errors.Join(unitsErr, lifetimeErr) != nil {
 		return "error", 0
 	}
 	c.Calls.Add(1)
@@ -95,17 +89,17 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	if wait = max(c.freeAt.Sub(now), 0); wait > c.maxWait {
-		c.Rejected.Add(1)
 		return "busy", 0
 	}
 	if c.freeAt.Before(now) {
 		c.freeAt = now
 	}
 	c.freeAt = c.freeAt.Add(c.serviceTime)
-	if now.After(c.expiresAt[words[1]]) {
-		c.totals[words[1]] = 0
-		c.expiresAt[words[1]] = now.Add(time.Duration(ttl) * time.Millisecond)
+	n := c.names[name]
+	if now.After(n.expiresAt) {
+		n = count{expiresAt: now.Add(time.Duration(lifetimeMs) * time.Millisecond)}
 	}
-	c.totals[words[1]] += units
-	return "ok " + strconv.FormatFloat(c.totals[words[1]], 'g', 7, 64), wait + c.serviceTime
+	n.total += units
+	c.names[name] = n
+	return "ok " + strconv.FormatFloat(n.total, 'g', 7, 64), wait + c.serviceTime
 }
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -6,12 +6,13 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// host is an entry of discovery's list.
-type listedHost struct {
+const headerTimeout = 5 * time.Second
+
+// endpoint is an entry of discovery's list, in the protocol's form.
+type endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -19,18 +20,19 @@
 	Block  int     `json:"block"`
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+	BornMs int64   `json:"born_ms"` // 0: long ago
 }
 
-// Discovery is an emulated discovery: it tells whole lists.
+// Discovery is an emulated discovery service. It always sends complete lists.
 type Discovery struct {
-	Addr    string
-	server  *http.Server
-	mu      sync.Mutex
-	seq     int64
-	hosts   []listedHost
-	changed chan struct{}
-	Polls   atomic.Int64
+	Addr string
+
+	server *http.Server
+
+	mu        sync.Mutex
+	version   int64
+	endpoints []endpoint
+	changed   chan struct{} // closed with the next version
 }
 
 func newDiscovery() (*Discovery, error) {
@@ -39,44 +41,61 @@
 		return nil, err
 	}
 	d := &Discovery{Addr: listener.Addr().String(), changed: make(chan struct{})}
-	d.server = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = d.server.Serve(listener) }()
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
+	go func() { _ = d.server.Serve(listener) }() // ends with close, which is its error
 	return d, nil
 }
 
-func (d *Discovery) publish(hosts []listedHost) {
+// publish makes a new version of the list.
+func (d *Discovery) publish(endpoints []endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
-	d.hosts = hosts
+	d.version++
+	d.endpoints = endpoints
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) close() { _ = d.server.Close() }
+func (d *Discovery) close() error { return d.server.Close() }
 
-// ServeHTTP answers GET /api/targets, at once or once there is something newer than the version asked for.
+// ServeHTTP answers GET /api/targets, at once or as soon as there is a version newer than the one the caller has.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.Polls.Add(1)
-	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
-	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	late := time.After(time.Duration(wait) * time.Millisecond)
-	d.mu.Lock()
-	if r.URL.Query().Has("since") && since >= d.seq {
-		news := d.changed
-		d.mu.Unlock()
-		select {
-		case <-news:
-		case <-late:
-		case <-r.Context().Done():
-			return
-		}
-		d.mu.Lock()
+	query := r.URL.Query()
+	// Numbers that are missing or malformed mean the whole list, at once.
+	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
+	hasSince := query.Has("since")
+	if err != nil {
+		since = 0
+	}
+	waitMs, err := strconv.Atoi(query.Get("timeout_ms"))
+	if err != nil {
+		waitMs = 0
 	}
-	page := map[string]any{"seq": d.seq, "whole": since < d.seq, "hosts": d.hosts}
-	if since >= d.seq {
-		page["hosts"] = []listedHost{}
+	if !d.await(r, hasSince, since, time.Duration(waitMs)*time.Millisecond) {
+		return
+	}
+	d.mu.Lock()
+	page := map[string]any{"seq": d.version, "whole": since < d.version, "hosts": d.endpoints}
+	if since >= d.version {
+		page["hosts"] = []endpoint{}
 	}
 	d.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(page)
+	_ = json.NewEncoder(w).Encode(page) // the caller may have gone
+}
+
+// await waits for a version newer than the one the caller has, at most so long. It returns false if the caller is gone.
+func (d *Discovery) await(r *http.Request, hasSince bool, since int64, timeout time.Duration) bool {
+	d.mu.Lock()
+	isCurrent, changed := hasSince && since >= d.version, d.changed
+	d.mu.Unlock()
+	if !isCurrent {
+		return true
+	}
+	select {
+	case <-changed:
+	case <-time.After(timeout):
+	case <-r.Context().Done():
+		return false
+	}
+	return true
 }
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -17,23 +17,29 @@
 	"harrierhoist/internal/resp"
 )
 
-// Server is an emulated server.
+// maxWords is of a command: verb, customer, request, arguments.
+const maxWords = 4
+
+// Answers of a server.
+const (
+	answerPong     = "+PONG"
+	answerSyntax   = "-SYNTAX"
+	answerRejected = "-BUSY"
+)
+
+// Server is an emulated server. It works on one request a core at a time; others queue, and beyond the queue they are
+// rejected.
 type Server struct {
 	Name, Addr string
-	world      *World
-	number     uint32
-	zone, rack int
-	startedMs  int64
-	health     string
-	listener   net.Listener
-	cores      chan struct{}
-	queued     atomic.Int64
-	draining   atomic.Bool
-	silent     atomic.Bool
-	errorRate  atomic.Uint64 // part, as bits
-	slowdown   atomic.Uint64 // times, as bits
-	Started    atomic.Int64  // that began
-	Rejected   atomic.Int64  // turned away
+	Started    atomic.Int64 // requests that began to run
+
+	spec     *scenario.Scenario
+	recorder *Recorder
+	number   uint32
+	listener net.Listener
+	cores    chan struct{} // holds an element for each busy core
+	inFlight atomic.Int64  // requests that queue or run
+	silent   atomic.Bool
 
 	mu     sync.Mutex
 	random *rand.Rand
@@ -41,147 +47,141 @@
 	closed bool
 }
 
-func newServer(w *World, number uint32, seed uint64) (*Server, error) {
+func newServer(spec *scenario.Scenario, recorder *Recorder, number uint32, seed uint64) (*Server, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), world: w, number: number, health: "in_service",
-		listener: listener, cores: make(chan struct{}, w.Scenario.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
+		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), spec: spec, recorder: recorder, number: number,
+		listener: listener, cores: make(chan struct{}, spec.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
 		conns: map[net.Conn]struct{}{},
 	}
-	s.SetSlowdown(1)
 	go s.accept()
 	return s, nil
 }
 
-// Silence has the server take all and answer nothing, or answer again.
-func (s *Server) SetSilent(on bool) { s.silent.Store(on) }
+// SetSilent has the server accept everything and answer nothing, or answer again.
+func (s *Server) SetSilent(silent bool) { s.silent.Store(silent) }
 
-// Fail has it fail a part of its tasks at once.
-func (s *Server) SetErrorRate(part float64) { s.errorRate.Store(math.Float64bits(part)) }
-
-// Slow has it work so many times slower.
-func (s *Server) SetSlowdown(times float64) { s.slowdown.Store(math.Float64bits(times)) }
-
-// Kill ends it: connections are reset, new ones refused.
-func (s *Server) Kill() {
-	_ = s.listener.Close()
+// close ends the server: connections are reset, new ones refused.
+func (s *Server) close() error {
+	err := s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for c := range s.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0)
+	for conn := range s.conns {
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // else the connection ends without a reset, which serves as well
 		}
-		_ = c.Close()
+		_ = conn.Close() // its goroutine may have closed it
 	}
+	return err
 }
 
 func (s *Server) accept() {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
-			return
+			return // closed
 		}
 		s.mu.Lock()
 		if s.closed {
 			s.mu.Unlock()
-			_ = c.Close()
+			_ = conn.Close() // nothing was read or written
 			return
 		}
-		s.conns[c] = struct{}{}
+		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
-		go s.serve(c)
+		go s.serve(conn)
 	}
 }
 
-func (s *Server) serve(conn net.Conn) {
-	c := resp.NewConn(conn)
+func (s *Server) serve(raw net.Conn) {
+	conn := resp.NewConn(raw)
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close() // close may have closed it
 		s.mu.Lock()
-		delete(s.conns, conn)
+		delete(s.conns, raw)
 		s.mu.Unlock()
 	}()
 	for {
-		if c.Await() != nil {
+		if conn.Await() != nil {
 			return
 		}
-		cmd, err := c.ReadCommand(4, nil)
+		command, err := conn.ReadCommand(maxWords, nil)
 		if err != nil {
 			return
 		}
-		text := s.handleRequest(cmd)
-		cmd.Body.Free()
-		if text == "" || s.silent.Load() {
+		answer := s.handleCommand(command)
+		command.Body.Free()
+		if answer == "" || s.silent.Load() {
 			continue
 		}
-		if c.WriteLine(text) != nil {
+		if conn.WriteLine(answer) != nil {
 			return
 		}
 	}
 }
 
-// answer works on a command and gives its answer; empty means none.
-func (s *Server) handleRequest(cmd *resp.Command) string {
-	if cmd.Words[0] == "PING" {
-		return "+PONG"
+// handleCommand works on a command and returns its answer; "" means none.
+func (s *Server) handleCommand(command *resp.Command) string {
+	if command.Words[0] == "PING" {
+		return answerPong
 	}
-	if len(cmd.Words) != 4 || !strings.HasPrefix(cmd.Words[0], "SVC.") {
-		return "-SYNTAX"
+	if len(command.Words) != maxWords || !strings.HasPrefix(command.Words[0], "SVC.") {
+		return answerSyntax
 	}
-	terms := map[string]string{}
-	for _, pair := range strings.Split(cmd.Words[3], ",") {
+	arguments := map[string]string{}
+	for _, pair := range strings.Split(command.Words[3], ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		terms[name] = value
+		arguments[name] = value
 	}
-	id, err := strconv.ParseUint(cmd.Words[2], 16, 64)
-	class := slices.IndexFunc(s.world.Classes, func(l scenario.TrafficClass) bool { return l.Name == terms["c"] })
+	id, err := strconv.ParseUint(command.Words[2], 16, 64)
+	class := slices.IndexFunc(s.spec.Classes, func(c scenario.TrafficClass) bool { return c.Name == arguments["c"] })
 	if err != nil || class < 0 {
-		return "-SYNTAX"
+		return answerSyntax
 	}
 	if s.silent.Load() {
 		return ""
 	}
-	if s.draining.Load() || s.queued.Load() >= int64(s.world.Scenario.Servers.QueueLimit+cap(s.cores)) {
-		s.Rejected.Add(1)
-		return "-BUSY"
+	if s.inFlight.Load() >= int64(s.spec.Servers.QueueLimit+cap(s.cores)) {
+		return answerRejected
 	}
-	s.mu.Lock()
-	failed := s.random.Float64() < math.Float64frombits(s.errorRate.Load())
-	took := s.drawWork(class)
-	s.mu.Unlock()
-	s.world.Recorder.Record(func(l *invariants.Checker, at time.Duration) { l.AttemptSent(at, unknownGateway, s.number, id) })
-	if failed {
-		return "-ERR failed"
-	}
-	s.queued.Add(1)
-	defer s.queued.Add(-1)
+	s.run(id, &s.spec.Classes[class])
+	value, attributes := Value(id), fmt.Sprintf("used=%s,cost=%s", arguments["units"], arguments["units"])
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1", len(value), value, len(attributes), attributes)
+}
+
+// run waits for a core and holds it for as long as the request's work takes.
+func (s *Server) run(id uint64, class *scenario.TrafficClass) {
+	work := s.drawWork(class)
+	s.recorder.Record(func(checker *invariants.Checker, at time.Duration) {
+		checker.AttemptSent(at, unknownGateway, s.number, id)
+	})
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	s.cores <- struct{}{}
 	defer func() { <-s.cores }()
 	s.Started.Add(1)
-	s.world.Recorder.Record(func(l *invariants.Checker, at time.Duration) { l.EffectRan(at, s.number, id) })
-	time.Sleep(time.Duration(float64(took) * math.Float64frombits(s.slowdown.Load())))
-	units := terms["units"]
-	value := Value(id)
-	note := fmt.Sprintf("used=%s,cost=%s", units, units)
-	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1", len(value), value, len(note), note)
+	s.recorder.Record(func(checker *invariants.Checker, at time.Duration) { checker.EffectRan(at, s.number, id) })
+	time.Sleep(work)
 }
 
-// Value is what a server answers to a task, so that a client can tell that it is its own.
+// Value is a server's answer to a request. It is different for each, so that a client can tell that it is its own.
 func Value(id uint64) string { return fmt.Sprintf("done %016x", id) }
 
-// work draws a task's time.
-func (s *Server) drawWork(class int) time.Duration {
-	l := &s.world.Classes[class]
-	mean := float64(l.Work.D())
-	switch l.Distribution {
+// drawWork draws how long a request takes on a core.
+func (s *Server) drawWork(class *scenario.TrafficClass) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.random.Float64() // keeps the sequence of draws that had a second one for each request
+	mean := float64(class.Work.D())
+	switch class.Distribution {
 	case "exponential":
 		mean *= s.random.ExpFloat64()
 	case "lognormal":
-		sigma := math.Sqrt(math.Log(1 + l.CV*l.CV))
+		sigma := math.Sqrt(math.Log(1 + class.CV*class.CV))
 		mean *= math.Exp(sigma*s.random.NormFloat64() - sigma*sigma/2)
 	}
 	return time.Duration(mean)
--- /dev/null
+++ b/internal/lab/load/pool.go
@@ -0,0 +1,59 @@
+package load
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"harrierhoist/internal/resp"
+)
+
+// pool keeps idle connections by address.
+type pool struct {
+	mu   sync.Mutex
+	idle map[string][]*resp.Conn
+}
+
+// acquire returns an idle connection, or a new one, for which it waits at most so long.
+func (p *pool) acquire(addr string, timeout time.Duration) (*resp.Conn, error) {
+	for conn := p.takeIdle(addr); conn != nil; conn = p.takeIdle(addr) {
+		if conn.IsQuiet() {
+			return conn, nil
+		}
+		_ = conn.Close() // the gateway has closed it, or sent what nobody asked for
+	}
+	conn, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	return resp.NewConn(conn), nil
+}
+
+// takeIdle returns the connection that was released last; nil if there is none.
+func (p *pool) takeIdle(addr string) *resp.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	conns := p.idle[addr]
+	if len(conns) == 0 {
+		return nil
+	}
+	p.idle[addr] = conns[:len(conns)-1]
+	return conns[len(conns)-1]
+}
+
+func (p *pool) release(addr string, conn *resp.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle[addr] = append(p.idle[addr], conn)
+}
+
+// close closes the idle connections.
+func (p *pool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conns := range p.idle {
+		for _, conn := range conns {
+			_ = conn.Close() // all its answers were read
+		}
+	}
+}
