--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -17,8 +17,13 @@
 
 // The settings' words for those of a scenario file.
 var (
-	effects = map[string]string{"pure": "read_like", "receipted": "idempotency_key", "effectful": "non_idempotent"}
-	groups  = map[string]string{"all": "all", "hall": "zone", "cell": "cell", "": "all"}
+	effects = map[string]string{
+		scenario.EffectIdempotent: "read_like", scenario.EffectKeyed: "idempotency_key",
+		scenario.EffectNonIdempotent: "non_idempotent",
+	}
+	groups = map[string]string{
+		scenario.GroupAll: "all", scenario.GroupZone: "zone", scenario.GroupRack: "cell", "": "all",
+	}
 )
 
 type object = map[string]any
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -178,9 +178,9 @@
 	s.random.Float64() // keeps the sequence of draws that had a second one for each request
 	mean := float64(class.Work.D())
 	switch class.Distribution {
-	case "exponential":
+	case scenario.DistributionExponential:
 		mean *= s.random.ExpFloat64()
-	case "lognormal":
+	case scenario.DistributionLognormal:
 		sigma := math.Sqrt(math.Log(1 + class.CV*class.CV))
 		mean *= math.Exp(sigma*s.random.NormFloat64() - sigma*sigma/2)
 	}
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -20,12 +20,6 @@
 	verbSubmit = "SVC.SUBMIT" // of all others; a body follows
 )
 
-// The effects of a class, as scenario files name them.
-const (
-	effectIdempotent = "pure"
-	effectKeyed      = "receipted"
-)
-
 // outcome is what came of a request.
 type outcome uint8
 
@@ -85,9 +79,9 @@
 func (r *run) command(req request, class *scenario.TrafficClass, left time.Duration) *resp.Command {
 	verb, key := verbSubmit, ""
 	switch class.Effect {
-	case effectIdempotent:
+	case scenario.EffectIdempotent:
 		verb = verbQuery
-	case effectKeyed:
+	case scenario.EffectKeyed:
 		key = fmt.Sprintf("k=%016x,", req.id)
 	}
 	arguments := fmt.Sprintf("c=%s,t=%s,d=%d,%sunits=%g,spread=%d,first=0", class.Name, r.Scenario.Plans[req.plan].Name,
