--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestParse_otherAllowedRangeAreTaken(t *testing.T) {
+func TestParse_otherAllowedSettingsAreTaken(t *testing.T) {
 	for old, other := range map[string]string{
 		`"known":`:              `"known":null,"Unused":`,
 		`"Deep":[1,[2]]`:        `"Deep":[1,[2]]`,
--- a/internal/listener/client_test.go
+++ b/internal/listener/client_test.go
@@ -40,7 +40,7 @@
 		f.Fatal(err)
 	}
 	f.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	return &testClient{f.T, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -45,14 +45,14 @@
 // objectiveOf returns when a request's latency objective ends. A request given less time than first tries of
 // its class and plan has used up some of it: a repeat has what its earlier tries left, a first try what our
 // standstill left. What a first try lacks beyond that is its client's own timeout: it is not late.
-func (a *admission) objectiveOf(request *requestState) time.Duration {
+func (a *admission) objectiveOf(request *requestState, now time.Duration) time.Duration {
 	class, slack := request.class, a.env.settings.ArrivalSlack
-	given, usual := request.Deadline-a.env.now, &class.firstTimeouts[request.Plan]
+	given, usual := request.Deadline-now, &class.firstTimeouts[request.Plan]
 	if !request.Repeat && (given > *usual || *usual-given > a.env.standstill+slack) {
 		*usual = given
 	}
 	if *usual-given <= slack {
-		return min(a.env.now+class.LatencyObjective, request.Deadline)
+		return min(now+class.LatencyObjective, request.Deadline)
 	}
 	timeout := *usual
 	if request.Repeat {
--- a/policy/events.go
+++ b/policy/events.go
@@ -32,7 +32,7 @@
 func (g *Gateway) HandleRequest(now time.Duration, r Request) {
 	g.advanceClock(now)
 	request := &requestState{Request: r, class: &g.classes[r.Class], customer: g.admission.customerOf(r)}
-	request.objectiveAt = g.admission.objectiveOf(request)
+	request.objectiveAt = g.admission.objectiveOf(request, now)
 	g.requests[r.ID] = request
 	g.setTimer(timerDeadline, r.ID, r.Deadline-now-arrivalTicks*g.settings.ClockTick)
 	g.dispatch(now, g.admission, checkQuota{request})
