--- a/cmd/harrierhoist/raced_test.go
+++ b/cmd/harrierhoist/raced_test.go
@@ -3,4 +3,4 @@
 package main
 
 // raceSlowdown is how much less a program does in a second that looks for data races.
-const slower = 5
+const raceSlowdown = 5
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,7 +107,7 @@
 	}
 	i.startBackground(ctx)
 	terminating := make(chan struct{})
-	go i.becomeReady(terminating)
+	go i.becomeReady(i.configuration, terminating) // the first one: a reload replaces it
 	go i.handleReloads(ctx, signals.reload, member)
 	go func() {
 		<-signals.terminate
@@ -138,15 +138,15 @@
 
 // becomeReady lets clients in once discovery's first list is applied, or after a while without it: the list of an earlier
 // run serves where discovery does not answer. A gateway that terminates is not announced any more.
-func (i *instance) becomeReady(terminating <-chan struct{}) {
+func (i *instance) becomeReady(configuration *config.Gateway, terminating <-chan struct{}) {
 	select {
 	case <-i.watcher.FirstList():
-	case <-time.After(min(i.configuration.ConnectTimeout, maxReadyWait)):
+	case <-time.After(min(configuration.ConnectTimeout, maxReadyWait)):
 	case <-terminating:
 		return
 	}
 	i.clients.Ready()
-	i.log.Info("gateway: ready", zap.String("listen", i.configuration.Listen))
+	i.log.Info("gateway: ready", zap.String("listen", configuration.Listen))
 }
 
 // handleReloads reads the configuration again on each signal, until the context ends.
