--- a/internal/lab/baseline/plain_policy.go
+++ b/internal/lab/baseline/plain_policy.go
@@ -97,43 +97,43 @@
 }
 
 // admit takes a request's units from this gateway's share of the customer's quota.
-func (p *plainPolicy) admit(now time.Duration, r policy.Request) bool {
-	plan, share := &p.settings.Plans[r.Plan], p.quotaShare(r)
+func (p *plainPolicy) admit(now time.Duration, request policy.Request) bool {
+	plan, share := &p.settings.Plans[request.Plan], p.quotaShare(request)
 	if share <= 0 || plan.Rate <= 0 {
 		return true
 	}
-	capacity := max(plan.Burst*share, r.Units) // a share below one request would never admit any
-	b := p.buckets[r.Customer]
+	capacity := max(plan.Burst*share, request.Units) // a share below one request would never admit any
+	b := p.buckets[request.Customer]
 	if b == nil {
 		b = &bucket{tokens: capacity, refilledAt: now}
-		p.buckets[r.Customer] = b
+		p.buckets[request.Customer] = b
 	}
 	b.tokens = min(b.tokens+plan.Rate*share*(now-b.refilledAt).Seconds(), capacity)
 	b.refilledAt = now
-	if b.tokens < r.Units {
+	if b.tokens < request.Units {
 		return false
 	}
-	b.tokens -= r.Units
+	b.tokens -= request.Units
 	return true
 }
 
 // HandleAttemptResult ends a request with its only attempt.
 func (p *plainPolicy) HandleAttemptResult(_ time.Duration, result policy.AttemptResult) {
 	p.inFlight[result.Server]--
-	r := p.requests[result.RequestID]
-	if r == nil {
+	request := p.requests[result.RequestID]
+	if request == nil {
 		return
 	}
-	delete(p.requests, r.ID)
-	p.host.CancelTimer(uint64(r.ID))
-	if r.done || result.Final {
+	delete(p.requests, request.ID)
+	p.host.CancelTimer(uint64(request.ID))
+	if request.done || result.Final {
 		return
 	}
 	switch result.Outcome {
 	case policy.Rejected, policy.ConnectFailed, policy.NotSent: // it did not run
-		p.host.Reject(r.ID, 0)
+		p.host.Reject(request.ID, 0)
 	default:
-		p.answerUnknown(r)
+		p.answerUnknown(request)
 	}
 }
 
--- a/internal/lab/baseline/plain_policy_test.go
+++ b/internal/lab/baseline/plain_policy_test.go
@@ -66,7 +66,7 @@
 			p.HandleAttemptResult(time.Second, policy.AttemptResult{RequestID: 1, Server: 5, Outcome: outcome})
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		class int
 		event func(p Policy)
@@ -85,13 +85,13 @@
 			timedOut(p)
 		}, nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			p, host := newTestPolicy(t, Random)
 			listReady(p, 5)
-			p.HandleRequest(0, policy.Request{ID: 1, Class: c.class, Units: 1, Deadline: time.Second})
-			c.event(p)
+			p.HandleRequest(0, policy.Request{ID: 1, Class: test.class, Units: 1, Deadline: time.Second})
+			test.event(p)
 			result(policy.Cancelled)(p) // a later result, or that of the attempt that was cancelled, answers nothing
-			if want := append([]string{"attempt 1 at 5"}, c.want...); !slices.Equal(host.calls, want) {
+			if want := append([]string{"attempt 1 at 5"}, test.want...); !slices.Equal(host.calls, want) {
 				t.Errorf("calls %q, want %q", host.calls, want)
 			}
 		})
@@ -99,13 +99,13 @@
 }
 
 func TestPlainPolicy_admitsItsShareOfTheQuota(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		newPolicy Constructor
 		want      int // admitted of ten requests at once, with a burst of 4 over two gateways
 	}{{"random", Random, 10}, {"even", Even, 2}, {"bucket", Bucket, 4}} {
-		t.Run(c.name, func(t *testing.T) {
-			p, host := newTestPolicy(t, c.newPolicy)
+		t.Run(test.name, func(t *testing.T) {
+			p, host := newTestPolicy(t, test.newPolicy)
 			listReady(p, 5)
 			for id := range uint32(10) {
 				p.HandleRequest(0, policy.Request{ID: id, Units: 1, GatewayCount: 2, Deadline: time.Second})
@@ -116,8 +116,8 @@
 					admitted++
 				}
 			}
-			if admitted != c.want || len(host.calls) != 10 {
-				t.Errorf("%d of %d requests admitted, want %d of 10", admitted, len(host.calls), c.want)
+			if admitted != test.want || len(host.calls) != 10 {
+				t.Errorf("%d of %d requests admitted, want %d of 10", admitted, len(host.calls), test.want)
 			}
 		})
 	}
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -127,25 +127,27 @@
 
 // RequestAnswered observes that a client has got an answer. authentic is false if it has a value that no server made for
 // this request.
-func (c *Checker) RequestAnswered(at time.Duration, id uint64, authentic bool) {
-	c.now = at
-	r := c.requests[id]
-	if r == nil {
+func (c *Checker) RequestAnswered(now time.Duration, id uint64, authentic bool) {
+	c.now = now
+	request := c.requests[id]
+	if request == nil {
 		return
 	}
-	r.answers++
+	request.answers++
 	var description string
 	switch {
-	case r.answers > 1:
-		description = fmt.Sprintf("answer number %d", r.answers)
+	case request.answers > 1:
+		description = fmt.Sprintf("answer number %d", request.answers)
 	case !authentic:
 		description = "served with what no server made for it"
-	case at > r.Deadline+c.limits.AnswerSlack && !c.isExcused(r):
-		description = fmt.Sprintf("answered %.3fs after its time", (at - r.Deadline).Seconds())
+	case now > request.Deadline+c.limits.AnswerSlack && !c.isExcused(request):
+		description = fmt.Sprintf("answered %.3fs after its time", (now - request.Deadline).Seconds())
 	default:
 		return
 	}
-	c.violated(Violation{Rule: RequestLost, Request: r.ID, Gateway: r.Gateway, Customer: r.Customer, Description: description})
+	c.violated(Violation{
+		Rule: RequestLost, Request: request.ID, Gateway: request.Gateway, Customer: request.Customer, Description: description,
+	})
 }
 
 // GatewayDied observes that a gateway died: the requests that it had are no longer owed an answer.
@@ -192,26 +194,28 @@
 }
 
 // EffectRan observes that a server began a request, and so its effect.
-func (c *Checker) EffectRan(at time.Duration, server uint32, id uint64) {
-	c.now = at
-	r := c.requests[id]
-	if r == nil {
+func (c *Checker) EffectRan(now time.Duration, server uint32, id uint64) {
+	c.now = now
+	request := c.requests[id]
+	if request == nil {
 		return
 	}
-	r.runs++
-	repeated := Violation{Rule: EffectRepeated, Request: r.ID, Gateway: r.Gateway, Server: server, Customer: r.Customer}
-	switch r.Class.Effect {
+	request.runs++
+	repeated := Violation{
+		Rule: EffectRepeated, Request: request.ID, Gateway: request.Gateway, Server: server, Customer: request.Customer,
+	}
+	switch request.Class.Effect {
 	case policy.NonIdempotent:
-		if r.runs > 1 {
-			repeated.Description = fmt.Sprintf("run %d of an effectful task", r.runs)
+		if request.runs > 1 {
+			repeated.Description = fmt.Sprintf("run %d of an effectful task", request.runs)
 			c.violated(repeated)
 		}
 	case policy.Keyed:
-		if first, done := c.keyedEffects[r.Key]; done {
+		if first, done := c.keyedEffects[request.Key]; done {
 			repeated.Description = fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds())
 			c.violated(repeated)
 		} else {
-			c.keyedEffects[r.Key] = at
+			c.keyedEffects[request.Key] = now
 		}
 	}
 }
--- a/internal/lab/invariants/quota.go
+++ b/internal/lab/invariants/quota.go
@@ -12,29 +12,29 @@
 }
 
 // spend takes the units of a request that is forwarded from its customer's quota and ceiling.
-func (c *Checker) spend(r *requestState) {
-	plan := &c.limits.Plans[r.Plan]
-	b := c.buckets[r.Customer]
+func (c *Checker) spend(request *requestState) {
+	plan := &c.limits.Plans[request.Plan]
+	b := c.buckets[request.Customer]
 	if b == nil {
 		b = &bucket{tokens: plan.Burst, ceilingTokens: plan.CeilingBurst, refilledAt: c.now}
-		c.buckets[r.Customer] = b
+		c.buckets[request.Customer] = b
 	}
 	elapsed := (c.now - b.refilledAt).Seconds()
 	b.refilledAt = c.now
 	b.tokens = min(b.tokens+plan.Rate*elapsed, plan.Burst)
 	b.ceilingTokens = min(b.ceilingTokens+plan.CeilingRate*elapsed, plan.CeilingBurst)
-	c.ForwardedUnits += r.Units
-	r.withinQuota = plan.Rate <= 0 || b.tokens >= r.Units
-	if !r.withinQuota {
-		c.OverQuotaUnits += r.Units
-		c.OverQuotaPenalty += r.Class.Weight * plan.Price * r.Units * plan.OverQuotaCost
+	c.ForwardedUnits += request.Units
+	request.withinQuota = plan.Rate <= 0 || b.tokens >= request.Units
+	if !request.withinQuota {
+		c.OverQuotaUnits += request.Units
+		c.OverQuotaPenalty += request.Class.Weight * plan.Price * request.Units * plan.OverQuotaCost
 	} else if plan.Rate > 0 {
-		b.tokens -= r.Units
+		b.tokens -= request.Units
 	}
 	if plan.CeilingRate > 0 {
-		if b.ceilingTokens -= r.Units; b.ceilingTokens < -plan.CeilingSlack {
+		if b.ceilingTokens -= request.Units; b.ceilingTokens < -plan.CeilingSlack {
 			c.violated(Violation{
-				Rule: CeilingExceeded, Request: r.ID, Gateway: r.Gateway, Customer: r.Customer,
+				Rule: CeilingExceeded, Request: request.ID, Gateway: request.Gateway, Customer: request.Customer,
 				Description: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -b.ceilingTokens, plan.CeilingSlack),
 			})
 		}
--- a/internal/lab/scenario/coordination.go
+++ b/internal/lab/scenario/coordination.go
@@ -39,9 +39,9 @@
 	}
 }
 
-func (o *Coordination) check(c *checker) {
-	c.oneOf("common.how", o.Mode, CoordinationNone, CoordinationLocal, CoordinationShared)
-	c.check(o.Voters == 1 || o.Voters == 3 || o.Voters == 5, "common.voters", "is %d; 1, 3 or 5 is allowed", o.Voters)
+func (o *Coordination) check(checker *checker) {
+	checker.oneOf("common.how", o.Mode, CoordinationNone, CoordinationLocal, CoordinationShared)
+	checker.check(o.Voters == 1 || o.Voters == 3 || o.Voters == 5, "common.voters", "is %d; 1, 3 or 5 is allowed", o.Voters)
 	for _, interval := range []struct {
 		key string
 		is  Span
@@ -51,16 +51,16 @@
 		{"lease", o.Lease},
 		{"wait", o.ReadWait},
 	} {
-		c.check(interval.is >= minInterval, "common."+interval.key, "is %v; 1ms at least is allowed", interval.is.D())
+		checker.check(interval.is >= minInterval, "common."+interval.key, "is %v; 1ms at least is allowed", interval.is.D())
 	}
 	for _, bounds := range []struct {
 		key string
 		are [2]Span
 	}{{"commit", o.CommitTime}, {"leaderless", o.ElectionTime}} {
-		c.check(bounds.are[0] >= 0 && bounds.are[0] <= bounds.are[1], "common."+bounds.key,
+		checker.check(bounds.are[0] >= 0 && bounds.are[0] <= bounds.are[1], "common."+bounds.key,
 			"is %v; the first is no more than the second", bounds.are)
 	}
-	c.check(o.MessageLoss >= 0 && o.MessageLoss < 1, "common.loss", "is %g; from 0 to less than 1 is allowed", o.MessageLoss)
+	checker.check(o.MessageLoss >= 0 && o.MessageLoss < 1, "common.loss", "is %g; from 0 to less than 1 is allowed", o.MessageLoss)
 }
 
 // ZoneName is the name of a zone where zones have names.
--- a/internal/lab/scenario/regions.go
+++ b/internal/lab/scenario/regions.go
@@ -17,7 +17,7 @@
 }
 
 // checkRegions checks that each zone is in one region, where there are any.
-func (s *Scenario) checkRegions(c *checker) {
+func (s *Scenario) checkRegions(checker *checker) {
 	if len(s.Gateways.Regions) == 0 || s.Gateways.Zones > maxZones {
 		return
 	}
@@ -26,11 +26,11 @@
 	for _, zones := range s.Gateways.Regions {
 		for _, zone := range zones {
 			seen[zone]++
-			c.check(zone >= 0 && zone < s.Gateways.Zones, key, "names hall %d; from 0 to %d is allowed", zone, s.Gateways.Zones-1)
-			c.check(seen[zone] == 1, key, "names hall %d twice", zone)
+			checker.check(zone >= 0 && zone < s.Gateways.Zones, key, "names hall %d; from 0 to %d is allowed", zone, s.Gateways.Zones-1)
+			checker.check(seen[zone] == 1, key, "names hall %d twice", zone)
 		}
 	}
 	for zone := range s.Gateways.Zones {
-		c.check(seen[zone] > 0, key, "leaves out hall %d", zone)
+		checker.check(seen[zone] > 0, key, "leaves out hall %d", zone)
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestParse_reportsAllErrorsWithPositions(t *testing.T) {
-	text := `name = "wrong"
+// wrongFile has an error in most of its parts.
+const wrongFile = `name = "wrong"
 length = "0s"
 
 [gateways]
@@ -59,7 +59,9 @@
 kind = "burst"
 at = "99s"
 `
-	_, err := Parse("w.toml", []byte(text))
+
+func TestParse_reportsAllErrorsWithPositions(t *testing.T) {
+	_, err := Parse("w.toml", []byte(wrongFile))
 	if err == nil {
 		t.Fatal("a broken file was accepted")
 	}
@@ -81,16 +83,16 @@
 }
 
 func TestParse_unknownKeysAndWrongTypesHavePositions(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"unknown key", "name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n", "w.toml:5:1: no such key: servers.threads"},
 		{"text for a number", "[servers]\ncores = \"two\"\n", "w.toml:2:9:"},
 		{"unknown unit", "length = \"12 parsecs\"\n", "w.toml:1:"},
 		{"missing value", "length = \n", "w.toml:1:"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("w.toml", []byte(c.text))
-			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Parse("w.toml", []byte(test.text))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
 			}
 			var fileError FileError
 			if !errors.As(err, &fileError) {
@@ -101,7 +103,7 @@
 }
 
 func TestParse_reportsContradictions(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{
 			"fault of a missing counter",
 			"[counter]\nrate = 0\n[[trouble]]\nkind = \"counter_silent\"\n", "and this world has no counter",
@@ -143,9 +145,9 @@
 			"[servers]\nspeed = [2.0, 1.0]\n", "the first is more than nought and no more than the second",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if _, err := Parse("w.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := Parse("w.toml", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
 			}
 		})
 	}
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -26,37 +26,37 @@
 
 // Attempt implements policy.Host: it sends a request to a server.
 func (g *gateway) Attempt(requestID, to uint32, until time.Duration) {
-	e, t := g.engine, g.tries[requestID]
-	s := e.servers[to-1]
-	a := &attempt{
-		gateway: g, incarnation: g.incarnation, try: t, requestID: requestID, number: len(t.attempts), server: s,
-		startedAt: e.clock.Now(), deadline: until, work: t.request.work,
-	}
-	t.attempts = append(t.attempts, a)
-	g.subset.CountAttempt(e.clock.Now())
-	e.recordAttempt(a)
+	engine, t := g.engine, g.tries[requestID]
+	server := engine.servers[to-1]
+	attempt := &attempt{
+		gateway: g, incarnation: g.incarnation, try: t, requestID: requestID, number: len(t.attempts), server: server,
+		startedAt: engine.clock.Now(), deadline: until, work: t.request.work,
+	}
+	t.attempts = append(t.attempts, attempt)
+	g.subset.CountAttempt(engine.clock.Now())
+	engine.recordAttempt(attempt)
 	if f := g.follower; f != nil {
-		f.recorder.AddAttempt(e.clock.Now(), s.zone, t.request.declaredUnits, a.number == 0 && !f.isRepeat(t))
+		f.recorder.AddAttempt(engine.clock.Now(), server.zone, t.request.declaredUnits, attempt.number == 0 && !f.isRepeat(t))
 	}
-	delay := e.delay(g.zone, s.zone)
-	reused := g.takeIdleConnection(s)
-	e.clock.At(until, func() { e.endAttempt(a, policy.TimedOut, 0) })
-	if !e.connect(a, reused, delay) {
+	delay := engine.delay(g.zone, server.zone)
+	reused := g.takeIdleConnection(server)
+	engine.clock.At(until, func() { engine.endAttempt(attempt, policy.TimedOut, 0) })
+	if !engine.connect(attempt, reused, delay) {
 		return
 	}
 	if !reused {
 		delay *= 3 // there, back and there with the request
 	}
-	e.clock.After(delay, func() { e.deliver(a, delay) })
+	engine.clock.After(delay, func() { engine.deliver(attempt, delay) })
 }
 
 // takeIdleConnection takes the idle connection to a server that was used last, and closes those that were idle too long.
 // It returns false if none is left.
-func (g *gateway) takeIdleConnection(s *server) bool {
-	c := g.idle[s.id]
+func (g *gateway) takeIdleConnection(server *server) bool {
+	c := g.idle[server.id]
 	if c == nil {
 		c = &idleConnections{}
-		g.idle[s.id] = c
+		g.idle[server.id] = c
 	}
 	for len(c.lastUsed) > 0 {
 		last := c.lastUsed[len(c.lastUsed)-1]
@@ -64,27 +64,27 @@
 		if g.engine.clock.Now()-last < g.engine.scenario.Servers.IdleTimeout.D()/2 {
 			return true
 		}
-		s.connections = max(s.connections-1, 0)
+		server.connections = max(server.connections-1, 0)
 	}
 	return false
 }
 
 // connect makes the connection of an attempt that has none to reuse. It returns false if the request does not reach the
 // server; it then has scheduled the outcome, other than the timeout.
-func (e *engine) connect(a *attempt, reused bool, delay time.Duration) bool {
-	s := a.server
+func (e *engine) connect(attempt *attempt, reused bool, delay time.Duration) bool {
+	server := attempt.server
 	end := func(after time.Duration, outcome policy.Outcome) {
-		e.clock.After(after, func() { e.endAttempt(a, outcome, 0) })
+		e.clock.After(after, func() { e.endAttempt(attempt, outcome, 0) })
 	}
-	isReachable := !a.gateway.isCutFrom(s) && !s.silent
+	isReachable := !attempt.gateway.isCutFrom(server) && !server.silent
 	switch {
-	case s.dead && (reused || isReachable):
+	case server.dead && (reused || isReachable):
 		end(2*delay, policy.ConnectFailed) // a reused connection is found closed before anything is sent on it
 		return false
 	case !reused && !isReachable:
 		end(e.scenario.Network.ConnectTimeout.D(), policy.ConnectFailed)
 		return false
-	case !reused && s.connections >= e.scenario.Servers.MaxConnections:
+	case !reused && server.connections >= e.scenario.Servers.MaxConnections:
 		e.result.Handshakes++
 		end(2*delay, policy.Rejected)
 		return false
@@ -92,8 +92,8 @@
 		return false
 	}
 	if !reused {
-		a.newConnection = true
-		s.connections++
+		attempt.newConnection = true
+		server.connections++
 		e.result.Handshakes++
 	}
 	return true
@@ -128,25 +128,25 @@
 }
 
 // endAttempt reports an attempt's first outcome to its gateway; later ones are ignored.
-func (e *engine) endAttempt(a *attempt, outcome policy.Outcome, actualUnits float64) {
-	g := a.gateway
-	g.run(a.incarnation, func() {
-		if a.done {
+func (e *engine) endAttempt(attempt *attempt, outcome policy.Outcome, actualUnits float64) {
+	gateway := attempt.gateway
+	gateway.run(attempt.incarnation, func() {
+		if attempt.done {
 			return
 		}
-		a.done = true
+		attempt.done = true
 		now := e.clock.Now()
-		if g.follower != nil {
-			g.follower.recorder.AddResult(now, a.server.zone, a.server.id, outcome, now-a.startedAt)
+		if gateway.follower != nil {
+			gateway.follower.recorder.AddResult(now, attempt.server.zone, attempt.server.id, outcome, now-attempt.startedAt)
 		}
-		e.releaseConnection(a, outcome)
-		t := a.try
+		e.releaseConnection(attempt, outcome)
+		t := attempt.try
 		if outcome == policy.Answered && !t.done {
-			g.finishTry(t, served)
+			gateway.finishTry(t, served)
 		}
-		g.policy.HandleAttemptResult(now, policy.AttemptResult{
-			RequestID: a.requestID, Attempt: a.number, Server: a.server.id, Outcome: outcome, Latency: now - a.startedAt,
-			Final: t.done, ActualUnits: actualUnits,
+		gateway.policy.HandleAttemptResult(now, policy.AttemptResult{
+			RequestID: attempt.requestID, Attempt: attempt.number, Server: attempt.server.id, Outcome: outcome,
+			Latency: now - attempt.startedAt, Final: t.done, ActualUnits: actualUnits,
 		})
 	})
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -60,26 +60,26 @@
 }
 
 // newClients draws the customers of all plans.
-func newClients(e *engine, random *rand.Rand) *clients {
-	c := &clients{engine: e, random: random, lastOneTimeCustomer: firstOneTimeCustomer}
+func newClients(engine *engine, random *rand.Rand) *clients {
+	clients := &clients{engine: engine, random: random, lastOneTimeCustomer: firstOneTimeCustomer}
 	id := uint64(1)
-	for i, plan := range e.scenario.Plans {
+	for i, plan := range engine.scenario.Plans {
 		p := planCustomers{share: plan.Share}
 		sum := 0.0
 		for n := range plan.Customers {
-			p.customers = append(p.customers, c.newCustomer(id, i))
-			sum += math.Pow(float64(n+1), -e.scenario.Load.Skew)
+			p.customers = append(p.customers, clients.newCustomer(id, i))
+			sum += math.Pow(float64(n+1), -engine.scenario.Load.Skew)
 			p.cumulativeSizes = append(p.cumulativeSizes, sum)
 			id++
 		}
-		c.plans = append(c.plans, p)
+		clients.plans = append(clients.plans, p)
 	}
 	sum := 0.0
-	for _, class := range e.scenario.Classes {
+	for _, class := range engine.scenario.Classes {
 		sum += class.Share
-		c.cumulativeShares = append(c.cumulativeShares, sum)
+		clients.cumulativeShares = append(clients.cumulativeShares, sum)
 	}
-	return c
+	return clients
 }
 
 // newCustomer draws the gateways that a customer comes through.
@@ -98,21 +98,21 @@
 
 // scheduleArrival draws the time of the next request by the rate that holds now; arrivals do not wait for answers.
 func (c *clients) scheduleArrival() {
-	e := c.engine
+	engine := c.engine
 	present, usual := 0.0, 0.0
 	for i, p := range c.plans {
-		present += p.share * e.faults.planLoadFactors[i]
+		present += p.share * engine.faults.planLoadFactors[i]
 		usual += p.share
 	}
-	rate := e.scenario.Load.Rate * e.faults.loadFactor * present / usual
-	if e.scenario.Load.Swing > 0 {
-		rate *= 1 + e.scenario.Load.Swing*math.Sin(2*math.Pi*(e.clock.Now()-origin).Seconds()/swingPeriod)
+	rate := engine.scenario.Load.Rate * engine.faults.loadFactor * present / usual
+	if engine.scenario.Load.Swing > 0 {
+		rate *= 1 + engine.scenario.Load.Swing*math.Sin(2*math.Pi*(engine.clock.Now()-origin).Seconds()/swingPeriod)
 	}
-	next := e.clock.Now() + time.Duration(e.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
-	if next >= origin+e.scenario.Length.D() {
+	next := engine.clock.Now() + time.Duration(engine.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
+	if next >= origin+engine.scenario.Length.D() {
 		return
 	}
-	e.clock.At(next, func() {
+	engine.clock.At(next, func() {
 		c.arrive()
 		c.scheduleArrival()
 	})
@@ -133,7 +133,7 @@
 
 // drawRequest draws a request. The order of the draws decides what all later ones are.
 func (c *clients) drawRequest() *request {
-	e, load, random := c.engine, &c.engine.scenario.Load, c.engine.arrivalRandom
+	engine, load, random := c.engine, &c.engine.scenario.Load, c.engine.arrivalRandom
 	plan := c.drawPlan()
 	p := &c.plans[plan]
 	who := p.customers[drawIndex(random, p.cumulativeSizes)]
@@ -144,11 +144,11 @@
 	class := min(drawIndex(random, c.cumulativeShares), len(c.cumulativeShares)-1)
 	maxUnits := load.MaxUnits()
 	units := min(max(math.Round(load.MeanUnits*random.ExpFloat64()), 1), maxUnits)
-	r := &request{customer: who, class: class, units: units, declaredUnits: units, startedAt: e.clock.Now()}
+	r := &request{customer: who, class: class, units: units, declaredUnits: units, startedAt: engine.clock.Now()}
 	if s := load.DeclaredDeviation; s > 0 {
 		r.declaredUnits = min(max(units*math.Exp(s*random.NormFloat64()-s*s/2), minDeclaredUnits), maxUnits)
 	}
-	r.work = e.drawWork(class)
+	r.work = engine.drawWork(class)
 	c.lastKey++
 	r.key = c.lastKey
 	return r
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -36,32 +36,32 @@
 }
 
 // newCoordinator makes what the scenario says; nil: the gateways share nothing.
-func newCoordinator(e *engine, random *rand.Rand) *coordinator {
-	settings := &e.scenario.Coordination
+func newCoordinator(engine *engine, random *rand.Rand) *coordinator {
+	settings := &engine.scenario.Coordination
 	if settings.Mode == scenario.CoordinationNone {
 		return nil
 	}
-	c := &coordinator{
-		engine: e, settings: settings, failoverSettings: e.scenario.FailoverSettings(), random: random,
+	coordinator := &coordinator{
+		engine: engine, settings: settings, failoverSettings: engine.scenario.FailoverSettings(), random: random,
 		wrongLosses: map[string]bool{},
 	}
-	for n := range e.scenario.Gateways.Zones {
-		c.zones = append(c.zones, scenario.ZoneName(n))
+	for n := range engine.scenario.Gateways.Zones {
+		coordinator.zones = append(coordinator.zones, scenario.ZoneName(n))
 	}
-	for n := range e.scenario.Gateways.Count {
-		c.followers = append(c.followers, &follower{coordinator: c, index: n})
+	for n := range engine.scenario.Gateways.Count {
+		coordinator.followers = append(coordinator.followers, &follower{coordinator: coordinator, index: n})
 	}
 	if settings.Mode == scenario.CoordinationLocal {
-		return c
+		return coordinator
 	}
 	for n := range settings.Voters {
-		v := &voter{coordinator: c, index: n, zone: n % e.scenario.Gateways.Zones}
+		v := &voter{coordinator: coordinator, index: n, zone: n % engine.scenario.Gateways.Zones}
 		v.start()
-		c.voters = append(c.voters, v)
+		coordinator.voters = append(coordinator.voters, v)
 	}
-	c.startLeading(c.voters[random.IntN(len(c.voters))])
-	e.clock.After(settings.DecisionInterval.D(), c.tick)
-	return c
+	coordinator.startLeading(coordinator.voters[random.IntN(len(coordinator.voters))])
+	engine.clock.After(settings.DecisionInterval.D(), coordinator.tick)
+	return coordinator
 }
 
 // canReach reports whether messages pass between processes of two zones.
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -57,32 +57,32 @@
 
 // call takes a gateway's call. As on sockets, a late answer is an answer: a call times out only where the counter is
 // silent, after the time that its connection may take to come up.
-func (c *counter) call(g *gateway, name uint64, keep time.Duration, units float64) {
-	e, now, settings := c.engine, c.engine.clock.Now(), &c.engine.scenario.Counter
+func (c *counter) call(g *gateway, name uint64, ttl time.Duration, units float64) {
+	engine, now, settings := c.engine, c.engine.clock.Now(), &c.engine.scenario.Counter
 	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: now}
 	c.calls++
-	roundTrip := 2 * e.scenario.Network.SameZone.D()
+	roundTrip := 2 * engine.scenario.Network.SameZone.D()
 	half := c.half(g)
 	wait := max(c.freeAt[half]-now, 0)
 	if c.rejecting || wait > settings.MaxWait.D() {
 		c.rejectedCalls++
-		e.answerCall(call, roundTrip, 0, policy.Rejected)
+		engine.answerCall(call, roundTrip, 0, policy.Rejected)
 		return
 	}
 	serviceTime := time.Duration(float64(time.Second) / settings.Rate * c.slowdown)
 	c.freeAt[half] = max(c.freeAt[half], now) + serviceTime
 	t := c.totals[half][name]
 	if t.expiresAt <= now {
-		t = total{expiresAt: now + keep}
+		t = total{expiresAt: now + ttl}
 	}
 	t.units += units
 	c.totals[half][name] = t
 	if c.silent {
-		e.answerCall(call, e.scenario.Network.ConnectTimeout.D(), 0, policy.TimedOut)
+		engine.answerCall(call, engine.scenario.Network.ConnectTimeout.D(), 0, policy.TimedOut)
 		return
 	}
 	latency := time.Duration(float64(settings.ServiceTime.D()) * c.slowdown)
-	e.answerCall(call, roundTrip+wait+serviceTime+latency, t.units, policy.Answered)
+	engine.answerCall(call, roundTrip+wait+serviceTime+latency, t.units, policy.Answered)
 }
 
 // answerCall ends a call after a time.
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -83,36 +83,38 @@
 
 // newEngine sets a run up. The order of its steps is the order of their draws and events.
 func newEngine(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*engine, error) {
-	e := &engine{
+	engine := &engine{
 		scenario: spec, seed: seed, clock: virtualtime.New(origin), newPolicy: newPolicy,
 		settings: spec.PolicySettings(0), faults: newFaultState(len(spec.Plans)), regions: spec.ZoneRegions(),
 		zoneWork:          make([]time.Duration, spec.Gateways.Zones),
 		recentUtilisation: make([][]float64, spec.Gateways.Zones),
 		result:            newResult(spec, seed),
 	}
-	e.modelRandom, e.arrivalRandom, e.faultRandom = e.random(modelStream), e.random(arrivalStream), e.random(faultStream)
-	e.checker = invariants.New(invariants.Limits{
+	engine.modelRandom = engine.random(modelStream)
+	engine.arrivalRandom = engine.random(arrivalStream)
+	engine.faultRandom = engine.random(faultStream)
+	engine.checker = invariants.New(invariants.Limits{
 		AnswerSlack: spec.Rules.AnswerSlack.D(), DrainGrace: spec.Rules.DrainGrace.D(),
-		Plans: e.settings.Plans,
+		Plans: engine.settings.Plans,
 	})
-	e.clock.BeforeEvent = func(time.Duration, uint64) { e.result.Events++ }
-	e.addServers()
-	e.counter = newCounter(e)
-	e.coordinator = newCoordinator(e, e.random(coordinationStream))
-	if err := e.addGateways(); err != nil {
+	engine.clock.BeforeEvent = func(time.Duration, uint64) { engine.result.Events++ }
+	engine.addServers()
+	engine.counter = newCounter(engine)
+	engine.coordinator = newCoordinator(engine, engine.random(coordinationStream))
+	if err := engine.addGateways(); err != nil {
 		return nil, err
 	}
-	e.clients = newClients(e, e.random(clientStream))
+	engine.clients = newClients(engine, engine.random(clientStream))
 	for _, f := range spec.Faults {
-		if err := e.scheduleFault(f); err != nil {
+		if err := engine.scheduleFault(f); err != nil {
 			return nil, err
 		}
 	}
-	e.clients.scheduleArrival()
+	engine.clients.scheduleArrival()
 	for s := 1; s <= int(math.Ceil(spec.Length.D().Seconds())); s++ {
-		e.clock.At(origin+time.Duration(s)*time.Second, e.closeSecond)
+		engine.clock.At(origin+time.Duration(s)*time.Second, engine.closeSecond)
 	}
-	return e, nil
+	return engine, nil
 }
 
 // newFaultState is the state without any fault.
--- a/internal/lab/simulation/fault_gateways.go
+++ b/internal/lab/simulation/fault_gateways.go
@@ -7,6 +7,15 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
+// pickGateways draws a fraction of the gateways.
+func (e *engine) pickGateways(fraction float64) []*gateway {
+	var picked []*gateway
+	for _, i := range e.pick(len(e.gateways), fraction) {
+		picked = append(picked, e.gateways[i])
+	}
+	return picked
+}
+
 // gatewayKill kills gateways at once; they start again at its end.
 type gatewayKill struct {
 	fraction float64
@@ -14,8 +23,8 @@
 }
 
 func (f *gatewayKill) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), f.fraction) {
-		if g := e.gateways[i]; g.alive {
+	for _, g := range e.pickGateways(f.fraction) {
+		if g.alive {
 			g.kill()
 			f.affected = append(f.affected, g)
 		}
@@ -50,9 +59,8 @@
 }
 
 func (f *rollingRestart) begin(e *engine) {
-	picked := e.pick(len(e.gateways), f.fraction)
-	for n, i := range picked {
-		g := e.gateways[i]
+	picked := e.pickGateways(f.fraction)
+	for n, g := range picked {
 		e.clock.After(turnOf(n, len(picked), f.duration), func() {
 			if !g.alive {
 				return
@@ -104,9 +112,9 @@
 }
 
 func (f *gatewayIsolation) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), f.fraction) {
-		f.affected = append(f.affected, e.gateways[i])
-		e.gateways[i].isolated = true
+	f.affected = e.pickGateways(f.fraction)
+	for _, g := range f.affected {
+		g.isolated = true
 	}
 }
 
@@ -124,9 +132,9 @@
 
 func (f *gatewayPause) begin(e *engine) {
 	now := e.clock.Now()
-	for _, i := range e.pick(len(e.gateways), f.fraction) {
-		e.gateways[i].pausedUntil = now + f.duration
-		e.checker.GatewayPaused(now, i, now+f.duration)
+	for _, g := range e.pickGateways(f.fraction) {
+		g.pausedUntil = now + f.duration
+		e.checker.GatewayPaused(now, g.index, now+f.duration)
 	}
 }
 
@@ -139,9 +147,9 @@
 }
 
 func (f *discoveryLoss) begin(e *engine) {
-	for _, i := range e.pick(len(e.gateways), f.fraction) {
-		f.affected = append(f.affected, e.gateways[i])
-		e.gateways[i].discoveryLost = true
+	f.affected = e.pickGateways(f.fraction)
+	for _, g := range f.affected {
+		g.discoveryLost = true
 	}
 }
 
--- a/internal/lab/simulation/fault_servers.go
+++ b/internal/lab/simulation/fault_servers.go
@@ -16,21 +16,21 @@
 	affected []*server
 }
 
-func (f *serverLoss) begin(e *engine) {
-	candidates := e.readyServers()
+func (f *serverLoss) begin(engine *engine) {
+	candidates := engine.readyServers()
 	if f.ofZone {
 		candidates = slices.DeleteFunc(candidates, func(s *server) bool { return s.zone != f.zone })
 	}
 	if f.isWholeZone() {
 		f.affected = candidates
 	} else {
-		f.affected = e.pickServers(candidates, f.fraction)
+		f.affected = engine.pickServers(candidates, f.fraction)
 	}
 	for _, s := range f.affected {
 		s.silent = true
 	}
-	if f.isWholeZone() && e.coordinator != nil {
-		e.coordinator.zoneLost(f.zone)
+	if f.isWholeZone() && engine.coordinator != nil {
+		engine.coordinator.zoneLost(f.zone)
 	}
 }
 
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -49,20 +49,20 @@
 }
 
 // start starts with an incarnation of the gateway; nothing of the last one is left.
-func (f *follower) start(g *gateway) {
-	c := f.coordinator
-	*f = follower{coordinator: c, index: f.index, gateway: g, session: f.session + 1, lastRead: f.lastRead + 1}
-	f.recorder = zonestats.New(c.zones, g.zone, &c.engine.settings)
-	f.updater = routing.New(cachedTables{f}, f, c.zones, c.zones[g.zone], zap.NewNop())
-	if c.settings.Mode == scenario.CoordinationLocal {
-		f.local = newLocalController(c)
+func (f *follower) start(gateway *gateway) {
+	coordinator := f.coordinator
+	*f = follower{coordinator: coordinator, index: f.index, gateway: gateway, session: f.session + 1, lastRead: f.lastRead + 1}
+	f.recorder = zonestats.New(coordinator.zones, gateway.zone, &coordinator.engine.settings)
+	f.updater = routing.New(cachedTables{f}, f, coordinator.zones, coordinator.zones[gateway.zone], zap.NewNop())
+	if coordinator.settings.Mode == scenario.CoordinationLocal {
+		f.local = newLocalController(coordinator)
 	} else {
 		f.voter = f.nearestVoter()
 		f.read()
 	}
-	first := c.settings.DigestInterval.D() * time.Duration(f.index%digestPhases+1) / digestPhases
-	incarnation := g.incarnation
-	c.engine.clock.After(first, func() { f.sendDigests(incarnation) })
+	first := coordinator.settings.DigestInterval.D() * time.Duration(f.index%digestPhases+1) / digestPhases
+	incarnation := gateway.incarnation
+	coordinator.engine.clock.After(first, func() { f.sendDigests(incarnation) })
 	f.updater.Update()
 }
 
@@ -93,10 +93,10 @@
 
 // sendDigest sends what the gateway counted to its voter, or decides by it where each gateway decides by itself.
 func (f *follower) sendDigest() {
-	c := f.coordinator
+	coordinator := f.coordinator
 	counts := map[string]uint64{}
-	f.recorder.WriteCounts(c.engine.clock.Now(), func(name string, n uint64) { counts[name] += n })
-	if c.settings.Mode == scenario.CoordinationLocal {
+	f.recorder.WriteCounts(coordinator.engine.clock.Now(), func(name string, n uint64) { counts[name] += n })
+	if coordinator.settings.Mode == scenario.CoordinationLocal {
 		f.decideLocally(counts)
 		return
 	}
@@ -106,8 +106,8 @@
 		Process: fmt.Sprint("g", f.index), Incarnation: uint64(f.gateway.incarnation), Serial: f.serial,
 		Session: f.session, Counts: counts,
 	}
-	v := c.voters[f.voter]
-	if !v.dead && c.send(f.gateway.zone, v.zone, func() { v.receiveDigest(digest) }) {
+	v := coordinator.voters[f.voter]
+	if !v.dead && coordinator.send(f.gateway.zone, v.zone, func() { v.receiveDigest(digest) }) {
 		f.missedDigests = 0
 		return
 	}
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -89,18 +89,18 @@
 }
 
 // shedIfFull rejects a try at once where no zone has capacity for it. It returns false if it did not.
-func (f *follower) shedIfFull(t *try) bool {
-	isRepeat := f.isRepeat(t)
+func (f *follower) shedIfFull(try *try) bool {
+	isRepeat := f.isRepeat(try)
 	if !isRepeat {
-		f.recorder.AddOffered(t.request.declaredUnits)
+		f.recorder.AddOffered(try.request.declaredUnits)
 	}
 	if !f.gateway.subset.ShouldShed() {
 		return false
 	}
 	if !isRepeat {
-		f.recorder.AddShed(t.request.declaredUnits)
+		f.recorder.AddShed(try.request.declaredUnits)
 	}
-	t.retryAfter = shedRetryAfter
-	f.gateway.finishTry(t, rejected)
+	try.retryAfter = shedRetryAfter
+	f.gateway.finishTry(try, rejected)
 	return true
 }
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -39,24 +39,24 @@
 
 // start makes a new instance of the policy, which knows the endpoints as they are.
 func (g *gateway) start(seed uint64) error {
-	e := g.engine
+	engine := g.engine
 	g.incarnation++
 	g.alive = true
 	g.endpoints, g.tries = map[uint32]policy.Endpoint{}, map[uint32]*try{}
 	g.timers, g.idle = map[uint64]*timer{}, map[uint32]*idleConnections{}
-	keepOpen := time.Duration(0)
-	if e.scenario.Gateways.Subset {
-		keepOpen = e.scenario.Servers.IdleTimeout.D() / 2
+	keepAlive := time.Duration(0)
+	if engine.scenario.Gateways.Subset {
+		keepAlive = engine.scenario.Servers.IdleTimeout.D() / 2
 	}
-	g.subset = subset.New(g.index, e.scenario.Gateways.Count, keepOpen)
+	g.subset = subset.New(g.index, engine.scenario.Gateways.Count, keepAlive)
 	var err error
-	if g.policy, err = e.newPolicy(e.scenario.PolicySettings(g.index), int64(seed), g); err != nil {
+	if g.policy, err = engine.newPolicy(engine.scenario.PolicySettings(g.index), int64(seed), g); err != nil {
 		return err
 	}
-	for _, s := range e.servers {
+	for _, s := range engine.servers {
 		if s.state != policy.Removed {
 			g.endpoints[s.id] = s.endpoint()
-			e.checker.EndpointNotified(e.clock.Now(), g.index, s.id, s.state)
+			engine.checker.EndpointNotified(engine.clock.Now(), g.index, s.id, s.state)
 		}
 	}
 	if g.follower != nil {
@@ -114,24 +114,24 @@
 }
 
 // accept takes a complete request.
-func (g *gateway) accept(t *try) {
-	e, r := g.engine, t.request
+func (g *gateway) accept(try *try) {
+	engine, request := g.engine, try.request
 	if g.follower != nil {
 		g.follower.expireSteering()
 	}
-	if g.subset.IsDue(e.clock.Now()) {
+	if g.subset.IsDue(engine.clock.Now()) {
 		g.updateEndpoints()
 	}
 	g.lastRequestID++
-	t.requestID = g.lastRequestID
-	g.tries[t.requestID] = t
-	if g.follower != nil && g.follower.shedIfFull(t) {
+	try.requestID = g.lastRequestID
+	g.tries[try.requestID] = try
+	if g.follower != nil && g.follower.shedIfFull(try) {
 		return
 	}
-	g.policy.HandleRequest(e.clock.Now(), policy.Request{
-		ID: t.requestID, Class: t.class, Plan: r.customer.plan, Customer: r.customer.id,
-		FirstGateway: r.customer.firstGateway, GatewayCount: r.customer.gatewayCount, Units: r.declaredUnits,
-		Deadline: t.deadline, Repeat: t.number > 0 && e.scenario.Clients.MarkRepeats,
+	g.policy.HandleRequest(engine.clock.Now(), policy.Request{
+		ID: try.requestID, Class: try.class, Plan: request.customer.plan, Customer: request.customer.id,
+		FirstGateway: request.customer.firstGateway, GatewayCount: request.customer.gatewayCount, Units: request.declaredUnits,
+		Deadline: try.deadline, Repeat: try.number > 0 && engine.scenario.Clients.MarkRepeats,
 	})
 }
 
--- a/internal/lab/simulation/gateway_host.go
+++ b/internal/lab/simulation/gateway_host.go
@@ -28,8 +28,8 @@
 }
 
 // Count calls the counter.
-func (g *gateway) Count(name uint64, keep time.Duration, units float64) {
-	g.engine.counter.call(g, name, keep, units)
+func (g *gateway) Count(name uint64, ttl time.Duration, units float64) {
+	g.engine.counter.call(g, name, ttl, units)
 }
 
 // CheckHealth is not simulated.
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -24,33 +24,33 @@
 	return hex.EncodeToString(h.Sum(nil))[:16]
 }
 
-func writeValue(t *testing.T, h io.Writer, v reflect.Value) {
+func writeValue(t *testing.T, writer io.Writer, value reflect.Value) {
 	t.Helper()
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				writeValue(t, h, v.Field(i))
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				writeValue(t, writer, value.Field(i))
 			}
 		}
 	case reflect.Slice, reflect.Array:
-		_, _ = fmt.Fprintln(h, v.Len())
-		for i := range v.Len() {
-			writeValue(t, h, v.Index(i))
+		_, _ = fmt.Fprintln(writer, value.Len())
+		for i := range value.Len() {
+			writeValue(t, writer, value.Index(i))
 		}
 	case reflect.String: // names and wording
 	case reflect.Bool:
-		_, _ = fmt.Fprintln(h, v.Bool())
+		_, _ = fmt.Fprintln(writer, value.Bool())
 	case reflect.Float64:
-		_, _ = fmt.Fprintln(h, v.Float())
+		_, _ = fmt.Fprintln(writer, value.Float())
 	default:
 		switch {
-		case v.CanInt():
-			_, _ = fmt.Fprintln(h, v.Int())
-		case v.CanUint():
-			_, _ = fmt.Fprintln(h, v.Uint())
+		case value.CanInt():
+			_, _ = fmt.Fprintln(writer, value.Int())
+		case value.CanUint():
+			_, _ = fmt.Fprintln(writer, value.Uint())
 		default:
-			t.Fatalf("a value of kind %v in a result", v.Kind())
+			t.Fatalf("a value of kind %v in a result", value.Kind())
 		}
 	}
 }
@@ -81,7 +81,7 @@
 // TestGolden holds what the simulation gives: the values of whole runs, two seeds each, recorded before the tree was made
 // readable. Whatever is renamed or moved, a run goes the same way to the last draw.
 func TestGolden(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		spec      func() *scenario.Scenario
 		newPolicy baseline.Constructor
@@ -108,10 +108,10 @@
 			[2]string{"1ab322b068477e1a", "2ed541938fbab3dd"},
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			for seed, want := range c.want {
-				if got := hashOf(t, mustRun(t, c.spec(), uint64(seed+1), c.newPolicy)); got != want {
+			for seed, want := range test.want {
+				if got := hashOf(t, mustRun(t, test.spec(), uint64(seed+1), test.newPolicy)); got != want {
 					t.Errorf("seed %d: hash %s, recorded %s", seed+1, got, want)
 				}
 			}
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -14,8 +14,17 @@
 
 var noViolations [invariants.RuleCount]int
 
-// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
-func TestChecker_findsEachViolation(t *testing.T) {
+// violation is a module with a fault that violates a rule.
+type violation struct {
+	rule     invariants.Rule
+	name     string
+	spec     *scenario.Scenario
+	prepare  func(spec *scenario.Scenario)
+	addFault func(f *faultyPolicy, settings *policy.Settings)
+}
+
+// violations has a module with a fault for each rule.
+func violations() []violation {
 	deploy := scenario.Fault{
 		Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(3 * time.Second), Fraction: 0.6,
 	}
@@ -23,13 +32,7 @@
 		Kind: scenario.ConnectionResets, Start: span(time.Second), Duration: span(9 * time.Second), Fraction: 0.1,
 	}
 	replacement := scenario.Fault{Kind: scenario.MassReplacement, Start: span(2 * time.Second), Fraction: 0.7}
-	for _, c := range []struct {
-		rule     invariants.Rule
-		name     string
-		spec     *scenario.Scenario
-		prepare  func(spec *scenario.Scenario)
-		addFault func(f *faultyPolicy, settings *policy.Settings)
-	}{
+	return []violation{
 		{
 			rule: invariants.RequestLost, name: "drops one rejection in twenty", spec: smallScenario(),
 			addFault: func(f *faultyPolicy, _ *policy.Settings) { f.dropEvery = 20 },
@@ -63,16 +66,21 @@
 				}
 			},
 		},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			c.spec.Load.Rate *= 1.5
-			if c.prepare != nil {
-				c.prepare(c.spec)
+	}
+}
+
+// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
+func TestChecker_findsEachViolation(t *testing.T) {
+	for _, test := range violations() {
+		t.Run(test.name, func(t *testing.T) {
+			test.spec.Load.Rate *= 1.5
+			if test.prepare != nil {
+				test.prepare(test.spec)
 			}
-			if sound := mustRun(t, c.spec, 3, baseline.Module); sound.ViolationCounts != noViolations {
+			if sound := mustRun(t, test.spec, 3, baseline.Module); sound.ViolationCounts != noViolations {
 				t.Fatalf("the module without the fault violates %v: %v", sound.ViolationCounts, sound.Violations)
 			}
-			requireOnly(t, c.rule, mustRun(t, c.spec, 3, withFault(c.addFault)))
+			requireOnly(t, test.rule, mustRun(t, test.spec, 3, withFault(test.addFault)))
 		})
 	}
 }
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -114,41 +114,41 @@
 }
 
 // receive takes a complete request.
-func (s *server) receive(a *attempt) {
-	e := s.engine
+func (s *server) receive(attempt *attempt) {
+	engine := s.engine
 	switch {
 	case s.dead:
-		e.reply(a, policy.Reset, 0)
+		engine.reply(attempt, policy.Reset, 0)
 		return
-	case s.silent || s.silentClasses[a.try.class]:
+	case s.silent || s.silentClasses[attempt.try.class]:
 		return
 	case s.state == policy.Draining:
-		e.reply(a, policy.Rejected, 0)
+		engine.reply(attempt, policy.Rejected, 0)
 		return
 	}
 	if s.warmUpFraction() < 1 {
-		s.checkOverload(a)
+		s.checkOverload(attempt)
 	}
 	switch {
-	case e.clock.Now() < s.overloadedUntil:
-		e.reply(a, policy.Errored, 0)
-	case s.errorRate > 0 && e.modelRandom.Float64() < s.errorRate:
-		e.reply(a, policy.Errored, 0)
-	case s.isDuplicate(a):
-		e.reply(a, policy.Answered, a.try.actualUnits)
-	case s.busyCores < e.scenario.Servers.Cores:
-		s.startWork(a)
-	case len(s.queue) >= e.scenario.Servers.QueueLimit:
-		e.reply(a, policy.Rejected, 0)
+	case engine.clock.Now() < s.overloadedUntil:
+		engine.reply(attempt, policy.Errored, 0)
+	case s.errorRate > 0 && engine.modelRandom.Float64() < s.errorRate:
+		engine.reply(attempt, policy.Errored, 0)
+	case s.isDuplicate(attempt):
+		engine.reply(attempt, policy.Answered, attempt.try.actualUnits)
+	case s.busyCores < engine.scenario.Servers.Cores:
+		s.startWork(attempt)
+	case len(s.queue) >= engine.scenario.Servers.QueueLimit:
+		engine.reply(attempt, policy.Rejected, 0)
 	default:
-		s.queue = append(s.queue, a)
+		s.queue = append(s.queue, attempt)
 	}
 }
 
 // checkOverload counts a request that a server gets while it is warming up. It overloads the server if the work sent over
 // the overload span is more than the scenario's factor times what the server can do now.
 func (s *server) checkOverload(a *attempt) {
-	e, rules, now := s.engine, &s.engine.scenario.Rules, s.engine.clock.Now()
+	engine, rules, now := s.engine, &s.engine.scenario.Rules, s.engine.clock.Now()
 	span := rules.OverloadSpan.D()
 	s.recentArrivals = append(s.recentArrivals, arrival{now, a.work.Seconds()})
 	s.recentWork += a.work.Seconds()
@@ -157,11 +157,11 @@
 		s.recentArrivals = s.recentArrivals[1:]
 	}
 	rate, limit := s.recentWork/span.Seconds(), s.capacity()*rules.OverloadFactor
-	if now < s.overloadedUntil || len(s.recentArrivals) < e.scenario.Servers.Cores+overloadMargin || rate <= limit {
+	if now < s.overloadedUntil || len(s.recentArrivals) < engine.scenario.Servers.Cores+overloadMargin || rate <= limit {
 		return
 	}
 	s.overloadedUntil = now + rules.OverloadDowntime.D()
-	e.checker.ServerOverloaded(now, s.id, rate, s.capacity())
+	engine.checker.ServerOverloaded(now, s.id, rate, s.capacity())
 }
 
 // isDuplicate reports whether a server of this one's group remembers the request's idempotency key.
@@ -181,30 +181,30 @@
 }
 
 // startWork begins a request on a free core; its effect happens now.
-func (s *server) startWork(a *attempt) {
-	e := s.engine
-	if s.isDuplicate(a) { // another of the group began it while it was queued here
-		e.reply(a, policy.Answered, a.try.actualUnits)
+func (s *server) startWork(attempt *attempt) {
+	engine := s.engine
+	if s.isDuplicate(attempt) { // another of the group began it while it was queued here
+		engine.reply(attempt, policy.Answered, attempt.try.actualUnits)
 		return
 	}
 	s.busyCores++
-	s.running[a] = true
-	e.checker.EffectRan(e.clock.Now(), s.id, a.try.id)
-	if class := &e.settings.Classes[a.try.class]; class.Effect == policy.Keyed {
-		s.dedupUntil[a.try.request.key] = e.clock.Now() + class.DedupWindow + receiptSlack
+	s.running[attempt] = true
+	engine.checker.EffectRan(engine.clock.Now(), s.id, attempt.try.id)
+	if class := &engine.settings.Classes[attempt.try.class]; class.Effect == policy.Keyed {
+		s.dedupUntil[attempt.try.request.key] = engine.clock.Now() + class.DedupWindow + receiptSlack
 	}
-	took := time.Duration(float64(a.work) / (s.speed * s.warmUpFraction()) * s.slowdown)
-	if a.newConnection {
-		took += e.scenario.Servers.HandshakeWork.D()
+	took := time.Duration(float64(attempt.work) / (s.speed * s.warmUpFraction()) * s.slowdown)
+	if attempt.newConnection {
+		took += engine.scenario.Servers.HandshakeWork.D()
 	}
 	s.workDone += took
 	incarnation := s.incarnation
-	e.clock.After(took, func() {
-		if s.incarnation != incarnation || !s.running[a] {
+	engine.clock.After(took, func() {
+		if s.incarnation != incarnation || !s.running[attempt] {
 			return
 		}
-		s.release(a)
-		e.reply(a, policy.Answered, a.try.actualUnits)
+		s.release(attempt)
+		engine.reply(attempt, policy.Answered, attempt.try.actualUnits)
 		s.startQueued()
 	})
 }
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -50,7 +50,7 @@
 const clientDelayMs = 0.5
 
 func TestServer_waitsMatchErlangC(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		cores    int
 		rho      float64
@@ -61,14 +61,14 @@
 		{"four cores at 0.7", 4, 0.7, 100_000},
 		{"sixteen cores at 0.9", 16, 0.9, 200_000},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			spec := openScenario(1, c.cores, c.rho, 0)
-			spec.Length = scenario.Span(time.Duration(c.requests / spec.Load.Rate * float64(time.Second)))
+		t.Run(test.name, func(t *testing.T) {
+			spec := openScenario(1, test.cores, test.rho, 0)
+			spec.Length = scenario.Span(time.Duration(test.requests / spec.Load.Rate * float64(time.Second)))
 			r, err := Run(spec, 11, baseline.Random)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, wait := erlangC(c.cores, c.rho)
+			_, wait := erlangC(test.cores, test.rho)
 			want := (1 + wait) * 20 // ms: work and wait
 			got := r.AnswerTimes(0).Mean()/1000 - clientDelayMs
 			off := math.Abs(got/want - 1)
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -43,37 +43,40 @@
 )
 
 // send sends a try through a gateway of the customer's set, other than the last one where there is another.
-func (c *clients) send(r *request, number int, last *gateway) {
-	e := c.engine
-	class := &e.settings.Classes[r.class]
-	deadline := r.startedAt + class.Timeout
-	if e.clock.Now() >= deadline {
-		c.fail(r, r.lastAnswer)
+func (c *clients) send(request *request, number int, last *gateway) {
+	engine := c.engine
+	class := &engine.settings.Classes[request.class]
+	deadline := request.startedAt + class.Timeout
+	if engine.clock.Now() >= deadline {
+		c.fail(request, request.lastAnswer)
 		return
 	}
-	g := c.drawGateway(r.customer, last)
+	gateway := c.drawGateway(request.customer, last)
 	c.lastTry++
-	t := &try{id: c.lastTry, request: r, gateway: g, class: r.class, number: number, deadline: deadline, actualUnits: r.units}
-	e.result.Tries++
-	e.clock.After(clientDelay, func() {
-		if !g.alive {
-			c.handleAnswer(t, connectionLost) // refused: it was not accepted
+	try := &try{
+		id: c.lastTry, request: request, gateway: gateway, class: request.class, number: number, deadline: deadline,
+		actualUnits: request.units,
+	}
+	engine.result.Tries++
+	engine.clock.After(clientDelay, func() {
+		if !gateway.alive {
+			c.handleAnswer(try, connectionLost) // refused: it was not accepted
 			return
 		}
-		e.checker.RequestAccepted(invariants.Request{
-			ID: t.id, Key: r.key, Customer: r.customer.id, Class: *class, Plan: r.customer.plan, Gateway: g.index,
-			Units: r.declaredUnits, AcceptedAt: e.clock.Now(), Deadline: deadline,
+		engine.checker.RequestAccepted(invariants.Request{
+			ID: try.id, Key: request.key, Customer: request.customer.id, Class: *class, Plan: request.customer.plan,
+			Gateway: gateway.index, Units: request.declaredUnits, AcceptedAt: engine.clock.Now(), Deadline: deadline,
 		})
-		incarnation := g.incarnation
-		g.run(incarnation, func() {
-			if e.clock.Now() >= deadline {
+		incarnation := gateway.incarnation
+		gateway.run(incarnation, func() {
+			if engine.clock.Now() >= deadline {
 				// The gateway was paused: it reads the request after its client disconnected.
-				e.checker.RequestAnswered(deadline, t.id, true)
+				engine.checker.RequestAnswered(deadline, try.id, true)
 				return
 			}
-			g.accept(t)
+			gateway.accept(try)
 		})
-		e.clock.At(deadline, func() { c.disconnect(t, incarnation) })
+		engine.clock.At(deadline, func() { c.disconnect(try, incarnation) })
 	})
 }
 
@@ -95,34 +98,34 @@
 }
 
 // disconnect ends a try at its deadline if it has no answer: its client waits no longer.
-func (c *clients) disconnect(t *try, incarnation int) {
-	if t.done {
+func (c *clients) disconnect(try *try, incarnation int) {
+	if try.done {
 		return
 	}
 	e := c.engine
-	t.gateway.run(incarnation, func() {
-		if t.done {
+	try.gateway.run(incarnation, func() {
+		if try.done {
 			return
 		}
-		t.done = true
-		delete(t.gateway.tries, t.requestID)
-		t.gateway.policy.HandleDisconnect(e.clock.Now(), t.requestID)
-		for _, a := range t.attempts {
+		try.done = true
+		delete(try.gateway.tries, try.requestID)
+		try.gateway.policy.HandleDisconnect(e.clock.Now(), try.requestID)
+		for _, a := range try.attempts {
 			e.clock.After(0, func() { e.endAttempt(a, policy.Cancelled, 0) })
 		}
 	})
-	c.fail(t.request, unanswered)
+	c.fail(try.request, unanswered)
 }
 
 // handleAnswer takes the answer to a try.
-func (c *clients) handleAnswer(t *try, got answer) {
-	e, r, result := c.engine, t.request, &c.engine.result
+func (c *clients) handleAnswer(try *try, got answer) {
+	engine, request, result := c.engine, try.request, &c.engine.result
 	if got != connectionLost {
-		e.checker.RequestAnswered(e.clock.Now(), t.id, true)
+		engine.checker.RequestAnswered(engine.clock.Now(), try.id, true)
 	}
 	switch got {
 	case served:
-		c.complete(t)
+		c.complete(try)
 		return
 	case rejected:
 		result.RejectedTries++
@@ -131,39 +134,39 @@
 	case connectionLost:
 		result.BrokenConnections++
 	}
-	if r.done { // its gateway was paused: the client disconnected long ago
+	if request.done { // its gateway was paused: the client disconnected long ago
 		return
 	}
-	r.lastAnswer = got
-	if !c.canRetry(t, got) || t.number >= e.scenario.Clients.Retries {
+	request.lastAnswer = got
+	if !c.canRetry(try, got) || try.number >= engine.scenario.Clients.Retries {
 		if got == rejected {
 			result.RejectedRequests++
 		} else {
-			c.fail(r, got)
+			c.fail(request, got)
 		}
-		r.done = true
+		request.done = true
 		return
 	}
-	wait := e.scenario.Clients.Backoff.D()
-	if got == rejected && t.retryAfter > 0 && c.random.Float64() < e.scenario.Clients.RetryAfterShare {
-		wait = t.retryAfter
+	wait := engine.scenario.Clients.Backoff.D()
+	if got == rejected && try.retryAfter > 0 && c.random.Float64() < engine.scenario.Clients.RetryAfterShare {
+		wait = try.retryAfter
 	}
-	e.clock.After(wait, func() { c.send(r, t.number+1, t.gateway) })
+	engine.clock.After(wait, func() { c.send(request, try.number+1, try.gateway) })
 }
 
 // complete ends a request that was served.
-func (c *clients) complete(t *try) {
-	e, r, result := c.engine, t.request, &c.engine.result
-	if e.scenario.Load.DeclaredDeviation > 0 {
-		e.checker.UnitsSettled(t.id, r.units)
+func (c *clients) complete(try *try) {
+	engine, r, result := c.engine, try.request, &c.engine.result
+	if engine.scenario.Load.DeclaredDeviation > 0 {
+		engine.checker.UnitsSettled(try.id, r.units)
 	}
 	if r.done {
 		return
 	}
 	r.done = true
-	took := e.clock.Now() - r.startedAt
+	took := engine.clock.Now() - r.startedAt
 	result.recordAnswerTime(r.class, took)
-	class := &e.settings.Classes[r.class]
+	class := &engine.settings.Classes[r.class]
 	value := c.value(r)
 	if took <= class.LatencyObjective {
 		result.InTime++
@@ -171,7 +174,7 @@
 		result.Late++
 		value *= class.LateFraction
 	}
-	if e.checker.IsWithinQuota(t.id) {
+	if engine.checker.IsWithinQuota(try.id) {
 		result.ServedValue += value
 	}
 }
--- a/internal/lab/simulation/utilisation.go
+++ b/internal/lab/simulation/utilisation.go
@@ -62,7 +62,7 @@
 
 // closeUtilisation takes the utilisation of each zone in the second that ends.
 func (e *engine) closeUtilisation() {
-	r := &e.result
+	result := &e.result
 	capacity, full := e.zoneCapacities()
 	for zone, work := range e.zoneWork {
 		if capacity[zone] <= 0 || capacity[zone] < minReadyCapacity*full[zone] {
@@ -70,7 +70,7 @@
 			continue
 		}
 		used := work.Seconds() / capacity[zone]
-		r.PeakUtilisation = max(r.PeakUtilisation, used)
+		result.PeakUtilisation = max(result.PeakUtilisation, used)
 		recent := e.recentUtilisation[zone]
 		recent = append(recent, used)
 		recent = recent[max(len(recent)-peakSeconds, 0):]
@@ -80,7 +80,7 @@
 			for _, one := range recent {
 				sum += one
 			}
-			r.PeakUtilisationOver5s = max(r.PeakUtilisationOver5s, sum/peakSeconds)
+			result.PeakUtilisationOver5s = max(result.PeakUtilisationOver5s, sum/peakSeconds)
 		}
 	}
 	clear(e.zoneWork)
@@ -88,19 +88,19 @@
 
 // finish completes the result at the end of a run.
 func (e *engine) finish() *Result {
-	r := &e.result
-	r.ForwardedUnits, r.OverQuotaUnits = e.checker.ForwardedUnits, e.checker.OverQuotaUnits
-	r.OverQuotaPenalty = e.checker.OverQuotaPenalty
-	r.Violations, r.ViolationCounts = e.checker.Violations, e.checker.Counts
-	r.CounterCalls, r.RejectedCounterCalls = e.counter.calls, e.counter.rejectedCalls
+	result := &e.result
+	result.ForwardedUnits, result.OverQuotaUnits = e.checker.ForwardedUnits, e.checker.OverQuotaUnits
+	result.OverQuotaPenalty = e.checker.OverQuotaPenalty
+	result.Violations, result.ViolationCounts = e.checker.Violations, e.checker.Counts
+	result.CounterCalls, result.RejectedCounterCalls = e.counter.calls, e.counter.rejectedCalls
 	var loads []float64
 	for _, s := range e.servers {
 		if s.restarts == 0 && s.state == policy.Ready {
 			loads = append(loads, s.workDone.Seconds())
 		}
 	}
-	r.LoadDeviation = relativeDeviation(loads)
-	return r
+	result.LoadDeviation = relativeDeviation(loads)
+	return result
 }
 
 // relativeDeviation is the standard deviation of loads over their mean.
--- a/internal/lab/simulation/utilisation_test.go
+++ b/internal/lab/simulation/utilisation_test.go
@@ -11,7 +11,7 @@
 // TestResult_eachFailedRequestHasOneCause: each failed request counts under one cause, also where gateways die or are paused
 // while their clients disconnect.
 func TestResult_eachFailedRequestHasOneCause(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		kind  string // of the fault; empty: none
 		cause func(FailureCauses) int
@@ -21,17 +21,17 @@
 		{"gateways killed", scenario.GatewayKill, func(f FailureCauses) int { return f.WithGateway }},
 		{"gateways paused", scenario.GatewayPause, func(f FailureCauses) int { return f.InFlight }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			spec := smallScenario()
-			if c.kind != "" {
+			if test.kind != "" {
 				spec.Faults = []scenario.Fault{{
-					Kind: c.kind, Start: span(3 * time.Second), Duration: span(4 * time.Second), Fraction: 0.5, Magnitude: 0.8,
+					Kind: test.kind, Start: span(3 * time.Second), Duration: span(4 * time.Second), Fraction: 0.5, Magnitude: 0.8,
 				}}
 			}
 			spec.Load.Rate = 500
 			r := mustRun(t, spec, 3, baseline.Module)
 			f := r.FailureCauses
-			if all := f.BetweenTries + f.Terminated + f.WithGateway + f.InFlight; all != r.Failed || c.cause(f) == 0 {
+			if all := f.BetweenTries + f.Terminated + f.WithGateway + f.InFlight; all != r.Failed || test.cause(f) == 0 {
 				t.Errorf("%d requests failed, by cause %+v", r.Failed, f)
 			}
 			if ended := r.InTime + r.Late + r.RejectedRequests + r.Failed; ended > r.Offered {
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -92,20 +92,20 @@
 }
 
 // read answers a read once there is a later table than it knows, at the latest after the wait.
-func (v *voter) read(r *read) {
+func (v *voter) read(pending *read) {
 	if v.dead {
 		return
 	}
 	c := v.coordinator
 	c.countMessage(v, func(m *Messages) *int { return &m.Reads })
-	if v.table.Epoch > r.knownEpoch || !v.isConfirmed() {
-		v.answer(r)
+	if v.table.Epoch > pending.knownEpoch || !v.isConfirmed() {
+		v.answer(pending)
 		return
 	}
-	v.waitingReads = append(v.waitingReads, r)
+	v.waitingReads = append(v.waitingReads, pending)
 	c.engine.clock.After(c.settings.ReadWait.D(), func() {
-		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(other *read) bool { return other == r })
-		v.answer(r)
+		v.waitingReads = slices.DeleteFunc(v.waitingReads, func(other *read) bool { return other == pending })
+		v.answer(pending)
 	})
 }
 
