--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -36,12 +36,19 @@
 replaces = 3
 `
 
-// What a file leaves out has its default.
-func TestRead_fillsInDefaults(t *testing.T) {
+// writeFile writes an operators' file, and returns its path.
+func writeFile(t *testing.T, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "common.toml")
-	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
+	return path
+}
+
+// What a file leaves out has its default.
+func TestRead_fillsInDefaults(t *testing.T) {
+	path := writeFile(t, validFile)
 	c, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -147,11 +154,8 @@
 
 // An operator who sees one fault at a time mends a file in as many rounds as it has faults.
 func TestRead_reportsAllFaultsAtOnceWithTheFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "common.toml")
 	text := "[process]\nname = 7\nvoter = 1\nhul = \"a\"\n[timing]\nlease = \"1ms\"\n"
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	path := writeFile(t, text)
 	_, err := Read(path)
 	if err == nil {
 		t.Fatal("accepted")
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -105,12 +104,8 @@
 
 // What a file leaves out has the same value as before.
 func TestGolden_defaults(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "least.toml")
 	text := "[process]\nname = \"g1\"\nsingle = true\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = \"127.0.0.1:7411\"\n"
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	got, err := Read(path)
+	got, err := Read(writeFile(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,10 +146,7 @@
 			if n := strings.Count(full, refusal.Replace); n != 1 {
 				t.Fatalf("%q stands %d times in %s", refusal.Replace, n, goldenFile)
 			}
-			path := filepath.Join(t.TempDir(), "common.toml")
-			if err := os.WriteFile(path, []byte(strings.Replace(full, refusal.Replace, refusal.With, 1)), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			path := writeFile(t, strings.Replace(full, refusal.Replace, refusal.With, 1))
 			_, err := Read(path)
 			if err == nil {
 				t.Fatal("the file is accepted")
--- a/internal/coordination/node/golden_test.go
+++ b/internal/coordination/node/golden_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"bytes"
-	"os"
 	"path/filepath"
 	"regexp"
 	"testing"
 
 	"harrierhoist/internal/coordination/follower"
 	"harrierhoist/internal/testing/fakes"
+	"harrierhoist/internal/testing/golden"
 )
 
 // The command by which the leader writes a new group ID, as it stands in the log: {1: 1, 2: "v1/(when its process
@@ -31,18 +31,7 @@
 		n.Close()
 	}
 	for _, name := range []string{"v1", "v2", "v3"} {
-		files, err := filepath.Glob(filepath.Join(site.dir, name, "*"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var log []byte
-		for _, file := range files {
-			text, err := os.ReadFile(file)
-			if err != nil {
-				t.Fatal(err)
-			}
-			log = append(log, text...)
-		}
+		log := golden.ReadFolder(t, filepath.Join(site.dir, name))
 		at := groupIDCommand.FindIndex(log)
 		if at == nil || at[0] == 0 || log[at[0]-1] != 0xa7 {
 			t.Errorf("%s: the command is not in the log", name)
--- a/internal/coordination/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"harrierhoist/internal/coordination/observation"
@@ -31,18 +29,7 @@
 	v.AddDigests([]observation.Digest{{Process: "g1", Incarnation: 7, Serial: 1, Exact: map[string]uint64{"owed": 300}}})
 	stands("0 300")
 	group.stop(1)
-	var log []byte
-	files, err := filepath.Glob(filepath.Join(folder, "*"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, file := range files {
-		text, err := os.ReadFile(file)
-		if err != nil {
-			t.Fatal(err)
-		}
-		log = append(log, text...)
-	}
+	log := golden.ReadFolder(t, folder)
 	for _, name := range []string{"decision.cbor", "exact.cbor"} {
 		if want := golden.Read(t, name); len(want) == 0 || !bytes.Contains(log, want) {
 			t.Errorf("%s is not in the log: %q", name, want)
--- a/internal/coordination/wal/frame_test.go
+++ b/internal/coordination/wal/frame_test.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"testing"
 )
@@ -42,10 +40,7 @@
 func TestReadFrames_damageIsRepairedOrRejected(t *testing.T) {
 	folder := t.TempDir()
 	mustAppend(t, folder, sampleRecords()...)
-	log, err := os.ReadFile(filepath.Join(folder, logName))
-	if err != nil {
-		t.Fatal(err)
-	}
+	log := readLog(t, folder)
 	intact, err := readFrames(log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coordination/wal/golden_test.go
+++ b/internal/coordination/wal/golden_test.go
@@ -44,9 +44,10 @@
 	return l
 }
 
-func (l *Log) logBytes(t *testing.T) []byte {
+// readLog returns the bytes of a folder's log.
+func readLog(t *testing.T, folder string) []byte {
 	t.Helper()
-	log, err := os.ReadFile(filepath.Join(l.folder, logName))
+	log, err := os.ReadFile(filepath.Join(folder, logName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +67,7 @@
 		}
 	}
 	want := golden.Read(t, "log")
-	if got := voterLog.logBytes(t); !bytes.Equal(got, want) || voterLog.Size() != int64(len(want)) {
+	if got := readLog(t, voterLog.folder); !bytes.Equal(got, want) || voterLog.Size() != int64(len(want)) {
 		t.Errorf("%d bytes, %x; size %d", len(got), sha256.Sum256(got), voterLog.Size())
 	}
 }
@@ -90,13 +91,13 @@
 		incarnation != 2 || id != goldenDiskID || repaired != 0 {
 		t.Errorf("%d records, incarnation %d, disk ID %s, %d repaired", len(records), incarnation, id, repaired)
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(voterLog.logBytes(t))); got != goldenReopened {
+	if got := fmt.Sprintf("%x", sha256.Sum256(readLog(t, voterLog.folder))); got != goldenReopened {
 		t.Errorf("after its opening %s", got)
 	}
 	if err := voterLog.Rewrite(goldenRecords(t)[0]); err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256(voterLog.logBytes(t))); got != goldenRewritten {
+	if got := fmt.Sprintf("%x", sha256.Sum256(readLog(t, voterLog.folder))); got != goldenRewritten {
 		t.Errorf("after it was rewritten %s", got)
 	}
 }
--- a/internal/coordination/wal/log_test.go
+++ b/internal/coordination/wal/log_test.go
@@ -75,10 +75,7 @@
 func TestLog_tornWriteLeavesAcknowledgedRecords(t *testing.T) {
 	folder := t.TempDir()
 	mustAppend(t, folder, sampleRecords()[:4]...)
-	complete, err := os.ReadFile(filepath.Join(folder, logName))
-	if err != nil {
-		t.Fatal(err)
-	}
+	complete := readLog(t, folder)
 	acknowledged, err := readFrames(complete)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -30,6 +30,23 @@
 	return decodeHex(t, strings.TrimSpace(string(Read(t, name))))
 }
 
+// ReadFolder returns the bytes of all files of a folder that the code under test wrote, in the order of their names.
+func ReadFolder(t testing.TB, folder string) (all []byte) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(folder, "*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		content, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, content...)
+	}
+	return all
+}
+
 // Check compares bytes with those of a file under testdata.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -4,6 +4,8 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"os"
+	"path/filepath"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -62,6 +64,18 @@
 	}
 }
 
+func TestReadFolder_hasAllFilesInOrder(t *testing.T) {
+	folder := t.TempDir()
+	for name, content := range map[string]string{"b": "two", "a": "one ", "c": ""} {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(content), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got := ReadFolder(t, folder); string(got) != "one two" {
+		t.Errorf("read %q", got)
+	}
+}
+
 func TestReadHex_readsAllDigits(t *testing.T) {
 	if got := ReadHex(t, "three.hex"); !bytes.Equal(got, []byte{10, 11, 12}) {
 		t.Errorf("read %x", got)
