--- a/cmd/harrierhoist/clients_test.go
+++ b/cmd/harrierhoist/clients_test.go
@@ -10,17 +10,17 @@
 	gateway := startGateway(t, 1024, answerHello)
 	idle, incomplete, active := gateway.connect(), gateway.connect(), gateway.connect()
 	incomplete.send("*4\r\n$9\r\nSVC.Q")
-	active.query(lookList, "hello")
+	active.query(queryList, "hello")
 	idle.wantClosed()
 	incomplete.wantClosed()
-	active.query(lookList, "hello")
+	active.query(queryList, "hello")
 }
 
 func TestIdleClients_floodTakesNoConnectionFromOthers(t *testing.T) {
 	gateway := startGateway(t, 40, answerHello) // eight connections
 	c := gateway.connect()
 	for range 5 {
-		c.query(lookList, "hello")
+		c.query(queryList, "hello")
 		for range 20 {
 			gateway.connect()
 		}
@@ -47,7 +47,7 @@
 	var idle []*client
 	for range 30 {
 		c := gateway.connect()
-		c.query(lookList, "hello")
+		c.query(queryList, "hello")
 		idle = append(idle, c)
 	}
 	idle[0].wantClosed() // it was idle longest
@@ -58,7 +58,7 @@
 	var connected []*client
 	for range 6 {
 		c := gateway.connect()
-		c.query(lookList, "hello")
+		c.query(queryList, "hello")
 		connected = append(connected, c)
 	}
 	_ = connected[0].SetDeadline(time.Now().Add(5 * time.Second)) // as idle as that, it would be closed later still
@@ -74,6 +74,6 @@
 	}
 	for range 8 {
 		c := gateway.connect()
-		c.query(longLookList, "hello")
+		c.query(longQueryList, "hello")
 	}
 }
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -116,7 +116,7 @@
 
 	idle := connectIdleClients(t, gateway.addr, 120)
 	fakes.Eventually(t, "a flood", func() bool { return idle.closed.Load() >= 40 }) // all connections taken, twice over
-	gateway.connect().query(longLookList, "hello")
+	gateway.connect().query(longQueryList, "hello")
 	gateway.counter.NextCall(t) // neither was called before
 	before := discovery.calls.Load()
 	fakes.Eventually(t, "calls to discovery", func() bool { return discovery.calls.Load() > before+2 }) // on new connections
@@ -124,13 +124,13 @@
 	fakes.Eventually(t, "the list applied", func() bool {
 		client := gateway.connect()
 		defer func() { _ = client.Close() }()
-		client.send(queryCommand(longLookList))
+		client.send(queryCommand(longQueryList))
 		answer, _ := client.readAnswer()
 		return answer == "later"
 	})
 	idle.stop()
 	for range 30 { // and all is as before
-		gateway.connect().query(longLookList, "later")
+		gateway.connect().query(longQueryList, "later")
 	}
 	if n := gateway.log.Count("listener: accept failed"); n > 0 {
 		t.Errorf("%d times no client could be accepted", n)
--- a/cmd/harrierhoist/faults_test.go
+++ b/cmd/harrierhoist/faults_test.go
@@ -46,7 +46,7 @@
 	}
 	c := gateway.connect()
 	for range 9 {
-		c.query(lookList, "other")
+		c.query(queryList, "other")
 	}
 }
 
@@ -55,7 +55,7 @@
 	defer gateway.counter.Hold()()
 	c := gateway.connect()
 	for range 5 {
-		c.query(lookList, "hello")
+		c.query(queryList, "hello")
 	}
 }
 
@@ -69,7 +69,7 @@
 		return strings.Contains(string(stat), ") T ")
 	})
 	short.send(queryCommand("c=look,t=wide,d=100"))
-	long.send(queryCommand(longLookList))
+	long.send(queryCommand(longQueryList))
 	time.Sleep(300 * time.Millisecond)
 	gateway.signal(syscall.SIGCONT)
 	short.want("-ERR deadline passed")
@@ -83,7 +83,7 @@
 	gateway := startGateway(t, 1024, answerHello)
 	c := gateway.connect()
 	gateway.reload(`{"listen":`, "gateway: configuration refused")
-	c.query(lookList, "hello")
+	c.query(queryList, "hello")
 	gateway.counter.NextCall(t)
 
 	other := fakes.NewServer(t, answering("other"))
@@ -96,7 +96,7 @@
 	// calls come all the same, and to the new one alone.
 	before := len(gateway.counter.Calls)
 	fakes.Eventually(t, "calls to the new counter", func() bool {
-		c.query(lookList, "other")
+		c.query(queryList, "other")
 		return len(counter.Calls) >= 3
 	})
 	if n := len(gateway.counter.Calls); n > before {
--- a/cmd/harrierhoist/gateway_test.go
+++ b/cmd/harrierhoist/gateway_test.go
@@ -206,8 +206,8 @@
 
 // Two lists of a query that any client may send.
 const (
-	lookList     = "c=look,t=wide,d=4800"
-	longLookList = "c=look,t=wide,d=9000"
+	queryList     = "c=look,t=wide,d=4800"
+	longQueryList = "c=look,t=wide,d=9000"
 )
 
 func answerHello([]string) string { return fakes.FormatValue("hello", 3) }
--- a/cmd/harrierhoist/notified_test.go
+++ b/cmd/harrierhoist/notified_test.go
@@ -47,12 +47,12 @@
 			})
 			c := gateway.connect()
 			for len(recovered) == 0 {
-				c.query(lookList, "hello|other") // other: as the list is applied
+				c.query(queryList, "hello|other") // other: as the list is applied
 				time.Sleep(50 * time.Millisecond)
 			}
 			time.Sleep(time.Until((<-recovered).Add(5 * time.Second)))
 			for range 9 {
-				c.query(lookList, "other")
+				c.query(queryList, "other")
 			}
 		})
 	}
--- a/cmd/harrierhoist/reload_test.go
+++ b/cmd/harrierhoist/reload_test.go
@@ -77,7 +77,7 @@
 			release := make(chan bool)
 			gateway := startGateway(t, 1024, func([]string) string { <-release; return fakes.FormatValue("hello", 1) })
 			inFlight := gateway.connect()
-			inFlight.send(queryCommand(longLookList))
+			inFlight.send(queryCommand(longQueryList))
 			gateway.server.NextCommand(t)
 			moved := fakes.NewDiscovery(t, gateway.host())
 			sendSignals(gateway, configuration(gateway.addr, moved.Addr, fakes.NewCounter(t).Addr, "null"))
@@ -114,14 +114,14 @@
 	fakes.Eventually(g, "requests at "+e.value, func() bool {
 		client := g.connect()
 		defer func() { _ = client.Close() }()
-		client.send(queryCommand(longLookList))
+		client.send(queryCommand(longQueryList))
 		answer, _ := client.readAnswer()
 		return answer == e.value
 	})
 	for len(e.counter.Calls) > 0 {
 		e.counter.NextCall(g)
 	}
-	g.connect().query(longLookList, e.value)
+	g.connect().query(longQueryList, e.value)
 	e.counter.NextCall(g)
 }
 
--- a/cmd/harrierhoist/requests_test.go
+++ b/cmd/harrierhoist/requests_test.go
@@ -85,7 +85,7 @@
 		_, _ = io.WriteString(c, text) // may be cut short where it has no end
 		c.want("-ERR .*")
 		if stays {
-			c.query(lookList, "hello")
+			c.query(queryList, "hello")
 			continue
 		}
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
@@ -97,7 +97,7 @@
 	release := make(chan bool)
 	gateway := startGateway(t, 1024, func([]string) string { <-release; return fakes.FormatValue("hello", 1) })
 	c, other := gateway.connect(), gateway.connect()
-	same := queryCommand(lookList)
+	same := queryCommand(queryList)
 	c.send(same)
 	gateway.server.NextCommand(t)
 	other.send(same)
@@ -108,7 +108,7 @@
 	other.want("hello")
 }
 
-func TestAnswers_keepTheOrderOfRequests(t *testing.T) {
+func TestAnswers_areInTheOrderOfRequests(t *testing.T) {
 	release := make(chan bool)
 	gateway := startGateway(t, 1024, func(words []string) string {
 		if strings.Contains(words[3], "n=1") {
--- a/cmd/harrierhoist/start_test.go
+++ b/cmd/harrierhoist/start_test.go
@@ -43,7 +43,7 @@
 	gateway.process, gateway.log = startProgram(t, "RELAY_CONFIG="+gateway.configPath, "RELAY_COMMON="+coordinationPath)
 	end := waitForReader(t, coordinationPath)
 	requesting, pinging := gateway.connect(), gateway.connect()
-	requesting.send(queryCommand(longLookList))
+	requesting.send(queryCommand(longQueryList))
 	pinging.send(fakes.FormatCommand("PING"))
 	gateway.signal(syscall.SIGTERM, syscall.SIGTERM)
 	const process = "[process]\nname = \"g\"\nhall = \"hall-a\"\nsingle = true\n"
--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -32,7 +32,7 @@
 	gateway.server.NextCommand(t)
 	for range 3 {
 		c := gateway.connect()
-		c.send(queryCommand(longLookList))
+		c.send(queryCommand(longQueryList))
 		all = append(all, c)
 	}
 	gateway.terminate()
@@ -60,7 +60,7 @@
 			}
 		}
 	}()
-	silent.query(lookList, "hello")
+	silent.query(queryList, "hello")
 	rest, err := io.ReadAll(sending.in) // its end is in order: no answer is lost to a reset
 	if pongs := strings.Count(string(rest), "+PONG\r\n"); err != nil || pongs == 0 || pongs*len("+PONG\r\n") != len(rest) {
 		t.Errorf("%d answers in %d bytes, then %v", pongs, len(rest), err)
@@ -82,7 +82,7 @@
 	gateway.terminate()
 	late, silent := gateway.connect(), gateway.connect()
 	for _, c := range []*client{idle, late} {
-		c.query(lookList, "hello")
+		c.query(queryList, "hello")
 	}
 	idle.wantClosed()
 	late.wantClosed()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -86,7 +86,9 @@
 	retain("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
 		g.ConnectTimeout = previous.ConnectTimeout
 	})
-	retain("settings.PolicyLimits.IdleCloseMs", g.IdleTimeout == previous.IdleTimeout, func() { g.IdleTimeout = previous.IdleTimeout })
+	retain("settings.PolicyLimits.IdleCloseMs", g.IdleTimeout == previous.IdleTimeout, func() {
+		g.IdleTimeout = previous.IdleTimeout
+	})
 	return keys
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// An operator with a wrong value was told the key alone, or not what is allowed there; with several files about, which one
+// A refusal of a wrong value named the key alone, or not what is allowed there; with several files about, which one
 // was wrong was left to guess.
 func TestRead_refusalNamesFileKeyAndAllowedRange(t *testing.T) {
 	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED","limits":{"sockets":SOCKETS},"settings":{}}`
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -68,7 +68,8 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	// No field is left out of the comparison: each has a value other than its zero value (Retired has no key, and only another class is a stream).
+	// No field is left out of the comparison: each has a value other than its zero value (Retired has no key, and only another
+	// class is a stream).
 	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -195,7 +195,7 @@
 	})
 }
 
-// Errors are told apart by what they wrap.
+// A caller distinguishes errors by what they wrap.
 func TestGet_errorsAreTyped(t *testing.T) {
 	for name, want := range map[string]error{"silence": errTimeout, "503": errRejected, "never ends": errTooLong} {
 		runVirtual(t, name, func(t *testing.T) {
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -65,7 +65,7 @@
 // at a time.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	var trial *canary.Controller // one for all configurations, while the lease stays: a reload does not begin a canary anew
+	var trial *canary.Controller // one for all configurations, while the lease stays: a reload does not restart a canary
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
