--- a/internal/lab/simulation/local_controller.go
+++ b/internal/lab/simulation/local_controller.go
@@ -9,6 +9,12 @@
 	"harrierhoist/internal/failover"
 )
 
+// Names of the counts of package zonestats that every gateway sees of every zone.
+const (
+	countReadyTime  = "ready"
+	countReadyPower = "strength"
+)
+
 // localController decides by what one gateway counted alone.
 type localController struct {
 	coordination.Controller
@@ -50,7 +56,7 @@
 	perZone := uint64(max(len(c.followers)/len(c.zones), 1))
 	for name, n := range counts {
 		parts := observation.SplitName(name)
-		if parts[0] == "ready" || parts[0] == "strength" {
+		if parts[0] == countReadyTime || parts[0] == countReadyPower {
 			all[name] = n * perZone * uint64(len(c.zones))
 			continue
 		}
