--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -45,36 +45,36 @@
 }
 
 func runDemo(cmd *cobra.Command, duration time.Duration, dir string) (err error) {
-	s, err := demoScenario()
+	demo, err := demoScenario()
 	if err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
-	c, err := startCluster(cmd.Context(), s, io.Discard)
+	running, err := startCluster(cmd.Context(), demo, io.Discard)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, c.stop()) }()
+	defer func() { err = errors.Join(err, running.stop()) }()
 	_, err = fmt.Fprintf(out, "%d emulated servers, a counter, discovery; gateways at %v\n"+
 		"%g requests a second for %v; the first server falls silent for the middle third\n",
-		len(c.Servers), c.addresses, s.Load.Rate, duration)
+		len(running.Servers), running.addresses, demo.Load.Rate, duration)
 	if err != nil {
 		return err
 	}
-	time.AfterFunc(duration/3, func() { c.Servers[0].SetSilent(true) })
-	time.AfterFunc(2*duration/3, func() { c.Servers[0].SetSilent(false) })
+	time.AfterFunc(duration/3, func() { running.Servers[0].SetSilent(true) })
+	time.AfterFunc(2*duration/3, func() { running.Servers[0].SetSilent(false) })
 	driver := &load.Driver{
-		Scenario: s, Gateways: c.addresses, Rate: s.Load.Rate, Duration: duration, Seed: 1, Recorder: c.Recorder,
+		Scenario: demo, Gateways: running.addresses, Rate: demo.Load.Rate, Duration: duration, Seed: 1, Recorder: running.Recorder,
 		Progress: cmd.ErrOrStderr(),
 	}
 	report, err := driver.Run(cmd.Context())
 	if err != nil {
 		return err
 	}
-	if err := report.WriteTable(out, s.Classes); err != nil {
+	if err := report.WriteTable(out, demo.Classes); err != nil {
 		return err
 	}
-	if _, err := io.WriteString(out, formatBackend(c)); err != nil {
+	if _, err := io.WriteString(out, formatBackend(running)); err != nil {
 		return err
 	}
 	file, err := writeChart(dir, report)
@@ -119,18 +119,18 @@
 		{"rejected", func(s load.Second) int { return s.Rejected }},
 		{"failed", func(s load.Second) int { return s.Failed }},
 	}
-	for i, s := range series {
+	for i, line := range series {
 		points := plotter.XYs{}
 		for n, second := range report.Seconds {
-			points = append(points, plotter.XY{X: float64(n), Y: float64(s.value(second))})
+			points = append(points, plotter.XY{X: float64(n), Y: float64(line.value(second))})
 		}
-		line, err := plotter.NewLine(points)
+		curve, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		line.Color = plotutil.Color(i)
-		chart.Add(line)
-		chart.Legend.Add(s.name, line)
+		curve.Color = plotutil.Color(i)
+		chart.Add(curve)
+		chart.Legend.Add(line.name, curve)
 	}
 	file := filepath.Join(dir, "loadlab-demo.svg")
 	return file, chart.Save(7*vg.Inch, 3.5*vg.Inch, file)
--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -41,7 +41,7 @@
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	results, charts, found := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "charts"), filepath.Join(dir, "found.toml")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		args  []string
 		want  string
@@ -56,10 +56,10 @@
 		{"check what was found", []string{"check", found}, "calm-found", 0},
 		{"troubles", []string{"troubles"}, "counter_split", 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			got := run(t, c.args...)
-			if n := strings.Count(got, c.want); n == 0 || c.times > 0 && n != c.times {
-				t.Errorf("%q stands %d times in\n%s", c.want, n, got)
+		t.Run(test.name, func(t *testing.T) {
+			got := run(t, test.args...)
+			if n := strings.Count(got, test.want); n == 0 || test.times > 0 && n != test.times {
+				t.Errorf("%q stands %d times in\n%s", test.want, n, got)
 			}
 		})
 	}
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -94,22 +94,22 @@
 }
 
 func runCompare(cmd *cobra.Command, files, variants []string) error {
-	a, err := experiment.ReadResults(files[0])
+	first, err := experiment.ReadResults(files[0])
 	if err != nil {
 		return err
 	}
-	b := a
+	second := first
 	if len(files) == 2 {
-		if b, err = experiment.ReadResults(files[1]); err != nil {
+		if second, err = experiment.ReadResults(files[1]); err != nil {
 			return err
 		}
 	} else if len(variants) != 2 {
 		return errNeedsVariants
 	}
 	if len(variants) == 2 {
-		a, b = ofVariant(a, variants[0]), ofVariant(b, variants[1])
+		first, second = ofVariant(first, variants[0]), ofVariant(second, variants[1])
 	}
-	pairs := experiment.Compare(a, b)
+	pairs := experiment.Compare(first, second)
 	if len(pairs) == 0 {
 		return errNoPairs
 	}
--- a/cmd/loadlab/size.go
+++ b/cmd/loadlab/size.go
@@ -19,7 +19,7 @@
 func sizeCommand() *cobra.Command {
 	var sizes []int
 	seconds := 10
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "size SCENARIO.toml",
 		Short: "how fast simulations run, and what they cost, from few gateways to thousands", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -42,9 +42,9 @@
 			return nil
 		},
 	}
-	c.Flags().IntSliceVar(&sizes, "gateways", []int{10, 100, 1000}, "sizes")
-	c.Flags().IntVar(&seconds, "seconds", 10, "of virtual time, at most")
-	return c
+	command.Flags().IntSliceVar(&sizes, "gateways", []int{10, 100, 1000}, "sizes")
+	command.Flags().IntVar(&seconds, "seconds", 10, "of virtual time, at most")
+	return command
 }
 
 // measure runs a scenario once and writes a line on its costs.
--- a/internal/conformance/change_test.go
+++ b/internal/conformance/change_test.go
@@ -17,20 +17,20 @@
 	repoRoot           = "../.."
 )
 
-// failedRow finds the rows that failed in the output of go test -v.
-var failedRow = regexp.MustCompile(`(?m)^ +--- FAIL: TestRows/[^/]+/(\S+)/(module|process)`)
+// failedCase finds the cases that failed in the output of go test -v.
+var failedCase = regexp.MustCompile(`(?m)^ +--- FAIL: TestCases/[^/]+/(\S+)/(module|process)`)
 
-// rowRun is a row together with what it ran against.
-type rowRun struct{ row, target string }
+// caseRun is a case together with what it ran against.
+type caseRun struct{ name, target string }
 
-// Each broken program is built in place of the real one by an overlay. All rows run against its module, and some against
-// a process of it. Those named for the change must fail. Each row must be failed by some change, wherever it runs.
+// Each broken program is built in place of the real one by an overlay. All cases run against its module, and some against
+// a process of it. Those named for the change must fail. Each case must be failed by some change, wherever it runs.
 func TestChangesAreCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the module for each change")
 	}
 	suite, places := loadSuite(t), make(chan struct{}, maxParallelChanges)
-	caught := make([]map[rowRun]bool, len(suite.Changes))
+	caught := make([]map[caseRun]bool, len(suite.Changes))
 	t.Run("change", func(t *testing.T) {
 		for i, change := range suite.Changes {
 			t.Run(change.Name, func(t *testing.T) {
@@ -41,16 +41,16 @@
 			})
 		}
 	})
-	for _, row := range suite.Rows {
+	for _, testCase := range suite.Cases {
 		for _, target := range []string{againstModule, againstProcess} {
-			if row.runsAgainst(target) && !anyCaught(caught, rowRun{row.ID, target}) {
-				t.Errorf("row %s: no change makes it fail against the %s", row.ID, target)
+			if testCase.runsAgainst(target) && !anyCaught(caught, caseRun{testCase.ID, target}) {
+				t.Errorf("case %s: no change makes it fail against the %s", testCase.ID, target)
 			}
 		}
 	}
 }
 
-func anyCaught(caught []map[rowRun]bool, run rowRun) bool {
+func anyCaught(caught []map[caseRun]bool, run caseRun) bool {
 	for _, failed := range caught {
 		if failed[run] {
 			return true
@@ -59,22 +59,22 @@
 	return false
 }
 
-// checkChange runs the rows against a broken program, requires those named to fail, and returns all that did.
-func checkChange(t *testing.T, change Change) map[rowRun]bool {
+// checkChange runs the cases against a broken program, requires those named to fail, and returns all that did.
+func checkChange(t *testing.T, change Change) map[caseRun]bool {
 	t.Helper()
 	overlay, variant := writeOverlay(t, change), strings.ReplaceAll(cmp.Or(change.Variant, Plain.Name), " ", "_")
-	failed := map[rowRun]bool{}
-	if len(change.ModuleRows) > 0 {
-		collectFailures(t, failed, overlay, "^TestRows$/^"+variant+"$/./^module$")
+	failed := map[caseRun]bool{}
+	if len(change.ModuleCases) > 0 {
+		collectFailures(t, failed, overlay, "^TestCases$/^"+variant+"$/./^module$")
 	}
-	if len(change.ProcessRows) > 0 {
+	if len(change.ProcessCases) > 0 {
 		collectFailures(t, failed, overlay,
-			"^TestRows$/^"+variant+"$/^("+strings.Join(change.ProcessRows, "|")+")$/^process$")
+			"^TestCases$/^"+variant+"$/^("+strings.Join(change.ProcessCases, "|")+")$/^process$")
 	}
-	for target, rows := range map[string][]string{againstModule: change.ModuleRows, againstProcess: change.ProcessRows} {
-		for _, row := range rows {
-			if !failed[rowRun{row, target}] {
-				t.Errorf("row %s passes against the %s with this change", row, target)
+	for target, names := range map[string][]string{againstModule: change.ModuleCases, againstProcess: change.ProcessCases} {
+		for _, name := range names {
+			if !failed[caseRun{name, target}] {
+				t.Errorf("case %s passes against the %s with this change", name, target)
 			}
 		}
 	}
@@ -119,17 +119,17 @@
 	return file
 }
 
-// collectFailures runs rows with an overlay and adds those that fail.
-func collectFailures(t *testing.T, failed map[rowRun]bool, overlay, pattern string) {
+// collectFailures runs cases with an overlay and adds those that fail.
+func collectFailures(t *testing.T, failed map[caseRun]bool, overlay, pattern string) {
 	t.Helper()
 	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-timeout="+changeTimeout, "-overlay="+overlay,
 		"-run="+pattern, "-v", ".")
 	cmd.Env = append(os.Environ(), overlayVariable+"="+overlay)
 	out, err := cmd.CombinedOutput()
 	if !strings.Contains(string(out), "--- ") || strings.Contains(string(out), "\npanic: ") {
-		t.Fatalf("the rows did not run to the end: %v\n%s", err, out)
+		t.Fatalf("the cases did not run to the end: %v\n%s", err, out)
 	}
-	for _, match := range failedRow.FindAllSubmatch(out, -1) {
-		failed[rowRun{string(match[1]), string(match[2])}] = true
+	for _, match := range failedCase.FindAllSubmatch(out, -1) {
+		failed[caseRun{string(match[1]), string(match[2])}] = true
 	}
 }
--- a/internal/conformance/client.go
+++ b/internal/conformance/client.go
@@ -12,28 +12,28 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// execute does what the clients of a process, its servers and the other gateways do in a step, and waits for the first
+// execute does what the clients of a process, its servers and the other gateways do in a action, and waits for the first
 // event that follows.
-func (p *processTarget) execute(s step) {
+func (p *processTarget) execute(todo action) {
 	p.t.Helper()
-	switch s.verb {
-	case stepRequest:
-		p.sendRequest(s)
-	case stepAnswer:
-		p.await(fmt.Sprintf("attempt %d", s.request), 0)
-		p.answerChannel(s.request) <- s.units
-		p.await(fmt.Sprintf("answered %d", s.request), 0)
-	case stepOthers:
-		p.chargeAsOthers(s.units)
-	case stepCounter:
-		p.silenceCounter(s.argument == counterSilent)
-	case stepWait:
-		time.Sleep(s.duration)
-	case stepEdge:
+	switch todo.verb {
+	case actionRequest:
+		p.sendRequest(todo)
+	case actionAnswer:
+		p.await(fmt.Sprintf("attempt %d", todo.request), 0)
+		p.answerChannel(todo.request) <- todo.units
+		p.await(fmt.Sprintf("answered %d", todo.request), 0)
+	case actionOthers:
+		p.chargeAsOthers(todo.units)
+	case actionCounter:
+		p.silenceCounter(todo.argument == counterSilent)
+	case actionWait:
+		time.Sleep(todo.duration)
+	case actionEdge:
 		time.Sleep(p.windows.untilNext(wallClock()) + clockMargin)
-	case stepMark:
-		p.events.add("mark " + s.argument)
-	case stepConnections:
+	case actionMarker:
+		p.events.add("marker " + todo.argument)
+	case actionConnections:
 		p.recordConnections()
 	}
 }
@@ -52,23 +52,23 @@
 
 // sendRequest sends a request from a client of its own and waits for its first event: with a silent counter the call,
 // else the attempt or the final answer.
-func (p *processTarget) sendRequest(s step) {
+func (p *processTarget) sendRequest(todo action) {
 	p.t.Helper()
-	customer := s.customer
+	customer := todo.customer
 	if customer == 0 {
 		customer = p.windows.customer
 	}
-	c := classes[s.class]
+	c := classes[todo.class]
 	arguments := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=0", c.name, p.plan, c.timeout.Milliseconds(),
-		s.units, p.gatewayCount)
-	command := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", customer), fmt.Sprintf("%016x", s.request), arguments)
+		todo.units, p.gatewayCount)
+	command := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", customer), fmt.Sprintf("%016x", todo.request), arguments)
 	before := len(p.events.since(0))
-	go func() { p.events.add(fmt.Sprintf("%s %d", answerEvent(p.sendCommand(command)), s.request)) }()
+	go func() { p.events.add(fmt.Sprintf("%s %d", answerEvent(p.sendCommand(command)), todo.request)) }()
 	if p.releaseCounter != nil {
 		p.await("count * *", before)
 		return
 	}
-	p.await(fmt.Sprintf("* %d", s.request), before)
+	p.await(fmt.Sprintf("* %d", todo.request), before)
 }
 
 // answerEvent names the event of an answer, by its first line.
@@ -104,7 +104,7 @@
 	return strings.TrimSpace(line)
 }
 
-// chargeAsOthers charges the row's customer as another gateway would.
+// chargeAsOthers charges the case's customer as another gateway would.
 func (p *processTarget) chargeAsOthers(units float64) {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.counter.Addr)
--- a/internal/conformance/events.go
+++ b/internal/conformance/events.go
@@ -17,7 +17,7 @@
 //	cancel N, peer-message, health-check
 //	                 what else the module asks of its host
 //	connection X     the gateway is connected to X
-//	mark W           the row's step of that name
+//	marker W           the case's action of that name
 //
 // A pattern is written likewise; a * in it matches any one word.
 type eventLog struct {
@@ -48,9 +48,9 @@
 	})
 }
 
-// violations compares events with a row and returns what is wrong.
-func violations(events [][]string, row Row, forbidden []string) []string {
-	return append(missingEvents(events, row), forbiddenEvents(events, slices.Concat(row.Forbidden, forbidden))...)
+// violations compares events with a case and returns what is wrong.
+func violations(events [][]string, testCase Case, forbidden []string) []string {
+	return append(missingEvents(events, testCase), forbiddenEvents(events, slices.Concat(testCase.Forbidden, forbidden))...)
 }
 
 // forbiddenEvents returns a message for each pattern that matches although it must not.
@@ -71,17 +71,17 @@
 }
 
 // missingEvents returns the first expected pattern that did not match, or the first event too many, as a message.
-func missingEvents(events [][]string, row Row) []string {
+func missingEvents(events [][]string, testCase Case) []string {
 	next := 0
 	for _, event := range events {
-		if next < len(row.Expected) && matches(event, row.Expected[next]) {
+		if next < len(testCase.Expected) && matches(event, testCase.Expected[next]) {
 			next++
-		} else if row.Exactly {
+		} else if testCase.Exactly {
 			return []string{fmt.Sprintf("%q is not expected, or too early", event[0])}
 		}
 	}
-	if next < len(row.Expected) {
-		return []string{fmt.Sprintf("%q is not seen", row.Expected[next])}
+	if next < len(testCase.Expected) {
+		return []string{fmt.Sprintf("%q is not seen", testCase.Expected[next])}
 	}
 	return nil
 }
--- a/internal/conformance/page.go
+++ b/internal/conformance/page.go
@@ -12,7 +12,7 @@
 // Page returns the text of docs/conformance.md.
 func (s *Suite) Page() (string, error) {
 	page, err := template.New("page").Funcs(template.FuncMap{
-		"rows": s.rowsOf, "but": s.exclusionsOf, "listed": formatList,
+		"cases": s.casesOf, "but": s.exclusionsOf, "listed": formatList,
 		"names": func(ids []string) string { return strings.Join(ids, ", ") },
 	}).Parse(pageTemplate)
 	if err != nil {
@@ -26,27 +26,27 @@
 	return out.String(), err
 }
 
-// rowsOf returns a clause's rows.
-func (s *Suite) rowsOf(clause string) (rows []Row) {
-	for _, row := range s.Rows {
-		if row.Clause == clause {
-			rows = append(rows, row)
+// casesOf returns a clause's cases.
+func (s *Suite) casesOf(clause string) (cases []Case) {
+	for _, testCase := range s.Cases {
+		if testCase.Clause == clause {
+			cases = append(cases, testCase)
 		}
 	}
-	return rows
+	return cases
 }
 
-// exclusionsOf returns the rows that a variant leaves out, each with the reason.
-func (s *Suite) exclusionsOf(variant string) (rows []string) {
-	for _, row := range s.Rows {
-		if reason := row.Exclusions[variant]; reason != "" {
-			rows = append(rows, row.ID+": "+reason)
+// exclusionsOf returns the cases that a variant leaves out, each with the reason.
+func (s *Suite) exclusionsOf(variant string) (names []string) {
+	for _, testCase := range s.Cases {
+		if reason := testCase.Exclusions[variant]; reason != "" {
+			names = append(names, testCase.ID+": "+reason)
 		}
 	}
-	return rows
+	return names
 }
 
-// formatList writes steps or patterns for a cell of the page.
+// formatList writes actions or patterns for a cell of the page.
 func formatList(items []string) string {
 	out := make([]string, len(items))
 	for i, item := range items {
--- a/internal/conformance/program.go
+++ b/internal/conformance/program.go
@@ -16,7 +16,7 @@
 // buildDir holds the built program; empty before it is built.
 var buildDir string
 
-// buildProgram builds the program once for all rows and returns its path. Cleanup removes it.
+// buildProgram builds the program once for all cases and returns its path. Cleanup removes it.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "conformance")
 	if err != nil {
--- a/internal/conformance/run_test.go
+++ b/internal/conformance/run_test.go
@@ -26,23 +26,23 @@
 	return suite
 }
 
-// TestRows runs each row with each variant: TestRows/VARIANT/ROW/module and TestRows/VARIANT/ROW/process.
-func TestRows(t *testing.T) {
+// TestCases runs each case with each variant: TestCases/VARIANT/CASE/module and TestCases/VARIANT/CASE/process.
+func TestCases(t *testing.T) {
 	suite := loadSuite(t)
 	for _, variant := range Variants {
 		t.Run(variant.Name, func(t *testing.T) {
 			t.Parallel()
-			for _, row := range suite.Rows {
-				t.Run(row.ID, func(t *testing.T) {
+			for _, testCase := range suite.Cases {
+				t.Run(testCase.ID, func(t *testing.T) {
 					t.Parallel()
-					Run(t, suite, row, variant)
+					Run(t, suite, testCase, variant)
 				})
 			}
 		})
 	}
 }
 
-// Under load a closed listener lived on in a program that was just starting, and a row's gateway found its address
+// Under load a closed listener lived on in a program that was just starting, and a case's gateway found its address
 // taken.
 func TestStart_retriesAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", listenAddress(portsUsed.Load()+1))
@@ -50,9 +50,9 @@
 		t.Cleanup(func() { _ = taken.Close() })
 	}
 	suite := loadSuite(t)
-	i := slices.IndexFunc(suite.Rows, func(row Row) bool { return row.ID == "first-check" })
+	i := slices.IndexFunc(suite.Cases, func(testCase Case) bool { return testCase.ID == "first-check" })
 	before := portsUsed.Load()
-	RunProcess(t, suite, suite.Rows[i], Plain)
+	RunProcess(t, suite, suite.Cases[i], Plain)
 	if n := portsUsed.Load() - before; n < 2 {
 		t.Errorf("%d addresses used, want another after the one that is taken", n)
 	}
--- a/internal/conformance/state.go
+++ b/internal/conformance/state.go
@@ -13,7 +13,7 @@
 )
 
 // partState is a state of an optional part at a process. The process follows a voter that holds the part's table as the
-// state needs it. No controller runs there, so the state lasts for as long as a row runs.
+// state needs it. No controller runs there, so the state lasts for as long as a case runs.
 type partState struct {
 	name, description string
 	zone              string // of the process
@@ -24,22 +24,22 @@
 	readyLines []string      // logged by the process once the state is in force
 
 	zones               []string // of the settings, the process's own first; nil: zoneA alone
-	lastServerElsewhere bool     // the last of the row's servers is in zoneB
+	lastServerElsewhere bool     // the last of the case's servers is in zoneB
 
 	leaseLostLines []string      // logged once the voter has stopped and its lease has ended; nil: it keeps running
 	settleTime     time.Duration // until the state has come, from when the process serves
 
 	counterKey      func(customer uint64) uint64
 	acceptsCustomer func(customer uint64) bool
-	onlyNamedRows   bool
+	onlyNamedCases  bool
 	makesOwnCalls   bool
 }
 
-// variant returns the state as a variant. Its rows share one voter unless the voter has to stop.
+// variant returns the state as a variant. Its cases share one voter unless the voter has to stop.
 func (s partState) variant() Variant {
 	return Variant{
 		Name: s.name, Description: s.description, CounterKey: s.counterKey, AcceptsCustomer: s.acceptsCustomer,
-		MakesOwnCalls: s.makesOwnCalls, OnlyNamedRows: s.onlyNamedRows, Process: s.launcher(),
+		MakesOwnCalls: s.makesOwnCalls, OnlyNamedCases: s.onlyNamedCases, Process: s.launcher(),
 	}
 }
 
--- a/internal/conformance/states.go
+++ b/internal/conformance/states.go
@@ -9,7 +9,7 @@
 	"harrierhoist/internal/settlement"
 )
 
-// The zones of the rows' settings.
+// The zones of the cases' settings.
 const zoneA, zoneB = "hall-a", "hall-b"
 
 // What processes log once a state is in force.
@@ -48,9 +48,9 @@
 			value: drainedZonePlan, readyLines: []string{planLine}, leaseLostLines: []string{noPlanLine},
 		},
 		{
-			name: "shedding", description: "a plan sheds all requests: the counter is not called, and no other row can hold",
+			name: "shedding", description: "a plan sheds all requests: the counter is not called, and no other case can hold",
 			zone: zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig, table: failover.Table,
-			value: sheddingPlan, readyLines: []string{planLine}, onlyNamedRows: true,
+			value: sheddingPlan, readyLines: []string{planLine}, onlyNamedCases: true,
 		},
 	}
 }
@@ -58,12 +58,12 @@
 func countingStates() []partState {
 	states := []partState{
 		{
-			name: "canary", description: "a new rule is tried on the row's customer beside the old one",
+			name: "canary", description: "a new rule is tried on the case's customer beside the old one",
 			value: countingTable(countingrule.PhaseCanary, 0), acceptsCustomer: isSampled,
 		},
 		{
 			name:        "activation scheduled",
-			description: "the new rule's activation is scheduled, an hour ahead; it is still tried on the row's customer",
+			description: "the new rule's activation is scheduled, an hour ahead; it is still tried on the case's customer",
 			value:       countingTable(countingrule.PhaseScheduled, time.Hour), acceptsCustomer: isSampled,
 		},
 		{
--- a/internal/conformance/suite.go
+++ b/internal/conformance/suite.go
@@ -1,5 +1,5 @@
-// Package conformance tests the gateway against the clauses of the design page. Each row of clauses.toml gives the steps
-// of a scenario, the events that must follow and those that must not. A row runs against the decision module through its
+// Package conformance tests the gateway against the clauses of the design page. Each case of clauses.toml gives the actions
+// of a scenario, the events that must follow and those that must not. A case runs against the decision module through its
 // host and, where its outcome is visible from outside, against a real process on sockets. docs/conformance.md is
 // generated from the file.
 package conformance
@@ -16,7 +16,7 @@
 //go:embed clauses.toml
 var suiteFile []byte
 
-// What a row may run against.
+// What a case may run against.
 const (
 	againstModule  = "module"
 	againstProcess = "process"
@@ -25,10 +25,10 @@
 
 // Suite is the data file.
 type Suite struct {
-	Forbidden []string `toml:"forbidden"` // patterns of events that no row may show
+	Forbidden []string `toml:"forbidden"` // patterns of events that no case may show
 	Clauses   []Clause `toml:"clause"`
 	Plans     []Plan   `toml:"plan"`
-	Rows      []Row    `toml:"row"`
+	Cases     []Case   `toml:"case"`
 	Changes   []Change `toml:"change"`
 }
 
@@ -39,15 +39,15 @@
 	Source string `toml:"source"`  // the paragraph of the design page
 }
 
-// Plan is what a row's customers have bought.
+// Plan is what a case's customers have bought.
 type Plan struct {
 	Name  string  `toml:"name"`
 	Rate  float64 `toml:"rate"`  // units a second, above 0
 	Burst float64 `toml:"burst"` // units, above 0
 }
 
-// Row is a test of a clause. The syntax of steps is described at step, that of patterns at eventLog.
-type Row struct {
+// Case is a test of a clause. The syntax of actions is described at action, that of patterns at eventLog.
+type Case struct {
 	ID            string   `toml:"id"`
 	Clause        string   `toml:"clause"`
 	Text          string   `toml:"text"`
@@ -55,25 +55,25 @@
 	Plan          string   `toml:"plan"`           // name of the plan of every request
 	Gateways      int      `toml:"gateways"`       // in the settings and in the customers' sets; 0 means 1
 	CrossesWindow bool     `toml:"crosses_window"` // an edge of the customer's windows is near: a process waits for it
-	Given         []string `toml:"given"`          // steps whose events are not examined
-	Events        []string `toml:"events"`         // steps whose events are
+	Given         []string `toml:"given"`          // actions whose events are not examined
+	Events        []string `toml:"events"`         // actions whose events are
 	Expected      []string `toml:"expected"`       // patterns that must match in this order; other events may lie between
 	Exactly       bool     `toml:"exactly"`        // no other events may
 	Forbidden     []string `toml:"forbidden"`      // patterns that must not match; "X before Y": not until Y has matched
-	// Exclusions are the variants that the row does not run with, by name, with the reason: there the part changes the
+	// Exclusions are the variants that the case does not run with, by name, with the reason: there the part changes the
 	// clause on purpose.
 	Exclusions map[string]string `toml:"but"`
-	// OnlyVariant is the one variant that the row runs with; empty means all but those with OnlyNamedRows.
+	// OnlyVariant is the one variant that the case runs with; empty means all but those with OnlyNamedCases.
 	OnlyVariant string `toml:"only_variant"`
 }
 
-// Change is a deliberately broken program that rows must catch. What each edit replaces stands exactly once in its file.
+// Change is a deliberately broken program that cases must catch. What each edit replaces stands exactly once in its file.
 type Change struct {
-	Name        string   `toml:"name"`
-	Variant     string   `toml:"variant"` // that the rows run with; empty means plain
-	Edits       []Edit   `toml:"edit"`
-	ModuleRows  []string `toml:"module_rows"`  // rows that must fail against the module; others may as well
-	ProcessRows []string `toml:"process_rows"` // rows that run against a process and must all fail
+	Name         string   `toml:"name"`
+	Variant      string   `toml:"variant"` // that the cases run with; empty means plain
+	Edits        []Edit   `toml:"edit"`
+	ModuleCases  []string `toml:"module_cases"`  // cases that must fail against the module; others may as well
+	ProcessCases []string `toml:"process_cases"` // cases that run against a process and must all fail
 }
 
 // Edit replaces text in a file.
@@ -86,7 +86,7 @@
 // Load reads the embedded data file. The error joins all problems found.
 func Load() (*Suite, error) { return Parse(suiteFile) }
 
-// Parse reads a suite. A clause without a row, a row without a clause, a duplicate name and an unknown key are errors;
+// Parse reads a suite. A clause without a case, a case without a clause, a duplicate name and an unknown key are errors;
 // the error joins all problems found.
 func Parse(text []byte) (*Suite, error) {
 	var s Suite
@@ -106,16 +106,16 @@
 	return Plan{}, fmt.Errorf("no plan %q with a rate and a burst", name)
 }
 
-// runsAgainst reports whether the row runs against the module or against a process.
-func (r *Row) runsAgainst(where string) bool { return r.Target == againstBoth || r.Target == where }
+// runsAgainst reports whether the case runs against the module or against a process.
+func (r *Case) runsAgainst(where string) bool { return r.Target == againstBoth || r.Target == where }
 
-// runsWith reports whether the row runs with a variant.
-func (r *Row) runsWith(variant Variant) bool {
+// runsWith reports whether the case runs with a variant.
+func (r *Case) runsWith(variant Variant) bool {
 	if r.Exclusions[variant.Name] != "" {
 		return false
 	}
 	if r.OnlyVariant == "" {
-		return !variant.OnlyNamedRows
+		return !variant.OnlyNamedCases
 	}
 	return r.OnlyVariant == variant.Name
 }
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// A data file that lost a row, names what does not exist or has an unknown word is rejected.
+// A data file that lost a case, names what does not exist or has an unknown word is rejected.
 func TestParse_reportsEveryError(t *testing.T) {
 	text := string(suiteFile)
-	for _, c := range []struct{ name, old, new, want string }{
+	for _, test := range []struct{ name, old, new, want string }{
 		{"unknown clause", `clause = "told-units"`, `clause = "told-unit"`, `no clause "told-unit"`},
-		{"clause without a row", `clause = "told-units"`, `clause = "early-end"`, `clause "told-units" has no row`},
-		{"duplicate row", `id = "names-on-sockets"`, `id = "names"`, `row "names": needs an id of its own`},
+		{"clause without a case", `clause = "told-units"`, `clause = "early-end"`, `clause "told-units" has no case`},
+		{"duplicate case", `id = "names-on-sockets"`, `id = "names"`, `case "names": needs an id of its own`},
 		{"unknown target", `runs_against = "process"`, `runs_against = "sockets"`, `allowed are module, process, both`},
-		{"malformed step", `"others 10", "request 1 units 1"]`, `"others ten"]`, `step "others ten"`},
+		{"malformed action", `"others 10", "request 1 units 1"]`, `"others ten"]`, `action "others ten"`},
 		{"unknown key", `crosses_window = true`, `cross = true`, `strict mode`},
-		{"unknown row of a change", `module_rows = ["true-units"]`, `module_rows = ["true-unit"]`, `no row "true-unit"`},
+		{"unknown case of a change", `module_cases = ["true-units"]`, `module_cases = ["true-unit"]`, `no case "true-unit"`},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if !strings.Contains(text, c.old) {
-				t.Errorf("%q is not in the file", c.old)
+		t.Run(test.name, func(t *testing.T) {
+			if !strings.Contains(text, test.old) {
+				t.Errorf("%q is not in the file", test.old)
 			}
-			_, err := Parse([]byte(strings.Replace(text, c.old, c.new, 1)))
-			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			_, err := Parse([]byte(strings.Replace(text, test.old, test.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%s: %v, want %s", test.new, err, test.want)
 			}
 		})
 	}
@@ -42,14 +42,14 @@
 	}
 }
 
-// A step that is not complete or has words too many is rejected.
-func TestParseStep_rejectsMalformedSteps(t *testing.T) {
+// A action that is not complete or has words too many is rejected.
+func TestParseAction_rejectsMalformedActions(t *testing.T) {
 	for _, text := range []string{
 		"", "request", "request 0 units 1", "request 1", "request 1 units", "request 1 units x", "request 1 units 1 class slow",
-		"request 1 billed 1", "answer 1 units 1", "answer x", "others", "wait 5", "wait", "edge 1", "counter gone", "mark", "rest",
+		"request 1 billed 1", "answer 1 units 1", "answer x", "others", "wait 5", "wait", "edge 1", "counter gone", "marker", "rest",
 	} {
-		if s, err := parseStep(text); err == nil {
-			t.Errorf("%q: read as %+v", text, s)
+		if todo, err := parseAction(text); err == nil {
+			t.Errorf("%q: read as %+v", text, todo)
 		}
 	}
 }
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -13,7 +13,7 @@
 const (
 	sampleSeed      = 5
 	samplePermille  = 80     // of the keys
-	callsPermille   = 20_000 // of the gateway's own calls: a row makes few, and all its requests are to be tried
+	callsPermille   = 20_000 // of the gateway's own calls: a case makes few, and all its requests are to be tried
 	activationDelay = 2 * time.Second
 )
 
@@ -48,7 +48,7 @@
 }
 
 // countingTable returns a function for the value of a counting table: its activation lies so far from the call, which
-// is when the first row starts.
+// is when the first case starts.
 func countingTable(phase countingrule.Phase, untilActivation time.Duration) func() []byte {
 	return func() []byte {
 		now := wallClock()
--- a/internal/conformance/target_module.go
+++ b/internal/conformance/target_module.go
@@ -8,7 +8,7 @@
 	"harrierhoist/policy"
 )
 
-// Module is what a row needs of a decision module: the events of the ordinary path.
+// Module is what a case needs of a decision module: the events of the ordinary path.
 type Module interface {
 	HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint)
 	HandleRequest(now time.Duration, request policy.Request)
@@ -17,7 +17,7 @@
 	HandleCount(now time.Duration, count policy.CountResult)
 }
 
-// The settings of all rows, of modules and processes.
+// The settings of all cases, of modules and processes.
 const (
 	clockTick    = 2 * time.Millisecond
 	arrivalSlack = 8 * time.Millisecond
@@ -30,13 +30,13 @@
 
 // What only module targets use.
 const (
-	attemptLatency = 20 * time.Millisecond
-	counterLatency = time.Millisecond
-	rowCustomer    = 77          // a module's clock is virtual: its windows need not be chosen
-	startTime      = time.Minute // on the virtual clock
+	attemptLatency  = 20 * time.Millisecond
+	counterLatency  = time.Millisecond
+	defaultCustomer = 77          // a module's clock is virtual: its windows need not be chosen
+	startTime       = time.Minute // on the virtual clock
 )
 
-// settingsFor returns the settings of a row: ample capacity, warm servers, nothing that the design does not speak of.
+// settingsFor returns the settings of a case: ample capacity, warm servers, nothing that the design does not speak of.
 func settingsFor(plan Plan, gateways int) policy.Settings {
 	settings := policy.Settings{
 		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout, ReportsUnits: true,
@@ -52,7 +52,7 @@
 	return settings
 }
 
-// moduleTarget runs a row against the module: it is the module's host, its clock, and a counter that answers at once
+// moduleTarget runs a case against the module: it is the module's host, its clock, and a counter that answers at once
 // unless it is silent. Time is virtual, so a run is always the same.
 type moduleTarget struct {
 	t            testing.TB
@@ -73,51 +73,51 @@
 	at    time.Duration
 }
 
-func newModuleTarget(t testing.TB, row Row, plan Plan, variant Variant) *moduleTarget {
+func newModuleTarget(t testing.TB, testCase Case, plan Plan, variant Variant) *moduleTarget {
 	t.Helper()
-	m := &moduleTarget{
-		t: t, windows: newWindows(rowCustomer, plan), gatewayCount: max(row.Gateways, 1), now: startTime,
+	created := &moduleTarget{
+		t: t, windows: newWindows(defaultCustomer, plan), gatewayCount: max(testCase.Gateways, 1), now: startTime,
 		totals: map[uint64]float64{}, inFlight: map[uint32]uint32{},
 	}
-	module, err := variant.Module(settingsFor(plan, row.Gateways), randomSeed, m)
+	module, err := variant.Module(settingsFor(plan, testCase.Gateways), randomSeed, created)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.module = module
+	created.module = module
 	var list []policy.Endpoint
 	for i := range serverCount {
 		list = append(list, policy.Endpoint{Server: uint32(i + 1), State: policy.Ready, Capacity: 1})
 	}
-	module.HandleEndpoints(m.now, policy.ListFull, list)
-	return m
+	module.HandleEndpoints(created.now, policy.ListFull, list)
+	return created
 }
 
-func (m *moduleTarget) execute(s step) {
+func (m *moduleTarget) execute(todo action) {
 	m.t.Helper()
-	switch s.verb {
-	case stepRequest:
-		m.sendRequest(s)
-	case stepAnswer:
-		m.answerAttempt(uint32(s.request), s.units)
-	case stepOthers:
-		m.totals[m.windows.counterName(m.windows.index(m.now))] += s.units
-	case stepCounter:
-		m.silent = s.argument == counterSilent
-	case stepWait:
-		m.advance(s.duration)
-	case stepEdge:
+	switch todo.verb {
+	case actionRequest:
+		m.sendRequest(todo)
+	case actionAnswer:
+		m.answerAttempt(uint32(todo.request), todo.units)
+	case actionOthers:
+		m.totals[m.windows.counterName(m.windows.index(m.now))] += todo.units
+	case actionCounter:
+		m.silent = todo.argument == counterSilent
+	case actionWait:
+		m.advance(todo.duration)
+	case actionEdge:
 		m.advance(m.windows.untilNext(m.now))
-	case stepMark:
-		m.events.add("mark " + s.argument)
-	case stepConnections: // the module has none: whom it calls is recorded by its host
+	case actionMarker:
+		m.events.add("marker " + todo.argument)
+	case actionConnections: // the module has none: whom it calls is recorded by its host
 	}
 	m.answerCalls()
 }
 
-func (m *moduleTarget) sendRequest(s step) {
+func (m *moduleTarget) sendRequest(todo action) {
 	request := policy.Request{
-		ID: uint32(s.request), Class: s.class, Customer: s.customer, GatewayCount: m.gatewayCount, Units: s.units,
-		Deadline: m.now + classes[s.class].timeout,
+		ID: uint32(todo.request), Class: todo.class, Customer: todo.customer, GatewayCount: m.gatewayCount, Units: todo.units,
+		Deadline: m.now + classes[todo.class].timeout,
 	}
 	if request.Customer == 0 {
 		request.Customer = m.windows.customer
@@ -165,5 +165,5 @@
 	}
 }
 
-// awaitEvents returns the log at once: nothing is under way between two steps.
+// awaitEvents returns the log at once: nothing is under way between two actions.
 func (m *moduleTarget) awaitEvents(func([][]string) bool) *eventLog { return &m.events }
--- a/internal/conformance/target_module_host.go
+++ b/internal/conformance/target_module_host.go
@@ -9,17 +9,17 @@
 
 var _ policy.Host = (*moduleTarget)(nil)
 
-// Attempt records an attempt and holds it in flight until the row answers it.
+// Attempt records an attempt and holds it in flight until the case answers it.
 func (m *moduleTarget) Attempt(request, server uint32, _ time.Duration) {
 	m.inFlight[request] = server
 	forms := []string{"attempt " + decimal(request)}
-	if server > serverCount { // one that a variant added to the row's
+	if server > serverCount { // one that a variant added to the case's
 		forms = append(forms, forms[0]+" elective")
 	}
 	m.events.add(forms...)
 }
 
-// Count records a counter call, which is answered after the step.
+// Count records a counter call, which is answered after the action.
 func (m *moduleTarget) Count(name uint64, _ time.Duration, units float64) {
 	m.pendingCalls = append(m.pendingCalls, policy.CountResult{Name: name, Total: units})
 	m.events.add(m.windows.callEvents(m.now, name, units)...)
@@ -36,13 +36,13 @@
 // Terminate records a final answer.
 func (m *moduleTarget) Terminate(request uint32) { m.events.add("terminated " + decimal(request)) }
 
-// CheckHealth records a health check, which no row may show.
+// CheckHealth records a health check, which no case may show.
 func (m *moduleTarget) CheckHealth(uint32) { m.events.add("health-check") }
 
-// SendPeer records a message to another gateway, which no row may show.
+// SendPeer records a message to another gateway, which no case may show.
 func (m *moduleTarget) SendPeer(int, []byte) { m.events.add("peer-message") }
 
-// WatchEndpoints does nothing: the list of a row does not change.
+// WatchEndpoints does nothing: the list of a case does not change.
 func (m *moduleTarget) WatchEndpoints() {}
 
 // Log drops the module's log.
--- a/internal/conformance/target_process.go
+++ b/internal/conformance/target_process.go
@@ -14,11 +14,11 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// How far the edges of a customer's windows are from a row's start.
+// How far the edges of a customer's windows are from a case's start.
 const (
-	minUntilNextWindow = 10 * time.Second // or half a window, unless the row crosses an edge
-	minUntilCrossing   = 2 * time.Second  // where it crosses one
-	maxUntilCrossing   = 3 * time.Second
+	minUntilNextWindow = 10 * time.Second // or half a window, unless the case crosses an edge
+	minUntilNearEdge   = 2 * time.Second  // where it crosses one
+	maxUntilNearEdge   = 3 * time.Second
 	clockMargin        = 20 * time.Millisecond // waited after an edge: two processes read the clock at different moments
 )
 
@@ -26,7 +26,7 @@
 const (
 	quietPeriod  = 100 * time.Millisecond // without an event: no more come by themselves
 	eventTimeout = 10 * time.Second       // an expected event has long happened, or never will
-	// changedEventTimeout is the same for a deliberately broken program: most of its rows wait for what never happens.
+	// changedEventTimeout is the same for a deliberately broken program: most of its cases wait for what never happens.
 	changedEventTimeout = 4 * time.Second
 )
 
@@ -34,13 +34,13 @@
 	// counterConnectTimeout is after what time a silent connection to the counter is given up, and the checks on it end:
 	// later than the checks give up by themselves.
 	counterConnectTimeout = 5 * time.Second
-	// firstCustomer is where the search for a row's customer starts: rows name smaller ones as others.
+	// firstCustomer is where the search for a case's customer starts: cases name smaller ones as others.
 	firstCustomer = 1000
 	// otherGatewaysTTL is the lifetime of names, in ms, in the calls made here: gateways never ask for one so short.
 	otherGatewaysTTL = "1"
 )
 
-// processTarget runs a row against a running gateway. Fake servers, discovery and counter record what reaches them,
+// processTarget runs a case against a running gateway. Fake servers, discovery and counter record what reaches them,
 // clients what they are answered.
 type processTarget struct {
 	t              testing.TB
@@ -62,37 +62,37 @@
 	answers map[int]chan float64 // by request: the units that its answer reports
 }
 
-func newProcessTarget(t testing.TB, row Row, plan Plan, variant Variant) *processTarget {
+func newProcessTarget(t testing.TB, testCase Case, plan Plan, variant Variant) *processTarget {
 	t.Helper()
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &processTarget{
-		t: t, plan: plan.Name, gatewayCount: max(row.Gateways, 1), counter: fakes.NewCounter(t),
+	created := &processTarget{
+		t: t, plan: plan.Name, gatewayCount: max(testCase.Gateways, 1), counter: fakes.NewCounter(t),
 		variant: variant, answers: map[int]chan float64{},
 	}
 	var hosts []string
 	for i := range serverCount {
-		p.servers = append(p.servers, fakes.NewServer(t, p.serve))
-		hosts = append(hosts, fakes.FormatHost(fmt.Sprintf("s-%d", i), p.servers[i].Addr, "in_service"))
+		created.servers = append(created.servers, fakes.NewServer(t, created.serve))
+		hosts = append(hosts, fakes.FormatHost(fmt.Sprintf("s-%d", i), created.servers[i].Addr, "in_service"))
 	}
-	p.discovery = fakes.NewDiscovery(t, hosts...)
-	launch := Launch{Dir: t.TempDir(), Config: launchConfig(p, plan), Hosts: hosts}
+	created.discovery = fakes.NewDiscovery(t, hosts...)
+	launch := Launch{Dir: t.TempDir(), Config: launchConfig(created, plan), Hosts: hosts}
 	variant.Process(t, &launch)
-	p.discovery.Publish(true, launch.Hosts...)
+	created.discovery.Publish(true, launch.Hosts...)
 	launch.Config["known"] = json.RawMessage(fakes.FormatList(1, true, launch.Hosts...))
-	p.peers = launch.Peers
-	instance := p.start(path, &launch)
+	created.peers = launch.Peers
+	instance := created.start(path, &launch)
 	if launch.OnReady != nil {
 		launch.OnReady(instance)
 	}
-	p.chooseCustomer(plan, row.CrossesWindow)
-	p.counter.Observe(p.recordCall)
-	return p
+	created.chooseCustomer(plan, testCase.CrossesWindow)
+	created.counter.Observe(created.recordCall)
+	return created
 }
 
-// chooseCustomer takes the first customer whose next window starts soon, or not, as the row needs it.
+// chooseCustomer takes the first customer whose next window starts soon, or not, as the case needs it.
 func (p *processTarget) chooseCustomer(plan Plan, crosses bool) {
 	for customer := uint64(firstCustomer); ; customer++ {
 		if p.variant.AcceptsCustomer != nil && !p.variant.AcceptsCustomer(customer) {
@@ -104,7 +104,7 @@
 			p.windows.customer = customer
 		}
 		left := p.windows.untilNext(wallClock())
-		if crosses && left > minUntilCrossing && left < maxUntilCrossing ||
+		if crosses && left > minUntilNearEdge && left < maxUntilNearEdge ||
 			!crosses && left > min(minUntilNextWindow, p.windows.length/2) {
 			return
 		}
@@ -138,7 +138,7 @@
 	p.events.add(forms...)
 }
 
-// serve is the servers' part: it records an attempt, and answers once the row says so.
+// serve is the servers' part: it records an attempt, and answers once the case says so.
 func (p *processTarget) serve(words []string) string {
 	id, err := strconv.ParseUint(words[2], 16, 32)
 	if err != nil {
@@ -179,7 +179,7 @@
 	})
 }
 
-// waitUntil waits until the events are enough, or the time for that is over: what is missing then is the row's to say.
+// waitUntil waits until the events are enough, or the time for that is over: what is missing then is the case's to say.
 func (p *processTarget) waitUntil(enough func(events [][]string) bool) {
 	timeout := eventTimeout
 	if os.Getenv(overlayVariable) != "" {
--- a/internal/conformance/validate.go
+++ b/internal/conformance/validate.go
@@ -7,89 +7,89 @@
 
 // validator collects the problems of a suite.
 type validator struct {
-	suite       *Suite
-	clauseRows  map[string]int  // rows by the clause's ID
-	rowIDs      map[string]bool // seen so far
-	changeNames map[string]bool // seen so far
-	problems    []error
+	suite          *Suite
+	casesPerClause map[string]int  // cases by the clause's ID
+	caseIDs        map[string]bool // seen so far
+	changeNames    map[string]bool // seen so far
+	problems       []error
 }
 
 // validate returns all problems of the suite.
 func (s *Suite) validate() []error {
-	v := &validator{suite: s, clauseRows: map[string]int{}, rowIDs: map[string]bool{}, changeNames: map[string]bool{}}
+	checks := &validator{suite: s, casesPerClause: map[string]int{}, caseIDs: map[string]bool{}, changeNames: map[string]bool{}}
 	for _, clause := range s.Clauses {
-		if _, duplicate := v.clauseRows[clause.ID]; duplicate || clause.ID == "" || clause.Text == "" || clause.Source == "" {
-			v.report("clause %q: needs an id of its own, a summary and a source", clause.ID)
+		if _, duplicate := checks.casesPerClause[clause.ID]; duplicate || clause.ID == "" || clause.Text == "" || clause.Source == "" {
+			checks.report("clause %q: needs an id of its own, a summary and a source", clause.ID)
 		}
-		v.clauseRows[clause.ID] = 0
+		checks.casesPerClause[clause.ID] = 0
 	}
-	for _, row := range s.Rows {
-		v.checkRow(row)
+	for _, testCase := range s.Cases {
+		checks.checkCase(testCase)
 	}
 	for _, clause := range s.Clauses {
-		if v.clauseRows[clause.ID] == 0 {
-			v.report("clause %q has no row", clause.ID)
+		if checks.casesPerClause[clause.ID] == 0 {
+			checks.report("clause %q has no case", clause.ID)
 		}
 	}
 	for _, change := range s.Changes {
-		v.checkChange(change)
+		checks.checkChange(change)
 	}
-	return v.problems
+	return checks.problems
 }
 
 func (v *validator) report(format string, args ...any) {
 	v.problems = append(v.problems, fmt.Errorf("clauses.toml: "+format, args...))
 }
 
-func (v *validator) checkRow(row Row) {
-	if _, known := v.clauseRows[row.Clause]; !known {
-		v.report("row %q: no clause %q", row.ID, row.Clause)
+func (v *validator) checkCase(testCase Case) {
+	if _, known := v.casesPerClause[testCase.Clause]; !known {
+		v.report("case %q: no clause %q", testCase.ID, testCase.Clause)
 	}
-	v.clauseRows[row.Clause]++
-	if v.rowIDs[row.ID] || row.ID == "" {
-		v.report("row %q: needs an id of its own", row.ID)
+	v.casesPerClause[testCase.Clause]++
+	if v.caseIDs[testCase.ID] || testCase.ID == "" {
+		v.report("case %q: needs an id of its own", testCase.ID)
 	}
-	v.rowIDs[row.ID] = true
-	if row.Target != againstModule && row.Target != againstProcess && row.Target != againstBoth {
-		v.report("row %q: runs_against is %q, allowed are module, process, both", row.ID, row.Target)
+	v.caseIDs[testCase.ID] = true
+	if testCase.Target != againstModule && testCase.Target != againstProcess && testCase.Target != againstBoth {
+		v.report("case %q: runs_against is %q, allowed are module, process, both", testCase.ID, testCase.Target)
 	}
-	if _, err := v.suite.findPlan(row.Plan); err != nil {
-		v.report("row %q: %w", row.ID, err)
+	if _, err := v.suite.findPlan(testCase.Plan); err != nil {
+		v.report("case %q: %w", testCase.ID, err)
 	}
-	v.checkVariants(row)
-	if len(row.Events) == 0 || len(row.Expected) == 0 {
-		v.report("row %q: needs events and what is expected", row.ID)
+	v.checkVariants(testCase)
+	if len(testCase.Events) == 0 || len(testCase.Expected) == 0 {
+		v.report("case %q: needs events and what is expected", testCase.ID)
 	}
-	for _, text := range slices.Concat(row.Given, row.Events) {
-		if _, err := parseStep(text); err != nil {
-			v.report("row %q: %w", row.ID, err)
+	for _, text := range slices.Concat(testCase.Given, testCase.Events) {
+		if _, err := parseAction(text); err != nil {
+			v.report("case %q: %w", testCase.ID, err)
 		}
 	}
 }
 
-func (v *validator) checkVariants(row Row) {
-	for name, reason := range row.Exclusions {
+func (v *validator) checkVariants(testCase Case) {
+	for name, reason := range testCase.Exclusions {
 		if reason == "" || name == Plain.Name || !isVariant(name) {
-			v.report("row %q: but %q needs a variant other than plain, and a reason", row.ID, name)
+			v.report("case %q: but %q needs a variant other than plain, and a reason", testCase.ID, name)
 		}
 	}
-	if row.OnlyVariant != "" && !isVariant(row.OnlyVariant) {
-		v.report("row %q: only_variant %q is no variant", row.ID, row.OnlyVariant)
+	if testCase.OnlyVariant != "" && !isVariant(testCase.OnlyVariant) {
+		v.report("case %q: only_variant %q is no variant", testCase.ID, testCase.OnlyVariant)
 	}
 }
 
-// checkChange is called after all rows were checked.
+// checkChange is called after all cases were checked.
 func (v *validator) checkChange(change Change) {
-	if v.changeNames[change.Name] || len(change.Edits) == 0 || len(change.ModuleRows)+len(change.ProcessRows) == 0 {
-		v.report("change %q: needs a name of its own, edits, and rows that catch it", change.Name)
+	if v.changeNames[change.Name] || len(change.Edits) == 0 || len(change.ModuleCases)+len(change.ProcessCases) == 0 {
+		v.report("change %q: needs a name of its own, edits, and cases that catch it", change.Name)
 	}
 	v.changeNames[change.Name] = true
 	if change.Variant != "" && !isVariant(change.Variant) {
 		v.report("change %q: no variant %q", change.Name, change.Variant)
 	}
-	for _, id := range slices.Concat(change.ModuleRows, change.ProcessRows) {
-		if !v.rowIDs[id] {
-			v.report("change %q: no row %q", change.Name, id)
+	for _, id := range slices.Concat(change.ModuleCases, change.ProcessCases) {
+		if !v.caseIDs[id] {
+			v.report("change %q: no case %q", change.Name, id)
 		}
 	}
 }
--- a/internal/conformance/variant.go
+++ b/internal/conformance/variant.go
@@ -11,24 +11,24 @@
 )
 
 // Variant is a way to make the gateway under test: plain, or with an optional part switched on, in one of its states.
-// The same rows run with each of Variants.
+// The same cases run with each of Variants.
 type Variant struct {
 	Name        string
 	Description string // of the state, for the page
-	// Module makes the module behind a host; nil: no row runs against the module.
+	// Module makes the module behind a host; nil: no case runs against the module.
 	Module func(settings policy.Settings, seed int64, host policy.Host) (Module, error)
-	// Process prepares a process before it starts; nil: no row runs against a process.
+	// Process prepares a process before it starts; nil: no case runs against a process.
 	Process func(t testing.TB, launch *Launch)
 	// CounterKey returns what stands for a customer in the names of its counts; nil: its own number.
 	CounterKey func(customer uint64) uint64
-	// AcceptsCustomer reports whether a customer may be a process row's; nil: any may.
+	// AcceptsCustomer reports whether a customer may be a process case's; nil: any may.
 	AcceptsCustomer func(customer uint64) bool
-	// MakesOwnCalls says that the part makes counter calls of its own: those whose names are not of the row's customer's
+	// MakesOwnCalls says that the part makes counter calls of its own: those whose names are not of the case's customer's
 	// windows are ignored.
 	MakesOwnCalls bool
-	// OnlyNamedRows says that only rows that name the variant run with it, as the part changes all others on purpose.
-	OnlyNamedRows bool
-	Forbidden     []string // patterns that no row may show with it
+	// OnlyNamedCases says that only cases that name the variant run with it, as the part changes all others on purpose.
+	OnlyNamedCases bool
+	Forbidden      []string // patterns that no case may show with it
 }
 
 // Launch is how a process starts. A variant may add to it.
@@ -38,7 +38,7 @@
 	Config  map[string]any // the gateway's configuration, as it is written in JSON
 	Hosts   []string       // the servers, as discovery lists them
 	Peers   []string       // addresses it may connect to besides counter, discovery, servers and clients
-	OnReady func(Instance) // called once it serves, before the row begins; may be nil
+	OnReady func(Instance) // called once it serves, before the case begins; may be nil
 }
 
 // Instance is a process that serves.
--- a/internal/conformance/voter.go
+++ b/internal/conformance/voter.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	longLease      = "30s"       // outlives a row on a busy machine
+	longLease      = "30s"       // outlives a case on a busy machine
 	shortLease     = "500ms"     // ends soon after the voter has stopped
 	maxVoterStarts = 20          // each on another port
 	writeTimeout   = time.Second // of one try to have a table written
@@ -33,7 +33,7 @@
 	client       *transport.Client
 }
 
-// sharedVoters are those that rows share. Cleanup stops them.
+// sharedVoters are those that cases share. Cleanup stops them.
 var (
 	sharedVoters     []*testVoter
 	sharedVotersLock sync.Mutex
@@ -80,7 +80,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), writeTimeout)
 		defer cancel()
 		result, err := v.client.Propose(ctx, v.address, statemachine.Command{
-			Kind: statemachine.Write, Proposer: "rows/1", Number: 1, Table: table, Value: value,
+			Kind: statemachine.Write, Proposer: "conformance/1", Number: 1, Table: table, Value: value,
 		})
 		return err == nil && result.Applied
 	})
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -13,14 +13,14 @@
 
 // endpoint is an entry of discovery's list, in the protocol's form.
 type endpoint struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"` // 0: long ago
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	StartedMs int64   `json:"born_ms"` // 0: long ago
 }
 
 // Discovery is an emulated discovery service. It always sends complete lists.
@@ -59,7 +59,7 @@
 func (d *Discovery) close() error { return d.server.Close() }
 
 // ServeHTTP answers GET /api/targets, at once or as soon as there is a version newer than the one the caller has.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) ServeHTTP(writer http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	// Numbers that are missing or malformed mean the whole list, at once.
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -80,7 +80,7 @@
 		page["hosts"] = []endpoint{}
 	}
 	d.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(page) // the caller may have gone
+	_ = json.NewEncoder(writer).Encode(page) // the caller may have gone
 }
 
 // await waits for a version newer than the one the caller has, at most so long. It returns false if the caller is gone.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -52,7 +52,7 @@
 // A request is counted in the second in which it was due, and as late by its class's objective.
 func TestReport_countsOutcomesBySecond(t *testing.T) {
 	const objective = time.Second
-	r := newReport(1)
+	report := newReport(1)
 	for i, c := range []struct {
 		due     time.Duration
 		result  outcome
@@ -65,14 +65,14 @@
 		{2 * time.Second, disconnected, 0},
 		{2 * time.Second, wrongAnswer, 0},
 	} {
-		r.record(request{id: uint64(i), due: c.due}, c.result, time.Millisecond, c.latency, objective)
+		report.record(request{id: uint64(i), due: c.due}, c.result, time.Millisecond, c.latency, objective)
 	}
 	want := []Second{{Offered: 2, Served: 2, InTime: 1}, {Offered: 2, Rejected: 1, Failed: 1}, {Offered: 2, Failed: 1}}
-	if got := fmt.Sprint(r.Seconds); got != fmt.Sprint(want) {
+	if got := fmt.Sprint(report.Seconds); got != fmt.Sprint(want) {
 		t.Errorf("seconds %s, want %v", got, want)
 	}
 	var table strings.Builder
-	if err := r.WriteTable(&table, []scenario.TrafficClass{{Name: "short"}}); err != nil {
+	if err := report.WriteTable(&table, []scenario.TrafficClass{{Name: "short"}}); err != nil {
 		t.Fatal(err)
 	}
 	const first = "offered 6 in 0.0 s; served 33.3%, in time 16.7%, rejected 16.7%, terminated 16.7%, " +
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -45,34 +45,34 @@
 
 // record adds a request.
 func (r *Report) record(req request, result outcome, delay, latency, objective time.Duration) {
-	second := int(req.due / time.Second)
-	for len(r.Seconds) <= second {
+	n := int(req.due / time.Second)
+	for len(r.Seconds) <= n {
 		r.Seconds = append(r.Seconds, Second{})
 	}
-	s := &r.Seconds[second]
+	second := &r.Seconds[n]
 	r.Offered++
-	s.Offered++
+	second.Offered++
 	recordTime(r.SendDelay, delay)
 	switch result {
 	case served:
 		r.Served++
-		s.Served++
+		second.Served++
 		recordTime(r.Latencies[req.class], latency)
 		if latency <= objective {
 			r.InTime++
-			s.InTime++
+			second.InTime++
 		}
 	case rejected:
 		r.Rejected++
-		s.Rejected++
+		second.Rejected++
 	case wrongAnswer:
 		r.WrongAnswers++
 	case terminated:
 		r.Terminated++
-		s.Failed++
+		second.Failed++
 	case disconnected:
 		r.Disconnected++
-		s.Failed++
+		second.Failed++
 	}
 }
 
