--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	c := &voterCluster{
 		T: t, dir: t.TempDir(), addresses: map[string]string{}, processes: map[string]*exec.Cmd{},
-		logs: map[string]*faultinjection.Log{},
+		logs:   map[string]*faultinjection.Log{},
 		client: transport.NewClient(transport.Network{}, 2),
 	}
 	t.Cleanup(c.client.Close)
