--- a/internal/conformance/change_test.go
+++ b/internal/conformance/change_test.go
@@ -50,6 +50,13 @@
 	}
 }
 
+// The edits name the source by its text. This says within a second which of them a change of the source has missed.
+func TestChanges_editsMatchTheSourceOnce(t *testing.T) {
+	for _, change := range loadSuite(t).Changes {
+		t.Run(change.Name, func(t *testing.T) { writeOverlay(t, change) })
+	}
+}
+
 func anyCaught(caught []map[caseRun]bool, run caseRun) bool {
 	for _, failed := range caught {
 		if failed[run] {
