--- a/internal/coordination/consensus/golden_test.go
+++ b/internal/coordination/consensus/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
 	"reflect"
@@ -84,11 +83,11 @@
 func TestGolden_recordsAndMessagesOfACluster(t *testing.T) {
 	cluster := goldenCluster(t)
 	golden.Check(t, "records.hex", []byte(cluster.recordLines()))
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	for _, m := range cluster.sent {
-		_, _ = fmt.Fprintf(sum, "%d %x\n", m.To.Number, m.Body)
+		sum.Printf("%d %x\n", m.To.Number, m.Body)
 	}
-	if got := fmt.Sprintf("%d messages, %x", len(cluster.sent), sum.Sum(nil)); got != goldenMessages {
+	if got := fmt.Sprintf("%d messages, %s", len(cluster.sent), sum); got != goldenMessages {
 		t.Errorf("%s", got)
 	}
 }
--- a/internal/coordination/simulation/golden_test.go
+++ b/internal/coordination/simulation/golden_test.go
@@ -1,29 +1,29 @@
 package simulation
 
 import (
-	"crypto/sha256"
 	"fmt"
-	"io"
 	"testing"
 	"time"
+
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenInterval is how often a run is inspected.
 const goldenInterval = 5 * time.Millisecond
 
 // recordState writes down the state of the voters, lease holders and reporters.
-func (s *simulation) recordState(to io.Writer) {
-	_, _ = fmt.Fprintf(to, "%d %d %d %d\n", s.now(), s.report.Events, s.report.Answered, s.highestEpoch)
+func (s *simulation) recordState(to *golden.Digest) {
+	to.Printf("%d %d %d %d\n", s.now(), s.report.Events, s.report.Answered, s.highestEpoch)
 	for _, n := range s.nodes {
 		status := n.consensus.Status()
-		_, _ = fmt.Fprintf(to, "voter %d %v %v %v %d: %d %d %d %d\n", n.member.Number, n.up, n.suspended, n.syncing, n.incarnation,
+		to.Printf("voter %d %v %v %v %d: %d %d %d %d\n", n.member.Number, n.up, n.suspended, n.syncing, n.incarnation,
 			status.Leader, status.Term, status.Applied, len(n.synced))
 	}
 	for _, h := range s.leaseHolders {
-		_, _ = fmt.Fprintf(to, "holder %d %d %d %d\n", h.voterIndex, h.epoch, h.leaseEnd, h.attempt)
+		to.Printf("holder %d %d %d %d\n", h.voterIndex, h.epoch, h.leaseEnd, h.attempt)
 	}
 	for _, r := range s.reporters {
-		_, _ = fmt.Fprintf(to, "teller %d %d %d %d\n", r.voterIndex, r.count, r.serial, r.session)
+		to.Printf("teller %d %d %d %d\n", r.voterIndex, r.count, r.serial, r.session)
 	}
 }
 
@@ -32,7 +32,7 @@
 	t.Helper()
 	sim := newSimulation(seed, bug, 3+2*int(seed%2))
 	sim.after(0, sim.injectFault)
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	for until := goldenInterval; until <= runDuration; until += goldenInterval {
 		sim.runUntil(until)
 		sim.recordState(sum)
@@ -40,22 +40,22 @@
 	sim.checkEndState()
 	for _, operation := range sim.history {
 		input, output := operation.Input.(call), operation.Output.(answer)
-		_, _ = fmt.Fprintf(sum, "call %d %d %d: %v %d %q: %v %v %d %q\n", operation.ClientId, operation.Call, operation.Return,
+		sum.Printf("call %d %d %d: %v %d %q: %v %v %d %q\n", operation.ClientId, operation.Call, operation.Return,
 			input.write, input.epoch, input.value, output.known, output.applied, output.epoch, output.value)
 	}
 	for _, n := range sim.nodes {
 		for _, record := range n.synced {
-			_, _ = fmt.Fprintf(sum, "record %d %x\n", n.member.Number, record)
+			sum.Printf("record %d %x\n", n.member.Number, record)
 		}
 		state, err := n.consensus.State().Snapshot()
-		_, _ = fmt.Fprintf(sum, "state %x %v\n", state, err)
+		sum.Printf("state %x %v\n", state, err)
 	}
 	whole := Run(seed, bug)
 	if whole.Events != sim.report.Events || whole.Answered != sim.report.Answered || whole.Trace != sim.report.Trace {
 		t.Errorf("seed %d: %+v, but %+v step by step", seed, whole, sim.report)
 	}
-	return fmt.Sprintf("%d events, %d answered, %d problems, %x", sim.report.Events, sim.report.Answered, len(sim.report.Violations),
-		sum.Sum(nil))
+	return fmt.Sprintf("%d events, %d answered, %d problems, %s", sim.report.Events, sim.report.Answered, len(sim.report.Violations),
+		sum)
 }
 
 // The same seeds give the same as in the version before: messages, writes, draws and times.
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -1,10 +1,7 @@
 package failover
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
-	"hash"
 	"maps"
 	"math/rand/v2"
 	"slices"
@@ -85,11 +82,11 @@
 	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sum, plans := sha256.New(), 0
+			sum, plans := golden.NewDigest(), 0
 			for _, seed := range goldenSeeds {
 				plans += len(decideDrawn(seed, set, sum))
 			}
-			got := fmt.Sprintf("%d %s", plans, hex.EncodeToString(sum.Sum(nil)))
+			got := fmt.Sprintf("%d %s", plans, sum.String())
 			if want := fmt.Sprintf("%d %s", goldenPlans[name].plans, goldenPlans[name].hash); got != want {
 				t.Errorf("plans and hash are %s, not %s", got, want)
 			}
@@ -99,7 +96,7 @@
 
 // decideDrawn runs a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
 // make of it.
-func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum hash.Hash) []writtenPlan {
+func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum *golden.Digest) []writtenPlan {
 	random := rand.New(rand.NewPCG(seed, 31))
 	sim := drawSimulation(random)
 	set(&sim.settings, &sim.lease)
@@ -113,15 +110,15 @@
 		sim.injectFault(random)
 		for end := sim.now + time.Duration(2+random.IntN(14))*time.Second; sim.now < end; {
 			value, write := sim.step()
-			sum.Write(fmt.Appendf(nil, "%d %v %x\n", sim.now, write, value))
+			sum.Printf("%d %v %x\n", sim.now, write, value)
 			if !write {
 				continue
 			}
 			plan := sim.latest()
 			for _, zone := range append(slices.Clone(sim.zones), "elsewhere") {
 				part, alone, well := plan.Assignment(zone), plan.FallbackAssignment(zone, true), plan.FallbackAssignment(zone, false)
-				sum.Write(fmt.Appendln(nil, zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
-					well.Shed, plan.Describe(zone)))
+				sum.Println(zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
+					well.Shed, plan.Describe(zone))
 			}
 		}
 	}
@@ -133,7 +130,7 @@
 	reached := map[string]bool{}
 	for _, set := range goldenSettings {
 		for _, seed := range goldenSeeds {
-			for _, p := range decideDrawn(seed, set, sha256.New()) {
+			for _, p := range decideDrawn(seed, set, golden.NewDigest()) {
 				reached["resting"] = reached["resting"] || len(p.plan.HoldDown) > 0
 				reached["before"] = reached["before"] || len(p.plan.Previous) > 0
 				reached["shut"] = reached["shut"] || len(p.plan.LostLinks) > 0
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -1,10 +1,7 @@
 package experiment
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -13,6 +10,7 @@
 
 	"harrierhoist/internal/lab/scenario"
 	"harrierhoist/internal/lab/simulation"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenResult is a result as it is kept, with all its keys.
@@ -73,18 +71,14 @@
 
 // TestDraws_areStable holds the order of random draws and the figures that follow from them.
 func TestDraws_areStable(t *testing.T) {
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	for _, name := range []string{"calm", "three"} {
 		base, err := scenario.Read("../../../scenarios/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for seed := range uint64(20) {
-			faults, err := json.Marshal(DrawMildFaults(base, seed, 5))
-			if err != nil {
-				t.Fatal(err)
-			}
-			sum.Write(append(faults, '\n'))
+			sum.AddJSON(t, DrawMildFaults(base, seed, 5))
 		}
 	}
 	random := rand.New(rand.NewPCG(2026, 43))
@@ -97,13 +91,10 @@
 			b = append(b, &Result{Scenario: "w", Seed: seed, Service: random.Float64(), Net: random.Float64(), Violations: 1})
 		}
 		low, high := ConfidenceInterval(values)
-		sum.Write(fmt.Appendln(nil, low, high))
+		sum.Println(low, high)
 		for _, c := range Compare(a, b) {
-			sum.Write(fmt.Appendln(nil, c.Scenario, c.Gateways, c.Metric, c.Pairs, c.MeanA, c.MeanB, c.Diff, c.Low, c.High,
-				c.IsNoise()))
+			sum.Println(c.Scenario, c.Gateways, c.Metric, c.Pairs, c.MeanA, c.MeanB, c.Diff, c.Low, c.High, c.IsNoise())
 		}
 	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != goldenDraws {
-		t.Errorf("the draws hash to %s, not %s", got, goldenDraws)
-	}
+	sum.Check(t, goldenDraws)
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -1,7 +1,6 @@
 package load
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
 	"strings"
@@ -9,6 +8,7 @@
 	"time"
 
 	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/testing/golden"
 )
 
 func defaultScenario(t *testing.T) *scenario.Scenario {
@@ -24,16 +24,12 @@
 func TestGenerator_drawsTheSameRequests(t *testing.T) {
 	const want = "a9f547538b4f009dd80aa4237b2ecac8fe262720292bb298c1e32cb4908f3a81"
 	driver := &Driver{Scenario: defaultScenario(t), Gateways: []string{"a", "b", "c"}, Rate: 100, Seed: 7}
-	requests, hash := newGenerator(driver), sha256.New()
+	requests, sum := newGenerator(driver), golden.NewDigest()
 	for range 1000 {
 		r := requests.next()
-		if _, err := fmt.Fprintln(hash, r.due.Nanoseconds(), r.id, r.customer, r.class, r.plan, r.units, r.gateway); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if got := fmt.Sprintf("%x", hash.Sum(nil)); got != want {
-		t.Errorf("hash %s, want %s", got, want)
+		sum.Println(r.due.Nanoseconds(), r.id, r.customer, r.class, r.plan, r.units, r.gateway)
 	}
+	sum.Check(t, want)
 }
 
 func TestRun_needsRateAndGateway(t *testing.T) {
--- a/internal/lab/search/golden_test.go
+++ b/internal/lab/search/golden_test.go
@@ -1,13 +1,11 @@
 package search
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"math/rand/v2"
 	"testing"
 
 	"harrierhoist/internal/lab/scenario"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenFaults is the hash of drawn schedules.
@@ -15,21 +13,15 @@
 
 // TestDrawFaults_areStable holds the order of random draws: a seed found by a search must find it again.
 func TestDrawFaults_areStable(t *testing.T) {
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	for _, name := range []string{"calm", "three"} {
 		base, err := scenario.Read("../../../scenarios/worlds/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for seed := range uint64(20) {
-			schedule, err := json.Marshal(DrawFaults(rand.New(rand.NewPCG(seed, 47)), base, 6))
-			if err != nil {
-				t.Fatal(err)
-			}
-			sum.Write(append(schedule, '\n'))
+			sum.AddJSON(t, DrawFaults(rand.New(rand.NewPCG(seed, 47)), base, 6))
 		}
 	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != goldenFaults {
-		t.Errorf("the schedules hash to %s, not %s", got, goldenFaults)
-	}
+	sum.Check(t, goldenFaults)
 }
--- a/internal/routing/golden_test.go
+++ b/internal/routing/golden_test.go
@@ -1,8 +1,6 @@
 package routing
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -10,6 +8,7 @@
 
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/failover"
+	"harrierhoist/internal/testing/golden"
 )
 
 // goldenSteering are the hashes of all that the dispatcher is handed along drawn streams of plans, by seed.
@@ -34,7 +33,7 @@
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 41))
 	f, updater, _ := newFixture(t)
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	epoch := uint64(0)
 	for range 600 {
 		switch random.IntN(8) {
@@ -55,10 +54,10 @@
 		f.now += time.Duration(random.IntN(900)) * time.Millisecond
 		updater.Update()
 		inForce := f.inForce()
-		sum.Write(fmt.Appendln(nil, f.applied, f.leaseEnd, f.leased.Weights, f.leased.ShedFraction, f.fallback.Weights,
-			f.fallback.ShedFraction, inForce.Weights, inForce.ShedFraction))
+		sum.Println(f.applied, f.leaseEnd, f.leased.Weights, f.leased.ShedFraction, f.fallback.Weights,
+			f.fallback.ShedFraction, inForce.Weights, inForce.ShedFraction)
 	}
-	return hex.EncodeToString(sum.Sum(nil))
+	return sum.String()
 }
 
 // drawnPlan draws a plan, also with zones that the endpoint list doesn't have.
--- a/internal/settlement/account/golden_test.go
+++ b/internal/settlement/account/golden_test.go
@@ -1,8 +1,6 @@
 package account
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,6 +8,7 @@
 	"time"
 
 	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -26,7 +25,7 @@
 		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
 		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2},
 	}}, time.Second)
-	all := sha256.New()
+	all := golden.NewDigest()
 	drawn := map[int]int{}
 	for i := range 10_000 {
 		request := policy.Request{Customer: 9, Plan: 1, Class: i % 7 / 6, Repeat: i%11 == 0}
@@ -35,9 +34,9 @@
 		}
 		prefer := accounts.TrackRequest(0, request).PreferredPartner()
 		drawn[prefer]++
-		all.Write(fmt.Appendln(nil, prefer))
+		all.Println(prefer)
 	}
-	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDraws {
+	if got := all.String(); got != goldenDraws {
 		t.Errorf("%v hash to %s, want %s", drawn, got, goldenDraws)
 	}
 }
--- a/internal/settlement/golden_test.go
+++ b/internal/settlement/golden_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/hex"
 	"errors"
 	"reflect"
 	"strings"
@@ -211,13 +209,12 @@
 func TestGolden_decisions(t *testing.T) {
 	terms := testTerms()
 	terms.ForgiveAfter, terms.Partners[1].Weight = 600, 2
-	f, all := newControllerFixture(terms), sha256.New()
+	f, all := newControllerFixture(terms), golden.NewDigest()
 	advance := func(seconds int) {
 		for range seconds {
 			f.advance(1)
 			stored := f.state.Table(TableName)
-			all.Write(stored.Value)
-			all.Write([]byte{byte(stored.Epoch)})
+			_, _ = all.Write(append(bytes.Clone(stored.Value), byte(stored.Epoch)))
 		}
 	}
 	f.addDebt("a", "b", 50_000)
@@ -240,9 +237,7 @@
 	advance(90)
 	f.addDebt("b", "a", 49_990)
 	advance(700)
-	if got := hex.EncodeToString(all.Sum(nil)); got != goldenDecisions {
-		t.Errorf("decisions hash to %s, want %s", got, goldenDecisions)
-	}
+	all.Check(t, goldenDecisions)
 	if state := f.storedState(); len(state.ForgivenessLog) == 0 || state.StartedAt == 0 || state.RestUntil == 0 {
 		t.Errorf("the scenario leaves parts out: %+v", state)
 	}
--- /dev/null
+++ b/internal/testing/golden/digest.go
@@ -0,0 +1,46 @@
+package golden
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"testing"
+)
+
+// Digest is the SHA-256 of what code under test decides or draws, written as text: a fixture where the text is too long.
+type Digest struct{ sum hash.Hash }
+
+// NewDigest returns the digest of nothing.
+func NewDigest() *Digest { return &Digest{sha256.New()} }
+
+// Write adds bytes. It never fails.
+func (d *Digest) Write(p []byte) (int, error) { return d.sum.Write(p) }
+
+// Println adds values as fmt.Println prints them.
+func (d *Digest) Println(values ...any) { _, _ = fmt.Fprintln(d, values...) }
+
+// Printf adds values as fmt.Printf prints them.
+func (d *Digest) Printf(format string, values ...any) { _, _ = fmt.Fprintf(d, format, values...) }
+
+// AddJSON adds a value as a line of JSON.
+func (d *Digest) AddJSON(t testing.TB, value any) {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.Println(string(text))
+}
+
+// String returns the digest of what was added so far, in hex.
+func (d *Digest) String() string { return hex.EncodeToString(d.sum.Sum(nil)) }
+
+// Check compares the digest with one in hex.
+func (d *Digest) Check(t testing.TB, wantHex string) {
+	t.Helper()
+	if got := d.String(); got != wantHex {
+		t.Errorf("digest %s, want %s", got, wantHex)
+	}
+}
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
 )
 
 // Read returns the bytes of a file under testdata.
@@ -51,7 +52,7 @@
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
+		t.Errorf("%s differs (-want, +got):\n%s", name, cmp.Diff(string(want), string(got)))
 	}
 }
 
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -76,6 +76,33 @@
 	}
 }
 
+func TestDigest_isOfAllThatWasAdded(t *testing.T) {
+	const abcLine = "edeaaff3f1774ad2888673770c6d64097e391bc362d7d6fb34982ddf0efd18cb" // of "abc\n"
+	for name, add := range map[string]func(*Digest){
+		"bytes":  func(d *Digest) { _, _ = d.Write([]byte("abc\n")) },
+		"parts":  func(d *Digest) { d.Printf("a"); d.Println("bc") },
+		"format": func(d *Digest) { d.Printf("%sbc%c", "a", '\n') },
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := NewDigest()
+			add(d)
+			d.Check(t, abcLine)
+			seen := &recorder{TB: t}
+			if d.Println(); d.String() == abcLine {
+				t.Error("a line more changes nothing")
+			}
+			if d.Check(seen, abcLine); !seen.failed {
+				t.Error("another digest is taken")
+			}
+		})
+	}
+	line, jsonLine := NewDigest(), NewDigest()
+	line.Println(`{"A":1}`)
+	if jsonLine.AddJSON(t, struct{ A int }{1}); line.String() != jsonLine.String() {
+		t.Error("JSON is not added as a line")
+	}
+}
+
 func TestReadHex_readsAllDigits(t *testing.T) {
 	if got := ReadHex(t, "three.hex"); !bytes.Equal(got, []byte{10, 11, 12}) {
 		t.Errorf("read %x", got)
--- a/internal/upstream/subset/golden_test.go
+++ b/internal/upstream/subset/golden_test.go
@@ -1,13 +1,12 @@
 package subset
 
 import (
-	"crypto/sha256"
 	"fmt"
-	"io"
 	"math/rand"
 	"testing"
 	"time"
 
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -35,7 +34,7 @@
 // recorder hashes all that a gateway's subset selects, in a form that has no name of a field.
 type recorder struct {
 	*Subset
-	hash   io.Writer
+	sum    *golden.Digest
 	random *rand.Rand
 	list   []Candidate
 	zones  int
@@ -43,9 +42,9 @@
 }
 
 func (r *recorder) record(what string, selected []policy.Endpoint, figure float64) {
-	_, _ = fmt.Fprintln(r.hash, what, r.now, len(selected), figure, r.AttemptRate(r.now))
+	r.sum.Println(what, r.now, len(selected), figure, r.AttemptRate(r.now))
 	for _, e := range selected {
-		_, _ = fmt.Fprintln(r.hash, e.Server, e.State, e.Capacity, e.StartedAt, e.Rack, e.Zone, e.Hardware, e.Owner, e.Elective)
+		r.sum.Println(e.Server, e.State, e.Capacity, e.StartedAt, e.Rack, e.Zone, e.Hardware, e.Owner, e.Elective)
 	}
 }
 
@@ -66,7 +65,7 @@
 
 func (r *recorder) shed() {
 	for range 50 {
-		_, _ = fmt.Fprint(r.hash, r.ShouldShed())
+		r.sum.Printf("%v", r.ShouldShed())
 	}
 }
 
@@ -90,7 +89,7 @@
 		weights[zone] = max(r.random.Float64()*1.3-0.3, 0)
 	}
 	for _, next := range [][]float64{weights, weights, make([]float64, r.zones), nil} {
-		_, _ = fmt.Fprintln(r.hash, r.SetWeights(next, r.random.Float64()*1.5-0.25))
+		r.sum.Println(r.SetWeights(next, r.random.Float64()*1.5-0.25))
 		r.addElective(r.selectServers("steered"))
 		r.shed()
 		for range 25 { // other gateways get one server more
@@ -106,7 +105,7 @@
 // hashOfFleet has the gateways of a random fleet make attempts, take weights and resize, and servers leave, and returns the
 // hash of all that they select.
 func hashOfFleet(seed int64) string {
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	random := rand.New(rand.NewSource(seed + 1))
 	list, zones := randomFleet(seed)
 	for gateway := range 24 {
@@ -114,7 +113,7 @@
 		if gateway%11 == 10 {
 			idleTimeout = 0
 		}
-		r := &recorder{Subset: New(gateway, 24, idleTimeout), hash: sum, random: random, list: list, zones: zones, now: time.Hour}
+		r := &recorder{Subset: New(gateway, 24, idleTimeout), sum: sum, random: random, list: list, zones: zones, now: time.Hour}
 		r.addElective(r.selectServers("first"))
 		r.makeAttempts()
 		r.useWeights()
@@ -123,7 +122,7 @@
 		list[random.Intn(len(list))].State = policy.Removed
 		r.addElective(r.selectServers("lost"))
 	}
-	return fmt.Sprintf("%x", sum.Sum(nil))
+	return sum.String()
 }
 
 func TestGolden_randomFleetsSelectTheSameServersAsBefore(t *testing.T) {
--- a/internal/zonestats/golden_test.go
+++ b/internal/zonestats/golden_test.go
@@ -1,8 +1,6 @@
 package zonestats
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -13,6 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
 
@@ -93,7 +92,7 @@
 		policy.Reset, policy.Cancelled, policy.Rejected, policy.ConnectFailed, policy.NotSent,
 	}
 	zoneDown := [3]bool{}
-	sum := sha256.New()
+	sum := golden.NewDigest()
 	for step := range 500 {
 		if step%40 == 0 {
 			zoneDown[random.IntN(3)] = random.IntN(2) == 0
@@ -128,11 +127,11 @@
 		counts := map[string]uint64{}
 		recorder.WriteCounts(now, func(name string, n uint64) { counts[name] = n })
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
-			sum.Write(fmt.Appendf(nil, "%q %d\n", name, counts[name]))
+			sum.Printf("%q %d\n", name, counts[name])
 		}
-		sum.Write(fmt.Appendln(nil, recorder.IsZoneLost()))
+		sum.Println(recorder.IsZoneLost())
 	}
-	return hex.EncodeToString(sum.Sum(nil))
+	return sum.String()
 }
 
 // drawnList draws the servers listed.
