--- a/cmd/harrierhoist/gateway_test.go
+++ b/cmd/harrierhoist/gateway_test.go
@@ -78,17 +78,7 @@
 // waitUntilReady waits until a gateway answers PING with PONG.
 func waitUntilReady(t *testing.T, addr string) {
 	t.Helper()
-	fakes.Eventually(t, "ready at "+addr, func() bool {
-		conn, err := net.Dial("tcp", addr)
-		if err != nil {
-			return false
-		}
-		defer func() { _ = conn.Close() }()
-		_ = conn.SetDeadline(time.Now().Add(time.Second))
-		_, _ = io.WriteString(conn, fakes.FormatCommand("PING"))
-		line, _ := bufio.NewReader(conn).ReadString('\n')
-		return line == "+PONG\r\n"
-	})
+	fakes.Eventually(t, "ready at "+addr, func() bool { return subprocess.IsReady(addr) })
 }
 
 // signal sends signals, one after the other.
--- a/internal/testing/faultinjection/environment.go
+++ b/internal/testing/faultinjection/environment.go
@@ -1,11 +1,8 @@
 package faultinjection
 
 import (
-	"bufio"
 	"bytes"
 	"fmt"
-	"io"
-	"net"
 	"os"
 	"path/filepath"
 	"sync"
@@ -117,28 +114,11 @@
 		must(env.T, g.Start())
 	}
 	for _, g := range gateways {
-		fakes.Eventually(env.T, g.Name+" ready", func() bool { return isReady(g.Addr) })
+		fakes.Eventually(env.T, g.Name+" ready", func() bool { return subprocess.IsReady(g.Addr) })
 		g.setDown(false)
 	}
 }
 
-// isReady reports whether a gateway answers a ping.
-func isReady(addr string) bool {
-	conn, err := net.DialTimeout("tcp", addr, time.Second)
-	if err != nil {
-		return false
-	}
-	defer func() { _ = conn.Close() }() // the gateway may have closed it
-	if conn.SetDeadline(time.Now().Add(time.Second)) != nil {
-		return false
-	}
-	if _, err := io.WriteString(conn, fakes.FormatCommand("PING")); err != nil {
-		return false
-	}
-	line, err := bufio.NewReader(conn).ReadString('\n')
-	return err == nil && line == "+PONG\r\n"
-}
-
 // mustAnswer reports whether the gateway at an address has been running since a time.
 func (env *Environment) mustAnswer(addr string, since time.Time) bool {
 	for _, g := range env.Gateways {
