--- a/internal/testing/faultinjection/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -11,8 +11,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// groupRuleTerms is what gateways' files have besides: a rule under which eight customers share one count, of three times
-// what today's rule gives each of them. The voters' files have none of it where a story writes the table itself.
+// groupRuleTerms has, beside failover's terms, a rule under which eight customers share one count, with three times the rate
+// that today's rule gives each of them. Voters have none of it where a scenario writes the table itself.
 const groupRuleTerms = `[counting]
 try = 0
 [[counting.rule]]
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
-// partnerTerms have a hall and its customers each. What a and b owe each other is settled where a story says so.
+// partnerTerms has three partners with a zone and customers each. noSettlementRule has what a and b owe each other left as it
+// is.
 const partnerTerms = `[debts]
 on = true
 settle_over_s = 5.0
