--- a/internal/conformance/program.go
+++ b/internal/conformance/program.go
@@ -1,12 +1,12 @@
 package conformance
 
 import (
+	"context"
 	"errors"
-	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"sync"
+
+	"harrierhoist/internal/testing/subprocess"
 )
 
 // overlayVariable names the environment variable with the path of a file of replaced sources (go build -overlay): the
@@ -16,19 +16,14 @@
 // buildDir holds the built program; empty before it is built.
 var buildDir string
 
-// buildProgram builds the program once for all rows and returns its path. Cleanup removes it.
+// buildProgram builds the program once for all cases and returns its path. Cleanup removes it.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "conformance")
 	if err != nil {
 		return "", err
 	}
 	buildDir = dir
-	path := filepath.Join(dir, "harrierhoist")
-	build := exec.Command("go", "build", "-overlay="+os.Getenv(overlayVariable), "-o", path, "harrierhoist/cmd/harrierhoist")
-	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
-	}
-	return path, nil
+	return subprocess.Build(context.Background(), dir, "-overlay="+os.Getenv(overlayVariable))
 })
 
 // Cleanup stops the shared voters and removes what was built. It is called when all tests have ended.
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -14,18 +14,25 @@
 
 var noViolations [invariants.RuleCount]int
 
-// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
-func TestChecker_findsEachViolation(t *testing.T) {
-	deploy := scenario.Fault{Kind: "deploy", Start: span(2 * time.Second), Duration: span(3 * time.Second), Fraction: 0.6}
-	resets := scenario.Fault{Kind: "resets", Start: span(time.Second), Duration: span(9 * time.Second), Fraction: 0.1}
-	replacement := scenario.Fault{Kind: "mass_change", Start: span(2 * time.Second), Fraction: 0.7}
-	for _, c := range []struct {
-		rule     invariants.Rule
-		name     string
-		spec     *scenario.Scenario
-		prepare  func(spec *scenario.Scenario)
-		addFault func(f *faultyPolicy, settings *policy.Settings)
-	}{
+// violation is a module with a fault that violates a rule.
+type violation struct {
+	rule     invariants.Rule
+	name     string
+	spec     *scenario.Scenario
+	prepare  func(spec *scenario.Scenario)
+	addFault func(f *faultyPolicy, settings *policy.Settings)
+}
+
+// violations has a module with a fault for each rule.
+func violations() []violation {
+	deploy := scenario.Fault{
+		Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(3 * time.Second), Fraction: 0.6,
+	}
+	resets := scenario.Fault{
+		Kind: scenario.ConnectionResets, Start: span(time.Second), Duration: span(9 * time.Second), Fraction: 0.1,
+	}
+	replacement := scenario.Fault{Kind: scenario.MassReplacement, Start: span(2 * time.Second), Fraction: 0.7}
+	return []violation{
 		{
 			rule: invariants.RequestLost, name: "drops one rejection in twenty", spec: smallScenario(),
 			addFault: func(f *faultyPolicy, _ *policy.Settings) { f.dropEvery = 20 },
@@ -59,16 +66,21 @@
 				}
 			},
 		},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			c.spec.Load.Rate *= 1.5
-			if c.prepare != nil {
-				c.prepare(c.spec)
+	}
+}
+
+// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
+func TestChecker_findsEachViolation(t *testing.T) {
+	for _, test := range violations() {
+		t.Run(test.name, func(t *testing.T) {
+			test.spec.Load.Rate *= 1.5
+			if test.prepare != nil {
+				test.prepare(test.spec)
 			}
-			if sound := mustRun(t, c.spec, 3, baseline.Module); sound.ViolationCounts != noViolations {
+			if sound := mustRun(t, test.spec, 3, baseline.Module); sound.ViolationCounts != noViolations {
 				t.Fatalf("the module without the fault violates %v: %v", sound.ViolationCounts, sound.Violations)
 			}
-			requireOnly(t, c.rule, mustRun(t, c.spec, 3, withFault(c.addFault)))
+			requireOnly(t, test.rule, mustRun(t, test.spec, 3, withFault(test.addFault)))
 		})
 	}
 }
@@ -112,9 +124,10 @@
 
 // TestRun_sameSeedGivesTheSameBytes runs two seeds, several times each and side by side.
 func TestRun_sameSeedGivesTheSameBytes(t *testing.T) {
-	spec := smallScenario(scenario.Fault{Kind: "kill", Start: span(2 * time.Second), Duration: span(time.Second), Fraction: 0.5},
-		scenario.Fault{Kind: "deploy", Start: span(3 * time.Second), Duration: span(3 * time.Second), Fraction: 0.5},
-		scenario.Fault{Kind: "counter_silent", Start: span(5 * time.Second), Duration: span(3 * time.Second)})
+	spec := smallScenario(
+		scenario.Fault{Kind: scenario.GatewayKill, Start: span(2 * time.Second), Duration: span(time.Second), Fraction: 0.5},
+		scenario.Fault{Kind: scenario.RollingDeploy, Start: span(3 * time.Second), Duration: span(3 * time.Second), Fraction: 0.5},
+		scenario.Fault{Kind: scenario.CounterSilence, Start: span(5 * time.Second), Duration: span(3 * time.Second)})
 	spec.Gateways.Subset = true
 	spec.Load.DeclaredDeviation, spec.Load.OneTimeShare = 0.4, 0.1
 	texts := make([]string, 6)
@@ -158,7 +171,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := smallScenario(scenario.Fault{
-				Kind: "deploy", Start: span(2 * time.Second), Duration: span(2 * time.Second), Fraction: 0.5,
+				Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(2 * time.Second), Fraction: 0.5,
 			})
 			change(spec)
 			r := mustRun(t, spec, 2, baseline.Module)
