--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -129,9 +129,11 @@
 
 func (m *membership) startSettlement(ctx context.Context, running *instance, terms *config.Config) error {
 	var err error
-	m.account, m.settlementDone, err = runtime.Start(ctx, *terms.Settlement, running.configuration.Settings,
-		running.configuration.Zones, running.configuration.Seed, terms.Process.Folder, m.process.Client(), running.dispatcher,
-		running.log)
+	parts := runtime.Config{
+		Terms: *terms.Settlement, Settings: running.configuration.Settings, Zones: running.configuration.Zones,
+		Seed: running.configuration.Seed, Folder: terms.Process.Folder,
+	}
+	m.account, m.settlementDone, err = runtime.Start(ctx, parts, m.process.Client(), running.dispatcher, running.log)
 	if err != nil {
 		return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
 	}
--- a/internal/settlement/runtime/runtime.go
+++ b/internal/settlement/runtime/runtime.go
@@ -17,17 +17,24 @@
 	"harrierhoist/policy"
 )
 
-// Start has a gateway count and settle debts until the context ends; the channel is closed once all is stored. Zones are
-// names in the order of the settings. Without a folder nothing is stored. The accounts are returned for other terms
-// later (SetTerms). Its errors are those of journal.Open.
+// Config is what a gateway's settlement goes by.
+type Config struct {
+	Terms    settlement.Terms
+	Settings policy.Settings
+	Zones    []string // names, in the order of the settings
+	Seed     int64    // of the draws of elective requests
+	Folder   string   // of the journal; empty: nothing is stored
+}
+
+// Start has a gateway count and settle debts until the context ends; the channel is closed once all is stored. The
+// accounts are returned for other terms later (SetTerms). Its errors are those of journal.Open.
 func Start(
-	ctx context.Context, terms settlement.Terms, settings policy.Settings, zones []string, seed int64, folder string,
-	client coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
+	ctx context.Context, config Config, client coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
 ) (*account.Accounts, <-chan struct{}, error) {
 	var store account.Store
 	closeStore := func() error { return nil }
-	if folder != "" {
-		j, err := journal.Open(folder)
+	if config.Folder != "" {
+		j, err := journal.Open(config.Folder)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -35,8 +42,8 @@
 	}
 	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same nanosecond.
 	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
-	accounts := account.New(terms, account.Settings{Zones: zones}, ledgerID, uint64(seed), client.Now)
-	accounts.SetPolicy(settings.Classes, settings.Plans)
+	accounts := account.New(config.Terms, account.Settings{Zones: config.Zones}, ledgerID, uint64(config.Seed), client.Now)
+	accounts.SetPolicy(config.Settings.Classes, config.Settings.Plans)
 	if store != nil {
 		accounts.Restore(store)
 	}
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/settlement/runtime/runtime_test.go
@@ -53,8 +53,9 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	client := noCoordination{make(chan func(func(string, uint64)), 1)}
+	config := Config{Terms: testTerms(), Settings: testSettings, Zones: []string{"hb"}, Seed: 7, Folder: folder}
 	start := func() (<-chan struct{}, error) {
-		_, ended, err := Start(ctx, testTerms(), testSettings, []string{"hb"}, 7, folder, client, dispatcher, zap.NewNop())
+		_, ended, err := Start(ctx, config, client, dispatcher, zap.NewNop())
 		return ended, err
 	}
 	ended, err := start()
