--- a/internal/testing/subprocess/subprocess_test.go
+++ b/internal/testing/subprocess/subprocess_test.go
@@ -21,25 +21,25 @@
 }
 
 func TestProcess_runsAgainWithItsLogAndEnvironment(t *testing.T) {
-	p := NewProcess(script(t, "echo \"started with $FIRST$SECOND\"\necho to stderr >&2\nexec sleep 100\n"), "p", "FIRST=a")
-	t.Cleanup(p.Kill)
-	if p.Kill(); p.IsRunning() {
+	process := NewProcess(script(t, "echo \"started with $FIRST$SECOND\"\necho to stderr >&2\nexec sleep 100\n"), "p", "FIRST=a")
+	t.Cleanup(process.Kill)
+	if process.Kill(); process.IsRunning() {
 		t.Error("running before its start")
 	}
 	for i, want := range []string{"started with a\n", "started with ab\n"} {
-		if err := p.Start(); err != nil {
+		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
-		fakes.Eventually(t, "its log", func() bool { return p.Log.Count(want) == 1 && p.Log.Count("to stderr\n") == i+1 })
-		if !p.IsRunning() || syscall.Kill(p.PID(), 0) != nil {
+		fakes.Eventually(t, "its log", func() bool { return process.Log.Count(want) == 1 && process.Log.Count("to stderr\n") == i+1 })
+		if !process.IsRunning() || syscall.Kill(process.PID(), 0) != nil {
 			t.Errorf("start %d: not running", i)
 		}
-		if p.Kill(); p.IsRunning() {
+		if process.Kill(); process.IsRunning() {
 			t.Errorf("start %d: running after its end", i)
 		}
-		p.AddEnv("SECOND=b")
+		process.AddEnv("SECOND=b")
 	}
-	if log := p.Log.String(); !strings.HasPrefix(log, "started with a\n") {
+	if log := process.Log.String(); !strings.HasPrefix(log, "started with a\n") {
 		t.Errorf("the log is %q", log)
 	}
 }
