--- a/cmd/loadlab/cluster.go
+++ b/cmd/loadlab/cluster.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/lab/emulation"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/resp"
 )
 
 const (
--- a/internal/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // Call is a call to the counter that the shadow evaluation asks for. Its answer goes to HandleCount.
--- a/internal/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"time"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/countingrule"
 )
 
 // Controller writes the table of counting rules: a rule is tried, scheduled, watched and kept, or rolled back where the
--- a/internal/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/countingrule"
 )
 
 // history draws what a controller is given: observations, new leaders and new files.
--- a/internal/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/countingrule"
 )
 
 // runUntilScheduled takes a simulation to the moment at which a harmless rule is scheduled.
--- a/internal/canary/golden_test.go
+++ b/internal/control/countingrule/canary/golden_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/testing/golden"
 )
 
--- a/internal/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // record hashes all that a simulation's controller writes, and what its processes observed.
--- a/internal/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -10,7 +10,7 @@
 	"math/bits"
 	"slices"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // Buckets are the parts that the sampled keys fall into by hash; each is tested once, one after the other. A bound of 2%
--- a/internal/canary/sample_test.go
+++ b/internal/control/countingrule/canary/sample_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // counter answers at once.
--- a/internal/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // When a trial is evaluated, and of how much.
--- a/internal/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination/observation"
-	"harrierhoist/internal/countingrule"
 )
 
 // TrialState is what a trial has shown so far. It is stored in the table: it must outlive a leader.
--- a/internal/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 var (
--- a/internal/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"harrierhoist/internal/canary"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
+	"harrierhoist/internal/gateway/dispatch"
 )
 
 // canaryRun is this process's part of a canary, while there is one. It is under the enforcer's lock.
--- a/internal/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -10,10 +10,10 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/canary"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -4,7 +4,7 @@
 	"math"
 	"strings"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 )
 
 // What a plan gives as the reasons of a move. They are stored: their wording stays.
--- a/internal/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/control/failover/zonestats"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/zonestats"
 )
 
 // Controller turns observations into plans. It runs on the leader and is made anew by each new leader: all that it must
--- a/internal/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 )
 
 // calmSimulation is three zones that have settled, all local.
--- a/internal/failover/estimates.go
+++ b/internal/control/failover/estimates.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 )
 
 const (
--- a/internal/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/control/failover/zonestats"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/upstream/subset"
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 )
 
 // planInput is what a plan is made for: everything by zone index, or by pair (from, to).
--- a/internal/routing/golden_test.go
+++ b/internal/control/failover/routing/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/failover"
 	"harrierhoist/internal/testing/golden"
 )
 
--- a/internal/routing/updater.go
+++ b/internal/control/failover/routing/updater.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/gateway/dispatch"
 )
 
 // checkInterval is how often the loss of the own zone and the lease are checked.
--- a/internal/routing/updater_test.go
+++ b/internal/control/failover/routing/updater_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 )
 
--- a/internal/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 )
 
 const (
--- a/internal/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"harrierhoist/internal/control/failover/zonestats"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/zonestats"
 )
 
 // tick is how often the simulation's gateways report and its controller decides.
--- a/internal/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/upstream/subset"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/account/accounts_test.go
+++ b/internal/control/settlement/account/accounts_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/settlement"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/settlement/account/golden_test.go
+++ b/internal/control/settlement/account/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
 )
--- a/internal/settlement/account/reconfigure_test.go
+++ b/internal/control/settlement/account/reconfigure_test.go
@@ -4,7 +4,7 @@
 	"sync"
 	"testing"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/settlement"
 )
 
 // leaseCheckInterval is how often the table's lease is checked: renewing it changes no table.
--- a/internal/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 )
 
 // minWriteInterval is the least time between writes to the store: what a process that dies may lose of its attempts.
--- a/internal/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/journal/golden_test.go
+++ b/internal/control/settlement/journal/golden_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
 )
 
 // goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
--- a/internal/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -18,7 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement/account"
 )
 
 // Layout of the file. It is stored: it never changes.
--- a/internal/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
 )
 
 func testBalances(n uint64) []account.StoredBalance {
--- a/internal/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -9,11 +9,11 @@
 
 	"go.uber.org/zap"
 
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
+	"harrierhoist/internal/control/settlement/journal"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
-	"harrierhoist/internal/settlement/journal"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/runtime/runtime_test.go
+++ b/internal/control/settlement/runtime/runtime_test.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/failover"
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/settlement"
 )
 
 // Config is the file. Its tags are the operators' keys.
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -10,9 +10,9 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/pelletier/go-toml/v2"
 
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/failover"
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/testing/golden"
 )
 
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -12,18 +12,18 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/canary"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
+	"harrierhoist/internal/control/countingrule/enforce"
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/failover/routing"
+	"harrierhoist/internal/control/failover/zonestats"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
+	"harrierhoist/internal/control/settlement/runtime"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/config"
 	"harrierhoist/internal/coordination/node"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/enforce"
-	"harrierhoist/internal/failover"
-	"harrierhoist/internal/routing"
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
-	"harrierhoist/internal/settlement/runtime"
-	"harrierhoist/internal/zonestats"
 )
 
 // membership is this process's part in coordination; nil where no coordination file is named.
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 )
 
 // reservedDescriptors are left free: some 16 for listener, log, counter, discovery and the runtime, and spare ones.
--- a/internal/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -16,8 +16,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/config"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/config"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/internal/testing/golden"
 	"harrierhoist/policy"
--- a/internal/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
-	"harrierhoist/internal/config"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/config"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"testing/synctest"
 
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/discovery/watched_test.go
+++ b/internal/gateway/discovery/watched_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/config"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/config"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/config"
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/config"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
 )
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/gateway/discovery/watcher_test.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/testing/fakes"
 )
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/settlement/account"
-	"harrierhoist/internal/upstream/subset"
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
+	"harrierhoist/internal/control/settlement/account"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/upstream/subset"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement/account"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/settlement.go
+++ b/internal/gateway/dispatch/settlement.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement/account"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"harrierhoist/internal/upstream/subset"
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/zonestats"
+	"harrierhoist/internal/control/failover/zonestats"
 	"harrierhoist/policy"
 )
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 )
 
 // Shares of the memory limit.
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -7,12 +7,12 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/config"
-	"harrierhoist/internal/counter"
-	"harrierhoist/internal/discovery"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/listener"
-	"harrierhoist/internal/upstream"
+	"harrierhoist/internal/gateway/config"
+	"harrierhoist/internal/gateway/counter"
+	"harrierhoist/internal/gateway/discovery"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/listener"
+	"harrierhoist/internal/gateway/upstream"
 	"harrierhoist/policy"
 )
 
--- a/internal/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
-	"harrierhoist/internal/upstream"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
+	"harrierhoist/internal/gateway/upstream"
 )
 
 const (
--- a/internal/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 )
 
 // memoryTimeout is how long a command waits for memory. A client that is rejected sooner is served sooner by another gateway.
--- a/internal/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 )
 
 const (
--- a/internal/listener/connections_test.go
+++ b/internal/gateway/listener/connections_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/testing/fakes"
 )
 
--- a/internal/listener/execute.go
+++ b/internal/gateway/listener/execute.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/upstream"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/upstream"
 )
 
 // workerPool executes jobs on goroutines that are kept: the stack of each grows only once to what a request needs. There are as
--- a/internal/listener/fixture_test.go
+++ b/internal/gateway/listener/fixture_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/upstream"
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
--- a/internal/listener/fuzz_test.go
+++ b/internal/gateway/listener/fuzz_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
+	"harrierhoist/internal/gateway/upstream"
 	"harrierhoist/internal/testing/fakes"
-	"harrierhoist/internal/upstream"
 	"harrierhoist/policy"
 )
 
--- a/internal/listener/listener.go
+++ b/internal/gateway/listener/listener.go
@@ -15,9 +15,9 @@
 
 	"go.uber.org/zap"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
-	"harrierhoist/internal/upstream"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
+	"harrierhoist/internal/gateway/upstream"
 	"harrierhoist/policy"
 )
 
--- a/internal/listener/parameters.go
+++ b/internal/gateway/listener/parameters.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/upstream"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/upstream"
 	"harrierhoist/policy"
 )
 
--- a/internal/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/policy"
 )
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
 )
 
 // errPoolExhausted says that all connections that we may have are in use.
--- a/internal/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 )
 
 // exchangeState is how far an exchange came.
--- a/internal/upstream/fuzz_test.go
+++ b/internal/gateway/upstream/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/upstream/localfailure_test.go
+++ b/internal/gateway/upstream/localfailure_test.go
@@ -4,7 +4,7 @@
 	"syscall"
 	"testing"
 
-	"harrierhoist/internal/dispatch"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
--- a/internal/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -7,8 +7,8 @@
 	"context"
 	"time"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/policy"
 )
 
--- a/internal/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/resp"
 )
 
 // maxWords is of a command: verb, customer, request, arguments.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/lab/emulation"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/resp"
 )
 
 // ErrNothingToDrive says that a driver has no rate above zero or no gateway.
--- a/internal/lab/load/pool.go
+++ b/internal/lab/load/pool.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"harrierhoist/internal/resp"
+	"harrierhoist/internal/gateway/resp"
 )
 
 // pool keeps idle connections by address.
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
+	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/lab/emulation"
 	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/resp"
 )
 
 // answerSlack is how long after its deadline a request's answer is waited for.
--- a/internal/lab/scenario/coordination.go
+++ b/internal/lab/scenario/coordination.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/control/failover"
 )
 
 // Coordination says whether gateways decide together where attempts go, and what the processes between them are like.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/control/failover"
 )
 
 // Span is a time in the file, written with its unit: "250ms", "1m30s".
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/failover"
 	"harrierhoist/internal/lab/scenario"
 )
 
--- a/internal/lab/simulation/coordinator_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/lab/baseline"
 	"harrierhoist/internal/lab/scenario"
 )
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -11,7 +11,7 @@
 	"harrierhoist/internal/lab/baseline"
 	"harrierhoist/internal/lab/invariants"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/lab/virtualtime"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/simulation/failover.go
+++ b/internal/lab/simulation/failover.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/control/failover"
 )
 
 const (
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -7,14 +7,14 @@
 
 	"go.uber.org/zap"
 
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/failover/routing"
+	"harrierhoist/internal/control/failover/zonestats"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/failover"
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/routing"
-	"harrierhoist/internal/zonestats"
 )
 
 const (
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"harrierhoist/internal/coordination"
-	"harrierhoist/internal/dispatch"
-	"harrierhoist/internal/upstream/subset"
+	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/internal/lab/baseline"
-	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/simulation/local_controller.go
+++ b/internal/lab/simulation/local_controller.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"harrierhoist/internal/control/failover"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/failover"
 )
 
 // Names of the counts of package zonestats that every gateway sees of every zone.
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
+	"harrierhoist/internal/gateway/upstream/subset"
 	"harrierhoist/internal/lab/scenario"
-	"harrierhoist/internal/upstream/subset"
 	"harrierhoist/policy"
 )
 
--- a/internal/simulator/host/host.go
+++ b/internal/simulator/host/host.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/simulator/frame"
 )
 
--- a/internal/simulator/host/instance.go
+++ b/internal/simulator/host/instance.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/simulator/frame"
 	"harrierhoist/policy"
 )
--- a/internal/simulator/host/translate.go
+++ b/internal/simulator/host/translate.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/config"
+	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/simulator/frame"
 	"harrierhoist/policy"
 )
--- a/internal/conformance/change_test.go
+++ b/internal/testing/conformance/change_test.go
@@ -14,7 +14,7 @@
 const (
 	maxParallelChanges = 3 // programs built at the same time: the cores are shared
 	changeTimeout      = "50s"
-	repoRoot           = "../.."
+	repoRoot           = "../../.."
 )
 
 // failedCase finds the cases that failed in the output of go test -v.
--- a/internal/conformance/states.go
+++ b/internal/testing/conformance/states.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/failover"
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/settlement"
 )
 
 // The zones of the cases' settings.
--- a/internal/conformance/tables.go
+++ b/internal/testing/conformance/tables.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"harrierhoist/internal/canary"
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/failover"
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
+	"harrierhoist/internal/control/failover"
+	"harrierhoist/internal/control/settlement"
 )
 
 // The canary of a counting rule.
--- a/internal/conformance/variants_module.go
+++ b/internal/testing/conformance/variants_module.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/docscheck/architecture_test.go
+++ b/internal/testing/docscheck/architecture_test.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	repositoryRoot   = "../.."
+	repositoryRoot   = "../../.."
 	architecturePage = repositoryRoot + "/docs/architecture.md"
+	capacityPage     = repositoryRoot + "/docs/capacity.md"
 )
 
 // reference is a package's function, type or constant, or a type's method or field, as pages name it.
@@ -24,28 +25,31 @@
 // fileSuffixes end what looks like a reference and is a file's name.
 var fileSuffixes = []string{".md", ".json", ".toml", ".go", ".mod"}
 
-// minReferences is how many references the page has at the least: a change of its form must not empty the check.
-const minReferences = 50
+// referencePages are the pages whose references are checked, each with how many it has at the least: a change of its
+// form must not empty the check.
+var referencePages = map[string]int{architecturePage: 50, capacityPage: 0}
 
-func TestArchitecturePage_namesWhatExists(t *testing.T) {
-	page, err := os.ReadFile(architecturePage)
-	if err != nil {
-		t.Fatal(err)
-	}
+func TestPages_nameFunctionsAndConstantsThatExist(t *testing.T) {
 	declared := declarations(t)
-	checked := 0
-	for _, match := range reference.FindAllStringSubmatch(string(page), -1) {
-		name := match[1]
-		if slices.ContainsFunc(fileSuffixes, func(suffix string) bool { return strings.HasSuffix(name, suffix) }) {
-			continue
+	for path, minReferences := range referencePages {
+		page, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
 		}
-		checked++
-		if !declared[name] {
-			t.Errorf("the page names %s, which no package declares", name)
+		checked := 0
+		for _, match := range reference.FindAllStringSubmatch(string(page), -1) {
+			name := match[1]
+			if slices.ContainsFunc(fileSuffixes, func(suffix string) bool { return strings.HasSuffix(name, suffix) }) {
+				continue
+			}
+			checked++
+			if !declared[name] {
+				t.Errorf("%s names %s, which no package declares", path, name)
+			}
+		}
+		if checked < minReferences {
+			t.Errorf("%s: only %d references found", path, checked)
 		}
-	}
-	if checked < minReferences {
-		t.Errorf("only %d references found on the page", checked)
 	}
 }
 
@@ -81,9 +85,14 @@
 			declared[prefix+receiverPrefix(declaration)+declaration.Name.Name] = true
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
-				if spec, ok := spec.(*ast.TypeSpec); ok {
+				switch spec := spec.(type) {
+				case *ast.TypeSpec:
 					declared[prefix+spec.Name.Name] = true
 					declareMembers(declared, prefix+spec.Name.Name+".", spec.Type)
+				case *ast.ValueSpec:
+					for _, name := range spec.Names {
+						declared[prefix+name.Name] = true
+					}
 				}
 			}
 		}
--- a/internal/docscheck/names_test.go
+++ b/internal/testing/docscheck/names_test.go
@@ -16,11 +16,11 @@
 // TestPages_nameTestsThatExist fails where a page names a test, benchmark or fuzz target that no test file has.
 func TestPages_nameTestsThatExist(t *testing.T) {
 	declared := declaredTests(t)
-	incidents, err := filepath.Glob("../../docs/incidents/*.md")
+	incidents, err := filepath.Glob("../../../docs/incidents/*.md")
 	if err != nil || len(incidents) == 0 {
 		t.Fatalf("%d incidents, %v", len(incidents), err)
 	}
-	pages := append([]string{"oncall"}, operatorPages...)
+	pages := append([]string{"oncall", "architecture", "capacity"}, operatorPages...)
 	for _, path := range incidents {
 		pages = append(pages, filepath.Join("incidents", strings.TrimSuffix(filepath.Base(path), ".md")))
 	}
@@ -41,7 +41,7 @@
 func declaredTests(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
-	for _, root := range []string{"../../cmd", "../../internal", "../../policy"} {
+	for _, root := range []string{"../../../cmd", "../../../internal", "../../../policy"} {
 		err := filepath.WalkDir(root, func(path string, _ os.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/docscheck/oncall_test.go
+++ b/internal/testing/docscheck/oncall_test.go
@@ -170,7 +170,7 @@
 // readPage reads a page by its name under docs.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
-	page, err := os.ReadFile(filepath.Join("../../docs", name+".md"))
+	page, err := os.ReadFile(filepath.Join("../../../docs", name+".md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,13 +181,13 @@
 func productPackages(t *testing.T) []string {
 	t.Helper()
 	var folders []string
-	for _, root := range []string{"../../cmd/harrierhoist", "../../internal", "../../policy"} {
+	for _, root := range []string{"../../../cmd/harrierhoist", "../../../internal", "../../../policy"} {
 		err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
 			if err != nil || !entry.IsDir() {
 				return err
 			}
 			switch path {
-			case "../../internal/lab", "../../internal/testing", "../../internal/conformance", "../../internal/docscheck":
+			case "../../../internal/lab", "../../../internal/testing":
 				return filepath.SkipDir
 			}
 			if entry.Name() == "testdata" {
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/canary"
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
 	"harrierhoist/internal/testing/fakes"
 )
 
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
--- a/internal/lab/rulesimulation/checks.go
+++ b/internal/testing/rulesimulation/checks.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/rulesimulation/forecast.go
+++ b/internal/testing/rulesimulation/forecast.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"harrierhoist/internal/canary"
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/control/countingrule/canary"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/rulesimulation/golden_test.go
+++ b/internal/testing/rulesimulation/golden_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 // The hashes were written before the program's names were changed: what the simulations give must stay.
--- a/internal/lab/rulesimulation/rulesimulation_test.go
+++ b/internal/testing/rulesimulation/rulesimulation_test.go
@@ -4,7 +4,7 @@
 	"flag"
 	"testing"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 )
 
 var (
--- a/internal/lab/rulesimulation/simulation.go
+++ b/internal/testing/rulesimulation/simulation.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"harrierhoist/internal/countingrule"
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/control/countingrule"
+	"harrierhoist/internal/lab/virtualtime"
 	"harrierhoist/policy"
 )
 
--- a/internal/lab/rulesimulation/switch.go
+++ b/internal/testing/rulesimulation/switch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harrierhoist/internal/countingrule"
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/simulation/coordination.go
+++ b/internal/testing/settlementsimulation/coordination.go
@@ -1,4 +1,4 @@
-package simulation
+package settlementsimulation
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/control/settlement"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/settlement"
 )
 
 const (
--- a/internal/settlement/simulation/golden_test.go
+++ b/internal/testing/settlementsimulation/golden_test.go
@@ -1,4 +1,4 @@
-package simulation
+package settlementsimulation
 
 import (
 	"crypto/sha256"
--- a/internal/settlement/simulation/invariants.go
+++ b/internal/testing/settlementsimulation/invariants.go
@@ -1,11 +1,11 @@
-package simulation
+package settlementsimulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 )
 
 const (
--- a/internal/settlement/simulation/requests.go
+++ b/internal/testing/settlementsimulation/requests.go
@@ -1,10 +1,10 @@
-package simulation
+package settlementsimulation
 
 import (
 	"time"
 
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/simulation/scenario.go
+++ b/internal/testing/settlementsimulation/scenario.go
@@ -1,9 +1,9 @@
-package simulation
+package settlementsimulation
 
 import (
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 )
 
 // PlantedBug is a fault in the simulated coordination that a run must find.
--- a/internal/settlement/simulation/simulation.go
+++ b/internal/testing/settlementsimulation/simulation.go
@@ -1,7 +1,7 @@
 // Package simulation runs settlements in virtual time: gateways with their accounts in zones of simulated servers,
 // digests that are lost, duplicated and late, gateways that crash, and leaders that change while they write. Equal
 // scenarios give equal results.
-package simulation
+package settlementsimulation
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
+	"harrierhoist/internal/control/settlement"
+	"harrierhoist/internal/control/settlement/account"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/internal/coordination/statemachine"
-	"harrierhoist/internal/settlement"
-	"harrierhoist/internal/settlement/account"
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/lab/virtualtime"
 	"harrierhoist/policy"
 )
 
--- a/internal/settlement/simulation/simulation_test.go
+++ b/internal/testing/settlementsimulation/simulation_test.go
@@ -1,11 +1,11 @@
-package simulation
+package settlementsimulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"harrierhoist/internal/settlement"
+	"harrierhoist/internal/control/settlement"
 )
 
 // testScenario is three partners with a zone each, of which the first is lost for a minute.
--- a/internal/coordination/simulation/bug.go
+++ b/internal/testing/votersimulation/bug.go
@@ -1,4 +1,4 @@
-package simulation
+package votersimulation
 
 // Bug is a fault planted around the consensus nodes, which the invariants must find.
 type Bug int
--- a/internal/coordination/simulation/network.go
+++ b/internal/testing/votersimulation/network.go
@@ -1,10 +1,10 @@
-package simulation
+package votersimulation
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/lab/virtualtime"
 )
 
 // outside is the network address of clients, lease holders and reporters; voters have their numbers.
--- a/internal/coordination/simulation/ready.go
+++ b/internal/testing/votersimulation/ready.go
@@ -1,4 +1,4 @@
-package simulation
+package votersimulation
 
 import (
 	"github.com/fxamacker/cbor/v2"
--- a/internal/coordination/simulation/simulation.go
+++ b/internal/testing/votersimulation/simulation.go
@@ -1,7 +1,7 @@
 // Package simulation runs several voters, their clients and the holders of leases in virtual time. Consensus, reads and the
 // merging of digests are the real ones; disks, messages and clocks are simulated, and draw from a seed whatever can go wrong
 // with them. The same seed gives the same run, event by event.
-package simulation
+package votersimulation
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/cespare/xxhash/v2"
 
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/lab/virtualtime"
 )
 
 // Times of a run.
--- a/internal/coordination/simulation/simulation_test.go
+++ b/internal/testing/votersimulation/simulation_test.go
@@ -1,4 +1,4 @@
-package simulation
+package votersimulation
 
 import (
 	"flag"
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/lab/virtualtime"
 )
 
 // quotaSimulation is many gateways under one clock, with one counter that answers after a while and rejects some
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"harrierhoist/internal/upstream/subset"
-	"harrierhoist/internal/virtualtime"
+	"harrierhoist/internal/gateway/upstream/subset"
+	"harrierhoist/internal/lab/virtualtime"
 	"harrierhoist/policy"
 )
 
