--- a/cmd/loadlab/cluster.go
+++ b/cmd/loadlab/cluster.go
@@ -51,7 +51,8 @@
 }
 
 func (c *cluster) startGateways(ctx context.Context, count int, log io.Writer) (err error) {
-	if c.dir, err = os.MkdirTemp("", "loadlab-"); err != nil {
+	c.dir, err = os.MkdirTemp("", "loadlab-")
+	if err != nil {
 		return err
 	}
 	program, err := os.Executable()
@@ -109,7 +110,8 @@
 func waitReady(ctx context.Context, addr string) error {
 	var err error
 	for end := time.Now().Add(readyTimeout); ctx.Err() == nil && time.Now().Before(end); time.Sleep(pingInterval) {
-		if err = ping(addr); err == nil {
+		err = ping(addr)
+		if err == nil {
 			return nil
 		}
 	}
--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -21,7 +21,8 @@
 )
 
 func demoCommand() *cobra.Command {
-	duration, dir := 12*time.Second, ""
+	duration := 12 * time.Second
+	dir := ""
 	c := &cobra.Command{
 		Use: "demo", Short: "two real gateways before emulated servers, one of which falls silent for a while", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runDemo(cmd, duration, dir) },
@@ -38,8 +39,10 @@
 		return nil, err
 	}
 	s.Name = "demo"
-	s.Gateways.Count, s.Gateways.Zones = 2, 1
-	s.Servers.Count, s.Servers.RackSize = 8, 4
+	s.Gateways.Count = 2
+	s.Gateways.Zones = 1
+	s.Servers.Count = 8
+	s.Servers.RackSize = 4
 	s.Load.Rate = 120
 	return s, nil
 }
@@ -108,7 +111,8 @@
 func writeChart(dir string, report *load.Report) (string, error) {
 	chart := plot.New()
 	chart.Title.Text = "requests by the second in which they were due"
-	chart.X.Label.Text, chart.Y.Label.Text = "second", "requests"
+	chart.X.Label.Text = "second"
+	chart.Y.Label.Text = "requests"
 	chart.Y.Min = 0
 	series := []struct {
 		name  string
--- a/cmd/loadlab/load.go
+++ b/cmd/loadlab/load.go
@@ -10,7 +10,8 @@
 )
 
 func loadCommand() *cobra.Command {
-	driver, file := &load.Driver{}, ""
+	driver := &load.Driver{}
+	file := ""
 	command := &cobra.Command{
 		Use:   "load",
 		Short: "drive running gateways at a given rate, open loop; Ctrl-C ends it with its report", Args: cobra.NoArgs,
@@ -36,7 +37,8 @@
 	if err != nil {
 		return err
 	}
-	driver.Scenario, driver.Progress = spec, cmd.ErrOrStderr()
+	driver.Scenario = spec
+	driver.Progress = cmd.ErrOrStderr()
 	if driver.Rate <= 0 {
 		driver.Rate = spec.Load.Rate
 	}
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -100,14 +100,16 @@
 	}
 	second := first
 	if len(files) == 2 {
-		if second, err = experiment.ReadResults(files[1]); err != nil {
+		second, err = experiment.ReadResults(files[1])
+		if err != nil {
 			return err
 		}
 	} else if len(variants) != 2 {
 		return errNeedsVariants
 	}
 	if len(variants) == 2 {
-		first, second = ofVariant(first, variants[0]), ofVariant(second, variants[1])
+		first = ofVariant(first, variants[0])
+		second = ofVariant(second, variants[1])
 	}
 	pairs := experiment.Compare(first, second)
 	if len(pairs) == 0 {
--- a/internal/lab/baseline/plain_policy.go
+++ b/internal/lab/baseline/plain_policy.go
@@ -45,7 +45,8 @@
 
 // betterOfTwo draws two ready servers and returns the one with fewer attempts in flight.
 func (p *plainPolicy) betterOfTwo() uint32 {
-	first, second := p.randomServer(), p.randomServer()
+	first := p.randomServer()
+	second := p.randomServer()
 	if p.inFlight[second] < p.inFlight[first] {
 		return second
 	}
@@ -98,7 +99,8 @@
 
 // admit takes a request's units from this gateway's share of the customer's quota.
 func (p *plainPolicy) admit(now time.Duration, request policy.Request) bool {
-	plan, share := &p.settings.Plans[request.Plan], p.quotaShare(request)
+	plan := &p.settings.Plans[request.Plan]
+	share := p.quotaShare(request)
 	if share <= 0 || plan.Rate <= 0 {
 		return true
 	}
--- a/internal/lab/emulation/backend.go
+++ b/internal/lab/emulation/backend.go
@@ -62,11 +62,13 @@
 }
 
 func (b *Backend) start(seed uint64) (err error) {
-	if b.Discovery, err = newDiscovery(); err != nil {
+	b.Discovery, err = newDiscovery()
+	if err != nil {
 		return err
 	}
 	if b.spec.Counter.Rate > 0 {
-		if b.Counter, err = newCounter(b.spec); err != nil {
+		b.Counter, err = newCounter(b.spec)
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -88,7 +88,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if wait = max(c.freeAt.Sub(now), 0); wait > c.maxWait {
+	wait = max(c.freeAt.Sub(now), 0)
+	if wait > c.maxWait {
 		return "busy", 0
 	}
 	if c.freeAt.Before(now) {
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -86,7 +86,8 @@
 // await waits for a version newer than the one the caller has, at most so long. It returns false if the caller is gone.
 func (d *Discovery) await(r *http.Request, hasSince bool, since int64, timeout time.Duration) bool {
 	d.mu.Lock()
-	isCurrent, changed := hasSince && since >= d.version, d.changed
+	isCurrent := hasSince && since >= d.version
+	changed := d.changed
 	d.mu.Unlock()
 	if !isCurrent {
 		return true
--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -44,7 +44,8 @@
 }
 
 func (b *Backend) settings(number int) object {
-	spec, settings := b.spec, b.spec.PolicySettings(number)
+	spec := b.spec
+	settings := spec.PolicySettings(number)
 	var zones []string
 	for i := range spec.Gateways.Zones {
 		zones = append(zones, zoneName(i))
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -149,7 +149,8 @@
 		return answerRejected
 	}
 	s.run(id, &s.spec.Classes[class])
-	value, attributes := Value(id), fmt.Sprintf("used=%s,cost=%s", arguments["units"], arguments["units"])
+	value := Value(id)
+	attributes := fmt.Sprintf("used=%s,cost=%s", arguments["units"], arguments["units"])
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1", len(value), value, len(attributes), attributes)
 }
 
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -39,7 +39,10 @@
 	var faults []scenario.Fault
 	for range n {
 		mild := mildFaults[random.IntN(len(mildFaults))]
-		at, span, part, size := random.Float64(), random.Float64(), random.Float64(), random.Float64()
+		at := random.Float64()
+		span := random.Float64()
+		part := random.Float64()
+		size := random.Float64()
 		fault := scenario.Fault{
 			Kind:     mild.kind,
 			Start:    scenario.Span(length * (0.1 + 0.6*at)),
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -72,7 +72,8 @@
 	if !ok {
 		return "unknown"
 	}
-	revision, dirty := "unknown", ""
+	revision := "unknown"
+	dirty := ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -83,7 +83,8 @@
 
 // runJobs runs jobs on so many workers. Results and errors are in the order of the jobs.
 func (p *Plan) runJobs(jobs []job, workers int, done func(n, of int, result *Result)) ([]*Result, []error) {
-	results, errs := make([]*Result, len(jobs)), make([]error, len(jobs))
+	results := make([]*Result, len(jobs))
+	errs := make([]error, len(jobs))
 	next := make(chan int)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -95,8 +96,10 @@
 			for i := range next {
 				results[i], errs[i] = RunScenario(jobs[i].world, jobs[i].variant.Policy, jobs[i].seed)
 				mu.Lock()
-				if ended++; results[i] != nil {
-					results[i].Plan, results[i].Variant = p.Name, jobs[i].variant.Name
+				ended++
+				if results[i] != nil {
+					results[i].Plan = p.Name
+					results[i].Variant = jobs[i].variant.Name
 					done(ended, len(jobs), results[i])
 				}
 				mu.Unlock()
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -81,7 +81,8 @@
 // violated records a violation at the present time.
 func (c *Checker) violated(v Violation) {
 	v.At = c.now
-	if c.Counts[v.Rule]++; c.Counts[v.Rule] <= maxDescribedViolations {
+	c.Counts[v.Rule]++
+	if c.Counts[v.Rule] <= maxDescribedViolations {
 		c.Violations = append(c.Violations, v)
 	}
 }
--- a/internal/lab/invariants/quota.go
+++ b/internal/lab/invariants/quota.go
@@ -32,7 +32,8 @@
 		b.tokens -= request.Units
 	}
 	if plan.CeilingRate > 0 {
-		if b.ceilingTokens -= request.Units; b.ceilingTokens < -plan.CeilingSlack {
+		b.ceilingTokens -= request.Units
+		if b.ceilingTokens < -plan.CeilingSlack {
 			c.violated(Violation{
 				Rule: CeilingExceeded, Request: request.ID, Gateway: request.Gateway, Customer: request.Customer,
 				Description: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -b.ceilingTokens, plan.CeilingSlack),
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -93,7 +93,8 @@
 	if r.Progress == nil {
 		return func() {}
 	}
-	done, ended := make(chan struct{}), make(chan struct{})
+	done := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		ticker := time.NewTicker(time.Second)
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -77,7 +77,8 @@
 
 // command is a request on the wire. The time left until its deadline is d, in ms; k is its idempotency key.
 func (r *run) command(req request, class *scenario.TrafficClass, left time.Duration) *resp.Command {
-	verb, key := verbSubmit, ""
+	verb := verbSubmit
+	key := ""
 	switch class.Effect {
 	case scenario.EffectIdempotent:
 		verb = verbQuery
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -89,8 +89,10 @@
 // serviceOverTime draws the part of the due weight that is served, second by second, with faults shaded.
 func serviceOverTime(groups [][]*experiment.Result) (*plot.Plot, error) {
 	drawn := titled(groups, "service over time")
-	drawn.X.Label.Text, drawn.Y.Label.Text = "second", "weight served over due"
-	drawn.Y.Min, drawn.Y.Max = 0, maxDrawnService
+	drawn.X.Label.Text = "second"
+	drawn.Y.Label.Text = "weight served over due"
+	drawn.Y.Min = 0
+	drawn.Y.Max = maxDrawnService
 	for _, fault := range groups[0][0].Faults {
 		from := fault.Start.D().Seconds()
 		to := max((fault.Start + fault.Duration).D().Seconds(), from+minDrawnFault)
@@ -100,7 +102,8 @@
 		if err != nil {
 			return nil, err
 		}
-		shade.Color, shade.Width = color.RGBA{R: 230, G: 190, B: 150, A: 90}, 0
+		shade.Color = color.RGBA{R: 230, G: 190, B: 150, A: 90}
+		shade.Width = 0
 		drawn.Add(shade)
 	}
 	for i, runs := range groups {
@@ -119,10 +122,12 @@
 func servicePoints(runs []*experiment.Result) plotter.XYs {
 	points := plotter.XYs{}
 	for second := range runs[0].Timeline {
-		served, due := 0.0, 0.0
+		served := 0.0
+		due := 0.0
 		for _, result := range runs {
 			if second < len(result.Timeline) {
-				served, due = served+result.Timeline[second].ServedValue, due+result.Timeline[second].DueValue
+				served += result.Timeline[second].ServedValue
+				due += result.Timeline[second].DueValue
 			}
 		}
 		if due > 0 {
@@ -147,12 +152,14 @@
 		if err != nil {
 			return nil, err
 		}
-		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
+		bars.Color = plotutil.Color(i)
+		bars.LineStyle.Width = 0
 		bars.Offset = width * vg.Length(float64(i)-float64(len(groups)-1)/2)
 		drawn.Add(bars)
 		drawn.Legend.Add(runs[0].Variant, bars)
 	}
-	drawn.Legend.Top, drawn.Legend.Left = true, true
+	drawn.Legend.Top = true
+	drawn.Legend.Left = true
 	drawn.NominalX("p50", "p99", "p99.9")
 	return drawn, nil
 }
@@ -196,15 +203,18 @@
 	}
 	drawn := plot.New()
 	drawn.Title.Text = "net service against the number of gateways"
-	drawn.X.Label.Text, drawn.Y.Label.Text = "gateways", "net service"
-	drawn.X.Scale, drawn.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	drawn.X.Label.Text = "gateways"
+	drawn.Y.Label.Text = "net service"
+	drawn.X.Scale = plot.LogScale{}
+	drawn.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	for i, key := range order {
 		slices.SortFunc(lines[key], func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
 		line, points, err := plotter.NewLinePoints(lines[key])
 		if err != nil {
 			return nil, err
 		}
-		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
+		line.Color = plotutil.Color(i)
+		points.Color = plotutil.Color(i)
 		drawn.Add(line, points)
 		drawn.Legend.Add(key, line)
 	}
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -29,22 +29,28 @@
 
 // failoverRow is the row of one scenario, size and variant; nil: no plan was written.
 func failoverRow(runs []*experiment.Result) []string {
-	plans, wrong := 0, 0
+	plans := 0
+	wrong := 0
 	var times []int
 	for _, result := range runs {
-		plans, wrong, times = plans+result.Plans, wrong+result.WrongPlans, append(times, result.FailoverMs...)
+		plans += result.Plans
+		wrong += result.WrongPlans
+		times = append(times, result.FailoverMs...)
 	}
 	if plans == 0 {
 		return nil
 	}
 	slices.Sort(times)
-	p50, p99 := "-", "-"
+	p50 := "-"
+	p99 := "-"
 	if n := len(times); n > 0 {
-		p50, p99 = fmt.Sprint(times[(n-1)/2]), fmt.Sprint(times[(n-1)*99/100])
+		p50 = fmt.Sprint(times[(n-1)/2])
+		p99 = fmt.Sprint(times[(n-1)*99/100])
 	}
 	atVoters := func(result *experiment.Result) simulation.Messages { return result.VoterMessages }
 	atLeader := func(result *experiment.Result) simulation.Messages { return result.LeaderMessages }
-	voters, leader := meanRates(runs, atVoters), meanRates(runs, atLeader)
+	voters := meanRates(runs, atVoters)
+	leader := meanRates(runs, atLeader)
 	return []string{
 		runs[0].Scenario, fmt.Sprint(runs[0].Gateways), runs[0].Variant, fmt.Sprint(len(runs)), fmt.Sprint(plans),
 		fmt.Sprint(wrong), fmt.Sprint(len(times)), p50, p99,
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -60,18 +60,20 @@
 	s.checkFailover(checker)
 	checker.within("gateways.pushes", float64(s.Gateways.MaxAttempts), 1, 16)
 	s.Servers.check(checker)
-	classes, share := map[string]bool{}, 0.0
+	classes := map[string]bool{}
+	classShare := 0.0
 	for i := range s.Classes {
 		s.Classes[i].check(checker, i, classes)
-		share += s.Classes[i].Share
+		classShare += s.Classes[i].Share
 	}
-	checker.check(share > 0, "lane", "no lane has a share of the tasks")
-	plans, share := map[string]bool{}, 0.0
+	checker.check(classShare > 0, "lane", "no lane has a share of the tasks")
+	plans := map[string]bool{}
+	planShare := 0.0
 	for i := range s.Plans {
 		s.Plans[i].check(checker, i, plans)
-		share += s.Plans[i].Share
+		planShare += s.Plans[i].Share
 	}
-	checker.check(share > 0, "plan", "no plan has a share of the tasks")
+	checker.check(planShare > 0, "plan", "no plan has a share of the tasks")
 	s.checkLoad(checker)
 	s.checkEnvironment(checker)
 	for i := range s.Faults {
@@ -158,7 +160,8 @@
 	if s.Counter.Rate > 0 {
 		checker.positive("counter.limit", s.Counter.Timeout)
 	}
-	lag, network := s.Discovery.Lag, &s.Network
+	lag := s.Discovery.Lag
+	network := &s.Network
 	checker.check(lag[0] >= 0 && lag[0] <= lag[1], "discovery.lag", "the first is no more than the second")
 	checker.positive("network.connect", network.ConnectTimeout)
 	checker.within("network.jitter", network.Jitter, 0, 1)
@@ -170,7 +173,8 @@
 
 // checkFault checks the fault at an index.
 func (s *Scenario) checkFault(checker *checker, index int, classes, plans map[string]bool) {
-	f, key := &s.Faults[index], func(name string) string { return fmt.Sprintf("trouble.%d.%s", index, name) }
+	f := &s.Faults[index]
+	key := func(name string) string { return fmt.Sprintf("trouble.%d.%s", index, name) }
 	kind, known := FaultKinds[f.Kind]
 	checker.check(known, key("kind"), "is %q; known are %s", f.Kind, strings.Join(FaultKindNames(), ", "))
 	if !known {
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -19,7 +19,6 @@
 		Load: Load{Rate: 150, MeanUnits: 2, GatewayShare: [2]float64{0.5, 1}},
 		Clients: Clients{
 			Retries: 2, Backoff: Span(80 * time.Millisecond), RetryAfterShare: 0.7, MarkRepeats: true,
-			Notice: Span(2 * time.Second),
 		},
 		Counter: Counter{
 			Rate: 1000, MaxWait: Span(20 * time.Millisecond), ServiceTime: Span(time.Millisecond),
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -7,10 +7,12 @@
 
 // meanWork is the mean work of a request, in seconds on a core of speed 1.
 func (s *Scenario) meanWork() float64 {
-	sum, share := 0.0, 0.0
+	sum := 0.0
+	share := 0.0
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		sum, share = sum+class.Share*class.Work.D().Seconds(), share+class.Share
+		sum = sum + class.Share*class.Work.D().Seconds()
+		share = share + class.Share
 	}
 	return sum / share
 }
--- a/internal/lab/scenario/positions.go
+++ b/internal/lab/scenario/positions.go
@@ -12,7 +12,8 @@
 	positions := map[string]unstable.Position{}
 	var parser unstable.Parser
 	parser.Reset(text)
-	table, elements := "", map[string]int{}
+	table := ""
+	elements := map[string]int{}
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		name, position := keyOf(&parser, expression)
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -58,7 +58,8 @@
 		e := FileError{File: file, What: p.key + " " + p.message}
 		for key := p.key; e.Line == 0 && key != ""; {
 			if position, known := positions[key]; known {
-				e.Line, e.Column = position.Line, position.Column
+				e.Line = position.Line
+				e.Column = position.Column
 			}
 			key = key[:max(strings.LastIndex(key, "."), 0)]
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -157,7 +157,6 @@
 	Backoff         Span    `toml:"backoff"`
 	RetryAfterShare float64 `toml:"honour"` // part that waits as long as Retry-After says
 	MarkRepeats     bool    `toml:"marks"`
-	Notice          Span    `toml:"notice"` // until a dead gateway gets nothing more
 }
 
 // Counter is what all gateways count with. A rate of 0 means that there is none.
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -91,7 +91,8 @@
 	if worst == nil {
 		return nil, nil
 	}
-	if worst, err = simulator.shrink(worst); err != nil {
+	worst, err = simulator.shrink(worst)
+	if err != nil {
 		return nil, err
 	}
 	worst.Runs = simulator.finished
@@ -107,7 +108,8 @@
 		}
 		return finding.Loss >= minLossKept*worst.Loss
 	}
-	least, removed := worst, 0
+	least := worst
+	removed := 0
 	for {
 		fewer, err := s.removeOne(least, isAsBad)
 		if err != nil {
@@ -169,7 +171,9 @@
 	var kinds []string
 	for _, name := range scenario.FaultKindNames() {
 		kind := scenario.FaultKinds[name]
-		if (!kind.NeedsCounter || world.Counter.Rate > 0) && (!kind.NeedsZones || world.Gateways.Zones > 1) {
+		lacksCounter := kind.NeedsCounter && world.Counter.Rate <= 0
+		lacksZones := kind.NeedsZones && world.Gateways.Zones <= 1
+		if !lacksCounter && !lacksZones {
 			kinds = append(kinds, name)
 		}
 	}
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -26,7 +26,8 @@
 
 // Attempt implements policy.Host: it sends a request to a server.
 func (g *gateway) Attempt(requestID, to uint32, until time.Duration) {
-	engine, t := g.engine, g.tries[requestID]
+	engine := g.engine
+	t := g.tries[requestID]
 	server := engine.servers[to-1]
 	attempt := &attempt{
 		gateway: g, incarnation: g.incarnation, try: t, requestID: requestID, number: len(t.attempts), server: server,
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -84,7 +84,8 @@
 
 // newCustomer draws the gateways that a customer comes through.
 func (c *clients) newCustomer(id uint64, plan int) *customer {
-	e, n := c.engine, len(c.engine.gateways)
+	e := c.engine
+	n := len(c.engine.gateways)
 	share := e.scenario.Load.GatewayShare
 	if own := e.scenario.Plans[plan].GatewayShare; own[1] > 0 {
 		share = own
@@ -99,7 +100,8 @@
 // scheduleArrival draws the time of the next request by the rate that holds now; arrivals do not wait for answers.
 func (c *clients) scheduleArrival() {
 	engine := c.engine
-	present, usual := 0.0, 0.0
+	present := 0.0
+	usual := 0.0
 	for i, p := range c.plans {
 		present += p.share * engine.faults.planLoadFactors[i]
 		usual += p.share
@@ -133,7 +135,9 @@
 
 // drawRequest draws a request. The order of the draws decides what all later ones are.
 func (c *clients) drawRequest() *request {
-	engine, load, random := c.engine, &c.engine.scenario.Load, c.engine.arrivalRandom
+	engine := c.engine
+	load := &engine.scenario.Load
+	random := engine.arrivalRandom
 	plan := c.drawPlan()
 	p := &c.plans[plan]
 	who := p.customers[drawIndex(random, p.cumulativeSizes)]
@@ -161,7 +165,8 @@
 	for i, p := range c.plans {
 		sum += p.share * factors[i]
 	}
-	at, plan := c.engine.arrivalRandom.Float64()*sum, 0
+	at := c.engine.arrivalRandom.Float64() * sum
+	plan := 0
 	for plan < len(c.plans)-1 && at >= c.plans[plan].share*factors[plan] {
 		at -= c.plans[plan].share * factors[plan]
 		plan++
@@ -176,7 +181,8 @@
 
 // isDue reports whether a perfect count admits a request, and takes its units.
 func (e *engine) isDue(r *request) bool {
-	plan, who := &e.scenario.Plans[r.customer.plan], r.customer
+	plan := &e.scenario.Plans[r.customer.plan]
+	who := r.customer
 	if plan.Rate <= 0 {
 		return true
 	}
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -106,7 +106,10 @@
 // startLeading makes a voter the leader, with a controller that knows the table and nothing else.
 func (c *coordinator) startLeading(v *voter) {
 	c.term++
-	c.leader, c.leadingSince, c.committing, c.electing = v, c.engine.clock.Now(), false, false
+	c.leader = v
+	c.leadingSince = c.engine.clock.Now()
+	c.committing = false
+	c.electing = false
 	v.merged = observation.NewMerger()
 	c.controller = failover.New(c.failoverSettings, c.settings.Lease.D())
 	v.apply(c.table)
@@ -134,7 +137,8 @@
 func (c *coordinator) tick() {
 	c.engine.clock.After(c.settings.DecisionInterval.D(), c.tick)
 	if c.leader != nil && !c.hasMajority(c.leader) {
-		c.leader, c.controller = nil, nil
+		c.leader = nil
+		c.controller = nil
 	}
 	if c.leader == nil {
 		c.elect()
@@ -152,7 +156,8 @@
 
 // decide runs the controller, and appends what it writes to the log.
 func (c *coordinator) decide() {
-	leader, term := c.leader, c.term
+	leader := c.leader
+	term := c.term
 	sums := leader.direct.Sums()
 	for name, n := range leader.merged.Sums() {
 		sums[name] += n
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -58,7 +58,9 @@
 // call takes a gateway's call. As on sockets, a late answer is an answer: a call times out only where the counter is
 // silent, after the time that its connection may take to come up.
 func (c *counter) call(g *gateway, name uint64, ttl time.Duration, units float64) {
-	engine, now, settings := c.engine, c.engine.clock.Now(), &c.engine.scenario.Counter
+	engine := c.engine
+	now := engine.clock.Now()
+	settings := &engine.scenario.Counter
 	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: now}
 	c.calls++
 	roundTrip := 2 * engine.scenario.Network.SameZone.D()
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -134,7 +134,8 @@
 
 // addServers starts the first servers, in the zones in turn; a rack is of one zone.
 func (e *engine) addServers() {
-	zones, rackSize := e.scenario.Gateways.Zones, e.scenario.Servers.RackSize
+	zones := e.scenario.Gateways.Zones
+	rackSize := e.scenario.Servers.RackSize
 	for i := range e.scenario.Servers.Count {
 		zone := i % zones
 		e.addServer(zone, i/zones/rackSize*zones+zone, 0)
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -77,7 +77,10 @@
 	return func(f scenario.Fault) fault { return &valueChange{target: target, value: value(f)} }
 }
 
-func (f *valueChange) begin(e *engine) { f.previous, *f.target(e) = *f.target(e), f.value }
+func (f *valueChange) begin(e *engine) {
+	f.previous = *f.target(e)
+	*f.target(e) = f.value
+}
 
 func (f *valueChange) end(e *engine) { *f.target(e) = f.previous }
 
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -68,7 +68,8 @@
 
 // nearestVoter is the voter that it starts with: of its zone, else of its region, else any.
 func (f *follower) nearestVoter() int {
-	regions, voters := f.coordinator.engine.regions, f.coordinator.voters
+	regions := f.coordinator.engine.regions
+	voters := f.coordinator.voters
 	for _, isNear := range []func(zone int) bool{
 		func(zone int) bool { return zone == f.gateway.zone },
 		func(zone int) bool { return regions[zone] == regions[f.gateway.zone] },
@@ -111,22 +112,27 @@
 		f.missedDigests = 0
 		return
 	}
-	if f.missedDigests++; f.missedDigests >= maxMissedDigests {
+	f.missedDigests++
+	if f.missedDigests >= maxMissedDigests {
 		f.switchVoter()
 	}
 }
 
 // switchVoter turns to the next voter.
 func (f *follower) switchVoter() {
-	f.voter, f.missedDigests = (f.voter+1)%len(f.coordinator.voters), 0
+	f.voter = (f.voter + 1) % len(f.coordinator.voters)
+	f.missedDigests = 0
 	f.session++
 }
 
 // read asks its voter for a later table, and reads again after each answer or timeout.
 func (f *follower) read() {
-	c, g, sentAt := f.coordinator, f.gateway, f.coordinator.engine.clock.Now()
+	c := f.coordinator
+	g := f.gateway
+	sentAt := f.coordinator.engine.clock.Now()
 	f.lastRead++
-	current, v := reading{f, f.lastRead, g.incarnation}, c.voters[f.voter]
+	current := reading{f, f.lastRead, g.incarnation}
+	v := c.voters[f.voter]
 	answer := func(table statemachine.Table, confirmed bool) {
 		c.send(v.zone, g.zone, func() { current.run(func() { f.handleRead(current, table, confirmed, sentAt) }) })
 	}
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -34,7 +34,8 @@
 
 // SetSteering steers the gateway's subset until the lease ends; the next steering then holds from the next request on.
 func (f *follower) SetSteering(steering dispatch.Steering, lease time.Duration, next dispatch.Steering) {
-	f.steeringUntil, f.nextSteering = f.coordinator.engine.clock.Now()+lease, &next
+	f.steeringUntil = f.coordinator.engine.clock.Now() + lease
+	f.nextSteering = &next
 	if lease <= 0 {
 		f.nextSteering = nil
 		steering = next
@@ -83,7 +84,10 @@
 // recordRejection counts a try that the module rejects for want of capacity: it is demand all the same.
 func (f *follower) recordRejection(t *try) {
 	module, isModule := f.gateway.policy.(*policy.Gateway)
-	if isModule && module.IsAdmitted(t.requestID) && len(t.attempts) == 0 && !f.isRepeat(t) {
+	if !isModule || f.isRepeat(t) {
+		return
+	}
+	if module.IsAdmitted(t.requestID) && len(t.attempts) == 0 {
 		f.recorder.AddShed(t.request.declaredUnits)
 	}
 }
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -42,15 +42,18 @@
 	engine := g.engine
 	g.incarnation++
 	g.alive = true
-	g.endpoints, g.tries = map[uint32]policy.Endpoint{}, map[uint32]*try{}
-	g.timers, g.idle = map[uint64]*timer{}, map[uint32]*idleConnections{}
+	g.endpoints = map[uint32]policy.Endpoint{}
+	g.tries = map[uint32]*try{}
+	g.timers = map[uint64]*timer{}
+	g.idle = map[uint32]*idleConnections{}
 	keepAlive := time.Duration(0)
 	if engine.scenario.Gateways.Subset {
 		keepAlive = engine.scenario.Servers.IdleTimeout.D() / 2
 	}
 	g.subset = subset.New(g.index, engine.scenario.Gateways.Count, keepAlive)
 	var err error
-	if g.policy, err = engine.newPolicy(engine.scenario.PolicySettings(g.index), int64(seed), g); err != nil {
+	g.policy, err = engine.newPolicy(engine.scenario.PolicySettings(g.index), int64(seed), g)
+	if err != nil {
 		return err
 	}
 	for _, s := range engine.servers {
@@ -115,7 +118,8 @@
 
 // accept takes a complete request.
 func (g *gateway) accept(try *try) {
-	engine, request := g.engine, try.request
+	engine := g.engine
+	request := try.request
 	if g.follower != nil {
 		g.follower.expireSteering()
 	}
@@ -155,5 +159,7 @@
 		s := g.engine.servers[id-1]
 		s.connections = max(s.connections-len(c.lastUsed), 0)
 	}
-	g.tries, g.missedChanges, g.discoveryLost = nil, nil, false
+	g.tries = nil
+	g.missedChanges = nil
+	g.discoveryLost = false
 }
--- a/internal/lab/simulation/network.go
+++ b/internal/lab/simulation/network.go
@@ -24,7 +24,10 @@
 // isCut reports whether nothing passes between two zones.
 func (e *engine) isCut(a, b int) bool {
 	f := &e.faults
-	return a != b && (f.isolatedZones[a] || f.isolatedZones[b] || f.cutLinks[[2]int{min(a, b), max(a, b)}])
+	if a == b {
+		return false
+	}
+	return f.isolatedZones[a] || f.isolatedZones[b] || f.cutLinks[[2]int{min(a, b), max(a, b)}]
 }
 
 // announce has discovery notify every gateway of a server's state, each after a lag of its own. One gateway gets its
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -127,10 +127,14 @@
 
 // ComputePercentiles fills in the percentiles of the answer times of each class.
 func (r *Result) ComputePercentiles() {
-	r.P50, r.P99, r.P999 = nil, nil, nil
+	r.P50 = nil
+	r.P99 = nil
+	r.P999 = nil
 	for _, h := range r.answerTimes {
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		r.P50, r.P99, r.P999 = append(r.P50, ms(50)), append(r.P99, ms(99)), append(r.P999, ms(99.9))
+		r.P50 = append(r.P50, ms(50))
+		r.P99 = append(r.P99, ms(99))
+		r.P999 = append(r.P999, ms(99.9))
 	}
 }
 
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -92,7 +92,9 @@
 // restart starts a server again, which then warms up.
 func (s *server) restart() {
 	s.dropWork()
-	s.dead, s.silent, s.overloadedUntil = false, false, 0
+	s.dead = false
+	s.silent = false
+	s.overloadedUntil = 0
 	s.startedAt = s.engine.clock.Now()
 	s.restarts++
 	s.dedupUntil = map[uint64]time.Duration{}
@@ -110,7 +112,10 @@
 func (s *server) dropWork() {
 	s.incarnation++
 	clear(s.running)
-	s.queue, s.busyCores, s.recentArrivals, s.recentWork = nil, 0, nil, 0
+	s.queue = nil
+	s.busyCores = 0
+	s.recentArrivals = nil
+	s.recentWork = 0
 }
 
 // receive takes a complete request.
@@ -148,7 +153,9 @@
 // checkOverload counts a request that a server gets while it is warming up. It overloads the server if the work sent over
 // the overload span is more than the scenario's factor times what the server can do now.
 func (s *server) checkOverload(a *attempt) {
-	engine, rules, now := s.engine, &s.engine.scenario.Rules, s.engine.clock.Now()
+	engine := s.engine
+	rules := &engine.scenario.Rules
+	now := engine.clock.Now()
 	span := rules.OverloadSpan.D()
 	s.recentArrivals = append(s.recentArrivals, arrival{now, a.work.Seconds()})
 	s.recentWork += a.work.Seconds()
@@ -156,7 +163,8 @@
 		s.recentWork -= s.recentArrivals[0].work
 		s.recentArrivals = s.recentArrivals[1:]
 	}
-	rate, limit := s.recentWork/span.Seconds(), s.capacity()*rules.OverloadFactor
+	rate := s.recentWork / span.Seconds()
+	limit := s.capacity() * rules.OverloadFactor
 	if now < s.overloadedUntil || len(s.recentArrivals) < engine.scenario.Servers.Cores+overloadMargin || rate <= limit {
 		return
 	}
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -10,7 +10,7 @@
 const (
 	// clientDelay is the time from a client to its gateway.
 	clientDelay = 500 * time.Microsecond
-	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or was tried last.
+	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or took its last try.
 	maxGatewayDraws = 4
 	// deadGatewayShare is the probability that a client takes a dead gateway it drew: their death is noticed by and by.
 	deadGatewayShare = 0.3
@@ -86,7 +86,8 @@
 	draw := func() *gateway { return gateways[(who.firstGateway+c.random.IntN(who.gatewayCount))%len(gateways)] }
 	g := draw()
 	for range maxGatewayDraws {
-		if g != last && (g.alive || c.random.Float64() < deadGatewayShare) || who.gatewayCount == 1 {
+		isChosen := g != last && (g.alive || c.random.Float64() < deadGatewayShare)
+		if isChosen || who.gatewayCount == 1 {
 			break
 		}
 		g = draw()
@@ -119,7 +120,9 @@
 
 // handleAnswer takes the answer to a try.
 func (c *clients) handleAnswer(try *try, got answer) {
-	engine, request, result := c.engine, try.request, &c.engine.result
+	engine := c.engine
+	request := try.request
+	result := &engine.result
 	if got != connectionLost {
 		engine.checker.RequestAnswered(engine.clock.Now(), try.id, true)
 	}
@@ -156,7 +159,9 @@
 
 // complete ends a request that was served.
 func (c *clients) complete(try *try) {
-	engine, r, result := c.engine, try.request, &c.engine.result
+	engine := c.engine
+	r := try.request
+	result := &engine.result
 	if engine.scenario.Load.DeclaredDeviation > 0 {
 		engine.checker.UnitsSettled(try.id, r.units)
 	}
--- a/internal/lab/simulation/utilisation.go
+++ b/internal/lab/simulation/utilisation.go
@@ -18,7 +18,8 @@
 // recordAttempt counts an attempt that leaves its gateway.
 func (e *engine) recordAttempt(a *attempt) {
 	e.result.Attempts++
-	from, to := a.gateway.zone, a.server.zone
+	from := a.gateway.zone
+	to := a.server.zone
 	e.zoneWork[to] += a.work
 	if from != to {
 		e.result.CrossZone++
@@ -32,7 +33,8 @@
 // zoneCapacities returns what the servers of each zone can do now and what they could at their best, in seconds of work on
 // a core of speed 1 in a second.
 func (e *engine) zoneCapacities() (now, full []float64) {
-	now, full = make([]float64, len(e.zoneWork)), make([]float64, len(e.zoneWork))
+	now = make([]float64, len(e.zoneWork))
+	full = make([]float64, len(e.zoneWork))
 	for _, s := range e.servers {
 		if s.state != policy.Ready {
 			continue
@@ -89,10 +91,13 @@
 // finish completes the result at the end of a run.
 func (e *engine) finish() *Result {
 	result := &e.result
-	result.ForwardedUnits, result.OverQuotaUnits = e.checker.ForwardedUnits, e.checker.OverQuotaUnits
+	result.ForwardedUnits = e.checker.ForwardedUnits
+	result.OverQuotaUnits = e.checker.OverQuotaUnits
 	result.OverQuotaPenalty = e.checker.OverQuotaPenalty
-	result.Violations, result.ViolationCounts = e.checker.Violations, e.checker.Counts
-	result.CounterCalls, result.RejectedCounterCalls = e.counter.calls, e.counter.rejectedCalls
+	result.Violations = e.checker.Violations
+	result.ViolationCounts = e.checker.Counts
+	result.CounterCalls = e.counter.calls
+	result.RejectedCounterCalls = e.counter.rejectedCalls
 	var loads []float64
 	for _, s := range e.servers {
 		if s.restarts == 0 && s.state == policy.Ready {
@@ -105,7 +110,8 @@
 
 // relativeDeviation is the standard deviation of loads over their mean.
 func relativeDeviation(loads []float64) float64 {
-	sum, squares := 0.0, 0.0
+	sum := 0.0
+	squares := 0.0
 	for _, load := range loads {
 		sum += load
 	}
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -32,8 +32,10 @@
 // start starts a voter; it keeps its table, as that is on its disk.
 func (v *voter) start() {
 	v.incarnation++
-	v.serial, v.dead = 0, false
-	v.direct, v.merged = observation.NewMerger(), observation.NewMerger()
+	v.serial = 0
+	v.dead = false
+	v.direct = observation.NewMerger()
+	v.merged = observation.NewMerger()
 }
 
 // receiveDigest takes a gateway's digest.
@@ -88,10 +90,13 @@
 // isConfirmed reports whether the leader, backed by a majority, can confirm that a voter's table is the latest.
 func (v *voter) isConfirmed() bool {
 	leader := v.coordinator.leader
-	return leader != nil && !v.dead && v.coordinator.hasMajority(leader) && v.coordinator.canReach(v.zone, leader.zone)
+	if v.dead || leader == nil {
+		return false
+	}
+	return v.coordinator.hasMajority(leader) && v.coordinator.canReach(v.zone, leader.zone)
 }
 
-// read answers a read once there is a later table than it knows, at the latest after the wait.
+// read answers a read once there is a later table than it knows, or after the wait.
 func (v *voter) read(pending *read) {
 	if v.dead {
 		return
@@ -115,7 +120,8 @@
 		return
 	}
 	r.done = true
-	c, roundTrip := v.coordinator, time.Duration(0)
+	c := v.coordinator
+	roundTrip := time.Duration(0)
 	if leader := c.leader; leader != nil && leader != v {
 		roundTrip = 2 * c.engine.delayBy(c.random, v.zone, leader.zone)
 	}
--- a/internal/lab/virtualtime/scheduler.go
+++ b/internal/lab/virtualtime/scheduler.go
@@ -109,7 +109,8 @@
 func (h eventHeap) Len() int { return len(h) }
 
 func (h eventHeap) Less(i, j int) bool {
-	a, b := h[i], h[j]
+	a := h[i]
+	b := h[j]
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.tie, b.tie), cmp.Compare(a.sequence, b.sequence)) < 0
 }
 
--- a/internal/simulator/frame/actions.go
+++ b/internal/simulator/frame/actions.go
@@ -58,7 +58,8 @@
 	if r.hasInstance && r.instance == instance {
 		return
 	}
-	r.hasInstance, r.instance = true, instance
+	r.hasInstance = true
+	r.instance = instance
 	r.record32(ActionInstance, instance)
 }
 
--- a/internal/testing/conformance/action.go
+++ b/internal/testing/conformance/action.go
@@ -111,7 +111,8 @@
 	if len(words)%2 == 0 {
 		return errUnknownAction
 	}
-	if a.request, err = strconv.Atoi(words[0]); err != nil {
+	a.request, err = strconv.Atoi(words[0])
+	if err != nil {
 		return err
 	}
 	for pair := range slices.Chunk(words[1:], 2) {
@@ -119,7 +120,8 @@
 			return err
 		}
 	}
-	if a.request < 1 || a.class < 0 || a.verb == actionRequest && a.units <= 0 {
+	lacksUnits := a.verb == actionRequest && a.units <= 0
+	if a.request < 1 || a.class < 0 || lacksUnits {
 		return errIncomplete
 	}
 	return nil
--- a/internal/testing/conformance/state.go
+++ b/internal/testing/conformance/state.go
@@ -97,7 +97,8 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	launch.Env, launch.Peers = append(launch.Env, "RELAY_COMMON="+path), append(launch.Peers, voter.address)
+	launch.Env = append(launch.Env, "RELAY_COMMON="+path)
+	launch.Peers = append(launch.Peers, voter.address)
 	if s.zones != nil {
 		launch.Config["settings"].(map[string]any)["Dcs"] = s.zones
 	}
--- a/internal/testing/conformance/states.go
+++ b/internal/testing/conformance/states.go
@@ -84,8 +84,11 @@
 	}
 	for i := range states {
 		s := &states[i]
-		s.zone, s.config, s.table = zoneA, countingConfig, countingrule.TableName
-		s.readyLines, s.makesOwnCalls = []string{tableLine}, true
+		s.zone = zoneA
+		s.config = countingConfig
+		s.table = countingrule.TableName
+		s.readyLines = []string{tableLine}
+		s.makesOwnCalls = true
 	}
 	return states
 }
--- a/internal/testing/conformance/target_process.go
+++ b/internal/testing/conformance/target_process.go
@@ -104,13 +104,18 @@
 			p.windows.customer = customer
 		}
 		left := p.windows.untilNext(wallClock())
-		if crosses && left > minUntilNearEdge && left < maxUntilNearEdge ||
-			!crosses && left > min(minUntilNextWindow, p.windows.length/2) {
+		if crosses && isNearEdge(left) {
+			return
+		}
+		if !crosses && left > min(minUntilNextWindow, p.windows.length/2) {
 			return
 		}
 	}
 }
 
+// isNearEdge reports whether a window that lasts so much longer ends soon, yet not before a case has begun.
+func isNearEdge(left time.Duration) bool { return left > minUntilNearEdge && left < maxUntilNearEdge }
+
 // wallClock is the clock that all gateways share.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
--- a/internal/testing/conformance/validate.go
+++ b/internal/testing/conformance/validate.go
@@ -18,7 +18,9 @@
 func (s *Suite) validate() []error {
 	checks := &validator{suite: s, casesPerClause: map[string]int{}, caseIDs: map[string]bool{}, changeNames: map[string]bool{}}
 	for _, clause := range s.Clauses {
-		if _, duplicate := checks.casesPerClause[clause.ID]; duplicate || clause.ID == "" || clause.Text == "" || clause.Source == "" {
+		_, isDuplicate := checks.casesPerClause[clause.ID]
+		isIncomplete := clause.ID == "" || clause.Text == "" || clause.Source == ""
+		if isDuplicate || isIncomplete {
 			checks.report("clause %q: needs an id of its own, a summary and a source", clause.ID)
 		}
 		checks.casesPerClause[clause.ID] = 0
--- a/internal/testing/conformance/voter.go
+++ b/internal/testing/conformance/voter.go
@@ -48,7 +48,8 @@
 	}
 	v := &testVoter{dir: dir, client: transport.NewClient(transport.Network{}, 1)}
 	for range maxVoterStarts {
-		if err = v.open(); err == nil {
+		err = v.open()
+		if err == nil {
 			break
 		}
 	}
@@ -66,7 +67,8 @@
 	v.address = listenAddress(portsUsed.Add(1))
 	path := filepath.Join(v.dir, "voter.toml")
 	text := "[process]\nname = \"v1\"\nsingle = true\nvoter = true\ndisk = \"" + v.dir + "/disk\"\n" + v.votersConfig(longLease)
-	if err = os.WriteFile(path, []byte(text), 0o600); err != nil {
+	err = os.WriteFile(path, []byte(text), 0o600)
+	if err != nil {
 		return err
 	}
 	noControllers := func(*config.Config) []coordination.Controller { return nil }
--- a/internal/testing/fakes/discovery.go
+++ b/internal/testing/fakes/discovery.go
@@ -85,7 +85,8 @@
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
-		versions, changed := d.versions, d.changed
+		versions := d.versions
+		changed := d.changed
 		d.mu.Unlock()
 		if since < len(versions) {
 			return versions[since], true
--- a/internal/testing/fakes/fakes.go
+++ b/internal/testing/fakes/fakes.go
@@ -17,7 +17,8 @@
 // be one that another test's gateway still calls or checks.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
-	pid, n := os.Getpid(), listenerCount.Add(1)
+	pid := os.Getpid()
+	n := listenerCount.Add(1)
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8%250, pid%256, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
@@ -34,10 +35,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if near, err = listener.Accept(); err != nil {
+	near, err = listener.Accept()
+	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = far.Close(), near.Close() }) // a test may have closed them
+	t.Cleanup(func() { // a test may have closed them
+		_ = far.Close()
+		_ = near.Close()
+	})
 	return near, far
 }
 
--- a/internal/testing/faultinjection/discovery.go
+++ b/internal/testing/faultinjection/discovery.go
@@ -72,7 +72,8 @@
 	since, _ := strconv.Atoi(query.Get("since"))       // none: no watch
 	millis, _ := strconv.Atoi(query.Get("timeout_ms")) // none: the watch ends at once
 	d.mu.Lock()
-	seq, changed := d.seq, d.changed
+	seq := d.seq
+	changed := d.changed
 	d.mu.Unlock()
 	if since >= seq {
 		timer := time.NewTimer(time.Duration(millis) * time.Millisecond)
--- a/internal/testing/faultinjection/environment.go
+++ b/internal/testing/faultinjection/environment.go
@@ -134,7 +134,8 @@
 func (g *Gateway) setDown(down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.isDown, g.runningSince = down, time.Now()
+	g.isDown = down
+	g.runningSince = time.Now()
 }
 
 // Kill ends the gateway at once.
--- a/internal/testing/faultinjection/recorder.go
+++ b/internal/testing/faultinjection/recorder.go
@@ -132,7 +132,8 @@
 		if attempt.Class != NonIdempotentClass {
 			continue
 		}
-		if attempts[attempt.ID]++; attempts[attempt.ID] == 2 {
+		attempts[attempt.ID]++
+		if attempts[attempt.ID] == 2 {
 			violations = append(violations, "non-idempotent request "+attempt.ID+" came to servers twice")
 		}
 	}
--- a/internal/testing/faultinjection/server.go
+++ b/internal/testing/faultinjection/server.go
@@ -170,7 +170,8 @@
 		return "-BUSY\r\n"
 	}
 	attempt := parseAttempt(words)
-	attempt.Server, attempt.Zone = s.Name, s.Zone
+	attempt.Server = s.Name
+	attempt.Zone = s.Zone
 	index := s.recorder.RecordAttempt(attempt)
 	time.Sleep(s.serviceTime)
 	if admitted {
--- a/internal/testing/faultinjection/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -146,7 +146,9 @@
 // SetFault sets a fault on the calls of some processes to some voters; nil: of all, to all.
 func (c *VoterCluster) SetFault(from, to []string, fault faultproxy.Fault) {
 	for key, p := range c.proxies {
-		if (len(from) == 0 || slices.Contains(from, key[0])) && (len(to) == 0 || slices.Contains(to, key[1])) {
+		isFrom := len(from) == 0 || slices.Contains(from, key[0])
+		isTo := len(to) == 0 || slices.Contains(to, key[1])
+		if isFrom && isTo {
 			p.SetFault(fault)
 		}
 	}
--- a/internal/testing/knownred/knownred.go
+++ b/internal/testing/knownred/knownred.go
@@ -53,7 +53,8 @@
 	if first < 0 {
 		return errors.New("no package is named")
 	}
-	flags, paths := args[:first], args[first:]
+	flags := args[:first]
+	paths := args[first:]
 	known = slices.DeleteFunc(known, func(f knownFailure) bool { return !slices.Contains(paths, f.importPath) })
 	faults := runUnlisted(known, flags, paths, tool)
 	if slices.Contains(flags, "-race") {
@@ -104,7 +105,7 @@
 		return f.errorf("there is no such test")
 	case err == nil:
 		return f.errorf("it passes; take the line out")
-	case !strings.Contains(printed, "--- FAIL: "+f.test+" ("): // did not build, ran out of time
+	case !strings.Contains(printed, "--- FAIL: "+f.test+" ("): // it did not build, or timed out
 		return f.errorf("%w, and not by this test", err)
 	}
 	return nil
--- a/internal/testing/rulesimulation/checks.go
+++ b/internal/testing/rulesimulation/checks.go
@@ -61,7 +61,8 @@
 			continue
 		}
 		assignment := s.resolved[versionInForce(request.acceptedAt)].Assign(request.customer, request.class, 0)
-		plan, quota := s.settings.Plans[assignment.Plan], quotas[assignment.Key]
+		plan := s.settings.Plans[assignment.Plan]
+		quota := quotas[assignment.Key]
 		quota.used = max(quota.used-plan.Rate*(request.forwardedAt-quota.at).Seconds(), 0) + assignment.Weight
 		quota.at = request.forwardedAt
 		quotas[assignment.Key] = quota
@@ -84,7 +85,8 @@
 	if n := s.Forwarded(); n < minForwarded {
 		return fmt.Errorf("%d forwarded requests show nothing", n)
 	}
-	forwarded, keys := map[uint64]float64{}, map[uint64]uint64{}
+	forwarded := map[uint64]float64{}
+	keys := map[uint64]uint64{}
 	for _, request := range s.requests {
 		if !request.forwarded {
 			continue
--- a/internal/testing/rulesimulation/forecast.go
+++ b/internal/testing/rulesimulation/forecast.go
@@ -64,12 +64,17 @@
 	for _, g := range c.gateways {
 		c.shadows[g] = canary.NewShadow(sample, c.resolved[0], c.resolved[1], c.settings, seed, canaryCallsPermille)
 	}
-	c.onAdmission, c.onCompletion = c.evaluate, c.recordOutcome
+	c.onAdmission = c.evaluate
+	c.onCompletion = c.recordOutcome
 	c.scheduleCustomers()
 	c.clock.Every(canaryStart+time.Second, canaryFlushInterval, c.flush)
-	c.clock.After(canaryStart, func() { c.table.Phase, c.table.To = countingrule.PhaseCanary, 1 })
+	c.clock.After(canaryStart, func() {
+		c.table.Phase = countingrule.PhaseCanary
+		c.table.To = 1
+	})
 	c.clock.After(canaryScheduled, func() {
-		c.table.Phase, c.table.SwitchAt = countingrule.PhaseScheduled, c.clock.Now()+switchLead
+		c.table.Phase = countingrule.PhaseScheduled
+		c.table.SwitchAt = c.clock.Now() + switchLead
 	})
 	c.clock.AdvanceTo(epoch + canaryEnd)
 	return c.forecast(), nil
@@ -139,7 +144,8 @@
 		shadow.Report(func(name string, n uint64) { observed[strings.TrimPrefix(name, prefix)] += float64(n) })
 		f.Calls += float64(shadow.CallCount()) / c.accepted
 	}
-	f.Before, f.Observed = c.admitted[0]/c.requested[0], c.admitted[1]/c.requested[1]
+	f.Before = c.admitted[0] / c.requested[0]
+	f.Observed = c.admitted[1] / c.requested[1]
 	f.Forecast = min(f.Before*(observed["both"]+observed["new"])/(observed["both"]+observed["old"]), 1)
 	return f
 }
--- a/internal/testing/rulesimulation/gateway.go
+++ b/internal/testing/rulesimulation/gateway.go
@@ -29,7 +29,11 @@
 	for _, request := range g.inFlight {
 		request.lost = true
 	}
-	g.deferred, g.inFlight, g.hasTable, g.leaseEnd, g.table = nil, map[uint32]*request{}, false, 0, countingrule.Table{}
+	g.deferred = nil
+	g.inFlight = map[uint32]*request{}
+	g.hasTable = false
+	g.leaseEnd = 0
+	g.table = countingrule.Table{}
 	g.admission = countingrule.NewAdmission(g.sim.settings.Gateways)
 	g.module = must(policy.New(g.sim.settings, int64(g.sim.random.Uint64()>>1), g))
 	var endpoints []policy.Endpoint
@@ -66,9 +70,12 @@
 // renewLease reads the table, again and again. The lease counts from when the read was sent.
 func (g *gateway) renewLease() (again bool) {
 	if !g.isolated && !g.asleep {
-		sentAt, table := g.sim.clock.Now(), g.sim.table
+		sentAt := g.sim.clock.Now()
+		table := g.sim.table
 		g.deliver(g.sim.between(time.Millisecond, 20*time.Millisecond), func() {
-			g.hasTable, g.leaseEnd, g.table = true, sentAt+tableLease, table
+			g.hasTable = true
+			g.leaseEnd = sentAt + tableLease
+			g.table = table
 		})
 	}
 	return true
@@ -89,7 +96,8 @@
 
 func (g *gateway) admit(request *request) {
 	s := g.sim
-	if request.acceptedAt = s.clock.Now(); request.deadline <= request.acceptedAt { // it waited while the gateway slept
+	request.acceptedAt = s.clock.Now()
+	if request.deadline <= request.acceptedAt { // it waited while the gateway slept
 		request.answers++
 		return
 	}
@@ -118,7 +126,8 @@
 
 // checkReservations charges a request's reservations and forwards it once all counts have answered.
 func (g *gateway) checkReservations(request *request) {
-	pending, admitted := len(request.reservations), true
+	pending := len(request.reservations)
+	admitted := true
 	for _, reservation := range request.reservations {
 		g.addUnits(reservation.Name, reservation.Units, func(count float64) {
 			passed, previous := g.admission.HandleCount(reservation, count, true)
@@ -127,7 +136,8 @@
 			if previous != nil {
 				g.carryOver(reservation, *previous)
 			}
-			if pending--; pending == 0 {
+			pending--
+			if pending == 0 {
 				g.forward(request, admitted)
 			}
 		})
--- a/internal/testing/rulesimulation/host.go
+++ b/internal/testing/rulesimulation/host.go
@@ -15,7 +15,8 @@
 	if request == nil {
 		return
 	}
-	request.forwarded, request.forwardedAt = true, g.sim.clock.Now()
+	request.forwarded = true
+	request.forwardedAt = g.sim.clock.Now()
 	g.deliver(g.sim.between(20*time.Millisecond, 60*time.Millisecond), func() {
 		request.billed = g.billedWeight(request)
 		g.complete(id)
--- a/internal/testing/rulesimulation/switch.go
+++ b/internal/testing/rulesimulation/switch.go
@@ -57,19 +57,26 @@
 
 // scheduleSwitch has the table go through the phases of a switch and its rollback.
 func (s *Simulation) scheduleSwitch() {
-	s.clock.After(switchCanary, func() { s.table.Phase, s.table.To = countingrule.PhaseCanary, 1 })
+	s.clock.After(switchCanary, func() {
+		s.table.Phase = countingrule.PhaseCanary
+		s.table.To = 1
+	})
 	s.clock.After(switchScheduled, func() {
-		s.table.Phase, s.table.SwitchAt = countingrule.PhaseScheduled, s.clock.Now()+switchLead
+		s.table.Phase = countingrule.PhaseScheduled
+		s.table.SwitchAt = s.clock.Now() + switchLead
 	})
 	s.clock.After(switchRollback, func() {
-		s.table.Phase, s.table.SwitchAt = countingrule.PhaseRollback, s.clock.Now()+switchLead
-		s.table.From, s.table.To = 1, 0
+		s.table.Phase = countingrule.PhaseRollback
+		s.table.SwitchAt = s.clock.Now() + switchLead
+		s.table.From = 1
+		s.table.To = 0
 	})
 }
 
 // injectFault has a fault happen to a gateway for a while, anywhere around a switch.
 func (s *Simulation) injectFault(g *gateway) {
-	at, duration := s.between(time.Millisecond, 12*time.Second), s.between(time.Second, 9*time.Second)
+	at := s.between(time.Millisecond, 12*time.Second)
+	duration := s.between(time.Second, 9*time.Second)
 	heal := func() { g.isolated = false }
 	switch s.random.IntN(4) {
 	case 0:
--- a/internal/testing/settlementsimulation/coordination.go
+++ b/internal/testing/settlementsimulation/coordination.go
@@ -99,7 +99,8 @@
 
 // startLeader begins a leader's time: its observations and its controller are empty.
 func (s *simulation) startLeader() {
-	s.observations, s.leadingSince = observation.NewMerger(), max(s.clock.Now(), 1)
+	s.observations = observation.NewMerger()
+	s.leadingSince = max(s.clock.Now(), 1)
 	s.controller = settlement.NewController(s.Terms, func(coordination.ControllerInput) map[string]settlement.ZoneStatus {
 		now := s.clock.Now()
 		failingOver := now >= s.BeforeOutage && now < s.outageEnd()+failoverTail
@@ -154,7 +155,8 @@
 
 // applySettlementTwice is a planted bug: what shares have moved since is forgiven too.
 func (s *simulation) applySettlementTwice(current, next []byte) []byte {
-	before, after := s.decode(current), s.decode(next)
+	before := s.decode(current)
+	after := s.decode(next)
 	for _, share := range before.Shares {
 		fraction := float64(share.PPM) / settlement.PartsPerMillion
 		moved := fraction * s.RequestRate * s.IdempotentFraction * meanUnits * float64(after.Clock-before.Clock)
--- a/internal/testing/settlementsimulation/invariants.go
+++ b/internal/testing/settlementsimulation/invariants.go
@@ -42,7 +42,8 @@
 	for _, debt := range netDebts {
 		open += debt.Sum
 	}
-	s.result.PeakDebt, s.result.FinalDebt = max(s.result.PeakDebt, open), open
+	s.result.PeakDebt = max(s.result.PeakDebt, open)
+	s.result.FinalDebt = open
 	sinceOutage := s.clock.Now() - s.outageEnd()
 	if sinceOutage > settledDelay && s.result.SettledAfter < 0 && open*settledDivisor <= s.result.PeakDebt {
 		s.result.SettledAfter = sinceOutage
@@ -69,7 +70,8 @@
 		}
 	}
 	s.checkLoss()
-	want, got := settlement.Ledger(s.trueDebts).NetDebts(nil), ledger.NetDebts(s.storedState().Forgiven)
+	want := settlement.Ledger(s.trueDebts).NetDebts(nil)
+	got := ledger.NetDebts(s.storedState().Forgiven)
 	if s.Terms.ForgiveAfter == 0 && s.result.Lost == 0 && !slices.Equal(want, got) {
 		s.addViolation("net debts %v, want %v", got, want)
 	}
--- a/internal/testing/settlementsimulation/requests.go
+++ b/internal/testing/settlementsimulation/requests.go
@@ -92,10 +92,14 @@
 	from.persist()
 	startedAt := s.clock.Now()
 	endsAt := s.serve(zone, trueUnits)
-	outcome, billedUnits, debt := policy.Answered, trueUnits, settlement.Thousandths(trueUnits)
+	outcome := policy.Answered
+	billedUnits := trueUnits
+	debt := settlement.Thousandths(trueUnits)
 	if endsAt-startedAt > requestTimeout {
 		endsAt = startedAt + requestTimeout
-		outcome, billedUnits, debt = policy.TimedOut, 0, settlement.Thousandths(meanUnits)
+		outcome = policy.TimedOut
+		billedUnits = 0
+		debt = settlement.Thousandths(meanUnits)
 	}
 	if startedAt >= s.outageEnd() {
 		s.firstAttempts[partner]++
--- a/internal/testing/settlementsimulation/simulation.go
+++ b/internal/testing/settlementsimulation/simulation.go
@@ -138,7 +138,8 @@
 
 // startGateway begins an incarnation of a gateway's process.
 func (s *simulation) startGateway(g *gateway) {
-	g.incarnation, g.serial = g.incarnation+1, 0
+	g.incarnation = g.incarnation + 1
+	g.serial = 0
 	clear(g.trackers)
 	ledgerID := fmt.Sprintf("%s.%d", g.name, g.incarnation)
 	seed := s.Seed<<20 + g.incarnation<<10 + uint64(len(g.name)+g.zone)
@@ -162,7 +163,8 @@
 }
 
 func (m *memoryStore) Write(ledgerID string, balances []account.StoredBalance) error {
-	m.ledgerID, m.balances = ledgerID, slices.Clone(balances)
+	m.ledgerID = ledgerID
+	m.balances = slices.Clone(balances)
 	return nil
 }
 
--- a/internal/testing/subprocess/subprocess.go
+++ b/internal/testing/subprocess/subprocess.go
@@ -76,7 +76,8 @@
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return err
 	}
-	if limit.Cur = limit.Max; full {
+	limit.Cur = limit.Max
+	if full {
 		limit.Cur = 1 // a Go program ignores the signal that comes with such a write: the write itself fails
 	}
 	return unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil)
@@ -86,12 +87,14 @@
 func (p *Process) Start() error {
 	command := exec.Command(p.program)
 	command.Env = append(os.Environ(), p.env...)
-	command.Stdout, command.Stderr = &p.Log, &p.Log
+	command.Stdout = &p.Log
+	command.Stderr = &p.Log
 	if err := command.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = command, ended
+	p.command = command
+	p.ended = ended
 	go func() {
 		defer close(ended)
 		_ = command.Wait() // tests end processes as they like: its status tells nothing
--- a/internal/testing/votersimulation/bug.go
+++ b/internal/testing/votersimulation/bug.go
@@ -9,7 +9,7 @@
 	VoteWithoutSync         // the disk reports a vote as synced; a crash loses it
 	SendBeforeSync          // messages are sent before what they promise is on disk
 	CommandAppliedTwice     // a command is proposed again under a new number
-	LeaseByWallClock        // a lease is measured on a clock that is set back
+	LeaseByWallClock        // a lease is measured by the wall clock, which may be set back
 	LeaseFromResponse       // a lease counts from the arrival of the response
 	LeaseIgnored            // a lease holder goes on after its lease
 	DigestsCountedTwice     // a process that switches to another voter begins no new session
--- a/internal/testing/votersimulation/client.go
+++ b/internal/testing/votersimulation/client.go
@@ -65,7 +65,8 @@
 	}
 	c.callNumber++
 	c.call = call{write: c.sim.rng.IntN(3) > 0, epoch: c.epoch, value: fmt.Sprintf("%d-%d", c.id, c.callNumber)}
-	c.startedAt, c.pending = c.sim.now(), true
+	c.startedAt = c.sim.now()
+	c.pending = true
 	c.send(c.callNumber)
 }
 
@@ -74,7 +75,9 @@
 		return
 	}
 	c.attempt++
-	attempt, request, voter := c.attempt, c.call, c.sim.chooseNode(c.voterIndex)
+	attempt := c.attempt
+	request := c.call
+	voter := c.sim.chooseNode(c.voterIndex)
 	respond := func(a answer) {
 		c.sim.network.deliver(outside, outside, func() { c.handleAnswer(number, attempt, a) })
 	}
@@ -90,7 +93,8 @@
 }
 
 func (c *client) handleAnswer(number uint64, attempt int, a answer) {
-	if !c.pending || c.callNumber != number || !a.known && c.attempt != attempt {
+	isOfEarlierAttempt := !a.known && c.attempt != attempt
+	if !c.pending || c.callNumber != number || isOfEarlierAttempt {
 		return
 	}
 	if !a.known { // the voter does not lead
@@ -98,7 +102,8 @@
 		c.sim.after(retryDelay, func() { c.send(number) })
 		return
 	}
-	c.pending, c.epoch = false, a.epoch
+	c.pending = false
+	c.epoch = a.epoch
 	c.call.answer = a
 	c.sim.report.Answered++
 	c.record(a, int64(c.sim.now()))
--- a/internal/testing/votersimulation/faults.go
+++ b/internal/testing/votersimulation/faults.go
@@ -79,8 +79,12 @@
 }
 
 func loseMessages(s *simulation, _ *node, duration time.Duration) {
-	s.network.lossRate, s.network.maxDelay = s.rng.Float64()*lossyMaxRate, lossyMaxDelay
-	s.after(duration, func() { s.network.lossRate, s.network.maxDelay = 0, normalMaxDelay })
+	s.network.lossRate = s.rng.Float64() * lossyMaxRate
+	s.network.maxDelay = lossyMaxDelay
+	s.after(duration, func() {
+		s.network.lossRate = 0
+		s.network.maxDelay = normalMaxDelay
+	})
 }
 
 func fillDisk(s *simulation, n *node, duration time.Duration) {
@@ -100,7 +104,9 @@
 func (s *simulation) healFaults() {
 	s.network.heal()
 	for _, n := range s.activeNodes() {
-		n.crashPoint, n.diskFull, n.syncDelay = noCrash, false, 0
+		n.crashPoint = noCrash
+		n.diskFull = false
+		n.syncDelay = 0
 		n.restart()
 	}
 }
@@ -125,7 +131,8 @@
 	if leader == nil || s.now() > runDuration {
 		return s.now() <= runDuration
 	}
-	added, removed := false, true
+	added := false
+	removed := true
 	for _, member := range leader.consensus.Status().Members {
 		added = added || member.Number == replacement.member.Number
 		removed = removed && member.Number != lost.member.Number
--- a/internal/testing/votersimulation/invariants.go
+++ b/internal/testing/votersimulation/invariants.go
@@ -16,7 +16,9 @@
 var tableModel = porcupine.Model{
 	Init: func() any { return tableState{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, request, returned := state.(tableState), input.(call), output.(answer)
+		current := state.(tableState)
+		request := input.(call)
+		returned := output.(answer)
 		if !request.write {
 			return !returned.known || returned.epoch == current.epoch && returned.value == current.value, current
 		}
--- a/internal/testing/votersimulation/lease_holder.go
+++ b/internal/testing/votersimulation/lease_holder.go
@@ -47,7 +47,10 @@
 // read waits for a change of the table at a voter.
 func (h *leaseHolder) read() {
 	h.attempt++
-	attempt, sentAt, known, voter := h.attempt, h.now(), h.epoch, h.sim.chooseNode(h.voterIndex)
+	attempt := h.attempt
+	sentAt := h.now()
+	known := h.epoch
+	voter := h.sim.chooseNode(h.voterIndex)
 	respond := func(changed map[string]statemachine.Table) {
 		h.sim.network.deliver(outside, outside, func() { h.handleResponse(attempt, sentAt, known, changed) })
 	}
@@ -80,7 +83,8 @@
 	}
 	switch {
 	case known > h.epoch:
-		h.epoch, h.leaseEnd = known, sentAt+leaseDuration
+		h.epoch = known
+		h.leaseEnd = sentAt + leaseDuration
 	case known == h.epoch:
 		h.leaseEnd = max(h.leaseEnd, sentAt+leaseDuration)
 	}
--- a/internal/testing/votersimulation/network.go
+++ b/internal/testing/votersimulation/network.go
@@ -56,5 +56,6 @@
 // heal restores the normal network.
 func (n *network) heal() {
 	clear(n.partitioned)
-	n.lossRate, n.maxDelay = 0, normalMaxDelay
+	n.lossRate = 0
+	n.maxDelay = normalMaxDelay
 }
--- a/internal/testing/votersimulation/node.go
+++ b/internal/testing/votersimulation/node.go
@@ -60,7 +60,8 @@
 
 func (n *node) start(initialMembers []coordination.Member) {
 	n.incarnation++
-	incarnation, seed := consensus.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}, n.sim.rng.Uint64()
+	incarnation := consensus.Incarnation{Count: n.incarnation, Nonce: n.sim.rng.Uint64()}
+	seed := n.sim.rng.Uint64()
 	started, err := consensus.NewNode(n.member, incarnation, initialMembers, n.synced, seed)
 	if err != nil {
 		n.violation(err)
@@ -73,7 +74,11 @@
 	n.readQueue = consensus.NewReadQueue(started)
 	n.gatherer = consensus.NewGatherer(n.member.Name, n.incarnation)
 	n.proposals = map[uint64]func(consensus.Outcome){}
-	n.up, n.suspended, n.syncing, n.deferred, n.crashPoint = true, false, false, nil, noCrash
+	n.up = true
+	n.suspended = false
+	n.syncing = false
+	n.deferred = nil
+	n.crashPoint = noCrash
 	n.every(tickInterval, func() { n.consensus.Tick(); n.readQueue.Tick(n.now()) })
 	n.every(forwardInterval, n.forwardDigests)
 }
@@ -92,7 +97,11 @@
 
 func (n *node) violation(what any) { n.sim.violation("voter %d: %v", n.member.Number, what) }
 
-func (n *node) crash() { n.up, n.unsynced, n.deferred = false, nil, nil }
+func (n *node) crash() {
+	n.up = false
+	n.unsynced = nil
+	n.deferred = nil
+}
 
 func (n *node) restart() {
 	if !n.up && !n.diskLost {
--- a/internal/testing/votersimulation/ready.go
+++ b/internal/testing/votersimulation/ready.go
@@ -60,7 +60,9 @@
 	if n.sim.bug == SendBeforeSync {
 		n.send(ready.Messages)
 	}
-	if crashAt == beforeWrite || crashAt == beforeSync && n.sim.rng.IntN(2) == 0 || ready.Record != nil && n.diskFull {
+	losesWrite := crashAt == beforeWrite || crashAt == beforeSync && n.sim.rng.IntN(2) == 0
+	failsToWrite := ready.Record != nil && n.diskFull
+	if losesWrite || failsToWrite {
 		n.crash()
 		return false
 	}
@@ -141,5 +143,6 @@
 	if err != nil {
 		n.violation(err)
 	}
-	n.synced, n.unsynced = [][]byte{checkpoint}, nil
+	n.synced = [][]byte{checkpoint}
+	n.unsynced = nil
 }
