--- a/cmd/harrierhoist/attempt_test.go
+++ b/cmd/harrierhoist/attempt_test.go
@@ -28,8 +28,8 @@
 	return strings.Contains(string(open), fmt.Sprintf(" 0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// reservedAddress is free, and of the ports that the system gives to nobody by itself: another test's listener, or an outgoing
-// connection, would take it before the gateway does.
+// reservedAddress is free, and of the ports that the system gives to nobody by itself: another
+// test's listener, or an outgoing connection, would take it before the gateway does.
 func reservedAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -43,8 +43,8 @@
 	return ""
 }
 
-// startWithLongTimeouts starts a gateway in front of a server of the list. It dials for a minute, and its clients wait as
-// long.
+// startWithLongTimeouts starts a gateway in front of a server of the list. It dials for a minute,
+// and its clients wait as long.
 func startWithLongTimeouts(t *testing.T, host string) *gatewayUnderTest {
 	t.Helper()
 	g := &gatewayUnderTest{T: t, addr: reservedAddress(t), counter: fakes.NewCounter(t), discovery: fakes.NewDiscovery(t, host)}
@@ -55,9 +55,9 @@
 	return g
 }
 
-// Dials of a server hang: while the gateway dials for a request, its client disconnects, or the list says that the server
-// drains. It stops dialing at once, nothing is written when the server is back, and the other server gets the request that
-// still has a client.
+// Dials of a server hang: while the gateway dials for a request, its client disconnects, or the
+// list says that the server drains. It stops dialing at once, nothing is written when the server is
+// back, and the other server gets the request that still has a client.
 func TestDisconnect_cancelsTheDial(t *testing.T) {
 	const list = "t=wide,d=60000,units=2,spread=1,first=0"
 	query := queryCommand("c=look," + list)
@@ -100,8 +100,9 @@
 	}
 }
 
-// The first attempt of a keyed request is reset after it came; dials of the next server hang, and the retry was decided well
-// inside the window. Once that is over nothing is written, though the server accepts connections then.
+// The first attempt of a keyed request is reset after it came; dials of the next server hang, and
+// the retry was decided well inside the window. Once that is over nothing is written, though the
+// server accepts connections then.
 func TestRetry_isNotWrittenAfterItsWindow(t *testing.T) {
 	t.Parallel()
 	saturated := fakes.NewSaturatedServer(t)
--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -43,7 +43,8 @@
 	return c
 }
 
-// voterTable is a voter in a coordination file; replaces is the number of the one that it replaces, 0: none.
+// voterTable is a voter in a coordination file; replaces is the number of the one that it replaces,
+// 0: none.
 func voterTable(number uint64, name, address string, replaces uint64) string {
 	text := fmt.Sprintf("[[voter]]\nnumber = %d\nname = %q\naddress = %q\n", number, name, address)
 	if replaces > 0 {
@@ -52,7 +53,8 @@
 	return text
 }
 
-// writeFile writes a process's coordination file and returns its path; a voter has a folder of its own.
+// writeFile writes a process's coordination file and returns its path; a voter has a folder of its
+// own.
 func (c *voterCluster) writeFile(name, disk string) string {
 	c.Helper()
 	text := fmt.Sprintf("[process]\nname = %q\nhall = \"hall-a\"\n", name)
@@ -90,7 +92,8 @@
 	}
 }
 
-// leader returns the name of a voter that leads by its own word and that of all others who answer, a majority.
+// leader returns the name of a voter that leads by its own word and that of all others who answer,
+// a majority.
 func (c *voterCluster) leader() (leader string) {
 	c.Helper()
 	fakes.Eventually(c, "a leader", func() bool {
@@ -116,8 +119,8 @@
 // planTable is the table that tests write.
 const planTable = "plan"
 
-// writePlan has the plan written, at the epoch that it has. A command whose result is unknown is proposed again under its
-// number.
+// writePlan has the plan written, at the epoch that it has. A command whose result is unknown is
+// proposed again under its number.
 func (c *voterCluster) writePlan(epoch uint64, value string) {
 	c.Helper()
 	c.number++
@@ -186,7 +189,8 @@
 	c.waitForLog(name, `"gateway: ready"`)
 }
 
-// What one process writes all have, whoever leads; what was acknowledged survives the end of all voters at once.
+// What one process writes all have, whoever leads; what was acknowledged survives the end of all
+// voters at once.
 func TestVoters_writesAreReplicatedAndDurable(t *testing.T) {
 	t.Parallel()
 	c := newVoterCluster(t, "v1", "v2", "v3")
--- a/cmd/harrierhoist/cost_test.go
+++ b/cmd/harrierhoist/cost_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestCostWithoutCoordination measures what the program costs without coordination, against an earlier build of it: BEFORE
-// and NOW name the two, built alike. Its table is in docs/cluster.md.
+// TestCostWithoutCoordination measures what the program costs without coordination, against an
+// earlier build of it: BEFORE and NOW name the two, built alike. Its table is in docs/cluster.md.
 func TestCostWithoutCoordination(t *testing.T) {
 	before, now := os.Getenv("BEFORE"), os.Getenv("NOW")
 	if before == "" || now == "" {
@@ -76,8 +76,8 @@
 	return samples[len(samples)/2]
 }
 
-// residentKB is a figure of a process's memory in kB; RssAnon is without the pages of its file, which the system shares
-// among processes and drops at will.
+// residentKB is a figure of a process's memory in kB; RssAnon is without the pages of its file,
+// which the system shares among processes and drops at will.
 func residentKB(pid int, what string) (kb int) {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if _, after, ok := strings.Cut(string(status), what); ok {
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -104,8 +104,8 @@
 	_ = conn.Close()
 }
 
-// The file said a thousand sockets and the system gave 64: idle clients took them all, and no server, no counter and no
-// agent could be called until they disconnected.
+// The file said a thousand sockets and the system gave 64: idle clients took them all, and no
+// server, no counter and no agent could be called until they disconnected.
 func TestDescriptors_idleClientsLeaveSomeForUpstreams(t *testing.T) {
 	gateway := newGateway(t, answerHello)
 	later := fakes.NewServer(t, answering("later"))
--- a/cmd/harrierhoist/disconnect_test.go
+++ b/cmd/harrierhoist/disconnect_test.go
@@ -11,8 +11,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A client sends much at once and disconnects, with requests at the server: its end is seen behind what nobody reads, and as
-// the server then closes, none of its requests is retried, nor one forwarded that was not read.
+// A client sends much at once and disconnects, with requests at the server: its end is seen behind
+// what nobody reads, and as the server then closes, none of its requests is retried, nor one
+// forwarded that was not read.
 func TestDisconnect_noFurtherRequestIsStarted(t *testing.T) {
 	t.Parallel()
 	end := make(chan struct{})
--- a/cmd/harrierhoist/faults_test.go
+++ b/cmd/harrierhoist/faults_test.go
@@ -63,7 +63,8 @@
 	gateway := startGateway(t, 1024, answerHello)
 	short, long := gateway.connect(), gateway.connect()
 	gateway.signal(syscall.SIGSTOP)
-	// The signal takes its time: sent before all threads are stopped, the request was sometimes read at once.
+	// The signal takes its time: sent before all threads are stopped, the request was sometimes
+	// read at once.
 	fakes.Eventually(t, "a stopped process", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", gateway.process.Process.Pid))
 		return strings.Contains(string(stat), ") T ")
@@ -92,8 +93,8 @@
 	for query := ""; !strings.HasPrefix(query, "since=1&"); { // the gateway has the list then
 		query = <-list.Queries
 	}
-	// On a busy machine a connection to the counter may come up too late for a request, which is then answered uncounted:
-	// calls come all the same, and to the new one alone.
+	// On a busy machine a connection to the counter may come up too late for a request, which is
+	// then answered uncounted: calls come all the same, and to the new one alone.
 	before := len(gateway.counter.Calls)
 	fakes.Eventually(t, "calls to the new counter", func() bool {
 		c.query(queryList, "other")
--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -41,7 +41,8 @@
 	return follower.ReadResult{Tables: found, GroupID: group}, err
 }
 
-// resourcesUsed is what a process has used so far: CPU time, and bytes that it read and wrote, on sockets and disk alike.
+// resourcesUsed is what a process has used so far: CPU time, and bytes that it read and wrote, on
+// sockets and disk alike.
 func (c *voterCluster) resourcesUsed(name string) (cpu time.Duration, in, out int64) {
 	pid := c.processes[name].Process.Pid
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -56,8 +57,8 @@
 	return cpu, in, out
 }
 
-// TestFollowerLoad measures what followers cost the voters; BURDEN says how many, separated by commas. Its table is in
-// docs/cluster.md.
+// TestFollowerLoad measures what followers cost the voters; BURDEN says how many, separated by
+// commas. Its table is in docs/cluster.md.
 func TestFollowerLoad(t *testing.T) {
 	sizes := os.Getenv("BURDEN")
 	if sizes == "" {
@@ -86,7 +87,8 @@
 
 type callCounts struct{ digests, reads atomic.Int64 }
 
-// startFollowers starts followers one after the other, until the context ends; running waits for them.
+// startFollowers starts followers one after the other, until the context ends; running waits for
+// them.
 func (f *followerFleet) startFollowers(ctx context.Context, n int, running *sync.WaitGroup) {
 	for i := range n {
 		process, client := fmt.Sprintf("g%d", i), transport.NewClient(transport.Network{}, 2)
@@ -137,8 +139,8 @@
 	return loads
 }
 
-// writeDelays writes plans, and returns sorted how long each took from the write's answer until half, and all, of the
-// followers had it; and how many leases had expired a second after each.
+// writeDelays writes plans, and returns sorted how long each took from the write's answer until
+// half, and all, of the followers had it; and how many leases had expired a second after each.
 func (f *followerFleet) writeDelays() (half, all []time.Duration, expired int) {
 	n := len(f.followers)
 	for epoch := uint64(1); epoch <= measuredWrites; epoch++ {
--- a/cmd/harrierhoist/gateway_test.go
+++ b/cmd/harrierhoist/gateway_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// startGateway starts a gateway in front of one server that answers by a function, and waits until it is ready.
+// startGateway starts a gateway in front of one server that answers by a function, and waits until
+// it is ready.
 func startGateway(t *testing.T, sockets int, answer func(words []string) string) *gatewayUnderTest {
 	t.Helper()
 	g := newGateway(t, answer)
--- a/cmd/harrierhoist/hanging_test.go
+++ b/cmd/harrierhoist/hanging_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Requests that hang at a server past SIGKILL are in hand at SIGTERM, as many as a connection may have. Those that arrive behind
-// them after 0.7 s get their answers before SIGKILL all the same, and so those before them.
+// Requests that hang at a server past SIGKILL are in hand at SIGTERM, as many as a connection may
+// have. Those that arrive behind them after 0.7 s get their answers before SIGKILL all the same,
+// and so those before them.
 func TestTerminate_lateRequestsBehindHangingOnesAreAnswered(t *testing.T) {
 	t.Parallel()
 	for name, command := range map[string]func() string{
--- a/cmd/harrierhoist/notified_test.go
+++ b/cmd/harrierhoist/notified_test.go
@@ -11,8 +11,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Discovery fails in one way after the other and learns of a drain meanwhile; back, it leaves one more call unanswered.
-// Clients are served all the time, and 5 s after it was back nothing is sent to the draining server any more.
+// Discovery fails in one way after the other and learns of a drain meanwhile; back, it leaves one
+// more call unanswered. Clients are served all the time, and 5 s after it was back nothing is sent
+// to the draining server any more.
 func TestDrain_isAppliedSoonAfterAnyFailuresOfDiscovery(t *testing.T) {
 	hang := func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
 	reject := func(response http.ResponseWriter, _ *http.Request) {
--- a/cmd/harrierhoist/pipelined_test.go
+++ b/cmd/harrierhoist/pipelined_test.go
@@ -22,8 +22,8 @@
 	command          func(list string) string
 }
 
-// Each request that has come whole before the gateway ends the connection gets its answer, in order, and the connection then
-// ends without a reset, before SIGKILL comes at its earliest.
+// Each request that has come whole before the gateway ends the connection gets its answer, in
+// order, and the connection then ends without a reset, before SIGKILL comes at its earliest.
 func TestTerminate_pipelinedRequestsAreAnswered(t *testing.T) {
 	const long, killAfterLong = 4800 * time.Millisecond, 3700 * time.Millisecond
 	const short, killAfterShort = 400 * time.Millisecond, 1100 * time.Millisecond
@@ -103,8 +103,9 @@
 	return scheduledKill{g, timer, time.Now().Add(delay)}
 }
 
-// wantEndBefore checks that the process ends by itself before the SIGKILL. Built with the race detector it sleeps for a second
-// more at its end: there it has to be done with all clients by then, which its log tells.
+// wantEndBefore checks that the process ends by itself before the SIGKILL. Built with the race
+// detector it sleeps for a second more at its end: there it has to be done with all clients by
+// then, which its log tells.
 func (k scheduledKill) wantEndBefore() {
 	k.gateway.Helper()
 	fakes.Eventually(k.gateway, "the gateway stopping", func() bool { return k.gateway.log.Count("gateway: stopped") > 0 })
--- a/cmd/harrierhoist/process_test.go
+++ b/cmd/harrierhoist/process_test.go
@@ -35,8 +35,8 @@
 	return startProgram(t, "RELAY_CONFIG="+path)
 }
 
-// startCommand starts a command of the program. Built under GOFLAGS=-race, a data race that it sees in itself fails the
-// test; the log of a test that fails is shown.
+// startCommand starts a command of the program. Built under GOFLAGS=-race, a data race that it sees
+// in itself fails the test; the log of a test that fails is shown.
 func startCommand(t *testing.T, command *exec.Cmd, env ...string) (*exec.Cmd, *subprocess.Log) {
 	t.Helper()
 	log := &subprocess.Log{}
@@ -59,8 +59,9 @@
 
 var lastLoopbackAddress atomic.Uint32
 
-// loopbackAddress is an address where nobody listens, on a loopback host of its own. It is not tried: a listener that is
-// closed again may live on for a moment, in a process that another test just forks.
+// loopbackAddress is an address where nobody listens, on a loopback host of its own. It is not
+// tried: a listener that is closed again may live on for a moment, in a process that another test
+// just forks.
 func loopbackAddress() string {
 	pid, n := os.Getpid(), lastLoopbackAddress.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid>>8%250, pid%256, 1+n%250, 20000+n%10000)
--- a/cmd/harrierhoist/reload_test.go
+++ b/cmd/harrierhoist/reload_test.go
@@ -16,7 +16,8 @@
 	refusalLine  = `"gateway: configuration refused"`
 )
 
-// reloadFromPipe has the gateway reload from a pipe, and returns its end for writing once the gateway reads it.
+// reloadFromPipe has the gateway reload from a pipe, and returns its end for writing once the
+// gateway reads it.
 func (g *gatewayUnderTest) reloadFromPipe() (end *os.File) {
 	g.Helper()
 	makePipe(g.T, g.configPath)
@@ -24,7 +25,8 @@
 	return waitForReader(g.T, g.configPath)
 }
 
-// signalOrders are orders of signals to a gateway that has a request in flight; each ends with one that asks it to end.
+// signalOrders are orders of signals to a gateway that has a request in flight; each ends with one
+// that asks it to end.
 var signalOrders = map[string]func(g *gatewayUnderTest, newConfiguration string){
 	"terminated three times": func(g *gatewayUnderTest, _ string) {
 		g.terminate()
@@ -69,7 +71,8 @@
 	},
 }
 
-// Signals in every order, with a request at the server all the while: it is answered, and the exit is clean.
+// Signals in every order, with a request at the server all the while: it is answered, and the exit
+// is clean.
 func TestSignals_inAnyOrder(t *testing.T) {
 	for name, sendSignals := range signalOrders {
 		t.Run(name, func(t *testing.T) {
@@ -107,8 +110,8 @@
 	return configuration(gateway.addr, e.discovery.Addr, e.counter.Addr, "null")
 }
 
-// wantServedBy wants requests to go to the server of an environment, and their calls to its counter. Its list may still be
-// on its way.
+// wantServedBy wants requests to go to the server of an environment, and their calls to its
+// counter. Its list may still be on its way.
 func (g *gatewayUnderTest) wantServedBy(e *environment) {
 	g.Helper()
 	fakes.Eventually(g, "requests at "+e.value, func() bool {
@@ -125,7 +128,8 @@
 	e.counter.NextCall(g)
 }
 
-// Two signals while the first file is read: the file as it was at the second is in force, with both its addresses.
+// Two signals while the first file is read: the file as it was at the second is in force, with both
+// its addresses.
 func TestReload_lastOfTwoFilesApplies(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	first, last := newEnvironment(t, "first"), newEnvironment(t, "last")
@@ -141,8 +145,8 @@
 	}
 }
 
-// A new file before the gateway is ready, and a signal before it has read its first file: both are applied, and the gateway
-// is ready once the new discovery has answered.
+// A new file before the gateway is ready, and a signal before it has read its first file: both are
+// applied, and the gateway is ready once the new discovery has answered.
 func TestReload_beforeReady(t *testing.T) {
 	silent := newSilentDiscovery(t, "")
 	for name, isEarly := range map[string]bool{"before its file is read": true, "while discovery is silent": false} {
--- a/cmd/harrierhoist/restart_test.go
+++ b/cmd/harrierhoist/restart_test.go
@@ -17,7 +17,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// countingProxy is an address whose connections are counted and passed on to another; empty: they are accepted and held.
+// countingProxy is an address whose connections are counted and passed on to another; empty: they
+// are accepted and held.
 func countingProxy(t *testing.T, target string) (addr string, connections *atomic.Int64) {
 	t.Helper()
 	listener := fakes.Listen(t)
@@ -54,7 +55,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// restartedFleet is many gateways that are started at once, with connections to what they share counted.
+// restartedFleet is many gateways that are started at once, with connections to what they share
+// counted.
 type restartedFleet struct {
 	*testing.T
 	addrs              []string
@@ -66,9 +68,9 @@
 
 const fleetSize = 30
 
-// startFleet starts a gateway with each combination of discovery (silent, not there, rejecting) and endpoint list of an
-// earlier run (none, one that holds, one with a server that is gone); a fifth of them dial for a minute. It returns how
-// long each took until it was ready.
+// startFleet starts a gateway with each combination of discovery (silent, not there, rejecting) and
+// endpoint list of an earlier run (none, one that holds, one with a server that is gone); a fifth
+// of them dial for a minute. It returns how long each took until it was ready.
 func startFleet(t *testing.T) (fleet *restartedFleet, took []time.Duration) {
 	t.Helper()
 	server := fakes.NewServer(t, answerHello)
@@ -109,7 +111,8 @@
 	return f, took
 }
 
-// requestAtEach sends a request of one customer to each gateway, and returns the first lines of the answers.
+// requestAtEach sends a request of one customer to each gateway, and returns the first lines of the
+// answers.
 func (f *restartedFleet) requestAtEach() (answers []string) {
 	f.Helper()
 	answers = make([]string, fleetSize)
@@ -133,9 +136,10 @@
 	return answers
 }
 
-// Thirty processes started at once while discovery is down, in each way in which it can be: nine in ten are ready within
-// ten seconds, whatever connect timeout is set and whatever list is known. What they do then overloads nobody: nothing is
-// called before a request comes, and a request of one customer at each costs a few calls and a connection each.
+// Thirty processes started at once while discovery is down, in each way in which it can be: nine in
+// ten are ready within ten seconds, whatever connect timeout is set and whatever list is known.
+// What they do then overloads nobody: nothing is called before a request comes, and a request of
+// one customer at each costs a few calls and a connection each.
 func TestStart_thirtyAtOnceAreReadyInTimeAndOverloadNobody(t *testing.T) {
 	fleet, took := startFleet(t)
 	slow := 0
@@ -157,7 +161,8 @@
 	calls, toCounter, toServers := len(fleet.counter.Calls), fleet.counterConnections.Load(), fleet.serverConnections.Load()
 	t.Logf("%d requests, one at each: %d calls on %d connections to the counter, %d connections to a server",
 		fleetSize, calls, toCounter, toServers)
-	// A sample, the window before and what it lacked, and the charge; of two names, each on a connection.
+	// A sample, the window before and what it lacked, and the charge; of two names, each on a
+	// connection.
 	if calls > 4*fleetSize || toCounter > 2*fleetSize || toServers > fleetSize {
 		t.Error("the counter or the servers were overloaded")
 	}
--- a/cmd/harrierhoist/settings_test.go
+++ b/cmd/harrierhoist/settings_test.go
@@ -11,8 +11,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// reshapedConfiguration has settings of another shape: a traffic class and a plan gone, a new one of each, another order, a
-// limit on attempts in flight in place of a rate, a usage meter, no Retry-After.
+// reshapedConfiguration has settings of another shape: a traffic class and a plan gone, a new one
+// of each, another order, a limit on attempts in flight in place of a rate, a usage meter, no
+// Retry-After.
 func reshapedConfiguration(gateway *gatewayUnderTest) string {
 	text, _, _ := strings.Cut(gateway.configuration(), `"RequestClasses"`)
 	text += `"RequestClasses":[
@@ -36,8 +37,8 @@
 	counts[id]++
 }
 
-// sendRequests sends requests of one customer, of a traffic class that stays and of one that comes and goes, until it is
-// stopped. Each is answered once, whatever with.
+// sendRequests sends requests of one customer, of a traffic class that stays and of one that comes
+// and goes, until it is stopped. Each is answered once, whatever with.
 func (c *requestCounts) sendRequests(client *client, customer int, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -67,8 +68,8 @@
 	}
 }
 
-// check wants each request answered once, and attempted once at the most; one that is answered need not have been
-// attempted.
+// check wants each request answered once, and attempted once at the most; one that is answered need
+// not have been attempted.
 func (c *requestCounts) check(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
--- a/cmd/harrierhoist/shutdown_test.go
+++ b/cmd/harrierhoist/shutdown_test.go
@@ -15,8 +15,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// continuousClient sends one request after the other on a connection until the gateway closes it, and looks before each
-// whether it has. A request that was sent on an open connection and not answered completely is lost.
+// continuousClient sends one request after the other on a connection until the gateway closes it,
+// and looks before each whether it has. A request that was sent on an open connection and not
+// answered completely is lost.
 type continuousClient struct {
 	*client
 	pause    func() time.Duration // between an answer and the next request
@@ -64,7 +65,8 @@
 	}
 }
 
-// readWholeAnswer reads an answer of any size. One that is an error, other than a rejection, is returned as one.
+// readWholeAnswer reads an answer of any size. One that is an error, other than a rejection, is
+// returned as one.
 func (c *continuousClient) readWholeAnswer() error {
 	line, err := c.in.ReadString('\n')
 	switch {
@@ -84,9 +86,10 @@
 	return err
 }
 
-// After SIGTERM clients send on every connection that stays open, up to SIGKILL. Each request gets its answer, and none is
-// lost with a connection that was open when it was sent: requests at once after an answer, now and then, in pairs, long ones,
-// large. (Sent in the very moment at which a connection idle for a quarter of a second is closed, one would be.)
+// After SIGTERM clients send on every connection that stays open, up to SIGKILL. Each request gets
+// its answer, and none is lost with a connection that was open when it was sent: requests at once
+// after an answer, now and then, in pairs, long ones, large. (Sent in the very moment at which a
+// connection idle for a quarter of a second is closed, one would be.)
 func TestTerminate_noRequestOnAnOpenConnectionIsLost(t *testing.T) {
 	sendThroughShutdown(t, 200/raceSlowdown, []time.Duration{1, 1, time.Millisecond, 100 * time.Millisecond})
 }
@@ -98,8 +101,8 @@
 	}
 }
 
-// sendThroughShutdown has clients send requests, each with pauses drawn up to one of these, past SIGTERM and until the
-// gateway has ended or is killed. It returns how many requests were rejected.
+// sendThroughShutdown has clients send requests, each with pauses drawn up to one of these, past
+// SIGTERM and until the gateway has ended or is killed. It returns how many requests were rejected.
 func sendThroughShutdown(t *testing.T, clients int, pauses []time.Duration) (rejected int) {
 	t.Helper()
 	large := fakes.FormatValue(strings.Repeat("x", 1<<18), 1)
--- a/cmd/harrierhoist/soak_test.go
+++ b/cmd/harrierhoist/soak_test.go
@@ -17,7 +17,8 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// Seeds that the soak plays, from the first on. By hand: go test ./cmd/harrierhoist -run TestSoak_ -soak.seeds 50
+// Seeds that the soak plays, from the first on. By hand: go test ./cmd/harrierhoist -run TestSoak_
+// -soak.seeds 50
 var (
 	soakFirst = flag.Uint64("soak.first", 1, "first seed of the soak")
 	soakSeeds = flag.Uint64("soak.seeds", 9, "number of seeds of the soak")
@@ -66,8 +67,8 @@
 	longest  time.Duration // deadline of all classes
 }
 
-// TestSoak_keepsEveryRuleOnEachSeed runs gateways under load and trouble, then through SIGTERM to SIGKILL at its earliest, and
-// holds what clients and servers saw against the rules.
+// TestSoak_keepsEveryRuleOnEachSeed runs gateways under load and trouble, then through SIGTERM to
+// SIGKILL at its earliest, and holds what clients and servers saw against the rules.
 func TestSoak_keepsEveryRuleOnEachSeed(t *testing.T) {
 	places := make(chan struct{}, soakAtOnce)
 	for seed := *soakFirst; seed < *soakFirst+max(*soakSeeds/raceSlowdown, 1); seed++ {
@@ -191,7 +192,8 @@
 	}
 }
 
-// trouble has a server hang or reset, discovery reject or fall silent, a server drain, and signals come, while there is load.
+// trouble has a server hang or reset, discovery reject or fall silent, a server drain, and signals
+// come, while there is load.
 func (s *soak) trouble() {
 	discovery := s.gateways[0].discovery
 	step := soakLoadTime / 4
@@ -219,7 +221,8 @@
 	time.Sleep(step)
 }
 
-// terminate sends signals in series, with servers that may hang or be slow from then on, and SIGKILL at its earliest.
+// terminate sends signals in series, with servers that may hang or be slow from then on, and
+// SIGKILL at its earliest.
 func (s *soak) terminate(g *soakGateway) {
 	mode := []int32{serverServes, serverHangs, serverIsSlow}[s.random.IntN(3)]
 	for _, server := range s.servers {
--- a/cmd/harrierhoist/soakclient_test.go
+++ b/cmd/harrierhoist/soakclient_test.go
@@ -14,7 +14,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// soakClient sends requests on one connection after the other: singly, in batches, or leaving before the answer.
+// soakClient sends requests on one connection after the other: singly, in batches, or leaving
+// before the answer.
 type soakClient struct {
 	*soak
 	gateway *soakGateway
@@ -40,7 +41,8 @@
 	}
 }
 
-// sendBatch sends requests and reads their answers. It returns false once the connection is of no more use.
+// sendBatch sends requests and reads their answers. It returns false once the connection is of no
+// more use.
 func (c *soakClient) sendBatch(conn net.Conn, in *bufio.Reader) bool {
 	count, text := 1, ""
 	if c.kind == 2 {
--- a/cmd/harrierhoist/soakledger_test.go
+++ b/cmd/harrierhoist/soakledger_test.go
@@ -99,8 +99,8 @@
 	return faults
 }
 
-// lost: a request that its gateway took, and that has no answer. It is not where it went unread with a reset connection, crossed
-// the connection's end, or came in time for SIGKILL to find it.
+// lost: a request that its gateway took, and that has no answer. It is not where it went unread
+// with a reset connection, crossed the connection's end, or came in time for SIGKILL to find it.
 func (l *soakLedger) lost(r *soakRequest) string {
 	hasCrossed := errors.Is(r.end, syscall.ECONNRESET) || errors.Is(r.end, io.EOF) && r.endedAt.Sub(r.sentAt) < crossingTime
 	isUnread := hasCrossed && r.killAt.IsZero() && len(l.attempts[r.id]) == 0
--- a/cmd/harrierhoist/start_test.go
+++ b/cmd/harrierhoist/start_test.go
@@ -11,7 +11,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// notReadyConfiguration is the configuration of a gateway that is not ready before an agent answers.
+// notReadyConfiguration is the configuration of a gateway that is not ready before an agent
+// answers.
 func notReadyConfiguration(gateway *gatewayUnderTest, agent string) string {
 	text := configuration(gateway.addr, agent, gateway.counter.Addr, fakes.FormatList(1, true, gateway.host()))
 	return strings.Replace(text, `"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, 1)
@@ -33,8 +34,8 @@
 	}
 }
 
-// Between the listener and the signals, clients had connected to a program that any signal killed. Here it blocks on its
-// coordination file in that moment.
+// Between the listener and the signals, clients had connected to a program that any signal killed.
+// Here it blocks on its coordination file in that moment.
 func TestTerminate_afterListeningAndBeforeReady(t *testing.T) {
 	gateway := newGateway(t, answerHello)
 	coordinationPath := filepath.Join(t.TempDir(), "common.toml")
--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// SIGTERM comes while one client has the only connection, and more are queued behind it: all are answered.
+// SIGTERM comes while one client has the only connection, and more are queued behind it: all are
+// answered.
 func TestTerminate_answersQueuedClients(t *testing.T) {
 	release := make(chan bool)
 	gateway := startGateway(t, 26, func(words []string) string { // one connection
@@ -47,8 +48,8 @@
 	gateway.waitForCompleteDrain()
 }
 
-// A client that never closes, and one that never stops sending: each request that is read is answered, and the process ends by
-// itself.
+// A client that never closes, and one that never stops sending: each request that is read is
+// answered, and the process ends by itself.
 func TestTerminate_doesNotWaitForIdleClients(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	silent, sending := gateway.connect(), gateway.connect()
--- a/cmd/harrierhoist/voters_test.go
+++ b/cmd/harrierhoist/voters_test.go
@@ -11,8 +11,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A voter that shuts down transfers the leadership: when it has ended, another leads, by the one election that it asked for.
-// One that did not vote may learn of it a moment later.
+// A voter that shuts down transfers the leadership: when it has ended, another leads, by the one
+// election that it asked for. One that did not vote may learn of it a moment later.
 func TestVoters_terminatedLeaderTransfersLeadership(t *testing.T) {
 	c := newVoterCluster(t, "v1", "v2", "v3")
 	c.start("v1", "v2", "v3")
@@ -47,8 +47,8 @@
 	}
 }
 
-// A voter whose disk is lost must not come back as if it had never voted: its number is refused, and a new one takes
-// its place once the files say so.
+// A voter whose disk is lost must not come back as if it had never voted: its number is refused,
+// and a new one takes its place once the files say so.
 func TestVoters_lostDiskReturnsOnlyUnderANewNumber(t *testing.T) {
 	t.Parallel()
 	c := newVoterCluster(t, "v1", "v2", "v3")
@@ -88,7 +88,8 @@
 	c.leader()
 }
 
-// A bad file on SIGHUP leaves all as it was, and its fault is logged; so are settings that need a restart.
+// A bad file on SIGHUP leaves all as it was, and its fault is logged; so are settings that need a
+// restart.
 func TestVoters_reloadReadsTheConfigurationAgain(t *testing.T) {
 	c := newVoterCluster(t, "v1")
 	c.voters = "single = true\n" + c.voters // ends [process]
@@ -150,7 +151,8 @@
 	}
 }
 
-// What is on starts with the gateway, by the zone that it is in; a zone that its settings do not have is refused.
+// What is on starts with the gateway, by the zone that it is in; a zone that its settings do not
+// have is refused.
 func TestCoordination_startsWithTheGateway(t *testing.T) {
 	c := newVoterCluster(t, "v1")
 	c.voters = "single = true\n" + c.voters + `
--- a/cmd/loadlab/cluster.go
+++ b/cmd/loadlab/cluster.go
@@ -28,7 +28,8 @@
 	stopTimeout       = 5 * time.Second // from SIGTERM to SIGKILL, once the context has ended
 )
 
-// cluster is the running back end of a scenario and gateways before it, each a process of this program.
+// cluster is the running back end of a scenario and gateways before it, each a process of this
+// program.
 type cluster struct {
 	*emulation.Backend
 	addresses []string // of the gateways
@@ -36,8 +37,8 @@
 	dir       string // of the gateways' configurations
 }
 
-// startCluster starts a scenario's back end, and gateways on free ports with their logs going to a writer. It waits until
-// they are ready.
+// startCluster starts a scenario's back end, and gateways on free ports with their logs going to a
+// writer. It waits until they are ready.
 func startCluster(ctx context.Context, s *scenario.Scenario, log io.Writer) (*cluster, error) {
 	backend, err := emulation.Start(s, s.Seed)
 	if err != nil {
--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -24,8 +24,10 @@
 	duration := 12 * time.Second
 	dir := ""
 	c := &cobra.Command{
-		Use: "demo", Short: "two real gateways before emulated servers, one of which falls silent for a while", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return runDemo(cmd, duration, dir) },
+		Use:   "demo",
+		Short: "two real gateways before emulated servers, one of which falls silent for a while",
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return runDemo(cmd, duration, dir) },
 	}
 	c.Flags().DurationVar(&duration, "for", duration, "how long load is sent")
 	c.Flags().StringVar(&dir, "charts", os.TempDir(), "folder for the chart")
@@ -67,7 +69,12 @@
 	time.AfterFunc(duration/3, func() { running.Servers[0].SetSilent(true) })
 	time.AfterFunc(2*duration/3, func() { running.Servers[0].SetSilent(false) })
 	driver := &load.Driver{
-		Scenario: demo, Gateways: running.addresses, Rate: demo.Load.Rate, Duration: duration, Seed: 1, Recorder: running.Recorder,
+		Scenario: demo,
+		Gateways: running.addresses,
+		Rate:     demo.Load.Rate,
+		Duration: duration,
+		Seed:     1,
+		Recorder: running.Recorder,
 		Progress: cmd.ErrOrStderr(),
 	}
 	report, err := driver.Run(cmd.Context())
--- a/cmd/loadlab/load.go
+++ b/cmd/loadlab/load.go
@@ -21,7 +21,13 @@
 	command.Flags().StringSliceVarP(&driver.Gateways, "gateway", "g", nil, "address of a gateway; may be repeated")
 	command.Flags().Float64VarP(&driver.Rate, "rate", "r", 0, "requests a second; 0: the scenario's")
 	command.Flags().DurationVar(&driver.Duration, "for", 10*time.Second, "how long")
-	command.Flags().StringVarP(&file, "world", "w", "", "scenario file with the classes and plans; default: the built-in scenario")
+	command.Flags().StringVarP(
+		&file,
+		"world",
+		"w",
+		"",
+		"scenario file with the classes and plans; default: the built-in scenario",
+	)
 	command.Flags().Uint64Var(&driver.Seed, "seed", 1, "of the requests and their ids")
 	if err := command.MarkFlagRequired("gateway"); err != nil {
 		panic(err) // the flag is defined above
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -1,5 +1,6 @@
-// Command loadlab is the laboratory: it runs scenarios with emulated servers, counter, discovery and customers, in
-// virtual time or before real gateways, and reports what a change does. docs/lab.md is its manual.
+// Command loadlab is the laboratory: it runs scenarios with emulated servers, counter, discovery
+// and customers, in virtual time or before real gateways, and reports what a change does.
+// docs/lab.md is its manual.
 package main
 
 import (
@@ -51,8 +52,17 @@
 					problems = append(problems, err)
 					continue
 				}
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: %s: %d gateways, %d servers, %g requests a second for %v, %d faults\n",
-					file, s.Name, s.Gateways.Count, s.Servers.Count, s.Load.Rate, s.Length.D(), len(s.Faults))
+				_, err = fmt.Fprintf(
+					cmd.OutOrStdout(),
+					"%s: %s: %d gateways, %d servers, %g requests a second for %v, %d faults\n",
+					file,
+					s.Name,
+					s.Gateways.Count,
+					s.Servers.Count,
+					s.Load.Rate,
+					s.Length.D(),
+					len(s.Faults),
+				)
 				problems = append(problems, err)
 			}
 			return errors.Join(problems...)
--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// TestMain lets this test be the program: demo and emulate start gateways as processes of their own.
+// TestMain lets this test be the program: demo and emulate start gateways as processes of their
+// own.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && !strings.HasPrefix(os.Args[1], "-test.") {
 		main()
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -33,7 +33,13 @@
 	c.Flags().StringVarP(&options.out, "out", "o", "results.jsonl", "file for the results, a line of JSON each")
 	c.Flags().IntVar(&options.seeds, "seeds", 0, "seeds in place of the plan's")
 	c.Flags().IntSliceVarP(&options.gateways, "gateways", "g", nil, "sizes in place of the plan's")
-	c.Flags().IntVarP(&options.workers, "workers", "w", runtime.NumCPU(), "parallel runs; they do not change the results")
+	c.Flags().IntVarP(
+		&options.workers,
+		"workers",
+		"w",
+		runtime.NumCPU(),
+		"parallel runs; they do not change the results",
+	)
 	return c
 }
 
@@ -58,7 +64,8 @@
 	return writeTables(cmd.OutOrStdout(), results)
 }
 
-// writeResults runs a plan and writes the results, which stand under their name only once they are complete.
+// writeResults runs a plan and writes the results, which stand under their name only once they are
+// complete.
 func writeResults(cmd *cobra.Command, plan *experiment.Plan, options *runOptions) error {
 	file, err := os.CreateTemp(filepath.Dir(options.out), ".results-*")
 	if err != nil {
--- a/cmd/loadlab/search.go
+++ b/cmd/loadlab/search.go
@@ -45,9 +45,16 @@
 	if baseline.ByName[options.policy] == nil {
 		return fmt.Errorf("--policy is %q; one of %s is allowed", options.policy, strings.Join(baseline.Names, ", "))
 	}
-	found, err := search.Run(s, options.seed, options.schedules, options.maxFaults, options.policy, func(f *search.Finding) {
-		cmd.PrintErrf("run %d: loses %.3f, rules broken %d\n", f.Runs, f.Loss, f.Result.Violations)
-	})
+	found, err := search.Run(
+		s,
+		options.seed,
+		options.schedules,
+		options.maxFaults,
+		options.policy,
+		func(f *search.Finding) {
+			cmd.PrintErrf("run %d: loses %.3f, rules broken %d\n", f.Runs, f.Loss, f.Result.Violations)
+		},
+	)
 	if err != nil || found == nil {
 		return err
 	}
--- a/cmd/loadlab/size.go
+++ b/cmd/loadlab/size.go
@@ -59,7 +59,17 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	attempts := result.Tries * s.Load.Rate * s.Length.D().Seconds()
-	_, err = fmt.Fprintf(out, "| %d | %d | %.0f | %s | %.0f | %.2f | %.0f | %.0f |\n", gateways, s.Servers.Count, s.Load.Rate,
-		policy, attempts, wall, attempts/wall, float64(memory.HeapSys)/1e6)
+	_, err = fmt.Fprintf(
+		out,
+		"| %d | %d | %.0f | %s | %.0f | %.2f | %.0f | %.0f |\n",
+		gateways,
+		s.Servers.Count,
+		s.Load.Rate,
+		policy,
+		attempts,
+		wall,
+		attempts/wall,
+		float64(memory.HeapSys)/1e6,
+	)
 	return err
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the gateway's decisions behind the simulator's frames, on standard input and output.
+// Command simadapter runs the gateway's decisions behind the simulator's frames, on standard input
+// and output.
 package main
 
 import (
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline has the plain policies that every result is compared with. They have the module's interface and keep the
-// rules that need no knowledge of other gateways: one final answer to each request, no attempt at a server that is not listed
-// as ready, no second attempt of a request that may have run.
+// Package baseline has the plain policies that every result is compared with. They have the
+// module's interface and keep the rules that need no knowledge of other gateways: one final answer
+// to each request, no attempt at a server that is not listed as ready, no second attempt of a
+// request that may have run.
 package baseline
 
 import (
@@ -42,8 +43,8 @@
 	return p, nil
 }
 
-// Even gives each gateway of a customer's set an even share of the quota, and sends a request to the server with the fewest
-// attempts of this gateway in flight.
+// Even gives each gateway of a customer's set an even share of the quota, and sends a request to
+// the server with the fewest attempts of this gateway in flight.
 func Even(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
 	p := newPlainPolicy(settings, seed, host)
 	p.quotaShare = func(r policy.Request) float64 { return 1 / float64(max(r.GatewayCount, 1)) }
@@ -51,7 +52,8 @@
 	return p, nil
 }
 
-// Bucket gives each gateway the whole quota of a customer, and sends a request to the better of two servers drawn at random.
+// Bucket gives each gateway the whole quota of a customer, and sends a request to the better of two
+// servers drawn at random.
 func Bucket(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
 	p := newPlainPolicy(settings, seed, host)
 	p.quotaShare = func(policy.Request) float64 { return 1 }
--- a/internal/lab/baseline/plain_policy.go
+++ b/internal/lab/baseline/plain_policy.go
@@ -8,7 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// plainPolicy is what the baselines have in common: a token bucket for each customer, and one attempt at most.
+// plainPolicy is what the baselines have in common: a token bucket for each customer, and one
+// attempt at most.
 type plainPolicy struct {
 	settings   policy.Settings
 	host       policy.Host
@@ -53,7 +54,8 @@
 	return first
 }
 
-// leastLoaded returns a ready server with the fewest attempts in flight, the first of them from a random one on.
+// leastLoaded returns a ready server with the fewest attempts in flight, the first of them from a
+// random one on.
 func (p *plainPolicy) leastLoaded() uint32 {
 	first := p.random.Intn(len(p.ready))
 	best := p.ready[first]
--- a/internal/lab/emulation/backend.go
+++ b/internal/lab/emulation/backend.go
@@ -1,6 +1,7 @@
-// Package emulation runs the back end of a scenario in real time, on loopback sockets before real gateways: emulated
-// servers, a counter and discovery, each on a free port. Servers and clients report to the same checker of invariants as
-// those of the simulation. Work is waiting, not computing, so that one machine holds many emulated cores.
+// Package emulation runs the back end of a scenario in real time, on loopback sockets before real
+// gateways: emulated servers, a counter and discovery, each on a free port. Servers and clients
+// report to the same checker of invariants as those of the simulation. Work is waiting, not
+// computing, so that one machine holds many emulated cores.
 package emulation
 
 import (
@@ -34,7 +35,8 @@
 	})}
 }
 
-// Record calls a function with the checker and the time since the start. One such function runs at a time.
+// Record calls a function with the checker and the time since the start. One such function runs at
+// a time.
 func (r *Recorder) Record(record func(checker *invariants.Checker, at time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,8 +53,8 @@
 	spec *scenario.Scenario
 }
 
-// Start starts a scenario's servers, counter and discovery. The seed is of the first server's work; those after it have
-// the numbers that follow.
+// Start starts a scenario's servers, counter and discovery. The seed is of the first server's work;
+// those after it have the numbers that follow.
 func Start(spec *scenario.Scenario, seed uint64) (*Backend, error) {
 	b := &Backend{Recorder: newRecorder(spec), spec: spec}
 	if err := b.start(seed); err != nil {
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -13,7 +13,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Counter is an emulated counter. It serves calls one after the other; a call that would wait too long is rejected.
+// Counter is an emulated counter. It serves calls one after the other; a call that would wait too
+// long is rejected.
 type Counter struct {
 	Addr  string
 	Calls atomic.Int64 // well-formed ones
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -58,7 +58,8 @@
 
 func (d *Discovery) close() error { return d.server.Close() }
 
-// ServeHTTP answers GET /api/targets, at once or as soon as there is a version newer than the one the caller has.
+// ServeHTTP answers GET /api/targets, at once or as soon as there is a version newer than the one
+// the caller has.
 func (d *Discovery) ServeHTTP(writer http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	// Numbers that are missing or malformed mean the whole list, at once.
@@ -83,7 +84,8 @@
 	_ = json.NewEncoder(writer).Encode(page) // the caller may have gone
 }
 
-// await waits for a version newer than the one the caller has, at most so long. It returns false if the caller is gone.
+// await waits for a version newer than the one the caller has, at most so long. It returns false if
+// the caller is gone.
 func (d *Discovery) await(r *http.Request, hasSince bool, since int64, timeout time.Duration) bool {
 	d.mu.Lock()
 	isCurrent := hasSince && since >= d.version
--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -28,8 +28,8 @@
 
 type object = map[string]any
 
-// GatewayConfig returns the configuration of a gateway of this scenario in the platform's form, as JSON: its number, the
-// address that it listens on, and how many sockets it may have.
+// GatewayConfig returns the configuration of a gateway of this scenario in the platform's form, as
+// JSON: its number, the address that it listens on, and how many sockets it may have.
 func (b *Backend) GatewayConfig(number int, listen string, sockets int) ([]byte, error) {
 	counter := ""
 	if b.Counter != nil {
@@ -51,8 +51,14 @@
 		zones = append(zones, zoneName(i))
 	}
 	return object{
-		"Balancers": spec.Gateways.Count, "Me": number, "MyZone": settings.MyZone, "Dcs": zones, "Models": []string{model},
-		"TickMs": clockTickMs, "RequestClasses": classObjects(spec), "TiersOfService": planObjects(spec),
+		"Balancers":      spec.Gateways.Count,
+		"Me":             number,
+		"MyZone":         settings.MyZone,
+		"Dcs":            zones,
+		"Models":         []string{model},
+		"TickMs":         clockTickMs,
+		"RequestClasses": classObjects(spec),
+		"TiersOfService": planObjects(spec),
 		"FamilyInfo": object{
 			"HasCounter": b.Counter != nil, "CountLimitMs": milliseconds(spec.Counter.Timeout), "Settles": true,
 			"MostUnits": settings.MaxUnits,
@@ -63,8 +69,14 @@
 			"TipAfterMs": milliseconds(spec.Rules.OverloadSpan), "AnswerSlackMs": milliseconds(spec.Rules.AnswerSlack),
 		},
 		"PolicyLimits": object{
-			"Cancelling": true, "RetryAfter": true, "MaxRetryAfterMs": maxRetryAfterMs, "TryLimit": spec.Gateways.MaxAttempts,
-			"ConnectTimeoutMs": milliseconds(spec.Network.ConnectTimeout), "IdleCloseMs": milliseconds(spec.Servers.IdleTimeout),
+			"Cancelling":      true,
+			"RetryAfter":      true,
+			"MaxRetryAfterMs": maxRetryAfterMs,
+			"TryLimit":        spec.Gateways.MaxAttempts,
+			"ConnectTimeoutMs": milliseconds(
+				spec.Network.ConnectTimeout,
+			),
+			"IdleCloseMs": milliseconds(spec.Servers.IdleTimeout),
 		},
 	}
 }
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -27,8 +27,8 @@
 	answerRejected = "-BUSY"
 )
 
-// Server is an emulated server. It works on one request a core at a time; others queue, and beyond the queue they are
-// rejected.
+// Server is an emulated server. It works on one request a core at a time; others queue, and beyond
+// the queue they are rejected.
 type Server struct {
 	Name, Addr string
 	Started    atomic.Int64 // requests that began to run
@@ -53,9 +53,18 @@
 		return nil, err
 	}
 	s := &Server{
-		Name: fmt.Sprintf("s-%04d", number), Addr: listener.Addr().String(), spec: spec, recorder: recorder, number: number,
-		listener: listener, cores: make(chan struct{}, spec.Servers.Cores), random: rand.New(rand.NewPCG(seed, 9)),
-		conns: map[net.Conn]struct{}{},
+		Name: fmt.Sprintf(
+			"s-%04d",
+			number,
+		),
+		Addr:     listener.Addr().String(),
+		spec:     spec,
+		recorder: recorder,
+		number:   number,
+		listener: listener,
+		cores:    make(chan struct{}, spec.Servers.Cores),
+		random:   rand.New(rand.NewPCG(seed, 9)),
+		conns:    map[net.Conn]struct{}{},
 	}
 	go s.accept()
 	return s, nil
@@ -169,7 +178,8 @@
 	time.Sleep(work)
 }
 
-// Value is a server's answer to a request. It is different for each, so that a client can tell that it is its own.
+// Value is a server's answer to a request. It is different for each, so that a client can tell that
+// it is its own.
 func Value(id uint64) string { return fmt.Sprintf("done %016x", id) }
 
 // drawWork draws how long a request takes on a core.
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Comparison is what two sets of results, A and B, say of one metric: the mean difference over runs of the same scenario,
-// size and seed, with a 95% confidence interval.
+// Comparison is what two sets of results, A and B, say of one metric: the mean difference over runs
+// of the same scenario, size and seed, with a 95% confidence interval.
 type Comparison struct {
 	Scenario     string
 	Gateways     int
@@ -51,7 +51,12 @@
 	var comparisons []Comparison
 	for _, size := range order {
 		for _, metric := range Metrics {
-			comparison := Comparison{Scenario: size.scenario, Gateways: size.gateways, Metric: metric.Name, Pairs: len(pairs[size])}
+			comparison := Comparison{
+				Scenario: size.scenario,
+				Gateways: size.gateways,
+				Metric:   metric.Name,
+				Pairs:    len(pairs[size]),
+			}
 			diffs := make([]float64, 0, comparison.Pairs)
 			for _, pair := range pairs[size] {
 				comparison.MeanA += metric.Of(pair.a) / float64(comparison.Pairs)
@@ -66,7 +71,8 @@
 	return comparisons
 }
 
-// pairUp gives the pairs by scenario and size, and these in the order in which they first come in b.
+// pairUp gives the pairs by scenario and size, and these in the order in which they first come in
+// b.
 func pairUp(a, b []*Result) (pairs map[size][]pair, order []size) {
 	type key struct {
 		size
@@ -95,7 +101,8 @@
 // resamples is how often the bootstrap draws values anew.
 const resamples = 4000
 
-// ConfidenceInterval is the 95% interval of a mean, by bootstrap with a fixed seed: the same values give the same interval.
+// ConfidenceInterval is the 95% interval of a mean, by bootstrap with a fixed seed: the same values
+// give the same interval.
 func ConfidenceInterval(values []float64) (low, high float64) {
 	n := len(values)
 	if n == 0 {
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -10,7 +10,8 @@
 // faultStream is the random stream that faults are drawn from.
 const faultStream = 77
 
-// mildFaults are the faults that a day without a lost zone may have, and the largest part that each affects and its size.
+// mildFaults are the faults that a day without a lost zone may have, and the largest part that each
+// affects and its size.
 var mildFaults = []struct {
 	kind       string
 	part, size float64
@@ -32,7 +33,8 @@
 	{"leader_lost", 0, 0},
 }
 
-// DrawMildFaults draws so many mild faults for a scenario: the same seed gives the same faults at any size.
+// DrawMildFaults draws so many mild faults for a scenario: the same seed gives the same faults at
+// any size.
 func DrawMildFaults(world *scenario.Scenario, seed uint64, n int) []scenario.Fault {
 	random := rand.New(rand.NewPCG(seed, faultStream))
 	length := float64(world.Length.D())
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -23,7 +23,8 @@
 	`Gain":5,"Due":6,"Pushes":7,"Crossed":8}],"troubles":[{"Kind":"kill","At":"1s","For":"2s","Part":0.5,"Size":2,"Lane":"l",` +
 	`"Plan":"p","Hall":1,"To":0}]}`
 
-// TestResult_encodingIsStable holds the kept form of results: files of earlier runs are read and compared.
+// TestResult_encodingIsStable holds the kept form of results: files of earlier runs are read and
+// compared.
 func TestResult_encodingIsStable(t *testing.T) {
 	second := scenario.Span(time.Second)
 	result := Result{
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment simulates scenarios under variants and seeds on all cores, keeps each result as a line of JSON, and
-// compares results pair by pair.
+// Package experiment simulates scenarios under variants and seeds on all cores, keeps each result
+// as a line of JSON, and compares results pair by pair.
 package experiment
 
 import (
@@ -27,7 +27,8 @@
 	Seeds     int       `toml:"seeds"`    // 1 to so many
 	Gateways  []int     `toml:"gateways"` // numbers of gateways to scale the scenarios to; none: as they are
 	Variants  []Variant `toml:"variant"`
-	// Profiles are run on each scenario, under the scenario's name and theirs; none: the scenarios run as they are.
+	// Profiles are run on each scenario, under the scenario's name and theirs; none: the scenarios
+	// run as they are.
 	Profiles []FaultProfile `toml:"story"`
 }
 
@@ -37,7 +38,8 @@
 	Load   float64          `toml:"load"`   // times the scenario's; 0: as it is
 	Length scenario.Span    `toml:"length"` // 0: the scenario's
 	Faults []scenario.Fault `toml:"trouble"`
-	// DrawnFaults is how many faults are drawn for each seed besides, none of which loses a zone or cuts it off.
+	// DrawnFaults is how many faults are drawn for each seed besides, none of which loses a zone or
+	// cuts it off.
 	DrawnFaults int `toml:"drawn"`
 }
 
@@ -87,10 +89,18 @@
 	require(p.Seeds > 0, "seeds is %d; 1 at least", p.Seeds)
 	names := map[string]bool{}
 	for i, variant := range p.Variants {
-		require(baseline.ByName[variant.Policy] != nil, "variant %d: policy is %q; one of %s is allowed", i+1, variant.Policy,
-			strings.Join(baseline.Names, ", "))
+		require(
+			baseline.ByName[variant.Policy] != nil,
+			"variant %d: policy is %q; one of %s is allowed",
+			i+1,
+			variant.Policy,
+			strings.Join(baseline.Names, ", "),
+		)
 		isKnown := variant.Coordination == "" ||
-			slices.Contains([]string{scenario.CoordinationNone, scenario.CoordinationLocal, scenario.CoordinationShared}, variant.Coordination)
+			slices.Contains(
+				[]string{scenario.CoordinationNone, scenario.CoordinationLocal, scenario.CoordinationShared},
+				variant.Coordination,
+			)
 		require(isKnown, "variant %d: common is %q; none, own or common is allowed", i+1, variant.Coordination)
 		require(!names[variant.Name], "variant %d: %q is there twice", i+1, variant.Name)
 		names[variant.Name] = true
--- a/internal/lab/experiment/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Drawn faults stand for days without a lost zone: the scenarios must be valid, and nothing in them may lose a zone or cut it
-// off.
+// Drawn faults stand for days without a lost zone: the scenarios must be valid, and nothing in them
+// may lose a zone or cut it off.
 func TestDrawMildFaults_loseNoZone(t *testing.T) {
 	base, err := scenario.Read("../../../scenarios/worlds/three.toml")
 	if err != nil {
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -66,7 +66,8 @@
 	WallSeconds float64 `json:"-"`
 }
 
-// Revision names the program that makes results: the revision that it was built from, if that is known.
+// Revision names the program that makes results: the revision that it was built from, if that is
+// known.
 func Revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -95,23 +96,44 @@
 	run.ComputePercentiles()
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	result := &Result{
-		Scenario: world.Name, Gateways: world.Gateways.Count, Servers: world.Servers.Count, Variant: policy, Seed: seed,
-		Revision: Revision(), LengthSeconds: world.Length.D().Seconds(), Faults: world.Faults,
+		Scenario:      world.Name,
+		Gateways:      world.Gateways.Count,
+		Servers:       world.Servers.Count,
+		Variant:       policy,
+		Seed:          seed,
+		Revision:      Revision(),
+		LengthSeconds: world.Length.D().Seconds(),
+		Faults:        world.Faults,
 
-		Service: run.Service(), Net: run.Net(), OverQuota: run.OverQuotaUnits / max(run.ForwardedUnits, 1e-9),
-		Rejected: part(run.RejectedRequests, run.Offered), Failed: part(run.Failed, run.Offered),
+		Service:           run.Service(),
+		Net:               run.Net(),
+		OverQuota:         run.OverQuotaUnits / max(run.ForwardedUnits, 1e-9),
+		Rejected:          part(run.RejectedRequests, run.Offered),
+		Failed:            part(run.Failed, run.Offered),
 		FailedBetween:     part(run.FailureCauses.BetweenTries, run.Offered),
 		FailedTerminated:  part(run.FailureCauses.Terminated, run.Offered),
 		FailedWithGateway: part(run.FailureCauses.WithGateway, run.Offered),
 		FailedInFlight:    part(run.FailureCauses.InFlight, run.Offered),
 
-		CrossZone: part(run.CrossZone, run.Attempts), CrossRegion: part(run.CrossRegion, run.Attempts),
-		Plans: run.Plans, WrongPlans: run.WrongPlans, FailoverMs: run.FailoverMs, VoterMessages: run.VoterMessages, LeaderMessages: run.LeaderMessages,
-		PeakUtilisation: run.PeakUtilisation, PeakUtilisationOver5s: run.PeakUtilisationOver5s, LoadDeviation: run.LoadDeviation,
-		Tries: part(run.Tries, run.Offered), CounterCalls: part(run.CounterCalls, run.Offered),
-		Handshakes: part(run.Handshakes, run.Attempts),
+		CrossZone:             part(run.CrossZone, run.Attempts),
+		CrossRegion:           part(run.CrossRegion, run.Attempts),
+		Plans:                 run.Plans,
+		WrongPlans:            run.WrongPlans,
+		FailoverMs:            run.FailoverMs,
+		VoterMessages:         run.VoterMessages,
+		LeaderMessages:        run.LeaderMessages,
+		PeakUtilisation:       run.PeakUtilisation,
+		PeakUtilisationOver5s: run.PeakUtilisationOver5s,
+		LoadDeviation:         run.LoadDeviation,
+		Tries:                 part(run.Tries, run.Offered),
+		CounterCalls:          part(run.CounterCalls, run.Offered),
+		Handshakes:            part(run.Handshakes, run.Attempts),
 
-		P50: run.P50, P99: run.P99, P999: run.P999, Classes: run.Classes, Timeline: run.Timeline,
+		P50:         run.P50,
+		P99:         run.P99,
+		P999:        run.P999,
+		Classes:     run.Classes,
+		Timeline:    run.Timeline,
 		WallSeconds: time.Since(started).Seconds(),
 	}
 	for _, n := range run.ViolationCounts {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,8 +17,8 @@
 	seed    uint64
 }
 
-// Run simulates a plan on so many workers, and writes the results in the plan's order whatever order they end in. Done is
-// called with each result as it comes, one call at a time.
+// Run simulates a plan on so many workers, and writes the results in the plan's order whatever
+// order they end in. Done is called with each result as it comes, one call at a time.
 func (p *Plan) Run(workers int, out io.Writer, done func(n, of int, result *Result)) error {
 	jobs, err := p.jobs()
 	if err != nil {
@@ -125,8 +125,8 @@
 	return world
 }
 
-// Scaled makes a scenario of another number of gateways, with servers, load, customers and counter in proportion. 0 gateways:
-// a copy as it is.
+// Scaled makes a scenario of another number of gateways, with servers, load, customers and counter
+// in proportion. 0 gateways: a copy as it is.
 func Scaled(base *scenario.Scenario, gateways int) *scenario.Scenario {
 	world := *base
 	if gateways <= 0 || gateways == base.Gateways.Count {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,5 +1,6 @@
-// Package invariants checks the five rules from what servers, clients and discovery observed. Nothing that a gateway says of
-// itself counts. Each violation has its time, its rule, and the request, gateway, server and customer concerned.
+// Package invariants checks the five rules from what servers, clients and discovery observed.
+// Nothing that a gateway says of itself counts. Each violation has its time, its rule, and the
+// request, gateway, server and customer concerned.
 package invariants
 
 import (
@@ -12,7 +13,8 @@
 const (
 	// maxDescribedViolations is how many violations of a rule are kept; all are counted.
 	maxDescribedViolations = 20
-	// requestRetention is how long after its deadline a request is remembered: an effect may come late.
+	// requestRetention is how long after its deadline a request is remembered: an effect may come
+	// late.
 	requestRetention = 20 * time.Second
 )
 
@@ -22,7 +24,8 @@
 	Plans                   []policy.Plan
 }
 
-// Request is a request as its client sent it to one gateway. Key is the same for all tries of a request; 0: none.
+// Request is a request as its client sent it to one gateway. Key is the same for all tries of a
+// request; 0: none.
 type Request struct {
 	ID, Key, Customer    uint64
 	Class                policy.TrafficClass
@@ -64,9 +67,11 @@
 	// Violations are the first few of each rule; Counts counts all.
 	Violations []Violation
 	Counts     [RuleCount]int
-	// ForwardedUnits are the units of requests that were forwarded, OverQuotaUnits those beyond their customers' quotas.
+	// ForwardedUnits are the units of requests that were forwarded, OverQuotaUnits those beyond
+	// their customers' quotas.
 	ForwardedUnits, OverQuotaUnits float64
-	// OverQuotaPenalty is the value of the requests that were forwarded beyond quotas, times what their plans say that costs.
+	// OverQuotaPenalty is the value of the requests that were forwarded beyond quotas, times what
+	// their plans say that costs.
 	OverQuotaPenalty float64
 }
 
@@ -103,14 +108,15 @@
 	}
 }
 
-// GatewayPaused observes that a gateway's machine is paused until a time. A request whose deadline is within the pause is
-// not owed an answer.
+// GatewayPaused observes that a gateway's machine is paused until a time. A request whose deadline
+// is within the pause is not owed an answer.
 func (c *Checker) GatewayPaused(at time.Duration, gateway int, until time.Duration) {
 	c.now = at
 	c.pauses[gateway] = pause{at, until}
 }
 
-// isExcused reports whether a request's deadline was while its gateway was paused, or a moment after.
+// isExcused reports whether a request's deadline was while its gateway was paused, or a moment
+// after.
 func (c *Checker) isExcused(r *requestState) bool {
 	p, wasPaused := c.pauses[r.Gateway]
 	return wasPaused && r.Deadline >= p.from && r.Deadline <= p.until+c.limits.AnswerSlack
@@ -120,14 +126,21 @@
 func (c *Checker) expire(r *requestState) {
 	if r.answers == 0 && !r.gatewayDied && !c.isExcused(r) {
 		c.violated(Violation{
-			Rule: RequestLost, Request: r.ID, Gateway: r.Gateway, Customer: r.Customer,
-			Description: fmt.Sprintf("taken at %.3fs, no answer by %.3fs", r.AcceptedAt.Seconds(), r.Deadline.Seconds()),
+			Rule:     RequestLost,
+			Request:  r.ID,
+			Gateway:  r.Gateway,
+			Customer: r.Customer,
+			Description: fmt.Sprintf(
+				"taken at %.3fs, no answer by %.3fs",
+				r.AcceptedAt.Seconds(),
+				r.Deadline.Seconds(),
+			),
 		})
 	}
 }
 
-// RequestAnswered observes that a client has got an answer. authentic is false if it has a value that no server made for
-// this request.
+// RequestAnswered observes that a client has got an answer. authentic is false if it has a value
+// that no server made for this request.
 func (c *Checker) RequestAnswered(now time.Duration, id uint64, authentic bool) {
 	c.now = now
 	request := c.requests[id]
@@ -147,7 +160,11 @@
 		return
 	}
 	c.violated(Violation{
-		Rule: RequestLost, Request: request.ID, Gateway: request.Gateway, Customer: request.Customer, Description: description,
+		Rule:        RequestLost,
+		Request:     request.ID,
+		Gateway:     request.Gateway,
+		Customer:    request.Customer,
+		Description: description,
 	})
 }
 
@@ -166,71 +183,6 @@
 	}
 }
 
-// EndpointNotified observes that a gateway was notified of a server's state.
-func (c *Checker) EndpointNotified(at time.Duration, gateway int, server uint32, state policy.EndpointState) {
-	c.now = at
-	n := notification{gateway, server}
-	if state == policy.Ready {
-		delete(c.unreadySince, n)
-	} else if _, known := c.unreadySince[n]; !known {
-		c.unreadySince[n] = at
-	}
-}
-
-// AttemptSent observes that an attempt left a gateway's machine for a server.
-func (c *Checker) AttemptSent(at time.Duration, gateway int, server uint32, id uint64) {
-	c.now = at
-	if since, unready := c.unreadySince[notification{gateway, server}]; unready && at > since+c.limits.DrainGrace {
-		c.violated(Violation{
-			Rule: DrainViolated, Request: id, Gateway: gateway, Server: server,
-			Description: fmt.Sprintf("pushed %.3fs after it was told", (at - since).Seconds()),
-		})
-	}
-	r := c.requests[id]
-	if r == nil || r.forwarded {
-		return
-	}
-	r.forwarded = true
-	c.spend(r)
-}
-
-// EffectRan observes that a server began a request, and so its effect.
-func (c *Checker) EffectRan(now time.Duration, server uint32, id uint64) {
-	c.now = now
-	request := c.requests[id]
-	if request == nil {
-		return
-	}
-	request.runs++
-	repeated := Violation{
-		Rule: EffectRepeated, Request: request.ID, Gateway: request.Gateway, Server: server, Customer: request.Customer,
-	}
-	switch request.Class.Effect {
-	case policy.NonIdempotent:
-		if request.runs > 1 {
-			repeated.Description = fmt.Sprintf("run %d of an effectful task", request.runs)
-			c.violated(repeated)
-		}
-	case policy.Keyed:
-		if first, done := c.keyedEffects[request.Key]; done {
-			repeated.Description = fmt.Sprintf("its receipt ran before, at %.3fs", first.Seconds())
-			c.violated(repeated)
-		} else {
-			c.keyedEffects[request.Key] = now
-		}
-	}
-}
-
-// ServerOverloaded observes that a server failed of overload while it was warming up. Work and capacity are in seconds on a
-// core of speed 1 in a second.
-func (c *Checker) ServerOverloaded(at time.Duration, server uint32, work, capacity float64) {
-	c.now = at
-	c.violated(Violation{
-		Rule: WarmUpOverloaded, Gateway: -1, Server: server,
-		Description: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", work, capacity),
-	})
-}
-
 // Finish checks all requests whose deadline has passed, and forgets the others.
 func (c *Checker) Finish(at time.Duration) {
 	c.now = at
--- a/internal/lab/invariants/quota.go
+++ b/internal/lab/invariants/quota.go
@@ -35,14 +35,22 @@
 		b.ceilingTokens -= request.Units
 		if b.ceilingTokens < -plan.CeilingSlack {
 			c.violated(Violation{
-				Rule: CeilingExceeded, Request: request.ID, Gateway: request.Gateway, Customer: request.Customer,
-				Description: fmt.Sprintf("%.1f units beyond the ceiling, %.1f are allowed", -b.ceilingTokens, plan.CeilingSlack),
+				Rule:     CeilingExceeded,
+				Request:  request.ID,
+				Gateway:  request.Gateway,
+				Customer: request.Customer,
+				Description: fmt.Sprintf(
+					"%.1f units beyond the ceiling, %.1f are allowed",
+					-b.ceilingTokens,
+					plan.CeilingSlack,
+				),
 			})
 		}
 	}
 }
 
-// UnitsSettled gives back to a customer's quota what a request declared in excess of its true units.
+// UnitsSettled gives back to a customer's quota what a request declared in excess of its true
+// units.
 func (c *Checker) UnitsSettled(id uint64, units float64) {
 	if r := c.requests[id]; r != nil && r.withinQuota {
 		if b := c.buckets[r.Customer]; b != nil {
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -10,11 +10,13 @@
 
 // The rules.
 const (
-	// RequestLost: a request that a gateway accepted has no answer in time, or two, or one that no server made.
+	// RequestLost: a request that a gateway accepted has no answer in time, or two, or one that no
+	// server made.
 	RequestLost Rule = iota
 	// EffectRepeated: the effect of a request happened twice though it must not.
 	EffectRepeated
-	// DrainViolated: an attempt left for a server after the drain grace, which counts from the gateway's notification.
+	// DrainViolated: an attempt left for a server after the drain grace, which counts from the
+	// gateway's notification.
 	DrainViolated
 	// WarmUpOverloaded: a server that was warming up was overloaded.
 	WarmUpOverloaded
@@ -50,6 +52,14 @@
 
 // String is the violation on one line, as kept results have it.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.3fs: task %d, gateway %d, server %d, customer %d: %s", v.Rule, v.At.Seconds(), v.Request, v.Gateway,
-		v.Server, v.Customer, v.Description)
+	return fmt.Sprintf(
+		"%s at %.3fs: task %d, gateway %d, server %d, customer %d: %s",
+		v.Rule,
+		v.At.Seconds(),
+		v.Request,
+		v.Gateway,
+		v.Server,
+		v.Customer,
+		v.Description,
+	)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,7 @@
-// Package load drives running gateways over their client protocol (RESP2) at a given rate. Requests are sent when they
-// are due, whether earlier ones were answered or not, and latencies count from when a request was due: a gateway that
-// stalls is not spared the requests that should have arrived meanwhile (no coordinated omission).
+// Package load drives running gateways over their client protocol (RESP2) at a given rate. Requests
+// are sent when they are due, whether earlier ones were answered or not, and latencies count from
+// when a request was due: a gateway that stalls is not spared the requests that should have arrived
+// meanwhile (no coordinated omission).
 package load
 
 import (
@@ -30,7 +31,8 @@
 	Progress io.Writer           // gets a line a second; may be nil
 }
 
-// Run sends until the duration is over or the context ends, waits for what is in flight, and returns the report.
+// Run sends until the duration is over or the context ends, waits for what is in flight, and
+// returns the report.
 func (d *Driver) Run(ctx context.Context) (*Report, error) {
 	if d.Rate <= 0 || len(d.Gateways) == 0 {
 		return nil, fmt.Errorf("%w; got %g and %d", ErrNothingToDrive, d.Rate, len(d.Gateways))
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// planAt returns the plan at a point of the sum of shares, and how many customers the plans before it have.
+// planAt returns the plan at a point of the sum of shares, and how many customers the plans before
+// it have.
 func (g *generator) planAt(point float64) (plan int, customersBefore uint64) {
 	for plan < len(g.spec.Plans)-1 && point >= g.spec.Plans[plan].Share {
 		point -= g.spec.Plans[plan].Share
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -75,7 +75,8 @@
 	return terminated
 }
 
-// command is a request on the wire. The time left until its deadline is d, in ms; k is its idempotency key.
+// command is a request on the wire. The time left until its deadline is d, in ms; k is its
+// idempotency key.
 func (r *run) command(req request, class *scenario.TrafficClass, left time.Duration) *resp.Command {
 	verb := verbSubmit
 	key := ""
@@ -101,8 +102,14 @@
 	classes := r.Scenario.PolicySettings(0).Classes
 	r.Recorder.Record(func(checker *invariants.Checker, at time.Duration) {
 		checker.RequestAccepted(invariants.Request{
-			ID: req.id, Key: req.id, Customer: req.customer, Class: classes[req.class], Plan: req.plan, Units: req.units,
-			AcceptedAt: at, Deadline: at + left,
+			ID:         req.id,
+			Key:        req.id,
+			Customer:   req.customer,
+			Class:      classes[req.class],
+			Plan:       req.plan,
+			Units:      req.units,
+			AcceptedAt: at,
+			Deadline:   at + left,
 		})
 	})
 }
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -86,7 +86,8 @@
 	return drawn
 }
 
-// serviceOverTime draws the part of the due weight that is served, second by second, with faults shaded.
+// serviceOverTime draws the part of the due weight that is served, second by second, with faults
+// shaded.
 func serviceOverTime(groups [][]*experiment.Result) (*plot.Plot, error) {
 	drawn := titled(groups, "service over time")
 	drawn.X.Label.Text = "second"
@@ -184,7 +185,8 @@
 	return drawn, nil
 }
 
-// netByGateways draws the net service against the number of gateways; nil: there is one number alone.
+// netByGateways draws the net service against the number of gateways; nil: there is one number
+// alone.
 func netByGateways(groups [][]*experiment.Result) (*plot.Plot, error) {
 	lines := map[string]plotter.XYs{}
 	var order []string
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/lab/simulation"
 )
 
-// WriteFailover writes what became of failover plans: a row a scenario, size and variant, over all seeds. It writes nothing
-// where no plan was written.
+// WriteFailover writes what became of failover plans: a row a scenario, size and variant, over all
+// seeds. It writes nothing where no plan was written.
 func WriteFailover(out io.Writer, results []*experiment.Result) error {
 	t := newTable("world", "gateways", "variant", "runs", "plans", "wrong", "gateways moved", "ms p50", "ms p99",
 		"digests/s", "at the leader", "reads/s", "at the leader", "merged/s there")
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -42,7 +42,8 @@
 	return results
 }
 
-// TestTables_textIsStable holds the tables that pages quote: their rows, the order of columns and the figures.
+// TestTables_textIsStable holds the tables that pages quote: their rows, the order of columns and
+// the figures.
 func TestTables_textIsStable(t *testing.T) {
 	var out bytes.Buffer
 	comparisons := []experiment.Comparison{
@@ -61,7 +62,8 @@
 	}
 }
 
-// withoutHeadings is a text of tables without the words of their headings: they may change, the figures and their order may not.
+// withoutHeadings is a text of tables without the words of their headings: they may change, the
+// figures and their order may not.
 func withoutHeadings(text string) []string {
 	return slices.DeleteFunc(strings.Split(text, "\n"), func(line string) bool { return strings.HasPrefix(line, "| world |") })
 }
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -80,8 +80,20 @@
 func WriteComparisons(out io.Writer, comparisons []experiment.Comparison) error {
 	t := newTable("world", "gateways", "figure", "pairs", "A", "B", "B - A", "95% interval", "says")
 	for _, c := range comparisons {
-		t.addRow(c.Scenario, fmt.Sprint(c.Gateways), c.Metric, fmt.Sprint(c.Pairs), fmt.Sprintf("%.4f", c.MeanA),
-			fmt.Sprintf("%.4f", c.MeanB), fmt.Sprintf("%+.4f", c.Diff), fmt.Sprintf("%+.4f to %+.4f", c.Low, c.High), verdict(c))
+		t.addRow(
+			c.Scenario,
+			fmt.Sprint(c.Gateways),
+			c.Metric,
+			fmt.Sprint(c.Pairs),
+			fmt.Sprintf("%.4f", c.MeanA),
+			fmt.Sprintf(
+				"%.4f",
+				c.MeanB,
+			),
+			fmt.Sprintf("%+.4f", c.Diff),
+			fmt.Sprintf("%+.4f to %+.4f", c.Low, c.High),
+			verdict(c),
+		)
 	}
 	return t.writeTo(out)
 }
@@ -99,7 +111,8 @@
 	return "more"
 }
 
-// groupRuns are the results of one scenario, size and variant each, in the order in which they first come.
+// groupRuns are the results of one scenario, size and variant each, in the order in which they
+// first come.
 func groupRuns(results []*experiment.Result) [][]*experiment.Result {
 	index := map[string]int{}
 	var groups [][]*experiment.Result
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -49,7 +49,8 @@
 		"is %v; two parts of the gateways, the first no more than the second, are allowed", share)
 }
 
-// problems checks a scenario that has its defaults. The order is the order in which they are reported.
+// problems checks a scenario that has its defaults. The order is the order in which they are
+// reported.
 func (s *Scenario) problems() []problem {
 	checker := &checker{}
 	checker.positive("length", s.Length)
@@ -165,9 +166,22 @@
 	checker.check(lag[0] >= 0 && lag[0] <= lag[1], "discovery.lag", "the first is no more than the second")
 	checker.positive("network.connect", network.ConnectTimeout)
 	checker.within("network.jitter", network.Jitter, 0, 1)
-	checker.check(network.CrossRegion == 0 || network.CrossRegion >= network.CrossZone, "network.far", "is less than network.cross")
-	checker.check(network.SameZone >= 0 && network.CrossZone >= network.SameZone, "network.cross", "is less than network.same")
-	checker.check(s.Rules.OverloadFactor > 1, "rules.fall_multiple", "is %g; more than 1 is allowed", s.Rules.OverloadFactor)
+	checker.check(
+		network.CrossRegion == 0 || network.CrossRegion >= network.CrossZone,
+		"network.far",
+		"is less than network.cross",
+	)
+	checker.check(
+		network.SameZone >= 0 && network.CrossZone >= network.SameZone,
+		"network.cross",
+		"is less than network.same",
+	)
+	checker.check(
+		s.Rules.OverloadFactor > 1,
+		"rules.fall_multiple",
+		"is %g; more than 1 is allowed",
+		s.Rules.OverloadFactor,
+	)
 	checker.positive("rules.tip_after", s.Rules.OverloadSpan)
 }
 
@@ -190,5 +204,10 @@
 	checker.check(f.Plan == "" || plans[f.Plan], key("plan"), "is %q, which is no plan", f.Plan)
 	checker.within(key("hall"), float64(f.Zone), 0, float64(s.Gateways.Zones-1))
 	checker.within(key("to"), float64(f.OtherZone), 0, float64(s.Gateways.Zones-1))
-	checker.check(!kind.IsLink || f.Zone != f.OtherZone, key("to"), "is the same hall, %d; a link has two ends", f.OtherZone)
+	checker.check(
+		!kind.IsLink || f.Zone != f.OtherZone,
+		key("to"),
+		"is the same hall, %d; a link has two ends",
+		f.OtherZone,
+	)
 }
--- a/internal/lab/scenario/coordination.go
+++ b/internal/lab/scenario/coordination.go
@@ -8,7 +8,8 @@
 	"harrierhoist/internal/control/failover"
 )
 
-// Coordination says whether gateways decide together where attempts go, and what the processes between them are like.
+// Coordination says whether gateways decide together where attempts go, and what the processes
+// between them are like.
 type Coordination struct {
 	Mode             string  `toml:"how"`
 	Voters           int     `toml:"voters"`     // in the zones in turn
@@ -41,7 +42,12 @@
 
 func (o *Coordination) check(checker *checker) {
 	checker.oneOf("common.how", o.Mode, CoordinationNone, CoordinationLocal, CoordinationShared)
-	checker.check(o.Voters == 1 || o.Voters == 3 || o.Voters == 5, "common.voters", "is %d; 1, 3 or 5 is allowed", o.Voters)
+	checker.check(
+		o.Voters == 1 || o.Voters == 3 || o.Voters == 5,
+		"common.voters",
+		"is %d; 1, 3 or 5 is allowed",
+		o.Voters,
+	)
 	for _, interval := range []struct {
 		key string
 		is  Span
@@ -51,7 +57,12 @@
 		{"lease", o.Lease},
 		{"wait", o.ReadWait},
 	} {
-		checker.check(interval.is >= minInterval, "common."+interval.key, "is %v; 1ms at least is allowed", interval.is.D())
+		checker.check(
+			interval.is >= minInterval,
+			"common."+interval.key,
+			"is %v; 1ms at least is allowed",
+			interval.is.D(),
+		)
 	}
 	for _, bounds := range []struct {
 		key string
@@ -60,13 +71,19 @@
 		checker.check(bounds.are[0] >= 0 && bounds.are[0] <= bounds.are[1], "common."+bounds.key,
 			"is %v; the first is no more than the second", bounds.are)
 	}
-	checker.check(o.MessageLoss >= 0 && o.MessageLoss < 1, "common.loss", "is %g; from 0 to less than 1 is allowed", o.MessageLoss)
+	checker.check(
+		o.MessageLoss >= 0 && o.MessageLoss < 1,
+		"common.loss",
+		"is %g; from 0 to less than 1 is allowed",
+		o.MessageLoss,
+	)
 }
 
 // ZoneName is the name of a zone where zones have names.
 func ZoneName(n int) string { return "hall-" + strconv.Itoa(n) }
 
-// FailoverSettings are the settings of failover: what the file says, with the scenario's regions and its servers' capacity.
+// FailoverSettings are the settings of failover: what the file says, with the scenario's regions
+// and its servers' capacity.
 func (s *Scenario) FailoverSettings() failover.Settings {
 	settings := s.Failover
 	settings.Enabled = true
@@ -76,7 +93,10 @@
 	}
 	for region := range max(len(s.Gateways.Regions), 1) {
 		if zones := zonesOf[region]; len(zones) > 0 {
-			settings.Regions = append(settings.Regions, failover.Region{Name: "region-" + strconv.Itoa(region), Zones: zones})
+			settings.Regions = append(
+				settings.Regions,
+				failover.Region{Name: "region-" + strconv.Itoa(region), Zones: zones},
+			)
 		}
 	}
 	if settings.Capacity == 0 {
@@ -93,7 +113,8 @@
 	}
 	for _, err := range s.FailoverSettings().Check() {
 		key, message, _ := strings.Cut(err.Error(), ": ")
-		if s.Failover.Capacity != 0 || key != "failover.bears" { // what is wrong by the classes is reported of the classes
+		if s.Failover.Capacity != 0 ||
+			key != "failover.bears" { // what is wrong by the classes is reported of the classes
 			c.check(false, key, "%s", message)
 		}
 	}
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -40,12 +40,26 @@
 func defaultClasses() []TrafficClass {
 	return []TrafficClass{
 		{
-			Name: "availability", Share: 0.5, Work: ms(60), Distribution: DistributionExponential, LatencyObjective: ms(600),
-			Timeout: ms(2500), Weight: 1, Effect: EffectIdempotent,
+			Name:             "availability",
+			Share:            0.5,
+			Work:             ms(60),
+			Distribution:     DistributionExponential,
+			LatencyObjective: ms(600),
+			Timeout:          ms(2500),
+			Weight:           1,
+			Effect:           EffectIdempotent,
 		},
 		{
-			Name: "desk-hold", Share: 0.3, Work: ms(50), Distribution: DistributionExponential, LatencyObjective: ms(400),
-			Timeout: ms(1500), Weight: 3, Effect: EffectKeyed, Group: GroupRack, DedupWindow: ms(1000),
+			Name:             "desk-hold",
+			Share:            0.3,
+			Work:             ms(50),
+			Distribution:     DistributionExponential,
+			LatencyObjective: ms(400),
+			Timeout:          ms(1500),
+			Weight:           3,
+			Effect:           EffectKeyed,
+			Group:            GroupRack,
+			DedupWindow:      ms(1000),
 		},
 		{
 			Name: "paid-confirm", Share: 0.2, Work: ms(60), Distribution: DistributionLognormal, CV: 1,
--- a/internal/lab/scenario/fault_kinds.go
+++ b/internal/lab/scenario/fault_kinds.go
@@ -45,11 +45,13 @@
 
 // FaultKinds are the kinds of faults by name. Package simulation has a constructor for each.
 var FaultKinds = map[string]FaultKind{
-	ServerLoss:      {Description: "part of the servers fall silent; they come back warming up"},
-	ServerErrors:    {Description: "part of the servers fail size of their requests at once"},
-	ServerSlowdown:  {Description: "part of the servers work size times slower"},
-	ClassSilence:    {Description: "part of the servers never answer one class (lane)"},
-	RollingDeploy:   {Description: "part of the servers are replaced by new ones, evenly over the time; the old ones drain first"},
+	ServerLoss:     {Description: "part of the servers fall silent; they come back warming up"},
+	ServerErrors:   {Description: "part of the servers fail size of their requests at once"},
+	ServerSlowdown: {Description: "part of the servers work size times slower"},
+	ClassSilence:   {Description: "part of the servers never answer one class (lane)"},
+	RollingDeploy: {
+		Description: "part of the servers are replaced by new ones, evenly over the time; the old ones drain first",
+	},
 	MassReplacement: {Description: "part of the servers are replaced by new ones at once, without draining"},
 	ZoneLoss: {
 		Description: "servers of a zone (hall) fall silent, part of them or, at 0, all; they come back warming up",
@@ -75,11 +77,13 @@
 		Description: "part of the tries come in through the gateways of one zone (hall), whatever their customers' own",
 		NeedsZones:  true,
 	},
-	GatewayKill:    {Description: "part of the gateways are killed at once and start again after the time"},
-	RollingRestart: {Description: "part of the gateways are restarted in turn over the time, each down for size seconds"},
-	GatewayPause:   {Description: "part of the gateways are paused for the time"},
-	DiscoveryLag:   {Description: "discovery's notifications come size times later"},
-	DiscoveryLoss:  {Description: "part of the gateways get no notifications; all they missed come after it"},
+	GatewayKill: {Description: "part of the gateways are killed at once and start again after the time"},
+	RollingRestart: {
+		Description: "part of the gateways are restarted in turn over the time, each down for size seconds",
+	},
+	GatewayPause:  {Description: "part of the gateways are paused for the time"},
+	DiscoveryLag:  {Description: "discovery's notifications come size times later"},
+	DiscoveryLoss: {Description: "part of the gateways get no notifications; all they missed come after it"},
 }
 
 // FaultKindNames are the names of all kinds in alphabetical order.
--- a/internal/lab/scenario/policy_settings.go
+++ b/internal/lab/scenario/policy_settings.go
@@ -36,9 +36,14 @@
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		settings.Classes = append(settings.Classes, policy.TrafficClass{
-			Name: class.Name, LatencyObjective: class.LatencyObjective.D(), Timeout: class.Timeout.D(), Weight: class.Weight,
-			LateFraction: class.LateFraction, Effect: effects[class.Effect], Group: groups[class.Group],
-			DedupWindow: class.DedupWindow.D(),
+			Name:             class.Name,
+			LatencyObjective: class.LatencyObjective.D(),
+			Timeout:          class.Timeout.D(),
+			Weight:           class.Weight,
+			LateFraction:     class.LateFraction,
+			Effect:           effects[class.Effect],
+			Group:            groups[class.Group],
+			DedupWindow:      class.DedupWindow.D(),
 		})
 	}
 	for i := range s.Plans {
--- a/internal/lab/scenario/positions.go
+++ b/internal/lab/scenario/positions.go
@@ -7,7 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyPositions finds the position of each key of a file. Elements of arrays of tables have their index in the key.
+// keyPositions finds the position of each key of a file. Elements of arrays of tables have their
+// index in the key.
 func keyPositions(text []byte) map[string]unstable.Position {
 	positions := map[string]unstable.Position{}
 	var parser unstable.Parser
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -48,7 +48,8 @@
 	return &s, nil
 }
 
-// Check checks a scenario that was changed after it was read. The error joins a FileError for each thing that is wrong.
+// Check checks a scenario that was changed after it was read. The error joins a FileError for each
+// thing that is wrong.
 func (s *Scenario) Check(file string) error { return s.check(file, nil) }
 
 // check reports each problem at the nearest key that the file has.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,8 @@
-// Package scenario reads the description of a scenario that the laboratory runs: gateways, servers, traffic classes, plans,
-// customers, the counter, discovery, the network, the rules, and the faults that strike. The file is TOML and strict: a key
-// that is not known, or that contradicts another, is an error with its line and column, and all errors are reported at once.
-// docs/lab.md explains every key.
+// Package scenario reads the description of a scenario that the laboratory runs: gateways, servers,
+// traffic classes, plans, customers, the counter, discovery, the network, the rules, and the faults
+// that strike. The file is TOML and strict: a key that is not known, or that contradicts another,
+// is an error with its line and column, and all errors are reported at once. docs/lab.md explains
+// every key.
 package scenario
 
 import (
@@ -47,7 +48,8 @@
 	Network      Network        `toml:"network"`
 	Rules        Rules          `toml:"rules"`
 	Coordination Coordination   `toml:"common"`
-	// Failover has no regions, as those are the gateways'; its capacity, at 0, is what the servers are made to do.
+	// Failover has no regions, as those are the gateways'; its capacity, at 0, is what the servers
+	// are made to do.
 	Failover failover.Settings `toml:"failover"`
 	Faults   []Fault           `toml:"trouble"`
 }
@@ -58,13 +60,15 @@
 	Zones int `toml:"halls"`
 	// Regions are the zones of each region; none: all zones are in one.
 	Regions [][]int `toml:"regions"`
-	// Subset has a gateway use the part of the servers to which its attempts can keep connections open, as on sockets.
+	// Subset has a gateway use the part of the servers to which its attempts can keep connections
+	// open, as on sockets.
 	Subset bool `toml:"pool"`
 	// MaxAttempts is the most attempts of a request.
 	MaxAttempts int `toml:"pushes"`
 }
 
-// Servers are the back end. Each has cores that work on one request at a time, and a queue in front of them.
+// Servers are the back end. Each has cores that work on one request at a time, and a queue in front
+// of them.
 type Servers struct {
 	Count          int        `toml:"count"`
 	Cores          int        `toml:"cores"`
@@ -136,7 +140,8 @@
 	CeilingSlack  float64 `toml:"ceiling_slack"`
 	Price         float64 `toml:"price"`
 	OverQuotaCost float64 `toml:"over_cost"` // part of its value that a request beyond quota costs
-	// GatewayShare is the part of the gateways that its customers come through, drawn for each; 0: the load's.
+	// GatewayShare is the part of the gateways that its customers come through, drawn for each; 0:
+	// the load's.
 	GatewayShare [2]float64 `toml:"spread"`
 }
 
@@ -185,8 +190,8 @@
 type Rules struct {
 	DrainGrace  Span `toml:"drain_grace"`
 	AnswerSlack Span `toml:"answer_slack"`
-	// A server that is warming up fails for OverloadDowntime if the work sent to it over OverloadSpan is more than its
-	// capacity times OverloadFactor.
+	// A server that is warming up fails for OverloadDowntime if the work sent to it over
+	// OverloadSpan is more than its capacity times OverloadFactor.
 	OverloadFactor   float64 `toml:"fall_multiple"`
 	OverloadSpan     Span    `toml:"tip_after"`
 	OverloadDowntime Span    `toml:"fall"`
--- a/internal/lab/search/golden_test.go
+++ b/internal/lab/search/golden_test.go
@@ -11,7 +11,8 @@
 // goldenFaults is the hash of drawn schedules.
 const goldenFaults = "0b7e3b2178abdaaaf79e2d491cff51b76c57610d026a45b6cbd9a5b8867346ba"
 
-// TestDrawFaults_areStable holds the order of random draws: a seed found by a search must find it again.
+// TestDrawFaults_areStable holds the order of random draws: a seed found by a search must find it
+// again.
 func TestDrawFaults_areStable(t *testing.T) {
 	sum := golden.NewDigest()
 	for _, name := range []string{"calm", "three"} {
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
-// Package search looks for the schedule of faults that breaks an invariant or loses most service, and shrinks what it found to
-// the least that still does.
+// Package search looks for the schedule of faults that breaks an invariant or loses most service,
+// and shrinks what it found to the least that still does.
 package search
 
 import (
@@ -69,9 +69,16 @@
 	return &Finding{Scenario: &world, Result: result, Loss: s.calmNet - result.Net, Runs: s.finished}, nil
 }
 
-// Run draws so many schedules of up to maxFaults faults, keeps the worst and shrinks it. Found is called with each finding that
-// is worse than all before it. Without a schedule there is no finding (nil).
-func Run(base *scenario.Scenario, seed uint64, schedules, maxFaults int, policy string, found func(*Finding)) (*Finding, error) {
+// Run draws so many schedules of up to maxFaults faults, keeps the worst and shrinks it. Found is
+// called with each finding that is worse than all before it. Without a schedule there is no finding
+// (nil).
+func Run(
+	base *scenario.Scenario,
+	seed uint64,
+	schedules, maxFaults int,
+	policy string,
+	found func(*Finding),
+) (*Finding, error) {
 	random := rand.New(rand.NewPCG(seed, searchStream))
 	simulator, err := newSimulator(base, policy, seed)
 	if err != nil {
@@ -99,8 +106,8 @@
 	return worst, nil
 }
 
-// shrink removes faults, one at a time, and then shortens those left, while a broken invariant stays broken or most of the loss
-// stays.
+// shrink removes faults, one at a time, and then shortens those left, while a broken invariant
+// stays broken or most of the loss stays.
 func (s *simulator) shrink(worst *Finding) (*Finding, error) {
 	isAsBad := func(finding *Finding) bool {
 		if worst.Result.Violations > 0 {
@@ -166,7 +173,8 @@
 	return least, nil
 }
 
-// DrawFaults draws a schedule of so many faults that a scenario allows, in the order of their start.
+// DrawFaults draws a schedule of so many faults that a scenario allows, in the order of their
+// start.
 func DrawFaults(random *rand.Rand, world *scenario.Scenario, n int) []scenario.Fault {
 	var kinds []string
 	for _, name := range scenario.FaultKindNames() {
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -37,7 +37,12 @@
 	g.subset.CountAttempt(engine.clock.Now())
 	engine.recordAttempt(attempt)
 	if f := g.follower; f != nil {
-		f.recorder.AddAttempt(engine.clock.Now(), server.zone, t.request.declaredUnits, attempt.number == 0 && !f.isRepeat(t))
+		f.recorder.AddAttempt(
+			engine.clock.Now(),
+			server.zone,
+			t.request.declaredUnits,
+			attempt.number == 0 && !f.isRepeat(t),
+		)
 	}
 	delay := engine.delay(g.zone, server.zone)
 	reused := g.takeIdleConnection(server)
@@ -51,8 +56,8 @@
 	engine.clock.After(delay, func() { engine.deliver(attempt, delay) })
 }
 
-// takeIdleConnection takes the idle connection to a server that was used last, and closes those that were idle too long.
-// It returns false if none is left.
+// takeIdleConnection takes the idle connection to a server that was used last, and closes those
+// that were idle too long. It returns false if none is left.
 func (g *gateway) takeIdleConnection(server *server) bool {
 	c := g.idle[server.id]
 	if c == nil {
@@ -70,8 +75,8 @@
 	return false
 }
 
-// connect makes the connection of an attempt that has none to reuse. It returns false if the request does not reach the
-// server; it then has scheduled the outcome, other than the timeout.
+// connect makes the connection of an attempt that has none to reuse. It returns false if the
+// request does not reach the server; it then has scheduled the outcome, other than the timeout.
 func (e *engine) connect(attempt *attempt, reused bool, delay time.Duration) bool {
 	server := attempt.server
 	end := func(after time.Duration, outcome policy.Outcome) {
@@ -138,7 +143,13 @@
 		attempt.done = true
 		now := e.clock.Now()
 		if gateway.follower != nil {
-			gateway.follower.recorder.AddResult(now, attempt.server.zone, attempt.server.id, outcome, now-attempt.startedAt)
+			gateway.follower.recorder.AddResult(
+				now,
+				attempt.server.zone,
+				attempt.server.id,
+				outcome,
+				now-attempt.startedAt,
+			)
 		}
 		e.releaseConnection(attempt, outcome)
 		t := attempt.try
@@ -174,7 +185,8 @@
 	}
 }
 
-// Cancel implements policy.Host: it gives an attempt up. The policy gets the outcome after the call that it makes now.
+// Cancel implements policy.Host: it gives an attempt up. The policy gets the outcome after the call
+// that it makes now.
 func (g *gateway) Cancel(requestID uint32, number int) {
 	t := g.tries[requestID]
 	if t == nil || number >= len(t.attempts) {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// firstOneTimeCustomer is the number after which customers that ask only once are numbered: above all others.
+	// firstOneTimeCustomer is the number after which customers that ask only once are numbered:
+	// above all others.
 	firstOneTimeCustomer = 1 << 32
 	// swingPeriod is the period of the load's swing, in seconds.
 	swingPeriod = 20
@@ -18,7 +19,8 @@
 	minDeclaredUnits = 0.1
 )
 
-// clients send the requests of customers in an open loop, whether answers come or not, and retry through other gateways.
+// clients send the requests of customers in an open loop, whether answers come or not, and retry
+// through other gateways.
 type clients struct {
 	engine              *engine
 	random              *rand.Rand
@@ -92,12 +94,17 @@
 	}
 	drawn := share[0] + (share[1]-share[0])*c.random.Float64()
 	return &customer{
-		id: id, plan: plan, firstGateway: c.random.IntN(n), gatewayCount: min(max(int(math.Round(drawn*float64(n))), 1), n),
-		tokens: e.scenario.Plans[plan].Burst, refilledAt: e.clock.Now(),
+		id:           id,
+		plan:         plan,
+		firstGateway: c.random.IntN(n),
+		gatewayCount: min(max(int(math.Round(drawn*float64(n))), 1), n),
+		tokens:       e.scenario.Plans[plan].Burst,
+		refilledAt:   e.clock.Now(),
 	}
 }
 
-// scheduleArrival draws the time of the next request by the rate that holds now; arrivals do not wait for answers.
+// scheduleArrival draws the time of the next request by the rate that holds now; arrivals do not
+// wait for answers.
 func (c *clients) scheduleArrival() {
 	engine := c.engine
 	present := 0.0
@@ -195,7 +202,8 @@
 	return true
 }
 
-// value is what a request counts when it is answered within its latency objective: weight times price times units.
+// value is what a request counts when it is answered within its latency objective: weight times
+// price times units.
 func (c *clients) value(r *request) float64 {
 	return c.engine.scenario.Classes[r.class].Weight * c.engine.scenario.Plans[r.customer.plan].Price * r.units
 }
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -12,9 +12,10 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// coordinator simulates what the processes share: voters in zones, one of which leads and runs the controller of failover,
-// and the messages between them and the gateways. Controllers, zone statistics, observations and plans are the gateway's
-// own code; the replicated log is a drawn time. Its random numbers are its own, so that all else is the same without it.
+// coordinator simulates what the processes share: voters in zones, one of which leads and runs the
+// controller of failover, and the messages between them and the gateways. Controllers, zone
+// statistics, observations and plans are the gateway's own code; the replicated log is a drawn
+// time. Its random numbers are its own, so that all else is the same without it.
 type coordinator struct {
 	engine           *engine
 	settings         *scenario.Coordination
@@ -67,7 +68,8 @@
 // canReach reports whether messages pass between processes of two zones.
 func (c *coordinator) canReach(a, b int) bool { return !c.engine.isCut(a, b) }
 
-// send sends a message. It returns false if the message is lost; its sender learns that by getting no answer.
+// send sends a message. It returns false if the message is lost; its sender learns that by getting
+// no answer.
 func (c *coordinator) send(from, to int, arrive func()) bool {
 	if !c.canReach(from, to) || c.settings.MessageLoss > 0 && c.random.Float64() < c.settings.MessageLoss {
 		return false
@@ -115,7 +117,8 @@
 	v.apply(c.table)
 }
 
-// elect makes a voter with a majority the leader after a drawn time; again and again while there is none.
+// elect makes a voter with a majority the leader after a drawn time; again and again while there is
+// none.
 func (c *coordinator) elect() {
 	if c.electing {
 		return
--- a/internal/lab/simulation/coordinator_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -11,7 +11,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Without a fault, coordinated gateways send nearly all attempts within their zone, which they don't without coordination.
+// Without a fault, coordinated gateways send nearly all attempts within their zone, which they
+// don't without coordination.
 func TestCoordination_calmRunStaysWithinZones(t *testing.T) {
 	t.Parallel()
 	shared := mustRun(t, threeZones(scenario.CoordinationShared), 1, baseline.Module)
@@ -33,7 +34,8 @@
 	}
 }
 
-// A zone is lost: coordinated gateways go elsewhere within two seconds, and to the same region before another.
+// A zone is lost: coordinated gateways go elsewhere within two seconds, and to the same region
+// before another.
 func TestCoordination_lostZoneIsLeftWithinTwoSeconds(t *testing.T) {
 	t.Parallel()
 	lost := mustRun(t, threeZones(scenario.CoordinationShared, zoneLossFault(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
@@ -46,8 +48,9 @@
 	}
 }
 
-// Voters that are cut off and killed, and lost messages, must never have a gateway act on a plan after its lease, which counts
-// from when the gateway asked, or hold a plan that was not written. When all is well again, the gateways act on the latest.
+// Voters that are cut off and killed, and lost messages, must never have a gateway act on a plan
+// after its lease, which counts from when the gateway asked, or hold a plan that was not written.
+// When all is well again, the gateways act on the latest.
 func TestCoordination_noGatewayActsOnAPlanAfterItsLease(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -140,8 +143,8 @@
 	}
 }
 
-// followsFallback reports whether a gateway acts as its latest plan says for a gateway without a lease, its own zone lost or
-// not.
+// followsFallback reports whether a gateway acts as its latest plan says for a gateway without a
+// lease, its own zone lost or not.
 func followsFallback(t *testing.T, f *follower) bool {
 	t.Helper()
 	plan, err := failover.DecodePlan(f.cached.Value)
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -7,7 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// counter takes calls one after the other. A fault may split it in two, each half for half of the gateways.
+// counter takes calls one after the other. A fault may split it in two, each half for half of the
+// gateways.
 type counter struct {
 	engine        *engine
 	freeAt        [2]time.Duration // when each half has done all calls that it took
@@ -55,8 +56,8 @@
 // reset makes the counter forget all totals.
 func (c *counter) reset() { c.totals = [2]map[uint64]total{{}, {}} }
 
-// call takes a gateway's call. As on sockets, a late answer is an answer: a call times out only where the counter is
-// silent, after the time that its connection may take to come up.
+// call takes a gateway's call. As on sockets, a late answer is an answer: a call times out only
+// where the counter is silent, after the time that its connection may take to come up.
 func (c *counter) call(g *gateway, name uint64, ttl time.Duration, units float64) {
 	engine := c.engine
 	now := engine.clock.Now()
@@ -94,7 +95,9 @@
 		g.run(call.incarnation, func() {
 			latency := e.clock.Now() - call.startedAt
 			if g.follower != nil {
-				g.follower.recorder.AddCounterCall(outcome != policy.Answered || latency > e.scenario.Counter.Timeout.D())
+				g.follower.recorder.AddCounterCall(
+					outcome != policy.Answered || latency > e.scenario.Counter.Timeout.D(),
+				)
 			}
 			g.policy.HandleCount(e.clock.Now(), policy.CountResult{
 				Name: call.name, Total: units, Latency: latency, Outcome: outcome,
--- a/internal/lab/simulation/encoding_test.go
+++ b/internal/lab/simulation/encoding_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// goldenResult is an empty result with one second and one violation, as written before the fields had tags.
+// goldenResult is an empty result with one second and one violation, as written before the fields
+// had tags.
 const goldenResult = `{"world":"","seed":0,"Offered":0,"Due":0,"InTime":0,"Late":0,"Refused":0,"Failed":0,"Ends":{"Between":0,` +
 	`"Terminated":0,"Died":0,"Out":0},"GainDue":0,"GainServed":0,"Tries":0,"Rejected":0,"Terminated":0,"BrokenConnections` +
 	`":0,"Pushes":0,"Handshakes":0,"Crossed":0,"Far":0,"Hottest":0,"Warmest":0,"Plans":0,"Wrong":0,"PlanMs":null,"H` +
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -1,6 +1,7 @@
-// Package simulation runs a scenario in virtual time: servers, counter, discovery, network and clients are models, and every
-// gateway is an instance of the policy, in this process. A scenario and a seed give the same run to the last byte, whatever
-// else runs. What it leaves out, against real gateways on sockets, stands in docs/lab.md.
+// Package simulation runs a scenario in virtual time: servers, counter, discovery, network and
+// clients are models, and every gateway is an instance of the policy, in this process. A scenario
+// and a seed give the same run to the last byte, whatever else runs. What it leaves out, against
+// real gateways on sockets, stands in docs/lab.md.
 package simulation
 
 import (
@@ -15,10 +16,12 @@
 	"harrierhoist/policy"
 )
 
-// origin is the time of all clocks when a run starts. It is not 0, which the policy takes for "never".
+// origin is the time of all clocks when a run starts. It is not 0, which the policy takes for
+// "never".
 const origin = 1000 * time.Hour
 
-// Streams of random numbers, a generator for each purpose: two policies meet the same customers and the same faults.
+// Streams of random numbers, a generator for each purpose: two policies meet the same customers and
+// the same faults.
 const (
 	modelStream = iota + 1
 	arrivalStream
@@ -66,7 +69,8 @@
 	hotspot         *hotspot        // nil: none
 }
 
-// Run runs a scenario under a policy. The error is of the policy's constructor or of a fault of unknown kind.
+// Run runs a scenario under a policy. The error is of the policy's constructor or of a fault of
+// unknown kind.
 func Run(spec *scenario.Scenario, seed uint64, newPolicy baseline.Constructor) (*Result, error) {
 	e, err := newEngine(spec, seed, newPolicy)
 	if err != nil {
@@ -158,7 +162,8 @@
 	return nil
 }
 
-// pick draws a fraction of n things for a fault, at least one where the fraction is over 0, and returns their indices.
+// pick draws a fraction of n things for a fault, at least one where the fraction is over 0, and
+// returns their indices.
 func (e *engine) pick(n int, fraction float64) []int {
 	if n == 0 || fraction <= 0 {
 		return nil
--- a/internal/lab/simulation/failover.go
+++ b/internal/lab/simulation/failover.go
@@ -9,16 +9,19 @@
 )
 
 const (
-	// maxResidualShare is the share of a gateway's requests that may still go to a lost zone once failover is complete.
+	// maxResidualShare is the share of a gateway's requests that may still go to a lost zone once
+	// failover is complete.
 	maxResidualShare = 0.1
 	// maxLostCapacity is the part of its full capacity up to which a zone may be held to be lost.
 	maxLostCapacity = 0.4
-	// reconnectionGrace is how long a zone or link that was restored may still be held to be lost: nothing is observed of a
-	// link that a plan avoids, and a loss is believed for three hold-down times without an observation.
+	// reconnectionGrace is how long a zone or link that was restored may still be held to be lost:
+	// nothing is observed of a link that a plan avoids, and a loss is believed for three hold-down
+	// times without an observation.
 	reconnectionGrace = 45 * time.Second
 )
 
-// loss is a zone that was lost as a whole, with the gateways that have yet to send their attempts elsewhere.
+// loss is a zone that was lost as a whole, with the gateways that have yet to send their attempts
+// elsewhere.
 type loss struct {
 	zone    int
 	at      time.Duration
@@ -81,7 +84,8 @@
 	c.engine.result.Plans++
 	plan, err := failover.DecodePlan(value)
 	if err != nil || plan == nil {
-		// The controller and the decoder are of the same program: a run that goes on after this shows nothing.
+		// The controller and the decoder are of the same program: a run that goes on after this
+		// shows nothing.
 		panic(fmt.Sprint("the controller of failover wrote a malformed plan: ", err))
 	}
 	wrong := map[string]bool{}
@@ -103,7 +107,8 @@
 		c.reconnectedAt > 0 && c.engine.clock.Now() < c.reconnectedAt+reconnectionGrace
 }
 
-// wrongLossesOf returns the zones and links that a plan holds to be lost though the zones have their capacity.
+// wrongLossesOf returns the zones and links that a plan holds to be lost though the zones have
+// their capacity.
 func (c *coordinator) wrongLossesOf(plan *failover.Plan) map[string]bool {
 	wrong := map[string]bool{}
 	now, full := c.engine.zoneCapacities()
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -13,7 +13,8 @@
 	end(e *engine)
 }
 
-// faultConstructors makes a fault of each kind. A new kind is a type, a line here and one in scenario.FaultKinds.
+// faultConstructors makes a fault of each kind. A new kind is a type, a line here and one in
+// scenario.FaultKinds.
 var faultConstructors = map[string]func(scenario.Fault) fault{
 	// Servers
 	scenario.ServerLoss:      func(f scenario.Fault) fault { return &serverLoss{fraction: f.Fraction} },
--- a/internal/lab/simulation/fault_gateways.go
+++ b/internal/lab/simulation/fault_gateways.go
@@ -40,7 +40,8 @@
 // restartGateway starts a gateway again.
 func (e *engine) restartGateway(g *gateway) {
 	if err := g.start(e.faultRandom.Uint64()); err != nil {
-		// It started before with the same settings: a policy that refuses them now is broken, and so is the run.
+		// It started before with the same settings: a policy that refuses them now is broken, and
+		// so is the run.
 		panic(fmt.Errorf("gateway %d did not start again: %w", g.index, err))
 	}
 }
@@ -92,7 +93,8 @@
 	}
 }
 
-// drawGateway draws the gateway of a try that comes in through the zone; nil: this one does not. The receiver may be nil.
+// drawGateway draws the gateway of a try that comes in through the zone; nil: this one does not.
+// The receiver may be nil.
 func (f *hotspot) drawGateway(c *clients) *gateway {
 	if f == nil || c.random.Float64() >= f.fraction {
 		return nil
@@ -164,7 +166,8 @@
 	}
 }
 
-// leaderLoss kills the voter that leads; it starts again with its table, and without the observations of others.
+// leaderLoss kills the voter that leads; it starts again with its table, and without the
+// observations of others.
 type leaderLoss struct{ affected *voter }
 
 func (f *leaderLoss) begin(e *engine) {
--- a/internal/lab/simulation/fault_network.go
+++ b/internal/lab/simulation/fault_network.go
@@ -26,7 +26,8 @@
 	e.recordReconnection()
 }
 
-// recordReconnection notes that zones reach each other again: plans may go on avoiding them for a while.
+// recordReconnection notes that zones reach each other again: plans may go on avoiding them for a
+// while.
 func (e *engine) recordReconnection() {
 	if e.coordinator != nil {
 		e.coordinator.reconnectedAt = e.clock.Now()
--- a/internal/lab/simulation/fault_servers.go
+++ b/internal/lab/simulation/fault_servers.go
@@ -8,7 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// serverLoss makes servers silent, with all connections open; at its end they start again and warm up.
+// serverLoss makes servers silent, with all connections open; at its end they start again and warm
+// up.
 type serverLoss struct {
 	fraction float64 // of a zone, 0: all of its servers
 	zone     int
@@ -95,7 +96,8 @@
 	}
 }
 
-// classSilence has servers never answer the requests of one class, the first if the fault names none.
+// classSilence has servers never answer the requests of one class, the first if the fault names
+// none.
 type classSilence struct {
 	fault    scenario.Fault
 	affected []*server
@@ -124,10 +126,12 @@
 	e.announce(e.addServer(old.zone, old.rack, e.clock.Now()))
 }
 
-// removalMargin is how long after the last request may have ended a drained server ends its process.
+// removalMargin is how long after the last request may have ended a drained server ends its
+// process.
 const removalMargin = 2 * time.Second
 
-// rollingDeploy replaces servers one by one: the old one drains, and ends when all that it may still get has ended.
+// rollingDeploy replaces servers one by one: the old one drains, and ends when all that it may
+// still get has ended.
 type rollingDeploy struct {
 	fraction float64
 	duration time.Duration
--- a/internal/lab/simulation/fault_test.go
+++ b/internal/lab/simulation/fault_test.go
@@ -91,7 +91,8 @@
 func companionFaults(kind string) []scenario.Fault {
 	switch kind {
 	case scenario.DiscoveryLag, scenario.DiscoveryLoss:
-		// Half of the servers are replaced: gateways that are not notified go on sending to the old ones.
+		// Half of the servers are replaced: gateways that are not notified go on sending to the old
+		// ones.
 		return []scenario.Fault{{Kind: scenario.MassReplacement, Start: span(3500 * time.Millisecond), Fraction: 0.5}}
 	case scenario.LeaderLoss: // a zone is lost: without a plan, gateways go on sending attempts there
 		return []scenario.Fault{zoneLossFault(1, 3*time.Second, 4*time.Second)}
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// maxMissedDigests is how many digests in a row without an answer make a gateway turn to another voter.
+	// maxMissedDigests is how many digests in a row without an answer make a gateway turn to
+	// another voter.
 	maxMissedDigests = 2
 	// readTimeoutSlack is how long after its wait a read without an answer is given up.
 	readTimeoutSlack = 300 * time.Millisecond
@@ -30,7 +31,8 @@
 	endlessLease = time.Duration(math.MaxInt64)
 )
 
-// follower is a gateway's part in coordination: it sends digests to a voter, reads the table, and has it steer the gateway.
+// follower is a gateway's part in coordination: it sends digests to a voter, reads the table, and
+// has it steer the gateway.
 type follower struct {
 	coordinator     *coordinator
 	index           int
@@ -51,7 +53,13 @@
 // start starts with an incarnation of the gateway; nothing of the last one is left.
 func (f *follower) start(gateway *gateway) {
 	coordinator := f.coordinator
-	*f = follower{coordinator: coordinator, index: f.index, gateway: gateway, session: f.session + 1, lastRead: f.lastRead + 1}
+	*f = follower{
+		coordinator: coordinator,
+		index:       f.index,
+		gateway:     gateway,
+		session:     f.session + 1,
+		lastRead:    f.lastRead + 1,
+	}
 	f.recorder = zonestats.New(coordinator.zones, gateway.zone, &coordinator.engine.settings)
 	f.updater = routing.New(cachedTables{f}, f, coordinator.zones, coordinator.zones[gateway.zone], zap.NewNop())
 	if coordinator.settings.Mode == scenario.CoordinationLocal {
@@ -92,7 +100,8 @@
 	f.gateway.run(incarnation, f.sendDigest)
 }
 
-// sendDigest sends what the gateway counted to its voter, or decides by it where each gateway decides by itself.
+// sendDigest sends what the gateway counted to its voter, or decides by it where each gateway
+// decides by itself.
 func (f *follower) sendDigest() {
 	coordinator := f.coordinator
 	counts := map[string]uint64{}
@@ -178,6 +187,11 @@
 	if table.Epoch < f.cached.Epoch {
 		return
 	}
-	f.cached = coordination.CachedTable{Name: failover.Table, Epoch: table.Epoch, Value: table.Value, LeaseEnd: leaseEnd}
+	f.cached = coordination.CachedTable{
+		Name:     failover.Table,
+		Epoch:    table.Epoch,
+		Value:    table.Value,
+		LeaseEnd: leaseEnd,
+	}
 	f.updater.Update()
 }
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -9,7 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// This file connects the gateway's own routing to a simulated gateway: it is what package dispatch does between the two.
+// This file connects the gateway's own routing to a simulated gateway: it is what package dispatch
+// does between the two.
 
 // shedRetryAfter is the Retry-After of requests that are shed.
 const shedRetryAfter = time.Second
@@ -32,7 +33,8 @@
 // RegisterExactCounters does nothing, either.
 func (c cachedTables) RegisterExactCounters(func(add func(name string, n uint64))) {}
 
-// SetSteering steers the gateway's subset until the lease ends; the next steering then holds from the next request on.
+// SetSteering steers the gateway's subset until the lease ends; the next steering then holds from
+// the next request on.
 func (f *follower) SetSteering(steering dispatch.Steering, lease time.Duration, next dispatch.Steering) {
 	f.steeringUntil = f.coordinator.engine.clock.Now() + lease
 	f.nextSteering = &next
@@ -81,7 +83,8 @@
 	return t.number > 0 && f.coordinator.engine.scenario.Clients.MarkRepeats
 }
 
-// recordRejection counts a try that the module rejects for want of capacity: it is demand all the same.
+// recordRejection counts a try that the module rejects for want of capacity: it is demand all the
+// same.
 func (f *follower) recordRejection(t *try) {
 	module, isModule := f.gateway.policy.(*policy.Gateway)
 	if !isModule || f.isRepeat(t) {
@@ -92,7 +95,8 @@
 	}
 }
 
-// shedIfFull rejects a try at once where no zone has capacity for it. It returns false if it did not.
+// shedIfFull rejects a try at once where no zone has capacity for it. It returns false if it did
+// not.
 func (f *follower) shedIfFull(try *try) bool {
 	isRepeat := f.isRepeat(try)
 	if !isRepeat {
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -10,7 +10,8 @@
 	"harrierhoist/policy"
 )
 
-// gateway is one machine with an instance of the policy, which it hosts (gateway_host.go, attempt.go).
+// gateway is one machine with an instance of the policy, which it hosts (gateway_host.go,
+// attempt.go).
 type gateway struct {
 	engine        *engine
 	index         int
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// run runs what happens to an incarnation of a gateway: now, after its pause, or never if that incarnation has ended.
+// run runs what happens to an incarnation of a gateway: now, after its pause, or never if that
+// incarnation has ended.
 func (g *gateway) run(incarnation int, action func()) {
 	switch {
 	case !g.alive || g.incarnation != incarnation:
@@ -106,7 +108,10 @@
 	ids := slices.Sorted(maps.Keys(g.endpoints))
 	candidates := make([]subset.Candidate, 0, len(ids))
 	for _, id := range ids {
-		candidates = append(candidates, subset.Candidate{NameHash: g.engine.servers[id-1].nameHash, Endpoint: g.endpoints[id]})
+		candidates = append(
+			candidates,
+			subset.Candidate{NameHash: g.engine.servers[id-1].nameHash, Endpoint: g.endpoints[id]},
+		)
 	}
 	if g.follower != nil {
 		g.follower.setEndpoints(candidates)
@@ -133,9 +138,15 @@
 		return
 	}
 	g.policy.HandleRequest(engine.clock.Now(), policy.Request{
-		ID: try.requestID, Class: try.class, Plan: request.customer.plan, Customer: request.customer.id,
-		FirstGateway: request.customer.firstGateway, GatewayCount: request.customer.gatewayCount, Units: request.declaredUnits,
-		Deadline: try.deadline, Repeat: try.number > 0 && engine.scenario.Clients.MarkRepeats,
+		ID:           try.requestID,
+		Class:        try.class,
+		Plan:         request.customer.plan,
+		Customer:     request.customer.id,
+		FirstGateway: request.customer.firstGateway,
+		GatewayCount: request.customer.gatewayCount,
+		Units:        request.declaredUnits,
+		Deadline:     try.deadline,
+		Repeat:       try.number > 0 && engine.scenario.Clients.MarkRepeats,
 	})
 }
 
@@ -146,7 +157,8 @@
 	g.engine.clients.handleAnswer(t, with)
 }
 
-// kill ends a gateway. Its clients may retry what it held; its servers go on with the attempts they have.
+// kill ends a gateway. Its clients may retry what it held; its servers go on with the attempts they
+// have.
 func (g *gateway) kill() {
 	g.alive = false
 	g.engine.checker.GatewayDied(g.engine.clock.Now(), g.index)
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -13,7 +13,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// hashOf is a hash of the values of a result, by the order of its fields and not by their names or by any wording.
+// hashOf is a hash of the values of a result, by the order of its fields and not by their names or
+// by any wording.
 func hashOf(t *testing.T, r *Result) string {
 	t.Helper()
 	h := sha256.New()
@@ -78,8 +79,9 @@
 	return spec
 }
 
-// TestGolden holds what the simulation gives: the values of whole runs, two seeds each, recorded before the tree was made
-// readable. Whatever is renamed or moved, a run goes the same way to the last draw.
+// TestGolden holds what the simulation gives: the values of whole runs, two seeds each, recorded
+// before the tree was made readable. Whatever is renamed or moved, a run goes the same way to the
+// last draw.
 func TestGolden(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/lab/simulation/helpers_test.go
+++ b/internal/lab/simulation/helpers_test.go
@@ -24,7 +24,8 @@
 	return spec
 }
 
-// threeZones is a scenario of three zones in two regions, without quotas, under a mode of coordination.
+// threeZones is a scenario of three zones in two regions, without quotas, under a mode of
+// coordination.
 func threeZones(mode string, faults ...scenario.Fault) *scenario.Scenario {
 	spec := smallScenario(faults...)
 	spec.Length = span(16 * time.Second)
--- a/internal/lab/simulation/hotspot_test.go
+++ b/internal/lab/simulation/hotspot_test.go
@@ -8,7 +8,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// hotspotScenario is three zones at three fifths of their capacity; from second 4 to 14, four tries in five come in at one.
+// hotspotScenario is three zones at three fifths of their capacity; from second 4 to 14, four tries
+// in five come in at one.
 func hotspotScenario(mode string, faults ...scenario.Fault) *scenario.Scenario {
 	spec := threeZones(mode, append(faults, scenario.Fault{
 		Kind: scenario.Hotspot, Start: span(4 * time.Second), Duration: span(10 * time.Second), Fraction: 0.7,
@@ -17,8 +18,9 @@
 	return spec
 }
 
-// TestHotspot_overflowsToOtherZones: more comes in at a zone than it has capacity for. Its gateways reject the rest before
-// any attempt, so that attempts tell nothing of it. It goes to other zones all the same, and does not overload them.
+// TestHotspot_overflowsToOtherZones: more comes in at a zone than it has capacity for. Its gateways
+// reject the rest before any attempt, so that attempts tell nothing of it. It goes to other zones
+// all the same, and does not overload them.
 func TestHotspot_overflowsToOtherZones(t *testing.T) {
 	t.Parallel()
 	r := mustRun(t, hotspotScenario(scenario.CoordinationShared), 1, baseline.Module)
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestHotspot_loadBeyondQuotaMovesNothing: one customer floods the zone with many times its capacity, nearly all of it
-// beyond the customer's quota. That is no demand.
+// TestHotspot_loadBeyondQuotaMovesNothing: one customer floods the zone with many times its
+// capacity, nearly all of it beyond the customer's quota. That is no demand.
 func TestHotspot_loadBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
 	spec := hotspotScenario(scenario.CoordinationShared, scenario.Fault{
--- a/internal/lab/simulation/local_controller.go
+++ b/internal/lab/simulation/local_controller.go
@@ -28,7 +28,8 @@
 	return localController{failover.New(settings, 0), observation.NewMerger(), c.engine.clock.Now()}
 }
 
-// decideLocally runs the gateway's own controller, as though every other gateway saw and did the same.
+// decideLocally runs the gateway's own controller, as though every other gateway saw and did the
+// same.
 func (f *follower) decideLocally(counts map[string]uint64) {
 	f.serial++
 	f.local.observations.Add(observation.Digest{
@@ -49,8 +50,9 @@
 	f.updater.Update()
 }
 
-// extrapolate makes of one gateway's counts those of all gateways if they counted alike. What is counted of the zone that
-// requests come in at is counted of each zone; the ready servers and the power of a zone are seen by all.
+// extrapolate makes of one gateway's counts those of all gateways if they counted alike. What is
+// counted of the zone that requests come in at is counted of each zone; the ready servers and the
+// power of a zone are seen by all.
 func (c *coordinator) extrapolate(counts map[string]uint64) map[string]uint64 {
 	all := make(map[string]uint64, len(counts)*len(c.zones))
 	perZone := uint64(max(len(c.followers)/len(c.zones), 1))
--- a/internal/lab/simulation/network.go
+++ b/internal/lab/simulation/network.go
@@ -30,8 +30,8 @@
 	return f.isolatedZones[a] || f.isolatedZones[b] || f.cutLinks[[2]int{min(a, b), max(a, b)}]
 }
 
-// announce has discovery notify every gateway of a server's state, each after a lag of its own. One gateway gets its
-// notifications in order.
+// announce has discovery notify every gateway of a server's state, each after a lag of its own. One
+// gateway gets its notifications in order.
 func (e *engine) announce(s *server) {
 	endpoint := s.endpoint()
 	for _, g := range e.gateways {
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -17,7 +17,8 @@
 	Scenario string `json:"world"`
 	Seed     uint64 `json:"seed"`
 
-	// Requests, however many tries each took. Due are those that a perfect count of first tries admits.
+	// Requests, however many tries each took. Due are those that a perfect count of first tries
+	// admits.
 	Offered          int `json:"Offered"`
 	Due              int `json:"Due"`
 	InTime           int `json:"InTime"`
@@ -26,8 +27,9 @@
 	Failed           int `json:"Failed"`
 	// FailureCauses has each that failed once.
 	FailureCauses FailureCauses `json:"Ends"`
-	// DueValue is the value of the requests that were due, ServedValue that of those served in time and within quotas; a
-	// request's value is its class's weight times its plan's price times its units.
+	// DueValue is the value of the requests that were due, ServedValue that of those served in time
+	// and within quotas; a request's value is its class's weight times its plan's price times its
+	// units.
 	DueValue    float64 `json:"GainDue"`
 	ServedValue float64 `json:"GainServed"`
 
@@ -37,16 +39,18 @@
 	BrokenConnections int `json:"BrokenConnections"` // tries whose gateway was dead or died
 	Attempts          int `json:"Pushes"`
 	Handshakes        int `json:"Handshakes"`
-	// CrossZone are the attempts to another zone than the gateway's own; CrossRegion are those of them to another region.
+	// CrossZone are the attempts to another zone than the gateway's own; CrossRegion are those of
+	// them to another region.
 	CrossZone   int `json:"Crossed"`
 	CrossRegion int `json:"Far"`
-	// PeakUtilisation is the work sent to a zone in a second over what its servers can do in one, at its highest over all
-	// seconds and all zones that had their capacity (minReadyCapacity).
+	// PeakUtilisation is the work sent to a zone in a second over what its servers can do in one,
+	// at its highest over all seconds and all zones that had their capacity (minReadyCapacity).
 	PeakUtilisation float64 `json:"Hottest"`
 	// PeakUtilisationOver5s is the same over five seconds.
 	PeakUtilisationOver5s float64 `json:"Warmest"`
-	// Plans were written, of which WrongPlans newly held to be lost what was not. FailoverMs are the milliseconds from the
-	// loss of a whole zone until a gateway that sent attempts there sent them elsewhere, or until the zone was restored.
+	// Plans were written, of which WrongPlans newly held to be lost what was not. FailoverMs are
+	// the milliseconds from the loss of a whole zone until a gateway that sent attempts there sent
+	// them elsewhere, or until the zone was restored.
 	Plans      int   `json:"Plans"`
 	WrongPlans int   `json:"Wrong"`
 	FailoverMs []int `json:"PlanMs"`
@@ -88,13 +92,19 @@
 // minus is what happened since an earlier total.
 func (s Second) minus(earlier Second) Second {
 	return Second{
-		s.Offered - earlier.Offered, s.InTime - earlier.InTime, s.Rejected - earlier.Rejected, s.Failed - earlier.Failed,
-		s.ServedValue - earlier.ServedValue, s.DueValue - earlier.DueValue,
-		s.Attempts - earlier.Attempts, s.CrossZone - earlier.CrossZone,
+		s.Offered - earlier.Offered,
+		s.InTime - earlier.InTime,
+		s.Rejected - earlier.Rejected,
+		s.Failed - earlier.Failed,
+		s.ServedValue - earlier.ServedValue,
+		s.DueValue - earlier.DueValue,
+		s.Attempts - earlier.Attempts,
+		s.CrossZone - earlier.CrossZone,
 	}
 }
 
-// Messages are the messages that voters get: digests of gateways, digests that other voters merged, and reads.
+// Messages are the messages that voters get: digests of gateways, digests that other voters merged,
+// and reads.
 type Messages struct {
 	Digests       int `json:"Digests"`
 	MergedDigests int `json:"Merged"`
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to be broken, and no other.
+// TestChecker_findsEachViolation runs the module with a fault for each rule: that rule is found to
+// be broken, and no other.
 func TestChecker_findsEachViolation(t *testing.T) {
 	for _, test := range violations() {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// erlangC is the probability that a request waits at c cores with utilisation rho, and the mean wait over the mean work that
-// follows from it: C / (c (1 - rho)).
+// erlangC is the probability that a request waits at c cores with utilisation rho, and the mean
+// wait over the mean work that follows from it: C / (c (1 - rho)).
 func erlangC(c int, rho float64) (waits, mean float64) {
 	a := float64(c) * rho
 	sum, term := 0.0, 1.0
@@ -25,7 +25,8 @@
 	return waits, waits / (float64(c) * (1 - rho))
 }
 
-// openScenario is a scenario without limits of any kind: requests come at random to servers of so many cores.
+// openScenario is a scenario without limits of any kind: requests come at random to servers of so
+// many cores.
 func openScenario(servers, cores int, rho float64, length time.Duration) *scenario.Scenario {
 	spec := scenario.Default()
 	spec.Length = scenario.Span(length)
@@ -46,7 +47,8 @@
 	return &spec
 }
 
-// clientDelayMs is the time from a client to its gateway, in milliseconds; answer times have it in them.
+// clientDelayMs is the time from a client to its gateway, in milliseconds; answer times have it in
+// them.
 const clientDelayMs = 0.5
 
 func TestServer_waitsMatchErlangC(t *testing.T) {
@@ -81,9 +83,10 @@
 }
 
 func TestServers_twoChoicesMatchTheory(t *testing.T) {
-	// With many servers of one core, the part that has k requests or more tends to rho^k with one random choice and to
-	// rho^(2^k - 1) with two (Vvedenskaya, Dobrushin, Karpelevich 1996). By Little's law the mean time in the system over the
-	// mean work is the sum of those parts over k, by rho.
+	// With many servers of one core, the part that has k requests or more tends to rho^k with one
+	// random choice and to rho^(2^k - 1) with two (Vvedenskaya, Dobrushin, Karpelevich 1996). By
+	// Little's law the mean time in the system over the mean work is the sum of those parts over k,
+	// by rho.
 	const rho = 0.8
 	mean := func(newPolicy baseline.Constructor) float64 {
 		r, err := Run(openScenario(200, 1, rho, 12*time.Second), 5, newPolicy)
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -10,9 +10,11 @@
 const (
 	// clientDelay is the time from a client to its gateway.
 	clientDelay = 500 * time.Microsecond
-	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or took its last try.
+	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or took its
+	// last try.
 	maxGatewayDraws = 4
-	// deadGatewayShare is the probability that a client takes a dead gateway it drew: their death is noticed by and by.
+	// deadGatewayShare is the probability that a client takes a dead gateway it drew: their death
+	// is noticed by and by.
 	deadGatewayShare = 0.3
 )
 
@@ -42,7 +44,8 @@
 	unanswered     // no answer by the deadline
 )
 
-// send sends a try through a gateway of the customer's set, other than the last one where there is another.
+// send sends a try through a gateway of the customer's set, other than the last one where there is
+// another.
 func (c *clients) send(request *request, number int, last *gateway) {
 	engine := c.engine
 	class := &engine.settings.Classes[request.class]
@@ -184,7 +187,8 @@
 	}
 }
 
-// canRetry reports whether a client may send a request again after an answer: where it did not run, or may run again.
+// canRetry reports whether a client may send a request again after an answer: where it did not run,
+// or may run again.
 func (c *clients) canRetry(t *try, got answer) bool {
 	class := &c.engine.settings.Classes[t.class]
 	switch {
--- a/internal/lab/simulation/utilisation.go
+++ b/internal/lab/simulation/utilisation.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// minReadyCapacity is the part of its full capacity that a zone must have for its utilisation to say something of those
-	// who send to it: a zone that a fault struck, or whose servers are warming up, is left out.
+	// minReadyCapacity is the part of its full capacity that a zone must have for its utilisation
+	// to say something of those who send to it: a zone that a fault struck, or whose servers are
+	// warming up, is left out.
 	minReadyCapacity = 0.9
-	// peakSeconds is the number of seconds over which a zone's utilisation is taken besides a single one, in which chance
-	// alone brings a small zone half as much again.
+	// peakSeconds is the number of seconds over which a zone's utilisation is taken besides a
+	// single one, in which chance alone brings a small zone half as much again.
 	peakSeconds = 5
 )
 
@@ -30,8 +31,8 @@
 	e.checker.AttemptSent(e.clock.Now(), a.gateway.index, a.server.id, a.try.id)
 }
 
-// zoneCapacities returns what the servers of each zone can do now and what they could at their best, in seconds of work on
-// a core of speed 1 in a second.
+// zoneCapacities returns what the servers of each zone can do now and what they could at their
+// best, in seconds of work on a core of speed 1 in a second.
 func (e *engine) zoneCapacities() (now, full []float64) {
 	now = make([]float64, len(e.zoneWork))
 	full = make([]float64, len(e.zoneWork))
--- a/internal/lab/simulation/utilisation_test.go
+++ b/internal/lab/simulation/utilisation_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// TestResult_eachFailedRequestHasOneCause: each failed request counts under one cause, also where gateways die or are paused
-// while their clients disconnect.
+// TestResult_eachFailedRequestHasOneCause: each failed request counts under one cause, also where
+// gateways die or are paused while their clients disconnect.
 func TestResult_eachFailedRequestHasOneCause(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestResult_countsAttemptsBetweenZonesAndRegions: with two zones in one region and one in another, random servers are in
-// another zone for two attempts of three, and in another region for four of nine. A zone that is sent all that its servers
-// can do has a utilisation of 1.
+// TestResult_countsAttemptsBetweenZonesAndRegions: with two zones in one region and one in another,
+// random servers are in another zone for two attempts of three, and in another region for four of
+// nine. A zone that is sent all that its servers can do has a utilisation of 1.
 func TestResult_countsAttemptsBetweenZonesAndRegions(t *testing.T) {
 	spec := smallScenario()
 	spec.Gateways.Zones, spec.Gateways.Regions = 3, [][]int{{0, 1}, {2}}
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// isConfirmed reports whether the leader, backed by a majority, can confirm that a voter's table is the latest.
+// isConfirmed reports whether the leader, backed by a majority, can confirm that a voter's table is
+// the latest.
 func (v *voter) isConfirmed() bool {
 	leader := v.coordinator.leader
 	if v.dead || leader == nil {
--- a/internal/lab/virtualtime/scheduler.go
+++ b/internal/lab/virtualtime/scheduler.go
@@ -1,6 +1,6 @@
-// Package virtualtime schedules events in virtual time, for simulations that have to run faster than time passes and to
-// repeat exactly. Events run one after the other on the caller's goroutine, ordered by their time and, at the same time, by
-// the order in which they were scheduled.
+// Package virtualtime schedules events in virtual time, for simulations that have to run faster
+// than time passes and to repeat exactly. Events run one after the other on the caller's goroutine,
+// ordered by their time and, at the same time, by the order in which they were scheduled.
 package virtualtime
 
 import (
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Scheduler is a clock that advances from event to event. The zero value is ready for use and starts at time 0. It is not
-// safe for concurrent use.
+// Scheduler is a clock that advances from event to event. The zero value is ready for use and
+// starts at time 0. It is not safe for concurrent use.
 type Scheduler struct {
-	// BeforeEvent is called before each event with its time and its sequence number, which counts from 1 in the order of
-	// scheduling; nil: nothing is called. It serves traces of a run.
+	// BeforeEvent is called before each event with its time and its sequence number, which counts
+	// from 1 in the order of scheduling; nil: nothing is called. It serves traces of a run.
 	BeforeEvent func(at time.Duration, sequence uint64)
-	// TieBreak is called for each event that is scheduled: events of the same time run in the order of these numbers, and
-	// then of scheduling; nil: of scheduling alone. It serves simulations that draw the order of simultaneous events.
+	// TieBreak is called for each event that is scheduled: events of the same time run in the order
+	// of these numbers, and then of scheduling; nil: of scheduling alone. It serves simulations
+	// that draw the order of simultaneous events.
 	TieBreak func() uint64
 
 	now          time.Duration
@@ -41,7 +42,8 @@
 // Scheduled returns how many events were scheduled so far, including those that ran.
 func (s *Scheduler) Scheduled() uint64 { return s.lastSequence }
 
-// At schedules an action. An action in the past runs at the current time, after all that is scheduled for it already.
+// At schedules an action. An action in the past runs at the current time, after all that is
+// scheduled for it already.
 func (s *Scheduler) At(at time.Duration, action func()) {
 	s.lastSequence++
 	tie := uint64(0)
@@ -54,8 +56,8 @@
 // After schedules an action for some time from now.
 func (s *Scheduler) After(delay time.Duration, action func()) { s.At(s.now+delay, action) }
 
-// Every schedules an action again and again, interval apart and for the first time after the given delay, until it
-// returns false.
+// Every schedules an action again and again, interval apart and for the first time after the given
+// delay, until it returns false.
 func (s *Scheduler) Every(first, interval time.Duration, action func() (again bool)) {
 	var run func()
 	run = func() {
@@ -88,16 +90,16 @@
 	return true
 }
 
-// RunUntil runs all events up to and including those at the given time. The clock then stands at the last of them, so that
-// a run in several parts equals one in a single part; see AdvanceTo.
+// RunUntil runs all events up to and including those at the given time. The clock then stands at
+// the last of them, so that a run in several parts equals one in a single part; see AdvanceTo.
 func (s *Scheduler) RunUntil(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		s.Step()
 	}
 }
 
-// AdvanceTo runs all events up to and including those at the given time, and sets the clock to it. The clock never goes
-// back.
+// AdvanceTo runs all events up to and including those at the given time, and sets the clock to it.
+// The clock never goes back.
 func (s *Scheduler) AdvanceTo(at time.Duration) {
 	s.RunUntil(at)
 	s.now = max(s.now, at)
--- a/internal/simulator/frame/actions.go
+++ b/internal/simulator/frame/actions.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"math"
+	"time"
 )
 
 // The codes of actions; beside them the format's own names.
@@ -53,6 +54,9 @@
 func (r *Reply) u64(v uint64)  { r.buffer = binary.LittleEndian.AppendUint64(r.buffer, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
+// milliseconds writes a span or time, which is sent in milliseconds.
+func (r *Reply) milliseconds(d time.Duration) { r.f64(float64(d) / float64(time.Millisecond)) }
+
 // SetInstance names the instance whose actions follow. Named again, it is left out.
 func (r *Reply) SetInstance(instance uint32) {
 	if r.hasInstance && r.instance == instance {
@@ -64,18 +68,18 @@
 }
 
 // Attempt forwards a request to a server; by the deadline the attempt ends.
-func (r *Reply) Attempt(requestID uint32, deadlineMs float64, server uint32) {
+func (r *Reply) Attempt(requestID uint32, deadline time.Duration, server uint32) {
 	r.begin(ActionAttempt, 16)
 	r.u32(requestID)
-	r.f64(deadlineMs)
+	r.milliseconds(deadline)
 	r.u32(server)
 }
 
 // Reject is a final answer: the client may ask again after a time.
-func (r *Reply) Reject(requestID uint32, retryAfterMs float64) {
+func (r *Reply) Reject(requestID uint32, retryAfter time.Duration) {
 	r.begin(ActionReject, 12)
 	r.u32(requestID)
-	r.f64(retryAfterMs)
+	r.milliseconds(retryAfter)
 }
 
 // Terminate is a final answer that says nothing of whether the request ran.
@@ -101,10 +105,10 @@
 }
 
 // SetTimer asks for a timer event with that token.
-func (r *Reply) SetTimer(token uint64, afterMs float64) {
+func (r *Reply) SetTimer(token uint64, after time.Duration) {
 	r.begin(ActionSetTimer, 16)
 	r.u64(token)
-	r.f64(afterMs)
+	r.milliseconds(after)
 }
 
 // SendPeer sends a message to a peer, or to all of them with AllPeers.
@@ -142,11 +146,12 @@
 // FetchEndpoints asks for the full endpoint list once.
 func (r *Reply) FetchEndpoints() { r.begin(ActionFetchEndpoints, 0) }
 
-// Count adds units to a number of the counter, which keeps it for a time after, and asks for its total.
-func (r *Reply) Count(name uint64, ttlMs float64, units float32) {
+// Count adds units to a number of the counter, which keeps it for a time after, and asks for its
+// total.
+func (r *Reply) Count(name uint64, ttl time.Duration, units float32) {
 	r.begin(ActionCount, 20)
 	r.u64(name)
-	r.f64(ttlMs)
+	r.milliseconds(ttl)
 	r.u32(math.Float32bits(units))
 }
 
--- a/internal/simulator/frame/decode.go
+++ b/internal/simulator/frame/decode.go
@@ -4,16 +4,20 @@
 	"encoding/binary"
 	"fmt"
 	"math"
+	"time"
+
+	"harrierhoist/internal/gateway/config"
 )
 
 // Batch is one frame of events.
 type Batch struct {
-	ClockMs float64
-	Serial  uint32 // the reply carries it back
-	Events  []Event
+	Now    time.Duration // on the simulator's clock
+	Serial uint32        // the reply carries it back
+	Events []Event
 }
 
-// Decode reads one complete frame of events. An error is a *FormatError without the number of its batch.
+// Decode reads one complete frame of events. An error is a *FormatError without the number of its
+// batch.
 func Decode(frame []byte) (*Batch, error) {
 	if len(frame) < batchHeaderSize {
 		return nil, &FormatError{Offset: len(frame), Reason: "the header is cut short"}
@@ -22,8 +26,8 @@
 		return nil, &FormatError{Reason: fmt.Sprintf("the frame says %d bytes and has %d", size, len(frame))}
 	}
 	batch := &Batch{
-		ClockMs: math.Float64frombits(binary.LittleEndian.Uint64(frame[4:])),
-		Serial:  binary.LittleEndian.Uint32(frame[12:]),
+		Now:    config.Milliseconds(math.Float64frombits(binary.LittleEndian.Uint64(frame[clockOffset:]))),
+		Serial: binary.LittleEndian.Uint32(frame[serialOffset:]),
 	}
 	for offset := batchHeaderSize; offset < len(frame); {
 		message, size, reason := decodeRecord(frame[offset:])
@@ -36,7 +40,8 @@
 	return batch, nil
 }
 
-// decodeRecord reads the record at the start of data and gives its size in bytes, or what is wrong with it.
+// decodeRecord reads the record at the start of data and gives its size in bytes, or what is wrong
+// with it.
 func decodeRecord(data []byte) (message Message, size int, reason string) {
 	if len(data) < recordHeaderSize {
 		return nil, 0, "a record is cut short"
@@ -62,8 +67,8 @@
 	return message, size, ""
 }
 
-// messageDecoders read the fields of each event in the order in which they stand: Go evaluates the calls in a composite
-// literal from left to right.
+// messageDecoders read the fields of each event in the order in which they stand: Go evaluates the
+// calls in a composite literal from left to right.
 var messageDecoders = map[uint8]func(d *decoder) Message{
 	EventStart: func(d *decoder) Message {
 		start := Start{Seed: d.u64()}
@@ -72,13 +77,13 @@
 	},
 	EventStop: func(*decoder) Message { return Stop{} },
 	EventStreamStart: func(d *decoder) Message {
-		return StreamStart{RequestID: d.u32(), ElapsedMs: d.f64(), Attempt: d.u16(), Server: d.u32()}
+		return StreamStart{RequestID: d.u32(), Elapsed: d.milliseconds(), Attempt: d.u16(), Server: d.u32()}
 	},
 	EventDisconnect: func(d *decoder) Message { return Disconnect{RequestID: d.u32()} },
 	EventAddressee:  func(d *decoder) Message { return Addressee{Instance: d.u32()} },
 	EventAttemptResult: func(d *decoder) Message {
 		return AttemptResult{
-			RequestID: d.u32(), Attempt: d.u16(), Server: d.u32(), Outcome: d.u8(), ElapsedMs: d.f64(),
+			RequestID: d.u32(), Attempt: d.u16(), Server: d.u32(), Outcome: d.u8(), Elapsed: d.milliseconds(),
 			Final: d.u8() != 0, UsagePercent: d.u16(), ActualUnits: d.u16(), LoadReport: d.loadReport(),
 		}
 	},
@@ -89,15 +94,15 @@
 	},
 	EventRequest: func(d *decoder) Message {
 		return Request{
-			ID: d.u32(), Options: d.u8(), Plan: d.u32(), DeadlineMs: d.f64(), Customer: d.u64(),
+			ID: d.u32(), Options: d.u8(), Plan: d.u32(), Deadline: d.milliseconds(), Customer: d.u64(),
 			FirstGateway: d.f32(), Class: d.u8(), GatewayCount: d.f32(), Units: d.f32(),
 		}
 	},
 	EventHealthCheck: func(d *decoder) Message {
-		return HealthCheck{Server: d.u32(), Outcome: d.u8(), ElapsedMs: d.f64(), LoadReport: d.loadReport()}
+		return HealthCheck{Server: d.u32(), Outcome: d.u8(), Elapsed: d.milliseconds(), LoadReport: d.loadReport()}
 	},
 	EventCount: func(d *decoder) Message {
-		return Count{Total: d.f32(), ElapsedMs: d.f64(), Name: d.u64(), Outcome: d.u8()}
+		return Count{Total: d.f32(), Elapsed: d.milliseconds(), Name: d.u64(), Outcome: d.u8()}
 	},
 	EventEndpoints: func(d *decoder) Message {
 		return Endpoints{Generation: d.u64(), Kind: d.u8(), Endpoints: d.endpoints()}
@@ -136,6 +141,9 @@
 func (d *decoder) f32() float32 { return math.Float32frombits(d.u32()) }
 func (d *decoder) f64() float64 { return math.Float64frombits(d.u64()) }
 
+// milliseconds reads a span or time that is sent in milliseconds.
+func (d *decoder) milliseconds() time.Duration { return config.Milliseconds(d.f64()) }
+
 // bytes gives a copy of the next bytes.
 func (d *decoder) bytes(n int) []byte {
 	if !d.has(n) {
@@ -147,7 +155,7 @@
 // loadReport reads a load report: the number of its figures, and the figures.
 func (d *decoder) loadReport() []float32 {
 	n := int(d.u8())
-	if !d.has(4 * n) {
+	if !d.has(figureSize * n) {
 		return nil
 	}
 	var figures []float32
@@ -167,7 +175,7 @@
 	var list []Endpoint
 	for range n {
 		list = append(list, Endpoint{
-			Stage: d.u8(), Server: d.u32(), Power: d.f32(), StartedMs: d.f64(),
+			State: d.u8(), Server: d.u32(), Capacity: d.f32(), StartedAt: d.milliseconds(),
 			Rack: d.u16(), Zone: d.u16(), Hardware: d.u16(),
 		})
 	}
--- a/internal/simulator/frame/events.go
+++ b/internal/simulator/frame/events.go
@@ -1,5 +1,7 @@
 package frame
 
+import "time"
+
 // The codes of events; beside them the format's own names.
 const (
 	EventStart         = 10  // spawn
@@ -16,6 +18,19 @@
 	EventTimer         = 120 // timer
 )
 
+// The codes of the states of an endpoint.
+const (
+	StateReady    = 2
+	StateDraining = 3
+)
+
+// The codes of the kinds of endpoint list.
+const (
+	ListDelta  = 0
+	ListFull   = 1
+	ListCached = 2
+)
+
 // Event is one record of a batch.
 type Event struct {
 	Offset  int // of the record, in bytes from the start of the frame
@@ -45,7 +60,7 @@
 // StreamStart tells that a streamed answer has started.
 type StreamStart struct {
 	RequestID uint32
-	ElapsedMs float64
+	Elapsed   time.Duration // since the attempt began
 	Attempt   uint16
 	Server    uint32
 }
@@ -61,10 +76,10 @@
 	Attempt      uint16
 	Server       uint32
 	Outcome      uint8
-	ElapsedMs    float64
-	Final        bool   // the request has its final answer
-	UsagePercent uint16 // 1 + the customer's use in percent of its rate; 0: not reported
-	ActualUnits  uint16 // 0: not reported
+	Elapsed      time.Duration // since the attempt began
+	Final        bool          // the request has its final answer
+	UsagePercent uint16        // 1 + the customer's use in percent of its rate; 0: not reported
+	ActualUnits  uint16        // 0: not reported
 	LoadReport   []float32
 }
 
@@ -79,7 +94,7 @@
 	ID           uint32
 	Options      uint8 // bits; OptionRepeat is one
 	Plan         uint32
-	DeadlineMs   float64 // on the simulator's clock
+	Deadline     time.Duration // on the simulator's clock
 	Customer     uint64
 	FirstGateway float32
 	Class        uint8
@@ -94,24 +109,24 @@
 type HealthCheck struct {
 	Server     uint32
 	Outcome    uint8
-	ElapsedMs  float64
+	Elapsed    time.Duration // since the health check began
 	LoadReport []float32
 }
 
 // Count is the counter's reply to one call.
 type Count struct {
-	Total     float32
-	ElapsedMs float64
-	Name      uint64
-	Outcome   uint8
+	Total   float32
+	Elapsed time.Duration // since the call
+	Name    uint64
+	Outcome uint8
 }
 
 // Endpoint is a server of the endpoint list.
 type Endpoint struct {
-	Stage     uint8
+	State     uint8 // StateReady, StateDraining; any other is a removal
 	Server    uint32
-	Power     float32
-	StartedMs float64
+	Capacity  float32
+	StartedAt time.Duration // on the simulator's clock
 	Rack      uint16
 	Zone      uint16
 	Hardware  uint16
@@ -120,7 +135,7 @@
 // Endpoints brings the endpoint list, or what changed of it.
 type Endpoints struct {
 	Generation uint64
-	Kind       uint8
+	Kind       uint8 // ListDelta, ListFull, ListCached; any other is a failure
 	Endpoints  []Endpoint
 }
 
--- a/internal/simulator/frame/frame_test.go
+++ b/internal/simulator/frame/frame_test.go
@@ -8,6 +8,7 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 )
 
 // The hex below is written out by hand from the page that describes the frames.
@@ -46,35 +47,35 @@
 	{
 		"request", "50 26000000 c4913a5d 01 00000000 0000000020e6c040 640ad2557c3bf091 0000803f 00 00004040 00000040", 80,
 		Request{
-			ID: 0x5d3a91c4, Options: 1, DeadlineMs: 8652.25, Customer: 0x91f03b7c55d20a64, FirstGateway: 1,
+			ID: 0x5d3a91c4, Options: 1, Deadline: 8652250 * time.Microsecond, Customer: 0x91f03b7c55d20a64, FirstGateway: 1,
 			GatewayCount: 3, Units: 2,
 		},
 	},
 	{
 		"attempt result", "3c 19000000 c4913a5d 0000 074a1203 00 0000000000803240 01 5600 0300 00", 60,
 		AttemptResult{
-			RequestID: 0x5d3a91c4, Server: 0x03124a07, ElapsedMs: 18.5, Final: true, UsagePercent: 86, ActualUnits: 3,
+			RequestID: 0x5d3a91c4, Server: 0x03124a07, Elapsed: 18500 * time.Microsecond, Final: true, UsagePercent: 86, ActualUnits: 3,
 		},
 	},
 	{
 		"stream start", "1e 12000000 c4913a5d 0000000000802240 0000 074a1203", 30,
-		StreamStart{RequestID: 0x5d3a91c4, ElapsedMs: 9.25, Server: 0x03124a07},
+		StreamStart{RequestID: 0x5d3a91c4, Elapsed: 9250 * time.Microsecond, Server: 0x03124a07},
 	},
 	{
 		"health check", "5a 16000000 f211902c 00 0000000000803240 02 0000803f 00000040", 90,
-		HealthCheck{Server: 0x2c9011f2, ElapsedMs: 18.5, LoadReport: []float32{1, 2}},
+		HealthCheck{Server: 0x2c9011f2, Elapsed: 18500 * time.Microsecond, LoadReport: []float32{1, 2}},
 	},
 	{"peer message", "46 0a000000 02000000 0400 68692037", 70, PeerMessage{From: 2, Bytes: []byte("hi 7")}},
 	{
 		"count", "64 15000000 00001842 0000000000803240 90f6890000000000 6e", 100,
-		Count{Total: 38, ElapsedMs: 18.5, Name: 0x89f690, Outcome: 110},
+		Count{Total: 38, Elapsed: 18500 * time.Microsecond, Name: 0x89f690, Outcome: 110},
 	},
 	{
 		"endpoints", `6e 3b000000 2900000000000000 02 02000000 02 074a1203 0000803f 0000000000000000 0000 0000 0000
 				02 f211902c 0000c03f 0000000000d4b740 0000 0100 0000`, 110,
 		Endpoints{Generation: 41, Kind: 2, Endpoints: []Endpoint{
-			{Stage: 2, Server: 0x03124a07, Power: 1},
-			{Stage: 2, Server: 0x2c9011f2, Power: 1.5, StartedMs: 6100, Zone: 1},
+			{State: 2, Server: 0x03124a07, Capacity: 1},
+			{State: 2, Server: 0x2c9011f2, Capacity: 1.5, StartedAt: 6100 * time.Millisecond, Zone: 1},
 		}},
 	},
 }
@@ -87,7 +88,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := &Batch{ClockMs: 8412.25, Serial: 12, Events: []Event{{Offset: batchHeaderSize, Message: test.want}}}
+			want := &Batch{Now: 8412250 * time.Microsecond, Serial: 12, Events: []Event{{Offset: batchHeaderSize, Message: test.want}}}
 			if !reflect.DeepEqual(batch, want) {
 				t.Errorf("got %+v, want %+v", batch, want)
 			}
@@ -102,17 +103,17 @@
 	reply := NewReply(12)
 	reply.SetInstance(3)
 	reply.SetInstance(3) // named again, it is left out
-	reply.Attempt(0x5d3a91c4, 8492.0, 0x03124a07)
-	reply.SetTimer(77, 500)
+	reply.Attempt(0x5d3a91c4, 8492*time.Millisecond, 0x03124a07)
+	reply.SetTimer(77, 500*time.Millisecond)
 	reply.Cancel(0x5d3a91c4, 1)
-	reply.Reject(0x0e6f2b19, 250)
+	reply.Reject(0x0e6f2b19, 250*time.Millisecond)
 	reply.Terminate(0x0e6f2b19)
 	reply.CheckHealth(0x2c9011f2)
 	reply.CloseConnections(0x2c9011f2)
 	reply.SendPeer(AllPeers, []byte("hi 7"))
 	reply.WatchEndpoints(true)
 	reply.FetchEndpoints()
-	reply.Count(0x89f690, 3000, 4)
+	reply.Count(0x89f690, 3000*time.Millisecond, 4)
 	reply.SetInstance(5)
 	reply.Log("two servers known")
 	reply.InternalError("index out of range")
@@ -160,7 +161,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			r := NewReader(bytes.NewReader(append(bytes.Clone(empty), decodeHex(t, test.in)...)))
-			if batch, err := r.Next(); err != nil || batch.ClockMs != 8412.25 {
+			if batch, err := r.Next(); err != nil || batch.Now != 8412250*time.Microsecond {
 				t.Fatalf("the empty batch before: %v", err)
 			}
 			_, err := r.Next()
--- a/internal/simulator/frame/reader.go
+++ b/internal/simulator/frame/reader.go
@@ -23,8 +23,8 @@
 // BatchesBegun is the number of batches begun so far.
 func (r *Reader) BatchesBegun() int { return r.begun }
 
-// Next reads a batch, which is valid until the next call. Its errors are io.EOF where the input ends between frames, and
-// a *FormatError.
+// Next reads a batch, which is valid until the next call. Its errors are io.EOF where the input
+// ends between frames, and a *FormatError.
 func (r *Reader) Next() (*Batch, error) {
 	var sizeField [4]byte
 	n, err := io.ReadFull(r.input, sizeField[:])
--- a/internal/simulator/host/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -9,10 +9,11 @@
 	"harrierhoist/internal/simulator/frame"
 )
 
-// A golden run takes some ten thousand events through the adapter's loop, and its replies hash to what the code answered when
-// this test was written: the decisions and their order, the random draws, the timers and the bytes of the frames, all in
-// one. Only the wording of log lines stays out of the hash. The adapter takes no new settings while it runs (it has no
-// signal for that, and the frames no event): a gateway that is stopped starts again with others here.
+// A golden run takes some ten thousand events through the adapter's loop, and its replies hash to
+// what the code answered when this test was written: the decisions and their order, the random
+// draws, the timers and the bytes of the frames, all in one. Only the wording of log lines stays
+// out of the hash. The adapter takes no new settings while it runs (it has no signal for that, and
+// the frames no event): a gateway that is stopped starts again with others here.
 //
 // The hashes hold for amd64, where Go fuses no multiplication with an addition.
 
@@ -212,7 +213,8 @@
 	}
 }
 
-// checkCoverage wants a run of some thousand events, of every kind that its settings know, and no failure of the gateway.
+// checkCoverage wants a run of some thousand events, of every kind that its settings know, and no
+// failure of the gateway.
 func (s *simulator) checkCoverage() {
 	s.t.Helper()
 	total := 0
--- a/internal/simulator/host/host.go
+++ b/internal/simulator/host/host.go
@@ -1,5 +1,6 @@
-// Package host runs gateways behind the simulator's frames: any number of instances that share nothing. It translates
-// records into the types of package policy and the calls of its Host into records, and decides nothing.
+// Package host runs gateways behind the simulator's frames: any number of instances that share
+// nothing. It translates records into the types of package policy and the calls of its Host into
+// records, and decides nothing.
 package host
 
 import (
@@ -7,12 +8,11 @@
 	"fmt"
 	"io"
 
-	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/simulator/frame"
 )
 
-// Run answers batches until the input ends. A batch that is malformed ends it with a *frame.FormatError, and gets no part
-// of a reply.
+// Run answers batches until the input ends. A batch that is malformed ends it with a
+// *frame.FormatError, and gets no part of a reply.
 func Run(in io.Reader, out io.Writer) error {
 	reader := frame.NewReader(in)
 	instances := instanceSet{}
@@ -38,11 +38,10 @@
 // instanceSet holds the instances that run, by their numbers.
 type instanceSet map[uint32]*instance
 
-// runBatch hands the events of a batch to their instances and gives the reply. Its actions stand in the order of the events,
-// under the instance that each event is for.
+// runBatch hands the events of a batch to their instances and gives the reply. Its actions stand in
+// the order of the events, under the instance that each event is for.
 func (s instanceSet) runBatch(batch *frame.Batch) ([]byte, *frame.FormatError) {
 	reply := frame.NewReply(batch.Serial)
-	now := config.Milliseconds(batch.ClockMs)
 	var addressee *frame.Addressee // nil: none was named yet
 	for _, event := range batch.Events {
 		if named, ok := event.Message.(frame.Addressee); ok {
@@ -63,14 +62,19 @@
 		}
 		running := s[number]
 		if running == nil {
-			return nil, malformedAt(event, "event %d for gateway %d, which is not running", event.Message.Code(), number)
+			return nil, malformedAt(
+				event,
+				"event %d for gateway %d, which is not running",
+				event.Message.Code(),
+				number,
+			)
 		}
 		if _, ok := event.Message.(frame.Stop); ok {
 			delete(s, number)
 			continue
 		}
 		running.reply = reply
-		running.handleRecovering(now, event.Message)
+		running.handleRecovering(batch.Now, event.Message)
 	}
 	return reply.Bytes(), nil
 }
--- a/internal/simulator/host/instance.go
+++ b/internal/simulator/host/instance.go
@@ -34,8 +34,8 @@
 	return i, nil
 }
 
-// handleRecovering hands the gateway an event. A panic in its decisions becomes one internal error, and the instance is
-// silent from there on.
+// handleRecovering hands the gateway an event. A panic in its decisions becomes one internal error,
+// and the instance is silent from there on.
 func (i *instance) handleRecovering(now time.Duration, message frame.Message) {
 	if i.failed {
 		return
@@ -67,8 +67,13 @@
 	case frame.Count:
 		i.gateway.HandleCount(now, countResultOf(message))
 	case frame.HealthCheck:
-		elapsed := config.Milliseconds(message.ElapsedMs)
-		i.gateway.HandleHealthCheck(now, message.Server, outcomeOf(message.Outcome), elapsed, message.LoadReport)
+		i.gateway.HandleHealthCheck(
+			now,
+			message.Server,
+			outcomeOf(message.Outcome),
+			message.Elapsed,
+			message.LoadReport,
+		)
 	case frame.PeerMessage:
 		i.gateway.HandlePeerMessage(now, int(message.From), message.Bytes)
 	}
@@ -82,7 +87,7 @@
 
 // Attempt sends a request to a server.
 func (i *instance) Attempt(requestID, server uint32, deadline time.Duration) {
-	i.nextAction().Attempt(requestID, milliseconds(deadline), server)
+	i.nextAction().Attempt(requestID, deadline, server)
 }
 
 // Cancel ends the wait on an attempt.
@@ -92,7 +97,7 @@
 
 // Reject is a final answer that makes asking again harmless.
 func (i *instance) Reject(requestID uint32, retryAfter time.Duration) {
-	i.nextAction().Reject(requestID, milliseconds(retryAfter))
+	i.nextAction().Reject(requestID, retryAfter)
 }
 
 // Terminate is a final answer that promises nothing.
@@ -100,7 +105,7 @@
 
 // Count calls the counter.
 func (i *instance) Count(name uint64, ttl time.Duration, units float64) {
-	i.nextAction().Count(name, milliseconds(ttl), float32(units))
+	i.nextAction().Count(name, ttl, float32(units))
 }
 
 // CheckHealth asks a server for its load report.
@@ -120,7 +125,7 @@
 
 // SetTimer asks for a timer.
 func (i *instance) SetTimer(token uint64, after time.Duration) {
-	i.nextAction().SetTimer(token, milliseconds(after))
+	i.nextAction().SetTimer(token, after)
 }
 
 // CancelTimer does nothing: timers of the simulator cannot be taken back.
--- a/internal/simulator/host/simulated_events_test.go
+++ b/internal/simulator/host/simulated_events_test.go
@@ -34,7 +34,7 @@
 	s.gateways = make([]simulatedGateway, s.settings.gateways)
 	for i := range serversOfRun {
 		s.servers = append(s.servers, simulatedServer{
-			id: s.random.Uint32(), state: stateReady, power: 0.5 + s.random.Float32(),
+			id: s.random.Uint32(), state: frame.StateReady, power: 0.5 + s.random.Float32(),
 			zone: i % s.settings.zones, sinceMs: float64(i%3) * 700,
 		})
 	}
@@ -53,7 +53,7 @@
 	salt := s.random.Uint64()
 	s.schedule(gateway, inMs, func() []byte {
 		s.gateways[gateway].running = true
-		s.schedule(gateway, 0, func() []byte { return s.view(listCached, s.servers) })
+		s.schedule(gateway, 0, func() []byte { return s.view(frame.ListCached, s.servers) })
 		return encodeRecord(frame.EventStart, u64(salt), u32(uint32(len(text))), []byte(text))
 	})
 }
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// submit sends a request to a gateway of its customer's set; options are 2 for one that is asked again.
+// submit sends a request to a gateway of its customer's set; options are 2 for one that is asked
+// again.
 func (s *simulator) submit(customer uint64, options uint8) {
 	first, width := int(customer)%s.settings.gateways, 1+int(customer)%2
 	gateway := uint32((first + s.random.Intn(width)) % s.settings.gateways)
@@ -165,7 +166,7 @@
 	if s.clockMs > server.failsFromMs && s.clockMs < server.failsUntilMs {
 		return []uint8{codeErrored, codeReset, codeTimedOut}[s.random.Intn(3)]
 	}
-	if server.inFlight > 10 || server.state != stateReady {
+	if server.inFlight > 10 || server.state != frame.StateReady {
 		return codeRejected
 	}
 	if rare := s.random.Intn(100); rare < 12 {
--- a/internal/simulator/host/simulated_lists_test.go
+++ b/internal/simulator/host/simulated_lists_test.go
@@ -46,23 +46,24 @@
 
 // subscribe brings a gateway the full list, or one time in four none.
 func (s *simulator) subscribe(gateway uint32) {
-	kind, servers := uint8(listFull), s.servers
+	kind, servers := uint8(frame.ListFull), s.servers
 	if s.random.Intn(4) == 0 {
 		kind, servers = codeListFailed, nil
 	}
 	s.schedule(gateway, 10, func() []byte { return s.view(kind, servers) })
 }
 
-// changeList takes a server through its states, or starts it again, and notifies the gateways that run.
+// changeList takes a server through its states, or starts it again, and notifies the gateways that
+// run.
 func (s *simulator) changeList() []byte {
 	changed := &s.servers[1+s.random.Intn(len(s.servers)-1)]
 	switch changed.state {
-	case stateReady:
-		changed.state = stateDraining
-	case stateDraining:
+	case frame.StateReady:
+		changed.state = frame.StateDraining
+	case frame.StateDraining:
 		changed.state = codeRemoved
 	default:
-		changed.state, changed.sinceMs = stateReady, s.clockMs
+		changed.state, changed.sinceMs = frame.StateReady, s.clockMs
 	}
 	delta := []simulatedServer{*changed}
 	for id := range s.gateways {
@@ -74,19 +75,20 @@
 	return nil
 }
 
-// notifyChange brings a gateway a change; now and then the full list instead, or a list that failed.
+// notifyChange brings a gateway a change; now and then the full list instead, or a list that
+// failed.
 func (s *simulator) notifyChange(gateway uint32, delta []simulatedServer) {
-	record := func() []byte { return s.view(listDelta, delta) }
+	record := func() []byte { return s.view(frame.ListDelta, delta) }
 	if s.random.Intn(10) == 0 {
 		record = func() []byte { return s.view(codeListFailed, nil) }
 	} else if s.random.Intn(10) == 0 {
-		record = func() []byte { return s.view(listFull, s.servers) }
+		record = func() []byte { return s.view(frame.ListFull, s.servers) }
 	}
 	s.schedule(gateway, 1, record)
 }
 
-// strayEvent is one that the gateway as it is asks nothing for: a health check's result, a peer's message, a first byte
-// or an answer of a request that it does not know.
+// strayEvent is one that the gateway as it is asks nothing for: a health check's result, a peer's
+// message, a first byte or an answer of a request that it does not know.
 func (s *simulator) strayEvent() []byte {
 	s.schedule(0, 200*s.random.Float64(), s.strayEvent)
 	server := s.servers[s.random.Intn(len(s.servers))].id
--- a/internal/simulator/host/simulator_test.go
+++ b/internal/simulator/host/simulator_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/simulator/frame"
 )
 
-// simulator is the far end of the adapter's pipe: frames of events are read from it, and replies written to it, whose actions
-// bring the next events. All that happens is drawn from one seed.
+// simulator is the far end of the adapter's pipe: frames of events are read from it, and replies
+// written to it, whose actions bring the next events. All that happens is drawn from one seed.
 type simulator struct {
 	t        *testing.T
 	settings goldenSettings
@@ -155,7 +155,8 @@
 	return append(append(encoded, u32(s.serial)...), body...)
 }
 
-// Write takes a reply: it goes into the hash but for the text of log lines, and its actions are performed.
+// Write takes a reply: it goes into the hash but for the text of log lines, and its actions are
+// performed.
 func (s *simulator) Write(reply []byte) (int, error) {
 	_, _ = s.digest.Write(reply[4:12])
 	var gateway uint32
--- a/internal/simulator/host/translate.go
+++ b/internal/simulator/host/translate.go
@@ -1,9 +1,6 @@
 package host
 
 import (
-	"time"
-
-	"harrierhoist/internal/gateway/config"
 	"harrierhoist/internal/simulator/frame"
 	"harrierhoist/policy"
 )
@@ -11,27 +8,25 @@
 // percent is the unit in which a customer's use of its rate is reported.
 const percent = 100
 
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
 func requestOf(message frame.Request) policy.Request {
 	return policy.Request{
 		ID: message.ID, Class: int(message.Class), Plan: int(message.Plan), Customer: message.Customer,
 		FirstGateway: int(message.FirstGateway), GatewayCount: int(message.GatewayCount), Units: float64(message.Units),
-		Deadline: config.Milliseconds(message.DeadlineMs), Repeat: message.Options&frame.OptionRepeat != 0,
+		Deadline: message.Deadline, Repeat: message.Options&frame.OptionRepeat != 0,
 	}
 }
 
 func attemptResultOf(message frame.AttemptResult) policy.AttemptResult {
 	return policy.AttemptResult{
 		RequestID: message.RequestID, Attempt: int(message.Attempt), Server: message.Server,
-		Outcome: outcomeOf(message.Outcome), Latency: config.Milliseconds(message.ElapsedMs), Final: message.Final,
+		Outcome: outcomeOf(message.Outcome), Latency: message.Elapsed, Final: message.Final,
 		ActualUnits: float64(message.ActualUnits), Usage: usageOf(message.UsagePercent), LoadReport: message.LoadReport,
 	}
 }
 
 func countResultOf(message frame.Count) policy.CountResult {
 	return policy.CountResult{
-		Name: message.Name, Total: float64(message.Total), Latency: config.Milliseconds(message.ElapsedMs),
+		Name: message.Name, Total: float64(message.Total), Latency: message.Elapsed,
 		Outcome: outcomeOf(message.Outcome),
 	}
 }
@@ -48,7 +43,7 @@
 	125: policy.Cancelled,
 }
 
-// outcomeOf takes a code that is not known for an error: whatever it stands for may have run.
+// outcomeOf takes a code that is not known for an error: what it means may have run.
 func outcomeOf(code uint8) policy.Outcome {
 	if outcome, known := outcomes[code]; known {
 		return outcome
@@ -56,7 +51,8 @@
 	return policy.Errored
 }
 
-// quotaUse turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0 stays not reported.
+// usageOf turns 1 + a customer's use in percent of its rate, or its limit, into 1 + the part; 0
+// stays not reported.
 func usageOf(percentPlusOne uint16) float64 {
 	if percentPlusOne == 0 {
 		return 0
@@ -64,39 +60,26 @@
 	return 1 + float64(percentPlusOne-1)/percent
 }
 
-// The codes of the kinds of list.
-const (
-	listDelta  = 0
-	listFull   = 1
-	listCached = 2
-)
-
 // listKindOf takes a code that is not known for a failure: the earlier list stands.
 func listKindOf(code uint8) policy.ListKind {
 	switch code {
-	case listDelta:
+	case frame.ListDelta:
 		return policy.ListDelta
-	case listFull:
+	case frame.ListFull:
 		return policy.ListFull
-	case listCached:
+	case frame.ListCached:
 		return policy.ListCached
 	default:
 		return policy.ListFailed
 	}
 }
 
-// The codes of the states of an endpoint.
-const (
-	stateReady    = 2
-	stateDraining = 3
-)
-
 // stateOf takes a code that is not known for a removal.
 func stateOf(code uint8) policy.EndpointState {
 	switch code {
-	case stateReady:
+	case frame.StateReady:
 		return policy.Ready
-	case stateDraining:
+	case frame.StateDraining:
 		return policy.Draining
 	default:
 		return policy.Removed
@@ -107,8 +90,8 @@
 	endpoints := make([]policy.Endpoint, 0, len(list))
 	for _, endpoint := range list {
 		endpoints = append(endpoints, policy.Endpoint{
-			Server: endpoint.Server, State: stateOf(endpoint.Stage), Capacity: float64(endpoint.Power),
-			StartedAt: config.Milliseconds(endpoint.StartedMs), Rack: int(endpoint.Rack), Zone: int(endpoint.Zone),
+			Server: endpoint.Server, State: stateOf(endpoint.State), Capacity: float64(endpoint.Capacity),
+			StartedAt: endpoint.StartedAt, Rack: int(endpoint.Rack), Zone: int(endpoint.Zone),
 			Hardware: int(endpoint.Hardware),
 		})
 	}
--- a/internal/testing/conformance/action.go
+++ b/internal/testing/conformance/action.go
@@ -14,14 +14,16 @@
 
 // The actions of a case, as it writes them.
 const (
-	// actionRequest is "request N units U [customer C] [class L]": a request arrives. Without C it is the case's
-	// customer's, without L of class short.
+	// actionRequest is "request N units U [customer C] [class L]": a request arrives. Without C it
+	// is the case's customer's, without L of class short.
 	actionRequest verb = "request"
-	// actionAnswer is "answer N [billed U]": the server answers request N. Without U the answer reports no units.
+	// actionAnswer is "answer N [billed U]": the server answers request N. Without U the answer
+	// reports no units.
 	actionAnswer verb = "answer"
 	// actionOthers is "others U": other gateways charge the case's customer, in its current window.
 	actionOthers verb = "others"
-	// actionCounter is "counter silent" (calls are accepted and not answered) or "counter answering" (all are answered).
+	// actionCounter is "counter silent" (calls are accepted and not answered) or "counter
+	// answering" (all are answered).
 	actionCounter verb = "counter"
 	// actionWait is "wait D": so much time passes.
 	actionWait verb = "wait"
@@ -29,8 +31,8 @@
 	actionEdge verb = "edge"
 	// actionMarker is "marker W": nothing happens, and the event "marker W" is recorded.
 	actionMarker verb = "marker"
-	// actionConnections is "connections": "connection X" is recorded for each other process that the gateway is
-	// connected to.
+	// actionConnections is "connections": "connection X" is recorded for each other process that
+	// the gateway is connected to.
 	actionConnections verb = "connections"
 )
 
@@ -53,9 +55,10 @@
 	objective, timeout time.Duration
 }
 
-// classes are the traffic classes of the cases; both are idempotent. A check may take a quarter of the latency objective.
-// A process has to be quick within that quarter, so the objective is long. Requests of class long outlive a minute, so
-// that the state of a customer with a stale charge is kept.
+// classes are the traffic classes of the cases; both are idempotent. A check may take a quarter of
+// the latency objective. A process has to be quick within that quarter, so the objective is long.
+// Requests of class long outlive a minute, so that the state of a customer with a stale charge is
+// kept.
 var classes = []class{
 	{"short", 4 * time.Second, 8 * time.Second},
 	{"long", 4 * time.Second, 2 * time.Minute},
--- a/internal/testing/conformance/change_test.go
+++ b/internal/testing/conformance/change_test.go
@@ -23,8 +23,9 @@
 // caseRun is a case together with what it ran against.
 type caseRun struct{ name, target string }
 
-// Each broken program is built in place of the real one by an overlay. All cases run against its module, and some against
-// a process of it. Those named for the change must fail. Each case must be failed by some change, wherever it runs.
+// Each broken program is built in place of the real one by an overlay. All cases run against its
+// module, and some against a process of it. Those named for the change must fail. Each case must be
+// failed by some change, wherever it runs.
 func TestChangesAreCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the module for each change")
@@ -50,7 +51,8 @@
 	}
 }
 
-// The edits name the source by its text. This says within a second which of them a change of the source has missed.
+// The edits name the source by its text. This says within a second which of them a change of the
+// source has missed.
 func TestChanges_editsMatchTheSourceOnce(t *testing.T) {
 	for _, change := range loadSuite(t).Changes {
 		t.Run(change.Name, func(t *testing.T) { writeOverlay(t, change) })
@@ -66,7 +68,8 @@
 	return false
 }
 
-// checkChange runs the cases against a broken program, requires those named to fail, and returns all that did.
+// checkChange runs the cases against a broken program, requires those named to fail, and returns
+// all that did.
 func checkChange(t *testing.T, change Change) map[caseRun]bool {
 	t.Helper()
 	overlay, variant := writeOverlay(t, change), strings.ReplaceAll(cmp.Or(change.Variant, Plain.Name), " ", "_")
--- a/internal/testing/conformance/client.go
+++ b/internal/testing/conformance/client.go
@@ -12,8 +12,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// execute does what the clients of a process, its servers and the other gateways do in a action, and waits for the first
-// event that follows.
+// execute does what the clients of a process, its servers and the other gateways do in a action,
+// and waits for the first event that follows.
 func (p *processTarget) execute(todo action) {
 	p.t.Helper()
 	switch todo.verb {
@@ -50,8 +50,8 @@
 	}
 }
 
-// sendRequest sends a request from a client of its own and waits for its first event: with a silent counter the call,
-// else the attempt or the final answer.
+// sendRequest sends a request from a client of its own and waits for its first event: with a silent
+// counter the call, else the attempt or the final answer.
 func (p *processTarget) sendRequest(todo action) {
 	p.t.Helper()
 	customer := todo.customer
@@ -84,7 +84,8 @@
 	return "no answer"
 }
 
-// sendCommand sends a command on a connection of its own and returns the first line of the answer; "" if there is none.
+// sendCommand sends a command on a connection of its own and returns the first line of the answer;
+// "" if there is none.
 func (p *processTarget) sendCommand(command string) string {
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
--- a/internal/testing/conformance/connections.go
+++ b/internal/testing/conformance/connections.go
@@ -18,8 +18,8 @@
 	inodeField         = 9
 )
 
-// recordConnections records whom the process is connected to, once each and sorted by name, from the kernel's tables.
-// Clients are left out: they are connected to the process's own address.
+// recordConnections records whom the process is connected to, once each and sorted by name, from
+// the kernel's tables. Clients are left out: they are connected to the process's own address.
 func (p *processTarget) recordConnections() {
 	p.t.Helper()
 	sockets := p.socketInodes()
@@ -87,7 +87,8 @@
 	return names
 }
 
-// parseAddress reads an address of the kernel's tables, like 0100007F:1F90. What it cannot read it returns unchanged.
+// parseAddress reads an address of the kernel's tables, like 0100007F:1F90. What it cannot read it
+// returns unchanged.
 func parseAddress(text string) string {
 	var a, b, c, d byte
 	var port int
--- a/internal/testing/conformance/events.go
+++ b/internal/testing/conformance/events.go
@@ -70,7 +70,8 @@
 	return problems
 }
 
-// missingEvents returns the first expected pattern that did not match, or the first event too many, as a message.
+// missingEvents returns the first expected pattern that did not match, or the first event too many,
+// as a message.
 func missingEvents(events [][]string, testCase Case) []string {
 	next := 0
 	for _, event := range events {
--- a/internal/testing/conformance/launch.go
+++ b/internal/testing/conformance/launch.go
@@ -12,8 +12,9 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// Processes listen on ports below the system's ephemeral range. A port is not probed before: a listener that was closed
-// may live on for a moment in a program that is just being started by another test.
+// Processes listen on ports below the system's ephemeral range. A port is not probed before: a
+// listener that was closed may live on for a moment in a program that is just being started by
+// another test.
 const (
 	firstPort  = 20000
 	portCount  = 10000
@@ -32,13 +33,14 @@
 // portsUsed is how many ports this test process has used.
 var portsUsed atomic.Int64
 
-// listenAddress returns the n-th address of this test process. Concurrent test processes start far apart.
+// listenAddress returns the n-th address of this test process. Concurrent test processes start far
+// apart.
 func listenAddress(n int64) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstPort+(int64(os.Getpid())*portStride+n)%portCount)
 }
 
-// start starts the program on a free address and waits until it serves. If the address is taken it starts it once more
-// on another.
+// start starts the program on a free address and waits until it serves. If the address is taken it
+// starts it once more on another.
 func (p *processTarget) start(path string, launch *Launch) Instance {
 	p.t.Helper()
 	for range maxStarts {
@@ -96,7 +98,8 @@
 	return fmt.Errorf("the gateway ended: %s", gateway.Log.String())
 }
 
-// launchConfig is a gateway's configuration in the platform's form: the same settings as settingsFor gives the module.
+// launchConfig is a gateway's configuration in the platform's form: the same settings as
+// settingsFor gives the module.
 func launchConfig(p *processTarget, plan Plan) map[string]any {
 	type object = map[string]any
 	settings := settingsFor(plan, p.gatewayCount)
--- a/internal/testing/conformance/program.go
+++ b/internal/testing/conformance/program.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// overlayVariable names the environment variable with the path of a file of replaced sources (go build -overlay): the
-// program under test is then a deliberately broken one.
+// overlayVariable names the environment variable with the path of a file of replaced sources (go
+// build -overlay): the program under test is then a deliberately broken one.
 const overlayVariable = "CONFORMANCE_OVERLAY"
 
 // buildDir holds the built program; empty before it is built.
@@ -26,7 +26,8 @@
 	return subprocess.Build(context.Background(), dir, "-overlay="+os.Getenv(overlayVariable))
 })
 
-// Cleanup stops the shared voters and removes what was built. It is called when all tests have ended.
+// Cleanup stops the shared voters and removes what was built. It is called when all tests have
+// ended.
 func Cleanup() error {
 	var problems []error
 	for _, voter := range sharedVoters {
--- a/internal/testing/conformance/run.go
+++ b/internal/testing/conformance/run.go
@@ -9,11 +9,13 @@
 // target is what a case runs against.
 type target interface {
 	execute(todo action)
-	// awaitEvents waits until the recorded events are enough, or no more are to be expected, and returns the log.
+	// awaitEvents waits until the recorded events are enough, or no more are to be expected, and
+	// returns the log.
 	awaitEvents(enough func(events [][]string) bool) *eventLog
 }
 
-// Run runs a case against the module and against a process, each as subtest, where the case and the variant say so.
+// Run runs a case against the module and against a process, each as subtest, where the case and the
+// variant say so.
 func Run(t *testing.T, suite *Suite, testCase Case, variant Variant) {
 	if !testCase.runsWith(variant) {
 		return
--- a/internal/testing/conformance/run_test.go
+++ b/internal/testing/conformance/run_test.go
@@ -26,7 +26,8 @@
 	return suite
 }
 
-// TestCases runs each case with each variant: TestCases/VARIANT/CASE/module and TestCases/VARIANT/CASE/process.
+// TestCases runs each case with each variant: TestCases/VARIANT/CASE/module and
+// TestCases/VARIANT/CASE/process.
 func TestCases(t *testing.T) {
 	suite := loadSuite(t)
 	for _, variant := range Variants {
@@ -42,8 +43,8 @@
 	}
 }
 
-// Under load a closed listener lived on in a program that was just starting, and a case's gateway found its address
-// taken.
+// Under load a closed listener lived on in a program that was just starting, and a case's gateway
+// found its address taken.
 func TestStart_retriesAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", listenAddress(portsUsed.Load()+1))
 	if err == nil { // else another process listens there
--- a/internal/testing/conformance/state.go
+++ b/internal/testing/conformance/state.go
@@ -12,8 +12,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// partState is a state of an optional part at a process. The process follows a voter that holds the part's table as the
-// state needs it. No controller runs there, so the state lasts for as long as a case runs.
+// partState is a state of an optional part at a process. The process follows a voter that holds the
+// part's table as the state needs it. No controller runs there, so the state lasts for as long as a
+// case runs.
 type partState struct {
 	name, description string
 	zone              string // of the process
@@ -88,8 +89,9 @@
 	return startVoter(t, s.table, value)
 }
 
-// prepare writes a follower's configuration and adds it to the launch. Once the process serves, it waits until the state
-// is in force, calls proceed, which may be nil, and waits for the lines on the lost lease.
+// prepare writes a follower's configuration and adds it to the launch. Once the process serves, it
+// waits until the state is in force, calls proceed, which may be nil, and waits for the lines on
+// the lost lease.
 func (s partState) prepare(t testing.TB, launch *Launch, voter *testVoter, lease string, proceed func()) {
 	t.Helper()
 	path := filepath.Join(launch.Dir, "common.toml")
--- a/internal/testing/conformance/state_test.go
+++ b/internal/testing/conformance/state_test.go
@@ -17,8 +17,8 @@
 	return Variants[i]
 }
 
-// Cases that pass with a part switched on show nothing if the part does not act: the canary and the second rule call the
-// counter for the case's own requests.
+// Cases that pass with a part switched on show nothing if the part does not act: the canary and the
+// second rule call the counter for the case's own requests.
 func TestPartsActOnCaseRequests(t *testing.T) {
 	suite := loadSuite(t)
 	plan, err := suite.findPlan("roomy")
@@ -35,7 +35,8 @@
 	}
 }
 
-// A request that prefers an owner goes to its elective server: else cases with such requests would show nothing.
+// A request that prefers an owner goes to its elective server: else cases with such requests would
+// show nothing.
 func TestPreferringRequestsUseElectiveServers(t *testing.T) {
 	m := newModuleTarget(t, Case{}, Plan{Name: "roomy", Rate: 100, Burst: 1000}, findVariant(t, "elective preferred"))
 	executeAll(t, m, "request 1 units 1")
--- a/internal/testing/conformance/suite.go
+++ b/internal/testing/conformance/suite.go
@@ -1,7 +1,7 @@
-// Package conformance tests the gateway against the clauses of the design page. Each case of clauses.toml gives the actions
-// of a scenario, the events that must follow and those that must not. A case runs against the decision module through its
-// host and, where its outcome is visible from outside, against a real process on sockets. docs/conformance.md is
-// generated from the file.
+// Package conformance tests the gateway against the clauses of the design page. Each case of
+// clauses.toml gives the actions of a scenario, the events that must follow and those that must
+// not. A case runs against the decision module through its host and, where its outcome is visible
+// from outside, against a real process on sockets. docs/conformance.md is generated from the file.
 package conformance
 
 import (
@@ -46,7 +46,8 @@
 	Burst float64 `toml:"burst"` // units, above 0
 }
 
-// Case is a test of a clause. The syntax of actions is described at action, that of patterns at eventLog.
+// Case is a test of a clause. The syntax of actions is described at action, that of patterns at
+// eventLog.
 type Case struct {
 	ID            string   `toml:"id"`
 	Clause        string   `toml:"clause"`
@@ -60,14 +61,16 @@
 	Expected      []string `toml:"expected"`       // patterns that must match in this order; other events may lie between
 	Exactly       bool     `toml:"exactly"`        // no other events may
 	Forbidden     []string `toml:"forbidden"`      // patterns that must not match; "X before Y": not until Y has matched
-	// Exclusions are the variants that the case does not run with, by name, with the reason: there the part changes the
-	// clause on purpose.
+	// Exclusions are the variants that the case does not run with, by name, with the reason: there
+	// the part changes the clause on purpose.
 	Exclusions map[string]string `toml:"but"`
-	// OnlyVariant is the one variant that the case runs with; empty means all but those with OnlyNamedCases.
+	// OnlyVariant is the one variant that the case runs with; empty means all but those with
+	// OnlyNamedCases.
 	OnlyVariant string `toml:"only_variant"`
 }
 
-// Change is a deliberately broken program that cases must catch. What each edit replaces stands exactly once in its file.
+// Change is a deliberately broken program that cases must catch. What each edit replaces stands
+// exactly once in its file.
 type Change struct {
 	Name         string   `toml:"name"`
 	Variant      string   `toml:"variant"` // that the cases run with; empty means plain
@@ -86,8 +89,8 @@
 // Load reads the embedded data file. The error joins all problems found.
 func Load() (*Suite, error) { return Parse(suiteFile) }
 
-// Parse reads a suite. A clause without a case, a case without a clause, a duplicate name and an unknown key are errors;
-// the error joins all problems found.
+// Parse reads a suite. A clause without a case, a case without a clause, a duplicate name and an
+// unknown key are errors; the error joins all problems found.
 func Parse(text []byte) (*Suite, error) {
 	var s Suite
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
--- a/internal/testing/conformance/tables.go
+++ b/internal/testing/conformance/tables.go
@@ -29,7 +29,8 @@
 		"[[debts.partner]]\nname = \"south\"\nhalls = [\"" + zoneB + "\"]\n"
 )
 
-// customerRule counts by customer, and a unit weighs one: all clauses hold unchanged, under other names.
+// customerRule counts by customer, and a unit weighs one: all clauses hold unchanged, under other
+// names.
 var customerRule = countingrule.Rule{Version: 1, Key: []string{"customer"}}
 
 // ruleKey is what stands for a customer under customerRule, as docs/counting-rules.md says.
@@ -47,8 +48,8 @@
 	return sampled
 }
 
-// countingTable returns a function for the value of a counting table: its activation lies so far from the call, which
-// is when the first case starts.
+// countingTable returns a function for the value of a counting table: its activation lies so far
+// from the call, which is when the first case starts.
 func countingTable(phase countingrule.Phase, untilActivation time.Duration) func() []byte {
 	return func() []byte {
 		now := wallClock()
@@ -78,7 +79,8 @@
 	})
 }
 
-// settlementState is a settlement table by which half of the creditor's servers may serve the debtor.
+// settlementState is a settlement table by which half of the creditor's servers may serve the
+// debtor.
 func settlementState() []byte {
 	pair := settlement.Pair{Debtor: "south", Creditor: "north"}
 	return mustEncode(settlement.State{
--- a/internal/testing/conformance/target_module.go
+++ b/internal/testing/conformance/target_module.go
@@ -36,7 +36,8 @@
 	startTime       = time.Minute // on the virtual clock
 )
 
-// settingsFor returns the settings of a case: ample capacity, warm servers, nothing that the design does not speak of.
+// settingsFor returns the settings of a case: ample capacity, warm servers, nothing that the design
+// does not speak of.
 func settingsFor(plan Plan, gateways int) policy.Settings {
 	settings := policy.Settings{
 		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout, ReportsUnits: true,
@@ -52,8 +53,8 @@
 	return settings
 }
 
-// moduleTarget runs a case against the module: it is the module's host, its clock, and a counter that answers at once
-// unless it is silent. Time is virtual, so a run is always the same.
+// moduleTarget runs a case against the module: it is the module's host, its clock, and a counter
+// that answers at once unless it is silent. Time is virtual, so a run is always the same.
 type moduleTarget struct {
 	t            testing.TB
 	module       Module
--- a/internal/testing/conformance/target_process.go
+++ b/internal/testing/conformance/target_process.go
@@ -26,22 +26,25 @@
 const (
 	quietPeriod  = 100 * time.Millisecond // without an event: no more come by themselves
 	eventTimeout = 10 * time.Second       // an expected event has long happened, or never will
-	// changedEventTimeout is the same for a deliberately broken program: most of its cases wait for what never happens.
+	// changedEventTimeout is the same for a deliberately broken program: most of its cases wait for
+	// what never happens.
 	changedEventTimeout = 4 * time.Second
 )
 
 const (
-	// counterConnectTimeout is after what time a silent connection to the counter is given up, and the checks on it end:
-	// later than the checks give up by themselves.
+	// counterConnectTimeout is after what time a silent connection to the counter is given up, and
+	// the checks on it end: later than the checks give up by themselves.
 	counterConnectTimeout = 5 * time.Second
-	// firstCustomer is where the search for a case's customer starts: cases name smaller ones as others.
+	// firstCustomer is where the search for a case's customer starts: cases name smaller ones as
+	// others.
 	firstCustomer = 1000
-	// otherGatewaysTTL is the lifetime of names, in ms, in the calls made here: gateways never ask for one so short.
+	// otherGatewaysTTL is the lifetime of names, in ms, in the calls made here: gateways never ask
+	// for one so short.
 	otherGatewaysTTL = "1"
 )
 
-// processTarget runs a case against a running gateway. Fake servers, discovery and counter record what reaches them,
-// clients what they are answered.
+// processTarget runs a case against a running gateway. Fake servers, discovery and counter record
+// what reaches them, clients what they are answered.
 type processTarget struct {
 	t              testing.TB
 	events         eventLog
@@ -92,7 +95,8 @@
 	return created
 }
 
-// chooseCustomer takes the first customer whose next window starts soon, or not, as the case needs it.
+// chooseCustomer takes the first customer whose next window starts soon, or not, as the case needs
+// it.
 func (p *processTarget) chooseCustomer(plan Plan, crosses bool) {
 	for customer := uint64(firstCustomer); ; customer++ {
 		if p.variant.AcceptsCustomer != nil && !p.variant.AcceptsCustomer(customer) {
@@ -113,7 +117,8 @@
 	}
 }
 
-// isNearEdge reports whether a window that lasts so much longer ends soon, yet not before a case has begun.
+// isNearEdge reports whether a window that lasts so much longer ends soon, yet not before a case
+// has begun.
 func isNearEdge(left time.Duration) bool { return left > minUntilNearEdge && left < maxUntilNearEdge }
 
 // wallClock is the clock that all gateways share.
@@ -184,7 +189,8 @@
 	})
 }
 
-// waitUntil waits until the events are enough, or the time for that is over: what is missing then is the case's to say.
+// waitUntil waits until the events are enough, or the time for that is over: what is missing then
+// is the case's to say.
 func (p *processTarget) waitUntil(enough func(events [][]string) bool) {
 	timeout := eventTimeout
 	if os.Getenv(overlayVariable) != "" {
--- a/internal/testing/conformance/variant.go
+++ b/internal/testing/conformance/variant.go
@@ -10,8 +10,8 @@
 	"harrierhoist/policy"
 )
 
-// Variant is a way to make the gateway under test: plain, or with an optional part switched on, in one of its states.
-// The same cases run with each of Variants.
+// Variant is a way to make the gateway under test: plain, or with an optional part switched on, in
+// one of its states. The same cases run with each of Variants.
 type Variant struct {
 	Name        string
 	Description string // of the state, for the page
@@ -19,14 +19,16 @@
 	Module func(settings policy.Settings, seed int64, host policy.Host) (Module, error)
 	// Process prepares a process before it starts; nil: no case runs against a process.
 	Process func(t testing.TB, launch *Launch)
-	// CounterKey returns what stands for a customer in the names of its counts; nil: its own number.
+	// CounterKey returns what stands for a customer in the names of its counts; nil: its own
+	// number.
 	CounterKey func(customer uint64) uint64
 	// AcceptsCustomer reports whether a customer may be a process case's; nil: any may.
 	AcceptsCustomer func(customer uint64) bool
-	// MakesOwnCalls says that the part makes counter calls of its own: those whose names are not of the case's customer's
-	// windows are ignored.
+	// MakesOwnCalls says that the part makes counter calls of its own: those whose names are not of
+	// the case's customer's windows are ignored.
 	MakesOwnCalls bool
-	// OnlyNamedCases says that only cases that name the variant run with it, as the part changes all others on purpose.
+	// OnlyNamedCases says that only cases that name the variant run with it, as the part changes
+	// all others on purpose.
 	OnlyNamedCases bool
 	Forbidden      []string // patterns that no case may show with it
 }
@@ -48,7 +50,8 @@
 	Log        func() string // what it has logged so far
 }
 
-// Variants are those that the tests run. A part that can be switched on adds one for each of its states.
+// Variants are those that the tests run. A part that can be switched on adds one for each of its
+// states.
 var Variants = slices.Concat([]Variant{Plain, Reconfigured}, moduleVariants, coordinatedVariants())
 
 // Plain is the gateway with all optional parts off.
--- a/internal/testing/conformance/variants_module.go
+++ b/internal/testing/conformance/variants_module.go
@@ -28,8 +28,8 @@
 // electiveOwner is the owner of the elective servers.
 const electiveOwner = 2
 
-// electiveModule is a module whose endpoint list has an elective server more, with requests that prefer its owner, or
-// nobody if preferOwner is 0.
+// electiveModule is a module whose endpoint list has an elective server more, with requests that
+// prefer its owner, or nobody if preferOwner is 0.
 type electiveModule struct {
 	Module
 	preferOwner int
--- a/internal/testing/conformance/voter.go
+++ b/internal/testing/conformance/voter.go
@@ -39,7 +39,8 @@
 	sharedVotersLock sync.Mutex
 )
 
-// startVoter starts a voter without controllers whose state machine holds one table, or none if the name is empty.
+// startVoter starts a voter without controllers whose state machine holds one table, or none if the
+// name is empty.
 func startVoter(t testing.TB, table string, value []byte) *testVoter {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "conformance-voter")
