--- a/internal/testing/conformance/windows.go
+++ b/internal/testing/conformance/windows.go
@@ -17,8 +17,8 @@
 	offsetIndex        = 0 // the index whose name gives the offset of a customer's windows
 )
 
-// windows computes a customer's windows from what the clauses say of their length and names, independently of the
-// module.
+// windows computes a customer's windows from what the clauses say of their length and names,
+// independently of the module.
 type windows struct {
 	customer       uint64
 	key            uint64 // that names are made of: the customer, or what a counting rule has in its place
@@ -46,8 +46,8 @@
 	return time.Duration(w.index(at)+1)*w.length - w.offset - at
 }
 
-// callEvents returns the forms of a call to the counter: by the window relative to the current one, and by name. A name
-// that belongs to none of the three windows is unknown.
+// callEvents returns the forms of a call to the counter: by the window relative to the current one,
+// and by name. A name that belongs to none of the three windows is unknown.
 func (w windows) callEvents(at time.Duration, name uint64, units float64) []string {
 	window := windowUnknown
 	for i, word := range []string{"previous", "current", "next"} {
--- a/internal/testing/docscheck/architecture_test.go
+++ b/internal/testing/docscheck/architecture_test.go
@@ -19,14 +19,15 @@
 	capacityPage     = repositoryRoot + "/docs/capacity.md"
 )
 
-// reference is a package's function, type or constant, or a type's method or field, as pages name it.
+// reference is a package's function, type or constant, or a type's method or field, as pages name
+// it.
 var reference = regexp.MustCompile("`([a-z]+\\.[A-Za-z]+(?:\\.[A-Za-z]+)?)`")
 
 // fileSuffixes end what looks like a reference and is a file's name.
 var fileSuffixes = []string{".md", ".json", ".toml", ".go", ".mod"}
 
-// referencePages are the pages whose references are checked, each with how many it has at the least: a change of its
-// form must not empty the check.
+// referencePages are the pages whose references are checked, each with how many it has at the
+// least: a change of its form must not empty the check.
 var referencePages = map[string]int{architecturePage: 50, capacityPage: 0}
 
 func TestPages_nameFunctionsAndConstantsThatExist(t *testing.T) {
@@ -53,7 +54,8 @@
 	}
 }
 
-// declarations are the names that the product's packages declare, as package.Name and package.Type.Member.
+// declarations are the names that the product's packages declare, as package.Name and
+// package.Type.Member.
 func declarations(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
--- a/internal/testing/docscheck/imports_test.go
+++ b/internal/testing/docscheck/imports_test.go
@@ -50,8 +50,8 @@
 // isBelow reports whether a package is a folder itself or stands under it.
 func isBelow(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
 
-// TestImports_followTheDrawnHouses fails on an import between houses that the architecture page does not have in its
-// table, and on an entry of the table that no import needs.
+// TestImports_followTheDrawnHouses fails on an import between houses that the architecture page
+// does not have in its table, and on an entry of the table that no import needs.
 func TestImports_followTheDrawnHouses(t *testing.T) {
 	houses := readHouses(t)
 	for _, file := range goFiles(t) {
--- a/internal/testing/docscheck/messages_test.go
+++ b/internal/testing/docscheck/messages_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// messagesIn gives the texts that the folders' Go files log, tests left out, and says where a text is no constant: such a
-// line cannot be found by searching for it.
+// messagesIn gives the texts that the folders' Go files log, tests left out, and says where a text
+// is no constant: such a line cannot be found by searching for it.
 func messagesIn(t *testing.T, folders []string) (map[string]message, []string) {
 	t.Helper()
 	messages, problems := map[string]message{}, []string(nil)
@@ -144,7 +144,8 @@
 	return ""
 }
 
-// textOf is the value of a text that is a constant: a literal, a constant of the package, or a sum of such.
+// textOf is the value of a text that is a constant: a literal, a constant of the package, or a sum
+// of such.
 func (c *collector) textOf(text ast.Expr) (string, bool) {
 	switch text := text.(type) {
 	case *ast.BasicLit:
--- a/internal/testing/docscheck/names_test.go
+++ b/internal/testing/docscheck/names_test.go
@@ -13,7 +13,8 @@
 
 var namedTest = regexp.MustCompile("`((?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9_]*)`")
 
-// TestPages_nameTestsThatExist fails where a page names a test, benchmark or fuzz target that no test file has.
+// TestPages_nameTestsThatExist fails where a page names a test, benchmark or fuzz target that no
+// test file has.
 func TestPages_nameTestsThatExist(t *testing.T) {
 	declared := declaredTests(t)
 	incidents, err := filepath.Glob("../../../docs/incidents/*.md")
--- a/internal/testing/docscheck/oncall_test.go
+++ b/internal/testing/docscheck/oncall_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// In the tables of the page of one who is on call the column logLineColumn holds log lines, each between backticks and as
-// the code has it, or noLogLine.
+// In the tables of the page of one who is on call the column logLineColumn holds log lines, each
+// between backticks and as the code has it, or noLogLine.
 const (
 	logLineColumn = "log line"
 	noLogLine     = "-"
@@ -29,8 +29,8 @@
 	number   int  // of the page's line, from 1
 }
 
-// TestOncall_namesTheCodesLogLines fails where a log line of the page is in no Go file of the product, or a warning or
-// error that the code logs is not on the page.
+// TestOncall_namesTheCodesLogLines fails where a log line of the page is in no Go file of the
+// product, or a warning or error that the code logs is not on the page.
 func TestOncall_namesTheCodesLogLines(t *testing.T) {
 	page := readPage(t, "oncall")
 	messages, problems := messagesIn(t, productPackages(t))
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestPages_quoteLogLinesAsInTheCode fails where another page for operators quotes a log line that is in no Go file.
+// TestPages_quoteLogLinesAsInTheCode fails where another page for operators quotes a log line that
+// is in no Go file.
 func TestPages_quoteLogLinesAsInTheCode(t *testing.T) {
 	messages, _ := messagesIn(t, productPackages(t))
 	for _, name := range operatorPages {
@@ -118,8 +119,8 @@
 	return problems
 }
 
-// logLinesOf gives the log lines in the columns of a page, and says which log lines of the page, also outside the
-// columns, are in no Go file.
+// logLinesOf gives the log lines in the columns of a page, and says which log lines of the page,
+// also outside the columns, are in no Go file.
 func logLinesOf(page string, messages map[string]message) (inColumns map[string]bool, problems []string) {
 	components := map[string]bool{}
 	for text := range messages {
@@ -142,7 +143,8 @@
 	return inColumns, problems
 }
 
-// linesOf gives what stands between backticks on a page, and says where a column of log lines holds anything else.
+// linesOf gives what stands between backticks on a page, and says where a column of log lines holds
+// anything else.
 func linesOf(page string) (lines []pageLine, problems []string) {
 	column := -1
 	for i, line := range strings.Split(page, "\n") {
@@ -177,7 +179,8 @@
 	return string(page)
 }
 
-// productPackages are the folders of the product's code: what runs at operators', not the laboratory and the tests.
+// productPackages are the folders of the product's code: what runs at operators', not the
+// laboratory and the tests.
 func productPackages(t *testing.T) []string {
 	t.Helper()
 	var folders []string
--- a/internal/testing/fakes/counter.go
+++ b/internal/testing/fakes/counter.go
@@ -13,8 +13,8 @@
 // maxUnanswered is how many calls of a connection are read while the counter is held.
 const maxUnanswered = 1000
 
-// Counter is a fake counter: it adds up the units of each name. While held it takes calls and answers none; once
-// released it answers them all.
+// Counter is a fake counter: it adds up the units of each name. While held it takes calls and
+// answers none; once released it answers them all.
 type Counter struct {
 	Addr  string
 	Calls chan string // each call as it came
@@ -67,7 +67,8 @@
 	_, _ = io.WriteString(conn, text) // the caller may have gone; what it sent before counts all the same
 }
 
-// Observe has a function called with each later call, before it is answered. The function must not wait.
+// Observe has a function called with each later call, before it is answered. The function must not
+// wait.
 func (c *Counter) Observe(observe func(call string)) { c.observer.Store(&observe) }
 
 // NextCall returns the next call that came, and waits for one.
--- a/internal/testing/fakes/counter_test.go
+++ b/internal/testing/fakes/counter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A held counter read one call of each connection and no more: whoever waited for a second one to be recorded, waited
-// until the client gave the connection up as silent.
+// A held counter read one call of each connection and no more: whoever waited for a second one to
+// be recorded, waited until the client gave the connection up as silent.
 func TestCounter_holdRecordsEveryCallAndAnswersInOrder(t *testing.T) {
 	c := NewCounter(t)
 	conn, err := net.Dial("tcp", c.Addr)
--- a/internal/testing/fakes/discovery.go
+++ b/internal/testing/fakes/discovery.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Discovery is a fake agent of discovery. A call without a version gets the complete list; one with a version is a watch,
-// which gets the next version, or no entries once its time is over.
+// Discovery is a fake agent of discovery. A call without a version gets the complete list; one with
+// a version is a watch, which gets the next version, or no entries once its time is over.
 type Discovery struct {
 	Addr    string
 	Queries chan string // of the calls that came, as many as fit
--- a/internal/testing/fakes/fakes.go
+++ b/internal/testing/fakes/fakes.go
@@ -1,5 +1,5 @@
-// Package fakes has, for tests, small fakes of what a gateway talks with: servers, discovery and the counter, each on a
-// loopback address of its own.
+// Package fakes has, for tests, small fakes of what a gateway talks with: servers, discovery and
+// the counter, each on a loopback address of its own.
 package fakes
 
 import (
@@ -13,8 +13,8 @@
 
 var listenerCount atomic.Uint32
 
-// Listen returns a listener that is closed with the test, on a loopback host of its own: on a shared host its port might
-// be one that another test's gateway still calls or checks.
+// Listen returns a listener that is closed with the test, on a loopback host of its own: on a
+// shared host its port might be one that another test's gateway still calls or checks.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	pid := os.Getpid()
@@ -46,8 +46,8 @@
 	return near, far
 }
 
-// serveConns hands each connection to a goroutine of its own until the test ends. Then it closes the listener and all
-// connections, one that was accepted at that moment among them.
+// serveConns hands each connection to a goroutine of its own until the test ends. Then it closes
+// the listener and all connections, one that was accepted at that moment among them.
 func serveConns(t testing.TB, listener net.Listener, serve func(net.Conn)) {
 	t.Helper()
 	var conns []net.Conn
--- a/internal/testing/fakes/saturated.go
+++ b/internal/testing/fakes/saturated.go
@@ -9,13 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// SaturatedServer is a server whose backlog is full: connections to it are established late or never.
+// SaturatedServer is a server whose backlog is full: connections to it are established late or
+// never.
 type SaturatedServer struct {
 	Addr     string
 	listener *net.TCPListener
 }
 
-// NewSaturatedServer starts a server that ends with the test. One connection fills its backlog, and it accepts none.
+// NewSaturatedServer starts a server that ends with the test. One connection fills its backlog, and
+// it accepts none.
 func NewSaturatedServer(t testing.TB) *SaturatedServer {
 	t.Helper()
 	listener := listenWithoutBacklog(t)
@@ -53,7 +55,8 @@
 // Accept accepts the next connection, which makes room for another.
 func (s *SaturatedServer) Accept() (net.Conn, error) { return s.listener.Accept() }
 
-// CollectBytes accepts connections, one after the other, until none comes within a time, and returns what they write.
+// CollectBytes accepts connections, one after the other, until none comes within a time, and
+// returns what they write.
 func (s *SaturatedServer) CollectBytes(t testing.TB, within time.Duration) (all string) {
 	t.Helper()
 	if err := s.listener.SetDeadline(time.Now().Add(within)); err != nil {
--- a/internal/testing/fakes/scripted.go
+++ b/internal/testing/fakes/scripted.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ScriptedConn is a connection that has already received all of its input; then it ends. It keeps what is written to it,
-// and has no descriptor.
+// ScriptedConn is a connection that has already received all of its input; then it ends. It keeps
+// what is written to it, and has no descriptor.
 type ScriptedConn struct {
 	net.Conn // nil: no other method is called
 	Input    []byte
--- a/internal/testing/fakes/server.go
+++ b/internal/testing/fakes/server.go
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(attributes), attributes)
 }
 
-// Server is a fake server that answers each command by a function. An empty answer is none at all; CloseConn closes the
-// connection.
+// Server is a fake server that answers each command by a function. An empty answer is none at all;
+// CloseConn closes the connection.
 type Server struct {
 	Addr     string
 	answer   func(words []string) string
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -11,7 +11,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// harmfulRuleTerms has a rule under which a customer has a hundredth of today's rate, and tries it on 80 of 1000 customers.
+// harmfulRuleTerms has a rule under which a customer has a hundredth of today's rate, and tries it
+// on 80 of 1000 customers.
 var harmfulRuleTerms = strings.NewReplacer("try = 0", "try = 1", `key = ["group"]`, `key = ["customer"]`,
 	`group = [{name = "one", customers = [1, 2, 3, 4, 5, 6, 7, 8]}]`, "",
 	"rate = 30.0, burst = 30.0", "rate = 0.1, burst = 0.5",
@@ -32,8 +33,9 @@
 	}
 }
 
-// 11. A rule that would reject most of what customers ask for is tried, and refused by what gateways observe. No request
-// is affected: all are admitted, but those that come before a gateway knows which rule is in force.
+// 11. A rule that would reject most of what customers ask for is tried, and refused by what
+// gateways observe. No request is affected: all are admitted, but those that come before a gateway
+// knows which rule is in force.
 func TestCountingRule_harmfulCanaryIsRefused(t *testing.T) {
 	t.Parallel()
 	s := startEnvironment(t, harmfulRuleTerms, harmfulRuleTerms, lightRequests)
@@ -66,8 +68,9 @@
 	}
 }
 
-// 13. A rule was taken after a canary that forecast far more than it admits. Once that is seen under load it is reverted at
-// a switch of its own, without an operator, and requests are admitted as before.
+// 13. A rule was taken after a canary that forecast far more than it admits. Once that is seen
+// under load it is reverted at a switch of its own, without an operator, and requests are admitted
+// as before.
 func TestCountingRule_revertedUnderLoad(t *testing.T) {
 	t.Parallel()
 	s := startEnvironment(t, harmfulRuleTerms, harmfulRuleTerms, doubleRequests)
@@ -112,7 +115,8 @@
 	s.finish()
 }
 
-// doubleRequests draws lightRequests of two units: enough in the sample to check what came of the rule.
+// doubleRequests draws lightRequests of two units: enough in the sample to check what came of the
+// rule.
 func doubleRequests(int) func(*rand.Rand) Request {
 	draw := lightRequests(0)
 	return func(r *rand.Rand) Request {
--- a/internal/testing/faultinjection/client.go
+++ b/internal/testing/faultinjection/client.go
@@ -16,8 +16,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// answerGrace is what a client waits beyond its timeout: by the operators' page an answer half a second late is not lost,
-// and as much again is for a machine that is busy with other tests.
+// answerGrace is what a client waits beyond its timeout: by the operators' page an answer half a
+// second late is not lost, and as much again is for a machine that is busy with other tests.
 const answerGrace = time.Second
 
 // Request is what a client asks for.
@@ -28,7 +28,8 @@
 	Timeout     time.Duration
 }
 
-// Clients send requests to gateways at a rate that does not depend on answers, and record how each ended.
+// Clients send requests to gateways at a rate that does not depend on answers, and record how each
+// ended.
 type Clients struct {
 	recorder   *Recorder
 	mustAnswer func(addr string, since time.Time) bool
@@ -39,14 +40,14 @@
 	idle map[string][]net.Conn // by gateway's address
 }
 
-// NewClients makes clients. MustAnswer reports whether the gateway at an address has been running since a time: others
-// need not answer in time.
+// NewClients makes clients. MustAnswer reports whether the gateway at an address has been running
+// since a time: others need not answer in time.
 func NewClients(recorder *Recorder, mustAnswer func(addr string, since time.Time) bool) *Clients {
 	return &Clients{recorder: recorder, mustAnswer: mustAnswer, idle: map[string][]net.Conn{}}
 }
 
-// OfferLoad sends requests to one gateway at a rate per second until the context ends. Draw returns each request, from
-// random numbers of the seed. Wait waits for the answers.
+// OfferLoad sends requests to one gateway at a rate per second until the context ends. Draw returns
+// each request, from random numbers of the seed. Wait waits for the answers.
 func (c *Clients) OfferLoad(ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Request) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c.pending.Go(func() {
--- a/internal/testing/faultinjection/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -11,8 +11,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// groupRuleTerms has, beside failover's terms, a rule under which eight customers share one count, with three times the rate
-// that today's rule gives each of them. Voters have none of it where a scenario writes the table itself.
+// groupRuleTerms has, beside failover's terms, a rule under which eight customers share one count,
+// with three times the rate that today's rule gives each of them. Voters have none of it where a
+// scenario writes the table itself.
 const groupRuleTerms = `[counting]
 try = 0
 [[counting.rule]]
@@ -40,7 +41,8 @@
 	activationLead = 5000 * time.Millisecond // from the write to the switch: a lease, two waits and a second are needed
 )
 
-// groupRequests draws requests of the group's customers, who ask for four times their limit, and as many others.
+// groupRequests draws requests of the group's customers, who ask for four times their limit, and as
+// many others.
 func groupRequests(zone int) func(*rand.Rand) Request {
 	others := mixedRequests(zone)
 	return func(r *rand.Rand) Request {
@@ -54,8 +56,9 @@
 	}
 }
 
-// checkGroupLimit fails where in a span of three seconds from a time on the group has more units above its rate than
-// maxExcess. Over longer spans it would show what the policy admits above a limit in every window.
+// checkGroupLimit fails where in a span of three seconds from a time on the group has more units
+// above its rate than maxExcess. Over longer spans it would show what the policy admits above a
+// limit in every window.
 func (s *scenario) checkGroupLimit(since time.Time, maxExcess float64) {
 	s.t.Helper()
 	worst, all := 0.0, s.groupAttempts(since)
@@ -95,8 +98,9 @@
 	fakes.Eventually(s.t, "its time", func() bool { return time.Now().After(when) })
 }
 
-// 12. A rule comes into force while one gateway is paused, three are partitioned and one is killed and started again,
-// partitioned too. By what servers record, none of them lets the count exceed its limit.
+// 12. A rule comes into force while one gateway is paused, three are partitioned and one is killed
+// and started again, partitioned too. By what servers record, none of them lets the count exceed
+// its limit.
 func TestCountingRule_activationWithPausedPartitionedRestartedGateways(t *testing.T) {
 	s := startEnvironment(t, groupRuleTerms, failoverTerms, groupRequests)
 	s.waitForServed(100)
@@ -126,7 +130,8 @@
 	}
 }
 
-// 14. A zone is lost between the write that sets the switch and the switch, and a voter with it. Both are dealt with.
+// 14. A zone is lost between the write that sets the switch and the switch, and a voter with it.
+// Both are dealt with.
 func TestCountingRule_failoverDuringActivation(t *testing.T) {
 	s := startEnvironment(t, groupRuleTerms, failoverTerms, groupRequests)
 	for _, g := range s.Gateways {
--- a/internal/testing/faultinjection/discovery.go
+++ b/internal/testing/faultinjection/discovery.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Discovery is a fake agent of discovery. Each call gets the complete list; a watch gets it with the next change or at
-// its end.
+// Discovery is a fake agent of discovery. Each call gets the complete list; a watch gets it with
+// the next change or at its end.
 type Discovery struct {
 	Addr   string
 	server *http.Server
--- a/internal/testing/faultinjection/environment.go
+++ b/internal/testing/faultinjection/environment.go
@@ -33,8 +33,8 @@
 	MaxConcurrent   int           // requests at once at a server
 }
 
-// Environment is what a scenario runs in: zones with servers and gateways, a counter, discovery and clients. Everything
-// ends with its test, and errors of the environment fail it.
+// Environment is what a scenario runs in: zones with servers and gateways, a counter, discovery and
+// clients. Everything ends with its test, and errors of the environment fail it.
 type Environment struct {
 	T         *testing.T
 	Folder    string
@@ -166,8 +166,8 @@
 	return gateways
 }
 
-// hideZone has one gateway look for the servers of a zone at an address where nobody answers. It gets a discovery of its
-// own, so that the others see nothing of it.
+// hideZone has one gateway look for the servers of a zone at an address where nobody answers. It
+// gets a discovery of its own, so that the others see nothing of it.
 func (env *Environment) hideZone(g *Gateway, zone string) {
 	env.T.Helper()
 	discovery, err := NewDiscovery()
@@ -188,8 +188,8 @@
 	g.Signal(syscall.SIGHUP)
 }
 
-// SetZoneBehavior changes how all servers of a zone behave. Those that were down and are healthy now are listed as just
-// started.
+// SetZoneBehavior changes how all servers of a zone behave. Those that were down and are healthy
+// now are listed as just started.
 func (env *Environment) SetZoneBehavior(zone string, behavior Behavior) {
 	env.T.Helper()
 	for _, s := range env.Servers {
--- a/internal/testing/faultinjection/faultproxy/proxy.go
+++ b/internal/testing/faultinjection/faultproxy/proxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy stands between two processes of a test, on loopback. It forwards HTTP calls and injects faults of a
-// network into them. One proxy has one direction: the calls of one process to another.
+// Package faultproxy stands between two processes of a test, on loopback. It forwards HTTP calls
+// and injects faults of a network into them. One proxy has one direction: the calls of one process
+// to another.
 package faultproxy
 
 import (
@@ -20,8 +21,8 @@
 
 // Fault is what happens to calls. The zero value forwards all of them at once.
 type Fault struct {
-	// DropRequests: calls do not arrive. DropResponses: calls arrive, and their responses do not. Callers get no answer
-	// until they give up or the fault ends; then their connection is reset.
+	// DropRequests: calls do not arrive. DropResponses: calls arrive, and their responses do not.
+	// Callers get no answer until they give up or the fault ends; then their connection is reset.
 	DropRequests, DropResponses bool
 	// Hold: calls wait until the fault ends; then all arrive, in no certain order.
 	Hold bool
@@ -33,7 +34,8 @@
 	Reset bool
 	// Duplicate: each call arrives twice; the second response is dropped.
 	Duplicate bool
-	// OnlyPath is the path of the calls that the fault is for, where it is not empty; others are forwarded.
+	// OnlyPath is the path of the calls that the fault is for, where it is not empty; others are
+	// forwarded.
 	OnlyPath string
 }
 
--- a/internal/testing/faultinjection/plain_test.go
+++ b/internal/testing/faultinjection/plain_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// offerLoad has clients send requests to all gateways until the function returned is called, which waits for the answers.
+// offerLoad has clients send requests to all gateways until the function returned is called, which
+// waits for the answers.
 func (env *Environment) offerLoad(rate float64, draw drawFunc) (stop func()) {
 	ctx, cancel := context.WithCancel(env.T.Context())
 	for i, g := range env.Gateways {
@@ -81,8 +82,9 @@
 	})
 }
 
-// Without voters: gateways are killed, paused and come back, a zone's servers are lost and return, the counter is silent
-// for a while. No request is left without its answer, and none that must not runs twice.
+// Without voters: gateways are killed, paused and come back, a zone's servers are lost and return,
+// the counter is silent for a while. No request is left without its answer, and none that must not
+// runs twice.
 func TestWithoutVoters_faultsUnderLoadBreakNoRule(t *testing.T) {
 	env := newThreeZones(t)
 	env.Start(env.Gateways...)
--- a/internal/testing/faultinjection/recorder.go
+++ b/internal/testing/faultinjection/recorder.go
@@ -1,6 +1,6 @@
-// Package faultinjection starts several processes of the program on loopback, with fake servers, a counter, discovery and
-// clients around them and proxies between them, and injects faults. What counts is what servers, clients and the counter
-// see.
+// Package faultinjection starts several processes of the program on loopback, with fake servers, a
+// counter, discovery and clients around them and proxies between them, and injects faults. What
+// counts is what servers, clients and the counter see.
 package faultinjection
 
 import (
@@ -115,8 +115,8 @@
 	return slices.Clone(r.attempts)
 }
 
-// Violations returns what broke the rules that hold whatever fails: a request without an answer or with two, and a
-// non-idempotent request that came to servers twice.
+// Violations returns what broke the rules that hold whatever fails: a request without an answer or
+// with two, and a non-idempotent request that came to servers twice.
 func (r *Recorder) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/faultinjection/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -10,9 +10,9 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// failoverTerms has two regions with three zones. Clients ask for some 160 units per second in each zone. A zone's 4 servers
-// have a capacity of 400, of which 320 are planned at most: it serves another zone's requests besides its own, and no
-// third's.
+// failoverTerms has two regions with three zones. Clients ask for some 160 units per second in each
+// zone. A zone's 4 servers have a capacity of 400, of which 320 are planned at most: it serves
+// another zone's requests besides its own, and no third's.
 const failoverTerms = `[failover]
 on = true
 bears = 100
@@ -36,7 +36,8 @@
 	minSample         = 20   // attempts that make a fraction
 )
 
-// withoutVoters runs the scenarios without voters, each gateway by its own observations: all must fail.
+// withoutVoters runs the scenarios without voters, each gateway by its own observations: all must
+// fail.
 var withoutVoters = flag.Bool("without", false, "run the scenarios without voters: they must fail")
 
 // scenario is an environment with voters, and clients that send requests.
@@ -48,7 +49,8 @@
 	t         *testing.T
 }
 
-// startScenario starts all processes, and waits until a plan is in force everywhere and attempts are in their own zones.
+// startScenario starts all processes, and waits until a plan is in force everywhere and attempts
+// are in their own zones.
 func startScenario(t *testing.T) *scenario {
 	t.Helper()
 	return startScenarioWith(t, failoverTerms)
@@ -67,7 +69,8 @@
 	return s
 }
 
-// startEnvironment starts all processes with the terms of gateways and voters, and has clients send requests.
+// startEnvironment starts all processes with the terms of gateways and voters, and has clients send
+// requests.
 func startEnvironment(t *testing.T, gatewayTerms, voterTerms string, draw drawFunc) *scenario {
 	t.Helper()
 	env := newThreeZones(t)
@@ -94,8 +97,8 @@
 	fakes.Eventually(s.t, p.Name+" logs "+text, func() bool { return p.Log.Count(text) >= times })
 }
 
-// routeFraction returns the fraction of a zone's attempts that are in a zone, in the last second or since a time if that
-// is later; -1 where there are too few.
+// routeFraction returns the fraction of a zone's attempts that are in a zone, in the last second or
+// since a time if that is later; -1 where there are too few.
 func (s *scenario) routeFraction(from, to string, since time.Time) float64 {
 	if second := time.Now().Add(-time.Second); second.After(since) {
 		since = second
@@ -110,7 +113,8 @@
 	return float64(counts[Route{from, to}]) / float64(total)
 }
 
-// waitForFraction waits until the fraction of a zone's attempts from now on that are in a zone is within bounds.
+// waitForFraction waits until the fraction of a zone's attempts from now on that are in a zone is
+// within bounds.
 func (s *scenario) waitForFraction(from, to string, minFraction, maxFraction float64) {
 	s.t.Helper()
 	since, fraction := time.Now(), 0.0
@@ -127,7 +131,8 @@
 	})
 }
 
-// waitForLoad waits until a zone gets, in a second from now on, at least a fraction of what clients ask for in a zone.
+// waitForLoad waits until a zone gets, in a second from now on, at least a fraction of what clients
+// ask for in a zone.
 func (s *scenario) waitForLoad(from, to string, minFraction float64) {
 	s.t.Helper()
 	since := time.Now()
@@ -149,7 +154,8 @@
 	}
 }
 
-// finish waits for the answers, and fails where a rule was broken, a zone overloaded, or a process logged what it must not.
+// finish waits for the answers, and fails where a rule was broken, a zone overloaded, or a process
+// logged what it must not.
 func (s *scenario) finish() {
 	s.t.Helper()
 	s.stopLoad()
--- a/internal/testing/faultinjection/server.go
+++ b/internal/testing/faultinjection/server.go
@@ -23,7 +23,8 @@
 	Failing               // answers with errors
 )
 
-// Server is a fake server. It works on a number of requests at once, each for a time, and rejects others.
+// Server is a fake server. It works on a number of requests at once, each for a time, and rejects
+// others.
 type Server struct {
 	Name, Zone, Addr string
 
@@ -116,7 +117,8 @@
 // Close ends the server.
 func (s *Server) Close() { _ = s.SetBehavior(Down) } // fails only where it has to listen
 
-// admit returns the behavior, and takes a place for a request where the server is healthy and has one.
+// admit returns the behavior, and takes a place for a request where the server is healthy and has
+// one.
 func (s *Server) admit() (behavior Behavior, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/faultinjection/settlement_test.go
+++ b/internal/testing/faultinjection/settlement_test.go
@@ -10,8 +10,8 @@
 	"harrierhoist/internal/testing/faultinjection/faultproxy"
 )
 
-// partnerTerms has three partners with a zone and customers each. noSettlementRule has what a and b owe each other left as it
-// is.
+// partnerTerms has three partners with a zone and customers each. noSettlementRule has what a and b
+// owe each other left as it is.
 const partnerTerms = `[debts]
 on = true
 settle_over_s = 5.0
@@ -54,8 +54,9 @@
 	return units
 }
 
-// 15. A zone is lost and its requests run at another partner's, while every digest arrives twice, the leader is killed,
-// and the next one too. What is owed at the end is what the servers worked, to the unit.
+// 15. A zone is lost and its requests run at another partner's, while every digest arrives twice,
+// the leader is killed, and the next one too. What is owed at the end is what the servers worked,
+// to the unit.
 func TestSettlement_debtsExactThroughLeaderChangesAndDuplicates(t *testing.T) {
 	s := startScenarioWith(t, partnerTerms+noSettlementRule+failoverTerms)
 	s.SetFault(nil, nil, faultproxy.Fault{Duplicate: true, OnlyPath: "/digests"})
@@ -79,7 +80,8 @@
 	}
 }
 
-// 16. A debt is being settled when its debtor's zone fails. The creditor's requests come back and are served in its zone.
+// 16. A debt is being settled when its debtor's zone fails. The creditor's requests come back and
+// are served in its zone.
 func TestSettlement_debtorZoneFailsMeanwhile(t *testing.T) {
 	s := startScenarioWith(t, partnerTerms+failoverTerms)
 	s.failZone("hall-a", "hall-b")
--- a/internal/testing/faultinjection/voters.go
+++ b/internal/testing/faultinjection/voters.go
@@ -16,7 +16,8 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// LeaseDuration is short, so that scenarios are. Processes confirm what they hold about five times in it.
+// LeaseDuration is short, so that scenarios are. Processes confirm what they hold about five times
+// in it.
 const LeaseDuration = time.Second
 
 const (
@@ -34,11 +35,12 @@
 	Dir      string // of its log
 }
 
-// VoterCluster is three voters and, from each process to each other voter, a proxy. Each process has a configuration of
-// its own, in which the voters are at its own proxies.
+// VoterCluster is three voters and, from each process to each other voter, a proxy. Each process
+// has a configuration of its own, in which the voters are at its own proxies.
 type VoterCluster struct {
 	Voters []*Voter
-	// GatewayTerms and VoterTerms are the tables of failover, counting and debts in the processes' configurations.
+	// GatewayTerms and VoterTerms are the tables of failover, counting and debts in the processes'
+	// configurations.
 	GatewayTerms, VoterTerms string
 
 	env           *Environment
@@ -47,7 +49,8 @@
 	commandNumber uint64 // of the latest write
 }
 
-// AddVoters makes voters v1 to v3, and the configurations of all processes. The processes are yet to be started.
+// AddVoters makes voters v1 to v3, and the configurations of all processes. The processes are yet
+// to be started.
 func (env *Environment) AddVoters(gatewayTerms, voterTerms string) *VoterCluster {
 	env.T.Helper()
 	c := &VoterCluster{
@@ -81,8 +84,8 @@
 	return v
 }
 
-// Replace makes a voter that takes the place of another, with a folder of its own. WriteConfigs and SIGHUP tell the other
-// processes.
+// Replace makes a voter that takes the place of another, with a folder of its own. WriteConfigs and
+// SIGHUP tell the other processes.
 func (c *VoterCluster) Replace(old *Voter, name string, number uint64) *Voter {
 	c.env.T.Helper()
 	v := c.newVoter(name, number, old.Number)
@@ -225,8 +228,8 @@
 	return table
 }
 
-// Write writes a table and returns its new epoch. Where another write came first, it is written again on that one; what
-// may have been written is proposed again under the same number.
+// Write writes a table and returns its new epoch. Where another write came first, it is written
+// again on that one; what may have been written is proposed again under the same number.
 func (c *VoterCluster) Write(name string, value []byte) (epoch uint64) {
 	c.env.T.Helper()
 	for {
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -103,8 +103,8 @@
 	s.finish()
 }
 
-// 17. The leader's disk is full when it is to write the next plan. It stops, and logs it; another leads and writes the plan.
-// With space again, and started again, it is one of the three.
+// 17. The leader's disk is full when it is to write the next plan. It stops, and logs it; another
+// leads and writes the plan. With space again, and started again, it is one of the three.
 func TestVoters_leaderWithFullDisk(t *testing.T) {
 	s := startScenario(t)
 	full := s.Leader()
@@ -125,8 +125,8 @@
 	s.finish()
 }
 
-// 18. All processes run on the old configuration, then half of them on a new one with other terms. Whichever the leader
-// has, a zone's loss is answered, and its return.
+// 18. All processes run on the old configuration, then half of them on a new one with other terms.
+// Whichever the leader has, a zone's loss is answered, and its return.
 func TestVoters_halfOfProcessesOnNewConfig(t *testing.T) {
 	s := startScenario(t)
 	s.GatewayTerms = failoverTerms + "[failover.bears_by]\n\"hall-a\" = 120\n"
--- a/internal/testing/faultinjection/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// minRecoveryTime is between the first step back and the last: two seconds by the terms, less the time between checks.
+// minRecoveryTime is between the first step back and the last: two seconds by the terms, less the
+// time between checks.
 const minRecoveryTime = 1700 * time.Millisecond
 
 // 1. A zone's servers go down at once. Its requests go to the zone of its region that has capacity, none to the other
@@ -71,7 +72,8 @@
 }
 
 // 6. A zone, its voter and its gateways are partitioned from all others, and its servers go down. The minority keeps its
-// last plan while its lease holds, then sends elsewhere no more than the plan had reserved for that.
+// last plan while its lease holds, then sends elsewhere no more than the plan had reserved for
+// that.
 func TestZone_minorityPartitionWithFailedZone(t *testing.T) {
 	s := startScenario(t)
 	apart := []string{"hall-c-g0", "hall-c-g1", "v3"}
--- a/internal/testing/golden/digest.go
+++ b/internal/testing/golden/digest.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Digest is the SHA-256 of what code under test decides or draws, written as text: a fixture where the text is too long.
+// Digest is the SHA-256 of what code under test decides or draws, written as text: a fixture where
+// the text is too long.
 type Digest struct{ sum hash.Hash }
 
 // NewDigest returns the digest of nothing.
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden holds, for tests, what is stored or sent to fixtures: files under the testdata of the test's package, and
-// encodings in hex. The fixtures are constants of the formats: no test writes them.
+// Package golden holds, for tests, what is stored or sent to fixtures: files under the testdata of
+// the test's package, and encodings in hex. The fixtures are constants of the formats: no test
+// writes them.
 package golden
 
 import (
@@ -31,7 +32,8 @@
 	return decodeHex(t, strings.TrimSpace(string(Read(t, name))))
 }
 
-// ReadFolder returns the bytes of all files of a folder that the code under test wrote, in the order of their names.
+// ReadFolder returns the bytes of all files of a folder that the code under test wrote, in the
+// order of their names.
 func ReadFolder(t testing.TB, folder string) (all []byte) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
@@ -56,7 +58,8 @@
 	}
 }
 
-// CheckCBOR encodes a value, or a pointer to one, and compares the bytes with those in hex, which must decode as the value.
+// CheckCBOR encodes a value, or a pointer to one, and compares the bytes with those in hex, which
+// must decode as the value.
 func CheckCBOR(t testing.TB, marshal func(any) ([]byte, error), value any, wantHex string) {
 	t.Helper()
 	if got, err := marshal(value); err != nil || hex.EncodeToString(got) != wantHex {
@@ -69,8 +72,8 @@
 	}
 }
 
-// CheckStored holds the stored form of a value to bytes: the value is encoded as they are, they decode as the value, and
-// what they decode as is encoded as they are again.
+// CheckStored holds the stored form of a value to bytes: the value is encoded as they are, they
+// decode as the value, and what they decode as is encoded as they are again.
 func CheckStored[T any](
 	t testing.TB, stored []byte, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error),
 ) {
--- a/internal/testing/knownred/knownred.go
+++ b/internal/testing/knownred/knownred.go
@@ -1,5 +1,6 @@
-// Command knownred runs go test where KNOWN-RED.txt lists tests that may fail: all other tests of the packages, then each
-// listed test alone. It fails if one of those passes or is not there. .ci/run calls it with the arguments of go test.
+// Command knownred runs go test where KNOWN-RED.txt lists tests that may fail: all other tests of
+// the packages, then each listed test alone. It fails if one of those passes or is not there.
+// .ci/run calls it with the arguments of go test.
 package main
 
 import (
@@ -36,8 +37,9 @@
 // goTool runs a command of go, and returns what it printed.
 type goTool func(args ...string) (printed string, err error)
 
-// runTests runs the packages at the end of the arguments, with the flags of go test before them, and without the tests
-// that are listed; those it wants to fail. Listed tests of other packages are left to the call that runs these. With
+// runTests runs the packages at the end of the arguments, with the flags of go test before them,
+// and without the tests that are listed; those it wants to fail. Listed tests of other packages are
+// left to the call that runs these. With
 // -race listed tests are left out and no more: what fails only there is a race, and not a known failure.
 func runTests(list string, args []string, tool goTool, out io.Writer) error {
 	known, err := parseList(list)
@@ -97,7 +99,8 @@
 	return faults
 }
 
-// run runs the listed test alone. Its error says in what way the test did not fail as the list has it.
+// run runs the listed test alone. Its error says in what way the test did not fail as the list has
+// it.
 func (f knownFailure) run(flags []string, tool goTool) error {
 	printed, err := tool(slices.Concat([]string{"test"}, flags, []string{"-run=^" + f.test + "$", f.importPath})...)
 	switch {
--- a/internal/testing/knownred/list.go
+++ b/internal/testing/knownred/list.go
@@ -47,8 +47,8 @@
 	return f.importPath == other.importPath && f.test == other.test
 }
 
-// parseList reads the list. It refuses an entry that lacks a key, has one twice or has a value of another form, and a
-// test that is named twice.
+// parseList reads the list. It refuses an entry that lacks a key, has one twice or has a value of
+// another form, and a test that is named twice.
 func parseList(text string) ([]knownFailure, error) {
 	var known []knownFailure
 	for _, entry := range strings.Split(strings.TrimSuffix(text, "\n"), "\n\n") {
--- a/internal/testing/rulesimulation/checks.go
+++ b/internal/testing/rulesimulation/checks.go
@@ -23,7 +23,8 @@
 	return n
 }
 
-// CheckAnswers tells of a request that had no final answer, or two. One whose gateway died may have none.
+// CheckAnswers tells of a request that had no final answer, or two. One whose gateway died may have
+// none.
 func (s *Simulation) CheckAnswers() error {
 	for _, request := range s.requests {
 		isUnanswered := request.lost && request.answers == 0
@@ -49,8 +50,8 @@
 	return 0
 }
 
-// WorstOverrun is by how much a count's forwarded weighted units exceeded its limit, in bursts: by the servers' record,
-// and the rule that was truly in force when each request was accepted.
+// WorstOverrun is by how much a count's forwarded weighted units exceeded its limit, in bursts: by
+// the servers' record, and the rule that was truly in force when each request was accepted.
 func (s *Simulation) WorstOverrun() (worst float64) {
 	quotas := map[uint64]quotaUse{}
 	byTime := slices.SortedFunc(slices.Values(s.requests), func(a, b *request) int {
@@ -71,8 +72,8 @@
 	return worst
 }
 
-// CheckCharges checks by the counter's record that each count was charged what was forwarded under it, no more and no
-// less. The plan holds few requests, so charges go alone and at once.
+// CheckCharges checks by the counter's record that each count was charged what was forwarded under
+// it, no more and no less. The plan holds few requests, so charges go alone and at once.
 func CheckCharges(seed uint64, bug Bug) error {
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 100, Burst: 7}}
--- a/internal/testing/rulesimulation/forecast.go
+++ b/internal/testing/rulesimulation/forecast.go
@@ -29,7 +29,8 @@
 	canaryOwnCalls       = 12 // of a gateway for each request: as much as a sample of one key in 25 would have
 )
 
-// Forecast is what a canary forecast and what followed: parts of the sample's units that were admitted.
+// Forecast is what a canary forecast and what followed: parts of the sample's units that were
+// admitted.
 type Forecast struct {
 	Before, Forecast, Observed float64
 	Calls                      float64 // of the shadow evaluation, for each request that was accepted
@@ -45,8 +46,9 @@
 	requested, admitted [2]float64 // units of the sample by version
 }
 
-// RunForecast simulates a canary beside so many gateways with the decision module itself for two minutes, then switches
-// to the rule. Its customers come through any of the gateways. Its error is that of canary.NewSample.
+// RunForecast simulates a canary beside so many gateways with the decision module itself for two
+// minutes, then switches to the rule. Its customers come through any of the gateways. Its error is
+// that of canary.NewSample.
 func RunForecast(seed uint64, gateways int, rule countingrule.Rule) (Forecast, error) {
 	sample, err := canary.NewSample(countingrule.Rule{}, rule, seed, canarySamplePermille)
 	if err != nil {
@@ -97,7 +99,8 @@
 	}
 }
 
-// call makes the shadow evaluation's calls to the counter, and those that follow from their answers.
+// call makes the shadow evaluation's calls to the counter, and those that follow from their
+// answers.
 func (c *canarySimulation) call(g *gateway, calls []canary.Call) {
 	for _, call := range calls {
 		g.addUnits(call.Name, call.Units, func(count float64) {
--- a/internal/testing/rulesimulation/golden_test.go
+++ b/internal/testing/rulesimulation/golden_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// The hashes were written before the program's names were changed: what the simulations give must stay.
+// The hashes were written before the program's names were changed: what the simulations give must
+// stay.
 
 // record hashes all that a simulation's servers, clients and counter saw.
 func (s *Simulation) record() string {
--- a/internal/testing/rulesimulation/rulesimulation_test.go
+++ b/internal/testing/rulesimulation/rulesimulation_test.go
@@ -13,9 +13,9 @@
 	seed      = flag.Uint64("seed", 3, "of the canary's simulation")
 )
 
-// maxOverrun is what a count may be exceeded by, in bursts: the one more that a window's edge gives, and one for what the
-// count lags and the decision module's draws. Without faults the module exceeds a limit by up to 1.4
-// (docs/counting-rules.md).
+// maxOverrun is what a count may be exceeded by, in bursts: the one more that a window's edge
+// gives, and one for what the count lags and the decision module's draws. Without faults the module
+// exceeds a limit by up to 1.4 (docs/counting-rules.md).
 const maxOverrun = 2.0
 
 func TestSwitch_noCountExceedsItsLimit(t *testing.T) {
@@ -57,7 +57,8 @@
 	})
 }
 
-// A request admitted under one rule is charged by that, however late its answer; the check finds one that is not.
+// A request admitted under one rule is charged by that, however late its answer; the check finds
+// one that is not.
 func TestCharges_followTheRuleOfAdmission(t *testing.T) {
 	for seed := range uint64(10) {
 		if err := CheckCharges(seed, NoBug); err != nil {
--- a/internal/testing/rulesimulation/simulation.go
+++ b/internal/testing/rulesimulation/simulation.go
@@ -1,6 +1,7 @@
-// Package rulesimulation simulates counting rules in virtual time: a few gateways, each with the decision module itself,
-// around a switch of rules with faults, and beside a canary. What it shows is what the rules and their switch do, not
-// what a network does. Bugs can be injected, to see that its checks find them.
+// Package rulesimulation simulates counting rules in virtual time: a few gateways, each with the
+// decision module itself, around a switch of rules with faults, and beside a canary. What it shows
+// is what the rules and their switch do, not what a network does. Bugs can be injected, to see that
+// its checks find them.
 package rulesimulation
 
 import (
@@ -84,7 +85,8 @@
 	return simulation
 }
 
-// must is for settings and rules that a simulation is made of: an error in them is a fault of its caller.
+// must is for settings and rules that a simulation is made of: an error in them is a fault of its
+// caller.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/internal/testing/rulesimulation/switch.go
+++ b/internal/testing/rulesimulation/switch.go
@@ -16,7 +16,8 @@
 	switchEnd       = 40 * time.Second
 )
 
-// TightScenario gives settings and a rule under which eight customers, who request eight times a plan, share one.
+// TightScenario gives settings and a rule under which eight customers, who request eight times a
+// plan, share one.
 func TightScenario() (policy.Settings, countingrule.Rule) {
 	settings := baseSettings()
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 10, Burst: 20}}
@@ -28,7 +29,8 @@
 	}
 }
 
-// RunSwitch simulates a switch to a rule and its rollback, with faults at two of the gateways unless calm.
+// RunSwitch simulates a switch to a rule and its rollback, with faults at two of the gateways
+// unless calm.
 func RunSwitch(seed uint64, settings policy.Settings, rule countingrule.Rule, bug Bug, calm bool) *Simulation {
 	simulation := newSimulation(seed, settings, []countingrule.Rule{rule})
 	simulation.bug = bug
--- a/internal/testing/subprocess/subprocess.go
+++ b/internal/testing/subprocess/subprocess.go
@@ -1,5 +1,5 @@
-// Package subprocess builds, for tests, the program, and runs it: its log is kept, and it may be killed, paused, started
-// again, or have its disk fill up.
+// Package subprocess builds, for tests, the program, and runs it: its log is kept, and it may be
+// killed, paused, started again, or have its disk fill up.
 package subprocess
 
 import (
@@ -27,7 +27,8 @@
 	return path, nil
 }
 
-// Log is what a process wrote, over all its incarnations. It may be used by several goroutines at once.
+// Log is what a process wrote, over all its incarnations. It may be used by several goroutines at
+// once.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -69,8 +70,9 @@
 // AddEnv adds to the environment of the process, from its next start on.
 func (p *Process) AddEnv(env ...string) { p.env = append(p.env, env...) }
 
-// SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or succeed again. (A disk that
-// takes writes and fails to sync can't be made without special rights: package wal's own tests have one.)
+// SetDiskFull has every write of the process to a file fail from now on, as on a full disk, or
+// succeed again. (A disk that takes writes and fails to sync can't be made without special rights:
+// package wal's own tests have one.)
 func (p *Process) SetDiskFull(full bool) error {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, nil, &limit); err != nil {
@@ -105,7 +107,8 @@
 // PID returns the process ID of its last start.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Signal sends a signal, unless the process has ended: SIGSTOP to pause it, SIGCONT to resume it, SIGTERM, SIGHUP.
+// Signal sends a signal, unless the process has ended: SIGSTOP to pause it, SIGCONT to resume it,
+// SIGTERM, SIGHUP.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.IsRunning() {
 		_ = p.command.Process.Signal(s) // it may end just now
--- a/internal/testing/votersimulation/client.go
+++ b/internal/testing/votersimulation/client.go
@@ -39,7 +39,8 @@
 	value   string
 }
 
-// client makes one call after the other, and repeats it under the same number until it has an answer.
+// client makes one call after the other, and repeats it under the same number until it has an
+// answer.
 type client struct {
 	sim        *simulation
 	id         int
@@ -111,7 +112,8 @@
 	c.sim.after(c.sim.drawDuration(maxCallPause), c.startNext)
 }
 
-// recordPending puts a call without an answer into the history: it may have been applied at any time, or never.
+// recordPending puts a call without an answer into the history: it may have been applied at any
+// time, or never.
 func (c *client) recordPending() {
 	if c.pending {
 		c.record(answer{}, math.MaxInt64)
--- a/internal/testing/votersimulation/faults.go
+++ b/internal/testing/votersimulation/faults.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// replaceVoter has a voter lose its disk and come back under a new number, as an operator would do it.
+// replaceVoter has a voter lose its disk and come back under a new number, as an operator would do
+// it.
 func (s *simulation) replaceVoter(n *node) {
 	if s.replaced {
 		return
@@ -125,7 +126,8 @@
 	s.every(replaceInterval, func() bool { return s.continueReplacement(n, replacement) })
 }
 
-// continueReplacement asks the leader for the next membership change. It returns false once there is none left.
+// continueReplacement asks the leader for the next membership change. It returns false once there
+// is none left.
 func (s *simulation) continueReplacement(lost, replacement *node) bool {
 	leader := s.leader()
 	if leader == nil || s.now() > runDuration {
--- a/internal/testing/votersimulation/golden_test.go
+++ b/internal/testing/votersimulation/golden_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// goldenRun simulates a seed as Run does, and returns a hash of all that was seen, answered and written.
+// goldenRun simulates a seed as Run does, and returns a hash of all that was seen, answered and
+// written.
 func goldenRun(t *testing.T, seed uint64, bug Bug) string {
 	t.Helper()
 	sim := newSimulation(seed, bug, 3+2*int(seed%2))
--- a/internal/testing/votersimulation/invariants.go
+++ b/internal/testing/votersimulation/invariants.go
@@ -12,7 +12,8 @@
 	value string
 }
 
-// tableModel is a table whose writes compare the epoch first. All answers to clients together must fit it.
+// tableModel is a table whose writes compare the epoch first. All answers to clients together must
+// fit it.
 var tableModel = porcupine.Model{
 	Init: func() any { return tableState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -30,7 +31,8 @@
 	},
 }
 
-// maxApplyLag is how many entries a voter may be behind the leader at the end: those that are on their way.
+// maxApplyLag is how many entries a voter may be behind the leader at the end: those that are on
+// their way.
 const maxApplyLag = 5
 
 // checkEndState checks what can only be told at the end of a run.
@@ -67,7 +69,8 @@
 	}
 }
 
-// checkInvariants checks what must hold at any moment. The gatherer learns of the node's leadership here.
+// checkInvariants checks what must hold at any moment. The gatherer learns of the node's leadership
+// here.
 func (n *node) checkInvariants() {
 	if !n.up {
 		return
--- a/internal/testing/votersimulation/lease_holder.go
+++ b/internal/testing/votersimulation/lease_holder.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// checkLease checks the invariant of leases: the epoch that a holder acts on was the latest at some moment within the last
-// lease duration.
+// checkLease checks the invariant of leases: the epoch that a holder acts on was the latest at some
+// moment within the last lease duration.
 func (h *leaseHolder) checkLease() bool {
 	if h.now() < h.leaseEnd || h.sim.bug == LeaseIgnored && h.epoch > 0 {
 		if since, ok := h.sim.committedAt[h.epoch+1]; ok && since < h.sim.now()-leaseDuration {
--- a/internal/testing/votersimulation/network.go
+++ b/internal/testing/votersimulation/network.go
@@ -7,7 +7,8 @@
 	"harrierhoist/internal/lab/virtualtime"
 )
 
-// outside is the network address of clients, lease holders and reporters; voters have their numbers.
+// outside is the network address of clients, lease holders and reporters; voters have their
+// numbers.
 const outside = 0
 
 // What can happen to any message.
--- a/internal/testing/votersimulation/node.go
+++ b/internal/testing/votersimulation/node.go
@@ -83,7 +83,8 @@
 	n.every(forwardInterval, n.forwardDigests)
 }
 
-// every executes an action again and again in this incarnation. It is left out while the node is busy.
+// every executes an action again and again in this incarnation. It is left out while the node is
+// busy.
 func (n *node) every(interval time.Duration, action func()) {
 	incarnation := n.incarnation
 	running := func() bool { return n.up && n.incarnation == incarnation }
--- a/internal/testing/votersimulation/ready.go
+++ b/internal/testing/votersimulation/ready.go
@@ -50,7 +50,8 @@
 	n.checkInvariants()
 }
 
-// handleReady writes, sends and applies, or crashes in between. It returns false if the node cannot go on now.
+// handleReady writes, sends and applies, or crashes in between. It returns false if the node cannot
+// go on now.
 func (n *node) handleReady(ready consensus.Ready) bool {
 	crashAt := n.crashPoint
 	if ready.Record == nil {
--- a/internal/testing/votersimulation/reporter.go
+++ b/internal/testing/votersimulation/reporter.go
@@ -28,7 +28,8 @@
 	return r
 }
 
-// report sends the next digest; at times it switches to another voter first, as if there had been no response.
+// report sends the next digest; at times it switches to another voter first, as if there had been
+// no response.
 func (r *reporter) report() bool {
 	r.count += uint64(r.sim.rng.IntN(maxGrowth + 1))
 	r.serial++
--- a/internal/testing/votersimulation/simulation.go
+++ b/internal/testing/votersimulation/simulation.go
@@ -1,6 +1,7 @@
-// Package simulation runs several voters, their clients and the holders of leases in virtual time. Consensus, reads and the
-// merging of digests are the real ones; disks, messages and clocks are simulated, and draw from a seed whatever can go wrong
-// with them. The same seed gives the same run, event by event.
+// Package simulation runs several voters, their clients and the holders of leases in virtual time.
+// Consensus, reads and the merging of digests are the real ones; disks, messages and clocks are
+// simulated, and draw from a seed whatever can go wrong with them. The same seed gives the same
+// run, event by event.
 package votersimulation
 
 import (
@@ -109,7 +110,8 @@
 
 func (s *simulation) after(delay time.Duration, action func()) { s.clock.After(delay, action) }
 
-// every runs an action again and again until it returns false, at first after a part of the interval that is drawn.
+// every runs an action again and again until it returns false, at first after a part of the
+// interval that is drawn.
 func (s *simulation) every(interval time.Duration, action func() bool) {
 	s.clock.Every(s.drawDuration(interval), interval, action)
 }
@@ -166,5 +168,6 @@
 	return s.nodes[number-1]
 }
 
-// chooseNode returns the voter that a client asks. Clients know all voters, also those that are not members.
+// chooseNode returns the voter that a client asks. Clients know all voters, also those that are not
+// members.
 func (s *simulation) chooseNode(index int) *node { return s.nodes[index%len(s.nodes)] }
--- a/internal/testing/votersimulation/simulation_test.go
+++ b/internal/testing/votersimulation/simulation_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// The leader crashes 50 times and restarts after a while. docs/cluster.md states how long there is no leader.
+// The leader crashes 50 times and restarts after a while. docs/cluster.md states how long there is
+// no leader.
 func TestRun_timeWithoutALeader(t *testing.T) {
 	sim := newSimulation(1, NoBug, 3)
 	var withoutLeader []time.Duration
