--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -32,6 +32,12 @@
 	KnownEndpoints json.RawMessage // the endpoint list of an earlier run, in discovery's form; empty or null: none
 }
 
+// The form of a seed: 16 hex digits.
+const (
+	seedBase = 16
+	seedBits = 64
+)
+
 // Upper bounds of the limits. Greater values are slips, and would stand for all of the machine.
 const (
 	maxCores    = 1 << 16
@@ -40,11 +46,14 @@
 
 var (
 	errNoPath         = errors.New("no configuration file is named (RELAY_CONFIG)")
-	errKnownEndpoints = errors.New("configuration: known: a list in discovery's form is wanted, an object with hosts, or null")
-	errNoCounter      = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
+	errKnownEndpoints = errors.New(
+		"configuration: known: a list in discovery's form is wanted, an object with hosts, or null",
+	)
+	errNoCounter = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
 )
 
-// Read reads a configuration file. An error is one line that names the file, the key and the values allowed there.
+// Read reads a configuration file. An error is one line that names the file, the key and the values
+// allowed there.
 func Read(path string) (*Gateway, error) {
 	if path == "" {
 		return nil, errNoPath
@@ -60,8 +69,8 @@
 	return gateway, nil
 }
 
-// RetainRestartOnly takes over from the previous configuration what only a restart can change, and returns the keys of what
-// differed.
+// RetainRestartOnly takes over from the previous configuration what only a restart can change, and
+// returns the keys of what differed.
 func (g *Gateway) RetainRestartOnly(previous *Gateway) (keys []string) {
 	retain := func(key string, same bool, restore func()) {
 		if !same {
@@ -69,15 +78,21 @@
 			restore()
 		}
 	}
-	settings, was := &g.Settings, &previous.Settings
+	settings := &g.Settings
+	was := &previous.Settings
+	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets
 	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
 	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
 	retain("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
-	retain("limits", g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets, func() {
-		g.Cores, g.MemoryMB, g.Sockets = previous.Cores, previous.MemoryMB, previous.Sockets
+	retain("limits", sameLimits, func() {
+		g.Cores = previous.Cores
+		g.MemoryMB = previous.MemoryMB
+		g.Sockets = previous.Sockets
 	})
 	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
-		g.Zones, settings.Zones, settings.MyZone = previous.Zones, was.Zones, was.MyZone
+		g.Zones = previous.Zones
+		settings.Zones = was.Zones
+		settings.MyZone = was.MyZone
 	})
 	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
 	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
@@ -92,8 +107,8 @@
 	return keys
 }
 
-// file is the layout of a configuration file. It is an alias without tags, as a refusal's text prints the type of what
-// cannot be decoded: a name or a tag would change the operators' lines.
+// file is the layout of a configuration file. It is an alias without tags, as a refusal's text
+// prints the type of what cannot be decoded: a name or a tag would change the operators' lines.
 type file = struct {
 	Name, Listen, Discovery, Counter, Seed string
 
@@ -121,13 +136,19 @@
 	if len(content.Known) > 0 && json.Unmarshal(content.Known, &known) != nil {
 		return nil, errKnownEndpoints
 	}
-	seed, err := strconv.ParseUint(content.Seed, 16, 64)
+	seed, err := strconv.ParseUint(content.Seed, seedBase, seedBits)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: seed: 16 hex digits are wanted, not %q", content.Seed)
 	}
 	gateway := &Gateway{
-		Name: content.Name, Listen: content.Listen, Discovery: content.Discovery, Counter: content.Counter, Seed: int64(seed),
-		Cores: content.Limits.Cores, MemoryMB: content.Limits.MemoryMB, Sockets: content.Limits.Sockets,
+		Name:           content.Name,
+		Listen:         content.Listen,
+		Discovery:      content.Discovery,
+		Counter:        content.Counter,
+		Seed:           int64(seed),
+		Cores:          content.Limits.Cores,
+		MemoryMB:       content.Limits.MemoryMB,
+		Sockets:        content.Limits.Sockets,
 		KnownEndpoints: content.Known,
 	}
 	if err := gateway.readSettings(content.Settings); err != nil {
@@ -157,7 +178,11 @@
 	case limits.Sockets <= 0:
 		return fmt.Errorf("configuration: limits.sockets: a whole number above 0 is wanted, not %d", limits.Sockets)
 	case limits.Cores < 0 || limits.Cores > maxCores:
-		return fmt.Errorf("configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g", maxCores, limits.Cores)
+		return fmt.Errorf(
+			"configuration: limits.cores: a number from 0 (not told) to %d is wanted, not %g",
+			maxCores,
+			limits.Cores,
+		)
 	case limits.MemoryMB < 0 || limits.MemoryMB > maxMemoryMB:
 		return fmt.Errorf("configuration: limits.memory_mb: a whole number from 0 (not told) to %d is wanted, not %d",
 			maxMemoryMB, limits.MemoryMB)
@@ -170,13 +195,15 @@
 	values := newValues()
 	values.flatten("", nested)
 	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
-	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // without it a dial could last for ever
+	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // bounds a dial
 	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxFigure)
-	g.Zones, g.Hardware = values.List("Dcs"), values.List("Models")
+	g.Zones = values.List("Dcs")
+	g.Hardware = values.List("Models")
 	g.ConnectTimeout = Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs"))
 	g.IdleTimeout = Milliseconds(values.Number("PolicyLimits.IdleCloseMs"))
 	var err error
-	if g.Settings, err = ReadSettings(values); err != nil {
+	g.Settings, err = ReadSettings(values)
+	if err != nil {
 		return err
 	}
 	if err := g.Settings.Validate(); err != nil {
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A refusal of a wrong value named the key alone, or not what is allowed there; with several files about, which one
-// was wrong was left to guess.
+// A refusal of a wrong value named the key alone, or not what is allowed there; with several files
+// about, which one was wrong was left to guess.
 func TestRead_refusalNamesFileKeyAndAllowedRange(t *testing.T) {
 	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED","limits":{"sockets":SOCKETS},"settings":{}}`
 	for _, c := range []struct{ name, sockets, seed, want string }{
@@ -219,7 +219,8 @@
 	}
 }
 
-// Settings without a traffic class were found out only after the counter had moved to the address beside them.
+// Settings without a traffic class were found out only after the counter had moved to the address
+// beside them.
 func TestParse_settingsWithoutClassOrPlanAreRefused(t *testing.T) {
 	for _, key := range []string{"RequestClasses", "TiersOfService"} {
 		t.Run(key, func(t *testing.T) {
--- a/internal/gateway/config/golden_test.go
+++ b/internal/gateway/config/golden_test.go
@@ -68,8 +68,8 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	// No field is left out of the comparison: each has a value other than its zero value (Retired has no key, and only another
-	// class is a stream).
+	// No field is left out of the comparison: each has a value other than its zero value (Retired
+	// has no key, and only another class is a stream).
 	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
@@ -80,8 +80,9 @@
 	}
 }
 
-// refusals reads testdata/refusals.txt: an edit of full.json and the one line that it is refused with, apart by a tab. An
-// edit is PATH=VALUE (JSON) or -PATH, which removes the key; some are joined by " && ".
+// refusals reads testdata/refusals.txt: an edit of full.json and the one line that it is refused
+// with, apart by a tab. An edit is PATH=VALUE (JSON) or -PATH, which removes the key; some are
+// joined by " && ".
 func refusals(t *testing.T) [][2]string {
 	t.Helper()
 	var edits [][2]string
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -14,12 +14,16 @@
 	maxFigure   = 1e9
 )
 
-// Milliseconds turns milliseconds into a duration, rounded to a microsecond, the settings' resolution.
+const microsecondsPerMillisecond = 1000
+
+// Milliseconds turns milliseconds into a duration, rounded to a microsecond, the settings'
+// resolution.
 func Milliseconds(ms float64) time.Duration {
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
+	return time.Duration(math.Round(ms*microsecondsPerMillisecond)) * time.Microsecond
 }
 
-// ReadSettings reads the settings of the decision module. An error names the first key that is missing or wrong.
+// ReadSettings reads the settings of the decision module. An error names the first key that is
+// missing or wrong.
 func ReadSettings(values *Values) (policy.Settings, error) {
 	values.Require("Balancers", "Me", "MyZone", "RequestClasses.count", "TiersOfService.count",
 		"Rules.DrainGraceMs", "Rules.ColdFrom", "Rules.WarmAfterMs", "Rules.FallMultiple", "Rules.TipAfterMs",
@@ -34,7 +38,8 @@
 	for i := range values.Int("TiersOfService.count") {
 		settings.Plans = append(settings.Plans, readPlan(values, fmt.Sprintf("TiersOfService.%d.", i)))
 	}
-	values.requireUnique("RequestClasses", len(settings.Classes), func(i int) string { return settings.Classes[i].Name })
+	values.requireUnique("RequestClasses", len(settings.Classes),
+		func(i int) string { return settings.Classes[i].Name })
 	values.requireUnique("TiersOfService", len(settings.Plans), func(i int) string { return settings.Plans[i].Name })
 	return settings, values.Err()
 }
@@ -42,21 +47,35 @@
 // readFigures reads all but traffic classes and plans.
 func readFigures(values *Values) policy.Settings {
 	return policy.Settings{
-		Gateways: values.Int("Balancers"), MyIndex: values.Int("Me"), MyZone: values.Int("MyZone"), Zones: len(values.List("Dcs")),
-		PollList: values.Text("Discovery") == "ask", MaxListAge: values.Span("Rules.MustAskInMs"), ClockTick: values.Span("TickMs"),
+		Gateways:   values.Int("Balancers"),
+		MyIndex:    values.Int("Me"),
+		MyZone:     values.Int("MyZone"),
+		Zones:      len(values.List("Dcs")),
+		PollList:   values.Text("Discovery") == "ask",
+		MaxListAge: values.Span("Rules.MustAskInMs"),
+		ClockTick:  values.Span("TickMs"),
 
-		HasCounter: values.Bool("FamilyInfo.HasCounter"), CountTimeout: values.Span("FamilyInfo.CountLimitMs"),
-		ReportsUnits: values.Bool("FamilyInfo.Settles"), UsageSpan: values.Span("FamilyInfo.MeterMs"),
-		MaxUnits: values.Number("FamilyInfo.MostUnits"), MailboxRate: values.Number("FamilyInfo.InboxPerS"),
+		HasCounter:   values.Bool("FamilyInfo.HasCounter"),
+		CountTimeout: values.Span("FamilyInfo.CountLimitMs"),
+		ReportsUnits: values.Bool("FamilyInfo.Settles"),
+		UsageSpan:    values.Span("FamilyInfo.MeterMs"),
+		MaxUnits:     values.Number("FamilyInfo.MostUnits"),
+		MailboxRate:  values.Number("FamilyInfo.InboxPerS"),
 
-		Peers: values.Bool("PolicyLimits.Peers"), HealthChecks: values.Bool("PolicyLimits.Probes"),
-		CanCancel: values.Bool("PolicyLimits.Cancelling"), RetryAfter: values.Bool("PolicyLimits.RetryAfter"),
-		MaxRetryAfter: values.Span("PolicyLimits.MaxRetryAfterMs"), AllowHedging: values.Bool("PolicyLimits.SecondCopies"),
-		MaxAttempts: values.Int("PolicyLimits.TryLimit"),
+		Peers:         values.Bool("PolicyLimits.Peers"),
+		HealthChecks:  values.Bool("PolicyLimits.Probes"),
+		CanCancel:     values.Bool("PolicyLimits.Cancelling"),
+		RetryAfter:    values.Bool("PolicyLimits.RetryAfter"),
+		MaxRetryAfter: values.Span("PolicyLimits.MaxRetryAfterMs"),
+		AllowHedging:  values.Bool("PolicyLimits.SecondCopies"),
+		MaxAttempts:   values.Int("PolicyLimits.TryLimit"),
 
-		ArrivalSlack: values.Span("Rules.AnswerSlackMs"), DrainGrace: values.Span("Rules.DrainGraceMs"),
-		WarmUpStart: values.Number("Rules.ColdFrom"), WarmUpTime: values.Span("Rules.WarmAfterMs"),
-		OverloadFactor: values.Number("Rules.FallMultiple"), OverloadSpan: values.Span("Rules.TipAfterMs"),
+		ArrivalSlack:   values.Span("Rules.AnswerSlackMs"),
+		DrainGrace:     values.Span("Rules.DrainGraceMs"),
+		WarmUpStart:    values.Number("Rules.ColdFrom"),
+		WarmUpTime:     values.Span("Rules.WarmAfterMs"),
+		OverloadFactor: values.Number("Rules.FallMultiple"),
+		OverloadSpan:   values.Span("Rules.TipAfterMs"),
 
 		LoadReportFields: values.List("Report.Fields"),
 	}
@@ -69,8 +88,8 @@
 	values.RequireRange("Rules.ColdFrom", 0, 1)
 	for _, path := range []string{
 		"FamilyInfo.CountLimitMs", "FamilyInfo.MeterMs", "FamilyInfo.MostUnits", "FamilyInfo.InboxPerS",
-		"PolicyLimits.MaxRetryAfterMs", "Rules.AnswerSlackMs", "Rules.DrainGraceMs", "Rules.WarmAfterMs", "Rules.FallMultiple",
-		"Rules.MustAskInMs", "Rules.TipAfterMs", "TickMs",
+		"PolicyLimits.MaxRetryAfterMs", "Rules.AnswerSlackMs", "Rules.DrainGraceMs", "Rules.WarmAfterMs",
+		"Rules.FallMultiple", "Rules.MustAskInMs", "Rules.TipAfterMs", "TickMs",
 	} {
 		values.RequireRange(path, 0, maxFigure)
 	}
@@ -101,7 +120,8 @@
 // readPlan reads the plan whose keys begin with a prefix.
 func readPlan(values *Values, prefix string) policy.Plan {
 	for _, key := range []string{
-		"UnitsPerS", "PeakUnits", "Concurrency", "CeilingRate", "CapDepth", "CeilingSlack", "Pays", "BeyondEarns", "OverCost",
+		"UnitsPerS", "PeakUnits", "Concurrency", "CeilingRate", "CapDepth", "CeilingSlack", "Pays", "BeyondEarns",
+		"OverCost",
 	} {
 		values.RequireRange(prefix+key, 0, maxFigure)
 	}
--- a/internal/gateway/config/values.go
+++ b/internal/gateway/config/values.go
@@ -1,5 +1,6 @@
-// Package config reads the configuration of a gateway. The settings of the decision module come from the simulator as
-// lines of text and from a configuration file as nested JSON; a file also has the addresses and limits of a process.
+// Package config reads the configuration of a gateway. The settings of the decision module come
+// from the simulator as lines of text and from a configuration file as nested JSON; a file also has
+// the addresses and limits of a process.
 package config
 
 import (
@@ -9,8 +10,9 @@
 	"time"
 )
 
-// Values are settings by their path, such as "Rules.DrainGraceMs" or "RequestClasses.0.Name". Getters of a value that is
-// malformed return zero, and the first such error stays in Err. Unknown paths are ignored.
+// Values are settings by their path, such as "Rules.DrainGraceMs" or "RequestClasses.0.Name".
+// Getters of a value that is malformed return zero, and the first such error stays in Err. Unknown
+// paths are ignored.
 type Values struct {
 	byPath map[string]string
 	err    error
@@ -25,13 +27,16 @@
 // Error names the path first.
 func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
 
+const floatBits = 64 // of the figures of settings
+
 func newValues() *Values { return &Values{byPath: map[string]string{}} }
 
 // ParseLines reads settings written one to a line as PATH=VALUE. Empty lines are skipped.
 func ParseLines(text string) (*Values, error) {
 	values := newValues()
 	for i, line := range strings.Split(text, "\n") {
-		if line = strings.TrimSuffix(line, "\r"); line == "" {
+		line = strings.TrimSuffix(line, "\r")
+		if line == "" {
 			continue
 		}
 		path, value, ok := strings.Cut(line, "=")
@@ -43,8 +48,8 @@
 	return values, nil
 }
 
-// flatten adds nested JSON in the form of lines: plain values by path, plain lists joined by commas, lists of objects by
-// their count and their indexes.
+// flatten adds nested JSON in the form of lines: plain values by path, plain lists joined by
+// commas, lists of objects by their count and their indexes.
 func (v *Values) flatten(path string, nested any) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch value := nested.(type) {
@@ -64,7 +69,7 @@
 		v.byPath[under("count")] = strconv.Itoa(len(value))
 		v.byPath[path] = strings.Join(plain, ",")
 	case float64:
-		v.byPath[path] = strconv.FormatFloat(value, 'g', -1, 64)
+		v.byPath[path] = strconv.FormatFloat(value, 'g', -1, floatBits)
 	case nil: // as if the key were absent
 	default:
 		v.byPath[path] = fmt.Sprint(value)
@@ -89,19 +94,24 @@
 	}
 }
 
-// RequireRange checks that the number at a path, if there is one, lies from least to most, both included.
+// RequireRange checks that the number at a path, if there is one, lies from least to most, both
+// included.
 func (v *Values) RequireRange(path string, least, most float64) {
 	if number := v.Number(path); v.Text(path) != "" && (number < least || number > most) {
 		v.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, number))
 	}
 }
 
-// requireUnique checks that no two of the first n entries under a path have one name; an empty name is none.
+// requireUnique checks that no two of the first n entries under a path have one name; an empty name
+// is none.
 func (v *Values) requireUnique(path string, n int, name func(int) string) {
 	for i := range n {
 		for k := range i {
 			if name(i) != "" && name(i) == name(k) {
-				v.fail(fmt.Sprintf("%s.%d.Name", path, i), fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)))
+				v.fail(
+					fmt.Sprintf("%s.%d.Name", path, i),
+					fmt.Sprintf("must be another than that of %s.%d: %q", path, k, name(i)),
+				)
 			}
 		}
 	}
@@ -116,7 +126,7 @@
 	if !ok || text == "" {
 		return 0
 	}
-	number, err := strconv.ParseFloat(text, 64)
+	number, err := strconv.ParseFloat(text, floatBits)
 	if err != nil || number != number { // NaN
 		v.fail(path, fmt.Sprintf("is not a number: %q", text))
 		return 0
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -34,7 +34,8 @@
 	settlementDone <-chan struct{}   // closed once settlement has stored its state
 }
 
-// processStart is when the controllers' clock began, within a few milliseconds: a canary's stages go by the wall clock.
+// processStart is when the controllers' clock began, within a few milliseconds: a canary's stages
+// go by the wall clock.
 var processStart = time.Now()
 
 // readsPerLease is how many long polls fit in a lease.
@@ -61,11 +62,12 @@
 	return &membership{process: process}, nil
 }
 
-// newControllers returns the controllers that run where a voter leads, by its configuration. It is called by one goroutine
-// at a time.
+// newControllers returns the controllers that run where a voter leads, by its configuration. It is
+// called by one goroutine at a time.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	var trial *canary.Controller // one for all configurations, while the lease stays: a reload does not restart a canary
+	// One controller serves all configurations while the lease stays: a reload does not restart a canary.
+	var trial *canary.Controller
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
@@ -85,8 +87,8 @@
 	}
 }
 
-// start has the gateway act on the replicated tables until the context ends. An error is a coordination file that does not
-// fit the gateway's configuration.
+// start has the gateway act on the replicated tables until the context ends. An error is a
+// coordination file that does not fit the gateway's configuration.
 func (m *membership) start(ctx context.Context, running *instance) error {
 	if m == nil {
 		return nil
@@ -161,7 +163,8 @@
 	}
 }
 
-// close stops the node, after settlement has stored its state; the context given to start has ended.
+// close stops the node, after settlement has stored its state; the context given to start has
+// ended.
 func (m *membership) close() {
 	if m == nil {
 		return
--- a/internal/gateway/coordination_alone.go
+++ b/internal/gateway/coordination_alone.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// A build with the tag alone has no code of coordination: linked but never used, that code still takes some 5 MB of
-// resident memory and a part of the start (docs/cluster.md, Measured).
+// A build with the tag alone has no code of coordination: linked but never used, that code still
+// takes some 5 MB of resident memory and a part of the start (docs/cluster.md, Measured).
 
 // errCoordinationNotBuilt refuses a coordination file in such a build.
 var errCoordinationNotBuilt = errors.New("RELAY_COMMON: this program was built with the tag alone, " +
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -7,13 +7,17 @@
 	"harrierhoist/internal/gateway/config"
 )
 
-// reservedDescriptors are left free: some 16 for listener, log, counter, discovery and the runtime, and spare ones.
-const reservedDescriptors = 24
+const (
+	// reservedDescriptors are left free: some 16 for listener, log, counter, discovery and the
+	// runtime, and spare ones.
+	reservedDescriptors = 24
+	connectionSides     = 2 // clients and servers
+)
 
-// connectionLimit is how many connections clients may hold, and how many servers: half each of the descriptors, less the
-// reserved ones. Where the system gives fewer than the file says, its figure counts: idle clients could else take the last
-// one, and neither server, counter nor discovery could be called any more. Cost: with fewer connections idle clients are
-// closed sooner.
+// connectionLimit is how many connections clients may hold, and how many servers: half each of the
+// descriptors, less the reserved ones. Where the system gives fewer than the file says, its figure
+// counts: idle clients could otherwise take the last one, and neither server, counter nor discovery
+// could be called.
 func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
 	limit := configuration.Sockets
 	var descriptors unix.Rlimit
@@ -23,5 +27,5 @@
 		log.Warn("gateway: fewer descriptors than limits.sockets", zap.Int("sockets", configuration.Sockets),
 			zap.Int("descriptors", limit))
 	}
-	return max((limit-reservedDescriptors)/2, 1)
+	return max((limit-reservedDescriptors)/connectionSides, 1)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway runs one gateway process: it builds the gateway from its parts, and handles signals and
-// reconfiguration. The command harrierhoist runs it, and so does the laboratory for gateways of its own. With a
-// coordination file the process also takes part in what processes decide together; with that file alone it is a voter.
+// Package gateway runs one gateway process: it builds the gateway from its parts, and handles
+// signals and reconfiguration. The command harrierhoist runs it, and so does the laboratory for
+// gateways of its own. With a coordination file the process also takes part in what processes
+// decide together; with that file alone it is a voter.
 package gateway
 
 import (
@@ -17,23 +18,28 @@
 	"harrierhoist/internal/gateway/config"
 )
 
+const megabyte = 1 << 20 // the unit of the memory limit, in bytes
+
 // Shares of the memory limit.
 const (
 	heapDivisor          = 2 // the heap may grow to this part of it before it is collected harder
 	requestMemoryDivisor = 4 // requests and answers in flight may hold this part of it
 )
 
-// maxReadyWait bounds the wait for discovery's first list, whatever connect timeout is set: of restarted processes nine in
-// ten have to be ready within 10 s, and one that is paused by the system may lose some of that.
+// maxReadyWait bounds the wait for discovery's first list, whatever connect timeout is set: of
+// restarted processes nine in ten have to be ready within 10 s, and one that is paused by the
+// system may lose some of that.
 const maxReadyWait = 3 * time.Second
 
 // Run runs a gateway on the configuration file at a path, until the process is asked to end.
 func Run(path string) error { return RunWithCoordination(path, "") }
 
-// RunWithCoordination is Run of a process that takes part in coordination as the file at coordinationPath says; empty: it
-// takes no part. Without path it is a voter, which needs no other file.
+// RunWithCoordination is Run of a process that takes part in coordination as the file at
+// coordinationPath says; empty: it takes no part. Without path it is a voter, which needs no other
+// file.
 func RunWithCoordination(path, coordinationPath string) error {
-	// Before anything else: unhandled, either signal would end the program, and reset clients that have connected by then.
+	// Before anything else: unhandled, either signal would end the program, and reset clients that
+	// have connected by then.
 	signals := notifySignals()
 	defer signals.stop()
 	if path == "" && coordinationPath != "" {
@@ -56,8 +62,8 @@
 	return running.serve(coordinationPath, signals)
 }
 
-// readConfiguration reads the file. It returns neither a configuration nor an error if the process is asked to end first:
-// nobody was served yet, and a disk that hangs must not delay the end.
+// readConfiguration reads the file. It returns neither a configuration nor an error if the process
+// is asked to end first: nobody was served yet, and a disk that hangs must not delay the end.
 func readConfiguration(path string, terminate <-chan os.Signal) (*config.Gateway, error) {
 	var configuration *config.Gateway
 	var err error
@@ -80,7 +86,7 @@
 		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
 	}
 	if configuration.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(configuration.MemoryMB) << 20 / heapDivisor)
+		debug.SetMemoryLimit(int64(configuration.MemoryMB) * megabyte / heapDivisor)
 	}
 }
 
@@ -88,9 +94,14 @@
 func (i *instance) serve(coordinationPath string, signals *signals) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	socket, err := net.Listen("tcp", i.configuration.Listen)
+	var listenConfig net.ListenConfig
+	socket, err := listenConfig.Listen(ctx, "tcp", i.configuration.Listen)
 	if err != nil {
-		return fmt.Errorf("%s: configuration: listen: an address of this machine that is free is wanted: %w", i.configPath, err)
+		return fmt.Errorf(
+			"%s: configuration: listen: an address of this machine that is free is wanted: %w",
+			i.configPath,
+			err,
+		)
 	}
 	member, err := joinCoordination(coordinationPath, i.log)
 	if err != nil {
@@ -136,8 +147,9 @@
 	go i.clients.Sweep(ctx)
 }
 
-// becomeReady lets clients in once discovery's first list is applied, or after a while without it: the list of an earlier
-// run serves where discovery does not answer. A gateway that terminates is not announced any more.
+// becomeReady lets clients in once discovery's first list is applied, or after a while without it:
+// the list of an earlier run serves where discovery does not answer. A gateway that terminates is
+// not announced any more.
 func (i *instance) becomeReady(configuration *config.Gateway, terminating <-chan struct{}) {
 	select {
 	case <-i.watcher.FirstList():
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -31,17 +31,21 @@
 func newInstance(configPath string, configuration *config.Gateway, log *zap.Logger) (*instance, error) {
 	connectionsPerSide := connectionLimit(configuration, log)
 	settings := &configuration.Settings
-	upstreams := upstream.New(configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide)
+	upstreams := upstream.New(
+		configuration.ConnectTimeout, configuration.IdleTimeout, settings.LoadReportFields, connectionsPerSide,
+	)
 	i := &instance{configPath: configPath, configuration: configuration, upstreams: upstreams, log: log}
 	i.setCounterAddress(configuration)
 	var err error
-	if i.dispatcher, err = dispatch.New(*settings, configuration.Seed, i.dependencies(), log); err != nil {
+	i.dispatcher, err = dispatch.New(*settings, configuration.Seed, i.dependencies(), log)
+	if err != nil {
 		return nil, err
 	}
-	if i.watcher, err = discovery.New(configuration, i.dispatcher, log); err != nil {
+	i.watcher, err = discovery.New(configuration, i.dispatcher, log)
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", configPath, err)
 	}
-	requestMemory := configuration.MemoryMB << 20 / requestMemoryDivisor
+	requestMemory := configuration.MemoryMB * megabyte / requestMemoryDivisor
 	i.clients = listener.New(settings, i.dispatcher, upstreams, connectionsPerSide, requestMemory, log)
 	return i, nil
 }
@@ -50,7 +54,9 @@
 func (i *instance) dependencies() dispatch.Dependencies {
 	return dispatch.Dependencies{
 		IdleTimeout: i.upstreams.IdleTimeout(),
-		CheckHealth: func(server dispatch.Server, done func(dispatch.Result)) { go i.upstreams.CheckHealth(server, done) },
+		CheckHealth: func(server dispatch.Server, done func(dispatch.Result)) {
+			go i.upstreams.CheckHealth(server, done)
+		},
 		Count: func(name uint64, units float64, ttl time.Duration, reply func(float64, policy.Outcome)) {
 			i.counter.Load().Add(name, units, ttl, reply) // settings with a counter come into force once there is one
 		},
@@ -69,8 +75,9 @@
 	}
 }
 
-// reload reads the configuration again and puts it in force: addresses, and all settings but those that only a restart
-// can change, whose keys are logged. One that is refused leaves the earlier one in force.
+// reload reads the configuration again and puts it in force: addresses, and all settings but those
+// that only a restart can change, whose keys are logged. One that is refused leaves the earlier one
+// in force.
 func (i *instance) reload() {
 	configuration, err := config.Read(i.configPath)
 	if err != nil {
--- a/internal/gateway/resp/await_test.go
+++ b/internal/gateway/resp/await_test.go
@@ -13,7 +13,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Await consumes nothing: IsQuiet still sees the message, and closing the connection tells the peer that it was not read.
+// Await consumes nothing: IsQuiet still sees the message, and closing the connection tells the peer
+// that it was not read.
 func TestAwaitConsumesNoByte(t *testing.T) {
 	c, far := connPair(t)
 	_, _ = io.WriteString(far, "*")
@@ -29,7 +30,8 @@
 	}
 }
 
-// Await fails when the peer closes, at the deadline and when the connection is closed, as a read does.
+// Await fails when the peer closes, at the deadline and when the connection is closed, as a read
+// does.
 func TestAwaitFailsAsReadDoes(t *testing.T) {
 	for want, end := range map[error]func(c *Conn, far net.Conn){
 		io.EOF:                 func(_ *Conn, far net.Conn) { _ = far.Close() },
@@ -60,7 +62,8 @@
 	}
 }
 
-// After StopReadAhead the bytes that were read ahead are used up, and no byte behind the last message is read.
+// After StopReadAhead the bytes that were read ahead are used up, and no byte behind the last
+// message is read.
 func TestStopReadAheadReadsNothingBehindMessage(t *testing.T) {
 	c, far := connPair(t)
 	ping := fakes.FormatCommand("PING")
--- a/internal/gateway/resp/conn.go
+++ b/internal/gateway/resp/conn.go
@@ -31,15 +31,16 @@
 	return c
 }
 
-// Await waits for the next message and takes a reader from the pool when its first byte has arrived. It consumes no byte: until
-// the message is read, IsQuiet reports it, and closing the connection resets it, which tells the peer that it was not read.
+// Await waits for the next message and takes a reader from the pool when its first byte has
+// arrived. It consumes no byte: until the message is read, IsQuiet reports it, and closing the
+// connection resets it, which tells the peer that it was not read.
 func (c *Conn) Await() error {
 	if c.reader == nil {
 		first, err := c.waitReadable()
 		if err != nil {
 			return err
 		}
-		c.reader = readerPool.Get().(*messageReader)
+		c.reader = readerPool.get()
 		c.reader.conn = c.Conn
 		c.reader.peeked = first
 		c.reader.R.Reset(c.reader)
@@ -48,13 +49,15 @@
 	return nil
 }
 
-// waitReadable waits until a byte can be read. Without a descriptor it has to read that byte, and returns it.
+// waitReadable waits until a byte can be read. Without a descriptor it has to read that byte, and
+// returns it.
 func (c *Conn) waitReadable() (first []byte, err error) {
 	if c.rawConn == nil {
 		_, err = io.ReadFull(c.Conn, c.peekBuffer[:])
 		return c.peekBuffer[:], err
 	}
-	if err = c.rawConn.Read(c.readable); err != nil {
+	err = c.rawConn.Read(c.readable)
+	if err != nil {
 		return nil, err
 	}
 	return nil, c.peekError
@@ -74,7 +77,7 @@
 	c.reader.conn = nil
 	c.reader.peeked = nil
 	c.reader.noReadAhead = false
-	readerPool.Put(c.reader)
+	readerPool.put(c.reader)
 	c.reader = nil
 }
 
@@ -87,23 +90,26 @@
 	return err
 }
 
-// StopReadAhead makes the reader consume no byte behind the current message, until the connection is drained.
+// StopReadAhead makes the reader consume no byte behind the current message, until the connection
+// is drained.
 func (c *Conn) StopReadAhead() {
 	if c.reader != nil {
 		c.reader.noReadAhead = true
 	}
 }
 
-// IsDrained reports whether nothing was read ahead of the last message. Only the reading goroutine may call it.
+// IsDrained reports whether nothing was read ahead of the last message. Only the reading goroutine
+// may call it.
 func (c *Conn) IsDrained() bool { return c.reader == nil }
 
-// CloseAfterError closes the connection after a message that could not be read. Closed while the rest of that message
-// arrives, the connection would be reset, and the peer might never see the answer. So the sending half is closed first, and
-// what arrives is discarded for at most the timeout, and at most for the size of one message.
+// CloseAfterError closes the connection after a message that could not be read. Closed while the
+// rest of that message arrives, the connection would be reset, and the peer might never see the
+// answer. So the sending half is closed first, and what arrives is discarded for at most the
+// timeout, and at most for the size of one message.
 func (c *Conn) CloseAfterError(timeout time.Duration) {
 	if half, ok := c.Conn.(halfCloser); ok && half.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(timeout))
-		part := bufferPool.Get().(*[bufferSize]byte)
+		part := bufferPool.get()
 		for remaining := maxMessageSize; remaining > 0; {
 			n, err := c.Read(part[:])
 			remaining -= n
@@ -111,13 +117,14 @@
 				break
 			}
 		}
-		bufferPool.Put(part)
+		bufferPool.put(part)
 	}
 	_ = c.Close()
 }
 
-// Reset closes the connection by a TCP reset, which tells the peer that what it sent meanwhile was not read. On an orderly close
-// the system would acknowledge bytes that arrive in that moment, as if they had been read.
+// Reset closes the connection by a TCP reset, which tells the peer that what it sent meanwhile was
+// not read. On an orderly close the system would acknowledge bytes that arrive in that moment, as
+// if they had been read.
 func (c *Conn) Reset() {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/gateway/resp/fuzz_test.go
+++ b/internal/gateway/resp/fuzz_test.go
@@ -29,7 +29,8 @@
 // maxWords is how many words a command of the fuzz tests may have besides its value.
 const maxWords = 4
 
-// readCommands reads commands from data, step bytes at a time, until an error; values are kept if there is memory.
+// readCommands reads commands from data, step bytes at a time, until an error; values are kept if
+// there is memory.
 func readCommands(t *testing.T, data []byte, step int, memory bool) (all []readResult) {
 	t.Helper()
 	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
@@ -51,7 +52,8 @@
 	}
 }
 
-// checkCommand checks a command against the limits of the protocol, and that it is passed on unchanged.
+// checkCommand checks a command against the limits of the protocol, and that it is passed on
+// unchanged.
 func checkCommand(t *testing.T, cmd *Command, memory bool) {
 	t.Helper()
 	hasValue := cmd.Body != nil || cmd.Discarded
@@ -88,8 +90,8 @@
 	again.Body.Free()
 }
 
-// Whatever a client sends: no panic, the limits hold, a command passes unchanged, and the result depends neither on how the
-// network splits the bytes nor on whether there is memory for values.
+// Whatever a client sends: no panic, the limits hold, a command passes unchanged, and the result
+// depends neither on how the network splits the bytes nor on whether there is memory for values.
 func FuzzReadCommand(f *testing.F) {
 	query := fakes.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
@@ -153,7 +155,8 @@
 	}
 }
 
-// Whatever a server sends: no panic, the limits hold, and the result does not depend on how the network splits the bytes.
+// Whatever a server sends: no panic, the limits hold, and the result does not depend on how the
+// network splits the bytes.
 func FuzzReadReply(f *testing.F) {
 	served := fakes.FormatValue("hello", 3)
 	for _, text := range []string{
--- a/internal/gateway/resp/peerstate.go
+++ b/internal/gateway/resp/peerstate.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerClosedStates are the TCP states (linux/tcp_states.h) in which the peer has closed its sending half or the connection was
-// reset. Bytes that arrived before may still be unread.
+// peerClosedStates are the TCP states (linux/tcp_states.h) in which the peer has closed its sending
+// half or the connection was reset. Bytes that arrived before may still be unread.
 var peerClosedStates = []uint8{
 	unix.BPF_TCP_CLOSE,
 	unix.BPF_TCP_CLOSE_WAIT,
@@ -20,10 +20,11 @@
 	unix.BPF_TCP_TIME_WAIT,
 }
 
-// PeerState returns, without waiting, how long ago the latest bytes arrived at this machine, to a few milliseconds, and whether
-// the peer has closed the connection. The bytes may have been queued while this process was busy or stopped. A read would see
-// the close only behind all unread bytes, which may be more than is read ahead. A close that itself waits behind a full receive
-// window cannot be seen. On connections without a TCP state, only reading reports the close.
+// PeerState returns, without waiting, how long ago the latest bytes arrived at this machine, to a
+// few milliseconds, and whether the peer has closed the connection. The bytes may have been queued
+// while this process was busy or stopped. A read would see the close only behind all unread bytes,
+// which may be more than is read ahead. A close that itself waits behind a full receive window
+// cannot be seen. On connections without a TCP state, only reading reports the close.
 func (c *Conn) PeerState() (age time.Duration, closed bool) {
 	closed = c.rawConn != nil // stays so if this side has closed: then there is no descriptor to ask
 	c.withDescriptor(func(fd int) {
@@ -44,8 +45,9 @@
 	return closed
 }
 
-// AwaitPeerClose waits until the peer has closed or reset the connection, and reads nothing. It returns os.ErrInvalid on a
-// connection without a descriptor, and otherwise fails as a read does, for example at the read deadline.
+// AwaitPeerClose waits until the peer has closed or reset the connection, and reads nothing. It
+// returns os.ErrInvalid on a connection without a descriptor, and otherwise fails as a read does,
+// for example at the read deadline.
 func (c *Conn) AwaitPeerClose() error {
 	if c.rawConn == nil {
 		return os.ErrInvalid
@@ -60,7 +62,8 @@
 	})
 }
 
-// HasUnacknowledged reports whether the peer's system has not yet acknowledged all that was written. A reset would discard it.
+// HasUnacknowledged reports whether the peer's system has not yet acknowledged all that was
+// written. A reset would discard it.
 func (c *Conn) HasUnacknowledged() bool {
 	pending := false
 	c.withDescriptor(func(fd int) {
@@ -81,7 +84,8 @@
 	return quiet
 }
 
-// isReadable reports whether a byte, the end or an error has arrived, and keeps the latter two in peekError.
+// isReadable reports whether a byte, the end or an error has arrived, and keeps the latter two in
+// peekError.
 func (c *Conn) isReadable(fd uintptr) bool {
 	n, err := peek(int(fd), c.peekBuffer[:])
 	c.peekError = nil
@@ -99,7 +103,8 @@
 // withDescriptor calls use with the descriptor, if the connection has one and is open.
 func (c *Conn) withDescriptor(use func(fd int)) {
 	if c.rawConn != nil {
-		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) }) // fails on a closed connection only: use is not called then
+		// Control fails on a closed connection only, and does not call use then.
+		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) })
 	}
 }
 
--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -20,9 +20,10 @@
 	Discarded bool  // there was a value, and it was not kept
 }
 
-// ReadCommand reads a command of at most maxWords words and one value, after Await. Before a value is read, reserve is asked
-// whether there is memory for its size; if not, the value is discarded as it arrives. A nil reserve always allows it. The error
-// is a ProtocolError if the peer violates the protocol; after any error the connection cannot be read any more.
+// ReadCommand reads a command of at most maxWords words and one value, after Await. Before a value
+// is read, reserve is asked whether there is memory for its size; if not, the value is discarded as
+// it arrives. A nil reserve always allows it. The error is a ProtocolError if the peer violates the
+// protocol; after any error the connection cannot be read any more.
 func (c *Conn) ReadCommand(maxWords int, reserve func(size int) bool) (*Command, error) {
 	length, err := c.readHeader(kindArray)
 	if err != nil {
@@ -88,7 +89,8 @@
 	if err != nil || line == "" {
 		return r, errors.Join(err, ProtocolError("an empty line"))
 	}
-	r.Kind, r.Line = line[0], line[1:]
+	r.Kind = line[0]
+	r.Line = line[1:]
 	switch r.Kind {
 	case '+', '-', ':':
 		return r, nil
@@ -173,7 +175,7 @@
 	if size > maxWordSize {
 		return "", ProtocolError("word too long")
 	}
-	word := make([]byte, size+2)
+	word := make([]byte, size+len(terminator))
 	if _, err := io.ReadFull(c.reader.R, word); err != nil {
 		return "", err
 	}
@@ -188,7 +190,7 @@
 	b := &Bulk{size: size}
 	var err error
 	for remaining := size; remaining > 0 && err == nil; remaining -= bufferSize {
-		part := bufferPool.Get().(*[bufferSize]byte)
+		part := bufferPool.get()
 		b.parts = append(b.parts, part)
 		_, err = io.ReadFull(c.reader.R, part[:min(remaining, bufferSize)])
 	}
@@ -211,7 +213,7 @@
 }
 
 func (c *Conn) readTerminator() error {
-	var end [2]byte
+	var end [len(terminator)]byte
 	if _, err := io.ReadFull(c.reader.R, end[:]); err != nil {
 		return err
 	}
@@ -219,7 +221,7 @@
 }
 
 func checkTerminator(end []byte) error {
-	if string(end) != "\r\n" {
+	if string(end) != terminator {
 		return ProtocolError("a value does not end where it says")
 	}
 	return nil
--- a/internal/gateway/resp/resp.go
+++ b/internal/gateway/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp reads and writes RESP2 messages on net/textproto over net. A connection holds a buffer only from the first
-// byte of a message to its last: a connection that waits holds none.
+// Package resp reads and writes RESP2 messages on net/textproto over net. Listener and upstream,
+// and the laboratory's servers and clients, speak it. A connection holds a buffer only from the
+// first byte of a message to its last: a connection that waits holds none.
 package resp
 
 import (
@@ -17,24 +18,42 @@
 	maxMessageSize = maxValueSize + 4*maxWordSize
 )
 
-// A ProtocolError says how a message of the peer violates the protocol. Nothing more can be read from that connection.
+// terminator ends lines and values.
+const terminator = "\r\n"
+
+// A ProtocolError says how a message of the peer violates the protocol. Nothing more can be read
+// from that connection.
 type ProtocolError string
 
 func (e ProtocolError) Error() string { return string(e) }
 
+// pool holds values that are free for reuse.
+type pool[T any] struct {
+	free   sync.Pool
+	create func() T
+}
+
+// get returns a free value, or a new one.
+func (p *pool[T]) get() T {
+	if value, ok := p.free.Get().(T); ok {
+		return value
+	}
+	return p.create()
+}
+
+// put frees a value.
+func (p *pool[T]) put(value T) { p.free.Put(value) }
+
 // The pools. Readers and writers hold one buffer of bufferSize each.
 var (
-	readerPool = sync.Pool{New: func() any {
-		in := &messageReader{}
-		in.Reader = textproto.NewReader(bufio.NewReaderSize(in, bufferSize))
-		return in
-	}}
-	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
-	bufferPool = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+	readerPool = pool[*messageReader]{create: newMessageReader}
+	writerPool = pool[*bufio.Writer]{create: func() *bufio.Writer { return bufio.NewWriterSize(nil, bufferSize) }}
+	bufferPool = pool[*[bufferSize]byte]{create: func() *[bufferSize]byte { return new([bufferSize]byte) }}
 )
 
-// messageReader is a textproto.Reader together with its source: the byte that waiting had to consume, if any, then the
-// connection, limited to the size of one message. The limit bounds lines that never end.
+// messageReader is a textproto.Reader together with its source: the byte that waiting had to
+// consume, if any, then the connection, limited to the size of one message. The limit bounds lines
+// that never end.
 type messageReader struct {
 	*textproto.Reader
 	conn        net.Conn
@@ -43,6 +62,12 @@
 	noReadAhead bool // read byte by byte, so that nothing behind the message is consumed
 }
 
+func newMessageReader() *messageReader {
+	in := &messageReader{}
+	in.Reader = textproto.NewReader(bufio.NewReaderSize(in, bufferSize))
+	return in
+}
+
 // Read feeds the buffered reader.
 func (in *messageReader) Read(p []byte) (int, error) {
 	if len(in.peeked) > 0 {
@@ -73,9 +98,10 @@
 		return
 	}
 	for _, part := range b.parts {
-		bufferPool.Put(part)
+		bufferPool.put(part)
 	}
-	b.parts, b.size = nil, 0
+	b.parts = nil
+	b.size = 0
 }
 
 // String returns the value as text.
--- a/internal/gateway/resp/write.go
+++ b/internal/gateway/resp/write.go
@@ -5,7 +5,10 @@
 	"strconv"
 )
 
-// WriteCommand writes a command, in one system call if it fits a buffer. An error means that its last byte was not written.
+const decimal = 10 // the base in which lengths are written
+
+// WriteCommand writes a command, in one system call if it fits a buffer. An error means that its
+// last byte was not written.
 func (c *Conn) WriteCommand(cmd *Command) error {
 	return c.write(func(w *bufio.Writer) {
 		n := len(cmd.Words)
@@ -16,7 +19,7 @@
 		for _, word := range cmd.Words {
 			writeHeader(w, kindBulk, len(word))
 			_, _ = w.WriteString(word)
-			_, _ = w.WriteString("\r\n")
+			_, _ = w.WriteString(terminator)
 		}
 		if cmd.Body != nil {
 			writeBulk(w, cmd.Body)
@@ -28,7 +31,7 @@
 func (c *Conn) WriteLine(line string) error {
 	return c.write(func(w *bufio.Writer) {
 		_, _ = w.WriteString(line)
-		_, _ = w.WriteString("\r\n")
+		_, _ = w.WriteString(terminator)
 	})
 }
 
@@ -37,14 +40,15 @@
 	return c.write(func(w *bufio.Writer) { writeBulk(w, b) })
 }
 
-// write passes a pooled writer to fill and flushes it. The writer keeps its first error, which the flush returns.
+// write passes a pooled writer to fill and flushes it. The writer keeps its first error, which the
+// flush returns.
 func (c *Conn) write(fill func(*bufio.Writer)) error {
-	w := writerPool.Get().(*bufio.Writer)
+	w := writerPool.get()
 	w.Reset(c.Conn)
 	fill(w)
 	err := w.Flush()
 	w.Reset(nil)
-	writerPool.Put(w)
+	writerPool.put(w)
 	return err
 }
 
@@ -55,11 +59,11 @@
 		_, _ = w.Write(part[:min(remaining, bufferSize)])
 		remaining -= bufferSize
 	}
-	_, _ = w.WriteString("\r\n")
+	_, _ = w.WriteString(terminator)
 }
 
 func writeHeader(w *bufio.Writer, kind byte, n int) {
 	_ = w.WriteByte(kind)
-	_, _ = w.Write(strconv.AppendInt(w.AvailableBuffer(), int64(n), 10))
-	_, _ = w.WriteString("\r\n")
+	_, _ = w.Write(strconv.AppendInt(w.AvailableBuffer(), int64(n), decimal))
+	_, _ = w.WriteString(terminator)
 }
--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -69,14 +69,12 @@
 			"TipAfterMs": milliseconds(spec.Rules.OverloadSpan), "AnswerSlackMs": milliseconds(spec.Rules.AnswerSlack),
 		},
 		"PolicyLimits": object{
-			"Cancelling":      true,
-			"RetryAfter":      true,
-			"MaxRetryAfterMs": maxRetryAfterMs,
-			"TryLimit":        spec.Gateways.MaxAttempts,
-			"ConnectTimeoutMs": milliseconds(
-				spec.Network.ConnectTimeout,
-			),
-			"IdleCloseMs": milliseconds(spec.Servers.IdleTimeout),
+			"Cancelling":       true,
+			"RetryAfter":       true,
+			"MaxRetryAfterMs":  maxRetryAfterMs,
+			"TryLimit":         spec.Gateways.MaxAttempts,
+			"ConnectTimeoutMs": milliseconds(spec.Network.ConnectTimeout),
+			"IdleCloseMs":      milliseconds(spec.Servers.IdleTimeout),
 		},
 	}
 }
