--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads the operators' file of the coordination (RELAY_COMMON): who this process is, which processes are
-// voters, and the settings of each part that is decided in common. Where no file is named, none of it starts.
+// Package config reads the operators' file of the coordination (RELAY_COMMON): who this process is,
+// which processes are voters, and the settings of each part that is decided in common. Where no
+// file is named, none of it starts.
 package config
 
 import (
@@ -17,7 +18,8 @@
 	Voters  []Voter `toml:"voter"`
 	Timing  Timing  `toml:"timing"`
 
-	// The parts, each a table with its settings; one that is left out is off. A part adds a line here and in Parts.
+	// The parts, each a table with its settings; one that is left out is off. A part adds a line
+	// here and in Parts.
 	Failover   *failover.Settings   `toml:"failover"`
 	Counting   *countingrule.Config `toml:"counting"`
 	Settlement *settlement.Terms    `toml:"debts"`
@@ -33,8 +35,8 @@
 	Voter  bool   `toml:"voter"`  // whether it is one of the voters named below
 	Listen string `toml:"listen"` // host:port that a voter listens on; where left out, its address below
 	Folder string `toml:"disk"`   // of a voter's log; where debts are settled, of any gateway's journal
-	// PrivateNetwork says that the network between the processes is private: connections are not encrypted, so without
-	// it nothing but loopback is listened on or dialled.
+	// PrivateNetwork says that the network between the processes is private: connections are not
+	// encrypted, so without it nothing but loopback is listened on or dialled.
 	PrivateNetwork bool `toml:"private_network"`
 	// MaxConnections is how many a voter accepts at a time: two for each process that follows it.
 	MaxConnections int  `toml:"connections"`
@@ -83,10 +85,13 @@
 	invalid string // the text in the file where it is no duration; a bare number is none, as it has no unit
 }
 
-// UnmarshalText reads a length of time as Go writes it. What is none is reported with all else that is wrong.
+// UnmarshalText reads a length of time as Go writes it. What is none is reported with all else that
+// is wrong.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
-	if d.Duration, d.invalid = parsed, ""; err != nil || string(text) == "0" {
+	d.Duration = parsed
+	d.invalid = ""
+	if err != nil || string(text) == "0" {
 		d.invalid = string(text)
 	}
 	return nil
@@ -138,10 +143,11 @@
 	return &c.Voters[index]
 }
 
-// RetainRestartOnly takes over from the configuration in force what only a restart can change, and gives the keys that
-// differed.
+// RetainRestartOnly takes over from the configuration in force what only a restart can change, and
+// gives the keys that differed.
 func (c *Config) RetainRestartOnly(inForce *Config) (keys []string) {
-	before, now := inForce.Process, c.Process
+	before := inForce.Process
+	now := c.Process
 	for _, setting := range []struct {
 		key  string
 		same bool
@@ -162,11 +168,14 @@
 	c.Process = before
 	// Parts are turned on and off by a restart; their settings change in place.
 	if c.FailoverEnabled() != inForce.FailoverEnabled() {
-		keys, c.Failover = append(keys, "failover"), inForce.Failover
+		keys = append(keys, "failover")
+		c.Failover = inForce.Failover
 	}
 	if (c.Counting == nil) != (inForce.Counting == nil) {
-		keys, c.Counting = append(keys, "counting"), inForce.Counting
+		keys = append(keys, "counting")
+		c.Counting = inForce.Counting
 	}
-	// Not done yet for settlement: turned on or off by a reload, it is not reported, and nothing starts or stops.
+	// Not done yet for settlement: turned on or off by a reload, it is not reported, and nothing
+	// starts or stops.
 	return keys
 }
--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// faults change the valid file in one place each; lines are those of the error, without the file's name.
+// faults change the valid file in one place each; lines are those of the error, without the file's
+// name.
 var faults = []struct{ name, old, new, lines string }{
 	{
 		"process name with a blank", `name = "v1"`, `name = "v 1"`,
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Every refusal of a bad file is the line that it was before. Each row of testdata/refusals.toml changes the full file
-// in one place; FILE stands for its path.
+// Every refusal of a bad file is the line that it was before. Each row of testdata/refusals.toml
+// changes the full file in one place; FILE stands for its path.
 func TestGolden_refusals(t *testing.T) {
 	var file struct {
 		Refusals []struct {
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -12,7 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and what is allowed.
+// Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and
+// what is allowed.
 func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,8 +32,9 @@
 // FaultLines are the lines of an error of Read.
 func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
-// parse reads a text and gives all that is wrong with it. The decoder stops at the first value of the wrong type: its
-// line is emptied and the rest read again, so that all faults are reported at once.
+// parse reads a text and gives all that is wrong with it. The decoder stops at the first value of
+// the wrong type: its line is emptied and the rest read again, so that all faults are reported at
+// once.
 func parse(text []byte) (*Config, []error) {
 	lines := bytes.Split(text, []byte("\n"))
 	var faults []error
@@ -63,7 +65,8 @@
 
 // unknownKeyError reports which keys may stand in the place of one that is not known.
 func unknownKeyError(key toml.Key) error {
-	table, depth := reflect.TypeFor[Config](), 0
+	table := reflect.TypeFor[Config]()
+	depth := 0
 	for ; depth < len(key)-1; depth++ {
 		field, ok := fieldByKey(table, key[depth])
 		if !ok {
--- a/internal/coordination/config/validate.go
+++ b/internal/coordination/config/validate.go
@@ -67,7 +67,11 @@
 			v.add("process.listen", "must be left out where process.voter is not true, not %q", process.Listen)
 		}
 		if process.Folder != "" && !v.config.SettlementEnabled() {
-			v.add("process.disk", "must be left out where neither process.voter nor debts.on is true, not %q", process.Folder)
+			v.add(
+				"process.disk",
+				"must be left out where neither process.voter nor debts.on is true, not %q",
+				process.Folder,
+			)
 		}
 		return
 	}
@@ -93,11 +97,18 @@
 
 // checkVoters checks each voter by itself and against those before it.
 func (v *validator) checkVoters() {
-	names, numbers, addresses, replaced := map[string]bool{}, map[uint64]bool{}, map[string]bool{}, map[uint64]bool{}
+	names := map[string]bool{}
+	numbers := map[uint64]bool{}
+	addresses := map[string]bool{}
+	replaced := map[uint64]bool{}
 	for i, voter := range v.config.Voters {
 		key := fmt.Sprintf("voter.%d.", i+1)
 		if !namePattern.MatchString(voter.Name) || names[voter.Name] {
-			v.add(key+"name", "must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not %q", voter.Name)
+			v.add(
+				key+"name",
+				"must be 1 to 64 letters, digits, '.', '_' or '-' and no other voter's, not %q",
+				voter.Name,
+			)
 		}
 		if voter.Number == 0 || numbers[voter.Number] {
 			v.add(key+"number", "must be 1 or more and no other voter's, not %d", voter.Number)
@@ -109,7 +120,9 @@
 		if n := voter.ReplacesNumber; n != 0 && (n >= voter.Number || replaced[n]) {
 			v.add(key+"replaces", "must be below its own number and named once, not %d", n)
 		}
-		names[voter.Name], numbers[voter.Number], addresses[voter.Address] = true, true, true
+		names[voter.Name] = true
+		numbers[voter.Number] = true
+		addresses[voter.Address] = true
 		replaced[voter.ReplacesNumber] = voter.ReplacesNumber != 0
 	}
 }
@@ -122,7 +135,11 @@
 	}
 	for i, voter := range v.config.Voters {
 		if n := voter.ReplacesNumber; n != 0 && numbers[n] {
-			v.add(fmt.Sprintf("voter.%d.replaces", i+1), "must be the number of a voter that is named no longer, not %d", n)
+			v.add(
+				fmt.Sprintf("voter.%d.replaces", i+1),
+				"must be the number of a voter that is named no longer, not %d",
+				n,
+			)
 		}
 	}
 }
@@ -154,8 +171,8 @@
 	return err == nil && number > 0
 }
 
-// IsLoopback reports whether a host:port never leaves this machine. A name other than localhost does not count, as what
-// it resolves to can change.
+// IsLoopback reports whether a host:port never leaves this machine. A name other than localhost
+// does not count, as what it resolves to can change.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/coordination/consensus/envelope.go
+++ b/internal/coordination/consensus/envelope.go
@@ -32,8 +32,8 @@
 
 const checksumBytes = 8
 
-// encode returns the envelope with its checksum. Raft trusts every number in a message, so a damaged one would be taken for
-// what the sender says.
+// encode returns the envelope with its checksum. Raft trusts every number in a message, so a
+// damaged one would be taken for what the sender says.
 func (e *envelope) encode() ([]byte, error) {
 	b, err := encMode.Marshal(e)
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), err
@@ -51,7 +51,8 @@
 	return envelope{From: n.self, Incarnation: n.incarnation, ClusterID: n.membership.ClusterID}
 }
 
-// addressMessages packs Raft's messages into one envelope for each receiver, in the order of the first message to each.
+// addressMessages packs Raft's messages into one envelope for each receiver, in the order of the
+// first message to each.
 func (n *Node) addressMessages(raftMessages []*raftpb.Message) ([]Message, error) {
 	var receivers []uint64
 	envelopes := map[uint64]*envelope{}
@@ -59,7 +60,8 @@
 		id := m.GetTo()
 		if envelopes[id] == nil {
 			outgoing := n.newEnvelope()
-			envelopes[id], receivers = &outgoing, append(receivers, id)
+			envelopes[id] = &outgoing
+			receivers = append(receivers, id)
 		}
 		if m.GetType() == raftpb.MsgSnap {
 			n.snapshotAge[id] = 0
@@ -85,8 +87,8 @@
 	return messages, nil
 }
 
-// receiver returns a member, or a voter that this voter's log does not list yet: a voter that waits to be added has to
-// answer the leader.
+// receiver returns a member, or a voter that this voter's log does not list yet: a voter that waits
+// to be added has to answer the leader.
 func (n *Node) receiver(id uint64) (coordination.Member, bool) {
 	if member, ok := n.membership.find(id); ok {
 		return member, true
@@ -95,7 +97,8 @@
 	return p.Member, ok && !n.membership.wasRemoved(id)
 }
 
-// DigestMessage makes a message with digests for the leader. It returns false if no leader is known or this voter leads.
+// DigestMessage makes a message with digests for the leader. It returns false if no leader is known
+// or this voter leads.
 func (n *Node) DigestMessage(digests []observation.Digest) (Message, bool, error) {
 	leader, ok := n.membership.find(n.raftNode.BasicStatus().Lead)
 	if !ok || leader.Number == n.self.Number {
@@ -107,7 +110,8 @@
 	return Message{leader, b}, err == nil, err
 }
 
-// HandleMessage takes a message of another voter and returns the digests in it. Errors wrap ErrRejected.
+// HandleMessage takes a message of another voter and returns the digests in it. Errors wrap
+// ErrRejected.
 func (n *Node) HandleMessage(message []byte) ([]observation.Digest, error) {
 	received, err := decodeEnvelope(message)
 	if err != nil {
@@ -122,7 +126,13 @@
 			return nil, fmt.Errorf("%w: %w", ErrRejected, err)
 		}
 		if m.GetFrom() != received.From.Number || m.GetTo() != n.self.Number {
-			return nil, fmt.Errorf("%w: from %d to %d, sent by %d", ErrRejected, m.GetFrom(), m.GetTo(), received.From.Number)
+			return nil, fmt.Errorf(
+				"%w: from %d to %d, sent by %d",
+				ErrRejected,
+				m.GetFrom(),
+				m.GetTo(),
+				received.From.Number,
+			)
 		}
 		n.handleRaftMessage(m)
 	}
--- a/internal/coordination/consensus/errors.go
+++ b/internal/coordination/consensus/errors.go
@@ -10,7 +10,7 @@
 	ErrChangePending = errors.New("another membership change is pending")
 	// ErrRejected wraps the reason for which a message was rejected.
 	ErrRejected = errors.New("message rejected")
-	// ErrDiskMismatch means that this voter's number was given to another disk. A voter whose disk was emptied needs a new
-	// number.
+	// ErrDiskMismatch means that this voter's number was given to another disk. A voter whose disk
+	// was emptied needs a new number.
 	ErrDiskMismatch = errors.New("this number belongs to another disk")
 )
--- a/internal/coordination/consensus/gatherer.go
+++ b/internal/coordination/consensus/gatherer.go
@@ -4,12 +4,13 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// exactCountsInterval is with how many messages to the leader exact counts are sent along: the log takes them once a second.
+// exactCountsInterval is with how many messages to the leader exact counts are sent along: the log
+// takes them once a second.
 const exactCountsInterval = 5
 
-// Gatherer merges the digests that arrive at one voter: those of processes and, while the voter leads, those of other
-// voters. The two are kept apart and only the first are forwarded, so that nothing travels in a circle and counts twice.
-// It is not safe for concurrent use.
+// Gatherer merges the digests that arrive at one voter: those of processes and, while the voter
+// leads, those of other voters. The two are kept apart and only the first are forwarded, so that
+// nothing travels in a circle and counts twice. It is not safe for concurrent use.
 type Gatherer struct {
 	voterName     string
 	incarnation   uint64
@@ -39,7 +40,8 @@
 	}
 }
 
-// AddFromVoter merges what another voter forwarded. Sums that were meant for the leader of another term are dropped.
+// AddFromVoter merges what another voter forwarded. Sums that were meant for the leader of another
+// term are dropped.
 func (g *Gatherer) AddFromVoter(digests []observation.Digest) {
 	for _, d := range digests {
 		if d.Counts != nil && d.Session == g.leaderTerm {
@@ -52,13 +54,17 @@
 }
 
 func (g *Gatherer) addExact(d observation.Digest) {
-	g.exactCounts.Add(observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact})
+	g.exactCounts.Add(
+		observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact},
+	)
 }
 
-// SetLeaderTerm sets the term in which this voter leads; 0: it doesn't. A new term starts with no sums of other voters.
+// SetLeaderTerm sets the term in which this voter leads; 0: it doesn't. A new term starts with no
+// sums of other voters.
 func (g *Gatherer) SetLeaderTerm(term uint64) {
 	if term != g.leaderTerm {
-		g.leaderTerm, g.voterCounts = term, observation.NewMerger()
+		g.leaderTerm = term
+		g.voterCounts = observation.NewMerger()
 	}
 }
 
@@ -78,7 +84,8 @@
 	return digests
 }
 
-// Sums returns the sums over all processes; they are complete while this voter leads. The map is the caller's.
+// Sums returns the sums over all processes; they are complete while this voter leads. The map is
+// the caller's.
 func (g *Gatherer) Sums() map[string]uint64 {
 	sums := g.processCounts.Sums()
 	for name, n := range g.voterCounts.Sums() {
--- a/internal/coordination/consensus/golden_test.go
+++ b/internal/coordination/consensus/golden_test.go
@@ -14,7 +14,8 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and have one start again.
+// goldenCluster is three voters that write, lose one, compact, take in a fourth by a snapshot, and
+// have one start again.
 func goldenCluster(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, 3)
@@ -94,7 +95,8 @@
 
 const goldenMessages = "331 messages, bff6437d9df63a15f174621116fa535f75f949f7561352f29479237932584b65"
 
-// What a disk holds from the version before is read: members, tables and all that follows; and written again the same.
+// What a disk holds from the version before is read: members, tables and all that follows; and
+// written again the same.
 func TestGolden_recordsAreRead(t *testing.T) {
 	states, bases := "", ""
 	records := readRecords(t, string(golden.Read(t, "records.hex")))
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -21,7 +21,8 @@
 	ClusterID     uint64                `cbor:"3,keyasint"` // derived from the initial members: messages of another log are rejected
 }
 
-// newMembership makes the membership that a log begins with. Every initial member must derive the same one.
+// newMembership makes the membership that a log begins with. Every initial member must derive the
+// same one.
 func newMembership(initialMembers []coordination.Member) (membership, error) {
 	m := membership{Members: slices.Clone(initialMembers)}
 	slices.SortFunc(m.Members, func(a, b coordination.Member) int { return int(a.Number) - int(b.Number) })
@@ -79,10 +80,14 @@
 func (m *membership) update(member coordination.Member, remove bool) {
 	m.Members = slices.Clone(m.Members)
 	if remove {
-		m.Members = slices.DeleteFunc(m.Members, func(other coordination.Member) bool { return other.Number == member.Number })
+		m.Members = slices.DeleteFunc(
+			m.Members,
+			func(other coordination.Member) bool { return other.Number == member.Number },
+		)
 		return
 	}
-	m.Members, m.HighestNumber = append(m.Members, member), member.Number
+	m.Members = append(m.Members, member)
+	m.HighestNumber = member.Number
 }
 
 // setDiskID binds a member's number to its disk, unless it is bound already.
@@ -102,14 +107,15 @@
 	Remove bool                `cbor:"4,keyasint"`
 }
 
-// ChangeMembership proposes to add a member, or to remove the one with that number, and returns the sequence number under
-// which Advance returns the outcome. Errors: ErrNotLeader, ErrChangePending, or why the change is invalid.
+// ChangeMembership proposes to add a member, or to remove the one with that number, and returns the
+// sequence number under which Advance returns the outcome. Errors: ErrNotLeader, ErrChangePending,
+// or why the change is invalid.
 func (n *Node) ChangeMembership(member coordination.Member, remove bool) (uint64, error) {
 	if !n.IsLeader() {
 		return 0, coordination.ErrNotLeader
 	}
-	// The library silently replaces a change that comes too early by an empty entry. One may be pending from an earlier
-	// leader or from this one.
+	// The library silently replaces a change that comes too early by an empty entry. One may be
+	// pending from an earlier leader or from this one.
 	if !n.IsEstablishedLeader() || n.pendingChangeTerm == n.appliedTerm {
 		return 0, ErrChangePending
 	}
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -1,7 +1,8 @@
-// Package consensus is one voter of the replicated log without its surroundings: the Raft implementation of
-// go.etcd.io/raft/v3, the state machine that the log drives, and the membership. It has no disk, socket, clock or
-// goroutine of its own: ticks, messages and calls come in as method calls; records to write, messages to send and results
-// come out. The same calls with the same seed give the same output.
+// Package consensus is one voter of the replicated log without its surroundings: the Raft
+// implementation of go.etcd.io/raft/v3, the state machine that the log drives, and the membership.
+// It has no disk, socket, clock or goroutine of its own: ticks, messages and calls come in as
+// method calls; records to write, messages to send and results come out. The same calls with the
+// same seed give the same output.
 package consensus
 
 import (
@@ -33,8 +34,8 @@
 	maxUncommittedBytes = 8 << 20 // proposals that are not yet committed; beyond it new ones are rejected
 )
 
-// Incarnation is one start of a voter on its disk. Two incarnations with the same count on one disk ID mean that the disk
-// was copied.
+// Incarnation is one start of a voter on its disk. Two incarnations with the same count on one disk
+// ID mean that the disk was copied.
 type Incarnation struct {
 	Count uint64 `cbor:"1,keyasint"` // of starts on this disk, from 1
 	Nonce uint64 `cbor:"2,keyasint"` // drawn at the start
@@ -72,22 +73,25 @@
 	return m
 }()
 
-// discardLogger drops the library's log: whatever operators must know is returned as an error or is part of Status.
+// discardLogger drops the library's log: whatever operators must know is returned as an error or is
+// part of Status.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
 // silenceRaftStorage sets discardLogger for raft.MemoryStorage, which only has a global logger.
 var silenceRaftStorage = sync.OnceFunc(func() { raft.SetLogger(discardLogger) })
 
-// NewNode makes a voter from the records on its disk. If there are none, initialMembers begin the log: all of them must be
-// started with the same list, disk IDs included, and the host must write Checkpoint before anything else. If there are no
-// initial members either, the voter waits until a leader adds it. A member in the records takes precedence over self.
-// Errors: ErrCorrupt, or self is not among initialMembers.
+// NewNode makes a voter from the records on its disk. If there are none, initialMembers begin the
+// log: all of them must be started with the same list, disk IDs included, and the host must write
+// Checkpoint before anything else. If there are no initial members either, the voter waits until a
+// leader adds it. A member in the records takes precedence over self. Errors: ErrCorrupt, or self
+// is not among initialMembers.
 func NewNode(self coordination.Member, incarnation Incarnation, initialMembers []coordination.Member, records [][]byte,
 	seed uint64,
 ) (n *Node, err error) {
 	defer func() {
 		if p := recover(); p != nil { // how the library reports a log with gaps
-			n, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
+			n = nil
+			err = fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 	}()
 	silenceRaftStorage()
@@ -113,7 +117,8 @@
 	if err := n.restoreSnapshot(snapshot); err != nil {
 		return nil, err
 	}
-	if n.raftNode, err = raft.NewRawNode(n.raftConfig()); err != nil {
+	n.raftNode, err = raft.NewRawNode(n.raftConfig())
+	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	n.resetElectionTimer()
@@ -139,10 +144,11 @@
 	}
 }
 
-// resetElectionTimer draws a new election timeout. The library would draw one itself, but from a source that cannot be
-// seeded; so the node counts the ticks of a voter that does not lead.
+// resetElectionTimer draws a new election timeout. The library would draw one itself, but from a
+// source that cannot be seeded; so the node counts the ticks of a voter that does not lead.
 func (n *Node) resetElectionTimer() {
-	n.ticksWithoutLeader, n.electionTimeout = 0, minElectionTicks+n.rng.IntN(minElectionTicks)
+	n.ticksWithoutLeader = 0
+	n.electionTimeout = minElectionTicks + n.rng.IntN(minElectionTicks)
 }
 
 // Tick advances the node's time by one tick.
@@ -153,16 +159,18 @@
 		return
 	}
 	clear(n.snapshotAge)
-	// TickQuiesced only counts the time for which votes are refused; it draws nothing. It is marked as deprecated, but the
-	// library has no other way to leave the drawing to its user.
+	// TickQuiesced only counts the time for which votes are refused; it draws nothing. It is marked
+	// as deprecated, but the library has no other way to leave the drawing to its user.
 	n.raftNode.TickQuiesced()
-	if n.ticksWithoutLeader++; n.ticksWithoutLeader >= n.electionTimeout {
+	n.ticksWithoutLeader++
+	if n.ticksWithoutLeader >= n.electionTimeout {
 		n.resetElectionTimer()
 		_ = n.raftNode.Campaign() // fails on a node that is not a member, which must not campaign
 	}
 }
 
-// expireSnapshots ends the wait for snapshots that were not acknowledged in time, so that they are sent again.
+// expireSnapshots ends the wait for snapshots that were not acknowledged in time, so that they are
+// sent again.
 func (n *Node) expireSnapshots() {
 	for id := range n.snapshotAge {
 		n.snapshotAge[id]++
@@ -176,8 +184,8 @@
 // IsLeader reports whether this voter leads, as far as it knows.
 func (n *Node) IsLeader() bool { return n.raftNode.BasicStatus().RaftState == raft.StateLeader }
 
-// IsEstablishedLeader reports whether this voter leads and has applied an entry of its own term, and with it everything
-// that was ever acknowledged.
+// IsEstablishedLeader reports whether this voter leads and has applied an entry of its own term,
+// and with it everything that was ever acknowledged.
 func (n *Node) IsEstablishedLeader() bool {
 	status := n.raftNode.BasicStatus()
 	return status.RaftState == raft.StateLeader && n.appliedTerm == status.GetTerm()
@@ -207,12 +215,15 @@
 	}
 }
 
-// TransferLeadership hands the leadership to the member whose log is the longest, before a planned shutdown.
+// TransferLeadership hands the leadership to the member whose log is the longest, before a planned
+// shutdown.
 func (n *Node) TransferLeadership() {
-	best, match := uint64(0), uint64(0)
+	best := uint64(0)
+	match := uint64(0)
 	n.raftNode.WithProgress(func(id uint64, _ raft.ProgressType, p progress) {
 		if id != n.self.Number && p.Match > match {
-			best, match = id, p.Match
+			best = id
+			match = p.Match
 		}
 	})
 	if best != 0 && n.IsLeader() {
--- a/internal/coordination/consensus/node_test.go
+++ b/internal/coordination/consensus/node_test.go
@@ -12,8 +12,8 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// A voter that joins after the log was compacted, and one that lags behind it, are sent a snapshot; both then hold the
-// whole state.
+// A voter that joins after the log was compacted, and one that lags behind it, are sent a snapshot;
+// both then hold the whole state.
 func TestNode_joiningAndLaggingVotersReceiveASnapshot(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	leader := cluster.waitForLeader()
@@ -105,7 +105,8 @@
 	return leader, cluster.nodes[leader.Self().Number%3+1]
 }
 
-// Disks that were emptied, copied or restored from an older copy, and other installations are rejected.
+// Disks that were emptied, copied or restored from an older copy, and other installations are
+// rejected.
 func TestHandleMessage_unknownSendersAreRejected(t *testing.T) {
 	leader, follower := startKnownCluster(t)
 	genuine := leader.newEnvelope()
@@ -181,7 +182,8 @@
 	}
 }
 
-// Reads share one read index request, and one that waits for changes ends only after another request.
+// Reads share one read index request, and one that waits for changes ends only after another
+// request.
 func TestReadQueue_readsShareOneReadIndexRequest(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	cluster.mustWrite(1, 0)
--- a/internal/coordination/consensus/peer.go
+++ b/internal/coordination/consensus/peer.go
@@ -15,9 +15,9 @@
 	incarnation Incarnation
 }
 
-// checkSender rejects a sender that is not who it claims to be. It guards against a disk that was emptied, copied or
-// restored from an older copy, and against another installation. A member that is rejected for this is as good as lost and
-// has to come back under a new number.
+// checkSender rejects a sender that is not who it claims to be. It guards against a disk that was
+// emptied, copied or restored from an older copy, and against another installation. A member that
+// is rejected for this is as good as lost and has to come back under a new number.
 func (n *Node) checkSender(received envelope) error {
 	from := received.From.Number
 	if from == 0 || from >= numberLimit || from == n.self.Number {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// checkDisk compares the sender's disk and incarnation with those of the member list and of its earlier messages.
+// checkDisk compares the sender's disk and incarnation with those of the member list and of its
+// earlier messages.
 func (n *Node) checkDisk(received envelope) error {
 	from := received.From.Number
 	previous := n.peers[from]
--- a/internal/coordination/consensus/propose.go
+++ b/internal/coordination/consensus/propose.go
@@ -17,7 +17,8 @@
 
 func (n *Node) propose(entry logEntry) (uint64, error) {
 	n.lastSeq++
-	entry.Seq, entry.From = n.lastSeq, n.self.Number
+	entry.Seq = n.lastSeq
+	entry.From = n.self.Number
 	data, err := encMode.Marshal(entry)
 	if err != nil {
 		return 0, err
@@ -28,14 +29,14 @@
 	return n.lastSeq, nil
 }
 
-// Propose proposes a command and returns the sequence number under which Advance returns its outcome. Error: ErrNotLeader,
-// also if too many proposals are not committed yet.
+// Propose proposes a command and returns the sequence number under which Advance returns its
+// outcome. Error: ErrNotLeader, also if too many proposals are not committed yet.
 func (n *Node) Propose(command statemachine.Command) (uint64, error) {
 	return n.propose(logEntry{Command: &command})
 }
 
-// ProposeDiskIDs proposes to bind the numbers of members whose disks are not known yet to the disks that they were heard
-// from. Only an established leader does so.
+// ProposeDiskIDs proposes to bind the numbers of members whose disks are not known yet to the disks
+// that they were heard from. Only an established leader does so.
 func (n *Node) ProposeDiskIDs() {
 	if !n.IsEstablishedLeader() {
 		return
@@ -44,7 +45,8 @@
 		if member.DiskID != "" {
 			continue
 		}
-		if member.DiskID = n.peers[member.Number].DiskID; member.Number == n.self.Number {
+		member.DiskID = n.peers[member.Number].DiskID
+		if member.Number == n.self.Number {
 			member.DiskID = n.self.DiskID
 		}
 		if member.DiskID != "" {
@@ -53,8 +55,9 @@
 	}
 }
 
-// RequestReadIndex asks a majority whether this voter is up to date and returns the sequence number under which Advance
-// returns the index to wait for. A request may be lost; the caller then makes another one.
+// RequestReadIndex asks a majority whether this voter is up to date and returns the sequence number
+// under which Advance returns the index to wait for. A request may be lost; the caller then makes
+// another one.
 func (n *Node) RequestReadIndex() uint64 {
 	n.lastSeq++
 	n.raftNode.ReadIndex(encodeReadContext(n.self.Number, n.lastSeq))
@@ -63,7 +66,8 @@
 
 const readContextBytes = 16
 
-// encodeReadContext makes the context by which a read index request is recognized when it is answered.
+// encodeReadContext makes the context by which a read index request is recognized when it is
+// answered.
 func encodeReadContext(number, seq uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, number), seq)
 }
--- a/internal/coordination/consensus/read_queue.go
+++ b/internal/coordination/consensus/read_queue.go
@@ -7,8 +7,8 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// readIndexTimeout is after how long a read index request that was not answered is made again: a heartbeat or its response
-// was lost.
+// readIndexTimeout is after how long a read index request that was not answered is made again: a
+// heartbeat or its response was lost.
 const readIndexTimeout = 100 * time.Millisecond
 
 // PendingRead is a read that waits for changed tables until a deadline on the host's clock.
@@ -24,14 +24,16 @@
 	final      bool   // that request was made after the deadline
 }
 
-// needsRequest reports whether the read has to wait for a read index request that is yet to be made.
+// needsRequest reports whether the read has to wait for a read index request that is yet to be
+// made.
 func (r *PendingRead) needsRequest(now time.Duration) bool {
 	return r.requestSeq == 0 && (!r.confirmed || now >= r.Deadline)
 }
 
-// ReadQueue holds the pending reads of one voter. Those that arrive while a read index request is on its way share the
-// next one. A read is only answered with what a majority confirmed after its arrival, so a voter that is cut off from the
-// others answers none. It is not safe for concurrent use.
+// ReadQueue holds the pending reads of one voter. Those that arrive while a read index request is
+// on its way share the next one. A read is only answered with what a majority confirmed after its
+// arrival, so a voter that is cut off from the others answers none. It is not safe for concurrent
+// use.
 type ReadQueue struct {
 	node           *Node
 	pending        []*PendingRead
@@ -55,15 +57,19 @@
 	if q.requestSeq != 0 || q.node.Leader() == 0 || !slices.ContainsFunc(q.pending, needed) {
 		return
 	}
-	q.requestSeq, q.requestedAt, q.confirmedIndex = q.node.RequestReadIndex(), now, 0
+	q.requestSeq = q.node.RequestReadIndex()
+	q.requestedAt = now
+	q.confirmedIndex = 0
 	for _, read := range q.pending {
 		if needed(read) {
-			read.requestSeq, read.final = q.requestSeq, now >= read.Deadline
+			read.requestSeq = q.requestSeq
+			read.final = now >= read.Deadline
 		}
 	}
 }
 
-// Tick drops canceled reads, gives up a request that was lost, and makes the request that reads past their deadline need.
+// Tick drops canceled reads, gives up a request that was lost, and makes the request that reads
+// past their deadline need.
 func (q *ReadQueue) Tick(now time.Duration) {
 	q.pending = slices.DeleteFunc(q.pending, func(read *PendingRead) bool {
 		return read.IsCanceled != nil && read.IsCanceled()
@@ -86,7 +92,8 @@
 	}
 	completed := uint64(0) // the request whose index is applied now; 0: none
 	if q.requestSeq != 0 && q.confirmedIndex > 0 && q.node.AppliedIndex() >= q.confirmedIndex {
-		completed, q.requestSeq = q.requestSeq, 0
+		completed = q.requestSeq
+		q.requestSeq = 0
 	}
 	if completed == 0 && !applied.StateChanged {
 		return
@@ -99,7 +106,9 @@
 func (q *ReadQueue) answer(read *PendingRead, completed uint64) bool {
 	expired := false
 	if completed != 0 && read.requestSeq == completed {
-		read.confirmed, read.requestSeq, expired = true, 0, read.final
+		read.confirmed = true
+		read.requestSeq = 0
+		expired = read.final
 	}
 	if !read.confirmed {
 		return false
--- a/internal/coordination/consensus/ready.go
+++ b/internal/coordination/consensus/ready.go
@@ -12,11 +12,13 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// Ready is what the host has to do, in this order: send EarlyMessages; write Record and sync it; send Messages; call
-// Advance. If the record cannot be written, nothing more may be sent and the voter has to stop.
+// Ready is what the host has to do, in this order: send EarlyMessages; write Record and sync it;
+// send Messages; call Advance. If the record cannot be written, nothing more may be sent and the
+// voter has to stop.
 type Ready struct {
-	// EarlyMessages are a leader's entries for the others, which may sync them while the leader does: it counts itself
-	// among those who have them once its own are on disk (Ongaro, Consensus: Bridging Theory and Practice, 2014, 10.2.1).
+	// EarlyMessages are a leader's entries for the others, which may sync them while the leader
+	// does: it counts itself among those who have them once its own are on disk (Ongaro, Consensus:
+	// Bridging Theory and Practice, 2014, 10.2.1).
 	EarlyMessages []Message
 	Record        []byte // nil: nothing, or only the commit index, which the others send again
 	Messages      []Message
@@ -41,8 +43,8 @@
 	Err    error // of a membership change: why it was invalid
 }
 
-// ReadIndex is the answer to RequestReadIndex: a majority was asked after the call, and once Index is applied here, the
-// state is no older than the call.
+// ReadIndex is the answer to RequestReadIndex: a majority was asked after the call, and once Index
+// is applied here, the state is no older than the call.
 type ReadIndex struct{ Seq, Index uint64 }
 
 // Ready returns what is to be done next, or false. It must be followed by Advance.
@@ -53,7 +55,8 @@
 	ready := Ready{raft: n.raftNode.Ready()}
 	if ready.raft.MustSync || !raft.IsEmptySnap(ready.raft.Snapshot) {
 		var err error
-		if ready.Record, err = ready.durable().encode(nil); err != nil {
+		ready.Record, err = ready.durable().encode(nil)
+		if err != nil {
 			return Ready{}, false, err
 		}
 	}
@@ -64,8 +67,8 @@
 	return ready, true, errors.Join(earlyErr, lateErr)
 }
 
-// splitEarly separates the messages that may be sent before the record is on disk: the entries of a leader whose term and
-// vote are there already.
+// splitEarly separates the messages that may be sent before the record is on disk: the entries of a
+// leader whose term and vote are there already.
 func (n *Node) splitEarly(ready *raft.Ready) (early, late []*raftpb.Message) {
 	onDisk, _, _ := n.storage.InitialState() // never fails
 	hardState := ready.HardState
@@ -84,8 +87,8 @@
 	return early, late
 }
 
-// Advance takes notice that the record is on disk and the messages are sent, and applies what is committed. After an error,
-// such as ErrDiskMismatch, the voter has to stop.
+// Advance takes notice that the record is on disk and the messages are sent, and applies what is
+// committed. After an error, such as ErrDiskMismatch, the voter has to stop.
 func (n *Node) Advance(ready Ready) (applied AppliedResult, err error) {
 	if err := n.appendToStorage(ready.durable()); err != nil {
 		return applied, err
@@ -118,7 +121,8 @@
 	if entry.GetIndex() != n.appliedIndex+1 {
 		return fmt.Errorf("%w: it follows %d", ErrCorrupt, n.appliedIndex)
 	}
-	n.appliedIndex, n.appliedTerm = entry.GetIndex(), entry.GetTerm()
+	n.appliedIndex = entry.GetIndex()
+	n.appliedTerm = entry.GetTerm()
 	if entry.GetType() == raftpb.EntryConfChangeV2 {
 		return n.applyMembershipChange(entry, applied)
 	}
--- a/internal/coordination/consensus/record.go
+++ b/internal/coordination/consensus/record.go
@@ -32,7 +32,8 @@
 	encoded := record{Self: self}
 	var err error
 	if !raft.IsEmptySnap(d.snapshot) {
-		if encoded.Snapshot, err = proto.Marshal(d.snapshot); err != nil {
+		encoded.Snapshot, err = proto.Marshal(d.snapshot)
+		if err != nil {
 			return nil, err
 		}
 	}
@@ -44,7 +45,8 @@
 		encoded.Entries = append(encoded.Entries, b)
 	}
 	if !raft.IsEmptyHardState(d.hardState) {
-		if encoded.HardState, err = proto.Marshal(d.hardState); err != nil {
+		encoded.HardState, err = proto.Marshal(d.hardState)
+		if err != nil {
 			return nil, err
 		}
 	}
@@ -57,7 +59,8 @@
 	if err := cbor.Unmarshal(b, &encoded); err != nil {
 		return nil, durable, err
 	}
-	durable.snapshot, durable.hardState = &raftpb.Snapshot{}, &raftpb.HardState{}
+	durable.snapshot = &raftpb.Snapshot{}
+	durable.hardState = &raftpb.HardState{}
 	if err := proto.Unmarshal(encoded.Snapshot, durable.snapshot); err != nil {
 		return nil, durable, err
 	}
@@ -112,7 +115,8 @@
 	return nil
 }
 
-// Checkpoint returns everything that this voter must hold on disk as one record, which may replace all earlier ones.
+// Checkpoint returns everything that this voter must hold on disk as one record, which may replace
+// all earlier ones.
 func (n *Node) Checkpoint() ([]byte, error) {
 	var d durableState
 	d.snapshot, _ = n.storage.Snapshot()         // never fails
@@ -121,7 +125,8 @@
 	last, _ := n.storage.LastIndex()             // never fails
 	if last >= first {
 		var err error
-		if d.entries, err = n.storage.Entries(first, last+1, math.MaxUint64); err != nil {
+		d.entries, err = n.storage.Entries(first, last+1, math.MaxUint64)
+		if err != nil {
 			return nil, err
 		}
 	}
--- a/internal/coordination/consensus/snapshot.go
+++ b/internal/coordination/consensus/snapshot.go
@@ -11,8 +11,8 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// The log begins with a snapshot that every initial member makes identically. So a voter that joins later with nothing is
-// sent a snapshot too, never entries whose beginning it lacks.
+// The log begins with a snapshot that every initial member makes identically. So a voter that joins
+// later with nothing is sent a snapshot too, never entries whose beginning it lacks.
 const initialIndex, initialTerm = 1, 1
 
 // snapshotData is the data of a Raft snapshot.
@@ -21,8 +21,9 @@
 	State      []byte     `cbor:"2,keyasint"` // see statemachine.State.Snapshot
 }
 
-// snapshotStorage is what Raft reads its log from. A snapshot that it sends is of what is applied at that moment: an older
-// one might not list a member that joined since, which would then reject it.
+// snapshotStorage is what Raft reads its log from. A snapshot that it sends is of what is applied
+// at that moment: an older one might not list a member that joined since, which would then reject
+// it.
 type snapshotStorage struct {
 	*raft.MemoryStorage
 	node *Node
@@ -41,8 +42,8 @@
 	}
 }
 
-// bootstrap makes the first snapshot. The disk of an initial member whose disk ID is not given is bound to its number once
-// the member is heard from.
+// bootstrap makes the first snapshot. The disk of an initial member whose disk ID is not given is
+// bound to its number once the member is heard from.
 func (n *Node) bootstrap(initialMembers []coordination.Member) error {
 	members, err := newMembership(initialMembers)
 	if err != nil {
@@ -66,7 +67,8 @@
 	if err := n.storage.ApplySnapshot(newSnapshot(data, confState, initialIndex, initialTerm)); err != nil {
 		return err
 	}
-	index, term := uint64(initialIndex), uint64(initialTerm)
+	index := uint64(initialIndex)
+	term := uint64(initialTerm)
 	return n.storage.SetHardState(&raftpb.HardState{Term: &term, Commit: &index})
 }
 
@@ -93,13 +95,15 @@
 	if err := n.state.Restore(data.State); err != nil {
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	n.membership, n.confState = data.Membership, metadata.GetConfState()
-	n.appliedIndex, n.appliedTerm = metadata.GetIndex(), metadata.GetTerm()
+	n.membership = data.Membership
+	n.confState = metadata.GetConfState()
+	n.appliedIndex = metadata.GetIndex()
+	n.appliedTerm = metadata.GetTerm()
 	return nil
 }
 
-// Compact makes a snapshot of what is applied and drops the entries before it, except for the latest retained ones: a voter
-// that is not further behind is sent those instead of the snapshot.
+// Compact makes a snapshot of what is applied and drops the entries before it, except for the
+// latest retained ones: a voter that is not further behind is sent those instead of the snapshot.
 func (n *Node) Compact(retained uint64) error {
 	snapshot, _ := n.storage.Snapshot() // never fails
 	if n.appliedIndex <= snapshot.GetMetadata().GetIndex() {
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,5 +1,6 @@
-// Package coordination defines the types that the packages below it, which replicate a few small tables among a group of
-// voters, share with the packages that read those tables or compute their values, and the loop of those that read them.
+// Package coordination defines the types that the packages below it, which replicate a few small
+// tables among a group of voters, share with the packages that read those tables or compute their
+// values, and the loop of those that read them.
 package coordination
 
 import (
@@ -14,28 +15,32 @@
 	Name  string
 	Epoch uint64 // 0: never written, or never received
 	Value []byte
-	// LeaseEnd is on this process's monotonic clock, see Client.Now. The lease counts from the moment at which the read that
-	// brought or confirmed the value was sent, never from the arrival of its response.
+	// LeaseEnd is on this process's monotonic clock, see Client.Now. The lease counts from the
+	// moment at which the read that brought or confirmed the value was sent, never from the arrival
+	// of its response.
 	LeaseEnd time.Duration
 }
 
-// Client is what a process uses of the replicated tables. No method waits for another process, and all of them are safe
-// for concurrent use.
+// Client is what a process uses of the replicated tables. No method waits for another process, and
+// all of them are safe for concurrent use.
 type Client interface {
 	// Now returns the monotonic clock that leases are measured on.
 	Now() time.Duration
 	// Cached returns the last known value of a table with its lease, which may have expired.
 	Cached(table string) CachedTable
-	// Changed returns a channel that is closed at the next change of any table or of the validity of any lease.
+	// Changed returns a channel that is closed at the next change of any table or of the validity
+	// of any lease.
 	Changed() <-chan struct{}
-	// RegisterCounters adds a function that is called before each digest is sent; it reports this process's counters,
-	// cumulative since its start.
+	// RegisterCounters adds a function that is called before each digest is sent; it reports this
+	// process's counters, cumulative since its start.
 	RegisterCounters(counts func(add func(name string, n uint64)))
-	// RegisterExactCounters is the same for counters that are forwarded to the leader per process instead of as sums.
+	// RegisterExactCounters is the same for counters that are forwarded to the leader per process
+	// instead of as sums.
 	RegisterExactCounters(counts func(add func(name string, n uint64)))
 }
 
-// FollowTables calls update at once, at every change of a table or a lease, and at every interval, until the context ends.
+// FollowTables calls update at once, at every change of a table or a lease, and at every interval,
+// until the context ends.
 func FollowTables(ctx context.Context, client Client, interval time.Duration, update func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -53,7 +58,8 @@
 
 // ControllerInput is what a controller computes its table from.
 type ControllerInput struct {
-	// Sums are the counters of all processes, summed up. They never decrease while the same process leads.
+	// Sums are the counters of all processes, summed up. They never decrease while the same process
+	// leads.
 	Sums map[string]uint64
 	// Totals returns the committed totals of a table.
 	Totals func(table string) map[string]uint64
@@ -63,12 +69,13 @@
 	LeadingSince time.Duration
 }
 
-// Controller computes the next value of one table from the counters of all processes. The leader runs it; whatever has to
-// outlive a leader must be part of the value. A Controller does no I/O and reads no clock.
+// Controller computes the next value of one table from the counters of all processes. The leader
+// runs it; whatever has to outlive a leader must be part of the value. A Controller does no I/O and
+// reads no clock.
 type Controller interface {
 	// Table returns the name of the table that it writes.
 	Table() string
-	// Decide returns the table's next value, or write == false to leave it as it is. If another write is applied first
-	// the value is dropped, and Decide is called again with the new state.
+	// Decide returns the table's next value, or write == false to leave it as it is. If another
+	// write is applied first the value is dropped, and Decide is called again with the new state.
 	Decide(now time.Duration, input ControllerInput) (value []byte, write bool)
 }
--- a/internal/coordination/follower/cache.go
+++ b/internal/coordination/follower/cache.go
@@ -8,8 +8,8 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// tableCache is what a process has of the tables. It accepts results in any order, late and duplicate ones too. It may be
-// used by several goroutines at once.
+// tableCache is what a process has of the tables. It accepts results in any order, late and
+// duplicate ones too. It may be used by several goroutines at once.
 type tableCache struct {
 	mu             sync.RWMutex // guards what follows
 	tables         map[string]coordination.CachedTable
@@ -32,9 +32,10 @@
 	return known
 }
 
-// merge adds the tables that a read returned, and extends the lease of all to a time that counts from when the read was
-// sent. An epoch never goes back, nor does a lease. A result that is behind the cache confirms it all the same: what is
-// cached was written after that result was confirmed, so after the read was sent.
+// merge adds the tables that a read returned, and extends the lease of all to a time that counts
+// from when the read was sent. An epoch never goes back, nor does a lease. A result that is behind
+// the cache confirms it all the same: what is cached was written after that result was confirmed,
+// so after the read was sent.
 func (c *tableCache) merge(tables map[string]statemachine.Table, leaseEnd time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/follower/cache_test.go
+++ b/internal/coordination/follower/cache_test.go
@@ -12,8 +12,9 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// A cached value that may be used until a time was the table's value at some moment no longer than a lease before that
-// time, and epochs never go back: whatever comes late, twice or in another order.
+// A cached value that may be used until a time was the table's value at some moment no longer than
+// a lease before that time, and epochs never go back: whatever comes late, twice or in another
+// order.
 func TestTableCache_valueIsNeverOlderThanItsLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lease = 2 * time.Second
@@ -86,7 +87,8 @@
 	return ReadResult{Tables: map[string]statemachine.Table{"plan": {Epoch: 1}}, GroupID: []byte("g")}, nil
 }
 
-// A result that was long on its way tells what was, not what is: the lease counts from when the read was sent.
+// A result that was long on its way tells what was, not what is: the lease counts from when the
+// read was sent.
 func TestFollower_leaseCountsFromTheSendingOfTheRead(t *testing.T) {
 	now := 10 * time.Second
 	f := New("g1", 1, nil, Timing{}, func() time.Duration { return now }, zap.NewNop())
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -27,7 +27,8 @@
 	counters    *counterRegistry
 }
 
-// run sends digests until the context ends. One that is lost is not sent again: the next one has all that it had.
+// run sends digests until the context ends. One that is lost is not sent again: the next one has
+// all that it had.
 func (s *digestSender) run(ctx context.Context) {
 	slowdown := 1.0
 	for serial := uint64(1); ; serial++ {
@@ -53,9 +54,10 @@
 	}
 }
 
-// nextSlowdown has digests come less often while the voters are slow to take them, and at the full rate again soon
-// after. It guards against more processes than the voters can bear, where each digest that comes too late would be
-// followed by another; the harm is that controllers see counts up to maxSlowdown times later.
+// nextSlowdown has digests come less often while the voters are slow to take them, and at the full
+// rate again soon after. It guards against more processes than the voters can bear, where each
+// digest that comes too late would be followed by another; the harm is that controllers see counts
+// up to maxSlowdown times later.
 func nextSlowdown(slowdown float64, slow bool) float64 {
 	if slow {
 		return min(slowdown*slowdownFactor, maxSlowdown)
@@ -88,7 +90,8 @@
 // collect gives all counts; two of the same name are added.
 func (r *counterRegistry) collect() (merged, exact map[string]uint64) {
 	r.mu.Lock()
-	mergedSources, exactSources := r.merged, r.exact
+	mergedSources := r.merged
+	exactSources := r.exact
 	r.mu.Unlock()
 	return sum(mergedSources), sum(exactSources)
 }
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,5 +1,6 @@
-// Package follower is how any process takes part in the coordination, voters too: it sends its digests to one voter and
-// caches the latest tables by a waiting read, each with a lease. Nobody who looks something up in it waits.
+// Package follower is how any process takes part in the coordination, voters too: it sends its
+// digests to one voter and caches the latest tables by a waiting read, each with a lease. Nobody
+// who looks something up in it waits.
 package follower
 
 import (
@@ -50,8 +51,8 @@
 
 var _ coordination.Client = (*Follower)(nil)
 
-// New makes a follower for one incarnation of a process. It prefers the sources in the order given. Leases are counted
-// on the clock, which must be monotonic.
+// New makes a follower for one incarnation of a process. It prefers the sources in the order given.
+// Leases are counted on the clock, which must be monotonic.
 func New(process string, incarnation uint64, sources []Source, timing Timing, clock func() time.Duration,
 	logger *zap.Logger,
 ) *Follower {
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// A process isolated from all voters: its lease expires in time, which is logged once, and once when it is renewed.
+// A process isolated from all voters: its lease expires in time, which is logged once, and once
+// when it is renewed.
 func TestFollower_isolatedLeaseExpiresInTimeAndIsLoggedOnce(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 1, "x")
@@ -66,7 +67,8 @@
 	}
 }
 
-// A voter fails: the next takes over within the lease, and what is counted there is a session of its own.
+// A voter fails: the next takes over within the lease, and what is counted there is a session of
+// its own.
 func TestFollower_nextVoterTakesOverWithinTheLease(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	f, logs := startFollower(t, quickTiming, one, two)
@@ -93,7 +95,8 @@
 	}
 }
 
-// A silent voter answers nothing, and does not close its connection either. Lookups do not wait for it.
+// A silent voter answers nothing, and does not close its connection either. Lookups do not wait for
+// it.
 func TestFollower_lookupsNeverWaitForAVoter(t *testing.T) {
 	timing := Timing{Lease: time.Hour, DigestInterval: time.Millisecond}
 	f := New("g1", 3, []Source{silentSource{}}, timing, SystemUptime, zap.NewNop())
@@ -128,7 +131,8 @@
 	return ReadResult{}, ctx.Err()
 }
 
-// Voters that lost all disks count their epochs anew: a plan cached from before must not look confirmed by them.
+// Voters that lost all disks count their epochs anew: a plan cached from before must not look
+// confirmed by them.
 func TestFollower_tablesOfAnotherGroupAreRejected(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 5, "old")
--- a/internal/coordination/follower/golden_test.go
+++ b/internal/coordination/follower/golden_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// The order in which processes prefer the voters is that of before: processes of both versions are spread alike.
+// The order in which processes prefer the voters is that of before: processes of both versions are
+// spread alike.
 func TestGolden_preferenceOrder(t *testing.T) {
 	sources := []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c"), newFakeSource("d"), newFakeSource("e")}
 	var got []string
--- a/internal/coordination/follower/lease.go
+++ b/internal/coordination/follower/lease.go
@@ -13,7 +13,8 @@
 	epochLogInterval = 5 * time.Second // between two lines on the epochs: a table may change every second
 )
 
-// leaseWatcher logs what becomes of the lease and of the tables, and wakes those that wait for a change of the lease.
+// leaseWatcher logs what becomes of the lease and of the tables, and wakes those that wait for a
+// change of the lease.
 type leaseWatcher struct {
 	clock   func() time.Duration
 	sources *sourceSelector
--- a/internal/coordination/follower/reader.go
+++ b/internal/coordination/follower/reader.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// GroupTable holds the group ID, drawn when the voters first started. Tables of another group are never accepted: their
-// epochs say nothing about those cached.
+// GroupTable holds the group ID, drawn when the voters first started. Tables of another group are
+// never accepted: their epochs say nothing about those cached.
 const GroupTable = "group"
 
 // Pace of the reads.
@@ -22,10 +22,12 @@
 	preferredReadTimeout = 250 * time.Millisecond // what a trial of the preferred voter may take from the lease
 )
 
-// errForeignGroup: the voters started anew, and what they hold is not what this process has followed.
+// errForeignGroup: the voters started anew, and what they hold is not what this process has
+// followed.
 var errForeignGroup = errors.New("tables of another group of voters")
 
-// tableReader keeps a waiting read at one voter after another, and puts what it brings into the cache.
+// tableReader keeps a waiting read at one voter after another, and puts what it brings into the
+// cache.
 type tableReader struct {
 	clock   func() time.Duration
 	sources *sourceSelector
@@ -58,9 +60,9 @@
 	}
 }
 
-// tryPreferred reads at the preferred source again after a while at another: else a voter that was down for a moment
-// would stay without followers, and the others with all of them. The harm is one short read, at a lease that is not
-// yet short.
+// tryPreferred reads at the preferred source again after a while at another: else a voter that was
+// down for a moment would stay without followers, and the others with all of them. The harm is one
+// short read, at a lease that is not yet short.
 func (r *tableReader) tryPreferred(ctx context.Context) {
 	preferred, session, timing := r.sources.preferredDue()
 	if preferred == nil {
@@ -84,15 +86,18 @@
 	return r.accept(result, sent+lease)
 }
 
-// accept puts a result of the voters that this process has followed from its start into the cache. It guards against
-// voters that lost all their disks and started anew: a table of theirs at epoch 3 is not older than one cached at 57, it
-// is another. The harm is that a process that had cached something then must be restarted.
+// accept puts a result of the voters that this process has followed from its start into the cache.
+// It guards against voters that lost all their disks and started anew: a table of theirs at epoch 3
+// is not older than one cached at 57, it is another. The harm is that a process that had cached
+// something then must be restarted.
 func (r *tableReader) accept(result ReadResult, leaseEnd time.Duration) error {
 	followed := r.cache.get(GroupTable)
 	if !result.FromOwnVoter && followed.Epoch > 0 && !bytes.Equal(followed.Value, result.GroupID) {
 		if len(result.GroupID) > 0 && !r.foreignGroupLogged {
 			r.foreignGroupLogged = true
-			r.logger.Error("follower: voters started anew with empty disks, ignoring them until this process is restarted")
+			r.logger.Error(
+				"follower: voters started anew with empty disks, ignoring them until this process is restarted",
+			)
 		}
 		return errForeignGroup // a voter that does not know its group yet will know it soon
 	}
--- a/internal/coordination/follower/sources.go
+++ b/internal/coordination/follower/sources.go
@@ -7,11 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// preferredRetryInterval is how long a follower stays at another voter before the preferred one is tried again.
+// preferredRetryInterval is how long a follower stays at another voter before the preferred one is
+// tried again.
 const preferredRetryInterval = time.Minute
 
-// PreferenceOrder puts sources in the order in which a process prefers them. It begins at one by the hash of the
-// process's name, so that processes are spread over the voters.
+// PreferenceOrder puts sources in the order in which a process prefers them. It begins at one by
+// the hash of the process's name, so that processes are spread over the voters.
 func PreferenceOrder(process string, sources []Source) []Source {
 	if len(sources) == 0 {
 		return nil
@@ -36,7 +37,9 @@
 func (s *sourceSelector) reconfigure(sources []Source, timing Timing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sources, s.timing, s.index = sources, timing, 0
+	s.sources = sources
+	s.timing = timing
+	s.index = 0
 	s.session++
 }
 
@@ -50,8 +53,8 @@
 	return s.sources[s.index], s.session, s.timing
 }
 
-// switchFrom goes over to the next source, if the session that failed is still in force. It reports whether all sources
-// had their turn.
+// switchFrom goes over to the next source, if the session that failed is still in force. It reports
+// whether all sources had their turn.
 func (s *sourceSelector) switchFrom(session uint64) (round bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +69,8 @@
 	return s.index == 0
 }
 
-// preferredDue gives the preferred source where another one is in use and it is time to try the preferred one again.
+// preferredDue gives the preferred source where another one is in use and it is time to try the
+// preferred one again.
 func (s *sourceSelector) preferredDue() (preferred Source, session uint64, timing Timing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,6 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.session == session {
-		s.index, s.session = 0, session+1
+		s.index = 0
+		s.session = session + 1
 	}
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -8,7 +8,8 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// What processes of the version before send each other must stay readable, and what they read must stay what is sent.
+// What processes of the version before send each other must stay readable, and what they read must
+// stay what is sent.
 func TestGolden_memberAndStatus(t *testing.T) {
 	member := Member{Number: 3, Name: "g3", Address: "10.0.0.3:7400", DiskID: "00112233445566778899aabbccddeeff"}
 	for name, test := range map[string]struct {
--- a/internal/coordination/node/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -34,10 +34,10 @@
 	reason         string                // why it waits
 }
 
-// decide says how to go on. An empty disk may be a new one, or one that was lost: a voter that forgets how it voted
-// could vote twice, and what a majority had acknowledged could be gone. So it starts a log only where all voters of the
-// file have told it in this incarnation that they have none, and joins one only where the members' list has this very
-// disk.
+// decide says how to go on. An empty disk may be a new one, or one that was lost: a voter that
+// forgets how it voted could vote twice, and what a majority had acknowledged could be gone. So it
+// starts a log only where all voters of the file have told it in this incarnation that they have
+// none, and joins one only where the members' list has this very disk.
 func (b *bootstrap) decide(self coordination.Member, configured []config.Voter,
 	infos map[uint64]transport.VoterInfo,
 ) bootstrapDecision {
@@ -67,10 +67,14 @@
 	return bootstrapDecision{start: true, initialMembers: initialMembers}
 }
 
-// decideByStarted says how to go on where another voter has started: only if that one knows this very disk.
+// decideByStarted says how to go on where another voter has started: only if that one knows this
+// very disk.
 func decideByStarted(self coordination.Member, other transport.VoterInfo) bootstrapDecision {
 	if member, ok := memberOf(other.InitialMembers, self.Number); ok && member.DiskID == self.DiskID {
-		return bootstrapDecision{start: true, initialMembers: other.InitialMembers} // it got this voter's answer before it started
+		return bootstrapDecision{
+			start:          true,
+			initialMembers: other.InitialMembers,
+		} // it got this voter's answer before it started
 	}
 	switch member, ok := memberOf(other.Status.Members, self.Number); {
 	case !ok:
@@ -103,16 +107,20 @@
 	logger  *zap.Logger
 }
 
-// run asks the other voters until it knows how to start the voter. It reports whether the voter has started.
+// run asks the other voters until it knows how to start the voter. It reports whether the voter has
+// started.
 func (b *bootstrapper) run(ctx context.Context) bool {
 	retry := &backoff.ExponentialBackOff{
 		InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
 		MaxInterval: maxBackoff,
 	}
 	retry.Reset()
-	known, began, logged := bootstrap{map[uint64]coordination.Member{}}, time.Now(), ""
+	known := bootstrap{map[uint64]coordination.Member{}}
+	began := time.Now()
+	logged := ""
 	for {
-		cfg, self := b.config(), b.host.member()
+		cfg := b.config()
+		self := b.host.member()
 		decision := known.decide(self, cfg.Voters, b.queryVoters(ctx, cfg, self.Number))
 		if decision.start {
 			if err := b.host.startVoter(ctx, cfg, decision.initialMembers); err != nil {
@@ -137,14 +145,20 @@
 	}
 }
 
-// queryVoters asks all other voters of the file at once who they are, and gives those that answer as the file has them.
-func (b *bootstrapper) queryVoters(ctx context.Context, cfg *config.Config, self uint64) map[uint64]transport.VoterInfo {
+// queryVoters asks all other voters of the file at once who they are, and gives those that answer
+// as the file has them.
+func (b *bootstrapper) queryVoters(
+	ctx context.Context,
+	cfg *config.Config,
+	self uint64,
+) map[uint64]transport.VoterInfo {
 	type answer struct {
 		voter config.Voter
 		info  transport.VoterInfo
 		err   error
 	}
-	answers, asked := make(chan answer, len(cfg.Voters)), 0
+	answers := make(chan answer, len(cfg.Voters))
+	asked := 0
 	for _, voter := range cfg.Voters {
 		if voter.Number == self {
 			continue
--- a/internal/coordination/node/bootstrap_test.go
+++ b/internal/coordination/node/bootstrap_test.go
@@ -26,8 +26,9 @@
 	return transport.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: status}
 }
 
-// An empty disk is a new one or a lost one; a voter that takes the second for the first votes twice. The rows are what
-// voter 1, with the empty disk "d1", learns in its rounds of queries, and how it may go on after the last.
+// An empty disk is a new one or a lost one; a voter that takes the second for the first votes
+// twice. The rows are what voter 1, with the empty disk "d1", learns in its rounds of queries, and
+// how it may go on after the last.
 func TestBootstrap_decisionWithAnEmptyDisk(t *testing.T) {
 	one, two, three := member(1, "d1"), member(2, "d2"), member(3, "d3")
 	all, lost, unknown := []coordination.Member{one, two, three}, member(1, "lost"), member(1, "")
@@ -77,7 +78,8 @@
 	}
 }
 
-// A voter whose number the file has lost starts no log, though all voters of the file have empty disks.
+// A voter whose number the file has lost starts no log, though all voters of the file have empty
+// disks.
 func TestBootstrap_numberThatIsNotInTheFileWaits(t *testing.T) {
 	known := bootstrap{map[uint64]coordination.Member{}}
 	infos := map[uint64]transport.VoterInfo{2: emptyInfo(2, "d2"), 3: emptyInfo(3, "d3"), 4: emptyInfo(4, "d4")}
--- a/internal/coordination/node/golden_test.go
+++ b/internal/coordination/node/golden_test.go
@@ -11,8 +11,9 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// The command by which the leader writes a new group ID, as it stands in the log: {1: 1, 2: "v1/(when its process
-// began)/steward", 3: 1, 4: "group", 5: 0, 6: 16 bytes, 7: null}. The stored data of the version before holds the same.
+// The command by which the leader writes a new group ID, as it stands in the log: {1: 1, 2:
+// "v1/(when its process began)/steward", 3: 1, 4: "group", 5: 0, 6: 16 bytes, 7: null}. The stored
+// data of the version before holds the same.
 var groupIDCommand = regexp.MustCompile("\x01\x01\x02\x78\x1e(v[123])/[0-9]{19}/steward" +
 	"\x03[\x01-\x17]\x04\x65group\x05\x00\x06\x50")
 
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -1,5 +1,6 @@
-// Package node puts together what a process needs to take part in the coordination, as the operators' file says: the
-// follower that every process has and, in a voter, its server, its log and the voter itself.
+// Package node puts together what a process needs to take part in the coordination, as the
+// operators' file says: the follower that every process has and, in a voter, its server, its log
+// and the voter itself.
 package node
 
 import (
@@ -16,16 +17,19 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
-// connectionsPerVoter is how many connections a process opens to a voter: one for the waiting read, one for digests.
+// connectionsPerVoter is how many connections a process opens to a voter: one for the waiting read,
+// one for digests.
 const connectionsPerVoter = 2
 
 // transferTimeout is how long a planned end waits for another voter to take the lead.
 const transferTimeout = time.Second
 
-// ControllerFactory makes the controllers that run where this process's voter leads, by the configuration in force.
+// ControllerFactory makes the controllers that run where this process's voter leads, by the
+// configuration in force.
 type ControllerFactory func(*config.Config) []coordination.Controller
 
-// Node is this process's part in the coordination. It owns all that it starts, and ends it in Close.
+// Node is this process's part in the coordination. It owns all that it starts, and ends it in
+// Close.
 type Node struct {
 	path     string
 	logger   *zap.Logger
@@ -40,7 +44,8 @@
 	goroutines sync.WaitGroup
 }
 
-// Open starts what the file at a path names. Errors are of the file, or of the address and the disk that it names.
+// Open starts what the file at a path names. Errors are of the file, or of the address and the disk
+// that it names.
 func Open(path string, controllers ControllerFactory, logger *zap.Logger) (*Node, error) {
 	cfg, err := config.Read(path)
 	if err != nil {
@@ -52,8 +57,8 @@
 		client: transport.NewClient(network, connectionsPerVoter),
 	}
 	n.config.Store(cfg)
-	// Where the clock was set back between two incarnations, what the later one counts is ignored until it has passed
-	// the earlier.
+	// Where the clock was set back between two incarnations, what the later one counts is ignored
+	// until it has passed the earlier.
 	incarnation := uint64(time.Now().UnixNano())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -79,7 +84,8 @@
 	return n, nil
 }
 
-// runHost starts the voter as soon as it knows how, and then does what the leader does outside the controllers.
+// runHost starts the voter as soon as it knows how, and then does what the leader does outside the
+// controllers.
 func (n *Node) runHost(ctx context.Context) {
 	if n.host.runningVoter() == nil {
 		starter := &bootstrapper{
@@ -110,8 +116,9 @@
 // Config is the configuration in force.
 func (n *Node) Config() *config.Config { return n.config.Load() }
 
-// Reload reads the file again and puts in force what can change in place: voters, timing, the parts' settings. The keys
-// of what only a restart can change are logged; a bad file changes nothing. It reports whether the file was accepted.
+// Reload reads the file again and puts in force what can change in place: voters, timing, the
+// parts' settings. The keys of what only a restart can change are logged; a bad file changes
+// nothing. It reports whether the file was accepted.
 func (n *Node) Reload() bool {
 	cfg, err := config.Read(n.path)
 	if err != nil {
@@ -132,7 +139,8 @@
 	return true
 }
 
-// TransferLeadership hands the lead to another voter where this process has it: before a planned end.
+// TransferLeadership hands the lead to another voter where this process has it: before a planned
+// end.
 func (n *Node) TransferLeadership() {
 	if n.host == nil {
 		return
--- a/internal/coordination/node/node_test.go
+++ b/internal/coordination/node/node_test.go
@@ -69,7 +69,8 @@
 
 func (s *testSite) countLines(text string) int { return s.logs.FilterMessageSnippet(text).Len() }
 
-// A first start takes all voters; then what is written is cached by all, and Close ends all that was started.
+// A first start takes all voters; then what is written is cached by all, and Close ends all that
+// was started.
 func TestNode_votersStartTogetherAndCloseCleanly(t *testing.T) {
 	site := newTestSite(t)
 	all := []*Node{site.open("v1", true), site.open("v2", true), site.open("g1", false)}
--- a/internal/coordination/node/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -26,8 +26,8 @@
 // proposerName names the reconciler in the commands that it writes. It is stored in the log.
 const proposerName = "steward"
 
-// reconciler does at the leader what is outside the controllers: it writes the group ID, and changes the members to
-// those that the file names.
+// reconciler does at the leader what is outside the controllers: it writes the group ID, and
+// changes the members to those that the file names.
 type reconciler struct {
 	host       *voterHost
 	client     *transport.Client
@@ -80,7 +80,8 @@
 		if !add && remove == 0 {
 			continue
 		}
-		// The old one goes only when the new one is there, its disk empty: until then the old one may yet come back.
+		// The old one goes only when the new one is there, its disk empty: until then the old one
+		// may yet come back.
 		info, err := r.client.Info(ctx, configured.Address)
 		if err != nil || info.Started || info.Number != configured.Number || info.Name != configured.Name {
 			continue
@@ -118,9 +119,9 @@
 	r.host.sender.RemoveVoter(number)
 }
 
-// nextMemberChange is the next step to a voter that the file names. First the one that it replaces is removed: while
-// that one is dead, it counts among those of whom a majority must answer, and a fifth in place of a fourth would need
-// one more of them.
+// nextMemberChange is the next step to a voter that the file names. First the one that it replaces
+// is removed: while that one is dead, it counts among those of whom a majority must answer, and a
+// fifth in place of a fourth would need one more of them.
 func nextMemberChange(members []coordination.Member, configured config.Voter) (remove uint64, add bool) {
 	highest := uint64(0)
 	for _, member := range members {
--- a/internal/coordination/node/sources.go
+++ b/internal/coordination/node/sources.go
@@ -11,10 +11,12 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
-// localReadGrace is what the response of this process's own voter may take beyond the wait that was asked for.
+// localReadGrace is what the response of this process's own voter may take beyond the wait that was
+// asked for.
 const localReadGrace = 300 * time.Millisecond
 
-// sources are the voters of the file in the order in which this process prefers them: its own first.
+// sources are the voters of the file in the order in which this process prefers them: its own
+// first.
 func (n *Node) sources(cfg *config.Config) []follower.Source {
 	var local, remote []follower.Source
 	for _, voter := range cfg.Voters {
@@ -47,7 +49,11 @@
 }
 
 // Read implements follower.Source.
-func (l localVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
+func (l localVoter) Read(
+	ctx context.Context,
+	known map[string]uint64,
+	wait time.Duration,
+) (follower.ReadResult, error) {
 	voter := l.voter()
 	if voter == nil {
 		return follower.ReadResult{}, coordination.ErrStopped
@@ -73,7 +79,11 @@
 }
 
 // Read implements follower.Source.
-func (r remoteVoter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
+func (r remoteVoter) Read(
+	ctx context.Context,
+	known map[string]uint64,
+	wait time.Duration,
+) (follower.ReadResult, error) {
 	found, groupID, err := r.client.Read(ctx, r.address, known, wait)
 	return follower.ReadResult{Tables: found, GroupID: groupID}, err
 }
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -28,12 +28,17 @@
 	return fmt.Sprintf("voter %d, process %q, answers at %s already", e.Voter.Number, e.Voter.Name, e.Address)
 }
 
-// NumberMismatchError reports that a folder holds the log of a voter of another number than the file's.
+// NumberMismatchError reports that a folder holds the log of a voter of another number than the
+// file's.
 type NumberMismatchError struct{ Log, File uint64 }
 
 // Error implements error.
 func (e *NumberMismatchError) Error() string {
-	return fmt.Sprintf("holds the log of voter %d, and the file says %d: a new number takes an empty folder", e.Log, e.File)
+	return fmt.Sprintf(
+		"holds the log of voter %d, and the file says %d: a new number takes an empty folder",
+		e.Log,
+		e.File,
+	)
 }
 
 // hostOptions are what a voter host needs of its process.
@@ -47,7 +52,8 @@
 	logger      *zap.Logger
 }
 
-// voterHost is a voter's place in its process: its server, its log, and the voter once it has started.
+// voterHost is a voter's place in its process: its server, its log, and the voter once it has
+// started.
 type voterHost struct {
 	incarnation uint64
 	config      func() *config.Config
@@ -67,7 +73,8 @@
 	stopped        bool // no voter is started any more
 }
 
-// openVoterHost opens a voter's log and listener. Where the log is empty, the voter is started later.
+// openVoterHost opens a voter's log and listener. Where the log is empty, the voter is started
+// later.
 func openVoterHost(ctx context.Context, cfg *config.Config, options hostOptions) (*voterHost, error) {
 	self := *cfg.Self()
 	// Two processes on one file, the second of which listens elsewhere, would be one voter twice.
@@ -88,8 +95,14 @@
 		return nil, fmt.Errorf("%s: process.disk: %w", options.path, err)
 	}
 	h := &voterHost{
-		incarnation: options.incarnation, config: options.config, controllers: options.controllers, logger: options.logger,
-		storage: storage, listener: listener, sender: transport.NewMessageSender(options.network), self: self,
+		incarnation: options.incarnation,
+		config:      options.config,
+		controllers: options.controllers,
+		logger:      options.logger,
+		storage:     storage,
+		listener:    listener,
+		sender:      transport.NewMessageSender(options.network),
+		self:        self,
 	}
 	if len(storage.Records()) > 0 {
 		if err := h.startVoter(ctx, cfg, nil); err != nil {
@@ -120,8 +133,8 @@
 	}
 }
 
-// startVoter starts the voter: with the members that start the log, or none where the log is on its disk or comes from
-// others. Errors: ErrStopped, a *NumberMismatchError, or the voter's.
+// startVoter starts the voter: with the members that start the log, or none where the log is on its
+// disk or comes from others. Errors: ErrStopped, a *NumberMismatchError, or the voter's.
 func (h *voterHost) startVoter(ctx context.Context, cfg *config.Config, initialMembers []coordination.Member) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,12 +151,13 @@
 	if number := started.Status().Number; number != h.self.Number {
 		return errors.Join(&NumberMismatchError{Log: number, File: h.self.Number}, started.Close())
 	}
-	h.voter, h.initialMembers = started, initialMembers
+	h.voter = started
+	h.initialMembers = initialMembers
 	return nil
 }
 
-// send hands a voter's message to the sender. The file says where a voter is; the log's address is for voters that the
-// file of this process does not name yet.
+// send hands a voter's message to the sender. The file says where a voter is; the log's address is
+// for voters that the file of this process does not name yet.
 func (h *voterHost) send(to coordination.Member, message []byte) {
 	address := to.Address
 	for _, configured := range h.config().Voters {
@@ -172,7 +186,8 @@
 // Info implements transport.Host.
 func (h *voterHost) Info() transport.VoterInfo {
 	h.mu.Lock()
-	member, running := h.memberLocked(), h.voter
+	member := h.memberLocked()
+	running := h.voter
 	info := transport.VoterInfo{
 		Number: member.Number, Name: member.Name, Address: member.Address, DiskID: member.DiskID,
 		Started: running != nil, Incarnation: h.incarnation, InitialMembers: h.initialMembers,
@@ -187,8 +202,8 @@
 // GroupID implements transport.Host.
 func (h *voterHost) GroupID() []byte { return h.follower.Cached(follower.GroupTable).Value }
 
-// reload takes over a new configuration. A voter that has not started takes its number from it; one that has started
-// stays what it is.
+// reload takes over a new configuration. A voter that has not started takes its number from it; one
+// that has started stays what it is.
 func (h *voterHost) reload(cfg *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/coordination/observation/merger.go
+++ b/internal/coordination/observation/merger.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Merger merges digests. It starts to count a session at the first digest of it that it receives, as another merger may
-// have counted what came before, and adds the growth of later ones. It is not safe for concurrent use.
+// Merger merges digests. It starts to count a session at the first digest of it that it receives,
+// as another merger may have counted what came before, and adds the growth of later ones. It is not
+// safe for concurrent use.
 type Merger struct {
 	latest   map[string]*processState // latest incarnation, by process
 	previous map[string][]*processState
@@ -20,8 +21,8 @@
 	counts, exact                map[string]uint64
 }
 
-// maxPrevious is how many earlier incarnations of a process are kept for their exact counts: these may not be in the log
-// yet, and the last digests may still be on their way.
+// maxPrevious is how many earlier incarnations of a process are kept for their exact counts: these
+// may not be in the log yet, and the last digests may still be on their way.
 const maxPrevious = 4
 
 // NewMerger makes an empty merger.
@@ -33,9 +34,10 @@
 	}
 }
 
-// Add merges a digest and reports whether it was the latest of its process. Of a digest of an earlier incarnation only the
-// exact counts are merged; any other late or duplicate one changes nothing. A count that is lower than in an earlier digest
-// of the same incarnation is taken to be unchanged.
+// Add merges a digest and reports whether it was the latest of its process. Of a digest of an
+// earlier incarnation only the exact counts are merged; any other late or duplicate one changes
+// nothing. A count that is lower than in an earlier digest of the same incarnation is taken to be
+// unchanged.
 func (m *Merger) Add(digest Digest) (latest bool) {
 	state := m.latest[digest.Process]
 	switch {
@@ -62,7 +64,8 @@
 		return false
 	}
 	if digest.Session > state.session {
-		state.session, state.counts = digest.Session, maps.Clone(digest.Counts)
+		state.session = digest.Session
+		state.counts = maps.Clone(digest.Counts)
 	}
 	state.serial = digest.Serial
 	for name, n := range digest.Counts {
@@ -82,14 +85,16 @@
 	i, found := slices.BinarySearchFunc(previous, state.incarnation, byIncarnation)
 	if found {
 		known := previous[i]
-		known.serial, known.exact = max(known.serial, state.serial), mergeMax(known.exact, state.exact)
+		known.serial = max(known.serial, state.serial)
+		known.exact = mergeMax(known.exact, state.exact)
 		return
 	}
 	previous = slices.Insert(previous, i, state)
 	m.previous[process] = previous[max(0, len(previous)-maxPrevious):]
 }
 
-// mergeMax raises each count to the larger of the two and returns the first map, or a new one if that is nil.
+// mergeMax raises each count to the larger of the two and returns the first map, or a new one if
+// that is nil.
 func mergeMax(merged, counts map[string]uint64) map[string]uint64 {
 	if merged == nil {
 		merged = map[string]uint64{}
@@ -100,11 +105,12 @@
 	return merged
 }
 
-// Sums returns what all processes have counted since the merger was made, by name. The map is the caller's.
+// Sums returns what all processes have counted since the merger was made, by name. The map is the
+// caller's.
 func (m *Merger) Sums() map[string]uint64 { return maps.Clone(m.sums) }
 
-// ExactCounts returns the exact counts of each process in its last incarnations, by process name, earlier incarnations
-// first.
+// ExactCounts returns the exact counts of each process in its last incarnations, by process name,
+// earlier incarnations first.
 func (m *Merger) ExactCounts() []Digest {
 	var digests []Digest
 	for _, process := range slices.Sorted(maps.Keys(m.latest)) {
--- a/internal/coordination/observation/merger_test.go
+++ b/internal/coordination/observation/merger_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Messages between processes are lost, duplicated, late and out of order: whatever arrives between the first digest and the
-// last, the sum is what was counted between them.
+// Messages between processes are lost, duplicated, late and out of order: whatever arrives between
+// the first digest and the last, the sum is what was counted between them.
 func TestMerger_lostDuplicateAndLateDigestsChangeNothing(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -42,7 +42,8 @@
 	}
 }
 
-// A process that crashed and restarted counts from 0; digests of its earlier incarnation that still arrive are ignored.
+// A process that crashed and restarted counts from 0; digests of its earlier incarnation that still
+// arrive are ignored.
 func TestMerger_earlierIncarnationIsIgnored(t *testing.T) {
 	merger := NewMerger()
 	merger.Add(newDigest(1, 100))
@@ -59,7 +60,8 @@
 	}
 }
 
-// A process that switches to another voter and back is counted twice at neither: what it counted in between is lost.
+// A process that switches to another voter and back is counted twice at neither: what it counted in
+// between is lost.
 func TestMerger_processThatSwitchesVoterCountsOnce(t *testing.T) {
 	one, other := NewMerger(), NewMerger()
 	for i, to := range []*Merger{one, one, other, other, one, one} {
@@ -81,8 +83,8 @@
 	}
 }
 
-// A process restarts before the log has the exact counts of its earlier incarnation, and that incarnation's last digest
-// arrives later still: exact counts of every incarnation count.
+// A process restarts before the log has the exact counts of its earlier incarnation, and that
+// incarnation's last digest arrives later still: exact counts of every incarnation count.
 func TestMerger_exactCountsOfAnEarlierIncarnationAreRetained(t *testing.T) {
 	merger := NewMerger()
 	merger.Add(newDigest(1, 100))
--- a/internal/coordination/statemachine/command.go
+++ b/internal/coordination/statemachine/command.go
@@ -7,12 +7,13 @@
 const (
 	// Write sets a table whose current epoch is the command's, and increments that epoch.
 	Write Kind = iota + 1
-	// RaiseTotals raises totals that are lower than the command's. It has no epoch and may be repeated.
+	// RaiseTotals raises totals that are lower than the command's. It has no epoch and may be
+	// repeated.
 	RaiseTotals
 )
 
-// Command is what a log entry applies to the state. Proposer and Number identify it: of each proposer, commands are applied
-// in the order of their numbers, each once.
+// Command is what a log entry applies to the state. Proposer and Number identify it: of each
+// proposer, commands are applied in the order of their numbers, each once.
 type Command struct {
 	Kind     Kind              `cbor:"1,keyasint"`
 	Proposer string            `cbor:"2,keyasint"` // one incarnation of a process
--- a/internal/coordination/statemachine/golden_test.go
+++ b/internal/coordination/statemachine/golden_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// A log that the version before wrote holds these commands: their bytes must mean the same and stay the same.
+// A log that the version before wrote holds these commands: their bytes must mean the same and stay
+// the same.
 func TestGolden_commandsAndResults(t *testing.T) {
 	for name, test := range map[string]struct {
 		value any
@@ -37,7 +38,8 @@
 	goldenEntry  = "a30105024576616c756503184d"
 )
 
-// goldenState is what the snapshot under testdata was made of: tables written, rejected and repeated, and totals.
+// goldenState is what the snapshot under testdata was made of: tables written, rejected and
+// repeated, and totals.
 func goldenState() *State {
 	s := New()
 	for i, command := range []Command{
--- a/internal/coordination/statemachine/state.go
+++ b/internal/coordination/statemachine/state.go
@@ -1,6 +1,6 @@
-// Package statemachine is the state that the replicated log drives: small tables with an epoch each, totals that only grow,
-// and the last command of each proposer. It has no I/O and no clock: the same commands in the same order make the same
-// state.
+// Package statemachine is the state that the replicated log drives: small tables with an epoch
+// each, totals that only grow, and the last command of each proposer. It has no I/O and no clock:
+// the same commands in the same order make the same state.
 package statemachine
 
 import (
@@ -31,8 +31,8 @@
 	Index  uint64 `cbor:"3,keyasint"` // of its log entry: the proposer with the lowest is evicted first
 }
 
-// maxProposers is how many proposers are remembered: more incarnations of processes than propose anything within the time
-// in which one of them may still repeat a command.
+// maxProposers is how many proposers are remembered: more incarnations of processes than propose
+// anything within the time in which one of them may still repeat a command.
 const maxProposers = 4096
 
 // New makes an empty state.
@@ -44,7 +44,8 @@
 	}
 }
 
-// Apply applies the command at an index of the log. An index that was applied before changes nothing.
+// Apply applies the command at an index of the log. An index that was applied before changes
+// nothing.
 func (s *State) Apply(index uint64, command Command) Result {
 	if index <= s.appliedIndex {
 		return Result{Epoch: s.tables[command.Table].Epoch}
@@ -105,8 +106,8 @@
 // Table returns the current value of a table.
 func (s *State) Table(name string) Table { return s.tables[name] }
 
-// ChangedSince returns the tables whose epoch is later than the known one. Known epochs are by table; 0 stands for a table
-// that was never received.
+// ChangedSince returns the tables whose epoch is later than the known one. Known epochs are by
+// table; 0 stands for a table that was never received.
 func (s *State) ChangedSince(known map[string]uint64) map[string]Table {
 	changed := map[string]Table{}
 	for name, table := range s.tables {
--- a/internal/coordination/statemachine/state_rapid_test.go
+++ b/internal/coordination/statemachine/state_rapid_test.go
@@ -32,7 +32,8 @@
 	commands   map[string]Command // by proposer and number
 }
 
-// identify returns the earlier command with the same proposer and number, which a repeated one has to equal.
+// identify returns the earlier command with the same proposer and number, which a repeated one has
+// to equal.
 func (s *checkedState) identify(command Command) Command {
 	key := fmt.Sprint(command.Proposer, command.Number)
 	if earlier, ok := s.commands[key]; ok {
@@ -64,9 +65,9 @@
 	return result
 }
 
-// For any commands in any order, repeated ones included: each write increments a table's epoch and nothing else does,
-// totals never decrease, the numbers applied of each proposer increase, and a state that was restored from a snapshot
-// equals one that never was.
+// For any commands in any order, repeated ones included: each write increments a table's epoch and
+// nothing else does, totals never decrease, the numbers applied of each proposer increase, and a
+// state that was restored from a snapshot equals one that never was.
 func TestState_invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := checkedState{New(), map[string]uint64{}, map[string]Command{}}
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -27,8 +27,9 @@
 // maxStatusMessage is how much of a refusal's body is read, in bytes.
 const maxStatusMessage = 200
 
-// Client makes calls to voters, on few connections that are reused. It owns them. It may be used by several goroutines
-// at once. No call is retried. Errors of a call: a *StatusError, a *NotLoopbackError, or the connection's.
+// Client makes calls to voters, on few connections that are reused. It owns them. It may be used by
+// several goroutines at once. No call is retried. Errors of a call: a *StatusError, a
+// *NotLoopbackError, or the connection's.
 type Client struct {
 	http http.Client
 }
@@ -37,10 +38,12 @@
 func NewClient(network Network, connectionsPerVoter int) *Client {
 	return &Client{http.Client{
 		Transport: &http.Transport{
-			DialContext:     network.dialer(),
-			MaxConnsPerHost: connectionsPerVoter, MaxIdleConnsPerHost: connectionsPerVoter,
-			IdleConnTimeout:    idleTimeout / 2, // before the other end closes it: a call sent into a closing one is lost
-			DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
+			DialContext:            network.dialer(),
+			MaxConnsPerHost:        connectionsPerVoter,
+			MaxIdleConnsPerHost:    connectionsPerVoter,
+			IdleConnTimeout:        idleTimeout / 2, // before the other end closes it: a call sent into a closing one is lost
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -50,7 +53,12 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // call sends a body and decodes the response into a result; either may be nil.
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, address, path string, body, result any) error {
+func (c *Client) call(
+	ctx context.Context,
+	timeout time.Duration,
+	method, address, path string,
+	body, result any,
+) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := newRequest(ctx, method, address, path, body)
@@ -62,7 +70,8 @@
 		return err
 	}
 	defer func() {
-		// What is left is read so that the connection can be reused; without it the next call opens another.
+		// What is left is read so that the connection can be reused; without it the next call opens
+		// another.
 		_, _ = io.CopyN(io.Discard, response.Body, 1<<10)
 		_ = response.Body.Close()
 	}()
@@ -84,7 +93,8 @@
 	var encoded []byte
 	if body != nil {
 		var err error
-		if encoded, err = encoding.Marshal(body); err != nil {
+		encoded, err = encoding.Marshal(body)
+		if err != nil {
 			return nil, err
 		}
 	}
@@ -110,7 +120,8 @@
 	return c.call(ctx, dialTimeout+responseGrace, http.MethodPost, address, pathDigests, digests, nil)
 }
 
-// Read is that of coordination.Voter, at the voter of an address, with the voters' group ID. It may be retried.
+// Read is that of coordination.Voter, at the voter of an address, with the voters' group ID. It may
+// be retried.
 func (c *Client) Read(ctx context.Context, address string, known map[string]uint64, wait time.Duration) (
 	found map[string]statemachine.Table, groupID []byte, err error,
 ) {
@@ -122,9 +133,14 @@
 	return response.Tables, response.GroupID, decodeError(response.Error)
 }
 
-// Propose is that of coordination.Voter, at the voter of an address. After an error other than ErrNotLeader the command
-// may be written all the same: it may be proposed again under the same number, and under no other.
-func (c *Client) Propose(ctx context.Context, address string, command statemachine.Command) (statemachine.Result, error) {
+// Propose is that of coordination.Voter, at the voter of an address. After an error other than
+// ErrNotLeader the command may be written all the same: it may be proposed again under the same
+// number, and under no other.
+func (c *Client) Propose(
+	ctx context.Context,
+	address string,
+	command statemachine.Command,
+) (statemachine.Result, error) {
 	var response Response
 	timeout := proposeTimeout + responseGrace
 	if err := c.call(ctx, timeout, http.MethodPost, address, pathPropose, command, &response); err != nil {
@@ -133,7 +149,8 @@
 	return response.Result, decodeError(response.Error)
 }
 
-// sendMessages hands a voter messages of another one. It is never retried: their sender sends anew what matters.
+// sendMessages hands a voter messages of another one. It is never retried: their sender sends anew
+// what matters.
 func (c *Client) sendMessages(ctx context.Context, timeout time.Duration, address string, batch MessageBatch) error {
 	return c.call(ctx, timeout, http.MethodPost, address, pathMessages, batch, nil)
 }
--- a/internal/coordination/transport/client_test.go
+++ b/internal/coordination/transport/client_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A connection that breaks after a proposal was read: the caller must get an error, as it may be written, and it must
-// not be sent again unseen.
+// A connection that breaks after a proposal was read: the caller must get an error, as it may be
+// written, and it must not be sent again unseen.
 func TestClient_proposalIsNotRetried(t *testing.T) {
 	listener := listen(t)
 	var calls atomic.Int32
--- a/internal/coordination/transport/encoding.go
+++ b/internal/coordination/transport/encoding.go
@@ -11,7 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// errMalformed: a body is not what was sent, or not what such a body is made of. Its text goes on the wire.
+// errMalformed: a body is not what was sent, or not what such a body is made of. Its text goes on
+// the wire.
 var errMalformed = errors.New("spoilt body")
 
 var (
@@ -37,7 +38,8 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// readBody reads a body of a stated length and decodes it. Errors: errMalformed, or the connection's.
+// readBody reads a body of a stated length and decodes it. Errors: errMalformed, or the
+// connection's.
 func readBody(r io.Reader, length, limit int64, wantChecksum string, into any) error {
 	if length < 0 || length > limit {
 		return fmt.Errorf("%w: a length from 0 to %d is wanted, not %d", errMalformed, limit, length)
--- a/internal/coordination/transport/golden_http_test.go
+++ b/internal/coordination/transport/golden_http_test.go
@@ -164,7 +164,8 @@
 	}
 }
 
-// The responses of a server to each call, good or bad, and what its voter receives. DATE stands for the time.
+// The responses of a server to each call, good or bad, and what its voter receives. DATE stands for
+// the time.
 func TestGolden_serverResponses(t *testing.T) {
 	for _, row := range goldenExchanges(t) {
 		name, _, _ := strings.Cut(row.call, " HTTP")
--- a/internal/coordination/transport/golden_test.go
+++ b/internal/coordination/transport/golden_test.go
@@ -16,8 +16,8 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// Golden values: bytes under testdata/golden were written by the code before its names changed. Maps in them have one
-// entry, as those on the wire have no order.
+// Golden values: bytes under testdata/golden were written by the code before its names changed.
+// Maps in them have one entry, as those on the wire have no order.
 
 func goldenMembers() []coordination.Member {
 	return []coordination.Member{
--- a/internal/coordination/transport/message.go
+++ b/internal/coordination/transport/message.go
@@ -1,5 +1,6 @@
-// Package transport carries the calls between the processes that coordinate: net/http on plain connections with CBOR
-// bodies. It decides nothing; each call has limits of size and time, whoever is at the other end.
+// Package transport carries the calls between the processes that coordinate: net/http on plain
+// connections with CBOR bodies. It decides nothing; each call has limits of size and time, whoever
+// is at the other end.
 package transport
 
 import (
@@ -36,8 +37,8 @@
 	pathPropose  = "/propose"
 	pathInfo     = "/standing"
 
-	// headerChecksum has the checksum of a body. TCP's own is too weak to trust digests and log entries to; this one
-	// finds what was corrupted by accident, not on purpose.
+	// headerChecksum has the checksum of a body. TCP's own is too weak to trust digests and log
+	// entries to; this one finds what was corrupted by accident, not on purpose.
 	headerChecksum = "Body-Sum"
 )
 
@@ -50,7 +51,8 @@
 	Incarnation uint64              `cbor:"5,keyasint"` // of its process
 	Status      coordination.Status `cbor:"6,keyasint"` // once it started
 	Address     string              `cbor:"7,keyasint"` // host:port, by its own file: what the log has of it
-	// InitialMembers are those with whom it started the log, if it did in this incarnation, with the IDs of their disks.
+	// InitialMembers are those with whom it started the log, if it did in this incarnation, with
+	// the IDs of their disks.
 	InitialMembers []coordination.Member `cbor:"8,keyasint"`
 }
 
--- a/internal/coordination/transport/network.go
+++ b/internal/coordination/transport/network.go
@@ -8,9 +8,11 @@
 	"syscall"
 )
 
-// Network says where connections may go. They are not encrypted, so they stay on loopback unless the network is private.
+// Network says where connections may go. They are not encrypted, so they stay on loopback unless
+// the network is private.
 type Network struct {
-	// Private reports that nobody else is on the network: process.private_network of the operators' file.
+	// Private reports that nobody else is on the network: process.private_network of the operators'
+	// file.
 	Private bool
 }
 
--- a/internal/coordination/transport/sender.go
+++ b/internal/coordination/transport/sender.go
@@ -17,8 +17,9 @@
 	failurePause        = 20 * time.Millisecond    // a voter that is down is not called without pause
 )
 
-// MessageSender sends voters' messages to each other. It never waits: it keeps a bounded queue for each voter and drops
-// what does not fit, as the consensus node sends anew what matters. It owns its goroutines.
+// MessageSender sends voters' messages to each other. It never waits: it keeps a bounded queue for
+// each voter and drops what does not fit, as the consensus node sends anew what matters. It owns
+// its goroutines.
 type MessageSender struct {
 	client     *Client
 	ctx        context.Context // of all deliveries; ends in Close
@@ -37,7 +38,8 @@
 	}
 }
 
-// Send sends a message to the voter of a number at an address, or drops it. The message must not be changed later.
+// Send sends a message to the voter of a number at an address, or drops it. The message must not be
+// changed later.
 func (ms *MessageSender) Send(number uint64, address string, message []byte) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -75,7 +77,8 @@
 	ms.client.Close()
 }
 
-// deliver sends what is queued, batch by batch, until the context ends. A batch that fails is dropped.
+// deliver sends what is queued, batch by batch, until the context ends. A batch that fails is
+// dropped.
 func (ms *MessageSender) deliver(ctx context.Context, number uint64, queue *sendQueue) {
 	for {
 		select {
@@ -119,7 +122,8 @@
 		q.dropped++
 		return
 	}
-	q.messages, q.bytes = append(q.messages, message), q.bytes+len(message)
+	q.messages = append(q.messages, message)
+	q.bytes = q.bytes + len(message)
 	q.signal()
 }
 
@@ -132,7 +136,8 @@
 	for _, message := range messages {
 		size += len(message)
 	}
-	q.messages, q.bytes = append(q.messages[:0:0], q.messages[n:]...), q.bytes-size
+	q.messages = append(q.messages[:0:0], q.messages[n:]...)
+	q.bytes = q.bytes - size
 	if len(q.messages) > 0 {
 		q.signal()
 	}
--- a/internal/coordination/transport/sender_test.go
+++ b/internal/coordination/transport/sender_test.go
@@ -19,8 +19,8 @@
 	return queue.dropped
 }
 
-// A voter that is suspended takes connections and answers nothing: nobody waits for it, what does not fit is dropped,
-// and the other voter gets its messages meanwhile.
+// A voter that is suspended takes connections and answers nothing: nobody waits for it, what does
+// not fit is dropped, and the other voter gets its messages meanwhile.
 func TestMessageSender_silentVoterDelaysNobody(t *testing.T) {
 	voter := newFakeVoter()
 	address, _ := startServer(t, voter)
--- a/internal/coordination/transport/server.go
+++ b/internal/coordination/transport/server.go
@@ -41,12 +41,14 @@
 	lastWarned      atomic.Int64 // when the limit was last logged, in nanoseconds since startedAt
 }
 
-// warnInterval is between two lines on too many connections: else there would be one for each follower.
+// warnInterval is between two lines on too many connections: else there would be one for each
+// follower.
 const warnInterval = time.Minute
 
-// Serve answers calls on a listener until Close. No more than maxConnections are open at a time: a voter that is a
-// gateway too needs the process's sockets for its clients. What this guards against is more processes than the voter
-// was sized for; the harm is that followers beyond the limit turn to other voters.
+// Serve answers calls on a listener until Close. No more than maxConnections are open at a time: a
+// voter that is a gateway too needs the process's sockets for its clients. What this guards against
+// is more processes than the voter was sized for; the harm is that followers beyond the limit turn
+// to other voters.
 func Serve(listener net.Listener, host Host, maxConnections int, logger *zap.Logger) *Server {
 	server := &Server{
 		host: host, logger: logger, closed: make(chan struct{}),
@@ -81,7 +83,8 @@
 	return mux
 }
 
-// Close ends all calls and connections, and waits for them: up to half a second where a body was just rejected.
+// Close ends all calls and connections, and waits for them: up to half a second where a body was
+// just rejected.
 func (s *Server) Close() {
 	_ = s.http.Close() // its error is that of closing the listener, which nobody uses any more
 	<-s.closed
@@ -105,7 +108,8 @@
 
 // warnOfLimit logs that connections are closed, once in warnInterval.
 func (s *Server) warnOfLimit() {
-	now, last := int64(time.Since(s.startedAt)), s.lastWarned.Load()
+	now := int64(time.Since(s.startedAt))
+	last := s.lastWarned.Load()
 	if now-last >= int64(warnInterval) && s.lastWarned.CompareAndSwap(last, now) {
 		s.logger.Warn("transport: too many connections, closing new ones", zap.Int64("allowed", s.maxConnections))
 	}
@@ -207,8 +211,9 @@
 	_, _ = w.Write(body) // who does not get it asks again
 }
 
-// extendReadDeadline gives a call that was read more time for its response: net/http's limit for reading the call would
-// go on to run, and end it. Where it cannot be set, the call ends at that limit.
+// extendReadDeadline gives a call that was read more time for its response: net/http's limit for
+// reading the call would go on to run, and end it. Where it cannot be set, the call ends at that
+// limit.
 func extendReadDeadline(w http.ResponseWriter, timeout time.Duration) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout + responseGrace))
 }
--- a/internal/coordination/transport/server_test.go
+++ b/internal/coordination/transport/server_test.go
@@ -19,8 +19,8 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// A body that is corrupt, truncated or endless is rejected, and harms nobody: the voter receives nothing, and the next
-// call is answered.
+// A body that is corrupt, truncated or endless is rejected, and harms nobody: the voter receives
+// nothing, and the next call is answered.
 func TestServer_malformedBodiesAreRejectedAndHarmNobody(t *testing.T) {
 	voter := newFakeVoter()
 	address, client := startServer(t, voter)
@@ -108,7 +108,8 @@
 	}
 }
 
-// More connections than a voter is sized for must not take the sockets of a gateway in the same process.
+// More connections than a voter is sized for must not take the sockets of a gateway in the same
+// process.
 func TestServer_connectionsBeyondTheLimitAreClosedAndLoggedOnce(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	listener := listen(t)
--- a/internal/coordination/voter/calls.go
+++ b/internal/coordination/voter/calls.go
@@ -20,7 +20,8 @@
 	return &mailbox{calls: make(chan func(*eventLoop), mailboxSize), stopped: make(chan struct{})}
 }
 
-// enqueue has the event loop run a call; it does not wait until that is done. Errors: ErrStopped, or the context's.
+// enqueue has the event loop run a call; it does not wait until that is done. Errors: ErrStopped,
+// or the context's.
 func (m *mailbox) enqueue(ctx context.Context, call func(*eventLoop)) error {
 	select {
 	case <-m.stopped:
@@ -69,7 +70,10 @@
 
 // ChangeMembership implements coordination.Voter.
 func (v *Voter) ChangeMembership(ctx context.Context, member coordination.Member, remove bool) error {
-	_, err := v.proposeAndWait(ctx, func(n *consensus.Node) (uint64, error) { return n.ChangeMembership(member, remove) })
+	_, err := v.proposeAndWait(
+		ctx,
+		func(n *consensus.Node) (uint64, error) { return n.ChangeMembership(member, remove) },
+	)
 	return err
 }
 
@@ -94,7 +98,11 @@
 }
 
 // Read implements coordination.Voter.
-func (v *Voter) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error) {
+func (v *Voter) Read(
+	ctx context.Context,
+	known map[string]uint64,
+	wait time.Duration,
+) (map[string]statemachine.Table, error) {
 	found := make(chan map[string]statemachine.Table, 1)
 	read := &consensus.PendingRead{
 		KnownEpochs: known,
--- a/internal/coordination/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -21,7 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testCluster is some voters in one process, with real disks and clocks, and messages delivered in memory.
+// testCluster is some voters in one process, with real disks and clocks, and messages delivered in
+// memory.
 type testCluster struct {
 	t              testing.TB
 	initialMembers []coordination.Member
--- a/internal/coordination/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -17,8 +17,8 @@
 // elapsed is the time since processStart.
 func elapsed() time.Duration { return time.Since(processStart) }
 
-// controllerRunner runs the controllers while this voter leads, and writes what they decide. It has a goroutine of its
-// own, so that a long decision delays no heartbeat.
+// controllerRunner runs the controllers while this voter leads, and writes what they decide. It has
+// a goroutine of its own, so that a long decision delays no heartbeat.
 type controllerRunner struct {
 	proposer string // names the commands: the voter's process and the incarnation of its disk
 	mailbox  *mailbox
@@ -67,7 +67,8 @@
 	}
 }
 
-// input is what the controllers go by, or false: this voter doesn't lead, or doesn't know yet all that was acknowledged.
+// input is what the controllers go by, or false: this voter doesn't lead, or doesn't know yet all
+// that was acknowledged.
 func (r *controllerRunner) input(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
 	type leadership struct {
 		sums  map[string]uint64
@@ -87,12 +88,21 @@
 		Sums:         leads.sums,
 		LeadingSince: leads.since,
 		Totals: func(table string) map[string]uint64 {
-			// Where the voter has stopped there are none; nothing decided by them can be written any more.
-			totals, _ := ask(ctx, r.mailbox, func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) })
+			// Where the voter has stopped there are none; nothing decided by them can be written
+			// any more.
+			totals, _ := ask(
+				ctx,
+				r.mailbox,
+				func(l *eventLoop) map[string]uint64 { return l.consensus.State().Totals(table) },
+			)
 			return totals
 		},
 		Table: func(table string) statemachine.Table {
-			found, _ := ask(ctx, r.mailbox, func(l *eventLoop) statemachine.Table { return l.consensus.State().Table(table) })
+			found, _ := ask(
+				ctx,
+				r.mailbox,
+				func(l *eventLoop) statemachine.Table { return l.consensus.State().Table(table) },
+			)
 			return found
 		},
 	}, elapsed(), true
@@ -113,15 +123,16 @@
 	}
 }
 
-// write proposes a command once. Its error does not matter: where the write is lost or comes too late, the controllers
-// run again with what the table then holds.
+// write proposes a command once. Its error does not matter: where the write is lost or comes too
+// late, the controllers run again with what the table then holds.
 func (r *controllerRunner) write(ctx context.Context, command statemachine.Command) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, _ = r.propose(ctx, command)
 }
 
-// writeExactCounts writes the exact counts that are beyond those in the log, whichever leader wrote these.
+// writeExactCounts writes the exact counts that are beyond those in the log, whichever leader wrote
+// these.
 func (r *controllerRunner) writeExactCounts(ctx context.Context, written map[string]uint64) {
 	grown := map[string]uint64{}
 	for _, digest := range r.digests.exactCounts() {
--- a/internal/coordination/voter/digests.go
+++ b/internal/coordination/voter/digests.go
@@ -7,8 +7,8 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// digestStore guards the voter's gatherer: processes add digests to it, the event loop adds those of other voters and
-// forwards what was merged, and the controllers read the sums.
+// digestStore guards the voter's gatherer: processes add digests to it, the event loop adds those
+// of other voters and forwards what was merged, and the controllers read the sums.
 type digestStore struct {
 	mu       sync.Mutex
 	gatherer *consensus.Gatherer
--- a/internal/coordination/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -13,10 +13,12 @@
 	"harrierhoist/internal/coordination/wal"
 )
 
-// maxLoggedRejections is how many reasons to reject a message are logged: a faulty sender must not fill the log.
+// maxLoggedRejections is how many reasons to reject a message are logged: a faulty sender must not
+// fill the log.
 const maxLoggedRejections = 16
 
-// eventLoop owns the consensus node, the writes to the log and all calls that wait. One goroutine runs it.
+// eventLoop owns the consensus node, the writes to the log and all calls that wait. One goroutine
+// runs it.
 type eventLoop struct {
 	consensus *consensus.Node
 	storage   *wal.Log
@@ -53,11 +55,13 @@
 	}
 }
 
-// run works until the voter is stopped or its log fails. A voter that cannot write is as good as dead to the others,
-// and must be: what it would go on to acknowledge might not be there after the next start.
+// run works until the voter is stopped or its log fails. A voter that cannot write is as good as
+// dead to the others, and must be: what it would go on to acknowledge might not be there after the
+// next start.
 func (l *eventLoop) run() {
 	defer close(l.mailbox.stopped)
-	ticker, forward := time.NewTicker(tickInterval), time.NewTicker(forwardInterval)
+	ticker := time.NewTicker(tickInterval)
+	forward := time.NewTicker(forwardInterval)
 	defer ticker.Stop()
 	defer forward.Stop()
 	for {
@@ -74,7 +78,8 @@
 // handleNextEvent does what the consensus node has ready, and then waits for the next event.
 func (l *eventLoop) handleNextEvent(ticks, forward <-chan time.Time) (stop bool, err error) {
 	defer func() {
-		// The raft library panics on what must never be, such as entries that others know this log had and that are gone.
+		// The raft library panics on what must never be, such as entries that others know this log
+		// had and that are gone.
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", consensus.ErrCorrupt, p)
 		}
@@ -110,7 +115,8 @@
 	}
 }
 
-// processReady writes, sends and answers what the consensus node has ready, until there is nothing more.
+// processReady writes, sends and answers what the consensus node has ready, until there is nothing
+// more.
 func (l *eventLoop) processReady() error {
 	for {
 		ready, ok, err := l.consensus.Ready()
@@ -165,8 +171,8 @@
 	return nil
 }
 
-// publishStatus makes the node's status known to callers. With a new term, or without the lead, the outcome of
-// proposals that wait is not known.
+// publishStatus makes the node's status known to callers. With a new term, or without the lead, the
+// outcome of proposals that wait is not known.
 func (l *eventLoop) publishStatus() {
 	status := l.consensus.Status()
 	leadTerm := uint64(0)
@@ -176,7 +182,8 @@
 	l.status.Store(&status)
 	l.digests.setLeaderTerm(leadTerm)
 	if leadTerm != l.leadTerm {
-		l.leadTerm, l.leadSince = leadTerm, elapsed()
+		l.leadTerm = leadTerm
+		l.leadSince = elapsed()
 		for seq, done := range l.pendingProposals {
 			done <- consensus.Outcome{Err: coordination.ErrOutcomeUnknown}
 			delete(l.pendingProposals, seq)
@@ -208,11 +215,12 @@
 	l.pendingReads.HandleApplied(applied, elapsed())
 }
 
-// handleMessage hands a message of another voter to the consensus node. A rejection is logged once for each reason, as
-// it comes again with each message.
+// handleMessage hands a message of another voter to the consensus node. A rejection is logged once
+// for each reason, as it comes again with each message.
 func (l *eventLoop) handleMessage(message []byte) error {
 	digests, err := l.consensus.HandleMessage(message)
-	if errors.Is(err, consensus.ErrRejected) && !l.loggedRejections[err.Error()] && len(l.loggedRejections) < maxLoggedRejections {
+	if errors.Is(err, consensus.ErrRejected) && !l.loggedRejections[err.Error()] &&
+		len(l.loggedRejections) < maxLoggedRejections {
 		l.loggedRejections[err.Error()] = true
 		l.logger.Warn("voter: message rejected", zap.Error(err))
 	}
--- a/internal/coordination/voter/golden_test.go
+++ b/internal/coordination/voter/golden_test.go
@@ -10,8 +10,9 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the log that it had
-// before: testdata has the commands as the code wrote them before its names changed.
+// What a voter writes of itself, a decision and the exact counts that grew, has the bytes in the
+// log that it had before: testdata has the commands as the code wrote them before its names
+// changed.
 func TestGolden_leaderCommandsInTheLog(t *testing.T) {
 	group, folder := newTestCluster(t, 1), t.TempDir()
 	if err := group.start(1, folder, wal.OSFileOps{}, group.initialMembers, sumController{}); err != nil {
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -1,5 +1,6 @@
-// Package voter runs one voter of the coordination group: it drives the consensus node with a clock, the write-ahead
-// log and the messages of the other voters, runs the controllers while this voter leads, and answers callers.
+// Package voter runs one voter of the coordination group: it drives the consensus node with a
+// clock, the write-ahead log and the messages of the other voters, runs the controllers while this
+// voter leads, and answers callers.
 package voter
 
 import (
@@ -19,8 +20,9 @@
 
 // Intervals and timeouts of a voter.
 const (
-	// tickInterval is the consensus node's tick: heartbeats go out every 50 ms and an election starts after 250 to
-	// 500 ms without one. A leader is replaced well within the 2 s that a table's lease lasts.
+	// tickInterval is the consensus node's tick: heartbeats go out every 50 ms and an election
+	// starts after 250 to 500 ms without one. A leader is replaced well within the 2 s that a
+	// table's lease lasts.
 	tickInterval = 25 * time.Millisecond
 	// forwardInterval is how often merged digests are sent to the leader.
 	forwardInterval = 200 * time.Millisecond
@@ -40,15 +42,18 @@
 	retainedEntries = 1024    // entries kept behind the snapshot for voters that lag: about the last minutes
 )
 
-// ExactTable is the table of exact counts; its totals are named by process, incarnation (decimal) and count.
+// ExactTable is the table of exact counts; its totals are named by process, incarnation (decimal)
+// and count.
 const ExactTable = "exact"
 
 // Options are what Open needs. All but InitialMembers and Controllers are required.
 type Options struct {
-	// Self names this voter. Its number counts only where the log is empty; later the log's own does.
+	// Self names this voter. Its number counts only where the log is empty; later the log's own
+	// does.
 	Self coordination.Member
-	// InitialMembers start the log where the logs of all voters are empty, the same at all of them. Where they carry
-	// disk IDs, no other disk is ever accepted in their place. None: the voter waits until a leader adds it.
+	// InitialMembers start the log where the logs of all voters are empty, the same at all of them.
+	// Where they carry disk IDs, no other disk is ever accepted in their place. None: the voter
+	// waits until a leader adds it.
 	InitialMembers []coordination.Member
 	// Log stays the caller's, to be closed after Close.
 	Log *wal.Log
@@ -82,8 +87,8 @@
 
 var _ coordination.Voter = (*Voter)(nil)
 
-// Open starts a voter that runs until Close: of the context only the values are used. Errors: a *LogOwnerError, or what
-// is wrong with the log.
+// Open starts a voter that runs until Close: of the context only the values are used. Errors: a
+// *LogOwnerError, or what is wrong with the log.
 func Open(ctx context.Context, options Options) (*Voter, error) {
 	incarnation, _ := options.Log.Incarnation()
 	node, err := openNode(options)
@@ -117,12 +122,20 @@
 	return voter, nil
 }
 
-// openNode restores the consensus node from the log. An empty log is begun with the node's first checkpoint.
+// openNode restores the consensus node from the log. An empty log is begun with the node's first
+// checkpoint.
 func openNode(options Options) (*consensus.Node, error) {
-	self, records := options.Self, options.Log.Records()
+	self := options.Self
+	records := options.Log.Records()
 	self.DiskID = options.Log.DiskID()
 	count, nonce := options.Log.Incarnation()
-	node, err := consensus.NewNode(self, consensus.Incarnation{Count: count, Nonce: nonce}, options.InitialMembers, records, nonce)
+	node, err := consensus.NewNode(
+		self,
+		consensus.Incarnation{Count: count, Nonce: nonce},
+		options.InitialMembers,
+		records,
+		nonce,
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -155,8 +168,9 @@
 // SetControllers replaces the controllers, after the operators' file was read again.
 func (v *Voter) SetControllers(controllers []coordination.Controller) { v.runner.set(controllers) }
 
-// TransferLeadership hands the lead to another voter, where this one leads, and returns once that one leads or the
-// context ends. A voter that stopped at once could end with its vote for the next leader unsent.
+// TransferLeadership hands the lead to another voter, where this one leads, and returns once that
+// one leads or the context ends. A voter that stopped at once could end with its vote for the next
+// leader unsent.
 func (v *Voter) TransferLeadership(ctx context.Context) {
 	self := v.Status().Number
 	if v.Status().Leader != self {
--- a/internal/coordination/voter/voter_test.go
+++ b/internal/coordination/voter/voter_test.go
@@ -15,7 +15,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// All voters are stopped at once and started again: what was acknowledged is still there, and is not written twice.
+// All voters are stopped at once and started again: what was acknowledged is still there, and is
+// not written twice.
 func TestVoter_acknowledgedWritesSurviveARestartOfAll(t *testing.T) {
 	group, folders := newTestCluster(t, 3), tempFolders(t, 3)
 	group.startAll(folders)
@@ -37,7 +38,8 @@
 	}
 }
 
-// A leader isolated from the others answers no read and writes nothing; the others go on without it.
+// A leader isolated from the others answers no read and writes nothing; the others go on without
+// it.
 func TestVoter_isolatedLeaderAnswersNoRead(t *testing.T) {
 	group := newTestCluster(t, 3)
 	group.startAll(tempFolders(t, 3))
@@ -145,8 +147,8 @@
 	}
 }
 
-// A leader whose disk has become slow sends no heartbeats while it waits for it: another voter leads, writes go on, and
-// the slow one still has what it acknowledged.
+// A leader whose disk has become slow sends no heartbeats while it waits for it: another voter
+// leads, writes go on, and the slow one still has what it acknowledged.
 func TestVoter_leaderWithASlowDiskIsReplaced(t *testing.T) {
 	group, syncDelays := newTestCluster(t, 3), make([]atomic.Int64, 4)
 	for i := range uint64(3) {
@@ -171,8 +173,8 @@
 	}
 }
 
-// A voter whose folder was emptied comes back under its old number: the others reject it, it stops, and what was
-// acknowledged is still there. Under a new number it joins and gets everything.
+// A voter whose folder was emptied comes back under its old number: the others reject it, it stops,
+// and what was acknowledged is still there. Under a new number it joins and gets everything.
 func TestVoter_emptiedFolderNeedsANewNumber(t *testing.T) {
 	group, folders := newTestCluster(t, 3), tempFolders(t, 3)
 	group.startAll(folders)
--- a/internal/coordination/wal/file_ops.go
+++ b/internal/coordination/wal/file_ops.go
@@ -2,7 +2,8 @@
 
 import "os"
 
-// FileOps are the operations that can fail on a disk. Tests inject failures and delays with their own.
+// FileOps are the operations that can fail on a disk. Tests inject failures and delays with their
+// own.
 type FileOps interface {
 	// Write writes all of b.
 	Write(f *os.File, b []byte) error
--- a/internal/coordination/wal/frame.go
+++ b/internal/coordination/wal/frame.go
@@ -8,9 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A frame is a header and a payload. Each is written twice, in one write that is synced at once: a damaged copy is found by
-// its checksum, and the other one is read. Without the second copy a byte flipped in the last frame could not be told from
-// a write that a power failure cut off, and an acknowledged record would be dropped silently.
+// A frame is a header and a payload. Each is written twice, in one write that is synced at once: a
+// damaged copy is found by its checksum, and the other one is read. Without the second copy a byte
+// flipped in the last frame could not be told from a write that a power failure cut off, and an
+// acknowledged record would be dropped silently.
 const (
 	// blockSize is the unit at which copies begin, so that a lost block damages one copy only.
 	blockSize  = 4096
@@ -18,7 +19,8 @@
 	frameMagic = 0x68682d6c6f673031 // "hh-log01"
 )
 
-// Where the fields of a header begin; all are 64 bits, big endian. The last one sums up those before it.
+// Where the fields of a header begin; all are 64 bits, big endian. The last one sums up those
+// before it.
 const (
 	payloadSizeAt = 8
 	numberAt      = 16
@@ -72,12 +74,14 @@
 	damaged  int // frames with one damaged copy, and a torn write at the end
 }
 
-// readFrames reads a log. Every frame but the last was synced before the next was begun, so a missing one in between is an
-// error; one without an undamaged copy at the end was never acknowledged.
+// readFrames reads a log. Every frame but the last was synced before the next was begun, so a
+// missing one in between is an error; one without an undamaged copy at the end was never
+// acknowledged.
 func readFrames(log []byte) (scanResult, error) {
 	var scanned scanResult
-	copies, last := 0, uint64(0) // of the last frame
-	damagedTail := false         // blocks after the last frame that are no copy
+	copies := 0
+	last := uint64(0)    // of the last frame
+	damagedTail := false // blocks after the last frame that are no copy
 	for offset := 0; offset < len(log); {
 		f, ok := readFrame(log[offset:])
 		if !ok {
@@ -94,7 +98,8 @@
 				scanned.damaged++
 			}
 			scanned.payloads = append(scanned.payloads, bytes.Clone(f.payload))
-			last, copies = f.number, 1
+			last = f.number
+			copies = 1
 		default:
 			return scanResult{}, fmt.Errorf("%w: frame %d follows frame %d", ErrCorrupt, f.number, last)
 		}
--- a/internal/coordination/wal/frame_test.go
+++ b/internal/coordination/wal/frame_test.go
@@ -35,8 +35,9 @@
 	return damaged
 }
 
-// When bytes flip or blocks are lost, either all records are read from the other copies or the log is rejected. Fewer or
-// other records are never returned, neither from the middle of the log nor from its end.
+// When bytes flip or blocks are lost, either all records are read from the other copies or the log
+// is rejected. Fewer or other records are never returned, neither from the middle of the log nor
+// from its end.
 func TestReadFrames_damageIsRepairedOrRejected(t *testing.T) {
 	folder := t.TempDir()
 	mustAppend(t, folder, sampleRecords()...)
@@ -57,7 +58,8 @@
 		if !slices.EqualFunc(scanned.payloads, intact.payloads[:len(scanned.payloads)], bytes.Equal) {
 			t.Fatalf("round %d: other frames were read", i)
 		}
-		// Two damaged places may hit both copies of the last frame, which then looks like a torn write.
+		// Two damaged places may hit both copies of the last frame, which then looks like a torn
+		// write.
 		if missing != 0 && (missing != 1 || damage(i%4) != twoPlaces) {
 			t.Fatalf("round %d: %d frames of %d were read", i, len(scanned.payloads), len(intact.payloads))
 		}
--- a/internal/coordination/wal/golden_test.go
+++ b/internal/coordination/wal/golden_test.go
@@ -20,7 +20,8 @@
 	goldenInode  = 4711
 )
 
-// goldenRecords are records of a voter, with a snapshot among them, and some of the sizes around a block's.
+// goldenRecords are records of a voter, with a snapshot among them, and some of the sizes around a
+// block's.
 func goldenRecords(t *testing.T) (all [][]byte) {
 	t.Helper()
 	for line := range strings.Lines(string(golden.Read(t, "records.hex"))) {
--- a/internal/coordination/wal/log.go
+++ b/internal/coordination/wal/log.go
@@ -1,6 +1,7 @@
-// Package wal is a voter's write-ahead log: the records that it must not forget, on disk, in the order in which they were
-// appended. It notices torn writes, flipped bytes, a folder that was copied and a log that is missing, and returns an error
-// rather than fewer records than were acknowledged.
+// Package wal is a voter's write-ahead log: the records that it must not forget, on disk, in the
+// order in which they were appended. It notices torn writes, flipped bytes, a folder that was
+// copied and a log that is missing, and returns an error rather than fewer records than were
+// acknowledged.
 package wal
 
 import (
@@ -18,14 +19,15 @@
 
 // Errors of a Log.
 var (
-	// ErrCorrupt means that something that was appended cannot be read; the voter needs an empty folder and a new number.
+	// ErrCorrupt means that something that was appended cannot be read; the voter needs an empty
+	// folder and a new number.
 	ErrCorrupt = errors.New("the log on disk is corrupt")
 	// ErrCopied means that the folder was copied from another one, which may still be in use.
 	ErrCopied = errors.New("the folder was copied from another")
 	// ErrInUse means that another process has the folder open.
 	ErrInUse = errors.New("the folder is in use")
-	// ErrWriteFailed means that a write or sync failed. What is on disk is not known from then on, so nothing more is
-	// written.
+	// ErrWriteFailed means that a write or sync failed. What is on disk is not known from then on,
+	// so nothing more is written.
 	ErrWriteFailed = errors.New("the disk failed")
 )
 
@@ -73,8 +75,8 @@
 // Open opens a folder, and creates it if it does not exist. For errors see OpenWith.
 func Open(folder string) (*Log, error) { return OpenWith(folder, OSFileOps{}) }
 
-// OpenWith opens a folder and writes to it through ops. Errors: ErrCorrupt, ErrCopied, ErrInUse, ErrWriteFailed, or the
-// system's.
+// OpenWith opens a folder and writes to it through ops. Errors: ErrCorrupt, ErrCopied, ErrInUse,
+// ErrWriteFailed, or the system's.
 func OpenWith(folder string, ops FileOps) (*Log, error) {
 	l := &Log{folder: folder, ops: ops}
 	if err := l.open(); err != nil {
@@ -89,7 +91,8 @@
 		return err
 	}
 	var err error
-	if l.lockFile, err = os.OpenFile(l.path(lockName), os.O_CREATE|os.O_RDWR, fileMode); err != nil {
+	l.lockFile, err = os.OpenFile(l.path(lockName), os.O_CREATE|os.O_RDWR, fileMode)
+	if err != nil {
 		return err
 	}
 	if err := unix.Flock(int(l.lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
@@ -119,7 +122,8 @@
 	return stat.Ino, nil
 }
 
-// create makes a new folder's files. A folder that a crash left half made has acknowledged nothing, and is made again.
+// create makes a new folder's files. A folder that a crash left half made has acknowledged nothing,
+// and is made again.
 func (l *Log) create() error {
 	if _, err := l.inode(newIDName); err != nil {
 		if _, err := l.inode(logName); err == nil {
@@ -130,7 +134,8 @@
 		return err
 	}
 	var err error
-	if l.header.Inode, err = l.inode(newIDName); err != nil {
+	l.header.Inode, err = l.inode(newIDName)
+	if err != nil {
 		return err
 	}
 	if err := l.replaceLog(nil); err != nil {
@@ -208,11 +213,12 @@
 // Incarnation returns how often the folder was opened, and a nonce drawn at this opening.
 func (l *Log) Incarnation() (count, nonce uint64) { return l.header.Incarnation, l.nonce }
 
-// Records returns what was appended since the folder was made or rewritten, as found when it was opened.
+// Records returns what was appended since the folder was made or rewritten, as found when it was
+// opened.
 func (l *Log) Records() [][]byte { return l.records }
 
-// Repaired returns how many damaged copies of frames, or ends of a torn write, were found when the folder was opened. Every
-// frame is written twice, so no record is missing for them.
+// Repaired returns how many damaged copies of frames, or ends of a torn write, were found when the
+// folder was opened. Every frame is written twice, so no record is missing for them.
 func (l *Log) Repaired() int { return l.repaired }
 
 // Size returns the size of the log in bytes.
@@ -227,7 +233,8 @@
 	if l.lockFile != nil {
 		err = errors.Join(err, l.lockFile.Close())
 	}
-	l.logFile, l.lockFile = nil, nil
+	l.logFile = nil
+	l.lockFile = nil
 	l.failure = errors.Join(ErrWriteFailed, os.ErrClosed)
 	return err
 }
--- a/internal/coordination/wal/log_test.go
+++ b/internal/coordination/wal/log_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A power failure cuts the last write off at any byte, or loses any of its blocks: what was acknowledged before it is read,
-// and the folder remains usable.
+// A power failure cuts the last write off at any byte, or loses any of its blocks: what was
+// acknowledged before it is read, and the folder remains usable.
 func TestLog_tornWriteLeavesAcknowledgedRecords(t *testing.T) {
 	folder := t.TempDir()
 	mustAppend(t, folder, sampleRecords()[:4]...)
@@ -105,7 +105,8 @@
 	}
 }
 
-// A folder that was copied may be in use elsewhere; one whose log or disk ID is missing has lost what it acknowledged.
+// A folder that was copied may be in use elsewhere; one whose log or disk ID is missing has lost
+// what it acknowledged.
 func TestOpen_copiedOrEmptiedFolderIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	mustAppend(t, folder, "one")
@@ -158,8 +159,9 @@
 	return o.OSFileOps.Sync(f)
 }
 
-// After a failed sync the next one succeeds though the bytes are lost. So nothing is appended after a failure, and what was
-// appended before is there at the next opening, whichever write or sync failed, those that create the folder included.
+// After a failed sync the next one succeeds though the bytes are lost. So nothing is appended after
+// a failure, and what was appended before is there at the next opening, whichever write or sync
+// failed, those that create the folder included.
 func TestLog_nothingIsAppendedAfterAFailure(t *testing.T) {
 	for failAt := 1; failAt < 9; failAt++ {
 		for _, failSync := range []bool{false, true} {
@@ -175,7 +177,8 @@
 	}
 }
 
-// appendUntilFailure appends records, and returns how many were acknowledged. After a failure every call must fail.
+// appendUntilFailure appends records, and returns how many were acknowledged. After a failure every
+// call must fail.
 func appendUntilFailure(t *testing.T, folder string, ops FileOps) (acknowledged int) {
 	t.Helper()
 	l, err := OpenWith(folder, ops)
--- a/internal/coordination/wal/write.go
+++ b/internal/coordination/wal/write.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Append appends a record and returns once it is on disk. Error: ErrWriteFailed, and from then on at every call.
+// Append appends a record and returns once it is on disk. Error: ErrWriteFailed, and from then on
+// at every call.
 func (l *Log) Append(record []byte) error {
 	if l.failure != nil {
 		return l.failure
@@ -29,7 +30,8 @@
 // Rewrite replaces all records by one. Error: ErrWriteFailed, and from then on at every call.
 func (l *Log) Rewrite(record []byte) error { return l.replaceLog([][]byte{record}) }
 
-// replaceLog writes a new log to another file, and puts that in place of the old one once it is complete.
+// replaceLog writes a new log to another file, and puts that in place of the old one once it is
+// complete.
 func (l *Log) replaceLog(records [][]byte) error {
 	if l.failure != nil {
 		return l.failure
@@ -63,12 +65,14 @@
 	if l.logFile != nil {
 		_ = l.logFile.Close() // the old log, whose content nobody needs
 	}
-	l.logFile, l.nextFrame, l.size = f, uint64(len(entries)+1), int64(len(frames))
+	l.logFile = f
+	l.nextFrame = uint64(len(entries) + 1)
+	l.size = int64(len(frames))
 	return nil
 }
 
-// writeAndSync writes and syncs. After a failed sync the next one may succeed though the bytes are lost, so the log fails
-// for good.
+// writeAndSync writes and syncs. After a failed sync the next one may succeed though the bytes are
+// lost, so the log fails for good.
 func (l *Log) writeAndSync(f *os.File, b []byte) error {
 	err := l.ops.Write(f, b)
 	if err == nil {
