--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -54,7 +54,8 @@
 
 // Timing is how often processes talk. It is the same in all files of one installation.
 type Timing struct {
-	Lease          Duration `toml:"lease"`        // how long a table may be used after the read that confirmed it was sent
+	// Lease is how long a table may be used, from the sending of the read that confirmed it.
+	Lease          Duration `toml:"lease"`
 	DigestInterval Duration `toml:"digest_every"` // between two digests of a process
 }
 
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -51,7 +51,8 @@
 		case errors.As(err, &wrongType):
 			line, _ := wrongType.Position()
 			faults = append(faults, wrongTypeError(wrongType, line))
-			if len(wrongType.Key()) == 0 || line < 1 || line > len(lines) || len(lines[line-1]) == 0 {
+			isOutside := line < 1 || line > len(lines)
+			if len(wrongType.Key()) == 0 || isOutside || len(lines[line-1]) == 0 {
 				return nil, faults // not TOML: what follows cannot be judged
 			}
 			lines[line-1] = nil
--- a/internal/coordination/config/validate.go
+++ b/internal/coordination/config/validate.go
@@ -144,9 +144,16 @@
 	}
 }
 
+// The numbers of voters that a file may name: majorities of 2 and 3.
+const (
+	fewVoters  = 3
+	manyVoters = 5
+)
+
 func (v *validator) checkVoterCount() {
 	switch n := len(v.config.Voters); {
-	case n == 3 || n == 5 || n == 1 && v.config.Process.SingleVoter:
+	case n == fewVoters || n == manyVoters:
+	case n == 1 && v.config.Process.SingleVoter:
 	case v.config.Process.SingleVoter:
 		v.add("voter", "must be 1, 3 or 5 voters, not %d", n)
 	default:
@@ -162,12 +169,18 @@
 	}
 }
 
+// The form of a port's number.
+const (
+	portBase = 10
+	portBits = 16
+)
+
 func isHostPort(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
 		return false
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
+	number, err := strconv.ParseUint(port, portBase, portBits)
 	return err == nil && number > 0
 }
 
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -18,7 +18,8 @@
 type membership struct {
 	Members       []coordination.Member `cbor:"1,keyasint"` // by number
 	HighestNumber uint64                `cbor:"2,keyasint"` // highest number ever given: none is reused
-	ClusterID     uint64                `cbor:"3,keyasint"` // derived from the initial members: messages of another log are rejected
+	// ClusterID is derived from the initial members. Messages of another log are rejected by it.
+	ClusterID uint64 `cbor:"3,keyasint"`
 }
 
 // newMembership makes the membership that a log begins with. Every initial member must derive the
@@ -60,7 +61,7 @@
 		return fmt.Errorf("number %d is too high; the next is %d", member.Number, m.HighestNumber+1)
 	case member.Name == "" || member.Address == "":
 		return errors.New("a member needs a name and an address")
-	case slices.ContainsFunc(m.Members, func(other coordination.Member) bool { return other.Address == member.Address }):
+	case slices.ContainsFunc(m.Members, func(o coordination.Member) bool { return o.Address == member.Address }):
 		return fmt.Errorf("another member has the address %s: remove it first", member.Address)
 	}
 	return nil
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -34,6 +34,9 @@
 	maxUncommittedBytes = 8 << 20 // proposals that are not yet committed; beyond it new ones are rejected
 )
 
+// sequenceBits is the lower part of a call's sequence number, which counts the calls of one start.
+const sequenceBits = 32
+
 // Incarnation is one start of a voter on its disk. Two incarnations with the same count on one disk
 // ID mean that the disk was copied.
 type Incarnation struct {
@@ -41,6 +44,11 @@
 	Nonce uint64 `cbor:"2,keyasint"` // drawn at the start
 }
 
+// isCopyOf reports whether two incarnations claim the same start, which only a copied disk makes.
+func (i Incarnation) isCopyOf(other Incarnation) bool {
+	return i.Count == other.Count && i.Nonce != other.Nonce
+}
+
 // Node is one voter. It is not safe for concurrent use.
 type Node struct {
 	self        coordination.Member
@@ -57,7 +65,7 @@
 	appliedIndex uint64
 	appliedTerm  uint64 // of the last entry applied
 
-	pendingChangeTerm  uint64          // term in which a membership change was proposed that is not yet applied; 0: none
+	pendingChangeTerm  uint64          // term of a proposed membership change that is not yet applied; 0: none
 	lastSeq            uint64          // of calls; grows over incarnations, as their count is its upper half
 	ticksWithoutLeader int             // since a message of the leader arrived or a vote was given
 	electionTimeout    int             // value of ticksWithoutLeader at which this voter stands for election
@@ -80,11 +88,10 @@
 // silenceRaftStorage sets discardLogger for raft.MemoryStorage, which only has a global logger.
 var silenceRaftStorage = sync.OnceFunc(func() { raft.SetLogger(discardLogger) })
 
-// NewNode makes a voter from the records on its disk. If there are none, initialMembers begin the
-// log: all of them must be started with the same list, disk IDs included, and the host must write
-// Checkpoint before anything else. If there are no initial members either, the voter waits until a
-// leader adds it. A member in the records takes precedence over self. Errors: ErrCorrupt, or self
-// is not among initialMembers.
+// NewNode makes a voter from the records on its disk. Without records initialMembers begin the log,
+// the same list at all of them, and the host must write Checkpoint first; without these, the voter
+// waits until a leader adds it. A member in the records takes precedence over self. Errors:
+// ErrCorrupt, or self is not among initialMembers.
 func NewNode(self coordination.Member, incarnation Incarnation, initialMembers []coordination.Member, records [][]byte,
 	seed uint64,
 ) (n *Node, err error) {
@@ -101,7 +108,7 @@
 		rng:         rand.New(rand.NewPCG(seed, self.Number)),
 		storage:     raft.NewMemoryStorage(),
 		state:       statemachine.New(),
-		lastSeq:     incarnation.Count << 32,
+		lastSeq:     incarnation.Count << sequenceBits,
 		snapshotAge: map[uint64]int{},
 		peers:       map[uint64]peer{},
 	}
--- a/internal/coordination/consensus/peer.go
+++ b/internal/coordination/consensus/peer.go
@@ -15,9 +15,9 @@
 	incarnation Incarnation
 }
 
-// checkSender rejects a sender that is not who it claims to be. It guards against a disk that was
-// emptied, copied or restored from an older copy, and against another installation. A member that
-// is rejected for this is as good as lost and has to come back under a new number.
+// checkSender rejects a sender that is not who it claims to be: one whose disk was emptied, copied
+// or restored from an older copy, or one of another installation. A member that is rejected for
+// this has to come back under a new number.
 func (n *Node) checkSender(received envelope) error {
 	from := received.From.Number
 	if from == 0 || from >= numberLimit || from == n.self.Number {
@@ -48,7 +48,7 @@
 		return fmt.Errorf("%w: number %d came with another disk", ErrRejected, from)
 	case received.Incarnation.Count < previous.incarnation.Count:
 		return fmt.Errorf("%w: number %d came with an earlier incarnation of its disk", ErrRejected, from)
-	case received.Incarnation.Count == previous.incarnation.Count && received.Incarnation.Nonce != previous.incarnation.Nonce:
+	case received.Incarnation.isCopyOf(previous.incarnation):
 		return fmt.Errorf("%w: number %d came twice: its disk was copied", ErrRejected, from)
 	}
 	return nil
--- a/internal/coordination/consensus/propose.go
+++ b/internal/coordination/consensus/propose.go
@@ -64,7 +64,11 @@
 	return n.lastSeq
 }
 
-const readContextBytes = 16
+// A read context is the voter's number and the sequence number of the request.
+const (
+	readSequenceOffset = 8
+	readContextBytes   = 16
+)
 
 // encodeReadContext makes the context by which a read index request is recognized when it is
 // answered.
@@ -77,5 +81,5 @@
 	if len(context) != readContextBytes {
 		return 0, 0, false
 	}
-	return binary.BigEndian.Uint64(context), binary.BigEndian.Uint64(context[8:]), true
+	return binary.BigEndian.Uint64(context), binary.BigEndian.Uint64(context[readSequenceOffset:]), true
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,6 +1,6 @@
-// Package coordination defines the types that the packages below it, which replicate a few small
-// tables among a group of voters, share with the packages that read those tables or compute their
-// values, and the loop of those that read them.
+// Package coordination defines what is shared by the packages below it, which replicate a few small
+// tables among a group of voters, and by those that compute or read the tables. The deciders of
+// control implement its Controller; gateways read tables through its Follower interface.
 package coordination
 
 import (
@@ -24,7 +24,7 @@
 // Client is what a process uses of the replicated tables. No method waits for another process, and
 // all of them are safe for concurrent use.
 type Client interface {
-	// Now returns the monotonic clock that leases are measured on.
+	// Now returns the time on the monotonic clock of the leases.
 	Now() time.Duration
 	// Cached returns the last known value of a table with its lease, which may have expired.
 	Cached(table string) CachedTable
--- a/internal/coordination/follower/clock.go
+++ b/internal/coordination/follower/clock.go
@@ -11,7 +11,7 @@
 
 // SystemUptime is a clock for leases: the time since the machine's start. Unlike Go's own monotonic
 // clock it goes on while the machine is suspended, so that a process that wakes finds its leases
-// expired. A call takes some 0.1 us.
+// expired.
 func SystemUptime() time.Duration {
 	var uptime unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime); err != nil {
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -54,10 +54,9 @@
 	}
 }
 
-// nextSlowdown has digests come less often while the voters are slow to take them, and at the full
-// rate again soon after. It guards against more processes than the voters can bear, where each
-// digest that comes too late would be followed by another; the harm is that controllers see counts
-// up to maxSlowdown times later.
+// nextSlowdown returns by what factor the interval between two digests is stretched. It grows while
+// the voters are slow to take digests, so that more processes than they can serve do not overload
+// them, and shrinks soon after. Controllers then see counts up to maxSlowdown times later.
 func nextSlowdown(slowdown float64, slow bool) float64 {
 	if slow {
 		return min(slowdown*slowdownFactor, maxSlowdown)
--- a/internal/coordination/follower/reader.go
+++ b/internal/coordination/follower/reader.go
@@ -17,7 +17,9 @@
 // Pace of the reads.
 const (
 	readsPerLease        = 4                      // a read waits for this part of a lease: two may fail before it ends
-	initialBackoff       = 50 * time.Millisecond  // after all voters failed in turn; grows by half, with jitter
+	initialBackoff       = 50 * time.Millisecond  // after all voters failed in turn; it grows, with jitter
+	backoffGrowth        = 1.5                    // from one pause to the next
+	backoffSpread        = 0.5                    // part of a pause by which the drawn one may differ
 	maxBackoff           = time.Second            // once the voters are back, all followers are within about that
 	preferredReadTimeout = 250 * time.Millisecond // what a trial of the preferred voter may take from the lease
 )
@@ -40,8 +42,10 @@
 // run reads until the context ends.
 func (r *tableReader) run(ctx context.Context) {
 	retry := &backoff.ExponentialBackOff{
-		InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
-		MaxInterval: maxBackoff,
+		InitialInterval:     initialBackoff,
+		Multiplier:          backoffGrowth,
+		RandomizationFactor: backoffSpread,
+		MaxInterval:         maxBackoff,
 	}
 	retry.Reset()
 	for ctx.Err() == nil {
@@ -87,9 +91,8 @@
 }
 
 // accept puts a result of the voters that this process has followed from its start into the cache.
-// It guards against voters that lost all their disks and started anew: a table of theirs at epoch 3
-// is not older than one cached at 57, it is another. The harm is that a process that had cached
-// something then must be restarted.
+// It refuses voters that lost all their disks and started anew: a table of theirs at epoch 3 is not
+// older than one cached at 57, it is another. A process that had cached something must be restarted.
 func (r *tableReader) accept(result ReadResult, leaseEnd time.Duration) error {
 	followed := r.cache.get(GroupTable)
 	if !result.FromOwnVoter && followed.Epoch > 0 && !bytes.Equal(followed.Value, result.GroupID) {
--- a/internal/coordination/node/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -18,6 +18,8 @@
 // How often a voter with an empty disk asks the others how it is to start.
 const (
 	initialBackoff = 50 * time.Millisecond // others that start at the same time are there within some of these
+	backoffGrowth  = 1.5                   // from one pause to the next
+	backoffSpread  = 0.5                   // part of a pause by which the drawn one may differ
 	maxBackoff     = time.Second           // an operator waits for a replaced voter no longer than needed
 	warnAfter      = 3 * time.Second       // it waits that long before it logs why
 )
@@ -111,8 +113,10 @@
 // started.
 func (b *bootstrapper) run(ctx context.Context) bool {
 	retry := &backoff.ExponentialBackOff{
-		InitialInterval: initialBackoff, Multiplier: 1.5, RandomizationFactor: 0.5,
-		MaxInterval: maxBackoff,
+		InitialInterval:     initialBackoff,
+		Multiplier:          backoffGrowth,
+		RandomizationFactor: backoffSpread,
+		MaxInterval:         maxBackoff,
 	}
 	retry.Reset()
 	known := bootstrap{map[uint64]coordination.Member{}}
--- a/internal/coordination/node/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -83,7 +83,8 @@
 		// The old one goes only when the new one is there, its disk empty: until then the old one
 		// may yet come back.
 		info, err := r.client.Info(ctx, configured.Address)
-		if err != nil || info.Started || info.Number != configured.Number || info.Name != configured.Name {
+		isConfigured := info.Number == configured.Number && info.Name == configured.Name
+		if err != nil || info.Started || !isConfigured {
 			continue
 		}
 		switch remove {
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -68,7 +68,7 @@
 
 	mu             sync.Mutex // guards what follows
 	self           config.Voter
-	initialMembers []coordination.Member // with whom it started the log in this incarnation, with the IDs of their disks
+	initialMembers []coordination.Member // of the log that it started in this incarnation, with their disk IDs
 	voter          *voter.Voter
 	stopped        bool // no voter is started any more
 }
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -27,6 +27,9 @@
 // maxStatusMessage is how much of a refusal's body is read, in bytes.
 const maxStatusMessage = 200
 
+// maxDiscardedBytes of a response's rest are read, so that its connection can be reused.
+const maxDiscardedBytes = 1 << 10
+
 // Client makes calls to voters, on few connections that are reused. It owns them. It may be used by
 // several goroutines at once. No call is retried. Errors of a call: a *StatusError, a
 // *NotLoopbackError, or the connection's.
@@ -41,7 +44,7 @@
 			DialContext:            network.dialer(),
 			MaxConnsPerHost:        connectionsPerVoter,
 			MaxIdleConnsPerHost:    connectionsPerVoter,
-			IdleConnTimeout:        idleTimeout / 2, // before the other end closes it: a call sent into a closing one is lost
+			IdleConnTimeout:        clientIdleTimeout,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
@@ -72,7 +75,7 @@
 	defer func() {
 		// What is left is read so that the connection can be reused; without it the next call opens
 		// another.
-		_, _ = io.CopyN(io.Discard, response.Body, 1<<10)
+		_, _ = io.CopyN(io.Discard, response.Body, maxDiscardedBytes)
 		_ = response.Body.Close()
 	}()
 	switch {
--- a/internal/coordination/transport/encoding.go
+++ b/internal/coordination/transport/encoding.go
@@ -15,12 +15,21 @@
 // the wire.
 var errMalformed = errors.New("spoilt body")
 
+// Bounds of what a body may hold.
+const (
+	maxNestedLevels = 8
+	maxElements     = 1 << 17 // of one list or map
+)
+
 var (
-	encoding = must(cbor.EncOptions{}.EncMode()) // no order of keys: sorting the counts of a digest doubled its cost
+	encoding = must(cbor.EncOptions{}.EncMode()) // keys in no order: a digest is not sorted for every call
 	// What a body can hold is bounded, so that a malformed one makes no work.
 	decoding = must(cbor.DecOptions{
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 1 << 17,
-		MaxMapPairs: 1 << 17, IndefLength: cbor.IndefLengthForbidden,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxElements,
+		MaxMapPairs:      maxElements,
+		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode())
 )
 
--- a/internal/coordination/transport/message.go
+++ b/internal/coordination/transport/message.go
@@ -1,6 +1,6 @@
 // Package transport carries the calls between the processes that coordinate: net/http on plain
-// connections with CBOR bodies. It decides nothing; each call has limits of size and time, whoever
-// is at the other end.
+// connections with CBOR bodies. Package node starts its server and its clients. It decides nothing;
+// each call has limits of size and time.
 package transport
 
 import (
@@ -24,7 +24,8 @@
 	maxReadWait        = 8 * time.Second        // of a waiting read: a quarter of the longest lease
 	requestReadTimeout = 5 * time.Second        // a call is read in that time, or its connection is closed
 	proposeTimeout     = 5 * time.Second        // whether a proposal without a majority by then is written is not known
-	idleTimeout        = 30 * time.Second       // a connection with no call is closed after that
+	idleTimeout        = 30 * time.Second       // a server closes a connection that has had no call for so long
+	clientIdleTimeout  = idleTimeout / 2        // a client closes it before: a call sent into a closing one is lost
 	dialTimeout        = 400 * time.Millisecond // beyond a round trip between regions; two such fit into a lease
 	responseGrace      = 300 * time.Millisecond // what a response may take beyond the wait that was asked for
 )
@@ -44,10 +45,12 @@
 
 // VoterInfo is what a voter answers to the question who it is.
 type VoterInfo struct {
-	Number      uint64              `cbor:"1,keyasint"` // as the operators' file has it; as the log has it once it started
-	Name        string              `cbor:"2,keyasint"` // of its process
-	DiskID      string              `cbor:"3,keyasint"` // 32 hex digits
-	Started     bool                `cbor:"4,keyasint"` // whether its disk holds a log; until then it takes no other call
+	// Number is the voter's by the operators' file, or by the log once it started.
+	Number uint64 `cbor:"1,keyasint"`
+	Name   string `cbor:"2,keyasint"` // of its process
+	DiskID string `cbor:"3,keyasint"` // 32 hex digits
+	// Started is set once its disk holds a log; until then it takes no other call.
+	Started     bool                `cbor:"4,keyasint"`
 	Incarnation uint64              `cbor:"5,keyasint"` // of its process
 	Status      coordination.Status `cbor:"6,keyasint"` // once it started
 	Address     string              `cbor:"7,keyasint"` // host:port, by its own file: what the log has of it
--- a/internal/coordination/transport/server.go
+++ b/internal/coordination/transport/server.go
@@ -46,9 +46,8 @@
 const warnInterval = time.Minute
 
 // Serve answers calls on a listener until Close. No more than maxConnections are open at a time: a
-// voter that is a gateway too needs the process's sockets for its clients. What this guards against
-// is more processes than the voter was sized for; the harm is that followers beyond the limit turn
-// to other voters.
+// voter that is a gateway too needs the process's sockets for its clients. Followers beyond the
+// limit turn to other voters.
 func Serve(listener net.Listener, host Host, maxConnections int, logger *zap.Logger) *Server {
 	server := &Server{
 		host: host, logger: logger, closed: make(chan struct{}),
--- a/internal/coordination/voter/digests.go
+++ b/internal/coordination/voter/digests.go
@@ -7,7 +7,7 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// digestStore guards the voter's gatherer: processes add digests to it, the event loop adds those
+// digestStore makes the voter's gatherer safe for concurrent use: processes add digests to it, the event loop adds those
 // of other voters and forwards what was merged, and the controllers read the sums.
 type digestStore struct {
 	mu       sync.Mutex
--- a/internal/coordination/wal/log.go
+++ b/internal/coordination/wal/log.go
@@ -45,7 +45,10 @@
 	fileMode   = 0o600
 )
 
-const diskIDBytes = 16
+const (
+	diskIDBytes = 16
+	nonceBytes  = 8
+)
 
 // entry is the payload of one frame of the log. The first one holds no record.
 type entry struct {
@@ -98,7 +101,7 @@
 	if err := unix.Flock(int(l.lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return fmt.Errorf("%w: %w", ErrInUse, err)
 	}
-	var drawn [8]byte
+	var drawn [nonceBytes]byte
 	_, _ = rand.Read(drawn[:]) // never fails
 	l.nonce = binary.BigEndian.Uint64(drawn[:])
 	_ = os.Remove(l.path(rewriteName)) // a rewrite that was not completed; usually there is none
