--- a/policy/actor.go
+++ b/policy/actor.go
@@ -6,7 +6,8 @@
 	box() *mailbox
 }
 
-// mailbox holds the messages that its actor has not worked off, and the space of those that it has.
+// mailbox holds the messages that its actor has not processed yet, and the space of those that it
+// has.
 type mailbox struct{ pending, spare []message }
 
 func (m *mailbox) box() *mailbox { return m }
@@ -19,20 +20,22 @@
 
 func (s *scheduler) send(to actor, m message) {
 	box := to.box()
-	if box.pending = append(box.pending, m); len(box.pending) == 1 {
+	box.pending = append(box.pending, m)
+	if len(box.pending) == 1 {
 		s.runnable = append(s.runnable, to)
 	}
 }
 
-// deliver runs until no mailbox holds a message. An actor works off what had come when its turn began; what
-// comes meanwhile waits for its next turn.
+// deliver runs until no mailbox holds a message. An actor processes what had come when its turn
+// began; what comes meanwhile waits for its next turn.
 func (s *scheduler) deliver() {
 	for s.next < len(s.runnable) {
 		a := s.runnable[s.next]
 		s.next++
 		box := a.box()
 		batch := box.pending
-		box.pending, box.spare = box.spare[:0], nil
+		box.pending = box.spare[:0]
+		box.spare = nil
 		for _, m := range batch {
 			a.receive(m)
 		}
@@ -40,5 +43,6 @@
 		box.spare = batch
 	}
 	clear(s.runnable)
-	s.runnable, s.next = s.runnable[:0], 0
+	s.runnable = s.runnable[:0]
+	s.next = 0
 }
--- a/policy/actor_test.go
+++ b/policy/actor_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// An event that arrives while messages are delivered, as from a host that reports within a call, delays nobody for good.
+// Guards against an actor that is stalled by an event delivered within a delivery.
 func TestDeliver_nestedDeliveryStallsNoActor(t *testing.T) {
 	var s scheduler
 	first, second := &recordingActor{}, &recordingActor{}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -71,7 +71,8 @@
 func TestQuota_reservesUncountedUnitsOfOthers(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.request(1, 0, 1, 1)
-	world.result(AttemptResult{RequestID: 1, Outcome: Answered, Final: true, Latency: time.Second}) // answers take a second
+	answersTake := time.Second
+	world.result(AttemptResult{RequestID: 1, Outcome: Answered, Final: true, Latency: answersTake})
 	world.answerCounter()
 	world.chargeByOthers(1, 5)
 	world.request(2, 0, 1, 1)
@@ -141,8 +142,7 @@
 	world.wantAttempts(2, 1)
 }
 
-// A customer with a limit on attempts in flight and no rate never reached the counter, and each of its gateways let
-// one through.
+// Guards against a limit on attempts in flight that is never counted, in a plan without a rate.
 func TestMaxInFlight_isCountedOverAllGateways(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 4, 1)
@@ -162,7 +162,7 @@
 	world.wantAttempts(3, 1)
 }
 
-// What is lost of the count of attempts in flight goes with its window: a gateway that crashed took two places for good.
+// Guards against places of a crashed gateway that stay in the count of attempts in flight.
 func TestMaxInFlight_lostAttemptLeavesTheCountWithItsWindow(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 4, 1)
@@ -175,7 +175,7 @@
 	world.wantAttempts(3, 1)
 }
 
-// A claim that the counter did not accept is not returned: the count would fall below what is in flight.
+// Guards against a count below what is in flight, by a returned claim that was never accepted.
 func TestMaxInFlight_unacceptedClaimIsNotReturned(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.down = true
@@ -189,7 +189,7 @@
 	}
 }
 
-// A request takes its units once an attempt came complete to a server, whatever became of it there.
+// A request takes its units once an attempt came complete to a server, whatever it did there.
 func TestQuota_whatReachedNoServerIsNotCharged(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// applyEndpoints obeys the list at once: what it does not call ready gets no new attempt from here on.
+// applyEndpoints takes an endpoint list at once: a server that is not ready by it gets no new
+// attempt from here on.
 func (b *balancer) applyEndpoints(kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
 		b.env.setTimer(timerListRetry, 0, listRetry)
@@ -33,6 +34,12 @@
 			b.ready = append(b.ready, known)
 		}
 	}
+	b.dropRemoved()
+}
+
+// dropRemoved drops the servers that are not ready from those that get attempts, and removed ones
+// altogether once none of their attempts is in flight.
+func (b *balancer) dropRemoved() {
 	b.ready = slices.DeleteFunc(b.ready, func(s *server) bool { return s.State != Ready })
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		dropped := s.State == Removed && len(s.inFlight) == 0
@@ -43,15 +50,17 @@
 	})
 }
 
-// place sends a request to a server, lets it wait for one, or rejects it.
+// place sends a request to a server, lets it wait for one, or rejects it. A warming server's turn
+// is taken even where load is shed, as it comes seldom enough.
 func (b *balancer) place(request *requestState) {
 	if request.completed {
 		return
 	}
 	s, waitUntil := b.pickServer(request)
-	shed := len(request.attempts) == 0 && !request.awaitedServer && b.sheds(request)
+	isNew := len(request.attempts) == 0 && !request.awaitedServer
+	shed := isNew && b.sheds(request)
 	switch {
-	case s != nil && (!shed || !s.isWarm()): // a turn at a warming server comes seldom enough
+	case s != nil && (!shed || !s.isWarm()):
 		b.env.send(s, startAttempt{request})
 	case !shed && b.env.now < waitUntil:
 		request.awaitedServer = true
@@ -61,14 +70,14 @@
 	}
 }
 
-// capacityWait is how long a request waits for a server, and what its client gets as Retry-After if it finds
-// none or its attempts fail.
+// capacityWait is how long a request waits for a server, and what its client gets as Retry-After if
+// it finds none or its attempts fail.
 func (b *balancer) capacityWait() time.Duration {
 	return time.Duration(capacityWaitFraction * float64(b.env.tightestObjective))
 }
 
-// pickServer draws two servers at random and takes the one with the lower load score; where none has room, it
-// returns until when to wait for one.
+// pickServer draws two servers at random and takes the one with the lower load score; where none
+// has capacity, it returns until when to wait for one.
 func (b *balancer) pickServer(request *requestState) (picked *server, waitUntil time.Duration) {
 	if len(b.ready) == 0 {
 		return nil, request.objectiveAt
@@ -80,16 +89,37 @@
 	b.env.random.Shuffle(len(candidates), func(i, k int) {
 		candidates[i], candidates[k] = candidates[k], candidates[i]
 	})
-	two := candidates[:min(len(candidates), 2)]
+	two := candidates[:min(len(candidates), drawnServers)]
 	return slices.MinFunc(two, func(a, b *server) int { return cmp.Compare(a.loadScore(), b.loadScore()) }), 0
 }
 
-// candidates are the servers that a request may be sent to now.
+// candidates are the servers that a request may be sent to now. A retry goes elsewhere if it can,
+// and a warming server has its turn now or not at all.
 func (b *balancer) candidates(request *requestState) []*server {
-	b.open, b.healthy = b.open[:0], b.healthy[:0]
-	exploring, allEjected := b.exploring(), true
+	servers := b.openServers(request)
+	servers = preferring(servers, func(s *server) bool { return !request.hasTried(s) })
+	if b.shouldSettle(request, servers) {
+		servers = preferring(servers, request.canSettleAt)
+	}
+	return preferring(servers, func(s *server) bool { return !s.isWarm() })
+}
+
+// shouldSettle decides whether a request goes to servers of the owner that it prefers: while no
+// overload is seen.
+func (b *balancer) shouldSettle(request *requestState, servers []*server) bool {
+	return request.PreferOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && b.forwardsAll()
+}
+
+// openServers are the servers that a request may go to and that have capacity, without the ejected
+// ones. Where all are ejected they are included: what strikes every server is no reason to prefer
+// any, and must not stop all service.
+func (b *balancer) openServers(request *requestState) []*server {
+	b.open = b.open[:0]
+	b.healthy = b.healthy[:0]
+	exploring := b.exploring()
+	allEjected := true
 	for _, candidate := range b.ready {
-		if permitted, _ := request.permits(b.env.now, candidate, &b.env.settings); !permitted {
+		if !request.canAttempt(b.env.now, candidate, &b.env.settings) {
 			continue
 		}
 		ejected := candidate.isEjectedFor(request)
@@ -102,24 +132,14 @@
 			b.healthy = append(b.healthy, candidate)
 		}
 	}
-	candidates := b.healthy
-	if allEjected { // what strikes every server is no reason to prefer any: it must not stop all service
-		candidates = b.open
+	if allEjected {
+		return b.open
 	}
-	// A retry goes elsewhere if it can.
-	candidates = preferring(candidates, func(s *server) bool {
-		return !slices.ContainsFunc(request.attempts, func(a attempt) bool { return a.server == s })
-	})
-	if request.PreferOwner != 0 && slices.ContainsFunc(candidates, request.canSettleAt) &&
-		b.admissionProbability() >= 1 {
-		candidates = preferring(candidates, request.canSettleAt)
-	}
-	// A warming server has its turn now or not at all.
-	return preferring(candidates, func(s *server) bool { return !s.isWarm() })
+	return b.healthy
 }
 
-// preferring returns those servers for which a condition holds, or all where it holds for none. It changes
-// the slice in place.
+// preferring returns those servers for which a condition holds, or all where it holds for none. It
+// changes the slice in place.
 func preferring(servers []*server, holds func(*server) bool) []*server {
 	if !slices.ContainsFunc(servers, holds) {
 		return servers
@@ -127,48 +147,38 @@
 	return slices.DeleteFunc(servers, func(s *server) bool { return !holds(s) })
 }
 
-// recordResult takes samples of an attempt's result.
+// recordResult takes samples of an attempt's result. A server that rejects again with no answer to
+// anyone since counts as slow as a whole objective: the rejection is not about one class or plan.
 func (b *balancer) recordResult(request *requestState, result *AttemptResult) {
-	objective, s := request.class.LatencyObjective, request.attempts[result.Attempt].server
-	switch result.Outcome {
-	case Rejected:
-		if s.failureScore > 1 { // no answer to anyone between two: it is not about one class or plan
-			b.recentLatencies.add(latencySamples, latencySample{b.env.now + objective, 1}) // as slow
-		}
-	case Answered:
+	s := request.attempts[result.Attempt].server
+	if result.Outcome == Answered {
 		b.recordAnswer(request, s, result)
+		return
+	}
+	if result.Outcome == Rejected && s.failureScore > rejectionWeight {
+		validUntil := b.env.now + request.class.LatencyObjective
+		b.recentLatencies.add(latencySamples, latencySample{validUntil, 1})
 	}
 }
 
+// recordAnswer takes an answer's latency into what is known of its class, its server and all
+// servers.
 func (b *balancer) recordAnswer(request *requestState, s *server, result *AttemptResult) {
-	class, objective := request.class, request.class.LatencyObjective
+	class := request.class
+	objective := class.LatencyObjective
 	class.latencies.record(result.Latency)
 	perUnit := float64(result.Latency) / max(cmp.Or(result.ActualUnits, request.Units), 1)
-	if usual := float64(class.unitLatencies.decile(5)); usual > 0 {
+	usual := float64(class.unitLatencies.decile(medianDecile))
+	if usual > 0 {
 		s.slowdown += (perUnit/usual - 1 - s.slowdown) / slowdownSamples
 	}
 	class.unitLatencies.record(time.Duration(perUnit))
 	b.recentLatencies.add(latencySamples, latencySample{
-		b.env.now - result.Latency + 2*objective, float64(result.Latency) / float64(objective),
+		b.env.now - result.Latency + latencyValidity*objective, float64(result.Latency) / float64(objective),
 	})
 	if s.State == Ready && s.isWarm() {
 		b.warmResponses.add(responseSamples, responseSample{b.env.now, b.warmServers() / b.sharingGateways})
-		work := float64(request.expectedLatency(5))
+		work := float64(request.expectedLatency(medianDecile))
 		b.meanWork += (work - b.meanWork) / float64(len(b.warmResponses.samples))
 	}
 }
-
-// attemptInterval is the time between this gateway's attempts at a warm server, by the latest answers of
-// such; these stand when none is left, as in a deploy. More gateways may share each server by now than did
-// then.
-func (b *balancer) attemptInterval() time.Duration {
-	n := len(b.warmResponses.samples)
-	if n < minRateSamples {
-		return time.Duration(float64(b.env.settings.OverloadSpan) * b.sharingGateways)
-	}
-	newest, oldest := b.warmResponses.newest(0), b.warmResponses.newest(n-1)
-	// Some answers at once are no rate.
-	shortest := b.env.settings.OverloadSpan * time.Duration(responseSamples-n) / responseSamples
-	interval := float64(max(newest.at-oldest.at, shortest, b.env.settings.ClockTick)) / float64(n-1)
-	return time.Duration(interval * (newest.warmServers + oldest.warmServers) / 2 * b.sharingGateways)
-}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -59,7 +59,8 @@
 		}
 		second()
 		warming := world.attemptsTo(9, 0)
-		// Warm servers get 25 a second; a fifth of that and a little more as it warms up is 6, from a random start.
+		// Warm servers get 25 a second; a fifth of that and a little more as it warms up is 6, from
+		// a random start.
 		if warming < 2 || warming > 8 {
 			t.Errorf("list kind %d: a warming server got %d attempts in its first second, want about 6", kind, warming)
 		}
@@ -98,7 +99,7 @@
 		world.request(id, 0, 0, 1)
 	}
 	if len(world.attempts) != 5 {
-		t.Errorf("%d attempts in flight at six unknown servers with eleven more gateways; want two, and their deviation",
+		t.Errorf("%d attempts in flight at six unknown servers with eleven more gateways; want two and a deviation",
 			len(world.attempts))
 	}
 }
@@ -114,7 +115,8 @@
 		world.serveInTurn(8, 0, 1, 500*ms) // a request a second of each gateway, over five servers
 		forwarded += world.attemptsTo(9, 0)
 	}
-	// Warm ones get 40 a second; a warming one a fifth and more of that: some 50 in four seconds, not 100 at once.
+	// Warm ones get 40 a second; a warming one a fifth and more of that: some 50 in four seconds,
+	// not 100 at once.
 	if forwarded < 5 || forwarded > 80 {
 		t.Errorf("a warming server got %d attempts of a hundred gateways", forwarded)
 	}
@@ -181,7 +183,7 @@
 	}
 }
 
-// Under overload all classes were shed alike, though some weigh a third of what others do for the same work.
+// Guards against shedding all classes alike, though some weigh less than others for the same work.
 func TestLoadShedding_shedsTheLowestWeightFirst(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 12; id++ { // answers take four fifths of the objective: overload
@@ -204,7 +206,7 @@
 	}
 }
 
-// A gateway estimated its attempts at a warm server as before when five times as many had come to share each.
+// Guards against an attempt interval that lags behind the number of gateways sharing a server.
 func TestAttemptInterval_followsTheSharingGateways(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.serveInTurn(40, 0, 1, 20*ms)
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -2,11 +2,36 @@
 
 import "time"
 
-// This file is admission's calls to the counter, and what their answers tell.
+// callOutcome says what an answer to a call to the counter is worth.
+type callOutcome uint8
 
-// sendCharges makes a call that brings the customer's pending charges, times a weight, and claims a place in
-// the count of attempts in flight where the plan limits those. The request waits for the answer; nil: none
-// does.
+const (
+	callNotAccepted callOutcome = iota // nothing was added, or to a count of an earlier quota
+	callTimedOut                       // it is taken to be added; no total came
+	callLate                           // the total came after the stated limit
+	callFast
+)
+
+// outcomeOf decides what the answer to a call is worth.
+func (a *admission) outcomeOf(call *counterCall, result *CountResult) callOutcome {
+	switch {
+	case result.Outcome == TimedOut:
+		return callTimedOut
+	case result.Outcome != Answered || call.quotaEpoch != call.customer.quotaEpoch:
+		return callNotAccepted
+	case result.Latency < a.env.settings.CountTimeout:
+		return callFast
+	default:
+		return callLate
+	}
+}
+
+// hasTotal reports whether a total came that the customer's quota can go by.
+func (o callOutcome) hasTotal() bool { return o == callFast || o == callLate }
+
+// sendCharges makes a call that brings the customer's pending charges, times a weight, and claims a
+// place in the count of attempts in flight where the plan limits those. The request waits for the
+// answer; nil: none does.
 func (a *admission) sendCharges(customer *customerState, request *requestState, weight float64) {
 	call := counterCall{request: request, customer: customer, window: customer.windowAt(a.env.now)}
 	for _, charge := range customer.pending {
@@ -29,7 +54,8 @@
 	name := counterName(call.customer.id, call.window)
 	call.quotaEpoch = call.customer.quotaEpoch
 	a.calls[name] = append(a.calls[name], call)
-	a.env.host.Count(name, min(max(2*call.customer.windowLength, minWindow), maxCounterTTL), call.units)
+	ttl := min(max(counterTTLWindows*call.customer.windowLength, minWindow), maxCounterTTL)
+	a.env.host.Count(name, ttl, call.units)
 }
 
 // handleCount takes the answer to a call, and decides on the request that waits for it.
@@ -38,86 +64,99 @@
 	if !found {
 		return
 	}
-	counted := result.Outcome == Answered && call.quotaEpoch == call.customer.quotaEpoch
-	accepted := counted || result.Outcome == TimedOut
-	a.updateCallProbability(counted && result.Latency < a.env.settings.CountTimeout, accepted)
-	if accepted || call.request == nil {
+	outcome := a.outcomeOf(&call, result)
+	a.updateCallProbability(outcome)
+	a.updateAcceptedFraction(outcome)
+	if outcome != callNotAccepted || call.request == nil {
 		call.chargesCounted()
 	} else {
-		call.request.claimedWindow = 0
+		call.request.claimedWindow = noWindow
 		call.customer.pending = append(call.customer.pending, call.charges...)
 	}
-	switch {
-	case counted && call.customer.countsInFlight():
-		a.checkMaxInFlight(call, result.Total)
-	case counted:
-		a.recordSample(call, result.Total)
+	if outcome.hasTotal() {
+		if call.customer.countsInFlight() {
+			a.checkMaxInFlight(call, result.Total)
+		} else {
+			a.recordSample(call, result.Total)
+		}
 	}
 	if call.request != nil && call.request.awaitsCount {
 		a.env.cancelTimer(timerCounterWait, call.request.ID)
-		a.decide(call.request, counted)
+		a.decide(call.request, outcome.hasTotal())
 	}
 }
 
-// updateCallProbability leaves calls out, at random, as they fail or answer late.
-func (a *admission) updateCallProbability(fast, accepted bool) {
-	if fast {
+// updateCallProbability sets the probability of the next calls: less for one that failed or was
+// late, more for each fast one in a row. At random, gateways do not pause and come back in step.
+func (a *admission) updateCallProbability(outcome callOutcome) {
+	if outcome == callFast {
 		a.fastAnswers = min(a.fastAnswers+1, maxFastAnswers)
 		a.callProbability = min(a.callProbability*(1+callRecovery*a.fastAnswers), 1)
-	} else {
-		a.fastAnswers, a.callProbability = 0, max(a.callProbability*callBackoff, minCallProbability)
+		return
 	}
-	if a.acceptedFraction -= a.acceptedFraction / acceptedSamples; accepted {
+	a.fastAnswers = 0
+	a.callProbability = max(a.callProbability*callBackoff, minCallProbability)
+}
+
+// updateAcceptedFraction keeps the part of the latest calls that the counter accepted.
+func (a *admission) updateAcceptedFraction(outcome callOutcome) {
+	a.acceptedFraction -= a.acceptedFraction / acceptedSamples
+	if outcome != callNotAccepted {
 		a.acceptedFraction += 1.0 / acceptedSamples
 	}
 }
 
-// chargesCounted takes a call's charges for counted: also if it timed out, as a count too high rejects until
-// its window's end, while one too low is one of several guards. A charge that went alone has no next call:
-// those accepted stand for it.
+// chargesCounted takes a call's charges for counted, also where the call timed out: a count too
+// high rejects until its window's end, while one too low is only one of several guards. Charges of
+// a call of their own have no next call: the weight of accepted ones makes up for them.
 func (c *counterCall) chargesCounted() {
 	for _, charge := range c.charges {
 		c.customer.uncounted -= charge.units
-		if sample := &c.customer.samples[0]; sample.window > c.window { // no count of this window shows it
-			sample.level = max(sample.level-charge.units, 0)
+		latest := &c.customer.samples[0]
+		if latest.window > c.window { // no count of this window shows it
+			latest.level = max(latest.level-charge.units, 0)
 		}
 	}
 }
 
-// checkMaxInFlight holds the customer for a while where others fill its limit on attempts in flight.
+// checkMaxInFlight holds back the customer for a part of an answer's time where the other attempts
+// in flight fill its limit.
 func (a *admission) checkMaxInFlight(call counterCall, total float64) {
-	if call.request != nil && total-call.units >= float64(call.customer.plan.MaxInFlight) {
-		usual := float64(call.request.class.latencies.decile(5))
-		call.customer.blockedUntil = a.env.now + max(time.Duration(blockedFraction*usual), a.env.settings.ClockTick)
+	if call.request == nil || total-call.units < float64(call.customer.plan.MaxInFlight) {
+		return
 	}
+	usual := float64(call.request.class.latencies.decile(medianDecile))
+	pause := max(time.Duration(blockedFraction*usual), a.env.settings.ClockTick)
+	call.customer.blockedUntil = a.env.now + pause
 }
 
-// recordSample keeps a count that was read. Whoever finds a window's count untouched initializes it: it reads
-// what came of the one before and carries over what that overran, for gateways that did not see it.
+// recordSample takes a total into the customer's level. The first call that finds a window's count
+// untouched reads the window before it and carries over what that overran, for gateways that did
+// not see it.
 func (a *admission) recordSample(call counterCall, total float64) {
-	customer, now := call.customer, a.env.now
-	current := customer.windowAt(now)
+	customer := call.customer
+	current := customer.windowAt(a.env.now)
+	isReadOnly := call.request == nil && len(call.charges) == 0
 	switch {
-	case call.window < current && call.request == nil && len(call.charges) == 0:
-		level := customer.estimateLevel(call.window, customer.windowStart(current), total, 0)
-		if overrun := customer.plan.Burst - level; overrun > 0 && call.window == current-1 {
-			a.call(counterCall{customer: customer, window: current, units: overrun})
-		}
+	case call.window < current && isReadOnly:
+		a.carryOverrun(call, current, total)
 		return
 	case total <= call.units && customer.initializedWindow != call.window:
 		customer.initializedWindow = call.window
 		a.call(counterCall{customer: customer, window: call.window - 1})
 	}
-	latest := &customer.samples[0]
-	if call.window < latest.window {
-		return
+	if call.window >= customer.samples[0].window {
+		customer.adoptSample(call, a.env.now, total)
 	}
-	customer.refill(now)
-	level := customer.estimateLevel(call.window, now, total, call.units)
-	if call.window > latest.window { // its count lacks what the one before got since our latest sample
-		level = max(min(level, customer.available+customer.uncounted), 0)
-		customer.samples[1] = *latest
+}
+
+// carryOverrun adds to the current window's count what the bucket lacked at the end of the window
+// before it.
+func (a *admission) carryOverrun(call counterCall, current int64, total float64) {
+	customer := call.customer
+	level := customer.estimateLevel(call.window, customer.windowStart(current), total, 0)
+	overrun := customer.plan.Burst - level
+	if overrun > 0 && call.window == current-1 {
+		a.call(counterCall{customer: customer, window: current, units: overrun})
 	}
-	*latest = countSample{call.window, now, total, level}
-	customer.available, customer.assumedByOthers = level-customer.uncounted, 0
 }
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -29,7 +29,8 @@
 	for id := uint32(2); id <= 12; id++ {
 		sent += 2 * world.attemptsOf(id)
 	}
-	// 8 of 10 units were left, and the customer's other gateway may use as much as we: 4, and a little refill.
+	// 8 of 10 units were left, and the customer's other gateway may use as much as this one: 4, and
+	// a little refill.
 	if sent < 2 || sent > 6 {
 		t.Errorf("%d units forwarded while the counter was lost, want about 4", sent)
 	}
@@ -83,14 +84,16 @@
 		plan := int(id % 2)
 		world.gateway.admission.callProbability = minCallProbability
 		customer := world.gateway.admission.customerOf(Request{Customer: uint64(plan), Plan: plan})
-		customer.refilledAt, customer.available = world.now, []float64{4000, 2}[plan] // one has a full bucket, one hardly anything
+		customer.refilledAt = world.now
+		customer.available = []float64{4000, 2}[plan] // a full bucket, and one that is nearly empty
 		before := len(world.calls)
 		world.send(Request{ID: id, Customer: uint64(plan), Plan: plan, Units: 1})
 		asked[plan] += len(world.calls) - before
 		world.finishAttempt(id, Answered)
 	}
 	if asked[0] > 30 || asked[1] < 60 {
-		t.Errorf("called %d times for a customer with a full bucket, %d times for one near its limit", asked[0], asked[1])
+		t.Errorf("called %d times for a customer with a full bucket, %d times for one near its limit",
+			asked[0], asked[1])
 	}
 }
 
@@ -107,8 +110,7 @@
 	}
 }
 
-// Usage reports were dropped: without a count, a customer that used little was held to what one gateway of forty may
-// forward if all forward as much.
+// Guards against usage reports that are ignored while counts are missing.
 func TestUsageReport_replacesAMissingCount(t *testing.T) {
 	for use, attempts := range map[float64]int{0: 0, 1.1: 1, 2.5: 0} {
 		d := testSettings()
--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -2,9 +2,7 @@
 
 import "time"
 
-// This file is what the module remembers of customers and of calls to the counter. It decides nothing.
-
-// admission decides by the customer's quota whether a request is let in.
+// admission decides by the customer's quota whether a request is admitted.
 type admission struct {
 	mailbox
 	env       *environment
@@ -21,26 +19,29 @@
 	acceptedFraction float64                  // of the latest calls
 }
 
+// noWindow stands for no window's number: their clock begins in 1970.
+const noWindow int64 = 0
+
 // customerState is what this gateway knows of a customer's quota.
 type customerState struct {
 	id           uint64
 	plan         *Plan
 	planIndex    int
 	gateways     float64        // that serve the customer
-	inFlight     int            // requests admitted and not over
-	windowLength time.Duration  // 0: its plan needs no counter
+	inFlight     int            // requests admitted and not settled
+	windowLength time.Duration  // 0: the counter counts nothing for its plan
 	windowOffset time.Duration  // of the windows' starts
 	samples      [2]countSample // the latest of this window's count, and of the one before
 	quotaEpoch   int            // counts the changes of its quota: a count of an earlier one says nothing
 
 	available       float64 // units that the bucket is believed to hold, as of refilledAt
-	uncounted       float64 // units that we forwarded and no count has shown yet
+	uncounted       float64 // units that this gateway forwarded and no count has shown yet
 	assumedByOthers float64 // units that others are only assumed to have used since the latest sample
 	refilledAt      time.Duration
 
 	pending           []pendingCharge // of answers, for the next call
-	initializedWindow int64           // the latest that we carried an overrun into
-	ceilingAvailable  float64         // units of this gateway's own share of the ceiling
+	initializedWindow int64           // the latest that this gateway carried an overrun into
+	ceilingAvailable  float64         // units of this gateway's own part of the ceiling
 	usageReports      float64         // how many came, up to maxUsageReports
 	usage             float64         // part of its rate that it uses, by the latest of these
 	demandInFlight    float64         // attempts of all gateways that its first tries here would keep out
@@ -60,17 +61,19 @@
 	window     int64
 	charges    []pendingCharge
 	units      float64
-	quotaEpoch int // of the customer then
+	quotaEpoch int // of the customer when it was made
 }
 
 // nextCall takes the call that an answer for a name belongs to: the oldest.
 func (a *admission) nextCall(name uint64) (c counterCall, found bool) {
 	queue := a.calls[name]
-	if len(queue) == 0 {
+	switch len(queue) {
+	case 0:
 		return c, false
-	}
-	if a.calls[name] = queue[1:]; len(queue) == 1 {
+	case 1:
 		delete(a.calls, name)
+	default:
+		a.calls[name] = queue[1:]
 	}
 	return queue[0], true
 }
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,24 +2,32 @@
 
 import "time"
 
-// This file is the ejection of failing servers.
-
-// isEjectedFor reports whether a server gets no requests of this one's class, whatever the trouble looks
-// like: fast errors and refused connections (which draw requests, as few are in flight there), rejections,
-// silence. Its class's own record counts; where the class was not tried there, the latest of another's, as
-// others may be served. Cost: a good server is left alone for a while.
+// isEjectedFor decides whether a server gets no requests of this one's class: for silence, errors,
+// refused connections, which draw requests as few are in flight there, or rejections. The class's
+// own record counts; where the class was not tried there, the latest of another's, as others may be
+// served.
 func (s *server) isEjectedFor(request *requestState) bool {
-	own, now := s.health[request.Class], s.env.now
-	for _, other := range s.inFlight {
-		at := other.lastAttemptAt()
-		if other.Class == request.Class && at >= own.lastSuccess && now-at > other.silenceTimeout() {
+	if s.isSilentFor(request.Class) {
+		return true
+	}
+	now := s.env.now
+	span := s.balancer.ejectionTime()
+	health := s.healthFor(request.Class)
+	isFailing := health.lastFailure > health.lastSuccess && health.lastFailure.isWithin(span, now)
+	return isFailing || s.rejectedAt[s.rejectionIndex(request)].isWithin(span, now)
+}
+
+// isSilentFor reports whether an attempt of a class at the server has had no answer for its silence
+// timeout, and no other of the class has had one since.
+func (s *server) isSilentFor(class int) bool {
+	lastSuccess := time.Duration(s.health[class].lastSuccess)
+	for _, request := range s.inFlight {
+		at := request.lastAttemptAt()
+		if request.Class == class && at >= lastSuccess && s.env.now-at > request.silenceTimeout() {
 			return true
 		}
 	}
-	health, rejected := s.healthFor(request.Class), s.rejectedAt[s.rejectionIndex(request)]
-	pause := s.balancer.ejectionTime()
-	return health.lastFailure > health.lastSuccess && now < health.lastFailure+pause ||
-		rejected > 0 && now < rejected+pause
+	return false
 }
 
 // healthFor is a class's own record at the server, or else the latest of all classes'.
@@ -29,17 +37,17 @@
 		return health
 	}
 	for _, other := range s.health {
-		if max(other.lastSuccess, other.lastFailure) > max(health.lastSuccess, health.lastFailure) {
+		if other.latest() > health.latest() {
 			health = other
 		}
 	}
 	return health
 }
 
-// silenceTimeout is how long an attempt may have no answer before it counts as lost: the longer, the more
-// units it has.
+// silenceTimeout is how long an attempt may have no answer before it counts as lost: the longer,
+// the more units it has, as latencies grow with the units.
 func (r *requestState) silenceTimeout() time.Duration {
-	return max(silenceFactor*r.expectedLatency(9), minSilence)
+	return max(silenceFactor*r.expectedLatency(silenceDecile), minSilence)
 }
 
 // ejectionTime is how long a server stays ejected after its latest failure.
@@ -47,44 +55,68 @@
 	return max(minEjection, time.Duration(ejectionAttempts*float64(b.attemptInterval())))
 }
 
-// ejectionThreshold is the failure score at which a server is ejected. One failure does: healthy servers
-// hardly ever fail, and hundreds of gateways see no more. Two in a row where failures strike everywhere, as
-// malformed answers do: by one each would be ejected in turn, and the rest overrun. Cost: a bad one gets an
-// attempt more.
+// ejectionThreshold is the failure score at which a server is ejected: one failure, as healthy
+// servers hardly ever fail, and hundreds of gateways see no more each. Where failures strike
+// everywhere, as malformed answers do, it is two in a row: else each would be ejected in turn, and
+// the rest overrun.
 func (b *balancer) ejectionThreshold() int {
-	suspected, recent := 0, 2*b.ejectionTime()
+	span := suspectedSpans * b.ejectionTime()
+	suspected := 0
 	for _, s := range b.ready {
-		if s.lastFailure > 0 && b.env.now < s.lastFailure+recent {
+		if s.lastFailure.isWithin(span, b.env.now) {
 			suspected++
 		}
 	}
 	if float64(suspected) <= max(minSuspected, suspectedFraction*float64(len(b.ready))) {
 		return failureWeight
 	}
-	return 2 * failureWeight
+	return widespreadThreshold
 }
 
-// recordHealth takes an attempt's result into the server's record, and logs where that ejects the server for
-// the request's class and plan, or readmits it.
+// recordHealth takes an attempt's result into the server's record. A score that reaches the
+// threshold counts as a failure of the request's class.
 func (s *server) recordHealth(request *requestState, result *AttemptResult) {
-	score := 0
+	score := s.recordOutcome(request, result)
+	s.failureScore += score
+	if score > 0 && s.failureScore >= s.balancer.ejectionThreshold() {
+		s.health[request.Class].lastFailure = eventTime(s.env.now)
+	}
+	s.logEjection(s.isEjectedFor(request))
+}
+
+// recordOutcome notes when the server last answered, failed or rejected, and returns the failure
+// score of the result. A cancelled attempt says something of its server only after silence.
+func (s *server) recordOutcome(request *requestState, result *AttemptResult) (score int) {
+	now := eventTime(s.env.now)
 	switch result.Outcome {
 	case Answered:
-		s.failureScore, s.health[request.Class].lastSuccess = 0, s.env.now
+		s.failureScore = 0
+		s.health[request.Class].lastSuccess = now
 		s.rejectedAt[s.rejectionIndex(request)] = 0
 		s.responses.add(rateSamples, s.env.now)
+		return 0
 	case Rejected:
-		score, s.rejectedAt[s.rejectionIndex(request)] = 1, s.env.now
-	case Errored, TimedOut, ConnectFailed, Reset, Cancelled:
-		// One that was cancelled after silence is as good as timed out.
-		if result.Outcome != Cancelled || result.Latency > request.silenceTimeout() {
-			score, s.lastFailure = failureWeight, s.env.now
+		s.rejectedAt[s.rejectionIndex(request)] = now
+		return rejectionWeight
+	case Cancelled:
+		if result.Latency <= request.silenceTimeout() {
+			return 0
 		}
+		s.lastFailure = now
+		return failureWeight
+	case Errored, TimedOut, ConnectFailed, Reset:
+		s.lastFailure = now
+		return failureWeight
+	case NotSent:
+		return 0
+	default:
+		return 0
 	}
-	if s.failureScore += score; score > 0 && s.failureScore >= s.balancer.ejectionThreshold() {
-		s.health[request.Class].lastFailure = s.env.now
-	}
-	ejected := s.isEjectedFor(request)
+}
+
+// logEjection logs where the server was ejected or readmitted for the latest result's class and
+// plan.
+func (s *server) logEjection(ejected bool) {
 	switch {
 	case ejected && !s.ejected:
 		s.env.host.Log("policy: server ejected")
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
-// newElectiveHarness has four servers of its own and two more, 5 and 6, that owner 9 offers for elective attempts.
+// newElectiveHarness has four servers of its own and two more, 5 and 6, that owner 9 offers for
+// elective attempts.
 func newElectiveHarness(t *testing.T) *harness {
+	t.Helper()
 	world := newHarness(t, testSettings(), 4)
 	list := []Endpoint{
 		{Server: 5, State: Ready, Capacity: 1, Rack: 7, Zone: 1, Owner: 9, Elective: true},
@@ -22,8 +24,8 @@
 	h.answerCounter()
 }
 
-// Only the first attempt of an idempotent request that prefers their owner goes to elective servers; its retries, other
-// classes' and other requests never do.
+// Only the first attempt of an idempotent request that prefers their owner goes to elective
+// servers; its retries, other classes' and other requests never do.
 func TestElective_serversTakeElectiveAttemptsOnly(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -46,11 +48,13 @@
 					t.Fatalf("request %d sent to %d", id+1, first)
 				}
 				world.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
-				for world.attempts[len(world.attempts)-1].request == id+1 && !world.attempts[len(world.attempts)-1].ended {
-					if again := world.attempts[len(world.attempts)-1].server; again > 4 {
-						t.Fatalf("request %d retried at %d", id+1, again)
+				latest := world.attempts[len(world.attempts)-1]
+				for latest.request == id+1 && !latest.ended {
+					if latest.server > 4 {
+						t.Fatalf("request %d retried at %d", id+1, latest.server)
 					}
 					world.finishAttempt(id+1, Answered)
+					latest = world.attempts[len(world.attempts)-1]
 				}
 				world.advance(time.Second)
 			}
@@ -58,11 +62,13 @@
 	}
 }
 
-// Where the owner's servers have no capacity or warm up, or under overload, the request goes where it would have gone.
+// Where the owner's servers have no capacity or warm up, or under overload, the request goes where
+// it would have gone.
 func TestElective_requestGoesElsewhereWithoutCapacity(t *testing.T) {
 	for name, spoil := range map[string]func(*harness){
 		"removed": func(world *harness) {
-			world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 5, State: Removed}, {Server: 6, State: Draining}})
+			world.gateway.HandleEndpoints(world.now, ListDelta,
+				[]Endpoint{{Server: 5, State: Removed}, {Server: 6, State: Draining}})
 		},
 		"warming up": func(world *harness) {
 			for _, n := range []uint32{5, 6} {
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// This file is how events come in: each becomes a message to one actor. Events of requests that are not
-// known, or not any more, are passed over. `now` is the time since the origin of the clock that all gateways
+// Each event becomes a message to one actor. Events of requests that are not known, or not any
+// more, are ignored. The parameter now is the time since the origin of the clock that all gateways
 // share; it never goes back.
 
 // advanceClock moves the module's clock to an event's time.
 func (e *environment) advanceClock(now time.Duration) {
 	if now > e.now {
-		e.standstill, e.now = now-e.now, now
+		e.standstill = now - e.now
+		e.now = now
 	}
 }
 
@@ -22,13 +23,14 @@
 
 // HandleEndpoints takes an endpoint list, or what has changed of it.
 func (g *Gateway) HandleEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
-	if g.startedAt == 0 {
-		g.startedAt = now
+	if !g.startedAt.happened() {
+		g.startedAt = eventTime(now)
 	}
 	g.dispatch(now, g.balancer, &endpointsArrived{kind, list})
 }
 
-// HandleRequest takes a request: from here on it is owed exactly one final answer, unless its client leaves.
+// HandleRequest takes a request: from here on it is owed exactly one final answer, unless its
+// client leaves.
 func (g *Gateway) HandleRequest(now time.Duration, r Request) {
 	g.advanceClock(now)
 	request := &requestState{Request: r, class: &g.classes[r.Class], customer: g.admission.customerOf(r)}
@@ -38,23 +40,27 @@
 	g.dispatch(now, g.admission, checkQuota{request})
 }
 
-// HandleAttemptResult takes how an attempt ended. A second result of the same attempt is passed over.
+// HandleAttemptResult takes how an attempt ended. A second result of the same attempt is ignored.
 func (g *Gateway) HandleAttemptResult(now time.Duration, result AttemptResult) {
 	request := g.requests[result.RequestID]
-	if request == nil || result.Attempt >= len(request.attempts) || request.attempts[result.Attempt].ended {
+	if request == nil || result.Attempt >= len(request.attempts) {
 		return
 	}
-	g.dispatch(now, request.attempts[result.Attempt].server, &attemptEnded{request, result})
+	ended := request.attempts[result.Attempt]
+	if !ended.isInFlight() {
+		return
+	}
+	g.dispatch(now, ended.server, &attemptEnded{request, result})
 }
 
-// HandleStreamStart takes word that a streamed answer has started: the request has no deadline any more.
+// HandleStreamStart notes that a streamed answer has started: the request has no deadline any more.
 func (g *Gateway) HandleStreamStart(_ time.Duration, requestID uint32, _ int) {
 	if request := g.requests[requestID]; request != nil {
 		request.streaming = true
 	}
 }
 
-// HandleDisconnect takes word that the request's client has left.
+// HandleDisconnect ends a request whose client has left.
 func (g *Gateway) HandleDisconnect(now time.Duration, requestID uint32) {
 	if request := g.requests[requestID]; request != nil {
 		g.dispatch(now, g.lifecycle, clientDisconnected{request})
@@ -69,6 +75,6 @@
 // HandleHealthCheck takes the answer to a health check. The module asks for none yet.
 func (g *Gateway) HandleHealthCheck(time.Duration, uint32, Outcome, time.Duration, []float32) {}
 
-// HandlePeerMessage takes what another gateway sent. The module ignores it: gateways learn of each other from
-// the counter.
+// HandlePeerMessage takes what another gateway sent. The module ignores it: gateways learn of each
+// other from the counter.
 func (g *Gateway) HandlePeerMessage(time.Duration, int, []byte) {}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,13 +1,17 @@
-// Package policy holds all decisions of a gateway. A gateway makes one module with New, hands it each event
-// by a call with the time now (events.go), and carries out what the module asks of its Host within that call.
+// Package policy decides about requests: which are admitted, which server gets each attempt, what
+// follows a failure, when load is shed, and which servers are ejected or warming up. Package
+// dispatch calls it on sockets, package simulator/host in the operators' simulator: each makes one
+// Gateway with New, hands it every event with the time now, and carries out what it asks of its
+// Host within that call.
 //
-// The module is deterministic from its seed. It does no I/O, reads no clock, starts no goroutine and takes no
-// lock: its calls must come one at a time.
+// The module is deterministic from its seed. It does no I/O, reads no clock, starts no goroutine
+// and takes no lock: its calls must come one at a time.
 //
-// Inside, each event becomes a message to one of a few actors (actor.go), which work off their mailboxes
-// until none holds a message. A request goes through admission (is the customer within its quota?), the
-// balancer (which server?), the server (the attempt) and the lifecycle (retry, or final answer). Actors read
-// each other's figures; only messages change them.
+// Inside, each event becomes a message to one of a few actors (actor.go), which process their
+// mailboxes until none holds a message. A request goes through admission (is the customer within
+// its quota?), the balancer (which server?), the server (the attempt) and the lifecycle (retry, or
+// final answer). Actors read each other's state; only messages change it (docs/architecture.md has
+// the table).
 package policy
 
 import (
@@ -34,17 +38,18 @@
 	tightestObjective time.Duration // the shortest latency objective of all classes
 	now               time.Duration
 	standstill        time.Duration // between the two latest events: the process may have stood still so long
-	startedAt         time.Duration // when the first endpoint list came
+	startedAt         eventTime     // when the first endpoint list came
 }
 
-// New makes a module that knows nothing of an earlier incarnation. It asks nothing of the host yet. The error
-// is ErrIncompleteSettings.
+// New makes a module that knows nothing of an earlier incarnation. It asks nothing of the host yet.
+// The error is ErrIncompleteSettings.
 func New(settings Settings, seed int64, host Host) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	g := &Gateway{requests: map[uint32]*requestState{}}
-	g.host, g.random = host, rand.New(rand.NewSource(seed))
+	g.host = host
+	g.random = rand.New(rand.NewSource(seed))
 	g.applySettings(settings)
 	g.lifecycle = &lifecycle{env: &g.environment, requests: g.requests}
 	g.balancer = &balancer{
@@ -56,9 +61,11 @@
 		customers: map[uint64]*customerState{}, calls: map[uint64][]counterCall{},
 		callProbability: 1, acceptedFraction: 1,
 	}
-	g.lifecycle.admission, g.lifecycle.balancer = g.admission, g.balancer
+	g.lifecycle.admission = g.admission
+	g.lifecycle.balancer = g.balancer
 	return g, nil
 }
 
-// SetSharers sets how many gateways send attempts to each listed server, where each has a subset of them.
+// SetSharers sets how many gateways send attempts to each listed server, where each has a subset of
+// them.
 func (g *Gateway) SetSharers(gateways float64) { g.balancer.sharingGateways = max(gateways, 1) }
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -38,7 +38,8 @@
 	if !w.chance(failing) {
 		return Answered, took
 	}
-	outcome := []Outcome{Errored, Rejected, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}[w.random.Intn(8)]
+	outcomes := []Outcome{Errored, Rejected, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
+	outcome := outcomes[w.random.Intn(len(outcomes))]
 	if w.chance(0.7) {
 		took = w.between(0, 3*ms)
 	}
@@ -125,7 +126,8 @@
 
 func (w *goldenWorld) SetTimer(token uint64, after time.Duration) {
 	w.record("timer", token, after)
-	w.add(goldenEvent{at: w.now + after, isTimer: true, token: token, do: func() { w.module.HandleTimer(w.now, token) }})
+	fire := func() { w.module.HandleTimer(w.now, token) }
+	w.add(goldenEvent{at: w.now + after, isTimer: true, token: token, do: fire})
 }
 
 func (w *goldenWorld) CancelTimer(token uint64) {
@@ -149,7 +151,8 @@
 	return s
 }
 
-// listChange changes the list and brings it: the change alone, the whole list, or that there is none.
+// listChange changes the list and brings it: the change alone, the whole list, or that there is
+// none.
 func (w *goldenWorld) listChange() {
 	if len(w.requests) >= goldenRequests {
 		return
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -21,7 +21,8 @@
 	return Settings{
 		Gateways: 4, Zones: 2, MyZone: 1, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4,
 		MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
-		ArrivalSlack: 8 * ms, WarmUpStart: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadSpan: time.Second,
+		ArrivalSlack: 8 * ms, WarmUpStart: 0.2, WarmUpTime: 10 * time.Second,
+		OverloadFactor: 2, OverloadSpan: time.Second,
 		Classes: []TrafficClass{
 			{Name: "read", LatencyObjective: 400 * ms, Timeout: 2 * time.Second, Weight: 1, LateFraction: 0.5},
 			{
@@ -90,7 +91,8 @@
 		},
 	},
 	{
-		name: "no counter, two attempts out", settings: goldenSettingsWith(goldenWithoutCounter), sharers: 1, servers: 5,
+		name: "no counter, two attempts out", settings: goldenSettingsWith(goldenWithoutCounter),
+		sharers: 1, servers: 5,
 		seeds: [2]int64{3, 4},
 		want: [2]string{
 			"d9263837fa8523a1d0d34a8bf8ab7c94ecde1f1e1621eeede398d3c1de3b62ba",
@@ -132,8 +134,11 @@
 		changes: []Settings{
 			goldenSettingsWith(goldenReordered),
 			{},
-			goldenSettingsWith(goldenWithoutCounter), goldenSettingsWith(func(d *Settings) { d.Gateways = 0 }), goldenSettings(),
-			goldenSettingsWith(func(d *Settings) { d.Classes, d.Plans = d.Classes[:4], d.Plans[1:] }), goldenSettingsWith(goldenReordered),
+			goldenSettingsWith(goldenWithoutCounter),
+			goldenSettingsWith(func(d *Settings) { d.Gateways = 0 }),
+			goldenSettings(),
+			goldenSettingsWith(func(d *Settings) { d.Classes, d.Plans = d.Classes[:4], d.Plans[1:] }),
+			goldenSettingsWith(goldenReordered),
 		},
 		seeds: [2]int64{11, 12},
 		want: [2]string{
@@ -154,9 +159,9 @@
 	},
 }
 
-// TestGoldenCalls holds what the module asks of its host, and in which order, for events drawn from a seed: a
-// change of names or of shape leaves each value as it is. The values were written by the module as it was before
-// its names changed (on amd64: elsewhere sums of products may be rounded otherwise).
+// TestGoldenCalls holds what the module asks of its host, and in which order, for events drawn from
+// a seed: a change of names or of shape leaves each value as it is. The values hold on amd64;
+// elsewhere sums of products may be rounded otherwise.
 func TestGoldenCalls(t *testing.T) {
 	kinds := map[string]int{}
 	for _, c := range goldenCases {
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -13,8 +13,8 @@
 
 const goldenRequests = 2500 // first tries in a run
 
-// goldenWorld is all that is around one module, drawn from a seed: clients, servers, the list, the counter, the
-// timers. It is the module's host too, and writes each of its calls into a hash.
+// goldenWorld is all that is around one module, drawn from a seed: clients, servers, the list, the
+// counter, the timers. It is the module's host too, and writes each of its calls into a hash.
 type goldenWorld struct {
 	*testing.T
 	goldenCase
@@ -102,7 +102,8 @@
 	return low + time.Duration(w.random.Int63n(int64(high-low)+1))
 }
 
-// phase tells what goes wrong: a few servers, slowness everywhere, the counter, all servers; 0: nothing.
+// phase tells what goes wrong: a few servers, slowness everywhere, the counter, all servers; 0:
+// nothing.
 func (w *goldenWorld) phase() int { return int(w.now/(5*time.Second)) % 6 }
 
 // arrival brings a first try and plans the next; a long silence stands in the middle.
@@ -158,8 +159,8 @@
 		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
 }
 
-// surprise brings what comes seldom: standstills, a counter that forgot, results and answers of nothing known,
-// another number of gateways that share the servers.
+// surprise brings what comes seldom: standstills, a counter that forgot, results and answers of
+// nothing known, another number of gateways that share the servers.
 func (w *goldenWorld) surprise() {
 	if len(w.requests) >= goldenRequests {
 		return
@@ -184,7 +185,8 @@
 		w.module.HandlePeerMessage(w.now, 1, []byte("gossip"))
 	case 7:
 		w.module.HandleDisconnect(w.now, w.latest)
-		w.record("window", w.latest, w.module.RetryDeadline(w.latest), w.module.RetryDeadline(unknown), w.module.IsAdmitted(unknown))
+		w.record("window", w.latest, w.module.RetryDeadline(w.latest), w.module.RetryDeadline(unknown),
+			w.module.IsAdmitted(unknown))
 	}
 	w.after(w.between(100*ms, 2*time.Second), w.surprise)
 }
@@ -201,7 +203,8 @@
 	}
 }
 
-// record writes a call and its arguments into the hash; durations and floats stand there with all their digits.
+// record writes a call and its arguments into the hash; durations and floats stand there with all
+// their digits.
 func (w *goldenWorld) record(kind string, values ...any) {
 	w.calls[kind]++
 	if _, err := fmt.Fprintln(w.sum, append([]any{int64(w.now), kind}, values...)...); err != nil {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -26,12 +26,14 @@
 		Classes: []TrafficClass{
 			{Name: "look", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 1, Effect: Idempotent},
 			{
-				Name: "hold", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2, Effect: Keyed, Group: GroupRack,
+				Name: "hold", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2,
+				Effect: Keyed, Group: GroupRack,
 				DedupWindow: 300 * ms,
 			},
 			{Name: "pay", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 3, Effect: NonIdempotent},
 			{
-				Name: "mark", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2, Effect: Keyed, Group: GroupAll,
+				Name: "mark", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 2,
+				Effect: Keyed, Group: GroupAll,
 				DedupWindow: 300 * ms,
 			},
 		},
@@ -68,7 +70,8 @@
 	h.answerCounter()
 }
 
-// serveInTurn brings requests 1 to n of a plan, each after the one before was answered, and that after a time.
+// serveInTurn brings requests 1 to n of a plan, each after the one before was answered, and that
+// after a time.
 func (h *harness) serveInTurn(n uint32, plan int, units float64, after time.Duration) {
 	for id := uint32(1); id <= n; id++ {
 		h.request(id, 0, plan, units)
@@ -95,7 +98,8 @@
 
 func (h *harness) countResult(r CountResult) { h.gateway.HandleCount(h.now, r) }
 
-// chargeByOthers has other gateways charge the only customer so far; countedUnits is its count in the current window.
+// chargeByOthers has other gateways charge the only customer so far; countedUnits is its count in
+// the current window.
 func (h *harness) chargeByOthers(customerID uint64, units float64) {
 	h.count[counterName(customerID, h.gateway.admission.customerList[0].windowAt(h.now))] += units
 }
@@ -134,11 +138,14 @@
 	if number < 0 {
 		return
 	}
-	h.result(AttemptResult{RequestID: id, Attempt: number, Server: server, Outcome: o, Latency: 20 * ms, Final: o == Answered})
+	h.result(AttemptResult{
+		RequestID: id, Attempt: number, Server: server, Outcome: o, Latency: 20 * ms, Final: o == Answered,
+	})
 	h.answerCounter()
 }
 
-// advance lets time pass, brings the timers that fall due, and times out the attempts that are out too long.
+// advance lets time pass, brings the timers that fall due, and times out the attempts that are out
+// too long.
 func (h *harness) advance(d time.Duration) {
 	end := h.now + d
 	for {
--- a/policy/host.go
+++ b/policy/host.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file is what the module and the gateway around it hand each other. Times are spans since the origin of
-// the clock that all gateways share, unless they are named after what they last.
+// The module and the gateway around it exchange the types below. Times are spans since the origin
+// of the clock that all gateways share, unless their names are those of spans.
 
 // Outcome is how an attempt, a call to the counter or a health check ended.
 type Outcome uint8
@@ -12,11 +12,11 @@
 const (
 	Answered      Outcome = iota
 	Errored               // answered with an error; it may have run
-	Rejected              // turned away before any of it ran
+	Rejected              // by the server, before any of it ran
 	TimedOut              // no answer in time; it may have run
 	ConnectFailed         // no connection; it never ran
 	Reset                 // the connection broke; it may have run
-	Cancelled             // given up by us; it may have run
+	Cancelled             // given up by the gateway; it may have run
 	NotSent               // no byte of it left the gateway
 )
 
@@ -50,8 +50,9 @@
 	Rack      int
 	Zone      int
 	Hardware  int
-	// Owner is whose it is, where requests may prefer its servers (Request.PreferOwner); 0: nobody's. Elective
-	// servers take only the first attempts of idempotent requests that prefer their owner.
+	// Owner is whose it is, where requests may prefer its servers (Request.PreferOwner); 0:
+	// nobody's. Elective servers take only the first attempts of idempotent requests that prefer
+	// their owner.
 	Owner    int
 	Elective bool
 }
@@ -67,8 +68,8 @@
 	Units        float64
 	Deadline     time.Duration // when the client abandons this try
 	Repeat       bool          // the client has tried before
-	// PreferOwner is the owner whose servers the first attempt of an idempotent request goes to, if one of them
-	// has capacity; 0: none.
+	// PreferOwner is the owner whose servers the first attempt of an idempotent request goes to, if
+	// one of them has capacity; 0: none.
 	PreferOwner int
 }
 
@@ -93,18 +94,20 @@
 	Outcome Outcome
 }
 
-// Host is what a module can ask of the gateway around it. No method may hand the module an event before it
-// returns.
+// Host is what a module can ask of the gateway around it. No method may hand the module an event
+// before it returns.
 type Host interface {
 	// Attempt sends a request to a server. It ends by itself at the time until.
 	Attempt(requestID, server uint32, until time.Duration)
 	// Cancel gives up an attempt, counted from 0. Its result comes all the same.
 	Cancel(requestID uint32, attempt int)
-	// Reject gives the final answer that makes trying again harmless, after the given span (0: none).
+	// Reject gives the final answer that makes trying again harmless, after the given span (0:
+	// none).
 	Reject(requestID uint32, retryAfter time.Duration)
 	// Terminate gives the final answer that does not say whether the request ran.
 	Terminate(requestID uint32)
-	// Count adds units to a name at the counter, which keeps it for the span ttl, and reads the total.
+	// Count adds units to a name at the counter, which keeps it for the span ttl, and reads the
+	// total.
 	Count(name uint64, ttl time.Duration, units float64)
 	CheckHealth(server uint32)
 	// SendPeer sends a message to a gateway; below 0: to all.
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -29,30 +29,42 @@
 		t.Run(test.name, func(t *testing.T) {
 			world := newHarness(t, testSettings(), 8)
 			world.request(1, test.class, 0, 1)
-			for world.attemptsOf(1) < 3 {
-				before := world.attemptsOf(1)
-				world.finishAttempt(1, test.ends)
-				if world.attemptsOf(1) == before {
-					break
-				}
-			}
+			world.finishAllAttempts(1, test.ends)
 			if world.occurrences(terminated)+world.occurrences(rejected) == 0 {
 				world.finishAttempt(1, test.ends)
 			}
 			world.wantAttempts(1, test.attempts)
 			world.want(test.last, 1)
-			if test.class != 1 || test.ends == ConnectFailed {
-				return
-			}
-			for _, attempt := range world.attempts {
-				if (attempt.server-1)/2 != (world.attempts[0].server-1)/2 {
-					t.Errorf("a keyed request that may have run left its rack: %v", world.attempts)
-				}
+			if test.class == 1 && test.ends != ConnectFailed {
+				world.wantAttemptsInOneRack()
 			}
 		})
 	}
 }
 
+// finishAllAttempts ends a request's attempts, one after the other, until it has three or no new
+// one.
+func (h *harness) finishAllAttempts(id uint32, outcome Outcome) {
+	h.Helper()
+	for h.attemptsOf(id) < 3 {
+		before := h.attemptsOf(id)
+		h.finishAttempt(id, outcome)
+		if h.attemptsOf(id) == before {
+			return
+		}
+	}
+}
+
+// wantAttemptsInOneRack checks that all attempts went to the rack of the first.
+func (h *harness) wantAttemptsInOneRack() {
+	h.Helper()
+	for _, attempt := range h.attempts {
+		if (attempt.server-1)/2 != (h.attempts[0].server-1)/2 {
+			h.Errorf("a keyed request that may have run left its rack: %v", h.attempts)
+		}
+	}
+}
+
 func TestRetry_keyedStaysWithinItsDedupWindow(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.request(1, 1, 0, 1)
@@ -148,8 +160,7 @@
 	}
 }
 
-// Requests of clients of one plan that gave a try up early were taken for such as had waited during our standstill, and
-// all rejected as late.
+// Guards against rejecting as late the requests of clients whose own timeout is short.
 func TestStandstill_shortClientTimeoutIsNotLate(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 0, 1)
@@ -163,13 +174,12 @@
 	world.wantAttempts(2, 1)
 	world.advance(10 * ms)
 	world.request(3, 0, 2, 1)
-	world.now += 1900 * ms // no event for longer than what the next request lacks: we may have stood still
+	world.now += 1900 * ms // no event for longer than what the next request lacks: the gateway may have stood still
 	hasty(4, 2)
 	world.wantAttempts(4, 0)
 }
 
-// Clients that gave a try up after a third of the objective kept servers and limits busy with requests that could not be
-// answered in that time, and came again with as little, many times.
+// Guards against attempts for clients that leave before any answer can come, and repeat many times.
 func TestDeadline_tooShortForItsUnitsIsRejectedAtOnce(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 5; id++ {
--- a/policy/message.go
+++ b/policy/message.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// message is one of the types below, each of which goes to one kind of actor, attemptEnded to three.
+// message is one of the types below, each of which goes to one kind of actor, attemptEnded to
+// three.
 type message any
 
 // To admission.
@@ -95,7 +96,7 @@
 	}
 }
 
-// unexpected says which message came to an actor that has no use for it: a fault of this package.
+// unexpected says which message came to an actor that does not handle it: a fault of this package.
 func unexpected(m message) string {
 	return fmt.Sprintf("policy: a message of type %T has the wrong receiver", m)
 }
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -8,9 +8,9 @@
 	"harrierhoist/internal/lab/virtualtime"
 )
 
-// quotaSimulation is many gateways under one clock, with one counter that answers after a while and rejects some
-// calls, and customers whose true token buckets it keeps: a bucket gives a request its units with its first attempt,
-// and nothing to one that finds too few.
+// quotaSimulation is many gateways under one clock, with one counter that answers after a while and
+// rejects some calls, and customers whose true token buckets it keeps: a bucket gives a request its
+// units with its first attempt, and nothing to one that finds too few.
 type quotaSimulation struct {
 	*virtualtime.Scheduler
 	random        *rand.Rand
@@ -72,7 +72,9 @@
 func (h *quotaGateway) Count(name uint64, _ time.Duration, units float64) {
 	took := time.Duration(1+h.random.Intn(8)) * ms
 	if h.counterOutage[0] < h.Now() && h.Now() < h.counterOutage[1] {
-		h.After(30*ms, func() { h.module.HandleCount(h.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut}) })
+		h.After(30*ms, func() {
+			h.module.HandleCount(h.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut})
+		})
 		return
 	}
 	full := h.counterRate > 0 && h.counterFreeAt > h.Now()+100*ms
@@ -130,7 +132,8 @@
 	t := &quotaTry{id: uint32(len(f.tries) + 1), customer: who, units: units, gateway: h, tries: tries, deadline: ends}
 	f.tries[t.id] = t
 	h.module.HandleRequest(f.Now(), Request{
-		ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends, Repeat: tries > 0,
+		ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends,
+		Repeat: tries > 0,
 	})
 }
 
@@ -147,6 +150,7 @@
 
 // run has customers with four sorts of demand, so many of each, send requests for a while.
 func (f *quotaSimulation) run(t *testing.T, gateways, each int, lasts time.Duration) {
+	t.Helper()
 	f.Scheduler, f.counts, f.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
 	f.TieBreak = func() uint64 { return uint64(f.random.Int31()) }
 	f.overQuota, f.quota, f.withinQuota = map[float64]float64{}, map[float64]float64{}, map[float64]float64{}
@@ -177,11 +181,10 @@
 	}
 }
 
-// The units forwarded beyond the true buckets, as a part of what these could give, stay under a bound for customers
-// that ask for twice and five times their quota, and under 0.05 for those that ask for half of it and all. What remains
-// is the lag, as no count shows what is in flight; and, where calls are left out or the counter is lost, what is
-// admitted without a count: the more gateways, the less does one know (docs/fleet-quotas.md, The bound). Before what was
-// forwarded over a window's edge counted, two gateways that lost their counter over one let through 0.11 and 0.15.
+// The units forwarded beyond the true buckets, as a part of what these could give, stay under a bound
+// for customers that ask for twice and five times their quota, and under 0.05 for those that ask for
+// half of it and all. What remains is the lag, and, where calls are left out or the counter is lost,
+// what is admitted without a count (docs/fleet-quotas.md, "The bound" and "At a window's edge").
 func TestQuota_holdsOverManyGateways(t *testing.T) {
 	overloaded := func(f *quotaSimulation) { f.counterRate = 100 }
 	lost := func(f *quotaSimulation) { // over one edge of each customer, or two
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,20 +5,18 @@
 	"time"
 )
 
-// This file takes new settings into a running module. It decides nothing: what was learned and what is under
-// way is carried over to the new classes and plans, by their names.
-
-// AlignWith returns the settings with their classes and plans at the indices that earlier settings gave them,
-// by name: a request that was read by index just before stands for the same class and plan after. What is new
-// comes behind; what is missing stays at its index, retired, for the requests in flight.
+// AlignWith returns the settings with their classes and plans at the indices that earlier settings
+// gave them, by name, so that a request read just before keeps its class and plan. New ones are
+// appended; missing ones stay at their index, retired, for the requests in flight.
 func (s Settings) AlignWith(earlier Settings) Settings {
 	class := func(c *TrafficClass) (string, *bool) { return c.Name, &c.Retired }
 	plan := func(p *Plan) (string, *bool) { return p.Name, &p.Retired }
-	s.Classes, s.Plans = align(s.Classes, earlier.Classes, class), align(s.Plans, earlier.Plans, plan)
+	s.Classes = align(s.Classes, earlier.Classes, class)
+	s.Plans = align(s.Plans, earlier.Plans, plan)
 	return s
 }
 
-// align does so for one kind; key returns a value's name and its Retired field.
+// align aligns classes or plans; key returns a value's name and its Retired field.
 func align[T any](current, earlier []T, key func(*T) (string, *bool)) []T {
 	aligned := slices.Clone(earlier)
 	for i := range aligned {
@@ -37,10 +35,10 @@
 	return aligned
 }
 
-// Reconfigure takes new settings and returns them as they are in force: classes and plans where AlignWith
-// puts them. Requests in flight end under the class that they came with. Customers' quotas and attempts in
-// flight go on; a customer whose quota has changed begins its windows anew, and no count of an earlier one
-// decides in them. With an error nothing has changed.
+// Reconfigure takes new settings and returns them as they are in force, aligned by AlignWith.
+// Requests in flight end under the class that they came with. A customer whose quota has changed
+// begins its windows anew, and no count of an earlier one decides in them. With an error, that of
+// Validate, nothing has changed.
 func (g *Gateway) Reconfigure(now time.Duration, settings Settings) (Settings, error) {
 	earlier := g.settings
 	settings = settings.AlignWith(earlier)
@@ -58,8 +56,8 @@
 	return g.settings, nil
 }
 
-// applySettings makes the states of the classes, with what was learned of those that stay. Requests in flight
-// keep the states that they came with.
+// applySettings makes the states of the classes, with what was learned of those that stay. Requests
+// in flight keep the states that they came with.
 func (e *environment) applySettings(settings Settings) {
 	classes := make([]classState, len(settings.Classes))
 	e.tightestObjective = 0
@@ -67,20 +65,26 @@
 		timeouts := make([]time.Duration, len(settings.Plans))
 		if i < len(e.classes) {
 			known := &e.classes[i]
-			classes[i].latencies, classes[i].unitLatencies = known.latencies.clone(), known.unitLatencies.clone()
+			classes[i].latencies = known.latencies.clone()
+			classes[i].unitLatencies = known.unitLatencies.clone()
 			copy(timeouts, known.firstTimeouts)
 		}
-		classes[i].TrafficClass, classes[i].firstTimeouts = class, timeouts
+		classes[i].TrafficClass = class
+		classes[i].firstTimeouts = timeouts
 		if !class.Retired && (e.tightestObjective == 0 || class.LatencyObjective < e.tightestObjective) {
 			e.tightestObjective = class.LatencyObjective
 		}
 	}
-	e.settings, e.classes = settings, classes
+	e.settings = settings
+	e.classes = classes
 }
 
+// reconfigure takes the customer's plan as it is in new settings.
 func (c *customerState) reconfigure(now time.Duration, settings *Settings) {
-	earlier, plan := c.plan, &settings.Plans[c.planIndex]
-	c.plan, c.gateways = plan, min(c.gateways, float64(settings.Gateways))
+	earlier := c.plan
+	plan := &settings.Plans[c.planIndex]
+	c.plan = plan
+	c.gateways = min(c.gateways, float64(settings.Gateways))
 	if earlier.Rate == plan.Rate && earlier.Burst == plan.Burst && earlier.MaxInFlight == plan.MaxInFlight {
 		return
 	}
@@ -92,11 +96,11 @@
 	c.resetWindows(now)
 }
 
-// reconfigure makes space for new classes and plans in what is kept by them.
+// reconfigure makes space for new classes and plans in the server's records.
 func (s *server) reconfigure(earlierPlans, plans, classes int) {
 	s.health = append(s.health, make([]classHealth, classes-len(s.health))...)
 	earlier := s.rejectedAt
-	s.rejectedAt = make([]time.Duration, classes*plans)
+	s.rejectedAt = make([]eventTime, classes*plans)
 	for i, at := range earlier {
 		s.rejectedAt[i/earlierPlans*plans+i%earlierPlans] = at
 	}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// otherSettings have classes and plans in another order, some of each missing and one new, other limits, no
-// Retry-After.
+// otherSettings have classes and plans in another order, some of each missing and one new, other
+// limits, no Retry-After.
 func otherSettings() Settings {
 	settings := testSettings()
 	settings.Classes = []TrafficClass{
@@ -93,7 +93,8 @@
 	d := testSettings()
 	d.Plans[1] = Plan{Name: "small", Rate: 4, Burst: 6}
 	world.reconfigure(d)
-	world.countResult(CountResult{Name: world.calls[0].name, Total: 100, Latency: ms}) // far over, if it were of this window
+	farOver := 100.0 // were it of this window
+	world.countResult(CountResult{Name: world.calls[0].name, Total: farOver, Latency: ms})
 	world.calls = nil
 	world.wantAttempts(1, 1)
 	customer := world.gateway.admission.customerList[0]
@@ -149,8 +150,8 @@
 	}
 }
 
-// A plan with neither rate nor limit is unlimited: its customers have no windows, nor those that had some before, and
-// what comes late or twice for them counts once.
+// A plan with neither rate nor limit is unlimited: its customers have no windows, nor those that
+// had some before, and what comes late or twice for them counts once.
 func TestReconfigure_planWithoutRateAndLimitIsUnlimited(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.down = true
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -5,6 +5,17 @@
 	"time"
 )
 
+// eventTime is when something happened last; 0: never.
+type eventTime time.Duration
+
+// happened reports whether it ever did.
+func (t eventTime) happened() bool { return t > 0 }
+
+// isWithin reports whether it happened less than a span before the time now.
+func (t eventTime) isWithin(span, now time.Duration) bool {
+	return t.happened() && now < time.Duration(t)+span
+}
+
 // ring keeps the latest samples, up to a size.
 type ring[T any] struct {
 	samples []T
@@ -42,15 +53,18 @@
 	if len(l.sorted) == 0 {
 		return 0
 	}
-	return l.sorted[len(l.sorted)*n/10]
+	return decileOf(l.sorted, n)
 }
 
+// decileOf returns the n-th decile of sorted samples, of which there is at least one.
+func decileOf[T any](sorted []T, n int) T { return sorted[len(sorted)*n/deciles] }
+
 func (l *latencies) clone() latencies {
 	return latencies{ring[time.Duration]{slices.Clone(l.samples), l.next}, slices.Clone(l.sorted)}
 }
 
-// latencySample is the part of its latency objective that an attempt took. Queues pass: it is valid until
-// some time after its start.
+// latencySample is the part of its latency objective that an attempt took. Queues pass, so it is
+// valid for some time only.
 type latencySample struct {
 	validUntil        time.Duration
 	objectiveFraction float64
@@ -59,12 +73,13 @@
 // responseSample is an answer of a warm server.
 type responseSample struct {
 	at          time.Duration
-	warmServers float64 // then, for each gateway that shared one
+	warmServers float64 // at that time, for each gateway that shared one
 }
 
-// countSample is a count read, and what the customer's bucket could hold then.
+// countSample is a count read, and what the customer's bucket could hold then, both in units.
 type countSample struct {
-	window       int64
-	at           time.Duration
-	total, level float64
+	window int64
+	at     time.Duration
+	total  float64
+	level  float64
 }
--- a/policy/server_state.go
+++ b/policy/server_state.go
@@ -2,10 +2,7 @@
 
 import "time"
 
-// This file is what the module remembers of servers. It decides nothing.
-
-// balancer finds a server for each attempt: of two drawn at random the one with less load. It sheds load
-// where the servers together are too slow.
+// balancer finds a server for each attempt, and sheds load where the servers together are too slow.
 type balancer struct {
 	mailbox
 	env       *environment
@@ -20,12 +17,15 @@
 	warmResponses   ring[responseSample]
 	meanWork        float64 // of the requests behind these, as expected latency
 
-	open, healthy []*server // space of candidates
-	fractions     []float64 // space of admissionProbability
+	open, healthy []*server // space of openServers
+	fractions     []float64 // space of collectFractions
 }
 
 // classHealth is when a server last served, and last failed, a class.
-type classHealth struct{ lastSuccess, lastFailure time.Duration }
+type classHealth struct{ lastSuccess, lastFailure eventTime }
+
+// latest is when the server last served or failed the class.
+func (h classHealth) latest() eventTime { return max(h.lastSuccess, h.lastFailure) }
 
 // server is an endpoint, and how it has served.
 type server struct {
@@ -36,21 +36,22 @@
 	lifecycle *lifecycle
 
 	inFlight       []*requestState
-	health         []classHealth   // by class
-	rejectedAt     []time.Duration // by class and plan: the latest rejection with no answer since
-	slowdown       float64         // how much longer than others it takes, as a part
-	failureScore   int             // since the latest answer
-	lastFailure    time.Duration
+	health         []classHealth // by class
+	rejectedAt     []eventTime   // by class and plan: the latest rejection with no answer since
+	slowdown       float64       // how much longer than others it takes, as a part
+	failureScore   int           // since the latest answer
+	lastFailure    eventTime
 	responses      ring[time.Duration] // when it answered
 	lastConsidered time.Duration       // for an attempt, while it warms up
-	ejected        bool                // as the log has it
+	ejected        bool                // as last logged
 }
 
 func (b *balancer) addServer(id uint32) *server {
-	classes, plans := len(b.env.classes), len(b.env.settings.Plans)
+	classes := len(b.env.classes)
+	plans := len(b.env.settings.Plans)
 	s := &server{
 		env: b.env, balancer: b, lifecycle: b.lifecycle,
-		health: make([]classHealth, classes), rejectedAt: make([]time.Duration, classes*plans),
+		health: make([]classHealth, classes), rejectedAt: make([]eventTime, classes*plans),
 	}
 	b.serversByID[id] = s
 	b.servers = append(b.servers, s)
@@ -59,7 +60,9 @@
 
 // reset forgets what was learned of a server that has started again.
 func (s *server) reset() {
-	s.responses, s.failureScore, s.lastFailure = ring[time.Duration]{}, 0, 0
+	s.responses = ring[time.Duration]{}
+	s.failureScore = 0
+	s.lastFailure = 0
 	clear(s.health)
 	clear(s.rejectedAt)
 	s.lastConsidered = s.env.now
@@ -70,11 +73,11 @@
 	return request.Class*len(s.env.settings.Plans) + request.Plan
 }
 
-// exploring is how many attempts are out at servers whose rate is not known.
+// exploring is how many attempts are in flight at servers whose rate is not known.
 func (b *balancer) exploring() int {
 	n := 0
 	for _, s := range b.ready {
-		if len(s.responses.samples) < minRateSamples {
+		if !s.hasKnownRate() {
 			n += len(s.inFlight)
 		}
 	}
--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -49,7 +49,9 @@
 	world.request(9, 2, 0, 1)
 	world.advance(2 * time.Second) // those that pay get no answer
 	silent := world.gateway.balancer.servers[world.attempts[8].server-1]
-	if bad, good := silent.isEjectedFor(world.requestOfClass(2)), silent.isEjectedFor(world.requestOfClass(0)); !bad || good {
+	bad := silent.isEjectedFor(world.requestOfClass(2))
+	good := silent.isEjectedFor(world.requestOfClass(0))
+	if !bad || good {
 		t.Errorf("ejected for the silent class: %v, for the good one: %v", bad, good)
 	}
 	for id := uint32(10); id <= 13; id++ {
@@ -97,8 +99,7 @@
 	return &requestState{Request: Request{Class: class}, class: &h.gateway.classes[class]}
 }
 
-// A server that rejected one plan and answered another was never ejected: each answer to the other wiped out the
-// rejections.
+// Guards against a server that rejects one plan and is never ejected, as it answers another.
 func TestEjection_serverThatRejectsOnePlan(t *testing.T) {
 	world := newHarness(t, testSettings(), 3)
 	id, rejected := uint32(0), 0
@@ -122,8 +123,7 @@
 	}
 }
 
-// An attempt cancelled at its client's deadline said nothing of its server, so one that took requests and answered none
-// stayed in use.
+// Guards against a silent server that stays in use because its attempts end cancelled.
 func TestEjection_cancelledAfterSilenceIsAFailure(t *testing.T) {
 	for took, ejected := range map[time.Duration]bool{20 * ms: false, 1900 * ms: true} {
 		d := testSettings()
@@ -138,8 +138,7 @@
 	}
 }
 
-// Latencies grow with the units: a request of eight units made its class's silence timeout long, and a lost attempt of
-// one unit was noticed when its client had left.
+// Guards against a silence timeout that large requests make too long for small ones.
 func TestSilenceTimeout_growsWithTheUnits(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 4; id++ {
@@ -149,11 +148,12 @@
 	small, large := world.requestOfClass(0), world.requestOfClass(0)
 	small.Units, large.Units = 1, 8
 	if small.silenceTimeout() != 800*ms || large.silenceTimeout() != 6400*ms {
-		t.Errorf("silence of one unit %v, of eight %v; want four latencies of each", small.silenceTimeout(), large.silenceTimeout())
+		t.Errorf("silence of one unit %v, of eight %v; want four latencies of each",
+			small.silenceTimeout(), large.silenceTimeout())
 	}
 }
 
-// Of two servers with as much in flight, the slower was picked as often.
+// Guards against picking the slower of two servers as often as the faster.
 func TestPlacement_slowerServerIsPickedLess(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	for id := uint32(1); id <= 200; id++ {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,7 +37,7 @@
 	Group            Group         // of a keyed class
 	DedupWindow      time.Duration // how long the group remembers a keyed request
 	Stream           bool          // answers may be streams
-	Retired          bool          // takes no new request: it stands for those in flight (AlignWith)
+	Retired          bool          // takes no new request, and is kept for those in flight (AlignWith)
 }
 
 // Plan is what a customer has bought. It holds for each customer, over all gateways together.
@@ -52,7 +52,7 @@
 	Price           float64 // factor of a request's weight; 0: 1
 	OverQuotaWeight float64 // part of its weight that a request beyond the quota earns
 	OverQuotaCost   float64 // part of its weight that a request beyond the quota costs
-	Retired         bool    // takes no new request: it stands for those in flight (AlignWith)
+	Retired         bool    // takes no new request, and is kept for those in flight (AlignWith)
 }
 
 // Settings are what a module starts with, and what Reconfigure hands to a running one.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,8 +1,8 @@
 package policy
 
-// This file is the slow start of servers that warm up.
+import "time"
 
-// warmUpFraction is the part of its capacity that a server surely has.
+// warmUpFraction is the part of its capacity that a server surely has, from 0 to 1.
 func (s *server) warmUpFraction() float64 {
 	settings := &s.env.settings
 	if s.StartedAt <= 0 || settings.WarmUpTime <= 0 {
@@ -14,20 +14,37 @@
 
 func (s *server) isWarm() bool { return s.warmUpFraction() >= 1 }
 
-// slowStartAllows reports, at random, whether a warming server may have an attempt from us now. The chance is
-// what the time since we last considered it brings, at its least warm-up fraction of what a warm one gets,
-// and less for a request of more than the mean work. Nothing is saved up. It guards against overloading a
-// server that has just started, also by hundreds of gateways in one moment (docs/design.md). Cost: a gateway
-// with few requests leaves most of its share unused.
+// slowStartAllows decides, at random, whether a warming server may have an attempt now: by the time
+// since it was last considered, its warm-up fraction, and the request's work. Nothing is saved up,
+// so hundreds of gateways that had rested do not come at once (docs/design.md has the bound).
+// Prevents overload of a server that has just started.
 func (s *server) slowStartAllows(request *requestState) bool {
-	share, settings := s.warmUpFraction(), &s.env.settings
-	if share >= 1 {
+	probability := s.warmUpFraction()
+	if probability >= 1 {
 		return true
 	}
-	longest := settings.OverloadFactor / 4 * float64(settings.OverloadSpan)
-	brings := min(float64(s.env.now-s.lastConsidered), longest) / float64(s.balancer.attemptInterval())
+	settings := &s.env.settings
+	longestRest := settings.OverloadFactor / slowStartRest * float64(settings.OverloadSpan)
+	rest := min(float64(s.env.now-s.lastConsidered), longestRest)
+	dueAttempts := rest / float64(s.balancer.attemptInterval())
 	s.lastConsidered = s.env.now
-	share *= min(brings, settings.OverloadFactor/float64(len(s.balancer.ready)))
-	work := max(1, float64(request.expectedLatency(5))/max(s.balancer.meanWork, 1))
-	return s.env.random.Float64()*work < share
+	probability *= min(dueAttempts, settings.OverloadFactor/float64(len(s.balancer.ready)))
+	relativeWork := float64(request.expectedLatency(medianDecile)) / max(s.balancer.meanWork, 1)
+	return s.env.random.Float64()*max(1, relativeWork) < probability
+}
+
+// attemptInterval is the time between this gateway's attempts at a warm server, by the latest
+// answers of such; these count when none is left, as in a deploy. More gateways may share each
+// server by now than did then.
+func (b *balancer) attemptInterval() time.Duration {
+	n := len(b.warmResponses.samples)
+	if n < minRateSamples {
+		return time.Duration(float64(b.env.settings.OverloadSpan) * b.sharingGateways)
+	}
+	newest := b.warmResponses.newest(0)
+	oldest := b.warmResponses.newest(n - 1)
+	// Some answers at once are no rate.
+	shortest := b.env.settings.OverloadSpan * time.Duration(responseSamples-n) / responseSamples
+	interval := float64(max(newest.at-oldest.at, shortest, b.env.settings.ClockTick)) / float64(n-1)
+	return time.Duration(interval * (newest.warmServers + oldest.warmServers) / 2 * b.sharingGateways)
 }
--- a/policy/slow_start_host_test.go
+++ b/policy/slow_start_host_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// Attempt takes a request to a server: it queues there, and its work takes the longer, the less the server is warmed up.
+// Attempt takes a request to a server: it queues there, and its work takes the longer, the less the
+// server is warmed up.
 func (g *gateway) Attempt(requestID, serverID uint32, until time.Duration) {
 	target, work, incarnation, start := g.servers[serverID-1], g.units[requestID]/g.meanUnits, g.incarnation, g.Now()
 	g.subset.CountAttempt(start)
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -51,12 +51,14 @@
 		servers = 30
 	}
 	f := &simulation{
-		warmUpCase: c, Scheduler: virtualtime.New(time.Hour), random: rand.New(rand.NewSource(seed)), settings: simulationSettings(gateways),
+		warmUpCase: c, Scheduler: virtualtime.New(time.Hour),
+		random: rand.New(rand.NewSource(seed)), settings: simulationSettings(gateways),
 	}
 	f.end = time.Hour + restartAt + cmp.Or(c.watchTime, watchTime)
 	f.meanUnits = cmp.Or(c.meanUnits, 1)
 	for i := range servers {
-		f.servers = append(f.servers, &server{number: uint32(i + 1), failing: i >= servers-int(c.failing*float64(servers))})
+		failing := i >= servers-int(c.failing*float64(servers))
+		f.servers = append(f.servers, &server{number: uint32(i + 1), failing: failing})
 	}
 	for i := range gateways {
 		f.gateways = append(f.gateways, &gateway{simulation: f, index: i})
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -24,7 +24,7 @@
 	gatewayShare      func(t time.Duration, g int) float64 // of a gateway, times the mean one's
 	notifiedAfter     func(g int) time.Duration            // how long after a start a gateway is notified
 	restart           time.Duration                        // of all gateways
-	failing           float64                              // part of the servers that fails half of the requests, at once
+	failing           float64                              // part of the servers that fail half of the requests
 	silentBefore      bool                                 // those that start were silent for two seconds before
 	units             func(lot float64) float64            // of a request, by a random number
 	meanUnits         float64                              // of these; 0: 1
@@ -52,7 +52,7 @@
 	{name: "steady", restartedFraction: 0.2, minShare: 0.5},
 	{name: "uneven gateways", restartedFraction: 0.2, gatewayShare: uneven, minShare: 0.5},
 	{name: "idle, then a burst", restartedFraction: 0.2, load: burst(0.2, 1, restartAt+2*time.Second)},
-	// What gateways had saved up while they were at rest met, in one moment, the only servers that were left.
+	// Guards against gateways that all send at once, after a rest, to the only servers left.
 	{
 		name: "at rest, then all at once on the warming one", restartedFraction: 0.05, watchTime: 20 * time.Second,
 		warmServersLeave: 18 * time.Second, load: func(t time.Duration) float64 {
@@ -73,9 +73,10 @@
 	{name: "half of the servers", restartedFraction: 0.5, load: burst(0.7, 0.7, 0)},
 	{name: "half of the servers, too much for the rest", restartedFraction: 0.5},
 	{name: "retries", restartedFraction: 0.2, load: burst(0.7, 0.7, 0), failing: 0.3, minShare: 0.5},
-	{name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7, units: func(lot float64) float64 {
-		return map[bool]float64{true: 8, false: 1}[lot < 0.1]
-	}},
+	{
+		name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7,
+		units: func(lot float64) float64 { return map[bool]float64{true: 8, false: 1}[lot < 0.1] },
+	},
 	{name: "a shift of traffic", restartedFraction: 0.2, gatewayShare: func(t time.Duration, gateway int) float64 {
 		switch {
 		case t < restartAt-3*time.Second:
@@ -108,9 +109,10 @@
 	return min(1, f.settings.WarmUpStart+(1-f.settings.WarmUpStart)*float64(at-s.since)/float64(f.settings.WarmUpTime))
 }
 
-// worstOverload is the most that a warming server got of all gateways in the span that the settings name, as a part of
-// its budget N with a deviation of 2 sqrt(N) + 2, and that budget. Like the rule, it passes over what gateways sent that
-// had not been notified of the start, if it was a third.
+// worstOverload is the most that a warming server got of all gateways in the span that the settings
+// name, as a part of its budget N with a deviation of 2 sqrt(N) + 2, and that budget. Like the
+// rule, it passes over what gateways sent that had not been notified of the start, if it was a
+// third.
 func (f *simulation) worstOverload() (part, budget float64) {
 	for _, warming := range f.restarted() {
 		sum, known, first := 0.0, 0.0, 0
@@ -128,7 +130,8 @@
 					known -= warming.sent[first].work
 				}
 			}
-			n := f.settings.OverloadFactor * f.warmUpFraction(warming, one.at) * warmRate * f.settings.OverloadSpan.Seconds()
+			fraction := f.warmUpFraction(warming, one.at)
+			n := f.settings.OverloadFactor * fraction * warmRate * f.settings.OverloadSpan.Seconds()
 			if p := sum / (n + 2*math.Sqrt(n) + 2); p > part && known > sum*2/3 {
 				part, budget = p, n
 			}
@@ -137,7 +140,8 @@
 	return part, budget
 }
 
-// shareOfDue is what the warming servers got, as a part of their warm-up fraction of a warm one's work.
+// shareOfDue is what the warming servers got, as a part of their warm-up fraction of a warm one's
+// work.
 func (f *simulation) shareOfDue() float64 {
 	warming, warm := 0.0, 0.0
 	for _, s := range f.servers {
@@ -156,9 +160,7 @@
 	return warming / all
 }
 
-// A warming server is overloaded by the sum of what all gateways send it. Each had a right to its next attempt that it
-// kept, and estimated it by as many others as had shared its servers before, so that hundreds spent theirs in the same
-// moment.
+// Guards against a warming server that is overloaded by all gateways together.
 func TestSlowStart_overAllGateways(t *testing.T) {
 	for _, test := range warmUpCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -170,14 +172,17 @@
 					f := simulate(test, gateways, seed+1)
 					part, n := f.worstOverload()
 					got += f.shareOfDue() / seeds
-					t.Logf("%d gateways: %.2f of a budget of %.1f and its deviation; share %.2f", gateways, part, n, f.shareOfDue())
+					t.Logf("%d gateways: %.2f of a budget of %.1f and its deviation; share %.2f",
+						gateways, part, n, f.shareOfDue())
 					if part > 1 {
-						t.Errorf("%d gateways, seed %d: a warming server got %.2f of its budget of %.1f and deviation", gateways,
+						t.Errorf("%d gateways, seed %d: a warming server got %.2f of its budget of %.1f and deviation",
+							gateways,
 							seed+1, part, n)
 					}
 				}
 				if got < test.minShare || test.minShare > 0 && got > 1.2 {
-					t.Errorf("%d gateways: the warming servers got %.2f of their due, want %.2f to 1.2", gateways, got, test.minShare)
+					t.Errorf("%d gateways: the warming servers got %.2f of their due, want %.2f to 1.2",
+						gateways, got, test.minShare)
 				}
 			}
 		})
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// newSparseHarness has customers whose requests come through fifty gateways: those of the small plan are sparse.
+// newSparseHarness has customers whose requests come through fifty gateways: those of the small
+// plan are sparse.
 func newSparseHarness(t *testing.T) *harness {
+	t.Helper()
 	d := testSettings()
 	d.Gateways = 50
 	world := newHarness(t, d, 4)
@@ -51,8 +53,9 @@
 	world.wantAttempts(4, 0)
 }
 
-// overloadCounter has the counter accept some calls and reject the others, and gives how often it was called and how
-// often it rejected, in the second half. Each request is of a sparse customer of its own.
+// overloadCounter has the counter accept some calls and reject the others, and gives how often it
+// was called and how often it rejected, in the second half. Each request is of a sparse customer of
+// its own.
 func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, refused int) {
 	h.down = true
 	n := 0
@@ -83,7 +86,8 @@
 
 func TestCounter_callsSettleSlightlyAboveItsCapacity(t *testing.T) {
 	world := newSparseHarness(t)
-	// The counter has capacity for a call each 20 ms, and a few at once: far less than the two for a request each 5 ms.
+	// The counter has capacity for a call each 20 ms, and a few at once: far less than the two for
+	// a request each 5 ms.
 	var free time.Duration
 	calls, refused := world.overloadCounter(4000, func(int) bool {
 		if free = max(free, world.now-100*ms); free > world.now {
@@ -153,7 +157,7 @@
 	}
 }
 
-// Clients that repeat at once took all calls of an overloaded counter from first tries.
+// Guards against repeats that take all calls of an overloaded counter from first tries.
 func TestSparse_repeatsMakeNoCallsWhileSomeAreSkipped(t *testing.T) {
 	d := testSettings()
 	d.Gateways = 40
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -21,16 +21,23 @@
 
 // HandleTimer takes a timer that the module set and that is due.
 func (g *Gateway) HandleTimer(now time.Duration, token uint64) {
-	request := g.requests[uint32(token/timerKinds)]
-	switch kind := token % timerKinds; {
-	case kind == timerListRetry:
+	kind := token % timerKinds
+	if kind == timerListRetry {
 		g.host.WatchEndpoints()
-	case request == nil:
-	case kind == timerCounterWait:
+		return
+	}
+	request := g.requests[uint32(token/timerKinds)]
+	if request == nil {
+		return
+	}
+	switch kind {
+	case timerCounterWait:
 		g.dispatch(now, g.admission, checkQuota{request})
-	case kind == timerPlacement:
+	case timerPlacement:
 		g.dispatch(now, g.balancer, placeRequest{request})
-	case !request.streaming:
-		g.dispatch(now, g.lifecycle, &completeRequest{request: request})
+	case timerDeadline:
+		if !request.streaming {
+			g.dispatch(now, g.lifecycle, &completeRequest{request: request})
+		}
 	}
 }
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// nearWindowEdge brings a customer of the small plan so close to the next edge of its windows: its bucket is full
-// then, and one request of no units has made its state.
+// nearWindowEdge brings a customer of the small plan so close to the next edge of its windows: its
+// bucket is full then, and one request of no units has made its state.
 func (h *harness) nearWindowEdge(customerID uint64, before time.Duration) (customer *customerState, at time.Duration) {
 	h.requestOfSmallPlan(1, customerID, 0)
 	h.finishAttempt(1, Answered)
@@ -33,8 +33,7 @@
 	}
 }
 
-// Five requests emptied a customer's bucket just before an edge of its windows, and a sixth was let through just
-// after.
+// Guards against a second burst right after a window's edge.
 func TestWindowEdge_allowsNoSecondBurst(t *testing.T) {
 	for customerID := range uint64(8) {
 		for _, before := range []time.Duration{0, 1, ms, 50 * ms, 100 * ms} {
@@ -62,14 +61,17 @@
 	h.countResult(CountResult{Name: c.name, Total: h.count[c.name], Latency: ms})
 }
 
-// What waits to be charged at an edge goes with the next call, in the later window, and with actual units.
+// What waits to be charged at an edge goes with the next call, in the later window, and with actual
+// units.
 func TestWindowEdge_pendingChargesCountOnceInTheLaterWindow(t *testing.T) {
 	for billed, want := range map[float64]float64{0: 5, 1: 1, 9: 9} {
 		world := newHarness(t, testSettings(), 2)
 		customer, at := world.nearWindowEdge(100, 100*ms)
 		world.requestOfSmallPlan(2, customer.id, 5)
 		world.crossWindowEdge(customer, at, ms)
-		world.result(AttemptResult{RequestID: 2, Outcome: Answered, Latency: 100 * ms, Final: true, ActualUnits: billed})
+		world.result(AttemptResult{
+			RequestID: 2, Outcome: Answered, Latency: 100 * ms, Final: true, ActualUnits: billed,
+		})
 		later := counterName(customer.id, customer.windowAt(world.now))
 		world.requestOfSmallPlan(3, customer.id, 0.1)
 		if got := world.count[later]; got < want || got > want+0.001 {
@@ -81,8 +83,7 @@
 	}
 }
 
-// The call that took a charge before an edge is answered after it: with no sample of the later window yet, and with
-// one. With one, the charge stood neither in that sample nor in any later count.
+// Guards against a charge that no sample shows, as its call before an edge is answered after it.
 func TestWindowEdge_lateResultOfTheEarlierWindow(t *testing.T) {
 	for _, looked := range []bool{false, true} {
 		world := newHarness(t, testSettings(), 2)
@@ -111,8 +112,9 @@
 	}
 }
 
-// Two gateways find the later window's count untouched at once, and both read the one before: what the bucket lacks is
-// carried over, twice perhaps, never less than once; and neither forwards again what it forwarded before the edge.
+// Two gateways that find the later window's count untouched at once both read the one before: what
+// the bucket lacks is carried over at least once, and neither forwards again what it forwarded
+// before the edge.
 func TestWindowEdge_twoGatewaysOpenAWindowAtOnce(t *testing.T) {
 	one, two := newHarness(t, testSettings(), 2), newHarness(t, testSettings(), 2)
 	two.count = one.count
@@ -172,9 +174,7 @@
 	}
 }
 
-// The counter is lost before an edge and back after it: its new count shows nothing, so what we forwarded meanwhile and
-// what we took the other gateway to forward still hold. Each of the customer's gateways forwarded its half, and after
-// the edge its half again.
+// Guards against a second half of the bucket after an edge at which the counter forgot the first.
 func TestWindowEdge_counterReturnsAfterIt(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
