--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -19,7 +19,7 @@
 	acceptedFraction float64                  // of the latest calls
 }
 
-// noWindow stands for no window's number: their clock begins in 1970.
+// noWindow is the number of no window in use: windows are counted from 1970 on.
 const noWindow int64 = 0
 
 // customerState is what this gateway knows of a customer's quota.
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -21,11 +21,11 @@
 	}
 	w.after(took, func() { w.end(task, number, outcome, took) })
 	if w.chance(0.02) {
-		w.after(took, func() { w.end(task, number, outcome, took) }) // it comes twice
+		w.after(took, func() { w.end(task, number, outcome, took) }) // the result is reported twice
 	}
 }
 
-// outcome draws how an attempt ends, and after how long: as the phase has it.
+// outcome draws how an attempt ends, and after how long, by the phase.
 func (w *goldenWorld) outcome(server uint32, units float64) (Outcome, time.Duration) {
 	took := time.Duration((5 + 15*units) * float64(ms) * (0.5 + w.random.Float64()) * float64(1+server%3))
 	failing := 0.05
@@ -151,8 +151,7 @@
 	return s
 }
 
-// listChange changes the list and brings it: the change alone, the whole list, or that there is
-// none.
+// listChange changes the list and reports the change alone, the full list, or a failure.
 func (w *goldenWorld) listChange() {
 	if len(w.requests) >= goldenRequests {
 		return
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -61,7 +61,7 @@
 	return w
 }
 
-// run runs the world to its end and gives the hash of all calls.
+// run runs the world to its end and returns the hash of all calls.
 func (w *goldenWorld) run() string {
 	w.module.HandleEndpoints(w.now, ListCached, w.listed)
 	w.module.SetSharers(w.sharers)
@@ -102,11 +102,11 @@
 	return low + time.Duration(w.random.Int63n(int64(high-low)+1))
 }
 
-// phase tells what goes wrong: a few servers, slowness everywhere, the counter, all servers; 0:
-// nothing.
+// phase returns which fault is on: a few servers, slowness everywhere, the counter, all servers; 0:
+// none.
 func (w *goldenWorld) phase() int { return int(w.now/(5*time.Second)) % 6 }
 
-// arrival brings a first try and plans the next; a long silence stands in the middle.
+// arrival sends a first try and schedules the next, with a long silence in the middle.
 func (w *goldenWorld) arrival() {
 	r := w.draw()
 	w.send(r)
@@ -123,11 +123,11 @@
 	w.after(pause, w.arrival)
 }
 
-// draw makes a request; a customer's number tells its plan.
+// draw makes a request; a customer's number determines its plan.
 func (w *goldenWorld) draw() Request {
 	customer := w.random.Intn(3 * len(w.inForce.Plans))
 	if w.chance(0.05) {
-		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // it hardly comes again
+		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // a customer that hardly comes again
 	}
 	class := w.random.Intn(len(w.inForce.Classes))
 	given := w.inForce.Classes[class].Timeout
@@ -141,7 +141,7 @@
 	}
 }
 
-// send brings a request under a new number.
+// send sends a request under a new number.
 func (w *goldenWorld) send(r Request) {
 	w.latest++
 	r.ID = w.latest
@@ -153,7 +153,7 @@
 	w.record("admitted", r.ID, w.module.IsAdmitted(r.ID))
 }
 
-// open gives the first class and plan that take new requests.
+// open returns the first class and plan that take new requests.
 func (w *goldenWorld) open() (class, plan int) {
 	return slices.IndexFunc(w.inForce.Classes, func(l TrafficClass) bool { return !l.Retired }),
 		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
@@ -208,6 +208,6 @@
 func (w *goldenWorld) record(kind string, values ...any) {
 	w.calls[kind]++
 	if _, err := fmt.Fprintln(w.sum, append([]any{int64(w.now), kind}, values...)...); err != nil {
-		w.Fatal(err) // a hash gives none
+		w.Fatal(err) // a hash returns none
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -64,7 +64,7 @@
 	return world
 }
 
-// request brings a request and lets the counter answer.
+// request sends a request and lets the counter answer.
 func (h *harness) request(id uint32, class, plan int, units float64) {
 	h.send(Request{ID: id, Class: class, Plan: plan, Customer: uint64(plan), Units: units})
 	h.answerCounter()
@@ -82,14 +82,14 @@
 	}
 }
 
-// send brings a request; left out, it has the harness's gateways and two seconds.
+// send sends a request, by default through the harness's gateways and with two seconds.
 func (h *harness) send(r Request) {
 	r.GatewayCount = cmp.Or(r.GatewayCount, h.gatewayCount)
 	r.Deadline = cmp.Or(r.Deadline, h.now+2*time.Second)
 	h.gateway.HandleRequest(h.now, r)
 }
 
-// answer brings the final answer to a request's first attempt.
+// answer reports the final answer to a request's first attempt.
 func (h *harness) answer(id, server uint32, latency time.Duration) {
 	h.result(AttemptResult{RequestID: id, Server: server, Outcome: Answered, Latency: latency, Final: true})
 }
@@ -126,7 +126,7 @@
 	h.calls = nil
 }
 
-// finishAttempt brings the result of the latest attempt of a request.
+// finishAttempt reports the result of the latest attempt of a request.
 func (h *harness) finishAttempt(id uint32, o Outcome) {
 	number, server := -1, uint32(0)
 	for i := range h.attempts {
@@ -172,7 +172,7 @@
 	}
 }
 
-// attemptsOf is how many attempts a request had.
+// attemptsOf returns how many attempts a request had.
 func (h *harness) attemptsOf(id uint32) int {
 	n := 0
 	for _, p := range h.attempts {
@@ -183,7 +183,7 @@
 	return n
 }
 
-// attemptsTo is how many attempts went to a server after a time.
+// attemptsTo returns how many attempts went to a server after a time.
 func (h *harness) attemptsTo(server uint32, after time.Duration) int {
 	n := 0
 	for _, p := range h.attempts {
--- a/policy/host.go
+++ b/policy/host.go
@@ -30,7 +30,7 @@
 	Draining
 )
 
-// ListKind is what an endpoint list brings.
+// ListKind is what an endpoint list contains.
 type ListKind uint8
 
 // The kinds of list.
@@ -38,7 +38,7 @@
 	ListDelta  ListKind = iota // what has changed
 	ListFull                   // all endpoints: what it leaves out is removed
 	ListCached                 // all endpoints, as last held; it may be old
-	ListFailed                 // nothing: the earlier list stands
+	ListFailed                 // nothing: the earlier list remains valid
 )
 
 // Endpoint is a server as the endpoint list has it.
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// send brings a try to any gateway.
+// send sends a try to any gateway.
 func (f *quotaSimulation) send(who *quotaCustomer, units float64, tries int, ends time.Duration) {
 	if f.Now() >= ends {
 		return
@@ -137,7 +137,7 @@
 	})
 }
 
-// scheduleNext has a customer's next request come after a random while, and so on to the end.
+// scheduleNext schedules a customer's next request after a random span, and so on to the end.
 func (f *quotaSimulation) scheduleNext(who *quotaCustomer, end time.Duration) {
 	rate := who.demand * testSettings().Plans[1].Rate / 1.5
 	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
@@ -148,7 +148,8 @@
 	})
 }
 
-// run has customers with four sorts of demand, so many of each, send requests for a while.
+// run sends requests of customers with four levels of demand, each of so many customers, for a
+// span.
 func (f *quotaSimulation) run(t *testing.T, gateways, each int, lasts time.Duration) {
 	t.Helper()
 	f.Scheduler, f.counts, f.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
@@ -181,10 +182,10 @@
 	}
 }
 
-// The units forwarded beyond the true buckets, as a part of what these could give, stay under a bound
-// for customers that ask for twice and five times their quota, and under 0.05 for those that ask for
-// half of it and all. What remains is the lag, and, where calls are left out or the counter is lost,
-// what is admitted without a count (docs/fleet-quotas.md, "The bound" and "At a window's edge").
+// The units forwarded beyond the true buckets, as a part of what these could give, stay under a
+// bound for customers that ask for twice and five times their quota, and under 0.05 for those that
+// ask for half of it and all. What remains is the lag, and what is admitted without a count while
+// calls are left out or the counter is lost (docs/fleet-quotas.md).
 func TestQuota_holdsOverManyGateways(t *testing.T) {
 	overloaded := func(f *quotaSimulation) { f.counterRate = 100 }
 	lost := func(f *quotaSimulation) { // over one edge of each customer, or two
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -151,7 +151,7 @@
 	g.module.HandleEndpoints(g.Now(), kind, part)
 }
 
-// arrive brings a request, if one comes within the next moment, and looks again after it.
+// arrive sends a request, if one comes within the next moment, and schedules itself again.
 func (g *gateway) arrive() {
 	t, rate := g.Now()-time.Hour, steadyLoad*warmRate*float64(len(g.servers))/float64(len(g.gateways))
 	if g.load != nil {
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -27,7 +27,7 @@
 
 func TestSparse_windowStartsWithTheOverrunOfTheEarlier(t *testing.T) {
 	world := newSparseHarness(t)
-	world.request(1, 0, 1, 1) // so that the customer's windows are known
+	world.request(1, 0, 1, 1) // so that the customer has windows
 	world.finishAttempt(1, Answered)
 	customer := world.gateway.admission.customerList[0]
 	rest := customer.windowStart(customer.windowAt(world.now)+1) - world.now
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// What bounds each of these values, and what was measured, stands in docs/capacity.md.
+// docs/capacity.md has what bounds each of these values, and what was measured.
 
 // Quota windows: the spans over which the counter counts a customer's units, or its attempts in
 // flight.
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -18,7 +18,7 @@
 	return customer, at
 }
 
-// requestOfSmallPlan brings a request of a customer of the small plan.
+// requestOfSmallPlan sends a request of a customer of the small plan.
 func (h *harness) requestOfSmallPlan(id uint32, customerID uint64, units float64) {
 	h.send(Request{ID: id, Plan: 1, Customer: customerID, Units: units})
 	h.answerCounter()
@@ -61,8 +61,7 @@
 	h.countResult(CountResult{Name: c.name, Total: h.count[c.name], Latency: ms})
 }
 
-// What waits to be charged at an edge goes with the next call, in the later window, and with actual
-// units.
+// Charges that are pending at an edge go with the next call, in the later window, in actual units.
 func TestWindowEdge_pendingChargesCountOnceInTheLaterWindow(t *testing.T) {
 	for billed, want := range map[float64]float64{0: 5, 1: 1, 9: 9} {
 		world := newHarness(t, testSettings(), 2)
