--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -14,8 +14,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// An agent that fails four calls, and is back during the fourth, holds one more: its list is applied within the 5 s. With
-// pauses that grew to 8 s, and a wait for the decision module after each, it took 7 to 20 s where discovery is polled.
+// Guards against pauses that grow beyond the bound: an agent that fails four calls, is back during
+// the fourth and holds one more, has its list applied within maxUpdateDelay.
 func TestRun_listIsAppliedSoonAfterAnyRunOfFailures(t *testing.T) {
 	for name, fail := range agentFailures {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
@@ -44,39 +44,44 @@
 	}
 }
 
-// Calls begin at most 2 s apart however long the run of failures, and no two gateways pause alike.
+// Calls begin at most 2 s apart however long the run of failures, and the pauses of a run differ.
 func TestHandleFailure_pausesAreRandomAndBounded(t *testing.T) {
 	for _, row := range []struct {
-		err                error
-		isPolled, wasWatch bool
-		took               time.Duration // by a call
-		least, most        time.Duration // of the pause after it, once the run has lasted
-		perCall            time.Duration // a gateway calls no oftener
+		err         error
+		isPolled    bool
+		call        callKind
+		took        time.Duration // by a call
+		least, most time.Duration // of the pause after it, once the run has lasted
+		perCall     time.Duration // a gateway calls no oftener
 	}{
 		{
 			err: errTimeout, isPolled: true, took: listTimeout, least: minSilencePause, most: maxSilencePause,
 			perCall: 1600 * time.Millisecond,
 		},
-		{err: errRejected, isPolled: true, least: 600 * time.Millisecond, most: 2 * time.Second, perCall: 1200 * time.Millisecond},
+		{
+			err: errRejected, isPolled: true, least: 600 * time.Millisecond, most: 2 * time.Second,
+			perCall: 1200 * time.Millisecond,
+		},
 		{err: errRejected, least: 600 * time.Millisecond, most: 2 * time.Second, perCall: 1200 * time.Millisecond},
 		{
-			err: io.EOF, isPolled: true, wasWatch: true, least: 600 * time.Millisecond, most: 2 * time.Second,
+			err: io.EOF, isPolled: true, call: watchCall, least: 600 * time.Millisecond, most: 2 * time.Second,
 			perCall: 1200 * time.Millisecond,
 		},
 		{err: errTimeout, took: listTimeout, perCall: listTimeout},
 		{err: io.EOF, least: minPause, most: maxPause, perCall: 120 * time.Millisecond},
-		{err: errTimeout, wasWatch: true, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
-		{err: errTimeout, isPolled: true, wasWatch: true, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
+		{err: errTimeout, call: watchCall, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
+		{err: errTimeout, isPolled: true, call: watchCall, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
 	} {
-		t.Run(fmt.Sprintf("%v, polled %v, watch %v", row.err, row.isPolled, row.wasWatch), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v, polled %v, watch %v", row.err, row.isPolled, row.call == watchCall), func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
 			for range 3 {
-				s.handleFailure(row.err, row.wasWatch)
+				s.handleFailure(row.err, row.call)
 			}
-			seen, sum := map[time.Duration]bool{}, time.Duration(0)
+			seen := map[time.Duration]bool{}
+			sum := time.Duration(0)
 			const draws = 500
 			for range draws {
-				pause := s.handleFailure(row.err, row.wasWatch)
+				pause := s.handleFailure(row.err, row.call)
 				if pause < row.least || pause > row.most || row.took+pause > 2*time.Second {
 					t.Fatalf("pauses %v", pause)
 				}
@@ -93,24 +98,25 @@
 	}
 }
 
-// The first pauses after calls that failed at once are shorter, and a watch that is answered brings them back.
+// The first pauses after calls that failed at once are shorter, and an answered watch restores
+// them.
 func TestHandleList_answeredWatchResetsBackoff(t *testing.T) {
 	s := newIdleSession(t, true)
 	for range 5 {
-		s.handleFailure(io.EOF, true)
+		s.handleFailure(io.EOF, watchCall)
 	}
-	s.handleList(t.Context(), &endpointList{version: 1, isFull: true}, false, 0)
+	s.handleList(t.Context(), &endpointList{version: 1, isFull: true}, fullListCall, 0)
 	if pause := s.retry.NextBackOff(); pause < 600*time.Millisecond {
 		t.Errorf("a full list ended the run: a pause of %v", pause)
 	}
-	s.handleList(t.Context(), &endpointList{version: 1}, true, time.Second)
-	if pause := s.handleFailure(io.EOF, true); pause > firstBackoff*3/2 {
+	s.handleList(t.Context(), &endpointList{version: 1}, watchCall, time.Second)
+	if pause := s.handleFailure(io.EOF, watchCall); pause > firstBackoff*3/2 {
 		t.Errorf("a pause of %v", pause)
 	}
 }
 
-// The first failure of a run is followed by a call at once where the agent is notified, and anywhere by one that finds
-// another version; further ones are not.
+// The first failure of a run is followed by a call at once where the agent is notified, and in both
+// modes by one that finds another version; further failures are not.
 func TestHandleFailure_firstFailureIsRetriedAtOnce(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -124,14 +130,17 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
-			if first, second := s.handleFailure(row.err, true), s.handleFailure(row.err, true); first != 0 || second < row.second {
+			first := s.handleFailure(row.err, watchCall)
+			second := s.handleFailure(row.err, watchCall)
+			if first != 0 || second < row.second {
 				t.Errorf("pauses of %v, %v", first, second)
 			}
 		})
 	}
 }
 
-// A watch that is answered at once without a change is not begun again without a pause, but soon enough to go on.
+// A watch that is answered at once without a change is begun again after a pause, which is short
+// enough to continue it.
 func TestWatch_agentThatDoesNotWaitIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, calls := listThenAgent(t, func(connection int, conn net.Conn) {
@@ -150,8 +159,8 @@
 	})
 }
 
-// rejectingAgent rejects a number of calls, as an overbooked discovery does, and gives its list to later ones; it counts
-// the calls.
+// rejectingAgent rejects a number of calls, as an overbooked discovery does, and gives its list to
+// later ones; it counts the calls.
 func rejectingAgent(t *testing.T, rejected int64) (string, *atomic.Int64) {
 	t.Helper()
 	calls := &atomic.Int64{}
@@ -165,9 +174,8 @@
 	return addr, calls
 }
 
-// Forty gateways that started together against a discovery that rejects them all: calling every half a second, at one
-// moment, they kept it overbooked (eight calls each in four seconds, sixteen with a timer that was set twice). With
-// backoff they make four or five.
+// Guards against gateways that start together and keep discovery overbooked by calling again at
+// once.
 func TestRun_rejectedFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 4 * time.Second
@@ -182,7 +190,7 @@
 	})
 }
 
-// Backoff does not delay the list for long once discovery answers again.
+// Backoff delays the list by a bounded time once discovery answers again.
 func TestRun_listIsReadOnceDiscoveryAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, _ := rejectingAgent(t, 2)
--- a/internal/gateway/discovery/connection.go
+++ b/internal/gateway/discovery/connection.go
@@ -25,10 +25,10 @@
 // dialer is net.Dialer.DialContext.
 type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// connection is one connection to an agent, and is never dialed twice. net/http sends a call once more by itself if a
-// persistent connection ends as the call begins; a watch sent so from our version to an agent that restarted, in a lower
-// one, would be held, or answered that nothing changed. Cost: an agent that ends its connections without saying so is asked
-// for full lists alone. One that does say so is dialed again, and found out by its version.
+// connection is one connection to an agent, which is dialed again only where the agent announced
+// its end. net/http repeats a call on a new connection if a persistent one ends as the call begins:
+// an agent that restarted in a lower version would hold such a watch, or answer that nothing
+// changed.
 type connection struct {
 	http.Client
 	hasDialed atomic.Bool
@@ -44,14 +44,15 @@
 	}
 	c.Transport = &http.Transport{MaxConnsPerHost: 1, DialContext: dialOnce}
 	c.CheckRedirect = func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // nobody but the agent gives lists: a redirect counts as rejected
+		return http.ErrUseLastResponse // only the agent gives lists: a redirect counts as rejected
 	}
 	return c
 }
 
 func (c *connection) close() { c.CloseIdleConnections() }
 
-// get calls once; the timeout bounds the call with its whole answer. A call that fails has lost its connection too.
+// get calls once; the timeout bounds the call with its whole answer. A call that fails has lost its
+// connection too. Errors wrap errTimeout, errRejected or errTooLong, or are of the network.
 func (c *connection) get(ctx context.Context, url string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -10,8 +10,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// emptiedAgent gives s-1 in version 8, and a full list in its place to the first watch. From then on it holds watches; its
-// next full list waits for release and is answered by a function, and later ones by another.
+// emptiedAgent gives s-1 in version 8, and a full list in its place to the first watch. From then
+// on it holds watches; its next full list waits for release, is written by second, and the ones
+// after by later.
 func emptiedAgent(t *testing.T, empty string, second, later func(net.Conn)) (
 	addr string, calls chan agentCall, release chan bool,
 ) {
@@ -38,8 +39,8 @@
 	return addr, calls, release
 }
 
-// A full list with no server, where there were some, is of an agent that lost its list, or the truth. It is applied once a
-// second call, on a new connection, gives the same; until then the last list stands, and one that names servers wins.
+// An empty full list, where there were servers, is applied once a call on a new connection gives
+// the same; until then the last list is in force, and one that names servers replaces it.
 func TestRun_emptyFullListIsAppliedOnceConfirmed(t *testing.T) {
 	removed := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
 	none, some := answering(fullList(9)), answering(fullList(9, "s-2"))
@@ -79,7 +80,8 @@
 	}
 }
 
-// Changes that leave no server are changes like others. So is an empty list where there was no server before.
+// Changes that leave no server need no confirmation, nor does an empty list where there was no
+// server.
 func TestRun_deltaThatLeavesNoServerIsAppliedAtOnce(t *testing.T) {
 	discovery := fakes.NewDiscovery(t, readyHost("s-1"))
 	w := startWatcher(t, discovery.Addr, options{})
@@ -97,7 +99,7 @@
 	w.wantLogged("", 0)
 }
 
-// A gateway is ready by a list of discovery that is applied: an empty one, with servers of an earlier run, is none yet.
+// A gateway is ready once a list of discovery is applied, which an unconfirmed empty one is not.
 func TestFirstList_isClosedByAnAppliedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
--- a/internal/gateway/discovery/fixture_test.go
+++ b/internal/gateway/discovery/fixture_test.go
@@ -19,8 +19,8 @@
 	maxUpdateDelay = 5 * time.Second // from when an agent could give its list to when it is applied
 )
 
-// agentCall is a call that came to an agent: when, on which of its connections, as which call there, and as which of all,
-// each from 1.
+// agentCall is a call that came to an agent: when, on which connection, as which call there and as
+// which of all calls, each from 1.
 type agentCall struct {
 	at                               time.Time
 	connection, onConnection, number int
@@ -39,7 +39,9 @@
 }
 
 // scriptedAgent stands in for an agent at a listener; a function answers each call.
-func scriptedAgent(listener net.Listener, respond func(call agentCall, conn net.Conn)) (addr string, calls chan agentCall) {
+func scriptedAgent(
+	listener net.Listener, respond func(call agentCall, conn net.Conn),
+) (addr string, calls chan agentCall) {
 	calls = make(chan agentCall, 1000)
 	var mu sync.Mutex
 	total := 0
@@ -71,8 +73,8 @@
 	return listener.Addr().String(), calls
 }
 
-// listThenAgent answers the first call on each connection with the full list, in the version of the connection's number, and
-// later ones by a function.
+// listThenAgent answers the first call on each connection with the full list, in the version of the
+// connection's number, and later ones by a function.
 func listThenAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
 	return scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -154,7 +156,9 @@
 
 // agentFailures are the ways in which a call to an agent fails.
 var agentFailures = map[string]func(net.Conn){
-	"silence": holdOpen, "reset": resetConnection, "trickle": trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
+	"silence": holdOpen,
+	"reset":   resetConnection,
+	"trickle": trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
 	"503": func(conn net.Conn) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	},
--- a/internal/gateway/discovery/fuzz_test.go
+++ b/internal/gateway/discovery/fuzz_test.go
@@ -8,17 +8,20 @@
 	"harrierhoist/policy"
 )
 
-// FuzzDecode reads any answer: it must not panic, and the figures of what it reads as a list must be finite and in range.
+// FuzzDecode reads any answer: it must not panic, and the figures of what it reads as a list must
+// be finite and in range.
 func FuzzDecode(f *testing.F) {
 	one, two := fakes.FormatHost("s-1", "10.1.0.18:6379", "in_service"), fakes.FormatHost("s-2", "x", "terminating")
 	for _, text := range []string{
 		fakes.FormatList(41, true, one, two), fakes.FormatList(43, false, fakes.FormatHost("s-2", "x", "terminated")),
 		fakes.FormatList(1, true),
-		"", "null", "{}", "[]", "{", `{"hosts":null}`, `{"hosts":[null]}`, `{"hosts":[{}]}`, `{"seq":1.5}`, `{"seq":-1,"whole":true}`,
+		"", "null", "{}", "[]", "{", `{"hosts":null}`, `{"hosts":[null]}`, `{"hosts":[{}]}`, `{"seq":1.5}`,
+		`{"seq":-1,"whole":true}`,
 		`{"seq":99999999999999999999}`, "{\n \"seq\": 41,\r\n\t\"hosts\": [ " + one + " ]\n}\n", `{"SEQ":7,"seq":8}`,
 		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":-1}]}`,
 		`{"hosts":[{"host":"s","dial":"x","health":"in_service","born_ms":1796126169357,"block":-1}]}`,
-		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":1e400}]}`, `{"hosts":[{"host":"","dial":"","health":"x"}]}`,
+		`{"hosts":[{"host":"s","dial":"x","health":"in_service","share":1e400}]}`,
+		`{"hosts":[{"host":"","dial":"","health":"x"}]}`,
 	} {
 		f.Add([]byte(text))
 	}
@@ -33,7 +36,8 @@
 		}
 		for _, s := range received.servers {
 			// A capacity that is not above 0 counts as none.
-			if at := s.Endpoint; math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(d.zones) ||
+			at := s.Endpoint
+			if math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(d.zones) ||
 				at.Hardware < 0 || at.Hardware >= len(d.hardware) || at.State > policy.Draining {
 				t.Fatalf("%q: %+v", body, at)
 			}
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -28,8 +28,8 @@
 }
 
 // fullEntry is an entry with every key, and fullServer what it is read as.
-const fullEntry = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,"health":"in_service",` +
-	`"share":0.75,"born_ms":1796126169357.5}`
+const fullEntry = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,` +
+	`"health":"in_service","share":0.75,"born_ms":1796126169357.5}`
 
 var fullServer = dispatch.Server{Name: "s-1", Address: "10.1.0.18:6379", Endpoint: policy.Endpoint{
 	State: policy.Ready, Capacity: 0.75, StartedAt: 1796126169357500 * time.Microsecond, Rack: 3, Zone: 1, Hardware: 2,
@@ -48,15 +48,27 @@
 		[]dispatch.Server{fullServer},
 		false,
 	},
-	{"changes", `{"seq":42,"whole":false,"hosts":[` + fullEntry + `]}`, 42, false, []dispatch.Server{fullServer}, false},
+	{
+		"changes", `{"seq":42,"whole":false,"hosts":[` + fullEntry + `]}`, 42, false,
+		[]dispatch.Server{fullServer},
+		false,
+	},
 	{"no entries", `{"seq":1,"whole":true,"hosts":[]}`, 1, true, nil, true},
 	{"null for entries", `{"seq":1,"whole":false,"hosts":null}`, 1, false, nil, true},
 	{"a version below 0", `{"seq":-9,"whole":false,"hosts":[]}`, -9, false, nil, true},
-	{"a version of 63 bits", `{"seq":9223372036854775807,"whole":true,"hosts":[]}`, 9223372036854775807, true, nil, true},
+	{
+		"a version of 63 bits", `{"seq":9223372036854775807,"whole":true,"hosts":[]}`,
+		9223372036854775807, true, nil, true,
+	},
 	{"indented, keys in another order", "\n{ \"hosts\" : [\r\n\t" + strings.ReplaceAll(fullEntry, ",", " ,\n ") +
 		" ],\n \"whole\": true, \"seq\": 3 }\n\n", 3, true, []dispatch.Server{fullServer}, false},
-	{"keys in capitals", strings.NewReplacer(`"host"`, `"HOST"`, `"dial"`, `"Dial"`, `"born_ms"`, `"BORN_MS"`, `"site"`,
-		`"Site"`).Replace(`{"SEQ":3,"Whole":true,"HOSTS":[` + fullEntry + `]}`), 3, true, []dispatch.Server{fullServer}, false},
+	{
+		"keys in capitals", strings.NewReplacer(`"host"`, `"HOST"`, `"dial"`, `"Dial"`, `"born_ms"`, `"BORN_MS"`,
+			`"site"`, `"Site"`).Replace(`{"SEQ":3,"Whole":true,"HOSTS":[` + fullEntry + `]}`),
+		3, true,
+		[]dispatch.Server{fullServer},
+		false,
+	},
 	{
 		"unknown keys", `{"seq":3,"whole":true,"hosts":[` +
 			strings.Replace(fullEntry, "{", `{"more":[{"host":"x"}],`, 1) + `],"more":{}}`,
@@ -75,7 +87,8 @@
 	{
 		"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
-			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},{"host":"f","dial":""}]}`, 3, true,
+			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},` +
+			`{"host":"f","dial":""}]}`, 3, true,
 		[]dispatch.Server{
 			listed("a", "x", policy.Ready), listed("b", "x", policy.Draining), listed("c", "x", policy.Removed),
 			listed("d", "x", policy.Removed), listed("e", "x", policy.Removed), listed("f", "", policy.Removed),
@@ -103,11 +116,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if received.version != form.version || received.isFull != form.isFull || received.isEmpty() != form.isEmpty ||
-				!reflect.DeepEqual(received.servers, form.servers) {
+			hasSameHead := received.version == form.version && received.isFull == form.isFull
+			hasSameServers := received.isEmpty() == form.isEmpty && reflect.DeepEqual(received.servers, form.servers)
+			if !hasSameHead || !hasSameServers {
 				t.Errorf("got  %+v\nwant %+v", received, form)
 			}
-			if known, err := d.decodeKnown([]byte(form.body)); err != nil || !reflect.DeepEqual(known.servers, form.servers) {
+			known, err := d.decodeKnown([]byte(form.body))
+			if err != nil || !reflect.DeepEqual(known.servers, form.servers) {
 				t.Errorf("as the list of an earlier run: %+v, %v", known, err)
 			}
 		})
@@ -117,14 +132,18 @@
 func TestGolden_malformedKnownListIsRefusedAsBefore(t *testing.T) {
 	const (
 		list  = "configuration: known: an answer that is no list: json: cannot unmarshal "
-		hosts = "struct { Host string; Dial string; Site string; Class string; Health string; Block int; Share float64; " +
-			"BornMs float64 \"json:\\\"born_ms\\\"\" }"
+		hosts = "struct { Host string; Dial string; Site string; Class string; Health string; Block int; " +
+			"Share float64; BornMs float64 \"json:\\\"born_ms\\\"\" }"
 	)
 	for _, row := range []struct{ name, known, want string }{
-		{"a host that is a number", `{"hosts":[{"host":7}]}`, list + "number into Go struct field .Host of type string"},
+		{"a host that is a number", `{"hosts":[{"host":7}]}`, list +
+			"number into Go struct field .Host of type string"},
 		{"an entry that is a number", `{"hosts":[7]}`, list + "number into Go value of type " + hosts},
 		{"hosts by name", `{"hosts":{"a":7}}`, list + "object into Go value of type []" + hosts},
-		{"an array", `[]`, "configuration: known: json: cannot unmarshal array into Go value of type struct { Hosts json.RawMessage }"},
+		{
+			"an array", `[]`,
+			"configuration: known: json: cannot unmarshal array into Go value of type struct { Hosts json.RawMessage }",
+		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			dispatcher := newDispatcher(t, forwardingSettings(), zap.NewNop())
@@ -172,9 +191,9 @@
 	})
 }
 
-// recorded is what a watcher of a seed calls in 40 s of a virtual clock: when, in seconds from its start, on which
-// connection, as which call there, and for what. Discovery answers by the number of the call: with its list, without a
-// change, not at all, or with the end of the connection; 503 is not among them, as the pauses after it are not of the seed.
+// recorded gives what a watcher of a seed calls in 40 s of a virtual clock: seconds from its start,
+// connection, number of the call there, and query. The agent answers by the number of the call. It
+// never rejects one: the pauses after a rejection are not drawn from the seed.
 func recorded(t *testing.T, isPolled bool, seed int64) (lines []string) {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(time.Second) }) // calls that are being answered end
@@ -182,8 +201,8 @@
 	begun := time.Now()
 	addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 		mu.Lock()
-		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", call.at.Sub(begun).Seconds(), call.connection, call.onConnection,
-			cmp.Or(call.query, "full list")))
+		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", call.at.Sub(begun).Seconds(), call.connection,
+			call.onConnection, cmp.Or(call.query, "full list")))
 		mu.Unlock()
 		switch {
 		case call.number%9 == 5 || call.number > 30 && call.number%3 == 0:
--- a/internal/gateway/discovery/known_test.go
+++ b/internal/gateway/discovery/known_test.go
@@ -8,14 +8,16 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Where discovery is polled, a gateway that starts with a list of an earlier run asks for what changed since, which takes one
-// turn of an overbooked discovery where the full list and a watch would take two. A notified agent is asked for its full list.
+// Where discovery is polled, a gateway that starts with a list of an earlier run watches from its
+// version, which takes one turn of an overbooked discovery. A notified agent is asked for its full
+// list.
 func TestRun_startsFromTheKnownVersion(t *testing.T) {
 	runVirtualInEachMode(t, "known", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 			switch {
 			case call.number == 1 && call.isWatch():
-				writeAnswer(conn, fakes.FormatList(8, false, fakes.FormatHost("s-1", "x", "terminating"), readyHost("s-2")))
+				drain := fakes.FormatHost("s-1", "x", "terminating")
+				writeAnswer(conn, fakes.FormatList(8, false, drain, readyHost("s-2")))
 			case call.isWatch():
 				holdOpen(conn)
 			default:
@@ -34,8 +36,8 @@
 	})
 }
 
-// What a gateway knows may be of another incarnation of the agent, which is in a lower version: its full list follows, and a list
-// without a version, or of another address, is not gone on from.
+// The list of an earlier run may be of another incarnation of the agent, in a higher version: the
+// full list is requested then, as it is where that list has no version or is of another address.
 func TestRun_knownVersionOfAnotherAgentIsNotUsed(t *testing.T) {
 	runVirtual(t, "in a lower version", func(t *testing.T) {
 		addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -22,14 +22,25 @@
 
 // isEmpty tells whether the list leaves no server.
 func (l *endpointList) isEmpty() bool {
-	return !slices.ContainsFunc(l.servers, func(server dispatch.Server) bool { return server.Endpoint.State != policy.Removed })
+	return !slices.ContainsFunc(l.servers, func(server dispatch.Server) bool {
+		return server.Endpoint.State != policy.Removed
+	})
 }
 
-// decoder reads lists. Zones and kinds of hardware are numbered by their index; unknown names count as the first.
+// follows reports whether the list can come after a version. A full list can always; changes can
+// where their version is later, or the same without any entry.
+func (l *endpointList) follows(version int64) bool {
+	isNewer := l.version > version
+	isUnchanged := l.version == version && len(l.servers) == 0
+	return l.isFull || isNewer || isUnchanged
+}
+
+// decoder reads lists. Zones and kinds of hardware are numbered by their index; unknown names count
+// as the first.
 type decoder struct{ zones, hardware []string }
 
-// entry is the layout of an endpoint in a list. It is an alias without tags, as a refusal's text prints the type of what
-// cannot be decoded: a name or a tag would change the operators' lines.
+// entry is the layout of an endpoint in a list. It is an alias without tags, as the text of a
+// refusal prints the type of what cannot be decoded: a name or a tag would change it.
 type entry = struct {
 	Host, Dial, Site, Class, Health string
 
@@ -38,8 +49,8 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// decodeAnswer reads an answer. One malformed entry makes it malformed as a whole: what an answer mixed up says of other
-// servers is no better, and a part of a full list would take the rest for gone.
+// decodeAnswer reads an answer. One malformed entry makes it malformed as a whole: its other
+// entries are no more reliable, and a full list without one would take a server for removed.
 func (d *decoder) decodeAnswer(body []byte) (*endpointList, error) {
 	var answer struct {
 		Seq   *int64
@@ -64,7 +75,8 @@
 	return &endpointList{version: *answer.Seq, isFull: *answer.Whole, servers: servers}, nil
 }
 
-// decodeKnown reads the list of an earlier run, which comes with the configuration and may have no version.
+// decodeKnown reads the list of an earlier run, which comes with the configuration and may have no
+// version.
 func (d *decoder) decodeKnown(text []byte) (*endpointList, error) {
 	var known struct{ Hosts json.RawMessage }
 	if err := json.Unmarshal(text, &known); err != nil {
@@ -89,8 +101,8 @@
 	return *known.Seq
 }
 
-// decodeEntries reads the entries of a list. A server in an unknown state counts as gone: nothing is sent to it. Of two
-// entries with one name the later stands.
+// decodeEntries reads the entries of a list. A server in an unknown state counts as removed:
+// nothing is sent to it. Of two entries with one name the later counts.
 func (d *decoder) decodeEntries(hosts []byte) ([]dispatch.Server, error) {
 	var entries []entry
 	if err := json.Unmarshal(hosts, &entries); err != nil {
@@ -98,10 +110,18 @@
 	}
 	var servers []dispatch.Server
 	for _, e := range entries {
-		servers = append(servers, dispatch.Server{Name: e.Host, Address: e.Dial, Endpoint: policy.Endpoint{
-			State: stateOf(e.Health), Capacity: e.Share, StartedAt: config.Milliseconds(e.BornMs), Rack: e.Block,
-			Zone: max(slices.Index(d.zones, e.Site), 0), Hardware: max(slices.Index(d.hardware, e.Class), 0),
-		}})
+		servers = append(servers, dispatch.Server{
+			Name:    e.Host,
+			Address: e.Dial,
+			Endpoint: policy.Endpoint{
+				State:     stateOf(e.Health),
+				Capacity:  e.Share,
+				StartedAt: config.Milliseconds(e.BornMs),
+				Rack:      e.Block,
+				Zone:      max(slices.Index(d.zones, e.Site), 0),
+				Hardware:  max(slices.Index(d.hardware, e.Class), 0),
+			},
+		})
 	}
 	return servers, nil
 }
--- a/internal/gateway/discovery/list_test.go
+++ b/internal/gateway/discovery/list_test.go
@@ -11,7 +11,8 @@
 
 func TestDecodeAnswer_readsEntries(t *testing.T) {
 	d := &decoder{zones: []string{"a", "hall-a"}, hardware: []string{"m1", "m2"}}
-	received, err := d.decodeAnswer([]byte(fakes.FormatList(41, true, fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
+	received, err := d.decodeAnswer([]byte(fakes.FormatList(41, true,
+		fakes.FormatHost("s-1", "1.2.3.4:5", "in_service"),
 		fakes.FormatHost("s-2", "x", "terminating"), fakes.FormatHost("s-3", "x", "terminated"),
 		strings.Replace(fakes.FormatHost("s-4", "x", "in_service"), `"born_ms":0`, `"born_ms":1796126169357`, 1))))
 	if err != nil || received.version != 41 || !received.isFull || len(received.servers) != 4 {
@@ -61,8 +62,8 @@
 	}
 }
 
-// A server that was removed needs no address; one in an unknown state gets nothing; the later of two entries with one name
-// stands.
+// A removed server needs no address, one in an unknown state gets nothing, and the later of two
+// entries with one name counts.
 func TestDecodeAnswer_unusualEntries(t *testing.T) {
 	t.Parallel()
 	w := newWatcher(t, "127.0.0.1:1", options{})
@@ -70,10 +71,22 @@
 		name, body, after string
 		isEmpty           bool
 	}{
-		{"removed, no address", fakes.FormatList(1, true, readyHost("s-1"), fakes.FormatHost("s-2", "", "terminated")), "s-1", false},
-		{"an unknown state", fakes.FormatList(2, true, fakes.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false},
-		{"ready, then draining", fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false},
-		{"draining, then up", fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false},
+		{
+			"removed, no address",
+			fakes.FormatList(1, true, readyHost("s-1"), fakes.FormatHost("s-2", "", "terminated")), "s-1", false,
+		},
+		{
+			"an unknown state",
+			fakes.FormatList(2, true, fakes.FormatHost("s-1", "x", "warming_up"), readyHost("s-2")), "s-2", false,
+		},
+		{
+			"ready, then draining",
+			fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false,
+		},
+		{
+			"draining, then up",
+			fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false,
+		},
 		{"no state", fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
 		{"null", `{"seq":6,"whole":false,"hosts":null}`, "", true},
 	} {
@@ -88,13 +101,14 @@
 	if w.apply(t.Context(), none); w.wouldEmpty(none) {
 		t.Error("no server is left, and one could be lost")
 	}
-	received, err := w.decoder.decodeAnswer([]byte(fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up"))))
+	body := fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up"))
+	received, err := w.decoder.decodeAnswer([]byte(body))
 	if err != nil || received.servers[0].Endpoint.State != policy.Removed {
 		t.Errorf("got %+v, %v", received, err)
 	}
 }
 
-// The list of an earlier run may be of another program, and is read as far as it has entries.
+// The list of an earlier run may be of another program: only its entries are needed.
 func TestDecodeKnown_needsNoVersion(t *testing.T) {
 	d := &decoder{}
 	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + readyHost("s-1") + `]}`: 1} {
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -11,7 +11,8 @@
 	"harrierhoist/policy"
 )
 
-// The last list stands, one line is logged, and the full list is requested on a new connection, within the 3 s.
+// After a malformed answer the last list is in force, one line is logged, and the full list is
+// requested on a new connection within maxSilence.
 func TestWatch_malformedAnswerIsIgnored(t *testing.T) {
 	part := fullList(9, "s-2")[:60]
 	for name, respond := range map[string]func(net.Conn){
@@ -37,10 +38,12 @@
 	}
 }
 
-// A discovery whose answers are malformed: the last list stands, and one line is logged however many they are.
+// While all answers are malformed the last list is in force, and one line is logged.
 func TestRun_malformedListKeepsTheLastAndWarnsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		addr, _ := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { writeAnswer(conn, `{"seq":1,"hosts":7}`) })
+		addr, _ := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
+			writeAnswer(conn, `{"seq":1,"hosts":7}`)
+		})
 		w := startWatcher(t, addr, options{known: fullList(1, "s-1")})
 		time.Sleep(1500 * time.Millisecond) // several calls
 		w.wantServer("after several calls", "s-1")
--- a/internal/gateway/discovery/overbooked_test.go
+++ b/internal/gateway/discovery/overbooked_test.go
@@ -13,11 +13,11 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// overbookedAgent takes a call each turn, and rejects what would wait for its turn longer than its timeout: 2 s, or what
-// a watch says. A call that is given up uses its turn.
+// overbookedAgent takes a call each turn, and rejects what would wait for its turn longer than its
+// timeout: 2 s, or what a watch says. A call that is given up uses its turn.
 type overbookedAgent struct {
 	turn         time.Duration
-	keepsWatches bool          // a watch that goes on within continuationTime takes no turn, and no call waits for over 2 s
+	keepsWatches bool          // a continued watch takes no turn, and no call waits for over 2 s
 	changed      chan struct{} // closed with version 2, in which s-2 replaces s-1
 
 	mu       sync.Mutex
@@ -103,18 +103,38 @@
 	}
 }
 
-// Where discovery is polled, six gateways that start together overbook it for a while. With calls given up after a second,
-// and watches of 1.2 to 1.5 s, they went on overbooking it: some had no list for 20 s.
+// startFleet starts a number of watchers that poll one agent, with seeds from 1.
+func startFleet(t *testing.T, addr string, gateways int) []*watched {
+	t.Helper()
+	var watchers []*watched
+	for i := range gateways {
+		with := options{isPolled: true, known: fullList(1, "s-1"), seed: int64(i) + 1}
+		watchers = append(watchers, startWatcher(t, addr, with))
+	}
+	return watchers
+}
+
+// discardCalls takes calls until the test ends: more come than the channel holds.
+func discardCalls(t *testing.T, calls chan agentCall) {
+	t.Helper()
+	for {
+		select {
+		case <-calls:
+		case <-t.Context().Done():
+			return
+		}
+	}
+}
+
+// Guards against gateways that overbook a polled discovery by giving up calls that wait for their
+// turn.
 func TestRun_overbookedDiscoveryIsReadByAll(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
 			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
 			agent := newOverbookedAgent(300*time.Millisecond, false)
 			addr, _ := scriptedAgent(listen(t), agent.handle)
-			var watchers []*watched
-			for seed := range int64(6) {
-				watchers = append(watchers, startWatcher(t, addr, options{isPolled: true, known: fullList(1, "s-1"), seed: seed + 1}))
-			}
+			watchers := startFleet(t, addr, 6)
 			time.Sleep(after)
 			close(agent.changed)
 			time.Sleep(6 * time.Second)
@@ -126,28 +146,17 @@
 	}
 }
 
-// A discovery takes one call of each gateway in 8 s, and all start at one moment. Once each has had its turn, a change is
-// applied by all within 6 s, in fleets of any size: a watch that is rejected is begun again from its version, and goes on from
-// then on. With full lists requested in its place, each gateway took two turns, and some got none.
+// Guards against rejected watches that take two turns. Discovery takes one call of each gateway in
+// 8 s, and all start at one moment; a change after that is applied by all within 6 s, in fleets of
+// any size.
 func TestRun_rejectedWatchesOfAFleetTakeTurns(t *testing.T) {
 	for _, gateways := range []int{3, 12, 32, 300} {
 		runVirtual(t, strconv.Itoa(gateways)+" gateways", func(t *testing.T) {
 			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
 			agent := newOverbookedAgent(8*time.Second/time.Duration(gateways), true)
 			addr, calls := scriptedAgent(listen(t), agent.handle)
-			go func() {
-				for { // more calls come than the channel holds
-					select {
-					case <-calls:
-					case <-t.Context().Done():
-						return
-					}
-				}
-			}()
-			var watchers []*watched
-			for seed := range gateways {
-				watchers = append(watchers, startWatcher(t, addr, options{isPolled: true, known: fullList(1, "s-1"), seed: int64(seed) + 1}))
-			}
+			go discardCalls(t, calls)
+			watchers := startFleet(t, addr, gateways)
 			time.Sleep(14 * time.Second)
 			close(agent.changed)
 			time.Sleep(6 * time.Second)
@@ -165,8 +174,8 @@
 	}
 }
 
-// A rejected watch is begun again from its version, and soon: where discovery is polled, a gateway that does not ask for longer
-// counts as told at once. A rejected call for the full list is followed by another one.
+// A rejected call is repeated as it was: a watch from its version, and within maxRejectedPause
+// where discovery is polled; a call for the full list as another one.
 func TestRun_rejectedCallIsRepeatedAsItWas(t *testing.T) {
 	runVirtualInEachMode(t, "rejected", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -22,6 +22,14 @@
 	err        error
 }
 
+func newParallelCalls(
+	ctx context.Context, fetch func(context.Context, *connection) (*endpointList, error), limit int,
+) *parallelCalls {
+	p := &parallelCalls{fetch: fetch, answers: make(chan fullAnswer, limit)}
+	p.ctx, p.cancel = context.WithCancel(ctx)
+	return p
+}
+
 func (p *parallelCalls) start(c *connection) {
 	p.running.Go(func() {
 		list, err := p.fetch(p.ctx, c)
@@ -29,7 +37,8 @@
 	})
 }
 
-// stop ends the calls that are out, and closes all connections but those of answers that were taken.
+// stop ends the calls that are out, and closes all connections but those of answers that were
+// taken.
 func (p *parallelCalls) stop() {
 	p.cancel()
 	p.running.Wait()
@@ -39,32 +48,33 @@
 	}
 }
 
-// fetchFull requests the full list, always on a new connection. Further calls begin in parallel to one that is not answered,
-// and the first good answer ends them all. This guards against an agent that is back from an outage while our call from
-// before is still out, and, where discovery is polled, against giving up a call that waits for its turn at a discovery that
-// is overbooked: the turn is used all the same, what it answers a moment later counts as known, and calls given up so by
-// all gateways would go on overbooking it.
+// fetchFull requests the full list, always on a new connection. Further calls begin in parallel to
+// one that is not answered, and the first good answer ends them all: an agent may be back from an
+// outage that holds an earlier call, and one given up would lose its turn at an overbooked
+// discovery.
 func (s *session) fetchFull(ctx context.Context) (*endpointList, error) {
 	s.connection.close()
 	s.connection = newConnection(s.watcher.dial)
-	limit := int(s.timing.listTimeout / s.timing.minStagger)
-	calls := &parallelCalls{fetch: s.fetchFullOn, answers: make(chan fullAnswer, limit)}
-	calls.ctx, calls.cancel = context.WithCancel(ctx)
+	limit := s.timing.maxCalls()
+	calls := newParallelCalls(ctx, s.fetchFullOn, limit)
 	defer calls.stop()
 	calls.start(s.connection)
 	next := time.NewTimer(s.stagger())
 	defer next.Stop()
-	for begun, pending := 1, 1; ; {
+	begun := 1
+	pending := 1
+	for {
 		select {
 		case <-next.C:
-			if begun++; begun < limit {
+			begun++
+			if begun < limit {
 				next.Reset(s.stagger())
 			}
 			pending++
 			calls.start(newConnection(s.watcher.dial))
 		case answer := <-calls.answers:
 			pending--
-			// Where the agent is notified it answers at once: a failure of the first call ends the others, which began later.
+			// A notified agent answers at once: a failure of the first call ends the others.
 			isDecisive := !s.agent.isPolled && answer.connection == s.connection
 			if answer.err == nil || pending == 0 || isDecisive {
 				s.connection = answer.connection
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -10,8 +10,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// A call that the agent was answering as it fell silent does not delay us once it is back: another begins in parallel, and
-// ends it with its answer.
+// Guards against a list delayed by a call that the agent was answering as it fell silent: another
+// begins in parallel, and ends it with its answer.
 func TestFetchFull_parallelCallBesideAHeldOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan bool)
@@ -63,7 +63,7 @@
 	})
 }
 
-// A parallel call whose answer is malformed had its connection left open for good, with its descriptor.
+// Guards against a connection left open by a parallel call whose answer is malformed.
 func TestFetchFull_failedParallelCallHasItsConnectionClosed(t *testing.T) {
 	listener, ended := fakes.Listen(t), make(chan struct{})
 	addr, calls := scriptedAgent(listener, func(call agentCall, conn net.Conn) {
@@ -87,7 +87,8 @@
 	})
 }
 
-// Dials that hang delay none that would not: an agent that accepts connections again is read as soon as after silence.
+// Guards against dials that hang and delay the ones after them: an agent that accepts connections
+// again is read as soon as after silence.
 func TestRun_hangingDialIsGivenUp(t *testing.T) {
 	runVirtualInEachMode(t, "unreachable for six seconds", func(t *testing.T, isPolled bool) {
 		listener := listen(t)
--- a/internal/gateway/discovery/pipe_test.go
+++ b/internal/gateway/discovery/pipe_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// pipeListener is a listener within the process, for tests on a virtual clock, which stands still while any goroutine can
-// run: the order of events and their times are the same on a busy machine. Its connections end without resets.
+// pipeListener is a listener within the process, for tests on a virtual clock, which stops while
+// any goroutine can run: events keep their order and times on a busy machine. Connections end
+// without resets.
 type pipeListener struct {
 	addr   string
 	conns  chan net.Conn
@@ -63,11 +64,11 @@
 
 // dialPipe connects to a pipeListener, or over sockets.
 func dialPipe(ctx context.Context, network, addr string) (net.Conn, error) {
-	found, ok := pipeListeners.Load(addr)
+	found, _ := pipeListeners.Load(addr)
+	l, ok := found.(*pipeListener)
 	if !ok {
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
-	l := found.(*pipeListener)
 	ctx, cancel := context.WithTimeout(ctx, listTimeout) // as Watcher.dial does
 	defer cancel()
 	near, far := net.Pipe()
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -12,8 +12,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// restartedAgent gives s-1 in version 41, answers a watch once by a function, and then holds watches. Its next full list,
-// of s-2 in version 3, waits for release.
+// restartedAgent gives s-1 in version 41, answers a watch once by a function, and then holds
+// watches. Its next full list, of s-2 in version 3, waits for release.
 func restartedAgent(t *testing.T, respond func(net.Conn)) (addr string, calls chan agentCall, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
@@ -34,22 +34,24 @@
 	return addr, calls, release
 }
 
-// What comes in place of the answer to a watch may be of an agent that restarted, and has our list no more. Nothing of it is
-// applied: the full list is requested on a new connection, and the watch goes on from its version. A watch is never sent
-// from our version on another connection than the list came on: the agent there may hold it for good.
+// What comes in place of the answer to a watch may be of an agent that restarted and lost its list.
+// None of it is applied: the full list is requested on a new connection, and the watch goes on from
+// its version. A watch goes out only on the connection that its list came on: another agent may
+// hold it.
 func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
 	drain := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, respond := range map[string]func(conn net.Conn){
-		"changes of a lower version":    answering(fakes.FormatList(3, false, drain)),
-		"changes of our version":        answering(fakes.FormatList(41, false, drain)),
-		"no changes in a lower version": answering(fakes.FormatList(3, false)),
-		"reset":                         resetConnection,
-		"closed":                        func(conn net.Conn) { _ = conn.Close() },
+		"changes of a lower version":      answering(fakes.FormatList(3, false, drain)),
+		"changes of the version in force": answering(fakes.FormatList(41, false, drain)),
+		"no changes in a lower version":   answering(fakes.FormatList(3, false)),
+		"reset":                           resetConnection,
+		"closed":                          func(conn net.Conn) { _ = conn.Close() },
 		"answered once it is given up": func(conn net.Conn) {
 			holdOpen(conn)
 			writeAnswer(conn, fakes.FormatList(42, false, drain))
 		},
-		"a change in a list cut off": cutOff("HTTP/1.1 200 OK\r\n\r\n" + fakes.FormatList(42, false, drain, readyHost("s-3"))[:190]),
+		"a change in a list cut off": cutOff("HTTP/1.1 200 OK\r\n\r\n" +
+			fakes.FormatList(42, false, drain, readyHost("s-3"))[:190]),
 		"a change beside a malformed entry": answering(fakes.FormatList(42, false, drain,
 			fakes.FormatHost("s-3", "", "in_service"))),
 		"a list that says not whether it is full": answering(`{"seq":42,"hosts":[` + drain + `]}`),
@@ -80,8 +82,8 @@
 	}
 }
 
-// An agent that closes its connection right after the full list, as one does that restarts: the next call finds that before
-// it is sent, or as it is, and net/http would send it once more by itself. It isn't sent.
+// Guards against net/http repeating a watch on a new connection, where the agent closes its own
+// right after the full list.
 func TestWatch_isNeverSentOnAnotherConnection(t *testing.T) {
 	runVirtualInEachMode(t, "closed after the list", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -102,7 +104,7 @@
 	})
 }
 
-// An agent that says that it closes each connection is watched all the same.
+// An agent that announces the end of each connection is watched all the same.
 func TestWatch_agentThatEndsEachConnectionIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var version atomic.Int64
@@ -123,7 +125,8 @@
 	})
 }
 
-// An agent that dies in a watch, refuses connections, and is back in a lower version with another list.
+// An agent that dies in a watch, refuses connections, and is back in a lower version with another
+// list.
 func TestWatch_restartedAgentIsFollowed(t *testing.T) {
 	runVirtualInEachMode(t, "dead, then back", func(t *testing.T, isPolled bool) {
 		first := listen(t)
@@ -137,7 +140,9 @@
 		})
 		w := startWatcher(t, addr, options{isPolled: isPolled})
 		nextCallWhere(t, calls, watchFrom(41))
-		fakes.Eventually(t, "a warning", func() bool { return w.logs.FilterMessageSnippet("discovery: no valid answer").Len() == 1 })
+		fakes.Eventually(t, "a warning", func() bool {
+			return w.logs.FilterMessageSnippet("discovery: no valid answer").Len() == 1
+		})
 		w.wantServer("while the agent is dead", "s-1")
 		second := listenAt(t, addr)
 		restartedAt := time.Now()
@@ -150,14 +155,15 @@
 	})
 }
 
-// Nobody but the agent gives lists, under its one address: a redirect counts as a rejection.
+// Only the agent gives lists, under its one address: a redirect counts as a rejection.
 func TestFetchFull_redirectIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other, otherCalls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { writeFull(conn, 9, "s-9") })
 		for _, location := range []string{"http://" + other + "/api/targets", "/elsewhere"} {
 			addr, calls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
 				redirect := http.Response{
-					StatusCode: http.StatusFound, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"Location": {location}},
+					StatusCode: http.StatusFound, ProtoMajor: 1, ProtoMinor: 1,
+					Header: http.Header{"Location": {location}},
 				}
 				_ = redirect.Write(conn)
 			})
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"time"
 
@@ -12,7 +11,7 @@
 	"harrierhoist/policy"
 )
 
-// session follows the list of one agent. A run of failures ends with a watch that is answered.
+// session follows the list of one agent.
 type session struct {
 	watcher            *Watcher
 	agent              agent
@@ -20,72 +19,71 @@
 	connection         *connection // of the latest call
 	version            int64       // of the latest list
 	retry              *backoff.ExponentialBackOff
-	isResuming         bool // the next watch is the first, from the version of an earlier run
-	isFailing          bool // a call has failed since a watch was last answered
-	warnedSilent       bool // a watch timed out since one was last answered, and a line was logged
-	warnedFailing      bool // a line was logged that calls fail
-	awaitsConfirmation bool // the latest list was full and empty, and is applied once another confirms it
+	failures           failureRun // ends with a watch that is answered
+	isResuming         bool       // the next watch is the first, from the version of an earlier run
+	awaitsConfirmation bool       // the latest list was full and empty, and is applied once another confirms it
 }
 
-func newSession(w *Watcher, current agent) *session {
-	return &session{
-		watcher: w, agent: current, timing: timingOf(current.isPolled), connection: newConnection(w.dial), retry: newBackoff(),
-	}
+// followUp is the call that follows another.
+type followUp struct {
+	call  callKind
+	pause time.Duration // before it
 }
 
-func newBackoff() *backoff.ExponentialBackOff {
-	b := &backoff.ExponentialBackOff{
-		InitialInterval: firstBackoff, RandomizationFactor: backoffSpread, Multiplier: backoffGrowth, MaxInterval: maxBackoff,
+func newSession(w *Watcher, current agent) *session {
+	return &session{
+		watcher:    w,
+		agent:      current,
+		timing:     timingOf(current.isPolled),
+		connection: newConnection(w.dial),
+		retry:      newBackoff(),
 	}
-	b.Reset()
-	return b
 }
 
-// resume has the session go on from the list of an earlier run, and returns false where it cannot: a notified agent answers
-// at once and at no cost, and another agent does not have the version.
-func (s *session) resume() bool {
+// firstCall decides how the session begins: with a watch from the list of an earlier run, where the
+// agent has its version and discovery is polled. A notified agent gives its full list at once.
+func (s *session) firstCall() callKind {
 	version := s.watcher.knownVersion
 	s.watcher.knownVersion = noVersion
 	if version == noVersion || !s.agent.isPolled || s.agent != s.watcher.knownAgent {
-		return false
+		return fullListCall
 	}
-	s.version, s.isResuming = version, true
-	return true
+	s.version = version
+	s.isResuming = true
+	return watchCall
 }
 
 func (s *session) url() string { return "http://" + s.agent.addr + "/api/targets" }
 
-// call requests the full list, or watches for changes, and handles the answer. It returns whether the next call has to be
-// for the full list, and the pause before it.
-func (s *session) call(ctx context.Context, full bool) (nextFull bool, pause time.Duration) {
-	fetch, begun := s.fetchDelta, time.Now()
-	if full {
+// call requests the full list, or watches for changes, handles the answer, and decides what
+// follows.
+func (s *session) call(ctx context.Context, kind callKind) followUp {
+	fetch := s.fetchDelta
+	if kind == fullListCall {
 		fetch = s.fetchFull
 	}
+	begun := time.Now()
 	received, err := fetch(ctx)
 	switch {
 	case ctx.Err() != nil:
-		return full, 0 // of an agent that is not ours any more
+		return followUp{call: kind} // the agent is not followed any more
 	case err != nil:
-		isRejected := errors.Is(err, errRejected) // by a discovery that is there, and knows our version
-		return full || !isRejected, s.handleFailure(err, !full)
-	case s.watcher.wouldEmpty(received) && !s.awaitsConfirmation:
-		return true, s.requestConfirmation()
+		return followUp{call: callAfterFailure(failureKindOf(err, kind), kind), pause: s.handleFailure(err, kind)}
+	case s.needsConfirmation(received):
+		return followUp{call: fullListCall, pause: s.requestConfirmation()}
 	default:
-		return false, s.handleList(ctx, received, !full, time.Since(begun))
+		return followUp{call: watchCall, pause: s.handleList(ctx, received, kind, time.Since(begun))}
 	}
 }
 
-// fetchDelta watches for what changes after our version. Changes that do not follow it are none of ours: an agent that
-// restarted counts from the start, and what changed before its first version is in its full list alone.
+// fetchDelta watches for what changes after the version of the list in force. Changes that do not
+// follow it are of another incarnation of the agent, whose full list alone has what is in force.
 func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
-	wait := s.watcher.randomBetween(minWatch, maxWatch)
-	if s.agent.isPolled { // a second draw, as ever: what a seed draws stays
-		wait = s.watcher.randomBetween(minPolledWatch, maxPolledWatch)
-	}
+	wait := s.drawWatch()
 	timeout := wait + watchGrace
 	if s.isResuming {
-		wait, timeout = resumeWatch, polledListTimeout
+		wait = resumeWatch
+		timeout = polledListTimeout // it may wait for its turn as a call for the full list does
 	}
 	url := fmt.Sprintf("%s?since=%d&timeout_ms=%d", s.url(), s.version, wait.Milliseconds())
 	body, err := s.connection.get(ctx, url, timeout)
@@ -96,83 +94,89 @@
 	if err != nil {
 		return nil, err
 	}
-	if !received.isFull && (received.version < s.version || received.version == s.version && len(received.servers) > 0) {
+	if !received.follows(s.version) {
 		return nil, fmt.Errorf("%w: %d after %d", errVersionMismatch, received.version, s.version)
 	}
 	return received, nil
 }
 
-// handleFailure logs a call that failed, and returns the pause before the next.
-func (s *session) handleFailure(err error, wasWatch bool) time.Duration {
-	isFirst := !s.isFailing
-	s.isFailing = true
-	isSilent, isRejected := errors.Is(err, errTimeout), errors.Is(err, errRejected)
-	if isSilent && wasWatch {
-		if !s.warnedSilent {
-			s.watcher.log.Warn("discovery: watch timed out, full list requested")
-		}
-		s.warnedSilent = true
-		return 0
-	}
-	if !s.warnedFailing {
+// drawWatch draws how long a watch waits for a change. One change answers the watches of a whole
+// fleet, which would all end at one moment otherwise. Both modes make the first draw of the seed.
+func (s *session) drawWatch() time.Duration {
+	notified := s.watcher.randomBetween(minWatch, maxWatch)
+	if !s.agent.isPolled {
+		return notified
+	}
+	return s.watcher.randomBetween(minPolledWatch, maxPolledWatch)
+}
+
+// handleFailure logs a call that failed, tells the gateway where discovery itself failed, and gives
+// the pause before the next call.
+func (s *session) handleFailure(err error, call callKind) time.Duration {
+	kind := failureKindOf(err, call)
+	pause := pauseAfterFailure(kind, s.agent, !s.failures.hasBegun())
+	shouldLog := s.failures.add(kind)
+	switch {
+	case shouldLog && kind == watchTimedOut:
+		s.watcher.log.Warn("discovery: watch timed out, full list requested")
+	case shouldLog:
 		s.watcher.log.Warn("discovery: no valid answer, the last endpoint list stays", zap.Error(err))
 	}
-	s.warnedFailing = true
-	if s.agent.isPolled && isRejected {
+	if isDiscoveryFailure(kind, s.agent) {
 		s.watcher.dispatcher.HandleEndpoints(policy.ListFailed, nil)
-		return s.watcher.randomBetween(minRejectedPause, maxRejectedPause)
-	}
-	if !s.agent.isPolled && !isRejected {
-		if isFirst || isSilent {
-			return 0
-		}
-		return s.watcher.randomBetween(minPause, maxPause)
-	}
-	s.watcher.dispatcher.HandleEndpoints(policy.ListFailed, nil)
-	switch {
-	case isFirst && errors.Is(err, errVersionMismatch):
-		return 0 // found at the end of a watch, and those of a fleet are spread already
-	case isSilent:
-		return s.watcher.randomBetween(minSilencePause, maxSilencePause)
-	default:
-		return s.retry.NextBackOff()
 	}
+	return s.drawPause(pause)
+}
+
+// needsConfirmation decides whether a list is doubted: a full one without any server, where there
+// were some, is of an agent that lost its list more likely than true. The second in a row is
+// believed.
+func (s *session) needsConfirmation(received *endpointList) bool {
+	return s.watcher.wouldEmpty(received) && !s.awaitsConfirmation
 }
 
-// requestConfirmation doubts a full list without any server where there were some, and returns the pause before the next
-// call: an agent that lost its list is the likelier cause, and applied at once it would have every request rejected. A
-// second one, on a new connection, is applied.
+// requestConfirmation gives the pause before the call that confirms an empty list. Both modes make
+// the first draw of the seed.
 func (s *session) requestConfirmation() time.Duration {
 	s.watcher.log.Warn("discovery: empty endpoint list, confirmation requested")
 	s.awaitsConfirmation = true
-	pause := s.watcher.randomBetween(minSilencePause, maxSilencePause)
-	if !s.agent.isPolled { // a second draw, as ever: what a seed draws stays
-		pause = s.watcher.randomBetween(minPause, maxPause)
+	polled := s.drawPause(silencePause)
+	if s.agent.isPolled {
+		return polled
 	}
-	return pause
+	return s.drawPause(shortPause)
 }
 
-// handleList applies a list, and returns the pause before the next call: an agent that does not wait for a change, as a
-// watch asks it to, is not called again without one.
-func (s *session) handleList(ctx context.Context, received *endpointList, wasWatch bool, took time.Duration) time.Duration {
+// handleList applies a list, and gives the pause before the watch that follows; took is the time
+// from the call to the answer.
+func (s *session) handleList(
+	ctx context.Context, received *endpointList, call callKind, took time.Duration,
+) time.Duration {
 	if s.watcher.wouldEmpty(received) {
 		s.watcher.log.Warn("discovery: empty endpoint list confirmed, no server left")
 	}
 	s.watcher.apply(ctx, received)
-	s.version, s.awaitsConfirmation = received.version, false
-	if !wasWatch {
-		s.isResuming = false
+	s.version = received.version
+	s.awaitsConfirmation = false
+	wasResumed := s.isResuming
+	s.isResuming = false
+	if call != watchCall {
 		return 0
 	}
-	if s.warnedFailing {
+	s.endFailures()
+	didNotWait := len(received.servers) == 0 && took < promptAnswer
+	if didNotWait && !wasResumed {
+		return s.drawPause(shortPause) // else the agent would be called without end
+	}
+	return 0
+}
+
+// endFailures ends a run of failures. Only the answer to a watch does, so that an agent which
+// answers some calls only keeps its growing pauses.
+func (s *session) endFailures() {
+	if s.failures.hasFailedCall {
 		s.watcher.log.Info("discovery: calls succeed again")
 	}
-	s.isFailing, s.warnedSilent, s.warnedFailing = false, false, false
+	s.failures = failureRun{}
 	s.retry.Reset()
-	isResumed := s.isResuming
-	s.isResuming = false
-	if len(received.servers) == 0 && took < minWatch/2 && !isResumed {
-		return s.watcher.randomBetween(minPause, maxPause)
-	}
-	return 0
 }
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// The answer of the earlier agent comes half before the change, and half after it, while the new one is silent.
+// An answer of the earlier agent that arrives half before the change and half after it is not
+// applied, while the new agent is silent.
 func TestSetAgent_laterAnswerOfTheOldAgentIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
@@ -54,7 +55,7 @@
 	})
 }
 
-// An answer that was read before the change, and comes to be applied after it.
+// An answer that was read before the change is not applied after it.
 func TestSetAgent_answerReadBeforeIsIgnoredAfter(t *testing.T) {
 	w := newWatcher(t, "a:1", options{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -69,7 +70,7 @@
 	w.wantServer("after the change", "s-1")
 }
 
-// Changes that come faster than they are followed: the latest agent is watched, from its full list.
+// Of several changes in a row the latest agent is followed, from its full list.
 func TestSetAgent_latestOfSeveralIsFollowed(t *testing.T) {
 	for name, changes := range map[string]struct {
 		before, after []string // changes before the watcher runs, and once a is watched
@@ -106,7 +107,8 @@
 	}
 }
 
-// A new configuration that names the same agent leaves its watch alone; one with another mode has it begun again.
+// SetAgent with the same agent leaves its watch alone; with another mode the full list is
+// requested.
 func TestSetAgent_sameAddressKeepsTheWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
@@ -136,9 +138,12 @@
 	})
 }
 
-// Run ends with its context, and leaves no connection open: in a watch, in parallel calls to a silent agent, in a pause.
+// Run ends with its context and leaves no connection open, whether in a watch, in parallel calls to
+// a silent agent, or in a pause.
 func TestRun_leavesNoConnectionOpen(t *testing.T) {
-	for name, fail := range map[string]func(net.Conn){"silence": holdOpen, "503": agentFailures["503"], "a watch": nil} {
+	for name, fail := range map[string]func(net.Conn){
+		"silence": holdOpen, "503": agentFailures["503"], "a watch": nil,
+	} {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
 			var open atomic.Int64
 			addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// An agent that fell silent in a watch was called again 6.5 s after the watch began, with a call that waits. Silence may
-// begin in the moment at which a watch begins: the full list is there within 3 s of that, on a new connection.
+// Guards against a silent agent that is called again late. Silence may begin as a watch begins: the
+// full list is there within maxSilence of that, on a new connection.
 func TestWatch_silenceIsFollowedByAFullListAtOnce(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
 		"no answer":               func(net.Conn) {},
@@ -34,10 +34,12 @@
 				t.Errorf("the full list was there after %v", took)
 			}
 			var timeout int64 // of the watch, in ms
-			if _, err := fmt.Sscanf(watch.query, fmt.Sprintf("since=%d&timeout_ms=%%d", watch.connection), &timeout); err != nil {
+			format := fmt.Sprintf("since=%d&timeout_ms=%%d", watch.connection)
+			if _, err := fmt.Sscanf(watch.query, format, &timeout); err != nil {
 				t.Fatal(err)
 			}
-			if pause := full.at.Sub(watch.at) - time.Duration(timeout)*time.Millisecond - watchGrace; pause > firstBackoff*3/4 {
+			givenUpAt := watch.at.Add(time.Duration(timeout)*time.Millisecond + watchGrace)
+			if pause := full.at.Sub(givenUpAt); pause > firstBackoff*3/4 {
 				t.Errorf("full list requested after a pause of %v", pause)
 			}
 		})
@@ -58,8 +60,8 @@
 	return addr, calls, silent
 }
 
-// A discovery that is silent to the call after a silent watch as well is called again after a random pause, never with a
-// call that waits; its first answer ends the run, and the next call is a watch.
+// A discovery that stays silent is called for the full list after a drawn pause each time; its
+// first answer is followed by a watch.
 func TestRun_lastingSilenceIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, calls, silent := silenceableAgent(t)
@@ -81,8 +83,7 @@
 	})
 }
 
-// Forty watches that fall silent at once: each is followed by a call without a pause, then by others with growing ones:
-// three calls each in six seconds. Without pauses they made five.
+// Guards against forty watches that fall silent at once and are followed by calls without pauses.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 6 * time.Second
@@ -103,9 +104,8 @@
 	})
 }
 
-// An agent that is notified was down for 8 s, into a release: it knew a drain from when it was back, while gateways still
-// paused for up to 12 s, and sent requests to the server over a second on. It is found again within the second that a drain
-// leaves, and is not called without pauses meanwhile.
+// Guards against requests to a draining server after an outage of a notified agent: it is found
+// again within the second that a drain leaves, and is not called without pauses meanwhile.
 func TestRun_notifiedAgentIsFoundAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasting, drain = 6 * time.Second, time.Second
--- a/internal/gateway/discovery/watched_test.go
+++ b/internal/gateway/discovery/watched_test.go
@@ -23,7 +23,8 @@
 	logs       *observer.ObservedLogs
 }
 
-// options of a watcher; the zero value has an agent that is notified, and no list of an earlier run.
+// options of a watcher; the zero value has an agent that is notified, and no list of an earlier
+// run.
 type options struct {
 	isPolled bool
 	known    string // the list of an earlier run
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -1,5 +1,6 @@
-// Package discovery follows the endpoint list: which servers there are, and which of them drain. It reads the list from an
-// agent on this machine, by long polls (watches) that are begun again at once, also where the agent's address changes.
+// Package discovery decides when the endpoint list is requested and which answer is applied: it
+// reads the list from an agent on this machine by long polls (watches). The gateway runs its
+// Watcher, which hands each list to the dispatcher.
 package discovery
 
 import (
@@ -41,13 +42,14 @@
 	isPolled bool   // the agent is not notified of changes: its discovery is polled
 }
 
-// New makes a watcher, and hands the dispatcher the endpoints of an earlier run, if the configuration has some. The only
-// error is one of that list.
+// New makes a watcher, and hands the dispatcher the endpoints of an earlier run, if the
+// configuration has some. The only error is one of that list.
 func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
 	w := &Watcher{
-		dispatcher: dispatcher, log: log,
+		dispatcher:    dispatcher,
+		log:           log,
 		decoder:       decoder{zones: configuration.Zones, hardware: configuration.Hardware},
-		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // one that hangs holds no descriptor for longer
+		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // in both modes
 		random:        rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
 		firstApplied:  make(chan struct{}),
 		knownVersion:  noVersion,
@@ -61,7 +63,8 @@
 		}
 		dispatcher.HandleEndpoints(policy.ListCached, known.servers)
 		w.hasServers = !known.isEmpty()
-		w.knownVersion, w.knownAgent = known.version, w.agent
+		w.knownVersion = known.version
+		w.knownAgent = w.agent
 	}
 	return w, nil
 }
@@ -69,15 +72,17 @@
 // FirstList is closed once a list that discovery gave is applied.
 func (w *Watcher) FirstList() <-chan struct{} { return w.firstApplied }
 
-// SetAgent has another agent watched, or the same in another mode. Once it returns, nothing that the earlier one still
-// answers is applied: it may be older than what the new one gives.
+// SetAgent has another agent followed, or the same in another mode. Once it returns, nothing that
+// the earlier one still answers is applied: it may be older than what the new one gives.
 func (w *Watcher) SetAgent(addr string, isPolled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if next := (agent{addr, isPolled}); next != w.agent {
-		w.agent = next
-		w.cancelSession()
+	next := agent{addr, isPolled}
+	if next == w.agent {
+		return
 	}
+	w.agent = next
+	w.cancelSession()
 }
 
 // Run follows the list until the context ends: one agent after the other.
@@ -93,18 +98,14 @@
 	}
 }
 
-// follow follows the list of one agent until the context ends: from the version of an earlier run where that can be, else from
-// its full list. After a failure the full list is requested, rather than
-// what changed since our version: an agent that failed may have restarted and lost its versions, and would answer that
-// nothing changed. A call that was rejected is repeated as it was: discovery is there, and has too many calls to answer.
+// follow calls one agent again and again until the context ends.
 func (w *Watcher) follow(ctx context.Context, current agent) {
 	s := newSession(w, current)
 	defer func() { s.connection.close() }()
-	wantFull := !s.resume()
+	next := followUp{call: s.firstCall()}
 	for ctx.Err() == nil {
-		var pause time.Duration
-		wantFull, pause = s.call(ctx, wantFull)
-		if !sleep(ctx, pause) {
+		next = s.call(ctx, next.call)
+		if !sleep(ctx, next.pause) {
 			return
 		}
 	}
@@ -128,7 +129,8 @@
 	w.closeFirst.Do(func() { close(w.firstApplied) })
 }
 
-// wouldEmpty tells whether a list would leave the dispatcher without any of the servers that it has.
+// wouldEmpty tells whether a full list would leave the dispatcher without any of the servers that
+// it has.
 func (w *Watcher) wouldEmpty(received *endpointList) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/gateway/discovery/watcher_test.go
+++ b/internal/gateway/discovery/watcher_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// nextWatch is the query of the next watch; a parallel call for the full list may come before it on a machine that is slow.
+// nextWatch is the query of the next watch; a parallel call for the full list may come before it on
+// a machine that is slow.
 func nextWatch(discovery *fakes.Discovery) string {
 	query := <-discovery.Queries
 	for query == "" {
