--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -17,7 +17,7 @@
 	}})
 }
 
-// cancelCause takes the reason of an attempt at server s-1 away.
+// cancelCause is an event after which an attempt at server s-1 has no reason any more.
 type cancelCause struct {
 	name     string
 	happens  func(f *fixture, request *Request)
@@ -25,15 +25,17 @@
 	isUsable bool   // the server may be chosen again as it was
 }
 
-// What takes an attempt's reason away cancels it at once while nothing of it was written, and leaves it as it is from its
-// first byte on, where the deployment has no cancelling. Nobody was asked to: the gateway only marked the request as
-// completed.
+// Guards against attempts that go on without a reason, where the deployment has no cancelling: they
+// are cancelled at once while nothing of them is written, and left as they are from their first
+// byte on.
 func TestAttempt_cancelledUntilFirstByteOnly(t *testing.T) {
 	notify := func(address string, state policy.EndpointState, startedAt time.Duration) func(*fixture, *Request) {
 		return func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", address, state, startedAt) }
 	}
 	for _, cause := range []cancelCause{
-		{name: "client disconnects", happens: func(_ *fixture, request *Request) { request.Disconnect() }, next: Disconnected},
+		{name: "client disconnects", happens: func(_ *fixture, request *Request) {
+			request.Disconnect()
+		}, next: Disconnected},
 		{name: "final answer is due", happens: func(f *fixture, request *Request) { f.expire(request) }, next: Reject},
 		{name: "server drains", happens: notify("here", policy.Draining, 0), next: Forward},
 		{name: "server is removed", happens: notify("here", policy.Removed, 0), next: Forward},
@@ -79,7 +81,7 @@
 	}
 }
 
-// checkUnbegun wants an attempt that has not begun cancelled, and the request dealt with otherwise.
+// checkUnbegun wants an attempt that has not begun cancelled, and the request handled otherwise.
 func (c *cancelCause) checkUnbegun(t *testing.T, class int) {
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
@@ -105,7 +107,7 @@
 	}
 }
 
-// A list that says the same of a server, or something of another, cancels nothing.
+// A list that repeats an entry, or changes that of another server, cancels nothing.
 func TestAttempt_continuesWhenItsServerIsUnchanged(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
 	request, forward := f.forwarded(0, time.Hour)
@@ -118,7 +120,7 @@
 	request.ReportResult(Result{Outcome: policy.Answered})
 }
 
-// A first byte and a cancellation that come in the same moment never both happen.
+// A first byte and a cancellation at the same moment never both happen.
 func TestAttempt_beginAndCancelExcludeEachOther(t *testing.T) {
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) { d.CanCancel, d.HasCounter = false, false })
 	for range 200 {
@@ -135,8 +137,8 @@
 	}
 }
 
-// A request whose client disconnects while no attempt is in flight gets none: it waits for the counter, for a server, or for
-// a retry.
+// A request whose client disconnects while no attempt is in flight gets none, whether it waits for
+// the counter, for a server, or for a retry.
 func TestRequest_noAttemptAfterDisconnect(t *testing.T) {
 	for name, arrange := range map[string]func(f *fixture) *Request{
 		"waits for the counter": func(f *fixture) *Request { return f.admit(0, 0, time.Hour) },
@@ -168,7 +170,7 @@
 				}
 				return len(other.decisions) > 0
 			})
-			time.Sleep(25 * time.Millisecond) // requests look for a server every 20 ms: that nothing follows is seen only later
+			time.Sleep(25 * time.Millisecond) // longer than the 20 ms after which requests look for a server again
 			if len(request.decisions) != 0 || len(f.dispatcher.requests) != 1 {
 				t.Errorf("%d more decisions, %d requests in flight", len(request.decisions), len(f.dispatcher.requests))
 			}
@@ -176,7 +178,7 @@
 	}
 }
 
-// A keyed request is retried within its window alone, to the last byte: the write deadline goes with the attempt.
+// A keyed request is retried within its window alone, to the last byte: the write deadline says so.
 func TestWriteDeadline_retryOfKeyedRequestEndsWithWindow(t *testing.T) {
 	const window = time.Minute
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) {
@@ -190,7 +192,8 @@
 	}
 	forward.Begin()
 	after := time.Now()
-	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} { // the window of the third counts from the first too
+	// The window of the third attempt counts from the first too.
+	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} {
 		request.ReportResult(Result{Outcome: outcome})
 		forward = f.expectAction(request, Forward)
 		if forward.WriteDeadline.Before(before.Add(window)) || forward.WriteDeadline.After(after.Add(window)) {
@@ -212,8 +215,8 @@
 	}
 }
 
-// Nothing that the gateway asks for waits for the goroutine that carries a request: a decision not yet read and the final one
-// fit.
+// What the gateway asks for never waits for the goroutine that carries a request: an unread
+// decision and the final one fit into its channel.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
 	request, _ := f.forwarded(0, time.Hour)
--- a/internal/gateway/dispatch/clock.go
+++ b/internal/gateway/dispatch/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// clock counts from the origin that all gateways share. They read the same wall clock once, at their start, and go on
-// from there by the monotonic one: so windows agree between them and across restarts, and no step of the wall clock
-// counts.
+// clock counts from the origin that all gateways share. It reads the wall clock once, at the start,
+// and goes on by the monotonic one: windows agree between gateways and across restarts, and a step
+// of the wall clock changes nothing.
 type clock struct {
 	startedAt time.Time
 	origin    time.Duration // startedAt as the shared clock has it
--- a/internal/gateway/dispatch/counterqueue.go
+++ b/internal/gateway/dispatch/counterqueue.go
@@ -6,10 +6,11 @@
 	"harrierhoist/policy"
 )
 
-// counterQueue puts the counter's replies into the order of the calls, for each name: the gateway matches them in that
-// order, and two connections, as after a move of the counter, keep none between them.
+// counterQueue puts the counter's replies into the order of the calls, by name: the gateway matches
+// them in that order, which two connections, as after a move of the counter, do not keep between
+// them.
 type counterQueue struct {
-	calls []*counterCall // oldest first; the delivered leave with those before them
+	calls []*counterCall // oldest first; delivered ones stay until all before them are delivered
 }
 
 // counterCall is a call to the counter.
@@ -26,7 +27,8 @@
 	return call
 }
 
-// complete takes the reply to a call, and delivers those for its name up to the first that is still to come.
+// complete takes the reply to a call, and delivers those for its name up to the first that is
+// pending.
 func (q *counterQueue) complete(call *counterCall, reply policy.CountResult, deliver func(policy.CountResult)) {
 	call.reply = &reply
 	for _, earlier := range q.calls {
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// fakeRules count all requests under one key, each with the next weight, and check other counts only where the test gives a function for it.
+// fakeRules count all requests under one key, each with the next weight, and check other counts
+// only where the test gives a function for it.
 type fakeRules struct {
 	nextWeights []float64
 	checkOthers func(func(bool))
@@ -36,7 +37,7 @@
 	}
 }
 
-// An answer may come long after another rule holds: a request is charged the weight that it had when it was admitted.
+// A request is charged the weight that it had when it was admitted, however late its answer comes.
 func TestCountAssignment_lateAnswerKeepsWeightOfAdmission(t *testing.T) {
 	f := newFixture(t)
 	rules := &fakeRules{nextWeights: []float64{3, 1}}
@@ -54,8 +55,8 @@
 	}
 }
 
-// A request that another count refuses is rejected before the gateway sees it, and a client that disconnects meanwhile gets
-// no answer.
+// A request that another count refuses is rejected before the gateway handles it, and a client that
+// disconnects meanwhile gets no answer.
 func TestCountAssignment_otherCountsAreCheckedFirst(t *testing.T) {
 	f := newFixture(t)
 	answers := make(chan func(bool), 2)
@@ -71,8 +72,8 @@
 	}
 }
 
-// An answer that comes at the instant of the final decision, or of the client's disconnecting, completes the request no
-// second time.
+// An answer at the instant of the final decision, or of the client's disconnecting, does not
+// complete the request again.
 func TestRequest_completesOnceWhenEventsCoincide(t *testing.T) {
 	for name, want := range map[string]Action{"final decision": Reject, "client disconnects": Disconnected} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/dispatch/decision.go
+++ b/internal/gateway/dispatch/decision.go
@@ -13,9 +13,9 @@
 // The actions. All but Forward are final.
 const (
 	Forward      Action = iota // make an attempt at a server, and report its result
-	Reject                     // answer that asking again is harmless
-	Terminate                  // answer that it failed, with no word on whether it ran
-	Disconnected               // its client has gone: no answer is owed
+	Reject                     // answer that a repeat is harmless
+	Terminate                  // answer that it failed, and may have run
+	Disconnected               // answer nothing: its client has gone
 )
 
 // Decision is an action and what goes with it.
@@ -25,13 +25,15 @@
 	Server Server
 	// Deadline is when an attempt that has no answer is abandoned.
 	Deadline time.Time
-	// WriteDeadline is when an attempt that is not written to its last byte must not be any more; Deadline at the latest.
+	// WriteDeadline is until when an attempt may be written to its last byte, not after Deadline.
 	WriteDeadline time.Time
 	// Context ends when an attempt is to be abandoned at once.
 	Context context.Context
-	// Begin is asked once, right before an attempt's first byte, which is written only where it returns true.
+	// Begin is asked once, right before an attempt's first byte, which is written only where it
+	// returns true.
 	Begin func() bool
-	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: it is not asked.
+	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: it is not
+	// asked.
 	RetryAfter time.Duration
 }
 
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
-// Package dispatch is the blocking face of the gateway's decisions. Whoever carries a request asks Next what to do with it,
-// makes an attempt where it says so, and tells by ReportResult how that ended; RunTimers lets time pass. Behind it the
-// dispatcher owns the one policy.Gateway: it hands it events under one lock and carries out what it asks for. It decides
-// nothing.
+// Package dispatch owns the one policy.Gateway: it hands the gateway events under one lock, carries
+// out what it asks for, and decides nothing about requests itself. The listener calls Admit for
+// each request, Next for what to do with it, and ReportResult after each attempt; RunTimers lets
+// time pass.
 package dispatch
 
 import (
@@ -17,24 +17,27 @@
 	"harrierhoist/policy"
 )
 
-// Dependencies is what the dispatcher asks of the network. None of its functions may wait, nor call back before it returns:
-// the dispatcher's lock is held, and a call back takes it.
+// Dependencies is what the dispatcher needs of the network. None of its functions may wait, nor
+// call back before it returns: the dispatcher's lock is held, and a callback takes it.
 type Dependencies struct {
-	// Count adds to a number of the counter, which keeps it for ttl after. Reply is called once, with the total, however late
-	// that comes.
+	// Count adds units to a number of the counter, which keeps it for ttl after. Reply is called
+	// once with the total, however late.
 	Count func(name uint64, units float64, ttl time.Duration, reply func(total float64, outcome policy.Outcome))
-	// CheckHealth asks a server for its load report.
+	// CheckHealth polls a server's load report, and calls done once.
 	CheckHealth func(server Server, done func(Result))
-	// IdleTimeout is how long a connection to a server is kept after its latest attempt: the gateway is handed those servers
-	// to which our attempts can keep connections open. At 0 it is handed all.
+	// IdleTimeout is how long a connection to a server is kept after its latest attempt: the
+	// gateway is handed as many servers as its attempts can keep connections open to. At 0 it is
+	// handed all.
 	IdleTimeout time.Duration
-	// Recorder records what goes on in each zone, under the dispatcher's lock; nil: nobody does.
+	// Recorder records what goes on in each zone, under the dispatcher's lock; nil: nothing is
+	// recorded.
 	Recorder *zonestats.Recorder
 }
 
-// Dispatcher owns the gateway's decisions and the requests in flight. It is safe for concurrent use.
+// Dispatcher owns the gateway's decisions and the requests in flight. It is safe for concurrent
+// use.
 type Dispatcher struct {
-	mu      sync.Mutex // held by whatever calls the gateway, and so by whatever that asks for
+	mu      sync.Mutex // held by each call of the gateway, and so by what it asks for
 	gateway *policy.Gateway
 	clock   clock
 	log     *zap.Logger
@@ -55,16 +58,23 @@
 
 	settings         policy.Settings // as last given, without what the rules add
 	loadReportLength int             // how many figures a load report has
-	counterTimeout   time.Duration   // a call to the counter that took longer is late; 0: none is
+	counterTimeout   time.Duration   // a reply of the counter that took longer is late; 0: none is
 	shedRetryAfter   time.Duration   // for the client of a request that is shed; 0: none
 }
 
-// New makes a dispatcher with a gateway that has no memory of an earlier incarnation. Its decisions are drawn from the seed.
+// New makes a dispatcher with a gateway that has no memory of an earlier incarnation. Its decisions
+// are drawn from the seed. The error is one of the settings.
 func New(settings policy.Settings, seed int64, dependencies Dependencies, log *zap.Logger) (*Dispatcher, error) {
 	d := &Dispatcher{
-		clock: newClock(), log: log, dependencies: dependencies, recorder: dependencies.Recorder, requests: map[uint32]*Request{},
-		servers: newServerTable(), subset: subset.New(settings.MyIndex, settings.Gateways, dependencies.IdleTimeout),
-		timers: newTimerQueue(), settings: settings,
+		clock:        newClock(),
+		log:          log,
+		dependencies: dependencies,
+		recorder:     dependencies.Recorder,
+		requests:     map[uint32]*Request{},
+		servers:      newServerTable(),
+		subset:       subset.New(settings.MyIndex, settings.Gateways, dependencies.IdleTimeout),
+		timers:       newTimerQueue(),
+		settings:     settings,
 	}
 	d.applySettings(&settings)
 	var err error
@@ -72,8 +82,9 @@
 	return d, err
 }
 
-// Reconfigure takes new settings in the running gateway and gives them as they are in force: classes and plans keep the
-// numbers that they had. What is in flight goes on. An error means that nothing has changed.
+// Reconfigure applies new settings to the running gateway and returns them as they are in force:
+// classes and plans keep their numbers. What is in flight goes on. After an error nothing has
+// changed.
 func (d *Dispatcher) Reconfigure(settings policy.Settings) (policy.Settings, error) {
 	now := d.lock()
 	defer d.unlock()
@@ -100,9 +111,11 @@
 	return settings, nil
 }
 
-// applySettings takes from settings what the dispatcher itself goes by.
+// applySettings takes what the dispatcher itself goes by from settings.
 func (d *Dispatcher) applySettings(settings *policy.Settings) {
-	d.loadReportLength, d.counterTimeout, d.shedRetryAfter = len(settings.LoadReportFields), settings.CountTimeout, 0
+	d.loadReportLength = len(settings.LoadReportFields)
+	d.counterTimeout = settings.CountTimeout
+	d.shedRetryAfter = 0
 	if settings.RetryAfter {
 		d.shedRetryAfter = min(shedRetryAfter(settings.Classes), settings.MaxRetryAfter)
 	}
@@ -117,16 +130,16 @@
 	return d.clock.now()
 }
 
-// unlock sets the alarm for what is due next and gives the lock back.
+// unlock sets the alarm for the next timer and gives the lock back.
 func (d *Dispatcher) unlock() {
 	d.timers.arm(d.clock)
 	d.mu.Unlock()
 }
 
-// Now is the clock that windows go by, which all gateways share.
+// Now is the time by the clock that all gateways share, which windows are counted by.
 func (d *Dispatcher) Now() time.Duration { return d.clock.now() }
 
-// RunTimers lets time pass until the context ends: it tells the gateway of its timers as they come due.
+// RunTimers notifies the gateway of its timers as they come due, until the context ends.
 func (d *Dispatcher) RunTimers(ctx context.Context) {
 	for {
 		select {
@@ -135,7 +148,7 @@
 		case <-d.timers.alarm.C:
 		}
 		now := d.lock()
-		d.timers.alarmAt = 0
+		d.timers.handleAlarm()
 		for token, due := d.timers.popDue(now); due; token, due = d.timers.popDue(now) {
 			d.gateway.HandleTimer(now, token)
 		}
@@ -143,7 +156,7 @@
 	}
 }
 
-// checkedLoadReport gives a load report as long as the gateway expects it, or none.
+// checkedLoadReport gives a load report of the length that the settings name, or none.
 func (d *Dispatcher) checkedLoadReport(report []float32) []float32 {
 	if len(report) != d.loadReportLength {
 		return nil
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -29,10 +29,17 @@
 	settings := policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true,
 		CountTimeout: 30 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true, ReportsUnits: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
+		OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{
-			{Name: "query", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second, Effect: policy.Idempotent},
-			{Name: "pay", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second, Effect: policy.NonIdempotent},
+			{
+				Name: "query", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second,
+				Effect: policy.Idempotent,
+			},
+			{
+				Name: "pay", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second,
+				Effect: policy.NonIdempotent,
+			},
 		},
 		Plans: []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}, {Name: "small", Rate: 1, Burst: 3}},
 	}
@@ -51,14 +58,16 @@
 	return f
 }
 
-// withLongTimeouts leaves every request so much time that no test depends on how quick its machine is.
+// withLongTimeouts gives every request so much time that no test depends on the speed of its
+// machine.
 func withLongTimeouts(settings *policy.Settings) {
 	for i := range settings.Classes {
 		settings.Classes[i].LatencyObjective, settings.Classes[i].Timeout = time.Minute, time.Hour
 	}
 }
 
-// expire has a request's timeout end now: the gateway gets the timer that it asked for with that token.
+// expire has a request's timeout end now: the gateway gets the timer that it asked for with that
+// token.
 func (f *fixture) expire(request *Request) {
 	f.Helper()
 	const kinds = 4 // of the gateway's tokens, in their low bits; that of the timeout is 0
@@ -72,7 +81,8 @@
 // setEndpoint has discovery bring a list with the one server.
 func (f *fixture) setEndpoint(kind policy.ListKind, state policy.EndpointState) {
 	f.Helper()
-	f.dispatcher.HandleEndpoints(kind, []Server{{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: state}}})
+	server := Server{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: state}}
+	f.dispatcher.HandleEndpoints(kind, []Server{server})
 }
 
 // expectAction waits for the next decision and checks it.
@@ -87,7 +97,9 @@
 
 func (f *fixture) admit(class, plan int, timeout time.Duration) *Request {
 	f.Helper()
-	return f.dispatcher.Admit(RequestSpec{Class: class, Plan: plan, Customer: 5, Units: 2, GatewayCount: 1, Timeout: timeout})
+	return f.dispatcher.Admit(RequestSpec{
+		Class: class, Plan: plan, Customer: 5, Units: 2, GatewayCount: 1, Timeout: timeout,
+	})
 }
 
 // forwarded brings a request as far as its first attempt.
@@ -131,7 +143,7 @@
 	call := <-f.counterCalls
 	f.expectAction(request, Forward)
 	call.reply(50, policy.Answered)
-	f.expectAction(f.dispatcher.Admit(spec), Reject) // by our own count two units would be left
+	f.expectAction(f.dispatcher.Admit(spec), Reject) // by its own count two units would be left
 }
 
 func TestRequest_timeoutAbandonsAttemptAndCompletes(t *testing.T) {
@@ -211,8 +223,8 @@
 	f.expectAction(second, Reject)
 }
 
-// A list that fails twice in a row has the gateway ask for a timer twice with one token. When both stayed, each came due, and
-// from then on two chains of polls went to discovery from every gateway.
+// Guards against two chains of polls to discovery from every gateway: a list that fails twice in a
+// row has the gateway set a timer twice with one token.
 func TestTimers_secondForTokenReplacesFirst(t *testing.T) {
 	f := newFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -16,7 +16,8 @@
 	nameHash      uint64
 }
 
-// serverTable holds the servers of the endpoint list under the numbers that the gateway knows them by.
+// serverTable holds the servers of the endpoint list under the numbers that the gateway knows them
+// by.
 type serverTable struct {
 	byNumber map[uint32]Server
 	numbers  map[string]uint32 // by name
@@ -27,8 +28,8 @@
 	return serverTable{byNumber: map[uint32]Server{}, numbers: map[string]uint32{}}
 }
 
-// update takes the list, or what changed of it. A server that is removed is forgotten, and so is its number: the same name
-// later is a new server to the gateway.
+// update applies the full list, or what changed of it. A server that is removed is forgotten with
+// its number: the same name later is a new server to the gateway.
 func (t *serverTable) update(kind policy.ListKind, servers []Server) {
 	removed := map[string]uint32{} // names that a full list leaves out
 	if kind != policy.ListDelta {
@@ -73,8 +74,9 @@
 	return all
 }
 
-// HandleEndpoints takes the endpoint list, or what changed of it, and cancels what was about to go to servers that it takes
-// out of service. Where the list failed, the earlier one stands.
+// HandleEndpoints applies the endpoint list, or what changed of it, and cancels attempts that have
+// not begun at servers that it takes out of service. After a failed list the earlier one stays in
+// force.
 func (d *Dispatcher) HandleEndpoints(kind policy.ListKind, servers []Server) {
 	now := d.lock()
 	defer d.unlock()
@@ -87,8 +89,8 @@
 	d.cancelUnbegunAttempts()
 }
 
-// updateGateway gives the gateway the servers of our subset that are ready. To it the others are removed: it makes attempts
-// at ready ones alone, and what is in flight elsewhere goes on.
+// updateGateway gives the gateway the ready servers of its subset. To the gateway the others are
+// removed: it makes attempts at ready ones alone, and what is in flight elsewhere goes on.
 func (d *Dispatcher) updateGateway(now time.Duration, kind policy.ListKind) {
 	all := d.servers.candidates()
 	if d.recorder != nil {
@@ -103,7 +105,8 @@
 	d.gateway.HandleEndpoints(now, kind, selected)
 }
 
-// refreshEndpoints does so again where the list has not changed but what is made of it has.
+// refreshEndpoints updates the gateway where the list has not changed, but what follows from it
+// has.
 func (d *Dispatcher) refreshEndpoints(now time.Duration) {
 	if len(d.servers.byNumber) > 0 {
 		d.updateGateway(now, policy.ListFull)
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -7,11 +7,11 @@
 	"harrierhoist/policy"
 )
 
-// maxUnreadDecisions is how many decisions of a request can wait to be read: an attempt and the final one. So the
-// dispatcher never waits for the goroutine that carries it.
+// maxUnreadDecisions is how many decisions of a request can wait to be read: an attempt and the
+// final one. The dispatcher never waits for the goroutine that carries the request.
 const maxUnreadDecisions = 2
 
-// RequestSpec is what a client asks.
+// RequestSpec is what a client requests.
 type RequestSpec struct {
 	Class, Plan  int // numbers in the settings
 	FirstGateway int // number of the first gateway of the customer's set
@@ -41,7 +41,7 @@
 	assignment *CountAssignment        // nil: it counts under its customer alone
 }
 
-// Admit takes a request. It is carried by calling Next until that is final.
+// Admit takes a request. Its caller carries it by calling Next until the decision is final.
 func (d *Dispatcher) Admit(spec RequestSpec) *Request {
 	now := d.lock()
 	defer d.unlock()
@@ -69,10 +69,11 @@
 	return request
 }
 
-// Next waits for what is to be done with the request.
+// Next waits for the next decision.
 func (r *Request) Next() Decision { return <-r.decisions }
 
-// ReportResult tells how the attempt ended that Next gave last. After an answer there is no further decision.
+// ReportResult takes how the attempt ended that Next gave last. After an answer there is no further
+// decision.
 func (r *Request) ReportResult(result Result) {
 	dispatcher := r.dispatcher
 	now := dispatcher.lock()
@@ -89,12 +90,20 @@
 		r.complete()
 	}
 	dispatcher.gateway.HandleAttemptResult(now, policy.AttemptResult{
-		RequestID: r.id, Attempt: r.attempts - 1, Server: r.server, Outcome: result.Outcome, Latency: now - r.attemptedAt,
-		Final: r.completed, ActualUnits: result.ActualUnits, Usage: result.Usage, LoadReport: dispatcher.checkedLoadReport(result.LoadReport),
+		RequestID:   r.id,
+		Attempt:     r.attempts - 1,
+		Server:      r.server,
+		Outcome:     result.Outcome,
+		Latency:     now - r.attemptedAt,
+		Final:       r.completed,
+		ActualUnits: result.ActualUnits,
+		Usage:       result.Usage,
+		LoadReport:  dispatcher.checkedLoadReport(result.LoadReport),
 	})
 }
 
-// Disconnect tells that the client has gone. Called again, or after the final decision, it does nothing.
+// Disconnect says that the client has gone. Called again, or after the final decision, it does
+// nothing.
 func (r *Request) Disconnect() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
@@ -104,8 +113,8 @@
 	}
 }
 
-// GiveUp terminates the request and abandons its attempt, whose outcome is still reported: the process is about to be killed.
-// After the final decision it does nothing.
+// GiveUp terminates the request and abandons its attempt, whose outcome is still reported, as the
+// process is about to be killed. After the final decision it does nothing.
 func (r *Request) GiveUp() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
@@ -127,7 +136,7 @@
 	r.decisions <- decision
 }
 
-// complete takes the request from those of which the gateway may still ask something.
+// complete removes the request from those that the gateway may still refer to.
 func (r *Request) complete() {
 	r.completed = true
 	delete(r.dispatcher.requests, r.id)
--- a/internal/gateway/dispatch/settlement.go
+++ b/internal/gateway/dispatch/settlement.go
@@ -5,7 +5,7 @@
 	"harrierhoist/policy"
 )
 
-// SetAccounts has accounts count from here on what requests owe; those in flight are left out.
+// SetAccounts has accounts count what requests owe from here on; those in flight are left out.
 func (d *Dispatcher) SetAccounts(accounts *account.Accounts) {
 	now := d.lock()
 	defer d.unlock()
@@ -13,7 +13,7 @@
 	d.refreshEndpoints(now)
 }
 
-// UpdateElective gives the gateway the servers that the accounts' shares now call for.
+// UpdateElective gives the gateway the servers that the accounts' shares call for now.
 func (d *Dispatcher) UpdateElective() {
 	now := d.lock()
 	defer d.unlock()
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// newSettlingFixture has a dispatcher that accounts for settlement: its zone is b's, the other c's, and customers of the first
-// plan are a's.
+// newSettlingFixture has a dispatcher that accounts for settlement: its zone is b's, the other c's,
+// and customers of the first plan are a's.
 func newSettlingFixture(t *testing.T) (*fixture, *account.Accounts) {
 	t.Helper()
 	f := newFixture(t)
@@ -23,7 +23,10 @@
 	}
 	accounts := account.New(terms, account.Settings{
 		Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
-		Classes: []policy.TrafficClass{{LatencyObjective: time.Second}, {LatencyObjective: time.Second, Effect: policy.NonIdempotent}},
+		Classes: []policy.TrafficClass{
+			{LatencyObjective: time.Second},
+			{LatencyObjective: time.Second, Effect: policy.NonIdempotent},
+		},
 	}, "x", 1,
 		func() time.Duration { return 0 })
 	f.dispatcher.SetAccounts(accounts)
@@ -40,7 +43,8 @@
 	return f, accounts
 }
 
-// forwardedWithoutCall brings a request as far as its first attempt; its call to the counter is replied to elsewhere.
+// forwardedWithoutCall brings a request as far as its first attempt; its call to the counter is
+// replied to elsewhere.
 func (f *fixture) forwardedWithoutCall(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
 	request := f.admit(class, 0, timeout)
@@ -52,7 +56,8 @@
 	return sum
 }
 
-// What an attempt owes is counted as it ends, also where its client has disconnected by then or its request was terminated.
+// What an attempt owes is counted as it ends, also where its client has disconnected by then or its
+// request was terminated.
 func TestSettlement_attemptsCountAsDebtWhenTheyEnd(t *testing.T) {
 	f, accounts := newSettlingFixture(t)
 	request, _ := f.forwardedWithoutCall(0, time.Second)
@@ -82,10 +87,12 @@
 	}
 }
 
-// A creditor's elective requests go to the far server that the debtor lends, while something is settled.
+// A creditor's elective requests go to the far server that the debtor lends, while something is
+// settled.
 func TestSettlement_electiveRequestsGoToDebtorsServers(t *testing.T) {
 	f, accounts := newSettlingFixture(t)
-	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}})
+	server := Server{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}
+	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{server})
 	pair := settlement.Pair{Debtor: "c", Creditor: "a"}
 	for _, shares := range [][]settlement.Share{nil, {{Pair: pair, PPM: settlement.PartsPerMillion}}, nil} {
 		accounts.ApplyState(settlement.State{Shares: shares}, time.Hour)
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -17,8 +17,10 @@
 	settings := policy.Settings{
 		Gateways: 1, Zones: 2, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		ClockTick: 2 * time.Millisecond,
-		Classes:   []policy.TrafficClass{{Name: "query", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second}},
-		Plans:     []policy.Plan{{Name: "free"}},
+		Classes: []policy.TrafficClass{{
+			Name: "query", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second,
+		}},
+		Plans: []policy.Plan{{Name: "free"}},
 	}
 	var err error
 	recorder := zonestats.New([]string{"a", "b"}, 0, &settings)
@@ -44,7 +46,14 @@
 	}
 }
 
-// A steering holds for as long as its lease: with the first request after it another does, though nobody gave it.
+// admitRepeat admits a request that its client repeats.
+func (f *fixture) admitRepeat() *Request {
+	return f.dispatcher.Admit(RequestSpec{
+		Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true,
+	})
+}
+
+// A steering holds for as long as its lease; the first request after it is steered by the next one.
 func TestSteering_endsWithItsLease(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, time.Hour, Steering{Weights: []float64{1, 0}})
@@ -53,23 +62,26 @@
 	f.dispatcher.steering.expires = f.dispatcher.clock.now() // the hour is over
 	f.dispatcher.unlock()
 	f.expectZone("a")
-	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, 0, Steering{Weights: []float64{1, 0}}) // its lease is over
+	const endedLease = 0
+	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, endedLease, Steering{Weights: []float64{1, 0}})
 	f.expectZone("a")
 }
 
-// What fits in no zone is rejected at once, before any attempt; it is recorded as demand, but a client's repeat is not.
+// What fits in no zone is rejected at once, before any attempt. It is recorded as demand, except
+// for a client's repeat.
 func TestSteering_shedRequestIsRejectedAtOnce(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{1, 0}, ShedFraction: 1})
 	if decision := f.expectAction(f.admit(0, 0, time.Second), Reject); decision.RetryAfter != 150*time.Millisecond {
 		t.Errorf("Retry-After %v", decision.RetryAfter)
 	}
-	request := f.dispatcher.Admit(RequestSpec{Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true})
+	request := f.admitRepeat()
 	f.expectAction(request, Reject)
 	request.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-	if counts[zonestats.Admitted("a")] != 2000 || counts[zonestats.Offered("a")] != 2000 || len(f.dispatcher.requests) != 0 {
+	isOneRequest := counts[zonestats.Admitted("a")] == 2000 && counts[zonestats.Offered("a")] == 2000
+	if !isOneRequest || len(f.dispatcher.requests) != 0 {
 		t.Errorf("counts %v, %d requests in flight", counts, len(f.dispatcher.requests))
 	}
 }
@@ -79,7 +91,7 @@
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{0, 1}})
 	f.expectZone("b")
-	repeat := f.dispatcher.Admit(RequestSpec{Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true})
+	repeat := f.admitRepeat()
 	f.expectAction(repeat, Forward) // no demand, but an attempt
 	repeat.Disconnect()
 	counts := map[string]uint64{}
@@ -93,8 +105,8 @@
 	}
 }
 
-// A request that its quota admits and that no server can take is demand, though it was never forwarded; one beyond its quota
-// is none, nor is a repeat.
+// A request that its quota admits and that no server can take is demand, though it was never
+// forwarded. One beyond its quota is none, nor is a repeat.
 func TestRecorder_rejectionForCapacityIsDemand(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -117,7 +129,9 @@
 			}
 			f.dispatcher.HandleEndpoints(policy.ListFull, nil)
 			go f.dispatcher.RunTimers(t.Context())
-			spec := RequestSpec{Customer: 5, Units: test.units, GatewayCount: 1, Timeout: time.Second, Repeat: test.repeat}
+			spec := RequestSpec{
+				Customer: 5, Units: test.units, GatewayCount: 1, Timeout: time.Second, Repeat: test.repeat,
+			}
 			f.expectAction(f.dispatcher.Admit(spec), Reject)
 			counts := map[string]uint64{}
 			f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
--- a/internal/gateway/dispatch/timers.go
+++ b/internal/gateway/dispatch/timers.go
@@ -5,12 +5,19 @@
 	"time"
 )
 
-// timerQueue holds the timers that the gateway asked for, and the alarm that rings when the first is due.
+// timerQueue holds the timers that the gateway asked for, and the alarm that rings when the first
+// is due.
 type timerQueue struct {
 	heap    timerHeap
 	byToken map[uint64]*timer
 	alarm   *time.Timer
-	alarmAt time.Duration // when the alarm rings; 0: never
+	alarmAt alarmTime
+}
+
+// alarmTime is when the alarm rings, by the shared clock. The zero value is never.
+type alarmTime struct {
+	at    time.Duration
+	isSet bool
 }
 
 type timer struct {
@@ -23,8 +30,8 @@
 	return &timerQueue{byToken: map[uint64]*timer{}, alarm: time.NewTimer(time.Hour)}
 }
 
-// set asks for a timer. One that has the token already is replaced: two of them would each come due, and the gateway, which
-// asks anew at each, would run two chains of timers from then on.
+// set adds a timer. One that has the token already is replaced: the gateway sets a timer anew each
+// time it comes due, and two with one token would run two chains of timers.
 func (q *timerQueue) set(token uint64, dueAt time.Duration) {
 	q.cancel(token)
 	t := &timer{dueAt: dueAt, token: token}
@@ -32,8 +39,8 @@
 	heap.Push(&q.heap, t)
 }
 
-// cancel takes a timer back. Most requests complete long before their timeouts: left in, their timers would be a good part
-// of all the times that the process wakes.
+// cancel removes a timer. Most requests complete long before their timeouts, and their timers would
+// wake the process for nothing.
 func (q *timerQueue) cancel(token uint64) {
 	if t := q.byToken[token]; t != nil {
 		heap.Remove(&q.heap, t.index)
@@ -46,24 +53,28 @@
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return 0, false
 	}
-	t := heap.Pop(&q.heap).(*timer)
+	t := q.heap[0]
+	heap.Pop(&q.heap)
 	delete(q.byToken, t.token)
 	return t.token, true
 }
 
-// arm sets the alarm for the first timer. It is left as it is where it rings at that moment anyway: each ring that is not
-// needed would wake the whole process.
+// arm sets the alarm for the first timer, unless it rings at that moment already: each ring that is
+// not needed would wake the process.
 func (q *timerQueue) arm(c clock) {
-	next := time.Duration(0)
+	var next alarmTime
 	if len(q.heap) > 0 {
-		next = q.heap[0].dueAt
+		next = alarmTime{at: q.heap[0].dueAt, isSet: true}
 	}
-	if next != 0 && next != q.alarmAt {
-		q.alarm.Reset(max(next-c.now(), 0))
+	if next.isSet && next != q.alarmAt {
+		q.alarm.Reset(max(next.at-c.now(), 0))
 	}
 	q.alarmAt = next
 }
 
+// handleAlarm notes that the alarm has rung.
+func (q *timerQueue) handleAlarm() { q.alarmAt = alarmTime{} }
+
 // timerHeap is a heap of timers, the first due on top.
 type timerHeap []*timer
 
@@ -71,17 +82,21 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].index = i
+	h[j].index = j
 }
 
 // Push is for package heap.
 func (h *timerHeap) Push(x any) {
-	t := x.(*timer)
+	t, ok := x.(*timer)
+	if !ok {
+		return
+	}
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop is for package heap: it takes the last.
+// Pop is for package heap: it removes the last.
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	(*h)[len(*h)-1] = nil
