--- a/internal/gateway/counter/counter_test.go
+++ b/internal/gateway/counter/counter_test.go
@@ -75,7 +75,11 @@
 	if _, err := io.ReadFull(accepted, got); err != nil || string(got) != want {
 		t.Fatalf("called %q, %v", got, err)
 	}
-	return accepted.(*net.TCPConn)
+	tcp, ok := accepted.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("accepted %T", accepted)
+	}
+	return tcp
 }
 
 func TestAdd_writesCallsAndAnswersInOrder(t *testing.T) {
@@ -146,7 +150,8 @@
 		outcome policy.Outcome
 	}{"busy": {0, policy.Rejected}, "error": {0, policy.Rejected}, "ok 4.5": {4.5, policy.Answered}} {
 		t.Run(line, func(t *testing.T) {
-			if total, outcome, valid := parseAnswer(line + "\r\n"); !valid || outcome != want.outcome || total != want.total {
+			total, outcome, valid := parseAnswer(line + "\r\n")
+			if !valid || outcome != want.outcome || total != want.total {
 				t.Errorf("got %v, %v, %v", total, outcome, valid)
 			}
 		})
@@ -156,13 +161,14 @@
 func TestAdd_malformedAnswerTimesOutAndEndsItsConnection(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"no total": "ok\r\n", "no number": "ok x\r\n", "NaN": "ok nan\r\n", "no carriage return": "ok 7\n",
-		"two words in one": "busybusy\r\n", "an empty line": "\r\n", "longer than the buffer": strings.Repeat("k", 9000),
+		"two words in one": "busybusy\r\n", "an empty line": "\r\n",
+		"longer than the buffer": strings.Repeat("k", 9000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := fakes.Listen(t)
 			c := newCaller(t, listener.Addr().String())
 			c.add(8, 1)
-			// The call first: an answer that comes before it ends a connection with nothing pending.
+			// The call comes first: an answer before it would end a connection with nothing pending.
 			accepted := acceptCall(t, listener)
 			_, _ = io.WriteString(accepted, malformed)
 			c.want(result{0, 0, policy.TimedOut})
--- a/internal/gateway/counter/failure_test.go
+++ b/internal/gateway/counter/failure_test.go
@@ -36,7 +36,7 @@
 	}
 	addr := (&net.TCPAddr{IP: name.Addr[:], Port: name.Port}).String()
 	fakes.Eventually(t, "a dial that hangs", func() bool {
-		dialed, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
+		dialed, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext(t.Context(), "tcp", addr)
 		if err == nil {
 			t.Cleanup(func() { _ = dialed.Close() })
 		}
@@ -56,8 +56,7 @@
 	})
 }
 
-// Calls that waited for the dial of a silent counter failed as the address changed, and so did those queued behind them,
-// after they had waited for as long as a dial may take.
+// Guards against calls that fail as the address changes during the dial they wait for.
 func TestSetAddress_queuedCallsGoToTheNewAddress(t *testing.T) {
 	from, to := unreachableAddress(t), fakes.NewCounter(t)
 	c := newCallerWith(t, from, time.Hour, zap.NewNop())
@@ -72,7 +71,7 @@
 	c.want(result{1, 3, policy.Answered})
 }
 
-// Half an answer is none: the call may have been added, and the next one goes on a connection of its own.
+// Half an answer is none: its call may have been added, and the next one uses a new connection.
 func TestAdd_incompleteAnswerTimesOut(t *testing.T) {
 	for name, after := range map[string]func(accepted *net.TCPConn){
 		"then silence": func(*net.TCPConn) {},
@@ -101,7 +100,7 @@
 	}
 }
 
-// A counter that accepts each connection and ends it had a line in the log for every call.
+// Guards against a log line for every call where a counter accepts each connection and ends it.
 func TestLossLog_counterThatEndsEveryConnectionIsLoggedOnce(t *testing.T) {
 	listener := fakes.Listen(t)
 	go func() {
@@ -110,7 +109,9 @@
 			if err != nil {
 				return
 			}
-			_ = accepted.(*net.TCPConn).SetLinger(0)
+			if tcp, ok := accepted.(*net.TCPConn); ok {
+				_ = tcp.SetLinger(0)
+			}
 			var first [1]byte
 			_, _ = accepted.Read(first[:]) // the call was written
 			_ = accepted.Close()
@@ -127,7 +128,7 @@
 	}
 }
 
-// A closed client had no way to end its goroutines and its connections, whatever its shards were at.
+// Guards against goroutines and connections that outlive a closed client.
 func TestClose_endsAllCallsAndLeavesNoGoroutine(t *testing.T) {
 	pending := func(c *caller, listener net.Listener) {
 		c.add(8, 1)
--- a/internal/gateway/counter/fuzz_test.go
+++ b/internal/gateway/counter/fuzz_test.go
@@ -8,7 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// FuzzAnswer reads any line: it must not panic, a total must be finite, and nothing but the protocol's words is an answer.
+// FuzzAnswer reads any line: it must not panic, a total must be finite, and nothing but the
+// protocol's words is an answer.
 func FuzzAnswer(f *testing.F) {
 	for _, line := range []string{
 		"ok 4.5", "ok -3", "ok 1e9", "ok 0x1p4", "ok nan", "ok inf", "ok 1e999", "ok", "ok ", "ok  1", "busy", "error",
@@ -26,17 +27,17 @@
 		if !ended || strings.ContainsAny(text, "\r\n") || math.IsNaN(total) || math.IsInf(total, 0) {
 			t.Fatalf("%q was read as %v", line, total)
 		}
-		switch outcome {
-		case policy.Answered:
-			if !strings.HasPrefix(text, "ok ") {
-				t.Fatalf("%q was read as a total", line)
-			}
-		case policy.Rejected:
-			if text != "busy" && text != "error" || total != 0 {
-				t.Fatalf("%q was read as %v with %v", line, outcome, total)
-			}
-		default:
+		isTotal := outcome == policy.Answered
+		isRejection := outcome == policy.Rejected
+		if !isTotal && !isRejection {
 			t.Fatalf("%q was read as %v", line, outcome)
 		}
+		if isTotal && !strings.HasPrefix(text, "ok ") {
+			t.Fatalf("%q was read as a total", line)
+		}
+		isRejectionText := text == "busy" || text == "error"
+		if isRejection && (!isRejectionText || total != 0) {
+			t.Fatalf("%q was read as %v with %v", line, outcome, total)
+		}
 	})
 }
--- a/internal/gateway/counter/golden_test.go
+++ b/internal/gateway/counter/golden_test.go
@@ -45,9 +45,10 @@
 	const malformed = "malformed"
 	for line, want := range map[string]string{
 		"ok 4.5\r\n": "4.5 0", "ok -3\r\n": "-3 0", "ok 1e9\r\n": "1e+09 0", "ok 0x1p4\r\n": "16 0", "ok +7\r\n": "7 0",
-		"ok 1_0\r\n": "10 0", "ok nan\r\n": malformed, "ok inf\r\n": malformed, "ok 1e999\r\n": malformed, "ok\r\n": malformed,
-		"ok \r\n": malformed, "ok  1\r\n": malformed, "busy\r\n": "0 2", "error\r\n": "0 2", "busybusy\r\n": malformed,
-		"pong\r\n": malformed, "\r\n": malformed, "ok 7\n": malformed, "OK 7\r\n": malformed, "busy": malformed, "ok 7": malformed,
+		"ok 1_0\r\n": "10 0", "ok nan\r\n": malformed, "ok inf\r\n": malformed, "ok 1e999\r\n": malformed,
+		"ok\r\n": malformed, "ok \r\n": malformed, "ok  1\r\n": malformed, "busy\r\n": "0 2", "error\r\n": "0 2",
+		"busybusy\r\n": malformed, "pong\r\n": malformed, "\r\n": malformed, "ok 7\n": malformed, "OK 7\r\n": malformed,
+		"busy": malformed, "ok 7": malformed,
 	} {
 		total, outcome, valid := parseAnswer(line)
 		got := fmt.Sprint(total, " ", uint8(outcome))
--- a/internal/gateway/counter/read.go
+++ b/internal/gateway/counter/read.go
@@ -11,18 +11,15 @@
 	"harrierhoist/policy"
 )
 
-// readAnswers matches answers with pending calls, in order, until the connection ends. A line is at most as long as the
-// reader's one buffer: an answer without an end ends the connection and takes no memory.
+// readAnswers matches answers with pending calls, in order, until the connection ends. A line is at
+// most as long as the reader's one buffer: an answer without an end ends the connection and takes
+// no memory.
 func (s *shard) readAnswers(conn *connection) {
 	for {
-		line, reason := conn.text.R.ReadSlice('\n')
-		switch {
-		case reason == nil:
+		line, err := conn.text.R.ReadSlice('\n')
+		reason := readFailure(err)
+		if err == nil {
 			reason = s.deliver(conn, string(line))
-		case errors.Is(reason, os.ErrDeadlineExceeded):
-			reason = errSilent
-		case errors.Is(reason, bufio.ErrBufferFull):
-			reason = errMalformed
 		}
 		if reason != nil {
 			s.disconnect(conn, reason)
@@ -31,8 +28,21 @@
 	}
 }
 
-// deliver hands an answer to the oldest pending call of a connection. An error is why the connection has to end; a
-// malformed answer leaves its call pending, as it may have been added.
+// readFailure gives the reason why a connection has to end after a read: nil after one that
+// succeeded.
+func readFailure(err error) error {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return errSilent
+	case errors.Is(err, bufio.ErrBufferFull):
+		return errMalformed
+	default:
+		return err
+	}
+}
+
+// deliver gives an answer to the oldest pending call of a connection. An error is why the
+// connection has to end; a malformed answer leaves its call pending, as it may have been added.
 func (s *shard) deliver(conn *connection, line string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,13 +63,14 @@
 	return nil
 }
 
-// parseAnswer reads a line. A call that was rejected (busy) or not understood (error) has added nothing. Any other line
-// than these and a total is not valid.
+// parseAnswer reads a line. A call that was rejected (busy) or not understood (error) has added
+// nothing. Any line but these and a total is invalid.
 func parseAnswer(line string) (total float64, outcome policy.Outcome, valid bool) {
 	text, ended := strings.CutSuffix(line, "\r\n")
 	if figure, ok := strings.CutPrefix(text, "ok "); ok {
-		total, err := strconv.ParseFloat(figure, 64)
-		return total, policy.Answered, ended && err == nil && !math.IsNaN(total) && !math.IsInf(total, 0)
+		total, err := strconv.ParseFloat(figure, floatBits)
+		isFinite := !math.IsNaN(total) && !math.IsInf(total, 0)
+		return total, policy.Answered, ended && err == nil && isFinite
 	}
 	return 0, policy.Rejected, ended && (text == "busy" || text == "error")
 }
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -23,7 +23,8 @@
 	errClosed         = errors.New("closed")
 )
 
-// shard has a part of the names: the calls for them, in order, and the connection that new calls are written to.
+// shard has a part of the names: the calls for them, in order, and the connection that new calls
+// are written to.
 type shard struct {
 	timeout    time.Duration
 	losses     *lossLog
@@ -31,78 +32,113 @@
 	ctx        context.Context // ends with the counter's client
 	goroutines *sync.WaitGroup
 
-	mu         sync.Mutex // also guards the connections
+	mu         sync.Mutex // held for the connections' fields too
 	addr       string
 	current    *connection              // nil: none is up
 	open       map[*connection]struct{} // current, and those to earlier addresses with pending calls
 	cancelDial context.CancelFunc       // of the dial under way; nil: none is
 }
 
-// connection is one connection and the calls that were written to it. Whoever closes it sets closed.
+// connection is one connection and the calls that were written to it.
 type connection struct {
 	text    *textproto.Conn
 	socket  net.Conn
 	pending []*call // written and not answered, oldest first
-	closed  bool
+	closed  bool    // set with the lock held, by its one close
 }
 
-// connect returns the current connection, after dialing if there is none; nil where none can be had. Where the address
-// changes during the dial nothing was sent yet, and the new address is dialed instead.
+// dialOutcome is how a dial ended.
+type dialOutcome uint8
+
+// The outcomes of a dial.
+const (
+	dialFailed dialOutcome = iota
+	dialConnected
+	dialCancelled // the address has changed, or the client is closed
+)
+
+// connect returns the current connection, after dialing if there is none; nil where the counter
+// cannot be reached. Where the address changes during the dial, the new one is dialed instead.
 func (s *shard) connect() *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.current == nil {
-		ctx, cancel := context.WithTimeout(s.ctx, s.timeout)
-		addr := s.addr
-		s.cancelDial = cancel
-		s.mu.Unlock()
-		socket, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-		s.mu.Lock()
-		canceled := errors.Is(ctx.Err(), context.Canceled)
-		s.cancelDial = nil
-		cancel()
+		socket, outcome := s.dial()
 		switch {
-		case err == nil && !canceled:
-			conn := &connection{text: textproto.NewConn(socket), socket: socket}
-			s.current, s.open[conn] = conn, struct{}{}
-			s.goroutines.Go(func() { s.readAnswers(conn) })
-		case err == nil:
-			_ = socket.Close() // nothing was sent on it
-		}
-		if s.current == nil && (!canceled || s.ctx.Err() != nil) {
+		case outcome == dialConnected:
+			s.use(socket)
+		case outcome == dialFailed || s.ctx.Err() != nil:
 			return nil
 		}
 	}
 	return s.current
 }
 
-// setAddress leaves the current connection to its pending calls; their last answer closes it.
+// dial dials the address. Its caller holds the lock, which is released during the dial.
+func (s *shard) dial() (net.Conn, dialOutcome) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.timeout)
+	defer cancel()
+	addr := s.addr
+	s.cancelDial = cancel
+	s.mu.Unlock()
+	socket, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	s.mu.Lock()
+	s.cancelDial = nil
+	isCancelled := errors.Is(ctx.Err(), context.Canceled)
+	switch {
+	case err == nil && isCancelled:
+		_ = socket.Close() // nothing was sent on it
+		return nil, dialCancelled
+	case isCancelled:
+		return nil, dialCancelled
+	case err != nil:
+		return nil, dialFailed
+	default:
+		return socket, dialConnected
+	}
+}
+
+// use makes a connection of a socket the current one. Its caller holds the lock.
+func (s *shard) use(socket net.Conn) {
+	conn := &connection{text: textproto.NewConn(socket), socket: socket}
+	s.current = conn
+	s.open[conn] = struct{}{}
+	s.goroutines.Go(func() { s.readAnswers(conn) })
+}
+
+// setAddress leaves the current connection to its pending calls, whose last answer closes it, and
+// ends a dial to the old address.
 func (s *shard) setAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr == addr {
 		return
 	}
-	if s.cancelDial != nil { // a connection to the old address is of no use any more
+	if s.cancelDial != nil {
 		s.cancelDial()
 		s.cancelDial = nil
 	}
 	conn := s.current
-	s.addr, s.current = addr, nil
+	s.addr = addr
+	s.current = nil
 	if conn != nil && len(conn.pending) == 0 {
 		conn.closed = true
 		_ = conn.text.Close() // nothing is pending on it
 	}
 }
 
-// setReadDeadline bounds the wait for the oldest answer: a connection with none for as long as a dial may take is taken for
-// dead. As answers come however late, its pending calls may have been added.
+// setReadDeadline bounds the wait for the oldest answer.
 func (s *shard) setReadDeadline(conn *connection) {
-	deadline := time.Time{}
-	if len(conn.pending) > 0 {
-		deadline = conn.pending[0].writtenAt.Add(s.timeout)
+	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout)) // fails on a closed connection alone, as reads do
+}
+
+// readDeadline decides when a connection is given up as silent: once its oldest pending call has
+// waited for the timeout, which bounds a dial too. The zero time is never.
+func (c *connection) readDeadline(timeout time.Duration) time.Time {
+	if len(c.pending) == 0 {
+		return time.Time{}
 	}
-	_ = conn.socket.SetReadDeadline(deadline) // fails on a closed connection alone, which reads find out
+	return c.pending[0].writtenAt.Add(timeout)
 }
 
 // disconnect closes a connection, once. Its pending calls may have been added.
--- a/internal/gateway/counter/write.go
+++ b/internal/gateway/counter/write.go
@@ -7,8 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// writeCalls writes queued calls as they come, on a connection that it sets up when there is none. Calls that are queued
-// together are written together.
+// writeCalls writes queued calls on a connection, which it sets up when there is none. Calls that
+// are queued together are written together.
 func (s *shard) writeCalls() {
 	defer s.close()
 	for {
@@ -36,19 +36,21 @@
 func (s *shard) writeCall(conn *connection, next *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != conn { // it was closed, or the address changed, a moment ago
+	if s.current != conn { // it was closed, or the address changed, meanwhile
 		next.done(0, policy.ConnectFailed)
 		return
 	}
 	next.writtenAt = time.Now()
-	if conn.pending = append(conn.pending, next); len(conn.pending) == 1 {
+	conn.pending = append(conn.pending, next)
+	if len(conn.pending) == 1 {
 		s.setReadDeadline(conn)
 	}
-	_ = conn.socket.SetWriteDeadline(next.writtenAt.Add(writeTimeout)) // fails on a closed connection alone, as the flush does
-	_, _ = conn.text.W.WriteString(next.text + "\r\n")                 // an error stays until the flush
+	// It fails on a closed connection alone, as the flush does.
+	_ = conn.socket.SetWriteDeadline(next.writtenAt.Add(writeTimeout))
+	_, _ = conn.text.W.WriteString(next.text + "\r\n") // an error stays until the flush
 }
 
-// failQueued fails a call, and those queued behind it, for want of a connection.
+// failQueued fails a call and those queued behind it, as there is no connection.
 func (s *shard) failQueued(next *call) {
 	for {
 		next.done(0, policy.ConnectFailed)
--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -14,8 +14,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Guards against pauses that grow beyond the bound: an agent that fails four calls, is back during
-// the fourth and holds one more, has its list applied within maxUpdateDelay.
+// Guards against pauses so long that an agent which is back is read after maxUpdateDelay.
 func TestRun_listIsAppliedSoonAfterAnyRunOfFailures(t *testing.T) {
 	for name, fail := range agentFailures {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
@@ -174,8 +173,7 @@
 	return addr, calls
 }
 
-// Guards against gateways that start together and keep discovery overbooked by calling again at
-// once.
+// Guards against gateways that start together and keep discovery overbooked by their calls.
 func TestRun_rejectedFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 4 * time.Second
--- a/internal/gateway/discovery/overbooked_test.go
+++ b/internal/gateway/discovery/overbooked_test.go
@@ -126,8 +126,7 @@
 	}
 }
 
-// Guards against gateways that overbook a polled discovery by giving up calls that wait for their
-// turn.
+// Guards against calls that are given up in their turn, and so overbook a polled discovery.
 func TestRun_overbookedDiscoveryIsReadByAll(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
@@ -146,9 +145,7 @@
 	}
 }
 
-// Guards against rejected watches that take two turns. Discovery takes one call of each gateway in
-// 8 s, and all start at one moment; a change after that is applied by all within 6 s, in fleets of
-// any size.
+// Guards against rejected watches of a fleet that take two turns, so that some gateways get none.
 func TestRun_rejectedWatchesOfAFleetTakeTurns(t *testing.T) {
 	for _, gateways := range []int{3, 12, 32, 300} {
 		runVirtual(t, strconv.Itoa(gateways)+" gateways", func(t *testing.T) {
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -10,8 +10,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Guards against a list delayed by a call that the agent was answering as it fell silent: another
-// begins in parallel, and ends it with its answer.
+// Guards against a list delayed by a call that the agent was answering as it fell silent.
 func TestFetchFull_parallelCallBesideAHeldOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan bool)
@@ -87,8 +86,7 @@
 	})
 }
 
-// Guards against dials that hang and delay the ones after them: an agent that accepts connections
-// again is read as soon as after silence.
+// Guards against dials that hang and delay the ones after them.
 func TestRun_hangingDialIsGivenUp(t *testing.T) {
 	runVirtualInEachMode(t, "unreachable for six seconds", func(t *testing.T, isPolled bool) {
 		listener := listen(t)
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -82,8 +82,7 @@
 	}
 }
 
-// Guards against net/http repeating a watch on a new connection, where the agent closes its own
-// right after the full list.
+// Guards against net/http repeating a watch on another connection than its list came on.
 func TestWatch_isNeverSentOnAnotherConnection(t *testing.T) {
 	runVirtualInEachMode(t, "closed after the list", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// Guards against a silent agent that is called again late. Silence may begin as a watch begins: the
-// full list is there within maxSilence of that, on a new connection.
+// Guards against a watch that falls silent and is followed by the full list after maxSilence.
 func TestWatch_silenceIsFollowedByAFullListAtOnce(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
 		"no answer":               func(net.Conn) {},
@@ -83,7 +82,7 @@
 	})
 }
 
-// Guards against forty watches that fall silent at once and are followed by calls without pauses.
+// Guards against a fleet whose watches fall silent at once and that calls without pauses.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, lasting = 40, 6 * time.Second
@@ -104,8 +103,7 @@
 	})
 }
 
-// Guards against requests to a draining server after an outage of a notified agent: it is found
-// again within the second that a drain leaves, and is not called without pauses meanwhile.
+// Guards against requests to a draining server after an outage of a notified agent.
 func TestRun_notifiedAgentIsFoundAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasting, drain = 6 * time.Second, time.Second
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -25,9 +25,7 @@
 	isUsable bool   // the server may be chosen again as it was
 }
 
-// Guards against attempts that go on without a reason, where the deployment has no cancelling: they
-// are cancelled at once while nothing of them is written, and left as they are from their first
-// byte on.
+// Guards against attempts that begin without a reason, where the deployment has no cancelling.
 func TestAttempt_cancelledUntilFirstByteOnly(t *testing.T) {
 	notify := func(address string, state policy.EndpointState, startedAt time.Duration) func(*fixture, *Request) {
 		return func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", address, state, startedAt) }
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -223,8 +223,7 @@
 	f.expectAction(second, Reject)
 }
 
-// Guards against two chains of polls to discovery from every gateway: a list that fails twice in a
-// row has the gateway set a timer twice with one token.
+// Guards against two chains of polls from one gateway, where a list fails twice in a row.
 func TestTimers_secondForTokenReplacesFirst(t *testing.T) {
 	f := newFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
