--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	shardCount      = 8                      // connections: one that is slow or silent delays only some names
-	maxQueued       = 256                    // calls of a shard that wait for its connection; more fail at once
+	shardCount      = 8                      // connections: a slow one delays only some names
+	maxQueued       = 256                    // calls of a shard that wait; more fail at once
 	minNameLifetime = time.Millisecond       // the shortest lifetime of a name in the protocol
 	writeTimeout    = 250 * time.Millisecond // of a few bytes
 	lossLogInterval = 10 * time.Second       // between log lines on lost connections
--- a/internal/gateway/counter/counter_test.go
+++ b/internal/gateway/counter/counter_test.go
@@ -168,7 +168,7 @@
 			listener := fakes.Listen(t)
 			c := newCaller(t, listener.Addr().String())
 			c.add(8, 1)
-			// The call comes first: an answer before it would end a connection with nothing pending.
+			// An answer before the call would end a connection with nothing pending.
 			accepted := acceptCall(t, listener)
 			_, _ = io.WriteString(accepted, malformed)
 			c.want(result{0, 0, policy.TimedOut})
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -35,7 +35,7 @@
 	mu         sync.Mutex // held for the connections' fields too
 	addr       string
 	current    *connection              // nil: none is up
-	open       map[*connection]struct{} // current, and those to earlier addresses with pending calls
+	open       map[*connection]struct{} // current, and earlier ones with pending calls
 	cancelDial context.CancelFunc       // of the dial under way; nil: none is
 }
 
@@ -129,7 +129,8 @@
 
 // setReadDeadline bounds the wait for the oldest answer.
 func (s *shard) setReadDeadline(conn *connection) {
-	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout)) // fails on a closed connection alone, as reads do
+	// It fails on a closed connection alone, as reads do.
+	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout))
 }
 
 // readDeadline decides when a connection is given up as silent: once its oldest pending call has
--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -80,7 +80,7 @@
 			sum := time.Duration(0)
 			const draws = 500
 			for range draws {
-				pause := s.handleFailure(row.err, row.call)
+				pause := s.handleFailure(row.err, row.call).pause
 				if pause < row.least || pause > row.most || row.took+pause > 2*time.Second {
 					t.Fatalf("pauses %v", pause)
 				}
@@ -109,7 +109,7 @@
 		t.Errorf("a full list ended the run: a pause of %v", pause)
 	}
 	s.handleList(t.Context(), &endpointList{version: 1}, watchCall, time.Second)
-	if pause := s.handleFailure(io.EOF, watchCall); pause > firstBackoff*3/2 {
+	if pause := s.handleFailure(io.EOF, watchCall).pause; pause > firstBackoff*3/2 {
 		t.Errorf("a pause of %v", pause)
 	}
 }
@@ -129,8 +129,8 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
-			first := s.handleFailure(row.err, watchCall)
-			second := s.handleFailure(row.err, watchCall)
+			first := s.handleFailure(row.err, watchCall).pause
+			second := s.handleFailure(row.err, watchCall).pause
 			if first != 0 || second < row.second {
 				t.Errorf("pauses of %v, %v", first, second)
 			}
--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -23,8 +23,8 @@
 const (
 	watchTimedOut    failureKind = iota // the agent fell silent in a watch
 	fullListTimedOut                    // no whole answer to a call that does not wait for a change
-	callRejected                        // a status other than 200, most often of an overbooked discovery
-	versionMismatch                     // changes that do not follow the version of the list in force
+	callRejected                        // a status other than 200, as of an overbooked discovery
+	versionMismatch                     // changes that do not follow the list in force
 	callBroken                          // refused, reset, cut off, too long or malformed
 )
 
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -80,7 +80,7 @@
 				s.connection = answer.connection
 				return answer.list, answer.err
 			}
-			answer.connection.close() // it may have failed by its answer, on a connection that stands
+			answer.connection.close() // it is open still where only the answer was malformed
 		}
 	}
 }
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -21,7 +21,7 @@
 	retry              *backoff.ExponentialBackOff
 	failures           failureRun // ends with a watch that is answered
 	isResuming         bool       // the next watch is the first, from the version of an earlier run
-	awaitsConfirmation bool       // the latest list was full and empty, and is applied once another confirms it
+	awaitsConfirmation bool       // the latest list was an empty full one, which is not applied
 }
 
 // followUp is the call that follows another.
@@ -68,11 +68,11 @@
 	case ctx.Err() != nil:
 		return followUp{call: kind} // the agent is not followed any more
 	case err != nil:
-		return followUp{call: callAfterFailure(failureKindOf(err, kind), kind), pause: s.handleFailure(err, kind)}
+		return s.handleFailure(err, kind)
 	case s.needsConfirmation(received):
-		return followUp{call: fullListCall, pause: s.requestConfirmation()}
+		return s.requestConfirmation()
 	default:
-		return followUp{call: watchCall, pause: s.handleList(ctx, received, kind, time.Since(begun))}
+		return s.handleList(ctx, received, kind, time.Since(begun))
 	}
 }
 
@@ -110,9 +110,9 @@
 	return s.watcher.randomBetween(minPolledWatch, maxPolledWatch)
 }
 
-// handleFailure logs a call that failed, tells the gateway where discovery itself failed, and gives
-// the pause before the next call.
-func (s *session) handleFailure(err error, call callKind) time.Duration {
+// handleFailure logs a call that failed, tells the gateway where discovery itself failed, and
+// decides what follows.
+func (s *session) handleFailure(err error, call callKind) followUp {
 	kind := failureKindOf(err, call)
 	pause := pauseAfterFailure(kind, s.agent, !s.failures.hasBegun())
 	shouldLog := s.failures.add(kind)
@@ -125,7 +125,7 @@
 	if isDiscoveryFailure(kind, s.agent) {
 		s.watcher.dispatcher.HandleEndpoints(policy.ListFailed, nil)
 	}
-	return s.drawPause(pause)
+	return followUp{call: callAfterFailure(kind, call), pause: s.drawPause(pause)}
 }
 
 // needsConfirmation decides whether a list is doubted: a full one without any server, where there
@@ -135,23 +135,23 @@
 	return s.watcher.wouldEmpty(received) && !s.awaitsConfirmation
 }
 
-// requestConfirmation gives the pause before the call that confirms an empty list. Both modes make
-// the first draw of the seed.
-func (s *session) requestConfirmation() time.Duration {
+// requestConfirmation has an empty list confirmed by another call for the full list. Both modes
+// make the first draw of the seed.
+func (s *session) requestConfirmation() followUp {
 	s.watcher.log.Warn("discovery: empty endpoint list, confirmation requested")
 	s.awaitsConfirmation = true
-	polled := s.drawPause(silencePause)
-	if s.agent.isPolled {
-		return polled
+	pause := s.drawPause(silencePause)
+	if !s.agent.isPolled {
+		pause = s.drawPause(shortPause)
 	}
-	return s.drawPause(shortPause)
+	return followUp{call: fullListCall, pause: pause}
 }
 
-// handleList applies a list, and gives the pause before the watch that follows; took is the time
-// from the call to the answer.
+// handleList applies a list, and gives the watch that follows; took is the time from the call to
+// the answer.
 func (s *session) handleList(
 	ctx context.Context, received *endpointList, call callKind, took time.Duration,
-) time.Duration {
+) followUp {
 	if s.watcher.wouldEmpty(received) {
 		s.watcher.log.Warn("discovery: empty endpoint list confirmed, no server left")
 	}
@@ -161,14 +161,15 @@
 	wasResumed := s.isResuming
 	s.isResuming = false
 	if call != watchCall {
-		return 0
+		return followUp{call: watchCall}
 	}
 	s.endFailures()
 	didNotWait := len(received.servers) == 0 && took < promptAnswer
 	if didNotWait && !wasResumed {
-		return s.drawPause(shortPause) // else the agent would be called without end
+		// Without a pause the agent would be called in a tight loop.
+		return followUp{call: watchCall, pause: s.drawPause(shortPause)}
 	}
-	return 0
+	return followUp{call: watchCall}
 }
 
 // endFailures ends a run of failures. Only the answer to a watch does, so that an agent which
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -18,7 +18,7 @@
 	previous := fakes.NewDiscovery(t, fakes.FormatHost("s-1", "x", "in_service"))
 	next := fakes.NewDiscovery(t, fakes.FormatHost("s-2", "x", "in_service"))
 	w := startWatcher(t, previous.Addr, options{})
-	for query := ""; !strings.HasPrefix(query, "since=1&"); { // a watch that the earlier one will not end
+	for query := ""; !strings.HasPrefix(query, "since=1&"); { // a watch that stays open
 		query = <-previous.Queries
 	}
 	w.SetAgent(next.Addr, false)
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -8,7 +8,7 @@
 const (
 	minWatch   = 1200 * time.Millisecond
 	maxWatch   = 1500 * time.Millisecond
-	watchGrace = 400 * time.Millisecond // beyond the watch, until it is given up as silent; in both modes
+	watchGrace = 400 * time.Millisecond // beyond the watch, until it is given up; in both modes
 
 	// promptAnswer is the time from a watch's call below which an answer without a change did not
 	// wait.
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -25,14 +25,14 @@
 	decoder      decoder
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
 	random       *rand.Rand    // used by Run's goroutine alone
-	firstApplied chan struct{} // closed with the first list that discovery gave and that was applied
+	firstApplied chan struct{} // closed once a list of discovery is applied
 	closeFirst   sync.Once
 	knownVersion int64 // of the list of an earlier run, until a session begins; noVersion: none
 	knownAgent   agent // that the list is of
 
 	mu            sync.Mutex
 	agent         agent
-	cancelSession context.CancelFunc // ends the session with an agent; what it receives from then on is not applied
+	cancelSession context.CancelFunc // after it nothing of the session is applied
 	hasServers    bool               // the dispatcher has servers
 }
 
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -27,7 +27,7 @@
 	Plan         int
 	GatewayCount int
 	Weight       float64 // of a unit
-	PerCustomer  bool    // counted under its customer: what a server tells of the customer's use holds
+	PerCustomer  bool    // counted under its customer: the use that servers report counts
 	// CheckOthers asks the other counts that the request has to pass, nil where there are none. It
 	// calls the function given to it once, from another goroutine, without the dispatcher's lock.
 	CheckOthers func(then func(pass bool))
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -86,7 +86,7 @@
 	if r.assignment != nil {
 		result = r.assignment.weightResult(result)
 	}
-	if result.Outcome == policy.Answered && !r.completed { // else it was completed by the final decision
+	if result.Outcome == policy.Answered && !r.completed {
 		r.complete()
 	}
 	dispatcher.gateway.HandleAttemptResult(now, policy.AttemptResult{
