--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -59,6 +59,7 @@
 		} else {
 			c.keyedEffects[request.Key] = now
 		}
+	case policy.Idempotent: // may run any number of times
 	}
 }
 
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -11,8 +11,8 @@
 	share := 0.0
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		sum = sum + class.Share*class.Work.D().Seconds()
-		share = share + class.Share
+		sum += class.Share*class.Work.D().Seconds()
+		share += class.Share
 	}
 	return sum / share
 }
--- a/internal/lab/scenario/positions.go
+++ b/internal/lab/scenario/positions.go
@@ -34,6 +34,7 @@
 				name = table + "." + name
 			}
 			positions[name] = position
+		default: // comments and values have no key
 		}
 	}
 	return positions
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -139,6 +139,7 @@
 		result.TerminatedTries++
 	case connectionLost:
 		result.BrokenConnections++
+	case unanswered: // no answer comes here
 	}
 	if request.done { // its gateway was paused: the client disconnected long ago
 		return
--- a/internal/lab/virtualtime/scheduler.go
+++ b/internal/lab/virtualtime/scheduler.go
@@ -81,7 +81,8 @@
 	if len(s.events) == 0 {
 		return false
 	}
-	next := heap.Pop(&s.events).(event)
+	next := s.events[0]
+	heap.Pop(&s.events)
 	s.now = next.at
 	if s.BeforeEvent != nil {
 		s.BeforeEvent(next.at, next.sequence)
@@ -118,7 +119,11 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *eventHeap) Push(e any) { *h = append(*h, e.(event)) }
+func (h *eventHeap) Push(e any) {
+	if added, ok := e.(event); ok {
+		*h = append(*h, added)
+	}
+}
 
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
--- a/internal/testing/conformance/action.go
+++ b/internal/testing/conformance/action.go
@@ -102,6 +102,7 @@
 		a.duration, err = time.ParseDuration(words[0])
 	case actionMarker, actionCounter:
 		a.argument = words[0]
+	default: // has no argument
 	}
 	if a.verb == actionCounter && a.argument != counterSilent && a.argument != counterAnswering {
 		return errUnknownAction
--- a/internal/testing/votersimulation/ready.go
+++ b/internal/testing/votersimulation/ready.go
@@ -104,6 +104,7 @@
 		n.send(ready.Messages[:n.sim.rng.IntN(len(ready.Messages)+1)])
 		n.crash()
 		return false
+	case noCrash, beforeWrite:
 	}
 	if n.sim.bug != SendBeforeSync {
 		n.send(ready.Messages)
--- a/internal/testing/votersimulation/simulation.go
+++ b/internal/testing/votersimulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation runs several voters, their clients and the holders of leases in virtual time.
-// Consensus, reads and the merging of digests are the real ones; disks, messages and clocks are
-// simulated, and draw from a seed whatever can go wrong with them. The same seed gives the same
+// Package votersimulation runs several voters, their clients and the holders of leases in virtual
+// time. Its own tests call it. Consensus, reads and the merging of digests are the real ones; disks,
+// messages and clocks are simulated, and draw their faults from a seed. The same seed gives the same
 // run, event by event.
 package votersimulation
 
