--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -7,7 +7,7 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// What a plan gives as the reasons of a move. They are stored: their wording stays.
+// What a plan gives as the reasons of a move. They are stored, so their wording stays.
 const (
 	reasonOrdinary   = "nearer, or as room allows"
 	reasonLinkLost   = " is out of reach, though not of others"
@@ -16,7 +16,7 @@
 )
 
 // buildPlan makes the plan of the rows.
-func (in *planInput) buildPlan(rows [][]int, shed []int, moved []bool) *Plan {
+func (in *planInput) buildPlan(rows []zoneRow) *Plan {
 	plan := &Plan{
 		Rows: map[string]map[string]int{}, Health: map[string]int{}, Shed: map[string]int{},
 		Fallback: in.fallbackRows(), Reasons: map[string]string{}, Demand: map[string]uint64{},
@@ -24,19 +24,20 @@
 	for from, fromZone := range in.zones {
 		row := map[string]int{}
 		for to, toZone := range in.zones {
-			if rows[from][to] > 0 {
-				row[toZone] = rows[from][to]
+			if share := rows[from].shares[to]; share > 0 {
+				row[toZone] = share
 			}
 			if in.lostLinks[from][to] {
 				plan.LostLinks = append(plan.LostLinks, [2]string{fromZone, toZone})
 			}
 		}
-		plan.Rows[fromZone], plan.Demand[fromZone] = row, uint64(in.demand[from]*1000)
+		plan.Rows[fromZone] = row
+		plan.Demand[fromZone] = uint64(in.demand[from] * storedDemandScale)
 		plan.Health[fromZone] = int(math.Round(in.health[from] * fullShare / zonestats.Healthy))
-		if shed[from] > 0 {
-			plan.Shed[fromZone] = shed[from]
+		if rows[from].shed > 0 {
+			plan.Shed[fromZone] = rows[from].shed
 		}
-		if moved[from] {
+		if rows[from].moved {
 			plan.Reasons[fromZone] = in.reason(from)
 		} else if in.plan.Reasons[fromZone] != "" {
 			plan.Reasons[fromZone] = in.plan.Reasons[fromZone]
@@ -45,7 +46,7 @@
 	return plan
 }
 
-// reason is why a zone's row moves.
+// reason is why a zone's row moves, for operators.
 func (in *planInput) reason(from int) string {
 	var reasons []string
 	for to, toZone := range in.zones {
@@ -53,7 +54,7 @@
 		case !in.toLeave[from][to]:
 		case in.lostLinks[from][to]:
 			reasons = append(reasons, toZone+reasonLinkLost)
-		case in.capacity[to] <= 0:
+		case in.isZoneLost(to):
 			reasons = append(reasons, toZone+reasonZoneLost)
 		default:
 			reasons = append(reasons, toZone+reasonOverloaded)
@@ -65,13 +66,15 @@
 	return strings.Join(reasons, ", ")
 }
 
-// fallbackRows shares out what lies between the most that is planned in a zone and its capacity: the same to every other
-// zone, so that whichever of them have no plan, by whichever plan they got last, all together stay below its capacity. The
-// nearest receivers get requests first.
+// fallbackRows decides what gateways without a plan may send elsewhere, in thousandths by zone.
+// What lies between the most that is planned in a zone and its capacity is divided evenly among all
+// other zones: whichever of them have no plan, they stay within that capacity together. The nearest
+// receivers get requests first.
 func (in *planInput) fallbackRows() map[string]map[string]int {
 	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
-		row, rest := map[string]int{}, fullShare
+		row := map[string]int{}
+		rest := fullShare
 		for _, t := range []tier{tierRegion, tierRemote} {
 			for to, toZone := range in.zones {
 				if tierOf(in.regionOf, from, to) != t || in.lostLinks[from][to] {
@@ -79,7 +82,8 @@
 				}
 				reserve := (1 - in.settings.MaxUtilisation) * in.capacity[to] / float64(len(in.zones)-1)
 				if share := min(int(reserve/in.demand[from]*fullShare), rest); share > 0 {
-					row[toZone], rest = share, rest-share
+					row[toZone] = share
+					rest -= share
 				}
 			}
 		}
--- a/internal/control/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -17,7 +17,7 @@
 	return sim
 }
 
-// wantNoMove lets time pass and wants no request moved.
+// wantNoMove lets time pass and fails the test if a request moves.
 func wantNoMove(t *testing.T, sim *simulation, span time.Duration) {
 	t.Helper()
 	sim.run(span)
@@ -26,7 +26,8 @@
 	}
 }
 
-// Recovery goes by steps, a hold-down apart, though all servers are ready at once.
+// TestController_recoversInSteps checks that recovery goes by steps, a hold-down apart, though all
+// servers are ready at once.
 func TestController_recoversInSteps(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
@@ -46,7 +47,8 @@
 	sim.wantBetween(t, "seconds that took", sim.now.Seconds(), 30, 80)
 }
 
-// A link between two zones is lost while others reach both: what used it goes elsewhere, nothing else moves.
+// TestController_lostLinkIsNoLostZone checks that a lost link between two zones that others reach
+// moves the requests that used it, and nothing else.
 func TestController_lostLinkIsNoLostZone(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
@@ -59,7 +61,8 @@
 	sim.wantBetween(t, "local share of c", sim.share(2, 2), 1, 1)
 }
 
-// One gateway observes no zone answer and has an empty endpoint list: that moves nothing, of two gateways as of ten.
+// TestController_oneBlindGatewayMovesNothing checks that nothing moves where one gateway, of two or
+// of ten, observes no zone answer and has an empty endpoint list.
 func TestController_oneBlindGatewayMovesNothing(t *testing.T) {
 	for _, gateways := range []int{2, 3, 10} {
 		sim := calmSimulation(t, gateways)
@@ -68,7 +71,8 @@
 	}
 }
 
-// A digest held back for long brings many observations of one gateway at once.
+// TestController_lateDigestsMoveNothing checks that nothing moves where a late digest brings many
+// observations of one gateway at once.
 func TestController_lateDigestsMoveNothing(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	for range 20 {
@@ -81,17 +85,19 @@
 	}
 }
 
-// Gateways that are paused, or can't reach a voter, report nothing: nothing moves, and what they send is remembered.
+// TestController_silentGatewaysMoveNothing checks that nothing moves where a zone's gateways report
+// nothing, as when they are paused or cannot reach a voter, and that their demand is remembered.
 func TestController_silentGatewaysMoveNothing(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.silent[1] = true
 	wantNoMove(t, sim, 10*time.Second)
 	sim.healthy[0] = 0
 	sim.run(2 * time.Second)
-	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // what is remembered fades by a percent in three seconds
+	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // fades by a percent in three seconds
 }
 
-// A flood at a healthy zone overflows only above the maximum utilisation.
+// TestController_overflowsOnlyAboveMaxUtilisation checks that a healthy zone sends away only what
+// is above the maximum utilisation.
 func TestController_overflowsOnlyAboveMaxUtilisation(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.demand[0] = 78
@@ -111,7 +117,8 @@
 	}
 }
 
-// A receiver fails while the zone that sends to it is in hold-down: that zone leaves it at once, and only it.
+// TestController_failingReceiverIsRelievedAtOnce checks that a zone in hold-down leaves a receiver
+// that fails at once, and changes nothing else.
 func TestController_failingReceiverIsRelievedAtOnce(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
@@ -122,7 +129,8 @@
 	sim.wantBetween(t, "load at c", sim.load(2), 79, 80.01)
 }
 
-// A new leader shares no clock with the old one: zones in hold-down stay so for a full hold-down from its start.
+// TestController_newLeaderKeepsHoldDown checks that a new leader keeps zones in hold-down for a
+// full hold-down from its own start.
 func TestController_newLeaderKeepsHoldDown(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
--- a/internal/control/failover/fleet_situations_test.go
+++ b/internal/control/failover/fleet_situations_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The loss of a whole zone moves the plan within some two seconds, before it is written and distributed, also where each
-// gateway makes two attempts a second; and nothing moves before.
+// TestController_timeFromZoneLossToPlan checks that the loss of a whole zone gives a plan within
+// some two seconds, also where each gateway makes two attempts a second, and that nothing moves
+// before.
 func TestController_timeFromZoneLossToPlan(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -32,7 +33,8 @@
 						t.Fatalf("seed %d: moved before the loss", seed)
 					}
 				}
-				sim.zoneDown, sim.silent = true, row.silent
+				sim.zoneDown = true
+				sim.silent = row.silent
 				hasMoved := func() bool { return len(sim.plans) > 0 && !sim.plans[len(sim.plans)-1].isLocal("a") }
 				took = append(took, sim.runUntil(8*time.Second, hasMoved))
 			}
@@ -45,7 +47,8 @@
 	}
 }
 
-// Calm days have failures too: a part of all attempts fails, one gateway fails in all of them, and nothing moves.
+// TestController_usualFailuresMoveNothing checks that nothing moves where a small part of all
+// attempts fails, and all attempts of one gateway.
 func TestController_usualFailuresMoveNothing(t *testing.T) {
 	for _, gateways := range []int{2, 3, 10} {
 		for seed := range uint64(10) {
@@ -62,8 +65,9 @@
 	}
 }
 
-// A zone is lost for a minute and recovers: probes alone show that it did, its requests return in steps, and on the way no
-// zone is overloaded.
+// TestController_lossAndRecoveryThroughSubsets checks a zone that is lost for a minute and
+// recovers: probes alone show that it did, its requests return in steps, and no zone is overloaded
+// meanwhile.
 func TestController_lossAndRecoveryThroughSubsets(t *testing.T) {
 	for _, gateways := range []int{2, 10} {
 		t.Run(fmt.Sprintf("%d gateways", 3*gateways), func(t *testing.T) {
@@ -86,7 +90,8 @@
 			}
 			sim.zoneDown = false
 			took := sim.runUntil(3*time.Minute, func() bool { return sim.plans[len(sim.plans)-1].isLocal("a") })
-			if t.Logf("recovered after %v", took); took < 30*time.Second || took > 90*time.Second {
+			t.Logf("recovered after %v", took)
+			if took < 30*time.Second || took > 90*time.Second {
 				t.Errorf("recovered after %v", took)
 			}
 		})
--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -17,16 +17,18 @@
 const (
 	// fleetServers is how many servers the fleet's three zones have together.
 	fleetServers = 42
-	// digestInterval is how often a gateway of the fleet sends a digest, and lostDigests how many of so many are lost: one.
+	// digestInterval is how often a gateway of the fleet sends a digest. One in lostDigests is
+	// lost.
 	digestInterval = 200 * time.Millisecond
 	lostDigests    = 20
 	// failureMemory is how long a gateway of the fleet avoids a server that failed.
 	failureMemory = time.Second
 )
 
-// fleet is the program's own recorders, digests some of which are lost, the merger, the controller, and the subsets that act
-// on its plans. Servers and the policy module are emulated: each gateway makes attempts at a steady rate on servers of its
-// subset, drawn from those that have not failed of late.
+// fleet is the program's own recorders, digests some of which are lost, the merger, the controller,
+// and the subsets that act on its plans. Servers and the policy module are emulated: each gateway
+// makes attempts at a steady rate on servers of its subset, drawn from those without a recent
+// failure.
 type fleet struct {
 	random     *rand.Rand
 	rate       float64 // attempts a second of each gateway
@@ -74,7 +76,8 @@
 	var list []policy.Endpoint
 	for i := range fleetServers {
 		list = append(list, policy.Endpoint{Server: uint32(i), State: policy.Ready, Zone: i % 3, Rack: i})
-		sim.endpoints = append(sim.endpoints, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(i)), Endpoint: list[i]})
+		candidate := subset.Candidate{NameHash: subset.HashName(fmt.Sprint(i)), Endpoint: list[i]}
+		sim.endpoints = append(sim.endpoints, candidate)
 	}
 	for i := range 3 * gateways {
 		gateway := &member{
@@ -108,9 +111,10 @@
 	}
 }
 
-// decide has the controller decide.
+// decide has the controller decide by what was merged so far.
 func (f *fleet) decide() {
-	input := coordination.ControllerInput{Sums: f.merger.Sums(), Table: func(string) statemachine.Table { return f.entry }}
+	table := func(string) statemachine.Table { return f.entry }
+	input := coordination.ControllerInput{Sums: f.merger.Sums(), Table: table}
 	value, write := f.controller.Decide(f.now, input)
 	if !write {
 		return
@@ -180,14 +184,19 @@
 		candidates = gateway.endpoints
 	}
 	server := candidates[f.random.IntN(len(candidates))]
-	sent := attempt{server.Server, server.Zone, 0, time.Duration(50+f.random.IntN(200)) * time.Millisecond, policy.Answered}
+	sent := attempt{server: server.Server, zone: server.Zone}
+	sent.took = time.Duration(50+f.random.IntN(200)) * time.Millisecond
+	sent.outcome = policy.Answered
 	switch {
 	case f.zoneDown && server.Zone == 0 && f.silent:
-		sent.took, sent.outcome = 3*time.Second, policy.TimedOut
+		sent.took = 3 * time.Second
+		sent.outcome = policy.TimedOut
 	case f.zoneDown && server.Zone == 0:
-		sent.took, sent.outcome = time.Millisecond, policy.ConnectFailed
+		sent.took = time.Millisecond
+		sent.outcome = policy.ConnectFailed
 	case gateway.allFail || f.random.Float64() < f.errors:
-		sent.took, sent.outcome = 5*time.Millisecond, policy.Errored
+		sent.took = 5 * time.Millisecond
+		sent.outcome = policy.Errored
 	}
 	sent.ends = f.now + sent.took
 	f.attempts[server.Zone]++
--- a/internal/control/failover/golden_test.go
+++ b/internal/control/failover/golden_test.go
@@ -40,7 +40,8 @@
 	"resting": {HoldDown: []string{}, LostLinks: [][2]string{}, Previous: map[string]map[string]int{}},
 }
 
-// TestPlan_encodingIsStable holds the plan's stored form to fixtures: gateways and leaders of other releases read it.
+// TestPlan_encodingIsStable holds the plan's stored form to fixtures, as gateways and leaders of
+// other releases read it.
 func TestPlan_encodingIsStable(t *testing.T) {
 	for name, plan := range storedPlans {
 		t.Run(name, func(t *testing.T) {
@@ -53,12 +54,19 @@
 var goldenSettings = map[string]func(*Settings, *time.Duration){
 	"defaults": func(*Settings, *time.Duration) {},
 	"quick": func(t *Settings, lease *time.Duration) {
-		t.MaxUtilisation, t.HoldDownSeconds, t.RecoveryStep, t.MinMove, t.AgreementShare, t.ProbeShare = 0.6, 3, 0.5, 0.02, 0.75, 0.05
+		t.MaxUtilisation = 0.6
+		t.HoldDownSeconds = 3
+		t.RecoveryStep = 0.5
+		t.MinMove = 0.02
+		t.AgreementShare = 0.75
+		t.ProbeShare = 0.05
 		*lease = 5 * time.Second
 	},
 	"uneven": func(t *Settings, lease *time.Duration) {
 		t.CapacityByZone = map[string]float64{"a": 5, "b": 20}
-		t.HoldDownSeconds, t.MinGateways, t.MaxUtilisation = 20, 3, 0.9
+		t.HoldDownSeconds = 20
+		t.MinGateways = 3
+		t.MaxUtilisation = 0.9
 		*lease = time.Second
 	},
 }
@@ -66,7 +74,8 @@
 // goldenSeeds are the seeds of the drawn streams.
 var goldenSeeds = []uint64{1, 2, 3, 4, 5, 6, 12, 2026}
 
-// goldenPlans are, by settings, how many plans the drawn streams write and the hash of all that is decided on them.
+// goldenPlans are, by settings, how many plans the drawn streams write and the hash of all that is
+// decided on them.
 var goldenPlans = map[string]struct {
 	plans int
 	hash  string
@@ -76,13 +85,14 @@
 	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
 }
 
-// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations to what it was: when a
-// plan is written, its bytes, and how gateways act on it.
+// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations
+// to what it was: when a plan is written, its bytes, and how gateways act on it.
 func TestController_drawnStreamDecidesAsBefore(t *testing.T) {
 	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sum, plans := golden.NewDigest(), 0
+			sum := golden.NewDigest()
+			plans := 0
 			for _, seed := range goldenSeeds {
 				plans += len(decideDrawn(seed, set, sum))
 			}
@@ -94,8 +104,8 @@
 	}
 }
 
-// decideDrawn runs a drawn stream of some 1200 steps and hashes every decision: the time, the value, and what gateways
-// make of it.
+// decideDrawn runs a drawn stream of some 1200 steps and hashes every decision: the time, the
+// value, and what gateways make of it.
 func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum *golden.Digest) []writtenPlan {
 	random := rand.New(rand.NewPCG(seed, 31))
 	sim := drawSimulation(random)
@@ -116,30 +126,25 @@
 			}
 			plan := sim.latest()
 			for _, zone := range append(slices.Clone(sim.zones), "elsewhere") {
-				part, alone, well := plan.Assignment(zone), plan.FallbackAssignment(zone, true), plan.FallbackAssignment(zone, false)
-				sum.Println(zone, part.Weights, part.Shed, part.Zones(), alone.Weights, alone.Shed, well.Weights,
-					well.Shed, plan.Describe(zone))
+				leased := plan.Assignment(zone)
+				lost := plan.FallbackAssignment(zone, true)
+				answering := plan.FallbackAssignment(zone, false)
+				sum.Println(zone, leased.Weights, leased.Shed, leased.Zones(), lost.Weights, lost.Shed,
+					answering.Weights, answering.Shed, plan.Describe(zone))
 			}
 		}
 	}
 	return sim.plans
 }
 
-// TestController_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of a plan and every reason.
+// TestController_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of
+// a plan and every reason.
 func TestController_drawnStreamsReachAllParts(t *testing.T) {
 	reached := map[string]bool{}
 	for _, set := range goldenSettings {
 		for _, seed := range goldenSeeds {
-			for _, p := range decideDrawn(seed, set, golden.NewDigest()) {
-				reached["resting"] = reached["resting"] || len(p.plan.HoldDown) > 0
-				reached["before"] = reached["before"] || len(p.plan.Previous) > 0
-				reached["shut"] = reached["shut"] || len(p.plan.LostLinks) > 0
-				reached["shed"] = reached["shed"] || len(p.plan.Shed) > 0
-				for _, why := range p.plan.Reasons {
-					for _, reason := range []string{"out of reach", "is lost", "pushed over", reasonOrdinary} {
-						reached[reason] = reached[reason] || strings.Contains(why, reason)
-					}
-				}
+			for _, written := range decideDrawn(seed, set, golden.NewDigest()) {
+				markReached(reached, written.plan)
 			}
 		}
 	}
@@ -153,6 +158,19 @@
 	}
 }
 
+// markReached marks the optional parts and the reasons that a plan has.
+func markReached(reached map[string]bool, plan *Plan) {
+	reached["hold-down"] = reached["hold-down"] || len(plan.HoldDown) > 0
+	reached["previous"] = reached["previous"] || len(plan.Previous) > 0
+	reached["lost links"] = reached["lost links"] || len(plan.LostLinks) > 0
+	reached["shed"] = reached["shed"] || len(plan.Shed) > 0
+	for _, why := range plan.Reasons {
+		for _, reason := range []string{"out of reach", "is lost", "pushed over", reasonOrdinary} {
+			reached[reason] = reached[reason] || strings.Contains(why, reason)
+		}
+	}
+}
+
 // refusals are what an operator reads of a file that is wrong in all its keys.
 const refusals = `
 failover.regions[0].name: a name of its own is wanted, not ""
@@ -197,13 +215,15 @@
 // readInvalidSettings returns what the file says: it is wrong in its values only.
 func readInvalidSettings(t *testing.T) (settings Settings) {
 	t.Helper()
-	if err := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields().Decode(&settings); err != nil {
+	decoder := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields()
+	if err := decoder.Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
 	return settings
 }
 
-// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is said of wrong values.
+// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is
+// said of wrong values.
 func TestSettings_refusalsAreStable(t *testing.T) {
 	var lines []string
 	for _, err := range readInvalidSettings(t).Check() {
--- a/internal/control/failover/invariants_test.go
+++ b/internal/control/failover/invariants_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestMain has rapid draw from a fixed seed: the same verdict every time.
+// TestMain has rapid draw from a fixed seed, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "2026"); err != nil {
 		panic(err)
@@ -20,8 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// simulate runs a drawn simulation through drawn faults with a controller that goes by changed settings, and gives the first
-// invariant that it breaks, of those that the unchanged settings promise.
+// simulate runs a drawn simulation through drawn faults with a controller under changed settings.
+// It returns the first invariant of the unchanged settings that is broken.
 func simulate(seed uint64, change func(*Settings, *time.Duration)) error {
 	random := rand.New(rand.NewPCG(seed, 29))
 	sim := drawSimulation(random)
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// sameRow tells whether two plans send a zone's requests alike.
 func sameRow(a, b *Plan, zone string) bool {
 	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
 }
@@ -62,7 +63,8 @@
 	return 0
 }
 
-// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still act on.
+// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still
+// act on.
 func (s *simulation) maxEarlier(earlier []writtenPlan, fromZone, toZone string) float64 {
 	largest := 0
 	for i, written := range earlier {
@@ -73,8 +75,9 @@
 	return float64(largest)
 }
 
-// checkPlan holds a plan, just written, against what was promised, by what the controller holds to be true: that this is
-// what the simulation reports is what the tests of situations show.
+// checkPlan checks a plan that was just written against what the settings promise, by the
+// controller's own estimates. The tests of situations show that these follow what the simulation
+// reports.
 func (s *simulation) checkPlan(earlier []writtenPlan, written writtenPlan, promised Settings) error {
 	for to := range s.zones {
 		if err := s.checkReceiver(earlier, written.plan, promised, to); err != nil {
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// checkReceiver checks that a zone gets no more than its capacity, but by its own requests.
+// checkReceiver checks that requests of other zones load a zone no further than its capacity.
 func (s *simulation) checkReceiver(earlier []writtenPlan, plan *Plan, promised Settings, to int) error {
 	toZone := s.zones[to]
 	capacity, _ := s.controller.estimates.capacity(to, toZone)
@@ -110,24 +113,28 @@
 		}
 		load += share / fullShare * demand
 		old := s.maxEarlier(earlier, fromZone, toZone)
-		both, previous = both+max(share, old)/fullShare*demand, previous+old/fullShare*demand
+		both += max(share, old) / fullShare * demand
+		previous += old / fullShare * demand
 	}
 	slack := 0.01*capacity + 0.05
 	if ofOthers > slack && load > (promised.MaxUtilisation+1)/2*capacity+slack {
-		return fmt.Errorf("%s gets %.1f, %.1f of it from others, with a capacity of %.1f", toZone, load, ofOthers, capacity)
+		return fmt.Errorf("%s gets %.1f, %.1f of it from others, with a capacity of %.1f",
+			toZone, load, ofOthers, capacity)
 	}
 	if ofOthers > slack && both > max(capacity, previous)+slack {
-		return fmt.Errorf("%s gets %.1f by previous plans or the new one, %.1f by previous ones, with a capacity of %.1f", toZone,
-			both, previous, capacity)
+		return fmt.Errorf("%s gets %.1f by previous plans or the new one, %.1f by previous ones, capacity %.1f",
+			toZone, both, previous, capacity)
 	}
 	return nil
 }
 
-// checkRow checks that a row is one.
+// checkRow checks that a zone's shares are whole: none is negative, they sum to all requests, and
+// no more is shed than is local.
 func checkRow(plan *Plan, zone string) error {
 	sum := 0
 	for _, share := range plan.Rows[zone] {
-		if sum += share; share < 0 {
+		sum += share
+		if share < 0 {
 			return fmt.Errorf("a share of %s is %d", zone, share)
 		}
 	}
@@ -137,10 +144,13 @@
 	return nil
 }
 
-// checkMove checks that a zone's row moves no sooner, no further and for no other reason than was promised.
+// checkMove checks that a zone's row moves no sooner, no further and for no other reason than the
+// settings promise.
 func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, promised Settings, zone string) error {
-	last, plan := earlier[len(earlier)-1].plan, written.plan
-	isOrdinary, hasMoved := plan.Reasons[zone] == reasonOrdinary, !sameRow(last, plan, zone)
+	last := earlier[len(earlier)-1].plan
+	plan := written.plan
+	isOrdinary := plan.Reasons[zone] == reasonOrdinary
+	hasMoved := !sameRow(last, plan, zone)
 	if at := lastMove(earlier, zone); isOrdinary && at > 0 && written.at < at+promised.holdDown() && hasMoved {
 		return fmt.Errorf("%s moved at %v, and again", zone, at)
 	}
@@ -172,13 +182,17 @@
 	}
 }
 
-// Defects seeded in a controller are found by the same simulation.
+// TestSimulate_findsSeededDefects checks that the simulation finds a controller that breaks an
+// invariant.
 func TestSimulate_findsSeededDefects(t *testing.T) {
 	for name, change := range map[string]func(*Settings, *time.Duration){
 		"plan above the receiver's capacity": func(s *Settings, _ *time.Duration) { s.MaxUtilisation = 1.3 },
 		"recovery without steps":             func(s *Settings, _ *time.Duration) { s.RecoveryStep = 1 },
-		"one gateway's observations":         func(s *Settings, _ *time.Duration) { s.MinGateways, s.AgreementShare = 1, 0.15 },
-		"no hold-down":                       func(s *Settings, _ *time.Duration) { s.HoldDownSeconds = 1 },
+		"one gateway's observations": func(s *Settings, _ *time.Duration) {
+			s.MinGateways = 1
+			s.AgreementShare = 0.15
+		},
+		"no hold-down": func(s *Settings, _ *time.Duration) { s.HoldDownSeconds = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -193,13 +207,15 @@
 	}
 }
 
-// The same sums give the same bytes, whatever the order of maps.
+// TestController_sameObservationsSamePlan checks that the same sums give the same bytes: a plan
+// must not depend on the order of maps.
 func TestController_sameObservationsSamePlan(t *testing.T) {
 	var first []byte
 	for range 3 {
 		sim := threeZones(3)
 		sim.run(6 * time.Second)
-		sim.healthy[0], sim.demand[1] = 0, 77
+		sim.healthy[0] = 0
+		sim.demand[1] = 77
 		sim.run(20 * time.Second)
 		if first == nil {
 			first = sim.entry.Value
--- a/internal/control/failover/layout.go
+++ b/internal/control/failover/layout.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// layout distributes the demand of all zones over all zones. All figures are units a second, by zone index or by pair
-// (from, to).
+// layout distributes the demand of all zones over all zones. All figures are units a second, by
+// zone index or by pair (from, to).
 type layout struct {
 	regionOf       []int
 	demand         []float64
 	capacity       []float64
 	maxUtilisation float64     // the part of capacity that is planned at most
 	lostLinks      [][]bool    // links not to be used
-	previous       [][]float64 // what may still be sent by gateways that have not got the latest plan
+	previous       [][]float64 // what gateways without the latest plan may still send
 	fixed          [][]float64 // rows that stay; nil: the row is to be computed
 	low            [][]float64 // of a row to be computed: what stays where it is
 	high           [][]float64 // and what a pair may get at most
@@ -34,26 +34,21 @@
 	tierLifted             // the own zone once more, without the limit of a recovery step
 )
 
-// maxRounds is how often what is unplaced is shared out among the receivers of a tier: each round fills one of them up, or
-// places all.
+// maxRounds is how often what is unplaced is shared out among the receivers of a tier: each round
+// fills one of them up, or places all.
 const maxRounds = 12
 
 // negligibleRate is a rate, in units a second, that counts as none.
 const negligibleRate = 1e-9
 
-// compute lays the rows out: the own zone first, then those of the region, then the others. What fits nowhere stays unplaced.
-// No receiver gets more than the maximum utilisation of its capacity nor, with what may still come by previous plans, more
-// than its capacity. Among receivers of one tier what is unplaced is shared out by their available capacity.
+// compute lays the rows out tier by tier; what fits nowhere stays unplaced. No receiver gets more
+// than the maximum utilisation of its capacity nor, with what may still come by previous plans,
+// more than its capacity. Among receivers of one tier what is unplaced is shared out by their
+// available capacity.
 func (l *layout) compute() {
 	l.reset()
 	l.placeFixed()
-	for from := range l.demand {
-		if l.fixed[from] == nil && l.probes[from] > 0 {
-			amount := min(l.probes[from], l.unplaced[from])
-			l.allocation[from][from] += amount // capacity isn't asked of a zone that is avoided
-			l.unplaced[from] -= amount
-		}
-	}
+	l.placeProbes()
 	for _, t := range []tier{tierLocal, tierRegion, tierRemote, tierLifted} {
 		for range maxRounds {
 			if !l.shareOut(t) {
@@ -66,8 +61,10 @@
 // reset starts with nothing placed, and with what previous plans leave spare.
 func (l *layout) reset() {
 	n := len(l.demand)
-	l.allocation, l.unplaced = make([][]float64, n), make([]float64, n)
-	l.loads, l.spare = make([]float64, n), make([]float64, n)
+	l.allocation = make([][]float64, n)
+	l.unplaced = make([]float64, n)
+	l.loads = make([]float64, n)
+	l.spare = make([]float64, n)
 	for to := range n {
 		l.allocation[to] = make([]float64, n)
 		l.spare[to] = l.capacity[to]
@@ -95,6 +92,18 @@
 	}
 }
 
+// placeProbes places what probes a zone that is avoided. It counts as no load there, as such a zone
+// has no capacity.
+func (l *layout) placeProbes() {
+	for from := range l.demand {
+		if l.fixed[from] == nil && l.probes[from] > 0 {
+			amount := min(l.probes[from], l.unplaced[from])
+			l.allocation[from][from] += amount
+			l.unplaced[from] -= amount
+		}
+	}
+}
+
 // place gives a pair a further amount.
 func (l *layout) place(from, to int, amount float64) {
 	l.spare[to] = max(l.spare[to]-l.excess(from, to, amount), 0)
@@ -103,24 +112,27 @@
 	l.unplaced[from] -= amount
 }
 
-// excess is how much of a further amount for a pair is above what previous plans may bring there anyway.
+// excess is how much of a further amount for a pair is above what previous plans may bring anyway.
 func (l *layout) excess(from, to int, amount float64) float64 {
 	placed := l.allocation[from][to]
 	return max(placed+amount-max(l.previous[from][to], placed), 0)
 }
 
-// available is how much more a pair may get in a tier, other senders aside.
+// available decides how much more a pair may get in a tier, other senders aside.
 func (l *layout) available(from, to int, t tier) float64 {
-	pairTier, high := l.tier(from, to), l.high[from][to]
+	pairTier := l.tier(from, to)
+	high := l.high[from][to]
 	if t == tierLifted && l.liftLocal[from] && from == to {
-		pairTier, high = tierLifted, math.Inf(1)
+		pairTier = tierLifted
+		high = math.Inf(1)
 	}
 	if l.lostLinks[from][to] || pairTier != t {
 		return 0
 	}
 	placed := l.allocation[from][to]
-	amount := min(l.maxUtilisation*l.capacity[to]-l.loads[to], high-placed, max(l.previous[from][to]-placed, 0)+l.spare[to])
-	return max(amount, 0)
+	free := l.maxUtilisation*l.capacity[to] - l.loads[to]
+	beyondPrevious := max(l.previous[from][to]-placed, 0) + l.spare[to]
+	return max(min(free, high-placed, beyondPrevious), 0)
 }
 
 // tier is how near a receiver is to a sender.
@@ -135,76 +147,3 @@
 	}
 	return tierRemote
 }
-
-// shareOut shares what is unplaced out among the receivers of a tier once, and reports whether any of it was placed.
-func (l *layout) shareOut(t tier) bool {
-	asked := make([][]float64, len(l.demand))
-	for from := range asked {
-		asked[from] = l.ask(from, t)
-	}
-	askedOf, excessOf := make([]float64, len(l.demand)), make([]float64, len(l.demand))
-	for from, row := range asked {
-		for to, amount := range row {
-			askedOf[to] += amount
-			excessOf[to] += l.excess(from, to, amount)
-		}
-	}
-	placed := false
-	for to := range asked {
-		granted := 1.0
-		if free := max(l.maxUtilisation*l.capacity[to]-l.loads[to], 0); askedOf[to] > free {
-			granted = free / askedOf[to]
-		}
-		if excessOf[to] > l.spare[to] {
-			granted = min(granted, l.spare[to]/excessOf[to])
-		}
-		for from := range asked {
-			if amount := asked[from][to] * granted; amount > negligibleRate {
-				l.place(from, to, amount)
-				placed = true
-			}
-		}
-	}
-	return placed
-}
-
-// ask gives what a sender asks of each receiver of a tier: what is unplaced, by their available capacity.
-func (l *layout) ask(from int, t tier) []float64 {
-	asked := make([]float64, len(l.demand))
-	if l.unplaced[from] <= negligibleRate {
-		return asked
-	}
-	sum := 0.0
-	for to := range asked {
-		asked[to] = l.available(from, to, t)
-		sum += asked[to]
-	}
-	if sum > 0 {
-		for to := range asked {
-			asked[to] *= min(l.unplaced[from]/sum, 1)
-		}
-	}
-	return asked
-}
-
-// toThousandths gives the shares of a row. What is lost to whole numbers stays local.
-func toThousandths(row []float64, unplaced float64, own int) (shares []int, shed int) {
-	sum := unplaced
-	for _, amount := range row {
-		sum += amount
-	}
-	shares = make([]int, len(row))
-	if sum <= 0 {
-		shares[own] = fullShare
-		return shares, 0
-	}
-	share := func(amount float64) int { return int(math.Floor(max(amount, 0)/sum*fullShare + 1e-6)) }
-	shares[own], shed = fullShare, share(unplaced)
-	for to, amount := range row {
-		if to != own {
-			shares[to] = share(amount)
-			shares[own] -= shares[to]
-		}
-	}
-	return shares, min(shed, shares[own])
-}
--- a/internal/control/failover/layout_test.go
+++ b/internal/control/failover/layout_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// emptyLayout is a layout of so many zones in one region without demand, capacity, or limits of links and steps.
+// emptyLayout is a layout of so many zones in one region without demand, capacity, or limits of
+// links and steps.
 func emptyLayout(n int) *layout {
 	l := &layout{
 		maxUtilisation: 0.8, regionOf: make([]int, n), demand: make([]float64, n), capacity: make([]float64, n),
@@ -23,7 +24,7 @@
 	return l
 }
 
-// With less capacity a zone never gets more.
+// TestLayout_lessCapacityNeverGetsMore checks that a zone with less capacity never gets more.
 func TestLayout_lessCapacityNeverGetsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "zones")
@@ -49,8 +50,9 @@
 	})
 }
 
-// checkPreviousRows lays out a drawn situation with previous plans in force, and tells where more than a zone's capacity may
-// come by previous and new plans together. With reserve the layout knows of the previous plans.
+// checkPreviousRows lays out a drawn situation with previous plans in force, and returns an error
+// where previous and new plans together may load a zone above its capacity. With reserve the layout
+// knows of the previous plans.
 func checkPreviousRows(seed uint64, reserve bool) error {
 	random := rand.New(rand.NewPCG(seed, 3))
 	n := 2 + random.IntN(4)
@@ -64,11 +66,12 @@
 	if reserve {
 		result.previous = previous
 	}
-	for range 2 * n * n { // unused: each seed keeps its situation
+	for range 2 * n * n { // not used: keeps the draws below where they are in each seed's order
 		random.Float64()
 	}
 	for zone := range n {
-		result.demand[zone], result.capacity[zone] = 80*random.Float64(), 100*random.Float64()
+		result.demand[zone] = 80 * random.Float64()
+		result.capacity[zone] = 100 * random.Float64()
 	}
 	result.compute()
 	for to := range n {
@@ -78,14 +81,16 @@
 			both += max(previous[from][to], result.allocation[from][to])
 		}
 		if both > max(before, result.capacity[to])+1e-6 {
-			return fmt.Errorf("zone %d: %.2f by previous and new, %.2f by previous, capacity %.2f", to, both, before, result.capacity[to])
+			return fmt.Errorf("zone %d: %.2f by previous and new, %.2f by previous, capacity %.2f",
+				to, both, before, result.capacity[to])
 		}
 	}
 	return nil
 }
 
-// While a lease runs some gateways act on the previous plan and some on the new: no zone may get more than its capacity by
-// both. A layout that does not reserve for the previous plan is found.
+// TestLayout_reservesForPreviousPlans checks that no zone gets more than its capacity while some
+// gateways act on the previous plan and some on the new one, and that the check finds a layout that
+// does not reserve for the previous plan.
 func TestLayout_reservesForPreviousPlans(t *testing.T) {
 	found := uint64(0)
 	for seed := range uint64(500) {
@@ -96,7 +101,8 @@
 			found = seed + 1
 		}
 	}
-	if t.Logf("seeded defect found after %d runs", found); found == 0 {
+	t.Logf("seeded defect found after %d runs", found)
+	if found == 0 {
 		t.Error("the seeded defect is not found")
 	}
 }
--- a/internal/control/failover/plan.go
+++ b/internal/control/failover/plan.go
@@ -16,28 +16,35 @@
 // fullShare is all requests of a zone, in thousandths.
 const fullShare = 1000
 
-// Plan is the value of the table. All shares are thousandths of the requests that come in at a zone.
+// Plan is the value of the table. All shares are thousandths of the requests that come in at a
+// zone. Its tags are its stored form, which never changes.
 type Plan struct {
-	// Rows are, by the zone at which requests come in, the shares of the zones that they are sent to: they sum to 1000.
+	// Rows are, by the zone at which requests come in, the shares of the zones that they are sent
+	// to: they sum to 1000.
 	Rows map[string]map[string]int `cbor:"1,keyasint"`
-	// Health is, by zone, the part of its listed power that answers, in thousandths: 0 is a lost zone.
+	// Health is, by zone, the part of its listed power that answers, in thousandths; 0 for a lost
+	// zone.
 	Health map[string]int `cbor:"2,keyasint"`
-	// Fallback are the shares that a zone may send elsewhere by its gateways' own observations where they have no plan and
-	// their own zone is lost. The shares of all zones to one fit above what plans use there.
+	// Fallback are the shares that gateways without a plan may send elsewhere while their own zone
+	// is lost by their own observations. The shares of all zones to one fit above what plans use
+	// there.
 	Fallback map[string]map[string]int `cbor:"3,keyasint"`
-	// Previous are the rows before, which some gateways may act on until their lease ends; nil: none do.
+	// Previous are the rows before, which some gateways may act on until their lease ends; nil if
+	// none do.
 	Previous map[string]map[string]int `cbor:"4,keyasint"`
-	// HoldDown are the zones that were in hold-down when this plan was written. The value holds no time, as no two processes
-	// share a clock: a new leader holds them down for a full hold-down from its own start.
+	// HoldDown are the zones that were in hold-down when this plan was written. The value holds no
+	// time, as processes share no clock: a new leader counts a full hold-down from its own start.
 	HoldDown []string `cbor:"5,keyasint"`
 	// LostLinks are the pairs of zones (from, to) whose link is held to be lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
-	// Shed is the part of a row's local share that fits nowhere and is rejected at once, as the zone is lost or recovering.
-	// In a zone that is merely full the policy module sheds, and this is 0.
+	// Shed is the part of a row's local share that fits nowhere and is rejected at once, as the
+	// zone is lost or recovering. In a zone that is merely full the policy module sheds, and this
+	// is 0.
 	Shed map[string]int `cbor:"7,keyasint"`
 	// Reasons tell operators, by zone, why its row moved last.
 	Reasons map[string]string `cbor:"8,keyasint"`
-	// Demand is, by zone, the demand that the plan was made for, in thousandths of a unit a second: where a new leader starts.
+	// Demand is, by zone, the demand that the plan was made for, in thousandths of a unit a second.
+	// A new leader starts from it.
 	Demand map[string]uint64 `cbor:"9,keyasint"`
 }
 
@@ -62,12 +69,13 @@
 	return plan, nil
 }
 
-// Encode gives the plan's stored form: the same plan, the same bytes.
+// Encode gives the plan's stored form.
 func (p *Plan) Encode() ([]byte, error) { return encoding.Marshal(p) }
 
 // Assignment is how a gateway in a zone acts.
 type Assignment struct {
-	// Weights are, by zone, in what proportion its servers are offered to the policy module. All 0: none are.
+	// Weights are, by zone, in what proportion its servers are offered to the policy module. Where
+	// all are 0, no server is offered.
 	Weights map[string]float64
 	// Shed is the part of the requests, 0 to 1, that is rejected at once, as it fits nowhere.
 	Shed float64
@@ -79,8 +87,9 @@
 // local is the assignment of a gateway that sends all requests to its own zone.
 func local(zone string) Assignment { return Assignment{Weights: map[string]float64{zone: 1}} }
 
-// Assignment gives how a gateway in a zone acts on the plan. Of a zone that answers in part more servers are offered, as the
-// policy module ejects those that don't. A zone that the plan doesn't know serves locally.
+// Assignment decides how a gateway in a zone acts on the plan. Of a zone that answers in part more
+// servers are offered, as the policy module ejects those that do not. A zone that the plan does not
+// know serves locally.
 func (p *Plan) Assignment(zone string) Assignment {
 	row := p.Rows[zone]
 	if len(row) == 0 {
@@ -102,13 +111,13 @@
 	return assignment
 }
 
-// fallbackProbeShare is the part of requests that probes the own zone, held to be lost, without a plan: the fewest that let
-// a gateway see it recover within the memory of its observations.
+// fallbackProbeShare is the part of requests that probes the own zone while it is lost, without a
+// plan.
 const fallbackProbeShare = 0.05
 
-// FallbackAssignment gives how a gateway in a zone acts once its lease on the latest plan has ended: locally, by its own
-// observations alone. With its own zone lost it sends to others what the plan has reserved for that, and sheds the rest. A
-// nil plan has reserved nothing.
+// FallbackAssignment decides how a gateway in a zone acts once its lease on the latest plan has
+// ended: it serves locally. Where its own zone is lost it sends to others what the plan has
+// reserved for that, probes its own zone and sheds the rest. A nil plan has reserved nothing.
 func (p *Plan) FallbackAssignment(zone string, isLost bool) Assignment {
 	if !isLost {
 		return local(zone)
@@ -118,8 +127,8 @@
 		return assignment
 	}
 	for _, toZone := range sortedKeys(p.Fallback[zone]) {
-		share := float64(p.Fallback[zone][toZone]) / fullShare
-		if share = min(share, assignment.Shed); share > 0 && toZone != zone {
+		share := min(float64(p.Fallback[zone][toZone])/fullShare, assignment.Shed)
+		if share > 0 && toZone != zone {
 			assignment.Weights[toZone] = share
 			assignment.Shed -= share
 		}
--- a/internal/control/failover/plan_test.go
+++ b/internal/control/failover/plan_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A plan is the same after it was stored, and the same bytes again.
+// TestPlan_roundTrip checks that a plan is the same after it was stored, and has the same bytes
+// again.
 func TestPlan_roundTrip(t *testing.T) {
 	sim := threeZones(3)
 	sim.run(6 * time.Second)
@@ -33,8 +34,9 @@
 	}
 }
 
-// A partition: gateways with a plan act on it, those without on what some earlier plan reserved. Whatever the split of the
-// gateways and the age of their plans, no zone gets more than its capacity but by its own requests.
+// TestFallback_partitionNeverOverloadsThirdZone checks a partition: gateways with a plan act on it,
+// those without on what an earlier plan reserved. Whichever gateways are cut off, and however old
+// their plans are, requests of other zones load no zone above its capacity.
 func TestFallback_partitionNeverOverloadsThirdZone(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 4))
@@ -51,14 +53,15 @@
 			own := float64(sim.latest().Rows[toZone][toZone]-sim.latest().Shed[toZone]) / fullShare * sim.demand[to]
 			capacity := sim.readyPower[to] * sim.settings.Capacity
 			if ofOthers > 1 && ofOthers+min(own, 0.8*capacity) > capacity*1.02 {
-				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, with a capacity of %.1f", seed, toZone, ofOthers, own, capacity)
+				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, with a capacity of %.1f",
+					seed, toZone, ofOthers, own, capacity)
 			}
 		}
 	}
 }
 
-// partitionedLoad is what a zone gets from others, in units a second, where a drawn part of each zone's gateways is without
-// the latest plan and falls back on a drawn earlier one.
+// partitionedLoad is what a zone gets from others, in units a second, where a drawn part of each
+// zone's gateways is without the latest plan and falls back on a drawn earlier one.
 func (s *simulation) partitionedLoad(random *rand.Rand, to int) float64 {
 	load := 0.0
 	for from, fromZone := range s.zones {
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -5,67 +5,88 @@
 	"slices"
 )
 
-// minOverloadMove is how many thousandths of a zone's requests are worth moving away from another, overloaded zone.
-const minOverloadMove = 5
+const (
+	// minOverloadMove is how many thousandths of a zone's requests are worth moving away from
+	// another, overloaded zone.
+	minOverloadMove = 5
+	// minUnreachableMove is the same for an unreachable zone: any whole thousandth.
+	minUnreachableMove = 0.5
+	// minProbes is the part of the probes by which they count as started.
+	minProbes = 0.5
+)
+
+// zoneRow is where a zone's requests go.
+type zoneRow struct {
+	shares []int // by receiver, in thousandths
+	shed   int   // thousandths of the own zone's share
+	moved  bool  // the row differs from that of the plan in force, or may
+}
 
-// mustLeave tells that a zone's requests are to be moved away from somewhere: no hold-down is waited for.
+// mustLeave decides whether a zone's requests are to be moved away from somewhere, hold-down or
+// not.
 func (in *planInput) mustLeave(from int) bool { return slices.Contains(in.toLeave[from], true) }
 
-// canMove tells that a zone's requests may move for any reason. Those of a zone whose gateways report nothing stay: nobody
-// knows what its gateways do.
+// canMove decides whether a zone's requests may move for any reason. Those of a zone whose gateways
+// report nothing stay, as nothing is known of what its gateways do.
 func (in *planInput) canMove(from int) bool {
-	return in.estimates.isSettled(from) && in.estimates.isReporting[from] && in.holdDownUntil[from] <= in.now
+	return in.estimates.isSettled(from) && in.estimates.isReporting[from] && !in.isHeldDown(from, in.now)
 }
 
-// computeRows gives the rows of the next plan, what they shed, and which of them moved. A row that it is not worth moving
-// stays; the others are then laid out anew around it.
-func (in *planInput) computeRows() (rows [][]int, shed []int, moved []bool) {
-	n := len(in.zones)
-	rows, shed, moved = make([][]int, n), make([]int, n), make([]bool, n)
-	for from := range in.zones {
-		moved[from] = in.mustLeave(from) || in.canMove(from)
-		rows[from], shed[from] = in.currentRow(from)
+// computeRows decides the rows of the next plan. A row that is not worth moving stays; the others
+// are then laid out anew around it.
+func (in *planInput) computeRows() []zoneRow {
+	rows := make([]zoneRow, len(in.zones))
+	for from := range rows {
+		rows[from] = in.currentRow(from)
+		rows[from].moved = in.mustLeave(from) || in.canMove(from)
 	}
-	for again := true; again; {
-		again = false
-		result := in.newLayout(moved)
-		result.compute()
-		for from := range in.zones {
-			if !moved[from] {
-				continue
-			}
-			row, rowShed := in.computedRow(result, from)
-			if in.exceedsMinMove(from, row, rowShed) {
-				rows[from], shed[from] = row, rowShed
-				continue
-			}
-			moved[from], again = false, true
-			rows[from], shed[from] = in.currentRow(from)
+	again := true
+	for again {
+		again = in.layOut(rows)
+	}
+	return rows
+}
+
+// layOut lays out the rows that move, and reports whether some of them are not worth moving: these
+// stay from now on.
+func (in *planInput) layOut(rows []zoneRow) (again bool) {
+	result := in.newLayout(rows)
+	result.compute()
+	for from := range rows {
+		if !rows[from].moved {
+			continue
 		}
+		next := in.computedRow(result, from)
+		if in.exceedsMinMove(from, next) {
+			rows[from] = next
+			continue
+		}
+		rows[from] = in.currentRow(from)
+		again = true
 	}
-	return rows, shed, moved
+	return again
 }
 
-// currentRow is a zone's row by the plan in force, and what is shed of it.
-func (in *planInput) currentRow(from int) (row []int, shed int) {
-	return in.rows[from], in.plan.Shed[in.zones[from]]
+// currentRow is a zone's row by the plan in force.
+func (in *planInput) currentRow(from int) zoneRow {
+	return zoneRow{shares: in.rows[from], shed: in.plan.Shed[in.zones[from]]}
 }
 
-// computedRow is a zone's row by a layout, and what is shed of it. In a zone that is merely full, and of its own requests
+// computedRow is a zone's row by a layout. In a zone that is merely full, and of its own requests
 // alone, the policy module sheds: the plan does only what returns by more than a recovery step.
-func (in *planInput) computedRow(result *layout, from int) (row []int, shed int) {
-	row, shed = toThousandths(result.allocation[from], result.unplaced[from], from)
+func (in *planInput) computedRow(result *layout, from int) zoneRow {
+	shares, shed := toThousandths(result.allocation[from], result.unplaced[from], from)
 	ofOthers := result.loads[from] - result.allocation[from][from]
-	isServing := in.capacity[from] > 0 && !in.lostLinks[from][from]
+	isServing := !in.isZoneLost(from) && !in.lostLinks[from][from]
 	isFull := result.loads[from] >= result.maxUtilisation*result.capacity[from]*(1-roundingTolerance)
 	if isServing && isFull && ofOthers < minDemand {
-		shed = max(row[from]-int((in.shares[from][from]+in.settings.RecoveryStep)*fullShare), 0)
+		shed = max(shares[from]-int((in.shares[from][from]+in.settings.RecoveryStep)*fullShare), 0)
 	}
-	return row, shed
+	return zoneRow{shares: shares, shed: shed, moved: true}
 }
 
 // newLayout is what is to be laid out, with the rows that are not to move fixed.
-func (in *planInput) newLayout(moves []bool) *layout {
+func (in *planInput) newLayout(rows []zoneRow) *layout {
 	n := len(in.zones)
 	result := &layout{
 		regionOf: in.regionOf, demand: in.demand, capacity: in.capacity, maxUtilisation: in.settings.MaxUtilisation,
@@ -73,13 +94,16 @@
 		liftLocal: make([]bool, n),
 	}
 	for from := range n {
-		low, high, current := make([]float64, n), make([]float64, n), make([]float64, n)
+		low := make([]float64, n)
+		high := make([]float64, n)
+		current := make([]float64, n)
 		for to := range n {
 			current[to] = in.shares[from][to] * in.demand[from]
 			low[to], high[to] = in.limits(from, to, current[to])
 		}
-		result.low, result.high = append(result.low, low), append(result.high, high)
-		if !moves[from] {
+		result.low = append(result.low, low)
+		result.high = append(result.high, high)
+		if !rows[from].moved {
 			result.fixed[from] = current
 		}
 		result.probes[from] = in.probeShare(from) * in.demand[from]
@@ -88,18 +112,21 @@
 	return result
 }
 
-// limits are the least and the most, in units a second, that a pair may get that currently gets so much.
+// limits decides the least and the most, in units a second, that a pair may get that currently gets
+// so much: requests return to their own zone by recovery steps, and a zone in hold-down only leaves
+// what fails.
 func (in *planInput) limits(from, to int, current float64) (low, high float64) {
 	step := current + in.settings.RecoveryStep*in.demand[from]
-	isLocal, leaves := to == from, in.toLeave[from][to]
+	isLocal := to == from
+	leaves := in.toLeave[from][to]
 	switch {
 	case !in.mustLeave(from):
 		return 0, step
 	case in.canMove(from) && isLocal && !leaves:
-		return 0, step // recovery goes by steps, whatever else moves
+		return 0, step
 	case in.canMove(from):
 		return 0, math.Inf(1)
-	case leaves: // a zone in hold-down leaves what fails, and changes nothing else
+	case leaves:
 		return 0, current
 	case isLocal:
 		return current, step
@@ -107,25 +134,32 @@
 	return current, math.Inf(1)
 }
 
-// exceedsMinMove tells that a row is to move: it leaves what is unreachable or overloaded, probes start, or enough requests
-// move.
-func (in *planInput) exceedsMinMove(from int, row []int, shed int) bool {
+// exceedsMinMove decides whether a row is worth moving: it leaves what is unreachable or
+// overloaded, probes start, or enough requests move. Smaller moves would follow chance.
+func (in *planInput) exceedsMinMove(from int, row zoneRow) bool {
 	largest := 0.0
-	for to, share := range row {
-		current, planned := in.shares[from][to]*fullShare, float64(share)
+	for to, share := range row.shares {
+		current := in.shares[from][to] * fullShare
+		planned := float64(share)
 		if to == from {
-			planned -= float64(shed)
-			if probes := in.probeShare(from) * fullShare; current < probes/2 && planned >= probes/2 {
-				return true
-			}
+			planned -= float64(row.shed)
 		}
-		if in.unreachable[from][to] && planned < current-0.5 {
+		switch {
+		case to == from && in.startsProbes(from, current, planned):
 			return true
-		}
-		if to != from && in.toLeave[from][to] && planned < current-minOverloadMove {
+		case in.unreachable[from][to] && planned < current-minUnreachableMove:
+			return true
+		case to != from && in.toLeave[from][to] && planned < current-minOverloadMove:
 			return true
 		}
 		largest = max(largest, math.Abs(planned-current))
 	}
 	return largest >= in.settings.MinMove*fullShare
 }
+
+// startsProbes tells whether a zone that is avoided would be probed by a planned share, in
+// thousandths, and is not by the current one.
+func (in *planInput) startsProbes(zone int, current, planned float64) bool {
+	enough := in.probeShare(zone) * fullShare * minProbes
+	return current < enough && planned >= enough
+}
--- a/internal/control/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -7,24 +7,28 @@
 )
 
 const (
-	// confirmSpan is the length of each of the two consecutive spans that must both show a change before it counts: digests
-	// arrive in bursts, and a late one of one gateway, which holds much, falls into one of the spans alone.
-	confirmSpan = 400 * time.Millisecond
-	// slowConfirmSpan is the same for what is no loss: how much of a zone answers. A few random failures are forgotten in
-	// that time, and to be late there costs less.
+	// confirmSpan is the length of each of the confirmSpans consecutive spans that must all show a
+	// loss before it counts: a late digest of one gateway, which holds much, falls into one alone.
+	confirmSpan  = 400 * time.Millisecond
+	confirmSpans = 2
+	// slowConfirmSpan is the same for the part of a zone that answers where it is not lost: a few
+	// random failures are forgotten in that time.
 	slowConfirmSpan = 1600 * time.Millisecond
 	// minSampleInterval is the least time between two samples that are kept.
 	minSampleInterval = 80 * time.Millisecond
-	// sampleRetention is how far back samples are kept: demand is the median rate of rateSpans spans of rateSpan each, and so
-	// is the number of gateways.
+	// rateSpan is the length of each of the rateSpans spans over which the number of gateways is
+	// taken, as their median.
+	rateSpan  = 800 * time.Millisecond
+	rateSpans = 5
+	// sampleRetention is how far back samples are kept.
 	sampleRetention = rateSpans*rateSpan + confirmSpan
-	rateSpan        = 800 * time.Millisecond
-	rateSpans       = 5
-	// minReportedShare is the part of a gateway's time that must be reported to count it: digests are late and unevenly cut.
+	// minReportedShare is the part of a gateway's time that must be reported to count it: digests
+	// are late and unevenly cut.
 	minReportedShare = 0.7
 )
 
-// byHealth is an array over the quarters of a zone's servers that answer: from zonestats.Lost to zonestats.Healthy.
+// byHealth is an array over the quarters of a zone's servers that answer, from zonestats.Lost to
+// zonestats.Healthy.
 type byHealth[T any] [zonestats.Healthy + 1]T
 
 // byPowerBand is an array over the bands of a zone's ready power.
@@ -41,7 +45,8 @@
 func newCountNames(zones []string) *countNames {
 	names := &countNames{}
 	for _, zone := range zones {
-		names.awake, names.admitted = append(names.awake, zonestats.AwakeTime(zone)), append(names.admitted, zonestats.Admitted(zone))
+		names.awake = append(names.awake, zonestats.AwakeTime(zone))
+		names.admitted = append(names.admitted, zonestats.Admitted(zone))
 		var completed []string
 		var health []byHealth[string]
 		for _, toZone := range zones {
@@ -54,12 +59,15 @@
 			}
 			health = append(health, byQuarter)
 		}
-		names.completed, names.health = append(names.completed, completed), append(names.health, health)
+		names.completed = append(names.completed, completed)
+		names.health = append(names.health, health)
 		var readyTime, readyPower byPowerBand[string]
 		for band := range zonestats.PowerBands {
-			readyTime[band], readyPower[band] = zonestats.ReadyTime(zone, band), zonestats.ReadyPower(zone, band)
+			readyTime[band] = zonestats.ReadyTime(zone, band)
+			readyPower[band] = zonestats.ReadyPower(zone, band)
 		}
-		names.readyTime, names.readyPower = append(names.readyTime, readyTime), append(names.readyPower, readyPower)
+		names.readyTime = append(names.readyTime, readyTime)
+		names.readyPower = append(names.readyPower, readyPower)
 	}
 	return names
 }
@@ -97,7 +105,8 @@
 			readyTime[band] = float64(sums[c.readyTime[from][band]])
 			readyPower[band] = float64(sums[c.readyPower[from][band]])
 		}
-		next.readyTime, next.readyPower = append(next.readyTime, readyTime), append(next.readyPower, readyPower)
+		next.readyTime = append(next.readyTime, readyTime)
+		next.readyPower = append(next.readyPower, readyPower)
 	}
 	return next
 }
@@ -105,8 +114,8 @@
 // samples are the latest samples, oldest first.
 type samples []*sample
 
-// add keeps a sample and drops those that are too old. It reports false, and keeps nothing, where the sample comes too soon
-// after the last to tell anything.
+// add keeps a sample and drops those that are too old. It reports false, and keeps nothing, where
+// the sample comes less than minSampleInterval after the last.
 func (s *samples) add(next *sample) bool {
 	if n := len(*s); n > 0 && next.at < (*s)[n-1].at+minSampleInterval {
 		return false
@@ -121,7 +130,7 @@
 // last is the latest sample.
 func (s samples) last() *sample { return s[len(s)-1] }
 
-// before is the latest sample at least so much older than the last; nil: there is none.
+// before is the latest sample at least so much older than the last; nil if there is none.
 func (s samples) before(age time.Duration) *sample {
 	now := s.last().at
 	for i := len(s) - 1; i >= 0; i-- {
@@ -146,10 +155,12 @@
 // halves are two consecutive intervals that must both show a change.
 type halves struct{ older, newer interval }
 
-// halves gives the last two intervals of a length; ok is false where samples don't go back that far yet.
+// halves gives the last two intervals of a length; ok is false where samples do not go back that
+// far.
 func (s samples) halves(span time.Duration) (h halves, ok bool) {
 	last := s.last()
-	middle, first := s.before(span), s.before(2*span)
+	middle := s.before(span)
+	first := s.before(confirmSpans * span)
 	if middle == nil || first == nil || first.at >= middle.at {
 		return halves{}, false
 	}
--- a/internal/control/failover/settings.go
+++ b/internal/control/failover/settings.go
@@ -6,26 +6,33 @@
 	"time"
 )
 
-// Settings is what an operator's file says under [failover]. A value that is left out (0) gets its default.
+// Settings is what an operator's file says under [failover]. A value that is left out (0) gets its
+// default.
 type Settings struct {
 	Enabled bool     `toml:"on"`
 	Regions []Region `toml:"regions"`
-	// Capacity is how many units a second one ready, warm server of power 1 can take; CapacityByZone overrides it for a zone.
+	// Capacity is how many units a second one ready, warm server of power 1 can take;
+	// CapacityByZone overrides it for a zone.
 	Capacity       float64            `toml:"bears"`
 	CapacityByZone map[string]float64 `toml:"bears_by"`
 	// MaxUtilisation is the part of a zone's capacity that is planned there at most: 0.3 to 0.95.
 	MaxUtilisation float64 `toml:"utilisation_most"`
-	// HoldDownSeconds is the least time between two moves of a zone's requests, 2 to 600 s. Leaving a failing zone needs none.
+	// HoldDownSeconds is the least time between two moves of a zone's requests, 2 to 600 s. A
+	// failing zone is left without regard to it.
 	HoldDownSeconds float64 `toml:"least_stay_s"`
-	// RecoveryStep is the part of a zone's requests that returns to it, or to a nearer zone, in one move: 0.05 to 1.
+	// RecoveryStep is the part of a zone's requests that returns to it, or to a nearer zone, in one
+	// move: 0.05 to 1.
 	RecoveryStep float64 `toml:"step"`
 	// MinMove is the part of a zone's requests that makes a move worth while: 0.01 to 0.3.
 	MinMove float64 `toml:"worth"`
-	// AgreementShare is the part of a zone's gateways that must agree that a zone fails: 0.51 to 0.95.
+	// AgreementShare is the part of a zone's gateways that must agree that a zone fails: 0.51 to
+	// 0.95.
 	AgreementShare float64 `toml:"ill_part"`
-	// MinGateways is how many gateways of a zone must report for their observations to count: 2 to 1000.
+	// MinGateways is how many gateways of a zone must report for their observations to count: 2 to
+	// 1000.
 	MinGateways int `toml:"gateways_least"`
-	// ProbeShare is the part of a zone's requests that goes on probing their own zone while it is avoided: 0.002 to 0.1.
+	// ProbeShare is the part of a zone's requests that goes on probing their own zone while it is
+	// avoided: 0.002 to 0.1.
 	ProbeShare float64 `toml:"trial"`
 }
 
@@ -35,33 +42,34 @@
 	Zones []string `toml:"halls"`
 }
 
-// The defaults of Settings.
+// The defaults of Settings, in the units of its fields.
 const (
-	defaultMaxUtilisation = 0.8  // leaves a fifth for what moves while plans change, and for gateways without a plan
-	defaultHoldDown       = 10.0 // seconds: several of the longest latency objectives, so that a move shows before the next
-	defaultRecoveryStep   = 0.25 // a zone that fails again while it recovers has taken a quarter
-	defaultMinMove        = 0.05 // demand measured over a second varies by less
-	defaultAgreementShare = 0.6  // more than half: of two gateways both
-	defaultMinGateways    = 2    // the observations of one gateway alone move nothing
-	defaultProbeShare     = 0.02 // as much as may go to another zone on an ordinary day
+	defaultMaxUtilisation  = 0.8
+	defaultHoldDownSeconds = 10.0
+	defaultRecoveryStep    = 0.25
+	defaultMinMove         = 0.05
+	defaultAgreementShare  = 0.6
+	defaultMinGateways     = 2
+	defaultProbeShare      = 0.02
 )
 
-// Bounds of the settings. Of a server's capacity, in units a second, what lies outside is taken for a typing error.
+// Bounds of the settings, in the units of its fields. A server's capacity outside of its bounds is
+// taken for a typing error.
 const (
-	minCapacity, maxCapacity             = 0.001, 1e9
-	minMaxUtilisation, maxMaxUtilisation = 0.3, 0.95
-	minHoldDown, maxHoldDown             = 2, 600
-	minRecoveryStep, maxRecoveryStep     = 0.05, 1
-	minMinMove, maxMinMove               = 0.01, 0.3
-	minAgreementShare, maxAgreementShare = 0.51, 0.95
-	minMinGateways, maxMinGateways       = 2, 1000
-	minProbeShare, maxProbeShare         = 0.002, 0.1
+	minCapacity, maxCapacity               = 0.001, 1e9
+	minMaxUtilisation, maxMaxUtilisation   = 0.3, 0.95
+	minHoldDownSeconds, maxHoldDownSeconds = 2, 600
+	minRecoveryStep, maxRecoveryStep       = 0.05, 1
+	minMinMove, maxMinMove                 = 0.01, 0.3
+	minAgreementShare, maxAgreementShare   = 0.51, 0.95
+	minMinGateways, maxMinGateways         = 2, 1000
+	minProbeShare, maxProbeShare           = 0.002, 0.1
 )
 
 // WithDefaults gives the settings with defaults for what is left out.
 func (s Settings) WithDefaults() Settings {
 	s.MaxUtilisation = cmp.Or(s.MaxUtilisation, defaultMaxUtilisation)
-	s.HoldDownSeconds = cmp.Or(s.HoldDownSeconds, defaultHoldDown)
+	s.HoldDownSeconds = cmp.Or(s.HoldDownSeconds, defaultHoldDownSeconds)
 	s.RecoveryStep = cmp.Or(s.RecoveryStep, defaultRecoveryStep)
 	s.MinMove = cmp.Or(s.MinMove, defaultMinMove)
 	s.AgreementShare = cmp.Or(s.AgreementShare, defaultAgreementShare)
@@ -86,7 +94,8 @@
 // capacity is what a server of power 1 in a zone can take, in units a second.
 func (s Settings) capacity(zone string) float64 { return cmp.Or(s.CapacityByZone[zone], s.Capacity) }
 
-// SettingError is one thing that is wrong in the operator's file: the key, what is expected, and what was found.
+// SettingError is one thing that is wrong in the operator's file: the key, what is expected, and
+// what was found.
 type SettingError struct {
 	Key      string
 	Expected string
@@ -97,7 +106,8 @@
 	return fmt.Sprintf("failover.%s: %s is wanted, not %v", e.Key, e.Expected, e.Found)
 }
 
-// Check gives all that is wrong with the settings, a *SettingError each. Settings that are not enabled are never wrong.
+// Check gives all that is wrong with the settings, a *SettingError each. Settings that are not
+// enabled are never wrong.
 func (s Settings) Check() []error {
 	if !s.Enabled {
 		return nil
@@ -113,7 +123,7 @@
 		check.within("bears_by."+zone, s.CapacityByZone[zone], minCapacity, maxCapacity)
 	}
 	check.within("utilisation_most", s.MaxUtilisation, minMaxUtilisation, maxMaxUtilisation)
-	check.within("least_stay_s", s.HoldDownSeconds, minHoldDown, maxHoldDown)
+	check.within("least_stay_s", s.HoldDownSeconds, minHoldDownSeconds, maxHoldDownSeconds)
 	check.within("step", s.RecoveryStep, minRecoveryStep, maxRecoveryStep)
 	check.within("worth", s.MinMove, minMinMove, maxMinMove)
 	check.within("ill_part", s.AgreementShare, minAgreementShare, maxAgreementShare)
@@ -153,7 +163,8 @@
 		}
 		for _, zone := range region.Zones {
 			if zone == "" || zones[zone] {
-				c.refuse(fmt.Sprintf("regions[%d].halls", i), "halls that stand in one region, once", fmt.Sprintf("%q", zone))
+				key := fmt.Sprintf("regions[%d].halls", i)
+				c.refuse(key, "halls that stand in one region, once", fmt.Sprintf("%q", zone))
 			}
 			zones[zone] = true
 		}
--- a/internal/control/failover/settings_test.go
+++ b/internal/control/failover/settings_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An operator learns of all that is wrong at once, by key and with what is allowed.
+// TestCheck_reportsAllErrors checks that all that is wrong is reported at once, by key and with
+// what is allowed.
 func TestCheck_reportsAllErrors(t *testing.T) {
 	settings := readInvalidSettings(t)
 	var keys []string
@@ -24,13 +25,15 @@
 		keys = append(keys, wrong.Key)
 	}
 	want := []string{
-		"regions[0].name", "regions[0].halls", "regions[1].halls", "regions[2].name", "regions[2].halls", "bears", "bears_by.a",
-		"bears_by", "utilisation_most", "least_stay_s", "step", "worth", "ill_part", "gateways_least", "trial",
+		"regions[0].name", "regions[0].halls", "regions[1].halls", "regions[2].name", "regions[2].halls",
+		"bears", "bears_by.a", "bears_by", "utilisation_most", "least_stay_s", "step", "worth", "ill_part",
+		"gateways_least", "trial",
 	}
 	if d := cmp.Diff(want, keys); d != "" {
 		t.Error(d)
 	}
-	if settings.Enabled = false; len(settings.Check()) > 0 {
+	settings.Enabled = false
+	if len(settings.Check()) > 0 {
 		t.Error("what is not enabled is wrong")
 	}
 	if wrong := threeZones(1).settings.Check(); len(wrong) > 0 {
--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -14,18 +14,19 @@
 // tick is how often the simulation's gateways report and its controller decides.
 const tick = 100 * time.Millisecond
 
-// simulation is zones with gateways that report what they observe of them, as sums that a controller goes by. Plans are held
-// against what is true in the simulation, not against what the controller believes. Slices are by zone index.
+// simulation is zones with gateways that report what they observe of them, as sums that a
+// controller goes by. Plans are checked against what is true in the simulation, not against what
+// the controller holds to be true. Slices are by zone index.
 type simulation struct {
 	zones        []string
 	gateways     []int
-	demand       []float64       // units a second that quotas admit, whether or not an attempt follows
-	unadmitted   map[int]float64 // and, by zone, that they don't
+	demand       []float64       // units a second that quotas admit, attempted or not
+	unadmitted   map[int]float64 // by zone, units a second that quotas reject
 	readyPower   []float64       // as listed
 	healthy      []float64       // part of it that answers
 	lostLinks    map[[2]int]bool
-	blindGateway map[int]bool // zones whose first gateway observes no answer and has an empty endpoint list
-	silent       map[int]bool // zones whose gateways' digests don't arrive
+	blindGateway map[int]bool // zones whose first gateway sees no answer and has an empty list
+	silent       map[int]bool // zones whose gateways' digests do not arrive
 	now          time.Duration
 	faultAt      time.Duration // when something last changed
 	sums         map[string]uint64
@@ -36,17 +37,22 @@
 	plans        []writtenPlan
 }
 
+// writtenPlan is a plan and when it was written.
 type writtenPlan struct {
 	at   time.Duration
 	plan *Plan
 }
 
-// threeZones is three zones in two regions, with so many gateways each, that have a capacity of 100 units a second each.
+// threeZones is three zones in two regions with so many gateways each, and a capacity of 100 units
+// a second each.
 func threeZones(gateways int) *simulation {
 	sim := &simulation{
 		lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{}, sums: map[string]uint64{},
 		unadmitted: map[int]float64{}, lease: 2 * time.Second,
-		settings: Settings{Enabled: true, Capacity: 10, Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}},
+		settings: Settings{
+			Enabled: true, Capacity: 10,
+			Regions: []Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}},
+		},
 	}
 	for _, zone := range []string{"a", "b", "c"} {
 		sim.addZone(zone, gateways, 50, 10)
@@ -56,8 +62,11 @@
 }
 
 func (s *simulation) addZone(name string, gateways int, demand, readyPower float64) {
-	s.zones, s.gateways, s.demand = append(s.zones, name), append(s.gateways, gateways), append(s.demand, demand)
-	s.readyPower, s.healthy = append(s.readyPower, readyPower), append(s.healthy, 1)
+	s.zones = append(s.zones, name)
+	s.gateways = append(s.gateways, gateways)
+	s.demand = append(s.demand, demand)
+	s.readyPower = append(s.readyPower, readyPower)
+	s.healthy = append(s.healthy, 1)
 }
 
 // drawSimulation draws two to five zones in up to three regions.
@@ -67,7 +76,8 @@
 	sim.settings.Regions = nil
 	for i := range 2 + random.IntN(4) {
 		name := string(rune('a' + i))
-		gateways, demand := 2+random.IntN(5), 20+60*random.Float64()
+		gateways := 2 + random.IntN(5)
+		demand := 20 + 60*random.Float64()
 		sim.addZone(name, gateways, demand, float64(5+random.IntN(11)))
 		if n := len(sim.settings.Regions); n == 0 || n < 3 && random.IntN(2) == 0 {
 			sim.settings.Regions = append(sim.settings.Regions, Region{Name: "r" + name})
@@ -81,7 +91,8 @@
 // injectFault draws a change and says what is true after it.
 func (s *simulation) injectFault(random *rand.Rand) string {
 	n := len(s.zones)
-	zone, other := random.IntN(n), random.IntN(n)
+	zone := random.IntN(n)
+	other := random.IntN(n)
 	switch random.IntN(8) {
 	case 0, 1:
 		s.healthy[zone] = []float64{0, 0, 0.5, 1, 1, 1}[random.IntN(6)]
@@ -100,8 +111,8 @@
 	case 7:
 		s.newLeader()
 	}
-	return fmt.Sprintf("healthy %v, ready power %v, demand %.0f, lost links %v, silent %v, blind gateways %v", s.healthy,
-		s.readyPower, s.demand, s.lostLinks, s.silent, s.blindGateway)
+	return fmt.Sprintf("healthy %v, ready power %v, demand %.0f, lost links %v, silent %v, blind gateways %v",
+		s.healthy, s.readyPower, s.demand, s.lostLinks, s.silent, s.blindGateway)
 }
 
 // newLeader has a new controller start.
--- a/internal/control/failover/situations_test.go
+++ b/internal/control/failover/situations_test.go
@@ -32,7 +32,7 @@
 	Slack      float64            `toml:"slack"`
 }
 
-// Each row of the file is run, and what it names is checked.
+// TestController_situations runs each row of the file and checks what the row names.
 func TestController_situations(t *testing.T) {
 	var file struct {
 		Rows []situation `toml:"row"`
@@ -64,7 +64,7 @@
 	for zone, demand := range s.Unadmitted {
 		sim.unadmitted[index(zone)] = demand
 	}
-	sim.run(25 * time.Second) // demand changes before the faults do, as it would
+	sim.run(25 * time.Second) // demand changes before the faults do
 	for zone, part := range s.Healthy {
 		sim.healthy[index(zone)] = part
 	}
@@ -84,7 +84,7 @@
 	return sim
 }
 
-// check holds the plan in force against the row.
+// check compares the plan in force with the row.
 func (s *situation) check(t *testing.T, sim *simulation) {
 	t.Helper()
 	plan := sim.latest()
@@ -96,7 +96,8 @@
 			got -= plan.Shed[fromZone]
 		}
 		if math.Abs(float64(got-share)) > slack {
-			t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)", fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
+			t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)",
+				fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
 		}
 	}
 	for zone, share := range s.Shed {
