--- a/internal/control/failover/zonestats/golden_test.go
+++ b/internal/control/failover/zonestats/golden_test.go
@@ -15,7 +15,8 @@
 	"harrierhoist/policy"
 )
 
-// TestCountNames_areStable holds the names of counts: they go between processes of different releases.
+// TestCountNames_areStable holds the names of counts, which go between processes of different
+// releases.
 func TestCountNames_areStable(t *testing.T) {
 	for name, want := range map[string]string{
 		AwakeTime("a"):                       "time|a",
@@ -45,7 +46,7 @@
 	}
 }
 
-// TestPowerBand_isStable holds the bands of strength: all gateways must tell the same.
+// TestPowerBand_isStable holds the bands of ready power, which must be the same at all gateways.
 func TestPowerBand_isStable(t *testing.T) {
 	var got []int
 	for _, power := range []float64{
@@ -67,10 +68,11 @@
 	"cold 12":   "d2b8c9efd4209025b3d72f5046dd2b820d9f75c39b346c35d685383c5358dc0b",
 }
 
-// TestRecorder_drawnStreamCountsAsBefore holds all counts along drawn streams of events to what they were.
+// TestRecorder_drawnStreamCountsAsBefore holds all counts along drawn streams of events to what
+// they were.
 func TestRecorder_drawnStreamCountsAsBefore(t *testing.T) {
-	sites := map[string]*policy.Settings{"warm": {}, "cold": {WarmUpStart: 0.3, WarmUpTime: 20 * time.Second}}
-	for name, settings := range sites {
+	settingsByName := map[string]*policy.Settings{"warm": {}, "cold": {WarmUpStart: 0.3, WarmUpTime: 20 * time.Second}}
+	for name, settings := range settingsByName {
 		for _, seed := range []uint64{2026, 12} {
 			key := fmt.Sprintf("%s %d", name, seed)
 			t.Run(key, func(t *testing.T) {
@@ -82,12 +84,14 @@
 	}
 }
 
-// countDrawn takes 500 digests' worth of drawn events in the second of three zones, and hashes all counts of each.
+// countDrawn takes 500 digests' worth of drawn events in the second of three zones, and hashes all
+// counts of each.
 func countDrawn(seed uint64, settings *policy.Settings) string {
 	random := rand.New(rand.NewPCG(seed, 37))
 	zones := []string{"a", "b", "c"}
-	recorder, now := New(zones, 1, settings), time.Hour
-	hows := []policy.Outcome{
+	recorder := New(zones, 1, settings)
+	now := time.Hour
+	outcomes := []policy.Outcome{
 		policy.Answered, policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.TimedOut,
 		policy.Reset, policy.Cancelled, policy.Rejected, policy.ConnectFailed, policy.NotSent,
 	}
@@ -105,8 +109,9 @@
 		}
 		for range random.IntN(8) {
 			now += time.Duration(random.IntN(20)) * time.Millisecond
-			zone, server := random.IntN(5)-1, uint32(random.IntN(9))
-			outcome := hows[random.IntN(len(hows))]
+			zone := random.IntN(5) - 1
+			server := uint32(random.IntN(9))
+			outcome := outcomes[random.IntN(len(outcomes))]
 			if zoneDown[min(max(zone, 0), 2)] {
 				outcome = policy.ConnectFailed
 			}
@@ -117,7 +122,7 @@
 			case 1:
 				recorder.AddCounterCall(random.IntN(2) == 0)
 			case 2:
-				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(2) == 0) // and it hangs
+				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(2) == 0) // it hangs
 			default:
 				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(4) > 0)
 				recorder.AddResult(now, zone, server, outcome, time.Duration(random.IntN(900))*time.Millisecond)
@@ -134,20 +139,20 @@
 	return sum.String()
 }
 
-// drawnList draws the servers listed.
+// drawnList draws an endpoint list.
 func drawnList(random *rand.Rand, now time.Duration) []policy.Endpoint {
 	var list []policy.Endpoint
 	for i := range random.IntN(9) {
-		stage := policy.Ready
+		state := policy.Ready
 		if random.IntN(5) == 0 {
-			stage = policy.Draining
+			state = policy.Draining
 		}
 		since := time.Duration(0)
 		if random.IntN(2) == 0 {
 			since = now - time.Duration(random.IntN(30))*time.Second
 		}
 		list = append(list, policy.Endpoint{
-			Server: uint32(i), State: stage, Zone: random.IntN(3), Rack: i,
+			Server: uint32(i), State: state, Zone: random.IntN(3), Rack: i,
 			Capacity: float64(random.IntN(4)), StartedAt: since,
 		})
 	}
--- a/internal/control/failover/zonestats/recorder.go
+++ b/internal/control/failover/zonestats/recorder.go
@@ -1,7 +1,8 @@
-// Package zonestats counts what one gateway observes of zones: the observations that failover goes by. It is handed events
-// and the time, and knows no sockets and no clock. All counts only grow; all times in them are milliseconds that the
-// gateway was awake, so that one gateway adds at most one second to any of them each second, whatever it believes: the sum
-// over a span, divided by that span, is the number of distinct gateways that observed it.
+// Package zonestats counts what one gateway observes of zones, which failover decides by. The
+// gateway's dispatcher hands it events and the time, and the gateway's digests read its counts; it
+// knows no sockets and no clock. All counts only grow. All times in them are milliseconds that the
+// gateway was awake, so that one gateway adds at most one second to any of them each second: the
+// sum over a span, divided by that span, is the number of distinct gateways that observed it.
 package zonestats
 
 import (
@@ -10,7 +11,7 @@
 	"harrierhoist/policy"
 )
 
-// thousandths of a unit are counted.
+// thousandths is how many of the counted parts are one unit.
 const thousandths = 1000
 
 // Recorder keeps one gateway's counts. It is not safe for concurrent use.
@@ -20,10 +21,10 @@
 	warmUpFrom float64       // part of its power that a server has at its start
 	warmUpTime time.Duration // until it has all of it
 
-	countedUntil, awake time.Duration
-	hasEndpoints        bool          // an endpoint list was received
-	lossSeenSince       time.Duration // since when the own zone looks lost; 0: it does not
-	ownZoneLost         bool
+	countedUntil time.Duration // 0 before the first digest
+	awake        time.Duration
+	hasEndpoints bool // an endpoint list was received
+	ownZone      ownZoneLoss
 
 	offered, admitted    float64 // thousandths of units
 	callsDone, callsLate uint64
@@ -51,10 +52,12 @@
 
 // Reconfigure takes over how servers warm up from changed settings.
 func (r *Recorder) Reconfigure(settings *policy.Settings) {
-	r.warmUpFrom, r.warmUpTime = settings.WarmUpStart, settings.WarmUpTime
+	r.warmUpFrom = settings.WarmUpStart
+	r.warmUpTime = settings.WarmUpTime
 }
 
-// zone is a zone's counts by its index. An endpoint of a zone that the settings don't have counts for the nearest index.
+// zone is a zone's counts by its index. An endpoint of a zone that the settings do not have counts
+// for the nearest index.
 func (r *Recorder) zone(index int) *zoneStats {
 	return r.zones[min(max(index, 0), len(r.zones)-1)]
 }
@@ -62,14 +65,14 @@
 // AddOffered counts a request that came in, in units.
 func (r *Recorder) AddOffered(units float64) { r.offered += units * thousandths }
 
-// AddShed counts a first try that was rejected before any attempt for want of capacity, by a plan that sheds or by the policy
-// module after the quota admitted it: it is demand like those attempted. It guards a crowded zone, whose gateways reject what
-// would have to move, against looking merely full. Repeats count neither here nor when attempted, so that a request counts
-// once; counted when attempted, they had a plan shed 2% more than it must. Drawback: a client that doesn't mark its repeats
-// counts with each.
+// AddShed counts the units of a first try that was rejected for want of capacity before any
+// attempt, by a plan that sheds or by the policy module after the quota admitted it. It is demand
+// as well: prevents a crowded zone, whose gateways reject what would have to move, from looking
+// merely full.
 func (r *Recorder) AddShed(units float64) { r.admitted += units * thousandths }
 
-// AddAttempt counts an attempt on a server in a zone. The first attempt of a request that its client doesn't repeat is demand.
+// AddAttempt counts an attempt on a server in a zone, in units. It is demand where it is the first
+// of a request that is no client's repeat, so that a request counts once.
 func (r *Recorder) AddAttempt(now time.Duration, zone int, units float64, isFirst bool) {
 	r.zone(zone).addAttempt(now, units)
 	if isFirst {
@@ -94,7 +97,8 @@
 // SetEndpoints takes over the complete endpoint list as of a time.
 func (r *Recorder) SetEndpoints(now time.Duration, endpoints []policy.Endpoint) {
 	for _, z := range r.zones {
-		z.warmPower, z.warmingUp = 0, z.warmingUp[:0]
+		z.warmPower = 0
+		z.warmingUp = z.warmingUp[:0]
 	}
 	for _, endpoint := range endpoints {
 		switch z := r.zone(endpoint.Zone); {
@@ -116,7 +120,8 @@
 	return 1
 }
 
-// warmUpFraction is the part of its power that a server surely has, as the policy module takes it.
+// warmUpFraction is the part of its power, 0 to 1, that a server has while it warms up, as the
+// policy module takes it.
 func (r *Recorder) warmUpFraction(now time.Duration, endpoint policy.Endpoint) float64 {
 	if endpoint.StartedAt <= 0 || r.warmUpTime <= 0 {
 		return 1
--- a/internal/control/failover/zonestats/recorder_test.go
+++ b/internal/control/failover/zonestats/recorder_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// A gateway judges a zone by the latest result of each server that it knows.
+// TestHealth_latestResultOfEachServer checks that a zone's health goes by the latest result of each
+// server.
 func TestHealth_latestResultOfEachServer(t *testing.T) {
 	for _, row := range []struct{ failed, quarter int }{{0, 4}, {1, 4}, {2, 3}, {4, 2}, {6, 1}, {8, 0}} {
 		t.Run(fmt.Sprintf("%d of 8 failed", row.failed), func(t *testing.T) {
@@ -72,12 +73,13 @@
 			}
 			fx.digest(120 * time.Millisecond)
 			fx.wantCount(HealthTime("a", "b", row.quarter), 200)
-			fx.wantCount(HealthTime("a", "a", Healthy), 0) // nothing is known there
+			fx.wantCount(HealthTime("a", "a", Healthy), 0) // without attempts nothing is known
 		})
 	}
 }
 
-// Once all attempts that ended of late failed, a zone counts as lost, whatever was healthy before.
+// TestHealth_lossShowsBeforeOldResultsExpire checks that a zone counts as lost once all recent
+// attempts failed, whatever was healthy before.
 func TestHealth_lossShowsBeforeOldResultsExpire(t *testing.T) {
 	fx := newFixture(t)
 	for i := range 8 {
@@ -92,7 +94,8 @@
 	fx.wantCount(HealthTime("a", "a", Lost), 100)
 }
 
-// Servers that say nothing at all: no attempt ends, and the zone still shows as lost.
+// TestHealth_silenceIsALoss checks that a zone whose servers say nothing, so that no attempt ends,
+// shows as lost.
 func TestHealth_silenceIsALoss(t *testing.T) {
 	fx := newFixture(t)
 	fx.attempt(0, 1, policy.Answered, 10*time.Millisecond)
@@ -106,7 +109,8 @@
 	fx.wantCount(HealthTime("a", "a", Lost), 200)
 }
 
-// A gateway that was paused observed nothing of that time: it adds none of it, so no observation weighs more than a gateway's.
+// TestWriteCounts_addsNoMoreThanTimeAwake checks that a gateway adds none of the time in which it
+// was paused, so that no observation weighs more than one gateway's.
 func TestWriteCounts_addsNoMoreThanTimeAwake(t *testing.T) {
 	fx := newFixture(t)
 	fx.attempt(0, 1, policy.Answered, 0)
@@ -119,7 +123,8 @@
 	fx.wantCount(Admitted("a"), 2000)
 }
 
-// Ready power is what is listed as ready, less what is still warming up; draining servers have none.
+// TestReadyPower_isReadyAndWarm checks that ready power is what is listed as ready, less what is
+// still warming up, and that draining servers have none.
 func TestReadyPower_isReadyAndWarm(t *testing.T) {
 	fx := newFixture(t)
 	fx.recorder.SetEndpoints(fx.now, []policy.Endpoint{
@@ -141,7 +146,7 @@
 	}
 }
 
-// One request that hangs on a gateway with few others is no lost zone: alone, it would have shed nearly all others.
+// Guards against one hanging attempt, alone at a gateway, that has nearly all other requests shed.
 func TestIsZoneLost_notByOneHangingAttempt(t *testing.T) {
 	for _, row := range []struct {
 		inFlight int
@@ -162,7 +167,8 @@
 	}
 }
 
-// Its own zone is lost to a gateway after a second, and recovered once half of it answers.
+// TestIsZoneLost_lossAndRecovery checks that a gateway's own zone is lost after a second, and
+// recovers once half of it answers.
 func TestIsZoneLost_lossAndRecovery(t *testing.T) {
 	fx := newFixture(t)
 	fx.recorder.SetEndpoints(fx.now, []policy.Endpoint{{State: policy.Ready}})
--- a/internal/control/failover/zonestats/zone.go
+++ b/internal/control/failover/zonestats/zone.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// resultMemory is how long the latest result of a server counts: a few rounds of a gateway with few requests, and of the
-	// pauses for which the policy module ejects a failed server.
+	// resultMemory is how long the latest result of a server counts.
 	resultMemory = 6 * time.Second
-	// minFailedRun is how many servers must have failed, with no answer of any between, to be a loss at once, whatever was
-	// healthy before; of a zone half of which is down a gateway observes that now and then, but not most gateways at once.
+	// minFailedRun is how many servers must have failed, with no answer of any between, to be a
+	// loss at once, whatever was healthy before.
 	minFailedRun = 3
-	// freshTime is how far back nothing answered, for a server or two that failed to say as much: in a gateway with few
-	// requests. One makes the zone failing, minFreshFailures make it lost. What one gateway so overstates, others do not.
+	// freshTime is how far back nothing answered, for fewer failed servers to speak of a loss: one
+	// makes the zone failing, minFreshFailures make it lost.
 	freshTime        = time.Second
 	minFreshFailures = 2
-	// minSilence and silenceFactor say when no answer at all, with attempts in flight, speaks for the loss of the whole zone:
-	// after so much time, and so many usual answer times.
+	// minSilence is after what time without an answer, with attempts in flight, the whole zone
+	// counts as lost. silenceFactor is the same in usual answer times; the longer of the two
+	// counts.
 	minSilence    = 500 * time.Millisecond
 	silenceFactor = 3.0
 	// answerTimeSmoothing is over how many answers the usual answer time is taken.
@@ -36,7 +36,7 @@
 // lastResult is a server's latest result.
 type lastResult struct {
 	at    time.Duration
-	alive bool // it answered, or rejected
+	alive bool // the server answered, or rejected
 }
 
 // zoneStats is what a gateway knows of a zone, and its counts.
@@ -44,11 +44,11 @@
 	results         map[uint32]lastResult // by server
 	failedRun       map[uint32]bool       // servers that failed since any answered
 	inFlight        int                   // attempts
-	waitingSince    time.Duration         // since when no answer came with an attempt in flight; 0: none is waited for
+	waitingSince    time.Duration         // without an answer; read by isWaiting
 	usualAnswerTime time.Duration
 
-	warmPower float64           // of the listed servers that are ready and warm, in servers of power 1
-	warmingUp []policy.Endpoint // the listed servers that are ready and warming up
+	warmPower float64           // of listed servers that are ready and warm, in servers of power 1
+	warmingUp []policy.Endpoint // listed servers that are ready and warming up
 
 	healthTime [Healthy + 1]uint64 // milliseconds
 	completed  [indexRejected + 1]uint64
@@ -70,7 +70,8 @@
 // newZoneStats starts with nothing known of a zone, as observed from another zone or from itself.
 func newZoneStats(from, to string) *zoneStats {
 	z := &zoneStats{results: map[uint32]lastResult{}, failedRun: map[uint32]bool{}}
-	z.names.attempted, z.names.answerTime = Attempted(from, to), AnswerTime(from, to)
+	z.names.attempted = Attempted(from, to)
+	z.names.answerTime = AnswerTime(from, to)
 	for quarter := range z.names.healthTime {
 		z.names.healthTime[quarter] = HealthTime(from, to, quarter)
 	}
@@ -78,7 +79,8 @@
 		z.names.completed[i] = Completed(from, to, outcome)
 	}
 	for band := range PowerBands {
-		z.names.readyTime[band], z.names.readyPower[band] = ReadyTime(to, band), ReadyPower(to, band)
+		z.names.readyTime[band] = ReadyTime(to, band)
+		z.names.readyPower[band] = ReadyPower(to, band)
 	}
 	return z
 }
@@ -86,17 +88,19 @@
 // addAttempt counts an attempt that starts.
 func (z *zoneStats) addAttempt(now time.Duration, units float64) {
 	z.attempted += units * thousandths
-	if z.inFlight++; z.waitingSince == 0 {
+	z.inFlight++
+	if !z.isWaiting() {
 		z.waitingSince = now
 	}
 }
 
-// addResult counts the end of an attempt. One that was cancelled after a silence has failed; one cancelled earlier tells
-// nothing. A server that rejects is alive.
+// addResult counts the end of an attempt. One that was cancelled after the silence timeout has
+// failed; one cancelled earlier tells nothing. A server that rejects is alive.
 func (z *zoneStats) addResult(now time.Duration, server uint32, outcome policy.Outcome, took time.Duration) {
 	z.inFlight = max(z.inFlight-1, 0)
 	index := indexFailed
 	switch outcome {
+	case policy.Errored, policy.TimedOut, policy.ConnectFailed, policy.Reset:
 	case policy.Answered:
 		index = indexAnswered
 		z.answerTime += float64(took) / float64(time.Millisecond)
@@ -118,9 +122,10 @@
 		clear(z.failedRun)
 	}
 	if outcome == policy.Cancelled || outcome == policy.TimedOut {
-		return // nothing was heard: the silence goes on
+		return // no answer came, so the wait goes on
 	}
-	if z.waitingSince = 0; z.inFlight > 0 {
+	z.waitingSince = 0
+	if z.inFlight > 0 {
 		z.waitingSince = now
 	}
 }
@@ -130,40 +135,68 @@
 	return max(minSilence, time.Duration(silenceFactor*float64(z.usualAnswerTime)))
 }
 
-// health gives the quarter of a zone that answers; known is false where nothing is known of late. So many attempts in flight
-// without an answer are a silence.
-func (z *zoneStats) health(now time.Duration, minInFlight int) (quarter int, known bool) {
-	if z.waitingSince != 0 && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout() {
-		return Lost, true
-	}
-	alive, freshAlive, freshFailed := 0, 0, 0
+// isWaiting tells whether an answer is waited for.
+func (z *zoneStats) isWaiting() bool { return z.waitingSince != 0 }
+
+// isSilent decides whether the whole zone says nothing: no answer came for the silence timeout,
+// with at least so many attempts in flight.
+func (z *zoneStats) isSilent(now time.Duration, minInFlight int) bool {
+	return z.isWaiting() && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout()
+}
+
+// recentResults are how many servers have a recent latest result, by what it was.
+type recentResults struct {
+	all, alive              int // within resultMemory
+	freshAlive, freshFailed int // within freshTime
+}
+
+// recent forgets results that are too old, and counts the others.
+func (z *zoneStats) recent(now time.Duration) recentResults {
+	var found recentResults
 	for server, result := range z.results {
 		age := now - result.at
 		if age > resultMemory {
 			delete(z.results, server)
 			continue
 		}
+		found.all++
 		if result.alive {
-			alive++
+			found.alive++
 		}
 		switch {
 		case age > freshTime:
 		case result.alive:
-			freshAlive++
+			found.freshAlive++
 		default:
-			freshFailed++
+			found.freshFailed++
 		}
 	}
-	switch {
-	case len(z.results) == 0:
+	return found
+}
+
+// health decides which quarter of a zone answers; known is false without recent results. A loss
+// shows at once by a silence, by servers that failed in a row, or where nothing answered of late;
+// otherwise the part of servers whose latest result was an answer counts.
+func (z *zoneStats) health(now time.Duration, minInFlight int) (quarter int, known bool) {
+	if z.isSilent(now, minInFlight) {
+		return Lost, true
+	}
+	found := z.recent(now)
+	if found.all == 0 {
 		clear(z.failedRun)
-		return 0, false
-	case len(z.failedRun) >= minFailedRun || freshFailed >= minFreshFailures && freshAlive == 0:
+		return Lost, false
+	}
+	failedFresh := 0
+	if found.freshAlive == 0 {
+		failedFresh = found.freshFailed
+	}
+	switch {
+	case len(z.failedRun) >= minFailedRun || failedFresh >= minFreshFailures:
 		return Lost, true
-	case freshFailed > 0 && freshAlive == 0:
+	case failedFresh > 0:
 		return Failing, true
 	}
-	return int(math.Round(Healthy * float64(alive) / float64(len(z.results)))), true
+	return int(math.Round(Healthy * float64(found.alive) / float64(found.all))), true
 }
 
 // writeCounts gives the zone's counts that are not 0.
