--- a/internal/control/failover/routing/golden_test.go
+++ b/internal/control/failover/routing/golden_test.go
@@ -11,13 +11,15 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// goldenSteering are the hashes of all that the dispatcher is handed along drawn streams of plans, by seed.
+// goldenSteering are the hashes of all that the dispatcher is handed along drawn streams of plans,
+// by seed.
 var goldenSteering = map[uint64]string{
 	2026: "dacb9615976f25e655c5d373b827599a75815584940a19cfea14048edbbdc32b",
 	12:   "8f901b3878bdcdc348bd13dd63b9abccd1e6456a51b9b63221a71ea91b1a261f",
 }
 
-// TestUpdater_drawnStreamSteersAsBefore holds what the dispatcher is handed along drawn streams of plans, leases and losses.
+// TestUpdater_drawnStreamSteersAsBefore holds what the dispatcher is handed along drawn streams of
+// plans, leases and losses.
 func TestUpdater_drawnStreamSteersAsBefore(t *testing.T) {
 	for _, seed := range []uint64{2026, 12} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -43,9 +45,9 @@
 		case 2:
 			epoch++
 			f.setTable(t, epoch, drawnPlan(random))
-			f.table.Value = f.table.Value[:random.IntN(len(f.table.Value))] // cut short, or none at all
+			f.table.Value = f.table.Value[:random.IntN(len(f.table.Value))] // cut short or empty
 		case 3:
-			f.table.LeaseEnd = f.now + time.Duration(random.IntN(3000))*time.Millisecond // the lease is renewed
+			f.table.LeaseEnd = f.now + time.Duration(random.IntN(3000))*time.Millisecond
 		case 4:
 			f.zoneLost = !f.zoneLost
 		case 5:
@@ -60,7 +62,7 @@
 	return sum.String()
 }
 
-// drawnPlan draws a plan, also with zones that the endpoint list doesn't have.
+// drawnPlan draws a plan, also with zones that the endpoint list does not have.
 func drawnPlan(random *rand.Rand) *failover.Plan {
 	plan := &failover.Plan{
 		Rows: map[string]map[string]int{}, Fallback: map[string]map[string]int{}, Health: map[string]int{},
@@ -68,15 +70,19 @@
 	}
 	zones := []string{"a", "b", "c", "x"}
 	for _, from := range zones[:3] {
-		row, fallback, rest := map[string]int{}, map[string]int{}, 1000
+		row := map[string]int{}
+		fallback := map[string]int{}
+		rest := 1000
 		for _, to := range zones[:2+random.IntN(3)] {
 			share := random.IntN(rest + 1)
-			row[to], fallback[to] = share, random.IntN(400)
+			row[to] = share
+			fallback[to] = random.IntN(400)
 			rest -= share
 		}
 		row[from] += rest
 		if random.IntN(5) > 0 {
-			plan.Rows[from], plan.Fallback[from] = row, fallback
+			plan.Rows[from] = row
+			plan.Fallback[from] = fallback
 		}
 		plan.Health[from] = 250 * random.IntN(5)
 		if random.IntN(3) == 0 {
--- a/internal/control/failover/routing/updater.go
+++ b/internal/control/failover/routing/updater.go
@@ -1,7 +1,7 @@
-// Package routing keeps one gateway to the failover plan that all processes share: it hands the dispatcher the shares of the
-// gateway's own zone while the lease on the plan stands, and after that has it serve locally by its own observations. It
-// runs beside the requests, never on their path: the dispatcher acts on what it was last handed, and on the end of the
-// lease, without it.
+// Package routing decides by which shares one gateway sends requests to zones: by the failover plan
+// while the gateway's lease on it stands, and after that locally, by its own observations. The
+// gateway runs an Updater beside its requests; the dispatcher acts on what the Updater last handed
+// it, and on the end of the lease, without it.
 package routing
 
 import (
@@ -19,9 +19,10 @@
 // checkInterval is how often the loss of the own zone and the lease are checked.
 const checkInterval = 200 * time.Millisecond
 
-// Dispatcher is what follows the steering.
+// Dispatcher is what acts on the steering.
 type Dispatcher interface {
-	// SetSteering steers by the one value until the lease ends, and then by the other. A lease of 0 is over.
+	// SetSteering steers by the first value until the lease ends, and then by the other. A lease of
+	// 0 is over.
 	SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering)
 	// WriteZoneCounts gives the counts of what the gateway observes of zones.
 	WriteZoneCounts(add func(name string, n uint64))
@@ -38,46 +39,58 @@
 	log        *zap.Logger
 
 	epoch   uint64         // of the plan
-	plan    *failover.Plan // the latest; nil: none
+	plan    *failover.Plan // the latest; nil if there is none
 	applied appliedSteering
 
-	loggedRow     string // the row that was logged last
-	isStateLogged bool   // whether a plan is in force was logged
-	wasInForce    bool   // and was it
+	loggedRow   string    // the row that was logged last
+	loggedState planState // the state that was logged last
 }
 
-// appliedSteering is what the dispatcher was last handed; the lease by its end, 0 without a plan in force.
+// planState is whether the gateway acts on a plan.
+type planState int
+
+const (
+	planStateUnknown planState = iota // nothing was logged yet
+	planInForce
+	noPlanInForce
+)
+
+// appliedSteering is what the dispatcher was last handed.
 type appliedSteering struct {
 	leased, fallback dispatch.Steering
-	leaseEnd         time.Duration
+	leaseEnd         time.Duration // 0 without a plan in force
 }
 
-// New makes the updater of a gateway in a zone. Zones are all of them, in the order of the endpoint list's indexes.
+// New makes the updater of a gateway in a zone. Zones are all zones, in the order of the endpoint
+// list's indexes.
 func New(tables coordination.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
 	return &Updater{tables: tables, dispatcher: dispatcher, zones: zones, zone: zone, log: log}
 }
 
-// Run keeps the steering up to date until the context ends, and registers the dispatcher's counts for digests.
+// Run keeps the steering up to date until the context ends, and registers the dispatcher's counts
+// for digests.
 func (u *Updater) Run(ctx context.Context) {
 	u.tables.RegisterCounters(u.dispatcher.WriteZoneCounts)
 	coordination.FollowTables(ctx, u.tables, checkInterval, u.Update)
 }
 
-// Update reads the plan and its lease, and hands the dispatcher what follows from them, where that has changed.
+// Update reads the plan and its lease, and hands the dispatcher what follows from them where that
+// has changed.
 func (u *Updater) Update() {
 	table := u.tables.Cached(failover.Table)
 	if table.Epoch != u.epoch {
 		u.loadPlan(table)
 	}
-	lease := table.LeaseEnd - u.tables.Now()
-	inForce := u.plan != nil && lease > 0
-	next := appliedSteering{fallback: u.steeringOf(u.plan.FallbackAssignment(u.zone, u.dispatcher.IsZoneLost()))}
-	if inForce {
-		next.leased, next.leaseEnd = u.steeringOf(u.plan.Assignment(u.zone)), table.LeaseEnd
-	} else {
-		lease = 0
+	lease := u.remainingLease(table)
+	fallback := u.plan.FallbackAssignment(u.zone, u.dispatcher.IsZoneLost())
+	next := appliedSteering{fallback: u.steeringOf(fallback)}
+	state := noPlanInForce
+	if lease > 0 {
+		state = planInForce
+		next.leased = u.steeringOf(u.plan.Assignment(u.zone))
+		next.leaseEnd = table.LeaseEnd
 	}
-	u.logState(inForce)
+	u.logState(state)
 	if next.equal(u.applied) {
 		return
 	}
@@ -85,6 +98,15 @@
 	u.dispatcher.SetSteering(next.leased, lease, next.fallback)
 }
 
+// remainingLease decides for how long the gateway still acts on the latest plan: until its lease
+// ends, and not at all without a plan.
+func (u *Updater) remainingLease(table coordination.CachedTable) time.Duration {
+	if u.plan == nil {
+		return 0
+	}
+	return max(table.LeaseEnd-u.tables.Now(), 0)
+}
+
 // loadPlan takes over a plan. A malformed one counts as none.
 func (u *Updater) loadPlan(table coordination.CachedTable) {
 	u.epoch = table.Epoch
@@ -92,7 +114,8 @@
 	if err != nil {
 		u.log.Error("routing: malformed plan, serving locally", zap.Uint64("epoch", table.Epoch), zap.Error(err))
 	}
-	if u.plan = plan; plan == nil {
+	u.plan = plan
+	if plan == nil {
 		return
 	}
 	if row := plan.Describe(u.zone); row != u.loggedRow {
@@ -102,24 +125,25 @@
 	}
 }
 
-// logState logs once that there is no plan in force, and that there is one again.
-func (u *Updater) logState(inForce bool) {
-	if u.isStateLogged && u.wasInForce == inForce {
+// logState logs a change of whether a plan is in force.
+func (u *Updater) logState(state planState) {
+	if state == u.loggedState {
 		return
 	}
-	u.isStateLogged, u.wasInForce = true, inForce
-	if inForce {
+	u.loggedState = state
+	if state == planInForce {
 		u.log.Info("routing: plan in force")
 	} else {
 		u.log.Warn("routing: no plan in force, serving locally")
 	}
 }
 
-// steeringOf is an assignment by the indexes of zones. A zone of the plan that the endpoint list doesn't have gets nothing, and
-// its share is shed: the others were not planned to take it.
+// steeringOf is an assignment by the indexes of zones. A zone of the plan that the endpoint list
+// does not have gets nothing, and its share is shed: the others were not planned to take it.
 func (u *Updater) steeringOf(assignment failover.Assignment) dispatch.Steering {
 	steering := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
-	sum, found := 0.0, 0.0
+	sum := 0.0
+	found := 0.0
 	for _, zone := range assignment.Zones() {
 		weight := assignment.Weights[zone]
 		sum += weight
--- a/internal/control/failover/routing/updater_test.go
+++ b/internal/control/failover/routing/updater_test.go
@@ -50,7 +50,10 @@
 func (f *fake) SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leased, f.fallback, f.leaseEnd, f.applied = leased, fallback, f.now+lease, f.applied+1
+	f.leased = leased
+	f.fallback = fallback
+	f.leaseEnd = f.now + lease
+	f.applied++
 }
 
 // inForce is how the dispatcher acts now.
@@ -70,7 +73,9 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table = coordination.CachedTable{Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second}
+	f.table = coordination.CachedTable{
+		Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second,
+	}
 }
 
 func newFixture(t *testing.T) (*fake, *Updater, *observer.ObservedLogs) {
@@ -103,7 +108,8 @@
 	})
 }
 
-// A plan holds for its lease and not a moment longer, then the gateway serves locally; each is logged once.
+// TestUpdate_planForItsLeaseThenLocal checks that a gateway acts on a plan until its lease ends and
+// then serves locally, without another update, and that each change is logged once.
 func TestUpdate_planForItsLeaseThenLocal(t *testing.T) {
 	f, u, lines := newFixture(t)
 	u.Update()
@@ -113,7 +119,7 @@
 		u.Update()
 		f.wantSteering(t, "with the plan", 0, 0.25, 0.75, 0)
 	}
-	f.now += 2 * time.Second // and no update
+	f.now += 2 * time.Second // without an update
 	f.wantSteering(t, "after the lease", 0, 1, 0, 0)
 	u.Update()
 	u.Update()
@@ -126,7 +132,8 @@
 	}
 }
 
-// Without a plan in force and with its own zone lost, a gateway sends to others what the last plan reserved for that.
+// TestUpdate_fallbackWithOwnZoneLost checks that a gateway without a plan in force, and with its
+// own zone lost, sends to other zones what the last plan reserved for that.
 func TestUpdate_fallbackWithOwnZoneLost(t *testing.T) {
 	f, u, _ := newFixture(t)
 	f.zoneLost = true
@@ -140,7 +147,8 @@
 	f.wantSteering(t, "what was reserved", 0.8, 0.05, 0.1, 0.05)
 }
 
-// A malformed value is no plan; the next plan is followed again.
+// TestUpdate_malformedPlan checks that a malformed value is no plan, and that the next plan is
+// followed.
 func TestUpdate_malformedPlan(t *testing.T) {
 	f, u, lines := newFixture(t)
 	f.setTable(t, 1, testPlan)
@@ -155,7 +163,8 @@
 	f.wantSteering(t, "the next plan", 0, 0.25, 0.75, 0)
 }
 
-// The share of a zone that the endpoint list does not have is shed.
+// TestUpdate_unknownZone checks that the share of a zone that the endpoint list does not have is
+// shed.
 func TestUpdate_unknownZone(t *testing.T) {
 	f, u, _ := newFixture(t)
 	f.setTable(t, 2, &failover.Plan{Rows: map[string]map[string]int{"a": {"a": 400, "x": 600}}})
@@ -163,7 +172,7 @@
 	f.wantSteering(t, "unknown zone", 0.6, 0.4, 0, 0)
 }
 
-// Run applies changes at once, and leaves nothing behind.
+// TestRun_appliesChanges checks that Run applies changes at once, and leaves no goroutine behind.
 func TestRun_appliesChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f, u, _ := newFixture(t)
