--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -30,7 +30,8 @@
 	// minSubset is how many servers a gateway is offered, and by how many gateways each server is
 	// used in the mean, at least (package subset).
 	minSubset = 8
-	// overloadWeight of the most that is planned in a zone and of its capacity gives their mean.
+	// overloadWeight is the weight of both the most that is planned in a zone and its capacity in the
+	// overload threshold, which is their mean.
 	overloadWeight = 0.5
 	// probersPerMinGateways is how many gateways must be offered a server of a zone that is probed,
 	// for each that must report.
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// newPlanInput gathers what the next plan is made for.
+// newPlanInput gathers what the next plan is made for. It also notes which zones have headroom, by
+// which demand is smoothed from the next sample on.
 func (c *Controller) newPlanInput(now time.Duration) *planInput {
 	input := &planInput{Controller: c, now: now, loads: make([]float64, len(c.zones))}
 	for i, zone := range c.zones {
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -9,9 +9,10 @@
 	// minOverloadMove is how many thousandths of a zone's requests are worth moving away from
 	// another, overloaded zone.
 	minOverloadMove = 5
-	// minUnreachableMove is the same for an unreachable zone: any whole thousandth.
+	// minUnreachableMove is the same for an unreachable zone. It lies between two whole thousandths,
+	// so that any move counts.
 	minUnreachableMove = 0.5
-	// minProbes is the part of the probes by which they count as started.
+	// minProbes is the part of the probe share from which on a zone counts as probed.
 	minProbes = 0.5
 )
 
@@ -19,7 +20,7 @@
 type zoneRow struct {
 	shares []int // by receiver, in thousandths
 	shed   int   // thousandths of the own zone's share
-	moved  bool  // the row differs from that of the plan in force, or may
+	moved  bool  // the row is to move; until it is laid out, it may
 }
 
 // mustLeave decides whether a zone's requests are to be moved away from somewhere, hold-down or
