--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -6,12 +6,11 @@
 	"harrierhoist/policy"
 )
 
-// Admission admits requests by the keys that they have to pass beside the decision module's own. It adds the units with
-// the read of the count, so that what two processes ask at once exceeds no limit, and settles the difference later. It
-// protects the limit of a rule that may be in force without this process's knowledge. Its cost: what awaits its answer
-// is held as used. Not safe for use by several goroutines at once.
+// Admission admits requests by the keys that they have to pass beside the decision module's own. It
+// adds the units with the read of the count, so that what two processes ask at once exceeds no
+// limit, and settles the difference later. Not safe for use by several goroutines at once.
 type Admission struct {
-	localShare float64              // of a limit that this process uses where the counter does not answer
+	localShare float64              // from 0 to 1, of a limit that this process uses without a counter
 	keys       map[uint64]*keyState // by key
 	sweptAt    time.Duration
 }
@@ -21,10 +20,13 @@
 	sampledAt      time.Duration // when the latest count was read
 	remaining      float64       // that the count left, less what was admitted here since
 	localRemaining float64       // of this process's share of the limit
-	windowIndex    int64
+	windowIndex    int64         // of the latest answer, or noWindow
 }
 
-// refill adds what the plan's rate gave up to a time.
+// noWindow stands for the window of a key that has had no answer.
+const noWindow = -1
+
+// refill adds what the plan's rate has given up to a time.
 func (s *keyState) refill(plan *policy.Plan, localShare float64, now time.Duration) {
 	refilled := plan.Rate * max(now-s.sampledAt, 0).Seconds()
 	s.sampledAt = max(now, s.sampledAt)
@@ -32,14 +34,14 @@
 	s.localRemaining = min(s.localRemaining+refilled*localShare, plan.Burst*localShare)
 }
 
-// NewAdmission makes the admission at one of so many gateways that share each count.
+// NewAdmission makes the admission of one gateway; gateways is how many share each count.
 func NewAdmission(gateways int) *Admission {
 	a := &Admission{}
 	a.Reset(gateways)
 	return a
 }
 
-// Reset forgets what is known of all keys; so many gateways share each count from here on.
+// Reset forgets what is known of all keys; gateways is how many share each count from here on.
 func (a *Admission) Reset(gateways int) {
 	*a = Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
 }
@@ -48,7 +50,7 @@
 type Reservation struct {
 	Window
 	Units      float64 // weighted
-	Weight     float64
+	Weight     float64 // of one unit
 	key        uint64
 	plan       policy.Plan
 	reservedAt time.Duration
@@ -80,39 +82,64 @@
 	}
 }
 
-// HandleCount takes the counter's answer (answered false: none came in time) and tells whether the request is admitted.
-// Where the window was untouched, previous is the one before it, to be read with zero units: what Deficit makes of its
-// count is to be added to this window's, as the decision module does. Until that is done, and where another process is
-// to do it, this process's latest read bounds what remains.
-func (a *Admission) HandleCount(reservation Reservation, count float64, answered bool) (admitted bool, previous *Window) {
-	plan, units := &reservation.plan, reservation.Units
-	state := a.keys[reservation.key]
-	if state == nil {
-		state = &keyState{
-			sampledAt: reservation.reservedAt, remaining: plan.Burst, localRemaining: plan.Burst * a.localShare,
-			windowIndex: -1,
-		}
-		a.keys[reservation.key] = state
-	}
-	newWindow := state.windowIndex != reservation.Index
+// HandleCount decides whether a request is admitted by one key: by the counter's answer, in units,
+// or by this process's share where none came in time (answered false). Where the window was
+// untouched, previous is the one before it, to be read with zero units: what Deficit makes of that
+// count is to be added to this window's, as the decision module does.
+func (a *Admission) HandleCount(
+	reservation Reservation, count float64, answered bool,
+) (admitted bool, previous *Window) {
+	state := a.openKey(&reservation)
+	isNewWindow := state.windowIndex != reservation.Index
 	state.windowIndex = reservation.Index
-	state.refill(plan, a.localShare, reservation.reservedAt)
-	remaining := min(state.localRemaining, state.remaining)
-	if answered {
-		state.remaining = min(state.remaining, Remaining(plan, reservation.Window, reservation.reservedAt, count-units))
-		remaining = state.remaining
-		if newWindow && count <= units+roundingError {
-			window := WindowAt(reservation.key, plan, reservation.Start-1)
-			previous = &window
-		}
+	state.refill(&reservation.plan, a.localShare, reservation.reservedAt)
+	if !answered {
+		return state.admit(min(state.localRemaining, state.remaining), reservation.Units), nil
+	}
+	// Until a deficit is carried over, the latest read bounds what remains.
+	state.remaining = min(state.remaining, reservation.remaining(count))
+	if isNewWindow && reservation.isUntouched(count) {
+		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
+		previous = &window
+	}
+	return state.admit(state.remaining, reservation.Units), previous
+}
+
+// openKey finds the state of a reservation's key; a key not known yet has its whole burst.
+func (a *Admission) openKey(reservation *Reservation) *keyState {
+	if state := a.keys[reservation.key]; state != nil {
+		return state
+	}
+	state := &keyState{
+		sampledAt:      reservation.reservedAt,
+		remaining:      reservation.plan.Burst,
+		localRemaining: reservation.plan.Burst * a.localShare,
+		windowIndex:    noWindow,
 	}
-	if admitted = remaining >= units-roundingError; admitted {
-		state.remaining, state.localRemaining = state.remaining-units, max(state.localRemaining-units, 0)
+	a.keys[reservation.key] = state
+	return state
+}
+
+// admit decides whether units fit into what remains, and takes them off where they do.
+func (s *keyState) admit(remaining, units float64) bool {
+	if remaining < units-roundingError {
+		return false
 	}
-	return admitted, previous
+	s.remaining -= units
+	s.localRemaining = max(s.localRemaining-units, 0)
+	return true
 }
 
-// Deficit is what a key was short of its burst at the end of the window before, by the count read there with zero units.
+// remaining is what the reservation's key had left before it, by a count that includes its units.
+func (r *Reservation) remaining(count float64) float64 {
+	return Remaining(&r.plan, r.Window, r.reservedAt, count-r.Units)
+}
+
+// isUntouched tells whether a count holds nothing but the reservation's own units.
+func (r *Reservation) isUntouched(count float64) bool { return count <= r.Units+roundingError }
+
+// Deficit is how many units a key was short of its burst at the end of the previous window, by the
+// count read there with zero units.
 func (r Reservation) Deficit(previous Window, count float64) float64 {
 	return r.plan.Burst - Remaining(&r.plan, previous, r.Start, count)
 }
@@ -127,8 +154,9 @@
 	NotCharged
 )
 
-// Settle gives what is to be added to the reservation's count once the request has ended, by the weighted units that it
-// used. What may not have been added is not taken off again: a count too high rejects, one too low exceeds a limit.
+// Settle decides what is to be added to the reservation's count once the request has ended, by the
+// weighted units that it used. What may not have been added is not taken off again: a count that is
+// too low would exceed a limit.
 func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, charge ChargeState) float64 {
 	if state := a.keys[reservation.key]; state != nil && admitted {
 		state.remaining += reservation.Units - used
@@ -138,7 +166,7 @@
 		return used - reservation.Units
 	case NotCharged:
 		return used
-	default:
-		return max(used-reservation.Units, 0)
+	case ChargeUnknown:
 	}
+	return max(used-reservation.Units, 0)
 }
--- a/internal/control/countingrule/admission_test.go
+++ b/internal/control/countingrule/admission_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// Without an answer a process admits its even share of a limit; what may have been added is never taken off again.
+// Without an answer a process admits its even share of a limit; what may have been added is never
+// taken off again.
 func TestAdmission_withoutACounter(t *testing.T) {
 	plan := policy.Plan{Rate: 0.1, Burst: 8}
 	admission := NewAdmission(4)
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -15,8 +15,8 @@
 	table Table
 }
 
-// nextTable draws a step of the controller that is proposed at a time, with a switch so far ahead, and false where the
-// controller would do nothing.
+// nextTable draws a step that the controller proposes at a time, with a switch that follows after
+// lead. It gives false where the controller would do nothing.
 func nextTable(t *rapid.T, table Table, now, lead time.Duration) (Table, bool) {
 	next := rapid.Uint64Range(0, 2).Draw(t, "next")
 	switch table.Phase {
@@ -50,9 +50,9 @@
 	return table, true
 }
 
-// switchViolation draws a history of trials, switches and rollbacks, as the controller writes it with switches so far
-// ahead, and a process that reads the table once, at any time. It tells where the version in force is not among the
-// process's candidates some time after, or is not the only one while the lease of 20 holds.
+// switchViolation draws a history of trials, switches and rollbacks, each switch after lead, and a
+// process that reads the table once. It describes a moment at which the version in force is not among
+// the process's candidates, or is not the only one while the lease of 20 holds; else it is empty.
 func switchViolation(t *rapid.T, lead time.Duration) string {
 	const lease = 20
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
@@ -75,10 +75,14 @@
 	for readAt := range now + 1 {
 		for now := readAt; now < readAt+60; now += 3 {
 			known, truth := tableAt(readAt), tableAt(now)
-			inForce, leased := truth.InForce(now), now < readAt+lease
-			got := known.CandidateVersions(now, leased, true, config)
-			if !slices.Contains(got, inForce) || leased && len(got) != 1 {
-				return fmt.Sprintf("%d is in force, candidates %v; read at %d, now %d, %+v", inForce, got, readAt, now, history)
+			inForce, status := truth.InForce(now), TableExpired
+			if now < readAt+lease {
+				status = TableLeased
+			}
+			got := known.CandidateVersions(now, status, config)
+			if !slices.Contains(got, inForce) || status == TableLeased && len(got) != 1 {
+				return fmt.Sprintf("%d is in force, candidates %v; read at %d, now %d, %+v",
+					inForce, got, readAt, now, history)
 			}
 		}
 	}
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -11,7 +11,8 @@
 	"harrierhoist/policy"
 )
 
-// testSettings has a plan that a rule's limit names, one that no limit names, and one without a rate.
+// testSettings has a plan that a rule's limit names, one that no limit names, and one that has no
+// rate.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 3,
@@ -51,11 +52,11 @@
 watch_s = 300
 `
 
-func parseConfig(t testing.TB, text string) *Config {
-	t.Helper()
+func parseConfig(tb testing.TB, text string) *Config {
+	tb.Helper()
 	var config Config
 	if err := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields().Decode(&config); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return &config
 }
@@ -79,14 +80,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			faults := parseConfig(t, strings.Replace(completeFile, test.from, test.to, 1)).Check()
-			if !slices.ContainsFunc(faults, func(fault error) bool { return strings.Contains(fault.Error(), test.want) }) {
+			isWanted := func(fault error) bool { return strings.Contains(fault.Error(), test.want) }
+			if !slices.ContainsFunc(faults, isWanted) {
 				t.Errorf("%s: %v, want %q", test.to, faults, test.want)
 			}
 		})
 	}
 }
 
-// A mask of few bits makes few groups, and a shared count has none to hold beside a ceiling of each customer.
+// A mask of few bits is refused as it makes few groups; a shared count is refused beside a ceiling that
+// limits each customer.
 func TestRule_thatCannotApplyIsRefused(t *testing.T) {
 	rule := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
 	if faults := rule.validate(); len(faults) != 1 || !strings.Contains(faults[0].Error(), "mask must have 5 bits") {
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -90,11 +90,22 @@
 
 // candidates are the versions that may be in force, as far as they are resolved here.
 func (r *ruleSet) candidates(now time.Duration, leased bool) []uint64 {
-	received := r.epoch > 0
-	return slices.DeleteFunc(r.table.CandidateVersions(now, leased, received, r.config),
+	return slices.DeleteFunc(r.table.CandidateVersions(now, r.tableStatus(leased), r.config),
 		func(version uint64) bool { return r.resolved[version] == nil })
 }
 
+// tableStatus is what this process knows of the table, by whether the table's lease holds.
+func (r *ruleSet) tableStatus(leased bool) countingrule.TableStatus {
+	switch {
+	case leased:
+		return countingrule.TableLeased
+	case r.epoch > 0:
+		return countingrule.TableExpired
+	default:
+		return countingrule.TableNeverReceived
+	}
+}
+
 // assign gives a request's counter key under a version that is resolved.
 func (r *ruleSet) assign(version uint64, request *dispatch.RequestSpec) countingrule.Assignment {
 	return r.resolved[version].Assign(request.Customer, request.Class, request.Plan)
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -14,8 +14,9 @@
 	"harrierhoist/policy"
 )
 
-// The files under testdata were written by the program before its names were changed. What is stored, what goes between
-// processes and what operators read and write must stay as these files have it, byte for byte.
+// The files under testdata were written by the program before its names were changed. What is
+// stored, what goes between processes and what operators read and write must stay as these files
+// have it, byte for byte.
 
 // everyRule has each form of a rule that a table can hold.
 func everyRule() []Rule {
@@ -54,7 +55,8 @@
 			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
 		},
 		"table-back.cbor": {
-			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second, Rules: everyRule()[2:],
+			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second,
+			Rules:   everyRule()[2:],
 			Refused: []uint64{1}, Since: 1_764_652_995 * time.Second,
 			Reason: "0.500 of the units are let in, 0.900 were foretold",
 		},
@@ -71,7 +73,8 @@
 	if TableName != "counting" {
 		t.Errorf("the table is stored as %q", TableName)
 	}
-	if phases := []Phase{PhaseIdle, PhaseCanary, PhaseScheduled, PhaseRollback}; !reflect.DeepEqual(phases, []Phase{0, 1, 2, 3}) {
+	phases := []Phase{PhaseIdle, PhaseCanary, PhaseScheduled, PhaseRollback}
+	if !reflect.DeepEqual(phases, []Phase{0, 1, 2, 3}) {
 		t.Errorf("phases are stored as %v", phases)
 	}
 }
@@ -85,7 +88,8 @@
 	}
 }
 
-// The counter's names, the keys and the names of the rules' own plans are shared by processes of both versions.
+// The counter's names, the keys and the names of the rules' own plans are shared by processes of
+// both versions.
 func TestGolden_namesAtTheCounter(t *testing.T) {
 	var out bytes.Buffer
 	rules := everyRule()
@@ -105,11 +109,12 @@
 			for class := range 2 {
 				for plan := range 3 {
 					c := resolved.Assign(customer, class, plan)
-					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v", rule.Version, customer, class, plan,
-						c.Key, c.Plan, c.Weight, c.Shared)
+					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v",
+						rule.Version, customer, class, plan, c.Key, c.Plan, c.Weight, c.Shared)
 					if plan := &settings.Plans[c.Plan]; plan.Rate > 0 {
 						window := WindowAt(c.Key, plan, 1_764_652_800_123_456_789)
-						fmt.Fprintf(&out, "; window %x from %d for %d, number %d", window.Name, window.Start, window.TTL, window.Index)
+						fmt.Fprintf(&out, "; window %x from %d for %d, number %d",
+							window.Name, window.Start, window.TTL, window.Index)
 					}
 					out.WriteByte('\n')
 				}
@@ -120,7 +125,7 @@
 	golden.Check(t, "names.txt", out.Bytes())
 }
 
-// What is reserved, admitted and settled, bit by bit.
+// Reservations, admissions and settlements stay the same bit by bit.
 func TestGolden_admission(t *testing.T) {
 	var out bytes.Buffer
 	plan := policy.Plan{Rate: 1.5, Burst: 8}
@@ -136,8 +141,8 @@
 				total[reservation.Name] += reservation.Units
 			}
 			admitted, previous := admission.HandleCount(reservation, total[reservation.Name], answered)
-			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v", gateways, i, reservation.Name, reservation.TTL,
-				reservation.Units, admitted)
+			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v",
+				gateways, i, reservation.Name, reservation.TTL, reservation.Units, admitted)
 			if previous != nil {
 				deficit := reservation.Deficit(*previous, total[previous.Name])
 				fmt.Fprintf(&out, ", before %x from %d lacked %v", previous.Name, previous.Start, deficit)
@@ -156,12 +161,14 @@
 	var file struct {
 		Counting Config `toml:"counting"`
 	}
-	if err := toml.NewDecoder(bytes.NewReader(golden.Read(t, "rules.toml"))).DisallowUnknownFields().Decode(&file); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(golden.Read(t, "rules.toml"))).DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
 		t.Fatal(err)
 	}
 	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{
 		SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
-		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53, DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
+		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
+		DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
 	}}
 	if !reflect.DeepEqual(file.Counting, want) {
 		t.Errorf("read %+v, want %+v", file.Counting, want)
--- a/internal/control/countingrule/plans.go
+++ b/internal/control/countingrule/plans.go
@@ -8,19 +8,20 @@
 	"harrierhoist/policy"
 )
 
-// A rule's limits reach the decision module as plans of the rule's own, behind the settings' plans. No name in settings
-// holds the separator, so no client can ask for such a plan.
+// A rule's limits reach the decision module as plans of the rule's own, behind the settings' plans.
+// No name in settings holds the separator, so no client can ask for such a plan.
 const (
 	separator      = "\x1f"
 	rulePlanPrefix = "rule" + separator
+	decimalBase    = 10 // of the version in a name
 )
 
 func rulePlanName(version uint64, plan string) string {
-	return rulePlanPrefix + strconv.FormatUint(version, 10) + separator + plan
+	return rulePlanPrefix + strconv.FormatUint(version, decimalBase) + separator + plan
 }
 
-// WithRulePlans gives settings with the rules' own plans behind their plans, one for each rule and plan that has a
-// rate. With rule 0 alone they are as they were.
+// WithRulePlans gives settings with the rules' own plans behind their plans, one for each rule and
+// plan that has a rate. With rule 0 alone they are unchanged.
 func WithRulePlans(settings policy.Settings, rules []Rule) policy.Settings {
 	plans := slices.Clone(settings.Plans)
 	for _, rule := range rules {
@@ -29,7 +30,8 @@
 				continue
 			}
 			if limit, ok := rule.limitFor(plan.Name); ok {
-				plan.Rate, plan.Burst = limit.Rate, limit.Burst
+				plan.Rate = limit.Rate
+				plan.Burst = limit.Burst
 			}
 			plan.Name = rulePlanName(rule.Version, plan.Name)
 			plans = append(plans, plan)
@@ -39,18 +41,23 @@
 	return settings
 }
 
-// limitFor gives the last limit that names a plan; where none does, the last that names every plan.
-func (r *Rule) limitFor(plan string) (found Limit, ok bool) {
-	byName := false
-	for _, limit := range r.Limits {
-		switch {
-		case limit.Plan == plan:
-			found, ok, byName = limit, true, true
-		case limit.Plan == everyPlan && !byName:
-			found, ok = limit, true
+// limitFor decides which limit a plan has under the rule: the one that names it, else the one for
+// every plan. It is false where there is neither: the plan keeps its own rate and burst.
+func (r *Rule) limitFor(plan string) (Limit, bool) {
+	if limit, ok := r.lastLimit(plan); ok {
+		return limit, true
+	}
+	return r.lastLimit(everyPlan)
+}
+
+// lastLimit gives the last limit of a name, and false where there is none.
+func (r *Rule) lastLimit(plan string) (Limit, bool) {
+	for _, limit := range slices.Backward(r.Limits) {
+		if limit.Plan == plan {
+			return limit, true
 		}
 	}
-	return found, ok
+	return Limit{}, false
 }
 
 // ClientSettings gives settings as clients may know them: the rules' own plans are retired there.
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -1,6 +1,7 @@
 package countingrule
 
 import (
+	"encoding/binary"
 	"fmt"
 	"slices"
 
@@ -12,6 +13,9 @@
 // noPlan stands for the rule's plan where the request's plan has no rate.
 const noPlan = -1
 
+// maxHashedBytes is the length of the longest key that Hash takes without an allocation: six words.
+const maxHashedBytes = 6 * 8
+
 // Assignment is the counter key that a request is charged to.
 type Assignment struct {
 	Version uint64  // of the rule
@@ -21,8 +25,8 @@
 	Shared  bool    // by several customers: its requests come through any gateway
 }
 
-// Resolved is a rule resolved against the classes and plans of settings. It does not change, and may be used by several
-// goroutines at once.
+// Resolved is a rule resolved against the classes and plans of settings. It does not change, and
+// may be used by several goroutines at once.
 type Resolved struct {
 	Rule
 	classHashes, planHashes []uint64 // of the names, by index
@@ -32,19 +36,20 @@
 	usesPart                [len(keyParts)]bool
 }
 
-// SharedCountError tells that a rule cannot apply: its counts are shared by customers, and a plan limits each of them.
+// SharedCountError tells that a rule cannot apply: its counts are shared by customers, and a plan
+// limits each of them.
 type SharedCountError struct {
 	Version uint64 // of the rule
 	Plan    string // the plan's name
 }
 
 func (e *SharedCountError) Error() string {
-	return fmt.Sprintf("rule %d must have customer in its key: plan %q limits each customer's pushes out, or has a ceiling",
-		e.Version, e.Plan)
+	return fmt.Sprintf("rule %d must have customer in its key:"+
+		" plan %q limits each customer's pushes out, or has a ceiling", e.Version, e.Plan)
 }
 
-// Resolve resolves a rule against settings that WithRulePlans gave. Its error, a *SharedCountError, tells why the rule
-// cannot apply there.
+// Resolve resolves a rule against settings that WithRulePlans gave. Its error, a *SharedCountError,
+// tells why the rule cannot apply there.
 func Resolve(rule Rule, settings policy.Settings) (*Resolved, error) {
 	resolved := &Resolved{Rule: rule, groupHashes: map[uint64]uint64{}}
 	for i, part := range keyParts {
@@ -90,13 +95,23 @@
 	return float64(permille) / unitWeight
 }
 
-// Assign gives the counter key of a request by the indexes of its class and plan.
+// countsByOwnKey decides whether a request is counted under a key of this rule, or under rule 0.
+// Class and plan are indexes; what is not in the resolved settings, or has no rate, stays under
+// rule 0.
+func (r *Resolved) countsByOwnKey(class, plan int) bool {
+	isKnown := plan < len(r.planIndexes) && class < len(r.classHashes)
+	return r.Version != 0 && isKnown && r.planIndexes[plan] != noPlan
+}
+
+// Assign decides which counter key a request is charged to, by its customer and the indexes of its
+// class and plan: the decision module knows a request's count by that key alone.
 func (r *Resolved) Assign(customer uint64, class, plan int) Assignment {
-	if r.Version == 0 || plan >= len(r.planIndexes) || r.planIndexes[plan] == noPlan || class >= len(r.classHashes) {
+	if !r.countsByOwnKey(class, plan) {
 		return Assignment{Key: customer, Plan: plan, Weight: 1}
 	}
+	parts := [len(keyParts)]uint64{customer, r.groupKey(customer), r.planHashes[plan], r.classHashes[class]}
 	words := [1 + len(keyParts)]uint64{r.Version}
-	for i, word := range [len(keyParts)]uint64{customer, r.groupKey(customer), r.planHashes[plan], r.classHashes[class]} {
+	for i, word := range parts {
 		if r.usesPart[i] {
 			words[i+1] = word
 		}
@@ -118,17 +133,15 @@
 	if group, ok := r.groupHashes[customer]; ok {
 		return group
 	}
-	return Hash(customer, 1) // a group of its own; hashed, so that it is no listed group's
+	return Hash(customer, 1) // a group of its own; hashed, so that no listed group has the same key
 }
 
 // Hash hashes words to one, the same at every process.
 func Hash(words ...uint64) uint64 {
-	var text [8 * 6]byte // room for the longest key without an allocation
+	var text [maxHashedBytes]byte
 	buffer := text[:0]
 	for _, word := range words {
-		for i := range 8 {
-			buffer = append(buffer, byte(word>>(8*i)))
-		}
+		buffer = binary.LittleEndian.AppendUint64(buffer, word)
 	}
 	return xxhash.Sum64(buffer)
 }
--- a/internal/control/countingrule/resolve_test.go
+++ b/internal/control/countingrule/resolve_test.go
@@ -11,16 +11,16 @@
 	"harrierhoist/policy"
 )
 
-func mustResolve(t testing.TB, rule Rule, settings policy.Settings) *Resolved {
-	t.Helper()
+func mustResolve(tb testing.TB, rule Rule, settings policy.Settings) *Resolved {
+	tb.Helper()
 	resolved, err := Resolve(rule, settings)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return resolved
 }
 
-// Under rule 0 a request is what it was to the decision module, and so are the plans.
+// Under rule 0 the decision module sees each request and each plan unchanged.
 func TestRuleZero_changesNothing(t *testing.T) {
 	settings := WithRulePlans(testSettings(), parseConfig(t, completeFile).Rules)
 	resolved := mustResolve(t, Rule{}, settings)
@@ -40,7 +40,7 @@
 	})
 }
 
-// Requests that are alike in the parts of the rule's key share a count, and no others do.
+// Requests share a count where they agree in all parts of the rule's key, and only there.
 func TestAssign_keyFollowsTheRule(t *testing.T) {
 	rules := parseConfig(t, completeFile).Rules
 	settings := WithRulePlans(testSettings(), rules)
@@ -94,7 +94,7 @@
 func (h *countingHost) CancelTimer(uint64)             {}
 func (h *countingHost) Log(string)                     {}
 
-// A key goes by the decision module's own names: else two processes would count it under two.
+// Guards against a key that two processes count under different names.
 func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
--- a/internal/control/countingrule/table.go
+++ b/internal/control/countingrule/table.go
@@ -21,8 +21,8 @@
 	PhaseRollback               // undone: To is the earlier rule again, from SwitchAt on
 )
 
-// Table is the committed value. Times are on the clock that windows go by, which all processes share: nanoseconds since
-// 1970.
+// Table is the committed value. Times are on the clock that windows go by, which all processes
+// share: nanoseconds since 1970.
 type Table struct {
 	Phase    Phase         `cbor:"1,keyasint"`
 	From     uint64        `cbor:"2,keyasint"` // the version in force before SwitchAt
@@ -37,11 +37,13 @@
 	Reason  string   `cbor:"10,keyasint"` // of the latest step, for people
 	// TrialState is the controller's own; processes do not read it.
 	TrialState []byte `cbor:"11,keyasint"`
-	// Canary is the configuration that the rule is tried by: the same at all processes, and to the trial's end.
+	// Canary is the configuration that the rule is tried by: the same at all processes, and until
+	// the trial ends.
 	Canary CanaryConfig `cbor:"12,keyasint"`
 }
 
-// Decode reads a value; an empty one stands for rule 0 with nothing tried. Its error is the decoder's.
+// Decode reads a value; an empty one stands for rule 0 with nothing tried. Its error is the
+// decoder's.
 func Decode(value []byte) (t Table, err error) {
 	if len(value) > 0 {
 		err = cbor.Unmarshal(value, &t)
@@ -60,16 +62,18 @@
 	return mode
 }()
 
-// Marshal encodes a value of plain numbers, words, lists and maps: the same value, the same bytes.
+// Marshal encodes a value of plain numbers, words, lists and maps. The same value gives the same
+// bytes.
 func Marshal(value any) []byte {
 	text, err := encodingMode.Marshal(value)
 	if err != nil {
-		panic(err) // nothing else is in it
+		panic(err) // such values can always be encoded
 	}
 	return text
 }
 
-// Rule gives a version's rule, and false where the table does not hold it. Version 0 needs no entry.
+// Rule gives a version's rule, and false where the table does not hold it. Version 0 needs no
+// entry.
 func (t *Table) Rule(version uint64) (Rule, bool) {
 	if version == 0 {
 		return Rule{}, true
@@ -84,7 +88,7 @@
 // hasSwitch tells whether SwitchAt is the time of a switch that is to come or has come.
 func (t *Table) hasSwitch() bool { return t.Phase == PhaseScheduled || t.Phase == PhaseRollback }
 
-// InForce is the version that the table says is in force at a time.
+// InForce decides which version the table says is in force at a time.
 func (t *Table) InForce(now time.Duration) uint64 {
 	if t.hasSwitch() && now >= t.SwitchAt {
 		return t.To
@@ -92,25 +96,37 @@
 	return t.From
 }
 
-// CandidateVersions gives the versions that may be in force at a time, and that a request admitted then has to pass; the
-// first is the one that the decision module counts it by. leased tells whether the table's lease holds, received whether
-// a table was ever received, and config is the process's own: it names the rules that may have come since.
-//
-// While the lease holds the table is right: whatever was committed since the read that the lease counts from has its
-// switch later than the lease's end. Past the lease another rule may have come into force, so a request passes only what
-// all candidates admit. That protects the limits of the new rule's counts against a process that is cut off or asleep.
-// Its cost: such a process rejects what one of the rules would have admitted, and asks the counter more than once.
-func (t *Table) CandidateVersions(now time.Duration, leased, received bool, config *Config) []uint64 {
+// TableStatus is what a process knows of the table that it has cached.
+type TableStatus uint8
+
+// The statuses of a table.
+const (
+	TableNeverReceived TableStatus = iota
+	TableExpired                   // it was received, and its lease has ended
+	TableLeased                    // its lease holds: whatever was committed since has a later switch
+)
+
+// isCertain decides whether the version that the table says is in force is known to be so: under a
+// lease, or before a switch, as no switch is undone before its time.
+func (t *Table) isCertain(now time.Duration, status TableStatus) bool {
+	return status == TableLeased || t.hasSwitch() && now < t.SwitchAt
+}
+
+// CandidateVersions decides which versions may be in force at a time; a request admitted then has
+// to pass all of them, and the decision module counts it by the first. config is the process's own:
+// it names rules that may have come into force since the table was read. Prevents a process that is
+// cut off or asleep from exceeding the limits of a rule that it has not heard of.
+func (t *Table) CandidateVersions(now time.Duration, status TableStatus, config *Config) []uint64 {
 	first := t.InForce(now)
-	if leased || t.hasSwitch() && now < t.SwitchAt { // no switch is undone before its time
+	if t.isCertain(now, status) {
 		return []uint64{first}
 	}
-	var others []uint64
-	if received {
-		others = append(others, t.From, t.To, t.Previous)
+	others := t.namedVersions(status)
+	if !t.isRefused(config.DesiredVersion, status) {
+		others = append(others, config.DesiredVersion)
 	}
-	for _, rule := range append([]Rule{{Version: config.DesiredVersion}}, config.Rules...) {
-		if !received || !slices.Contains(t.Refused, rule.Version) {
+	for _, rule := range config.Rules {
+		if !t.isRefused(rule.Version, status) {
 			others = append(others, rule.Version)
 		}
 	}
@@ -118,3 +134,16 @@
 	others = slices.DeleteFunc(slices.Compact(others), func(version uint64) bool { return version == first })
 	return append([]uint64{first}, others...)
 }
+
+// namedVersions are the versions that the table itself names, none where it was never received.
+func (t *Table) namedVersions(status TableStatus) []uint64 {
+	if status == TableNeverReceived {
+		return nil
+	}
+	return []uint64{t.From, t.To, t.Previous}
+}
+
+// isRefused tells whether the table, where there is one, refused a version.
+func (t *Table) isRefused(version uint64, status TableStatus) bool {
+	return status != TableNeverReceived && slices.Contains(t.Refused, version)
+}
--- a/internal/control/countingrule/table_test.go
+++ b/internal/control/countingrule/table_test.go
@@ -13,24 +13,24 @@
 	refused := Table{From: 4, To: 4, Refused: []uint64{5}}
 	rollback := Table{Phase: PhaseRollback, From: 1, To: 0, SwitchAt: 100, Refused: []uint64{4, 5}}
 	for _, test := range []struct {
-		name             string
-		table            Table
-		now              time.Duration
-		leased, received bool
-		want             []uint64
+		name   string
+		table  Table
+		now    time.Duration
+		status TableStatus
+		want   []uint64
 	}{
-		{"before the switch", scheduled, 99, true, true, []uint64{0}},
-		{"at the switch", scheduled, 100, true, true, []uint64{1}},
-		{"no lease, but no switch is undone before its time", scheduled, 99, false, true, []uint64{0}},
-		{"no lease: undone, or followed by one of the file", scheduled, 100, false, true, []uint64{1, 0, 4, 5}},
-		{"canary without a lease", canary, 50, false, true, []uint64{0, 4, 5}},
-		{"canary", canary, 50, true, true, []uint64{0}},
-		{"restarted: any may be in force", Table{}, 50, false, false, []uint64{0, 4, 5}},
-		{"no lease: operators may go back", refused, 50, false, true, []uint64{4, 0}},
-		{"rolled back without a lease", rollback, 100, false, true, []uint64{0, 1}},
+		{"before the switch", scheduled, 99, TableLeased, []uint64{0}},
+		{"at the switch", scheduled, 100, TableLeased, []uint64{1}},
+		{"no lease, but no switch is undone before its time", scheduled, 99, TableExpired, []uint64{0}},
+		{"no lease: undone, or followed by one of the file", scheduled, 100, TableExpired, []uint64{1, 0, 4, 5}},
+		{"canary without a lease", canary, 50, TableExpired, []uint64{0, 4, 5}},
+		{"canary", canary, 50, TableLeased, []uint64{0}},
+		{"restarted: any may be in force", Table{}, 50, TableNeverReceived, []uint64{0, 4, 5}},
+		{"no lease: operators may go back", refused, 50, TableExpired, []uint64{4, 0}},
+		{"rolled back without a lease", rollback, 100, TableExpired, []uint64{0, 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := test.table.CandidateVersions(test.now, test.leased, test.received, config)
+			got := test.table.CandidateVersions(test.now, test.status, config)
 			if !slices.Equal(got, test.want) {
 				t.Errorf("%v, want %v", got, test.want)
 			}
@@ -44,7 +44,8 @@
 		Refused: []uint64{7}, TrialState: []byte{1},
 	}
 	decoded, err := Decode(table.Encode())
-	if err != nil || decoded.SwitchAt != table.SwitchAt || !decoded.Rules[1].Equal(table.Rules[1]) || decoded.Refused[0] != 7 {
+	if err != nil || decoded.SwitchAt != table.SwitchAt || !decoded.Rules[1].Equal(table.Rules[1]) ||
+		decoded.Refused[0] != 7 {
 		t.Errorf("%+v, %v", decoded, err)
 	}
 	if rule, ok := decoded.Rule(0); !ok || rule.Version != 0 {
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -8,24 +8,12 @@
 
 // Limits of a rule.
 const (
-	unitWeight          = 1000    // permille: a unit counts as one
-	maxWeight           = 100_000 // permille, a hundredfold: more is a typing error
-	minMaskBits         = 5       // of a mask: fewer than 32 groups cannot be sampled
-	maxLimit            = 1e12    // rate and burst stay below it
-	maxRules            = 32      // in a file and in the table: a version long unused is taken out
-	maxGroupedCustomers = 10_000  // named in one rule: the table is held by every process
-)
-
-// Limits of a canary.
-const (
-	maxSample      = 80      // permille: more cannot be evaluated within maxCalls
-	callsPerSample = 3       // a sampled request asks the counter 4 times, the module 1.3 times for any request
-	maxCalls       = 250     // permille: a quarter of all gateways' calls is the most that a canary is worth
-	minDeadline    = 120     // seconds: shorter, the buckets cannot be examined one after the other
-	maxDeadline    = 86_400  // seconds, a day
-	maxError       = 200     // permille: more is no test
-	maxBound       = 500     // permille
-	maxLead        = 600_000 // milliseconds
+	unitWeight          = permilleScale // a unit counts as one
+	maxWeight           = 100_000       // permille
+	minMaskBits         = 5             // set bits of a mask: enough groups to sample
+	maxLimit            = 1e12          // units a second for the rate, units for the burst
+	maxRules            = 32            // in a file
+	maxGroupedCustomers = 10_000        // in one rule: every process holds the table
 )
 
 // everyPlan in a limit stands for each plan that no other limit names.
@@ -47,7 +35,8 @@
 
 func (f *faultList) add(format string, args ...any) { *f = append(*f, fmt.Errorf(format, args...)) }
 
-// Check gives all that is wrong with the configuration, an error for each fault with its key and what is allowed.
+// Check gives all that is wrong with the configuration: an error for each fault, with its key and
+// what is allowed.
 func (c *Config) Check() []error {
 	var faults faultList
 	if len(c.Rules) > maxRules {
@@ -73,31 +62,6 @@
 	return append(faults, c.Canary.validate()...)
 }
 
-// validate gives what is wrong with a canary's configuration, each key under the file's table.
-func (c *CanaryConfig) validate() []error {
-	var faults faultList
-	checkRange := func(key string, value, low, high uint64) {
-		if value < low || value > high {
-			faults.add("counting.canary.%s must be from %d to %d, not %d", key, low, high, value)
-		}
-	}
-	checkRange("sample", c.SamplePermille, 1, maxSample)
-	checkRange("calls", c.CallsPermille, 1, maxCalls)
-	if least := callsPerSample * c.SamplePermille; c.CallsPermille < least {
-		faults.add("counting.canary.calls must be %d times canary.sample or more, %d, not %d: else tasks are played"+
-			" without a total and no rule is taken", callsPerSample, least, c.CallsPermille)
-	}
-	checkRange("deadline_s", c.DeadlineSeconds, minDeadline, maxDeadline)
-	checkRange("wrong", c.ErrorPermille, 1, maxError)
-	checkRange("rejected", c.RejectedPermille, 1, maxBound)
-	checkRange("let_in", c.AdmittedPermille, 1, maxBound)
-	checkRange("beyond", c.OverLimitPermille, 1, maxBound)
-	checkRange("leave", c.DeviationPermille, 1, maxBound)
-	checkRange("watch_s", c.WatchSeconds, 1, maxDeadline)
-	checkRange("lead_ms", c.LeadMillis, 0, maxLead)
-	return faults
-}
-
 // validate gives what is wrong with a rule by itself.
 func (r *Rule) validate() []error {
 	var faults faultList
@@ -133,7 +97,8 @@
 	if r.Mask != 0 && bits.OnesCount64(r.Mask) < minMaskBits {
 		faults.add("mask must have %d bits or more, not %#x", minMaskBits, r.Mask)
 	}
-	names, customers := map[string]bool{}, map[uint64]bool{}
+	names := map[string]bool{}
+	customers := map[uint64]bool{}
 	for _, group := range r.Groups {
 		if group.Name == "" || names[group.Name] || len(group.Customers) == 0 {
 			faults.add("group must have a name that no other has and a customer, not %q", group.Name)
@@ -154,7 +119,9 @@
 func (r *Rule) validateWeights(faults *faultList) {
 	classes := map[string]bool{}
 	for _, weight := range r.Weights {
-		if weight.Class == "" || classes[weight.Class] || weight.Permille < 1 || weight.Permille > maxWeight {
+		isNamedOnce := weight.Class != "" && !classes[weight.Class]
+		isInRange := weight.Permille >= 1 && weight.Permille <= maxWeight
+		if !isNamedOnce || !isInRange {
 			faults.add("weight must name a lane once, with thousandths from 1 to %d, not %q with %d", maxWeight,
 				weight.Class, weight.Permille)
 		}
@@ -162,11 +129,13 @@
 	}
 }
 
-// validateLimits takes whether requests of one plan share a count with no other plan's.
+// validateLimits checks the limits. byPlan is true where requests of one plan share a count with no
+// other plan's.
 func (r *Rule) validateLimits(faults *faultList, byPlan bool) {
 	plans := map[string]bool{}
 	for _, limit := range r.Limits {
-		if limit.Plan == "" || plans[limit.Plan] || !isLimit(limit.Rate) || !isLimit(limit.Burst) {
+		isNamedOnce := limit.Plan != "" && !plans[limit.Plan]
+		if !isNamedOnce || !isLimit(limit.Rate) || !isLimit(limit.Burst) {
 			faults.add("limit must name a plan once (or \"*\"), with rate and burst above 0, not %q with %v and %v",
 				limit.Plan, limit.Rate, limit.Burst)
 		}
@@ -177,5 +146,5 @@
 	}
 }
 
-// isLimit is false for what is not a number, too.
+// isLimit tells whether a value may be a rate or a burst. It is false for NaN, too.
 func isLimit(value float64) bool { return value > 0 && value < maxLimit }
--- a/internal/testing/rulesimulation/gateway.go
+++ b/internal/testing/rulesimulation/gateway.go
@@ -121,7 +121,19 @@
 	if g.sim.bug == BugNoLease {
 		return []uint64{g.table.InForce(now)}
 	}
-	return g.table.CandidateVersions(now, now < g.leaseEnd, g.hasTable, g.config)
+	return g.table.CandidateVersions(now, g.tableStatus(now), g.config)
+}
+
+// tableStatus is what the gateway knows of its table at a time.
+func (g *gateway) tableStatus(now time.Duration) countingrule.TableStatus {
+	switch {
+	case now < g.leaseEnd:
+		return countingrule.TableLeased
+	case g.hasTable:
+		return countingrule.TableExpired
+	default:
+		return countingrule.TableNeverReceived
+	}
 }
 
 // checkReservations charges a request's reservations and forwards it once all counts have answered.
