--- a/internal/control/countingrule/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -6,12 +6,13 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// Call is a call to the counter that the shadow evaluation asks for. Its answer goes to HandleCount.
+// Call is a call to the counter that the shadow evaluation asks for. Its answer goes to
+// HandleCount.
 type Call struct {
 	Name  uint64        // at the counter
 	Units float64       // to be added
 	TTL   time.Duration // how long the counter is to keep the name
-	ID    uint64        // of the answer; 0: nothing awaits it
+	ID    uint64        // of the answer; 0: no answer is awaited
 }
 
 // outstandingCall is a call that awaits its answer.
@@ -32,7 +33,8 @@
 		side: i, state: state, window: window, sentAt: now,
 		units: state.pending, request: shadowed,
 	})
-	state.pending, state.flushAt = 0, 0
+	state.pending = 0
+	state.flushAt = noFlush
 	return call
 }
 
@@ -43,7 +45,7 @@
 	return s.send(outstandingCall{side: call.side, state: call.state, window: window, sentAt: end, readsPrevious: true})
 }
 
-// send makes the call of which the answer is awaited.
+// send makes a call whose answer is awaited.
 func (s *Shadow) send(call outstandingCall) Call {
 	s.spend(call.side)
 	s.lastID++
@@ -56,40 +58,61 @@
 	s.observations.calls++
 }
 
-// HandleCount takes a call's answer; answered is false where none came or the counter rejected it. It gives the calls
-// that follow: whoever finds a window untouched carries over the deficit of the one before, as the decision module does.
-func (s *Shadow) HandleCount(now time.Duration, id uint64, count float64, answered bool) (calls []Call) {
+// HandleCount takes a call's answer; answered is false where none came or the counter rejected it.
+// It gives the calls that follow: where a window was untouched, the deficit of the one before is
+// carried over, as the decision module does.
+func (s *Shadow) HandleCount(now time.Duration, id uint64, count float64, answered bool) []Call {
 	call, ok := s.outstanding[id]
 	if !ok {
 		return nil
 	}
 	delete(s.outstanding, id)
-	if call.readsPrevious {
-		if answered {
-			return s.carryOver(call, now, count)
-		}
+	switch {
+	case !answered:
+		s.handleMissingCount(now, call)
 		return nil
+	case call.readsPrevious:
+		return s.carryOver(call, now, count)
+	default:
+		return s.handleRead(now, call, count)
+	}
+}
+
+// handleMissingCount has a call's units added later, and its request decided by an estimate.
+func (s *Shadow) handleMissingCount(now time.Duration, call outstandingCall) {
+	if call.readsPrevious {
+		return
 	}
 	state := call.state
 	remaining := state.estimate(now)
-	if answered {
-		remaining = state.observe(call.window, call.sentAt, count)
-		call.measureOverLimit(count)
-		if count <= call.units && state.carriedWindow != call.window.Index {
-			state.carriedWindow = call.window.Index
-			calls = append(calls, s.readPreviousWindow(call))
-		}
-	} else if state.pending += call.units; state.pending > 0 {
+	state.pending += call.units
+	if state.pending > 0 {
 		s.sides[call.side].scheduleFlush(state, now)
 	}
 	if call.request != nil {
-		call.request.estimated = call.request.estimated || !answered
+		call.request.estimated = true
+		s.decide(call.side, state, call.request, now, remaining)
+	}
+}
+
+// handleRead decides a request by the count that its call read, and gives the call that reads the
+// window before where this one was untouched.
+func (s *Shadow) handleRead(now time.Duration, call outstandingCall, count float64) (calls []Call) {
+	state := call.state
+	remaining := state.observe(call.window, call.sentAt, count)
+	call.measureOverLimit(count)
+	isUntouched := count <= call.units
+	if isUntouched && state.carriedWindow != call.window.Index {
+		state.carriedWindow = call.window.Index
+		calls = append(calls, s.readPreviousWindow(call))
+	}
+	if call.request != nil {
 		s.decide(call.side, state, call.request, now, remaining)
 	}
 	return calls
 }
 
-// carryOver adds the deficit of the window before to the key's window now, where there is one.
+// carryOver adds the deficit of the previous window, where there is one, to the key's window now.
 func (s *Shadow) carryOver(call outstandingCall, now time.Duration, count float64) []Call {
 	state := call.state
 	deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.sentAt, count)
@@ -101,7 +124,8 @@
 	return []Call{{Name: window.Name, Units: deficit, TTL: window.TTL}}
 }
 
-// measureOverLimit counts what a call added beyond the new rule's limit: admitted, as the count lagged.
+// measureOverLimit notes the units that a call added beyond the new rule's limit: they were
+// admitted as the count lagged.
 func (c *outstandingCall) measureOverLimit(count float64) {
 	if c.side != newSide || c.request == nil {
 		return
@@ -110,10 +134,10 @@
 	c.request.overLimit = min(max(count-limit, 0), c.units)
 }
 
-// Flush gives the calls for units that no later request added, as far as the budget reaches, and forgets keys that are
-// no longer used.
+// Flush gives the calls for units that no later request added, as far as the budget reaches, and
+// forgets keys that are no longer used.
 func (s *Shadow) Flush(now time.Duration) (calls []Call) {
-	if now < s.sweptAt+flushDelay/2 {
+	if now < s.sweptAt+sweepInterval {
 		return nil
 	}
 	s.sweptAt = now
@@ -122,7 +146,7 @@
 		queued := side.flushQueue[:0]
 		for _, state := range side.flushQueue {
 			switch {
-			case state.flushAt == 0: // a request added them
+			case !state.isFlushScheduled(): // a request added them
 			case now >= state.flushAt && side.budget >= 1:
 				calls = append(calls, s.startCall(i, state, now, nil))
 			default:
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -6,26 +6,33 @@
 
 	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination"
+	"harrierhoist/internal/coordination/statemachine"
 )
 
-// Controller writes the table of counting rules: a rule is tried, scheduled, watched and kept, or rolled back where the
-// outcome deviates from its forecast. It protects against a rule that rejects, admits or overruns more than the
-// configuration allows. Its cost: a rule whose keys are too few or too far apart is refused undecided.
+// Controller decides the table of counting rules: a rule is tried, scheduled, watched and kept, or
+// rolled back where the outcome deviates from its forecast. Prevents a rule that rejects, admits or
+// exceeds limits more than the configuration allows.
 type Controller struct {
 	Config      func() *countingrule.Config // of the file as last read; it may change between two calls of Decide
 	Lease       time.Duration               // of the table, at every process
 	ReadWait    time.Duration               // the longest that a read of the table waits
 	ClockOrigin time.Duration               // the common clock when Decide's clock was 0
 
-	epoch        uint64 // of the entry that the baseline belongs to
-	ledSince     time.Duration
-	baseline     map[string]uint64 // the sums that are in TrialState.Sums of that entry
-	proposed     []byte            // the value proposed last
-	proposedFrom map[string]uint64 // and the sums that it was made of
+	epoch    uint64 // of the entry that the baseline belongs to
+	ledSince time.Duration
+	baseline map[string]uint64 // the sums that are in TrialState.Sums of that entry
+	latest   proposal
 }
 
-// New makes a controller of a file's configuration. Lease and wait are those of the table's readers; origin is the
-// common clock, nanoseconds since 1970, when the clock that Decide is given was 0: within maxClockSkew is near enough.
+// proposal is a value that was proposed, and the sums that it was made of; nil where there is none.
+type proposal struct {
+	value []byte
+	sums  map[string]uint64
+}
+
+// New makes a controller of a file's configuration. Lease and wait are those of the table's
+// readers; origin is the common clock, nanoseconds since 1970, when the clock that Decide is given
+// was 0, right to maxClockSkew.
 func New(config func() *countingrule.Config, lease, wait, origin time.Duration) *Controller {
 	return &Controller{Config: config, Lease: lease, ReadWait: wait, ClockOrigin: origin}
 }
@@ -40,16 +47,10 @@
 	if err != nil {
 		return nil, false // written by a later version: left alone
 	}
-	if entry.Epoch != c.epoch || input.LeadingSince != c.ledSince || c.baseline == nil {
-		c.baseline = input.Sums
-		if bytes.Equal(entry.Value, c.proposed) && input.LeadingSince == c.ledSince && c.proposedFrom != nil {
-			c.baseline = c.proposedFrom
-		}
-		c.epoch, c.ledSince = entry.Epoch, input.LeadingSince
-	}
+	c.updateBaseline(entry, input)
 	trial, err := decodeTrialState(table.TrialState)
 	if err != nil {
-		return nil, false // the same
+		return nil, false // written by a later version, too
 	}
 	config := c.Config()
 	s := step{
@@ -66,13 +67,29 @@
 		return nil, false
 	}
 	table.TrialState = trial.encode()
-	c.proposed, c.proposedFrom = table.Encode(), input.Sums
-	return c.proposed, true
+	c.latest = proposal{value: table.Encode(), sums: input.Sums}
+	return c.latest.value, true
+}
+
+// updateBaseline decides which sums the entry's trial state already has: those of the proposal that
+// became the entry, else those received when this process first met it. Prevents an observation
+// from counting twice.
+func (c *Controller) updateBaseline(entry statemachine.Table, input coordination.ControllerInput) {
+	leadsOn := input.LeadingSince == c.ledSince
+	if leadsOn && entry.Epoch == c.epoch && c.baseline != nil {
+		return
+	}
+	c.baseline = input.Sums
+	if leadsOn && c.latest.sums != nil && bytes.Equal(entry.Value, c.latest.value) {
+		c.baseline = c.latest.sums
+	}
+	c.epoch = entry.Epoch
+	c.ledSince = input.LeadingSince
 }
 
-// switchLead is the time from a decision to its switch in which every process hears of it or knows that it did not: an
-// entry written now is in every read sent after, so a lease that covers a later moment than now and a lease has received
-// it. Two waits more let most processes hear before their lease could end, and clocks may differ by maxClockSkew.
+// switchLead decides how long before its switch a decision is committed, so that every process has
+// received it by then or knows that its lease has ended. A lease that ends later than a lease from
+// now counts from a read that held the decision.
 func (c *Controller) switchLead(config *countingrule.Config) time.Duration {
-	return c.Lease + 2*c.ReadWait + 2*maxClockSkew + time.Duration(config.Canary.LeadMillis)*time.Millisecond
+	return c.Lease + leadReadWaits*c.ReadWait + leadClockSkews*maxClockSkew + config.Canary.ExtraLead()
 }
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -59,7 +59,8 @@
 	case 1:
 		h.config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
 	}
-	if (table.Phase == countingrule.PhaseScheduled) == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
+	isScheduled := table.Phase == countingrule.PhaseScheduled
+	if isScheduled == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
 		h.drawHarm(t)
 	}
 	fingerprint := Fingerprint(table.Seed)
@@ -74,7 +75,8 @@
 	}
 }
 
-// decide has both controllers decide, which must agree, and gives the next table where there is one.
+// decide has both controllers decide, which must agree, and gives the next table where there is
+// one.
 func (h *history) decide(t *rapid.T) (next countingrule.Table, write bool) {
 	input := coordination.ControllerInput{
 		Sums: maps.Clone(h.sums), LeadingSince: h.since,
@@ -117,9 +119,9 @@
 	}
 }
 
-// Whatever is observed, whoever leads and whatever the file says meanwhile: a step never changes at once which version is
-// in force, schedules no switch that some process may not hear of in time, undoes none before its time, and tries nothing
-// that was refused. The same events give the same value.
+// Under any observations, leaders and files a step leaves the version in force as it is, schedules no
+// switch too near for some process, undoes none before its time, and tries nothing that was refused.
+// The same events give the same value.
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// A rule is tried, scheduled, watched and kept; what its canary forecast is what is admitted.
+// A harmless rule is tried, scheduled, watched and kept: what it admits is as its canary forecast.
 func TestController_harmlessRuleIsScheduledAndKept(t *testing.T) {
 	s := runUntilScheduled(t)
 	table := s.tableValue()
@@ -31,7 +31,8 @@
 	}
 	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseIdle })
 	table = s.tableValue()
-	if table.Phase != countingrule.PhaseIdle || table.From != 1 || table.Previous != 0 || !strings.HasPrefix(table.Reason, "kept") {
+	if table.Phase != countingrule.PhaseIdle || table.From != 1 || table.Previous != 0 ||
+		!strings.HasPrefix(table.Reason, "kept") {
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
 	}
 	t.Log(table.Reason)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Too few requests to tell: at the deadline that means a refusal.
+// A rule that is undecided at the deadline, for too few requests, is refused.
 func TestController_undecidedAtTheDeadlineIsRefused(t *testing.T) {
 	s := newSimulation(scaledLimits(1), 1)
 	clear(s.demand)
@@ -67,7 +68,7 @@
 	}
 }
 
-// trialState is that of the table.
+// trialState is the state that the table holds.
 func (s *simulation) trialState(t *testing.T) TrialState {
 	t.Helper()
 	state, err := decodeTrialState(s.tableValue().TrialState)
@@ -77,7 +78,8 @@
 	return state
 }
 
-// A new leader has another monotonic clock and sums that begin anew; it goes on where the table stands.
+// A new leader has another monotonic clock and sums that begin anew; it goes on where the table
+// stands.
 func TestController_newLeaderContinuesTheTrial(t *testing.T) {
 	s := newSimulation(scaledLimits(0.75), 4)
 	s.advance(s.now+20*time.Second, never)
@@ -92,13 +94,14 @@
 	table, after := s.tableValue(), s.trialState(t)
 	if !s.hasVerdict() || table.From != 0 || after.Tests[0].Count <= before.Tests[0].Count ||
 		after.Sums[nameRequests] < before.Sums[nameRequests] {
-		t.Errorf("phase %d after buckets %d to %d, %d to %d requests: %s", table.Phase, before.NextBucket, after.NextBucket,
-			before.Sums[nameRequests], after.Sums[nameRequests], table.Reason)
+		t.Errorf("phase %d after buckets %d to %d, %d to %d requests: %s",
+			table.Phase, before.NextBucket, after.NextBucket, before.Sums[nameRequests], after.Sums[nameRequests],
+			table.Reason)
 	}
 }
 
-// After the switch a third of what the rule admits fails: that was not forecast, so the earlier rule comes back at a
-// switch of its own, and the later one is not tried again.
+// After the switch a third of what the rule admits fails: that was not forecast, so the earlier
+// rule comes back at a switch of its own, and the later one is not tried again.
 func TestController_rollsBackOnDeviationFromTheForecast(t *testing.T) {
 	s := runUntilScheduled(t)
 	s.failureRate = 0.33
@@ -125,8 +128,8 @@
 	return table, write && err == nil
 }
 
-// The rollback that an operator asks for needs no trial: the earlier rule was in force already. It waits for a switch
-// that is still to come, as no switch is undone before its time.
+// The rollback that an operator asks for needs no trial: the earlier rule was in force already. It
+// waits for a switch that is still to come, as no switch is undone before its time.
 func TestController_operatorsRollBackWithoutATrial(t *testing.T) {
 	rules := []countingrule.Rule{scaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
@@ -146,7 +149,8 @@
 			if changed != test.wantChange {
 				t.Fatalf("changed %v, want %v: %+v", changed, test.wantChange, got)
 			}
-			isBack := got.Phase == countingrule.PhaseRollback && got.From == 1 && got.To == 0 && got.SwitchAt > time.Hour
+			isBack := got.Phase == countingrule.PhaseRollback && got.From == 1 && got.To == 0 &&
+				got.SwitchAt > time.Hour
 			if changed && !isBack {
 				t.Errorf("%+v", got)
 			}
--- a/internal/control/countingrule/canary/golden_test.go
+++ b/internal/control/countingrule/canary/golden_test.go
@@ -19,8 +19,9 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// The files under testdata and the hashes were written by the program before its names were changed. What is stored,
-// what goes between processes and what the simulations give must stay as these have it.
+// The files under testdata and the hashes were written by the program before its names were
+// changed. What is stored, what goes between processes and what the simulations give must stay as
+// these have it.
 
 // recorder hashes numbers, by their bits, and words. Writing to a hash never fails.
 type recorder struct{ hash.Hash }
@@ -77,8 +78,9 @@
 	}
 }
 
-// driveShadow evaluates requests that a seed draws under two rules, with answers that come late or not at all, a budget
-// that is empty at times, and other weights of classes midway. It hashes each call and, from time to time, the observations.
+// driveShadow evaluates requests that a seed draws under two rules, with answers that come late or
+// not at all, a budget that is empty at times, and other weights of classes midway. It hashes each
+// call and, from time to time, the observations.
 func driveShadow(t *testing.T, seed uint64, rule countingrule.Rule) (*Shadow, string) {
 	t.Helper()
 	rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}}
@@ -139,7 +141,8 @@
 	}
 }
 
-// The names of the observations go between processes and are matched by the leader, whatever its version.
+// The names of the observations go between processes and are matched by the leader, whatever its
+// version.
 func TestGolden_observationNames(t *testing.T) {
 	merging, _ := driveShadow(t, 3, pairedCustomers(1))
 	splitting, _ := driveShadow(t, 4, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"}})
--- a/internal/control/countingrule/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -21,7 +21,8 @@
 	return out.sum()
 }
 
-// Each value that a controller writes over a trial, from its start to what follows it, and each process's observations.
+// Each value that a controller writes over a trial, from its start to what follows it, and each
+// process's observations.
 func TestGolden_trials(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -86,7 +87,9 @@
 			"one rule's groups are listed and the other's made by a mask: what hangs together cannot be told",
 		},
 	} {
-		config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{test.old, test.next}, Canary: canaryConfig()}
+		config := &countingrule.Config{
+			DesiredVersion: 2, Rules: []countingrule.Rule{test.old, test.next}, Canary: canaryConfig(),
+		}
 		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{test.old}})
 		if !ok || table.Reason != test.want {
 			t.Errorf("%v, %q, want %q", ok, table.Reason, test.want)
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -3,12 +3,13 @@
 import (
 	"strconv"
 
+	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/coordination/observation"
 	"harrierhoist/policy"
 )
 
-// The names of observations, behind nameCanary and the canary's fingerprint. They go between processes, and the leader
-// matches them: they never change. Units and weights are in thousandths.
+// The names of observations, behind nameCanary and the canary's fingerprint. They go between
+// processes, and the leader matches them: they never change. Units and weights are in thousandths.
 const (
 	nameCanary     = "canary"
 	nameRequested  = "asked"   // units requested
@@ -29,9 +30,17 @@
 	prefixWeighted = "gain-" // before the four outcomes: priority weight in place of units
 )
 
-// maxTrackedKeys is how many keys are followed to see which merge and which are split.
+// maxTrackedKeys is how many keys of either rule are tracked to count which merge and which are
+// split.
 const maxTrackedKeys = 20_000
 
+// The form of numbers in observations and their names.
+const (
+	fingerprintBase = 36
+	versionBase     = 10
+	roundingOffset  = 0.5 // thousandths
+)
+
 // severalKeys stands for a key that met several keys of the other rule.
 const severalKeys = 0
 
@@ -60,9 +69,12 @@
 
 // setNames takes the names of classes and plans by their indexes.
 func (o *observations) setNames(settings policy.Settings) {
-	o.classNames, o.classWeights, o.planNames = nil, nil, nil
+	o.classNames = nil
+	o.classWeights = nil
+	o.planNames = nil
 	for _, class := range settings.Classes {
-		o.classNames, o.classWeights = append(o.classNames, class.Name), append(o.classWeights, class.Weight)
+		o.classNames = append(o.classNames, class.Name)
+		o.classWeights = append(o.classWeights, class.Weight)
 	}
 	for _, plan := range settings.Plans {
 		o.planNames = append(o.planNames, plan.Name)
@@ -70,13 +82,17 @@
 }
 
 // Fingerprint is a canary's part of the names of its observations.
-func Fingerprint(seed uint64) string { return strconv.FormatUint(seed, 36) }
+func Fingerprint(seed uint64) string { return strconv.FormatUint(seed, fingerprintBase) }
 
-func thousandths(v float64) uint64 { return uint64(max(v, 0)*1000 + 0.5) }
+// thousandths converts units or a weight to the thousandths that are sent, rounded to the nearest.
+func thousandths(v float64) uint64 {
+	return uint64(max(v, 0)*countingrule.PermilleScale + roundingOffset)
+}
 
 // record counts a request that both sides have decided.
 func (o *observations) record(bucket int, shadowed *shadowRequest) {
-	request, inBucket := &shadowed.request, &o.buckets[bucket]
+	request := &shadowed.request
+	inBucket := &o.buckets[bucket]
 	units := thousandths(request.Units)
 	o.counts[nameRequests]++
 	inBucket.requested += units
@@ -117,9 +133,14 @@
 	track(o.splitInto, old, next, nameSplitKeys)
 }
 
+// actualPrefix begins the names of what became of requests that were admitted under a version.
+func actualPrefix(version uint64) string {
+	return observation.JoinName(nameActual, strconv.FormatUint(version, versionBase))
+}
+
 // recordActual counts the actual outcome of a sampled request.
 func (o *observations) recordActual(version uint64, units float64, forwarded bool) {
-	prefix := observation.JoinName(nameActual, strconv.FormatUint(version, 10))
+	prefix := actualPrefix(version)
 	o.counts[observation.JoinName(prefix, nameRequested)] += thousandths(units)
 	if forwarded {
 		o.counts[observation.JoinName(prefix, nameAdmitted)] += thousandths(units)
--- a/internal/control/countingrule/canary/sample_test.go
+++ b/internal/control/countingrule/canary/sample_test.go
@@ -19,13 +19,13 @@
 	}
 }
 
-// resolve gives a rule resolved against settings with its plans, and these.
-func resolve(t testing.TB, rule countingrule.Rule) (*countingrule.Resolved, policy.Settings) {
-	t.Helper()
+// resolve gives a rule resolved against settings that have its plans, and these settings.
+func resolve(tb testing.TB, rule countingrule.Rule) (*countingrule.Resolved, policy.Settings) {
+	tb.Helper()
 	settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
 	resolved, err := countingrule.Resolve(rule, settings)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return resolved, settings
 }
@@ -56,8 +56,8 @@
 	return rule
 }
 
-// splitKey looks for a counter key, of either rule, of which some customers are sampled and some not, or are in two
-// buckets.
+// splitKey looks for a counter key, of either rule, of which some customers are sampled and some
+// not, or are in two buckets.
 func splitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
 	type placement struct {
 		bucket  int
@@ -69,7 +69,8 @@
 		t.Fatal(err)
 	}
 	for _, rule := range []countingrule.Rule{old, next} {
-		resolved, err := countingrule.Resolve(rule, countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule}))
+		settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
+		resolved, err := countingrule.Resolve(rule, settings)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +95,8 @@
 	})
 }
 
-// The same check finds a sample that goes by customers, and one that follows one rule's groups but no further.
+// The same check finds a sample that goes by customers, and one that follows one rule's groups but
+// no further.
 func TestSample_checkFindsASplitKey(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -126,7 +128,7 @@
 	}
 }
 
-// Two masks connect what either leaves open; with few bits in common there is nothing to draw from.
+// Customers are one component where they differ only in bits that one of the masks leaves out.
 func TestSample_masksShareTheirCommonBits(t *testing.T) {
 	sample, err := NewSample(byMask(1, 0xfff0), byMask(2, 0xff0f), 3, 500)
 	if err != nil {
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	maxBudget  = 64.0             // calls saved up a side: a burst of requests, not an hour's
-	flushDelay = time.Second      // after which units that no later request of their key added are added alone
-	keyTTL     = 60 * time.Second // a key not used so long has no window left at the counter
-	maxKeys    = 50_000           // a side that a process keeps; more are not evaluated
+	maxBudget     = 64.0             // calls that a side may save up
+	flushDelay    = time.Second      // until units that no later request of their key added are added alone
+	sweepInterval = flushDelay / 2   // between two flushes
+	keyTTL        = 60 * time.Second // of a key that is not used: the counter has dropped its windows by then
+	maxKeys       = 50_000           // of a side at one process; further keys are not evaluated
 )
 
 // The sides of the shadow evaluation.
@@ -28,15 +29,16 @@
 	Units       float64
 }
 
-// Shadow evaluates the old rule and the new one on the sampled requests, both by the same plain admission and by counts
-// of their own, so that what differs is the rules' doing. Not safe for use by several goroutines at once.
+// Shadow evaluates the old rule and the new one on the sampled requests, both by the same plain
+// admission and by counts of their own: no difference has a cause beside the rules. Not safe for
+// use by several goroutines at once.
 type Shadow struct {
 	observations *observations
 	sample       *Sample
 	seed         uint64 // of the canary: hashed into the keys, so that their names are no rule's
 	sides        [sideCount]side
 	plans        []policy.Plan
-	callShare    float64 // of a call that each call of the gateway earns
+	callShare    float64 // from 0 to 1, of a call that each call of the gateway earns
 	outstanding  map[uint64]outstandingCall
 	lastID       uint64
 	sweptAt      time.Duration
@@ -47,8 +49,8 @@
 	rule       *countingrule.Resolved
 	keys       map[uint64]*keyState
 	flushQueue []*keyState // with units that may have to be added alone, in the order in which that was found
-	// budget is the calls that this side may make: each has half of the evaluation's, so that neither sees less than the
-	// other.
+	// budget is how many calls this side may make. Each side has half of the evaluation's calls, so
+	// that both read counts equally often.
 	budget float64
 }
 
@@ -61,14 +63,16 @@
 	estimated bool    // a side was decided without a count
 }
 
-// NewShadow begins a shadow evaluation. The seed is the canary's own, callsPermille the share of the gateway's calls to
-// the counter that may be spent on it.
-func NewShadow(sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64) *Shadow {
+// NewShadow begins a shadow evaluation. The seed is the canary's own, callsPermille the share of
+// the gateway's calls to the counter that may be spent on it.
+func NewShadow(
+	sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64,
+) *Shadow {
 	s := &Shadow{
 		observations: newObservations(Fingerprint(seed)),
 		sample:       sample,
 		seed:         seed,
-		callShare:    float64(callsPermille) / 1000,
+		callShare:    countingrule.PermilleFraction(callsPermille),
 		outstanding:  map[uint64]outstandingCall{},
 	}
 	for i := range s.sides {
@@ -78,13 +82,16 @@
 	return s
 }
 
-// Reconfigure goes on with the same rules beside other classes and plans, which have kept their indexes.
+// Reconfigure continues with the same rules under other settings; classes and plans keep their
+// indexes.
 func (s *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
-	s.sides[oldSide].rule, s.sides[newSide].rule, s.plans = old, next, settings.Plans
+	s.sides[oldSide].rule = old
+	s.sides[newSide].rule = next
+	s.plans = settings.Plans
 	s.observations.setNames(settings)
 }
 
-// AddBudget takes word of n calls that the gateway made for its requests.
+// AddBudget lets each side earn its share of n calls that the gateway made for its requests.
 func (s *Shadow) AddBudget(n uint64) {
 	for i := range s.sides {
 		s.sides[i].budget = min(s.sides[i].budget+s.callShare/sideCount*float64(n), maxBudget)
@@ -100,8 +107,8 @@
 // Report gives what this process counted, by the names of the observations.
 func (s *Shadow) Report(add func(name string, n uint64)) { s.observations.report(add) }
 
-// RecordActual counts the actual outcome of a sampled request: the version that it was admitted under, its units, and
-// whether it was forwarded.
+// RecordActual counts the actual outcome of a sampled request: the version that it was admitted
+// under, its units, and whether it was forwarded.
 func (s *Shadow) RecordActual(version uint64, units float64, forwarded bool) {
 	s.observations.recordActual(version, units, forwarded)
 }
@@ -118,14 +125,15 @@
 	var keys [sideCount]uint64
 	for i := range s.sides {
 		assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
-		keys[i] = assignment.Key
-		if states[i] = s.openKey(i, assignment, now); states[i] == nil {
+		state := s.openKey(i, assignment, now)
+		if state == nil {
 			return nil
 		}
+		keys[i] = assignment.Key
+		states[i] = state
 	}
 	s.observations.trackKeys(keys[oldSide], keys[newSide])
-	// Both sides read a count, or neither does.
-	estimated := min(s.sides[oldSide].budget, s.sides[newSide].budget) < 1
+	estimated := !s.canReadCounts()
 	shadowed := &shadowRequest{request: request, pending: sideCount, estimated: estimated}
 	for i, state := range states {
 		if estimated {
@@ -137,6 +145,12 @@
 	return calls
 }
 
+// canReadCounts decides whether a request is evaluated by counts. Both sides read one, or neither
+// does.
+func (s *Shadow) canReadCounts() bool {
+	return min(s.sides[oldSide].budget, s.sides[newSide].budget) >= 1
+}
+
 // openKey finds a key's state on a side; nil where the side has too many keys.
 func (s *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
 	keys := s.sides[i].keys
@@ -155,7 +169,8 @@
 	return state
 }
 
-// decide decides a request on one side, and counts it once both have decided.
+// decide decides whether one side admits a request, by the units that remain of its key, and
+// records the request once both sides have decided.
 func (s *Shadow) decide(i int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
 	request := &shadowed.request
 	assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
@@ -165,15 +180,16 @@
 		state.pending += units
 		s.sides[i].scheduleFlush(state, now)
 	}
-	if shadowed.pending--; shadowed.pending == 0 {
+	shadowed.pending--
+	if shadowed.pending == 0 {
 		bucket, _ := s.sample.Bucket(request.Customer)
 		s.observations.record(bucket, shadowed)
 	}
 }
 
-// scheduleFlush has a key's pending units added alone after a while.
+// scheduleFlush has a key's pending units added alone after flushDelay.
 func (s *side) scheduleFlush(state *keyState, now time.Duration) {
-	if state.flushAt == 0 {
+	if !state.isFlushScheduled() {
 		state.flushAt = now + flushDelay
 		s.flushQueue = append(s.flushQueue, state)
 	}
@@ -182,7 +198,7 @@
 // forgetUnused forgets the keys whose windows the counter has dropped by now.
 func (s *side) forgetUnused(now time.Duration) {
 	for key, state := range s.keys {
-		if now > state.lastUsed+keyTTL && state.flushAt == 0 {
+		if now > state.lastUsed+keyTTL && !state.isFlushScheduled() {
 			delete(s.keys, key)
 		}
 	}
--- a/internal/control/countingrule/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -34,7 +34,8 @@
 	return NewShadow(sample, current, resolved, settings, 5, 250)
 }
 
-// evaluate has 20,000 requests of 40 customers evaluated, so far apart as pause draws, and gives the gateway's own calls.
+// evaluate has 20,000 requests of 40 customers evaluated, so far apart as pause draws, and gives
+// the gateway's own calls.
 func evaluate(shadow *Shadow, pause func(*rand.Rand) time.Duration) (ownCalls uint64) {
 	const callsPerRequest = 8
 	counts, random := counter{}, rand.New(rand.NewPCG(1, 2))
@@ -66,7 +67,8 @@
 	}
 }
 
-// Customers that share a count under half of their rates lose about half: observed, with the keys that merged.
+// Customers that share a count under half of their rates lose about half of their units, and their keys
+// are counted as merged.
 func TestShadow_mergedKeysReject(t *testing.T) {
 	rule := countingrule.Rule{
 		Version: 1, Key: []string{"group"},
@@ -80,7 +82,8 @@
 	got := shadow.observations.counts
 	// 40 customers request 1.67 units a second each of their 2, so pairs request 3.3 of their 2.
 	lost := float64(got[nameOldOnly]) / float64(got[nameBoth]+got[nameOldOnly])
-	if lost < 0.3 || lost > 0.5 || got[nameNewOnly] > got[nameBoth]/100 || got[nameMergedKeys] == 0 || got[nameSplitKeys] != 0 {
+	if lost < 0.3 || lost > 0.5 || got[nameNewOnly] > got[nameBoth]/100 ||
+		got[nameMergedKeys] == 0 || got[nameSplitKeys] != 0 {
 		t.Errorf("%.3f lost, %v", lost, got)
 	}
 }
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -12,7 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// simulation is three processes in virtual time with a counter, a leader's controller and customers that are drawn.
+// simulation is three processes in virtual time with a counter, a leader's controller and customers
+// that are drawn.
 type simulation struct {
 	controller  *Controller
 	table       statemachine.Table
@@ -144,8 +145,8 @@
 	}
 }
 
-// arrive brings a sampled customer's request to one of the processes. The shadow evaluation's decision stands for the
-// decision module's.
+// arrive brings a sampled customer's request to one of the processes. The shadow evaluation's
+// decision stands for the decision module's.
 func (s *simulation) arrive(customer int, table *countingrule.Table) {
 	shadow := s.shadows[s.random.IntN(len(s.shadows))]
 	counts := shadow.observations.counts
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -10,25 +10,28 @@
 
 // When a trial is evaluated, and of how much.
 const (
-	settleDelay      = 10 * time.Second // counts that began full, and observations on their way
-	minBucketUnits   = 1000             // thousandths of a unit: a bucket with less requested shows nothing
-	maxEstimatedPart = 0.25             // of the requests evaluated without a count: above it no rule is taken
+	settleDelay      = 10 * time.Second // while counts still begin full and observations are on their way
+	minBucketUnits   = 1000             // thousandths of a unit that a bucket must have requested
+	maxEstimatedPart = 0.25             // of the sampled requests, from 0 to 1, decided without a count
 )
 
 // When a switch is watched, and when it is rolled back.
 const (
 	watchInterval   = 10 * time.Second // between two checks of the outcome
-	minWatchedUnits = 200_000          // thousandths of a unit in a check: fewer show little
-	maxDeviations   = 2                // checks in a row that deviate from the forecast: one may be a moment's
+	minWatchedUnits = 200_000          // thousandths of a unit that a check must have requested
+	maxDeviations   = 2                // checks in a row that deviate from the forecast
 )
 
 // When a switch takes effect.
 const (
 	maxClockSkew      = 500 * time.Millisecond
+	leadReadWaits     = 2           // so that most processes hear of a switch before their lease could end
+	leadClockSkews    = 2           // the clock of one process may be ahead and that of another behind
 	switchGranularity = time.Second // whole seconds of the common clock are easy to find in a log
 )
 
-// The reasons of steps. They are stored in the table, and people and their tools read them: the wording stays.
+// The reasons of steps. They are stored in the table, and people and their tools read them: the
+// wording stays.
 const (
 	reasonConfig    = "as the file says"
 	reasonOtherRule = "the file names another rule"
@@ -39,70 +42,86 @@
 	reasonDeviation = "%.3f of the units are let in, %.3f were foretold"
 )
 
-// bounds name the tests of TrialState.Tests by the keys of their bounds in the operators' file.
-var bounds = [...]string{"rejected", "let_in", "beyond"}
-
 // step is one decision of the controller: it changes the table and the trial's state in place.
 type step struct {
-	config         *countingrule.Config
-	lead           time.Duration // from the decision to its switch, at least
-	now            time.Duration // on the common clock
-	ledFor         time.Duration // since this process began to lead
-	table          *countingrule.Table
-	trial          *TrialState
-	sums, baseline map[string]uint64
+	config   *countingrule.Config
+	lead     time.Duration // from the decision to its switch, at least
+	now      time.Duration // on the common clock
+	ledFor   time.Duration // since this process began to lead
+	table    *countingrule.Table
+	trial    *TrialState
+	sums     map[string]uint64 // received by now
+	baseline map[string]uint64 // those that the trial's state has already
 }
 
 // advance makes the step that the table's phase asks for, and tells whether anything changed.
 func (s *step) advance() bool {
-	switched := s.now >= s.table.SwitchAt+maxClockSkew
 	switch s.table.Phase {
 	case countingrule.PhaseIdle:
 		return s.startTrial()
 	case countingrule.PhaseCanary:
 		return s.evaluate()
 	case countingrule.PhaseScheduled:
-		if !switched {
-			return false
-		}
-		if desired := s.config.DesiredVersion; desired == s.table.From && desired != s.table.To {
-			s.rollBack(reasonConfig) // the operators want the earlier rule again
-			return true
-		}
-		return s.watch()
+		return s.followActivation()
 	case countingrule.PhaseRollback:
-		if switched {
-			s.finish(s.table.Reason)
-		}
-		return switched
+		return s.followRollback()
 	default:
 		return false // of a later version
 	}
 }
 
-// startTrial takes up the rule that the file names, if it is another than the one in force and was not refused.
-func (s *step) startTrial() bool {
-	desired, table := s.config.DesiredVersion, s.table
-	if desired == table.From || slices.Contains(table.Refused, desired) {
+// hasSwitched decides whether the switch has come at every process, whatever its clock's skew.
+func (s *step) hasSwitched() bool { return s.now >= s.table.SwitchAt+maxClockSkew }
+
+// followActivation watches a rule that has come into force, or rolls it back where the operators
+// want the earlier rule again.
+func (s *step) followActivation() bool {
+	if !s.hasSwitched() {
 		return false
 	}
-	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule countingrule.Rule) bool {
-		return rule.Version != table.From && rule.Version != table.Previous
-	})
-	i := slices.IndexFunc(s.config.Rules, func(rule countingrule.Rule) bool { return rule.Version == desired })
-	if _, known := table.Rule(desired); !known && i >= 0 {
-		table.Rules = append(table.Rules, s.config.Rules[i])
+	desired := s.config.DesiredVersion
+	if desired == s.table.From && desired != s.table.To {
+		s.rollBack(reasonConfig)
+		return true
+	}
+	return s.watch()
+}
+
+// followRollback ends a rollback once its switch has come.
+func (s *step) followRollback() bool {
+	if !s.hasSwitched() {
+		return false
+	}
+	s.finish(s.table.Reason)
+	return true
+}
+
+// shouldTry decides whether the version that the file names is taken up: it is not in force, and
+// was not refused before.
+func (s *step) shouldTry(desired uint64) bool {
+	return desired != s.table.From && !slices.Contains(s.table.Refused, desired)
+}
+
+// startTrial takes up the version that the file names, where there is something to try. A version
+// that was in force just before comes back without a trial.
+func (s *step) startTrial() bool {
+	desired := s.config.DesiredVersion
+	if !s.shouldTry(desired) {
+		return false
 	}
+	table := s.table
+	s.collectRules(desired)
 	table.To = desired
-	if desired == table.Previous { // it was in force before: going back needs no trial
+	if desired == table.Previous {
 		s.enter(countingrule.PhaseRollback, reasonConfig)
 		table.SwitchAt = s.switchTime()
 		return true
 	}
 	next, _ := table.Rule(desired)
 	old, _ := table.Rule(table.From)
-	table.Seed, table.Canary = countingrule.Hash(desired, uint64(s.now)), s.config.Canary
-	if _, err := NewSample(old, next, table.Seed, s.config.Canary.SamplePermille); err != nil {
+	table.Seed = countingrule.Hash(desired, uint64(s.now))
+	table.Canary = s.config.Canary
+	if _, err := NewSample(old, next, table.Seed, table.Canary.SamplePermille); err != nil {
 		s.refuse(err.Error())
 		return true
 	}
@@ -111,20 +130,36 @@
 	return true
 }
 
-// evaluate examines the buckets whose time has come and gives the verdict where there is one.
+// collectRules leaves in the table the rules in force now and before, and adds the desired one from
+// the file.
+func (s *step) collectRules(desired uint64) {
+	table := s.table
+	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule countingrule.Rule) bool {
+		return rule.Version != table.From && rule.Version != table.Previous
+	})
+	if _, known := table.Rule(desired); known {
+		return
+	}
+	i := slices.IndexFunc(s.config.Rules, func(rule countingrule.Rule) bool { return rule.Version == desired })
+	if i >= 0 {
+		table.Rules = append(table.Rules, s.config.Rules[i])
+	}
+}
+
+// evaluate examines the buckets that are due and gives the verdict where there is one. What is
+// undecided at the deadline is refused.
 func (s *step) evaluate() bool {
-	deadline := time.Duration(s.table.Canary.DeadlineSeconds) * time.Second
 	switch {
 	case s.config.DesiredVersion != s.table.To:
 		s.returnToIdle(reasonOtherRule)
 		*s.trial = TrialState{}
 		return true
-	case s.now >= s.table.Since+deadline:
+	case s.now >= s.table.Since+s.table.Canary.Deadline():
 		s.refuse(reasonUndecided)
 		return true
 	case s.ledFor < settleDelay:
 		return false // observations of some processes are still to come
-	case !s.testBuckets(deadline):
+	case !s.testBuckets():
 		return false
 	}
 	s.trial.accumulate(Fingerprint(s.table.Seed), s.baseline, s.sums)
@@ -132,46 +167,49 @@
 	return true
 }
 
-// testBuckets adds the buckets whose time has come to the tests, each once, and tells whether there was one.
-func (s *step) testBuckets(deadline time.Duration) (tested bool) {
+// testBuckets adds the buckets that are due to the tests, each once, and tells whether there was
+// one.
+func (s *step) testBuckets() (tested bool) {
 	fingerprint := Fingerprint(s.table.Seed)
-	interval := (deadline - 2*settleDelay) / Buckets
-	firstAt := s.table.Since + settleDelay + interval
-	for ; s.trial.NextBucket < Buckets && s.now >= firstAt+time.Duration(s.trial.NextBucket)*interval; s.trial.NextBucket++ {
+	for s.isBucketDue(s.trial.NextBucket) {
+		s.trial.addBucket(&s.table.Canary, readBucket(s.sums, fingerprint, s.trial.NextBucket))
+		s.trial.NextBucket++
 		tested = true
-		units := func(name string) float64 {
-			return float64(s.sums[bucketName(fingerprint, s.trial.NextBucket, name)])
-		}
-		if requested := units(nameRequested); requested >= minBucketUnits {
-			s.trial.addBucket(&s.table.Canary, requested, units(nameOldOnly), units(nameNewOnly), units(nameOverLimit))
-		}
 	}
 	return tested
 }
 
-// conclude refuses the rule where a test finds it harmful, and schedules it where all find it harmless.
+// isBucketDue decides whether a bucket is to be tested by now: the buckets are spread evenly over
+// the trial, without its first and last settleDelay.
+func (s *step) isBucketDue(bucket int) bool {
+	tested := s.table.Canary.Deadline() - settleDelay - settleDelay
+	interval := tested / Buckets
+	firstAt := s.table.Since + settleDelay + interval
+	return bucket < Buckets && s.now >= firstAt+time.Duration(bucket)*interval
+}
+
+// conclude decides the verdict: it refuses a rule that exceeds a bound, and schedules a rule that
+// is harmless. Else the trial goes on.
 func (s *step) conclude() {
-	errorRate := float64(s.table.Canary.ErrorPermille) / 1000
-	harmless := float64(s.trial.Sums[nameEstimated]) <= maxEstimatedPart*float64(s.trial.Sums[nameRequests])
-	for i, bound := range bounds { // any of them refuses: together they are wrong as often as one may be
+	errorRate := s.table.Canary.ErrorRate()
+	if i, exceeded := s.trial.exceededBound(errorRate); exceeded {
 		test := &s.trial.Tests[i]
-		if test.IsAbove(errorRate / float64(len(bounds))) {
-			s.refuse(fmt.Sprintf(reasonHarmful, bound, test.Mean(), test.Count))
-			return
-		}
-		harmless = harmless && test.IsBelow(errorRate)
+		s.refuse(fmt.Sprintf(reasonHarmful, bounds[i], test.Mean(), test.Count))
+		return
 	}
-	if harmless {
+	if s.trial.isHarmless(errorRate) {
 		s.trial.Forecast = s.trial.forecast(s.table.From)
-		s.enter(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[0].Count))
+		s.enter(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[testRejected].Count))
 		s.table.SwitchAt = s.switchTime()
 	}
 }
 
-// watch compares what is admitted after the switch with the forecast. It ends after a while.
+// watch compares what is admitted after a switch with the forecast, and rolls the switch back where
+// several checks in a row deviate. It ends after the configured span.
 func (s *step) watch() bool {
-	canary, trial := &s.table.Canary, s.trial
-	if s.now >= s.table.SwitchAt+time.Duration(canary.WatchSeconds)*time.Second {
+	canary := &s.table.Canary
+	trial := s.trial
+	if s.now >= s.table.SwitchAt+canary.WatchDuration() {
 		s.finish(fmt.Sprintf(reasonKept, trial.Observed, trial.Forecast))
 		return true
 	}
@@ -181,17 +219,15 @@
 	}
 	trial.Checks = int(watched / watchInterval)
 	trial.accumulate(Fingerprint(s.table.Seed), s.baseline, s.sums)
-	requested, admitted := trial.actualUnits(s.table.To)
-	if requested-trial.RequestedUnits < minWatchedUnits {
+	if !trial.observe(s.table.To) {
 		return true
 	}
-	trial.Observed = float64(admitted-trial.AdmittedUnits) / float64(requested-trial.RequestedUnits)
-	trial.RequestedUnits, trial.AdmittedUnits = requested, admitted
-	if deviation := trial.Observed - trial.Forecast; max(deviation, -deviation)*1000 <= float64(canary.DeviationPermille) {
+	if canary.MatchesForecast(trial.Observed, trial.Forecast) {
 		trial.Deviations = 0
 		return true
 	}
-	if trial.Deviations++; trial.Deviations >= maxDeviations {
+	trial.Deviations++
+	if trial.Deviations >= maxDeviations {
 		s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
 		s.rollBack(fmt.Sprintf(reasonDeviation, trial.Observed, trial.Forecast))
 	}
@@ -200,10 +236,12 @@
 
 // enter begins a phase.
 func (s *step) enter(phase countingrule.Phase, reason string) {
-	s.table.Phase, s.table.Since, s.table.Reason = phase, s.now, reason
+	s.table.Phase = phase
+	s.table.Since = s.now
+	s.table.Reason = reason
 }
 
-// returnToIdle ends a trial: the rule in force stays.
+// returnToIdle ends a trial. The rule in force stays.
 func (s *step) returnToIdle(reason string) {
 	s.enter(countingrule.PhaseIdle, reason)
 	s.table.To = s.table.From
@@ -218,7 +256,8 @@
 // rollBack undoes a switch by a switch the other way.
 func (s *step) rollBack(reason string) {
 	s.enter(countingrule.PhaseRollback, reason)
-	s.table.From, s.table.To, s.table.SwitchAt = s.table.To, s.table.From, s.switchTime()
+	s.table.From, s.table.To = s.table.To, s.table.From
+	s.table.SwitchAt = s.switchTime()
 }
 
 // finish ends a switch: the rule that it brought into force stays.
@@ -236,7 +275,8 @@
 	*s.trial = TrialState{}
 }
 
-// switchTime is the first whole second of the common clock that is far enough ahead.
+// switchTime decides when a switch takes effect: at the first whole second of the common clock that
+// is the lead away or more.
 func (s *step) switchTime() time.Duration {
 	return (s.now + s.lead + switchGranularity - 1) / switchGranularity * switchGranularity
 }
--- a/internal/control/countingrule/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -20,7 +20,8 @@
 // quickChanges are those of a short test.
 var quickChanges = []string{"as it is", "pairs", "half", "poor pairs"}
 
-// trueMeans are a change's means of each figure over many buckets at the end of a canary, none of them tested before.
+// trueMeans are a change's means of each figure over many buckets at the end of a canary, none of
+// them tested before.
 func trueMeans(rule countingrule.Rule, runs uint64) (means [len(bounds)]float64) {
 	buckets, canary := 0.0, canaryConfig()
 	for seed := range runs {
@@ -33,10 +34,7 @@
 		var state TrialState
 		sums, fingerprint := s.sums(), Fingerprint(s.tableValue().Seed)
 		for bucket := range Buckets {
-			units := func(name string) float64 { return float64(sums[bucketName(fingerprint, bucket, name)]) }
-			if requested := units(nameRequested); requested >= minBucketUnits {
-				state.addBucket(&canary, requested, units(nameOldOnly), units(nameNewOnly), units(nameOverLimit))
-			}
+			state.addBucket(&canary, readBucket(sums, fingerprint, bucket))
 		}
 		for i := range means {
 			means[i] += state.Tests[i].Sum
@@ -97,7 +95,8 @@
 	return all
 }
 
-// Drawn changes, harmless and harmful, are judged wrong at most as often as stated. What stays undecided is refused.
+// Verdicts on drawn changes, harmless and harmful, are wrong at most as often as stated. What stays
+// undecided is refused.
 func TestController_verdictErrorRate(t *testing.T) {
 	names, runsEach, runs := quickChanges, 3, uint64(2)
 	if *full {
@@ -116,8 +115,8 @@
 		} else {
 			harmless.add(got)
 		}
-		t.Logf("%-10s harmful %5v (%.3f %.3f %.3f): taken %d, refused %d, undecided %d, %v in the mean", name, isHarmful,
-			means[0], means[1], means[2], got.taken, got.refused, got.undecided,
+		t.Logf("%-10s harmful %5v (%.3f %.3f %.3f): taken %d, refused %d, undecided %d, %v in the mean",
+			name, isHarmful, means[0], means[1], means[2], got.taken, got.refused, got.undecided,
 			(got.elapsed / time.Duration(runsEach)).Round(time.Second))
 	}
 	total := func(v verdicts) int { return v.taken + v.refused + v.undecided }
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -14,8 +14,8 @@
 	maxLead        = 600_000 // milliseconds
 )
 
-// permilleScale is how many permille make one.
-const permilleScale = 1000
+// PermilleScale is how many permille make one. What is counted in thousandths of a unit has it, too.
+const PermilleScale = 1000
 
 // CanaryConfig says how a new rule is tried beside the one in force, and when it is refused. It is
 // stored in the table under the keys of its cbor tags; its methods convert what is stored.
@@ -69,11 +69,11 @@
 // within the configured deviation. Both parts are from 0 to 1.
 func (c *CanaryConfig) MatchesForecast(observed, forecast float64) bool {
 	deviation := observed - forecast
-	return max(deviation, -deviation)*permilleScale <= float64(c.DeviationPermille)
+	return max(deviation, -deviation)*PermilleScale <= float64(c.DeviationPermille)
 }
 
 // PermilleFraction converts permille to a part from 0 to 1.
-func PermilleFraction(permille uint64) float64 { return float64(permille) / permilleScale }
+func PermilleFraction(permille uint64) float64 { return float64(permille) / PermilleScale }
 
 // validate gives what is wrong with a canary's configuration, each key under the file's table.
 func (c *CanaryConfig) validate() []error {
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -8,7 +8,7 @@
 
 // Limits of a rule.
 const (
-	unitWeight          = permilleScale // a unit counts as one
+	unitWeight          = PermilleScale // a unit counts as one
 	maxWeight           = 100_000       // permille
 	minMaskBits         = 5             // set bits of a mask: enough groups to sample
 	maxLimit            = 1e12          // units a second for the rate, units for the burst
