--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -8,19 +8,23 @@
 	"harrierhoist/internal/gateway/dispatch"
 )
 
-// canaryRun is this process's part of a canary, while there is one. It is under the enforcer's lock.
+// canaryRun is this process's part of a canary, while there is one. The enforcer's lock guards it.
 type canaryRun struct {
 	shadow        *canary.Shadow // nil: no canary runs
 	seed          uint64         // of the shadow evaluation
 	unearnedCalls uint64         // that the decision module made since they were last added to the budget
 }
 
+// isEvaluated decides whether a phase of the table has its new rule evaluated beside the old one.
+func isEvaluated(phase countingrule.Phase) bool {
+	return phase == countingrule.PhaseCanary || phase == countingrule.PhaseScheduled
+}
+
 // update begins and ends the canary as the table says.
 func (c *canaryRun) update(rules *ruleSet) {
 	table := &rules.table
-	active := table.Phase == countingrule.PhaseCanary || table.Phase == countingrule.PhaseScheduled
 	old, next := rules.switched()
-	if !active || old == nil {
+	if !isEvaluated(table.Phase) || old == nil {
 		c.shadow = nil
 		return
 	}
@@ -36,7 +40,7 @@
 	c.seed = table.Seed
 }
 
-// reconfigure goes on beside other settings.
+// reconfigure continues the canary, where there is one, under other settings.
 func (c *canaryRun) reconfigure(rules *ruleSet) {
 	old, next := rules.switched()
 	if c.shadow == nil || old == nil {
@@ -46,12 +50,13 @@
 	c.shadow.Reconfigure(old, next, rules.settings)
 }
 
+// addBudget lets the shadow evaluation earn its share of the calls made since it last did.
 func (c *canaryRun) addBudget() {
 	c.shadow.AddBudget(c.unearnedCalls)
 	c.unearnedCalls = 0
 }
 
-// flush gives the calls for units that wait too long.
+// flush gives the calls for units that no later request added.
 func (c *canaryRun) flush(now time.Duration) []canary.Call {
 	if c.shadow == nil {
 		return nil
@@ -61,7 +66,9 @@
 }
 
 // handleRequest evaluates a request, if it is sampled, and gives the calls to be made for it.
-func (c *canaryRun) handleRequest(now time.Duration, request *dispatch.RequestSpec) (calls []canary.Call, sampled bool) {
+func (c *canaryRun) handleRequest(
+	now time.Duration, request *dispatch.RequestSpec,
+) (calls []canary.Call, sampled bool) {
 	if c.shadow == nil || !c.shadow.IsSampled(request.Customer) {
 		return nil, false
 	}
@@ -74,7 +81,8 @@
 	}), true
 }
 
-// recordActual counts the actual outcome of a request that was sampled. The canary may have ended meanwhile.
+// recordActual counts the actual outcome of a request that was sampled. The canary may have ended
+// meanwhile.
 func (c *canaryRun) recordActual(version uint64, units float64, forwarded bool) {
 	if c.shadow != nil {
 		c.shadow.RecordActual(version, units, forwarded)
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -1,6 +1,7 @@
-// Package enforce has a gateway's requests counted by the rule in force: it stands between the dispatcher, the counter
-// and the replicated table of counting rules. It decides nothing: countingrule says which versions may be in force,
-// canary what a new rule would do.
+// Package enforce has a gateway's requests counted by the rule in force: it connects the
+// dispatcher, the counter and the replicated table of counting rules. The gateway runs its
+// Enforcer, and the dispatcher calls it for each request. Which versions may be in force is decided
+// by package countingrule, what a new rule would do by package canary.
 package enforce
 
 import (
@@ -17,11 +18,12 @@
 	"harrierhoist/policy"
 )
 
-// updateInterval is how often the shadow evaluation's units are flushed, and the table's lease is examined.
+// updateInterval is how often the shadow evaluation's units are flushed, and the table's lease is
+// examined.
 const updateInterval = 250 * time.Millisecond
 
-// Enforcer counts requests by rule. It implements dispatch.CountingRules. Its lock is taken under the dispatcher's,
-// never the other way round.
+// Enforcer counts requests by rule. It implements dispatch.CountingRules. Its lock is taken under
+// the dispatcher's, never the other way round.
 type Enforcer struct {
 	log        *zap.Logger
 	node       coordination.Client
@@ -31,7 +33,7 @@
 	rules     ruleSet
 	canary    canaryRun
 	admission *countingrule.Admission
-	uncertain bool // logged
+	uncertain bool // which version is in force, as last logged
 }
 
 // New makes an enforcer of a file's configuration.
@@ -43,8 +45,9 @@
 	}
 }
 
-// Run has a dispatcher's requests counted by the rule in force and follows the table until the context ends. Its error
-// tells that the dispatcher takes none of the rules: requests are counted by rule 0.
+// Run has a dispatcher's requests counted by the rule in force and follows the table until the
+// context ends. Its error tells that the dispatcher accepts none of the rules: requests are counted
+// by rule 0.
 func (e *Enforcer) Run(ctx context.Context, node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	if err := e.start(node, dispatcher); err != nil {
 		return err
@@ -53,9 +56,11 @@
 	return nil
 }
 
-// start puts the enforcer between a dispatcher and the table: requests are counted by rule from here on.
+// start puts the enforcer between a dispatcher and the table: requests are counted by rule from
+// here on.
 func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
-	e.dispatcher, e.node = dispatcher, node
+	e.dispatcher = dispatcher
+	e.node = node
 	held, _ := e.readTable()
 	e.mu.Lock()
 	e.rules.apply(held)
@@ -75,7 +80,8 @@
 	coordination.FollowTables(ctx, e.node, updateInterval, e.update)
 }
 
-// update brings new rules into the dispatcher's plans, begins or ends a canary, and flushes its calls.
+// update brings new rules into the dispatcher's plans, begins or ends a canary, and flushes its
+// calls.
 func (e *Enforcer) update() {
 	now := e.dispatcher.Now()
 	held, leased := e.readTable()
@@ -94,7 +100,8 @@
 	e.sendCanaryCalls(e.canary.flush(now))
 }
 
-// logCertainty logs when it becomes uncertain which version is in force, and when it is certain again.
+// logCertainty logs when it becomes uncertain which version is in force, and when it is certain
+// again.
 func (e *Enforcer) logCertainty(candidates []uint64) {
 	uncertain := len(candidates) > 1
 	if uncertain == e.uncertain {
@@ -102,7 +109,8 @@
 	}
 	e.uncertain = uncertain
 	if uncertain {
-		e.log.Info("counting: version in force uncertain, all candidates must admit", zap.Uint64s("versions", candidates))
+		e.log.Info("counting: version in force uncertain, all candidates must admit",
+			zap.Uint64s("versions", candidates))
 	} else {
 		e.log.Info("counting: version in force certain", zap.Uint64s("versions", candidates))
 	}
@@ -115,8 +123,9 @@
 	e.rules.setConfig(config)
 }
 
-// readTable gives the table as cached, and whether its lease holds; one that was never written has a lease too. It is
-// called without the enforcer's lock: the node asks for our observations under a lock of its own.
+// readTable gives the table as cached, and whether its lease holds; a table that was never written
+// has a lease, too. It is called without the enforcer's lock: the node collects the enforcer's
+// observations under a lock of its own.
 func (e *Enforcer) readTable() (held coordination.CachedTable, leased bool) {
 	held = e.node.Cached(countingrule.TableName)
 	return held, e.node.Now() < held.LeaseEnd
@@ -129,7 +138,7 @@
 	return e.rules.withPlans(settings)
 }
 
-// WithoutRulePlans takes settings as they are in force and gives them as clients may know them.
+// WithoutRulePlans puts settings into force for the rules and gives them as clients may know them.
 func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,15 +148,17 @@
 	return countingrule.ClientSettings(settings)
 }
 
-// HandleCounterCall takes word of a call that the decision module makes: the canary's calls are a share of these.
+// HandleCounterCall counts a call that the decision module makes: the canary may make a share of
+// these.
 func (e *Enforcer) HandleCounterCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.canary.unearnedCalls++
 }
 
-// Assign gives the counter keys of a request by the versions that may be in force now. It keeps them whatever comes into
-// force later.
+// Assign decides how a request is counted: by the first of the versions that may be in force now,
+// and at the counts of the others, which must admit it, too. The request keeps these counts
+// whatever comes into force later.
 func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
 	held, leased := e.readTable()
 	e.mu.Lock()
@@ -158,16 +169,7 @@
 		versions = []uint64{0}
 	}
 	first := e.rules.assign(versions[0], &request)
-	counted := dispatch.CountAssignment{
-		Key:          first.Key,
-		Plan:         first.Plan,
-		GatewayCount: request.GatewayCount,
-		Weight:       first.Weight,
-		PerCustomer:  first.Version == 0,
-	}
-	if first.Shared {
-		counted.GatewayCount = e.rules.settings.Gateways
-	}
+	counted := e.countAssignment(first, &request)
 	others := e.reserve(now, versions[1:], first, &request)
 	if others != nil {
 		counted.CheckOthers = others.charge
@@ -189,9 +191,28 @@
 	return counted
 }
 
-// reserve reserves a request's units at the counter keys that it has beside the first; nil where it has none.
-func (e *Enforcer) reserve(now time.Duration, versions []uint64, first countingrule.Assignment,
-	request *dispatch.RequestSpec,
+// countAssignment is how the decision module counts a request. Requests of a shared count come
+// through any gateway.
+func (e *Enforcer) countAssignment(
+	first countingrule.Assignment, request *dispatch.RequestSpec,
+) dispatch.CountAssignment {
+	gateways := request.GatewayCount
+	if first.Shared {
+		gateways = e.rules.settings.Gateways
+	}
+	return dispatch.CountAssignment{
+		Key:          first.Key,
+		Plan:         first.Plan,
+		GatewayCount: gateways,
+		Weight:       first.Weight,
+		PerCustomer:  first.Version == 0,
+	}
+}
+
+// reserve reserves a request's units at the counter keys that it has beside the first; nil where it
+// has none. Versions that give the same key, and plans without a rate, need no reservation.
+func (e *Enforcer) reserve(
+	now time.Duration, versions []uint64, first countingrule.Assignment, request *dispatch.RequestSpec,
 ) *reservations {
 	var reserved []countingrule.Reservation
 	for _, version := range versions {
@@ -203,12 +224,17 @@
 	if len(reserved) == 0 {
 		return nil
 	}
-	timeout := e.rules.settings.Classes[request.Class].LatencyObjective / timeoutDivisor
-	return newReservations(&e.mu, e.admission, e.dispatcher, reserved, timeout, first.Weight)
+	return newReservations(reservations{
+		counter:   e.dispatcher,
+		timeout:   answerTimeout(&e.rules.settings.Classes[request.Class]),
+		weight:    first.Weight,
+		mu:        &e.mu,
+		admission: e.admission,
+	}, reserved)
 }
 
-// sendCanaryCalls makes calls of the canary's. An answer may come once the canary has ended; it is dropped then. The
-// lock is held.
+// sendCanaryCalls makes calls of the canary. An answer that comes after the canary's end is
+// dropped. The lock is held.
 func (e *Enforcer) sendCanaryCalls(calls []canary.Call) {
 	shadow := e.canary.shadow
 	for _, call := range calls {
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// After the switch a group shares one count, a unit weighs two, and the group's limit holds for all its customers.
+// After the switch a group shares one count, a unit weighs two, and the group's limit holds for all
+// of its customers.
 func TestEnforcer_newRuleCountsAfterTheSwitch(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseScheduled)
@@ -57,12 +58,13 @@
 		}
 	}
 	if _, found := f.counter.total(f.countName(1, 6)); !found || forwarded != 1 {
-		t.Errorf("%d forwarded of a group whose burst holds one and a half, counted under its key: %v", forwarded, found)
+		t.Errorf("%d forwarded of a group whose burst holds one and a half, counted under its key: %v",
+			forwarded, found)
 	}
 }
 
-// Isolated past the end of its lease, a process admits only what both rules admit, charges both, and gives back what the
-// other rule rejected.
+// A process past the end of its lease admits only what both rules admit, charges both, and gives
+// back what the other rule rejected.
 func TestEnforcer_bothRulesMustAdmitPastTheLease(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
@@ -80,8 +82,8 @@
 	}
 }
 
-// The counter answers no more while both rules must admit: no request waits for it longer than a part of its latency
-// objective, and each has its final answer.
+// Where the counter stops answering while both rules must admit, no request waits for it longer
+// than a part of its latency objective, and each has its final answer.
 func TestEnforcer_silentCounterDelaysNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
@@ -95,7 +97,7 @@
 	}
 }
 
-// A canary counts under names of its own, and rejects no request: the new rule alone would have.
+// A canary counts under names of its own, and rejects no request that the new rule would reject.
 func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseCanary)
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -61,7 +61,7 @@
 	mu     sync.Mutex
 	totals map[uint64]float64
 	names  []uint64 // in the order of the calls
-	silent bool     // it answers no more
+	silent bool     // it answers no call
 }
 
 func (c *fakeCounter) call(name uint64, units float64, _ time.Duration, done func(float64, policy.Outcome)) {
@@ -128,10 +128,13 @@
 		logs:     logs,
 	}
 	settings := policy.Settings{
-		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 5,
-		MaxRetryAfter: time.Second, RetryAfter: true, ArrivalSlack: 8 * time.Millisecond, ReportsUnits: true,
-		Classes: []policy.TrafficClass{{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1}},
-		Plans:   []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}},
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true, CountTimeout: time.Second,
+		MaxAttempts: 5, MaxRetryAfter: time.Second, RetryAfter: true, ArrivalSlack: 8 * time.Millisecond,
+		ReportsUnits: true,
+		Classes: []policy.TrafficClass{
+			{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1},
+		},
+		Plans: []policy.Plan{{Name: "wide", Rate: 1, Burst: 300}},
 	}
 	var err error
 	f.dispatcher, err = dispatch.New(settings, 7, dispatch.Dependencies{Count: f.counter.call}, zap.NewNop())
@@ -169,7 +172,9 @@
 
 // serveOne takes a customer's request to its end and tells whether it was forwarded.
 func (f *fixture) serveOne(customer uint64) bool {
-	request := f.dispatcher.Admit(dispatch.RequestSpec{Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second})
+	request := f.dispatcher.Admit(dispatch.RequestSpec{
+		Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second,
+	})
 	if request.Next().Action != dispatch.Forward {
 		return false
 	}
@@ -186,14 +191,14 @@
 	return countingrule.WindowAt(assignment.Key, &plan, f.dispatcher.Now()).Name
 }
 
-// customerCountName is the name of a customer's own count now, worked out without the enforcer's rules.
+// customerCountName is the name of a customer's own count now, independent of the enforcer's rules.
 func (f *fixture) customerCountName(customer uint64) uint64 {
 	f.enforcer.mu.Lock()
 	defer f.enforcer.mu.Unlock()
 	return countingrule.WindowAt(customer, &f.enforcer.rules.settings.Plans[0], f.dispatcher.Now()).Name
 }
 
-// observations are those that the node would report, with their parts set apart by slashes.
+// observations are the counts that the node would report, with slashes between the parts of a name.
 func (f *fixture) observations() map[string]uint64 {
 	counts := map[string]uint64{}
 	f.node.report(func(name string, n uint64) { counts[slashed(name)] = n })
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -8,16 +8,39 @@
 	"harrierhoist/policy"
 )
 
-// timeoutDivisor is the part of the latency objective that the other counts may take to answer, as the decision
-// module's own check.
+// timeoutDivisor is by what the latency objective is divided for the counts to answer, as for the
+// decision module's own check.
 const timeoutDivisor = 4
 
-// counterCaller calls the counter past the decision module. It neither waits nor calls back before it returns.
+// answerTimeout decides how long a request waits for the counts beside the decision module's.
+func answerTimeout(class *policy.TrafficClass) time.Duration {
+	return class.LatencyObjective / timeoutDivisor
+}
+
+// counterCaller calls the counter without the decision module. It neither waits nor calls back
+// before it returns.
 type counterCaller interface {
 	CallCounter(name uint64, units float64, ttl time.Duration, done func(count float64, outcome policy.Outcome))
 }
 
-// reservations are a request's units at the counter keys that it has to pass beside the decision module's.
+// verdict is whether all counts admit a request.
+type verdict uint8
+
+// The verdicts.
+const (
+	verdictPending verdict = iota // a count has not answered
+	verdictAdmitted
+	verdictRejected
+)
+
+// usage is what a request that has its final answer used.
+type usage struct {
+	forwarded bool
+	units     float64 // unweighted; 0: not known
+}
+
+// reservations are a request's units at the counter keys that it has to pass beside the decision
+// module's.
 type reservations struct {
 	counter counterCaller
 	timeout time.Duration
@@ -27,11 +50,9 @@
 	mu        *sync.Mutex // the enforcer's: it guards what follows
 	admission *countingrule.Admission
 	all       []reservation
-	pending   int // counts that have not answered
-	admitted  bool
-	completed bool // the request has ended
-	forwarded bool
-	units     float64 // that it used, unweighted; 0: not known
+	pending   int    // counts that have not answered
+	rejected  bool   // by a count that has answered
+	usage     *usage // nil: the request has no final answer yet
 }
 
 // reservation is what became of one of them.
@@ -41,21 +62,17 @@
 	admitted bool
 }
 
-func newReservations(mu *sync.Mutex, admission *countingrule.Admission, counter counterCaller,
-	reserved []countingrule.Reservation, timeout time.Duration, weight float64,
-) *reservations {
-	r := &reservations{
-		counter: counter, timeout: timeout, weight: weight,
-		mu: mu, admission: admission, pending: len(reserved), admitted: true,
-	}
+// newReservations completes reservations with what was reserved.
+func newReservations(r reservations, reserved []countingrule.Reservation) *reservations {
+	r.pending = len(reserved)
 	for _, one := range reserved {
 		r.all = append(r.all, reservation{Reservation: one})
 	}
-	return r
+	return &r
 }
 
-// charge adds the units to the counts and calls done once all have answered; one that does not answer in time admits by
-// this process's own share.
+// charge adds the units to the counts and calls done once all have answered. A count that does not
+// answer in time admits by this process's own share.
 func (r *reservations) charge(done func(admitted bool)) {
 	r.done = done
 	for i := range r.all {
@@ -70,7 +87,7 @@
 	}
 }
 
-// recordCharge records whether the units are in the count: after a timeout that is not known.
+// recordCharge records whether the units are in the count. After a timeout that is not known.
 func (r *reservations) recordCharge(one *reservation, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +100,8 @@
 	}
 }
 
-// handleCount takes a count's answer, and carries over the deficit of the window before where the count's is new.
+// handleCount takes a count's answer, has the deficit of the previous window carried over where the
+// count's window is untouched, and hands on the verdict with the last answer.
 func (r *reservations) handleCount(one *reservation, count float64, answered bool) {
 	r.mu.Lock()
 	admitted, previous := r.admission.HandleCount(one.Reservation, count, answered)
@@ -91,23 +109,32 @@
 	if previous != nil {
 		r.carryOver(one.Reservation, *previous)
 	}
-	if last, all := r.recordAnswer(one, admitted); last {
-		r.done(all)
+	switch r.recordAnswer(one, admitted) {
+	case verdictAdmitted:
+		r.done(true)
+	case verdictRejected:
+		r.done(false)
+	case verdictPending:
 	}
 }
 
-// recordAnswer tells whether it was the last answer, and whether all counts admitted the request.
-func (r *reservations) recordAnswer(one *reservation, admitted bool) (last, all bool) {
+// recordAnswer decides whether all counts admit the request, once the last one has answered: a
+// request passes only where each of them does.
+func (r *reservations) recordAnswer(one *reservation, admitted bool) verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	one.admitted = admitted
-	r.admitted = r.admitted && admitted
+	r.rejected = r.rejected || !admitted
 	r.pending--
-	last = r.pending == 0
-	if last && r.completed { // its client has disconnected meanwhile
-		r.settle()
+	r.settleWhenOver()
+	switch {
+	case r.pending > 0:
+		return verdictPending
+	case r.rejected:
+		return verdictRejected
+	default:
+		return verdictAdmitted
 	}
-	return last, r.admitted
 }
 
 // carryOver adds the deficit of the previous window to the reservation's.
@@ -124,33 +151,41 @@
 	r.counter.CallCounter(to.Name, units, to.TTL, func(float64, policy.Outcome) {})
 }
 
-// complete takes word that the request has its final answer: whether it was forwarded, and its actual units as the
-// decision module counts them (0: not known). The lock is held.
+// complete records that the request has its final answer: whether it was forwarded, and its actual
+// units as the decision module counts them (0: not known). The lock is held.
 func (r *reservations) complete(forwarded bool, units float64) {
-	r.completed, r.forwarded, r.units = true, forwarded, units/r.weight
-	if r.pending == 0 {
+	r.usage = &usage{forwarded: forwarded, units: units / r.weight}
+	r.settleWhenOver()
+}
+
+// settleWhenOver settles once all counts have answered and the request has its final answer. Either
+// may come last: a client may disconnect while a count is asked. The lock is held.
+func (r *reservations) settleWhenOver() {
+	if r.pending == 0 && r.usage != nil {
 		r.settle()
 	}
 }
 
-// settle gives back what the request did not use, or charges what it used beyond. It comes once: with the last count's
-// answer or with the final answer, whichever is later. The lock is held.
+// settle gives back what the request did not use, or charges what it used beyond its reservations.
+// The lock is held.
 func (r *reservations) settle() {
 	for i := range r.all {
 		one := &r.all[i]
-		if correction := r.admission.Settle(one.Reservation, one.admitted, r.used(one), one.charge); correction != 0 {
+		correction := r.admission.Settle(one.Reservation, one.admitted, r.usage.of(one), one.charge)
+		if correction != 0 {
 			r.add(one.Reservation, correction)
 		}
 	}
 }
 
-// used are the weighted units that the request used of a reservation: all of them where the actual units are not known.
-func (r *reservations) used(one *reservation) float64 {
+// of decides how many weighted units the request used of a reservation: all of them where the
+// actual units are not known.
+func (u *usage) of(one *reservation) float64 {
 	switch {
-	case !r.forwarded:
+	case !u.forwarded:
 		return 0
-	case r.units > 0:
-		return one.Weight * r.units
+	case u.units > 0:
+		return one.Weight * u.units
 	default:
 		return one.Units
 	}
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -12,25 +12,32 @@
 	"harrierhoist/policy"
 )
 
-// ruleSet is what a process knows of the rules. It is under the enforcer's lock.
+// ruleSet is what a process knows of the rules. The enforcer's lock guards it.
 type ruleSet struct {
 	log          *zap.Logger
 	config       *countingrule.Config
 	settings     policy.Settings     // in force
-	known        []countingrule.Rule // what the table says of a version goes first
-	merged       bool                // known has the rules of the table and of the configuration
-	plansApplied bool                // the settings' plans have them all
+	known        []countingrule.Rule // of the table and of the configuration
+	merged       bool                // known has all rules of both
+	plansApplied bool                // the settings' plans have all known rules
 	resolved     map[uint64]*countingrule.Resolved
 	table        countingrule.Table
 	epoch        uint64 // of the table; 0: none was received
 }
 
-func (r *ruleSet) setConfig(config *countingrule.Config) { r.config, r.merged = config, false }
+func (r *ruleSet) setConfig(config *countingrule.Config) {
+	r.config = config
+	r.merged = false
+}
+
+// hasTable tells whether a table was ever received.
+func (r *ruleSet) hasTable() bool { return r.epoch > 0 }
 
 // apply takes a table as cached, and tells whether there is a rule that the plans do not have yet.
 func (r *ruleSet) apply(held coordination.CachedTable) (newRules bool) {
 	if held.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
-		r.epoch, r.merged = held.Epoch, false
+		r.epoch = held.Epoch
+		r.merged = false
 		r.decode(held.Value)
 	}
 	if !r.merged {
@@ -53,17 +60,20 @@
 	r.table = table
 }
 
-// merge takes in the rules of the table and of the configuration. What is committed is what the version means.
+// merge adds the rules of the table and of the configuration to the known ones. Where they differ
+// in a version, the committed rule of the table holds.
 func (r *ruleSet) merge() {
 	r.merged = true
 	for i, rule := range slices.Concat(r.table.Rules, r.config.Rules) {
-		at := slices.IndexFunc(r.known, func(other countingrule.Rule) bool { return other.Version == rule.Version })
+		at := slices.IndexFunc(r.known, func(known countingrule.Rule) bool { return known.Version == rule.Version })
 		isCommitted := i < len(r.table.Rules)
 		switch {
 		case at < 0:
-			r.known, r.plansApplied = append(r.known, rule), false
+			r.known = append(r.known, rule)
+			r.plansApplied = false
 		case isCommitted && !r.known[at].Equal(rule):
-			r.known[at], r.plansApplied = rule, false
+			r.known[at] = rule
+			r.plansApplied = false
 		}
 	}
 }
@@ -88,7 +98,7 @@
 	}
 }
 
-// candidates are the versions that may be in force, as far as they are resolved here.
+// candidates are the versions that may be in force, without those that are not resolved here.
 func (r *ruleSet) candidates(now time.Duration, leased bool) []uint64 {
 	return slices.DeleteFunc(r.table.CandidateVersions(now, r.tableStatus(leased), r.config),
 		func(version uint64) bool { return r.resolved[version] == nil })
@@ -99,7 +109,7 @@
 	switch {
 	case leased:
 		return countingrule.TableLeased
-	case r.epoch > 0:
+	case r.hasTable():
 		return countingrule.TableExpired
 	default:
 		return countingrule.TableNeverReceived
@@ -113,7 +123,8 @@
 
 // switched gives the rules before and after the table's switch, nil where one is not resolved here.
 func (r *ruleSet) switched() (old, next *countingrule.Resolved) {
-	old, next = r.resolved[r.table.From], r.resolved[r.table.To]
+	old = r.resolved[r.table.From]
+	next = r.resolved[r.table.To]
 	if old == nil || next == nil {
 		return nil, nil
 	}
