--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -10,7 +10,7 @@
 // adds the units with the read of the count, so that what two processes ask at once exceeds no
 // limit, and settles the difference later. Not safe for use by several goroutines at once.
 type Admission struct {
-	localShare float64              // from 0 to 1, of a limit that this process uses without a counter
+	localShare float64              // part of a limit, from 0 to 1, used without a counter
 	keys       map[uint64]*keyState // by key
 	sweptAt    time.Duration
 }
--- a/internal/control/countingrule/canary/bettingtest.go
+++ b/internal/control/countingrule/canary/bettingtest.go
@@ -15,8 +15,8 @@
 
 const (
 	stakeCount  = 8    // stakes, each half of the one before
-	maxStake    = 0.95 // part of the highest stake that is bet: all of it could lose everything at once
-	maxExponent = 600  // far beyond the logarithm of any 1/alpha, and of a finite power
+	maxStake    = 0.95 // part of the highest stake: all of it could lose everything
+	maxExponent = 600  // above the logarithm of any 1/alpha, and its power is finite
 )
 
 // Add bets with a number from 0 to 1 against the bound, which lies between 0 and 1.
--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// errorsAtTheBound counts the tests that find a mean at the bound below it, and above it, at any look.
+// errorsAtTheBound counts the tests that find a mean at the bound below it, and above it, at any
+// look.
 func errorsAtTheBound(runs uint64, bound, alpha float64, draw func(*rand.Rand) float64) (below, above int) {
 	for seed := range runs {
 		random, betting := rand.New(rand.NewPCG(seed, 9)), BettingTest{}
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -13,7 +13,7 @@
 // rolled back where the outcome deviates from its forecast. Prevents a rule that rejects, admits or
 // exceeds limits more than the configuration allows.
 type Controller struct {
-	Config      func() *countingrule.Config // of the file as last read; it may change between two calls of Decide
+	Config      func() *countingrule.Config // of the file as last read
 	Lease       time.Duration               // of the table, at every process
 	ReadWait    time.Duration               // the longest that a read of the table waits
 	ClockOrigin time.Duration               // the common clock when Decide's clock was 0
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// Under any observations, leaders and files a step leaves the version in force as it is, schedules no
-// switch too near for some process, undoes none before its time, and tries nothing that was refused.
-// The same events give the same value.
+// Under any observations, leaders and files a step leaves the version in force as it is, schedules
+// no switch too near for some process, undoes none before its time, and tries nothing that was
+// refused. The same events give the same value.
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -20,10 +20,10 @@
 	nameOverLimit  = "beyond"  // admitted by the new rule beyond its limit
 	nameEstimated  = "blind"   // requests decided without a count
 	nameRequests   = "tasks"
-	nameMergedKeys = "merged" // keys of the new rule that joined several of the old, as this process saw
+	nameMergedKeys = "merged" // keys of the new rule that joined several of the old
 	nameSplitKeys  = "split"  // keys of the old rule that were split into several of the new
 	nameCalls      = "calls"
-	nameActual     = "real"  // units of the sample's requests by the version that they were admitted under
+	nameActual     = "real"  // units by the version that they were admitted under
 	nameAdmitted   = "in"    // and how many of them were forwarded
 	nameBucket     = "cell"  // by bucket
 	nameClass      = "lane"  // by class and plan
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -9,9 +9,9 @@
 
 const (
 	maxBudget     = 64.0             // calls that a side may save up
-	flushDelay    = time.Second      // until units that no later request of their key added are added alone
+	flushDelay    = time.Second      // until a key's units are added without a request
 	sweepInterval = flushDelay / 2   // between two flushes
-	keyTTL        = 60 * time.Second // of a key that is not used: the counter has dropped its windows by then
+	keyTTL        = 60 * time.Second // of an unused key, whose windows the counter dropped
 	maxKeys       = 50_000           // of a side at one process; further keys are not evaluated
 )
 
@@ -48,7 +48,7 @@
 type side struct {
 	rule       *countingrule.Resolved
 	keys       map[uint64]*keyState
-	flushQueue []*keyState // with units that may have to be added alone, in the order in which that was found
+	flushQueue []*keyState // keys whose units may need a flush, the oldest first
 	// budget is how many calls this side may make. Each side has half of the evaluation's calls, so
 	// that both read counts equally often.
 	budget float64
--- a/internal/control/countingrule/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Customers that share a count under half of their rates lose about half of their units, and their keys
-// are counted as merged.
+// Customers that share a count under half of their rates lose about half of their units, and their
+// keys are counted as merged.
 func TestShadow_mergedKeysReject(t *testing.T) {
 	rule := countingrule.Rule{
 		Version: 1, Key: []string{"group"},
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -10,7 +10,7 @@
 
 // When a trial is evaluated, and of how much.
 const (
-	settleDelay      = 10 * time.Second // while counts still begin full and observations are on their way
+	settleDelay      = 10 * time.Second // for full counts and observations on their way
 	minBucketUnits   = 1000             // thousandths of a unit that a bucket must have requested
 	maxEstimatedPart = 0.25             // of the sampled requests, from 0 to 1, decided without a count
 )
@@ -25,8 +25,8 @@
 // When a switch takes effect.
 const (
 	maxClockSkew      = 500 * time.Millisecond
-	leadReadWaits     = 2           // so that most processes hear of a switch before their lease could end
-	leadClockSkews    = 2           // the clock of one process may be ahead and that of another behind
+	leadReadWaits     = 2           // most processes hear of a switch under their lease
+	leadClockSkews    = 2           // one process ahead, another behind
 	switchGranularity = time.Second // whole seconds of the common clock are easy to find in a log
 )
 
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -31,11 +31,11 @@
 	Tests      [testCount]BettingTest `cbor:"2,keyasint"`
 	// Sums are those of the canary's observations over all leaders, without its buckets.
 	Sums           map[string]uint64 `cbor:"3,keyasint"`
-	Forecast       float64           `cbor:"4,keyasint"` // part of the units, from 0 to 1, that the rule was to admit
-	Observed       float64           `cbor:"5,keyasint"` // part that it admitted up to the latest check
+	Forecast       float64           `cbor:"4,keyasint"` // part of the units, from 0 to 1
+	Observed       float64           `cbor:"5,keyasint"` // the part up to the latest check
 	Checks         int               `cbor:"6,keyasint"` // since the switch
-	Deviations     int               `cbor:"7,keyasint"` // checks in a row that deviated from the forecast
-	RequestedUnits uint64            `cbor:"8,keyasint"` // thousandths, under the new rule up to the latest check
+	Deviations     int               `cbor:"7,keyasint"` // checks in a row off the forecast
+	RequestedUnits uint64            `cbor:"8,keyasint"` // thousandths up to the latest check
 	AdmittedUnits  uint64            `cbor:"9,keyasint"`
 }
 
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -5,7 +5,7 @@
 // Limits of a canary's configuration.
 const (
 	maxSample      = 80      // permille
-	callsPerSample = 3       // calls to the counter for each sampled request, as a multiple of the sample
+	callsPerSample = 3       // permille of calls for each permille of the sample
 	maxCalls       = 250     // permille of all gateways' calls
 	minDeadline    = 120     // seconds: time to examine all buckets one after the other
 	maxDeadline    = 86_400  // seconds, a day
@@ -14,7 +14,8 @@
 	maxLead        = 600_000 // milliseconds
 )
 
-// PermilleScale is how many permille make one. What is counted in thousandths of a unit has it, too.
+// PermilleScale is how many permille make one. What is counted in thousandths of a unit has it,
+// too.
 const PermilleScale = 1000
 
 // CanaryConfig says how a new rule is tried beside the one in force, and when it is refused. It is
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -51,8 +51,9 @@
 }
 
 // switchViolation draws a history of trials, switches and rollbacks, each switch after lead, and a
-// process that reads the table once. It describes a moment at which the version in force is not among
-// the process's candidates, or is not the only one while the lease of 20 holds; else it is empty.
+// process that reads the table once. It describes a moment at which the version in force is not
+// among the process's candidates, or is not the only one while the lease of 20 holds; else it is
+// empty.
 func switchViolation(t *rapid.T, lead time.Duration) string {
 	const lease = 20
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
--- a/internal/control/countingrule/config.go
+++ b/internal/control/countingrule/config.go
@@ -15,7 +15,7 @@
 	// DesiredVersion is the version that is to be in force; 0 is the built-in rule, a count for
 	// each customer.
 	DesiredVersion uint64       `toml:"try"`
-	Rules          []Rule       `toml:"rule"` // the versions that the file knows; a version never changes its meaning
+	Rules          []Rule       `toml:"rule"` // a version never changes its meaning
 	Canary         CanaryConfig `toml:"canary"`
 }
 
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// A mask of few bits is refused as it makes few groups; a shared count is refused beside a ceiling that
-// limits each customer.
+// A mask of few bits is refused as it makes few groups; a shared count is refused beside a ceiling
+// that limits each customer.
 func TestRule_thatCannotApplyIsRefused(t *testing.T) {
 	rule := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
 	if faults := rule.validate(); len(faults) != 1 || !strings.Contains(faults[0].Error(), "mask must have 5 bits") {
--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -12,7 +12,7 @@
 type canaryRun struct {
 	shadow        *canary.Shadow // nil: no canary runs
 	seed          uint64         // of the shadow evaluation
-	unearnedCalls uint64         // that the decision module made since they were last added to the budget
+	unearnedCalls uint64         // of the decision module, not yet in the budget
 }
 
 // isEvaluated decides whether a phase of the table has its new rule evaluated beside the old one.
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -31,7 +31,7 @@
 	Rule
 	classHashes, planHashes []uint64 // of the names, by index
 	classWeights            []float64
-	planIndexes             []int // of the rule's plan by the index of the request's; noPlan stays under rule 0
+	planIndexes             []int // of the rule's plans, by the request's plan, or noPlan
 	groupHashes             map[uint64]uint64
 	usesPart                [len(keyParts)]bool
 }
--- a/internal/control/countingrule/window.go
+++ b/internal/control/countingrule/window.go
@@ -39,7 +39,8 @@
 func WindowAt(key uint64, plan *policy.Plan, now time.Duration) Window {
 	length := time.Duration(windowRefills * plan.Burst / plan.Rate * float64(time.Second))
 	length = min(max(length, minWindow), maxWindow)
-	offset := time.Duration(windowHash(key, 0) % uint64(length)) // windows of different keys begin at different times
+	// Windows of different keys begin at different times.
+	offset := time.Duration(windowHash(key, 0) % uint64(length))
 	index := int64((now + offset) / length)
 	return Window{
 		Name:  windowHash(key, index),
