--- a/internal/gateway/resp/fuzz_test.go
+++ b/internal/gateway/resp/fuzz_test.go
@@ -148,7 +148,12 @@
 	isLine := strings.IndexByte("+-:", reply.Kind) >= 0
 	isValue := reply.Kind == kindBulk || reply.Kind == kindArray
 	if !isLine && !isValue || isLine && reply.Value != nil || reply.Kind != kindArray && len(reply.Attributes) > 0 {
-		t.Fatalf("a reply of kind %q with value %v and %d attributes", reply.Kind, reply.Value != nil, len(reply.Attributes))
+		t.Fatalf(
+			"a reply of kind %q with value %v and %d attributes",
+			reply.Kind,
+			reply.Value != nil,
+			len(reply.Attributes),
+		)
 	}
 	if reply.Value != nil && reply.Value.size > maxValueSize || slices.ContainsFunc(reply.Attributes, isTooLong) {
 		t.Fatal("an attribute or a value beyond its limit")
--- a/internal/gateway/resp/peerstate_test.go
+++ b/internal/gateway/resp/peerstate_test.go
@@ -55,7 +55,10 @@
 // A value for which there is no memory is discarded, and the next command is read.
 func TestReadCommandDiscardsValueWithoutCapacity(t *testing.T) {
 	for _, size := range []int{0, 1, bufferSize, maxValueSize} {
-		c := connOf(t, fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+fakes.FormatCommand("PING"))
+		c := connOf(
+			t,
+			fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", strings.Repeat("x", size))+fakes.FormatCommand("PING"),
+		)
 		reserved := -1
 		cmd, err := c.ReadCommand(4, func(size int) bool {
 			reserved = size
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -94,11 +94,16 @@
 		"*1\r\n$5\r\nhello\r\n-ERR of others\r": {Kind: '*'},
 	} {
 		got, err := connOf(t, text).ReadReply()
-		if err != nil || got.Kind != want.Kind || strings.Join(got.Attributes, "|") != strings.Join(want.Attributes, "|") {
+		if err != nil || got.Kind != want.Kind ||
+			strings.Join(got.Attributes, "|") != strings.Join(want.Attributes, "|") {
 			t.Errorf("%q: got %+v, %v", text, got, err)
 			continue
 		}
-		if value := strings.Contains(text, "hello"); value != (got.Value != nil) || value && got.Value.String() != "hello" {
+		if value := strings.Contains(
+			text,
+			"hello",
+		); value != (got.Value != nil) ||
+			value && got.Value.String() != "hello" {
 			t.Errorf("%q: got value %v", text, got.Value)
 		}
 		if !strings.Contains(text, "hello") && got.Line != want.Line {
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -11,7 +11,7 @@
 	share := 0.0
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		sum += class.Share*class.Work.D().Seconds()
+		sum += class.Share * class.Work.D().Seconds()
 		share += class.Share
 	}
 	return sum / share
--- a/internal/simulator/frame/frame_test.go
+++ b/internal/simulator/frame/frame_test.go
@@ -45,16 +45,30 @@
 	{"timer", "78 08000000 4d00000000000000", 120, Timer{Token: 77}},
 	{"start", "0a 0f000000 0500000000000000 03000000 613d31", 10, Start{Seed: 5, Settings: []byte("a=1")}},
 	{
-		"request", "50 26000000 c4913a5d 01 00000000 0000000020e6c040 640ad2557c3bf091 0000803f 00 00004040 00000040", 80,
+		"request",
+		"50 26000000 c4913a5d 01 00000000 0000000020e6c040 640ad2557c3bf091 0000803f 00 00004040 00000040",
+		80,
 		Request{
-			ID: 0x5d3a91c4, Options: 1, Deadline: 8652250 * time.Microsecond, Customer: 0x91f03b7c55d20a64, FirstGateway: 1,
-			GatewayCount: 3, Units: 2,
+			ID:           0x5d3a91c4,
+			Options:      1,
+			Deadline:     8652250 * time.Microsecond,
+			Customer:     0x91f03b7c55d20a64,
+			FirstGateway: 1,
+			GatewayCount: 3,
+			Units:        2,
 		},
 	},
 	{
-		"attempt result", "3c 19000000 c4913a5d 0000 074a1203 00 0000000000803240 01 5600 0300 00", 60,
+		"attempt result",
+		"3c 19000000 c4913a5d 0000 074a1203 00 0000000000803240 01 5600 0300 00",
+		60,
 		AttemptResult{
-			RequestID: 0x5d3a91c4, Server: 0x03124a07, Elapsed: 18500 * time.Microsecond, Final: true, UsagePercent: 86, ActualUnits: 3,
+			RequestID:    0x5d3a91c4,
+			Server:       0x03124a07,
+			Elapsed:      18500 * time.Microsecond,
+			Final:        true,
+			UsagePercent: 86,
+			ActualUnits:  3,
 		},
 	},
 	{
@@ -88,7 +102,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := &Batch{Now: 8412250 * time.Microsecond, Serial: 12, Events: []Event{{Offset: batchHeaderSize, Message: test.want}}}
+			want := &Batch{
+				Now:    8412250 * time.Microsecond,
+				Serial: 12,
+				Events: []Event{{Offset: batchHeaderSize, Message: test.want}},
+			}
 			if !reflect.DeepEqual(batch, want) {
 				t.Errorf("got %+v, want %+v", batch, want)
 			}
--- a/internal/simulator/host/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -128,7 +128,11 @@
 		},
 	},
 	{
-		name: "limits on attempts in flight, ceilings, usage reported, hedging", zones: 2, gateways: 4, classes: 3, plans: 3,
+		name:     "limits on attempts in flight, ceilings, usage reported, hedging",
+		zones:    2,
+		gateways: 4,
+		classes:  3,
+		plans:    3,
 		lines: goldenCommon + `Balancers=4
 MyZone=0
 Dcs=a,b
@@ -205,7 +209,13 @@
 					t.Fatal(err)
 				}
 				if got := hex.EncodeToString(s.digest.Sum(nil)); got != want {
-					t.Errorf("replies hash to %s, want %s (events by code %v, actions by code %v)", got, want, s.events, s.actions)
+					t.Errorf(
+						"replies hash to %s, want %s (events by code %v, actions by code %v)",
+						got,
+						want,
+						s.events,
+						s.actions,
+					)
 				}
 				s.checkCoverage()
 			})
--- a/internal/simulator/host/host_test.go
+++ b/internal/simulator/host/host_test.go
@@ -55,7 +55,17 @@
 
 // oneServerRecord is a cached list with a server, numbered 7.
 func oneServerRecord() []byte {
-	return encodeRecord(frame.EventEndpoints, u64(1), []byte{2}, u32(1), []byte{2}, u32(7), f32(1), f64(0), make([]byte, 6))
+	return encodeRecord(
+		frame.EventEndpoints,
+		u64(1),
+		[]byte{2},
+		u32(1),
+		[]byte{2},
+		u32(7),
+		f32(1),
+		f64(0),
+		make([]byte, 6),
+	)
 }
 
 func requestRecord(id uint32, class byte) []byte {
@@ -137,7 +147,8 @@
 			t.Parallel()
 			out, err := runFrames(t, encodeBatch(), test.in)
 			var malformed *frame.FormatError
-			if !errors.As(err, &malformed) || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			if !errors.As(err, &malformed) || !strings.Contains(err.Error(), test.want) ||
+				strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want %s", err, test.want)
 			}
 			if len(out) != 12 {
@@ -149,7 +160,11 @@
 
 func TestRun_panicBecomesInternalError(t *testing.T) {
 	const unknownClass = 40
-	out, err := runFrames(t, encodeBatch(startedRecords(1)), encodeBatch(addresseeRecord(1), requestRecord(5, unknownClass)))
+	out, err := runFrames(
+		t,
+		encodeBatch(startedRecords(1)),
+		encodeBatch(addresseeRecord(1), requestRecord(5, unknownClass)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/host/simulated_events_test.go
+++ b/internal/simulator/host/simulated_events_test.go
@@ -140,7 +140,9 @@
 	number, server := len(request.attempts), s.serverOf(serverID)
 	request.attempts = append(request.attempts, simulatedAttempt{server: server})
 	server.inFlight++
-	tookMs := 7 * request.units * (0.5 + s.random.ExpFloat64()) * (1 + 0.15*float64(server.inFlight)) / float64(server.power)
+	tookMs := 7 * request.units * (0.5 + s.random.ExpFloat64()) * (1 + 0.15*float64(server.inFlight)) / float64(
+		server.power,
+	)
 	outcome := s.drawOutcome(server)
 	switch {
 	case outcome == codeConnectFailed || outcome == codeRejected || outcome == codeNotSent:
@@ -193,8 +195,18 @@
 		if outcome != codeAnswered && outcome != codeErrored {
 			billed, use, load = 0, 0, nil
 		}
-		return encodeRecord(frame.EventAttemptResult, u32(id), u16(uint16(number)), u32(server.id), []byte{outcome}, f64(tookMs),
-			[]byte{done}, u16(use), u16(billed), figures(load))
+		return encodeRecord(
+			frame.EventAttemptResult,
+			u32(id),
+			u16(uint16(number)),
+			u32(server.id),
+			[]byte{outcome},
+			f64(tookMs),
+			[]byte{done},
+			u16(use),
+			u16(billed),
+			figures(load),
+		)
 	})
 }
 
--- a/internal/simulator/host/simulated_lists_test.go
+++ b/internal/simulator/host/simulated_lists_test.go
@@ -38,8 +38,16 @@
 	s.listed++
 	fields := [][]byte{u64(s.listed), {kind}, u32(uint32(len(servers)))}
 	for i, server := range servers {
-		fields = append(fields, []byte{server.state}, u32(server.id), f32(server.power), f64(server.sinceMs), u16(uint16(i%4)),
-			u16(uint16(server.zone)), u16(uint16(i%2)))
+		fields = append(
+			fields,
+			[]byte{server.state},
+			u32(server.id),
+			f32(server.power),
+			f64(server.sinceMs),
+			u16(uint16(i%4)),
+			u16(uint16(server.zone)),
+			u16(uint16(i%2)),
+		)
 	}
 	return encodeRecord(frame.EventEndpoints, fields...)
 }
@@ -94,7 +102,13 @@
 	server := s.servers[s.random.Intn(len(s.servers))].id
 	switch s.random.Intn(5) {
 	case 0:
-		return encodeRecord(frame.EventHealthCheck, u32(server), []byte{codeAnswered}, f64(3), figures([]float32{2, 0.5}))
+		return encodeRecord(
+			frame.EventHealthCheck,
+			u32(server),
+			[]byte{codeAnswered},
+			f64(3),
+			figures([]float32{2, 0.5}),
+		)
 	case 1:
 		return encodeRecord(frame.EventPeerMessage, u32(1), u16(4), []byte("hi 7"))
 	case 2:
--- a/internal/testing/settlementsimulation/invariants.go
+++ b/internal/testing/settlementsimulation/invariants.go
@@ -12,8 +12,8 @@
 	settledDivisor = 20 // of the peak: a debt is settled when so small a part of it is left
 	settledDelay   = 5 * time.Second
 
-	// maxLossSpan is for how long a crashed gateway's counts may have come to nobody: digests lost in a row, a leader
-	// lost, and the longest that attempts are in flight.
+	// maxLossSpan is for how long a crashed gateway's counts may have come to nobody: digests lost
+	// in a row, a leader lost, and the longest that attempts are in flight.
 	maxLossSpan = 4 * time.Second
 )
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// checkLoss checks what crashes cost: nothing with a store, and without one what a gateway counted since its latest
-// digest that came, and its attempts in flight.
+// checkLoss checks what crashes cost: nothing with a store, and without one what a gateway counted
+// since its latest digest that came, and its attempts in flight.
 func (s *simulation) checkLoss() {
 	maxPerCrash := s.RequestRate / float64(s.GatewaysPerZone) * meanUnits * 1000 * maxLossSpan.Seconds()
 	maxLost := float64(s.crashes) * maxPerCrash
--- a/internal/testing/settlementsimulation/requests.go
+++ b/internal/testing/settlementsimulation/requests.go
@@ -19,8 +19,8 @@
 	maxElectiveQueue = latencyObjective / 4 // a zone with a longer queue has no capacity for elective attempts
 )
 
-// generateRequests draws the requests of a tick and attempts each: in its partner's zone, where it settles a debt, or
-// elsewhere while that zone is lost.
+// generateRequests draws the requests of a tick and attempts each: in its partner's zone, where it
+// settles a debt, or elsewhere while that zone is lost.
 func (s *simulation) generateRequests() {
 	if s.clock.Now() >= s.end() {
 		return
@@ -40,7 +40,8 @@
 	}
 }
 
-// chooseZone returns the zone of a request's attempt. Preferred is the number of a partner, from 1; 0: none.
+// chooseZone returns the zone of a request's attempt. Preferred is the number of a partner, from 1;
+// 0: none.
 func (s *simulation) chooseZone(partner, preferred int) int {
 	zone := partner
 	if preferred > 0 && !s.isZoneOut(preferred-1) && (s.IgnoreQueues || s.queueDelay(preferred-1) < maxElectiveQueue) {
--- a/internal/testing/settlementsimulation/simulation.go
+++ b/internal/testing/settlementsimulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation runs settlements in virtual time: gateways with their accounts in zones of simulated servers,
-// digests that are lost, duplicated and late, gateways that crash, and leaders that change while they write. Equal
-// scenarios give equal results.
+// Package simulation runs settlements in virtual time: gateways with their accounts in zones of
+// simulated servers, digests that are lost, duplicated and late, gateways that crash, and leaders
+// that change while they write. Equal scenarios give equal results.
 package settlementsimulation
 
 import (
--- a/internal/testing/settlementsimulation/simulation_test.go
+++ b/internal/testing/settlementsimulation/simulation_test.go
@@ -42,7 +42,8 @@
 	return with, Run(scenario)
 }
 
-// A zone is lost for a minute; after it what its partner owes is settled, and nobody is served worse for it.
+// A zone is lost for a minute; after it what its partner owes is settled, and nobody is served
+// worse for it.
 func TestRun_debtsOfOutageAreSettled(t *testing.T) {
 	for seed := range uint64(2) {
 		scenario := testScenario(seed)
@@ -62,7 +63,8 @@
 	}
 }
 
-// The debtor's zone comes back with capacity for little more than its own requests: what it can't lend is not taken.
+// The debtor's zone comes back with capacity for little more than its own requests: what it can't
+// lend is not taken.
 func TestRun_debtorWithoutCapacityIsNotOverloaded(t *testing.T) {
 	for seed := range uint64(2) {
 		scenario := testScenario(seed)
@@ -74,9 +76,9 @@
 	}
 }
 
-// Gateways that ignore queues make attempts at a debtor's zone that is 80 % utilized: the controller alone bounds what
-// partners lose. Without holds and the bound on the pace, one in fourteen of the debtor's requests was late over ten
-// minutes.
+// Gateways that ignore queues make attempts at a debtor's zone that is 80 % utilized: the
+// controller alone bounds what partners lose. Without holds and the bound on the pace, one in
+// fourteen of the debtor's requests was late over ten minutes.
 func TestRun_controllerAloneBoundsLoss(t *testing.T) {
 	for seed := range uint64(3) {
 		scenario := testScenario(seed)
@@ -88,8 +90,8 @@
 	}
 }
 
-// Digests are lost, duplicated and late, leaders are lost during a settlement, gateways crash: the ledger is exact all
-// the same, and balances sum to zero.
+// Digests are lost, duplicated and late, leaders are lost during a settlement, gateways crash: the
+// ledger is exact all the same, and balances sum to zero.
 func TestRun_ledgerStaysExactUnderFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		if r := Run(faultScenario(seed, 200*time.Second)); len(r.Violations) > 0 || r.SettledAfter < 0 {
--- a/internal/testing/votersimulation/simulation.go
+++ b/internal/testing/votersimulation/simulation.go
@@ -1,7 +1,7 @@
 // Package votersimulation runs several voters, their clients and the holders of leases in virtual
-// time. Its own tests call it. Consensus, reads and the merging of digests are the real ones; disks,
-// messages and clocks are simulated, and draw their faults from a seed. The same seed gives the same
-// run, event by event.
+// time. Its own tests call it. Consensus, reads and the merging of digests are the real ones;
+// disks, messages and clocks are simulated, and draw their faults from a seed. The same seed gives
+// the same run, event by event.
 package votersimulation
 
 import (
