--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -30,7 +30,10 @@
 		{"missing", func(v *Values) bool { v.Require("A", "D"); return true }, "settings: D is missing"},
 		{"no number", func(v *Values) bool { return v.Number("C") == 0 }, `settings: C is not a number: "x"`},
 		{"no truth value", func(v *Values) bool { return !v.Bool("C") }, `settings: C is neither true nor false: "x"`},
-		{"none of the words", func(v *Values) bool { return v.Enum("C", "z", "y") == 0 }, `settings: C is none of z, y: "x"`},
+		{
+			"none of the words", func(v *Values) bool { return v.Enum("C", "z", "y") == 0 },
+			`settings: C is none of z, y: "x"`,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			values, err := ParseLines("A=1\nC=x")
@@ -97,8 +100,8 @@
 		t.Errorf("got  %+v\nwant %+v", gateway.Settings, want)
 	}
 	if gateway.Seed != -1 || gateway.Sockets != 1024 || gateway.MemoryMB != 192 || gateway.Cores != 1 ||
-		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second || len(gateway.Zones) != 2 ||
-		gateway.Hardware[0] != "m" {
+		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second ||
+		len(gateway.Zones) != 2 || gateway.Hardware[0] != "m" {
 		t.Errorf("got %+v", gateway)
 	}
 }
@@ -123,7 +126,8 @@
 // A refusal of a wrong value named the key alone, or not what is allowed there; with several files
 // about, which one was wrong was left to guess.
 func TestRead_refusalNamesFileKeyAndAllowedRange(t *testing.T) {
-	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED","limits":{"sockets":SOCKETS},"settings":{}}`
+	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED",` +
+		`"limits":{"sockets":SOCKETS},"settings":{}}`
 	for _, c := range []struct{ name, sockets, seed, want string }{
 		{"no sockets", "0", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
 		{"sockets below 0", "-3", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
@@ -147,15 +151,17 @@
 // A figure out of range was taken as it was, and two traffic classes could have one name.
 func TestParse_figureOutOfRangeIsRefusedWithKeyAndRange(t *testing.T) {
 	for old, c := range map[string]struct{ bad, want string }{
-		`"Balancers":2`:          {`"Balancers":0`, "Balancers must be from 1 to"},
-		`"Me":1`:                 {`"Me":2`, "Me must be from 0 to 1, not 2"},
-		`"TryLimit":6`:           {`"TryLimit":0`, "PolicyLimits.TryLimit must be from 1 to"},
-		`"ColdFrom":0.15`:        {`"ColdFrom":1.5`, "Rules.ColdFrom must be from 0 to 1, not 1.5"},
-		`"CountLimitMs":30.5`:    {`"CountLimitMs":30,"MeterMs":-1`, "FamilyInfo.MeterMs must be from 0 to"},
-		`"AimMs":600`:            {`"AimMs":0`, "RequestClasses.0.AimMs must be from 0.001 to"},
-		`"UnitsPerS":2.2`:        {`"UnitsPerS":-2`, "TiersOfService.0.UnitsPerS must be from 0 to"},
-		`"PeakUnits":12`:         {`"Concurrency":-1`, "TiersOfService.0.Concurrency must be from 0 to"},
-		`"Name":"hold"`:          {`"Name":"look"`, `RequestClasses.1.Name must be another than that of RequestClasses.0: "look"`},
+		`"Balancers":2`:       {`"Balancers":0`, "Balancers must be from 1 to"},
+		`"Me":1`:              {`"Me":2`, "Me must be from 0 to 1, not 2"},
+		`"TryLimit":6`:        {`"TryLimit":0`, "PolicyLimits.TryLimit must be from 1 to"},
+		`"ColdFrom":0.15`:     {`"ColdFrom":1.5`, "Rules.ColdFrom must be from 0 to 1, not 1.5"},
+		`"CountLimitMs":30.5`: {`"CountLimitMs":30,"MeterMs":-1`, "FamilyInfo.MeterMs must be from 0 to"},
+		`"AimMs":600`:         {`"AimMs":0`, "RequestClasses.0.AimMs must be from 0.001 to"},
+		`"UnitsPerS":2.2`:     {`"UnitsPerS":-2`, "TiersOfService.0.UnitsPerS must be from 0 to"},
+		`"PeakUnits":12`:      {`"Concurrency":-1`, "TiersOfService.0.Concurrency must be from 0 to"},
+		`"Name":"hold"`: {
+			`"Name":"look"`, `RequestClasses.1.Name must be another than that of RequestClasses.0: "look"`,
+		},
 		`"cores":1.0`:            {`"cores":1e9`, "limits.cores: a number from 0"},
 		`"cores":1`:              {`"cores":-1`, "limits.cores: a number from 0"},
 		`"memory_mb":192`:        {`"memory_mb":-1`, "limits.memory_mb: a whole number from 0"},
--- a/internal/gateway/config/golden_test.go
+++ b/internal/gateway/config/golden_test.go
@@ -32,87 +32,100 @@
 		KnownEndpoints: json.RawMessage(
 			`{"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": "10.1.0.18:6379"}]}`,
 		),
-		Settings: policy.Settings{
-			Gateways:         4,
-			MyIndex:          3,
-			MyZone:           1,
-			Zones:            3,
-			PollList:         true,
-			MaxListAge:       6 * time.Second,
-			ClockTick:        2500 * time.Microsecond,
-			HasCounter:       true,
-			CountTimeout:     30500 * time.Microsecond,
-			ReportsUnits:     true,
-			MaxUnits:         6.25,
-			UsageSpan:        time.Second,
-			Peers:            true,
-			HealthChecks:     true,
-			CanCancel:        true,
-			RetryAfter:       true,
-			MaxRetryAfter:    2 * time.Second,
-			AllowHedging:     true,
-			MaxAttempts:      6,
-			ArrivalSlack:     8 * time.Millisecond,
-			DrainGrace:       time.Second,
-			WarmUpStart:      0.15,
-			WarmUpTime:       16 * time.Second,
-			OverloadFactor:   2.25,
-			OverloadSpan:     1500 * time.Millisecond,
-			LoadReportFields: []string{"cpu", "queue"},
-			MailboxRate:      900,
-			Classes: []policy.TrafficClass{
-				{
-					Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1,
-					Effect: policy.Idempotent, Stream: true,
-				},
-				{
-					Name:             "hold",
-					LatencyObjective: 400125 * time.Microsecond,
-					Timeout:          1500 * time.Millisecond,
-					Weight:           3,
-					LateFraction:     0.5,
-					Effect:           policy.Keyed,
-					Group:            policy.GroupZone,
-					DedupWindow:      time.Second,
-				},
-				{
-					Name:             "keep",
-					LatencyObjective: 400 * time.Millisecond,
-					Timeout:          1500 * time.Millisecond,
-					Effect:           policy.Keyed,
-					Group:            policy.GroupRack,
-				},
-				{
-					Name:             "note",
-					LatencyObjective: 400 * time.Millisecond,
-					Timeout:          1500 * time.Millisecond,
-					Effect:           policy.Keyed,
-					Group:            policy.GroupAll,
-				},
-				{
-					Name:             "pay",
-					LatencyObjective: time.Microsecond,
-					Timeout:          1000000 * time.Second,
-					Effect:           policy.NonIdempotent,
-				},
-				{LatencyObjective: time.Millisecond, Timeout: 2 * time.Millisecond, Effect: policy.Idempotent},
-			},
-			Plans: []policy.Plan{
-				{
-					Name:            "start",
-					Rate:            2.2,
-					Burst:           12,
-					MaxInFlight:     4,
-					CeilingRate:     3.5,
-					CeilingBurst:    20,
-					CeilingSlack:    0.1,
-					Price:           1.25,
-					OverQuotaWeight: 0.4,
-					OverQuotaCost:   7,
-				},
-				{Name: "open"},
-			},
+		Settings: fullSettings(),
+	}
+}
+
+// fullSettings are the settings of that file.
+func fullSettings() policy.Settings {
+	return policy.Settings{
+		Gateways:         4,
+		MyIndex:          3,
+		MyZone:           1,
+		Zones:            3,
+		PollList:         true,
+		MaxListAge:       6 * time.Second,
+		ClockTick:        2500 * time.Microsecond,
+		HasCounter:       true,
+		CountTimeout:     30500 * time.Microsecond,
+		ReportsUnits:     true,
+		MaxUnits:         6.25,
+		UsageSpan:        time.Second,
+		Peers:            true,
+		HealthChecks:     true,
+		CanCancel:        true,
+		RetryAfter:       true,
+		MaxRetryAfter:    2 * time.Second,
+		AllowHedging:     true,
+		MaxAttempts:      6,
+		ArrivalSlack:     8 * time.Millisecond,
+		DrainGrace:       time.Second,
+		WarmUpStart:      0.15,
+		WarmUpTime:       16 * time.Second,
+		OverloadFactor:   2.25,
+		OverloadSpan:     1500 * time.Millisecond,
+		LoadReportFields: []string{"cpu", "queue"},
+		MailboxRate:      900,
+		Classes:          fullClasses(),
+		Plans:            fullPlans(),
+	}
+}
+
+func fullClasses() []policy.TrafficClass {
+	return []policy.TrafficClass{
+		{
+			Name: "look", LatencyObjective: 600 * time.Millisecond, Timeout: 2500 * time.Millisecond, Weight: 1,
+			Effect: policy.Idempotent, Stream: true,
+		},
+		{
+			Name:             "hold",
+			LatencyObjective: 400125 * time.Microsecond,
+			Timeout:          1500 * time.Millisecond,
+			Weight:           3,
+			LateFraction:     0.5,
+			Effect:           policy.Keyed,
+			Group:            policy.GroupZone,
+			DedupWindow:      time.Second,
+		},
+		{
+			Name:             "keep",
+			LatencyObjective: 400 * time.Millisecond,
+			Timeout:          1500 * time.Millisecond,
+			Effect:           policy.Keyed,
+			Group:            policy.GroupRack,
+		},
+		{
+			Name:             "note",
+			LatencyObjective: 400 * time.Millisecond,
+			Timeout:          1500 * time.Millisecond,
+			Effect:           policy.Keyed,
+			Group:            policy.GroupAll,
 		},
+		{
+			Name:             "pay",
+			LatencyObjective: time.Microsecond,
+			Timeout:          1000000 * time.Second,
+			Effect:           policy.NonIdempotent,
+		},
+		{LatencyObjective: time.Millisecond, Timeout: 2 * time.Millisecond, Effect: policy.Idempotent},
+	}
+}
+
+func fullPlans() []policy.Plan {
+	return []policy.Plan{
+		{
+			Name:            "start",
+			Rate:            2.2,
+			Burst:           12,
+			MaxInFlight:     4,
+			CeilingRate:     3.5,
+			CeilingBurst:    20,
+			CeilingSlack:    0.1,
+			Price:           1.25,
+			OverQuotaWeight: 0.4,
+			OverQuotaCost:   7,
+		},
+		{Name: "open"},
 	}
 }
 
@@ -219,11 +232,21 @@
 		{"a folder", dir, "", "read DIR: is a directory"},
 		{"empty", dir + "/a.json", " ", "DIR/a.json: configuration: unexpected end of JSON input"},
 		{"cut off", dir + "/a.json", `{"name":"n3",`, "DIR/a.json: configuration: unexpected end of JSON input"},
-		{"no JSON", dir + "/a.json", "name = n3", "DIR/a.json: configuration: invalid character 'a' in literal null (expecting 'u')"},
-		{"more behind it", dir + "/a.json", "{} {}", "DIR/a.json: configuration: invalid character '{' after top-level value"},
-		{"an array", dir + "/a.json", "[]", "DIR/a.json: configuration: json: cannot unmarshal array into Go value of type struct { " +
-			"Name string; Listen string; Discovery string; Counter string; Seed string; Limits struct { Cores float64; " +
-			"MemoryMB int \"json:\\\"memory_mb\\\"\"; Sockets int }; Known json.RawMessage; Settings map[string]interface {} }"},
+		{
+			"no JSON", dir + "/a.json", "name = n3",
+			"DIR/a.json: configuration: invalid character 'a' in literal null (expecting 'u')",
+		},
+		{
+			"more behind it", dir + "/a.json", "{} {}",
+			"DIR/a.json: configuration: invalid character '{' after top-level value",
+		},
+		{
+			"an array", dir + "/a.json", "[]",
+			"DIR/a.json: configuration: json: cannot unmarshal array into Go value of type struct { " +
+				"Name string; Listen string; Discovery string; Counter string; Seed string; " +
+				"Limits struct { Cores float64; MemoryMB int \"json:\\\"memory_mb\\\"\"; Sockets int }; " +
+				"Known json.RawMessage; Settings map[string]interface {} }",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.text != "" {
--- a/internal/gateway/resp/fuzz_test.go
+++ b/internal/gateway/resp/fuzz_test.go
@@ -95,10 +95,13 @@
 func FuzzReadCommand(f *testing.F) {
 	query := fakes.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
-		query, query + query, "*1\r\n$4\r\nPING\r\n", query[:len(query)-5], "PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n$-1\r\n",
+		query, query + query, "*1\r\n$4\r\nPING\r\n", query[:len(query)-5],
+		"PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n$-1\r\n",
 		fakes.FormatCommand("SVC.SUBMIT", "0000000000000005", "9b20", "c=book,t=open,d=480,k=7", "BODY") + query,
-		fakes.FormatCommand("SVC.SUBMIT", "", "", "", ""), fakes.FormatCommand("PING", strings.Repeat("x", maxWordSize+1)),
-		fakes.FormatCommand(strings.Repeat("x", maxWordSize)), fakes.FormatCommand("a", "b", "c", "d", strings.Repeat("x", maxValueSize)),
+		fakes.FormatCommand("SVC.SUBMIT", "", "", "", ""),
+		fakes.FormatCommand("PING", strings.Repeat("x", maxWordSize+1)),
+		fakes.FormatCommand(strings.Repeat("x", maxWordSize)),
+		fakes.FormatCommand("a", "b", "c", "d", strings.Repeat("x", maxValueSize)),
 		"*1\n$4\nPING\n", "*1\r\n$4\r\nPI\r\n\r\n", "*2\r\n$1\r\na\r\n+b\r\n",
 		"*1\r\n$4\r\nPINGxx", "*1\r\n$+4\r\nPING\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n\r\n", "\x00\xff",
 	} {
@@ -165,9 +168,12 @@
 func FuzzReadReply(f *testing.F) {
 	served := fakes.FormatValue("hello", 3)
 	for _, text := range []string{
-		served, served + served, served[:9], "*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n",
-		"$-1\r\n", "+PONG\r\n", "+OK\r\n+OK\r\n", ":7\r\n", "-BUSY\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7\r\n",
-		"-NOPERM\r\n", "*0\r\n", "*-1\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*2\r\n$1\r\na\r\n$2\r\na\r\n", "$65537\r\n", "\r\n", "?\r\n",
+		served, served + served, served[:9],
+		"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n",
+		"$-1\r\n", "+PONG\r\n", "+OK\r\n+OK\r\n", ":7\r\n",
+		"-BUSY\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7\r\n",
+		"-NOPERM\r\n", "*0\r\n", "*-1\r\n", "*1\r\n*1\r\n$1\r\na\r\n",
+		"*2\r\n$1\r\na\r\n$2\r\na\r\n", "$65537\r\n", "\r\n", "?\r\n",
 		"*9999999\r\n$-1\r\n$-1\r\n", "+PONG", "*2\r\n$1\r\na\r\n$1025\r\n" + strings.Repeat("x", 1025) + "\r\n",
 	} {
 		f.Add([]byte(text), uint8(0))
--- a/internal/simulator/frame/frame_test.go
+++ b/internal/simulator/frame/frame_test.go
@@ -136,7 +136,8 @@
 	reply.Log("two servers known")
 	reply.InternalError("index out of range")
 	want := decodeHex(t, `fc000000 0f000000 0c000000
-		8c 04000000 03000000  0a 10000000 c4913a5d 000000000096c040 074a1203  32 10000000 4d00000000000000 0000000000407f40
+		8c 04000000 03000000  0a 10000000 c4913a5d 000000000096c040 074a1203
+		32 10000000 4d00000000000000 0000000000407f40
 		28 06000000 c4913a5d 0100  14 0c000000 192b6f0e 0000000000406f40  1e 04000000 192b6f0e  3c 04000000 f211902c
 		46 04000000 f211902c  50 08000000 ffff 0400 68692037  6e 01000000 01  78 00000000
 		82 14000000 90f6890000000000 000000000070a740 00008040  8c 04000000 05000000
@@ -156,7 +157,10 @@
 	for _, test := range []struct{ name, in, want string }{
 		{"truncated header", "1000", "batch 2, byte 2: the input ends inside a frame"},
 		{"truncated frame", "20000000 00000000206ec040 01000000", "batch 2, byte 16: the input ends inside a frame"},
-		{"size below the header's", "0f000000 00000000206ec040 01000000", "batch 2, byte 0: a frame cannot be 15 bytes long"},
+		{
+			"size below the header's", "0f000000 00000000206ec040 01000000",
+			"batch 2, byte 0: a frame cannot be 15 bytes long",
+		},
 		{"unknown code", "15000000 00000000206ec040 01000000 0700000000", "batch 2, byte 16: unknown event code 7"},
 		{
 			"record over the end", "15000000 00000000206ec040 01000000 3204000000",
--- a/internal/simulator/host/golden_test.go
+++ b/internal/simulator/host/golden_test.go
@@ -241,7 +241,8 @@
 		}
 	}
 	for _, code := range []byte{
-		frame.ActionAttempt, frame.ActionReject, frame.ActionTerminate, frame.ActionSetTimer, frame.ActionWatchEndpoints,
+		frame.ActionAttempt, frame.ActionReject, frame.ActionTerminate, frame.ActionSetTimer,
+		frame.ActionWatchEndpoints,
 	} {
 		if s.actions[code] == 0 {
 			s.t.Errorf("no action of code %d", code)
