--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -1,6 +1,7 @@
-// Package account keeps one gateway's part of the settlement: it counts what partners owe each other for the requests
-// that pass here, and draws which requests are to go to a debtor's servers. What is called on a request's way takes one
-// short lock and waits for nothing; the store and the replicated table are the business of the goroutine of Run.
+// Package account counts what partners owe each other for the requests that pass one gateway, and
+// decides which of them are to go to a debtor's servers. Package dispatch calls it on a request's
+// way, where it takes one short lock and waits for nothing; package runtime starts Run, whose
+// goroutines write the store and follow the replicated table.
 package account
 
 import (
@@ -13,6 +14,17 @@
 	"harrierhoist/policy"
 )
 
+// Config is what accounts begin with.
+type Config struct {
+	Terms    settlement.Terms
+	Settings Settings
+	// LedgerID tells the ledger from others of the same process in the log, so no two incarnations
+	// of a process have the same.
+	LedgerID string
+	Seed     uint64               // of the draws of elective requests
+	Now      func() time.Duration // the clock on which leases are measured
+}
+
 // Settings are the parts of a gateway's settings that accounts go by.
 type Settings struct {
 	Zones   []string // names, by zone number
@@ -20,8 +32,8 @@
 	Classes []policy.TrafficClass
 }
 
-// Accounts are a gateway's. They may be used by several goroutines at once. Where the receiver is nil, TrackRequest,
-// SetPolicy and AddElective do nothing.
+// Accounts are a gateway's. They may be used by several goroutines at once. Where the receiver is
+// nil, TrackRequest, SetPolicy and AddElective do nothing.
 type Accounts struct {
 	mu       sync.Mutex
 	terms    settlement.Terms
@@ -38,8 +50,9 @@
 	shares      []share // none while nothing is settled
 	sharesUntil time.Duration
 
+	store   Store                     // nil where there is none
 	stored  []settlement.LedgerAmount // what is in the store and so may be reported; of earlier ledgers too
-	changed chan struct{}             // has an element once a balance has changed; nil without a store
+	changed chan struct{}             // has an element once a balance has changed; nil: nothing is stored
 }
 
 // balance is what a pair's debtor owes, in thousandths of units.
@@ -57,22 +70,22 @@
 // randomStream keeps the draws apart from others of the same seed.
 const randomStream = 0xdeb7
 
-// New makes accounts with a ledger of their own. The log tells it by its ID from other ledgers of the same process, so
-// no two incarnations of a process have the same ID. The clock is that on which leases are measured.
-func New(terms settlement.Terms, settings Settings, ledgerID string, seed uint64, now func() time.Duration) *Accounts {
+// New makes accounts with a ledger of their own.
+func New(config Config) *Accounts {
 	a := &Accounts{
-		random:          rand.New(rand.NewPCG(seed, randomStream)),
-		now:             now,
-		ledgerID:        ledgerID,
-		initialLedgerID: ledgerID,
+		random:          rand.New(rand.NewPCG(config.Seed, randomStream)),
+		now:             config.Now,
+		ledgerID:        config.LedgerID,
+		initialLedgerID: config.LedgerID,
 		balances:        map[settlement.Pair]*balance{},
 		metrics:         map[string]*[settlement.MetricCount]uint64{},
 	}
-	a.configure(terms, settings)
+	a.configure(config.Terms, config.Settings)
 	return a
 }
 
-// SetTerms changes the terms. What was counted stays; requests in flight are counted by the terms that they began under.
+// SetTerms changes the terms. What was counted stays; requests in flight are counted by the terms
+// that they began under.
 func (a *Accounts) SetTerms(terms settlement.Terms) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,10 +106,13 @@
 	a.configure(a.terms, settings)
 }
 
-// configure sets terms and settings under the lock: terms change with SIGHUP, classes and plans with counting rules too,
-// and what one caller leaves as it is must be what is there when its change is made. Shares wait for the next ApplyState.
+// configure sets terms and settings. It is called under the lock, as both change from goroutines of
+// their own: terms with SIGHUP, classes and plans with counting rules too. Shares wait for the next
+// ApplyState.
 func (a *Accounts) configure(terms settlement.Terms, settings Settings) {
-	a.terms, a.settings, a.shares = terms, settings, nil
+	a.terms = terms
+	a.settings = settings
+	a.shares = nil
 	a.partners = settlement.NewPartnerIndex(terms, settings.Zones, settings.Plans)
 }
 
@@ -104,20 +120,23 @@
 func (a *Accounts) ApplyState(state settlement.State, until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.shares, a.sharesUntil = a.shares[:0], until
+	a.shares = a.shares[:0]
+	a.sharesUntil = until
 	if !a.terms.On {
 		return
 	}
 	for _, s := range state.Shares {
-		creditor, debtor := a.partners.PartnerNumber(s.Creditor), a.partners.PartnerNumber(s.Debtor)
+		creditor := a.partners.PartnerNumber(s.Creditor)
+		debtor := a.partners.PartnerNumber(s.Debtor)
 		if creditor > 0 && debtor > 0 && s.PPM > 0 {
 			a.shares = append(a.shares, share{creditor, debtor, float64(s.PPM) / settlement.PartsPerMillion})
 		}
 	}
 }
 
-// LendingZones returns, by zone, the partner that it belongs to where requests may go there for settlement, else 0; and
-// the largest fraction of any creditor's requests that may. Owners are nil while nothing is settled.
+// LendingZones returns, by zone, the partner that it belongs to where requests may go there for
+// settlement, else 0; and the largest fraction of any creditor's requests that may. Owners are nil
+// while nothing is settled.
 func (a *Accounts) LendingZones() (owners []int, maxFraction float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,7 +147,8 @@
 		owner := 0
 		for _, s := range a.shares {
 			if a.partners.ZoneOwner(zone) == s.debtor {
-				owner, maxFraction = s.debtor, max(maxFraction, s.fraction)
+				owner = s.debtor
+				maxFraction = max(maxFraction, s.fraction)
 			}
 		}
 		owners = append(owners, owner)
@@ -136,11 +156,11 @@
 	return owners, maxFraction
 }
 
-// isSettling reports, under the lock, whether shares are in force.
+// isSettling decides, under the lock, whether this gateway acts on shares: until their lease ends.
 func (a *Accounts) isSettling() bool { return len(a.shares) > 0 && a.now() < a.sharesUntil }
 
-// AddElective adds to the selected servers those that elective attempts need, and marks those of the selected that they
-// may prefer. While nothing is settled the selection is returned as it is.
+// AddElective adds to the selected servers those that elective attempts need, and marks those of
+// the selected that they may prefer. While nothing is settled the selection is returned as it is.
 func (a *Accounts) AddElective(
 	servers *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate,
 ) []policy.Endpoint {
@@ -165,15 +185,15 @@
 	}
 }
 
-// ReportDebts passes on the debts, for a digest: with a store only those that are in it, so that none is reported that a
-// later incarnation would not know.
+// ReportDebts passes on the debts, for a digest: with a store only those that are in it, so that
+// none is reported that a later incarnation would not know.
 func (a *Accounts) ReportDebts(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, amount := range a.stored {
 		add(settlement.DebtCountName(amount.LedgerID, amount.Pair), amount.Sum)
 	}
-	if a.changed == nil {
+	if !a.isStored() {
 		for pair, b := range a.balances {
 			add(settlement.DebtCountName(a.ledgerID, pair), b.debt)
 		}
@@ -199,9 +219,13 @@
 	a.metrics[name][metric] += n
 }
 
+// isStored reports, under the lock, whether balances are stored: there is a store, and it has not
+// failed.
+func (a *Accounts) isStored() bool { return a.changed != nil }
+
 // signalChange has the store follow the balances.
 func (a *Accounts) signalChange() {
-	if a.changed == nil {
+	if !a.isStored() {
 		return
 	}
 	select {
--- a/internal/control/settlement/account/accounts_test.go
+++ b/internal/control/settlement/account/accounts_test.go
@@ -38,7 +38,12 @@
 
 func clockAtZero() time.Duration { return 0 }
 
-func newTestAccounts() *Accounts { return New(testTerms(), testSettings, "x", 1, clockAtZero) }
+// testConfig returns the configuration of accounts with a ledger by that ID.
+func testConfig(ledgerID string, now func() time.Duration) Config {
+	return Config{Terms: testTerms(), Settings: testSettings, LedgerID: ledgerID, Seed: 1, Now: now}
+}
+
+func newTestAccounts() *Accounts { return New(testConfig("x", clockAtZero)) }
 
 func newTestContext(t *testing.T) (context.Context, context.CancelFunc) {
 	t.Helper()
@@ -57,8 +62,8 @@
 	return debtCounts(a)[settlement.DebtCountName(ledgerID, settlement.Pair{Debtor: "a", Creditor: "b"})]
 }
 
-// True units from the answer, the estimate where none comes and the attempt may have run, nothing where it never ran;
-// nothing at servers of its own partner and at those of no partner.
+// True units from the answer, the estimate where none comes and the attempt may have run, nothing
+// where it never ran; nothing at servers of its own partner and at those of no partner.
 func TestRequestTracker_chargesAttemptByOutcome(t *testing.T) {
 	const ownZone, otherZone, nobodysZone = 0, 1, 2
 	for _, test := range []struct {
@@ -107,8 +112,8 @@
 	}
 }
 
-// A request is counted once, as its first attempt went; repeats and clients that disconnected tell nothing of how it was
-// served.
+// A request is counted once, as its first attempt went; repeats and clients that disconnected tell
+// nothing of how it was served.
 func TestRequestTracker_countsServiceOncePerRequest(t *testing.T) {
 	accounts := newTestAccounts()
 	begin := func(repeat bool) *RequestTracker {
@@ -142,10 +147,11 @@
 	}
 }
 
-// Of a creditor's idempotent requests that are no repeats, the share prefers the debtor's servers while the lease holds.
+// Of a creditor's idempotent requests that are no repeats, the share prefers the debtor's servers
+// while the lease holds.
 func TestAccounts_preferDebtorForStatedFraction(t *testing.T) {
 	now := time.Duration(0)
-	accounts := New(testTerms(), testSettings, "x", 1, func() time.Duration { return now })
+	accounts := New(testConfig("x", func() time.Duration { return now }))
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	shares := []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion / 5}}
 	accounts.ApplyState(settlement.State{Shares: shares}, time.Second)
@@ -180,13 +186,14 @@
 	}
 }
 
-// Shares are taken from the table while its lease holds and a controller writes it; what is forgiven is logged once.
+// Shares are taken from the table while its lease holds and a controller writes it; what is
+// forgiven is logged once.
 func TestAccounts_RunFollowsTable(t *testing.T) {
 	client := newFakeCoordination()
-	accounts := New(testTerms(), testSettings, "x", 1, client.Now)
+	accounts := New(testConfig("x", client.Now))
 	core, logs := observer.New(zapcore.InfoLevel)
 	updates := make(updateSignal, 10)
-	stop := runAccounts(t, accounts, client, updates, nil, zap.New(core))
+	stop := runAccounts(t, accounts, client, updates, zap.New(core))
 	write := func(state settlement.State) {
 		t.Helper()
 		value, err := state.Encode()
--- a/internal/control/settlement/account/fake_test.go
+++ b/internal/control/settlement/account/fake_test.go
@@ -25,7 +25,7 @@
 	return &fakeCoordination{changed: make(chan struct{})}
 }
 
-// update changes fields, and tells those who wait for a change.
+// update changes fields, and notifies those that wait for a change.
 func (f *fakeCoordination) update(change func()) {
 	f.Lock()
 	defer f.Unlock()
@@ -87,7 +87,8 @@
 	if m.isFailing {
 		return errStoreFull
 	}
-	m.ledgerID, m.balances = ledgerID, balances
+	m.ledgerID = ledgerID
+	m.balances = balances
 	return nil
 }
 
@@ -101,14 +102,14 @@
 
 // runAccounts has accounts run until the function returned is called, which waits for their end.
 func runAccounts(
-	t *testing.T, a *Accounts, f *fakeCoordination, updates updateSignal, store Store, log *zap.Logger,
+	t *testing.T, a *Accounts, f *fakeCoordination, updates updateSignal, log *zap.Logger,
 ) (stop func()) {
 	t.Helper()
 	ctx, cancel := newTestContext(t)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.Run(ctx, f, updates, store, log)
+		a.Run(ctx, f, updates, log)
 	}()
 	fakes.Eventually(t, "counters registered", f.isRegistered)
 	return func() { cancel(); <-ended }
--- a/internal/control/settlement/account/golden_test.go
+++ b/internal/control/settlement/account/golden_test.go
@@ -12,14 +12,15 @@
 	"harrierhoist/policy"
 )
 
-// goldenDraws is the SHA-256 of which of 10,000 requests prefer a debtor's servers, drawn at 8c168ca.
+// goldenDraws is the SHA-256 of which of 10,000 requests prefer a debtor's servers, drawn at
+// 8c168ca.
 const goldenDraws = "ac62757cf5b2d1e11dd49c47e18a06be7bd8aea9c59805901c0d214c8eee9fb0"
 
 // Which requests are drawn to settle a debt depends on the seed and on nothing else.
 func TestGolden_electiveDraws(t *testing.T) {
 	terms := testTerms()
 	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
-	accounts := New(terms, testSettings, "x", 42, clockAtZero)
+	accounts := New(Config{Terms: terms, Settings: testSettings, LedgerID: "x", Seed: 42, Now: clockAtZero})
 	accounts.ApplyState(settlement.State{Shares: []settlement.Share{
 		{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, PPM: settlement.PartsPerMillion / 5},
 		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
@@ -41,7 +42,8 @@
 	}
 }
 
-// goldenMetrics and goldenDebts are the names and sums that a gateway reports in its digests after goldenAttempts.
+// goldenMetrics and goldenDebts are the names and sums that a gateway reports in its digests after
+// goldenAttempts.
 var (
 	goldenMetrics = []string{
 		"debts\x1fasked\x1fa=2",
@@ -79,7 +81,7 @@
 }
 
 func TestGolden_reportedCounts(t *testing.T) {
-	accounts := New(testTerms(), testSettings, "1k2j3", 1, clockAtZero)
+	accounts := New(testConfig("1k2j3", clockAtZero))
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	shares := []settlement.Share{{Pair: pair, PPM: settlement.PartsPerMillion}}
 	accounts.ApplyState(settlement.State{Shares: shares}, time.Second)
--- a/internal/control/settlement/account/reconfigure_test.go
+++ b/internal/control/settlement/account/reconfigure_test.go
@@ -8,11 +8,13 @@
 	"harrierhoist/policy"
 )
 
-// Terms change with SIGHUP, classes and plans with counting rules, from goroutines of their own. Each once set the other's
-// part as it had read it before, and could put an older one back.
+// Guards against a change of terms that puts back older classes and plans, or the other way round.
 func TestAccounts_concurrentReconfigurationKeepsBoth(t *testing.T) {
 	for range 300 {
-		a := New(settlement.DefaultTerms(), Settings{Zones: []string{"a"}}, "life", 1, clockAtZero)
+		a := New(Config{
+			Terms: settlement.DefaultTerms(), Settings: Settings{Zones: []string{"a"}},
+			LedgerID: "life", Seed: 1, Now: clockAtZero,
+		})
 		var both sync.WaitGroup
 		both.Go(func() { a.SetTerms(settlement.Terms{On: true}) })
 		both.Go(func() { a.SetPolicy(nil, []policy.Plan{{Name: "wide"}}) })
--- a/internal/control/settlement/account/store_test.go
+++ b/internal/control/settlement/account/store_test.go
@@ -9,16 +9,16 @@
 	"harrierhoist/policy"
 )
 
-// A process dies with an attempt in flight, and the next one restores its ledger: what was counted is kept, and what was
-// in flight may have run. Then the store fails: what it has is not reported twice, and what comes later is reported in
-// another ledger.
+// A process dies with an attempt in flight, and the next one restores its ledger: what was counted
+// is kept, and what was in flight may have run. Then the store fails: what it has is not reported
+// twice, and what comes later is reported in another ledger.
 func TestAccounts_countsSurviveRestartAndStoreFailure(t *testing.T) {
 	store := &memoryStore{ledgerID: "first"}
 	start := func() (accounts *Accounts, stop func()) {
 		client := newFakeCoordination()
-		accounts = New(testTerms(), testSettings, "fresh", 1, client.Now)
+		accounts = New(testConfig("fresh", client.Now))
 		accounts.Restore(store)
-		return accounts, runAccounts(t, accounts, client, make(updateSignal, 10), store, zap.NewNop())
+		return accounts, runAccounts(t, accounts, client, make(updateSignal, 10), zap.NewNop())
 	}
 	attempt := func(accounts *Accounts) *RequestTracker {
 		tracker := accounts.TrackRequest(0, policy.Request{Customer: 1, Units: 2})
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -12,8 +12,8 @@
 // noAnswer is longer than any request takes.
 const noAnswer = time.Duration(math.MaxInt64)
 
-// RequestTracker counts what one request owes and how it is served. A nil tracker counts nothing: its request is of no
-// partner. Its methods are called one after another.
+// RequestTracker counts what one request owes and how it is served. A nil tracker counts nothing:
+// its request is of no partner. Its methods are called one after another.
 type RequestTracker struct {
 	accounts *Accounts
 	partners *settlement.PartnerIndex // of the terms that the request began under
@@ -32,7 +32,8 @@
 	zone        int      // of the latest attempt
 }
 
-// TrackRequest begins a request, and returns its tracker; nil where it is of no partner or settlement is off.
+// TrackRequest begins a request, and returns its tracker; nil where it is of no partner or
+// settlement is off.
 func (a *Accounts) TrackRequest(now time.Duration, request policy.Request) *RequestTracker {
 	if a == nil {
 		return nil
@@ -60,21 +61,24 @@
 	return t
 }
 
-// drawPreferred draws, by the shares of a creditor, the debtor whose servers a request prefers; 0: none.
+// drawPreferred decides which debtor's servers a creditor's request prefers, by a draw from the
+// creditor's shares; 0: none.
 func (a *Accounts) drawPreferred(creditor int) int {
 	draw := a.random.Float64()
 	for _, s := range a.shares {
 		if s.creditor != creditor {
 			continue
 		}
-		if draw -= s.fraction; draw < 0 {
+		draw -= s.fraction
+		if draw < 0 {
 			return s.debtor
 		}
 	}
 	return 0
 }
 
-// PreferredPartner returns the partner whose servers the request's first attempt is to go to; 0: none.
+// PreferredPartner returns the partner whose servers the request's first attempt is to go to; 0:
+// none.
 func (t *RequestTracker) PreferredPartner() int {
 	if t == nil {
 		return 0
@@ -82,7 +86,8 @@
 	return t.preferred
 }
 
-// OnAttemptStart counts an attempt in a zone. The zone's owner is owed an estimate until OnAttemptEnd.
+// OnAttemptStart counts an attempt in a zone. The zone's owner is owed an estimate until
+// OnAttemptEnd.
 func (t *RequestTracker) OnAttemptStart(zone int) {
 	if t == nil {
 		return
@@ -98,7 +103,8 @@
 	if owner == 0 || owner == t.partner {
 		return
 	}
-	t.charged = t.accounts.balanceOf(settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]})
+	pair := settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]}
+	t.charged = t.accounts.balanceOf(pair)
 	t.charged.inFlight += t.estimate
 	t.accounts.signalChange()
 }
@@ -115,24 +121,20 @@
 	}
 }
 
-// OnAttemptEnd settles what the latest attempt owes the zone's owner: the true units where the server answered, the
-// estimate where no answer tells them and it may have run, nothing where it never ran.
+// OnAttemptEnd counts what the latest attempt owes the zone's owner, and how the request was served
+// where it was answered. billedUnits are the units of the answer; 0 where it has none.
 func (t *RequestTracker) OnAttemptEnd(now time.Duration, outcome policy.Outcome, billedUnits float64) {
 	if t == nil {
 		return
 	}
 	t.accounts.mu.Lock()
 	defer t.accounts.mu.Unlock()
-	debt := t.estimate
-	switch outcome {
-	case policy.Answered:
-		debt = settlement.Thousandths(cmp.Or(billedUnits, t.units))
+	debt := t.debtOf(outcome, billedUnits)
+	if outcome == policy.Answered {
 		if owner := t.partners.ZoneOwner(t.zone); owner > 0 {
 			t.addMetric(settlement.MetricServedUnits, owner, debt)
 		}
 		t.countService(now - t.startedAt)
-	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
-		debt = 0
 	}
 	if t.charged != nil {
 		t.charged.debt += debt
@@ -142,7 +144,22 @@
 	}
 }
 
-// OnRequestEnd ends a request that got no answer. One whose client disconnected tells nothing of how it was served.
+// debtOf decides what an attempt at another partner's server owes its owner, in thousandths of
+// units: the units of the answer, the estimate where the answer tells none or the attempt may have
+// run without one, nothing where it never ran.
+func (t *RequestTracker) debtOf(outcome policy.Outcome, billedUnits float64) uint64 {
+	switch outcome {
+	case policy.Answered:
+		return settlement.Thousandths(cmp.Or(billedUnits, t.units))
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
+		return 0
+	case policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
+	}
+	return t.estimate
+}
+
+// OnRequestEnd ends a request that got no answer. One whose client disconnected tells nothing of
+// how it was served.
 func (t *RequestTracker) OnRequestEnd(disconnected bool) {
 	if t == nil {
 		return
@@ -155,8 +172,8 @@
 	t.countService(noAnswer)
 }
 
-// countService counts once how a request was served, under the lock. A request without an attempt is left out: its plan
-// did not admit it or there was no server, so it took nothing from anyone, and most such are over their plan.
+// countService counts once how a request was served, under the lock. A request without an attempt
+// is left out: its plan did not admit it or there was no server, so it took nothing from anyone.
 func (t *RequestTracker) countService(elapsed time.Duration) {
 	if t.isCounted || !t.isAttempted {
 		return
--- a/internal/control/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -42,7 +42,13 @@
 	}
 	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same nanosecond.
 	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
-	accounts := account.New(config.Terms, account.Settings{Zones: config.Zones}, ledgerID, uint64(config.Seed), client.Now)
+	accounts := account.New(account.Config{
+		Terms:    config.Terms,
+		Settings: account.Settings{Zones: config.Zones},
+		LedgerID: ledgerID,
+		Seed:     uint64(config.Seed),
+		Now:      client.Now,
+	})
 	accounts.SetPolicy(config.Settings.Classes, config.Settings.Plans)
 	if store != nil {
 		accounts.Restore(store)
@@ -51,7 +57,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		accounts.Run(ctx, client, dispatcher, store, log)
+		accounts.Run(ctx, client, dispatcher, log)
 		if err := closeStore(); err != nil {
 			log.Error("settlement: closing the debt journal failed, the last second may be lost", zap.Error(err))
 		}
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -21,14 +21,16 @@
 		{Name: "b", Zones: []string{"hb"}},
 		{Name: "c", Zones: []string{"hc"}},
 	}
-	accounts := account.New(terms, account.Settings{
+	settings := account.Settings{
 		Zones: []string{"hb", "hc"}, Plans: []string{"wide", "small"},
 		Classes: []policy.TrafficClass{
 			{LatencyObjective: time.Second},
 			{LatencyObjective: time.Second, Effect: policy.NonIdempotent},
 		},
-	}, "x", 1,
-		func() time.Duration { return 0 })
+	}
+	accounts := account.New(account.Config{
+		Terms: terms, Settings: settings, LedgerID: "x", Seed: 1, Now: func() time.Duration { return 0 },
+	})
 	f.dispatcher.SetAccounts(accounts)
 	go func() {
 		for { // charges are calls too
--- a/internal/testing/settlementsimulation/simulation.go
+++ b/internal/testing/settlementsimulation/simulation.go
@@ -143,7 +143,9 @@
 	clear(g.trackers)
 	ledgerID := fmt.Sprintf("%s.%d", g.name, g.incarnation)
 	seed := s.Seed<<20 + g.incarnation<<10 + uint64(len(g.name)+g.zone)
-	g.accounts = account.New(s.Terms, s.settings, ledgerID, seed, s.clock.Now)
+	g.accounts = account.New(account.Config{
+		Terms: s.Terms, Settings: s.settings, LedgerID: ledgerID, Seed: seed, Now: s.clock.Now,
+	})
 	if g.store != nil {
 		g.accounts.Restore(g.store)
 	}
@@ -152,7 +154,7 @@
 // persist stores the balances, where there is a store.
 func (g *gateway) persist() {
 	if g.store != nil {
-		_ = g.accounts.Persist(g.store) // memory does not fail
+		_ = g.accounts.Persist() // memory does not fail
 	}
 }
 
