--- a/internal/control/settlement/journal/firstrecord_test.go
+++ b/internal/control/settlement/journal/firstrecord_test.go
@@ -7,16 +7,15 @@
 	"testing"
 )
 
-// The process is killed while it writes its very first record, at whichever byte: nothing was reported from it, and the next
-// process begins anew and stores what it counts. A first record that is whole and corrupt is refused as ever.
+// Guards against a start that fails because a kill cut off the very first record, at any byte.
 func TestOpen_firstRecordThatWasCutOffIsBegunAnew(t *testing.T) {
-	whole := t.TempDir()
-	j := openJournal(t, whole)
+	complete := t.TempDir()
+	j := openJournal(t, complete)
 	if err := j.Write("x", testBalances(7)); err != nil {
 		t.Fatal(err)
 	}
 	closeJournal(t, j)
-	stored, err := os.ReadFile(filepath.Join(whole, fileName))
+	stored, err := os.ReadFile(filepath.Join(complete, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/settlement/journal/golden_test.go
+++ b/internal/control/settlement/journal/golden_test.go
@@ -18,7 +18,9 @@
 	ledgerID string
 	balances []account.StoredBalance
 }{
-	{"1k2j3", []account.StoredBalance{{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000}}},
+	{"1k2j3", []account.StoredBalance{
+		{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 700, InFlight: 2000},
+	}},
 	{"1k2j3", nil},
 	{"1k2j3+", []account.StoredBalance{
 		{Pair: settlement.Pair{Debtor: "north", Creditor: "south"}, Debt: 2700, InFlight: 0},
@@ -67,7 +69,8 @@
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
 	_ = openJournal(t, folder)
-	if _, err := Open(folder); err == nil || err.Error() != path+": another process has it: resource temporarily unavailable" {
+	want := path + ": another process has it: resource temporarily unavailable"
+	if _, err := Open(folder); err == nil || err.Error() != want {
 		t.Errorf("of a folder in use: %v", err)
 	}
 	folder = t.TempDir()
@@ -75,7 +78,8 @@
 	if err := os.WriteFile(path, []byte("not a journal, though a file of some bytes"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(folder); err == nil || err.Error() != path+": none of its records is whole: remove it to begin anew" {
+	want = path + ": none of its records is whole: remove it to begin anew"
+	if _, err := Open(folder); err == nil || err.Error() != want {
 		t.Errorf("of a file without a record: %v", err)
 	}
 }
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -1,7 +1,10 @@
-// Package journal stores a gateway's balances in a file that outlives its process. The file has three slots, each for a
-// record with a sequence number, a length and a checksum. The record last synced is left alone until a later one is
-// synced, and the two other slots are written in turn: a write that is cut off, by the process's death or by loss of
-// power, leaves an earlier record complete.
+// Package journal stores a gateway's balances in a file that outlives its process. Package runtime
+// opens it, and package account writes and restores balances by it.
+//
+// The file has three slots, each for a record with a sequence number, a length and a checksum. The
+// record last synced is left alone until a later one is synced, and the two other slots are written
+// in turn: a write that is cut off, by the process's death or by loss of power, leaves an earlier
+// record complete.
 package journal
 
 import (
@@ -28,26 +31,30 @@
 	firstSlot = 1         // of the first record
 	slotSize  = 512 << 10 // bytes: the pairs of 64 partners with names of 64 letters
 
-	// A record's header: sequence number, length of the body, checksum of the body xor the sequence number; 8 bytes each,
-	// little-endian.
+	// A record's header: sequence number, length of the body, checksum of the body xor the sequence
+	// number; 8 bytes each, little-endian.
 	lengthOffset   = 8
 	checksumOffset = 16
 	headerSize     = 24
 )
 
-// syncInterval is what loss of power may cost.
-const syncInterval = time.Second
+const (
+	syncInterval    = time.Second // between syncs, and so what loss of power may lose
+	filePermissions = 0o600
+	firstSequence   = 1 // of the very first record
+)
 
-// ErrNoCompleteRecord is the error of a file that holds something, and no complete record: what was owed is not known.
+// ErrNoCompleteRecord is the error of a file that holds something, and no complete record: what was
+// owed is not known.
 var ErrNoCompleteRecord = errors.New("none of its records is whole: remove it to begin anew")
 
 // Journal is the file of one process. It is not safe for use by several goroutines at once.
 type Journal struct {
 	file       *os.File
-	sequence   uint64 // of the latest record
-	slot       int64  // of the latest record
-	syncedSlot int64  // of the latest record that is synced
-	syncedAt   time.Time
+	sequence   uint64                  // of the latest record
+	slot       int64                   // of the latest record
+	syncedSlot int64                   // of the latest record that is synced
+	syncedAt   time.Time               // zero: not yet by this process
 	ledgerID   string                  // when opened
 	balances   []account.StoredBalance // when opened
 }
@@ -60,11 +67,11 @@
 	Balances []account.StoredBalance `cbor:"2,keyasint"`
 }
 
-// Open opens the file in a folder, or creates it. It fails where another process has it (unix.EWOULDBLOCK), and with
-// ErrNoCompleteRecord.
+// Open opens the file in a folder, or creates it. It fails where another process has it
+// (unix.EWOULDBLOCK), and with ErrNoCompleteRecord.
 func Open(folder string) (*Journal, error) {
 	path := filepath.Join(folder, fileName)
-	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
 		return nil, err // it names the file
 	}
@@ -78,41 +85,72 @@
 	return j, nil
 }
 
-// load takes the latest of the complete records.
+// load takes the latest of the complete records, and decides whether a file without one is refused:
+// it begins anew where it holds nothing, or nothing but a part of its very first record.
 func (j *Journal) load() error {
-	hasData, isCutOff := false, false
+	slotsWithData := 0
+	isFirstCutOff := false
 	for slot := range int64(slotCount) {
-		buffer := make([]byte, slotSize)
-		n, err := j.file.ReadAt(buffer, slot*slotSize)
-		if err != nil && !errors.Is(err, io.EOF) {
+		buffer, err := j.readSlot(slot)
+		if err != nil {
 			return err
 		}
-		buffer = buffer[:n]
-		if slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 }) {
-			isCutOff = !hasData && slot == firstSlot && isFirstRecordCutOff(buffer)
-			hasData = true
+		if isEmpty(buffer) {
+			continue
 		}
-		sequence, r, isComplete := decodeRecord(buffer)
-		if isComplete && sequence > j.sequence {
-			j.sequence, j.slot, j.syncedSlot = sequence, slot, slot
-			j.ledgerID, j.balances = r.LedgerID, r.Balances
+		slotsWithData++
+		if slot == firstSlot {
+			isFirstCutOff = isFirstRecordCutOff(buffer)
+		}
+		if sequence, r, isComplete := decodeRecord(buffer); isComplete && sequence > j.sequence {
+			j.takeRecord(slot, sequence, r)
 		}
 	}
-	if hasData && j.sequence == 0 && !isCutOff {
+	isNew := slotsWithData == 0 || slotsWithData == 1 && isFirstCutOff
+	if j.sequence == 0 && !isNew {
 		return ErrNoCompleteRecord
 	}
 	return nil
 }
 
-// isFirstRecordCutOff tells whether a slot holds a part of the very first record, as a process leaves it that is killed while it
-// writes. Nothing was reported from it. A record of full length that is corrupt is something else.
+// readSlot returns what the file has of a slot.
+func (j *Journal) readSlot(slot int64) ([]byte, error) {
+	buffer := make([]byte, slotSize)
+	n, err := j.file.ReadAt(buffer, slot*slotSize)
+	if err != nil && !errors.Is(err, io.EOF) {
+		return nil, err
+	}
+	return buffer[:n], nil
+}
+
+// isEmpty reports whether nothing was ever written to a slot.
+func isEmpty(buffer []byte) bool {
+	return !slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 })
+}
+
+// takeRecord makes a record that was read from a slot the latest.
+func (j *Journal) takeRecord(slot int64, sequence uint64, r record) {
+	j.sequence = sequence
+	j.slot = slot
+	j.syncedSlot = slot
+	j.ledgerID = r.LedgerID
+	j.balances = r.Balances
+}
+
+// isFirstRecordCutOff reports whether a slot holds a part of the very first record, as a process
+// leaves it that is killed while it writes. Nothing was reported from it. A record of full length
+// that is corrupt is something else.
 func isFirstRecordCutOff(buffer []byte) bool {
 	sequence := make([]byte, lengthOffset)
 	copy(sequence, buffer)
-	if binary.LittleEndian.Uint64(sequence) != 1 {
+	if binary.LittleEndian.Uint64(sequence) != firstSequence {
 		return false
 	}
-	return len(buffer) < headerSize || binary.LittleEndian.Uint64(buffer[lengthOffset:]) > uint64(len(buffer)-headerSize)
+	if len(buffer) < headerSize {
+		return true
+	}
+	length := binary.LittleEndian.Uint64(buffer[lengthOffset:])
+	return length > uint64(len(buffer)-headerSize)
 }
 
 // decodeRecord reads a slot; a record that was cut off or corrupted is not complete.
@@ -152,31 +190,45 @@
 	return j.ledgerID, j.balances
 }
 
-// Write writes the balances into a slot that has neither the latest record nor the latest that is synced. They outlive
-// the process once it returns. They outlive loss of power once synced: by this write, or by the first one that comes
-// syncInterval after the last sync.
+// Write writes the balances. They outlive the process once it returns, and loss of power once
+// synced: by this write, or by the first one that comes syncInterval after the last sync.
 func (j *Journal) Write(ledgerID string, balances []account.StoredBalance) error {
 	sequence := j.sequence + 1
 	buffer, err := encodeRecord(sequence, record{ledgerID, balances})
 	if err != nil {
 		return err
 	}
-	slot := (j.slot + 1) % slotCount
-	if slot == j.syncedSlot {
-		slot = (slot + 1) % slotCount
-	}
+	slot := j.nextSlot()
 	if _, err := j.file.WriteAt(buffer, slot*slotSize); err != nil {
 		return err
 	}
-	j.sequence, j.slot = sequence, slot
-	if now := time.Now(); now.Sub(j.syncedAt) >= syncInterval {
-		if err := j.file.Sync(); err != nil {
-			return err
-		}
-		j.syncedAt, j.syncedSlot = now, slot
+	j.sequence = sequence
+	j.slot = slot
+	now := time.Now()
+	if !j.isSyncDue(now) {
+		return nil
+	}
+	if err := j.file.Sync(); err != nil {
+		return err
 	}
+	j.syncedAt = now
+	j.syncedSlot = slot
 	return nil
 }
 
+// nextSlot decides which slot is written: one that has neither the latest record nor the latest
+// that is synced.
+func (j *Journal) nextSlot() int64 {
+	slot := (j.slot + 1) % slotCount
+	if slot == j.syncedSlot {
+		slot = (slot + 1) % slotCount
+	}
+	return slot
+}
+
+// isSyncDue decides whether a write is synced: the first of the process, and the first one that
+// comes syncInterval after the last sync.
+func (j *Journal) isSyncDue(now time.Time) bool { return now.Sub(j.syncedAt) >= syncInterval }
+
 // Close syncs and closes the file, which lets another process open it.
 func (j *Journal) Close() error { return errors.Join(j.file.Sync(), j.file.Close()) }
--- a/internal/control/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -18,13 +18,13 @@
 	return []account.StoredBalance{{Pair: settlement.Pair{Debtor: "a", Creditor: "b"}, Debt: n, InFlight: 1}}
 }
 
-func openJournal(t testing.TB, folder string) *Journal {
-	t.Helper()
+func openJournal(tb testing.TB, folder string) *Journal {
+	tb.Helper()
 	j, err := Open(folder)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = j.Close() }) // a test may have closed it
+	tb.Cleanup(func() { _ = j.Close() }) // a test may have closed it
 	return j
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// The process dies while it writes, or the power fails: whichever record is corrupt, the file has an earlier one that is
-// complete, at the latest the one that was synced.
+// The process dies while it writes, or the power fails: where the latest record is corrupt, the
+// file has an earlier one that is complete, and in the end the one that was synced.
 func TestJournal_corruptRecordLeavesEarlierOne(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
@@ -91,34 +91,38 @@
 // The figures of docs/debts.md: this file and bbolt, each without and with a sync.
 func BenchmarkWrite(b *testing.B) {
 	balances := slices.Repeat(testBalances(1), 12)
-	for name, isSynced := range map[string]bool{"file": false, "file, synced each time": true} {
-		b.Run(name, func(b *testing.B) {
-			j := openJournal(b, b.TempDir())
-			for b.Loop() {
-				if err := j.Write("x", balances); err != nil {
-					b.Fatal(err)
-				}
-				if isSynced {
-					if err := j.file.Sync(); err != nil {
-						b.Fatal(err)
-					}
-				}
-			}
-		})
-	}
-	for name, isSynced := range map[string]bool{"bbolt": false, "bbolt, synced each time": true} {
-		b.Run(name, func(b *testing.B) {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !isSynced})
-			if err != nil {
+	b.Run("file", func(b *testing.B) {
+		j := openJournal(b, b.TempDir())
+		for b.Loop() {
+			if err := j.Write("x", balances); err != nil {
 				b.Fatal(err)
 			}
-			b.Cleanup(func() { _ = db.Close() })
-			for b.Loop() {
-				if err := db.Update(putCounts); err != nil {
-					b.Fatal(err)
-				}
+		}
+	})
+	b.Run("file, synced each time", func(b *testing.B) {
+		j := openJournal(b, b.TempDir())
+		for b.Loop() {
+			if err := errors.Join(j.Write("x", balances), j.file.Sync()); err != nil {
+				b.Fatal(err)
 			}
-		})
+		}
+	})
+	for name, isSynced := range map[string]bool{"bbolt": false, "bbolt, synced each time": true} {
+		b.Run(name, func(b *testing.B) { benchmarkBbolt(b, &bbolt.Options{NoSync: !isSynced}) })
+	}
+}
+
+func benchmarkBbolt(b *testing.B, options *bbolt.Options) {
+	b.Helper()
+	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, options)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { _ = db.Close() })
+	for b.Loop() {
+		if err := db.Update(putCounts); err != nil {
+			b.Fatal(err)
+		}
 	}
 }
 
--- a/internal/control/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -1,5 +1,6 @@
-// Package runtime puts the parts of the settlement together in a running gateway: its accounts, their journal on disk,
-// the replicated table and the dispatcher.
+// Package runtime puts the parts of the settlement together in a running gateway: its accounts,
+// their journal on disk, the replicated table and the dispatcher. Package gateway calls it where
+// the operators' file has the settlement on.
 package runtime
 
 import (
@@ -26,10 +27,21 @@
 	Folder   string   // of the journal; empty: nothing is stored
 }
 
-// Start has a gateway count and settle debts until the context ends; the channel is closed once all is stored. The
-// accounts are returned for other terms later (SetTerms). Its errors are those of journal.Open.
+// Dependencies are the parts of the gateway that its settlement works with.
+type Dependencies struct {
+	Client     coordination.Client // of the replicated table and the digests
+	Dispatcher *dispatch.Dispatcher
+	Log        *zap.Logger
+}
+
+// ledgerIDBase is the base in which the start's time is written as ledger ID.
+const ledgerIDBase = 36
+
+// Start has a gateway count and settle debts until the context ends; the channel is closed once all
+// is stored. The accounts are returned for other terms later (SetTerms). Its errors are those of
+// journal.Open.
 func Start(
-	ctx context.Context, config Config, client coordination.Client, dispatcher *dispatch.Dispatcher, log *zap.Logger,
+	ctx context.Context, config Config, dependencies Dependencies,
 ) (*account.Accounts, <-chan struct{}, error) {
 	var store account.Store
 	closeStore := func() error { return nil }
@@ -38,28 +50,31 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		store, closeStore = j, j.Close
+		store = j
+		closeStore = j.Close
 	}
-	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same nanosecond.
-	ledgerID := strconv.FormatInt(time.Now().UnixNano(), 36)
+	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same
+	// nanosecond.
+	ledgerID := strconv.FormatInt(time.Now().UnixNano(), ledgerIDBase)
 	accounts := account.New(account.Config{
 		Terms:    config.Terms,
 		Settings: account.Settings{Zones: config.Zones},
 		LedgerID: ledgerID,
 		Seed:     uint64(config.Seed),
-		Now:      client.Now,
+		Now:      dependencies.Client.Now,
 	})
 	accounts.SetPolicy(config.Settings.Classes, config.Settings.Plans)
 	if store != nil {
 		accounts.Restore(store)
 	}
-	dispatcher.SetAccounts(accounts)
+	dependencies.Dispatcher.SetAccounts(accounts)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		accounts.Run(ctx, client, dispatcher, log)
+		accounts.Run(ctx, dependencies.Client, dependencies.Dispatcher, dependencies.Log)
 		if err := closeStore(); err != nil {
-			log.Error("settlement: closing the debt journal failed, the last second may be lost", zap.Error(err))
+			dependencies.Log.Error("settlement: closing the debt journal failed, the last second may be lost",
+				zap.Error(err))
 		}
 	}()
 	return accounts, ended, nil
--- a/internal/control/settlement/runtime/runtime_test.go
+++ b/internal/control/settlement/runtime/runtime_test.go
@@ -44,7 +44,8 @@
 	Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}},
 }
 
-// runGateway starts a gateway on a folder, uses it, waits until 3.5 units are reported that a owes b, and ends it.
+// runGateway starts a gateway on a folder, uses it, waits until 3.5 units are reported that a owes
+// b, and ends it.
 func runGateway(t *testing.T, folder string, use func(*dispatch.Dispatcher)) {
 	t.Helper()
 	dispatcher, err := dispatch.New(testSettings, 7, dispatch.Dependencies{}, zap.NewNop())
@@ -55,7 +56,7 @@
 	client := noCoordination{make(chan func(func(string, uint64)), 1)}
 	config := Config{Terms: testTerms(), Settings: testSettings, Zones: []string{"hb"}, Seed: 7, Folder: folder}
 	start := func() (<-chan struct{}, error) {
-		_, ended, err := Start(ctx, config, client, dispatcher, zap.NewNop())
+		_, ended, err := Start(ctx, config, Dependencies{client, dispatcher, zap.NewNop()})
 		return ended, err
 	}
 	ended, err := start()
@@ -80,7 +81,8 @@
 	<-ended
 }
 
-// A gateway counts what an attempt owes, ends, and starts again on the same folder: its first digest reports the debt.
+// A gateway counts what an attempt owes, ends, and starts again on the same folder: its first
+// digest reports the debt.
 func TestStart_debtsSurviveRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	folder := t.TempDir()
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -135,7 +135,9 @@
 		Terms: *terms.Settlement, Settings: running.configuration.Settings, Zones: running.configuration.Zones,
 		Seed: running.configuration.Seed, Folder: terms.Process.Folder,
 	}
-	m.account, m.settlementDone, err = runtime.Start(ctx, parts, m.process.Client(), running.dispatcher, running.log)
+	m.account, m.settlementDone, err = runtime.Start(ctx, parts, runtime.Dependencies{
+		Client: m.process.Client(), Dispatcher: running.dispatcher, Log: running.log,
+	})
 	if err != nil {
 		return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
 	}
