--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -162,6 +162,7 @@
 }
 
 func measureFollowers(t *testing.T, n int) {
+	t.Helper()
 	fleet := &followerFleet{voterCluster: newVoterCluster(t, "v1", "v2", "v3"), calls: map[string]*callCounts{}}
 	fleet.voters = "connections = 8192\n" + fleet.voters // ends [process]
 	fleet.start("v1", "v2", "v3")
--- a/cmd/harrierhoist/hanging_test.go
+++ b/cmd/harrierhoist/hanging_test.go
@@ -34,19 +34,7 @@
 			for range late {
 				c.send(command())
 			}
-			reader := continuousClient{client: c}
-			for range inHand + late {
-				if err := reader.readWholeAnswer(); err != nil && !strings.HasPrefix(err.Error(), "-") {
-					t.Fatalf("%d answers, then %v", reader.answered, err)
-				}
-				reader.answered++
-			}
-			if reader.rejected < late {
-				t.Errorf("%d of %d late requests were rejected", reader.rejected, late)
-			}
-			if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the connection ended with %v", err)
-			}
+			wantAnswersThenEnd(t, c, inHand+late, late)
 			_ = c.Close()
 			sigkill.wantEndBefore()
 			if n := gateway.server.PendingCommands(); n > attempts && name == "submits" { // queries are retried
@@ -55,3 +43,22 @@
 		})
 	}
 }
+
+// wantAnswersThenEnd reads so many answers, of which so many at least are rejections, and then the
+// end of the connection.
+func wantAnswersThenEnd(t *testing.T, c *client, answers, rejections int) {
+	t.Helper()
+	reader := continuousClient{client: c}
+	for range answers {
+		if err := reader.readWholeAnswer(); err != nil && !strings.HasPrefix(err.Error(), "-") {
+			t.Fatalf("%d answers, then %v", reader.answered, err)
+		}
+		reader.answered++
+	}
+	if reader.rejected < rejections {
+		t.Errorf("%d of %d late requests were rejected", reader.rejected, rejections)
+	}
+	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection ended with %v", err)
+	}
+}
--- a/cmd/harrierhoist/pipelined_test.go
+++ b/cmd/harrierhoist/pipelined_test.go
@@ -50,6 +50,7 @@
 }
 
 func (p pipelinedCase) play(t *testing.T) {
+	t.Helper()
 	gateway := startGateway(t, 1024, func([]string) string {
 		time.Sleep(250 * time.Millisecond)
 		return fakes.FormatValue("hello", 1)
--- a/cmd/harrierhoist/process_test.go
+++ b/cmd/harrierhoist/process_test.go
@@ -112,4 +112,7 @@
 }
 
 // configFile is a path for a configuration.
-func configFile(t *testing.T) string { return filepath.Join(t.TempDir(), "config.json") }
+func configFile(t *testing.T) string {
+	t.Helper()
+	return filepath.Join(t.TempDir(), "config.json")
+}
--- a/cmd/harrierhoist/soak_test.go
+++ b/cmd/harrierhoist/soak_test.go
@@ -90,6 +90,7 @@
 
 // newSoak starts the servers and gateways of a seed.
 func newSoak(t *testing.T, seed uint64) *soak {
+	t.Helper()
 	s := &soak{T: t, random: rand.New(rand.NewPCG(seed, 0)), ledger: newSoakLedger()}
 	s.isPolled = s.random.IntN(2) == 0
 	deadlines := []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second}
@@ -187,6 +188,7 @@
 
 // crowd opens a connection that stays idle; it may be closed at once.
 func (g *soakGateway) crowd(t *testing.T) {
+	t.Helper()
 	if conn, err := net.Dial("tcp", g.addr); err == nil {
 		t.Cleanup(func() { _ = conn.Close() })
 	}
--- a/internal/testing/conformance/run.go
+++ b/internal/testing/conformance/run.go
@@ -17,6 +17,7 @@
 // Run runs a case against the module and against a process, each as subtest, where the case and the
 // variant say so.
 func Run(t *testing.T, suite *Suite, testCase Case, variant Variant) {
+	t.Helper()
 	if !testCase.runsWith(variant) {
 		return
 	}
@@ -29,42 +30,42 @@
 }
 
 // RunModule runs a case against the module.
-func RunModule(t testing.TB, suite *Suite, testCase Case, variant Variant) {
-	t.Helper()
-	run(t, suite, testCase, variant, func(plan Plan) target { return newModuleTarget(t, testCase, plan, variant) })
+func RunModule(tb testing.TB, suite *Suite, testCase Case, variant Variant) {
+	tb.Helper()
+	run(tb, suite, testCase, variant, func(plan Plan) target { return newModuleTarget(tb, testCase, plan, variant) })
 }
 
 // RunProcess runs a case against a process of the program.
-func RunProcess(t testing.TB, suite *Suite, testCase Case, variant Variant) {
-	t.Helper()
-	run(t, suite, testCase, variant, func(plan Plan) target { return newProcessTarget(t, testCase, plan, variant) })
+func RunProcess(tb testing.TB, suite *Suite, testCase Case, variant Variant) {
+	tb.Helper()
+	run(tb, suite, testCase, variant, func(plan Plan) target { return newProcessTarget(tb, testCase, plan, variant) })
 }
 
-func run(t testing.TB, suite *Suite, testCase Case, variant Variant, newTarget func(Plan) target) {
-	t.Helper()
+func run(tb testing.TB, suite *Suite, testCase Case, variant Variant, newTarget func(Plan) target) {
+	tb.Helper()
 	plan, err := suite.findPlan(testCase.Plan)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	subject := newTarget(plan)
-	executeAll(t, subject, testCase.Given...)
+	executeAll(tb, subject, testCase.Given...)
 	before := len(subject.awaitEvents(func([][]string) bool { return true }).since(0))
-	executeAll(t, subject, testCase.Events...)
+	executeAll(tb, subject, testCase.Events...)
 	events := subject.awaitEvents(func(events [][]string) bool { // the case passes, or can no longer pass
 		return len(missingEvents(events[before:], testCase)) == 0 || len(forbiddenEvents(events[before:], testCase.Forbidden)) > 0
 	}).since(before)
 	for _, problem := range violations(events, testCase, slices.Concat(suite.Forbidden, variant.Forbidden)) {
-		t.Errorf("%s: %s\nseen: %s", testCase.Text, problem, formatEvents(events))
+		tb.Errorf("%s: %s\nseen: %s", testCase.Text, problem, formatEvents(events))
 	}
 }
 
 // executeAll parses actions and executes them in order.
-func executeAll(t testing.TB, subject target, texts ...string) {
-	t.Helper()
+func executeAll(tb testing.TB, subject target, texts ...string) {
+	tb.Helper()
 	for _, text := range texts {
 		todo, err := parseAction(text)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		subject.execute(todo)
 	}
--- a/internal/testing/conformance/state.go
+++ b/internal/testing/conformance/state.go
@@ -49,55 +49,55 @@
 	if s.leaseLostLines == nil && s.settleTime == 0 {
 		var once sync.Once
 		var shared *testVoter
-		return func(t testing.TB, launch *Launch) {
-			t.Helper()
+		return func(tb testing.TB, launch *Launch) {
+			tb.Helper()
 			once.Do(func() {
-				shared = s.startVoter(t)
+				shared = s.startVoter(tb)
 				sharedVotersLock.Lock()
 				defer sharedVotersLock.Unlock()
 				sharedVoters = append(sharedVoters, shared)
 			})
 			if shared == nil {
-				t.Fatal("the shared voter did not start")
+				tb.Fatal("the shared voter did not start")
 			}
-			s.prepare(t, launch, shared, longLease, nil)
+			s.prepare(tb, launch, shared, longLease, nil)
 		}
 	}
-	return func(t testing.TB, launch *Launch) {
-		t.Helper()
-		voter := s.startVoter(t)
+	return func(tb testing.TB, launch *Launch) {
+		tb.Helper()
+		voter := s.startVoter(tb)
 		stop := sync.OnceFunc(func() {
 			if err := voter.stop(); err != nil {
-				t.Error(err)
+				tb.Error(err)
 			}
 		})
-		t.Cleanup(stop)
+		tb.Cleanup(stop)
 		if s.leaseLostLines == nil {
-			s.prepare(t, launch, voter, longLease, func() { time.Sleep(s.settleTime) })
+			s.prepare(tb, launch, voter, longLease, func() { time.Sleep(s.settleTime) })
 			return
 		}
-		s.prepare(t, launch, voter, shortLease, stop)
+		s.prepare(tb, launch, voter, shortLease, stop)
 	}
 }
 
-func (s partState) startVoter(t testing.TB) *testVoter {
-	t.Helper()
+func (s partState) startVoter(tb testing.TB) *testVoter {
+	tb.Helper()
 	var value []byte
 	if s.value != nil {
 		value = s.value()
 	}
-	return startVoter(t, s.table, value)
+	return startVoter(tb, s.table, value)
 }
 
 // prepare writes a follower's configuration and adds it to the launch. Once the process serves, it
 // waits until the state is in force, calls proceed, which may be nil, and waits for the lines on
 // the lost lease.
-func (s partState) prepare(t testing.TB, launch *Launch, voter *testVoter, lease string, proceed func()) {
-	t.Helper()
+func (s partState) prepare(tb testing.TB, launch *Launch, voter *testVoter, lease string, proceed func()) {
+	tb.Helper()
 	path := filepath.Join(launch.Dir, "common.toml")
 	text := fmt.Sprintf("[process]\nname = \"g1\"\nsingle = true\nhall = %q\n", s.zone) + voter.votersConfig(lease) + s.config
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	launch.Env = append(launch.Env, "RELAY_COMMON="+path)
 	launch.Peers = append(launch.Peers, voter.address)
@@ -110,7 +110,7 @@
 	}
 	launch.OnReady = func(instance Instance) {
 		for _, line := range s.readyLines {
-			fakes.Eventually(t, line, func() bool { return strings.Contains(instance.Log(), line) })
+			fakes.Eventually(tb, line, func() bool { return strings.Contains(instance.Log(), line) })
 		}
 		if proceed == nil {
 			return
@@ -118,7 +118,7 @@
 		before := instance.Log() // the same lines may have been logged before there was a lease
 		proceed()
 		for _, line := range s.leaseLostLines {
-			fakes.Eventually(t, line, func() bool { return strings.Contains(instance.Log()[len(before):], line) })
+			fakes.Eventually(tb, line, func() bool { return strings.Contains(instance.Log()[len(before):], line) })
 		}
 	}
 }
--- a/internal/testing/conformance/target_module.go
+++ b/internal/testing/conformance/target_module.go
@@ -74,15 +74,15 @@
 	at    time.Duration
 }
 
-func newModuleTarget(t testing.TB, testCase Case, plan Plan, variant Variant) *moduleTarget {
-	t.Helper()
+func newModuleTarget(tb testing.TB, testCase Case, plan Plan, variant Variant) *moduleTarget {
+	tb.Helper()
 	created := &moduleTarget{
-		t: t, windows: newWindows(defaultCustomer, plan), gatewayCount: max(testCase.Gateways, 1), now: startTime,
+		t: tb, windows: newWindows(defaultCustomer, plan), gatewayCount: max(testCase.Gateways, 1), now: startTime,
 		totals: map[uint64]float64{}, inFlight: map[uint32]uint32{},
 	}
 	module, err := variant.Module(settingsFor(plan, testCase.Gateways), randomSeed, created)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	created.module = module
 	var list []policy.Endpoint
--- a/internal/testing/conformance/target_process.go
+++ b/internal/testing/conformance/target_process.go
@@ -65,24 +65,24 @@
 	answers map[int]chan float64 // by request: the units that its answer reports
 }
 
-func newProcessTarget(t testing.TB, testCase Case, plan Plan, variant Variant) *processTarget {
-	t.Helper()
+func newProcessTarget(tb testing.TB, testCase Case, plan Plan, variant Variant) *processTarget {
+	tb.Helper()
 	path, err := buildProgram()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	created := &processTarget{
-		t: t, plan: plan.Name, gatewayCount: max(testCase.Gateways, 1), counter: fakes.NewCounter(t),
+		t: tb, plan: plan.Name, gatewayCount: max(testCase.Gateways, 1), counter: fakes.NewCounter(tb),
 		variant: variant, answers: map[int]chan float64{},
 	}
 	var hosts []string
 	for i := range serverCount {
-		created.servers = append(created.servers, fakes.NewServer(t, created.serve))
+		created.servers = append(created.servers, fakes.NewServer(tb, created.serve))
 		hosts = append(hosts, fakes.FormatHost(fmt.Sprintf("s-%d", i), created.servers[i].Addr, "in_service"))
 	}
-	created.discovery = fakes.NewDiscovery(t, hosts...)
-	launch := Launch{Dir: t.TempDir(), Config: launchConfig(created, plan), Hosts: hosts}
-	variant.Process(t, &launch)
+	created.discovery = fakes.NewDiscovery(tb, hosts...)
+	launch := Launch{Dir: tb.TempDir(), Config: launchConfig(created, plan), Hosts: hosts}
+	variant.Process(tb, &launch)
 	created.discovery.Publish(true, launch.Hosts...)
 	launch.Config["known"] = json.RawMessage(fakes.FormatList(1, true, launch.Hosts...))
 	created.peers = launch.Peers
--- a/internal/testing/conformance/variant.go
+++ b/internal/testing/conformance/variant.go
@@ -18,7 +18,7 @@
 	// Module makes the module behind a host; nil: no case runs against the module.
 	Module func(settings policy.Settings, seed int64, host policy.Host) (Module, error)
 	// Process prepares a process before it starts; nil: no case runs against a process.
-	Process func(t testing.TB, launch *Launch)
+	Process func(tb testing.TB, launch *Launch)
 	// CounterKey returns what stands for a customer in the names of its counts; nil: its own
 	// number.
 	CounterKey func(customer uint64) uint64
@@ -73,12 +73,12 @@
 		}
 		return module, err
 	},
-	Process: func(t testing.TB, launch *Launch) {
+	Process: func(tb testing.TB, launch *Launch) {
 		launch.OnReady = func(instance Instance) {
 			if err := syscall.Kill(instance.PID, syscall.SIGHUP); err != nil {
-				t.Fatal(err)
+				tb.Fatal(err)
 			}
-			fakes.Eventually(t, "the configuration is reloaded", func() bool {
+			fakes.Eventually(tb, "the configuration is reloaded", func() bool {
 				return strings.Contains(instance.Log(), "gateway: configuration reloaded")
 			})
 		}
--- a/internal/testing/conformance/voter.go
+++ b/internal/testing/conformance/voter.go
@@ -41,11 +41,11 @@
 
 // startVoter starts a voter without controllers whose state machine holds one table, or none if the
 // name is empty.
-func startVoter(t testing.TB, table string, value []byte) *testVoter {
-	t.Helper()
+func startVoter(tb testing.TB, table string, value []byte) *testVoter {
+	tb.Helper()
 	dir, err := os.MkdirTemp("", "conformance-voter")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	v := &testVoter{dir: dir, client: transport.NewClient(transport.Network{}, 1)}
 	for range maxVoterStarts {
@@ -55,10 +55,10 @@
 		}
 	}
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if table != "" {
-		v.writeTable(t, table, value)
+		v.writeTable(tb, table, value)
 	}
 	return v
 }
@@ -77,10 +77,10 @@
 	return err
 }
 
-func (v *testVoter) writeTable(t testing.TB, table string, value []byte) {
-	t.Helper()
-	fakes.Eventually(t, "the table is written", func() bool {
-		ctx, cancel := context.WithTimeout(t.Context(), writeTimeout)
+func (v *testVoter) writeTable(tb testing.TB, table string, value []byte) {
+	tb.Helper()
+	fakes.Eventually(tb, "the table is written", func() bool {
+		ctx, cancel := context.WithTimeout(tb.Context(), writeTimeout)
 		defer cancel()
 		result, err := v.client.Propose(ctx, v.address, statemachine.Command{
 			Kind: statemachine.Write, Proposer: "conformance/1", Number: 1, Table: table, Value: value,
--- a/internal/testing/fakes/counter.go
+++ b/internal/testing/fakes/counter.go
@@ -25,11 +25,11 @@
 }
 
 // NewCounter starts a counter that ends with the test.
-func NewCounter(t testing.TB) *Counter {
-	t.Helper()
-	listener := Listen(t)
+func NewCounter(tb testing.TB) *Counter {
+	tb.Helper()
+	listener := Listen(tb)
 	c := &Counter{Addr: listener.Addr().String(), totals: map[string]float64{}, Calls: make(chan string, 10000)}
-	serveConns(t, listener, c.serve)
+	serveConns(tb, listener, c.serve)
 	return c
 }
 
@@ -72,9 +72,9 @@
 func (c *Counter) Observe(observe func(call string)) { c.observer.Store(&observe) }
 
 // NextCall returns the next call that came, and waits for one.
-func (c *Counter) NextCall(t testing.TB) string {
-	t.Helper()
-	return receive(t, c.Calls, "call")
+func (c *Counter) NextCall(tb testing.TB) string {
+	tb.Helper()
+	return receive(tb, c.Calls, "call")
 }
 
 // Hold makes the counter silent until the function returned is called.
--- a/internal/testing/fakes/discovery.go
+++ b/internal/testing/fakes/discovery.go
@@ -38,12 +38,12 @@
 }
 
 // NewDiscovery starts an agent with a first list, which ends with the test.
-func NewDiscovery(t testing.TB, hosts ...string) *Discovery {
-	t.Helper()
+func NewDiscovery(tb testing.TB, hosts ...string) *Discovery {
+	tb.Helper()
 	d := &Discovery{changed: make(chan struct{}), Queries: make(chan string, 1000)}
 	d.Publish(true, hosts...)
 	server := httptest.NewServer(d)
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
--- a/internal/testing/fakes/fakes.go
+++ b/internal/testing/fakes/fakes.go
@@ -15,31 +15,31 @@
 
 // Listen returns a listener that is closed with the test, on a loopback host of its own: on a
 // shared host its port might be one that another test's gateway still calls or checks.
-func Listen(t testing.TB) net.Listener {
-	t.Helper()
+func Listen(tb testing.TB) net.Listener {
+	tb.Helper()
 	pid := os.Getpid()
 	n := listenerCount.Add(1)
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8%250, pid%256, 1+n%250))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // a fake may have closed it
+	tb.Cleanup(func() { _ = listener.Close() }) // a fake may have closed it
 	return listener
 }
 
 // ConnPair returns both ends of a connection.
-func ConnPair(t testing.TB) (near, far net.Conn) {
-	t.Helper()
-	listener := Listen(t)
+func ConnPair(tb testing.TB) (near, far net.Conn) {
+	tb.Helper()
+	listener := Listen(tb)
 	far, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	near, err = listener.Accept()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { // a test may have closed them
+	tb.Cleanup(func() { // a test may have closed them
 		_ = far.Close()
 		_ = near.Close()
 	})
@@ -48,8 +48,8 @@
 
 // serveConns hands each connection to a goroutine of its own until the test ends. Then it closes
 // the listener and all connections, one that was accepted at that moment among them.
-func serveConns(t testing.TB, listener net.Listener, serve func(net.Conn)) {
-	t.Helper()
+func serveConns(tb testing.TB, listener net.Listener, serve func(net.Conn)) {
+	tb.Helper()
 	var conns []net.Conn
 	ended := make(chan struct{})
 	go func() {
@@ -63,7 +63,7 @@
 			go serve(conn)
 		}
 	}()
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		_ = listener.Close() // the goroutine ends with it
 		<-ended
 		for _, conn := range conns {
@@ -76,22 +76,22 @@
 const waitTimeout = 20 * time.Second
 
 // Eventually waits until a condition holds.
-func Eventually(t testing.TB, what string, holds func() bool) {
-	t.Helper()
+func Eventually(tb testing.TB, what string, holds func() bool) {
+	tb.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not seen", what)
+			tb.Fatalf("%s: not seen", what)
 		}
 	}
 }
 
-func receive[T any](t testing.TB, from <-chan T, what string) T {
-	t.Helper()
+func receive[T any](tb testing.TB, from <-chan T, what string) T {
+	tb.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(waitTimeout):
-		t.Fatalf("no %s came", what)
+		tb.Fatalf("no %s came", what)
 		panic("unreachable")
 	}
 }
--- a/internal/testing/fakes/saturated.go
+++ b/internal/testing/fakes/saturated.go
@@ -18,36 +18,36 @@
 
 // NewSaturatedServer starts a server that ends with the test. One connection fills its backlog, and
 // it accepts none.
-func NewSaturatedServer(t testing.TB) *SaturatedServer {
-	t.Helper()
-	listener := listenWithoutBacklog(t)
-	t.Cleanup(func() { _ = listener.Close() }) // nothing is left to do about a failure
+func NewSaturatedServer(tb testing.TB) *SaturatedServer {
+	tb.Helper()
+	listener := listenWithoutBacklog(tb)
+	tb.Cleanup(func() { _ = listener.Close() }) // nothing is left to do about a failure
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // CollectBytes may have ended it
+	tb.Cleanup(func() { _ = conn.Close() }) // CollectBytes may have ended it
 	return &SaturatedServer{Addr: listener.Addr().String(), listener: listener}
 }
 
 // listenWithoutBacklog makes a listener that has one connection waiting at most.
-func listenWithoutBacklog(t testing.TB) *net.TCPListener {
-	t.Helper()
+func listenWithoutBacklog(tb testing.TB) *net.TCPListener {
+	tb.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
 	defer func() { _ = file.Close() }() // the listener has a copy of the descriptor
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := unix.Listen(fd, 0); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	listener, err := net.FileListener(file)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return listener.(*net.TCPListener)
 }
@@ -57,26 +57,26 @@
 
 // CollectBytes accepts connections, one after the other, until none comes within a time, and
 // returns what they write.
-func (s *SaturatedServer) CollectBytes(t testing.TB, within time.Duration) (all string) {
-	t.Helper()
+func (s *SaturatedServer) CollectBytes(tb testing.TB, within time.Duration) (all string) {
+	tb.Helper()
 	if err := s.listener.SetDeadline(time.Now().Add(within)); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for {
 		conn, err := s.Accept()
 		if err != nil {
 			return all
 		}
-		all += readAll(t, conn, within)
+		all += readAll(tb, conn, within)
 	}
 }
 
 // readAll reads what a connection writes within a time, and closes it.
-func readAll(t testing.TB, conn net.Conn, within time.Duration) (all string) {
-	t.Helper()
+func readAll(tb testing.TB, conn net.Conn, within time.Duration) (all string) {
+	tb.Helper()
 	defer func() { _ = conn.Close() }() // its end is what the test waits for
 	if err := conn.SetReadDeadline(time.Now().Add(within)); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	buffer := make([]byte, 1<<10)
 	for {
--- a/internal/testing/fakes/server.go
+++ b/internal/testing/fakes/server.go
@@ -76,13 +76,13 @@
 const CloseConn = "close the connection"
 
 // NewServer starts a server that ends with the test.
-func NewServer(t testing.TB, answer func(words []string) string) *Server {
-	t.Helper()
-	listener := Listen(t)
+func NewServer(tb testing.TB, answer func(words []string) string) *Server {
+	tb.Helper()
+	listener := Listen(tb)
 	s := &Server{
 		Addr: listener.Addr().String(), answer: answer, conns: make(chan net.Conn, 1000), commands: make(chan []string, 1000),
 	}
-	serveConns(t, listener, s.serve)
+	serveConns(tb, listener, s.serve)
 	return s
 }
 
@@ -113,15 +113,15 @@
 func (s *Server) ConnCount() int { return len(s.conns) }
 
 // NextConn returns the next connection that came, and waits for one.
-func (s *Server) NextConn(t testing.TB) net.Conn {
-	t.Helper()
-	return receive(t, s.conns, "connection")
+func (s *Server) NextConn(tb testing.TB) net.Conn {
+	tb.Helper()
+	return receive(tb, s.conns, "connection")
 }
 
 // NextCommand returns the words of the next command that came, and waits for one.
-func (s *Server) NextCommand(t testing.TB) []string {
-	t.Helper()
-	return receive(t, s.commands, "command")
+func (s *Server) NextCommand(tb testing.TB) []string {
+	tb.Helper()
+	return receive(tb, s.commands, "command")
 }
 
 // PendingCommands returns how many commands came and were not taken by NextCommand.
--- a/internal/testing/golden/digest.go
+++ b/internal/testing/golden/digest.go
@@ -26,11 +26,11 @@
 func (d *Digest) Printf(format string, values ...any) { _, _ = fmt.Fprintf(d, format, values...) }
 
 // AddJSON adds a value as a line of JSON.
-func (d *Digest) AddJSON(t testing.TB, value any) {
-	t.Helper()
+func (d *Digest) AddJSON(tb testing.TB, value any) {
+	tb.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	d.Println(string(text))
 }
@@ -39,9 +39,9 @@
 func (d *Digest) String() string { return hex.EncodeToString(d.sum.Sum(nil)) }
 
 // Check compares the digest with one in hex.
-func (d *Digest) Check(t testing.TB, wantHex string) {
-	t.Helper()
+func (d *Digest) Check(tb testing.TB, wantHex string) {
+	tb.Helper()
 	if got := d.String(); got != wantHex {
-		t.Errorf("digest %s, want %s", got, wantHex)
+		tb.Errorf("digest %s, want %s", got, wantHex)
 	}
 }
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -17,33 +17,33 @@
 )
 
 // Read returns the bytes of a file under testdata.
-func Read(t testing.TB, name string) []byte {
-	t.Helper()
+func Read(tb testing.TB, name string) []byte {
+	tb.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return content
 }
 
 // ReadHex returns the bytes that a file under testdata has in hex.
-func ReadHex(t testing.TB, name string) []byte {
-	t.Helper()
-	return decodeHex(t, strings.TrimSpace(string(Read(t, name))))
+func ReadHex(tb testing.TB, name string) []byte {
+	tb.Helper()
+	return decodeHex(tb, strings.TrimSpace(string(Read(tb, name))))
 }
 
 // ReadFolder returns the bytes of all files of a folder that the code under test wrote, in the
 // order of their names.
-func ReadFolder(t testing.TB, folder string) (all []byte) {
-	t.Helper()
+func ReadFolder(tb testing.TB, folder string) (all []byte) {
+	tb.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		all = append(all, content...)
 	}
@@ -51,51 +51,51 @@
 }
 
 // Check compares bytes with those of a file under testdata.
-func Check(t testing.TB, name string, got []byte) {
-	t.Helper()
-	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s differs (-want, +got):\n%s", name, cmp.Diff(string(want), string(got)))
+func Check(tb testing.TB, name string, got []byte) {
+	tb.Helper()
+	if want := Read(tb, name); !bytes.Equal(got, want) {
+		tb.Errorf("%s differs (-want, +got):\n%s", name, cmp.Diff(string(want), string(got)))
 	}
 }
 
 // CheckCBOR encodes a value, or a pointer to one, and compares the bytes with those in hex, which
 // must decode as the value.
-func CheckCBOR(t testing.TB, marshal func(any) ([]byte, error), value any, wantHex string) {
-	t.Helper()
+func CheckCBOR(tb testing.TB, marshal func(any) ([]byte, error), value any, wantHex string) {
+	tb.Helper()
 	if got, err := marshal(value); err != nil || hex.EncodeToString(got) != wantHex {
-		t.Errorf("encoded as %x, %v; want %s", got, err, wantHex)
+		tb.Errorf("encoded as %x, %v; want %s", got, err, wantHex)
 	}
 	decoded := reflect.New(reflect.TypeOf(value))
-	err := cbor.Unmarshal(decodeHex(t, wantHex), decoded.Interface())
+	err := cbor.Unmarshal(decodeHex(tb, wantHex), decoded.Interface())
 	if got := decoded.Elem().Interface(); err != nil || !reflect.DeepEqual(got, value) {
-		t.Errorf("decoded as %+v, %v; want %+v", got, err, value)
+		tb.Errorf("decoded as %+v, %v; want %+v", got, err, value)
 	}
 }
 
 // CheckStored holds the stored form of a value to bytes: the value is encoded as they are, they
 // decode as the value, and what they decode as is encoded as they are again.
 func CheckStored[T any](
-	t testing.TB, stored []byte, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error),
+	tb testing.TB, stored []byte, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error),
 ) {
-	t.Helper()
+	tb.Helper()
 	if got, err := encode(value); err != nil || !bytes.Equal(got, stored) {
-		t.Errorf("encoded as\n%x, %v; want\n%x", got, err, stored)
+		tb.Errorf("encoded as\n%x, %v; want\n%x", got, err, stored)
 	}
 	decoded, err := decode(stored)
 	if err != nil || !reflect.DeepEqual(decoded, value) {
-		t.Errorf("decoded as %+v, %v; want %+v", decoded, err, value)
+		tb.Errorf("decoded as %+v, %v; want %+v", decoded, err, value)
 		return
 	}
 	if again, err := encode(decoded); err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("encoded again as\n%x, %v; want\n%x", again, err, stored)
+		tb.Errorf("encoded again as\n%x, %v; want\n%x", again, err, stored)
 	}
 }
 
-func decodeHex(t testing.TB, text string) []byte {
-	t.Helper()
+func decodeHex(tb testing.TB, text string) []byte {
+	tb.Helper()
 	decoded, err := hex.DecodeString(text)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return decoded
 }
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -35,24 +35,24 @@
 		check func(testing.TB)
 		fails bool
 	}{
-		"same bytes":        {func(t testing.TB) { Check(t, "three.hex", []byte("0a0b0c\n")) }, false},
-		"another byte":      {func(t testing.TB) { Check(t, "three.hex", []byte("0a0b0d\n")) }, true},
-		"a byte too few":    {func(t testing.TB) { Check(t, "three.hex", []byte("0a0b0c")) }, true},
-		"same encoding":     {func(t testing.TB) { CheckCBOR(t, cbor.Marshal, pair{1, 2}, pairHex) }, false},
-		"same of a pointer": {func(t testing.TB) { CheckCBOR(t, cbor.Marshal, &pair{1, 2}, pairHex) }, false},
-		"another encoding":  {func(t testing.TB) { CheckCBOR(t, cbor.Marshal, pair{1, 3}, pairHex) }, true},
-		"an encoding fault": {func(t testing.TB) { CheckCBOR(t, func(any) ([]byte, error) { return nil, errBroken }, 1, "01") }, true},
-		"not what it reads": {func(t testing.TB) { CheckCBOR(t, func(any) ([]byte, error) { return []byte{1}, nil }, 2, "01") }, true},
-		"of another type":   {func(t testing.TB) { CheckCBOR(t, func(any) ([]byte, error) { return []byte{1}, nil }, "1", "01") }, true},
-		"null for a pointer": {func(t testing.TB) {
-			CheckCBOR(t, func(any) ([]byte, error) { return []byte{0xf6}, nil }, &pair{}, "f6")
+		"same bytes":        {func(tb testing.TB) { Check(tb, "three.hex", []byte("0a0b0c\n")) }, false},
+		"another byte":      {func(tb testing.TB) { Check(tb, "three.hex", []byte("0a0b0d\n")) }, true},
+		"a byte too few":    {func(tb testing.TB) { Check(tb, "three.hex", []byte("0a0b0c")) }, true},
+		"same encoding":     {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, pair{1, 2}, pairHex) }, false},
+		"same of a pointer": {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, &pair{1, 2}, pairHex) }, false},
+		"another encoding":  {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, pair{1, 3}, pairHex) }, true},
+		"an encoding fault": {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return nil, errBroken }, 1, "01") }, true},
+		"not what it reads": {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return []byte{1}, nil }, 2, "01") }, true},
+		"of another type":   {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return []byte{1}, nil }, "1", "01") }, true},
+		"null for a pointer": {func(tb testing.TB) {
+			CheckCBOR(tb, func(any) ([]byte, error) { return []byte{0xf6}, nil }, &pair{}, "f6")
 		}, true},
-		"stored":            {func(t testing.TB) { CheckStored(t, []byte("7"), 7, encode, decode) }, false},
-		"stored otherwise":  {func(t testing.TB) { CheckStored(t, []byte(" 7"), 7, encode, decode) }, true},
-		"another is stored": {func(t testing.TB) { CheckStored(t, []byte("8"), 7, encode, decode) }, true},
-		"stored damaged":    {func(t testing.TB) { CheckStored(t, []byte("x"), 7, encode, decode) }, true},
-		"read as another": {func(t testing.TB) {
-			CheckStored(t, []byte("7"), 7, encode, func([]byte) (int, error) { return 8, nil })
+		"stored":            {func(tb testing.TB) { CheckStored(tb, []byte("7"), 7, encode, decode) }, false},
+		"stored otherwise":  {func(tb testing.TB) { CheckStored(tb, []byte(" 7"), 7, encode, decode) }, true},
+		"another is stored": {func(tb testing.TB) { CheckStored(tb, []byte("8"), 7, encode, decode) }, true},
+		"stored damaged":    {func(tb testing.TB) { CheckStored(tb, []byte("x"), 7, encode, decode) }, true},
+		"read as another": {func(tb testing.TB) {
+			CheckStored(tb, []byte("7"), 7, encode, func([]byte) (int, error) { return 8, nil })
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
