--- a/internal/coordination/consensus/gatherer.go
+++ b/internal/coordination/consensus/gatherer.go
@@ -4,8 +4,8 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// exactCountsInterval is with how many messages to the leader exact counts are sent along: the log
-// takes them once a second.
+// exactCountsInterval is the number of messages to the leader from one that holds exact counts to
+// the next. At five messages a second that is one second, as often as the leader writes them.
 const exactCountsInterval = 5
 
 // Gatherer merges the digests that arrive at one voter: those of processes and, while the voter
@@ -17,8 +17,8 @@
 	processCounts *observation.Merger // digests of processes
 	voterCounts   *observation.Merger // sums that other voters forwarded in leaderTerm
 	exactCounts   *observation.Merger // exact counts from both
-	leaderTerm    uint64              // term in which this voter leads; 0: it doesn't
-	serial        uint64              // of the last digest for a leader
+	leaderTerm    uint64              // term in which this voter leads; 0: it does not lead
+	serial        uint64              // of the last digest for a leader; grows by one with each
 }
 
 // NewGatherer makes an empty gatherer for one incarnation of a voter.
@@ -53,13 +53,14 @@
 	}
 }
 
+// addExact merges the exact counts of a digest.
 func (g *Gatherer) addExact(d observation.Digest) {
 	g.exactCounts.Add(
 		observation.Digest{Process: d.Process, Incarnation: d.Incarnation, Serial: d.Serial, Exact: d.Exact},
 	)
 }
 
-// SetLeaderTerm sets the term in which this voter leads; 0: it doesn't. A new term starts with no
+// SetLeaderTerm sets the term in which this voter leads; 0: it does not lead. A new term starts with no
 // sums of other voters.
 func (g *Gatherer) SetLeaderTerm(term uint64) {
 	if term != g.leaderTerm {
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -12,6 +12,7 @@
 	"harrierhoist/internal/coordination"
 )
 
+// progress is what the leader knows of another member's log.
 type progress = tracker.Progress
 
 // membership is who the members are. It is part of the replicated state.
@@ -33,6 +34,7 @@
 	return m, err
 }
 
+// find returns the member of a number, and whether there is one.
 func (m *membership) find(number uint64) (coordination.Member, bool) {
 	i := slices.IndexFunc(m.Members, func(member coordination.Member) bool { return member.Number == number })
 	if i < 0 {
@@ -49,7 +51,8 @@
 	return !ok && number <= m.HighestNumber
 }
 
-// validate returns why a change is invalid.
+// validate decides whether a change may be made, and returns why not: a number is given only once,
+// and an address belongs to one member at a time.
 func (m *membership) validate(member coordination.Member, remove bool) error {
 	if remove {
 		return m.validateRemoval(member.Number)
@@ -67,6 +70,7 @@
 	return nil
 }
 
+// validateRemoval is validate for the removal of a member.
 func (m *membership) validateRemoval(number uint64) error {
 	if _, ok := m.find(number); !ok {
 		return fmt.Errorf("no member has number %d", number)
@@ -108,6 +112,13 @@
 	Remove bool                `cbor:"4,keyasint"`
 }
 
+// isChangePending decides whether a membership change has to wait: another one may not be applied
+// yet, of an earlier leader or of this one in this term. Raft would silently replace a second one by
+// an empty entry.
+func (n *Node) isChangePending() bool {
+	return !n.IsEstablishedLeader() || n.pendingChangeTerm == n.appliedTerm
+}
+
 // ChangeMembership proposes to add a member, or to remove the one with that number, and returns the
 // sequence number under which Advance returns the outcome. Errors: ErrNotLeader, ErrChangePending,
 // or why the change is invalid.
@@ -115,9 +126,7 @@
 	if !n.IsLeader() {
 		return 0, coordination.ErrNotLeader
 	}
-	// The library silently replaces a change that comes too early by an empty entry. One may be
-	// pending from an earlier leader or from this one.
-	if !n.IsEstablishedLeader() || n.pendingChangeTerm == n.appliedTerm {
+	if n.isChangePending() {
 		return 0, ErrChangePending
 	}
 	if err := n.membership.validate(member, remove); err != nil {
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -1,7 +1,8 @@
 // Package consensus is one voter of the replicated log without its surroundings: the Raft
 // implementation of go.etcd.io/raft/v3, the state machine that the log drives, and the membership.
 // It has no disk, socket, clock or goroutine of its own: ticks, messages and calls come in as
-// method calls; records to write, messages to send and results come out. The same calls with the
+// method calls; records to write, messages to send and results come out. Package voter calls it
+// with a real clock and disk, the simulation of voters in virtual time. The same calls with the
 // same seed give the same output.
 package consensus
 
@@ -22,16 +23,18 @@
 
 // Timing of the Raft protocol, in ticks. The host decides how long a tick lasts.
 const (
-	heartbeatTicks       = 2  // two heartbeats fit into the time for which votes are refused, with room for a lost one
-	minElectionTicks     = 10 // shortest time without a message of the leader before another voter can be elected
-	snapshotTimeoutTicks = 40 // a snapshot that was not acknowledged by then counts as lost
+	heartbeatTicks = 2 // between two heartbeats of the leader
+	// minElectionTicks is the shortest time without a message of the leader before another voter
+	// can be elected. The drawn timeouts are from that to one tick below twice that.
+	minElectionTicks     = 10
+	snapshotTimeoutTicks = 40 // after which a snapshot that was not acknowledged counts as lost
 )
 
 // Limits of what is sent and accepted.
 const (
-	maxMessageBytes     = 1 << 20 // entries in one message; below the transport's limit for a body
+	maxMessageBytes     = 1 << 20 // of entries in one message
 	maxInflightMessages = 64      // messages sent to one voter before its acknowledgments are awaited
-	maxUncommittedBytes = 8 << 20 // proposals that are not yet committed; beyond it new ones are rejected
+	maxUncommittedBytes = 8 << 20 // of proposals that are not yet committed; beyond it new ones are rejected
 )
 
 // sequenceBits is the lower part of a call's sequence number, which counts the calls of one start.
@@ -58,19 +61,19 @@
 	raftNode *raft.RawNode
 	storage  *raft.MemoryStorage // mirrors what is on disk
 
-	// What the applied part of the log amounts to.
+	// These four are the result of all log entries up to appliedIndex, and of no later one.
 	state        *statemachine.State
 	membership   membership
-	confState    *raftpb.ConfState
-	appliedIndex uint64
-	appliedTerm  uint64 // of the last entry applied
+	confState    *raftpb.ConfState // the members' numbers, in Raft's type
+	appliedIndex uint64            // of the last entry applied
+	appliedTerm  uint64            // of the last entry applied
 
 	pendingChangeTerm  uint64          // term of a proposed membership change that is not yet applied; 0: none
 	lastSeq            uint64          // of calls; grows over incarnations, as their count is its upper half
-	ticksWithoutLeader int             // since a message of the leader arrived or a vote was given
-	electionTimeout    int             // value of ticksWithoutLeader at which this voter stands for election
-	snapshotAge        map[uint64]int  // ticks since a snapshot was sent, by the receiver's number
-	peers              map[uint64]peer // as last heard from, by number
+	ticksWithoutLeader int             // since a message of the leader arrived, or the term or the vote changed
+	electionTimeout    int             // ticksWithoutLeader at which this voter stands for election
+	snapshotAge        map[uint64]int  // ticks since an unacknowledged snapshot was sent, by receiver
+	peers              map[uint64]peer // voters as they last identified themselves in an accepted message, by number
 }
 
 var encMode = func() cbor.EncMode {
@@ -81,7 +84,7 @@
 	return m
 }()
 
-// discardLogger drops the library's log: whatever operators must know is returned as an error or is
+// discardLogger drops the library's log: what operators must know is returned as an error or is
 // part of Status.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
@@ -132,6 +135,9 @@
 	return n, nil
 }
 
+// raftConfig returns the protocol's settings. With CheckQuorum a leader that hears from no majority
+// for minElectionTicks loses the lead; with PreVote a voter that was cut off does not disturb the
+// others when it is back. ReadOnlySafe has a majority confirm each read.
 func (n *Node) raftConfig() *raft.Config {
 	return &raft.Config{
 		ID:                        n.self.Number,
@@ -151,43 +157,6 @@
 	}
 }
 
-// resetElectionTimer draws a new election timeout. The library would draw one itself, but from a
-// source that cannot be seeded; so the node counts the ticks of a voter that does not lead.
-func (n *Node) resetElectionTimer() {
-	n.ticksWithoutLeader = 0
-	n.electionTimeout = minElectionTicks + n.rng.IntN(minElectionTicks)
-}
-
-// Tick advances the node's time by one tick.
-func (n *Node) Tick() {
-	if n.IsLeader() {
-		n.raftNode.Tick()
-		n.expireSnapshots()
-		return
-	}
-	clear(n.snapshotAge)
-	// TickQuiesced only counts the time for which votes are refused; it draws nothing. It is marked
-	// as deprecated, but the library has no other way to leave the drawing to its user.
-	n.raftNode.TickQuiesced()
-	n.ticksWithoutLeader++
-	if n.ticksWithoutLeader >= n.electionTimeout {
-		n.resetElectionTimer()
-		_ = n.raftNode.Campaign() // fails on a node that is not a member, which must not campaign
-	}
-}
-
-// expireSnapshots ends the wait for snapshots that were not acknowledged in time, so that they are
-// sent again.
-func (n *Node) expireSnapshots() {
-	for id := range n.snapshotAge {
-		n.snapshotAge[id]++
-		if n.snapshotAge[id] >= snapshotTimeoutTicks {
-			delete(n.snapshotAge, id)
-			n.raftNode.ReportSnapshot(id, raft.SnapshotFinish)
-		}
-	}
-}
-
 // IsLeader reports whether this voter leads, as far as it knows.
 func (n *Node) IsLeader() bool { return n.raftNode.BasicStatus().RaftState == raft.StateLeader }
 
@@ -221,19 +190,3 @@
 		Members: n.membership.list(),
 	}
 }
-
-// TransferLeadership hands the leadership to the member whose log is the longest, before a planned
-// shutdown.
-func (n *Node) TransferLeadership() {
-	best := uint64(0)
-	match := uint64(0)
-	n.raftNode.WithProgress(func(id uint64, _ raft.ProgressType, p progress) {
-		if id != n.self.Number && p.Match > match {
-			best = id
-			match = p.Match
-		}
-	})
-	if best != 0 && n.IsLeader() {
-		n.raftNode.TransferLeader(best)
-	}
-}
--- a/internal/coordination/consensus/peer.go
+++ b/internal/coordination/consensus/peer.go
@@ -15,15 +15,16 @@
 	incarnation Incarnation
 }
 
-// checkSender rejects a sender that is not who it claims to be: one whose disk was emptied, copied
-// or restored from an older copy, or one of another installation. A member that is rejected for
-// this has to come back under a new number.
+// checkSender decides whether a message of another voter is rejected: its sender is not who it
+// claims to be, is of another installation, was removed, or has lost votes that it gave, as its disk
+// was emptied, copied or restored. Such a member has to come back under a new number.
 func (n *Node) checkSender(received envelope) error {
 	from := received.From.Number
 	if from == 0 || from >= numberLimit || from == n.self.Number {
 		return fmt.Errorf("%w: it claims to be number %d", ErrRejected, from)
 	}
-	if received.ClusterID != 0 && n.membership.ClusterID != 0 && received.ClusterID != n.membership.ClusterID {
+	bothInCluster := received.ClusterID != 0 && n.membership.ClusterID != 0
+	if bothInCluster && received.ClusterID != n.membership.ClusterID {
 		return fmt.Errorf("%w: number %d is of another log", ErrRejected, from)
 	}
 	if n.membership.wasRemoved(from) {
@@ -42,9 +43,9 @@
 	from := received.From.Number
 	previous := n.peers[from]
 	member, _ := n.membership.find(from)
+	isOtherDisk := func(known string) bool { return known != "" && known != received.From.DiskID }
 	switch {
-	case member.DiskID != "" && member.DiskID != received.From.DiskID,
-		previous.DiskID != "" && previous.DiskID != received.From.DiskID:
+	case isOtherDisk(member.DiskID), isOtherDisk(previous.DiskID):
 		return fmt.Errorf("%w: number %d came with another disk", ErrRejected, from)
 	case received.Incarnation.Count < previous.incarnation.Count:
 		return fmt.Errorf("%w: number %d came with an earlier incarnation of its disk", ErrRejected, from)
--- a/internal/coordination/consensus/propose.go
+++ b/internal/coordination/consensus/propose.go
@@ -15,6 +15,9 @@
 	Disk    *coordination.Member  `cbor:"4,keyasint,omitempty"` // Number and DiskID: binds the number to the disk
 }
 
+// propose has the leader append an entry to the log, and returns its sequence number. Raft rejects
+// it where this voter does not lead, where it is handing over the lead, or where more than
+// maxUncommittedBytes are not committed yet.
 func (n *Node) propose(entry logEntry) (uint64, error) {
 	n.lastSeq++
 	entry.Seq = n.lastSeq
@@ -55,9 +58,9 @@
 	}
 }
 
-// RequestReadIndex asks a majority whether this voter is up to date and returns the sequence number
-// under which Advance returns the index to wait for. A request may be lost; the caller then makes
-// another one.
+// RequestReadIndex has a majority confirm who leads, and returns the sequence number under which
+// Advance returns the index up to which this voter must have applied the log to be no older than
+// the call. A request may be lost; the caller then makes another one.
 func (n *Node) RequestReadIndex() uint64 {
 	n.lastSeq++
 	n.raftNode.ReadIndex(encodeReadContext(n.self.Number, n.lastSeq))
--- a/internal/coordination/consensus/read_queue.go
+++ b/internal/coordination/consensus/read_queue.go
@@ -19,15 +19,64 @@
 	// IsCanceled reports that nobody waits for the response any more; nil: somebody always does.
 	IsCanceled func() bool
 
-	confirmed  bool   // a majority confirmed this voter's state since the read arrived
-	requestSeq uint64 // of the read index request that it waits for; 0: none
-	final      bool   // that request was made after the deadline
+	confirmation confirmation
+	requestSeq   uint64       // of the read index request that it waits for; 0: none
+	requested    confirmation // what the answer to that request makes of it
 }
 
+// confirmation is what a majority confirmed for a pending read.
+type confirmation uint8
+
+const (
+	// unconfirmed: nothing since the read arrived. It must not be answered.
+	unconfirmed confirmation = iota
+	// confirmed: this voter's state since the read arrived. The next change answers the read.
+	confirmed
+	// confirmedAfterDeadline: the state at the end of its wait. The read is answered, changed or not.
+	confirmedAfterDeadline
+)
+
 // needsRequest reports whether the read has to wait for a read index request that is yet to be
 // made.
 func (r *PendingRead) needsRequest(now time.Duration) bool {
-	return r.requestSeq == 0 && (!r.confirmed || now >= r.Deadline)
+	return r.requestSeq == 0 && (r.confirmation == unconfirmed || now >= r.Deadline)
+}
+
+// awaitRequest has the read wait for the request that is made now.
+func (r *PendingRead) awaitRequest(seq uint64, now time.Duration) {
+	r.requestSeq = seq
+	r.requested = confirmed
+	if now >= r.Deadline {
+		r.requested = confirmedAfterDeadline
+	}
+}
+
+// confirm takes notice that the request which the read waited for was answered.
+func (r *PendingRead) confirm() {
+	r.requestSeq = 0
+	r.confirmation = r.requested
+}
+
+// readIndexRequest is a queue's request to the majority. The zero value stands for none.
+type readIndexRequest struct {
+	seq            uint64
+	sentAt         time.Duration
+	confirmedIndex uint64 // to be applied before reads are answered; 0: not answered yet
+}
+
+func (r readIndexRequest) isPending() bool { return r.seq != 0 }
+
+// isLost decides whether a pending request is made again: it was not answered in time.
+func (r readIndexRequest) isLost(now time.Duration) bool {
+	isUnanswered := r.isPending() && r.confirmedIndex == 0
+	return isUnanswered && now-r.sentAt > readIndexTimeout
+}
+
+// isComplete decides whether the reads that wait for the request are confirmed: it was answered, and
+// this voter has applied the log up to the index of the answer.
+func (r readIndexRequest) isComplete(appliedIndex uint64) bool {
+	isAnswered := r.isPending() && r.confirmedIndex > 0
+	return isAnswered && appliedIndex >= r.confirmedIndex
 }
 
 // ReadQueue holds the pending reads of one voter. Those that arrive while a read index request is
@@ -35,11 +84,9 @@
 // arrival, so a voter that is cut off from the others answers none. It is not safe for concurrent
 // use.
 type ReadQueue struct {
-	node           *Node
-	pending        []*PendingRead
-	requestSeq     uint64 // of the request on its way; 0: none
-	requestedAt    time.Duration
-	confirmedIndex uint64 // to be applied before reads are answered; 0: the request is not answered yet
+	node    *Node
+	pending []*PendingRead   // in the order of their arrival
+	request readIndexRequest // on its way, for all reads that wait for its sequence number
 }
 
 // NewReadQueue makes an empty queue of reads from a node.
@@ -54,16 +101,13 @@
 // requestReadIndex makes a request if a read needs one and none is on its way.
 func (q *ReadQueue) requestReadIndex(now time.Duration) {
 	needed := func(read *PendingRead) bool { return read.needsRequest(now) }
-	if q.requestSeq != 0 || q.node.Leader() == 0 || !slices.ContainsFunc(q.pending, needed) {
+	if q.request.isPending() || q.node.Leader() == 0 || !slices.ContainsFunc(q.pending, needed) {
 		return
 	}
-	q.requestSeq = q.node.RequestReadIndex()
-	q.requestedAt = now
-	q.confirmedIndex = 0
+	q.request = readIndexRequest{seq: q.node.RequestReadIndex(), sentAt: now}
 	for _, read := range q.pending {
 		if needed(read) {
-			read.requestSeq = q.requestSeq
-			read.final = now >= read.Deadline
+			read.awaitRequest(q.request.seq, now)
 		}
 	}
 }
@@ -74,8 +118,8 @@
 	q.pending = slices.DeleteFunc(q.pending, func(read *PendingRead) bool {
 		return read.IsCanceled != nil && read.IsCanceled()
 	})
-	if q.requestSeq != 0 && q.confirmedIndex == 0 && now-q.requestedAt > readIndexTimeout {
-		q.requestSeq = 0
+	if q.request.isLost(now) {
+		q.request = readIndexRequest{}
 		for _, read := range q.pending {
 			read.requestSeq = 0
 		}
@@ -86,14 +130,14 @@
 // HandleApplied answers the reads that can be answered after Node.Advance.
 func (q *ReadQueue) HandleApplied(applied AppliedResult, now time.Duration) {
 	for _, readIndex := range applied.ReadIndexes {
-		if readIndex.Seq == q.requestSeq {
-			q.confirmedIndex = max(readIndex.Index, 1)
+		if readIndex.Seq == q.request.seq {
+			q.request.confirmedIndex = max(readIndex.Index, 1)
 		}
 	}
 	completed := uint64(0) // the request whose index is applied now; 0: none
-	if q.requestSeq != 0 && q.confirmedIndex > 0 && q.node.AppliedIndex() >= q.confirmedIndex {
-		completed = q.requestSeq
-		q.requestSeq = 0
+	if q.request.isComplete(q.node.AppliedIndex()) {
+		completed = q.request.seq
+		q.request = readIndexRequest{}
 	}
 	if completed == 0 && !applied.StateChanged {
 		return
@@ -102,19 +146,17 @@
 	q.requestReadIndex(now)
 }
 
-// answer responds to a read if it can, and reports whether it did.
+// answer responds to a read if it can, and reports whether it did. completed is the sequence number
+// of the request that was just completed; 0: none.
 func (q *ReadQueue) answer(read *PendingRead, completed uint64) bool {
-	expired := false
 	if completed != 0 && read.requestSeq == completed {
-		read.confirmed = true
-		read.requestSeq = 0
-		expired = read.final
+		read.confirm()
 	}
-	if !read.confirmed {
+	if read.confirmation == unconfirmed {
 		return false
 	}
 	changed := q.node.State().ChangedSince(read.KnownEpochs)
-	if len(changed) == 0 && !expired {
+	if len(changed) == 0 && read.confirmation != confirmedAfterDeadline {
 		return false
 	}
 	read.Respond(changed)
--- a/internal/coordination/consensus/snapshot.go
+++ b/internal/coordination/consensus/snapshot.go
@@ -35,6 +35,7 @@
 	return newSnapshot(data, s.node.confState, s.node.appliedIndex, s.node.appliedTerm), err
 }
 
+// newSnapshot returns a snapshot of what is applied up to an index.
 func newSnapshot(data []byte, confState *raftpb.ConfState, index, term uint64) *raftpb.Snapshot {
 	return &raftpb.Snapshot{
 		Data:     data,
--- a/internal/coordination/voter/calls.go
+++ b/internal/coordination/voter/calls.go
@@ -77,6 +77,7 @@
 	return err
 }
 
+// proposeAndWait has the event loop propose something, and waits for the outcome.
 func (v *Voter) proposeAndWait(ctx context.Context,
 	propose func(*consensus.Node) (uint64, error),
 ) (statemachine.Result, error) {
@@ -85,7 +86,7 @@
 		if errors.Is(err, coordination.ErrStopped) {
 			return statemachine.Result{}, err
 		}
-		return statemachine.Result{}, coordination.ErrNotLeader // the event loop did not even see it
+		return statemachine.Result{}, coordination.ErrNotLeader // the context ended before the event loop took it
 	}
 	select {
 	case outcome := <-done:
--- a/internal/coordination/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -11,6 +11,9 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
+// decimal is the base of an incarnation's number in the names of exact counts.
+const decimal = 10
+
 // processStart is the origin of the controllers' and reads' clock; it is monotonic.
 var processStart = time.Now()
 
@@ -25,8 +28,8 @@
 	digests  *digestStore
 	propose  func(context.Context, statemachine.Command) (statemachine.Result, error)
 
-	lastNumber         uint64    // of the latest command
-	exactCountsWritten time.Time // when they were last compared with the log
+	lastNumber         uint64    // number of the latest command; it grows by one with each
+	exactCountsWritten time.Time // when the exact counts were last compared with the log
 
 	mu          sync.Mutex // guards controllers
 	controllers []coordination.Controller
@@ -67,8 +70,8 @@
 	}
 }
 
-// input is what the controllers go by, or false: this voter doesn't lead, or doesn't know yet all
-// that was acknowledged.
+// input returns what the controllers decide by and the time of their clock. ok is false where they
+// must not run: this voter does not lead, or has not applied yet all that was ever acknowledged.
 func (r *controllerRunner) input(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
 	type leadership struct {
 		sums  map[string]uint64
@@ -88,8 +91,7 @@
 		Sums:         leads.sums,
 		LeadingSince: leads.since,
 		Totals: func(table string) map[string]uint64 {
-			// Where the voter has stopped there are none; nothing decided by them can be written
-			// any more.
+			// Of a voter that has stopped there are none. No decision by them can be written then.
 			totals, _ := ask(
 				ctx,
 				r.mailbox,
@@ -108,6 +110,7 @@
 	}, elapsed(), true
 }
 
+// runControllers asks each controller for the next value of its table, and writes it.
 func (r *controllerRunner) runControllers(ctx context.Context, now time.Duration, input coordination.ControllerInput) {
 	for _, controller := range r.current() {
 		current := input.Table(controller.Table())
@@ -123,7 +126,7 @@
 	}
 }
 
-// write proposes a command once. Its error does not matter: where the write is lost or comes too
+// write proposes a command once. Its outcome does not matter: where the write is lost or comes too
 // late, the controllers run again with what the table then holds.
 func (r *controllerRunner) write(ctx context.Context, command statemachine.Command) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -131,13 +134,13 @@
 	_, _ = r.propose(ctx, command)
 }
 
-// writeExactCounts writes the exact counts that are beyond those in the log, whichever leader wrote
-// these.
+// writeExactCounts writes the exact counts that are higher than the written ones, which are those
+// in the log. Earlier leaders may have written them.
 func (r *controllerRunner) writeExactCounts(ctx context.Context, written map[string]uint64) {
 	grown := map[string]uint64{}
 	for _, digest := range r.digests.exactCounts() {
 		for name, count := range digest.Exact {
-			full := observation.JoinName(digest.Process, strconv.FormatUint(digest.Incarnation, 10), name)
+			full := observation.JoinName(digest.Process, strconv.FormatUint(digest.Incarnation, decimal), name)
 			if count > written[full] {
 				grown[full] = count
 			}
--- a/internal/coordination/voter/digests.go
+++ b/internal/coordination/voter/digests.go
@@ -7,10 +7,11 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// digestStore makes the voter's gatherer safe for concurrent use: processes add digests to it, the event loop adds those
-// of other voters and forwards what was merged, and the controllers read the sums.
+// digestStore makes the voter's gatherer safe for concurrent use: processes add digests to it, the
+// event loop adds those of other voters and forwards what was merged, and the controllers read the
+// sums.
 type digestStore struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards gatherer
 	gatherer *consensus.Gatherer
 }
 
--- a/internal/coordination/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/coordination/wal"
 )
 
-// maxLoggedRejections is how many reasons to reject a message are logged: a faulty sender must not
-// fill the log.
+// maxLoggedRejections is how many different reasons to reject a message are logged, each once: a
+// faulty sender must not fill the process's log.
 const maxLoggedRejections = 16
 
 // eventLoop owns the consensus node, the writes to the log and all calls that wait. One goroutine
@@ -29,13 +29,15 @@
 	send      func(to coordination.Member, message []byte)
 	logger    *zap.Logger
 
-	pendingProposals map[uint64]chan consensus.Outcome // also membership changes; by the node's sequence number
+	// pendingProposals are the proposals and membership changes whose outcome is not known yet, by
+	// the node's sequence number. Each ends once it is applied, or when leadTerm changes.
+	pendingProposals map[uint64]chan consensus.Outcome
 	pendingReads     *consensus.ReadQueue
-	leadTerm         uint64        // the term that this voter leads in; 0: none
-	leadSince        time.Duration // when that term was first seen, on the clock of elapsed
-	loggedLeader     uint64
-	loggedRejections map[string]bool
-	compactAt        int64 // bytes of log at which it is rewritten next
+	leadTerm         uint64          // the term that this voter leads in; 0: it does not lead
+	leadSince        time.Duration   // when leadTerm last changed, on the clock of elapsed
+	loggedLeader     uint64          // number of the leader that was logged last
+	loggedRejections map[string]bool // reasons to reject a message that were logged
+	compactAt        int64           // bytes of log at which it is rewritten next
 }
 
 func newEventLoop(v *Voter, node *consensus.Node, options Options) *eventLoop {
@@ -55,9 +57,8 @@
 	}
 }
 
-// run works until the voter is stopped or its log fails. A voter that cannot write is as good as
-// dead to the others, and must be: what it would go on to acknowledge might not be there after the
-// next start.
+// run works until the voter is closed, or stops for good because its log or the consensus node
+// failed: what it acknowledged after a failed write might be missing at the next start.
 func (l *eventLoop) run() {
 	defer close(l.mailbox.stopped)
 	ticker := time.NewTicker(tickInterval)
@@ -75,11 +76,12 @@
 	}
 }
 
-// handleNextEvent does what the consensus node has ready, and then waits for the next event.
+// handleNextEvent does what the consensus node has ready, and then waits for the next event. stop
+// reports that the voter is closed; an error ends it for good.
 func (l *eventLoop) handleNextEvent(ticks, forward <-chan time.Time) (stop bool, err error) {
 	defer func() {
-		// The raft library panics on what must never be, such as entries that others know this log
-		// had and that are gone.
+		// The Raft library panics on a state that must never occur, such as a log that lacks
+		// entries which the other voters know that it had.
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", consensus.ErrCorrupt, p)
 		}
@@ -94,7 +96,9 @@
 		call(l)
 		l.drainCalls()
 	case <-ticks:
-		l.drainCalls() // what came while the process was suspended or wrote counts before the time that passed
+		// The leader's messages that came while this process was suspended, or wrote to its disk,
+		// are handled first: the time that passed since then starts no election.
+		l.drainCalls()
 		l.consensus.Tick()
 		l.pendingReads.Tick(elapsed())
 	case <-forward:
@@ -152,27 +156,7 @@
 	}
 }
 
-// compactLog rewrites the log from a snapshot once it is long.
-func (l *eventLoop) compactLog() error {
-	if l.storage.Size() < l.compactAt {
-		return nil
-	}
-	if err := l.consensus.Compact(retainedEntries); err != nil {
-		return err
-	}
-	checkpoint, err := l.consensus.Checkpoint()
-	if err != nil {
-		return err
-	}
-	if err := l.storage.Rewrite(checkpoint); err != nil {
-		return err
-	}
-	l.compactAt = max(minCompactBytes, 2*l.storage.Size()) // a large state is not rewritten after every event
-	return nil
-}
-
-// publishStatus makes the node's status known to callers. With a new term, or without the lead, the
-// outcome of proposals that wait is not known.
+// publishStatus makes the node's status known to callers, and notices where the lead has changed.
 func (l *eventLoop) publishStatus() {
 	status := l.consensus.Status()
 	leadTerm := uint64(0)
@@ -182,12 +166,7 @@
 	l.status.Store(&status)
 	l.digests.setLeaderTerm(leadTerm)
 	if leadTerm != l.leadTerm {
-		l.leadTerm = leadTerm
-		l.leadSince = elapsed()
-		for seq, done := range l.pendingProposals {
-			done <- consensus.Outcome{Err: coordination.ErrOutcomeUnknown}
-			delete(l.pendingProposals, seq)
-		}
+		l.changeLeadTerm(leadTerm)
 	}
 	if status.Leader != l.loggedLeader && status.Leader != 0 {
 		l.loggedLeader = status.Leader
@@ -195,6 +174,18 @@
 	}
 }
 
+// changeLeadTerm takes notice that this voter leads in a new term, or lost the lead (0). Proposals
+// of the term before end with ErrOutcomeUnknown: the next leader may commit them or not.
+func (l *eventLoop) changeLeadTerm(term uint64) {
+	l.leadTerm = term
+	l.leadSince = elapsed()
+	for seq, done := range l.pendingProposals {
+		done <- consensus.Outcome{Err: coordination.ErrOutcomeUnknown}
+		delete(l.pendingProposals, seq)
+	}
+}
+
+// propose has the node propose something, and done receive the outcome once that is known.
 func (l *eventLoop) propose(propose func(*consensus.Node) (uint64, error), done chan consensus.Outcome) {
 	seq, err := propose(l.consensus)
 	if err != nil {
@@ -215,12 +206,11 @@
 	l.pendingReads.HandleApplied(applied, elapsed())
 }
 
-// handleMessage hands a message of another voter to the consensus node. A rejection is logged once
-// for each reason, as it comes again with each message.
+// handleMessage hands a message of another voter to the consensus node, and what it reports of the
+// processes to the digest store.
 func (l *eventLoop) handleMessage(message []byte) error {
 	digests, err := l.consensus.HandleMessage(message)
-	if errors.Is(err, consensus.ErrRejected) && !l.loggedRejections[err.Error()] &&
-		len(l.loggedRejections) < maxLoggedRejections {
+	if errors.Is(err, consensus.ErrRejected) && l.shouldLogRejection(err.Error()) {
 		l.loggedRejections[err.Error()] = true
 		l.logger.Warn("voter: message rejected", zap.Error(err))
 	}
@@ -228,13 +218,19 @@
 	return err
 }
 
+// shouldLogRejection decides whether the log gets a line for the reason of a rejection: the first
+// time only, as the same sender is rejected again at each message.
+func (l *eventLoop) shouldLogRejection(reason string) bool {
+	return !l.loggedRejections[reason] && len(l.loggedRejections) < maxLoggedRejections
+}
+
 // forwardDigests sends the leader what was merged here.
 func (l *eventLoop) forwardDigests() {
 	status := l.consensus.Status()
 	if status.Leader == 0 || status.Leader == status.Number {
 		return
 	}
-	// A message that cannot be made now is made anew at the next turn, with all that this one had.
+	// Where no message can be made now, the next one holds all that this one would have held.
 	if message, ok, err := l.consensus.DigestMessage(l.digests.forLeader(status.Term)); ok && err == nil {
 		l.send(message.To, message.Body)
 	}
--- a/internal/coordination/voter/voter.go
+++ b/internal/coordination/voter/voter.go
@@ -1,6 +1,7 @@
 // Package voter runs one voter of the coordination group: it drives the consensus node with a
 // clock, the write-ahead log and the messages of the other voters, runs the controllers while this
-// voter leads, and answers callers.
+// voter leads, and answers callers. Package node opens it in each process that is a voter; that
+// process's server and follower call it.
 package voter
 
 import (
@@ -21,8 +22,7 @@
 // Intervals and timeouts of a voter.
 const (
 	// tickInterval is the consensus node's tick: heartbeats go out every 50 ms and an election
-	// starts after 250 to 500 ms without one. A leader is replaced well within the 2 s that a
-	// table's lease lasts.
+	// starts after 250 to 475 ms without one.
 	tickInterval = 25 * time.Millisecond
 	// forwardInterval is how often merged digests are sent to the leader.
 	forwardInterval = 200 * time.Millisecond
@@ -30,16 +30,19 @@
 	controlInterval = 100 * time.Millisecond
 	// writeTimeout is how long a controller's write is waited for before the controllers run again.
 	writeTimeout = time.Second
-	// exactCountsInterval is how often exact counts are written to the log, at most.
+	// exactCountsInterval is the shortest time between two writes of exact counts to the log.
 	exactCountsInterval = time.Second
+	// transferPollInterval is how often a planned end looks whether another voter leads.
+	transferPollInterval = 2 * tickInterval
 )
 
 // Sizes of a voter.
 const (
-	mailboxSize     = 1024    // queued calls; beyond them messages of other voters are dropped
+	mailboxSize     = 1024    // calls that wait for the event loop; beyond them a caller waits to hand its own over
 	maxCallsPerSync = 256     // calls handled before their records are written: one sync for all of them
-	minCompactBytes = 8 << 20 // size of the log at which it is first rewritten from a snapshot
-	retainedEntries = 1024    // entries kept behind the snapshot for voters that lag: about the last minutes
+	minCompactBytes = 8 << 20 // bytes of log below which it is never rewritten from a snapshot
+	compactGrowth   = 2       // factor by which the log grows over its last snapshot before it is rewritten again
+	retainedEntries = 1024    // log entries kept behind the snapshot for voters that lag
 )
 
 // ExactTable is the table of exact counts; its totals are named by process, incarnation (decimal)
@@ -55,7 +58,7 @@
 	// Where they carry disk IDs, no other disk is ever accepted in their place. None: the voter
 	// waits until a leader adds it.
 	InitialMembers []coordination.Member
-	// Log stays the caller's, to be closed after Close.
+	// Log remains the caller's, who closes it after Voter.Close.
 	Log *wal.Log
 	// Controllers run while this voter leads.
 	Controllers []coordination.Controller
@@ -183,7 +186,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(2 * tickInterval):
+		case <-time.After(transferPollInterval):
 		}
 	}
 }
--- a/internal/coordination/wal/write.go
+++ b/internal/coordination/wal/write.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Append appends a record and returns once it is on disk. Error: ErrWriteFailed, and from then on
-// at every call.
+// Append appends a record and returns once it is on disk. After ErrWriteFailed every later call
+// fails too.
 func (l *Log) Append(record []byte) error {
 	if l.failure != nil {
 		return l.failure
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// Rewrite replaces all records by one. Error: ErrWriteFailed, and from then on at every call.
+// Rewrite replaces all records by one and returns once that is on disk. After ErrWriteFailed every
+// later call fails too.
 func (l *Log) Rewrite(record []byte) error { return l.replaceLog([][]byte{record}) }
 
 // replaceLog writes a new log to another file, and puts that in place of the old one once it is
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// fail has all later writes fail.
+// fail records a failure, so that all later writes fail, and returns it.
 func (l *Log) fail(err error) error {
 	l.failure = fmt.Errorf("%w: %w", ErrWriteFailed, err)
 	return l.failure
