--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -1,6 +1,7 @@
 // Package config reads the operators' file of the coordination (RELAY_COMMON): who this process is,
-// which processes are voters, and the settings of each part that is decided in common. Where no
-// file is named, none of it starts.
+// which processes are voters, and the settings of each part that is decided in common. Package node
+// reads it at the start and at each reload. Where no file is named, no part of the coordination
+// starts.
 package config
 
 import (
@@ -18,14 +19,14 @@
 	Voters  []Voter `toml:"voter"`
 	Timing  Timing  `toml:"timing"`
 
-	// The parts, each a table with its settings; one that is left out is off. A part adds a line
+	// The parts, each a table with its settings; one that is left out is off. A new part adds a line
 	// here and in Parts.
 	Failover   *failover.Settings   `toml:"failover"`
 	Counting   *countingrule.Config `toml:"counting"`
 	Settlement *settlement.Terms    `toml:"debts"`
 }
 
-// Part is a part's own table. The errors of Check name the key and what is allowed.
+// Part is the settings of a part. The errors of Check name the key and what is allowed.
 type Part interface{ Check() []error }
 
 // Process is who this process is.
@@ -52,7 +53,7 @@
 	ReplacesNumber uint64 `toml:"replaces"`
 }
 
-// Timing is how often processes talk. It is the same in all files of one installation.
+// Timing is the lease and the interval of digests. It is the same in all files of one installation.
 type Timing struct {
 	// Lease is how long a table may be used, from the sending of the read that confirmed it.
 	Lease          Duration `toml:"lease"`
@@ -61,21 +62,21 @@
 
 // Defaults and bounds of the lease.
 const (
-	defaultLease = 2 * time.Second        // the loss of a zone is to be acted on everywhere within about that
-	minLease     = 500 * time.Millisecond // shorter, one lost message ends it
-	maxLease     = 30 * time.Second       // longer, an isolated process acts on what is long past
+	defaultLease = 2 * time.Second
+	minLease     = 500 * time.Millisecond
+	maxLease     = 30 * time.Second
 )
 
 // Defaults and bounds of the interval between digests.
 const (
 	defaultDigestInterval = 200 * time.Millisecond
-	minDigestInterval     = 50 * time.Millisecond // more often, 3,000 processes are a burden to the voters
-	maxDigestInterval     = 5 * time.Second       // less often, controllers see too late
+	minDigestInterval     = 50 * time.Millisecond
+	maxDigestInterval     = 5 * time.Second
 )
 
 // Defaults and bounds of a voter's connections.
 const (
-	defaultConnections = 1024 // 300 processes on one voter, with room
+	defaultConnections = 1024
 	minConnections     = 16
 	maxConnections     = 65536
 )
@@ -83,11 +84,11 @@
 // Duration is a length of time in the file: "200ms", "2s".
 type Duration struct {
 	time.Duration
-	invalid string // the text in the file where it is no duration; a bare number is none, as it has no unit
+	invalid string // the file's text where it is not a duration, as a number without a unit; else empty
 }
 
-// UnmarshalText reads a length of time as Go writes it. What is none is reported with all else that
-// is wrong.
+// UnmarshalText reads a length of time as Go writes it. It returns no error for other text: that is
+// reported by validate, with all other faults.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	d.Duration = parsed
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// newConfig has the values of what a file leaves out.
+// newConfig returns the values of the keys that a file leaves out.
 func newConfig() *Config {
 	terms := settlement.DefaultTerms()
 	return &Config{
@@ -111,7 +112,7 @@
 	}
 }
 
-// Parts are the parts' own tables that the file has, by the table's key.
+// Parts returns the settings of the parts that the file has, by the table's key.
 func (c *Config) Parts() map[string]Part {
 	parts := map[string]Part{}
 	if c.Failover != nil {
@@ -132,7 +133,7 @@
 // SettlementEnabled reports whether debts between partners are counted and settled.
 func (c *Config) SettlementEnabled() bool { return c.Settlement != nil && c.Settlement.On }
 
-// Self is the entry of this process among the voters, nil where it is none.
+// Self returns the entry of this process among the voters, nil where it is no voter.
 func (c *Config) Self() *Voter {
 	if !c.Process.Voter {
 		return nil
@@ -145,7 +146,7 @@
 }
 
 // RetainRestartOnly takes over from the configuration in force what only a restart can change, and
-// gives the keys that differed.
+// returns the keys that differed.
 func (c *Config) RetainRestartOnly(inForce *Config) (keys []string) {
 	before := inForce.Process
 	now := c.Process
@@ -176,7 +177,6 @@
 		keys = append(keys, "counting")
 		c.Counting = inForce.Counting
 	}
-	// Not done yet for settlement: turned on or off by a reload, it is not reported, and nothing
-	// starts or stops.
+	// Settlement is not among them yet: a reload that turns it on or off is not reported.
 	return keys
 }
--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -77,16 +77,28 @@
 connections = 3`, `process.connections must be from 16 to 65536, not 3`},
 	{"connections below 0", `voter = true`, `voter = true
 connections = -3`, `process.connections must be from 16 to 65536, not -3`},
-	{"voter without a folder", `disk = "/var/lib/harrierhoist"`, ``, `process.disk must name a folder where process.voter = true`},
+	{
+		"voter without a folder", `disk = "/var/lib/harrierhoist"`, ``,
+		`process.disk must name a folder where process.voter = true`,
+	},
 	{
 		"address without a port", `hall = "hall-a"`, `listen = "127.0.0.1"`,
 		`process.listen must be host:port with a port from 1 to 65535, not "127.0.0.1"`,
 	},
 	{"lease as a number", `lease = "3s"`, `lease = 3`, `timing.lease must be a time such as "200ms" or "2s", not 3`},
-	{"lease with a blank", `lease = "3s"`, `lease = "3 s"`, `timing.lease must be a time such as "200ms" or "2s", not 3 s`},
+	{
+		"lease with a blank", `lease = "3s"`, `lease = "3 s"`,
+		`timing.lease must be a time such as "200ms" or "2s", not 3 s`,
+	},
 	{"lease too short", `lease = "3s"`, `lease = "100ms"`, `timing.lease must be from 500ms to 30s, not 100ms`},
-	{"digests too rare", `lease = "3s"`, `digest_every = "1h"`, `timing.digest_every must be from 50ms to 5s, not 1h0m0s`},
-	{"number of another voter", `number = 2`, `number = 1`, `voter.2.number must be 1 or more and no other voter's, not 1`},
+	{
+		"digests too rare", `lease = "3s"`, `digest_every = "1h"`,
+		`timing.digest_every must be from 50ms to 5s, not 1h0m0s`,
+	},
+	{
+		"number of another voter", `number = 2`, `number = 1`,
+		`voter.2.number must be 1 or more and no other voter's, not 1`,
+	},
 	{"number below 0", `number = 2`, `number = -2`, `voter.number must be a whole number, 0 or more (line 17)
 voter.2.number must be 1 or more and no other voter's, not 0`},
 	{
@@ -120,7 +132,10 @@
 number = 5
 name = "v4"
 address = "127.0.0.1:7414"`, `voter must be 3 or 5 voters (or 1 where process.single = true, for trials), not 4`},
-	{"unknown table", `[timing]`, `[time]`, `time is no key; the file takes counting, debts, failover, process, timing, voter`},
+	{
+		"unknown table", `[timing]`, `[time]`,
+		`time is no key; the file takes counting, debts, failover, process, timing, voter`,
+	},
 	{"no TOML", `[timing]`, `[timing`, `line 8: `},
 	{"faults of a part", `[timing]`, `[failover]
 on = true
@@ -188,8 +203,10 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if keys := now.RetainRestartOnly(old); !slices.Equal(keys, []string{"process.hall"}) || now.Process != old.Process ||
-		now.Timing.Lease.Duration != 4*time.Second {
+	keys := now.RetainRestartOnly(old)
+	isNamed := slices.Equal(keys, []string{"process.hall"})
+	isRetained := now.Process == old.Process
+	if !isNamed || !isRetained || now.Timing.Lease.Duration != 4*time.Second {
 		t.Errorf("%q, %+v", keys, now)
 	}
 }
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -42,7 +42,10 @@
 			{Number: 2, Name: "v2", Address: "[::1]:7412"},
 			{Number: 4, Name: "v3", Address: "10.0.0.3:7413", ReplacesNumber: 3},
 		},
-		Timing: Timing{Lease: Duration{Duration: 3 * time.Second}, DigestInterval: Duration{Duration: 250 * time.Millisecond}},
+		Timing: Timing{
+			Lease:          Duration{Duration: 3 * time.Second},
+			DigestInterval: Duration{Duration: 250 * time.Millisecond},
+		},
 		Failover: &failover.Settings{
 			Enabled: true,
 			Regions: []failover.Region{
@@ -64,7 +67,10 @@
 		Rules: []countingrule.Rule{
 			{
 				Version: 1, Key: []string{"group"},
-				Groups:  []countingrule.Group{{Name: "pair", Customers: []uint64{17, 18}}, {Name: "one", Customers: []uint64{19}}},
+				Groups: []countingrule.Group{
+					{Name: "pair", Customers: []uint64{17, 18}},
+					{Name: "one", Customers: []uint64{19}},
+				},
 				Weights: []countingrule.Weight{{Class: "batch", Permille: 500}},
 				Limits:  []countingrule.Limit{{Plan: "*", Rate: 40.5, Burst: 80}},
 			},
@@ -104,7 +110,8 @@
 
 // What a file leaves out has the same value as before.
 func TestGolden_defaults(t *testing.T) {
-	text := "[process]\nname = \"g1\"\nsingle = true\n[[voter]]\nnumber = 1\nname = \"v1\"\naddress = \"127.0.0.1:7411\"\n"
+	text := "[process]\nname = \"g1\"\nsingle = true\n" +
+		"[[voter]]\nnumber = 1\nname = \"v1\"\naddress = \"127.0.0.1:7411\"\n"
 	got, err := Read(writeFile(t, text))
 	if err != nil {
 		t.Fatal(err)
@@ -112,10 +119,13 @@
 	want := &Config{
 		Process: Process{Name: "g1", SingleVoter: true, MaxConnections: 1024},
 		Voters:  []Voter{{Number: 1, Name: "v1", Address: "127.0.0.1:7411"}},
-		Timing:  Timing{Lease: Duration{Duration: 2 * time.Second}, DigestInterval: Duration{Duration: 200 * time.Millisecond}},
+		Timing: Timing{
+			Lease:          Duration{Duration: 2 * time.Second},
+			DigestInterval: Duration{Duration: 200 * time.Millisecond},
+		},
 		Settlement: &settlement.Terms{
-			SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005, MinHeadroom: 0.2,
-			MinOnTimeFraction: 0.9, MinDebt: 5,
+			SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3,
+			MaxLossFraction: 0.005, MinHeadroom: 0.2, MinOnTimeFraction: 0.9, MinDebt: 5,
 		},
 	}
 	if d := cmp.Diff(want, got, cmpopts.EquateComparable(Duration{})); d != "" {
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Read reads the file. Its error is all that is wrong, each in a line of its own with file, key and
-// what is allowed.
+// Read reads the file. Its error lists all faults, each in a line of its own with the file, the key
+// and what is allowed.
 func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,12 +29,11 @@
 	return config, nil
 }
 
-// FaultLines are the lines of an error of Read.
+// FaultLines returns the lines of an error of Read.
 func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
-// parse reads a text and gives all that is wrong with it. The decoder stops at the first value of
-// the wrong type: its line is emptied and the rest read again, so that all faults are reported at
-// once.
+// parse reads a file's text and returns all its faults. The decoder stops at the first value of the
+// wrong type: that line is emptied and the text read again, so that all faults are reported at once.
 func parse(text []byte) (*Config, []error) {
 	lines := bytes.Split(text, []byte("\n"))
 	var faults []error
@@ -53,7 +52,7 @@
 			faults = append(faults, wrongTypeError(wrongType, line))
 			isOutside := line < 1 || line > len(lines)
 			if len(wrongType.Key()) == 0 || isOutside || len(lines[line-1]) == 0 {
-				return nil, faults // not TOML: what follows cannot be judged
+				return nil, faults // the text is not TOML: the rest cannot be checked
 			}
 			lines[line-1] = nil
 			continue
@@ -114,11 +113,12 @@
 		return "a list"
 	case reflect.Float64:
 		return "a number"
+	default: // the file's other values are unsigned
+		return "a whole number, 0 or more"
 	}
-	return "a whole number, 0 or more"
 }
 
-// elementType is the type behind pointers, lists and maps.
+// elementType returns the type behind pointers, lists and maps.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
@@ -139,7 +139,7 @@
 	return reflect.StructField{}, false
 }
 
-// tableKeys are the keys that a table takes, sorted.
+// tableKeys returns the keys that a table takes, sorted.
 func tableKeys(t reflect.Type) (keys []string) {
 	if t.Kind() != reflect.Struct {
 		return []string{"no further keys"}
--- a/internal/coordination/config/validate.go
+++ b/internal/coordination/config/validate.go
@@ -19,13 +19,13 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// validator collects all that is wrong with a configuration.
+// validator collects the faults of a configuration.
 type validator struct {
 	config *Config
 	faults []error
 }
 
-// validate gives all that is wrong with the configuration, in the order of the file's tables.
+// validate returns all faults of the configuration, in the order of the file's tables.
 func (c *Config) validate() []error {
 	v := validator{config: c}
 	v.checkProcess()
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkRole checks what a voter needs, or what only a voter may have.
+// checkRole checks that a voter has the keys that it needs, and another process none of a voter's.
 func (v *validator) checkRole() {
 	process := v.config.Process
 	if !process.Voter {
--- a/internal/coordination/follower/cache.go
+++ b/internal/coordination/follower/cache.go
@@ -8,20 +8,20 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// tableCache is what a process has of the tables. It accepts results in any order, late and
-// duplicate ones too. It may be used by several goroutines at once.
+// tableCache is a process's copy of the tables. It accepts results in any order, late and duplicate
+// ones too. It may be used by several goroutines at once.
 type tableCache struct {
-	mu             sync.RWMutex // guards what follows
-	tables         map[string]coordination.CachedTable
-	confirmedUntil time.Duration // the lease of all tables, also of those that were never written
-	changed        chan struct{} // closed and replaced with each change
+	mu             sync.RWMutex                        // guards what follows
+	tables         map[string]coordination.CachedTable // by name; no epoch ever goes back
+	confirmedUntil time.Duration                       // end of the lease of all tables; 0: none was ever read
+	changed        chan struct{}                       // closed and replaced with each change
 }
 
 func newTableCache() *tableCache {
 	return &tableCache{tables: map[string]coordination.CachedTable{}, changed: make(chan struct{})}
 }
 
-// knownEpochs are the epochs of the tables in the cache.
+// knownEpochs returns the epochs of the tables in the cache.
 func (c *tableCache) knownEpochs() map[string]uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -32,14 +32,14 @@
 	return known
 }
 
-// merge adds the tables that a read returned, and extends the lease of all to a time that counts
-// from when the read was sent. An epoch never goes back, nor does a lease. A result that is behind
-// the cache confirms it all the same: what is cached was written after that result was confirmed,
-// so after the read was sent.
+// merge adds the tables that a read returned, and extends the lease of all tables to leaseEnd, which
+// counts from when the read was sent. Neither an epoch nor a lease goes back. A result behind the
+// cache extends the lease too: what is cached was written after the read was sent.
 func (c *tableCache) merge(tables map[string]statemachine.Table, leaseEnd time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changed := leaseEnd > c.confirmedUntil && c.confirmedUntil == 0
+	isFirstLease := c.confirmedUntil == 0 && leaseEnd > 0
+	changed := isFirstLease
 	for name, table := range tables {
 		if cached := c.tables[name]; table.Epoch > cached.Epoch {
 			c.tables[name] = coordination.CachedTable{Name: name, Epoch: table.Epoch, Value: table.Value}
@@ -69,7 +69,7 @@
 	c.wakeWaiters()
 }
 
-// get gives a table with its lease; at epoch 0 where it is not in the cache.
+// get returns a table with its lease; at epoch 0 where it is not in the cache.
 func (c *tableCache) get(table string) coordination.CachedTable {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -79,14 +79,14 @@
 	return coordination.CachedTable{Name: table, LeaseEnd: c.confirmedUntil}
 }
 
-// nextChange gives a channel that is closed with the next change.
+// nextChange returns a channel that is closed at the next change.
 func (c *tableCache) nextChange() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.changed
 }
 
-// leaseEnd is when the lease ends.
+// leaseEnd returns when the lease of all tables ends; 0: none was ever read.
 func (c *tableCache) leaseEnd() time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -11,11 +11,11 @@
 
 // Pace of the digests.
 const (
-	slowDivisor    = 4   // a digest is slow that takes more than this part of the interval between two
-	slowdownFactor = 1.5 // of the interval after a slow digest
-	recoveryFactor = 0.9 // of the interval after one that was not slow
-	maxSlowdown    = 8   // of the interval: 1.6 s of 200 ms
-	jitterDivisor  = 2   // jitter is half of the interval, so that processes do not send in step
+	slowDivisor    = 4   // a digest is slow that takes more than the interval divided by this
+	slowdownFactor = 1.5 // by which a slow digest stretches the interval
+	recoveryFactor = 0.9 // by which a digest that was not slow shrinks it again
+	maxSlowdown    = 8   // times the interval
+	jitterDivisor  = 2   // pauses are drawn within the interval divided by this on either side of it
 )
 
 // digestSender sends the digests of one incarnation of a process to the source in use.
@@ -50,13 +50,14 @@
 		if err != nil && ctx.Err() == nil {
 			s.sources.switchFrom(session)
 		}
-		slowdown = nextSlowdown(slowdown, err != nil || s.clock()-sent > timing.DigestInterval/slowDivisor)
+		isSlow := err != nil || s.clock()-sent > timing.DigestInterval/slowDivisor
+		slowdown = nextSlowdown(slowdown, isSlow)
 	}
 }
 
-// nextSlowdown returns by what factor the interval between two digests is stretched. It grows while
-// the voters are slow to take digests, so that more processes than they can serve do not overload
-// them, and shrinks soon after. Controllers then see counts up to maxSlowdown times later.
+// nextSlowdown decides by what factor, from 1 to maxSlowdown, the interval between two digests is
+// stretched: more while the voters are slow to accept them, so that more processes than they can
+// serve do not overload them. Controllers then see counts that many times later.
 func nextSlowdown(slowdown float64, slow bool) float64 {
 	if slow {
 		return min(slowdown*slowdownFactor, maxSlowdown)
@@ -67,7 +68,7 @@
 // counterSource adds what a part of the process has counted since its start.
 type counterSource = func(add func(name string, n uint64))
 
-// counterRegistry has all that a process counts. It may be used by several goroutines at once.
+// counterRegistry holds the functions that report what a process counts. It may be used by several goroutines at once.
 type counterRegistry struct {
 	mu     sync.Mutex // guards what follows
 	merged []counterSource
@@ -86,7 +87,7 @@
 	r.exact = append(r.exact, source)
 }
 
-// collect gives all counts; two of the same name are added.
+// collect returns all counts; two of the same name are added.
 func (r *counterRegistry) collect() (merged, exact map[string]uint64) {
 	r.mu.Lock()
 	mergedSources := r.merged
@@ -95,6 +96,7 @@
 	return sum(mergedSources), sum(exactSources)
 }
 
+// sum returns the counts of some sources by name.
 func sum(sources []counterSource) map[string]uint64 {
 	total := map[string]uint64{}
 	for _, source := range sources {
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower is how any process takes part in the coordination, voters too: it sends its
-// digests to one voter and caches the latest tables by a waiting read, each with a lease. Nobody
-// who looks something up in it waits.
+// Package follower keeps a process's copy of the tables, each with a lease, by a waiting read at one
+// voter, and sends that voter the process's digests. Package node runs one in every process, voters
+// too; the parts of the process look tables up in it, and never wait for another process.
 package follower
 
 import (
@@ -104,7 +104,7 @@
 	f.counters.registerExact(counts)
 }
 
-// sleep waits, and reports whether the context goes on.
+// sleep waits, and reports whether the context has not ended meanwhile.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -85,8 +85,10 @@
 	all := append(one.received(), two.received()...)
 	for i, digest := range all[1:] {
 		previous := all[i]
-		if digest.Serial <= previous.Serial || digest.Counts["pushes"] <= previous.Counts["pushes"] || digest.Exact["owed"] != 8 ||
-			digest.Process != "g1" || digest.Incarnation != 3 || digest.Session < previous.Session {
+		isLater := digest.Serial > previous.Serial && digest.Session >= previous.Session
+		isCounted := digest.Counts["pushes"] > previous.Counts["pushes"] && digest.Exact["owed"] == 8
+		isOwn := digest.Process == "g1" && digest.Incarnation == 3
+		if !isLater || !isCounted || !isOwn {
 			t.Errorf("%+v after %+v", digest, previous)
 		}
 	}
--- a/internal/coordination/follower/golden_test.go
+++ b/internal/coordination/follower/golden_test.go
@@ -28,7 +28,10 @@
 // The order in which processes prefer the voters is that of before: processes of both versions are
 // spread alike.
 func TestGolden_preferenceOrder(t *testing.T) {
-	sources := []Source{newFakeSource("a"), newFakeSource("b"), newFakeSource("c"), newFakeSource("d"), newFakeSource("e")}
+	var sources []Source
+	for _, name := range []string{"a", "b", "c", "d", "e"} {
+		sources = append(sources, newFakeSource(name))
+	}
 	var got []string
 	for i := range 10 {
 		name := ""
--- a/internal/coordination/follower/lease.go
+++ b/internal/coordination/follower/lease.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	leasePollDivisor = 32              // the part of a lease within which it is seen that it was renewed
-	epochLogInterval = 5 * time.Second // between two lines on the epochs: a table may change every second
+	leasePollDivisor = 32              // an expired lease is looked at this many times in the length of a lease
+	epochLogInterval = 5 * time.Second // shortest time between two lines on the epochs
 )
 
 // leaseWatcher logs what becomes of the lease and of the tables, and wakes those that wait for a
@@ -23,6 +23,7 @@
 }
 
 // watchLease logs once when the lease expires and once when it is renewed, until the context ends.
+// A process that has never read a table counts as expired one lease after its start.
 func (w *leaseWatcher) watchLease(ctx context.Context) {
 	started := w.clock()
 	expired := false
@@ -40,16 +41,21 @@
 			w.logger.Info("follower: lease renewed, the tables are confirmed again")
 			w.cache.notifyLeaseChange()
 		}
-		pause := timing.Lease / leasePollDivisor
-		if left > 0 {
-			pause = left
-		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, leaseCheckPause(left, timing.Lease)) {
 			return
 		}
 	}
 }
 
+// leaseCheckPause returns when the lease is looked at again: when it can expire, or soon where it
+// has expired, as it may be renewed at any moment.
+func leaseCheckPause(left, lease time.Duration) time.Duration {
+	if left > 0 {
+		return left
+	}
+	return lease / leasePollDivisor
+}
+
 // logEpochs logs the epochs of the tables after they changed, until the context ends.
 func (w *leaseWatcher) logEpochs(ctx context.Context) {
 	logged := map[string]uint64{}
--- a/internal/coordination/follower/reader.go
+++ b/internal/coordination/follower/reader.go
@@ -16,16 +16,16 @@
 
 // Pace of the reads.
 const (
-	readsPerLease        = 4                      // a read waits for this part of a lease: two may fail before it ends
-	initialBackoff       = 50 * time.Millisecond  // after all voters failed in turn; it grows, with jitter
-	backoffGrowth        = 1.5                    // from one pause to the next
+	readsPerLease        = 4                      // a read waits for a lease divided by this
+	initialBackoff       = 50 * time.Millisecond  // first pause after all voters failed in turn
+	backoffGrowth        = 1.5                    // factor from one pause to the next
 	backoffSpread        = 0.5                    // part of a pause by which the drawn one may differ
-	maxBackoff           = time.Second            // once the voters are back, all followers are within about that
-	preferredReadTimeout = 250 * time.Millisecond // what a trial of the preferred voter may take from the lease
+	maxBackoff           = time.Second            // longest pause
+	preferredReadTimeout = 250 * time.Millisecond // what a trial of the preferred voter may take of the lease
 )
 
-// errForeignGroup: the voters started anew, and what they hold is not what this process has
-// followed.
+// errForeignGroup means that the voters started anew with empty disks: their tables are not those
+// that this process has followed.
 var errForeignGroup = errors.New("tables of another group of voters")
 
 // tableReader keeps a waiting read at one voter after another, and puts what it brings into the
@@ -36,7 +36,7 @@
 	cache   *tableCache
 	logger  *zap.Logger
 
-	foreignGroupLogged bool // once a process
+	foreignGroupLogged bool // a foreign group is logged once a process
 }
 
 // run reads until the context ends.
@@ -55,7 +55,11 @@
 			retry.Reset()
 			continue
 		}
-		if ctx.Err() != nil || !r.sources.switchFrom(session) && source != nil {
+		if ctx.Err() != nil {
+			return
+		}
+		allFailed := r.sources.switchFrom(session)
+		if source != nil && !allFailed {
 			continue // the next source at once
 		}
 		if !sleep(ctx, retry.NextBackOff()) {
@@ -64,9 +68,8 @@
 	}
 }
 
-// tryPreferred reads at the preferred source again after a while at another: else a voter that was
-// down for a moment would stay without followers, and the others with all of them. The harm is one
-// short read, at a lease that is not yet short.
+// tryPreferred makes a short read at the preferred source after a while at another one. Without it
+// a voter that was down for a moment would stay without followers, and the others with all of them.
 func (r *tableReader) tryPreferred(ctx context.Context) {
 	preferred, session, timing := r.sources.preferredDue()
 	if preferred == nil {
@@ -90,19 +93,25 @@
 	return r.accept(result, sent+lease)
 }
 
-// accept puts a result of the voters that this process has followed from its start into the cache.
-// It refuses voters that lost all their disks and started anew: a table of theirs at epoch 3 is not
-// older than one cached at 57, it is another. A process that had cached something must be restarted.
-func (r *tableReader) accept(result ReadResult, leaseEnd time.Duration) error {
+// isForeign decides whether a result is of another group of voters than the one that this process
+// has followed from its start. Such voters started anew with empty disks: a table of theirs at epoch
+// 3 is not older than one cached at epoch 57, it is another.
+func (r *tableReader) isForeign(result ReadResult) bool {
 	followed := r.cache.get(GroupTable)
-	if !result.FromOwnVoter && followed.Epoch > 0 && !bytes.Equal(followed.Value, result.GroupID) {
+	return !result.FromOwnVoter && followed.Epoch > 0 && !bytes.Equal(followed.Value, result.GroupID)
+}
+
+// accept puts a result into the cache, with a lease until leaseEnd, unless it is foreign. A process
+// that has cached tables of one group accepts no other until it is restarted.
+func (r *tableReader) accept(result ReadResult, leaseEnd time.Duration) error {
+	if r.isForeign(result) {
 		if len(result.GroupID) > 0 && !r.foreignGroupLogged {
 			r.foreignGroupLogged = true
 			r.logger.Error(
 				"follower: voters started anew with empty disks, ignoring them until this process is restarted",
 			)
 		}
-		return errForeignGroup // a voter that does not know its group yet will know it soon
+		return errForeignGroup // also of a voter that does not know its group yet
 	}
 	r.cache.merge(result.Tables, leaseEnd)
 	return nil
--- a/internal/coordination/follower/source_test.go
+++ b/internal/coordination/follower/source_test.go
@@ -33,7 +33,9 @@
 var errIsolated = errors.New("isolated")
 
 func newFakeSource(name string) *fakeSource {
-	source := &fakeSource{name: name, groupID: []byte("g"), tables: map[string]statemachine.Table{}, changed: make(chan struct{})}
+	source := &fakeSource{
+		name: name, groupID: []byte("g"), tables: map[string]statemachine.Table{}, changed: make(chan struct{}),
+	}
 	source.set(GroupTable, 1, "g")
 	return source
 }
@@ -61,7 +63,8 @@
 func (s *fakeSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (ReadResult, error) {
 	for end := time.After(wait); ; {
 		s.mu.Lock()
-		found, changed := map[string]statemachine.Table{}, s.changed
+		found := map[string]statemachine.Table{}
+		changed := s.changed
 		for name, table := range s.tables {
 			if table.Epoch > known[name] {
 				found[name] = table
@@ -84,7 +87,7 @@
 	}
 }
 
-// received gives the digests so far.
+// received returns the digests so far.
 func (s *fakeSource) received() []observation.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +109,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { f.Run(ctx) })
-	t.Cleanup(func() { cancel(); running.Wait() })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
 	return f, logs
 }
 
--- a/internal/coordination/follower/sources.go
+++ b/internal/coordination/follower/sources.go
@@ -43,7 +43,8 @@
 	s.session++
 }
 
-// current is the source in use, nil where there is none, with its session and the timing in force.
+// current returns the source in use, nil where there is none, with its session and the timing in
+// force.
 func (s *sourceSelector) current() (source Source, session uint64, timing Timing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,8 +55,8 @@
 }
 
 // switchFrom goes over to the next source, if the session that failed is still in force. It reports
-// whether all sources had their turn.
-func (s *sourceSelector) switchFrom(session uint64) (round bool) {
+// whether all sources have failed in turn.
+func (s *sourceSelector) switchFrom(session uint64) (allFailed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session != s.session || len(s.sources) == 0 {
@@ -69,8 +70,8 @@
 	return s.index == 0
 }
 
-// preferredDue gives the preferred source where another one is in use and it is time to try the
-// preferred one again.
+// preferredDue decides whether the preferred source is tried again, and returns it then, else nil:
+// another one is in use, and preferredRetryInterval has passed since it was left or last tried.
 func (s *sourceSelector) preferredDue() (preferred Source, session uint64, timing Timing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/coordination/node/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -17,29 +17,29 @@
 
 // How often a voter with an empty disk asks the others how it is to start.
 const (
-	initialBackoff = 50 * time.Millisecond // others that start at the same time are there within some of these
-	backoffGrowth  = 1.5                   // from one pause to the next
+	initialBackoff = 50 * time.Millisecond // first pause
+	backoffGrowth  = 1.5                   // factor from one pause to the next
 	backoffSpread  = 0.5                   // part of a pause by which the drawn one may differ
-	maxBackoff     = time.Second           // an operator waits for a replaced voter no longer than needed
-	warnAfter      = 3 * time.Second       // it waits that long before it logs why
+	maxBackoff     = time.Second           // longest pause
+	warnAfter      = 3 * time.Second       // after which it logs why it waits
 )
 
 // bootstrap is what a voter with an empty disk has learnt of the others.
 type bootstrap struct {
-	emptyVoters map[uint64]coordination.Member // voters whose disks were empty too when they last answered
+	// emptyVoters are the voters whose disks were empty too when they last answered, by number.
+	emptyVoters map[uint64]coordination.Member
 }
 
 // bootstrapDecision is how a voter with an empty disk is to go on.
 type bootstrapDecision struct {
-	start          bool                  // now
-	initialMembers []coordination.Member // with these, or none: the log comes from those that have it
+	start          bool                  // now, else it waits
+	initialMembers []coordination.Member // that start the log; none: the log comes from another voter
 	reason         string                // why it waits
 }
 
-// decide says how to go on. An empty disk may be a new one, or one that was lost: a voter that
-// forgets how it voted could vote twice, and what a majority had acknowledged could be gone. So it
-// starts a log only where all voters of the file have told it in this incarnation that they have
-// none, and joins one only where the members' list has this very disk.
+// decide decides how a voter with an empty disk goes on. The disk may have been lost with votes that
+// the voter gave. So it starts a log only where all voters of the file have reported an empty disk
+// in this incarnation, and joins one only where the members' list has this very disk.
 func (b *bootstrap) decide(self coordination.Member, configured []config.Voter,
 	infos map[uint64]transport.VoterInfo,
 ) bootstrapDecision {
@@ -55,6 +55,11 @@
 			return decideByStarted(self, info)
 		}
 	}
+	return b.decideFirstStart(self, configured)
+}
+
+// decideFirstStart decides how to go on where no other voter that answered has started.
+func (b *bootstrap) decideFirstStart(self coordination.Member, configured []config.Voter) bootstrapDecision {
 	initialMembers := []coordination.Member{self}
 	for _, voter := range configured {
 		if other, ok := b.emptyVoters[voter.Number]; ok && voter.Number != self.Number {
@@ -69,14 +74,12 @@
 	return bootstrapDecision{start: true, initialMembers: initialMembers}
 }
 
-// decideByStarted says how to go on where another voter has started: only if that one knows this
-// very disk.
+// decideByStarted decides how to go on where another voter has started: this one starts only if the
+// other knows its very disk.
 func decideByStarted(self coordination.Member, other transport.VoterInfo) bootstrapDecision {
-	if member, ok := memberOf(other.InitialMembers, self.Number); ok && member.DiskID == self.DiskID {
-		return bootstrapDecision{
-			start:          true,
-			initialMembers: other.InitialMembers,
-		} // it got this voter's answer before it started
+	initial, ok := memberOf(other.InitialMembers, self.Number)
+	if ok && initial.DiskID == self.DiskID { // the other had this voter's answer when it started
+		return bootstrapDecision{start: true, initialMembers: other.InitialMembers}
 	}
 	switch member, ok := memberOf(other.Status.Members, self.Number); {
 	case !ok:
@@ -92,6 +95,7 @@
 	}
 }
 
+// memberOf returns the member of a number, and whether there is one.
 func memberOf(members []coordination.Member, number uint64) (coordination.Member, bool) {
 	index := slices.IndexFunc(members, func(member coordination.Member) bool { return member.Number == number })
 	if index < 0 {
@@ -149,8 +153,8 @@
 	}
 }
 
-// queryVoters asks all other voters of the file at once who they are, and gives those that answer
-// as the file has them.
+// queryVoters asks all other voters of the file at once who they are, and returns by number those
+// that answer under the number and name that the file gives them.
 func (b *bootstrapper) queryVoters(
 	ctx context.Context,
 	cfg *config.Config,
--- a/internal/coordination/node/bootstrap_test.go
+++ b/internal/coordination/node/bootstrap_test.go
@@ -21,17 +21,23 @@
 	return transport.VoterInfo{Number: number, Name: empty.Name, Address: empty.Address, DiskID: disk}
 }
 
-func startedInfo(number uint64, initialMembers []coordination.Member, members ...coordination.Member) transport.VoterInfo {
+func startedInfo(
+	number uint64,
+	initialMembers []coordination.Member,
+	members ...coordination.Member,
+) transport.VoterInfo {
 	status := coordination.Status{Members: members}
 	return transport.VoterInfo{Number: number, Started: true, InitialMembers: initialMembers, Status: status}
 }
 
-// An empty disk is a new one or a lost one; a voter that takes the second for the first votes
-// twice. The rows are what voter 1, with the empty disk "d1", learns in its rounds of queries, and
-// how it may go on after the last.
+// Guards against a voter that takes a lost disk for a new one, and votes twice. The rows are what
+// voter 1, with the empty disk "d1", learns in its rounds of queries, and how it goes on after the
+// last of them.
 func TestBootstrap_decisionWithAnEmptyDisk(t *testing.T) {
 	one, two, three := member(1, "d1"), member(2, "d2"), member(3, "d3")
-	all, lost, unknown := []coordination.Member{one, two, three}, member(1, "lost"), member(1, "")
+	all := []coordination.Member{one, two, three}
+	lost := member(1, "lost")
+	unknown := member(1, "")
 	empty2, empty3 := emptyInfo(2, "d2"), emptyInfo(3, "d3")
 	type round = map[uint64]transport.VoterInfo
 	for _, row := range []struct {
@@ -93,25 +99,30 @@
 func TestNextMemberChange(t *testing.T) {
 	one, two, three, four := member(1, "d1"), member(2, "d2"), member(3, "d3"), member(4, "d4")
 	replacement := config.Voter{Number: 4, ReplacesNumber: 2}
+	replacedTwice := config.Voter{Number: 5, ReplacesNumber: 4}
 	for _, row := range []struct {
 		name       string
 		members    []coordination.Member
 		configured config.Voter
-		remove     uint64
-		add        bool
+		want       memberChange
 	}{
-		{"one that is there", []coordination.Member{one, two, three}, config.Voter{Number: 2}, 0, false},
-		{"a replacement, first", []coordination.Member{one, two, three}, replacement, 2, false},
-		{"a replacement, then", []coordination.Member{one, three}, replacement, 0, true},
-		{"a replacement, done", []coordination.Member{one, three, four}, replacement, 0, false},
-		{"a further one", []coordination.Member{one, two, three}, config.Voter{Number: 4}, 0, true},
-		{"one of the past", []coordination.Member{two, three, four}, config.Voter{Number: 1}, 0, false},
-		{"replaced twice, old file", []coordination.Member{one, three, member(5, "d5")}, replacement, 0, false},
-		{"replaced twice, next file", []coordination.Member{one, three, four}, config.Voter{Number: 5, ReplacesNumber: 4}, 4, false},
+		{"one that is there", []coordination.Member{one, two, three}, config.Voter{Number: 2}, memberChange{}},
+		{"a replacement, first", []coordination.Member{one, two, three}, replacement, memberChange{removeReplaced, 2}},
+		{"a replacement, then", []coordination.Member{one, three}, replacement, memberChange{addMember, 0}},
+		{"a replacement, done", []coordination.Member{one, three, four}, replacement, memberChange{}},
+		{"a further one", []coordination.Member{one, two, three}, config.Voter{Number: 4}, memberChange{addMember, 0}},
+		{"one of the past", []coordination.Member{two, three, four}, config.Voter{Number: 1}, memberChange{}},
+		{"replaced twice, old file", []coordination.Member{one, three, member(5, "d5")}, replacement, memberChange{}},
+		{
+			"replaced twice, next file",
+			[]coordination.Member{one, three, four},
+			replacedTwice,
+			memberChange{removeReplaced, 4},
+		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			if remove, add := nextMemberChange(row.members, row.configured); remove != row.remove || add != row.add {
-				t.Errorf("remove %d, add %v", remove, add)
+			if got := nextMemberChange(row.members, row.configured); got != row.want {
+				t.Errorf("%+v, not %+v", got, row.want)
 			}
 		})
 	}
--- a/internal/coordination/node/golden_test.go
+++ b/internal/coordination/node/golden_test.go
@@ -25,7 +25,9 @@
 	}
 	var groupID []byte
 	for _, n := range all {
-		fakes.Eventually(t, "the group ID", func() bool { return len(n.Client().Cached(follower.GroupTable).Value) == 16 })
+		fakes.Eventually(t, "the group ID", func() bool {
+			return len(n.Client().Cached(follower.GroupTable).Value) == 16
+		})
 		groupID = n.Client().Cached(follower.GroupTable).Value
 	}
 	for _, n := range all {
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -1,6 +1,7 @@
 // Package node puts together what a process needs to take part in the coordination, as the
 // operators' file says: the follower that every process has and, in a voter, its server, its log
-// and the voter itself.
+// and the voter itself. The gateway's wiring opens it where a coordination file is named, reloads it
+// on SIGHUP and closes it at the end.
 package node
 
 import (
@@ -17,8 +18,8 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
-// connectionsPerVoter is how many connections a process opens to a voter: one for the waiting read,
-// one for digests.
+// connectionsPerVoter is how many connections a process opens to each voter: one for the waiting
+// read, one for digests.
 const connectionsPerVoter = 2
 
 // transferTimeout is how long a planned end waits for another voter to take the lead.
@@ -35,10 +36,10 @@
 	logger   *zap.Logger
 	client   *transport.Client
 	follower *follower.Follower
-	host     *voterHost // nil where it only follows
+	host     *voterHost // nil where the process is no voter
 
 	config    atomic.Pointer[config.Config]
-	reloading sync.Mutex // serialises reloads
+	reloading sync.Mutex // held for a reload: one at a time
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -58,7 +59,7 @@
 	}
 	n.config.Store(cfg)
 	// Where the clock was set back between two incarnations, what the later one counts is ignored
-	// until it has passed the earlier.
+	// until the clock has passed the start of the earlier.
 	incarnation := uint64(time.Now().UnixNano())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -90,7 +91,7 @@
 	if n.host.runningVoter() == nil {
 		starter := &bootstrapper{
 			host: n.host, client: n.client, config: n.Config, logger: n.logger,
-			started: n.reconfigureFollower, // it had turned to other voters meanwhile
+			started: n.reconfigureFollower, // the follower had turned to other voters meanwhile
 		}
 		if !starter.run(ctx) {
 			return
@@ -102,6 +103,7 @@
 	members.run(ctx)
 }
 
+// reconfigureFollower has the follower use the file's voters, its own one first, and its timing.
 func (n *Node) reconfigureFollower(cfg *config.Config) {
 	n.follower.Reconfigure(n.sources(cfg), followerTiming(cfg))
 }
@@ -110,10 +112,10 @@
 	return follower.Timing{Lease: cfg.Timing.Lease.Duration, DigestInterval: cfg.Timing.DigestInterval.Duration}
 }
 
-// Client is what the parts of the process ask.
+// Client returns the tables and leases for the parts of the process.
 func (n *Node) Client() coordination.Client { return n.follower }
 
-// Config is the configuration in force.
+// Config returns the configuration in force.
 func (n *Node) Config() *config.Config { return n.config.Load() }
 
 // Reload reads the file again and puts in force what can change in place: voters, timing, the
@@ -150,7 +152,7 @@
 	n.host.transferLeadership(ctx)
 }
 
-// Close ends all of it and waits.
+// Close ends all that Open started, and waits for it.
 func (n *Node) Close() {
 	n.cancel()
 	if n.host != nil {
--- a/internal/coordination/node/node_test.go
+++ b/internal/coordination/node/node_test.go
@@ -29,10 +29,11 @@
 }
 
 func newTestSite(t *testing.T) *testSite {
+	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
 	site := &testSite{T: t, dir: t.TempDir(), logs: logs, log: zap.New(core)}
 	for i := 1; i <= 3; i++ {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,14 +75,16 @@
 func TestNode_votersStartTogetherAndCloseCleanly(t *testing.T) {
 	site := newTestSite(t)
 	all := []*Node{site.open("v1", true), site.open("v2", true), site.open("g1", false)}
-	time.Sleep(300 * time.Millisecond) // some rounds of queries, of which nothing may come
+	time.Sleep(300 * time.Millisecond) // some rounds of queries, after which no voter may start
 	if site.countLines("voter started") > 0 {
 		t.Error("two of three started alone: the third may have what a majority wrote")
 	}
 	all = append(all, site.open("v3", true))
 	fakes.Eventually(t, "the start of all", func() bool { return site.countLines("voter started") == 3 })
 	fakes.Eventually(t, "a write", func() bool {
-		command := statemachine.Command{Kind: statemachine.Write, Proposer: "t", Number: 1, Table: "plan", Value: []byte("x")}
+		command := statemachine.Command{
+			Kind: statemachine.Write, Proposer: "t", Number: 1, Table: "plan", Value: []byte("x"),
+		}
 		return slices.ContainsFunc(all[2].Config().Voters, func(voter config.Voter) bool {
 			_, err := all[2].client.Propose(t.Context(), voter.Address, command)
 			return err == nil
--- a/internal/coordination/node/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -18,9 +18,9 @@
 
 // How the leader looks after the group.
 const (
-	reconcileInterval = 500 * time.Millisecond // a replacement is a matter of seconds
-	reconcileTimeout  = 3 * time.Second        // a change that no majority accepts by then is looked at anew
-	groupIDBytes      = 16                     // never drawn twice
+	reconcileInterval = 500 * time.Millisecond // between two comparisons of the members with the file
+	reconcileTimeout  = 3 * time.Second        // after which a change that no majority accepted is looked at anew
+	groupIDBytes      = 16
 )
 
 // proposerName names the reconciler in the commands that it writes. It is stored in the log.
@@ -34,7 +34,7 @@
 	follower   *follower.Follower
 	config     func() *config.Config // in force
 	logger     *zap.Logger
-	nextNumber uint64 // of its commands
+	nextNumber uint64 // of its next command; it grows by one with each
 }
 
 // run works until the context ends.
@@ -52,6 +52,8 @@
 	}
 }
 
+// reconcile writes the group ID where the lease confirms that there is none, and takes the next step
+// towards the members that the file names.
 func (r *reconciler) reconcile(ctx context.Context, running *voter.Voter, status coordination.Status) {
 	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
@@ -76,30 +78,31 @@
 // reconcileMembers takes the next step from the present members to those that the file names.
 func (r *reconciler) reconcileMembers(ctx context.Context, running *voter.Voter, status coordination.Status) {
 	for _, configured := range r.config().Voters {
-		remove, add := nextMemberChange(status.Members, configured)
-		if !add && remove == 0 {
+		change := nextMemberChange(status.Members, configured)
+		if change.kind == keepMembers {
 			continue
 		}
-		// The old one goes only when the new one is there, its disk empty: until then the old one
-		// may yet come back.
+		// The old voter is removed only when the new one answers, with an empty disk: until then the
+		// old one may still come back.
 		info, err := r.client.Info(ctx, configured.Address)
 		isConfigured := info.Number == configured.Number && info.Name == configured.Name
 		if err != nil || info.Started || !isConfigured {
 			continue
 		}
-		switch remove {
-		case 0:
+		switch {
+		case change.kind == addMember:
 			r.addMember(ctx, running, info)
-		case status.Number:
+		case change.replaced == status.Number:
 			r.logger.Info("coordination: leader is to be replaced, transferring leadership")
 			running.TransferLeadership(ctx)
 		default:
-			r.removeMember(ctx, running, remove, configured.Number)
+			r.removeMember(ctx, running, change.replaced, configured.Number)
 		}
 		return // one change at a time
 	}
 }
 
+// addMember adds a voter that answered; a change that is rejected is made again at the next turn.
 func (r *reconciler) addMember(ctx context.Context, running *voter.Voter, info transport.VoterInfo) {
 	member := coordination.Member{Number: info.Number, Name: info.Name, Address: info.Address, DiskID: info.DiskID}
 	fields := []zap.Field{zap.Uint64("number", member.Number), zap.String("name", member.Name)}
@@ -110,6 +113,7 @@
 	r.logger.Info("coordination: voter added", fields...)
 }
 
+// removeMember removes a voter that another one replaces.
 func (r *reconciler) removeMember(ctx context.Context, running *voter.Voter, number, replacement uint64) {
 	fields := []zap.Field{zap.Uint64("number", number), zap.Uint64("replaced_by", replacement)}
 	if err := running.ChangeMembership(ctx, coordination.Member{Number: number}, true); err != nil {
@@ -120,20 +124,41 @@
 	r.host.sender.RemoveVoter(number)
 }
 
-// nextMemberChange is the next step to a voter that the file names. First the one that it replaces
-// is removed: while that one is dead, it counts among those of whom a majority must answer, and a
-// fifth in place of a fourth would need one more of them.
-func nextMemberChange(members []coordination.Member, configured config.Voter) (remove uint64, add bool) {
+// memberChangeKind is what the leader does next for a voter that the file names.
+type memberChangeKind uint8
+
+const (
+	keepMembers    memberChangeKind = iota // the voter is a member, or was one in the past
+	removeReplaced                         // the member that it replaces is removed first
+	addMember                              // the voter is added
+)
+
+// memberChange is the next step to a voter that the file names.
+type memberChange struct {
+	kind     memberChangeKind
+	replaced uint64 // number of the member to remove
+}
+
+// nextMemberChange decides the next step from the members to a voter that the file names. The member
+// that it replaces is removed before it is added: while dead, that one counts among those of whom a
+// majority must answer.
+func nextMemberChange(members []coordination.Member, configured config.Voter) memberChange {
 	highest := uint64(0)
+	replaced := uint64(0)
 	for _, member := range members {
 		highest = max(highest, member.Number)
 		if member.Number == configured.Number {
-			return 0, false
+			return memberChange{}
 		}
 		if member.Number == configured.ReplacesNumber {
-			remove = member.Number
+			replaced = member.Number
 		}
 	}
-	// A number below the highest is one of the past, in an old file.
-	return remove, remove == 0 && configured.Number > highest
+	switch {
+	case replaced != 0:
+		return memberChange{kind: removeReplaced, replaced: replaced}
+	case configured.Number > highest:
+		return memberChange{kind: addMember}
+	}
+	return memberChange{} // a lower number was given in the past, and the file is old
 }
--- a/internal/coordination/node/sources.go
+++ b/internal/coordination/node/sources.go
@@ -11,11 +11,11 @@
 	"harrierhoist/internal/coordination/transport"
 )
 
-// localReadGrace is what the response of this process's own voter may take beyond the wait that was
-// asked for.
+// localReadGrace is how much longer than the requested wait a read of this process's own voter may
+// take.
 const localReadGrace = 300 * time.Millisecond
 
-// sources are the voters of the file in the order in which this process prefers them: its own
+// sources returns the voters of the file in the order in which this process prefers them: its own
 // first.
 func (n *Node) sources(cfg *config.Config) []follower.Source {
 	var local, remote []follower.Source
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -69,15 +69,15 @@
 	mu             sync.Mutex // guards what follows
 	self           config.Voter
 	initialMembers []coordination.Member // of the log that it started in this incarnation, with their disk IDs
-	voter          *voter.Voter
-	stopped        bool // no voter is started any more
+	voter          *voter.Voter          // nil until it has started
+	stopped        bool                  // the process ends: no voter is started any more
 }
 
 // openVoterHost opens a voter's log and listener. Where the log is empty, the voter is started
 // later.
 func openVoterHost(ctx context.Context, cfg *config.Config, options hostOptions) (*voterHost, error) {
 	self := *cfg.Self()
-	// Two processes on one file, the second of which listens elsewhere, would be one voter twice.
+	// Prevents one voter in two processes, of which the second listens elsewhere.
 	if other, err := options.client.Info(ctx, self.Address); err == nil {
 		return nil, fmt.Errorf("%s: %w", options.path, &AddressInUseError{Address: self.Address, Voter: other})
 	}
@@ -85,7 +85,7 @@
 	if address == "" {
 		address = self.Address
 	}
-	listener, err := options.network.Listen(address)
+	listener, err := options.network.Listen(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("%s: process.listen: %w", options.path, err)
 	}
@@ -106,7 +106,7 @@
 	}
 	if len(storage.Records()) > 0 {
 		if err := h.startVoter(ctx, cfg, nil); err != nil {
-			_ = listener.Close() // as above
+			_ = listener.Close() // nobody has connected; the error that matters is the voter's
 			h.sender.Close()
 			return nil, errors.Join(fmt.Errorf("%s: process.disk: %w", options.path, err), storage.Close())
 		}
@@ -120,13 +120,14 @@
 	h.server = transport.Serve(h.listener, h, cfg.Process.MaxConnections, h.logger)
 }
 
-// member is this voter as the others are to know it.
+// member returns this voter as the others are to know it.
 func (h *voterHost) member() coordination.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.memberLocked()
 }
 
+// memberLocked is member for a caller that holds the lock.
 func (h *voterHost) memberLocked() coordination.Member {
 	return coordination.Member{
 		Number: h.self.Number, Name: h.self.Name, Address: h.self.Address, DiskID: h.storage.DiskID(),
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// send hands a voter's message to the sender. The file says where a voter is; the log's address is
-// for voters that the file of this process does not name yet.
+// send hands a voter's message to the sender. It goes to the address of the file, which may differ
+// between processes, and to the log's where this process's file does not name the voter yet.
 func (h *voterHost) send(to coordination.Member, message []byte) {
 	address := to.Address
 	for _, configured := range h.config().Voters {
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// runningVoter is the voter, nil until it has started.
+// runningVoter returns the voter, nil until it has started.
 func (h *voterHost) runningVoter() *voter.Voter {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,11 +204,13 @@
 func (h *voterHost) GroupID() []byte { return h.follower.Cached(follower.GroupTable).Value }
 
 // reload takes over a new configuration. A voter that has not started takes its number from it; one
-// that has started stays what it is.
+// that has started keeps its own.
 func (h *voterHost) reload(cfg *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if self := cfg.Self(); self != nil && (h.voter == nil || self.Number == h.self.Number) {
+	self := cfg.Self()
+	isAccepted := self != nil && (h.voter == nil || self.Number == h.self.Number)
+	if isAccepted {
 		h.self = *self
 	} else {
 		h.logger.Warn("coordination: changed voter number needs a restart with an empty folder",
--- a/internal/coordination/observation/digest.go
+++ b/internal/coordination/observation/digest.go
@@ -1,6 +1,7 @@
-// Package observation is what processes counted, in a form that lost, duplicated, late or reordered
-// messages cannot falsify: every process sends all that it has counted since its start, and the
-// receiver keeps the latest. It has no I/O and no clock.
+// Package observation merges what processes counted, in a form that lost, duplicated, late or
+// reordered messages cannot falsify: every process sends all that it has counted since its start,
+// and the receiver keeps the latest. Followers make the digests; package consensus merges them at
+// each voter. It has no I/O and no clock.
 package observation
 
 import "strings"
@@ -20,6 +21,7 @@
 	Exact map[string]uint64 `cbor:"5,keyasint"`
 }
 
+// separator is the unit separator of ASCII, between the parts of a name.
 const separator = "\x1f"
 
 // JoinName makes the name of a count from its parts, none of which contains a unit separator
--- a/internal/coordination/observation/merger.go
+++ b/internal/coordination/observation/merger.go
@@ -10,9 +10,9 @@
 // as another merger may have counted what came before, and adds the growth of later ones. It is not
 // safe for concurrent use.
 type Merger struct {
-	latest   map[string]*processState // latest incarnation, by process
-	previous map[string][]*processState
-	sums     map[string]uint64
+	latest   map[string]*processState   // latest incarnation, by process
+	previous map[string][]*processState // earlier incarnations, the earliest first, by process
+	sums     map[string]uint64          // growth of the counts of all processes, by name; it never falls
 }
 
 // processState is what is known of one incarnation of a process.
@@ -21,8 +21,8 @@
 	counts, exact                map[string]uint64
 }
 
-// maxPrevious is how many earlier incarnations of a process are kept for their exact counts: these
-// may not be in the log yet, and the last digests may still be on their way.
+// maxPrevious is how many earlier incarnations of a process are kept for their exact counts, which
+// may not be in the log yet.
 const maxPrevious = 4
 
 // NewMerger makes an empty merger.
@@ -34,14 +34,37 @@
 	}
 }
 
+// arrival is what a digest is to the merger that receives it.
+type arrival uint8
+
+const (
+	nextDigest          arrival = iota // later than all received of its incarnation
+	newIncarnation                     // the first of the process, or of a later incarnation of it
+	previousIncarnation                // of an earlier incarnation
+	outdatedDigest                     // a late or duplicate one of the latest incarnation
+)
+
+// arrivalOf decides what a digest is, by the state of its process; nil: none is known.
+func arrivalOf(digest Digest, state *processState) arrival {
+	switch {
+	case state == nil || digest.Incarnation > state.incarnation:
+		return newIncarnation
+	case digest.Incarnation < state.incarnation:
+		return previousIncarnation
+	case digest.Serial <= state.serial || digest.Session < state.session:
+		return outdatedDigest
+	}
+	return nextDigest
+}
+
 // Add merges a digest and reports whether it was the latest of its process. Of a digest of an
 // earlier incarnation only the exact counts are merged; any other late or duplicate one changes
 // nothing. A count that is lower than in an earlier digest of the same incarnation is taken to be
 // unchanged.
 func (m *Merger) Add(digest Digest) (latest bool) {
 	state := m.latest[digest.Process]
-	switch {
-	case state == nil || digest.Incarnation > state.incarnation:
+	switch arrivalOf(digest, state) {
+	case newIncarnation:
 		if state != nil {
 			m.mergePrevious(digest.Process, state)
 		}
@@ -53,16 +76,24 @@
 			exact:       maps.Clone(digest.Exact),
 		}
 		return true
-	case digest.Incarnation < state.incarnation:
+	case previousIncarnation:
 		m.mergePrevious(digest.Process, &processState{
 			incarnation: digest.Incarnation,
 			serial:      digest.Serial,
 			exact:       maps.Clone(digest.Exact),
 		})
 		return false
-	case digest.Serial <= state.serial || digest.Session < state.session:
+	case outdatedDigest:
 		return false
+	case nextDigest:
+		m.addGrowth(state, digest)
 	}
+	return true
+}
+
+// addGrowth adds to the sums what the latest digest of a process counted since the one before. Of a
+// new session nothing is added: another merger may have counted it.
+func (m *Merger) addGrowth(state *processState, digest Digest) {
 	if digest.Session > state.session {
 		state.session = digest.Session
 		state.counts = maps.Clone(digest.Counts)
@@ -75,7 +106,6 @@
 	}
 	state.counts = mergeMax(state.counts, digest.Counts)
 	state.exact = mergeMax(state.exact, digest.Exact)
-	return true
 }
 
 // mergePrevious keeps the exact counts of an earlier incarnation.
--- a/internal/coordination/statemachine/golden_test.go
+++ b/internal/coordination/statemachine/golden_test.go
@@ -43,11 +43,19 @@
 func goldenState() *State {
 	s := New()
 	for i, command := range []Command{
-		writeCommand("g1/1", 1, 0, "first"), writeCommand("g2/1", 1, 0, "refused"), writeCommand("g1/1", 2, 1, "second"),
+		writeCommand("g1/1", 1, 0, "first"),
+		writeCommand("g2/1", 1, 0, "refused"),
+		writeCommand("g1/1", 2, 1, "second"),
 		writeCommand("g1/1", 2, 1, "repeated"),
 		{Kind: Write, Proposer: "g2/2", Number: 1, Table: "rules", Value: []byte{0, 1, 0xff}},
-		{Kind: RaiseTotals, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 1 << 33}},
-		{Kind: RaiseTotals, Proposer: "g3/1", Number: 4, Table: "exact", Totals: map[string]uint64{"g1\x1f7\x1fowed": 11}},
+		{
+			Kind: RaiseTotals, Table: "exact",
+			Totals: map[string]uint64{"g1\x1f7\x1fowed": 12, "g2\x1f1\x1fowed": 1 << 33},
+		},
+		{
+			Kind: RaiseTotals, Proposer: "g3/1", Number: 4, Table: "exact",
+			Totals: map[string]uint64{"g1\x1f7\x1fowed": 11},
+		},
 		{Kind: Write, Proposer: "g3/1", Number: 5, Table: "empty"},
 		{Kind: 9, Proposer: "g3/1", Number: 6, Table: "unknown"},
 	} {
--- a/internal/coordination/statemachine/state.go
+++ b/internal/coordination/statemachine/state.go
@@ -1,6 +1,7 @@
-// Package statemachine is the state that the replicated log drives: small tables with an epoch
-// each, totals that only grow, and the last command of each proposer. It has no I/O and no clock:
-// the same commands in the same order make the same state.
+// Package statemachine decides what each command of the replicated log changes: small tables with an
+// epoch each, totals that only grow, and the last command of each proposer. Package consensus applies
+// the log to it on every voter. It has no I/O and no clock: the same commands in the same order make
+// the same state.
 package statemachine
 
 import (
@@ -18,8 +19,8 @@
 
 // State is the whole state. It is not safe for concurrent use.
 type State struct {
-	appliedIndex uint64
-	tables       map[string]Table
+	appliedIndex uint64                       // of the last log entry applied; it only grows
+	tables       map[string]Table             // by name
 	totals       map[string]map[string]uint64 // by table and name
 	lastCommands map[string]lastCommand       // by proposer
 }
@@ -31,8 +32,7 @@
 	Index  uint64 `cbor:"3,keyasint"` // of its log entry: the proposer with the lowest is evicted first
 }
 
-// maxProposers is how many proposers are remembered: more incarnations of processes than propose
-// anything within the time in which one of them may still repeat a command.
+// maxProposers is how many proposers are remembered. One that is forgotten must not repeat a command.
 const maxProposers = 4096
 
 // New makes an empty state.
@@ -54,10 +54,11 @@
 	if command.Number == 0 {
 		return s.execute(index, command)
 	}
-	if last, ok := s.lastCommands[command.Proposer]; ok && command.Number <= last.Number {
-		if command.Number == last.Number {
-			return last.Result // repeated, as the proposer did not receive it
-		}
+	last, isKnown := s.lastCommands[command.Proposer]
+	switch {
+	case isKnown && command.Number == last.Number:
+		return last.Result // the proposer did not receive it and proposed again
+	case isKnown && command.Number < last.Number:
 		return Result{Epoch: s.tables[command.Table].Epoch}
 	}
 	result := s.execute(index, command)
@@ -66,6 +67,8 @@
 	return result
 }
 
+// execute decides whether a command that was not applied before changes the state: a write only at
+// the epoch that it is based on, totals only where they grow.
 func (s *State) execute(index uint64, command Command) Result {
 	switch command.Kind {
 	case Write:
--- a/internal/coordination/statemachine/state_rapid_test.go
+++ b/internal/coordination/statemachine/state_rapid_test.go
@@ -45,7 +45,8 @@
 
 func (s *checkedState) apply(t *rapid.T, index uint64, command Command) Result {
 	t.Helper()
-	before, totals := s.Table(command.Table), s.Totals(command.Table)
+	before := s.Table(command.Table)
+	totals := s.Totals(command.Table)
 	result := s.Apply(index, command)
 	after := s.Table(command.Table)
 	fresh := command.Number > s.lastNumber[command.Proposer]
--- a/internal/coordination/transport/bench_test.go
+++ b/internal/coordination/transport/bench_test.go
@@ -26,7 +26,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		var digests []observation.Digest
-		if err := readBody(bytes.NewReader(body), int64(len(body)), maxBodyBytes, checksum(body), &digests); err != nil {
+		err := readBody(bytes.NewReader(body), int64(len(body)), maxBodyBytes, checksum(body), &digests)
+		if err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -24,10 +24,11 @@
 	return fmt.Sprintf("%s%s: status %d: %s", e.Address, e.Path, e.Status, e.Message)
 }
 
-// maxStatusMessage is how much of a refusal's body is read, in bytes.
+// maxStatusMessage is how many bytes of an error response's body are read.
 const maxStatusMessage = 200
 
-// maxDiscardedBytes of a response's rest are read, so that its connection can be reused.
+// maxDiscardedBytes is how many bytes of a response's rest are read, so that its connection can be
+// reused.
 const maxDiscardedBytes = 1 << 10
 
 // Client makes calls to voters, on few connections that are reused. It owns them. It may be used by
@@ -37,7 +38,7 @@
 	http http.Client
 }
 
-// NewClient makes a client that opens at most so many connections to each voter.
+// NewClient makes a client that opens up to connectionsPerVoter connections to each voter.
 func NewClient(network Network, connectionsPerVoter int) *Client {
 	return &Client{http.Client{
 		Transport: &http.Transport{
@@ -73,8 +74,7 @@
 		return err
 	}
 	defer func() {
-		// What is left is read so that the connection can be reused; without it the next call opens
-		// another.
+		// The rest is read so that the connection can be reused.
 		_, _ = io.CopyN(io.Discard, response.Body, maxDiscardedBytes)
 		_ = response.Body.Close()
 	}()
@@ -82,7 +82,7 @@
 	case response.StatusCode == http.StatusNoContent && result == nil:
 		return nil
 	case response.StatusCode != http.StatusOK || result == nil:
-		// What of the message cannot be read is left out: the status says enough.
+		// A message that cannot be read to its end is left out in part: the status says enough.
 		message, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusMessage))
 		return &StatusError{
 			Address: address, Path: path, Status: response.StatusCode,
@@ -92,6 +92,7 @@
 	return readBody(response.Body, response.ContentLength, maxBodyBytes, response.Header.Get(headerChecksum), result)
 }
 
+// newRequest makes a request that net/http never repeats.
 func newRequest(ctx context.Context, method, address, path string, body any) (*http.Request, error) {
 	var encoded []byte
 	if body != nil {
@@ -107,7 +108,7 @@
 	}
 	request.GetBody = nil // net/http would use it to retry a call: a proposal would be repeated unseen
 	request.Header.Set(headerChecksum, checksum(encoded))
-	request.Header.Set("User-Agent", "") // short
+	request.Header.Set("User-Agent", "") // leaves the header out
 	return request, nil
 }
 
--- a/internal/coordination/transport/client_test.go
+++ b/internal/coordination/transport/client_test.go
@@ -21,7 +21,9 @@
 	if err != nil || !maps.Equal(voter.digests[0].Counts, newDigest(5).Counts) {
 		t.Error(err, voter.digests)
 	}
-	write := statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x")}
+	write := statemachine.Command{
+		Kind: statemachine.Write, Proposer: "p/1", Number: 1, Table: "plan", Value: []byte("x"),
+	}
 	read := make(chan map[string]statemachine.Table)
 	go func() { // it waits for the write
 		found, groupID, err := client.Read(t.Context(), address, map[string]uint64{"plan": 0}, 5*time.Second)
--- a/internal/coordination/transport/encoding.go
+++ b/internal/coordination/transport/encoding.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// errMalformed: a body is not what was sent, or not what such a body is made of. Its text goes on
-// the wire.
+// errMalformed means that a body was corrupted on its way, or is not of the form that the call takes.
+// Its text goes on the wire.
 var errMalformed = errors.New("spoilt body")
 
 // Bounds of what a body may hold.
@@ -22,8 +22,8 @@
 )
 
 var (
-	encoding = must(cbor.EncOptions{}.EncMode()) // keys in no order: a digest is not sorted for every call
-	// What a body can hold is bounded, so that a malformed one makes no work.
+	encoding = must(cbor.EncOptions{}.EncMode()) // keys in no order, as sorting a digest takes time
+	// decoding bounds what a body can hold, so that a malformed one takes little time and memory.
 	decoding = must(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:  maxNestedLevels,
@@ -33,6 +33,7 @@
 	}.DecMode())
 )
 
+// must returns the mode of options that are constants.
 func must[T any](mode T, err error) T {
 	if err != nil {
 		panic(err) // the options are constants
@@ -40,7 +41,7 @@
 	return mode
 }
 
-// checksum is that of a body: 16 hex digits.
+// checksum returns a body's checksum: 16 hex digits.
 func checksum(body []byte) string {
 	hash := xxhash.New()
 	_, _ = hash.Write(body) // never fails
--- a/internal/coordination/transport/golden_http_test.go
+++ b/internal/coordination/transport/golden_http_test.go
@@ -40,7 +40,9 @@
 	return statemachine.Result{Applied: true, Epoch: 6}, v.err
 }
 
-func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (map[string]statemachine.Table, error) {
+func (v goldenVoter) Read(_ context.Context, known map[string]uint64, wait time.Duration) (
+	map[string]statemachine.Table, error,
+) {
 	v.received <- ReadRequest{KnownEpochs: known, Wait: wait}
 	return goldenTables(), v.err
 }
@@ -93,7 +95,8 @@
 	} {
 		t.Run(file, func(t *testing.T) {
 			listener := listen(t)
-			address, got := listener.Addr().String(), make(chan []byte, 1)
+			address := listener.Addr().String()
+			got := make(chan []byte, 1)
 			go func() {
 				defer close(got)
 				conn, err := listener.Accept()
@@ -113,7 +116,8 @@
 			if err := call(newTestClient(t), address); err == nil || err.Error() != address+"/"+file+": status 503: " {
 				t.Errorf("the answer is taken as %v", err)
 			}
-			golden.Check(t, "golden/"+file+".request", bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST")))
+			request := bytes.ReplaceAll(<-got, []byte("Host: "+address), []byte("Host: HOST"))
+			golden.Check(t, "golden/"+file+".request", request)
 		})
 	}
 }
@@ -130,6 +134,7 @@
 }
 
 func goldenExchanges(t *testing.T) []goldenExchange {
+	t.Helper()
 	request := func(file string) string { return string(golden.Read(t, "golden/"+file+".request")) }
 	postBytes := func(path, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: HOST\r\nContent-Length: %d\r\nBody-Sum: %s\r\n\r\n%s",
@@ -139,13 +144,22 @@
 	batch := goldenBatch()
 	return []goldenExchange{
 		{file: "standing", call: request("standing")},
-		{file: "messages", call: request("messages"), received: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]}},
+		{
+			file: "messages", call: request("messages"),
+			received: []any{batch.Messages[0], batch.Messages[1], batch.Messages[2]},
+		},
 		{file: "digests", call: request("digests"), received: []any{goldenDigests()}},
 		{file: "read", call: request("read"), received: []any{goldenReadRequest()}},
-		{file: "read-fault", call: request("read"), err: coordination.ErrNoQuorum, received: []any{goldenReadRequest()}},
+		{
+			file: "read-fault", call: request("read"),
+			err: coordination.ErrNoQuorum, received: []any{goldenReadRequest()},
+		},
 		{file: "propose", call: request("propose"), received: []any{goldenWrite()}},
 		{file: "propose", call: post("/propose", "propose-raise.cbor"), received: []any{goldenRaise()}},
-		{file: "propose-fault", call: request("propose"), received: []any{goldenWrite()}, err: coordination.ErrNotLeader},
+		{
+			file: "propose-fault", call: request("propose"),
+			err: coordination.ErrNotLeader, received: []any{goldenWrite()},
+		},
 		{file: "not-begun", call: request("messages"), missing: true},
 		{file: "not-begun", call: request("digests"), missing: true},
 		{file: "not-begun", call: request("read"), missing: true},
@@ -170,17 +184,15 @@
 	for _, row := range goldenExchanges(t) {
 		name, _, _ := strings.Cut(row.call, " HTTP")
 		t.Run(row.file+" "+name, func(t *testing.T) {
-			listener, voter := listen(t), goldenVoter{received: make(chan any, 8), err: row.err}
+			listener := listen(t)
+			voter := goldenVoter{received: make(chan any, 8), err: row.err}
 			host := goldenHost{voter}
 			if row.missing {
 				host.voter = nil
 			}
 			server := Serve(listener, host, 16, zap.NewNop())
 			t.Cleanup(server.Close)
-			conn, err := net.Dial("tcp", listener.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
+			conn := dial(t, listener.Addr().String())
 			t.Cleanup(func() { _ = conn.Close() }) // the server has closed it
 			if _, err := io.WriteString(conn, row.call); err != nil {
 				t.Fatal(err)
--- a/internal/coordination/transport/golden_test.go
+++ b/internal/coordination/transport/golden_test.go
@@ -28,7 +28,8 @@
 
 func goldenInfo() VoterInfo {
 	return VoterInfo{
-		Number: 7, Name: "v7", DiskID: "ffeeddccbbaa99887766554433221100", Started: true, Incarnation: 1764633600123456789,
+		Number: 7, Name: "v7", DiskID: "ffeeddccbbaa99887766554433221100",
+		Started: true, Incarnation: 1764633600123456789,
 		Status:  coordination.Status{Number: 7, Leader: 4, Term: 19, Applied: 1 << 33, Members: goldenMembers()},
 		Address: "127.0.0.1:7417", InitialMembers: goldenMembers()[:1],
 	}
@@ -46,7 +47,8 @@
 	return []observation.Digest{
 		{
 			Process: "g1", Incarnation: 1764633600000000001, Serial: 42, Session: 3,
-			Counts: map[string]uint64{"push\x1fhall-a\x1fhall-b\x1fok": 70000}, Exact: map[string]uint64{"owed\x1fnorth\x1fsouth": 24},
+			Counts: map[string]uint64{"push\x1fhall-a\x1fhall-b\x1fok": 70000},
+			Exact:  map[string]uint64{"owed\x1fnorth\x1fsouth": 24},
 		},
 		{Process: "g2", Incarnation: 2, Serial: 1},
 	}
@@ -74,7 +76,9 @@
 		value any
 	}{
 		{"standing", goldenInfo()},
-		{"standing-not-begun", VoterInfo{Number: 2, Name: "v2", DiskID: "00", Incarnation: 5, Address: "127.0.0.1:7412"}},
+		{"standing-not-begun", VoterInfo{
+			Number: 2, Name: "v2", DiskID: "00", Incarnation: 5, Address: "127.0.0.1:7412",
+		}},
 		{"messages", goldenBatch()},
 		{"messages-none", MessageBatch{To: 1 << 40}},
 		{"digests", goldenDigests()},
@@ -92,7 +96,8 @@
 		t.Run(row.file, func(t *testing.T) {
 			want := golden.Read(t, "golden/"+row.file+".cbor")
 			read := reflect.New(reflect.TypeOf(row.value))
-			if err := readBody(bytes.NewReader(want), int64(len(want)), maxBodyBytes, checksum(want), read.Interface()); err != nil {
+			err := readBody(bytes.NewReader(want), int64(len(want)), maxBodyBytes, checksum(want), read.Interface())
+			if err != nil {
 				t.Fatal(err)
 			}
 			if d := cmp.Diff(row.value, read.Elem().Interface()); d != "" {
--- a/internal/coordination/transport/message.go
+++ b/internal/coordination/transport/message.go
@@ -1,6 +1,6 @@
 // Package transport carries the calls between the processes that coordinate: net/http on plain
-// connections with CBOR bodies. Package node starts its server and its clients. It decides nothing;
-// each call has limits of size and time.
+// connections with CBOR bodies, each call with limits of size and time. Package node starts its
+// server, its clients and the sender of voters' messages.
 package transport
 
 import (
@@ -14,20 +14,20 @@
 
 // Sizes.
 const (
-	maxBodyBytes        = 4 << 20  // of a digest, a read or a proposal: a thousand counts are 0.1 MB
-	maxMessageBodyBytes = 64 << 20 // of voters' messages in one body: a snapshot of all tables and totals
+	maxBodyBytes        = 4 << 20  // of a digest, a read or a proposal
+	maxMessageBodyBytes = 64 << 20 // of voters' messages in one body, one of which may be a snapshot
 	maxHeaderBytes      = 4 << 10  // of a call's header
 )
 
 // Timeouts.
 const (
-	maxReadWait        = 8 * time.Second        // of a waiting read: a quarter of the longest lease
-	requestReadTimeout = 5 * time.Second        // a call is read in that time, or its connection is closed
-	proposeTimeout     = 5 * time.Second        // whether a proposal without a majority by then is written is not known
-	idleTimeout        = 30 * time.Second       // a server closes a connection that has had no call for so long
+	maxReadWait        = 8 * time.Second        // longest wait of a read; a longer one is cut to it
+	requestReadTimeout = 5 * time.Second        // in which a call is read, or its connection is closed
+	proposeTimeout     = 5 * time.Second        // after which the outcome of a proposal is not known
+	idleTimeout        = 30 * time.Second       // after which a server closes a connection without calls
 	clientIdleTimeout  = idleTimeout / 2        // a client closes it before: a call sent into a closing one is lost
-	dialTimeout        = 400 * time.Millisecond // beyond a round trip between regions; two such fit into a lease
-	responseGrace      = 300 * time.Millisecond // what a response may take beyond the wait that was asked for
+	dialTimeout        = 400 * time.Millisecond // of a connection's start
+	responseGrace      = 300 * time.Millisecond // how much longer than the requested wait a response may take
 )
 
 // Names on the wire.
@@ -38,8 +38,8 @@
 	pathPropose  = "/propose"
 	pathInfo     = "/standing"
 
-	// headerChecksum has the checksum of a body. TCP's own is too weak to trust digests and log
-	// entries to; this one finds what was corrupted by accident, not on purpose.
+	// headerChecksum has the checksum of a body. It finds what was corrupted by accident, which TCP's
+	// own is too weak for, but nothing that was forged.
 	headerChecksum = "Body-Sum"
 )
 
@@ -61,7 +61,7 @@
 
 // MessageBatch is what one voter sends another.
 type MessageBatch struct {
-	To       uint64   `cbor:"1,keyasint"` // number of the voter that it is for: an address may have a new tenant
+	To       uint64   `cbor:"1,keyasint"` // number of the voter that it is for: another may have its address now
 	Messages [][]byte `cbor:"2,keyasint"`
 }
 
@@ -87,7 +87,7 @@
 	"stopped":    coordination.ErrStopped,
 }
 
-// encodeError gives an error's word on the wire.
+// encodeError returns an error's word on the wire.
 func encodeError(err error) string {
 	if err == nil {
 		return ""
@@ -100,7 +100,7 @@
 	return err.Error()
 }
 
-// decodeError gives the error of a word on the wire.
+// decodeError returns the error of a word on the wire.
 func decodeError(word string) error {
 	if word == "" {
 		return nil
@@ -111,7 +111,7 @@
 	return errors.New(word)
 }
 
-// Errors of calls that hold what no caller may ask for. Their texts go on the wire.
+// Errors of calls that are well formed but must not be made. Their texts go on the wire.
 var (
 	errUnnamedCommand   = errors.New("a command names who proposes it and a table")
 	errUnnumberedWrite  = errors.New("a write is numbered: it may not be applied twice")
@@ -119,7 +119,8 @@
 	errIncompleteDigest = errors.New("a digest names its process, its life and its place in it")
 )
 
-// validateCommand says what is wrong with a command that comes from outside.
+// validateCommand decides whether another process's command may be proposed. A write without a
+// number could be applied twice.
 func validateCommand(command statemachine.Command) error {
 	switch {
 	case command.Proposer == "" || command.Table == "":
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// validateDigests says what is wrong with digests that come from outside.
+// validateDigests decides whether another process's digests may be merged.
 func validateDigests(digests []observation.Digest) error {
 	for _, digest := range digests {
 		if digest.Process == "" || digest.Incarnation == 0 || digest.Serial == 0 {
--- a/internal/coordination/transport/network.go
+++ b/internal/coordination/transport/network.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// Network says where connections may go. They are not encrypted, so they stay on loopback unless
+// Network decides where connections may go. They are not encrypted, so they stay on loopback unless
 // the network is private.
 type Network struct {
 	// Private reports that nobody else is on the network: process.private_network of the operators'
@@ -25,9 +25,10 @@
 		"process.private_network = true", e.Address)
 }
 
-// Listen opens a voter's listener. Errors: a *NotLoopbackError, or the system's.
-func (n Network) Listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp", address)
+// Listen opens a voter's listener; the context ends only the opening. Errors: a *NotLoopbackError,
+// or the system's.
+func (n Network) Listen(ctx context.Context, address string) (net.Listener, error) {
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -38,7 +39,7 @@
 	return listener, nil
 }
 
-// checkAddress gives an error for an address, already resolved, that connections may not go to.
+// checkAddress decides whether connections may go to an address, which is resolved already.
 func (n Network) checkAddress(address string) error {
 	resolved, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// dialer dials allowed addresses only. A name is judged by what it resolves to at each dial.
+// dialer returns a function that dials allowed addresses only. A name is judged by the address that
+// it resolves to at each dial.
 func (n Network) dialer() func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: func(_, address string, _ syscall.RawConn) error {
 		return n.checkAddress(address)
--- a/internal/coordination/transport/network_test.go
+++ b/internal/coordination/transport/network_test.go
@@ -10,7 +10,7 @@
 func TestNetwork_staysOnLoopbackUnlessPrivate(t *testing.T) {
 	addresses := map[string]bool{"0.0.0.0:0": false, "[::]:0": false, "127.0.0.1:0": true, "localhost:0": true}
 	for address, loopback := range addresses {
-		listener, err := Network{}.Listen(address)
+		listener, err := Network{}.Listen(t.Context(), address)
 		if err == nil {
 			_ = listener.Close()
 		}
@@ -18,7 +18,7 @@
 			t.Errorf("%s: %v", address, err)
 		}
 	}
-	if listener, err := (Network{true}).Listen("0.0.0.0:0"); err != nil {
+	if listener, err := (Network{true}).Listen(t.Context(), "0.0.0.0:0"); err != nil {
 		t.Error(err)
 	} else {
 		_ = listener.Close()
--- a/internal/coordination/transport/sender.go
+++ b/internal/coordination/transport/sender.go
@@ -8,13 +8,14 @@
 
 // Limits of the messages that wait for another voter.
 const (
-	maxQueuedMessages   = 512                      // a second's worth at a busy leader
-	maxQueuedBytes      = 32 << 20                 // half of what one body may hold
-	maxBatchMessages    = 64                       // in one body
-	callsPerVoter       = 2                        // at a time: one that gets no response holds up no others
-	batchTimeout        = 500 * time.Millisecond   // a message older than an election is of no use
-	batchTimeoutPerByte = time.Second / (16 << 20) // more for a snapshot
-	failurePause        = 20 * time.Millisecond    // a voter that is down is not called without pause
+	maxQueuedMessages   = 512                             // for one voter
+	maxQueuedBytes      = 32 << 20                        // for one voter; a single message may be larger
+	maxBatchMessages    = 64                              // in one body
+	callsPerVoter       = 2                               // at a time: one without a response does not delay the others
+	batchTimeout        = 500 * time.Millisecond          // of an empty batch
+	minBytesPerSecond   = 16 << 20                        // at which a batch has to arrive
+	batchTimeoutPerByte = time.Second / minBytesPerSecond // added to batchTimeout
+	failurePause        = 20 * time.Millisecond           // before a voter that failed is called again
 )
 
 // MessageSender sends voters' messages to each other. It never waits: it keeps a bounded queue for
@@ -22,15 +23,15 @@
 // its goroutines.
 type MessageSender struct {
 	client     *Client
-	ctx        context.Context // of all deliveries; ends in Close
+	ctx        context.Context // of all deliveries; canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu     sync.Mutex // guards queues
-	queues map[uint64]*sendQueue
+	mu     sync.Mutex            // guards queues
+	queues map[uint64]*sendQueue // by the voter's number
 }
 
-// NewMessageSender makes a sender that sends as far as the network allows.
+// NewMessageSender makes a sender that sends to the addresses that the network allows.
 func NewMessageSender(network Network) *MessageSender {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &MessageSender{
@@ -90,7 +91,7 @@
 		if len(messages) == 0 {
 			continue
 		}
-		timeout := batchTimeout + time.Duration(size)*batchTimeoutPerByte
+		timeout := timeoutOf(size)
 		if ms.client.sendMessages(ctx, timeout, address, MessageBatch{To: number, Messages: messages}) == nil {
 			continue
 		}
@@ -102,6 +103,12 @@
 	}
 }
 
+// timeoutOf decides how long a batch of so many bytes may take. A message older than an election is
+// of no use, but a snapshot must arrive.
+func timeoutOf(size int) time.Duration {
+	return batchTimeout + time.Duration(size)*batchTimeoutPerByte
+}
+
 // sendQueue has the messages that wait for one voter.
 type sendQueue struct {
 	ready  chan struct{} // has a token while something waits
@@ -110,20 +117,30 @@
 	mu       sync.Mutex // guards what follows
 	address  string     // host:port, the latest that was given
 	messages [][]byte
-	bytes    int
-	dropped  uint64 // messages that had no room
+	bytes    int    // in messages
+	dropped  uint64 // messages that did not fit
+}
+
+// isFull decides whether a message of so many bytes is dropped. One that is larger than the queue
+// is sent alone.
+func (q *sendQueue) isFull(size int) bool {
+	if len(q.messages) == 0 {
+		return false
+	}
+	return len(q.messages) >= maxQueuedMessages || q.bytes+size > maxQueuedBytes
 }
 
+// enqueue adds a message for the voter at an address, or drops it.
 func (q *sendQueue) enqueue(address string, message []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.address = address
-	if len(q.messages) >= maxQueuedMessages || q.bytes+len(message) > maxQueuedBytes && len(q.messages) > 0 {
+	if q.isFull(len(message)) {
 		q.dropped++
 		return
 	}
 	q.messages = append(q.messages, message)
-	q.bytes = q.bytes + len(message)
+	q.bytes += len(message)
 	q.signal()
 }
 
@@ -137,7 +154,7 @@
 		size += len(message)
 	}
 	q.messages = append(q.messages[:0:0], q.messages[n:]...)
-	q.bytes = q.bytes - size
+	q.bytes -= size
 	if len(q.messages) > 0 {
 		q.signal()
 	}
--- a/internal/coordination/transport/sender_test.go
+++ b/internal/coordination/transport/sender_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 )
 
-// dropped is how many messages to a voter had no room.
+// dropped returns how many messages to a voter did not fit.
 func (ms *MessageSender) dropped(number uint64) uint64 {
 	ms.mu.Lock()
 	queue := ms.queues[number]
@@ -41,7 +41,7 @@
 	}
 }
 
-// The tenant of an address has changed: what is for another voter is rejected.
+// Another voter has the address now: it rejects messages for the earlier one.
 func TestMessageSender_messageForAnotherNumberIsRejected(t *testing.T) {
 	voter := newFakeVoter()
 	address, _ := startServer(t, voter)
@@ -81,7 +81,7 @@
 	var again net.Listener
 	eventually(t, "the address again", func() (free bool) {
 		var err error
-		again, err = net.Listen("tcp", address)
+		again, err = new(net.ListenConfig).Listen(t.Context(), "tcp", address)
 		return err == nil
 	})
 	server := Serve(again, fakeHost{voter}, 16, zap.NewNop())
--- a/internal/coordination/transport/server.go
+++ b/internal/coordination/transport/server.go
@@ -41,8 +41,8 @@
 	lastWarned      atomic.Int64 // when the limit was last logged, in nanoseconds since startedAt
 }
 
-// warnInterval is between two lines on too many connections: else there would be one for each
-// follower.
+// warnInterval is the shortest time between two log lines on too many connections, of which each
+// follower would cause one.
 const warnInterval = time.Minute
 
 // Serve answers calls on a listener until Close. No more than maxConnections are open at a time: a
@@ -61,7 +61,7 @@
 		WriteTimeout:   requestReadTimeout + maxReadWait + responseGrace,
 		MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: requestReadTimeout,
 		ConnState: server.trackConnection,
-		ErrorLog:  zap.NewStdLog(zap.NewNop()), // it would write a line for each connection that breaks
+		ErrorLog:  zap.NewStdLog(zap.NewNop()), // otherwise each connection that breaks is a line
 	}
 	go func() {
 		defer close(server.closed)
@@ -102,6 +102,7 @@
 	case http.StateClosed, http.StateHijacked:
 		s.openConnections.Add(-1)
 		s.connections.Done()
+	case http.StateActive, http.StateIdle: // it is counted already
 	}
 }
 
@@ -178,7 +179,7 @@
 	writeResponse(w, Response{Error: encodeError(err), Result: result})
 }
 
-// requireVoter gives the voter, or answers that it has not started.
+// requireVoter returns the voter, or answers the call and returns nil where it has not started.
 func (s *Server) requireVoter(w http.ResponseWriter) coordination.Voter {
 	voter := s.host.Voter()
 	if voter == nil {
@@ -187,7 +188,7 @@
 	return voter
 }
 
-// decodeBody reads a call's body, or answers that it is rejected.
+// decodeBody reads a call's body, and reports whether it could be read. Else the call is answered.
 func decodeBody(w http.ResponseWriter, r *http.Request, limit int64, into any) bool {
 	if err := readBody(r.Body, r.ContentLength, limit, r.Header.Get(headerChecksum), into); err != nil {
 		w.Header().Set("Connection", "close") // what follows on it cannot be trusted
@@ -197,17 +198,18 @@
 	return true
 }
 
+// writeResponse answers a call with a value and its checksum.
 func writeResponse(w http.ResponseWriter, response any) {
 	body, err := encoding.Marshal(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	w.Header()["Date"] = nil // nobody goes by it
+	w.Header()["Date"] = nil // no client reads it
 	w.Header().Set("Content-Type", "application/cbor")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set(headerChecksum, checksum(body))
-	_, _ = w.Write(body) // who does not get it asks again
+	_, _ = w.Write(body) // a client that does not get it calls again
 }
 
 // extendReadDeadline gives a call that was read more time for its response: net/http's limit for
--- a/internal/coordination/transport/server_test.go
+++ b/internal/coordination/transport/server_test.go
@@ -65,17 +65,18 @@
 	}
 }
 
-// sendRaw sends the bytes of a call and gives the status of the response, if one came.
+// sendRaw sends the bytes of a call and returns the status of the response, if one came.
 func sendRaw(t *testing.T, address, call string) (status int, answered bool) {
 	t.Helper()
-	conn, err := net.Dial("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
+	conn := dial(t, address)
 	defer func() { _ = conn.Close() }() // the other end may have closed it
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	_, _ = io.WriteString(conn, call) // it may be rejected before its end
-	_ = conn.(*net.TCPConn).CloseWrite()
+	if half, ok := conn.(*net.TCPConn); ok {
+		_ = half.CloseWrite()
+	} else {
+		t.Fatalf("%T is no TCP connection", conn)
+	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, false
@@ -88,7 +89,8 @@
 func TestServer_unnumberedWriteIsRejected(t *testing.T) {
 	voter := newFakeVoter()
 	address, client := startServer(t, voter)
-	_, err := client.Propose(t.Context(), address, statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Table: "plan"})
+	unnumbered := statemachine.Command{Kind: statemachine.Write, Proposer: "p/1", Table: "plan"}
+	_, err := client.Propose(t.Context(), address, unnumbered)
 	if _, _, proposals := voter.received(); err == nil || proposals > 0 {
 		t.Errorf("%v, %d proposals", err, proposals)
 	}
@@ -117,10 +119,7 @@
 	t.Cleanup(server.Close)
 	var closed atomic.Int32
 	for range 9 {
-		conn, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
+		conn := dial(t, listener.Addr().String())
 		t.Cleanup(func() { _ = conn.Close() }) // the server has closed six of them
 		go func() {
 			_, _ = conn.Read(make([]byte, 1))
--- a/internal/coordination/transport/voter_test.go
+++ b/internal/coordination/transport/voter_test.go
@@ -46,7 +46,8 @@
 func (v *fakeVoter) Propose(_ context.Context, command statemachine.Command) (statemachine.Result, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.proposed++; v.err != nil {
+	v.proposed++
+	if v.err != nil {
 		return statemachine.Result{}, v.err
 	}
 	v.index++
@@ -61,7 +62,9 @@
 ) {
 	for end := time.After(wait); ; {
 		v.mu.Lock()
-		found, changed, err := map[string]statemachine.Table{}, v.changed, v.err
+		found := map[string]statemachine.Table{}
+		changed := v.changed
+		err := v.err
 		for name := range v.names {
 			if table := v.state.Table(name); table.Epoch > known[name] {
 				found[name] = table
@@ -106,29 +109,39 @@
 func (h fakeHost) GroupID() []byte           { return []byte("g") }
 
 // listen opens a listener on loopback that is closed with the test.
-func listen(t testing.TB) net.Listener {
-	t.Helper()
-	listener, err := Network{}.Listen("127.0.0.1:0")
+func listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := Network{}.Listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // most tests have closed it by then
+	tb.Cleanup(func() { _ = listener.Close() }) // most tests have closed it by then
 	return listener
 }
 
-// startServer starts a server for a voter on loopback, and gives its address and a client.
-func startServer(t testing.TB, voter coordination.Voter) (string, *Client) {
-	t.Helper()
-	listener := listen(t)
+// startServer starts a server for a voter on loopback, and returns its address and a client.
+func startServer(tb testing.TB, voter coordination.Voter) (string, *Client) {
+	tb.Helper()
+	listener := listen(tb)
 	server := Serve(listener, fakeHost{voter}, 16, zap.NewNop())
-	t.Cleanup(server.Close)
-	return listener.Addr().String(), newTestClient(t)
+	tb.Cleanup(server.Close)
+	return listener.Addr().String(), newTestClient(tb)
 }
 
-func newTestClient(t testing.TB) *Client {
-	t.Helper()
+// dial connects to an address.
+func dial(tb testing.TB, address string) net.Conn {
+	tb.Helper()
+	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", address)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return conn
+}
+
+func newTestClient(tb testing.TB) *Client {
+	tb.Helper()
 	client := NewClient(Network{}, 2)
-	t.Cleanup(client.Close)
+	tb.Cleanup(client.Close)
 	return client
 }
 
--- a/internal/coordination/voter/voter_test.go
+++ b/internal/coordination/voter/voter_test.go
@@ -94,7 +94,7 @@
 	return []byte(now), now != string(input.Table("sum").Value)
 }
 
-// Digests sent to any voter reach the controllers at the leader once, whoever leads.
+// Digests sent to any voter reach the controllers once, at each leader in turn.
 func TestVoter_digestsReachTheControllers(t *testing.T) {
 	group := newTestCluster(t, 3)
 	group.startAll(tempFolders(t, 3), sumController{})
