--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -19,8 +19,8 @@
 	Voters  []Voter `toml:"voter"`
 	Timing  Timing  `toml:"timing"`
 
-	// The parts, each a table with its settings; one that is left out is off. A new part adds a line
-	// here and in Parts.
+	// The parts, each a table with its settings; one that is left out is off. A new part adds a
+	// line here and in Parts.
 	Failover   *failover.Settings   `toml:"failover"`
 	Counting   *countingrule.Config `toml:"counting"`
 	Settlement *settlement.Terms    `toml:"debts"`
--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -53,9 +53,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Self() == nil || c.Self().Number != 1 || c.Timing.Lease.Duration != 3*time.Second || len(c.Parts()) != 0 ||
-		c.Timing.DigestInterval.Duration != defaultDigestInterval || c.Process.MaxConnections != defaultConnections {
-		t.Errorf("%+v", c)
+	if c.Self() == nil || c.Self().Number != 1 || c.Timing.Lease.Duration != 3*time.Second {
+		t.Errorf("the file's own values: %+v", c)
+	}
+	isTimingDefault := c.Timing.DigestInterval.Duration == defaultDigestInterval
+	if !isTimingDefault || c.Process.MaxConnections != defaultConnections || len(c.Parts()) != 0 {
+		t.Errorf("the defaults: %+v", c)
 	}
 }
 
--- a/internal/coordination/config/read.go
+++ b/internal/coordination/config/read.go
@@ -33,7 +33,8 @@
 func FaultLines(err error) []string { return strings.Split(err.Error(), "\n") }
 
 // parse reads a file's text and returns all its faults. The decoder stops at the first value of the
-// wrong type: that line is emptied and the text read again, so that all faults are reported at once.
+// wrong type: that line is emptied and the text read again, so that all faults are reported at
+// once.
 func parse(text []byte) (*Config, []error) {
 	lines := bytes.Split(text, []byte("\n"))
 	var faults []error
--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -28,8 +28,8 @@
 }
 
 // shouldCampaign decides whether this voter stands for election: for its drawn election timeout, in
-// ticks, it heard from no leader, and neither its term nor its vote changed. The timeouts differ, so
-// that voters rarely stand at the same time.
+// ticks, it heard from no leader, and neither its term nor its vote changed. The timeouts differ,
+// so that voters rarely stand at the same time.
 func (n *Node) shouldCampaign() bool { return n.ticksWithoutLeader >= n.electionTimeout }
 
 // expireSnapshots ends the wait for snapshots that were not acknowledged in time, so that they are
@@ -52,8 +52,8 @@
 	}
 }
 
-// longestLog returns the number of the other member that is known to have most of the log; 0: none
-// is known to have any.
+// longestLog returns the number of the other member that is known to have most of the log on its
+// disk; 0: none is known to have any.
 func (n *Node) longestLog() (number uint64) {
 	match := uint64(0)
 	n.raftNode.WithProgress(func(id uint64, _ raft.ProgressType, p progress) {
--- a/internal/coordination/consensus/gatherer.go
+++ b/internal/coordination/consensus/gatherer.go
@@ -60,8 +60,8 @@
 	)
 }
 
-// SetLeaderTerm sets the term in which this voter leads; 0: it does not lead. A new term starts with no
-// sums of other voters.
+// SetLeaderTerm sets the term in which this voter leads; 0: it does not lead. A new term starts
+// with no sums of other voters.
 func (g *Gatherer) SetLeaderTerm(term uint64) {
 	if term != g.leaderTerm {
 		g.leaderTerm = term
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -113,8 +113,8 @@
 }
 
 // isChangePending decides whether a membership change has to wait: another one may not be applied
-// yet, of an earlier leader or of this one in this term. Raft would silently replace a second one by
-// an empty entry.
+// yet, of an earlier leader or of this one in this term. Raft would silently replace a second one
+// by an empty entry.
 func (n *Node) isChangePending() bool {
 	return !n.IsEstablishedLeader() || n.pendingChangeTerm == n.appliedTerm
 }
--- a/internal/coordination/consensus/node_test.go
+++ b/internal/coordination/consensus/node_test.go
@@ -196,7 +196,8 @@
 	cluster := newTestCluster(t, 1)
 	cluster.mustWrite(1, 0)
 	node := cluster.waitForLeader()
-	queue, answers := NewReadQueue(node), 0
+	queue := NewReadQueue(node)
+	answers := 0
 	process := func(now time.Duration) {
 		for ready, ok, _ := node.Ready(); ok; ready, ok, _ = node.Ready() {
 			applied, err := node.Advance(ready)
--- a/internal/coordination/consensus/peer.go
+++ b/internal/coordination/consensus/peer.go
@@ -16,8 +16,8 @@
 }
 
 // checkSender decides whether a message of another voter is rejected: its sender is not who it
-// claims to be, is of another installation, was removed, or has lost votes that it gave, as its disk
-// was emptied, copied or restored. Such a member has to come back under a new number.
+// claims to be, is of another installation, was removed, or has lost votes that it gave, as its
+// disk was emptied, copied or restored. Such a member has to come back under a new number.
 func (n *Node) checkSender(received envelope) error {
 	from := received.From.Number
 	if from == 0 || from >= numberLimit || from == n.self.Number {
--- a/internal/coordination/consensus/read_queue.go
+++ b/internal/coordination/consensus/read_queue.go
@@ -32,7 +32,8 @@
 	unconfirmed confirmation = iota
 	// confirmed: this voter's state since the read arrived. The next change answers the read.
 	confirmed
-	// confirmedAfterDeadline: the state at the end of its wait. The read is answered, changed or not.
+	// confirmedAfterDeadline: the state at the end of its wait. The read is answered, changed or
+	// not.
 	confirmedAfterDeadline
 )
 
@@ -72,8 +73,8 @@
 	return isUnanswered && now-r.sentAt > readIndexTimeout
 }
 
-// isComplete decides whether the reads that wait for the request are confirmed: it was answered, and
-// this voter has applied the log up to the index of the answer.
+// isComplete decides whether the reads that wait for the request are confirmed: it was answered,
+// and this voter has applied the log up to the index of the answer.
 func (r readIndexRequest) isComplete(appliedIndex uint64) bool {
 	isAnswered := r.isPending() && r.confirmedIndex > 0
 	return isAnswered && appliedIndex >= r.confirmedIndex
--- a/internal/coordination/consensus/ready.go
+++ b/internal/coordination/consensus/ready.go
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// applyMembershipChange applies a committed membership change, if it is still valid: another one may
-// have been applied since it was proposed.
+// applyMembershipChange applies a committed membership change, if it is still valid: another one
+// may have been applied since it was proposed.
 func (n *Node) applyMembershipChange(entry *raftpb.Entry, applied *AppliedResult) error {
 	confChange := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), confChange); err != nil {
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,6 +1,6 @@
-// Package coordination defines what is shared by the packages below it, which replicate a few small
-// tables among a group of voters, and by those that compute or read the tables. The deciders of
-// control implement its Controller; gateways read tables through its Follower interface.
+// Package coordination defines the types that are shared by the packages below it, which replicate
+// a few small tables among a group of voters, and by those that compute or read the tables. The
+// deciders of control implement its Controller; gateways read tables through its Client.
 package coordination
 
 import (
@@ -45,7 +45,7 @@
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		changed := client.Changed() // taken before the update: a change during it is followed by another
+		changed := client.Changed() // taken first, so that a change during the update causes another one
 		update()
 		select {
 		case <-ctx.Done():
@@ -70,8 +70,8 @@
 }
 
 // Controller computes the next value of one table from the counters of all processes. The leader
-// runs it; whatever has to outlive a leader must be part of the value. A Controller does no I/O and
-// reads no clock.
+// runs it; state that has to outlive a leader must be part of the value. A Controller does no I/O
+// and reads no clock.
 type Controller interface {
 	// Table returns the name of the table that it writes.
 	Table() string
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -25,7 +25,8 @@
 func TestFollowTables_updatesAtOnceAtChangesAndAtIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		client, updates := &changingClient{change: make(chan struct{})}, atomic.Int32{}
+		client := &changingClient{change: make(chan struct{})}
+		var updates atomic.Int32
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
--- a/internal/coordination/follower/cache_test.go
+++ b/internal/coordination/follower/cache_test.go
@@ -51,8 +51,8 @@
 	sent   time.Duration
 }
 
-// drawRead draws a read by a process that has the known epoch, and false where the voters are behind
-// that.
+// drawRead draws a read by a process that has the known epoch, and false where the voters are
+// behind that.
 func drawRead(t *rapid.T, h history, known uint64) (drawnRead, bool) {
 	sent := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "sent")) * time.Millisecond
 	confirmed := sent + time.Duration(rapid.IntRange(0, 500).Draw(t, "delay"))*time.Millisecond
@@ -64,7 +64,8 @@
 	return read, epoch >= known
 }
 
-// checkCached checks that a cached value was the table's at some moment from the lease's beginning on.
+// checkCached checks that a cached value was the table's at some moment from the lease's beginning
+// on.
 func (h history) checkCached(t *rapid.T, cached coordination.CachedTable) {
 	t.Helper()
 	if cached.Epoch > 0 && string(cached.Value) != fmt.Sprint(cached.Epoch) {
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -68,7 +68,8 @@
 // counterSource adds what a part of the process has counted since its start.
 type counterSource = func(add func(name string, n uint64))
 
-// counterRegistry holds the functions that report what a process counts. It may be used by several goroutines at once.
+// counterRegistry holds the functions that report what a process counts. It may be used by several
+// goroutines at once.
 type counterRegistry struct {
 	mu     sync.Mutex // guards what follows
 	merged []counterSource
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower keeps a process's copy of the tables, each with a lease, by a waiting read at one
-// voter, and sends that voter the process's digests. Package node runs one in every process, voters
-// too; the parts of the process look tables up in it, and never wait for another process.
+// Package follower keeps a process's copy of the tables, each with a lease, by a waiting read at
+// one voter, and sends that voter the process's digests. Package node runs one in every process,
+// voters too; the parts of the process look tables up in it, and never wait for another process.
 package follower
 
 import (
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -133,8 +133,8 @@
 	return ReadResult{}, ctx.Err()
 }
 
-// Voters that lost all disks count their epochs anew: a plan cached from before must not look
-// confirmed by them.
+// Voters that lost all disks start their epochs from 0: they must not confirm a plan that was
+// cached before.
 func TestFollower_tablesOfAnotherGroupAreRejected(t *testing.T) {
 	one, two := newFakeSource("v1"), newFakeSource("v2")
 	one.set("plan", 5, "old")
--- a/internal/coordination/follower/reader.go
+++ b/internal/coordination/follower/reader.go
@@ -94,8 +94,8 @@
 }
 
 // isForeign decides whether a result is of another group of voters than the one that this process
-// has followed from its start. Such voters started anew with empty disks: a table of theirs at epoch
-// 3 is not older than one cached at epoch 57, it is another.
+// has followed from its start. Such voters started anew with empty disks: a table of theirs at
+// epoch 3 is not older than one cached at epoch 57, it is another.
 func (r *tableReader) isForeign(result ReadResult) bool {
 	followed := r.cache.get(GroupTable)
 	return !result.FromOwnVoter && followed.Epoch > 0 && !bytes.Equal(followed.Value, result.GroupID)
--- a/internal/coordination/node/bootstrap.go
+++ b/internal/coordination/node/bootstrap.go
@@ -37,9 +37,9 @@
 	reason         string                // why it waits
 }
 
-// decide decides how a voter with an empty disk goes on. The disk may have been lost with votes that
-// the voter gave. So it starts a log only where all voters of the file have reported an empty disk
-// in this incarnation, and joins one only where the members' list has this very disk.
+// decide decides how a voter with an empty disk goes on. The disk may have been lost with votes
+// that the voter gave. So it starts a log only where all voters of the file have reported an empty
+// disk in this incarnation, and joins one only where the members' list has this very disk.
 func (b *bootstrap) decide(self coordination.Member, configured []config.Voter,
 	infos map[uint64]transport.VoterInfo,
 ) bootstrapDecision {
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -1,7 +1,7 @@
 // Package node puts together what a process needs to take part in the coordination, as the
 // operators' file says: the follower that every process has and, in a voter, its server, its log
-// and the voter itself. The gateway's wiring opens it where a coordination file is named, reloads it
-// on SIGHUP and closes it at the end.
+// and the voter itself. The gateway's wiring opens it where a coordination file is named, reloads
+// it on SIGHUP and closes it at the end.
 package node
 
 import (
--- a/internal/coordination/node/reconcile.go
+++ b/internal/coordination/node/reconcile.go
@@ -19,7 +19,7 @@
 // How the leader looks after the group.
 const (
 	reconcileInterval = 500 * time.Millisecond // between two comparisons of the members with the file
-	reconcileTimeout  = 3 * time.Second        // after which a change that no majority accepted is looked at anew
+	reconcileTimeout  = 3 * time.Second        // after which a change without a majority is decided again
 	groupIDBytes      = 16
 )
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// reconcile writes the group ID where the lease confirms that there is none, and takes the next step
-// towards the members that the file names.
+// reconcile writes the group ID where the lease confirms that there is none, and takes the next
+// step towards the members that the file names.
 func (r *reconciler) reconcile(ctx context.Context, running *voter.Voter, status coordination.Status) {
 	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
@@ -82,8 +82,8 @@
 		if change.kind == keepMembers {
 			continue
 		}
-		// The old voter is removed only when the new one answers, with an empty disk: until then the
-		// old one may still come back.
+		// The old voter is removed only when the new one answers, with an empty disk: until then
+		// the old one may still come back.
 		info, err := r.client.Info(ctx, configured.Address)
 		isConfigured := info.Number == configured.Number && info.Name == configured.Name
 		if err != nil || info.Started || !isConfigured {
@@ -139,9 +139,9 @@
 	replaced uint64 // number of the member to remove
 }
 
-// nextMemberChange decides the next step from the members to a voter that the file names. The member
-// that it replaces is removed before it is added: while dead, that one counts among those of whom a
-// majority must answer.
+// nextMemberChange decides the next step from the members to a voter that the file names. The
+// member that it replaces is removed before it is added: while dead, that one counts among those of
+// whom a majority must answer.
 func nextMemberChange(members []coordination.Member, configured config.Voter) memberChange {
 	highest := uint64(0)
 	replaced := uint64(0)
--- a/internal/coordination/node/voter_host.go
+++ b/internal/coordination/node/voter_host.go
@@ -77,7 +77,7 @@
 // later.
 func openVoterHost(ctx context.Context, cfg *config.Config, options hostOptions) (*voterHost, error) {
 	self := *cfg.Self()
-	// Prevents one voter in two processes, of which the second listens elsewhere.
+	// Prevents two processes with the same file from both running this voter.
 	if other, err := options.client.Info(ctx, self.Address); err == nil {
 		return nil, fmt.Errorf("%s: %w", options.path, &AddressInUseError{Address: self.Address, Voter: other})
 	}
--- a/internal/coordination/observation/merger_rapid_test.go
+++ b/internal/coordination/observation/merger_rapid_test.go
@@ -25,13 +25,18 @@
 func (p *countingProcess) proceed(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0: // it switches to another voter
-		p.voter, p.digest.Session = rapid.IntRange(0, 2).Draw(t, "voter"), p.digest.Session+1
+		p.voter = rapid.IntRange(0, 2).Draw(t, "voter")
+		p.digest.Session++
 	case 1: // it restarts
-		p.digest, p.count = Digest{Process: "g", Incarnation: p.digest.Incarnation + 1}, 0
+		p.digest = Digest{Process: "g", Incarnation: p.digest.Incarnation + 1}
+		p.count = 0
 	default:
 		growth := rapid.Uint64Range(0, 5).Draw(t, "growth")
-		p.count, p.counted, p.digest.Serial = p.count+growth, p.counted+growth, p.digest.Serial+1
-		p.digest.Counts, p.digest.Exact = map[string]uint64{"n": p.count}, map[string]uint64{"n": p.count}
+		p.count += growth
+		p.counted += growth
+		p.digest.Serial++
+		p.digest.Counts = map[string]uint64{"n": p.count}
+		p.digest.Exact = map[string]uint64{"n": p.count}
 		p.sent = append(p.sent, addressedDigest{p.voter, p.digest})
 	}
 }
--- a/internal/coordination/observation/merger_test.go
+++ b/internal/coordination/observation/merger_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Messages between processes are lost, duplicated, late and out of order: whatever arrives between
-// the first digest and the last, the sum is what was counted between them.
+// Messages between processes are lost, duplicated, late and out of order: the sum is what was
+// counted between the first digest that arrives and the last.
 func TestMerger_lostDuplicateAndLateDigestsChangeNothing(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -53,17 +53,19 @@
 	if !merger.Add(again) || merger.Add(newDigest(3, 900)) {
 		t.Error("the later incarnation does not take precedence")
 	}
-	again.Serial, again.Counts = 2, map[string]uint64{"attempts": 9}
+	again.Serial = 2
+	again.Counts = map[string]uint64{"attempts": 9}
 	merger.Add(again)
 	if want := map[string]uint64{"attempts": 34}; !maps.Equal(merger.Sums(), want) {
 		t.Errorf("sums %v, want %v", merger.Sums(), want)
 	}
 }
 
-// A process that switches to another voter and back is counted twice at neither: what it counted in
-// between is lost.
+// A process that switches to another voter and back is counted twice at neither of them: what it
+// counted in between is lost.
 func TestMerger_processThatSwitchesVoterCountsOnce(t *testing.T) {
-	one, other := NewMerger(), NewMerger()
+	one := NewMerger()
+	other := NewMerger()
 	for i, to := range []*Merger{one, one, other, other, one, one} {
 		digest := newDigest(uint64(i+1), 10*uint64(i))
 		digest.Session = uint64(i / 2)
--- a/internal/coordination/statemachine/state.go
+++ b/internal/coordination/statemachine/state.go
@@ -1,7 +1,7 @@
-// Package statemachine decides what each command of the replicated log changes: small tables with an
-// epoch each, totals that only grow, and the last command of each proposer. Package consensus applies
-// the log to it on every voter. It has no I/O and no clock: the same commands in the same order make
-// the same state.
+// Package statemachine decides what each command of the replicated log changes: small tables with
+// an epoch each, totals that only grow, and the last command of each proposer. Package consensus
+// applies the log to it on every voter. It has no I/O and no clock: the same commands in the same
+// order make the same state.
 package statemachine
 
 import (
@@ -32,7 +32,8 @@
 	Index  uint64 `cbor:"3,keyasint"` // of its log entry: the proposer with the lowest is evicted first
 }
 
-// maxProposers is how many proposers are remembered. One that is forgotten must not repeat a command.
+// maxProposers is how many proposers are remembered. One that is forgotten must not repeat a
+// command.
 const maxProposers = 4096
 
 // New makes an empty state.
--- a/internal/coordination/statemachine/state_test.go
+++ b/internal/coordination/statemachine/state_test.go
@@ -12,7 +12,8 @@
 // Of two concurrent writes of the same table one is applied; the other returns the current epoch.
 func TestApply_writeAtAnEarlierEpochIsNotApplied(t *testing.T) {
 	s := New()
-	first, second := s.Apply(1, writeCommand("a/1", 1, 0, "x")), s.Apply(2, writeCommand("b/1", 1, 0, "y"))
+	first := s.Apply(1, writeCommand("a/1", 1, 0, "x"))
+	second := s.Apply(2, writeCommand("b/1", 1, 0, "y"))
 	if !first.Applied || second.Applied || second.Epoch != 1 || string(s.Table("plan").Value) != "x" {
 		t.Errorf("%+v, %+v, %+v", first, second, s.Table("plan"))
 	}
@@ -54,9 +55,11 @@
 		t.Fatal(err)
 	}
 	again, err := restored.Snapshot()
-	if err != nil || !bytes.Equal(snapshot, again) || restored.AppliedIndex() != 2 ||
-		restored.Table("plan").Epoch != 1 || restored.Totals("debts")["a"] != 7 {
-		t.Errorf("restored %+v, %v", restored, err)
+	if err != nil || !bytes.Equal(snapshot, again) {
+		t.Errorf("restored as %x, %v", again, err)
+	}
+	if restored.AppliedIndex() != 2 || restored.Table("plan").Epoch != 1 || restored.Totals("debts")["a"] != 7 {
+		t.Errorf("restored %+v", restored)
 	}
 	if repeated := restored.Apply(3, writeCommand("a/1", 1, 0, "x")); !repeated.Applied || repeated.Epoch != 1 {
 		t.Errorf("the result of a repeated command is lost: %+v", repeated)
--- a/internal/coordination/transport/client.go
+++ b/internal/coordination/transport/client.go
@@ -153,8 +153,8 @@
 	return response.Result, decodeError(response.Error)
 }
 
-// sendMessages hands a voter messages of another one. It is never retried: their sender sends anew
-// what matters.
+// sendMessages hands a voter messages of another one. It is never retried: the consensus node that
+// made them sends what matters again.
 func (c *Client) sendMessages(ctx context.Context, timeout time.Duration, address string, batch MessageBatch) error {
 	return c.call(ctx, timeout, http.MethodPost, address, pathMessages, batch, nil)
 }
--- a/internal/coordination/transport/encoding.go
+++ b/internal/coordination/transport/encoding.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// errMalformed means that a body was corrupted on its way, or is not of the form that the call takes.
-// Its text goes on the wire.
+// errMalformed means that a body was corrupted on its way, or is not of the form that the call
+// takes. Its text goes on the wire.
 var errMalformed = errors.New("spoilt body")
 
 // Bounds of what a body may hold.
--- a/internal/coordination/transport/message.go
+++ b/internal/coordination/transport/message.go
@@ -38,8 +38,8 @@
 	pathPropose  = "/propose"
 	pathInfo     = "/standing"
 
-	// headerChecksum has the checksum of a body. It finds what was corrupted by accident, which TCP's
-	// own is too weak for, but nothing that was forged.
+	// headerChecksum has the checksum of a body. It finds what was corrupted by accident, which
+	// TCP's own is too weak for, but nothing that was forged.
 	headerChecksum = "Body-Sum"
 )
 
--- a/internal/coordination/transport/sender.go
+++ b/internal/coordination/transport/sender.go
@@ -19,7 +19,7 @@
 )
 
 // MessageSender sends voters' messages to each other. It never waits: it keeps a bounded queue for
-// each voter and drops what does not fit, as the consensus node sends anew what matters. It owns
+// each voter and drops what does not fit, as the consensus node sends what matters again. It owns
 // its goroutines.
 type MessageSender struct {
 	client     *Client
--- a/internal/coordination/transport/server.go
+++ b/internal/coordination/transport/server.go
@@ -97,7 +97,7 @@
 		s.connections.Add(1)
 		if s.openConnections.Add(1) > s.maxConnections {
 			s.warnOfLimit()
-			_ = conn.Close() // the other end sees it closed, whatever the error
+			_ = conn.Close() // an error changes nothing for the other end
 		}
 	case http.StateClosed, http.StateHijacked:
 		s.openConnections.Add(-1)
@@ -128,7 +128,7 @@
 		return
 	}
 	for _, message := range batch.Messages {
-		_ = voter.HandleMessage(r.Context(), message) // a rejected one is dropped: its sender sends anew what matters
+		_ = voter.HandleMessage(r.Context(), message) // a rejected one is dropped, as a lost one would be
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/coordination/transport/server_test.go
+++ b/internal/coordination/transport/server_test.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return 0, false
 	}
-	_ = response.Body.Close() // whatever it says, there was an answer
+	_ = response.Body.Close() // the status alone counts
 	return response.StatusCode, true
 }
 
--- a/internal/coordination/voter/cluster_test.go
+++ b/internal/coordination/voter/cluster_test.go
@@ -89,7 +89,7 @@
 	tc.deliveries.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = receiver.HandleMessage(ctx, message) // a message that is rejected is as good as lost
+		_ = receiver.HandleMessage(ctx, message) // a rejected message is dropped
 	})
 }
 
--- a/internal/coordination/wal/frame.go
+++ b/internal/coordination/wal/frame.go
@@ -110,7 +110,8 @@
 	isTailDamaged bool   // blocks were skipped since the last undamaged copy
 }
 
-// addCopy takes the next undamaged copy: the second one of the last frame, or one of the next frame.
+// addCopy takes the next undamaged copy: the second one of the last frame, or one of the next
+// frame.
 func (s *frameScanner) addCopy(f frame) error {
 	switch f.number {
 	case s.lastNumber:
--- a/internal/coordination/wal/log_test.go
+++ b/internal/coordination/wal/log_test.go
@@ -91,8 +91,9 @@
 			}
 		}
 		scanned, err := readFrames(truncated)
-		if err != nil || len(scanned.payloads) < count || len(scanned.payloads) > count+1 ||
-			!slices.EqualFunc(scanned.payloads[:count], acknowledged.payloads, bytes.Equal) {
+		hasAllAcknowledged := len(scanned.payloads) >= count &&
+			slices.EqualFunc(scanned.payloads[:count], acknowledged.payloads, bytes.Equal)
+		if err != nil || !hasAllAcknowledged || len(scanned.payloads) > count+1 {
 			t.Fatalf("round %d: %d frames, %v", i, len(scanned.payloads), err)
 		}
 	}
@@ -145,7 +146,8 @@
 }
 
 func (o *faultyFileOps) Write(f *os.File, b []byte) error {
-	if o.writes++; !o.failSync && o.writes == o.failAt {
+	o.writes++
+	if !o.failSync && o.writes == o.failAt {
 		_, _ = f.Write(b[:len(b)/3]) // part of it is on disk all the same
 		return errors.New("no space left on device")
 	}
@@ -153,7 +155,8 @@
 }
 
 func (o *faultyFileOps) Sync(f *os.File) error {
-	if o.syncs++; o.failSync && o.syncs == o.failAt {
+	o.syncs++
+	if o.failSync && o.syncs == o.failAt {
 		return errors.New("input/output error")
 	}
 	return o.OSFileOps.Sync(f)
