--- a/internal/gateway/listener/acceptbackoff.go
+++ b/internal/gateway/listener/acceptbackoff.go
@@ -8,13 +8,19 @@
 	"go.uber.org/zap"
 )
 
-// After a failed accept the listener waits for initialAcceptBackoff, and twice as long after each further failure, up to
-// maxAcceptBackoff: other goroutines release what is lacking, and retrying at once would take the processor time that they
-// need for it. Cost: a client that connects in that moment waits as much longer.
 const (
+	// initialAcceptBackoff is the wait after a first failed accept. It grows with each further
+	// failure: other goroutines release what is lacking, and need the processor for it.
 	initialAcceptBackoff = time.Millisecond
-	maxAcceptBackoff     = 100 * time.Millisecond
-	acceptLogInterval    = 10 * time.Second // between log lines, of which there would be one for each failure
+	// acceptBackoffGrowth is the factor by which the wait grows.
+	acceptBackoffGrowth = 2
+	// maxAcceptBackoff is the longest wait.
+	maxAcceptBackoff = 100 * time.Millisecond
+	// acceptFailureGap is the time after a failure in which the next one prolongs the wait. Later,
+	// connections were accepted in between.
+	acceptFailureGap = 2 * maxAcceptBackoff
+	// acceptLogInterval is the time between log lines, of which there would be one for each failure.
+	acceptLogInterval = 10 * time.Second
 )
 
 // acceptBackoff tracks failures to accept. Only the goroutine of Serve uses it.
@@ -26,18 +32,20 @@
 
 // next records a failure, and returns how long to wait after it and whether it should be logged.
 func (b *acceptBackoff) next(now time.Time) (delay time.Duration, shouldLog bool) {
-	b.delay = min(2*b.delay, maxAcceptBackoff)
-	if now.Sub(b.lastFailure) > 2*maxAcceptBackoff { // connections were accepted since
+	b.delay = min(acceptBackoffGrowth*b.delay, maxAcceptBackoff)
+	if now.Sub(b.lastFailure) > acceptFailureGap {
 		b.delay = initialAcceptBackoff
 	}
 	b.lastFailure = now
-	if shouldLog = now.Sub(b.lastLogged) >= acceptLogInterval; shouldLog {
+	shouldLog = now.Sub(b.lastLogged) >= acceptLogInterval
+	if shouldLog {
 		b.lastLogged = now
 	}
 	return b.delay, shouldLog
 }
 
-// handleAcceptError waits after a failed accept. If file descriptors are exhausted, it evicts an idle connection first.
+// handleAcceptError waits after a failed accept. If file descriptors are exhausted, it evicts an
+// idle connection first.
 func (l *Listener) handleAcceptError(backoff *acceptBackoff, err error) {
 	delay, shouldLog := backoff.next(time.Now())
 	if shouldLog {
--- a/internal/gateway/listener/acceptbackoff_test.go
+++ b/internal/gateway/listener/acceptbackoff_test.go
@@ -13,7 +13,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// exhaustedListener has no file descriptor for a connection until so many idle connections were closed.
+// exhaustedListener has no file descriptor for a connection until as many idle connections as
+// needed were closed.
 type exhaustedListener struct {
 	net.Listener
 	table    *connectionTable
@@ -22,16 +23,19 @@
 }
 
 func (l *exhaustedListener) Accept() (net.Conn, error) {
-	if l.attempts++; l.table.closedCount() >= l.needed || l.attempts > 50 {
+	l.attempts++
+	if l.table.closedCount() >= l.needed || l.attempts > 50 {
 		return nil, net.ErrClosed
 	}
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// Without a file descriptor for the next connection, each failed accept evicts one, and they are logged once.
+// Without a file descriptor for the next connection, each failed accept evicts one, and they are
+// logged once.
 func TestAccept_evictsIdleClientsWithoutDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	l := &Listener{connections: fullConnectionTable(t, 2), drain: newDrainState(), log: zap.New(core)} // six of eight are idle
+	// Six of the eight connections are idle.
+	l := &Listener{connections: fullConnectionTable(t, 2), drain: newDrainState(), log: zap.New(core)}
 	socket := &exhaustedListener{table: l.connections, needed: 5}
 	if err := l.Serve(socket); err != nil {
 		t.Fatal(err)
@@ -75,12 +79,12 @@
 	return l.TCPListener.Accept()
 }
 
-// Accepting fails for a moment in each way that the system has: the clients that connect then are served all the same, in
-// service and in a drain.
+// Accepting fails for a moment in each way that the system has: the clients that connect then are
+// served all the same, in service and in a drain.
 func TestAccept_failuresForAMomentLoseNobody(t *testing.T) {
 	failures := []syscall.Errno{
-		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO,
-		syscall.ECONNABORTED, syscall.ENFILE,
+		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
+		syscall.EPROTO, syscall.ECONNABORTED, syscall.ENFILE,
 	}
 	server := fakes.NewServer(t, answerHello)
 	f := fixtureOptions{settings: drainSettings(), maxConnections: 8}.newFixture(t, server)
--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -4,7 +4,6 @@
 	"errors"
 	"maps"
 	"net/textproto"
-	"os"
 	"slices"
 	"sync"
 	"time"
@@ -15,11 +14,18 @@
 )
 
 const (
-	commandTimeout        = time.Second           // a client that takes longer over a command is none; see silentTimeout
-	malformedCloseTimeout = time.Second           // how long a client has to read the answer to a malformed command
-	rejectedCommandPause  = 10 * time.Millisecond // between the commands of a client, after one that was answered at once
-	maxInFlightPerConn    = 16                    // requests in flight on a connection: clients send one, floods send hundreds
-	maxRejectedPerConn    = 64                    // commands read behind these late in a drain, and rejected
+	// commandTimeout is how long a client may take to send a command; see silentTimeout.
+	commandTimeout = time.Second
+	// malformedCloseTimeout is how long a client has to read the answer to a malformed command.
+	malformedCloseTimeout = time.Second
+	// rejectedCommandPause is the pause before the next command of a client is read, after one that
+	// was answered at once: such commands could otherwise take all processor time.
+	rejectedCommandPause = 10 * time.Millisecond
+	// maxInFlightPerConn is the largest number of requests in flight on a connection.
+	maxInFlightPerConn = 16
+	// maxRejectedPerConn is the largest number of commands that are read behind these late in a
+	// drain, and rejected.
+	maxRejectedPerConn = 64
 )
 
 // client reads the commands of one connection and has them answered in order.
@@ -27,17 +33,20 @@
 	listener       *Listener
 	conn           *connection
 	inFlightTokens chan struct{}      // one for each command that may yet be in flight
-	rejectedTokens chan struct{}      // one for each command that may yet be rejected behind these
+	rejectedTokens chan struct{}      // one for each command that may yet be rejected behind them
 	pipeline       textproto.Pipeline // puts the answers in the order of the commands
 
-	mu       sync.Mutex                     // guards requests
+	mu       sync.Mutex                     // protects requests
 	requests map[*dispatch.Request]struct{} // admitted, and not completed
 }
 
 func newClient(l *Listener, conn *resp.Conn) *client {
 	c := &client{
-		listener: l, conn: newConnection(conn, l.drain), inFlightTokens: make(chan struct{}, maxInFlightPerConn),
-		rejectedTokens: make(chan struct{}, maxRejectedPerConn), requests: map[*dispatch.Request]struct{}{},
+		listener:       l,
+		conn:           newConnection(conn, l.drain),
+		inFlightTokens: make(chan struct{}, maxInFlightPerConn),
+		rejectedTokens: make(chan struct{}, maxRejectedPerConn),
+		requests:       map[*dispatch.Request]struct{}{},
 	}
 	c.conn.giveUp = c.giveUp
 	for range maxInFlightPerConn {
@@ -49,8 +58,8 @@
 	return c
 }
 
-// serve reads commands until the client disconnects, which it notices also while requests are in flight. It owns the
-// connection.
+// serve reads commands until the client disconnects, which it notices also while requests are in
+// flight. It owns the connection.
 func (c *client) serve() {
 	defer c.disconnect()
 	for c.conn.awaitCommand() && c.awaitToken() {
@@ -60,8 +69,9 @@
 	}
 }
 
-// awaitToken waits until one more command may be in flight. Once a drain forwards no more, some are read beyond that: they would
-// be lost behind requests that hang. It returns false if the client disconnects.
+// awaitToken waits until one more command may be in flight. Once a drain forwards no more, some are
+// read beyond that: they would be lost behind requests that hang. It returns false if the client
+// disconnects.
 func (c *client) awaitToken() bool {
 	select {
 	case <-c.inFlightTokens:
@@ -104,19 +114,18 @@
 	}
 }
 
-// serveCommand reads one command and starts its execution. It returns false if nothing more is to be read.
+// serveCommand reads one command and starts its execution. It returns false if nothing more is to
+// be read.
 func (c *client) serveCommand() bool {
 	command, err := c.readCommand()
-	var malformed resp.ProtocolError
-	// A command that has come only in part has no answer, but the commands before it get theirs.
-	isPartial := errors.Is(err, os.ErrDeadlineExceeded) && c.conn.isPipelined()
-	if err != nil && !isPartial && !errors.As(err, &malformed) {
+	outcome := c.readOutcomeOf(err)
+	if outcome == readFailed {
 		return false
 	}
 	c.conn.countReadAhead()
 	turn := c.pipeline.Next()
-	if err != nil {
-		c.answerUnreadable(turn, isPartial, malformed)
+	if outcome != readComplete {
+		c.answerUnreadable(turn, outcome, err)
 		return false
 	}
 	age, isClosed := c.conn.PeerState()
@@ -132,13 +141,16 @@
 	c.discard(command)
 	go c.answer(turn, func() error { return c.conn.WriteLine(reply) })
 	if reply != replyPong && !c.listener.drain.isForwardOver() {
-		time.Sleep(rejectedCommandPause) // a client that sends such commands on and on would take all processor time
+		time.Sleep(rejectedCommandPause)
 	}
 	return true
 }
 
-// admitCommand parses a command and admits the request under the same settings, or returns a line that answers it at once.
-func (c *client) admitCommand(command *pendingCommand, age time.Duration) (*dispatch.Request, *upstream.Command, string) {
+// admitCommand parses a command and admits the request under the same settings, or returns a line
+// that answers it at once.
+func (c *client) admitCommand(
+	command *pendingCommand, age time.Duration,
+) (request *dispatch.Request, message *upstream.Command, reply string) {
 	if len(command.Words) > 1 && c.conn.rejectsCommand() {
 		return nil, nil, rejectionLine(0)
 	}
@@ -167,10 +179,12 @@
 	delete(c.requests, request)
 }
 
-// answer writes an answer when its turn has come. During a drain the last answer closes the connection.
+// answer writes an answer when its turn has come. During a drain the last answer closes the
+// connection.
 func (c *client) answer(turn uint, write func() error) {
 	c.pipeline.StartResponse(turn)
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only, where the write fails as well
+	// SetWriteDeadline fails on a closed connection only, where the write fails as well.
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var err error
 	if c.listener.drain.active.Load() {
 		err = c.conn.writeLast(write)
@@ -185,14 +199,16 @@
 	c.returnToken()
 }
 
-// answerUnreadable answers a command that could not be read, in its turn, and closes the connection. A partial command has no
-// answer of its own: those before it are written.
-func (c *client) answerUnreadable(turn uint, isPartial bool, malformed resp.ProtocolError) {
+// answerUnreadable answers a command that could not be read, in its turn, and closes the
+// connection. A partial command has no answer of its own: those before it are written.
+func (c *client) answerUnreadable(turn uint, outcome readOutcome, err error) {
+	var malformed resp.ProtocolError
+	_ = errors.As(err, &malformed) // holds unless the command is partial
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		c.answer(turn, func() error {
-			if isPartial {
+			if outcome == readPartial {
 				return nil
 			}
 			return c.conn.WriteLine("-ERR " + malformed.Error())
@@ -203,7 +219,8 @@
 	}
 }
 
-// disconnect reports to the dispatcher which requests have lost their client, and gives the slot back.
+// disconnect reports to the dispatcher which requests have lost their client, and gives the slot
+// back.
 func (c *client) disconnect() {
 	c.conn.markClosed()
 	for _, request := range c.openRequests() {
--- a/internal/gateway/listener/client_test.go
+++ b/internal/gateway/listener/client_test.go
@@ -29,7 +29,9 @@
 func (f *fixture) dialNarrow() *testClient {
 	f.Helper()
 	return f.dialWith(&net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+		return raw.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
+		})
 	}})
 }
 
--- a/internal/gateway/listener/close_test.go
+++ b/internal/gateway/listener/close_test.go
@@ -9,7 +9,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Commands that were read ahead with the one before: its answer does not close the connection before theirs.
+// Commands that were read ahead with the one before: its answer does not close the connection
+// before theirs.
 func TestDrain_answersAllCommandsReadAtOnce(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	f.activateDrain(time.Hour)
@@ -60,7 +61,8 @@
 	f.awaitEmpty()
 }
 
-// A command that is never completed closes the connection, but not before the commands before it are answered.
+// A command that is never completed closes the connection, but not before the commands before it
+// are answered.
 func TestPartialCommand_earlierRequestsAreAnswered(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	isRead := make(chan bool, 100)
@@ -79,13 +81,15 @@
 	c.wantClose()
 }
 
-// An answer whose write fails in the middle is not followed by the next one, which would be read as its rest.
+// An answer whose write fails in the middle is not followed by the next one, which would be read as
+// its rest.
 func TestFailedAnswer_nextIsNotWritten(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	events := make(chan string, 10)
 	var conn *connection
 	f := newDrainFixture(t, 8, func(near *tappedConn) {
-		hold := once(func() { conn.mu.Lock() }) // the answer cannot be counted as written before the test has seen what follows it
+		// The answer cannot be counted as written before the test has seen what follows it.
+		hold := once(func() { conn.mu.Lock() })
 		near.write = func(p []byte) (int, error) {
 			hold()
 			events <- "write"
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -25,7 +25,8 @@
 	},
 }
 
-// The first byte of a request has arrived on an idle connection, and the reader has seen it but not counted it yet.
+// The first byte of a request has arrived on an idle connection, and the reader has seen it but not
+// counted it yet.
 func TestCloseIdle_requestThatHasBegunIsAnswered(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +47,8 @@
 	}
 }
 
-// A request arrives as the connection is being closed: no byte of it is read, and the client can tell.
+// A request arrives as the connection is being closed: no byte of it is read, and the client can
+// tell.
 func TestCloseIdle_requestThatCrossesTheCloseIsNotRead(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +76,8 @@
 
 func answerLongValue([]string) string { return fakes.FormatValue(longValue, 1) }
 
-// An answer is on its way to a slow client: nothing closes the connection, until the client has had its time to read.
+// An answer is on its way to a slow client: nothing closes the connection, until the client has had
+// its time to read.
 func TestCloseIdle_answerInTransitIsDelivered(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -1,12 +1,15 @@
 package listener
 
 import (
+	"errors"
+	"os"
 	"time"
 
 	"harrierhoist/internal/gateway/resp"
 )
 
-// memoryTimeout is how long a command waits for memory. A client that is rejected sooner is served sooner by another gateway.
+// memoryTimeout is how long a command waits for memory. Another gateway may serve a client that is
+// rejected.
 const memoryTimeout = 500 * time.Millisecond
 
 // pendingCommand is a command as it was read, with the memory reserved for it.
@@ -23,8 +26,8 @@
 	command.memory = 0
 }
 
-// readCommand reads a command. If no memory becomes free for it in time, its value is discarded as it arrives. Meanwhile
-// nothing more is read from the client.
+// readCommand reads a command. If no memory becomes free for it in time, its value is discarded as
+// it arrives. Meanwhile nothing more is read from the client.
 func (c *client) readCommand() (*pendingCommand, error) {
 	command := &pendingCommand{}
 	deadline := time.Now().Add(commandTimeout)
@@ -42,8 +45,33 @@
 	return command, err
 }
 
-// reserveMemory reserves memory for a command, and reports whether it got it. Time spent waiting is added to the deadline for
-// reading the command.
+// readOutcome is what reading a command came to.
+type readOutcome uint8
+
+const (
+	readComplete  readOutcome = iota
+	readMalformed             // answered with its error, as the last one of the connection
+	readPartial               // has no answer of its own: the commands before it get theirs
+	readFailed                // the client has disconnected, or sent too little in time with nothing in flight
+)
+
+// readOutcomeOf classifies an error of reading a command; nil says that it is complete.
+func (c *client) readOutcomeOf(err error) readOutcome {
+	var malformed resp.ProtocolError
+	switch {
+	case err == nil:
+		return readComplete
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.conn.isPipelined():
+		return readPartial
+	case errors.As(err, &malformed):
+		return readMalformed
+	default:
+		return readFailed
+	}
+}
+
+// reserveMemory reserves memory for a command, and reports whether it got it. Time spent waiting is
+// added to the deadline for reading the command.
 func (c *client) reserveMemory(command *pendingCommand, size int, deadline time.Time) bool {
 	if c.listener.memory.acquire(size, c.conn.isPipelined()) == nil {
 		command.memory = size
@@ -58,7 +86,8 @@
 	return command.memory > 0
 }
 
-// waitForMemory waits until size bytes are reserved. It returns false if that takes too long, or if the client disconnects.
+// waitForMemory waits until size bytes are reserved. It returns false if that takes too long, or if
+// the client disconnects.
 func (c *client) waitForMemory(size int) bool {
 	limit := time.After(memoryTimeout)
 	for {
--- a/internal/gateway/listener/concurrency_test.go
+++ b/internal/gateway/listener/concurrency_test.go
@@ -13,18 +13,21 @@
 	"harrierhoist/policy"
 )
 
-// reorderedSettings has the classes and plans of testSettings in another order, one of each removed and one new, and a class
-// that keeps its name and gets another effect.
+// reorderedSettings has the classes and plans of testSettings in another order, one of each removed
+// and one new, and a class that keeps its name and gets another effect.
 func reorderedSettings() policy.Settings {
 	settings := testSettings()
-	settings.Classes = []policy.TrafficClass{settings.Classes[1], {Name: "new", LatencyObjective: time.Second, Timeout: time.Second}}
+	settings.Classes = []policy.TrafficClass{
+		settings.Classes[1], {Name: "new", LatencyObjective: time.Second, Timeout: time.Second},
+	}
 	settings.Classes[0].Effect = policy.Idempotent
 	settings.Plans = []policy.Plan{{Name: "new", Rate: 1, Burst: 1}, settings.Plans[0]}
 	return settings
 }
 
-// A request that arrives while new settings are applied is parsed and admitted by the same ones: the non-idempotent class pay
-// becomes idempotent, and no request that was sent as the one is admitted as the other.
+// A request that arrives while new settings are applied is parsed and admitted by the same ones:
+// the non-idempotent class pay becomes idempotent, and no request that was sent as the one is
+// admitted as the other.
 func TestReconfigure_requestIsAdmittedByTheSettingsItWasParsedBy(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.CloseConn })
 	var once sync.Once
@@ -65,9 +68,10 @@
 	}
 }
 
-// Two customers share all pools: buffers, readers, writers, workers, connections to servers. Each gets what a server made of its
-// own request, in order, while clients beside them disconnect in the middle of a command, and servers send one answer more
-// than they owe, which must not be taken for the answer to the next request on that connection.
+// Two customers share all pools: buffers, readers, writers, workers, connections to servers. Each
+// gets what a server made of its own request, in order, while clients beside them disconnect in the
+// middle of a command, and servers send one answer more than they owe, which must not be taken for
+// the answer to the next request on that connection.
 func TestAnswers_neverReachAnotherCustomer(t *testing.T) {
 	const clients, rounds = 8, 30
 	server := fakes.NewServer(t, func(words []string) string {
@@ -103,7 +107,8 @@
 	}
 }
 
-// sendRound sends one to five submits of a customer, with values of several sizes, and a query. It returns the answers wanted.
+// sendRound sends one to five submits of a customer, with values of several sizes, and a query. It
+// returns the answers wanted.
 func (c *testClient) sendRound(customer, fill string, round int) (want []string) {
 	for _, size := range []int{1, 4<<10 - 1, 4 << 10, 4<<10 + 1, 20 << 10}[:1+round%5] {
 		id, value := uniqueID(), strings.Repeat(fill, size)
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -9,22 +9,32 @@
 
 // Limits on connections that send nothing.
 const (
-	// relaxedSlotShare is the share of the slots up to which idle connections are kept; the rest is for bursts. Clients use at
-	// most a third of the sockets.
-	relaxedSlotShare   = 0.6
-	slotRetryInterval  = 20 * time.Millisecond   // between attempts to evict a connection for one that waits for a slot
-	minIdleBeforeEvict = 2 * time.Second         // clients send their next request within this, if they send another
-	idleTimeout        = 10 * time.Second        // a client idle for longer is gone, or opens another connection
-	silentTimeout      = 1500 * time.Millisecond // of a connection on which nothing was answered; with commandTimeout under 3 s
-	sweepInterval      = 250 * time.Millisecond  // between searches for connections past these timeouts
+	// relaxedSlotShare is the part of the slots up to which idle connections are kept. The rest is
+	// for bursts.
+	relaxedSlotShare = 0.6
+	// slotRetryInterval is the time between attempts to evict a connection for one that waits for a
+	// slot.
+	slotRetryInterval = 20 * time.Millisecond
+	// minIdleBeforeEvict is how long a client that was answered keeps its slot in a flood: most send
+	// their next request within it.
+	minIdleBeforeEvict = 2 * time.Second
+	// idleTimeout is how long a connection may be idle after an answer.
+	idleTimeout = 10 * time.Second
+	// silentTimeout is how long a connection may be idle before its first answer.
+	silentTimeout = 1500 * time.Millisecond
+	// sweepInterval is the time between searches for connections past these timeouts.
+	sweepInterval = 250 * time.Millisecond
+	// floodDivisor gives the part of the slots that new connections hold in a flood.
+	floodDivisor = 2
 )
 
-// connectionTable holds the open connections. Each holds a slot; one more connection may have been accepted and wait for one.
+// connectionTable holds the open connections. Each holds a slot; one more connection may have been
+// accepted and wait for one.
 type connectionTable struct {
 	slots chan struct{}  // as many elements as slots are taken
 	open  sync.WaitGroup // the connections in the table
 
-	mu          sync.Mutex // guards connections; taken before connection.mu
+	mu          sync.Mutex // protects connections; taken before connection.mu
 	connections map[*connection]struct{}
 }
 
@@ -32,8 +42,9 @@
 	return &connectionTable{slots: make(chan struct{}, max(maxConnections, 1)), connections: map[*connection]struct{}{}}
 }
 
-// acquireSlot takes a slot for an accepted connection. If none is free, it evicts idle connections until one is. That is not
-// done in advance: each connection that is closed may cross a request on its way. It returns false if stop was closed meanwhile.
+// acquireSlot takes a slot for an accepted connection. If none is free, it evicts idle connections
+// until one is. That is not done in advance: each connection that is closed may cross a request on
+// its way. It returns false if stop was closed meanwhile.
 func (t *connectionTable) acquireSlot(stop <-chan struct{}) bool {
 	select {
 	case t.slots <- struct{}{}:
@@ -69,16 +80,18 @@
 	t.open.Done()
 }
 
-// evictOverRelaxedLimit evicts an idle connection if more slots are taken than idle connections may hold.
+// evictOverRelaxedLimit evicts an idle connection if more slots are taken than idle connections may
+// hold.
 func (t *connectionTable) evictOverRelaxedLimit() {
 	if limit := int(relaxedSlotShare * float64(cap(t.slots))); len(t.slots) > limit {
 		t.evict(limit)
 	}
 }
 
-// evict closes one idle connection if more than limit connections are open, not counting new ones that were just accepted:
-// a silent one if there is any, else the one that has been idle longest. While new ones hold over half of the slots, which is
-// a flood, a connection on which a request was just answered is kept: the new ones become idle soon.
+// evict closes one idle connection if more than limit connections are open, not counting new ones
+// that were just accepted: a silent one if there is any, else the one that has been idle longest.
+// While new ones hold over half of the slots, which is a flood, a connection on which a request was
+// just answered is kept: the new ones become idle soon.
 func (t *connectionTable) evict(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,9 +100,9 @@
 		return
 	}
 	slices.SortFunc(candidates, evictionCandidate.compare)
-	isFlooded := newCount > cap(t.slots)/2
+	isFlooded := newCount > cap(t.slots)/floodDivisor
 	for _, candidate := range candidates {
-		if isFlooded && !candidate.isSilent && time.Since(candidate.idleSince) < minIdleBeforeEvict {
+		if isFlooded && candidate.activity == activityResting && time.Since(candidate.idleSince) < minIdleBeforeEvict {
 			return
 		}
 		if candidate.closeIfIdle() {
@@ -101,31 +114,34 @@
 // evictionCandidate is an idle connection.
 type evictionCandidate struct {
 	*connection
+	activity  activity // activitySilent or activityResting
 	idleSince time.Time
-	isSilent  bool
 }
 
-// compare orders the candidates: silent ones first, then by the time since which they have been idle.
+// compare orders the candidates: silent ones first, then by the time since which they have been
+// idle.
 func (e evictionCandidate) compare(other evictionCandidate) int {
-	switch {
-	case e.isSilent == other.isSilent:
+	switch e.activity {
+	case other.activity:
 		return e.idleSince.Compare(other.idleSince)
-	case e.isSilent:
+	case activitySilent:
 		return -1
 	default:
 		return 1
 	}
 }
 
-// idleConnections returns the idle connections, and how many others are new and have sent nothing yet. The caller holds t.mu.
+// idleConnections returns the idle connections, and how many others are new and have sent nothing
+// yet. The caller holds t.mu.
 func (t *connectionTable) idleConnections() (candidates []evictionCandidate, newCount int) {
 	for c := range t.connections {
-		idleSince, isSilent, isIdle := c.idleState()
-		switch {
-		case isIdle:
-			candidates = append(candidates, evictionCandidate{c, idleSince, isSilent})
-		case isSilent:
+		activity, since := c.currentActivity()
+		switch activity {
+		case activitySilent, activityResting:
+			candidates = append(candidates, evictionCandidate{c, activity, since})
+		case activityNew:
 			newCount++
+		case activityBusy:
 		}
 	}
 	return candidates, newCount
@@ -146,16 +162,18 @@
 }
 
 // isDueInSweep reports whether an idle connection is to be closed while the listener serves.
-func isDueInSweep(idleTime time.Duration, isSilent bool) bool {
-	return idleTime > idleTimeout || isSilent && idleTime > silentTimeout
+func isDueInSweep(idleTime time.Duration, activity activity) bool {
+	return idleTime > idleTimeout || activity == activitySilent && idleTime > silentTimeout
 }
 
-// closeIdle closes the idle connections that are due, by how long they have been idle and whether they have been silent.
-func (t *connectionTable) closeIdle(isDue func(idleTime time.Duration, isSilent bool) bool) {
+// closeIdle closes the idle connections that are due, by how long they have been idle and whether
+// they are silent or resting.
+func (t *connectionTable) closeIdle(isDue func(idleTime time.Duration, activity activity) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.connections {
-		if idleSince, isSilent, isIdle := c.idleState(); isIdle && isDue(time.Since(idleSince), isSilent) {
+		activity, since := c.currentActivity()
+		if activity.isIdle() && isDue(time.Since(since), activity) {
 			c.closeIfIdle()
 		}
 	}
--- a/internal/gateway/listener/connections_test.go
+++ b/internal/gateway/listener/connections_test.go
@@ -8,16 +8,17 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// fullConnectionTable has eight slots, all of them taken: by newCount connections that are new and stay so, and by others that
-// were just answered.
+// fullConnectionTable has eight slots, all of them taken: by newCount connections that are new and
+// stay so, and by others that were just answered.
 func fullConnectionTable(t *testing.T, newCount int) *connectionTable {
 	t.Helper()
 	table := newConnectionTable(8)
 	for i := range cap(table.slots) {
 		near, _ := fakes.ConnPair(t)
 		c := newConnection(resp.NewConn(near), newDrainState())
-		if c.unanswered = i < newCount; c.unanswered {
-			c.lastUsed = c.lastUsed.Add(time.Hour)
+		c.state.isAnswered = i >= newCount
+		if !c.state.isAnswered {
+			c.state.lastUsed = c.state.lastUsed.Add(time.Hour)
 		}
 		table.connections[c] = struct{}{}
 	}
@@ -26,7 +27,7 @@
 
 func (t *connectionTable) closedCount() (count int) {
 	for c := range t.connections {
-		if c.closed {
+		if c.state.isClosed() {
 			count++
 		}
 	}
@@ -47,21 +48,54 @@
 	}
 }
 
-func TestIdleState(t *testing.T) {
+func TestActivity(t *testing.T) {
 	now := time.Now()
+	accepted := now.Add(-newClientGrace)
 	for name, c := range map[string]struct {
-		connection *connection
-		isIdle     bool
+		state connectionState
+		want  activity
 	}{
-		"answered":             {&connection{lastUsed: now}, true},
-		"command in flight":    {&connection{lastUsed: now, commands: 1}, false},
-		"closed":               {&connection{lastUsed: now, closed: true}, false},
-		"just connected":       {&connection{lastUsed: now.Add(time.Hour), unanswered: true}, false},
-		"connected and silent": {&connection{lastUsed: now.Add(-newClientGrace), unanswered: true}, true},
+		"answered":             {connectionState{lastUsed: now, isAnswered: true}, activityResting},
+		"command in flight":    {connectionState{lastUsed: now, isAnswered: true, commands: 1}, activityBusy},
+		"half closed":          {connectionState{isAnswered: true, phase: phaseHalfClosed}, activityBusy},
+		"ended":                {connectionState{isAnswered: true, phase: phaseEnded}, activityBusy},
+		"just connected":       {connectionState{lastUsed: now.Add(time.Hour)}, activityNew},
+		"first command":        {connectionState{lastUsed: accepted, commands: 1}, activityBusy},
+		"connected and silent": {connectionState{lastUsed: accepted}, activitySilent},
+		"silent and ended":     {connectionState{lastUsed: accepted, phase: phaseEnded}, activityNew},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, _, isIdle := c.connection.idleState(); isIdle != c.isIdle {
-				t.Errorf("idle: %v, want %v", isIdle, c.isIdle)
+			connection := connection{state: c.state}
+			if got, _ := connection.currentActivity(); got != c.want {
+				t.Errorf("activity %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+func halfClosed(at time.Time) (state connectionState) {
+	state.halfClose(at)
+	return state
+}
+
+func TestNextCloseStep(t *testing.T) {
+	now := time.Now()
+	for name, c := range map[string]struct {
+		state             connectionState
+		hasUnacknowledged bool
+		want              closeStep
+	}{
+		"command in flight":       {connectionState{commands: 1}, false, keepWaiting},
+		"all answered":            {connectionState{}, false, closeSendingHalf},
+		"half closed just now":    {halfClosed(now), false, keepWaiting},
+		"client has not closed":   {halfClosed(now.Add(-closeTimeout)), false, stopWaiting},
+		"client still reads":      {halfClosed(now.Add(-closeTimeout)), true, keepWaiting},
+		"client reads no further": {halfClosed(now.Add(-writeTimeout)), true, stopWaiting},
+		"ended":                   {connectionState{phase: phaseEnded}, false, keepWaiting},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := c.state.nextCloseStep(now, func() bool { return c.hasUnacknowledged }); got != c.want {
+				t.Errorf("step %d, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -12,9 +12,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// disconnectBound is within what a disconnect must be noticed here. The listener is to notice it within 0.1 s, as
-// disconnectPollInterval provides; the rest is for a machine that is busy with other tests. A disconnect that is missed takes
-// 14 s, the requests' deadline.
+// disconnectBound is within what a disconnect must be noticed here. The listener is to notice it
+// within 0.1 s, as disconnectPollInterval provides; the rest is for a machine that is busy with
+// other tests. A disconnect that is missed takes 14 s, the requests' deadline.
 const disconnectBound = commandTimeout / 2
 
 // disconnects are the ways in which a client disconnects.
@@ -24,8 +24,8 @@
 	"resets":      func(c *testClient) { _, _ = c.SetLinger(0), c.Close() },
 }
 
-// sentBehind is what a client sends behind its first query; "look" stands for another query. Then so many commands are in
-// flight, and so many requests attempted.
+// sentBehind is what a client sends behind its first query; "look" stands for another query. Then
+// so many commands are in flight, and so many requests attempted.
 var sentBehind = map[string]struct {
 	text      string
 	inFlight  int
@@ -44,14 +44,16 @@
 	"request, then a partial command": {"look*4\r\n$9\r\nSVC.Q", 3, 2},
 }
 
-// A disconnect is noticed whatever the reader does with what the client sent before: all requests of the client end.
+// A disconnect is noticed whatever the reader does with what the client sent before: all requests
+// of the client end.
 func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
 	for name, sent := range sentBehind {
 		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, answerNothing)
-				f := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start() // a few attempts under each of its names
+				// A few attempts are in flight under each of the server's names.
+				f := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start()
 				c := f.dial()
 				c.send(queryCommand())
 				for rest, more := sent.text, true; more; {
@@ -61,7 +63,9 @@
 					}
 					c.send(text)
 				}
-				fakes.Eventually(t, "all in flight", func() bool { return f.connections.unansweredCommands() == sent.inFlight })
+				fakes.Eventually(t, "all in flight", func() bool {
+					return f.connections.unansweredCommands() == sent.inFlight
+				})
 				fakes.Eventually(t, "the attempts", func() bool { return server.PendingCommands() == sent.attempted })
 				checkDisconnect(t, f, server, func() { disconnect(c) })
 			})
@@ -69,8 +73,8 @@
 	}
 }
 
-// checkDisconnect checks that a client's disconnect is noticed soon, and that its requests, whose attempts then fail, are not
-// retried: each had one attempt.
+// checkDisconnect checks that a client's disconnect is noticed soon, and that its requests, whose
+// attempts then fail, are not retried: each had one attempt.
 func checkDisconnect(t *testing.T, f *fixture, server *fakes.Server, disconnect func()) {
 	t.Helper()
 	attempts, disconnected := server.PendingCommands(), time.Now()
@@ -96,7 +100,8 @@
 			server := fakes.NewServer(t, answerNothing)
 			f := newFixture(t, 0, server)
 			c := f.dial()
-			c.send(queryCommand() + queryCommand() + submitCommand("body") + fakes.FormatCommand("FOO") + queryCommand())
+			unknown := fakes.FormatCommand("FOO")
+			c.send(queryCommand() + queryCommand() + submitCommand("body") + unknown + queryCommand())
 			disconnects[way](c)
 			closed := make(chan struct{})
 			f.start(func(conn *net.TCPConn) net.Conn {
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// A client disconnects while its requests wait: none of them is attempted once what they waited for is there.
+// A client disconnects while its requests wait: none of them is attempted once what they waited for
+// is there.
 func TestDisconnect_waitingRequestsAreNotStarted(t *testing.T) {
 	t.Run("for a server", func(t *testing.T) {
 		t.Parallel()
@@ -53,8 +54,9 @@
 	})
 }
 
-// checkWaitingRequests checks that the requests of a client that disconnects are not attempted, while those of another client
-// are. After the disconnect, provide is called once, and poll again and again until there is an attempt.
+// checkWaitingRequests checks that the requests of a client that disconnects are not attempted,
+// while those of another client are. After the disconnect, provide is called once, and poll again
+// and again until there is an attempt.
 func checkWaitingRequests(t *testing.T, f *fixture, server *fakes.Server, provide, poll func()) {
 	t.Helper()
 	leaving, staying := f.dial(), f.dial()
@@ -78,9 +80,13 @@
 	}
 }
 
-// The disconnect of a client that reads nothing is noticed while an answer is being written to it and requests are behind that.
+// The disconnect of a client that reads nothing is noticed while an answer is being written to it
+// and requests are behind that.
 func TestDisconnect_isNoticedWhileAnswerIsWritten(t *testing.T) {
-	for name, pipelined := range map[string]int{"some pipelined": 2, "more than may be in flight": 2 * maxInFlightPerConn} {
+	for name, pipelined := range map[string]int{
+		"some pipelined":             2,
+		"more than may be in flight": 2 * maxInFlightPerConn,
+	} {
 		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -10,27 +10,31 @@
 
 // Times of a drain, which begins at SIGTERM.
 const (
-	// acceptAfterTerm: clients connect for 0.4 s after SIGTERM, and every limit has 50 ms more.
+	// acceptAfterTerm is how long connections are accepted after SIGTERM.
 	acceptAfterTerm = 450 * time.Millisecond
-	// backlogTimeout: a connection of the backlog is accepted within this of the one before.
+	// backlogTimeout is how long accepting goes on after the last connection of the backlog.
 	backlogTimeout = 100 * time.Millisecond
-	// forwardAfterTerm: what is read later behind other commands is rejected, as SIGKILL may find it unanswered.
+	// forwardAfterTerm is how long after SIGTERM requests are forwarded. What is read later behind
+	// other commands is rejected, as SIGKILL may find it unanswered.
 	forwardAfterTerm = 700 * time.Millisecond
-	// killGrace: SIGKILL comes this long after the longest deadline, or after writeTimeout if that is shorter, and no sooner.
+	// killGrace is how long after the longest deadline SIGKILL comes at the earliest, or after
+	// writeTimeout if that is shorter.
 	killGrace = 700 * time.Millisecond
-	// killMargin: all that is read late is decided this long before SIGKILL.
+	// killMargin is how long before SIGKILL all that was read late is answered.
 	killMargin = 100 * time.Millisecond
-	// giveUpMargin, giveUpShare: requests with rejections behind them are given up this long before SIGKILL, or that part of its
-	// delay if it is shorter. A gateway may be held up for 0.15 s.
+	// giveUpMargin is how long before SIGKILL requests are given up that have rejections behind them.
 	giveUpMargin = 250 * time.Millisecond
-	giveUpShare  = 10
-	// rejectTime: commands are read for this much longer; a client that never pauses in it has to be closed on.
+	// giveUpDivisor bounds giveUpMargin to that part of the time from SIGTERM to SIGKILL.
+	giveUpDivisor = 10
+	// rejectTime is how much longer commands are read, and rejected. A client that never pauses in
+	// it is closed while it sends.
 	rejectTime = 1800 * time.Millisecond
-	// readMargin: reading ends this long before SIGKILL.
+	// readMargin is how long before SIGKILL reading ends.
 	readMargin = 40 * time.Millisecond
-	// drainIdleTimeout: a client that was answered within this asks again, and its next answer closes its connection.
+	// drainIdleTimeout is how long a connection is idle before a drain closes it. A client that was
+	// answered within this asks again, and its next answer closes its connection.
 	drainIdleTimeout = 250 * time.Millisecond
-	// drainPollInterval is the time between searches for connections that have been idle for longer.
+	// drainPollInterval is the time between searches for connections that were idle for that long.
 	drainPollInterval = 50 * time.Millisecond
 )
 
@@ -42,23 +46,25 @@
 	finished   chan struct{}              // closed once Drain waits for no client any more
 }
 
-// drainTimes are until when a drain does what.
+// drainTimes are the moments at which a drain changes what it does.
 type drainTimes struct {
 	began        time.Time
-	killDelay    time.Duration
-	forwardUntil time.Time // then what is read behind other commands is rejected
-	readUntil    time.Time // then no more is read behind what is in flight
-	answerUntil  time.Time // by then everything read late is answered
-	giveUpAt     time.Time // then requests are given up behind which rejections wait
+	killDelay    time.Duration // from began to the earliest SIGKILL
+	forwardUntil time.Time     // then what is read behind other commands is rejected
+	readUntil    time.Time     // then no more is read behind what is in flight
+	answerUntil  time.Time     // by then everything read late is answered
+	giveUpAt     time.Time     // then requests are given up behind which rejections wait
 }
 
-// newDrainTimes returns the times of a drain that began at a time, where SIGKILL comes killDelay later.
+// newDrainTimes returns the times of a drain that began at SIGTERM, with SIGKILL killDelay later.
 func newDrainTimes(began time.Time, killDelay time.Duration) *drainTimes {
 	return &drainTimes{
-		began: began, killDelay: killDelay, forwardUntil: began.Add(forwardAfterTerm),
-		readUntil:   began.Add(min(forwardAfterTerm+rejectTime, killDelay-readMargin)),
-		answerUntil: began.Add(killDelay - killMargin),
-		giveUpAt:    began.Add(killDelay - min(giveUpMargin, killDelay/giveUpShare)),
+		began:        began,
+		killDelay:    killDelay,
+		forwardUntil: began.Add(forwardAfterTerm),
+		readUntil:    began.Add(min(forwardAfterTerm+rejectTime, killDelay-readMargin)),
+		answerUntil:  began.Add(killDelay - killMargin),
+		giveUpAt:     began.Add(killDelay - min(giveUpMargin, killDelay/giveUpDivisor)),
 	}
 }
 
@@ -66,28 +72,31 @@
 	return &drainState{acceptDone: make(chan struct{}), finished: make(chan struct{})}
 }
 
-// limitKillDelay has a drain that has begun expect SIGKILL at the earliest of the delays that settings have asked for since. It
-// is called with the lock of the settings held, and nowhere else after the begin.
+// limitKillDelay has a drain that has begun expect SIGKILL at the earliest of the delays that
+// settings have asked for since. It is called with the lock of the settings held, and nowhere else
+// after the begin.
 func (d *drainState) limitKillDelay(killDelay time.Duration) {
 	if times := d.times.Load(); times != nil && killDelay < times.killDelay {
 		d.times.Store(newDrainTimes(times.began, killDelay))
 	}
 }
 
-// isForwardOver reports that commands behind others on a connection are rejected. They are read still: an orderly end of the
-// connection would acknowledge those that lie in the socket, and lose them. Rejected at once they soon leave a pause, in which
-// the last answer closes the connection.
+// isForwardOver reports whether commands behind others on a connection are rejected. They are read
+// still: an orderly end of the connection would acknowledge those that lie in the socket, and lose
+// them. After the rejections the client soon pauses, and the last answer closes the connection.
 func (d *drainState) isForwardOver() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().forwardUntil)
 }
 
-// isReadOver reports that no command is read any more on a connection, except one that was begun, or the first. A client that
-// sends on and on is stopped by this: otherwise only a pause would close its connection.
+// isReadOver reports whether no command is read any more on a connection, except one that was begun,
+// or the first. This stops a client that sends without a pause: only a pause would otherwise close
+// its connection.
 func (d *drainState) isReadOver() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().readUntil)
 }
 
-// boundTimeout returns a request's timeout, cut during a drain to the time by which all is to be answered.
+// boundTimeout returns a request's timeout, cut during a drain to the time by which all is to be
+// answered.
 func (d *drainState) boundTimeout(timeout time.Duration) time.Duration {
 	if d.active.Load() {
 		timeout = min(timeout, time.Until(d.times.Load().answerUntil))
@@ -95,10 +104,10 @@
 	return timeout
 }
 
-// Drain accepts connections for a while, then only those of the backlog, closes each connection with an answer, or where it
-// stays idle, and waits until all commands are answered. It gives up only long after SIGKILL is due: a command that SIGKILL
-// finds unanswered came early and has a long deadline. Where others that came late wait for its answer, it is answered as
-// failed before SIGKILL: those would be lost with it.
+// Drain accepts connections for acceptAfterTerm, then only those of the backlog. It closes each
+// connection with its last answer, or once it is idle, and returns when all commands are answered.
+// It gives up only long after SIGKILL is due: a command that SIGKILL finds unanswered came early
+// and has a long deadline.
 func (l *Listener) Drain(socket net.Listener) {
 	defer close(l.drain.finished)
 	began := time.Now()
@@ -119,8 +128,9 @@
 	}
 }
 
-// awaitClients closes idle connections until no client is left, and returns true then. It returns false after all deadlines,
-// and the times to write an answer, are over.
+// awaitClients closes idle connections until no client is left, and returns true then. It returns
+// false after all deadlines, and the times to write an answer, are over. Shortly before SIGKILL
+// it has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
@@ -129,9 +139,9 @@
 		l.connections.open.Wait()
 	}()
 	for time.Since(began) < l.parser.Load().longestTimeout()+killGrace+writeTimeout {
-		l.connections.closeIdle(isDueInDrain)                   // also while a connection waits for a slot
-		if time.Now().After(l.drain.times.Load().answerUntil) { // clients that connect on and on
-			_ = socket.Close() // it may be closed already
+		l.connections.closeIdle(isDueInDrain) // also while a connection waits for a slot
+		if time.Now().After(l.drain.times.Load().answerUntil) {
+			_ = socket.Close() // the backlog may never become empty; the socket may be closed already
 		}
 		if time.Now().After(l.drain.times.Load().giveUpAt) {
 			l.connections.giveUpBeforeRejected()
@@ -145,10 +155,10 @@
 	return false
 }
 
-// isDueInDrain reports whether an idle connection is to be closed during a drain. A client that was just answered is likely to be
-// sending its next request, which would be lost if it crossed the close. Cost: a connection that becomes idle as the drain
-// begins is held for that long.
-func isDueInDrain(idleTime time.Duration, _ bool) bool { return idleTime >= drainIdleTimeout }
+// isDueInDrain reports whether an idle connection is to be closed during a drain. A client that was
+// just answered is likely to be sending its next request, which would be lost if it crossed the
+// close.
+func isDueInDrain(idleTime time.Duration, _ activity) bool { return idleTime >= drainIdleTimeout }
 
 // killDelay returns how long after SIGTERM SIGKILL comes at the earliest.
 func (l *Listener) killDelay() time.Duration {
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -23,7 +23,8 @@
 func drainSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, OverloadSpan: time.Second,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
+		OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{
 			{Name: "look", LatencyObjective: 2 * time.Second, Timeout: 3 * time.Second, Effect: policy.Idempotent},
 		},
@@ -39,19 +40,20 @@
 	server := fakes.NewServer(t, answer)
 	f := fixtureOptions{settings: drainSettings(), maxConnections: maxConnections}.newFixture(t, server)
 	f.Ready()
-	d := &drainFixture{
-		fixture: f, server: server, served: make(chan error, 1),
-		tappedListener: &tappedListener{TCPListener: f.socket.(*net.TCPListener), accepted: make(chan *tappedConn, 1000)},
-	}
+	tapped := &tappedListener{TCPListener: f.socket.(*net.TCPListener), accepted: make(chan *tappedConn, 1000)}
+	d := &drainFixture{fixture: f, server: server, served: make(chan error, 1), tappedListener: tapped}
 	d.setHooks.Store(&setHooks)
 	go func() { d.served <- d.Serve(d.tappedListener) }()
 	return d
 }
 
-// activateDrain makes the drain active, as Drain does when clients have stopped connecting. Commands are read for readTime more.
+// activateDrain makes the drain active, as Drain does when clients have stopped connecting.
+// Commands are read for readTime more.
 func (d *drainFixture) activateDrain(readTime time.Duration) {
 	readUntil := time.Now().Add(readTime)
-	d.drain.times.Store(&drainTimes{forwardUntil: readUntil, readUntil: readUntil, answerUntil: time.Now().Add(time.Hour)})
+	d.drain.times.Store(&drainTimes{
+		forwardUntil: readUntil, readUntil: readUntil, answerUntil: time.Now().Add(time.Hour),
+	})
 	d.drain.active.Store(true)
 }
 
@@ -99,13 +101,13 @@
 func (c *connection) setLastUsed(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastUsed = at
+	c.state.lastUsed = at
 }
 
 // isAnswered reports whether all that was asked on the connection is answered.
 func (c *connection) isAnswered() bool {
-	_, isSilent, isIdle := c.idleState()
-	return !isSilent && isIdle
+	activity, _ := c.currentActivity()
+	return activity == activityResting
 }
 
 // query returns a command whose number reaches the server.
@@ -113,7 +115,8 @@
 	return fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", uniqueID(), fmt.Sprintf("c=look,t=wide,d=3000,n=%d", n))
 }
 
-// answerByNumber answers a query with its number. If release has a channel for that number, the answer waits for its close.
+// answerByNumber answers a query with its number. If release has a channel for that number, the
+// answer waits for its close.
 func answerByNumber(release map[int]chan bool) func(words []string) string {
 	return func(words []string) string {
 		var n int
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -15,8 +15,8 @@
 	"harrierhoist/policy"
 )
 
-// Connections are in the backlog as the drain begins, and the one before them waits for a slot: all are answered, and none is
-// accepted behind them.
+// Connections are in the backlog as the drain begins, and the one before them waits for a slot: all
+// are answered, and none is accepted behind them.
 func TestDrain_answersConnectionsInTheBacklog(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	f := newDrainFixture(t, 1, nil, answerByNumber(release))
@@ -47,8 +47,8 @@
 	}
 }
 
-// A client sends on and on without a pause: commands whose reading was begun are answered, the others are not read, and the
-// drain ends in time.
+// A client sends on and on without a pause: commands whose reading was begun are answered, the
+// others are not read, and the drain ends in time.
 func TestDrain_endsClientThatNeverPauses(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	client := f.dial()
@@ -69,7 +69,8 @@
 				ended <- err
 				return
 			}
-			if answers++; line != "+PONG\r\n" {
+			answers++
+			if line != "+PONG\r\n" {
 				unexpected++
 			}
 		}
@@ -85,11 +86,13 @@
 		t.Errorf("the drain took %v", took)
 	}
 	if read := int(near.readBytes.Load()); unexpected > 0 || read != answers*len(pingCommand) {
-		t.Errorf("%d answers, %d of them unexpected, to %d commands that were read", answers, unexpected, read/len(pingCommand))
+		t.Errorf("%d answers, %d of them unexpected, to %d commands that were read",
+			answers, unexpected, read/len(pingCommand))
 	}
 }
 
-// Once no more is to be read, commands that were read ahead are answered, and no byte behind them is read.
+// Once no more is to be read, commands that were read ahead are answered, and no byte behind them
+// is read.
 func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
 	const commands, bufferSize = 300, 4 << 10
 	f := newDrainFixture(t, 8, func(near *tappedConn) {
@@ -97,7 +100,8 @@
 			raw, _ := near.TCPConn.SyscallConn()
 			fakes.Eventually(t, "the arrival of all commands", func() (arrived bool) {
 				_ = raw.Control(func(fd uintptr) {
-					n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 2*bufferSize), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+					buffer := make([]byte, 2*bufferSize)
+					n, _, _ := syscall.Recvfrom(int(fd), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 					arrived = n == commands*len(pingCommand)
 				})
 				return arrived
@@ -118,8 +122,9 @@
 	}
 }
 
-// An answer cannot be written, and a connection waits for its slot: what is read late has only the time that SIGKILL leaves,
-// nothing is given up before SIGKILL is due, and the drain ends nevertheless.
+// An answer cannot be written, and a connection waits for its slot: what is read late has only the
+// time that SIGKILL leaves, nothing is given up before SIGKILL is due, and the drain ends
+// nevertheless.
 func TestDrain_endsThoughAnAnswerIsStuck(t *testing.T) {
 	release := make(chan bool)
 	t.Cleanup(func() { close(release) })
@@ -137,7 +142,8 @@
 	waiting := f.dial()
 	began := time.Now()
 	finished := f.startDrain()
-	if timeout := f.drain.boundTimeout(time.Hour); timeout <= 0 || timeout > time.Until(began.Add(writeTimeout+killGrace)) {
+	timeout := f.drain.boundTimeout(time.Hour)
+	if timeout <= 0 || timeout > time.Until(began.Add(writeTimeout+killGrace)) {
 		t.Errorf("a request that is read now has a timeout of %v", timeout)
 	}
 	f.awaitDrained(finished)
@@ -145,7 +151,10 @@
 		t.Errorf("the drain took %v", took)
 	}
 	waiting.wantReset()
-	if err := <-f.served; err != nil || f.logs.FilterMessage("listener: drain timed out with unanswered commands").Len() != 1 {
+	warnings := func() int {
+		return f.logs.FilterMessage("listener: drain timed out with unanswered commands").Len()
+	}
+	if err := <-f.served; err != nil || warnings() != 1 {
 		t.Errorf("Serve returned %v; logged %v", err, f.logs.All())
 	}
 }
@@ -158,7 +167,9 @@
 		9 * time.Second:        3700 * time.Millisecond,
 	} {
 		t.Run(longest.String(), func(t *testing.T) {
-			settings := policy.Settings{Classes: []policy.TrafficClass{{Name: "a", Timeout: longest / 2}, {Name: "b", Timeout: longest}}}
+			settings := policy.Settings{Classes: []policy.TrafficClass{
+				{Name: "a", Timeout: longest / 2}, {Name: "b", Timeout: longest},
+			}}
 			if got := New(&settings, nil, nil, 1, 0, nil).killDelay(); got != want {
 				t.Errorf("SIGKILL expected after %v, want %v", got, want)
 			}
@@ -166,8 +177,8 @@
 	}
 }
 
-// A configuration that shortens the longest deadline during a drain brings SIGKILL nearer; one that lengthens it does not put
-// SIGKILL off.
+// A configuration that shortens the longest deadline during a drain brings SIGKILL nearer; one that
+// lengthens it does not put SIGKILL off.
 func TestDrain_reloadThatShortensTheLongestDeadlineCounts(t *testing.T) {
 	for name, row := range map[string]struct{ timeouts []time.Duration }{
 		"before it is active": {[]time.Duration{300 * time.Millisecond}},
@@ -187,13 +198,7 @@
 					fakes.Eventually(t, "the drain", f.drain.active.Load)
 				}
 				for _, timeout := range row.timeouts {
-					settings := drainSettings()
-					for i := range settings.Classes {
-						settings.Classes[i].Timeout = timeout
-					}
-					if _, err := f.Reconfigure(settings); err != nil {
-						t.Fatal(err)
-					}
+					f.reconfigureTimeout(timeout)
 				}
 				fakes.Eventually(t, "the drain", f.drain.active.Load)
 				if got, most := f.drain.boundTimeout(time.Hour), time.Until(began.Add(time.Second)); got > most {
@@ -204,3 +209,15 @@
 		}
 	}
 }
+
+// reconfigureTimeout gives all classes a timeout.
+func (d *drainFixture) reconfigureTimeout(timeout time.Duration) {
+	d.Helper()
+	settings := drainSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].Timeout = timeout
+	}
+	if _, err := d.Reconfigure(settings); err != nil {
+		d.Fatal(err)
+	}
+}
--- a/internal/gateway/listener/execute.go
+++ b/internal/gateway/listener/execute.go
@@ -10,8 +10,8 @@
 	"harrierhoist/internal/gateway/upstream"
 )
 
-// workerPool executes jobs on goroutines that are kept: the stack of each grows only once to what a request needs. There are as
-// many as there were ever jobs at once.
+// workerPool executes jobs on goroutines that are kept: the stack of each grows only once to what a
+// request needs. There are as many as there were ever jobs at once.
 type workerPool struct{ idle chan job }
 
 func newWorkerPool() *workerPool { return &workerPool{idle: make(chan job)} }
@@ -77,11 +77,15 @@
 	}
 }
 
-// rejectionLine formats a rejection, with the time after which the client may ask again in milliseconds, rounded up. Without
-// that time if it is 0.
+// decimal is the base of the numbers in replies.
+const decimal = 10
+
+// rejectionLine formats a rejection, with the time after which the client may ask again in
+// milliseconds, rounded up. Without that time if it is 0.
 func rejectionLine(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return replyBusy
 	}
-	return replyBusy + " " + strconv.FormatInt(int64(math.Ceil(float64(retryAfter)/float64(time.Millisecond))), 10)
+	milliseconds := math.Ceil(float64(retryAfter) / float64(time.Millisecond))
+	return replyBusy + " " + strconv.FormatInt(int64(milliseconds), decimal)
 }
--- a/internal/gateway/listener/fixture_test.go
+++ b/internal/gateway/listener/fixture_test.go
@@ -18,7 +18,8 @@
 	"harrierhoist/policy"
 )
 
-// fixture is a listener on a loopback address with a dispatcher, upstream connections and the servers that a test gives it.
+// fixture is a listener on a loopback address with a dispatcher, upstream connections and the
+// servers that a test gives it.
 type fixture struct {
 	*testing.T
 	*Listener
@@ -51,7 +52,8 @@
 	}
 }
 
-// newFixture returns a fixture with a bound on memory, in bytes. It accepts no connection before start.
+// newFixture returns a fixture with a bound on memory, in bytes. It accepts no connection before
+// start.
 func newFixture(t *testing.T, maxMemory int, servers ...*fakes.Server) *fixture {
 	t.Helper()
 	return newFixtureWith(t, testSettings(), nil, maxMemory, servers...)
@@ -62,7 +64,8 @@
 	t *testing.T, settings policy.Settings, count func(countCallback), maxMemory int, servers ...*fakes.Server,
 ) *fixture {
 	t.Helper()
-	return fixtureOptions{settings: settings, count: count, maxConnections: 256, maxMemory: maxMemory}.newFixture(t, servers...)
+	options := fixtureOptions{settings: settings, count: count, maxConnections: 256, maxMemory: maxMemory}
+	return options.newFixture(t, servers...)
 }
 
 func (o fixtureOptions) newFixture(t *testing.T, servers ...*fakes.Server) *fixture {
--- a/internal/gateway/listener/fuzz_test.go
+++ b/internal/gateway/listener/fuzz_test.go
@@ -38,17 +38,19 @@
 	return fakes.FormatCommand(words...)
 }
 
-// Whatever words a client puts into a command, parsing does not panic. A request that is parsed holds what the policy takes for
-// granted, and is forwarded as it was worded except for the deadline. One that is rejected leaves no ID open.
+// Whatever words a client puts into a command, parsing does not panic. A request that is parsed
+// holds what the policy takes for granted, and is forwarded as it was worded except for the
+// deadline. One that is rejected leaves no ID open.
 func FuzzParse(f *testing.F) {
 	const customer, id = "00000000b4d65521", "9b1f03aa5c7e2d41"
 	for _, list := range []string{
-		"c=look,t=open,d=480,units=2,spread=3,first=1", "c=book,t=open,d=480,k=5c0f,units=2,r=1", "c=once,t=open,d=0.5",
-		"c=book,t=open,d=480", "c=look,t=open,d=0", "c=look,t=open,d=-1", "c=look,t=open,d=1e3", "c=look,t=open,d=NaN", "d=1,d=2",
-		"c=look,t=open,d=99999999999", "c=look,t=open,d=480,units=inf", "c=look,t=open,d=480,units=0.0001,spread=9", "",
-		"c=look,t=open,d=480,first=-1", "c=look,t=open,d=480,units=51", "c=look,t=open,d=480,units=0", "c=look,t=open,d=2001",
-		"c=look,t=open,d=480,x=1,", "=,=", "c=look,,", "c=look,t=shut,d=480", "c=gone,t=open,d=480",
-		"c=look,t=open,d=480,r=2", "c=look,t=open,d=480,spread=6",
+		"c=look,t=open,d=480,units=2,spread=3,first=1", "c=book,t=open,d=480,k=5c0f,units=2,r=1",
+		"c=once,t=open,d=0.5", "c=book,t=open,d=480", "c=look,t=open,d=0", "c=look,t=open,d=-1",
+		"c=look,t=open,d=1e3", "c=look,t=open,d=NaN", "d=1,d=2", "c=look,t=open,d=99999999999",
+		"c=look,t=open,d=480,units=inf", "c=look,t=open,d=480,units=0.0001,spread=9", "",
+		"c=look,t=open,d=480,first=-1", "c=look,t=open,d=480,units=51", "c=look,t=open,d=480,units=0",
+		"c=look,t=open,d=2001", "c=look,t=open,d=480,x=1,", "=,=", "c=look,,", "c=look,t=shut,d=480",
+		"c=gone,t=open,d=480", "c=look,t=open,d=480,r=2", "c=look,t=open,d=480,spread=6",
 		"c=look,t=open,d=00000000000000000000480.", "c=look,t=open,d=.", "c=look,t=open,d=480,x=d=9,units=7",
 		"c=look,t=open,d=480\r\n,a=b",
 	} {
@@ -133,13 +135,15 @@
 	}
 }
 
-// checkDeadline checks that a message's parameters are those that were sent, cut around the deadline's value.
+// checkDeadline checks that a message's parameters are those that were sent, cut around the
+// deadline's value.
 func (c fuzzCommand) checkDeadline(t *testing.T, message *upstream.Command) {
 	t.Helper()
 	deadline, hasPrefix := strings.CutPrefix(c.list, message.ParamsBefore)
 	deadline, hasSuffix := strings.CutSuffix(deadline, message.ParamsAfter)
 	milliseconds, isValid := parseDecimal(deadline)
-	isCutOut := strings.HasSuffix(","+message.ParamsBefore, ",d=") && (message.ParamsAfter == "" || message.ParamsAfter[0] == ',')
+	endsValue := message.ParamsAfter == "" || message.ParamsAfter[0] == ','
+	isCutOut := strings.HasSuffix(","+message.ParamsBefore, ",d=") && endsValue
 	if !hasPrefix || !hasSuffix || !isCutOut || !isValid || !(milliseconds > 0) {
 		t.Fatalf("%q was cut into %q, %q and %q", c.list, message.ParamsBefore, deadline, message.ParamsAfter)
 	}
--- a/internal/gateway/listener/golden_test.go
+++ b/internal/gateway/listener/golden_test.go
@@ -37,7 +37,8 @@
 
 func goldenFailed([]string) string { return "-ERR failed\r\n" }
 
-// goldenAnswers holds each form of answer on a client's connection, as recorded before the package was made readable.
+// goldenAnswers holds each form of answer on a client's connection, as recorded before the package
+// was made readable.
 var goldenAnswers = map[string]struct {
 	sent   string
 	ready  bool
@@ -53,16 +54,19 @@
 		fakes.FormatCommand("SVC.QUERY", goldenCustomer), true, nil, "-ERR wrong number of words\r\n", true,
 	},
 	"a query with a value": {
-		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "1", "c=look", "body"), true, nil, "-ERR wrong number of words\r\n", true,
+		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "1", "c=look", "body"), true, nil,
+		"-ERR wrong number of words\r\n", true,
 	},
 	"a submit with none": {
-		fakes.FormatCommand("SVC.SUBMIT", goldenCustomer, "1", "c=pay"), true, nil, "-ERR wrong number of words\r\n", true,
+		fakes.FormatCommand("SVC.SUBMIT", goldenCustomer, "1", "c=pay"), true, nil,
+		"-ERR wrong number of words\r\n", true,
 	},
 	"no customer": {
 		fakes.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true,
 	},
 	"a customer beyond all": {
-		fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true,
+		fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil,
+		"-ERR no customer\r\n", true,
 	},
 	"a doubled name": {goldenQuery("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
 	"an empty name":  {goldenQuery("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
@@ -82,19 +86,23 @@
 	"a deadline that is past": {goldenQuery("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
 	"a deadline beyond all":   {goldenQuery("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
 	"units that are none": {
-		goldenQuery("c=look,t=wide,d=100,units=x"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true,
+		goldenQuery("c=look,t=wide,d=100,units=x"), true, nil,
+		"-ERR unknown, no number or out of range: units\r\n", true,
 	},
 	"units beyond the most": {
-		goldenQuery("c=look,t=wide,d=100,units=51"), true, nil, "-ERR unknown, no number or out of range: units\r\n", true,
+		goldenQuery("c=look,t=wide,d=100,units=51"), true, nil,
+		"-ERR unknown, no number or out of range: units\r\n", true,
 	},
 	"a repeat that is no flag": {
 		goldenQuery("c=look,t=wide,d=100,r=2"), true, nil, "-ERR unknown, no number or out of range: r\r\n", true,
 	},
 	"a set of gateways too big": {
-		goldenQuery("c=look,t=wide,d=100,spread=2"), true, nil, "-ERR unknown, no number or out of range: spread\r\n", true,
+		goldenQuery("c=look,t=wide,d=100,spread=2"), true, nil,
+		"-ERR unknown, no number or out of range: spread\r\n", true,
 	},
 	"a first gateway too big": {
-		goldenQuery("c=look,t=wide,d=100,first=1"), true, nil, "-ERR unknown, no number or out of range: first\r\n", true,
+		goldenQuery("c=look,t=wide,d=100,first=1"), true, nil,
+		"-ERR unknown, no number or out of range: first\r\n", true,
 	},
 	"no class": {
 		goldenQuery("t=wide,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
@@ -109,12 +117,19 @@
 		goldenSubmit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
 	},
 	"no id": {
-		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "", "c=look,t=wide,d=100"), true, nil, "-ERR no id of its own\r\n", true,
+		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "", "c=look,t=wide,d=100"), true, nil,
+		"-ERR no id of its own\r\n", true,
+	},
+	"served": {goldenQuery("c=look,t=wide,d=14000"), true, goldenServed, "$5\r\nhello\r\n", true},
+	"served, with a key": {
+		goldenSubmit("c=book,t=wide,d=14000,k=7", "x"), true, goldenServed,
+		"$5\r\nhello\r\n", true,
+	},
+	"failed": {goldenSubmit("c=pay,t=wide,d=14000", "x"), true, goldenFailed, "-ERR failed\r\n", true},
+	"beyond the quota": {
+		goldenQuery("c=look,t=small,d=14000,units=20"), true, goldenServed,
+		"-BUSY 2000\r\n", true,
 	},
-	"served":                  {goldenQuery("c=look,t=wide,d=14000"), true, goldenServed, "$5\r\nhello\r\n", true},
-	"served, with a key":      {goldenSubmit("c=book,t=wide,d=14000,k=7", "x"), true, goldenServed, "$5\r\nhello\r\n", true},
-	"failed":                  {goldenSubmit("c=pay,t=wide,d=14000", "x"), true, goldenFailed, "-ERR failed\r\n", true},
-	"beyond the quota":        {goldenQuery("c=look,t=small,d=14000,units=20"), true, goldenServed, "-BUSY 2000\r\n", true},
 	"a command of no words":   {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
 	"a command of many words": {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
 	"a word that is missing":  {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
@@ -149,20 +164,26 @@
 			if string(got[:n]) != golden.want {
 				t.Fatalf("answered %q (%v), recorded %q", got[:n], err, golden.want)
 			}
-			if !golden.goesOn {
-				if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
-					t.Fatalf("behind the answer %q, %v; recorded: the end", rest, err)
-				}
-				return
-			}
-			client.send(fakes.FormatCommand("FOO"))
-			if line := client.readAnswer(); line != "-ERR unknown command" {
-				t.Errorf("the next command answered %q", line)
-			}
+			client.checkAfterGolden(golden.goesOn)
 		})
 	}
 }
 
+// checkAfterGolden checks that the connection goes on after an answer, or is closed.
+func (c *testClient) checkAfterGolden(goesOn bool) {
+	c.Helper()
+	if !goesOn {
+		if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
+			c.Fatalf("behind the answer %q, %v; recorded: the end", rest, err)
+		}
+		return
+	}
+	c.send(fakes.FormatCommand("FOO"))
+	if line := c.readAnswer(); line != "-ERR unknown command" {
+		c.Errorf("the next command answered %q", line)
+	}
+}
+
 // A request with the ID of another one in flight is answered at once.
 func TestGoldenAnswersWithOthersOpen(t *testing.T) {
 	server := fakes.NewServer(t, answerNothing)
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -6,14 +6,18 @@
 	"time"
 )
 
-// A request arrives between the check for one and the half-close with the last answer: the answer arrives complete, the request
-// is not read, and its client sees an orderly close.
+// A request arrives between the check for one and the half-close with the last answer: the answer
+// arrives complete, the request is not read, and its client sees an orderly close.
 func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
-	for name, dial := range map[string]func(*fixture) *testClient{"fast": (*fixture).dial, "slow": (*fixture).dialNarrow} {
+	for name, dial := range map[string]func(*fixture) *testClient{
+		"fast": (*fixture).dial,
+		"slow": (*fixture).dialNarrow,
+	} {
 		t.Run(name, func(t *testing.T) {
 			var client *testClient
 			var isCrossing atomic.Bool
-			noticed := make(chan bool, 100) // the reader closes the connection, or goes on waiting for the client to close it
+			// The reader closes the connection, or goes on waiting for the client to close it.
+			noticed := make(chan bool, 100)
 			notice := func() {
 				if isCrossing.Load() {
 					noticed <- true
@@ -43,7 +47,8 @@
 	}
 }
 
-// A request has arrived, and the reader has seen it but not counted it yet, as what would be the last answer is written.
+// A request has arrived, and the reader has seen it but not counted it yet, as what would be the
+// last answer is written.
 func TestDrain_requestReceivedBeforeTheLastAnswerIsAnswered(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	seen, resume := make(chan bool), make(chan bool)
@@ -68,7 +73,8 @@
 	c.wantClose()
 }
 
-// What arrives after the half-close is not read, also from a client that does not close the connection.
+// What arrives after the half-close is not read, also from a client that does not close the
+// connection.
 func TestDrain_clientThatNeverClosesIsClosed(t *testing.T) {
 	for name, later := range map[string]string{"silent": "", "sends another request": query(2)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/listener/listener.go
+++ b/internal/gateway/listener/listener.go
@@ -1,8 +1,10 @@
-// Package listener serves the gateway's clients. It accepts connections, parses requests, has each one executed by the
-// dispatcher's decisions, and answers in the order of the requests on a connection.
+// Package listener decides when a client's connection is accepted, read and closed, and has each
+// request executed by the dispatcher's decisions and answered in order. The gateway's wiring calls
+// it: Serve and Sweep while it runs, Reconfigure at a reload, Drain at SIGTERM.
 //
-// Two pairs of locks nest: Listener.settingsMu around the dispatcher's own lock and the leaves openRequestIDs.mu and client.mu,
-// and connectionTable.mu around connection.mu. Nothing else is locked while one of the others is held.
+// Two pairs of locks nest: Listener.settingsMu around the dispatcher's own lock and the leaves
+// openRequestIDs.mu and client.mu, and connectionTable.mu around connection.mu. Nothing else is
+// locked while one of the others is held.
 package listener
 
 import (
@@ -37,16 +39,21 @@
 	parser     atomic.Pointer[requestParser]
 }
 
-// New returns a listener that holds at most maxConnections connections and maxMemory bytes of requests in flight; without a
-// bound on memory if maxMemory is 0.
+// New returns a listener that holds at most maxConnections connections and maxMemory bytes of
+// requests in flight; without a bound on memory if maxMemory is 0.
 func New(
 	settings *policy.Settings, dispatcher *dispatch.Dispatcher, upstreams *upstream.Pool, maxConnections, maxMemory int,
 	log *zap.Logger,
 ) *Listener {
 	l := &Listener{
-		dispatcher: dispatcher, upstream: upstreams, log: log, workers: newWorkerPool(),
-		memory: newMemoryLimiter(maxMemory), requestIDs: newOpenRequestIDs(),
-		connections: newConnectionTable(maxConnections), drain: newDrainState(),
+		dispatcher:  dispatcher,
+		upstream:    upstreams,
+		log:         log,
+		workers:     newWorkerPool(),
+		memory:      newMemoryLimiter(maxMemory),
+		requestIDs:  newOpenRequestIDs(),
+		connections: newConnectionTable(maxConnections),
+		drain:       newDrainState(),
 	}
 	l.parser.Store(newRequestParser(settings))
 	return l
@@ -55,9 +62,10 @@
 // Ready makes PING succeed from here on.
 func (l *Listener) Ready() { l.ready.Store(true) }
 
-// Reconfigure applies new settings to the dispatcher and the parser, and returns them as they are in force. No request is
-// parsed by the old settings and admitted under the new ones: a class may keep its name and get another effect, and a request
-// that was sent as non-idempotent would be retried.
+// Reconfigure applies new settings to the dispatcher and the parser, and returns them as they are
+// in force. No request is parsed by the old settings and admitted under the new ones: a class may
+// keep its name and get another effect, and a request that was sent as non-idempotent would be
+// retried.
 func (l *Listener) Reconfigure(settings policy.Settings) (policy.Settings, error) {
 	l.settingsMu.Lock()
 	defer l.settingsMu.Unlock()
@@ -93,13 +101,15 @@
 	}
 }
 
-// accept returns the next connection. While the listener drains, the socket is closed once the backlog is empty: a connection
-// that the system has accepted may hold a request, and closing the socket would reset it.
+// accept returns the next connection. While the listener drains, the socket is closed once the
+// backlog is empty: a connection that the system has accepted may hold a request, and closing the
+// socket would reset it.
 func (l *Listener) accept(socket net.Listener) (net.Conn, error) {
 	for {
 		isDraining := l.drain.active.Load()
 		if d, ok := socket.(deadlineSetter); ok && isDraining {
-			_ = d.SetDeadline(time.Now().Add(backlogTimeout)) // fails on a closed socket only, where Accept fails as well
+			// SetDeadline fails on a closed socket only, where Accept fails as well.
+			_ = d.SetDeadline(time.Now().Add(backlogTimeout))
 		}
 		conn, err := socket.Accept()
 		switch {
--- a/internal/gateway/listener/memory.go
+++ b/internal/gateway/listener/memory.go
@@ -2,28 +2,31 @@
 
 import "sync"
 
-// maxRequestOverhead is how many bytes a request may hold besides its value: its words, and a server's answer, as resp bounds
-// them.
+// maxRequestOverhead is how many bytes a request may hold besides its value: its words, and a
+// server's answer, as resp bounds them.
 const maxRequestOverhead = 68 << 10
 
-// minMemory is the least bound on the bytes of all requests in flight: two of the largest, and as much again for those that are
-// not pipelined.
+// pipelinedDivisor gives the part of the memory that pipelined requests share.
+const pipelinedDivisor = 2
+
+// minMemory is the least bound on the bytes of all requests in flight: two of the largest, and as
+// much again for those that are not pipelined.
 const minMemory = 4 * (maxRequestOverhead + 64<<10)
 
-// memoryLimiter bounds the bytes that requests in flight may hold: bounded only by the number of connections, sixteen values on
-// each could exceed any memory. A request reserves the most that it may hold, before its value is read, so that none waits for
-// memory while it holds some. It releases all with its answer. Pipelined requests share one half: clients send one request at a
-// time, floods send many. Cost: an answer counts as the longest possible, so that with many connections and a low bound,
-// requests wait and are rejected while there is memory left.
+// memoryLimiter bounds the bytes that requests in flight may hold. A request reserves the most that
+// it may hold, before its value is read, so that none waits for memory while it holds some. It
+// releases all with its answer. Pipelined requests share one part: clients send one request at a
+// time, floods send many.
 type memoryLimiter struct {
 	limit int // in bytes; 0: no bound
 
-	mu    sync.Mutex // guards used and freed
+	mu    sync.Mutex // protects used and freed
 	used  int
 	freed chan struct{} // closed when bytes are released; nil: nobody waits
 }
 
-// newMemoryLimiter returns a limiter with a bound of at least minMemory bytes; without a bound if limit is 0.
+// newMemoryLimiter returns a limiter with a bound of at least minMemory bytes; without a bound if
+// limit is 0.
 func newMemoryLimiter(limit int) *memoryLimiter {
 	if limit <= 0 {
 		return &memoryLimiter{}
@@ -31,13 +34,14 @@
 	return &memoryLimiter{limit: max(limit, minMemory)}
 }
 
-// acquire reserves size bytes and returns nil, or a channel that is closed when it is worth trying again.
+// acquire reserves size bytes and returns nil, or a channel that is closed when it is worth trying
+// again.
 func (m *memoryLimiter) acquire(size int, isPipelined bool) (wait <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	limit := m.limit
 	if isPipelined {
-		limit /= 2
+		limit /= pipelinedDivisor
 	}
 	if m.limit == 0 || m.used+size <= limit {
 		m.used += size
--- a/internal/gateway/listener/memory_test.go
+++ b/internal/gateway/listener/memory_test.go
@@ -14,7 +14,8 @@
 // longestBody is the longest value that a command may have.
 var longestBody = strings.Repeat("b", 64<<10)
 
-// blockingServer holds its answers until release is closed, and counts the requests that it was sent and has not answered.
+// blockingServer holds its answers until release is closed, and counts the requests that it was
+// sent and has not answered.
 type blockingServer struct {
 	*fakes.Server
 	release chan struct{}
@@ -60,8 +61,9 @@
 	fakes.Eventually(f, "all memory released", func() bool { return f.memory.usedBytes() == 0 })
 }
 
-// Clients send the longest values at once, and the server answers late with values as long. What all of them hold stays within
-// the bound. Each request gets one answer, and those that were rejected were never forwarded.
+// Clients send the longest values at once, and the server answers late with values as long. What
+// all of them hold stays within the bound. Each request gets one answer, and those that were
+// rejected were never forwarded.
 func TestMemoryLimit_boundsValuesInFlight(t *testing.T) {
 	const clients, requestsEach, maxMemory = 12, 2, 1 << 20
 	server := newBlockingServer(t, longestBody)
@@ -87,7 +89,9 @@
 		})
 	}
 	maxInFlight := maxMemory / (maxRequestOverhead + len(longestBody))
-	fakes.Eventually(t, "as many requests as there is memory for", func() bool { return server.unanswered() == maxInFlight })
+	fakes.Eventually(t, "as many requests as there is memory for", func() bool {
+		return server.unanswered() == maxInFlight
+	})
 	fakes.Eventually(t, "the others rejected", func() bool { return rejected.Load() >= int64(clients-maxInFlight) })
 	close(server.release)
 	all.Wait()
@@ -111,7 +115,8 @@
 	"sends one byte at a time": func(c *testClient, f *fixture, _ *blockingServer) {
 		c.send(longSubmit[:len(longSubmit)/2])
 		fakes.Eventually(c, "memory reserved", func() bool { return f.memory.usedBytes() > 0 })
-		for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) { // until the connection is closed
+		// Until the connection is closed.
+		for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) {
 			time.Sleep(commandTimeout / 8) // the client's slowness, not a wait for something
 		}
 	},
@@ -128,7 +133,8 @@
 		}
 	},
 	"pipelines many and disconnects": func(c *testClient, _ *fixture, server *blockingServer) {
-		go func() { _, _ = c.Write([]byte(strings.Repeat(submitCommand(longestBody), 40))) }() // until the connection is closed
+		submits := strings.Repeat(submitCommand(longestBody), 40)
+		go func() { _, _ = c.Write([]byte(submits)) }() // until the connection is closed
 		fakes.Eventually(c, "the first request", func() bool { return server.unanswered() > 0 })
 		_, _ = c.SetLinger(0), c.Close()
 	},
@@ -162,8 +168,8 @@
 	}
 }
 
-// Without free memory, a request waits for some time and is rejected. A command that needs none is answered at once, and the
-// disconnect of a client that waits is noticed.
+// Without free memory, a request waits for some time and is rejected. A command that needs none is
+// answered at once, and the disconnect of a client that waits is noticed.
 func TestMemoryLimit_rejectsWithoutCapacity(t *testing.T) {
 	server := fakes.NewServer(t, answerHello)
 	f := newFixture(t, 4<<20, server).start()
--- a/internal/gateway/listener/parameters.go
+++ b/internal/gateway/listener/parameters.go
@@ -12,7 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// The names of a request's parameters, as clients send them. Others are passed on to the server unread.
+// The names of a request's parameters, as clients send them. Others are passed on to the server
+// unread.
 const (
 	parameterClass        = "c"
 	parameterPlan         = "t"
@@ -24,6 +25,9 @@
 	parameterFirstGateway = "first"
 )
 
+// noPlan is the number of a plan that was not given.
+const noPlan = -1
+
 // parameterReader reads the parameters of one request.
 type parameterReader struct {
 	*requestParser
@@ -33,10 +37,15 @@
 	hasKey  bool
 }
 
-// parseParameters parses a list of names and values, each name once, into spec and message. It returns a line that answers the
-// request at once if the list is malformed. What is out of range is rejected here: the policy takes what it is given.
-func (p *requestParser) parseParameters(spec *dispatch.RequestSpec, message *upstream.Command, list string) (reply string) {
-	spec.Plan, spec.Units, spec.GatewayCount = -1, 1, 1
+// parseParameters parses a list of names and values, each name once, into spec and message. It
+// returns a line that answers the request at once if the list is malformed. What is out of range is
+// rejected here: the policy takes what it is given.
+func (p *requestParser) parseParameters(
+	spec *dispatch.RequestSpec, message *upstream.Command, list string,
+) (reply string) {
+	spec.Plan = noPlan
+	spec.Units = 1
+	spec.GatewayCount = 1
 	reader := parameterReader{requestParser: p, spec: spec, isQuery: message.Verb == verbQuery}
 	var seen []string
 	for start := 0; start < len(list); {
@@ -48,9 +57,11 @@
 		}
 		seen = append(seen, name)
 		if name == parameterDeadline {
-			message.ParamsBefore, message.ParamsAfter = list[:end-len(value)], list[end:]
+			message.ParamsBefore = list[:end-len(value)]
+			message.ParamsAfter = list[end:]
 		}
-		if reply = reader.read(name, value); reply != "" {
+		reply = reader.read(name, value)
+		if reply != "" {
 			return reply
 		}
 		start = end + 1
@@ -76,7 +87,8 @@
 	case parameterKey:
 		r.hasKey = true
 	case parameterRepeat:
-		r.spec.Repeat, isValid = value == "1", value == "0" || value == "1"
+		r.spec.Repeat = value == "1"
+		isValid = r.spec.Repeat || value == "0"
 	case parameterUnits:
 		isValid = r.readUnits(value)
 	case parameterGatewayCount:
@@ -99,21 +111,29 @@
 
 func (r *parameterReader) readUnits(value string) (isValid bool) {
 	r.spec.Units, isValid = parseDecimal(value)
-	return isValid && r.spec.Units > 0 && (r.maxUnits <= 0 || r.spec.Units <= r.maxUnits)
+	isWithinBound := r.maxUnits <= 0 || r.spec.Units <= r.maxUnits
+	return isValid && r.spec.Units > 0 && isWithinBound
 }
 
 // finish checks that all required parameters were given, and applies the class to the request.
 func (r *parameterReader) finish() (reply string) {
-	if r.class == nil || r.spec.Plan < 0 || r.spec.Timeout <= 0 || r.class.Effect == policy.Keyed && !r.hasKey {
+	if r.class == nil || r.spec.Plan == noPlan || r.spec.Timeout <= 0 {
+		return replyParameterRequired
+	}
+	if r.class.Effect == policy.Keyed && !r.hasKey {
 		return replyParameterRequired
 	}
-	r.spec.Class, r.spec.Timeout = r.class.number, min(r.spec.Timeout, r.class.Timeout)
+	r.spec.Class = r.class.number
+	r.spec.Timeout = min(r.spec.Timeout, r.class.Timeout)
 	return ""
 }
 
+// floatBits is the size of the numbers that parameters are read as.
+const floatBits = 64
+
 // parseDecimal parses a plain decimal number.
 func parseDecimal(text string) (float64, bool) {
-	value, err := strconv.ParseFloat(text, 64)
+	value, err := strconv.ParseFloat(text, floatBits)
 	return value, err == nil && strings.Trim(text, "0123456789.") == ""
 }
 
--- a/internal/gateway/listener/parse.go
+++ b/internal/gateway/listener/parse.go
@@ -11,9 +11,12 @@
 )
 
 const (
-	maxCommandWords = 4       // of a command, besides a value
+	maxCommandWords = 4       // of a command, besides a value: verb, customer, ID and parameters
+	parametersWord  = 3       // the index of the parameters among them
 	maxCustomer     = 1 << 33 // customer numbers are below
-	customerDigits  = 16      // hexadecimal
+	customerDigits  = 16      // hexadecimal digits of a customer number
+	customerBase    = 16      // of these digits
+	customerBits    = 64      // of a customer number
 )
 
 // The commands of clients.
@@ -39,7 +42,8 @@
 	replyParameterRequired = "-ERR class, plan, deadline or key is missing"
 )
 
-// requestParser holds the settings by which requests are parsed. It is immutable: new settings come with a new parser.
+// requestParser holds the settings by which requests are parsed. It is immutable: new settings come
+// with a new parser.
 type requestParser struct {
 	classes  map[string]class
 	plans    map[string]int // their numbers
@@ -53,7 +57,8 @@
 	policy.TrafficClass
 }
 
-// newRequestParser returns a parser for settings that are in force. Retired classes and plans are unknown to clients.
+// newRequestParser returns a parser for settings that are in force. Retired classes and plans are
+// unknown to clients.
 func newRequestParser(settings *policy.Settings) *requestParser {
 	parser := &requestParser{
 		classes: map[string]class{}, plans: map[string]int{}, gateways: settings.Gateways, maxUnits: settings.MaxUnits,
@@ -79,8 +84,8 @@
 	return longest
 }
 
-// parse parses a command whose last bytes arrived age ago. It returns a request, whose ID is open from here on, or a line that
-// answers the command at once.
+// parse parses a command whose last bytes arrived age ago. It returns a request, whose ID is open
+// from here on, or a line that answers the command at once.
 func (l *Listener) parse(command *pendingCommand, age time.Duration) (dispatch.RequestSpec, *upstream.Command, string) {
 	var spec dispatch.RequestSpec
 	if command.Discarded {
@@ -97,16 +102,17 @@
 		return spec, nil, replyWordCount
 	}
 	var err error
-	spec.Customer, err = strconv.ParseUint(command.Words[1], 16, 64)
+	spec.Customer, err = strconv.ParseUint(command.Words[1], customerBase, customerBits)
 	if err != nil || len(command.Words[1]) != customerDigits || spec.Customer >= maxCustomer {
 		return spec, nil, replyNoCustomer
 	}
 	message := &upstream.Command{Verb: verb, Customer: command.Words[1], ID: command.Words[2], Body: command.Body}
-	if reply := l.parser.Load().parseParameters(&spec, message, command.Words[3]); reply != "" {
+	if reply := l.parser.Load().parseParameters(&spec, message, command.Words[parametersWord]); reply != "" {
 		return spec, nil, reply
 	}
-	// The timeout counts from the sending. Time that the command spent in the system, waiting for memory or while this process
-	// was stopped, is subtracted; otherwise the answer would come to a client that is gone.
+	// The timeout counts from the sending. Time that the command spent in the system, waiting for
+	// memory or while this process was stopped, is subtracted; otherwise the answer would come to a
+	// client that is gone.
 	spec.Timeout = l.drain.boundTimeout(spec.Timeout - max(age, command.waitedForMemory))
 	if spec.Timeout <= 0 {
 		return spec, nil, replyDeadlinePassed
--- a/internal/gateway/listener/requestids.go
+++ b/internal/gateway/listener/requestids.go
@@ -2,9 +2,10 @@
 
 import "sync"
 
-// openRequestIDs holds the IDs of the requests in flight: no two of them have the same. It is safe for concurrent use.
+// openRequestIDs holds the IDs of the requests in flight: no two of them have the same. It is safe
+// for concurrent use.
 type openRequestIDs struct {
-	mu  sync.Mutex // guards ids
+	mu  sync.Mutex // protects ids
 	ids map[string]struct{}
 }
 
--- a/internal/gateway/listener/tapped_test.go
+++ b/internal/gateway/listener/tapped_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// tappedConn is a connection as the listener sees it. Its hooks can hold the listener between two of its steps; nil hooks do
-// nothing.
+// tappedConn is a connection as the listener sees it. Its hooks can hold the listener between two
+// of its steps; nil hooks do nothing.
 type tappedConn struct {
 	*net.TCPConn
 	afterWait        func()                            // a wait has ended: a byte has arrived, or the end
