--- a/internal/gateway/listener/acceptbackoff.go
+++ b/internal/gateway/listener/acceptbackoff.go
@@ -19,7 +19,8 @@
 	// acceptFailureGap is the time after a failure in which the next one prolongs the wait. Later,
 	// connections were accepted in between.
 	acceptFailureGap = 2 * maxAcceptBackoff
-	// acceptLogInterval is the time between log lines, of which there would be one for each failure.
+	// acceptLogInterval is the time between log lines, of which there would be one for each
+	// failure.
 	acceptLogInterval = 10 * time.Second
 )
 
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// writeTimeout is the longest deadline that counts: a client that takes longer over an answer is
-	// gone.
+	// writeTimeout is the longest deadline that counts: a client that takes longer over an answer
+	// is gone.
 	writeTimeout = 3 * time.Second
 	// newClientGrace is the time in which a client that has just connected is expected to send a
 	// command. After it the connection is idle like others.
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -15,8 +15,8 @@
 	// slotRetryInterval is the time between attempts to evict a connection for one that waits for a
 	// slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// minIdleBeforeEvict is how long a client that was answered keeps its slot in a flood: most send
-	// their next request within it.
+	// minIdleBeforeEvict is how long a client that was answered keeps its slot in a flood: most
+	// send their next request within it.
 	minIdleBeforeEvict = 2 * time.Second
 	// idleTimeout is how long a connection may be idle after an answer.
 	idleTimeout = 10 * time.Second
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -22,7 +22,8 @@
 	killGrace = 700 * time.Millisecond
 	// killMargin is how long before SIGKILL all that was read late is answered.
 	killMargin = 100 * time.Millisecond
-	// giveUpMargin is how long before SIGKILL requests are given up that have rejections behind them.
+	// giveUpMargin is how long before SIGKILL requests are given up that have rejections behind
+	// them.
 	giveUpMargin = 250 * time.Millisecond
 	// giveUpDivisor bounds giveUpMargin to that part of the time from SIGTERM to SIGKILL.
 	giveUpDivisor = 10
@@ -88,9 +89,9 @@
 	return d.active.Load() && time.Now().After(d.times.Load().forwardUntil)
 }
 
-// isReadOver reports whether no command is read any more on a connection, except one that was begun,
-// or the first. This stops a client that sends without a pause: only a pause would otherwise close
-// its connection.
+// isReadOver reports whether no command is read any more on a connection, except one that was
+// begun, or the first. This stops a client that sends without a pause: only a pause would otherwise
+// close its connection.
 func (d *drainState) isReadOver() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().readUntil)
 }
--- a/internal/gateway/listener/state.go
+++ b/internal/gateway/listener/state.go
@@ -53,8 +53,8 @@
 // isAtFirstCommand reports whether the only command ever counted is in flight.
 func (s *connectionState) isAtFirstCommand() bool { return !s.isAnswered && s.commands == 1 }
 
-// activity returns what the connection is doing. A client that has just connected has sent a request
-// or is about to, and would take it for lost if the connection were closed.
+// activity returns what the connection is doing. A client that has just connected has sent a
+// request or is about to, and would take it for lost if the connection were closed.
 func (s *connectionState) activity(now time.Time) activity {
 	isPastGrace := now.Sub(s.lastUsed) >= newClientGrace
 	switch {
--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -13,25 +13,30 @@
 	"harrierhoist/policy"
 )
 
-// Command is what an attempt carries: the command as the client worded it, but for the time that we will wait.
+// Command is what an attempt carries: the command in the client's words, except for the timeout.
 type Command struct {
-	Verb, Customer, ID        string
-	ParamsBefore, ParamsAfter string // the list of names and values, up to the figure of the timeout and from behind it
-	Body                      *resp.Bulk
+	Verb, Customer, ID string
+	ParamsBefore       string // the list of names and values, up to the figure of the timeout
+	ParamsAfter        string // the list from behind that figure
+	Body               *resp.Bulk
 }
 
-// toWire gives the command with the milliseconds that are left to the deadline, 1 at least.
+// decimal is the base of the numbers in commands.
+const decimal = 10
+
+// toWire returns the command with the milliseconds that are left to the deadline, at least 1.
 func (c *Command) toWire(deadline time.Time) *resp.Command {
-	remainingMs := max(time.Until(deadline).Milliseconds(), 1)
-	params := c.ParamsBefore + strconv.FormatInt(remainingMs, 10) + c.ParamsAfter
+	remaining := max(time.Until(deadline), time.Millisecond)
+	params := c.ParamsBefore + strconv.FormatInt(remaining.Milliseconds(), decimal) + c.ParamsAfter
 	return &resp.Command{Words: []string{c.Verb, c.Customer, c.ID, params}, Body: c.Body}
 }
 
-// Attempt sends a command to the server of a decision and waits for how that ends. A value comes only with Answered, and is
-// the caller's to free. Cancelled before its first byte, an attempt writes nothing, however late its connection comes up;
-// abandoned later, it closes its connection.
+// Attempt sends a command to the server of a decision and waits for how that ends. A value comes
+// only with Answered, and the caller frees it. Cancelled before its first byte, an attempt writes
+// nothing, however late its connection comes up; cancelled later, it closes its connection.
 func (p *Pool) Attempt(decision dispatch.Decision, command *Command) (dispatch.Result, *resp.Bulk) {
-	ctx, key := decision.Context, keyOf(decision.Server)
+	ctx := decision.Context
+	key := keyOf(decision.Server)
 	startedAt := time.Now()
 	if ctx.Err() != nil {
 		return dispatch.Result{Outcome: policy.NotSent}, nil
@@ -48,29 +53,29 @@
 	idleFor := time.Since(conn.lastUsed)
 	reply, state := p.exchange(ctx, conn, command.toWire(decision.Deadline), decision.WriteDeadline, decision.Deadline)
 	stillWanted := stopAbort()
-	if !conn.lastUsed.IsZero() && stillWanted {
-		p.connections.recordUse(idleFor, state == exchangeClosed || state == exchangeUnwritten)
+	if conn.wasIdle() && stillWanted {
+		p.connections.recordUse(idleFor, state.lostConnection())
 	}
 	if state == exchangeAnswered {
 		result, value, wellFormed := p.parseReply(reply)
 		if wellFormed && stillWanted {
 			p.connections.putIdle(key, conn)
 		} else {
-			p.connections.close(conn) // of no use after a malformed answer; abandoned as it came, a good one counts all the same
+			p.connections.close(conn) // an answer that came while it was cancelled counts all the same
 		}
 		return result, value
 	}
 	p.connections.close(conn)
 	outcome := unansweredOutcome(&decision, state, stillWanted)
 	if !stillWanted || state == exchangeTimedOut {
-		// No answer: the machine may be gone without a word. Connections to it that were last used before are closed, as they
-		// would be silent too; if it was one long request, they are made again.
+		// The machine may be gone without a word, and the older connections to it silent too.
 		p.connections.closeIdleBefore(key, startedAt)
 	}
 	return dispatch.Result{Outcome: outcome}, nil
 }
 
-// unansweredOutcome is the outcome of an attempt whose exchange ended so, with no answer.
+// unansweredOutcome returns the outcome of an attempt that has no answer, by how far its exchange
+// came: with its last byte unwritten it never ran, else it may have run.
 func unansweredOutcome(decision *dispatch.Decision, state exchangeState, stillWanted bool) policy.Outcome {
 	switch {
 	case state == exchangeUnwritten:
@@ -84,8 +89,8 @@
 	}
 }
 
-// isLocalFailure tells whether a connection did not come up for a cause on this machine: no connection to spare, no descriptor,
-// memory, port or route. Cost: a server behind a route that is missing for good is not ejected; its attempts go elsewhere.
+// isLocalFailure reports whether a connection did not come up for a cause on this machine: no
+// connection to spare, no descriptor, memory, port or route. It says nothing about the server.
 func isLocalFailure(err error) bool {
 	for _, cause := range []error{
 		errPoolExhausted, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.ENETUNREACH,
@@ -97,13 +102,17 @@
 	return false
 }
 
-// unsentOutcome is the outcome of an attempt that never reached a server to its last byte. One that ran out of the time in
-// which it could be retried says nothing of the server, nor does one for which we had no connection to spare: a good server
-// would be ejected for it.
+// unsentOutcome returns the outcome of an attempt whose last byte was not written. A server is not
+// to be ejected for a cancelled attempt, a failure on this machine, or an attempt that passed its
+// write deadline.
 func unsentOutcome(decision *dispatch.Decision, err error) policy.Outcome {
-	isTooLateForRetry := decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline)
-	if decision.Context.Err() != nil || isLocalFailure(err) || isTooLateForRetry {
+	if decision.Context.Err() != nil || isLocalFailure(err) || isTooLateForRetry(decision) {
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
+
+// isTooLateForRetry reports whether the write deadline, which leaves time for a retry, has passed.
+func isTooLateForRetry(decision *dispatch.Decision) bool {
+	return decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline)
+}
--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -11,7 +11,7 @@
 	"harrierhoist/policy"
 )
 
-// attemptAsync makes an attempt and gives its outcome once it has one.
+// attemptAsync makes an attempt and sends its outcome once it has one.
 func (p *Pool) attemptAsync(decision dispatch.Decision) chan policy.Outcome {
 	outcomes := make(chan policy.Outcome, 1)
 	go func() {
@@ -32,8 +32,9 @@
 	})
 }
 
-// Nothing is written on a connection that comes up late, for an attempt that was cancelled meanwhile or whose write deadline
-// has passed: here the server takes no connection until after that.
+// Nothing is written on a connection that comes up late, for an attempt that was cancelled
+// meanwhile or whose write deadline has passed: here the server takes no connection until after
+// that.
 func TestAttempt_writesNothingOnLateConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		writeTimeout   time.Duration
@@ -42,10 +43,14 @@
 		isCancelled    bool          // while it dials
 		want           policy.Outcome
 	}{
-		"cancelled":                {writeTimeout: time.Minute, isCancelled: true, want: policy.NotSent},
-		"too late for a retry":     {writeTimeout: 100 * time.Millisecond, want: policy.NotSent},
-		"never comes up":           {writeTimeout: time.Minute, connectTimeout: 100 * time.Millisecond, want: policy.ConnectFailed},
-		"takes until the deadline": {writeTimeout: 100 * time.Millisecond, isOnlyTime: true, want: policy.ConnectFailed},
+		"cancelled":            {writeTimeout: time.Minute, isCancelled: true, want: policy.NotSent},
+		"too late for a retry": {writeTimeout: 100 * time.Millisecond, want: policy.NotSent},
+		"never comes up": {
+			writeTimeout: time.Minute, connectTimeout: 100 * time.Millisecond, want: policy.ConnectFailed,
+		},
+		"takes until the deadline": {
+			writeTimeout: 100 * time.Millisecond, isOnlyTime: true, want: policy.ConnectFailed,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -54,7 +59,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			decision := newDecision(ctx, server.Addr, time.Now().Add(time.Minute))
-			if decision.WriteDeadline = time.Now().Add(test.writeTimeout); test.isOnlyTime {
+			decision.WriteDeadline = time.Now().Add(test.writeTimeout)
+			if test.isOnlyTime {
 				decision.Deadline = decision.WriteDeadline
 			}
 			outcomes := pool.attemptAsync(decision)
@@ -77,8 +83,8 @@
 	}
 }
 
-// Between the connection and the first byte the attempt may be cancelled: Begin, asked right before the byte, settles it,
-// and the connection serves the next attempt.
+// Between the connection and the first byte the attempt may be cancelled: Begin, asked right before
+// the byte, settles it, and the connection serves the next attempt.
 func TestAttempt_cancelledBeforeFirstByteWritesNothing(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	pool := newTestPool(10)
@@ -108,13 +114,15 @@
 	}
 }
 
-// What was begun goes on, however late it is for a retry; what is late right before its first byte is not begun.
+// What was begun goes on, however late it is for a retry; what is late right before its first byte
+// is not begun.
 func TestAttempt_writeDeadlineEndsBeforeFirstByteOnly(t *testing.T) {
 	answer := make(chan string)
 	server := fakes.NewServer(t, func([]string) string { return <-answer })
 	pool := newTestPool(10)
 	decision := decisionWithin(server.Addr, time.Minute)
-	for timeout := 100 * time.Millisecond; server.PendingCommands() == 0; timeout *= 2 { // once, unless we are slower than that
+	// The loop runs once, unless the machine is slower than the timeout.
+	for timeout := 100 * time.Millisecond; server.PendingCommands() == 0; timeout *= 2 {
 		decision.WriteDeadline = time.Now().Add(timeout)
 		outcomes := pool.attemptAsync(decision)
 		fakes.Eventually(t, "a command", func() bool { return server.PendingCommands() > 0 || len(outcomes) > 0 })
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -18,7 +18,8 @@
 // longCommand is a command that no buffer between narrow ends holds.
 var longCommand = &Command{Verb: "SVC.SUBMIT", Customer: "01", ID: "02", ParamsBefore: strings.Repeat("x", 1<<20)}
 
-// addNarrowIdle gives a pool an idle connection whose buffers are small, and the server's end of it.
+// addNarrowIdle gives a pool an idle connection whose buffers are small, and the server's end of
+// it.
 func (p *Pool) addNarrowIdle(t *testing.T) (key endpointKey, far *net.TCPConn) {
 	t.Helper()
 	near, other := fakes.ConnPair(t)
@@ -56,8 +57,9 @@
 	}
 }
 
-// A connection that breaks before a command's last byte is written shows that it never ran, whoever breaks it and how much
-// of it came; one that breaks right after it does not.
+// A connection that breaks before a command's last byte is written shows that it never ran,
+// whichever side breaks it and however much of it came. One that breaks right after that byte does
+// not.
 func TestAttempt_breakBeforeLastByteDiffersFromOneAfter(t *testing.T) {
 	const valueOnly, allButLastByte = "*3\r\n$1\r\nv\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r"
 	for _, test := range []breakTest{
@@ -82,7 +84,8 @@
 	}
 }
 
-// run makes one attempt. It tells whether the command came as far as it is to: a short timeout may pass before.
+// run makes one attempt. It tells whether the command came as far as it is to: a short timeout may
+// pass before.
 func (b *breakTest) run(t *testing.T, timeout time.Duration) bool {
 	t.Helper()
 	pool := New(time.Minute, time.Hour, nil, 10)
@@ -111,8 +114,8 @@
 	return true
 }
 
-// An answer that never ends is abandoned in the time that a connection may take to come up, also one that trickles: each
-// further byte is no reason to wait longer.
+// An answer that never ends is abandoned in the time that a connection may take to come up, also
+// one that trickles: each further byte is no reason to wait longer.
 func TestAttempt_tricklingAnswerIsAbandoned(t *testing.T) {
 	pool := New(200*time.Millisecond, time.Hour, nil, 10)
 	key, far := pool.addNarrowIdle(t)
@@ -146,8 +149,9 @@
 	return s.Conn.SetDeadline(t)
 }
 
-// Of an answer and a cancellation at the same instant one holds: here the answer comes between the cancellation and what that
-// does to the connection. It counts, once; the connection serves nobody else, as it would be aborted under the next request.
+// Of an answer and a cancellation at the same instant one holds: here the answer comes between the
+// cancellation and what that does to the connection. It counts, once; the connection serves nobody
+// else, as it would be aborted under the next request.
 func TestAttempt_answerAtTheInstantOfCancelling(t *testing.T) {
 	near, far := fakes.ConnPair(t)
 	slow := &slowAbortConn{near, make(chan struct{}), make(chan struct{})}
@@ -195,7 +199,8 @@
 	}
 }
 
-// Every way that a connection can go is counted once: as many are open as are idle when nothing is in flight.
+// Every way that a connection can go is counted once: as many are open as are idle when nothing is
+// in flight.
 func TestPool_countsOpenConnectionsOnEveryPath(t *testing.T) {
 	server := fakes.NewServer(t, func(words []string) string {
 		if words[0] == "INFO" {
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -14,22 +14,24 @@
 	"harrierhoist/internal/gateway/resp"
 )
 
-// errPoolExhausted says that all connections that we may have are in use.
+// errPoolExhausted says that all connections of the pool are in use.
 var errPoolExhausted = errors.New("no connection to spare")
 
-// minIdleBeforeReuse is how long a connection rests after an answer: what a server sends some milliseconds behind it, which
-// would be taken for the next request's answer, is here by then, and the connection is not quiet. The price: a request that
-// comes sooner costs a handshake. Measured on a day of 30 gateways with such answers: one in 70 of those that find a
-// connection.
+// minIdleBeforeReuse is how long a connection is idle before it is used again. What a server sends
+// shortly behind an answer, which would be taken for the next request's answer, has arrived by
+// then, and the connection is not quiet.
 const minIdleBeforeReuse = 20 * time.Millisecond
 
-// Idle connections are looked through so often: a part of their timeout, but not more often than minCleanupInterval.
 const (
-	cleanupDivisor     = 4
+	// cleanupDivisor gives the part of the idle timeout between searches for idle connections to
+	// close.
+	cleanupDivisor = 4
+	// minCleanupInterval is the shortest time between them.
 	minCleanupInterval = time.Second
 )
 
-// endpointKey is where a connection goes: a new server at an old address gets none of the earlier one's.
+// endpointKey is where a connection goes. A new server at an old address gets no connection of the
+// earlier one.
 type endpointKey struct{ name, address string }
 
 func keyOf(server dispatch.Server) endpointKey { return endpointKey{server.Name, server.Address} }
@@ -37,14 +39,20 @@
 // connection is a connection and when it was last used.
 type connection struct {
 	*resp.Conn
-	lastUsed time.Time // zero: not yet
+	lastUsed time.Time // when it became idle last; see wasIdle
 }
 
-// connectionSet owns the connections: those in use are counted, the idle ones are held.
+// wasIdle reports whether the connection was ever idle. If not, lastUsed is not set.
+func (c *connection) wasIdle() bool { return !c.lastUsed.IsZero() }
+
+// controlFunc is the type of net.Dialer.Control.
+type controlFunc func(network, address string, raw syscall.RawConn) error
+
+// connectionSet owns the connections: it counts those in use, and holds the idle ones.
 type connectionSet struct {
 	connectTimeout, idleTimeout time.Duration
 	maxConnections              int
-	controlSocket               func(network, address string, raw syscall.RawConn) error // of each dial; nil but in tests
+	controlSocket               controlFunc // called with each socket that is dialed; nil except in tests
 
 	mu     sync.Mutex
 	open   int // connections that are up, or coming up
@@ -59,8 +67,9 @@
 	}
 }
 
-// acquire gives an idle connection that is good and not stale, or a new one. Its errors are errPoolExhausted and what the
-// network says of a connection that did not come up by the deadline, in time, or before the context ended.
+// acquire returns an idle connection that is quiet and not stale, or a new one. It returns
+// errPoolExhausted, or the error of a dial that did not succeed within connectTimeout, by the
+// deadline and before the context ended.
 func (s *connectionSet) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for conn := s.takeIdle(key); conn != nil; conn = s.takeIdle(key) {
 		if !s.isStale(conn) && conn.IsQuiet() {
@@ -80,7 +89,8 @@
 	return &connection{Conn: resp.NewConn(conn)}, nil
 }
 
-// takeIdle takes the idle connection used last, of those that have rested; nil: there is none.
+// takeIdle takes the idle connection that was used last, of those idle for minIdleBeforeReuse. It
+// returns nil if there is none.
 func (s *connectionSet) takeIdle(key endpointKey) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +107,7 @@
 	return conn
 }
 
-// isStale tells whether a connection was idle too long to be used again.
+// isStale reports whether a connection was idle for too long to be used again.
 func (s *connectionSet) isStale(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,14 +115,15 @@
 	return idleFor >= s.idleTimeout || s.losses.isStale(idleFor)
 }
 
-// recordUse takes whether an attempt on a connection that was idle so long lost it.
+// recordUse records whether an attempt lost its connection, which had been idle for idleFor.
 func (s *connectionSet) recordUse(idleFor time.Duration, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.losses.record(time.Now(), idleFor, lost)
 }
 
-// reserveSlot makes room for one connection more, if need be by closing the one that was idle longest.
+// reserveSlot counts one more connection. If maxConnections are open it closes the one that was
+// idle longest, and returns false if none is idle.
 func (s *connectionSet) reserveSlot() bool {
 	s.mu.Lock()
 	if s.open < s.maxConnections {
@@ -124,7 +135,8 @@
 	var longest *connection
 	for key, connections := range s.idle {
 		if len(connections) > 0 && (longest == nil || connections[0].lastUsed.Before(longest.lastUsed)) {
-			longestKey, longest = key, connections[0]
+			longestKey = key
+			longest = connections[0]
 		}
 	}
 	if longest == nil {
@@ -149,27 +161,28 @@
 	s.releaseSlot()
 }
 
-// closeQuietly closes a connection that is of no use any more: an error says nothing that matters to anybody.
+// closeQuietly closes a connection that is not used any more. An error changes nothing.
 func closeQuietly(conn *connection) { _ = conn.Close() }
 
-// returnUnwritten takes back a connection on which nothing was written. A new one may serve the next attempt; one that had
-// been idle is closed, as how long it was would be lost.
+// returnUnwritten takes back a connection on which nothing was written. A new one may serve the
+// next attempt. One that had been idle is closed, as its idle time would count from now.
 func (s *connectionSet) returnUnwritten(key endpointKey, conn *connection) {
-	if conn.lastUsed.IsZero() {
-		s.putIdle(key, conn)
-	} else {
+	if conn.wasIdle() {
 		s.close(conn)
+	} else {
+		s.putIdle(key, conn)
 	}
 }
 
-// putIdle makes a connection idle, unless something stands behind the reply: it would be taken for the next one's.
+// putIdle makes a connection idle, unless unread bytes follow the reply: they would be read as the
+// next one.
 func (s *connectionSet) putIdle(key endpointKey, conn *connection) {
 	if !conn.IsDrained() {
 		s.close(conn)
 		return
 	}
 	s.mu.Lock()
-	conn.lastUsed = time.Now() // under the lock: the connections are in this order
+	conn.lastUsed = time.Now() // under the lock, as s.idle is in this order
 	s.idle[key] = append(s.idle[key], conn)
 	s.mu.Unlock()
 }
@@ -202,7 +215,8 @@
 		n++
 	}
 	stale := connections[:n]
-	if s.idle[key] = connections[n:]; n == len(connections) {
+	s.idle[key] = connections[n:]
+	if n == len(connections) {
 		delete(s.idle, key)
 	}
 	s.open -= n
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -16,12 +16,16 @@
 	exchangeUnwritten exchangeState = iota // the command's last byte was not written
 	exchangeTimedOut                       // no answer by the deadline
 	exchangeClosed                         // the connection ended before an answer
-	exchangeMalformed                      // an answer began and is none, or did not go on
+	exchangeMalformed                      // an answer began that is malformed or incomplete
 	exchangeAnswered
 )
 
-// exchange sends a command, by the write deadline, and waits for the reply until the deadline. Once that has begun, the rest
-// must follow in the time that a connection may take to come up: servers write an answer in one go.
+// lostConnection reports whether the connection was lost before any byte of an answer.
+func (s exchangeState) lostConnection() bool { return s == exchangeClosed || s == exchangeUnwritten }
+
+// exchange sends a command, by the write deadline, and waits for the reply until the deadline. The
+// rest of a reply that has begun must follow within connectTimeout, as servers write an answer at
+// once.
 func (p *Pool) exchange(
 	ctx context.Context, conn *connection, command *resp.Command, writeDeadline, deadline time.Time,
 ) (*resp.Reply, exchangeState) {
@@ -47,8 +51,9 @@
 	return reply, exchangeAnswered
 }
 
-// setDeadline bounds reads and writes, unless the exchange was abandoned meanwhile: that has set a deadline in the past,
-// which this one has undone. On a connection that is broken no deadline can be set; what is done on it next fails at once.
+// setDeadline bounds reads and writes. An abort sets a deadline in the past, which this call may
+// have replaced, so it aborts again if the context has ended. On a broken connection SetDeadline
+// fails, and so does the next read or write.
 func setDeadline(ctx context.Context, conn *connection, deadline time.Time) {
 	_ = conn.SetDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/gateway/upstream/fuzz_test.go
+++ b/internal/gateway/upstream/fuzz_test.go
@@ -3,20 +3,22 @@
 import (
 	"testing"
 
+	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/internal/gateway/resp"
 	"harrierhoist/internal/testing/fakes"
 	"harrierhoist/policy"
 )
 
-// Whatever a server answers: no panic, only the outcomes of an answer, a value with Answered alone, and figures within their
-// range.
+// Whatever a server answers: no panic, only the outcomes of an answer, a value with Answered alone,
+// and figures within their range.
 func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
 		fakes.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n",
 		"-BUSY\r\n", "-BUSY 20\r\n",
 		"-BUSY used=37\r\n", "-ERR failed\r\n", "-ERR failed used=37,cost=4 inflight=7,util=0.61\r\n", "-ERR\r\n",
 		"-ERR failed used=,=\r\n",
-		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n", "+OK\r\n", ":7\r\n", "-ERR failed used=nan,cost=-1 util=inf\r\n",
+		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n", "+OK\r\n", ":7\r\n",
+		"-ERR failed used=nan,cost=-1 util=inf\r\n",
 		"*1\r\n$0\r\n\r\n",
 		"*3\r\n$1\r\nv\r\n$9\r\nused=0x1p\r\n$-1\r\n", "-ERR failed used=1_0,cost=+2\r\n", "-\r\n", "- \r\n",
 		"-ERR failed cost=1e300 inflight=1e300\r\n", "-ERR failed used=1000000000,cost=1000000001\r\n",
@@ -47,17 +49,23 @@
 		if (value != nil) != (got.Outcome == policy.Answered) || wellFormed != (got.Outcome != policy.Reset) {
 			t.Fatalf("%q: outcome %v with value %v, well-formed %v", data, got.Outcome, value != nil, wellFormed)
 		}
-		figures := []float64{got.ActualUnits, got.Usage}
-		for _, v := range got.LoadReport {
-			figures = append(figures, float64(v))
-		}
-		if len(got.LoadReport) > 2 {
-			t.Fatalf("%q: load report %v", data, got.LoadReport)
-		}
-		for _, v := range figures {
-			if !(v >= 0 && v <= maxFigure) { // Use is 1 + a hundredth of its figure
-				t.Fatalf("%q: result %+v", data, got)
-			}
-		}
+		checkFigures(t, data, got)
 	})
 }
+
+// checkFigures checks that all figures of a result are within their range.
+func checkFigures(t *testing.T, data []byte, got dispatch.Result) {
+	t.Helper()
+	figures := []float64{got.ActualUnits, got.Usage}
+	for _, v := range got.LoadReport {
+		figures = append(figures, float64(v))
+	}
+	if len(got.LoadReport) > 2 {
+		t.Fatalf("%q: load report %v", data, got.LoadReport)
+	}
+	for _, v := range figures {
+		if !(v >= 0 && v <= maxFigure) { // Usage is 1 + a hundredth of its figure
+			t.Fatalf("%q: result %+v", data, got)
+		}
+	}
+}
--- a/internal/gateway/upstream/idle_test.go
+++ b/internal/gateway/upstream/idle_test.go
@@ -22,7 +22,9 @@
 		t.Fatalf("%d connections idle after two attempts in turn", len(idle))
 	}
 	_ = server.NextConn(t).Close()
-	fakes.Eventually(t, "the close", func() bool { return !pool.connections.idle[keyOfAddress(server.Addr)][0].IsQuiet() })
+	fakes.Eventually(t, "the close", func() bool {
+		return !pool.connections.idle[keyOfAddress(server.Addr)][0].IsQuiet()
+	})
 	pool.ageIdle(server)
 	attemptOnce(t, pool, server, policy.Answered) // written to the closed one, it would have ended as a reset
 }
@@ -52,7 +54,8 @@
 	pool.connections.putIdle(keyOfAddress(server.Addr), conn)
 	silent = true
 	command := &Command{Verb: "SVC.QUERY"}
-	if got, _ := pool.Attempt(decisionWithin(server.Addr, 50*time.Millisecond), command); got.Outcome != policy.TimedOut {
+	got, _ := pool.Attempt(decisionWithin(server.Addr, 50*time.Millisecond), command)
+	if got.Outcome != policy.TimedOut {
 		t.Fatalf("outcome %v", got.Outcome)
 	}
 	if n := len(pool.connections.idle[keyOfAddress(server.Addr)]); n != 0 || pool.connections.open != 0 {
@@ -78,9 +81,9 @@
 	attemptOnce(t, pool, first, policy.Answered)
 }
 
-// The second answer comes on the first one's connection when the next command is written: whatever looks at the connection
-// before that sees nothing on it. Used too soon, it gave that answer to the next request; a new one is taken instead, also
-// where the idle one has to make room for it.
+// The second answer comes on the first one's connection when the next command is written: whatever
+// looks at the connection before that sees nothing on it. Used too soon, it gave that answer to the
+// next request; a new one is taken instead, also where the idle one has to make room for it.
 func TestIdle_lateSecondReplyIsNotTakenForNextOne(t *testing.T) {
 	for _, maxConnections := range []int{10, 1} {
 		first := make(chan net.Conn, 1)
@@ -96,7 +99,7 @@
 		})
 		pool := newTestPool(maxConnections)
 		attemptOnce(t, pool, server, policy.Answered)
-		// Only just answered, however slow we are.
+		// It counts as just answered, however slow the machine is.
 		pool.connections.idle[keyOfAddress(server.Addr)][0].lastUsed = time.Now().Add(time.Minute)
 		if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 {
 			t.Errorf("billed %v, as the other answer says", got.ActualUnits)
@@ -161,7 +164,8 @@
 		conn.lastUsed = time.Now().Add(-200 * time.Millisecond)
 		_ = conn.Conn.Conn.(*net.TCPConn).CloseWrite() // its end is seen by the next attempt only
 		command := &Command{Verb: "SVC.QUERY"}
-		if got, value := pool.Attempt(decisionWithin(server.Addr, 5*time.Second), command); got.Outcome != policy.Answered {
+		got, value := pool.Attempt(decisionWithin(server.Addr, 5*time.Second), command)
+		if got.Outcome != policy.Answered {
 			lost++
 		} else {
 			value.Free()
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -5,17 +5,25 @@
 	"time"
 )
 
-// Servers, or machines on the way, may drop a connection that is idle long before the stated limit and say nothing: the
-// next attempt on it ends as a reset, and may have run for all we know. So the latest attempts tell how long a connection
-// may be idle. It guards against stale connections of any cause; the price is more handshakes.
 const (
-	idleBuckets       = 20              // of idle time, each twice as long as the one before; the last is of minutes
-	minLosses         = 3.0             // lost attempts that tell something
-	staleLossFraction = 0.2             // and the part that they are: by chance some are lost after any idle time
-	lossHalfLife      = 5 * time.Second // in which what was seen counts half: a longer idle time is tried again by and by
+	// idleBuckets is the number of buckets of idle times in milliseconds. Each is twice as long as
+	// the one before, and the last one begins at several minutes.
+	idleBuckets = 20
+	// minLosses is the smallest count of lost attempts that makes an idle time stale.
+	minLosses = 3.0
+	// staleLossFraction is the smallest part of the attempts after an idle time that makes it
+	// stale: some are lost by chance after any.
+	staleLossFraction = 0.2
+	// lossHalfLife is the time in which counts are halved, so that longer idle times are tried
+	// again.
+	lossHalfLife = 5 * time.Second
+	// halved is the divisor of the counts then.
+	halved = 2
 )
 
 // idleLosses counts what became of attempts on connections that had been idle, by how long.
+// Servers, or machines on the way, may drop an idle connection long before the stated limit and say
+// nothing. The next attempt on it ends as a reset, and may have run.
 type idleLosses struct {
 	survived, lost [idleBuckets]float64
 	lastHalved     time.Time
@@ -25,12 +33,12 @@
 	return min(bits.Len64(uint64(idleFor.Milliseconds())), idleBuckets-1)
 }
 
-// record takes the end of an attempt.
+// record counts an attempt on a connection that had been idle for idleFor.
 func (l *idleLosses) record(now time.Time, idleFor time.Duration, lost bool) {
 	if now.Sub(l.lastHalved) >= lossHalfLife {
 		for i := range l.survived {
-			l.survived[i] /= 2
-			l.lost[i] /= 2
+			l.survived[i] /= halved
+			l.lost[i] /= halved
 		}
 		l.lastHalved = now
 	}
@@ -41,7 +49,8 @@
 	}
 }
 
-// isStale tells whether a connection was idle too long: attempts after such an idle time, or a shorter one, were lost.
+// isStale reports whether a connection was idle for too long: too many attempts after such an idle
+// time, or a shorter one, were lost.
 func (l *idleLosses) isStale(idleFor time.Duration) bool {
 	for i := range idleBucket(idleFor) + 1 {
 		if l.lost[i] >= minLosses && l.lost[i] > staleLossFraction*(l.survived[i]+l.lost[i]) {
--- a/internal/gateway/upstream/localfailure_test.go
+++ b/internal/gateway/upstream/localfailure_test.go
@@ -9,8 +9,9 @@
 	"harrierhoist/policy"
 )
 
-// A socket that this machine cannot open for a moment says nothing of the server, which would be ejected for it; what the
-// network says of the server does. Nothing was sent in either case, and the slot is free again.
+// A socket that this machine cannot open for a moment says nothing of the server, which would be
+// ejected for it; what the network says of the server does. Nothing was sent in either case, and
+// the slot is free again.
 func TestAttempt_localDialFailureSaysNothingOfTheServer(t *testing.T) {
 	for failure, want := range map[syscall.Errno]policy.Outcome{
 		syscall.EMFILE: policy.NotSent, syscall.ENFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent,
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -1,6 +1,7 @@
-// Package upstream keeps the connections to servers: it makes attempts of requests on them, cancels these, and checks the
-// servers' health. Where an attempt goes is said by others. One command goes on a connection at a time, so that none waits
-// behind a longer one.
+// Package upstream decides which connection to a server an attempt uses, and whether the attempt
+// was never sent, may have run, or was answered. The listener calls it to make attempts, and the
+// dispatcher to check servers' health; both say which server. A connection carries one command at a
+// time, so that none waits behind a longer one.
 package upstream
 
 import (
@@ -12,8 +13,8 @@
 	"harrierhoist/policy"
 )
 
-// idleTimeoutDivisor is the part of the servers' idle limit after which we close a connection. The limit is theirs and may
-// be kept early; half leaves room for that and for a slow machine.
+// idleTimeoutDivisor gives the part of the servers' idle limit after which the pool closes a
+// connection. Servers may close one somewhat early, and a machine may be slow.
 const idleTimeoutDivisor = 2
 
 // Pool makes attempts at servers on the connections that it owns. It is safe for concurrent use.
@@ -23,29 +24,32 @@
 	loadFields     []string // the names of the figures of a load report; none: servers report no load
 }
 
-// New makes a pool that holds at most maxConnections. A connection has connectTimeout to come up; idleLimit is how long
-// servers keep one that nobody uses.
+// New returns a pool that holds at most maxConnections. A connection has connectTimeout to come up;
+// idleLimit is how long servers keep an idle one. Servers report the load fields named.
 func New(connectTimeout, idleLimit time.Duration, loadFields []string, maxConnections int) *Pool {
 	return &Pool{
 		connections:    newConnectionSet(connectTimeout, idleLimit/idleTimeoutDivisor, maxConnections),
-		connectTimeout: connectTimeout, loadFields: loadFields,
+		connectTimeout: connectTimeout,
+		loadFields:     loadFields,
 	}
 }
 
-// IdleTimeout is how long a connection that nobody uses is kept.
+// IdleTimeout returns how long an idle connection is kept.
 func (p *Pool) IdleTimeout() time.Duration { return p.connections.idleTimeout }
 
-// RunIdleCleanup closes connections in time that nobody uses, until the context ends.
+// RunIdleCleanup closes connections that were idle for IdleTimeout, until the context ends.
 func (p *Pool) RunIdleCleanup(ctx context.Context) { p.connections.runCleanup(ctx) }
 
-// CheckHealth asks a server for its load report, or only whether it is there where servers report no load. Done is called
-// once, before CheckHealth returns.
+// CheckHealth asks a server for its load report, or sends PING where servers report no load. It
+// calls done once, before it returns.
 func (p *Pool) CheckHealth(server dispatch.Server, done func(dispatch.Result)) {
 	done(p.checkHealth(server))
 }
 
 func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
-	ctx, key, deadline := context.Background(), keyOf(server), time.Now().Add(p.connectTimeout)
+	ctx := context.Background()
+	key := keyOf(server)
+	deadline := time.Now().Add(p.connectTimeout)
 	conn, err := p.connections.acquire(ctx, key, deadline)
 	if isLocalFailure(err) {
 		return dispatch.Result{Outcome: policy.NotSent}
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -79,8 +79,11 @@
 }
 
 func TestParseReply_loadReportIsReadByName(t *testing.T) {
-	server := fakes.NewServer(t, func([]string) string { return "*3\r\n$1\r\nv\r\n$-1\r\n$25\r\ninflight=7,x=1,util=0.610\r\n" })
-	if got := attemptOnce(t, newTestPool(9), server, policy.Answered).LoadReport; len(got) != 2 || got[0] != 7 || got[1] != 0.61 {
+	server := fakes.NewServer(t, func([]string) string {
+		return "*3\r\n$1\r\nv\r\n$-1\r\n$25\r\ninflight=7,x=1,util=0.610\r\n"
+	})
+	got := attemptOnce(t, newTestPool(9), server, policy.Answered).LoadReport
+	if len(got) != 2 || got[0] != 7 || got[1] != 0.61 {
 		t.Errorf("got %v", got)
 	}
 }
@@ -123,7 +126,9 @@
 }
 
 func TestAttempt_secondReplyIsNotTakenForNextOne(t *testing.T) {
-	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7) })
+	server := fakes.NewServer(t, func([]string) string {
+		return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7)
+	})
 	pool := newTestPool(10)
 	attemptOnce(t, pool, server, policy.Answered)
 	if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 || server.ConnCount() != 2 {
--- a/internal/gateway/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -13,24 +13,31 @@
 const (
 	// replyAttributes is how many attributes follow a value: use and load, either perhaps null.
 	replyAttributes = 2
-	// maxFigure is the largest figure that is taken from an attribute: the counter adds no more at once. Charged with a
-	// malformed one, a customer would never come back inside its quota.
+	// maxFigure is the largest figure that is taken from an attribute. The counter adds no more at
+	// once, and a customer charged with a malformed figure would never be inside its quota again.
 	maxFigure = 1e9
 	// percent is the unit in which servers report a customer's use of its rate.
 	percent = 100
+	// floatBits is the size of the numbers that figures are read as.
+	floatBits = 64
 )
 
-// parseReply reads a reply. Well-formed are the forms that servers show: an array of the value, use and load; ERR failed or
-// BUSY with attributes at most. Anything else is malformed: the request may have run, whatever the line says.
+// parseReply reads a reply. Well-formed are the forms that servers show: an array of the value, use
+// and load; ERR failed or BUSY, with attributes at most. After anything else the request may have
+// run, whatever the line says.
 func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, wellFormed bool) {
 	attributes := reply.Attributes
-	switch words := strings.Fields(reply.Line); {
+	words := strings.Fields(reply.Line)
+	isError := reply.Kind == '-'
+	switch {
 	case reply.Kind == '*' && reply.Value != nil && len(attributes) == replyAttributes:
 		result.Outcome = policy.Answered
-	case reply.Kind == '-' && len(words) >= 2 && words[0] == "ERR" && words[1] == "failed":
-		result.Outcome, attributes = policy.Errored, words[2:]
-	case reply.Kind == '-' && len(words) >= 1 && words[0] == "BUSY" && !slices.ContainsFunc(words[1:], isNoAttribute):
-		result.Outcome, attributes = policy.Rejected, words[1:]
+	case isError && isFailedLine(words):
+		result.Outcome = policy.Errored
+		attributes = words[2:]
+	case isError && isBusyLine(words):
+		result.Outcome = policy.Rejected
+		attributes = words[1:]
 	default:
 		reply.Value.Free()
 		return dispatch.Result{Outcome: policy.Reset}, nil, false
@@ -41,15 +48,25 @@
 	return result, reply.Value, true
 }
 
+// isFailedLine reports whether a server says that it has run a request, and failed.
+func isFailedLine(words []string) bool {
+	return len(words) >= 2 && words[0] == "ERR" && words[1] == "failed"
+}
+
+// isBusyLine reports whether a server says that it has rejected a request.
+func isBusyLine(words []string) bool {
+	return len(words) >= 1 && words[0] == "BUSY" && !slices.ContainsFunc(words[1:], isNoAttribute)
+}
+
 func isNoAttribute(word string) bool { return !strings.Contains(word, "=") }
 
-// readFigures takes the figures from an attribute such as used=37,cost=4. One that is no figure, or out of its range, is
-// ignored.
+// readFigures takes the figures from an attribute such as used=37,cost=4, and ignores those that
+// are malformed or out of range.
 func (p *Pool) readFigures(result *dispatch.Result, attribute string) {
 	figures := map[string]float64{}
 	for pair := range strings.SplitSeq(attribute, ",") {
 		name, text, _ := strings.Cut(pair, "=")
-		if figure, err := strconv.ParseFloat(text, 64); err == nil && figure >= 0 && figure <= maxFigure {
+		if figure, err := strconv.ParseFloat(text, floatBits); err == nil && figure >= 0 && figure <= maxFigure {
 			figures[name] = figure
 		}
 	}
