--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -8,23 +8,29 @@
 	"harrierhoist/policy"
 )
 
-// minElective is how many servers of a zone are selected for elective attempts, if it has so many: a choice of two.
+// minElective is the smallest number of servers of a zone that are selected for elective attempts,
+// if as many are ready: a choice of two.
 const minElective = 2
 
-// AddElective adds to a selection the servers for elective attempts, which settle debts. Owners says for each zone whose it
-// is, where it takes such attempts, else 0; fraction is the largest part of attempts that may be sent to any of them.
-// Selected servers keep their position and are only marked with their owner; those added are for elective attempts alone.
-// They are cut from the same rings, from the same position on, so that over all gateways each server is in as many
-// selections as the others.
-func (s *Subset) AddElective(now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int,
-	fraction float64,
-) []policy.Endpoint {
-	ownerOf := func(zone int) int {
-		if zone < 0 || zone >= len(owners) {
-			return 0
-		}
-		return owners[zone]
+// zoneOwners holds the owner of each zone that takes elective attempts, else 0.
+type zoneOwners []int
+
+// of returns the owner of a zone; 0 if it takes no elective attempts.
+func (o zoneOwners) of(zone int) int {
+	if zone < 0 || zone >= len(o) {
+		return 0
 	}
+	return o[zone]
+}
+
+// AddElective adds to a selection the servers for elective attempts, which settle debts. Owners
+// holds the owner of each zone that takes such attempts, else 0; fraction is the largest part of
+// attempts that may be sent to any owner. Servers that are selected already keep their position and
+// are marked with their owner. All gateways cut the others from the rings of Select.
+func (s *Subset) AddElective(
+	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
+) []policy.Endpoint {
+	ownerOf := zoneOwners(owners).of
 	selected = slices.Clone(selected)
 	isSelected := map[uint32]bool{}
 	for i := range selected {
@@ -41,14 +47,15 @@
 	for zone := range owners {
 		ready += float64(len(rings[zone]))
 	}
-	for zone := range owners { // in order: the module draws by position
+	for zone := range owners { // in order, as the policy draws by position
 		ring := rings[zone]
 		if len(ring) == 0 {
 			continue
 		}
 		for _, i := range s.arc(zone, ring, list, s.electiveLength(now, fraction, float64(len(ring)), ready)) {
 			if endpoint := list[i].Endpoint; !isSelected[endpoint.Server] {
-				endpoint.Owner, endpoint.Elective = ownerOf(zone), true
+				endpoint.Owner = ownerOf(zone)
+				endpoint.Elective = true
 				selected = append(selected, endpoint)
 			}
 		}
@@ -56,7 +63,8 @@
 	return selected
 }
 
-// electiveLength is how many servers to select of a zone's ring, of a number that are ready in all such zones.
+// electiveLength returns how many servers to select of a zone's ring, where ready is the number of
+// servers in all such zones.
 func (s *Subset) electiveLength(now time.Duration, fraction, ringSize, ready float64) int {
 	if s.idleTimeout <= 0 {
 		return int(ringSize)
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// elective returns what AddElective added to a selection, with servers of zone 2 for owner 7. It checks that the selection
-// is first, and unchanged.
+// elective returns what AddElective added to a selection, with servers of zone 2 for owner 7. It
+// checks that the selection is first, and unchanged.
 func elective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
 	t.Helper()
 	extended := s.AddElective(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
@@ -19,8 +19,9 @@
 	return extended[len(selected):]
 }
 
-// Without owners the selection stays. Where a zone of an owner has no server in the selection, each of its servers is
-// added by as many gateways, give or take what the ends of arcs bring, and only for elective attempts.
+// Without owners the selection stays. Where a zone of an owner has no server in the selection, each
+// of its servers is added by as many gateways, give or take what the ends of arcs bring, and only
+// for elective attempts.
 func TestAddElective_serversAreSpreadOverTheFleet(t *testing.T) {
 	list := newFleet(180, 3)
 	const gateways = 300
@@ -31,7 +32,9 @@
 		if same := s.AddElective(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
 			t.Fatalf("gateway %d: another selection without owners", gateway)
 		}
-		near := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool { return endpoint.Zone == 2 })
+		near := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
+			return endpoint.Zone == 2
+		})
 		extra := elective(t, s, near, list)
 		if len(extra) < minElective {
 			t.Fatalf("gateway %d: %d servers more than %d", gateway, len(extra), len(near))
@@ -63,7 +66,8 @@
 		selected, _ := s.Select(time.Hour, list)
 		extended := s.AddElective(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
 		for i, endpoint := range extended[:len(selected)] {
-			if (endpoint.Owner == 7) != (endpoint.Zone == 2) || endpoint.Elective || endpoint.Server != selected[i].Server {
+			isMarked := (endpoint.Owner == 7) == (endpoint.Zone == 2)
+			if !isMarked || endpoint.Elective || endpoint.Server != selected[i].Server {
 				t.Fatalf("gateway %d: %+v", gateway, endpoint)
 			}
 		}
@@ -80,7 +84,8 @@
 		now += 10 * time.Millisecond
 		s.CountAttempt(now)
 	}
-	few, many := s.AddElective(now, nil, list, []int{0, 0, 1}, 0.02), s.AddElective(now, nil, list, []int{0, 0, 1}, 0.4)
+	few := s.AddElective(now, nil, list, []int{0, 0, 1}, 0.02)
+	many := s.AddElective(now, nil, list, []int{0, 0, 1}, 0.4)
 	if len(few) != 3 || len(many) < 48 || len(many) > 52 {
 		t.Errorf("%d and %d servers, want 3 and about 50", len(few), len(many))
 	}
--- a/internal/gateway/upstream/subset/fleet_test.go
+++ b/internal/gateway/upstream/subset/fleet_test.go
@@ -34,7 +34,8 @@
 	return s.Select(now, list)
 }
 
-// attemptRates is the attempts a second that each server gets from all gateways, each drawing evenly from its subset.
+// attemptRates is the attempts a second that each server gets from all gateways, each drawing
+// evenly from its subset.
 func attemptRates(t *testing.T, gateways int, rate func(gateway int) float64, list []Candidate) []float64 {
 	t.Helper()
 	got := make([]float64, len(list))
@@ -50,7 +51,8 @@
 	return got
 }
 
-// spread is the standard deviation of the loads of servers that are ready, the least and the greatest, over their mean.
+// spread is the standard deviation of the loads of servers that are ready, the least and the
+// greatest, over their mean.
 func spread(loads []float64, list []Candidate) (deviation, least, most float64) {
 	sum, ready, least := 0.0, 0.0, math.Inf(1)
 	for i, load := range loads {
--- a/internal/gateway/upstream/subset/golden_test.go
+++ b/internal/gateway/upstream/subset/golden_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// hashOfFleet has the gateways of a random fleet make attempts, take weights and resize, and servers leave, and returns the
-// hash of all that they select.
+// hashOfFleet has the gateways of a random fleet make attempts, take weights and resize, and
+// servers leave, and returns the hash of all that they select.
 func hashOfFleet(seed int64) string {
 	sum := golden.NewDigest()
 	random := rand.New(rand.NewSource(seed + 1))
@@ -113,7 +113,10 @@
 		if gateway%11 == 10 {
 			idleTimeout = 0
 		}
-		r := &recorder{Subset: New(gateway, 24, idleTimeout), sum: sum, random: random, list: list, zones: zones, now: time.Hour}
+		r := &recorder{
+			Subset: New(gateway, 24, idleTimeout),
+			sum:    sum, random: random, list: list, zones: zones, now: time.Hour,
+		}
 		r.addElective(r.selectServers("first"))
 		r.makeAttempts()
 		r.useWeights()
--- a/internal/gateway/upstream/subset/subset_test.go
+++ b/internal/gateway/upstream/subset/subset_test.go
@@ -49,7 +49,9 @@
 			}
 			return 7
 		}, 0.08, 1.25},
-		{"rates that rise with the number", 300, 180, 2, func(gateway int) float64 { return 4 + float64(gateway)/30 }, 0.08, 1.25},
+		{"rates that rise with the number", 300, 180, 2, func(gateway int) float64 {
+			return 4 + float64(gateway)/30
+		}, 0.08, 1.25},
 		{"one zone", 120, 200, 1, func(int) float64 { return 8 }, 0.12, 1.25},
 		{"1,000 gateways", 1000, 500, 4, func(int) float64 { return 10 }, 0.05, 1.15},
 		{"10 gateways", 10, 60, 2, func(int) float64 { return 8 }, 0.15, 1.3},
@@ -92,8 +94,8 @@
 	}
 }
 
-// Gateways prefer servers of their zone. Where indexes go by zone, in turn or in blocks, those of one zone must still cover
-// its servers evenly.
+// Gateways prefer servers of their zone. Where indexes go by zone, in turn or in blocks, those of
+// one zone must still cover its servers evenly.
 func TestSelect_zoneIsCoveredEvenlyByItsOwnGateways(t *testing.T) {
 	list := newFleet(180, 3)
 	for name, local := range map[string]func(gateway int) bool{
@@ -195,7 +197,8 @@
 		if s.IsDue(now) {
 			selected, _ := s.Select(now, list)
 			size = len(selected)
-			if selections++; i > 30*20 {
+			selections++
+			if i > 30*20 {
 				t.Errorf("selected anew at second %d of a steady rate", i/20)
 			}
 		}
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -12,8 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// meanFractions is the fraction of each zone in the subsets of all gateways, on average, by weights; and how many gateways
-// have each server.
+// meanFractions is the fraction of each zone in the subsets of all gateways, on average, by
+// weights; and how many gateways have each server.
 func meanFractions(weights []float64, gateways int, list []Candidate, now time.Duration) ([]float64, map[uint32]int) {
 	mean, selections := make([]float64, len(weights)), map[uint32]int{}
 	for gateway := range gateways {
@@ -28,7 +28,8 @@
 	return mean, selections
 }
 
-// Weights hold on average over the fleet, though no gateway has a fiftieth of a server; and other gateways try it in turn.
+// Weights hold on average over the fleet, though no gateway has a fiftieth of a server; and other
+// gateways try it in turn.
 func TestSetWeights_holdOverTheFleet(t *testing.T) {
 	for _, gateways := range []int{30, 300} {
 		list := newFleet(120, 3)
@@ -62,7 +63,8 @@
 	}
 }
 
-// A zone without a weight gets nothing; what belongs to a zone without a server that is ready is shed, and nothing else.
+// A zone without a weight gets nothing; what belongs to a zone without a server that is ready is
+// shed, and nothing else.
 func TestSetWeights_unplannedZoneGetsNothing(t *testing.T) {
 	list := newFleet(30, 3)
 	for i := range list {
@@ -73,7 +75,8 @@
 	s := New(3, 30, 15*time.Second)
 	s.SetWeights([]float64{0.3, 0.7, 0}, 0.5)
 	selected, _ := s.Select(time.Hour, list)
-	if len(selected) == 0 || slices.ContainsFunc(selected, func(endpoint policy.Endpoint) bool { return endpoint.Zone != 1 }) {
+	isUnplanned := func(endpoint policy.Endpoint) bool { return endpoint.Zone != 1 }
+	if len(selected) == 0 || slices.ContainsFunc(selected, isUnplanned) {
 		t.Errorf("selected %v", selected)
 	}
 	shed, third := 0, 0
