--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -129,7 +129,7 @@
 		return false
 	}
 	age, isClosed := c.conn.PeerState()
-	if isClosed && len(command.Words) > 1 { // a health check, of one word, may close its sending half with it
+	if isClosed && !command.isSingleWord() {
 		c.discard(command)
 		return false
 	}
@@ -151,7 +151,7 @@
 func (c *client) admitCommand(
 	command *pendingCommand, age time.Duration,
 ) (request *dispatch.Request, message *upstream.Command, reply string) {
-	if len(command.Words) > 1 && c.conn.rejectsCommand() {
+	if !command.isSingleWord() && c.conn.rejectsCommand() {
 		return nil, nil, rejectionLine(0)
 	}
 	c.listener.settingsMu.RLock()
--- a/internal/gateway/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -19,6 +19,10 @@
 	waitedForMemory time.Duration // how long its reading was delayed
 }
 
+// isSingleWord reports whether the command may be a health check. The client of one may close its
+// sending half with it, and gets its answer at any time.
+func (p *pendingCommand) isSingleWord() bool { return len(p.Words) <= 1 }
+
 // discard releases what a command holds that is not executed.
 func (c *client) discard(command *pendingCommand) {
 	command.Body.Free()
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -25,8 +25,8 @@
 
 // AddElective adds to a selection the servers for elective attempts, which settle debts. Owners
 // holds the owner of each zone that takes such attempts, else 0; fraction is the largest part of
-// attempts that may be sent to any owner. Servers that are selected already keep their position and
-// are marked with their owner. All gateways cut the others from the rings of Select.
+// attempts that may go to any owner. Servers selected already keep their position, marked with
+// their owner. The others come from the rings of Select, so that each is added by as many gateways.
 func (s *Subset) AddElective(
 	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
 ) []policy.Endpoint {
