--- a/cmd/harrierhoist/attempt_test.go
+++ b/cmd/harrierhoist/attempt_test.go
@@ -47,7 +47,10 @@
 // and its clients wait as long.
 func startWithLongTimeouts(t *testing.T, host string) *gatewayUnderTest {
 	t.Helper()
-	g := &gatewayUnderTest{T: t, addr: reservedAddress(t), counter: fakes.NewCounter(t), discovery: fakes.NewDiscovery(t, host)}
+	g := &gatewayUnderTest{
+		T: t, addr: reservedAddress(t), counter: fakes.NewCounter(t),
+		discovery: fakes.NewDiscovery(t, host),
+	}
 	text := configuration(g.addr, g.discovery.Addr, g.counter.Addr, fakes.FormatList(1, true, host))
 	startWithConfiguration(t, configFile(t),
 		strings.NewReplacer(`"ConnectTimeoutMs":250`, `"ConnectTimeoutMs":60000`, `:9000`, `:60000`).Replace(text))
--- a/cmd/harrierhoist/cluster_test.go
+++ b/cmd/harrierhoist/cluster_test.go
@@ -127,7 +127,8 @@
 	fakes.Eventually(c, "a write", func() bool {
 		for _, address := range c.addresses {
 			result, err := c.client.Propose(c.Context(), address, statemachine.Command{
-				Kind: statemachine.Write, Proposer: "test/1", Number: c.number, Table: planTable, Epoch: epoch, Value: []byte(value),
+				Kind: statemachine.Write, Proposer: "test/1", Number: c.number, Table: planTable, Epoch: epoch,
+				Value: []byte(value),
 			})
 			if err == nil && result.Applied {
 				return true
--- a/cmd/harrierhoist/cost_test.go
+++ b/cmd/harrierhoist/cost_test.go
@@ -35,8 +35,10 @@
 			t.Fatal(err)
 		}
 		cost := costs[name]
-		t.Logf("%s: file %d kB; medians of %d: start to ready %v, resident %d kB, of it its own %d kB, CPU a request %v",
-			name, info.Size()>>10, rounds, median(cost.starts), median(cost.memory), median(cost.private), median(cost.requests))
+		t.Logf("%s: file %d kB; medians of %d: start to ready %v, "+
+			"resident %d kB, of it its own %d kB, CPU a request %v",
+			name, info.Size()>>10, rounds, median(cost.starts), median(cost.memory), median(cost.private),
+			median(cost.requests))
 	}
 }
 
--- a/cmd/harrierhoist/descriptors_test.go
+++ b/cmd/harrierhoist/descriptors_test.go
@@ -119,7 +119,8 @@
 	gateway.connect().query(longQueryList, "hello")
 	gateway.counter.NextCall(t) // neither was called before
 	before := discovery.calls.Load()
-	fakes.Eventually(t, "calls to discovery", func() bool { return discovery.calls.Load() > before+2 }) // on new connections
+	// on new connections
+	fakes.Eventually(t, "calls to discovery", func() bool { return discovery.calls.Load() > before+2 })
 	close(discovery.resume)
 	fakes.Eventually(t, "the list applied", func() bool {
 		client := gateway.connect()
--- a/cmd/harrierhoist/followerload_test.go
+++ b/cmd/harrierhoist/followerload_test.go
@@ -35,7 +35,9 @@
 	return s.client.Digests(ctx, s.address, []observation.Digest{d})
 }
 
-func (s countingSource) Read(ctx context.Context, known map[string]uint64, wait time.Duration) (follower.ReadResult, error) {
+func (s countingSource) Read(
+	ctx context.Context, known map[string]uint64, wait time.Duration,
+) (follower.ReadResult, error) {
 	s.reads.Add(1)
 	found, group, err := s.client.Read(ctx, s.address, known, wait)
 	return follower.ReadResult{Tables: found, GroupID: group}, err
@@ -94,15 +96,18 @@
 		process, client := fmt.Sprintf("g%d", i), transport.NewClient(transport.Network{}, 2)
 		var voters []follower.Source
 		for _, name := range []string{"v1", "v2", "v3"} {
-			voters = append(voters, countingSource{name, f.addresses[name], client, &f.calls[name].digests, &f.calls[name].reads})
+			voters = append(voters,
+				countingSource{name, f.addresses[name], client, &f.calls[name].digests, &f.calls[name].reads})
 		}
 		one := follower.New(process, 1, follower.PreferenceOrder(process, voters),
-			follower.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follower.SystemUptime, zap.NewNop())
+			follower.Timing{Lease: 2 * time.Second, DigestInterval: 200 * time.Millisecond}, follower.SystemUptime,
+			zap.NewNop())
 		var count atomic.Uint64
 		one.RegisterCounters(func(add func(string, uint64)) { // as many as a gateway with attempts in six zones has
 			for zone := range 6 {
 				for outcome := range 8 {
-					name := observation.JoinName("push", "hall-a", fmt.Sprint("hall-", zone), fmt.Sprint("outcome-", outcome))
+					name := observation.JoinName("push", "hall-a", fmt.Sprint("hall-", zone),
+						fmt.Sprint("outcome-", outcome))
 					add(name, count.Add(1))
 				}
 			}
@@ -183,11 +188,14 @@
 	took, after := time.Since(begun).Seconds(), fleet.loads()
 	for _, name := range []string{"v1", "v2", "v3"} {
 		was, is := before[name], after[name]
-		t.Logf("%d followers: %s (leads: %v): %.0f digests/s, %.0f reads/s, %.0f kB/s in, %.0f kB/s out, %.1f%% of a core", n, name,
-			name == leader, float64(is.digests-was.digests)/took, float64(is.reads-was.reads)/took, float64(is.in-was.in)/took/1e3,
+		t.Logf("%d followers: %s (leads: %v): %.0f digests/s, %.0f reads/s, "+
+			"%.0f kB/s in, %.0f kB/s out, %.1f%% of a core", n, name,
+			name == leader, float64(is.digests-was.digests)/took, float64(is.reads-was.reads)/took,
+			float64(is.in-was.in)/took/1e3,
 			float64(is.out-was.out)/took/1e3, 100*(is.cpu-was.cpu).Seconds()/took)
 	}
-	t.Logf("%d followers: from a write's answer to half of them %v, to all %v (medians of %d); at the most %v; leases expired: %d",
+	t.Logf("%d followers: from a write's answer to half of them %v, to all %v (medians of %d); "+
+		"at the most %v; leases expired: %d",
 		n, half[len(half)/2], all[measuredWrites/2], measuredWrites, all[measuredWrites-1], expired)
 	if expired > 0 || len(half) < measuredWrites {
 		t.Error("the fleet is too much for its voters")
--- a/cmd/harrierhoist/gateway_test.go
+++ b/cmd/harrierhoist/gateway_test.go
@@ -52,7 +52,8 @@
 func newGateway(t *testing.T, answer func(words []string) string) *gatewayUnderTest {
 	t.Helper()
 	return &gatewayUnderTest{
-		T: t, addr: loopbackAddress(), configPath: configFile(t), server: fakes.NewServer(t, answer), counter: fakes.NewCounter(t),
+		T: t, addr: loopbackAddress(), configPath: configFile(t), server: fakes.NewServer(t, answer),
+		counter: fakes.NewCounter(t),
 	}
 }
 
@@ -63,8 +64,9 @@
 	g := newGateway(t, answer)
 	host := g.host()
 	g.discovery = fakes.NewDiscovery(t, host)
-	g.process, g.log = startWithConfiguration(t, g.configPath, fmt.Sprintf(configurationTemplate, g.addr, g.discovery.Addr,
-		g.counter.Addr, sockets, fakes.FormatList(1, true, host)))
+	g.process, g.log = startWithConfiguration(t, g.configPath,
+		fmt.Sprintf(configurationTemplate, g.addr, g.discovery.Addr,
+			g.counter.Addr, sockets, fakes.FormatList(1, true, host)))
 	waitUntilReady(t, g.addr)
 	return g
 }
--- a/cmd/harrierhoist/pipelined_test.go
+++ b/cmd/harrierhoist/pipelined_test.go
@@ -28,7 +28,8 @@
 	const long, killAfterLong = 4800 * time.Millisecond, 3700 * time.Millisecond
 	const short, killAfterShort = 400 * time.Millisecond, 1100 * time.Millisecond
 	submit := func(list string) string {
-		return fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(), strings.Replace(list, "c=look", "c=pay", 1),
+		return fakes.FormatCommand("SVC.SUBMIT", "00000000b4d65521", nextRequestID(),
+			strings.Replace(list, "c=look", "c=pay", 1),
 			strings.Repeat("b", 2000))
 	}
 	for _, row := range []pipelinedCase{
@@ -109,7 +110,8 @@
 // then, which its log tells.
 func (k scheduledKill) wantEndBefore() {
 	k.gateway.Helper()
-	fakes.Eventually(k.gateway, "the gateway stopping", func() bool { return k.gateway.log.Count("gateway: stopped") > 0 })
+	fakes.Eventually(k.gateway, "the gateway stopping",
+		func() bool { return k.gateway.log.Count("gateway: stopped") > 0 })
 	if late := time.Since(k.dueAt); late > 0 || !k.timer.Stop() {
 		k.gateway.Errorf("stopped %v after SIGKILL was due", late)
 	}
--- a/cmd/harrierhoist/reload_test.go
+++ b/cmd/harrierhoist/reload_test.go
@@ -40,7 +40,9 @@
 		g.reloadFromPipe()
 		g.terminate()
 	},
-	"terminated while it reads a new file, which is applied during the drain": func(g *gatewayUnderTest, newConfiguration string) {
+	"terminated while it reads a new file, which is applied during the drain": func(
+		g *gatewayUnderTest, newConfiguration string,
+	) {
 		end := g.reloadFromPipe()
 		g.terminate()
 		_, _ = io.WriteString(end, newConfiguration)
--- a/cmd/harrierhoist/requests_test.go
+++ b/cmd/harrierhoist/requests_test.go
@@ -15,7 +15,8 @@
 	c := gateway.connect()
 	c.query("c=look,t=wide,d=4800,units=2,spread=1,first=0", "hello")
 	got := gateway.server.NextCommand(t)
-	if ok, _ := regexp.MatchString(`^SVC.QUERY 00000000b4d65521 [0-9a-f]{16} c=look,t=wide,d=4[0-9]{3},units=2,spread=1,first=0$`,
+	if ok, _ := regexp.MatchString(
+		`^SVC.QUERY 00000000b4d65521 [0-9a-f]{16} c=look,t=wide,d=4[0-9]{3},units=2,spread=1,first=0$`,
 		strings.Join(got, " ")); !ok {
 		t.Errorf("forwarded %q", got)
 	}
@@ -45,18 +46,21 @@
 func TestBadInput_getsOneErrorAndHarmsNobody(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
 	for text, stays := range map[string]bool{
-		queryCommand("c=nothing,t=wide,d=480"):                                                     true,
-		queryCommand("c=pay,t=wide,d=480"):                                                         true, // not idempotent
-		queryCommand("c=look,t=nothing,d=480"):                                                     true,
-		queryCommand("c=look,t=wide,d=0"):                                                          true,
-		queryCommand("c=look,t=wide,d=-5"):                                                         true,
-		queryCommand("c=look,t=wide,d=NaN"):                                                        true,
-		queryCommand("c=look,t=wide"):                                                              true,
-		queryCommand(""):                                                                           true,
-		queryCommand("c=look,t=wide,d=0x1p9"):                                                      true,
-		queryCommand("c=look,t=wide,d=9,units=-1"):                                                 true,
-		queryCommand("c=look,t=wide,d=9,units=7"):                                                  true, // more than a request may use
-		queryCommand("c=look,t=wide,d=9,first=1"):                                                  true, // there is one gateway
+		queryCommand("c=nothing,t=wide,d=480"): true,
+		// not idempotent
+		queryCommand("c=pay,t=wide,d=480"):         true,
+		queryCommand("c=look,t=nothing,d=480"):     true,
+		queryCommand("c=look,t=wide,d=0"):          true,
+		queryCommand("c=look,t=wide,d=-5"):         true,
+		queryCommand("c=look,t=wide,d=NaN"):        true,
+		queryCommand("c=look,t=wide"):              true,
+		queryCommand(""):                           true,
+		queryCommand("c=look,t=wide,d=0x1p9"):      true,
+		queryCommand("c=look,t=wide,d=9,units=-1"): true,
+		// more than a request may use
+		queryCommand("c=look,t=wide,d=9,units=7"): true,
+		// there is one gateway
+		queryCommand("c=look,t=wide,d=9,first=1"):                                                  true,
 		queryCommand("c=look,t=wide,d=9,spread=2"):                                                 true,
 		queryCommand("c=look,t=wide,d=9,spread=0"):                                                 true,
 		queryCommand("c=look,t=wide,d=9,d=9"):                                                      true,
@@ -118,7 +122,8 @@
 		return fakes.FormatValue("two", 1)
 	})
 	c := gateway.connect()
-	c.send(queryCommand("c=look,t=wide,d=4800,n=1") + queryCommand("c=look,t=wide,d=4800,n=2") + fakes.FormatCommand("PING"))
+	c.send(queryCommand("c=look,t=wide,d=4800,n=1") + queryCommand("c=look,t=wide,d=4800,n=2") +
+		fakes.FormatCommand("PING"))
 	gateway.server.NextCommand(t)
 	gateway.server.NextCommand(t) // both are in flight at once
 	close(release)
--- a/cmd/harrierhoist/restart_test.go
+++ b/cmd/harrierhoist/restart_test.go
@@ -126,7 +126,8 @@
 			}
 			defer func() { _ = conn.Close() }()
 			_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-			_, _ = io.WriteString(conn, queryCommand(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", fleetSize)))
+			_, _ = io.WriteString(conn,
+				queryCommand(fmt.Sprintf("c=look,t=wide,d=9000,units=2,spread=%d,first=0", fleetSize)))
 			if answers[i], err = bufio.NewReader(conn).ReadString('\n'); err != nil {
 				f.Error(err)
 			}
@@ -158,7 +159,9 @@
 
 	answers := fleet.requestAtEach()
 	time.Sleep(time.Second) // what follows from them later
-	calls, toCounter, toServers := len(fleet.counter.Calls), fleet.counterConnections.Load(), fleet.serverConnections.Load()
+	calls := len(fleet.counter.Calls)
+	toCounter := fleet.counterConnections.Load()
+	toServers := fleet.serverConnections.Load()
 	t.Logf("%d requests, one at each: %d calls on %d connections to the counter, %d connections to a server",
 		fleetSize, calls, toCounter, toServers)
 	// A sample, the window before and what it lacked, and the charge; of two names, each on a
--- a/cmd/harrierhoist/settings_test.go
+++ b/cmd/harrierhoist/settings_test.go
@@ -144,7 +144,8 @@
 // What only a restart can change is named, and the rest of the file is applied.
 func TestReload_namesWhatNeedsARestartAndAppliesTheRest(t *testing.T) {
 	gateway := startGateway(t, 1024, answerHello)
-	gateway.reload(strings.NewReplacer("8c1f30d27a5be964", "8c1f30d27a5be965", `"Dcs":["hall-a"]`, `"Dcs":["hall-a","hall-b"]`).
+	gateway.reload(strings.NewReplacer("8c1f30d27a5be964", "8c1f30d27a5be965", `"Dcs":["hall-a"]`,
+		`"Dcs":["hall-a","hall-b"]`).
 		Replace(reshapedConfiguration(gateway)), reloadLine)
 	if !strings.Contains(gateway.log.String(), `"keys":["seed","settings.Dcs"]`) {
 		t.Errorf("not named: %s", gateway.log)
--- a/cmd/harrierhoist/shutdown_test.go
+++ b/cmd/harrierhoist/shutdown_test.go
@@ -119,7 +119,10 @@
 	var senders []*continuousClient
 	var sent atomic.Int64
 	for i := range clients {
-		longest, kind := pauses[i%len(pauses)], []string{"small", "small", "small", "small", "small", "small", "long", "large"}[i/4%8]
+		longest, kind := pauses[i%len(pauses)], []string{
+			"small", "small", "small", "small", "small", "small",
+			"long", "large",
+		}[i/4%8]
 		own := rand.New(rand.NewPCG(random.Uint64(), 0))
 		senders = append(senders, &continuousClient{
 			client: gateway.connect(), perWrite: 1 + i%3/2,
--- a/cmd/harrierhoist/soak_test.go
+++ b/cmd/harrierhoist/soak_test.go
@@ -79,9 +79,11 @@
 			s := newSoak(t, seed)
 			s.play(seed%3 == 0)
 			faults := s.ledger.faults()
-			t.Logf("%d requests, polled %v, deadline %v, %d gateways", len(s.ledger.requests), s.isPolled, s.longest, len(s.gateways))
+			t.Logf("%d requests, polled %v, deadline %v, %d gateways", len(s.ledger.requests), s.isPolled, s.longest,
+				len(s.gateways))
 			if len(faults) > 0 {
-				t.Errorf("%d faults; alone: go test ./cmd/harrierhoist -run TestSoak_ -soak.first %d -soak.seeds 1\n%s", len(faults), seed,
+				t.Errorf("%d faults; alone: go test ./cmd/harrierhoist -run TestSoak_ -soak.first %d -soak.seeds 1\n%s",
+					len(faults), seed,
 					strings.Join(faults[:min(len(faults), 10)], "\n"))
 			}
 		})
@@ -93,7 +95,10 @@
 	t.Helper()
 	s := &soak{T: t, random: rand.New(rand.NewPCG(seed, 0)), ledger: newSoakLedger()}
 	s.isPolled = s.random.IntN(2) == 0
-	deadlines := []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second}
+	deadlines := []time.Duration{
+		150 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second,
+		9 * time.Second,
+	}
 	s.longest = deadlines[s.random.IntN(len(deadlines))]
 	var hosts []string
 	for i := range soakServers {
@@ -164,7 +169,10 @@
 	var clients sync.WaitGroup
 	for _, g := range s.gateways {
 		for i := range soakClients {
-			c := &soakClient{soak: s, gateway: g, random: rand.New(rand.NewPCG(s.random.Uint64(), uint64(i))), kind: i % 4}
+			c := &soakClient{
+				soak: s, gateway: g, random: rand.New(rand.NewPCG(s.random.Uint64(), uint64(i))),
+				kind: i % 4,
+			}
 			clients.Go(c.run)
 		}
 		if isCrowded {
@@ -213,7 +221,8 @@
 	discovery.Fail(nil)
 	s.servers[0].mode.Store(serverServes)
 	time.Sleep(step)
-	told := time.Now().Add(200 * time.Millisecond) // the fake answers watches that are open; a pushed agent is called so often
+	// the fake answers watches that are open; a pushed agent is called so often
+	told := time.Now().Add(200 * time.Millisecond)
 	if s.isPolled {
 		told = time.Now().Add(6 * time.Second)
 	}
--- a/cmd/harrierhoist/soakledger_test.go
+++ b/cmd/harrierhoist/soakledger_test.go
@@ -18,8 +18,9 @@
 	deadlineSlack    = 150 * time.Millisecond // of the time that an attempt tells its server
 	drainGrace       = time.Second            // of the soak's settings
 	takenBeforeKill  = 700 * time.Millisecond // after SIGTERM; what comes later must not be found unanswered by SIGKILL
-	crossingTime     = 20 * time.Millisecond  // a request sent so shortly before the connection's end may have crossed it
-	measuringSlack   = 50 * time.Millisecond  // every limit is longer by this
+	// a request sent so shortly before the connection's end may have crossed it
+	crossingTime   = 20 * time.Millisecond
+	measuringSlack = 50 * time.Millisecond // every limit is longer by this
 )
 
 // soakRequest is a request that was written whole to an open connection.
@@ -81,7 +82,8 @@
 	defer l.mu.Unlock()
 	for _, request := range l.requests {
 		for _, fault := range []string{
-			l.lost(request), l.late(request), l.ranTwice(request), l.refusedAfterEffect(request), l.begunAfterClose(request),
+			l.lost(request), l.late(request), l.ranTwice(request), l.refusedAfterEffect(request),
+			l.begunAfterClose(request),
 			l.deadlineTooLong(request),
 		} {
 			if fault != "" {
@@ -92,7 +94,9 @@
 	for _, attempts := range l.attempts {
 		for _, attempt := range attempts {
 			if told, ok := l.drains[attempt.server]; ok && attempt.at.Sub(told) > drainGrace+measuringSlack {
-				faults = append(faults, fmt.Sprintf("drain: an attempt %v after %s counted as draining", attempt.at.Sub(told), attempt.server))
+				faults = append(faults,
+					fmt.Sprintf("drain: an attempt %v after %s counted as draining", attempt.at.Sub(told),
+						attempt.server))
 			}
 		}
 	}
@@ -102,7 +106,8 @@
 // lost: a request that its gateway took, and that has no answer. It is not where it went unread
 // with a reset connection, crossed the connection's end, or came in time for SIGKILL to find it.
 func (l *soakLedger) lost(r *soakRequest) string {
-	hasCrossed := errors.Is(r.end, syscall.ECONNRESET) || errors.Is(r.end, io.EOF) && r.endedAt.Sub(r.sentAt) < crossingTime
+	hasCrossed := errors.Is(r.end, syscall.ECONNRESET) ||
+		errors.Is(r.end, io.EOF) && r.endedAt.Sub(r.sentAt) < crossingTime
 	isUnread := hasCrossed && r.killAt.IsZero() && len(l.attempts[r.id]) == 0
 	isKilled := !r.killAt.IsZero() && r.sentAt.Sub(r.termAt) <= takenBeforeKill+measuringSlack
 	if !r.answeredAt.IsZero() || !r.leftAt.IsZero() || isUnread || isKilled {
@@ -177,7 +182,9 @@
 		"refused":  func(_ *soakLedger, r *soakRequest, _ *soakAttempt) { r.answer = "-BUSY 20" },
 		"begun":    func(_ *soakLedger, r *soakRequest, a *soakAttempt) { r.leftAt = a.at.Add(-time.Second) },
 		"deadline": func(_ *soakLedger, r *soakRequest, a *soakAttempt) { a.remaining = r.deadline + time.Second },
-		"drain":    func(l *soakLedger, _ *soakRequest, a *soakAttempt) { l.setDrain(a.server, a.at.Add(-2*time.Second)) },
+		"drain": func(l *soakLedger, _ *soakRequest, a *soakAttempt) {
+			l.setDrain(a.server, a.at.Add(-2*time.Second))
+		},
 	} {
 		t.Run("planted "+want, func(t *testing.T) {
 			ledger, now := newSoakLedger(), time.Now()
@@ -185,7 +192,10 @@
 				id: "1", verb: "SVC.SUBMIT", deadline: time.Second, sentAt: now, termAt: now.Add(-2 * time.Second),
 				answeredAt: now.Add(20 * time.Millisecond), answer: "$5",
 			}
-			attempt := soakAttempt{id: "1", server: "s-1", at: now.Add(10 * time.Millisecond), remaining: 990 * time.Millisecond}
+			attempt := soakAttempt{
+				id: "1", server: "s-1", at: now.Add(10 * time.Millisecond),
+				remaining: 990 * time.Millisecond,
+			}
 			plant(ledger, request, &attempt)
 			ledger.addRequest(request)
 			ledger.addAttempt(attempt)
--- a/cmd/harrierhoist/terminate_test.go
+++ b/cmd/harrierhoist/terminate_test.go
@@ -63,7 +63,8 @@
 	}()
 	silent.query(queryList, "hello")
 	rest, err := io.ReadAll(sending.in) // its end is in order: no answer is lost to a reset
-	if pongs := strings.Count(string(rest), "+PONG\r\n"); err != nil || pongs == 0 || pongs*len("+PONG\r\n") != len(rest) {
+	if pongs := strings.Count(string(rest), "+PONG\r\n"); err != nil || pongs == 0 ||
+		pongs*len("+PONG\r\n") != len(rest) {
 		t.Errorf("%d answers in %d bytes, then %v", pongs, len(rest), err)
 	}
 	gateway.waitForCompleteDrain()
--- a/cmd/harrierhoist/voters_test.go
+++ b/cmd/harrierhoist/voters_test.go
@@ -125,7 +125,8 @@
 			t.Fatalf("ended with %v: %q", err, lines)
 		}
 		for i, key := range keys {
-			if !strings.HasPrefix(lines[i], "harrierhoist: ") || !strings.Contains(lines[i], file) || !strings.Contains(lines[i], key) {
+			if !strings.HasPrefix(lines[i], "harrierhoist: ") || !strings.Contains(lines[i], file) ||
+				!strings.Contains(lines[i], key) {
 				t.Error(lines[i])
 			}
 		}
@@ -178,7 +179,8 @@
 		t.Fatal(err)
 	}
 	listen := regexp.MustCompile(`"listen":"[^"]*"`)
-	replaceFile(t, c.dir+"/else.json", listen.ReplaceAllString(string(text), fmt.Sprintf(`"listen":%q`, freeAddress(t))))
+	replaceFile(t, c.dir+"/else.json",
+		listen.ReplaceAllString(string(text), fmt.Sprintf(`"listen":%q`, freeAddress(t))))
 	c.run("else", "RELAY_CONFIG="+c.dir+"/else.json", "RELAY_COMMON="+c.dir+"/else.toml")
 	if err := c.processes["else"].Wait(); err == nil || c.logs["else"].Count("process.hall must be one of") != 1 {
 		t.Errorf("ended with %v: %s", err, c.logs["else"])
--- a/internal/testing/conformance/change_test.go
+++ b/internal/testing/conformance/change_test.go
@@ -81,7 +81,10 @@
 		collectFailures(t, failed, overlay,
 			"^TestCases$/^"+variant+"$/^("+strings.Join(change.ProcessCases, "|")+")$/^process$")
 	}
-	for target, names := range map[string][]string{againstModule: change.ModuleCases, againstProcess: change.ProcessCases} {
+	for target, names := range map[string][]string{
+		againstModule:  change.ModuleCases,
+		againstProcess: change.ProcessCases,
+	} {
 		for _, name := range names {
 			if !failed[caseRun{name, target}] {
 				t.Errorf("case %s passes against the %s with this change", name, target)
--- a/internal/testing/conformance/client.go
+++ b/internal/testing/conformance/client.go
@@ -61,7 +61,8 @@
 	c := classes[todo.class]
 	arguments := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=0", c.name, p.plan, c.timeout.Milliseconds(),
 		todo.units, p.gatewayCount)
-	command := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", customer), fmt.Sprintf("%016x", todo.request), arguments)
+	command := fakes.FormatCommand("SVC.QUERY", fmt.Sprintf("%016x", customer), fmt.Sprintf("%016x", todo.request),
+		arguments)
 	before := len(p.events.since(0))
 	go func() { p.events.add(fmt.Sprintf("%s %d", answerEvent(p.sendCommand(command)), todo.request)) }()
 	if p.releaseCounter != nil {
--- a/internal/testing/conformance/connections.go
+++ b/internal/testing/conformance/connections.go
@@ -38,7 +38,8 @@
 		}
 		for _, line := range strings.Split(string(text), "\n")[1:] {
 			fields := strings.Fields(line)
-			if len(fields) <= inodeField || !sockets[fields[inodeField]] || parseAddress(fields[localAddressField]) == p.addr {
+			if len(fields) <= inodeField || !sockets[fields[inodeField]] ||
+				parseAddress(fields[localAddressField]) == p.addr {
 				continue
 			}
 			remote := parseAddress(fields[remoteAddressField])
--- a/internal/testing/conformance/events.go
+++ b/internal/testing/conformance/events.go
@@ -50,7 +50,8 @@
 
 // violations compares events with a case and returns what is wrong.
 func violations(events [][]string, testCase Case, forbidden []string) []string {
-	return append(missingEvents(events, testCase), forbiddenEvents(events, slices.Concat(testCase.Forbidden, forbidden))...)
+	return append(missingEvents(events, testCase),
+		forbiddenEvents(events, slices.Concat(testCase.Forbidden, forbidden))...)
 }
 
 // forbiddenEvents returns a message for each pattern that matches although it must not.
--- a/internal/testing/conformance/launch.go
+++ b/internal/testing/conformance/launch.go
@@ -128,8 +128,9 @@
 				"IdleCloseMs":      30000, "StreamsPerConn": 100,
 			},
 			"Rules": object{
-				"AnswerSlackMs": settings.ArrivalSlack.Milliseconds(), "DrainGraceMs": settings.DrainGrace.Milliseconds(),
-				"ColdFrom": settings.WarmUpStart, "WarmAfterMs": settings.WarmUpTime.Milliseconds(),
+				"AnswerSlackMs": settings.ArrivalSlack.Milliseconds(),
+				"DrainGraceMs":  settings.DrainGrace.Milliseconds(),
+				"ColdFrom":      settings.WarmUpStart, "WarmAfterMs": settings.WarmUpTime.Milliseconds(),
 				"FallMultiple": settings.OverloadFactor, "TipAfterMs": settings.OverloadSpan.Milliseconds(),
 			},
 			"RequestClasses": requestClasses,
--- a/internal/testing/conformance/run.go
+++ b/internal/testing/conformance/run.go
@@ -52,7 +52,8 @@
 	before := len(subject.awaitEvents(func([][]string) bool { return true }).since(0))
 	executeAll(tb, subject, testCase.Events...)
 	events := subject.awaitEvents(func(events [][]string) bool { // the case passes, or can no longer pass
-		return len(missingEvents(events[before:], testCase)) == 0 || len(forbiddenEvents(events[before:], testCase.Forbidden)) > 0
+		return len(missingEvents(events[before:], testCase)) == 0 ||
+			len(forbiddenEvents(events[before:], testCase.Forbidden)) > 0
 	}).since(before)
 	for _, problem := range violations(events, testCase, slices.Concat(suite.Forbidden, variant.Forbidden)) {
 		tb.Errorf("%s: %s\nseen: %s", testCase.Text, problem, formatEvents(events))
--- a/internal/testing/conformance/state.go
+++ b/internal/testing/conformance/state.go
@@ -95,7 +95,8 @@
 func (s partState) prepare(tb testing.TB, launch *Launch, voter *testVoter, lease string, proceed func()) {
 	tb.Helper()
 	path := filepath.Join(launch.Dir, "common.toml")
-	text := fmt.Sprintf("[process]\nname = \"g1\"\nsingle = true\nhall = %q\n", s.zone) + voter.votersConfig(lease) + s.config
+	text := fmt.Sprintf("[process]\nname = \"g1\"\nsingle = true\nhall = %q\n",
+		s.zone) + voter.votersConfig(lease) + s.config
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/testing/conformance/states.go
+++ b/internal/testing/conformance/states.go
@@ -37,8 +37,9 @@
 func failoverStates() []partState {
 	return []partState{
 		{
-			name: "zone drained", description: "the failover plan in force drains the gateway's own zone: all goes to the other",
-			zone: zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig,
+			name:        "zone drained",
+			description: "the failover plan in force drains the gateway's own zone: all goes to the other",
+			zone:        zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig,
 			table: failover.Table, value: drainedZonePlan, readyLines: []string{planLine},
 		},
 		{
@@ -48,8 +49,9 @@
 			value: drainedZonePlan, readyLines: []string{planLine}, leaseLostLines: []string{noPlanLine},
 		},
 		{
-			name: "shedding", description: "a plan sheds all requests: the counter is not called, and no other case can hold",
-			zone: zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig, table: failover.Table,
+			name:        "shedding",
+			description: "a plan sheds all requests: the counter is not called, and no other case can hold",
+			zone:        zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig, table: failover.Table,
 			value: sheddingPlan, readyLines: []string{planLine}, onlyNamedCases: true,
 		},
 	}
@@ -62,14 +64,17 @@
 			value: countingTable(countingrule.PhaseCanary, 0), acceptsCustomer: isSampled,
 		},
 		{
-			name:        "activation scheduled",
-			description: "the new rule's activation is scheduled, an hour ahead; it is still tried on the case's customer",
-			value:       countingTable(countingrule.PhaseScheduled, time.Hour), acceptsCustomer: isSampled,
+			name: "activation scheduled",
+			description: "the new rule's activation is scheduled, an hour ahead; " +
+				"it is still tried on the case's customer",
+			value: countingTable(countingrule.PhaseScheduled, time.Hour), acceptsCustomer: isSampled,
 		},
 		{
-			name:        "activated",
-			description: "past the activation: a rule whose key is the customer, with weight 1, counts by its own names",
-			value:       countingTable(countingrule.PhaseScheduled, -time.Minute), counterKey: ruleKey, acceptsCustomer: isSampled,
+			name: "activated",
+			description: "past the activation: a rule whose key is the customer, with weight 1, " +
+				"counts by its own names",
+			value: countingTable(countingrule.PhaseScheduled, -time.Minute), counterKey: ruleKey,
+			acceptsCustomer: isSampled,
 		},
 		{
 			name: "activated while serving", description: "the same, with the activation while the process served",
--- a/internal/testing/conformance/suite.go
+++ b/internal/testing/conformance/suite.go
@@ -58,9 +58,11 @@
 	CrossesWindow bool     `toml:"crosses_window"` // an edge of the customer's windows is near: a process waits for it
 	Given         []string `toml:"given"`          // actions whose events are not examined
 	Events        []string `toml:"events"`         // actions whose events are
-	Expected      []string `toml:"expected"`       // patterns that must match in this order; other events may lie between
-	Exactly       bool     `toml:"exactly"`        // no other events may
-	Forbidden     []string `toml:"forbidden"`      // patterns that must not match; "X before Y": not until Y has matched
+	// patterns that must match in this order; other events may lie between
+	Expected []string `toml:"expected"`
+	Exactly  bool     `toml:"exactly"` // no other events may
+	// patterns that must not match; "X before Y": not until Y has matched
+	Forbidden []string `toml:"forbidden"`
 	// Exclusions are the variants that the case does not run with, by name, with the reason: there
 	// the part changes the clause on purpose.
 	Exclusions map[string]string `toml:"but"`
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -16,7 +16,10 @@
 		{"unknown target", `runs_against = "process"`, `runs_against = "sockets"`, `allowed are module, process, both`},
 		{"malformed action", `"others 10", "request 1 units 1"]`, `"others ten"]`, `action "others ten"`},
 		{"unknown key", `crosses_window = true`, `cross = true`, `strict mode`},
-		{"unknown case of a change", `module_cases = ["true-units"]`, `module_cases = ["true-unit"]`, `no case "true-unit"`},
+		{
+			"unknown case of a change", `module_cases = ["true-units"]`, `module_cases = ["true-unit"]`,
+			`no case "true-unit"`,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if !strings.Contains(text, test.old) {
@@ -37,7 +40,8 @@
 		t.Fatal("no error")
 	}
 	lines := strings.Split(err.Error(), "\n")
-	if len(lines) < 3 || !slices.ContainsFunc(lines, func(line string) bool { return strings.Contains(line, `no plan "y"`) }) {
+	if len(lines) < 3 ||
+		!slices.ContainsFunc(lines, func(line string) bool { return strings.Contains(line, `no plan "y"`) }) {
 		t.Errorf("not all errors are reported at once: %v", err)
 	}
 }
@@ -45,8 +49,10 @@
 // A action that is not complete or has words too many is rejected.
 func TestParseAction_rejectsMalformedActions(t *testing.T) {
 	for _, text := range []string{
-		"", "request", "request 0 units 1", "request 1", "request 1 units", "request 1 units x", "request 1 units 1 class slow",
-		"request 1 billed 1", "answer 1 units 1", "answer x", "others", "wait 5", "wait", "edge 1", "counter gone", "marker", "rest",
+		"", "request", "request 0 units 1", "request 1", "request 1 units", "request 1 units x",
+		"request 1 units 1 class slow",
+		"request 1 billed 1", "answer 1 units 1", "answer x", "others", "wait 5", "wait", "edge 1", "counter gone",
+		"marker", "rest",
 	} {
 		if todo, err := parseAction(text); err == nil {
 			t.Errorf("%q: read as %+v", text, todo)
--- a/internal/testing/conformance/tables.go
+++ b/internal/testing/conformance/tables.go
@@ -57,7 +57,8 @@
 			Phase: phase, To: customerRule.Version, SwitchAt: now + untilActivation, Since: now,
 			Rules: []countingrule.Rule{customerRule}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{
 				SamplePermille: samplePermille, CallsPermille: callsPermille, DeadlineSeconds: 600, ErrorPermille: 50,
-				RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100, WatchSeconds: 60,
+				RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100,
+				WatchSeconds: 60,
 			},
 		}.Encode()
 	}
--- a/internal/testing/conformance/target_module.go
+++ b/internal/testing/conformance/target_module.go
@@ -40,10 +40,14 @@
 // does not speak of.
 func settingsFor(plan Plan, gateways int) policy.Settings {
 	settings := policy.Settings{
-		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout, ReportsUnits: true,
-		MaxUnits: maxUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: maxAttempts,
-		ArrivalSlack: arrivalSlack, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second, OverloadFactor: 2,
-		OverloadSpan: 1500 * time.Millisecond, Plans: []policy.Plan{{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst}},
+		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout,
+		ReportsUnits: true,
+		MaxUnits:     maxUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		MaxAttempts:  maxAttempts,
+		ArrivalSlack: arrivalSlack, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second,
+		OverloadFactor: 2,
+		OverloadSpan:   1500 * time.Millisecond,
+		Plans:          []policy.Plan{{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst}},
 	}
 	for _, c := range classes {
 		settings.Classes = append(settings.Classes, policy.TrafficClass{
@@ -117,7 +121,8 @@
 
 func (m *moduleTarget) sendRequest(todo action) {
 	request := policy.Request{
-		ID: uint32(todo.request), Class: todo.class, Customer: todo.customer, GatewayCount: m.gatewayCount, Units: todo.units,
+		ID: uint32(todo.request), Class: todo.class, Customer: todo.customer, GatewayCount: m.gatewayCount,
+		Units:    todo.units,
 		Deadline: m.now + classes[todo.class].timeout,
 	}
 	if request.Customer == 0 {
@@ -145,7 +150,8 @@
 		call := m.pendingCalls[0]
 		m.pendingCalls = m.pendingCalls[1:]
 		m.totals[call.Name] += call.Total
-		m.module.HandleCount(m.now, policy.CountResult{Name: call.Name, Total: m.totals[call.Name], Latency: counterLatency})
+		m.module.HandleCount(m.now,
+			policy.CountResult{Name: call.Name, Total: m.totals[call.Name], Latency: counterLatency})
 	}
 }
 
--- a/internal/testing/conformance/target_process.go
+++ b/internal/testing/conformance/target_process.go
@@ -19,7 +19,8 @@
 	minUntilNextWindow = 10 * time.Second // or half a window, unless the case crosses an edge
 	minUntilNearEdge   = 2 * time.Second  // where it crosses one
 	maxUntilNearEdge   = 3 * time.Second
-	clockMargin        = 20 * time.Millisecond // waited after an edge: two processes read the clock at different moments
+	// waited after an edge: two processes read the clock at different moments
+	clockMargin = 20 * time.Millisecond
 )
 
 // How long is waited for events.
--- a/internal/testing/conformance/validate.go
+++ b/internal/testing/conformance/validate.go
@@ -16,7 +16,10 @@
 
 // validate returns all problems of the suite.
 func (s *Suite) validate() []error {
-	checks := &validator{suite: s, casesPerClause: map[string]int{}, caseIDs: map[string]bool{}, changeNames: map[string]bool{}}
+	checks := &validator{
+		suite: s, casesPerClause: map[string]int{}, caseIDs: map[string]bool{},
+		changeNames: map[string]bool{},
+	}
 	for _, clause := range s.Clauses {
 		_, isDuplicate := checks.casesPerClause[clause.ID]
 		isIncomplete := clause.ID == "" || clause.Text == "" || clause.Source == ""
--- a/internal/testing/conformance/variants_module.go
+++ b/internal/testing/conformance/variants_module.go
@@ -44,7 +44,10 @@
 
 // HandleEndpoints adds the elective server.
 func (e electiveModule) HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint) {
-	elective := policy.Endpoint{Server: serverCount + 1, State: policy.Ready, Capacity: 1, Owner: electiveOwner, Elective: true}
+	elective := policy.Endpoint{
+		Server: serverCount + 1, State: policy.Ready, Capacity: 1, Owner: electiveOwner,
+		Elective: true,
+	}
 	e.Module.HandleEndpoints(now, kind, append(list, elective))
 }
 
--- a/internal/testing/conformance/voter.go
+++ b/internal/testing/conformance/voter.go
@@ -67,7 +67,8 @@
 func (v *testVoter) open() (err error) {
 	v.address = listenAddress(portsUsed.Add(1))
 	path := filepath.Join(v.dir, "voter.toml")
-	text := "[process]\nname = \"v1\"\nsingle = true\nvoter = true\ndisk = \"" + v.dir + "/disk\"\n" + v.votersConfig(longLease)
+	text := "[process]\nname = \"v1\"\nsingle = true\nvoter = true\ndisk = \"" + v.dir + "/disk\"\n" +
+		v.votersConfig(longLease)
 	err = os.WriteFile(path, []byte(text), 0o600)
 	if err != nil {
 		return err
--- a/internal/testing/docscheck/architecture_test.go
+++ b/internal/testing/docscheck/architecture_test.go
@@ -61,16 +61,17 @@
 	declared := map[string]bool{}
 	files := token.NewFileSet()
 	for _, folder := range []string{"cmd", "internal", "policy"} {
-		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, _ fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder),
+			func(path string, _ fs.DirEntry, err error) error {
+				if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+					return err
+				}
+				file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+				if err == nil {
+					declare(declared, file)
+				}
 				return err
-			}
-			file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
-			if err == nil {
-				declare(declared, file)
-			}
-			return err
-		})
+			})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/docscheck/imports_test.go
+++ b/internal/testing/docscheck/imports_test.go
@@ -111,14 +111,15 @@
 	t.Helper()
 	var files []string
 	for _, folder := range []string{"cmd", "internal", "policy"} {
-		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(name string, _ fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(name, ".go") {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder),
+			func(name string, _ fs.DirEntry, err error) error {
+				if err != nil || !strings.HasSuffix(name, ".go") {
+					return err
+				}
+				relative, err := filepath.Rel(repositoryRoot, name)
+				files = append(files, filepath.ToSlash(relative))
 				return err
-			}
-			relative, err := filepath.Rel(repositoryRoot, name)
-			files = append(files, filepath.ToSlash(relative))
-			return err
-		})
+			})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/docscheck/messages_test.go
+++ b/internal/testing/docscheck/messages_test.go
@@ -34,15 +34,22 @@
 		{"derived logger", `func f() { log.With(field).Warn("a: b") }`, "Warn a: b", ""},
 		{"in a goroutine", `func f() { go func() { options.Logger.Warn("a: b") }() }`, "Warn a: b", ""},
 		{"line of the module", `func f() { s.env.host.Log("a: b") }`, "Log a: b", ""},
-		{"another's method of the same name", `func f() { client.Info(ctx, address); http.Error(w, "a: b", 400) }`, "", ""},
+		{
+			"another's method of the same name", `func f() { client.Info(ctx, address); http.Error(w, "a: b", 400) }`,
+			"", "",
+		},
 		{"another's Log", `func f() { math.Log(power / first) }`, "", ""},
 		{"text made on the way", `func f() { log.Warn(text(x)) }`, "", "a.go:2: Warn with a text that is no constant"},
-		{"line of the module made on the way", `func f() { host.Log(texts[x]) }`, "", "a.go:2: Log with a text that is no constant"},
+		{
+			"line of the module made on the way", `func f() { host.Log(texts[x]) }`, "",
+			"a.go:2: Log with a text that is no constant",
+		},
 		{"a method that passes the module's lines on", `func (h host) Log(line string) { h.log.Info(line) }`, "", ""},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			folder := t.TempDir()
-			if err := os.WriteFile(filepath.Join(folder, "a.go"), []byte("package a\n"+row.code+"\n"), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(folder, "a.go"), []byte("package a\n"+row.code+"\n"),
+				0o600); err != nil {
 				t.Fatal(err)
 			}
 			messages, problems := messagesIn(t, []string{folder})
--- a/internal/testing/docscheck/oncall_test.go
+++ b/internal/testing/docscheck/oncall_test.go
@@ -65,19 +65,27 @@
 		name, page string
 		want       []string
 	}{
-		{"all named", head + "| a | `gateway: lost`, `policy: server failed` | `x` |\n| b | `gateway: started` | |\n", nil},
+		{
+			"all named", head + "| a | `gateway: lost`, `policy: server failed` | `x` |\n" +
+				"| b | `gateway: started` | |\n", nil,
+		},
 		{"an info line may be left out", head + "| a | `gateway: lost` | |\n| b | `policy: server failed` | |\n", nil},
 		{"no log line", head + "| a | - | |\n| b | `gateway: lost`, `policy: server failed` | |\n", nil},
 		{
-			"a line of the page that the code has not", head + "| a | `gateway: lost`, `gateway: gone`, `policy: server failed` | |\n",
+			"a line of the page that the code has not",
+			head + "| a | `gateway: lost`, `gateway: gone`, `policy: server failed` | |\n",
 			[]string{"page, line 3: `gateway: gone` is in no Go file"},
 		},
 		{
 			"a line worded otherwise", head + "| a | `gateway: lost!`, `policy: server failed` | |\n",
-			[]string{"page, line 3: `gateway: lost!` is in no Go file", "gateway.go:2: Warn `gateway: lost` is not on the page"},
+			[]string{
+				"page, line 3: `gateway: lost!` is in no Go file",
+				"gateway.go:2: Warn `gateway: lost` is not on the page",
+			},
 		},
 		{
-			"a line of the page outside the column", head + "| `gateway: gone` | `gateway: lost`, `policy: server failed` | |\n",
+			"a line of the page outside the column",
+			head + "| `gateway: gone` | `gateway: lost`, `policy: server failed` | |\n",
 			[]string{"page, line 3: `gateway: gone` is in no Go file"},
 		},
 		{
@@ -89,7 +97,8 @@
 			[]string{"server.go:3: Log `policy: server failed` is not on the page"},
 		},
 		{
-			"other text in the column", head + "| a | `gateway: lost` and more | |\n| b | `policy: server failed` | |\n",
+			"other text in the column",
+			head + "| a | `gateway: lost` and more | |\n| b | `policy: server failed` | |\n",
 			[]string{"page, line 3: in the column of log lines: \"`gateway: lost` and more\""},
 		},
 		{
--- a/internal/testing/fakes/server.go
+++ b/internal/testing/fakes/server.go
@@ -80,7 +80,8 @@
 	tb.Helper()
 	listener := Listen(tb)
 	s := &Server{
-		Addr: listener.Addr().String(), answer: answer, conns: make(chan net.Conn, 1000), commands: make(chan []string, 1000),
+		Addr: listener.Addr().String(), answer: answer, conns: make(chan net.Conn, 1000),
+		commands: make(chan []string, 1000),
 	}
 	serveConns(tb, listener, s.serve)
 	return s
--- a/internal/testing/faultinjection/address.go
+++ b/internal/testing/faultinjection/address.go
@@ -19,11 +19,11 @@
 // FreeAddr returns an address that no other process takes: a port on an address of 127.0.0.0/8 that
 // belongs to this process by its ID. What the system gives for port 0 may be taken again before its
 // user listens, or while it is down.
-func FreeAddr(t testing.TB) string {
-	t.Helper()
+func FreeAddr(tb testing.TB) string {
+	tb.Helper()
 	addr, err := freeAddr()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return addr
 }
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -28,7 +28,8 @@
 func lightRequests(int) func(*rand.Rand) Request {
 	return func(r *rand.Rand) Request {
 		return Request{
-			Class: IdempotentClass, Plan: smallPlan, Customer: 1 + r.Uint64N(customerCount), Units: 1, Timeout: 2 * time.Second,
+			Class: IdempotentClass, Plan: smallPlan, Customer: 1 + r.Uint64N(customerCount), Units: 1,
+			Timeout: 2 * time.Second,
 		}
 	}
 }
@@ -57,7 +58,8 @@
 		s.waitForServed(100)
 	}
 	current := table()
-	if len(current.Refused) != 1 || current.Refused[0] != 1 || current.Phase != countingrule.PhaseIdle || current.From != 0 {
+	if len(current.Refused) != 1 || current.Refused[0] != 1 || current.Phase != countingrule.PhaseIdle ||
+		current.From != 0 {
 		t.Errorf("after %v the table: %+v", time.Since(startedAt), current)
 	}
 	t.Logf("refused after %v: %s", time.Since(startedAt).Round(time.Second), current.Reason)
--- a/internal/testing/faultinjection/client.go
+++ b/internal/testing/faultinjection/client.go
@@ -48,7 +48,9 @@
 
 // OfferLoad sends requests to one gateway at a rate per second until the context ends. Draw returns
 // each request, from random numbers of the seed. Wait waits for the answers.
-func (c *Clients) OfferLoad(ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Request) {
+func (c *Clients) OfferLoad(
+	ctx context.Context, addr string, rate float64, seed uint64, draw func(*rand.Rand) Request,
+) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c.pending.Go(func() {
 		due := time.Now()
--- a/internal/testing/faultinjection/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -51,7 +51,8 @@
 			return request
 		}
 		return Request{
-			Class: IdempotentClass, Plan: smallPlan, Customer: 1 + r.Uint64N(groupSize), Units: 1, Timeout: 2 * time.Second,
+			Class: IdempotentClass, Plan: smallPlan, Customer: 1 + r.Uint64N(groupSize), Units: 1,
+			Timeout: 2 * time.Second,
 		}
 	}
 }
--- a/internal/testing/faultinjection/faultproxy/proxy_test.go
+++ b/internal/testing/faultinjection/faultproxy/proxy_test.go
@@ -44,7 +44,8 @@
 func callProxy(ctx context.Context, p *Proxy, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+"/one", strings.NewReader(testPayload))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+"/one",
+		strings.NewReader(testPayload))
 	if err != nil {
 		return "", err
 	}
--- a/internal/testing/faultinjection/gatewayconfig.go
+++ b/internal/testing/faultinjection/gatewayconfig.go
@@ -64,6 +64,7 @@
 
 func classSettings(name, effect string) object {
 	return object{
-		"Name": name, "AimMs": 1000, "DeadlineMs": 3000, "Effect": effect, "Group": "cell", "WindowMs": 1000, "Worth": 1,
+		"Name": name, "AimMs": 1000, "DeadlineMs": 3000, "Effect": effect, "Group": "cell", "WindowMs": 1000,
+		"Worth": 1,
 	}
 }
--- a/internal/testing/faultinjection/scenario_test.go
+++ b/internal/testing/faultinjection/scenario_test.go
@@ -32,8 +32,9 @@
 	minLocalFraction  = 0.98 // of attempts are in their own zone while all is well
 	minMovedFraction  = 0.8  // of a lost zone's attempts are elsewhere: the rest tries it
 	minServedFraction = 0.6  // of a lost zone's requests are attempted elsewhere: those that try it are not
-	loadWindowSeconds = 3    // over which a zone's load is measured: over one second, chance alone exceeds it by a quarter
-	minSample         = 20   // attempts that make a fraction
+	// over which a zone's load is measured: over one second, chance alone exceeds it by a quarter
+	loadWindowSeconds = 3
+	minSample         = 20 // attempts that make a fraction
 )
 
 // withoutVoters runs the scenarios without voters, each gateway by its own observations: all must
@@ -181,7 +182,8 @@
 	}
 	for w, rate := range rates {
 		if rate > zoneCapacity {
-			s.t.Errorf("%s in window %d: %.0f units per second, and its capacity is %d", w.zone, w.number, rate, zoneCapacity)
+			s.t.Errorf("%s in window %d: %.0f units per second, and its capacity is %d", w.zone, w.number, rate,
+				zoneCapacity)
 		}
 	}
 }
--- a/internal/testing/faultinjection/voters_test.go
+++ b/internal/testing/faultinjection/voters_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/testing/subprocess"
 )
 
-// 4. The leader's calls arrive nowhere while others' arrive at it, or the other way round. Another leads, and a zone's
-// loss is answered.
+// 4. The leader's calls arrive nowhere while others' arrive at it, or the other way round. Another
+// leads, and a zone's loss is answered.
 func TestVoters_leaderWithOneWayPartition(t *testing.T) {
 	for name, way := range map[string]func(s *scenario, leader string){
 		"its calls":   func(s *scenario, leader string) { s.SetFault([]string{leader}, nil, dropRequests) },
@@ -31,8 +31,8 @@
 	}
 }
 
-// 5. The leader is paused past its lease; meanwhile another plan comes into force. Resumed, it still believes that it leads
-// and has the old plan: no gateway goes back to that.
+// 5. The leader is paused past its lease; meanwhile another plan comes into force. Resumed, it
+// still believes that it leads and has the old plan: no gateway goes back to that.
 func TestVoters_leaderPausedPastLeaseThenResumed(t *testing.T) {
 	s := startScenario(t)
 	old := s.Leader()
@@ -52,8 +52,8 @@
 	s.finish()
 }
 
-// 7. All voters are killed at once after a zone's requests have moved. Gateways go on; what was acknowledged is there when
-// the voters are back, and the requests are where they were.
+// 7. All voters are killed at once after a zone's requests have moved. Gateways go on; what was
+// acknowledged is there when the voters are back, and the requests are where they were.
 func TestVoters_allKilledDuringFailover(t *testing.T) {
 	s := startScenario(t)
 	s.failZone("hall-a", "hall-b")
@@ -79,8 +79,8 @@
 	s.finish()
 }
 
-// 8. A voter's disk is lost and another takes its place, under a new number, while a zone comes back and warms up. Its
-// requests come back by steps all the same.
+// 8. A voter's disk is lost and another takes its place, under a new number, while a zone comes
+// back and warms up. Its requests come back by steps all the same.
 func TestVoters_replacedWhileZoneRecovers(t *testing.T) {
 	s := startScenario(t)
 	s.failZone("hall-a", "hall-b")
--- a/internal/testing/faultinjection/zones_test.go
+++ b/internal/testing/faultinjection/zones_test.go
@@ -11,8 +11,8 @@
 // time between checks.
 const minRecoveryTime = 1700 * time.Millisecond
 
-// 1. A zone's servers go down at once. Its requests go to the zone of its region that has capacity, none to the other
-// region; when it is back they come back by steps.
+// 1. A zone's servers go down at once. Its requests go to the zone of its region that has capacity,
+// none to the other region; when it is back they come back by steps.
 func TestZone_lostCompletely(t *testing.T) {
 	s := startScenario(t)
 	s.failZone("hall-a", "hall-b")
@@ -29,7 +29,8 @@
 	s.finish()
 }
 
-// 2. Half of a zone's servers go down. It keeps what the others have capacity for, and only the rest moves.
+// 2. Half of a zone's servers go down. It keeps what the others have capacity for, and only the
+// rest moves.
 func TestZone_atHalfCapacity(t *testing.T) {
 	s := startScenario(t)
 	n := 0
@@ -46,8 +47,9 @@
 	s.finish()
 }
 
-// 3. No gateway of a zone reaches any voter, while clients reach them: they serve in their own zone, and the zone is not
-// taken to be lost. Another zone's loss is answered, with that one as receiver.
+// 3. No gateway of a zone reaches any voter, while clients reach them: they serve in their own
+// zone, and the zone is not taken to be lost. Another zone's loss is answered, with that one as
+// receiver.
 func TestZone_partitionedFromVotersOnly(t *testing.T) {
 	s := startScenario(t)
 	b := []string{"hall-b-g0", "hall-b-g1"}
@@ -71,9 +73,9 @@
 	s.finish()
 }
 
-// 6. A zone, its voter and its gateways are partitioned from all others, and its servers go down. The minority keeps its
-// last plan while its lease holds, then sends elsewhere no more than the plan had reserved for
-// that.
+// 6. A zone, its voter and its gateways are partitioned from all others, and its servers go down.
+// The minority keeps its last plan while its lease holds, then sends elsewhere no more than the
+// plan had reserved for that.
 func TestZone_minorityPartitionWithFailedZone(t *testing.T) {
 	s := startScenario(t)
 	apart := []string{"hall-c-g0", "hall-c-g1", "v3"}
@@ -100,8 +102,8 @@
 	s.finish()
 }
 
-// 9. Both zones of a region go down while the counter answers nothing. The other region takes what it has capacity for
-// beside its own requests, and no more.
+// 9. Both zones of a region go down while the counter answers nothing. The other region takes what
+// it has capacity for beside its own requests, and no more.
 func TestZone_regionLostWhileCounterIsDown(t *testing.T) {
 	s := startScenario(t)
 	release := s.Counter.Hold()
@@ -126,7 +128,8 @@
 	s.waitForLog(isolated.Process, "policy: server ejected", 4)
 	from := time.Now()
 	fakes.Eventually(t, "three seconds and more requests", func() bool {
-		return time.Since(from) > 3*time.Second && s.Recorder.AttemptsByRoute(from)[Route{"hall-a", "hall-a"}] > minSample
+		return time.Since(from) > 3*time.Second &&
+			s.Recorder.AttemptsByRoute(from)[Route{"hall-a", "hall-a"}] > minSample
 	})
 	if e := s.Read("failover").Epoch; e != epoch {
 		t.Errorf("the plan went from epoch %d to %d", epoch, e)
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -41,9 +41,18 @@
 		"same encoding":     {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, pair{1, 2}, pairHex) }, false},
 		"same of a pointer": {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, &pair{1, 2}, pairHex) }, false},
 		"another encoding":  {func(tb testing.TB) { CheckCBOR(tb, cbor.Marshal, pair{1, 3}, pairHex) }, true},
-		"an encoding fault": {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return nil, errBroken }, 1, "01") }, true},
-		"not what it reads": {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return []byte{1}, nil }, 2, "01") }, true},
-		"of another type":   {func(tb testing.TB) { CheckCBOR(tb, func(any) ([]byte, error) { return []byte{1}, nil }, "1", "01") }, true},
+		"an encoding fault": {func(tb testing.TB) {
+			CheckCBOR(tb,
+				func(any) ([]byte, error) { return nil, errBroken }, 1, "01")
+		}, true},
+		"not what it reads": {func(tb testing.TB) {
+			CheckCBOR(tb,
+				func(any) ([]byte, error) { return []byte{1}, nil }, 2, "01")
+		}, true},
+		"of another type": {func(tb testing.TB) {
+			CheckCBOR(tb,
+				func(any) ([]byte, error) { return []byte{1}, nil }, "1", "01")
+		}, true},
 		"null for a pointer": {func(tb testing.TB) {
 			CheckCBOR(tb, func(any) ([]byte, error) { return []byte{0xf6}, nil }, &pair{}, "f6")
 		}, true},
--- a/internal/testing/knownred/knownred_test.go
+++ b/internal/testing/knownred/knownred_test.go
@@ -20,7 +20,8 @@
 	"boom/boom_test.go": "func TestBoom(t *testing.T) { panic(1) }",
 	"long/long_test.go": "func TestLong(t *testing.T) { select {} }",
 	"none/none_test.go": "func TestNone(t *testing.T) { none }",
-	"leak/leak_test.go": "import \"os\"\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(1) }\nfunc TestGood(t *testing.T) {}",
+	"leak/leak_test.go": "import \"os\"\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(1) }\n" +
+		"func TestGood(t *testing.T) {}",
 }
 
 // listOf is a list with an entry for each test, given as "package TestName".
--- a/internal/testing/knownred/list.go
+++ b/internal/testing/knownred/list.go
@@ -26,7 +26,8 @@
 }
 
 // entryForm is what a refusal says is wanted.
-const entryForm = "an entry has the lines \"test: PACKAGE TestName\", \"command: ... seed N\" (seed none, where it has none), " +
+const entryForm = "an entry has the lines \"test: PACKAGE TestName\", " +
+	"\"command: ... seed N\" (seed none, where it has none), " +
 	"\"seen: ...\" and \"issue: N\"; an empty line parts entries"
 
 // knownFailure is a test that may fail.
--- a/internal/testing/rulesimulation/forecast.go
+++ b/internal/testing/rulesimulation/forecast.go
@@ -116,7 +116,9 @@
 		return
 	}
 	c.shadows[g].AddBudget(canaryOwnCalls)
-	c.call(g, c.shadows[g].HandleRequest(c.clock.Now(), canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
+	c.call(g,
+		c.shadows[g].HandleRequest(c.clock.Now(),
+			canary.Request{Customer: request.customer, Class: request.class, Units: 1}))
 }
 
 // recordOutcome counts what became of a request of the sample.
--- a/internal/testing/rulesimulation/gateway.go
+++ b/internal/testing/rulesimulation/gateway.go
@@ -107,7 +107,8 @@
 	request.weight = request.assignment.Weight
 	for _, version := range versions[1:] {
 		other := s.resolved[version].Assign(request.customer, request.class, 0)
-		request.reservations = append(request.reservations, g.admission.Reserve(other, s.settings.Plans[other.Plan], 1, s.clock.Now()))
+		request.reservations = append(request.reservations,
+			g.admission.Reserve(other, s.settings.Plans[other.Plan], 1, s.clock.Now()))
 	}
 	if s.onAdmission != nil {
 		s.onAdmission(g, request)
--- a/internal/testing/rulesimulation/golden_test.go
+++ b/internal/testing/rulesimulation/golden_test.go
@@ -24,7 +24,8 @@
 			request.forwarded, request.passed, request.answers, request.lost, request.weight, request.billed,
 			int64(request.deadline))
 		for _, reservation := range request.reservations {
-			add(reservation.Name, int64(reservation.Start), int64(reservation.TTL), reservation.Index, reservation.Units,
+			add(reservation.Name, int64(reservation.Start), int64(reservation.TTL), reservation.Index,
+				reservation.Units,
 				reservation.Weight)
 		}
 	}
--- a/internal/testing/rulesimulation/rulesimulation_test.go
+++ b/internal/testing/rulesimulation/rulesimulation_test.go
@@ -91,7 +91,8 @@
 		Limits: []countingrule.Limit{{Plan: "*", Rate: 0.5, Burst: 5}},
 	}
 	for i := range uint64(canaryCustomers / 2) {
-		rule.Groups = append(rule.Groups, countingrule.Group{Name: string(rune('a' + i)), Customers: []uint64{2 * i, 2*i + 1}})
+		rule.Groups = append(rule.Groups,
+			countingrule.Group{Name: string(rune('a' + i)), Customers: []uint64{2 * i, 2*i + 1}})
 	}
 	return rule
 }
@@ -114,7 +115,8 @@
 				t.Fatal(err)
 			}
 			off := forecast.Forecast/forecast.Observed - 1
-			t.Logf("admitted %.3f before, %.3f forecast, %.3f observed (%.0f%% off); %.2f calls of the canary a request",
+			t.Logf("admitted %.3f before, %.3f forecast, %.3f observed (%.0f%% off); "+
+				"%.2f calls of the canary a request",
 				forecast.Before, forecast.Forecast, forecast.Observed, 100*off, forecast.Calls)
 			if max(off, -off) > 0.1 {
 				t.Errorf("%.3f forecast, %.3f observed", forecast.Forecast, forecast.Observed)
--- a/internal/testing/rulesimulation/switch.go
+++ b/internal/testing/rulesimulation/switch.go
@@ -38,7 +38,8 @@
 	simulation.scheduleSwitch()
 	if !calm {
 		for _, g := range simulation.gateways[:2] { // never a majority of four
-			simulation.clock.After(simulation.between(4*time.Second, 12*time.Second), func() { simulation.injectFault(g) })
+			simulation.clock.After(simulation.between(4*time.Second, 12*time.Second),
+				func() { simulation.injectFault(g) })
 		}
 	}
 	simulation.clock.AdvanceTo(epoch + switchEnd)
--- a/internal/testing/subprocess/ready_test.go
+++ b/internal/testing/subprocess/ready_test.go
@@ -9,7 +9,10 @@
 )
 
 func TestIsReady_wantsTheAnswerToAPing(t *testing.T) {
-	for answer, want := range map[string]bool{"+PONG\r\n": true, "+PONG": false, "-ERR not ready\r\n": false, "": false} {
+	for answer, want := range map[string]bool{
+		"+PONG\r\n": true, "+PONG": false, "-ERR not ready\r\n": false,
+		"": false,
+	} {
 		t.Run(answer, func(t *testing.T) {
 			listener, called := fakes.Listen(t), make(chan string, 1)
 			go func() {
--- a/internal/testing/subprocess/subprocess_test.go
+++ b/internal/testing/subprocess/subprocess_test.go
@@ -21,7 +21,8 @@
 }
 
 func TestProcess_runsAgainWithItsLogAndEnvironment(t *testing.T) {
-	process := NewProcess(script(t, "echo \"started with $FIRST$SECOND\"\necho to stderr >&2\nexec sleep 100\n"), "p", "FIRST=a")
+	process := NewProcess(script(t, "echo \"started with $FIRST$SECOND\"\necho to stderr >&2\nexec sleep 100\n"),
+		"p", "FIRST=a")
 	t.Cleanup(process.Kill)
 	if process.Kill(); process.IsRunning() {
 		t.Error("running before its start")
@@ -30,7 +31,8 @@
 		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
-		fakes.Eventually(t, "its log", func() bool { return process.Log.Count(want) == 1 && process.Log.Count("to stderr\n") == i+1 })
+		fakes.Eventually(t, "its log",
+			func() bool { return process.Log.Count(want) == 1 && process.Log.Count("to stderr\n") == i+1 })
 		if !process.IsRunning() || syscall.Kill(process.PID(), 0) != nil {
 			t.Errorf("start %d: not running", i)
 		}
--- a/internal/testing/votersimulation/golden_test.go
+++ b/internal/testing/votersimulation/golden_test.go
@@ -55,7 +55,8 @@
 	if whole.Events != sim.report.Events || whole.Answered != sim.report.Answered || whole.Trace != sim.report.Trace {
 		t.Errorf("seed %d: %+v, but %+v step by step", seed, whole, sim.report)
 	}
-	return fmt.Sprintf("%d events, %d answered, %d problems, %s", sim.report.Events, sim.report.Answered, len(sim.report.Violations),
+	return fmt.Sprintf("%d events, %d answered, %d problems, %s", sim.report.Events, sim.report.Answered,
+		len(sim.report.Violations),
 		sum)
 }
 
