--- a/policy/admission.go
+++ b/policy/admission.go
@@ -71,14 +71,15 @@
 	}
 	known := &request.class.firstTimeouts[request.Plan]
 	given := request.Deadline - now
-	if given > *known || *known-given > a.env.standstill+a.env.settings.ArrivalSlack {
+	explained := a.env.standstill + a.env.settings.ArrivalSlack
+	if given > *known || *known-given > explained {
 		*known = given
 	}
 }
 
 // check admits a request, rejects it, or calls the counter, whose answer then decides; the call
 // brings the customer's pending charges. Repeats of sparse customers are rejected uncounted while
-// calls are left out: they would take calls from first tries.
+// calls are made for some requests only: they would take calls from first tries.
 func (a *admission) check(request *requestState) {
 	customer := request.customer
 	customer.refill(a.env.now)
@@ -89,7 +90,7 @@
 	case a.isTooLate(request):
 		a.reject(request, request.class.Timeout)
 	case customer.isExhausted(request.Units):
-		a.decide(request, true) // a count only grows: none could admit it, and no charge waits for a call
+		a.decide(request, true) // as a count grows, none could admit it
 	case request.Repeat && a.callProbability < 1 && customer.isSparse(request.Units):
 		a.reject(request, a.balancer.capacityWait())
 	case a.callsCounterFor(customer):
@@ -121,7 +122,9 @@
 	return a.env.random.Float64() < math.Pow(a.callProbability, max(bucketPart, gatewaysPart))
 }
 
-// decide admits a request or rejects it; counted: a count was read for it just now.
+// decide admits a request or rejects it: by the limit on attempts in flight, the bucket, and the
+// plan's ceiling. counted: a count was read for it just now, or none could change the answer. The
+// limit goes by the demand without this request, so the demand grows after it was checked.
 func (a *admission) decide(request *requestState, counted bool) {
 	request.awaitsCount = false
 	if request.completed {
@@ -129,17 +132,17 @@
 	}
 	customer := request.customer
 	customer.refill(a.env.now)
-	usual := request.class.latencies.decile(medianDecile)
+	usualLatency := request.class.latencies.decile(medianDecile)
 	reached := a.reachedMaxInFlight(customer, counted)
 	if !request.Repeat {
-		customer.demandInFlight += customer.gateways * float64(usual) / float64(demandDecay)
+		customer.demandInFlight += customer.gateways * float64(usualLatency) / float64(demandDecay)
 	}
 	if reached {
-		a.reject(request, usual)
+		a.reject(request, usualLatency)
 		return
 	}
 	if customer.plan.Rate > 0 {
-		missing, within := a.withinQuota(request, usual)
+		missing, within := a.withinQuota(request, usualLatency)
 		if !within {
 			a.reject(request, refillTime(missing, customer.plan.Rate))
 			return
@@ -170,17 +173,17 @@
 	return a.env.random.Float64()*customer.demandInFlight > guessedInFlightFraction*limit
 }
 
-// withinQuota decides whether the customer's bucket bears a request, where answers take the usual
-// time; else it returns the units missing. The last units go at random: the count lags, and a sharp
-// edge would admit all requests of an answer's time at once.
+// withinQuota decides whether the customer's bucket holds a request's units; else it returns the
+// units missing. The last units go at random: the count lags by the usual latency, and a sharp edge
+// would admit all requests of that time at once.
 // Prevents two bursts back to back at a window's edge.
-func (a *admission) withinQuota(request *requestState, usual time.Duration) (missing float64, within bool) {
+func (a *admission) withinQuota(request *requestState, usualLatency time.Duration) (missing float64, within bool) {
 	customer := request.customer
 	units := request.Units
-	free := customer.available - customer.uncountedByOthers(usual) - units
+	free := customer.available - customer.uncountedByOthers(usualLatency) - units
 	probability := 0.0
 	if free >= 0 {
-		ramp := customer.plan.Rate * usual.Seconds()
+		ramp := customer.plan.Rate * usualLatency.Seconds()
 		if customer.isSparse(units) {
 			ramp *= sparseRampFactor
 		}
@@ -193,7 +196,7 @@
 }
 
 // admit takes a request's units from the bucket and has it placed. Without a count each other
-// gateway is assumed to use as much as this one.
+// gateway is assumed to forward a part of them as well (othersFraction).
 func (a *admission) admit(request *requestState, counted bool) {
 	customer := request.customer
 	units := request.Units
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -56,13 +56,13 @@
 	if request.completed {
 		return
 	}
-	s, waitUntil := b.pickServer(request)
+	s := b.pickServer(request)
 	isNew := len(request.attempts) == 0 && !request.awaitedServer
 	shed := isNew && b.sheds(request)
 	switch {
 	case s != nil && (!shed || !s.isWarm()):
 		b.env.send(s, startAttempt{request})
-	case !shed && b.env.now < waitUntil:
+	case !shed && b.env.now < b.waitEnd(request):
 		request.awaitedServer = true
 		b.env.setTimer(timerPlacement, request.ID, placementRetry)
 	default:
@@ -70,27 +70,33 @@
 	}
 }
 
-// capacityWait is how long a request waits for a server, and what its client gets as Retry-After if
-// it finds none or its attempts fail.
+// waitEnd decides until when a request without a server waits for one: the capacityWait after its
+// arrival, or the end of its latency objective where no server is ready at all.
+func (b *balancer) waitEnd(request *requestState) time.Duration {
+	if len(b.ready) == 0 {
+		return request.objectiveAt
+	}
+	return request.objectiveAt - request.class.LatencyObjective + b.capacityWait()
+}
+
+// capacityWait is how long a request waits for a server with capacity, and what its client gets as
+// Retry-After if it finds none or its attempts fail.
 func (b *balancer) capacityWait() time.Duration {
 	return time.Duration(capacityWaitFraction * float64(b.env.tightestObjective))
 }
 
-// pickServer draws two servers at random and takes the one with the lower load score; where none
-// has capacity, it returns until when to wait for one.
-func (b *balancer) pickServer(request *requestState) (picked *server, waitUntil time.Duration) {
-	if len(b.ready) == 0 {
-		return nil, request.objectiveAt
-	}
+// pickServer draws two servers at random and takes the one with the lower load score; nil: no
+// server is ready, or none has capacity.
+func (b *balancer) pickServer(request *requestState) *server {
 	candidates := b.candidates(request)
 	if len(candidates) == 0 {
-		return nil, request.objectiveAt - request.class.LatencyObjective + b.capacityWait()
+		return nil
 	}
 	b.env.random.Shuffle(len(candidates), func(i, k int) {
 		candidates[i], candidates[k] = candidates[k], candidates[i]
 	})
 	two := candidates[:min(len(candidates), drawnServers)]
-	return slices.MinFunc(two, func(a, b *server) int { return cmp.Compare(a.loadScore(), b.loadScore()) }), 0
+	return slices.MinFunc(two, func(a, b *server) int { return cmp.Compare(a.loadScore(), b.loadScore()) })
 }
 
 // candidates are the servers that a request may be sent to now. A retry goes elsewhere if it can,
@@ -107,12 +113,12 @@
 // shouldSettle decides whether a request goes to servers of the owner that it prefers: while no
 // overload is seen.
 func (b *balancer) shouldSettle(request *requestState, servers []*server) bool {
-	return request.PreferOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && b.forwardsAll()
+	return request.PreferOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && !b.isOverloaded()
 }
 
 // openServers are the servers that a request may go to and that have capacity, without the ejected
 // ones. Where all are ejected they are included: what strikes every server is no reason to prefer
-// any, and must not stop all service.
+// any, and must not stop all service. A warming server that is asked has had its turn.
 func (b *balancer) openServers(request *requestState) []*server {
 	b.open = b.open[:0]
 	b.healthy = b.healthy[:0]
@@ -168,9 +174,9 @@
 	objective := class.LatencyObjective
 	class.latencies.record(result.Latency)
 	perUnit := float64(result.Latency) / max(cmp.Or(result.ActualUnits, request.Units), 1)
-	usual := float64(class.unitLatencies.decile(medianDecile))
-	if usual > 0 {
-		s.slowdown += (perUnit/usual - 1 - s.slowdown) / slowdownSamples
+	usualPerUnit := float64(class.unitLatencies.decile(medianDecile))
+	if usualPerUnit > 0 {
+		s.slowdown += (perUnit/usualPerUnit - 1 - s.slowdown) / slowdownSamples
 	}
 	class.unitLatencies.record(time.Duration(perUnit))
 	b.recentLatencies.add(latencySamples, latencySample{
--- a/policy/charges.go
+++ b/policy/charges.go
@@ -28,8 +28,8 @@
 }
 
 // charge has units counted with the customer's next call or, for a sparse customer, whose next call
-// may come too late, by a call of their own. While calls are left out at random, the weight of one
-// that goes makes up for those that do not.
+// may come too late, by a call of their own. While calls are made at random, the weight of one that
+// is made makes up for those that are not.
 func (a *admission) charge(customer *customerState, units float64) {
 	if units <= 0 || customer.plan.Rate <= 0 {
 		return
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -12,7 +12,8 @@
 	callFast
 )
 
-// outcomeOf decides what the answer to a call is worth.
+// outcomeOf decides what the answer to a call is worth. Settings.CountTimeout only tells late from
+// fast: it bounds no request's wait, as counterWaitFraction does.
 func (a *admission) outcomeOf(call *counterCall, result *CountResult) callOutcome {
 	switch {
 	case result.Outcome == TimedOut:
@@ -67,9 +68,10 @@
 	outcome := a.outcomeOf(&call, result)
 	a.updateCallProbability(outcome)
 	a.updateAcceptedFraction(outcome)
-	if outcome != callNotAccepted || call.request == nil {
-		call.chargesCounted()
-	} else {
+	isForRequest := call.request != nil
+	if outcome != callNotAccepted || !isForRequest {
+		call.confirmCharges()
+	} else { // the charges go with the customer's next call
 		call.request.claimedWindow = noWindow
 		call.customer.pending = append(call.customer.pending, call.charges...)
 	}
@@ -106,10 +108,11 @@
 	}
 }
 
-// chargesCounted takes a call's charges for counted, also where the call timed out: a count too
-// high rejects until its window's end, while one too low is only one of several guards. Charges of
-// a call of their own have no next call: the weight of accepted ones makes up for them.
-func (c *counterCall) chargesCounted() {
+// confirmCharges takes a call's charges as counted, also where the call timed out: charged twice,
+// they would reject requests until the window's end, while not charged they weaken one limit of
+// several. Those of a sparse customer's own call are never sent again: the weight of accepted calls
+// makes up for the others (charge).
+func (c *counterCall) confirmCharges() {
 	for _, charge := range c.charges {
 		c.customer.uncounted -= charge.units
 		latest := &c.customer.samples[0]
@@ -125,8 +128,8 @@
 	if call.request == nil || total-call.units < float64(call.customer.plan.MaxInFlight) {
 		return
 	}
-	usual := float64(call.request.class.latencies.decile(medianDecile))
-	pause := max(time.Duration(blockedFraction*usual), a.env.settings.ClockTick)
+	usualLatency := float64(call.request.class.latencies.decile(medianDecile))
+	pause := max(time.Duration(blockedFraction*usualLatency), a.env.settings.ClockTick)
 	call.customer.blockedUntil = a.env.now + pause
 }
 
@@ -137,11 +140,12 @@
 	customer := call.customer
 	current := customer.windowAt(a.env.now)
 	isReadOnly := call.request == nil && len(call.charges) == 0
+	isUntouched := total <= call.units
 	switch {
 	case call.window < current && isReadOnly:
 		a.carryOverrun(call, current, total)
 		return
-	case total <= call.units && customer.initializedWindow != call.window:
+	case isUntouched && customer.initializedWindow != call.window:
 		customer.initializedWindow = call.window
 		a.call(counterCall{customer: customer, window: call.window - 1})
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -105,9 +105,9 @@
 	c.assumedByOthers = 0
 }
 
-// estimateLevel is the units that the bucket can hold at a time in a window, by a total of that
-// window: what it held by the latest sample plus what was refilled since, from 0 to a burst. A
-// window without a sample starts full, as its count includes what it lacked. own is the units that
+// estimateLevel is the units that the bucket can hold at a time in a window, by the window's total:
+// its latest sample's level plus what was refilled since. A window without a sample starts full, as
+// its count includes what it lacked; samples of earlier windows bound it. own is the units that
 // this gateway charged since the sample, in case the counter forgot.
 func (c *customerState) estimateLevel(window int64, at time.Duration, total, own float64) float64 {
 	from := countSample{at: c.windowStart(window), level: c.plan.Burst}
@@ -124,15 +124,16 @@
 }
 
 // uncountedByOthers is the units that other gateways likely forwarded and did not charge yet: their
-// rate in the window of the latest sample, for an answer's time.
+// rate in the window of the latest sample, for the usual latency.
 // Prevents admission by a count that lags by what is in flight.
-func (c *customerState) uncountedByOthers(usual time.Duration) float64 {
+func (c *customerState) uncountedByOthers(usualLatency time.Duration) float64 {
 	sample := c.samples[0]
 	passed := max(sample.at-c.windowStart(sample.window), c.windowLength/countSpanDivisor, 1)
-	return sample.total * (1 - 1/c.gateways) * float64(usual) / float64(passed)
+	return sample.total * (1 - 1/c.gateways) * float64(usualLatency) / float64(passed)
 }
 
-// recordUsage takes a report of the part of its rate that the customer uses.
+// recordUsage takes a report of the part of its rate that the customer uses. What was assumed
+// before the first report, by a customer at its full rate, is corrected by it.
 func (c *customerState) recordUsage(part float64) {
 	c.usageReports = min(c.usageReports+1, maxUsageReports)
 	c.usage += (part - c.usage) / c.usageReports
--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -13,7 +13,7 @@
 	customerList []*customerState // the same, to look through
 	nextEviction int              // index of the next to be looked at
 
-	calls            map[uint64][]counterCall // out, by the counter's name
+	calls            map[uint64][]counterCall // without an answer yet, by the counter's name
 	callProbability  float64                  // that the counter is called: 1 while it answers
 	fastAnswers      float64                  // in a row, up to maxFastAnswers
 	acceptedFraction float64                  // of the latest calls
@@ -44,7 +44,7 @@
 	ceilingAvailable  float64         // units of this gateway's own part of the ceiling
 	usageReports      float64         // how many came, up to maxUsageReports
 	usage             float64         // part of its rate that it uses, by the latest of these
-	demandInFlight    float64         // attempts of all gateways that its first tries here would keep out
+	demandInFlight    float64         // attempts in flight of all gateways, as far as its first tries here tell
 	blockedUntil      time.Duration   // the limit on attempts in flight is taken to be reached until then
 }
 
@@ -54,7 +54,7 @@
 	at    time.Duration
 }
 
-// counterCall is a call that is out. The answers for a name come in the order of its calls.
+// counterCall is a call that has no answer yet. Answers for a name come in the order of its calls.
 type counterCall struct {
 	request    *requestState // that waits for the answer; nil: none does
 	customer   *customerState
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// isEjectedFor decides whether a server gets no requests of this one's class: for silence, errors,
-// refused connections, which draw requests as few are in flight there, or rejections. The class's
-// own record counts; where the class was not tried there, the latest of another's, as others may be
-// served.
+// isEjectedFor decides whether a server gets no requests of this one's class: while an attempt is
+// silent, or for ejectionTime after a failure that recordHealth noted or a rejection of the class
+// and plan; an answer ends it at once. The class's own record counts; where the class was not tried
+// there, the latest of another's, as others may be served.
 func (s *server) isEjectedFor(request *requestState) bool {
 	if s.isSilentFor(request.Class) {
 		return true
@@ -55,10 +55,10 @@
 	return max(minEjection, time.Duration(ejectionAttempts*float64(b.attemptInterval())))
 }
 
-// ejectionThreshold is the failure score at which a server is ejected: one failure, as healthy
-// servers hardly ever fail, and hundreds of gateways see no more each. Where failures strike
-// everywhere, as malformed answers do, it is two in a row: else each would be ejected in turn, and
-// the rest overrun.
+// ejectionThreshold is the failure score at which a server is ejected: that of one failure, as
+// healthy servers hardly ever fail, and one gateway of hundreds sees few failures of a bad one.
+// Where failures strike everywhere, as malformed answers do, it is that of two in a row: else each
+// server would be ejected in turn, and the rest overloaded.
 func (b *balancer) ejectionThreshold() int {
 	span := suspectedSpans * b.ejectionTime()
 	suspected := 0
@@ -114,8 +114,8 @@
 	}
 }
 
-// logEjection logs where the server was ejected or readmitted for the latest result's class and
-// plan.
+// logEjection logs whether the server is ejected for the latest result's class and plan, where that
+// differs from the last line. A span that just ends writes no line: the next result does.
 func (s *server) logEjection(ejected bool) {
 	switch {
 	case ejected && !s.ejected:
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -22,7 +22,7 @@
 // Gateway is the module of one gateway.
 type Gateway struct {
 	environment
-	requests  map[uint32]*requestState // without a final answer yet, or with an attempt still out
+	requests  map[uint32]*requestState // without a final answer yet, or with an attempt in flight
 	admission *admission
 	balancer  *balancer
 	lifecycle *lifecycle
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -38,10 +38,11 @@
 	if !request.canAttempt(l.env.now, nil, &l.env.settings) || len(request.attempts) > maxRetries {
 		return false
 	}
-	if !l.balancer.forwardsAll() {
+	if l.balancer.isOverloaded() {
 		return false
 	}
-	return l.env.now+request.class.latencies.decile(medianDecile) < request.objectiveAt
+	usualLatency := request.class.latencies.decile(medianDecile)
+	return l.env.now+usualLatency < request.objectiveAt
 }
 
 // complete gives the final answer at once: rejected where that is allowed, else terminated.
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-// align aligns classes or plans; key returns a value's name and its Retired field.
+// align is AlignWith for classes or plans; key returns a value's name and its Retired field.
 func align[T any](current, earlier []T, key func(*T) (string, *bool)) []T {
 	aligned := slices.Clone(earlier)
 	for i := range aligned {
--- a/policy/request_state.go
+++ b/policy/request_state.go
@@ -13,7 +13,7 @@
 	unitLatencies latencies       // of answers, for each unit
 }
 
-// requestState is a request that has no final answer yet, or has an attempt still out.
+// requestState is a request that has no final answer yet, or has an attempt in flight.
 type requestState struct {
 	Request
 	objectiveAt   time.Duration // when its latency objective ends
@@ -34,7 +34,7 @@
 	env       *environment
 	admission *admission
 	balancer  *balancer
-	requests  map[uint32]*requestState // the module's: those without a final answer yet or with an attempt out
+	requests  map[uint32]*requestState // those of Gateway
 }
 
 // attempt is a request sent to one server.
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -31,7 +31,8 @@
 	r.next = (r.next + 1) % size
 }
 
-// newest returns the n-th sample from the newest, counted from 0.
+// newest returns the n-th sample from the newest, counted from 0. Until the ring is full, next is 0
+// and the newest sample is the last.
 func (r *ring[T]) newest(n int) T {
 	return r.samples[(r.next-1-n+2*len(r.samples))%len(r.samples)]
 }
--- a/policy/server_state.go
+++ b/policy/server_state.go
@@ -10,7 +10,7 @@
 
 	sharingGateways float64 // that send attempts to each listed server
 	serversByID     map[uint32]*server
-	servers         []*server // the same; a removed one is dropped once none of its attempts is out
+	servers         []*server // the same; a removed one is dropped once none of its attempts is in flight
 	ready           []*server // in the order in which they first became ready
 
 	recentLatencies ring[latencySample]
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -45,7 +45,7 @@
 	Name            string
 	Rate            float64 // units a second; 0: no such quota
 	Burst           float64 // units that may be used at once
-	MaxInFlight     int     // attempts out at once; 0: no such quota
+	MaxInFlight     int     // attempts in flight at once; 0: no such quota
 	CeilingRate     float64 // units a second that are never passed; 0: no ceiling
 	CeilingBurst    float64 // units
 	CeilingSlack    float64 // units
@@ -73,7 +73,7 @@
 	CanCancel                 bool          // the host can cancel an attempt
 	RetryAfter                bool          // rejections tell when to come again
 	MaxRetryAfter             time.Duration
-	AllowHedging              bool          // two attempts of a request may be out at once
+	AllowHedging              bool          // two attempts of a request may be in flight at once
 	MaxAttempts               int           // of a request
 	ArrivalSlack              time.Duration // differences of clients' timeouts up to it mean nothing
 	DrainGrace                time.Duration // how long a draining server goes on serving
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -13,8 +13,8 @@
 	return draw >= math.Pow(min(b.admissionProbability(), 1), b.relativeCost(request))
 }
 
-// forwardsAll reports whether no overload is seen.
-func (b *balancer) forwardsAll() bool { return b.admissionProbability() >= 1 }
+// isOverloaded reports whether the servers together are too slow to forward all requests.
+func (b *balancer) isOverloaded() bool { return b.admissionProbability() < 1 }
 
 // admissionProbability is the chance that a request is forwarded at all; at 1 and above no overload
 // is seen. It falls as the sixth decile of the parts of their objectives that attempts took lately
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -43,7 +43,7 @@
 	}
 	newest := b.warmResponses.newest(0)
 	oldest := b.warmResponses.newest(n - 1)
-	// Some answers at once are no rate.
+	// Some answers at one moment tell no rate.
 	shortest := b.env.settings.OverloadSpan * time.Duration(responseSamples-n) / responseSamples
 	interval := float64(max(newest.at-oldest.at, shortest, b.env.settings.ClockTick)) / float64(n-1)
 	return time.Duration(interval * (newest.warmServers + oldest.warmServers) / 2 * b.sharingGateways)
