--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -59,6 +59,7 @@
 // failurePauses has a row for each failureKind: the pause after it by the agent's mode, for the
 // first failure of a run and for later ones.
 var failurePauses = [...]struct{ notifiedFirst, notifiedLater, polledFirst, polledLater pauseKind }{
+	//                notified: first, later; polled: first, later
 	watchTimedOut:    {noPause, noPause, noPause, noPause},
 	fullListTimedOut: {noPause, noPause, silencePause, silencePause},
 	callRejected:     {growingPause, growingPause, rejectedPause, rejectedPause},
@@ -83,15 +84,17 @@
 }
 
 // isDiscoveryFailure decides whether the gateway is told that the list failed: discovery itself
-// gave no answer. Failures of a notified agent other than a rejection, and a silent watch, are the
-// agent's.
+// rejected the call or, where it is polled, gave no list. Other failures of a notified agent, and a
+// silent watch, are the agent's.
 func isDiscoveryFailure(kind failureKind, current agent) bool {
-	return kind == callRejected || current.isPolled && kind != watchTimedOut
+	gaveNoList := current.isPolled && kind != watchTimedOut
+	return kind == callRejected || gaveNoList
 }
 
 // callAfterFailure decides what the call after a failed one requests. A rejected call is repeated
-// as it was: discovery is there and knows the version. Any other agent may have restarted and lost
-// its versions, would answer that nothing changed, and is asked for its full list.
+// as it was: discovery is there and knows the version. After any other failure the agent may have
+// restarted without its versions and would answer a watch that nothing changed, so the full list is
+// requested.
 func callAfterFailure(kind failureKind, failed callKind) callKind {
 	if kind == callRejected {
 		return failed
@@ -101,14 +104,14 @@
 
 // failureRun is what has failed since a watch was last answered. The zero value is no failure.
 type failureRun struct {
-	hasSilentWatch bool // a watch timed out, and a line was logged
-	hasFailedCall  bool // another call failed, and a line was logged
+	hasSilentWatch bool // a watch timed out, and its line was logged
+	hasFailedCall  bool // a call failed in another way, and its line was logged
 }
 
 // hasBegun reports whether any call has failed.
 func (r *failureRun) hasBegun() bool { return r.hasSilentWatch || r.hasFailedCall }
 
-// add counts a failure, and reports whether it is the first of its line in the log.
+// add notes a failure, and reports whether its line is still to be logged.
 func (r *failureRun) add(kind failureKind) bool {
 	logged := &r.hasFailedCall
 	if kind == watchTimedOut {
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -89,11 +89,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &endpointList{version: knownVersion(text), servers: servers}, nil
+	return &endpointList{version: decodeKnownVersion(text), servers: servers}, nil
 }
 
-// knownVersion reads the version of the list of an earlier run, which may have none.
-func knownVersion(text []byte) int64 {
+// decodeKnownVersion reads the version of the list of an earlier run, which may have none.
+func decodeKnownVersion(text []byte) int64 {
 	var known struct{ Seq *int64 }
 	if err := json.Unmarshal(text, &known); err != nil || known.Seq == nil {
 		return noVersion
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -48,10 +48,9 @@
 	}
 }
 
-// fetchFull requests the full list, always on a new connection. Further calls begin in parallel to
-// one that is not answered, and the first good answer ends them all: an agent may be back from an
-// outage that holds an earlier call, and one given up would lose its turn at an overbooked
-// discovery.
+// fetchFull requests the full list, always on a new connection. Beside a call that is not answered
+// further ones begin, as an agent that is back from an outage may still hold it; it stays open, as
+// giving it up would lose its turn at an overbooked discovery. The first good answer ends them all.
 func (s *session) fetchFull(ctx context.Context) (*endpointList, error) {
 	s.connection.close()
 	s.connection = newConnection(s.watcher.dial)
@@ -85,7 +84,7 @@
 	}
 }
 
-// stagger draws the time until the next parallel call.
+// stagger draws the time until another call begins beside those that are not answered.
 func (s *session) stagger() time.Duration {
 	return s.watcher.randomBetween(s.timing.minStagger, s.timing.maxStagger)
 }
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -77,7 +77,7 @@
 }
 
 // fetchDelta watches for what changes after the version of the list in force. Changes that do not
-// follow it are of another incarnation of the agent, whose full list alone has what is in force.
+// follow it come from an agent that has restarted: only its full list tells what is in force.
 func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
 	wait := s.drawWatch()
 	timeout := wait + watchGrace
@@ -100,8 +100,9 @@
 	return received, nil
 }
 
-// drawWatch draws how long a watch waits for a change. One change answers the watches of a whole
-// fleet, which would all end at one moment otherwise. Both modes make the first draw of the seed.
+// drawWatch draws how long a watch waits for a change: one change answers the watches of a whole
+// fleet, which would all end at one moment from then on. The first draw is made in both modes, so
+// that the times drawn from a seed stay as recorded.
 func (s *session) drawWatch() time.Duration {
 	notified := s.watcher.randomBetween(minWatch, maxWatch)
 	if !s.agent.isPolled {
@@ -129,14 +130,13 @@
 }
 
 // needsConfirmation decides whether a list is doubted: a full one without any server, where there
-// were some, is of an agent that lost its list more likely than true. The second in a row is
-// believed.
+// were some, more likely comes from an agent that lost its list. The second in a row is believed.
 func (s *session) needsConfirmation(received *endpointList) bool {
 	return s.watcher.wouldEmpty(received) && !s.awaitsConfirmation
 }
 
-// requestConfirmation has an empty list confirmed by another call for the full list. Both modes
-// make the first draw of the seed.
+// requestConfirmation has an empty list confirmed by another call for the full list. The first draw
+// is made in both modes, as in drawWatch.
 func (s *session) requestConfirmation() followUp {
 	s.watcher.log.Warn("discovery: empty endpoint list, confirmation requested")
 	s.awaitsConfirmation = true
@@ -165,7 +165,7 @@
 	}
 	s.endFailures()
 	didNotWait := len(received.servers) == 0 && took < promptAnswer
-	if didNotWait && !wasResumed {
+	if didNotWait && !wasResumed { // a resumed watch is short by itself
 		// Without a pause the agent would be called in a tight loop.
 		return followUp{call: watchCall, pause: s.drawPause(shortPause)}
 	}
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -14,23 +14,23 @@
 	// wait.
 	promptAnswer = minWatch / 2
 
-	listTimeout = time.Second // of a whole answer that does not wait for a change
+	listTimeout = time.Second // from a call for the full list to its whole answer; of a dial, in both modes
 
 	minStagger       = 250 * time.Millisecond // between parallel calls for the full list
 	maxStagger       = 350 * time.Millisecond
 	maxParallelCalls = int(listTimeout / minStagger)
 
 	minPause = 50 * time.Millisecond
-	maxPause = 200 * time.Millisecond // within what leaves two calls one watch
+	maxPause = 200 * time.Millisecond // calls no further apart count as one watch
 )
 
 // Times where discovery is polled, which takes a gateway's call only once in some seconds.
 const (
-	polledListTimeout = 2600 * time.Millisecond
+	polledListTimeout = 2600 * time.Millisecond // of a call for the full list, and of the first watch of a process
 	minPolledStagger  = 1300 * time.Millisecond
 	maxPolledStagger  = 1700 * time.Millisecond
 
-	resumeWatch = 100 * time.Millisecond // the first watch of a process, which clients wait for
+	resumeWatch = 100 * time.Millisecond // the first watch of a process, which clients wait for to be answered
 
 	minRejectedPause = 1100 * time.Millisecond
 	maxRejectedPause = 1350 * time.Millisecond
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -28,7 +28,7 @@
 	firstApplied chan struct{} // closed once a list of discovery is applied
 	closeFirst   sync.Once
 	knownVersion int64 // of the list of an earlier run, until a session begins; noVersion: none
-	knownAgent   agent // that the list is of
+	knownAgent   agent // that gave that list
 
 	mu            sync.Mutex
 	agent         agent
