--- a/internal/gateway/dispatch/attempt.go
+++ b/internal/gateway/dispatch/attempt.go
@@ -43,8 +43,8 @@
 	return current.Endpoint.State != policy.Ready || !isSameProcess
 }
 
-// cancelUnbegunAttempts cancels the stale attempts that have not begun. The gateway finds their
-// requests other servers.
+// cancelUnbegunAttempts cancels the stale attempts that have not begun. The decision module finds
+// their requests other servers.
 func (d *Dispatcher) cancelUnbegunAttempts() {
 	for _, r := range d.requests {
 		if r.current != nil && r.current.isStale(d.servers.byNumber[r.server]) {
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// What the gateway asks for never waits for the goroutine that carries a request: an unread
+// What the module asks for never waits for the goroutine that carries a request: an unread
 // decision and the final one fit into its channel.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
--- a/internal/gateway/dispatch/counterqueue.go
+++ b/internal/gateway/dispatch/counterqueue.go
@@ -6,9 +6,9 @@
 	"harrierhoist/policy"
 )
 
-// counterQueue puts the counter's replies into the order of the calls, by name: the gateway matches
-// them in that order, which two connections, as after a move of the counter, do not keep between
-// them.
+// counterQueue puts the counter's replies into the order of the calls, by name: the decision module
+// matches them in that order, which two connections, as after a change of the counter's address, do
+// not keep between them.
 type counterQueue struct {
 	calls []*counterCall // oldest first; delivered ones stay until all before them are delivered
 }
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -14,10 +14,10 @@
 	// retired.
 	WithRulePlans(settings policy.Settings) policy.Settings
 	WithoutRulePlans(settings policy.Settings) policy.Settings
-	// Assign gives the counts of a request that is admitted now. It keeps them whatever holds
-	// later.
+	// Assign gives the counts of a request that comes in now. The request keeps them, whichever
+	// rule is in force later.
 	Assign(now time.Duration, spec RequestSpec) CountAssignment
-	// HandleCounterCall is called at each call of the gateway to the counter.
+	// HandleCounterCall is called at each call of the decision module to the counter.
 	HandleCounterCall()
 }
 
@@ -62,7 +62,7 @@
 	return err
 }
 
-// CallCounter calls the counter past the gateway. It neither waits nor calls back before it
+// CallCounter calls the counter past the decision module. It neither waits nor calls back before it
 // returns.
 func (d *Dispatcher) CallCounter(
 	name uint64, units float64, ttl time.Duration, reply func(total float64, outcome policy.Outcome),
@@ -70,23 +70,24 @@
 	d.dependencies.Count(name, units, ttl, reply)
 }
 
-// isLateReply decides whether a call to the counter is recorded as failed though it was answered:
-// its reply took longer than the settings give a call.
+// isLateReply decides whether a call to the counter is recorded as late though it was answered: its
+// reply took longer than Settings.CountTimeout. It ends no wait: the reply is used all the same.
 func (d *Dispatcher) isLateReply(latency time.Duration) bool {
-	return d.counterTimeout > 0 && latency > d.counterTimeout
+	return d.lateReplyAfter > 0 && latency > d.lateReplyAfter
 }
 
-// handleCounterReply takes the counter's reply to a call of the gateway's.
+// handleCounterReply takes the counter's reply to a call of the decision module.
 func (d *Dispatcher) handleCounterReply(now time.Duration, call *counterCall, total float64, outcome policy.Outcome) {
 	latency := now - call.startedAt
 	if d.recorder != nil {
 		d.recorder.AddCounterCall(outcome != policy.Answered || d.isLateReply(latency))
 	}
 	reply := policy.CountResult{Name: call.name, Total: total, Latency: latency, Outcome: outcome}
-	d.counterCalls.complete(call, reply, func(reply policy.CountResult) { d.gateway.HandleCount(d.clock.now(), reply) })
+	d.counterCalls.complete(call, reply, func(reply policy.CountResult) { d.module.HandleCount(d.clock.now(), reply) })
 }
 
-// admitByRules hands a request to the gateway under its count, once the other counts let it pass.
+// admitByRules hands a request to the decision module under its count, once the other counts let it
+// pass.
 func (d *Dispatcher) admitByRules(now time.Duration, request *Request, spec RequestSpec, asked policy.Request) {
 	assignment := d.rules.Assign(now, spec)
 	request.assignment = &assignment
@@ -95,7 +96,7 @@
 	asked.GatewayCount = assignment.GatewayCount
 	asked.Units = spec.Units * assignment.Weight
 	if assignment.CheckOthers == nil {
-		d.gateway.HandleRequest(now, asked)
+		d.module.HandleRequest(now, asked)
 		return
 	}
 	assignment.CheckOthers(func(pass bool) {
@@ -104,7 +105,7 @@
 		switch {
 		case request.completed: // its client has gone
 		case pass && now < asked.Deadline:
-			d.gateway.HandleRequest(now, asked)
+			d.module.HandleRequest(now, asked)
 		default:
 			request.finish(Decision{Action: Reject})
 		}
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A request that another count refuses is rejected before the gateway handles it, and a client that
+// A request that another count refuses is rejected before the module handles it, and a client that
 // disconnects meanwhile gets no answer.
 func TestCountAssignment_otherCountsAreCheckedFirst(t *testing.T) {
 	f := newFixture(t)
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -1,7 +1,8 @@
-// Package dispatch owns the one policy.Gateway: it hands the gateway events under one lock, carries
-// out what it asks for, and decides nothing about requests itself. The listener calls Admit for
-// each request, Next for what to do with it, and ReportResult after each attempt; RunTimers lets
-// time pass.
+// Package dispatch owns the one decision module, a policy.Gateway: it hands the module events under
+// one lock and carries out what it asks for. Itself it decides only what the module cannot know:
+// the end of a steering's lease, requests that the steering sheds, and attempts that have become
+// pointless before their first byte. The listener calls Admit for each request, Next for what to do
+// with it, and ReportResult after each attempt; RunTimers lets time pass.
 package dispatch
 
 import (
@@ -26,43 +27,43 @@
 	// CheckHealth polls a server's load report, and calls done once.
 	CheckHealth func(server Server, done func(Result))
 	// IdleTimeout is how long a connection to a server is kept after its latest attempt: the
-	// gateway is handed as many servers as its attempts can keep connections open to. At 0 it is
-	// handed all.
+	// decision module is handed as many servers as its attempts can keep connections open to. At 0
+	// it is handed all.
 	IdleTimeout time.Duration
 	// Recorder records what goes on in each zone, under the dispatcher's lock; nil: nothing is
 	// recorded.
 	Recorder *zonestats.Recorder
 }
 
-// Dispatcher owns the gateway's decisions and the requests in flight. It is safe for concurrent
+// Dispatcher owns the decision module and the requests in flight. It is safe for concurrent
 // use.
 type Dispatcher struct {
-	mu      sync.Mutex // held by each call of the gateway, and so by what it asks for
-	gateway *policy.Gateway
-	clock   clock
-	log     *zap.Logger
+	mu     sync.Mutex // held by each call of the module, and so by what it asks for
+	module *policy.Gateway
+	clock  clock
+	log    *zap.Logger
 
 	dependencies Dependencies
 	recorder     *zonestats.Recorder // nil: nothing is recorded
 	accounts     *account.Accounts   // of what requests owe partners; nil: nothing is kept
 	rules        CountingRules       // nil: every request counts under its customer
 
-	requests      map[uint32]*Request // those that the gateway may still ask something of
+	requests      map[uint32]*Request // those that the module may still ask something of
 	lastRequestID uint32
 
 	servers      serverTable
-	subset       *subset.Subset // which of them the gateway is handed
+	subset       *subset.Subset // which of them the module is handed
 	steering     steeringLease
 	timers       *timerQueue
 	counterCalls counterQueue
 
 	settings         policy.Settings // as last given, without what the rules add
 	loadReportLength int             // how many figures a load report has
-	counterTimeout   time.Duration   // a reply of the counter that took longer is late; 0: none is
+	lateReplyAfter   time.Duration   // a reply of the counter that took longer is late; 0: none is
 	shedRetryAfter   time.Duration   // for the client of a request that is shed; 0: none
 }
 
-// New makes a dispatcher with a gateway that has no memory of an earlier incarnation. Its decisions
+// New makes a dispatcher with a decision module that knows nothing of an earlier run. Its decisions
 // are drawn from the seed. The error is one of the settings.
 func New(settings policy.Settings, seed int64, dependencies Dependencies, log *zap.Logger) (*Dispatcher, error) {
 	d := &Dispatcher{
@@ -78,11 +79,11 @@
 	}
 	d.applySettings(&settings)
 	var err error
-	d.gateway, err = policy.New(settings, seed, host{dispatcher: d})
+	d.module, err = policy.New(settings, seed, host{dispatcher: d})
 	return d, err
 }
 
-// Reconfigure applies new settings to the running gateway and returns them as they are in force:
+// Reconfigure applies new settings to the running module and returns them as they are in force:
 // classes and plans keep their numbers. What is in flight goes on. After an error nothing has
 // changed.
 func (d *Dispatcher) Reconfigure(settings policy.Settings) (policy.Settings, error) {
@@ -96,7 +97,7 @@
 	if d.rules != nil {
 		settings = d.rules.WithRulePlans(settings)
 	}
-	settings, err := d.gateway.Reconfigure(now, settings)
+	settings, err := d.module.Reconfigure(now, settings)
 	if err != nil {
 		return settings, err
 	}
@@ -107,14 +108,14 @@
 	if d.rules != nil {
 		settings = d.rules.WithoutRulePlans(settings)
 	}
-	d.updateGateway(now, policy.ListFull)
+	d.updateModule(now, policy.ListFull)
 	return settings, nil
 }
 
 // applySettings takes what the dispatcher itself goes by from settings.
 func (d *Dispatcher) applySettings(settings *policy.Settings) {
 	d.loadReportLength = len(settings.LoadReportFields)
-	d.counterTimeout = settings.CountTimeout
+	d.lateReplyAfter = settings.CountTimeout
 	d.shedRetryAfter = 0
 	if settings.RetryAfter {
 		d.shedRetryAfter = min(shedRetryAfter(settings.Classes), settings.MaxRetryAfter)
@@ -139,7 +140,7 @@
 // Now is the time by the clock that all gateways share, which windows are counted by.
 func (d *Dispatcher) Now() time.Duration { return d.clock.now() }
 
-// RunTimers notifies the gateway of its timers as they come due, until the context ends.
+// RunTimers notifies the decision module of its timers as they come due, until the context ends.
 func (d *Dispatcher) RunTimers(ctx context.Context) {
 	for {
 		select {
@@ -150,7 +151,7 @@
 		now := d.lock()
 		d.timers.handleAlarm()
 		for token, due := d.timers.popDue(now); due; token, due = d.timers.popDue(now) {
-			d.gateway.HandleTimer(now, token)
+			d.module.HandleTimer(now, token)
 		}
 		d.unlock()
 	}
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -66,14 +66,14 @@
 	}
 }
 
-// expire has a request's timeout end now: the gateway gets the timer that it asked for with that
+// expire has a request's timeout end now: the module gets the timer that it asked for with that
 // token.
 func (f *fixture) expire(request *Request) {
 	f.Helper()
-	const kinds = 4 // of the gateway's tokens, in their low bits; that of the timeout is 0
+	const kinds = 4 // of the module's tokens, in their low bits; that of the timeout is 0
 	now := f.dispatcher.lock()
 	defer f.dispatcher.unlock()
-	if f.dispatcher.gateway.HandleTimer(now, uint64(request.id)*kinds); !request.completed {
+	if f.dispatcher.module.HandleTimer(now, uint64(request.id)*kinds); !request.completed {
 		f.Error("no final answer")
 	}
 }
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -16,8 +16,8 @@
 	nameHash      uint64
 }
 
-// serverTable holds the servers of the endpoint list under the numbers that the gateway knows them
-// by.
+// serverTable holds the servers of the endpoint list under the numbers that the decision
+// module knows them by.
 type serverTable struct {
 	byNumber map[uint32]Server
 	numbers  map[string]uint32 // by name
@@ -29,7 +29,7 @@
 }
 
 // update applies the full list, or what changed of it. A server that is removed is forgotten with
-// its number: the same name later is a new server to the gateway.
+// its number: the same name later is a new server to the decision module.
 func (t *serverTable) update(kind policy.ListKind, servers []Server) {
 	removed := map[string]uint32{} // names that a full list leaves out
 	if kind != policy.ListDelta {
@@ -81,17 +81,17 @@
 	now := d.lock()
 	defer d.unlock()
 	if kind == policy.ListFailed {
-		d.gateway.HandleEndpoints(now, kind, nil)
+		d.module.HandleEndpoints(now, kind, nil)
 		return
 	}
 	d.servers.update(kind, servers)
-	d.updateGateway(now, kind)
+	d.updateModule(now, kind)
 	d.cancelUnbegunAttempts()
 }
 
-// updateGateway gives the gateway the ready servers of its subset. To the gateway the others are
-// removed: it makes attempts at ready ones alone, and what is in flight elsewhere goes on.
-func (d *Dispatcher) updateGateway(now time.Duration, kind policy.ListKind) {
+// updateModule gives the decision module the ready servers of this gateway's subset. To the module
+// the others are removed: it asks for no attempt there, and what is in flight goes on.
+func (d *Dispatcher) updateModule(now time.Duration, kind policy.ListKind) {
 	all := d.servers.candidates()
 	if d.recorder != nil {
 		d.recordEndpoints(now, all)
@@ -101,14 +101,13 @@
 	if kind == policy.ListDelta {
 		kind = policy.ListFull
 	}
-	d.gateway.SetSharers(sharers)
-	d.gateway.HandleEndpoints(now, kind, selected)
+	d.module.SetSharers(sharers)
+	d.module.HandleEndpoints(now, kind, selected)
 }
 
-// refreshEndpoints updates the gateway where the list has not changed, but what follows from it
-// has.
+// refreshEndpoints updates the module where the list has not changed, but what follows from it has.
 func (d *Dispatcher) refreshEndpoints(now time.Duration) {
 	if len(d.servers.byNumber) > 0 {
-		d.updateGateway(now, policy.ListFull)
+		d.updateModule(now, policy.ListFull)
 	}
 }
--- a/internal/gateway/dispatch/host.go
+++ b/internal/gateway/dispatch/host.go
@@ -7,7 +7,7 @@
 	"harrierhoist/policy"
 )
 
-// host is the policy.Host of a dispatcher: it carries out what the gateway asks for, within the
+// host is the policy.Host of a dispatcher: it carries out what the module asks for, within the
 // call and under the lock.
 type host struct{ dispatcher *Dispatcher }
 
@@ -43,7 +43,7 @@
 // by the shared clock: a retry of a keyed request only within the window in which servers know its
 // key.
 func (d *Dispatcher) writeDeadline(requestID uint32, deadline time.Duration) time.Duration {
-	retryDeadline := d.gateway.RetryDeadline(requestID)
+	retryDeadline := d.module.RetryDeadline(requestID)
 	hasRetryDeadline := retryDeadline != 0
 	if hasRetryDeadline && retryDeadline < deadline {
 		return retryDeadline
@@ -67,7 +67,7 @@
 		return
 	}
 	isDemand := r.attempts == 0 && !r.isRepeat
-	if d.recorder != nil && isDemand && d.gateway.IsAdmitted(requestID) {
+	if d.recorder != nil && isDemand && d.module.IsAdmitted(requestID) {
 		d.recorder.AddShed(r.units) // for lack of capacity, not for its quota
 	}
 	r.finish(Decision{Action: Reject, RetryAfter: retryAfter})
@@ -102,7 +102,7 @@
 		now := d.lock()
 		defer d.unlock()
 		report := d.checkedLoadReport(result.LoadReport)
-		d.gateway.HandleHealthCheck(now, serverID, result.Outcome, now-startedAt, report)
+		d.module.HandleHealthCheck(now, serverID, result.Outcome, now-startedAt, report)
 	})
 }
 
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -65,7 +65,7 @@
 		d.admitByRules(now, request, spec, asked)
 		return request
 	}
-	d.gateway.HandleRequest(now, asked)
+	d.module.HandleRequest(now, asked)
 	return request
 }
 
@@ -89,7 +89,7 @@
 	if result.Outcome == policy.Answered && !r.completed {
 		r.complete()
 	}
-	dispatcher.gateway.HandleAttemptResult(now, policy.AttemptResult{
+	dispatcher.module.HandleAttemptResult(now, policy.AttemptResult{
 		RequestID:   r.id,
 		Attempt:     r.attempts - 1,
 		Server:      r.server,
@@ -109,7 +109,7 @@
 	defer r.dispatcher.unlock()
 	if !r.completed {
 		r.finish(Decision{Action: Disconnected})
-		r.dispatcher.gateway.HandleDisconnect(now, r.id)
+		r.dispatcher.module.HandleDisconnect(now, r.id)
 	}
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	r.finish(Decision{Action: Terminate})
-	r.dispatcher.gateway.HandleDisconnect(now, r.id)
+	r.dispatcher.module.HandleDisconnect(now, r.id)
 	if r.current != nil {
 		r.current.abandon()
 	}
@@ -136,7 +136,7 @@
 	r.decisions <- decision
 }
 
-// complete removes the request from those that the gateway may still refer to.
+// complete removes the request from those that the decision module may still refer to.
 func (r *Request) complete() {
 	r.completed = true
 	delete(r.dispatcher.requests, r.id)
--- a/internal/gateway/dispatch/settlement.go
+++ b/internal/gateway/dispatch/settlement.go
@@ -13,9 +13,9 @@
 	d.refreshEndpoints(now)
 }
 
-// UpdateElective gives the gateway the servers that the accounts' shares call for now.
+// UpdateElective gives the decision module the servers that the accounts' shares call for now.
 func (d *Dispatcher) UpdateElective() {
 	now := d.lock()
 	defer d.unlock()
-	d.updateGateway(now, policy.ListFull)
+	d.updateModule(now, policy.ListFull)
 }
--- a/internal/gateway/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -10,7 +10,7 @@
 // Steering says how the dispatcher spreads its attempts over zones.
 type Steering struct {
 	// Weights are, by the number of a zone, the proportions in which servers of the zones are
-	// handed to the gateway; nil: as the endpoint list has them.
+	// handed to the decision module; nil: as the endpoint list has them.
 	Weights []float64
 	// ShedFraction is the part of requests that is rejected at once, 0 to 1.
 	ShedFraction float64
@@ -57,12 +57,13 @@
 		d.steering = steeringLease{}
 		d.applySteering(now, after)
 	case d.subset.IsDue(now):
-		d.updateGateway(now, policy.ListFull)
+		d.updateModule(now, policy.ListFull)
 	}
 }
 
-// shedRequest rejects a request at once where the steering says that it fits in no zone, and
-// reports whether it did. The gateway alone would forward it to zones that have no capacity for it.
+// shedRequest rejects a request at once where it is of the part that the steering sheds, and
+// reports whether it did. The decision module alone would forward it to zones that have no capacity
+// for it.
 func (d *Dispatcher) shedRequest(r *Request) bool {
 	isDemand := d.recorder != nil && !r.isRepeat
 	if isDemand {
@@ -84,7 +85,7 @@
 const shedRetryDivisor = 4
 
 // shedRetryAfter decides the Retry-After of shed requests, by the latency objectives of the classes
-// in force: the same as the gateway gives where no server can be had.
+// in force: the same as the decision module gives where no server can be had.
 func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
 	tightest := time.Duration(math.MaxInt64)
 	for _, class := range classes {
--- a/internal/gateway/dispatch/timers.go
+++ b/internal/gateway/dispatch/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timerQueue holds the timers that the gateway asked for, and the alarm that rings when the first
-// is due.
+// timerQueue holds the timers that the decision module asked for, and the alarm that rings when the
+// first is due.
 type timerQueue struct {
 	heap    timerHeap
 	byToken map[uint64]*timer
@@ -30,7 +30,7 @@
 	return &timerQueue{byToken: map[uint64]*timer{}, alarm: time.NewTimer(time.Hour)}
 }
 
-// set adds a timer. One that has the token already is replaced: the gateway sets a timer anew each
+// set adds a timer. One that has the token already is replaced: the module sets a timer anew each
 // time it comes due, and two with one token would run two chains of timers.
 func (q *timerQueue) set(token uint64, dueAt time.Duration) {
 	q.cancel(token)
