--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -37,7 +37,7 @@
 		if rows[from].shed > 0 {
 			plan.Shed[fromZone] = rows[from].shed
 		}
-		if rows[from].moved {
+		if rows[from].moves {
 			plan.Reasons[fromZone] = in.reason(from)
 		} else if in.plan.Reasons[fromZone] != "" {
 			plan.Reasons[fromZone] = in.plan.Reasons[fromZone]
--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -135,7 +135,7 @@
 // restoreEstimates has a new leader start with the demand that the plan was made for, and with the
 // losses that the plan states, until observations say otherwise.
 func (c *Controller) restoreEstimates(now time.Duration, plan *Plan) {
-	c.estimates.demandKnown = true
+	c.estimates.demandRestored = true
 	for i, zone := range c.zones {
 		c.estimates.demand[i] = float64(plan.Demand[zone]) / storedDemandScale
 		if health, ok := plan.Health[zone]; ok && health <= fullShare*zonestats.Failing/zonestats.Healthy {
--- a/internal/control/failover/demand.go
+++ b/internal/control/failover/demand.go
@@ -31,7 +31,7 @@
 // isSettled decides whether demand is known well enough to move a zone's requests on account of it:
 // a new leader without an earlier plan waits for as long as demand is smoothed.
 func (e *estimates) isSettled(zone int) bool {
-	return e.demandKnown || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxQuietSmoothing)
+	return e.demandRestored || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxQuietSmoothing)
 }
 
 // updateDemand takes in how many gateways a zone has and what they admit, in units a second. Both
@@ -58,7 +58,7 @@
 	if isUnknown(e.demand[zone]) {
 		e.demand[zone] = rate
 	}
-	if !e.demandKnown { // at first the mean of all so far
+	if !e.demandRestored { // at first the mean of all so far
 		smoothing = min(smoothing, max(e.lastSampleAt-e.firstSampleAt, elapsed))
 	}
 	e.demand[zone] += (rate - e.demand[zone]) * -math.Expm1(-float64(elapsed)/float64(max(smoothing, 1)))
--- a/internal/control/failover/estimates.go
+++ b/internal/control/failover/estimates.go
@@ -23,10 +23,10 @@
 	isReporting []bool             // some gateway of the zone reported in the last rateSpan
 	gateways    []float64          // how many gateways report
 
-	demand      []float64       // units a second admitted; or unknown
-	smoothing   []time.Duration // over how long demand was last smoothed
-	hasHeadroom []bool          // the zone serves all of its own requests and is not full
-	demandKnown bool            // demand was known before the first sample
+	demand         []float64       // units a second admitted; or unknown
+	smoothing      []time.Duration // over how long demand was last smoothed
+	hasHeadroom    []bool          // the zone serves all of its own requests and is not full
+	demandRestored bool            // demand is that of an earlier leader's plan, known before any sample
 
 	lastSampleAt  time.Duration
 	firstSampleAt time.Duration
@@ -63,7 +63,8 @@
 		e.updateDemand(observed, from, elapsed)
 		for to := range e.linkHealth {
 			seen := e.confirmedHealth(quick, from, to)
-			if hasSlow && max(seen.older, seen.newer) > zonestats.Failing {
+			answersInPart := max(seen.older, seen.newer) > zonestats.Failing
+			if hasSlow && answersInPart {
 				seen = e.preferSlow(slow, seen, from, to)
 			}
 			e.updateLink(&e.linkHealth[from][to], now, seen, hasSlow)
--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -26,7 +26,7 @@
 )
 
 // fleet is the program's own recorders, digests some of which are lost, the merger, the controller,
-// and the subsets that act on its plans. Servers and the policy module are emulated: each gateway
+// and the subsets that act on its plans. Servers and the decision module are emulated: each gateway
 // makes attempts at a steady rate on servers of its subset, drawn from those without a recent
 // failure.
 type fleet struct {
--- a/internal/control/failover/health.go
+++ b/internal/control/failover/health.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// healthMemoryHoldDowns is after how many hold-downs without a report a loss is no longer
-	// believed: a link that a plan avoids is not observed.
+	// healthMemoryHoldDowns is for how many hold-downs a loss is believed without a further report: a
+	// link that a plan avoids is not observed.
 	healthMemoryHoldDowns = 3
 	// maxReportAge is how old one zone's observation of another may be to be compared with a
 	// third's.
@@ -59,8 +59,9 @@
 	return quickly
 }
 
-// updateLink takes in what a zone's gateways agree on for another zone, in quarters. An estimate
-// that is not steady yet starts anew each time; one without a report for too long becomes unknown.
+// updateLink takes in what a zone's gateways agree on for another zone, in quarters. Until samples
+// reach over the slow spans (isSteady) the estimate starts anew each time; without a report for the
+// health memory it becomes unknown.
 func (e *estimates) updateLink(link *healthEstimate, now time.Duration, seen confirmation[int], isSteady bool) {
 	if !seen.isKnown() {
 		if e.isForgotten(*link, now) {
--- a/internal/control/failover/plan.go
+++ b/internal/control/failover/plan.go
@@ -38,7 +38,7 @@
 	// LostLinks are the pairs of zones (from, to) whose link is held to be lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
 	// Shed is the part of a row's local share that fits nowhere and is rejected at once, as the
-	// zone is lost or recovering. In a zone that is merely full the policy module sheds, and this
+	// zone is lost or recovering. In a zone that is merely full the decision module sheds, and this
 	// is 0.
 	Shed map[string]int `cbor:"7,keyasint"`
 	// Reasons tell operators, by zone, why its row moved last.
@@ -74,7 +74,7 @@
 
 // Assignment is how a gateway in a zone acts.
 type Assignment struct {
-	// Weights are, by zone, in what proportion its servers are offered to the policy module. Where
+	// Weights are, by zone, in what proportion its servers are offered to the decision module. Where
 	// all are 0, no server is offered.
 	Weights map[string]float64
 	// Shed is the part of the requests, 0 to 1, that is rejected at once, as it fits nowhere.
@@ -88,8 +88,8 @@
 func local(zone string) Assignment { return Assignment{Weights: map[string]float64{zone: 1}} }
 
 // Assignment decides how a gateway in a zone acts on the plan. Of a zone that answers in part more
-// servers are offered, as the policy module ejects those that do not. A zone that the plan does not
-// know serves locally.
+// servers are offered, as the decision module ejects those that do not. A zone that the plan does
+// not know serves locally.
 func (p *Plan) Assignment(zone string) Assignment {
 	row := p.Rows[zone]
 	if len(row) == 0 {
--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -15,17 +15,17 @@
 	lostLinks   [][]bool
 	shares      [][]float64 // of the plan in force, less what is shed
 	loads       []float64   // units a second that the plan in force sends to a zone
-	toLeave     [][]bool    // shares to be moved away: they go to what is unreachable or overloaded
-	unreachable [][]bool    // of these, those that go to a lost zone or over a lost link
+	toLeave     [][]bool    // pairs whose share has to leave: the receiver is unreachable or overloaded
+	unreachable [][]bool    // of these, those to a lost zone or over a lost link
 	previous    [][]float64 // the most that any gateway may still send, in units a second
 }
 
 const (
-	// minDemand stands for the demand of a zone at which nothing is known to come in, in units a
-	// second: a row needs some.
+	// minDemand is the demand, in units a second, of a zone at which less or nothing is known to come
+	// in: shares are parts of it.
 	minDemand = 0.001
-	// roundingTolerance is the part that whole thousandths may be off, for all zones of a row
-	// together.
+	// roundingTolerance is the part by which shares in whole thousandths may be off, for all zones of
+	// a row together.
 	roundingTolerance = 0.02
 	// minSubset is how many servers a gateway is offered, and by how many gateways each server is
 	// used in the mean, at least (package subset).
@@ -43,10 +43,10 @@
 func (c *Controller) nextPlan(now time.Duration) *Plan {
 	input := c.newPlanInput(now)
 	rows := input.computeRows()
-	hasMoved := slices.ContainsFunc(rows, func(row zoneRow) bool { return row.moved })
+	hasMoved := slices.ContainsFunc(rows, func(row zoneRow) bool { return row.moves })
 	heldDown := []string{}
 	for i, zone := range c.zones {
-		if rows[i].moved || c.isHeldDown(i, now) {
+		if rows[i].moves || c.isHeldDown(i, now) {
 			heldDown = append(heldDown, zone)
 		}
 	}
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -20,7 +20,7 @@
 type zoneRow struct {
 	shares []int // by receiver, in thousandths
 	shed   int   // thousandths of the own zone's share
-	moved  bool  // the row is to move; until it is laid out, it may
+	moves  bool  // the row is laid out anew; layOut takes that back where it is not worth it
 }
 
 // mustLeave decides whether a zone's requests are to be moved away from somewhere, hold-down or
@@ -33,13 +33,13 @@
 	return in.estimates.isSettled(from) && in.estimates.isReporting[from] && !in.isHeldDown(from, in.now)
 }
 
-// computeRows decides the rows of the next plan. A row that is not worth moving stays; the others
-// are then laid out anew around it.
+// computeRows decides the rows of the next plan. All that may move are laid out together; a row
+// that is not worth moving then stays, and the others are laid out again around it.
 func (in *planInput) computeRows() []zoneRow {
 	rows := make([]zoneRow, len(in.zones))
 	for from := range rows {
 		rows[from] = in.currentRow(from)
-		rows[from].moved = in.mustLeave(from) || in.canMove(from)
+		rows[from].moves = in.mustLeave(from) || in.canMove(from)
 	}
 	again := true
 	for again {
@@ -54,7 +54,7 @@
 	result := in.newLayout(rows)
 	result.compute()
 	for from := range rows {
-		if !rows[from].moved {
+		if !rows[from].moves {
 			continue
 		}
 		next := in.computedRow(result, from)
@@ -73,8 +73,9 @@
 	return zoneRow{shares: in.rows[from], shed: in.plan.Shed[in.zones[from]]}
 }
 
-// computedRow is a zone's row by a layout. In a zone that is merely full, and of its own requests
-// alone, the policy module sheds: the plan does only what returns by more than a recovery step.
+// computedRow is a zone's row by a layout. In a zone that serves and is full of its own requests
+// alone the decision module sheds what fits nowhere; the plan sheds only the part by which the own
+// share would otherwise grow beyond one recovery step.
 func (in *planInput) computedRow(result *layout, from int) zoneRow {
 	shares, shed := toThousandths(result.allocation[from], result.unplaced[from], from)
 	ofOthers := result.loads[from] - result.allocation[from][from]
@@ -83,7 +84,7 @@
 	if isServing && isFull && ofOthers < minDemand {
 		shed = max(shares[from]-int((in.shares[from][from]+in.settings.RecoveryStep)*fullShare), 0)
 	}
-	return zoneRow{shares: shares, shed: shed, moved: true}
+	return zoneRow{shares: shares, shed: shed, moves: true}
 }
 
 // newLayout is what is to be laid out, with the rows that are not to move fixed.
@@ -104,7 +105,7 @@
 		}
 		result.low = append(result.low, low)
 		result.high = append(result.high, high)
-		if !rows[from].moved {
+		if !rows[from].moves {
 			result.fixed[from] = current
 		}
 		result.probes[from] = in.probeShare(from) * in.demand[from]
@@ -121,13 +122,13 @@
 	isLocal := to == from
 	leaves := in.toLeave[from][to]
 	switch {
-	case !in.mustLeave(from):
+	case !in.mustLeave(from): // nothing fails
 		return 0, step
 	case in.canMove(from) && isLocal && !leaves:
 		return 0, step
 	case in.canMove(from):
 		return 0, math.Inf(1)
-	case leaves:
+	case leaves: // here and below the zone is in hold-down: what does not fail stays
 		return 0, current
 	case isLocal:
 		return current, step
--- a/internal/control/failover/staleness.go
+++ b/internal/control/failover/staleness.go
@@ -33,13 +33,14 @@
 	})
 }
 
-// isFallbackStale decides whether a zone's fallback row is too far off to stay.
+// isFallbackStale decides whether a zone's old fallback row is too far off the one that would be
+// written now.
 func (in *planInput) isFallbackStale(row, old map[string]int) bool {
 	return slices.ContainsFunc(in.zones, func(zone string) bool {
 		now := float64(row[zone])
 		before := float64(old[zone])
-		isTooHigh := now < before*(1-fallbackTolerance)-minFallbackChange
-		isTooLow := now*(1-fallbackTolerance)-minFallbackChange > before
-		return isTooHigh || isTooLow
+		wasTooHigh := now < before*(1-fallbackTolerance)-minFallbackChange
+		wasTooLow := now*(1-fallbackTolerance)-minFallbackChange > before
+		return wasTooHigh || wasTooLow
 	})
 }
--- a/internal/control/failover/zonestats/names.go
+++ b/internal/control/failover/zonestats/names.go
@@ -75,8 +75,8 @@
 // AnswerTime names the milliseconds that answers took, by zones.
 func AnswerTime(from, to string) string { return observation.JoinName(nameAnswerTime, from, to) }
 
-// CounterCalls names the calls of a zone's gateways to the counter that were done in time, or late:
-// in time for no request, or not at all.
+// CounterCalls names the calls of a zone's gateways to the counter, by outcome: done, or late,
+// which includes those that failed.
 func CounterCalls(zone, outcome string) string {
 	return observation.JoinName(nameCounterCalls, zone, outcome)
 }
--- a/internal/control/failover/zonestats/recorder.go
+++ b/internal/control/failover/zonestats/recorder.go
@@ -62,11 +62,11 @@
 	return r.zones[min(max(index, 0), len(r.zones)-1)]
 }
 
-// AddOffered counts a request that came in, in units.
+// AddOffered counts the units of a first try that came in.
 func (r *Recorder) AddOffered(units float64) { r.offered += units * thousandths }
 
 // AddShed counts the units of a first try that was rejected for want of capacity before any
-// attempt, by a plan that sheds or by the policy module after the quota admitted it. It is demand
+// attempt, by a plan that sheds or by the decision module after the quota admitted it. It is demand
 // as well: prevents a crowded zone, whose gateways reject what would have to move, from looking
 // merely full.
 func (r *Recorder) AddShed(units float64) { r.admitted += units * thousandths }
@@ -85,7 +85,7 @@
 	r.zone(zone).addResult(now, server, outcome, took)
 }
 
-// AddCounterCall counts the end of a call to the counter.
+// AddCounterCall counts the end of a call to the counter; one that failed counts as late.
 func (r *Recorder) AddCounterCall(isLate bool) {
 	if isLate {
 		r.callsLate++
@@ -121,7 +121,7 @@
 }
 
 // warmUpFraction is the part of its power, 0 to 1, that a server has while it warms up, as the
-// policy module takes it.
+// decision module takes it.
 func (r *Recorder) warmUpFraction(now time.Duration, endpoint policy.Endpoint) float64 {
 	if endpoint.StartedAt <= 0 || r.warmUpTime <= 0 {
 		return 1
--- a/internal/control/failover/zonestats/zone.go
+++ b/internal/control/failover/zonestats/zone.go
@@ -10,10 +10,10 @@
 const (
 	// resultMemory is how long the latest result of a server counts.
 	resultMemory = 6 * time.Second
-	// minFailedRun is how many servers must have failed, with no answer of any between, to be a
-	// loss at once, whatever was healthy before.
+	// minFailedRun is how many servers must have failed, with no answer of any in between, for a
+	// loss at once, whatever had answered before.
 	minFailedRun = 3
-	// freshTime is how far back nothing answered, for fewer failed servers to speak of a loss: one
+	// freshTime is the time in which, without any answer, fewer failed servers tell of a loss: one
 	// makes the zone failing, minFreshFailures make it lost.
 	freshTime        = time.Second
 	minFreshFailures = 2
