--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -7,8 +7,9 @@
 )
 
 // Admission admits requests by the keys that they have to pass beside the decision module's own. It
-// adds the units with the read of the count, so that what two processes ask at once exceeds no
-// limit, and settles the difference later. Not safe for use by several goroutines at once.
+// adds a request's units to the count in the call that reads it, so that two processes that ask at
+// once do not exceed the limit, and corrects them by what was used once the request has ended. Not
+// safe for use by several goroutines at once.
 type Admission struct {
 	localShare float64              // part of a limit, from 0 to 1, used without a counter
 	keys       map[uint64]*keyState // by key
@@ -83,9 +84,9 @@
 }
 
 // HandleCount decides whether a request is admitted by one key: by the counter's answer, in units,
-// or by this process's share where none came in time (answered false). Where the window was
-// untouched, previous is the one before it, to be read with zero units: what Deficit makes of that
-// count is to be added to this window's, as the decision module does.
+// or by this process's share where none came in time (answered false). previous is not nil for the
+// first answer in a window that nobody has used: its caller reads that earlier window with zero
+// units, and adds the Deficit by its count to this one's, as the decision module does.
 func (a *Admission) HandleCount(
 	reservation Reservation, count float64, answered bool,
 ) (admitted bool, previous *Window) {
@@ -155,8 +156,8 @@
 )
 
 // Settle decides what is to be added to the reservation's count once the request has ended, by the
-// weighted units that it used. What may not have been added is not taken off again: a count that is
-// too low would exceed a limit.
+// weighted units that it used; less than 0 takes units off. Units that are not known to have been
+// added are not taken off: the count would be too low, and the limit exceeded.
 func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, charge ChargeState) float64 {
 	if state := a.keys[reservation.key]; state != nil && admitted {
 		state.remaining += reservation.Units - used
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -20,7 +20,7 @@
 
 	epoch    uint64 // of the entry that the baseline belongs to
 	ledSince time.Duration
-	baseline map[string]uint64 // the sums that are in TrialState.Sums of that entry
+	baseline map[string]uint64 // the sums that TrialState.Sums of that entry has already
 	latest   proposal
 }
 
--- a/internal/control/countingrule/canary/keystate.go
+++ b/internal/control/countingrule/canary/keystate.go
@@ -17,8 +17,8 @@
 	window        countingrule.Window
 	sampledAt     time.Duration // when the latest count was read
 	remaining     float64       // at that time
-	pending       float64       // admitted and not yet added to the key's count
-	flushAt       time.Duration // when that is added without a request, or noFlush
+	pending       float64       // units admitted and not yet added to the key's count
+	flushAt       time.Duration // when these are added without a further request, or noFlush
 	lastUsed      time.Duration
 	carriedWindow int64 // the latest window whose carry-over was begun
 }
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxBudget     = 64.0             // calls that a side may save up
+	maxBudget     = 64.0             // calls that a side may have earned and not made
 	flushDelay    = time.Second      // until a key's units are added without a request
 	sweepInterval = flushDelay / 2   // between two flushes
-	keyTTL        = 60 * time.Second // of an unused key, whose windows the counter dropped
+	keyTTL        = 60 * time.Second // of an unused key: the counter has dropped its windows by then
 	maxKeys       = 50_000           // of a side at one process; further keys are not evaluated
 )
 
@@ -60,7 +60,7 @@
 	pending   int // sides that await a count
 	admitted  [sideCount]bool
 	overLimit float64 // units admitted by the new rule beyond its limit
-	estimated bool    // a side was decided without a count
+	estimated bool    // a side decided without a count
 }
 
 // NewShadow begins a shadow evaluation. The seed is the canary's own, callsPermille the share of
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -10,7 +10,7 @@
 
 // When a trial is evaluated, and of how much.
 const (
-	settleDelay      = 10 * time.Second // for full counts and observations on their way
+	settleDelay      = 10 * time.Second // for counts that begin full, and observations on their way
 	minBucketUnits   = 1000             // thousandths of a unit that a bucket must have requested
 	maxEstimatedPart = 0.25             // of the sampled requests, from 0 to 1, decided without a count
 )
@@ -25,8 +25,8 @@
 // When a switch takes effect.
 const (
 	maxClockSkew      = 500 * time.Millisecond
-	leadReadWaits     = 2           // most processes hear of a switch under their lease
-	leadClockSkews    = 2           // one process ahead, another behind
+	leadReadWaits     = 2           // waits of a read: most processes hear of a switch under their lease
+	leadClockSkews    = 2           // maxClockSkew: one process ahead, another behind
 	switchGranularity = time.Second // whole seconds of the common clock are easy to find in a log
 )
 
@@ -73,8 +73,8 @@
 // hasSwitched decides whether the switch has come at every process, whatever its clock's skew.
 func (s *step) hasSwitched() bool { return s.now >= s.table.SwitchAt+maxClockSkew }
 
-// followActivation watches a rule that has come into force, or rolls it back where the operators
-// want the earlier rule again.
+// followActivation watches a rule that has come into force, or rolls it back where the file names
+// the earlier rule again.
 func (s *step) followActivation() bool {
 	if !s.hasSwitched() {
 		return false
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -33,7 +33,7 @@
 	rules     ruleSet
 	canary    canaryRun
 	admission *countingrule.Admission
-	uncertain bool // which version is in force, as last logged
+	uncertain bool // as last logged: it is not certain which version is in force
 }
 
 // New makes an enforcer of a file's configuration.
@@ -148,8 +148,8 @@
 	return countingrule.ClientSettings(settings)
 }
 
-// HandleCounterCall counts a call that the decision module makes: the canary may make a share of
-// these.
+// HandleCounterCall counts a call that the decision module makes: it earns the canary a part of one
+// (CallsPermille).
 func (e *Enforcer) HandleCounterCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,8 +157,8 @@
 }
 
 // Assign decides how a request is counted: by the first of the versions that may be in force now,
-// and at the counts of the others, which must admit it, too. The request keeps these counts
-// whatever comes into force later.
+// and at the counts of the others, which must admit it, too. The request keeps these counts,
+// whichever version is in force later.
 func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
 	held, leased := e.readTable()
 	e.mu.Lock()
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -8,11 +8,11 @@
 	"harrierhoist/policy"
 )
 
-// timeoutDivisor is by what the latency objective is divided for the counts to answer, as for the
-// decision module's own check.
+// timeoutDivisor divides the latency objective: the counts have that part of it to answer, as the
+// decision module's own call has.
 const timeoutDivisor = 4
 
-// answerTimeout decides how long a request waits for the counts beside the decision module's.
+// answerTimeout decides how long a request waits for the counts of the other rules.
 func answerTimeout(class *policy.TrafficClass) time.Duration {
 	return class.LatencyObjective / timeoutDivisor
 }
@@ -50,8 +50,8 @@
 	mu        *sync.Mutex // the enforcer's: it guards what follows
 	admission *countingrule.Admission
 	all       []reservation
-	pending   int    // counts that have not answered
-	rejected  bool   // by a count that has answered
+	pending   int    // counts that have neither answered nor timed out
+	rejected  bool   // by at least one of the others
 	usage     *usage // nil: the request has no final answer yet
 }
 
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -18,8 +18,8 @@
 	config       *countingrule.Config
 	settings     policy.Settings     // in force
 	known        []countingrule.Rule // of the table and of the configuration
-	merged       bool                // known has all rules of both
-	plansApplied bool                // the settings' plans have all known rules
+	merged       bool                // known has all rules of table and configuration
+	plansApplied bool                // the settings' plans include those of all known rules
 	resolved     map[uint64]*countingrule.Resolved
 	table        countingrule.Table
 	epoch        uint64 // of the table; 0: none was received
@@ -33,7 +33,7 @@
 // hasTable tells whether a table was ever received.
 func (r *ruleSet) hasTable() bool { return r.epoch > 0 }
 
-// apply takes a table as cached, and tells whether there is a rule that the plans do not have yet.
+// apply takes a table as cached, and tells whether a rule's plans are not in the settings yet.
 func (r *ruleSet) apply(held coordination.CachedTable) (newRules bool) {
 	if held.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
 		r.epoch = held.Epoch
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -16,13 +16,13 @@
 // maxHashedBytes is the length of the longest key that Hash takes without an allocation: six words.
 const maxHashedBytes = 6 * 8
 
-// Assignment is the counter key that a request is charged to.
+// Assignment is the counter key that a request is charged to, and the plan that limits it there.
 type Assignment struct {
 	Version uint64  // of the rule
 	Key     uint64  // stands for the customer in the decision module, and so in the counter's names
 	Plan    int     // index in the settings that WithRulePlans gave
 	Weight  float64 // what a unit counts
-	Shared  bool    // by several customers: its requests come through any gateway
+	Shared  bool    // several customers have the key: its requests come through any gateway
 }
 
 // Resolved is a rule resolved against the classes and plans of settings. It does not change, and
@@ -36,8 +36,8 @@
 	usesPart                [len(keyParts)]bool
 }
 
-// SharedCountError tells that a rule cannot apply: its counts are shared by customers, and a plan
-// limits each of them.
+// SharedCountError tells that a rule cannot apply: its counts are shared by customers, while a plan
+// limits each customer by itself (attempts in flight, or a ceiling).
 type SharedCountError struct {
 	Version uint64 // of the rule
 	Plan    string // the plan's name
--- a/internal/control/countingrule/table.go
+++ b/internal/control/countingrule/table.go
@@ -106,16 +106,16 @@
 	TableLeased                    // its lease holds: whatever was committed since has a later switch
 )
 
-// isCertain decides whether the version that the table says is in force is known to be so: under a
-// lease, or before a switch, as no switch is undone before its time.
+// isCertain decides whether the version that the table names as in force is certain to be: under a
+// lease, or before a switch that the table announces, as none is undone before its time.
 func (t *Table) isCertain(now time.Duration, status TableStatus) bool {
 	return status == TableLeased || t.hasSwitch() && now < t.SwitchAt
 }
 
-// CandidateVersions decides which versions may be in force at a time; a request admitted then has
-// to pass all of them, and the decision module counts it by the first. config is the process's own:
-// it names rules that may have come into force since the table was read. Prevents a process that is
-// cut off or asleep from exceeding the limits of a rule that it has not heard of.
+// CandidateVersions decides which versions may be in force at a time. A request admitted then has
+// to pass all of them; the decision module counts it by the first. config is the process's own: it
+// names rules that may have come into force since the table was read. Prevents a process that is
+// cut off or paused from exceeding the limits of a rule that it has not heard of.
 func (t *Table) CandidateVersions(now time.Duration, status TableStatus, config *Config) []uint64 {
 	first := t.InForce(now)
 	if t.isCertain(now, status) {
