--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -1,6 +1,7 @@
-// Package counter calls the counter that all gateways share, in lines of text, pipelined on a few
-// persistent connections and answered in order; it decides when a connection is given up, not how
-// long a call is waited for. The dispatcher calls Add, by way of the gateway's wiring.
+// Package counter is the client of the counter that all gateways share: it sends calls in lines of
+// text, pipelined on a few persistent connections that answer in order, and decides when a
+// connection is given up. It bounds no request's wait for a count: the decision module does. The
+// dispatcher calls Add, by way of the gateway's wiring.
 package counter
 
 import (
@@ -16,7 +17,7 @@
 
 const (
 	shardCount      = 8                      // connections: a slow one delays only some names
-	maxQueued       = 256                    // calls of a shard that wait; more fail at once
+	maxQueued       = 256                    // calls of a shard that are not written yet; more fail at once
 	minNameLifetime = time.Millisecond       // the shortest lifetime of a name in the protocol
 	writeTimeout    = 250 * time.Millisecond // of a few bytes
 	lossLogInterval = 10 * time.Second       // between log lines on lost connections
@@ -41,7 +42,7 @@
 }
 
 // New makes a client for the counter at an address, host:port. It connects with the first calls;
-// the timeout bounds a dial, and the wait for the oldest answer of a connection.
+// the timeout bounds a dial, and how long a connection's oldest call may have no answer.
 func New(addr string, timeout time.Duration, log *zap.Logger) *Counter {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Counter{cancel: cancel, goroutines: &sync.WaitGroup{}}
@@ -78,7 +79,8 @@
 
 // Add adds units to the number under a name, which the counter drops when its lifetime ends, and
 // passes the total to done, however late. Calls for one name are answered in order. Outcomes are
-// Answered; Rejected and ConnectFailed, where nothing was added; TimedOut, where it may have been.
+// Answered; Rejected and ConnectFailed, where nothing was added; TimedOut, where the connection
+// ended without an answer: the units may have been added.
 func (c *Counter) Add(name uint64, units float64, lifetime time.Duration, done func(float64, policy.Outcome)) {
 	text := "incr " + strconv.FormatUint(name, decimalBase) +
 		" " + strconv.FormatFloat(units, 'f', -1, floatBits) +
@@ -101,8 +103,8 @@
 
 	mu          sync.Mutex
 	loggedAt    time.Time // of the latest line; zero: none
-	calls       int       // pending on connections lost since
-	connections int       // lost since
+	calls       int       // that were pending on connections lost since
+	connections int       // lost since with pending calls
 }
 
 // add counts a connection that was lost with pending calls, and logs the sums since the latest line
--- a/internal/gateway/counter/read.go
+++ b/internal/gateway/counter/read.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// readFailure gives the reason why a connection has to end after a read: nil after one that
-// succeeded.
+// readFailure decides why a connection has to end after a read; nil: the read succeeded, and the
+// connection goes on.
 func readFailure(err error) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -42,7 +42,8 @@
 }
 
 // deliver gives an answer to the oldest pending call of a connection. An error is why the
-// connection has to end; a malformed answer leaves its call pending, as it may have been added.
+// connection has to end. A malformed answer leaves its call pending: disconnect ends it as timed
+// out, as its units may have been added.
 func (s *shard) deliver(conn *connection, line string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -24,7 +24,7 @@
 )
 
 // shard has a part of the names: the calls for them, in order, and the connection that new calls
-// are written to.
+// are written to. writeCalls is its one writer; each connection has its reader, readAnswers.
 type shard struct {
 	timeout    time.Duration
 	losses     *lossLog
@@ -35,7 +35,7 @@
 	mu         sync.Mutex // held for the connections' fields too
 	addr       string
 	current    *connection              // nil: none is up
-	open       map[*connection]struct{} // current, and earlier ones with pending calls
+	open       map[*connection]struct{} // whose reader runs: current, and earlier ones with pending calls
 	cancelDial context.CancelFunc       // of the dial under way; nil: none is
 }
 
@@ -106,8 +106,8 @@
 	s.goroutines.Go(func() { s.readAnswers(conn) })
 }
 
-// setAddress leaves the current connection to its pending calls, whose last answer closes it, and
-// ends a dial to the old address.
+// setAddress ends a dial to the old address and leaves the current connection to its pending calls;
+// their last answer closes it (deliver).
 func (s *shard) setAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// setReadDeadline bounds the wait for the oldest answer.
+// setReadDeadline has the connection's reader give up at its readDeadline.
 func (s *shard) setReadDeadline(conn *connection) {
 	// It fails on a closed connection alone, as reads do.
 	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout))
--- a/internal/gateway/counter/write.go
+++ b/internal/gateway/counter/write.go
@@ -36,7 +36,7 @@
 func (s *shard) writeCall(conn *connection, next *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != conn { // it was closed, or the address changed, meanwhile
+	if s.current != conn { // it was closed, or the address was changed, since connect returned it
 		next.done(0, policy.ConnectFailed)
 		return
 	}
