--- a/policy/admission.go
+++ b/policy/admission.go
@@ -18,7 +18,7 @@
 	customer := &customerState{
 		id: r.Customer, plan: plan, planIndex: r.Plan,
 		gateways:   float64(min(max(r.GatewayCount, 1), settings.Gateways)),
-		refilledAt: time.Duration(a.env.startedAt), available: plan.Burst, usage: 1,
+		refilledAt: time.Duration(a.env.firstListAt), available: plan.Burst, usage: 1,
 	}
 	customer.resetWindows(a.env.now)
 	a.customers[r.Customer] = customer
@@ -78,8 +78,7 @@
 }
 
 // check admits a request, rejects it, or calls the counter, whose answer then decides; the call
-// brings the customer's pending charges. Repeats of sparse customers are rejected uncounted while
-// calls are made for some requests only: they would take calls from first tries.
+// brings the customer's pending charges.
 func (a *admission) check(request *requestState) {
 	customer := request.customer
 	customer.refill(a.env.now)
@@ -91,13 +90,12 @@
 		a.reject(request, request.class.Timeout)
 	case customer.isExhausted(request.Units):
 		a.decide(request, true) // as a count grows, none could admit it
-	case request.Repeat && a.callProbability < 1 && customer.isSparse(request.Units):
+	case a.rejectsRepeat(request):
 		a.reject(request, a.balancer.capacityWait())
 	case a.callsCounterFor(customer):
 		request.awaitsCount = true
 		a.sendCharges(customer, request, 1)
-		wait := counterWaitFraction * float64(request.class.LatencyObjective)
-		a.env.setTimer(timerCounterWait, request.ID, time.Duration(wait))
+		a.env.setTimer(timerCounterWait, request.ID, request.class.counterWait())
 	default:
 		a.decide(request, false)
 	}
@@ -110,6 +108,17 @@
 	return now >= request.objectiveAt || now+request.expectedLatency(requiredDecile) > request.Deadline
 }
 
+// rejectsRepeat decides whether a request is rejected uncounted: a repeat of a sparse customer,
+// while calls are made for some requests only. It would take a call from first tries.
+func (a *admission) rejectsRepeat(request *requestState) bool {
+	return request.Repeat && a.callProbability < 1 && request.customer.isSparse(request.Units)
+}
+
+// counterWait is how long a request of the class waits for the counter.
+func (c *classState) counterWait() time.Duration {
+	return time.Duration(counterWaitFraction * float64(c.LatencyObjective))
+}
+
 // callsCounterFor reports, at random while calls fail, whether the counter is called for a
 // customer. The nearer the customer is to its limit and the fewer gateways it has, the likelier:
 // there a count matters most.
--- a/policy/events.go
+++ b/policy/events.go
@@ -23,8 +23,8 @@
 
 // HandleEndpoints takes an endpoint list, or what has changed of it.
 func (g *Gateway) HandleEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
-	if !g.startedAt.happened() {
-		g.startedAt = eventTime(now)
+	if !g.firstListAt.happened() {
+		g.firstListAt = eventTime(now)
 	}
 	g.dispatch(now, g.balancer, &endpointsArrived{kind, list})
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -38,7 +38,7 @@
 	tightestObjective time.Duration // the shortest latency objective of all classes
 	now               time.Duration
 	standstill        time.Duration // between the two latest events: the process may have stood still so long
-	startedAt         eventTime     // when the first endpoint list came
+	firstListAt       eventTime     // when the first endpoint list came
 }
 
 // New makes a module that knows nothing of an earlier incarnation. It asks nothing of the host yet.
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// shouldRetry decides whether a request gets another attempt: while no overload is seen, as retries
-// add to it, and while it can be answered within its objective.
+// shouldRetry decides whether a request gets another attempt: where its earlier ones allow it
+// (canAttempt, with Settings.MaxAttempts), maxRetries times at most, while no overload is seen, as
+// retries add to it, and while it can be answered within its objective.
 func (l *lifecycle) shouldRetry(request *requestState) bool {
 	if !request.canAttempt(l.env.now, nil, &l.env.settings) || len(request.attempts) > maxRetries {
 		return false
