--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -6,7 +6,23 @@
 	"strings"
 )
 
-// The wording of the checks is that of the file: its keys, and the words of docs/lab.md.
+// The words of the messages are those of the file's keys and of docs/lab.md.
+
+// Limits of what a file may say.
+const (
+	maxGateways           = 100_000
+	maxServers            = 100_000
+	maxAttemptsPerRequest = 16
+	maxCores              = 1024
+	maxQueuedRequests     = 1e6
+	maxRackSize           = 1e6
+	maxServerConnections  = 1e6
+	maxCustomersPerPlan   = 1e7
+	maxRetriesPerRequest  = 10
+	maxSkew               = 3    // exponent of customers' sizes by rank
+	maxDeclaredDeviation  = 2    // over the true units
+	minWarmUpStart        = 0.01 // part of a server's speed
+)
 
 // problem is one thing that is wrong with a scenario.
 type problem struct{ key, message string }
@@ -21,24 +37,30 @@
 	}
 }
 
+// within adds a problem unless a value lies between two bounds.
 func (c *checker) within(key string, v, lowest, highest float64) {
 	c.check(v >= lowest && v <= highest, key, "is %g; from %g to %g is allowed", v, lowest, highest)
 }
 
+// positive adds a problem unless a span is more than zero.
 func (c *checker) positive(key string, s Span) {
 	c.check(s > 0, key, "is %v; it has to be more than nought", s.D())
 }
 
+// notNegative adds a problem if a span is less than zero.
 func (c *checker) notNegative(key string, s Span) { c.check(s >= 0, key, "is less than nought") }
 
+// moreThanZero adds a problem unless a number is more than zero.
 func (c *checker) moreThanZero(key string, v float64) {
 	c.check(v > 0, key, "is %g; more than nought is allowed", v)
 }
 
+// zeroOrMore adds a problem if a number is less than zero.
 func (c *checker) zeroOrMore(key string, v float64) {
 	c.check(v >= 0, key, "is %g; nought at least", v)
 }
 
+// oneOf adds a problem unless a word is one of those allowed.
 func (c *checker) oneOf(key, got string, words ...string) {
 	c.check(slices.Contains(words, got), key, "is %q; one of %q is allowed", got, words)
 }
@@ -54,12 +76,12 @@
 func (s *Scenario) problems() []problem {
 	checker := &checker{}
 	checker.positive("length", s.Length)
-	checker.within("gateways.count", float64(s.Gateways.Count), 1, 100000)
+	checker.within("gateways.count", float64(s.Gateways.Count), 1, maxGateways)
 	checker.within("gateways.halls", float64(s.Gateways.Zones), 1, maxZones)
 	s.checkRegions(checker)
 	s.Coordination.check(checker)
 	s.checkFailover(checker)
-	checker.within("gateways.pushes", float64(s.Gateways.MaxAttempts), 1, 16)
+	checker.within("gateways.pushes", float64(s.Gateways.MaxAttempts), 1, maxAttemptsPerRequest)
 	s.Servers.check(checker)
 	classes := map[string]bool{}
 	classShare := 0.0
@@ -84,16 +106,16 @@
 }
 
 func (s *Servers) check(checker *checker) {
-	checker.within("servers.count", float64(s.Count), 1, 100000)
-	checker.within("servers.cores", float64(s.Cores), 1, 1024)
-	checker.within("servers.queue", float64(s.QueueLimit), 0, 1e6)
+	checker.within("servers.count", float64(s.Count), 1, maxServers)
+	checker.within("servers.cores", float64(s.Cores), 1, maxCores)
+	checker.within("servers.queue", float64(s.QueueLimit), 0, maxQueuedRequests)
 	checker.check(s.Speed[0] > 0 && s.Speed[0] <= s.Speed[1], "servers.speed",
 		"is %v; the first is more than nought and no more than the second", s.Speed)
-	checker.within("servers.cell", float64(s.RackSize), 1, 1e6)
-	checker.within("servers.connections", float64(s.MaxConnections), 1, 1e6)
+	checker.within("servers.cell", float64(s.RackSize), 1, maxRackSize)
+	checker.within("servers.connections", float64(s.MaxConnections), 1, maxServerConnections)
 	checker.positive("servers.idle", s.IdleTimeout)
 	checker.notNegative("servers.handshake", s.HandshakeWork)
-	checker.within("servers.cold_from", s.WarmUpStart, 0.01, 1)
+	checker.within("servers.cold_from", s.WarmUpStart, minWarmUpStart, 1)
 	checker.notNegative("servers.warm_after", s.WarmUpTime)
 	checker.within("servers.errors", s.ErrorRate, 0, 1)
 	checker.oneOf("servers.stop", s.Cancellation, CancelNone, CancelQueued, CancelAll)
@@ -130,7 +152,7 @@
 	checker.check(p.Name != "" && !names[p.Name], key("name"), "is %q; each plan has a name of its own", p.Name)
 	names[p.Name] = true
 	checker.zeroOrMore(key("share"), p.Share)
-	checker.within(key("customers"), float64(p.Customers), 1, 1e7)
+	checker.within(key("customers"), float64(p.Customers), 1, maxCustomersPerPlan)
 	checker.zeroOrMore(key("rate"), p.Rate)
 	checker.check(p.Rate == 0 && p.Burst == 0 || p.Rate > 0 && p.Burst > 0, key("burst"),
 		"is %g with a rate of %g; both, or neither", p.Burst, p.Rate)
@@ -144,13 +166,13 @@
 // checkLoad checks the load and the clients.
 func (s *Scenario) checkLoad(c *checker) {
 	c.moreThanZero("load.rate", s.Load.Rate)
-	c.within("load.skew", s.Load.Skew, 0, 3)
+	c.within("load.skew", s.Load.Skew, 0, maxSkew)
 	c.moreThanZero("load.units", s.Load.MeanUnits)
-	c.within("load.told", s.Load.DeclaredDeviation, 0, 2)
+	c.within("load.told", s.Load.DeclaredDeviation, 0, maxDeclaredDeviation)
 	c.gatewayShare(s.Load.GatewayShare[0] > 0, "load.spread", s.Load.GatewayShare)
 	c.within("load.once", s.Load.OneTimeShare, 0, 1)
 	c.within("load.swing", s.Load.Swing, 0, 1)
-	c.within("clients.retries", float64(s.Clients.Retries), 0, 10)
+	c.within("clients.retries", float64(s.Clients.Retries), 0, maxRetriesPerRequest)
 	c.within("clients.honour", s.Clients.RetryAfterShare, 0, 1)
 	c.notNegative("clients.backoff", s.Clients.Backoff)
 }
@@ -189,9 +211,9 @@
 func (s *Scenario) checkFault(checker *checker, index int, classes, plans map[string]bool) {
 	f := &s.Faults[index]
 	key := func(name string) string { return fmt.Sprintf("trouble.%d.%s", index, name) }
-	kind, known := FaultKinds[f.Kind]
-	checker.check(known, key("kind"), "is %q; known are %s", f.Kind, strings.Join(FaultKindNames(), ", "))
-	if !known {
+	kind, isKnown := FaultKinds[f.Kind]
+	checker.check(isKnown, key("kind"), "is %q; known are %s", f.Kind, strings.Join(FaultKindNames(), ", "))
+	if !isKnown {
 		return
 	}
 	checker.check(f.Start >= 0 && f.Start < s.Length, key("at"),
--- a/internal/lab/scenario/coordination.go
+++ b/internal/lab/scenario/coordination.go
@@ -29,21 +29,17 @@
 	CoordinationShared = "common" // the leader of the voters runs it
 )
 
-// minInterval is the shortest interval, lease or wait.
+// minInterval is the shortest interval, lease or wait of coordination.
 const minInterval = Span(time.Millisecond)
 
-// defaultCoordination is off; its times are those of the gateway.
-func defaultCoordination() Coordination {
-	return Coordination{
-		Mode: CoordinationNone, Voters: 3, DigestInterval: ms(200), DecisionInterval: ms(100),
-		CommitTime: [2]Span{ms(2), ms(20)}, Lease: ms(2000), ReadWait: ms(500), ElectionTime: [2]Span{ms(300), ms(900)},
-	}
-}
+// maxVoters is the most voters of a scenario: an odd number, as each number of voters is.
+const maxVoters = 5
 
 func (o *Coordination) check(checker *checker) {
 	checker.oneOf("common.how", o.Mode, CoordinationNone, CoordinationLocal, CoordinationShared)
+	isOdd := o.Voters&1 == 1
 	checker.check(
-		o.Voters == 1 || o.Voters == 3 || o.Voters == 5,
+		isOdd && o.Voters >= 1 && o.Voters <= maxVoters,
 		"common.voters",
 		"is %d; 1, 3 or 5 is allowed",
 		o.Voters,
@@ -113,8 +109,8 @@
 	}
 	for _, err := range s.FailoverSettings().Check() {
 		key, message, _ := strings.Cut(err.Error(), ": ")
-		if s.Failover.Capacity != 0 ||
-			key != "failover.bears" { // what is wrong by the classes is reported of the classes
+		followsFromClasses := key == "failover.bears" && s.Failover.Capacity == 0
+		if !followsFromClasses { // else it is reported of the classes
 			c.check(false, key, "%s", message)
 		}
 	}
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -5,6 +5,9 @@
 // maxUnitsOverMean bounds the units of a request, as a multiple of their mean.
 const maxUnitsOverMean = 3
 
+// roundingHalf is half a unit: units are rounded to the nearest whole number.
+const roundingHalf = 0.5
+
 // meanWork is the mean work of a request, in seconds on a core of speed 1.
 func (s *Scenario) meanWork() float64 {
 	sum := 0.0
@@ -23,8 +26,8 @@
 // meanUnits is the mean of a request's units: exponential ones, rounded, from 1 to MaxUnits.
 func (s *Scenario) meanUnits() float64 {
 	mean := 1.0
-	for k := 2.0; k <= s.Load.MaxUnits(); k++ {
-		mean += math.Exp(-(k - 0.5) / s.Load.MeanUnits)
+	for extra := 1.0; extra+1 <= s.Load.MaxUnits(); extra++ { // units above the first
+		mean += math.Exp(-(extra + roundingHalf) / s.Load.MeanUnits)
 	}
 	return mean
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,8 +1,10 @@
-// Package scenario reads the description of a scenario that the laboratory runs: gateways, servers,
-// traffic classes, plans, customers, the counter, discovery, the network, the rules, and the faults
-// that strike. The file is TOML and strict: a key that is not known, or that contradicts another,
-// is an error with its line and column, and all errors are reported at once. docs/lab.md explains
-// every key.
+// Package scenario decides what a scenario's file means: it reads the file, fills in defaults and
+// refuses what is wrong. All packages of the laboratory and the command loadlab call it.
+//
+// A scenario has gateways, servers, traffic classes, plans, customers, a counter, discovery, a
+// network, rules, and faults that strike. The file is TOML and strict: a key that is not known, or
+// that contradicts another, is an error with its line and column, and all errors are reported at
+// once. docs/lab.md explains the keys; defaults.toml has the defaults.
 package scenario
 
 import (
@@ -164,7 +166,7 @@
 	MarkRepeats     bool    `toml:"marks"`
 }
 
-// Counter is what all gateways count with. A rate of 0 means that there is none.
+// Counter is the counter that all gateways share. A rate of 0 means that there is none.
 type Counter struct {
 	Rate        float64 `toml:"rate"`  // calls a second
 	MaxWait     Span    `toml:"queue"` // calls that would wait longer are rejected
@@ -177,7 +179,7 @@
 	Lag [2]Span `toml:"lag"` // drawn between the two
 }
 
-// Network lies between all of them.
+// Network is between customers, gateways, servers, counter and discovery.
 type Network struct {
 	SameZone       Span    `toml:"same"`    // delay, one way
 	CrossZone      Span    `toml:"cross"`   // delay between zones
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,11 +9,11 @@
 )
 
 // projectScenarios returns the scenario files of the project.
-func projectScenarios(t testing.TB) []string {
-	t.Helper()
+func projectScenarios(tb testing.TB) []string {
+	tb.Helper()
 	files, err := filepath.Glob("../../../scenarios/worlds/*.toml")
 	if err != nil || len(files) < 6 {
-		t.Fatalf("%d scenarios found: %v", len(files), err)
+		tb.Fatalf("%d scenarios found: %v", len(files), err)
 	}
 	return files
 }
@@ -84,7 +84,10 @@
 
 func TestParse_unknownKeysAndWrongTypesHavePositions(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
-		{"unknown key", "name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n", "w.toml:5:1: no such key: servers.threads"},
+		{
+			"unknown key",
+			"name = \"x\"\n\n[servers]\ncores = 2\nthreads = 3\n", "w.toml:5:1: no such key: servers.threads",
+		},
 		{"text for a number", "[servers]\ncores = \"two\"\n", "w.toml:2:9:"},
 		{"unknown unit", "length = \"12 parsecs\"\n", "w.toml:1:"},
 		{"missing value", "length = \n", "w.toml:1:"},
