--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,7 +1,9 @@
-// Package baseline has the plain policies that every result is compared with. They have the
-// module's interface and keep the rules that need no knowledge of other gateways: one final answer
-// to each request, no attempt at a server that is not listed as ready, no second attempt of a
-// request that may have run.
+// Package baseline has the plain policies that the module's results are compared with. Package
+// simulation runs them in place of the module.
+//
+// They have the module's interface and keep the rules that need no knowledge of other gateways: one
+// final answer to each request, no attempt at a server that is not listed as ready, no second
+// attempt of a request that may have run.
 package baseline
 
 import (
@@ -43,7 +45,7 @@
 	return p, nil
 }
 
-// Even gives each gateway of a customer's set an even share of the quota, and sends a request to
+// Even gives each gateway of a customer's set an equal share of the quota, and sends a request to
 // the server with the fewest attempts of this gateway in flight.
 func Even(settings policy.Settings, seed int64, host policy.Host) (Policy, error) {
 	p := newPlainPolicy(settings, seed, host)
--- a/internal/lab/baseline/plain_policy.go
+++ b/internal/lab/baseline/plain_policy.go
@@ -86,6 +86,9 @@
 	}
 }
 
+// ticksBeforeDeadline is how many ticks of the clock before its deadline a request is answered.
+const ticksBeforeDeadline = 2
+
 // HandleRequest sends a request to a server, or rejects it.
 func (p *plainPolicy) HandleRequest(now time.Duration, r policy.Request) {
 	if !p.admit(now, r) || len(p.ready) == 0 {
@@ -93,7 +96,7 @@
 		return
 	}
 	p.requests[r.ID] = &request{Request: r}
-	p.host.SetTimer(uint64(r.ID), r.Deadline-now-2*p.settings.ClockTick)
+	p.host.SetTimer(uint64(r.ID), r.Deadline-now-ticksBeforeDeadline*p.settings.ClockTick)
 	server := p.pickServer()
 	p.inFlight[server]++
 	p.host.Attempt(r.ID, server, r.Deadline)
@@ -106,7 +109,7 @@
 	if share <= 0 || plan.Rate <= 0 {
 		return true
 	}
-	capacity := max(plan.Burst*share, request.Units) // a share below one request would never admit any
+	capacity := max(plan.Burst*share, request.Units) // a smaller bucket would never admit the request
 	b := p.buckets[request.Customer]
 	if b == nil {
 		b = &bucket{tokens: capacity, refilledAt: now}
@@ -141,7 +144,7 @@
 	}
 }
 
-// answerUnknown answers a request of which nobody knows whether it ran.
+// answerUnknown answers a request that may have run.
 func (p *plainPolicy) answerUnknown(r *request) {
 	if p.settings.Classes[r.Class].Effect == policy.Idempotent {
 		p.host.Reject(r.ID, 0)
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -68,7 +68,7 @@
 func (c *Checker) ServerOverloaded(at time.Duration, server uint32, work, capacity float64) {
 	c.now = at
 	c.violated(Violation{
-		Rule: WarmUpOverloaded, Gateway: -1, Server: server,
+		Rule: WarmUpOverloaded, Gateway: noGateway, Server: server,
 		Description: fmt.Sprintf("sent %.2f core-seconds a second, %.2f is its capacity now", work, capacity),
 	})
 }
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,6 +1,7 @@
 // Package invariants checks the five rules from what servers, clients and discovery observed.
-// Nothing that a gateway says of itself counts. Each violation has its time, its rule, and the
-// request, gateway, server and customer concerned.
+// Packages simulation, emulation and load report to it, never a gateway.
+//
+// Each violation has its time, its rule, and the request, gateway, server and customer concerned.
 package invariants
 
 import (
@@ -13,8 +14,8 @@
 const (
 	// maxDescribedViolations is how many violations of a rule are kept; all are counted.
 	maxDescribedViolations = 20
-	// requestRetention is how long after its deadline a request is remembered: an effect may come
-	// late.
+	// requestRetention is how long after its deadline a request is remembered, as its effect may
+	// come late.
 	requestRetention = 20 * time.Second
 )
 
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -56,13 +56,15 @@
 	checkObservations(t, []observationCase{
 		{
 			"no answer", func(checker *Checker) { checker.Finish(3 * time.Second) },
-			[]string{"no task lost at 3.000s: task 7, gateway 1, server 0, customer 9: taken at 1.000s, no answer by 2.000s"},
+			[]string{"no task lost at 3.000s: task 7, gateway 1, server 0, customer 9: " +
+				"taken at 1.000s, no answer by 2.000s"},
 		},
 		{
 			"no answer, found when a later request is accepted", func(checker *Checker) {
 				checker.RequestAccepted(Request{ID: 10, AcceptedAt: 30 * time.Second, Deadline: 40 * time.Second})
 			},
-			[]string{"no task lost at 30.000s: task 7, gateway 1, server 0, customer 9: taken at 1.000s, no answer by 2.000s"},
+			[]string{"no task lost at 30.000s: task 7, gateway 1, server 0, customer 9: " +
+				"taken at 1.000s, no answer by 2.000s"},
 		},
 		{"answer within the slack", func(checker *Checker) {
 			checker.RequestAnswered(2009*time.Millisecond, 7, true)
@@ -81,7 +83,8 @@
 		},
 		{
 			"answer that no server made", func(checker *Checker) { checker.RequestAnswered(time.Second, 7, false) },
-			[]string{"no task lost at 1.000s: task 7, gateway 1, server 0, customer 9: served with what no server made for it"},
+			[]string{"no task lost at 1.000s: task 7, gateway 1, server 0, customer 9: " +
+				"served with what no server made for it"},
 		},
 		{"gateway died", func(checker *Checker) {
 			checker.GatewayDied(time.Second, 1)
@@ -152,7 +155,8 @@
 	checker := newTestChecker()
 	for id := range uint64(6) {
 		checker.RequestAccepted(Request{
-			ID: id, Customer: 9, Class: policy.TrafficClass{Weight: 2}, Units: 1, AcceptedAt: time.Second, Deadline: time.Hour,
+			ID: id, Customer: 9, Class: policy.TrafficClass{Weight: 2}, Units: 1,
+			AcceptedAt: time.Second, Deadline: time.Hour,
 		})
 		checker.AttemptSent(time.Second, 0, 1, id)
 		checker.AttemptSent(time.Second, 0, 2, id) // another attempt of a request spends nothing
@@ -166,7 +170,8 @@
 		t.Errorf("%v units forwarded, %v over quota with a penalty of %v, violations %v", checker.ForwardedUnits,
 			checker.OverQuotaUnits, checker.OverQuotaPenalty, checker.Violations)
 	}
-	const want = "ceilings kept at 1.000s: task 5, gateway 0, server 0, customer 9: 2.0 units beyond the ceiling, 1.0 are allowed"
+	const want = "ceilings kept at 1.000s: task 5, gateway 0, server 0, customer 9: " +
+		"2.0 units beyond the ceiling, 1.0 are allowed"
 	if len(checker.Violations) != 1 || checker.Violations[0].String() != want {
 		t.Errorf("%v, want %s", checker.Violations, want)
 	}
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -39,6 +39,9 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
+// noGateway is the gateway of a violation that concerns no one gateway.
+const noGateway = -1
+
 // Violation is one case in which a rule was violated.
 type Violation struct {
 	Rule        Rule          `json:"Rule"`
--- a/internal/lab/virtualtime/scheduler.go
+++ b/internal/lab/virtualtime/scheduler.go
@@ -1,6 +1,9 @@
 // Package virtualtime schedules events in virtual time, for simulations that have to run faster
-// than time passes and to repeat exactly. Events run one after the other on the caller's goroutine,
-// ordered by their time and, at the same time, by the order in which they were scheduled.
+// than time passes and to repeat exactly. The simulations of the laboratory and of the tests call
+// it.
+//
+// Events run one after the other on the caller's goroutine, ordered by their time and, at the same
+// time, by the order in which they were scheduled.
 package virtualtime
 
 import (
@@ -128,7 +131,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
-	(*h)[last] = event{} // the action may hold on to much
+	(*h)[last] = event{} // the action may refer to much memory
 	*h = (*h)[:last]
 	return e
 }
