--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -18,7 +18,7 @@
 }
 
 // IsNoise tells that the interval holds 0: nothing is shown.
-func (c Comparison) IsNoise() bool { return c.Pairs < 2 || c.Low <= 0 && c.High >= 0 }
+func (c Comparison) IsNoise() bool { return c.Pairs <= 1 || c.Low <= 0 && c.High >= 0 }
 
 // Metrics are what is compared, in the order of tables.
 var Metrics = []struct {
@@ -98,11 +98,17 @@
 	return pairs, order
 }
 
-// resamples is how often the bootstrap draws values anew.
-const resamples = 4000
+const (
+	// resamples is how often the bootstrap draws values anew.
+	resamples = 4000
+	// lowPermille and highPermille bound the middle 95% of the means.
+	lowPermille  = 25
+	highPermille = 975
+	permille     = 1000
+)
 
-// ConfidenceInterval is the 95% interval of a mean, by bootstrap with a fixed seed: the same values
-// give the same interval.
+// ConfidenceInterval is the 95% confidence interval of the mean of values, by bootstrap. Its seed is
+// fixed, so that the same values give the same interval.
 func ConfidenceInterval(values []float64) (low, high float64) {
 	n := len(values)
 	if n == 0 {
@@ -116,5 +122,5 @@
 		}
 	}
 	slices.Sort(means)
-	return means[resamples*25/1000], means[resamples*975/1000]
+	return means[resamples*lowPermille/permille], means[resamples*highPermille/permille]
 }
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -1,8 +1,14 @@
 package experiment
 
 import (
+	"bytes"
+	_ "embed"
+	"fmt"
 	"math/rand/v2"
 	"slices"
+	"sync"
+
+	"github.com/pelletier/go-toml/v2"
 
 	"harrierhoist/internal/lab/scenario"
 )
@@ -10,48 +16,51 @@
 // faultStream is the random stream that faults are drawn from.
 const faultStream = 77
 
-// mildFaults are the faults that a day without a lost zone may have, and the largest part that each
-// affects and its size.
-var mildFaults = []struct {
-	kind       string
-	part, size float64
-}{
-	{"server_errors", 0.6, 0.6},
-	{"server_slow", 0.3, 4},
-	{"server_lost", 0.2, 0},
-	{"deploy", 0.5, 0},
-	{"resets", 0.1, 0},
-	{"answers_lost", 0.1, 0},
-	{"counter_slow", 0, 100},
-	{"counter_silent", 0, 0},
-	{"burst", 0, 2.5},
-	{"flood", 0, 6},
-	{"kill", 0.2, 0},
-	{"standstill", 0.4, 0},
-	{"blind", 0.05, 0},
-	{"list_lost", 0.3, 0},
-	{"leader_lost", 0, 0},
-}
+// When drawn faults begin and how long they last, in parts of a scenario's length.
+const (
+	earliestStart    = 0.1
+	startRange       = 0.6
+	shortestDuration = 0.05
+	durationRange    = 0.25
+)
+
+// mildFaultsText is the table of mild faults.
+//
+//go:embed mild_faults.toml
+var mildFaultsText []byte
+
+// mildFaults are the faults that a day without a lost zone may have, each with the largest fraction
+// and magnitude that are drawn.
+var mildFaults = sync.OnceValue(func() []scenario.Fault {
+	var table struct {
+		Faults []scenario.Fault `toml:"trouble"`
+	}
+	decoder := toml.NewDecoder(bytes.NewReader(mildFaultsText)).DisallowUnknownFields()
+	if err := decoder.Decode(&table); err != nil {
+		panic(fmt.Sprint("mild_faults.toml is malformed: ", err)) // it is a part of the program
+	}
+	return table.Faults
+})
 
-// DrawMildFaults draws so many mild faults for a scenario: the same seed gives the same faults at
-// any size.
+// DrawMildFaults draws n mild faults for a scenario. The same seed gives the same faults at any
+// number of gateways.
 func DrawMildFaults(world *scenario.Scenario, seed uint64, n int) []scenario.Fault {
 	random := rand.New(rand.NewPCG(seed, faultStream))
 	length := float64(world.Length.D())
 	var faults []scenario.Fault
 	for range n {
-		mild := mildFaults[random.IntN(len(mildFaults))]
+		worst := mildFaults()[random.IntN(len(mildFaults()))]
 		at := random.Float64()
 		span := random.Float64()
 		part := random.Float64()
 		size := random.Float64()
 		fault := scenario.Fault{
-			Kind:     mild.kind,
-			Start:    scenario.Span(length * (0.1 + 0.6*at)),
-			Duration: scenario.Span(length * (0.05 + 0.25*span)),
-			Fraction: mild.part * part, Magnitude: mild.size * size,
+			Kind:     worst.Kind,
+			Start:    scenario.Span(length * (earliestStart + startRange*at)),
+			Duration: scenario.Span(length * (shortestDuration + durationRange*span)),
+			Fraction: worst.Fraction * part, Magnitude: worst.Magnitude * size,
 		}
-		if mild.size > 1 {
+		if worst.Magnitude > 1 {
 			fault.Magnitude = max(fault.Magnitude, 1)
 		}
 		faults = append(faults, fault)
@@ -59,7 +68,7 @@
 	return faults
 }
 
-// apply makes the scenario with the profile's faults.
+// apply returns the scenario with the profile's load, length and faults.
 func (p *FaultProfile) apply(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	world := *base
 	world.Name += ": " + p.Name
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,5 +1,6 @@
 // Package experiment simulates scenarios under variants and seeds on all cores, keeps each result
-// as a line of JSON, and compares results pair by pair.
+// as a line of JSON, and compares results pair by pair. The command loadlab and package search call
+// it; package report shows its results.
 package experiment
 
 import (
--- a/internal/lab/experiment/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -43,9 +43,10 @@
 		t.Fatal(err)
 	}
 	world := Scaled(base, 300)
-	if world.Servers.Count != 200 || world.Load.Rate != 7000 || world.Plans[0].Customers != 2000 || world.Counter.Rate != 9000 ||
-		base.Plans[0].Customers != 200 {
-		t.Errorf("%d servers, %g requests a second, %d customers", world.Servers.Count, world.Load.Rate, world.Plans[0].Customers)
+	if world.Servers.Count != 200 || world.Load.Rate != 7000 || world.Plans[0].Customers != 2000 ||
+		world.Counter.Rate != 9000 || base.Plans[0].Customers != 200 {
+		t.Errorf("%d servers, %g requests a second, %d customers", world.Servers.Count, world.Load.Rate,
+			world.Plans[0].Customers)
 	}
 	if world := Scaled(base, 1); world.Gateways.Zones != 1 || world.Servers.Count < 1 {
 		t.Errorf("one gateway: %d zones, %d servers", world.Gateways.Zones, world.Servers.Count)
@@ -73,8 +74,7 @@
 	}
 }
 
-// Drawn faults stand for days without a lost zone: the scenarios must be valid, and nothing in them
-// may lose a zone or cut it off.
+// Drawn faults make valid scenarios, and none of them loses a zone or cuts it off.
 func TestDrawMildFaults_loseNoZone(t *testing.T) {
 	base, err := scenario.Read("../../../scenarios/worlds/three.toml")
 	if err != nil {
--- a/internal/lab/experiment/result.go
+++ b/internal/lab/experiment/result.go
@@ -14,6 +14,13 @@
 	"harrierhoist/internal/lab/simulation"
 )
 
+const (
+	// revisionDigits is how many digits of a commit's name are kept.
+	revisionDigits = 12
+	// minForwardedUnits keeps a quotient finite where nothing was forwarded.
+	minForwardedUnits = 1e-9
+)
+
 // Result is one result, as it is kept: the keys are those of files of earlier runs.
 type Result struct {
 	Plan     string `json:"plan,omitempty"`
@@ -62,7 +69,7 @@
 	FirstViolation string              `json:"first_breach,omitempty"`
 	Timeline       []simulation.Second `json:"seconds"`
 	Faults         []scenario.Fault    `json:"troubles,omitempty"`
-	// WallSeconds is how long the simulation took. It isn't kept: a result is the same every time.
+	// WallSeconds is how long the simulation took. It is not kept, so that a run gives the same bytes every time.
 	WallSeconds float64 `json:"-"`
 }
 
@@ -78,7 +85,7 @@
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
-			revision = setting.Value[:min(len(setting.Value), 12)]
+			revision = setting.Value[:min(len(setting.Value), revisionDigits)]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
 			dirty = "+"
 		}
@@ -107,7 +114,7 @@
 
 		Service:           run.Service(),
 		Net:               run.Net(),
-		OverQuota:         run.OverQuotaUnits / max(run.ForwardedUnits, 1e-9),
+		OverQuota:         run.OverQuotaUnits / max(run.ForwardedUnits, minForwardedUnits),
 		Rejected:          part(run.RejectedRequests, run.Offered),
 		Failed:            part(run.Failed, run.Offered),
 		FailedBetween:     part(run.FailureCauses.BetweenTries, run.Offered),
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -23,6 +23,26 @@
 	chartHeight = 3.5 * vg.Inch
 )
 
+// chartFolderMode lets all users read the folder of charts.
+const chartFolderMode = 0o755
+
+// The widths of bars.
+const (
+	answerTimeBarWidth = 14 * vg.Length(1) // points
+	overQuotaBarWidth  = 24 * vg.Length(1)
+)
+
+// overQuotaColor is the place of the color of its bars among those of plotutil.
+const overQuotaColor = 2
+
+// The shade of a fault.
+const (
+	shadeRed   = 230
+	shadeGreen = 190
+	shadeBlue  = 150
+	shadeAlpha = 90
+)
+
 const (
 	// maxDrawnService is the top of the axis of service: more than is due is drawn there.
 	maxDrawnService = 1.2
@@ -40,7 +60,7 @@
 
 // WriteCharts writes the charts into a folder and gives their files, sorted.
 func WriteCharts(dir string, results []*experiment.Result) ([]string, error) {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(dir, chartFolderMode); err != nil {
 		return nil, err
 	}
 	var files []string
@@ -103,7 +123,7 @@
 		if err != nil {
 			return nil, err
 		}
-		shade.Color = color.RGBA{R: 230, G: 190, B: 150, A: 90}
+		shade.Color = color.RGBA{R: shadeRed, G: shadeGreen, B: shadeBlue, A: shadeAlpha}
 		shade.Width = 0
 		drawn.Add(shade)
 	}
@@ -142,7 +162,7 @@
 func answerTimes(groups [][]*experiment.Result) (*plot.Plot, error) {
 	drawn := titled(groups, "answer times")
 	drawn.Y.Label.Text = "ms, slowest class"
-	width := vg.Points(14)
+	const width = answerTimeBarWidth
 	for i, runs := range groups {
 		values := plotter.Values{
 			meanOf(runs, func(result *experiment.Result) float64 { return slices.Max(result.P50) }),
@@ -175,18 +195,18 @@
 		names = append(names, runs[0].Variant)
 		values = append(values, meanOf(runs, func(result *experiment.Result) float64 { return result.OverQuota }))
 	}
-	bars, err := plotter.NewBarChart(values, vg.Points(24))
+	bars, err := plotter.NewBarChart(values, overQuotaBarWidth)
 	if err != nil {
 		return nil, err
 	}
-	bars.Color = plotutil.Color(2)
+	bars.Color = plotutil.Color(overQuotaColor)
 	drawn.Add(bars)
 	drawn.NominalX(names...)
 	return drawn, nil
 }
 
-// netByGateways draws the net service against the number of gateways; nil: there is one number
-// alone.
+// netByGateways draws the net service against the number of gateways. It returns nil where there
+// are not two numbers of gateways.
 func netByGateways(groups [][]*experiment.Result) (*plot.Plot, error) {
 	lines := map[string]plotter.XYs{}
 	var order []string
@@ -200,7 +220,7 @@
 		net := meanOf(runs, func(result *experiment.Result) float64 { return result.Net })
 		lines[key] = append(lines[key], plotter.XY{X: float64(runs[0].Gateways), Y: net})
 	}
-	if len(sizes) < 2 {
+	if len(sizes) <= 1 {
 		return nil, nil
 	}
 	drawn := plot.New()
--- a/internal/lab/report/failover.go
+++ b/internal/lab/report/failover.go
@@ -27,6 +27,11 @@
 	return t.writeTo(out)
 }
 
+const (
+	percentile99 = 99
+	percent      = 100
+)
+
 // failoverRow is the row of one scenario, size and variant; nil: no plan was written.
 func failoverRow(runs []*experiment.Result) []string {
 	plans := 0
@@ -45,7 +50,7 @@
 	p99 := "-"
 	if n := len(times); n > 0 {
 		p50 = fmt.Sprint(times[(n-1)/2])
-		p99 = fmt.Sprint(times[(n-1)*99/100])
+		p99 = fmt.Sprint(times[(n-1)*percentile99/percent])
 	}
 	atVoters := func(result *experiment.Result) simulation.Messages { return result.VoterMessages }
 	atLeader := func(result *experiment.Result) simulation.Messages { return result.LeaderMessages }
--- a/internal/lab/report/failover_test.go
+++ b/internal/lab/report/failover_test.go
@@ -9,7 +9,8 @@
 
 func TestWriteFailover_nothingWithoutPlans(t *testing.T) {
 	var out bytes.Buffer
-	if err := WriteFailover(&out, []*experiment.Result{{Scenario: "calm", LengthSeconds: 1}}); err != nil || out.Len() > 0 {
+	err := WriteFailover(&out, []*experiment.Result{{Scenario: "calm", LengthSeconds: 1}})
+	if err != nil || out.Len() > 0 {
 		t.Errorf("%v, %q", err, out.String())
 	}
 }
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -23,9 +23,10 @@
 		x := float64(i + 1)
 		result := &experiment.Result{
 			Scenario: world, Gateways: 3 + i/4, Variant: []string{"module", "plain"}[i%2], Service: x / 10, Net: x / 11,
-			OverQuota: x / 12, Rejected: x / 13, FailedBetween: x / 14, FailedTerminated: x / 15, FailedWithGateway: x / 16,
-			FailedInFlight: x / 17, Tries: x, CounterCalls: 2 * x, Handshakes: 3 * x, CrossZone: x / 18, CrossRegion: x / 19,
-			PeakUtilisation: x / 20, PeakUtilisationOver5s: x / 21, LoadDeviation: x / 22, P50: []float64{x, 2 * x},
+			OverQuota: x / 12, Rejected: x / 13, FailedBetween: x / 14, FailedTerminated: x / 15,
+			FailedWithGateway: x / 16, FailedInFlight: x / 17, Tries: x, CounterCalls: 2 * x,
+			Handshakes: 3 * x, CrossZone: x / 18, CrossRegion: x / 19, PeakUtilisation: x / 20,
+			PeakUtilisationOver5s: x / 21, LoadDeviation: x / 22, P50: []float64{x, 2 * x},
 			P99: []float64{4 * x, 3 * x}, P999: []float64{9 * x}, Violations: i, LengthSeconds: 30,
 			Timeline: []simulation.Second{{ServedValue: x, DueValue: 6}, {ServedValue: 2 * x, DueValue: 12}},
 		}
@@ -52,7 +53,8 @@
 		{Scenario: "w", Gateways: 1, Metric: "net", Pairs: 2, MeanA: 1, MeanB: 0.9, Diff: -0.1, Low: -0.2, High: -0.05},
 		{Scenario: "w", Gateways: 1, Metric: "net", Pairs: 2, MeanA: 1, MeanB: 1.1, Diff: 0.1, Low: 0.05, High: 0.2},
 	}
-	err := errors.Join(WriteTable(&out, testResults()), WriteFailover(&out, testResults()), WriteComparisons(&out, comparisons))
+	err := errors.Join(WriteTable(&out, testResults()), WriteFailover(&out, testResults()),
+		WriteComparisons(&out, comparisons))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +67,8 @@
 // withoutHeadings is a text of tables without the words of their headings: they may change, the
 // figures and their order may not.
 func withoutHeadings(text string) []string {
-	return slices.DeleteFunc(strings.Split(text, "\n"), func(line string) bool { return strings.HasPrefix(line, "| world |") })
+	isHeading := func(line string) bool { return strings.HasPrefix(line, "| world |") }
+	return slices.DeleteFunc(strings.Split(text, "\n"), isHeading)
 }
 
 // TestWriteCharts_fileNames holds the names of the charts' files.
@@ -83,7 +86,8 @@
 	}
 	want := []string{
 		"calm-3-service.svg", "calm-3-times.svg", "calm-3-units.svg", "calm-4-service.svg", "calm-4-times.svg",
-		"calm-4-units.svg", "sizes.svg", "three-halls-3-service.svg", "three-halls-3-times.svg", "three-halls-3-units.svg",
+		"calm-4-units.svg", "sizes.svg", "three-halls-3-service.svg", "three-halls-3-times.svg",
+		"three-halls-3-units.svg",
 	}
 	if !slices.Equal(files, want) {
 		t.Errorf("charts are %q, not %q", files, want)
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -1,4 +1,4 @@
-// Package report writes results as Markdown tables and as charts.
+// Package report writes results as Markdown tables and as charts. The command loadlab calls it.
 package report
 
 import (
@@ -86,10 +86,7 @@
 			c.Metric,
 			fmt.Sprint(c.Pairs),
 			fmt.Sprintf("%.4f", c.MeanA),
-			fmt.Sprintf(
-				"%.4f",
-				c.MeanB,
-			),
+			fmt.Sprintf("%.4f", c.MeanB),
 			fmt.Sprintf("%+.4f", c.Diff),
 			fmt.Sprintf("%+.4f to %+.4f", c.Low, c.High),
 			verdict(c),
@@ -101,7 +98,7 @@
 // verdict is what a comparison says of B.
 func verdict(c experiment.Comparison) string {
 	switch {
-	case c.Pairs < 2:
+	case c.Pairs <= 1:
 		return "one pair shows nothing"
 	case c.IsNoise():
 		return "noise"
--- a/internal/lab/search/search.go
+++ b/internal/lab/search/search.go
@@ -1,5 +1,5 @@
 // Package search looks for the schedule of faults that breaks an invariant or loses most service,
-// and shrinks what it found to the least that still does.
+// and shrinks what it found to the least that still does. The command loadlab calls it.
 package search
 
 import (
@@ -20,6 +20,23 @@
 	minFaultLength = time.Second
 )
 
+// The ranges that faults are drawn from. Fractions and magnitudes are drawn in whole tenths or
+// hundredths, so that what is found reads well.
+const (
+	earliestStart      = 0.1 // part of the scenario's length, as the next two
+	latestStart        = 0.7
+	maxDuration        = 0.4
+	minDurationSeconds = 1
+	tenth              = 10
+	hundredth          = 100
+	fractionTenths     = 8  // from 0.1 to 0.8
+	magnitudeTenths    = 40 // from 1 to 4.9
+	minErrorTenths     = 2  // error rates are from 0.2
+	errorTenths        = 9  // to 1
+	lossHundredths     = 20 // losses and resets are from 0.01 to 0.2
+	millisPerSecond    = 1000
+)
+
 // Finding is a schedule of faults and what it does.
 type Finding struct {
 	Scenario      *scenario.Scenario
@@ -69,9 +86,8 @@
 	return &Finding{Scenario: &world, Result: result, Loss: s.calmNet - result.Net, Runs: s.finished}, nil
 }
 
-// Run draws so many schedules of up to maxFaults faults, keeps the worst and shrinks it. Found is
-// called with each finding that is worse than all before it. Without a schedule there is no finding
-// (nil).
+// Run draws schedules of up to maxFaults faults, keeps the worst and shrinks it. It calls found with
+// each finding that is worse than all before it. With 0 schedules the finding is nil.
 func Run(
 	base *scenario.Scenario,
 	seed uint64,
@@ -173,8 +189,8 @@
 	return least, nil
 }
 
-// DrawFaults draws a schedule of so many faults that a scenario allows, in the order of their
-// start.
+// DrawFaults draws n faults of the kinds that a scenario allows, and returns them in the order of
+// their start. The order of the draws is that of the fields.
 func DrawFaults(random *rand.Rand, world *scenario.Scenario, n int) []scenario.Fault {
 	var kinds []string
 	for _, name := range scenario.FaultKindNames() {
@@ -186,23 +202,26 @@
 		}
 	}
 	length := world.Length.D().Seconds()
-	span := func(from, to float64) scenario.Span {
-		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*1000).Round(1) * time.Millisecond)
+	span := func(from, to float64) scenario.Span { // in seconds, drawn in whole milliseconds
+		return scenario.Span(time.Duration((from+(to-from)*random.Float64())*millisPerSecond) * time.Millisecond)
 	}
 	var faults []scenario.Fault
 	for range n {
 		fault := scenario.Fault{
-			Kind: kinds[random.IntN(len(kinds))], Start: span(0.1*length, 0.7*length), Duration: span(1, 0.4*length),
-			Fraction: float64(1+random.IntN(8)) / 10, Magnitude: 1 + float64(random.IntN(40))/10,
-			Zone:  random.IntN(world.Gateways.Zones),
-			Class: world.Classes[random.IntN(len(world.Classes))].Name,
-			Plan:  world.Plans[random.IntN(len(world.Plans))].Name,
+			Kind:      kinds[random.IntN(len(kinds))],
+			Start:     span(earliestStart*length, latestStart*length),
+			Duration:  span(minDurationSeconds, maxDuration*length),
+			Fraction:  float64(1+random.IntN(fractionTenths)) / tenth,
+			Magnitude: 1 + float64(random.IntN(magnitudeTenths))/tenth,
+			Zone:      random.IntN(world.Gateways.Zones),
+			Class:     world.Classes[random.IntN(len(world.Classes))].Name,
+			Plan:      world.Plans[random.IntN(len(world.Plans))].Name,
 		}
 		switch fault.Kind {
-		case "server_errors":
-			fault.Magnitude = float64(2+random.IntN(9)) / 10
-		case "answers_lost", "resets":
-			fault.Fraction = float64(1+random.IntN(20)) / 100
+		case scenario.ServerErrors:
+			fault.Magnitude = float64(minErrorTenths+random.IntN(errorTenths)) / tenth
+		case scenario.AnswerLoss, scenario.ConnectionResets:
+			fault.Fraction = float64(1+random.IntN(lossHundredths)) / hundredth
 		}
 		faults = append(faults, fault)
 	}
--- a/internal/lab/search/search_test.go
+++ b/internal/lab/search/search_test.go
@@ -10,7 +10,8 @@
 // smallWorld is a short scenario of three gateways.
 func smallWorld(t *testing.T) *scenario.Scenario {
 	t.Helper()
-	world, err := scenario.Parse("w", []byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
+	world, err := scenario.Parse("w",
+		[]byte("length = \"8s\"\n[gateways]\ncount = 3\n[servers]\ncount = 10\n[load]\nrate = 120\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +26,8 @@
 		t.Fatal(err)
 	}
 	if finding.Loss < 0.05 || announced == 0 || len(finding.Scenario.Faults) == 0 {
-		t.Errorf("found a loss of %.3f with %d faults, %d announced", finding.Loss, len(finding.Scenario.Faults), announced)
+		t.Errorf("found a loss of %.3f with %d faults, %d announced", finding.Loss, len(finding.Scenario.Faults),
+			announced)
 	}
 	again, err := Run(world, 4, 8, 4, "module", func(*Finding) {})
 	if err != nil {
@@ -42,8 +44,8 @@
 		t.Fatal(err)
 	}
 	second := scenario.Span(time.Second)
-	harmless := scenario.Fault{Kind: "list_lag", Start: second, Duration: second, Magnitude: 1}
-	kill := scenario.Fault{Kind: "kill", Start: 2 * second, Duration: 4 * second, Fraction: 1}
+	harmless := scenario.Fault{Kind: scenario.DiscoveryLag, Start: second, Duration: second, Magnitude: 1}
+	kill := scenario.Fault{Kind: scenario.GatewayKill, Start: 2 * second, Duration: 4 * second, Fraction: 1}
 	finding, err := simulator.run([]scenario.Fault{harmless, kill, harmless})
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +53,8 @@
 	if finding, err = simulator.shrink(finding); err != nil {
 		t.Fatal(err)
 	}
-	if len(finding.Scenario.Faults) != 1 || finding.Scenario.Faults[0].Kind != "kill" || finding.RemovedFaults != 2 {
-		t.Errorf("left after %d runs: %+v, %d removed", simulator.finished, finding.Scenario.Faults, finding.RemovedFaults)
+	faults := finding.Scenario.Faults
+	if len(faults) != 1 || faults[0].Kind != scenario.GatewayKill || finding.RemovedFaults != 2 {
+		t.Errorf("left after %d runs: %+v, %d removed", simulator.finished, faults, finding.RemovedFaults)
 	}
 }
