--- a/cmd/loadlab/cluster.go
+++ b/cmd/loadlab/cluster.go
@@ -40,7 +40,7 @@
 // startCluster starts a scenario's back end, and gateways on free ports with their logs going to a
 // writer. It waits until they are ready.
 func startCluster(ctx context.Context, s *scenario.Scenario, log io.Writer) (*cluster, error) {
-	backend, err := emulation.Start(s, s.Seed)
+	backend, err := emulation.Start(ctx, s, s.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -73,8 +73,11 @@
 	return nil
 }
 
+// configFileMode lets only this user read the gateways' configuration files.
+const configFileMode = 0o600
+
 func (c *cluster) startGateway(ctx context.Context, program string, number int, log io.Writer) error {
-	addr, err := freeAddress()
+	addr, err := freeAddress(ctx)
 	if err != nil {
 		return err
 	}
@@ -83,7 +86,7 @@
 		return err
 	}
 	file := filepath.Join(c.dir, fmt.Sprintf("n%d.json", number))
-	if err := os.WriteFile(file, configuration, 0o600); err != nil {
+	if err := os.WriteFile(file, configuration, configFileMode); err != nil {
 		return err
 	}
 	process := exec.CommandContext(ctx, program, "gateway", file)
@@ -99,8 +102,9 @@
 }
 
 // freeAddress returns an address on loopback whose port was free a moment ago.
-func freeAddress() (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+func freeAddress(ctx context.Context) (string, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
@@ -111,7 +115,7 @@
 func waitReady(ctx context.Context, addr string) error {
 	var err error
 	for end := time.Now().Add(readyTimeout); ctx.Err() == nil && time.Now().Before(end); time.Sleep(pingInterval) {
-		err = ping(addr)
+		err = ping(ctx, addr)
 		if err == nil {
 			return nil
 		}
@@ -121,8 +125,9 @@
 
 var errNoPong = errors.New("PING was not answered with PONG")
 
-func ping(addr string) error {
-	raw, err := net.DialTimeout("tcp", addr, pingTimeout)
+func ping(ctx context.Context, addr string) error {
+	dialer := net.Dialer{Timeout: pingTimeout}
+	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
--- a/cmd/loadlab/demo.go
+++ b/cmd/loadlab/demo.go
@@ -20,8 +20,29 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
+const (
+	// demoDuration is how long the demo sends load, unless a flag says.
+	demoDuration = 12 * time.Second
+	// demoParts is the number of equal parts of the demo: one server is silent in the middle one.
+	demoParts = 3
+)
+
+// The size of the demo's chart.
+const (
+	chartWidth  = 7 * vg.Inch
+	chartHeight = 3.5 * vg.Inch
+)
+
+// The demo's scenario.
+const (
+	demoGateways = 2
+	demoServers  = 8
+	demoRackSize = 4
+	demoRate     = 120 // requests a second
+)
+
 func demoCommand() *cobra.Command {
-	duration := 12 * time.Second
+	duration := demoDuration
 	dir := ""
 	c := &cobra.Command{
 		Use:   "demo",
@@ -34,18 +55,18 @@
 	return c
 }
 
-// demoScenario is a small one at half its capacity, without faults.
+// demoScenario is a small scenario at half its capacity, without faults.
 func demoScenario() (*scenario.Scenario, error) {
 	s, err := scenario.Parse("demo", nil)
 	if err != nil {
 		return nil, err
 	}
 	s.Name = "demo"
-	s.Gateways.Count = 2
+	s.Gateways.Count = demoGateways
 	s.Gateways.Zones = 1
-	s.Servers.Count = 8
-	s.Servers.RackSize = 4
-	s.Load.Rate = 120
+	s.Servers.Count = demoServers
+	s.Servers.RackSize = demoRackSize
+	s.Load.Rate = demoRate
 	return s, nil
 }
 
@@ -66,8 +87,8 @@
 	if err != nil {
 		return err
 	}
-	time.AfterFunc(duration/3, func() { running.Servers[0].SetSilent(true) })
-	time.AfterFunc(2*duration/3, func() { running.Servers[0].SetSilent(false) })
+	time.AfterFunc(duration/demoParts, func() { running.Servers[0].SetSilent(true) })
+	time.AfterFunc(2*duration/demoParts, func() { running.Servers[0].SetSilent(false) })
 	driver := &load.Driver{
 		Scenario: demo,
 		Gateways: running.addresses,
@@ -144,5 +165,5 @@
 		chart.Legend.Add(line.name, curve)
 	}
 	file := filepath.Join(dir, "loadlab-demo.svg")
-	return file, chart.Save(7*vg.Inch, 3.5*vg.Inch, file)
+	return file, chart.Save(chartWidth, chartHeight, file)
 }
--- a/cmd/loadlab/load.go
+++ b/cmd/loadlab/load.go
@@ -9,6 +9,9 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
+// defaultLoadDuration is how long load is sent, unless a flag says.
+const defaultLoadDuration = 10 * time.Second
+
 func loadCommand() *cobra.Command {
 	driver := &load.Driver{}
 	file := ""
@@ -20,7 +23,7 @@
 	}
 	command.Flags().StringSliceVarP(&driver.Gateways, "gateway", "g", nil, "address of a gateway; may be repeated")
 	command.Flags().Float64VarP(&driver.Rate, "rate", "r", 0, "requests a second; 0: the scenario's")
-	command.Flags().DurationVar(&driver.Duration, "for", 10*time.Second, "how long")
+	command.Flags().DurationVar(&driver.Duration, "for", defaultLoadDuration, "how long")
 	command.Flags().StringVarP(
 		&file,
 		"world",
--- a/cmd/loadlab/main.go
+++ b/cmd/loadlab/main.go
@@ -1,6 +1,6 @@
 // Command loadlab is the laboratory: it runs scenarios with emulated servers, counter, discovery
-// and customers, in virtual time or before real gateways, and reports what a change does.
-// docs/lab.md is its manual.
+// and customers, in virtual time or before real gateways, and reports what a change does. Engineers
+// run it; docs/lab.md is its manual.
 package main
 
 import (
--- a/cmd/loadlab/main_test.go
+++ b/cmd/loadlab/main_test.go
@@ -38,10 +38,12 @@
 
 const calm = "../../scenarios/worlds/calm.toml"
 
-// Later commands read what earlier ones wrote.
+// TestCommands runs each command of virtual time; later ones read the files of earlier ones.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
-	results, charts, found := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "charts"), filepath.Join(dir, "found.toml")
+	results := filepath.Join(dir, "r.jsonl")
+	charts := filepath.Join(dir, "charts")
+	found := filepath.Join(dir, "found.toml")
 	for _, test := range []struct {
 		name  string
 		args  []string
@@ -72,7 +74,8 @@
 func TestDemo(t *testing.T) {
 	got := run(t, "demo", "--for", "3s", "--charts", t.TempDir())
 	for _, want := range []string{
-		"gateways at [127.0.0.1:", "served", "s-0008", "rules broken, by the servers' and clients' record: [0 0 0 0 0]", "chart: ",
+		"gateways at [127.0.0.1:", "served", "s-0008",
+		"rules broken, by the servers' and clients' record: [0 0 0 0 0]", "chart: ",
 	} {
 		if !strings.Contains(got, want) {
 			t.Errorf("no %q in\n%s", want, got)
@@ -84,7 +87,8 @@
 func startGateway(t *testing.T, program string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "s.toml")
-	if err := os.WriteFile(file, []byte("[gateways]\ncount = 1\nhalls = 1\n[servers]\ncount = 4\n"), 0o600); err != nil {
+	const text = "[gateways]\ncount = 1\nhalls = 1\n[servers]\ncount = 4\n"
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	emulate := exec.Command(program, "emulate", file)
@@ -125,7 +129,8 @@
 	if err := load.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := bufio.NewReader(progress).ReadString('v'); err != nil { // the first line of progress: "offered N  served"
+	// The first line of progress has "served".
+	if _, err := bufio.NewReader(progress).ReadString('v'); err != nil {
 		t.Error(err)
 	}
 	if err := load.Process.Signal(syscall.SIGINT); err != nil {
--- a/cmd/loadlab/results.go
+++ b/cmd/loadlab/results.go
@@ -87,12 +87,19 @@
 	errNoPairs       = errors.New("nothing pairs: no run of the same scenario, size and seed in both")
 )
 
+const (
+	// maxComparedFiles is how many files compare takes at most.
+	maxComparedFiles = 2
+	// comparedVariants is how many variants the flag of compare names: A and B.
+	comparedVariants = 2
+)
+
 func compareCommand() *cobra.Command {
 	var variants []string
 	c := &cobra.Command{
 		Use:     "compare A.jsonl [B.jsonl]",
 		Short:   "pair two sets of results by scenario, size and seed: means, 95% intervals, what is noise",
-		Args:    cobra.RangeArgs(1, 2),
+		Args:    cobra.RangeArgs(1, maxComparedFiles),
 		Example: "  loadlab compare before.jsonl after.jsonl\n  loadlab compare results.jsonl --variants even,module",
 		RunE:    func(cmd *cobra.Command, files []string) error { return runCompare(cmd, files, variants) },
 	}
@@ -106,15 +113,15 @@
 		return err
 	}
 	second := first
-	if len(files) == 2 {
+	if len(files) == maxComparedFiles {
 		second, err = experiment.ReadResults(files[1])
 		if err != nil {
 			return err
 		}
-	} else if len(variants) != 2 {
+	} else if len(variants) != comparedVariants {
 		return errNeedsVariants
 	}
-	if len(variants) == 2 {
+	if len(variants) == comparedVariants {
 		first = ofVariant(first, variants[0])
 		second = ofVariant(second, variants[1])
 	}
--- a/cmd/loadlab/search.go
+++ b/cmd/loadlab/search.go
@@ -21,6 +21,15 @@
 	out, policy          string
 }
 
+const (
+	// defaultSchedules is how many schedules a search draws, unless a flag says.
+	defaultSchedules = 40
+	// defaultMaxFaults is the most faults of a schedule, unless a flag says.
+	defaultMaxFaults = 4
+	// scenarioFileMode lets all users read the file of the scenario that was found.
+	scenarioFileMode = 0o644
+)
+
 func searchCommand() *cobra.Command {
 	var options searchOptions
 	c := &cobra.Command{
@@ -29,8 +38,8 @@
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return runSearch(cmd, args[0], &options) },
 	}
-	c.Flags().IntVarP(&options.schedules, "tries", "n", 40, "schedules to draw")
-	c.Flags().IntVar(&options.maxFaults, "troubles", 4, "the most faults in one")
+	c.Flags().IntVarP(&options.schedules, "tries", "n", defaultSchedules, "schedules to draw")
+	c.Flags().IntVar(&options.maxFaults, "troubles", defaultMaxFaults, "the most faults in one")
 	c.Flags().Uint64Var(&options.seed, "seed", 1, "of the search and of the runs")
 	c.Flags().StringVarP(&options.out, "out", "o", "", "file for the scenario that was found")
 	c.Flags().StringVar(&options.policy, "policy", "module", "whose losses are looked for")
@@ -70,7 +79,7 @@
 	if options.out == "" {
 		return nil
 	}
-	return os.WriteFile(options.out, text, 0o644)
+	return os.WriteFile(options.out, text, scenarioFileMode)
 }
 
 func formatFinding(found *search.Finding) string {
--- a/cmd/loadlab/size.go
+++ b/cmd/loadlab/size.go
@@ -16,9 +16,22 @@
 	"attempts a wall second | memory MB |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
+const (
+	// defaultSeconds is the most virtual time of a run in seconds, unless a flag says.
+	defaultSeconds = 10
+	bytesPerMB     = 1e6
+)
+
+// The numbers of gateways, unless a flag says.
+const (
+	fewGateways  = 10
+	someGateways = 100
+	manyGateways = 1000
+)
+
 func sizeCommand() *cobra.Command {
 	var sizes []int
-	seconds := 10
+	seconds := defaultSeconds
 	command := &cobra.Command{
 		Use:   "size SCENARIO.toml",
 		Short: "how fast simulations run, and what they cost, from few gateways to thousands", Args: cobra.ExactArgs(1),
@@ -42,8 +55,8 @@
 			return nil
 		},
 	}
-	command.Flags().IntSliceVar(&sizes, "gateways", []int{10, 100, 1000}, "sizes")
-	command.Flags().IntVar(&seconds, "seconds", 10, "of virtual time, at most")
+	command.Flags().IntSliceVar(&sizes, "gateways", []int{fewGateways, someGateways, manyGateways}, "sizes")
+	command.Flags().IntVar(&seconds, "seconds", defaultSeconds, "of virtual time, at most")
 	return command
 }
 
@@ -69,7 +82,7 @@
 		attempts,
 		wall,
 		attempts/wall,
-		float64(memory.HeapSys)/1e6,
+		float64(memory.HeapSys)/bytesPerMB,
 	)
 	return err
 }
--- a/internal/lab/emulation/backend.go
+++ b/internal/lab/emulation/backend.go
@@ -1,11 +1,15 @@
 // Package emulation runs the back end of a scenario in real time, on loopback sockets before real
-// gateways: emulated servers, a counter and discovery, each on a free port. Servers and clients
-// report to the same checker of invariants as those of the simulation. Work is waiting, not
-// computing, so that one machine holds many emulated cores.
+// gateways: emulated servers, a counter and discovery, each on a free port. The command loadlab
+// starts it, and package load reports to its recorder.
+//
+// Servers and clients report to the same checker of invariants as those of the simulation. A core
+// sleeps for as long as work takes, so that one machine holds many emulated cores.
 package emulation
 
 import (
+	"context"
 	"errors"
+	"net"
 	"sync"
 	"time"
 
@@ -54,29 +58,29 @@
 }
 
 // Start starts a scenario's servers, counter and discovery. The seed is of the first server's work;
-// those after it have the numbers that follow.
-func Start(spec *scenario.Scenario, seed uint64) (*Backend, error) {
+// those after it have the numbers that follow. The context ends the start alone.
+func Start(ctx context.Context, spec *scenario.Scenario, seed uint64) (*Backend, error) {
 	b := &Backend{Recorder: newRecorder(spec), spec: spec}
-	if err := b.start(seed); err != nil {
+	if err := b.start(ctx, seed); err != nil {
 		return nil, errors.Join(err, b.Close())
 	}
 	return b, nil
 }
 
-func (b *Backend) start(seed uint64) (err error) {
-	b.Discovery, err = newDiscovery()
+func (b *Backend) start(ctx context.Context, seed uint64) (err error) {
+	b.Discovery, err = newDiscovery(ctx)
 	if err != nil {
 		return err
 	}
 	if b.spec.Counter.Rate > 0 {
-		b.Counter, err = newCounter(b.spec)
+		b.Counter, err = newCounter(ctx, b.spec)
 		if err != nil {
 			return err
 		}
 	}
 	var endpoints []endpoint
 	for i := range b.spec.Servers.Count {
-		s, err := newServer(b.spec, b.Recorder, uint32(i+1), seed+uint64(i))
+		s, err := newServer(ctx, b.spec, b.Recorder, uint32(i+1), seed+uint64(i))
 		if err != nil {
 			return err
 		}
@@ -106,4 +110,13 @@
 }
 
 // zoneName is the name of a zone in the settings and in discovery's list.
-func zoneName(n int) string { return "hall-" + string(rune('a'+n%26)) }
+func zoneName(n int) string { return "hall-" + string(rune('a'+n%letters)) }
+
+// letters is the number of letters that zones are named by.
+const letters = 26
+
+// listen opens a free port on loopback.
+func listen(ctx context.Context) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(ctx, "tcp", loopback)
+}
--- a/internal/lab/emulation/counter.go
+++ b/internal/lab/emulation/counter.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"net"
 	"strconv"
@@ -13,6 +14,21 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
+// The words of a call that counts, by their place.
+const (
+	verbOfCall = iota
+	nameOfCall
+	unitsOfCall
+	lifetimeOfCall // in milliseconds
+	callWords
+)
+
+// totalDigits is the number of significant digits of a total in an answer.
+const totalDigits = 7
+
+// float64Bits is the size of the numbers of the protocol.
+const float64Bits = 64
+
 // Counter is an emulated counter. It serves calls one after the other; a call that would wait too
 // long is rejected.
 type Counter struct {
@@ -34,8 +50,8 @@
 	expiresAt time.Time
 }
 
-func newCounter(spec *scenario.Scenario) (*Counter, error) {
-	listener, err := net.Listen("tcp", loopback)
+func newCounter(ctx context.Context, spec *scenario.Scenario) (*Counter, error) {
+	listener, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -76,12 +92,12 @@
 		return "pong", 0
 	}
 	words := strings.Fields(text)
-	if len(words) != 4 || words[0] != "incr" {
+	if len(words) != callWords || words[verbOfCall] != "incr" {
 		return "error", 0
 	}
-	name := words[1]
-	units, unitsErr := strconv.ParseFloat(words[2], 64)
-	lifetimeMs, lifetimeErr := strconv.Atoi(words[3])
+	name := words[nameOfCall]
+	units, unitsErr := strconv.ParseFloat(words[unitsOfCall], float64Bits)
+	lifetimeMs, lifetimeErr := strconv.Atoi(words[lifetimeOfCall])
 	if errors.Join(unitsErr, lifetimeErr) != nil {
 		return "error", 0
 	}
@@ -103,5 +119,5 @@
 	}
 	n.total += units
 	c.names[name] = n
-	return "ok " + strconv.FormatFloat(n.total, 'g', 7, 64), wait + c.serviceTime
+	return "ok " + strconv.FormatFloat(n.total, 'g', totalDigits, float64Bits), wait + c.serviceTime
 }
--- a/internal/lab/emulation/discovery.go
+++ b/internal/lab/emulation/discovery.go
@@ -1,16 +1,23 @@
 package emulation
 
 import (
+	"context"
 	"encoding/json"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
 )
 
+// headerTimeout bounds how long a caller may take to send its headers.
 const headerTimeout = 5 * time.Second
 
+// versionBase and versionBits are the form of a list's version in a query.
+const (
+	versionBase = 10
+	versionBits = 64
+)
+
 // endpoint is an entry of discovery's list, in the protocol's form.
 type endpoint struct {
 	Host      string  `json:"host"`
@@ -35,8 +42,8 @@
 	changed   chan struct{} // closed with the next version
 }
 
-func newDiscovery() (*Discovery, error) {
-	listener, err := net.Listen("tcp", loopback)
+func newDiscovery(ctx context.Context) (*Discovery, error) {
+	listener, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +69,8 @@
 // the caller has.
 func (d *Discovery) ServeHTTP(writer http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	// Numbers that are missing or malformed mean the whole list, at once.
-	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
+	// Numbers that are missing or malformed ask for the complete list, at once.
+	since, err := strconv.ParseInt(query.Get("since"), versionBase, versionBits)
 	hasSince := query.Has("since")
 	if err != nil {
 		since = 0
--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	model           = "std" // of all servers
+	model           = "std" // the machine model of all servers
 	clockTickMs     = 2
 	maxRetryAfterMs = 2000
 	memoryMB        = 192
+	seedSpacing     = 1000 // between the seeds of two scenarios: more than gateways on one machine
 )
 
 // The settings' words for those of a scenario file.
@@ -37,7 +38,7 @@
 	}
 	return json.Marshal(object{
 		"name": fmt.Sprintf("n%d", number), "listen": listen, "discovery": b.Discovery.Addr, "counter": counter,
-		"seed":     fmt.Sprintf("%016x", b.spec.Seed*1000+uint64(number)),
+		"seed":     fmt.Sprintf("%016x", b.spec.Seed*seedSpacing+uint64(number)),
 		"limits":   object{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
 		"settings": b.settings(number),
 	})
--- a/internal/lab/emulation/server.go
+++ b/internal/lab/emulation/server.go
@@ -1,8 +1,8 @@
 package emulation
 
 import (
+	"context"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"net"
 	"slices"
@@ -17,8 +17,22 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// maxWords is of a command: verb, customer, request, arguments.
-const maxWords = 4
+// The words of a command, by their place.
+const (
+	verbWord = iota
+	customerWord
+	requestWord
+	argumentsWord
+	maxWords
+)
+
+const (
+	// workStream is the random stream that the work of requests is drawn from.
+	workStream = 9
+	// idBase and idBits are the form of a request's ID on the wire.
+	idBase = 16
+	idBits = 64
+)
 
 // Answers of a server.
 const (
@@ -47,23 +61,22 @@
 	closed bool
 }
 
-func newServer(spec *scenario.Scenario, recorder *Recorder, number uint32, seed uint64) (*Server, error) {
-	listener, err := net.Listen("tcp", loopback)
+func newServer(
+	ctx context.Context, spec *scenario.Scenario, recorder *Recorder, number uint32, seed uint64,
+) (*Server, error) {
+	listener, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		Name: fmt.Sprintf(
-			"s-%04d",
-			number,
-		),
+		Name:     fmt.Sprintf("s-%04d", number),
 		Addr:     listener.Addr().String(),
 		spec:     spec,
 		recorder: recorder,
 		number:   number,
 		listener: listener,
 		cores:    make(chan struct{}, spec.Servers.Cores),
-		random:   rand.New(rand.NewPCG(seed, 9)),
+		random:   rand.New(rand.NewPCG(seed, workStream)),
 		conns:    map[net.Conn]struct{}{},
 	}
 	go s.accept()
@@ -135,18 +148,18 @@
 
 // handleCommand works on a command and returns its answer; "" means none.
 func (s *Server) handleCommand(command *resp.Command) string {
-	if command.Words[0] == "PING" {
+	if command.Words[verbWord] == "PING" {
 		return answerPong
 	}
-	if len(command.Words) != maxWords || !strings.HasPrefix(command.Words[0], "SVC.") {
+	if len(command.Words) != maxWords || !strings.HasPrefix(command.Words[verbWord], "SVC.") {
 		return answerSyntax
 	}
 	arguments := map[string]string{}
-	for _, pair := range strings.Split(command.Words[3], ",") {
+	for _, pair := range strings.Split(command.Words[argumentsWord], ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		arguments[name] = value
 	}
-	id, err := strconv.ParseUint(command.Words[2], 16, 64)
+	id, err := strconv.ParseUint(command.Words[requestWord], idBase, idBits)
 	class := slices.IndexFunc(s.spec.Classes, func(c scenario.TrafficClass) bool { return c.Name == arguments["c"] })
 	if err != nil || class < 0 {
 		return answerSyntax
@@ -178,22 +191,14 @@
 	time.Sleep(work)
 }
 
-// Value is a server's answer to a request. It is different for each, so that a client can tell that
-// it is its own.
+// Value is a server's answer to a request. It differs from request to request, so that a client can
+// tell whether an answer is its own.
 func Value(id uint64) string { return fmt.Sprintf("done %016x", id) }
 
 // drawWork draws how long a request takes on a core.
 func (s *Server) drawWork(class *scenario.TrafficClass) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.random.Float64() // keeps the sequence of draws that had a second one for each request
-	mean := float64(class.Work.D())
-	switch class.Distribution {
-	case scenario.DistributionExponential:
-		mean *= s.random.ExpFloat64()
-	case scenario.DistributionLognormal:
-		sigma := math.Sqrt(math.Log(1 + class.CV*class.CV))
-		mean *= math.Exp(sigma*s.random.NormFloat64() - sigma*sigma/2)
-	}
-	return time.Duration(mean)
+	s.random.Float64() // an unused draw before each request: a seed gives the same work as before
+	return class.DrawWork(s.random)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,7 +1,9 @@
-// Package load drives running gateways over their client protocol (RESP2) at a given rate. Requests
-// are sent when they are due, whether earlier ones were answered or not, and latencies count from
-// when a request was due: a gateway that stalls is not spared the requests that should have arrived
-// meanwhile (no coordinated omission).
+// Package load drives running gateways over their client protocol (RESP2) at a given rate. The
+// command loadlab calls it.
+//
+// Requests are sent when they are due, whether earlier ones were answered or not, and latencies
+// count from when a request was due. So a gateway that stalls gets the requests that arrive
+// meanwhile, and they count as late (no coordinated omission).
 package load
 
 import (
@@ -64,6 +66,7 @@
 // sendAll sends each request when it is due, from a goroutine of its own.
 func (r *run) sendAll(ctx context.Context, inFlight *sync.WaitGroup) {
 	requests := newGenerator(r.Driver)
+	inFlightContext := context.WithoutCancel(ctx) // the end of the load does not end what is in flight
 	for {
 		req := requests.next()
 		if req.due >= r.Duration {
@@ -76,14 +79,14 @@
 		if ctx.Err() != nil {
 			return
 		}
-		inFlight.Go(func() { r.sendOne(req) })
+		inFlight.Go(func() { r.sendOne(inFlightContext, req) })
 	}
 }
 
 // sendOne sends a request and records its outcome.
-func (r *run) sendOne(req request) {
+func (r *run) sendOne(ctx context.Context, req request) {
 	delay := time.Since(r.start) - req.due
-	result := r.send(req)
+	result := r.send(ctx, req)
 	latency := time.Since(r.start) - req.due
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +114,7 @@
 			r.mu.Lock()
 			line := r.report.progress(time.Since(r.start))
 			r.mu.Unlock()
-			_, _ = fmt.Fprint(r.Progress, "\r", line) // the same
+			_, _ = fmt.Fprint(r.Progress, "\r", line) // nor does this
 		}
 	}()
 	return func() {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -20,8 +20,7 @@
 	return s
 }
 
-// The value was drawn by the driver before its names were revised: the same seed gives the same
-// requests.
+// TestGenerator_drawsTheSameRequests holds the requests of a seed.
 func TestGenerator_drawsTheSameRequests(t *testing.T) {
 	const want = "a9f547538b4f009dd80aa4237b2ecac8fe262720292bb298c1e32cb4908f3a81"
 	driver := &Driver{Scenario: defaultScenario(t), Gateways: []string{"a", "b", "c"}, Rate: 100, Seed: 7}
--- a/internal/lab/load/pool.go
+++ b/internal/lab/load/pool.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"context"
 	"net"
 	"sync"
 	"time"
@@ -14,15 +15,16 @@
 	idle map[string][]*resp.Conn
 }
 
-// acquire returns an idle connection, or a new one, for which it waits at most so long.
-func (p *pool) acquire(addr string, timeout time.Duration) (*resp.Conn, error) {
+// acquire returns an idle connection, or a new one, for which it waits at most the timeout.
+func (p *pool) acquire(ctx context.Context, addr string, timeout time.Duration) (*resp.Conn, error) {
 	for conn := p.takeIdle(addr); conn != nil; conn = p.takeIdle(addr) {
 		if conn.IsQuiet() {
 			return conn, nil
 		}
-		_ = conn.Close() // the gateway has closed it, or sent what nobody asked for
+		_ = conn.Close() // the gateway has closed it, or sent an answer to no request
 	}
-	conn, err := net.DialTimeout("tcp", addr, timeout)
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -16,6 +16,15 @@
 	minLatencyMicros  = 1
 	maxLatency        = time.Minute
 	significantDigits = 3
+	microsPerMilli    = 1000
+)
+
+// The percentiles of a report, and the factor of its percentages.
+const (
+	percentile50  = 50
+	percentile99  = 99
+	percentile999 = 99.9
+	percentFactor = 100
 )
 
 // Second is what came of the requests that were due in one second.
@@ -77,7 +86,7 @@
 }
 
 func recordTime(histogram *hdrhistogram.Histogram, span time.Duration) {
-	// What is beyond a minute is left out: no class of a scenario waits so long.
+	// The error is of times over maxLatency, beyond any deadline: they are left out.
 	_ = histogram.RecordValue(max(span.Microseconds(), minLatencyMicros))
 }
 
@@ -89,23 +98,25 @@
 
 // WriteTable writes the report as text, with a line for each class.
 func (r *Report) WriteTable(out io.Writer, classes []scenario.TrafficClass) error {
-	percent := func(n int) float64 { return 100 * float64(n) / float64(max(r.Offered, 1)) }
+	percent := func(n int) float64 { return percentFactor * float64(n) / float64(max(r.Offered, 1)) }
 	var text strings.Builder
 	fmt.Fprintf(&text, "offered %d in %.1f s; served %.1f%%, in time %.1f%%, rejected %.1f%%, terminated %.1f%%, "+
-		"disconnected %.1f%%, wrong answers %d\n", r.Offered, r.Duration.Seconds(), percent(r.Served), percent(r.InTime),
-		percent(r.Rejected), percent(r.Terminated), percent(r.Disconnected), r.WrongAnswers)
+		"disconnected %.1f%%, wrong answers %d\n", r.Offered, r.Duration.Seconds(),
+		percent(r.Served), percent(r.InTime), percent(r.Rejected),
+		percent(r.Terminated), percent(r.Disconnected), r.WrongAnswers)
 	fmt.Fprintf(&text, "%-16s %9s %9s %9s %9s %9s\n", "class", "served", "p50 ms", "p99 ms", "p99.9 ms", "max ms")
 	for i, class := range classes {
 		h := r.Latencies[i]
 		fmt.Fprintf(&text, "%-16s %9d %9.1f %9.1f %9.1f %9.1f\n", class.Name, h.TotalCount(),
-			quantileMs(h, 50), quantileMs(h, 99), quantileMs(h, 99.9), float64(h.Max())/1000)
+			quantileMs(h, percentile50), quantileMs(h, percentile99), quantileMs(h, percentile999),
+			float64(h.Max())/microsPerMilli)
 	}
 	fmt.Fprintf(&text, "requests were sent %.2f ms late at p99 (the driver's own delay, which the latencies include)\n",
-		quantileMs(r.SendDelay, 99))
+		quantileMs(r.SendDelay, percentile99))
 	_, err := io.WriteString(out, text.String())
 	return err
 }
 
 func quantileMs(histogram *hdrhistogram.Histogram, percentile float64) float64 {
-	return float64(histogram.ValueAtQuantile(percentile)) / 1000
+	return float64(histogram.ValueAtQuantile(percentile)) / microsPerMilli
 }
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -9,8 +9,10 @@
 )
 
 const (
-	maxUnitsOfMean = 3  // how many times the mean a request's units may be
-	randomStream   = 21 // tells the draws from those of other users of the same seed
+	maxUnitsOfMean = 3  // the most units of a request, as a multiple of their mean
+	randomStream   = 21 // the random stream that requests are drawn from
+	idBitsOfRun    = 32 // the low bits of a request's ID, which count; the seed is above them
+	roundingHalf   = 0.5
 )
 
 // request is one to be sent.
@@ -37,7 +39,7 @@
 func newGenerator(d *Driver) *generator {
 	g := &generator{
 		spec: d.Scenario, gateways: d.Gateways, rate: d.Rate,
-		random: rand.New(rand.NewPCG(d.Seed, randomStream)), lastID: d.Seed << 32,
+		random: rand.New(rand.NewPCG(d.Seed, randomStream)), lastID: d.Seed << idBitsOfRun,
 	}
 	sum := 0.0
 	for _, class := range g.spec.Classes {
@@ -60,7 +62,7 @@
 	return request{
 		id: g.lastID, due: g.due, plan: plan, class: min(class, len(g.spec.Classes)-1),
 		customer: customersBefore + uint64(g.random.IntN(g.spec.Plans[plan].Customers)) + 1,
-		units:    min(max(float64(int(mean*g.random.ExpFloat64()+0.5)), 1), maxUnitsOfMean*mean),
+		units:    min(max(float64(int(mean*g.random.ExpFloat64()+roundingHalf)), 1), maxUnitsOfMean*mean),
 		gateway:  g.gateways[g.random.IntN(len(g.gateways))],
 	}
 }
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"time"
@@ -32,14 +33,14 @@
 )
 
 // send sends a request and waits for its answer.
-func (r *run) send(req request) outcome {
+func (r *run) send(ctx context.Context, req request) outcome {
 	class := &r.Scenario.Classes[req.class]
 	deadline := r.start.Add(req.due + class.Timeout.D())
 	left := time.Until(deadline)
 	if left <= 0 {
 		return disconnected
 	}
-	conn, err := r.conns.acquire(req.gateway, left)
+	conn, err := r.conns.acquire(ctx, req.gateway, left)
 	if err != nil {
 		return disconnected
 	}
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -1,6 +1,10 @@
 package scenario
 
-import "math"
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+)
 
 // maxUnitsOverMean bounds the units of a request, as a multiple of their mean.
 const maxUnitsOverMean = 3
@@ -31,3 +35,17 @@
 	}
 	return mean
 }
+
+// DrawWork draws the work of a request of the class, as time on a core of speed 1. It takes one
+// draw, or none where all requests have the same work.
+func (l *TrafficClass) DrawWork(random *rand.Rand) time.Duration {
+	mean := float64(l.Work.D())
+	switch l.Distribution {
+	case DistributionExponential:
+		return time.Duration(mean * random.ExpFloat64())
+	case DistributionLognormal:
+		sigma := math.Sqrt(math.Log(1 + l.CV*l.CV))
+		return time.Duration(mean * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
+	}
+	return time.Duration(mean)
+}
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -9,6 +9,14 @@
 // resetBeforeRunShare is the part of the resets that strike before the server begins.
 const resetBeforeRunShare = 0.5
 
+const (
+	// waysOfRoundTrip is how many delays of the network a message and its answer take.
+	waysOfRoundTrip = 2
+	// waysOfNewConnection is how many delays a request takes on a new connection: the connection's
+	// round trip, and its own way.
+	waysOfNewConnection = waysOfRoundTrip + 1
+)
+
 // attempt is a request on its way to one server and back.
 type attempt struct {
 	gateway       *gateway
@@ -51,7 +59,7 @@
 		return
 	}
 	if !reused {
-		delay *= 3 // there, back and there with the request
+		delay *= waysOfNewConnection
 	}
 	engine.clock.After(delay, func() { engine.deliver(attempt, delay) })
 }
@@ -67,7 +75,7 @@
 	for len(c.lastUsed) > 0 {
 		last := c.lastUsed[len(c.lastUsed)-1]
 		c.lastUsed = c.lastUsed[:len(c.lastUsed)-1]
-		if g.engine.clock.Now()-last < g.engine.scenario.Servers.IdleTimeout.D()/2 {
+		if g.engine.clock.Now()-last < g.engine.keepAlive() {
 			return true
 		}
 		server.connections = max(server.connections-1, 0)
@@ -85,14 +93,15 @@
 	isReachable := !attempt.gateway.isCutFrom(server) && !server.silent
 	switch {
 	case server.dead && (reused || isReachable):
-		end(2*delay, policy.ConnectFailed) // a reused connection is found closed before anything is sent on it
+		// A reused connection is found closed before anything is sent on it.
+		end(waysOfRoundTrip*delay, policy.ConnectFailed)
 		return false
 	case !reused && !isReachable:
 		end(e.scenario.Network.ConnectTimeout.D(), policy.ConnectFailed)
 		return false
 	case !reused && server.connections >= e.scenario.Servers.MaxConnections:
 		e.result.Handshakes++
-		end(2*delay, policy.Rejected)
+		end(waysOfRoundTrip*delay, policy.Rejected)
 		return false
 	case !isReachable:
 		return false
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -5,18 +5,19 @@
 	"math/rand/v2"
 	"sort"
 	"time"
-
-	"harrierhoist/internal/lab/scenario"
 )
 
 const (
-	// firstOneTimeCustomer is the number after which customers that ask only once are numbered:
-	// above all others.
+	// firstOneTimeCustomer is the number after which customers that are seen once are numbered, so
+	// that they have numbers above all others.
 	firstOneTimeCustomer = 1 << 32
 	// swingPeriod is the period of the load's swing, in seconds.
 	swingPeriod = 20
 	// minDeclaredUnits is the least that a request declares.
 	minDeclaredUnits = 0.1
+	// minArrivalRate keeps the time to the next request finite where a fault stops all load, in
+	// requests a second.
+	minArrivalRate = 1e-6
 )
 
 // clients send the requests of customers in an open loop, whether answers come or not, and retry
@@ -38,7 +39,7 @@
 	cumulativeSizes []float64
 }
 
-// customer is a customer with the token bucket that a perfect count of its first tries would leave.
+// customer is a customer, with the token bucket that a perfect count of its first tries leaves.
 type customer struct {
 	id                         uint64
 	plan                       int
@@ -117,7 +118,8 @@
 	if engine.scenario.Load.Swing > 0 {
 		rate *= 1 + engine.scenario.Load.Swing*math.Sin(2*math.Pi*(engine.clock.Now()-origin).Seconds()/swingPeriod)
 	}
-	next := engine.clock.Now() + time.Duration(engine.arrivalRandom.ExpFloat64()/max(rate, 1e-6)*float64(time.Second))
+	pause := engine.arrivalRandom.ExpFloat64() / max(rate, minArrivalRate)
+	next := engine.clock.Now() + time.Duration(pause*float64(time.Second))
 	if next >= origin+engine.scenario.Length.D() {
 		return
 	}
@@ -159,7 +161,7 @@
 	if s := load.DeclaredDeviation; s > 0 {
 		r.declaredUnits = min(max(units*math.Exp(s*random.NormFloat64()-s*s/2), minDeclaredUnits), maxUnits)
 	}
-	r.work = engine.drawWork(class)
+	r.work = engine.scenario.Classes[class].DrawWork(random)
 	c.lastKey++
 	r.key = c.lastKey
 	return r
@@ -207,17 +209,3 @@
 func (c *clients) value(r *request) float64 {
 	return c.engine.scenario.Classes[r.class].Weight * c.engine.scenario.Plans[r.customer.plan].Price * r.units
 }
-
-// drawWork draws a request's work, as time on a core of speed 1.
-func (e *engine) drawWork(class int) time.Duration {
-	c := &e.scenario.Classes[class]
-	mean := float64(c.Work.D())
-	switch c.Distribution {
-	case scenario.DistributionExponential:
-		return time.Duration(mean * e.arrivalRandom.ExpFloat64())
-	case scenario.DistributionLognormal:
-		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
-		return time.Duration(mean * math.Exp(sigma*e.arrivalRandom.NormFloat64()-sigma*sigma/2))
-	}
-	return time.Duration(mean)
-}
--- a/internal/lab/simulation/coordinator_test.go
+++ b/internal/lab/simulation/coordinator_test.go
@@ -11,21 +11,23 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// Without a fault, coordinated gateways send nearly all attempts within their zone, which they
-// don't without coordination.
+// Without a fault, coordinated gateways send nearly all attempts within their zone; gateways without
+// coordination do not.
 func TestCoordination_calmRunStaysWithinZones(t *testing.T) {
 	t.Parallel()
 	shared := mustRun(t, threeZones(scenario.CoordinationShared), 1, baseline.Module)
 	alone := mustRun(t, threeZones(scenario.CoordinationNone), 1, baseline.Module)
 	if part := float64(shared.CrossZone) / float64(shared.Attempts); part > 0.02 || shared.WrongPlans > 0 {
-		t.Errorf("coordinated: %.3f of the attempts between zones, %d wrong plans, want 0.02 at most and none", part, shared.WrongPlans)
+		t.Errorf("coordinated: %.3f of the attempts between zones, %d wrong plans, want 0.02 at most and none", part,
+			shared.WrongPlans)
 	}
 	if alone.Plans != 0 || alone.CrossZone*3 < alone.Attempts {
-		t.Errorf("not coordinated: %d plans, %d of %d attempts between zones", alone.Plans, alone.CrossZone, alone.Attempts)
+		t.Errorf("not coordinated: %d plans, %d of %d attempts between zones", alone.Plans, alone.CrossZone,
+			alone.Attempts)
 	}
 	if alone.Offered != shared.Offered || alone.DueValue != shared.DueValue {
-		t.Errorf("%d requests of value %.1f are offered without coordination, %d of %.1f with it", alone.Offered, alone.DueValue,
-			shared.Offered, shared.DueValue)
+		t.Errorf("%d requests of value %.1f are offered without coordination, %d of %.1f with it", alone.Offered,
+			alone.DueValue, shared.Offered, shared.DueValue)
 	}
 	// 12 gateways send five digests a second for 16 s, and two voters merge ten a second.
 	digests, merged := shared.VoterMessages.Digests, shared.LeaderMessages.MergedDigests
@@ -34,38 +36,55 @@
 	}
 }
 
-// A zone is lost: coordinated gateways go elsewhere within two seconds, and to the same region
-// before another.
+// When a zone is lost, coordinated gateways send their attempts elsewhere within two seconds, and to
+// the same region before another.
 func TestCoordination_lostZoneIsLeftWithinTwoSeconds(t *testing.T) {
 	t.Parallel()
-	lost := mustRun(t, threeZones(scenario.CoordinationShared, zoneLossFault(0, 4*time.Second, 6*time.Second)), 1, baseline.Module)
+	lost := mustRun(t, threeZones(scenario.CoordinationShared, zoneLossFault(0, 4*time.Second, 6*time.Second)), 1,
+		baseline.Module)
 	if len(lost.FailoverMs) != 4 || slices.Max(lost.FailoverMs) > 2000 || lost.WrongPlans > 0 {
-		t.Errorf("failover after %v ms, %d wrong plans, want 2000 ms at most for each of 4 gateways, and none", lost.FailoverMs,
-			lost.WrongPlans)
+		t.Errorf("failover after %v ms, %d wrong plans, want 2000 ms at most for each of 4 gateways, and none",
+			lost.FailoverMs, lost.WrongPlans)
 	}
 	if lost.CrossRegion*3 > lost.CrossZone || lost.CrossZone*10 < lost.Attempts {
-		t.Errorf("%d of %d attempts between zones, %d of them between regions", lost.CrossZone, lost.Attempts, lost.CrossRegion)
+		t.Errorf("%d of %d attempts between zones, %d of them between regions", lost.CrossZone, lost.Attempts,
+			lost.CrossRegion)
 	}
 }
 
-// Voters that are cut off and killed, and lost messages, must never have a gateway act on a plan
-// after its lease, which counts from when the gateway asked, or hold a plan that was not written.
-// When all is well again, the gateways act on the latest.
+// With voters cut off and killed and with lost messages, no gateway acts on a plan after its lease,
+// which counts from the read's sending, or holds a plan that was not written. After the faults the
+// gateways act on the latest plan.
 func TestCoordination_noGatewayActsOnAPlanAfterItsLease(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		spec := threeZones(scenario.CoordinationShared, zoneLossFault(0, 3*time.Second, 8*time.Second),
 			scenario.Fault{Kind: scenario.LeaderLoss, Start: span(4 * time.Second), Duration: span(2 * time.Second)},
-			scenario.Fault{Kind: scenario.ZoneIsolation, Zone: 1, Start: span(5 * time.Second), Duration: span(4 * time.Second)},
-			scenario.Fault{Kind: scenario.ZoneIsolation, Zone: 2, Start: span(6 * time.Second), Duration: span(4 * time.Second)},
-			scenario.Fault{Kind: scenario.GatewayPause, Fraction: 0.3, Start: span(5 * time.Second), Duration: span(3 * time.Second)},
-			scenario.Fault{Kind: scenario.GatewayKill, Fraction: 0.3, Start: span(7 * time.Second), Duration: span(time.Second)})
+			scenario.Fault{
+				Kind: scenario.ZoneIsolation, Zone: 1, Start: span(5 * time.Second),
+				Duration: span(4 * time.Second),
+			},
+			scenario.Fault{
+				Kind: scenario.ZoneIsolation, Zone: 2, Start: span(6 * time.Second),
+				Duration: span(4 * time.Second),
+			},
+			scenario.Fault{
+				Kind: scenario.GatewayPause, Fraction: 0.3, Start: span(5 * time.Second),
+				Duration: span(3 * time.Second),
+			},
+			scenario.Fault{
+				Kind: scenario.GatewayKill, Fraction: 0.3, Start: span(7 * time.Second),
+				Duration: span(time.Second),
+			})
 		spec.Coordination.MessageLoss = 0.1
 		e, err := newEngine(spec, seed, baseline.Module)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &leaseWatch{engine: e, seed: seed, lease: spec.Coordination.Lease.D(), replacedAt: map[uint64]time.Duration{}}
+		w := &leaseWatch{
+			engine: e, seed: seed, lease: spec.Coordination.Lease.D(),
+			replacedAt: map[uint64]time.Duration{},
+		}
 		for now := origin; now < origin+spec.Length.D(); now += 50 * time.Millisecond {
 			e.clock.RunUntil(now)
 			w.observe(now)
@@ -111,7 +130,8 @@
 	}
 	if f.cached.LeaseEnd > clock {
 		if end := w.replacedAt[f.cached.Epoch]; end > 0 && now-end > w.lease {
-			t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", w.seed, f.index, f.cached.Epoch, now-end)
+			t.Fatalf("seed %d: gateway %d acts on epoch %d, %v after the next", w.seed, f.index, f.cached.Epoch,
+				now-end)
 		}
 		return
 	}
@@ -171,7 +191,10 @@
 			var texts [2]string
 			for i := range texts {
 				spec := threeZones(mode, zoneLossFault(1, 3*time.Second, 5*time.Second),
-					scenario.Fault{Kind: scenario.LeaderLoss, Start: span(4 * time.Second), Duration: span(2 * time.Second)})
+					scenario.Fault{
+						Kind: scenario.LeaderLoss, Start: span(4 * time.Second),
+						Duration: span(2 * time.Second),
+					})
 				spec.Coordination.MessageLoss, spec.Gateways.Subset = 0.05, true
 				text, err := json.Marshal(mustRun(t, spec, 3, baseline.Module))
 				if err != nil {
--- a/internal/lab/simulation/counter.go
+++ b/internal/lab/simulation/counter.go
@@ -64,7 +64,7 @@
 	settings := &engine.scenario.Counter
 	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: now}
 	c.calls++
-	roundTrip := 2 * engine.scenario.Network.SameZone.D()
+	roundTrip := waysOfRoundTrip * engine.scenario.Network.SameZone.D()
 	half := c.half(g)
 	wait := max(c.freeAt[half]-now, 0)
 	if c.rejecting || wait > settings.MaxWait.D() {
--- a/internal/lab/simulation/engine.go
+++ b/internal/lab/simulation/engine.go
@@ -1,7 +1,9 @@
 // Package simulation runs a scenario in virtual time: servers, counter, discovery, network and
-// clients are models, and every gateway is an instance of the policy, in this process. A scenario
-// and a seed give the same run to the last byte, whatever else runs. What it leaves out, against
-// real gateways on sockets, stands in docs/lab.md.
+// clients are models, and every gateway is an instance of the policy, in this process. Package
+// experiment calls it for each scenario, variant and seed.
+//
+// A scenario and a seed give the same run to the last byte. docs/lab.md lists what the models leave
+// out against real gateways on sockets.
 package simulation
 
 import (
--- a/internal/lab/simulation/failover.go
+++ b/internal/lab/simulation/failover.go
@@ -14,9 +14,9 @@
 	maxResidualShare = 0.1
 	// maxLostCapacity is the part of its full capacity up to which a zone may be held to be lost.
 	maxLostCapacity = 0.4
-	// reconnectionGrace is how long a zone or link that was restored may still be held to be lost:
-	// nothing is observed of a link that a plan avoids, and a loss is believed for three hold-down
-	// times without an observation.
+	// reconnectionGrace is how long a zone or link that was restored may still be held to be lost.
+	// A link that a plan avoids gives no observations, and without these a loss holds for three
+	// hold-down times.
 	reconnectionGrace = 45 * time.Second
 )
 
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -21,9 +21,9 @@
 	scenario.ServerErrors:    newErrorRateChange,
 	scenario.ServerSlowdown:  newSlowdown,
 	scenario.ClassSilence:    func(f scenario.Fault) fault { return &classSilence{fault: f} },
-	scenario.RollingDeploy:   func(f scenario.Fault) fault { return &rollingDeploy{fraction: f.Fraction, duration: f.Duration.D()} },
+	scenario.RollingDeploy:   func(f scenario.Fault) fault { return &rollingDeploy{f.Fraction, f.Duration.D()} },
 	scenario.MassReplacement: func(f scenario.Fault) fault { return &massReplacement{fraction: f.Fraction} },
-	scenario.ZoneLoss:        func(f scenario.Fault) fault { return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction} },
+	scenario.ZoneLoss:        newZoneLoss,
 
 	// Network
 	scenario.ZoneIsolation:    func(f scenario.Fault) fault { return &zoneIsolation{f.Zone} },
@@ -40,8 +40,8 @@
 
 	// Counter
 	scenario.CounterSlowdown:  changeTo(magnitudeOf, func(e *engine) *float64 { return &e.counter.slowdown }),
-	scenario.CounterSilence:   func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.silent }} },
-	scenario.CounterRejection: func(scenario.Fault) fault { return &flag{func(e *engine) *bool { return &e.counter.rejecting }} },
+	scenario.CounterSilence:   setFlag(func(e *engine) *bool { return &e.counter.silent }),
+	scenario.CounterRejection: setFlag(func(e *engine) *bool { return &e.counter.rejecting }),
 	scenario.CounterReset:     func(scenario.Fault) fault { return counterReset{} },
 	scenario.CounterSplit:     func(scenario.Fault) fault { return counterSplit{} },
 
@@ -88,6 +88,11 @@
 // flag sets a flag and clears it.
 type flag struct{ target func(*engine) *bool }
 
+// setFlag makes the constructor of a fault that sets a flag.
+func setFlag(target func(*engine) *bool) func(scenario.Fault) fault {
+	return func(scenario.Fault) fault { return &flag{target} }
+}
+
 func (f *flag) begin(e *engine) { *f.target(e) = true }
 
 func (f *flag) end(e *engine) { *f.target(e) = false }
@@ -106,7 +111,7 @@
 
 func (counterSplit) end(e *engine) { e.counter.isSplit = false }
 
-// planFlood has the customers of one plan ask more; of the first plan if the fault names none.
+// planFlood raises the load of one plan, the first if the fault names none.
 type planFlood struct{ fault scenario.Fault }
 
 func (f *planFlood) begin(e *engine) { f.setFactor(e, max(f.fault.Magnitude, 1)) }
--- a/internal/lab/simulation/fault_servers.go
+++ b/internal/lab/simulation/fault_servers.go
@@ -17,6 +17,10 @@
 	affected []*server
 }
 
+func newZoneLoss(f scenario.Fault) fault {
+	return &serverLoss{zone: f.Zone, ofZone: true, fraction: f.Fraction}
+}
+
 func (f *serverLoss) begin(engine *engine) {
 	candidates := engine.readyServers()
 	if f.ofZone {
@@ -126,8 +130,7 @@
 	e.announce(e.addServer(old.zone, old.rack, e.clock.Now()))
 }
 
-// removalMargin is how long after the last request may have ended a drained server ends its
-// process.
+// removalMargin is how long a drained server's process outlives the last request that it may have.
 const removalMargin = 2 * time.Second
 
 // rollingDeploy replaces servers one by one: the old one drains, and ends when all that it may
--- a/internal/lab/simulation/faulty_policy_test.go
+++ b/internal/lab/simulation/faulty_policy_test.go
@@ -68,7 +68,8 @@
 
 func (f *faultyPolicy) HandleAttemptResult(now time.Duration, result policy.AttemptResult) {
 	id, last := result.RequestID, f.attempts[result.RequestID]
-	mayHaveRun := result.Outcome == policy.TimedOut || result.Outcome == policy.Reset || result.Outcome == policy.Errored
+	mayHaveRun := result.Outcome == policy.TimedOut || result.Outcome == policy.Reset ||
+		result.Outcome == policy.Errored
 	if f.repeats && mayHaveRun && f.effects[id] == policy.NonIdempotent && !f.repeated[id] && now < last.deadline {
 		f.repeated[id] = true
 		f.Host.Attempt(id, last.server, last.deadline) // the module gets the result of the second attempt alone
--- a/internal/lab/simulation/follower_steering.go
+++ b/internal/lab/simulation/follower_steering.go
@@ -9,9 +9,6 @@
 	"harrierhoist/policy"
 )
 
-// This file connects the gateway's own routing to a simulated gateway: it is what package dispatch
-// does between the two.
-
 // shedRetryAfter is the Retry-After of requests that are shed.
 const shedRetryAfter = time.Second
 
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -38,6 +38,15 @@
 	lastUsed []time.Duration // of each, when its last attempt ended
 }
 
+// keepAliveDivisor is how many times shorter gateways keep idle connections than servers do, so that
+// a reused connection is rarely found closed.
+const keepAliveDivisor = 2
+
+// keepAlive is how long a gateway keeps an idle connection.
+func (e *engine) keepAlive() time.Duration {
+	return e.scenario.Servers.IdleTimeout.D() / keepAliveDivisor
+}
+
 // start makes a new instance of the policy, which knows the endpoints as they are.
 func (g *gateway) start(seed uint64) error {
 	engine := g.engine
@@ -49,7 +58,7 @@
 	g.idle = map[uint32]*idleConnections{}
 	keepAlive := time.Duration(0)
 	if engine.scenario.Gateways.Subset {
-		keepAlive = engine.scenario.Servers.IdleTimeout.D() / 2
+		keepAlive = engine.keepAlive()
 	}
 	g.subset = subset.New(g.index, engine.scenario.Gateways.Count, keepAlive)
 	var err error
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -94,15 +94,18 @@
 			[2]string{"36785b5ff5a89070", "7a7ae75aa2945e2a"},
 		},
 		{
-			"faults, each gateway alone", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Module,
+			"faults, each gateway alone",
+			func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Module,
 			[2]string{"0ca19b290633a1d5", "3d02ff8a5c9a5eb7"},
 		},
 		{
-			"faults, decided in common", func() *scenario.Scenario { return busy(scenario.CoordinationShared) }, baseline.Module,
+			"faults, decided in common",
+			func() *scenario.Scenario { return busy(scenario.CoordinationShared) }, baseline.Module,
 			[2]string{"5e4c086ceea8d706", "d71154050fb2b40d"},
 		},
 		{
-			"faults, local buckets", func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Bucket,
+			"faults, local buckets",
+			func() *scenario.Scenario { return busy(scenario.CoordinationNone) }, baseline.Bucket,
 			[2]string{"097dbf236b7d955a", "8a2f963745a32323"},
 		},
 		{
--- a/internal/lab/simulation/hotspot_test.go
+++ b/internal/lab/simulation/hotspot_test.go
@@ -18,9 +18,9 @@
 	return spec
 }
 
-// TestHotspot_overflowsToOtherZones: more comes in at a zone than it has capacity for. Its gateways
-// reject the rest before any attempt, so that attempts tell nothing of it. It goes to other zones
-// all the same, and does not overload them.
+// TestHotspot_overflowsToOtherZones sends a zone more than its capacity. Its gateways reject the
+// rest before any attempt, so that no attempt shows it; it still goes to other zones, and does not
+// overload them.
 func TestHotspot_overflowsToOtherZones(t *testing.T) {
 	t.Parallel()
 	r := mustRun(t, hotspotScenario(scenario.CoordinationShared), 1, baseline.Module)
@@ -36,21 +36,24 @@
 	}
 }
 
-// TestHotspot_loadBeyondQuotaMovesNothing: one customer floods the zone with many times its
-// capacity, nearly all of it beyond the customer's quota. That is no demand.
+// TestHotspot_loadBeyondQuotaMovesNothing has one customer flood the zone with many times its
+// capacity, nearly all of it beyond the customer's quota, which counts as no demand.
 func TestHotspot_loadBeyondQuotaMovesNothing(t *testing.T) {
 	t.Parallel()
 	spec := hotspotScenario(scenario.CoordinationShared, scenario.Fault{
-		Kind: scenario.PlanFlood, Plan: "enterprise", Magnitude: 20, Start: span(4 * time.Second), Duration: span(10 * time.Second),
+		Kind: scenario.PlanFlood, Plan: "enterprise", Magnitude: 20,
+		Start: span(4 * time.Second), Duration: span(10 * time.Second),
 	})
 	spec.Load.Rate = 150
 	plan := &spec.Plans[2]
 	plan.Customers, plan.Rate, plan.Burst = 1, 20, 40
 	r := mustRun(t, spec, 1, baseline.Module)
 	if r.CrossZone > 0 || r.WrongPlans > 0 {
-		t.Errorf("%d of %d attempts go to another zone, %d wrong plans, want none", r.CrossZone, r.Attempts, r.WrongPlans)
+		t.Errorf("%d of %d attempts go to another zone, %d wrong plans, want none", r.CrossZone, r.Attempts,
+			r.WrongPlans)
 	}
 	if r.Offered < 8000 || r.RejectedRequests+r.Failed < r.Offered/2 {
-		t.Errorf("%d requests, of which %d were rejected and %d failed, are no flood", r.Offered, r.RejectedRequests, r.Failed)
+		t.Errorf("%d requests, of which %d were rejected and %d failed, are no flood", r.Offered, r.RejectedRequests,
+			r.Failed)
 	}
 }
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -9,8 +9,25 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// maxAnswerTime is the longest answer time that is counted.
-const maxAnswerTime = time.Minute
+const (
+	// maxAnswerTime is the longest answer time that is counted.
+	maxAnswerTime = time.Minute
+	// minAnswerMicros is the shortest answer time that is counted, in microseconds.
+	minAnswerMicros = 1
+	// answerTimeDigits is the number of significant digits of answer times.
+	answerTimeDigits = 3
+	// microsPerMilli converts microseconds to milliseconds.
+	microsPerMilli = 1000
+	// minDueValue keeps a quotient finite where nothing was due.
+	minDueValue = 1e-9
+)
+
+// The percentiles of answer times that a result has.
+const (
+	percentile50  = 50
+	percentile99  = 99
+	percentile999 = 99.9
+)
 
 // Result is the record of a run. Its keys in JSON are those of earlier results.
 type Result struct {
@@ -63,7 +80,7 @@
 	ForwardedUnits       float64                   `json:"Units"`
 	OverQuotaUnits       float64                   `json:"Beyond"`
 	OverQuotaPenalty     float64                   `json:"BeyondGain"`
-	LoadDeviation        float64                   `json:"Uneven"` // of servers that ran all the time: deviation over mean
+	LoadDeviation        float64                   `json:"Uneven"` // deviation over mean, of servers that always ran
 	ViolationCounts      [invariants.RuleCount]int `json:"Broken"`
 	Violations           []invariants.Violation    `json:"Breaches"`
 	Timeline             []Second                  `json:"Seconds"`
@@ -124,15 +141,20 @@
 	r := Result{Scenario: spec.Name, Seed: seed}
 	for _, class := range spec.Classes {
 		r.Classes = append(r.Classes, class.Name)
-		r.answerTimes = append(r.answerTimes, hdrhistogram.New(1, maxAnswerTime.Microseconds(), 3))
+		r.answerTimes = append(r.answerTimes, newAnswerTimes())
 	}
 	return r
 }
 
+// newAnswerTimes makes the histogram of a class's answer times.
+func newAnswerTimes() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minAnswerMicros, maxAnswerTime.Microseconds(), answerTimeDigits)
+}
+
 // recordAnswerTime counts the time that a request of a class took to be served.
 func (r *Result) recordAnswerTime(class int, took time.Duration) {
 	// The error is for times over maxAnswerTime, beyond any deadline: they are left out.
-	_ = r.answerTimes[class].RecordValue(max(took.Microseconds(), 1))
+	_ = r.answerTimes[class].RecordValue(max(took.Microseconds(), minAnswerMicros))
 }
 
 // ComputePercentiles fills in the percentiles of the answer times of each class.
@@ -141,10 +163,10 @@
 	r.P99 = nil
 	r.P999 = nil
 	for _, h := range r.answerTimes {
-		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		r.P50 = append(r.P50, ms(50))
-		r.P99 = append(r.P99, ms(99))
-		r.P999 = append(r.P999, ms(99.9))
+		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / microsPerMilli }
+		r.P50 = append(r.P50, ms(percentile50))
+		r.P99 = append(r.P99, ms(percentile99))
+		r.P999 = append(r.P999, ms(percentile999))
 	}
 }
 
@@ -152,7 +174,9 @@
 func (r *Result) AnswerTimes(class int) *hdrhistogram.Histogram { return r.answerTimes[class] }
 
 // Service is the part of the due value that was served in time.
-func (r *Result) Service() float64 { return r.ServedValue / max(r.DueValue, 1e-9) }
+func (r *Result) Service() float64 { return r.ServedValue / max(r.DueValue, minDueValue) }
 
 // Net is Service less what units beyond quotas cost.
-func (r *Result) Net() float64 { return (r.ServedValue - r.OverQuotaPenalty) / max(r.DueValue, 1e-9) }
+func (r *Result) Net() float64 {
+	return (r.ServedValue - r.OverQuotaPenalty) / max(r.DueValue, minDueValue)
+}
--- a/internal/lab/simulation/rules_test.go
+++ b/internal/lab/simulation/rules_test.go
@@ -109,8 +109,8 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			spec := smallScenario(scenario.Fault{
-				Kind: kind, Start: span(2 * time.Second), Duration: span(4 * time.Second), Fraction: 0.3, Magnitude: 2, Zone: 1,
-				Class: "paid-confirm", Plan: "office",
+				Kind: kind, Start: span(2 * time.Second), Duration: span(4 * time.Second),
+				Fraction: 0.3, Magnitude: 2, Zone: 1, Class: "paid-confirm", Plan: "office",
 			})
 			r := mustRun(t, spec, 7, baseline.Module)
 			if r.ViolationCounts != noViolations {
@@ -126,8 +126,14 @@
 // TestRun_sameSeedGivesTheSameBytes runs two seeds, several times each and side by side.
 func TestRun_sameSeedGivesTheSameBytes(t *testing.T) {
 	spec := smallScenario(
-		scenario.Fault{Kind: scenario.GatewayKill, Start: span(2 * time.Second), Duration: span(time.Second), Fraction: 0.5},
-		scenario.Fault{Kind: scenario.RollingDeploy, Start: span(3 * time.Second), Duration: span(3 * time.Second), Fraction: 0.5},
+		scenario.Fault{
+			Kind: scenario.GatewayKill, Start: span(2 * time.Second), Duration: span(time.Second),
+			Fraction: 0.5,
+		},
+		scenario.Fault{
+			Kind: scenario.RollingDeploy, Start: span(3 * time.Second), Duration: span(3 * time.Second),
+			Fraction: 0.5,
+		},
 		scenario.Fault{Kind: scenario.CounterSilence, Start: span(5 * time.Second), Duration: span(3 * time.Second)})
 	spec.Gateways.Subset = true
 	spec.Load.DeclaredDeviation, spec.Load.OneTimeShare = 0.4, 0.1
@@ -172,7 +178,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := smallScenario(scenario.Fault{
-				Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(2 * time.Second), Fraction: 0.5,
+				Kind: scenario.RollingDeploy, Start: span(2 * time.Second), Duration: span(2 * time.Second),
+				Fraction: 0.5,
 			})
 			change(spec)
 			r := mustRun(t, spec, 2, baseline.Module)
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -12,8 +12,8 @@
 	// receiptSlack is how much longer than the class's window a server remembers an idempotency
 	// key.
 	receiptSlack = 2 * time.Second
-	// overloadMargin is how many requests more than its cores a server must have got lately before
-	// it can be overloaded: a handful of requests is no overload, however heavy they are.
+	// overloadMargin is how many requests more than its cores a server must have got within the
+	// overload span before it can be overloaded: a few heavy requests are no overload.
 	overloadMargin = 4
 )
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// warmUpFraction is the part of its speed that it has.
+// warmUpFraction is the part of its speed that a server has: less than 1 while it warms up.
 func (s *server) warmUpFraction() float64 {
 	settings := &s.engine.scenario.Servers
 	if s.startedAt == 0 || settings.WarmUpTime <= 0 {
@@ -90,7 +90,7 @@
 	return min(1, settings.WarmUpStart+(1-settings.WarmUpStart)*max(elapsed, 0))
 }
 
-// capacity is the work that it does in a second, in seconds on a core of speed 1.
+// capacity is the work that a server does in a second, in seconds on a core of speed 1.
 func (s *server) capacity() float64 {
 	return float64(s.engine.scenario.Servers.Cores) * s.speed * s.warmUpFraction() / s.slowdown
 }
@@ -114,7 +114,7 @@
 	s.engine.announce(s)
 }
 
-// dropWork ends all that it has begun or queued.
+// dropWork ends all requests that a server has begun or queued.
 func (s *server) dropWork() {
 	s.incarnation++
 	clear(s.running)
--- a/internal/lab/simulation/theory_test.go
+++ b/internal/lab/simulation/theory_test.go
@@ -38,7 +38,8 @@
 	work := 20 * time.Millisecond
 	spec.Classes = []scenario.TrafficClass{{
 		Name: "only", Share: 1, Work: scenario.Span(work), Distribution: scenario.DistributionExponential,
-		LatencyObjective: scenario.Span(time.Hour), Timeout: scenario.Span(time.Hour), Weight: 1, Effect: scenario.EffectIdempotent,
+		LatencyObjective: scenario.Span(time.Hour), Timeout: scenario.Span(time.Hour), Weight: 1,
+		Effect: scenario.EffectIdempotent,
 	}}
 	spec.Plans = []scenario.Plan{{Name: "free", Share: 1, Customers: 10, Price: 1}}
 	spec.Counter.Rate = 0
--- a/internal/lab/simulation/try.go
+++ b/internal/lab/simulation/try.go
@@ -13,8 +13,8 @@
 	// maxGatewayDraws bounds how often a client draws another gateway when one is dead or took its
 	// last try.
 	maxGatewayDraws = 4
-	// deadGatewayShare is the probability that a client takes a dead gateway it drew: their death
-	// is noticed by and by.
+	// deadGatewayShare is the probability that a client takes a dead gateway that it drew, as not
+	// every client knows yet that it is dead.
 	deadGatewayShare = 0.3
 )
 
--- a/internal/lab/simulation/utilisation.go
+++ b/internal/lab/simulation/utilisation.go
@@ -8,11 +8,10 @@
 
 const (
 	// minReadyCapacity is the part of its full capacity that a zone must have for its utilisation
-	// to say something of those who send to it: a zone that a fault struck, or whose servers are
-	// warming up, is left out.
+	// to count: a zone with faults, or with servers that are warming up, is left out.
 	minReadyCapacity = 0.9
-	// peakSeconds is the number of seconds over which a zone's utilisation is taken besides a
-	// single one, in which chance alone brings a small zone half as much again.
+	// peakSeconds is the number of seconds of the longer mean of a zone's utilisation. In a single
+	// second, chance alone brings a small zone half as much again as its mean.
 	peakSeconds = 5
 )
 
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -124,7 +124,7 @@
 	c := v.coordinator
 	roundTrip := time.Duration(0)
 	if leader := c.leader; leader != nil && leader != v {
-		roundTrip = 2 * c.engine.delayBy(c.random, v.zone, leader.zone)
+		roundTrip = waysOfRoundTrip * c.engine.delayBy(c.random, v.zone, leader.zone)
 	}
 	minEpoch := c.table.Epoch // what a majority has: an answer with less is not confirmed
 	c.engine.clock.After(roundTrip, func() { r.answer(v.table, v.isConfirmed() && v.table.Epoch >= minEpoch) })
