--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A request is counted in the second in which it was due, and as late by its class's objective.
+// A request is counted in the second in which it was due, and is late by its class's objective.
 func TestReport_countsOutcomesBySecond(t *testing.T) {
 	const objective = time.Second
 	report := newReport(1)
--- a/internal/lab/simulation/coordinator.go
+++ b/internal/lab/simulation/coordinator.go
@@ -12,10 +12,10 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// coordinator simulates what the processes share: voters in zones, one of which leads and runs the
-// controller of failover, and the messages between them and the gateways. Controllers, zone
-// statistics, observations and plans are the gateway's own code; the replicated log is a drawn
-// time. Its random numbers are its own, so that all else is the same without it.
+// coordinator simulates what the gateways decide together: voters in zones, one of which leads and
+// runs the controller of failover, and the messages between them and the gateways. All but the
+// replicated log, which is a drawn time, is the gateway's own code. It has a generator of its own,
+// so that a run without it meets the same customers and faults.
 type coordinator struct {
 	engine           *engine
 	settings         *scenario.Coordination
@@ -36,7 +36,7 @@
 	wrongLosses      map[string]bool // what the latest plan holds to be lost and is not
 }
 
-// newCoordinator makes what the scenario says; nil: the gateways share nothing.
+// newCoordinator makes the coordinator of a scenario; nil: its gateways share nothing.
 func newCoordinator(engine *engine, random *rand.Rand) *coordinator {
 	settings := &engine.scenario.Coordination
 	if settings.Mode == scenario.CoordinationNone {
@@ -81,7 +81,7 @@
 // countMessage counts a message that a voter gets.
 func (c *coordinator) countMessage(v *voter, kind func(*Messages) *int) {
 	if c.engine.clock.Now() >= origin+c.engine.scenario.Length.D() {
-		return // only the answers of requests are waited for
+		return // from here on the run only waits for answers
 	}
 	*kind(&c.engine.result.VoterMessages)++
 	if v == c.leader {
@@ -89,7 +89,7 @@
 	}
 }
 
-// drawBetween draws a time between two.
+// drawBetween draws a time between two bounds.
 func (c *coordinator) drawBetween(bounds [2]scenario.Span) time.Duration {
 	return bounds[0].D() + time.Duration(c.random.Float64()*float64(bounds[1]-bounds[0]))
 }
@@ -105,7 +105,7 @@
 	return !v.dead && reached > len(c.voters)/2
 }
 
-// startLeading makes a voter the leader, with a controller that knows the table and nothing else.
+// startLeading makes a voter the leader. Its controller knows the table alone.
 func (c *coordinator) startLeading(v *voter) {
 	c.term++
 	c.leader = v
--- a/internal/lab/simulation/fault_test.go
+++ b/internal/lab/simulation/fault_test.go
@@ -87,7 +87,7 @@
 	scenario.DiscoveryLoss: {scenario.Fault{Fraction: 1}, fewerInTime},
 }
 
-// companionFaults are in both runs of a comparison, for faults that show only beside another one.
+// companionFaults are in both runs of a comparison, for a fault that shows only beside another.
 func companionFaults(kind string) []scenario.Fault {
 	switch kind {
 	case scenario.DiscoveryLag, scenario.DiscoveryLoss:
@@ -119,7 +119,7 @@
 	for _, kind := range scenario.FaultKindNames() {
 		visible, known := visibleFaults[kind]
 		if !known {
-			t.Errorf("nothing says what is visible of %s", kind)
+			t.Errorf("no row says what is visible of %s", kind)
 			continue
 		}
 		t.Run(kind, func(t *testing.T) {
--- a/internal/lab/simulation/faulty_policy_test.go
+++ b/internal/lab/simulation/faulty_policy_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// faultyPolicy is the module with one fault: it stands between it and its host, and passes on all
-// but what the fault changes.
+// faultyPolicy is the module with one fault. It is between the module and its host, and passes all
+// calls on but those that the fault changes.
 type faultyPolicy struct {
 	baseline.Policy
 	policy.Host
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -32,7 +32,7 @@
 )
 
 // follower is a gateway's part in coordination: it sends digests to a voter, reads the table, and
-// has it steer the gateway.
+// steers the gateway by it.
 type follower struct {
 	coordinator     *coordinator
 	index           int
@@ -74,7 +74,7 @@
 	f.updater.Update()
 }
 
-// nearestVoter is the voter that it starts with: of its zone, else of its region, else any.
+// nearestVoter is the voter that a gateway starts with: of its zone, else of its region, else any.
 func (f *follower) nearestVoter() int {
 	regions := f.coordinator.engine.regions
 	voters := f.coordinator.voters
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -84,7 +84,7 @@
 // incarnation has ended.
 func (g *gateway) run(incarnation int, action func()) {
 	switch {
-	case !g.alive || g.incarnation != incarnation:
+	case !g.alive || g.incarnation != incarnation: // nothing is left to run it
 	case g.engine.clock.Now() < g.pausedUntil:
 		g.engine.clock.At(g.pausedUntil, func() { g.run(incarnation, action) })
 	default:
--- a/internal/lab/simulation/gateway_host.go
+++ b/internal/lab/simulation/gateway_host.go
@@ -1,15 +1,13 @@
 package simulation
 
-import (
-	"time"
-)
+import "time"
 
-// The methods of policy.Host; Attempt and Cancel stand in attempt.go.
+// The methods of policy.Host; Attempt and Cancel are in attempt.go.
 
 // timer is a timer of the policy.
 type timer struct{ cancelled bool }
 
-// Reject answers a request so that retrying it is harmless.
+// Reject answers a request that may be retried.
 func (g *gateway) Reject(requestID uint32, retryAfter time.Duration) {
 	if t := g.tries[requestID]; t != nil {
 		t.retryAfter = retryAfter
@@ -20,7 +18,7 @@
 	}
 }
 
-// Terminate answers a request without a word on whether it ran.
+// Terminate answers a request that may have run.
 func (g *gateway) Terminate(requestID uint32) {
 	if t := g.tries[requestID]; t != nil {
 		g.finishTry(t, terminated)
@@ -35,10 +33,10 @@
 // CheckHealth is not simulated.
 func (g *gateway) CheckHealth(uint32) {}
 
-// SendPeer reaches nobody, as on sockets.
+// SendPeer does nothing, as in the gateway on sockets.
 func (g *gateway) SendPeer(int, []byte) {}
 
-// WatchEndpoints does nothing: discovery notifies unasked.
+// WatchEndpoints does nothing: discovery notifies each gateway of each change.
 func (g *gateway) WatchEndpoints() {}
 
 // SetTimer calls HandleTimer after a time.
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// hashOf is a hash of the values of a result, by the order of its fields and not by their names or
-// by any wording.
+// hashOf is a hash of the values of a result in the order of its fields. Names of fields and texts
+// are not part of it.
 func hashOf(t *testing.T, r *Result) string {
 	t.Helper()
 	h := sha256.New()
@@ -60,28 +60,33 @@
 func busy(mode string) *scenario.Scenario {
 	second := func(n float64) scenario.Span { return span(time.Duration(n * float64(time.Second))) }
 	spec := threeZones(mode,
-		scenario.Fault{Kind: "deploy", Start: second(1), Duration: second(3), Fraction: 0.5},
-		scenario.Fault{Kind: "server_slow", Start: second(2), Duration: second(4), Fraction: 0.2, Magnitude: 4},
-		scenario.Fault{Kind: "server_errors", Start: second(3), Duration: second(3), Fraction: 0.1, Magnitude: 0.5},
+		scenario.Fault{Kind: scenario.RollingDeploy, Start: second(1), Duration: second(3), Fraction: 0.5},
+		scenario.Fault{
+			Kind: scenario.ServerSlowdown, Start: second(2), Duration: second(4), Fraction: 0.2,
+			Magnitude: 4,
+		},
+		scenario.Fault{
+			Kind: scenario.ServerErrors, Start: second(3), Duration: second(3), Fraction: 0.1,
+			Magnitude: 0.5,
+		},
 		zoneLossFault(0, 4*time.Second, 4*time.Second),
-		scenario.Fault{Kind: "leader_lost", Start: second(5), Duration: second(2)},
-		scenario.Fault{Kind: "kill", Start: second(6), Duration: second(1), Fraction: 0.3},
-		scenario.Fault{Kind: "resets", Start: second(6), Duration: second(4), Fraction: 0.05},
-		scenario.Fault{Kind: "answers_lost", Start: second(7), Duration: second(2), Fraction: 0.05},
-		scenario.Fault{Kind: "counter_silent", Start: second(8), Duration: second(2)},
-		scenario.Fault{Kind: "counter_slow", Start: second(10), Duration: second(2), Magnitude: 5},
-		scenario.Fault{Kind: "hall_cut", Start: second(9), Duration: second(2), Zone: 1},
-		scenario.Fault{Kind: "list_lag", Start: second(3), Duration: second(6), Magnitude: 5},
-		scenario.Fault{Kind: "list_lost", Start: second(2), Duration: second(5), Fraction: 0.3},
-		scenario.Fault{Kind: "standstill", Start: second(11), Duration: second(1), Fraction: 0.3},
-		scenario.Fault{Kind: "burst", Start: second(12), Duration: second(2), Magnitude: 2},
-		scenario.Fault{Kind: "mass_change", Start: second(13), Fraction: 0.4})
+		scenario.Fault{Kind: scenario.LeaderLoss, Start: second(5), Duration: second(2)},
+		scenario.Fault{Kind: scenario.GatewayKill, Start: second(6), Duration: second(1), Fraction: 0.3},
+		scenario.Fault{Kind: scenario.ConnectionResets, Start: second(6), Duration: second(4), Fraction: 0.05},
+		scenario.Fault{Kind: scenario.AnswerLoss, Start: second(7), Duration: second(2), Fraction: 0.05},
+		scenario.Fault{Kind: scenario.CounterSilence, Start: second(8), Duration: second(2)},
+		scenario.Fault{Kind: scenario.CounterSlowdown, Start: second(10), Duration: second(2), Magnitude: 5},
+		scenario.Fault{Kind: scenario.ZoneIsolation, Start: second(9), Duration: second(2), Zone: 1},
+		scenario.Fault{Kind: scenario.DiscoveryLag, Start: second(3), Duration: second(6), Magnitude: 5},
+		scenario.Fault{Kind: scenario.DiscoveryLoss, Start: second(2), Duration: second(5), Fraction: 0.3},
+		scenario.Fault{Kind: scenario.GatewayPause, Start: second(11), Duration: second(1), Fraction: 0.3},
+		scenario.Fault{Kind: scenario.LoadBurst, Start: second(12), Duration: second(2), Magnitude: 2},
+		scenario.Fault{Kind: scenario.MassReplacement, Start: second(13), Fraction: 0.4})
 	return spec
 }
 
-// TestGolden holds what the simulation gives: the values of whole runs, two seeds each, recorded
-// before the tree was made readable. Whatever is renamed or moved, a run goes the same way to the
-// last draw.
+// TestGolden holds the values of complete runs, of two seeds each, against recorded hashes. A change
+// of any draw or decision shows here.
 func TestGolden(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/lab/simulation/helpers_test.go
+++ b/internal/lab/simulation/helpers_test.go
@@ -9,7 +9,7 @@
 	"harrierhoist/internal/lab/scenario"
 )
 
-// smallScenario is a scenario in which everything shows soon.
+// smallScenario is a scenario of 12 s in which all effects of faults show.
 func smallScenario(faults ...scenario.Fault) *scenario.Scenario {
 	spec, err := scenario.Parse("small", nil)
 	if err != nil {
--- a/internal/lab/simulation/server_work.go
+++ b/internal/lab/simulation/server_work.go
@@ -56,8 +56,9 @@
 	}
 	rate := s.recentWork / span.Seconds()
 	limit := s.capacity() * rules.OverloadFactor
-	if now < s.overloadedUntil || len(s.recentArrivals) < engine.scenario.Servers.Cores+overloadMargin ||
-		rate <= limit {
+	isOverloaded := now < s.overloadedUntil
+	hasFewRequests := len(s.recentArrivals) < engine.scenario.Servers.Cores+overloadMargin
+	if isOverloaded || hasFewRequests || rate <= limit {
 		return
 	}
 	s.overloadedUntil = now + rules.OverloadDowntime.D()
@@ -71,15 +72,27 @@
 		return false
 	}
 	for _, other := range s.engine.servers {
-		sameGroup := class.Group == policy.GroupAll || class.Group == policy.GroupZone && other.zone == s.zone ||
-			class.Group == policy.GroupRack && other.rack == s.rack
-		if until, known := other.dedupUntil[a.try.request.key]; sameGroup && known && s.engine.clock.Now() < until {
+		until, isKnown := other.dedupUntil[a.try.request.key]
+		if isKnown && s.engine.clock.Now() < until && s.isInGroupOf(other, class.Group) {
 			return true
 		}
 	}
 	return false
 }
 
+// isInGroupOf reports whether two servers are in one group of a kind.
+func (s *server) isInGroupOf(other *server, group policy.Group) bool {
+	switch group {
+	case policy.GroupAll:
+		return true
+	case policy.GroupZone:
+		return other.zone == s.zone
+	case policy.GroupRack:
+		return other.rack == s.rack
+	}
+	return false
+}
+
 // startWork begins a request on a free core; its effect happens now.
 func (s *server) startWork(attempt *attempt) {
 	engine := s.engine
@@ -124,8 +137,8 @@
 	}
 }
 
-// cancel handles the notice that nobody waits for an attempt, as far as the scenario's servers heed
-// it.
+// cancel handles the notice that nobody waits for an attempt: it ends the work that the scenario's
+// cancellation covers.
 func (s *server) cancel(a *attempt) {
 	scope := s.engine.scenario.Servers.Cancellation
 	if scope == scenario.CancelNone || s.dead || s.silent {
--- a/internal/lab/virtualtime/scheduler_test.go
+++ b/internal/lab/virtualtime/scheduler_test.go
@@ -38,7 +38,7 @@
 	r.expect(t, "a@1s", "b@1s", "c@2s", "d@2s")
 }
 
-// Many events at few times, as a check of the heap.
+// Many events at few times check the heap.
 func TestScheduler_ordersDrawnEvents(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	type entry struct {
