--- a/internal/gateway/listener/close.go
+++ b/internal/gateway/listener/close.go
@@ -70,8 +70,9 @@
 	}
 }
 
-// takeCloseStep decides what awaitClose does next. It counts the sending half as closed if the last
-// answer was written just before the drain began, without closing it.
+// takeCloseStep decides what awaitClose does next. Where the last answer was written just before the
+// drain began, nothing has closed the sending half: it is marked as closed here, and the caller
+// closes it.
 func (c *connection) takeCloseStep() closeStep {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -94,8 +94,8 @@
 	c.state.endCommand(time.Now())
 }
 
-// rejectsCommand reports whether the command that was just read is to be rejected because a drain
-// has come far. The first of a connection is executed still.
+// rejectsCommand decides whether a drain rejects the command that was just read, and records it if
+// so: after forwardAfterTerm, unless it is the only one ever counted on the connection.
 func (c *connection) rejectsCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -102,7 +102,7 @@
 	slices.SortFunc(candidates, evictionCandidate.compare)
 	isFlooded := newCount > cap(t.slots)/floodDivisor
 	for _, candidate := range candidates {
-		if isFlooded && candidate.activity == activityResting && time.Since(candidate.idleSince) < minIdleBeforeEvict {
+		if isFlooded && candidate.isKeptInFlood() {
 			return
 		}
 		if candidate.closeIfIdle() {
@@ -118,6 +118,12 @@
 	idleSince time.Time
 }
 
+// isKeptInFlood reports whether the client was answered so recently that it keeps its slot in a
+// flood of new connections.
+func (e evictionCandidate) isKeptInFlood() bool {
+	return e.activity == activityResting && time.Since(e.idleSince) < minIdleBeforeEvict
+}
+
 // compare orders the candidates: silent ones first, then by the time since which they have been
 // idle.
 func (e evictionCandidate) compare(other evictionCandidate) int {
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -90,8 +90,8 @@
 }
 
 // isReadOver reports whether no command is read any more on a connection, except one that was
-// begun, or the first. This stops a client that sends without a pause: only a pause would otherwise
-// close its connection.
+// begun, or the first. A client that sends without a pause would otherwise keep its connection: no
+// answer would be the last.
 func (d *drainState) isReadOver() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().readUntil)
 }
@@ -129,9 +129,9 @@
 	}
 }
 
-// awaitClients closes idle connections until no client is left, and returns true then. It returns
-// false after all deadlines, and the times to write an answer, are over. Shortly before SIGKILL
-// it has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
+// awaitClients closes idle connections until no client is left, and returns true then; false if that
+// takes longer than drainTimeout. It accepts no more after answerUntil. Shortly before SIGKILL it
+// has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
@@ -139,7 +139,7 @@
 		<-l.drain.acceptDone
 		l.connections.open.Wait()
 	}()
-	for time.Since(began) < l.parser.Load().longestTimeout()+killGrace+writeTimeout {
+	for time.Since(began) < l.drainTimeout() {
 		l.connections.closeIdle(isDueInDrain) // also while a connection waits for a slot
 		if time.Now().After(l.drain.times.Load().answerUntil) {
 			_ = socket.Close() // the backlog may never become empty; the socket may be closed already
@@ -156,6 +156,12 @@
 	return false
 }
 
+// drainTimeout decides how long after SIGTERM a drain gives up waiting for its clients: the longest
+// timeout of any class by the settings in force, and the time to write an answer.
+func (l *Listener) drainTimeout() time.Duration {
+	return l.parser.Load().longestTimeout() + killGrace + writeTimeout
+}
+
 // isDueInDrain reports whether an idle connection is to be closed during a drain. A client that was
 // just answered is likely to be sending its next request, which would be lost if it crossed the
 // close.
