--- a/internal/gateway/listener/close.go
+++ b/internal/gateway/listener/close.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// takeCloseStep decides what awaitClose does next. Where the last answer was written just before the
-// drain began, nothing has closed the sending half: it is marked as closed here, and the caller
+// takeCloseStep decides what awaitClose does next. Where the last answer was written just before
+// the drain began, nothing has closed the sending half: it is marked as closed here, and the caller
 // closes it.
 func (c *connection) takeCloseStep() closeStep {
 	c.mu.Lock()
--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -102,9 +102,9 @@
 	return false
 }
 
-// unsentOutcome returns the outcome of an attempt whose last byte was not written. A server is not
-// to be ejected for a cancelled attempt, a failure on this machine, or an attempt that passed its
-// write deadline.
+// unsentOutcome returns the outcome of an attempt whose last byte was not written; err is that of
+// its dial, nil where it had a connection. A server is not to be ejected for a cancelled attempt,
+// a failure on this machine, or an attempt that passed its write deadline.
 func unsentOutcome(decision *dispatch.Decision, err error) policy.Outcome {
 	if decision.Context.Err() != nil || isLocalFailure(err) || isTooLateForRetry(decision) {
 		return policy.NotSent
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -17,10 +17,11 @@
 	exchangeTimedOut                       // no answer by the deadline
 	exchangeClosed                         // the connection ended before an answer
 	exchangeMalformed                      // an answer began that is malformed or incomplete
-	exchangeAnswered
+	exchangeAnswered                       // a reply was read; parseReply says what it means
 )
 
-// lostConnection reports whether the connection was lost before any byte of an answer.
+// lostConnection reports whether the connection was lost before any byte of an answer: while the
+// command was written, or after it.
 func (s exchangeState) lostConnection() bool { return s == exchangeClosed || s == exchangeUnwritten }
 
 // exchange sends a command, by the write deadline, and waits for the reply until the deadline. The
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -17,18 +17,20 @@
 	// lossHalfLife is the time in which counts are halved, so that longer idle times are tried
 	// again.
 	lossHalfLife = 5 * time.Second
-	// halved is the divisor of the counts then.
-	halved = 2
+	// halvingDivisor divides the counts then.
+	halvingDivisor = 2
 )
 
-// idleLosses counts what became of attempts on connections that had been idle, by how long.
-// Servers, or machines on the way, may drop an idle connection long before the stated limit and say
-// nothing. The next attempt on it ends as a reset, and may have run.
+// idleLosses counts attempts on connections that had been idle, by bucket of idle time, and those
+// that lost their connection. Servers, or machines on the way, may drop an idle connection long
+// before the stated limit and say nothing. The next attempt on it ends as a reset, and may have
+// run.
 type idleLosses struct {
 	survived, lost [idleBuckets]float64
 	lastHalved     time.Time
 }
 
+// idleBucket returns the bucket of an idle time: 0 below 1 ms, n from 2^(n-1) ms.
 func idleBucket(idleFor time.Duration) int {
 	return min(bits.Len64(uint64(idleFor.Milliseconds())), idleBuckets-1)
 }
@@ -37,8 +39,8 @@
 func (l *idleLosses) record(now time.Time, idleFor time.Duration, lost bool) {
 	if now.Sub(l.lastHalved) >= lossHalfLife {
 		for i := range l.survived {
-			l.survived[i] /= halved
-			l.lost[i] /= halved
+			l.survived[i] /= halvingDivisor
+			l.lost[i] /= halvingDivisor
 		}
 		l.lastHalved = now
 	}
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -46,6 +46,8 @@
 	done(p.checkHealth(server))
 }
 
+// checkHealth decides how a health check ended: no answer counts as timed out wherever the exchange
+// ended, an error line as errored. What failed on this machine counts as not sent.
 func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
 	ctx := context.Background()
 	key := keyOf(server)
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -73,10 +73,10 @@
 	gateways    int
 
 	attempts  float64       // a count that decays
-	since     time.Duration // of the first attempt
+	since     time.Duration // when the count began
 	countedAt time.Duration // when attempts was decayed last; see hasCounted
 	checkedAt time.Duration // when the length was compared with the rate last
-	length    int           // wanted when the subset was last selected; see isSelected
+	length    int           // target when the subset was last selected; see isSelected
 	ready     int           // servers that were ready then
 
 	weights          []float64 // by zone; nil: by the number of servers
@@ -160,11 +160,11 @@
 // Select selects the subset from the list: its endpoints, in the list's order, and how many
 // gateways share each of them on average. Only servers that are ready are selected.
 func (s *Subset) Select(now time.Duration, list []Candidate) (selected []policy.Endpoint, sharers float64) {
-	zones := map[int][]int{}
+	rings := map[int][]int{} // indexes of the servers that are ready, by zone
 	s.ready = 0
 	for i, candidate := range list {
 		if candidate.State == policy.Ready {
-			zones[candidate.Zone] = append(zones[candidate.Zone], i)
+			rings[candidate.Zone] = append(rings[candidate.Zone], i)
 			s.ready++
 		}
 	}
@@ -175,19 +175,19 @@
 		return nil, float64(s.gateways)
 	}
 	if s.weights != nil {
-		selected = s.selectWeighted(now, list, zones)
+		selected = s.selectWeighted(now, list, rings)
 	} else {
-		selected = s.selectEvenly(list, zones)
+		selected = s.selectEvenly(list, rings)
 	}
 	// Other gateways are taken to have as much traffic, and subsets as long.
 	return selected, max(float64(s.gateways)*float64(len(selected))/float64(s.ready), 1)
 }
 
-// selectEvenly selects the same fraction of each zone.
-func (s *Subset) selectEvenly(list []Candidate, zones map[int][]int) []policy.Endpoint {
+// selectEvenly selects the same fraction of each zone's ring, rounded up.
+func (s *Subset) selectEvenly(list []Candidate, rings map[int][]int) []policy.Endpoint {
 	fraction := float64(s.length) / float64(s.ready)
 	var indexes []int
-	for zone, ring := range zones {
+	for zone, ring := range rings {
 		indexes = append(indexes, s.arc(zone, ring, list, int(math.Ceil(fraction*float64(len(ring)))))...)
 	}
 	return endpointsAt(list, indexes)
--- a/internal/gateway/upstream/subset/weights.go
+++ b/internal/gateway/upstream/subset/weights.go
@@ -55,15 +55,15 @@
 func turnAt(now time.Duration) int64 { return int64(now / turnInterval) }
 
 // selectWeighted selects by weights. The average over all gateways is as exact as the weights.
-func (s *Subset) selectWeighted(now time.Duration, list []Candidate, zones map[int][]int) []policy.Endpoint {
+func (s *Subset) selectWeighted(now time.Duration, list []Candidate, rings map[int][]int) []policy.Endpoint {
 	s.turn = turnAt(now)
-	served, servedWeight, allWeight := s.servedZones(zones)
+	served, servedWeight, allWeight := s.servedZones(rings)
 	if allWeight <= 0 || servedWeight <= 0 {
 		s.unservedFraction = 1
 		return nil
 	}
 	s.unservedFraction = 1 - servedWeight/allWeight
-	length := s.weightedLength(served, servedWeight, zones)
+	length := s.weightedLength(served, servedWeight, rings)
 	var indexes []int
 	heaviest := slices.MaxFunc(served, func(a, b int) int { return cmp.Compare(s.weights[a], s.weights[b]) })
 	for _, zone := range served {
@@ -71,21 +71,21 @@
 		if zone == heaviest {
 			count = max(count, 1)
 		}
-		indexes = append(indexes, s.arc(zone, zones[zone], list, min(count, len(zones[zone])))...)
+		indexes = append(indexes, s.arc(zone, rings[zone], list, min(count, len(rings[zone])))...)
 	}
 	return endpointsAt(list, indexes)
 }
 
 // weightedLength returns the length of the whole subset over the served zones. Where one has too
 // few servers all get fewer, as more from the others would bring those more than their weight.
-func (s *Subset) weightedLength(served []int, servedWeight float64, zones map[int][]int) float64 {
+func (s *Subset) weightedLength(served []int, servedWeight float64, rings map[int][]int) float64 {
 	servers := 0
 	for _, zone := range served {
-		servers += len(zones[zone])
+		servers += len(rings[zone])
 	}
 	length := float64(min(s.length, servers))
 	for _, zone := range served {
-		length = min(length, float64(len(zones[zone]))*servedWeight/s.weights[zone])
+		length = min(length, float64(len(rings[zone]))*servedWeight/s.weights[zone])
 	}
 	return length
 }
@@ -100,13 +100,13 @@
 
 // servedZones returns the zones with a weight and a server that is ready, the sum of their weights,
 // and that of all.
-func (s *Subset) servedZones(zones map[int][]int) (served []int, servedWeight, allWeight float64) {
+func (s *Subset) servedZones(rings map[int][]int) (served []int, servedWeight, allWeight float64) {
 	for zone, weight := range s.weights {
 		if weight <= 0 {
 			continue
 		}
 		allWeight += weight
-		if len(zones[zone]) > 0 {
+		if len(rings[zone]) > 0 {
 			served = append(served, zone)
 			servedWeight += weight
 		}
