--- a/internal/control/settlement/harm.go
+++ b/internal/control/settlement/harm.go
@@ -75,8 +75,8 @@
 	return seen.slow-slowFraction*seen.requests > maxSlowFraction*seen.requests+sureStdErrors*stdError
 }
 
-// minChance returns the least chance of a request being late or slow that a baseline can tell from
-// none: less than one of its requests was.
+// minChance returns the chance of a request being late or slow at which one request of the baseline
+// would be: a smaller one cannot be told from none.
 func minChance(baseline PartnerState) float64 { return 1 / baseline.Requests }
 
 // stdErrorOf returns the standard error, in requests, of the difference between the requests seen
--- a/internal/control/settlement/pace.go
+++ b/internal/control/settlement/pace.go
@@ -54,7 +54,7 @@
 	next.setPartnerState(partner)
 }
 
-// lowerPace divides the pace after a harm, and bounds it there.
+// lowerPace divides the pace after a harm, down to minPace, and bounds it there.
 func (p *PartnerState) lowerPace(divisor uint64) {
 	p.Pace = max(p.Pace/divisor, minPace)
 	p.MaxPace = p.Pace
@@ -70,7 +70,8 @@
 // paceBound returns the bound of the pace in ppm: the full rate where no harm has set one.
 func (p *PartnerState) paceBound() uint64 { return cmp.Or(p.MaxPace, PartsPerMillion) }
 
-// harmTo judges how a partner is served while its debts are settled.
+// harmTo decides how certain it is that the settlement harms a partner: by the requests that were
+// late, else by too little capacity or a queue, which are likely harm at most.
 func (c *Controller) harmTo(partner PartnerState) harmLevel {
 	level := assessHarm(partner, *c.duringSettlement[partner.Partner], c.terms.MaxLossFraction)
 	if level != noHarm {
@@ -85,9 +86,9 @@
 // lacksCapacity reports whether the gateways found too little capacity on a partner's servers for
 // the elective attempts that were to go there.
 func (c *Controller) lacksCapacity(name string) bool {
-	elective := c.rate(MetricElective, name)
-	if elective*rateWindow <= minElectiveSample {
+	electiveRate := c.rate(MetricElective, name)
+	if electiveRate*rateWindow <= minElectiveSample { // a sample of the window is a second
 		return false
 	}
-	return c.rate(MetricElectivePlaced, name) < minPlacedFraction*elective
+	return c.rate(MetricElectivePlaced, name) < minPlacedFraction*electiveRate
 }
--- a/internal/control/settlement/sampling.go
+++ b/internal/control/settlement/sampling.go
@@ -17,7 +17,8 @@
 	counts map[string]uint64 // of this package's metrics alone
 }
 
-// growth returns by how much a partner's metric grew from one sample to a later one.
+// growth returns by how much a partner's metric grew from one sample to a later one; 0 where it
+// fell.
 func (s sample) growth(later sample, metric Metric, partner string) float64 {
 	name := MetricName(metric, partner)
 	return float64(later.counts[name] - min(s.counts[name], later.counts[name]))
@@ -80,15 +81,13 @@
 // hasRates reports whether this leader has seen enough samples to set shares by their rates.
 func (c *Controller) hasRates() bool { return len(c.samples) > minRateSamples }
 
-// rate returns by how much a partner's metric grew per second.
+// rate returns by how much a partner's metric grew per second, from the first sample in the window
+// to the last.
 func (c *Controller) rate(metric Metric, partner string) float64 {
 	first := c.samples[0]
 	last := c.samples[len(c.samples)-1]
-	name := MetricName(metric, partner)
-	before := first.counts[name]
-	after := last.counts[name]
-	if after <= before || last.at <= first.at {
+	if last.at <= first.at {
 		return 0
 	}
-	return float64(after-before) / (last.at - first.at).Seconds()
+	return first.growth(last, metric, partner) / (last.at - first.at).Seconds()
 }
--- a/internal/control/settlement/shares.go
+++ b/internal/control/settlement/shares.go
@@ -9,14 +9,14 @@
 	startDebtFactor = 2                 // times MinDebt, at which a debt starts to be settled; it ends at MinDebt
 )
 
-// setShares decides which shares are in force next. A debtor's servers take requests of its
-// creditor: the creditor then owes for each, and the net debt falls by it. That it fell shows in
-// the totals alone.
+// setShares decides which shares are in force next; next.Shares is empty before it. A debtor's
+// servers take requests of its creditor: the creditor then owes for each, and the net debt falls by
+// it. That it fell shows in the totals alone.
 func (c *Controller) setShares(now time.Duration, excluded map[string]bool, current State, next *State) {
 	isStarting := len(current.Shares) == 0
 	switch {
 	case !c.hasRates():
-		if !isStarting { // what is in force goes on, nothing starts
+		if !isStarting { // without rates what is in force goes on, and nothing starts
 			next.Shares = current.Shares
 		}
 		return
