--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -2,8 +2,9 @@
 
 import "go.etcd.io/raft/v3"
 
-// resetElectionTimer draws a new election timeout. The library would draw one itself, but from a
-// source that cannot be seeded; so the node counts the ticks of a voter that does not lead.
+// resetElectionTimer restarts the wait for an election with a new timeout. The library would draw
+// one itself, but from a source that cannot be seeded; so the node counts the ticks of a voter that
+// does not lead.
 func (n *Node) resetElectionTimer() {
 	n.ticksWithoutLeader = 0
 	n.electionTimeout = minElectionTicks + n.rng.IntN(minElectionTicks)
--- a/internal/coordination/consensus/envelope.go
+++ b/internal/coordination/consensus/envelope.go
@@ -148,8 +148,9 @@
 // leaderMessageTypes are the messages that only a leader sends.
 var leaderMessageTypes = []raftpb.MessageType{raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap}
 
-// handleRaftMessage hands a message to Raft, and restarts the wait for an election where the
-// message came from the leader, or changed the term or the vote.
+// handleRaftMessage hands a message to Raft, and restarts the wait for an election: with another
+// timeout where the message changed the term or the vote, with the same one where it came from the
+// leader.
 func (n *Node) handleRaftMessage(m *raftpb.Message) {
 	before := n.raftNode.BasicStatus()
 	_ = n.raftNode.Step(m) // a message that Raft cannot use changes nothing
--- a/internal/coordination/follower/cache.go
+++ b/internal/coordination/follower/cache.go
@@ -32,9 +32,10 @@
 	return known
 }
 
-// merge adds the tables that a read returned, and extends the lease of all tables to leaseEnd,
-// which counts from when the read was sent. Neither an epoch nor a lease goes back. A result behind
-// the cache extends the lease too: what is cached was written after the read was sent.
+// merge adds the tables that a read returned, and extends the lease of all tables to leaseEnd, a
+// time on the follower's clock that counts from when the read was sent. Neither an epoch nor a
+// lease goes back. A result behind the cache extends the lease too: what is cached was written
+// after the read was sent.
 func (c *tableCache) merge(tables map[string]statemachine.Table, leaseEnd time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/follower/digests.go
+++ b/internal/coordination/follower/digests.go
@@ -33,8 +33,7 @@
 	slowdown := 1.0
 	for serial := uint64(1); ; serial++ {
 		_, _, timing := s.sources.current()
-		half := time.Duration(slowdown * float64(timing.DigestInterval) / jitterDivisor)
-		if !sleep(ctx, half+rand.N(2*half+1)) {
+		if !sleep(ctx, digestPause(timing.DigestInterval, slowdown)) {
 			return
 		}
 		merged, exact := s.counters.collect()
@@ -55,6 +54,13 @@
 	}
 }
 
+// digestPause draws the pause before a digest: from a half to one and a half times the interval,
+// which is stretched by slowdown, so that processes do not send in step.
+func digestPause(interval time.Duration, slowdown float64) time.Duration {
+	half := time.Duration(slowdown * float64(interval) / jitterDivisor)
+	return half + rand.N(2*half+1)
+}
+
 // nextSlowdown decides by what factor, from 1 to maxSlowdown, the interval between two digests is
 // stretched: more while the voters are slow to accept them, so that more processes than they can
 // serve do not overload them. Controllers then see counts that many times later.
--- a/internal/coordination/voter/controllers.go
+++ b/internal/coordination/voter/controllers.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// input returns what the controllers decide by and the time of their clock. ok is false where they
-// must not run: this voter does not lead, or has not applied yet all that was ever acknowledged.
+// input returns what the controllers decide by and the time of their clock; ok is false where they
+// must not run. On its way it has the leader bind disks to the numbers of new members.
 func (r *controllerRunner) input(ctx context.Context) (input coordination.ControllerInput, now time.Duration, ok bool) {
 	type leadership struct {
 		sums  map[string]uint64
@@ -79,7 +79,7 @@
 	}
 	leads, err := ask(ctx, r.mailbox, func(loop *eventLoop) *leadership {
 		loop.consensus.ProposeDiskIDs()
-		if !loop.consensus.IsEstablishedLeader() || loop.leadTerm == 0 {
+		if !loop.mayRunControllers() {
 			return nil
 		}
 		return &leadership{r.digests.sums(), loop.leadSince}
--- a/internal/coordination/voter/event_loop.go
+++ b/internal/coordination/voter/event_loop.go
@@ -58,7 +58,8 @@
 }
 
 // run works until the voter is closed, or stops for good because its log or the consensus node
-// failed: what it acknowledged after a failed write might be missing at the next start.
+// failed, which includes a panic of the Raft library. What it acknowledged after a failed write
+// might be missing at the next start.
 func (l *eventLoop) run() {
 	defer close(l.mailbox.stopped)
 	ticker := time.NewTicker(tickInterval)
@@ -218,6 +219,12 @@
 	return err
 }
 
+// mayRunControllers decides whether the controllers run here: this voter leads and has applied all
+// that was ever acknowledged, and publishStatus has noticed the lead and set leadSince.
+func (l *eventLoop) mayRunControllers() bool {
+	return l.consensus.IsEstablishedLeader() && l.leadTerm != 0
+}
+
 // shouldLogRejection decides whether the log gets a line for the reason of a rejection: the first
 // time only, as the same sender is rejected again at each message.
 func (l *eventLoop) shouldLogRejection(reason string) bool {
--- a/internal/coordination/wal/frame.go
+++ b/internal/coordination/wal/frame.go
@@ -79,7 +79,7 @@
 // scanResult is what a log holds.
 type scanResult struct {
 	payloads [][]byte
-	damaged  int // frames with one damaged copy, and a torn write at the end
+	damaged  int // frames with one damaged copy; a damaged or torn end counts as one more
 }
 
 // readFrames reads a log. Every frame but the last was synced before the next was begun, so a
@@ -130,7 +130,8 @@
 	return nil
 }
 
-// finish ends the scan at the end of the log.
+// finish ends the scan at the end of the log. A last frame without its second copy and skipped
+// blocks behind it count as one.
 func (s *frameScanner) finish() scanResult {
 	if s.copies < copiesPerFrame || s.isTailDamaged {
 		s.result.damaged++
--- a/internal/coordination/wal/load.go
+++ b/internal/coordination/wal/load.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// load reads a folder's log and records that a new incarnation begins.
+// load reads a folder's log and writes it anew, with the number of the incarnation that begins and
+// both copies of every frame.
 func (l *Log) load(inode uint64) error {
 	log, err := os.ReadFile(l.path(logName))
 	if errors.Is(err, os.ErrNotExist) {
