--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -130,8 +130,8 @@
 }
 
 // awaitClients closes idle connections until no client is left, and returns true then; false if
-// that takes longer than drainTimeout. It accepts no more after answerUntil. Shortly before SIGKILL it
-// has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
+// that takes longer than drainTimeout. It accepts no more after answerUntil. Shortly before SIGKILL
+// it has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
