--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -27,7 +27,7 @@
 
 	isElectable bool // idempotent and no repeat: its first attempt may settle a debt
 	isAttempted bool
-	isCounted   bool     // how it was served is counted, or is not to be
+	isCounted   bool     // how it was served is counted, or never will be: a repeat, or its client left
 	charged     *balance // of the attempt in flight; nil where that owes nobody
 	zone        int      // of the latest attempt
 }
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -128,7 +128,8 @@
 	return !slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 })
 }
 
-// takeRecord makes a record that was read from a slot the latest.
+// takeRecord makes a record that was read from a slot the latest. It counts as synced: its slot is
+// left alone until the first write of this process, which is synced.
 func (j *Journal) takeRecord(slot int64, sequence uint64, r record) {
 	j.sequence = sequence
 	j.slot = slot
