--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -10,8 +10,8 @@
 
 // Ranges of figures. What lies outside them is a slip.
 const (
-	minPositive = 0.001 // a microsecond, in milliseconds
-	maxFigure   = 1e9
+	minPositive = 0.001 // of times that must not be 0: a microsecond, in milliseconds
+	maxFigure   = 1e9   // of any figure, in its own unit
 )
 
 const microsecondsPerMillisecond = 1000
@@ -96,7 +96,8 @@
 	return values.Err()
 }
 
-// readClass reads the traffic class whose keys begin with a prefix.
+// readClass reads the traffic class whose keys begin with a prefix. The words of Effect and Group
+// are in the order of policy's constants.
 func readClass(values *Values, prefix string) policy.TrafficClass {
 	values.Require(prefix+"AimMs", prefix+"DeadlineMs", prefix+"Effect")
 	class := policy.TrafficClass{
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -38,7 +38,8 @@
 // go by the wall clock.
 var processStart = time.Now()
 
-// readsPerLease is how many long polls fit in a lease.
+// readsPerLease is how many reads the readers of a table make in a lease; see
+// follower.readsPerLease.
 const readsPerLease = 4
 
 // plannedZones is what failover's plan says of the zones: settlement gives way to it.
@@ -62,11 +63,12 @@
 	return &membership{process: process}, nil
 }
 
-// newControllers returns the controllers that run where a voter leads, by its configuration. It is
-// called by one goroutine at a time.
+// newControllers returns a function that makes the controllers of a configuration, which run where
+// a voter leads. That function is called by one goroutine at a time.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	// One controller serves all configurations while the lease stays: a reload does not restart a canary.
+	// One controller serves all configurations while the lease stays the same: a reload does not
+	// restart a canary.
 	var trial *canary.Controller
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -14,10 +14,10 @@
 	connectionSides     = 2 // clients and servers
 )
 
-// connectionLimit is how many connections clients may hold, and how many servers: half each of the
-// descriptors, less the reserved ones. Where the system gives fewer than the file says, its figure
-// counts: idle clients could otherwise take the last one, and neither server, counter nor discovery
-// could be called.
+// connectionLimit decides how many connections to clients may be open, and as many to servers: half
+// each of the descriptors, less the reserved ones. Where the system gives fewer than the file says,
+// its figure counts: idle clients could otherwise take the last one, and neither server, counter
+// nor discovery could be called.
 func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
 	limit := configuration.Sockets
 	var descriptors unix.Rlimit
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,7 +118,7 @@
 	}
 	i.startBackground(ctx)
 	terminating := make(chan struct{})
-	go i.becomeReady(i.configuration, terminating) // the first one: a reload replaces it
+	go i.becomeReady(i.configuration, terminating) // the configuration of the start: a reload replaces the field
 	go i.handleReloads(ctx, signals.reload, member)
 	go func() {
 		<-signals.terminate
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -76,8 +76,8 @@
 }
 
 // reload reads the configuration again and puts it in force: addresses, and all settings but those
-// that only a restart can change, whose keys are logged. One that is refused leaves the earlier one
-// in force.
+// that only a restart can change, whose keys are logged. One that config.Read refuses leaves the
+// earlier one in force. The counter's address goes first: settings that have a counter need one.
 func (i *instance) reload() {
 	configuration, err := config.Read(i.configPath)
 	if err != nil {
--- a/internal/gateway/resp/peerstate.go
+++ b/internal/gateway/resp/peerstate.go
@@ -21,10 +21,9 @@
 }
 
 // PeerState returns, without waiting, how long ago the latest bytes arrived at this machine, to a
-// few milliseconds, and whether the peer has closed the connection. The bytes may have been queued
-// while this process was busy or stopped. A read would see the close only behind all unread bytes,
-// which may be more than is read ahead. A close that itself waits behind a full receive window
-// cannot be seen. On connections without a TCP state, only reading reports the close.
+// few milliseconds, and whether the peer has closed the connection. It sees a close behind unread
+// bytes, but none that waits behind a full receive window. On connections without a TCP state, only
+// reading reports the close.
 func (c *Conn) PeerState() (age time.Duration, closed bool) {
 	closed = c.rawConn != nil // stays so if this side has closed: then there is no descriptor to ask
 	c.withDescriptor(func(fd int) {
--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -55,7 +55,7 @@
 		word, err := c.readWord(size)
 		cmd.Words = append(cmd.Words, word)
 		return err
-	case reserve == nil || size > maxValueSize || reserve(size):
+	case reserve == nil || size > maxValueSize || reserve(size): // readBulk refuses one that is too long
 		cmd.Body, err = c.readBulk(size)
 		return err
 	default:
