--- a/internal/control/settlement/shares_test.go
+++ b/internal/control/settlement/shares_test.go
@@ -93,3 +93,24 @@
 		t.Errorf("shares %+v with half of the attempts", state.Shares)
 	}
 }
+
+// A debt starts to be settled at twice the smallest that is, 5 units, and is settled down to that.
+func TestController_startsAtTwiceTheDebtThatItEndsAt(t *testing.T) {
+	f := newControllerFixture(testTerms())
+	for _, step := range []struct {
+		debtor, creditor string
+		total            uint64 // units that were ever owed that way
+		wantShare        bool
+	}{
+		{"a", "b", 9, false},
+		{"a", "b", 10, true},
+		{"b", "a", 5, true},
+		{"b", "a", 6, false},
+	} {
+		f.addDebt(step.debtor, step.creditor, step.total)
+		f.advance(40)
+		if state := f.storedState(); state.sharePPM(Pair{"a", "b"}) > 0 != step.wantShare {
+			t.Errorf("%+v: shares %+v of the debts %+v", step, state.Shares, state.NetDebts)
+		}
+	}
+}
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -125,6 +125,22 @@
 	}
 }
 
+// Whatever ends a health check without a reply counts as timed out.
+func TestCheckHealth_outcomes(t *testing.T) {
+	for reply, want := range map[string]policy.Outcome{
+		"+PONG\r\n":    policy.Answered,
+		"-ERR\r\n":     policy.Errored,
+		"nonsense\r\n": policy.TimedOut,
+	} {
+		server := fakes.NewServer(t, func([]string) string { return reply })
+		results := make(chan dispatch.Result, 1)
+		newTestPool(1).CheckHealth(dispatch.Server{Address: server.Addr}, func(r dispatch.Result) { results <- r })
+		if got := <-results; got.Outcome != want {
+			t.Errorf("%q: outcome %v, want %v", reply, got.Outcome, want)
+		}
+	}
+}
+
 func TestAttempt_secondReplyIsNotTakenForNextOne(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string {
 		return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7)
