--- a/internal/coordination/consensus/node_test.go
+++ b/internal/coordination/consensus/node_test.go
@@ -227,3 +227,23 @@
 		t.Error("the read did not end with its deadline")
 	}
 }
+
+// A voter whose number the log binds to another disk has to stop with the next entry that it
+// applies.
+func TestAdvance_voterWithAnotherDiskHasToStop(t *testing.T) {
+	cluster := newTestCluster(t, 1)
+	cluster.mustWrite(1, 0)
+	node := cluster.waitForLeader()
+	node.self.DiskID = "other"
+	if _, err := node.Propose(statemachine.Command{Kind: statemachine.Write, Table: "plan", Epoch: 1}); err != nil {
+		t.Fatal(err)
+	}
+	ready, ok, err := node.Ready()
+	if !ok || err != nil {
+		t.Fatalf("%v, %v", ok, err)
+	}
+	_, err = node.Advance(ready)
+	if !errors.Is(err, ErrDiskMismatch) {
+		t.Errorf("%v, want ErrDiskMismatch", err)
+	}
+}
--- a/internal/coordination/follower/cache_test.go
+++ b/internal/coordination/follower/cache_test.go
@@ -122,3 +122,13 @@
 		t.Errorf("cached %+v at %v", cached, now)
 	}
 }
+
+// A read that was sent earlier and arrives later does not shorten the lease.
+func TestTableCache_leaseNeverGoesBack(t *testing.T) {
+	cache := newTableCache()
+	cache.merge(map[string]statemachine.Table{"plan": {Epoch: 1}}, 5*time.Second)
+	cache.merge(nil, 4*time.Second)
+	if got := cache.get("plan").LeaseEnd; got != 5*time.Second {
+		t.Errorf("the lease ends at %v, want 5 s", got)
+	}
+}
