--- a/internal/control/settlement/aging.go
+++ b/internal/control/settlement/aging.go
@@ -2,54 +2,56 @@
 
 import "slices"
 
-// lotsPerDebt is about how many lots a pair's debt is kept in: ages are exact to that part of the
-// forgiveness age.
-const lotsPerDebt = 16
+// targetLotsPerDebt is the approximate number of lots that hold a pair's debt. Lots measure the age
+// of a debt with a resolution of the forgiveness age divided by this number.
+const targetLotsPerDebt = 16
 
-// ageDebts brings the lots in line with the net debts, and forgives those that are too old.
-// Payments reduce the oldest lots first. A lot is as old as its first unit, so nothing is forgiven
-// later than the terms say by more than what State.Clock lost with leaders.
+// ageDebts updates the lots to match the net debts, and forgives lots that have reached the
+// forgiveness age. Payments reduce the oldest lots first. The age of a lot is that of its oldest
+// unit, so a debt is never forgiven later than the terms say, except by the time that State.Clock
+// lost when leaders changed.
 func (s *State) ageDebts(netDebts []Amount, terms Terms) {
-	inLots := s.payOldestLots(netDebts)
+	lotSums := s.payOldestLots(netDebts)
 	for _, debt := range netDebts {
-		pairTerms := terms.between(debt.Pair)
+		pairTerms := terms.termsFor(debt.Pair)
 		maxAge := pairTerms.forgivenessAge()
-		if added := debt.Sum - inLots[debt.Pair]; added > 0 {
-			s.addToLots(Amount{debt.Pair, added}, maxAge/lotsPerDebt)
+		if added := debt.Sum - lotSums[debt.Pair]; added > 0 {
+			s.addToLots(Amount{debt.Pair, added}, maxAge/targetLotsPerDebt)
 		}
 		if pairTerms.forgives() {
-			s.forgiveOlder(debt.Pair, maxAge)
+			s.forgiveOldLots(debt.Pair, maxAge)
 		}
 	}
 }
 
-// payOldestLots takes from the lots what is no longer owed: it was paid, or the pair's net debt
-// changed sides. It returns the sum that each pair has in lots then.
-func (s *State) payOldestLots(netDebts []Amount) (inLots map[Pair]uint64) {
+// payOldestLots reduces each pair's lots to its net debt, oldest first. The difference has been
+// paid, or the net debt has changed direction. It returns the sum that remains in the lots of each
+// pair.
+func (s *State) payOldestLots(netDebts []Amount) (lotSums map[Pair]uint64) {
 	remaining := map[Pair]uint64{}
 	for _, debt := range netDebts {
 		remaining[debt.Pair] = debt.Sum
 	}
-	inLots = map[Pair]uint64{}
+	lotSums = map[Pair]uint64{}
 	for _, lot := range s.Lots {
-		inLots[lot.Pair] += lot.Sum
+		lotSums[lot.Pair] += lot.Sum
 	}
 	lots := s.Lots[:0]
 	for _, lot := range s.Lots {
-		owed := min(inLots[lot.Pair], remaining[lot.Pair])
-		paid := min(inLots[lot.Pair]-owed, lot.Sum)
+		owed := min(lotSums[lot.Pair], remaining[lot.Pair])
+		paid := min(lotSums[lot.Pair]-owed, lot.Sum)
 		lot.Sum -= paid
-		inLots[lot.Pair] -= paid
+		lotSums[lot.Pair] -= paid
 		if lot.Sum > 0 {
 			lots = append(lots, lot)
 		}
 	}
 	s.Lots = lots
-	return inLots
+	return lotSums
 }
 
-// addToLots adds an amount to the pair's latest lot, or to a new one if that is older than
-// maxLotAge in ms; 0 means that the latest is used whatever its age.
+// addToLots adds an amount to the pair's latest lot, or to a new lot if the latest is older than
+// maxLotAge or there is none. maxLotAge is in ms; 0 means no limit.
 func (s *State) addToLots(amount Amount, maxLotAge uint64) {
 	for i := len(s.Lots) - 1; i >= 0; i-- {
 		if lot := &s.Lots[i]; lot.Pair == amount.Pair {
@@ -63,8 +65,8 @@
 	s.Lots = append(s.Lots, Lot{amount, s.Clock})
 }
 
-// forgiveOlder forgives the pair's lots that are of an age in ms or older.
-func (s *State) forgiveOlder(pair Pair, maxAge uint64) {
+// forgiveOldLots forgives the pair's lots whose age is at least maxAge, in ms.
+func (s *State) forgiveOldLots(pair Pair, maxAge uint64) {
 	s.Lots = slices.DeleteFunc(s.Lots, func(lot Lot) bool {
 		age := s.Clock - lot.Since
 		if lot.Pair != pair || age < maxAge {
@@ -75,8 +77,8 @@
 	})
 }
 
-// forgive logs that an amount was forgiven at an age in ms, and adds it to what was forgiven in
-// all.
+// forgive logs that an amount was forgiven at an age in ms, and adds it to the pair's total in
+// s.Forgiven.
 func (s *State) forgive(amount Amount, age uint64) {
 	s.logForgiveness(amount, age)
 	i := slices.IndexFunc(s.Forgiven, func(a Amount) bool { return a.Pair == amount.Pair })
@@ -88,14 +90,14 @@
 }
 
 func (s *State) logForgiveness(amount Amount, age uint64) {
-	number := s.lastForgiveness() + 1
+	number := s.lastForgivenessNumber() + 1
 	s.ForgivenessLog = append(s.ForgivenessLog, Forgiveness{amount, number, age})
-	s.ForgivenessLog = s.ForgivenessLog[max(0, len(s.ForgivenessLog)-maxForgivenessLog):]
+	s.ForgivenessLog = s.ForgivenessLog[max(0, len(s.ForgivenessLog)-maxForgivenessLogEntries):]
 }
 
-// lastForgiveness returns the number of the latest entry of the forgiveness log; 0 where it is
-// empty.
-func (s *State) lastForgiveness() uint64 {
+// lastForgivenessNumber returns the number of the latest entry of the forgiveness log, or 0 if the
+// log is empty.
+func (s *State) lastForgivenessNumber() uint64 {
 	if n := len(s.ForgivenessLog); n > 0 {
 		return s.ForgivenessLog[n-1].Number
 	}
--- a/internal/control/settlement/controller.go
+++ b/internal/control/settlement/controller.go
@@ -7,54 +7,59 @@
 )
 
 const (
-	decisionInterval = time.Second      // voters write exact totals once a second
-	renewInterval    = 5 * time.Second  // between writes of shares in force: a controller runs
-	clockInterval    = 60 * time.Second // between writes of State.Clock while there are lots
-	renewalsMissed   = 3                // after which the shares of the table are stale
+	decisionInterval  = time.Second      // voters write exact totals once a second
+	renewInterval     = 5 * time.Second  // between writes of unchanged shares, which show that a controller runs
+	clockInterval     = 60 * time.Second // between writes of State.Clock while there are lots
+	maxMissedRenewals = 3                // after which the shares are stale
 )
 
-// StaleAfter is how long a gateway follows shares that nobody writes again: the leader may have no
-// controller.
-const StaleAfter = renewalsMissed * renewInterval
+// StaleAfter is how long a gateway acts on shares after their last write. A leader without a
+// settlement controller does not renew them.
+const StaleAfter = maxMissedRenewals * renewInterval
 
-// Controller turns debts into shares. It keeps what this leader saw, and nothing that it decided:
-// that is read from the table, and what is owed from the log's totals.
+// Controller computes settlement shares from the debts between partners. It is not safe for
+// concurrent use. It keeps only observations of the current leader in memory. Its earlier decisions
+// are read from the replicated table, and debts from the totals of the log.
 type Controller struct {
 	terms      Terms
-	zoneStatus ZoneStatusFunc // nil where failover is off
+	zoneStatus ZoneStatusFunc // nil if failover is off
 
-	leadingSince time.Duration // when this process began to lead
-	sampledAt    time.Duration
-	samples      []sample // the latest, rateWindow+1 at most
+	leadingSince time.Duration // when this process became the leader
+	lastSampleAt time.Duration
+	samples      []sample // latest samples in order of time, at most rateWindow+1
 
-	baseline         map[string]*serviceStats // by partner, while nothing is settled
-	duringSettlement map[string]*serviceStats // by partner, while shares are in force
-	sincePaceChange  map[string]*serviceStats // by partner, since paces last changed
-	lastSettlingAt   time.Duration            // when shares were last in force or failover at work
-	paceChangedAt    time.Duration
+	baseline            map[string]*serviceStats // by partner, collected while nothing is settled
+	duringSettlement    map[string]*serviceStats // by partner, collected while shares are in force
+	sincePaceAdjustment map[string]*serviceStats // by partner, collected since paces were last adjusted
+	// lastRedirectAt is when settlement or failover last redirected requests, or when this process
+	// became the leader if that is later.
+	lastRedirectAt  time.Duration
+	pacesAdjustedAt time.Duration
 
-	epoch       uint64        // of the table
+	epoch       uint64        // epoch of the table at the latest decision
 	epochSeenAt time.Duration // when the table was first seen at that epoch
 }
 
 var _ coordination.Controller = (*Controller)(nil)
 
-// NewController makes a controller. The terms must have passed Check; zoneStatus may be nil.
+// NewController returns a controller for terms that have passed Check. zoneStatus is nil if
+// failover is off.
 func NewController(terms Terms, zoneStatus ZoneStatusFunc) *Controller {
 	return &Controller{terms: terms, zoneStatus: zoneStatus}
 }
 
-// Table returns the name of the table that it writes.
+// Table returns TableName, the table that the controller writes.
 func (c *Controller) Table() string { return TableName }
 
-// Decide returns the next value of the table and whether it is to be written, at most once a
-// second. A stored value that cannot be read is left as it is, as no gateway follows it.
+// Decide returns the next value of the table and whether to write it. It makes at most one decision
+// per decisionInterval. A stored value that cannot be decoded is not replaced: no gateway acts on
+// it.
 func (c *Controller) Decide(now time.Duration, input coordination.ControllerInput) ([]byte, bool) {
-	isFirst := c.baseline == nil || input.LeadingSince != c.leadingSince
-	if !isFirst && now < c.sampledAt+decisionInterval {
+	isNewLeadership := c.baseline == nil || input.LeadingSince != c.leadingSince
+	if !isNewLeadership && now < c.lastSampleAt+decisionInterval {
 		return nil, false
 	}
-	if isFirst {
+	if isNewLeadership {
 		c.reset(now, input.LeadingSince)
 	}
 	entry := input.Table(TableName)
@@ -73,7 +78,7 @@
 	next.Clock += clockMillis(now - c.epochSeenAt)
 	ledger := ReadLedger(input.Totals(ExactTable))
 	next.ageDebts(ledger.NetDebts(next.Forgiven), c.terms)
-	next.NetDebts = ledger.NetDebts(next.Forgiven) // without those that were just forgiven
+	next.NetDebts = ledger.NetDebts(next.Forgiven) // excludes the debts that ageDebts has just forgiven
 	next.Shares = nil
 	if c.terms.On {
 		c.adjustPaces(now, current, &next)
@@ -86,12 +91,12 @@
 	return value, err == nil
 }
 
-// reset forgets all that was seen while another process led.
+// reset discards what the controller observed before this process became the leader.
 func (c *Controller) reset(now, leadingSince time.Duration) {
 	*c = Controller{
-		terms: c.terms, zoneStatus: c.zoneStatus, leadingSince: leadingSince, lastSettlingAt: now,
-		baseline:         map[string]*serviceStats{},
-		duringSettlement: map[string]*serviceStats{},
-		sincePaceChange:  map[string]*serviceStats{},
+		terms: c.terms, zoneStatus: c.zoneStatus, leadingSince: leadingSince, lastRedirectAt: now,
+		baseline:            map[string]*serviceStats{},
+		duringSettlement:    map[string]*serviceStats{},
+		sincePaceAdjustment: map[string]*serviceStats{},
 	}
 }
--- a/internal/control/settlement/fairness.go
+++ b/internal/control/settlement/fairness.go
@@ -1,25 +1,26 @@
 package settlement
 
-// Flow is what one creditor could send to one debtor.
+// Flow is the load that may move from one creditor to one debtor.
 type Flow struct {
-	Demand float64
-	Weight float64 // above 0; among the other flows
+	Demand float64 // maximum rate
+	Weight float64 // weight relative to the other flows; above 0
 }
 
-// Limit is a capacity that several flows share: the sum of each flow's rate times its UsePerFlow
-// stays within Capacity.
+// Limit is a capacity that several flows share. The sum over all flows of rate times UsePerFlow
+// must not exceed Capacity.
 type Limit struct {
 	Capacity   float64
-	UsePerFlow []float64 // by flow; 0: the flow uses none of it
+	UsePerFlow []float64 // by flow: capacity used per unit of rate; 0 if the flow does not use this capacity
 }
 
-// roundingTolerance is the fraction by which a sum may miss its limit.
+// roundingTolerance is the relative error within which a demand or a capacity counts as reached.
 const roundingTolerance = 1e-9
 
-// MaxMinFair returns the rates of the flows that are weighted max-min fair within the limits: no
-// flow could have more without exceeding its demand or taking from one that has less for its
-// weight. All rates rise together, by weight, and each stops at its demand or when a limit that it
-// uses is full (progressive filling: Bertsekas and Gallager, Data Networks, 1992, 6.5.2).
+// MaxMinFair returns the weighted max-min fair rates of the flows within the limits: a flow's rate
+// cannot be increased without exceeding its demand or reducing another flow whose rate per weight
+// is no higher. The algorithm is progressive filling (Bertsekas and Gallager, Data Networks, 1992,
+// section 6.5.2): all rates rise together in proportion to the weights, and each stops when it
+// reaches its demand or a limit that it uses is saturated.
 func MaxMinFair(flows []Flow, limits []Limit) []float64 {
 	f := newFilling(flows, limits)
 	for f.risingCount > 0 {
@@ -29,22 +30,22 @@
 				f.rates[i] += increment * flow.Weight
 			}
 		}
-		before := f.risingCount
-		f.stopFull()
-		if f.risingCount == before {
-			break // only by rounding: the rates so far are within all limits
+		previousCount := f.risingCount
+		f.stopSaturated()
+		if f.risingCount == previousCount {
+			break // rounding prevents progress; the rates so far are within all limits
 		}
 	}
 	return f.rates
 }
 
-// filling is the state of a progressive filling.
+// filling is the state of the progressive filling algorithm.
 type filling struct {
 	flows       []Flow
 	limits      []Limit
 	rates       []float64 // by flow
-	rising      []bool    // by flow
-	risingCount int
+	rising      []bool    // by flow: whether the rate may still rise
+	risingCount int       // number of rising flows
 }
 
 func newFilling(flows []Flow, limits []Limit) *filling {
@@ -63,10 +64,10 @@
 	return f
 }
 
-// largestIncrement returns by how much, for each unit of weight, all rising flows can rise together
-// until the first of them has its demand or the first limit is full.
+// largestIncrement returns the increment per unit of weight by which all rising flows can rise
+// before one of them reaches its demand or a limit is saturated. At least one flow must be rising.
 func (f *filling) largestIncrement() float64 {
-	increment := -1.0 // none yet
+	increment := -1.0 // no bound found yet
 	bound := func(candidate float64) {
 		candidate = max(candidate, 0)
 		if increment < 0 || candidate < increment {
@@ -87,8 +88,8 @@
 	return increment
 }
 
-// stopFull stops flows that have their demand, and those that use a limit that is full.
-func (f *filling) stopFull() {
+// stopSaturated stops the flows that have reached their demand or use a saturated limit.
+func (f *filling) stopSaturated() {
 	for i, flow := range f.flows {
 		if f.rates[i] >= flow.Demand*(1-roundingTolerance) {
 			f.stop(i)
@@ -114,8 +115,7 @@
 	}
 }
 
-// usage returns how much of a limit is used, and by how much that grows with each unit of
-// increment.
+// usage returns the used capacity of a limit, and its growth per unit of increment.
 func (f *filling) usage(limit Limit) (used, growth float64) {
 	for i, perFlow := range limit.UsePerFlow {
 		used += perFlow * f.rates[i]
--- a/internal/control/settlement/harm.go
+++ b/internal/control/settlement/harm.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// Constants of the judgement whether a settlement harms a partner.
+// Constants of harm detection, which compares a partner's service during a settlement with that
+// before it.
 const (
-	fadeTimeConstant    = 60 * time.Second // over which counts of requests fade to 1/e
-	minBaselineRequests = 200              // requests of a partner seen before a settlement
-	sureStdErrors       = 2.0              // by which a loss must stand out to stop a partner's settlements
-	likelyStdErrors     = 1.0              // by which a loss must stand out to lower their pace
-	maxSlowFraction     = 0.05             // of a partner's requests, beyond those that were slow before
-	maxChance           = 0.999            // of a request being late or slow, where chance is estimated
+	decayTimeConstant     = 60 * time.Second // time over which counts of requests decay to 1/e
+	minBaselineRequests   = 200              // requests that a partner's baseline must have before a settlement
+	sureHarmStdErrors     = 2.0              // significance of a loss that stops a partner's settlements
+	likelyHarmStdErrors   = 1.0              // significance of a loss that lowers a partner's pace
+	maxSlowExcessFraction = 0.05             // of a partner's requests, above the slow fraction of the baseline
+	maxProbability        = 0.999            // upper bound of the estimated probability of late or slow requests
 )
 
-// Constants of how long a partner is left alone after sure harm.
+// Constants of the time for which a partner's debts are not settled after sure harm.
 const (
-	minHold          = 30 * time.Second // longer than a queue lasts
+	minHold          = 30 * time.Second // longer than a queue takes to drain
 	maxHold          = time.Hour
-	queueDrainFactor = 2.0  // requests late in the end for each seen late: a queue drains as long as it grew
-	minRequestRate   = 1e-3 // requests per second, where a partner has next to none
+	queueDrainFactor = 2.0  // ratio of all late requests to those seen: a queue takes as long to drain as to grow
+	minRequestRate   = 1e-3 // requests per second; lower bound for partners that send next to nothing
 )
 
-// serviceStats is how a partner's requests were served; counts fade.
+// serviceStats counts a partner's requests, late requests and slow requests, as defined by
+// MetricRequests, MetricLate and MetricSlow. The counts decay over time.
 type serviceStats struct{ requests, late, slow float64 }
 
-// add adds what was counted in the time that passed, and fades what was there before.
-func (s *serviceStats) add(more serviceStats, passed time.Duration) {
-	decay := math.Exp(-float64(passed) / float64(fadeTimeConstant))
-	s.requests = s.requests*decay + more.requests
-	s.late = s.late*decay + more.late
-	s.slow = s.slow*decay + more.slow
+// add decays the previous counts by the elapsed time and adds an increment.
+func (s *serviceStats) add(increment serviceStats, elapsed time.Duration) {
+	decay := math.Exp(-float64(elapsed) / float64(decayTimeConstant))
+	s.requests = s.requests*decay + increment.requests
+	s.late = s.late*decay + increment.late
+	s.slow = s.slow*decay + increment.slow
 }
 
-// harmLevel is how certain it is that a settlement harms a partner.
+// harmLevel is the certainty that a settlement harms a partner.
 type harmLevel uint8
 
 const (
@@ -43,55 +45,58 @@
 	harmSure
 )
 
-// assessHarm decides whether more of a partner's requests are late during a settlement than
-// before it, by more than maxLossFraction of them and chance. Prevents a settlement that overloads
-// a debtor, or whose requests suffer from the longer way.
+// assessHarm returns the certainty that a settlement makes a partner's requests late. It compares
+// the late requests seen during the settlement with the number that the baseline predicts. Harm is
+// sure if the excess is significantly above maxLossFraction of the requests, and likely if it is
+// significantly above half of that. This stops settlements that overload a debtor or whose requests
+// suffer from the longer network path.
 func assessHarm(baseline PartnerState, seen serviceStats, maxLossFraction float64) harmLevel {
 	if seen.requests < 1 || baseline.Requests < 1 {
 		return noHarm
 	}
 	lateFraction := baseline.Late / baseline.Requests
 	excess := seen.late - lateFraction*seen.requests
-	stdError := stdErrorOf(seen.requests, baseline.Requests, max(lateFraction, minChance(baseline)))
+	stdError := standardError(seen.requests, baseline.Requests, max(lateFraction, minProbability(baseline)))
 	switch {
-	case excess > maxLossFraction*seen.requests+sureStdErrors*stdError:
+	case excess > maxLossFraction*seen.requests+sureHarmStdErrors*stdError:
 		return harmSure
-	case excess > maxLossFraction/2*seen.requests+likelyStdErrors*stdError:
+	case excess > maxLossFraction/2*seen.requests+likelyHarmStdErrors*stdError:
 		return harmLikely
 	}
 	return noHarm
 }
 
-// isQueueing decides whether a partner's answers of the last few seconds were slower than before
-// the settlement, though in time. Prevents a queue that grows until requests are late, which
-// assessHarm sees only then.
+// isQueueing reports whether significantly more of a partner's recent requests were slow than in
+// the baseline, even if none was late. This detects a growing queue before it makes requests late;
+// assessHarm detects it only afterwards.
 func isQueueing(baseline PartnerState, seen serviceStats) bool {
 	if seen.requests < 1 || baseline.Requests < 1 {
 		return false
 	}
 	slowFraction := baseline.Slow / baseline.Requests
-	chance := min(max(slowFraction, minChance(baseline)), maxChance)
-	stdError := stdErrorOf(seen.requests, baseline.Requests, chance)
-	return seen.slow-slowFraction*seen.requests > maxSlowFraction*seen.requests+sureStdErrors*stdError
+	probability := min(max(slowFraction, minProbability(baseline)), maxProbability)
+	stdError := standardError(seen.requests, baseline.Requests, probability)
+	return seen.slow-slowFraction*seen.requests > maxSlowExcessFraction*seen.requests+sureHarmStdErrors*stdError
 }
 
-// minChance returns the chance of a request being late or slow at which one request of the baseline
-// would be: a smaller one cannot be told from none.
-func minChance(baseline PartnerState) float64 { return 1 / baseline.Requests }
+// minProbability returns the smallest probability of a late or slow request that the baseline can
+// resolve: one such request in all of its requests.
+func minProbability(baseline PartnerState) float64 { return 1 / baseline.Requests }
 
-// stdErrorOf returns the standard error, in requests, of the difference between the requests seen
-// and those of the baseline where each is late or slow by the same chance.
-func stdErrorOf(requests, baselineRequests, chance float64) float64 {
-	return math.Sqrt(requests * chance * (1 - min(chance, maxChance)) * (1 + requests/baselineRequests))
+// standardError returns the standard error, in requests, of the difference between the late or slow
+// requests seen and the number that the baseline predicts, if each request has the same
+// probability.
+func standardError(requests, baselineRequests, probability float64) float64 {
+	return math.Sqrt(requests * probability * (1 - min(probability, maxProbability)) * (1 + requests/baselineRequests))
 }
 
-// holdTime decides for how long a partner that is harmed has no part in settlements, in whole ms:
-// until what it lost is no more than maxLossFraction of its requests, those since then counted.
-// requestRate is per second.
+// holdTime returns how long a harmed partner takes no part in settlements, in whole ms. During the
+// hold the partner sends enough requests for its estimated losses to be at most maxLossFraction of
+// them. The result is between minHold and maxHold. requestRate is in requests per second.
 func holdTime(baseline PartnerState, seen serviceStats, requestRate, maxLossFraction float64) time.Duration {
 	lost := (seen.late - baseline.Late/baseline.Requests*seen.requests) * queueDrainFactor
-	inMillis := lost / (maxLossFraction * max(requestRate, minRequestRate)) * millisPerSecond
-	inMillis = max(inMillis, float64(minHold.Milliseconds()))
-	inMillis = min(inMillis, float64(maxHold.Milliseconds()))
-	return time.Duration(inMillis) * time.Millisecond
+	holdMillis := lost / (maxLossFraction * max(requestRate, minRequestRate)) * millisPerSecond
+	holdMillis = max(holdMillis, float64(minHold.Milliseconds()))
+	holdMillis = min(holdMillis, float64(maxHold.Milliseconds()))
+	return time.Duration(holdMillis) * time.Millisecond
 }
--- a/internal/control/settlement/ledger.go
+++ b/internal/control/settlement/ledger.go
@@ -8,15 +8,16 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// ExactTable is the table of totals in which voters keep the exact counts of processes. It is
-// stored: it never changes.
+// ExactTable is the name of the table of totals in which voters keep the exact counts of processes.
+// The name is stored, so it must not change.
 const ExactTable = "exact"
 
-// debtPrefix is the first part of the name of each debt count. It is stored and sent: it never
-// changes.
+// debtPrefix is the first part of the name of each debt count. It is stored and sent, so it must
+// not change.
 const debtPrefix = "owe"
 
-// Pair is a debtor and its creditor, by partners' names; either may have left since.
+// Pair is a debtor and its creditor, by partner name. Partners that have left the operators' file
+// may still occur.
 type Pair struct {
 	Debtor   string `cbor:"1,keyasint"`
 	Creditor string `cbor:"2,keyasint"`
@@ -28,27 +29,27 @@
 
 func (p Pair) reversed() Pair { return Pair{p.Creditor, p.Debtor} }
 
-// Amount is a sum that a pair's debtor owes its creditor.
+// Amount is a sum that the debtor of a pair owes the creditor.
 type Amount struct {
 	Pair
 	Sum uint64 `cbor:"3,keyasint"` // thousandths of units
 }
 
-// LedgerAmount is an amount as one ledger of a process has it.
+// LedgerAmount is the amount that one ledger of a process records for a pair.
 type LedgerAmount struct {
 	Amount
 	LedgerID string `cbor:"4,keyasint"`
 }
 
-// DebtCountName returns the name of the exact count that a process keeps of what a debtor owes a
-// creditor. A ledger that is stored outlives its process: the process's next incarnation goes on
+// DebtCountName returns the name of the exact count in which a process reports what a debtor owes a
+// creditor. A stored ledger outlives its process: the next incarnation of the process continues it
 // under the same ID.
 func DebtCountName(ledgerID string, pair Pair) string {
 	return observation.JoinName(debtPrefix, ledgerID, pair.Debtor, pair.Creditor)
 }
 
-// Parts of the name of a total in the log: the voters put the process and its incarnation before
-// the count's own name.
+// Indices of the parts of a total's name in the log. Voters prepend the process and its incarnation
+// to the name of the count.
 const (
 	totalProcess = iota
 	totalIncarnation
@@ -59,12 +60,14 @@
 	totalParts
 )
 
-// Ledger is all that was ever owed, by pair, in thousandths of units. It only grows.
+// Ledger is the total that each debtor has ever owed its creditor, by pair, in thousandths of
+// units. A payment is a debt in the opposite direction, so totals never decrease.
 type Ledger map[Pair]uint64
 
-// ReadLedger sums the log's totals by pair. A count that several incarnations of a process
-// reported, as one that restored its ledger does, is taken once, at the highest that any of them
-// reported. Names that are no debt counts are skipped.
+// ReadLedger sums the log's totals by pair. A process that restores its ledger reports the same
+// count again in its next incarnation. ReadLedger includes such a count once, with the highest
+// value of any incarnation. It skips names that are not debt counts, and debts of a partner to
+// itself.
 func ReadLedger(totals map[string]uint64) Ledger {
 	type source struct {
 		process, ledgerID string
@@ -87,11 +90,12 @@
 	return ledger
 }
 
-// NetDebts decides what each debtor still owes: both directions of a pair against each other, less
-// what was forgiven. It is in the order of the names; pairs that are even are left out.
+// NetDebts returns what each debtor still owes: the difference between the two directions of a
+// pair, less what was forgiven. The result is sorted by debtor and then by creditor. It omits pairs
+// whose debts cancel out.
 func (l Ledger) NetDebts(forgiven []Amount) []Amount {
-	// By pair with its names in order: what the first owes the second, negative the other way
-	// round.
+	// Keyed by pair with its names in ascending order. Positive if the first partner owes the second,
+	// negative if the second owes the first.
 	balances := map[Pair]int64{}
 	add := func(pair Pair, sum int64) {
 		if pair.Debtor > pair.Creditor {
@@ -120,12 +124,12 @@
 }
 
 const (
-	thousandthsPerUnit = 1000 // of the sums that are counted, stored and sent
-	maxUnits           = 1e12 // of one amount, so that its thousandths fit into an integer
+	thousandthsPerUnit = 1000 // sums are counted, stored and sent in thousandths
+	maxUnits           = 1e12 // largest amount in units; its thousandths fit into a uint64
 )
 
-// Thousandths converts units to thousandths, rounded to the nearest. What is no positive finite
-// number gives 0.
+// Thousandths converts units to thousandths, rounded to the nearest integer. It returns 0 for
+// values that are not positive or not finite, and limits units to 1e12.
 func Thousandths(units float64) uint64 {
 	if !(units > 0) || math.IsInf(units, 1) {
 		return 0
--- a/internal/control/settlement/metrics.go
+++ b/internal/control/settlement/metrics.go
@@ -2,28 +2,31 @@
 
 import "harrierhoist/internal/coordination/observation"
 
-// Metric is what gateways count of each partner since their start. Units are in thousandths.
+// Metric identifies a counter that each gateway keeps per partner from its start. Counters of units
+// are in thousandths of units.
 type Metric int
 
-// The metrics.
+// The metrics of a partner. Repeats of a request by its client are not counted in MetricRequests,
+// MetricLate and MetricSlow. An elective attempt is a first attempt that prefers the partner's
+// servers in order to settle a debt.
 const (
-	MetricRequests           Metric = iota // the partner's first requests, attempted and ended; no client's repeats
-	MetricLate                             // of these, those late or without an answer
-	MetricSlow                             // of these, those slower than half of their latency objective; the late too
-	MetricIdempotentUnits                  // units of the first attempts of its idempotent requests
-	MetricIdempotentRequests               // number of those requests
-	MetricServedUnits                      // units that its servers answered, of all partners' requests
-	MetricElective                         // first attempts of others that were to go to its servers for settlement
-	MetricElectivePlaced                   // of these, those that did
+	MetricRequests           Metric = iota // requests of the partner that were attempted and have ended
+	MetricLate                             // of MetricRequests, those that were late or not answered
+	MetricSlow                             // of MetricRequests, those over half of their latency objective or late
+	MetricIdempotentUnits                  // units of the first attempts of the partner's idempotent requests
+	MetricIdempotentRequests               // number of the requests in MetricIdempotentUnits
+	MetricServedUnits                      // units that the partner's servers answered, for requests of all partners
+	MetricElective                         // elective attempts of other partners' requests
+	MetricElectivePlaced                   // of MetricElective, those that went to the partner's servers
 	MetricCount                            // number of metrics
 )
 
-// metricPrefix and metricNames go between processes: they never change.
+// metricPrefix and metricNames are sent between processes, so they must not change.
 const metricPrefix = "debts"
 
 var metricNames = [MetricCount]string{"tasks", "late", "slow", "pure", "pures", "served", "asked", "went"}
 
-// MetricName returns the name under which a partner's metric goes into digests.
+// MetricName returns the name of a partner's metric in digests.
 func MetricName(metric Metric, partner string) string {
 	return observation.JoinName(metricPrefix, metricNames[metric], partner)
 }
--- a/internal/control/settlement/pace.go
+++ b/internal/control/settlement/pace.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	initialPace   = PartsPerMillion / 4 // at which a settlement starts
-	minPace       = initialPace / 16    // to which harm lowers a pace at most
-	paceInterval  = 3 * time.Second     // between changes of pace: what a change does is seen by then
-	paceGrowth    = 1.5                 // factor per change, while nobody is harmed
-	maxPaceGrowth = 1.004               // factor per change, of the bound that harm has set
+	initialPace   = PartsPerMillion / 4 // pace of a partner without a stored state
+	minPace       = initialPace / 16    // lower bound of the pace after harm
+	paceInterval  = 3 * time.Second     // between adjustments; the effect of one is visible by the next
+	paceGrowth    = 1.5                 // factor of the pace per adjustment without harm
+	maxPaceGrowth = 1.004               // factor per adjustment of the upper bound that harm has set
 
-	sureHarmDivisor   = 4 // of the pace, after a harm that is sure
-	likelyHarmDivisor = 2 // of the pace, after a harm that is likely
+	sureHarmDivisor   = 4 // divides the pace after sure harm
+	likelyHarmDivisor = 2 // divides the pace after likely harm
 
-	minElectiveSample = 50  // elective attempts in the window before it is judged how many were placed
-	minPlacedFraction = 0.5 // of these, that must have found capacity
+	minElectiveAttempts = 50  // attempts in the window that must be exceeded to judge capacity
+	minPlacedFraction   = 0.5 // of the elective attempts; a lower fraction means a lack of capacity
 )
 
-// adjustPaces decides, every paceInterval, how fast the debts of each partner in the settlement in
-// force are settled: slower or not at all where that harms the partner, faster where it does not.
+// adjustPaces adjusts the pace of each partner that has shares in force, once per paceInterval. It
+// lowers the pace of a partner that the settlement harms, or puts the partner on hold, and raises
+// the pace of the others.
 func (c *Controller) adjustPaces(now time.Duration, current State, next *State) {
-	if len(current.Shares) == 0 || now < c.paceChangedAt+paceInterval {
+	if len(current.Shares) == 0 || now < c.pacesAdjustedAt+paceInterval {
 		return
 	}
-	c.paceChangedAt = now
+	c.pacesAdjustedAt = now
 	participants := current.participants()
 	for _, p := range c.terms.Partners {
 		if participants[p.Name] && c.duringSettlement[p.Name] != nil {
 			c.adjustPace(p.Name, next)
 		}
 	}
-	clear(c.sincePaceChange)
+	clear(c.sincePaceAdjustment)
 }
 
-// adjustPace changes one partner's pace by how it is served.
+// adjustPace adjusts the pace of one partner by the certainty that the settlement harms it.
 func (c *Controller) adjustPace(name string, next *State) {
 	partner := next.partnerState(name)
-	switch c.harmTo(partner) {
+	switch c.harmLevelOf(partner) {
 	case harmSure:
 		seen := *c.duringSettlement[name]
 		requestRate := c.rate(MetricRequests, name)
@@ -54,40 +55,41 @@
 	next.setPartnerState(partner)
 }
 
-// lowerPace divides the pace after a harm, down to minPace, and bounds it there.
+// lowerPace divides the pace after harm, to no less than minPace, and makes the result its upper
+// bound.
 func (p *PartnerState) lowerPace(divisor uint64) {
 	p.Pace = max(p.Pace/divisor, minPace)
 	p.MaxPace = p.Pace
 }
 
-// raisePace raises the pace up to its bound, and the bound by less.
+// raisePace multiplies the upper bound by maxPaceGrowth, and the pace by paceGrowth up to that bound.
 func (p *PartnerState) raisePace() {
 	bound := float64(p.paceBound()) * maxPaceGrowth
 	p.MaxPace = min(uint64(bound), PartsPerMillion)
 	p.Pace = min(uint64(float64(p.Pace)*paceGrowth), p.MaxPace)
 }
 
-// paceBound returns the bound of the pace in ppm: the full rate where no harm has set one.
+// paceBound returns the upper bound of the pace in ppm: the full rate if harm has not set one.
 func (p *PartnerState) paceBound() uint64 { return cmp.Or(p.MaxPace, PartsPerMillion) }
 
-// harmTo decides how certain it is that the settlement harms a partner: by the requests that were
-// late, else by too little capacity or a queue, which are likely harm at most.
-func (c *Controller) harmTo(partner PartnerState) harmLevel {
+// harmLevelOf returns the certainty that the settlement harms a partner. Late requests decide
+// first. A lack of capacity or a growing queue counts as likely harm.
+func (c *Controller) harmLevelOf(partner PartnerState) harmLevel {
 	level := assessHarm(partner, *c.duringSettlement[partner.Partner], c.terms.MaxLossFraction)
 	if level != noHarm {
 		return level
 	}
-	if c.lacksCapacity(partner.Partner) || isQueueing(partner, *c.sincePaceChange[partner.Partner]) {
+	if c.lacksCapacity(partner.Partner) || isQueueing(partner, *c.sincePaceAdjustment[partner.Partner]) {
 		return harmLikely
 	}
 	return noHarm
 }
 
-// lacksCapacity reports whether the gateways found too little capacity on a partner's servers for
-// the elective attempts that were to go there.
+// lacksCapacity reports whether a partner's servers had too little capacity for the elective
+// attempts that preferred them.
 func (c *Controller) lacksCapacity(name string) bool {
 	electiveRate := c.rate(MetricElective, name)
-	if electiveRate*rateWindow <= minElectiveSample { // a sample of the window is a second
+	if electiveRate*rateWindow <= minElectiveAttempts { // the window has one sample per second
 		return false
 	}
 	return c.rate(MetricElectivePlaced, name) < minPlacedFraction*electiveRate
--- a/internal/control/settlement/partner_index.go
+++ b/internal/control/settlement/partner_index.go
@@ -9,23 +9,24 @@
 	"strings"
 )
 
-// PartnerIndex finds the partner of a customer and of a zone. Partners are numbered from 1 in the
-// order of the file; 0 means no partner.
+// PartnerIndex maps customers and zones to partners. Partners are numbered from 1 in the order of
+// the operators' file; 0 means no partner. A PartnerIndex does not change after its construction.
 type PartnerIndex struct {
-	Names          []string // by partner number; the first is empty
-	customerRanges []customerRange
-	planPartners   []int // by plan number
-	zonePartners   []int // by zone number
+	Names          []string        // by partner number; Names[0] is empty
+	customerRanges []customerRange // in ascending order
+	planPartners   []int           // partner numbers, by plan number
+	zonePartners   []int           // partner numbers, by zone number
 }
 
-// NewPartnerIndex makes an index for zones and plans in the order in which a gateway numbers them.
+// NewPartnerIndex returns an index for the zones and plans of a gateway, which are named in the
+// order of their numbers. The terms must have passed Check.
 func NewPartnerIndex(terms Terms, zones, plans []string) *PartnerIndex {
 	index := &PartnerIndex{
 		Names:        []string{""},
 		planPartners: make([]int, len(plans)),
 		zonePartners: make([]int, len(zones)),
 	}
-	index.customerRanges, _ = terms.customerRanges() // what cannot be read was refused by Check
+	index.customerRanges, _ = terms.customerRanges() // entries that cannot be parsed are skipped; Check reports them
 	for i, p := range terms.Partners {
 		index.Names = append(index.Names, p.Name)
 		for zone, name := range zones {
@@ -42,7 +43,9 @@
 	return index
 }
 
-// PartnerOf returns the partner whose request one of a customer under a plan is.
+// PartnerOf returns the number of the partner that a customer on a plan belongs to. A partner that
+// lists the customer takes precedence over the partner of the plan. The result is 0 if there is
+// neither.
 func (x *PartnerIndex) PartnerOf(customer uint64, plan int) int {
 	i := sort.Search(len(x.customerRanges), func(i int) bool { return x.customerRanges[i].last >= customer })
 	if i < len(x.customerRanges) && x.customerRanges[i].first <= customer {
@@ -54,7 +57,7 @@
 	return x.planPartners[plan]
 }
 
-// ZoneOwner returns the partner that a zone belongs to.
+// ZoneOwner returns the number of the partner that owns a zone, or 0.
 func (x *PartnerIndex) ZoneOwner(zone int) int {
 	if zone < 0 || zone >= len(x.zonePartners) {
 		return 0
@@ -62,10 +65,11 @@
 	return x.zonePartners[zone]
 }
 
-// ZoneCount returns the number of zones.
+// ZoneCount returns the number of zones of the gateway.
 func (x *PartnerIndex) ZoneCount() int { return len(x.zonePartners) }
 
-// PartnerNumber returns the number of a partner by name; 0 where the file has none of that name.
+// PartnerNumber returns the number of the partner with a name, or 0 if the operators' file has
+// none.
 func (x *PartnerIndex) PartnerNumber(name string) int {
 	if name == "" {
 		return 0
@@ -73,29 +77,29 @@
 	return max(slices.Index(x.Names, name), 0)
 }
 
-// customerRange is a range of customer numbers of one partner, both ends included.
+// customerRange is a range of customer numbers that belong to one partner, both ends included.
 type customerRange struct {
 	first, last uint64
-	partner     int // from 1
+	partner     int // partner number
 }
 
-// A customer's number, as clients send it and as the operators' file names it.
+// Format of a customer number, in requests and in the operators' file.
 const (
-	customerBits   = 33
-	customerDigits = 16
-	customerBase   = 16
-	customerWord   = 64 // bits of the integer that holds it
+	customerNumberBits     = 33
+	customerNumberDigits   = 16
+	customerNumberBase     = 16
+	customerNumberWordBits = 64 // size in bits of the integer that holds a customer number
 )
 
-// customerRanges returns the customers that partners name, in ascending order, and an error for
-// each entry that cannot be read.
-func (t Terms) customerRanges() (ranges []customerRange, faults []error) {
+// customerRanges returns the customers that partners list, in ascending order, and an error for
+// each entry that cannot be parsed.
+func (t Terms) customerRanges() (ranges []customerRange, errs []error) {
 	for i, p := range t.Partners {
 		for _, text := range p.Customers {
 			first, last, ok := parseCustomerRange(text)
 			if !ok {
-				faults = append(faults, fmt.Errorf("partner.%d.customers: 16 hex digits below %016x, "+
-					"or two such joined by '-', the smaller first, not %q", i, uint64(1)<<customerBits, text))
+				errs = append(errs, fmt.Errorf("partner.%d.customers: 16 hex digits below %016x, "+
+					"or two such joined by '-', the smaller first, not %q", i, uint64(1)<<customerNumberBits, text))
 				continue
 			}
 			ranges = append(ranges, customerRange{first, last, i + 1})
@@ -104,22 +108,22 @@
 	slices.SortFunc(ranges, func(a, b customerRange) int {
 		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.last, b.last))
 	})
-	return ranges, faults
+	return ranges, errs
 }
 
-// parseCustomerRange reads a customer's number, or two joined by '-'.
+// parseCustomerRange parses a customer number, or two in ascending order joined by '-'.
 func parseCustomerRange(text string) (first, last uint64, ok bool) {
 	firstText, lastText, isRange := strings.Cut(text, "-")
 	if !isRange {
 		lastText = firstText
 	}
-	first, isFirstRead := parseCustomer(firstText)
-	last, isLastRead := parseCustomer(lastText)
-	return first, last, isFirstRead && isLastRead && first <= last
+	first, firstOK := parseCustomer(firstText)
+	last, lastOK := parseCustomer(lastText)
+	return first, last, firstOK && lastOK && first <= last
 }
 
-// parseCustomer reads a customer's number, with all its digits.
+// parseCustomer parses a customer number. It must have all its digits, leading zeros included.
 func parseCustomer(text string) (customer uint64, ok bool) {
-	customer, err := strconv.ParseUint(text, customerBase, customerWord)
-	return customer, err == nil && len(text) == customerDigits && customer < 1<<customerBits
+	customer, err := strconv.ParseUint(text, customerNumberBase, customerNumberWordBits)
+	return customer, err == nil && len(text) == customerNumberDigits && customer < 1<<customerNumberBits
 }
--- a/internal/control/settlement/shares.go
+++ b/internal/control/settlement/shares.go
@@ -3,61 +3,64 @@
 import "time"
 
 const (
-	maxEpisode      = 300 * time.Second // after which a settlement rests, to see partners served without it
-	restSpan        = 15 * time.Second  // of such a rest: settlementTail, and some seconds to see
-	maxBaselineWait = 30 * time.Second  // that a start waits for partners of which too little was seen
-	startDebtFactor = 2                 // times MinDebt, at which a debt starts to be settled; it ends at MinDebt
+	maxSettlementDuration = 300 * time.Second // after which a settlement pauses to measure a new baseline
+	pauseDuration         = 15 * time.Second  // drainDuration and some seconds to measure the baseline
+	maxBaselineWait       = 30 * time.Second  // for which a start waits for partners with too small a baseline
+	startDebtFactor       = 2                 // multiple of MinDebt from which a debt is settled, down to MinDebt
 )
 
-// setShares decides which shares are in force next; next.Shares is empty before it. A debtor's
-// servers take requests of its creditor: the creditor then owes for each, and the net debt falls by
-// it. That it fell shows in the totals alone.
+// setShares sets next.Shares, which must be empty, to the shares to put in force. A share makes the
+// debtor's servers take requests of the creditor. The creditor then owes for each of them, which
+// reduces the net debt. The reduction is visible only in the totals of the log.
 func (c *Controller) setShares(now time.Duration, excluded map[string]bool, current State, next *State) {
 	isStarting := len(current.Shares) == 0
 	switch {
-	case !c.hasRates():
-		if !isStarting { // without rates what is in force goes on, and nothing starts
+	case !c.hasEnoughSamples():
+		if !isStarting { // no rates yet: keep the shares in force, and start no settlement
 			next.Shares = current.Shares
 		}
 		return
-	case next.isResting():
+	case next.isPaused():
 		return
-	case !isStarting && next.isEpisodeOver():
-		next.RestUntil = next.Clock + clockMillis(restSpan)
+	case !isStarting && next.isMaxDurationReached():
+		next.RestUntil = next.Clock + clockMillis(pauseDuration)
 		return
 	}
 	if isStarting {
 		c.recordBaseline(next)
 	}
 	found := c.findCandidates(excluded, current, next)
-	mayWait := now < c.lastSettlingAt+settlementTail+maxBaselineWait
-	if isStarting && found.sampleTooSmall && mayWait {
+	mayWaitForBaseline := now < c.lastRedirectAt+drainDuration+maxBaselineWait
+	if isStarting && found.baselineTooSmall && mayWaitForBaseline {
 		return
 	}
-	next.Shares = c.divide(found)
+	next.Shares = c.computeShares(found)
 	if isStarting && len(next.Shares) > 0 {
 		next.StartedAt = next.Clock
 	}
 }
 
-// isResting reports whether no settlement is in force, to see how partners are served without one.
-func (s State) isResting() bool { return s.Clock < s.RestUntil }
+// isPaused reports whether settlement is paused to measure the baseline.
+func (s State) isPaused() bool { return s.Clock < s.RestUntil }
 
-// isEpisodeOver reports whether the settlement in force has lasted so long that it rests.
-func (s State) isEpisodeOver() bool { return s.Clock >= s.StartedAt+clockMillis(maxEpisode) }
+// isMaxDurationReached reports whether the settlement in force has lasted for
+// maxSettlementDuration.
+func (s State) isMaxDurationReached() bool {
+	return s.Clock >= s.StartedAt+clockMillis(maxSettlementDuration)
+}
 
-// isHeld reports whether a partner is left alone after harm.
+// isHeld reports whether a partner is still on hold after harm.
 func (s State) isHeld(partner PartnerState) bool { return s.Clock < partner.HoldUntil }
 
-// candidates are the pairs whose debts may be settled now.
+// candidates are the pairs whose debts may be settled in the next state.
 type candidates struct {
-	pairs          []Pair
-	flows          []Flow             // by pair
-	creditorRates  map[string]float64 // thousandths of units per second that a creditor has to move
-	sampleTooSmall bool               // too little was seen of a partner that would be one
+	pairs            []Pair
+	flows            []Flow             // in the order of pairs
+	creditorRates    map[string]float64 // by creditor: thousandths of units per second that could be moved
+	baselineTooSmall bool               // a partner of a due debt has fewer than minBaselineRequests
 }
 
-// findCandidates returns the pairs of which nothing forbids a settlement, with what each demands.
+// findCandidates returns the pairs whose debts may be settled, with the demand of each.
 func (c *Controller) findCandidates(excluded map[string]bool, current State, next *State) candidates {
 	found := candidates{creditorRates: map[string]float64{}}
 	weights := c.terms.creditorWeights()
@@ -71,7 +74,7 @@
 			continue
 		}
 		if min(debtor.Requests, creditor.Requests) < minBaselineRequests {
-			found.sampleTooSmall = true
+			found.baselineTooSmall = true
 		}
 		if !c.isServedWell(debtor) || !c.isServedWell(creditor) {
 			continue
@@ -85,18 +88,20 @@
 	return found
 }
 
-// isDue decides whether a debt is to be settled by the terms: both partners are in the file, no
-// rule excludes them, and the debt is large enough. weights are by partner of the file.
+// isDue reports whether the terms allow the settlement of a debt: both partners are in the file, no
+// rule excludes the pair, and the debt is large enough. weights has an entry for each partner of
+// the file.
 func (c *Controller) isDue(debt Amount, weights map[string]float64, isInForce bool) bool {
 	hasBoth := weights[debt.Debtor] != 0 && weights[debt.Creditor] != 0
-	if !hasBoth || !c.terms.between(debt.Pair).settles {
+	if !hasBoth || !c.terms.termsFor(debt.Pair).settlesDebts {
 		return false
 	}
 	return float64(debt.Sum) >= c.debtThreshold(isInForce)
 }
 
-// debtThreshold decides at which net debt, in thousandths of units, a settlement starts, and at
-// which one in force ends: lower, so that it does not start and end in turn.
+// debtThreshold returns the smallest net debt that is settled, in thousandths of units. It is lower
+// if the settlement is in force already. This hysteresis prevents a settlement from starting and
+// ending repeatedly.
 func (c *Controller) debtThreshold(isInForce bool) float64 {
 	threshold := c.terms.MinDebt * thousandthsPerUnit
 	if !isInForce {
@@ -105,23 +110,23 @@
 	return threshold
 }
 
-// settlementDemand decides how much of a debt is to be settled, in thousandths of units per
-// second: its part by the time constant, at most the pair's share of what the creditor has to
-// move, times the pace in ppm.
+// settlementDemand returns the rate at which a debt is to be settled, in thousandths of units per
+// second. This is the debt divided by the time constant, limited by the maximum share of
+// creditorRate and scaled by the pace in ppm.
 func (c *Controller) settlementDemand(debt Amount, creditorRate float64, pace uint64) float64 {
-	maxShare := c.terms.between(debt.Pair).maxShare
+	maxShare := c.terms.termsFor(debt.Pair).maxShare
 	paceFraction := float64(pace) / PartsPerMillion
 	return min(float64(debt.Sum)/c.terms.SettleTimeConstant, maxShare*creditorRate) * paceFraction
 }
 
-// isServedWell decides whether a partner may take part: enough of its requests were seen without
-// a settlement, and most were on time.
+// isServedWell reports whether a partner's baseline allows it to take part in settlements: it has
+// enough requests, and enough of them were on time.
 func (c *Controller) isServedWell(partner PartnerState) bool {
 	return partner.Requests >= minBaselineRequests && partner.Late <= (1-c.terms.MinOnTimeFraction)*partner.Requests
 }
 
-// recordBaseline stores how partners are served without a settlement. A leader that has seen too
-// little starts none.
+// recordBaseline copies the measured baseline of each partner to its state in next. A partner of
+// which the leader has seen too few requests then takes no part in a settlement.
 func (c *Controller) recordBaseline(next *State) {
 	for _, p := range c.terms.Partners {
 		var seen serviceStats
@@ -136,8 +141,9 @@
 	}
 }
 
-// divide returns the candidates' fair shares; those that round to nothing are left out.
-func (c *Controller) divide(found candidates) (shares []Share) {
+// computeShares returns the weighted max-min fair shares of the candidates. It omits shares that
+// round to 0 ppm.
+func (c *Controller) computeShares(found candidates) (shares []Share) {
 	if len(found.pairs) == 0 {
 		return nil
 	}
@@ -155,28 +161,28 @@
 	return shares
 }
 
-// flowLimits returns what the flows share, in thousandths of units per second: what each debtor's
-// zones lend, and what each creditor may move; and, in attempts per second, what moves between
-// zones in all.
+// flowLimits returns the limits on the candidates' flows. In thousandths of units per second, these
+// are the capacity that each debtor lends and the load that each creditor may move. In attempts per
+// second, it is the total that moves between zones.
 func (c *Controller) flowLimits(found candidates) []Limit {
-	limitOf := func(capacity float64) *Limit { return &Limit{capacity, make([]float64, len(found.pairs))} }
-	betweenZones := limitOf(c.terms.MaxMovedRate)
-	lending := map[string]*Limit{}
-	moving := map[string]*Limit{}
+	newLimit := func(capacity float64) *Limit { return &Limit{capacity, make([]float64, len(found.pairs))} }
+	crossZoneLimit := newLimit(c.terms.MaxMovedRate)
+	lendingLimits := map[string]*Limit{}
+	movingLimits := map[string]*Limit{}
 	for _, p := range c.terms.Partners {
-		lending[p.Name] = limitOf(c.terms.MaxLendFraction * c.rate(MetricServedUnits, p.Name))
-		moving[p.Name] = limitOf(c.terms.MaxShare * found.creditorRates[p.Name])
+		lendingLimits[p.Name] = newLimit(c.terms.MaxLendFraction * c.rate(MetricServedUnits, p.Name))
+		movingLimits[p.Name] = newLimit(c.terms.MaxShare * found.creditorRates[p.Name])
 	}
 	for i, pair := range found.pairs {
 		if rate := found.creditorRates[pair.Creditor]; rate > 0 {
-			betweenZones.UsePerFlow[i] = c.rate(MetricIdempotentRequests, pair.Creditor) / rate
+			crossZoneLimit.UsePerFlow[i] = c.rate(MetricIdempotentRequests, pair.Creditor) / rate
 		}
-		lending[pair.Debtor].UsePerFlow[i] = 1
-		moving[pair.Creditor].UsePerFlow[i] = 1
+		lendingLimits[pair.Debtor].UsePerFlow[i] = 1
+		movingLimits[pair.Creditor].UsePerFlow[i] = 1
 	}
 	var limits []Limit
 	for _, p := range c.terms.Partners {
-		limits = append(limits, *lending[p.Name], *moving[p.Name])
+		limits = append(limits, *lendingLimits[p.Name], *movingLimits[p.Name])
 	}
-	return append(limits, *betweenZones)
+	return append(limits, *crossZoneLimit)
 }
--- a/internal/control/settlement/significance.go
+++ b/internal/control/settlement/significance.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	minChangeFraction = 0.1 // by which a share or a net debt must change to be written
-	minShareChange    = 100 // ppm; a smaller change of a share is not written
+	minChangeFraction = 0.1 // relative change of a share or net debt that must be exceeded to write it
+	minShareChange    = 100 // ppm; change of a share that must be exceeded to write it
 )
 
-// hasSignificantChange decides whether the next state is written: each write is an entry of the
-// log. Changes of shares, partners and forgiveness are written at once, debts with the renewal.
+// hasSignificantChange reports whether to write the next state. Small changes are not written,
+// because each write adds an entry to the log. Changes of shares, paces, holds and forgiveness are
+// written immediately. Changes of debts are written only when a renewal is due.
 func (c *Controller) hasSignificantChange(now time.Duration, current, next State) bool {
 	if hasChangedForgiveness(current, next) || hasChangedShares(current, next) || hasChangedPartners(current, next) {
 		return true
@@ -22,7 +23,7 @@
 
 func hasChangedForgiveness(current, next State) bool {
 	return len(current.ForgivenessLog) != len(next.ForgivenessLog) ||
-		current.lastForgiveness() != next.lastForgiveness()
+		current.lastForgivenessNumber() != next.lastForgivenessNumber()
 }
 
 func hasChangedShares(current, next State) bool {
@@ -30,7 +31,7 @@
 		return true
 	}
 	for _, share := range next.Shares {
-		if differs(current.sharePPM(share.Pair), share.PPM, minShareChange) {
+		if differsSignificantly(current.sharePPM(share.Pair), share.PPM, minShareChange) {
 			return true
 		}
 	}
@@ -47,31 +48,30 @@
 	return false
 }
 
-// hasChangedDebts reports whether a net debt changed much, or one above the smallest that is
-// settled is gone.
+// hasChangedDebts reports whether a net debt changed significantly, or one above MinDebt is gone.
 func (c *Controller) hasChangedDebts(current, next State) bool {
-	smallest := c.terms.MinDebt * thousandthsPerUnit
+	minDebt := c.terms.MinDebt * thousandthsPerUnit
 	before := map[Pair]uint64{}
 	for _, debt := range current.NetDebts {
 		before[debt.Pair] = debt.Sum
 	}
 	for _, debt := range next.NetDebts {
-		if differs(before[debt.Pair], debt.Sum, smallest) {
+		if differsSignificantly(before[debt.Pair], debt.Sum, minDebt) {
 			return true
 		}
 		delete(before, debt.Pair)
 	}
 	for _, sum := range before {
-		if float64(sum) > smallest {
+		if float64(sum) > minDebt {
 			return true
 		}
 	}
 	return false
 }
 
-// differs reports whether two values differ by more than minChange and by more than
-// minChangeFraction of the larger.
-func differs(a, b uint64, minChange float64) bool {
+// differsSignificantly reports whether the difference between two values is above both minChange
+// and minChangeFraction of the larger value.
+func differsSignificantly(a, b uint64, minChange float64) bool {
 	change := float64(max(a, b) - min(a, b))
 	return change > minChange && change > minChangeFraction*float64(max(a, b))
 }
--- a/internal/control/settlement/state.go
+++ b/internal/control/settlement/state.go
@@ -8,83 +8,87 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TableName is the replicated table that holds the State. It is stored and sent: it never changes.
+// TableName is the name of the replicated table that holds the State. The name is stored and sent,
+// so it must not change.
 const TableName = "debts"
 
-// PartsPerMillion is the whole of which a Share's PPM and a partner's Pace are parts.
+// PartsPerMillion is the value of Share.PPM, PartnerState.Pace and PartnerState.MaxPace that stands
+// for 100 percent.
 const PartsPerMillion = 1_000_000
 
-// maxForgivenessLog is how many entries are kept, for gateways that were down for a while.
-const maxForgivenessLog = 32
+// maxForgivenessLogEntries is the maximum length of State.ForgivenessLog. Several entries are kept
+// for gateways that were down for a while and log the entries that they missed.
+const maxForgivenessLogEntries = 32
 
-// millisPerSecond converts the spans of the operators' file, in seconds, to those of State.Clock.
+// millisPerSecond converts the durations of the operators' file, in seconds, to the unit of
+// State.Clock.
 const millisPerSecond = 1000
 
-// clockMillis returns a span as it is stored on State.Clock, in ms.
-func clockMillis(span time.Duration) uint64 { return uint64(span.Milliseconds()) }
+// clockMillis converts a duration to milliseconds, the unit of State.Clock.
+func clockMillis(duration time.Duration) uint64 { return uint64(duration.Milliseconds()) }
 
-// Share is the part of a creditor's first attempts of idempotent requests that go to a debtor's
-// servers.
+// Share is the fraction of a creditor's requests that prefer a debtor's servers. It applies to
+// first attempts of idempotent requests.
 type Share struct {
 	Pair
 	PPM uint64 `cbor:"3,keyasint"`
 }
 
-// Lot is a part of a net debt that arose at one time.
+// Lot is the part of a net debt that was incurred at about the same time.
 type Lot struct {
 	Amount
-	Since uint64 `cbor:"4,keyasint"` // on State.Clock
+	Since uint64 `cbor:"4,keyasint"` // on State.Clock, when its oldest unit was incurred
 }
 
-// Forgiveness records that a debt was forgiven for its age.
+// Forgiveness records that a debt was forgiven because of its age.
 type Forgiveness struct {
 	Amount
-	Number uint64 `cbor:"4,keyasint"` // from 1, over all that were ever forgiven
-	Age    uint64 `cbor:"5,keyasint"` // ms
+	Number uint64 `cbor:"4,keyasint"` // sequence number, from 1 in the lifetime of the table
+	Age    uint64 `cbor:"5,keyasint"` // ms; age of the debt when it was forgiven
 }
 
-// PartnerState is what is known of a partner while its debts are settled. Its requests are counts
-// that fade, and so no whole numbers.
+// PartnerState is what the controller stores about a partner to settle its debts. The counts of
+// requests decay over time, so they are not integers.
 type PartnerState struct {
 	Partner   string  `cbor:"1,keyasint"`
-	Pace      uint64  `cbor:"2,keyasint"` // ppm of the full rate at which its pairs may be settled
-	HoldUntil uint64  `cbor:"3,keyasint"` // on State.Clock: none of its pairs is settled before
-	Requests  float64 `cbor:"4,keyasint"` // seen before the settlement began
-	Late      float64 `cbor:"5,keyasint"` // of these, late or without an answer
-	Slow      float64 `cbor:"6,keyasint"` // of these, slower than half of their latency objective
-	MaxPace   uint64  `cbor:"7,keyasint"` // ppm: bound of the pace since it did harm; 0 means none
+	Pace      uint64  `cbor:"2,keyasint"` // ppm of the full rate at which the debts of its pairs may be settled
+	HoldUntil uint64  `cbor:"3,keyasint"` // on State.Clock; none of its debts is settled before
+	Requests  float64 `cbor:"4,keyasint"` // requests seen before the settlement started
+	Late      float64 `cbor:"5,keyasint"` // of Requests, those that were late or not answered
+	Slow      float64 `cbor:"6,keyasint"` // of Requests, those over half of their latency objective or late
+	MaxPace   uint64  `cbor:"7,keyasint"` // ppm; upper bound of Pace after harm; 0 means no bound
 }
 
-// State is the value of the replicated table: all that a new leader must know. Debts are in it to
-// be logged and for their age only. What is owed is read from the log's totals each time, so that
-// nothing can be settled twice.
+// State is the value of the replicated table: everything that a new leader needs. The debts in it
+// are for logging and for tracking their age only. The controller reads what is owed from the
+// totals of the log each time, so that no debt is settled twice.
 type State struct {
-	// Clock is how long all leaders together have led, in ms, as far as they wrote it: another
-	// process's monotonic clock means nothing here, and a wall clock steps.
+	// Clock is the total time in ms for which leaders have led, as of the latest write. It is used
+	// because a monotonic clock has no meaning in another process, and a wall clock may step.
 	Clock          uint64         `cbor:"1,keyasint"`
-	Shares         []Share        `cbor:"2,keyasint"`
-	NetDebts       []Amount       `cbor:"3,keyasint"` // when the state was written; of partners that have left too
-	Lots           []Lot          `cbor:"4,keyasint"` // by age, the oldest first
-	Forgiven       []Amount       `cbor:"5,keyasint"` // in all
-	ForgivenessLog []Forgiveness  `cbor:"6,keyasint"` // the latest maxForgivenessLog
-	Partners       []PartnerState `cbor:"7,keyasint"` // by name
-	StartedAt      uint64         `cbor:"8,keyasint"` // on Clock: when a settlement last started
-	RestUntil      uint64         `cbor:"9,keyasint"` // on Clock: no settlement starts before
+	Shares         []Share        `cbor:"2,keyasint"` // shares in force
+	NetDebts       []Amount       `cbor:"3,keyasint"` // as of the write; includes debts of partners that have left
+	Lots           []Lot          `cbor:"4,keyasint"` // oldest first
+	Forgiven       []Amount       `cbor:"5,keyasint"` // total ever forgiven, by pair
+	ForgivenessLog []Forgiveness  `cbor:"6,keyasint"` // latest maxForgivenessLogEntries entries, oldest first
+	Partners       []PartnerState `cbor:"7,keyasint"` // sorted by name
+	StartedAt      uint64         `cbor:"8,keyasint"` // on Clock, when the latest settlement started
+	RestUntil      uint64         `cbor:"9,keyasint"` // on Clock, end of the latest pause; no settlement starts before
 }
 
 var canonicalEncoding = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // the options are constants of the library
 	}
 	return mode
 }()
 
-// Encode returns the state as stored: equal states give equal bytes.
+// Encode returns the stored form of the state. Equal states have equal encodings.
 func (s State) Encode() ([]byte, error) { return canonicalEncoding.Marshal(s) }
 
-// DecodeState reads a stored state; no bytes at all are an empty one. Its error is that of the
-// decoder.
+// DecodeState decodes a stored state. Empty input decodes as the zero State. Errors are those of
+// the CBOR decoder.
 func DecodeState(encoded []byte) (s State, err error) {
 	if len(encoded) == 0 {
 		return s, nil
@@ -93,7 +97,7 @@
 	return s, err
 }
 
-// partnerState returns a partner's state; one that is not there yet has its initial pace.
+// partnerState returns the state of a partner, or a new one with initialPace if none is stored.
 func (s State) partnerState(name string) PartnerState {
 	for _, p := range s.Partners {
 		if p.Partner == name {
@@ -103,7 +107,7 @@
 	return PartnerState{Partner: name, Pace: initialPace}
 }
 
-// setPartnerState replaces or inserts a partner's state, in the order of the names.
+// setPartnerState replaces the state of a partner, or inserts it in the order of names.
 func (s *State) setPartnerState(partner PartnerState) {
 	i, found := slices.BinarySearchFunc(s.Partners, partner.Partner, func(p PartnerState, name string) int {
 		return cmp.Compare(p.Partner, name)
@@ -115,7 +119,7 @@
 	}
 }
 
-// sharePPM returns a pair's share; 0 where it has none.
+// sharePPM returns the share of a pair in ppm, or 0 if it has none.
 func (s State) sharePPM(pair Pair) uint64 {
 	for _, share := range s.Shares {
 		if share.Pair == pair {
@@ -125,7 +129,7 @@
 	return 0
 }
 
-// participants returns the partners of the shares in force, by name.
+// participants returns the names of the partners that have shares in force.
 func (s State) participants() map[string]bool {
 	participants := map[string]bool{}
 	for _, share := range s.Shares {
@@ -135,7 +139,8 @@
 	return participants
 }
 
-// clone returns a state whose lots, partners and forgiveness may be changed without changing s.
+// clone returns a copy whose Lots, Forgiven, ForgivenessLog and Partners are independent of s. The
+// other slices are shared.
 func (s State) clone() State {
 	s.Lots = slices.Clone(s.Lots)
 	s.Forgiven = slices.Clone(s.Forgiven)
--- a/internal/control/settlement/terms.go
+++ b/internal/control/settlement/terms.go
@@ -1,9 +1,10 @@
-// Package settlement decides which share of a creditor's requests a debtor's servers are to take,
-// so that what partners owe each other for requests that ran on another partner's servers evens
-// out. The leading voter calls its Controller; gateways read its State by way of package account.
+// Package settlement evens out the debts between partners. A partner owes another for each request
+// that ran on the other's servers. The package decides which share of a creditor's requests goes to
+// the servers of a debtor. The leading voter runs the Controller; gateways act on the State through
+// package account.
 //
-// It does no I/O and reads no clock: the same totals and observations in the same order give the
-// same shares.
+// The package does no I/O and reads no clock: the same totals and observations in the same order
+// produce the same shares.
 package settlement
 
 import (
@@ -12,59 +13,60 @@
 	"slices"
 )
 
-// Terms are the settlement terms of the operators' file. Fractions are from 0 to 1.
+// Terms are the settlement terms from the operators' file. Fractions are from 0 to 1.
 type Terms struct {
 	On       bool       `toml:"on"`
 	Partners []Partner  `toml:"partner"`
 	Rules    []PairRule `toml:"rule"`
 
-	// SettleTimeConstant is in seconds: each second this part of a debt is settled, so that 1/e of
-	// it is left after that time.
+	// SettleTimeConstant is in seconds. The rate of settlement per second is the debt divided by
+	// this constant, so that 1/e of the debt is left after that time.
 	SettleTimeConstant float64 `toml:"settle_over_s"`
-	// MaxShare is the fraction of a creditor's first attempts of idempotent requests that may be
-	// moved.
+	// MaxShare is the maximum fraction of a creditor's first attempts of idempotent requests that
+	// settlement moves.
 	MaxShare float64 `toml:"share_most"`
-	// MaxMovedRate is in attempts per second, over all pairs: attempts that change zone for
-	// settlement.
+	// MaxMovedRate is the maximum rate, in attempts per second over all pairs, at which settlement
+	// moves attempts to another zone.
 	MaxMovedRate float64 `toml:"moved_most"`
-	// MaxLendFraction is the fraction of what a debtor's zones serve that they may take on for
-	// settlement.
+	// MaxLendFraction is the maximum load that a debtor's zones take on for settlement, as a
+	// fraction of the units that they serve.
 	MaxLendFraction float64 `toml:"lend_most"`
-	// MaxLossFraction is the fraction of a partner's requests that settlement may make late or
-	// lose.
+	// MaxLossFraction is the maximum fraction of a partner's requests that settlement may make late
+	// or lose.
 	MaxLossFraction float64 `toml:"loss_most"`
-	// MinHeadroom is the fraction of their capacity that the zones of both sides must have left.
+	// MinHeadroom is the fraction of their capacity that the zones of both partners must have to
+	// spare.
 	MinHeadroom float64 `toml:"room_least"`
-	// MinOnTimeFraction is the fraction of both sides' requests that must be on time before
-	// anything is moved.
+	// MinOnTimeFraction is the fraction of each partner's requests that must be on time before
+	// settlement moves any.
 	MinOnTimeFraction float64 `toml:"well_least"`
-	// MinDebt is in units: a smaller net debt is not settled.
+	// MinDebt is in units. Smaller net debts are not settled.
 	MinDebt float64 `toml:"least"`
-	// ForgiveAfter is in seconds: the age at which what is left of a debt is forgiven; 0 means
-	// never.
+	// ForgiveAfter is the age in seconds at which a debt is forgiven; 0 means never.
 	ForgiveAfter float64 `toml:"forgive_after_s"`
 }
 
-// Partner owns zones and sends customers' requests.
+// Partner is a party to settlements. It owns zones, customers or both.
 type Partner struct {
 	Name  string   `toml:"name"`
-	Zones []string `toml:"halls"` // by name; may be empty
-	// Customers are numbers of 16 hex digits, or ranges of two joined by '-', both ends included.
+	Zones []string `toml:"halls"` // names; may be empty
+	// Customers are customer numbers of 16 hex digits, or ranges of two numbers joined by '-' with
+	// both ends included.
 	Customers []string `toml:"customers"`
-	Plans     []string `toml:"plans"`  // all customers of these plans whom no partner names one by one
-	Weight    float64  `toml:"weight"` // among creditors; 0 means 1
+	Plans     []string `toml:"plans"`  // plans whose customers belong to the partner unless a partner lists them
+	Weight    float64  `toml:"weight"` // weight among creditors; 0 means 1
 }
 
-// PairRule is what differs from the terms for one pair of partners, whichever of them is the
-// debtor. Fields that are nil leave the terms as they are.
+// PairRule overrides terms for one pair of partners, whichever of them is the debtor. A nil field
+// leaves the general term in force.
 type PairRule struct {
-	Between      []string `toml:"between"` // two partners' names
+	Between      []string `toml:"between"` // names of the two partners
 	Settle       *bool    `toml:"settle"`
 	MaxShare     *float64 `toml:"share_most"`
 	ForgiveAfter *float64 `toml:"forgive_after_s"`
 }
 
-// Defaults of the terms, in the units of their fields.
+// Default values of the fields of Terms, in the units of the fields.
 const (
 	defaultSettleTimeConstant = 20
 	defaultMaxShare           = 0.5
@@ -77,7 +79,7 @@
 	defaultWeight             = 1
 )
 
-// DefaultTerms returns the terms that hold where the file does not set them.
+// DefaultTerms returns the values of settings that the operators' file omits.
 func DefaultTerms() Terms {
 	return Terms{
 		SettleTimeConstant: defaultSettleTimeConstant,
@@ -93,35 +95,35 @@
 
 const (
 	minPartners     = 2
-	maxPartners     = 64 // pairs grow with its square, and each is a name in every digest
+	maxPartners     = 64 // pairs grow with its square, and each pair is a count in every digest
 	partnersPerRule = 2
 )
 
 var partnerNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
 
-// pairTerms are the terms between two partners, whichever of them is the debtor.
+// pairTerms are the terms that apply to two partners, whichever of them is the debtor.
 type pairTerms struct {
-	settles      bool
-	maxShare     float64 // fraction of the creditor's first attempts of idempotent requests
+	settlesDebts bool
+	maxShare     float64 // maximum fraction of the creditor's first attempts of idempotent requests
 	forgiveAfter float64 // seconds; 0 means never
 }
 
-// forgives reports whether debts are ever forgiven.
+// forgives reports whether debts are forgiven at any age.
 func (p pairTerms) forgives() bool { return p.forgiveAfter > 0 }
 
-// forgivenessAge returns the age at which debts are forgiven, in ms as on State.Clock.
+// forgivenessAge returns the age at which debts are forgiven, in ms, the unit of State.Clock.
 func (p pairTerms) forgivenessAge() uint64 { return uint64(p.forgiveAfter * millisPerSecond) }
 
-// between decides which terms hold between two partners: those of the rule for them, else the
-// general ones.
-func (t Terms) between(pair Pair) pairTerms {
-	terms := pairTerms{settles: true, maxShare: t.MaxShare, forgiveAfter: t.ForgiveAfter}
+// termsFor returns the terms that apply to a pair: the general terms, overridden by the rule for
+// the pair if there is one.
+func (t Terms) termsFor(pair Pair) pairTerms {
+	terms := pairTerms{settlesDebts: true, maxShare: t.MaxShare, forgiveAfter: t.ForgiveAfter}
 	for _, rule := range t.Rules {
-		if !rule.isBetween(pair) {
+		if !rule.appliesTo(pair) {
 			continue
 		}
 		if rule.Settle != nil {
-			terms.settles = *rule.Settle
+			terms.settlesDebts = *rule.Settle
 		}
 		if rule.MaxShare != nil {
 			terms.maxShare = *rule.MaxShare
@@ -133,13 +135,13 @@
 	return terms
 }
 
-// isBetween reports whether a rule is for a pair, in either order.
-func (r PairRule) isBetween(pair Pair) bool {
+// appliesTo reports whether the rule names both partners of a pair, in either order.
+func (r PairRule) appliesTo(pair Pair) bool {
 	return len(r.Between) == partnersPerRule &&
 		slices.Contains(r.Between, pair.Debtor) && slices.Contains(r.Between, pair.Creditor)
 }
 
-// creditorWeights returns the partners' weights by name.
+// creditorWeights returns the weight of each partner by name.
 func (t Terms) creditorWeights() map[string]float64 {
 	weights := map[string]float64{}
 	for _, p := range t.Partners {
--- a/internal/control/settlement/terms_check.go
+++ b/internal/control/settlement/terms_check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Ranges of the terms that the operators' file may set, in the units of their fields.
+// Allowed ranges of the fields of Terms, in the units of the fields.
 const (
 	lowestSettleTimeConstant  = 5
 	highestSettleTimeConstant = 86400 // a day
@@ -18,7 +18,7 @@
 	lowestHeadroom            = 0.05
 	highestHeadroom           = 0.9
 	lowestOnTimeFraction      = 0.5
-	lowestMinDebt             = 0.001 // one thousandth, the least that is counted
+	lowestMinDebt             = 0.001 // one thousandth of a unit, the smallest amount that is counted
 	highestMinDebt            = 1e9
 	lowestForgiveAfter        = 60
 	highestForgiveAfter       = 1e9
@@ -26,8 +26,8 @@
 	highestWeight             = 100
 )
 
-// Check returns all that is wrong with the terms, one error for each, with its key and what is
-// allowed there. Terms that are off are not checked.
+// Check returns an error for each invalid setting, with its key, the allowed values and the value
+// found. Terms that are off are not checked.
 func (t Terms) Check() []error {
 	if !t.On {
 		return nil
@@ -35,7 +35,7 @@
 	c := termsChecker{firstKeys: map[string]string{}}
 	c.checkLimits(t)
 	if n := len(t.Partners); n < minPartners || n > maxPartners {
-		c.refuse("partner", fmt.Sprintf("from %d to %d of them", minPartners, maxPartners), n)
+		c.addError("partner", fmt.Sprintf("from %d to %d of them", minPartners, maxPartners), n)
 	}
 	for i, p := range t.Partners {
 		c.checkPartner(fmt.Sprintf("partner.%d.", i), p)
@@ -44,10 +44,10 @@
 	for i, rule := range t.Rules {
 		c.checkRule(fmt.Sprintf("rule.%d.", i), rule)
 	}
-	return c.faults
+	return c.errs
 }
 
-// Kinds of names of which each may stand once in the file.
+// Kinds of names that must be unique in the file. They are part of error messages.
 const (
 	partnerKind = "name"
 	zoneKind    = "hall"
@@ -55,26 +55,26 @@
 	ruleKind    = "rule between"
 )
 
-// termsChecker collects what is wrong with terms.
+// termsChecker collects the errors that Check returns.
 type termsChecker struct {
-	faults    []error
-	firstKeys map[string]string // by kind and name, the key at which the name stood first
+	errs      []error
+	firstKeys map[string]string // first key that uses a name, by kind and name
 }
 
-func (c *termsChecker) refuse(key, constraint string, value any) {
-	c.faults = append(c.faults, fmt.Errorf("%s: %s, not %v", key, constraint, value))
+func (c *termsChecker) addError(key, constraint string, value any) {
+	c.errs = append(c.errs, fmt.Errorf("%s: %s, not %v", key, constraint, value))
 }
 
-// checkRange refuses values out of a range, NaN among them.
+// checkRange adds an error if a value is outside a range, both ends included, or NaN.
 func (c *termsChecker) checkRange(key string, value, lowest, highest float64) {
 	if !(value >= lowest && value <= highest) {
-		c.refuse(key, fmt.Sprintf("from %v to %v", lowest, highest), value)
+		c.addError(key, fmt.Sprintf("from %v to %v", lowest, highest), value)
 	}
 }
 
 func (c *termsChecker) checkUnique(kind, name, key string) {
 	if first, ok := c.firstKeys[kind+" "+name]; ok {
-		c.refuse(key, fmt.Sprintf("a %s stands once; %s has it too", kind, first), name)
+		c.addError(key, fmt.Sprintf("a %s stands once; %s has it too", kind, first), name)
 	}
 	c.firstKeys[kind+" "+name] = key
 }
@@ -100,7 +100,7 @@
 func (c *termsChecker) checkPartner(key string, partner Partner) {
 	if !partnerNamePattern.MatchString(partner.Name) {
 		const allowed = "1 to 64 letters, digits, '_', '.' and '-', the first a letter or digit"
-		c.refuse(key+"name", allowed, strconv.Quote(partner.Name))
+		c.addError(key+"name", allowed, strconv.Quote(partner.Name))
 	}
 	c.checkUnique(partnerKind, partner.Name, key+"name")
 	for _, zone := range partner.Zones {
@@ -113,16 +113,16 @@
 		c.checkRange(key+"weight", partner.Weight, lowestWeight, highestWeight)
 	}
 	if len(partner.Zones)+len(partner.Customers)+len(partner.Plans) == 0 {
-		c.refuse(key+"halls", "halls, customers or plans are wanted", "none")
+		c.addError(key+"halls", "halls, customers or plans are wanted", "none")
 	}
 }
 
 func (c *termsChecker) checkCustomers(t Terms) {
-	ranges, faults := t.customerRanges()
-	c.faults = append(c.faults, faults...)
+	ranges, errs := t.customerRanges()
+	c.errs = append(c.errs, errs...)
 	for i := 1; i < len(ranges); i++ {
 		if ranges[i].first <= ranges[i-1].last {
-			c.refuse(fmt.Sprintf("partner.%d.customers", ranges[i].partner-1), "a customer stands once",
+			c.addError(fmt.Sprintf("partner.%d.customers", ranges[i].partner-1), "a customer stands once",
 				fmt.Sprintf("%016x of partner.%d too", ranges[i].first, ranges[i-1].partner-1))
 		}
 	}
@@ -130,12 +130,12 @@
 
 func (c *termsChecker) checkRule(key string, rule PairRule) {
 	if len(rule.Between) != partnersPerRule || rule.Between[0] == rule.Between[1] {
-		c.refuse(key+"between", "two partners are wanted", rule.Between)
+		c.addError(key+"between", "two partners are wanted", rule.Between)
 		return
 	}
 	for _, name := range rule.Between {
 		if c.firstKeys[partnerKind+" "+name] == "" {
-			c.refuse(key+"between", "a partner of this file is wanted", strconv.Quote(name))
+			c.addError(key+"between", "a partner of this file is wanted", strconv.Quote(name))
 		}
 	}
 	c.checkUnique(ruleKind, strings.Join(slices.Sorted(slices.Values(rule.Between)), " and "), key+"between")
--- a/internal/control/settlement/zones.go
+++ b/internal/control/settlement/zones.go
@@ -6,28 +6,27 @@
 	"harrierhoist/internal/coordination"
 )
 
-// ZoneStatus is what failover reports of a zone.
+// ZoneStatus is the status of a zone as seen by failover.
 type ZoneStatus struct {
-	FailingOver bool    // the plan in force moves its requests away, or brings them back by steps
-	Headroom    float64 // fraction of its capacity that is left; negative: not known
+	FailingOver bool    // failover moves requests from or to the zone, or too few of its servers answer
+	Headroom    float64 // spare fraction of its capacity; negative if unknown
 }
 
-// ZoneStatusFunc returns what failover reports, by zone name. Zones that it does not name are
-// healthy.
+// ZoneStatusFunc returns the status of zones by name. Zones that it omits are healthy.
 type ZoneStatusFunc func(input coordination.ControllerInput) map[string]ZoneStatus
 
-// unknownHeadroom is the headroom of a zone of which none is reported.
+// unknownHeadroom is the Headroom of a zone for which none is reported.
 const unknownHeadroom = -1
 
-// isNeededByFailover decides whether a zone is left out of settlements: failover moves its
-// requests, or less than minHeadroom, a fraction of its capacity, is left there.
+// isNeededByFailover reports whether settlement must not use a zone: it is failing over, or its
+// spare fraction of capacity is known to be below minHeadroom.
 func (z ZoneStatus) isNeededByFailover(minHeadroom float64) bool {
-	hasLittleLeft := z.Headroom >= 0 && z.Headroom < minHeadroom
-	return z.FailingOver || hasLittleLeft
+	lacksHeadroom := z.Headroom >= 0 && z.Headroom < minHeadroom
+	return z.FailingOver || lacksHeadroom
 }
 
-// excludedPartners decides which partners have no part in settlements because failover needs one
-// of their zones: failover comes first.
+// excludedPartners returns the names of partners that take no part in settlements because failover
+// needs one of their zones. Failover has priority over settlement.
 func (c *Controller) excludedPartners(input coordination.ControllerInput) map[string]bool {
 	excluded := map[string]bool{}
 	if c.zoneStatus == nil {
@@ -46,32 +45,33 @@
 	return excluded
 }
 
-// Thousandths in a plan of failover.
+// Thresholds for the shares in a failover plan, in thousandths.
 const (
-	allRequests     = 1000 // of a zone's requests
-	minHealthyShare = 900  // of a zone's listed servers, that answer
+	allRequestsThousandths = 1000 // all requests of a zone
+	minHealthyThousandths  = 900  // minimum of a zone's listed servers that must answer
 )
 
-// ZoneStatusOfPlan returns the zones that a plan of failover needs: those that it moves requests
-// from or to, and those of which too few servers answer. Routes are shares by the zone that
-// requests come in at and the zone that they are attempted in; healthy is the share of a zone's
-// listed servers that answers; both in thousandths. A plan tells no headroom.
+// ZoneStatusOfPlan returns the status of the zones that a failover plan needs. These are the zones
+// that it moves requests from or to, and those where too few servers answer. Shares in routes are
+// keyed by the zone where requests arrive, then by the zone where they are attempted. healthy is
+// the share of each zone's listed servers that answer. All shares are in thousandths. Headroom is
+// unknown, since a plan does not contain it.
 func ZoneStatusOfPlan(routes map[string]map[string]int, healthy map[string]int) map[string]ZoneStatus {
-	needed := ZoneStatus{FailingOver: true, Headroom: unknownHeadroom}
+	neededByFailover := ZoneStatus{FailingOver: true, Headroom: unknownHeadroom}
 	statuses := map[string]ZoneStatus{}
 	for origin, shares := range routes {
 		for target, share := range shares {
-			keepsFewer := target == origin && share < allRequests
-			movesSome := target != origin && share > 0
-			if keepsFewer || movesSome {
-				statuses[origin] = needed
-				statuses[target] = needed
+			originSendsAway := target == origin && share < allRequestsThousandths
+			targetReceives := target != origin && share > 0
+			if originSendsAway || targetReceives {
+				statuses[origin] = neededByFailover
+				statuses[target] = neededByFailover
 			}
 		}
 	}
 	for zone, share := range healthy {
-		if share < minHealthyShare {
-			statuses[zone] = needed
+		if share < minHealthyThousandths {
+			statuses[zone] = neededByFailover
 		}
 	}
 	return statuses
