--- a/internal/control/settlement/controller_test.go
+++ b/internal/control/settlement/controller_test.go
@@ -11,17 +11,17 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// controllerFixture is a log and what its leader observes: three partners with 1,000 requests per
-// second each.
+// controllerFixture runs a Controller on a replicated state and simulated gateway counters. Each of
+// three partners sends 1,000 requests per second.
 type controllerFixture struct {
-	now, since time.Duration
-	counts     map[string]uint64
-	state      *statemachine.State
-	index      uint64
-	zoneStatus map[string]ZoneStatus
-	late       map[string]uint64 // requests per second, by partner
-	elective   map[string]uint64 // attempts per second, by partner; a quarter of them is placed
-	controller *Controller
+	now, leadingSince time.Duration
+	counts            map[string]uint64 // sums of the gateways' counters, by name
+	state             *statemachine.State
+	index             uint64 // of the latest log entry
+	zoneStatus        map[string]ZoneStatus
+	late              map[string]uint64 // late requests per second, by partner
+	elective          map[string]uint64 // elective attempts per second, by partner; a quarter of them is placed
+	controller        *Controller
 }
 
 func testTerms() Terms {
@@ -36,22 +36,24 @@
 
 func newControllerFixture(terms Terms) *controllerFixture {
 	f := &controllerFixture{
-		now: time.Hour, since: time.Hour, counts: map[string]uint64{}, state: statemachine.New(),
+		now: time.Hour, leadingSince: time.Hour, counts: map[string]uint64{}, state: statemachine.New(),
 		zoneStatus: map[string]ZoneStatus{}, late: map[string]uint64{}, elective: map[string]uint64{},
 	}
 	f.changeLeader(terms)
 	return f
 }
 
-// changeLeader has another process lead: it has seen nothing, and its clock is another.
+// changeLeader replaces the leader by a process that has no observations and another monotonic
+// clock.
 func (f *controllerFixture) changeLeader(terms Terms) {
 	f.now += 1000 * time.Hour
-	f.since = f.now
+	f.leadingSince = f.now
 	f.counts = map[string]uint64{}
 	zoneStatus := func(coordination.ControllerInput) map[string]ZoneStatus { return f.zoneStatus }
 	f.controller = NewController(terms, zoneStatus)
 }
 
+// addDebt raises the total that debtor has ever owed creditor to units.
 func (f *controllerFixture) addDebt(debtor, creditor string, units uint64) {
 	f.index++
 	f.state.Apply(f.index, statemachine.Command{
@@ -61,7 +63,8 @@
 	})
 }
 
-// advance lets seconds pass, each with what the gateways count in it and a decision.
+// advance simulates a number of seconds. In each, the gateways' counters increase and the
+// controller decides once.
 func (f *controllerFixture) advance(seconds int) {
 	for range seconds {
 		f.now += time.Second
@@ -78,10 +81,11 @@
 	}
 }
 
+// decide calls the controller and applies its write, if any, to the replicated state.
 func (f *controllerFixture) decide() {
 	entry := f.state.Table(TableName)
 	value, write := f.controller.Decide(f.now, coordination.ControllerInput{
-		Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.since, Table: f.state.Table,
+		Sums: maps.Clone(f.counts), Totals: f.state.Totals, LeadingSince: f.leadingSince, Table: f.state.Table,
 	})
 	if write {
 		f.index++
@@ -98,7 +102,7 @@
 	return state
 }
 
-// shareNames returns the shares in force, in words.
+// shareNames returns the shares in force as "creditor to debtor".
 func (f *controllerFixture) shareNames() (names []string) {
 	for _, share := range f.storedState().Shares {
 		names = append(names, share.Creditor+" to "+share.Debtor)
@@ -106,7 +110,7 @@
 	return names
 }
 
-// pairCases are debts, and in want the shares that are set after 40 s.
+// pairCases are debts and terms, with the shares that are expected after 40 s in want.
 var pairCases = []struct {
 	name    string
 	arrange func(*controllerFixture, *Terms)
@@ -120,8 +124,8 @@
 		f.addDebt("a", "b", 900)
 		f.addDebt("b", "a", 899)
 	}, nil},
-	{"a small debt is left alone", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 4) }, nil},
-	{"a partner that has left takes nothing", func(f *controllerFixture, _ *Terms) {
+	{"a small debt is not settled", func(f *controllerFixture, _ *Terms) { f.addDebt("a", "b", 4) }, nil},
+	{"a partner that is not in the file gets no share", func(f *controllerFixture, _ *Terms) {
 		f.addDebt("gone", "b", 900)
 	}, nil},
 	{"a rule excludes the pair", func(f *controllerFixture, terms *Terms) {
@@ -136,11 +140,11 @@
 		f.addDebt("a", "b", 900)
 		f.zoneStatus["hall-b"] = ZoneStatus{Headroom: 0.1}
 	}, nil},
-	{"the debtor is served badly already", func(f *controllerFixture, _ *Terms) {
+	{"too many of the debtor's requests are late without settlement", func(f *controllerFixture, _ *Terms) {
 		f.addDebt("a", "b", 900)
 		f.late["a"] = 200
 	}, nil},
-	{"off", func(f *controllerFixture, terms *Terms) {
+	{"settlement is off", func(f *controllerFixture, terms *Terms) {
 		f.addDebt("a", "b", 900)
 		terms.On = false
 	}, nil},
@@ -161,43 +165,44 @@
 	}
 }
 
-// A partner that loses more than the terms allow while debts are settled stops its settlement
-// within seconds. One whose servers hardly have capacity slows it down.
+// Settlement of a partner's debts stops within seconds if more of the partner's requests are late
+// than the terms allow. It slows down if the partner's servers lack capacity.
 func TestController_stopsAndSlowsWhenPartnerIsHarmed(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 50_000)
 	f.advance(60)
 	before := f.storedState()
 	if before.sharePPM(Pair{"a", "b"}) == 0 || before.partnerState("a").Pace != PartsPerMillion {
-		t.Fatalf("not settling at full pace: %+v", before)
+		t.Fatalf("debt is not settled at full pace: %+v", before)
 	}
 	f.zoneStatus["hall-b"] = ZoneStatus{FailingOver: true}
 	f.advance(2)
 	if len(f.storedState().Shares) > 0 {
-		t.Error("settles while failover needs a zone")
+		t.Error("shares are in force while failover needs a zone")
 	}
 	clear(f.zoneStatus)
 	f.advance(60)
-	f.late["a"] = 30 // of 1,000: six times what the terms allow
+	f.late["a"] = 30 // of 1,000; six times the maximum loss of the terms
 	f.advance(25)
 	if state := f.storedState(); len(state.Shares) > 0 || state.partnerState("a").HoldUntil <= state.Clock {
-		t.Errorf("settles in spite of the loss: %+v", state)
+		t.Errorf("shares in force or partner not on hold despite the late requests: %+v", state)
 	}
 	f.late["a"] = 0
 	f.advance(150)
 	if f.storedState().sharePPM(Pair{"a", "b"}) == 0 {
-		t.Errorf("does not settle again: %+v", f.storedState())
+		t.Errorf("settlement does not resume after the hold: %+v", f.storedState())
 	}
 	pace := f.storedState().partnerState("a").Pace
-	f.elective["a"] = 100 // of which a quarter is placed
+	f.elective["a"] = 100 // a quarter of them is placed
 	f.advance(15)
 	if state := f.storedState(); state.partnerState("a").Pace >= pace/2 {
-		t.Errorf("settles at pace %d, and before at %d", state.partnerState("a").Pace, pace)
+		t.Errorf("pace %d, want less than half of the previous %d", state.partnerState("a").Pace, pace)
 	}
 }
 
-// A leader is lost during a settlement, and all that it saw: the next keeps the shares in force,
-// and the debts. A leader whose terms are off ends the settlement.
+// A leader fails during a settlement, and its observations are lost. The next leader keeps the
+// shares in force, the debts and the clock of the stored state. A leader whose terms are off ends
+// the settlement.
 func TestController_newLeaderContinuesFromStoredState(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 50_000)
@@ -208,14 +213,14 @@
 	after := f.storedState()
 	pair := Pair{"a", "b"}
 	if after.sharePPM(pair) != before.sharePPM(pair) {
-		t.Errorf("share of %d, then %d", before.sharePPM(pair), after.sharePPM(pair))
+		t.Errorf("share of %d ppm before the change of leader, %d after", before.sharePPM(pair), after.sharePPM(pair))
 	}
 	if after.Clock < before.Clock || after.Clock > before.Clock+70_000 {
-		t.Errorf("%+v, then %+v", before, after)
+		t.Errorf("clock out of range: state %+v before the change of leader, %+v after", before, after)
 	}
 	f.advance(30)
 	if f.storedState().sharePPM(pair) == 0 {
-		t.Error("does not settle any more")
+		t.Error("new leader ends the settlement")
 	}
 	off := testTerms()
 	off.On = false
@@ -226,18 +231,18 @@
 	}
 }
 
-// A settlement rests periodically, to see anew how partners are served without it.
+// A long settlement pauses periodically to measure the baseline again.
 func TestController_pausesSettlementPeriodically(t *testing.T) {
 	f := newControllerFixture(testTerms())
 	f.addDebt("a", "b", 5_000_000)
-	rested := 0
+	paused := 0
 	for range 700 {
 		f.advance(1)
 		if state := f.storedState(); state.StartedAt > 0 && len(state.Shares) == 0 {
-			rested++
+			paused++
 		}
 	}
-	if rested < 10 || rested > 60 {
-		t.Errorf("rested %d s in 700", rested)
+	if paused < 10 || paused > 60 {
+		t.Errorf("paused for %d s of 700, want from 10 to 60", paused)
 	}
 }
--- a/internal/control/settlement/fairness_test.go
+++ b/internal/control/settlement/fairness_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// For any flows and limits: no rate is above its demand, no limit is exceeded, and each flow below
-// its demand uses a full limit in which no flow has more for its weight. That is weighted max-min
-// fairness.
+// Rates must be weighted max-min fair for any flows and limits: no rate exceeds its demand, no
+// limit is exceeded, and each flow below its demand uses a saturated limit on which no flow has a
+// higher rate per weight.
 func TestMaxMinFair_isMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 8).Draw(t, "flows")
@@ -26,40 +26,43 @@
 			}
 		}
 		rates := MaxMinFair(flows, limits)
-		full := fullLimits(t, limits, rates)
+		saturated := saturatedLimits(t, limits, rates)
 		for i, flow := range flows {
 			if rates[i] < 0 || rates[i] > flow.Demand*(1+tolerance) {
-				t.Fatalf("flow %d has %v of %v", i, rates[i], flow.Demand)
+				t.Fatalf("flow %d has a rate of %v for a demand of %v", i, rates[i], flow.Demand)
 			}
-			if rates[i] < flow.Demand*(1-tolerance)-tolerance && !isBounded(i, flows, limits, full, rates) {
-				t.Fatalf("flow %d of %+v could have more than %v under %+v", i, flows, rates, limits)
+			if rates[i] < flow.Demand*(1-tolerance)-tolerance && !isBounded(i, flows, limits, saturated, rates) {
+				t.Fatalf("flow %d of %+v has no saturated limit: rates %v, limits %+v", i, flows, rates, limits)
 			}
 		}
 	})
 }
 
+// tolerance is the relative and absolute rounding error that checks of rates accept.
 const tolerance = 1e-6
 
-// fullLimits returns, by limit, whether the rates use it up. It fails where they exceed one.
-func fullLimits(t *rapid.T, limits []Limit, rates []float64) []bool {
-	full := make([]bool, len(limits))
+// saturatedLimits returns whether each limit is saturated by the rates. It fails the test if a
+// limit is exceeded.
+func saturatedLimits(t *rapid.T, limits []Limit, rates []float64) []bool {
+	saturated := make([]bool, len(limits))
 	for limitIndex, limit := range limits {
 		used := 0.0
 		for i, rate := range rates {
 			used += limit.UsePerFlow[i] * rate
 		}
 		if used > limit.Capacity*(1+tolerance)+tolerance {
-			t.Fatalf("limit %d: %v used of %v", limitIndex, used, limit.Capacity)
+			t.Fatalf("limit %d: use of %v exceeds the capacity of %v", limitIndex, used, limit.Capacity)
 		}
-		full[limitIndex] = used >= limit.Capacity*(1-tolerance)-tolerance
+		saturated[limitIndex] = used >= limit.Capacity*(1-tolerance)-tolerance
 	}
-	return full
+	return saturated
 }
 
-// isBounded reports whether a flow uses a full limit in which no flow has more for its weight.
-func isBounded(flow int, flows []Flow, limits []Limit, full []bool, rates []float64) bool {
-	for k, limit := range limits {
-		if limit.UsePerFlow[flow] == 0 || !full[k] {
+// isBounded reports whether a flow uses a saturated limit on which no flow has a higher rate per
+// weight.
+func isBounded(flow int, flows []Flow, limits []Limit, saturated []bool, rates []float64) bool {
+	for limitIndex, limit := range limits {
+		if limit.UsePerFlow[flow] == 0 || !saturated[limitIndex] {
 			continue
 		}
 		highest := 0.0
--- a/internal/control/settlement/golden_terms_test.go
+++ b/internal/control/settlement/golden_terms_test.go
@@ -12,7 +12,8 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// The operators' file: every key, and what each means.
+// Every key of the operators' file sets its field, and the file passes Check. Omitted keys keep
+// their defaults.
 func TestGolden_terms(t *testing.T) {
 	got := DefaultTerms()
 	file := toml.NewDecoder(bytes.NewReader(golden.Read(t, "terms.toml"))).DisallowUnknownFields()
@@ -38,21 +39,21 @@
 		MinHeadroom: 0.15, MinOnTimeFraction: 0.95, MinDebt: 7, ForgiveAfter: 86400,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("terms %+v, want %+v", got, want)
 	}
-	if faults := got.Check(); len(faults) > 0 {
-		t.Errorf("refused: %v", faults)
+	if errs := got.Check(); len(errs) > 0 {
+		t.Errorf("Check returned %v", errs)
 	}
-	usual := Terms{
+	defaults := Terms{
 		SettleTimeConstant: 20, MaxShare: 0.5, MaxMovedRate: 200, MaxLendFraction: 0.3, MaxLossFraction: 0.005,
 		MinHeadroom: 0.2, MinOnTimeFraction: 0.9, MinDebt: 5,
 	}
-	if got := DefaultTerms(); !reflect.DeepEqual(got, usual) {
-		t.Errorf("without a file %+v, want %+v", got, usual)
+	if got := DefaultTerms(); !reflect.DeepEqual(got, defaults) {
+		t.Errorf("default terms %+v, want %+v", got, defaults)
 	}
 }
 
-// goldenRefusals are changes of testdata/terms.toml and what Check says of each.
+// goldenRefusals are invalid changes of testdata/terms.toml, with the errors that Check returns.
 var goldenRefusals = []struct{ old, bad, want string }{
 	{"settle_over_s = 30.0", "settle_over_s = 4.0", "settle_over_s: from 5 to 86400, not 4"},
 	{"share_most = 0.4", "share_most = 0.95", "share_most: from 0 to 0.9, not 0.95"},
@@ -120,7 +121,7 @@
 	},
 }
 
-// Each one-line refusal of a bad file, complete and in its order.
+// Check must return the full text of each error of an invalid file, in a fixed order.
 func TestGolden_refusals(t *testing.T) {
 	text := string(golden.Read(t, "terms.toml"))
 	for _, test := range goldenRefusals {
@@ -133,20 +134,20 @@
 			t.Errorf("%q:\n%q, want\n%q", test.bad, got, test.want)
 		}
 	}
-	none := DefaultTerms()
-	none.On = true
+	enabledTerms := DefaultTerms()
+	enabledTerms.On = true
 	want := "partner: from 2 to 64 of them, not 0"
-	if got := errors.Join(none.Check()...); got == nil || got.Error() != want {
-		t.Errorf("without partners:\n%q, want\n%q", got, want)
+	if got := errors.Join(enabledTerms.Check()...); got == nil || got.Error() != want {
+		t.Errorf("no partners:\n%q, want\n%q", got, want)
 	}
 	for i := range maxPartners + 1 {
 		partner := Partner{Name: strings.Repeat("x", i+1), Plans: []string{strings.Repeat("p", i+1)}}
-		none.Partners = append(none.Partners, partner)
+		enabledTerms.Partners = append(enabledTerms.Partners, partner)
 	}
 	want = "partner: from 2 to 64 of them, not 65\n" +
 		"partner.64.name: 1 to 64 letters, digits, '_', '.' and '-', the first a letter or digit, not \"" +
 		strings.Repeat("x", 65) + "\""
-	if got := errors.Join(none.Check()...); got == nil || got.Error() != want {
-		t.Errorf("with too many:\n%q, want\n%q", got, want)
+	if got := errors.Join(enabledTerms.Check()...); got == nil || got.Error() != want {
+		t.Errorf("too many partners:\n%q, want\n%q", got, want)
 	}
 }
--- a/internal/control/settlement/golden_test.go
+++ b/internal/control/settlement/golden_test.go
@@ -7,11 +7,11 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// goldenDecisions is the SHA-256 of all values that the table took in TestGolden_decisions, drawn
-// at 8c168ca.
+// goldenDecisions is the SHA-256 of all values of the table in TestGolden_decisions, as of commit
+// 8c168ca.
 const goldenDecisions = "fed885dda790ede434d8e45879e52563ffdd3bb74dd0646bc00b671aa216d954"
 
-// goldenState has every part of the stored table.
+// goldenState sets every field of the stored table.
 var goldenState = State{
 	Clock:          123_456_789,
 	Shares:         []Share{{Pair{"north", "south"}, 250_000}, {Pair{"west", "south"}, 1}},
@@ -30,7 +30,7 @@
 	RestUntil: 123_300_000,
 }
 
-// The stored table as the version before wrote it is read, and written byte for byte.
+// A table that the previous version stored decodes, and its state encodes as the same bytes.
 func TestGolden_storedState(t *testing.T) {
 	for name, want := range map[string]State{"table.cbor": goldenState, "table-empty.cbor": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Names that go between processes and into the log.
+// Names that are sent between processes or stored in the log must not change.
 func TestGolden_names(t *testing.T) {
 	for want, got := range map[string]string{
 		"debts":                             TableName,
@@ -56,34 +56,34 @@
 		"owe\x1f1k2j3+\x1fa.b-c_d\x1fsouth": DebtCountName("1k2j3+", Pair{"a.b-c_d", "south"}),
 	} {
 		if got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("name %q, want %q", got, want)
 		}
 	}
 	if MetricCount != 8 {
-		t.Errorf("%d metrics", MetricCount)
+		t.Errorf("%d metrics, want 8", MetricCount)
 	}
 	totals := map[string]uint64{
 		"g1\x1f3\x1fowe\x1flife\x1fnorth\x1fsouth": 700,
 		"g1\x1f4\x1fowe\x1flife\x1fnorth\x1fsouth": 900,
 	}
 	if got := ReadLedger(totals); len(got) != 1 || got[Pair{"north", "south"}] != 900 {
-		t.Errorf("totals read as %v", got)
+		t.Errorf("ledger %v, want one entry of 900", got)
 	}
 }
 
-// What is written to the table over a long scenario of debts, leaders, late requests, rests and
-// failover: every byte.
+// Every byte that the controller writes must stay the same over a long scenario with debts, a
+// change of leader, late requests, pauses and failover.
 func TestGolden_decisions(t *testing.T) {
 	terms := testTerms()
 	terms.ForgiveAfter = 600
 	terms.Partners[1].Weight = 2
 	f := newControllerFixture(terms)
-	all := golden.NewDigest()
+	digest := golden.NewDigest()
 	advance := func(seconds int) {
 		for range seconds {
 			f.advance(1)
 			stored := f.state.Table(TableName)
-			_, _ = all.Write(append(bytes.Clone(stored.Value), byte(stored.Epoch)))
+			_, _ = digest.Write(append(bytes.Clone(stored.Value), byte(stored.Epoch)))
 		}
 	}
 	f.addDebt("a", "b", 50_000)
@@ -107,8 +107,8 @@
 	advance(90)
 	f.addDebt("b", "a", 49_990)
 	advance(700)
-	all.Check(t, goldenDecisions)
+	digest.Check(t, goldenDecisions)
 	if state := f.storedState(); len(state.ForgivenessLog) == 0 || state.StartedAt == 0 || state.RestUntil == 0 {
-		t.Errorf("the scenario leaves parts out: %+v", state)
+		t.Errorf("the scenario has no forgiveness, settlement or pause: %+v", state)
 	}
 }
--- a/internal/control/settlement/ledger_test.go
+++ b/internal/control/settlement/ledger_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// ledgerTotalName returns the name of a total in the log: process, incarnation and the count's own
-// name.
+// ledgerTotalName returns the name of a debt's total in the log: the process, its incarnation and
+// the name of the count.
 func ledgerTotalName(process, incarnation, ledgerID, debtor, creditor string) string {
 	return observation.JoinName(process, incarnation, DebtCountName(ledgerID, Pair{debtor, creditor}))
 }
 
-// Digests come in any order, more than once, of any incarnation, to any leader: the ledger is what
-// was owed, and the balances sum to zero whatever was forgiven.
+// Digests of several incarnations may arrive in any order and more than once. The ledger must equal
+// what was owed, and the partners' balances must sum to zero even with forgiven debts.
 func TestReadLedger_isExactForAnyDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := statemachine.New()
@@ -33,7 +33,7 @@
 				sum += b
 			}
 			if sum != 0 {
-				t.Fatalf("balances sum to %d", sum)
+				t.Fatalf("balances sum to %d, want 0", sum)
 			}
 		}
 		got := ReadLedger(state.Totals(ExactTable))
@@ -45,7 +45,8 @@
 	})
 }
 
-// balancesOf returns, by partner, what it is owed less what it owes, in thousandths of units.
+// balancesOf returns the balance of each partner, which is what it is owed minus what it owes, in
+// thousandths of units.
 func balancesOf(netDebts []Amount) map[string]int64 {
 	balances := map[string]int64{}
 	for _, debt := range netDebts {
@@ -55,8 +56,9 @@
 	return balances
 }
 
-// drawDigests draws what some processes count over some incarnations, with a stored ledger or
-// without, as totals of the log by digest. It returns what is owed in all beside them.
+// drawDigests draws the digests of a few processes over several incarnations. A process either
+// stores its ledger and continues it in the next incarnation, or starts a new one. It returns the
+// expected ledger, and the digests as totals of the log.
 func drawDigests(t *rapid.T) (want Ledger, digests []map[string]uint64) {
 	names := []string{"a", "b", "c", "left"}
 	want = Ledger{}
@@ -99,14 +101,14 @@
 	})
 	got := ledger.NetDebts([]Amount{{Pair{"c", "gone"}, 10}})
 	if want := []Amount{{Pair{"a", "b"}, 700}, {Pair{"c", "gone"}, 40}}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("net debts %v, want %v", got, want)
 	}
 	if got := partnerNames(ledger); !slices.Equal(got, []string{"a", "b", "c", "gone"}) {
-		t.Errorf("names %v", got)
+		t.Errorf("partner names %v, want a, b, c and gone", got)
 	}
 }
 
-// partnerNames returns all names in a ledger, in order.
+// partnerNames returns the names of all partners in a ledger, sorted.
 func partnerNames(ledger Ledger) []string {
 	names := map[string]bool{}
 	for pair := range ledger {
@@ -116,8 +118,9 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Payments reduce the oldest lots; what is too old is forgiven and logged once, also where the
-// partner has left.
+// Payments reduce the oldest lots first. A debt that reaches the forgiveness age is forgiven and
+// logged once, even if its partners are not in the file, as here. A rule can exempt a pair from
+// forgiveness.
 func TestState_oldDebtsAreForgivenOnce(t *testing.T) {
 	terms := DefaultTerms()
 	terms.ForgiveAfter = 1000
@@ -146,6 +149,6 @@
 		t.Errorf("forgiveness log %q, want %q", logged, want)
 	}
 	if got := ledger.NetDebts(state.Forgiven); !slices.Equal(got, []Amount{{Pair{"a", "c"}, 500}}) {
-		t.Errorf("net debts %v", got)
+		t.Errorf("net debts %v, want only 500 from a to c", got)
 	}
 }
--- a/internal/control/settlement/zones_test.go
+++ b/internal/control/settlement/zones_test.go
@@ -9,6 +9,6 @@
 		},
 		map[string]int{"c": 1000, "d": 400})
 	if !got["a"].FailingOver || !got["b"].FailingOver || got["c"].FailingOver || !got["d"].FailingOver {
-		t.Errorf("%+v", got)
+		t.Errorf("status %+v, want a, b and d failing over, and c not", got)
 	}
 }
