--- a/internal/control/settlement/harm.go
+++ b/internal/control/settlement/harm.go
@@ -8,12 +8,12 @@
 // Constants of harm detection, which compares a partner's service during a settlement with that
 // before it.
 const (
-	decayTimeConstant     = 60 * time.Second // time over which counts of requests decay to 1/e
-	minBaselineRequests   = 200              // requests that a partner's baseline must have before a settlement
-	sureHarmStdErrors     = 2.0              // significance of a loss that stops a partner's settlements
-	likelyHarmStdErrors   = 1.0              // significance of a loss that lowers a partner's pace
-	maxSlowExcessFraction = 0.05             // of a partner's requests, above the slow fraction of the baseline
-	maxProbability        = 0.999            // upper bound of the estimated probability of late or slow requests
+	decayTimeConstant       = 60 * time.Second // time over which counts of requests decay to 1/e
+	minBaselineRequests     = 200              // requests that a partner's baseline must have before a settlement
+	highConfidenceStdErrors = 2.0              // standard errors above the limit, for sure harm and for a queue
+	lowConfidenceStdErrors  = 1.0              // standard errors above the limit, for likely harm
+	maxSlowExcessFraction   = 0.05             // of a partner's requests, above the slow fraction of the baseline
+	maxProbability          = 0.999            // upper bound of the estimated probability of late or slow requests
 )
 
 // Constants of the time for which a partner's debts are not settled after sure harm.
@@ -58,9 +58,9 @@
 	excess := seen.late - lateFraction*seen.requests
 	stdError := standardError(seen.requests, baseline.Requests, max(lateFraction, minProbability(baseline)))
 	switch {
-	case excess > maxLossFraction*seen.requests+sureHarmStdErrors*stdError:
+	case excess > maxLossFraction*seen.requests+highConfidenceStdErrors*stdError:
 		return harmSure
-	case excess > maxLossFraction/2*seen.requests+likelyHarmStdErrors*stdError:
+	case excess > maxLossFraction/2*seen.requests+lowConfidenceStdErrors*stdError:
 		return harmLikely
 	}
 	return noHarm
@@ -76,7 +76,7 @@
 	slowFraction := baseline.Slow / baseline.Requests
 	probability := min(max(slowFraction, minProbability(baseline)), maxProbability)
 	stdError := standardError(seen.requests, baseline.Requests, probability)
-	return seen.slow-slowFraction*seen.requests > maxSlowExcessFraction*seen.requests+sureHarmStdErrors*stdError
+	return seen.slow-slowFraction*seen.requests > maxSlowExcessFraction*seen.requests+highConfidenceStdErrors*stdError
 }
 
 // minProbability returns the smallest probability of a late or slow request that the baseline can
--- a/internal/control/settlement/metrics.go
+++ b/internal/control/settlement/metrics.go
@@ -6,9 +6,8 @@
 // are in thousandths of units.
 type Metric int
 
-// The metrics of a partner. Repeats of a request by its client are not counted in MetricRequests,
-// MetricLate and MetricSlow. An elective attempt is a first attempt that prefers the partner's
-// servers in order to settle a debt.
+// The metrics of a partner. All but MetricServedUnits exclude repeats of a request by its client. An
+// elective attempt is a first attempt that prefers the partner's servers in order to settle a debt.
 const (
 	MetricRequests           Metric = iota // requests of the partner that were attempted and have ended
 	MetricLate                             // of MetricRequests, those that were late or not answered
--- a/internal/control/settlement/zones.go
+++ b/internal/control/settlement/zones.go
@@ -8,8 +8,10 @@
 
 // ZoneStatus is the status of a zone as seen by failover.
 type ZoneStatus struct {
-	FailingOver bool    // failover moves requests from or to the zone, or too few of its servers answer
-	Headroom    float64 // spare fraction of its capacity; negative if unknown
+	// FailingOver is set while failover moves requests from or to the zone, or returns them in
+	// steps, and while too few of the zone's servers answer.
+	FailingOver bool
+	Headroom    float64 // spare fraction of the zone's capacity; negative if unknown
 }
 
 // ZoneStatusFunc returns the status of zones by name. Zones that it omits are healthy.
