--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// applyEndpoints takes an endpoint list at once: a server that is not ready by it gets no new
-// attempt from here on.
+// applyEndpoints applies an endpoint list immediately: servers that are no longer ready get no new
+// attempts. After ListFailed it requests the list again later.
 func (b *balancer) applyEndpoints(kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
-		b.env.setTimer(timerListRetry, 0, listRetry)
+		b.env.setTimer(timerListRetry, 0, listRetryDelay)
 		return
 	}
 	if kind == ListCached && b.env.settings.PollList {
@@ -37,8 +37,8 @@
 	b.dropRemoved()
 }
 
-// dropRemoved drops the servers that are not ready from those that get attempts, and removed ones
-// altogether once none of their attempts is in flight.
+// dropRemoved deletes servers that are not ready from b.ready. It also deletes removed servers from
+// the balancer, except those with attempts in flight, which stay until a later list.
 func (b *balancer) dropRemoved() {
 	b.ready = slices.DeleteFunc(b.ready, func(s *server) bool { return s.State != Ready })
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
@@ -50,43 +50,43 @@
 	})
 }
 
-// place sends a request to a server, lets it wait for one, or rejects it. A warming server's turn
-// is taken even where load is shed, as it comes seldom enough.
+// place sends a request to a server, lets it wait for one, or rejects it. Only new requests are
+// shed. Attempts that slow start allowed at a warming server are made even then, as they are rare.
 func (b *balancer) place(request *requestState) {
 	if request.completed {
 		return
 	}
 	s := b.pickServer(request)
 	isNew := len(request.attempts) == 0 && !request.awaitedServer
-	shed := isNew && b.sheds(request)
+	shed := isNew && b.shouldShed(request)
 	switch {
 	case s != nil && (!shed || !s.isWarm()):
 		b.env.send(s, startAttempt{request})
-	case !shed && b.env.now < b.waitEnd(request):
+	case !shed && b.env.now < b.waitDeadline(request):
 		request.awaitedServer = true
-		b.env.setTimer(timerPlacement, request.ID, placementRetry)
+		b.env.setTimer(timerPlacement, request.ID, placementRetryDelay)
 	default:
 		b.env.send(b.lifecycle, &completeRequest{request, b.capacityWait()})
 	}
 }
 
-// waitEnd decides until when a request without a server waits for one: the capacityWait after its
-// arrival, or the end of its latency objective where no server is ready at all.
-func (b *balancer) waitEnd(request *requestState) time.Duration {
+// waitDeadline returns the time until which a request without a server waits for one: capacityWait
+// after its arrival, or the end of its latency objective if no server is ready.
+func (b *balancer) waitDeadline(request *requestState) time.Duration {
 	if len(b.ready) == 0 {
 		return request.objectiveAt
 	}
 	return request.objectiveAt - request.class.LatencyObjective + b.capacityWait()
 }
 
-// capacityWait is how long a request waits for a server with capacity, and what its client gets as
-// Retry-After if it finds none or its attempts fail.
+// capacityWait returns how long a request waits for a server with capacity. It is also the
+// Retry-After of a request that found no server or whose attempts failed.
 func (b *balancer) capacityWait() time.Duration {
 	return time.Duration(capacityWaitFraction * float64(b.env.tightestObjective))
 }
 
-// pickServer draws two servers at random and takes the one with the lower load score; nil: no
-// server is ready, or none has capacity.
+// pickServer returns the server with the lower load score of two candidates chosen at random. It
+// returns nil if no server can take the request now.
 func (b *balancer) pickServer(request *requestState) *server {
 	candidates := b.candidates(request)
 	if len(candidates) == 0 {
@@ -95,34 +95,36 @@
 	b.env.random.Shuffle(len(candidates), func(i, k int) {
 		candidates[i], candidates[k] = candidates[k], candidates[i]
 	})
-	two := candidates[:min(len(candidates), drawnServers)]
-	return slices.MinFunc(two, func(a, b *server) int { return cmp.Compare(a.loadScore(), b.loadScore()) })
+	choices := candidates[:min(len(candidates), choiceCount)]
+	return slices.MinFunc(choices, func(a, b *server) int { return cmp.Compare(a.loadScore(), b.loadScore()) })
 }
 
-// candidates are the servers that a request may be sent to now. A retry goes elsewhere if it can,
-// and a warming server has its turn now or not at all.
+// candidates returns the servers among which pickServer chooses. Servers that the request has not
+// tried take precedence, then servers of its preferred owner, then warming servers: slow start
+// allowed this attempt there and does not allow it later instead.
 func (b *balancer) candidates(request *requestState) []*server {
-	servers := b.openServers(request)
-	servers = preferring(servers, func(s *server) bool { return !request.hasTried(s) })
-	if b.shouldSettle(request, servers) {
-		servers = preferring(servers, request.canSettleAt)
+	servers := b.eligibleServers(request)
+	servers = preferMatching(servers, func(s *server) bool { return !request.hasTried(s) })
+	if b.shouldPreferOwner(request, servers) {
+		servers = preferMatching(servers, request.canSettleAt)
 	}
-	return preferring(servers, func(s *server) bool { return !s.isWarm() })
+	return preferMatching(servers, func(s *server) bool { return !s.isWarm() })
 }
 
-// shouldSettle decides whether a request goes to servers of the owner that it prefers: while no
-// overload is seen.
-func (b *balancer) shouldSettle(request *requestState, servers []*server) bool {
+// shouldPreferOwner reports whether the request goes to a server of the owner that it prefers: if
+// one is available and the servers are not overloaded.
+func (b *balancer) shouldPreferOwner(request *requestState, servers []*server) bool {
 	return request.PreferOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && !b.isOverloaded()
 }
 
-// openServers are the servers that a request may go to and that have capacity, without the ejected
-// ones. Where all are ejected they are included: what strikes every server is no reason to prefer
-// any, and must not stop all service. A warming server that is asked has had its turn.
-func (b *balancer) openServers(request *requestState) []*server {
-	b.open = b.open[:0]
+// eligibleServers returns the ready servers that the request may go to now: those with capacity,
+// without ejected ones. If all servers are ejected, they are included: a failure that affects every
+// server is no reason to avoid any of them, and must not stop all service. The call uses up the
+// slow-start turn of each warming server with capacity. The result is valid until the next call.
+func (b *balancer) eligibleServers(request *requestState) []*server {
+	b.withCapacity = b.withCapacity[:0]
 	b.healthy = b.healthy[:0]
-	exploring := b.exploring()
+	exploratoryAttempts := b.exploratoryAttempts()
 	allEjected := true
 	for _, candidate := range b.ready {
 		if !request.canAttempt(b.env.now, candidate, &b.env.settings) {
@@ -130,31 +132,32 @@
 		}
 		ejected := candidate.isEjectedFor(request)
 		allEjected = allEjected && ejected
-		if candidate.isFull(exploring) || !candidate.slowStartAllows(request) {
+		if candidate.isFull(exploratoryAttempts) || !candidate.slowStartAllows(request) {
 			continue
 		}
-		b.open = append(b.open, candidate)
+		b.withCapacity = append(b.withCapacity, candidate)
 		if !ejected {
 			b.healthy = append(b.healthy, candidate)
 		}
 	}
 	if allEjected {
-		return b.open
+		return b.withCapacity
 	}
 	return b.healthy
 }
 
-// preferring returns those servers for which a condition holds, or all where it holds for none. It
-// changes the slice in place.
-func preferring(servers []*server, holds func(*server) bool) []*server {
-	if !slices.ContainsFunc(servers, holds) {
+// preferMatching returns the servers that match, or all servers if none matches. It modifies the
+// slice in place.
+func preferMatching(servers []*server, matches func(*server) bool) []*server {
+	if !slices.ContainsFunc(servers, matches) {
 		return servers
 	}
-	return slices.DeleteFunc(servers, func(s *server) bool { return !holds(s) })
+	return slices.DeleteFunc(servers, func(s *server) bool { return !matches(s) })
 }
 
-// recordResult takes samples of an attempt's result. A server that rejects again with no answer to
-// anyone since counts as slow as a whole objective: the rejection is not about one class or plan.
+// recordResult records the latency sample of an attempt's result. A rejection counts as a latency
+// of one whole objective if the server has rejected or failed before with no answer since: such a
+// rejection does not concern a single class or plan.
 func (b *balancer) recordResult(request *requestState, result *AttemptResult) {
 	s := request.attempts[result.Attempt].server
 	if result.Outcome == Answered {
@@ -167,16 +170,16 @@
 	}
 }
 
-// recordAnswer takes an answer's latency into what is known of its class, its server and all
-// servers.
+// recordAnswer records an answer's latency for its class, for its server and for overload
+// detection. An answer of a warm server also counts toward attemptInterval.
 func (b *balancer) recordAnswer(request *requestState, s *server, result *AttemptResult) {
 	class := request.class
 	objective := class.LatencyObjective
 	class.latencies.record(result.Latency)
 	perUnit := float64(result.Latency) / max(cmp.Or(result.ActualUnits, request.Units), 1)
-	usualPerUnit := float64(class.unitLatencies.decile(medianDecile))
-	if usualPerUnit > 0 {
-		s.slowdown += (perUnit/usualPerUnit - 1 - s.slowdown) / slowdownSamples
+	medianPerUnit := float64(class.unitLatencies.decile(medianDecile))
+	if medianPerUnit > 0 {
+		s.slowdown += (perUnit/medianPerUnit - 1 - s.slowdown) / slowdownSamples
 	}
 	class.unitLatencies.record(time.Duration(perUnit))
 	b.recentLatencies.add(latencySamples, latencySample{
@@ -184,7 +187,7 @@
 	})
 	if s.State == Ready && s.isWarm() {
 		b.warmResponses.add(responseSamples, responseSample{b.env.now, b.warmServers() / b.sharingGateways})
-		work := float64(request.expectedLatency(medianDecile))
-		b.meanWork += (work - b.meanWork) / float64(len(b.warmResponses.samples))
+		expected := float64(request.expectedLatency(medianDecile))
+		b.meanExpectedLatency += (expected - b.meanExpectedLatency) / float64(len(b.warmResponses.samples))
 	}
 }
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,35 +2,39 @@
 
 import "time"
 
-// isEjectedFor decides whether a server gets no requests of this one's class: while an attempt is
-// silent, or for ejectionTime after a failure that recordHealth noted or a rejection of the class
-// and plan; an answer ends it at once. The class's own record counts; where the class was not tried
-// there, the latest of another's, as others may be served.
+// isEjectedFor reports whether the server is ejected for the request's class and plan. It is while
+// an attempt of the class is silent, and for ejectionTime after a failure that recordHealth counted
+// or after a rejection of the class and plan. An answer to the same class, and to the same plan
+// after a rejection, ends the ejection immediately.
+//
+// Only the record of the request's class counts, as the server may still serve other classes. If
+// the class has no record there, the latest record of any class counts.
 func (s *server) isEjectedFor(request *requestState) bool {
 	if s.isSilentFor(request.Class) {
 		return true
 	}
 	now := s.env.now
-	span := s.balancer.ejectionTime()
+	ejectionTime := s.balancer.ejectionTime()
 	health := s.healthFor(request.Class)
-	isFailing := health.lastFailure > health.lastSuccess && health.lastFailure.isWithin(span, now)
-	return isFailing || s.rejectedAt[s.rejectionIndex(request)].isWithin(span, now)
+	isFailing := health.lastFailure > health.lastSuccess && health.lastFailure.isWithin(ejectionTime, now)
+	return isFailing || s.rejectedAt[s.rejectionIndex(request)].isWithin(ejectionTime, now)
 }
 
-// isSilentFor reports whether an attempt of a class at the server has had no answer for its silence
-// timeout, and no other of the class has had one since.
+// isSilentFor reports whether an attempt of the class has been in flight for longer than its
+// silence timeout, and the server has answered no attempt of the class since that one started.
 func (s *server) isSilentFor(class int) bool {
 	lastSuccess := time.Duration(s.health[class].lastSuccess)
 	for _, request := range s.inFlight {
-		at := request.lastAttemptAt()
-		if request.Class == class && at >= lastSuccess && s.env.now-at > request.silenceTimeout() {
+		startedAt := request.lastAttemptAt()
+		if request.Class == class && startedAt >= lastSuccess && s.env.now-startedAt > request.silenceTimeout() {
 			return true
 		}
 	}
 	return false
 }
 
-// healthFor is a class's own record at the server, or else the latest of all classes'.
+// healthFor returns the class's record at the server, or the latest record of any class if the
+// class has none.
 func (s *server) healthFor(class int) classHealth {
 	health := s.health[class]
 	if health != (classHealth{}) {
@@ -44,37 +48,37 @@
 	return health
 }
 
-// silenceTimeout is how long an attempt may have no answer before it counts as lost: the longer,
-// the more units it has, as latencies grow with the units.
+// silenceTimeout returns how long an attempt may go unanswered before it counts as lost. It grows
+// with the request's units, as latencies do.
 func (r *requestState) silenceTimeout() time.Duration {
-	return max(silenceFactor*r.expectedLatency(silenceDecile), minSilence)
+	return max(silenceFactor*r.expectedLatency(silenceDecile), minSilenceTimeout)
 }
 
-// ejectionTime is how long a server stays ejected after its latest failure.
+// ejectionTime returns how long a server stays ejected after its latest failure.
 func (b *balancer) ejectionTime() time.Duration {
-	return max(minEjection, time.Duration(ejectionAttempts*float64(b.attemptInterval())))
+	return max(minEjectionTime, time.Duration(ejectionAttemptIntervals*float64(b.attemptInterval())))
 }
 
-// ejectionThreshold is the failure score at which a server is ejected: that of one failure, as
-// healthy servers hardly ever fail, and one gateway of hundreds sees few failures of a bad one.
-// Where failures strike everywhere, as malformed answers do, it is that of two in a row: else each
-// server would be ejected in turn, and the rest overloaded.
+// ejectionThreshold returns the failure score at which a server is ejected. Normally one failure
+// reaches it: healthy servers hardly ever fail, and one gateway among hundreds sees few failures of
+// a bad server. While failures are widespread, as with malformed answers, it takes two in a row:
+// otherwise every server would be ejected in turn and the rest overloaded.
 func (b *balancer) ejectionThreshold() int {
-	span := suspectedSpans * b.ejectionTime()
-	suspected := 0
+	recent := recentFailureFactor * b.ejectionTime()
+	failing := 0
 	for _, s := range b.ready {
-		if s.lastFailure.isWithin(span, b.env.now) {
-			suspected++
+		if s.lastFailure.isWithin(recent, b.env.now) {
+			failing++
 		}
 	}
-	if float64(suspected) <= max(minSuspected, suspectedFraction*float64(len(b.ready))) {
+	if float64(failing) <= max(maxIsolatedFailing, isolatedFraction*float64(len(b.ready))) {
 		return failureWeight
 	}
 	return widespreadThreshold
 }
 
-// recordHealth takes an attempt's result into the server's record. A score that reaches the
-// threshold counts as a failure of the request's class.
+// recordHealth records an attempt's result. A failure or rejection that brings the failure score to
+// the ejection threshold counts as a failure of the request's class.
 func (s *server) recordHealth(request *requestState, result *AttemptResult) {
 	score := s.recordOutcome(request, result)
 	s.failureScore += score
@@ -84,8 +88,8 @@
 	s.logEjection(s.isEjectedFor(request))
 }
 
-// recordOutcome notes when the server last answered, failed or rejected, and returns the failure
-// score of the result. A cancelled attempt says something of its server only after silence.
+// recordOutcome records when the server last answered, failed or rejected, and returns the result's
+// failure score. A cancelled attempt counts as a failure only if its silence timeout has passed.
 func (s *server) recordOutcome(request *requestState, result *AttemptResult) (score int) {
 	now := eventTime(s.env.now)
 	switch result.Outcome {
@@ -93,7 +97,7 @@
 		s.failureScore = 0
 		s.health[request.Class].lastSuccess = now
 		s.rejectedAt[s.rejectionIndex(request)] = 0
-		s.responses.add(rateSamples, s.env.now)
+		s.answeredAt.add(rateSamples, s.env.now)
 		return 0
 	case Rejected:
 		s.rejectedAt[s.rejectionIndex(request)] = now
@@ -114,14 +118,14 @@
 	}
 }
 
-// logEjection logs whether the server is ejected for the latest result's class and plan, where that
-// differs from the last line. A span that just ends writes no line: the next result does.
+// logEjection logs that the server was ejected or readmitted for the class and plan of the latest
+// result. The expiry of an ejection is logged only with the next result.
 func (s *server) logEjection(ejected bool) {
 	switch {
-	case ejected && !s.ejected:
+	case ejected && !s.loggedEjected:
 		s.env.host.Log("policy: server ejected")
-	case !ejected && s.ejected:
+	case !ejected && s.loggedEjected:
 		s.env.host.Log("policy: server readmitted")
 	}
-	s.ejected = ejected
+	s.loggedEjected = ejected
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -7,53 +7,59 @@
 	"time"
 )
 
-// startAttempt sends a request to the server.
+// startAttempt sends a request to the server and records the attempt.
 func (s *server) startAttempt(request *requestState) {
 	s.inFlight = append(s.inFlight, request)
 	request.attempts = append(request.attempts, attempt{server: s, startedAt: s.env.now})
 	s.env.host.Attempt(request.ID, s.Server, request.Deadline)
 }
 
-// handleResult takes an attempt's result and passes it on.
+// handleResult records the result of an attempt at the server and passes it on to the balancer and
+// the lifecycle.
 func (s *server) handleResult(m *attemptEnded) {
-	at := slices.Index(s.inFlight, m.request)
-	if at >= 0 {
-		s.inFlight = slices.Delete(s.inFlight, at, at+1)
+	index := slices.Index(s.inFlight, m.request)
+	if index >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, index, index+1)
 	}
 	s.recordHealth(m.request, &m.result)
 	s.env.send(s.balancer, m)
 	s.env.send(s.lifecycle, m)
 }
 
-// isFull decides whether a server has as many attempts of this gateway in flight as it answers in
-// the time that one may queue (Little's law), and a part of a few more. exploring is how many
-// attempts are in flight at servers of unknown rate.
-// Prevents a queue that outlives its cause, in which all work is done too late.
-func (s *server) isFull(exploring int) bool {
+// isFull reports whether the server can take no further attempt of this gateway. The limit is the
+// number of attempts that the server answers in the permitted queueing time (Little's law), plus
+// this gateway's share of headroomAttempts. A server of unknown rate has a fixed limit, and
+// exploratoryAttempts, the attempts in flight at all such servers, is limited as well. This
+// prevents a queue that outlives its cause, in which every request is served too late.
+func (s *server) isFull(exploratoryAttempts int) bool {
 	inFlight := float64(len(s.inFlight))
 	sharing := s.balancer.sharingGateways
 	if !s.hasKnownRate() {
-		return inFlight >= max(1, firstAttempts/sharing) || s.balancer.exploresEnough(exploring)
+		return inFlight >= max(1, unknownRateAttempts/sharing) ||
+			s.balancer.isExploratoryLimitReached(exploratoryAttempts)
 	}
-	n := len(s.responses.samples)
-	span := max(s.env.now-s.responses.newest(n-1), s.env.settings.ClockTick)
-	queue := queueFraction * float64(s.env.tightestObjective) * float64(n) / float64(span)
-	// With a bound under one attempt the answers tell too little, and shedding decides.
-	return inFlight+1 > max(exploreAttempts/sharing+queue, 1)
+	count := len(s.answeredAt.samples)
+	span := max(s.env.now-s.answeredAt.newest(count-1), s.env.settings.ClockTick)
+	queue := queueFraction * float64(s.env.tightestObjective) * float64(count) / float64(span)
+	// At least one attempt may be in flight: a lower limit would be too uncertain, and load
+	// shedding covers that case.
+	return inFlight+1 > max(headroomAttempts/sharing+queue, 1)
 }
 
-// hasKnownRate reports whether enough answers of the server are kept to tell its rate.
-func (s *server) hasKnownRate() bool { return len(s.responses.samples) >= minRateSamples }
+// hasKnownRate reports whether the server has answered often enough to estimate its rate.
+func (s *server) hasKnownRate() bool { return len(s.answeredAt.samples) >= minRateSamples }
 
-// exploresEnough decides whether this gateway has its part of all gateways' first attempts in
-// flight at servers of unknown rate, and a margin for chance.
-func (b *balancer) exploresEnough(exploring int) bool {
-	share := firstAttempts / b.sharingGateways * float64(len(b.ready))
-	return float64(exploring) >= share+exploreDeviations*math.Sqrt(share)
+// isExploratoryLimitReached reports whether exploratoryAttempts has reached this gateway's share of
+// unknownRateAttempts, summed over the ready servers, plus exploratoryDeviations standard
+// deviations.
+func (b *balancer) isExploratoryLimitReached(exploratoryAttempts int) bool {
+	share := unknownRateAttempts / b.sharingGateways * float64(len(b.ready))
+	return float64(exploratoryAttempts) >= share+exploratoryDeviations*math.Sqrt(share)
 }
 
-// loadScore is what two drawn servers are compared by: this gateway's attempts in flight for the
-// server's capacity, more for one in another zone or one slower than others. Lower is better.
+// loadScore returns the score by which pickServer compares servers; lower is better. It is this
+// gateway's attempts in flight relative to the server's capacity, and it is higher for a server in
+// another zone or one that is slower than others.
 func (s *server) loadScore() float64 {
 	load := float64(len(s.inFlight)) + 1
 	if s.Zone != s.env.settings.MyZone {
@@ -62,8 +68,8 @@
 	return load / cmp.Or(max(s.Capacity, 0), 1) * (1 + s.slowdown)
 }
 
-// expectedLatency is a decile of the time that a request will take, by its units; 0 before any
-// answer.
+// expectedLatency returns the given decile of the latency expected for the request, in proportion
+// to its units. It returns 0 before the first answer of its class.
 func (r *requestState) expectedLatency(decile int) time.Duration {
 	return time.Duration(max(r.Units, 1) * float64(r.class.unitLatencies.decile(decile)))
 }
--- a/policy/server_state.go
+++ b/policy/server_state.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// balancer finds a server for each attempt, and sheds load where the servers together are too slow.
+// balancer chooses a server for each attempt and sheds load while the servers are overloaded.
 type balancer struct {
 	mailbox
 	env       *environment
 	lifecycle *lifecycle
 
-	sharingGateways float64 // that send attempts to each listed server
+	sharingGateways float64 // number of gateways that send attempts to each listed server
 	serversByID     map[uint32]*server
-	servers         []*server // the same; a removed one is dropped once none of its attempts is in flight
-	ready           []*server // in the order in which they first became ready
+	servers         []*server // values of serversByID; removed ones stay while attempts are in flight
+	ready           []*server // servers that may get attempts, in the order in which they became ready
 
-	recentLatencies ring[latencySample]
-	warmResponses   ring[responseSample]
-	meanWork        float64 // of the requests behind these, as expected latency
+	recentLatencies     ring[latencySample]  // latencies by which overload is detected
+	warmResponses       ring[responseSample] // latest answers of warm servers
+	meanExpectedLatency float64              // mean over the requests of warmResponses, in nanoseconds
 
-	open, healthy []*server // space of openServers
-	fractions     []float64 // space of collectFractions
+	withCapacity, healthy []*server // buffers of eligibleServers
+	latencyFractions      []float64 // buffer of collectLatencyFractions
 }
 
-// classHealth is when a server last served, and last failed, a class.
+// classHealth holds the times at which a server last answered and last failed a class.
 type classHealth struct{ lastSuccess, lastFailure eventTime }
 
-// latest is when the server last served or failed the class.
+// latest returns the time of the latest answer or failure.
 func (h classHealth) latest() eventTime { return max(h.lastSuccess, h.lastFailure) }
 
-// server is an endpoint, and how it has served.
+// server is an endpoint and its record at this gateway.
 type server struct {
 	Endpoint
 	mailbox
@@ -35,17 +35,18 @@
 	balancer  *balancer
 	lifecycle *lifecycle
 
-	inFlight       []*requestState
-	health         []classHealth // by class
-	rejectedAt     []eventTime   // by class and plan: the latest rejection with no answer since
-	slowdown       float64       // how much longer than others it takes, as a part
-	failureScore   int           // since the latest answer
-	lastFailure    eventTime
-	responses      ring[time.Duration] // when it answered
-	lastConsidered time.Duration       // for an attempt, while it warms up
-	ejected        bool                // as last logged
+	inFlight         []*requestState
+	health           []classHealth       // health by class index
+	rejectedAt       []eventTime         // time of the latest rejection with no answer since, by rejectionIndex
+	slowdown         float64             // mean excess of its latencies over the class medians, as a fraction
+	failureScore     int                 // sum of the failure scores since the latest answer
+	lastFailure      eventTime           // time of the latest failure in any class
+	answeredAt       ring[time.Duration] // times of the latest answers
+	lastConsideredAt time.Duration       // time of the latest slow-start decision
+	loggedEjected    bool                // whether the latest log line said that it is ejected
 }
 
+// addServer adds a server without an endpoint; the caller sets it.
 func (b *balancer) addServer(id uint32) *server {
 	classes := len(b.env.classes)
 	plans := len(b.env.settings.Plans)
@@ -58,39 +59,39 @@
 	return s
 }
 
-// reset forgets what was learned of a server that has started again.
+// reset discards the record of a server that has restarted, except its slowdown.
 func (s *server) reset() {
-	s.responses = ring[time.Duration]{}
+	s.answeredAt = ring[time.Duration]{}
 	s.failureScore = 0
 	s.lastFailure = 0
 	clear(s.health)
 	clear(s.rejectedAt)
-	s.lastConsidered = s.env.now
+	s.lastConsideredAt = s.env.now
 }
 
-// rejectionIndex is where the server's rejections of a request's class and plan are kept.
+// rejectionIndex returns the index in rejectedAt of the request's class and plan.
 func (s *server) rejectionIndex(request *requestState) int {
 	return request.Class*len(s.env.settings.Plans) + request.Plan
 }
 
-// exploring is how many attempts are in flight at servers whose rate is not known.
-func (b *balancer) exploring() int {
-	n := 0
+// exploratoryAttempts returns the number of attempts in flight at ready servers of unknown rate.
+func (b *balancer) exploratoryAttempts() int {
+	count := 0
 	for _, s := range b.ready {
 		if !s.hasKnownRate() {
-			n += len(s.inFlight)
+			count += len(s.inFlight)
 		}
 	}
-	return n
+	return count
 }
 
-// warmServers counts the ready servers that have all of their capacity, elective ones apart.
+// warmServers returns the number of ready servers that are warm and not elective.
 func (b *balancer) warmServers() float64 {
-	n := 0.0
+	count := 0.0
 	for _, s := range b.ready {
 		if !s.Elective && s.isWarm() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
