--- a/policy/actor.go
+++ b/policy/actor.go
@@ -1,46 +1,48 @@
 package policy
 
-// actor is a part of the module with a mailbox of its own.
+// actor is a component of the module that processes messages from its own mailbox.
 type actor interface {
 	receive(message)
-	box() *mailbox
+	inbox() *mailbox
 }
 
-// mailbox holds the messages that its actor has not processed yet, and the space of those that it
-// has.
+// mailbox holds the messages that its actor has not processed yet, and an empty slice that the next
+// ones reuse.
 type mailbox struct{ pending, spare []message }
 
-func (m *mailbox) box() *mailbox { return m }
+// inbox returns the mailbox of the actor that embeds it.
+func (m *mailbox) inbox() *mailbox { return m }
 
-// scheduler lets actors with messages work, in the order in which the first message came to each.
+// scheduler runs the actors that have messages, in the order in which each got its first one.
 type scheduler struct {
 	runnable []actor
-	next     int // the first of them that has not worked
+	next     int // index in runnable of the next actor to run
 }
 
+// send appends a message to an actor's mailbox. The actor processes it in deliver.
 func (s *scheduler) send(to actor, m message) {
-	box := to.box()
-	box.pending = append(box.pending, m)
-	if len(box.pending) == 1 {
+	inbox := to.inbox()
+	inbox.pending = append(inbox.pending, m)
+	if len(inbox.pending) == 1 {
 		s.runnable = append(s.runnable, to)
 	}
 }
 
-// deliver runs until no mailbox holds a message. An actor processes what had come when its turn
-// began; what comes meanwhile waits for its next turn.
+// deliver runs actors until every mailbox is empty. In each turn an actor processes the messages
+// that were in its mailbox when the turn began; later ones wait for its next turn.
 func (s *scheduler) deliver() {
 	for s.next < len(s.runnable) {
 		a := s.runnable[s.next]
 		s.next++
-		box := a.box()
-		batch := box.pending
-		box.pending = box.spare[:0]
-		box.spare = nil
+		inbox := a.inbox()
+		batch := inbox.pending
+		inbox.pending = inbox.spare[:0]
+		inbox.spare = nil
 		for _, m := range batch {
 			a.receive(m)
 		}
 		clear(batch)
-		box.spare = batch
+		inbox.spare = batch
 	}
 	clear(s.runnable)
 	s.runnable = s.runnable[:0]
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,17 +1,17 @@
-// Package policy decides about requests: which are admitted, which server gets each attempt, what
-// follows a failure, when load is shed, and which servers are ejected or warming up. Package
-// dispatch calls it on sockets, package simulator/host in the operators' simulator: each makes one
-// Gateway with New, hands it every event with the time now, and carries out what it asks of its
-// Host within that call.
+// Package policy is the decision module of a gateway. It decides which requests are admitted, which
+// server gets each attempt, what follows a failure, when load is shed, and which servers are
+// ejected or warming up. Package dispatch runs it on sockets, and package simulator/host in the
+// operators' simulator. Each of them creates a Gateway with New, passes it every event with the
+// current time, and implements Host, whose methods the module calls while it handles an event.
 //
-// The module is deterministic from its seed. It does no I/O, reads no clock, starts no goroutine
-// and takes no lock: its calls must come one at a time.
+// The module is deterministic for a given seed. It does no I/O, reads no clock, starts no goroutine
+// and takes no lock. Its methods are not safe for concurrent use.
 //
-// Inside, each event becomes a message to one of a few actors (actor.go), which process their
-// mailboxes until none holds a message. A request goes through admission (is the customer within
-// its quota?), the balancer (which server?), the server (the attempt) and the lifecycle (retry, or
-// final answer). Actors read each other's state; only messages change it (docs/architecture.md has
-// the table).
+// Internally, each event becomes a message to one of a few actors (actor.go), which run until all
+// mailboxes are empty. A request passes through admission (is the customer within its quota?), the
+// balancer (which server?), the server (the attempt) and the lifecycle (retry or final answer).
+// Actors may read each other's state but change it only by messages, which docs/architecture.md
+// lists.
 package policy
 
 import (
@@ -19,30 +19,30 @@
 	"time"
 )
 
-// Gateway is the module of one gateway.
+// Gateway is the decision module of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	environment
-	requests  map[uint32]*requestState // without a final answer yet, or with an attempt in flight
+	requests  map[uint32]*requestState // requests without a final answer or with attempts in flight, by ID
 	admission *admission
 	balancer  *balancer
 	lifecycle *lifecycle
 }
 
-// environment is what the parts of a module share.
+// environment is the state that the actors of a module share.
 type environment struct {
 	scheduler
 	host              Host
 	random            *rand.Rand
 	settings          Settings
-	classes           []classState  // by index in the settings
-	tightestObjective time.Duration // the shortest latency objective of all classes
-	now               time.Duration
-	standstill        time.Duration // between the two latest events: the process may have stood still so long
-	firstListAt       eventTime     // when the first endpoint list came
+	classes           []classState  // classes by index in Settings.Classes
+	tightestObjective time.Duration // shortest latency objective of the classes that are not retired
+	now               time.Duration // time of the latest event
+	standstill        time.Duration // time between the two latest events; the process may have been paused
+	firstListAt       eventTime     // time of the first endpoint list
 }
 
-// New makes a module that knows nothing of an earlier incarnation. It asks nothing of the host yet.
-// The error is ErrIncompleteSettings.
+// New returns a module with no requests, servers or customers. It does not call the host. The error
+// is ErrIncompleteSettings.
 func New(settings Settings, seed int64, host Host) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -66,6 +66,6 @@
 	return g, nil
 }
 
-// SetSharers sets how many gateways send attempts to each listed server, where each has a subset of
-// them.
+// SetSharers sets how many gateways send attempts to each listed server. It is fewer than all
+// gateways if each uses a subset of the servers. The initial value is Settings.Gateways.
 func (g *Gateway) SetSharers(gateways float64) { g.balancer.sharingGateways = max(gateways, 1) }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// A timer's token: what it is for in the low bits, the request's ID above.
+// Kinds of timers. A timer's token is requestID*timerKinds + kind.
 const (
-	timerDeadline    = iota // the request's client is about to leave
-	timerCounterWait        // the request waits no longer for a count
-	timerPlacement          // the request looks for a server again
-	timerListRetry          // of no request: the endpoint list is asked for again
-	timerKinds
+	timerDeadline    = iota // request deadline is near
+	timerCounterWait        // request stops waiting for a count
+	timerPlacement          // request tries again to get a server
+	timerListRetry          // endpoint list is requested again; belongs to no request
+	timerKinds              // number of kinds
 )
 
+// setTimer sets a timer of a kind for a request; a negative delay means 0.
 func (e *environment) setTimer(kind uint64, requestID uint32, after time.Duration) {
 	e.host.SetTimer(uint64(requestID)*timerKinds+kind, max(after, 0))
 }
@@ -19,7 +20,8 @@
 	e.host.CancelTimer(uint64(requestID)*timerKinds + kind)
 }
 
-// HandleTimer takes a timer that the module set and that is due.
+// HandleTimer handles the expiry of a timer that the module set. A timer of an unknown request is
+// ignored.
 func (g *Gateway) HandleTimer(now time.Duration, token uint64) {
 	kind := token % timerKinds
 	if kind == timerListRetry {
