--- a/policy/actor_test.go
+++ b/policy/actor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recordingActor records the messages that it receives, and sends others as it does.
+// recordingActor records the text messages that it receives and calls onText, if set, with each.
 type recordingActor struct {
 	mailbox
 	received []string
@@ -20,7 +20,7 @@
 	}
 }
 
-// Guards against an actor that is stalled by an event delivered within a delivery.
+// Guards against an actor that never runs again after a call of deliver within deliver.
 func TestDeliver_nestedDeliveryStallsNoActor(t *testing.T) {
 	var s scheduler
 	first, second := &recordingActor{}, &recordingActor{}
@@ -44,6 +44,6 @@
 		t.Errorf("the second actor received %q, want %q", second.received, want)
 	}
 	if len(s.runnable) != 0 || s.next != 0 {
-		t.Errorf("%d actors are left, the next is %d", len(s.runnable), s.next)
+		t.Errorf("%d actors are still runnable, the next index is %d; want none and 0", len(s.runnable), s.next)
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -19,7 +19,7 @@
 	world.gateway.HandleEndpoints(world.now, ListFull, []Endpoint{{Server: 3, State: Ready}})
 	world.request(2, 0, 0, 1)
 	if last := world.attempts[len(world.attempts)-1]; last.server != 3 {
-		t.Errorf("sent to %d, which a full list left out", last.server)
+		t.Errorf("sent to server %d, which is not in the full list", last.server)
 	}
 }
 
@@ -55,14 +55,14 @@
 		}
 		world.gateway.HandleEndpoints(world.now, kind, []Endpoint{{Server: 9, State: Ready, StartedAt: world.now}})
 		for late := uint32(900); late < 904; late++ {
-			world.finishAttempt(late, Answered) // answers of removed servers do not show the capacity of warm ones
+			world.finishAttempt(late, Answered) // answers of removed servers must not count as answers of warm ones
 		}
 		second()
 		warming := world.attemptsTo(9, 0)
-		// Warm servers get 25 a second; a fifth of that and a little more as it warms up is 6, from
-		// a random start.
+		// Each warm server got 25 attempts per second. The warming server has a fifth of the
+		// capacity and a little more as it warms up, so about 6 attempts are due.
 		if warming < 2 || warming > 8 {
-			t.Errorf("list kind %d: a warming server got %d attempts in its first second, want about 6", kind, warming)
+			t.Errorf("list kind %d: the warming server got %d attempts in its first second, want 2 to 8", kind, warming)
 		}
 	}
 }
@@ -74,32 +74,32 @@
 	for id := uint32(100); id < 160; id++ {
 		world.request(id, 0, 0, 1)
 	}
-	out := len(world.attempts) - before
-	if out > 16 {
-		t.Errorf("%d attempts in flight at two servers that answer 50 a second", out)
+	inFlight := len(world.attempts) - before
+	if inFlight > 16 {
+		t.Errorf("%d attempts in flight at two servers that answer 50 per second, want at most 16", inFlight)
 	}
 	world.finishAttempt(world.attempts[len(world.attempts)-1].request, Answered)
 	world.advance(20 * ms)
-	if len(world.attempts) != before+out+1 {
-		t.Errorf("%d requests took a freed place, want one", len(world.attempts)-before-out)
+	if len(world.attempts) != before+inFlight+1 {
+		t.Errorf("%d requests were sent after one answer, want 1", len(world.attempts)-before-inFlight)
 	}
 	world.advance(200 * ms)
 	for id := uint32(100); id < 160; id++ {
 		if world.attemptsOf(id)+world.occurrences(fmt.Sprintf("reject %d away 125ms", id)) == 0 {
-			t.Errorf("request %d still waits", id)
+			t.Errorf("request %d was neither sent nor rejected", id)
 		}
 	}
 }
 
 func TestPlacement_firstBurstIsSharedOverTheGateways(t *testing.T) {
-	d := testSettings()
-	d.Gateways = 12
-	world := newHarness(t, d, 6)
+	settings := testSettings()
+	settings.Gateways = 12
+	world := newHarness(t, settings, 6)
 	for id := uint32(1); id <= 20; id++ {
 		world.request(id, 0, 0, 1)
 	}
 	if len(world.attempts) != 5 {
-		t.Errorf("%d attempts in flight at six unknown servers with eleven more gateways; want two and a deviation",
+		t.Errorf("%d attempts in flight at 6 servers of unknown rate that 12 gateways share, want 5",
 			len(world.attempts))
 	}
 }
@@ -107,25 +107,25 @@
 func TestSlowStart_noBurstOfHundredsOfGateways(t *testing.T) {
 	forwarded := 0
 	for seed := range int64(100) {
-		d := testSettings()
-		d.Gateways = 100
-		world := newHarness(t, d, 4)
+		settings := testSettings()
+		settings.Gateways = 100
+		world := newHarness(t, settings, 4)
 		world.gateway.random.Seed(seed)
 		world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 9, State: Ready, StartedAt: world.now}})
-		world.serveInTurn(8, 0, 1, 500*ms) // a request a second of each gateway, over five servers
+		world.serveInTurn(8, 0, 1, 500*ms) // two requests per second from each gateway to five servers
 		forwarded += world.attemptsTo(9, 0)
 	}
-	// Warm ones get 40 a second; a warming one a fifth and more of that: some 50 in four seconds,
-	// not 100 at once.
+	// Each warm server gets 40 attempts per second from all gateways. A warming server has a fifth
+	// of the capacity or more, so about 50 attempts are due in four seconds.
 	if forwarded < 5 || forwarded > 80 {
-		t.Errorf("a warming server got %d attempts of a hundred gateways", forwarded)
+		t.Errorf("the warming server got %d attempts from 100 gateways, want 5 to 80", forwarded)
 	}
 }
 
 func TestLoadShedding_byLatencies(t *testing.T) {
-	d := testSettings()
-	d.Gateways = 50
-	world := newHarness(t, d, 20)
+	settings := testSettings()
+	settings.Gateways = 50
+	world := newHarness(t, settings, 20)
 	rejected := [2]int{}
 	for id := uint32(1); id <= 200; id++ {
 		world.request(id, 0, 0, 1)
@@ -135,7 +135,7 @@
 		world.advance(10 * ms)
 		took := 50 * ms
 		if id > 100 {
-			took = 800 * ms // far beyond the objective of 500 ms, at every server
+			took = 800 * ms // well over the objective of 500 ms, at every server
 		}
 		if n := len(world.attempts); n > 0 && world.attempts[n-1].request == id {
 			world.attempts[n-1].ended = true
@@ -143,50 +143,50 @@
 		}
 	}
 	if rejected[0] > 0 || rejected[1] < 30 {
-		t.Errorf("%v of 100 requests rejected while the servers are fast and slow", rejected)
+		t.Errorf("%v of 100 requests rejected while the servers were fast and slow, want 0 and at least 30", rejected)
 	}
 }
 
 func TestLoadShedding_endsWithTheCongestion(t *testing.T) {
-	d := testSettings()
-	d.Gateways = 50
-	world := newHarness(t, d, 20)
+	settings := testSettings()
+	settings.Gateways = 50
+	world := newHarness(t, settings, 20)
 	id, rejected := uint32(0), 0
-	take := func(then time.Duration) {
+	sendThenAdvance := func(interval time.Duration) {
 		id++
 		world.send(Request{ID: id, Customer: 1, Units: 1, Deadline: world.now + 20*time.Second})
 		world.answerCounter()
-		world.advance(then)
+		world.advance(interval)
 	}
-	answer := func() {
+	answerAll := func() {
 		for i := range world.attempts {
-			if p := &world.attempts[i]; !p.ended {
-				p.ended = true
-				world.answer(p.request, p.server, world.now-p.at)
+			if sent := &world.attempts[i]; !sent.ended {
+				sent.ended = true
+				world.answer(sent.request, sent.server, world.now-sent.at)
 			}
 		}
 	}
 	for range 20 {
-		take(50 * ms)
+		sendThenAdvance(50 * ms)
 	}
 	world.advance(5 * time.Second)
-	answer() // what was sent into the congestion comes back at once, five seconds late
+	answerAll() // all attempts of the congestion are answered together, five seconds late
 	for range 200 {
-		take(50 * ms)
+		sendThenAdvance(50 * ms)
 		if world.attemptsOf(id) == 0 {
 			rejected++
 		}
-		answer()
+		answerAll()
 	}
 	if rejected > 50 {
-		t.Errorf("%d of 200 requests rejected for congestion that is over", rejected)
+		t.Errorf("%d of 200 requests rejected after the congestion ended, want at most 50", rejected)
 	}
 }
 
-// Guards against shedding all classes alike, though some weigh less than others for the same work.
+// Guards against load shedding that ignores the weights of the classes.
 func TestLoadShedding_shedsTheLowestWeightFirst(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	for id := uint32(1); id <= 12; id++ { // answers take four fifths of the objective: overload
+	for id := uint32(1); id <= 12; id++ { // latencies of four fifths of the objective mean overload
 		world.request(id, int(id%3), 0, 1)
 		world.answer(id, world.attempts[len(world.attempts)-1].server, 400*ms)
 	}
@@ -202,17 +202,19 @@
 		world.advance(10 * ms)
 	}
 	if forwarded[2] < 2*forwarded[0] || forwarded[0] == 0 {
-		t.Errorf("forwarded of the class with weight 1: %d, of the one with weight 3: %d", forwarded[0], forwarded[2])
+		t.Errorf("forwarded %d requests of weight 1 and %d of weight 3, want at least twice as many of weight 3",
+			forwarded[0], forwarded[2])
 	}
 }
 
-// Guards against an attempt interval that lags behind the number of gateways sharing a server.
+// Guards against an attempt interval that is not updated when the number of gateways that share a
+// server changes.
 func TestAttemptInterval_followsTheSharingGateways(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.serveInTurn(40, 0, 1, 20*ms)
 	before := world.gateway.balancer.attemptInterval()
 	world.gateway.SetSharers(10)
 	if now := world.gateway.balancer.attemptInterval(); (now - 5*before).Abs() > ms {
-		t.Errorf("%v between attempts at a server that two share, %v where ten do", before, now)
+		t.Errorf("%v between attempts at a server that two gateways share, %v with ten", before, now)
 	}
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -20,17 +20,17 @@
 		runs[i] = world.log
 	}
 	if !slices.Equal(runs[0], runs[1]) {
-		t.Error("the same events led to other actions")
+		t.Error("two runs with the same events and seed logged different actions")
 	}
 }
 
 func TestNew_unusualSettings(t *testing.T) {
 	if _, err := New(Settings{Gateways: 1}, 1, &fakeHost{}); err == nil {
-		t.Error("a module without classes and plans started")
+		t.Error("New accepted settings without classes and plans")
 	}
-	d := testSettings()
-	d.HasCounter, d.PollList, d.Plans[0].Rate = false, true, 0
-	world := newHarness(t, d, 1)
+	settings := testSettings()
+	settings.HasCounter, settings.PollList, settings.Plans[0].Rate = false, true, 0
+	world := newHarness(t, settings, 1)
 	world.want("watch", 1)
 	world.gateway.HandleEndpoints(world.now, ListFailed, nil)
 	world.advance(time.Second)
