--- a/policy/slow_start_host_test.go
+++ b/policy/slow_start_host_test.go
@@ -7,39 +7,39 @@
 	"harrierhoist/policy"
 )
 
-// Attempt takes a request to a server: it queues there, and its work takes the longer, the less the
-// server is warmed up.
+// Attempt queues a request at a server and reports its result to the module. The service time is
+// inversely proportional to the server's warm-up fraction.
 func (g *gateway) Attempt(requestID, serverID uint32, until time.Duration) {
 	target, work, incarnation, start := g.servers[serverID-1], g.units[requestID]/g.meanUnits, g.incarnation, g.Now()
 	g.subset.CountAttempt(start)
 	number := g.attempts[requestID]
 	g.attempts[requestID]++
-	target.sent = append(target.sent, arrival{start, work, g.notified})
-	end := func(wait time.Duration, how policy.Outcome) {
-		if how == policy.Answered && start+wait > until {
-			wait, how = until-start, policy.TimedOut
+	target.received = append(target.received, arrival{start, work, g.notified})
+	finish := func(latency time.Duration, outcome policy.Outcome) {
+		if outcome == policy.Answered && start+latency > until {
+			latency, outcome = until-start, policy.TimedOut
 		}
-		g.After(wait, func() {
+		g.After(latency, func() {
 			if g.incarnation == incarnation {
 				g.module.HandleAttemptResult(g.Now(), policy.AttemptResult{
-					RequestID: requestID, Attempt: number, Server: serverID, Outcome: how, Latency: g.Now() - start,
-					Final: how == policy.Answered,
+					RequestID: requestID, Attempt: number, Server: serverID, Outcome: outcome, Latency: g.Now() - start,
+					Final: outcome == policy.Answered,
 				})
 			}
 		})
 	}
-	free := max(target.free, start+networkDelay)
-	begin := time.Hour + restartAt
+	serviceStart := max(target.freeAt, start+networkDelay)
+	restart := time.Hour + restartAt
 	switch {
-	case g.silentBefore && slices.Contains(g.restarted(), target) && start < begin && start > begin-2*time.Second:
-		end(until-start, policy.TimedOut)
+	case g.silentBefore && slices.Contains(g.restarted(), target) && start < restart && start > restart-2*time.Second:
+		finish(until-start, policy.TimedOut)
 	case target.failing && g.random.Float64() < 0.5:
-		end(2*networkDelay, policy.Errored)
-	case free > start+time.Second:
-		end(2*networkDelay, policy.Rejected)
+		finish(2*networkDelay, policy.Errored)
+	case serviceStart > start+time.Second:
+		finish(2*networkDelay, policy.Rejected)
 	default:
-		target.free = free + time.Duration(work/warmRate/g.warmUpFraction(target, start)*float64(time.Second))
-		end(target.free+networkDelay-start, policy.Answered)
+		target.freeAt = serviceStart + time.Duration(work/warmRate/g.warmUpFraction(target, start)*float64(time.Second))
+		finish(target.freeAt+networkDelay-start, policy.Answered)
 	}
 }
 
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -12,7 +12,7 @@
 	"harrierhoist/policy"
 )
 
-// simulation is all gateways and servers of a run.
+// simulation runs a case with simulated gateways and servers on a virtual clock.
 type simulation struct {
 	warmUpCase
 	*virtualtime.Scheduler
@@ -23,58 +23,60 @@
 	servers  []*server
 }
 
+// server is a simulated server that serves one request at a time.
 type server struct {
-	number  uint32
-	since   time.Duration
-	free    time.Duration // when what waits there is done
-	failing bool
-	sent    []arrival // while it warms up
+	number    uint32
+	startedAt time.Duration // time of its restart; 0: it has not restarted
+	freeAt    time.Duration // time at which its queue is empty
+	failing   bool          // it fails half of its attempts
+	received  []arrival     // attempts in the order of arrival
 }
 
+// gateway is a simulated gateway and the host of its module.
 type gateway struct {
 	*simulation
 	index         int
-	incarnation   int
-	notified      bool
-	onlyRestarted bool // with the restarted servers
+	incarnation   int  // number of starts
+	notified      bool // it knows of the servers' restart
+	onlyRestarted bool // its endpoint list contains only the restarted servers
 	module        *policy.Gateway
 	subset        *subset.Subset
-	attempts      map[uint32]int
-	units         map[uint32]float64
+	attempts      map[uint32]int     // number of attempts by request ID
+	units         map[uint32]float64 // units by request ID
 	lastID        uint32
 }
 
-// simulate runs a case with so many gateways.
+// simulate runs a case with a number of gateways.
 func simulate(c warmUpCase, gateways int, seed int64) *simulation {
 	servers := 20
 	if gateways > 100 {
 		servers = 30
 	}
-	f := &simulation{
+	sim := &simulation{
 		warmUpCase: c, Scheduler: virtualtime.New(time.Hour),
 		random: rand.New(rand.NewSource(seed)), settings: simulationSettings(gateways),
 	}
-	f.end = time.Hour + restartAt + cmp.Or(c.watchTime, watchTime)
-	f.meanUnits = cmp.Or(c.meanUnits, 1)
+	sim.end = time.Hour + restartAt + cmp.Or(c.watchTime, watchTime)
+	sim.meanUnits = cmp.Or(c.meanUnits, 1)
 	for i := range servers {
-		failing := i >= servers-int(c.failing*float64(servers))
-		f.servers = append(f.servers, &server{number: uint32(i + 1), failing: failing})
+		failing := i >= servers-int(c.failingFraction*float64(servers))
+		sim.servers = append(sim.servers, &server{number: uint32(i + 1), failing: failing})
 	}
 	for i := range gateways {
-		f.gateways = append(f.gateways, &gateway{simulation: f, index: i})
+		sim.gateways = append(sim.gateways, &gateway{simulation: sim, index: i})
 	}
-	for _, g := range f.gateways {
+	for _, g := range sim.gateways {
 		g.schedule()
 	}
-	f.After(restartAt, func() {
-		for _, s := range f.restarted() {
-			s.since, s.free = f.Now(), f.Now()
+	sim.After(restartAt, func() {
+		for _, s := range sim.restarted() {
+			s.startedAt, s.freeAt = sim.Now(), sim.Now()
 		}
 	})
-	for at, ok := f.Next(); ok && at < f.end; at, ok = f.Next() {
-		f.Step()
+	for at, ok := sim.Next(); ok && at < sim.end; at, ok = sim.Next() {
+		sim.Step()
 	}
-	return f
+	return sim
 }
 
 func simulationSettings(gateways int) policy.Settings {
@@ -92,21 +94,21 @@
 	}
 }
 
-// schedule plans what happens to one gateway.
+// schedule schedules the events of the gateway: its starts, requests and notifications.
 func (g *gateway) schedule() {
 	g.After(0, g.start)
-	if g.restart > 0 {
-		g.After(g.restart, g.start)
+	if g.gatewayRestartAt > 0 {
+		g.After(g.gatewayRestartAt, g.start)
 	}
 	g.After(time.Duration(g.random.Float64()*float64(100*time.Millisecond)), g.arrive)
 	g.After(restartAt, func() {
-		wait := networkDelay
-		if g.notifiedAfter != nil {
-			wait += g.notifiedAfter(g.index)
+		delay := networkDelay
+		if g.notifyDelay != nil {
+			delay += g.notifyDelay(g.index)
 		}
-		g.After(wait, g.notify)
+		g.After(delay, g.notify)
 		if g.warmServersLeave > 0 {
-			g.After(g.warmServersLeave+wait, func() {
+			g.After(g.warmServersLeave+delay, func() {
 				g.onlyRestarted = true
 				g.sendEndpoints(policy.ListFull)
 			})
@@ -114,7 +116,7 @@
 	})
 }
 
-// start begins an incarnation of the gateway; what an earlier one had in flight is forgotten.
+// start starts the gateway with a new module. Attempts of an earlier incarnation are forgotten.
 func (g *gateway) start() {
 	module, err := policy.New(g.settings, g.random.Int63(), g)
 	if err != nil {
@@ -126,32 +128,34 @@
 	g.sendEndpoints(policy.ListCached)
 }
 
+// notify informs the gateway of the servers' restart.
 func (g *gateway) notify() {
 	g.notified = true
 	g.sendEndpoints(policy.ListFull)
 }
 
-// sendEndpoints hands the module its subset of the servers that it was notified of.
+// sendEndpoints passes the module its subset of the servers that the gateway knows.
 func (g *gateway) sendEndpoints(kind policy.ListKind) {
 	var all []subset.Candidate
 	for _, s := range g.servers {
-		l := policy.Endpoint{Server: s.number, State: policy.Ready, Capacity: 1, Rack: int(s.number) / 4}
-		switch fresh := slices.Contains(g.restarted(), s); {
-		case !fresh && g.onlyRestarted:
+		endpoint := policy.Endpoint{Server: s.number, State: policy.Ready, Capacity: 1, Rack: int(s.number) / 4}
+		switch restarts := slices.Contains(g.restarted(), s); {
+		case !restarts && g.onlyRestarted:
 			continue
-		case fresh && g.notified:
-			l.StartedAt = s.since
-		case fresh && !g.silentBefore:
+		case restarts && g.notified:
+			endpoint.StartedAt = s.startedAt
+		case restarts && !g.silentBefore:
 			continue
 		}
-		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: l})
+		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: endpoint})
 	}
-	part, sharers := g.subset.Select(g.Now(), all)
+	selected, sharers := g.subset.Select(g.Now(), all)
 	g.module.SetSharers(sharers)
-	g.module.HandleEndpoints(g.Now(), kind, part)
+	g.module.HandleEndpoints(g.Now(), kind, selected)
 }
 
-// arrive sends a request, if one comes within the next moment, and schedules itself again.
+// arrive draws the time of the next request, sends it and calls itself again. If the time is more
+// than maxInterval away, it draws again after maxInterval, as the rate may have changed.
 func (g *gateway) arrive() {
 	t, rate := g.Now()-time.Hour, steadyLoad*warmRate*float64(len(g.servers))/float64(len(g.gateways))
 	if g.load != nil {
@@ -160,16 +164,16 @@
 	if g.gatewayShare != nil {
 		rate *= g.gatewayShare(t, g.index)
 	}
-	const moment = 200 * time.Millisecond
-	wait := moment
+	const maxInterval = 200 * time.Millisecond
+	interval := maxInterval
 	if rate > 0 {
-		wait = time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
+		interval = time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 	}
-	if wait >= moment {
-		g.After(moment, g.arrive)
+	if interval >= maxInterval {
+		g.After(maxInterval, g.arrive)
 		return
 	}
-	g.After(wait, func() {
+	g.After(interval, func() {
 		if g.subset.IsDue(g.Now()) {
 			g.sendEndpoints(policy.ListFull)
 		}
