--- a/internal/control/countingrule/canary/bettingtest.go
+++ b/internal/control/countingrule/canary/bettingtest.go
@@ -2,24 +2,25 @@
 
 import "math"
 
-// BettingTest decides whether the mean of numbers in [0, 1] is below a bound or above it, and may
-// be examined after each of them. It bets on either side: wealth of 1/alpha is reached with a
-// chance of at most alpha where the side is wrong. The argument stands in docs/capacity.md. It is
-// stored in the table.
+// BettingTest is a sequential test by betting. It decides whether the mean of values in [0, 1] is
+// below or above a bound, and may be examined after each value. It bets on both sides. If the mean
+// is not on a side, the wealth of that side reaches 1/alpha with a probability of at most alpha.
+// The proof is in docs/capacity.md. The test is stored in the table.
 type BettingTest struct {
-	LogWealthBelow [stakeCount]float64 `cbor:"1,keyasint"` // betting on a mean below the bound
-	LogWealthAbove [stakeCount]float64 `cbor:"2,keyasint"`
-	Count          int                 `cbor:"3,keyasint"` // of numbers so far
-	Sum            float64             `cbor:"4,keyasint"` // of them
+	LogWealthBelow [stakeCount]float64 `cbor:"1,keyasint"` // by stake, of bets on a mean below the bound
+	LogWealthAbove [stakeCount]float64 `cbor:"2,keyasint"` // by stake, of bets on a mean above the bound
+	Count          int                 `cbor:"3,keyasint"` // number of values so far
+	Sum            float64             `cbor:"4,keyasint"` // sum of the values so far
 }
 
 const (
-	stakeCount  = 8    // stakes, each half of the one before
-	maxStake    = 0.95 // part of the highest stake: all of it could lose everything
-	maxExponent = 600  // above the logarithm of any 1/alpha, and its power is finite
+	stakeCount  = 8    // each stake is half of the one before
+	maxStake    = 0.95 // fraction of the wealth at risk at the highest stake; at 1, one value could lose all of it
+	maxExponent = 600  // cap that exceeds log(1/alpha) for any alpha in use and whose exponential is finite
 )
 
-// Add bets with a number from 0 to 1 against the bound, which lies between 0 and 1.
+// Add bets on a value from 0 to 1 against a bound between 0 and 1, exclusively. Values outside of
+// [0, 1] are clamped. All calls must have the same bound.
 func (b *BettingTest) Add(value, bound float64) {
 	value = min(max(value, 0), 1)
 	b.Count++
@@ -31,12 +32,12 @@
 	}
 }
 
-// Mean is the mean of the numbers so far.
+// Mean returns the mean of the values so far, or 0 if there are none.
 func (b *BettingTest) Mean() float64 { return b.Sum / float64(max(b.Count, 1)) }
 
-// IsBelow decides that the mean is below the bound, wrong with a chance of at most alpha. The
-// highest stake has half of the first wealth, the next a quarter and so on: buckets in which
-// nothing is lost are the usual case.
+// IsBelow reports whether the mean is below the bound, with a probability of at most alpha for a
+// false positive. The highest stake starts with half of the wealth, the next with a quarter and so
+// on, because most buckets are expected to have the value 0, from which high stakes gain the most.
 func (b *BettingTest) IsBelow(alpha float64) bool {
 	mean := 0.0
 	for i, logWealth := range b.LogWealthBelow {
@@ -45,8 +46,8 @@
 	return mean >= 1/alpha
 }
 
-// IsAbove decides that the mean is above the bound, wrong with a chance of at most alpha. Each
-// stake has the same part of the first wealth.
+// IsAbove reports whether the mean is above the bound, with a probability of at most alpha for a
+// false positive. All stakes start with an equal share of the wealth.
 func (b *BettingTest) IsAbove(alpha float64) bool {
 	mean := 0.0
 	for _, logWealth := range b.LogWealthAbove {
--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// errorsAtTheBound counts the tests that find a mean at the bound below it, and above it, at any
-// look.
+// countFalseDecisions runs tests on values whose mean equals the bound. It counts the tests that
+// ever report a mean below the bound, and those that ever report a mean above it.
 func errorsAtTheBound(runs uint64, bound, alpha float64, draw func(*rand.Rand) float64) (below, above int) {
 	for seed := range runs {
 		random, betting := rand.New(rand.NewPCG(seed, 9)), BettingTest{}
@@ -25,30 +25,31 @@
 	return below, above
 }
 
-// At the bound itself neither side wins more often than stated, whenever it is examined.
+// If the mean equals the bound, the rate of false decisions must not exceed alpha although the test
+// is examined after each value.
 func TestBettingTest_errorRateAtTheBound(t *testing.T) {
 	const runs, bound, alpha = 2000, 0.05, 0.05
-	const maxErrors = 120 // 100 are stated; 120 is two deviations more
+	const maxErrors = 120 // expected maximum runs*alpha = 100, plus two standard deviations
 	for _, test := range []struct {
 		name string
 		draw func(*rand.Rand) float64
 	}{
-		{"rare and whole", func(random *rand.Rand) float64 {
+		{"0 or 1", func(random *rand.Rand) float64 {
 			return map[bool]float64{true: 1}[random.Float64() < bound]
 		}},
-		{"even", func(random *rand.Rand) float64 { return 2 * bound * random.Float64() }},
+		{"uniform", func(random *rand.Rand) float64 { return 2 * bound * random.Float64() }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			falselyBelow, falselyAbove := errorsAtTheBound(runs, bound, alpha, test.draw)
-			t.Logf("of %d at the bound, %d called below, %d above", runs, falselyBelow, falselyAbove)
+			t.Logf("of %d tests at the bound, %d reported below, %d above", runs, falselyBelow, falselyAbove)
 			if falselyBelow > maxErrors || falselyAbove > maxErrors {
-				t.Errorf("wrong too often: %d and %d, want %d at most", falselyBelow, falselyAbove, maxErrors)
+				t.Errorf("%d false reports below and %d above, want at most %d each", falselyBelow, falselyAbove, maxErrors)
 			}
 		})
 	}
 }
 
-// A bound needs as many buckets without harm as docs/counting-rules.md says.
+// The number of harmless buckets needed for a decision must match docs/counting-rules.md.
 func TestBettingTest_bucketsNeededWithoutHarm(t *testing.T) {
 	for bound, maxBuckets := range map[float64]int{0.02: 200, 0.05: 80, 0.1: 40} {
 		betting := BettingTest{}
@@ -56,7 +57,7 @@
 			betting.Add(0, bound)
 		}
 		if !betting.IsBelow(0.05) || betting.Count > maxBuckets {
-			t.Errorf("bound %v: %d buckets, want %d at most", bound, betting.Count, maxBuckets)
+			t.Errorf("bound %v: %d buckets needed, want at most %d", bound, betting.Count, maxBuckets)
 		}
 	}
 }
--- a/internal/control/countingrule/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -6,27 +6,28 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// Call is a call to the counter that the shadow evaluation asks for. Its answer goes to
-// HandleCount.
+// Call is a call to the counter that the caller makes for the shadow evaluation. The counter adds
+// the units and answers with the count that results, which the caller passes to HandleCount.
 type Call struct {
-	Name  uint64        // at the counter
-	Units float64       // to be added
-	TTL   time.Duration // how long the counter is to keep the name
-	ID    uint64        // of the answer; 0: no answer is awaited
+	Name  uint64        // name of the count
+	Units float64       // units to add; 0 only reads the count
+	TTL   time.Duration // how long the counter keeps the name
+	ID    uint64        // identifies the answer in HandleCount; 0 if the answer is not used
 }
 
-// outstandingCall is a call that awaits its answer.
+// outstandingCall is a call whose answer has not arrived.
 type outstandingCall struct {
 	side          int
 	state         *keyState
-	window        countingrule.Window
-	sentAt        time.Duration
-	units         float64
-	request       *shadowRequest // nil: it added units alone
-	readsPrevious bool           // it read the window before, for its deficit
+	window        countingrule.Window // window that is read
+	sentAt        time.Duration       // time of the count: when the call was sent, or the end of the previous window
+	units         float64             // units added by the call
+	request       *shadowRequest      // request to decide by the count; nil for a flush
+	readsPrevious bool                // the count is for the deficit of the previous window
 }
 
-// startCall adds a key's pending units to its count. A nil request awaits no count.
+// startCall returns a call that adds a key's pending units and reads its count. shadowed is the
+// request to decide by the count, or nil for a flush.
 func (s *Shadow) startCall(i int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
 	window := countingrule.WindowAt(state.key, &state.plan, now)
 	call := s.send(outstandingCall{
@@ -38,14 +39,14 @@
 	return call
 }
 
-// readPreviousWindow reads the window before the one that a call found untouched.
+// readPreviousWindow returns a call that reads the window before that of the given call.
 func (s *Shadow) readPreviousWindow(call outstandingCall) Call {
 	end := call.window.Start - 1
 	window := countingrule.WindowAt(call.state.key, &call.state.plan, end)
 	return s.send(outstandingCall{side: call.side, state: call.state, window: window, sentAt: end, readsPrevious: true})
 }
 
-// send makes a call whose answer is awaited.
+// send registers a call as outstanding, spends budget on it and returns it.
 func (s *Shadow) send(call outstandingCall) Call {
 	s.spend(call.side)
 	s.lastID++
@@ -53,14 +54,16 @@
 	return Call{Name: call.window.Name, Units: call.units, TTL: call.window.TTL, ID: s.lastID}
 }
 
+// spendCall takes one call from a side's budget and counts it.
 func (s *Shadow) spend(side int) {
 	s.sides[side].budget--
 	s.observations.calls++
 }
 
-// HandleCount takes a call's answer; answered is false where none came or the counter rejected it.
-// It gives the calls that follow: where a window was untouched, the deficit of the one before is
-// carried over, as the decision module does.
+// HandleCount handles the answer to a call. answered is false if no answer came or the counter
+// rejected the call. The caller must make the returned calls. If the window had no units before the
+// call, the returned calls carry over the deficit of the previous window, as the decision module
+// does. Answers with an unknown ID are ignored.
 func (s *Shadow) HandleCount(now time.Duration, id uint64, count float64, answered bool) []Call {
 	call, ok := s.outstanding[id]
 	if !ok {
@@ -78,7 +81,7 @@
 	}
 }
 
-// handleMissingCount has a call's units added later, and its request decided by an estimate.
+// handleFailedCall makes the units of a call pending again and decides its request by an estimate.
 func (s *Shadow) handleMissingCount(now time.Duration, call outstandingCall) {
 	if call.readsPrevious {
 		return
@@ -95,8 +98,8 @@
 	}
 }
 
-// handleRead decides a request by the count that its call read, and gives the call that reads the
-// window before where this one was untouched.
+// handleWindowCount decides the request of a call by the count that was read. If the window had no
+// units before the call, it returns a call that reads the previous window.
 func (s *Shadow) handleRead(now time.Duration, call outstandingCall, count float64) (calls []Call) {
 	state := call.state
 	remaining := state.observe(call.window, call.sentAt, count)
@@ -112,7 +115,8 @@
 	return calls
 }
 
-// carryOver adds the deficit of the previous window, where there is one, to the key's window now.
+// carryOver returns a call that adds the deficit of the previous window to the key's current
+// window. It returns nil if there is no deficit.
 func (s *Shadow) carryOver(call outstandingCall, now time.Duration, count float64) []Call {
 	state := call.state
 	deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.sentAt, count)
@@ -124,8 +128,8 @@
 	return []Call{{Name: window.Name, Units: deficit, TTL: window.TTL}}
 }
 
-// measureOverLimit notes the units that a call added beyond the new rule's limit: they were
-// admitted as the count lagged.
+// recordOverLimit records the units that a call added beyond the new rule's limit. They were
+// admitted because counts lag behind admissions.
 func (c *outstandingCall) measureOverLimit(count float64) {
 	if c.side != newSide || c.request == nil {
 		return
@@ -134,8 +138,9 @@
 	c.request.overLimit = min(max(count-limit, 0), c.units)
 }
 
-// Flush gives the calls for units that no later request added, as far as the budget reaches, and
-// forgets keys that are no longer used.
+// Flush returns calls that add the pending units of keys whose flush is due, as far as the budget
+// allows, and removes unused keys. It does nothing within flushInterval of the previous flush. The
+// caller must make the returned calls.
 func (s *Shadow) Flush(now time.Duration) (calls []Call) {
 	if now < s.sweptAt+sweepInterval {
 		return nil
@@ -146,7 +151,7 @@
 		queued := side.flushQueue[:0]
 		for _, state := range side.flushQueue {
 			switch {
-			case !state.isFlushScheduled(): // a request added them
+			case !state.isFlushScheduled(): // a request's call has added the units
 			case now >= state.flushAt && side.budget >= 1:
 				calls = append(calls, s.startCall(i, state, now, nil))
 			default:
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -9,48 +9,52 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// Controller decides the table of counting rules: a rule is tried, scheduled, watched and kept, or
-// rolled back where the outcome deviates from its forecast. Prevents a rule that rejects, admits or
-// exceeds limits more than the configuration allows.
+// Controller computes the table of counting rules. It evaluates a new rule in a canary trial,
+// schedules the switch to it, and compares the outcome with the trial's forecast. It then keeps the
+// rule or rolls it back. It refuses a rule that rejects, admits or exceeds its limits by more than
+// the configured bounds. Not safe for concurrent use.
 type Controller struct {
-	Config      func() *countingrule.Config // of the file as last read
-	Lease       time.Duration               // of the table, at every process
-	ReadWait    time.Duration               // the longest that a read of the table waits
-	ClockOrigin time.Duration               // the common clock when Decide's clock was 0
+	Config      func() *countingrule.Config // returns the configuration as last read from the file
+	Lease       time.Duration               // duration of the table's lease at every process
+	ReadWait    time.Duration               // longest time that a read waits for a new table value
+	ClockOrigin time.Duration               // time on the common clock at which the clock of Decide was 0
 
-	epoch    uint64 // of the entry that the baseline belongs to
-	ledSince time.Duration
-	baseline map[string]uint64 // the sums that TrialState.Sums of that entry has already
+	epoch    uint64            // epoch of the entry that baseline belongs to
+	ledSince time.Duration     // LeadingSince of the latest call of Decide
+	baseline map[string]uint64 // sums that the entry's TrialState.Sums already contain
 	latest   proposal
 }
 
-// proposal is a value that was proposed, and the sums that it was made of; nil where there is none.
+// proposal is the latest value returned by Decide and the sums that it was computed from. Both are
+// nil before the first proposal.
 type proposal struct {
 	value []byte
 	sums  map[string]uint64
 }
 
-// New makes a controller of a file's configuration. Lease and wait are those of the table's
-// readers; origin is the common clock, nanoseconds since 1970, when the clock that Decide is given
-// was 0, right to maxClockSkew.
+// New returns a controller that follows config. lease is the duration of a table lease. wait is the
+// longest time that a read of the table waits for a new value. origin is the time on the common
+// clock, in nanoseconds since 1970, at which the clock passed to Decide was 0. It may be off by
+// maxClockSkew.
 func New(config func() *countingrule.Config, lease, wait, origin time.Duration) *Controller {
 	return &Controller{Config: config, Lease: lease, ReadWait: wait, ClockOrigin: origin}
 }
 
-// Table is the name of the controller's table.
+// Table returns the name of the table that the controller writes.
 func (c *Controller) Table() string { return countingrule.TableName }
 
-// Decide gives the table's next value, and false where it is to stay.
+// Decide returns the table's next value, or false if the table does not change. now is the local
+// clock whose origin was passed to New.
 func (c *Controller) Decide(now time.Duration, input coordination.ControllerInput) ([]byte, bool) {
 	entry := input.Table(countingrule.TableName)
 	table, err := countingrule.Decode(entry.Value)
 	if err != nil {
-		return nil, false // written by a later version: left alone
+		return nil, false // written by a later software version: left unchanged
 	}
 	c.updateBaseline(entry, input)
 	trial, err := decodeTrialState(table.TrialState)
 	if err != nil {
-		return nil, false // written by a later version, too
+		return nil, false // written by a later software version: left unchanged
 	}
 	config := c.Config()
 	s := step{
@@ -71,9 +75,10 @@
 	return c.latest.value, true
 }
 
-// updateBaseline decides which sums the entry's trial state already has: those of the proposal that
-// became the entry, else those received when this process first met it. Prevents an observation
-// from counting twice.
+// updateBaseline sets the baseline when the entry or the leadership has changed. If the entry is
+// this process's latest proposal, its trial state contains the sums of that proposal. Otherwise the
+// sums received so far are assumed to be contained. This prevents an observation from being counted
+// twice.
 func (c *Controller) updateBaseline(entry statemachine.Table, input coordination.ControllerInput) {
 	leadsOn := input.LeadingSince == c.ledSince
 	if leadsOn && entry.Epoch == c.epoch && c.baseline != nil {
@@ -87,9 +92,9 @@
 	c.ledSince = input.LeadingSince
 }
 
-// switchLead decides how long before its switch a decision is committed, so that every process has
-// received it by then or knows that its lease has ended. A lease that ends later than a lease from
-// now counts from a read that held the decision.
+// switchDelay returns the minimum time from a decision to its switch. Within this time every
+// process has either received the decision or found its lease expired: a lease that ends more than
+// one lease duration from now was granted by a read that returned the decision.
 func (c *Controller) switchLead(config *countingrule.Config) time.Duration {
 	return c.Lease + leadReadWaits*c.ReadWait + leadClockSkews*maxClockSkew + config.Canary.ExtraLead()
 }
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -15,14 +15,14 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// history draws what a controller is given: observations, new leaders and new files.
+// eventGenerator draws a controller's input: observations, new leaders and new configurations.
 type history struct {
 	config           *countingrule.Config
-	controller, twin *Controller // given the same events
+	controller, twin *Controller // both get the same events
 	now, since       time.Duration
 	entry            statemachine.Table
 	sums             map[string]uint64
-	harmUnits        uint64 // of a bucket's 1000, admitted by the old rule alone
+	harmUnits        uint64 // of the 1000 units of a bucket, admitted only by the old rule
 }
 
 func newHistory(t *rapid.T) *history {
@@ -36,22 +36,22 @@
 	return h
 }
 
-// lead begins the leadership of another process, with a clock of another origin.
+// startLeadership replaces the controllers by those of a new leader with another clock origin.
 func (h *history) lead(origin time.Duration) {
 	h.controller, h.twin = newController(h.config, origin), newController(h.config, origin)
 }
 
 func (h *history) drawHarm(t *rapid.T) {
-	h.harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "harm")
+	h.harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "oldOnlyUnits")
 }
 
-// clock is the common clock.
+// commonClock returns the time on the common clock.
 func (h *history) clock() time.Duration { return h.controller.ClockOrigin + h.now }
 
-// advance draws what comes next, beside the table as it stands.
+// advance draws the next event and adds observations of the canary in the given table.
 func (h *history) advance(t *rapid.T, table *countingrule.Table) {
 	h.now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
-	switch rapid.IntRange(0, 80).Draw(t, "what") {
+	switch rapid.IntRange(0, 80).Draw(t, "event") {
 	case 0:
 		shift := time.Duration(rapid.IntRange(0, 100).Draw(t, "shift")) * time.Minute
 		h.lead(h.clock() - shift)
@@ -60,7 +60,7 @@
 		h.config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
 	}
 	isScheduled := table.Phase == countingrule.PhaseScheduled
-	if isScheduled == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
+	if isScheduled == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "change") == 0 {
 		h.drawHarm(t)
 	}
 	fingerprint := Fingerprint(table.Seed)
@@ -75,8 +75,8 @@
 	}
 }
 
-// decide has both controllers decide, which must agree, and gives the next table where there is
-// one.
+// decide calls both controllers and fails the test if their decisions differ. It returns the next
+// table and whether one was written.
 func (h *history) decide(t *rapid.T) (next countingrule.Table, write bool) {
 	input := coordination.ControllerInput{
 		Sums: maps.Clone(h.sums), LeadingSince: h.since,
@@ -85,7 +85,7 @@
 	value, write := h.controller.Decide(h.now, input)
 	again, writeAgain := h.twin.Decide(h.now, input)
 	if write != writeAgain || !bytes.Equal(value, again) {
-		t.Fatal("the same events, another value")
+		t.Fatal("two controllers with the same input made different decisions")
 	}
 	if write {
 		h.entry = statemachine.Table{Epoch: h.entry.Epoch + 1, Value: value}
@@ -101,27 +101,29 @@
 	return table
 }
 
-// checkStep checks a step from one table to the next.
+// checkStep fails the test if the step from one table to the next breaks an invariant.
 func checkStep(t *rapid.T, previous, next *countingrule.Table, now time.Duration) {
 	if previous.InForce(now) != next.InForce(now) {
-		t.Fatalf("%d is in force, and at once %d: %+v to %+v", previous.InForce(now), next.InForce(now), previous, next)
+		t.Fatalf("the version in force changed immediately from %d to %d: %+v to %+v",
+			previous.InForce(now), next.InForce(now), previous, next)
 	}
 	if next.Phase >= countingrule.PhaseScheduled && next.SwitchAt != previous.SwitchAt {
 		if next.SwitchAt < now+4*time.Second {
-			t.Fatalf("a switch only %v ahead", next.SwitchAt-now)
+			t.Fatalf("the switch is only %v ahead", next.SwitchAt-now)
 		}
 		if previous.Phase >= countingrule.PhaseScheduled && now < previous.SwitchAt {
-			t.Fatal("a switch is undone before its time")
+			t.Fatal("a switch was undone before it took effect")
 		}
 	}
 	if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.Refused, next.To) {
-		t.Fatalf("%d was refused, and is tried again", next.To)
+		t.Fatalf("refused version %d is tried again", next.To)
 	}
 }
 
-// Under any observations, leaders and files a step leaves the version in force as it is, schedules
-// no switch too near for some process, undoes none before its time, and tries nothing that was
-// refused. The same events give the same value.
+// For any sequence of observations, leaders and configurations, no step changes the version in
+// force immediately, schedules a switch too soon for all processes to learn of it, undoes a switch
+// before it takes effect, or tries a refused version. The same input must lead to the same
+// decision.
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -142,8 +144,8 @@
 			}
 		}
 	})
-	t.Logf("%d activations, %d rolled back", activated, rolledBack)
+	t.Logf("%d switches scheduled, %d rolled back after a deviation", activated, rolledBack)
 	if activated == 0 {
-		t.Error("nothing was ever activated")
+		t.Error("no switch was scheduled in any run")
 	}
 }
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -10,7 +10,7 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// runUntilScheduled takes a simulation to the moment at which a harmless rule is scheduled.
+// runUntilScheduled returns a simulation that has just scheduled the switch to a harmless rule.
 func runUntilScheduled(t *testing.T) *simulation {
 	t.Helper()
 	s := newSimulation(scaledLimits(1.05), 1)
@@ -21,13 +21,14 @@
 	return s
 }
 
-// A harmless rule is tried, scheduled, watched and kept: what it admits is as its canary forecast.
+// A harmless rule is tried, scheduled, watched and kept, as the admitted fraction matches the
+// forecast of its canary.
 func TestController_harmlessRuleIsScheduledAndKept(t *testing.T) {
 	s := runUntilScheduled(t)
 	table := s.tableValue()
 	lead := table.SwitchAt - (s.now + s.controller.ClockOrigin)
 	if lead < s.controller.Lease+2*s.controller.ReadWait || table.SwitchAt%time.Second != 0 {
-		t.Errorf("scheduled %v ahead, at %v", lead, table.SwitchAt)
+		t.Errorf("switch scheduled %v ahead, at %v", lead, table.SwitchAt)
 	}
 	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseIdle })
 	table = s.tableValue()
@@ -38,7 +39,7 @@
 	t.Log(table.Reason)
 }
 
-// A harmful rule is refused, once: it is not tried again.
+// A harmful rule is refused and not tried again.
 func TestController_harmfulRuleIsRefusedForGood(t *testing.T) {
 	s := newSimulation(scaledLimits(0.5), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
@@ -50,11 +51,11 @@
 	epoch := s.table.Epoch
 	s.advance(s.now+5*time.Second, never)
 	if s.table.Epoch != epoch {
-		t.Error("it is tried again")
+		t.Error("the refused rule is tried again")
 	}
 }
 
-// A rule that is undecided at the deadline, for too few requests, is refused.
+// A rule that is undecided at the deadline because there were too few requests is refused.
 func TestController_undecidedAtTheDeadlineIsRefused(t *testing.T) {
 	s := newSimulation(scaledLimits(1), 1)
 	clear(s.demand)
@@ -68,7 +69,7 @@
 	}
 }
 
-// trialState is the state that the table holds.
+// trialState returns the trial's state from the table.
 func (s *simulation) trialState(t *testing.T) TrialState {
 	t.Helper()
 	state, err := decodeTrialState(s.tableValue().TrialState)
@@ -78,8 +79,8 @@
 	return state
 }
 
-// A new leader has another monotonic clock and sums that begin anew; it goes on where the table
-// stands.
+// A new leader has another clock origin and sums that start from zero. It must continue the trial
+// from the state in the table, and test no bucket before observations have arrived.
 func TestController_newLeaderContinuesTheTrial(t *testing.T) {
 	s := newSimulation(scaledLimits(0.75), 4)
 	s.advance(s.now+20*time.Second, never)
@@ -88,20 +89,20 @@
 	s.controller = New(s.controller.Config, s.controller.Lease, s.controller.ReadWait, s.controller.ClockOrigin)
 	s.advance(s.now+5*time.Second, never)
 	if after := s.trialState(t); after.NextBucket != before.NextBucket {
-		t.Errorf("buckets %d to %d are tested before observations came", before.NextBucket, after.NextBucket)
+		t.Errorf("buckets %d to %d were tested before observations arrived", before.NextBucket, after.NextBucket)
 	}
 	s.advance(s.now+100*time.Second, s.hasVerdict)
 	table, after := s.tableValue(), s.trialState(t)
 	if !s.hasVerdict() || table.From != 0 || after.Tests[0].Count <= before.Tests[0].Count ||
 		after.Sums[nameRequests] < before.Sums[nameRequests] {
-		t.Errorf("phase %d after buckets %d to %d, %d to %d requests: %s",
+		t.Errorf("phase %d; next bucket %d, then %d; %d requests, then %d: %s",
 			table.Phase, before.NextBucket, after.NextBucket, before.Sums[nameRequests], after.Sums[nameRequests],
 			table.Reason)
 	}
 }
 
-// After the switch a third of what the rule admits fails: that was not forecast, so the earlier
-// rule comes back at a switch of its own, and the later one is not tried again.
+// After the switch a third of the admitted requests fail, which the trial did not forecast. The
+// previous rule must return by a scheduled switch, and the new rule must be refused.
 func TestController_rollsBackOnDeviationFromTheForecast(t *testing.T) {
 	s := runUntilScheduled(t)
 	s.failureRate = 0.33
@@ -118,7 +119,8 @@
 	}
 }
 
-// decideOnce has a controller decide on a table, an hour after the clock's origin.
+// decideOnce calls Decide for a table, one hour after the clock's origin. It returns the new table
+// and whether one was written.
 func decideOnce(config *countingrule.Config, current countingrule.Table) (countingrule.Table, bool) {
 	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, ReadWait: time.Second}
 	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) statemachine.Table {
@@ -128,8 +130,8 @@
 	return table, write && err == nil
 }
 
-// The rollback that an operator asks for needs no trial: the earlier rule was in force already. It
-// waits for a switch that is still to come, as no switch is undone before its time.
+// A rollback requested by an operator needs no trial because the previous rule was in force before.
+// It is delayed until a scheduled switch has taken effect, because no switch is undone before that.
 func TestController_operatorsRollBackWithoutATrial(t *testing.T) {
 	rules := []countingrule.Rule{scaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
@@ -158,7 +160,7 @@
 	}
 }
 
-// A rule that cannot be sampled beside the one in force is refused, and the refusal says why.
+// A rule that cannot be sampled together with the current rule is refused with the reason.
 func TestController_ruleThatCannotBeSampledIsRefused(t *testing.T) {
 	one := byMask(1, 0xff00)
 	one.Limits = []countingrule.Limit{{Plan: "*", Rate: 1, Burst: 1}}
@@ -168,6 +170,6 @@
 	table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{one}})
 	if !ok || table.Phase != countingrule.PhaseIdle || table.From != 1 || len(table.Refused) != 1 ||
 		!strings.Contains(table.Reason, "in common") {
-		t.Errorf("%v, %+v", ok, table)
+		t.Errorf("changed %v, table %+v", ok, table)
 	}
 }
--- a/internal/control/countingrule/canary/golden_test.go
+++ b/internal/control/countingrule/canary/golden_test.go
@@ -19,11 +19,10 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// The files under testdata and the hashes were written by the program before its names were
-// changed. What is stored, what goes between processes and what the simulations give must stay as
-// these have it.
+// The files under testdata and the hashes in the golden tests come from an earlier version of the
+// program. Stored state, names sent between processes and results of simulations must not change.
 
-// recorder hashes numbers, by their bits, and words. Writing to a hash never fails.
+// recorder hashes numbers, by their bits, and strings. Writing to a hash never fails.
 type recorder struct{ hash.Hash }
 
 func newRecorder() recorder { return recorder{sha256.New()} }
@@ -45,7 +44,7 @@
 
 func (r recorder) sum() string { return hex.EncodeToString(r.Sum(nil)) }
 
-// reported gives shadow evaluations' observations by name.
+// reportedCounts returns the sums of the observations of several shadow evaluations, by name.
 func reported(shadows ...*Shadow) map[string]uint64 {
 	accumulated := map[string]uint64{}
 	for _, shadow := range shadows {
@@ -78,9 +77,9 @@
 	}
 }
 
-// driveShadow evaluates requests that a seed draws under two rules, with answers that come late or
-// not at all, a budget that is empty at times, and other weights of classes midway. It hashes each
-// call and, from time to time, the observations.
+// driveShadow evaluates random requests under rule 0 and the given rule. Some answers are late or
+// missing, the budget is empty at times, and a class weight changes midway. It returns the shadow
+// evaluation and a hash of all calls and of the observations after every 1000 requests.
 func driveShadow(t *testing.T, seed uint64, rule countingrule.Rule) (*Shadow, string) {
 	t.Helper()
 	rule.Weights = []countingrule.Weight{{Class: "pay", Permille: 1500}}
@@ -141,8 +140,8 @@
 	}
 }
 
-// The names of the observations go between processes and are matched by the leader, whatever its
-// version.
+// The names of observations are sent between processes, whose versions may differ, and matched by
+// the leader.
 func TestGolden_observationNames(t *testing.T) {
 	merging, _ := driveShadow(t, 3, pairedCustomers(1))
 	splitting, _ := driveShadow(t, 4, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"}})
@@ -162,7 +161,7 @@
 		}
 	}
 	if got := bucketName(Fingerprint(1<<40), 12, nameOverLimit); got != "canary\x1fe13wu1og\x1fcell\x1f12\x1fbeyond" {
-		t.Errorf("%q", got)
+		t.Errorf("unexpected bucket name %q", got)
 	}
 	golden.Check(t, "observations.txt", out.Bytes())
 }
--- a/internal/control/countingrule/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -7,7 +7,8 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// record hashes all that a simulation's controller writes, and what its processes observed.
+// hashRun advances a simulation and returns a hash of all values that its controller writes and of
+// the observations at the end.
 func (s *simulation) record(until time.Duration) string {
 	out, epoch := newRecorder(), uint64(0)
 	s.advance(until, func() bool {
@@ -21,8 +22,8 @@
 	return out.sum()
 }
 
-// Each value that a controller writes over a trial, from its start to what follows it, and each
-// process's observations.
+// The values that a controller writes during and after a trial, and the observations, must not
+// change.
 func TestGolden_trials(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -64,11 +65,11 @@
 	s.failureRate = 0.33
 	const want = "a2445a262503f2213471dc41953facbddf3c5ca6777c58a99226d1f13b2a2b42"
 	if got := s.record(s.now + 240*time.Second); got != want {
-		t.Errorf("undone: %s, want %s; %s", got, want, s.tableValue().Reason)
+		t.Errorf("with failing requests: %s, want %s; %s", got, want, s.tableValue().Reason)
 	}
 }
 
-// The reasons that stand in the stored table are read by people and by tools of theirs.
+// Reasons are stored in the table and read by operators and their tools, so they must not change.
 func TestGolden_refusalReasons(t *testing.T) {
 	group := func(version, mask uint64, groups ...countingrule.Group) countingrule.Rule {
 		return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask, Groups: groups}
@@ -92,7 +93,7 @@
 		}
 		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{test.old}})
 		if !ok || table.Reason != test.want {
-			t.Errorf("%v, %q, want %q", ok, table.Reason, test.want)
+			t.Errorf("changed %v, reason %q, want %q", ok, table.Reason, test.want)
 		}
 	}
 }
--- a/internal/control/countingrule/canary/keystate.go
+++ b/internal/control/countingrule/canary/keystate.go
@@ -7,28 +7,28 @@
 	"harrierhoist/policy"
 )
 
-// noFlush is the flushAt of a key that has nothing to be added without a request.
+// noFlush is the flushAt of a key for which no flush is scheduled.
 const noFlush = 0
 
-// keyState is a key as one side knows it.
+// keyState is the state of a counter key on one side.
 type keyState struct {
 	key           uint64
 	plan          policy.Plan
-	window        countingrule.Window
-	sampledAt     time.Duration // when the latest count was read
-	remaining     float64       // at that time
-	pending       float64       // units admitted and not yet added to the key's count
-	flushAt       time.Duration // when these are added without a further request, or noFlush
-	lastUsed      time.Duration
-	carriedWindow int64 // the latest window whose carry-over was begun
+	window        countingrule.Window // of the latest count
+	sampledAt     time.Duration       // time of the latest count, or of the key's creation
+	remaining     float64             // at countReadAt
+	pending       float64             // admitted units not yet added to the counter
+	flushAt       time.Duration       // when pending units are added without a further request, or noFlush
+	lastUsed      time.Duration       // time of the latest request
+	carriedWindow int64               // index of the latest window for which a carry-over was started
 }
 
-// isFlushScheduled tells whether pending units are to be added without a request.
+// isFlushScheduled reports whether a flush of pending units is scheduled.
 func (k *keyState) isFlushScheduled() bool { return k.flushAt != noFlush }
 
-// observe takes a count and gives the units that it leaves. A window not seen before starts with no
-// more than what was refilled since the latest count of the one before. Prevents two bursts at a
-// window's edge.
+// updateFromCount stores a count that was read at a time, and returns the units that remain under
+// it. In a new window no more units remain than at the previous window's latest count plus the
+// refill since then. This prevents a second burst at a window boundary.
 func (k *keyState) observe(window countingrule.Window, at time.Duration, count float64) float64 {
 	remaining := countingrule.Remaining(&k.plan, window, at, count)
 	if window.Index > k.window.Index {
@@ -40,7 +40,8 @@
 	return remaining
 }
 
-// estimate is how many units remain by the latest count and what was refilled since.
+// estimateRemaining returns the units that remain according to the latest count and the refill
+// since then.
 func (k *keyState) estimate(now time.Duration) float64 {
 	return min(k.remaining+k.plan.Rate*max(now-k.sampledAt, 0).Seconds(), k.plan.Burst)
 }
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -8,54 +8,56 @@
 	"harrierhoist/policy"
 )
 
-// The names of observations, behind nameCanary and the canary's fingerprint. They go between
-// processes, and the leader matches them: they never change. Units and weights are in thousandths.
+// Parts of the names of observations. Each name starts with nameCanary and the canary's
+// fingerprint. The names are sent between processes and matched by the leader, so they must not
+// change. Units and weights are in thousandths.
 const (
 	nameCanary     = "canary"
 	nameRequested  = "asked"   // units requested
-	nameOldOnly    = "old"     // admitted by the old rule alone
-	nameNewOnly    = "new"     // by the new rule alone
-	nameBoth       = "both"    // by both
-	nameNeither    = "neither" // by neither
-	nameOverLimit  = "beyond"  // admitted by the new rule beyond its limit
+	nameOldOnly    = "old"     // units admitted only by the old rule
+	nameNewOnly    = "new"     // units admitted only by the new rule
+	nameBoth       = "both"    // units admitted by both rules
+	nameNeither    = "neither" // units admitted by neither rule
+	nameOverLimit  = "beyond"  // units admitted by the new rule beyond its limit
 	nameEstimated  = "blind"   // requests decided without a count
-	nameRequests   = "tasks"
-	nameMergedKeys = "merged" // keys of the new rule that joined several of the old
-	nameSplitKeys  = "split"  // keys of the old rule that were split into several of the new
-	nameCalls      = "calls"
-	nameActual     = "real"  // units by the version that they were admitted under
-	nameAdmitted   = "in"    // and how many of them were forwarded
-	nameBucket     = "cell"  // by bucket
-	nameClass      = "lane"  // by class and plan
-	prefixWeighted = "gain-" // before the four outcomes: priority weight in place of units
+	nameRequests   = "tasks"   // requests evaluated
+	nameMergedKeys = "merged"  // keys of the new rule that combine several keys of the old rule
+	nameSplitKeys  = "split"   // keys of the old rule that are split into several keys of the new rule
+	nameCalls      = "calls"   // calls to the counter
+	nameActual     = "real"    // prefix of the actual outcome by version
+	nameAdmitted   = "in"      // units actually forwarded
+	nameBucket     = "cell"    // prefix of units by bucket
+	nameClass      = "lane"    // prefix of outcomes by class and plan
+	prefixWeighted = "gain-"   // prefix of an outcome that counts class weights instead of units
 )
 
-// maxTrackedKeys is how many keys of either rule are tracked to count which merge and which are
-// split.
+// maxTrackedKeys is the number of keys of each rule that are tracked to count merged and split
+// keys.
 const maxTrackedKeys = 20_000
 
-// The form of numbers in observations and their names.
+// Format of numbers in observations and in their names.
 const (
 	fingerprintBase = 36
 	versionBase     = 10
-	roundingOffset  = 0.5 // thousandths
+	roundingOffset  = 0.5 // in thousandths
 )
 
-// severalKeys stands for a key that met several keys of the other rule.
+// severalKeys marks a key for which several keys of the other rule were seen.
 const severalKeys = 0
 
-// observations are what one process counted of a canary. The counts only grow.
+// observations holds the counts of a canary in one process. They never decrease.
 type observations struct {
 	fingerprint           string
-	calls                 uint64
-	counts                map[string]uint64
+	calls                 uint64            // calls to the counter
+	counts                map[string]uint64 // by name without the canary's prefix; calls and buckets are apart
 	buckets               [Buckets]bucketUnits
-	mergedFrom, splitInto map[uint64]uint64 // the first key met under the other rule, or severalKeys
+	mergedFrom            map[uint64]uint64 // new rule's key to the first old rule's key seen with it, or severalKeys
+	splitInto             map[uint64]uint64 // old rule's key to the first new rule's key seen with it, or severalKeys
 	classNames, planNames []string          // by index
-	classWeights          []float64
+	classWeights          []float64         // by index
 }
 
-// bucketUnits are a bucket's units in thousandths.
+// bucketUnits holds the units of a bucket's requests, in thousandths.
 type bucketUnits struct{ requested, oldOnly, newOnly, overLimit uint64 }
 
 func newObservations(fingerprint string) *observations {
@@ -67,7 +69,7 @@
 	}
 }
 
-// setNames takes the names of classes and plans by their indexes.
+// setNames replaces the names of classes and plans and the weights of classes.
 func (o *observations) setNames(settings policy.Settings) {
 	o.classNames = nil
 	o.classWeights = nil
@@ -81,15 +83,16 @@
 	}
 }
 
-// Fingerprint is a canary's part of the names of its observations.
+// Fingerprint returns the part that identifies a canary in the names of its observations.
 func Fingerprint(seed uint64) string { return strconv.FormatUint(seed, fingerprintBase) }
 
-// thousandths converts units or a weight to the thousandths that are sent, rounded to the nearest.
+// thousandths converts units or a weight to thousandths, rounded to the nearest. Negative values
+// become 0.
 func thousandths(v float64) uint64 {
 	return uint64(max(v, 0)*countingrule.PermilleScale + roundingOffset)
 }
 
-// record counts a request that both sides have decided.
+// record counts a request on which both sides have decided.
 func (o *observations) record(bucket int, shadowed *shadowRequest) {
 	request := &shadowed.request
 	inBucket := &o.buckets[bucket]
@@ -117,7 +120,7 @@
 	}
 }
 
-// trackKeys counts the keys that the new rule merges and splits.
+// trackKeys updates the counts of merged and split keys by a request's key under each rule.
 func (o *observations) trackKeys(old, next uint64) {
 	track := func(others map[uint64]uint64, key, other uint64, name string) {
 		known, ok := others[key]
@@ -133,7 +136,7 @@
 	track(o.splitInto, old, next, nameSplitKeys)
 }
 
-// actualPrefix begins the names of what became of requests that were admitted under a version.
+// actualPrefix returns the prefix of the observations of the actual outcome under a version.
 func actualPrefix(version uint64) string {
 	return observation.JoinName(nameActual, strconv.FormatUint(version, versionBase))
 }
@@ -147,7 +150,7 @@
 	}
 }
 
-// report gives each observation by its full name.
+// report calls add with the full name and the value of each observation.
 func (o *observations) report(add func(name string, n uint64)) {
 	for name, n := range o.counts {
 		add(observation.JoinName(nameCanary, o.fingerprint, name), n)
@@ -173,6 +176,7 @@
 	}
 }
 
+// bucketName returns the full name of an observation of a bucket.
 func bucketName(fingerprint string, bucket int, name string) string {
 	return observation.JoinName(nameCanary, fingerprint, nameBucket, strconv.Itoa(bucket), name)
 }
--- a/internal/control/countingrule/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -1,7 +1,8 @@
-// Package canary decides whether a new counting rule comes into force: it evaluates the rule beside
-// the one in force on a sample of whole keys, judges it, schedules it, and rolls it back. Package
-// enforce calls its Shadow for the sampled requests of a gateway; the leading voter calls its
-// Controller. It changes no request's decision and is free of I/O and clocks.
+// Package canary decides whether a new counting rule comes into force. It evaluates the new rule
+// alongside the current one on a sample of keys, and then refuses or schedules it. After the switch
+// it keeps the rule or rolls it back. Package enforce calls Shadow for the sampled requests of a
+// gateway. The leading voter calls Controller. The evaluation never changes the decision on a
+// request. The package does no I/O and reads no clock.
 package canary
 
 import (
@@ -14,15 +15,16 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// Buckets is how many parts the sampled keys fall into by hash. Each part is tested once, one after
-// the other.
+// Buckets is the number of buckets into which the sampled keys are hashed. A trial tests the
+// buckets in sequence, each once.
 const Buckets = 256
 
-// minSharedBits is how many bits two masks must have in common, so that there are enough components
-// to draw from.
+// minSharedBits is the minimum number of bits that the masks of two rules must share. With fewer,
+// there are too few components to sample from.
 const minSharedBits = 5
 
-// Why two rules cannot be sampled. The texts are stored in the table as the reason of a refusal.
+// Errors for two rules that cannot be sampled. Their texts are stored in the table as the reason of
+// a refusal and must not change.
 var (
 	ErrMixedGroups = errors.New("one rule's groups are listed and the other's made by a mask: what" +
 		" hangs together cannot be told")
@@ -30,19 +32,19 @@
 		" hangs together to sample")
 )
 
-// Sample decides which customers are sampled. Customers that share a count under either rule, or
-// through others, are one component: all of them are in the sample or none. A sample does not
-// change and may be used by several goroutines.
+// Sample decides which customers are sampled. Customers that share a count under either rule,
+// directly or through other customers, form a component. A component is sampled as a whole or not
+// at all. A Sample is immutable and safe for concurrent use.
 type Sample struct {
 	seed      uint64
-	threshold uint64            // of a component's hash: those below it are sampled
-	mask      uint64            // of the customer's number; all ones: by whole customers
-	parents   map[uint64]uint64 // of customers in listed groups: the least customer of their component
+	threshold uint64            // components with a lower hash are sampled
+	mask      uint64            // bits of the customer that identify a component; all ones if no rule has a mask
+	parents   map[uint64]uint64 // customers of listed groups, to the lowest customer of their component
 }
 
-// NewSample makes the sample of two rules, with so many permille of the components. All processes
-// with the same seed make the same sample. Its error is ErrMixedGroups or ErrMasksApart: too much
-// is connected to take a part of it.
+// NewSample returns the sample for two rules, with the given permille of the components. All
+// processes that pass the same seed get the same sample. The error is ErrMixedGroups or
+// ErrMasksApart if the rules' components cannot be determined or are too few.
 func NewSample(old, next countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{
 		seed:      seed,
@@ -56,7 +58,8 @@
 			continue
 		}
 		if rule.Mask != 0 {
-			// Customers that differ only outside of either mask are connected through others.
+			// Customers that differ only in bits outside the common mask are connected through
+			// other customers.
 			sample.mask &= rule.Mask
 			continue
 		}
@@ -79,7 +82,8 @@
 	return sample, nil
 }
 
-// union connects two customers. Of two roots the lesser is kept, so that the order does not matter.
+// union merges the components of two customers. The lower root becomes the root of both, so that
+// the result does not depend on the order of calls.
 func (s *Sample) union(a, b uint64) {
 	rootA := s.find(a)
 	rootB := s.find(b)
@@ -88,7 +92,7 @@
 	s.parents[root] = root
 }
 
-// find gives the root of a customer's component.
+// find returns the root of a customer's component.
 func (s *Sample) find(customer uint64) uint64 {
 	for {
 		parent, ok := s.parents[customer]
@@ -99,7 +103,8 @@
 	}
 }
 
-// ComponentKey is the same for two customers that share a count under either rule.
+// ComponentKey returns the identifier of a customer's component. Customers that share a count under
+// either rule have the same one.
 func (s *Sample) ComponentKey(customer uint64) uint64 {
 	if root, ok := s.parents[customer]; ok {
 		return root
@@ -107,7 +112,8 @@
 	return customer & s.mask
 }
 
-// Bucket decides which bucket a customer is in, and whether it is sampled at all.
+// Bucket returns the bucket of a customer, from 0 to Buckets-1, and whether the customer is
+// sampled.
 func (s *Sample) Bucket(customer uint64) (bucket int, sampled bool) {
 	hash := countingrule.Hash(s.seed, s.ComponentKey(customer))
 	return int(countingrule.Hash(hash, 1) % Buckets), hash < s.threshold
--- a/internal/control/countingrule/canary/sample_test.go
+++ b/internal/control/countingrule/canary/sample_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// resolve gives a rule resolved against settings that have its plans, and these settings.
+// resolve returns a rule resolved against the test settings with the rule's plans, and these
+// settings.
 func resolve(tb testing.TB, rule countingrule.Rule) (*countingrule.Resolved, policy.Settings) {
 	tb.Helper()
 	settings := countingrule.WithRulePlans(testSettings(), []countingrule.Rule{rule})
@@ -34,7 +35,8 @@
 	return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask}
 }
 
-// drawRule draws a rule of groups over few customers, so that the two rules' groups overlap.
+// drawRule draws a rule by customer or by listed groups. The groups have few customers, so that the
+// groups of two rules overlap.
 func drawRule(t *rapid.T, version uint64) countingrule.Rule {
 	rule := countingrule.Rule{
 		Version: version, Key: []string{"group"},
@@ -56,8 +58,9 @@
 	return rule
 }
 
-// splitKey looks for a counter key, of either rule, of which some customers are sampled and some
-// not, or are in two buckets.
+// findSplitKey draws two rules and looks for a counter key of either rule whose customers are not
+// all in the same bucket, or not all sampled or all unsampled. It returns a description, or "" if
+// there is no such key.
 func splitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
 	type placement struct {
 		bucket  int
@@ -95,8 +98,8 @@
 	})
 }
 
-// The same check finds a sample that goes by customers, and one that follows one rule's groups but
-// no further.
+// findSplitKey must detect a sample by customer, and a sample that connects customers only to
+// nearby roots.
 func TestSample_checkFindsASplitKey(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -106,7 +109,7 @@
 			hash := countingrule.Hash(sample.seed, customer)
 			return int(hash % Buckets), hash < sample.threshold
 		}},
-		{"one step only", func(sample *Sample, customer uint64) (int, bool) {
+		{"nearby roots only", func(sample *Sample, customer uint64) (int, bool) {
 			neighbours := *sample
 			neighbours.parents = map[uint64]uint64{}
 			if root := sample.parents[customer]; root != 0 && customer-root < 4 {
@@ -119,16 +122,16 @@
 			generator := rapid.Custom(func(t *rapid.T) string { return splitKey(t, test.broken) })
 			for runs := range 200 {
 				if generator.Example(runs) != "" {
-					t.Logf("found after %d runs", runs+1)
+					t.Logf("split key found after %d runs", runs+1)
 					return
 				}
 			}
-			t.Error("not found in 200 runs")
+			t.Error("no split key found in 200 runs")
 		})
 	}
 }
 
-// Customers are one component where they differ only in bits that one of the masks leaves out.
+// Customers that differ only in bits that at least one of the masks excludes are in one component.
 func TestSample_masksShareTheirCommonBits(t *testing.T) {
 	sample, err := NewSample(byMask(1, 0xfff0), byMask(2, 0xff0f), 3, 500)
 	if err != nil {
@@ -136,7 +139,7 @@
 	}
 	key := sample.ComponentKey(0x1234)
 	if key != sample.ComponentKey(0x12ff) || key == sample.ComponentKey(0x1334) {
-		t.Errorf("components by other bits than the masks share: %+v", sample)
+		t.Errorf("components do not match the bits that both masks share: %+v", sample)
 	}
 }
 
@@ -151,11 +154,11 @@
 		want error
 	}{
 		{"all customers are one component", byMask(2, 0x00ff), ErrMasksApart},
-		{"a list beside a mask", listed, ErrMixedGroups},
+		{"listed groups and a mask", listed, ErrMixedGroups},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := NewSample(byMask(1, 0xff00), test.next, 3, 500); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	maxBudget     = 64.0             // calls that a side may have earned and not made
-	flushDelay    = time.Second      // until a key's units are added without a request
-	sweepInterval = flushDelay / 2   // between two flushes
-	keyTTL        = 60 * time.Second // of an unused key: the counter has dropped its windows by then
-	maxKeys       = 50_000           // of a side at one process; further keys are not evaluated
+	maxBudget     = 64.0             // unspent calls that a side can accumulate
+	flushDelay    = time.Second      // time after which a key's pending units are added without a request
+	sweepInterval = flushDelay / 2   // minimum time between two flushes
+	keyTTL        = 60 * time.Second // after this time the counter has dropped all windows of an unused key
+	maxKeys       = 50_000           // keys that a side tracks in one process; others are not evaluated
 )
 
 // The sides of the shadow evaluation.
@@ -22,49 +22,49 @@
 	sideCount
 )
 
-// Request is a request as the shadow evaluation sees it.
+// Request is a request to be evaluated by Shadow.
 type Request struct {
 	Customer    uint64
 	Class, Plan int // indexes in the settings
 	Units       float64
 }
 
-// Shadow evaluates the old rule and the new one on the sampled requests, both by the same plain
-// admission and by counts of their own: no difference has a cause beside the rules. Not safe for
-// use by several goroutines at once.
+// Shadow evaluates the old and the new rule on the sampled requests. Both sides use the same simple
+// admission and separate counts, so that any difference in the outcome is due to the rules. Not
+// safe for concurrent use.
 type Shadow struct {
 	observations *observations
 	sample       *Sample
-	seed         uint64 // of the canary: hashed into the keys, so that their names are no rule's
+	seed         uint64 // of the canary; hashed into the keys so that they match no key of a rule in force
 	sides        [sideCount]side
-	plans        []policy.Plan
-	callShare    float64 // from 0 to 1, of a call that each call of the gateway earns
-	outstanding  map[uint64]outstandingCall
+	plans        []policy.Plan              // of the settings, by index
+	callShare    float64                    // calls earned by both sides for each call of the gateway, from 0 to 1
+	outstanding  map[uint64]outstandingCall // by Call.ID
 	lastID       uint64
 	sweptAt      time.Duration
 }
 
-// side is one of the two rules with its keys.
+// side is the evaluation of one of the two rules.
 type side struct {
 	rule       *countingrule.Resolved
 	keys       map[uint64]*keyState
-	flushQueue []*keyState // keys whose units may need a flush, the oldest first
-	// budget is how many calls this side may make. Each side has half of the evaluation's calls, so
-	// that both read counts equally often.
+	flushQueue []*keyState // keys with a scheduled flush, oldest first; a request may have canceled it
+	// callBudget is the number of calls that this side may make. Each side earns half of the
+	// evaluation's calls, so that both read counts equally often.
 	budget float64
 }
 
-// shadowRequest is one request on both sides.
+// shadowRequest is the evaluation of one request on both sides.
 type shadowRequest struct {
 	request   Request
-	pending   int // sides that await a count
+	pending   int // number of sides that have not decided yet
 	admitted  [sideCount]bool
 	overLimit float64 // units admitted by the new rule beyond its limit
-	estimated bool    // a side decided without a count
+	estimated bool    // at least one side decided without a count
 }
 
-// NewShadow begins a shadow evaluation. The seed is the canary's own, callsPermille the share of
-// the gateway's calls to the counter that may be spent on it.
+// NewShadow returns a shadow evaluation of two rules. seed is the seed of the canary. callsPermille
+// is the share of the gateway's calls to the counter that the evaluation may make in addition.
 func NewShadow(
 	sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64,
 ) *Shadow {
@@ -82,8 +82,8 @@
 	return s
 }
 
-// Reconfigure continues with the same rules under other settings; classes and plans keep their
-// indexes.
+// Reconfigure replaces the settings and the same two rules resolved against them. Classes and plans
+// must keep their indexes.
 func (s *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
 	s.sides[oldSide].rule = old
 	s.sides[newSide].rule = next
@@ -91,32 +91,34 @@
 	s.observations.setNames(settings)
 }
 
-// AddBudget lets each side earn its share of n calls that the gateway made for its requests.
+// AddBudget adds to each side's call budget its share for n calls that the gateway made for its own
+// requests.
 func (s *Shadow) AddBudget(n uint64) {
 	for i := range s.sides {
 		s.sides[i].budget = min(s.sides[i].budget+s.callShare/sideCount*float64(n), maxBudget)
 	}
 }
 
-// IsSampled tells whether a customer is in the sample.
+// IsSampled reports whether a customer is in the sample.
 func (s *Shadow) IsSampled(customer uint64) bool {
 	_, sampled := s.sample.Bucket(customer)
 	return sampled
 }
 
-// Report gives what this process counted, by the names of the observations.
+// Report calls add with the name and the value of each observation of this process.
 func (s *Shadow) Report(add func(name string, n uint64)) { s.observations.report(add) }
 
-// RecordActual counts the actual outcome of a sampled request: the version that it was admitted
-// under, its units, and whether it was forwarded.
+// RecordActual counts the actual outcome of a sampled request: the version that counted it, its
+// units, and whether it was forwarded.
 func (s *Shadow) RecordActual(version uint64, units float64, forwarded bool) {
 	s.observations.recordActual(version, units, forwarded)
 }
 
-// CallCount is how many calls to the counter the evaluation has made.
+// CallCount returns the number of calls to the counter that the evaluation has requested.
 func (s *Shadow) CallCount() uint64 { return s.observations.calls }
 
-// HandleRequest evaluates a request, if it is in the sample, and gives the calls to be made for it.
+// HandleRequest evaluates a request if its customer is sampled and its plan has a rate. The caller
+// must make the returned calls to the counter.
 func (s *Shadow) HandleRequest(now time.Duration, request Request) (calls []Call) {
 	if !s.IsSampled(request.Customer) || s.plans[request.Plan].Rate <= 0 {
 		return nil
@@ -145,13 +147,14 @@
 	return calls
 }
 
-// canReadCounts decides whether a request is evaluated by counts. Both sides read one, or neither
-// does.
+// canReadCounts reports whether both sides have the budget for a call. Either both sides read a
+// count for a request or neither does.
 func (s *Shadow) canReadCounts() bool {
 	return min(s.sides[oldSide].budget, s.sides[newSide].budget) >= 1
 }
 
-// openKey finds a key's state on a side; nil where the side has too many keys.
+// openKey returns the state of a key on a side and creates it if needed. It returns nil if the side
+// has maxKeys keys already.
 func (s *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
 	keys := s.sides[i].keys
 	key := countingrule.Hash(s.seed, uint64(i), assignment.Version, assignment.Key)
@@ -169,8 +172,8 @@
 	return state
 }
 
-// decide decides whether one side admits a request, by the units that remain of its key, and
-// records the request once both sides have decided.
+// decideOnSide decides whether one side admits a request, given the units that remain for its key
+// before pending units are subtracted. It records the request once both sides have decided.
 func (s *Shadow) decide(i int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
 	request := &shadowed.request
 	assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
@@ -187,7 +190,7 @@
 	}
 }
 
-// scheduleFlush has a key's pending units added alone after flushDelay.
+// scheduleFlush schedules a flush of a key's pending units after flushDelay, unless there is one.
 func (s *side) scheduleFlush(state *keyState, now time.Duration) {
 	if !state.isFlushScheduled() {
 		state.flushAt = now + flushDelay
@@ -195,7 +198,8 @@
 	}
 }
 
-// forgetUnused forgets the keys whose windows the counter has dropped by now.
+// forgetUnused removes the keys that have been unused for longer than keyTTL and have no scheduled
+// flush.
 func (s *side) forgetUnused(now time.Duration) {
 	for key, state := range s.keys {
 		if now > state.lastUsed+keyTTL && !state.isFlushScheduled() {
--- a/internal/control/countingrule/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -9,9 +9,10 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// counter answers at once.
+// fakeCounter holds counts by name and answers calls immediately.
 type counter map[uint64]float64
 
+// answerCalls makes calls and the calls that follow from their answers.
 func (c counter) run(shadow *Shadow, now time.Duration, calls []Call) {
 	for _, call := range calls {
 		c[call.Name] += call.Units
@@ -19,7 +20,8 @@
 	}
 }
 
-// newTestShadow evaluates a rule beside rule 0, with half of the customers sampled.
+// newTestShadow returns a shadow evaluation of rule 0 and the given rule, with half of the
+// components sampled.
 func newTestShadow(t *testing.T, rule countingrule.Rule) *Shadow {
 	t.Helper()
 	resolved, settings := resolve(t, rule)
@@ -34,8 +36,8 @@
 	return NewShadow(sample, current, resolved, settings, 5, 250)
 }
 
-// evaluate has 20,000 requests of 40 customers evaluated, so far apart as pause draws, and gives
-// the gateway's own calls.
+// evaluateRequests evaluates 20,000 requests of 40 customers, with pauses between them drawn by
+// pause. It returns the number of the gateway's own calls.
 func evaluate(shadow *Shadow, pause func(*rand.Rand) time.Duration) (ownCalls uint64) {
 	const callsPerRequest = 8
 	counts, random := counter{}, rand.New(rand.NewPCG(1, 2))
@@ -50,7 +52,8 @@
 	return ownCalls
 }
 
-// A rule that says the same as the old one differs nowhere; calls stay within their share.
+// Two equivalent rules have about the same outcome, and merge or split no keys. Calls stay within
+// their share.
 func TestShadow_sameRuleDiffersNowhere(t *testing.T) {
 	shadow := newTestShadow(t, countingrule.Rule{Version: 1, Key: []string{"customer"}})
 	ownCalls := evaluate(shadow, func(random *rand.Rand) time.Duration {
@@ -60,15 +63,15 @@
 	difference := int(got[nameOldOnly]) - int(got[nameNewOnly])
 	if max(difference, -difference) > int(got[nameBoth])/100 || got[nameBoth] < 100_000 || got[nameNeither] == 0 ||
 		got[nameMergedKeys]+got[nameSplitKeys] != 0 {
-		t.Errorf("%v", got)
+		t.Errorf("equivalent rules differ: %v", got)
 	}
 	if shadow.CallCount() > ownCalls/4+uint64(maxBudget) {
-		t.Errorf("%d calls of %d", shadow.CallCount(), ownCalls)
+		t.Errorf("%d calls for %d of the gateway exceed the share", shadow.CallCount(), ownCalls)
 	}
 }
 
-// Customers that share a count under half of their rates lose about half of their units, and their
-// keys are counted as merged.
+// Pairs of customers that share the rate of one customer lose units, and their keys are counted as
+// merged.
 func TestShadow_mergedKeysReject(t *testing.T) {
 	rule := countingrule.Rule{
 		Version: 1, Key: []string{"group"},
@@ -80,10 +83,11 @@
 	shadow := newTestShadow(t, rule)
 	evaluate(shadow, func(*rand.Rand) time.Duration { return 15 * time.Millisecond })
 	got := shadow.observations.counts
-	// 40 customers request 1.67 units a second each of their 2, so pairs request 3.3 of their 2.
+	// Each of the 40 customers requests 1.67 units per second with a rate of 2. A pair requests 3.3
+	// units per second and has a rate of 2.
 	lost := float64(got[nameOldOnly]) / float64(got[nameBoth]+got[nameOldOnly])
 	if lost < 0.3 || lost > 0.5 || got[nameNewOnly] > got[nameBoth]/100 ||
 		got[nameMergedKeys] == 0 || got[nameSplitKeys] != 0 {
-		t.Errorf("%.3f lost, %v", lost, got)
+		t.Errorf("fraction %.3f of the units lost, want 0.3 to 0.5: %v", lost, got)
 	}
 }
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -12,8 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// simulation is three processes in virtual time with a counter, a leader's controller and customers
-// that are drawn.
+// simulation runs three processes in virtual time, with a counter, the leader's controller and
+// random customers.
 type simulation struct {
 	controller  *Controller
 	table       statemachine.Table
@@ -22,11 +22,11 @@
 	random      *rand.Rand
 	now         time.Duration
 	ledSince    time.Duration
-	demand      []float64 // requests a second by customer
+	demand      []float64 // requests per second, by customer
 	nextArrival []time.Duration
 	settings    policy.Settings
-	failureRate float64           // part of the requests that fail whatever the rule says
-	missedSums  map[string]uint64 // sums that an earlier leader had and this one never received
+	failureRate float64           // fraction of requests that fail after the switch although the rule admits them
+	missedSums  map[string]uint64 // sums received by an earlier leader and not by the current one
 }
 
 func canaryConfig() countingrule.CanaryConfig {
@@ -36,7 +36,7 @@
 	}
 }
 
-// configFor desires one rule.
+// configFor returns a configuration that names one rule as the desired one.
 func configFor(rule countingrule.Rule) *countingrule.Config {
 	return &countingrule.Config{
 		DesiredVersion: rule.Version, Rules: []countingrule.Rule{rule},
@@ -44,7 +44,7 @@
 	}
 }
 
-// newController makes a controller of one configuration, with a lease of two seconds.
+// newController returns a controller with a fixed configuration and a lease of two seconds.
 func newController(config *countingrule.Config, origin time.Duration) *Controller {
 	return New(func() *countingrule.Config { return config }, 2*time.Second, time.Second, origin)
 }
@@ -61,7 +61,7 @@
 		ledSince:   time.Hour,
 		settings:   countingrule.WithRulePlans(settings, []countingrule.Rule{rule}),
 	}
-	for range 1200 { // most well within their plan, some at it, some far beyond
+	for range 1200 { // most are well below their plan's rate, some near it, some far above
 		s.demand = append(s.demand, 0.25*math.Exp(0.7*s.random.NormFloat64()))
 		s.nextArrival = append(s.nextArrival, s.now+time.Duration(s.random.ExpFloat64()*4e9))
 	}
@@ -71,12 +71,12 @@
 func (s *simulation) tableValue() countingrule.Table {
 	table, err := countingrule.Decode(s.table.Value)
 	if err != nil {
-		panic(err) // the controller wrote it
+		panic(err) // cannot happen: the controller encoded it
 	}
 	return table
 }
 
-// sums are those of the observations that the leader has received.
+// sums returns the sums of the observations that the leader has received.
 func (s *simulation) sums() map[string]uint64 {
 	received := reported(s.shadows...)
 	for name := range received {
@@ -85,7 +85,8 @@
 	return received
 }
 
-// decide has the controller decide, and the processes follow.
+// decide calls the controller, stores a new table value and starts the shadow evaluations when a
+// trial begins.
 func (s *simulation) decide() {
 	value, write := s.controller.Decide(s.now, coordination.ControllerInput{
 		Sums: s.sums(), LeadingSince: s.ledSince,
@@ -101,28 +102,28 @@
 	}
 }
 
-// startShadows begins the shadow evaluation at each process.
+// startShadows starts a shadow evaluation in each process.
 func (s *simulation) startShadows() {
 	table := s.tableValue()
 	resolved := func(version uint64) *countingrule.Resolved {
 		rule, _ := table.Rule(version)
 		r, err := countingrule.Resolve(rule, s.settings)
 		if err != nil {
-			panic(err) // the simulation's own rules
+			panic(err) // cannot happen with the simulation's rules
 		}
 		return r
 	}
 	old, next := resolved(table.From), resolved(table.To)
 	sample, err := NewSample(old.Rule, next.Rule, table.Seed, canaryConfig().SamplePermille)
 	if err != nil {
-		panic(err) // the controller drew one before
+		panic(err) // cannot happen: the controller has made the same sample
 	}
 	for range 3 {
 		s.shadows = append(s.shadows, NewShadow(sample, old, next, s.settings, table.Seed, 250))
 	}
 }
 
-// advance lets time pass until a moment, or until stop says so.
+// advance simulates until a time is reached or stop returns true.
 func (s *simulation) advance(until time.Duration, stop func() bool) {
 	for ; s.now < until && !stop(); s.now += 250 * time.Millisecond {
 		if s.now%time.Second == 0 {
@@ -145,8 +146,8 @@
 	}
 }
 
-// arrive brings a sampled customer's request to one of the processes. The shadow evaluation's
-// decision stands for the decision module's.
+// handleArrival sends a sampled customer's request to a random process. The decision of the shadow
+// evaluation is used as the actual decision.
 func (s *simulation) arrive(customer int, table *countingrule.Table) {
 	shadow := s.shadows[s.random.IntN(len(s.shadows))]
 	counts := shadow.observations.counts
@@ -169,7 +170,7 @@
 
 func never() bool { return false }
 
-// scaledLimits has a part of the plan's rate and burst.
+// ruleWithScaledLimits returns a rule that multiplies the plan's rate and burst by a factor.
 func scaledLimits(factor float64) countingrule.Rule {
 	return countingrule.Rule{
 		Version: 1, Key: []string{"customer"},
@@ -177,7 +178,7 @@
 	}
 }
 
-// pairedCustomers has two customers share a count.
+// ruleWithPairedCustomers returns a rule under which each pair of customers shares a count.
 func pairedCustomers(rate float64) countingrule.Rule {
 	rule := countingrule.Rule{
 		Version: 1, Key: []string{"group"},
@@ -189,7 +190,7 @@
 	return rule
 }
 
-// weightedClass has a unit of one class count another weight.
+// ruleWithWeightedClass returns a rule with another weight for the units of one class.
 func weightedClass(permille uint64) countingrule.Rule {
 	return countingrule.Rule{
 		Version: 1, Key: []string{"customer"},
@@ -197,6 +198,7 @@
 	}
 }
 
+// candidateRules are the simulated rules by the name that the flag -only takes.
 var changes = map[string]countingrule.Rule{
 	"as it is": scaledLimits(1), "5% more": scaledLimits(1.05), "5% less": scaledLimits(0.95),
 	"10% less": scaledLimits(0.9), "pairs": pairedCustomers(1), "pay 1.05": weightedClass(1050),
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -8,30 +8,33 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// When a trial is evaluated, and of how much.
+// Parameters of a trial's evaluation.
 const (
-	settleDelay      = 10 * time.Second // for counts that begin full, and observations on their way
-	minBucketUnits   = 1000             // thousandths of a unit that a bucket must have requested
-	maxEstimatedPart = 0.25             // of the sampled requests, from 0 to 1, decided without a count
+	// settleDelay is excluded at the start and the end of a trial, at the start of a leadership and
+	// after a switch. Token buckets start full, and observations take time to reach the leader.
+	settleDelay = 10 * time.Second
+
+	minBucketUnits   = 1000 // requested units, in thousandths, below which a bucket is not tested
+	maxEstimatedPart = 0.25 // highest fraction of sampled requests decided without a count, from 0 to 1
 )
 
-// When a switch is watched, and when it is rolled back.
+// Parameters of the watch that follows a switch.
 const (
-	watchInterval   = 10 * time.Second // between two checks of the outcome
-	minWatchedUnits = 200_000          // thousandths of a unit that a check must have requested
-	maxDeviations   = 2                // checks in a row that deviate from the forecast
+	watchInterval   = 10 * time.Second // time between two checks of the outcome
+	minWatchedUnits = 200_000          // requested units, in thousandths, that a check needs
+	maxDeviations   = 2                // consecutive deviations from the forecast that cause a rollback
 )
 
-// When a switch takes effect.
+// Parameters of the time at which a switch takes effect.
 const (
-	maxClockSkew      = 500 * time.Millisecond
-	leadReadWaits     = 2           // waits of a read: most processes hear of a switch under their lease
-	leadClockSkews    = 2           // maxClockSkew: one process ahead, another behind
-	switchGranularity = time.Second // whole seconds of the common clock are easy to find in a log
+	maxClockSkew      = 500 * time.Millisecond // maximum error of a process clock
+	leadReadWaits     = 2                      // multiples of ReadWait; most leases are still valid when the switch is read
+	leadClockSkews    = 2                      // multiples of maxClockSkew: one clock ahead, another behind
+	switchGranularity = time.Second            // switches at whole seconds are easy to find in a log
 )
 
-// The reasons of steps. They are stored in the table, and people and their tools read them: the
-// wording stays.
+// Reasons of the controller's decisions. They are stored in the table, where operators and their
+// tools read them. Their texts must not change. A "cell" is a bucket.
 const (
 	reasonConfig    = "as the file says"
 	reasonOtherRule = "the file names another rule"
@@ -42,19 +45,20 @@
 	reasonDeviation = "%.3f of the units are let in, %.3f were foretold"
 )
 
-// step is one decision of the controller: it changes the table and the trial's state in place.
+// step is one decision of the controller. Its methods change table and trial in place.
 type step struct {
 	config   *countingrule.Config
-	lead     time.Duration // from the decision to its switch, at least
+	lead     time.Duration // minimum time from a decision to its switch
 	now      time.Duration // on the common clock
-	ledFor   time.Duration // since this process began to lead
+	ledFor   time.Duration // time since this process became the leader
 	table    *countingrule.Table
 	trial    *TrialState
-	sums     map[string]uint64 // received by now
-	baseline map[string]uint64 // those that the trial's state has already
+	sums     map[string]uint64 // received so far by this leader
+	baseline map[string]uint64 // sums that the trial's state already contains
 }
 
-// advance makes the step that the table's phase asks for, and tells whether anything changed.
+// advance makes the decision that the table's phase requires. It reports whether the table or the
+// trial's state changed.
 func (s *step) advance() bool {
 	switch s.table.Phase {
 	case countingrule.PhaseIdle:
@@ -66,15 +70,16 @@
 	case countingrule.PhaseRollback:
 		return s.followRollback()
 	default:
-		return false // of a later version
+		return false // phase of a later software version
 	}
 }
 
-// hasSwitched decides whether the switch has come at every process, whatever its clock's skew.
+// hasSwitched reports whether the switch has taken effect at every process with a clock skew of
+// maxClockSkew or less.
 func (s *step) hasSwitched() bool { return s.now >= s.table.SwitchAt+maxClockSkew }
 
-// followActivation watches a rule that has come into force, or rolls it back where the file names
-// the earlier rule again.
+// advanceScheduled watches a rule that has come into force. It rolls the rule back if the
+// configuration names the previous rule again.
 func (s *step) followActivation() bool {
 	if !s.hasSwitched() {
 		return false
@@ -87,7 +92,7 @@
 	return s.watch()
 }
 
-// followRollback ends a rollback once its switch has come.
+// advanceRollback completes a rollback once its switch has taken effect.
 func (s *step) followRollback() bool {
 	if !s.hasSwitched() {
 		return false
@@ -96,14 +101,13 @@
 	return true
 }
 
-// shouldTry decides whether the version that the file names is taken up: it is not in force, and
-// was not refused before.
+// shouldTry reports whether the desired version is neither in force nor refused earlier.
 func (s *step) shouldTry(desired uint64) bool {
 	return desired != s.table.From && !slices.Contains(s.table.Refused, desired)
 }
 
-// startTrial takes up the version that the file names, where there is something to try. A version
-// that was in force just before comes back without a trial.
+// startTrial starts a trial of the version that the configuration names, if shouldTry holds. The
+// version that was in force before the current one returns without a trial, by a rollback.
 func (s *step) startTrial() bool {
 	desired := s.config.DesiredVersion
 	if !s.shouldTry(desired) {
@@ -130,8 +134,8 @@
 	return true
 }
 
-// collectRules leaves in the table the rules in force now and before, and adds the desired one from
-// the file.
+// collectRules reduces the table's rules to the current and the previous one, and adds the desired
+// one from the configuration.
 func (s *step) collectRules(desired uint64) {
 	table := s.table
 	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule countingrule.Rule) bool {
@@ -146,8 +150,9 @@
 	}
 }
 
-// evaluate examines the buckets that are due and gives the verdict where there is one. What is
-// undecided at the deadline is refused.
+// advanceTrial tests the buckets that are due and applies the verdict, if there is one. It refuses
+// a rule that is undecided at the deadline, and ends the trial if the configuration names another
+// version.
 func (s *step) evaluate() bool {
 	switch {
 	case s.config.DesiredVersion != s.table.To:
@@ -158,7 +163,7 @@
 		s.refuse(reasonUndecided)
 		return true
 	case s.ledFor < settleDelay:
-		return false // observations of some processes are still to come
+		return false // a new leader has not yet received the observations of all processes
 	case !s.testBuckets():
 		return false
 	}
@@ -167,8 +172,7 @@
 	return true
 }
 
-// testBuckets adds the buckets that are due to the tests, each once, and tells whether there was
-// one.
+// testDueBuckets adds each bucket that is due to the tests, once. It reports whether there was one.
 func (s *step) testBuckets() (tested bool) {
 	fingerprint := Fingerprint(s.table.Seed)
 	for s.isBucketDue(s.trial.NextBucket) {
@@ -179,8 +183,8 @@
 	return tested
 }
 
-// isBucketDue decides whether a bucket is to be tested by now: the buckets are spread evenly over
-// the trial, without its first and last settleDelay.
+// isBucketDue reports whether the time to test a bucket has come. The tests of the buckets are
+// spread evenly over the trial, except for its first and last settleDelay.
 func (s *step) isBucketDue(bucket int) bool {
 	tested := s.table.Canary.Deadline() - settleDelay - settleDelay
 	interval := tested / Buckets
@@ -188,8 +192,8 @@
 	return bucket < Buckets && s.now >= firstAt+time.Duration(bucket)*interval
 }
 
-// conclude decides the verdict: it refuses a rule that exceeds a bound, and schedules a rule that
-// is harmless. Else the trial goes on.
+// applyVerdict refuses a rule that exceeds a bound and schedules a rule that is harmless. Otherwise
+// the trial continues.
 func (s *step) conclude() {
 	errorRate := s.table.Canary.ErrorRate()
 	if i, exceeded := s.trial.exceededBound(errorRate); exceeded {
@@ -204,8 +208,9 @@
 	}
 }
 
-// watch compares what is admitted after a switch with the forecast, and rolls the switch back where
-// several checks in a row deviate. It ends after the configured span.
+// watchSwitch compares the fraction of units admitted after a switch with the forecast. It rolls
+// the switch back after maxDeviations consecutive deviations, and keeps the rule if the configured
+// watch time ends first. It reports whether the table or the trial's state changed.
 func (s *step) watch() bool {
 	canary := &s.table.Canary
 	trial := s.trial
--- a/internal/control/countingrule/canary/transitions.go
+++ b/internal/control/countingrule/canary/transitions.go
@@ -7,33 +7,33 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// enter begins a phase.
+// enterPhase starts a phase now.
 func (s *step) enter(phase countingrule.Phase, reason string) {
 	s.table.Phase = phase
 	s.table.Since = s.now
 	s.table.Reason = reason
 }
 
-// returnToIdle ends a trial. The rule in force stays.
+// returnToIdle ends a trial and leaves the current rule in force.
 func (s *step) returnToIdle(reason string) {
 	s.enter(countingrule.PhaseIdle, reason)
 	s.table.To = s.table.From
 }
 
-// refuse ends a trial for good: the version is not tried again.
+// refuseVersion ends a trial and excludes its version from later trials.
 func (s *step) refuse(reason string) {
 	s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
 	s.returnToIdle(reason)
 }
 
-// rollBack undoes a switch by a switch the other way.
+// startRollback schedules a switch back to the previous rule.
 func (s *step) rollBack(reason string) {
 	s.enter(countingrule.PhaseRollback, reason)
 	s.table.From, s.table.To = s.table.To, s.table.From
 	s.table.SwitchAt = s.switchTime()
 }
 
-// finish ends a switch: the rule that it brought into force stays.
+// completeSwitch returns to idle with the rule that the switch brought into force.
 func (s *step) finish(reason string) {
 	*s.table = countingrule.Table{
 		Phase:    countingrule.PhaseIdle,
@@ -48,8 +48,8 @@
 	*s.trial = TrialState{}
 }
 
-// switchTime decides when a switch takes effect: at the first whole second of the common clock that
-// is the lead away or more.
+// nextSwitchTime returns the first whole second on the common clock that is at least switchDelay
+// away.
 func (s *step) switchTime() time.Duration {
 	return (s.now + s.lead + switchGranularity - 1) / switchGranularity * switchGranularity
 }
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -10,7 +10,7 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// The tests of a trial, by their index in TrialState.Tests.
+// Bounds that a trial tests, as indexes into TrialState.Tests.
 const (
 	testRejected = iota
 	testAdmitted
@@ -18,32 +18,34 @@
 	testCount
 )
 
-// bounds name the tests by the keys of their bounds in the operators' file.
+// boundKeys are the keys of the bounds in the operators' file. They also appear in reasons.
 var bounds = [testCount]string{
 	testRejected:  "rejected",
 	testAdmitted:  "let_in",
 	testOverLimit: "beyond",
 }
 
-// TrialState is what a trial has shown so far. It is stored in the table: it must outlive a leader.
+// TrialState is the progress of a trial and of the watch after its switch. It is stored in the
+// table, so that a new leader can continue.
 type TrialState struct {
-	NextBucket int                    `cbor:"1,keyasint"` // the bucket to be tested next
+	NextBucket int                    `cbor:"1,keyasint"` // index of the bucket to test next
 	Tests      [testCount]BettingTest `cbor:"2,keyasint"`
-	// Sums are those of the canary's observations over all leaders, without its buckets.
+	// Sums are the canary's observations accumulated over all leaders, except those by bucket.
+	// Their names lack the canary's prefix.
 	Sums           map[string]uint64 `cbor:"3,keyasint"`
-	Forecast       float64           `cbor:"4,keyasint"` // part of the units, from 0 to 1
-	Observed       float64           `cbor:"5,keyasint"` // the part up to the latest check
-	Checks         int               `cbor:"6,keyasint"` // since the switch
-	Deviations     int               `cbor:"7,keyasint"` // checks in a row off the forecast
-	RequestedUnits uint64            `cbor:"8,keyasint"` // thousandths up to the latest check
-	AdmittedUnits  uint64            `cbor:"9,keyasint"`
+	Forecast       float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, from 0 to 1
+	Observed       float64           `cbor:"5,keyasint"` // fraction admitted between the latest two measurements
+	Checks         int               `cbor:"6,keyasint"` // watch intervals that have passed since the switch
+	Deviations     int               `cbor:"7,keyasint"` // consecutive checks that deviate from the forecast
+	RequestedUnits uint64            `cbor:"8,keyasint"` // total at the latest measurement, in thousandths
+	AdmittedUnits  uint64            `cbor:"9,keyasint"` // total at the latest measurement, in thousandths
 }
 
-// bucketOutcome is what both rules admitted of a bucket's requests over its time, in thousandths of
-// a unit.
+// bucketOutcome is the outcome of a bucket's requests according to the observations that this
+// leader has received, in thousandths of a unit.
 type bucketOutcome struct{ requested, oldOnly, newOnly, overLimit float64 }
 
-// readBucket gives a bucket's outcome by the observations of a canary.
+// readBucket returns the outcome of a bucket from the observations of a canary.
 func readBucket(sums map[string]uint64, fingerprint string, bucket int) bucketOutcome {
 	units := func(name string) float64 { return float64(sums[bucketName(fingerprint, bucket, name)]) }
 	return bucketOutcome{
@@ -54,8 +56,9 @@
 	}
 }
 
-// addBucket adds a bucket to the tests, where enough was requested. A key at its limit is admitted
-// by turns under either rule: only the difference that remains over the bucket's time counts.
+// addBucket adds a bucket to the tests if it has minBucketUnits or more. At the limit of a key the
+// two rules may admit different requests of it, even if they admit the same number. Only the net
+// difference over the bucket's requests counts.
 func (s *TrialState) addBucket(canary *countingrule.CanaryConfig, bucket bucketOutcome) {
 	if bucket.requested < minBucketUnits {
 		return
@@ -65,8 +68,9 @@
 	s.Tests[testOverLimit].Add(bucket.overLimit/bucket.requested, canary.OverLimitBound())
 }
 
-// exceededBound decides which bound the rule is found to exceed, and false where it is none. Each
-// test has its part of the error rate, from 0 to 1, as any of them refuses the rule.
+// exceededBound returns the index of the first bound that the rule exceeds, or false if there is
+// none. The error rate, from 0 to 1, is divided evenly among the tests because each of them alone
+// can refuse the rule.
 func (s *TrialState) exceededBound(errorRate float64) (test int, exceeded bool) {
 	for i := range s.Tests {
 		if s.Tests[i].IsAbove(errorRate / testCount) {
@@ -76,8 +80,9 @@
 	return 0, false
 }
 
-// isHarmless decides whether the rule may come into force: each test finds it below its bound, with
-// an error rate from 0 to 1, and enough requests were evaluated by a count.
+// isHarmless reports whether the rule may come into force: every test finds it below its bound at
+// the error rate, from 0 to 1, and few enough requests were decided without a count. Tests need no
+// share of the error rate here because all of them must pass.
 func (s *TrialState) isHarmless(errorRate float64) bool {
 	if float64(s.Sums[nameEstimated]) > maxEstimatedPart*float64(s.Sums[nameRequests]) {
 		return false
@@ -90,8 +95,9 @@
 	return true
 }
 
-// forecast is the part of the units, from 0 to 1, that the new rule will admit: what the old rule
-// admitted, times what the shadow evaluation admits by the new rule relative to the old.
+// forecastAdmitted returns the fraction of units, from 0 to 1, that the new rule is expected to
+// admit. It scales the fraction actually admitted under the old rule by the ratio of the units that
+// the new and the old rule admit in the shadow evaluation.
 func (s *TrialState) forecast(old uint64) float64 {
 	byOldRule := float64(s.Sums[nameBoth] + s.Sums[nameOldOnly])
 	byNewRule := float64(s.Sums[nameBoth] + s.Sums[nameNewOnly])
@@ -99,15 +105,15 @@
 	return min(float64(admitted)/float64(max(requested, 1))*byNewRule/max(byOldRule, 1), 1)
 }
 
-// actualUnits are the units of the sample's requests that came under a version, in thousandths:
-// requested and forwarded.
+// actualUnits returns the units, in thousandths, that sampled requests requested under a version,
+// and those of them that were forwarded.
 func (s *TrialState) actualUnits(version uint64) (requested, admitted uint64) {
 	prefix := actualPrefix(version)
 	return s.Sums[observation.JoinName(prefix, nameRequested)], s.Sums[observation.JoinName(prefix, nameAdmitted)]
 }
 
-// observe updates the observed part by what came under a version since the latest check that it
-// used, and tells whether enough was requested for that.
+// updateObserved measures the fraction of units admitted under a version since the latest
+// measurement. It returns false and changes nothing if fewer than minWatchedUnits were requested.
 func (s *TrialState) observe(version uint64) bool {
 	requested, admitted := s.actualUnits(version)
 	if requested-s.RequestedUnits < minWatchedUnits {
@@ -119,7 +125,8 @@
 	return true
 }
 
-// accumulate adds to the sums what was counted since the baseline.
+// addSums adds the increase of the canary's sums since the baseline. It replaces the map instead of
+// changing it.
 func (s *TrialState) accumulate(fingerprint string, baseline, sums map[string]uint64) {
 	prefix := observation.JoinName(nameCanary, fingerprint, "")
 	bucketPrefix := observation.JoinName(nameBucket, "")
--- a/internal/control/countingrule/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -13,22 +13,22 @@
 )
 
 var (
-	full = flag.Bool("full", false, "1,000 harmless and 1,000 harmful changes in place of a few")
-	only = flag.String("only", "", "the change that is simulated alone with -full")
+	full = flag.Bool("full", false, "simulate 1,000 trials or more of harmless and of harmful rules each, not a few")
+	only = flag.String("only", "", "name of the only rule to simulate, with -full")
 )
 
-// quickChanges are those of a short test.
+// quickCandidates are the rules simulated without -full.
 var quickChanges = []string{"as it is", "pairs", "half", "poor pairs"}
 
-// trueMeans are a change's means of each figure over many buckets at the end of a canary, none of
-// them tested before.
+// trueMeans estimates the true mean of each tested value for a rule, by the bound's index. It
+// averages over all buckets after the first 75 seconds of canaries.
 func trueMeans(rule countingrule.Rule, runs uint64) (means [len(bounds)]float64) {
 	buckets, canary := 0.0, canaryConfig()
 	for seed := range runs {
 		s := newSimulation(rule, 5000+seed)
 		s.decide()
 		undecided := configFor(rule)
-		undecided.Canary.DeadlineSeconds = 86_400 // no verdict
+		undecided.Canary.DeadlineSeconds = 86_400 // the trial keeps its own deadline, which the table holds
 		s.controller.Config = func() *countingrule.Config { return undecided }
 		s.advance(s.now+75*time.Second, never)
 		var state TrialState
@@ -47,7 +47,7 @@
 	return means
 }
 
-// verdicts count what became of trials, and how long they took together.
+// trialResults counts trials by verdict and adds up their durations.
 type verdicts struct {
 	taken, refused, undecided int
 	elapsed                   time.Duration
@@ -60,7 +60,7 @@
 	v.elapsed += more.elapsed
 }
 
-// runTrial simulates one trial to its verdict.
+// runTrial simulates one trial until its verdict.
 func runTrial(rule countingrule.Rule, seed uint64) verdicts {
 	s := newSimulation(rule, seed)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
@@ -76,7 +76,7 @@
 	return v
 }
 
-// runTrials simulates so many trials of a change, a few at a time.
+// runTrials simulates count trials of a rule, up to four concurrently.
 func runTrials(rule countingrule.Rule, count int) (all verdicts) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -95,12 +95,12 @@
 	return all
 }
 
-// Verdicts on drawn changes, harmless and harmful, are wrong at most as often as stated. What stays
-// undecided is refused.
+// At most one in twenty verdicts on harmful rules and on harmless rules may be wrong. Undecided
+// trials are not counted as wrong.
 func TestController_verdictErrorRate(t *testing.T) {
 	names, runsEach, runs := quickChanges, 3, uint64(2)
 	if *full {
-		names, runsEach, runs = slices.Sorted(maps.Keys(changes)), 167, 12 // times six or more of either kind
+		names, runsEach, runs = slices.Sorted(maps.Keys(changes)), 167, 12 // 167 trials of six or more rules of each kind
 	}
 	if *only != "" {
 		names = []string{*only}
@@ -115,17 +115,17 @@
 		} else {
 			harmless.add(got)
 		}
-		t.Logf("%-10s harmful %5v (%.3f %.3f %.3f): taken %d, refused %d, undecided %d, %v in the mean",
+		t.Logf("%-10s harmful %5v (%.3f %.3f %.3f): accepted %d, refused %d, undecided %d, mean duration %v",
 			name, isHarmful, means[0], means[1], means[2], got.taken, got.refused, got.undecided,
 			(got.elapsed / time.Duration(runsEach)).Round(time.Second))
 	}
 	total := func(v verdicts) int { return v.taken + v.refused + v.undecided }
-	t.Logf("harmful taken %d of %d, harmless refused %d of %d; undecided %d and %d", harmful.taken, total(harmful),
+	t.Logf("harmful accepted %d of %d, harmless refused %d of %d; undecided %d and %d", harmful.taken, total(harmful),
 		harmless.refused, total(harmless), harmful.undecided, harmless.undecided)
 	if *only == "" && (harmful.refused == 0 || harmless.taken == 0) {
-		t.Error("no harmful change was refused, or no harmless one taken")
+		t.Error("no harmful rule was refused, or no harmless one accepted")
 	}
 	if harmful.taken*20 > total(harmful) || harmless.refused*20 > total(harmless) {
-		t.Errorf("harmful %+v, harmless %+v: more than one in twenty wrong", harmful, harmless)
+		t.Errorf("harmful %+v, harmless %+v: more than one in twenty verdicts wrong", harmful, harmless)
 	}
 }
