--- a/internal/control/countingrule/canary/bettingtest.go
+++ b/internal/control/countingrule/canary/bettingtest.go
@@ -26,9 +26,9 @@
 	b.Count++
 	b.Sum += value
 	for i := range stakeCount {
-		part := maxStake / float64(int(1)<<i)
-		b.LogWealthBelow[i] += math.Log1p(part / (1 - bound) * (bound - value))
-		b.LogWealthAbove[i] += math.Log1p(part / bound * (value - bound))
+		stake := maxStake / float64(int(1)<<i)
+		b.LogWealthBelow[i] += math.Log1p(stake / (1 - bound) * (bound - value))
+		b.LogWealthAbove[i] += math.Log1p(stake / bound * (value - bound))
 	}
 }
 
@@ -39,19 +39,19 @@
 // false positive. The highest stake starts with half of the wealth, the next with a quarter and so
 // on, because most buckets are expected to have the value 0, from which high stakes gain the most.
 func (b *BettingTest) IsBelow(alpha float64) bool {
-	mean := 0.0
+	wealth := 0.0
 	for i, logWealth := range b.LogWealthBelow {
-		mean += math.Exp(min(logWealth, maxExponent)) / float64(int(1)<<(i+1))
+		wealth += math.Exp(min(logWealth, maxExponent)) / float64(int(1)<<(i+1))
 	}
-	return mean >= 1/alpha
+	return wealth >= 1/alpha
 }
 
 // IsAbove reports whether the mean is above the bound, with a probability of at most alpha for a
 // false positive. All stakes start with an equal share of the wealth.
 func (b *BettingTest) IsAbove(alpha float64) bool {
-	mean := 0.0
+	wealth := 0.0
 	for _, logWealth := range b.LogWealthAbove {
-		mean += math.Exp(min(logWealth, maxExponent)) / stakeCount
+		wealth += math.Exp(min(logWealth, maxExponent)) / stakeCount
 	}
-	return mean >= 1/alpha
+	return wealth >= 1/alpha
 }
--- a/internal/control/countingrule/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -28,10 +28,10 @@
 
 // startCall returns a call that adds a key's pending units and reads its count. shadowed is the
 // request to decide by the count, or nil for a flush.
-func (s *Shadow) startCall(i int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
+func (s *Shadow) startCall(side int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
 	window := countingrule.WindowAt(state.key, &state.plan, now)
 	call := s.send(outstandingCall{
-		side: i, state: state, window: window, sentAt: now,
+		side: side, state: state, window: window, sentAt: now,
 		units: state.pending, request: shadowed,
 	})
 	state.pending = 0
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -80,12 +80,12 @@
 // sums received so far are assumed to be contained. This prevents an observation from being counted
 // twice.
 func (c *Controller) updateBaseline(entry statemachine.Table, input coordination.ControllerInput) {
-	leadsOn := input.LeadingSince == c.ledSince
-	if leadsOn && entry.Epoch == c.epoch && c.baseline != nil {
+	sameLeadership := input.LeadingSince == c.ledSince
+	if sameLeadership && entry.Epoch == c.epoch && c.baseline != nil {
 		return
 	}
 	c.baseline = input.Sums
-	if leadsOn && c.latest.sums != nil && bytes.Equal(entry.Value, c.latest.value) {
+	if sameLeadership && c.latest.sums != nil && bytes.Equal(entry.Value, c.latest.value) {
 		c.baseline = c.latest.sums
 	}
 	c.epoch = entry.Epoch
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -121,19 +121,19 @@
 }
 
 // trackKeys updates the counts of merged and split keys by a request's key under each rule.
-func (o *observations) trackKeys(old, next uint64) {
-	track := func(others map[uint64]uint64, key, other uint64, name string) {
-		known, ok := others[key]
+func (o *observations) trackKeys(oldKey, newKey uint64) {
+	track := func(firstOther map[uint64]uint64, key, other uint64, name string) {
+		known, ok := firstOther[key]
 		switch {
-		case !ok && len(others) < maxTrackedKeys:
-			others[key] = other
+		case !ok && len(firstOther) < maxTrackedKeys:
+			firstOther[key] = other
 		case ok && known != severalKeys && known != other:
-			others[key] = severalKeys
+			firstOther[key] = severalKeys
 			o.counts[name]++
 		}
 	}
-	track(o.mergedFrom, next, old, nameMergedKeys)
-	track(o.splitInto, old, next, nameSplitKeys)
+	track(o.mergedFrom, newKey, oldKey, nameMergedKeys)
+	track(o.splitInto, oldKey, newKey, nameSplitKeys)
 }
 
 // actualPrefix returns the prefix of the observations of the actual outcome under a version.
--- a/internal/control/countingrule/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -45,15 +45,15 @@
 // NewSample returns the sample for two rules, with the given permille of the components. All
 // processes that pass the same seed get the same sample. The error is ErrMixedGroups or
 // ErrMasksApart if the rules' components cannot be determined or are too few.
-func NewSample(old, next countingrule.Rule, seed, permille uint64) (*Sample, error) {
+func NewSample(oldRule, newRule countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{
 		seed:      seed,
 		threshold: math.MaxUint64 / countingrule.PermilleScale * permille,
 		mask:      math.MaxUint64,
 		parents:   map[uint64]uint64{},
 	}
-	listed := false
-	for _, rule := range []countingrule.Rule{old, next} {
+	hasListedGroups := false
+	for _, rule := range []countingrule.Rule{oldRule, newRule} {
 		if rule.IsPerCustomer() {
 			continue
 		}
@@ -63,14 +63,14 @@
 			sample.mask &= rule.Mask
 			continue
 		}
-		listed = true
+		hasListedGroups = true
 		for _, group := range rule.Groups {
 			for _, customer := range group.Customers {
 				sample.union(group.Customers[0], customer)
 			}
 		}
 	}
-	if listed && sample.mask != math.MaxUint64 {
+	if hasListedGroups && sample.mask != math.MaxUint64 {
 		return nil, ErrMixedGroups
 	}
 	if bits.OnesCount64(sample.mask) < minSharedBits {
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -66,7 +66,7 @@
 // NewShadow returns a shadow evaluation of two rules. seed is the seed of the canary. callsPermille
 // is the share of the gateway's calls to the counter that the evaluation may make in addition.
 func NewShadow(
-	sample *Sample, old, next *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64,
+	sample *Sample, oldRule, newRule *countingrule.Resolved, settings policy.Settings, seed, callsPermille uint64,
 ) *Shadow {
 	s := &Shadow{
 		observations: newObservations(Fingerprint(seed)),
@@ -78,15 +78,15 @@
 	for i := range s.sides {
 		s.sides[i].keys = map[uint64]*keyState{}
 	}
-	s.Reconfigure(old, next, settings)
+	s.Reconfigure(oldRule, newRule, settings)
 	return s
 }
 
 // Reconfigure replaces the settings and the same two rules resolved against them. Classes and plans
 // must keep their indexes.
-func (s *Shadow) Reconfigure(old, next *countingrule.Resolved, settings policy.Settings) {
-	s.sides[oldSide].rule = old
-	s.sides[newSide].rule = next
+func (s *Shadow) Reconfigure(oldRule, newRule *countingrule.Resolved, settings policy.Settings) {
+	s.sides[oldSide].rule = oldRule
+	s.sides[newSide].rule = newRule
 	s.plans = settings.Plans
 	s.observations.setNames(settings)
 }
@@ -155,9 +155,9 @@
 
 // openKey returns the state of a key on a side and creates it if needed. It returns nil if the side
 // has maxKeys keys already.
-func (s *Shadow) openKey(i int, assignment countingrule.Assignment, now time.Duration) *keyState {
-	keys := s.sides[i].keys
-	key := countingrule.Hash(s.seed, uint64(i), assignment.Version, assignment.Key)
+func (s *Shadow) openKey(side int, assignment countingrule.Assignment, now time.Duration) *keyState {
+	keys := s.sides[side].keys
+	key := countingrule.Hash(s.seed, uint64(side), assignment.Version, assignment.Key)
 	state := keys[key]
 	if state == nil {
 		if len(keys) >= maxKeys {
@@ -174,14 +174,14 @@
 
 // decideOnSide decides whether one side admits a request, given the units that remain for its key
 // before pending units are subtracted. It records the request once both sides have decided.
-func (s *Shadow) decide(i int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
+func (s *Shadow) decide(side int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
 	request := &shadowed.request
-	assignment := s.sides[i].rule.Assign(request.Customer, request.Class, request.Plan)
+	assignment := s.sides[side].rule.Assign(request.Customer, request.Class, request.Plan)
 	units := request.Units * assignment.Weight
 	if remaining-state.pending >= units {
-		shadowed.admitted[i] = true
+		shadowed.admitted[side] = true
 		state.pending += units
-		s.sides[i].scheduleFlush(state, now)
+		s.sides[side].scheduleFlush(state, now)
 	}
 	shadowed.pending--
 	if shadowed.pending == 0 {
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -27,10 +27,14 @@
 
 // Parameters of the time at which a switch takes effect.
 const (
-	maxClockSkew      = 500 * time.Millisecond // maximum error of a process clock
-	leadReadWaits     = 2                      // multiples of ReadWait; most leases are still valid when the switch is read
-	leadClockSkews    = 2                      // multiples of maxClockSkew: one clock ahead, another behind
-	switchGranularity = time.Second            // switches at whole seconds are easy to find in a log
+	maxClockSkew = 500 * time.Millisecond // maximum error of a process clock
+
+	// switchDelayReadWaits is in multiples of ReadWait. Most processes learn of a switch while their lease
+	// is valid.
+	leadReadWaits = 2
+
+	leadClockSkews    = 2           // multiples of maxClockSkew: one clock ahead, another behind
+	switchGranularity = time.Second // switches at whole seconds are easy to find in a log
 )
 
 // Reasons of the controller's decisions. They are stored in the table, where operators and their
@@ -121,11 +125,11 @@
 		table.SwitchAt = s.switchTime()
 		return true
 	}
-	next, _ := table.Rule(desired)
-	old, _ := table.Rule(table.From)
+	newRule, _ := table.Rule(desired)
+	oldRule, _ := table.Rule(table.From)
 	table.Seed = countingrule.Hash(desired, uint64(s.now))
 	table.Canary = s.config.Canary
-	if _, err := NewSample(old, next, table.Seed, table.Canary.SamplePermille); err != nil {
+	if _, err := NewSample(oldRule, newRule, table.Seed, table.Canary.SamplePermille); err != nil {
 		s.refuse(err.Error())
 		return true
 	}
@@ -186,8 +190,8 @@
 // isBucketDue reports whether the time to test a bucket has come. The tests of the buckets are
 // spread evenly over the trial, except for its first and last settleDelay.
 func (s *step) isBucketDue(bucket int) bool {
-	tested := s.table.Canary.Deadline() - settleDelay - settleDelay
-	interval := tested / Buckets
+	testDuration := s.table.Canary.Deadline() - settleDelay - settleDelay
+	interval := testDuration / Buckets
 	firstAt := s.table.Since + settleDelay + interval
 	return bucket < Buckets && s.now >= firstAt+time.Duration(bucket)*interval
 }
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -98,10 +98,10 @@
 // forecastAdmitted returns the fraction of units, from 0 to 1, that the new rule is expected to
 // admit. It scales the fraction actually admitted under the old rule by the ratio of the units that
 // the new and the old rule admit in the shadow evaluation.
-func (s *TrialState) forecast(old uint64) float64 {
+func (s *TrialState) forecast(oldVersion uint64) float64 {
 	byOldRule := float64(s.Sums[nameBoth] + s.Sums[nameOldOnly])
 	byNewRule := float64(s.Sums[nameBoth] + s.Sums[nameNewOnly])
-	requested, admitted := s.actualUnits(old)
+	requested, admitted := s.actualUnits(oldVersion)
 	return min(float64(admitted)/float64(max(requested, 1))*byNewRule/max(byOldRule, 1), 1)
 }
 
@@ -135,9 +135,9 @@
 		accumulated = map[string]uint64{}
 	}
 	for name, n := range sums {
-		short, ok := strings.CutPrefix(name, prefix)
-		if ok && !strings.HasPrefix(short, bucketPrefix) && n > baseline[name] {
-			accumulated[short] += n - baseline[name]
+		shortName, ok := strings.CutPrefix(name, prefix)
+		if ok && !strings.HasPrefix(shortName, bucketPrefix) && n > baseline[name] {
+			accumulated[shortName] += n - baseline[name]
 		}
 	}
 	s.Sums = accumulated
