--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -29,8 +29,8 @@
 const (
 	maxClockSkew = 500 * time.Millisecond // maximum error of a process clock
 
-	// switchDelayReadWaits is in multiples of ReadWait. Most processes learn of a switch while their lease
-	// is valid.
+	// switchDelayReadWaits is in multiples of ReadWait. Most processes learn of a switch while
+	// their lease is valid.
 	leadReadWaits = 2
 
 	leadClockSkews    = 2           // multiples of maxClockSkew: one clock ahead, another behind
