--- a/internal/control/countingrule/canary/bettingtest.go
+++ b/internal/control/countingrule/canary/bettingtest.go
@@ -14,9 +14,9 @@
 }
 
 const (
-	stakeCount  = 8    // each stake is half of the one before
-	maxStake    = 0.95 // fraction of the wealth at risk at the highest stake; at 1, one value could lose all of it
-	maxExponent = 600  // cap that exceeds log(1/alpha) for any alpha in use and whose exponential is finite
+	stakeCount   = 8    // each stake is half of the one before
+	maxStake     = 0.95 // fraction of the wealth at risk at the highest stake; at 1, one value could lose all of it
+	maxLogWealth = 600  // cap that exceeds log(1/alpha) for any alpha in use and whose exponential is finite
 )
 
 // Add bets on a value from 0 to 1 against a bound between 0 and 1, exclusively. Values outside of
@@ -37,11 +37,11 @@
 
 // IsBelow reports whether the mean is below the bound, with a probability of at most alpha for a
 // false positive. The highest stake starts with half of the wealth, the next with a quarter and so
-// on, because most buckets are expected to have the value 0, from which high stakes gain the most.
+// on: most buckets are expected to have the value 0, and a high stake gains the most on it.
 func (b *BettingTest) IsBelow(alpha float64) bool {
 	wealth := 0.0
 	for i, logWealth := range b.LogWealthBelow {
-		wealth += math.Exp(min(logWealth, maxExponent)) / float64(int(1)<<(i+1))
+		wealth += math.Exp(min(logWealth, maxLogWealth)) / float64(int(1)<<(i+1))
 	}
 	return wealth >= 1/alpha
 }
@@ -51,7 +51,7 @@
 func (b *BettingTest) IsAbove(alpha float64) bool {
 	wealth := 0.0
 	for _, logWealth := range b.LogWealthAbove {
-		wealth += math.Exp(min(logWealth, maxExponent)) / stakeCount
+		wealth += math.Exp(min(logWealth, maxLogWealth)) / stakeCount
 	}
 	return wealth >= 1/alpha
 }
--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -7,7 +7,7 @@
 
 // countFalseDecisions runs tests on values whose mean equals the bound. It counts the tests that
 // ever report a mean below the bound, and those that ever report a mean above it.
-func errorsAtTheBound(runs uint64, bound, alpha float64, draw func(*rand.Rand) float64) (below, above int) {
+func countFalseDecisions(runs uint64, bound, alpha float64, draw func(*rand.Rand) float64) (below, above int) {
 	for seed := range runs {
 		random, betting := rand.New(rand.NewPCG(seed, 9)), BettingTest{}
 		isAbove, isBelow := false, false
@@ -40,7 +40,7 @@
 		{"uniform", func(random *rand.Rand) float64 { return 2 * bound * random.Float64() }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			falselyBelow, falselyAbove := errorsAtTheBound(runs, bound, alpha, test.draw)
+			falselyBelow, falselyAbove := countFalseDecisions(runs, bound, alpha, test.draw)
 			t.Logf("of %d tests at the bound, %d reported below, %d above", runs, falselyBelow, falselyAbove)
 			if falselyBelow > maxErrors || falselyAbove > maxErrors {
 				t.Errorf("%d false reports below and %d above, want at most %d each", falselyBelow, falselyAbove, maxErrors)
--- a/internal/control/countingrule/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -17,13 +17,13 @@
 
 // outstandingCall is a call whose answer has not arrived.
 type outstandingCall struct {
-	side          int
-	state         *keyState
-	window        countingrule.Window // window that is read
-	sentAt        time.Duration       // time of the count: when the call was sent, or the end of the previous window
-	units         float64             // units added by the call
-	request       *shadowRequest      // request to decide by the count; nil for a flush
-	readsPrevious bool                // the count is for the deficit of the previous window
+	side                int
+	state               *keyState
+	window              countingrule.Window // window that is read
+	asOf                time.Duration       // time of the count: when the call was sent, or the end of the previous window
+	units               float64             // units added by the call
+	request             *shadowRequest      // request to decide by the count, or nil for a flush
+	readsPreviousWindow bool                // the count is for the deficit of the previous window
 }
 
 // startCall returns a call that adds a key's pending units and reads its count. shadowed is the
@@ -31,10 +31,10 @@
 func (s *Shadow) startCall(side int, state *keyState, now time.Duration, shadowed *shadowRequest) Call {
 	window := countingrule.WindowAt(state.key, &state.plan, now)
 	call := s.send(outstandingCall{
-		side: side, state: state, window: window, sentAt: now,
-		units: state.pending, request: shadowed,
+		side: side, state: state, window: window, asOf: now,
+		units: state.pendingUnits, request: shadowed,
 	})
-	state.pending = 0
+	state.pendingUnits = 0
 	state.flushAt = noFlush
 	return call
 }
@@ -43,20 +43,23 @@
 func (s *Shadow) readPreviousWindow(call outstandingCall) Call {
 	end := call.window.Start - 1
 	window := countingrule.WindowAt(call.state.key, &call.state.plan, end)
-	return s.send(outstandingCall{side: call.side, state: call.state, window: window, sentAt: end, readsPrevious: true})
+	return s.send(outstandingCall{
+		side: call.side, state: call.state, window: window, asOf: end,
+		readsPreviousWindow: true,
+	})
 }
 
 // send registers a call as outstanding, spends budget on it and returns it.
 func (s *Shadow) send(call outstandingCall) Call {
-	s.spend(call.side)
-	s.lastID++
-	s.outstanding[s.lastID] = call
-	return Call{Name: call.window.Name, Units: call.units, TTL: call.window.TTL, ID: s.lastID}
+	s.spendCall(call.side)
+	s.lastCallID++
+	s.outstanding[s.lastCallID] = call
+	return Call{Name: call.window.Name, Units: call.units, TTL: call.window.TTL, ID: s.lastCallID}
 }
 
 // spendCall takes one call from a side's budget and counts it.
-func (s *Shadow) spend(side int) {
-	s.sides[side].budget--
+func (s *Shadow) spendCall(side int) {
+	s.sides[side].callBudget--
 	s.observations.calls++
 }
 
@@ -72,45 +75,45 @@
 	delete(s.outstanding, id)
 	switch {
 	case !answered:
-		s.handleMissingCount(now, call)
+		s.handleFailedCall(now, call)
 		return nil
-	case call.readsPrevious:
+	case call.readsPreviousWindow:
 		return s.carryOver(call, now, count)
 	default:
-		return s.handleRead(now, call, count)
+		return s.handleWindowCount(now, call, count)
 	}
 }
 
 // handleFailedCall makes the units of a call pending again and decides its request by an estimate.
-func (s *Shadow) handleMissingCount(now time.Duration, call outstandingCall) {
-	if call.readsPrevious {
+func (s *Shadow) handleFailedCall(now time.Duration, call outstandingCall) {
+	if call.readsPreviousWindow {
 		return
 	}
 	state := call.state
-	remaining := state.estimate(now)
-	state.pending += call.units
-	if state.pending > 0 {
+	remaining := state.estimateRemaining(now)
+	state.pendingUnits += call.units
+	if state.pendingUnits > 0 {
 		s.sides[call.side].scheduleFlush(state, now)
 	}
 	if call.request != nil {
 		call.request.estimated = true
-		s.decide(call.side, state, call.request, now, remaining)
+		s.decideOnSide(call.side, state, call.request, now, remaining)
 	}
 }
 
 // handleWindowCount decides the request of a call by the count that was read. If the window had no
 // units before the call, it returns a call that reads the previous window.
-func (s *Shadow) handleRead(now time.Duration, call outstandingCall, count float64) (calls []Call) {
+func (s *Shadow) handleWindowCount(now time.Duration, call outstandingCall, count float64) (calls []Call) {
 	state := call.state
-	remaining := state.observe(call.window, call.sentAt, count)
-	call.measureOverLimit(count)
+	remaining := state.updateFromCount(call.window, call.asOf, count)
+	call.recordOverLimit(count)
 	isUntouched := count <= call.units
-	if isUntouched && state.carriedWindow != call.window.Index {
-		state.carriedWindow = call.window.Index
+	if isUntouched && state.carryOverWindow != call.window.Index {
+		state.carryOverWindow = call.window.Index
 		calls = append(calls, s.readPreviousWindow(call))
 	}
 	if call.request != nil {
-		s.decide(call.side, state, call.request, now, remaining)
+		s.decideOnSide(call.side, state, call.request, now, remaining)
 	}
 	return calls
 }
@@ -119,22 +122,22 @@
 // window. It returns nil if there is no deficit.
 func (s *Shadow) carryOver(call outstandingCall, now time.Duration, count float64) []Call {
 	state := call.state
-	deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.sentAt, count)
+	deficit := state.plan.Burst - countingrule.Remaining(&state.plan, call.window, call.asOf, count)
 	if deficit <= 0 {
 		return nil
 	}
-	s.spend(call.side)
+	s.spendCall(call.side)
 	window := countingrule.WindowAt(state.key, &state.plan, now)
 	return []Call{{Name: window.Name, Units: deficit, TTL: window.TTL}}
 }
 
 // recordOverLimit records the units that a call added beyond the new rule's limit. They were
 // admitted because counts lag behind admissions.
-func (c *outstandingCall) measureOverLimit(count float64) {
+func (c *outstandingCall) recordOverLimit(count float64) {
 	if c.side != newSide || c.request == nil {
 		return
 	}
-	limit := c.state.plan.Burst + c.state.plan.Rate*(c.sentAt-c.window.Start).Seconds()
+	limit := c.state.plan.Burst + c.state.plan.Rate*(c.asOf-c.window.Start).Seconds()
 	c.request.overLimit = min(max(count-limit, 0), c.units)
 }
 
@@ -142,17 +145,17 @@
 // allows, and removes unused keys. It does nothing within flushInterval of the previous flush. The
 // caller must make the returned calls.
 func (s *Shadow) Flush(now time.Duration) (calls []Call) {
-	if now < s.sweptAt+sweepInterval {
+	if now < s.lastFlushAt+flushInterval {
 		return nil
 	}
-	s.sweptAt = now
+	s.lastFlushAt = now
 	for i := range s.sides {
 		side := &s.sides[i]
 		queued := side.flushQueue[:0]
 		for _, state := range side.flushQueue {
 			switch {
 			case !state.isFlushScheduled(): // a request's call has added the units
-			case now >= state.flushAt && side.budget >= 1:
+			case now >= state.flushAt && side.callBudget >= 1:
 				calls = append(calls, s.startCall(i, state, now, nil))
 			default:
 				queued = append(queued, state)
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -19,10 +19,10 @@
 	ReadWait    time.Duration               // longest time that a read waits for a new table value
 	ClockOrigin time.Duration               // time on the common clock at which the clock of Decide was 0
 
-	epoch    uint64            // epoch of the entry that baseline belongs to
-	ledSince time.Duration     // LeadingSince of the latest call of Decide
-	baseline map[string]uint64 // sums that the entry's TrialState.Sums already contain
-	latest   proposal
+	baselineEpoch  uint64            // epoch of the entry that baseline belongs to
+	leadingSince   time.Duration     // LeadingSince of the latest call of Decide
+	baseline       map[string]uint64 // sums that the entry's TrialState.Sums already contain
+	latestProposal proposal
 }
 
 // proposal is the latest value returned by Decide and the sums that it was computed from. Both are
@@ -58,21 +58,21 @@
 	}
 	config := c.Config()
 	s := step{
-		config:   config,
-		lead:     c.switchLead(config),
-		now:      c.ClockOrigin + now,
-		ledFor:   now - input.LeadingSince,
-		table:    &table,
-		trial:    &trial,
-		sums:     input.Sums,
-		baseline: c.baseline,
+		config:      config,
+		switchDelay: c.switchDelay(config),
+		now:         c.ClockOrigin + now,
+		leadingFor:  now - input.LeadingSince,
+		table:       &table,
+		trial:       &trial,
+		sums:        input.Sums,
+		baseline:    c.baseline,
 	}
 	if !s.advance() {
 		return nil, false
 	}
 	table.TrialState = trial.encode()
-	c.latest = proposal{value: table.Encode(), sums: input.Sums}
-	return c.latest.value, true
+	c.latestProposal = proposal{value: table.Encode(), sums: input.Sums}
+	return c.latestProposal.value, true
 }
 
 // updateBaseline sets the baseline when the entry or the leadership has changed. If the entry is
@@ -80,21 +80,21 @@
 // sums received so far are assumed to be contained. This prevents an observation from being counted
 // twice.
 func (c *Controller) updateBaseline(entry statemachine.Table, input coordination.ControllerInput) {
-	sameLeadership := input.LeadingSince == c.ledSince
-	if sameLeadership && entry.Epoch == c.epoch && c.baseline != nil {
+	sameLeadership := input.LeadingSince == c.leadingSince
+	if sameLeadership && entry.Epoch == c.baselineEpoch && c.baseline != nil {
 		return
 	}
 	c.baseline = input.Sums
-	if sameLeadership && c.latest.sums != nil && bytes.Equal(entry.Value, c.latest.value) {
-		c.baseline = c.latest.sums
+	if sameLeadership && c.latestProposal.sums != nil && bytes.Equal(entry.Value, c.latestProposal.value) {
+		c.baseline = c.latestProposal.sums
 	}
-	c.epoch = entry.Epoch
-	c.ledSince = input.LeadingSince
+	c.baselineEpoch = entry.Epoch
+	c.leadingSince = input.LeadingSince
 }
 
 // switchDelay returns the minimum time from a decision to its switch. Within this time every
 // process has either received the decision or found its lease expired: a lease that ends more than
 // one lease duration from now was granted by a read that returned the decision.
-func (c *Controller) switchLead(config *countingrule.Config) time.Duration {
-	return c.Lease + leadReadWaits*c.ReadWait + leadClockSkews*maxClockSkew + config.Canary.ExtraLead()
+func (c *Controller) switchDelay(config *countingrule.Config) time.Duration {
+	return c.Lease + switchDelayReadWaits*c.ReadWait + switchDelayClockSkews*maxClockSkew + config.Canary.ExtraLead()
 }
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -16,79 +16,80 @@
 )
 
 // eventGenerator draws a controller's input: observations, new leaders and new configurations.
-type history struct {
-	config           *countingrule.Config
-	controller, twin *Controller // both get the same events
-	now, since       time.Duration
-	entry            statemachine.Table
-	sums             map[string]uint64
-	harmUnits        uint64 // of the 1000 units of a bucket, admitted only by the old rule
+type eventGenerator struct {
+	config                *countingrule.Config
+	controller, duplicate *Controller // both get the same events
+	now, leadingSince     time.Duration
+	entry                 statemachine.Table
+	sums                  map[string]uint64
+	oldOnlyUnits          uint64 // of the 1000 units of a bucket, admitted only by the old rule
 }
 
-func newHistory(t *rapid.T) *history {
-	config := configFor(scaledLimits(1))
-	second := scaledLimits(2)
+func newEventGenerator(t *rapid.T) *eventGenerator {
+	config := configFor(ruleWithScaledLimits(1))
+	second := ruleWithScaledLimits(2)
 	second.Version = 2
 	config.Rules = append(config.Rules, second)
-	h := &history{config: config, now: time.Minute, sums: map[string]uint64{}}
-	h.lead(time.Hour)
-	h.drawHarm(t)
-	return h
+	g := &eventGenerator{config: config, now: time.Minute, sums: map[string]uint64{}}
+	g.startLeadership(time.Hour)
+	g.drawOldOnlyUnits(t)
+	return g
 }
 
 // startLeadership replaces the controllers by those of a new leader with another clock origin.
-func (h *history) lead(origin time.Duration) {
-	h.controller, h.twin = newController(h.config, origin), newController(h.config, origin)
+func (g *eventGenerator) startLeadership(origin time.Duration) {
+	g.controller, g.duplicate = newController(g.config, origin), newController(g.config, origin)
 }
 
-func (h *history) drawHarm(t *rapid.T) {
-	h.harmUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "oldOnlyUnits")
+// drawOldOnlyUnits draws whether the observations that follow are those of a harmful rule.
+func (g *eventGenerator) drawOldOnlyUnits(t *rapid.T) {
+	g.oldOnlyUnits = rapid.SampledFrom([]uint64{0, 0, 900}).Draw(t, "oldOnlyUnits")
 }
 
 // commonClock returns the time on the common clock.
-func (h *history) clock() time.Duration { return h.controller.ClockOrigin + h.now }
+func (g *eventGenerator) commonClock() time.Duration { return g.controller.ClockOrigin + g.now }
 
 // advance draws the next event and adds observations of the canary in the given table.
-func (h *history) advance(t *rapid.T, table *countingrule.Table) {
-	h.now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
+func (g *eventGenerator) advance(t *rapid.T, table *countingrule.Table) {
+	g.now += time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")) * time.Millisecond
 	switch rapid.IntRange(0, 80).Draw(t, "event") {
 	case 0:
 		shift := time.Duration(rapid.IntRange(0, 100).Draw(t, "shift")) * time.Minute
-		h.lead(h.clock() - shift)
-		h.now, h.since, h.sums = shift, shift, map[string]uint64{}
+		g.startLeadership(g.commonClock() - shift)
+		g.now, g.leadingSince, g.sums = shift, shift, map[string]uint64{}
 	case 1:
-		h.config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
+		g.config.DesiredVersion = rapid.Uint64Range(0, 2).Draw(t, "try")
 	}
 	isScheduled := table.Phase == countingrule.PhaseScheduled
-	if isScheduled == (h.harmUnits == 0) && rapid.IntRange(0, 20).Draw(t, "change") == 0 {
-		h.drawHarm(t)
+	if isScheduled == (g.oldOnlyUnits == 0) && rapid.IntRange(0, 20).Draw(t, "change") == 0 {
+		g.drawOldOnlyUnits(t)
 	}
 	fingerprint := Fingerprint(table.Seed)
 	for i := range Buckets {
-		h.sums[bucketName(fingerprint, i, nameRequested)] += 1000
-		h.sums[bucketName(fingerprint, i, nameOldOnly)] += h.harmUnits
+		g.sums[bucketName(fingerprint, i, nameRequested)] += 1000
+		g.sums[bucketName(fingerprint, i, nameOldOnly)] += g.oldOnlyUnits
 	}
 	for version := range uint64(3) {
 		prefix := fmt.Sprintf("canary\x1f%s\x1freal\x1f%d\x1f", fingerprint, version)
-		h.sums[prefix+nameRequested] += 300_000
-		h.sums[prefix+nameAdmitted] += 300_000 - 200*h.harmUnits
+		g.sums[prefix+nameRequested] += 300_000
+		g.sums[prefix+nameAdmitted] += 300_000 - 200*g.oldOnlyUnits
 	}
 }
 
 // decide calls both controllers and fails the test if their decisions differ. It returns the next
 // table and whether one was written.
-func (h *history) decide(t *rapid.T) (next countingrule.Table, write bool) {
+func (g *eventGenerator) decide(t *rapid.T) (next countingrule.Table, write bool) {
 	input := coordination.ControllerInput{
-		Sums: maps.Clone(h.sums), LeadingSince: h.since,
-		Table: func(string) statemachine.Table { return h.entry },
+		Sums: maps.Clone(g.sums), LeadingSince: g.leadingSince,
+		Table: func(string) statemachine.Table { return g.entry },
 	}
-	value, write := h.controller.Decide(h.now, input)
-	again, writeAgain := h.twin.Decide(h.now, input)
+	value, write := g.controller.Decide(g.now, input)
+	again, writeAgain := g.duplicate.Decide(g.now, input)
 	if write != writeAgain || !bytes.Equal(value, again) {
 		t.Fatal("two controllers with the same input made different decisions")
 	}
 	if write {
-		h.entry = statemachine.Table{Epoch: h.entry.Epoch + 1, Value: value}
+		g.entry = statemachine.Table{Epoch: g.entry.Epoch + 1, Value: value}
 	}
 	return decodeTable(t, value), write
 }
@@ -127,15 +128,15 @@
 func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory(t)
+		g := newEventGenerator(t)
 		for range rapid.IntRange(60, 150).Draw(t, "steps") {
-			previous := decodeTable(t, h.entry.Value)
-			h.advance(t, &previous)
-			next, write := h.decide(t)
+			previous := decodeTable(t, g.entry.Value)
+			g.advance(t, &previous)
+			next, write := g.decide(t)
 			if !write {
 				continue
 			}
-			checkStep(t, &previous, &next, h.clock())
+			checkStep(t, &previous, &next, g.commonClock())
 			if next.Phase == countingrule.PhaseScheduled && previous.Phase == countingrule.PhaseCanary {
 				activated++
 			}
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -13,7 +13,7 @@
 // runUntilScheduled returns a simulation that has just scheduled the switch to a harmless rule.
 func runUntilScheduled(t *testing.T) *simulation {
 	t.Helper()
-	s := newSimulation(scaledLimits(1.05), 1)
+	s := newSimulation(ruleWithScaledLimits(1.05), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	if table := s.tableValue(); table.Phase != countingrule.PhaseScheduled {
 		t.Fatalf("phase %d: %s", table.Phase, table.Reason)
@@ -41,7 +41,7 @@
 
 // A harmful rule is refused and not tried again.
 func TestController_harmfulRuleIsRefusedForGood(t *testing.T) {
-	s := newSimulation(scaledLimits(0.5), 1)
+	s := newSimulation(ruleWithScaledLimits(0.5), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
 	if table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 ||
@@ -49,7 +49,7 @@
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
 	}
 	epoch := s.table.Epoch
-	s.advance(s.now+5*time.Second, never)
+	s.advance(s.now+5*time.Second, neverStop)
 	if s.table.Epoch != epoch {
 		t.Error("the refused rule is tried again")
 	}
@@ -57,7 +57,7 @@
 
 // A rule that is undecided at the deadline because there were too few requests is refused.
 func TestController_undecidedAtTheDeadlineIsRefused(t *testing.T) {
-	s := newSimulation(scaledLimits(1), 1)
+	s := newSimulation(ruleWithScaledLimits(1), 1)
 	clear(s.demand)
 	for i := range s.nextArrival {
 		s.nextArrival[i] = 2 * s.now
@@ -82,12 +82,12 @@
 // A new leader has another clock origin and sums that start from zero. It must continue the trial
 // from the state in the table, and test no bucket before observations have arrived.
 func TestController_newLeaderContinuesTheTrial(t *testing.T) {
-	s := newSimulation(scaledLimits(0.75), 4)
-	s.advance(s.now+20*time.Second, never)
+	s := newSimulation(ruleWithScaledLimits(0.75), 4)
+	s.advance(s.now+20*time.Second, neverStop)
 	before := s.trialState(t)
-	s.missedSums, s.ledSince = s.sums(), s.now
+	s.missedSums, s.leadingSince = s.sums(), s.now
 	s.controller = New(s.controller.Config, s.controller.Lease, s.controller.ReadWait, s.controller.ClockOrigin)
-	s.advance(s.now+5*time.Second, never)
+	s.advance(s.now+5*time.Second, neverStop)
 	if after := s.trialState(t); after.NextBucket != before.NextBucket {
 		t.Errorf("buckets %d to %d were tested before observations arrived", before.NextBucket, after.NextBucket)
 	}
@@ -113,7 +113,7 @@
 		t.Fatalf("phase %d, %d to %d: %s", table.Phase, table.From, table.To, table.Reason)
 	}
 	t.Log(table.Reason)
-	s.advance(s.now+30*time.Second, never)
+	s.advance(s.now+30*time.Second, neverStop)
 	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 {
 		t.Errorf("phase %d, from %d, refused %v", table.Phase, table.From, table.Refused)
 	}
@@ -133,7 +133,7 @@
 // A rollback requested by an operator needs no trial because the previous rule was in force before.
 // It is delayed until a scheduled switch has taken effect, because no switch is undone before that.
 func TestController_operatorsRollBackWithoutATrial(t *testing.T) {
-	rules := []countingrule.Rule{scaledLimits(1)}
+	rules := []countingrule.Rule{ruleWithScaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
 		return countingrule.Table{Phase: countingrule.PhaseScheduled, From: 0, To: 1, SwitchAt: at, Rules: rules}
 	}
@@ -162,7 +162,7 @@
 
 // A rule that cannot be sampled together with the current rule is refused with the reason.
 func TestController_ruleThatCannotBeSampledIsRefused(t *testing.T) {
-	one := byMask(1, 0xff00)
+	one := ruleWithMask(1, 0xff00)
 	one.Limits = []countingrule.Limit{{Plan: "*", Rate: 1, Burst: 1}}
 	two := one
 	two.Version, two.Mask = 2, 0x00ff
--- a/internal/control/countingrule/canary/golden_test.go
+++ b/internal/control/countingrule/canary/golden_test.go
@@ -45,7 +45,7 @@
 func (r recorder) sum() string { return hex.EncodeToString(r.Sum(nil)) }
 
 // reportedCounts returns the sums of the observations of several shadow evaluations, by name.
-func reported(shadows ...*Shadow) map[string]uint64 {
+func reportedCounts(shadows ...*Shadow) map[string]uint64 {
 	accumulated := map[string]uint64{}
 	for _, shadow := range shadows {
 		shadow.Report(func(name string, n uint64) { accumulated[name] += n })
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shadow, counts, out := NewShadow(sample, current, resolved, settings, seed, 250), counter{}, newRecorder()
+	shadow, counts, out := NewShadow(sample, current, resolved, settings, seed, 250), fakeCounter{}, newRecorder()
 	random, now := rand.New(rand.NewPCG(seed, 17)), 1_764_652_800*time.Second
 	var waiting []Call
 	send := func(calls []Call) {
@@ -118,14 +118,14 @@
 		}
 		send(shadow.Flush(now))
 		if i%1000 == 0 {
-			out.addCounts(reported(shadow))
+			out.addCounts(reportedCounts(shadow))
 		}
 		if i == 10_000 {
 			settings.Classes[1].Weight = 3
 			shadow.Reconfigure(current, resolved, settings)
 		}
 	}
-	out.addCounts(reported(shadow))
+	out.addCounts(reportedCounts(shadow))
 	return shadow, out.sum()
 }
 
@@ -134,7 +134,7 @@
 		1: "63633f08383be6b4a30eaa8d8b9f25c3c833b26fe21ff485c1abf955f0bd0a23",
 		2: "cd013c8b534d91ad44909a9bf76d39e852d728f2f77229a97de2bacdb3bd0f59",
 	} {
-		if _, got := driveShadow(t, seed, pairedCustomers(1)); got != want {
+		if _, got := driveShadow(t, seed, ruleWithPairedCustomers(1)); got != want {
 			t.Errorf("seed %d: %s, want %s", seed, got, want)
 		}
 	}
@@ -143,9 +143,9 @@
 // The names of observations are sent between processes, whose versions may differ, and matched by
 // the leader.
 func TestGolden_observationNames(t *testing.T) {
-	merging, _ := driveShadow(t, 3, pairedCustomers(1))
+	merging, _ := driveShadow(t, 3, ruleWithPairedCustomers(1))
 	splitting, _ := driveShadow(t, 4, countingrule.Rule{Version: 1, Key: []string{"customer", "lane"}})
-	counts := reported(merging, splitting)
+	counts := reportedCounts(merging, splitting)
 	var out bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&out, "%s %d\n", strings.ReplaceAll(name, "\x1f", "/"), counts[name])
--- a/internal/control/countingrule/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -9,7 +9,7 @@
 
 // hashRun advances a simulation and returns a hash of all values that its controller writes and of
 // the observations at the end.
-func (s *simulation) record(until time.Duration) string {
+func (s *simulation) hashRun(until time.Duration) string {
 	out, epoch := newRecorder(), uint64(0)
 	s.advance(until, func() bool {
 		if s.table.Epoch != epoch {
@@ -32,39 +32,39 @@
 		want string
 	}{
 		{
-			"5% more", scaledLimits(1.05), 1,
+			"5% more", ruleWithScaledLimits(1.05), 1,
 			"43a602e446e865c281aa34d4a59a1c316dc7735194a7b23e7b3828757fcb0539",
 		},
 		{
-			"5% more", scaledLimits(1.05), 2,
+			"5% more", ruleWithScaledLimits(1.05), 2,
 			"489dc4d099266e0af10d50aa36dea2f2be7bec9541813a8ba01a8dcb55e7e73a",
 		},
 		{
-			"half", scaledLimits(0.5), 1,
+			"half", ruleWithScaledLimits(0.5), 1,
 			"979cfd599aefffed8475cda7878640d9ffefc016221a04299384c6d32258f333",
 		},
 		{
-			"half", scaledLimits(0.5), 2,
+			"half", ruleWithScaledLimits(0.5), 2,
 			"02883c2d7475ce002750d0ffaf82bc40d8817216a5c9a26f350f370ccd6de48f",
 		},
 		{
-			"pairs", pairedCustomers(1), 1,
+			"pairs", ruleWithPairedCustomers(1), 1,
 			"3a0c0fe01676d0adfb6a6c9c69411dd9d9a59bbac9e64ae61f0dfaf748f55504",
 		},
 		{
-			"pairs", pairedCustomers(1), 2,
+			"pairs", ruleWithPairedCustomers(1), 2,
 			"a1e66b0588a91991636bfc620647bc0cefbf3a08f74f1e5178d1ea531fc4e1a4",
 		},
 	} {
 		s := newSimulation(test.rule, test.seed)
-		if got := s.record(s.now + 240*time.Second); got != test.want {
+		if got := s.hashRun(s.now + 240*time.Second); got != test.want {
 			t.Errorf("%s, seed %d: %s, want %s; %s", test.name, test.seed, got, test.want, s.tableValue().Reason)
 		}
 	}
-	s := newSimulation(scaledLimits(1.05), 1)
+	s := newSimulation(ruleWithScaledLimits(1.05), 1)
 	s.failureRate = 0.33
 	const want = "a2445a262503f2213471dc41953facbddf3c5ca6777c58a99226d1f13b2a2b42"
-	if got := s.record(s.now + 240*time.Second); got != want {
+	if got := s.hashRun(s.now + 240*time.Second); got != want {
 		t.Errorf("with failing requests: %s, want %s; %s", got, want, s.tableValue().Reason)
 	}
 }
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -49,10 +49,10 @@
 type observations struct {
 	fingerprint           string
 	calls                 uint64            // calls to the counter
-	counts                map[string]uint64 // by name without the canary's prefix; calls and buckets are apart
+	counts                map[string]uint64 // by name without the canary's prefix; excludes calls and buckets
 	buckets               [Buckets]bucketUnits
-	mergedFrom            map[uint64]uint64 // new rule's key to the first old rule's key seen with it, or severalKeys
-	splitInto             map[uint64]uint64 // old rule's key to the first new rule's key seen with it, or severalKeys
+	oldKeyByNew           map[uint64]uint64 // first key under the old rule, by key under the new rule, or severalKeys
+	newKeyByOld           map[uint64]uint64 // first key under the new rule, by key under the old rule, or severalKeys
 	classNames, planNames []string          // by index
 	classWeights          []float64         // by index
 }
@@ -64,8 +64,8 @@
 	return &observations{
 		fingerprint: fingerprint,
 		counts:      map[string]uint64{},
-		mergedFrom:  map[uint64]uint64{},
-		splitInto:   map[uint64]uint64{},
+		oldKeyByNew: map[uint64]uint64{},
+		newKeyByOld: map[uint64]uint64{},
 	}
 }
 
@@ -132,8 +132,8 @@
 			o.counts[name]++
 		}
 	}
-	track(o.mergedFrom, newKey, oldKey, nameMergedKeys)
-	track(o.splitInto, oldKey, newKey, nameSplitKeys)
+	track(o.oldKeyByNew, newKey, oldKey, nameMergedKeys)
+	track(o.newKeyByOld, oldKey, newKey, nameSplitKeys)
 }
 
 // actualPrefix returns the prefix of the observations of the actual outcome under a version.
--- a/internal/control/countingrule/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -36,10 +36,10 @@
 // directly or through other customers, form a component. A component is sampled as a whole or not
 // at all. A Sample is immutable and safe for concurrent use.
 type Sample struct {
-	seed      uint64
-	threshold uint64            // components with a lower hash are sampled
-	mask      uint64            // bits of the customer that identify a component; all ones if no rule has a mask
-	parents   map[uint64]uint64 // customers of listed groups, to the lowest customer of their component
+	seed          uint64
+	hashThreshold uint64            // components with a lower hash are sampled
+	mask          uint64            // bits of the customer that identify a component; all ones if no rule has a mask
+	parents       map[uint64]uint64 // customers of listed groups, to the lowest customer of their component
 }
 
 // NewSample returns the sample for two rules, with the given permille of the components. All
@@ -47,10 +47,10 @@
 // ErrMasksApart if the rules' components cannot be determined or are too few.
 func NewSample(oldRule, newRule countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{
-		seed:      seed,
-		threshold: math.MaxUint64 / countingrule.PermilleScale * permille,
-		mask:      math.MaxUint64,
-		parents:   map[uint64]uint64{},
+		seed:          seed,
+		hashThreshold: math.MaxUint64 / countingrule.PermilleScale * permille,
+		mask:          math.MaxUint64,
+		parents:       map[uint64]uint64{},
 	}
 	hasListedGroups := false
 	for _, rule := range []countingrule.Rule{oldRule, newRule} {
@@ -116,5 +116,5 @@
 // sampled.
 func (s *Sample) Bucket(customer uint64) (bucket int, sampled bool) {
 	hash := countingrule.Hash(s.seed, s.ComponentKey(customer))
-	return int(countingrule.Hash(hash, 1) % Buckets), hash < s.threshold
+	return int(countingrule.Hash(hash, 1) % Buckets), hash < s.hashThreshold
 }
--- a/internal/control/countingrule/canary/sample_test.go
+++ b/internal/control/countingrule/canary/sample_test.go
@@ -31,7 +31,7 @@
 	return resolved, settings
 }
 
-func byMask(version, mask uint64) countingrule.Rule {
+func ruleWithMask(version, mask uint64) countingrule.Rule {
 	return countingrule.Rule{Version: version, Key: []string{"group"}, Mask: mask}
 }
 
@@ -61,7 +61,7 @@
 // findSplitKey draws two rules and looks for a counter key of either rule whose customers are not
 // all in the same bucket, or not all sampled or all unsampled. It returns a description, or "" if
 // there is no such key.
-func splitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
+func findSplitKey(t *rapid.T, bucketOf func(*Sample, uint64) (int, bool)) string {
 	type placement struct {
 		bucket  int
 		sampled bool
@@ -92,7 +92,7 @@
 
 func TestSample_splitsNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if violation := splitKey(t, (*Sample).Bucket); violation != "" {
+		if violation := findSplitKey(t, (*Sample).Bucket); violation != "" {
 			t.Fatal(violation)
 		}
 	})
@@ -107,7 +107,7 @@
 	}{
 		{"by customer", func(sample *Sample, customer uint64) (int, bool) {
 			hash := countingrule.Hash(sample.seed, customer)
-			return int(hash % Buckets), hash < sample.threshold
+			return int(hash % Buckets), hash < sample.hashThreshold
 		}},
 		{"nearby roots only", func(sample *Sample, customer uint64) (int, bool) {
 			neighbours := *sample
@@ -119,7 +119,7 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			generator := rapid.Custom(func(t *rapid.T) string { return splitKey(t, test.broken) })
+			generator := rapid.Custom(func(t *rapid.T) string { return findSplitKey(t, test.broken) })
 			for runs := range 200 {
 				if generator.Example(runs) != "" {
 					t.Logf("split key found after %d runs", runs+1)
@@ -133,7 +133,7 @@
 
 // Customers that differ only in bits that at least one of the masks excludes are in one component.
 func TestSample_masksShareTheirCommonBits(t *testing.T) {
-	sample, err := NewSample(byMask(1, 0xfff0), byMask(2, 0xff0f), 3, 500)
+	sample, err := NewSample(ruleWithMask(1, 0xfff0), ruleWithMask(2, 0xff0f), 3, 500)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,11 +153,11 @@
 		next countingrule.Rule
 		want error
 	}{
-		{"all customers are one component", byMask(2, 0x00ff), ErrMasksApart},
+		{"all customers are one component", ruleWithMask(2, 0x00ff), ErrMasksApart},
 		{"listed groups and a mask", listed, ErrMixedGroups},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if _, err := NewSample(byMask(1, 0xff00), test.next, 3, 500); !errors.Is(err, test.want) {
+			if _, err := NewSample(ruleWithMask(1, 0xff00), test.next, 3, 500); !errors.Is(err, test.want) {
 				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	maxBudget     = 64.0             // unspent calls that a side can accumulate
+	maxCallBudget = 64.0             // unspent calls that a side can accumulate
 	flushDelay    = time.Second      // time after which a key's pending units are added without a request
-	sweepInterval = flushDelay / 2   // minimum time between two flushes
+	flushInterval = flushDelay / 2   // minimum time between two flushes
 	keyTTL        = 60 * time.Second // after this time the counter has dropped all windows of an unused key
-	maxKeys       = 50_000           // keys that a side tracks in one process; others are not evaluated
+	maxKeys       = 50_000           // keys per side and process; requests for further keys are not evaluated
 )
 
 // The sides of the shadow evaluation.
@@ -40,8 +40,8 @@
 	plans        []policy.Plan              // of the settings, by index
 	callShare    float64                    // calls earned by both sides for each call of the gateway, from 0 to 1
 	outstanding  map[uint64]outstandingCall // by Call.ID
-	lastID       uint64
-	sweptAt      time.Duration
+	lastCallID   uint64
+	lastFlushAt  time.Duration
 }
 
 // side is the evaluation of one of the two rules.
@@ -51,16 +51,16 @@
 	flushQueue []*keyState // keys with a scheduled flush, oldest first; a request may have canceled it
 	// callBudget is the number of calls that this side may make. Each side earns half of the
 	// evaluation's calls, so that both read counts equally often.
-	budget float64
+	callBudget float64
 }
 
 // shadowRequest is the evaluation of one request on both sides.
 type shadowRequest struct {
-	request   Request
-	pending   int // number of sides that have not decided yet
-	admitted  [sideCount]bool
-	overLimit float64 // units admitted by the new rule beyond its limit
-	estimated bool    // at least one side decided without a count
+	request      Request
+	pendingSides int // number of sides that have not decided yet
+	admitted     [sideCount]bool
+	overLimit    float64 // units admitted by the new rule beyond its limit
+	estimated    bool    // at least one side decided without a count
 }
 
 // NewShadow returns a shadow evaluation of two rules. seed is the seed of the canary. callsPermille
@@ -95,7 +95,7 @@
 // requests.
 func (s *Shadow) AddBudget(n uint64) {
 	for i := range s.sides {
-		s.sides[i].budget = min(s.sides[i].budget+s.callShare/sideCount*float64(n), maxBudget)
+		s.sides[i].callBudget = min(s.sides[i].callBudget+s.callShare/sideCount*float64(n), maxCallBudget)
 	}
 }
 
@@ -136,10 +136,10 @@
 	}
 	s.observations.trackKeys(keys[oldSide], keys[newSide])
 	estimated := !s.canReadCounts()
-	shadowed := &shadowRequest{request: request, pending: sideCount, estimated: estimated}
+	shadowed := &shadowRequest{request: request, pendingSides: sideCount, estimated: estimated}
 	for i, state := range states {
 		if estimated {
-			s.decide(i, state, shadowed, now, state.estimate(now))
+			s.decideOnSide(i, state, shadowed, now, state.estimateRemaining(now))
 			continue
 		}
 		calls = append(calls, s.startCall(i, state, now, shadowed))
@@ -150,7 +150,7 @@
 // canReadCounts reports whether both sides have the budget for a call. Either both sides read a
 // count for a request or neither does.
 func (s *Shadow) canReadCounts() bool {
-	return min(s.sides[oldSide].budget, s.sides[newSide].budget) >= 1
+	return min(s.sides[oldSide].callBudget, s.sides[newSide].callBudget) >= 1
 }
 
 // openKey returns the state of a key on a side and creates it if needed. It returns nil if the side
@@ -165,7 +165,7 @@
 		}
 		plan := s.plans[assignment.Plan]
 		window := countingrule.WindowAt(key, &plan, now)
-		state = &keyState{key: key, plan: plan, window: window, sampledAt: now, remaining: plan.Burst}
+		state = &keyState{key: key, plan: plan, window: window, countReadAt: now, remainingUnits: plan.Burst}
 		keys[key] = state
 	}
 	state.lastUsed = now
@@ -174,17 +174,19 @@
 
 // decideOnSide decides whether one side admits a request, given the units that remain for its key
 // before pending units are subtracted. It records the request once both sides have decided.
-func (s *Shadow) decide(side int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64) {
+func (s *Shadow) decideOnSide(
+	side int, state *keyState, shadowed *shadowRequest, now time.Duration, remaining float64,
+) {
 	request := &shadowed.request
 	assignment := s.sides[side].rule.Assign(request.Customer, request.Class, request.Plan)
 	units := request.Units * assignment.Weight
-	if remaining-state.pending >= units {
+	if remaining-state.pendingUnits >= units {
 		shadowed.admitted[side] = true
-		state.pending += units
+		state.pendingUnits += units
 		s.sides[side].scheduleFlush(state, now)
 	}
-	shadowed.pending--
-	if shadowed.pending == 0 {
+	shadowed.pendingSides--
+	if shadowed.pendingSides == 0 {
 		bucket, _ := s.sample.Bucket(request.Customer)
 		s.observations.record(bucket, shadowed)
 	}
--- a/internal/control/countingrule/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -10,13 +10,13 @@
 )
 
 // fakeCounter holds counts by name and answers calls immediately.
-type counter map[uint64]float64
+type fakeCounter map[uint64]float64
 
 // answerCalls makes calls and the calls that follow from their answers.
-func (c counter) run(shadow *Shadow, now time.Duration, calls []Call) {
+func (c fakeCounter) answerCalls(shadow *Shadow, now time.Duration, calls []Call) {
 	for _, call := range calls {
 		c[call.Name] += call.Units
-		c.run(shadow, now, shadow.HandleCount(now, call.ID, c[call.Name], true))
+		c.answerCalls(shadow, now, shadow.HandleCount(now, call.ID, c[call.Name], true))
 	}
 }
 
@@ -38,16 +38,16 @@
 
 // evaluateRequests evaluates 20,000 requests of 40 customers, with pauses between them drawn by
 // pause. It returns the number of the gateway's own calls.
-func evaluate(shadow *Shadow, pause func(*rand.Rand) time.Duration) (ownCalls uint64) {
+func evaluateRequests(shadow *Shadow, pause func(*rand.Rand) time.Duration) (ownCalls uint64) {
 	const callsPerRequest = 8
-	counts, random := counter{}, rand.New(rand.NewPCG(1, 2))
+	counts, random := fakeCounter{}, rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
 	for range 20_000 {
 		now += pause(random)
 		shadow.AddBudget(callsPerRequest)
 		ownCalls += callsPerRequest
-		counts.run(shadow, now, shadow.HandleRequest(now, Request{Customer: uint64(random.IntN(40)), Units: 1}))
-		counts.run(shadow, now, shadow.Flush(now))
+		counts.answerCalls(shadow, now, shadow.HandleRequest(now, Request{Customer: uint64(random.IntN(40)), Units: 1}))
+		counts.answerCalls(shadow, now, shadow.Flush(now))
 	}
 	return ownCalls
 }
@@ -56,7 +56,7 @@
 // their share.
 func TestShadow_sameRuleDiffersNowhere(t *testing.T) {
 	shadow := newTestShadow(t, countingrule.Rule{Version: 1, Key: []string{"customer"}})
-	ownCalls := evaluate(shadow, func(random *rand.Rand) time.Duration {
+	ownCalls := evaluateRequests(shadow, func(random *rand.Rand) time.Duration {
 		return time.Duration(random.IntN(int(10 * time.Millisecond)))
 	})
 	got := shadow.observations.counts
@@ -65,7 +65,7 @@
 		got[nameMergedKeys]+got[nameSplitKeys] != 0 {
 		t.Errorf("equivalent rules differ: %v", got)
 	}
-	if shadow.CallCount() > ownCalls/4+uint64(maxBudget) {
+	if shadow.CallCount() > ownCalls/4+uint64(maxCallBudget) {
 		t.Errorf("%d calls for %d of the gateway exceed the share", shadow.CallCount(), ownCalls)
 	}
 }
@@ -81,7 +81,7 @@
 		rule.Groups = append(rule.Groups, countingrule.Group{Name: fmt.Sprint(i), Customers: []uint64{2 * i, 2*i + 1}})
 	}
 	shadow := newTestShadow(t, rule)
-	evaluate(shadow, func(*rand.Rand) time.Duration { return 15 * time.Millisecond })
+	evaluateRequests(shadow, func(*rand.Rand) time.Duration { return 15 * time.Millisecond })
 	got := shadow.observations.counts
 	// Each of the 40 customers requests 1.67 units per second with a rate of 2. A pair requests 3.3
 	// units per second and has a rate of 2.
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -15,18 +15,18 @@
 // simulation runs three processes in virtual time, with a counter, the leader's controller and
 // random customers.
 type simulation struct {
-	controller  *Controller
-	table       statemachine.Table
-	shadows     []*Shadow
-	counter     counter
-	random      *rand.Rand
-	now         time.Duration
-	ledSince    time.Duration
-	demand      []float64 // requests per second, by customer
-	nextArrival []time.Duration
-	settings    policy.Settings
-	failureRate float64           // fraction of requests that fail after the switch although the rule admits them
-	missedSums  map[string]uint64 // sums received by an earlier leader and not by the current one
+	controller   *Controller
+	table        statemachine.Table
+	shadows      []*Shadow
+	counter      fakeCounter
+	random       *rand.Rand
+	now          time.Duration
+	leadingSince time.Duration
+	demand       []float64 // requests per second, by customer
+	nextArrival  []time.Duration
+	settings     policy.Settings
+	failureRate  float64           // fraction of requests that fail after the switch although the rule admits them
+	missedSums   map[string]uint64 // sums received by an earlier leader and not by the current one
 }
 
 func canaryConfig() countingrule.CanaryConfig {
@@ -54,12 +54,12 @@
 	settings.Gateways = 3
 	settings.Plans = []policy.Plan{{Name: "small", Rate: 0.5, Burst: 3}}
 	s := &simulation{
-		controller: newController(configFor(rule), time.Duration(seed%977)*time.Second),
-		counter:    counter{},
-		random:     rand.New(rand.NewPCG(seed, 3)),
-		now:        time.Hour,
-		ledSince:   time.Hour,
-		settings:   countingrule.WithRulePlans(settings, []countingrule.Rule{rule}),
+		controller:   newController(configFor(rule), time.Duration(seed%977)*time.Second),
+		counter:      fakeCounter{},
+		random:       rand.New(rand.NewPCG(seed, 3)),
+		now:          time.Hour,
+		leadingSince: time.Hour,
+		settings:     countingrule.WithRulePlans(settings, []countingrule.Rule{rule}),
 	}
 	for range 1200 { // most are well below their plan's rate, some near it, some far above
 		s.demand = append(s.demand, 0.25*math.Exp(0.7*s.random.NormFloat64()))
@@ -78,7 +78,7 @@
 
 // sums returns the sums of the observations that the leader has received.
 func (s *simulation) sums() map[string]uint64 {
-	received := reported(s.shadows...)
+	received := reportedCounts(s.shadows...)
 	for name := range received {
 		received[name] -= min(s.missedSums[name], received[name])
 	}
@@ -89,7 +89,7 @@
 // trial begins.
 func (s *simulation) decide() {
 	value, write := s.controller.Decide(s.now, coordination.ControllerInput{
-		Sums: s.sums(), LeadingSince: s.ledSince,
+		Sums: s.sums(), LeadingSince: s.leadingSince,
 		Table: func(string) statemachine.Table { return s.table },
 	})
 	if !write {
@@ -132,7 +132,7 @@
 		table := s.tableValue()
 		for _, shadow := range s.shadows {
 			shadow.AddBudget(600)
-			s.counter.run(shadow, s.now, shadow.Flush(s.now))
+			s.counter.answerCalls(shadow, s.now, shadow.Flush(s.now))
 		}
 		for customer := range s.demand {
 			if len(s.shadows) == 0 || !s.shadows[0].IsSampled(uint64(customer)) {
@@ -140,7 +140,7 @@
 			}
 			for s.nextArrival[customer] < s.now {
 				s.nextArrival[customer] += time.Duration(s.random.ExpFloat64() / s.demand[customer] * 1e9)
-				s.arrive(customer, &table)
+				s.handleArrival(customer, &table)
 			}
 		}
 	}
@@ -148,14 +148,14 @@
 
 // handleArrival sends a sampled customer's request to a random process. The decision of the shadow
 // evaluation is used as the actual decision.
-func (s *simulation) arrive(customer int, table *countingrule.Table) {
+func (s *simulation) handleArrival(customer int, table *countingrule.Table) {
 	shadow := s.shadows[s.random.IntN(len(s.shadows))]
 	counts := shadow.observations.counts
 	byOld := func() uint64 { return counts[nameBoth] + counts[nameOldOnly] }
 	byNew := func() uint64 { return counts[nameBoth] + counts[nameNewOnly] }
 	oldBefore, newBefore := byOld(), byNew()
 	request := Request{Customer: uint64(customer), Class: s.random.IntN(2), Units: 1}
-	s.counter.run(shadow, s.now, shadow.HandleRequest(s.now, request))
+	s.counter.answerCalls(shadow, s.now, shadow.HandleRequest(s.now, request))
 	version := table.InForce(s.now + s.controller.ClockOrigin)
 	if version != table.To {
 		shadow.RecordActual(version, 1, byOld() > oldBefore)
@@ -168,10 +168,10 @@
 	return s.table.Epoch > 0 && s.tableValue().Phase != countingrule.PhaseCanary
 }
 
-func never() bool { return false }
+func neverStop() bool { return false }
 
 // ruleWithScaledLimits returns a rule that multiplies the plan's rate and burst by a factor.
-func scaledLimits(factor float64) countingrule.Rule {
+func ruleWithScaledLimits(factor float64) countingrule.Rule {
 	return countingrule.Rule{
 		Version: 1, Key: []string{"customer"},
 		Limits: []countingrule.Limit{{Plan: "small", Rate: 0.5 * factor, Burst: 3 * factor}},
@@ -179,7 +179,7 @@
 }
 
 // ruleWithPairedCustomers returns a rule under which each pair of customers shares a count.
-func pairedCustomers(rate float64) countingrule.Rule {
+func ruleWithPairedCustomers(rate float64) countingrule.Rule {
 	rule := countingrule.Rule{
 		Version: 1, Key: []string{"group"},
 		Limits: []countingrule.Limit{{Plan: "*", Rate: rate, Burst: 6 * rate}},
@@ -191,7 +191,7 @@
 }
 
 // ruleWithWeightedClass returns a rule with another weight for the units of one class.
-func weightedClass(permille uint64) countingrule.Rule {
+func ruleWithWeightedClass(permille uint64) countingrule.Rule {
 	return countingrule.Rule{
 		Version: 1, Key: []string{"customer"},
 		Weights: []countingrule.Weight{{Class: "pay", Permille: permille}},
@@ -199,10 +199,11 @@
 }
 
 // candidateRules are the simulated rules by the name that the flag -only takes.
-var changes = map[string]countingrule.Rule{
-	"as it is": scaledLimits(1), "5% more": scaledLimits(1.05), "5% less": scaledLimits(0.95),
-	"10% less": scaledLimits(0.9), "pairs": pairedCustomers(1), "pay 1.05": weightedClass(1050),
-	"40% less": scaledLimits(0.6), "half": scaledLimits(0.5), "triple": scaledLimits(3),
-	"poor pairs": pairedCustomers(0.5), "pay 2.5": weightedClass(2500), "pay free": weightedClass(1),
-	"25% less": scaledLimits(0.75), "30% less": scaledLimits(0.7),
+var candidateRules = map[string]countingrule.Rule{
+	"as it is": ruleWithScaledLimits(1), "5% more": ruleWithScaledLimits(1.05), "5% less": ruleWithScaledLimits(0.95),
+	"10% less": ruleWithScaledLimits(0.9), "pairs": ruleWithPairedCustomers(1), "pay 1.05": ruleWithWeightedClass(1050),
+	"40% less": ruleWithScaledLimits(0.6), "half": ruleWithScaledLimits(0.5), "triple": ruleWithScaledLimits(3),
+	"poor pairs": ruleWithPairedCustomers(0.5),
+	"pay 2.5":    ruleWithWeightedClass(2500), "pay free": ruleWithWeightedClass(1),
+	"25% less": ruleWithScaledLimits(0.75), "30% less": ruleWithScaledLimits(0.7),
 }
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -14,8 +14,8 @@
 	// after a switch. Token buckets start full, and observations take time to reach the leader.
 	settleDelay = 10 * time.Second
 
-	minBucketUnits   = 1000 // requested units, in thousandths, below which a bucket is not tested
-	maxEstimatedPart = 0.25 // highest fraction of sampled requests decided without a count, from 0 to 1
+	minBucketUnits       = 1000 // requested units, in thousandths, below which a bucket is not tested
+	maxEstimatedFraction = 0.25 // highest fraction of sampled requests decided without a count, from 0 to 1
 )
 
 // Parameters of the watch that follows a switch.
@@ -31,10 +31,10 @@
 
 	// switchDelayReadWaits is in multiples of ReadWait. Most processes learn of a switch while
 	// their lease is valid.
-	leadReadWaits = 2
+	switchDelayReadWaits = 2
 
-	leadClockSkews    = 2           // multiples of maxClockSkew: one clock ahead, another behind
-	switchGranularity = time.Second // switches at whole seconds are easy to find in a log
+	switchDelayClockSkews = 2           // multiples of maxClockSkew: one clock ahead, another behind
+	switchGranularity     = time.Second // switches at whole seconds are easy to find in a log
 )
 
 // Reasons of the controller's decisions. They are stored in the table, where operators and their
@@ -51,14 +51,14 @@
 
 // step is one decision of the controller. Its methods change table and trial in place.
 type step struct {
-	config   *countingrule.Config
-	lead     time.Duration // minimum time from a decision to its switch
-	now      time.Duration // on the common clock
-	ledFor   time.Duration // time since this process became the leader
-	table    *countingrule.Table
-	trial    *TrialState
-	sums     map[string]uint64 // received so far by this leader
-	baseline map[string]uint64 // sums that the trial's state already contains
+	config      *countingrule.Config
+	switchDelay time.Duration // minimum time from a decision to its switch
+	now         time.Duration // on the common clock
+	leadingFor  time.Duration // time since this process became the leader
+	table       *countingrule.Table
+	trial       *TrialState
+	sums        map[string]uint64 // received so far by this leader
+	baseline    map[string]uint64 // sums that the trial's state already contains
 }
 
 // advance makes the decision that the table's phase requires. It reports whether the table or the
@@ -68,11 +68,11 @@
 	case countingrule.PhaseIdle:
 		return s.startTrial()
 	case countingrule.PhaseCanary:
-		return s.evaluate()
+		return s.advanceTrial()
 	case countingrule.PhaseScheduled:
-		return s.followActivation()
+		return s.advanceScheduled()
 	case countingrule.PhaseRollback:
-		return s.followRollback()
+		return s.advanceRollback()
 	default:
 		return false // phase of a later software version
 	}
@@ -84,24 +84,24 @@
 
 // advanceScheduled watches a rule that has come into force. It rolls the rule back if the
 // configuration names the previous rule again.
-func (s *step) followActivation() bool {
+func (s *step) advanceScheduled() bool {
 	if !s.hasSwitched() {
 		return false
 	}
 	desired := s.config.DesiredVersion
 	if desired == s.table.From && desired != s.table.To {
-		s.rollBack(reasonConfig)
+		s.startRollback(reasonConfig)
 		return true
 	}
-	return s.watch()
+	return s.watchSwitch()
 }
 
 // advanceRollback completes a rollback once its switch has taken effect.
-func (s *step) followRollback() bool {
+func (s *step) advanceRollback() bool {
 	if !s.hasSwitched() {
 		return false
 	}
-	s.finish(s.table.Reason)
+	s.completeSwitch(s.table.Reason)
 	return true
 }
 
@@ -121,8 +121,8 @@
 	s.collectRules(desired)
 	table.To = desired
 	if desired == table.Previous {
-		s.enter(countingrule.PhaseRollback, reasonConfig)
-		table.SwitchAt = s.switchTime()
+		s.enterPhase(countingrule.PhaseRollback, reasonConfig)
+		table.SwitchAt = s.nextSwitchTime()
 		return true
 	}
 	newRule, _ := table.Rule(desired)
@@ -130,10 +130,10 @@
 	table.Seed = countingrule.Hash(desired, uint64(s.now))
 	table.Canary = s.config.Canary
 	if _, err := NewSample(oldRule, newRule, table.Seed, table.Canary.SamplePermille); err != nil {
-		s.refuse(err.Error())
+		s.refuseVersion(err.Error())
 		return true
 	}
-	s.enter(countingrule.PhaseCanary, reasonConfig)
+	s.enterPhase(countingrule.PhaseCanary, reasonConfig)
 	*s.trial = TrialState{}
 	return true
 }
@@ -157,27 +157,27 @@
 // advanceTrial tests the buckets that are due and applies the verdict, if there is one. It refuses
 // a rule that is undecided at the deadline, and ends the trial if the configuration names another
 // version.
-func (s *step) evaluate() bool {
+func (s *step) advanceTrial() bool {
 	switch {
 	case s.config.DesiredVersion != s.table.To:
 		s.returnToIdle(reasonOtherRule)
 		*s.trial = TrialState{}
 		return true
 	case s.now >= s.table.Since+s.table.Canary.Deadline():
-		s.refuse(reasonUndecided)
+		s.refuseVersion(reasonUndecided)
 		return true
-	case s.ledFor < settleDelay:
+	case s.leadingFor < settleDelay:
 		return false // a new leader has not yet received the observations of all processes
-	case !s.testBuckets():
+	case !s.testDueBuckets():
 		return false
 	}
-	s.trial.accumulate(Fingerprint(s.table.Seed), s.baseline, s.sums)
-	s.conclude()
+	s.trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
+	s.applyVerdict()
 	return true
 }
 
 // testDueBuckets adds each bucket that is due to the tests, once. It reports whether there was one.
-func (s *step) testBuckets() (tested bool) {
+func (s *step) testDueBuckets() (tested bool) {
 	fingerprint := Fingerprint(s.table.Seed)
 	for s.isBucketDue(s.trial.NextBucket) {
 		s.trial.addBucket(&s.table.Canary, readBucket(s.sums, fingerprint, s.trial.NextBucket))
@@ -198,28 +198,28 @@
 
 // applyVerdict refuses a rule that exceeds a bound and schedules a rule that is harmless. Otherwise
 // the trial continues.
-func (s *step) conclude() {
+func (s *step) applyVerdict() {
 	errorRate := s.table.Canary.ErrorRate()
 	if i, exceeded := s.trial.exceededBound(errorRate); exceeded {
 		test := &s.trial.Tests[i]
-		s.refuse(fmt.Sprintf(reasonHarmful, bounds[i], test.Mean(), test.Count))
+		s.refuseVersion(fmt.Sprintf(reasonHarmful, boundKeys[i], test.Mean(), test.Count))
 		return
 	}
 	if s.trial.isHarmless(errorRate) {
-		s.trial.Forecast = s.trial.forecast(s.table.From)
-		s.enter(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[testRejected].Count))
-		s.table.SwitchAt = s.switchTime()
+		s.trial.Forecast = s.trial.forecastAdmitted(s.table.From)
+		s.enterPhase(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[boundRejected].Count))
+		s.table.SwitchAt = s.nextSwitchTime()
 	}
 }
 
 // watchSwitch compares the fraction of units admitted after a switch with the forecast. It rolls
 // the switch back after maxDeviations consecutive deviations, and keeps the rule if the configured
 // watch time ends first. It reports whether the table or the trial's state changed.
-func (s *step) watch() bool {
+func (s *step) watchSwitch() bool {
 	canary := &s.table.Canary
 	trial := s.trial
 	if s.now >= s.table.SwitchAt+canary.WatchDuration() {
-		s.finish(fmt.Sprintf(reasonKept, trial.Observed, trial.Forecast))
+		s.completeSwitch(fmt.Sprintf(reasonKept, trial.Observed, trial.Forecast))
 		return true
 	}
 	watched := s.now - s.table.SwitchAt - settleDelay
@@ -227,8 +227,8 @@
 		return false
 	}
 	trial.Checks = int(watched / watchInterval)
-	trial.accumulate(Fingerprint(s.table.Seed), s.baseline, s.sums)
-	if !trial.observe(s.table.To) {
+	trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
+	if !trial.updateObserved(s.table.To) {
 		return true
 	}
 	if canary.MatchesForecast(trial.Observed, trial.Forecast) {
@@ -238,7 +238,7 @@
 	trial.Deviations++
 	if trial.Deviations >= maxDeviations {
 		s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
-		s.rollBack(fmt.Sprintf(reasonDeviation, trial.Observed, trial.Forecast))
+		s.startRollback(fmt.Sprintf(reasonDeviation, trial.Observed, trial.Forecast))
 	}
 	return true
 }
--- a/internal/control/countingrule/canary/transitions.go
+++ b/internal/control/countingrule/canary/transitions.go
@@ -8,7 +8,7 @@
 )
 
 // enterPhase starts a phase now.
-func (s *step) enter(phase countingrule.Phase, reason string) {
+func (s *step) enterPhase(phase countingrule.Phase, reason string) {
 	s.table.Phase = phase
 	s.table.Since = s.now
 	s.table.Reason = reason
@@ -16,25 +16,25 @@
 
 // returnToIdle ends a trial and leaves the current rule in force.
 func (s *step) returnToIdle(reason string) {
-	s.enter(countingrule.PhaseIdle, reason)
+	s.enterPhase(countingrule.PhaseIdle, reason)
 	s.table.To = s.table.From
 }
 
 // refuseVersion ends a trial and excludes its version from later trials.
-func (s *step) refuse(reason string) {
+func (s *step) refuseVersion(reason string) {
 	s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
 	s.returnToIdle(reason)
 }
 
 // startRollback schedules a switch back to the previous rule.
-func (s *step) rollBack(reason string) {
-	s.enter(countingrule.PhaseRollback, reason)
+func (s *step) startRollback(reason string) {
+	s.enterPhase(countingrule.PhaseRollback, reason)
 	s.table.From, s.table.To = s.table.To, s.table.From
-	s.table.SwitchAt = s.switchTime()
+	s.table.SwitchAt = s.nextSwitchTime()
 }
 
 // completeSwitch returns to idle with the rule that the switch brought into force.
-func (s *step) finish(reason string) {
+func (s *step) completeSwitch(reason string) {
 	*s.table = countingrule.Table{
 		Phase:    countingrule.PhaseIdle,
 		From:     s.table.To,
@@ -50,6 +50,6 @@
 
 // nextSwitchTime returns the first whole second on the common clock that is at least switchDelay
 // away.
-func (s *step) switchTime() time.Duration {
-	return (s.now + s.lead + switchGranularity - 1) / switchGranularity * switchGranularity
+func (s *step) nextSwitchTime() time.Duration {
+	return (s.now + s.switchDelay + switchGranularity - 1) / switchGranularity * switchGranularity
 }
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -12,24 +12,24 @@
 
 // Bounds that a trial tests, as indexes into TrialState.Tests.
 const (
-	testRejected = iota
-	testAdmitted
-	testOverLimit
-	testCount
+	boundRejected = iota
+	boundAdmitted
+	boundOverLimit
+	boundCount
 )
 
 // boundKeys are the keys of the bounds in the operators' file. They also appear in reasons.
-var bounds = [testCount]string{
-	testRejected:  "rejected",
-	testAdmitted:  "let_in",
-	testOverLimit: "beyond",
+var boundKeys = [boundCount]string{
+	boundRejected:  "rejected",
+	boundAdmitted:  "let_in",
+	boundOverLimit: "beyond",
 }
 
 // TrialState is the progress of a trial and of the watch after its switch. It is stored in the
 // table, so that a new leader can continue.
 type TrialState struct {
-	NextBucket int                    `cbor:"1,keyasint"` // index of the bucket to test next
-	Tests      [testCount]BettingTest `cbor:"2,keyasint"`
+	NextBucket int                     `cbor:"1,keyasint"` // index of the bucket to test next
+	Tests      [boundCount]BettingTest `cbor:"2,keyasint"`
 	// Sums are the canary's observations accumulated over all leaders, except those by bucket.
 	// Their names lack the canary's prefix.
 	Sums           map[string]uint64 `cbor:"3,keyasint"`
@@ -63,9 +63,9 @@
 	if bucket.requested < minBucketUnits {
 		return
 	}
-	s.Tests[testRejected].Add((bucket.oldOnly-bucket.newOnly)/bucket.requested, canary.RejectedBound())
-	s.Tests[testAdmitted].Add((bucket.newOnly-bucket.oldOnly)/bucket.requested, canary.AdmittedBound())
-	s.Tests[testOverLimit].Add(bucket.overLimit/bucket.requested, canary.OverLimitBound())
+	s.Tests[boundRejected].Add((bucket.oldOnly-bucket.newOnly)/bucket.requested, canary.RejectedBound())
+	s.Tests[boundAdmitted].Add((bucket.newOnly-bucket.oldOnly)/bucket.requested, canary.AdmittedBound())
+	s.Tests[boundOverLimit].Add(bucket.overLimit/bucket.requested, canary.OverLimitBound())
 }
 
 // exceededBound returns the index of the first bound that the rule exceeds, or false if there is
@@ -73,7 +73,7 @@
 // can refuse the rule.
 func (s *TrialState) exceededBound(errorRate float64) (test int, exceeded bool) {
 	for i := range s.Tests {
-		if s.Tests[i].IsAbove(errorRate / testCount) {
+		if s.Tests[i].IsAbove(errorRate / boundCount) {
 			return i, true
 		}
 	}
@@ -81,10 +81,10 @@
 }
 
 // isHarmless reports whether the rule may come into force: every test finds it below its bound at
-// the error rate, from 0 to 1, and few enough requests were decided without a count. Tests need no
-// share of the error rate here because all of them must pass.
+// the error rate, from 0 to 1, and few enough requests were decided without a count. The error
+// rate is not divided among the tests because all of them must pass.
 func (s *TrialState) isHarmless(errorRate float64) bool {
-	if float64(s.Sums[nameEstimated]) > maxEstimatedPart*float64(s.Sums[nameRequests]) {
+	if float64(s.Sums[nameEstimated]) > maxEstimatedFraction*float64(s.Sums[nameRequests]) {
 		return false
 	}
 	for i := range s.Tests {
@@ -98,15 +98,15 @@
 // forecastAdmitted returns the fraction of units, from 0 to 1, that the new rule is expected to
 // admit. It scales the fraction actually admitted under the old rule by the ratio of the units that
 // the new and the old rule admit in the shadow evaluation.
-func (s *TrialState) forecast(oldVersion uint64) float64 {
+func (s *TrialState) forecastAdmitted(oldVersion uint64) float64 {
 	byOldRule := float64(s.Sums[nameBoth] + s.Sums[nameOldOnly])
 	byNewRule := float64(s.Sums[nameBoth] + s.Sums[nameNewOnly])
 	requested, admitted := s.actualUnits(oldVersion)
 	return min(float64(admitted)/float64(max(requested, 1))*byNewRule/max(byOldRule, 1), 1)
 }
 
-// actualUnits returns the units, in thousandths, that sampled requests requested under a version,
-// and those of them that were forwarded.
+// actualUnits returns the units of sampled requests under a version, in thousandths: all requested
+// units, and the units of forwarded requests.
 func (s *TrialState) actualUnits(version uint64) (requested, admitted uint64) {
 	prefix := actualPrefix(version)
 	return s.Sums[observation.JoinName(prefix, nameRequested)], s.Sums[observation.JoinName(prefix, nameAdmitted)]
@@ -114,7 +114,7 @@
 
 // updateObserved measures the fraction of units admitted under a version since the latest
 // measurement. It returns false and changes nothing if fewer than minWatchedUnits were requested.
-func (s *TrialState) observe(version uint64) bool {
+func (s *TrialState) updateObserved(version uint64) bool {
 	requested, admitted := s.actualUnits(version)
 	if requested-s.RequestedUnits < minWatchedUnits {
 		return false
@@ -127,7 +127,7 @@
 
 // addSums adds the increase of the canary's sums since the baseline. It replaces the map instead of
 // changing it.
-func (s *TrialState) accumulate(fingerprint string, baseline, sums map[string]uint64) {
+func (s *TrialState) addSums(fingerprint string, baseline, sums map[string]uint64) {
 	prefix := observation.JoinName(nameCanary, fingerprint, "")
 	bucketPrefix := observation.JoinName(nameBucket, "")
 	accumulated := maps.Clone(s.Sums)
@@ -143,6 +143,7 @@
 	s.Sums = accumulated
 }
 
+// decodeTrialState decodes a trial's state. An empty text stands for the zero state.
 func decodeTrialState(text []byte) (state TrialState, err error) {
 	if len(text) > 0 {
 		err = cbor.Unmarshal(text, &state)
