--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -43,7 +43,7 @@
 			falselyBelow, falselyAbove := countFalseDecisions(runs, bound, alpha, test.draw)
 			t.Logf("of %d tests at the bound, %d reported below, %d above", runs, falselyBelow, falselyAbove)
 			if falselyBelow > maxErrors || falselyAbove > maxErrors {
-				t.Errorf("%d false reports below and %d above, want at most %d each", falselyBelow, falselyAbove, maxErrors)
+				t.Errorf("%d false reports below, %d above, want %d at most", falselyBelow, falselyAbove, maxErrors)
 			}
 		})
 	}
--- a/internal/control/countingrule/canary/calls.go
+++ b/internal/control/countingrule/canary/calls.go
@@ -20,7 +20,7 @@
 	side                int
 	state               *keyState
 	window              countingrule.Window // window that is read
-	asOf                time.Duration       // time of the count: when the call was sent, or the end of the previous window
+	asOf                time.Duration       // time of the count: that of the call, or the end of the previous window
 	units               float64             // units added by the call
 	request             *shadowRequest      // request to decide by the count, or nil for a flush
 	readsPreviousWindow bool                // the count is for the deficit of the previous window
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -11,8 +11,9 @@
 
 // Controller computes the table of counting rules. It evaluates a new rule in a canary trial,
 // schedules the switch to it, and compares the outcome with the trial's forecast. It then keeps the
-// rule or rolls it back. It refuses a rule that rejects, admits or exceeds its limits by more than
-// the configured bounds. Not safe for concurrent use.
+// rule or rolls it back. It refuses a rule that rejects or admits too many more units than the
+// current one, or that exceeds its own limits too far, according to the configured bounds. Not safe
+// for concurrent use.
 type Controller struct {
 	Config      func() *countingrule.Config // returns the configuration as last read from the file
 	Lease       time.Duration               // duration of the table's lease at every process
--- a/internal/control/countingrule/canary/keystate.go
+++ b/internal/control/countingrule/canary/keystate.go
@@ -16,7 +16,7 @@
 	plan            policy.Plan
 	window          countingrule.Window // of the latest count
 	countReadAt     time.Duration       // time of the latest count, or of the key's creation
-	remainingUnits  float64             // at countReadAt
+	remainingUnits  float64             // units that remained at countReadAt
 	pendingUnits    float64             // admitted units not yet added to the counter
 	flushAt         time.Duration       // when pending units are added without a further request, or noFlush
 	lastUsed        time.Duration       // time of the latest request
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -19,7 +19,7 @@
 	nameBoth       = "both"    // units admitted by both rules
 	nameNeither    = "neither" // units admitted by neither rule
 	nameOverLimit  = "beyond"  // units admitted by the new rule beyond its limit
-	nameEstimated  = "blind"   // requests decided without a count
+	nameEstimated  = "blind"   // requests that a side decided without a count
 	nameRequests   = "tasks"   // requests evaluated
 	nameMergedKeys = "merged"  // keys of the new rule that combine several keys of the old rule
 	nameSplitKeys  = "split"   // keys of the old rule that are split into several keys of the new rule
--- a/internal/control/countingrule/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -39,7 +39,7 @@
 	seed          uint64
 	hashThreshold uint64            // components with a lower hash are sampled
 	mask          uint64            // bits of the customer that identify a component; all ones if no rule has a mask
-	parents       map[uint64]uint64 // customers of listed groups, to the lowest customer of their component
+	parents       map[uint64]uint64 // by customer of a listed group: lowest customer of the component
 }
 
 // NewSample returns the sample for two rules, with the given permille of the components. All
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -50,7 +50,8 @@
 	keys       map[uint64]*keyState
 	flushQueue []*keyState // keys with a scheduled flush, oldest first; a request may have canceled it
 	// callBudget is the number of calls that this side may make. Each side earns half of the
-	// evaluation's calls, so that both read counts equally often.
+	// evaluation's calls, so that both read counts equally often. Follow-up calls can make the
+	// budget negative.
 	callBudget float64
 }
 
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -29,8 +29,8 @@
 const (
 	maxClockSkew = 500 * time.Millisecond // maximum error of a process clock
 
-	// switchDelayReadWaits is in multiples of ReadWait. Most processes learn of a switch while
-	// their lease is valid.
+	// switchDelayReadWaits is a multiple of ReadWait. It lets most processes learn of a switch
+	// while their lease is valid.
 	switchDelayReadWaits = 2
 
 	switchDelayClockSkews = 2           // multiples of maxClockSkew: one clock ahead, another behind
@@ -105,7 +105,7 @@
 	return true
 }
 
-// shouldTry reports whether the desired version is neither in force nor refused earlier.
+// shouldTry reports whether the desired version is not in force and was not refused before.
 func (s *step) shouldTry(desired uint64) bool {
 	return desired != s.table.From && !slices.Contains(s.table.Refused, desired)
 }
@@ -222,11 +222,11 @@
 		s.completeSwitch(fmt.Sprintf(reasonKept, trial.Observed, trial.Forecast))
 		return true
 	}
-	watched := s.now - s.table.SwitchAt - settleDelay
-	if watched < time.Duration(trial.Checks+1)*watchInterval {
+	elapsed := s.now - s.table.SwitchAt - settleDelay
+	if elapsed < time.Duration(trial.Checks+1)*watchInterval {
 		return false
 	}
-	trial.Checks = int(watched / watchInterval)
+	trial.Checks = int(elapsed / watchInterval)
 	trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
 	if !trial.updateObserved(s.table.To) {
 		return true
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -35,7 +35,7 @@
 	Sums           map[string]uint64 `cbor:"3,keyasint"`
 	Forecast       float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, from 0 to 1
 	Observed       float64           `cbor:"5,keyasint"` // fraction admitted between the latest two measurements
-	Checks         int               `cbor:"6,keyasint"` // watch intervals that have passed since the switch
+	Checks         int               `cbor:"6,keyasint"` // watch intervals that had passed at the latest check
 	Deviations     int               `cbor:"7,keyasint"` // consecutive checks that deviate from the forecast
 	RequestedUnits uint64            `cbor:"8,keyasint"` // total at the latest measurement, in thousandths
 	AdmittedUnits  uint64            `cbor:"9,keyasint"` // total at the latest measurement, in thousandths
@@ -56,9 +56,9 @@
 	}
 }
 
-// addBucket adds a bucket to the tests if it has minBucketUnits or more. At the limit of a key the
-// two rules may admit different requests of it, even if they admit the same number. Only the net
-// difference over the bucket's requests counts.
+// addBucket adds a bucket to the tests if minBucketUnits or more were requested. At the limit of a
+// key the two rules may admit different requests of it, even if they admit the same number. Only
+// the net difference over the bucket's requests counts.
 func (s *TrialState) addBucket(canary *countingrule.CanaryConfig, bucket bucketOutcome) {
 	if bucket.requested < minBucketUnits {
 		return
--- a/internal/control/countingrule/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -96,7 +96,7 @@
 }
 
 // At most one in twenty verdicts on harmful rules and on harmless rules may be wrong. Undecided
-// trials are not counted as wrong.
+// trials end with a refusal and are not counted as wrong.
 func TestController_verdictErrorRate(t *testing.T) {
 	names, runsEach, runs := quickCandidates, 3, uint64(2)
 	if *full {
@@ -121,8 +121,8 @@
 			(got.elapsed / time.Duration(runsEach)).Round(time.Second))
 	}
 	total := func(v trialResults) int { return v.accepted + v.refused + v.undecided }
-	t.Logf("harmful accepted %d of %d, harmless refused %d of %d; undecided %d and %d", harmful.accepted, total(harmful),
-		harmless.refused, total(harmless), harmful.undecided, harmless.undecided)
+	t.Logf("harmful accepted %d of %d, harmless refused %d of %d; undecided %d and %d",
+		harmful.accepted, total(harmful), harmless.refused, total(harmless), harmful.undecided, harmless.undecided)
 	if *only == "" && (harmful.refused == 0 || harmless.accepted == 0) {
 		t.Error("no harmful rule was refused, or no harmless one accepted")
 	}
