--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -29,7 +29,7 @@
 // is examined after each value.
 func TestBettingTest_errorRateAtTheBound(t *testing.T) {
 	const runs, bound, alpha = 2000, 0.05, 0.05
-	const maxErrors = 120 // expected maximum runs*alpha = 100, plus two standard deviations
+	const maxErrors = 120 // at most runs*alpha = 100 are expected; two standard deviations more
 	for _, test := range []struct {
 		name string
 		draw func(*rand.Rand) float64
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -79,8 +79,8 @@
 	return state
 }
 
-// A new leader has another clock origin and sums that start from zero. It must continue the trial
-// from the state in the table, and test no bucket before observations have arrived.
+// A new leader has another monotonic clock and sums that start from zero. It must continue the
+// trial from the state in the table, and test no bucket before observations have arrived.
 func TestController_newLeaderContinuesTheTrial(t *testing.T) {
 	s := newSimulation(ruleWithScaledLimits(0.75), 4)
 	s.advance(s.now+20*time.Second, neverStop)
