--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// customerOf returns the state of a request's customer, made at its first request. All gateways
-// work out the same windows from the common clock; those of different customers start apart, to
-// spread the calls. The ceiling's share starts empty, as an earlier incarnation may have used it.
+// customerOf returns the state of a request's customer and creates it if there is none. All
+// gateways compute the same windows from the shared clock. The windows of different customers
+// start at different times, which spreads the calls to the counter. The share of the ceiling
+// starts empty, because an earlier incarnation of this gateway may have used it.
 func (a *admission) customerOf(r Request) *customerState {
 	a.evictIdle()
 	if known := a.customers[r.Customer]; known != nil {
@@ -26,9 +27,10 @@
 	return customer
 }
 
-// evictIdle drops customers not seen for as long as a count or a charge lasts, a few looked at for
-// each request. One that comes again later is taken to have a full bucket.
-// Prevents memory that grows with customers who come once.
+// evictIdle removes customers that have been idle for maxCounterTTL, after which no count and no
+// pending charge of theirs is valid. Each call checks evictionChecks customers. A customer that
+// returns after its eviction starts with a full bucket.
+// Prevents memory growth from customers that send a single request.
 func (a *admission) evictIdle() {
 	for range min(len(a.customerList), evictionChecks) {
 		a.nextEviction %= len(a.customerList)
@@ -45,10 +47,11 @@
 	}
 }
 
-// objectiveOf returns when a request's latency objective ends. A request given less time than first
-// tries of its class and plan has used up some of it: a repeat has what its earlier tries left, a
-// first try what this process's standstill left. A first try that lacks more has a client with a
-// timeout of its own, and is not late.
+// objectiveOf returns the time at which a request's latency objective ends. A request that arrives
+// with less time than the first tries of its class and plan has already used part of its
+// objective: a repeat spent it on earlier tries, a first try waited while this process stood
+// still. A first try that lacks more than the standstill explains comes from a client with a
+// shorter timeout, and is not late.
 func (a *admission) objectiveOf(request *requestState, now time.Duration) time.Duration {
 	class := request.class
 	a.learnFirstTimeout(request, now)
@@ -63,8 +66,9 @@
 	return min(request.Deadline-timeout+class.LatencyObjective, request.Deadline)
 }
 
-// learnFirstTimeout keeps what clients of the request's class and plan give a first try: the
-// longest seen, or less where a standstill of this process does not explain what is missing.
+// learnFirstTimeout updates the timeout that clients of the request's class and plan set for a
+// first try. It keeps the longest timeout seen, and replaces it by a shorter one if a standstill
+// of this process cannot explain the difference.
 func (a *admission) learnFirstTimeout(request *requestState, now time.Duration) {
 	if request.Repeat {
 		return
@@ -77,22 +81,23 @@
 	}
 }
 
-// check admits a request, rejects it, or calls the counter, whose answer then decides; the call
-// brings the customer's pending charges.
+// check admits or rejects a request, or calls the counter and leaves the decision to its answer.
+// The call carries the customer's pending charges. check runs again if the answer does not arrive
+// within counterWait, and then decides without it.
 func (a *admission) check(request *requestState) {
 	customer := request.customer
 	customer.refill(a.env.now)
 	switch {
 	case request.completed || request.admitted:
 	case request.awaitsCount:
-		a.decide(request, false) // the count takes too much of the objective
+		a.decide(request, false) // the counter has not answered in time
 	case a.isTooLate(request):
 		a.reject(request, request.class.Timeout)
 	case customer.isExhausted(request.Units):
-		a.decide(request, true) // as a count grows, none could admit it
-	case a.rejectsRepeat(request):
+		a.decide(request, true) // counts only grow, so none could admit the request
+	case a.shouldRejectRepeat(request):
 		a.reject(request, a.balancer.capacityWait())
-	case a.callsCounterFor(customer):
+	case a.shouldCallCounter(customer):
 		request.awaitsCount = true
 		a.sendCharges(customer, request, 1)
 		a.env.setTimer(timerCounterWait, request.ID, request.class.counterWait())
@@ -101,40 +106,42 @@
 	}
 }
 
-// isTooLate reports whether a request's latency objective has passed, or too little time is left
-// for its units. Its client would have left before the answer, and comes again.
+// isTooLate reports whether a request's latency objective has passed, or the time until its
+// deadline is too short for its units. Its client would time out before the answer and retry.
 func (a *admission) isTooLate(request *requestState) bool {
 	now := a.env.now
 	return now >= request.objectiveAt || now+request.expectedLatency(requiredDecile) > request.Deadline
 }
 
-// rejectsRepeat decides whether a request is rejected uncounted: a repeat of a sparse customer,
-// while calls are made for some requests only. It would take a call from first tries.
-func (a *admission) rejectsRepeat(request *requestState) bool {
+// shouldRejectRepeat reports whether to reject a request without a call to the counter: a repeat
+// from a sparse customer, while only some requests get a call. A call for a repeat would use
+// capacity of the counter that first tries need.
+func (a *admission) shouldRejectRepeat(request *requestState) bool {
 	return request.Repeat && a.callProbability < 1 && request.customer.isSparse(request.Units)
 }
 
-// counterWait is how long a request of the class waits for the counter.
+// counterWait returns how long a request of the class waits for the counter's answer.
 func (c *classState) counterWait() time.Duration {
 	return time.Duration(counterWaitFraction * float64(c.LatencyObjective))
 }
 
-// callsCounterFor reports, at random while calls fail, whether the counter is called for a
-// customer. The nearer the customer is to its limit and the fewer gateways it has, the likelier:
-// there a count matters most.
-func (a *admission) callsCounterFor(customer *customerState) bool {
+// shouldCallCounter reports whether to call the counter for a customer. While calls fail, it
+// decides at random, with a higher probability for a customer that is closer to its limit or is
+// served by fewer gateways, because a count matters most there.
+func (a *admission) shouldCallCounter(customer *customerState) bool {
 	if !a.env.settings.HasCounter || !customer.hasWindows() || customer.isBlocked(a.env.now) {
 		return false
 	}
-	bucketPart := customer.available / max(customer.plan.Burst, 1)
-	gatewaysPart := min(customer.gateways/fullNeedGateways, 1)
-	return a.env.random.Float64() < math.Pow(a.callProbability, max(bucketPart, gatewaysPart))
+	bucketFraction := customer.available / max(customer.plan.Burst, 1)
+	gatewaysFraction := min(customer.gateways/fullNeedGateways, 1)
+	return a.env.random.Float64() < math.Pow(a.callProbability, max(bucketFraction, gatewaysFraction))
 }
 
-// decide admits a request or rejects it: by the limit on attempts in flight, the bucket, and the
-// plan's ceiling. counted: a count was read for it just now, or none could change the answer. The
-// limit goes by the demand without this request, so the demand grows after it was checked.
-func (a *admission) decide(request *requestState, counted bool) {
+// decide admits or rejects a request by the limit on attempts in flight, the bucket and the plan's
+// ceiling, in this order. countKnown is true if a count was just read for the request, or if no
+// count could change the decision. The limit is checked against the demand without this request,
+// so the demand is updated after the check.
+func (a *admission) decide(request *requestState, countKnown bool) {
 	request.awaitsCount = false
 	if request.completed {
 		return
@@ -142,11 +149,11 @@
 	customer := request.customer
 	customer.refill(a.env.now)
 	usualLatency := request.class.latencies.decile(medianDecile)
-	reached := a.reachedMaxInFlight(customer, counted)
+	atLimit := a.reachedMaxInFlight(customer, countKnown)
 	if !request.Repeat {
 		customer.demandInFlight += customer.gateways * float64(usualLatency) / float64(demandDecay)
 	}
-	if reached {
+	if atLimit {
 		a.reject(request, usualLatency)
 		return
 	}
@@ -162,12 +169,14 @@
 		a.reject(request, refillTime(missing*customer.gateways, customer.plan.CeilingRate))
 		return
 	}
-	a.admit(request, counted)
+	a.admit(request, countKnown)
 }
 
-// reachedMaxInFlight reports whether the customer's limit on attempts in flight is reached: by the
-// count, else, at random, by the demand that its own first tries here show.
-func (a *admission) reachedMaxInFlight(customer *customerState, counted bool) bool {
+// reachedMaxInFlight reports whether the customer has reached its limit on attempts in flight. If
+// the counter counts units instead of attempts, this gateway allows an even share of the limit. If
+// a count of attempts is missing, the decision is random, by the demand estimated from the first
+// tries at this gateway.
+func (a *admission) reachedMaxInFlight(customer *customerState, countKnown bool) bool {
 	limit := float64(customer.plan.MaxInFlight)
 	own := float64(customer.inFlight)
 	if !customer.countsInFlight() {
@@ -176,16 +185,17 @@
 	if own >= limit || customer.isBlocked(a.env.now) {
 		return true
 	}
-	if counted {
+	if countKnown {
 		return false
 	}
 	return a.env.random.Float64()*customer.demandInFlight > guessedInFlightFraction*limit
 }
 
-// withinQuota decides whether the customer's bucket holds a request's units; else it returns the
-// units missing. The last units go at random: the count lags by the usual latency, and a sharp edge
-// would admit all requests of that time at once.
-// Prevents two bursts back to back at a window's edge.
+// withinQuota reports whether the customer's bucket holds a request's units, and returns the
+// missing units if it does not. The last units of the bucket are granted at random: the count lags
+// by the usual latency, and a sharp threshold would admit every request that arrives during the
+// lag.
+// Prevents two consecutive bursts at a window's edge.
 func (a *admission) withinQuota(request *requestState, usualLatency time.Duration) (missing float64, within bool) {
 	customer := request.customer
 	units := request.Units
@@ -204,16 +214,16 @@
 	return 0, true
 }
 
-// admit takes a request's units from the bucket and has it placed. Without a count each other
-// gateway is assumed to forward a part of them as well (othersFraction).
-func (a *admission) admit(request *requestState, counted bool) {
+// admit takes a request's units from the bucket and passes the request to the balancer. Without a
+// count, every other gateway is assumed to forward a fraction of these units too (othersFraction).
+func (a *admission) admit(request *requestState, countKnown bool) {
 	customer := request.customer
 	units := request.Units
 	request.admitted = true
 	customer.inFlight++
 	customer.uncounted += units
 	customer.available -= units
-	if !counted {
+	if !countKnown {
 		others := units * (customer.gateways - 1) * customer.othersFraction()
 		customer.available -= others
 		customer.assumedByOthers += others
@@ -221,11 +231,12 @@
 	a.env.send(a.balancer, placeRequest{request})
 }
 
+// reject completes a request that was not admitted.
 func (a *admission) reject(request *requestState, retryAfter time.Duration) {
 	a.env.send(a.lifecycle, &completeRequest{request, retryAfter})
 }
 
-// refillTime is how long a bucket takes to get units, at a rate in units a second.
+// refillTime returns how long a bucket takes to gain units at a rate in units per second.
 func refillTime(units, rate float64) time.Duration {
 	return time.Duration(units / rate * float64(time.Second))
 }
--- a/policy/charges.go
+++ b/policy/charges.go
@@ -1,9 +1,10 @@
 package policy
 
-// settle ends a request's part in the quota: the units that it took are charged. A request without
-// an answer is charged the units that it was admitted with.
-func (a *admission) settle(request *requestState, units float64) {
-	a.returnClaim(request)
+// releaseQuota ends a request's use of the quota and charges units to its customer: the actual
+// units of an answer, the request's declared units if there is no answer, or 0 if no server
+// received the request. A second call for the same request changes nothing.
+func (a *admission) releaseQuota(request *requestState, units float64) {
+	a.releaseClaim(request)
 	if !request.admitted {
 		return
 	}
@@ -11,15 +12,15 @@
 	request.admitted = false
 	customer.inFlight--
 	if len(request.attempts) == 0 {
-		customer.ceilingAvailable += request.Units // the first attempt takes it, and there was none
+		customer.ceilingAvailable += request.Units // the ceiling limits attempts, and there was none
 	}
 	customer.uncounted += units - request.Units
 	customer.available -= units - request.Units
 	a.charge(customer, units)
 }
 
-// returnClaim takes a request's attempt off the count of attempts in flight.
-func (a *admission) returnClaim(request *requestState) {
+// releaseClaim subtracts a request's attempt from the count of attempts in flight.
+func (a *admission) releaseClaim(request *requestState) {
 	if request.claimedWindow == noWindow {
 		return
 	}
@@ -27,16 +28,16 @@
 	request.claimedWindow = noWindow
 }
 
-// charge has units counted with the customer's next call or, for a sparse customer, whose next call
-// may come too late, by a call of their own. While calls are made at random, the weight of one that
-// is made makes up for those that are not.
+// charge records units that go to the counter with the customer's next call. The next call of a
+// sparse customer may come too late, so its units are sent immediately, in a separate call. While
+// calls are made at random, the units of such a call are weighted to compensate for skipped calls.
 func (a *admission) charge(customer *customerState, units float64) {
 	if units <= 0 || customer.plan.Rate <= 0 {
 		return
 	}
 	ownCall := a.env.settings.HasCounter && customer.isSparse(units)
 	if ownCall && a.env.random.Float64() >= a.callProbability {
-		customer.uncounted -= units // lost to the count
+		customer.uncounted -= units // the counter never receives them
 		return
 	}
 	customer.pending = append(customer.pending, pendingCharge{units, a.env.now})
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// callOutcome says what an answer to a call to the counter is worth.
+// callOutcome classifies how a call to the counter ended.
 type callOutcome uint8
 
 const (
-	callNotAccepted callOutcome = iota // nothing was added, or to a count of an earlier quota
-	callTimedOut                       // it is taken to be added; no total came
-	callLate                           // the total came after the stated limit
-	callFast
+	callNotAccepted callOutcome = iota // nothing was added, or it was added to a count of an earlier quota
+	callTimedOut                       // the units are assumed to be added; the total is unknown
+	callLate                           // the total arrived after Settings.CountTimeout
+	callFast                           // the total arrived in time
 )
 
-// outcomeOf decides what the answer to a call is worth. Settings.CountTimeout only tells late from
-// fast: it bounds no request's wait, as counterWaitFraction does.
+// outcomeOf classifies the result of a call. Settings.CountTimeout only separates late answers from
+// fast ones; counterWaitFraction limits how long a request waits.
 func (a *admission) outcomeOf(call *counterCall, result *CountResult) callOutcome {
 	switch {
 	case result.Outcome == TimedOut:
@@ -27,12 +27,12 @@
 	}
 }
 
-// hasTotal reports whether a total came that the customer's quota can go by.
+// hasTotal reports whether the answer has a total that is valid for the customer's quota.
 func (o callOutcome) hasTotal() bool { return o == callFast || o == callLate }
 
-// sendCharges makes a call that brings the customer's pending charges, times a weight, and claims a
-// place in the count of attempts in flight where the plan limits those. The request waits for the
-// answer; nil: none does.
+// sendCharges calls the counter with the customer's pending charges, multiplied by weight. Charges
+// older than maxChargeAge are dropped. If the plan limits attempts in flight, the call also adds an
+// attempt to their count. request waits for the answer; nil if none does.
 func (a *admission) sendCharges(customer *customerState, request *requestState, weight float64) {
 	call := counterCall{request: request, customer: customer, window: customer.windowAt(a.env.now)}
 	for _, charge := range customer.pending {
@@ -51,6 +51,7 @@
 	a.call(call)
 }
 
+// call sends a call to the counter and keeps it until its answer arrives.
 func (a *admission) call(call counterCall) {
 	name := counterName(call.customer.id, call.window)
 	call.quotaEpoch = call.customer.quotaEpoch
@@ -59,7 +60,7 @@
 	a.env.host.Count(name, ttl, call.units)
 }
 
-// handleCount takes the answer to a call, and decides on the request that waits for it.
+// handleCount processes the answer to a call and decides on the request that waits for it.
 func (a *admission) handleCount(result *CountResult) {
 	call, found := a.nextCall(result.Name)
 	if !found {
@@ -77,7 +78,7 @@
 	}
 	if outcome.hasTotal() {
 		if call.customer.countsInFlight() {
-			a.checkMaxInFlight(call, result.Total)
+			a.blockAtMaxInFlight(call, result.Total)
 		} else {
 			a.recordSample(call, result.Total)
 		}
@@ -88,8 +89,9 @@
 	}
 }
 
-// updateCallProbability sets the probability of the next calls: less for one that failed or was
-// late, more for each fast one in a row. At random, gateways do not pause and come back in step.
+// updateCallProbability adjusts the probability of the next calls. A failed or late call lowers
+// it; a fast one raises it, and more so after a series of fast ones. Because calls are skipped at
+// random, gateways do not stop and resume calling in step.
 func (a *admission) updateCallProbability(outcome callOutcome) {
 	if outcome == callFast {
 		a.fastAnswers = min(a.fastAnswers+1, maxFastAnswers)
@@ -100,7 +102,8 @@
 	a.callProbability = max(a.callProbability*callBackoff, minCallProbability)
 }
 
-// updateAcceptedFraction keeps the part of the latest calls that the counter accepted.
+// updateAcceptedFraction updates the moving average of the fraction of calls that the counter
+// accepts.
 func (a *admission) updateAcceptedFraction(outcome callOutcome) {
 	a.acceptedFraction -= a.acceptedFraction / acceptedSamples
 	if outcome != callNotAccepted {
@@ -108,34 +111,34 @@
 	}
 }
 
-// confirmCharges takes a call's charges as counted, also where the call timed out: charged twice,
-// they would reject requests until the window's end, while not charged they weaken one limit of
-// several. Those of a sparse customer's own call are never sent again: the weight of accepted calls
-// makes up for the others (charge).
+// confirmCharges marks a call's charges as counted, even if the call timed out. Charges that are
+// counted twice would reject requests until the end of the window; charges that are never counted
+// only weaken one of several limits. Charges that a sparse customer sent in a separate call are
+// never sent again, because the weight of accepted calls compensates for the others (charge).
 func (c *counterCall) confirmCharges() {
 	for _, charge := range c.charges {
 		c.customer.uncounted -= charge.units
 		latest := &c.customer.samples[0]
-		if latest.window > c.window { // no count of this window shows it
+		if latest.window > c.window { // the latest window's count does not include it
 			latest.level = max(latest.level-charge.units, 0)
 		}
 	}
 }
 
-// checkMaxInFlight holds back the customer for a part of an answer's time where the other attempts
-// in flight fill its limit.
-func (a *admission) checkMaxInFlight(call counterCall, total float64) {
+// blockAtMaxInFlight blocks the customer for a fraction of the usual latency if its other attempts
+// in flight reach its limit.
+func (a *admission) blockAtMaxInFlight(call counterCall, total float64) {
 	if call.request == nil || total-call.units < float64(call.customer.plan.MaxInFlight) {
 		return
 	}
 	usualLatency := float64(call.request.class.latencies.decile(medianDecile))
-	pause := max(time.Duration(blockedFraction*usualLatency), a.env.settings.ClockTick)
-	call.customer.blockedUntil = a.env.now + pause
+	blockedFor := max(time.Duration(blockedFraction*usualLatency), a.env.settings.ClockTick)
+	call.customer.blockedUntil = a.env.now + blockedFor
 }
 
-// recordSample takes a total into the customer's level. The first call that finds a window's count
-// untouched reads the window before it and carries over what that overran, for gateways that did
-// not see it.
+// recordSample updates the customer's level from a total. The first call of this gateway that finds
+// a window's count untouched also reads the previous window and carries over its overrun, for the
+// gateways that did not see it.
 func (a *admission) recordSample(call counterCall, total float64) {
 	customer := call.customer
 	current := customer.windowAt(a.env.now)
@@ -154,8 +157,8 @@
 	}
 }
 
-// carryOverrun adds to the current window's count what the bucket lacked at the end of the window
-// before it.
+// carryOverrun adds the units that the bucket lacked at the end of the previous window to the count
+// of the current window.
 func (a *admission) carryOverrun(call counterCall, current int64, total float64) {
 	customer := call.customer
 	level := customer.estimateLevel(call.window, customer.windowStart(current), total, 0)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// resetWindows begins the customer's windows, of which none was seen yet.
+// resetWindows starts the customer's windows anew, without a sample of any count.
 func (c *customerState) resetWindows(now time.Duration) {
-	unseen := countSample{window: -1, at: now, level: c.plan.Burst}
-	c.samples = [2]countSample{unseen, unseen}
+	initial := countSample{window: -1, at: now, level: c.plan.Burst}
+	c.samples = [2]countSample{initial, initial}
 	c.initializedWindow = noWindow
 	c.blockedUntil = 0
 	c.windowLength = windowLengthOf(c.plan)
 	c.windowOffset = time.Duration(counterName(c.id, 0) % uint64(max(c.windowLength, 1)))
 }
 
-// windowLengthOf is how long the counter counts in one window for customers of a plan; 0: it counts
-// nothing for them.
+// windowLengthOf returns the length of the counter's windows for customers of a plan, or 0 if the
+// counter counts nothing for them.
 func windowLengthOf(plan *Plan) time.Duration {
 	switch {
 	case plan.Rate > 0:
@@ -32,41 +32,42 @@
 // hasWindows reports whether the counter counts anything for the customer.
 func (c *customerState) hasWindows() bool { return c.windowLength > 0 }
 
-// windowAt returns the number of the window that a time falls in.
+// windowAt returns the number of the window that contains a time.
 func (c *customerState) windowAt(at time.Duration) int64 {
 	return int64((at + c.windowOffset) / c.windowLength)
 }
 
-// windowStart returns when a window starts.
+// windowStart returns the time at which a window starts.
 func (c *customerState) windowStart(window int64) time.Duration {
 	return time.Duration(window)*c.windowLength - c.windowOffset
 }
 
-// counterName is a hash of customer and window number.
+// counterName returns the counter's name for a customer's window, a hash of both.
 func counterName(customerID uint64, window int64) uint64 {
 	x := (customerID*customerHashFactor + uint64(window)) * windowHashFactor
 	return x ^ x>>hashShift
 }
 
-// countsInFlight reports whether the customer's count is one of attempts in flight, not of units.
+// countsInFlight reports whether the counter counts the customer's attempts in flight, not its
+// units.
 func (c *customerState) countsInFlight() bool { return c.plan.Rate <= 0 && c.plan.MaxInFlight > 0 }
 
-// isBlocked reports whether the limit on attempts in flight was reached so lately that it is taken
-// to be reached still.
+// isBlocked reports whether the limit on attempts in flight was reached so recently that it is
+// assumed to be reached still.
 func (c *customerState) isBlocked(now time.Duration) bool { return now < c.blockedUntil }
 
-// isSparse reports whether requests come here too seldom to learn of the customer: this gateway's
-// part of a burst holds under two requests of so many units.
+// isSparse reports whether too few of the customer's requests arrive at this gateway to learn from
+// them: its share of a burst holds fewer than sparseRequests requests of the given units.
 func (c *customerState) isSparse(units float64) bool {
 	return c.plan.Burst < sparseRequests*units*c.gateways
 }
 
-// isExhausted reports whether no count could admit so many units and no charge waits for a call.
+// isExhausted reports whether no count could admit the given units and no charge is pending.
 func (c *customerState) isExhausted(units float64) bool {
 	return c.plan.Rate > 0 && c.available+c.assumedByOthers < units && len(c.pending) == 0
 }
 
-// refill brings the bucket, the demand and the part of the ceiling up to the time now.
+// refill updates the bucket, the demand and the share of the ceiling to the time now.
 func (c *customerState) refill(now time.Duration) {
 	passed := (now - c.refilledAt).Seconds()
 	c.refilledAt = now
@@ -76,9 +77,9 @@
 	c.ceilingAvailable = min(grown, c.plan.CeilingBurst/c.gateways)
 }
 
-// takeFromCeiling takes units from this gateway's part of the plan's ceiling, or returns how many
-// are missing. All gateways' parts add up to the ceiling, so it holds without a counter and after a
-// restart.
+// takeFromCeiling takes units from this gateway's share of the plan's ceiling, or returns how many
+// are missing. The shares of all gateways add up to the ceiling, so the ceiling holds without a
+// counter and after a restart.
 func (c *customerState) takeFromCeiling(units float64) (missing float64) {
 	if c.plan.CeilingRate <= 0 {
 		return 0
@@ -91,8 +92,9 @@
 	return 0
 }
 
-// adoptSample sets the level by a total read in the latest window, or in a later one, whose count
-// lacks what the window before got since this gateway's latest sample.
+// adoptSample sets the level from a total of the latest sampled window or a later one. The count
+// of a later window lacks units that were charged to the previous window after this gateway's
+// latest sample, so this gateway's own estimate bounds the level.
 func (c *customerState) adoptSample(call counterCall, now time.Duration, total float64) {
 	c.refill(now)
 	level := c.estimateLevel(call.window, now, total, call.units)
@@ -105,10 +107,11 @@
 	c.assumedByOthers = 0
 }
 
-// estimateLevel is the units that the bucket can hold at a time in a window, by the window's total:
-// its latest sample's level plus what was refilled since. A window without a sample starts full, as
-// its count includes what it lacked; samples of earlier windows bound it. own is the units that
-// this gateway charged since the sample, in case the counter forgot.
+// estimateLevel returns the units that the bucket can hold at a time in a window, given the
+// window's total: the level of the window's latest sample, plus the refill since then, less the
+// units charged since then. A window without a sample starts full, because its count includes what
+// the bucket lacked at its start. Samples of earlier windows bound the level. own is the number of
+// units that this gateway charged since the sample; it is used if the counter lost its count.
 func (c *customerState) estimateLevel(window int64, at time.Duration, total, own float64) float64 {
 	from := countSample{at: c.windowStart(window), level: c.plan.Burst}
 	limit := c.plan.Burst
@@ -123,27 +126,28 @@
 	return max(min(from.level+c.plan.Rate*(at-from.at).Seconds()-used, limit), 0)
 }
 
-// uncountedByOthers is the units that other gateways likely forwarded and did not charge yet: their
-// rate in the window of the latest sample, for the usual latency.
-// Prevents admission by a count that lags by what is in flight.
+// uncountedByOthers estimates the units that other gateways forwarded and have not charged yet:
+// their rate in the window of the latest sample, times the usual latency.
+// Prevents admission by a count that lags behind the units in flight.
 func (c *customerState) uncountedByOthers(usualLatency time.Duration) float64 {
 	sample := c.samples[0]
 	passed := max(sample.at-c.windowStart(sample.window), c.windowLength/countSpanDivisor, 1)
 	return sample.total * (1 - 1/c.gateways) * float64(usualLatency) / float64(passed)
 }
 
-// recordUsage takes a report of the part of its rate that the customer uses. What was assumed
-// before the first report, by a customer at its full rate, is corrected by it.
-func (c *customerState) recordUsage(part float64) {
+// recordUsage records a report of the fraction of its rate that the customer uses. Until the first
+// report, the customer is assumed to use its full rate; that report corrects the units that other
+// gateways were assumed to have used.
+func (c *customerState) recordUsage(rateFraction float64) {
 	c.usageReports = min(c.usageReports+1, maxUsageReports)
-	c.usage += (part - c.usage) / c.usageReports
+	c.usage += (rateFraction - c.usage) / c.usageReports
 	if c.usageReports == 1 {
 		c.available += c.assumedByOthers * (1 - c.othersFraction())
 		c.assumedByOthers *= c.othersFraction()
 	}
 }
 
-// othersFraction is the part of this gateway's units that each other gateway is taken to forward
-// where no count tells: all, or the reported usage squared, as a customer that uses half of its
-// rate seldom empties its bucket.
+// othersFraction returns the fraction of this gateway's units that each other gateway is assumed to
+// forward while there is no count: the reported usage squared, at most 1, because a customer that
+// uses half of its rate rarely empties its bucket. Without a report it is 1.
 func (c *customerState) othersFraction() float64 { return min(c.usage*c.usage, 1) }
--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// admission decides by the customer's quota whether a request is admitted.
+// admission admits or rejects requests by their customers' quotas.
 type admission struct {
 	mailbox
 	env       *environment
@@ -10,66 +10,67 @@
 	lifecycle *lifecycle
 
 	customers    map[uint64]*customerState
-	customerList []*customerState // the same, to look through
-	nextEviction int              // index of the next to be looked at
+	customerList []*customerState // values of customers, for iteration
+	nextEviction int              // index in customerList of the next customer to check for eviction
 
-	calls            map[uint64][]counterCall // without an answer yet, by the counter's name
-	callProbability  float64                  // that the counter is called: 1 while it answers
-	fastAnswers      float64                  // in a row, up to maxFastAnswers
-	acceptedFraction float64                  // of the latest calls
+	calls            map[uint64][]counterCall // calls without an answer by counter name, oldest first
+	callProbability  float64                  // probability that the counter is called; 1 while it answers
+	fastAnswers      float64                  // number of consecutive fast answers, at most maxFastAnswers
+	acceptedFraction float64                  // fraction of the latest calls that the counter accepted
 }
 
-// noWindow is the number of no window in use: windows are counted from 1970 on.
+// noWindow is a window number that is never in use, because windows are numbered from 1970.
 const noWindow int64 = 0
 
-// customerState is what this gateway knows of a customer's quota.
+// customerState is what this gateway knows about a customer's quota.
 type customerState struct {
 	id           uint64
 	plan         *Plan
 	planIndex    int
-	gateways     float64        // that serve the customer
-	inFlight     int            // requests admitted and not settled
-	windowLength time.Duration  // 0: the counter counts nothing for its plan
-	windowOffset time.Duration  // of the windows' starts
-	samples      [2]countSample // the latest of this window's count, and of the one before
-	quotaEpoch   int            // counts the changes of its quota: a count of an earlier one says nothing
+	gateways     float64        // number of gateways that serve the customer
+	inFlight     int            // number of admitted requests that still use the quota
+	windowLength time.Duration  // 0: the counter counts nothing for the plan
+	windowOffset time.Duration  // offset of the window starts
+	samples      [2]countSample // latest samples of the latest window and of the window before it
+	quotaEpoch   int            // number of quota changes; counts of an earlier epoch are invalid
 
-	available       float64 // units that the bucket is believed to hold, as of refilledAt
-	uncounted       float64 // units that this gateway forwarded and no count has shown yet
-	assumedByOthers float64 // units that others are only assumed to have used since the latest sample
+	available       float64 // estimated units in the bucket at refilledAt
+	uncounted       float64 // units that this gateway forwarded and that no count includes yet
+	assumedByOthers float64 // units that other gateways are assumed to have used since the latest sample
 	refilledAt      time.Duration
 
-	pending           []pendingCharge // of answers, for the next call
-	initializedWindow int64           // the latest that this gateway carried an overrun into
-	ceilingAvailable  float64         // units of this gateway's own part of the ceiling
-	usageReports      float64         // how many came, up to maxUsageReports
-	usage             float64         // part of its rate that it uses, by the latest of these
-	demandInFlight    float64         // attempts in flight of all gateways, as far as its first tries here tell
-	blockedUntil      time.Duration   // the limit on attempts in flight is taken to be reached until then
+	pending           []pendingCharge // charges to send with the next call
+	initializedWindow int64           // latest window that this gateway found untouched and carried the overrun into
+	ceilingAvailable  float64         // units available in this gateway's share of the ceiling
+	usageReports      float64         // number of usage reports received, at most maxUsageReports
+	usage             float64         // fraction of its rate that it uses, averaged over the latest reports
+	demandInFlight    float64         // attempts in flight at all gateways, estimated from first tries here
+	blockedUntil      time.Duration   // end of the time in which it is assumed to be at its limit on attempts in flight
 }
 
-// pendingCharge is units that a request took and that were not sent to the counter yet.
+// pendingCharge is the units that a request took and that no call has sent to the counter yet.
 type pendingCharge struct {
 	units float64
-	at    time.Duration
+	at    time.Duration // time of the charge
 }
 
-// counterCall is a call that has no answer yet. Answers for a name come in the order of its calls.
+// counterCall is a call to the counter without an answer. The answers for a name arrive in the
+// order of its calls.
 type counterCall struct {
-	request    *requestState // that waits for the answer; nil: none does
+	request    *requestState // request that waits for the answer; nil: none
 	customer   *customerState
 	window     int64
 	charges    []pendingCharge
 	units      float64
-	quotaEpoch int // of the customer when it was made
+	quotaEpoch int // the customer's epoch at the time of the call
 }
 
-// nextCall takes the call that an answer for a name belongs to: the oldest.
-func (a *admission) nextCall(name uint64) (c counterCall, found bool) {
+// nextCall removes and returns the call that an answer for a name belongs to, which is the oldest.
+func (a *admission) nextCall(name uint64) (call counterCall, found bool) {
 	queue := a.calls[name]
 	switch len(queue) {
 	case 0:
-		return c, false
+		return call, false
 	case 1:
 		delete(a.calls, name)
 	default:
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Each event becomes a message to one actor. Events of requests that are not known, or not any
-// more, are ignored. The parameter now is the time since the origin of the clock that all gateways
-// share; it never goes back.
+// Each event becomes a message to one actor. Events of unknown requests, and of requests that have
+// been released, are ignored. The parameter now is the time since the origin of the clock that all
+// gateways share. It never decreases.
 
-// advanceClock moves the module's clock to an event's time.
+// advanceClock advances the module's clock to an event's time.
 func (e *environment) advanceClock(now time.Duration) {
 	if now > e.now {
 		e.standstill = now - e.now
@@ -14,14 +14,14 @@
 	}
 }
 
-// dispatch sends an event's message and lets the actors work.
+// dispatch sends an event's message to an actor and runs the actors until no message is left.
 func (e *environment) dispatch(now time.Duration, to actor, m message) {
 	e.advanceClock(now)
 	e.send(to, m)
 	e.deliver()
 }
 
-// HandleEndpoints takes an endpoint list, or what has changed of it.
+// HandleEndpoints processes an endpoint list or changes to it.
 func (g *Gateway) HandleEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
 	if !g.firstListAt.happened() {
 		g.firstListAt = eventTime(now)
@@ -29,8 +29,8 @@
 	g.dispatch(now, g.balancer, &endpointsArrived{kind, list})
 }
 
-// HandleRequest takes a request: from here on it is owed exactly one final answer, unless its
-// client leaves.
+// HandleRequest processes a new request. The module gives it exactly one final answer, unless its
+// client disconnects first.
 func (g *Gateway) HandleRequest(now time.Duration, r Request) {
 	g.advanceClock(now)
 	request := &requestState{Request: r, class: &g.classes[r.Class], customer: g.admission.customerOf(r)}
@@ -40,7 +40,7 @@
 	g.dispatch(now, g.admission, checkQuota{request})
 }
 
-// HandleAttemptResult takes how an attempt ended. A second result of the same attempt is ignored.
+// HandleAttemptResult processes the result of an attempt. It ignores a second result of an attempt.
 func (g *Gateway) HandleAttemptResult(now time.Duration, result AttemptResult) {
 	request := g.requests[result.RequestID]
 	if request == nil || result.Attempt >= len(request.attempts) {
@@ -53,28 +53,29 @@
 	g.dispatch(now, ended.server, &attemptEnded{request, result})
 }
 
-// HandleStreamStart notes that a streamed answer has started: the request has no deadline any more.
+// HandleStreamStart records that a streamed answer has started. The request's deadline no longer
+// applies.
 func (g *Gateway) HandleStreamStart(_ time.Duration, requestID uint32, _ int) {
 	if request := g.requests[requestID]; request != nil {
 		request.streaming = true
 	}
 }
 
-// HandleDisconnect ends a request whose client has left.
+// HandleDisconnect completes a request whose client has disconnected.
 func (g *Gateway) HandleDisconnect(now time.Duration, requestID uint32) {
 	if request := g.requests[requestID]; request != nil {
 		g.dispatch(now, g.lifecycle, clientDisconnected{request})
 	}
 }
 
-// HandleCount takes the counter's answer to a call, or that none came.
+// HandleCount processes the counter's answer to a call, or the call's failure.
 func (g *Gateway) HandleCount(now time.Duration, result CountResult) {
 	g.dispatch(now, g.admission, &countArrived{result})
 }
 
-// HandleHealthCheck takes the answer to a health check. The module asks for none yet.
+// HandleHealthCheck ignores the result of a health check, because the module requests none.
 func (g *Gateway) HandleHealthCheck(time.Duration, uint32, Outcome, time.Duration, []float32) {}
 
-// HandlePeerMessage takes what another gateway sent. The module ignores it: gateways learn of each
-// other from the counter.
+// HandlePeerMessage ignores a message from another gateway, because gateways learn about each other
+// from the counter.
 func (g *Gateway) HandlePeerMessage(time.Duration, int, []byte) {}
--- a/policy/host.go
+++ b/policy/host.go
@@ -2,91 +2,92 @@
 
 import "time"
 
-// The module and the gateway around it exchange the types below. Times are spans since the origin
-// of the clock that all gateways share, unless their names are those of spans.
+// The module and the gateway around it exchange the types below. A time.Duration is a point in
+// time, as the duration since the origin of the clock that all gateways share, unless its name
+// denotes a span, such as a latency or a TTL.
 
-// Outcome is how an attempt, a call to the counter or a health check ended.
+// Outcome is the result of an attempt, a call to the counter or a health check.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of attempts, calls to the counter and health checks.
 const (
 	Answered      Outcome = iota
 	Errored               // answered with an error; it may have run
-	Rejected              // by the server, before any of it ran
+	Rejected              // rejected by the server before any of it ran
 	TimedOut              // no answer in time; it may have run
 	ConnectFailed         // no connection; it never ran
 	Reset                 // the connection broke; it may have run
-	Cancelled             // given up by the gateway; it may have run
-	NotSent               // no byte of it left the gateway
+	Cancelled             // cancelled by the gateway; it may have run
+	NotSent               // the gateway sent no byte of it
 )
 
-// EndpointState is what the endpoint list says of a server.
+// EndpointState is the state of a server in the endpoint list.
 type EndpointState uint8
 
-// The states.
+// States of a server in the endpoint list.
 const (
 	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// ListKind is what an endpoint list contains.
+// ListKind tells which endpoints a list contains.
 type ListKind uint8
 
-// The kinds of list.
+// Kinds of endpoint lists.
 const (
-	ListDelta  ListKind = iota // what has changed
-	ListFull                   // all endpoints: what it leaves out is removed
-	ListCached                 // all endpoints, as last held; it may be old
-	ListFailed                 // nothing: the earlier list remains valid
+	ListDelta  ListKind = iota // changed endpoints only
+	ListFull                   // all endpoints; servers that are not listed are removed
+	ListCached                 // all endpoints of a cached list, which may be out of date
+	ListFailed                 // none; the previous list remains valid
 )
 
-// Endpoint is a server as the endpoint list has it.
+// Endpoint is a server's entry in the endpoint list.
 type Endpoint struct {
 	Server    uint32
 	State     EndpointState
-	Capacity  float64       // relative to other servers; 0: not known
-	StartedAt time.Duration // its latest start; 0: long ago
+	Capacity  float64       // relative to other servers; 0: unknown
+	StartedAt time.Duration // time of its latest start; 0: long ago
 	Rack      int
 	Zone      int
 	Hardware  int
-	// Owner is whose it is, where requests may prefer its servers (Request.PreferOwner); 0:
-	// nobody's. Elective servers take only the first attempts of idempotent requests that prefer
-	// their owner.
-	Owner    int
+	// Owner identifies the owner of the server for requests that prefer an owner
+	// (Request.PreferOwner); 0: no owner.
+	Owner int
+	// Elective servers get only first attempts of idempotent requests that prefer their owner.
 	Elective bool
 }
 
-// Request is what a client asks.
+// Request is a request of a client.
 type Request struct {
 	ID           uint32 // unique among requests without a final answer
 	Class        int    // index in Settings.Classes
 	Plan         int    // index in Settings.Plans
 	Customer     uint64
-	FirstGateway int // of those that serve the customer
-	GatewayCount int // how many serve it
+	FirstGateway int // index of the first gateway that serves the customer
+	GatewayCount int // number of gateways that serve the customer
 	Units        float64
-	Deadline     time.Duration // when the client abandons this try
-	Repeat       bool          // the client has tried before
-	// PreferOwner is the owner whose servers the first attempt of an idempotent request goes to, if
-	// one of them has capacity; 0: none.
+	Deadline     time.Duration // time at which the client abandons this try
+	Repeat       bool          // the client has sent this request before
+	// PreferOwner is the owner whose servers get the first attempt of an idempotent request, if one
+	// of them has capacity; 0: none.
 	PreferOwner int
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	RequestID   uint32
-	Attempt     int // of the request, counted from 0
+	Attempt     int // index of the attempt in the request, from 0
 	Server      uint32
 	Outcome     Outcome
 	Latency     time.Duration
 	Final       bool    // the request has its final answer
-	ActualUnits float64 // that the request took; 0: not known
-	Usage       float64 // 1 + the part of its rate that the customer used, over all gateways; 0: not known
+	ActualUnits float64 // units that the request took; 0: unknown
+	Usage       float64 // 1 + the fraction of its rate that the customer used at all gateways; 0: unknown
 	LoadReport  []float32
 }
 
-// CountResult is the counter's answer to a call, or how the call failed.
+// CountResult is the counter's answer to a call, or the call's failure.
 type CountResult struct {
 	Name    uint64
 	Total   float64
@@ -94,28 +95,31 @@
 	Outcome Outcome
 }
 
-// Host is what a module can ask of the gateway around it. No method may hand the module an event
-// before it returns.
+// Host is the interface through which a module acts on the gateway around it. A method must not
+// deliver an event to the module before it returns.
 type Host interface {
-	// Attempt sends a request to a server. It ends by itself at the time until.
+	// Attempt sends a request to a server. The host ends the attempt at the time until.
 	Attempt(requestID, server uint32, until time.Duration)
-	// Cancel gives up an attempt, counted from 0. Its result comes all the same.
+	// Cancel cancels an attempt, given by its index from 0. The host still reports its result.
 	Cancel(requestID uint32, attempt int)
-	// Reject gives the final answer that makes trying again harmless, after the given span (0:
-	// none).
+	// Reject gives the final answer that tells the client that a retry is harmless. retryAfter is
+	// how long the client should wait before it; 0: not specified.
 	Reject(requestID uint32, retryAfter time.Duration)
-	// Terminate gives the final answer that does not say whether the request ran.
+	// Terminate gives the final answer that leaves open whether the request ran.
 	Terminate(requestID uint32)
-	// Count adds units to a name at the counter, which keeps it for the span ttl, and reads the
-	// total.
+	// Count adds units to the counter's total for a name and reads the total. The counter keeps the
+	// name for ttl.
 	Count(name uint64, ttl time.Duration, units float64)
+	// CheckHealth sends a health check to a server.
 	CheckHealth(server uint32)
-	// SendPeer sends a message to a gateway; below 0: to all.
+	// SendPeer sends a message to another gateway, or to all if gateway is negative.
 	SendPeer(gateway int, text []byte)
-	// WatchEndpoints asks for the endpoint list and its changes.
+	// WatchEndpoints requests the endpoint list and its changes.
 	WatchEndpoints()
+	// SetTimer starts a timer. When it is due, the host calls Gateway.HandleTimer with the token.
 	SetTimer(token uint64, after time.Duration)
-	// CancelTimer takes back a timer that is not needed any more. It may come all the same.
+	// CancelTimer cancels a timer, which may fire nevertheless.
 	CancelTimer(token uint64)
+	// Log writes a line to the gateway's log.
 	Log(line string)
 }
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// handleDisconnect ends a request whose client has left.
+// handleDisconnect completes a request whose client has disconnected.
 func (l *lifecycle) handleDisconnect(request *requestState) {
 	request.completed = true
 	l.release(request)
 }
 
-// followUp takes an attempt's result: the request is served, retried elsewhere, or finally
-// answered.
-func (l *lifecycle) followUp(request *requestState, result *AttemptResult) {
+// handleAttemptResult processes an attempt's result: it charges an answered request, then releases
+// the request, sends another attempt, or gives the final answer.
+func (l *lifecycle) handleAttemptResult(request *requestState, result *AttemptResult) {
 	request.attempts[result.Attempt].state = result.Outcome.endState()
 	request.completed = request.completed || result.Final
 	if result.Usage > 0 && l.env.settings.UsageSpan > 0 {
 		request.customer.recordUsage(result.Usage - 1)
 	}
 	if result.Outcome == Answered && request.admitted {
-		l.env.send(l.admission, &settleUnits{request, cmp.Or(result.ActualUnits, request.Units)})
+		l.env.send(l.admission, &releaseQuota{request, cmp.Or(result.ActualUnits, request.Units)})
 	}
 	switch {
 	case request.completed:
@@ -32,9 +32,10 @@
 	}
 }
 
-// shouldRetry decides whether a request gets another attempt: where its earlier ones allow it
-// (canAttempt, with Settings.MaxAttempts), maxRetries times at most, while no overload is seen, as
-// retries add to it, and while it can be answered within its objective.
+// shouldRetry reports whether a request gets another attempt. Its earlier attempts must allow it
+// (canAttempt, which checks Settings.MaxAttempts), and it must have had fewer than maxRetries
+// retries. Retries add to an overload, so there is none while the servers are overloaded. The usual
+// latency must fit into the rest of the request's objective.
 func (l *lifecycle) shouldRetry(request *requestState) bool {
 	if !request.canAttempt(l.env.now, nil, &l.env.settings) || len(request.attempts) > maxRetries {
 		return false
@@ -46,7 +47,8 @@
 	return l.env.now+usualLatency < request.objectiveAt
 }
 
-// complete gives the final answer at once: rejected where that is allowed, else terminated.
+// complete gives the final answer without an answer from a server: it rejects the request if
+// canReject allows it, and terminates it otherwise.
 func (l *lifecycle) complete(request *requestState, retryAfter time.Duration) {
 	if request.completed {
 		return
@@ -65,7 +67,7 @@
 	l.release(request)
 }
 
-// cancelAttempts cancels a request's attempts in flight, where the host can.
+// cancelAttempts cancels a request's attempts in flight, if the host supports it.
 func (l *lifecycle) cancelAttempts(request *requestState) {
 	for i, a := range request.attempts {
 		if a.isInFlight() && l.env.settings.CanCancel {
@@ -74,8 +76,8 @@
 	}
 }
 
-// release drops a completed request that has no attempt in flight, and settles its quota: it takes
-// its units once an attempt may have come complete to a server.
+// release removes a completed request that has no attempt in flight, and ends its use of the quota.
+// The request is charged its units if a server may have received it completely.
 func (l *lifecycle) release(request *requestState) {
 	if request.hasAttemptInFlight() {
 		return
@@ -84,7 +86,7 @@
 	if request.hasArrived() {
 		units = request.Units
 	}
-	l.env.send(l.admission, &settleUnits{request, units})
+	l.env.send(l.admission, &releaseQuota{request, units})
 	delete(l.requests, request.ID)
 	l.env.cancelTimer(timerDeadline, request.ID)
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// message is one of the types below, each of which goes to one kind of actor, attemptEnded to
-// three.
+// message is one of the types below. Each type goes to one kind of actor, except attemptEnded,
+// which goes to three.
 type message any
 
-// To admission.
+// Messages to admission.
 type (
 	checkQuota   struct{ request *requestState }
 	countArrived struct{ result CountResult }
-	settleUnits  struct { // the request, or its one answer, is over
+	releaseQuota struct { // a request was answered or released
 		request *requestState
-		units   float64 // that it took
+		units   float64 // units that it took
 	}
 )
 
-// To the balancer.
+// Messages to the balancer.
 type (
 	endpointsArrived struct {
 		kind      ListKind
@@ -28,19 +28,19 @@
 	placeRequest struct{ request *requestState }
 )
 
-// To a server.
+// startAttempt is a message to a server.
 type startAttempt struct{ request *requestState }
 
-// To the server, which passes it on to balancer and lifecycle.
+// attemptEnded is a message to a server, which forwards it to the balancer and the lifecycle.
 type attemptEnded struct {
 	request *requestState
 	result  AttemptResult
 }
 
-// To the lifecycle.
+// Messages to the lifecycle.
 type (
 	clientDisconnected struct{ request *requestState }
-	completeRequest    struct { // with no answer of a server
+	completeRequest    struct { // gives the final answer without a server's answer
 		request    *requestState
 		retryAfter time.Duration
 	}
@@ -52,10 +52,10 @@
 		a.check(m.request)
 	case *countArrived:
 		a.handleCount(&m.result)
-	case *settleUnits:
-		a.settle(m.request, m.units)
+	case *releaseQuota:
+		a.releaseQuota(m.request, m.units)
 	default:
-		panic(unexpected(m))
+		panic(unexpectedMessage(m))
 	}
 }
 
@@ -68,7 +68,7 @@
 	case *attemptEnded:
 		b.recordResult(m.request, &m.result)
 	default:
-		panic(unexpected(m))
+		panic(unexpectedMessage(m))
 	}
 }
 
@@ -79,7 +79,7 @@
 	case *attemptEnded:
 		s.handleResult(m)
 	default:
-		panic(unexpected(m))
+		panic(unexpectedMessage(m))
 	}
 }
 
@@ -88,15 +88,16 @@
 	case clientDisconnected:
 		l.handleDisconnect(m.request)
 	case *attemptEnded:
-		l.followUp(m.request, &m.result)
+		l.handleAttemptResult(m.request, &m.result)
 	case *completeRequest:
 		l.complete(m.request, m.retryAfter)
 	default:
-		panic(unexpected(m))
+		panic(unexpectedMessage(m))
 	}
 }
 
-// unexpected says which message came to an actor that does not handle it: a fault of this package.
-func unexpected(m message) string {
-	return fmt.Sprintf("policy: a message of type %T has the wrong receiver", m)
+// unexpectedMessage describes a message to an actor that does not handle its type, which is a bug
+// in this package.
+func unexpectedMessage(m message) string {
+	return fmt.Sprintf("policy: message of type %T sent to an actor that does not handle it", m)
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// AlignWith returns the settings with their classes and plans at the indices that earlier settings
-// gave them, by name, so that a request read just before keeps its class and plan. New ones are
-// appended; missing ones stay at their index, retired, for the requests in flight.
+// AlignWith returns the settings with each class and plan at the index that earlier settings gave
+// to its name, so that requests that were read before the change keep their class and plan. New
+// classes and plans are appended. Missing ones keep their index for the requests in flight, and
+// are retired.
 func (s Settings) AlignWith(earlier Settings) Settings {
 	class := func(c *TrafficClass) (string, *bool) { return c.Name, &c.Retired }
 	plan := func(p *Plan) (string, *bool) { return p.Name, &p.Retired }
@@ -16,7 +17,8 @@
 	return s
 }
 
-// align is AlignWith for classes or plans; key returns a value's name and its Retired field.
+// align implements AlignWith for classes and for plans. key returns a value's name and a pointer to
+// its Retired field.
 func align[T any](current, earlier []T, key func(*T) (string, *bool)) []T {
 	aligned := slices.Clone(earlier)
 	for i := range aligned {
@@ -35,10 +37,10 @@
 	return aligned
 }
 
-// Reconfigure takes new settings and returns them as they are in force, aligned by AlignWith.
-// Requests in flight end under the class that they came with. A customer whose quota has changed
-// begins its windows anew, and no count of an earlier one decides in them. With an error, that of
-// Validate, nothing has changed.
+// Reconfigure applies new settings, aligned by AlignWith, and returns the settings in force.
+// Requests in flight keep the class that they arrived with. The windows of a customer whose quota
+// has changed start anew, and counts of the earlier quota are ignored. If Validate returns an
+// error, Reconfigure returns it and changes nothing.
 func (g *Gateway) Reconfigure(now time.Duration, settings Settings) (Settings, error) {
 	earlier := g.settings
 	settings = settings.AlignWith(earlier)
@@ -56,8 +58,8 @@
 	return g.settings, nil
 }
 
-// applySettings makes the states of the classes, with what was learned of those that stay. Requests
-// in flight keep the states that they came with.
+// applySettings creates the states of the classes and copies the observed latencies and timeouts of
+// classes that remain. Requests in flight keep the states that they arrived with.
 func (e *environment) applySettings(settings Settings) {
 	classes := make([]classState, len(settings.Classes))
 	e.tightestObjective = 0
@@ -79,7 +81,7 @@
 	e.classes = classes
 }
 
-// reconfigure takes the customer's plan as it is in new settings.
+// reconfigure applies new settings to the customer's plan and quota.
 func (c *customerState) reconfigure(now time.Duration, settings *Settings) {
 	earlier := c.plan
 	plan := &settings.Plans[c.planIndex]
@@ -89,14 +91,14 @@
 		return
 	}
 	if earlier.Rate <= 0 {
-		c.available = plan.Burst // there was no bucket before
+		c.available = plan.Burst // the earlier plan had no bucket
 	}
 	c.available = min(c.available, plan.Burst)
 	c.quotaEpoch++
 	c.resetWindows(now)
 }
 
-// reconfigure makes space for new classes and plans in the server's records.
+// reconfigure extends the server's records for new classes and plans.
 func (s *server) reconfigure(earlierPlans, plans, classes int) {
 	s.health = append(s.health, make([]classHealth, classes-len(s.health))...)
 	earlier := s.rejectedAt
--- a/policy/repeat_rules.go
+++ b/policy/repeat_rules.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// attemptState says whether an attempt is in flight, and what is known of one that ended.
+// attemptState is whether an attempt is in flight and, once it has ended, whether it may have run.
 type attemptState uint8
 
 const (
 	attemptInFlight   attemptState = iota
-	attemptMayHaveRun              // it ended with an answer or an error, or nothing more is known of it
-	attemptNotRun                  // a server got it complete, and ran none of it
-	attemptNotArrived              // no server got it complete
+	attemptMayHaveRun              // ended with an answer or an error, or its result is unknown
+	attemptNotRun                  // a server received all of it and ran none of it
+	attemptNotArrived              // no server received all of it
 )
 
-// endState returns what an outcome says of the attempt that it ends.
+// endState returns the state of an attempt that ended with the outcome.
 func (o Outcome) endState() attemptState {
 	switch o {
 	case ConnectFailed, NotSent:
@@ -28,54 +28,54 @@
 
 func (a attempt) isInFlight() bool { return a.state == attemptInFlight }
 
-// mayHaveRun reports whether the attempt is not proven never to have run.
+// mayHaveRun reports whether the attempt may have run, which includes one in flight.
 func (a attempt) mayHaveRun() bool { return a.state != attemptNotRun && a.state != attemptNotArrived }
 
-// mayHaveArrived reports whether a server may have got the attempt complete.
+// mayHaveArrived reports whether a server may have received the whole attempt.
 func (a attempt) mayHaveArrived() bool { return a.state != attemptNotArrived }
 
-// repeatScope says where a request may run again, by its attempts so far.
+// repeatScope is where a request may run again, given its attempts so far.
 type repeatScope uint8
 
 const (
-	repeatAnywhere repeatScope = iota // none of them may have run, or a second run does no harm
-	repeatInGroup                     // servers of one group drop the repeat within the dedup window
-	repeatNowhere                     // one may have run, and a second run would do harm
+	repeatAnywhere repeatScope = iota // no attempt may have run, or a second run is harmless
+	repeatInGroup                     // one may have run; its server's group drops repeats within the dedup window
+	repeatNowhere                     // one may have run, and a second run is harmful
 )
 
-// allowedRepeats decides where the request may run again; ran is its first attempt that may have
-// run.
-// Prevents an effect that happens twice.
-func (r *requestState) allowedRepeats() (scope repeatScope, ran *attempt) {
-	ran = r.firstThatMayHaveRun()
-	if ran == nil || r.class.Effect == Idempotent {
-		return repeatAnywhere, ran
+// allowedRepeats returns where the request may run again, and its first attempt that may have run;
+// nil if there is none.
+// Prevents effects that happen twice.
+func (r *requestState) allowedRepeats() (scope repeatScope, firstRun *attempt) {
+	firstRun = r.firstThatMayHaveRun()
+	if firstRun == nil || r.class.Effect == Idempotent {
+		return repeatAnywhere, firstRun
 	}
 	if r.class.Effect == NonIdempotent {
-		return repeatNowhere, ran
+		return repeatNowhere, firstRun
 	}
-	return repeatInGroup, ran
+	return repeatInGroup, firstRun
 }
 
-// canAttempt decides whether a request may have an attempt at a server now (nil: at any at all), by
-// its earlier attempts and the limits on their number.
-func (r *requestState) canAttempt(now time.Duration, to *server, settings *Settings) bool {
+// canAttempt reports whether a request may have an attempt at the target now (nil: at any server),
+// given its earlier attempts and the limits on their number.
+func (r *requestState) canAttempt(now time.Duration, target *server, settings *Settings) bool {
 	if r.completed || len(r.attempts) >= settings.MaxAttempts {
 		return false
 	}
 	if r.hasAttemptInFlight() && !settings.AllowHedging {
 		return false
 	}
-	if to != nil && to.Elective && !r.canSettleAt(to) {
+	if target != nil && target.Elective && !r.canSettleAt(target) {
 		return false
 	}
-	scope, ran := r.allowedRepeats()
+	scope, firstRun := r.allowedRepeats()
 	switch scope {
 	case repeatAnywhere:
 		return true
 	case repeatInGroup:
-		inGroup := to == nil || r.class.sharesGroup(to, ran.server)
-		return inGroup && now < ran.startedAt+r.class.DedupWindow
+		inGroup := target == nil || r.class.sharesGroup(target, firstRun.server)
+		return inGroup && now < firstRun.startedAt+r.class.DedupWindow
 	case repeatNowhere:
 		return false
 	default:
@@ -83,8 +83,8 @@
 	}
 }
 
-// canReject decides whether a request may be rejected, which tells its client that asking again is
-// harmless: so it is where any server may run it again, or drops the repeat.
+// canReject reports whether a request may be rejected. A rejection tells the client that a repeat
+// is harmless, so every server must be able to run the request again or to drop the repeat.
 func (r *requestState) canReject() bool {
 	scope, _ := r.allowedRepeats()
 	switch scope {
@@ -99,7 +99,7 @@
 	}
 }
 
-// sharesGroup reports whether two servers drop each other's repeats of the class.
+// sharesGroup reports whether two servers drop each other's repeats of the class's requests.
 func (c *TrafficClass) sharesGroup(a, b *server) bool {
 	switch c.Group {
 	case GroupAll:
@@ -113,8 +113,9 @@
 	}
 }
 
-// canSettleAt decides whether a request may go to a server to settle what its owner owes: with its
-// first attempt alone, and where that does no harm.
+// canSettleAt reports whether a request may go to a server to settle a debt of the server's owner.
+// The request must prefer that owner and be idempotent, the attempt must be its first, and the
+// server must be warm.
 func (r *requestState) canSettleAt(s *server) bool {
 	isPreferred := r.PreferOwner != 0 && r.PreferOwner == s.Owner
 	isHarmless := len(r.attempts) == 0 && r.class.Effect == Idempotent
--- a/policy/request_state.go
+++ b/policy/request_state.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// classState is a traffic class and what was learned of it.
+// classState is a traffic class with the timeouts and latencies observed for it.
 type classState struct {
 	TrafficClass
-	firstTimeouts []time.Duration // by plan: what clients give a first try
-	latencies     latencies       // of answers
-	unitLatencies latencies       // of answers, for each unit
+	firstTimeouts []time.Duration // by plan: timeout that clients set for a first try
+	latencies     latencies       // latencies of answers
+	unitLatencies latencies       // latencies of answers per unit
 }
 
-// requestState is a request that has no final answer yet, or has an attempt in flight.
+// requestState is a request without a final answer, or with an attempt in flight.
 type requestState struct {
 	Request
-	objectiveAt   time.Duration // when its latency objective ends
+	objectiveAt   time.Duration // end of its latency objective
 	class         *classState
 	customer      *customerState
 	attempts      []attempt
-	awaitsCount   bool  // at admission
+	awaitsCount   bool  // admission waits for the counter's answer
 	admitted      bool  // its units are taken from the customer's bucket
-	claimedWindow int64 // in whose count its attempt stands, where the plan limits those in flight
+	claimedWindow int64 // window whose count of attempts in flight includes this request; noWindow: none
 	streaming     bool  // a streamed answer has started
-	awaitedServer bool  // it waits, or has waited, for a server
-	completed     bool  // the final answer is given
+	awaitedServer bool  // it waits or has waited for a server with capacity
+	completed     bool  // it has its final answer, or its client has disconnected
 }
 
 // lifecycle decides what follows an attempt: a retry or the final answer.
@@ -34,7 +34,7 @@
 	env       *environment
 	admission *admission
 	balancer  *balancer
-	requests  map[uint32]*requestState // those of Gateway
+	requests  map[uint32]*requestState // Gateway.requests
 }
 
 // attempt is a request sent to one server.
@@ -50,7 +50,7 @@
 	return slices.ContainsFunc(r.attempts, attempt.isInFlight)
 }
 
-// hasArrived reports whether an attempt may have come complete to a server.
+// hasArrived reports whether a server may have received the whole request.
 func (r *requestState) hasArrived() bool {
 	return slices.ContainsFunc(r.attempts, attempt.mayHaveArrived)
 }
@@ -60,8 +60,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// firstThatMayHaveRun returns the first attempt that is not proven never to have run; nil: there is
-// none.
+// firstThatMayHaveRun returns the first attempt that may have run, or nil if there is none.
 func (r *requestState) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun() {
@@ -71,26 +70,26 @@
 	return nil
 }
 
-// IsAdmitted reports whether a request that is not over yet was admitted. It changes nothing. A
-// host that is to reject a request learns from it why: the customer's quota, or too little
-// capacity.
+// IsAdmitted reports whether a request without a final answer was admitted. It changes no state. A
+// host that is asked to reject a request can call it to learn the reason: the customer's quota if
+// the request was not admitted, or a lack of capacity if it was.
 func (g *Gateway) IsAdmitted(requestID uint32) bool {
 	request := g.requests[requestID]
 	return request != nil && request.admitted
 }
 
-// RetryDeadline returns when the dedup window of a keyed request ends, if an attempt before its
-// latest may have run; else 0. It changes nothing. A host can hold back an attempt that was asked
-// for in time and whose first byte would leave too late.
+// RetryDeadline returns the end of a keyed request's dedup window if an attempt before its latest
+// may have run, and 0 otherwise. It changes no state. A host can use it to withhold an attempt
+// that was requested in time but whose first byte would be sent too late.
 func (g *Gateway) RetryDeadline(requestID uint32) time.Duration {
 	request := g.requests[requestID]
 	if request == nil || request.class.Effect != Keyed || len(request.attempts) == 0 {
 		return 0
 	}
 	earlier := request.attempts[:len(request.attempts)-1]
-	ran := slices.IndexFunc(earlier, attempt.mayHaveRun)
-	if ran < 0 {
+	firstRun := slices.IndexFunc(earlier, attempt.mayHaveRun)
+	if firstRun < 0 {
 		return 0
 	}
-	return earlier[ran].startedAt + request.class.DedupWindow
+	return earlier[firstRun].startedAt + request.class.DedupWindow
 }
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// eventTime is when something happened last; 0: never.
+// eventTime is the time of the latest event of a kind; 0: none yet.
 type eventTime time.Duration
 
-// happened reports whether it ever did.
+// happened reports whether there was such an event.
 func (t eventTime) happened() bool { return t > 0 }
 
-// isWithin reports whether it happened less than a span before the time now.
+// isWithin reports whether the event happened less than span before now.
 func (t eventTime) isWithin(span, now time.Duration) bool {
 	return t.happened() && now < time.Duration(t)+span
 }
 
-// ring keeps the latest samples, up to a size.
+// ring keeps the latest samples, up to the size given to add.
 type ring[T any] struct {
 	samples []T
-	next    int // the oldest, once there are as many as the size
+	next    int // index of the oldest sample once the ring is full; 0 before
 }
 
+// add records a sample. Once the ring holds size samples, the new one replaces the oldest.
 func (r *ring[T]) add(size int, v T) {
 	if len(r.samples) < size {
 		r.samples = append(r.samples, v)
@@ -31,13 +32,13 @@
 	r.next = (r.next + 1) % size
 }
 
-// newest returns the n-th sample from the newest, counted from 0. Until the ring is full, next is 0
-// and the newest sample is the last.
+// newest returns the n-th newest sample, counted from 0. Until the ring is full, next is 0 and the
+// newest sample is the last one in the slice.
 func (r *ring[T]) newest(n int) T {
 	return r.samples[(r.next-1-n+2*len(r.samples))%len(r.samples)]
 }
 
-// latencies keeps the latest times of one kind, and the same in order.
+// latencies keeps the latest latencies of one kind, in order of arrival and sorted.
 type latencies struct {
 	ring[time.Duration]
 	sorted []time.Duration
@@ -49,7 +50,7 @@
 	slices.Sort(l.sorted)
 }
 
-// decile returns the n-th decile, 0 before any sample.
+// decile returns the n-th decile, or 0 if there is no sample.
 func (l *latencies) decile(n int) time.Duration {
 	if len(l.sorted) == 0 {
 		return 0
@@ -57,15 +58,15 @@
 	return decileOf(l.sorted, n)
 }
 
-// decileOf returns the n-th decile of sorted samples, of which there is at least one.
+// decileOf returns the n-th decile of sorted samples. There must be at least one.
 func decileOf[T any](sorted []T, n int) T { return sorted[len(sorted)*n/deciles] }
 
 func (l *latencies) clone() latencies {
 	return latencies{ring[time.Duration]{slices.Clone(l.samples), l.next}, slices.Clone(l.sorted)}
 }
 
-// latencySample is the part of its latency objective that an attempt took. Queues pass, so it is
-// valid for some time only.
+// latencySample is the latency of an attempt as a fraction of its latency objective. It is valid
+// for a limited time, because queues drain.
 type latencySample struct {
 	validUntil        time.Duration
 	objectiveFraction float64
@@ -74,10 +75,11 @@
 // responseSample is an answer of a warm server.
 type responseSample struct {
 	at          time.Duration
-	warmServers float64 // at that time, for each gateway that shared one
+	warmServers float64 // warm servers at that time, divided by the gateways that share each server
 }
 
-// countSample is a count read, and what the customer's bucket could hold then, both in units.
+// countSample is a total read from the counter and the level of the customer's bucket at that time,
+// both in units.
 type countSample struct {
 	window int64
 	at     time.Duration
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,90 +9,92 @@
 // Effect says whether a request may run more than once.
 type Effect uint8
 
-// The effects.
+// Effects of a second run.
 const (
 	Idempotent    Effect = iota // may run again
-	Keyed                       // carries an idempotency key by which a group of servers drops a repeat
+	Keyed                       // carries an idempotency key, by which a group of servers drops repeats
 	NonIdempotent               // must never run twice
 )
 
-// Group names the servers that drop each other's repeats of a keyed request.
+// Group is the set of servers that drop each other's repeats of a keyed request.
 type Group uint8
 
-// The groups: all servers, those of a zone, those of a rack.
+// Groups of servers: all servers, the servers of a zone, the servers of a rack.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupRack
 )
 
-// TrafficClass is a kind of request.
+// TrafficClass describes one kind of request.
 type TrafficClass struct {
 	Name             string
 	LatencyObjective time.Duration // an answer within it earns the full weight
-	Timeout          time.Duration // the longest that a client waits, all of its tries together
-	Weight           float64       // what a served request counts
-	LateFraction     float64       // of the weight: what an answer after the objective earns
+	Timeout          time.Duration // longest time that a client waits, over all its tries
+	Weight           float64       // value of a served request
+	LateFraction     float64       // fraction of the weight that an answer after the objective earns
 	Effect           Effect
-	Group            Group         // of a keyed class
+	Group            Group         // group that drops repeats of a keyed class
 	DedupWindow      time.Duration // how long the group remembers a keyed request
 	Stream           bool          // answers may be streams
-	Retired          bool          // takes no new request, and is kept for those in flight (AlignWith)
+	Retired          bool          // takes no new requests; kept for those in flight (AlignWith)
 }
 
-// Plan is what a customer has bought. It holds for each customer, over all gateways together.
+// Plan is the quota and price that a customer has bought. Its limits apply to each customer over
+// all gateways together.
 type Plan struct {
 	Name            string
-	Rate            float64 // units a second; 0: no such quota
+	Rate            float64 // units per second; 0: no quota of units
 	Burst           float64 // units that may be used at once
-	MaxInFlight     int     // attempts in flight at once; 0: no such quota
-	CeilingRate     float64 // units a second that are never passed; 0: no ceiling
+	MaxInFlight     int     // attempts in flight; 0: no limit
+	CeilingRate     float64 // units per second that are never exceeded; 0: no ceiling
 	CeilingBurst    float64 // units
 	CeilingSlack    float64 // units
 	Price           float64 // factor of a request's weight; 0: 1
-	OverQuotaWeight float64 // part of its weight that a request beyond the quota earns
-	OverQuotaCost   float64 // part of its weight that a request beyond the quota costs
-	Retired         bool    // takes no new request, and is kept for those in flight (AlignWith)
+	OverQuotaWeight float64 // fraction of its weight that a request beyond the quota earns
+	OverQuotaCost   float64 // fraction of its weight that a request beyond the quota costs
+	Retired         bool    // takes no new requests; kept for those in flight (AlignWith)
 }
 
-// Settings are what a module starts with, and what Reconfigure hands to a running one.
+// Settings configure a module at its start (New) and while it runs (Reconfigure).
 type Settings struct {
-	Gateways, MyIndex, MyZone int // how many gateways there are, and which one this is
+	Gateways, MyIndex, MyZone int // number of gateways; index and zone of this one
 	Zones                     int
-	PollList                  bool          // the endpoint list comes only when asked for
-	MaxListAge                time.Duration // how old a polled list may grow
-	ClockTick                 time.Duration // timers may be late by this
+	PollList                  bool          // the endpoint list is sent only on request
+	MaxListAge                time.Duration // maximum age of a polled list
+	ClockTick                 time.Duration // maximum delay of a timer
 	Classes                   []TrafficClass
 	Plans                     []Plan
 	HasCounter                bool
-	CountTimeout              time.Duration // of a call to the counter
-	ReportsUnits              bool          // answers tell the units that a request took
-	MaxUnits                  float64       // of a request
-	UsageSpan                 time.Duration // which answers' usage reports cover; 0: there are none
-	Peers, HealthChecks       bool          // what the host offers
+	CountTimeout              time.Duration // the counter's answer to a call is late after this time
+	ReportsUnits              bool          // answers report the units that a request took
+	MaxUnits                  float64       // maximum units of a request
+	UsageSpan                 time.Duration // span that a usage report covers; 0: answers have no usage reports
+	Peers, HealthChecks       bool          // the host supports messages to peers, or health checks
 	CanCancel                 bool          // the host can cancel an attempt
-	RetryAfter                bool          // rejections tell when to come again
+	RetryAfter                bool          // rejections tell the client how long to wait before a retry
 	MaxRetryAfter             time.Duration
 	AllowHedging              bool          // two attempts of a request may be in flight at once
-	MaxAttempts               int           // of a request
-	ArrivalSlack              time.Duration // differences of clients' timeouts up to it mean nothing
-	DrainGrace                time.Duration // how long a draining server goes on serving
-	WarmUpStart               float64       // part of its capacity that a server has at its start
-	WarmUpTime                time.Duration // after which it has all
-	OverloadFactor            float64       // times its capacity, over OverloadSpan: stops a warming server
-	OverloadSpan              time.Duration
-	LoadReportFields          []string // names of the figures in a load report
-	MailboxRate               float64  // messages a second that a peer takes
+	MaxAttempts               int           // maximum attempts of a request
+	ArrivalSlack              time.Duration // largest difference between client timeouts that is ignored
+	DrainGrace                time.Duration // how long a draining server continues to serve
+	WarmUpStart               float64       // fraction of its capacity that a server has at its start
+	WarmUpTime                time.Duration // time from its start until a server has its full capacity
+	OverloadFactor            float64       // load, as a multiple of its capacity, that stops a warming server
+	OverloadSpan              time.Duration // how long such a load lasts before it stops the server
+	LoadReportFields          []string      // names of the figures in a load report
+	MailboxRate               float64       // messages per second that a peer accepts
 }
 
-// ErrIncompleteSettings says that settings lack a class that is not retired, a plan or a gateway.
+// ErrIncompleteSettings reports settings without a class that is not retired, without a plan, or
+// without a gateway.
 var ErrIncompleteSettings = errors.New(
 	"a gateway needs at least one lane, one plan and its place among the gateways")
 
-// Validate returns ErrIncompleteSettings where settings cannot be used at all.
+// Validate returns ErrIncompleteSettings if a module cannot run with the settings.
 func (s *Settings) Validate() error {
-	open := func(c TrafficClass) bool { return !c.Retired }
-	if !slices.ContainsFunc(s.Classes, open) || len(s.Plans) == 0 || s.Gateways < 1 {
+	isActive := func(c TrafficClass) bool { return !c.Retired }
+	if !slices.ContainsFunc(s.Classes, isActive) || len(s.Plans) == 0 || s.Gateways < 1 {
 		return ErrIncompleteSettings
 	}
 	return nil
