--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -71,12 +71,12 @@
 func TestQuota_reservesUncountedUnitsOfOthers(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.request(1, 0, 1, 1)
-	answersTake := time.Second
-	world.result(AttemptResult{RequestID: 1, Outcome: Answered, Final: true, Latency: answersTake})
+	latency := time.Second
+	world.result(AttemptResult{RequestID: 1, Outcome: Answered, Final: true, Latency: latency})
 	world.answerCounter()
 	world.chargeByOthers(1, 5)
 	world.request(2, 0, 1, 1)
-	world.request(3, 0, 1, 2.9) // 3 units are left, but others have some in flight that are not charged yet
+	world.request(3, 0, 1, 2.9) // 3 units are left, but other gateways have uncharged units in flight
 	world.wantAttempts(2, 1)
 	world.wantAttempts(3, 0)
 }
@@ -84,20 +84,20 @@
 func TestQuota_noCallWhereNoCountCouldAdmit(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.serveInTurn(5, 1, 1.9, 0)
-	world.request(6, 0, 1, 1.9) // brings the last charges
+	world.request(6, 0, 1, 1.9) // its call carries the last charges
 	before := len(world.log)
 	world.request(7, 0, 1, 1.9)
 	if got := world.log[before:]; len(got) != 1 || got[0] != "reject 7 away 950ms" {
-		t.Errorf("an eighth request led to %q, want a rejection and no call", got)
+		t.Errorf("request 7 led to %q, want a rejection and no call", got)
 	}
 }
 
 func TestMaxInFlight_isHeld(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.request(1, 0, 3, 1) // two in flight, over two gateways: one here
+	world.request(1, 0, 3, 1) // the limit is two over two gateways: one at this gateway
 	world.request(2, 0, 3, 1)
 	world.wantAttempts(2, 0)
-	world.want("reject 2 away 0s", 1) // no answer has shown yet how long one takes
+	world.want("reject 2 away 0s", 1) // no latency is known yet
 	world.finishAttempt(1, Answered)
 	world.request(3, 0, 3, 1)
 	world.wantAttempts(3, 1)
@@ -106,8 +106,8 @@
 func TestCeiling_holdsWithoutCounterAndAcrossARestart(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	sent, id := 0.0, uint32(0)
-	for life := range 2 {
-		if life == 1 {
+	for incarnation := range 2 {
+		if incarnation == 1 {
 			g, _ := New(testSettings(), 8, world.fakeHost)
 			world.gateway, world.down = g, true
 			g.HandleEndpoints(world.now, ListCached, []Endpoint{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
@@ -121,7 +121,8 @@
 				sent += 2
 				world.finishAttempt(id, Answered)
 			}
-			// This gateway's half of the ceiling: 10 units, filling at 5 a second.
+			// This gateway's half of the ceiling: a burst of 10 units, refilled at 5 units per
+			// second.
 			if most := 10 + 5*(world.now-time.Minute).Seconds(); sent > most {
 				t.Fatalf("%v units forwarded by %v, over the share of %v", sent, world.now, most)
 			}
@@ -135,14 +136,15 @@
 func TestCeiling_newCustomerHasItsUnusedShare(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.request(1, 0, 2, 2)
-	world.want("reject 1 away 400ms", 1) // nothing has been refilled yet
+	world.want("reject 1 away 400ms", 1) // the share starts empty
 	world.advance(5 * time.Second)
 	world.send(Request{ID: 2, Plan: 2, Customer: 77, Units: 2})
 	world.answerCounter()
 	world.wantAttempts(2, 1)
 }
 
-// Guards against a limit on attempts in flight that is never counted, in a plan without a rate.
+// Guards against a limit on attempts in flight that the counter never counts, in a plan without a
+// rate.
 func TestMaxInFlight_isCountedOverAllGateways(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 4, 1)
@@ -151,18 +153,18 @@
 	world.request(2, 0, 4, 1)
 	world.wantAttempts(2, 0)
 	if got := world.countedUnits(4); got != 2 {
-		t.Errorf("the count says %v attempts in flight, want ours and the other gateway's", got)
+		t.Errorf("the count is %v attempts in flight, want 2: ours and the other gateway's", got)
 	}
 	world.finishAttempt(1, Answered)
 	if got := world.countedUnits(4); got != 1 {
-		t.Errorf("the count says %v attempts in flight after ours ended, want 1", got)
+		t.Errorf("the count is %v attempts in flight after ours ended, want 1", got)
 	}
 	world.advance(20 * ms)
 	world.request(3, 0, 4, 1)
 	world.wantAttempts(3, 1)
 }
 
-// Guards against places of a crashed gateway that stay in the count of attempts in flight.
+// Guards against a count that keeps the attempts of a crashed gateway beyond their window.
 func TestMaxInFlight_lostAttemptLeavesTheCountWithItsWindow(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 4, 1)
@@ -175,7 +177,8 @@
 	world.wantAttempts(3, 1)
 }
 
-// Guards against a count below what is in flight, by a returned claim that was never accepted.
+// Guards against a count below the attempts in flight, caused by releasing a claim that the counter
+// never accepted.
 func TestMaxInFlight_unacceptedClaimIsNotReturned(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.down = true
@@ -185,32 +188,33 @@
 	world.wantAttempts(1, 1)
 	world.finishAttempt(1, Answered)
 	if len(world.calls) != 0 {
-		t.Errorf("a claim that was not accepted was returned: %v", world.calls)
+		t.Errorf("a claim that was not accepted was released: %v", world.calls)
 	}
 }
 
-// A request takes its units once an attempt came complete to a server, whatever it did there.
+// A request is charged its units once a server has received a whole attempt, whatever the server
+// did with it.
 func TestQuota_whatReachedNoServerIsNotCharged(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		ends    []Outcome
-		charged float64
+		name     string
+		outcomes []Outcome
+		charged  float64
 	}{
 		{"never sent", []Outcome{NotSent, NotSent, NotSent}, 0},
 		{"no connection", []Outcome{ConnectFailed, NotSent, ConnectFailed}, 0},
-		{"rejected, then none", []Outcome{Rejected, ConnectFailed, ConnectFailed}, 3},
-		{"none, then an error", []Outcome{ConnectFailed, NotSent, Errored}, 3},
+		{"rejected, then no connection", []Outcome{Rejected, ConnectFailed, ConnectFailed}, 3},
+		{"no connection, then an error", []Outcome{ConnectFailed, NotSent, Errored}, 3},
 		{"cancelled, then an answer", []Outcome{NotSent, Answered}, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			world := newHarness(t, testSettings(), 8)
 			world.request(1, 0, 0, 3)
-			for n, how := range test.ends {
+			for n, outcome := range test.outcomes {
 				world.wantAttempts(1, n+1)
-				world.finishAttempt(1, how)
+				world.finishAttempt(1, outcome)
 			}
 			world.advance(2 * time.Second)
-			world.request(2, 0, 0, 1) // brings what is pending
+			world.request(2, 0, 0, 1) // its call carries the pending charges
 			world.wantAttempts(2, 1)
 			if got := world.countedUnits(0); got != test.charged {
 				t.Errorf("charged %g, want %g", got, test.charged)
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -11,16 +11,16 @@
 	world.request(1, 0, 1, 2)
 	world.finishAttempt(1, Answered)
 	world.down = true
-	lost := func(id uint32, o Outcome) {
+	requestAndFailCalls := func(id uint32, outcome Outcome) {
 		world.request(id, 0, 1, 2)
 		for _, c := range world.calls {
 			world.advance(30 * ms)
-			world.countResult(CountResult{Name: c.name, Outcome: o})
+			world.countResult(CountResult{Name: c.name, Outcome: outcome})
 		}
 		world.calls = nil
 	}
 	for id := uint32(2); id <= 12; id++ {
-		lost(id, []Outcome{TimedOut, Rejected, ConnectFailed}[id%3])
+		requestAndFailCalls(id, []Outcome{TimedOut, Rejected, ConnectFailed}[id%3])
 		if world.attemptsOf(id) > 0 {
 			world.finishAttempt(id, Answered)
 		}
@@ -29,8 +29,8 @@
 	for id := uint32(2); id <= 12; id++ {
 		sent += 2 * world.attemptsOf(id)
 	}
-	// 8 of 10 units were left, and the customer's other gateway may use as much as this one: 4, and
-	// a little refill.
+	// 8 of 10 units are left, and the customer's other gateway is assumed to use as many as this
+	// one: 4 units, and a small refill.
 	if sent < 2 || sent > 6 {
 		t.Errorf("%d units forwarded while the counter was lost, want about 4", sent)
 	}
@@ -39,7 +39,7 @@
 		world.request(id, 0, 0, 1)
 	}
 	if len(world.calls) > 10 {
-		t.Errorf("%d calls for 20 requests to a lost counter, want most left out", len(world.calls))
+		t.Errorf("%d calls for 20 requests to a lost counter, want at most 10", len(world.calls))
 	}
 	world.calls, world.down = nil, false
 	for id := uint32(50); id < 250; id++ {
@@ -47,24 +47,24 @@
 		world.request(id, 0, 0, 1)
 		world.finishAttempt(id, Answered)
 	}
-	calls := len(world.log)
+	before := len(world.log)
 	world.request(250, 0, 0, 1)
 	world.request(251, 0, 0, 1)
-	if !slices.ContainsFunc(world.log[calls:], func(d string) bool { return d[:5] == "count" }) {
-		t.Error("the counter answers again, and is not called")
+	if !slices.ContainsFunc(world.log[before:], func(line string) bool { return line[:5] == "count" }) {
+		t.Error("the counter answers again, but is not called")
 	}
 }
 
 func TestCounter_silentCostsPartOfTheObjective(t *testing.T) {
-	d := testSettings()
-	d.CountTimeout = time.Second
-	world := newHarness(t, d, 2)
+	settings := testSettings()
+	settings.CountTimeout = time.Second
+	world := newHarness(t, settings, 2)
 	world.down = true
 	world.request(1, 0, 0, 1)
 	world.advance(130 * ms)
 	world.wantAttempts(1, 1)
 	for _, c := range world.calls {
-		world.countResult(CountResult{Name: c.name}) // late, and harmless
+		world.countResult(CountResult{Name: c.name}) // late, and without effect
 	}
 	world.wantAttempts(1, 1)
 }
@@ -79,21 +79,21 @@
 
 func TestCounter_overloadedIsCalledForCustomersNearTheirLimit(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	asked := map[int]int{}
+	calls := map[int]int{} // by plan
 	for id := uint32(1); id <= 400; id++ {
 		plan := int(id % 2)
 		world.gateway.admission.callProbability = minCallProbability
 		customer := world.gateway.admission.customerOf(Request{Customer: uint64(plan), Plan: plan})
 		customer.refilledAt = world.now
-		customer.available = []float64{4000, 2}[plan] // a full bucket, and one that is nearly empty
+		customer.available = []float64{4000, 2}[plan] // a full bucket and a nearly empty one
 		before := len(world.calls)
 		world.send(Request{ID: id, Customer: uint64(plan), Plan: plan, Units: 1})
-		asked[plan] += len(world.calls) - before
+		calls[plan] += len(world.calls) - before
 		world.finishAttempt(id, Answered)
 	}
-	if asked[0] > 30 || asked[1] < 60 {
+	if calls[0] > 30 || calls[1] < 60 {
 		t.Errorf("called %d times for a customer with a full bucket, %d times for one near its limit",
-			asked[0], asked[1])
+			calls[0], calls[1])
 	}
 }
 
@@ -101,27 +101,27 @@
 	world := newHarness(t, testSettings(), 2)
 	world.down = true
 	world.request(1, 0, 1, 1)
-	world.advance(60 * ms) // beyond the timeout that the simulator's counter has
+	world.advance(60 * ms) // longer than Settings.CountTimeout
 	world.wantAttempts(1, 0)
 	world.countResult(CountResult{Name: world.calls[0].name, Total: 50, Latency: 60 * ms})
 	world.want("reject 1 away 500ms", 1)
 	if world.gateway.admission.callProbability >= 1 {
-		t.Error("a late answer is no sign of an overloaded counter")
+		t.Error("a late answer did not lower the probability of calls")
 	}
 }
 
-// Guards against usage reports that are ignored while counts are missing.
+// Guards against usage reports that have no effect while counts are missing.
 func TestUsageReport_replacesAMissingCount(t *testing.T) {
-	for use, attempts := range map[float64]int{0: 0, 1.1: 1, 2.5: 0} {
-		d := testSettings()
-		d.Gateways, d.UsageSpan = 40, time.Second
-		world := newHarness(t, d, 4)
+	for usage, attempts := range map[float64]int{0: 0, 1.1: 1, 2.5: 0} {
+		settings := testSettings()
+		settings.Gateways, settings.UsageSpan = 40, time.Second
+		world := newHarness(t, settings, 4)
 		world.gatewayCount, world.down = 40, true
 		world.request(1, 0, 1, 1)
 		world.timeOutCounter()
 		world.result(AttemptResult{
 			RequestID: 1, Server: world.attempts[0].server, Outcome: Answered, Latency: 20 * ms, Final: true,
-			Usage: use,
+			Usage: usage,
 		})
 		world.request(2, 0, 1, 1)
 		world.timeOutCounter()
@@ -141,9 +141,9 @@
 		world.advance(time.Second)
 	}
 	if n, m := len(world.gateway.admission.customerList), len(world.gateway.admission.customers); n > 130 || n != m {
-		t.Errorf("%d states of %d customers are kept", n, m)
+		t.Errorf("%d customers listed and %d in the map, want the same number, at most 130", n, m)
 	}
 	if n, m := len(world.gateway.balancer.servers), len(world.gateway.balancer.serversByID); n > 4 || n != m {
-		t.Errorf("%d servers under %d IDs are kept", n, m)
+		t.Errorf("%d servers listed and %d in the map, want the same number, at most 4", n, m)
 	}
 }
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newElectiveHarness has four servers of its own and two more, 5 and 6, that owner 9 offers for
-// elective attempts.
+// newElectiveHarness returns a harness with four ordinary servers, and two elective servers of
+// owner 9 with the IDs 5 and 6.
 func newElectiveHarness(t *testing.T) *harness {
 	t.Helper()
 	world := newHarness(t, testSettings(), 4)
@@ -24,8 +24,8 @@
 	h.answerCounter()
 }
 
-// Only the first attempt of an idempotent request that prefers their owner goes to elective
-// servers; its retries, other classes' and other requests never do.
+// Elective servers get only first attempts of idempotent requests that prefer their owner: no
+// retries, no requests of other classes and no other requests.
 func TestElective_serversTakeElectiveAttemptsOnly(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -33,7 +33,7 @@
 		elective     bool
 	}{
 		{"idempotent, prefers the owner", 0, 9, true},
-		{"prefers nobody", 0, 0, false},
+		{"prefers no owner", 0, 0, false},
 		{"prefers another owner", 0, 8, false},
 		{"keyed within a rack", 1, 9, false},
 		{"non-idempotent", 2, 9, false},
@@ -45,13 +45,13 @@
 				world.requestPreferring(id+1, test.class, test.owner)
 				first := world.attempts[len(world.attempts)-1].server
 				if (first > 4) != test.elective {
-					t.Fatalf("request %d sent to %d", id+1, first)
+					t.Fatalf("request %d sent to server %d", id+1, first)
 				}
 				world.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
 				latest := world.attempts[len(world.attempts)-1]
 				for latest.request == id+1 && !latest.ended {
 					if latest.server > 4 {
-						t.Fatalf("request %d retried at %d", id+1, latest.server)
+						t.Fatalf("request %d retried at server %d", id+1, latest.server)
 					}
 					world.finishAttempt(id+1, Answered)
 					latest = world.attempts[len(world.attempts)-1]
@@ -62,10 +62,10 @@
 	}
 }
 
-// Where the owner's servers have no capacity or warm up, or under overload, the request goes where
-// it would have gone.
+// A request goes to an ordinary server if the servers of its preferred owner have no capacity or
+// are warming up, or if there is an overload.
 func TestElective_requestGoesElsewhereWithoutCapacity(t *testing.T) {
-	for name, spoil := range map[string]func(*harness){
+	for name, disturb := range map[string]func(*harness){
 		"removed": func(world *harness) {
 			world.gateway.HandleEndpoints(world.now, ListDelta,
 				[]Endpoint{{Server: 5, State: Removed}, {Server: 6, State: Draining}})
@@ -77,10 +77,10 @@
 					Elective: true, StartedAt: world.now,
 				}})
 			}
-			world.advance(4 * time.Second) // one that is half warmed up may have an ordinary attempt
+			world.advance(4 * time.Second) // a server that is warming up may get ordinary attempts
 		},
 		"full": func(world *harness) {
-			for id := range uint32(60) { // none of them is answered
+			for id := range uint32(60) { // none is answered
 				world.requestPreferring(100+id, 0, 9)
 			}
 		},
@@ -91,12 +91,12 @@
 		},
 	} {
 		world := newElectiveHarness(t)
-		spoil(world)
+		disturb(world)
 		for id := uint32(1); id < 20; id++ {
 			world.requestPreferring(id, 0, 9)
-			for _, p := range world.attempts {
-				if p.request == id && p.server > 4 {
-					t.Errorf("%s: request %d sent to %d", name, id, p.server)
+			for _, attempt := range world.attempts {
+				if attempt.request == id && attempt.server > 4 {
+					t.Errorf("%s: request %d sent to server %d", name, id, attempt.server)
 				}
 			}
 			world.finishAttempt(id, Answered)
@@ -104,9 +104,9 @@
 	}
 }
 
-// With no owner to prefer, the owners of servers change nothing.
+// Owners of servers have no effect on requests that prefer no owner.
 func TestElective_unusedChangesNoDecision(t *testing.T) {
-	play := func(list []Endpoint) []string {
+	run := func(list []Endpoint) []string {
 		world := newHarness(t, testSettings(), 8)
 		world.gateway.HandleEndpoints(world.now, ListDelta, list)
 		for id := range uint32(300) {
@@ -116,12 +116,12 @@
 		}
 		return world.log
 	}
-	plain := play(nil)
-	var marked []Endpoint
+	withoutOwners := run(nil)
+	var owned []Endpoint
 	for i := range 8 {
-		marked = append(marked, Endpoint{Server: uint32(i + 1), State: Ready, Capacity: 1, Rack: i / 2, Owner: i % 3})
+		owned = append(owned, Endpoint{Server: uint32(i + 1), State: Ready, Capacity: 1, Rack: i / 2, Owner: i % 3})
 	}
-	if !slices.Equal(plain, play(marked)) {
-		t.Error("the owners of servers change what is decided")
+	if !slices.Equal(withoutOwners, run(owned)) {
+		t.Error("the owners of servers change the decisions")
 	}
 }
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// The calls of the module, as the golden world carries them out.
+// The methods of goldenWorld that implement Host.
 
-func (w *goldenWorld) Attempt(task, server uint32, until time.Duration) {
-	w.record("attempt", task, server, until, w.module.RetryDeadline(task))
-	r := w.requests[task]
+func (w *goldenWorld) Attempt(requestID, server uint32, until time.Duration) {
+	w.record("attempt", requestID, server, until, w.module.RetryDeadline(requestID))
+	r := w.requests[requestID]
 	number := len(r.attempts)
 	r.attempts = append(r.attempts, server)
-	outcome, took := w.outcome(server, r.request.Units)
-	if took > until-w.now || outcome == TimedOut {
-		outcome, took = TimedOut, max(until-w.now, 0)
+	outcome, latency := w.outcome(server, r.request.Units)
+	if latency > until-w.now || outcome == TimedOut {
+		outcome, latency = TimedOut, max(until-w.now, 0)
 	}
 	if w.inForce.Classes[r.request.Class].Stream && w.chance(0.7) {
-		w.after(took/3, func() { w.module.HandleStreamStart(w.now, task, number) })
+		w.after(latency/3, func() { w.module.HandleStreamStart(w.now, requestID, number) })
 	}
-	w.after(took, func() { w.end(task, number, outcome, took) })
+	w.after(latency, func() { w.end(requestID, number, outcome, latency) })
 	if w.chance(0.02) {
-		w.after(took, func() { w.end(task, number, outcome, took) }) // the result is reported twice
+		w.after(latency, func() { w.end(requestID, number, outcome, latency) }) // the result is reported twice
 	}
 }
 
-// outcome draws how an attempt ends, and after how long, by the phase.
+// outcome draws an attempt's outcome and latency, depending on the phase.
 func (w *goldenWorld) outcome(server uint32, units float64) (Outcome, time.Duration) {
-	took := time.Duration((5 + 15*units) * float64(ms) * (0.5 + w.random.Float64()) * float64(1+server%3))
-	failing := 0.05
+	latency := time.Duration((5 + 15*units) * float64(ms) * (0.5 + w.random.Float64()) * float64(1+server%3))
+	failureProbability := 0.05
 	switch phase := w.phase(); {
 	case phase == 1 && server%4 == 1, phase == 5 && server%4 > 0:
-		failing = 0.7
+		failureProbability = 0.7
 	case phase == 2, phase == 4 && w.chance(0.2):
-		took *= 6
+		latency *= 6
 	}
-	if !w.chance(failing) {
-		return Answered, took
+	if !w.chance(failureProbability) {
+		return Answered, latency
 	}
 	outcomes := []Outcome{Errored, Rejected, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
 	outcome := outcomes[w.random.Intn(len(outcomes))]
 	if w.chance(0.7) {
-		took = w.between(0, 3*ms)
+		latency = w.between(0, 3*ms)
 	}
-	return outcome, took
+	return outcome, latency
 }
 
-func (w *goldenWorld) end(task uint32, number int, outcome Outcome, took time.Duration) {
-	r := w.requests[task]
+// end reports the result of an attempt.
+func (w *goldenWorld) end(requestID uint32, number int, outcome Outcome, latency time.Duration) {
+	r := w.requests[requestID]
 	result := AttemptResult{
-		RequestID: task, Attempt: number, Server: r.attempts[number], Outcome: outcome, Latency: took,
+		RequestID: requestID, Attempt: number, Server: r.attempts[number], Outcome: outcome, Latency: latency,
 		Final: outcome == Answered || outcome == Errored && w.chance(0.3), LoadReport: []float32{1},
 	}
 	if w.inForce.ReportsUnits && w.chance(0.8) {
@@ -59,50 +60,50 @@
 		result.Usage = 1 + 1.5*w.random.Float64()
 	}
 	w.module.HandleAttemptResult(w.now, result)
-	w.record("admitted", task, w.module.IsAdmitted(task))
+	w.record("admitted", requestID, w.module.IsAdmitted(requestID))
 }
 
-func (w *goldenWorld) Cancel(task uint32, number int) {
-	w.record("cancel", task, number)
+func (w *goldenWorld) Cancel(requestID uint32, number int) {
+	w.record("cancel", requestID, number)
 	if w.chance(0.8) {
-		took := w.between(ms, 5*ms)
-		w.after(took, func() { w.end(task, number, Cancelled, took+w.between(0, time.Second)) })
+		latency := w.between(ms, 5*ms)
+		w.after(latency, func() { w.end(requestID, number, Cancelled, latency+w.between(0, time.Second)) })
 	}
 }
 
-func (w *goldenWorld) Reject(task uint32, retryAfter time.Duration) {
-	w.record("reject", task, retryAfter, w.module.IsAdmitted(task))
-	again := w.requests[task].request
-	if again.Repeat = true; w.chance(0.3) && len(w.requests) < goldenRequests {
-		w.after(retryAfter/2+w.between(0, 200*ms), func() { w.send(again) })
+func (w *goldenWorld) Reject(requestID uint32, retryAfter time.Duration) {
+	w.record("reject", requestID, retryAfter, w.module.IsAdmitted(requestID))
+	repeat := w.requests[requestID].request
+	if repeat.Repeat = true; w.chance(0.3) && len(w.requests) < goldenRequests {
+		w.after(retryAfter/2+w.between(0, 200*ms), func() { w.send(repeat) })
 	}
 }
 
-func (w *goldenWorld) Terminate(task uint32) { w.record("terminate", task) }
+func (w *goldenWorld) Terminate(requestID uint32) { w.record("terminate", requestID) }
 
 func (w *goldenWorld) Count(name uint64, ttl time.Duration, units float64) {
 	w.record("count", name, ttl, units)
-	took, outcome := w.between(0, 5*ms), Answered
+	latency, outcome := w.between(0, 5*ms), Answered
 	if w.phase() == 3 || w.chance(0.03) {
 		switch w.random.Intn(12) {
 		case 0, 1:
-			took, outcome = w.settings.CountTimeout, TimedOut
+			latency, outcome = w.settings.CountTimeout, TimedOut
 		case 2:
 			outcome = []Outcome{Rejected, ConnectFailed, Errored, NotSent, Reset}[w.random.Intn(5)]
 		case 3:
-			took = 2 * w.settings.CountTimeout // late
+			latency = 2 * w.settings.CountTimeout // late
 		case 4:
-			took, outcome = 200*ms, []Outcome{Answered, TimedOut}[w.random.Intn(2)] // too late to wait for
+			latency, outcome = 200*ms, []Outcome{Answered, TimedOut}[w.random.Intn(2)] // no request waits this long
 		}
 	}
-	w.after(took, func() {
+	w.after(latency, func() {
 		if outcome == Answered || outcome == TimedOut && w.chance(0.5) {
 			w.totals[name] += units
 		}
 		if w.chance(0.2) {
-			w.totals[name] += float64(w.random.Intn(4)) // another gateway's
+			w.totals[name] += float64(w.random.Intn(4)) // charged by another gateway
 		}
-		answer := CountResult{Name: name, Latency: took, Outcome: outcome}
+		answer := CountResult{Name: name, Latency: latency, Outcome: outcome}
 		if outcome == Answered {
 			answer.Total = w.totals[name]
 		}
@@ -110,14 +111,14 @@
 	})
 }
 
-func (w *goldenWorld) CheckHealth(server uint32)          { w.record("health check", server) }
-func (w *goldenWorld) SendPeer(gateway int, words []byte) { w.record("peer", gateway, words) }
+func (w *goldenWorld) CheckHealth(server uint32)         { w.record("health check", server) }
+func (w *goldenWorld) SendPeer(gateway int, text []byte) { w.record("peer", gateway, text) }
 
 func (w *goldenWorld) WatchEndpoints() {
 	w.record("watch")
 	kind := []ListKind{ListFull, ListFull, ListCached, ListFailed}[w.random.Intn(4)]
 	if kind == ListCached && w.inForce.PollList {
-		kind = ListFull // a cached one is asked for again at once
+		kind = ListFull // the module requests the list again immediately after a cached one
 	}
 	if len(w.requests) < goldenRequests {
 		w.after(w.between(ms, 50*ms), func() { w.module.HandleEndpoints(w.now, kind, slices.Clone(w.listed)) })
@@ -137,9 +138,10 @@
 	}
 }
 
-// Log tells that a line was written; its text may change.
+// Log records that a line was written, but not its text, which may change.
 func (w *goldenWorld) Log(string) { w.record("log") }
 
+// server returns a random list entry for a server number.
 func (w *goldenWorld) server(number uint32) Endpoint {
 	s := Endpoint{
 		Server: number, State: Ready, Capacity: float64(w.random.Intn(3)), Rack: int(number / 2), Zone: int(number % 2),
@@ -151,8 +153,9 @@
 	return s
 }
 
-// listChange changes the list and reports the change alone, the full list, or a failure.
-func (w *goldenWorld) listChange() {
+// changeList changes a server of the list and reports the change, a full or cached list, or a
+// failure.
+func (w *goldenWorld) changeList() {
 	if len(w.requests) >= goldenRequests {
 		return
 	}
@@ -163,9 +166,9 @@
 	case 1:
 		s.State = Removed
 	case 2:
-		s.State, s.StartedAt = Ready, w.now-w.between(0, time.Second) // started anew
+		s.State, s.StartedAt = Ready, w.now-w.between(0, time.Second) // restarted
 	case 3:
-		*s = w.server(uint32(len(w.listed) + w.random.Intn(1000) + 2)) // another in its place
+		*s = w.server(uint32(len(w.listed) + w.random.Intn(1000) + 2)) // replaced by another server
 		s.StartedAt = w.now
 	default:
 		s.State = Ready
@@ -182,5 +185,5 @@
 	default:
 		w.module.HandleEndpoints(w.now, ListDelta, []Endpoint{w.listed[index]})
 	}
-	w.after(w.between(200*ms, 3*time.Second), w.listChange)
+	w.after(w.between(200*ms, 3*time.Second), w.changeList)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// goldenCase is one set of settings that the recorded events are played against.
+// goldenCase is a configuration of a golden test, with the expected hash for each seed.
 type goldenCase struct {
 	name     string
 	settings Settings
-	sharers  float64
+	sharers  float64 // argument of Gateway.SetSharers
 	servers  int
-	owners   int // owners of elective servers; 0: there are none
-	changes  []Settings
+	owners   int        // number of owners of elective servers; 0: no elective servers
+	changes  []Settings // settings to apply during the run
 	seeds    [2]int64
 	want     [2]string
 }
@@ -53,14 +53,14 @@
 	}
 }
 
-// goldenSettingsWith are the same with a change.
+// goldenSettingsWith returns goldenSettings with a change.
 func goldenSettingsWith(change func(*Settings)) Settings {
-	d := goldenSettings()
-	change(&d)
-	return d
+	settings := goldenSettings()
+	change(&settings)
+	return settings
 }
 
-// goldenReordered has classes and plans in another order, some missing and some new.
+// goldenReordered reorders, removes and adds classes and plans.
 func goldenReordered(d *Settings) {
 	fast := TrafficClass{Name: "fast", LatencyObjective: 200 * ms, Timeout: time.Second, Weight: 3}
 	d.Classes = append([]TrafficClass{fast}, d.Classes[2:]...)
@@ -76,6 +76,7 @@
 	d.RetryAfter, d.UsageSpan, d.Gateways = false, time.Second, 3
 }
 
+// goldenWithoutCounter removes the counter and Retry-After, and allows hedging and cancellation.
 func goldenWithoutCounter(d *Settings) {
 	d.HasCounter, d.RetryAfter, d.AllowHedging, d.CanCancel = false, false, true, true
 	d.MaxAttempts, d.Gateways = 2, 1
@@ -159,9 +160,9 @@
 	},
 }
 
-// TestGoldenCalls holds what the module asks of its host, and in which order, for events drawn from
-// a seed: a change of names or of shape leaves each value as it is. The values hold on amd64;
-// elsewhere sums of products may be rounded otherwise.
+// TestGoldenCalls checks the module's calls to its host, and their order, against recorded hashes
+// for events drawn from a seed. A refactoring must not change any hash. The hashes are valid on
+// amd64; other architectures may round sums of products differently.
 func TestGoldenCalls(t *testing.T) {
 	kinds := map[string]int{}
 	for _, c := range goldenCases {
@@ -180,7 +181,7 @@
 		"attempt", "cancel", "reject", "terminate", "count", "watch", "timer", "stop timer", "log", "settings",
 	} {
 		if kinds[kind] < 10 {
-			t.Errorf("%d calls of the kind %q: the recording tells too little", kinds[kind], kind)
+			t.Errorf("%d calls of the kind %q, want 10 or more", kinds[kind], kind)
 		}
 	}
 }
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -13,12 +13,12 @@
 
 const goldenRequests = 2500 // first tries in a run
 
-// goldenWorld is all that is around one module, drawn from a seed: clients, servers, the list, the
-// counter, the timers. It is the module's host too, and writes each of its calls into a hash.
+// goldenWorld simulates the environment of one module from a seed: clients, servers, the endpoint
+// list, the counter and the timers. It is also the module's Host, and writes each call to a hash.
 type goldenWorld struct {
 	*testing.T
 	goldenCase
-	sum      hash.Hash
+	digest   hash.Hash
 	calls    map[string]int
 	module   *Gateway
 	random   *rand.Rand
@@ -42,13 +42,13 @@
 
 type goldenRequest struct {
 	request  Request
-	attempts []uint32 // the server of each
+	attempts []uint32 // server of each attempt
 }
 
 func newGoldenWorld(t *testing.T, c goldenCase, seed int64) *goldenWorld {
 	t.Helper()
 	w := &goldenWorld{
-		T: t, goldenCase: c, sum: sha256.New(), calls: map[string]int{}, random: rand.New(rand.NewSource(seed)),
+		T: t, goldenCase: c, digest: sha256.New(), calls: map[string]int{}, random: rand.New(rand.NewSource(seed)),
 		now: time.Minute, requests: map[uint32]*goldenRequest{}, totals: map[uint64]float64{}, inForce: c.settings,
 	}
 	var err error
@@ -61,13 +61,13 @@
 	return w
 }
 
-// run runs the world to its end and returns the hash of all calls.
+// run processes events until none is left and returns the hash of all calls.
 func (w *goldenWorld) run() string {
 	w.module.HandleEndpoints(w.now, ListCached, w.listed)
 	w.module.SetSharers(w.sharers)
 	w.after(0, w.arrival)
-	w.after(time.Second, w.listChange)
-	w.after(3*time.Second, w.surprise)
+	w.after(time.Second, w.changeList)
+	w.after(3*time.Second, w.injectFault)
 	for i, change := range w.changes {
 		w.after(time.Duration(i+1)*60*time.Second/time.Duration(len(w.changes)+1), func() { w.reconfigure(change) })
 	}
@@ -77,13 +77,15 @@
 		w.now = max(w.now, next.at)
 		next.do()
 	}
-	return hex.EncodeToString(w.sum.Sum(nil))
+	return hex.EncodeToString(w.digest.Sum(nil))
 }
 
+// after schedules an action after a pause.
 func (w *goldenWorld) after(pause time.Duration, do func()) {
 	w.add(goldenEvent{at: w.now + pause, do: do})
 }
 
+// add inserts an event into the queue by time, and after earlier events of the same time.
 func (w *goldenWorld) add(e goldenEvent) {
 	w.queued++
 	e.number = w.queued
@@ -96,19 +98,22 @@
 	w.queue = slices.Insert(w.queue, at, e)
 }
 
-func (w *goldenWorld) chance(part float64) bool { return w.random.Float64() < part }
+// chance returns true with the given probability.
+func (w *goldenWorld) chance(probability float64) bool { return w.random.Float64() < probability }
 
+// between returns a random duration from low to high.
 func (w *goldenWorld) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int63n(int64(high-low)+1))
 }
 
-// phase returns which fault is on: a few servers, slowness everywhere, the counter, all servers; 0:
-// none.
+// phase returns the current fault. 0: none; 1: some servers fail; 2: all servers are slow; 3: the
+// counter fails; 4: some answers are slow; 5: most servers fail.
 func (w *goldenWorld) phase() int { return int(w.now/(5*time.Second)) % 6 }
 
-// arrival sends a first try and schedules the next, with a long silence in the middle.
+// arrival sends a first try and schedules the next one, with a long pause after every 1000
+// requests.
 func (w *goldenWorld) arrival() {
-	r := w.draw()
+	r := w.randomRequest()
 	w.send(r)
 	if r.ID%5 == 0 {
 		w.after(w.between(0, time.Second), func() { w.module.HandleDisconnect(w.now, r.ID) })
@@ -123,45 +128,46 @@
 	w.after(pause, w.arrival)
 }
 
-// draw makes a request; a customer's number determines its plan.
-func (w *goldenWorld) draw() Request {
+// randomRequest returns a random request. The customer's number determines its plan.
+func (w *goldenWorld) randomRequest() Request {
 	customer := w.random.Intn(3 * len(w.inForce.Plans))
 	if w.chance(0.05) {
-		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // a customer that hardly comes again
+		customer += 1000 * len(w.inForce.Plans) * w.random.Intn(100) // a customer that rarely sends another request
 	}
 	class := w.random.Intn(len(w.inForce.Classes))
-	given := w.inForce.Classes[class].Timeout
+	timeout := w.inForce.Classes[class].Timeout
 	if w.chance(0.1) {
-		given = w.between(0, given)
+		timeout = w.between(0, timeout)
 	}
 	return Request{
 		Class: class, Plan: customer % len(w.inForce.Plans), Customer: uint64(customer), FirstGateway: w.random.Intn(3),
 		GatewayCount: w.random.Intn(w.settings.Gateways + 2), Units: float64(w.random.Intn(16)) / 4,
-		Deadline: w.now + given, PreferOwner: w.random.Intn(w.owners + 1),
+		Deadline: w.now + timeout, PreferOwner: w.random.Intn(w.owners + 1),
 	}
 }
 
-// send sends a request under a new number.
+// send sends a request under a new ID. If its class or plan is retired, it uses the first active
+// ones.
 func (w *goldenWorld) send(r Request) {
 	w.latest++
 	r.ID = w.latest
-	if l := w.inForce.Classes[r.Class]; l.Retired || w.inForce.Plans[r.Plan].Retired {
-		r.Class, r.Plan = w.open()
+	if class := w.inForce.Classes[r.Class]; class.Retired || w.inForce.Plans[r.Plan].Retired {
+		r.Class, r.Plan = w.firstActive()
 	}
 	w.requests[r.ID] = &goldenRequest{request: r}
 	w.module.HandleRequest(w.now, r)
 	w.record("admitted", r.ID, w.module.IsAdmitted(r.ID))
 }
 
-// open returns the first class and plan that take new requests.
-func (w *goldenWorld) open() (class, plan int) {
-	return slices.IndexFunc(w.inForce.Classes, func(l TrafficClass) bool { return !l.Retired }),
+// firstActive returns the first class and the first plan that are not retired.
+func (w *goldenWorld) firstActive() (class, plan int) {
+	return slices.IndexFunc(w.inForce.Classes, func(c TrafficClass) bool { return !c.Retired }),
 		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
 }
 
-// surprise brings what comes seldom: standstills, a counter that forgot, results and answers of
-// nothing known, another number of gateways that share the servers.
-func (w *goldenWorld) surprise() {
+// injectFault causes a rare event: a standstill, a counter that lost its totals, events of unknown
+// requests, calls and timers, ignored events, or a change in the number of sharing gateways.
+func (w *goldenWorld) injectFault() {
 	if len(w.requests) >= goldenRequests {
 		return
 	}
@@ -188,26 +194,25 @@
 		w.record("window", w.latest, w.module.RetryDeadline(w.latest), w.module.RetryDeadline(unknown),
 			w.module.IsAdmitted(unknown))
 	}
-	w.after(w.between(100*ms, 2*time.Second), w.surprise)
+	w.after(w.between(100*ms, 2*time.Second), w.injectFault)
 }
 
 func (w *goldenWorld) reconfigure(change Settings) {
 	inForce, err := w.module.Reconfigure(w.now, change)
 	w.inForce = inForce
 	w.record("settings", err == nil, inForce.Gateways, inForce.RetryAfter, inForce.HasCounter)
-	for _, l := range inForce.Classes {
-		w.record("class", l.Name, l.Retired, l.LatencyObjective)
+	for _, class := range inForce.Classes {
+		w.record("class", class.Name, class.Retired, class.LatencyObjective)
 	}
-	for _, p := range inForce.Plans {
-		w.record("plan", p.Name, p.Retired, p.Rate, p.MaxInFlight)
+	for _, plan := range inForce.Plans {
+		w.record("plan", plan.Name, plan.Retired, plan.Rate, plan.MaxInFlight)
 	}
 }
 
-// record writes a call and its arguments into the hash; durations and floats stand there with all
-// their digits.
+// record writes a call and its arguments to the hash, with durations and floats in full precision.
 func (w *goldenWorld) record(kind string, values ...any) {
 	w.calls[kind]++
-	if _, err := fmt.Fprintln(w.sum, append([]any{int64(w.now), kind}, values...)...); err != nil {
-		w.Fatal(err) // a hash returns none
+	if _, err := fmt.Fprintln(w.digest, append([]any{int64(w.now), kind}, values...)...); err != nil {
+		w.Fatal(err) // does not happen: a hash returns no errors
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,16 +8,17 @@
 
 const ms = time.Millisecond
 
-// harness is a module, its fake host, and a counter that answers at once while it is up.
+// harness is a module with a fake host and a counter, which answers immediately unless it is down.
 type harness struct {
 	*testing.T
 	*fakeHost
 	gateway      *Gateway
-	count        map[uint64]float64
-	down         bool
-	gatewayCount int // that serve each customer
+	count        map[uint64]float64 // the counter's totals by name
+	down         bool               // the counter does not answer
+	gatewayCount int                // number of gateways that serve each customer
 }
 
+// testSettings returns settings with classes of every effect and plans with every kind of quota.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zones: 2, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4, MaxAttempts: 5,
@@ -47,11 +48,11 @@
 	}
 }
 
-// newHarness starts a module with n warm servers, numbered from 1, two to a rack.
-func newHarness(t *testing.T, d Settings, n int) *harness {
+// newHarness starts a module with n warm servers, two per rack. Their IDs start at 1.
+func newHarness(t *testing.T, settings Settings, n int) *harness {
 	t.Helper()
 	f := &fakeHost{now: time.Minute}
-	g, err := New(d, 7, f)
+	g, err := New(settings, 7, f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,19 +71,20 @@
 	h.answerCounter()
 }
 
-// serveInTurn brings requests 1 to n of a plan, each after the one before was answered, and that
-// after a time.
-func (h *harness) serveInTurn(n uint32, plan int, units float64, after time.Duration) {
+// serveInTurn sends requests 1 to n of a plan one after the other, and answers each before the next
+// one, after the given latency.
+func (h *harness) serveInTurn(n uint32, plan int, units float64, latency time.Duration) {
 	for id := uint32(1); id <= n; id++ {
 		h.request(id, 0, plan, units)
-		if after > 0 {
-			h.advance(after)
+		if latency > 0 {
+			h.advance(latency)
 		}
 		h.finishAttempt(id, Answered)
 	}
 }
 
-// send sends a request, by default through the harness's gateways and with two seconds.
+// send sends a request. By default gatewayCount gateways serve its customer, and its deadline is in
+// two seconds.
 func (h *harness) send(r Request) {
 	r.GatewayCount = cmp.Or(r.GatewayCount, h.gatewayCount)
 	r.Deadline = cmp.Or(r.Deadline, h.now+2*time.Second)
@@ -94,21 +96,25 @@
 	h.result(AttemptResult{RequestID: id, Server: server, Outcome: Answered, Latency: latency, Final: true})
 }
 
+// result delivers an attempt's result to the module.
 func (h *harness) result(r AttemptResult) { h.gateway.HandleAttemptResult(h.now, r) }
 
+// countResult delivers the result of a call to the counter to the module.
 func (h *harness) countResult(r CountResult) { h.gateway.HandleCount(h.now, r) }
 
-// chargeByOthers has other gateways charge the only customer so far; countedUnits is its count in
-// the current window.
+// chargeByOthers adds units of other gateways to the customer's count in the current window. There
+// must be only one customer so far.
 func (h *harness) chargeByOthers(customerID uint64, units float64) {
 	h.count[counterName(customerID, h.gateway.admission.customerList[0].windowAt(h.now))] += units
 }
 
+// countedUnits returns the customer's count in the current window. There must be only one customer
+// so far.
 func (h *harness) countedUnits(customerID uint64) float64 {
 	return h.count[counterName(customerID, h.gateway.admission.customerList[0].windowAt(h.now))]
 }
 
-// answerCounter lets the counter answer the calls made, if it is up.
+// answerCounter lets the counter answer all pending calls, unless it is down.
 func (h *harness) answerCounter() {
 	for !h.down && len(h.calls) > 0 {
 		c := h.calls[0]
@@ -118,7 +124,7 @@
 	}
 }
 
-// timeOutCounter lets every call to the counter time out.
+// timeOutCounter lets all pending calls to the counter time out.
 func (h *harness) timeOutCounter() {
 	for _, c := range h.calls {
 		h.countResult(CountResult{Name: c.name, Outcome: TimedOut})
@@ -126,84 +132,86 @@
 	h.calls = nil
 }
 
-// finishAttempt reports the result of the latest attempt of a request.
-func (h *harness) finishAttempt(id uint32, o Outcome) {
+// finishAttempt reports the result of the latest attempt of a request, if there is one.
+func (h *harness) finishAttempt(id uint32, outcome Outcome) {
 	number, server := -1, uint32(0)
 	for i := range h.attempts {
-		if p := &h.attempts[i]; p.request == id {
+		if attempt := &h.attempts[i]; attempt.request == id {
 			number++
-			server, p.ended = p.server, true
+			server, attempt.ended = attempt.server, true
 		}
 	}
 	if number < 0 {
 		return
 	}
 	h.result(AttemptResult{
-		RequestID: id, Attempt: number, Server: server, Outcome: o, Latency: 20 * ms, Final: o == Answered,
+		RequestID: id, Attempt: number, Server: server, Outcome: outcome, Latency: 20 * ms, Final: outcome == Answered,
 	})
 	h.answerCounter()
 }
 
-// advance lets time pass, brings the timers that fall due, and times out the attempts that are out
-// too long.
-func (h *harness) advance(d time.Duration) {
-	end := h.now + d
+// advance advances the time by a span, fires the timers that are due, and then times out the
+// attempts that have reached their end.
+func (h *harness) advance(span time.Duration) {
+	end := h.now + span
 	for {
-		at := -1
-		for i, w := range h.timers {
-			if w.at <= end && (at < 0 || w.at < h.timers[at].at) {
-				at = i
+		next := -1
+		for i, timer := range h.timers {
+			if timer.at <= end && (next < 0 || timer.at < h.timers[next].at) {
+				next = i
 			}
 		}
-		if at < 0 {
+		if next < 0 {
 			break
 		}
-		w := h.timers[at]
-		h.timers = append(h.timers[:at:at], h.timers[at+1:]...)
-		h.now = max(h.now, w.at)
-		h.gateway.HandleTimer(h.now, w.token)
+		timer := h.timers[next]
+		h.timers = append(h.timers[:next:next], h.timers[next+1:]...)
+		h.now = max(h.now, timer.at)
+		h.gateway.HandleTimer(h.now, timer.token)
 		h.answerCounter()
 	}
 	h.now = end
 	for i := 0; i < len(h.attempts); i++ {
-		if p := h.attempts[i]; !p.ended && p.until <= h.now {
-			h.finishAttempt(p.request, TimedOut)
+		if attempt := h.attempts[i]; !attempt.ended && attempt.until <= h.now {
+			h.finishAttempt(attempt.request, TimedOut)
 		}
 	}
 }
 
-// attemptsOf returns how many attempts a request had.
+// attemptsOf returns the number of attempts of a request.
 func (h *harness) attemptsOf(id uint32) int {
 	n := 0
-	for _, p := range h.attempts {
-		if p.request == id {
+	for _, attempt := range h.attempts {
+		if attempt.request == id {
 			n++
 		}
 	}
 	return n
 }
 
-// attemptsTo returns how many attempts went to a server after a time.
+// attemptsTo returns the number of attempts that a server got after a time.
 func (h *harness) attemptsTo(server uint32, after time.Duration) int {
 	n := 0
-	for _, p := range h.attempts {
-		if p.server == server && p.at > after {
+	for _, attempt := range h.attempts {
+		if attempt.server == server && attempt.at > after {
 			n++
 		}
 	}
 	return n
 }
 
+// want checks how often a line is in the host's log.
 func (h *harness) want(line string, times int) {
 	h.Helper()
 	if n := h.occurrences(line); n != times {
-		h.Errorf("%q came %d times, want %d; done last: %q", line, n, times, h.log[max(0, len(h.log)-9):])
+		h.Errorf("%q logged %d times, want %d; last calls: %q", line, n, times, h.log[max(0, len(h.log)-9):])
 	}
 }
 
+// wantAttempts checks the number of attempts of a request.
 func (h *harness) wantAttempts(id uint32, times int) {
 	h.Helper()
 	if n := h.attemptsOf(id); n != times {
-		h.Errorf("request %d had %d attempts, want %d; done last: %q", id, n, times, h.log[max(0, len(h.log)-9):])
+		h.Errorf("request %d had %d attempts, want %d; last calls: %q", id, n, times, h.log[max(0, len(h.log)-9):])
 	}
 }
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -10,9 +10,9 @@
 	for _, test := range []struct {
 		name     string
 		class    int
-		ends     Outcome
+		outcome  Outcome
 		attempts int
-		last     string
+		final    string
 	}{
 		{"idempotent, error", 0, Errored, 3, rejected},
 		{"idempotent, timeout", 0, TimedOut, 3, rejected},
@@ -29,21 +29,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			world := newHarness(t, testSettings(), 8)
 			world.request(1, test.class, 0, 1)
-			world.finishAllAttempts(1, test.ends)
+			world.finishAllAttempts(1, test.outcome)
 			if world.occurrences(terminated)+world.occurrences(rejected) == 0 {
-				world.finishAttempt(1, test.ends)
+				world.finishAttempt(1, test.outcome)
 			}
 			world.wantAttempts(1, test.attempts)
-			world.want(test.last, 1)
-			if test.class == 1 && test.ends != ConnectFailed {
+			world.want(test.final, 1)
+			if test.class == 1 && test.outcome != ConnectFailed {
 				world.wantAttemptsInOneRack()
 			}
 		})
 	}
 }
 
-// finishAllAttempts ends a request's attempts, one after the other, until it has three or no new
-// one.
+// finishAllAttempts ends a request's attempts one after the other, until it has had three or gets
+// no new one.
 func (h *harness) finishAllAttempts(id uint32, outcome Outcome) {
 	h.Helper()
 	for h.attemptsOf(id) < 3 {
@@ -60,7 +60,7 @@
 	h.Helper()
 	for _, attempt := range h.attempts {
 		if (attempt.server-1)/2 != (h.attempts[0].server-1)/2 {
-			h.Errorf("a keyed request that may have run left its rack: %v", h.attempts)
+			h.Errorf("a keyed request that may have run was retried outside its rack: %v", h.attempts)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	}
 	world.finishAttempt(1, Answered)
 	if len(world.timers) != 0 {
-		t.Errorf("%d timers left behind by a request that is over", len(world.timers))
+		t.Errorf("%d timers left after the final answer, want 0", len(world.timers))
 	}
 }
 
@@ -122,9 +122,9 @@
 	world := newHarness(t, testSettings(), 2)
 	request := Request{ID: 1, Customer: 1, GatewayCount: 2, Units: 1, Deadline: world.now + 1500*ms}
 	world.send(request)
-	request.ID, request.Repeat = 2, true // given as much as a first try: nothing is known of its age
+	request.ID, request.Repeat = 2, true // as much time as a first try: its age is unknown
 	world.send(request)
-	request.ID, request.Deadline = 3, world.now+1200*ms // the rest of a timeout of two seconds: it is 0.8 s old
+	request.ID, request.Deadline = 3, world.now+1200*ms // the rest of a timeout of 2 s, so it is 0.8 s old
 	world.send(request)
 	world.answerCounter()
 	world.wantAttempts(2, 1)
@@ -134,9 +134,9 @@
 
 func TestStandstill_lateRequestIsRejected(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	world.request(1, 0, 0, 1) // shows that clients of this class give two seconds
+	world.request(1, 0, 0, 1) // shows that clients of this class have a timeout of 2 s
 	world.now += 1500 * ms
-	late := Request{ID: 2, Customer: 1, GatewayCount: 2, Units: 1, Deadline: world.now + 500*ms} // came 1.5 s ago
+	late := Request{ID: 2, Customer: 1, GatewayCount: 2, Units: 1, Deadline: world.now + 500*ms} // arrived 1.5 s ago
 	world.send(late)
 	world.answerCounter()
 	world.wantAttempts(2, 0)
@@ -145,41 +145,42 @@
 
 func TestRepeat_withAllRemainingTimeMakesNoFirstTryLate(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	take := func(id uint32, repeat bool, given time.Duration) {
-		world.send(Request{ID: id, Units: 1, Deadline: world.now + given, Repeat: repeat})
+	sendAndFinish := func(id uint32, repeat bool, timeLeft time.Duration) {
+		world.send(Request{ID: id, Units: 1, Deadline: world.now + timeLeft, Repeat: repeat})
 		world.answerCounter()
 		world.finishAttempt(id, Answered)
 	}
-	take(1, false, 1100*ms) // a part of the client's timeout of two seconds
-	take(2, true, 1980*ms)  // the last one has all that is left of it
-	take(3, false, 1100*ms)
-	take(4, true, 1100*ms) // nothing shows how long ago its first try was
-	take(5, true, 900*ms)  // the rest of the timeout: the objective has passed
-	for id, times := range []int{1: 1, 2: 1, 3: 1, 4: 1, 5: 0} {
-		world.wantAttempts(uint32(id), times)
+	sendAndFinish(1, false, 1100*ms) // part of the client's timeout of 2 s
+	sendAndFinish(2, true, 1980*ms)  // the last try gets the rest of the timeout
+	sendAndFinish(3, false, 1100*ms)
+	sendAndFinish(4, true, 1100*ms) // the age of its first try is unknown
+	sendAndFinish(5, true, 900*ms)  // the rest of the timeout: the objective has passed
+	for id, attempts := range []int{1: 1, 2: 1, 3: 1, 4: 1, 5: 0} {
+		world.wantAttempts(uint32(id), attempts)
 	}
 }
 
-// Guards against rejecting as late the requests of clients whose own timeout is short.
+// Guards against rejecting requests as late only because their clients have short timeouts.
 func TestStandstill_shortClientTimeoutIsNotLate(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 0, 1)
 	world.finishAttempt(1, Answered)
-	hasty := func(id uint32, plan int) {
+	sendWithShortTimeout := func(id uint32, plan int) {
 		world.send(Request{ID: id, Plan: plan, Customer: uint64(plan), Units: 1, Deadline: world.now + 200*ms})
 		world.answerCounter()
 	}
 	world.advance(10 * ms)
-	hasty(2, 0)
+	sendWithShortTimeout(2, 0)
 	world.wantAttempts(2, 1)
 	world.advance(10 * ms)
 	world.request(3, 0, 2, 1)
-	world.now += 1900 * ms // no event for longer than what the next request lacks: the gateway may have stood still
-	hasty(4, 2)
+	world.now += 1900 * ms // no event for so long that a standstill explains the next request's short time
+	sendWithShortTimeout(4, 2)
 	world.wantAttempts(4, 0)
 }
 
-// Guards against attempts for clients that leave before any answer can come, and repeat many times.
+// Guards against attempts for clients that time out before any answer can arrive, and then send
+// many repeats.
 func TestDeadline_tooShortForItsUnitsIsRejectedAtOnce(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 5; id++ {
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -8,27 +8,27 @@
 	"harrierhoist/internal/lab/virtualtime"
 )
 
-// quotaSimulation is many gateways under one clock, with one counter that answers after a while and
-// rejects some calls, and customers whose true token buckets it keeps: a bucket gives a request its
-// units with its first attempt, and nothing to one that finds too few.
+// quotaSimulation simulates many gateways with one clock and one counter, which answers after a
+// delay and may reject calls. It keeps the true token bucket of each customer. A request takes its
+// units from the bucket with its first attempt, or nothing if the bucket holds too few.
 type quotaSimulation struct {
 	*virtualtime.Scheduler
 	random        *rand.Rand
 	gateways      []*quotaGateway
 	counts        map[uint64]float64
-	counterRate   float64 // calls a second that the counter accepts; 0: all
+	counterRate   float64 // calls per second that the counter accepts; 0: all calls
 	counterFreeAt time.Duration
-	counterOutage [2]time.Duration // from when to when no call is answered
+	counterOutage [2]time.Duration // start and end of a time in which the counter answers no call
 	tries         map[uint32]*quotaTry
-	overQuota     map[float64]float64 // units, by how often its quota a customer asks
-	quota         map[float64]float64
+	overQuota     map[float64]float64 // units forwarded beyond the buckets, by quotaCustomer.demand
+	quota         map[float64]float64 // units that the buckets could give
 	withinQuota   map[float64]float64 // units that the buckets gave
 }
 
 type quotaGateway struct {
 	*quotaSimulation
 	module *Gateway
-	timers map[uint64]int // how often each was set or cancelled
+	timers map[uint64]int // number of times that each token was set or cancelled
 }
 
 type quotaTry struct {
@@ -43,64 +43,64 @@
 
 type quotaCustomer struct {
 	id         uint64
-	demand     float64
+	demand     float64 // requested units, as a multiple of the quota
 	available  float64
 	refilledAt time.Duration
 }
 
-func (h *quotaGateway) Attempt(requestID, server uint32, _ time.Duration) {
-	t := h.tries[requestID]
-	number := t.attempts
-	if t.attempts++; number == 0 {
-		t.customer.take(h.quotaSimulation, t.units)
+func (g *quotaGateway) Attempt(requestID, server uint32, _ time.Duration) {
+	t := g.tries[requestID]
+	attempt := t.attempts
+	if t.attempts++; attempt == 0 {
+		t.customer.take(g.quotaSimulation, t.units)
 	}
-	took := time.Duration(50+h.random.Intn(100)) * ms
-	h.After(took, func() {
-		h.module.HandleAttemptResult(h.Now(), AttemptResult{
-			RequestID: requestID, Attempt: number, Server: server, Outcome: Answered, Latency: took, Final: true,
+	latency := time.Duration(50+g.random.Intn(100)) * ms
+	g.After(latency, func() {
+		g.module.HandleAttemptResult(g.Now(), AttemptResult{
+			RequestID: requestID, Attempt: attempt, Server: server, Outcome: Answered, Latency: latency, Final: true,
 		})
 	})
 }
 
-// Reject has the client come again soon, whatever Retry-After says: in time to be served.
-func (h *quotaGateway) Reject(requestID uint32, _ time.Duration) {
-	if t := h.tries[requestID]; t.tries < 2 {
-		h.After(time.Duration(20+h.random.Intn(130))*ms, func() { h.send(t.customer, t.units, t.tries+1, t.deadline) })
+// Reject lets the client retry soon, in time to be served, even if Retry-After is longer.
+func (g *quotaGateway) Reject(requestID uint32, _ time.Duration) {
+	if t := g.tries[requestID]; t.tries < 2 {
+		g.After(time.Duration(20+g.random.Intn(130))*ms, func() { g.send(t.customer, t.units, t.tries+1, t.deadline) })
 	}
 }
 
-func (h *quotaGateway) Count(name uint64, _ time.Duration, units float64) {
-	took := time.Duration(1+h.random.Intn(8)) * ms
-	if h.counterOutage[0] < h.Now() && h.Now() < h.counterOutage[1] {
-		h.After(30*ms, func() {
-			h.module.HandleCount(h.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut})
+func (g *quotaGateway) Count(name uint64, _ time.Duration, units float64) {
+	latency := time.Duration(1+g.random.Intn(8)) * ms
+	if g.counterOutage[0] < g.Now() && g.Now() < g.counterOutage[1] {
+		g.After(30*ms, func() {
+			g.module.HandleCount(g.Now(), CountResult{Name: name, Latency: 30 * ms, Outcome: TimedOut})
 		})
 		return
 	}
-	full := h.counterRate > 0 && h.counterFreeAt > h.Now()+100*ms
-	if h.counterRate > 0 && !full {
-		h.counterFreeAt = max(h.counterFreeAt, h.Now()) + time.Duration(float64(time.Second)/h.counterRate)
+	overloaded := g.counterRate > 0 && g.counterFreeAt > g.Now()+100*ms
+	if g.counterRate > 0 && !overloaded {
+		g.counterFreeAt = max(g.counterFreeAt, g.Now()) + time.Duration(float64(time.Second)/g.counterRate)
 	}
-	h.After(took/2, func() {
-		tally := CountResult{Name: name, Latency: took, Outcome: Rejected}
-		if !full {
-			h.counts[name] += units
-			tally.Total, tally.Outcome = h.counts[name], Answered
+	g.After(latency/2, func() {
+		result := CountResult{Name: name, Latency: latency, Outcome: Rejected}
+		if !overloaded {
+			g.counts[name] += units
+			result.Total, result.Outcome = g.counts[name], Answered
 		}
-		h.After(took-took/2, func() { h.module.HandleCount(h.Now(), tally) })
+		g.After(latency-latency/2, func() { g.module.HandleCount(g.Now(), result) })
 	})
 }
 
-func (h *quotaGateway) SetTimer(token uint64, after time.Duration) {
-	h.timers[token]++
-	stands := h.timers[token]
-	h.After(after, func() {
-		if h.timers[token] == stands {
-			h.module.HandleTimer(h.Now(), token)
+func (g *quotaGateway) SetTimer(token uint64, after time.Duration) {
+	g.timers[token]++
+	generation := g.timers[token]
+	g.After(after, func() {
+		if g.timers[token] == generation {
+			g.module.HandleTimer(g.Now(), token)
 		}
 	})
 }
-func (h *quotaGateway) CancelTimer(token uint64) { h.timers[token]++ }
+func (g *quotaGateway) CancelTimer(token uint64) { g.timers[token]++ }
 func (*quotaGateway) Cancel(uint32, int)         {}
 func (*quotaGateway) Terminate(uint32)           {}
 func (*quotaGateway) CheckHealth(uint32)         {}
@@ -114,88 +114,93 @@
 	c.refilledAt = now
 }
 
-func (c *quotaCustomer) take(f *quotaSimulation, units float64) {
-	if c.refill(f.Now()); c.available >= units {
+// take takes units from the customer's true bucket, or counts them as over the quota.
+func (c *quotaCustomer) take(s *quotaSimulation, units float64) {
+	if c.refill(s.Now()); c.available >= units {
 		c.available -= units
-		f.withinQuota[c.demand] += units
+		s.withinQuota[c.demand] += units
 	} else {
-		f.overQuota[c.demand] += units
+		s.overQuota[c.demand] += units
 	}
 }
 
-// send sends a try to any gateway.
-func (f *quotaSimulation) send(who *quotaCustomer, units float64, tries int, ends time.Duration) {
-	if f.Now() >= ends {
+// send sends a customer's try to a random gateway, unless its deadline has passed.
+func (s *quotaSimulation) send(customer *quotaCustomer, units float64, tries int, deadline time.Duration) {
+	if s.Now() >= deadline {
 		return
 	}
-	h := f.gateways[f.random.Intn(len(f.gateways))]
-	t := &quotaTry{id: uint32(len(f.tries) + 1), customer: who, units: units, gateway: h, tries: tries, deadline: ends}
-	f.tries[t.id] = t
-	h.module.HandleRequest(f.Now(), Request{
-		ID: t.id, Plan: 1, Customer: who.id, GatewayCount: len(f.gateways), Units: units, Deadline: ends,
+	g := s.gateways[s.random.Intn(len(s.gateways))]
+	t := &quotaTry{
+		id: uint32(len(s.tries) + 1), customer: customer, units: units, gateway: g, tries: tries, deadline: deadline,
+	}
+	s.tries[t.id] = t
+	g.module.HandleRequest(s.Now(), Request{
+		ID: t.id, Plan: 1, Customer: customer.id, GatewayCount: len(s.gateways), Units: units, Deadline: deadline,
 		Repeat: tries > 0,
 	})
 }
 
-// scheduleNext schedules a customer's next request after a random span, and so on to the end.
-func (f *quotaSimulation) scheduleNext(who *quotaCustomer, end time.Duration) {
-	rate := who.demand * testSettings().Plans[1].Rate / 1.5
-	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.Now() < end {
-			f.send(who, float64(1+f.random.Intn(2)), 0, f.Now()+2*time.Second)
-			f.scheduleNext(who, end)
+// scheduleNext schedules a customer's next request after a random pause, and repeats this until
+// end.
+func (s *quotaSimulation) scheduleNext(customer *quotaCustomer, end time.Duration) {
+	rate := customer.demand * testSettings().Plans[1].Rate / 1.5
+	s.After(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		if s.Now() < end {
+			s.send(customer, float64(1+s.random.Intn(2)), 0, s.Now()+2*time.Second)
+			s.scheduleNext(customer, end)
 		}
 	})
 }
 
-// run sends requests of customers with four levels of demand, each of so many customers, for a
-// span.
-func (f *quotaSimulation) run(t *testing.T, gateways, each int, lasts time.Duration) {
+// run sends the requests of four groups of customers for a duration. All customers of a group have
+// the same demand; groupSize is the number of customers in each group.
+func (s *quotaSimulation) run(t *testing.T, gateways, groupSize int, duration time.Duration) {
 	t.Helper()
-	f.Scheduler, f.counts, f.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
-	f.TieBreak = func() uint64 { return uint64(f.random.Int31()) }
-	f.overQuota, f.quota, f.withinQuota = map[float64]float64{}, map[float64]float64{}, map[float64]float64{}
+	s.Scheduler, s.counts, s.tries = virtualtime.New(time.Minute), map[uint64]float64{}, map[uint32]*quotaTry{}
+	s.TieBreak = func() uint64 { return uint64(s.random.Int31()) }
+	s.overQuota, s.quota, s.withinQuota = map[float64]float64{}, map[float64]float64{}, map[float64]float64{}
 	var list []Endpoint
 	for i := range uint32(40) {
 		list = append(list, Endpoint{Server: i + 1, State: Ready, Capacity: 1, Rack: int(i / 2)})
 	}
-	d := testSettings()
-	d.Gateways = gateways
+	settings := testSettings()
+	settings.Gateways = gateways
 	for i := range gateways {
-		h := &quotaGateway{quotaSimulation: f, timers: map[uint64]int{}}
+		g := &quotaGateway{quotaSimulation: s, timers: map[uint64]int{}}
 		var err error
-		if h.module, err = New(d, int64(i), h); err != nil {
+		if g.module, err = New(settings, int64(i), g); err != nil {
 			t.Fatal(err)
 		}
-		h.module.HandleEndpoints(f.Now(), ListCached, list)
-		f.gateways = append(f.gateways, h)
+		g.module.HandleEndpoints(s.Now(), ListCached, list)
+		s.gateways = append(s.gateways, g)
 	}
-	end := f.Now() + lasts
-	for _, times := range []float64{0.5, 1, 2, 5} {
-		for range each {
-			c := &quotaCustomer{id: f.random.Uint64() >> 31, demand: times, available: 10, refilledAt: f.Now()}
-			f.scheduleNext(c, end)
-			f.quota[times] += 10 + testSettings().Plans[1].Rate*lasts.Seconds()
+	end := s.Now() + duration
+	for _, demand := range []float64{0.5, 1, 2, 5} {
+		for range groupSize {
+			c := &quotaCustomer{id: s.random.Uint64() >> 31, demand: demand, available: 10, refilledAt: s.Now()}
+			s.scheduleNext(c, end)
+			s.quota[demand] += 10 + testSettings().Plans[1].Rate*duration.Seconds()
 		}
 	}
-	for f.Step() {
+	for s.Step() {
 	}
 }
 
-// The units forwarded beyond the true buckets, as a part of what these could give, stay under a
-// bound for customers that ask for twice and five times their quota, and under 0.05 for those that
-// ask for half of it and all. What remains is the lag, and what is admitted without a count while
-// calls are left out or the counter is lost (docs/fleet-quotas.md).
+// The units forwarded beyond the true buckets, as a fraction of the units that these can give,
+// must stay below 0.05 for customers that request half of their quota or all of it, and below the
+// test case's limits for customers that request two and five times their quota. The excess has two
+// causes: counts lag, and requests are admitted without a count while calls are skipped or the
+// counter is lost (docs/fleet-quotas.md).
 func TestQuota_holdsOverManyGateways(t *testing.T) {
-	overloaded := func(f *quotaSimulation) { f.counterRate = 100 }
-	lost := func(f *quotaSimulation) { // over one edge of each customer, or two
-		f.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
+	overloaded := func(s *quotaSimulation) { s.counterRate = 100 }
+	lost := func(s *quotaSimulation) { // over one or two window edges of each customer
+		s.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
 	}
 	for _, test := range []struct {
 		name      string
 		gateways  int
 		counter   func(*quotaSimulation)
-		two, five float64
+		two, five float64 // limits for customers that request two and five times their quota
 	}{
 		{"2 gateways", 2, nil, 0.04, 0.07},
 		{"20 gateways", 20, nil, 0.08, 0.16},
@@ -208,14 +213,15 @@
 		{"100 gateways, counter lost for 12 s", 100, lost, 0.42, 1.00},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := &quotaSimulation{random: rand.New(rand.NewSource(1))}
+			s := &quotaSimulation{random: rand.New(rand.NewSource(1))}
 			if test.counter != nil {
-				test.counter(f)
+				test.counter(s)
 			}
-			f.run(t, test.gateways, 12, 45*time.Second)
+			s.run(t, test.gateways, 12, 45*time.Second)
 			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
-				if got := f.overQuota[demand] / f.quota[demand]; got > limit {
-					t.Errorf("customers at %v times their quota: %.3f beyond, want %.2f at most", demand, got, limit)
+				if got := s.overQuota[demand] / s.quota[demand]; got > limit {
+					t.Errorf("customers at %v times their quota: %.3f of it forwarded beyond it, want %.2f at most",
+						demand, got, limit)
 				}
 			}
 		})
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// otherSettings have classes and plans in another order, some of each missing and one new, other
-// limits, no Retry-After.
+// otherSettings returns testSettings with the classes and plans reordered, some of each missing and
+// one new, with other limits and without Retry-After.
 func otherSettings() Settings {
 	settings := testSettings()
 	settings.Classes = []TrafficClass{
@@ -28,37 +28,38 @@
 	return settings
 }
 
-func (h *harness) reconfigure(d Settings) Settings {
+func (h *harness) reconfigure(settings Settings) Settings {
 	h.Helper()
-	now, err := h.gateway.Reconfigure(h.now, d)
+	inForce, err := h.gateway.Reconfigure(h.now, settings)
 	if err != nil {
 		h.Fatal(err)
 	}
-	return now
+	return inForce
 }
 
 func TestReconfigure_classesAndPlansKeepTheirIndexByName(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	there := world.reconfigure(otherSettings())
+	other := world.reconfigure(otherSettings())
 	for i, want := range []string{"look", "hold", "pay", "mark", "read"} {
-		if l := there.Classes[i]; l.Name != want || l.Retired != (want == "hold" || want == "pay") {
-			t.Errorf("class %d is %s, retired %v", i, l.Name, l.Retired)
+		if class := other.Classes[i]; class.Name != want || class.Retired != (want == "hold" || want == "pay") {
+			t.Errorf("class %d is %s, retired %v, want %s", i, class.Name, class.Retired, want)
 		}
 	}
 	back := world.reconfigure(testSettings())
 	if len(back.Classes) != 5 || back.Classes[1].Retired || !back.Classes[4].Retired || back.Plans[0].Rate != 1000 {
-		t.Errorf("the way back gives %+v", back)
+		t.Errorf("settings after the change back: %+v", back)
 	}
-	if again := world.reconfigure(otherSettings()); len(again.Classes) != 5 || len(again.Plans) != len(there.Plans) {
-		t.Errorf("a second time the classes and plans grew: %d, %d", len(again.Classes), len(again.Plans))
+	if again := world.reconfigure(otherSettings()); len(again.Classes) != 5 || len(again.Plans) != len(other.Plans) {
+		t.Errorf("the second change to the same settings left %d classes and %d plans, want 5 and %d",
+			len(again.Classes), len(again.Plans), len(other.Plans))
 	}
 }
 
 func TestReconfigure_requestInFlightKeepsItsClass(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.request(1, 2, 0, 1) // pays, which is missing in the new settings
+	world.request(1, 2, 0, 1) // of class pay, which is missing in the new settings
 	world.reconfigure(otherSettings())
-	world.finishAttempt(1, Reset) // it may have run: it must not be retried, nor be called harmless to repeat
+	world.finishAttempt(1, Reset) // it may have run, so it must be neither retried nor rejected
 	world.wantAttempts(1, 1)
 	world.want("terminate 1", 1)
 	world.request(2, 0, 0, 1)
@@ -75,10 +76,10 @@
 		world.request(id, 0, 0, 1)
 		world.wantAttempts(id, 1)
 	}
-	world.reconfigure(otherSettings()) // two attempts in flight now; three are out
+	world.reconfigure(otherSettings()) // the limit is now two; three attempts are in flight
 	world.request(4, 0, 0, 1)
 	world.wantAttempts(4, 0)
-	world.want("reject 4 away 0s", 1) // and no Retry-After is to be given
+	world.want("reject 4 away 0s", 1) // without a Retry-After
 	for id := uint32(1); id <= 3; id++ {
 		world.finishAttempt(id, Answered)
 	}
@@ -89,12 +90,12 @@
 func TestReconfigure_countOfAnOldWindowIsIgnored(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.down = true
-	world.request(1, 0, 1, 2) // waits for the count of its plan as it was
-	d := testSettings()
-	d.Plans[1] = Plan{Name: "small", Rate: 4, Burst: 6}
-	world.reconfigure(d)
-	farOver := 100.0 // were it of this window
-	world.countResult(CountResult{Name: world.calls[0].name, Total: farOver, Latency: ms})
+	world.request(1, 0, 1, 2) // waits for the count of its earlier plan
+	settings := testSettings()
+	settings.Plans[1] = Plan{Name: "small", Rate: 4, Burst: 6}
+	world.reconfigure(settings)
+	overBurst := 100.0 // would exhaust the bucket if it counted
+	world.countResult(CountResult{Name: world.calls[0].name, Total: overBurst, Latency: ms})
 	world.calls = nil
 	world.wantAttempts(1, 1)
 	customer := world.gateway.admission.customerList[0]
@@ -109,25 +110,25 @@
 	server := world.gateway.balancer.servers[world.attempts[0].server-1]
 	world.finishAttempt(1, Rejected)
 	world.reconfigure(otherSettings())
-	marked := &requestState{Request: Request{Class: 3, Plan: 4}, class: &world.gateway.classes[3]}
-	fresh := &requestState{Request: Request{Class: 4, Plan: 5}, class: &world.gateway.classes[4]}
-	if old, other := server.isEjectedFor(marked), server.isEjectedFor(fresh); !old || other {
-		t.Errorf("ejected for what it rejected: %v, for a new class and plan: %v", old, other)
+	rejected := &requestState{Request: Request{Class: 3, Plan: 4}, class: &world.gateway.classes[3]}
+	unaffected := &requestState{Request: Request{Class: 4, Plan: 5}, class: &world.gateway.classes[4]}
+	if known, other := server.isEjectedFor(rejected), server.isEjectedFor(unaffected); !known || other {
+		t.Errorf("ejected for the class and plan that it rejected: %v, for new ones: %v", known, other)
 	}
 }
 
 func TestReconfigure_invalidSettingsChangeNothing(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	for name, bad := range map[string]func(*Settings){
-		"no class":   func(d *Settings) { d.Classes = nil },
-		"no gateway": func(d *Settings) { d.Gateways = 0 },
+	for name, invalidate := range map[string]func(*Settings){
+		"no class":   func(settings *Settings) { settings.Classes = nil },
+		"no gateway": func(settings *Settings) { settings.Gateways = 0 },
 	} {
-		d := otherSettings()
-		bad(&d)
-		_, err := world.gateway.Reconfigure(world.now, d)
+		settings := otherSettings()
+		invalidate(&settings)
+		_, err := world.gateway.Reconfigure(world.now, settings)
 		if inForce := &world.gateway.settings; !errors.Is(err, ErrIncompleteSettings) || inForce.Classes[1].Retired ||
 			!inForce.RetryAfter {
-			t.Errorf("%s: %v, and in force %+v", name, err, world.gateway.settings)
+			t.Errorf("%s: error %v, settings in force %+v", name, err, world.gateway.settings)
 		}
 	}
 }
@@ -137,9 +138,9 @@
 	world.down = true
 	world.request(1, 0, 0, 1)
 	world.wantAttempts(1, 0)
-	d := testSettings()
-	d.HasCounter = false
-	world.reconfigure(d)
+	settings := testSettings()
+	settings.HasCounter = false
+	world.reconfigure(settings)
 	world.advance(200 * ms)
 	world.wantAttempts(1, 1)
 	before := len(world.calls)
@@ -150,24 +151,25 @@
 	}
 }
 
-// A plan with neither rate nor limit is unlimited: its customers have no windows, nor those that
-// had some before, and what comes late or twice for them counts once.
+// A plan with neither a rate nor a limit is unlimited. Its customers have no windows, even if their
+// earlier plan had some. Late and duplicate results for them count once.
 func TestReconfigure_planWithoutRateAndLimitIsUnlimited(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.down = true
-	world.request(1, 0, 4, 1) // claims in a window
-	d := testSettings()
-	d.Plans[4] = Plan{Name: "out"}
-	world.reconfigure(d)
+	world.request(1, 0, 4, 1) // its call adds it to a window's count
+	settings := testSettings()
+	settings.Plans[4] = Plan{Name: "out"}
+	world.reconfigure(settings)
 	world.down = false
-	world.answerCounter() // the count asked for before
+	world.answerCounter() // the call made before the change
 	world.wantAttempts(1, 1)
 	for range 2 {
 		world.answer(1, world.attempts[0].server, 20*ms)
 	}
 	world.answerCounter()
-	if out := world.gateway.admission.customerList[0].inFlight; out != 0 || len(world.gateway.requests) != 0 {
-		t.Errorf("%d in flight and %d requests after their end came twice", out, len(world.gateway.requests))
+	if inFlight := world.gateway.admission.customerList[0].inFlight; inFlight != 0 || len(world.gateway.requests) != 0 {
+		t.Errorf("%d in flight and %d requests left after a duplicate result, want none",
+			inFlight, len(world.gateway.requests))
 	}
 	for id := uint32(2); id <= 9; id++ {
 		world.request(id, 0, 4, 8)
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// newSparseHarness has customers whose requests come through fifty gateways: those of the small
-// plan are sparse.
+// newSparseHarness returns a harness with 50 gateways for each customer, so that customers of the
+// small plan are sparse.
 func newSparseHarness(t *testing.T) *harness {
 	t.Helper()
-	d := testSettings()
-	d.Gateways = 50
-	world := newHarness(t, d, 4)
+	settings := testSettings()
+	settings.Gateways = 50
+	world := newHarness(t, settings, 4)
 	world.gatewayCount = 50
 	return world
 }
@@ -21,22 +21,22 @@
 	world.request(1, 0, 1, 2)
 	world.finishAttempt(1, Answered)
 	if got := world.countedUnits(1); got != 2 {
-		t.Errorf("%v units stand in the count, want the 2 of the answer", got)
+		t.Errorf("the count is %v units, want the 2 of the answer", got)
 	}
 }
 
 func TestSparse_windowStartsWithTheOverrunOfTheEarlier(t *testing.T) {
 	world := newSparseHarness(t)
-	world.request(1, 0, 1, 1) // so that the customer has windows
+	world.request(1, 0, 1, 1) // creates the customer's state
 	world.finishAttempt(1, Answered)
 	customer := world.gateway.admission.customerList[0]
-	rest := customer.windowStart(customer.windowAt(world.now)+1) - world.now
-	world.advance(rest - ms)
-	world.chargeByOthers(1, 5+2*rest.Seconds()) // of 9 that were left and 2 a second that came since
+	untilEdge := customer.windowStart(customer.windowAt(world.now)+1) - world.now
+	world.advance(untilEdge - ms)
+	world.chargeByOthers(1, 5+2*untilEdge.Seconds()) // 9 units were left, and 2 units per second are refilled
 	world.advance(ms)
 	world.request(2, 0, 1, 1)
 	if got := world.countedUnits(1); got < 5.9 || got > 6.1 {
-		t.Errorf("the new window starts with %v units, want the 6 that the bucket lacks", got)
+		t.Errorf("the new window starts with %v units, want the 6 that the bucket lacked", got)
 	}
 }
 
@@ -53,59 +53,58 @@
 	world.wantAttempts(4, 0)
 }
 
-// overloadCounter has the counter accept some calls and reject the others, and gives how often it
-// was called and how often it rejected, in the second half. Each request is of a sparse customer of
-// its own.
-func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, refused int) {
+// overloadCounter sends requests of as many sparse customers while the counter accepts some calls
+// and rejects the others. It returns the number of calls and of rejected calls in the second half.
+func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, rejected int) {
 	h.down = true
-	n := 0
+	number := 0
 	for i := range requests {
 		id := uint32(1000 + i)
 		h.send(Request{ID: id, Plan: 1, Customer: uint64(1000 + i), Units: 1})
 		for len(h.calls) > 0 {
 			call := h.calls[0]
 			h.calls = h.calls[1:]
-			n++
-			how := Answered
-			if !accepts(n) {
-				how = Rejected
+			number++
+			outcome := Answered
+			if !accepts(number) {
+				outcome = Rejected
 			}
 			if i > requests/2 {
 				calls++
-				if how == Rejected {
-					refused++
+				if outcome == Rejected {
+					rejected++
 				}
 			}
-			h.countResult(CountResult{Name: call.name, Latency: ms, Outcome: how})
+			h.countResult(CountResult{Name: call.name, Latency: ms, Outcome: outcome})
 		}
 		h.advance(5 * ms)
 		h.finishAttempt(id, Answered)
 	}
-	return calls, refused
+	return calls, rejected
 }
 
 func TestCounter_callsSettleSlightlyAboveItsCapacity(t *testing.T) {
 	world := newSparseHarness(t)
-	// The counter has capacity for a call each 20 ms, and a few at once: far less than the two for
-	// a request each 5 ms.
-	var free time.Duration
-	calls, refused := world.overloadCounter(4000, func(int) bool {
-		if free = max(free, world.now-100*ms); free > world.now {
+	// The counter has capacity for a call every 20 ms and a small burst. That is far below the two
+	// calls for a request every 5 ms.
+	var freeAt time.Duration
+	calls, rejected := world.overloadCounter(4000, func(int) bool {
+		if freeAt = max(freeAt, world.now-100*ms); freeAt > world.now {
 			return false
 		}
-		free += 20 * ms
+		freeAt += 20 * ms
 		return true
 	})
-	if part := float64(refused) / float64(calls); part > 0.2 || calls < 200 {
-		t.Errorf("%d of %d calls rejected (%.2f), want under a fifth", refused, calls, part)
+	if fraction := float64(rejected) / float64(calls); fraction > 0.2 || calls < 200 {
+		t.Errorf("%d of %d calls rejected (%.2f), want 0.2 at most, and 200 calls or more", rejected, calls, fraction)
 	}
 }
 
 func TestSparse_repeatsNeedACountWhileTheCounterIsOverloaded(t *testing.T) {
 	world := newSparseHarness(t)
 	world.overloadCounter(400, func(n int) bool { return n%3 != 0 })
-	world.gateway.admission.callProbability = minCallProbability // nearly no call goes out
-	first, again := 0, 0
+	world.gateway.admission.callProbability = minCallProbability // hardly any call is made
+	firstTries, repeats := 0, 0
 	for i := range 100 {
 		world.gateway.admission.fastAnswers = 1 // the counter answered a moment ago
 		for _, repeat := range []bool{false, true} {
@@ -117,15 +116,16 @@
 			world.calls = nil
 			n := world.attemptsOf(id)
 			if world.finishAttempt(id, Answered); repeat {
-				again += n
+				repeats += n
 			} else {
-				first += n
+				firstTries += n
 			}
 		}
 		world.advance(100 * ms)
 	}
-	if first < 85 || again > 10 {
-		t.Errorf("%d first tries and %d repeats of a hundred each forwarded without a count", first, again)
+	if firstTries < 85 || repeats > 10 {
+		t.Errorf("forwarded %d of 100 first tries (want 85 or more) and %d of 100 repeats (want 10 at most)",
+			firstTries, repeats)
 	}
 }
 
@@ -152,16 +152,17 @@
 		}
 		world.advance(2 * ms)
 	}
-	if part := total / float64(requests); part < 0.85 || part > 1.15 {
-		t.Errorf("the count has %.2f of the units forwarded", part)
+	if fraction := total / float64(requests); fraction < 0.85 || fraction > 1.15 {
+		t.Errorf("the count is %.2f of the units forwarded, want between 0.85 and 1.15", fraction)
 	}
 }
 
-// Guards against repeats that take all calls of an overloaded counter from first tries.
+// Guards against repeats that use up the capacity of an overloaded counter, so that first tries get
+// no calls.
 func TestSparse_repeatsMakeNoCallsWhileSomeAreSkipped(t *testing.T) {
-	d := testSettings()
-	d.Gateways = 40
-	world := newHarness(t, d, 4)
+	settings := testSettings()
+	settings.Gateways = 40
+	world := newHarness(t, settings, 4)
 	world.gatewayCount, world.down = 40, true
 	world.request(1, 0, 1, 1)
 	world.timeOutCounter()
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -6,16 +6,19 @@
 	"time"
 )
 
-// nearWindowEdge brings a customer of the small plan so close to the next edge of its windows: its
-// bucket is full then, and one request of no units has made its state.
-func (h *harness) nearWindowEdge(customerID uint64, before time.Duration) (customer *customerState, at time.Duration) {
+// advanceToWindowEdge creates the state of a customer of the small plan by a request without
+// units, advances the time to the given span before an edge of its windows, and returns the time
+// of the edge. The customer's bucket is then full.
+func (h *harness) advanceToWindowEdge(
+	customerID uint64, before time.Duration,
+) (customer *customerState, edge time.Duration) {
 	h.requestOfSmallPlan(1, customerID, 0)
 	h.finishAttempt(1, Answered)
 	customer = h.gateway.admission.customers[customerID]
-	h.advance(2 * customer.windowLength) // so that nothing is left of what came before
-	at = customer.windowStart(customer.windowAt(h.now) + 1)
-	h.advance(at - before - h.now)
-	return customer, at
+	h.advance(2 * customer.windowLength) // no earlier count is valid then
+	edge = customer.windowStart(customer.windowAt(h.now) + 1)
+	h.advance(edge - before - h.now)
+	return customer, edge
 }
 
 // requestOfSmallPlan sends a request of a customer of the small plan.
@@ -24,28 +27,29 @@
 	h.answerCounter()
 }
 
-// crossWindowEdge advances time to a little after an edge, and checks that it was one.
-func (h *harness) crossWindowEdge(customer *customerState, at, after time.Duration) {
+// crossWindowEdge advances the time to the given span after an edge, and checks that the window
+// changed by one.
+func (h *harness) crossWindowEdge(customer *customerState, edge, after time.Duration) {
 	h.Helper()
-	was := customer.windowAt(h.now)
-	if h.advance(at + after - h.now); customer.windowAt(h.now) != was+1 {
-		h.Fatalf("from window %d to %d: no edge was crossed", was, customer.windowAt(h.now))
+	previous := customer.windowAt(h.now)
+	if h.advance(edge + after - h.now); customer.windowAt(h.now) != previous+1 {
+		h.Fatalf("moved from window %d to window %d, want the next window", previous, customer.windowAt(h.now))
 	}
 }
 
-// Guards against a second burst right after a window's edge.
+// Guards against a second burst immediately after a window's edge.
 func TestWindowEdge_allowsNoSecondBurst(t *testing.T) {
 	for customerID := range uint64(8) {
 		for _, before := range []time.Duration{0, 1, ms, 50 * ms, 100 * ms} {
 			t.Run(fmt.Sprint(customerID, before), func(t *testing.T) {
 				world := newHarness(t, testSettings(), 2)
-				customer, at := world.nearWindowEdge(100+customerID, before+1)
+				customer, edge := world.advanceToWindowEdge(100+customerID, before+1)
 				for id := uint32(2); id <= 6; id++ {
 					world.requestOfSmallPlan(id, customer.id, 1.9)
 					world.finishAttempt(id, Answered)
 					world.wantAttempts(id, 1)
 				}
-				world.crossWindowEdge(customer, at, 0)
+				world.crossWindowEdge(customer, edge, 0)
 				world.requestOfSmallPlan(7, customer.id, 1.9)
 				world.wantAttempts(7, 0)
 			})
@@ -53,7 +57,7 @@
 	}
 }
 
-// answerCall lets the counter, which holds its calls, answer one of them.
+// answerCall lets the counter answer one of the pending calls, given by its index.
 func (h *harness) answerCall(i int) {
 	c := h.calls[i]
 	h.calls = append(h.calls[:i:i], h.calls[i+1:]...)
@@ -61,39 +65,40 @@
 	h.countResult(CountResult{Name: c.name, Total: h.count[c.name], Latency: ms})
 }
 
-// Charges that are pending at an edge go with the next call, in the later window, in actual units.
+// Charges that are pending at an edge are sent with the next call, which counts their actual units
+// in the later window.
 func TestWindowEdge_pendingChargesCountOnceInTheLaterWindow(t *testing.T) {
-	for billed, want := range map[float64]float64{0: 5, 1: 1, 9: 9} {
+	for actualUnits, want := range map[float64]float64{0: 5, 1: 1, 9: 9} {
 		world := newHarness(t, testSettings(), 2)
-		customer, at := world.nearWindowEdge(100, 100*ms)
+		customer, edge := world.advanceToWindowEdge(100, 100*ms)
 		world.requestOfSmallPlan(2, customer.id, 5)
-		world.crossWindowEdge(customer, at, ms)
+		world.crossWindowEdge(customer, edge, ms)
 		world.result(AttemptResult{
-			RequestID: 2, Outcome: Answered, Latency: 100 * ms, Final: true, ActualUnits: billed,
+			RequestID: 2, Outcome: Answered, Latency: 100 * ms, Final: true, ActualUnits: actualUnits,
 		})
 		later := counterName(customer.id, customer.windowAt(world.now))
 		world.requestOfSmallPlan(3, customer.id, 0.1)
 		if got := world.count[later]; got < want || got > want+0.001 {
-			t.Errorf("actual units %v: %v units stand in the later window, want %v", billed, got, want)
+			t.Errorf("actual units %v: the later window's count is %v, want %v", actualUnits, got, want)
 		}
 		if left, most := customer.available+customer.uncounted, 10-want+0.2; left > most {
-			t.Errorf("actual units %v: the bucket is taken to hold %v, want %v at most", billed, left, most)
+			t.Errorf("actual units %v: the estimated level is %v, want %v at most", actualUnits, left, most)
 		}
 	}
 }
 
-// Guards against a charge that no sample shows, as its call before an edge is answered after it.
+// Guards against losing a charge whose call is made before an edge and answered after it.
 func TestWindowEdge_lateResultOfTheEarlierWindow(t *testing.T) {
-	for _, looked := range []bool{false, true} {
+	for _, sampled := range []bool{false, true} { // whether the later window has a sample already
 		world := newHarness(t, testSettings(), 2)
-		customer, at := world.nearWindowEdge(100, 20*ms)
+		customer, edge := world.advanceToWindowEdge(100, 20*ms)
 		world.requestOfSmallPlan(2, customer.id, 9)
 		world.down = true
-		world.finishAttempt(2, Answered) // the call that brings the 9 units is answered late
-		world.crossWindowEdge(customer, at, ms)
-		// Of a gateway that initialized it before the charge came.
+		world.finishAttempt(2, Answered) // the call that carries the 9 units is answered late
+		world.crossWindowEdge(customer, edge, ms)
+		// Another gateway initialized the later window before the charge was counted.
 		world.count[counterName(customer.id, customer.windowAt(world.now))] += 0.01
-		if looked {
+		if sampled {
 			world.requestOfSmallPlan(4, customer.id, 0.1)
 			world.answerCall(1)
 		}
@@ -103,7 +108,7 @@
 			world.answerCall(0)
 		}
 		if left := customer.available + customer.uncounted; left > 1.1 {
-			t.Errorf("sampled %v: the bucket is taken to hold %v, want 1", looked, left)
+			t.Errorf("later window sampled %v: the estimated level is %v, want 1", sampled, left)
 		}
 		world.down = false
 		world.requestOfSmallPlan(6, customer.id, 3)
@@ -111,18 +116,18 @@
 	}
 }
 
-// Two gateways that find the later window's count untouched at once both read the one before: what
-// the bucket lacks is carried over at least once, and neither forwards again what it forwarded
-// before the edge.
+// Two gateways that find the later window's count untouched at the same time both read the previous
+// window. The overrun must be carried over at least once, and neither gateway may forward the same
+// units again after the edge.
 func TestWindowEdge_twoGatewaysOpenAWindowAtOnce(t *testing.T) {
 	one, two := newHarness(t, testSettings(), 2), newHarness(t, testSettings(), 2)
 	two.count = one.count
 	for _, world := range []*harness{one, two} {
-		world.nearWindowEdge(100, 20*ms)
+		world.advanceToWindowEdge(100, 20*ms)
 	}
-	customer, edge := one.nearWindowEdge(100, 20*ms)
+	customer, edge := one.advanceToWindowEdge(100, 20*ms)
 	two.advance(one.now - two.now)
-	for id := uint32(2); id <= 3; id++ { // the first of each are in flight at once, the second bring what they took
+	for id := uint32(2); id <= 3; id++ { // request 2 runs at both gateways; the call of request 3 carries its charge
 		for _, world := range []*harness{one, two} {
 			world.requestOfSmallPlan(id, 100, float64(3-id)*4.5)
 		}
@@ -132,7 +137,7 @@
 	}
 	before, later := counterName(100, customer.windowAt(edge-1)), counterName(100, customer.windowAt(edge))
 	if got := one.count[before]; got != 9 {
-		t.Fatalf("%v units stand in the window before, want 9", got)
+		t.Fatalf("the previous window's count is %v, want 9", got)
 	}
 	for _, world := range []*harness{one, two} {
 		world.crossWindowEdge(world.gateway.admission.customers[100], edge, ms)
@@ -147,7 +152,7 @@
 		}
 	}
 	if got := one.count[later]; got < 8.9 || got > 18 {
-		t.Errorf("%v units carried over, want the 9 once or twice", got)
+		t.Errorf("%v units carried over, want between 9 and 18", got)
 	}
 	for _, world := range []*harness{one, two} {
 		world.down = false
@@ -156,11 +161,11 @@
 	}
 }
 
-// No count comes after the edge: the estimate goes on from before it.
+// Without a count after the edge, the estimate continues from the level before it.
 func TestWindowEdge_noResultAfterIt(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.nearWindowEdge(100, 50*ms)
+		customer, edge := world.advanceToWindowEdge(100, 50*ms)
 		world.requestOfSmallPlan(2, customer.id, 8)
 		world.finishAttempt(2, Answered)
 		world.crossWindowEdge(customer, edge, ms)
@@ -173,11 +178,12 @@
 	}
 }
 
-// Guards against a second half of the bucket after an edge at which the counter forgot the first.
+// Guards against forwarding a second half of the bucket after an edge if the counter is lost before
+// the edge and returns after it.
 func TestWindowEdge_counterReturnsAfterIt(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.nearWindowEdge(100, 400*ms)
+		customer, edge := world.advanceToWindowEdge(100, 400*ms)
 		world.down = true
 		sent := 0.0
 		for id := uint32(2); id < 12; id++ {
@@ -197,7 +203,7 @@
 			sent += float64(world.attemptsOf(id))
 			world.finishAttempt(id, Answered)
 		}
-		if sent < 2 || sent > 6 { // half of 10, and what came in 0.4 s
+		if sent < 2 || sent > 6 { // half of the burst of 10, and the refill of 0.4 s
 			t.Errorf("%v: %v units forwarded, want about 5", outcome, sent)
 		}
 	}
