--- a/policy/admission.go
+++ b/policy/admission.go
@@ -48,10 +48,10 @@
 }
 
 // objectiveOf returns the time at which a request's latency objective ends. A request that arrives
-// with less time than the first tries of its class and plan has already used part of its
-// objective: a repeat spent it on earlier tries, a first try waited while this process stood
-// still. A first try that lacks more than the standstill explains comes from a client with a
-// shorter timeout, and is not late.
+// with less time than the first tries of its class and plan has already used part of its objective.
+// A repeat used it for earlier tries; a first try used it while this process stood still. A first
+// try that lacks more than the standstill explains comes from a client with a shorter timeout, and
+// is not late.
 func (a *admission) objectiveOf(request *requestState, now time.Duration) time.Duration {
 	class := request.class
 	a.learnFirstTimeout(request, now)
--- a/policy/charges.go
+++ b/policy/charges.go
@@ -29,7 +29,7 @@
 }
 
 // charge records units that go to the counter with the customer's next call. The next call of a
-// sparse customer may come too late, so its units are sent immediately, in a separate call. While
+// sparse customer may come too late, so its units are sent immediately in a separate call. While
 // calls are made at random, the units of such a call are weighted to compensate for skipped calls.
 func (a *admission) charge(customer *customerState, units float64) {
 	if units <= 0 || customer.plan.Rate <= 0 {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// resetWindows starts the customer's windows anew, without a sample of any count.
+// resetWindows restarts the customer's windows and discards all samples.
 func (c *customerState) resetWindows(now time.Duration) {
 	initial := countSample{window: -1, at: now, level: c.plan.Burst}
 	c.samples = [2]countSample{initial, initial}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -39,8 +39,8 @@
 
 // Reconfigure applies new settings, aligned by AlignWith, and returns the settings in force.
 // Requests in flight keep the class that they arrived with. The windows of a customer whose quota
-// has changed start anew, and counts of the earlier quota are ignored. If Validate returns an
-// error, Reconfigure returns it and changes nothing.
+// has changed restart, and counts of the earlier quota are ignored. If Validate returns an error,
+// Reconfigure returns it with the earlier settings and changes nothing.
 func (g *Gateway) Reconfigure(now time.Duration, settings Settings) (Settings, error) {
 	earlier := g.settings
 	settings = settings.AlignWith(earlier)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -45,7 +45,7 @@
 type Plan struct {
 	Name            string
 	Rate            float64 // units per second; 0: no quota of units
-	Burst           float64 // units that may be used at once
+	Burst           float64 // units that may be used in a burst
 	MaxInFlight     int     // attempts in flight; 0: no limit
 	CeilingRate     float64 // units per second that are never exceeded; 0: no ceiling
 	CeilingBurst    float64 // units
@@ -74,7 +74,7 @@
 	CanCancel                 bool          // the host can cancel an attempt
 	RetryAfter                bool          // rejections tell the client how long to wait before a retry
 	MaxRetryAfter             time.Duration
-	AllowHedging              bool          // two attempts of a request may be in flight at once
+	AllowHedging              bool          // a request may have several attempts in flight
 	MaxAttempts               int           // maximum attempts of a request
 	ArrivalSlack              time.Duration // largest difference between client timeouts that is ignored
 	DrainGrace                time.Duration // how long a draining server continues to serve
