--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -34,8 +34,8 @@
 
 // shouldRetry reports whether a request gets another attempt. Its earlier attempts must allow it
 // (canAttempt, which checks Settings.MaxAttempts), and it must have had fewer than maxRetries
-// retries. Retries add to an overload, so there is none while the servers are overloaded. The usual
-// latency must fit into the rest of the request's objective.
+// retries. Retries add to an overload, so there is none while the servers are overloaded. A retry
+// of the usual latency must end within the request's objective.
 func (l *lifecycle) shouldRetry(request *requestState) bool {
 	if !request.canAttempt(l.env.now, nil, &l.env.settings) || len(request.attempts) > maxRetries {
 		return false
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Effect says whether a request may run more than once.
+// Effect is whether a request may run more than once.
 type Effect uint8
 
 // Effects of a second run.
@@ -46,7 +46,7 @@
 	Name            string
 	Rate            float64 // units per second; 0: no quota of units
 	Burst           float64 // units that may be used in a burst
-	MaxInFlight     int     // attempts in flight; 0: no limit
+	MaxInFlight     int     // limit on attempts in flight; 0: no limit
 	CeilingRate     float64 // units per second that are never exceeded; 0: no ceiling
 	CeilingBurst    float64 // units
 	CeilingSlack    float64 // units
