--- a/policy/customer.go
+++ b/policy/customer.go
@@ -53,7 +53,7 @@
 func (c *customerState) countsInFlight() bool { return c.plan.Rate <= 0 && c.plan.MaxInFlight > 0 }
 
 // isBlocked reports whether the limit on attempts in flight was reached so recently that it is
-// assumed to be reached still.
+// assumed to still be reached.
 func (c *customerState) isBlocked(now time.Duration) bool { return now < c.blockedUntil }
 
 // isSparse reports whether too few of the customer's requests arrive at this gateway to learn from
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -77,7 +77,7 @@
 					Elective: true, StartedAt: world.now,
 				}})
 			}
-			world.advance(4 * time.Second) // a server that is warming up may get ordinary attempts
+			world.advance(4 * time.Second) // a warming server may get ordinary attempts by now, but no elective ones
 		},
 		"full": func(world *harness) {
 			for id := range uint32(60) { // none is answered
