--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -7,7 +7,8 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// What a plan gives as the reasons of a move. They are stored, so their wording stays.
+// Reasons for a move, as written to Plan.Reasons. They are part of the stored form and must not
+// change.
 const (
 	reasonOrdinary   = "nearer, or as room allows"
 	reasonLinkLost   = " is out of reach, though not of others"
@@ -15,7 +16,7 @@
 	reasonOverloaded = " is pushed over"
 )
 
-// buildPlan makes the plan of the rows.
+// buildPlan returns the plan that consists of the rows. The caller sets HoldDown and Previous.
 func (in *planInput) buildPlan(rows []zoneRow) *Plan {
 	plan := &Plan{
 		Rows: map[string]map[string]int{}, Health: map[string]int{}, Shed: map[string]int{},
@@ -46,7 +47,7 @@
 	return plan
 }
 
-// reason is why a zone's row moves, for operators.
+// reason returns why a zone's row moves, in words for operators.
 func (in *planInput) reason(from int) string {
 	var reasons []string
 	for to, toZone := range in.zones {
@@ -66,10 +67,11 @@
 	return strings.Join(reasons, ", ")
 }
 
-// fallbackRows decides what gateways without a plan may send elsewhere, in thousandths by zone.
-// What lies between the most that is planned in a zone and its capacity is divided evenly among all
-// other zones: whichever of them have no plan, they stay within that capacity together. The nearest
-// receivers get requests first.
+// fallbackRows returns the shares, in thousandths, that gateways without a plan may send to other
+// zones. Plans use at most MaxUtilisation of a zone's capacity. The rest of the capacity is
+// reserved for gateways without a plan and divided evenly among all other zones, so that the zone
+// is not overloaded whichever of them have no plan. Shares are assigned to the nearest receivers
+// first.
 func (in *planInput) fallbackRows() map[string]map[string]int {
 	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -1,8 +1,8 @@
-// Package failover decides to which zones the requests that come in at a zone are sent, by what all
-// gateways observed. The leader calls Controller.Decide, which turns merged observations into a
-// Plan; gateways act on the plan while their lease on it stands. The package is free of I/O, clocks
-// and randomness: the same observations give the same plans. docs/failover.md weighs it against
-// other designs.
+// Package failover decides to which zones the requests that arrive at a zone are sent, based on the
+// observations of all gateways. The leader calls Controller.Decide, which turns merged observations
+// into a Plan. Gateways act on the plan while they hold a lease on it. The package does no I/O and
+// uses neither clocks nor randomness: the same observations lead to the same plans.
+// docs/failover.md compares it with other designs.
 package failover
 
 import (
@@ -14,32 +14,34 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// storedDemandScale is how many of the stored plan's units of demand are one unit a second.
+// storedDemandScale converts units a second to the unit of Plan.Demand, thousandths of a unit a
+// second.
 const storedDemandScale = 1000
 
-// Controller turns observations into plans. It runs on the leader and is made anew by each new
-// leader: all that it must know of earlier plans is in the stored value.
+// Controller turns observations into plans. It runs on the leader. Each new leader creates its own
+// and restores what it needs of earlier plans from the stored plan. It is not safe for concurrent
+// use.
 type Controller struct {
 	settings   Settings
-	lease      time.Duration // how long a gateway may act on a plan after the next one
+	lease      time.Duration // longest time that a gateway acts on a plan after the next one is written
 	zones      []string
 	regionOf   []int // by zone, the index of its region
 	countNames *countNames
 	samples    samples
 	estimates  *estimates
 
-	started       bool
-	epoch         uint64          // of the plan in force
-	noPlan        bool            // no plan is in force: all zones are taken to serve locally
-	plan          *Plan           // the plan in force, or an empty one
-	rows          [][]int         // its rows, by zone index, in thousandths
-	holdDownUntil []time.Duration // by zone; read by isHeldDown
-	previousUntil time.Duration   // read by isPreviousInUse
-	planSince     time.Duration   // when this controller first saw the plan
+	started       bool            // adoptPlan was called at least once
+	epoch         uint64          // epoch of the plan in force
+	noPlan        bool            // no plan is in force: all zones are assumed to serve locally
+	plan          *Plan           // plan in force; an empty plan if there is none
+	rows          [][]int         // rows of the plan in force, by zone index, in thousandths
+	holdDownUntil []time.Duration // end of the hold-down by zone; 0 without one; see isHeldDown
+	previousUntil time.Duration   // end of the leases on earlier plans; see isPreviousInUse
+	planSince     time.Duration   // time at which this controller adopted the plan in force
 }
 
-// New makes a controller. The lease is the longest that a gateway acts on a plan after another one
-// was written.
+// New returns a controller. The lease is the longest time that a gateway acts on a plan after
+// another plan is written.
 func New(settings Settings, lease time.Duration) *Controller {
 	c := &Controller{settings: settings.WithDefaults(), lease: lease, zones: settings.Zones()}
 	for i, region := range settings.Regions {
@@ -55,18 +57,18 @@
 
 var _ coordination.Controller = (*Controller)(nil)
 
-// Table is the name of the table that the controller writes.
+// Table returns the name of the table that the controller writes.
 func (c *Controller) Table() string { return Table }
 
-// isHeldDown tells whether a zone's requests moved less than a hold-down ago.
+// isHeldDown reports whether a zone's requests moved less than a hold-down ago.
 func (c *Controller) isHeldDown(zone int, now time.Duration) bool { return c.holdDownUntil[zone] > now }
 
-// isPreviousInUse tells whether some gateways may still act on the rows before the plan in force.
+// isPreviousInUse reports whether some gateways may still act on a plan before the one in force.
 func (c *Controller) isPreviousInUse(now time.Duration) bool { return now < c.previousUntil }
 
-// Decide gives the next plan's stored form; write is false where the plan in force is to stay. It
-// is called some ten times a second. Without a plan in force it waits until demand is measured over
-// demandRiseTime.
+// Decide returns the stored form of the next plan. If the plan in force stays, write is false. The
+// leader calls Decide about ten times a second. While no plan is in force, Decide writes none until
+// demand has been measured for demandRiseTime.
 func (c *Controller) Decide(now time.Duration, input coordination.ControllerInput) (value []byte, write bool) {
 	if table := input.Table(Table); !c.started || table.Epoch != c.epoch {
 		c.adoptPlan(now, table)
@@ -82,14 +84,14 @@
 		return nil, false
 	}
 	value, err := next.Encode()
-	return value, err == nil // maps of strings and numbers can always be encoded
+	return value, err == nil // encoding maps of strings and numbers does not fail
 }
 
-// adoptPlan takes over the plan in force. As its age is not known, it is taken to be written just
-// now: hold-down and lease count from here.
+// adoptPlan sets the plan in force to the plan in the table. The age of that plan is not known, so
+// it is assumed to have been written now: its hold-down and its lease start now.
 func (c *Controller) adoptPlan(now time.Duration, table statemachine.Table) {
 	plan, err := DecodePlan(table.Value)
-	c.noPlan = err != nil || plan == nil // a malformed plan is written anew
+	c.noPlan = err != nil || plan == nil // a malformed plan is replaced
 	if c.noPlan {
 		plan = &Plan{}
 	}
@@ -113,8 +115,8 @@
 	c.planSince = now
 }
 
-// rowsOf gives a plan's rows by zone index, in thousandths. A row that the plan lacks, or that
-// names other zones, is local.
+// rowsOf returns a plan's rows by zone index, in thousandths. A zone whose row is missing, or whose
+// shares of known zones do not add up to all requests, gets a row that is all local.
 func (c *Controller) rowsOf(plan *Plan) (rows [][]int) {
 	for from, fromZone := range c.zones {
 		row := make([]int, len(c.zones))
@@ -132,8 +134,8 @@
 	return rows
 }
 
-// restoreEstimates has a new leader start with the demand that the plan was made for, and with the
-// losses that the plan states, until observations say otherwise.
+// restoreEstimates initializes a new leader's estimates with the demand, the lost zones and the
+// lost links of the plan in force. Observations replace them.
 func (c *Controller) restoreEstimates(now time.Duration, plan *Plan) {
 	c.estimates.demandRestored = true
 	for i, zone := range c.zones {
--- a/internal/control/failover/demand.go
+++ b/internal/control/failover/demand.go
@@ -6,36 +6,41 @@
 	"time"
 )
 
-// How demand follows what is measured.
+// Time constants and limits of the exponential smoothing that estimates demand.
 const (
-	// demandRiseTime and demandFallTime smooth demand in a zone that serves its own requests and is
-	// not full.
+	// demandRiseTime is the time constant for rising demand.
 	demandRiseTime = 2 * time.Second
+	// demandFallTime is the time constant for falling demand in a zone that serves its own requests
+	// and is not full.
 	demandFallTime = 5 * time.Second
-	// minSmoothedAttempts is over how many attempts demand is smoothed, so that chance is no flood
-	// where few requests come in; maxQuietSmoothing bounds the time that this takes.
+	// minSmoothedAttempts is the minimum number of attempts that the smoothing covers. It prevents
+	// random variation from looking like a flood in a zone with few requests.
 	minSmoothedAttempts = 80.0
-	maxQuietSmoothing   = 20 * time.Second
-	// constrainedFallTime smooths falling demand in any other zone: while it is lost or full, less
-	// is admitted than will be. Prevents a receiver from filling up in between.
+	// maxQuietSmoothing is the longest time constant that minSmoothedAttempts may lead to.
+	maxQuietSmoothing = 20 * time.Second
+	// constrainedFallTime is the time constant for falling demand in a zone that is lost or full.
+	// Such a zone temporarily admits less than it will later. If its demand fell sooner, a receiver
+	// could be filled with other requests in the meantime.
 	constrainedFallTime = 20 * time.Second
-	// silentFallTime smooths falling demand in a zone whose gateways report nothing: they may be
-	// cut off from the voters alone, and go on sending.
+	// silentFallTime is the time constant for demand in a zone whose gateways report nothing. They
+	// may be cut off from the voters only, and still be sending requests.
 	silentFallTime = 5 * time.Minute
-	// demandSpans is over how many of the latest spans of rateSpan the admitted rate is measured.
+	// demandSpans is the number of latest spans of length rateSpan over which the admitted rate is
+	// measured.
 	demandSpans = 2
-	// millisecondsPerSecond converts rates, as gateways report their time in milliseconds.
+	// millisecondsPerSecond converts rates: gateways report their time in milliseconds.
 	millisecondsPerSecond = 1000
 )
 
-// isSettled decides whether demand is known well enough to move a zone's requests on account of it:
-// a new leader without an earlier plan waits for as long as demand is smoothed.
+// isSettled reports whether a zone's demand is known well enough to move its requests. It is if the
+// demand was restored from a plan. Otherwise the samples must cover the zone's smoothing time.
 func (e *estimates) isSettled(zone int) bool {
 	return e.demandRestored || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxQuietSmoothing)
 }
 
-// updateDemand takes in how many gateways a zone has and what they admit, in units a second. Both
-// go by each gateway's own time, so that a digest that comes late and holds much is no flood.
+// updateDemand updates a zone's number of gateways and its demand, in units a second. Both are
+// measured against the time that the gateways report themselves. Thus a late digest, which covers
+// a longer time, does not look like a flood.
 func (e *estimates) updateDemand(s samples, zone int, elapsed time.Duration) {
 	gateways, first := s.gatewaysBySpan(zone)
 	if len(gateways) == 0 {
@@ -58,14 +63,15 @@
 	if isUnknown(e.demand[zone]) {
 		e.demand[zone] = rate
 	}
-	if !e.demandRestored { // at first the mean of all so far
+	if !e.demandRestored { // initially use the mean of all samples so far
 		smoothing = min(smoothing, max(e.lastSampleAt-e.firstSampleAt, elapsed))
 	}
 	e.demand[zone] += (rate - e.demand[zone]) * -math.Expm1(-float64(elapsed)/float64(max(smoothing, 1)))
 }
 
-// smoothingTime decides over how long a zone's demand follows a rate, in units a second, at so many
-// attempts a second: a rise counts sooner than a fall, and few attempts need longer.
+// smoothingTime returns the time constant for smoothing a zone's demand. The rate is in units a
+// second, attempts is in attempts a second. The constant is shorter for a rise than for a fall, and
+// longer where attempts are few.
 func (e *estimates) smoothingTime(zone int, rate, attempts float64) time.Duration {
 	smoothing := constrainedFallTime
 	switch {
@@ -78,9 +84,10 @@
 	return max(smoothing, time.Duration(quiet*float64(time.Second)))
 }
 
-// gatewaysBySpan is how many gateways of a zone reported in each of the last spans, the latest
-// first, and the sample from which on its demand is measured: demandSpans back, if samples go back
-// that far.
+// gatewaysBySpan returns the number of gateways of a zone that reported in each of the last
+// rateSpans spans, latest first. It also returns the sample at which the measurement of demand
+// starts, which is demandSpans spans old or, if there are not that many spans yet, as old as
+// possible.
 func (s samples) gatewaysBySpan(zone int) (gateways []float64, first *sample) {
 	end := s.last()
 	first = end
--- a/internal/control/failover/estimates.go
+++ b/internal/control/failover/estimates.go
@@ -7,28 +7,28 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// unknown stands for a health, a power or a demand of which nothing is known.
+// unknown is the value of a health, a power or a demand that has not been observed.
 const unknown = -1
 
-// isUnknown tells whether nothing is known of a power or of a demand.
+// isUnknown reports whether a power or a demand is unknown.
 func isUnknown(value float64) bool { return value < 0 }
 
-// estimates are what the controller holds to be true of zones. They outlive the observations that
-// they come from. All slices are by zone index.
+// estimates is the controller's view of the zones. It is derived from samples and outlives them.
+// All slices are indexed by zone.
 type estimates struct {
 	settings    *Settings
 	health      []healthEstimate
-	linkHealth  [][]healthEstimate // by from and to: how much of to answers from
-	readyPower  []float64          // of ready, warm servers, in servers of power 1; or unknown
+	linkHealth  [][]healthEstimate // health of a zone as another observes it, by observer and zone
+	readyPower  []float64          // power of ready, warm servers, in servers of power 1; or unknown
 	isReporting []bool             // some gateway of the zone reported in the last rateSpan
-	gateways    []float64          // how many gateways report
+	gateways    []float64          // number of gateways that report
 
-	demand         []float64       // units a second admitted; or unknown
-	smoothing      []time.Duration // over how long demand was last smoothed
+	demand         []float64       // admitted units a second; or unknown
+	smoothing      []time.Duration // time constant of demand's last update
 	hasHeadroom    []bool          // the zone serves all of its own requests and is not full
-	demandRestored bool            // demand is that of an earlier leader's plan, known before any sample
+	demandRestored bool            // demand was initialized from an earlier leader's plan
 
-	lastSampleAt  time.Duration
+	lastSampleAt  time.Duration // 0 before the first sample
 	firstSampleAt time.Duration
 }
 
@@ -49,8 +49,8 @@
 	return e
 }
 
-// update takes in the latest samples. It reports whether enough is known to plan by: samples go
-// back far enough, and every zone's ready power is known.
+// update updates the estimates from the latest samples. It reports whether they suffice for a plan:
+// the samples go back far enough, and every zone's ready power is known.
 func (e *estimates) update(observed samples) bool {
 	quick, ok := observed.halves(confirmSpan)
 	if !ok {
@@ -75,8 +75,8 @@
 	return !slices.ContainsFunc(e.readyPower, isUnknown)
 }
 
-// advance moves to the time of the latest sample and gives the time since the one before; 0 at the
-// first.
+// advance records the time of the latest sample. It returns the time since the sample before, or 0
+// for the first sample.
 func (e *estimates) advance(now time.Duration) time.Duration {
 	elapsed := now - e.lastSampleAt
 	if e.lastSampleAt == 0 {
@@ -87,16 +87,17 @@
 	return elapsed
 }
 
-// minObservers is how many gateways' worth of reported time is too little to go by.
+// minObservers returns the number of gateways that must be exceeded for observations to count. It
+// is the settings' minimum, reduced for digests that are late or uneven.
 func (e *estimates) minObservers() float64 { return minReportedShare * float64(e.settings.MinGateways) }
 
-// agree tells whether enough gateways observe the same, of all that report: more than the settings'
-// minimum, less what digests may lack, and at least the agreement share.
+// agree reports whether enough of all reporting gateways observe the same: more than minObservers
+// and at least the agreement share.
 func (e *estimates) agree(gateways, all float64) bool {
 	return gateways > e.minObservers() && gateways >= e.settings.AgreementShare*all
 }
 
-// updateReadyPower takes in a zone's power as listed at the gateways of all zones.
+// updateReadyPower updates a zone's ready power from the endpoint lists of all zones' gateways.
 func (e *estimates) updateReadyPower(quick halves, zone int) {
 	seen := confirmation[float64]{
 		older: e.agreedPower(quick.older, zone),
@@ -111,9 +112,10 @@
 	}
 }
 
-// agreedPower is a zone's listed power in an interval, in servers of power 1, as the gateways of
-// all zones together agree on it; unknown if they do not. One gateway's wrong list must not move
-// it, so it is the mean within the band in which the agreement is reached.
+// agreedPower returns the ready power of a zone in an interval, in servers of power 1, on which the
+// gateways of all zones agree, or unknown if they do not. It counts gateways from the lowest power
+// band upwards and returns the mean of the band in which agreement is reached. Thus one gateway
+// with a wrong endpoint list does not affect it.
 func (e *estimates) agreedPower(i interval, zone int) float64 {
 	all := 0.0
 	for band := range i.end.readyTime[zone] {
@@ -130,9 +132,10 @@
 	return unknown
 }
 
-// capacity is how many units a second a zone can take, and the quarters of it that answer. Health
-// counts beside that of the best zone: what all zones suffer alike, as from a bad release, makes no
-// zone a better place than another. A zone of which nothing is known counts as healthy.
+// capacity returns a zone's capacity, in units a second, and its health, in quarters. Health is
+// relative to that of the healthiest zone with ready servers: if all zones fail alike, for example
+// after a bad release, moving requests between them does not help. If all of them are failing, all
+// count as healthy. A zone without observations also counts as healthy.
 func (e *estimates) capacity(zone int, name string) (units, quarters float64) {
 	if e.readyPower[zone] <= 0 {
 		return 0, 0
--- a/internal/control/failover/health.go
+++ b/internal/control/failover/health.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// healthMemoryHoldDowns is for how many hold-downs a loss is believed without a further report: a
-	// link that a plan avoids is not observed.
+	// healthMemoryHoldDowns is how long an observed loss is kept without a further report, in
+	// hold-downs. No report may arrive for that long because a link that the plan avoids is not
+	// observed.
 	healthMemoryHoldDowns = 3
-	// maxReportAge is how old one zone's observation of another may be to be compared with a
-	// third's.
+	// maxReportAge is the maximum age of a zone's observation of another zone for it to be compared
+	// with those of other zones.
 	maxReportAge = time.Second
 )
 
-// healthEstimate is how much of a zone answers, and when that was last observed.
+// healthEstimate is the part of a zone that answers, and when it was last observed.
 type healthEstimate struct {
 	quarters   int // zonestats.Lost to zonestats.Healthy, or unknown
 	observedAt time.Duration
 }
 
-// confirmation is what two consecutive intervals show. A change counts where both show it.
+// confirmation holds the values observed in two consecutive intervals. A change counts only if both
+// intervals show it. A negative value is unknown.
 type confirmation[T int | float64] struct{ older, newer T }
 
-// isKnown tells whether both intervals show anything.
+// isKnown reports whether both values are known.
 func (c confirmation[T]) isKnown() bool { return c.older >= 0 && c.newer >= 0 }
 
-// follow moves an estimate as far as both intervals show.
+// follow returns the value between older and newer, inclusive, that is closest to the estimate.
 func (c confirmation[T]) follow(estimate T) T {
 	return min(max(estimate, min(c.older, c.newer)), max(c.older, c.newer))
 }
 
-// healthMemory is for how long an observed loss is believed.
+// healthMemory returns how long an observed loss is kept without a further report.
 func (e *estimates) healthMemory() time.Duration {
 	return healthMemoryHoldDowns * e.settings.holdDown()
 }
 
-// isForgotten tells whether an observation is too old to be believed.
+// isForgotten reports whether an observation has expired.
 func (e *estimates) isForgotten(health healthEstimate, now time.Duration) bool {
 	return health.observedAt+e.healthMemory() < now
 }
 
-// confirmedHealth is what a zone's gateways agree on for another zone, in quarters.
+// confirmedHealth returns the health of a zone on which the gateways of another zone agree in each
+// of two intervals, in quarters.
 func (e *estimates) confirmedHealth(spans halves, from, to int) confirmation[int] {
 	return confirmation[int]{
 		older: e.agreedHealth(spans.older, from, to),
@@ -50,8 +53,9 @@
 	}
 }
 
-// preferSlow is what the slow spans show where they show anything, and otherwise what the quick
-// ones did: a partial failure may be a few random ones, which the longer spans even out.
+// preferSlow returns the health observed in the slow intervals if it is known, and the quick result
+// otherwise. A few random failures may look like a partial failure; longer intervals average them
+// out.
 func (e *estimates) preferSlow(slow halves, quickly confirmation[int], from, to int) confirmation[int] {
 	if slowly := e.confirmedHealth(slow, from, to); slowly.isKnown() {
 		return slowly
@@ -59,9 +63,9 @@
 	return quickly
 }
 
-// updateLink takes in what a zone's gateways agree on for another zone, in quarters. Until samples
-// reach over the slow spans (isSteady) the estimate starts anew each time; without a report for the
-// health memory it becomes unknown.
+// updateLink updates the health of a zone as the gateways of another zone observe it, in quarters.
+// Until the samples cover both slow intervals (isSteady), each update replaces the estimate. The
+// estimate becomes unknown when its last report has expired.
 func (e *estimates) updateLink(link *healthEstimate, now time.Duration, seen confirmation[int], isSteady bool) {
 	if !seen.isKnown() {
 		if e.isForgotten(*link, now) {
@@ -76,9 +80,9 @@
 	link.quarters = seen.follow(link.quarters)
 }
 
-// agreedHealth is the quarter that the gateways of a zone agree on for another zone in an interval:
-// the lowest that the agreement share of them observe, or lower, counted in distinct gateways. It
-// is unknown where too few report.
+// agreedHealth returns the health of a zone on which the gateways of another zone agree in an
+// interval, in quarters: the lowest value for which enough gateways, see agree, observe that value
+// or a lower one. It returns unknown if too few gateways report.
 func (e *estimates) agreedHealth(i interval, from, to int) int {
 	var observers byHealth[float64]
 	all := 0.0
@@ -99,9 +103,9 @@
 	return unknown
 }
 
-// updateHealth decides of each zone how much of it answers, in quarters: as the zones observe it
-// that observe most, since what others miss may be their link. Without a report for the health
-// memory a zone counts as healthy again.
+// updateHealth updates the health of each zone, in quarters. It is the best health that any zone
+// observes, since a lower value that another zone observes may be due to the link between them. A
+// zone whose last report has expired counts as healthy again.
 func (e *estimates) updateHealth(now time.Duration) {
 	for to := range e.health {
 		best := e.bestObservedHealth(to, now)
@@ -117,8 +121,8 @@
 	}
 }
 
-// bestObservedHealth is the most, in quarters, that the gateways of any zone observed of a zone
-// within maxReportAge; unknown if none did.
+// bestObservedHealth returns the best health of a zone, in quarters, that the gateways of any zone
+// observed within maxReportAge, or unknown if there is no such observation.
 func (e *estimates) bestObservedHealth(to int, now time.Duration) int {
 	best := unknown
 	for from := range e.linkHealth {
@@ -130,15 +134,15 @@
 	return best
 }
 
-// isPossiblyCutOff tells whether a zone that others observe to be lost may still serve its own
-// requests: its gateways had requests and now report nothing, so that they may be cut off from the
-// other zones and from the voters.
+// isPossiblyCutOff reports whether a zone that others observe as lost may still serve its own
+// requests. That is possible if its gateways had requests and now report nothing: they may be cut
+// off from both the other zones and the voters.
 func (e *estimates) isPossiblyCutOff(zone, observed int) bool {
 	return observed <= zonestats.Failing && !e.isReporting[zone] && e.demand[zone] > minDemand
 }
 
-// isLinkLost decides whether the link between two zones, or within one, is lost: the one observes
-// little of the other, of which others observe more.
+// isLinkLost reports whether the link between two zones, or within one zone, is lost: from observes
+// that to fails, while to's overall health shows that it does not.
 func (e *estimates) isLinkLost(from, to int) bool {
 	link := e.linkHealth[from][to].quarters
 	return link != unknown && link <= zonestats.Failing && e.health[to].quarters > zonestats.Failing
--- a/internal/control/failover/layout.go
+++ b/internal/control/failover/layout.go
@@ -2,49 +2,50 @@
 
 import "math"
 
-// layout distributes the demand of all zones over all zones. All figures are units a second, by
-// zone index or by pair (from, to).
+// layout allocates the demand of all zones to the capacity of all zones. A sender is the zone at
+// which requests arrive, a receiver is a zone that serves them. All rates are in units a second.
+// Slices are indexed by zone, matrices by sender and receiver.
 type layout struct {
 	regionOf       []int
 	demand         []float64
 	capacity       []float64
-	maxUtilisation float64     // the part of capacity that is planned at most
-	lostLinks      [][]bool    // links not to be used
-	previous       [][]float64 // what gateways without the latest plan may still send
-	fixed          [][]float64 // rows that stay; nil: the row is to be computed
-	low            [][]float64 // of a row to be computed: what stays where it is
-	high           [][]float64 // and what a pair may get at most
-	probes         []float64   // what probes the own zone while it is avoided
-	liftLocal      []bool      // the own zone may get more than high before anything stays unplaced
+	maxUtilisation float64     // maximum part of a receiver's capacity that is allocated
+	lostLinks      [][]bool    // links that must not be used
+	previous       [][]float64 // highest rates that gateways without the latest plan may still send
+	fixed          [][]float64 // rows that stay unchanged; nil for a row to be computed
+	low            [][]float64 // in a row to be computed: rate that stays at the receiver
+	high           [][]float64 // in a row to be computed: highest rate that the receiver may get
+	probes         []float64   // rate of probes to the sender's own zone while it is avoided
+	liftLocal      []bool      // the own zone may exceed high with demand that fits nowhere else
 
 	// The result so far.
 	allocation [][]float64
-	unplaced   []float64 // by sender
-	loads      []float64 // by receiver
-	spare      []float64 // by receiver: capacity above what previous plans may still bring
+	unplaced   []float64 // demand not yet allocated, by sender
+	loads      []float64 // allocated rate, by receiver
+	spare      []float64 // capacity beyond what previous plans may still send, by receiver
 }
 
-// tier is how near a receiver is to a sender. Nearer tiers are filled first.
+// tier is the proximity of a receiver to a sender. Nearer tiers are filled first.
 type tier int
 
 const (
-	tierLocal  tier = iota // the own zone
-	tierRegion             // another zone of the region
-	tierRemote             // a zone of another region
-	tierLifted             // the own zone once more, without the limit of a recovery step
+	tierLocal  tier = iota // the sender's own zone
+	tierRegion             // another zone in the sender's region
+	tierRemote             // a zone in another region
+	tierLifted             // the own zone again, without the limit of a recovery step
 )
 
-// maxRounds is how often what is unplaced is shared out among the receivers of a tier: each round
-// fills one of them up, or places all.
+// maxRounds is the maximum number of allocation rounds per tier. Each round fills at least one
+// receiver or allocates all remaining demand.
 const maxRounds = 12
 
-// negligibleRate is a rate, in units a second, that counts as none.
+// negligibleRate is the rate, in units a second, up to which a rate counts as zero.
 const negligibleRate = 1e-9
 
-// compute lays the rows out tier by tier; what fits nowhere stays unplaced. No receiver gets more
-// than the maximum utilisation of its capacity nor, with what may still come by previous plans,
-// more than its capacity. Among receivers of one tier what is unplaced is shared out by their
-// available capacity.
+// compute allocates demand tier by tier. Demand that fits nowhere stays unallocated. No receiver
+// gets more than its maximum utilisation. Together with the requests that previous plans may still
+// send, no receiver gets more than its capacity. Within a tier, demand is split in proportion to
+// the receivers' available capacity.
 func (l *layout) compute() {
 	l.reset()
 	l.placeFixed()
@@ -58,7 +59,7 @@
 	}
 }
 
-// reset starts with nothing placed, and with what previous plans leave spare.
+// reset clears the result. The spare capacity is what previous plans leave.
 func (l *layout) reset() {
 	n := len(l.demand)
 	l.allocation = make([][]float64, n)
@@ -75,7 +76,7 @@
 	}
 }
 
-// placeFixed places the rows that stay, and of the others what stays where it is.
+// placeFixed allocates the fixed rows, and the minimum rates of all other rows.
 func (l *layout) placeFixed() {
 	for from := range l.demand {
 		row := l.fixed[from]
@@ -92,8 +93,8 @@
 	}
 }
 
-// placeProbes places what probes a zone that is avoided. It counts as no load there, as such a zone
-// has no capacity.
+// placeProbes allocates the probes of zones that are avoided. They do not count as load, as such a
+// zone has no capacity.
 func (l *layout) placeProbes() {
 	for from := range l.demand {
 		if l.fixed[from] == nil && l.probes[from] > 0 {
@@ -104,7 +105,7 @@
 	}
 }
 
-// place gives a pair a further amount.
+// place allocates a further rate from a sender to a receiver.
 func (l *layout) place(from, to int, amount float64) {
 	l.spare[to] = max(l.spare[to]-l.excess(from, to, amount), 0)
 	l.allocation[from][to] += amount
@@ -112,13 +113,15 @@
 	l.unplaced[from] -= amount
 }
 
-// excess is how much of a further amount for a pair is above what previous plans may bring anyway.
+// excess returns the part of a further rate from a sender to a receiver that exceeds what previous
+// plans may send anyway.
 func (l *layout) excess(from, to int, amount float64) float64 {
 	placed := l.allocation[from][to]
 	return max(placed+amount-max(l.previous[from][to], placed), 0)
 }
 
-// available decides how much more a pair may get in a tier, other senders aside.
+// available returns the rate that a receiver can still take from a sender in a tier, if no other
+// sender takes it.
 func (l *layout) available(from, to int, t tier) float64 {
 	pairTier := l.tier(from, to)
 	high := l.high[from][to]
@@ -135,7 +138,7 @@
 	return max(min(free, high-placed, beyondPrevious), 0)
 }
 
-// tier is how near a receiver is to a sender.
+// tier returns the tier of a receiver for a sender.
 func (l *layout) tier(from, to int) tier { return tierOf(l.regionOf, from, to) }
 
 func tierOf(regionOf []int, from, to int) tier {
--- a/internal/control/failover/plan.go
+++ b/internal/control/failover/plan.go
@@ -16,39 +16,38 @@
 // fullShare is all requests of a zone, in thousandths.
 const fullShare = 1000
 
-// Plan is the value of the table. All shares are thousandths of the requests that come in at a
-// zone. Its tags are its stored form, which never changes.
+// Plan is the value of the table. All shares are thousandths of the requests that arrive at a zone.
+// The tags define the stored form, which must not change.
 type Plan struct {
-	// Rows are, by the zone at which requests come in, the shares of the zones that they are sent
-	// to: they sum to 1000.
+	// Rows contains the shares of receivers, by the zone at which requests arrive and by the zone
+	// that serves them. Each row adds up to 1000.
 	Rows map[string]map[string]int `cbor:"1,keyasint"`
-	// Health is, by zone, the part of its listed power that answers, in thousandths; 0 for a lost
-	// zone.
+	// Health is the part of a zone's listed power that answers, in thousandths; 0 for a lost zone.
 	Health map[string]int `cbor:"2,keyasint"`
-	// Fallback are the shares that gateways without a plan may send elsewhere while their own zone
-	// is lost by their own observations. The shares of all zones to one fit above what plans use
-	// there.
+	// Fallback contains the shares that gateways without a plan may send to other zones while they
+	// observe their own zone to be lost. For each receiver the shares of all zones together fit
+	// into the capacity that plans do not use.
 	Fallback map[string]map[string]int `cbor:"3,keyasint"`
-	// Previous are the rows before, which some gateways may act on until their lease ends; nil if
-	// none do.
+	// Previous contains, for each pair of zones, the largest share in the earlier plans that some
+	// gateways may still act on until their lease ends; nil if there are none.
 	Previous map[string]map[string]int `cbor:"4,keyasint"`
-	// HoldDown are the zones that were in hold-down when this plan was written. The value holds no
-	// time, as processes share no clock: a new leader counts a full hold-down from its own start.
+	// HoldDown lists the zones that were in hold-down when this plan was written. It contains no
+	// time, as processes share no clock: a new leader starts a full hold-down.
 	HoldDown []string `cbor:"5,keyasint"`
-	// LostLinks are the pairs of zones (from, to) whose link is held to be lost.
+	// LostLinks lists the pairs of zones (from, to) whose link counts as lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
-	// Shed is the part of a row's local share that fits nowhere and is rejected at once, as the
-	// zone is lost or recovering. In a zone that is merely full the decision module sheds, and this
-	// is 0.
+	// Shed is the part of a zone's local share that fits nowhere and is rejected immediately,
+	// because the zone is lost or recovering. It is 0 for a zone that is merely full, where the
+	// gateways' decision module sheds load.
 	Shed map[string]int `cbor:"7,keyasint"`
-	// Reasons tell operators, by zone, why its row moved last.
+	// Reasons contains, by zone, why its row last changed, in words for operators.
 	Reasons map[string]string `cbor:"8,keyasint"`
-	// Demand is, by zone, the demand that the plan was made for, in thousandths of a unit a second.
-	// A new leader starts from it.
+	// Demand is the demand of each zone that the plan was made for, in thousandths of a unit a
+	// second. A new leader starts from it.
 	Demand map[string]uint64 `cbor:"9,keyasint"`
 }
 
-// encoding is canonical: the same plan has the same bytes.
+// encoding is canonical: equal plans have equal bytes.
 var encoding = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -57,7 +56,7 @@
 	return m
 }()
 
-// DecodePlan reads a plan from the table's value. An empty value is no plan (nil) without an error.
+// DecodePlan decodes the table's value. It returns nil without an error if the value is empty.
 func DecodePlan(value []byte) (*Plan, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -69,27 +68,27 @@
 	return plan, nil
 }
 
-// Encode gives the plan's stored form.
+// Encode returns the plan's stored form.
 func (p *Plan) Encode() ([]byte, error) { return encoding.Marshal(p) }
 
-// Assignment is how a gateway in a zone acts.
+// Assignment states how a gateway distributes its requests over zones.
 type Assignment struct {
-	// Weights are, by zone, in what proportion its servers are offered to the decision module. Where
+	// Weights are the proportions, by zone, in which servers are offered to the decision module. If
 	// all are 0, no server is offered.
 	Weights map[string]float64
-	// Shed is the part of the requests, 0 to 1, that is rejected at once, as it fits nowhere.
+	// Shed is the part of the requests, 0 to 1, that fits nowhere and is rejected immediately.
 	Shed float64
 }
 
-// Zones are the zones with weight, in the order of their names.
+// Zones returns the names of the zones that have a weight, sorted.
 func (a Assignment) Zones() []string { return sortedKeys(a.Weights) }
 
-// local is the assignment of a gateway that sends all requests to its own zone.
+// local returns the assignment of a gateway that sends all requests to its own zone.
 func local(zone string) Assignment { return Assignment{Weights: map[string]float64{zone: 1}} }
 
-// Assignment decides how a gateway in a zone acts on the plan. Of a zone that answers in part more
-// servers are offered, as the decision module ejects those that do not. A zone that the plan does
-// not know serves locally.
+// Assignment returns the assignment of a gateway in a zone under the plan. A receiver that answers
+// in part gets a higher weight, since the decision module ejects the servers that do not answer. A
+// gateway in a zone without a row in the plan serves locally.
 func (p *Plan) Assignment(zone string) Assignment {
 	row := p.Rows[zone]
 	if len(row) == 0 {
@@ -111,13 +110,14 @@
 	return assignment
 }
 
-// fallbackProbeShare is the part of requests that probes the own zone while it is lost, without a
-// plan.
+// fallbackProbeShare is the part of requests with which a gateway without a plan probes its own
+// zone while that zone is lost.
 const fallbackProbeShare = 0.05
 
-// FallbackAssignment decides how a gateway in a zone acts once its lease on the latest plan has
-// ended: it serves locally. Where its own zone is lost it sends to others what the plan has
-// reserved for that, probes its own zone and sheds the rest. A nil plan has reserved nothing.
+// FallbackAssignment returns the assignment of a gateway in a zone once its lease on the latest
+// plan has ended. The gateway serves locally unless its own zone is lost. In that case it sends the
+// shares in Fallback to other zones, probes its own zone and sheds the rest. A nil plan has no
+// Fallback.
 func (p *Plan) FallbackAssignment(zone string, isLost bool) Assignment {
 	if !isLost {
 		return local(zone)
@@ -136,7 +136,7 @@
 	return assignment
 }
 
-// Describe gives a zone's row in words, in thousandths.
+// Describe returns a zone's row as text for operators, with shares in thousandths.
 func (p *Plan) Describe(zone string) string {
 	var shares []string
 	for _, toZone := range sortedKeys(p.Rows[zone]) {
@@ -148,5 +148,5 @@
 	return strings.Join(shares, ", ")
 }
 
-// sortedKeys are a map's keys in their order.
+// sortedKeys returns the keys of a map, sorted.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -5,41 +5,40 @@
 	"time"
 )
 
-// planInput is what a plan is made for, by zone index or by pair (from, to).
+// planInput is the input of the next plan. Slices are indexed by zone, matrices by sender (the zone
+// at which requests arrive) and receiver.
 type planInput struct {
 	*Controller
 	now         time.Duration
-	capacity    []float64 // units a second; read by isZoneLost
-	health      []float64 // quarters that answer
+	capacity    []float64 // units a second; 0 for a lost zone, see isZoneLost
+	health      []float64 // quarters of the zone that answer
 	demand      []float64 // units a second
 	lostLinks   [][]bool
-	shares      [][]float64 // of the plan in force, less what is shed
-	loads       []float64   // units a second that the plan in force sends to a zone
-	toLeave     [][]bool    // pairs whose share has to leave: the receiver is unreachable or overloaded
-	unreachable [][]bool    // of these, those to a lost zone or over a lost link
-	previous    [][]float64 // the most that any gateway may still send, in units a second
+	shares      [][]float64 // shares of the plan in force, 0 to 1, without what is shed
+	loads       []float64   // units a second that the plan in force sends to a receiver
+	toLeave     [][]bool    // requests must move away: the receiver is unreachable or overloaded
+	unreachable [][]bool    // the receiver is used, but is lost or behind a lost link
+	previous    [][]float64 // highest rate that gateways may still send, in units a second
 }
 
 const (
-	// minDemand is the demand, in units a second, of a zone at which less or nothing is known to come
-	// in: shares are parts of it.
+	// minDemand is the smallest demand of a zone in a plan, in units a second. It is above 0
+	// because demand is a divisor when rates are converted to shares.
 	minDemand = 0.001
-	// roundingTolerance is the part by which shares in whole thousandths may be off, for all zones of
-	// a row together.
+	// roundingTolerance is the rounding error of shares in whole thousandths, summed over all zones
+	// of a row, as a part of all requests.
 	roundingTolerance = 0.02
-	// minSubset is how many servers a gateway is offered, and by how many gateways each server is
-	// used in the mean, at least (package subset).
+	// minSubset is both the minimum number of servers in a gateway's subset and the minimum average
+	// number of gateways that use a server (see package subset).
 	minSubset = 8
-	// overloadWeight is the weight of both the most that is planned in a zone and its capacity in the
-	// overload threshold, which is their mean.
+	// overloadWeight makes the overload threshold the mean of the maximum utilisation and 1.
 	overloadWeight = 0.5
-	// probersPerMinGateways is how many gateways must be offered a server of a zone that is probed,
-	// for each that must report.
+	// probersPerMinGateways is the number of gateways whose subset must include a server of a zone
+	// that is probed, per gateway that must report.
 	probersPerMinGateways = 1.5
 )
 
-// nextPlan decides whether another plan is to be written, and gives it; nil if the plan in force is
-// to stay.
+// nextPlan returns the next plan, or nil if the plan in force stays.
 func (c *Controller) nextPlan(now time.Duration) *Plan {
 	input := c.newPlanInput(now)
 	rows := input.computeRows()
@@ -64,8 +63,8 @@
 	return nil
 }
 
-// newPlanInput gathers what the next plan is made for. It also notes which zones have headroom, by
-// which demand is smoothed from the next sample on.
+// newPlanInput returns the input of the next plan. It also updates the estimates' hasHeadroom,
+// which determines how demand is smoothed from the next sample on.
 func (c *Controller) newPlanInput(now time.Duration) *planInput {
 	input := &planInput{Controller: c, now: now, loads: make([]float64, len(c.zones))}
 	for i, zone := range c.zones {
@@ -89,19 +88,19 @@
 	return input
 }
 
-// isHeldLost decides whether a zone counts as lost whatever is observed: the plan in force states
-// it lost, and its hold-down lasts.
+// isHeldLost reports whether a zone counts as lost regardless of observations: the plan in force
+// states that it is lost, and the zone is in hold-down.
 func (c *Controller) isHeldLost(zone int, now time.Duration) bool {
 	planned, ok := c.plan.Health[c.zones[zone]]
 	return c.isHeldDown(zone, now) && ok && planned == 0
 }
 
-// isZoneLost decides whether a zone can take nothing: no server is ready there, none answers, or it
-// is held lost.
+// isZoneLost reports whether a zone cannot take requests: it has no ready server, none answers, or
+// isHeldLost is true.
 func (in *planInput) isZoneLost(zone int) bool { return in.capacity[zone] <= 0 }
 
-// addRow gathers where a zone's requests go by the plan in force, and where they may still go by
-// earlier ones.
+// addRow adds a sender's rows: its lost links, its shares of the plan in force, and the rates that
+// it may still send by earlier plans. It also adds its requests to the loads.
 func (in *planInput) addRow(from int) {
 	n := len(in.zones)
 	fromZone := in.zones[from]
@@ -123,8 +122,8 @@
 	in.previous = append(in.previous, previous)
 }
 
-// largestShare is the most, in thousandths, that any gateway of a zone may send to another by the
-// plan in force or by the one before it.
+// largestShare returns the largest share, in thousandths, that any gateway of a zone may send to
+// another zone by the plan in force or by an earlier one.
 func (in *planInput) largestShare(from, to int) int {
 	largest := in.rows[from][to]
 	if in.isPreviousInUse(in.now) {
@@ -133,8 +132,9 @@
 	return largest
 }
 
-// addLeaving decides from where a zone's requests are to be moved away: from what is unreachable,
-// and from what is loaded above the overload threshold. A zone's own probes may stay.
+// addLeaving adds the receivers that a sender's requests must move away from: those that are
+// unreachable and those loaded above the overload threshold. Probes of the sender's own zone may
+// stay.
 func (in *planInput) addLeaving(from int) {
 	toLeave := make([]bool, len(in.zones))
 	unreachable := make([]bool, len(in.zones))
@@ -151,15 +151,16 @@
 	in.unreachable = append(in.unreachable, unreachable)
 }
 
-// overloadThreshold is the part of a zone's capacity from which on requests leave it without regard
-// to a hold-down: halfway from the most that is planned there to all.
+// overloadThreshold returns the part of a zone's capacity above which requests move away from it
+// even in hold-down. It is halfway between the maximum utilisation and the full capacity.
 func (in *planInput) overloadThreshold() float64 {
 	return overloadWeight * (in.settings.MaxUtilisation + 1)
 }
 
-// probeShare decides the part of a zone's requests that probes it while it is avoided: what the
-// settings say, and in a small fleet so much that enough gateways are offered one of its servers to
-// report its recovery. It is 0 where the zone serves, or no server is listed there.
+// probeShare returns the part of a zone's requests that probe the zone while it is avoided. It is
+// at least the settings' ProbeShare. In a small fleet it is larger, so that enough gateways have
+// one of the zone's servers in their subset to report its recovery. It is 0 if the zone serves or
+// has no ready server listed.
 func (in *planInput) probeShare(zone int) float64 {
 	isServing := !in.isZoneLost(zone) && !in.lostLinks[zone][zone]
 	if isServing || in.estimates.readyPower[zone] <= 0 {
@@ -176,8 +177,8 @@
 	return max(in.settings.ProbeShare, min(least, 1.0/minSubset))
 }
 
-// previousRows is, by pair, the most that any gateway may send by the plan in force or by the one
-// before it, in thousandths.
+// previousRows returns, for each pair of zones, the largest share, in thousandths, that any gateway
+// may send by the plan in force or by an earlier one.
 func (in *planInput) previousRows() map[string]map[string]int {
 	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
--- a/internal/control/failover/routing/updater.go
+++ b/internal/control/failover/routing/updater.go
@@ -1,7 +1,8 @@
-// Package routing decides by which shares one gateway sends requests to zones: by the failover plan
-// while the gateway's lease on it stands, and after that locally, by its own observations. The
-// gateway runs an Updater beside its requests; the dispatcher acts on what the Updater last handed
-// it, and on the end of the lease, without it.
+// Package routing determines the shares by which one gateway distributes requests over zones. While
+// the gateway's lease on the failover plan is valid, the plan determines them. After that the
+// gateway serves locally and relies on its own observations. The gateway runs an Updater in the
+// background. The dispatcher holds the steering that the Updater last set, and switches to the
+// fallback by itself when the lease ends.
 package routing
 
 import (
@@ -16,66 +17,65 @@
 	"harrierhoist/internal/gateway/dispatch"
 )
 
-// checkInterval is how often the loss of the own zone and the lease are checked.
+// checkInterval is the time between checks of the lease and of the gateway's own zone.
 const checkInterval = 200 * time.Millisecond
 
-// Dispatcher is what acts on the steering.
+// Dispatcher distributes the gateway's requests according to its steering.
 type Dispatcher interface {
-	// SetSteering steers by the first value until the lease ends, and then by the other. A lease of
-	// 0 is over.
+	// SetSteering makes the dispatcher use leased until the lease ends, and fallback after that. A
+	// lease of 0 has already ended.
 	SetSteering(leased dispatch.Steering, lease time.Duration, fallback dispatch.Steering)
-	// WriteZoneCounts gives the counts of what the gateway observes of zones.
+	// WriteZoneCounts passes the counts of the gateway's observations of zones to add.
 	WriteZoneCounts(add func(name string, n uint64))
-	// IsZoneLost tells whether the own zone is lost by the gateway's own observations.
+	// IsZoneLost reports whether the gateway's own observations show that its zone is lost.
 	IsZoneLost() bool
 }
 
-// Updater hands one gateway's dispatcher its steering. It is not safe for concurrent use.
+// Updater sets the steering of one gateway's dispatcher. It is not safe for concurrent use.
 type Updater struct {
 	tables     coordination.Client
 	dispatcher Dispatcher
-	zones      []string
-	zone       string
+	zones      []string // all zones, in the order of the endpoint list's indexes
+	zone       string   // zone of the gateway
 	log        *zap.Logger
 
-	epoch   uint64         // of the plan
-	plan    *failover.Plan // the latest; nil if there is none
+	epoch   uint64         // epoch of the plan
+	plan    *failover.Plan // latest plan; nil if there is none
 	applied appliedSteering
 
-	loggedRow   string    // the row that was logged last
-	loggedState planState // the state that was logged last
+	loggedRow   string    // last row that was logged
+	loggedState planState // last state that was logged
 }
 
-// planState is whether the gateway acts on a plan.
+// planState states whether the gateway acts on a plan.
 type planState int
 
 const (
-	planStateUnknown planState = iota // nothing was logged yet
+	planStateUnknown planState = iota // no state was logged yet
 	planInForce
 	noPlanInForce
 )
 
-// appliedSteering is what the dispatcher was last handed.
+// appliedSteering is the steering that was last set.
 type appliedSteering struct {
 	leased, fallback dispatch.Steering
-	leaseEnd         time.Duration // 0 without a plan in force
+	leaseEnd         time.Duration // end of the lease on the plan; 0 if no plan is in force
 }
 
-// New makes the updater of a gateway in a zone. Zones are all zones, in the order of the endpoint
-// list's indexes.
+// New returns the updater of a gateway in a zone. zones lists all zones, in the order of the
+// endpoint list's indexes.
 func New(tables coordination.Client, dispatcher Dispatcher, zones []string, zone string, log *zap.Logger) *Updater {
 	return &Updater{tables: tables, dispatcher: dispatcher, zones: zones, zone: zone, log: log}
 }
 
-// Run keeps the steering up to date until the context ends, and registers the dispatcher's counts
-// for digests.
+// Run registers the dispatcher's counts for digests and keeps the steering up to date. It blocks
+// until the context ends.
 func (u *Updater) Run(ctx context.Context) {
 	u.tables.RegisterCounters(u.dispatcher.WriteZoneCounts)
 	coordination.FollowTables(ctx, u.tables, checkInterval, u.Update)
 }
 
-// Update reads the plan and its lease, and hands the dispatcher what follows from them where that
-// has changed.
+// Update reads the plan and its lease, and sets the dispatcher's steering if it has changed.
 func (u *Updater) Update() {
 	table := u.tables.Cached(failover.Table)
 	if table.Epoch != u.epoch {
@@ -98,8 +98,8 @@
 	u.dispatcher.SetSteering(next.leased, lease, next.fallback)
 }
 
-// remainingLease decides for how long the gateway still acts on the latest plan: until its lease
-// ends, and not at all without a plan.
+// remainingLease returns how long the gateway may still act on the latest plan. It is 0 if there is
+// no plan or the lease has ended.
 func (u *Updater) remainingLease(table coordination.CachedTable) time.Duration {
 	if u.plan == nil {
 		return 0
@@ -107,7 +107,8 @@
 	return max(table.LeaseEnd-u.tables.Now(), 0)
 }
 
-// loadPlan takes over a plan. A malformed one counts as none.
+// loadPlan decodes the plan in the table and replaces the latest one. A malformed plan counts as
+// none.
 func (u *Updater) loadPlan(table coordination.CachedTable) {
 	u.epoch = table.Epoch
 	plan, err := failover.DecodePlan(table.Value)
@@ -125,7 +126,7 @@
 	}
 }
 
-// logState logs a change of whether a plan is in force.
+// logState logs whether a plan is in force, if that has changed.
 func (u *Updater) logState(state planState) {
 	if state == u.loggedState {
 		return
@@ -138,8 +139,8 @@
 	}
 }
 
-// steeringOf is an assignment by the indexes of zones. A zone of the plan that the endpoint list
-// does not have gets nothing, and its share is shed: the others were not planned to take it.
+// steeringOf converts an assignment to zone indexes. The share of a zone that the endpoint list
+// does not contain is shed, since the plan has reserved no capacity for it in other zones.
 func (u *Updater) steeringOf(assignment failover.Assignment) dispatch.Steering {
 	steering := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
 	sum := 0.0
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// minOverloadMove is how many thousandths of a zone's requests are worth moving away from
-	// another, overloaded zone.
+	// minOverloadMove is the share of a zone's requests, in thousandths, that a move away from
+	// another, overloaded zone must exceed to be worth making.
 	minOverloadMove = 5
-	// minUnreachableMove is the same for an unreachable zone. It lies between two whole thousandths,
-	// so that any move counts.
+	// minUnreachableMove is the same limit for moves away from an unreachable zone. It lies between
+	// two whole thousandths, so that any move exceeds it.
 	minUnreachableMove = 0.5
-	// minProbes is the part of the probe share from which on a zone counts as probed.
+	// minProbes is the smallest part of the probe share with which a zone counts as probed.
 	minProbes = 0.5
 )
 
-// zoneRow is where a zone's requests go.
+// zoneRow states where a zone's requests are sent.
 type zoneRow struct {
-	shares []int // by receiver, in thousandths
-	shed   int   // thousandths of the own zone's share
-	moves  bool  // the row is laid out anew; layOut takes that back where it is not worth it
+	shares []int // shares by receiver, in thousandths
+	shed   int   // thousandths of all of the zone's requests; part of the own zone's share
+	moves  bool  // the row may change; layOut clears it if the change is too small
 }
 
-// mustLeave decides whether a zone's requests are to be moved away from somewhere, hold-down or
-// not.
+// mustLeave reports whether a zone's requests must move away from some receiver regardless of
+// hold-down.
 func (in *planInput) mustLeave(from int) bool { return slices.Contains(in.toLeave[from], true) }
 
-// canMove decides whether a zone's requests may move for any reason. Those of a zone whose gateways
-// report nothing stay, as nothing is known of what its gateways do.
+// canMove reports whether a zone's requests may move without a failure or an overload. It is false
+// for a zone whose gateways report nothing, as it is not known what they do.
 func (in *planInput) canMove(from int) bool {
 	return in.estimates.isSettled(from) && in.estimates.isReporting[from] && !in.isHeldDown(from, in.now)
 }
 
-// computeRows decides the rows of the next plan. All that may move are laid out together; a row
-// that is not worth moving then stays, and the others are laid out again around it.
+// computeRows returns the rows of the next plan. It allocates all rows that may move together. A
+// row whose change is too small then keeps its current shares, and the others are allocated again.
 func (in *planInput) computeRows() []zoneRow {
 	rows := make([]zoneRow, len(in.zones))
 	for from := range rows {
@@ -48,8 +48,8 @@
 	return rows
 }
 
-// layOut lays out the rows that move, and reports whether some of them are not worth moving: these
-// stay from now on.
+// layOut allocates the rows that move. Rows whose change is too small are reset to the plan in
+// force and no longer move. It reports whether there were any.
 func (in *planInput) layOut(rows []zoneRow) (again bool) {
 	result := in.newLayout(rows)
 	result.compute()
@@ -68,14 +68,14 @@
 	return again
 }
 
-// currentRow is a zone's row by the plan in force.
+// currentRow returns a zone's row in the plan in force.
 func (in *planInput) currentRow(from int) zoneRow {
 	return zoneRow{shares: in.rows[from], shed: in.plan.Shed[in.zones[from]]}
 }
 
-// computedRow is a zone's row by a layout. In a zone that serves and is full of its own requests
-// alone the decision module sheds what fits nowhere; the plan sheds only the part by which the own
-// share would otherwise grow beyond one recovery step.
+// computedRow converts a zone's allocation to a row. If a zone serves and is filled by its own
+// requests alone, the gateways' decision module sheds the excess. The plan then sheds only so much
+// that the own share grows by no more than one recovery step.
 func (in *planInput) computedRow(result *layout, from int) zoneRow {
 	shares, shed := toThousandths(result.allocation[from], result.unplaced[from], from)
 	ofOthers := result.loads[from] - result.allocation[from][from]
@@ -87,7 +87,7 @@
 	return zoneRow{shares: shares, shed: shed, moves: true}
 }
 
-// newLayout is what is to be laid out, with the rows that are not to move fixed.
+// newLayout returns the input of the allocation. Rows that do not move are fixed.
 func (in *planInput) newLayout(rows []zoneRow) *layout {
 	n := len(in.zones)
 	result := &layout{
@@ -114,21 +114,22 @@
 	return result
 }
 
-// limits decides the least and the most, in units a second, that a pair may get that currently gets
-// so much: requests return to their own zone by recovery steps, and a zone in hold-down only leaves
-// what fails.
+// limits returns the lowest and the highest rate that a receiver may get from a sender, in units a
+// second. The current rate is what it gets by the plan in force. Requests return to their own zone
+// in recovery steps. Requests of a zone that may not move otherwise, see canMove, only leave
+// receivers that are unreachable or overloaded.
 func (in *planInput) limits(from, to int, current float64) (low, high float64) {
 	step := current + in.settings.RecoveryStep*in.demand[from]
 	isLocal := to == from
 	leaves := in.toLeave[from][to]
 	switch {
-	case !in.mustLeave(from): // nothing fails
+	case !in.mustLeave(from): // no receiver is unreachable or overloaded
 		return 0, step
 	case in.canMove(from) && isLocal && !leaves:
 		return 0, step
 	case in.canMove(from):
 		return 0, math.Inf(1)
-	case leaves: // here and below the zone is in hold-down: what does not fail stays
+	case leaves: // from here on the zone may not move: all other receivers keep their requests
 		return 0, current
 	case isLocal:
 		return current, step
@@ -136,8 +137,9 @@
 	return current, math.Inf(1)
 }
 
-// exceedsMinMove decides whether a row is worth moving: it leaves what is unreachable or
-// overloaded, probes start, or enough requests move. Smaller moves would follow chance.
+// exceedsMinMove reports whether a row's change is worth making: requests move away from an
+// unreachable or overloaded receiver, probes start, or enough requests move. Smaller changes would
+// follow random variation.
 func (in *planInput) exceedsMinMove(from int, row zoneRow) bool {
 	largest := 0.0
 	for to, share := range row.shares {
@@ -159,8 +161,8 @@
 	return largest >= in.settings.MinMove*fullShare
 }
 
-// startsProbes tells whether a zone that is avoided would be probed by a planned share, in
-// thousandths, and is not by the current one.
+// startsProbes reports whether a zone that is avoided would be probed by its planned own share but
+// is not by the current one. Both shares are in thousandths.
 func (in *planInput) startsProbes(zone int, current, planned float64) bool {
 	enough := in.probeShare(zone) * fullShare * minProbes
 	return current < enough && planned >= enough
--- a/internal/control/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// confirmSpan is the length of each of the confirmSpans consecutive spans that must all show a
-	// loss before it counts: a late digest of one gateway, which holds much, falls into one alone.
+	// confirmSpan is the length of each of the confirmSpans consecutive intervals that must all
+	// show a change before it counts. A late digest, which covers a long time of one gateway, falls
+	// into only one of them.
 	confirmSpan  = 400 * time.Millisecond
 	confirmSpans = 2
-	// slowConfirmSpan is the same for the part of a zone that answers where it is not lost: a few
-	// random failures are forgotten in that time.
+	// slowConfirmSpan is the length of the intervals that determine the health of a zone that is
+	// not lost. It is long enough for a few random failures to average out.
 	slowConfirmSpan = 1600 * time.Millisecond
-	// minSampleInterval is the least time between two samples that are kept.
+	// minSampleInterval is the minimum time between two samples that are kept.
 	minSampleInterval = 80 * time.Millisecond
-	// rateSpan is the length of each of the rateSpans spans over which the number of gateways is
-	// taken, as their median.
+	// rateSpan is the length of each of the rateSpans intervals in which gateways are counted.
+	// Their median is the number of gateways.
 	rateSpan  = 800 * time.Millisecond
 	rateSpans = 5
-	// sampleRetention is how far back samples are kept.
+	// sampleRetention is the time for which samples are kept.
 	sampleRetention = rateSpans*rateSpan + confirmSpan
-	// minReportedShare is the part of a gateway's time that must be reported to count it: digests
-	// are late and unevenly cut.
+	// minReportedShare is the part of its time that a gateway must report to be counted. It is
+	// below 1 because digests may be late and cover uneven spans.
 	minReportedShare = 0.7
 )
 
-// byHealth is an array over the quarters of a zone's servers that answer, from zonestats.Lost to
-// zonestats.Healthy.
+// byHealth is an array indexed by health, in quarters from zonestats.Lost to zonestats.Healthy.
 type byHealth[T any] [zonestats.Healthy + 1]T
 
-// byPowerBand is an array over the bands of a zone's ready power.
+// byPowerBand is an array indexed by the band of a zone's ready power.
 type byPowerBand[T any] [zonestats.PowerBands]T
 
-// countNames are the names of the counts that are sampled, made once.
+// countNames holds the names of the sampled counts, so that they are built only once.
 type countNames struct {
-	awake, admitted       []string             // by zone
-	completed             [][]string           // by zone, those of all outcomes and receivers
-	health                [][]byHealth[string] // by from and to
-	readyTime, readyPower []byPowerBand[string]
+	awake, admitted       []string              // by zone
+	completed             [][]string            // by zone; names for all outcomes and receivers
+	health                [][]byHealth[string]  // by observing and observed zone
+	readyTime, readyPower []byPowerBand[string] // by zone
 }
 
 func newCountNames(zones []string) *countNames {
@@ -72,17 +72,17 @@
 	return names
 }
 
-// sample is the sums of the counts at a time: of all gateways, since their start.
+// sample holds the counts at one time, summed over all gateways since their start.
 type sample struct {
 	at                    time.Duration
-	awake                 []float64 // by zone, milliseconds that its gateways were awake
-	admitted              []float64 // by zone, thousandths of units admitted there
-	completed             []float64 // by zone, attempts of its gateways that ended
-	health                [][]byHealth[float64]
-	readyTime, readyPower []byPowerBand[float64]
+	awake                 []float64              // milliseconds that gateways were awake, by zone
+	admitted              []float64              // thousandths of units admitted, by zone
+	completed             []float64              // attempts completed, by the zone of the gateway
+	health                [][]byHealth[float64]  // milliseconds, by observing and observed zone
+	readyTime, readyPower []byPowerBand[float64] // milliseconds, and power times milliseconds, by zone
 }
 
-// sample reads the counts of all zones from the merged sums.
+// sample returns the counts of all zones from the merged sums.
 func (c *countNames) sample(now time.Duration, sums map[string]uint64) *sample {
 	next := &sample{at: now}
 	for from := range c.awake {
@@ -111,11 +111,11 @@
 	return next
 }
 
-// samples are the latest samples, oldest first.
+// samples holds the latest samples, oldest first.
 type samples []*sample
 
-// add keeps a sample and drops those that are too old. It reports false, and keeps nothing, where
-// the sample comes less than minSampleInterval after the last.
+// add appends a sample and drops those older than sampleRetention. It drops the sample and reports
+// false if less than minSampleInterval has passed since the last one.
 func (s *samples) add(next *sample) bool {
 	if n := len(*s); n > 0 && next.at < (*s)[n-1].at+minSampleInterval {
 		return false
@@ -127,10 +127,11 @@
 	return true
 }
 
-// last is the latest sample.
+// last returns the latest sample.
 func (s samples) last() *sample { return s[len(s)-1] }
 
-// before is the latest sample at least so much older than the last; nil if there is none.
+// before returns the latest sample that is at least age older than the last one, or nil if there is
+// none.
 func (s samples) before(age time.Duration) *sample {
 	now := s.last().at
 	for i := len(s) - 1; i >= 0; i-- {
@@ -141,22 +142,23 @@
 	return nil
 }
 
-// interval is what was counted between two samples.
+// interval is the time between two samples, and what was counted in it.
 type interval struct{ start, end *sample }
 
-// milliseconds is the interval's length.
+// milliseconds returns the interval's length.
 func (i interval) milliseconds() float64 { return float64((i.end.at - i.start.at) / time.Millisecond) }
 
-// gateways is how many gateways of a zone reported their time in the interval.
+// gateways returns the number of gateways of a zone that reported in the interval, as their awake
+// time divided by the interval's length.
 func (i interval) gateways(zone int) float64 {
 	return (i.end.awake[zone] - i.start.awake[zone]) / i.milliseconds()
 }
 
-// halves are two consecutive intervals that must both show a change.
+// halves holds two consecutive intervals that must both show a change.
 type halves struct{ older, newer interval }
 
-// halves gives the last two intervals of a length; ok is false where samples do not go back that
-// far.
+// halves returns the last two consecutive intervals of the given length. ok is false if the samples
+// do not go back that far.
 func (s samples) halves(span time.Duration) (h halves, ok bool) {
 	last := s.last()
 	middle := s.before(span)
--- a/internal/control/failover/settings.go
+++ b/internal/control/failover/settings.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Settings is what an operator's file says under [failover]. A value that is left out (0) gets its
-// default.
+// Settings is the [failover] section of the operator's file. Numbers that are left out (0) get
+// their defaults, except Capacity, which has none.
 type Settings struct {
 	Enabled bool     `toml:"on"`
 	Regions []Region `toml:"regions"`
-	// Capacity is how many units a second one ready, warm server of power 1 can take;
-	// CapacityByZone overrides it for a zone.
+	// Capacity is the rate that one ready, warm server of power 1 can take, in units a second.
+	// CapacityByZone overrides it by zone.
 	Capacity       float64            `toml:"bears"`
 	CapacityByZone map[string]float64 `toml:"bears_by"`
-	// MaxUtilisation is the part of a zone's capacity that is planned there at most: 0.3 to 0.95.
+	// MaxUtilisation is the maximum part of a zone's capacity that plans use, 0.3 to 0.95.
 	MaxUtilisation float64 `toml:"utilisation_most"`
-	// HoldDownSeconds is the least time between two moves of a zone's requests, 2 to 600 s. A
-	// failing zone is left without regard to it.
+	// HoldDownSeconds is the minimum time between two moves of a zone's requests, 2 to 600 s.
+	// Requests move away from a failing zone regardless of it.
 	HoldDownSeconds float64 `toml:"least_stay_s"`
 	// RecoveryStep is the part of a zone's requests that returns to it, or to a nearer zone, in one
-	// move: 0.05 to 1.
+	// move, 0.05 to 1.
 	RecoveryStep float64 `toml:"step"`
-	// MinMove is the part of a zone's requests that makes a move worth while: 0.01 to 0.3.
+	// MinMove is the smallest part of a zone's requests that is worth moving, 0.01 to 0.3.
 	MinMove float64 `toml:"worth"`
-	// AgreementShare is the part of a zone's gateways that must agree that a zone fails: 0.51 to
+	// AgreementShare is the part of a zone's gateways that must agree that a zone fails, 0.51 to
 	// 0.95.
 	AgreementShare float64 `toml:"ill_part"`
-	// MinGateways is how many gateways of a zone must report for their observations to count: 2 to
-	// 1000.
+	// MinGateways is the number of gateways of a zone that must report for their observations to
+	// count, 2 to 1000.
 	MinGateways int `toml:"gateways_least"`
-	// ProbeShare is the part of a zone's requests that goes on probing their own zone while it is
-	// avoided: 0.002 to 0.1.
+	// ProbeShare is the part of a zone's requests that probe the zone while it is avoided, 0.002 to
+	// 0.1.
 	ProbeShare float64 `toml:"trial"`
 }
 
-// Region is a group of zones. Every zone is in one.
+// Region is a group of zones. Each zone belongs to exactly one region.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"halls"`
 }
 
-// The defaults of Settings, in the units of its fields.
+// Defaults of Settings, in the units of its fields.
 const (
 	defaultMaxUtilisation  = 0.8
 	defaultHoldDownSeconds = 10.0
@@ -53,8 +53,8 @@
 	defaultProbeShare      = 0.02
 )
 
-// Bounds of the settings, in the units of its fields. A server's capacity outside of its bounds is
-// taken for a typing error.
+// Bounds of Settings, in the units of its fields. A server capacity outside its bounds is assumed
+// to be a typing error.
 const (
 	minCapacity, maxCapacity               = 0.001, 1e9
 	minMaxUtilisation, maxMaxUtilisation   = 0.3, 0.95
@@ -66,7 +66,7 @@
 	minProbeShare, maxProbeShare           = 0.002, 0.1
 )
 
-// WithDefaults gives the settings with defaults for what is left out.
+// WithDefaults returns the settings with defaults for the numbers that are left out.
 func (s Settings) WithDefaults() Settings {
 	s.MaxUtilisation = cmp.Or(s.MaxUtilisation, defaultMaxUtilisation)
 	s.HoldDownSeconds = cmp.Or(s.HoldDownSeconds, defaultHoldDownSeconds)
@@ -78,7 +78,7 @@
 	return s
 }
 
-// Zones are the zones of all regions, in the file's order.
+// Zones returns the zones of all regions, in the order of the file.
 func (s Settings) Zones() (zones []string) {
 	for _, region := range s.Regions {
 		zones = append(zones, region.Zones...)
@@ -86,16 +86,16 @@
 	return zones
 }
 
-// holdDown is the least time between two moves of a zone's requests.
+// holdDown returns HoldDownSeconds as a duration.
 func (s Settings) holdDown() time.Duration {
 	return time.Duration(s.HoldDownSeconds * float64(time.Second))
 }
 
-// capacity is what a server of power 1 in a zone can take, in units a second.
+// capacity returns the rate that a server of power 1 in a zone can take, in units a second.
 func (s Settings) capacity(zone string) float64 { return cmp.Or(s.CapacityByZone[zone], s.Capacity) }
 
-// SettingError is one thing that is wrong in the operator's file: the key, what is expected, and
-// what was found.
+// SettingError is an invalid setting in the operator's file: its key, the expected value in words,
+// and the value found.
 type SettingError struct {
 	Key      string
 	Expected string
@@ -106,8 +106,8 @@
 	return fmt.Sprintf("failover.%s: %s is wanted, not %v", e.Key, e.Expected, e.Found)
 }
 
-// Check gives all that is wrong with the settings, a *SettingError each. Settings that are not
-// enabled are never wrong.
+// Check returns a *SettingError for each invalid setting. It returns none if failover is not
+// enabled.
 func (s Settings) Check() []error {
 	if !s.Enabled {
 		return nil
@@ -132,21 +132,21 @@
 	return check.errs
 }
 
-// checker collects what is wrong with settings.
+// checker collects the errors of Settings.Check.
 type checker struct{ errs []error }
 
 func (c *checker) refuse(key, expected string, found any) {
 	c.errs = append(c.errs, &SettingError{Key: key, Expected: expected, Found: found})
 }
 
-// within checks that a number lies between two bounds; NaN does not.
+// within checks that a number lies between two bounds, inclusive. NaN does not.
 func (c *checker) within(key string, value, least, most float64) {
 	if !(value >= least && value <= most) {
 		c.refuse(key, fmt.Sprintf("a number from %v to %v", least, most), value)
 	}
 }
 
-// regions checks that regions and zones have names of their own, and gives the zones.
+// regions checks that regions and zones have unique names, and returns the set of zones.
 func (c *checker) regions(regions []Region) (zones map[string]bool) {
 	if len(regions) == 0 {
 		c.refuse("regions", "at least one region with a name and its halls", "none")
--- a/internal/control/failover/share_out.go
+++ b/internal/control/failover/share_out.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// flooringSlack keeps a share that is whole but for rounding errors from losing a thousandth.
+// flooringSlack is added before rounding down, in thousandths. It prevents floating-point errors
+// from costing a whole share a thousandth.
 const flooringSlack = 1e-6
 
-// shareOut shares what is unplaced out among the receivers of a tier once, and reports whether any
-// of it was placed.
+// shareOut runs one round of allocation among the receivers of a tier. It reports whether any
+// demand was allocated.
 func (l *layout) shareOut(t tier) bool {
 	asked := make([][]float64, len(l.demand))
 	for from := range asked {
@@ -33,8 +34,9 @@
 	return placed
 }
 
-// grantedPart decides the part, 0 to 1, of what is asked of a receiver that it takes: no more than
-// the maximum utilisation leaves free nor, of what exceeds previous plans, than it has spare.
+// grantedPart returns the part, 0 to 1, of the requested rate that a receiver takes. The receiver's
+// load stays within its maximum utilisation, and the part of the rate that exceeds previous plans
+// stays within its spare capacity.
 func (l *layout) grantedPart(to int, asked, excess float64) float64 {
 	granted := 1.0
 	free := max(l.maxUtilisation*l.capacity[to]-l.loads[to], 0)
@@ -47,8 +49,8 @@
 	return granted
 }
 
-// ask gives what a sender asks of each receiver of a tier: what is unplaced, by their available
-// capacity.
+// ask returns the rate that a sender requests from each receiver of a tier. It splits the sender's
+// unallocated demand in proportion to the receivers' available capacity.
 func (l *layout) ask(from int, t tier) []float64 {
 	asked := make([]float64, len(l.demand))
 	if l.unplaced[from] <= negligibleRate {
@@ -67,8 +69,9 @@
 	return asked
 }
 
-// toThousandths gives the shares of a row, and what is shed of the own share, in thousandths. What
-// is lost to whole numbers stays local.
+// toThousandths converts a row of rates to shares in thousandths. Unallocated demand is part of the
+// own zone's share, and shed is the part of that share to reject. Remainders from rounding down
+// stay local.
 func toThousandths(row []float64, unplaced float64, own int) (shares []int, shed int) {
 	sum := unplaced
 	for _, amount := range row {
--- a/internal/control/failover/staleness.go
+++ b/internal/control/failover/staleness.go
@@ -7,15 +7,16 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// How far a plan's fallback shares may be off before they are written anew.
+// Limits on the change of a fallback share. The plan is rewritten if a share changes by more than
+// both together.
 const (
-	fallbackTolerance = 0.3 // part of the share
-	minFallbackChange = 20  // thousandths, beyond that part
+	fallbackTolerance = 0.3 // as a part of the larger share
+	minFallbackChange = 20  // thousandths
 )
 
-// isStale decides whether what a plan says besides its rows is to be written anew. This alone moves
-// no request between zones. It happens once a lease at most, and for the fallback shares once a
-// hold-down.
+// isStale reports whether the plan in force must be replaced because of parts other than its rows.
+// Such a replacement moves no requests between zones. It is due at most once per lease, and for
+// fallback shares at most once per hold-down.
 func (in *planInput) isStale(plan *Plan) bool {
 	old := in.plan
 	if in.now < in.planSince+in.lease {
@@ -33,8 +34,8 @@
 	})
 }
 
-// isFallbackStale decides whether a zone's old fallback row is too far off the one that would be
-// written now.
+// isFallbackStale reports whether a zone's fallback row in the plan in force differs too much from
+// the one that would be written now.
 func (in *planInput) isFallbackStale(row, old map[string]int) bool {
 	return slices.ContainsFunc(in.zones, func(zone string) bool {
 		now := float64(row[zone])
