--- a/internal/control/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -1,6 +1,7 @@
 package failover
 
-// What a situation leads to is in situations.toml; here are situations that develop over time.
+// The tests in this file cover scenarios in which faults change over time. Scenarios with a fixed
+// set of faults are in situations.toml.
 
 import (
 	"testing"
@@ -9,7 +10,8 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// calmSimulation is three zones that have settled, all local.
+// calmSimulation returns three zones without faults, after enough time for a first plan, in which
+// all zones serve locally.
 func calmSimulation(t *testing.T, gateways int) *simulation {
 	t.Helper()
 	sim := threeZones(gateways)
@@ -17,7 +19,8 @@
 	return sim
 }
 
-// wantNoMove lets time pass and fails the test if a request moves.
+// wantNoMove runs the simulation for a span and fails the test if a zone no longer serves all of
+// its requests locally.
 func wantNoMove(t *testing.T, sim *simulation, span time.Duration) {
 	t.Helper()
 	sim.run(span)
@@ -26,8 +29,8 @@
 	}
 }
 
-// TestController_recoversInSteps checks that recovery goes by steps, a hold-down apart, though all
-// servers are ready at once.
+// TestController_recoversInSteps checks that requests return to a recovered zone in steps that are
+// at least a hold-down apart, although all of its servers become ready at the same time.
 func TestController_recoversInSteps(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
@@ -44,25 +47,25 @@
 		}
 	}
 	sim.wantBetween(t, "recovered share", sim.share(0, 0), 1, 1)
-	sim.wantBetween(t, "seconds that took", sim.now.Seconds(), 30, 80)
+	sim.wantBetween(t, "end of the recovery in seconds", sim.now.Seconds(), 30, 80)
 }
 
-// TestController_lostLinkIsNoLostZone checks that a lost link between two zones that others reach
-// moves the requests that used it, and nothing else.
+// TestController_lostLinkIsNoLostZone checks that the loss of a link to a zone that other zones
+// still reach moves only the requests that used the link.
 func TestController_lostLinkIsNoLostZone(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
 	sim.run(15 * time.Second)
 	sim.lostLinks[[2]int{0, 1}] = true
 	sim.run(3 * time.Second)
-	sim.wantBetween(t, "over the lost link", sim.share(0, 1), 0, 0)
-	sim.wantBetween(t, "elsewhere", sim.share(0, 2), 0.55, 0.61)
+	sim.wantBetween(t, "share over the lost link", sim.share(0, 1), 0, 0)
+	sim.wantBetween(t, "share of the remaining zone", sim.share(0, 2), 0.55, 0.61)
 	sim.wantBetween(t, "local share of b", sim.share(1, 1), 1, 1)
 	sim.wantBetween(t, "local share of c", sim.share(2, 2), 1, 1)
 }
 
-// TestController_oneBlindGatewayMovesNothing checks that nothing moves where one gateway, of two or
-// of ten, observes no zone answer and has an empty endpoint list.
+// TestController_oneBlindGatewayMovesNothing checks that no request moves if a single gateway of a
+// zone gets no answer from any zone and has an empty endpoint list.
 func TestController_oneBlindGatewayMovesNothing(t *testing.T) {
 	for _, gateways := range []int{2, 3, 10} {
 		sim := calmSimulation(t, gateways)
@@ -71,8 +74,8 @@
 	}
 }
 
-// TestController_lateDigestsMoveNothing checks that nothing moves where a late digest brings many
-// observations of one gateway at once.
+// TestController_lateDigestsMoveNothing checks that no request moves if a late digest adds several
+// seconds of one gateway's observations at the same time.
 func TestController_lateDigestsMoveNothing(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	for range 20 {
@@ -85,19 +88,20 @@
 	}
 }
 
-// TestController_silentGatewaysMoveNothing checks that nothing moves where a zone's gateways report
-// nothing, as when they are paused or cannot reach a voter, and that their demand is remembered.
+// TestController_silentGatewaysMoveNothing checks that no request moves if a zone's gateways report
+// nothing, for example because they are paused or cannot reach a voter, and that the estimate of
+// their demand is kept.
 func TestController_silentGatewaysMoveNothing(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.silent[1] = true
 	wantNoMove(t, sim, 10*time.Second)
 	sim.healthy[0] = 0
 	sim.run(2 * time.Second)
-	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // fades by a percent in three seconds
+	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // the estimate falls by 1% in three seconds
 }
 
-// TestController_overflowsOnlyAboveMaxUtilisation checks that a healthy zone sends away only what
-// is above the maximum utilisation.
+// TestController_overflowsOnlyAboveMaxUtilisation checks that a healthy zone sends only the demand
+// above its maximum utilisation to other zones.
 func TestController_overflowsOnlyAboveMaxUtilisation(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.demand[0] = 78
@@ -113,12 +117,13 @@
 		}
 	}
 	if moves > 4 {
-		t.Errorf("%d moves in a flood", moves)
+		t.Errorf("%d moves during the overload, want 4 at most", moves)
 	}
 }
 
-// TestController_failingReceiverIsRelievedAtOnce checks that a zone in hold-down leaves a receiver
-// that fails at once, and changes nothing else.
+// TestController_failingReceiverIsRelievedAtOnce checks that the requests of a zone in hold-down
+// move away from a failing receiver without waiting for the end of the hold-down, and that the
+// requests of no other zone move.
 func TestController_failingReceiverIsRelievedAtOnce(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
@@ -129,8 +134,8 @@
 	sim.wantBetween(t, "load at c", sim.load(2), 79, 80.01)
 }
 
-// TestController_newLeaderKeepsHoldDown checks that a new leader keeps zones in hold-down for a
-// full hold-down from its own start.
+// TestController_newLeaderKeepsHoldDown checks that a new leader keeps zones that are in hold-down
+// in it for a full hold-down from its own start.
 func TestController_newLeaderKeepsHoldDown(t *testing.T) {
 	sim := calmSimulation(t, 3)
 	sim.healthy[0] = 0
--- a/internal/control/failover/fleet_situations_test.go
+++ b/internal/control/failover/fleet_situations_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestController_timeFromZoneLossToPlan checks that the loss of a whole zone gives a plan within
-// some two seconds, also where each gateway makes two attempts a second, and that nothing moves
-// before.
+// TestController_timeFromZoneLossToPlan checks that a plan is written within about two seconds
+// after the loss of a whole zone, even if each gateway makes only two attempts a second, and that
+// no request moves before the loss.
 func TestController_timeFromZoneLossToPlan(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -17,10 +17,10 @@
 		rate     float64
 		silent   bool
 	}{
-		{"6 gateways of 20 a second, refused", 2, 20, false},
-		{"6 gateways of 20 a second, silent", 2, 20, true},
-		{"30 gateways of 2 a second, refused", 10, 2, false},
-		{"30 gateways of 10 a second, silent", 10, 10, true},
+		{"6 gateways, 20 attempts a second, connections refused", 2, 20, false},
+		{"6 gateways, 20 attempts a second, timeouts", 2, 20, true},
+		{"30 gateways, 2 attempts a second, connections refused", 10, 2, false},
+		{"30 gateways, 10 attempts a second, timeouts", 10, 10, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -30,7 +30,7 @@
 				sim.run(8 * time.Second)
 				for _, plan := range sim.plans {
 					if !plan.isAllLocal() {
-						t.Fatalf("seed %d: moved before the loss", seed)
+						t.Fatalf("seed %d: requests moved before the loss", seed)
 					}
 				}
 				sim.zoneDown = true
@@ -39,16 +39,16 @@
 				took = append(took, sim.runUntil(8*time.Second, hasMoved))
 			}
 			slices.Sort(took)
-			t.Logf("p50 %v, longest of 30 %v", took[15], took[29])
+			t.Logf("time to the plan: p50 %v, maximum of 30 runs %v", took[15], took[29])
 			if took[29] > 2100*time.Millisecond {
-				t.Errorf("took %v", took[29])
+				t.Errorf("the slowest plan took %v", took[29])
 			}
 		})
 	}
 }
 
-// TestController_usualFailuresMoveNothing checks that nothing moves where a small part of all
-// attempts fails, and all attempts of one gateway.
+// TestController_usualFailuresMoveNothing checks that no request moves if a small part of all
+// attempts and all attempts of one gateway fail.
 func TestController_usualFailuresMoveNothing(t *testing.T) {
 	for _, gateways := range []int{2, 3, 10} {
 		for seed := range uint64(10) {
@@ -58,16 +58,17 @@
 			sim.run(20 * time.Second)
 			for _, plan := range sim.plans {
 				if !plan.isAllLocal() {
-					t.Errorf("%d gateways in a zone, seed %d: %v (%v)", gateways, seed, plan.Rows, plan.Reasons)
+					t.Errorf("%d gateways per zone, seed %d: requests moved: %v (%v)",
+						gateways, seed, plan.Rows, plan.Reasons)
 				}
 			}
 		}
 	}
 }
 
-// TestController_lossAndRecoveryThroughSubsets checks a zone that is lost for a minute and
-// recovers: probes alone show that it did, its requests return in steps, and no zone is overloaded
-// meanwhile.
+// TestController_lossAndRecoveryThroughSubsets checks the loss of a zone for a minute and its
+// recovery, with gateways that use subsets of the servers. Probes must suffice to detect the
+// recovery, requests must return in steps, and no zone may be overloaded in the meantime.
 func TestController_lossAndRecoveryThroughSubsets(t *testing.T) {
 	for _, gateways := range []int{2, 10} {
 		t.Run(fmt.Sprintf("%d gateways", 3*gateways), func(t *testing.T) {
@@ -80,19 +81,19 @@
 			sim.run(56 * time.Second)
 			capacity := sim.controller.settings.Capacity * (fleetServers / 3) * 56
 			for zone, n := range sim.attempts {
-				t.Logf("zone %d at %.2f", zone, float64(n)/capacity)
+				t.Logf("zone %d: utilisation %.2f", zone, float64(n)/capacity)
 				if float64(n) > 0.82*capacity || zone > 0 && float64(n) < 0.6*capacity {
-					t.Errorf("zone %d at %.2f", zone, float64(n)/capacity)
+					t.Errorf("zone %d: utilisation %.2f out of bounds", zone, float64(n)/capacity)
 				}
 			}
 			if n := len(sim.plans); n > 15 {
-				t.Errorf("%d plans", n)
+				t.Errorf("%d plans written, want 15 at most", n)
 			}
 			sim.zoneDown = false
 			took := sim.runUntil(3*time.Minute, func() bool { return sim.plans[len(sim.plans)-1].isLocal("a") })
 			t.Logf("recovered after %v", took)
 			if took < 30*time.Second || took > 90*time.Second {
-				t.Errorf("recovered after %v", took)
+				t.Errorf("recovered after %v, want 30s to 90s", took)
 			}
 		})
 	}
--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -17,24 +17,24 @@
 const (
 	// fleetServers is how many servers the fleet's three zones have together.
 	fleetServers = 42
-	// digestInterval is how often a gateway of the fleet sends a digest. One in lostDigests is
-	// lost.
+	// digestInterval is the time between two digests of a gateway.
 	digestInterval = 200 * time.Millisecond
-	lostDigests    = 20
-	// failureMemory is how long a gateway of the fleet avoids a server that failed.
+	// lostDigests is the reciprocal of the part of digests that is lost.
+	lostDigests = 20
+	// failureMemory is how long a gateway avoids a server after a failed attempt.
 	failureMemory = time.Second
 )
 
-// fleet is the program's own recorders, digests some of which are lost, the merger, the controller,
-// and the subsets that act on its plans. Servers and the decision module are emulated: each gateway
-// makes attempts at a steady rate on servers of its subset, drawn from those without a recent
-// failure.
+// fleet connects the real recorders, digests, merger, controller and subsets of a number of
+// gateways. Some of the digests are lost. Servers and the decision module are emulated: each
+// gateway makes attempts at a constant rate. It sends each to a random server of its subset without
+// a recent failure.
 type fleet struct {
 	random     *rand.Rand
 	rate       float64 // attempts a second of each gateway
-	zoneDown   bool    // the first zone
-	errors     float64 // part of all attempts that fail anywhere
-	silent     bool    // servers that are down say nothing, in place of refusing
+	zoneDown   bool    // all servers of the first zone are down
+	errors     float64 // part of all attempts that fail, in any zone
+	silent     bool    // servers that are down do not answer, instead of refusing connections
 	now        time.Duration
 	members    []*member
 	merger     *observation.Merger
@@ -42,7 +42,7 @@
 	entry      statemachine.Table
 	plans      []*Plan
 	endpoints  []subset.Candidate
-	attempts   [3]int // by zone since last reset
+	attempts   [3]int // number of attempts by zone, since the test last reset it
 }
 
 // member is a gateway of the fleet.
@@ -52,13 +52,14 @@
 	recorder    *zonestats.Recorder
 	subset      *subset.Subset
 	endpoints   []policy.Endpoint
-	planCount   int // how many plans there were when the endpoints were selected
-	failedUntil map[uint32]time.Duration
+	planCount   int                      // number of plans when the endpoints were selected; -1 before that
+	failedUntil map[uint32]time.Duration // time until which a server is avoided
 	digest      observation.Digest
 	nextDigest  time.Duration
 	inFlight    []attempt
 }
 
+// attempt is an attempt in flight, with its predetermined result.
 type attempt struct {
 	server  uint32
 	zone    int
@@ -67,7 +68,8 @@
 	outcome policy.Outcome
 }
 
-// newFleet makes three zones with so many gateways each, all at half of their capacity.
+// newFleet returns a fleet of three zones with the given number of gateways each. The rate is in
+// attempts a second per gateway. The demand is half of each zone's capacity.
 func newFleet(seed uint64, gateways int, rate float64) *fleet {
 	sim := &fleet{random: rand.New(rand.NewPCG(seed, 9)), rate: rate, now: time.Hour, merger: observation.NewMerger()}
 	three := threeZones(0)
@@ -92,10 +94,11 @@
 	return sim
 }
 
-// run lets time pass.
+// run advances the time by a span.
 func (f *fleet) run(span time.Duration) { f.runUntil(span, func() bool { return false }) }
 
-// runUntil lets time pass until a condition holds or a time is over, and tells how long that was.
+// runUntil advances the time until done returns true, but by no more than most. It returns the time
+// that has passed.
 func (f *fleet) runUntil(most time.Duration, done func() bool) time.Duration {
 	const step = 10 * time.Millisecond
 	for start := f.now; ; f.now += step {
@@ -111,7 +114,7 @@
 	}
 }
 
-// decide has the controller decide by what was merged so far.
+// decide runs the controller on the merged sums and stores its plan, if any.
 func (f *fleet) decide() {
 	table := func(string) statemachine.Table { return f.entry }
 	input := coordination.ControllerInput{Sums: f.merger.Sums(), Table: table}
@@ -127,7 +130,8 @@
 	f.plans = append(f.plans, plan)
 }
 
-// stepMember ends a gateway's attempts, makes new ones, and sends its digest when it is due.
+// stepMember completes a gateway's attempts that are due, may start a new one, and sends its digest
+// if that is due.
 func (f *fleet) stepMember(gateway *member, step time.Duration) {
 	gateway.inFlight = slices.DeleteFunc(gateway.inFlight, func(a attempt) bool {
 		if f.now < a.ends {
@@ -154,7 +158,7 @@
 	}
 }
 
-// selectEndpoints has a gateway act on the latest plan.
+// selectEndpoints selects a gateway's endpoints according to the latest plan.
 func (f *fleet) selectEndpoints(m *member) {
 	m.planCount = len(f.plans)
 	assignment := local(f.controller.zones[m.zone])
@@ -169,7 +173,7 @@
 	m.endpoints, _ = m.subset.Select(f.now, f.endpoints)
 }
 
-// sendAttempt has a request sent, or shed.
+// sendAttempt starts an attempt for one request, or sheds the request.
 func (f *fleet) sendAttempt(gateway *member) {
 	if gateway.planCount != len(f.plans) || gateway.subset.IsDue(f.now) {
 		f.selectEndpoints(gateway)
--- a/internal/control/failover/golden_test.go
+++ b/internal/control/failover/golden_test.go
@@ -15,7 +15,7 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// storedPlans are plans whose stored bytes are held in testdata, by the fixture's name.
+// storedPlans are the plans whose stored bytes are in testdata, by the name of the fixture.
 var storedPlans = map[string]*Plan{
 	"empty": {},
 	"plain": {
@@ -40,8 +40,8 @@
 	"resting": {HoldDown: []string{}, LostLinks: [][2]string{}, Previous: map[string]map[string]int{}},
 }
 
-// TestPlan_encodingIsStable holds the plan's stored form to fixtures, as gateways and leaders of
-// other releases read it.
+// TestPlan_encodingIsStable compares the stored form of plans with fixtures, since gateways and
+// leaders of other releases read it.
 func TestPlan_encodingIsStable(t *testing.T) {
 	for name, plan := range storedPlans {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// goldenSettings are the settings that the drawn streams run under.
+// goldenSettings are the settings of the random streams, by name.
 var goldenSettings = map[string]func(*Settings, *time.Duration){
 	"defaults": func(*Settings, *time.Duration) {},
 	"quick": func(t *Settings, lease *time.Duration) {
@@ -71,11 +71,11 @@
 	},
 }
 
-// goldenSeeds are the seeds of the drawn streams.
+// goldenSeeds are the seeds of the random streams.
 var goldenSeeds = []uint64{1, 2, 3, 4, 5, 6, 12, 2026}
 
-// goldenPlans are, by settings, how many plans the drawn streams write and the hash of all that is
-// decided on them.
+// goldenPlans contains, by the name of the settings, the number of plans written during the random
+// streams and the hash of all decisions.
 var goldenPlans = map[string]struct {
 	plans int
 	hash  string
@@ -85,8 +85,9 @@
 	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
 }
 
-// TestController_drawnStreamDecidesAsBefore holds every decision on drawn streams of observations
-// to what it was: when a plan is written, its bytes, and how gateways act on it.
+// TestController_drawnStreamDecidesAsBefore checks that no decision on random streams of
+// observations changes between versions: when a plan is written, its bytes, and the assignments of
+// gateways.
 func TestController_drawnStreamDecidesAsBefore(t *testing.T) {
 	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
@@ -98,14 +99,14 @@
 			}
 			got := fmt.Sprintf("%d %s", plans, sum.String())
 			if want := fmt.Sprintf("%d %s", goldenPlans[name].plans, goldenPlans[name].hash); got != want {
-				t.Errorf("plans and hash are %s, not %s", got, want)
+				t.Errorf("number of plans and hash are %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-// decideDrawn runs a drawn stream of some 1200 steps and hashes every decision: the time, the
-// value, and what gateways make of it.
+// decideDrawn runs a random stream of about 1200 steps. It adds every decision to sum: the time,
+// the value, and the assignments of gateways. It returns the plans.
 func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum *golden.Digest) []writtenPlan {
 	random := rand.New(rand.NewPCG(seed, 31))
 	sim := drawSimulation(random)
@@ -113,7 +114,7 @@
 	sim.newLeader()
 	sim.run(6 * time.Second)
 	for i := range 14 {
-		if i%3 == 0 { // many faults at once leave little to decide
+		if i%3 == 0 { // with too many faults at the same time the controller rarely writes plans
 			clear(sim.silent)
 			clear(sim.blindGateway)
 		}
@@ -137,8 +138,8 @@
 	return sim.plans
 }
 
-// TestController_drawnStreamsReachAllParts makes sure that the hashes cover every optional part of
-// a plan and every reason.
+// TestController_drawnStreamsReachAllParts checks that the random streams produce every optional
+// part of a plan and every reason, so that the hashes cover them.
 func TestController_drawnStreamsReachAllParts(t *testing.T) {
 	reached := map[string]bool{}
 	for _, set := range goldenSettings {
@@ -150,15 +151,15 @@
 	}
 	for part, is := range reached {
 		if !is {
-			t.Errorf("no stream reaches %q", part)
+			t.Errorf("no stream produces %q", part)
 		}
 	}
 	if len(reached) != 8 {
-		t.Errorf("reached only %v", slices.Sorted(maps.Keys(reached)))
+		t.Errorf("the streams produce %v, want 8 parts and reasons", slices.Sorted(maps.Keys(reached)))
 	}
 }
 
-// markReached marks the optional parts and the reasons that a plan has.
+// markReached sets the entries of the optional parts and the reasons that a plan contains.
 func markReached(reached map[string]bool, plan *Plan) {
 	reached["hold-down"] = reached["hold-down"] || len(plan.HoldDown) > 0
 	reached["previous"] = reached["previous"] || len(plan.Previous) > 0
@@ -171,7 +172,7 @@
 	}
 }
 
-// refusals are what an operator reads of a file that is wrong in all its keys.
+// refusals are the error messages for a file in which every key is invalid.
 const refusals = `
 failover.regions[0].name: a name of its own is wanted, not ""
 failover.regions[0].halls: halls that stand in one region, once is wanted, not "a"
@@ -191,7 +192,7 @@
 failover.regions: at least one region with a name and its halls is wanted, not none
 `
 
-// invalidSettings is a file that is wrong in all its keys.
+// invalidSettings is a file in which every key has an invalid value.
 const invalidSettings = `
 on = true
 bears = 1e10
@@ -212,7 +213,8 @@
 halls = ["", "b"]
 `
 
-// readInvalidSettings returns what the file says: it is wrong in its values only.
+// readInvalidSettings decodes invalidSettings. All of its keys are known; only the values are
+// invalid.
 func readInvalidSettings(t *testing.T) (settings Settings) {
 	t.Helper()
 	decoder := toml.NewDecoder(strings.NewReader(invalidSettings)).DisallowUnknownFields()
@@ -222,8 +224,8 @@
 	return settings
 }
 
-// TestSettings_refusalsAreStable holds the keys of the operators' file and the wording of what is
-// said of wrong values.
+// TestSettings_refusalsAreStable checks that the keys of the operator's file and the messages for
+// invalid values do not change.
 func TestSettings_refusalsAreStable(t *testing.T) {
 	var lines []string
 	for _, err := range readInvalidSettings(t).Check() {
@@ -235,10 +237,11 @@
 	}
 }
 
-// TestSettings_defaultsAreStable holds the defaults of what the operators' file leaves out.
+// TestSettings_defaultsAreStable checks that the defaults of settings that are left out do not
+// change.
 func TestSettings_defaultsAreStable(t *testing.T) {
 	got := fmt.Sprint(Settings{}.WithDefaults())
 	if want := "{false [] 0 map[] 0.8 10 0.25 0.05 0.6 2 0.02}"; got != want {
-		t.Errorf("the defaults are %s, not %s", got, want)
+		t.Errorf("the defaults are %s, want %s", got, want)
 	}
 }
--- a/internal/control/failover/invariants_test.go
+++ b/internal/control/failover/invariants_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestMain has rapid draw from a fixed seed, so that each run gives the same result.
+// TestMain sets rapid's seed, so that each run generates the same cases.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "2026"); err != nil {
 		panic(err)
@@ -20,8 +20,9 @@
 	os.Exit(m.Run())
 }
 
-// simulate runs a drawn simulation through drawn faults with a controller under changed settings.
-// It returns the first invariant of the unchanged settings that is broken.
+// simulate runs a random simulation with random faults. The controller's settings and lease are
+// modified by change. simulate returns an error if a plan violates an invariant of the unmodified
+// settings.
 func simulate(seed uint64, change func(*Settings, *time.Duration)) error {
 	random := rand.New(rand.NewPCG(seed, 29))
 	sim := drawSimulation(random)
@@ -48,12 +49,12 @@
 	return nil
 }
 
-// sameRow tells whether two plans send a zone's requests alike.
+// sameRow reports whether two plans distribute a zone's requests in the same way.
 func sameRow(a, b *Plan, zone string) bool {
 	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
 }
 
-// lastMove is when a zone's requests last moved; 0: not yet.
+// lastMove returns the time at which a zone's requests last moved, or 0 if they never did.
 func lastMove(plans []writtenPlan, zone string) time.Duration {
 	for i := len(plans) - 1; i > 0; i-- {
 		if !sameRow(plans[i-1].plan, plans[i].plan, zone) {
@@ -63,8 +64,8 @@
 	return 0
 }
 
-// maxEarlier is the most that a pair gets by any plan before the latest that some gateway may still
-// act on.
+// maxEarlier returns the largest share of a receiver, in thousandths, in the earlier plans that
+// some gateway may still act on.
 func (s *simulation) maxEarlier(earlier []writtenPlan, fromZone, toZone string) float64 {
 	largest := 0
 	for i, written := range earlier {
@@ -75,8 +76,8 @@
 	return float64(largest)
 }
 
-// checkPlan checks a plan that was just written against what the settings promise, by the
-// controller's own estimates. The tests of situations show that these follow what the simulation
+// checkPlan checks a plan that was just written against the guarantees of the settings. It uses the
+// controller's own estimates. TestController_situations checks that these follow the simulation's
 // reports.
 func (s *simulation) checkPlan(earlier []writtenPlan, written writtenPlan, promised Settings) error {
 	for to := range s.zones {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// checkReceiver checks that requests of other zones load a zone no further than its capacity.
+// checkReceiver checks that requests of other zones do not load a zone above its capacity.
 func (s *simulation) checkReceiver(earlier []writtenPlan, plan *Plan, promised Settings, to int) error {
 	toZone := s.zones[to]
 	capacity, _ := s.controller.estimates.capacity(to, toZone)
@@ -118,24 +119,25 @@
 	}
 	slack := 0.01*capacity + 0.05
 	if ofOthers > slack && load > (promised.MaxUtilisation+1)/2*capacity+slack {
-		return fmt.Errorf("%s gets %.1f, %.1f of it from others, with a capacity of %.1f",
+		return fmt.Errorf("%s gets %.1f units a second, %.1f of them from other zones, capacity %.1f",
 			toZone, load, ofOthers, capacity)
 	}
 	if ofOthers > slack && both > max(capacity, previous)+slack {
-		return fmt.Errorf("%s gets %.1f by previous plans or the new one, %.1f by previous ones, capacity %.1f",
+		return fmt.Errorf("%s gets %.1f units a second by previous plans or the new one, %.1f by previous ones, "+
+			"capacity %.1f",
 			toZone, both, previous, capacity)
 	}
 	return nil
 }
 
-// checkRow checks that a zone's shares are whole: none is negative, they sum to all requests, and
-// no more is shed than is local.
+// checkRow checks that no share of a zone is negative, that its shares add up to all requests, and
+// that no more is shed than the local share.
 func checkRow(plan *Plan, zone string) error {
 	sum := 0
 	for _, share := range plan.Rows[zone] {
 		sum += share
 		if share < 0 {
-			return fmt.Errorf("a share of %s is %d", zone, share)
+			return fmt.Errorf("row of %s has a share of %d", zone, share)
 		}
 	}
 	if sum != fullShare || plan.Shed[zone] > plan.Rows[zone][zone] {
@@ -144,26 +146,27 @@
 	return nil
 }
 
-// checkMove checks that a zone's row moves no sooner, no further and for no other reason than the
-// settings promise.
+// checkMove checks that a zone's requests do not move within a hold-down without a failure, that
+// they do not move away from a healthy zone as lost, and that they return in steps.
 func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, promised Settings, zone string) error {
 	last := earlier[len(earlier)-1].plan
 	plan := written.plan
 	isOrdinary := plan.Reasons[zone] == reasonOrdinary
 	hasMoved := !sameRow(last, plan, zone)
 	if at := lastMove(earlier, zone); isOrdinary && at > 0 && written.at < at+promised.holdDown() && hasMoved {
-		return fmt.Errorf("%s moved at %v, and again", zone, at)
+		return fmt.Errorf("requests of %s moved at %v and again within the hold-down", zone, at)
 	}
 	for to, toZone := range s.zones {
 		isHealthy := written.at > s.faultAt+3*time.Second && s.healthy[to] > 0 && s.readyPower[to] > 0
 		if isHealthy && strings.Contains(plan.Reasons[zone], toZone+" is lost") && hasMoved {
-			return fmt.Errorf("%s leaves %s, which is healthy", zone, toZone)
+			return fmt.Errorf("requests of %s move away from %s as lost, although it is healthy", zone, toZone)
 		}
 	}
 	ownShare := func(plan *Plan) int { return plan.Rows[zone][zone] - plan.Shed[zone] }
 	rise := ownShare(plan) - ownShare(last)
 	if float64(rise) > promised.RecoveryStep*fullShare+21 && (last.Shed[zone] > 0 || isOrdinary) {
-		return fmt.Errorf("%s recovers by %d at once, from %+v to %+v", zone, rise, last, plan)
+		return fmt.Errorf("own share of %s grows by %d thousandths in one move, from %+v to %+v",
+			zone, rise, last, plan)
 	}
 	return nil
 }
@@ -182,8 +185,8 @@
 	}
 }
 
-// TestSimulate_findsSeededDefects checks that the simulation finds a controller that breaks an
-// invariant.
+// TestSimulate_findsSeededDefects checks that the simulation detects controllers with defects that
+// violate an invariant.
 func TestSimulate_findsSeededDefects(t *testing.T) {
 	for name, change := range map[string]func(*Settings, *time.Duration){
 		"plan above the receiver's capacity": func(s *Settings, _ *time.Duration) { s.MaxUtilisation = 1.3 },
@@ -198,17 +201,17 @@
 			t.Parallel()
 			for seed := range uint64(200) {
 				if err := simulate(seed, change); err != nil {
-					t.Logf("found after %d runs: %v", seed+1, err)
+					t.Logf("defect found after %d runs: %v", seed+1, err)
 					return
 				}
 			}
-			t.Error("not found in 200 runs")
+			t.Error("defect not found in 200 runs")
 		})
 	}
 }
 
-// TestController_sameObservationsSamePlan checks that the same sums give the same bytes: a plan
-// must not depend on the order of maps.
+// TestController_sameObservationsSamePlan checks that the same sums lead to a plan with the same
+// bytes: it must not depend on the iteration order of maps.
 func TestController_sameObservationsSamePlan(t *testing.T) {
 	var first []byte
 	for range 3 {
@@ -221,7 +224,7 @@
 			first = sim.entry.Value
 		}
 		if !bytes.Equal(first, sim.entry.Value) {
-			t.Fatal("another plan")
+			t.Fatal("the same observations led to different plans")
 		}
 	}
 }
--- a/internal/control/failover/layout_test.go
+++ b/internal/control/failover/layout_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// emptyLayout is a layout of so many zones in one region without demand, capacity, or limits of
-// links and steps.
+// emptyLayout returns a layout of n zones in one region, without demand, capacity, lost links, or
+// limits on rows.
 func emptyLayout(n int) *layout {
 	l := &layout{
 		maxUtilisation: 0.8, regionOf: make([]int, n), demand: make([]float64, n), capacity: make([]float64, n),
@@ -24,7 +24,8 @@
 	return l
 }
 
-// TestLayout_lessCapacityNeverGetsMore checks that a zone with less capacity never gets more.
+// TestLayout_lessCapacityNeverGetsMore checks that a zone is never allocated more than its maximum
+// utilisation, and that a zone whose capacity falls is not allocated more than before.
 func TestLayout_lessCapacityNeverGetsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "zones")
@@ -41,18 +42,19 @@
 		result.compute()
 		for zone, load := range result.loads {
 			if load > result.maxUtilisation*result.capacity[zone]+1e-6 {
-				t.Fatalf("zone %d gets %v with a capacity of %v", zone, load, result.capacity[zone])
+				t.Fatalf("zone %d gets %v, with a capacity of %v", zone, load, result.capacity[zone])
 			}
 		}
 		if result.loads[weaker] > before[weaker]+1e-6 {
-			t.Fatalf("zone %d gets %v, and got %v with more capacity", weaker, result.loads[weaker], before[weaker])
+			t.Fatalf("zone %d gets %v, but got only %v with more capacity",
+				weaker, result.loads[weaker], before[weaker])
 		}
 	})
 }
 
-// checkPreviousRows lays out a drawn situation with previous plans in force, and returns an error
-// where previous and new plans together may load a zone above its capacity. With reserve the layout
-// knows of the previous plans.
+// checkPreviousRows computes a random layout while previous plans are in use. It returns an error
+// if previous and new plans together may load a zone above its capacity. If reserve is false, the
+// layout is not given the previous plans.
 func checkPreviousRows(seed uint64, reserve bool) error {
 	random := rand.New(rand.NewPCG(seed, 3))
 	n := 2 + random.IntN(4)
@@ -66,7 +68,7 @@
 	if reserve {
 		result.previous = previous
 	}
-	for range 2 * n * n { // not used: keeps the draws below where they are in each seed's order
+	for range 2 * n * n { // unused values, so that each seed still generates the same case
 		random.Float64()
 	}
 	for zone := range n {
@@ -81,16 +83,16 @@
 			both += max(previous[from][to], result.allocation[from][to])
 		}
 		if both > max(before, result.capacity[to])+1e-6 {
-			return fmt.Errorf("zone %d: %.2f by previous and new, %.2f by previous, capacity %.2f",
-				to, both, before, result.capacity[to])
+			return fmt.Errorf("zone %d gets %.2f by previous plans or the new one, %.2f by previous ones, "+
+				"capacity %.2f", to, both, before, result.capacity[to])
 		}
 	}
 	return nil
 }
 
 // TestLayout_reservesForPreviousPlans checks that no zone gets more than its capacity while some
-// gateways act on the previous plan and some on the new one, and that the check finds a layout that
-// does not reserve for the previous plan.
+// gateways act on a previous plan and others on the new one. It also checks that checkPreviousRows
+// detects a layout that reserves no capacity for previous plans.
 func TestLayout_reservesForPreviousPlans(t *testing.T) {
 	found := uint64(0)
 	for seed := range uint64(500) {
@@ -103,6 +105,6 @@
 	}
 	t.Logf("seeded defect found after %d runs", found)
 	if found == 0 {
-		t.Error("the seeded defect is not found")
+		t.Error("the seeded defect was not found")
 	}
 }
--- a/internal/control/failover/plan_test.go
+++ b/internal/control/failover/plan_test.go
@@ -8,8 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPlan_roundTrip checks that a plan is the same after it was stored, and has the same bytes
-// again.
+// TestPlan_roundTrip checks that decoding and encoding a stored plan results in the same bytes.
 func TestPlan_roundTrip(t *testing.T) {
 	sim := threeZones(3)
 	sim.run(6 * time.Second)
@@ -27,16 +26,17 @@
 
 func TestDecodePlan_withoutPlan(t *testing.T) {
 	if plan, err := DecodePlan(nil); plan != nil || err != nil {
-		t.Errorf("no value is %v, %v", plan, err)
+		t.Errorf("an empty value is decoded to %v, %v", plan, err)
 	}
 	if plan, err := DecodePlan([]byte("malformed")); plan != nil || err == nil {
-		t.Errorf("a malformed value is %v, %v", plan, err)
+		t.Errorf("a malformed value is decoded to %v, %v", plan, err)
 	}
 }
 
-// TestFallback_partitionNeverOverloadsThirdZone checks a partition: gateways with a plan act on it,
-// those without on what an earlier plan reserved. Whichever gateways are cut off, and however old
-// their plans are, requests of other zones load no zone above its capacity.
+// TestFallback_partitionNeverOverloadsThirdZone checks network partitions in which some gateways
+// act on the latest plan and others on the fallback shares of an earlier plan. Regardless of which
+// gateways are cut off and how old their plans are, the requests of other zones must not load a
+// zone above its capacity.
 func TestFallback_partitionNeverOverloadsThirdZone(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 4))
@@ -53,15 +53,16 @@
 			own := float64(sim.latest().Rows[toZone][toZone]-sim.latest().Shed[toZone]) / fullShare * sim.demand[to]
 			capacity := sim.readyPower[to] * sim.settings.Capacity
 			if ofOthers > 1 && ofOthers+min(own, 0.8*capacity) > capacity*1.02 {
-				t.Errorf("seed %d: %s gets %.1f of others, %.1f of its own, with a capacity of %.1f",
+				t.Errorf("seed %d: %s gets %.1f units a second from other zones, %.1f from its own, capacity %.1f",
 					seed, toZone, ofOthers, own, capacity)
 			}
 		}
 	}
 }
 
-// partitionedLoad is what a zone gets from others, in units a second, where a drawn part of each
-// zone's gateways is without the latest plan and falls back on a drawn earlier one.
+// partitionedLoad returns the rate that a zone gets from other zones, in units a second, while a
+// random part of each zone's gateways does not have the latest plan and uses the fallback shares of
+// a random earlier one.
 func (s *simulation) partitionedLoad(random *rand.Rand, to int) float64 {
 	load := 0.0
 	for from, fromZone := range s.zones {
--- a/internal/control/failover/routing/golden_test.go
+++ b/internal/control/failover/routing/golden_test.go
@@ -11,26 +11,27 @@
 	"harrierhoist/internal/testing/golden"
 )
 
-// goldenSteering are the hashes of all that the dispatcher is handed along drawn streams of plans,
-// by seed.
+// goldenSteering contains the hashes of the steering that is set during random streams of plans, by
+// seed.
 var goldenSteering = map[uint64]string{
 	2026: "dacb9615976f25e655c5d373b827599a75815584940a19cfea14048edbbdc32b",
 	12:   "8f901b3878bdcdc348bd13dd63b9abccd1e6456a51b9b63221a71ea91b1a261f",
 }
 
-// TestUpdater_drawnStreamSteersAsBefore holds what the dispatcher is handed along drawn streams of
-// plans, leases and losses.
+// TestUpdater_drawnStreamSteersAsBefore checks that the steering set during random streams of
+// plans, leases and zone losses does not change between versions.
 func TestUpdater_drawnStreamSteersAsBefore(t *testing.T) {
 	for _, seed := range []uint64{2026, 12} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			if got := steerDrawn(t, seed); got != goldenSteering[seed] {
-				t.Errorf("the steering hashes to %s, not %s", got, goldenSteering[seed])
+				t.Errorf("the hash of the steering is %s, want %s", got, goldenSteering[seed])
 			}
 		})
 	}
 }
 
-// steerDrawn takes 600 steps of drawn plans and hashes what the dispatcher holds after each.
+// steerDrawn runs 600 steps with random plans and returns a hash of the dispatcher's steering after
+// each of them.
 func steerDrawn(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 41))
@@ -45,7 +46,7 @@
 		case 2:
 			epoch++
 			f.setTable(t, epoch, drawnPlan(random))
-			f.table.Value = f.table.Value[:random.IntN(len(f.table.Value))] // cut short or empty
+			f.table.Value = f.table.Value[:random.IntN(len(f.table.Value))] // truncated or empty
 		case 3:
 			f.table.LeaseEnd = f.now + time.Duration(random.IntN(3000))*time.Millisecond
 		case 4:
@@ -62,7 +63,7 @@
 	return sum.String()
 }
 
-// drawnPlan draws a plan, also with zones that the endpoint list does not have.
+// drawnPlan returns a random plan. It may contain a zone that the endpoint list does not.
 func drawnPlan(random *rand.Rand) *failover.Plan {
 	plan := &failover.Plan{
 		Rows: map[string]map[string]int{}, Fallback: map[string]map[string]int{}, Health: map[string]int{},
--- a/internal/control/failover/routing/updater_test.go
+++ b/internal/control/failover/routing/updater_test.go
@@ -18,7 +18,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// fake stands in for the shared tables and for the dispatcher.
+// fake implements both coordination.Client and Dispatcher.
 type fake struct {
 	mu               sync.Mutex
 	now              time.Duration
@@ -29,7 +29,7 @@
 	leased           dispatch.Steering
 	fallback         dispatch.Steering
 	leaseEnd         time.Duration
-	applied          int // how often steering was set
+	applied          int // number of calls of SetSteering
 }
 
 func (f *fake) Now() time.Duration { return f.now }
@@ -56,7 +56,7 @@
 	f.applied++
 }
 
-// inForce is how the dispatcher acts now.
+// inForce returns the steering that applies at the current time.
 func (f *fake) inForce() dispatch.Steering {
 	if f.now >= f.leaseEnd {
 		return f.fallback
@@ -64,7 +64,7 @@
 	return f.leased
 }
 
-// setTable has a plan in force for two seconds.
+// setTable stores a plan in the table, with a lease of two seconds.
 func (f *fake) setTable(t *testing.T, epoch uint64, plan *failover.Plan) {
 	t.Helper()
 	value, err := plan.Encode()
@@ -95,7 +95,7 @@
 	isClose := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 	got := f.inForce()
 	if !isClose(got.ShedFraction, shed) || !slices.EqualFunc(got.Weights, weights, isClose) {
-		t.Errorf("%s: %+v, want %v and %v shed", when, got, weights, shed)
+		t.Errorf("%s: steering %+v, want weights %v and %v shed", when, got, weights, shed)
 	}
 }
 
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestUpdate_planForItsLeaseThenLocal checks that a gateway acts on a plan until its lease ends and
-// then serves locally, without another update, and that each change is logged once.
+// TestUpdate_planForItsLeaseThenLocal checks that a gateway acts on a plan until its lease ends,
+// that it then serves locally without another update, and that each change is logged once.
 func TestUpdate_planForItsLeaseThenLocal(t *testing.T) {
 	f, u, lines := newFixture(t)
 	u.Update()
@@ -125,54 +125,55 @@
 	u.Update()
 	f.wantSteering(t, "after the lease", 0, 1, 0, 0)
 	if n := lines.FilterMessage("routing: no plan in force, serving locally").Len(); n != 2 || lines.Len() != 4 {
-		t.Errorf("lines %v", lines.All())
+		t.Errorf("unexpected log lines: %v", lines.All())
 	}
 	if f.applied != 3 {
-		t.Errorf("steering was set %d times", f.applied)
+		t.Errorf("steering was set %d times, want 3", f.applied)
 	}
 }
 
-// TestUpdate_fallbackWithOwnZoneLost checks that a gateway without a plan in force, and with its
-// own zone lost, sends to other zones what the last plan reserved for that.
+// TestUpdate_fallbackWithOwnZoneLost checks that a gateway whose own zone is lost uses the fallback
+// shares of the last plan if no plan is in force.
 func TestUpdate_fallbackWithOwnZoneLost(t *testing.T) {
 	f, u, _ := newFixture(t)
 	f.zoneLost = true
 	u.Update()
-	f.wantSteering(t, "lost, and never a plan", 0.95, 0.05, 0, 0)
+	f.wantSteering(t, "zone lost, before the first plan", 0.95, 0.05, 0, 0)
 	f.setTable(t, 1, testPlan)
 	u.Update()
-	f.wantSteering(t, "the plan goes first", 0, 0.25, 0.75, 0)
+	f.wantSteering(t, "zone lost, plan in force", 0, 0.25, 0.75, 0)
 	f.now += 3 * time.Second
 	u.Update()
-	f.wantSteering(t, "what was reserved", 0.8, 0.05, 0.1, 0.05)
+	f.wantSteering(t, "zone lost, after the lease", 0.8, 0.05, 0.1, 0.05)
 }
 
-// TestUpdate_malformedPlan checks that a malformed value is no plan, and that the next plan is
-// followed.
+// TestUpdate_malformedPlan checks that a malformed value counts as no plan, and that the next plan
+// is applied.
 func TestUpdate_malformedPlan(t *testing.T) {
 	f, u, lines := newFixture(t)
 	f.setTable(t, 1, testPlan)
 	f.table.Value = []byte("malformed")
 	u.Update()
-	f.wantSteering(t, "malformed", 0, 1, 0, 0)
+	f.wantSteering(t, "with a malformed plan", 0, 1, 0, 0)
 	if lines.FilterMessage("routing: malformed plan, serving locally").Len() != 1 {
-		t.Errorf("lines %v", lines.All())
+		t.Errorf("unexpected log lines: %v", lines.All())
 	}
 	f.setTable(t, 2, testPlan)
 	u.Update()
-	f.wantSteering(t, "the next plan", 0, 0.25, 0.75, 0)
+	f.wantSteering(t, "with the next plan", 0, 0.25, 0.75, 0)
 }
 
-// TestUpdate_unknownZone checks that the share of a zone that the endpoint list does not have is
+// TestUpdate_unknownZone checks that the share of a zone that the endpoint list does not contain is
 // shed.
 func TestUpdate_unknownZone(t *testing.T) {
 	f, u, _ := newFixture(t)
 	f.setTable(t, 2, &failover.Plan{Rows: map[string]map[string]int{"a": {"a": 400, "x": 600}}})
 	u.Update()
-	f.wantSteering(t, "unknown zone", 0.6, 0.4, 0, 0)
+	f.wantSteering(t, "with an unknown zone", 0.6, 0.4, 0, 0)
 }
 
-// TestRun_appliesChanges checks that Run applies changes at once, and leaves no goroutine behind.
+// TestRun_appliesChanges checks that Run sets the steering at its start and after a change of the
+// table, and that it leaves no goroutine behind.
 func TestRun_appliesChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f, u, _ := newFixture(t)
--- a/internal/control/failover/settings_test.go
+++ b/internal/control/failover/settings_test.go
@@ -8,18 +8,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestCheck_reportsAllErrors checks that all that is wrong is reported at once, by key and with
-// what is allowed.
+// TestCheck_reportsAllErrors checks that one call reports all invalid settings, with their keys and
+// the allowed values.
 func TestCheck_reportsAllErrors(t *testing.T) {
 	settings := readInvalidSettings(t)
 	var keys []string
 	for _, err := range settings.Check() {
 		if !strings.Contains(err.Error(), " is wanted, not ") {
-			t.Errorf("%q does not say what is allowed", err)
+			t.Errorf("%q does not state what is allowed", err)
 		}
 		var wrong *SettingError
 		if !errors.As(err, &wrong) || !strings.HasPrefix(err.Error(), "failover."+wrong.Key+": ") {
-			t.Errorf("%q does not name its key", err)
+			t.Errorf("%q does not start with its key", err)
 			continue
 		}
 		keys = append(keys, wrong.Key)
@@ -34,7 +34,7 @@
 	}
 	settings.Enabled = false
 	if len(settings.Check()) > 0 {
-		t.Error("what is not enabled is wrong")
+		t.Error("errors for settings that are not enabled")
 	}
 	if wrong := threeZones(1).settings.Check(); len(wrong) > 0 {
 		t.Error(wrong)
--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -11,25 +11,25 @@
 	"harrierhoist/internal/coordination/statemachine"
 )
 
-// tick is how often the simulation's gateways report and its controller decides.
+// tick is the interval at which the simulation's gateways report and its controller decides.
 const tick = 100 * time.Millisecond
 
-// simulation is zones with gateways that report what they observe of them, as sums that a
-// controller goes by. Plans are checked against what is true in the simulation, not against what
-// the controller holds to be true. Slices are by zone index.
+// simulation simulates zones whose gateways report their observations as merged sums to a
+// controller. Tests compare plans with the simulated state of the zones, not with the controller's
+// estimates. Slices are indexed by zone.
 type simulation struct {
 	zones        []string
-	gateways     []int
+	gateways     []int           // number of gateways
 	demand       []float64       // units a second that quotas admit, attempted or not
-	unadmitted   map[int]float64 // by zone, units a second that quotas reject
-	readyPower   []float64       // as listed
-	healthy      []float64       // part of it that answers
-	lostLinks    map[[2]int]bool
-	blindGateway map[int]bool // zones whose first gateway sees no answer and has an empty list
-	silent       map[int]bool // zones whose gateways' digests do not arrive
+	unadmitted   map[int]float64 // units a second that quotas reject, by zone
+	readyPower   []float64       // power of the listed servers
+	healthy      []float64       // part of the listed power that answers
+	lostLinks    map[[2]int]bool // lost links, by sender and receiver
+	blindGateway map[int]bool    // zones whose first gateway gets no answer and has an empty list
+	silent       map[int]bool    // zones whose gateways' digests do not arrive
 	now          time.Duration
-	faultAt      time.Duration // when something last changed
-	sums         map[string]uint64
+	faultAt      time.Duration     // time of the last change to the simulated state
+	sums         map[string]uint64 // merged counts of all gateways
 	entry        statemachine.Table
 	lease        time.Duration
 	settings     Settings
@@ -37,14 +37,14 @@
 	plans        []writtenPlan
 }
 
-// writtenPlan is a plan and when it was written.
+// writtenPlan is a plan and the time at which it was written.
 type writtenPlan struct {
 	at   time.Duration
 	plan *Plan
 }
 
-// threeZones is three zones in two regions with so many gateways each, and a capacity of 100 units
-// a second each.
+// threeZones returns three zones in two regions. Each has the given number of gateways, a capacity
+// of 100 units a second and a demand of 50.
 func threeZones(gateways int) *simulation {
 	sim := &simulation{
 		lostLinks: map[[2]int]bool{}, blindGateway: map[int]bool{}, silent: map[int]bool{}, sums: map[string]uint64{},
@@ -69,7 +69,7 @@
 	s.healthy = append(s.healthy, 1)
 }
 
-// drawSimulation draws two to five zones in up to three regions.
+// drawSimulation returns a simulation of two to five random zones in up to three regions.
 func drawSimulation(random *rand.Rand) *simulation {
 	sim := threeZones(0)
 	sim.zones, sim.gateways, sim.demand, sim.readyPower, sim.healthy = nil, nil, nil, nil, nil
@@ -88,7 +88,7 @@
 	return sim
 }
 
-// injectFault draws a change and says what is true after it.
+// injectFault makes a random change and returns a description of the resulting state.
 func (s *simulation) injectFault(random *rand.Rand) string {
 	n := len(s.zones)
 	zone := random.IntN(n)
@@ -115,12 +115,12 @@
 		s.healthy, s.readyPower, s.demand, s.lostLinks, s.silent, s.blindGateway)
 }
 
-// newLeader has a new controller start.
+// newLeader replaces the controller by a new one.
 func (s *simulation) newLeader() { s.controller = New(s.settings, s.lease) }
 
 func (s *simulation) add(name string, n float64) { s.sums[name] += uint64(n) }
 
-// share is the part of a zone's requests sent to another by the plan in force.
+// share returns the part of a zone's requests that the plan in force sends to another zone.
 func (s *simulation) share(from, to int) float64 {
 	if len(s.plans) == 0 {
 		return map[bool]float64{true: 1}[from == to]
@@ -133,10 +133,10 @@
 	return share / fullShare
 }
 
-// latest is the plan in force.
+// latest returns the plan in force. There must be one.
 func (s *simulation) latest() *Plan { return s.plans[len(s.plans)-1].plan }
 
-// report has all gateways count a tick.
+// report adds the counts of all gateways for one tick.
 func (s *simulation) report() {
 	milliseconds := float64(tick / time.Millisecond)
 	for from, fromZone := range s.zones {
@@ -146,14 +146,15 @@
 		s.add(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
 		s.add(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
 		s.add(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
-		s.add(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // a hundred attempts a second
+		s.add(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // 100 attempts a second
 		for gateway := range s.gateways[from] {
 			s.reportGateway(from, gateway == 0 && s.blindGateway[from], milliseconds)
 		}
 	}
 }
 
-// reportGateway has one gateway count what it observes of all zones in so many milliseconds.
+// reportGateway adds the counts of one gateway's observations of all zones during a time in
+// milliseconds.
 func (s *simulation) reportGateway(from int, isBlind bool, milliseconds float64) {
 	for to, toZone := range s.zones {
 		power := s.readyPower[to]
@@ -173,7 +174,7 @@
 	}
 }
 
-// run lets time pass, and gives the plans written meanwhile.
+// run advances the time by a span and returns the plans written meanwhile.
 func (s *simulation) run(span time.Duration) []writtenPlan {
 	first := len(s.plans)
 	for end := s.now + span; s.now < end; {
@@ -182,7 +183,7 @@
 	return s.plans[first:]
 }
 
-// step lets a tick pass, and gives what the controller decided.
+// step advances the time by one tick and returns the controller's decision.
 func (s *simulation) step() (value []byte, write bool) {
 	s.now += tick
 	s.report()
@@ -199,7 +200,7 @@
 	return value, write
 }
 
-// load is what is sent to a zone by the plan in force, in units a second.
+// load returns the rate that the plan in force sends to a zone, in units a second.
 func (s *simulation) load(to int) float64 {
 	sum := 0.0
 	for from := range s.zones {
@@ -211,14 +212,15 @@
 func (s *simulation) wantBetween(t *testing.T, what string, got, least, most float64) {
 	t.Helper()
 	if got < least || got > most {
-		t.Errorf("%s is %.3f, not from %.3f to %.3f; the plan: %+v", what, got, least, most, s.latest())
+		t.Errorf("%s is %.3f, want %.3f to %.3f; plan in force: %+v", what, got, least, most, s.latest())
 	}
 }
 
-// isLocal tells whether all of a zone's requests stay there.
+// isLocal reports whether all of a zone's requests stay in the zone.
 func (p *Plan) isLocal(zone string) bool {
 	return len(p.Rows[zone]) == 0 || p.Rows[zone][zone] == fullShare
 }
 
-// isAllLocal tells whether all requests of the simulation's three zones stay where they come in.
+// isAllLocal reports whether all requests of the zones a, b and c stay in the zone at which they
+// arrive.
 func (p *Plan) isAllLocal() bool { return p.isLocal("a") && p.isLocal("b") && p.isLocal("c") }
--- a/internal/control/failover/situations_test.go
+++ b/internal/control/failover/situations_test.go
@@ -14,7 +14,7 @@
 //go:embed situations.toml
 var situationRows []byte
 
-// situation is a row of situations.toml, whose head explains its keys.
+// situation is a row of situations.toml. The comment at the top of that file explains the keys.
 type situation struct {
 	Name       string             `toml:"name"`
 	Gateways   int                `toml:"gateways"`
@@ -32,7 +32,8 @@
 	Slack      float64            `toml:"slack"`
 }
 
-// TestController_situations runs each row of the file and checks what the row names.
+// TestController_situations simulates each row of situations.toml and compares the plan with the
+// values that the row states.
 func TestController_situations(t *testing.T) {
 	var file struct {
 		Rows []situation `toml:"row"`
@@ -49,7 +50,7 @@
 	}
 }
 
-// run makes three zones, and what the row says true of them.
+// run simulates three zones under the conditions of the row.
 func (s *situation) run() *simulation {
 	gateways := s.Gateways
 	if gateways == 0 {
@@ -64,7 +65,7 @@
 	for zone, demand := range s.Unadmitted {
 		sim.unadmitted[index(zone)] = demand
 	}
-	sim.run(25 * time.Second) // demand changes before the faults do
+	sim.run(25 * time.Second) // the estimates of demand settle before the faults start
 	for zone, part := range s.Healthy {
 		sim.healthy[index(zone)] = part
 	}
@@ -84,7 +85,7 @@
 	return sim
 }
 
-// check compares the plan in force with the row.
+// check compares the plan in force with the values that the row states.
 func (s *situation) check(t *testing.T, sim *simulation) {
 	t.Helper()
 	plan := sim.latest()
@@ -96,18 +97,18 @@
 			got -= plan.Shed[fromZone]
 		}
 		if math.Abs(float64(got-share)) > slack {
-			t.Errorf("%s to %s: %d, not %d (%v, shed %v: %v)",
+			t.Errorf("share of %s sent to %s is %d, want %d (rows %v, shed %v, reasons %v)",
 				fromZone, toZone, got, share, plan.Rows, plan.Shed, plan.Reasons)
 		}
 	}
 	for zone, share := range s.Shed {
 		if math.Abs(float64(plan.Shed[zone]-share)) > slack {
-			t.Errorf("%s sheds %d, not %d", zone, plan.Shed[zone], share)
+			t.Errorf("%s sheds %d, want %d", zone, plan.Shed[zone], share)
 		}
 	}
 	for _, zone := range sim.zones {
 		if isLost := plan.Health[zone] == 0; isLost != slices.Contains(s.Lost, zone) {
-			t.Errorf("%s is lost: %v", zone, isLost)
+			t.Errorf("%s is lost by the plan: %v, want %v", zone, isLost, !isLost)
 		}
 	}
 }
