--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -68,10 +68,9 @@
 }
 
 // fallbackRows returns the shares, in thousandths, that gateways without a plan may send to other
-// zones. Plans use at most MaxUtilisation of a zone's capacity. The rest of the capacity is
-// reserved for gateways without a plan and divided evenly among all other zones, so that the zone
-// is not overloaded whichever of them have no plan. Shares are assigned to the nearest receivers
-// first.
+// zones. Plans use at most MaxUtilisation of a zone's capacity. The remaining capacity is reserved
+// for gateways without a plan. It is divided evenly among all other zones, so that the zone is not
+// overloaded even if none of them has a plan. Shares are assigned to the nearest receivers first.
 func (in *planInput) fallbackRows() map[string]map[string]int {
 	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -1,8 +1,8 @@
-// Package failover decides to which zones the requests that arrive at a zone are sent, based on the
-// observations of all gateways. The leader calls Controller.Decide, which turns merged observations
-// into a Plan. Gateways act on the plan while they hold a lease on it. The package does no I/O and
-// uses neither clocks nor randomness: the same observations lead to the same plans.
-// docs/failover.md compares it with other designs.
+// Package failover plans how the requests that arrive at each zone are distributed over zones. It
+// is based on the observations of all gateways. The leader calls Controller.Decide, which turns
+// merged observations into a Plan. Gateways act on the plan while they hold a lease on it. The
+// package does no I/O and uses neither clocks nor randomness: the same observations lead to the
+// same plans. docs/failover.md compares it with other designs.
 package failover
 
 import (
--- a/internal/control/failover/invariants_test.go
+++ b/internal/control/failover/invariants_test.go
@@ -123,8 +123,7 @@
 			toZone, load, ofOthers, capacity)
 	}
 	if ofOthers > slack && both > max(capacity, previous)+slack {
-		return fmt.Errorf("%s gets %.1f units a second by previous plans or the new one, %.1f by previous ones, "+
-			"capacity %.1f",
+		return fmt.Errorf("%s gets %.1f units a second by previous or new plans, %.1f by previous ones, capacity %.1f",
 			toZone, both, previous, capacity)
 	}
 	return nil
--- a/internal/control/failover/layout_test.go
+++ b/internal/control/failover/layout_test.go
@@ -83,8 +83,8 @@
 			both += max(previous[from][to], result.allocation[from][to])
 		}
 		if both > max(before, result.capacity[to])+1e-6 {
-			return fmt.Errorf("zone %d gets %.2f by previous plans or the new one, %.2f by previous ones, "+
-				"capacity %.2f", to, both, before, result.capacity[to])
+			return fmt.Errorf("zone %d gets %.2f by previous or new plans, %.2f by previous ones, capacity %.2f",
+				to, both, before, result.capacity[to])
 		}
 	}
 	return nil
--- a/internal/control/failover/situations_test.go
+++ b/internal/control/failover/situations_test.go
@@ -108,7 +108,7 @@
 	}
 	for _, zone := range sim.zones {
 		if isLost := plan.Health[zone] == 0; isLost != slices.Contains(s.Lost, zone) {
-			t.Errorf("%s is lost by the plan: %v, want %v", zone, isLost, !isLost)
+			t.Errorf("the plan states that %s is lost: %v, want the opposite", zone, isLost)
 		}
 	}
 }
