--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -25,7 +25,7 @@
 	settings   Settings
 	lease      time.Duration // longest time that a gateway acts on a plan after the next one is written
 	zones      []string
-	regionOf   []int // by zone, the index of its region
+	regionOf   []int // index of a zone's region, by zone
 	countNames *countNames
 	samples    samples
 	estimates  *estimates
@@ -134,8 +134,8 @@
 	return rows
 }
 
-// restoreEstimates initializes a new leader's estimates with the demand, the lost zones and the
-// lost links of the plan in force. Observations replace them.
+// restoreEstimates initializes a new leader's estimates with the demand, the failing zones and the
+// lost links of the plan in force. Later observations replace them.
 func (c *Controller) restoreEstimates(now time.Duration, plan *Plan) {
 	c.estimates.demandRestored = true
 	for i, zone := range c.zones {
--- a/internal/control/failover/demand.go
+++ b/internal/control/failover/demand.go
@@ -13,14 +13,14 @@
 	// demandFallTime is the time constant for falling demand in a zone that serves its own requests
 	// and is not full.
 	demandFallTime = 5 * time.Second
-	// minSmoothedAttempts is the minimum number of attempts that the smoothing covers. It prevents
-	// random variation from looking like a flood in a zone with few requests.
+	// minSmoothedAttempts is the minimum average number of attempts within a time constant. It
+	// prevents random variation from looking like a flood in a zone with few requests.
 	minSmoothedAttempts = 80.0
 	// maxQuietSmoothing is the longest time constant that minSmoothedAttempts may lead to.
 	maxQuietSmoothing = 20 * time.Second
-	// constrainedFallTime is the time constant for falling demand in a zone that is lost or full.
-	// Such a zone temporarily admits less than it will later. If its demand fell sooner, a receiver
-	// could be filled with other requests in the meantime.
+	// constrainedFallTime is the time constant for falling demand in any other zone. A zone that is
+	// lost or full temporarily admits less than it will later. A shorter time constant would let a
+	// receiver fill up in the meantime.
 	constrainedFallTime = 20 * time.Second
 	// silentFallTime is the time constant for demand in a zone whose gateways report nothing. They
 	// may be cut off from the voters only, and still be sending requests.
--- a/internal/control/failover/layout.go
+++ b/internal/control/failover/layout.go
@@ -13,8 +13,8 @@
 	lostLinks      [][]bool    // links that must not be used
 	previous       [][]float64 // highest rates that gateways without the latest plan may still send
 	fixed          [][]float64 // rows that stay unchanged; nil for a row to be computed
-	low            [][]float64 // in a row to be computed: rate that stays at the receiver
-	high           [][]float64 // in a row to be computed: highest rate that the receiver may get
+	low            [][]float64 // lowest rates of receivers in rows to be computed
+	high           [][]float64 // highest rates of receivers in rows to be computed
 	probes         []float64   // rate of probes to the sender's own zone while it is avoided
 	liftLocal      []bool      // the own zone may exceed high with demand that fits nowhere else
 
@@ -22,7 +22,7 @@
 	allocation [][]float64
 	unplaced   []float64 // demand not yet allocated, by sender
 	loads      []float64 // allocated rate, by receiver
-	spare      []float64 // capacity beyond what previous plans may still send, by receiver
+	spare      []float64 // capacity that previous plans do not take up, by receiver
 }
 
 // tier is the proximity of a receiver to a sender. Nearer tiers are filled first.
@@ -59,7 +59,7 @@
 	}
 }
 
-// reset clears the result. The spare capacity is what previous plans leave.
+// reset clears the result. It subtracts the rates of previous plans from the unreserved capacity.
 func (l *layout) reset() {
 	n := len(l.demand)
 	l.allocation = make([][]float64, n)
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -20,15 +20,16 @@
 type zoneRow struct {
 	shares []int // shares by receiver, in thousandths
 	shed   int   // thousandths of all of the zone's requests; part of the own zone's share
-	moves  bool  // the row may change; layOut clears it if the change is too small
+	moves  bool  // the row may differ from the plan in force
 }
 
 // mustLeave reports whether a zone's requests must move away from some receiver regardless of
 // hold-down.
 func (in *planInput) mustLeave(from int) bool { return slices.Contains(in.toLeave[from], true) }
 
-// canMove reports whether a zone's requests may move without a failure or an overload. It is false
-// for a zone whose gateways report nothing, as it is not known what they do.
+// canMove reports whether a zone's requests may move without a failure or an overload. They may not
+// in hold-down or before the demand is known. They also may not while the zone's gateways report
+// nothing, as it is not known what these gateways do.
 func (in *planInput) canMove(from int) bool {
 	return in.estimates.isSettled(from) && in.estimates.isReporting[from] && !in.isHeldDown(from, in.now)
 }
--- a/internal/control/failover/share_out.go
+++ b/internal/control/failover/share_out.go
@@ -36,7 +36,7 @@
 
 // grantedPart returns the part, 0 to 1, of the requested rate that a receiver takes. The receiver's
 // load stays within its maximum utilisation, and the part of the rate that exceeds previous plans
-// stays within its spare capacity.
+// stays within its unreserved capacity.
 func (l *layout) grantedPart(to int, asked, excess float64) float64 {
 	granted := 1.0
 	free := max(l.maxUtilisation*l.capacity[to]-l.loads[to], 0)
