--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -15,8 +15,8 @@
 const tick = 100 * time.Millisecond
 
 // simulation simulates zones whose gateways report their observations as merged sums to a
-// controller. Tests compare plans with the simulated state of the zones, not with the controller's
-// estimates. Slices are indexed by zone.
+// controller. Most tests compare plans with the simulated state of the zones, not with the
+// controller's estimates. Slices are indexed by zone.
 type simulation struct {
 	zones        []string
 	gateways     []int           // number of gateways
