--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -39,7 +39,7 @@
 			plan.Shed[fromZone] = rows[from].shed
 		}
 		if rows[from].moves {
-			plan.Reasons[fromZone] = in.reason(from)
+			plan.Reasons[fromZone] = in.moveReason(from)
 		} else if in.plan.Reasons[fromZone] != "" {
 			plan.Reasons[fromZone] = in.plan.Reasons[fromZone]
 		}
@@ -47,12 +47,12 @@
 	return plan
 }
 
-// reason returns why a zone's row moves, in words for operators.
-func (in *planInput) reason(from int) string {
+// moveReason returns why a zone's row moves, in words for operators.
+func (in *planInput) moveReason(from int) string {
 	var reasons []string
 	for to, toZone := range in.zones {
 		switch {
-		case !in.toLeave[from][to]:
+		case !in.mustMoveAway[from][to]:
 		case in.lostLinks[from][to]:
 			reasons = append(reasons, toZone+reasonLinkLost)
 		case in.isZoneLost(to):
@@ -75,16 +75,16 @@
 	rows := map[string]map[string]int{}
 	for from, fromZone := range in.zones {
 		row := map[string]int{}
-		rest := fullShare
+		remaining := fullShare
 		for _, t := range []tier{tierRegion, tierRemote} {
 			for to, toZone := range in.zones {
 				if tierOf(in.regionOf, from, to) != t || in.lostLinks[from][to] {
 					continue
 				}
 				reserve := (1 - in.settings.MaxUtilisation) * in.capacity[to] / float64(len(in.zones)-1)
-				if share := min(int(reserve/in.demand[from]*fullShare), rest); share > 0 {
+				if share := min(int(reserve/in.demand[from]*fullShare), remaining); share > 0 {
 					row[toZone] = share
-					rest -= share
+					remaining -= share
 				}
 			}
 		}
--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -30,14 +30,14 @@
 	samples    samples
 	estimates  *estimates
 
-	started       bool            // adoptPlan was called at least once
-	epoch         uint64          // epoch of the plan in force
-	noPlan        bool            // no plan is in force: all zones are assumed to serve locally
-	plan          *Plan           // plan in force; an empty plan if there is none
-	rows          [][]int         // rows of the plan in force, by zone index, in thousandths
-	holdDownUntil []time.Duration // end of the hold-down by zone; 0 without one; see isHeldDown
-	previousUntil time.Duration   // end of the leases on earlier plans; see isPreviousInUse
-	planSince     time.Duration   // time at which this controller adopted the plan in force
+	started            bool            // adoptPlan was called at least once
+	epoch              uint64          // epoch of the plan in force
+	noPlan             bool            // no plan is in force: all zones are assumed to serve locally
+	plan               *Plan           // plan in force; an empty plan if there is none
+	rows               [][]int         // rows of the plan in force, by zone index, in thousandths
+	holdDownUntil      []time.Duration // end of the hold-down by zone; 0 without one; see isHeldDown
+	previousInUseUntil time.Duration   // end of the leases on earlier plans; see isPreviousInUse
+	planAdoptedAt      time.Duration   // time at which this controller adopted the plan in force
 }
 
 // New returns a controller. The lease is the longest time that a gateway acts on a plan after
@@ -64,7 +64,7 @@
 func (c *Controller) isHeldDown(zone int, now time.Duration) bool { return c.holdDownUntil[zone] > now }
 
 // isPreviousInUse reports whether some gateways may still act on a plan before the one in force.
-func (c *Controller) isPreviousInUse(now time.Duration) bool { return now < c.previousUntil }
+func (c *Controller) isPreviousInUse(now time.Duration) bool { return now < c.previousInUseUntil }
 
 // Decide returns the stored form of the next plan. If the plan in force stays, write is false. The
 // leader calls Decide about ten times a second. While no plan is in force, Decide writes none until
@@ -73,7 +73,7 @@
 	if table := input.Table(Table); !c.started || table.Epoch != c.epoch {
 		c.adoptPlan(now, table)
 	}
-	if !c.samples.add(c.countNames.sample(now, input.Sums)) || !c.estimates.update(c.samples) {
+	if !c.samples.add(c.countNames.newSample(now, input.Sums)) || !c.estimates.update(c.samples) {
 		return nil, false
 	}
 	if c.noPlan && now < c.estimates.firstSampleAt+demandRiseTime {
@@ -111,8 +111,8 @@
 	c.epoch = table.Epoch
 	c.plan = plan
 	c.rows = rows
-	c.previousUntil = now + c.lease
-	c.planSince = now
+	c.previousInUseUntil = now + c.lease
+	c.planAdoptedAt = now
 }
 
 // rowsOf returns a plan's rows by zone index, in thousandths. A zone whose row is missing, or whose
--- a/internal/control/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -10,9 +10,9 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// calmSimulation returns three zones without faults, after enough time for a first plan, in which
-// all zones serve locally.
-func calmSimulation(t *testing.T, gateways int) *simulation {
+// settledSimulation returns three zones without faults, after enough time for a first plan, in
+// which all zones serve locally.
+func settledSimulation(t *testing.T, gateways int) *simulation {
 	t.Helper()
 	sim := threeZones(gateways)
 	wantNoMove(t, sim, 6*time.Second)
@@ -25,14 +25,14 @@
 	t.Helper()
 	sim.run(span)
 	for zone := range sim.zones {
-		sim.wantBetween(t, "local share", sim.share(zone, zone), 1, 1)
+		sim.wantInRange(t, "local share", sim.share(zone, zone), 1, 1)
 	}
 }
 
 // TestController_recoversInSteps checks that requests return to a recovered zone in steps that are
 // at least a hold-down apart, although all of its servers become ready at the same time.
 func TestController_recoversInSteps(t *testing.T) {
-	sim := calmSimulation(t, 3)
+	sim := settledSimulation(t, 3)
 	sim.healthy[0] = 0
 	sim.run(5 * time.Second)
 	sim.healthy[0] = 1
@@ -46,29 +46,29 @@
 			movedAt, before = sim.now, current
 		}
 	}
-	sim.wantBetween(t, "recovered share", sim.share(0, 0), 1, 1)
-	sim.wantBetween(t, "end of the recovery in seconds", sim.now.Seconds(), 30, 80)
+	sim.wantInRange(t, "recovered share", sim.share(0, 0), 1, 1)
+	sim.wantInRange(t, "end of the recovery in seconds", sim.now.Seconds(), 30, 80)
 }
 
-// TestController_lostLinkIsNoLostZone checks that the loss of a link to a zone that other zones
-// still reach moves only the requests that used the link.
-func TestController_lostLinkIsNoLostZone(t *testing.T) {
-	sim := calmSimulation(t, 3)
+// TestController_lostLinkMovesOnlyItsRequests checks that the loss of a link to a zone that other
+// zones still reach moves only the requests that used the link.
+func TestController_lostLinkMovesOnlyItsRequests(t *testing.T) {
+	sim := settledSimulation(t, 3)
 	sim.healthy[0] = 0
 	sim.run(15 * time.Second)
 	sim.lostLinks[[2]int{0, 1}] = true
 	sim.run(3 * time.Second)
-	sim.wantBetween(t, "share over the lost link", sim.share(0, 1), 0, 0)
-	sim.wantBetween(t, "share of the remaining zone", sim.share(0, 2), 0.55, 0.61)
-	sim.wantBetween(t, "local share of b", sim.share(1, 1), 1, 1)
-	sim.wantBetween(t, "local share of c", sim.share(2, 2), 1, 1)
+	sim.wantInRange(t, "share over the lost link", sim.share(0, 1), 0, 0)
+	sim.wantInRange(t, "share of the remaining zone", sim.share(0, 2), 0.55, 0.61)
+	sim.wantInRange(t, "local share of b", sim.share(1, 1), 1, 1)
+	sim.wantInRange(t, "local share of c", sim.share(2, 2), 1, 1)
 }
 
 // TestController_oneBlindGatewayMovesNothing checks that no request moves if a single gateway of a
 // zone gets no answer from any zone and has an empty endpoint list.
 func TestController_oneBlindGatewayMovesNothing(t *testing.T) {
 	for _, gateways := range []int{2, 3, 10} {
-		sim := calmSimulation(t, gateways)
+		sim := settledSimulation(t, gateways)
 		sim.blindGateway[0] = true
 		wantNoMove(t, sim, 30*time.Second)
 	}
@@ -77,13 +77,13 @@
 // TestController_lateDigestsMoveNothing checks that no request moves if a late digest adds several
 // seconds of one gateway's observations at the same time.
 func TestController_lateDigestsMoveNothing(t *testing.T) {
-	sim := calmSimulation(t, 3)
+	sim := settledSimulation(t, 3)
 	for range 20 {
 		for _, toZone := range sim.zones {
-			sim.add(zonestats.HealthTime("a", toZone, zonestats.Lost), 5000)
+			sim.addCount(zonestats.HealthTime("a", toZone, zonestats.Lost), 5000)
 		}
-		sim.add(zonestats.AwakeTime("a"), 5000)
-		sim.add(zonestats.Admitted("a"), 5000*50.0/3)
+		sim.addCount(zonestats.AwakeTime("a"), 5000)
+		sim.addCount(zonestats.Admitted("a"), 5000*50.0/3)
 		wantNoMove(t, sim, 3*time.Second)
 	}
 }
@@ -92,24 +92,24 @@
 // nothing, for example because they are paused or cannot reach a voter, and that the estimate of
 // their demand is kept.
 func TestController_silentGatewaysMoveNothing(t *testing.T) {
-	sim := calmSimulation(t, 3)
+	sim := settledSimulation(t, 3)
 	sim.silent[1] = true
 	wantNoMove(t, sim, 10*time.Second)
 	sim.healthy[0] = 0
 	sim.run(2 * time.Second)
-	sim.wantBetween(t, "load at b", sim.load(1), 60, 83) // the estimate falls by 1% in three seconds
+	sim.wantInRange(t, "load at b", sim.load(1), 60, 83) // the estimate falls by 1% in three seconds
 }
 
 // TestController_overflowsOnlyAboveMaxUtilisation checks that a healthy zone sends only the demand
 // above its maximum utilisation to other zones.
 func TestController_overflowsOnlyAboveMaxUtilisation(t *testing.T) {
-	sim := calmSimulation(t, 3)
+	sim := settledSimulation(t, 3)
 	sim.demand[0] = 78
 	wantNoMove(t, sim, 20*time.Second)
 	sim.demand[0] = 120
 	sim.run(25 * time.Second)
-	sim.wantBetween(t, "load at a", sim.load(0), 78, 85)
-	sim.wantBetween(t, "load at b", sim.load(1), 75, 80.01)
+	sim.wantInRange(t, "load at a", sim.load(0), 78, 85)
+	sim.wantInRange(t, "load at b", sim.load(1), 75, 80.01)
 	moves := 0
 	for i, written := range sim.plans[1:] {
 		if written.plan.Rows["a"]["a"] != sim.plans[i].plan.Rows["a"]["a"] {
@@ -121,23 +121,23 @@
 	}
 }
 
-// TestController_failingReceiverIsRelievedAtOnce checks that the requests of a zone in hold-down
-// move away from a failing receiver without waiting for the end of the hold-down, and that the
-// requests of no other zone move.
-func TestController_failingReceiverIsRelievedAtOnce(t *testing.T) {
-	sim := calmSimulation(t, 3)
+// TestController_failingReceiverIsRelievedDuringHoldDown checks that the requests of a zone in
+// hold-down move away from a failing receiver without waiting for the end of the hold-down, and
+// that the requests of no other zone move.
+func TestController_failingReceiverIsRelievedDuringHoldDown(t *testing.T) {
+	sim := settledSimulation(t, 3)
 	sim.healthy[0] = 0
 	sim.run(2 * time.Second)
 	sim.healthy[1] = 0
 	sim.run(2 * time.Second)
-	sim.wantBetween(t, "share of b", sim.share(0, 1), 0, 0)
-	sim.wantBetween(t, "load at c", sim.load(2), 79, 80.01)
+	sim.wantInRange(t, "share of b", sim.share(0, 1), 0, 0)
+	sim.wantInRange(t, "load at c", sim.load(2), 79, 80.01)
 }
 
 // TestController_newLeaderKeepsHoldDown checks that a new leader keeps zones that are in hold-down
 // in it for a full hold-down from its own start.
 func TestController_newLeaderKeepsHoldDown(t *testing.T) {
-	sim := calmSimulation(t, 3)
+	sim := settledSimulation(t, 3)
 	sim.healthy[0] = 0
 	sim.run(2 * time.Second)
 	sim.healthy[0] = 1
@@ -146,7 +146,7 @@
 	sim.now += time.Hour
 	before := sim.share(0, 0)
 	sim.run(9900 * time.Millisecond)
-	sim.wantBetween(t, "local share within the hold-down", sim.share(0, 0), before, before)
+	sim.wantInRange(t, "local share within the hold-down", sim.share(0, 0), before, before)
 	sim.run(8 * time.Second)
-	sim.wantBetween(t, "local share after it", sim.share(0, 0), before+0.2, before+0.26)
+	sim.wantInRange(t, "local share after it", sim.share(0, 0), before+0.2, before+0.26)
 }
--- a/internal/control/failover/demand.go
+++ b/internal/control/failover/demand.go
@@ -16,8 +16,8 @@
 	// minSmoothedAttempts is the minimum average number of attempts within a time constant. It
 	// prevents random variation from looking like a flood in a zone with few requests.
 	minSmoothedAttempts = 80.0
-	// maxQuietSmoothing is the longest time constant that minSmoothedAttempts may lead to.
-	maxQuietSmoothing = 20 * time.Second
+	// maxLowTrafficSmoothing is the longest time constant that minSmoothedAttempts may lead to.
+	maxLowTrafficSmoothing = 20 * time.Second
 	// constrainedFallTime is the time constant for falling demand in any other zone. A zone that is
 	// lost or full temporarily admits less than it will later. A shorter time constant would let a
 	// receiver fill up in the meantime.
@@ -32,10 +32,11 @@
 	millisecondsPerSecond = 1000
 )
 
-// isSettled reports whether a zone's demand is known well enough to move its requests. It is if the
-// demand was restored from a plan. Otherwise the samples must cover the zone's smoothing time.
-func (e *estimates) isSettled(zone int) bool {
-	return e.demandRestored || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxQuietSmoothing)
+// isDemandSettled reports whether a zone's demand is known well enough to move its requests. It is
+// if the demand was restored from a plan. Otherwise the samples must cover the zone's smoothing
+// time.
+func (e *estimates) isDemandSettled(zone int) bool {
+	return e.demandRestored || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxLowTrafficSmoothing)
 }
 
 // updateDemand updates a zone's number of gateways and its demand, in units a second. Both are
@@ -50,14 +51,14 @@
 	slices.Sort(gateways)
 	e.gateways[zone] = gateways[len(gateways)/2]
 	last := s.last()
-	awake := last.awake[zone] - first.awake[zone]
-	if awake <= 0 {
+	awakeTime := last.awakeTime[zone] - first.awakeTime[zone]
+	if awakeTime <= 0 {
 		e.demand[zone] *= math.Exp(-float64(elapsed) / float64(silentFallTime))
 		return
 	}
 	// Thousandths of units over milliseconds are units over seconds.
-	rate := (last.admitted[zone] - first.admitted[zone]) / awake * e.gateways[zone]
-	attempts := (last.completed[zone] - first.completed[zone]) / awake * e.gateways[zone] * millisecondsPerSecond
+	rate := (last.admitted[zone] - first.admitted[zone]) / awakeTime * e.gateways[zone]
+	attempts := (last.completed[zone] - first.completed[zone]) / awakeTime * e.gateways[zone] * millisecondsPerSecond
 	smoothing := e.smoothingTime(zone, rate, attempts)
 	e.smoothing[zone] = smoothing
 	if isUnknown(e.demand[zone]) {
@@ -80,8 +81,8 @@
 	case e.hasHeadroom[zone]:
 		smoothing = demandFallTime
 	}
-	quiet := min(minSmoothedAttempts/max(attempts, 1), maxQuietSmoothing.Seconds())
-	return max(smoothing, time.Duration(quiet*float64(time.Second)))
+	lowTrafficSeconds := min(minSmoothedAttempts/max(attempts, 1), maxLowTrafficSmoothing.Seconds())
+	return max(smoothing, time.Duration(lowTrafficSeconds*float64(time.Second)))
 }
 
 // gatewaysBySpan returns the number of gateways of a zone that reported in each of the last
@@ -92,11 +93,11 @@
 	end := s.last()
 	first = end
 	for i := range rateSpans {
-		start := s.before(time.Duration(i+1) * rateSpan)
+		start := s.sampleBefore(time.Duration(i+1) * rateSpan)
 		if start == nil || start.at >= end.at {
 			break
 		}
-		gateways = append(gateways, interval{start, end}.gateways(zone))
+		gateways = append(gateways, interval{start, end}.gatewayCount(zone))
 		end = start
 		if i < demandSpans {
 			first = start
--- a/internal/control/failover/estimates.go
+++ b/internal/control/failover/estimates.go
@@ -52,19 +52,19 @@
 // update updates the estimates from the latest samples. It reports whether they suffice for a plan:
 // the samples go back far enough, and every zone's ready power is known.
 func (e *estimates) update(observed samples) bool {
-	quick, ok := observed.halves(confirmSpan)
+	quick, ok := observed.latestPair(confirmSpan)
 	if !ok {
 		return false
 	}
-	slow, hasSlow := observed.halves(slowConfirmSpan)
+	slow, hasSlow := observed.latestPair(slowConfirmSpan)
 	now := observed.last().at
 	elapsed := e.advance(now)
 	for from := range e.linkHealth {
 		e.updateDemand(observed, from, elapsed)
 		for to := range e.linkHealth {
 			seen := e.confirmedHealth(quick, from, to)
-			answersInPart := max(seen.older, seen.newer) > zonestats.Failing
-			if hasSlow && answersInPart {
+			isAnswering := max(seen.older, seen.newer) > zonestats.Failing
+			if hasSlow && isAnswering {
 				seen = e.preferSlow(slow, seen, from, to)
 			}
 			e.updateLink(&e.linkHealth[from][to], now, seen, hasSlow)
@@ -91,14 +91,14 @@
 // is the settings' minimum, reduced for digests that are late or uneven.
 func (e *estimates) minObservers() float64 { return minReportedShare * float64(e.settings.MinGateways) }
 
-// agree reports whether enough of all reporting gateways observe the same: more than minObservers
-// and at least the agreement share.
-func (e *estimates) agree(gateways, all float64) bool {
-	return gateways > e.minObservers() && gateways >= e.settings.AgreementShare*all
+// isAgreed reports whether enough of all reporting gateways observe the same: more than
+// minObservers and at least the agreement share.
+func (e *estimates) isAgreed(gateways, total float64) bool {
+	return gateways > e.minObservers() && gateways >= e.settings.AgreementShare*total
 }
 
 // updateReadyPower updates a zone's ready power from the endpoint lists of all zones' gateways.
-func (e *estimates) updateReadyPower(quick halves, zone int) {
+func (e *estimates) updateReadyPower(quick intervalPair, zone int) {
 	seen := confirmation[float64]{
 		older: e.agreedPower(quick.older, zone),
 		newer: e.agreedPower(quick.newer, zone),
@@ -108,7 +108,7 @@
 	case isUnknown(e.readyPower[zone]):
 		e.readyPower[zone] = max(seen.older, seen.newer)
 	default:
-		e.readyPower[zone] = seen.follow(e.readyPower[zone])
+		e.readyPower[zone] = seen.clamp(e.readyPower[zone])
 	}
 }
 
@@ -117,16 +117,16 @@
 // band upwards and returns the mean of the band in which agreement is reached. Thus one gateway
 // with a wrong endpoint list does not affect it.
 func (e *estimates) agreedPower(i interval, zone int) float64 {
-	all := 0.0
+	total := 0.0
 	for band := range i.end.readyTime[zone] {
-		all += (i.end.readyTime[zone][band] - i.start.readyTime[zone][band]) / i.milliseconds()
+		total += (i.end.readyTime[zone][band] - i.start.readyTime[zone][band]) / i.milliseconds()
 	}
 	sum := 0.0
 	for band := range i.end.readyTime[zone] {
-		inBand := i.end.readyTime[zone][band] - i.start.readyTime[zone][band]
-		sum += inBand / i.milliseconds()
-		if inBand > 0 && e.agree(sum, all) {
-			return (i.end.readyPower[zone][band] - i.start.readyPower[zone][band]) / inBand
+		timeInBand := i.end.readyTime[zone][band] - i.start.readyTime[zone][band]
+		sum += timeInBand / i.milliseconds()
+		if timeInBand > 0 && e.isAgreed(sum, total) {
+			return (i.end.readyPower[zone][band] - i.start.readyPower[zone][band]) / timeInBand
 		}
 	}
 	return unknown
--- a/internal/control/failover/fleet_situations_test.go
+++ b/internal/control/failover/fleet_situations_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			var took []time.Duration
+			var durations []time.Duration
 			for seed := range uint64(30) {
 				sim := newFleet(seed, row.gateways, row.rate)
 				sim.run(8 * time.Second)
@@ -33,15 +33,15 @@
 						t.Fatalf("seed %d: requests moved before the loss", seed)
 					}
 				}
-				sim.zoneDown = true
-				sim.silent = row.silent
+				sim.firstZoneDown = true
+				sim.downServersSilent = row.silent
 				hasMoved := func() bool { return len(sim.plans) > 0 && !sim.plans[len(sim.plans)-1].isLocal("a") }
-				took = append(took, sim.runUntil(8*time.Second, hasMoved))
+				durations = append(durations, sim.runUntil(8*time.Second, hasMoved))
 			}
-			slices.Sort(took)
-			t.Logf("time to the plan: p50 %v, maximum of 30 runs %v", took[15], took[29])
-			if took[29] > 2100*time.Millisecond {
-				t.Errorf("the slowest plan took %v", took[29])
+			slices.Sort(durations)
+			t.Logf("time to the plan: p50 %v, maximum of 30 runs %v", durations[15], durations[29])
+			if durations[29] > 2100*time.Millisecond {
+				t.Errorf("the slowest plan took %v", durations[29])
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 	for _, gateways := range []int{2, 3, 10} {
 		for seed := range uint64(10) {
 			sim := newFleet(seed, gateways, 5)
-			sim.errors = 0.02
-			sim.members[seed%3].allFail = true
+			sim.errorRate = 0.02
+			sim.members[seed%3].allAttemptsFail = true
 			sim.run(20 * time.Second)
 			for _, plan := range sim.plans {
 				if !plan.isAllLocal() {
@@ -75,7 +75,7 @@
 			t.Parallel()
 			sim := newFleet(3, gateways, 10)
 			sim.run(8 * time.Second)
-			sim.zoneDown = true
+			sim.firstZoneDown = true
 			sim.run(4 * time.Second)
 			sim.attempts = [3]int{}
 			sim.run(56 * time.Second)
@@ -89,11 +89,11 @@
 			if n := len(sim.plans); n > 15 {
 				t.Errorf("%d plans written, want 15 at most", n)
 			}
-			sim.zoneDown = false
-			took := sim.runUntil(3*time.Minute, func() bool { return sim.plans[len(sim.plans)-1].isLocal("a") })
-			t.Logf("recovered after %v", took)
-			if took < 30*time.Second || took > 90*time.Second {
-				t.Errorf("recovered after %v, want 30s to 90s", took)
+			sim.firstZoneDown = false
+			elapsed := sim.runUntil(3*time.Minute, func() bool { return sim.plans[len(sim.plans)-1].isLocal("a") })
+			t.Logf("recovered after %v", elapsed)
+			if elapsed < 30*time.Second || elapsed > 90*time.Second {
+				t.Errorf("recovered after %v, want 30s to 90s", elapsed)
 			}
 		})
 	}
--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -30,42 +30,42 @@
 // gateway makes attempts at a constant rate. It sends each to a random server of its subset without
 // a recent failure.
 type fleet struct {
-	random     *rand.Rand
-	rate       float64 // attempts a second of each gateway
-	zoneDown   bool    // all servers of the first zone are down
-	errors     float64 // part of all attempts that fail, in any zone
-	silent     bool    // servers that are down do not answer, instead of refusing connections
-	now        time.Duration
-	members    []*member
-	merger     *observation.Merger
-	controller *Controller
-	entry      statemachine.Table
-	plans      []*Plan
-	endpoints  []subset.Candidate
-	attempts   [3]int // number of attempts by zone, since the test last reset it
+	random            *rand.Rand
+	rate              float64 // attempts a second of each gateway
+	firstZoneDown     bool    // all servers of the first zone are down
+	errorRate         float64 // part of all attempts that fail, in any zone
+	downServersSilent bool    // servers that are down do not answer, instead of refusing connections
+	now               time.Duration
+	members           []*member
+	merger            *observation.Merger
+	controller        *Controller
+	entry             statemachine.Table
+	plans             []*Plan
+	endpoints         []subset.Candidate
+	attempts          [3]int // number of attempts by zone, since the test last reset it
 }
 
 // member is a gateway of the fleet.
 type member struct {
-	zone        int
-	allFail     bool // all of its attempts fail
-	recorder    *zonestats.Recorder
-	subset      *subset.Subset
-	endpoints   []policy.Endpoint
-	planCount   int                      // number of plans when the endpoints were selected; -1 before that
-	failedUntil map[uint32]time.Duration // time until which a server is avoided
-	digest      observation.Digest
-	nextDigest  time.Duration
-	inFlight    []attempt
+	zone            int
+	allAttemptsFail bool // all of its attempts fail
+	recorder        *zonestats.Recorder
+	subset          *subset.Subset
+	endpoints       []policy.Endpoint
+	planCount       int                      // number of plans when the endpoints were selected; -1 before that
+	failedUntil     map[uint32]time.Duration // time until which a server is avoided
+	digest          observation.Digest
+	nextDigest      time.Duration
+	inFlight        []attempt
 }
 
 // attempt is an attempt in flight, with its predetermined result.
 type attempt struct {
-	server  uint32
-	zone    int
-	ends    time.Duration
-	took    time.Duration
-	outcome policy.Outcome
+	server   uint32
+	zone     int
+	endsAt   time.Duration
+	duration time.Duration
+	outcome  policy.Outcome
 }
 
 // newFleet returns a fleet of three zones with the given number of gateways each. The rate is in
@@ -97,13 +97,13 @@
 // run advances the time by a span.
 func (f *fleet) run(span time.Duration) { f.runUntil(span, func() bool { return false }) }
 
-// runUntil advances the time until done returns true, but by no more than most. It returns the time
-// that has passed.
-func (f *fleet) runUntil(most time.Duration, done func() bool) time.Duration {
+// runUntil advances the time until done returns true, but by no more than limit. It returns the
+// time that has passed.
+func (f *fleet) runUntil(limit time.Duration, done func() bool) time.Duration {
 	const step = 10 * time.Millisecond
 	for start := f.now; ; f.now += step {
-		if took := f.now - start; took >= most || done() {
-			return took
+		if elapsed := f.now - start; elapsed >= limit || done() {
+			return elapsed
 		}
 		for _, m := range f.members {
 			f.stepMember(m, step)
@@ -134,10 +134,10 @@
 // if that is due.
 func (f *fleet) stepMember(gateway *member, step time.Duration) {
 	gateway.inFlight = slices.DeleteFunc(gateway.inFlight, func(a attempt) bool {
-		if f.now < a.ends {
+		if f.now < a.endsAt {
 			return false
 		}
-		gateway.recorder.AddResult(f.now, a.zone, a.server, a.outcome, a.took)
+		gateway.recorder.AddResult(f.now, a.zone, a.server, a.outcome, a.duration)
 		if a.outcome != policy.Answered {
 			gateway.failedUntil[a.server] = f.now + failureMemory
 		}
@@ -189,20 +189,20 @@
 	}
 	server := candidates[f.random.IntN(len(candidates))]
 	sent := attempt{server: server.Server, zone: server.Zone}
-	sent.took = time.Duration(50+f.random.IntN(200)) * time.Millisecond
+	sent.duration = time.Duration(50+f.random.IntN(200)) * time.Millisecond
 	sent.outcome = policy.Answered
 	switch {
-	case f.zoneDown && server.Zone == 0 && f.silent:
-		sent.took = 3 * time.Second
+	case f.firstZoneDown && server.Zone == 0 && f.downServersSilent:
+		sent.duration = 3 * time.Second
 		sent.outcome = policy.TimedOut
-	case f.zoneDown && server.Zone == 0:
-		sent.took = time.Millisecond
+	case f.firstZoneDown && server.Zone == 0:
+		sent.duration = time.Millisecond
 		sent.outcome = policy.ConnectFailed
-	case gateway.allFail || f.random.Float64() < f.errors:
-		sent.took = 5 * time.Millisecond
+	case gateway.allAttemptsFail || f.random.Float64() < f.errorRate:
+		sent.duration = 5 * time.Millisecond
 		sent.outcome = policy.Errored
 	}
-	sent.ends = f.now + sent.took
+	sent.endsAt = f.now + sent.duration
 	f.attempts[server.Zone]++
 	gateway.subset.CountAttempt(f.now)
 	gateway.recorder.AddAttempt(f.now, server.Zone, 1, true)
--- a/internal/control/failover/golden_test.go
+++ b/internal/control/failover/golden_test.go
@@ -85,17 +85,17 @@
 	"uneven":   {54, "56d1ac5e0c25cfcf72c85828bae14160cf283c0faf687586527d5e69144a45c4"},
 }
 
-// TestController_drawnStreamDecidesAsBefore checks that no decision on random streams of
+// TestController_randomStreamDecisionsAreStable checks that no decision on random streams of
 // observations changes between versions: when a plan is written, its bytes, and the assignments of
 // gateways.
-func TestController_drawnStreamDecidesAsBefore(t *testing.T) {
+func TestController_randomStreamDecisionsAreStable(t *testing.T) {
 	for name, set := range goldenSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sum := golden.NewDigest()
 			plans := 0
 			for _, seed := range goldenSeeds {
-				plans += len(decideDrawn(seed, set, sum))
+				plans += len(runRandomStream(seed, set, sum))
 			}
 			got := fmt.Sprintf("%d %s", plans, sum.String())
 			if want := fmt.Sprintf("%d %s", goldenPlans[name].plans, goldenPlans[name].hash); got != want {
@@ -105,11 +105,11 @@
 	}
 }
 
-// decideDrawn runs a random stream of about 1200 steps. It adds every decision to sum: the time,
-// the value, and the assignments of gateways. It returns the plans.
-func decideDrawn(seed uint64, set func(*Settings, *time.Duration), sum *golden.Digest) []writtenPlan {
+// runRandomStream runs a random stream of about 1200 steps. It adds every decision to sum: the
+// time, the value, and the assignments of gateways. It returns the plans.
+func runRandomStream(seed uint64, set func(*Settings, *time.Duration), sum *golden.Digest) []writtenPlan {
 	random := rand.New(rand.NewPCG(seed, 31))
-	sim := drawSimulation(random)
+	sim := randomSimulation(random)
 	set(&sim.settings, &sim.lease)
 	sim.newLeader()
 	sim.run(6 * time.Second)
@@ -138,42 +138,42 @@
 	return sim.plans
 }
 
-// TestController_drawnStreamsReachAllParts checks that the random streams produce every optional
+// TestController_randomStreamsCoverAllParts checks that the random streams produce every optional
 // part of a plan and every reason, so that the hashes cover them.
-func TestController_drawnStreamsReachAllParts(t *testing.T) {
-	reached := map[string]bool{}
+func TestController_randomStreamsCoverAllParts(t *testing.T) {
+	covered := map[string]bool{}
 	for _, set := range goldenSettings {
 		for _, seed := range goldenSeeds {
-			for _, written := range decideDrawn(seed, set, golden.NewDigest()) {
-				markReached(reached, written.plan)
+			for _, written := range runRandomStream(seed, set, golden.NewDigest()) {
+				markCovered(covered, written.plan)
 			}
 		}
 	}
-	for part, is := range reached {
-		if !is {
+	for part, found := range covered {
+		if !found {
 			t.Errorf("no stream produces %q", part)
 		}
 	}
-	if len(reached) != 8 {
-		t.Errorf("the streams produce %v, want 8 parts and reasons", slices.Sorted(maps.Keys(reached)))
+	if len(covered) != 8 {
+		t.Errorf("the streams produce %v, want 8 parts and reasons", slices.Sorted(maps.Keys(covered)))
 	}
 }
 
-// markReached sets the entries of the optional parts and the reasons that a plan contains.
-func markReached(reached map[string]bool, plan *Plan) {
-	reached["hold-down"] = reached["hold-down"] || len(plan.HoldDown) > 0
-	reached["previous"] = reached["previous"] || len(plan.Previous) > 0
-	reached["lost links"] = reached["lost links"] || len(plan.LostLinks) > 0
-	reached["shed"] = reached["shed"] || len(plan.Shed) > 0
+// markCovered sets the entries of the optional parts and the reasons that a plan contains.
+func markCovered(covered map[string]bool, plan *Plan) {
+	covered["hold-down"] = covered["hold-down"] || len(plan.HoldDown) > 0
+	covered["previous"] = covered["previous"] || len(plan.Previous) > 0
+	covered["lost links"] = covered["lost links"] || len(plan.LostLinks) > 0
+	covered["shed"] = covered["shed"] || len(plan.Shed) > 0
 	for _, why := range plan.Reasons {
 		for _, reason := range []string{"out of reach", "is lost", "pushed over", reasonOrdinary} {
-			reached[reason] = reached[reason] || strings.Contains(why, reason)
+			covered[reason] = covered[reason] || strings.Contains(why, reason)
 		}
 	}
 }
 
-// refusals are the error messages for a file in which every key is invalid.
-const refusals = `
+// wantSettingErrors are the error messages for a file in which every key is invalid.
+const wantSettingErrors = `
 failover.regions[0].name: a name of its own is wanted, not ""
 failover.regions[0].halls: halls that stand in one region, once is wanted, not "a"
 failover.regions[1].halls: the names of its halls is wanted, not none
@@ -224,15 +224,15 @@
 	return settings
 }
 
-// TestSettings_refusalsAreStable checks that the keys of the operator's file and the messages for
+// TestSettings_errorsAreStable checks that the keys of the operator's file and the messages for
 // invalid values do not change.
-func TestSettings_refusalsAreStable(t *testing.T) {
+func TestSettings_errorsAreStable(t *testing.T) {
 	var lines []string
 	for _, err := range readInvalidSettings(t).Check() {
 		lines = append(lines, err.Error())
 	}
 	lines = append(lines, Settings{Enabled: true}.Check()[0].Error())
-	if d := cmp.Diff(strings.TrimSpace(refusals), strings.Join(lines, "\n")); d != "" {
+	if d := cmp.Diff(strings.TrimSpace(wantSettingErrors), strings.Join(lines, "\n")); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/control/failover/health.go
+++ b/internal/control/failover/health.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// healthMemoryHoldDowns is how long an observed loss is kept without a further report, in
+	// healthTTLHoldDowns is how long an observed loss is kept without a further report, in
 	// hold-downs. No report may arrive for that long because a link that the plan avoids is not
 	// observed.
-	healthMemoryHoldDowns = 3
+	healthTTLHoldDowns = 3
 	// maxReportAge is the maximum age of a zone's observation of another zone for it to be compared
 	// with those of other zones.
 	maxReportAge = time.Second
@@ -29,38 +29,38 @@
 // isKnown reports whether both values are known.
 func (c confirmation[T]) isKnown() bool { return c.older >= 0 && c.newer >= 0 }
 
-// follow returns the value between older and newer, inclusive, that is closest to the estimate.
-func (c confirmation[T]) follow(estimate T) T {
+// clamp returns the value between older and newer, inclusive, that is closest to the estimate.
+func (c confirmation[T]) clamp(estimate T) T {
 	return min(max(estimate, min(c.older, c.newer)), max(c.older, c.newer))
 }
 
-// healthMemory returns how long an observed loss is kept without a further report.
-func (e *estimates) healthMemory() time.Duration {
-	return healthMemoryHoldDowns * e.settings.holdDown()
+// healthTTL returns how long an observed loss is kept without a further report.
+func (e *estimates) healthTTL() time.Duration {
+	return healthTTLHoldDowns * e.settings.holdDown()
 }
 
-// isForgotten reports whether an observation has expired.
-func (e *estimates) isForgotten(health healthEstimate, now time.Duration) bool {
-	return health.observedAt+e.healthMemory() < now
+// isExpired reports whether an observation has expired.
+func (e *estimates) isExpired(health healthEstimate, now time.Duration) bool {
+	return health.observedAt+e.healthTTL() < now
 }
 
 // confirmedHealth returns the health of a zone on which the gateways of another zone agree in each
 // of two intervals, in quarters.
-func (e *estimates) confirmedHealth(spans halves, from, to int) confirmation[int] {
+func (e *estimates) confirmedHealth(pair intervalPair, from, to int) confirmation[int] {
 	return confirmation[int]{
-		older: e.agreedHealth(spans.older, from, to),
-		newer: e.agreedHealth(spans.newer, from, to),
+		older: e.agreedHealth(pair.older, from, to),
+		newer: e.agreedHealth(pair.newer, from, to),
 	}
 }
 
 // preferSlow returns the health observed in the slow intervals if it is known, and the quick result
 // otherwise. A few random failures may look like a partial failure; longer intervals average them
 // out.
-func (e *estimates) preferSlow(slow halves, quickly confirmation[int], from, to int) confirmation[int] {
-	if slowly := e.confirmedHealth(slow, from, to); slowly.isKnown() {
-		return slowly
+func (e *estimates) preferSlow(slow intervalPair, quickResult confirmation[int], from, to int) confirmation[int] {
+	if slowResult := e.confirmedHealth(slow, from, to); slowResult.isKnown() {
+		return slowResult
 	}
-	return quickly
+	return quickResult
 }
 
 // updateLink updates the health of a zone as the gateways of another zone observe it, in quarters.
@@ -68,7 +68,7 @@
 // estimate becomes unknown when its last report has expired.
 func (e *estimates) updateLink(link *healthEstimate, now time.Duration, seen confirmation[int], isSteady bool) {
 	if !seen.isKnown() {
-		if e.isForgotten(*link, now) {
+		if e.isExpired(*link, now) {
 			link.quarters = unknown
 		}
 		return
@@ -77,26 +77,26 @@
 	if link.quarters == unknown || !isSteady {
 		link.quarters = max(seen.older, seen.newer)
 	}
-	link.quarters = seen.follow(link.quarters)
+	link.quarters = seen.clamp(link.quarters)
 }
 
 // agreedHealth returns the health of a zone on which the gateways of another zone agree in an
-// interval, in quarters: the lowest value for which enough gateways, see agree, observe that value
-// or a lower one. It returns unknown if too few gateways report.
+// interval, in quarters: the lowest value for which enough gateways, see isAgreed, observe that
+// value or a lower one. It returns unknown if too few gateways report.
 func (e *estimates) agreedHealth(i interval, from, to int) int {
 	var observers byHealth[float64]
-	all := 0.0
+	total := 0.0
 	for quarter := range observers {
 		observers[quarter] = (i.end.health[from][to][quarter] - i.start.health[from][to][quarter]) / i.milliseconds()
-		all += observers[quarter]
+		total += observers[quarter]
 	}
-	if all <= e.minObservers() {
+	if total <= e.minObservers() {
 		return unknown
 	}
 	sum := 0.0
 	for quarter, n := range observers {
 		sum += n
-		if e.agree(sum, all) {
+		if e.isAgreed(sum, total) {
 			return quarter
 		}
 	}
@@ -111,7 +111,7 @@
 		best := e.bestObservedHealth(to, now)
 		switch {
 		case best == unknown:
-			if e.isForgotten(e.health[to], now) {
+			if e.isExpired(e.health[to], now) {
 				e.health[to].quarters = zonestats.Healthy
 			}
 		case e.isPossiblyCutOff(to, best):
--- a/internal/control/failover/invariants_test.go
+++ b/internal/control/failover/invariants_test.go
@@ -25,8 +25,8 @@
 // settings.
 func simulate(seed uint64, change func(*Settings, *time.Duration)) error {
 	random := rand.New(rand.NewPCG(seed, 29))
-	sim := drawSimulation(random)
-	promised := sim.settings.WithDefaults()
+	sim := randomSimulation(random)
+	guaranteed := sim.settings.WithDefaults()
 	lease := sim.lease
 	change(&sim.settings, &lease)
 	newLeader := func() { sim.controller = New(sim.settings, lease) }
@@ -41,7 +41,7 @@
 			if len(sim.run(tick)) == 0 {
 				continue
 			}
-			if err := sim.checkPlan(earlier, sim.plans[len(sim.plans)-1], promised); err != nil {
+			if err := sim.checkPlan(earlier, sim.plans[len(sim.plans)-1], guaranteed); err != nil {
 				return fmt.Errorf("seed %d at %v: %w (%s)", seed, sim.now, err, state)
 			}
 		}
@@ -49,24 +49,24 @@
 	return nil
 }
 
-// sameRow reports whether two plans distribute a zone's requests in the same way.
-func sameRow(a, b *Plan, zone string) bool {
+// hasSameRow reports whether two plans distribute a zone's requests in the same way.
+func hasSameRow(a, b *Plan, zone string) bool {
 	return maps.Equal(a.Rows[zone], b.Rows[zone]) && a.Shed[zone] == b.Shed[zone]
 }
 
 // lastMove returns the time at which a zone's requests last moved, or 0 if they never did.
 func lastMove(plans []writtenPlan, zone string) time.Duration {
 	for i := len(plans) - 1; i > 0; i-- {
-		if !sameRow(plans[i-1].plan, plans[i].plan, zone) {
+		if !hasSameRow(plans[i-1].plan, plans[i].plan, zone) {
 			return plans[i].at
 		}
 	}
 	return 0
 }
 
-// maxEarlier returns the largest share of a receiver, in thousandths, in the earlier plans that
-// some gateway may still act on.
-func (s *simulation) maxEarlier(earlier []writtenPlan, fromZone, toZone string) float64 {
+// maxEarlierShare returns the largest share of a receiver, in thousandths, in the earlier plans
+// that some gateway may still act on.
+func (s *simulation) maxEarlierShare(earlier []writtenPlan, fromZone, toZone string) float64 {
 	largest := 0
 	for i, written := range earlier {
 		if i == len(earlier)-1 || earlier[i+1].at > s.now-s.lease {
@@ -79,9 +79,9 @@
 // checkPlan checks a plan that was just written against the guarantees of the settings. It uses the
 // controller's own estimates. TestController_situations checks that these follow the simulation's
 // reports.
-func (s *simulation) checkPlan(earlier []writtenPlan, written writtenPlan, promised Settings) error {
+func (s *simulation) checkPlan(earlier []writtenPlan, written writtenPlan, guaranteed Settings) error {
 	for to := range s.zones {
-		if err := s.checkReceiver(earlier, written.plan, promised, to); err != nil {
+		if err := s.checkReceiver(earlier, written.plan, guaranteed, to); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 		if len(earlier) == 0 {
 			continue
 		}
-		if err := s.checkMove(earlier, written, promised, zone); err != nil {
+		if err := s.checkMove(earlier, written, guaranteed, zone); err != nil {
 			return err
 		}
 	}
@@ -100,31 +100,31 @@
 }
 
 // checkReceiver checks that requests of other zones do not load a zone above its capacity.
-func (s *simulation) checkReceiver(earlier []writtenPlan, plan *Plan, promised Settings, to int) error {
+func (s *simulation) checkReceiver(earlier []writtenPlan, plan *Plan, guaranteed Settings, to int) error {
 	toZone := s.zones[to]
 	capacity, _ := s.controller.estimates.capacity(to, toZone)
-	load, ofOthers, both, previous := 0.0, 0.0, 0.0, 0.0
+	load, loadFromOthers, combined, previous := 0.0, 0.0, 0.0, 0.0
 	for from, fromZone := range s.zones {
 		demand := max(s.controller.estimates.demand[from], minDemand)
 		share := float64(plan.Rows[fromZone][toZone])
 		if from == to {
 			share -= float64(plan.Shed[fromZone])
 		} else {
-			ofOthers += share / fullShare * demand
+			loadFromOthers += share / fullShare * demand
 		}
 		load += share / fullShare * demand
-		old := s.maxEarlier(earlier, fromZone, toZone)
-		both += max(share, old) / fullShare * demand
+		old := s.maxEarlierShare(earlier, fromZone, toZone)
+		combined += max(share, old) / fullShare * demand
 		previous += old / fullShare * demand
 	}
 	slack := 0.01*capacity + 0.05
-	if ofOthers > slack && load > (promised.MaxUtilisation+1)/2*capacity+slack {
+	if loadFromOthers > slack && load > (guaranteed.MaxUtilisation+1)/2*capacity+slack {
 		return fmt.Errorf("%s gets %.1f units a second, %.1f of them from other zones, capacity %.1f",
-			toZone, load, ofOthers, capacity)
+			toZone, load, loadFromOthers, capacity)
 	}
-	if ofOthers > slack && both > max(capacity, previous)+slack {
+	if loadFromOthers > slack && combined > max(capacity, previous)+slack {
 		return fmt.Errorf("%s gets %.1f units a second by previous or new plans, %.1f by previous ones, capacity %.1f",
-			toZone, both, previous, capacity)
+			toZone, combined, previous, capacity)
 	}
 	return nil
 }
@@ -147,12 +147,12 @@
 
 // checkMove checks that a zone's requests do not move within a hold-down without a failure, that
 // they do not move away from a healthy zone as lost, and that they return in steps.
-func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, promised Settings, zone string) error {
+func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, guaranteed Settings, zone string) error {
 	last := earlier[len(earlier)-1].plan
 	plan := written.plan
 	isOrdinary := plan.Reasons[zone] == reasonOrdinary
-	hasMoved := !sameRow(last, plan, zone)
-	if at := lastMove(earlier, zone); isOrdinary && at > 0 && written.at < at+promised.holdDown() && hasMoved {
+	hasMoved := !hasSameRow(last, plan, zone)
+	if at := lastMove(earlier, zone); isOrdinary && at > 0 && written.at < at+guaranteed.holdDown() && hasMoved {
 		return fmt.Errorf("requests of %s moved at %v and again within the hold-down", zone, at)
 	}
 	for to, toZone := range s.zones {
@@ -163,14 +163,14 @@
 	}
 	ownShare := func(plan *Plan) int { return plan.Rows[zone][zone] - plan.Shed[zone] }
 	rise := ownShare(plan) - ownShare(last)
-	if float64(rise) > promised.RecoveryStep*fullShare+21 && (last.Shed[zone] > 0 || isOrdinary) {
+	if float64(rise) > guaranteed.RecoveryStep*fullShare+21 && (last.Shed[zone] > 0 || isOrdinary) {
 		return fmt.Errorf("own share of %s grows by %d thousandths in one move, from %+v to %+v",
 			zone, rise, last, plan)
 	}
 	return nil
 }
 
-func TestController_drawnFaultsBreakNoInvariant(t *testing.T) {
+func TestController_randomFaultsViolateNoInvariant(t *testing.T) {
 	unchanged := func(*Settings, *time.Duration) {}
 	for part := range uint64(8) {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -9,16 +9,16 @@
 // at which requests arrive) and receiver.
 type planInput struct {
 	*Controller
-	now         time.Duration
-	capacity    []float64 // units a second; 0 for a lost zone, see isZoneLost
-	health      []float64 // quarters of the zone that answer
-	demand      []float64 // units a second
-	lostLinks   [][]bool
-	shares      [][]float64 // shares of the plan in force, 0 to 1, without what is shed
-	loads       []float64   // units a second that the plan in force sends to a receiver
-	toLeave     [][]bool    // requests must move away: the receiver is unreachable or overloaded
-	unreachable [][]bool    // the same, but only if the receiver is lost or behind a lost link
-	previous    [][]float64 // highest rate that gateways may still send, in units a second
+	now           time.Duration
+	capacity      []float64 // units a second; 0 for a lost zone, see isZoneLost
+	health        []float64 // quarters of the zone that answer
+	demand        []float64 // units a second
+	lostLinks     [][]bool
+	shares        [][]float64 // shares of the plan in force, 0 to 1, without what is shed
+	loads         []float64   // units a second that the plan in force sends to a receiver
+	mustMoveAway  [][]bool    // requests must move away: the receiver is unreachable or overloaded
+	unreachable   [][]bool    // the same, but only if the receiver is lost or behind a lost link
+	previousRates [][]float64 // highest rate that gateways may still send, in units a second
 }
 
 const (
@@ -28,9 +28,9 @@
 	// roundingTolerance is the rounding error of shares in whole thousandths, summed over all zones
 	// of a row, as a part of all requests.
 	roundingTolerance = 0.02
-	// minSubset is both the minimum number of servers in a gateway's subset and the minimum average
-	// number of gateways that use a server (see package subset).
-	minSubset = 8
+	// minSubsetSize is both the minimum number of servers in a gateway's subset and the minimum
+	// average number of gateways that use a server (see package subset).
+	minSubsetSize = 8
 	// overloadWeight makes the overload threshold the mean of the maximum utilisation and 1.
 	overloadWeight = 0.5
 	// probersPerMinGateways is the number of gateways whose subset must include a server of a zone
@@ -69,7 +69,7 @@
 	input := &planInput{Controller: c, now: now, loads: make([]float64, len(c.zones))}
 	for i, zone := range c.zones {
 		capacity, health := c.estimates.capacity(i, zone)
-		if c.isHeldLost(i, now) {
+		if c.isLostInHoldDown(i, now) {
 			capacity = 0
 			health = 0
 		}
@@ -78,35 +78,35 @@
 		input.demand = append(input.demand, max(c.estimates.demand[i], minDemand))
 	}
 	for from := range c.zones {
-		input.addRow(from)
+		input.addSender(from)
 	}
 	for from := range c.zones {
 		isBelowMax := input.loads[from] < c.settings.MaxUtilisation*input.capacity[from]
 		c.estimates.hasHeadroom[from] = isBelowMax && input.shares[from][from] == 1
-		input.addLeaving(from)
+		input.addForcedMoves(from)
 	}
 	return input
 }
 
-// isHeldLost reports whether a zone counts as lost regardless of observations: the plan in force
-// states that it is lost, and the zone is in hold-down.
-func (c *Controller) isHeldLost(zone int, now time.Duration) bool {
+// isLostInHoldDown reports whether a zone counts as lost regardless of observations: the plan in
+// force states that it is lost, and the zone is in hold-down.
+func (c *Controller) isLostInHoldDown(zone int, now time.Duration) bool {
 	planned, ok := c.plan.Health[c.zones[zone]]
 	return c.isHeldDown(zone, now) && ok && planned == 0
 }
 
 // isZoneLost reports whether a zone cannot take requests: it has no ready server, none answers, or
-// isHeldLost is true.
+// isLostInHoldDown is true.
 func (in *planInput) isZoneLost(zone int) bool { return in.capacity[zone] <= 0 }
 
-// addRow adds a sender's rows: its lost links, its shares of the plan in force, and the rates that
-// it may still send by earlier plans. It also adds its requests to the loads.
-func (in *planInput) addRow(from int) {
+// addSender adds a sender's rows: its lost links, its shares of the plan in force, and the rates
+// that it may still send by earlier plans. It also adds its requests to the loads.
+func (in *planInput) addSender(from int) {
 	n := len(in.zones)
 	fromZone := in.zones[from]
 	lostLinks := make([]bool, n)
 	shares := make([]float64, n)
-	previous := make([]float64, n)
+	previousRates := make([]float64, n)
 	for to, toZone := range in.zones {
 		wasLost := in.isHeldDown(from, in.now) && slices.Contains(in.plan.LostLinks, [2]string{fromZone, toZone})
 		lostLinks[to] = wasLost || in.estimates.isLinkLost(from, to)
@@ -114,12 +114,12 @@
 		if to == from {
 			shares[to] -= float64(in.plan.Shed[fromZone]) / fullShare
 		}
-		previous[to] = float64(in.largestShare(from, to)) / fullShare * in.demand[from]
+		previousRates[to] = float64(in.largestShare(from, to)) / fullShare * in.demand[from]
 		in.loads[to] += shares[to] * in.demand[from]
 	}
 	in.lostLinks = append(in.lostLinks, lostLinks)
 	in.shares = append(in.shares, shares)
-	in.previous = append(in.previous, previous)
+	in.previousRates = append(in.previousRates, previousRates)
 }
 
 // largestShare returns the largest share, in thousandths, that any gateway of a zone may send to
@@ -132,11 +132,11 @@
 	return largest
 }
 
-// addLeaving adds the receivers that a sender's requests must move away from: those that are
+// addForcedMoves adds the receivers that a sender's requests must move away from: those that are
 // unreachable and those loaded above the overload threshold. Probes of the sender's own zone may
 // stay.
-func (in *planInput) addLeaving(from int) {
-	toLeave := make([]bool, len(in.zones))
+func (in *planInput) addForcedMoves(from int) {
+	mustMoveAway := make([]bool, len(in.zones))
 	unreachable := make([]bool, len(in.zones))
 	for to, share := range in.shares[from] {
 		isProbes := to == from && share <= in.probeShare(from)+roundingTolerance
@@ -144,10 +144,10 @@
 			continue
 		}
 		unreachable[to] = in.isZoneLost(to) || in.lostLinks[from][to]
-		overloaded := in.estimates.isSettled(from) && in.loads[to] > in.overloadThreshold()*in.capacity[to]
-		toLeave[to] = unreachable[to] || overloaded
+		overloaded := in.estimates.isDemandSettled(from) && in.loads[to] > in.overloadThreshold()*in.capacity[to]
+		mustMoveAway[to] = unreachable[to] || overloaded
 	}
-	in.toLeave = append(in.toLeave, toLeave)
+	in.mustMoveAway = append(in.mustMoveAway, mustMoveAway)
 	in.unreachable = append(in.unreachable, unreachable)
 }
 
@@ -172,9 +172,10 @@
 		servers += in.estimates.readyPower[other]
 		gateways += in.estimates.gateways[other]
 	}
-	subset := max(minSubset, min(servers, minSubset*servers/gateways))
-	least := probersPerMinGateways * float64(in.settings.MinGateways) / subset / max(in.estimates.gateways[zone], 1)
-	return max(in.settings.ProbeShare, min(least, 1.0/minSubset))
+	subsetSize := max(minSubsetSize, min(servers, minSubsetSize*servers/gateways))
+	minimum := probersPerMinGateways * float64(in.settings.MinGateways) /
+		subsetSize / max(in.estimates.gateways[zone], 1)
+	return max(in.settings.ProbeShare, min(minimum, 1.0/minSubsetSize))
 }
 
 // previousRows returns, for each pair of zones, the largest share, in thousandths, that any gateway
--- a/internal/control/failover/plan_test.go
+++ b/internal/control/failover/plan_test.go
@@ -40,7 +40,7 @@
 func TestFallback_partitionNeverOverloadsThirdZone(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 4))
-		sim := drawSimulation(random)
+		sim := randomSimulation(random)
 		sim.newLeader()
 		sim.run(6 * time.Second)
 		for range 4 {
@@ -49,12 +49,12 @@
 		}
 		sim.run(3 * time.Second)
 		for to, toZone := range sim.zones {
-			ofOthers := sim.partitionedLoad(random, to)
+			loadFromOthers := sim.partitionedLoad(random, to)
 			own := float64(sim.latest().Rows[toZone][toZone]-sim.latest().Shed[toZone]) / fullShare * sim.demand[to]
 			capacity := sim.readyPower[to] * sim.settings.Capacity
-			if ofOthers > 1 && ofOthers+min(own, 0.8*capacity) > capacity*1.02 {
+			if loadFromOthers > 1 && loadFromOthers+min(own, 0.8*capacity) > capacity*1.02 {
 				t.Errorf("seed %d: %s gets %.1f units a second from other zones, %.1f from its own, capacity %.1f",
-					seed, toZone, ofOthers, own, capacity)
+					seed, toZone, loadFromOthers, own, capacity)
 			}
 		}
 	}
--- a/internal/control/failover/routing/golden_test.go
+++ b/internal/control/failover/routing/golden_test.go
@@ -18,21 +18,21 @@
 	12:   "8f901b3878bdcdc348bd13dd63b9abccd1e6456a51b9b63221a71ea91b1a261f",
 }
 
-// TestUpdater_drawnStreamSteersAsBefore checks that the steering set during random streams of
+// TestUpdater_randomStreamSteeringIsStable checks that the steering set during random streams of
 // plans, leases and zone losses does not change between versions.
-func TestUpdater_drawnStreamSteersAsBefore(t *testing.T) {
+func TestUpdater_randomStreamSteeringIsStable(t *testing.T) {
 	for _, seed := range []uint64{2026, 12} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			if got := steerDrawn(t, seed); got != goldenSteering[seed] {
+			if got := hashRandomSteering(t, seed); got != goldenSteering[seed] {
 				t.Errorf("the hash of the steering is %s, want %s", got, goldenSteering[seed])
 			}
 		})
 	}
 }
 
-// steerDrawn runs 600 steps with random plans and returns a hash of the dispatcher's steering after
-// each of them.
-func steerDrawn(t *testing.T, seed uint64) string {
+// hashRandomSteering runs 600 steps with random plans and returns a hash of the dispatcher's
+// steering after each of them.
+func hashRandomSteering(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 41))
 	f, updater, _ := newFixture(t)
@@ -42,10 +42,10 @@
 		switch random.IntN(8) {
 		case 0, 1:
 			epoch++
-			f.setTable(t, epoch, drawnPlan(random))
+			f.setTable(t, epoch, randomPlan(random))
 		case 2:
 			epoch++
-			f.setTable(t, epoch, drawnPlan(random))
+			f.setTable(t, epoch, randomPlan(random))
 			f.table.Value = f.table.Value[:random.IntN(len(f.table.Value))] // truncated or empty
 		case 3:
 			f.table.LeaseEnd = f.now + time.Duration(random.IntN(3000))*time.Millisecond
@@ -63,8 +63,8 @@
 	return sum.String()
 }
 
-// drawnPlan returns a random plan. It may contain a zone that the endpoint list does not.
-func drawnPlan(random *rand.Rand) *failover.Plan {
+// randomPlan returns a random plan. It may contain a zone that the endpoint list does not.
+func randomPlan(random *rand.Rand) *failover.Plan {
 	plan := &failover.Plan{
 		Rows: map[string]map[string]int{}, Fallback: map[string]map[string]int{}, Health: map[string]int{},
 		Shed: map[string]int{}, Reasons: map[string]string{"a": "drawn"},
--- a/internal/control/failover/routing/updater.go
+++ b/internal/control/failover/routing/updater.go
@@ -83,11 +83,11 @@
 	}
 	lease := u.remainingLease(table)
 	fallback := u.plan.FallbackAssignment(u.zone, u.dispatcher.IsZoneLost())
-	next := appliedSteering{fallback: u.steeringOf(fallback)}
+	next := appliedSteering{fallback: u.toSteering(fallback)}
 	state := noPlanInForce
 	if lease > 0 {
 		state = planInForce
-		next.leased = u.steeringOf(u.plan.Assignment(u.zone))
+		next.leased = u.toSteering(u.plan.Assignment(u.zone))
 		next.leaseEnd = table.LeaseEnd
 	}
 	u.logState(state)
@@ -139,22 +139,22 @@
 	}
 }
 
-// steeringOf converts an assignment to zone indexes. The share of a zone that the endpoint list
+// toSteering converts an assignment to zone indexes. The share of a zone that the endpoint list
 // does not contain is shed, since the plan has reserved no capacity for it in other zones.
-func (u *Updater) steeringOf(assignment failover.Assignment) dispatch.Steering {
+func (u *Updater) toSteering(assignment failover.Assignment) dispatch.Steering {
 	steering := dispatch.Steering{Weights: make([]float64, len(u.zones)), ShedFraction: assignment.Shed}
-	sum := 0.0
-	found := 0.0
+	totalWeight := 0.0
+	knownWeight := 0.0
 	for _, zone := range assignment.Zones() {
 		weight := assignment.Weights[zone]
-		sum += weight
+		totalWeight += weight
 		if i := slices.Index(u.zones, zone); i >= 0 {
 			steering.Weights[i] = weight
-			found += weight
+			knownWeight += weight
 		}
 	}
-	if sum > 0 {
-		steering.ShedFraction += (1 - steering.ShedFraction) * (1 - found/sum)
+	if totalWeight > 0 {
+		steering.ShedFraction += (1 - steering.ShedFraction) * (1 - knownWeight/totalWeight)
 	}
 	return steering
 }
--- a/internal/control/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -36,7 +36,7 @@
 
 // countNames holds the names of the sampled counts, so that they are built only once.
 type countNames struct {
-	awake, admitted       []string              // by zone
+	awakeTime, admitted   []string              // by zone
 	completed             [][]string            // by zone; names for all outcomes and receivers
 	health                [][]byHealth[string]  // by observing and observed zone
 	readyTime, readyPower []byPowerBand[string] // by zone
@@ -45,7 +45,7 @@
 func newCountNames(zones []string) *countNames {
 	names := &countNames{}
 	for _, zone := range zones {
-		names.awake = append(names.awake, zonestats.AwakeTime(zone))
+		names.awakeTime = append(names.awakeTime, zonestats.AwakeTime(zone))
 		names.admitted = append(names.admitted, zonestats.Admitted(zone))
 		var completed []string
 		var health []byHealth[string]
@@ -75,25 +75,25 @@
 // sample holds the counts at one time, summed over all gateways since their start.
 type sample struct {
 	at                    time.Duration
-	awake                 []float64              // milliseconds that gateways were awake, by zone
+	awakeTime             []float64              // milliseconds that gateways were awake, by zone
 	admitted              []float64              // thousandths of units admitted, by zone
 	completed             []float64              // attempts completed, by the zone of the gateway
 	health                [][]byHealth[float64]  // milliseconds, by observing and observed zone
 	readyTime, readyPower []byPowerBand[float64] // milliseconds, and power times milliseconds, by zone
 }
 
-// sample returns the counts of all zones from the merged sums.
-func (c *countNames) sample(now time.Duration, sums map[string]uint64) *sample {
+// newSample returns the counts of all zones from the merged sums.
+func (c *countNames) newSample(now time.Duration, sums map[string]uint64) *sample {
 	next := &sample{at: now}
-	for from := range c.awake {
-		next.awake = append(next.awake, float64(sums[c.awake[from]]))
+	for from := range c.awakeTime {
+		next.awakeTime = append(next.awakeTime, float64(sums[c.awakeTime[from]]))
 		next.admitted = append(next.admitted, float64(sums[c.admitted[from]]))
 		completed := 0.0
 		for _, name := range c.completed[from] {
 			completed += float64(sums[name])
 		}
 		next.completed = append(next.completed, completed)
-		health := make([]byHealth[float64], len(c.awake))
+		health := make([]byHealth[float64], len(c.awakeTime))
 		for to := range health {
 			for quarter := range health[to] {
 				health[to][quarter] = float64(sums[c.health[from][to][quarter]])
@@ -130,9 +130,9 @@
 // last returns the latest sample.
 func (s samples) last() *sample { return s[len(s)-1] }
 
-// before returns the latest sample that is at least age older than the last one, or nil if there is
-// none.
-func (s samples) before(age time.Duration) *sample {
+// sampleBefore returns the latest sample that is at least age older than the last one, or nil if
+// there is none.
+func (s samples) sampleBefore(age time.Duration) *sample {
 	now := s.last().at
 	for i := len(s) - 1; i >= 0; i-- {
 		if s[i].at <= now-age {
@@ -148,23 +148,23 @@
 // milliseconds returns the interval's length.
 func (i interval) milliseconds() float64 { return float64((i.end.at - i.start.at) / time.Millisecond) }
 
-// gateways returns the number of gateways of a zone that reported in the interval, as their awake
-// time divided by the interval's length.
-func (i interval) gateways(zone int) float64 {
-	return (i.end.awake[zone] - i.start.awake[zone]) / i.milliseconds()
+// gatewayCount returns the number of gateways of a zone that reported in the interval, as their
+// awake time divided by the interval's length.
+func (i interval) gatewayCount(zone int) float64 {
+	return (i.end.awakeTime[zone] - i.start.awakeTime[zone]) / i.milliseconds()
 }
 
-// halves holds two consecutive intervals that must both show a change.
-type halves struct{ older, newer interval }
+// intervalPair holds two consecutive intervals that must both show a change.
+type intervalPair struct{ older, newer interval }
 
-// halves returns the last two consecutive intervals of the given length. ok is false if the samples
-// do not go back that far.
-func (s samples) halves(span time.Duration) (h halves, ok bool) {
+// latestPair returns the last two consecutive intervals of the given length. ok is false if the
+// samples do not go back that far.
+func (s samples) latestPair(span time.Duration) (pair intervalPair, ok bool) {
 	last := s.last()
-	middle := s.before(span)
-	first := s.before(confirmSpans * span)
+	middle := s.sampleBefore(span)
+	first := s.sampleBefore(confirmSpans * span)
 	if middle == nil || first == nil || first.at >= middle.at {
-		return halves{}, false
+		return intervalPair{}, false
 	}
-	return halves{interval{first, middle}, interval{middle, last}}, true
+	return intervalPair{interval{first, middle}, interval{middle, last}}, true
 }
--- a/internal/control/failover/settings.go
+++ b/internal/control/failover/settings.go
@@ -113,58 +113,58 @@
 		return nil
 	}
 	s = s.WithDefaults()
-	var check checker
-	zones := check.regions(s.Regions)
-	check.within("bears", s.Capacity, minCapacity, maxCapacity)
+	var check settingsChecker
+	zones := check.checkRegions(s.Regions)
+	check.checkRange("bears", s.Capacity, minCapacity, maxCapacity)
 	for _, zone := range sortedKeys(s.CapacityByZone) {
 		if !zones[zone] {
-			check.refuse("bears_by", "a hall of a region", fmt.Sprintf("%q", zone))
+			check.addError("bears_by", "a hall of a region", fmt.Sprintf("%q", zone))
 		}
-		check.within("bears_by."+zone, s.CapacityByZone[zone], minCapacity, maxCapacity)
+		check.checkRange("bears_by."+zone, s.CapacityByZone[zone], minCapacity, maxCapacity)
 	}
-	check.within("utilisation_most", s.MaxUtilisation, minMaxUtilisation, maxMaxUtilisation)
-	check.within("least_stay_s", s.HoldDownSeconds, minHoldDownSeconds, maxHoldDownSeconds)
-	check.within("step", s.RecoveryStep, minRecoveryStep, maxRecoveryStep)
-	check.within("worth", s.MinMove, minMinMove, maxMinMove)
-	check.within("ill_part", s.AgreementShare, minAgreementShare, maxAgreementShare)
-	check.within("gateways_least", float64(s.MinGateways), minMinGateways, maxMinGateways)
-	check.within("trial", s.ProbeShare, minProbeShare, maxProbeShare)
+	check.checkRange("utilisation_most", s.MaxUtilisation, minMaxUtilisation, maxMaxUtilisation)
+	check.checkRange("least_stay_s", s.HoldDownSeconds, minHoldDownSeconds, maxHoldDownSeconds)
+	check.checkRange("step", s.RecoveryStep, minRecoveryStep, maxRecoveryStep)
+	check.checkRange("worth", s.MinMove, minMinMove, maxMinMove)
+	check.checkRange("ill_part", s.AgreementShare, minAgreementShare, maxAgreementShare)
+	check.checkRange("gateways_least", float64(s.MinGateways), minMinGateways, maxMinGateways)
+	check.checkRange("trial", s.ProbeShare, minProbeShare, maxProbeShare)
 	return check.errs
 }
 
-// checker collects the errors of Settings.Check.
-type checker struct{ errs []error }
+// settingsChecker collects the errors of Settings.Check.
+type settingsChecker struct{ errs []error }
 
-func (c *checker) refuse(key, expected string, found any) {
+func (c *settingsChecker) addError(key, expected string, found any) {
 	c.errs = append(c.errs, &SettingError{Key: key, Expected: expected, Found: found})
 }
 
-// within checks that a number lies between two bounds, inclusive. NaN does not.
-func (c *checker) within(key string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		c.refuse(key, fmt.Sprintf("a number from %v to %v", least, most), value)
+// checkRange checks that a number lies between two bounds, inclusive. NaN does not.
+func (c *settingsChecker) checkRange(key string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		c.addError(key, fmt.Sprintf("a number from %v to %v", minimum, maximum), value)
 	}
 }
 
-// regions checks that regions and zones have unique names, and returns the set of zones.
-func (c *checker) regions(regions []Region) (zones map[string]bool) {
+// checkRegions checks that regions and zones have unique names, and returns the set of zones.
+func (c *settingsChecker) checkRegions(regions []Region) (zones map[string]bool) {
 	if len(regions) == 0 {
-		c.refuse("regions", "at least one region with a name and its halls", "none")
+		c.addError("regions", "at least one region with a name and its halls", "none")
 	}
 	names := map[string]bool{}
 	zones = map[string]bool{}
 	for i, region := range regions {
 		if region.Name == "" || names[region.Name] {
-			c.refuse(fmt.Sprintf("regions[%d].name", i), "a name of its own", fmt.Sprintf("%q", region.Name))
+			c.addError(fmt.Sprintf("regions[%d].name", i), "a name of its own", fmt.Sprintf("%q", region.Name))
 		}
 		names[region.Name] = true
 		if len(region.Zones) == 0 {
-			c.refuse(fmt.Sprintf("regions[%d].halls", i), "the names of its halls", "none")
+			c.addError(fmt.Sprintf("regions[%d].halls", i), "the names of its halls", "none")
 		}
 		for _, zone := range region.Zones {
 			if zone == "" || zones[zone] {
 				key := fmt.Sprintf("regions[%d].halls", i)
-				c.refuse(key, "halls that stand in one region, once", fmt.Sprintf("%q", zone))
+				c.addError(key, "halls that stand in one region, once", fmt.Sprintf("%q", zone))
 			}
 			zones[zone] = true
 		}
--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -69,8 +69,8 @@
 	s.healthy = append(s.healthy, 1)
 }
 
-// drawSimulation returns a simulation of two to five random zones in up to three regions.
-func drawSimulation(random *rand.Rand) *simulation {
+// randomSimulation returns a simulation of two to five random zones in up to three regions.
+func randomSimulation(random *rand.Rand) *simulation {
 	sim := threeZones(0)
 	sim.zones, sim.gateways, sim.demand, sim.readyPower, sim.healthy = nil, nil, nil, nil, nil
 	sim.settings.Regions = nil
@@ -118,7 +118,7 @@
 // newLeader replaces the controller by a new one.
 func (s *simulation) newLeader() { s.controller = New(s.settings, s.lease) }
 
-func (s *simulation) add(name string, n float64) { s.sums[name] += uint64(n) }
+func (s *simulation) addCount(name string, n float64) { s.sums[name] += uint64(n) }
 
 // share returns the part of a zone's requests that the plan in force sends to another zone.
 func (s *simulation) share(from, to int) float64 {
@@ -143,10 +143,10 @@
 		if s.silent[from] {
 			continue
 		}
-		s.add(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
-		s.add(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
-		s.add(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
-		s.add(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // 100 attempts a second
+		s.addCount(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
+		s.addCount(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
+		s.addCount(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
+		s.addCount(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // 100 attempts a second
 		for gateway := range s.gateways[from] {
 			s.reportGateway(from, gateway == 0 && s.blindGateway[from], milliseconds)
 		}
@@ -162,14 +162,14 @@
 			power = 0
 		}
 		band := zonestats.PowerBand(power)
-		s.add(zonestats.ReadyTime(toZone, band), milliseconds)
-		s.add(zonestats.ReadyPower(toZone, band), milliseconds*power)
+		s.addCount(zonestats.ReadyTime(toZone, band), milliseconds)
+		s.addCount(zonestats.ReadyPower(toZone, band), milliseconds*power)
 		quarter := int(s.healthy[to]*zonestats.Healthy + 0.5)
 		if isBlind || s.lostLinks[[2]int{from, to}] {
 			quarter = zonestats.Lost
 		}
 		if s.share(from, to) > 0 && s.readyPower[to] > 0 || isBlind {
-			s.add(zonestats.HealthTime(s.zones[from], toZone, quarter), milliseconds)
+			s.addCount(zonestats.HealthTime(s.zones[from], toZone, quarter), milliseconds)
 		}
 	}
 }
@@ -209,10 +209,10 @@
 	return sum
 }
 
-func (s *simulation) wantBetween(t *testing.T, what string, got, least, most float64) {
+func (s *simulation) wantInRange(t *testing.T, what string, got, minimum, maximum float64) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s is %.3f, want %.3f to %.3f; plan in force: %+v", what, got, least, most, s.latest())
+	if got < minimum || got > maximum {
+		t.Errorf("%s is %.3f, want %.3f to %.3f; plan in force: %+v", what, got, minimum, maximum, s.latest())
 	}
 }
 
--- a/internal/control/failover/staleness.go
+++ b/internal/control/failover/staleness.go
@@ -19,7 +19,7 @@
 // fallback shares at most once per hold-down.
 func (in *planInput) isStale(plan *Plan) bool {
 	old := in.plan
-	if in.now < in.planSince+in.lease {
+	if in.now < in.planAdoptedAt+in.lease {
 		return false
 	}
 	wasMoving := len(old.HoldDown) > 0 || old.Previous != nil
@@ -27,7 +27,7 @@
 	if hasSettled || !slices.Equal(plan.LostLinks, old.LostLinks) {
 		return true
 	}
-	isFallbackDue := in.now >= in.planSince+in.settings.holdDown()
+	isFallbackDue := in.now >= in.planAdoptedAt+in.settings.holdDown()
 	return slices.ContainsFunc(in.zones, func(zone string) bool {
 		isHealthStale := math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/zonestats.Healthy
 		return isHealthStale || isFallbackDue && in.isFallbackStale(plan.Fallback[zone], old.Fallback[zone])
@@ -38,10 +38,10 @@
 // the one that would be written now.
 func (in *planInput) isFallbackStale(row, old map[string]int) bool {
 	return slices.ContainsFunc(in.zones, func(zone string) bool {
-		now := float64(row[zone])
-		before := float64(old[zone])
-		wasTooHigh := now < before*(1-fallbackTolerance)-minFallbackChange
-		wasTooLow := now*(1-fallbackTolerance)-minFallbackChange > before
+		newShare := float64(row[zone])
+		oldShare := float64(old[zone])
+		wasTooHigh := newShare < oldShare*(1-fallbackTolerance)-minFallbackChange
+		wasTooLow := newShare*(1-fallbackTolerance)-minFallbackChange > oldShare
 		return wasTooHigh || wasTooLow
 	})
 }
