--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -72,9 +72,9 @@
 // attempts a second per gateway. The demand is half of each zone's capacity.
 func newFleet(seed uint64, gateways int, rate float64) *fleet {
 	sim := &fleet{random: rand.New(rand.NewPCG(seed, 9)), rate: rate, now: time.Hour, merger: observation.NewMerger()}
-	three := threeZones(0)
-	three.settings.Capacity = 2 * float64(gateways) * rate / (fleetServers / 3)
-	sim.controller = New(three.settings, three.lease)
+	template := threeZones(0)
+	template.settings.Capacity = 2 * float64(gateways) * rate / (fleetServers / 3)
+	sim.controller = New(template.settings, template.lease)
 	var list []policy.Endpoint
 	for i := range fleetServers {
 		list = append(list, policy.Endpoint{Server: uint32(i), State: policy.Ready, Zone: i % 3, Rack: i})
@@ -84,7 +84,7 @@
 	for i := range 3 * gateways {
 		gateway := &member{
 			zone: i % 3, planCount: -1, subset: subset.New(i, 3*gateways, 15*time.Second),
-			failedUntil: map[uint32]time.Duration{}, recorder: zonestats.New(three.zones, i%3, &policy.Settings{}),
+			failedUntil: map[uint32]time.Duration{}, recorder: zonestats.New(template.zones, i%3, &policy.Settings{}),
 			digest:     observation.Digest{Process: fmt.Sprint(i), Incarnation: 1},
 			nextDigest: sim.now + time.Duration(sim.random.IntN(200))*time.Millisecond,
 		}
--- a/internal/control/failover/settings_test.go
+++ b/internal/control/failover/settings_test.go
@@ -17,12 +17,12 @@
 		if !strings.Contains(err.Error(), " is wanted, not ") {
 			t.Errorf("%q does not state what is allowed", err)
 		}
-		var wrong *SettingError
-		if !errors.As(err, &wrong) || !strings.HasPrefix(err.Error(), "failover."+wrong.Key+": ") {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || !strings.HasPrefix(err.Error(), "failover."+settingErr.Key+": ") {
 			t.Errorf("%q does not start with its key", err)
 			continue
 		}
-		keys = append(keys, wrong.Key)
+		keys = append(keys, settingErr.Key)
 	}
 	want := []string{
 		"regions[0].name", "regions[0].halls", "regions[1].halls", "regions[2].name", "regions[2].halls",
@@ -36,7 +36,7 @@
 	if len(settings.Check()) > 0 {
 		t.Error("errors for settings that are not enabled")
 	}
-	if wrong := threeZones(1).settings.Check(); len(wrong) > 0 {
-		t.Error(wrong)
+	if errs := threeZones(1).settings.Check(); len(errs) > 0 {
+		t.Error(errs)
 	}
 }
