--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -17,7 +17,7 @@
 	shares        [][]float64 // shares of the plan in force, 0 to 1, without what is shed
 	loads         []float64   // units a second that the plan in force sends to a receiver
 	mustMoveAway  [][]bool    // requests must move away: the receiver is unreachable or overloaded
-	unreachable   [][]bool    // the same, but only if the receiver is lost or behind a lost link
+	unreachable   [][]bool    // subset of mustMoveAway: the receiver is lost or behind a lost link
 	previousRates [][]float64 // highest rate that gateways may still send, in units a second
 }
 
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -130,7 +130,7 @@
 		return 0, afterStep
 	case in.canMove(from):
 		return 0, math.Inf(1)
-	case mustMoveAway: // from here on the zone may not move: all other receivers keep their requests
+	case mustMoveAway: // here and below the zone may not move: all other receivers keep their requests
 		return 0, current
 	case isLocal:
 		return current, afterStep
