--- a/internal/control/countingrule/canary/bettingtest_test.go
+++ b/internal/control/countingrule/canary/bettingtest_test.go
@@ -11,7 +11,7 @@
 	for seed := range runs {
 		random, betting := rand.New(rand.NewPCG(seed, 9)), BettingTest{}
 		isAbove, isBelow := false, false
-		for range Buckets {
+		for range BucketCount {
 			betting.Add(draw(random), bound)
 			isAbove, isBelow = isAbove || betting.IsAbove(alpha), isBelow || betting.IsBelow(alpha)
 		}
@@ -53,7 +53,7 @@
 func TestBettingTest_bucketsNeededWithoutHarm(t *testing.T) {
 	for bound, maxBuckets := range map[float64]int{0.02: 200, 0.05: 80, 0.1: 40} {
 		betting := BettingTest{}
-		for !betting.IsBelow(0.05) && betting.Count < Buckets {
+		for !betting.IsBelow(0.05) && betting.Count < BucketCount {
 			betting.Add(0, bound)
 		}
 		if !betting.IsBelow(0.05) || betting.Count > maxBuckets {
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -17,7 +17,7 @@
 type Controller struct {
 	Config      func() *countingrule.Config // returns the configuration as last read from the file
 	Lease       time.Duration               // duration of the table's lease at every process
-	ReadWait    time.Duration               // longest time that a read waits for a new table value
+	MaxReadWait time.Duration               // longest time that a read waits for a new table value
 	ClockOrigin time.Duration               // time on the common clock at which the clock of Decide was 0
 
 	baselineEpoch  uint64            // epoch of the entry that baseline belongs to
@@ -38,7 +38,7 @@
 // clock, in nanoseconds since 1970, at which the clock passed to Decide was 0. It may be off by
 // maxClockSkew.
 func New(config func() *countingrule.Config, lease, wait, origin time.Duration) *Controller {
-	return &Controller{Config: config, Lease: lease, ReadWait: wait, ClockOrigin: origin}
+	return &Controller{Config: config, Lease: lease, MaxReadWait: wait, ClockOrigin: origin}
 }
 
 // Table returns the name of the table that the controller writes.
@@ -97,5 +97,5 @@
 // process has either received the decision or found its lease expired: a lease that ends more than
 // one lease duration from now was granted by a read that returned the decision.
 func (c *Controller) switchDelay(config *countingrule.Config) time.Duration {
-	return c.Lease + switchDelayReadWaits*c.ReadWait + switchDelayClockSkews*maxClockSkew + config.Canary.ExtraLead()
+	return c.Lease + switchDelayReadWaits*c.MaxReadWait + switchDelayClockSkews*maxClockSkew + config.Canary.ExtraLead()
 }
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -65,7 +65,7 @@
 		g.drawOldOnlyUnits(t)
 	}
 	fingerprint := Fingerprint(table.Seed)
-	for i := range Buckets {
+	for i := range BucketCount {
 		g.sums[bucketName(fingerprint, i, nameRequested)] += 1000
 		g.sums[bucketName(fingerprint, i, nameOldOnly)] += g.oldOnlyUnits
 	}
@@ -125,7 +125,7 @@
 // force immediately, schedules a switch too soon for all processes to learn of it, undoes a switch
 // before it takes effect, or tries a refused version. The same input must lead to the same
 // decision.
-func TestController_switchesNeverTakeEffectAtOnce(t *testing.T) {
+func TestController_versionInForceNeverChangesImmediately(t *testing.T) {
 	activated, rolledBack := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		g := newEventGenerator(t)
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -27,7 +27,7 @@
 	s := runUntilScheduled(t)
 	table := s.tableValue()
 	lead := table.SwitchAt - (s.now + s.controller.ClockOrigin)
-	if lead < s.controller.Lease+2*s.controller.ReadWait || table.SwitchAt%time.Second != 0 {
+	if lead < s.controller.Lease+2*s.controller.MaxReadWait || table.SwitchAt%time.Second != 0 {
 		t.Errorf("switch scheduled %v ahead, at %v", lead, table.SwitchAt)
 	}
 	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseIdle })
@@ -40,7 +40,7 @@
 }
 
 // A harmful rule is refused and not tried again.
-func TestController_harmfulRuleIsRefusedForGood(t *testing.T) {
+func TestController_harmfulRuleIsRefusedPermanently(t *testing.T) {
 	s := newSimulation(ruleWithScaledLimits(0.5), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
@@ -86,7 +86,7 @@
 	s.advance(s.now+20*time.Second, neverStop)
 	before := s.trialState(t)
 	s.missedSums, s.leadingSince = s.sums(), s.now
-	s.controller = New(s.controller.Config, s.controller.Lease, s.controller.ReadWait, s.controller.ClockOrigin)
+	s.controller = New(s.controller.Config, s.controller.Lease, s.controller.MaxReadWait, s.controller.ClockOrigin)
 	s.advance(s.now+5*time.Second, neverStop)
 	if after := s.trialState(t); after.NextBucket != before.NextBucket {
 		t.Errorf("buckets %d to %d were tested before observations arrived", before.NextBucket, after.NextBucket)
@@ -122,7 +122,7 @@
 // decideOnce calls Decide for a table, one hour after the clock's origin. It returns the new table
 // and whether one was written.
 func decideOnce(config *countingrule.Config, current countingrule.Table) (countingrule.Table, bool) {
-	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, ReadWait: time.Second}
+	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, MaxReadWait: time.Second}
 	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) statemachine.Table {
 		return statemachine.Table{Epoch: 3, Value: current.Encode()}
 	}})
@@ -132,7 +132,7 @@
 
 // A rollback requested by an operator needs no trial because the previous rule was in force before.
 // It is delayed until a scheduled switch has taken effect, because no switch is undone before that.
-func TestController_operatorsRollBackWithoutATrial(t *testing.T) {
+func TestController_operatorRollbackNeedsNoTrial(t *testing.T) {
 	rules := []countingrule.Rule{ruleWithScaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
 		return countingrule.Table{Phase: countingrule.PhaseScheduled, From: 0, To: 1, SwitchAt: at, Rules: rules}
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -50,7 +50,7 @@
 	fingerprint           string
 	calls                 uint64            // calls to the counter
 	counts                map[string]uint64 // by name without the canary's prefix; excludes calls and buckets
-	buckets               [Buckets]bucketUnits
+	buckets               [BucketCount]bucketUnits
 	oldKeyByNew           map[uint64]uint64 // first key under the old rule, by key under the new rule, or severalKeys
 	newKeyByOld           map[uint64]uint64 // first key under the new rule, by key under the old rule, or severalKeys
 	classNames, planNames []string          // by index
--- a/internal/control/countingrule/canary/sample.go
+++ b/internal/control/countingrule/canary/sample.go
@@ -15,9 +15,9 @@
 	"harrierhoist/internal/control/countingrule"
 )
 
-// Buckets is the number of buckets into which the sampled keys are hashed. A trial tests the
+// BucketCount is the number of buckets into which the sampled keys are hashed. A trial tests the
 // buckets in sequence, each once.
-const Buckets = 256
+const BucketCount = 256
 
 // minSharedBits is the minimum number of bits that the masks of two rules must share. With fewer,
 // there are too few components to sample from.
@@ -26,9 +26,9 @@
 // Errors for two rules that cannot be sampled. Their texts are stored in the table as the reason of
 // a refusal and must not change.
 var (
-	ErrMixedGroups = errors.New("one rule's groups are listed and the other's made by a mask: what" +
+	ErrGroupsAndMask = errors.New("one rule's groups are listed and the other's made by a mask: what" +
 		" hangs together cannot be told")
-	ErrMasksApart = errors.New("the masks of both rules have fewer than 5 bits in common: too much" +
+	ErrTooFewSharedBits = errors.New("the masks of both rules have fewer than 5 bits in common: too much" +
 		" hangs together to sample")
 )
 
@@ -43,8 +43,8 @@
 }
 
 // NewSample returns the sample for two rules, with the given permille of the components. All
-// processes that pass the same seed get the same sample. The error is ErrMixedGroups or
-// ErrMasksApart if the rules' components cannot be determined or are too few.
+// processes that pass the same seed get the same sample. The error is ErrGroupsAndMask or
+// ErrTooFewSharedBits if the rules' components cannot be determined or are too few.
 func NewSample(oldRule, newRule countingrule.Rule, seed, permille uint64) (*Sample, error) {
 	sample := &Sample{
 		seed:          seed,
@@ -71,10 +71,10 @@
 		}
 	}
 	if hasListedGroups && sample.mask != math.MaxUint64 {
-		return nil, ErrMixedGroups
+		return nil, ErrGroupsAndMask
 	}
 	if bits.OnesCount64(sample.mask) < minSharedBits {
-		return nil, ErrMasksApart
+		return nil, ErrTooFewSharedBits
 	}
 	for _, customer := range slices.Sorted(maps.Keys(sample.parents)) {
 		sample.parents[customer] = sample.find(customer)
@@ -112,9 +112,9 @@
 	return customer & s.mask
 }
 
-// Bucket returns the bucket of a customer, from 0 to Buckets-1, and whether the customer is
+// Bucket returns the bucket of a customer, from 0 to BucketCount-1, and whether the customer is
 // sampled.
 func (s *Sample) Bucket(customer uint64) (bucket int, sampled bool) {
 	hash := countingrule.Hash(s.seed, s.ComponentKey(customer))
-	return int(countingrule.Hash(hash, 1) % Buckets), hash < s.hashThreshold
+	return int(countingrule.Hash(hash, 1) % BucketCount), hash < s.hashThreshold
 }
--- a/internal/control/countingrule/canary/sample_test.go
+++ b/internal/control/countingrule/canary/sample_test.go
@@ -100,14 +100,14 @@
 
 // findSplitKey must detect a sample by customer, and a sample that connects customers only to
 // nearby roots.
-func TestSample_checkFindsASplitKey(t *testing.T) {
+func TestSample_findSplitKeyDetectsBrokenSamples(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		broken func(*Sample, uint64) (int, bool)
 	}{
 		{"by customer", func(sample *Sample, customer uint64) (int, bool) {
 			hash := countingrule.Hash(sample.seed, customer)
-			return int(hash % Buckets), hash < sample.hashThreshold
+			return int(hash % BucketCount), hash < sample.hashThreshold
 		}},
 		{"nearby roots only", func(sample *Sample, customer uint64) (int, bool) {
 			neighbours := *sample
@@ -132,7 +132,7 @@
 }
 
 // Customers that differ only in bits that at least one of the masks excludes are in one component.
-func TestSample_masksShareTheirCommonBits(t *testing.T) {
+func TestSample_componentsMatchSharedMaskBits(t *testing.T) {
 	sample, err := NewSample(ruleWithMask(1, 0xfff0), ruleWithMask(2, 0xff0f), 3, 500)
 	if err != nil {
 		t.Fatal(err)
@@ -153,8 +153,8 @@
 		next countingrule.Rule
 		want error
 	}{
-		{"all customers are one component", ruleWithMask(2, 0x00ff), ErrMasksApart},
-		{"listed groups and a mask", listed, ErrMixedGroups},
+		{"all customers are one component", ruleWithMask(2, 0x00ff), ErrTooFewSharedBits},
+		{"listed groups and a mask", listed, ErrGroupsAndMask},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := NewSample(ruleWithMask(1, 0xff00), test.next, 3, 500); !errors.Is(err, test.want) {
--- a/internal/control/countingrule/canary/shadow_test.go
+++ b/internal/control/countingrule/canary/shadow_test.go
@@ -54,7 +54,7 @@
 
 // Two equivalent rules have about the same outcome, and merge or split no keys. Calls stay within
 // their share.
-func TestShadow_sameRuleDiffersNowhere(t *testing.T) {
+func TestShadow_equivalentRulesAgree(t *testing.T) {
 	shadow := newTestShadow(t, countingrule.Rule{Version: 1, Key: []string{"customer"}})
 	ownCalls := evaluateRequests(shadow, func(random *rand.Rand) time.Duration {
 		return time.Duration(random.IntN(int(10 * time.Millisecond)))
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -29,7 +29,7 @@
 const (
 	maxClockSkew = 500 * time.Millisecond // maximum error of a process clock
 
-	// switchDelayReadWaits is a multiple of ReadWait. It lets most processes learn of a switch
+	// switchDelayReadWaits is a multiple of MaxReadWait. It lets most processes learn of a switch
 	// while their lease is valid.
 	switchDelayReadWaits = 2
 
@@ -191,9 +191,9 @@
 // spread evenly over the trial, except for its first and last settleDelay.
 func (s *step) isBucketDue(bucket int) bool {
 	testDuration := s.table.Canary.Deadline() - settleDelay - settleDelay
-	interval := testDuration / Buckets
+	interval := testDuration / BucketCount
 	firstAt := s.table.Since + settleDelay + interval
-	return bucket < Buckets && s.now >= firstAt+time.Duration(bucket)*interval
+	return bucket < BucketCount && s.now >= firstAt+time.Duration(bucket)*interval
 }
 
 // applyVerdict refuses a rule that exceeds a bound and schedules a rule that is harmless. Otherwise
@@ -206,7 +206,7 @@
 		return
 	}
 	if s.trial.isHarmless(errorRate) {
-		s.trial.Forecast = s.trial.forecastAdmitted(s.table.From)
+		s.trial.ForecastFraction = s.trial.forecastAdmitted(s.table.From)
 		s.enterPhase(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[boundRejected].Count))
 		s.table.SwitchAt = s.nextSwitchTime()
 	}
@@ -219,26 +219,26 @@
 	canary := &s.table.Canary
 	trial := s.trial
 	if s.now >= s.table.SwitchAt+canary.WatchDuration() {
-		s.completeSwitch(fmt.Sprintf(reasonKept, trial.Observed, trial.Forecast))
+		s.completeSwitch(fmt.Sprintf(reasonKept, trial.ObservedFraction, trial.ForecastFraction))
 		return true
 	}
 	elapsed := s.now - s.table.SwitchAt - settleDelay
-	if elapsed < time.Duration(trial.Checks+1)*watchInterval {
+	if elapsed < time.Duration(trial.ElapsedIntervals+1)*watchInterval {
 		return false
 	}
-	trial.Checks = int(elapsed / watchInterval)
+	trial.ElapsedIntervals = int(elapsed / watchInterval)
 	trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
 	if !trial.updateObserved(s.table.To) {
 		return true
 	}
-	if canary.MatchesForecast(trial.Observed, trial.Forecast) {
-		trial.Deviations = 0
+	if canary.MatchesForecast(trial.ObservedFraction, trial.ForecastFraction) {
+		trial.ConsecutiveDeviations = 0
 		return true
 	}
-	trial.Deviations++
-	if trial.Deviations >= maxDeviations {
+	trial.ConsecutiveDeviations++
+	if trial.ConsecutiveDeviations >= maxDeviations {
 		s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
-		s.startRollback(fmt.Sprintf(reasonDeviation, trial.Observed, trial.Forecast))
+		s.startRollback(fmt.Sprintf(reasonDeviation, trial.ObservedFraction, trial.ForecastFraction))
 	}
 	return true
 }
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -32,13 +32,13 @@
 	Tests      [boundCount]BettingTest `cbor:"2,keyasint"`
 	// Sums are the canary's observations accumulated over all leaders, except those by bucket.
 	// Their names lack the canary's prefix.
-	Sums           map[string]uint64 `cbor:"3,keyasint"`
-	Forecast       float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, from 0 to 1
-	Observed       float64           `cbor:"5,keyasint"` // fraction admitted between the latest two measurements
-	Checks         int               `cbor:"6,keyasint"` // watch intervals that had passed at the latest check
-	Deviations     int               `cbor:"7,keyasint"` // consecutive checks that deviate from the forecast
-	RequestedUnits uint64            `cbor:"8,keyasint"` // total at the latest measurement, in thousandths
-	AdmittedUnits  uint64            `cbor:"9,keyasint"` // total at the latest measurement, in thousandths
+	Sums                  map[string]uint64 `cbor:"3,keyasint"`
+	ForecastFraction      float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, from 0 to 1
+	ObservedFraction      float64           `cbor:"5,keyasint"` // fraction admitted between the latest two measurements
+	ElapsedIntervals      int               `cbor:"6,keyasint"` // watch intervals that had passed at the latest check
+	ConsecutiveDeviations int               `cbor:"7,keyasint"` // consecutive checks that deviate from the forecast
+	RequestedUnits        uint64            `cbor:"8,keyasint"` // total at the latest measurement, in thousandths
+	AdmittedUnits         uint64            `cbor:"9,keyasint"` // total at the latest measurement, in thousandths
 }
 
 // bucketOutcome is the outcome of a bucket's requests according to the observations that this
@@ -119,7 +119,7 @@
 	if requested-s.RequestedUnits < minWatchedUnits {
 		return false
 	}
-	s.Observed = float64(admitted-s.AdmittedUnits) / float64(requested-s.RequestedUnits)
+	s.ObservedFraction = float64(admitted-s.AdmittedUnits) / float64(requested-s.RequestedUnits)
 	s.RequestedUnits = requested
 	s.AdmittedUnits = admitted
 	return true
--- a/internal/control/countingrule/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -33,7 +33,7 @@
 		s.advance(s.now+75*time.Second, neverStop)
 		var state TrialState
 		sums, fingerprint := s.sums(), Fingerprint(s.tableValue().Seed)
-		for bucket := range Buckets {
+		for bucket := range BucketCount {
 			state.addBucket(&canary, readBucket(sums, fingerprint, bucket))
 		}
 		for i := range means {
--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -16,11 +16,12 @@
 	reasonOverloaded = " is pushed over"
 )
 
-// buildPlan returns the plan that consists of the rows. The caller sets HoldDown and Previous.
+// buildPlan returns the plan that consists of the rows. The caller sets HeldDownZones and
+// PreviousRows.
 func (in *planInput) buildPlan(rows []zoneRow) *Plan {
 	plan := &Plan{
 		Rows: map[string]map[string]int{}, Health: map[string]int{}, Shed: map[string]int{},
-		Fallback: in.fallbackRows(), Reasons: map[string]string{}, Demand: map[string]uint64{},
+		FallbackRows: in.fallbackRows(), Reasons: map[string]string{}, Demand: map[string]uint64{},
 	}
 	for from, fromZone := range in.zones {
 		row := map[string]int{}
--- a/internal/control/failover/controller.go
+++ b/internal/control/failover/controller.go
@@ -58,7 +58,7 @@
 var _ coordination.Controller = (*Controller)(nil)
 
 // Table returns the name of the table that the controller writes.
-func (c *Controller) Table() string { return Table }
+func (c *Controller) Table() string { return TableName }
 
 // isHeldDown reports whether a zone's requests moved less than a hold-down ago.
 func (c *Controller) isHeldDown(zone int, now time.Duration) bool { return c.holdDownUntil[zone] > now }
@@ -70,7 +70,7 @@
 // leader calls Decide about ten times a second. While no plan is in force, Decide writes none until
 // demand has been measured for demandRiseTime.
 func (c *Controller) Decide(now time.Duration, input coordination.ControllerInput) (value []byte, write bool) {
-	if table := input.Table(Table); !c.started || table.Epoch != c.epoch {
+	if table := input.Table(TableName); !c.started || table.Epoch != c.epoch {
 		c.adoptPlan(now, table)
 	}
 	if !c.samples.add(c.countNames.newSample(now, input.Sums)) || !c.estimates.update(c.samples) {
@@ -98,7 +98,7 @@
 	rows := c.rowsOf(plan)
 	for i, zone := range c.zones {
 		switch {
-		case !slices.Contains(plan.HoldDown, zone):
+		case !slices.Contains(plan.HeldDownZones, zone):
 			c.holdDownUntil[i] = 0
 		case c.rows == nil || !slices.Equal(rows[i], c.rows[i]) || c.plan.Shed[zone] != plan.Shed[zone]:
 			c.holdDownUntil[i] = now + c.settings.holdDown()
--- a/internal/control/failover/golden_test.go
+++ b/internal/control/failover/golden_test.go
@@ -19,25 +19,25 @@
 var storedPlans = map[string]*Plan{
 	"empty": {},
 	"plain": {
-		Rows:     map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}},
-		Health:   map[string]int{"a": 1000, "b": 1000},
-		Fallback: map[string]map[string]int{"a": {"b": 100}, "b": {"a": 90}},
-		Shed:     map[string]int{},
-		Reasons:  map[string]string{},
-		Demand:   map[string]uint64{"a": 50000, "b": 49999},
+		Rows:         map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}},
+		Health:       map[string]int{"a": 1000, "b": 1000},
+		FallbackRows: map[string]map[string]int{"a": {"b": 100}, "b": {"a": 90}},
+		Shed:         map[string]int{},
+		Reasons:      map[string]string{},
+		Demand:       map[string]uint64{"a": 50000, "b": 49999},
 	},
 	"full": {
-		Rows:      map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
-		Health:    map[string]int{"a": 0, "b": 1000, "c": 750},
-		Fallback:  map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
-		Previous:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
-		HoldDown:  []string{"a"},
-		LostLinks: [][2]string{{"a", "b"}, {"c", "a"}},
-		Shed:      map[string]int{"a": 12},
-		Reasons:   map[string]string{"a": "a is lost", "b": reasonOrdinary},
-		Demand:    map[string]uint64{"a": 1, "b": 1 << 40, "c": 0},
+		Rows:          map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
+		Health:        map[string]int{"a": 0, "b": 1000, "c": 750},
+		FallbackRows:  map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
+		PreviousRows:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
+		HeldDownZones: []string{"a"},
+		LostLinks:     [][2]string{{"a", "b"}, {"c", "a"}},
+		Shed:          map[string]int{"a": 12},
+		Reasons:       map[string]string{"a": "a is lost", "b": reasonOrdinary},
+		Demand:        map[string]uint64{"a": 1, "b": 1 << 40, "c": 0},
 	},
-	"resting": {HoldDown: []string{}, LostLinks: [][2]string{}, Previous: map[string]map[string]int{}},
+	"resting": {HeldDownZones: []string{}, LostLinks: [][2]string{}, PreviousRows: map[string]map[string]int{}},
 }
 
 // TestPlan_encodingIsStable compares the stored form of plans with fixtures, since gateways and
@@ -161,8 +161,8 @@
 
 // markCovered sets the entries of the optional parts and the reasons that a plan contains.
 func markCovered(covered map[string]bool, plan *Plan) {
-	covered["hold-down"] = covered["hold-down"] || len(plan.HoldDown) > 0
-	covered["previous"] = covered["previous"] || len(plan.Previous) > 0
+	covered["hold-down"] = covered["hold-down"] || len(plan.HeldDownZones) > 0
+	covered["previous"] = covered["previous"] || len(plan.PreviousRows) > 0
 	covered["lost links"] = covered["lost links"] || len(plan.LostLinks) > 0
 	covered["shed"] = covered["shed"] || len(plan.Shed) > 0
 	for _, why := range plan.Reasons {
--- a/internal/control/failover/plan.go
+++ b/internal/control/failover/plan.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Table is the name of the table that holds the plan.
-const Table = "failover"
+// TableName is the name of the table that holds the plan.
+const TableName = "failover"
 
 // fullShare is all requests of a zone, in thousandths.
 const fullShare = 1000
@@ -24,16 +24,16 @@
 	Rows map[string]map[string]int `cbor:"1,keyasint"`
 	// Health is the part of a zone's listed power that answers, in thousandths; 0 for a lost zone.
 	Health map[string]int `cbor:"2,keyasint"`
-	// Fallback contains the shares that gateways without a plan may send to other zones while they
-	// observe their own zone to be lost. For each receiver the shares of all zones together fit
-	// into the capacity that plans do not use.
-	Fallback map[string]map[string]int `cbor:"3,keyasint"`
-	// Previous contains, for each pair of zones, the largest share in the earlier plans that some
-	// gateways may still act on until their lease ends; nil if there are none.
-	Previous map[string]map[string]int `cbor:"4,keyasint"`
-	// HoldDown lists the zones that were in hold-down when this plan was written. It contains no
-	// time, as processes share no clock: a new leader starts a full hold-down.
-	HoldDown []string `cbor:"5,keyasint"`
+	// FallbackRows contains the shares that gateways without a plan may send to other zones while
+	// they observe their own zone to be lost. For each receiver the shares of all zones together
+	// fit into the capacity that plans do not use.
+	FallbackRows map[string]map[string]int `cbor:"3,keyasint"`
+	// PreviousRows contains, for each pair of zones, the largest share in the earlier plans that
+	// some gateways may still act on until their lease ends; nil if there are none.
+	PreviousRows map[string]map[string]int `cbor:"4,keyasint"`
+	// HeldDownZones lists the zones that were in hold-down when this plan was written. It contains
+	// no time, as processes share no clock: a new leader starts a full hold-down.
+	HeldDownZones []string `cbor:"5,keyasint"`
 	// LostLinks lists the pairs of zones (from, to) whose link counts as lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
 	// Shed is the part of a zone's local share that fits nowhere and is rejected immediately,
@@ -116,8 +116,8 @@
 
 // FallbackAssignment returns the assignment of a gateway in a zone once its lease on the latest
 // plan has ended. The gateway serves locally unless its own zone is lost. In that case it sends the
-// shares in Fallback to other zones, probes its own zone and sheds the rest. A nil plan has no
-// Fallback.
+// shares in FallbackRows to other zones, probes its own zone and sheds the rest. A nil plan has no
+// FallbackRows.
 func (p *Plan) FallbackAssignment(zone string, isLost bool) Assignment {
 	if !isLost {
 		return local(zone)
@@ -126,8 +126,8 @@
 	if p == nil {
 		return assignment
 	}
-	for _, toZone := range sortedKeys(p.Fallback[zone]) {
-		share := min(float64(p.Fallback[zone][toZone])/fullShare, assignment.Shed)
+	for _, toZone := range sortedKeys(p.FallbackRows[zone]) {
+		share := min(float64(p.FallbackRows[zone][toZone])/fullShare, assignment.Shed)
 		if share > 0 && toZone != zone {
 			assignment.Weights[toZone] = share
 			assignment.Shed -= share
--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -50,12 +50,12 @@
 		}
 	}
 	plan := input.buildPlan(rows)
-	plan.HoldDown = heldDown
+	plan.HeldDownZones = heldDown
 	switch {
 	case hasMoved:
-		plan.Previous = input.previousRows()
+		plan.PreviousRows = input.previousRows()
 	case c.isPreviousInUse(now) || len(heldDown) > 0:
-		plan.Previous = c.plan.Previous
+		plan.PreviousRows = c.plan.PreviousRows
 	}
 	if hasMoved || c.noPlan || input.isStale(plan) {
 		return plan
@@ -127,7 +127,7 @@
 func (in *planInput) largestShare(from, to int) int {
 	largest := in.rows[from][to]
 	if in.isPreviousInUse(in.now) {
-		largest = max(largest, in.plan.Previous[in.zones[from]][in.zones[to]])
+		largest = max(largest, in.plan.PreviousRows[in.zones[from]][in.zones[to]])
 	}
 	return largest
 }
--- a/internal/control/failover/routing/golden_test.go
+++ b/internal/control/failover/routing/golden_test.go
@@ -66,7 +66,7 @@
 // randomPlan returns a random plan. It may contain a zone that the endpoint list does not.
 func randomPlan(random *rand.Rand) *failover.Plan {
 	plan := &failover.Plan{
-		Rows: map[string]map[string]int{}, Fallback: map[string]map[string]int{}, Health: map[string]int{},
+		Rows: map[string]map[string]int{}, FallbackRows: map[string]map[string]int{}, Health: map[string]int{},
 		Shed: map[string]int{}, Reasons: map[string]string{"a": "drawn"},
 	}
 	zones := []string{"a", "b", "c", "x"}
@@ -83,7 +83,7 @@
 		row[from] += rest
 		if random.IntN(5) > 0 {
 			plan.Rows[from] = row
-			plan.Fallback[from] = fallback
+			plan.FallbackRows[from] = fallback
 		}
 		plan.Health[from] = 250 * random.IntN(5)
 		if random.IntN(3) == 0 {
--- a/internal/control/failover/routing/updater.go
+++ b/internal/control/failover/routing/updater.go
@@ -77,7 +77,7 @@
 
 // Update reads the plan and its lease, and sets the dispatcher's steering if it has changed.
 func (u *Updater) Update() {
-	table := u.tables.Cached(failover.Table)
+	table := u.tables.Cached(failover.TableName)
 	if table.Epoch != u.epoch {
 		u.loadPlan(table)
 	}
--- a/internal/control/failover/routing/updater_test.go
+++ b/internal/control/failover/routing/updater_test.go
@@ -74,7 +74,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table = coordination.CachedTable{
-		Name: failover.Table, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second,
+		Name: failover.TableName, Epoch: epoch, Value: value, LeaseEnd: f.now + 2*time.Second,
 	}
 }
 
@@ -86,8 +86,8 @@
 }
 
 var testPlan = &failover.Plan{
-	Rows:     map[string]map[string]int{"a": {"a": 250, "b": 750}},
-	Fallback: map[string]map[string]int{"a": {"b": 100, "c": 50}},
+	Rows:         map[string]map[string]int{"a": {"a": 250, "b": 750}},
+	FallbackRows: map[string]map[string]int{"a": {"b": 100, "c": 50}},
 }
 
 func (f *fake) wantSteering(t *testing.T, when string, shed float64, weights ...float64) {
--- a/internal/control/failover/staleness.go
+++ b/internal/control/failover/staleness.go
@@ -22,15 +22,15 @@
 	if in.now < in.planAdoptedAt+in.lease {
 		return false
 	}
-	wasMoving := len(old.HoldDown) > 0 || old.Previous != nil
-	hasSettled := len(plan.HoldDown) == 0 && wasMoving
+	wasMoving := len(old.HeldDownZones) > 0 || old.PreviousRows != nil
+	hasSettled := len(plan.HeldDownZones) == 0 && wasMoving
 	if hasSettled || !slices.Equal(plan.LostLinks, old.LostLinks) {
 		return true
 	}
 	isFallbackDue := in.now >= in.planAdoptedAt+in.settings.holdDown()
 	return slices.ContainsFunc(in.zones, func(zone string) bool {
 		isHealthStale := math.Abs(float64(plan.Health[zone]-old.Health[zone])) >= fullShare/zonestats.Healthy
-		return isHealthStale || isFallbackDue && in.isFallbackStale(plan.Fallback[zone], old.Fallback[zone])
+		return isHealthStale || isFallbackDue && in.isFallbackStale(plan.FallbackRows[zone], old.FallbackRows[zone])
 	})
 }
 
--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -50,9 +50,9 @@
 	shares      []share // none while nothing is settled
 	sharesUntil time.Duration
 
-	store   Store                     // nil where there is none
-	stored  []settlement.LedgerAmount // what is in the store and so may be reported; of earlier ledgers too
-	changed chan struct{}             // has an element once a balance has changed; nil: nothing is stored
+	store   Store                    // nil where there is none
+	stored  []settlement.LedgerEntry // what is in the store and so may be reported; of earlier ledgers too
+	changed chan struct{}            // has an element once a balance has changed; nil: nothing is stored
 }
 
 // balance is what a pair's debtor owes, in thousandths of units.
--- a/internal/control/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -90,10 +90,10 @@
 	if err := a.store.Write(ledgerID, balances); err != nil {
 		return fmt.Errorf("write %d balances: %w", len(balances), err)
 	}
-	stored := make([]settlement.LedgerAmount, 0, len(balances))
+	stored := make([]settlement.LedgerEntry, 0, len(balances))
 	for _, b := range balances {
 		amount := settlement.Amount{Pair: b.Pair, Sum: b.Debt}
-		stored = append(stored, settlement.LedgerAmount{Amount: amount, LedgerID: ledgerID})
+		stored = append(stored, settlement.LedgerEntry{Amount: amount, LedgerID: ledgerID})
 	}
 	a.mu.Lock()
 	a.stored = stored
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -115,7 +115,7 @@
 	if t.preferred == 0 {
 		return
 	}
-	t.addMetric(settlement.MetricElective, t.preferred, 1)
+	t.addMetric(settlement.MetricElectiveAttempts, t.preferred, 1)
 	if owner == t.preferred {
 		t.addMetric(settlement.MetricElectivePlaced, t.preferred, 1)
 	}
--- a/internal/control/settlement/aging.go
+++ b/internal/control/settlement/aging.go
@@ -55,7 +55,7 @@
 func (s *State) addToLots(amount Amount, maxLotAge uint64) {
 	for i := len(s.Lots) - 1; i >= 0; i-- {
 		if lot := &s.Lots[i]; lot.Pair == amount.Pair {
-			if s.Clock-lot.Since <= maxLotAge || maxLotAge == 0 {
+			if s.Clock-lot.IncurredAt <= maxLotAge || maxLotAge == 0 {
 				lot.Sum += amount.Sum
 				return
 			}
@@ -68,7 +68,7 @@
 // forgiveOldLots forgives the pair's lots whose age is at least maxAge, in ms.
 func (s *State) forgiveOldLots(pair Pair, maxAge uint64) {
 	s.Lots = slices.DeleteFunc(s.Lots, func(lot Lot) bool {
-		age := s.Clock - lot.Since
+		age := s.Clock - lot.IncurredAt
 		if lot.Pair != pair || age < maxAge {
 			return false
 		}
--- a/internal/control/settlement/controller_test.go
+++ b/internal/control/settlement/controller_test.go
@@ -72,7 +72,7 @@
 			for metric, n := range map[Metric]uint64{
 				MetricRequests: 1000, MetricLate: f.late[p],
 				MetricIdempotentUnits: 600_000, MetricIdempotentRequests: 500, MetricServedUnits: 1_000_000,
-				MetricElective: f.elective[p], MetricElectivePlaced: f.elective[p] / 4,
+				MetricElectiveAttempts: f.elective[p], MetricElectivePlaced: f.elective[p] / 4,
 			} {
 				f.counts[MetricName(metric, p)] += n
 			}
@@ -130,7 +130,7 @@
 	}, nil},
 	{"a rule excludes the pair", func(f *controllerFixture, terms *Terms) {
 		f.addDebt("a", "b", 900)
-		terms.Rules = []PairRule{{Between: []string{"b", "a"}, Settle: new(bool)}}
+		terms.Rules = []PairRule{{PartnerNames: []string{"b", "a"}, Settle: new(bool)}}
 	}, nil},
 	{"failover needs the debtor's zone", func(f *controllerFixture, _ *Terms) {
 		f.addDebt("a", "b", 900)
--- a/internal/control/settlement/golden_terms_test.go
+++ b/internal/control/settlement/golden_terms_test.go
@@ -32,8 +32,8 @@
 			{Name: "west", Plans: []string{"slow"}},
 		},
 		Rules: []PairRule{
-			{Between: []string{"north", "south"}, MaxShare: &share, ForgiveAfter: &forgive},
-			{Between: []string{"west", "south"}, Settle: &no},
+			{PartnerNames: []string{"north", "south"}, MaxShare: &share, ForgiveAfter: &forgive},
+			{PartnerNames: []string{"west", "south"}, Settle: &no},
 		},
 		SettleTimeConstant: 30, MaxShare: 0.4, MaxMovedRate: 150, MaxLendFraction: 0.2, MaxLossFraction: 0.01,
 		MinHeadroom: 0.15, MinOnTimeFraction: 0.95, MinDebt: 7, ForgiveAfter: 86400,
--- a/internal/control/settlement/golden_test.go
+++ b/internal/control/settlement/golden_test.go
@@ -22,12 +22,12 @@
 	Partners: []PartnerState{
 		{
 			Partner: "north", Pace: 62_500, HoldUntil: 123_486_789,
-			Requests: 1000.5, Late: 2.25, Slow: 30.125, MaxPace: 125_000,
+			BaselineRequests: 1000.5, BaselineLate: 2.25, BaselineSlow: 30.125, MaxPace: 125_000,
 		},
 		{Partner: "south", Pace: PartsPerMillion},
 	},
-	StartedAt: 123_400_000,
-	RestUntil: 123_300_000,
+	StartedAt:   123_400_000,
+	PausedUntil: 123_300_000,
 }
 
 // A table that the previous version stored decodes, and its state encodes as the same bytes.
@@ -50,7 +50,7 @@
 		"debts\x1fpure\x1fnorth":            MetricName(MetricIdempotentUnits, "north"),
 		"debts\x1fpures\x1fnorth":           MetricName(MetricIdempotentRequests, "north"),
 		"debts\x1fserved\x1fnorth":          MetricName(MetricServedUnits, "north"),
-		"debts\x1fasked\x1fnorth":           MetricName(MetricElective, "north"),
+		"debts\x1fasked\x1fnorth":           MetricName(MetricElectiveAttempts, "north"),
 		"debts\x1fwent\x1fnorth":            MetricName(MetricElectivePlaced, "north"),
 		"owe\x1f1k2j3\x1fnorth\x1fsouth":    DebtCountName("1k2j3", Pair{"north", "south"}),
 		"owe\x1f1k2j3+\x1fa.b-c_d\x1fsouth": DebtCountName("1k2j3+", Pair{"a.b-c_d", "south"}),
@@ -108,7 +108,7 @@
 	f.addDebt("b", "a", 49_990)
 	advance(700)
 	digest.Check(t, goldenDecisions)
-	if state := f.storedState(); len(state.ForgivenessLog) == 0 || state.StartedAt == 0 || state.RestUntil == 0 {
+	if state := f.storedState(); len(state.ForgivenessLog) == 0 || state.StartedAt == 0 || state.PausedUntil == 0 {
 		t.Errorf("the scenario has no forgiveness, settlement or pause: %+v", state)
 	}
 }
--- a/internal/control/settlement/harm.go
+++ b/internal/control/settlement/harm.go
@@ -51,12 +51,12 @@
 // significantly above half of that. This stops settlements that overload a debtor or whose requests
 // suffer from the longer network path.
 func assessHarm(baseline PartnerState, seen serviceStats, maxLossFraction float64) harmLevel {
-	if seen.requests < 1 || baseline.Requests < 1 {
+	if seen.requests < 1 || baseline.BaselineRequests < 1 {
 		return noHarm
 	}
-	lateFraction := baseline.Late / baseline.Requests
+	lateFraction := baseline.BaselineLate / baseline.BaselineRequests
 	excess := seen.late - lateFraction*seen.requests
-	stdError := standardError(seen.requests, baseline.Requests, max(lateFraction, minProbability(baseline)))
+	stdError := standardError(seen.requests, baseline.BaselineRequests, max(lateFraction, minProbability(baseline)))
 	switch {
 	case excess > maxLossFraction*seen.requests+highConfidenceStdErrors*stdError:
 		return harmSure
@@ -70,18 +70,18 @@
 // the baseline, even if none was late. This detects a growing queue before it makes requests late;
 // assessHarm detects it only afterwards.
 func isQueueing(baseline PartnerState, seen serviceStats) bool {
-	if seen.requests < 1 || baseline.Requests < 1 {
+	if seen.requests < 1 || baseline.BaselineRequests < 1 {
 		return false
 	}
-	slowFraction := baseline.Slow / baseline.Requests
+	slowFraction := baseline.BaselineSlow / baseline.BaselineRequests
 	probability := min(max(slowFraction, minProbability(baseline)), maxProbability)
-	stdError := standardError(seen.requests, baseline.Requests, probability)
+	stdError := standardError(seen.requests, baseline.BaselineRequests, probability)
 	return seen.slow-slowFraction*seen.requests > maxSlowExcessFraction*seen.requests+highConfidenceStdErrors*stdError
 }
 
 // minProbability returns the smallest probability of a late or slow request that the baseline can
 // resolve: one such request in all of its requests.
-func minProbability(baseline PartnerState) float64 { return 1 / baseline.Requests }
+func minProbability(baseline PartnerState) float64 { return 1 / baseline.BaselineRequests }
 
 // standardError returns the standard error, in requests, of the difference between the late or slow
 // requests seen and the number that the baseline predicts, if each request has the same
@@ -94,7 +94,7 @@
 // hold the partner sends enough requests for its estimated losses to be at most maxLossFraction of
 // them. The result is between minHold and maxHold. requestRate is in requests per second.
 func holdTime(baseline PartnerState, seen serviceStats, requestRate, maxLossFraction float64) time.Duration {
-	lost := (seen.late - baseline.Late/baseline.Requests*seen.requests) * queueDrainFactor
+	lost := (seen.late - baseline.BaselineLate/baseline.BaselineRequests*seen.requests) * queueDrainFactor
 	holdMillis := lost / (maxLossFraction * max(requestRate, minRequestRate)) * millisPerSecond
 	holdMillis = max(holdMillis, float64(minHold.Milliseconds()))
 	holdMillis = min(holdMillis, float64(maxHold.Milliseconds()))
--- a/internal/control/settlement/ledger_test.go
+++ b/internal/control/settlement/ledger_test.go
@@ -125,7 +125,7 @@
 	terms := DefaultTerms()
 	terms.ForgiveAfter = 1000
 	never := 0.0
-	terms.Rules = []PairRule{{Between: []string{"a", "c"}, ForgiveAfter: &never}}
+	terms.Rules = []PairRule{{PartnerNames: []string{"a", "c"}, ForgiveAfter: &never}}
 	state := State{}
 	ledger := Ledger{}
 	for second := range uint64(2400) {
--- a/internal/control/settlement/metrics.go
+++ b/internal/control/settlement/metrics.go
@@ -6,8 +6,9 @@
 // are in thousandths of units.
 type Metric int
 
-// The metrics of a partner. All but MetricServedUnits exclude repeats of a request by its client. An
-// elective attempt is a first attempt that prefers the partner's servers in order to settle a debt.
+// The metrics of a partner. All but MetricServedUnits exclude repeats of a request by its client.
+// An elective attempt is a first attempt that prefers the partner's servers in order to settle a
+// debt.
 const (
 	MetricRequests           Metric = iota // requests of the partner that were attempted and have ended
 	MetricLate                             // of MetricRequests, those that were late or not answered
@@ -15,8 +16,8 @@
 	MetricIdempotentUnits                  // units of the first attempts of the partner's idempotent requests
 	MetricIdempotentRequests               // number of the requests in MetricIdempotentUnits
 	MetricServedUnits                      // units that the partner's servers answered, for requests of all partners
-	MetricElective                         // elective attempts of other partners' requests
-	MetricElectivePlaced                   // of MetricElective, those that went to the partner's servers
+	MetricElectiveAttempts                 // elective attempts of other partners' requests
+	MetricElectivePlaced                   // of MetricElectiveAttempts, those that went to the partner's servers
 	MetricCount                            // number of metrics
 )
 
--- a/internal/control/settlement/pace.go
+++ b/internal/control/settlement/pace.go
@@ -62,7 +62,8 @@
 	p.MaxPace = p.Pace
 }
 
-// raisePace multiplies the upper bound by maxPaceGrowth, and the pace by paceGrowth up to that bound.
+// raisePace multiplies the upper bound by maxPaceGrowth, and the pace by paceGrowth up to that
+// bound.
 func (p *PartnerState) raisePace() {
 	bound := float64(p.paceBound()) * maxPaceGrowth
 	p.MaxPace = min(uint64(bound), PartsPerMillion)
@@ -88,7 +89,7 @@
 // lacksCapacity reports whether a partner's servers had too little capacity for the elective
 // attempts that preferred them.
 func (c *Controller) lacksCapacity(name string) bool {
-	electiveRate := c.rate(MetricElective, name)
+	electiveRate := c.rate(MetricElectiveAttempts, name)
 	if electiveRate*rateWindow <= minElectiveAttempts { // the window has one sample per second
 		return false
 	}
--- a/internal/control/settlement/shares.go
+++ b/internal/control/settlement/shares.go
@@ -23,7 +23,7 @@
 	case next.isPaused():
 		return
 	case !isStarting && next.isMaxDurationReached():
-		next.RestUntil = next.Clock + clockMillis(pauseDuration)
+		next.PausedUntil = next.Clock + clockMillis(pauseDuration)
 		return
 	}
 	if isStarting {
@@ -41,7 +41,7 @@
 }
 
 // isPaused reports whether settlement is paused to measure the baseline.
-func (s State) isPaused() bool { return s.Clock < s.RestUntil }
+func (s State) isPaused() bool { return s.Clock < s.PausedUntil }
 
 // isMaxDurationReached reports whether the settlement in force has lasted for
 // maxSettlementDuration.
@@ -73,7 +73,7 @@
 		if !c.isDue(debt, weights, isInForce) || isExcluded || isHeld {
 			continue
 		}
-		if min(debtor.Requests, creditor.Requests) < minBaselineRequests {
+		if min(debtor.BaselineRequests, creditor.BaselineRequests) < minBaselineRequests {
 			found.baselineTooSmall = true
 		}
 		if !c.isServedWell(debtor) || !c.isServedWell(creditor) {
@@ -122,7 +122,7 @@
 // isServedWell reports whether a partner's baseline allows it to take part in settlements: it has
 // enough requests, and enough of them were on time.
 func (c *Controller) isServedWell(partner PartnerState) bool {
-	return partner.Requests >= minBaselineRequests && partner.Late <= (1-c.terms.MinOnTimeFraction)*partner.Requests
+	return partner.BaselineRequests >= minBaselineRequests && partner.BaselineLate <= (1-c.terms.MinOnTimeFraction)*partner.BaselineRequests
 }
 
 // recordBaseline copies the measured baseline of each partner to its state in next. A partner of
@@ -134,9 +134,9 @@
 			seen = *stats
 		}
 		partner := next.partnerState(p.Name)
-		partner.Requests = seen.requests
-		partner.Late = seen.late
-		partner.Slow = seen.slow
+		partner.BaselineRequests = seen.requests
+		partner.BaselineLate = seen.late
+		partner.BaselineSlow = seen.slow
 		next.setPartnerState(partner)
 	}
 }
--- a/internal/control/settlement/state.go
+++ b/internal/control/settlement/state.go
@@ -37,7 +37,7 @@
 // Lot is the part of a net debt that was incurred at about the same time.
 type Lot struct {
 	Amount
-	Since uint64 `cbor:"4,keyasint"` // on State.Clock, when its oldest unit was incurred
+	IncurredAt uint64 `cbor:"4,keyasint"` // on State.Clock, when its oldest unit was incurred
 }
 
 // Forgiveness records that a debt was forgiven because of its age.
@@ -50,13 +50,13 @@
 // PartnerState is what the controller stores about a partner to settle its debts. The counts of
 // requests decay over time, so they are not integers.
 type PartnerState struct {
-	Partner   string  `cbor:"1,keyasint"`
-	Pace      uint64  `cbor:"2,keyasint"` // ppm of the full rate at which the debts of its pairs may be settled
-	HoldUntil uint64  `cbor:"3,keyasint"` // on State.Clock; none of its debts is settled before
-	Requests  float64 `cbor:"4,keyasint"` // requests seen before the settlement started
-	Late      float64 `cbor:"5,keyasint"` // of Requests, those that were late or not answered
-	Slow      float64 `cbor:"6,keyasint"` // of Requests, those over half of their latency objective or late
-	MaxPace   uint64  `cbor:"7,keyasint"` // ppm; upper bound of Pace after harm; 0 means no bound
+	Partner          string  `cbor:"1,keyasint"`
+	Pace             uint64  `cbor:"2,keyasint"` // ppm of the full rate at which the debts of its pairs may be settled
+	HoldUntil        uint64  `cbor:"3,keyasint"` // on State.Clock; none of its debts is settled before
+	BaselineRequests float64 `cbor:"4,keyasint"` // requests seen before the settlement started
+	BaselineLate     float64 `cbor:"5,keyasint"` // of BaselineRequests, those that were late or not answered
+	BaselineSlow     float64 `cbor:"6,keyasint"` // of BaselineRequests, those over half of their latency objective or late
+	MaxPace          uint64  `cbor:"7,keyasint"` // ppm; upper bound of Pace after harm; 0 means no bound
 }
 
 // State is the value of the replicated table: everything that a new leader needs. The debts in it
@@ -73,7 +73,7 @@
 	ForgivenessLog []Forgiveness  `cbor:"6,keyasint"` // latest maxForgivenessLogEntries entries, oldest first
 	Partners       []PartnerState `cbor:"7,keyasint"` // sorted by name
 	StartedAt      uint64         `cbor:"8,keyasint"` // on Clock, when the latest settlement started
-	RestUntil      uint64         `cbor:"9,keyasint"` // on Clock, end of the latest pause; no settlement starts before
+	PausedUntil    uint64         `cbor:"9,keyasint"` // on Clock, end of the latest pause; no settlement starts before
 }
 
 var canonicalEncoding = func() cbor.EncMode {
--- a/internal/control/settlement/terms.go
+++ b/internal/control/settlement/terms.go
@@ -60,7 +60,7 @@
 // PairRule overrides terms for one pair of partners, whichever of them is the debtor. A nil field
 // leaves the general term in force.
 type PairRule struct {
-	Between      []string `toml:"between"` // names of the two partners
+	PartnerNames []string `toml:"between"` // names of the two partners
 	Settle       *bool    `toml:"settle"`
 	MaxShare     *float64 `toml:"share_most"`
 	ForgiveAfter *float64 `toml:"forgive_after_s"`
@@ -137,8 +137,8 @@
 
 // appliesTo reports whether the rule names both partners of a pair, in either order.
 func (r PairRule) appliesTo(pair Pair) bool {
-	return len(r.Between) == partnersPerRule &&
-		slices.Contains(r.Between, pair.Debtor) && slices.Contains(r.Between, pair.Creditor)
+	return len(r.PartnerNames) == partnersPerRule &&
+		slices.Contains(r.PartnerNames, pair.Debtor) && slices.Contains(r.PartnerNames, pair.Creditor)
 }
 
 // creditorWeights returns the weight of each partner by name.
--- a/internal/control/settlement/terms_check.go
+++ b/internal/control/settlement/terms_check.go
@@ -129,16 +129,16 @@
 }
 
 func (c *termsChecker) checkRule(key string, rule PairRule) {
-	if len(rule.Between) != partnersPerRule || rule.Between[0] == rule.Between[1] {
-		c.addError(key+"between", "two partners are wanted", rule.Between)
+	if len(rule.PartnerNames) != partnersPerRule || rule.PartnerNames[0] == rule.PartnerNames[1] {
+		c.addError(key+"between", "two partners are wanted", rule.PartnerNames)
 		return
 	}
-	for _, name := range rule.Between {
+	for _, name := range rule.PartnerNames {
 		if c.firstKeys[partnerKind+" "+name] == "" {
 			c.addError(key+"between", "a partner of this file is wanted", strconv.Quote(name))
 		}
 	}
-	c.checkUnique(ruleKind, strings.Join(slices.Sorted(slices.Values(rule.Between)), " and "), key+"between")
+	c.checkUnique(ruleKind, strings.Join(slices.Sorted(slices.Values(rule.PartnerNames)), " and "), key+"between")
 	if rule.MaxShare != nil {
 		c.checkRange(key+"share_most", *rule.MaxShare, 0, highestShare)
 	}
--- a/internal/control/settlement/zones.go
+++ b/internal/control/settlement/zones.go
@@ -53,12 +53,12 @@
 	minHealthyThousandths  = 900  // minimum of a zone's listed servers that must answer
 )
 
-// ZoneStatusOfPlan returns the status of the zones that a failover plan needs. These are the zones
-// that it moves requests from or to, and those where too few servers answer. Shares in routes are
-// keyed by the zone where requests arrive, then by the zone where they are attempted. healthy is
-// the share of each zone's listed servers that answer. All shares are in thousandths. Headroom is
-// unknown, since a plan does not contain it.
-func ZoneStatusOfPlan(routes map[string]map[string]int, healthy map[string]int) map[string]ZoneStatus {
+// ZoneStatusFromPlan returns the status of the zones that a failover plan needs. These are the
+// zones that it moves requests from or to, and those where too few servers answer. Shares in routes
+// are keyed by the zone where requests arrive, then by the zone where they are attempted. healthy
+// is the share of each zone's listed servers that answer. All shares are in thousandths. Headroom
+// is unknown, since a plan does not contain it.
+func ZoneStatusFromPlan(routes map[string]map[string]int, healthy map[string]int) map[string]ZoneStatus {
 	neededByFailover := ZoneStatus{FailingOver: true, Headroom: unknownHeadroom}
 	statuses := map[string]ZoneStatus{}
 	for origin, shares := range routes {
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -99,8 +99,8 @@
 			{Name: "west", Customers: []string{"0000000000000400"}},
 		},
 		Rules: []settlement.PairRule{
-			{Between: []string{"north", "south"}, Settle: new(false)},
-			{Between: []string{"west", "north"}, Settle: new(true), MaxShare: new(0.1), ForgiveAfter: new(86400.0)},
+			{PartnerNames: []string{"north", "south"}, Settle: new(false)},
+			{PartnerNames: []string{"west", "north"}, Settle: new(true), MaxShare: new(0.1), ForgiveAfter: new(86400.0)},
 		},
 		SettleTimeConstant: 30, MaxShare: 0.25, MaxMovedRate: 150,
 		MaxLendFraction: 0.4, MaxLossFraction: 0.004, MinHeadroom: 0.3, MinOnTimeFraction: 0.95,
--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -92,7 +92,7 @@
 	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
 		g.Zones = previous.Zones
 		settings.Zones = was.Zones
-		settings.MyZone = was.MyZone
+		settings.GatewayZone = was.GatewayZone
 	})
 	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
 	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -47,13 +47,13 @@
 // readFigures reads all but traffic classes and plans.
 func readFigures(values *Values) policy.Settings {
 	return policy.Settings{
-		Gateways:   values.Int("Balancers"),
-		MyIndex:    values.Int("Me"),
-		MyZone:     values.Int("MyZone"),
-		Zones:      len(values.List("Dcs")),
-		PollList:   values.Text("Discovery") == "ask",
-		MaxListAge: values.Span("Rules.MustAskInMs"),
-		ClockTick:  values.Span("TickMs"),
+		Gateways:     values.Int("Balancers"),
+		GatewayIndex: values.Int("Me"),
+		GatewayZone:  values.Int("MyZone"),
+		Zones:        len(values.List("Dcs")),
+		PollList:     values.Text("Discovery") == "ask",
+		MaxListAge:   values.Span("Rules.MustAskInMs"),
+		ClockTick:    values.Span("TickMs"),
 
 		HasCounter:   values.Bool("FamilyInfo.HasCounter"),
 		CountTimeout: values.Span("FamilyInfo.CountLimitMs"),
@@ -62,13 +62,13 @@
 		MaxUnits:     values.Number("FamilyInfo.MostUnits"),
 		MailboxRate:  values.Number("FamilyInfo.InboxPerS"),
 
-		Peers:         values.Bool("PolicyLimits.Peers"),
-		HealthChecks:  values.Bool("PolicyLimits.Probes"),
-		CanCancel:     values.Bool("PolicyLimits.Cancelling"),
-		RetryAfter:    values.Bool("PolicyLimits.RetryAfter"),
-		MaxRetryAfter: values.Span("PolicyLimits.MaxRetryAfterMs"),
-		AllowHedging:  values.Bool("PolicyLimits.SecondCopies"),
-		MaxAttempts:   values.Int("PolicyLimits.TryLimit"),
+		HasPeers:        values.Bool("PolicyLimits.Peers"),
+		HasHealthChecks: values.Bool("PolicyLimits.Probes"),
+		CanCancel:       values.Bool("PolicyLimits.Cancelling"),
+		SendsRetryAfter: values.Bool("PolicyLimits.RetryAfter"),
+		MaxRetryAfter:   values.Span("PolicyLimits.MaxRetryAfterMs"),
+		AllowHedging:    values.Bool("PolicyLimits.SecondCopies"),
+		MaxAttempts:     values.Int("PolicyLimits.TryLimit"),
 
 		ArrivalSlack:   values.Span("Rules.AnswerSlackMs"),
 		DrainGrace:     values.Span("Rules.DrainGraceMs"),
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -44,11 +44,11 @@
 
 // plannedZones is what failover's plan says of the zones: settlement gives way to it.
 func plannedZones(seen coordination.ControllerInput) map[string]settlement.ZoneStatus {
-	plan, err := failover.DecodePlan(seen.Table(failover.Table).Value)
+	plan, err := failover.DecodePlan(seen.Table(failover.TableName).Value)
 	if err != nil || plan == nil {
 		return nil // a plan of another version, or none yet: settlement goes by the zones alone
 	}
-	return settlement.ZoneStatusOfPlan(plan.Rows, plan.Health)
+	return settlement.ZoneStatusFromPlan(plan.Rows, plan.Health)
 }
 
 // joinCoordination starts the process's node as a coordination file says; no path: no node.
--- a/internal/gateway/dispatch/decision.go
+++ b/internal/gateway/dispatch/decision.go
@@ -32,8 +32,8 @@
 	// Begin is asked once, right before an attempt's first byte, which is written only where it
 	// returns true.
 	Begin func() bool
-	// RetryAfter is how long the client of a rejected request is asked to stay away; 0: it is not
-	// asked.
+	// SendsRetryAfter is how long the client of a rejected request is asked to stay away; 0: it is
+	// not asked.
 	RetryAfter time.Duration
 }
 
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -73,7 +73,7 @@
 		recorder:     dependencies.Recorder,
 		requests:     map[uint32]*Request{},
 		servers:      newServerTable(),
-		subset:       subset.New(settings.MyIndex, settings.Gateways, dependencies.IdleTimeout),
+		subset:       subset.New(settings.GatewayIndex, settings.Gateways, dependencies.IdleTimeout),
 		timers:       newTimerQueue(),
 		settings:     settings,
 	}
@@ -102,7 +102,7 @@
 		return settings, err
 	}
 	d.settings = given
-	d.subset.Resize(settings.MyIndex, settings.Gateways)
+	d.subset.Resize(settings.GatewayIndex, settings.Gateways)
 	d.accounts.SetPolicy(settings.Classes, settings.Plans)
 	d.applySettings(&settings)
 	if d.rules != nil {
@@ -117,7 +117,7 @@
 	d.loadReportLength = len(settings.LoadReportFields)
 	d.lateReplyAfter = settings.CountTimeout
 	d.shedRetryAfter = 0
-	if settings.RetryAfter {
+	if settings.SendsRetryAfter {
 		d.shedRetryAfter = min(shedRetryAfter(settings.Classes), settings.MaxRetryAfter)
 	}
 	if d.recorder != nil {
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -101,7 +101,7 @@
 	if kind == policy.ListDelta {
 		kind = policy.ListFull
 	}
-	d.module.SetSharers(sharers)
+	d.module.SetSharingGateways(sharers)
 	d.module.HandleEndpoints(now, kind, selected)
 }
 
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -60,7 +60,7 @@
 		GatewayCount: spec.GatewayCount, Units: spec.Units, Deadline: now + spec.Timeout, Repeat: spec.Repeat,
 	}
 	request.tracker = d.accounts.TrackRequest(now, asked)
-	asked.PreferOwner = request.tracker.PreferredPartner()
+	asked.PreferredOwner = request.tracker.PreferredPartner()
 	if d.rules != nil {
 		d.admitByRules(now, request, spec, asked)
 		return request
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	f := newFixture(t)
 	settings := policy.Settings{
-		Gateways: 1, Zones: 2, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		Gateways: 1, Zones: 2, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		ClockTick: 2 * time.Millisecond,
 		Classes: []policy.TrafficClass{{
 			Name: "query", LatencyObjective: 600 * time.Millisecond, Timeout: 2 * time.Second,
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -22,7 +22,7 @@
 // drainSettings have one class, with the longest deadline that counts.
 func drainSettings() policy.Settings {
 	return policy.Settings{
-		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, RetryAfter: true,
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, SendsRetryAfter: true,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
 		OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -14,7 +14,7 @@
 
 // Policy is the module's interface as its host uses it; see policy.Gateway.
 type Policy interface {
-	SetSharers(sharers float64)
+	SetSharingGateways(sharers float64)
 	HandleEndpoints(now time.Duration, kind policy.ListKind, list []policy.Endpoint)
 	HandleRequest(now time.Duration, r policy.Request)
 	HandleAttemptResult(now time.Duration, result policy.AttemptResult)
--- a/internal/lab/baseline/plain_policy.go
+++ b/internal/lab/baseline/plain_policy.go
@@ -67,8 +67,8 @@
 	return best
 }
 
-// SetSharers does nothing: no baseline uses it.
-func (p *plainPolicy) SetSharers(float64) {}
+// SetSharingGateways does nothing: no baseline uses it.
+func (p *plainPolicy) SetSharingGateways(float64) {}
 
 // HandleEndpoints keeps the servers that are ready.
 func (p *plainPolicy) HandleEndpoints(_ time.Duration, kind policy.ListKind, list []policy.Endpoint) {
--- a/internal/lab/emulation/gateway_config.go
+++ b/internal/lab/emulation/gateway_config.go
@@ -54,7 +54,7 @@
 	return object{
 		"Balancers":      spec.Gateways.Count,
 		"Me":             number,
-		"MyZone":         settings.MyZone,
+		"MyZone":         settings.GatewayZone,
 		"Dcs":            zones,
 		"Models":         []string{model},
 		"TickMs":         clockTickMs,
--- a/internal/lab/scenario/policy_settings.go
+++ b/internal/lab/scenario/policy_settings.go
@@ -26,9 +26,9 @@
 // PolicySettings are the settings of the policy on the gateway at an index.
 func (s *Scenario) PolicySettings(index int) policy.Settings {
 	settings := policy.Settings{
-		Gateways: s.Gateways.Count, MyIndex: index, MyZone: index % s.Gateways.Zones, Zones: s.Gateways.Zones,
+		Gateways: s.Gateways.Count, GatewayIndex: index, GatewayZone: index % s.Gateways.Zones, Zones: s.Gateways.Zones,
 		ClockTick: clockTick, HasCounter: s.Counter.Rate > 0, CountTimeout: s.Counter.Timeout.D(),
-		ReportsUnits: s.Load.DeclaredDeviation > 0, MaxUnits: s.Load.MaxUnits(), CanCancel: true, RetryAfter: true,
+		ReportsUnits: s.Load.DeclaredDeviation > 0, MaxUnits: s.Load.MaxUnits(), CanCancel: true, SendsRetryAfter: true,
 		MaxRetryAfter: maxRetryAfter, MaxAttempts: s.Gateways.MaxAttempts, ArrivalSlack: s.Rules.AnswerSlack.D(),
 		DrainGrace: s.Rules.DrainGrace.D(), WarmUpStart: s.Servers.WarmUpStart, WarmUpTime: s.Servers.WarmUpTime.D(),
 		OverloadFactor: s.Rules.OverloadFactor, OverloadSpan: s.Rules.OverloadSpan.D(),
--- a/internal/lab/simulation/follower.go
+++ b/internal/lab/simulation/follower.go
@@ -188,7 +188,7 @@
 		return
 	}
 	f.cached = coordination.CachedTable{
-		Name:     failover.Table,
+		Name:     failover.TableName,
 		Epoch:    table.Epoch,
 		Value:    table.Value,
 		LeaseEnd: leaseEnd,
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -38,8 +38,8 @@
 	lastUsed []time.Duration // of each, when its last attempt ended
 }
 
-// keepAliveDivisor is how many times shorter gateways keep idle connections than servers do, so that
-// a reused connection is rarely found closed.
+// keepAliveDivisor is how many times shorter gateways keep idle connections than servers do, so
+// that a reused connection is rarely found closed.
 const keepAliveDivisor = 2
 
 // keepAlive is how long a gateway keeps an idle connection.
@@ -126,7 +126,7 @@
 		g.follower.setEndpoints(candidates)
 	}
 	selected, sharers := g.subset.Select(g.engine.clock.Now(), candidates)
-	g.policy.SetSharers(sharers)
+	g.policy.SetSharingGateways(sharers)
 	g.policy.HandleEndpoints(g.engine.clock.Now(), policy.ListFull, selected)
 }
 
--- a/internal/testing/conformance/launch.go
+++ b/internal/testing/conformance/launch.go
@@ -122,7 +122,7 @@
 			},
 			"Report": object{"Fields": []string{}, "How": "off"},
 			"PolicyLimits": object{
-				"Cancelling": settings.CanCancel, "TryLimit": settings.MaxAttempts, "RetryAfter": settings.RetryAfter,
+				"Cancelling": settings.CanCancel, "TryLimit": settings.MaxAttempts, "RetryAfter": settings.SendsRetryAfter,
 				"MaxRetryAfterMs":  settings.MaxRetryAfter.Milliseconds(),
 				"ConnectTimeoutMs": counterConnectTimeout.Milliseconds(),
 				"IdleCloseMs":      30000, "StreamsPerConn": 100,
--- a/internal/testing/conformance/states.go
+++ b/internal/testing/conformance/states.go
@@ -40,18 +40,18 @@
 			name:        "zone drained",
 			description: "the failover plan in force drains the gateway's own zone: all goes to the other",
 			zone:        zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig,
-			table: failover.Table, value: drainedZonePlan, readyLines: []string{planLine},
+			table: failover.TableName, value: drainedZonePlan, readyLines: []string{planLine},
 		},
 		{
 			name:        "plan's lease expired",
 			description: "a plan was in force, the voter has stopped, its lease has expired: served locally",
-			zone:        zoneA, zones: []string{zoneA, zoneB}, config: failoverConfig, table: failover.Table,
+			zone:        zoneA, zones: []string{zoneA, zoneB}, config: failoverConfig, table: failover.TableName,
 			value: drainedZonePlan, readyLines: []string{planLine}, leaseLostLines: []string{noPlanLine},
 		},
 		{
 			name:        "shedding",
 			description: "a plan sheds all requests: the counter is not called, and no other case can hold",
-			zone:        zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig, table: failover.Table,
+			zone:        zoneB, zones: []string{zoneB, zoneA}, config: failoverConfig, table: failover.TableName,
 			value: sheddingPlan, readyLines: []string{planLine}, onlyNamedCases: true,
 		},
 	}
--- a/internal/testing/conformance/target_module.go
+++ b/internal/testing/conformance/target_module.go
@@ -42,7 +42,7 @@
 	settings := policy.Settings{
 		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout,
 		ReportsUnits: true,
-		MaxUnits:     maxUnits, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		MaxUnits:     maxUnits, CanCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		MaxAttempts:  maxAttempts,
 		ArrivalSlack: arrivalSlack, DrainGrace: time.Second, WarmUpStart: 0.15, WarmUpTime: 16 * time.Second,
 		OverloadFactor: 2,
--- a/internal/testing/conformance/variants_module.go
+++ b/internal/testing/conformance/variants_module.go
@@ -53,6 +53,6 @@
 
 // HandleRequest sets the preferred owner.
 func (e electiveModule) HandleRequest(now time.Duration, request policy.Request) {
-	request.PreferOwner = e.preferOwner
+	request.PreferredOwner = e.preferOwner
 	e.Module.HandleRequest(now, request)
 }
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -100,7 +100,7 @@
 	s.Write(countingrule.TableName, countingrule.Table{
 		Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()), Seed: 7,
 		Rules: []countingrule.Rule{rule}, Since: time.Duration(now.UnixNano()),
-		TrialState: countingrule.Marshal(canary.TrialState{Forecast: 0.9}),
+		TrialState: countingrule.Marshal(canary.TrialState{ForecastFraction: 0.9}),
 		Canary: countingrule.CanaryConfig{
 			SamplePermille: 80, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 30,
 			AdmittedPermille: 100, OverLimitPermille: 50, DeviationPermille: 100, WatchSeconds: 600,
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,11 +28,11 @@
 }
 
 // evictIdle removes customers that have been idle for maxCounterTTL, after which no count and no
-// pending charge of theirs is valid. Each call checks evictionChecks customers. A customer that
-// returns after its eviction starts with a full bucket.
+// pending charge of theirs is valid. Each call checks evictionChecksPerRequest customers. A
+// customer that returns after its eviction starts with a full bucket.
 // Prevents memory growth from customers that send a single request.
 func (a *admission) evictIdle() {
-	for range min(len(a.customerList), evictionChecks) {
+	for range min(len(a.customerList), evictionChecksPerRequest) {
 		a.nextEviction %= len(a.customerList)
 		customer := a.customerList[a.nextEviction]
 		if customer.inFlight > 0 || a.env.now < customer.refilledAt+maxCounterTTL {
@@ -75,7 +75,7 @@
 	}
 	known := &request.class.firstTimeouts[request.Plan]
 	given := request.Deadline - now
-	explained := a.env.standstill + a.env.settings.ArrivalSlack
+	explained := a.env.eventGap + a.env.settings.ArrivalSlack
 	if given > *known || *known-given > explained {
 		*known = given
 	}
@@ -110,7 +110,7 @@
 // deadline is too short for its units. Its client would time out before the answer and retry.
 func (a *admission) isTooLate(request *requestState) bool {
 	now := a.env.now
-	return now >= request.objectiveAt || now+request.expectedLatency(requiredDecile) > request.Deadline
+	return now >= request.objectiveAt || now+request.expectedLatency(requiredLatencyDecile) > request.Deadline
 }
 
 // shouldRejectRepeat reports whether to reject a request without a call to the counter: a repeat
@@ -133,7 +133,7 @@
 		return false
 	}
 	bucketFraction := customer.available / max(customer.plan.Burst, 1)
-	gatewaysFraction := min(customer.gateways/fullNeedGateways, 1)
+	gatewaysFraction := min(customer.gateways/fullBackoffGateways, 1)
 	return a.env.random.Float64() < math.Pow(a.callProbability, max(bucketFraction, gatewaysFraction))
 }
 
@@ -151,7 +151,7 @@
 	usualLatency := request.class.latencies.decile(medianDecile)
 	atLimit := a.reachedMaxInFlight(customer, countKnown)
 	if !request.Repeat {
-		customer.demandInFlight += customer.gateways * float64(usualLatency) / float64(demandDecay)
+		customer.demandInFlight += customer.gateways * float64(usualLatency) / float64(demandTimeConstant)
 	}
 	if atLimit {
 		a.reject(request, usualLatency)
@@ -188,7 +188,7 @@
 	if countKnown {
 		return false
 	}
-	return a.env.random.Float64()*customer.demandInFlight > guessedInFlightFraction*limit
+	return a.env.random.Float64()*customer.demandInFlight > uncountedDemandFraction*limit
 }
 
 // withinQuota reports whether the customer's bucket holds a request's units, and returns the
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -34,7 +34,7 @@
 		world.request(1, 0, 0, 3)
 		world.result(AttemptResult{RequestID: 1, Outcome: Answered, Final: true, ActualUnits: 5})
 		world.advance(wait)
-		world.down = true
+		world.counterDown = true
 		world.request(2, 0, 0, 1)
 		if got := world.calls[0].units; got != want {
 			t.Errorf("charged %v after %v, want %v", got, wait, want)
@@ -46,7 +46,7 @@
 	world := newHarness(t, testSettings(), 2)
 	world.serveInTurn(5, 1, 1.9, 0)
 	world.request(6, 0, 1, 1.9)
-	world.want("reject 6 away 950ms", 1)
+	world.wantLogged("reject 6 away 950ms", 1)
 	world.wantAttempts(6, 0)
 }
 
@@ -55,7 +55,7 @@
 	world.request(1, 0, 1, 2)
 	world.chargeByOthers(1, 8)
 	world.request(2, 0, 1, 2)
-	world.want("reject 2 away 1s", 1)
+	world.wantLogged("reject 2 away 1s", 1)
 }
 
 func TestQuota_isUsableAtTheEndOfAWindow(t *testing.T) {
@@ -81,7 +81,7 @@
 	world.wantAttempts(3, 0)
 }
 
-func TestQuota_noCallWhereNoCountCouldAdmit(t *testing.T) {
+func TestQuota_exhaustedCustomerMakesNoCall(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.serveInTurn(5, 1, 1.9, 0)
 	world.request(6, 0, 1, 1.9) // its call carries the last charges
@@ -97,7 +97,7 @@
 	world.request(1, 0, 3, 1) // the limit is two over two gateways: one at this gateway
 	world.request(2, 0, 3, 1)
 	world.wantAttempts(2, 0)
-	world.want("reject 2 away 0s", 1) // no latency is known yet
+	world.wantLogged("reject 2 away 0s", 1) // no latency is known yet
 	world.finishAttempt(1, Answered)
 	world.request(3, 0, 3, 1)
 	world.wantAttempts(3, 1)
@@ -109,7 +109,7 @@
 	for incarnation := range 2 {
 		if incarnation == 1 {
 			g, _ := New(testSettings(), 8, world.fakeHost)
-			world.gateway, world.down = g, true
+			world.gateway, world.counterDown = g, true
 			g.HandleEndpoints(world.now, ListCached, []Endpoint{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
 		}
 		for range 200 {
@@ -136,7 +136,7 @@
 func TestCeiling_newCustomerHasItsUnusedShare(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.request(1, 0, 2, 2)
-	world.want("reject 1 away 400ms", 1) // the share starts empty
+	world.wantLogged("reject 1 away 400ms", 1) // the share starts empty
 	world.advance(5 * time.Second)
 	world.send(Request{ID: 2, Plan: 2, Customer: 77, Units: 2})
 	world.answerCounter()
@@ -181,7 +181,7 @@
 // never accepted.
 func TestMaxInFlight_unacceptedClaimIsNotReturned(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 4, 1)
 	world.countResult(CountResult{Name: world.calls[0].name, Outcome: Rejected})
 	world.calls = nil
@@ -194,7 +194,7 @@
 
 // A request is charged its units once a server has received a whole attempt, whatever the server
 // did with it.
-func TestQuota_whatReachedNoServerIsNotCharged(t *testing.T) {
+func TestQuota_requestThatReachedNoServerIsNotCharged(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		outcomes []Outcome
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -50,9 +50,10 @@
 	})
 }
 
-// place sends a request to a server, lets it wait for one, or rejects it. Only new requests are
-// shed. Attempts that slow start allowed at a warming server are made even then, as they are rare.
-func (b *balancer) place(request *requestState) {
+// placeRequest sends a request to a server, lets it wait for one, or rejects it. Only new requests
+// are shed. Attempts that slow start allowed at a warming server are made even then, as they are
+// rare.
+func (b *balancer) placeRequest(request *requestState) {
 	if request.completed {
 		return
 	}
@@ -114,7 +115,7 @@
 // shouldPreferOwner reports whether the request goes to a server of the owner that it prefers: if
 // one is available and the servers are not overloaded.
 func (b *balancer) shouldPreferOwner(request *requestState, servers []*server) bool {
-	return request.PreferOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && !b.isOverloaded()
+	return request.PreferredOwner != 0 && slices.ContainsFunc(servers, request.canSettleAt) && !b.isOverloaded()
 }
 
 // eligibleServers returns the ready servers that the request may go to now: those with capacity,
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -8,10 +8,10 @@
 
 func TestEndpoints_drainWhileARequestAwaitsItsCount(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 0, 1)
 	world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 1, State: Draining}})
-	world.down = false
+	world.counterDown = false
 	world.answerCounter()
 	if len(world.attempts) != 1 || world.attempts[0].server != 2 {
 		t.Errorf("attempts %v, want one at server 2", world.attempts)
@@ -34,10 +34,10 @@
 	world = newHarness(t, testSettings(), 0)
 	world.request(1, 0, 0, 1)
 	world.advance(600 * ms)
-	world.want("reject 1 away 125ms", 1)
+	world.wantLogged("reject 1 away 125ms", 1)
 }
 
-func TestSlowStart_whereADeployLeavesNoWarmServer(t *testing.T) {
+func TestSlowStart_deploymentLeavesNoWarmServer(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull} {
 		world := newHarness(t, testSettings(), 4)
 		id := uint32(0)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestPlacement_boundsInFlightAndTheRestWaitsOrIsRejected(t *testing.T) {
+func TestPlacement_limitsAttemptsInFlight(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	world.serveInTurn(40, 0, 1, 20*ms)
 	before := len(world.attempts)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestPlacement_firstBurstIsSharedOverTheGateways(t *testing.T) {
+func TestPlacement_firstBurstIsSharedAmongGateways(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 12
 	world := newHarness(t, settings, 6)
@@ -213,7 +213,7 @@
 	world := newHarness(t, testSettings(), 4)
 	world.serveInTurn(40, 0, 1, 20*ms)
 	before := world.gateway.balancer.attemptInterval()
-	world.gateway.SetSharers(10)
+	world.gateway.SetSharingGateways(10)
 	if now := world.gateway.balancer.attemptInterval(); (now - 5*before).Abs() > ms {
 		t.Errorf("%v between attempts at a server that two gateways share, %v with ten", before, now)
 	}
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -99,7 +99,7 @@
 		return
 	}
 	a.fastAnswers = 0
-	a.callProbability = max(a.callProbability*callBackoff, minCallProbability)
+	a.callProbability = max(a.callProbability*callBackoffFactor, minCallProbability)
 }
 
 // updateAcceptedFraction updates the moving average of the fraction of calls that the counter
@@ -132,7 +132,7 @@
 		return
 	}
 	usualLatency := float64(call.request.class.latencies.decile(medianDecile))
-	blockedFor := max(time.Duration(blockedFraction*usualLatency), a.env.settings.ClockTick)
+	blockedFor := max(time.Duration(blockedLatencyFraction*usualLatency), a.env.settings.ClockTick)
 	call.customer.blockedUntil = a.env.now + blockedFor
 }
 
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-func TestCounter_lost(t *testing.T) {
+func TestCounter_lossLimitsForwardingAndCalls(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	world.request(1, 0, 1, 2)
 	world.finishAttempt(1, Answered)
-	world.down = true
+	world.counterDown = true
 	requestAndFailCalls := func(id uint32, outcome Outcome) {
 		world.request(id, 0, 1, 2)
 		for _, c := range world.calls {
@@ -41,7 +41,7 @@
 	if len(world.calls) > 10 {
 		t.Errorf("%d calls for 20 requests to a lost counter, want at most 10", len(world.calls))
 	}
-	world.calls, world.down = nil, false
+	world.calls, world.counterDown = nil, false
 	for id := uint32(50); id < 250; id++ {
 		world.advance(50 * ms)
 		world.request(id, 0, 0, 1)
@@ -55,11 +55,11 @@
 	}
 }
 
-func TestCounter_silentCostsPartOfTheObjective(t *testing.T) {
+func TestCounter_silenceDelaysRequestByCounterWait(t *testing.T) {
 	settings := testSettings()
 	settings.CountTimeout = time.Second
 	world := newHarness(t, settings, 2)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 0, 1)
 	world.advance(130 * ms)
 	world.wantAttempts(1, 1)
@@ -99,12 +99,12 @@
 
 func TestCounter_lateResultIsAwaitedAndUsed(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 1, 1)
 	world.advance(60 * ms) // longer than Settings.CountTimeout
 	world.wantAttempts(1, 0)
 	world.countResult(CountResult{Name: world.calls[0].name, Total: 50, Latency: 60 * ms})
-	world.want("reject 1 away 500ms", 1)
+	world.wantLogged("reject 1 away 500ms", 1)
 	if world.gateway.admission.callProbability >= 1 {
 		t.Error("a late answer did not lower the probability of calls")
 	}
@@ -116,7 +116,7 @@
 		settings := testSettings()
 		settings.Gateways, settings.UsageSpan = 40, time.Second
 		world := newHarness(t, settings, 4)
-		world.gatewayCount, world.down = 40, true
+		world.gatewayCount, world.counterDown = 40, true
 		world.request(1, 0, 1, 1)
 		world.timeOutCounter()
 		world.result(AttemptResult{
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestState_ofIdleCustomersAndRemovedServersIsDropped(t *testing.T) {
+func TestState_idleCustomersAndRemovedServersAreDropped(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	for id := uint32(1); id <= 500; id++ {
 		world.send(Request{ID: id, Customer: uint64(id), Units: 1})
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -72,7 +72,7 @@
 	passed := (now - c.refilledAt).Seconds()
 	c.refilledAt = now
 	c.available = min(c.available+c.plan.Rate*passed, c.plan.Burst)
-	c.demandInFlight *= math.Exp(-passed / demandDecay.Seconds())
+	c.demandInFlight *= math.Exp(-passed / demandTimeConstant.Seconds())
 	grown := c.ceilingAvailable + c.plan.CeilingRate/c.gateways*passed
 	c.ceilingAvailable = min(grown, c.plan.CeilingBurst/c.gateways)
 }
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -20,13 +20,13 @@
 }
 
 func (h *harness) requestPreferring(id uint32, class, owner int) {
-	h.send(Request{ID: id, Class: class, Units: 1, PreferOwner: owner})
+	h.send(Request{ID: id, Class: class, Units: 1, PreferredOwner: owner})
 	h.answerCounter()
 }
 
 // Elective servers get only first attempts of idempotent requests that prefer their owner: no
 // retries, no requests of other classes and no other requests.
-func TestElective_serversTakeElectiveAttemptsOnly(t *testing.T) {
+func TestElective_serversGetOnlyElectiveAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		class, owner int
--- a/policy/events.go
+++ b/policy/events.go
@@ -9,7 +9,7 @@
 // advanceClock advances the module's clock to an event's time.
 func (e *environment) advanceClock(now time.Duration) {
 	if now > e.now {
-		e.standstill = now - e.now
+		e.eventGap = now - e.now
 		e.now = now
 	}
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -37,7 +37,7 @@
 	classes           []classState  // classes by index in Settings.Classes
 	tightestObjective time.Duration // shortest latency objective of the classes that are not retired
 	now               time.Duration // time of the latest event
-	standstill        time.Duration // time between the two latest events; the process may have been paused
+	eventGap          time.Duration // time between the two latest events; the process may have been paused
 	firstListAt       eventTime     // time of the first endpoint list
 }
 
@@ -66,6 +66,6 @@
 	return g, nil
 }
 
-// SetSharers sets how many gateways send attempts to each listed server. It is fewer than all
-// gateways if each uses a subset of the servers. The initial value is Settings.Gateways.
-func (g *Gateway) SetSharers(gateways float64) { g.balancer.sharingGateways = max(gateways, 1) }
+// SetSharingGateways sets how many gateways send attempts to each listed server. It is fewer than
+// all gateways if each uses a subset of the servers. The initial value is Settings.Gateways.
+func (g *Gateway) SetSharingGateways(gateways float64) { g.balancer.sharingGateways = max(gateways, 1) }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -31,10 +31,10 @@
 	settings := testSettings()
 	settings.HasCounter, settings.PollList, settings.Plans[0].Rate = false, true, 0
 	world := newHarness(t, settings, 1)
-	world.want("watch", 1)
+	world.wantLogged("watch", 1)
 	world.gateway.HandleEndpoints(world.now, ListFailed, nil)
 	world.advance(time.Second)
-	world.want("watch", 2)
+	world.wantLogged("watch", 2)
 	world.request(1, 2, 0, 1)
 	world.wantAttempts(1, 1)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,7 +9,7 @@
 type goldenCase struct {
 	name     string
 	settings Settings
-	sharers  float64 // argument of Gateway.SetSharers
+	sharers  float64 // argument of Gateway.SetSharingGateways
 	servers  int
 	owners   int        // number of owners of elective servers; 0: no elective servers
 	changes  []Settings // settings to apply during the run
@@ -19,8 +19,8 @@
 
 func goldenSettings() Settings {
 	return Settings{
-		Gateways: 4, Zones: 2, MyZone: 1, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4,
-		MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
+		Gateways: 4, Zones: 2, GatewayZone: 1, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4,
+		MaxAttempts: 4, SendsRetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
 		ArrivalSlack: 8 * ms, WarmUpStart: 0.2, WarmUpTime: 10 * time.Second,
 		OverloadFactor: 2, OverloadSpan: time.Second,
 		Classes: []TrafficClass{
@@ -73,12 +73,12 @@
 		{Name: "few"},
 		{Name: "open", Rate: 50, Burst: 60},
 	}
-	d.RetryAfter, d.UsageSpan, d.Gateways = false, time.Second, 3
+	d.SendsRetryAfter, d.UsageSpan, d.Gateways = false, time.Second, 3
 }
 
 // goldenWithoutCounter removes the counter and Retry-After, and allows hedging and cancellation.
 func goldenWithoutCounter(d *Settings) {
-	d.HasCounter, d.RetryAfter, d.AllowHedging, d.CanCancel = false, false, true, true
+	d.HasCounter, d.SendsRetryAfter, d.AllowHedging, d.CanCancel = false, false, true, true
 	d.MaxAttempts, d.Gateways = 2, 1
 }
 
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -64,7 +64,7 @@
 // run processes events until none is left and returns the hash of all calls.
 func (w *goldenWorld) run() string {
 	w.module.HandleEndpoints(w.now, ListCached, w.listed)
-	w.module.SetSharers(w.sharers)
+	w.module.SetSharingGateways(w.sharers)
 	w.after(0, w.arrival)
 	w.after(time.Second, w.changeList)
 	w.after(3*time.Second, w.injectFault)
@@ -142,7 +142,7 @@
 	return Request{
 		Class: class, Plan: customer % len(w.inForce.Plans), Customer: uint64(customer), FirstGateway: w.random.Intn(3),
 		GatewayCount: w.random.Intn(w.settings.Gateways + 2), Units: float64(w.random.Intn(16)) / 4,
-		Deadline: w.now + timeout, PreferOwner: w.random.Intn(w.owners + 1),
+		Deadline: w.now + timeout, PreferredOwner: w.random.Intn(w.owners + 1),
 	}
 }
 
@@ -178,7 +178,7 @@
 	case 2:
 		clear(w.totals)
 	case 3:
-		w.module.SetSharers(w.sharers * w.random.Float64() * 2)
+		w.module.SetSharingGateways(w.sharers * w.random.Float64() * 2)
 	case 4:
 		w.module.HandleAttemptResult(w.now, AttemptResult{RequestID: unknown})
 		w.module.HandleDisconnect(w.now, unknown)
@@ -200,7 +200,7 @@
 func (w *goldenWorld) reconfigure(change Settings) {
 	inForce, err := w.module.Reconfigure(w.now, change)
 	w.inForce = inForce
-	w.record("settings", err == nil, inForce.Gateways, inForce.RetryAfter, inForce.HasCounter)
+	w.record("settings", err == nil, inForce.Gateways, inForce.SendsRetryAfter, inForce.HasCounter)
 	for _, class := range inForce.Classes {
 		w.record("class", class.Name, class.Retired, class.LatencyObjective)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -14,7 +14,7 @@
 	*fakeHost
 	gateway      *Gateway
 	count        map[uint64]float64 // the counter's totals by name
-	down         bool               // the counter does not answer
+	counterDown  bool               // the counter does not answer
 	gatewayCount int                // number of gateways that serve each customer
 }
 
@@ -22,7 +22,7 @@
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zones: 2, ClockTick: 2 * ms, HasCounter: true, CountTimeout: 30 * ms, MaxUnits: 4, MaxAttempts: 5,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * ms,
+		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * ms,
 		WarmUpStart: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadSpan: time.Second,
 		Classes: []TrafficClass{
 			{Name: "look", LatencyObjective: 500 * ms, Timeout: 2 * time.Second, Weight: 1, Effect: Idempotent},
@@ -116,7 +116,7 @@
 
 // answerCounter lets the counter answer all pending calls, unless it is down.
 func (h *harness) answerCounter() {
-	for !h.down && len(h.calls) > 0 {
+	for !h.counterDown && len(h.calls) > 0 {
 		c := h.calls[0]
 		h.calls = h.calls[1:]
 		h.count[c.name] += c.units
@@ -201,7 +201,7 @@
 }
 
 // want checks how often a line is in the host's log.
-func (h *harness) want(line string, times int) {
+func (h *harness) wantLogged(line string, times int) {
 	h.Helper()
 	if n := h.occurrences(line); n != times {
 		h.Errorf("%q logged %d times, want %d; last calls: %q", line, n, times, h.log[max(0, len(h.log)-9):])
--- a/policy/host.go
+++ b/policy/host.go
@@ -52,7 +52,7 @@
 	Zone      int
 	Hardware  int
 	// Owner identifies the owner of the server for requests that prefer an owner
-	// (Request.PreferOwner); 0: no owner.
+	// (Request.PreferredOwner); 0: no owner.
 	Owner int
 	// Elective servers get only first attempts of idempotent requests that prefer their owner.
 	Elective bool
@@ -69,9 +69,9 @@
 	Units        float64
 	Deadline     time.Duration // time at which the client abandons this try
 	Repeat       bool          // the client has sent this request before
-	// PreferOwner is the owner whose servers get the first attempt of an idempotent request, if one
-	// of them has capacity; 0: none.
-	PreferOwner int
+	// PreferredOwner is the owner whose servers get the first attempt of an idempotent request, if
+	// one of them has capacity; 0: none.
+	PreferredOwner int
 }
 
 // AttemptResult is the result of an attempt.
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -59,7 +59,7 @@
 	switch {
 	case !request.canReject():
 		l.env.host.Terminate(request.ID)
-	case settings.RetryAfter:
+	case settings.SendsRetryAfter:
 		l.env.host.Reject(request.ID, min(max(retryAfter, 0), settings.MaxRetryAfter))
 	default:
 		l.env.host.Reject(request.ID, 0)
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -34,7 +34,7 @@
 				world.finishAttempt(1, test.outcome)
 			}
 			world.wantAttempts(1, test.attempts)
-			world.want(test.final, 1)
+			world.wantLogged(test.final, 1)
 			if test.class == 1 && test.outcome != ConnectFailed {
 				world.wantAttemptsInOneRack()
 			}
@@ -71,7 +71,7 @@
 	world.advance(310 * ms)
 	world.finishAttempt(1, Errored)
 	world.wantAttempts(1, 1)
-	world.want("terminate 1", 1)
+	world.wantLogged("terminate 1", 1)
 }
 
 func TestFinalAnswer_beforeTheDeadline(t *testing.T) {
@@ -79,19 +79,19 @@
 		world := newHarness(t, testSettings(), 1)
 		world.request(1, class, 0, 1)
 		world.advance(1999 * ms)
-		world.want(want, 1)
+		world.wantLogged(want, 1)
 		world.finishAttempt(1, TimedOut)
 		world.wantAttempts(1, 1)
-		world.want(want, 1)
+		world.wantLogged(want, 1)
 	}
 }
 
 func TestFinalAnswer_nothingFollows(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 0, 1)
 	world.gateway.HandleDisconnect(world.now, 1)
-	world.down = false
+	world.counterDown = false
 	world.answerCounter()
 	world.wantAttempts(1, 0)
 	world.request(2, 0, 0, 1)
@@ -103,7 +103,7 @@
 	world.gateway.HandleHealthCheck(world.now, 77, Answered, ms, nil)
 	world.advance(3 * time.Second)
 	world.wantAttempts(2, 1)
-	world.want("reject 2 away 0s", 0)
+	world.wantLogged("reject 2 away 0s", 0)
 }
 
 func TestFinalAnswer_cancelsTheTimer(t *testing.T) {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestRepeat_pastItsObjectiveIsRejectedAtOnce(t *testing.T) {
+func TestRepeat_pastItsObjectiveIsRejectedImmediately(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	request := Request{ID: 1, Customer: 1, GatewayCount: 2, Units: 1, Deadline: world.now + 1500*ms}
 	world.send(request)
@@ -129,7 +129,7 @@
 	world.answerCounter()
 	world.wantAttempts(2, 1)
 	world.wantAttempts(3, 0)
-	world.want("reject 3 away 2s", 1)
+	world.wantLogged("reject 3 away 2s", 1)
 }
 
 func TestStandstill_lateRequestIsRejected(t *testing.T) {
@@ -140,10 +140,10 @@
 	world.send(late)
 	world.answerCounter()
 	world.wantAttempts(2, 0)
-	world.want("reject 2 away 2s", 1)
+	world.wantLogged("reject 2 away 2s", 1)
 }
 
-func TestRepeat_withAllRemainingTimeMakesNoFirstTryLate(t *testing.T) {
+func TestRepeat_withLongTimeoutDoesNotMakeFirstTriesLate(t *testing.T) {
 	world := newHarness(t, testSettings(), 2)
 	sendAndFinish := func(id uint32, repeat bool, timeLeft time.Duration) {
 		world.send(Request{ID: id, Units: 1, Deadline: world.now + timeLeft, Repeat: repeat})
@@ -181,7 +181,7 @@
 
 // Guards against attempts for clients that time out before any answer can arrive, and then send
 // many repeats.
-func TestDeadline_tooShortForItsUnitsIsRejectedAtOnce(t *testing.T) {
+func TestDeadline_tooShortForItsUnitsIsRejectedImmediately(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 5; id++ {
 		world.request(id, 0, 0, 1)
@@ -194,5 +194,5 @@
 	}
 	world.wantAttempts(6, 1)
 	world.wantAttempts(7, 0)
-	world.want("reject 7 away 2s", 1)
+	world.wantLogged("reject 7 away 2s", 1)
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -64,7 +64,7 @@
 	case *endpointsArrived:
 		b.applyEndpoints(m.kind, m.endpoints)
 	case placeRequest:
-		b.place(m.request)
+		b.placeRequest(m.request)
 	case *attemptEnded:
 		b.recordResult(m.request, &m.result)
 	default:
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -24,7 +24,7 @@
 		{Name: "small", Rate: 4, Burst: 4},
 		{Name: "wide", MaxInFlight: 2},
 	}
-	settings.RetryAfter, settings.UsageSpan = false, time.Second
+	settings.SendsRetryAfter, settings.UsageSpan = false, time.Second
 	return settings
 }
 
@@ -37,7 +37,7 @@
 	return inForce
 }
 
-func TestReconfigure_classesAndPlansKeepTheirIndexByName(t *testing.T) {
+func TestReconfigure_classesAndPlansKeepTheirIndex(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
 	other := world.reconfigure(otherSettings())
 	for i, want := range []string{"look", "hold", "pay", "mark", "read"} {
@@ -61,13 +61,13 @@
 	world.reconfigure(otherSettings())
 	world.finishAttempt(1, Reset) // it may have run, so it must be neither retried nor rejected
 	world.wantAttempts(1, 1)
-	world.want("terminate 1", 1)
+	world.wantLogged("terminate 1", 1)
 	world.request(2, 0, 0, 1)
 	world.finishAttempt(2, Answered)
 	world.reconfigure(testSettings())
 	world.request(3, 2, 0, 1)
 	world.finishAttempt(3, Reset)
-	world.want("terminate 3", 1)
+	world.wantLogged("terminate 3", 1)
 }
 
 func TestReconfigure_attemptsInFlightCountAgainstANewLimit(t *testing.T) {
@@ -79,7 +79,7 @@
 	world.reconfigure(otherSettings()) // the limit is now two; three attempts are in flight
 	world.request(4, 0, 0, 1)
 	world.wantAttempts(4, 0)
-	world.want("reject 4 away 0s", 1) // without a Retry-After
+	world.wantLogged("reject 4 away 0s", 1) // without a Retry-After
 	for id := uint32(1); id <= 3; id++ {
 		world.finishAttempt(id, Answered)
 	}
@@ -89,7 +89,7 @@
 
 func TestReconfigure_countOfAnOldWindowIsIgnored(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 1, 2) // waits for the count of its earlier plan
 	settings := testSettings()
 	settings.Plans[1] = Plan{Name: "small", Rate: 4, Burst: 6}
@@ -127,7 +127,7 @@
 		invalidate(&settings)
 		_, err := world.gateway.Reconfigure(world.now, settings)
 		if inForce := &world.gateway.settings; !errors.Is(err, ErrIncompleteSettings) || inForce.Classes[1].Retired ||
-			!inForce.RetryAfter {
+			!inForce.SendsRetryAfter {
 			t.Errorf("%s: error %v, settings in force %+v", name, err, world.gateway.settings)
 		}
 	}
@@ -135,7 +135,7 @@
 
 func TestReconfigure_removedCounterLeavesNoRequestWaiting(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 0, 1)
 	world.wantAttempts(1, 0)
 	settings := testSettings()
@@ -155,12 +155,12 @@
 // earlier plan had some. Late and duplicate results for them count once.
 func TestReconfigure_planWithoutRateAndLimitIsUnlimited(t *testing.T) {
 	world := newHarness(t, testSettings(), 4)
-	world.down = true
+	world.counterDown = true
 	world.request(1, 0, 4, 1) // its call adds it to a window's count
 	settings := testSettings()
 	settings.Plans[4] = Plan{Name: "out"}
 	world.reconfigure(settings)
-	world.down = false
+	world.counterDown = false
 	world.answerCounter() // the call made before the change
 	world.wantAttempts(1, 1)
 	for range 2 {
--- a/policy/repeat_rules.go
+++ b/policy/repeat_rules.go
@@ -117,7 +117,7 @@
 // The request must prefer that owner and be idempotent, the attempt must be its first, and the
 // server must be warm.
 func (r *requestState) canSettleAt(s *server) bool {
-	isPreferred := r.PreferOwner != 0 && r.PreferOwner == s.Owner
+	isPreferred := r.PreferredOwner != 0 && r.PreferredOwner == s.Owner
 	isHarmless := len(r.attempts) == 0 && r.class.Effect == Idempotent
 	return isPreferred && isHarmless && s.isWarm()
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -62,7 +62,7 @@
 // another zone or one that is slower than others.
 func (s *server) loadScore() float64 {
 	load := float64(len(s.inFlight)) + 1
-	if s.Zone != s.env.settings.MyZone {
+	if s.Zone != s.env.settings.GatewayZone {
 		load += crossZonePenalty
 	}
 	return load / cmp.Or(max(s.Capacity, 0), 1) * (1 + s.slowdown)
--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestEjection_needsMoreWhereFailuresAreEverywhere(t *testing.T) {
+func TestEjection_needsMoreFailuresWhenWidespread(t *testing.T) {
 	world := newHarness(t, testSettings(), 6)
 	for id := uint32(1); id <= 300; id++ { // one attempt in six fails, regardless of the server
 		world.request(id, 2, 0, 1)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -58,32 +58,32 @@
 
 // Settings configure a module at its start (New) and while it runs (Reconfigure).
 type Settings struct {
-	Gateways, MyIndex, MyZone int // number of gateways; index and zone of this one
-	Zones                     int
-	PollList                  bool          // the endpoint list is sent only on request
-	MaxListAge                time.Duration // maximum age of a polled list
-	ClockTick                 time.Duration // maximum delay of a timer
-	Classes                   []TrafficClass
-	Plans                     []Plan
-	HasCounter                bool
-	CountTimeout              time.Duration // the counter's answer to a call is late after this time
-	ReportsUnits              bool          // answers report the units that a request took
-	MaxUnits                  float64       // maximum units of a request
-	UsageSpan                 time.Duration // span that a usage report covers; 0: answers have no usage reports
-	Peers, HealthChecks       bool          // the host supports messages to peers, or health checks
-	CanCancel                 bool          // the host can cancel an attempt
-	RetryAfter                bool          // rejections tell the client how long to wait before a retry
-	MaxRetryAfter             time.Duration
-	AllowHedging              bool          // a request may have several attempts in flight
-	MaxAttempts               int           // maximum attempts of a request
-	ArrivalSlack              time.Duration // largest difference between client timeouts that is ignored
-	DrainGrace                time.Duration // how long a draining server continues to serve
-	WarmUpStart               float64       // fraction of its capacity that a server has at its start
-	WarmUpTime                time.Duration // time from its start until a server has its full capacity
-	OverloadFactor            float64       // load, as a multiple of its capacity, that stops a warming server
-	OverloadSpan              time.Duration // how long such a load lasts before it stops the server
-	LoadReportFields          []string      // names of the figures in a load report
-	MailboxRate               float64       // messages per second that a peer accepts
+	Gateways, GatewayIndex, GatewayZone int // number of gateways; index and zone of this one
+	Zones                               int
+	PollList                            bool          // the endpoint list is sent only on request
+	MaxListAge                          time.Duration // maximum age of a polled list
+	ClockTick                           time.Duration // maximum delay of a timer
+	Classes                             []TrafficClass
+	Plans                               []Plan
+	HasCounter                          bool
+	CountTimeout                        time.Duration // the counter's answer to a call is late after this time
+	ReportsUnits                        bool          // answers report the units that a request took
+	MaxUnits                            float64       // maximum units of a request
+	UsageSpan                           time.Duration // span that a usage report covers; 0: answers have no usage reports
+	HasPeers, HasHealthChecks           bool          // the host supports messages to peers, or health checks
+	CanCancel                           bool          // the host can cancel an attempt
+	SendsRetryAfter                     bool          // rejections tell the client how long to wait before a retry
+	MaxRetryAfter                       time.Duration
+	AllowHedging                        bool          // a request may have several attempts in flight
+	MaxAttempts                         int           // maximum attempts of a request
+	ArrivalSlack                        time.Duration // largest difference between client timeouts that is ignored
+	DrainGrace                          time.Duration // how long a draining server continues to serve
+	WarmUpStart                         float64       // fraction of its capacity that a server has at its start
+	WarmUpTime                          time.Duration // time from its start until a server has its full capacity
+	OverloadFactor                      float64       // load, as a multiple of its capacity, that stops a warming server
+	OverloadSpan                        time.Duration // how long such a load lasts before it stops the server
+	LoadReportFields                    []string      // names of the figures in a load report
+	MailboxRate                         float64       // messages per second that a peer accepts
 }
 
 // ErrIncompleteSettings reports settings without a class that is not retired, without a plan, or
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	return policy.Settings{
-		Gateways: gateways, Zones: 1, ClockTick: 2 * time.Millisecond, MaxUnits: 8, MaxAttempts: 5, RetryAfter: true,
+		Gateways: gateways, Zones: 1, ClockTick: 2 * time.Millisecond, MaxUnits: 8, MaxAttempts: 5, SendsRetryAfter: true,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, WarmUpStart: 0.15,
 		WarmUpTime: 20 * time.Second, OverloadFactor: 2, OverloadSpan: 1500 * time.Millisecond,
 		Plans:   []policy.Plan{{Name: "all"}},
@@ -150,7 +150,7 @@
 		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: endpoint})
 	}
 	selected, sharers := g.subset.Select(g.Now(), all)
-	g.module.SetSharers(sharers)
+	g.module.SetSharingGateways(sharers)
 	g.module.HandleEndpoints(g.Now(), kind, selected)
 }
 
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestSparse_windowStartsWithTheOverrunOfTheEarlier(t *testing.T) {
+func TestSparse_windowStartsWithOverrunOfPreviousWindow(t *testing.T) {
 	world := newSparseHarness(t)
 	world.request(1, 0, 1, 1) // creates the customer's state
 	world.finishAttempt(1, Answered)
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestSparse_keepsToAnEvenShareWithoutACount(t *testing.T) {
+func TestSparse_usesAnEvenShareWithoutACount(t *testing.T) {
 	world := newSparseHarness(t)
-	world.down = true
+	world.counterDown = true
 	for id := uint32(1); id <= 4; id++ {
 		world.request(id, 0, 1, 2)
 		world.advance(40 * ms)
@@ -56,7 +56,7 @@
 // overloadCounter sends requests of as many sparse customers while the counter accepts some calls
 // and rejects the others. It returns the number of calls and of rejected calls in the second half.
 func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, rejected int) {
-	h.down = true
+	h.counterDown = true
 	number := 0
 	for i := range requests {
 		id := uint32(1000 + i)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestSparse_acceptedChargesStandForRejectedOnes(t *testing.T) {
+func TestSparse_acceptedChargesCompensateForRejectedOnes(t *testing.T) {
 	world := newSparseHarness(t)
 	world.overloadCounter(1500, func(n int) bool { return n%2 == 0 }) // half of all calls are rejected
 	total, requests := 0.0, 3000
@@ -163,11 +163,11 @@
 	settings := testSettings()
 	settings.Gateways = 40
 	world := newHarness(t, settings, 4)
-	world.gatewayCount, world.down = 40, true
+	world.gatewayCount, world.counterDown = 40, true
 	world.request(1, 0, 1, 1)
 	world.timeOutCounter()
 	world.send(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Repeat: true})
-	world.want("reject 2 away 125ms", 1)
+	world.wantLogged("reject 2 away 125ms", 1)
 	if len(world.calls) != 0 {
 		t.Errorf("a repeat made %d calls", len(world.calls))
 	}
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -7,37 +7,37 @@
 // Quota windows, the intervals over which the counter counts a customer's units or attempts in
 // flight.
 const (
-	minWindow           = time.Second
-	maxWindow           = maxCounterTTL / counterTTLWindows
-	burstFillsPerWindow = 2.0             // times that the burst could refill within a window
-	inFlightWindow      = 2 * time.Second // for plans that limit only attempts in flight
-	maxCounterTTL       = time.Minute
-	counterTTLWindows   = 2           // windows for which a count is kept; the next window reads its overrun
-	countSpanDivisor    = 2           // divisor of the window length: shortest span of a rate estimate
-	maxChargeAge        = time.Minute // age at which a pending charge is dropped
-	evictionChecks      = 2           // customers checked for eviction on each request
+	minWindow                = time.Second
+	maxWindow                = maxCounterTTL / counterTTLWindows
+	burstFillsPerWindow      = 2.0             // times that the burst could refill within a window
+	inFlightWindow           = 2 * time.Second // for plans that limit only attempts in flight
+	maxCounterTTL            = time.Minute
+	counterTTLWindows        = 2           // windows for which a count is kept; the next window reads its overrun
+	countSpanDivisor         = 2           // divisor of the window length: shortest span of a rate estimate
+	maxChargeAge             = time.Minute // age at which a pending charge is dropped
+	evictionChecksPerRequest = 2           // customers checked for eviction on each request
 )
 
 // Admission by a customer's token bucket and by its limit on attempts in flight.
 const (
 	sparseRequests          = 2.0              // requests; a customer whose burst per gateway is smaller is sparse
 	sparseRampFactor        = 4.0              // factor of the range of random admission, for sparse customers
-	blockedFraction         = 0.25             // pause after the limit was reached, relative to the median latency
-	guessedInFlightFraction = 0.07             // fraction of the limit; uncounted requests may be rejected above it
-	demandDecay             = 20 * time.Second // time constant of the estimated demand
+	blockedLatencyFraction  = 0.25             // pause after the limit was reached, relative to the median latency
+	uncountedDemandFraction = 0.07             // fraction of the limit; uncounted requests may be rejected above it
+	demandTimeConstant      = 20 * time.Second // time constant of the estimated demand
 	maxUsageReports         = 8.0              // reports over which the usage is averaged
-	requiredDecile          = 8                // decile of the expected latency that must fit before the deadline
+	requiredLatencyDecile   = 8                // decile of the expected latency that must fit before the deadline
 	arrivalTicks            = 2                // clock ticks reserved for the final answer to reach the client
 )
 
 // Calls to the counter.
 const (
 	counterWaitFraction = 0.25 // wait for the counter's answer, relative to the latency objective
-	callBackoff         = 0.75 // factor of the call probability for a failed or late call
+	callBackoffFactor   = 0.75 // factor of the call probability for a failed or late call
 	callRecovery        = 0.01 // relative gain of the call probability per fast answer in a row
 	maxFastAnswers      = 25   // most fast answers in a row that are counted
 	minCallProbability  = 0.05
-	fullNeedGateways    = 16.0 // gateways of a customer; with fewer, calls are more likely
+	fullBackoffGateways = 16.0 // gateways of a customer; with fewer, calls are more likely
 	acceptedSamples     = 16   // calls over which the accepted fraction is averaged
 )
 
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -88,12 +88,12 @@
 }
 
 // Guards against losing a charge whose call is made before an edge and answered after it.
-func TestWindowEdge_lateResultOfTheEarlierWindow(t *testing.T) {
+func TestWindowEdge_lateResultOfPreviousWindow(t *testing.T) {
 	for _, sampled := range []bool{false, true} { // whether the later window has a sample already
 		world := newHarness(t, testSettings(), 2)
 		customer, edge := world.advanceToWindowEdge(100, 20*ms)
 		world.requestOfSmallPlan(2, customer.id, 9)
-		world.down = true
+		world.counterDown = true
 		world.finishAttempt(2, Answered) // the call that carries the 9 units is answered late
 		world.crossWindowEdge(customer, edge, ms)
 		// Another gateway initialized the later window before the charge was counted.
@@ -110,7 +110,7 @@
 		if left := customer.available + customer.uncounted; left > 1.1 {
 			t.Errorf("later window sampled %v: the estimated level is %v, want 1", sampled, left)
 		}
-		world.down = false
+		world.counterDown = false
 		world.requestOfSmallPlan(6, customer.id, 3)
 		world.wantAttempts(6, 0)
 	}
@@ -119,7 +119,7 @@
 // Two gateways that find the later window's count untouched at the same time both read the previous
 // window. The overrun must be carried over at least once, and neither gateway may forward the same
 // units again after the edge.
-func TestWindowEdge_twoGatewaysOpenAWindowAtOnce(t *testing.T) {
+func TestWindowEdge_twoGatewaysInitializeAWindowConcurrently(t *testing.T) {
 	one, two := newHarness(t, testSettings(), 2), newHarness(t, testSettings(), 2)
 	two.count = one.count
 	for _, world := range []*harness{one, two} {
@@ -141,7 +141,7 @@
 	}
 	for _, world := range []*harness{one, two} {
 		world.crossWindowEdge(world.gateway.admission.customers[100], edge, ms)
-		world.down = true
+		world.counterDown = true
 		world.requestOfSmallPlan(4, 100, 0.5)
 	}
 	for len(one.calls)+len(two.calls) > 0 {
@@ -155,7 +155,7 @@
 		t.Errorf("%v units carried over, want between 9 and 18", got)
 	}
 	for _, world := range []*harness{one, two} {
-		world.down = false
+		world.counterDown = false
 		world.requestOfSmallPlan(5, 100, 3)
 		world.wantAttempts(5, 0)
 	}
@@ -169,7 +169,7 @@
 		world.requestOfSmallPlan(2, customer.id, 8)
 		world.finishAttempt(2, Answered)
 		world.crossWindowEdge(customer, edge, ms)
-		world.down = true
+		world.counterDown = true
 		world.requestOfSmallPlan(3, customer.id, 4)
 		for _, c := range world.calls {
 			world.countResult(CountResult{Name: c.name, Outcome: outcome})
@@ -184,7 +184,7 @@
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
 		world := newHarness(t, testSettings(), 2)
 		customer, edge := world.advanceToWindowEdge(100, 400*ms)
-		world.down = true
+		world.counterDown = true
 		sent := 0.0
 		for id := uint32(2); id < 12; id++ {
 			world.gateway.admission.callProbability = 1
@@ -197,7 +197,7 @@
 			world.finishAttempt(id, Answered)
 		}
 		world.crossWindowEdge(customer, edge, ms)
-		world.down, world.calls, world.gateway.admission.callProbability = false, nil, 1
+		world.counterDown, world.calls, world.gateway.admission.callProbability = false, nil, 1
 		for id := uint32(12); id < 22; id++ {
 			world.requestOfSmallPlan(id, customer.id, 1)
 			sent += float64(world.attemptsOf(id))
