--- a/internal/testing/knownred/knownred.go
+++ b/internal/testing/knownred/knownred.go
@@ -1,5 +1,6 @@
 // Command knownred runs go test where KNOWN-RED.txt lists tests that may fail: all other tests of
-// the packages, then each listed test alone. It fails if one of those passes or is not there.
+// the packages, then each listed test alone. It fails if one of those is not there, or passes
+// although its entry does not say that it fails only now and then (intermittent).
 // .ci/run calls it with the arguments of go test.
 package main
 
@@ -38,9 +39,9 @@
 type goTool func(args ...string) (printed string, err error)
 
 // runTests runs the packages at the end of the arguments, with the flags of go test before them,
-// and without the tests that are listed; those it wants to fail. Listed tests of other packages are
-// left to the call that runs these. With
-// -race listed tests are left out and no more: what fails only there is a race, and not a known failure.
+// and without the tests that are listed; those it wants to fail, but lets intermittent ones pass.
+// Listed tests of other packages are left to the call that runs these. With -race listed tests are
+// left out and no more: what fails only there is a race, and not a known failure.
 func runTests(list string, args []string, tool goTool, out io.Writer) error {
 	known, err := parseList(list)
 	if err != nil {
@@ -63,9 +64,9 @@
 		return errors.Join(faults...)
 	}
 	for _, failure := range known {
-		if err := failure.run(flags, tool); err != nil {
+		if summary, err := failure.run(flags, tool); err != nil {
 			faults = append(faults, err)
-		} else if _, err := fmt.Fprintln(out, "known red:", failure.summary()); err != nil {
+		} else if _, err := fmt.Fprintln(out, summary); err != nil {
 			faults = append(faults, err)
 		}
 	}
@@ -99,17 +100,40 @@
 	return faults
 }
 
-// run runs the listed test alone. Its error says in what way the test did not fail as the list has
-// it.
-func (f knownFailure) run(flags []string, tool goTool) error {
-	printed, err := tool(slices.Concat([]string{"test"}, flags, []string{"-run=^" + f.test + "$", f.importPath})...)
+// run runs the listed test alone, and returns the line that CI prints for its result. Its error
+// says in what way the result is not one that the entry allows.
+func (f knownFailure) run(flags []string, tool goTool) (summary string, err error) {
+	printed, err := tool(f.arguments(flags)...)
 	switch {
 	case err == nil && strings.Contains(printed, "no tests to run"):
-		return f.errorf("there is no such test")
+		return "", f.errorf("there is no such test")
+	case err == nil && f.isIntermittent():
+		return f.passed(printed)
 	case err == nil:
-		return f.errorf("it passes; take the line out")
+		return "", f.errorf("it passes; take the line out")
 	case !strings.Contains(printed, "--- FAIL: "+f.test+" ("): // it did not build, or timed out
-		return f.errorf("%w, and not by this test", err)
+		return "", f.errorf("%w, and not by this test", err)
+	case f.isIntermittent() && strings.Contains(printed, "\npanic: "):
+		return "", f.errorf("%w: it panics, and an intermittent test may only fail", err)
 	}
-	return nil
+	return f.failedSummary(), nil
+}
+
+// arguments are those of the command of go that runs the listed test alone. For an intermittent
+// test it is to print more (-v), so that a pass can be told from a test that was skipped.
+func (f knownFailure) arguments(flags []string) []string {
+	args := slices.Concat([]string{"test"}, flags)
+	if f.isIntermittent() {
+		args = append(args, "-v")
+	}
+	return append(args, "-run=^"+f.test+"$", f.importPath)
+}
+
+// passed returns the line for an intermittent test that passed. Its error says that the test was
+// skipped.
+func (f knownFailure) passed(printed string) (summary string, err error) {
+	if !strings.Contains(printed, "--- PASS: "+f.test+" (") {
+		return "", f.errorf("it is skipped, and neither fails nor passes")
+	}
+	return f.passedSummary(), nil
 }
