--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -1,7 +1,7 @@
-// Package account counts what partners owe each other for the requests that pass one gateway, and
-// decides which of them are to go to a debtor's servers. Package dispatch calls it on a request's
-// way, where it takes one short lock and waits for nothing; package runtime starts Run, whose
-// goroutines write the store and follow the replicated table.
+// Package account counts what partners owe each other for the requests handled by one gateway, and
+// selects the requests that are sent to a debtor's servers to settle a debt. Package dispatch calls
+// it for each request and attempt; these calls hold a mutex briefly and do no I/O. Package runtime
+// starts Accounts.Run, which writes balances to the store and follows the replicated table.
 package account
 
 import (
@@ -14,63 +14,66 @@
 	"harrierhoist/policy"
 )
 
-// Config is what accounts begin with.
+// Config is the initial configuration of Accounts.
 type Config struct {
 	Terms    settlement.Terms
 	Settings Settings
-	// LedgerID tells the ledger from others of the same process in the log, so no two incarnations
-	// of a process have the same.
+	// LedgerID identifies the ledger among all ledgers of the same process in the replicated log.
+	// Each incarnation of a process must use a different ID.
 	LedgerID string
-	Seed     uint64               // of the draws of elective requests
-	Now      func() time.Duration // the clock on which leases are measured
+	Seed     uint64               // seed of the draws that select requests for settlement
+	Now      func() time.Duration // monotonic clock on which leases are measured
 }
 
-// Settings are the parts of a gateway's settings that accounts go by.
+// Settings is the subset of a gateway's settings that Accounts uses.
 type Settings struct {
-	Zones   []string // names, by zone number
-	Plans   []string // names, by plan number
+	Zones   []string // zone names, by zone index
+	Plans   []string // plan names, by plan index
 	Classes []policy.TrafficClass
 }
 
-// Accounts are a gateway's. They may be used by several goroutines at once. Where the receiver is
-// nil, TrackRequest, SetPolicy and AddElective do nothing.
+// Accounts holds the balances between partners as counted by one gateway. It is safe for concurrent
+// use. On a nil *Accounts, TrackRequest returns nil, SetPolicy does nothing and AddElective returns
+// the selection unchanged.
 type Accounts struct {
 	mu       sync.Mutex
 	terms    settlement.Terms
 	settings Settings
 	partners *settlement.PartnerIndex
 	random   *rand.Rand
-	now      func() time.Duration // the clock of leases
+	now      func() time.Duration // clock on which leases are measured
 
-	ledgerID        string // of balances
-	initialLedgerID string // that this process was given
+	ledgerID        string // ledger that balances belong to
+	initialLedgerID string // Config.LedgerID
 	balances        map[settlement.Pair]*balance
-	metrics         map[string]*[settlement.MetricCount]uint64 // by partner
+	metrics         map[string]*[settlement.MetricCount]uint64 // by partner name
 
-	shares      []share // none while nothing is settled
-	sharesUntil time.Duration
+	shares      []share       // empty if no debt is being settled
+	sharesUntil time.Duration // time on the lease clock at which shares expire
 
-	store   Store                    // nil where there is none
-	stored  []settlement.LedgerEntry // what is in the store and so may be reported; of earlier ledgers too
-	changed chan struct{}            // has an element once a balance has changed; nil: nothing is stored
+	store       Store                     // nil if balances are not stored
+	storedDebts []settlement.LedgerAmount // debts last written to the store, with the ledger they were written for
+	changed     chan struct{}             // capacity 1; wakes storeLoop; nil without a working store
 }
 
-// balance is what a pair's debtor owes, in thousandths of units.
+// balance is the amount that a pair's debtor owes, in thousandths of units.
 type balance struct {
-	debt     uint64 // only grows
-	inFlight uint64 // estimates of attempts that have not ended
+	debt     uint64 // for attempts that ended; reduced only when a new ledger starts
+	inFlight uint64 // estimate for attempts in flight
 }
 
-// share is the fraction of a creditor's electable requests that prefer a debtor's servers.
+// share is the fraction of a creditor's requests eligible for settlement that prefer a debtor's
+// servers.
 type share struct {
 	creditor, debtor int // partner numbers
 	fraction         float64
 }
 
-// randomStream keeps the draws apart from others of the same seed.
+// randomStream is the PCG stream of these draws. It differs from those of other generators with the
+// same seed.
 const randomStream = 0xdeb7
 
-// New makes accounts with a ledger of their own.
+// New returns Accounts that start with an empty ledger.
 func New(config Config) *Accounts {
 	a := &Accounts{
 		random:          rand.New(rand.NewPCG(config.Seed, randomStream)),
@@ -84,15 +87,15 @@
 	return a
 }
 
-// SetTerms changes the terms. What was counted stays; requests in flight are counted by the terms
-// that they began under.
+// SetTerms replaces the settlement terms. It keeps all balances and metrics. Requests in flight are
+// counted under the terms in force when they began.
 func (a *Accounts) SetTerms(terms settlement.Terms) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.configure(terms, a.settings)
 }
 
-// SetPolicy changes traffic classes and plans. Those that stay keep their numbers.
+// SetPolicy replaces the traffic classes and plans. Classes and plans that remain keep their index.
 func (a *Accounts) SetPolicy(classes []policy.TrafficClass, plans []policy.Plan) {
 	if a == nil {
 		return
@@ -106,9 +109,9 @@
 	a.configure(a.terms, settings)
 }
 
-// configure sets terms and settings. It is called under the lock, as both change from goroutines of
-// their own: terms with SIGHUP, classes and plans with counting rules too. Shares wait for the next
-// ApplyState.
+// configure sets terms and settings, and discards the shares until the next ApplyState. The caller
+// must hold mu: different goroutines change terms (on SIGHUP) and classes and plans (on SIGHUP and
+// when counting rules change).
 func (a *Accounts) configure(terms settlement.Terms, settings Settings) {
 	a.terms = terms
 	a.settings = settings
@@ -116,7 +119,8 @@
 	a.partners = settlement.NewPartnerIndex(terms, settings.Zones, settings.Plans)
 }
 
-// ApplyState takes the shares of the replicated state, which hold until a time of the clock.
+// ApplyState replaces the shares with those of the replicated state. They expire at until, a time
+// on the clock Config.Now. If settlement is off, there are no shares.
 func (a *Accounts) ApplyState(state settlement.State, until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,9 +138,10 @@
 	}
 }
 
-// LendingZones returns, by zone, the partner that it belongs to where requests may go there for
-// settlement, else 0; and the largest fraction of any creditor's requests that may. Owners are nil
-// while nothing is settled.
+// LendingZones returns the zones that accept requests for settlement. For each zone index, owners
+// holds the partner number of the zone's owner if the zone accepts such requests, and 0 otherwise.
+// maxFraction is the largest fraction of a creditor's requests that any share sends to a debtor.
+// Owners is nil if no debt is being settled.
 func (a *Accounts) LendingZones() (owners []int, maxFraction float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -156,11 +161,12 @@
 	return owners, maxFraction
 }
 
-// isSettling decides, under the lock, whether this gateway acts on shares: until their lease ends.
+// isSettling reports whether there are shares and they have not expired. The caller must hold mu.
 func (a *Accounts) isSettling() bool { return len(a.shares) > 0 && a.now() < a.sharesUntil }
 
-// AddElective adds to the selected servers those that elective attempts need, and marks those of
-// the selected that they may prefer. While nothing is settled the selection is returned as it is.
+// AddElective adds to the selection the servers needed for attempts that settle debts, and marks
+// with their owner the selected servers that such attempts may prefer. If no debt is being settled,
+// it returns the selection unchanged.
 func (a *Accounts) AddElective(
 	servers *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate,
 ) []policy.Endpoint {
@@ -174,7 +180,7 @@
 	return servers.AddElective(now, selected, all, owners, maxFraction)
 }
 
-// ReportMetrics passes on all metrics, for a digest.
+// ReportMetrics calls add with the name and value of each metric, for a digest.
 func (a *Accounts) ReportMetrics(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,22 +191,22 @@
 	}
 }
 
-// ReportDebts passes on the debts, for a digest: with a store only those that are in it, so that
-// none is reported that a later incarnation would not know.
+// ReportDebts calls add with the name and amount of each debt, for a digest. While the store works,
+// it reports only stored debts, so that the next incarnation knows of every debt that was reported.
 func (a *Accounts) ReportDebts(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, amount := range a.stored {
+	for _, amount := range a.storedDebts {
 		add(settlement.DebtCountName(amount.LedgerID, amount.Pair), amount.Sum)
 	}
-	if !a.isStored() {
+	if !a.hasWorkingStore() {
 		for pair, b := range a.balances {
 			add(settlement.DebtCountName(a.ledgerID, pair), b.debt)
 		}
 	}
 }
 
-// balanceOf returns a pair's balance under the lock; one is made where there is none.
+// balanceOf returns a pair's balance, and creates it if there is none. The caller must hold mu.
 func (a *Accounts) balanceOf(pair settlement.Pair) *balance {
 	b := a.balances[pair]
 	if b == nil {
@@ -210,7 +216,7 @@
 	return b
 }
 
-// addMetric adds to a partner's metric under the lock.
+// addMetric adds n to a partner's metric. The caller must hold mu.
 func (a *Accounts) addMetric(partners *settlement.PartnerIndex, metric settlement.Metric, partner int, n uint64) {
 	name := partners.Names[partner]
 	if a.metrics[name] == nil {
@@ -219,17 +225,16 @@
 	a.metrics[name][metric] += n
 }
 
-// isStored reports, under the lock, whether balances are stored: there is a store, and it has not
-// failed.
-func (a *Accounts) isStored() bool { return a.changed != nil }
+// hasWorkingStore reports whether there is a store that has not failed. The caller must hold mu.
+func (a *Accounts) hasWorkingStore() bool { return a.changed != nil }
 
-// signalChange has the store follow the balances.
+// signalChange wakes storeLoop after a balance has changed. The caller must hold mu.
 func (a *Accounts) signalChange() {
-	if !a.isStored() {
+	if !a.hasWorkingStore() {
 		return
 	}
 	select {
 	case a.changed <- struct{}{}:
-	default: // signalled already: the next write has this change too
+	default: // already signaled; the next write includes this change
 	}
 }
--- a/internal/control/settlement/account/accounts_test.go
+++ b/internal/control/settlement/account/accounts_test.go
@@ -38,7 +38,7 @@
 
 func clockAtZero() time.Duration { return 0 }
 
-// testConfig returns the configuration of accounts with a ledger by that ID.
+// testConfig returns a configuration with the given ledger ID and clock.
 func testConfig(ledgerID string, now func() time.Duration) Config {
 	return Config{Terms: testTerms(), Settings: testSettings, LedgerID: ledgerID, Seed: 1, Now: now}
 }
@@ -50,22 +50,23 @@
 	return context.WithCancel(t.Context())
 }
 
-// debtCounts returns the debts that accounts report.
-func debtCounts(a *Accounts) map[string]uint64 {
+// reportedDebts returns the debts that accounts report, by counter name.
+func reportedDebts(a *Accounts) map[string]uint64 {
 	counts := map[string]uint64{}
 	a.ReportDebts(func(name string, n uint64) { counts[name] = n })
 	return counts
 }
 
-// debtOfA returns what a is reported to owe b in a ledger.
-func debtOfA(a *Accounts, ledgerID string) uint64 {
-	return debtCounts(a)[settlement.DebtCountName(ledgerID, settlement.Pair{Debtor: "a", Creditor: "b"})]
+// reportedDebtOfA returns the reported debt of partner a to partner b in a ledger.
+func reportedDebtOfA(a *Accounts, ledgerID string) uint64 {
+	return reportedDebts(a)[settlement.DebtCountName(ledgerID, settlement.Pair{Debtor: "a", Creditor: "b"})]
 }
 
-// True units from the answer, the estimate where none comes and the attempt may have run, nothing
-// where it never ran; nothing at servers of its own partner and at those of no partner.
+// An answered attempt owes the units of the answer. One that may have run without an answer owes the
+// estimate, and one that never ran owes nothing. Attempts on servers of the request's own partner,
+// or of no partner, owe nothing.
 func TestRequestTracker_chargesAttemptByOutcome(t *testing.T) {
-	const ownZone, otherZone, nobodysZone = 0, 1, 2
+	const ownZone, otherZone, unownedZone = 0, 1, 2
 	for _, test := range []struct {
 		name    string
 		zone    int
@@ -83,37 +84,37 @@
 		{"connect failed", otherZone, policy.ConnectFailed, 0, 0},
 		{"not sent", otherZone, policy.NotSent, 0, 0},
 		{"answered in its own zone", ownZone, policy.Answered, 5, 0},
-		{"answered in nobody's zone", nobodysZone, policy.Answered, 5, 0},
+		{"answered in a zone without an owner", unownedZone, policy.Answered, 5, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			accounts := newTestAccounts()
 			tracker := accounts.TrackRequest(0, policy.Request{Customer: 1, Plan: 1, Units: 2})
 			tracker.OnAttemptStart(test.zone)
-			if got := debtOfA(accounts, "x"); got != 0 {
-				t.Errorf("%d owed before the attempt ended", got)
+			if got := reportedDebtOfA(accounts, "x"); got != 0 {
+				t.Errorf("debt before the attempt ended: got %d, want 0", got)
 			}
 			tracker.OnAttemptEnd(time.Second, test.outcome, test.billed)
 			sum := uint64(0)
-			for _, n := range debtCounts(accounts) {
+			for _, n := range reportedDebts(accounts) {
 				sum += n
 			}
-			if got := debtOfA(accounts, "x"); got != test.want || sum != test.want {
-				t.Errorf("%d owed, %d in all, want %d", got, sum, test.want)
+			if got := reportedDebtOfA(accounts, "x"); got != test.want || sum != test.want {
+				t.Errorf("debt of a to b: got %d; sum of all debts: got %d; want %d for both", got, sum, test.want)
 			}
 		})
 	}
 }
 
 func TestRequestTracker_nilCountsNothing(t *testing.T) {
-	var off *Accounts
-	off.TrackRequest(0, policy.Request{}).OnAttemptStart(1) // must not panic
+	var nilAccounts *Accounts
+	nilAccounts.TrackRequest(0, policy.Request{}).OnAttemptStart(1) // must not panic
 	if newTestAccounts().TrackRequest(0, policy.Request{Customer: 9}) != nil {
-		t.Error("a request of no partner is tracked")
+		t.Error("got a tracker for a request of no partner, want nil")
 	}
 }
 
-// A request is counted once, as its first attempt went; repeats and clients that disconnected tell
-// nothing of how it was served.
+// The latency of a request is counted once. Repeats, requests whose client disconnected, and
+// requests without an attempt are not counted.
 func TestRequestTracker_countsServiceOncePerRequest(t *testing.T) {
 	accounts := newTestAccounts()
 	begin := func(repeat bool) *RequestTracker {
@@ -124,7 +125,7 @@
 	begin(false).OnAttemptEnd(500*time.Millisecond, policy.Answered, 3)
 	begin(false).OnAttemptEnd(700*time.Millisecond, policy.Answered, 3)
 
-	terminated := begin(false) // its attempt ends later
+	terminated := begin(false) // the attempt ends after the request
 	terminated.OnRequestEnd(false)
 	terminated.OnAttemptEnd(0, policy.Cancelled, 0)
 
@@ -142,13 +143,13 @@
 		settlement.MetricIdempotentRequests: 4, settlement.MetricServedUnits: 9000,
 	} {
 		if n := got[settlement.MetricName(metric, "a")]; n != want {
-			t.Errorf("metric %d is %d, want %d", metric, n, want)
+			t.Errorf("metric %d: got %d, want %d", metric, n, want)
 		}
 	}
 }
 
-// Of a creditor's idempotent requests that are no repeats, the share prefers the debtor's servers
-// while the lease holds.
+// The share's fraction of a creditor's idempotent requests prefers the debtor's servers until the
+// lease expires. Repeats, non-idempotent requests and the debtor's own requests never do.
 func TestAccounts_preferDebtorForStatedFraction(t *testing.T) {
 	now := time.Duration(0)
 	accounts := New(testConfig("x", func() time.Duration { return now }))
@@ -165,11 +166,11 @@
 	}
 	idempotent := policy.Request{Customer: 9, Plan: 1}
 	if n := countPreferring(idempotent); math.Abs(float64(n)-2000) > 200 {
-		t.Errorf("%d of 10,000 prefer, want about 2,000", n)
+		t.Errorf("%d of 10,000 requests prefer the debtor, want about 2,000", n)
 	}
 	owners, maxFraction := accounts.LendingZones()
 	if !slices.Equal(owners, []int{1, 0, 0}) || maxFraction != 0.2 {
-		t.Errorf("lending zones %v, %v", owners, maxFraction)
+		t.Errorf("LendingZones: got %v, %v, want [1 0 0], 0.2", owners, maxFraction)
 	}
 	for name, request := range map[string]policy.Request{
 		"non-idempotent": {Customer: 9, Plan: 1, Class: 1},
@@ -177,22 +178,22 @@
 		"debtor's":       {Customer: 1},
 	} {
 		if n := countPreferring(request); n != 0 {
-			t.Errorf("%s: %d prefer", name, n)
+			t.Errorf("%s: %d requests prefer the debtor, want 0", name, n)
 		}
 	}
 	now = time.Second
 	if owners, _ := accounts.LendingZones(); countPreferring(idempotent) != 0 || owners != nil {
-		t.Error("goes on after the lease's end")
+		t.Error("shares are still in use after the lease expired")
 	}
 }
 
-// Shares are taken from the table while its lease holds and a controller writes it; what is
-// forgiven is logged once.
+// The table's shares are used until no controller has written the table for settlement.StaleAfter.
+// Each forgiven debt and each debt with an unknown partner is logged once.
 func TestAccounts_RunFollowsTable(t *testing.T) {
 	client := newFakeCoordination()
 	accounts := New(testConfig("x", client.Now))
 	core, logs := observer.New(zapcore.InfoLevel)
-	updates := make(updateSignal, 10)
+	updates := make(updateNotifications, 10)
 	stop := runAccounts(t, accounts, client, updates, zap.New(core))
 	write := func(state settlement.State) {
 		t.Helper()
@@ -209,17 +210,18 @@
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
 	write(settlement.State{Shares: []settlement.Share{{Pair: pair, PPM: 500}}})
 	<-updates
-	client.update(func() { client.now = settlement.StaleAfter }) // nobody has written it again
+	client.update(func() { client.now = settlement.StaleAfter }) // without another write
 	<-updates
 	if owners, _ := accounts.LendingZones(); owners != nil {
-		t.Error("follows a table that no controller writes")
+		t.Error("the shares of a stale table are still in use")
 	}
-	left := settlement.Amount{Pair: settlement.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}
+	departedDebt := settlement.Amount{Pair: settlement.Pair{Debtor: "a", Creditor: "gone"}, Sum: 5}
 	state := settlement.State{
-		NetDebts: []settlement.Amount{left}, ForgivenessLog: []settlement.Forgiveness{{Amount: left, Number: 1}},
+		NetDebts:       []settlement.Amount{departedDebt},
+		ForgivenessLog: []settlement.Forgiveness{{Amount: departedDebt, Number: 1}},
 	}
 	write(state)
-	state.ForgivenessLog = append(state.ForgivenessLog, settlement.Forgiveness{Amount: left, Number: 2})
+	state.ForgivenessLog = append(state.ForgivenessLog, settlement.Forgiveness{Amount: departedDebt, Number: 2})
 	write(state)
 	fakes.Eventually(t, "log lines", func() bool {
 		return logs.FilterMessage("settlement: debt forgiven for its age").Len() == 2 &&
--- a/internal/control/settlement/account/fake_test.go
+++ b/internal/control/settlement/account/fake_test.go
@@ -12,20 +12,20 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// fakeCoordination holds one table and a clock, which a test sets.
+// fakeCoordination is a coordination.Client with one table and a clock, both set by the test.
 type fakeCoordination struct {
 	sync.Mutex
-	table   coordination.CachedTable
-	now     time.Duration
-	changed chan struct{}
-	exact   func(add func(string, uint64)) // nil: none registered yet
+	table         coordination.CachedTable
+	now           time.Duration
+	changed       chan struct{}
+	exactCounters func(add func(string, uint64)) // nil until registered
 }
 
 func newFakeCoordination() *fakeCoordination {
 	return &fakeCoordination{changed: make(chan struct{})}
 }
 
-// update changes fields, and notifies those that wait for a change.
+// update calls change with the lock held, and then wakes the receivers of Changed.
 func (f *fakeCoordination) update(change func()) {
 	f.Lock()
 	defer f.Unlock()
@@ -57,21 +57,21 @@
 func (f *fakeCoordination) RegisterExactCounters(counts func(func(string, uint64))) {
 	f.Lock()
 	defer f.Unlock()
-	f.exact = counts
+	f.exactCounters = counts
 }
 
-func (f *fakeCoordination) isRegistered() bool {
+func (f *fakeCoordination) hasExactCounters() bool {
 	f.Lock()
 	defer f.Unlock()
-	return f.exact != nil
+	return f.exactCounters != nil
 }
 
-// updateSignal gets an element with each call.
-type updateSignal chan struct{}
+// updateNotifications receives an element for each call of UpdateElective.
+type updateNotifications chan struct{}
 
-func (s updateSignal) UpdateElective() { s <- struct{}{} }
+func (s updateNotifications) UpdateElective() { s <- struct{}{} }
 
-// memoryStore keeps balances in memory, and fails when a test says so.
+// memoryStore is a Store in memory. Writes fail after a call of fail.
 type memoryStore struct {
 	sync.Mutex
 	isFailing bool
@@ -100,9 +100,10 @@
 	m.isFailing = true
 }
 
-// runAccounts has accounts run until the function returned is called, which waits for their end.
+// runAccounts calls Run in a goroutine, and returns once its counters are registered. The function
+// that it returns cancels Run and waits until Run has returned.
 func runAccounts(
-	t *testing.T, a *Accounts, f *fakeCoordination, updates updateSignal, log *zap.Logger,
+	t *testing.T, a *Accounts, f *fakeCoordination, updates updateNotifications, log *zap.Logger,
 ) (stop func()) {
 	t.Helper()
 	ctx, cancel := newTestContext(t)
@@ -111,6 +112,6 @@
 		defer close(ended)
 		a.Run(ctx, f, updates, log)
 	}()
-	fakes.Eventually(t, "counters registered", f.isRegistered)
+	fakes.Eventually(t, "counters being registered", f.hasExactCounters)
 	return func() { cancel(); <-ended }
 }
--- a/internal/control/settlement/account/golden_test.go
+++ b/internal/control/settlement/account/golden_test.go
@@ -12,11 +12,11 @@
 	"harrierhoist/policy"
 )
 
-// goldenDraws is the SHA-256 of which of 10,000 requests prefer a debtor's servers, drawn at
+// goldenDraws is the SHA-256 of the partners that 10,000 requests prefer, as computed at commit
 // 8c168ca.
 const goldenDraws = "ac62757cf5b2d1e11dd49c47e18a06be7bd8aea9c59805901c0d214c8eee9fb0"
 
-// Which requests are drawn to settle a debt depends on the seed and on nothing else.
+// The draws that select requests to settle a debt depend only on the seed.
 func TestGolden_electiveDraws(t *testing.T) {
 	terms := testTerms()
 	terms.Partners = append(terms.Partners, settlement.Partner{Name: "c", Zones: []string{"nobody's"}})
@@ -26,23 +26,23 @@
 		{Pair: settlement.Pair{Debtor: "c", Creditor: "b"}, PPM: settlement.PartsPerMillion / 10},
 		{Pair: settlement.Pair{Debtor: "b", Creditor: "a"}, PPM: settlement.PartsPerMillion / 2},
 	}}, time.Second)
-	all := golden.NewDigest()
-	drawn := map[int]int{}
+	digest := golden.NewDigest()
+	drawCounts := map[int]int{}
 	for i := range 10_000 {
 		request := policy.Request{Customer: 9, Plan: 1, Class: i % 7 / 6, Repeat: i%11 == 0}
 		if i%3 == 0 {
 			request.Customer = 1
 		}
-		prefer := accounts.TrackRequest(0, request).PreferredPartner()
-		drawn[prefer]++
-		all.Println(prefer)
+		preferred := accounts.TrackRequest(0, request).PreferredPartner()
+		drawCounts[preferred]++
+		digest.Println(preferred)
 	}
-	if got := all.String(); got != goldenDraws {
-		t.Errorf("%v hash to %s, want %s", drawn, got, goldenDraws)
+	if got := digest.String(); got != goldenDraws {
+		t.Errorf("hash of the draws (requests by partner: %v): got %s, want %s", drawCounts, got, goldenDraws)
 	}
 }
 
-// goldenMetrics and goldenDebts are the names and sums that a gateway reports in its digests after
+// goldenMetrics and goldenDebts are the counters that a gateway reports in its digests after
 // goldenAttempts.
 var (
 	goldenMetrics = []string{
@@ -105,7 +105,7 @@
 			lines = append(lines, fmt.Sprintf("%s=%d", name, counts[name]))
 		}
 		if !slices.Equal(lines, test.want) {
-			t.Errorf("%s are %q, want %q", name, lines, test.want)
+			t.Errorf("%s: got %q, want %q", name, lines, test.want)
 		}
 	}
 }
--- a/internal/control/settlement/account/reconfigure_test.go
+++ b/internal/control/settlement/account/reconfigure_test.go
@@ -8,19 +8,20 @@
 	"harrierhoist/policy"
 )
 
-// Guards against a change of terms that puts back older classes and plans, or the other way round.
+// Guards against a lost update: SetTerms must not restore the previous classes and plans, and a
+// concurrent SetPolicy must not restore the previous terms.
 func TestAccounts_concurrentReconfigurationKeepsBoth(t *testing.T) {
 	for range 300 {
 		a := New(Config{
 			Terms: settlement.DefaultTerms(), Settings: Settings{Zones: []string{"a"}},
-			LedgerID: "life", Seed: 1, Now: clockAtZero,
+			LedgerID: "x", Seed: 1, Now: clockAtZero,
 		})
-		var both sync.WaitGroup
-		both.Go(func() { a.SetTerms(settlement.Terms{On: true}) })
-		both.Go(func() { a.SetPolicy(nil, []policy.Plan{{Name: "wide"}}) })
-		both.Wait()
+		var updates sync.WaitGroup
+		updates.Go(func() { a.SetTerms(settlement.Terms{On: true}) })
+		updates.Go(func() { a.SetPolicy(nil, []policy.Plan{{Name: "wide"}}) })
+		updates.Wait()
 		if !a.terms.On || len(a.settings.Plans) != 1 {
-			t.Fatalf("on is %v, plans %v", a.terms.On, a.settings.Plans)
+			t.Fatalf("terms.On is %v, want true; plans are %v, want one", a.terms.On, a.settings.Plans)
 		}
 	}
 }
--- a/internal/control/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -11,14 +11,17 @@
 	"harrierhoist/internal/coordination"
 )
 
-// leaseCheckInterval is how often the table's lease is checked: renewing it changes no table.
+// leaseCheckInterval is how often the table's lease is checked. A renewed lease is not reported as
+// a change of the table.
 const leaseCheckInterval = 200 * time.Millisecond
 
-// ElectiveUpdater selects its servers anew by the shares that the accounts have: a dispatcher.
+// ElectiveUpdater is implemented by the dispatcher. UpdateElective selects again the servers for
+// attempts that settle debts, according to the current shares of Accounts.
 type ElectiveUpdater interface{ UpdateElective() }
 
-// Run follows the replicated table, and keeps the balances in the store if Restore was given one,
-// until the context ends and the last balances are stored. It is called once, after Restore.
+// Run applies the replicated table, registers the counters that are reported in digests, and writes
+// the balances to the store if there is one. It blocks until ctx is done and the last write to the
+// store has ended. It must be called at most once, after Restore.
 func (a *Accounts) Run(
 	ctx context.Context, client coordination.Client, updater ElectiveUpdater, log *zap.Logger,
 ) {
@@ -36,41 +39,42 @@
 	<-stored
 }
 
-// tableFollower has accounts act on the replicated table. Its methods are called by one goroutine.
+// tableFollower applies the replicated table to accounts. It is not safe for concurrent use.
 type tableFollower struct {
 	accounts *Accounts
 	client   coordination.Client
 	updater  ElectiveUpdater
 	log      *zap.Logger
 
-	epoch       uint64        // of the table; 0: none seen
-	epochSeenAt time.Duration // when the table was first seen at that epoch
-	state       settlement.State
-	owners      []int // of the zones that lend; nil: nothing is settled
+	epoch         uint64           // epoch of the latest table seen; 0 before the first
+	epochSeenAt   time.Duration    // time on the client's clock at which epoch was first seen
+	state         settlement.State // value of the table at epoch
+	lendingOwners []int            // LendingZones at the last update; nil if no debt is being settled
 }
 
-// update applies the table as it is now, and has the dispatcher select servers anew where other
-// zones lend.
+// update applies the cached table, and updates the dispatcher if the lending zones have changed.
 func (f *tableFollower) update() {
 	cached := f.client.Cached(settlement.TableName)
 	if cached.Epoch != f.epoch {
 		f.readState(cached)
 		f.epochSeenAt = f.client.Now()
 	}
-	f.accounts.ApplyState(f.state, f.actUntil(cached))
-	f.updateOwners()
+	f.accounts.ApplyState(f.state, f.stateValidUntil(cached))
+	f.updateLendingOwners()
 }
 
-// hasSeenTable reports whether a value of the table was seen.
+// hasSeenTable reports whether any value of the table has been seen.
 func (f *tableFollower) hasSeenTable() bool { return f.epoch != 0 }
 
-// actUntil decides until when this gateway acts on the table, on the clock of leases: until its
-// lease ends, or nobody has written it for settlement.StaleAfter.
-func (f *tableFollower) actUntil(cached coordination.CachedTable) time.Duration {
+// stateValidUntil returns the time on the lease clock until which this gateway acts on the table.
+// That is the end of the table's lease, or settlement.StaleAfter after the current epoch was first
+// seen, whichever is earlier.
+func (f *tableFollower) stateValidUntil(cached coordination.CachedTable) time.Duration {
 	return min(cached.LeaseEnd, f.epochSeenAt+settlement.StaleAfter)
 }
 
-// readState decodes a new value of the table. Nothing is settled by one that cannot be read.
+// readState decodes a new value of the table and logs what is new in it. A value that cannot be
+// decoded counts as empty, so no debt is settled.
 func (f *tableFollower) readState(cached coordination.CachedTable) {
 	state, err := settlement.DecodeState(cached.Value)
 	if err != nil {
@@ -84,14 +88,14 @@
 	f.epoch = cached.Epoch
 }
 
-// updateOwners has the dispatcher select its servers anew where zones lend that did not before, or
-// no longer do.
-func (f *tableFollower) updateOwners() {
+// updateLendingOwners notifies the dispatcher if the lending zones or their owners have changed, and
+// logs when settlement starts and stops.
+func (f *tableFollower) updateLendingOwners() {
 	owners, _ := f.accounts.LendingZones()
-	wasSettling := f.owners != nil
+	wasSettling := f.lendingOwners != nil
 	isSettling := owners != nil
-	if !slices.Equal(owners, f.owners) {
-		f.owners = owners
+	if !slices.Equal(owners, f.lendingOwners) {
+		f.lendingOwners = owners
 		f.updater.UpdateElective()
 	}
 	switch {
@@ -102,8 +106,8 @@
 	}
 }
 
-// logForgiveness logs what was forgiven since the state before. What the first state brings was
-// logged by processes that saw it arise.
+// logForgiveness logs the entries of the forgiveness log that the previous state does not have. It
+// logs none for the first state seen: processes that were running then have logged its entries.
 func (f *tableFollower) logForgiveness(state settlement.State) {
 	if !f.hasSeenTable() {
 		return
@@ -121,8 +125,8 @@
 	}
 }
 
-// logUnknownPartners logs each debt with a partner that the file does not have, when it is first
-// seen.
+// logUnknownPartners logs each debt whose debtor or creditor is not in the operators' file, when
+// the pair's debt first appears in the table.
 func (f *tableFollower) logUnknownPartners(state settlement.State) {
 	f.accounts.mu.Lock()
 	partners := f.accounts.partners
--- a/internal/control/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -10,32 +10,33 @@
 	"harrierhoist/internal/control/settlement"
 )
 
-// minWriteInterval is the least time between writes to the store, and so what a process that dies
-// may lose.
+// minWriteInterval is the minimum time between writes to the store. A process that is killed may
+// lose the debts of that time.
 const minWriteInterval = 5 * time.Millisecond
 
-// Store keeps the balances of a process over its incarnations. Its methods may wait for the disk.
+// Store persists the balances of a process across restarts. Its methods may block on disk I/O.
 type Store interface {
-	// Write stores the balances so that they outlive the process, and from time to time so that
-	// they outlive the machine.
+	// Write replaces the stored ledger. When it returns, the balances survive a crash of the
+	// process. They survive a crash of the machine only after a later sync, which Write does from
+	// time to time.
 	Write(ledgerID string, balances []StoredBalance) error
-	// Restored returns the ledger that the store had when it was opened; its ID is empty where the
-	// store is new.
+	// Restored returns the ledger that the store held when it was opened. ledgerID is empty if the
+	// store was new.
 	Restored() (ledgerID string, balances []StoredBalance)
 }
 
-// StoredBalance is a pair's balance in a store, in thousandths of units.
+// StoredBalance is a pair's balance in a Store, in thousandths of units.
 type StoredBalance struct {
 	settlement.Pair
 	Debt uint64 `cbor:"3,keyasint"`
-	// InFlight are estimates of attempts that have not ended: they may have run, and are owed if
-	// the process dies.
+	// InFlight is the estimate for attempts in flight. A server may have run them, so they are owed
+	// if the process crashes.
 	InFlight uint64 `cbor:"4,keyasint"`
 }
 
-// Restore has the accounts go on from the store's ledger, and stored there from then on. It is
-// called before the first request. Attempts that were in flight when the process died may have run,
-// and are owed as estimated.
+// Restore continues the ledger that the store holds, and makes Run write the balances to the store.
+// It must be called before Run and before the first request. The estimate for attempts that were in
+// flight when the previous process ended is added to the debt, since a server may have run them.
 func (a *Accounts) Restore(store Store) {
 	ledgerID, balances := store.Restored()
 	a.mu.Lock()
@@ -51,9 +52,9 @@
 	a.changed <- struct{}{}
 }
 
-// storeLoop decides when the accounts are stored: after each change, at most once in
-// minWriteInterval, and as the context ends. A store that fails is given up: what it has is still
-// reported, and what is counted from then on goes into another ledger.
+// storeLoop writes the balances to the store after each change, at most once per minWriteInterval,
+// and once more when ctx is done. After a write error it stops using the store: the debts in the
+// store are still reported, and later debts are counted in a new ledger.
 func (a *Accounts) storeLoop(ctx context.Context, log *zap.Logger) {
 	for {
 		select {
@@ -69,7 +70,7 @@
 			a.splitLedger()
 			return
 		}
-		time.Sleep(minWriteInterval) // what changes meanwhile goes into one write
+		time.Sleep(minWriteInterval) // the next write includes all changes made during the sleep
 	}
 }
 
@@ -77,8 +78,8 @@
 	log.Error("settlement: storing debts failed, later ones are lost with the process", zap.Error(err))
 }
 
-// Persist writes the balances to the store, after which they may be reported. Run does so after
-// each change. Its error is the store's.
+// Persist writes the balances to the store; ReportDebts then reports them. Run calls it after
+// changes. Restore must have been called. The error wraps the error of Store.Write.
 func (a *Accounts) Persist() error {
 	a.mu.Lock()
 	ledgerID := a.ledgerID
@@ -96,20 +97,21 @@
 		stored = append(stored, settlement.LedgerEntry{Amount: amount, LedgerID: ledgerID})
 	}
 	a.mu.Lock()
-	a.stored = stored
+	a.storedDebts = stored
 	a.mu.Unlock()
 	return nil
 }
 
-// splitLedgerSuffix tells the ledger after a failed store from that of the process. It is sent: it
-// never changes.
+// splitLedgerSuffix is appended to the process's ledger ID to name the ledger that is started after
+// a store failure. It is part of the wire format and must not change.
 const splitLedgerSuffix = "+"
 
-// splitLedger begins another ledger for what the store does not have.
+// splitLedger starts a new ledger for the debts that are not in the store, and stops using the
+// store.
 func (a *Accounts) splitLedger() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, amount := range a.stored {
+	for _, amount := range a.storedDebts {
 		if b := a.balances[amount.Pair]; b != nil {
 			b.debt -= min(amount.Sum, b.debt)
 		}
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -9,31 +9,33 @@
 	"harrierhoist/policy"
 )
 
-// noAnswer is longer than any request takes.
-const noAnswer = time.Duration(math.MaxInt64)
+// unansweredLatency is the latency of a request that got no answer. It exceeds every objective.
+const unansweredLatency = time.Duration(math.MaxInt64)
 
-// RequestTracker counts what one request owes and how it is served. A nil tracker counts nothing:
-// its request is of no partner. Its methods are called one after another.
+// RequestTracker counts the debts and the latency of one request. On a nil *RequestTracker, methods
+// do nothing: the request belongs to no partner, or settlement is off. The methods of one tracker
+// must be called sequentially; different trackers may be used concurrently.
 type RequestTracker struct {
 	accounts *Accounts
-	partners *settlement.PartnerIndex // of the terms that the request began under
-	partner  int                      // whose request it is
-	// preferred is the partner whose servers the first attempt is to go to; 0: none.
-	preferred        int
-	units            float64 // as the client states them
-	estimate         uint64  // the same in thousandths
+	partners *settlement.PartnerIndex // index of the terms in force when the request began
+	partner  int                      // number of the partner that the request belongs to
+	// preferredDebtor is the partner whose servers the first attempt should use to settle a debt; 0
+	// if the request settles none.
+	preferredDebtor  int
+	units            float64 // estimate stated by the client
+	estimatedDebt    uint64  // units, in thousandths
 	startedAt        time.Duration
 	latencyObjective time.Duration
 
-	isElectable bool // idempotent and no repeat: its first attempt may settle a debt
-	isAttempted bool
-	isCounted   bool     // how it was served is counted, or never will be: a repeat, or its client left
-	charged     *balance // of the attempt in flight; nil where that owes nobody
-	zone        int      // of the latest attempt
+	isSettlementEligible bool // idempotent and not a repeat, so its first attempt may settle a debt
+	hasAttempt           bool
+	isLatencyRecorded    bool     // true from the start for a repeat, and after the client disconnected
+	chargedBalance       *balance // balance of the attempt in flight; nil if the attempt owes nothing
+	attemptZone          int      // zone of the latest attempt
 }
 
-// TrackRequest begins a request, and returns its tracker; nil where it is of no partner or
-// settlement is off.
+// TrackRequest returns the tracker of a request that starts at now. It returns nil if the request
+// belongs to no partner or settlement is off.
 func (a *Accounts) TrackRequest(now time.Duration, request policy.Request) *RequestTracker {
 	if a == nil {
 		return nil
@@ -50,20 +52,20 @@
 	class := &a.settings.Classes[request.Class]
 	t := &RequestTracker{
 		accounts: a, partners: a.partners, partner: partner,
-		units: request.Units, estimate: settlement.Thousandths(request.Units),
+		units: request.Units, estimatedDebt: settlement.Thousandths(request.Units),
 		startedAt: now, latencyObjective: class.LatencyObjective,
-		isElectable: class.Effect == policy.Idempotent && !request.Repeat,
-		isCounted:   request.Repeat,
+		isSettlementEligible: class.Effect == policy.Idempotent && !request.Repeat,
+		isLatencyRecorded:    request.Repeat,
 	}
-	if t.isElectable && a.isSettling() {
-		t.preferred = a.drawPreferred(partner)
+	if t.isSettlementEligible && a.isSettling() {
+		t.preferredDebtor = a.drawPreferredDebtor(partner)
 	}
 	return t
 }
 
-// drawPreferred decides which debtor's servers a creditor's request prefers, by a draw from the
-// creditor's shares; 0: none.
-func (a *Accounts) drawPreferred(creditor int) int {
+// drawPreferredDebtor draws a debtor with the probabilities of the creditor's shares. It returns 0
+// with the remaining probability. The caller must hold mu.
+func (a *Accounts) drawPreferredDebtor(creditor int) int {
 	draw := a.random.Float64()
 	for _, s := range a.shares {
 		if s.creditor != creditor {
@@ -77,77 +79,80 @@
 	return 0
 }
 
-// PreferredPartner returns the partner whose servers the request's first attempt is to go to; 0:
-// none.
+// PreferredPartner returns the number of the partner whose servers the request's first attempt
+// should use, or 0 if there is none.
 func (t *RequestTracker) PreferredPartner() int {
 	if t == nil {
 		return 0
 	}
-	return t.preferred
+	return t.preferredDebtor
 }
 
-// OnAttemptStart counts an attempt in a zone. The zone's owner is owed an estimate until
-// OnAttemptEnd.
+// OnAttemptStart counts an attempt in a zone. Until OnAttemptEnd, the balance with the zone's owner
+// includes the estimate of the attempt.
 func (t *RequestTracker) OnAttemptStart(zone int) {
 	if t == nil {
 		return
 	}
 	t.accounts.mu.Lock()
 	defer t.accounts.mu.Unlock()
-	t.zone = zone
+	t.attemptZone = zone
 	owner := t.partners.ZoneOwner(zone)
-	if t.isElectable && !t.isAttempted {
+	if t.isSettlementEligible && !t.hasAttempt {
 		t.countFirstAttempt(owner)
 	}
-	t.isAttempted = true
+	t.hasAttempt = true
 	if owner == 0 || owner == t.partner {
 		return
 	}
 	pair := settlement.Pair{Debtor: t.partners.Names[t.partner], Creditor: t.partners.Names[owner]}
-	t.charged = t.accounts.balanceOf(pair)
-	t.charged.inFlight += t.estimate
+	t.chargedBalance = t.accounts.balanceOf(pair)
+	t.chargedBalance.inFlight += t.estimatedDebt
 	t.accounts.signalChange()
 }
 
+// countFirstAttempt counts the first attempt of an eligible request, in a zone of the owner.
 func (t *RequestTracker) countFirstAttempt(owner int) {
-	t.addMetric(settlement.MetricIdempotentUnits, t.partner, t.estimate)
+	t.addMetric(settlement.MetricIdempotentUnits, t.partner, t.estimatedDebt)
 	t.addMetric(settlement.MetricIdempotentRequests, t.partner, 1)
-	if t.preferred == 0 {
+	if t.preferredDebtor == 0 {
 		return
 	}
-	t.addMetric(settlement.MetricElectiveAttempts, t.preferred, 1)
-	if owner == t.preferred {
-		t.addMetric(settlement.MetricElectivePlaced, t.preferred, 1)
+	t.addMetric(settlement.MetricElective, t.preferredDebtor, 1)
+	if owner == t.preferredDebtor {
+		t.addMetric(settlement.MetricElectivePlaced, t.preferredDebtor, 1)
 	}
 }
 
-// OnAttemptEnd counts what the latest attempt owes the zone's owner, and how the request was served
-// where it was answered. billedUnits are the units of the answer; 0 where it has none.
+// OnAttemptEnd counts the debt of the latest attempt to the zone's owner and, if the outcome is
+// policy.Answered, the latency of the request. billedUnits is the number of units that the answer
+// states, or 0 if it states none.
 func (t *RequestTracker) OnAttemptEnd(now time.Duration, outcome policy.Outcome, billedUnits float64) {
 	if t == nil {
 		return
 	}
 	t.accounts.mu.Lock()
 	defer t.accounts.mu.Unlock()
-	debt := t.debtOf(outcome, billedUnits)
+	debt := t.attemptDebt(outcome, billedUnits)
 	if outcome == policy.Answered {
-		if owner := t.partners.ZoneOwner(t.zone); owner > 0 {
+		if owner := t.partners.ZoneOwner(t.attemptZone); owner > 0 {
 			t.addMetric(settlement.MetricServedUnits, owner, debt)
 		}
-		t.countService(now - t.startedAt)
+		t.recordLatency(now - t.startedAt)
 	}
-	if t.charged != nil {
-		t.charged.debt += debt
-		t.charged.inFlight -= t.estimate
-		t.charged = nil
+	if t.chargedBalance != nil {
+		t.chargedBalance.debt += debt
+		t.chargedBalance.inFlight -= t.estimatedDebt
+		t.chargedBalance = nil
 		t.accounts.signalChange()
 	}
 }
 
-// debtOf decides what an attempt at another partner's server owes its owner, in thousandths of
-// units: the units of the answer, the estimate where the answer tells none or the attempt may have
-// run without one, nothing where it never ran.
-func (t *RequestTracker) debtOf(outcome policy.Outcome, billedUnits float64) uint64 {
+// attemptDebt returns the debt for an attempt with the given outcome, in thousandths of units.
+// An answered attempt owes the units that the answer states, or the estimate if it states none. An
+// attempt that a server may have run without answering owes the estimate. An attempt that never ran
+// owes nothing.
+func (t *RequestTracker) attemptDebt(outcome policy.Outcome, billedUnits float64) uint64 {
 	switch outcome {
 	case policy.Answered:
 		return settlement.Thousandths(cmp.Or(billedUnits, t.units))
@@ -155,11 +160,11 @@
 		return 0
 	case policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
 	}
-	return t.estimate
+	return t.estimatedDebt
 }
 
-// OnRequestEnd ends a request that got no answer. One whose client disconnected tells nothing of
-// how it was served.
+// OnRequestEnd counts a request that got no answer as slow and late. If the client disconnected, the
+// request is not counted, as its latency is unknown. After an answer OnRequestEnd has no effect.
 func (t *RequestTracker) OnRequestEnd(disconnected bool) {
 	if t == nil {
 		return
@@ -167,18 +172,19 @@
 	t.accounts.mu.Lock()
 	defer t.accounts.mu.Unlock()
 	if disconnected {
-		t.isCounted = true
+		t.isLatencyRecorded = true
 	}
-	t.countService(noAnswer)
+	t.recordLatency(unansweredLatency)
 }
 
-// countService counts once how a request was served, under the lock. A request without an attempt
-// is left out: its plan did not admit it or there was no server, so it took nothing from anyone.
-func (t *RequestTracker) countService(elapsed time.Duration) {
-	if t.isCounted || !t.isAttempted {
+// recordLatency counts the request by its latency, at most once. It ignores a request without an
+// attempt: its plan did not admit it or no server was available, so it used no partner's capacity.
+// The caller must hold mu.
+func (t *RequestTracker) recordLatency(elapsed time.Duration) {
+	if t.isLatencyRecorded || !t.hasAttempt {
 		return
 	}
-	t.isCounted = true
+	t.isLatencyRecorded = true
 	t.addMetric(settlement.MetricRequests, t.partner, 1)
 	if elapsed > t.latencyObjective/2 {
 		t.addMetric(settlement.MetricSlow, t.partner, 1)
