--- a/internal/control/settlement/journal/firstrecord_test.go
+++ b/internal/control/settlement/journal/firstrecord_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Guards against a start that fails because a kill cut off the very first record, at any byte.
+// Guards against a failing start after the process was killed while it wrote the first record. The
+// record may be truncated at any byte.
 func TestOpen_firstRecordThatWasCutOffIsBegunAnew(t *testing.T) {
 	complete := t.TempDir()
 	j := openJournal(t, complete)
@@ -26,10 +27,10 @@
 		}
 		j, err := Open(folder)
 		if err != nil {
-			t.Fatalf("cut off after %d bytes: %v", length-slotSize, err)
+			t.Fatalf("Open with the first record truncated to %d bytes: %v", length-slotSize, err)
 		}
 		if ledgerID, balances := j.Restored(); ledgerID != "" || len(balances) > 0 {
-			t.Fatalf("restored %q, %v", ledgerID, balances)
+			t.Fatalf("restored %q, %v, want nothing", ledgerID, balances)
 		}
 		if err := j.Write("y", testBalances(8)); err != nil {
 			t.Fatal(err)
@@ -37,7 +38,7 @@
 		closeJournal(t, j)
 		j = openJournal(t, folder)
 		if ledgerID, balances := j.Restored(); ledgerID != "y" || !slices.Equal(balances, testBalances(8)) {
-			t.Fatalf("restored %q, %v after a write", ledgerID, balances)
+			t.Fatalf("restored %q, %v after a write, want %q, %v", ledgerID, balances, "y", testBalances(8))
 		}
 		closeJournal(t, j)
 	}
--- a/internal/control/settlement/journal/golden_test.go
+++ b/internal/control/settlement/journal/golden_test.go
@@ -13,7 +13,8 @@
 	"harrierhoist/internal/control/settlement/account"
 )
 
-// goldenWrites are the records of testdata/debts.gz, which 8c168ca wrote: one fills each slot.
+// goldenWrites are the records in testdata/debts.gz, one for each slot. Commit 8c168ca wrote the
+// file.
 var goldenWrites = []struct {
 	ledgerID string
 	balances []account.StoredBalance
@@ -28,50 +29,52 @@
 	}},
 }
 
-// A gateway's journal as the version before stored it is read, and written byte for byte.
+// A journal file written by an earlier version can be read, and the same writes still produce the
+// same bytes.
 func TestGolden_storedJournal(t *testing.T) {
-	packed, err := os.Open(filepath.Join("testdata", "debts.gz"))
+	compressed, err := os.Open(filepath.Join("testdata", "debts.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = packed.Close() }() // only read
-	unpacked, err := gzip.NewReader(packed)
+	defer func() { _ = compressed.Close() }() // read only, so the error doesn't matter
+	decompressed, err := gzip.NewReader(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := io.ReadAll(unpacked)
+	stored, err := io.ReadAll(decompressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := t.TempDir()
-	if err := os.WriteFile(filepath.Join(before, "debts"), stored, 0o600); err != nil {
+	storedFolder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(storedFolder, "debts"), stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	last := goldenWrites[len(goldenWrites)-1]
-	ledgerID, balances := openJournal(t, before).Restored()
+	ledgerID, balances := openJournal(t, storedFolder).Restored()
 	if ledgerID != last.ledgerID || !reflect.DeepEqual(balances, last.balances) {
-		t.Errorf("read %q, %v, want %q, %v", ledgerID, balances, last.ledgerID, last.balances)
+		t.Errorf("restored %q, %v, want %q, %v", ledgerID, balances, last.ledgerID, last.balances)
 	}
-	now := t.TempDir()
-	j := openJournal(t, now)
+	writtenFolder := t.TempDir()
+	j := openJournal(t, writtenFolder)
 	for _, r := range goldenWrites {
 		if err := j.Write(r.ledgerID, r.balances); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if written, err := os.ReadFile(filepath.Join(now, "debts")); err != nil || !bytes.Equal(written, stored) {
-		t.Errorf("%d bytes written (%v), %d stored, and not the same", len(written), err, len(stored))
+	if written, err := os.ReadFile(filepath.Join(writtenFolder, "debts")); err != nil || !bytes.Equal(written, stored) {
+		t.Errorf("written file of %d bytes (read error: %v) differs from the stored one of %d bytes",
+			len(written), err, len(stored))
 	}
 }
 
-// What operators read at the start where the folder cannot be used.
+// Holds the error messages that an operator sees when the gateway cannot use its journal folder.
 func TestGolden_refusals(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
 	_ = openJournal(t, folder)
 	want := path + ": another process has it: resource temporarily unavailable"
 	if _, err := Open(folder); err == nil || err.Error() != want {
-		t.Errorf("of a folder in use: %v", err)
+		t.Errorf("Open of a folder in use: got error %v, want %s", err, want)
 	}
 	folder = t.TempDir()
 	path = filepath.Join(folder, "debts")
@@ -80,6 +83,6 @@
 	}
 	want = path + ": none of its records is whole: remove it to begin anew"
 	if _, err := Open(folder); err == nil || err.Error() != want {
-		t.Errorf("of a file without a record: %v", err)
+		t.Errorf("Open of a file without a record: got error %v, want %s", err, want)
 	}
 }
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -1,10 +1,11 @@
-// Package journal stores a gateway's balances in a file that outlives its process. Package runtime
-// opens it, and package account writes and restores balances by it.
+// Package journal stores a gateway's balances in a file, so that they survive a restart of the
+// process. Package runtime opens the file; package account reads and writes it through
+// account.Store.
 //
-// The file has three slots, each for a record with a sequence number, a length and a checksum. The
-// record last synced is left alone until a later one is synced, and the two other slots are written
-// in turn: a write that is cut off, by the process's death or by loss of power, leaves an earlier
-// record complete.
+// The file has three slots. Each holds one record with a sequence number, a length and a checksum.
+// The slot of the last synced record is not overwritten until a later record is synced; until then,
+// writes alternate between the other two slots. A write that is interrupted, by a crash of the
+// process or by a power failure, therefore leaves an earlier record complete.
 package journal
 
 import (
@@ -24,56 +25,58 @@
 	"harrierhoist/internal/control/settlement/account"
 )
 
-// Layout of the file. It is stored: it never changes.
+// Layout of the file. It must not change, as existing files have it.
 const (
 	fileName  = "debts"
 	slotCount = 3
-	firstSlot = 1         // of the first record
-	slotSize  = 512 << 10 // bytes: the pairs of 64 partners with names of 64 letters
+	firstSlot = 1         // slot of the first record of a new file
+	slotSize  = 512 << 10 // bytes; holds all pairs of 64 partners with names of 64 characters
 
-	// A record's header: sequence number, length of the body, checksum of the body xor the sequence
-	// number; 8 bytes each, little-endian.
+	// A record's header consists of the sequence number, the length of the body, and the checksum
+	// of the body xor the sequence number. Each has 8 bytes, little-endian.
 	lengthOffset   = 8
 	checksumOffset = 16
 	headerSize     = 24
 )
 
 const (
-	syncInterval    = time.Second // between syncs, and so what loss of power may lose
+	syncInterval    = time.Second // minimum time between syncs; a power failure may lose the debts of that time
 	filePermissions = 0o600
-	firstSequence   = 1 // of the very first record
+	firstSequence   = 1 // sequence number of the first record of a new file
 )
 
-// ErrNoCompleteRecord is the error of a file that holds something, and no complete record: what was
-// owed is not known.
+// ErrNoCompleteRecord is returned by Open for a file that has data but no complete record. The debts
+// that were stored in it are unknown.
 var ErrNoCompleteRecord = errors.New("none of its records is whole: remove it to begin anew")
 
-// Journal is the file of one process. It is not safe for use by several goroutines at once.
+// Journal is the open file of one process. It implements account.Store. It is not safe for
+// concurrent use.
 type Journal struct {
-	file       *os.File
-	sequence   uint64                  // of the latest record
-	slot       int64                   // of the latest record
-	syncedSlot int64                   // of the latest record that is synced
-	syncedAt   time.Time               // zero: not yet by this process
-	ledgerID   string                  // when opened
-	balances   []account.StoredBalance // when opened
+	file            *os.File
+	latestSequence  uint64                  // sequence number of the latest record; 0 if there is none
+	latestSlot      int64                   // slot of the latest record
+	syncedSlot      int64                   // slot of the last synced record
+	syncedAt        time.Time               // time of the last sync; zero before the first of this process
+	initialLedgerID string                  // ledger ID in the file when it was opened
+	initialBalances []account.StoredBalance // balances in the file when it was opened
 }
 
 var _ account.Store = (*Journal)(nil)
 
-// record is the body of a record.
+// record is the body of a stored record.
 type record struct {
 	LedgerID string                  `cbor:"1,keyasint"`
 	Balances []account.StoredBalance `cbor:"2,keyasint"`
 }
 
-// Open opens the file in a folder, or creates it. It fails where another process has it
-// (unix.EWOULDBLOCK), and with ErrNoCompleteRecord.
+// Open opens or creates the file in a folder, locks it and reads the latest record. It does not wait
+// for the lock: the error wraps unix.EWOULDBLOCK if another Journal has the file open. The error
+// wraps ErrNoCompleteRecord if the file has data but no complete record.
 func Open(folder string) (*Journal, error) {
 	path := filepath.Join(folder, fileName)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
-		return nil, err // it names the file
+		return nil, err // an *os.PathError, which names the file
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: another process has it: %w", path, err), file.Close())
@@ -85,11 +88,12 @@
 	return j, nil
 }
 
-// load takes the latest of the complete records, and decides whether a file without one is refused:
-// it begins anew where it holds nothing, or nothing but a part of its very first record.
+// load reads all slots and adopts the complete record with the highest sequence number. A file
+// without a complete record is treated as new if it is empty, or if its only data is a truncated
+// first record. Otherwise load returns ErrNoCompleteRecord.
 func (j *Journal) load() error {
-	slotsWithData := 0
-	isFirstCutOff := false
+	usedSlots := 0
+	isFirstTruncated := false
 	for slot := range int64(slotCount) {
 		buffer, err := j.readSlot(slot)
 		if err != nil {
@@ -98,22 +102,23 @@
 		if isEmpty(buffer) {
 			continue
 		}
-		slotsWithData++
+		usedSlots++
 		if slot == firstSlot {
-			isFirstCutOff = isFirstRecordCutOff(buffer)
+			isFirstTruncated = isTruncatedFirstRecord(buffer)
 		}
-		if sequence, r, isComplete := decodeRecord(buffer); isComplete && sequence > j.sequence {
-			j.takeRecord(slot, sequence, r)
+		if sequence, r, isComplete := decodeRecord(buffer); isComplete && sequence > j.latestSequence {
+			j.adoptRecord(slot, sequence, r)
 		}
 	}
-	isNew := slotsWithData == 0 || slotsWithData == 1 && isFirstCutOff
-	if j.sequence == 0 && !isNew {
+	isNew := usedSlots == 0 || usedSlots == 1 && isFirstTruncated
+	if j.latestSequence == 0 && !isNew {
 		return ErrNoCompleteRecord
 	}
 	return nil
 }
 
-// readSlot returns what the file has of a slot.
+// readSlot returns the bytes of a slot. The result is shorter than slotSize if the file ends within
+// the slot.
 func (j *Journal) readSlot(slot int64) ([]byte, error) {
 	buffer := make([]byte, slotSize)
 	n, err := j.file.ReadAt(buffer, slot*slotSize)
@@ -123,25 +128,25 @@
 	return buffer[:n], nil
 }
 
-// isEmpty reports whether nothing was ever written to a slot.
+// isEmpty reports whether a slot has never been written: it has no bytes, or only zeros.
 func isEmpty(buffer []byte) bool {
 	return !slices.ContainsFunc(buffer, func(c byte) bool { return c != 0 })
 }
 
-// takeRecord makes a record that was read from a slot the latest. It counts as synced: its slot is
-// left alone until the first write of this process, which is synced.
-func (j *Journal) takeRecord(slot int64, sequence uint64, r record) {
-	j.sequence = sequence
-	j.slot = slot
+// adoptRecord makes a record that was read from a slot the latest one. It may treat the record as
+// synced: the first write of this process goes to another slot and is synced itself.
+func (j *Journal) adoptRecord(slot int64, sequence uint64, r record) {
+	j.latestSequence = sequence
+	j.latestSlot = slot
 	j.syncedSlot = slot
-	j.ledgerID = r.LedgerID
-	j.balances = r.Balances
+	j.initialLedgerID = r.LedgerID
+	j.initialBalances = r.Balances
 }
 
-// isFirstRecordCutOff reports whether a slot holds a part of the very first record, as a process
-// leaves it that is killed while it writes. Nothing was reported from it. A record of full length
-// that is corrupt is something else.
-func isFirstRecordCutOff(buffer []byte) bool {
+// isTruncatedFirstRecord reports whether a slot holds only the beginning of the first record, as
+// left by a process that was killed during the write. No debt of that record has been reported, so
+// it may be discarded. It returns false for a corrupt record of full length.
+func isTruncatedFirstRecord(buffer []byte) bool {
 	sequence := make([]byte, lengthOffset)
 	copy(sequence, buffer)
 	if binary.LittleEndian.Uint64(sequence) != firstSequence {
@@ -154,7 +159,8 @@
 	return length > uint64(len(buffer)-headerSize)
 }
 
-// decodeRecord reads a slot; a record that was cut off or corrupted is not complete.
+// decodeRecord decodes the record in a slot. isComplete is false if the slot is empty, or if the
+// record is truncated or corrupt.
 func decodeRecord(buffer []byte) (sequence uint64, r record, isComplete bool) {
 	if len(buffer) < headerSize {
 		return 0, r, false
@@ -171,14 +177,14 @@
 	return sequence, r, cbor.Unmarshal(body, &r) == nil
 }
 
-// encodeRecord returns a record as stored.
+// encodeRecord returns a record's stored form. It fails if the record does not fit into a slot.
 func encodeRecord(sequence uint64, r record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > slotSize-headerSize {
-		return nil, fmt.Errorf("%d bytes are too many for one record", len(body))
+		return nil, fmt.Errorf("record body of %d bytes does not fit into a slot", len(body))
 	}
 	buffer := binary.LittleEndian.AppendUint64(nil, sequence)
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(len(body)))
@@ -186,15 +192,16 @@
 	return append(buffer, body...), nil
 }
 
-// Restored returns what the file had when it was opened.
+// Restored implements account.Store.
 func (j *Journal) Restored() (ledgerID string, balances []account.StoredBalance) {
-	return j.ledgerID, j.balances
+	return j.initialLedgerID, j.initialBalances
 }
 
-// Write writes the balances. They outlive the process once it returns, and loss of power once
-// synced: by this write, or by the first one that comes syncInterval after the last sync.
+// Write implements account.Store. When it returns, the record survives a crash of the process. It
+// survives a power failure once synced, by this call or by the first one that comes syncInterval or
+// more after the previous sync.
 func (j *Journal) Write(ledgerID string, balances []account.StoredBalance) error {
-	sequence := j.sequence + 1
+	sequence := j.latestSequence + 1
 	buffer, err := encodeRecord(sequence, record{ledgerID, balances})
 	if err != nil {
 		return err
@@ -203,8 +210,8 @@
 	if _, err := j.file.WriteAt(buffer, slot*slotSize); err != nil {
 		return err
 	}
-	j.sequence = sequence
-	j.slot = slot
+	j.latestSequence = sequence
+	j.latestSlot = slot
 	now := time.Now()
 	if !j.isSyncDue(now) {
 		return nil
@@ -217,19 +224,19 @@
 	return nil
 }
 
-// nextSlot decides which slot is written: one that has neither the latest record nor the latest
-// that is synced.
+// nextSlot returns the slot for the next record. It holds neither the latest record nor the last
+// synced one.
 func (j *Journal) nextSlot() int64 {
-	slot := (j.slot + 1) % slotCount
+	slot := (j.latestSlot + 1) % slotCount
 	if slot == j.syncedSlot {
 		slot = (slot + 1) % slotCount
 	}
 	return slot
 }
 
-// isSyncDue decides whether a write is synced: the first of the process, and the first one that
-// comes syncInterval after the last sync.
+// isSyncDue reports whether a write at now must be synced. That is the case for the first write of
+// the process, and for the first one that comes syncInterval or more after the previous sync.
 func (j *Journal) isSyncDue(now time.Time) bool { return now.Sub(j.syncedAt) >= syncInterval }
 
-// Close syncs and closes the file, which lets another process open it.
+// Close syncs and closes the file, and releases its lock.
 func (j *Journal) Close() error { return errors.Join(j.file.Sync(), j.file.Close()) }
--- a/internal/control/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { _ = j.Close() }) // a test may have closed it
+	tb.Cleanup(func() { _ = j.Close() }) // fails if the test has closed it already
 	return j
 }
 
@@ -35,29 +35,29 @@
 	}
 }
 
-// corrupt flips a bit in the body of the record in a slot.
+// corrupt flips a bit in the body of the record in the given slot.
 func corrupt(t *testing.T, path string, slot int64) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := slot*slotSize + headerSize + 3
+	offset := slot*slotSize + headerSize + 3
 	buffer := make([]byte, 1)
-	_, readErr := file.ReadAt(buffer, at)
+	_, readErr := file.ReadAt(buffer, offset)
 	buffer[0] ^= 4
-	_, writeErr := file.WriteAt(buffer, at)
+	_, writeErr := file.WriteAt(buffer, offset)
 	if err := errors.Join(readErr, writeErr, file.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The process dies while it writes, or the power fails: where the latest record is corrupt, the
-// file has an earlier one that is complete, and in the end the one that was synced.
+// Simulates a crash of the process or a power failure during a write. If the latest record is
+// corrupt, Open restores an earlier one, and at last the synced one.
 func TestJournal_corruptRecordLeavesEarlierOne(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
-	for n := range uint64(9) { // the first is synced, those within a second after it are not
+	for n := range uint64(9) { // the first write is synced; the others follow within syncInterval
 		if err := j.Write("x", testBalances(n+1)); err != nil {
 			t.Fatal(err)
 		}
@@ -68,27 +68,28 @@
 		if ledgerID, balances := j.Restored(); ledgerID != "x" || !slices.Equal(balances, testBalances(want)) {
 			t.Fatalf("restored %q, %v, want record %d", ledgerID, balances, want)
 		}
-		slot := j.slot
+		slot := j.latestSlot
 		closeJournal(t, j)
 		corrupt(t, filepath.Join(folder, fileName), slot)
 	}
 	if _, err := Open(folder); !errors.Is(err, ErrNoCompleteRecord) {
-		t.Errorf("of a file without a complete record: %v, want %v", err, ErrNoCompleteRecord)
+		t.Errorf("Open of a file without a complete record: got error %v, want %v", err, ErrNoCompleteRecord)
 	}
 }
 
-// Two processes with one folder would count in one ledger.
+// Two processes that share a folder would write the same ledger.
 func TestOpen_refusesFolderInUse(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
 	if _, err := Open(folder); !errors.Is(err, unix.EWOULDBLOCK) {
-		t.Errorf("of a folder in use: %v, want %v", err, unix.EWOULDBLOCK)
+		t.Errorf("Open of a folder in use: got error %v, want %v", err, unix.EWOULDBLOCK)
 	}
 	closeJournal(t, j)
 	openJournal(t, folder)
 }
 
-// The figures of docs/debts.md: this file and bbolt, each without and with a sync.
+// BenchmarkWrite measures the figures in docs/debts.md. It compares Journal with bbolt, each without
+// and with a sync per write.
 func BenchmarkWrite(b *testing.B) {
 	balances := slices.Repeat(testBalances(1), 12)
 	b.Run("file", func(b *testing.B) {
