--- a/internal/control/settlement/account/fake_test.go
+++ b/internal/control/settlement/account/fake_test.go
@@ -69,7 +69,7 @@
 // updateNotifications receives an element for each call of UpdateElective.
 type updateNotifications chan struct{}
 
-func (s updateNotifications) UpdateElective() { s <- struct{}{} }
+func (u updateNotifications) UpdateElective() { u <- struct{}{} }
 
 // memoryStore is a Store in memory. Writes fail after a call of fail.
 type memoryStore struct {
--- a/internal/control/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -1,6 +1,6 @@
-// Package runtime puts the parts of the settlement together in a running gateway: its accounts,
-// their journal on disk, the replicated table and the dispatcher. Package gateway calls it where
-// the operators' file has the settlement on.
+// Package runtime starts debt settlement in a gateway. It connects the gateway's accounts with
+// their journal on disk, the replicated table and the dispatcher. Package gateway calls Start if
+// settlement is on in the operators' file.
 package runtime
 
 import (
@@ -18,28 +18,29 @@
 	"harrierhoist/policy"
 )
 
-// Config is what a gateway's settlement goes by.
+// Config is the configuration of Start.
 type Config struct {
 	Terms    settlement.Terms
 	Settings policy.Settings
-	Zones    []string // names, in the order of the settings
-	Seed     int64    // of the draws of elective requests
-	Folder   string   // of the journal; empty: nothing is stored
+	Zones    []string // zone names, by zone index of Settings
+	Seed     int64    // seed of the draws that select requests for settlement
+	Folder   string   // folder of the journal; if empty, balances are not stored
 }
 
-// Dependencies are the parts of the gateway that its settlement works with.
+// Dependencies are the parts of the gateway that settlement uses.
 type Dependencies struct {
-	Client     coordination.Client // of the replicated table and the digests
+	Client     coordination.Client // client for the replicated table and the digests
 	Dispatcher *dispatch.Dispatcher
 	Log        *zap.Logger
 }
 
-// ledgerIDBase is the base in which the start's time is written as ledger ID.
-const ledgerIDBase = 36
+// ledgerIDRadix is the radix in which the start time, in ns since the Unix epoch, is formatted as
+// the ledger ID.
+const ledgerIDRadix = 36
 
-// Start has a gateway count and settle debts until the context ends; the channel is closed once all
-// is stored. The accounts are returned for other terms later (SetTerms). Its errors are those of
-// journal.Open.
+// Start counts and settles a gateway's debts until ctx is done. It returns the accounts, whose terms
+// the caller may change later, and a channel that is closed after the last write to the journal. It
+// does not block while settlement runs. Its errors are those of journal.Open.
 func Start(
 	ctx context.Context, config Config, dependencies Dependencies,
 ) (*account.Accounts, <-chan struct{}, error) {
@@ -53,9 +54,9 @@
 		store = j
 		closeStore = j.Close
 	}
-	// Two incarnations would have one ledger ID only if a wall clock stepped back to the same
-	// nanosecond.
-	ledgerID := strconv.FormatInt(time.Now().UnixNano(), ledgerIDBase)
+	// Two incarnations have the same ledger ID only if the wall clock steps back and both start at
+	// the same nanosecond.
+	ledgerID := strconv.FormatInt(time.Now().UnixNano(), ledgerIDRadix)
 	accounts := account.New(account.Config{
 		Terms:    config.Terms,
 		Settings: account.Settings{Zones: config.Zones},
@@ -68,14 +69,14 @@
 		accounts.Restore(store)
 	}
 	dependencies.Dispatcher.SetAccounts(accounts)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		accounts.Run(ctx, dependencies.Client, dependencies.Dispatcher, dependencies.Log)
 		if err := closeStore(); err != nil {
 			dependencies.Log.Error("settlement: closing the debt journal failed, the last second may be lost",
 				zap.Error(err))
 		}
 	}()
-	return accounts, ended, nil
+	return accounts, done, nil
 }
--- a/internal/control/settlement/runtime/runtime_test.go
+++ b/internal/control/settlement/runtime/runtime_test.go
@@ -18,17 +18,18 @@
 	"harrierhoist/policy"
 )
 
-// noCoordination is a client without tables. It passes on what registers exact counters.
-type noCoordination struct {
-	registered chan func(func(string, uint64))
+// fakeClient is a coordination.Client without tables. It sends each registered function for exact
+// counters to a channel.
+type fakeClient struct {
+	exactCounters chan func(func(string, uint64))
 }
 
-func (noCoordination) Now() time.Duration                          { return time.Second }
-func (noCoordination) Cached(string) coordination.CachedTable      { return coordination.CachedTable{} }
-func (noCoordination) Changed() <-chan struct{}                    { return nil }
-func (noCoordination) RegisterCounters(func(func(string, uint64))) {}
-func (n noCoordination) RegisterExactCounters(counts func(func(string, uint64))) {
-	n.registered <- counts
+func (fakeClient) Now() time.Duration                          { return time.Second }
+func (fakeClient) Cached(string) coordination.CachedTable      { return coordination.CachedTable{} }
+func (fakeClient) Changed() <-chan struct{}                    { return nil }
+func (fakeClient) RegisterCounters(func(func(string, uint64))) {}
+func (f fakeClient) RegisterExactCounters(counts func(func(string, uint64))) {
+	f.exactCounters <- counts
 }
 
 func testTerms() settlement.Terms {
@@ -44,8 +45,9 @@
 	Plans:   []policy.Plan{{Name: "wide", Rate: 1000, Burst: 4000}},
 }
 
-// runGateway starts a gateway on a folder, uses it, waits until 3.5 units are reported that a owes
-// b, and ends it.
+// runGateway starts settlement with its journal in folder, calls use, waits until a debt of 3.5
+// units of a to b is reported, and stops settlement. Meanwhile it checks that a second start on the
+// folder fails.
 func runGateway(t *testing.T, folder string, use func(*dispatch.Dispatcher)) {
 	t.Helper()
 	dispatcher, err := dispatch.New(testSettings, 7, dispatch.Dependencies{}, zap.NewNop())
@@ -53,22 +55,22 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	client := noCoordination{make(chan func(func(string, uint64)), 1)}
+	client := fakeClient{make(chan func(func(string, uint64)), 1)}
 	config := Config{Terms: testTerms(), Settings: testSettings, Zones: []string{"hb"}, Seed: 7, Folder: folder}
 	start := func() (<-chan struct{}, error) {
-		_, ended, err := Start(ctx, config, Dependencies{client, dispatcher, zap.NewNop()})
-		return ended, err
+		_, done, err := Start(ctx, config, Dependencies{client, dispatcher, zap.NewNop()})
+		return done, err
 	}
-	ended, err := start()
+	done, err := start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := start(); !errors.Is(err, unix.EWOULDBLOCK) {
-		t.Errorf("second start on the folder: %v, want %v", err, unix.EWOULDBLOCK)
+		t.Errorf("second start on the folder: got error %v, want %v", err, unix.EWOULDBLOCK)
 	}
 	use(dispatcher)
-	report := <-client.registered
-	fakes.Eventually(t, "the debt reported", func() bool {
+	report := <-client.exactCounters
+	fakes.Eventually(t, "the debt being reported", func() bool {
 		sum := uint64(0)
 		report(func(name string, n uint64) {
 			if strings.HasSuffix(name, "\x1fa\x1fb") {
@@ -78,11 +80,11 @@
 		return sum == 3500
 	})
 	cancel()
-	<-ended
+	<-done
 }
 
-// A gateway counts what an attempt owes, ends, and starts again on the same folder: its first
-// digest reports the debt.
+// A gateway counts the debt of an attempt, stops, and starts again on the same folder. It then
+// reports the debt of its previous incarnation.
 func TestStart_debtsSurviveRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	folder := t.TempDir()
@@ -91,7 +93,7 @@
 		dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{server})
 		request := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, GatewayCount: 1, Units: 2, Timeout: time.Second})
 		if decision := request.Next(); decision.Action != dispatch.Forward {
-			t.Fatalf("action %d, want forward", decision.Action)
+			t.Fatalf("got action %d, want %d (dispatch.Forward)", decision.Action, dispatch.Forward)
 		}
 		request.ReportResult(dispatch.Result{Outcome: policy.Answered, ActualUnits: 3.5})
 	})
