--- a/internal/control/failover/zonestats/digest.go
+++ b/internal/control/failover/zonestats/digest.go
@@ -3,22 +3,25 @@
 import "time"
 
 const (
-	// maxDigestSpan is the longest time between two digests that a gateway answers for: of a longer
-	// one it may have observed nothing.
-	maxDigestSpan = 500 * time.Millisecond
-	// maxGap is the time between two digests above which the gateway was paused.
-	maxGap = 2 * maxDigestSpan
-	// minSilentAttempts is how many attempts in flight without an answer are a silence in the
-	// counts, where many gateways' observations are compared.
-	minSilentAttempts = 1
+	// maxDigestInterval is the maximum time that one digest adds to the counts. The gateway may not
+	// have observed the rest of a longer interval.
+	maxDigestInterval = 500 * time.Millisecond
+	// pauseThreshold is the time between two digests above which the gateway is assumed to have
+	// been paused. Such an interval is not counted.
+	pauseThreshold = 2 * maxDigestInterval
+	// minSilentInFlight is the number of attempts in flight from which on a zone without answers
+	// counts as silent in HealthTime. One is enough, as the failover controller compares the
+	// observations of many gateways.
+	minSilentInFlight = 1
 )
 
-// WriteCounts gives all counts so far. It is called before each digest, each 0.2 s or so, and
-// counts the health and the power of each zone for the time since the call before.
+// WriteCounts calls add with the name and total of each count. It first counts the current health
+// and ready power of each zone for the time since the previous call. It must be called before each
+// digest, about every 0.2 s.
 func (r *Recorder) WriteCounts(now time.Duration, add func(name string, n uint64)) {
-	ms := r.awakeSince(now)
+	ms := r.advanceAwakeTime(now)
 	for i, zone := range r.zones {
-		if quarter, known := zone.health(now, minSilentAttempts); known {
+		if quarter, known := zone.health(now, minSilentInFlight); known {
 			zone.healthTime[quarter] += ms
 		}
 		power := r.readyPower(now, zone)
@@ -27,29 +30,29 @@
 			zone.readyTime[band] += ms
 			zone.readyPower[band] += power * float64(ms)
 		}
-		if i == r.own {
-			r.ownZone.update(now, r.observeOwnZone(now, power))
+		if i == r.ownZoneIndex {
+			r.ownLoss.update(now, r.observeOwnZone(now, power))
 		}
 		zone.writeCounts(add)
 	}
-	add(r.names.awakeTime, uint64(r.awake/time.Millisecond))
+	add(r.names.awakeTime, uint64(r.awakeTime/time.Millisecond))
 	add(r.names.offered, uint64(r.offered))
 	add(r.names.admitted, uint64(r.admitted))
-	add(r.names.callsDone, r.callsDone)
+	add(r.names.callsOnTime, r.callsOnTime)
 	add(r.names.callsLate, r.callsLate)
 }
 
-// awakeSince decides how many milliseconds count as awake since the call before: none at the start
-// and after a pause, and never more than maxDigestSpan.
-func (r *Recorder) awakeSince(now time.Duration) uint64 {
-	span := now - r.countedUntil
+// advanceAwakeTime adds the time since the previous call to awakeTime and returns the added
+// milliseconds. It adds nothing on the first call and after a pause, and at most maxDigestInterval.
+func (r *Recorder) advanceAwakeTime(now time.Duration) uint64 {
+	interval := now - r.countedUntil
 	isFirst := r.countedUntil == 0
-	if isFirst || span > maxGap || span < 0 {
-		span = 0
+	if isFirst || interval > pauseThreshold || interval < 0 {
+		interval = 0
 	}
-	span = min(span, maxDigestSpan)
-	r.countedUntil = now - span%time.Millisecond // the rest counts with the next call
-	span = span.Truncate(time.Millisecond)
-	r.awake += span
-	return uint64(span / time.Millisecond)
+	interval = min(interval, maxDigestInterval)
+	r.countedUntil = now - interval%time.Millisecond // the next call counts the remainder
+	interval = interval.Truncate(time.Millisecond)
+	r.awakeTime += interval
+	return uint64(interval / time.Millisecond)
 }
--- a/internal/control/failover/zonestats/golden_test.go
+++ b/internal/control/failover/zonestats/golden_test.go
@@ -15,8 +15,8 @@
 	"harrierhoist/policy"
 )
 
-// TestCountNames_areStable holds the names of counts, which go between processes of different
-// releases.
+// TestCountNames_areStable guards the names of counts, which processes of different releases
+// exchange.
 func TestCountNames_areStable(t *testing.T) {
 	for name, want := range map[string]string{
 		AwakeTime("a"):                       "time|a",
@@ -32,7 +32,7 @@
 		Completed("a", "b", OutcomeFailed):   "ended|a|b|ill",
 		Completed("a", "b", OutcomeRejected): "ended|a|b|full",
 		AnswerTime("a", "b"):                 "took|a|b",
-		CounterCalls("a", callDone):          "count|a|well",
+		CounterCalls("a", callOnTime):        "count|a|well",
 		CounterCalls("a", callLate):          "count|a|late",
 		ReadyTime("a", 0):                    "ready|a|0",
 		ReadyTime("a", PowerBands-1):         "ready|a|63",
@@ -41,12 +41,12 @@
 		strings.Join(Outcomes(), ""):         "wellillfull",
 	} {
 		if got := strings.ReplaceAll(name, "\x1f", "|"); got != want {
-			t.Errorf("a count is named %q, not %q", got, want)
+			t.Errorf("name of a count: got %q, want %q", got, want)
 		}
 	}
 }
 
-// TestPowerBand_isStable holds the bands of ready power, which must be the same at all gateways.
+// TestPowerBand_isStable guards the bands of ready power, which must be the same in all gateways.
 func TestPowerBand_isStable(t *testing.T) {
 	var got []int
 	for _, power := range []float64{
@@ -60,7 +60,7 @@
 	}
 }
 
-// goldenCounts are the hashes of all counts along drawn streams of events, by seed and settings.
+// goldenCounts are the hashes of all counts for random sequences of events, by settings and seed.
 var goldenCounts = map[string]string{
 	"warm 2026": "9922facef8a2616058f0f5a725b0dbc2898000b3176ba362d26ee86e69ded8ed",
 	"warm 12":   "ba051585e9b0f9fa4f3db1e1e1f78263da27089359d09c7db441985e9b4cf01b",
@@ -68,25 +68,25 @@
 	"cold 12":   "d2b8c9efd4209025b3d72f5046dd2b820d9f75c39b346c35d685383c5358dc0b",
 }
 
-// TestRecorder_drawnStreamCountsAsBefore holds all counts along drawn streams of events to what
-// they were.
+// TestRecorder_drawnStreamCountsAsBefore guards all counts for random sequences of events against
+// changes.
 func TestRecorder_drawnStreamCountsAsBefore(t *testing.T) {
 	settingsByName := map[string]*policy.Settings{"warm": {}, "cold": {WarmUpStart: 0.3, WarmUpTime: 20 * time.Second}}
 	for name, settings := range settingsByName {
 		for _, seed := range []uint64{2026, 12} {
 			key := fmt.Sprintf("%s %d", name, seed)
 			t.Run(key, func(t *testing.T) {
-				if got := countDrawn(seed, settings); got != goldenCounts[key] {
-					t.Errorf("the counts hash to %s, not %s", got, goldenCounts[key])
+				if got := hashRandomEventCounts(seed, settings); got != goldenCounts[key] {
+					t.Errorf("hash of the counts: got %s, want %s", got, goldenCounts[key])
 				}
 			})
 		}
 	}
 }
 
-// countDrawn takes 500 digests' worth of drawn events in the second of three zones, and hashes all
-// counts of each.
-func countDrawn(seed uint64, settings *policy.Settings) string {
+// hashRandomEventCounts records random events over 500 digests in a gateway of the second of three
+// zones. It returns a hash of all counts in all digests.
+func hashRandomEventCounts(seed uint64, settings *policy.Settings) string {
 	random := rand.New(rand.NewPCG(seed, 37))
 	zones := []string{"a", "b", "c"}
 	recorder := New(zones, 1, settings)
@@ -96,13 +96,13 @@
 		policy.Reset, policy.Cancelled, policy.Rejected, policy.ConnectFailed, policy.NotSent,
 	}
 	zoneDown := [3]bool{}
-	sum := golden.NewDigest()
+	hash := golden.NewDigest()
 	for step := range 500 {
 		if step%40 == 0 {
 			zoneDown[random.IntN(3)] = random.IntN(2) == 0
 		}
 		if step%25 == 0 {
-			recorder.SetEndpoints(now, drawnList(random, now))
+			recorder.SetEndpoints(now, randomEndpoints(random, now))
 		}
 		if step == 250 {
 			recorder.Reconfigure(&policy.Settings{WarmUpStart: 0.5, WarmUpTime: 5 * time.Second})
@@ -122,7 +122,7 @@
 			case 1:
 				recorder.AddCounterCall(random.IntN(2) == 0)
 			case 2:
-				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(2) == 0) // it hangs
+				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(2) == 0) // never ends
 			default:
 				recorder.AddAttempt(now, zone, random.Float64(), random.IntN(4) > 0)
 				recorder.AddResult(now, zone, server, outcome, time.Duration(random.IntN(900))*time.Millisecond)
@@ -132,28 +132,28 @@
 		counts := map[string]uint64{}
 		recorder.WriteCounts(now, func(name string, n uint64) { counts[name] = n })
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
-			sum.Printf("%q %d\n", name, counts[name])
+			hash.Printf("%q %d\n", name, counts[name])
 		}
-		sum.Println(recorder.IsZoneLost())
+		hash.Println(recorder.IsZoneLost())
 	}
-	return sum.String()
+	return hash.String()
 }
 
-// drawnList draws an endpoint list.
-func drawnList(random *rand.Rand, now time.Duration) []policy.Endpoint {
+// randomEndpoints returns a random endpoint list.
+func randomEndpoints(random *rand.Rand, now time.Duration) []policy.Endpoint {
 	var list []policy.Endpoint
 	for i := range random.IntN(9) {
 		state := policy.Ready
 		if random.IntN(5) == 0 {
 			state = policy.Draining
 		}
-		since := time.Duration(0)
+		startedAt := time.Duration(0)
 		if random.IntN(2) == 0 {
-			since = now - time.Duration(random.IntN(30))*time.Second
+			startedAt = now - time.Duration(random.IntN(30))*time.Second
 		}
 		list = append(list, policy.Endpoint{
 			Server: uint32(i), State: state, Zone: random.IntN(3), Rack: i,
-			Capacity: float64(random.IntN(4)), StartedAt: since,
+			Capacity: float64(random.IntN(4)), StartedAt: startedAt,
 		})
 	}
 	return list
--- a/internal/control/failover/zonestats/loss.go
+++ b/internal/control/failover/zonestats/loss.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// lossConfirmTime is how long a gateway's own zone must look lost before the gateway acts on that
-// alone.
+// lossConfirmTime is how long a gateway's own zone must look lost before the gateway treats it as
+// lost without confirmation by other gateways.
 const lossConfirmTime = time.Second
 
-// ownZoneView is how a gateway's own zone looks to the gateway alone.
+// ownZoneView is a gateway's current observation of its own zone.
 type ownZoneView int
 
 const (
-	ownZoneUnclear ownZoneView = iota
-	ownZoneAnswers             // half of it or more
+	ownZoneUnknown ownZoneView = iota
+	ownZoneAnswers             // at least half of the servers respond
 	ownZoneLooksLost
 )
 
-// ownZoneLoss is whether a gateway's own zone is lost by its own observations: it serves, is
-// suspected since some time, or is lost.
+// ownZoneLoss is the state of a gateway's own zone by the gateway's own observations: the zone
+// serves requests, is suspected to be lost, or is lost. The zero value is a zone that serves.
 type ownZoneLoss struct {
-	suspectedSince time.Duration // read by isSuspected
+	suspectedSince time.Duration // time at which the zone began to look lost; 0 if it does not
 	lost           bool
 }
 
-// isSuspected tells whether the zone looks lost.
+// isSuspected reports whether the zone looks lost.
 func (l *ownZoneLoss) isSuspected() bool { return l.suspectedSince != 0 }
 
-// update decides whether the own zone is lost: once it has looked so for lossConfirmTime, and until
-// half of it answers.
+// update applies an observation made at now. The zone becomes lost once it has looked lost for
+// lossConfirmTime, and stays lost until at least half of its servers respond.
 func (l *ownZoneLoss) update(now time.Duration, view ownZoneView) {
 	switch view {
 	case ownZoneAnswers:
 		*l = ownZoneLoss{}
-	case ownZoneUnclear:
+	case ownZoneUnknown:
 		if !l.lost {
 			*l = ownZoneLoss{}
 		}
@@ -46,11 +46,11 @@
 	}
 }
 
-// observeOwnZone decides how the own zone looks, by its ready power in servers of power 1 and by
-// attempts. Here a silence takes minFailedRun attempts in flight: prevents one attempt that hangs
-// from having nearly all other requests shed.
+// observeOwnZone returns the observation of the own zone, given its ready power and the results of
+// attempts. The zone counts as silent only with minConsecutiveFailures attempts in flight, so that
+// a single hanging attempt does not cause nearly all other requests to be shed.
 func (r *Recorder) observeOwnZone(now time.Duration, power float64) ownZoneView {
-	quarter, known := r.zones[r.own].health(now, minFailedRun)
+	quarter, known := r.zones[r.ownZoneIndex].health(now, minConsecutiveFailures)
 	hasNoServer := r.hasEndpoints && power <= 0
 	switch {
 	case hasNoServer || known && quarter == Lost:
@@ -58,8 +58,9 @@
 	case known && quarter > Failing:
 		return ownZoneAnswers
 	}
-	return ownZoneUnclear
+	return ownZoneUnknown
 }
 
-// IsZoneLost tells whether the own zone is lost by this gateway's own observations.
-func (r *Recorder) IsZoneLost() bool { return r.ownZone.lost }
+// IsZoneLost reports whether the gateway's own zone is lost by this gateway's own observations, as
+// of the latest call of WriteCounts.
+func (r *Recorder) IsZoneLost() bool { return r.ownLoss.lost }
--- a/internal/control/failover/zonestats/names.go
+++ b/internal/control/failover/zonestats/names.go
@@ -7,89 +7,94 @@
 	"harrierhoist/internal/coordination/observation"
 )
 
-// How much of a zone answers, as one gateway observes it: the part of the servers with a recent
-// result that answer, in quarters. Failing or less speaks of a loss.
+// The health of a zone as observed by one gateway: the number of quarters of its servers that
+// respond, among those with a recent result. Values up to Failing indicate a loss.
 const (
 	Lost    = 0
 	Failing = 1
 	Healthy = 4
 )
 
-// The first parts of the counts' names. They go between processes of different releases, so they
-// never change.
+// Prefixes of the names of counts. Processes of different releases exchange the names, so they must
+// not change.
 const (
-	nameAwakeTime    = "time"
-	nameHealthTime   = "judged"
-	nameOffered      = "came"
-	nameAdmitted     = "let"
-	nameAttempted    = "pushed"
-	nameCompleted    = "ended"
-	nameAnswerTime   = "took"
-	nameCounterCalls = "count"
-	nameReadyTime    = "ready"
-	nameReadyPower   = "strength"
+	awakeTimePrefix    = "time"
+	healthTimePrefix   = "judged"
+	offeredPrefix      = "came"
+	admittedPrefix     = "let"
+	attemptedPrefix    = "pushed"
+	completedPrefix    = "ended"
+	answerTimePrefix   = "took"
+	counterCallsPrefix = "count"
+	readyTimePrefix    = "ready"
+	readyPowerPrefix   = "strength"
 )
 
-// The outcomes of attempts in the counts' names. They never change either.
+// Outcomes of attempts in the names of counts. They must not change either.
 const (
 	OutcomeAnswered = "well"
 	OutcomeFailed   = "ill"
 	OutcomeRejected = "full"
 )
 
-// The outcomes of calls to the counter in the counts' names.
+// Outcomes of calls to the counter in the names of counts. They must not change either.
 const (
-	callDone = "well"
-	callLate = "late"
+	callOnTime = "well"
+	callLate   = "late"
 )
 
-// Outcomes are the outcomes of attempts that Completed counts.
+// Outcomes returns the outcomes of attempts that have a count of their own; see Completed.
 func Outcomes() []string { return []string{OutcomeAnswered, OutcomeFailed, OutcomeRejected} }
 
-// AwakeTime names the milliseconds that the gateways of a zone were awake.
-func AwakeTime(zone string) string { return observation.JoinName(nameAwakeTime, zone) }
+// AwakeTime returns the name of the milliseconds that the gateways of a zone were awake.
+func AwakeTime(zone string) string { return observation.JoinName(awakeTimePrefix, zone) }
 
-// HealthTime names the milliseconds in which the gateways of a zone held another zone, or their
-// own, to be at a quarter (Lost to Healthy). A gateway without recent results adds to none.
+// HealthTime returns the name of the milliseconds for which gateways of the zone from observed that
+// the health of the zone to was quarter (Lost to Healthy). Both may be the same zone. A gateway
+// without recent results adds to none of these counts.
 func HealthTime(from, to string, quarter int) string {
-	return observation.JoinName(nameHealthTime, from, to, strconv.Itoa(quarter))
+	return observation.JoinName(healthTimePrefix, from, to, strconv.Itoa(quarter))
 }
 
-// Offered names the units, in thousandths, of the requests that came in at a zone's gateways,
-// without repeats by clients.
-func Offered(zone string) string { return observation.JoinName(nameOffered, zone) }
+// Offered returns the name of the units, in thousandths, of the requests that a zone's gateways
+// received, without clients' repeats.
+func Offered(zone string) string { return observation.JoinName(offeredPrefix, zone) }
 
-// Admitted names the units, in thousandths, of the requests that quotas admitted at a zone's
-// gateways at their clients' first try, attempted or rejected for want of capacity. It is the
-// demand that the failover controller goes by.
-func Admitted(zone string) string { return observation.JoinName(nameAdmitted, zone) }
+// Admitted returns the name of the units, in thousandths, of the requests that quotas admitted at a
+// zone's gateways, without clients' repeats. It includes requests that were rejected for lack of
+// capacity. The failover controller uses it as the zone's demand.
+func Admitted(zone string) string { return observation.JoinName(admittedPrefix, zone) }
 
-// Attempted names the units, in thousandths, of all attempts from a zone on another.
-func Attempted(from, to string) string { return observation.JoinName(nameAttempted, from, to) }
+// Attempted returns the name of the units, in thousandths, of all attempts by gateways of the zone
+// from on servers of the zone to.
+func Attempted(from, to string) string { return observation.JoinName(attemptedPrefix, from, to) }
 
-// Completed names the attempts from a zone on another that ended with an outcome, one of Outcomes.
+// Completed returns the name of the number of attempts by gateways of the zone from on servers of
+// the zone to that ended with an outcome, which is one of Outcomes.
 func Completed(from, to, outcome string) string {
-	return observation.JoinName(nameCompleted, from, to, outcome)
+	return observation.JoinName(completedPrefix, from, to, outcome)
 }
 
-// AnswerTime names the milliseconds that answers took, by zones.
-func AnswerTime(from, to string) string { return observation.JoinName(nameAnswerTime, from, to) }
+// AnswerTime returns the name of the sum of the latencies, in milliseconds, of the answered
+// attempts by gateways of the zone from on servers of the zone to.
+func AnswerTime(from, to string) string { return observation.JoinName(answerTimePrefix, from, to) }
 
-// CounterCalls names the calls of a zone's gateways to the counter, by outcome: done, or late,
-// which includes those that failed.
+// CounterCalls returns the name of the number of calls that a zone's gateways made to the counter
+// with an outcome: callOnTime, or callLate, which includes failed calls.
 func CounterCalls(zone, outcome string) string {
-	return observation.JoinName(nameCounterCalls, zone, outcome)
+	return observation.JoinName(counterCallsPrefix, zone, outcome)
 }
 
-// Ready power is reported in bands, so that one gateway with a wrong endpoint list moves no mean:
-// the median gateway's band is taken, and the mean within it.
+// Ready power is reported in bands. The failover controller takes the median gateway's band and the
+// mean within that band, so that a single gateway with a wrong endpoint list does not shift the
+// result.
 const (
-	PowerBands   = 64   // band 0 is no power at all
-	firstBandEnd = 0.1  // the power at which band 1 ends, in servers of power 1
-	bandRatio    = 1.25 // of the ends of consecutive bands
+	PowerBands   = 64   // number of bands; band 0 is a power of 0
+	firstBandEnd = 0.1  // upper end of band 1, in servers of power 1
+	bandRatio    = 1.25 // ratio between the upper ends of consecutive bands
 )
 
-// PowerBand is the band of a ready power: 0 to PowerBands-1.
+// PowerBand returns the band of a ready power, from 0 to PowerBands-1.
 func PowerBand(power float64) int {
 	if power <= 0 {
 		return 0
@@ -97,14 +102,14 @@
 	return min(max(1+int(math.Ceil(math.Log(power/firstBandEnd)/math.Log(bandRatio))), 1), PowerBands-1)
 }
 
-// ReadyTime names the milliseconds in which gateways of any zone held a zone's ready power to be in
-// a band.
+// ReadyTime returns the name of the milliseconds for which gateways of any zone computed that the
+// ready power of a zone was in a band.
 func ReadyTime(zone string, band int) string {
-	return observation.JoinName(nameReadyTime, zone, strconv.Itoa(band))
+	return observation.JoinName(readyTimePrefix, zone, strconv.Itoa(band))
 }
 
-// ReadyPower names the sum of the ready powers in that band: in servers of power 1 that are ready
-// and warm, times milliseconds.
+// ReadyPower returns the name of the integral over time of the ready powers in that band. Its unit
+// is one ready and warm server of power 1, times milliseconds.
 func ReadyPower(zone string, band int) string {
-	return observation.JoinName(nameReadyPower, zone, strconv.Itoa(band))
+	return observation.JoinName(readyPowerPrefix, zone, strconv.Itoa(band))
 }
--- a/internal/control/failover/zonestats/recorder.go
+++ b/internal/control/failover/zonestats/recorder.go
@@ -1,8 +1,12 @@
-// Package zonestats counts what one gateway observes of zones, which failover decides by. The
-// gateway's dispatcher hands it events and the time, and the gateway's digests read its counts; it
-// knows no sockets and no clock. All counts only grow. All times in them are milliseconds that the
-// gateway was awake, so that one gateway adds at most one second to any of them each second: the
-// sum over a span, divided by that span, is the number of distinct gateways that observed it.
+// Package zonestats counts one gateway's observations of zones. The failover controller decides by
+// the sums of these counts over all gateways. The gateway's dispatcher reports events, with their
+// time, to a Recorder, and the gateway's digests contain its counts. The package does no I/O and
+// reads no clock.
+//
+// Counts never decrease. Those that are times are in milliseconds, and include only time in which
+// the gateway was awake, that is, not paused. One gateway therefore adds at most one second per
+// second to each of them, and the increase of the sum over an interval, divided by the interval's
+// length, is the number of distinct gateways that made the observation.
 package zonestats
 
 import (
@@ -11,37 +15,37 @@
 	"harrierhoist/policy"
 )
 
-// thousandths is how many of the counted parts are one unit.
+// thousandths is the number of thousandths in one unit; counts of units are in thousandths.
 const thousandths = 1000
 
 // Recorder keeps one gateway's counts. It is not safe for concurrent use.
 type Recorder struct {
-	zones      []*zoneStats
-	own        int           // index of the gateway's own zone
-	warmUpFrom float64       // part of its power that a server has at its start
-	warmUpTime time.Duration // until it has all of it
-
-	countedUntil time.Duration // 0 before the first digest
-	awake        time.Duration
-	hasEndpoints bool // an endpoint list was received
-	ownZone      ownZoneLoss
-
-	offered, admitted    float64 // thousandths of units
-	callsDone, callsLate uint64
-	names                recorderNames
+	zones        []*zoneStats
+	ownZoneIndex int           // index of the gateway's own zone
+	warmUpStart  float64       // fraction of its power that a server has when it starts
+	warmUpTime   time.Duration // time after its start at which a server has its full power
+
+	countedUntil time.Duration // time up to which awakeTime is counted; 0 before the first digest
+	awakeTime    time.Duration // total time that the gateway was awake
+	hasEndpoints bool          // an endpoint list was received
+	ownLoss      ownZoneLoss
+
+	offered, admitted      float64 // thousandths of units
+	callsOnTime, callsLate uint64
+	names                  recorderNames
 }
 
-// recorderNames are the names of the counts that are not by zone, made once.
+// recorderNames caches the names of the counts that a gateway reports once, not for each zone.
 type recorderNames struct {
-	awakeTime, offered, admitted, callsDone, callsLate string
+	awakeTime, offered, admitted, callsOnTime, callsLate string
 }
 
-// New makes a recorder for a gateway whose own zone is at an index of the list of zones.
-func New(zones []string, own int, settings *policy.Settings) *Recorder {
-	ownZone := zones[own]
-	r := &Recorder{own: own, names: recorderNames{
+// New returns a recorder for a gateway whose own zone is zones[ownZoneIndex].
+func New(zones []string, ownZoneIndex int, settings *policy.Settings) *Recorder {
+	ownZone := zones[ownZoneIndex]
+	r := &Recorder{ownZoneIndex: ownZoneIndex, names: recorderNames{
 		awakeTime: AwakeTime(ownZone), offered: Offered(ownZone), admitted: Admitted(ownZone),
-		callsDone: CounterCalls(ownZone, callDone), callsLate: CounterCalls(ownZone, callLate),
+		callsOnTime: CounterCalls(ownZone, callOnTime), callsLate: CounterCalls(ownZone, callLate),
 	}}
 	r.Reconfigure(settings)
 	for _, zone := range zones {
@@ -50,29 +54,30 @@
 	return r
 }
 
-// Reconfigure takes over how servers warm up from changed settings.
+// Reconfigure applies the warm-up parameters of changed settings.
 func (r *Recorder) Reconfigure(settings *policy.Settings) {
-	r.warmUpFrom = settings.WarmUpStart
+	r.warmUpStart = settings.WarmUpStart
 	r.warmUpTime = settings.WarmUpTime
 }
 
-// zone is a zone's counts by its index. An endpoint of a zone that the settings do not have counts
-// for the nearest index.
+// zone returns the statistics of the zone with an index. An index outside the configured zones is
+// clamped to the nearest one.
 func (r *Recorder) zone(index int) *zoneStats {
 	return r.zones[min(max(index, 0), len(r.zones)-1)]
 }
 
-// AddOffered counts the units of a first try that came in.
+// AddOffered counts the units of a request received from a client for the first time.
 func (r *Recorder) AddOffered(units float64) { r.offered += units * thousandths }
 
-// AddShed counts the units of a first try that was rejected for want of capacity before any
-// attempt, by a plan that sheds or by the decision module after the quota admitted it. It is demand
-// as well: prevents a crowded zone, whose gateways reject what would have to move, from looking
-// merely full.
+// AddShed counts the units of a client's first try that was rejected for lack of capacity before
+// any attempt. Such a request is rejected by a failover plan that sheds load, or by the decision
+// module after the quota admitted it. It counts as demand. Otherwise an overloaded zone, whose
+// gateways reject the requests that should move to other zones, would look just fully utilized.
 func (r *Recorder) AddShed(units float64) { r.admitted += units * thousandths }
 
-// AddAttempt counts an attempt on a server in a zone, in units. It is demand where it is the first
-// of a request that is no client's repeat, so that a request counts once.
+// AddAttempt counts an attempt on a server in a zone, with the request's units. isFirst is true for
+// the first attempt of a request that is not a client's repeat. Only such an attempt counts as
+// demand, so that each request counts once.
 func (r *Recorder) AddAttempt(now time.Duration, zone int, units float64, isFirst bool) {
 	r.zone(zone).addAttempt(now, units)
 	if isFirst {
@@ -80,21 +85,23 @@
 	}
 }
 
-// AddResult counts the end of an attempt.
-func (r *Recorder) AddResult(now time.Duration, zone int, server uint32, outcome policy.Outcome, took time.Duration) {
-	r.zone(zone).addResult(now, server, outcome, took)
+// AddResult counts the end of an attempt that AddAttempt has counted.
+func (r *Recorder) AddResult(
+	now time.Duration, zone int, server uint32, outcome policy.Outcome, latency time.Duration,
+) {
+	r.zone(zone).addResult(now, server, outcome, latency)
 }
 
-// AddCounterCall counts the end of a call to the counter; one that failed counts as late.
+// AddCounterCall counts the end of a call to the counter. isLate is also true for a failed call.
 func (r *Recorder) AddCounterCall(isLate bool) {
 	if isLate {
 		r.callsLate++
 	} else {
-		r.callsDone++
+		r.callsOnTime++
 	}
 }
 
-// SetEndpoints takes over the complete endpoint list as of a time.
+// SetEndpoints replaces the endpoints with the full endpoint list at now.
 func (r *Recorder) SetEndpoints(now time.Duration, endpoints []policy.Endpoint) {
 	for _, z := range r.zones {
 		z.warmPower = 0
@@ -106,35 +113,36 @@
 		case r.warmUpFraction(now, endpoint) < 1:
 			z.warmingUp = append(z.warmingUp, endpoint)
 		default:
-			z.warmPower += powerOf(endpoint)
+			z.warmPower += listedPower(endpoint)
 		}
 	}
 	r.hasEndpoints = true
 }
 
-// powerOf is an endpoint's listed power; 1 where none is listed.
-func powerOf(endpoint policy.Endpoint) float64 {
+// listedPower returns an endpoint's listed power, or 1 if none is listed.
+func listedPower(endpoint policy.Endpoint) float64 {
 	if endpoint.Capacity > 0 {
 		return endpoint.Capacity
 	}
 	return 1
 }
 
-// warmUpFraction is the part of its power, 0 to 1, that a server has while it warms up, as the
-// decision module takes it.
+// warmUpFraction returns the fraction of its power, from 0 to 1, that a server has at now. The
+// decision module computes it in the same way. It is 1 for a server whose start time is unknown.
 func (r *Recorder) warmUpFraction(now time.Duration, endpoint policy.Endpoint) float64 {
 	if endpoint.StartedAt <= 0 || r.warmUpTime <= 0 {
 		return 1
 	}
-	warmedUp := float64(now-endpoint.StartedAt) / float64(r.warmUpTime)
-	return min(1, r.warmUpFrom+(1-r.warmUpFrom)*max(warmedUp, 0))
+	progress := float64(now-endpoint.StartedAt) / float64(r.warmUpTime)
+	return min(1, r.warmUpStart+(1-r.warmUpStart)*max(progress, 0))
 }
 
-// readyPower is a zone's listed power that is ready now, in servers of power 1.
+// readyPower returns the power of a zone's ready servers at now, less what warming-up servers still
+// lack. Its unit is one server of power 1.
 func (r *Recorder) readyPower(now time.Duration, z *zoneStats) float64 {
 	sum := z.warmPower
 	for _, endpoint := range z.warmingUp {
-		sum += powerOf(endpoint) * r.warmUpFraction(now, endpoint)
+		sum += listedPower(endpoint) * r.warmUpFraction(now, endpoint)
 	}
 	return sum
 }
--- a/internal/control/failover/zonestats/zone.go
+++ b/internal/control/failover/zonestats/zone.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// resultMemory is how long the latest result of a server counts.
-	resultMemory = 6 * time.Second
-	// minFailedRun is how many servers must have failed, with no answer of any in between, for a
-	// loss at once, whatever had answered before.
-	minFailedRun = 3
-	// freshTime is the time in which, without any answer, fewer failed servers tell of a loss: one
-	// makes the zone failing, minFreshFailures make it lost.
-	freshTime        = time.Second
+	// maxResultAge is the age above which the latest result of a server is ignored.
+	maxResultAge = 6 * time.Second
+	// minConsecutiveFailures is the number of distinct servers that must fail, without a response
+	// from any server in between, for the zone to count as lost regardless of older results.
+	minConsecutiveFailures = 3
+	// freshResultAge is the age up to which a result is fresh. If no server has a fresh response, a
+	// fresh failure of one server makes the zone failing, and failures of minFreshFailures servers
+	// make it lost.
+	freshResultAge   = time.Second
 	minFreshFailures = 2
-	// minSilence is after what time without an answer, with attempts in flight, the whole zone
-	// counts as lost. silenceFactor is the same in usual answer times; the longer of the two
-	// counts.
-	minSilence    = 500 * time.Millisecond
-	silenceFactor = 3.0
-	// answerTimeSmoothing is over how many answers the usual answer time is taken.
+	// A zone with attempts in flight counts as lost if it has not answered for the longer of
+	// minSilenceTimeout and silenceTimeoutFactor times the smoothed answer time.
+	minSilenceTimeout    = 500 * time.Millisecond
+	silenceTimeoutFactor = 3.0
+	// answerTimeSmoothing is the number of answers over which the answer time is exponentially
+	// smoothed.
 	answerTimeSmoothing = 16.0
 )
 
-// The indexes of completed counts, in the order of Outcomes.
+// Indexes of zoneStats.completed, in the order of Outcomes.
 const (
 	indexAnswered = iota
 	indexFailed
@@ -35,31 +36,31 @@
 
 // lastResult is a server's latest result.
 type lastResult struct {
-	at    time.Duration
-	alive bool // the server answered, or rejected
+	at           time.Duration
+	isResponsive bool // the server answered or rejected the attempt
 }
 
-// zoneStats is what a gateway knows of a zone, and its counts.
+// zoneStats holds a gateway's recent observations of a zone, and its counts for that zone.
 type zoneStats struct {
-	results         map[uint32]lastResult // by server
-	failedRun       map[uint32]bool       // servers that failed since any answered
-	inFlight        int                   // attempts
-	waitingSince    time.Duration         // without an answer; read by isWaiting
-	usualAnswerTime time.Duration
+	results             map[uint32]lastResult // by server
+	failedSinceResponse map[uint32]bool       // servers that failed since the last response of any server
+	inFlight            int                   // number of attempts in flight
+	waitingSince        time.Duration         // start of the current wait for an answer; 0 if there is none
+	smoothedAnswerTime  time.Duration         // exponentially smoothed
 
 	warmPower float64           // of listed servers that are ready and warm, in servers of power 1
 	warmingUp []policy.Endpoint // listed servers that are ready and warming up
 
-	healthTime [Healthy + 1]uint64 // milliseconds
-	completed  [indexRejected + 1]uint64
-	attempted  float64 // thousandths of units
-	answerTime float64 // milliseconds
-	readyTime  [PowerBands]uint64
-	readyPower [PowerBands]float64
+	healthTime [Healthy + 1]uint64       // milliseconds, by health in quarters
+	completed  [indexRejected + 1]uint64 // number of attempts, by outcome
+	attempted  float64                   // thousandths of units
+	answerTime float64                   // milliseconds
+	readyTime  [PowerBands]uint64        // milliseconds, by band
+	readyPower [PowerBands]float64       // power times milliseconds, by band
 	names      zoneNames
 }
 
-// zoneNames are the names of a zone's counts, made once.
+// zoneNames caches the names of a zone's counts.
 type zoneNames struct {
 	healthTime            [Healthy + 1]string
 	completed             [indexRejected + 1]string
@@ -67,9 +68,10 @@
 	readyTime, readyPower [PowerBands]string
 }
 
-// newZoneStats starts with nothing known of a zone, as observed from another zone or from itself.
+// newZoneStats returns empty statistics of the zone to as observed by a gateway of the zone from.
+// Both may be the same zone.
 func newZoneStats(from, to string) *zoneStats {
-	z := &zoneStats{results: map[uint32]lastResult{}, failedRun: map[uint32]bool{}}
+	z := &zoneStats{results: map[uint32]lastResult{}, failedSinceResponse: map[uint32]bool{}}
 	z.names.attempted = Attempted(from, to)
 	z.names.answerTime = AnswerTime(from, to)
 	for quarter := range z.names.healthTime {
@@ -85,44 +87,45 @@
 	return z
 }
 
-// addAttempt counts an attempt that starts.
+// addAttempt counts the start of an attempt.
 func (z *zoneStats) addAttempt(now time.Duration, units float64) {
 	z.attempted += units * thousandths
 	z.inFlight++
-	if !z.isWaiting() {
+	if !z.isAwaitingAnswer() {
 		z.waitingSince = now
 	}
 }
 
-// addResult counts the end of an attempt. One that was cancelled after the silence timeout has
-// failed; one cancelled earlier tells nothing. A server that rejects is alive.
-func (z *zoneStats) addResult(now time.Duration, server uint32, outcome policy.Outcome, took time.Duration) {
+// addResult counts the end of an attempt. An attempt cancelled after the silence timeout or later
+// counts as failed; one cancelled earlier is not counted, as it shows nothing about the server. A
+// server that rejects an attempt is responsive.
+func (z *zoneStats) addResult(now time.Duration, server uint32, outcome policy.Outcome, latency time.Duration) {
 	z.inFlight = max(z.inFlight-1, 0)
 	index := indexFailed
 	switch outcome {
 	case policy.Errored, policy.TimedOut, policy.ConnectFailed, policy.Reset:
 	case policy.Answered:
 		index = indexAnswered
-		z.answerTime += float64(took) / float64(time.Millisecond)
-		z.usualAnswerTime += time.Duration(float64(took-z.usualAnswerTime) / answerTimeSmoothing)
+		z.answerTime += float64(latency) / float64(time.Millisecond)
+		z.smoothedAnswerTime += time.Duration(float64(latency-z.smoothedAnswerTime) / answerTimeSmoothing)
 	case policy.Rejected:
 		index = indexRejected
 	case policy.NotSent:
 		return
 	case policy.Cancelled:
-		if took < z.silenceTimeout() {
+		if latency < z.silenceTimeout() {
 			return
 		}
 	}
 	z.completed[index]++
-	z.results[server] = lastResult{at: now, alive: index != indexFailed}
+	z.results[server] = lastResult{at: now, isResponsive: index != indexFailed}
 	if index == indexFailed {
-		z.failedRun[server] = true
+		z.failedSinceResponse[server] = true
 	} else {
-		clear(z.failedRun)
+		clear(z.failedSinceResponse)
 	}
 	if outcome == policy.Cancelled || outcome == policy.TimedOut {
-		return // no answer came, so the wait goes on
+		return // no answer arrived, so waitingSince remains
 	}
 	z.waitingSince = 0
 	if z.inFlight > 0 {
@@ -130,92 +133,93 @@
 	}
 }
 
-// silenceTimeout is after what time without any answer the zone counts as silent.
+// silenceTimeout returns the time without any answer after which the zone counts as silent.
 func (z *zoneStats) silenceTimeout() time.Duration {
-	return max(minSilence, time.Duration(silenceFactor*float64(z.usualAnswerTime)))
+	return max(minSilenceTimeout, time.Duration(silenceTimeoutFactor*float64(z.smoothedAnswerTime)))
 }
 
-// isWaiting tells whether an answer is waited for.
-func (z *zoneStats) isWaiting() bool { return z.waitingSince != 0 }
+// isAwaitingAnswer reports whether the gateway is waiting for an answer of the zone.
+func (z *zoneStats) isAwaitingAnswer() bool { return z.waitingSince != 0 }
 
-// isSilent decides whether the whole zone says nothing: no answer came for the silence timeout,
-// with at least so many attempts in flight.
+// isSilent reports whether at least minInFlight attempts are in flight and no server of the zone
+// has answered for longer than the silence timeout.
 func (z *zoneStats) isSilent(now time.Duration, minInFlight int) bool {
-	return z.isWaiting() && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout()
+	return z.isAwaitingAnswer() && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout()
 }
 
-// recentResults are how many servers have a recent latest result, by what it was.
-type recentResults struct {
-	all, alive              int // within resultMemory
-	freshAlive, freshFailed int // within freshTime
+// resultCounts are numbers of servers by the age and kind of their latest result.
+type resultCounts struct {
+	total, responsive            int // results not older than maxResultAge
+	freshResponsive, freshFailed int // results not older than freshResultAge
 }
 
-// recent forgets results that are too old, and counts the others.
-func (z *zoneStats) recent(now time.Duration) recentResults {
-	var found recentResults
+// countRecentResults deletes the results that are older than maxResultAge, and counts the others.
+func (z *zoneStats) countRecentResults(now time.Duration) resultCounts {
+	var counts resultCounts
 	for server, result := range z.results {
 		age := now - result.at
-		if age > resultMemory {
+		if age > maxResultAge {
 			delete(z.results, server)
 			continue
 		}
-		found.all++
-		if result.alive {
-			found.alive++
+		counts.total++
+		if result.isResponsive {
+			counts.responsive++
 		}
 		switch {
-		case age > freshTime:
-		case result.alive:
-			found.freshAlive++
+		case age > freshResultAge:
+		case result.isResponsive:
+			counts.freshResponsive++
 		default:
-			found.freshFailed++
+			counts.freshFailed++
 		}
 	}
-	return found
+	return counts
 }
 
-// health decides which quarter of a zone answers; known is false without recent results. A loss
-// shows at once by a silence, by servers that failed in a row, or where nothing answered of late;
-// otherwise the part of servers whose latest result was an answer counts.
+// health returns the zone's health in quarters. If there are no recent results, known is false. A
+// silent zone, consecutive failures, or only failures among the fresh results indicate a loss
+// before older responses expire. Otherwise the health is the fraction of servers whose latest
+// result was a response.
 func (z *zoneStats) health(now time.Duration, minInFlight int) (quarter int, known bool) {
 	if z.isSilent(now, minInFlight) {
 		return Lost, true
 	}
-	found := z.recent(now)
-	if found.all == 0 {
-		clear(z.failedRun)
+	counts := z.countRecentResults(now)
+	if counts.total == 0 {
+		clear(z.failedSinceResponse)
 		return Lost, false
 	}
-	failedFresh := 0
-	if found.freshAlive == 0 {
-		failedFresh = found.freshFailed
+	freshFailures := 0
+	if counts.freshResponsive == 0 {
+		freshFailures = counts.freshFailed
 	}
 	switch {
-	case len(z.failedRun) >= minFailedRun || failedFresh >= minFreshFailures:
+	case len(z.failedSinceResponse) >= minConsecutiveFailures || freshFailures >= minFreshFailures:
 		return Lost, true
-	case failedFresh > 0:
+	case freshFailures > 0:
 		return Failing, true
 	}
-	return int(math.Round(Healthy * float64(found.alive) / float64(found.all))), true
+	return int(math.Round(Healthy * float64(counts.responsive) / float64(counts.total))), true
 }
 
-// writeCounts gives the zone's counts that are not 0.
+// writeCounts calls add with the name and total of each of the zone's counts that is not 0.
 func (z *zoneStats) writeCounts(add func(name string, n uint64)) {
-	addSome := func(name string, n uint64) {
+	addNonZero := func(name string, n uint64) {
 		if n > 0 {
 			add(name, n)
 		}
 	}
 	for quarter, n := range z.healthTime {
-		addSome(z.names.healthTime[quarter], n)
+		addNonZero(z.names.healthTime[quarter], n)
 	}
 	for i, n := range z.completed {
-		addSome(z.names.completed[i], n)
+		addNonZero(z.names.completed[i], n)
 	}
-	addSome(z.names.attempted, uint64(z.attempted))
-	addSome(z.names.answerTime, uint64(z.answerTime))
+	addNonZero(z.names.attempted, uint64(z.attempted))
+	addNonZero(z.names.answerTime, uint64(z.answerTime))
 	for band, n := range z.readyTime {
-		addSome(z.names.readyTime[band], n)
-		addSome(z.names.readyPower[band], uint64(z.readyPower[band]))
+		addNonZero(z.names.readyTime[band], n)
+		addNonZero(z.names.readyPower[band], uint64(z.readyPower[band]))
 	}
 }
--- a/internal/control/settlement/account/accounts_test.go
+++ b/internal/control/settlement/account/accounts_test.go
@@ -62,9 +62,9 @@
 	return reportedDebts(a)[settlement.DebtCountName(ledgerID, settlement.Pair{Debtor: "a", Creditor: "b"})]
 }
 
-// An answered attempt owes the units of the answer. One that may have run without an answer owes the
-// estimate, and one that never ran owes nothing. Attempts on servers of the request's own partner,
-// or of no partner, owe nothing.
+// An answered attempt owes the units of the answer. One that may have run without an answer owes
+// the estimate, and one that never ran owes nothing. Attempts on servers of the request's own
+// partner, or of no partner, owe nothing.
 func TestRequestTracker_chargesAttemptByOutcome(t *testing.T) {
 	const ownZone, otherZone, unownedZone = 0, 1, 2
 	for _, test := range []struct {
--- a/internal/control/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -88,8 +88,8 @@
 	f.epoch = cached.Epoch
 }
 
-// updateLendingOwners notifies the dispatcher if the lending zones or their owners have changed, and
-// logs when settlement starts and stops.
+// updateLendingOwners notifies the dispatcher if the lending zones or their owners have changed,
+// and logs when settlement starts and stops.
 func (f *tableFollower) updateLendingOwners() {
 	owners, _ := f.accounts.LendingZones()
 	wasSettling := f.lendingOwners != nil
--- a/internal/control/settlement/account/store_test.go
+++ b/internal/control/settlement/account/store_test.go
@@ -10,8 +10,8 @@
 )
 
 // A process ends with an attempt in flight, and the next one restores its ledger: the debt is kept,
-// and the estimate for the attempt in flight is added, as it may have run. Then the store fails: the
-// stored debts are reported once, and later debts are reported in a new ledger.
+// and the estimate for the attempt in flight is added, as it may have run. Then the store fails:
+// the stored debts are reported once, and later debts are reported in a new ledger.
 func TestAccounts_countsSurviveRestartAndStoreFailure(t *testing.T) {
 	store := &memoryStore{ledgerID: "first"}
 	start := func() (accounts *Accounts, stop func()) {
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -163,8 +163,9 @@
 	return t.estimatedDebt
 }
 
-// OnRequestEnd counts a request that got no answer as slow and late. If the client disconnected, the
-// request is not counted, as its latency is unknown. After an answer OnRequestEnd has no effect.
+// OnRequestEnd counts a request that got no answer as slow and late. If the client disconnected,
+// the request is not counted, as its latency is unknown. After an answer OnRequestEnd has no
+// effect.
 func (t *RequestTracker) OnRequestEnd(disconnected bool) {
 	if t == nil {
 		return
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -45,8 +45,8 @@
 	firstSequence   = 1 // sequence number of the first record of a new file
 )
 
-// ErrNoCompleteRecord is returned by Open for a file that has data but no complete record. The debts
-// that were stored in it are unknown.
+// ErrNoCompleteRecord is returned by Open for a file that has data but no complete record. The
+// debts that were stored in it are unknown.
 var ErrNoCompleteRecord = errors.New("none of its records is whole: remove it to begin anew")
 
 // Journal is the open file of one process. It implements account.Store. It is not safe for
@@ -69,9 +69,9 @@
 	Balances []account.StoredBalance `cbor:"2,keyasint"`
 }
 
-// Open opens or creates the file in a folder, locks it and reads the latest record. It does not wait
-// for the lock: the error wraps unix.EWOULDBLOCK if another Journal has the file open. The error
-// wraps ErrNoCompleteRecord if the file has data but no complete record.
+// Open opens or creates the file in a folder, locks it and reads the latest record. It does not
+// wait for the lock: the error wraps unix.EWOULDBLOCK if another Journal has the file open. The
+// error wraps ErrNoCompleteRecord if the file has data but no complete record.
 func Open(folder string) (*Journal, error) {
 	path := filepath.Join(folder, fileName)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, filePermissions)
--- a/internal/control/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -88,8 +88,8 @@
 	openJournal(t, folder)
 }
 
-// BenchmarkWrite measures the figures in docs/debts.md. It compares Journal with bbolt, each without
-// and with a sync per write.
+// BenchmarkWrite measures the figures in docs/debts.md. It compares Journal with bbolt, each
+// without and with a sync per write.
 func BenchmarkWrite(b *testing.B) {
 	balances := slices.Repeat(testBalances(1), 12)
 	b.Run("file", func(b *testing.B) {
--- a/internal/control/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -38,9 +38,9 @@
 // the ledger ID.
 const ledgerIDRadix = 36
 
-// Start counts and settles a gateway's debts until ctx is done. It returns the accounts, whose terms
-// the caller may change later, and a channel that is closed after the last write to the journal. It
-// does not block while settlement runs. Its errors are those of journal.Open.
+// Start counts and settles a gateway's debts until ctx is done. It returns the accounts, whose
+// terms the caller may change later, and a channel that is closed after the last write to the
+// journal. It does not block while settlement runs. Its errors are those of journal.Open.
 func Start(
 	ctx context.Context, config Config, dependencies Dependencies,
 ) (*account.Accounts, <-chan struct{}, error) {
