--- a/internal/control/failover/zonestats/digest.go
+++ b/internal/control/failover/zonestats/digest.go
@@ -9,8 +9,8 @@
 	// pauseThreshold is the time between two digests above which the gateway is assumed to have
 	// been paused. Such an interval is not counted.
 	pauseThreshold = 2 * maxDigestInterval
-	// minSilentInFlight is the number of attempts in flight from which on a zone without answers
-	// counts as silent in HealthTime. One is enough, as the failover controller compares the
+	// minSilentInFlight is the minimum number of attempts in flight for a zone that does not react
+	// to count as lost in HealthTime. One is enough, as the failover controller compares the
 	// observations of many gateways.
 	minSilentInFlight = 1
 )
--- a/internal/control/failover/zonestats/loss.go
+++ b/internal/control/failover/zonestats/loss.go
@@ -19,7 +19,7 @@
 // serves requests, is suspected to be lost, or is lost. The zero value is a zone that serves.
 type ownZoneLoss struct {
 	suspectedSince time.Duration // time at which the zone began to look lost; 0 if it does not
-	lost           bool
+	isLost         bool
 }
 
 // isSuspected reports whether the zone looks lost.
@@ -32,7 +32,7 @@
 	case ownZoneAnswers:
 		*l = ownZoneLoss{}
 	case ownZoneUnknown:
-		if !l.lost {
+		if !l.isLost {
 			*l = ownZoneLoss{}
 		}
 	case ownZoneLooksLost:
@@ -41,7 +41,7 @@
 			return
 		}
 		if now-l.suspectedSince >= lossConfirmTime {
-			l.lost = true
+			l.isLost = true
 		}
 	}
 }
@@ -63,4 +63,4 @@
 
 // IsZoneLost reports whether the gateway's own zone is lost by this gateway's own observations, as
 // of the latest call of WriteCounts.
-func (r *Recorder) IsZoneLost() bool { return r.ownLoss.lost }
+func (r *Recorder) IsZoneLost() bool { return r.ownLoss.isLost }
--- a/internal/control/failover/zonestats/names.go
+++ b/internal/control/failover/zonestats/names.go
@@ -46,41 +46,45 @@
 // Outcomes returns the outcomes of attempts that have a count of their own; see Completed.
 func Outcomes() []string { return []string{OutcomeAnswered, OutcomeFailed, OutcomeRejected} }
 
-// AwakeTime returns the name of the milliseconds that the gateways of a zone were awake.
+// AwakeTime returns the name of the count of milliseconds for which a zone's gateways were awake.
 func AwakeTime(zone string) string { return observation.JoinName(awakeTimePrefix, zone) }
 
-// HealthTime returns the name of the milliseconds for which gateways of the zone from observed that
-// the health of the zone to was quarter (Lost to Healthy). Both may be the same zone. A gateway
-// without recent results adds to none of these counts.
-func HealthTime(from, to string, quarter int) string {
-	return observation.JoinName(healthTimePrefix, from, to, strconv.Itoa(quarter))
+// HealthTime returns the name of the count of milliseconds for which gateways in fromZone observed
+// that the health of toZone was quarter (Lost to Healthy). Both may be the same zone. A gateway
+// without recent results adds nothing.
+func HealthTime(fromZone, toZone string, quarter int) string {
+	return observation.JoinName(healthTimePrefix, fromZone, toZone, strconv.Itoa(quarter))
 }
 
-// Offered returns the name of the units, in thousandths, of the requests that a zone's gateways
-// received, without clients' repeats.
+// Offered returns the name of the count of units, in thousandths, of the requests that a zone's
+// gateways received, without clients' repeats.
 func Offered(zone string) string { return observation.JoinName(offeredPrefix, zone) }
 
-// Admitted returns the name of the units, in thousandths, of the requests that quotas admitted at a
-// zone's gateways, without clients' repeats. It includes requests that were rejected for lack of
-// capacity. The failover controller uses it as the zone's demand.
+// Admitted returns the name of the count of units, in thousandths, of the requests that quotas
+// admitted at a zone's gateways, without clients' repeats. The count includes requests that were
+// then rejected for lack of capacity. The failover controller uses it as the zone's demand.
 func Admitted(zone string) string { return observation.JoinName(admittedPrefix, zone) }
 
-// Attempted returns the name of the units, in thousandths, of all attempts by gateways of the zone
-// from on servers of the zone to.
-func Attempted(from, to string) string { return observation.JoinName(attemptedPrefix, from, to) }
+// Attempted returns the name of the count of units, in thousandths, of all attempts by gateways in
+// fromZone on servers in toZone.
+func Attempted(fromZone, toZone string) string {
+	return observation.JoinName(attemptedPrefix, fromZone, toZone)
+}
 
-// Completed returns the name of the number of attempts by gateways of the zone from on servers of
-// the zone to that ended with an outcome, which is one of Outcomes.
-func Completed(from, to, outcome string) string {
-	return observation.JoinName(completedPrefix, from, to, outcome)
+// Completed returns the name of the count of attempts by gateways in fromZone on servers in toZone
+// that ended with an outcome, which is one of Outcomes.
+func Completed(fromZone, toZone, outcome string) string {
+	return observation.JoinName(completedPrefix, fromZone, toZone, outcome)
 }
 
-// AnswerTime returns the name of the sum of the latencies, in milliseconds, of the answered
-// attempts by gateways of the zone from on servers of the zone to.
-func AnswerTime(from, to string) string { return observation.JoinName(answerTimePrefix, from, to) }
+// AnswerTime returns the name of the sum of latencies, in milliseconds, of the answered attempts by
+// gateways in fromZone on servers in toZone.
+func AnswerTime(fromZone, toZone string) string {
+	return observation.JoinName(answerTimePrefix, fromZone, toZone)
+}
 
-// CounterCalls returns the name of the number of calls that a zone's gateways made to the counter
-// with an outcome: callOnTime, or callLate, which includes failed calls.
+// CounterCalls returns the name of the count of calls by a zone's gateways to the counter that
+// ended with an outcome: callOnTime, or callLate, which includes failed calls.
 func CounterCalls(zone, outcome string) string {
 	return observation.JoinName(counterCallsPrefix, zone, outcome)
 }
@@ -102,14 +106,14 @@
 	return min(max(1+int(math.Ceil(math.Log(power/firstBandEnd)/math.Log(bandRatio))), 1), PowerBands-1)
 }
 
-// ReadyTime returns the name of the milliseconds for which gateways of any zone computed that the
-// ready power of a zone was in a band.
+// ReadyTime returns the name of the count of milliseconds for which gateways, in any zone, computed
+// that a zone's ready power was in a band.
 func ReadyTime(zone string, band int) string {
 	return observation.JoinName(readyTimePrefix, zone, strconv.Itoa(band))
 }
 
-// ReadyPower returns the name of the integral over time of the ready powers in that band. Its unit
-// is one ready and warm server of power 1, times milliseconds.
+// ReadyPower returns the name of the sum of the ready powers in that band, each multiplied by its
+// duration. The unit is one ready and warm server of power 1 times one millisecond.
 func ReadyPower(zone string, band int) string {
 	return observation.JoinName(readyPowerPrefix, zone, strconv.Itoa(band))
 }
--- a/internal/control/failover/zonestats/recorder.go
+++ b/internal/control/failover/zonestats/recorder.go
@@ -1,7 +1,7 @@
-// Package zonestats counts one gateway's observations of zones. The failover controller decides by
-// the sums of these counts over all gateways. The gateway's dispatcher reports events, with their
-// time, to a Recorder, and the gateway's digests contain its counts. The package does no I/O and
-// reads no clock.
+// Package zonestats counts one gateway's observations of zones. The failover controller bases its
+// decisions on the sums of these counts over all gateways. The gateway's dispatcher reports events,
+// with their time, to a Recorder, and the gateway's digests contain the counts. The package does no
+// I/O and reads no clock.
 //
 // Counts never decrease. Those that are times are in milliseconds, and include only time in which
 // the gateway was awake, that is, not paused. One gateway therefore adds at most one second per
@@ -60,8 +60,8 @@
 	r.warmUpTime = settings.WarmUpTime
 }
 
-// zone returns the statistics of the zone with an index. An index outside the configured zones is
-// clamped to the nearest one.
+// zone returns the statistics of the zone at index. An index outside the configured zones is
+// clamped to the nearest valid one.
 func (r *Recorder) zone(index int) *zoneStats {
 	return r.zones[min(max(index, 0), len(r.zones)-1)]
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// SetEndpoints replaces the endpoints with the full endpoint list at now.
+// SetEndpoints replaces the known endpoints with a full endpoint list received at now.
 func (r *Recorder) SetEndpoints(now time.Duration, endpoints []policy.Endpoint) {
 	for _, z := range r.zones {
 		z.warmPower = 0
--- a/internal/control/failover/zonestats/zone.go
+++ b/internal/control/failover/zonestats/zone.go
@@ -18,8 +18,8 @@
 	// make it lost.
 	freshResultAge   = time.Second
 	minFreshFailures = 2
-	// A zone with attempts in flight counts as lost if it has not answered for the longer of
-	// minSilenceTimeout and silenceTimeoutFactor times the smoothed answer time.
+	// A zone with attempts in flight counts as lost if no server in it has reacted for the longer
+	// of minSilenceTimeout and silenceTimeoutFactor times the smoothed answer time.
 	minSilenceTimeout    = 500 * time.Millisecond
 	silenceTimeoutFactor = 3.0
 	// answerTimeSmoothing is the number of answers over which the answer time is exponentially
@@ -45,11 +45,11 @@
 	results             map[uint32]lastResult // by server
 	failedSinceResponse map[uint32]bool       // servers that failed since the last response of any server
 	inFlight            int                   // number of attempts in flight
-	waitingSince        time.Duration         // start of the current wait for an answer; 0 if there is none
-	smoothedAnswerTime  time.Duration         // exponentially smoothed
+	waitingSince        time.Duration         // start of the current wait for a reaction; 0 if there is none
+	smoothedAnswerTime  time.Duration         // moving average over about answerTimeSmoothing answers
 
-	warmPower float64           // of listed servers that are ready and warm, in servers of power 1
-	warmingUp []policy.Endpoint // listed servers that are ready and warming up
+	warmPower float64           // power of the ready and warm servers, in servers of power 1
+	warmingUp []policy.Endpoint // ready servers that are still warming up
 
 	healthTime [Healthy + 1]uint64       // milliseconds, by health in quarters
 	completed  [indexRejected + 1]uint64 // number of attempts, by outcome
@@ -68,21 +68,21 @@
 	readyTime, readyPower [PowerBands]string
 }
 
-// newZoneStats returns empty statistics of the zone to as observed by a gateway of the zone from.
-// Both may be the same zone.
-func newZoneStats(from, to string) *zoneStats {
+// newZoneStats returns empty statistics of toZone as observed by a gateway in fromZone. Both may be
+// the same zone.
+func newZoneStats(fromZone, toZone string) *zoneStats {
 	z := &zoneStats{results: map[uint32]lastResult{}, failedSinceResponse: map[uint32]bool{}}
-	z.names.attempted = Attempted(from, to)
-	z.names.answerTime = AnswerTime(from, to)
+	z.names.attempted = Attempted(fromZone, toZone)
+	z.names.answerTime = AnswerTime(fromZone, toZone)
 	for quarter := range z.names.healthTime {
-		z.names.healthTime[quarter] = HealthTime(from, to, quarter)
+		z.names.healthTime[quarter] = HealthTime(fromZone, toZone, quarter)
 	}
 	for i, outcome := range Outcomes() {
-		z.names.completed[i] = Completed(from, to, outcome)
+		z.names.completed[i] = Completed(fromZone, toZone, outcome)
 	}
 	for band := range PowerBands {
-		z.names.readyTime[band] = ReadyTime(to, band)
-		z.names.readyPower[band] = ReadyPower(to, band)
+		z.names.readyTime[band] = ReadyTime(toZone, band)
+		z.names.readyPower[band] = ReadyPower(toZone, band)
 	}
 	return z
 }
@@ -91,7 +91,7 @@
 func (z *zoneStats) addAttempt(now time.Duration, units float64) {
 	z.attempted += units * thousandths
 	z.inFlight++
-	if !z.isAwaitingAnswer() {
+	if !z.isAwaitingReaction() {
 		z.waitingSince = now
 	}
 }
@@ -125,7 +125,7 @@
 		clear(z.failedSinceResponse)
 	}
 	if outcome == policy.Cancelled || outcome == policy.TimedOut {
-		return // no answer arrived, so waitingSince remains
+		return // the server did not react, so the wait continues
 	}
 	z.waitingSince = 0
 	if z.inFlight > 0 {
@@ -133,18 +133,19 @@
 	}
 }
 
-// silenceTimeout returns the time without any answer after which the zone counts as silent.
+// silenceTimeout returns the time without any reaction after which the zone counts as silent.
 func (z *zoneStats) silenceTimeout() time.Duration {
 	return max(minSilenceTimeout, time.Duration(silenceTimeoutFactor*float64(z.smoothedAnswerTime)))
 }
 
-// isAwaitingAnswer reports whether the gateway is waiting for an answer of the zone.
-func (z *zoneStats) isAwaitingAnswer() bool { return z.waitingSince != 0 }
+// isAwaitingReaction reports whether the gateway is waiting for a reaction of any server in the
+// zone: an answer, a rejection, an error or a closed connection.
+func (z *zoneStats) isAwaitingReaction() bool { return z.waitingSince != 0 }
 
-// isSilent reports whether at least minInFlight attempts are in flight and no server of the zone
-// has answered for longer than the silence timeout.
+// isSilent reports whether at least minInFlight attempts are in flight and no server in the zone
+// has reacted for longer than the silence timeout.
 func (z *zoneStats) isSilent(now time.Duration, minInFlight int) bool {
-	return z.isAwaitingAnswer() && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout()
+	return z.isAwaitingReaction() && z.inFlight >= minInFlight && now-z.waitingSince > z.silenceTimeout()
 }
 
 // resultCounts are numbers of servers by the age and kind of their latest result.
--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -69,8 +69,8 @@
 	fraction         float64
 }
 
-// randomStream is the PCG stream of these draws. It differs from those of other generators with the
-// same seed.
+// randomStream is the PCG stream of the draws that select requests for settlement. Other generators
+// with the same seed use other streams.
 const randomStream = 0xdeb7
 
 // New returns Accounts that start with an empty ledger.
--- a/internal/control/settlement/account/fake_test.go
+++ b/internal/control/settlement/account/fake_test.go
@@ -112,6 +112,6 @@
 		defer close(ended)
 		a.Run(ctx, f, updates, log)
 	}()
-	fakes.Eventually(t, "counters being registered", f.hasExactCounters)
+	fakes.Eventually(t, "registered counters", f.hasExactCounters)
 	return func() { cancel(); <-ended }
 }
--- a/internal/control/settlement/account/store_test.go
+++ b/internal/control/settlement/account/store_test.go
@@ -29,14 +29,14 @@
 	accounts, stop := start()
 	attempt(accounts).OnAttemptEnd(0, policy.Answered, 7)
 	attempt(accounts) // still in flight when the process ends
-	fakes.Eventually(t, "the debt being reported", func() bool { return reportedDebtOfA(accounts, "first") == 7000 })
+	fakes.Eventually(t, "the reported debt", func() bool { return reportedDebtOfA(accounts, "first") == 7000 })
 	stop()
 
 	accounts, stop = start()
-	fakes.Eventually(t, "the estimate being reported", func() bool { return reportedDebtOfA(accounts, "first") == 9000 })
+	fakes.Eventually(t, "the reported estimate", func() bool { return reportedDebtOfA(accounts, "first") == 9000 })
 	store.fail()
 	attempt(accounts).OnAttemptEnd(0, policy.Answered, 3)
-	fakes.Eventually(t, "the new ledger being reported", func() bool {
+	fakes.Eventually(t, "debts in the new ledger", func() bool {
 		return reportedDebtOfA(accounts, "fresh+") == 3000 && reportedDebtOfA(accounts, "first") == 9000
 	})
 	attempt(accounts).OnAttemptEnd(0, policy.Answered, 1)
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -29,8 +29,8 @@
 
 	isSettlementEligible bool // idempotent and not a repeat, so its first attempt may settle a debt
 	hasAttempt           bool
-	isLatencyRecorded    bool     // true from the start for a repeat, and after the client disconnected
-	chargedBalance       *balance // balance of the attempt in flight; nil if the attempt owes nothing
+	isLatencyRecorded    bool     // also true if it must not be recorded: for a repeat or a disconnected client
+	chargedBalance       *balance // balance that includes the attempt in flight; nil if it owes no partner
 	attemptZone          int      // zone of the latest attempt
 }
 
@@ -88,8 +88,8 @@
 	return t.preferredDebtor
 }
 
-// OnAttemptStart counts an attempt in a zone. Until OnAttemptEnd, the balance with the zone's owner
-// includes the estimate of the attempt.
+// OnAttemptStart counts an attempt in a zone. If the zone belongs to another partner, the balance
+// with that partner includes the estimate of the attempt until OnAttemptEnd.
 func (t *RequestTracker) OnAttemptStart(zone int) {
 	if t == nil {
 		return
--- a/internal/control/settlement/runtime/runtime.go
+++ b/internal/control/settlement/runtime/runtime.go
@@ -38,9 +38,10 @@
 // the ledger ID.
 const ledgerIDRadix = 36
 
-// Start counts and settles a gateway's debts until ctx is done. It returns the accounts, whose
-// terms the caller may change later, and a channel that is closed after the last write to the
-// journal. It does not block while settlement runs. Its errors are those of journal.Open.
+// Start starts to count and settle a gateway's debts, and returns; settlement runs until ctx is
+// done. The caller may change the terms of the returned accounts with SetTerms. The returned
+// channel is closed after the last balances are stored and the journal is closed. Start returns the
+// errors of journal.Open.
 func Start(
 	ctx context.Context, config Config, dependencies Dependencies,
 ) (*account.Accounts, <-chan struct{}, error) {
--- a/internal/control/settlement/runtime/runtime_test.go
+++ b/internal/control/settlement/runtime/runtime_test.go
@@ -70,7 +70,7 @@
 	}
 	use(dispatcher)
 	report := <-client.exactCounters
-	fakes.Eventually(t, "the debt being reported", func() bool {
+	fakes.Eventually(t, "the reported debt", func() bool {
 		sum := uint64(0)
 		report(func(name string, n uint64) {
 			if strings.HasSuffix(name, "\x1fa\x1fb") {
