--- a/internal/control/settlement/journal/golden_test.go
+++ b/internal/control/settlement/journal/golden_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Holds the error messages that an operator sees when the gateway cannot use its journal folder.
+// Guards the error messages that an operator sees when the gateway cannot use its journal folder.
 func TestGolden_refusals(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
