--- a/internal/control/failover/zonestats/recorder_test.go
+++ b/internal/control/failover/zonestats/recorder_test.go
@@ -24,7 +24,7 @@
 	return fx
 }
 
-// nextDigest advances the clock and reads the counts. It fails the test if a count has decreased.
+// nextDigest advances the clock by elapsed and reads the counts.
 func (fx *fixture) nextDigest(elapsed time.Duration) {
 	fx.Helper()
 	fx.now += elapsed
