--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -1,7 +1,7 @@
-// Package counter is the client of the counter that all gateways share: it sends calls in lines of
-// text, pipelined on a few persistent connections that answer in order, and decides when a
-// connection is given up. It bounds no request's wait for a count: the decision module does. The
-// dispatcher calls Add, by way of the gateway's wiring.
+// Package counter is the client of the counter that all gateways share. It pipelines calls, which
+// are lines of text, on a few persistent connections, and closes connections that fail or stop
+// answering. It does not limit how long a request waits for a count; the decision module does. The
+// dispatcher calls Add through a function that the gateway passes to it.
 package counter
 
 import (
@@ -16,33 +16,33 @@
 )
 
 const (
-	shardCount      = 8                      // connections: a slow one delays only some names
-	maxQueued       = 256                    // calls of a shard that are not written yet; more fail at once
-	minNameLifetime = time.Millisecond       // the shortest lifetime of a name in the protocol
-	writeTimeout    = 250 * time.Millisecond // of a few bytes
-	lossLogInterval = 10 * time.Second       // between log lines on lost connections
+	shardCount      = 8                      // number of connections; a slow one delays only its names
+	maxQueued       = 256                    // calls of a shard waiting to be written; more fail immediately
+	minNameLifetime = time.Millisecond       // shortest lifetime that the protocol can express
+	writeTimeout    = 250 * time.Millisecond // for a few bytes
+	lossLogInterval = 10 * time.Second       // between log lines about lost connections
 
 	decimalBase = 10
 	floatBits   = 64
 )
 
-// Counter is the client of one counter. Names are spread over its shards, each with a connection of
-// its own.
+// Counter is the client of one counter. Names are distributed over its shards, each with its own
+// connection.
 type Counter struct {
 	shards     [shardCount]*shard
 	cancel     context.CancelFunc
 	goroutines *sync.WaitGroup
 }
 
-// call is one line and its caller.
+// call is one call of the counter.
 type call struct {
-	text      string
+	line      string                        // as written, without its line end
 	done      func(float64, policy.Outcome) // called once, with the total
-	writtenAt time.Time
+	writtenAt time.Time                     // zero: not written yet
 }
 
-// New makes a client for the counter at an address, host:port. It connects with the first calls;
-// the timeout bounds a dial, and how long a connection's oldest call may have no answer.
+// New returns a client of the counter at addr, host:port. It connects when calls are made. timeout
+// limits each dial, and how long the oldest pending call of a connection may wait for its answer.
 func New(addr string, timeout time.Duration, log *zap.Logger) *Counter {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Counter{cancel: cancel, goroutines: &sync.WaitGroup{}}
@@ -62,25 +62,26 @@
 	return c
 }
 
-// Close closes all connections and waits until they are down. Pending calls end as timed out: they
-// may have been added. Later calls fail.
+// Close closes all connections and waits for the client's goroutines. Pending calls end with
+// TimedOut, because their units may have been added. Later calls fail.
 func (c *Counter) Close() {
 	c.cancel()
 	c.goroutines.Wait()
 }
 
-// SetAddress sends new calls to another address, host:port; pending ones are answered by the old
-// one.
+// SetAddress sends new calls to addr, host:port. Pending calls are still answered by the previous
+// address.
 func (c *Counter) SetAddress(addr string) {
 	for _, s := range c.shards {
 		s.setAddress(addr)
 	}
 }
 
-// Add adds units to the number under a name, which the counter drops when its lifetime ends, and
-// passes the total to done, however late. Calls for one name are answered in order. Outcomes are
-// Answered; Rejected and ConnectFailed, where nothing was added; TimedOut, where the connection
-// ended without an answer: the units may have been added.
+// Add adds units to the counter's total for a name, which the counter deletes after lifetime. It
+// calls done once with the total, no matter how late the answer arrives. It does not block. Calls
+// for one name are answered in order. The outcome is Answered; Rejected or ConnectFailed if nothing
+// was added; or TimedOut if the connection ended without an answer, in which case the units may
+// have been added.
 func (c *Counter) Add(name uint64, units float64, lifetime time.Duration, done func(float64, policy.Outcome)) {
 	text := "incr " + strconv.FormatUint(name, decimalBase) +
 		" " + strconv.FormatFloat(units, 'f', -1, floatBits) +
@@ -91,24 +92,24 @@
 		return
 	}
 	select {
-	case s.queue <- &call{text: text, done: done}:
+	case s.queue <- &call{line: text, done: done}:
 	default:
 		go done(0, policy.ConnectFailed)
 	}
 }
 
-// lossLog logs lost connections, of all shards together.
+// lossLog logs the lost connections of all shards, at most one line per lossLogInterval.
 type lossLog struct {
 	log *zap.Logger
 
 	mu          sync.Mutex
-	loggedAt    time.Time // of the latest line; zero: none
-	calls       int       // that were pending on connections lost since
-	connections int       // lost since with pending calls
+	loggedAt    time.Time // time of the latest line; zero: none
+	calls       int       // number of calls pending on the connections lost since then
+	connections int       // number of connections lost since then with pending calls
 }
 
-// add counts a connection that was lost with pending calls, and logs the sums since the latest line
-// unless that is recent.
+// add counts a connection that was lost with pending calls. It logs the totals since the latest
+// line, unless that line is recent.
 func (l *lossLog) add(reason error, calls int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,8 +125,8 @@
 	l.connections = 0
 }
 
-// shouldLog decides whether a loss is logged now. A counter that ends each connection as it comes
-// up would have a line for every call otherwise.
+// shouldLog reports whether to log a loss now. Without the limit, a counter that closes each
+// connection as soon as it is established would cause a log line for every call.
 func (l *lossLog) shouldLog() bool {
 	hasLogged := !l.loggedAt.IsZero()
 	return !hasLogged || time.Since(l.loggedAt) >= lossLogInterval
--- a/internal/gateway/counter/counter_test.go
+++ b/internal/gateway/counter/counter_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func (c *caller) want(want result) {
+func (c *caller) expectResult(want result) {
 	c.Helper()
 	select {
 	case got := <-c.results:
@@ -88,9 +88,9 @@
 	c.add(7, 2.5)
 	c.add(7, -0.5)
 	c.add(7, 0)
-	c.want(result{0, 2.5, policy.Answered})
-	c.want(result{1, 2, policy.Answered})
-	c.want(result{2, 2, policy.Answered})
+	c.expectResult(result{0, 2.5, policy.Answered})
+	c.expectResult(result{1, 2, policy.Answered})
+	c.expectResult(result{2, 2, policy.Answered})
 	if got := server.NextCall(t); got != "incr 7 2.5 4000" {
 		t.Errorf("called %q", got)
 	}
@@ -104,16 +104,16 @@
 	server.NextCall(t)
 	c.add(8, 1)
 	release()
-	c.want(result{0, 5, policy.Answered})
-	c.want(result{1, 6, policy.Answered})
+	c.expectResult(result{0, 5, policy.Answered})
+	c.expectResult(result{1, 6, policy.Answered})
 }
 
 // wantNextCallAnswered makes a second call, which goes on a connection of its own and is answered.
-func (c *caller) wantNextCallAnswered(listener net.Listener) {
+func (c *caller) expectNextCallAnswered(listener net.Listener) {
 	c.Helper()
 	c.add(8, 1)
 	_, _ = io.WriteString(acceptCall(c.T, listener), "ok 9\r\n")
-	c.want(result{1, 9, policy.Answered})
+	c.expectResult(result{1, 9, policy.Answered})
 }
 
 func TestAdd_lostConnectionTimesOutAndIsReplaced(t *testing.T) {
@@ -121,8 +121,8 @@
 	c := newCaller(t, listener.Addr().String())
 	c.add(8, 1)
 	_ = acceptCall(t, listener).Close()
-	c.want(result{0, 0, policy.TimedOut})
-	c.wantNextCallAnswered(listener)
+	c.expectResult(result{0, 0, policy.TimedOut})
+	c.expectNextCallAnswered(listener)
 }
 
 func TestAdd_refusedConnectionIsConnectFailed(t *testing.T) {
@@ -130,7 +130,7 @@
 	_ = listener.Close()
 	c := newCaller(t, listener.Addr().String())
 	c.add(8, 1)
-	c.want(result{0, 0, policy.ConnectFailed})
+	c.expectResult(result{0, 0, policy.ConnectFailed})
 }
 
 func TestAdd_silentConnectionTimesOut(t *testing.T) {
@@ -138,10 +138,10 @@
 	c := newCaller(t, server.Addr)
 	release := server.Hold()
 	c.add(8, 5)
-	c.want(result{0, 0, policy.TimedOut}) // with no other call behind it
+	c.expectResult(result{0, 0, policy.TimedOut}) // with no other call behind it
 	release()
 	c.add(8, 1)
-	c.want(result{1, 6, policy.Answered})
+	c.expectResult(result{1, 6, policy.Answered})
 }
 
 func TestParseAnswer_busyAndErrorAreRejected(t *testing.T) {
@@ -171,7 +171,7 @@
 			// An answer before the call would end a connection with nothing pending.
 			accepted := acceptCall(t, listener)
 			_, _ = io.WriteString(accepted, malformed)
-			c.want(result{0, 0, policy.TimedOut})
+			c.expectResult(result{0, 0, policy.TimedOut})
 			if _, err := io.Copy(io.Discard, accepted); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("the connection: %v", err)
 			}
@@ -187,9 +187,9 @@
 	previous.NextCall(t)
 	c.client.SetAddress(next.Addr)
 	c.add(8, 1)
-	c.want(result{1, 1, policy.Answered})
+	c.expectResult(result{1, 1, policy.Answered})
 	release()
-	c.want(result{0, 5, policy.Answered})
+	c.expectResult(result{0, 5, policy.Answered})
 	if next.NextCall(t) != "incr 8 1 4000" || len(previous.Calls) != 0 {
 		t.Error("the old counter was called again")
 	}
--- a/internal/gateway/counter/failure_test.go
+++ b/internal/gateway/counter/failure_test.go
@@ -67,8 +67,8 @@
 	c.client.SetAddress(from) // there and back again
 	c.waitForDial(8)
 	c.client.SetAddress(to.Addr)
-	c.want(result{0, 1, policy.Answered})
-	c.want(result{1, 3, policy.Answered})
+	c.expectResult(result{0, 1, policy.Answered})
+	c.expectResult(result{1, 3, policy.Answered})
 }
 
 // Half an answer is none: its call may have been added, and the next one uses a new connection.
@@ -94,8 +94,8 @@
 			accepted := acceptCall(t, listener)
 			_, _ = io.WriteString(accepted, "ok 7")
 			after(accepted)
-			c.want(result{0, 0, policy.TimedOut})
-			c.wantNextCallAnswered(listener)
+			c.expectResult(result{0, 0, policy.TimedOut})
+			c.expectNextCallAnswered(listener)
 		})
 	}
 }
@@ -121,7 +121,7 @@
 	c := newCallerWith(t, listener.Addr().String(), time.Second, zap.New(core))
 	for i := range 50 {
 		c.add(8, 1)
-		c.want(result{i, 0, policy.TimedOut})
+		c.expectResult(result{i, 0, policy.TimedOut})
 	}
 	if n := logs.FilterMessage("counter: connection lost").Len(); n != 1 {
 		t.Errorf("logged %d times", n)
@@ -161,10 +161,10 @@
 			row.call(caller, listener)
 			caller.client.Close()
 			for number := range caller.calls {
-				caller.want(result{number, 0, row.outcome})
+				caller.expectResult(result{number, 0, row.outcome})
 			}
 			caller.add(8, 1)
-			caller.want(result{caller.calls - 1, 0, policy.ConnectFailed})
+			caller.expectResult(result{caller.calls - 1, 0, policy.ConnectFailed})
 			goleak.VerifyNone(t, before)
 		})
 	}
--- a/internal/gateway/counter/read.go
+++ b/internal/gateway/counter/read.go
@@ -11,13 +11,13 @@
 	"harrierhoist/policy"
 )
 
-// readAnswers matches answers with pending calls, in order, until the connection ends. A line is at
-// most as long as the reader's one buffer: an answer without an end ends the connection and takes
-// no memory.
+// readAnswers matches answers to pending calls, in order, until the connection ends. The reader's
+// fixed buffer limits the length of a line: an answer without a line end closes the connection
+// instead of using up memory.
 func (s *shard) readAnswers(conn *connection) {
 	for {
 		line, err := conn.text.R.ReadSlice('\n')
-		reason := readFailure(err)
+		reason := disconnectReason(err)
 		if err == nil {
 			reason = s.deliver(conn, string(line))
 		}
@@ -28,31 +28,30 @@
 	}
 }
 
-// readFailure decides why a connection has to end after a read; nil: the read succeeded, and the
-// connection goes on.
-func readFailure(err error) error {
+// disconnectReason returns why a connection must be closed after a read; nil: the read succeeded.
+func disconnectReason(err error) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errSilent
+		return errAnswerTimeout
 	case errors.Is(err, bufio.ErrBufferFull):
-		return errMalformed
+		return errMalformedAnswer
 	default:
 		return err
 	}
 }
 
-// deliver gives an answer to the oldest pending call of a connection. An error is why the
-// connection has to end. A malformed answer leaves its call pending: disconnect ends it as timed
-// out, as its units may have been added.
+// deliver passes an answer to the oldest pending call of a connection. An error is the reason to
+// close the connection. A malformed answer leaves its call pending, and disconnect ends the call
+// with TimedOut, because its units may have been added.
 func (s *shard) deliver(conn *connection, line string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(conn.pending) == 0 {
-		return errUnexpected
+		return errUnexpectedAnswer
 	}
 	total, outcome, valid := parseAnswer(line)
 	if !valid {
-		return errMalformed
+		return errMalformedAnswer
 	}
 	oldest := conn.pending[0]
 	conn.pending = conn.pending[1:]
@@ -64,8 +63,9 @@
 	return nil
 }
 
-// parseAnswer reads a line. A call that was rejected (busy) or not understood (error) has added
-// nothing. Any line but these and a total is invalid.
+// parseAnswer parses a line. After "busy" the call was rejected and after "error" it was not
+// understood; in both cases it added nothing. A line that is neither of these nor a total is
+// invalid.
 func parseAnswer(line string) (total float64, outcome policy.Outcome, valid bool) {
 	text, ended := strings.CutSuffix(line, "\r\n")
 	if figure, ok := strings.CutPrefix(text, "ok "); ok {
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -13,52 +13,53 @@
 	"harrierhoist/policy"
 )
 
-// Reasons why a connection ends, besides errors of the network.
+// Reasons for closing a connection, besides network errors.
 var (
-	errMalformed      = errors.New("malformed answer")
-	errUnexpected     = errors.New("answer without a call")
-	errSilent         = errors.New("no answer in time")
-	errWriteFailed    = errors.New("write failed")
-	errAddressChanged = errors.New("the counter's address has changed")
-	errClosed         = errors.New("closed")
+	errMalformedAnswer  = errors.New("malformed answer")
+	errUnexpectedAnswer = errors.New("answer without a call")
+	errAnswerTimeout    = errors.New("no answer in time")
+	errWriteFailed      = errors.New("write failed")
+	errAddressChanged   = errors.New("the counter's address has changed")
+	errClosed           = errors.New("closed")
 )
 
-// shard has a part of the names: the calls for them, in order, and the connection that new calls
-// are written to. writeCalls is its one writer; each connection has its reader, readAnswers.
+// shard handles the calls for a part of the names, in order, on one connection at a time. Only
+// writeCalls writes to connections; each connection has a goroutine that reads its answers,
+// readAnswers.
 type shard struct {
 	timeout    time.Duration
 	losses     *lossLog
 	queue      chan *call
-	ctx        context.Context // ends with the counter's client
+	ctx        context.Context // cancelled when the client is closed
 	goroutines *sync.WaitGroup
 
-	mu         sync.Mutex // held for the connections' fields too
+	mu         sync.Mutex // also guards the fields of the connections
 	addr       string
-	current    *connection              // nil: none is up
-	open       map[*connection]struct{} // whose reader runs: current, and earlier ones with pending calls
-	cancelDial context.CancelFunc       // of the dial under way; nil: none is
+	current    *connection              // receives new calls; nil: not connected
+	open       map[*connection]struct{} // being read: current, and earlier ones with pending calls
+	cancelDial context.CancelFunc       // cancels the dial in progress; nil: none
 }
 
-// connection is one connection and the calls that were written to it.
+// connection is a connection and the calls that were written to it.
 type connection struct {
 	text    *textproto.Conn
 	socket  net.Conn
-	pending []*call // written and not answered, oldest first
-	closed  bool    // set with the lock held, by its one close
+	pending []*call // calls written and not answered yet, oldest first
+	closed  bool    // set with mu held, by whichever call closes the connection
 }
 
-// dialOutcome is how a dial ended.
+// dialOutcome is the outcome of a dial.
 type dialOutcome uint8
 
-// The outcomes of a dial.
+// Outcomes of a dial.
 const (
 	dialFailed dialOutcome = iota
 	dialConnected
 	dialCancelled // the address has changed, or the client is closed
 )
 
-// connect returns the current connection, after dialing if there is none; nil where the counter
-// cannot be reached. Where the address changes during the dial, the new one is dialed instead.
+// connect returns the current connection, and dials if there is none. It returns nil if the counter
+// cannot be reached. If the address changes during the dial, it dials the new address instead.
 func (s *shard) connect() *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +67,7 @@
 		socket, outcome := s.dial()
 		switch {
 		case outcome == dialConnected:
-			s.use(socket)
+			s.setCurrent(socket)
 		case outcome == dialFailed || s.ctx.Err() != nil:
 			return nil
 		}
@@ -74,7 +75,7 @@
 	return s.current
 }
 
-// dial dials the address. Its caller holds the lock, which is released during the dial.
+// dial dials the address. The caller must hold mu, which is released during the dial.
 func (s *shard) dial() (net.Conn, dialOutcome) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.timeout)
 	defer cancel()
@@ -98,16 +99,17 @@
 	}
 }
 
-// use makes a connection of a socket the current one. Its caller holds the lock.
-func (s *shard) use(socket net.Conn) {
+// setCurrent makes a connection of socket the current one and starts to read from it. The caller
+// must hold mu.
+func (s *shard) setCurrent(socket net.Conn) {
 	conn := &connection{text: textproto.NewConn(socket), socket: socket}
 	s.current = conn
 	s.open[conn] = struct{}{}
 	s.goroutines.Go(func() { s.readAnswers(conn) })
 }
 
-// setAddress ends a dial to the old address and leaves the current connection to its pending calls;
-// their last answer closes it (deliver).
+// setAddress changes the address of new calls and cancels a dial to the previous one. The current
+// connection stays open for its pending calls; deliver closes it after their last answer.
 func (s *shard) setAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,14 +129,14 @@
 	}
 }
 
-// setReadDeadline has the connection's reader give up at its readDeadline.
+// setReadDeadline sets the read deadline of the connection to its readDeadline.
 func (s *shard) setReadDeadline(conn *connection) {
-	// It fails on a closed connection alone, as reads do.
+	// It fails only on a closed connection, where reads fail as well.
 	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout))
 }
 
-// readDeadline decides when a connection is given up as silent: once its oldest pending call has
-// waited for the timeout, which bounds a dial too. The zero time is never.
+// readDeadline returns when the connection is closed as silent: when its oldest pending call has
+// waited for timeout, which also limits a dial. The zero time means never.
 func (c *connection) readDeadline(timeout time.Duration) time.Time {
 	if len(c.pending) == 0 {
 		return time.Time{}
@@ -142,7 +144,8 @@
 	return c.pending[0].writtenAt.Add(timeout)
 }
 
-// disconnect closes a connection, once. Its pending calls may have been added.
+// disconnect closes a connection that its reader or writer gives up, and ends its pending calls
+// with TimedOut, because their units may have been added. It does not close a connection twice.
 func (s *shard) disconnect(conn *connection, reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +154,7 @@
 		return
 	}
 	conn.closed = true
-	_ = conn.text.Close() // the reason to report is the other one
+	_ = conn.text.Close() // the given reason is the one to report
 	if s.current == conn {
 		s.current = nil
 	}
@@ -163,7 +166,7 @@
 	}
 }
 
-// close closes all connections and fails what is queued.
+// close closes all connections and fails the queued calls.
 func (s *shard) close() {
 	s.mu.Lock()
 	open := slices.Collect(maps.Keys(s.open))
--- a/internal/gateway/counter/write.go
+++ b/internal/gateway/counter/write.go
@@ -7,8 +7,8 @@
 	"harrierhoist/policy"
 )
 
-// writeCalls writes queued calls on a connection, which it sets up when there is none. Calls that
-// are queued together are written together.
+// writeCalls writes queued calls to the current connection, and connects if there is none. Calls
+// that are queued at the same time are flushed together.
 func (s *shard) writeCalls() {
 	defer s.close()
 	for {
@@ -36,7 +36,7 @@
 func (s *shard) writeCall(conn *connection, next *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != conn { // it was closed, or the address was changed, since connect returned it
+	if s.current != conn { // it was closed, or the address has changed, since connect returned
 		next.done(0, policy.ConnectFailed)
 		return
 	}
@@ -45,12 +45,12 @@
 	if len(conn.pending) == 1 {
 		s.setReadDeadline(conn)
 	}
-	// It fails on a closed connection alone, as the flush does.
+	// It fails only on a closed connection, where the flush fails as well.
 	_ = conn.socket.SetWriteDeadline(next.writtenAt.Add(writeTimeout))
-	_, _ = conn.text.W.WriteString(next.text + "\r\n") // an error stays until the flush
+	_, _ = conn.text.W.WriteString(next.line + "\r\n") // Flush returns the error, too
 }
 
-// failQueued fails a call and those queued behind it, as there is no connection.
+// failQueued fails a call and all queued calls because there is no connection.
 func (s *shard) failQueued(next *call) {
 	for {
 		next.done(0, policy.ConnectFailed)
