--- a/internal/gateway/dispatch/attempt.go
+++ b/internal/gateway/dispatch/attempt.go
@@ -7,48 +7,50 @@
 	"harrierhoist/policy"
 )
 
-// attempt is an attempt of a request at a server. Until its first byte it can be cancelled, and
-// then it surely never ran; from there on it can only be abandoned, and may have run. One atomic
-// step decides which of the two it is.
+// attempt is one attempt to run a request at a server. Until its first byte is sent it can be
+// cancelled, and then it certainly never ran. After that it can only be abandoned, and may have
+// run. A compare-and-swap of state decides between sending and cancelling.
 type attempt struct {
-	server  Server // as it was listed when it was chosen
-	state   atomic.Uint32
-	abandon context.CancelFunc
+	server  Server             // as listed when it was selected
+	state   atomic.Uint32      // one of the states below
+	abandon context.CancelFunc // cancels Decision.Context
 }
 
-// The states of an attempt.
+// States of an attempt.
 const (
-	attemptUnbegun uint32 = iota
-	attemptBegun
+	attemptUnsent uint32 = iota
+	attemptSending
 	attemptCancelled
 )
 
-// begin decides whether the first byte may go out; from then on the attempt counts as begun.
-func (a *attempt) begin() bool { return a.state.CompareAndSwap(attemptUnbegun, attemptBegun) }
+// beginSend reports whether the first byte may be sent. It returns true at most once, and never
+// after the attempt was cancelled.
+func (a *attempt) beginSend() bool { return a.state.CompareAndSwap(attemptUnsent, attemptSending) }
 
-// cancelUnbegun ends an attempt that has not begun, and leaves one that has as it is: nothing is to
-// reach a server for a client that has gone, for a request that has its final answer, or at a
-// server that the endpoint list takes out of service. A connection that is coming up is lost with
-// it.
-func (a *attempt) cancelUnbegun() {
-	if a != nil && a.state.CompareAndSwap(attemptUnbegun, attemptCancelled) {
+// cancelUnsent cancels the attempt, and a dial in progress for it, if its first byte has not been
+// sent. Otherwise it does nothing. It prevents attempts for a client that has disconnected or a
+// request that has its final answer, and attempts at a server that the endpoint list takes out of
+// service. a may be nil.
+func (a *attempt) cancelUnsent() {
+	if a != nil && a.state.CompareAndSwap(attemptUnsent, attemptCancelled) {
 		a.abandon()
 	}
 }
 
-// isStale decides whether the server is no longer in the endpoint list as it was chosen: it is
-// removed, draining, at another address, or was started again.
+// isStale reports whether the server's current entry in the endpoint list differs from the selected
+// one: the server was removed or restarted, is draining, or has another address. current is the
+// zero Server if there is no entry.
 func (a *attempt) isStale(current Server) bool {
 	isSameProcess := current.Address == a.server.Address && current.Endpoint.StartedAt == a.server.Endpoint.StartedAt
 	return current.Endpoint.State != policy.Ready || !isSameProcess
 }
 
-// cancelUnbegunAttempts cancels the stale attempts that have not begun. The decision module finds
-// their requests other servers.
-func (d *Dispatcher) cancelUnbegunAttempts() {
+// cancelStaleAttempts cancels the stale attempts whose first byte has not been sent. The decision
+// module then selects other servers for their requests.
+func (d *Dispatcher) cancelStaleAttempts() {
 	for _, r := range d.requests {
-		if r.current != nil && r.current.isStale(d.servers.byNumber[r.server]) {
-			r.current.cancelUnbegun()
+		if r.current != nil && r.current.isStale(d.servers.byNumber[r.serverID]) {
+			r.current.cancelUnsent()
 		}
 	}
 }
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -19,10 +19,10 @@
 
 // cancelCause is an event after which an attempt at server s-1 has no reason any more.
 type cancelCause struct {
-	name     string
-	happens  func(f *fixture, request *Request)
-	next     Action // after an attempt that was cancelled
-	isUsable bool   // the server may be chosen again as it was
+	name             string
+	trigger          func(f *fixture, request *Request)
+	nextAction       Action // after an attempt that was cancelled
+	isServerReusable bool   // the server may be chosen again as it was
 }
 
 // Guards against attempts that begin without a reason, where the deployment has no cancelling.
@@ -31,30 +31,30 @@
 		return func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", address, state, startedAt) }
 	}
 	for _, cause := range []cancelCause{
-		{name: "client disconnects", happens: func(_ *fixture, request *Request) {
+		{name: "client disconnects", trigger: func(_ *fixture, request *Request) {
 			request.Disconnect()
-		}, next: Disconnected},
-		{name: "final answer is due", happens: func(f *fixture, request *Request) { f.expire(request) }, next: Reject},
-		{name: "server drains", happens: notify("here", policy.Draining, 0), next: Forward},
-		{name: "server is removed", happens: notify("here", policy.Removed, 0), next: Forward},
-		{name: "full list leaves server out", happens: func(f *fixture, _ *Request) {
+		}, nextAction: Disconnected},
+		{name: "final answer is due", trigger: func(f *fixture, request *Request) { f.expire(request) }, nextAction: Reject},
+		{name: "server drains", trigger: notify("here", policy.Draining, 0), nextAction: Forward},
+		{name: "server is removed", trigger: notify("here", policy.Removed, 0), nextAction: Forward},
+		{name: "full list leaves server out", trigger: func(f *fixture, _ *Request) {
 			f.dispatcher.HandleEndpoints(policy.ListFull, nil)
-		}, next: Forward},
-		{name: "server has another address", happens: notify("there", policy.Ready, 0), next: Forward},
-		{name: "server was started again", happens: notify("here", policy.Ready, 1), next: Forward},
-		{name: "server is removed and comes back", happens: func(f *fixture, _ *Request) {
+		}, nextAction: Forward},
+		{name: "server has another address", trigger: notify("there", policy.Ready, 0), nextAction: Forward},
+		{name: "server was started again", trigger: notify("here", policy.Ready, 1), nextAction: Forward},
+		{name: "server is removed and comes back", trigger: func(f *fixture, _ *Request) {
 			f.setEndpoint(policy.ListFull, policy.Removed)
 			f.setEndpoint(policy.ListFull, policy.Ready)
-		}, next: Forward, isUsable: true},
+		}, nextAction: Forward, isServerReusable: true},
 	} {
 		for _, class := range []int{0, 1} {
 			t.Run(fmt.Sprint(cause.name, ", unbegun, class ", class), func(t *testing.T) {
 				t.Parallel()
-				cause.checkUnbegun(t, class)
+				cause.checkUnsent(t, class)
 			})
 			t.Run(fmt.Sprint(cause.name, ", begun, class ", class), func(t *testing.T) {
 				t.Parallel()
-				cause.checkBegun(t, class)
+				cause.checkSending(t, class)
 			})
 		}
 	}
@@ -63,14 +63,14 @@
 func withoutCancelling(settings *policy.Settings) { settings.CanCancel = false }
 
 // checkBegun wants an attempt that has begun left as it is.
-func (c *cancelCause) checkBegun(t *testing.T, class int) {
+func (c *cancelCause) checkSending(t *testing.T, class int) {
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
-	request, forward := f.forwarded(class, time.Hour)
+	request, forward := f.forwardRequest(class, time.Hour)
 	if !forward.Begin() {
 		t.Fatal("Begin refuses the first byte")
 	}
-	c.happens(f, request)
+	c.trigger(f, request)
 	if forward.Context.Err() != nil {
 		t.Fatal("cancelled after its first byte")
 	}
@@ -80,11 +80,11 @@
 }
 
 // checkUnbegun wants an attempt that has not begun cancelled, and the request handled otherwise.
-func (c *cancelCause) checkUnbegun(t *testing.T, class int) {
+func (c *cancelCause) checkUnsent(t *testing.T, class int) {
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
-	request, forward := f.forwarded(class, time.Hour)
-	c.happens(f, request)
+	request, forward := f.forwardRequest(class, time.Hour)
+	c.trigger(f, request)
 	if forward.Context.Err() == nil {
 		t.Fatal("not cancelled")
 	}
@@ -93,14 +93,14 @@
 	}
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	request.ReportResult(Result{Outcome: policy.NotSent})
-	want := c.next
+	want := c.nextAction
 	if want == Reject && class == 1 {
 		want = Terminate // the report that it was not sent came after the final answer
 	}
 	next := f.expectAction(request, want)
 	isSame := next.Server.Name == "s-1" && next.Server.Address == forward.Server.Address &&
 		next.Server.Endpoint.StartedAt == forward.Server.Endpoint.StartedAt
-	if next.Action == Forward && isSame && !c.isUsable {
+	if next.Action == Forward && isSame && !c.isServerReusable {
 		t.Errorf("forwarded there again: %+v", next.Server)
 	}
 }
@@ -108,7 +108,7 @@
 // A list that repeats an entry, or changes that of another server, cancels nothing.
 func TestAttempt_continuesWhenItsServerIsUnchanged(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
-	request, forward := f.forwarded(0, time.Hour)
+	request, forward := f.forwardRequest(0, time.Hour)
 	f.setEndpoint(policy.ListFull, policy.Ready)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Draining, 0)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
@@ -147,7 +147,7 @@
 			return request
 		},
 		"waits for a retry": func(f *fixture) *Request {
-			request, forward := f.forwarded(0, time.Hour)
+			request, forward := f.forwardRequest(0, time.Hour)
 			f.setEndpoint(policy.ListFull, policy.Draining)
 			forward.Begin()
 			request.ReportResult(Result{Outcome: policy.Rejected})
@@ -184,7 +184,7 @@
 	})
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	before := time.Now()
-	request, forward := f.forwarded(0, time.Hour)
+	request, forward := f.forwardRequest(0, time.Hour)
 	if !forward.WriteDeadline.Equal(forward.Deadline) {
 		t.Errorf("the first has the write deadline %v, not %v", forward.WriteDeadline, forward.Deadline)
 	}
@@ -206,7 +206,7 @@
 		d.Classes[0].Effect, d.Classes[0].DedupWindow = policy.Keyed, time.Minute
 	})
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
-	request, _ := f.forwarded(0, time.Hour)
+	request, _ := f.forwardRequest(0, time.Hour)
 	request.ReportResult(Result{Outcome: policy.ConnectFailed})
 	if forward := f.expectAction(request, Forward); !forward.WriteDeadline.Equal(forward.Deadline) {
 		t.Errorf("write deadline %v", forward.WriteDeadline)
@@ -217,7 +217,7 @@
 // decision and the final one fit into its channel.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
-	request, _ := f.forwarded(0, time.Hour)
+	request, _ := f.forwardRequest(0, time.Hour)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	f.notifyEndpoint("s-1", "here", policy.Draining, 0)
 	request.ReportResult(Result{Outcome: policy.NotSent})
--- a/internal/gateway/dispatch/clock.go
+++ b/internal/gateway/dispatch/clock.go
@@ -2,20 +2,23 @@
 
 import "time"
 
-// clock counts from the origin that all gateways share. It reads the wall clock once, at the start,
-// and goes on by the monotonic one: windows agree between gateways and across restarts, and a step
-// of the wall clock changes nothing.
+// clock is the clock that all gateways share: the time since the Unix epoch. It reads the wall
+// clock once, at startup, and follows the monotonic clock from then on. Windows therefore agree
+// between gateways and across restarts, and a step of the wall clock has no effect on a running
+// gateway.
 type clock struct {
-	startedAt time.Time
-	origin    time.Duration // startedAt as the shared clock has it
+	startedAt       time.Time
+	startSinceEpoch time.Duration // startedAt on the shared clock
 }
 
 func newClock() clock {
 	now := time.Now()
-	return clock{startedAt: now, origin: time.Duration(now.UnixNano())}
+	return clock{startedAt: now, startSinceEpoch: time.Duration(now.UnixNano())}
 }
 
-func (c clock) now() time.Duration { return c.origin + time.Since(c.startedAt) }
+func (c clock) now() time.Duration { return c.startSinceEpoch + time.Since(c.startedAt) }
 
-// timeOf gives a moment of the shared clock as this process's.
-func (c clock) timeOf(moment time.Duration) time.Time { return c.startedAt.Add(moment - c.origin) }
+// toTime converts a time of the shared clock to a time of this process's clock.
+func (c clock) toTime(sinceEpoch time.Duration) time.Time {
+	return c.startedAt.Add(sinceEpoch - c.startSinceEpoch)
+}
--- a/internal/gateway/dispatch/counterqueue.go
+++ b/internal/gateway/dispatch/counterqueue.go
@@ -6,30 +6,30 @@
 	"harrierhoist/policy"
 )
 
-// counterQueue puts the counter's replies into the order of the calls, by name: the decision module
-// matches them in that order, which two connections, as after a change of the counter's address, do
-// not keep between them.
-type counterQueue struct {
-	calls []*counterCall // oldest first; delivered ones stay until all before them are delivered
+// counterCallQueue delivers the counter's replies for a name in the order of the calls, because the
+// decision module matches them to its calls in that order. Replies on two connections, for example
+// after the counter's address has changed, can arrive out of order.
+type counterCallQueue struct {
+	calls []*counterCall // oldest first; a delivered call stays until all before it are delivered
 }
 
 // counterCall is a call to the counter.
 type counterCall struct {
 	name      uint64
 	startedAt time.Duration
-	reply     *policy.CountResult // nil: none yet
+	reply     *policy.CountResult // nil: not received yet
 	delivered bool
 }
 
-func (q *counterQueue) add(name uint64, now time.Duration) *counterCall {
+func (q *counterCallQueue) add(name uint64, now time.Duration) *counterCall {
 	call := &counterCall{name: name, startedAt: now}
 	q.calls = append(q.calls, call)
 	return call
 }
 
-// complete takes the reply to a call, and delivers those for its name up to the first that is
-// pending.
-func (q *counterQueue) complete(call *counterCall, reply policy.CountResult, deliver func(policy.CountResult)) {
+// complete records the reply to a call. It then delivers the replies for the call's name up to the
+// first pending call.
+func (q *counterCallQueue) complete(call *counterCall, reply policy.CountResult, deliver func(policy.CountResult)) {
 	call.reply = &reply
 	for _, earlier := range q.calls {
 		if earlier.name != call.name || earlier.delivered {
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -6,40 +6,43 @@
 	"harrierhoist/policy"
 )
 
-// CountingRules say under which counts requests fall, where that is not always their customer's.
-// All methods are called under the dispatcher's lock and may neither wait nor call back.
+// CountingRules decide which counts requests are charged to, where that is not always the
+// customer's own. All methods are called with the dispatcher's lock held. They must not block, and
+// must not call methods of the dispatcher that acquire its lock.
 type CountingRules interface {
-	// WithRulePlans gives settings with the rules' own plans behind them. WithoutRulePlans takes
-	// them as they are in force, and gives them as clients may know them: with the rules' plans
-	// retired.
+	// WithRulePlans returns settings with the rules' own plans appended.
 	WithRulePlans(settings policy.Settings) policy.Settings
+	// WithoutRulePlans is called with the settings that have come into force. It returns them as
+	// clients may see them: with the rules' plans retired.
 	WithoutRulePlans(settings policy.Settings) policy.Settings
-	// Assign gives the counts of a request that comes in now. The request keeps them, whichever
-	// rule is in force later.
+	// Assign returns the counts of a new request. The request keeps them even if another rule comes
+	// into force before it completes.
 	Assign(now time.Duration, spec RequestSpec) CountAssignment
-	// HandleCounterCall is called at each call of the decision module to the counter.
+	// HandleCounterCall is called for each call that the decision module makes to the counter.
 	HandleCounterCall()
 }
 
-// CountAssignment is how a request is counted.
+// CountAssignment states how a request is counted.
 type CountAssignment struct {
-	Key          uint64 // in place of its customer
-	Plan         int
-	GatewayCount int
-	Weight       float64 // of a unit
-	PerCustomer  bool    // counted under its customer: the use that servers report counts
-	// CheckOthers asks the other counts that the request has to pass, nil where there are none. It
-	// calls the function given to it once, from another goroutine, without the dispatcher's lock.
-	CheckOthers func(then func(pass bool))
-	// Completed is called once, when the request has its final answer: whether it was forwarded,
-	// and its true weighted units (0: not reported).
+	Key          uint64  // number of the count, in place of the customer's
+	Plan         int     // index of the plan in the settings
+	GatewayCount int     // number of gateways that admit requests under the key
+	Weight       float64 // units charged per unit of the request
+	PerCustomer  bool    // the request counts under its customer, so Result.Usage applies
+	// CheckOthers checks the other counts that must admit the request; nil: there are none. It
+	// calls done once, from another goroutine and without the dispatcher's lock.
+	CheckOthers func(done func(admitted bool))
+	// Completed is called once, with the dispatcher's lock held, when the request completes; nil:
+	// it is not called. forwarded reports whether an attempt was made. units are the actual units
+	// times Weight; 0: not reported.
 	Completed func(forwarded bool, units float64)
 
-	actualUnits float64
+	actualUnits float64 // of the latest result, times Weight
 }
 
-// weightResult turns a result's units into those of the request's count.
-func (a *CountAssignment) weightResult(result Result) Result {
+// applyWeight multiplies the result's units by the weight and records them. It clears the usage
+// unless the request counts under its customer.
+func (a *CountAssignment) applyWeight(result Result) Result {
 	result.ActualUnits *= a.Weight
 	a.actualUnits = result.ActualUnits
 	if !a.PerCustomer {
@@ -48,8 +51,8 @@
 	return result
 }
 
-// SetCountingRules has requests counted by rules from here on; called again, it takes their plans
-// anew. An error means that nothing has changed.
+// SetCountingRules makes the dispatcher count new requests by rules. Calling it again with the same
+// rules updates their plans. If it returns an error, nothing has changed.
 func (d *Dispatcher) SetCountingRules(rules CountingRules) error {
 	now := d.lock()
 	defer d.unlock()
@@ -62,21 +65,21 @@
 	return err
 }
 
-// CallCounter calls the counter past the decision module. It neither waits nor calls back before it
-// returns.
+// CallCounter calls the counter without the decision module; the parameters are those of
+// Dependencies.Count. It does not block, and does not call reply before it returns.
 func (d *Dispatcher) CallCounter(
 	name uint64, units float64, ttl time.Duration, reply func(total float64, outcome policy.Outcome),
 ) {
 	d.dependencies.Count(name, units, ttl, reply)
 }
 
-// isLateReply decides whether a call to the counter is recorded as late though it was answered: its
-// reply took longer than Settings.CountTimeout. It ends no wait: the reply is used all the same.
+// isLateReply reports whether a reply took longer than Settings.CountTimeout. The call is then
+// recorded as late, but the reply is still used: the timeout does not end the wait for it.
 func (d *Dispatcher) isLateReply(latency time.Duration) bool {
 	return d.lateReplyAfter > 0 && latency > d.lateReplyAfter
 }
 
-// handleCounterReply takes the counter's reply to a call of the decision module.
+// handleCounterReply handles the counter's reply to a call of the decision module.
 func (d *Dispatcher) handleCounterReply(now time.Duration, call *counterCall, total float64, outcome policy.Outcome) {
 	latency := now - call.startedAt
 	if d.recorder != nil {
@@ -86,26 +89,26 @@
 	d.counterCalls.complete(call, reply, func(reply policy.CountResult) { d.module.HandleCount(d.clock.now(), reply) })
 }
 
-// admitByRules hands a request to the decision module under its count, once the other counts let it
-// pass.
-func (d *Dispatcher) admitByRules(now time.Duration, request *Request, spec RequestSpec, asked policy.Request) {
+// admitByRules passes a request to the decision module under its assigned count, after its other
+// counts have admitted it.
+func (d *Dispatcher) admitByRules(now time.Duration, request *Request, spec RequestSpec, policyRequest policy.Request) {
 	assignment := d.rules.Assign(now, spec)
 	request.assignment = &assignment
-	asked.Customer = assignment.Key
-	asked.Plan = assignment.Plan
-	asked.GatewayCount = assignment.GatewayCount
-	asked.Units = spec.Units * assignment.Weight
+	policyRequest.Customer = assignment.Key
+	policyRequest.Plan = assignment.Plan
+	policyRequest.GatewayCount = assignment.GatewayCount
+	policyRequest.Units = spec.Units * assignment.Weight
 	if assignment.CheckOthers == nil {
-		d.module.HandleRequest(now, asked)
+		d.module.HandleRequest(now, policyRequest)
 		return
 	}
-	assignment.CheckOthers(func(pass bool) {
+	assignment.CheckOthers(func(admitted bool) {
 		now := d.lock()
 		defer d.unlock()
 		switch {
-		case request.completed: // its client has gone
-		case pass && now < asked.Deadline:
-			d.module.HandleRequest(now, asked)
+		case request.completed: // meanwhile, for example because the client disconnected
+		case admitted && now < policyRequest.Deadline:
+			d.module.HandleRequest(now, policyRequest)
 		default:
 			request.finish(Decision{Action: Reject})
 		}
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -42,7 +42,7 @@
 	f := newFixture(t)
 	rules := &fakeRules{nextWeights: []float64{3, 1}}
 	f.setRules(rules)
-	request, _ := f.forwarded(0, time.Second)
+	request, _ := f.forwardRequest(0, time.Second)
 	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5, Usage: 1.5})
 	f.admit(0, 0, time.Second)
 	for call := range f.counterCalls { // a new window may be opened first
@@ -81,7 +81,7 @@
 			f := newFixture(t, withLongTimeouts)
 			rules := &fakeRules{nextWeights: []float64{1}}
 			f.setRules(rules)
-			request, forward := f.forwarded(0, time.Hour)
+			request, forward := f.forwardRequest(0, time.Hour)
 			forward.Begin()
 			if want == Disconnected {
 				request.Disconnect()
--- a/internal/gateway/dispatch/decision.go
+++ b/internal/gateway/dispatch/decision.go
@@ -7,40 +7,41 @@
 	"harrierhoist/policy"
 )
 
-// Action is what is to be done with a request.
+// Action is what the caller of Next must do with a request.
 type Action uint8
 
-// The actions. All but Forward are final.
+// Actions. All but Forward are final.
 const (
-	Forward      Action = iota // make an attempt at a server, and report its result
-	Reject                     // answer that a repeat is harmless
-	Terminate                  // answer that it failed, and may have run
-	Disconnected               // answer nothing: its client has gone
+	Forward      Action = iota // make an attempt at a server and report its result
+	Reject                     // reply that the request can be retried safely
+	Terminate                  // reply that the request failed and may have run
+	Disconnected               // send no reply: the client has disconnected
 )
 
-// Decision is an action and what goes with it.
+// Decision is an action with its parameters.
 type Decision struct {
 	Action Action
-	// Server is where an attempt goes.
+	// Server is the server of an attempt.
 	Server Server
-	// Deadline is when an attempt that has no answer is abandoned.
+	// Deadline is when an attempt without an answer is abandoned.
 	Deadline time.Time
-	// WriteDeadline is until when an attempt may be written to its last byte, not after Deadline.
+	// WriteDeadline is when the attempt's last byte must have been written. It is not after
+	// Deadline.
 	WriteDeadline time.Time
-	// Context ends when an attempt is to be abandoned at once.
+	// Context is cancelled when the attempt must be abandoned immediately.
 	Context context.Context
-	// Begin is asked once, right before an attempt's first byte, which is written only where it
-	// returns true.
+	// Begin must be called once, immediately before an attempt's first byte is written. The byte
+	// may be written only if it returns true.
 	Begin func() bool
-	// SendsRetryAfter is how long the client of a rejected request is asked to stay away; 0: it is
-	// not asked.
+	// RetryAfter is how long the client of a rejected request should wait before it retries; 0: not
+	// stated.
 	RetryAfter time.Duration
 }
 
-// Result tells how an attempt, or a health check, ended.
+// Result is the result of an attempt or a health check.
 type Result struct {
 	Outcome     policy.Outcome
-	ActualUnits float64 // true units; 0: not reported
-	Usage       float64 // 1 + the part of its rate that the customer used of late; 0: not reported
-	LoadReport  []float32
+	ActualUnits float64   // units that the request used; 0: not reported
+	Usage       float64   // 1 + fraction of its rate that the customer used lately; 0: not reported
+	LoadReport  []float32 // one value for each of Settings.LoadReportFields; nil: not reported
 }
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -1,8 +1,10 @@
-// Package dispatch owns the one decision module, a policy.Gateway: it hands the module events under
-// one lock and carries out what it asks for. Itself it decides only what the module cannot know:
-// the end of a steering's lease, requests that the steering sheds, and attempts that have become
-// pointless before their first byte. The listener calls Admit for each request, Next for what to do
-// with it, and ReportResult after each attempt; RunTimers lets time pass.
+// Package dispatch runs the gateway's decision module, a policy.Gateway. The Dispatcher passes
+// events to the module under one lock and carries out the actions that the module requests. It
+// decides only what the module has no information about: when the lease of a steering has expired,
+// which requests the steering sheds, and which attempts are cancelled before their first byte.
+//
+// The listener calls Dispatcher.Admit for each request, Request.Next for each decision, and
+// Request.ReportResult after each attempt. Dispatcher.RunTimers delivers the module's timers.
 package dispatch
 
 import (
@@ -18,53 +20,53 @@
 	"harrierhoist/policy"
 )
 
-// Dependencies is what the dispatcher needs of the network. None of its functions may wait, nor
-// call back before it returns: the dispatcher's lock is held, and a callback takes it.
+// Dependencies are the network operations that the dispatcher uses, and their parameters. The
+// functions must not block, and must not call their callback before they return: the dispatcher may
+// hold its lock, which the callback acquires.
 type Dependencies struct {
-	// Count adds units to a number of the counter, which keeps it for ttl after. Reply is called
-	// once with the total, however late.
+	// Count adds units to the counter's total for a name, which the counter then keeps for ttl. It
+	// calls reply once with the total, no matter how late the total arrives.
 	Count func(name uint64, units float64, ttl time.Duration, reply func(total float64, outcome policy.Outcome))
-	// CheckHealth polls a server's load report, and calls done once.
+	// CheckHealth requests a server's load report and calls done once.
 	CheckHealth func(server Server, done func(Result))
-	// IdleTimeout is how long a connection to a server is kept after its latest attempt: the
-	// decision module is handed as many servers as its attempts can keep connections open to. At 0
-	// it is handed all.
+	// IdleTimeout is how long a connection to a server stays open after its latest attempt. The
+	// decision module gets only as many servers as the gateway's attempts can keep connections open
+	// to; at 0 it gets all servers.
 	IdleTimeout time.Duration
-	// Recorder records what goes on in each zone, under the dispatcher's lock; nil: nothing is
+	// Recorder records statistics of each zone, with the dispatcher's lock held; nil: none are
 	// recorded.
 	Recorder *zonestats.Recorder
 }
 
-// Dispatcher owns the decision module and the requests in flight. It is safe for concurrent
-// use.
+// Dispatcher owns the decision module and the requests in flight. It is safe for concurrent use.
 type Dispatcher struct {
-	mu     sync.Mutex // held by each call of the module, and so by what it asks for
+	mu     sync.Mutex // held during each call of the module, and therefore in the methods of host
 	module *policy.Gateway
 	clock  clock
 	log    *zap.Logger
 
 	dependencies Dependencies
 	recorder     *zonestats.Recorder // nil: nothing is recorded
-	accounts     *account.Accounts   // of what requests owe partners; nil: nothing is kept
+	accounts     *account.Accounts   // debts of requests to partners; nil: none are accounted
 	rules        CountingRules       // nil: every request counts under its customer
 
-	requests      map[uint32]*Request // those that the module may still ask something of
+	requests      map[uint32]*Request // in flight, by ID: those that the module may still refer to
 	lastRequestID uint32
 
 	servers      serverTable
-	subset       *subset.Subset // which of them the module is handed
+	subset       *subset.Subset // selects the servers that the module gets
 	steering     steeringLease
 	timers       *timerQueue
-	counterCalls counterQueue
+	counterCalls counterCallQueue
 
-	settings         policy.Settings // as last given, without what the rules add
-	loadReportLength int             // how many figures a load report has
-	lateReplyAfter   time.Duration   // a reply of the counter that took longer is late; 0: none is
-	shedRetryAfter   time.Duration   // for the client of a request that is shed; 0: none
+	settings         policy.Settings // as last set, without the rules' plans
+	loadReportLength int             // number of values in a load report
+	lateReplyAfter   time.Duration   // latency above which a counter reply is late; 0: none is
+	shedRetryAfter   time.Duration   // Retry-After of shed requests; 0: none
 }
 
-// New makes a dispatcher with a decision module that knows nothing of an earlier run. Its decisions
-// are drawn from the seed. The error is one of the settings.
+// New returns a dispatcher with a decision module that has no state from an earlier run. seed seeds
+// the module's random decisions. It returns an error if the settings are invalid.
 func New(settings policy.Settings, seed int64, dependencies Dependencies, log *zap.Logger) (*Dispatcher, error) {
 	d := &Dispatcher{
 		clock:        newClock(),
@@ -83,17 +85,17 @@
 	return d, err
 }
 
-// Reconfigure applies new settings to the running module and returns them as they are in force:
-// classes and plans keep their numbers. What is in flight goes on. After an error nothing has
-// changed.
+// Reconfigure applies new settings to the running module. It returns the settings in force, in
+// which classes and plans keep their numbers. Requests in flight continue. If it returns an error,
+// nothing has changed.
 func (d *Dispatcher) Reconfigure(settings policy.Settings) (policy.Settings, error) {
 	now := d.lock()
 	defer d.unlock()
 	return d.reconfigure(now, settings)
 }
 
-func (d *Dispatcher) reconfigure(now time.Duration, given policy.Settings) (policy.Settings, error) {
-	settings := given
+func (d *Dispatcher) reconfigure(now time.Duration, requested policy.Settings) (policy.Settings, error) {
+	settings := requested
 	if d.rules != nil {
 		settings = d.rules.WithRulePlans(settings)
 	}
@@ -101,18 +103,18 @@
 	if err != nil {
 		return settings, err
 	}
-	d.settings = given
-	d.subset.Resize(settings.GatewayIndex, settings.Gateways)
+	d.settings = requested
+	d.subset.Resize(settings.MyIndex, settings.Gateways)
 	d.accounts.SetPolicy(settings.Classes, settings.Plans)
 	d.applySettings(&settings)
 	if d.rules != nil {
 		settings = d.rules.WithoutRulePlans(settings)
 	}
-	d.updateModule(now, policy.ListFull)
+	d.updateModuleEndpoints(now, policy.ListFull)
 	return settings, nil
 }
 
-// applySettings takes what the dispatcher itself goes by from settings.
+// applySettings derives the dispatcher's own parameters from settings.
 func (d *Dispatcher) applySettings(settings *policy.Settings) {
 	d.loadReportLength = len(settings.LoadReportFields)
 	d.lateReplyAfter = settings.CountTimeout
@@ -125,31 +127,31 @@
 	}
 }
 
-// lock takes the lock and reads the clock.
+// lock acquires the lock and returns the current time.
 func (d *Dispatcher) lock() time.Duration {
 	d.mu.Lock()
 	return d.clock.now()
 }
 
-// unlock sets the alarm for the next timer and gives the lock back.
+// unlock schedules the wakeup for the earliest timer and releases the lock.
 func (d *Dispatcher) unlock() {
-	d.timers.arm(d.clock)
+	d.timers.scheduleWakeup(d.clock)
 	d.mu.Unlock()
 }
 
-// Now is the time by the clock that all gateways share, which windows are counted by.
+// Now returns the time of the clock that all gateways share and that determines the windows.
 func (d *Dispatcher) Now() time.Duration { return d.clock.now() }
 
-// RunTimers notifies the decision module of its timers as they come due, until the context ends.
+// RunTimers passes timers to the decision module as they become due, until ctx is cancelled.
 func (d *Dispatcher) RunTimers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.timers.alarm.C:
+		case <-d.timers.wakeup.C:
 		}
 		now := d.lock()
-		d.timers.handleAlarm()
+		d.timers.handleWakeup()
 		for token, due := d.timers.popDue(now); due; token, due = d.timers.popDue(now) {
 			d.module.HandleTimer(now, token)
 		}
@@ -157,7 +159,7 @@
 	}
 }
 
-// checkedLoadReport gives a load report of the length that the settings name, or none.
+// checkedLoadReport returns a load report if it has the length that the settings specify, else nil.
 func (d *Dispatcher) checkedLoadReport(report []float32) []float32 {
 	if len(report) != d.loadReportLength {
 		return nil
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -103,7 +103,7 @@
 }
 
 // forwarded brings a request as far as its first attempt.
-func (f *fixture) forwarded(class int, timeout time.Duration) (*Request, Decision) {
+func (f *fixture) forwardRequest(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
 	request := f.admit(class, 0, timeout)
 	(<-f.counterCalls).reply(0, policy.Answered)
@@ -157,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t)
-			request, forward := f.forwarded(test.class, 150*time.Millisecond)
+			request, forward := f.forwardRequest(test.class, 150*time.Millisecond)
 			<-forward.Context.Done()
 			request.ReportResult(Result{Outcome: policy.Cancelled})
 			f.expectAction(request, test.want)
@@ -167,7 +167,7 @@
 
 func TestRequest_disconnectedClientGetsNoAnswer(t *testing.T) {
 	f := newFixture(t)
-	request, _ := f.forwarded(0, time.Second)
+	request, _ := f.forwardRequest(0, time.Second)
 	request.Disconnect()
 	request.Disconnect() // the second changes nothing
 	request.ReportResult(Result{Outcome: policy.Reset})
@@ -187,7 +187,7 @@
 
 func TestTimers_noneLeftByCompletedRequest(t *testing.T) {
 	f := newFixture(t)
-	request, _ := f.forwarded(0, time.Hour)
+	request, _ := f.forwardRequest(0, time.Hour)
 	request.ReportResult(Result{Outcome: policy.Answered})
 	f.dispatcher.mu.Lock()
 	defer f.dispatcher.mu.Unlock()
@@ -203,7 +203,7 @@
 		t.Fatalf("%d timers after a list that failed, want the one that asks again", n)
 	}
 	fakes.Eventually(t, "the gateway asks again", func() bool { return f.pendingTimers() == 0 })
-	f.forwarded(0, time.Second)
+	f.forwardRequest(0, time.Second)
 }
 
 func (f *fixture) pendingTimers() int {
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -9,29 +9,29 @@
 	"harrierhoist/policy"
 )
 
-// Server is a server as discovery names it.
+// Server is an entry of the endpoint list.
 type Server struct {
 	Name, Address string
-	Endpoint      policy.Endpoint // its number is given here
-	nameHash      uint64
+	Endpoint      policy.Endpoint // Endpoint.Server is assigned by the dispatcher
+	nameHash      uint64          // subset.HashName of Name
 }
 
-// serverTable holds the servers of the endpoint list under the numbers that the decision
-// module knows them by.
+// serverTable holds the servers of the endpoint list by the numbers that identify them to the
+// decision module.
 type serverTable struct {
-	byNumber map[uint32]Server
-	numbers  map[string]uint32 // by name
-	last     uint32            // the latest number; none is used twice
+	byNumber   map[uint32]Server
+	numbers    map[string]uint32 // by name
+	lastNumber uint32            // latest number assigned; numbers are not reused
 }
 
 func newServerTable() serverTable {
 	return serverTable{byNumber: map[uint32]Server{}, numbers: map[string]uint32{}}
 }
 
-// update applies the full list, or what changed of it. A server that is removed is forgotten with
-// its number: the same name later is a new server to the decision module.
+// update applies a full list or a delta. It deletes a removed server and its number: if the name is
+// listed again, it is a new server to the decision module.
 func (t *serverTable) update(kind policy.ListKind, servers []Server) {
-	removed := map[string]uint32{} // names that a full list leaves out
+	removed := map[string]uint32{} // by name
 	if kind != policy.ListDelta {
 		removed = maps.Clone(t.numbers)
 	}
@@ -49,12 +49,12 @@
 	}
 }
 
-// put takes an entry of the list.
+// put adds or replaces the entry of a server.
 func (t *serverTable) put(server Server) {
 	number, known := t.numbers[server.Name]
 	if !known {
-		t.last++
-		number = t.last
+		t.lastNumber++
+		number = t.lastNumber
 		t.numbers[server.Name] = number
 		server.nameHash = subset.HashName(server.Name)
 	} else {
@@ -64,7 +64,7 @@
 	t.byNumber[number] = server
 }
 
-// candidates gives all servers in the order in which they were first named.
+// candidates returns all servers in the order in which they were first listed.
 func (t *serverTable) candidates() []subset.Candidate {
 	all := make([]subset.Candidate, 0, len(t.byNumber))
 	for _, number := range slices.Sorted(maps.Keys(t.byNumber)) {
@@ -74,9 +74,8 @@
 	return all
 }
 
-// HandleEndpoints applies the endpoint list, or what changed of it, and cancels attempts that have
-// not begun at servers that it takes out of service. After a failed list the earlier one stays in
-// force.
+// HandleEndpoints applies a full endpoint list or a delta, and cancels unsent attempts at servers
+// that it takes out of service. After a failed list the previous one remains in force.
 func (d *Dispatcher) HandleEndpoints(kind policy.ListKind, servers []Server) {
 	now := d.lock()
 	defer d.unlock()
@@ -85,13 +84,14 @@
 		return
 	}
 	d.servers.update(kind, servers)
-	d.updateModule(now, kind)
-	d.cancelUnbegunAttempts()
+	d.updateModuleEndpoints(now, kind)
+	d.cancelStaleAttempts()
 }
 
-// updateModule gives the decision module the ready servers of this gateway's subset. To the module
-// the others are removed: it asks for no attempt there, and what is in flight goes on.
-func (d *Dispatcher) updateModule(now time.Duration, kind policy.ListKind) {
+// updateModuleEndpoints passes the ready servers of this gateway's subset to the decision module.
+// The module considers all other servers removed: it makes no further attempts there, and attempts
+// in flight continue.
+func (d *Dispatcher) updateModuleEndpoints(now time.Duration, kind policy.ListKind) {
 	all := d.servers.candidates()
 	if d.recorder != nil {
 		d.recordEndpoints(now, all)
@@ -105,9 +105,10 @@
 	d.module.HandleEndpoints(now, kind, selected)
 }
 
-// refreshEndpoints updates the module where the list has not changed, but what follows from it has.
+// refreshEndpoints updates the module's endpoints after a change of anything but the list that the
+// selection depends on. It does nothing while the list is empty.
 func (d *Dispatcher) refreshEndpoints(now time.Duration) {
 	if len(d.servers.byNumber) > 0 {
-		d.updateModule(now, policy.ListFull)
+		d.updateModuleEndpoints(now, policy.ListFull)
 	}
 }
--- a/internal/gateway/dispatch/host.go
+++ b/internal/gateway/dispatch/host.go
@@ -7,16 +7,17 @@
 	"harrierhoist/policy"
 )
 
-// host is the policy.Host of a dispatcher: it carries out what the module asks for, within the
-// call and under the lock.
+// host implements policy.Host for a dispatcher. The decision module calls its methods while the
+// dispatcher's lock is held.
 type host struct{ dispatcher *Dispatcher }
 
-// Attempt gives the goroutine that carries a request a server.
+// Attempt passes the decision to forward a request, with the server, to the goroutine that handles
+// the request.
 func (h host) Attempt(requestID, serverID uint32, deadline time.Duration) {
 	dispatcher := h.dispatcher
 	request := dispatcher.requests[requestID]
 	request.attempts++
-	request.server = serverID
+	request.serverID = serverID
 	request.attemptedAt = dispatcher.clock.now()
 	dispatcher.subset.CountAttempt(request.attemptedAt)
 	server := dispatcher.servers.byNumber[serverID]
@@ -31,17 +32,17 @@
 	decision := Decision{
 		Action:        Forward,
 		Server:        server,
-		Deadline:      dispatcher.clock.timeOf(deadline),
-		WriteDeadline: dispatcher.clock.timeOf(dispatcher.writeDeadline(requestID, deadline)),
-		Begin:         request.current.begin,
+		Deadline:      dispatcher.clock.toTime(deadline),
+		WriteDeadline: dispatcher.clock.toTime(dispatcher.writeDeadline(requestID, deadline)),
+		Begin:         request.current.beginSend,
 	}
 	decision.Context, request.current.abandon = context.WithCancel(context.Background())
 	request.decisions <- decision
 }
 
-// writeDeadline decides until when an attempt with a deadline may be written to its last byte, both
-// by the shared clock: a retry of a keyed request only within the window in which servers know its
-// key.
+// writeDeadline returns when the last byte of an attempt must have been written. That is the
+// attempt's deadline, or the end of the dedup window if the attempt is a retry of a keyed request:
+// after it, servers no longer know the key. Both times are on the shared clock.
 func (d *Dispatcher) writeDeadline(requestID uint32, deadline time.Duration) time.Duration {
 	retryDeadline := d.module.RetryDeadline(requestID)
 	hasRetryDeadline := retryDeadline != 0
@@ -51,15 +52,16 @@
 	return deadline
 }
 
-// Cancel abandons the attempt that is in flight; a request never has two.
+// Cancel abandons an attempt if it is the request's latest. A request has at most one attempt in
+// flight.
 func (h host) Cancel(requestID uint32, attemptNumber int) {
 	if r := h.dispatcher.requests[requestID]; r != nil && attemptNumber == r.attempts-1 {
-		r.current.cancelUnbegun()
+		r.current.cancelUnsent()
 		r.current.abandon()
 	}
 }
 
-// Reject is a final answer: a repeat of the request is harmless.
+// Reject completes a request that the client can retry safely.
 func (h host) Reject(requestID uint32, retryAfter time.Duration) {
 	d := h.dispatcher
 	r := d.requests[requestID]
@@ -68,19 +70,19 @@
 	}
 	isDemand := r.attempts == 0 && !r.isRepeat
 	if d.recorder != nil && isDemand && d.module.IsAdmitted(requestID) {
-		d.recorder.AddShed(r.units) // for lack of capacity, not for its quota
+		d.recorder.AddShed(r.units) // rejected for lack of capacity, not by its quota
 	}
 	r.finish(Decision{Action: Reject, RetryAfter: retryAfter})
 }
 
-// Terminate is a final answer: the request failed and may have run.
+// Terminate completes a request that failed and may have run.
 func (h host) Terminate(requestID uint32) {
 	if r := h.dispatcher.requests[requestID]; r != nil {
 		r.finish(Decision{Action: Terminate})
 	}
 }
 
-// Count calls the counter.
+// Count calls the counter for the decision module.
 func (h host) Count(name uint64, ttl time.Duration, units float64) {
 	d := h.dispatcher
 	call := d.counterCalls.add(name, d.clock.now())
@@ -94,7 +96,7 @@
 	})
 }
 
-// CheckHealth polls a server's load report.
+// CheckHealth requests a server's load report.
 func (h host) CheckHealth(serverID uint32) {
 	d := h.dispatcher
 	startedAt := d.clock.now()
@@ -106,13 +108,13 @@
 	})
 }
 
-// SendPeer does nothing: on sockets gateways exchange no gossip.
+// SendPeer does nothing: gateways that communicate over sockets exchange no gossip.
 func (host) SendPeer(int, []byte) {}
 
-// WatchEndpoints does nothing: package discovery follows the endpoint list, and retries, by itself.
+// WatchEndpoints does nothing: package discovery watches the endpoint list and retries on its own.
 func (host) WatchEndpoints() {}
 
-// SetTimer sets a timer; one that has the token already is replaced.
+// SetTimer sets a timer and replaces an earlier one with the same token.
 func (h host) SetTimer(token uint64, after time.Duration) {
 	h.dispatcher.timers.set(token, h.dispatcher.clock.now()+after)
 }
--- a/internal/gateway/dispatch/recorder.go
+++ b/internal/gateway/dispatch/recorder.go
@@ -8,7 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// SetRecorder has a recorder record what goes on in each zone, and how attempts in flight end.
+// SetRecorder makes recorder record statistics of each zone, including the results of attempts that
+// are already in flight.
 func (d *Dispatcher) SetRecorder(recorder *zonestats.Recorder) {
 	now := d.lock()
 	defer d.unlock()
@@ -17,7 +18,7 @@
 	d.refreshEndpoints(now)
 }
 
-// recordEndpoints gives the recorder the full endpoint list.
+// recordEndpoints passes the full endpoint list to the recorder.
 func (d *Dispatcher) recordEndpoints(now time.Duration, all []subset.Candidate) {
 	list := make([]policy.Endpoint, 0, len(all))
 	for _, server := range all {
@@ -26,8 +27,8 @@
 	d.recorder.SetEndpoints(now, list)
 }
 
-// WriteZoneCounts gives the recorder's counts, which the coordination node observes. Without a
-// recorder there are none.
+// WriteZoneCounts calls add for each of the recorder's counts, which the coordination node
+// observes. Without a recorder it does nothing.
 func (d *Dispatcher) WriteZoneCounts(add func(name string, n uint64)) {
 	now := d.lock()
 	defer d.unlock()
@@ -36,7 +37,8 @@
 	}
 }
 
-// IsZoneLost reports whether the gateway's own zone is lost by its own observations.
+// IsZoneLost reports whether the gateway's own zone is lost according to this gateway's
+// observations alone.
 func (d *Dispatcher) IsZoneLost() bool {
 	d.lock()
 	defer d.unlock()
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -7,41 +7,44 @@
 	"harrierhoist/policy"
 )
 
-// maxUnreadDecisions is how many decisions of a request can wait to be read: an attempt and the
-// final one. The dispatcher never waits for the goroutine that carries the request.
+// maxUnreadDecisions is the maximum number of unread decisions of a request: an attempt and the
+// final decision. It is the capacity of the request's channel, so the dispatcher never blocks on
+// the goroutine that handles the request.
 const maxUnreadDecisions = 2
 
-// RequestSpec is what a client requests.
+// RequestSpec describes a client's request.
 type RequestSpec struct {
-	Class, Plan  int // numbers in the settings
-	FirstGateway int // number of the first gateway of the customer's set
-	GatewayCount int // number of gateways in it
+	Class, Plan  int // indexes in the settings
+	FirstGateway int // index of the first gateway that serves the customer
+	GatewayCount int // number of gateways that serve the customer
 	Customer     uint64
 	Units        float64
-	Timeout      time.Duration // from now
-	Repeat       bool          // the client says that it asks again
+	Timeout      time.Duration // from the call of Admit
+	Repeat       bool          // the client states that it has sent the request before
 }
 
-// Request is a request in flight. One goroutine carries it.
+// Request is a request in flight. One goroutine handles it, by calling Next and ReportResult;
+// Disconnect and GiveUp may be called from any goroutine.
 type Request struct {
 	dispatcher *Dispatcher
 	id         uint32
 	units      float64
 	isRepeat   bool
 	decisions  chan Decision
-	completed  bool // its final decision is made
+	completed  bool // the request is answered or its final decision is made
 
-	attempts    int
-	current     *attempt // the latest; nil: none yet
-	server      uint32   // of the latest, as its zone and start
-	zone        int
-	attemptedAt time.Duration
+	attempts    int           // number of attempts so far
+	current     *attempt      // the latest attempt; nil: none yet
+	serverID    uint32        // server of the latest attempt
+	zone        int           // zone of that server
+	attemptedAt time.Duration // start of the latest attempt
 
-	tracker    *account.RequestTracker // of what it owes; nil: nothing is kept of it
-	assignment *CountAssignment        // nil: it counts under its customer alone
+	tracker    *account.RequestTracker // accounts the debts of the request; nil: none are accounted
+	assignment *CountAssignment        // nil: the request counts under its customer only
 }
 
-// Admit takes a request. Its caller carries it by calling Next until the decision is final.
+// Admit starts handling a request. The caller must call Next until it returns a final decision or
+// the server's answer is reported.
 func (d *Dispatcher) Admit(spec RequestSpec) *Request {
 	now := d.lock()
 	defer d.unlock()
@@ -51,29 +54,29 @@
 		dispatcher: d, id: d.lastRequestID, units: spec.Units, isRepeat: spec.Repeat,
 		decisions: make(chan Decision, maxUnreadDecisions),
 	}
-	if d.shedRequest(request) {
+	if d.rejectIfShed(request) {
 		return request
 	}
 	d.requests[request.id] = request
-	asked := policy.Request{
+	policyRequest := policy.Request{
 		ID: request.id, Class: spec.Class, Plan: spec.Plan, Customer: spec.Customer, FirstGateway: spec.FirstGateway,
 		GatewayCount: spec.GatewayCount, Units: spec.Units, Deadline: now + spec.Timeout, Repeat: spec.Repeat,
 	}
-	request.tracker = d.accounts.TrackRequest(now, asked)
-	asked.PreferredOwner = request.tracker.PreferredPartner()
+	request.tracker = d.accounts.TrackRequest(now, policyRequest)
+	policyRequest.PreferOwner = request.tracker.PreferredPartner()
 	if d.rules != nil {
-		d.admitByRules(now, request, spec, asked)
+		d.admitByRules(now, request, spec, policyRequest)
 		return request
 	}
-	d.module.HandleRequest(now, asked)
+	d.module.HandleRequest(now, policyRequest)
 	return request
 }
 
-// Next waits for the next decision.
+// Next blocks until the next decision and returns it.
 func (r *Request) Next() Decision { return <-r.decisions }
 
-// ReportResult takes how the attempt ended that Next gave last. After an answer there is no further
-// decision.
+// ReportResult reports the result of the attempt that Next returned last. After an answer no
+// further decision is made.
 func (r *Request) ReportResult(result Result) {
 	dispatcher := r.dispatcher
 	now := dispatcher.lock()
@@ -81,10 +84,10 @@
 	r.current.abandon()
 	r.tracker.OnAttemptEnd(now, result.Outcome, result.ActualUnits)
 	if dispatcher.recorder != nil {
-		dispatcher.recorder.AddResult(now, r.zone, r.server, result.Outcome, now-r.attemptedAt)
+		dispatcher.recorder.AddResult(now, r.zone, r.serverID, result.Outcome, now-r.attemptedAt)
 	}
 	if r.assignment != nil {
-		result = r.assignment.weightResult(result)
+		result = r.assignment.applyWeight(result)
 	}
 	if result.Outcome == policy.Answered && !r.completed {
 		r.complete()
@@ -92,7 +95,7 @@
 	dispatcher.module.HandleAttemptResult(now, policy.AttemptResult{
 		RequestID:   r.id,
 		Attempt:     r.attempts - 1,
-		Server:      r.server,
+		Server:      r.serverID,
 		Outcome:     result.Outcome,
 		Latency:     now - r.attemptedAt,
 		Final:       r.completed,
@@ -102,8 +105,8 @@
 	})
 }
 
-// Disconnect says that the client has gone. Called again, or after the final decision, it does
-// nothing.
+// Disconnect reports that the client has disconnected. After the final decision, or if called
+// again, it does nothing.
 func (r *Request) Disconnect() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
@@ -113,8 +116,8 @@
 	}
 }
 
-// GiveUp terminates the request and abandons its attempt, whose outcome is still reported, as the
-// process is about to be killed. After the final decision it does nothing.
+// GiveUp terminates the request and abandons its attempt, whose result must still be reported. It
+// is called when the process is about to be killed. After the final decision it does nothing.
 func (r *Request) GiveUp() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
@@ -128,15 +131,16 @@
 	}
 }
 
-// finish completes the request by a final decision.
+// finish completes the request with a final decision.
 func (r *Request) finish(decision Decision) {
 	r.complete()
-	r.current.cancelUnbegun()
+	r.current.cancelUnsent()
 	r.tracker.OnRequestEnd(decision.Action == Disconnected)
 	r.decisions <- decision
 }
 
-// complete removes the request from those that the decision module may still refer to.
+// complete marks the request as completed and removes it from the requests that the decision module
+// may still refer to.
 func (r *Request) complete() {
 	r.completed = true
 	delete(r.dispatcher.requests, r.id)
--- a/internal/gateway/dispatch/settlement.go
+++ b/internal/gateway/dispatch/settlement.go
@@ -5,7 +5,8 @@
 	"harrierhoist/policy"
 )
 
-// SetAccounts has accounts count what requests owe from here on; those in flight are left out.
+// SetAccounts makes accounts track the debts of all requests from now on. Requests in flight are
+// not tracked.
 func (d *Dispatcher) SetAccounts(accounts *account.Accounts) {
 	now := d.lock()
 	defer d.unlock()
@@ -13,9 +14,10 @@
 	d.refreshEndpoints(now)
 }
 
-// UpdateElective gives the decision module the servers that the accounts' shares call for now.
+// UpdateElective passes the decision module the servers that elective attempts need under the
+// accounts' current shares.
 func (d *Dispatcher) UpdateElective() {
 	now := d.lock()
 	defer d.unlock()
-	d.updateModule(now, policy.ListFull)
+	d.updateModuleEndpoints(now, policy.ListFull)
 }
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -11,7 +11,7 @@
 
 // newSettlingFixture has a dispatcher that accounts for settlement: its zone is b's, the other c's,
 // and customers of the first plan are a's.
-func newSettlingFixture(t *testing.T) (*fixture, *account.Accounts) {
+func newSettlementFixture(t *testing.T) (*fixture, *account.Accounts) {
 	t.Helper()
 	f := newFixture(t)
 	terms := settlement.DefaultTerms()
@@ -47,7 +47,7 @@
 
 // forwardedWithoutCall brings a request as far as its first attempt; its call to the counter is
 // replied to elsewhere.
-func (f *fixture) forwardedWithoutCall(class int, timeout time.Duration) (*Request, Decision) {
+func (f *fixture) forwardWithCounterServed(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
 	request := f.admit(class, 0, timeout)
 	return request, f.expectAction(request, Forward)
@@ -61,19 +61,19 @@
 // What an attempt owes is counted as it ends, also where its client has disconnected by then or its
 // request was terminated.
 func TestSettlement_attemptsCountAsDebtWhenTheyEnd(t *testing.T) {
-	f, accounts := newSettlingFixture(t)
-	request, _ := f.forwardedWithoutCall(0, time.Second)
+	f, accounts := newSettlementFixture(t)
+	request, _ := f.forwardWithCounterServed(0, time.Second)
 	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 3.5})
 	if got := totalDebt(accounts); got != 3500 {
 		t.Errorf("debt of %d", got)
 	}
-	request, _ = f.forwardedWithoutCall(0, time.Second)
+	request, _ = f.forwardWithCounterServed(0, time.Second)
 	request.Disconnect()
 	request.ReportResult(Result{Outcome: policy.Reset})
 	if got := totalDebt(accounts); got != 5500 {
 		t.Errorf("debt of %d with a client that disconnected", got)
 	}
-	request, forward := f.forwardedWithoutCall(1, 100*time.Millisecond)
+	request, forward := f.forwardWithCounterServed(1, 100*time.Millisecond)
 	<-forward.Context.Done()
 	request.ReportResult(Result{Outcome: policy.Cancelled})
 	f.expectAction(request, Terminate)
@@ -92,7 +92,7 @@
 // A creditor's elective requests go to the far server that the debtor lends, while something is
 // settled.
 func TestSettlement_electiveRequestsGoToDebtorsServers(t *testing.T) {
-	f, accounts := newSettlingFixture(t)
+	f, accounts := newSettlementFixture(t)
 	server := Server{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}
 	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{server})
 	pair := settlement.Pair{Debtor: "c", Creditor: "a"}
@@ -100,7 +100,7 @@
 		accounts.ApplyState(settlement.State{Shares: shares}, time.Hour)
 		f.dispatcher.UpdateElective()
 		for range 20 {
-			request, decision := f.forwardedWithoutCall(0, time.Second)
+			request, decision := f.forwardWithCounterServed(0, time.Second)
 			preferred, zone := request.tracker.PreferredPartner(), decision.Server.Endpoint.Zone
 			if (preferred == 3) != (shares != nil) || shares != nil && zone != 1 {
 				t.Fatalf("shares %v: prefers %d, forwarded to zone %d", shares, preferred, zone)
--- a/internal/gateway/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -7,37 +7,38 @@
 	"harrierhoist/policy"
 )
 
-// Steering says how the dispatcher spreads its attempts over zones.
+// Steering determines how the dispatcher distributes its attempts over zones.
 type Steering struct {
-	// Weights are, by the number of a zone, the proportions in which servers of the zones are
-	// handed to the decision module; nil: as the endpoint list has them.
+	// Weights are the proportions of the zones among the servers that the decision module gets, by
+	// zone number; nil: as in the endpoint list.
 	Weights []float64
-	// ShedFraction is the part of requests that is rejected at once, 0 to 1.
+	// ShedFraction is the fraction of requests that are rejected without an attempt, 0 to 1.
 	ShedFraction float64
 }
 
-// steeringLease is how long a steering stands, and which one replaces it.
+// steeringLease is the lease of the steering in force, and the steering that follows it.
 type steeringLease struct {
-	expires time.Duration // by the shared clock
-	after   *Steering     // nil: the steering in force has no end
+	expiresAt time.Duration // on the shared clock
+	fallback  *Steering     // applies after expiry; nil: the steering in force does not expire
 }
 
-// hasExpired reports whether the steering in force has to be replaced.
+// hasExpired reports whether the steering in force must be replaced by the fallback.
 func (l *steeringLease) hasExpired(now time.Duration) bool {
-	return l.after != nil && now >= l.expires
+	return l.fallback != nil && now >= l.expiresAt
 }
 
-// SetSteering has the dispatcher steered for as long as a lease stands, and by another steering
-// from the first request after its end. What is in flight goes on.
-func (d *Dispatcher) SetSteering(steering Steering, lease time.Duration, after Steering) {
+// SetSteering applies a steering for the duration of a lease, and fallback from the first request
+// after the lease has expired. A lease of 0 or less has expired already. Requests in flight
+// continue.
+func (d *Dispatcher) SetSteering(steering Steering, lease time.Duration, fallback Steering) {
 	now := d.lock()
 	defer d.unlock()
 	if lease <= 0 {
 		d.steering = steeringLease{}
-		d.applySteering(now, after)
+		d.applySteering(now, fallback)
 		return
 	}
-	d.steering = steeringLease{expires: now + lease, after: &after}
+	d.steering = steeringLease{expiresAt: now + lease, fallback: &fallback}
 	d.applySteering(now, steering)
 }
 
@@ -47,24 +48,23 @@
 	}
 }
 
-// refreshSteering drops a steering whose lease has ended, and selects the subset anew where the
-// rate of attempts calls for it. It runs at each request, so that no timer is needed and a process
-// that slept past the end forwards nothing by the old steering.
+// refreshSteering applies the fallback if the lease of the steering has expired, and selects the
+// subset again if that is due. It is called for each request, so it needs no timer, and a process
+// that was suspended beyond the lease forwards no request under the expired steering.
 func (d *Dispatcher) refreshSteering(now time.Duration) {
 	switch {
 	case d.steering.hasExpired(now):
-		after := *d.steering.after
+		fallback := *d.steering.fallback
 		d.steering = steeringLease{}
-		d.applySteering(now, after)
+		d.applySteering(now, fallback)
 	case d.subset.IsDue(now):
-		d.updateModule(now, policy.ListFull)
+		d.updateModuleEndpoints(now, policy.ListFull)
 	}
 }
 
-// shedRequest rejects a request at once where it is of the part that the steering sheds, and
-// reports whether it did. The decision module alone would forward it to zones that have no capacity
-// for it.
-func (d *Dispatcher) shedRequest(r *Request) bool {
+// rejectIfShed rejects a request that the steering sheds, and reports whether it did. The decision
+// module on its own would forward the request to zones that have no capacity for it.
+func (d *Dispatcher) rejectIfShed(r *Request) bool {
 	isDemand := d.recorder != nil && !r.isRepeat
 	if isDemand {
 		d.recorder.AddOffered(r.units)
@@ -80,12 +80,13 @@
 	return true
 }
 
-// shedRetryDivisor is the part of the tightest latency objective after which a shed request may be
-// repeated. Capacity elsewhere is shared by lot, so that a repeat may find some.
+// shedRetryDivisor divides the tightest latency objective to get the Retry-After of shed requests.
+// A retry may succeed: the steering draws the requests that it sheds, so another draw may get
+// capacity in another zone.
 const shedRetryDivisor = 4
 
-// shedRetryAfter decides the Retry-After of shed requests, by the latency objectives of the classes
-// in force: the same as the decision module gives where no server can be had.
+// shedRetryAfter returns the Retry-After of shed requests, by the latency objectives of the classes
+// in force. The decision module states the same when no server is available.
 func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
 	tightest := time.Duration(math.MaxInt64)
 	for _, class := range classes {
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -35,7 +35,7 @@
 }
 
 // expectZone wants the next requests forwarded to a server.
-func (f *fixture) expectZone(address string) {
+func (f *fixture) expectServer(address string) {
 	f.Helper()
 	for range 5 {
 		request := f.admit(0, 0, time.Second)
@@ -57,14 +57,14 @@
 func TestSteering_endsWithItsLease(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, time.Hour, Steering{Weights: []float64{1, 0}})
-	f.expectZone("b")
+	f.expectServer("b")
 	f.dispatcher.lock()
-	f.dispatcher.steering.expires = f.dispatcher.clock.now() // the hour is over
+	f.dispatcher.steering.expiresAt = f.dispatcher.clock.now() // the hour is over
 	f.dispatcher.unlock()
-	f.expectZone("a")
+	f.expectServer("a")
 	const endedLease = 0
 	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, endedLease, Steering{Weights: []float64{1, 0}})
-	f.expectZone("a")
+	f.expectServer("a")
 }
 
 // What fits in no zone is rejected at once, before any attempt. It is recorded as demand, except
@@ -90,7 +90,7 @@
 func TestRecorder_getsAttemptsByZone(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{0, 1}})
-	f.expectZone("b")
+	f.expectServer("b")
 	repeat := f.admitRepeat()
 	f.expectAction(repeat, Forward) // no demand, but an attempt
 	repeat.Disconnect()
--- a/internal/gateway/dispatch/timers.go
+++ b/internal/gateway/dispatch/timers.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// timerQueue holds the timers that the decision module asked for, and the alarm that rings when the
-// first is due.
+// timerQueue holds the decision module's timers, and a runtime timer that wakes up RunTimers when
+// the earliest is due.
 type timerQueue struct {
-	heap    timerHeap
-	byToken map[uint64]*timer
-	alarm   *time.Timer
-	alarmAt alarmTime
+	heap     timerHeap
+	byToken  map[uint64]*timer
+	wakeup   *time.Timer // fires when the earliest timer is due
+	wakeupAt wakeupTime  // when wakeup fires
 }
 
-// alarmTime is when the alarm rings, by the shared clock. The zero value is never.
-type alarmTime struct {
+// wakeupTime is when the runtime timer fires, on the shared clock. The zero value means never.
+type wakeupTime struct {
 	at    time.Duration
 	isSet bool
 }
@@ -23,15 +23,15 @@
 type timer struct {
 	dueAt time.Duration
 	token uint64
-	index int // in the heap
+	index int // position in the heap
 }
 
 func newTimerQueue() *timerQueue {
-	return &timerQueue{byToken: map[uint64]*timer{}, alarm: time.NewTimer(time.Hour)}
+	return &timerQueue{byToken: map[uint64]*timer{}, wakeup: time.NewTimer(time.Hour)}
 }
 
-// set adds a timer. One that has the token already is replaced: the module sets a timer anew each
-// time it comes due, and two with one token would run two chains of timers.
+// set adds a timer and replaces an earlier one with the same token. The module sets a timer again
+// each time it fires, so two timers with one token would both repeat.
 func (q *timerQueue) set(token uint64, dueAt time.Duration) {
 	q.cancel(token)
 	t := &timer{dueAt: dueAt, token: token}
@@ -40,7 +40,7 @@
 }
 
 // cancel removes a timer. Most requests complete long before their timeouts, and their timers would
-// wake the process for nothing.
+// wake up the process for nothing.
 func (q *timerQueue) cancel(token uint64) {
 	if t := q.byToken[token]; t != nil {
 		heap.Remove(&q.heap, t.index)
@@ -48,7 +48,7 @@
 	}
 }
 
-// popDue takes the first timer, if it is due by now.
+// popDue removes the earliest timer and returns its token, if the timer is due.
 func (q *timerQueue) popDue(now time.Duration) (token uint64, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return 0, false
@@ -59,23 +59,23 @@
 	return t.token, true
 }
 
-// arm sets the alarm for the first timer, unless it rings at that moment already: each ring that is
-// not needed would wake the process.
-func (q *timerQueue) arm(c clock) {
-	var next alarmTime
+// scheduleWakeup schedules the wakeup for the earliest timer, unless it is scheduled for that time
+// already: an unnecessary wakeup costs the process CPU time.
+func (q *timerQueue) scheduleWakeup(c clock) {
+	var next wakeupTime
 	if len(q.heap) > 0 {
-		next = alarmTime{at: q.heap[0].dueAt, isSet: true}
+		next = wakeupTime{at: q.heap[0].dueAt, isSet: true}
 	}
-	if next.isSet && next != q.alarmAt {
-		q.alarm.Reset(max(next.at-c.now(), 0))
+	if next.isSet && next != q.wakeupAt {
+		q.wakeup.Reset(max(next.at-c.now(), 0))
 	}
-	q.alarmAt = next
+	q.wakeupAt = next
 }
 
-// handleAlarm notes that the alarm has rung.
-func (q *timerQueue) handleAlarm() { q.alarmAt = alarmTime{} }
+// handleWakeup records that the wakeup has fired.
+func (q *timerQueue) handleWakeup() { q.wakeupAt = wakeupTime{} }
 
-// timerHeap is a heap of timers, the first due on top.
+// timerHeap implements heap.Interface, with the earliest timer first.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -86,7 +86,7 @@
 	h[j].index = j
 }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t, ok := x.(*timer)
 	if !ok {
@@ -96,7 +96,7 @@
 	*h = append(*h, t)
 }
 
-// Pop is for package heap: it removes the last.
+// Pop implements heap.Interface: it removes the last element.
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	(*h)[len(*h)-1] = nil
