--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	shardCount      = 8                      // number of connections; a slow one delays only its names
-	maxQueued       = 256                    // calls of a shard waiting to be written; more fail immediately
+	shardCount      = 8                      // connections; a slow one delays only its names
+	maxQueued       = 256                    // unwritten calls of a shard; more fail immediately
 	minNameLifetime = time.Millisecond       // shortest lifetime that the protocol can express
 	writeTimeout    = 250 * time.Millisecond // for a few bytes
 	lossLogInterval = 10 * time.Second       // between log lines about lost connections
--- a/internal/gateway/counter/counter_test.go
+++ b/internal/gateway/counter/counter_test.go
@@ -15,14 +15,14 @@
 	"harrierhoist/policy"
 )
 
-// result is one answer that a caller got.
+// result is the result of a call.
 type result struct {
 	call    int
 	total   float64
 	outcome policy.Outcome
 }
 
-// caller is a client with the results of its calls, which are numbered from 0.
+// caller makes calls, numbered from 0, and collects their results.
 type caller struct {
 	*testing.T
 	client  *Counter
@@ -82,7 +82,7 @@
 	return tcp
 }
 
-func TestAdd_writesCallsAndAnswersInOrder(t *testing.T) {
+func TestAdd_writesAndAnswersCallsInOrder(t *testing.T) {
 	server := fakes.NewCounter(t)
 	c := newCaller(t, server.Addr)
 	c.add(7, 2.5)
@@ -108,7 +108,8 @@
 	c.expectResult(result{1, 6, policy.Answered})
 }
 
-// wantNextCallAnswered makes a second call, which goes on a connection of its own and is answered.
+// expectNextCallAnswered makes a second call. It expects a new connection, answers the call on it
+// and expects the answer.
 func (c *caller) expectNextCallAnswered(listener net.Listener) {
 	c.Helper()
 	c.add(8, 1)
@@ -138,7 +139,7 @@
 	c := newCaller(t, server.Addr)
 	release := server.Hold()
 	c.add(8, 5)
-	c.expectResult(result{0, 0, policy.TimedOut}) // with no other call behind it
+	c.expectResult(result{0, 0, policy.TimedOut}) // without a later call
 	release()
 	c.add(8, 1)
 	c.expectResult(result{1, 6, policy.Answered})
@@ -168,7 +169,7 @@
 			listener := fakes.Listen(t)
 			c := newCaller(t, listener.Addr().String())
 			c.add(8, 1)
-			// An answer before the call would end a connection with nothing pending.
+			// An answer that precedes the call would close a connection without pending calls.
 			accepted := acceptCall(t, listener)
 			_, _ = io.WriteString(accepted, malformed)
 			c.expectResult(result{0, 0, policy.TimedOut})
--- a/internal/gateway/counter/failure_test.go
+++ b/internal/gateway/counter/failure_test.go
@@ -15,7 +15,8 @@
 	"harrierhoist/policy"
 )
 
-// unreachableAddress is an address where dials hang: the listener's backlog, of one, is taken.
+// unreachableAddress returns an address where dials hang because the backlog of its listener is
+// full.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -45,7 +46,7 @@
 	return addr
 }
 
-// waitForDial waits until the shard of a name dials.
+// waitForDial waits until the shard of a name is dialing.
 func (c *caller) waitForDial(name uint64) {
 	c.Helper()
 	s := c.client.shards[name%shardCount]
@@ -56,7 +57,7 @@
 	})
 }
 
-// Guards against calls that fail as the address changes during the dial they wait for.
+// Guards against the failure of calls that wait for a dial while the address changes.
 func TestSetAddress_queuedCallsGoToTheNewAddress(t *testing.T) {
 	from, to := unreachableAddress(t), fakes.NewCounter(t)
 	c := newCallerWith(t, from, time.Hour, zap.NewNop())
@@ -64,14 +65,15 @@
 	c.waitForDial(8)
 	c.add(8, 2)
 	c.client.SetAddress("127.0.0.1:1")
-	c.client.SetAddress(from) // there and back again
+	c.client.SetAddress(from) // back to the address that was dialed first
 	c.waitForDial(8)
 	c.client.SetAddress(to.Addr)
 	c.expectResult(result{0, 1, policy.Answered})
 	c.expectResult(result{1, 3, policy.Answered})
 }
 
-// Half an answer is none: its call may have been added, and the next one uses a new connection.
+// An incomplete answer is no answer: the call ends with TimedOut, because its units may have been
+// added, and the next call uses a new connection.
 func TestAdd_incompleteAnswerTimesOut(t *testing.T) {
 	for name, after := range map[string]func(accepted *net.TCPConn){
 		"then silence": func(*net.TCPConn) {},
@@ -79,7 +81,7 @@
 		"then a reset": func(accepted *net.TCPConn) { _, _ = accepted.SetLinger(0), accepted.Close() },
 		"then a byte at a time": func(accepted *net.TCPConn) {
 			for {
-				if _, err := accepted.Write([]byte("0")); err != nil { // the client has given up
+				if _, err := accepted.Write([]byte("0")); err != nil { // closed by the client
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -100,7 +102,8 @@
 	}
 }
 
-// Guards against a log line for every call where a counter accepts each connection and ends it.
+// Guards against a log line for every call when the counter accepts connections and closes each
+// after its first call.
 func TestLossLog_counterThatEndsEveryConnectionIsLoggedOnce(t *testing.T) {
 	listener := fakes.Listen(t)
 	go func() {
--- a/internal/gateway/counter/fuzz_test.go
+++ b/internal/gateway/counter/fuzz_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// FuzzAnswer reads any line: it must not panic, a total must be finite, and nothing but the
-// protocol's words is an answer.
+// FuzzAnswer parses arbitrary lines. Parsing must not panic, a total must be finite, and only the
+// answers of the protocol may be valid.
 func FuzzAnswer(f *testing.F) {
 	for _, line := range []string{
 		"ok 4.5", "ok -3", "ok 1e9", "ok 0x1p4", "ok nan", "ok inf", "ok 1e999", "ok", "ok ", "ok  1", "busy", "error",
--- a/internal/gateway/counter/golden_test.go
+++ b/internal/gateway/counter/golden_test.go
@@ -11,7 +11,7 @@
 	"harrierhoist/policy"
 )
 
-// Each call, byte for byte but for the end of its line.
+// The text of each call is compared byte for byte, without its line end.
 func TestGolden_callsAreWrittenAsBefore(t *testing.T) {
 	for _, row := range []struct {
 		name     uint64
@@ -40,7 +40,7 @@
 	}
 }
 
-// What a line of the counter is read as: its total and the number of its outcome.
+// Each answer is compared by its total and the number of its outcome.
 func TestGolden_answersAreReadAsBefore(t *testing.T) {
 	const malformed = "malformed"
 	for line, want := range map[string]string{
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -9,7 +9,7 @@
 	"harrierhoist/policy"
 )
 
-// notifyEndpoint has discovery bring a change of one server.
+// notifyEndpoint passes the dispatcher a delta with one server.
 func (f *fixture) notifyEndpoint(name, address string, state policy.EndpointState, startedAt time.Duration) {
 	f.Helper()
 	f.dispatcher.HandleEndpoints(policy.ListDelta, []Server{{
@@ -17,15 +17,16 @@
 	}})
 }
 
-// cancelCause is an event after which an attempt at server s-1 has no reason any more.
+// cancelCause is an event after which an attempt at server s-1 serves no purpose.
 type cancelCause struct {
 	name             string
 	trigger          func(f *fixture, request *Request)
-	nextAction       Action // after an attempt that was cancelled
-	isServerReusable bool   // the server may be chosen again as it was
+	nextAction       Action // the decision that follows a cancelled attempt
+	isServerReusable bool   // the server may be selected again with an unchanged entry
 }
 
-// Guards against attempts that begin without a reason, where the deployment has no cancelling.
+// Guards against attempts whose first byte is sent after they have lost their purpose, if the
+// module cannot cancel attempts (Settings.CanCancel).
 func TestAttempt_cancelledUntilFirstByteOnly(t *testing.T) {
 	notify := func(address string, state policy.EndpointState, startedAt time.Duration) func(*fixture, *Request) {
 		return func(f *fixture, _ *Request) { f.notifyEndpoint("s-1", address, state, startedAt) }
@@ -34,7 +35,7 @@
 		{name: "client disconnects", trigger: func(_ *fixture, request *Request) {
 			request.Disconnect()
 		}, nextAction: Disconnected},
-		{name: "final answer is due", trigger: func(f *fixture, request *Request) { f.expire(request) }, nextAction: Reject},
+		{name: "final answer is due", trigger: func(f *fixture, request *Request) { f.expireTimeout(request) }, nextAction: Reject},
 		{name: "server drains", trigger: notify("here", policy.Draining, 0), nextAction: Forward},
 		{name: "server is removed", trigger: notify("here", policy.Removed, 0), nextAction: Forward},
 		{name: "full list leaves server out", trigger: func(f *fixture, _ *Request) {
@@ -48,11 +49,11 @@
 		}, nextAction: Forward, isServerReusable: true},
 	} {
 		for _, class := range []int{0, 1} {
-			t.Run(fmt.Sprint(cause.name, ", unbegun, class ", class), func(t *testing.T) {
+			t.Run(fmt.Sprint(cause.name, ", unsent, class ", class), func(t *testing.T) {
 				t.Parallel()
 				cause.checkUnsent(t, class)
 			})
-			t.Run(fmt.Sprint(cause.name, ", begun, class ", class), func(t *testing.T) {
+			t.Run(fmt.Sprint(cause.name, ", sending, class ", class), func(t *testing.T) {
 				t.Parallel()
 				cause.checkSending(t, class)
 			})
@@ -62,7 +63,7 @@
 
 func withoutCancelling(settings *policy.Settings) { settings.CanCancel = false }
 
-// checkBegun wants an attempt that has begun left as it is.
+// checkSending expects an attempt whose first byte has been sent to continue.
 func (c *cancelCause) checkSending(t *testing.T, class int) {
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
@@ -79,7 +80,8 @@
 	}
 }
 
-// checkUnbegun wants an attempt that has not begun cancelled, and the request handled otherwise.
+// checkUnsent expects an attempt whose first byte has not been sent to be cancelled, and the
+// request to proceed with nextAction.
 func (c *cancelCause) checkUnsent(t *testing.T, class int) {
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
@@ -95,7 +97,7 @@
 	request.ReportResult(Result{Outcome: policy.NotSent})
 	want := c.nextAction
 	if want == Reject && class == 1 {
-		want = Terminate // the report that it was not sent came after the final answer
+		want = Terminate // NotSent is reported after the final decision
 	}
 	next := f.expectAction(request, want)
 	isSame := next.Server.Name == "s-1" && next.Server.Address == forward.Server.Address &&
@@ -105,7 +107,7 @@
 	}
 }
 
-// A list that repeats an entry, or changes that of another server, cancels nothing.
+// A list that repeats an entry, or changes another server's entry, cancels nothing.
 func TestAttempt_continuesWhenItsServerIsUnchanged(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
 	request, forward := f.forwardRequest(0, time.Hour)
@@ -118,25 +120,25 @@
 	request.ReportResult(Result{Outcome: policy.Answered})
 }
 
-// A first byte and a cancellation at the same moment never both happen.
-func TestAttempt_beginAndCancelExcludeEachOther(t *testing.T) {
+// A concurrent first byte and cancellation never both succeed.
+func TestAttempt_sendAndCancelExcludeEachOther(t *testing.T) {
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) { d.CanCancel, d.HasCounter = false, false })
 	for range 200 {
 		request := f.admit(0, 0, time.Hour)
 		forward := f.expectAction(request, Forward)
-		began := make(chan bool)
-		go func() { began <- forward.Begin() }()
+		sent := make(chan bool)
+		go func() { sent <- forward.Begin() }()
 		request.Disconnect()
-		if <-began == (forward.Context.Err() != nil) {
-			t.Fatal("begun and cancelled alike")
+		if <-sent == (forward.Context.Err() != nil) {
+			t.Fatal("want either sent or cancelled")
 		}
 		request.ReportResult(Result{Outcome: policy.NotSent})
 		f.expectAction(request, Disconnected)
 	}
 }
 
-// A request whose client disconnects while no attempt is in flight gets none, whether it waits for
-// the counter, for a server, or for a retry.
+// A request whose client disconnects while no attempt is in flight gets no attempt, whether it
+// waits for the counter, for a server, or for a retry.
 func TestRequest_noAttemptAfterDisconnect(t *testing.T) {
 	for name, arrange := range map[string]func(f *fixture) *Request{
 		"waits for the counter": func(f *fixture) *Request { return f.admit(0, 0, time.Hour) },
@@ -161,14 +163,16 @@
 			request.Disconnect()
 			f.setEndpoint(policy.ListFull, policy.Ready)
 			f.expectAction(request, Disconnected)
-			other := f.admit(0, 0, time.Hour) // once this one has its turn, the earlier one has had it
+			// When this later request gets an attempt, the earlier one has been considered as well.
+			other := f.admit(0, 0, time.Hour)
 			fakes.Eventually(t, "an attempt", func() bool {
 				for len(f.counterCalls) > 0 {
 					(<-f.counterCalls).reply(0, policy.Answered)
 				}
 				return len(other.decisions) > 0
 			})
-			time.Sleep(25 * time.Millisecond) // longer than the 20 ms after which requests look for a server again
+			// Longer than the 20 ms after which waiting requests try again to get a server.
+			time.Sleep(25 * time.Millisecond)
 			if len(request.decisions) != 0 || len(f.dispatcher.requests) != 1 {
 				t.Errorf("%d more decisions, %d requests in flight", len(request.decisions), len(f.dispatcher.requests))
 			}
@@ -176,7 +180,8 @@
 	}
 }
 
-// A keyed request is retried within its window alone, to the last byte: the write deadline says so.
+// A retry of a keyed request must be written completely before the dedup window ends, so its write
+// deadline is the end of the window.
 func TestWriteDeadline_retryOfKeyedRequestEndsWithWindow(t *testing.T) {
 	const window = time.Minute
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) {
@@ -190,7 +195,7 @@
 	}
 	forward.Begin()
 	after := time.Now()
-	// The window of the third attempt counts from the first too.
+	// The window of the third attempt also starts with the first attempt.
 	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} {
 		request.ReportResult(Result{Outcome: outcome})
 		forward = f.expectAction(request, Forward)
@@ -200,7 +205,7 @@
 	}
 }
 
-// An attempt that surely never ran starts no window.
+// An attempt that certainly never ran does not start a dedup window.
 func TestWriteDeadline_attemptThatNeverRanStartsNoWindow(t *testing.T) {
 	f := newFixture(t, withLongTimeouts, func(d *policy.Settings) {
 		d.Classes[0].Effect, d.Classes[0].DedupWindow = policy.Keyed, time.Minute
@@ -213,18 +218,18 @@
 	}
 }
 
-// What the module asks for never waits for the goroutine that carries a request: an unread
-// decision and the final one fit into its channel.
+// The dispatcher never blocks on the goroutine that handles a request: an unread decision and the
+// final one fit into the channel.
 func TestDispatcher_neverBlocksOnUnreadDecisions(t *testing.T) {
 	f := newFixture(t, withLongTimeouts)
 	request, _ := f.forwardRequest(0, time.Hour)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	f.notifyEndpoint("s-1", "here", policy.Draining, 0)
 	request.ReportResult(Result{Outcome: policy.NotSent})
-	f.expire(request) // forwarded again, and rejected before anyone read that
+	f.expireTimeout(request) // forwarded again, then rejected before that decision is read
 	request.Disconnect()
-	again := f.expectAction(request, Forward)
-	if again.Begin() {
+	second := f.expectAction(request, Forward)
+	if second.Begin() {
 		t.Error("Begin allows the first byte after the final answer")
 	}
 	request.ReportResult(Result{Outcome: policy.NotSent})
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -7,10 +7,10 @@
 	"harrierhoist/policy"
 )
 
-// fakeRules count all requests under one key, each with the next weight, and check other counts
-// only where the test gives a function for it.
+// fakeRules count all requests under one key, with consecutive weights of which the last repeats.
+// checkOthers is the CheckOthers of all assignments.
 type fakeRules struct {
-	nextWeights []float64
+	weights     []float64
 	checkOthers func(func(bool))
 	completed   []float64
 }
@@ -19,11 +19,11 @@
 func (r *fakeRules) WithoutRulePlans(s policy.Settings) policy.Settings { return s }
 func (r *fakeRules) Assign(_ time.Duration, spec RequestSpec) CountAssignment {
 	assignment := CountAssignment{
-		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.nextWeights[0], CheckOthers: r.checkOthers,
+		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0], CheckOthers: r.checkOthers,
 		Completed: func(_ bool, units float64) { r.completed = append(r.completed, units) },
 	}
-	if len(r.nextWeights) > 1 {
-		r.nextWeights = r.nextWeights[1:]
+	if len(r.weights) > 1 {
+		r.weights = r.weights[1:]
 	}
 	return assignment
 }
@@ -37,15 +37,16 @@
 	}
 }
 
-// A request is charged the weight that it had when it was admitted, however late its answer comes.
+// A request is charged by the weight that it was assigned at its admission, no matter how late its
+// answer arrives.
 func TestCountAssignment_lateAnswerKeepsWeightOfAdmission(t *testing.T) {
 	f := newFixture(t)
-	rules := &fakeRules{nextWeights: []float64{3, 1}}
+	rules := &fakeRules{weights: []float64{3, 1}}
 	f.setRules(rules)
 	request, _ := f.forwardRequest(0, time.Second)
 	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5, Usage: 1.5})
 	f.admit(0, 0, time.Second)
-	for call := range f.counterCalls { // a new window may be opened first
+	for call := range f.counterCalls { // a call that opens a new window may come first
 		if call.units > 0 {
 			if call.units != 15 || len(rules.completed) != 1 || rules.completed[0] != 15 {
 				t.Errorf("charged %v, completed with %v", call.units, rules.completed)
@@ -55,12 +56,12 @@
 	}
 }
 
-// A request that another count refuses is rejected before the module handles it, and a client that
-// disconnects meanwhile gets no answer.
+// A request that another count rejects never reaches the module. A client that disconnects during
+// the check gets no answer.
 func TestCountAssignment_otherCountsAreCheckedFirst(t *testing.T) {
 	f := newFixture(t)
 	answers := make(chan func(bool), 2)
-	f.setRules(&fakeRules{nextWeights: []float64{1}, checkOthers: func(then func(bool)) { answers <- then }})
+	f.setRules(&fakeRules{weights: []float64{1}, checkOthers: func(then func(bool)) { answers <- then }})
 	refused, disconnected := f.admit(0, 0, time.Second), f.admit(0, 0, time.Second)
 	(<-answers)(false)
 	f.expectAction(refused, Reject)
@@ -72,23 +73,23 @@
 	}
 }
 
-// An answer at the instant of the final decision, or of the client's disconnecting, does not
-// complete the request again.
+// An answer that coincides with the final decision or with the disconnect of the client does not
+// complete the request a second time.
 func TestRequest_completesOnceWhenEventsCoincide(t *testing.T) {
 	for name, want := range map[string]Action{"final decision": Reject, "client disconnects": Disconnected} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, withLongTimeouts)
-			rules := &fakeRules{nextWeights: []float64{1}}
+			rules := &fakeRules{weights: []float64{1}}
 			f.setRules(rules)
 			request, forward := f.forwardRequest(0, time.Hour)
 			forward.Begin()
 			if want == Disconnected {
 				request.Disconnect()
 			} else {
-				f.expire(request)
+				f.expireTimeout(request)
 			}
-			f.expectAction(request, want) // the final decision is made, and the answer is here as well
+			f.expectAction(request, want) // the final decision is made; the answer arrives after it
 			request.Disconnect()
 			request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5})
 			request.Disconnect()
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -10,13 +10,13 @@
 	"harrierhoist/policy"
 )
 
-// pendingCounterCall is a call to the counter that waits for its reply.
+// pendingCounterCall is a call to the counter that has no reply yet.
 type pendingCounterCall struct {
 	units float64
 	reply func(float64, policy.Outcome)
 }
 
-// fixture is a dispatcher with one server, and a counter that replies when the test has it reply.
+// fixture is a dispatcher with one server. The test replies to the calls to the counter.
 type fixture struct {
 	*testing.T
 	dispatcher   *Dispatcher
@@ -58,19 +58,17 @@
 	return f
 }
 
-// withLongTimeouts gives every request so much time that no test depends on the speed of its
-// machine.
+// withLongTimeouts makes all timeouts so long that no test depends on the speed of its machine.
 func withLongTimeouts(settings *policy.Settings) {
 	for i := range settings.Classes {
 		settings.Classes[i].LatencyObjective, settings.Classes[i].Timeout = time.Minute, time.Hour
 	}
 }
 
-// expire has a request's timeout end now: the module gets the timer that it asked for with that
-// token.
-func (f *fixture) expire(request *Request) {
+// expireTimeout delivers the timer of a request's timeout to the module, ahead of time.
+func (f *fixture) expireTimeout(request *Request) {
 	f.Helper()
-	const kinds = 4 // of the module's tokens, in their low bits; that of the timeout is 0
+	const kinds = 4 // kinds of timers, in the low bits of a token; 0: the timeout
 	now := f.dispatcher.lock()
 	defer f.dispatcher.unlock()
 	if f.dispatcher.module.HandleTimer(now, uint64(request.id)*kinds); !request.completed {
@@ -78,7 +76,7 @@
 	}
 }
 
-// setEndpoint has discovery bring a list with the one server.
+// setEndpoint passes the dispatcher a list with the one server in a state.
 func (f *fixture) setEndpoint(kind policy.ListKind, state policy.EndpointState) {
 	f.Helper()
 	server := Server{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: state}}
@@ -102,7 +100,7 @@
 	})
 }
 
-// forwarded brings a request as far as its first attempt.
+// forwardRequest admits a request, replies to its counter call and returns its first attempt.
 func (f *fixture) forwardRequest(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
 	request := f.admit(class, 0, timeout)
@@ -120,7 +118,7 @@
 		t.Errorf("decided %+v", got)
 	}
 	request.ReportResult(Result{Outcome: policy.Answered, ActualUnits: 5})
-	for f.admit(0, 0, time.Second); ; { // a new window may be opened first
+	for f.admit(0, 0, time.Second); ; { // a call that opens a new window may come first
 		if call = <-f.counterCalls; call.units == 5 {
 			return
 		}
@@ -136,14 +134,14 @@
 	}
 }
 
-func TestCounter_silenceDelaysNobodyAndLateTotalCounts(t *testing.T) {
+func TestCounter_unansweredCallDelaysNoRequestAndLateTotalIsUsed(t *testing.T) {
 	f := newFixture(t)
 	spec := RequestSpec{Plan: 1, Customer: 5, Units: 1, GatewayCount: 1, Timeout: 10 * time.Second}
 	request := f.dispatcher.Admit(spec)
 	call := <-f.counterCalls
 	f.expectAction(request, Forward)
 	call.reply(50, policy.Answered)
-	f.expectAction(f.dispatcher.Admit(spec), Reject) // by its own count two units would be left
+	f.expectAction(f.dispatcher.Admit(spec), Reject) // by its own count two units are left
 }
 
 func TestRequest_timeoutAbandonsAttemptAndCompletes(t *testing.T) {
@@ -169,7 +167,7 @@
 	f := newFixture(t)
 	request, _ := f.forwardRequest(0, time.Second)
 	request.Disconnect()
-	request.Disconnect() // the second changes nothing
+	request.Disconnect() // has no effect
 	request.ReportResult(Result{Outcome: policy.Reset})
 	f.expectAction(request, Disconnected)
 	if n := len(f.dispatcher.requests); n != 0 {
@@ -200,9 +198,9 @@
 	f := newFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
 	if n := f.pendingTimers(); n != 1 {
-		t.Fatalf("%d timers after a list that failed, want the one that asks again", n)
+		t.Fatalf("%d timers after a failed list, want the one that retries it", n)
 	}
-	fakes.Eventually(t, "the gateway asks again", func() bool { return f.pendingTimers() == 0 })
+	fakes.Eventually(t, "a retry of the list", func() bool { return f.pendingTimers() == 0 })
 	f.forwardRequest(0, time.Second)
 }
 
@@ -217,14 +215,14 @@
 	first := f.dispatcher.Admit(RequestSpec{Customer: 9, Plan: 1, GatewayCount: 1, Units: 1, Timeout: time.Second})
 	second := f.dispatcher.Admit(RequestSpec{Customer: 9, Plan: 1, GatewayCount: 1, Units: 1, Timeout: time.Second})
 	firstCall, secondCall := <-f.counterCalls, <-f.counterCalls
-	secondCall.reply(99, policy.Answered) // the later connection is the quicker one
+	secondCall.reply(99, policy.Answered) // replies arrive out of order
 	firstCall.reply(0, policy.Answered)
 	f.expectAction(first, Forward)
 	f.expectAction(second, Reject)
 }
 
-// Guards against two chains of polls from one gateway, where a list fails twice in a row.
-func TestTimers_secondForTokenReplacesFirst(t *testing.T) {
+// Guards against two independent chains of polls by one gateway after two consecutive failed lists.
+func TestTimers_secondTimerForTokenReplacesFirst(t *testing.T) {
 	f := newFixture(t)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// newSettlingFixture has a dispatcher that accounts for settlement: its zone is b's, the other c's,
-// and customers of the first plan are a's.
+// newSettlementFixture returns a dispatcher with accounts. Partner b owns the first zone and c the
+// second; customers of the first plan belong to a. Calls to the counter are answered.
 func newSettlementFixture(t *testing.T) (*fixture, *account.Accounts) {
 	t.Helper()
 	f := newFixture(t)
@@ -33,7 +33,7 @@
 	})
 	f.dispatcher.SetAccounts(accounts)
 	go func() {
-		for { // charges are calls too
+		for { // charges are counter calls, too
 			select {
 			case call := <-f.counterCalls:
 				call.reply(0, policy.Answered)
@@ -45,8 +45,8 @@
 	return f, accounts
 }
 
-// forwardedWithoutCall brings a request as far as its first attempt; its call to the counter is
-// replied to elsewhere.
+// forwardWithCounterServed admits a request and returns its first attempt. The fixture answers the
+// counter calls.
 func (f *fixture) forwardWithCounterServed(class int, timeout time.Duration) (*Request, Decision) {
 	f.Helper()
 	request := f.admit(class, 0, timeout)
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// What an attempt owes is counted as it ends, also where its client has disconnected by then or its
-// request was terminated.
+// The debt of an attempt is counted when the attempt ends, even if its client has disconnected or
+// its request was terminated before.
 func TestSettlement_attemptsCountAsDebtWhenTheyEnd(t *testing.T) {
 	f, accounts := newSettlementFixture(t)
 	request, _ := f.forwardWithCounterServed(0, time.Second)
@@ -89,8 +89,8 @@
 	}
 }
 
-// A creditor's elective requests go to the far server that the debtor lends, while something is
-// settled.
+// While shares are in force, elective requests of a creditor go to the servers of the debtor, in
+// the other zone.
 func TestSettlement_electiveRequestsGoToDebtorsServers(t *testing.T) {
 	f, accounts := newSettlementFixture(t)
 	server := Server{Name: "s-2", Endpoint: policy.Endpoint{State: policy.Ready, Zone: 1}}
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/policy"
 )
 
-// newTwoZoneFixture has a dispatcher in the first of two zones with a server each, and a recorder.
+// newTwoZoneFixture returns a dispatcher in the first of two zones, with one server in each zone
+// and a recorder.
 func newTwoZoneFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(t)
@@ -34,7 +35,7 @@
 	return f
 }
 
-// expectZone wants the next requests forwarded to a server.
+// expectServer expects the next requests to be forwarded to the server at an address.
 func (f *fixture) expectServer(address string) {
 	f.Helper()
 	for range 5 {
@@ -46,30 +47,30 @@
 	}
 }
 
-// admitRepeat admits a request that its client repeats.
+// admitRepeat admits a request that the client marks as a repeat.
 func (f *fixture) admitRepeat() *Request {
 	return f.dispatcher.Admit(RequestSpec{
 		Customer: 5, Units: 2, GatewayCount: 1, Timeout: time.Second, Repeat: true,
 	})
 }
 
-// A steering holds for as long as its lease; the first request after it is steered by the next one.
+// A steering applies until its lease expires. The fallback applies from the next request on.
 func TestSteering_endsWithItsLease(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, time.Hour, Steering{Weights: []float64{1, 0}})
 	f.expectServer("b")
 	f.dispatcher.lock()
-	f.dispatcher.steering.expiresAt = f.dispatcher.clock.now() // the hour is over
+	f.dispatcher.steering.expiresAt = f.dispatcher.clock.now() // the lease has expired
 	f.dispatcher.unlock()
 	f.expectServer("a")
-	const endedLease = 0
-	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, endedLease, Steering{Weights: []float64{1, 0}})
+	const expiredLease = 0
+	f.dispatcher.SetSteering(Steering{Weights: []float64{0, 1}}, expiredLease, Steering{Weights: []float64{1, 0}})
 	f.expectServer("a")
 }
 
-// What fits in no zone is rejected at once, before any attempt. It is recorded as demand, except
-// for a client's repeat.
-func TestSteering_shedRequestIsRejectedAtOnce(t *testing.T) {
+// A request that fits in no zone is rejected without an attempt. It is recorded as demand, unless
+// it is a repeat by the client.
+func TestSteering_shedRequestIsRejectedImmediately(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{1, 0}, ShedFraction: 1})
 	if decision := f.expectAction(f.admit(0, 0, time.Second), Reject); decision.RetryAfter != 150*time.Millisecond {
@@ -86,13 +87,13 @@
 	}
 }
 
-// The dispatcher records attempts by zone, and tells whether its own zone is lost.
-func TestRecorder_getsAttemptsByZone(t *testing.T) {
+// The dispatcher records attempts by zone and reports whether its own zone is lost.
+func TestRecorder_recordsAttemptsByZone(t *testing.T) {
 	f := newTwoZoneFixture(t)
 	f.dispatcher.SetSteering(Steering{}, 0, Steering{Weights: []float64{0, 1}})
 	f.expectServer("b")
 	repeat := f.admitRepeat()
-	f.expectAction(repeat, Forward) // no demand, but an attempt
+	f.expectAction(repeat, Forward) // recorded as an attempt but not as demand
 	repeat.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
@@ -105,8 +106,8 @@
 	}
 }
 
-// A request that its quota admits and that no server can take is demand, though it was never
-// forwarded. One beyond its quota is none, nor is a repeat.
+// A request that is rejected for lack of capacity is demand, although it was never forwarded. A
+// request that exceeds its quota is not, and neither is a repeat.
 func TestRecorder_rejectionForCapacityIsDemand(t *testing.T) {
 	for _, test := range []struct {
 		name   string
