--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -49,13 +49,13 @@
 	losses := &lossLog{log: log}
 	for i := range c.shards {
 		c.shards[i] = &shard{
-			addr:       addr,
-			timeout:    timeout,
-			losses:     losses,
-			queue:      make(chan *call, maxQueued),
-			ctx:        ctx,
-			goroutines: c.goroutines,
-			open:       map[*connection]struct{}{},
+			addr:        addr,
+			timeout:     timeout,
+			losses:      losses,
+			queue:       make(chan *call, maxQueued),
+			ctx:         ctx,
+			goroutines:  c.goroutines,
+			connections: map[*connection]struct{}{},
 		}
 		c.goroutines.Go(c.shards[i].writeCalls)
 	}
--- a/internal/gateway/counter/fuzz_test.go
+++ b/internal/gateway/counter/fuzz_test.go
@@ -23,8 +23,8 @@
 		if !valid {
 			return
 		}
-		text, ended := strings.CutSuffix(line, "\r\n")
-		if !ended || strings.ContainsAny(text, "\r\n") || math.IsNaN(total) || math.IsInf(total, 0) {
+		text, hasLineEnd := strings.CutSuffix(line, "\r\n")
+		if !hasLineEnd || strings.ContainsAny(text, "\r\n") || math.IsNaN(total) || math.IsInf(total, 0) {
 			t.Fatalf("%q was read as %v", line, total)
 		}
 		isTotal := outcome == policy.Answered
--- a/internal/gateway/counter/read.go
+++ b/internal/gateway/counter/read.go
@@ -63,15 +63,15 @@
 	return nil
 }
 
-// parseAnswer parses a line. After "busy" the call was rejected and after "error" it was not
-// understood; in both cases it added nothing. A line that is neither of these nor a total is
-// invalid.
+// parseAnswer parses a line. "busy" means that the counter rejected the call, "error" that it did
+// not understand the call; in both cases nothing was added. A line that is neither of these nor a
+// total is invalid.
 func parseAnswer(line string) (total float64, outcome policy.Outcome, valid bool) {
-	text, ended := strings.CutSuffix(line, "\r\n")
-	if figure, ok := strings.CutPrefix(text, "ok "); ok {
-		total, err := strconv.ParseFloat(figure, floatBits)
+	text, hasLineEnd := strings.CutSuffix(line, "\r\n")
+	if number, ok := strings.CutPrefix(text, "ok "); ok {
+		total, err := strconv.ParseFloat(number, floatBits)
 		isFinite := !math.IsNaN(total) && !math.IsInf(total, 0)
-		return total, policy.Answered, ended && err == nil && isFinite
+		return total, policy.Answered, hasLineEnd && err == nil && isFinite
 	}
-	return 0, policy.Rejected, ended && (text == "busy" || text == "error")
+	return 0, policy.Rejected, hasLineEnd && (text == "busy" || text == "error")
 }
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -33,11 +33,11 @@
 	ctx        context.Context // cancelled when the client is closed
 	goroutines *sync.WaitGroup
 
-	mu         sync.Mutex // also guards the fields of the connections
-	addr       string
-	current    *connection              // receives new calls; nil: not connected
-	open       map[*connection]struct{} // being read: current, and earlier ones with pending calls
-	cancelDial context.CancelFunc       // cancels the dial in progress; nil: none
+	mu          sync.Mutex // also guards the fields of the connections
+	addr        string
+	current     *connection              // receives new calls; nil: not connected
+	connections map[*connection]struct{} // being read: current, and earlier ones with pending calls
+	cancelDial  context.CancelFunc       // cancels the dial in progress; nil: none
 }
 
 // connection is a connection and the calls that were written to it.
@@ -104,7 +104,7 @@
 func (s *shard) setCurrent(socket net.Conn) {
 	conn := &connection{text: textproto.NewConn(socket), socket: socket}
 	s.current = conn
-	s.open[conn] = struct{}{}
+	s.connections[conn] = struct{}{}
 	s.goroutines.Go(func() { s.readAnswers(conn) })
 }
 
@@ -149,7 +149,7 @@
 func (s *shard) disconnect(conn *connection, reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, conn)
+	delete(s.connections, conn)
 	if conn.closed {
 		return
 	}
@@ -169,7 +169,7 @@
 // close closes all connections and fails the queued calls.
 func (s *shard) close() {
 	s.mu.Lock()
-	open := slices.Collect(maps.Keys(s.open))
+	open := slices.Collect(maps.Keys(s.connections))
 	s.mu.Unlock()
 	for _, conn := range open {
 		s.disconnect(conn, errClosed)
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -69,14 +69,14 @@
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
 	request, forward := f.forwardRequest(class, time.Hour)
 	if !forward.Begin() {
-		t.Fatal("Begin refuses the first byte")
+		t.Fatal("first byte refused")
 	}
 	c.trigger(f, request)
 	if forward.Context.Err() != nil {
 		t.Fatal("cancelled after its first byte")
 	}
 	if forward.Begin() {
-		t.Fatal("Begin allows the first byte twice")
+		t.Fatal("first byte allowed twice")
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Fatal("not cancelled")
 	}
 	if forward.Begin() {
-		t.Fatal("Begin allows the first byte after it was cancelled")
+		t.Fatal("first byte allowed after cancellation")
 	}
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
 	request.ReportResult(Result{Outcome: policy.NotSent})
@@ -103,7 +103,7 @@
 	isSame := next.Server.Name == "s-1" && next.Server.Address == forward.Server.Address &&
 		next.Server.Endpoint.StartedAt == forward.Server.Endpoint.StartedAt
 	if next.Action == Forward && isSame && !c.isServerReusable {
-		t.Errorf("forwarded there again: %+v", next.Server)
+		t.Errorf("forwarded to the same server again: %+v", next.Server)
 	}
 }
 
@@ -191,7 +191,7 @@
 	before := time.Now()
 	request, forward := f.forwardRequest(0, time.Hour)
 	if !forward.WriteDeadline.Equal(forward.Deadline) {
-		t.Errorf("the first has the write deadline %v, not %v", forward.WriteDeadline, forward.Deadline)
+		t.Errorf("first attempt: write deadline %v, want %v", forward.WriteDeadline, forward.Deadline)
 	}
 	forward.Begin()
 	after := time.Now()
@@ -230,7 +230,7 @@
 	request.Disconnect()
 	second := f.expectAction(request, Forward)
 	if second.Begin() {
-		t.Error("Begin allows the first byte after the final answer")
+		t.Error("first byte allowed after the final decision")
 	}
 	request.ReportResult(Result{Outcome: policy.NotSent})
 	f.expectAction(request, Reject)
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -68,10 +68,10 @@
 // expireTimeout delivers the timer of a request's timeout to the module, ahead of time.
 func (f *fixture) expireTimeout(request *Request) {
 	f.Helper()
-	const kinds = 4 // kinds of timers, in the low bits of a token; 0: the timeout
+	const timerKinds = 4 // kinds of timers, in the low bits of a token; 0: the timeout
 	now := f.dispatcher.lock()
 	defer f.dispatcher.unlock()
-	if f.dispatcher.module.HandleTimer(now, uint64(request.id)*kinds); !request.completed {
+	if f.dispatcher.module.HandleTimer(now, uint64(request.id)*timerKinds); !request.completed {
 		f.Error("no final answer")
 	}
 }
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -105,8 +105,8 @@
 	d.module.HandleEndpoints(now, kind, selected)
 }
 
-// refreshEndpoints updates the module's endpoints after a change of anything but the list that the
-// selection depends on. It does nothing while the list is empty.
+// refreshEndpoints selects the module's endpoints again from the current list, after something else
+// that the selection depends on has changed. It does nothing while the list is empty.
 func (d *Dispatcher) refreshEndpoints(now time.Duration) {
 	if len(d.servers.byNumber) > 0 {
 		d.updateModuleEndpoints(now, policy.ListFull)
--- a/internal/gateway/dispatch/host.go
+++ b/internal/gateway/dispatch/host.go
@@ -115,8 +115,8 @@
 func (host) WatchEndpoints() {}
 
 // SetTimer sets a timer and replaces an earlier one with the same token.
-func (h host) SetTimer(token uint64, after time.Duration) {
-	h.dispatcher.timers.set(token, h.dispatcher.clock.now()+after)
+func (h host) SetTimer(token uint64, delay time.Duration) {
+	h.dispatcher.timers.set(token, h.dispatcher.clock.now()+delay)
 }
 
 // CancelTimer removes a timer.
--- a/internal/gateway/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -28,8 +28,8 @@
 }
 
 // SetSteering applies a steering for the duration of a lease, and fallback from the first request
-// after the lease has expired. A lease of 0 or less has expired already. Requests in flight
-// continue.
+// after the lease has expired. If lease is not positive, fallback applies immediately. Requests in
+// flight continue.
 func (d *Dispatcher) SetSteering(steering Steering, lease time.Duration, fallback Steering) {
 	now := d.lock()
 	defer d.unlock()
@@ -81,8 +81,7 @@
 }
 
 // shedRetryDivisor divides the tightest latency objective to get the Retry-After of shed requests.
-// A retry may succeed: the steering draws the requests that it sheds, so another draw may get
-// capacity in another zone.
+// The steering sheds requests by a draw, so a retry may get capacity in another zone.
 const shedRetryDivisor = 4
 
 // shedRetryAfter returns the Retry-After of shed requests, by the latency objectives of the classes
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -41,7 +41,7 @@
 	for range 5 {
 		request := f.admit(0, 0, time.Second)
 		if got := f.expectAction(request, Forward).Server.Address; got != address {
-			f.Errorf("forwarded to %s, not to %s", got, address)
+			f.Errorf("forwarded to %s, want %s", got, address)
 		}
 		request.ReportResult(Result{Outcome: policy.Answered})
 	}
@@ -137,7 +137,7 @@
 			counts := map[string]uint64{}
 			f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
 			if got := counts[zonestats.Admitted("a")]; got != test.want {
-				t.Errorf("%d thousandths of units of demand, not %d", got, test.want)
+				t.Errorf("demand of %d thousandths of a unit, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/gateway/dispatch/timers.go
+++ b/internal/gateway/dispatch/timers.go
@@ -40,7 +40,7 @@
 }
 
 // cancel removes a timer. Most requests complete long before their timeouts, and their timers would
-// wake up the process for nothing.
+// wake up the process unnecessarily.
 func (q *timerQueue) cancel(token uint64) {
 	if t := q.byToken[token]; t != nil {
 		heap.Remove(&q.heap, t.index)
