--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -35,7 +35,9 @@
 		{name: "client disconnects", trigger: func(_ *fixture, request *Request) {
 			request.Disconnect()
 		}, nextAction: Disconnected},
-		{name: "final answer is due", trigger: func(f *fixture, request *Request) { f.expireTimeout(request) }, nextAction: Reject},
+		{name: "final answer is due", trigger: func(f *fixture, request *Request) {
+			f.expireTimeout(request)
+		}, nextAction: Reject},
 		{name: "server drains", trigger: notify("here", policy.Draining, 0), nextAction: Forward},
 		{name: "server is removed", trigger: notify("here", policy.Removed, 0), nextAction: Forward},
 		{name: "full list leaves server out", trigger: func(f *fixture, _ *Request) {
