--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -31,7 +31,7 @@
 // update applies a full list or a delta. It deletes a removed server and its number: if the name is
 // listed again, it is a new server to the decision module.
 func (t *serverTable) update(kind policy.ListKind, servers []Server) {
-	removed := map[string]uint32{} // by name
+	removed := map[string]uint32{} // by name; includes servers that a full list leaves out
 	if kind != policy.ListDelta {
 		removed = maps.Clone(t.numbers)
 	}
