--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -52,7 +52,7 @@
 	sharesUntil time.Duration // time on the lease clock at which shares expire
 
 	store       Store                     // nil if balances are not stored
-	storedDebts []settlement.LedgerAmount // debts last written to the store, with the ledger they were written for
+	storedDebts []settlement.LedgerEntry // debts last written to the store, with the ledger they were written for
 	changed     chan struct{}             // capacity 1; wakes storeLoop; nil without a working store
 }
 
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -118,7 +118,7 @@
 	if t.preferredDebtor == 0 {
 		return
 	}
-	t.addMetric(settlement.MetricElective, t.preferredDebtor, 1)
+	t.addMetric(settlement.MetricElectiveAttempts, t.preferredDebtor, 1)
 	if owner == t.preferredDebtor {
 		t.addMetric(settlement.MetricElectivePlaced, t.preferredDebtor, 1)
 	}
