--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -51,9 +51,9 @@
 	shares      []share       // empty if no debt is being settled
 	sharesUntil time.Duration // time on the lease clock at which shares expire
 
-	store       Store                     // nil if balances are not stored
+	store       Store                    // nil if balances are not stored
 	storedDebts []settlement.LedgerEntry // debts last written to the store, with the ledger they were written for
-	changed     chan struct{}             // capacity 1; wakes storeLoop; nil without a working store
+	changed     chan struct{}            // capacity 1; wakes storeLoop; nil without a working store
 }
 
 // balance is the amount that a pair's debtor owes, in thousandths of units.
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -104,7 +104,7 @@
 		return settings, err
 	}
 	d.settings = requested
-	d.subset.Resize(settings.MyIndex, settings.Gateways)
+	d.subset.Resize(settings.GatewayIndex, settings.Gateways)
 	d.accounts.SetPolicy(settings.Classes, settings.Plans)
 	d.applySettings(&settings)
 	if d.rules != nil {
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -63,7 +63,7 @@
 		GatewayCount: spec.GatewayCount, Units: spec.Units, Deadline: now + spec.Timeout, Repeat: spec.Repeat,
 	}
 	request.tracker = d.accounts.TrackRequest(now, policyRequest)
-	policyRequest.PreferOwner = request.tracker.PreferredPartner()
+	policyRequest.PreferredOwner = request.tracker.PreferredPartner()
 	if d.rules != nil {
 		d.admitByRules(now, request, spec, policyRequest)
 		return request
