--- a/internal/gateway/listener/acceptbackoff.go
+++ b/internal/gateway/listener/acceptbackoff.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// initialAcceptBackoff is the wait after a first failed accept. It grows with each further
-	// failure: other goroutines release what is lacking, and need the processor for it.
+	// initialAcceptBackoff is the delay after the first failed accept. The delay grows with each
+	// further failure: other goroutines need processor time to release the exhausted resource.
 	initialAcceptBackoff = time.Millisecond
-	// acceptBackoffGrowth is the factor by which the wait grows.
+	// acceptBackoffGrowth is the factor by which the delay grows.
 	acceptBackoffGrowth = 2
-	// maxAcceptBackoff is the longest wait.
+	// maxAcceptBackoff is the longest delay.
 	maxAcceptBackoff = 100 * time.Millisecond
-	// acceptFailureGap is the time after a failure in which the next one prolongs the wait. Later,
-	// connections were accepted in between.
+	// acceptFailureGap is the longest time between two failures that belong to one series. After a
+	// longer gap, in which connections were accepted, the delay starts again at
+	// initialAcceptBackoff.
 	acceptFailureGap = 2 * maxAcceptBackoff
-	// acceptLogInterval is the time between log lines, of which there would be one for each
-	// failure.
+	// acceptLogInterval is the minimum time between log lines about failed accepts.
 	acceptLogInterval = 10 * time.Second
 )
 
-// acceptBackoff tracks failures to accept. Only the goroutine of Serve uses it.
+// acceptBackoff tracks failed accepts. Only the goroutine that runs Serve uses it.
 type acceptBackoff struct {
 	delay       time.Duration
 	lastFailure time.Time
 	lastLogged  time.Time
 }
 
-// next records a failure, and returns how long to wait after it and whether it should be logged.
-func (b *acceptBackoff) next(now time.Time) (delay time.Duration, shouldLog bool) {
+// recordFailure records a failed accept. It returns the delay before the next attempt, and whether
+// the failure should be logged.
+func (b *acceptBackoff) recordFailure(now time.Time) (delay time.Duration, shouldLog bool) {
 	b.delay = min(acceptBackoffGrowth*b.delay, maxAcceptBackoff)
 	if now.Sub(b.lastFailure) > acceptFailureGap {
 		b.delay = initialAcceptBackoff
@@ -45,10 +46,10 @@
 	return b.delay, shouldLog
 }
 
-// handleAcceptError waits after a failed accept. If file descriptors are exhausted, it evicts an
-// idle connection first.
+// handleAcceptError sleeps after a failed accept. If the process or the system has run out of file
+// descriptors, it first evicts an idle connection.
 func (l *Listener) handleAcceptError(backoff *acceptBackoff, err error) {
-	delay, shouldLog := backoff.next(time.Now())
+	delay, shouldLog := backoff.recordFailure(time.Now())
 	if shouldLog {
 		l.log.Warn("listener: accept failed", zap.Error(err))
 	}
--- a/internal/gateway/listener/acceptbackoff_test.go
+++ b/internal/gateway/listener/acceptbackoff_test.go
@@ -63,7 +63,7 @@
 }
 
 // next takes the next failure; 0: there is none.
-func (l *failingListener) next() (failure syscall.Errno) {
+func (l *failingListener) nextFailure() (failure syscall.Errno) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.failures) > 0 {
@@ -73,7 +73,7 @@
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if failure := l.next(); failure != 0 {
+	if failure := l.nextFailure(); failure != 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", failure)}
 	}
 	return l.TCPListener.Accept()
@@ -95,7 +95,7 @@
 	go func() { served <- f.Serve(socket) }()
 	c := f.dial()
 	c.send(query(1))
-	c.want("hello")
+	c.wantAnswer("hello")
 	socket.fail(failures...)
 	finished := make(chan struct{})
 	go func() {
@@ -105,7 +105,7 @@
 	for range 3 {
 		late := f.dial()
 		late.send(query(2))
-		late.want("hello")
+		late.wantAnswer("hello")
 		_ = late.Close()
 	}
 	_ = c.Close()
--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -14,52 +14,54 @@
 )
 
 const (
-	// commandTimeout is how long a client may take to send a command; see silentTimeout.
+	// commandTimeout is how long a client may take to send a command after its first byte. The time
+	// before the first byte is bounded by silentTimeout and idleTimeout.
 	commandTimeout = time.Second
-	// malformedCloseTimeout is how long a client has to read the answer to a malformed command.
+	// malformedCloseTimeout is how long a client may take to read the answer to a malformed
+	// command.
 	malformedCloseTimeout = time.Second
-	// rejectedCommandPause is the pause before the next command of a client is read, after one that
-	// was answered at once: such commands could otherwise take all processor time.
+	// rejectedCommandPause is the pause in reading from a client after a command that was answered
+	// without being forwarded. Without it, such commands could take all processor time.
 	rejectedCommandPause = 10 * time.Millisecond
-	// maxInFlightPerConn is the largest number of requests in flight on a connection.
+	// maxInFlightPerConn is the maximum number of commands in flight on a connection.
 	maxInFlightPerConn = 16
-	// maxRejectedPerConn is the largest number of commands that are read behind these late in a
-	// drain, and rejected.
+	// maxRejectedPerConn is the maximum number of further commands that a drain reads and rejects
+	// once it has stopped forwarding.
 	maxRejectedPerConn = 64
 )
 
-// client reads the commands of one connection and has them answered in order.
+// client reads the commands of one connection and writes the answers in the order of the commands.
 type client struct {
-	listener       *Listener
-	conn           *connection
-	inFlightTokens chan struct{}      // one for each command that may yet be in flight
-	rejectedTokens chan struct{}      // one for each command that may yet be rejected behind them
-	pipeline       textproto.Pipeline // puts the answers in the order of the commands
+	listener        *Listener
+	conn            *connection
+	inFlightTokens  chan struct{}      // one token for each further command that may be in flight
+	rejectionTokens chan struct{}      // one token for each further command that a drain may reject
+	pipeline        textproto.Pipeline // orders the answers
 
 	mu       sync.Mutex                     // protects requests
-	requests map[*dispatch.Request]struct{} // admitted, and not completed
+	requests map[*dispatch.Request]struct{} // requests that are admitted and not completed
 }
 
 func newClient(l *Listener, conn *resp.Conn) *client {
 	c := &client{
-		listener:       l,
-		conn:           newConnection(conn, l.drain),
-		inFlightTokens: make(chan struct{}, maxInFlightPerConn),
-		rejectedTokens: make(chan struct{}, maxRejectedPerConn),
-		requests:       map[*dispatch.Request]struct{}{},
+		listener:        l,
+		conn:            newConnection(conn, l.drain),
+		inFlightTokens:  make(chan struct{}, maxInFlightPerConn),
+		rejectionTokens: make(chan struct{}, maxRejectedPerConn),
+		requests:        map[*dispatch.Request]struct{}{},
 	}
 	c.conn.giveUp = c.giveUp
 	for range maxInFlightPerConn {
 		c.inFlightTokens <- struct{}{}
 	}
 	for range maxRejectedPerConn {
-		c.rejectedTokens <- struct{}{}
+		c.rejectionTokens <- struct{}{}
 	}
 	return c
 }
 
-// serve reads commands until the client disconnects, which it notices also while requests are in
-// flight. It owns the connection.
+// serve reads commands until the client disconnects, and closes the connection then. It detects a
+// disconnect also while requests are in flight.
 func (c *client) serve() {
 	defer c.disconnect()
 	for c.conn.awaitCommand() && c.awaitToken() {
@@ -69,9 +71,9 @@
 	}
 }
 
-// awaitToken waits until one more command may be in flight. Once a drain forwards no more, some are
-// read beyond that: they would be lost behind requests that hang. It returns false if the client
-// disconnects.
+// awaitToken waits until one more command may be in flight. Once a drain has stopped forwarding, it
+// lets up to maxRejectedPerConn further commands through: they are rejected, and would be lost if
+// they stayed unread behind requests that hang. It returns false if the client disconnects.
 func (c *client) awaitToken() bool {
 	select {
 	case <-c.inFlightTokens:
@@ -81,14 +83,14 @@
 	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
 	for {
-		var rejectedTokens chan struct{}
-		if c.listener.drain.isForwardOver() {
-			rejectedTokens = c.rejectedTokens
+		var rejectionTokens chan struct{}
+		if c.listener.drain.hasStoppedForwarding() {
+			rejectionTokens = c.rejectionTokens
 		}
 		select {
 		case <-c.inFlightTokens:
 			return true
-		case <-rejectedTokens:
+		case <-rejectionTokens:
 			return true
 		case <-ticker.C:
 			if c.conn.IsPeerClosed() {
@@ -98,34 +100,35 @@
 	}
 }
 
-// returnToken gives a token back: to those in flight first, as it is not known which a command had.
+// returnToken returns the token of a command. It fills inFlightTokens first, as the token's origin
+// is not recorded.
 func (c *client) returnToken() {
 	select {
 	case c.inFlightTokens <- struct{}{}:
 	default:
-		c.rejectedTokens <- struct{}{}
+		c.rejectionTokens <- struct{}{}
 	}
 }
 
-// giveUp has the requests in flight answered as failed.
+// giveUp makes all requests in flight complete as failed.
 func (c *client) giveUp() {
 	for _, request := range c.openRequests() {
 		request.GiveUp()
 	}
 }
 
-// serveCommand reads one command and starts its execution. It returns false if nothing more is to
-// be read.
+// serveCommand reads one command and starts its execution. It returns false if no further command
+// is to be read.
 func (c *client) serveCommand() bool {
 	command, err := c.readCommand()
-	outcome := c.readOutcomeOf(err)
+	outcome := c.classifyReadError(err)
 	if outcome == readFailed {
 		return false
 	}
 	c.conn.countReadAhead()
-	turn := c.pipeline.Next()
+	pipelineID := c.pipeline.Next()
 	if outcome != readComplete {
-		c.answerUnreadable(turn, outcome, err)
+		c.answerUnreadable(pipelineID, outcome, err)
 		return false
 	}
 	age, isClosed := c.conn.PeerState()
@@ -135,23 +138,23 @@
 	}
 	request, message, reply := c.admitCommand(command, age)
 	if reply == "" {
-		c.listener.workers.run(job{c, turn, request, message, command.memory})
+		c.listener.workers.run(job{c, pipelineID, request, message, command.memory})
 		return true
 	}
 	c.discard(command)
-	go c.answer(turn, func() error { return c.conn.WriteLine(reply) })
-	if reply != replyPong && !c.listener.drain.isForwardOver() {
+	go c.answer(pipelineID, func() error { return c.conn.WriteLine(reply) })
+	if reply != replyPong && !c.listener.drain.hasStoppedForwarding() {
 		time.Sleep(rejectedCommandPause)
 	}
 	return true
 }
 
-// admitCommand parses a command and admits the request under the same settings, or returns a line
-// that answers it at once.
+// admitCommand parses a command and admits the request under the same settings. If the command is
+// not a valid request, it returns the line that answers it.
 func (c *client) admitCommand(
 	command *pendingCommand, age time.Duration,
 ) (request *dispatch.Request, message *upstream.Command, reply string) {
-	if !command.isSingleWord() && c.conn.rejectsCommand() {
+	if !command.isSingleWord() && c.conn.rejectIfLate() {
 		return nil, nil, rejectionLine(0)
 	}
 	c.listener.settingsMu.RLock()
@@ -163,7 +166,7 @@
 	return c.admit(spec), message, ""
 }
 
-// admit passes a request to the dispatcher, and remembers it so as to report a disconnect.
+// admit passes a request to the dispatcher and records it, so that a disconnect is reported for it.
 func (c *client) admit(spec dispatch.RequestSpec) *dispatch.Request {
 	request := c.listener.dispatcher.Admit(spec)
 	c.mu.Lock()
@@ -172,18 +175,18 @@
 	return request
 }
 
-// complete forgets a request that needs no report of a disconnect any more.
+// complete removes a request for which a disconnect need not be reported any more.
 func (c *client) complete(request *dispatch.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.requests, request)
 }
 
-// answer writes an answer when its turn has come. During a drain the last answer closes the
-// connection.
-func (c *client) answer(turn uint, write func() error) {
-	c.pipeline.StartResponse(turn)
-	// SetWriteDeadline fails on a closed connection only, where the write fails as well.
+// answer writes the answer of a command after all earlier answers. During a drain, the last answer
+// closes the connection.
+func (c *client) answer(pipelineID uint, write func() error) {
+	c.pipeline.StartResponse(pipelineID)
+	// SetWriteDeadline fails only on a closed connection, and the write then fails as well.
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var err error
 	if c.listener.drain.active.Load() {
@@ -192,22 +195,23 @@
 		err = write()
 	}
 	if err != nil {
-		_ = c.conn.Close() // before the next turn: an answer behind a part of this one would be read as its rest
+		_ = c.conn.Close() // close first: the client would read the next answer as the rest of this one
 	}
 	c.conn.endCommand()
-	c.pipeline.EndResponse(turn)
+	c.pipeline.EndResponse(pipelineID)
 	c.returnToken()
 }
 
-// answerUnreadable answers a command that could not be read, in its turn, and closes the
-// connection. A partial command has no answer of its own: those before it are written.
-func (c *client) answerUnreadable(turn uint, outcome readOutcome, err error) {
+// answerUnreadable closes the connection after a command that could not be read. It first waits for
+// the earlier answers, and answers the command itself if it is malformed; a partial command has no
+// answer.
+func (c *client) answerUnreadable(pipelineID uint, outcome readOutcome, err error) {
 	var malformed resp.ProtocolError
-	_ = errors.As(err, &malformed) // holds unless the command is partial
+	_ = errors.As(err, &malformed) // malformed stays zero if the command is partial
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.answer(turn, func() error {
+		c.answer(pipelineID, func() error {
 			if outcome == readPartial {
 				return nil
 			}
@@ -219,14 +223,14 @@
 	}
 }
 
-// disconnect reports to the dispatcher which requests have lost their client, and gives the slot
-// back.
+// disconnect reports the disconnect of the client to the dispatcher for all open requests, closes
+// the connection and releases its slot.
 func (c *client) disconnect() {
 	c.conn.markClosed()
 	for _, request := range c.openRequests() {
 		request.Disconnect()
 	}
-	_ = c.conn.Close() // it may be closed already
+	_ = c.conn.Close() // may be closed already
 	c.listener.connections.remove(c.conn)
 }
 
--- a/internal/gateway/listener/client_test.go
+++ b/internal/gateway/listener/client_test.go
@@ -26,7 +26,7 @@
 }
 
 // dialNarrow connects a client whose system takes only a little before the client reads.
-func (f *fixture) dialNarrow() *testClient {
+func (f *fixture) dialWithSmallReadBuffer() *testClient {
 	f.Helper()
 	return f.dialWith(&net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -70,7 +70,7 @@
 }
 
 // want reads an answer and compares it with a pattern.
-func (c *testClient) want(pattern string) {
+func (c *testClient) wantAnswer(pattern string) {
 	c.Helper()
 	if answer := c.readAnswer(); !regexp.MustCompile("^(" + pattern + ")$").MatchString(answer) {
 		c.Fatalf("answered %.40q, want %.40s", answer, pattern)
--- a/internal/gateway/listener/close.go
+++ b/internal/gateway/listener/close.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	closeTimeout      = time.Second           // how long a client has to close after its last answer
-	closePollInterval = 50 * time.Millisecond // between checks whether it has closed
+	closeTimeout      = time.Second           // time for the client to close the connection after its last answer
+	closePollInterval = 50 * time.Millisecond // time between checks whether the client has closed the connection
 )
 
-// halfCloser is a connection whose sending half can be closed on its own.
+// halfCloser is a connection whose sending half can be closed separately.
 type halfCloser interface{ CloseWrite() error }
 
-// writeLast writes an answer during a drain, and closes the sending half with it if no other
-// command is in flight. The end of the answer and of the connection leave in one segment: closed a
-// moment later, the connection could cross the next request of a client that asks at once. The
-// reader then waits for the client to close, or leaves what it still sends unread.
+// writeLast writes an answer during a drain. If no other command is in flight, it also closes the
+// sending half, so that the answer and the FIN leave in one segment: a FIN sent later could cross
+// the client's next request. The reader then waits for the client to close the connection, and
+// leaves unread what the client still sends.
 func (c *connection) writeLast(write func() error) error {
 	c.setCork(1)
 	err := write()
 	c.mu.Lock()
 	if err == nil && c.isLastAnswer() {
-		c.state.halfClose(time.Now())
+		c.state.markHalfClosed(time.Now())
 	}
 	isOver := c.state.isClosed() && err == nil
 	c.mu.Unlock()
 	if half, ok := c.Conn.Conn.(halfCloser); isOver && ok && half.CloseWrite() == nil {
-		// SetReadDeadline fails on a closed connection only, where the reader has ended.
+		// SetReadDeadline fails only on a closed connection, whose reader has ended.
 		_ = c.SetReadDeadline(time.Now().Add(closeTimeout))
 		return nil
 	}
@@ -42,15 +42,15 @@
 	return err
 }
 
-// isLastAnswer reports whether the answer just written is to the only command in flight, with no
-// byte of another one waiting to be read. The caller holds c.mu.
+// isLastAnswer reports whether the answer just written belongs to the only command in flight, and
+// no unread byte of a further command has arrived. The caller must hold c.mu.
 func (c *connection) isLastAnswer() bool {
-	return !c.state.isClosed() && c.state.commands == 1 && c.IsQuiet()
+	return !c.state.isClosed() && c.state.inFlight == 1 && c.IsQuiet()
 }
 
-// awaitClose reads nothing more, and waits until the client has closed a connection that the last
-// answer has closed or is about to close, or until the client's time for that is over. Closing a
-// connection with unread bytes resets it, and the system would discard what it still holds of the
+// awaitClose waits, without reading, until the client closes the connection or its time for that
+// has passed. It is called when the last answer has closed the sending half or is about to. Closing
+// a connection with unread bytes resets it, and the system then discards the unsent part of the
 // answer.
 func (c *connection) awaitClose() {
 	for {
@@ -61,7 +61,7 @@
 		switch c.takeCloseStep() {
 		case closeSendingHalf:
 			if half, ok := c.Conn.Conn.(halfCloser); ok {
-				_ = half.CloseWrite() // on an error the client sees the close when its time is over
+				_ = half.CloseWrite() // after an error, the client sees the close once its time has passed
 			}
 		case stopWaiting:
 			return
@@ -70,8 +70,8 @@
 	}
 }
 
-// takeCloseStep decides what awaitClose does next. Where the last answer was written just before
-// the drain began, nothing has closed the sending half: it is marked as closed here, and the caller
+// takeCloseStep returns what awaitClose does next. If the last answer was written just before the
+// drain began, the sending half is still open: takeCloseStep marks it as closed, and the caller
 // closes it.
 func (c *connection) takeCloseStep() closeStep {
 	c.mu.Lock()
@@ -79,13 +79,13 @@
 	now := time.Now()
 	step := c.state.nextCloseStep(now, c.HasUnacknowledged)
 	if step == closeSendingHalf {
-		c.state.halfClose(now)
+		c.state.markHalfClosed(now)
 	}
 	return step
 }
 
-// setCork makes the system hold back the last partial segment written (1), or send it (0). Where
-// that is not possible, it is merely sent sooner.
+// setCork makes the system hold back the last partial segment written (1), or send it (0). A
+// connection without that option sends the segment without delay.
 func (c *connection) setCork(on int) {
 	if socket, ok := c.Conn.Conn.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
--- a/internal/gateway/listener/close_test.go
+++ b/internal/gateway/listener/close_test.go
@@ -18,7 +18,7 @@
 	unknown := fakes.FormatCommand("ODD") // answered at once, and the reader pauses behind it
 	c.send(unknown + unknown + unknown + unknown)
 	for range 4 {
-		c.want("-ERR unknown command")
+		c.wantAnswer("-ERR unknown command")
 	}
 	c.wantClose()
 	_ = c.Close()
@@ -32,13 +32,13 @@
 	idle := f.dial()
 	c := f.dial()
 	c.send(query(1) + query(2) + query(3))
-	c.want("value 1")
+	c.wantAnswer("value 1")
 	finished := f.startDrain()
 	idle.wantReset()
 	close(release[3])
 	close(release[2])
-	c.want("value 2")
-	c.want("value 3")
+	c.wantAnswer("value 2")
+	c.wantAnswer("value 3")
 	c.wantClose()
 	_ = c.Close()
 	f.awaitDrained(finished)
@@ -50,12 +50,12 @@
 	c := f.dial()
 	text := query(1)
 	c.send(text[:20])
-	near := <-f.accepted
-	fakes.Eventually(t, "the first half read", func() bool { return near.readBytes.Load() == 20 })
+	tapped := <-f.accepted
+	fakes.Eventually(t, "the first half read", func() bool { return tapped.readBytes.Load() == 20 })
 	f.activateDrain(time.Hour)
-	f.connections.closeIdle(isDueInDrain)
+	f.connections.closeIdle(shouldCloseInDrain)
 	c.send(text[20:])
-	c.want("hello")
+	c.wantAnswer("hello")
 	c.wantClose()
 	_ = c.Close()
 	f.awaitEmpty()
@@ -77,7 +77,7 @@
 		}
 	}
 	close(release[1])
-	c.want("value 1")
+	c.wantAnswer("value 1")
 	c.wantClose()
 }
 
@@ -87,16 +87,16 @@
 	release := map[int]chan bool{1: make(chan bool)}
 	events := make(chan string, 10)
 	var conn *connection
-	f := newDrainFixture(t, 8, func(near *tappedConn) {
+	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 		// The answer cannot be counted as written before the test has seen what follows it.
 		hold := once(func() { conn.mu.Lock() })
-		near.write = func(p []byte) (int, error) {
+		tapped.write = func(p []byte) (int, error) {
 			hold()
 			events <- "write"
-			n, _ := near.TCPConn.Write(p[:3])
+			n, _ := tapped.TCPConn.Write(p[:3])
 			return n, errors.New("write fails")
 		}
-		near.beforeClose = once(func() { events <- "close" })
+		tapped.beforeClose = once(func() { events <- "close" })
 	}, answerByNumber(release))
 	client := f.dial()
 	conn = f.connectionOf(client)
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -12,7 +12,7 @@
 // closeReasons are those for which the listener closes an idle connection.
 var closeReasons = map[string]func(f *drainFixture){
 	"eviction": func(f *drainFixture) { f.connections.evict(0) },
-	"drain":    func(f *drainFixture) { f.connections.closeIdle(isDueInDrain) },
+	"drain":    func(f *drainFixture) { f.connections.closeIdle(shouldCloseInDrain) },
 	"sweep": func(f *drainFixture) {
 		ctx, cancel := context.WithCancel(f.Context())
 		defer cancel()
@@ -42,7 +42,7 @@
 			closeIdle(f)
 			close(release)
 			c.send(strings.TrimPrefix(pingCommand, "*"))
-			c.want(`\+PONG`)
+			c.wantAnswer(`\+PONG`)
 		})
 	}
 }
@@ -54,17 +54,17 @@
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerHello)
 			c := f.dial()
-			near := <-f.accepted
+			tapped := <-f.accepted
 			conn := f.connectionOf(c)
 			conn.makeIdle()
-			near.beforeReset = once(func() {
+			tapped.beforeReset = once(func() {
 				c.send(query(1))
 				fakes.Eventually(t, "the request's arrival", func() bool { return !conn.IsQuiet() })
 			})
 			closeIdle(f)
 			c.wantReset()
 			f.awaitEmpty()
-			if n := near.readBytes.Load(); n > 0 || f.server.PendingCommands() > 0 {
+			if n := tapped.readBytes.Load(); n > 0 || f.server.PendingCommands() > 0 {
 				t.Errorf("%d bytes were read, %d requests forwarded", n, f.server.PendingCommands())
 			}
 		})
@@ -82,10 +82,10 @@
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerLongValue)
-			client := f.dialNarrow()
+			client := f.dialWithSmallReadBuffer()
 			conn := f.connectionOf(client)
 			client.send(query(1))
-			fakes.Eventually(t, "the answer written", conn.isAnswered)
+			fakes.Eventually(t, "the answer written", conn.isFullyAnswered)
 			conn.setLastUsed(time.Now().Add(-drainIdleTimeout))
 			if name != "sweep" { // which closes connections idle for longer than writing an answer may take
 				closeIdle(f)
@@ -93,7 +93,7 @@
 			if conn.closeIfIdle() {
 				t.Error("closed with its answer in transit")
 			}
-			client.want(longValue)
+			client.wantAnswer(longValue)
 			conn.makeIdle()
 			fakes.Eventually(t, "all acknowledged", func() bool { return !conn.HasUnacknowledged() })
 			closeIdle(f)
@@ -104,10 +104,10 @@
 
 func TestCloseIdle_clientThatNeverReadsIsClosed(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerLongValue)
-	c := f.dialNarrow()
+	c := f.dialWithSmallReadBuffer()
 	conn := f.connectionOf(c)
 	c.send(query(1))
-	fakes.Eventually(t, "the answer written", conn.isAnswered)
+	fakes.Eventually(t, "the answer written", conn.isFullyAnswered)
 	conn.makeIdle()
 	f.connections.evict(0)
 	f.awaitEmpty()
--- a/internal/gateway/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -8,34 +8,34 @@
 	"harrierhoist/internal/gateway/resp"
 )
 
-// memoryTimeout is how long a command waits for memory. Another gateway may serve a client that is
-// rejected.
+// memoryTimeout is how long a command waits for memory before it is rejected. A rejected client may
+// be served by another gateway.
 const memoryTimeout = 500 * time.Millisecond
 
-// pendingCommand is a command as it was read, with the memory reserved for it.
+// pendingCommand is a command that was read, with the memory reserved for it.
 type pendingCommand struct {
 	*resp.Command
 	memory          int           // in bytes
-	waitedForMemory time.Duration // how long its reading was delayed
+	waitedForMemory time.Duration // time that reading the command waited for memory
 }
 
-// isSingleWord reports whether the command may be a health check. The client of one may close its
-// sending half with it, and gets its answer at any time.
+// isSingleWord reports whether the command may be a PING. A client may close its sending half right
+// after a PING and is answered nevertheless, even during a drain.
 func (p *pendingCommand) isSingleWord() bool { return len(p.Words) <= 1 }
 
-// discard releases what a command holds that is not executed.
+// discard releases the value and the memory of a command that is not executed.
 func (c *client) discard(command *pendingCommand) {
 	command.Body.Free()
 	c.listener.memory.release(command.memory)
 	command.memory = 0
 }
 
-// readCommand reads a command. If no memory becomes free for it in time, its value is discarded as
-// it arrives. Meanwhile nothing more is read from the client.
+// readCommand reads a command. If no memory becomes available in time, the command's value is
+// discarded as it arrives. While the command waits for memory, nothing is read from the client.
 func (c *client) readCommand() (*pendingCommand, error) {
 	command := &pendingCommand{}
 	deadline := time.Now().Add(commandTimeout)
-	_ = c.conn.SetReadDeadline(deadline) // fails on a closed connection only, where reading fails as well
+	_ = c.conn.SetReadDeadline(deadline) // fails only on a closed connection, where reading fails as well
 	reserve := func(valueSize int) bool { return c.reserveMemory(command, maxRequestOverhead+valueSize, deadline) }
 	var err error
 	command.Command, err = c.conn.ReadCommand(maxCommandWords, reserve)
@@ -49,18 +49,19 @@
 	return command, err
 }
 
-// readOutcome is what reading a command came to.
+// readOutcome is the result of reading a command.
 type readOutcome uint8
 
 const (
 	readComplete  readOutcome = iota
-	readMalformed             // answered with its error, as the last one of the connection
-	readPartial               // has no answer of its own: the commands before it get theirs
-	readFailed                // the client has disconnected, or sent too little in time with nothing in flight
+	readMalformed             // the command is answered with an error, and the connection is closed
+	readPartial               // the rest did not arrive in time; only the earlier commands are answered
+	readFailed                // the client disconnected, or sent a partial command with no other in flight
 )
 
-// readOutcomeOf classifies an error of reading a command; nil says that it is complete.
-func (c *client) readOutcomeOf(err error) readOutcome {
+// classifyReadError returns the outcome of a read that ended with err. A nil error means
+// readComplete.
+func (c *client) classifyReadError(err error) readOutcome {
 	var malformed resp.ProtocolError
 	switch {
 	case err == nil:
@@ -74,8 +75,8 @@
 	}
 }
 
-// reserveMemory reserves memory for a command, and reports whether it got it. Time spent waiting is
-// added to the deadline for reading the command.
+// reserveMemory reserves size bytes for a command, and reports whether they are reserved. The time
+// spent waiting is added to the deadline for reading the command.
 func (c *client) reserveMemory(command *pendingCommand, size int, deadline time.Time) bool {
 	if c.listener.memory.acquire(size, c.conn.isPipelined()) == nil {
 		command.memory = size
@@ -90,7 +91,7 @@
 	return command.memory > 0
 }
 
-// waitForMemory waits until size bytes are reserved. It returns false if that takes too long, or if
+// waitForMemory waits until size bytes are reserved. It returns false after memoryTimeout, or if
 // the client disconnects.
 func (c *client) waitForMemory(size int) bool {
 	limit := time.After(memoryTimeout)
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -10,29 +10,31 @@
 )
 
 const (
-	// writeTimeout is the longest deadline that counts: a client that takes longer over an answer
-	// is gone.
+	// writeTimeout is how long a client may take to receive an answer. A client that takes longer
+	// is assumed to have disconnected. It is also the longest request timeout that killDelay allows
+	// for.
 	writeTimeout = 3 * time.Second
-	// newClientGrace is the time in which a client that has just connected is expected to send a
-	// command. After it the connection is idle like others.
+	// newClientGrace is the time in which a new client is expected to send its first command. After
+	// it, the connection counts as idle.
 	newClientGrace = 100 * time.Millisecond
 )
 
-// readerState is where the reader of a connection stands between two commands.
+// readerState is the position of a connection's reader between two commands.
 type readerState uint8
 
 const (
 	readerBetweenCommands readerState = iota // the next command is counted when its first byte arrives
-	readerInNextCommand                      // a part of the next command was read with the last one, and it is counted
+	readerInNextCommand                      // part of the next command was read, and it is counted
 )
 
-// connection is a client's connection: it counts the commands in flight on it and decides when it
-// can be closed. The client's reader, its workers and those who close idle connections share it.
+// connection is a client's connection. It counts the commands in flight and decides when the
+// connection can be closed. It is shared by the client's reader, its workers and the goroutines
+// that close idle connections.
 type connection struct {
 	*resp.Conn
 	drain  *drainState
-	giveUp func()      // has the requests in flight answered as failed
-	reader readerState // used by the goroutine that reads
+	giveUp func()      // makes the requests in flight complete as failed
+	reader readerState // used only by the reading goroutine
 
 	mu    sync.Mutex // protects state; taken after connectionTable.mu
 	state connectionState
@@ -42,7 +44,8 @@
 	return &connection{Conn: conn, drain: drain, state: connectionState{lastUsed: time.Now()}}
 }
 
-// awaitCommand waits for a command and counts it. It returns false if nothing more is to be read.
+// awaitCommand waits for a command and counts it. It returns false if no further command is to be
+// read.
 func (c *connection) awaitCommand() bool {
 	if c.reader == readerInNextCommand {
 		c.reader = readerBetweenCommands
@@ -58,27 +61,27 @@
 	return false
 }
 
-// beginCommand counts a command whose first byte has arrived, unless the connection was closed
-// meanwhile, or is to close with the answers to the commands in flight. A drain reads the first
-// command of a connection at any time.
+// beginCommand counts a command whose first byte has arrived. It returns false if the connection
+// was closed in the meantime, or if a drain has stopped reading and the command is not the first on
+// the connection. The answers to the commands in flight then close the connection.
 func (c *connection) beginCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state.isClosed() || !c.state.isUnused() && c.drain.isReadOver() {
+	if c.state.isClosed() || !c.state.isUnused() && c.drain.hasStoppedReading() {
 		return false
 	}
 	c.state.beginCommand()
 	return true
 }
 
-// countReadAhead counts the next command as soon as a byte of it was read, while the previous one
-// is still counted: in between, the previous one's answer could close the connection, and what was
-// read ahead would be lost.
+// countReadAhead counts the next command if part of it was read ahead. It is called while the
+// previous command is still counted. Otherwise, the previous answer could close the connection, and
+// the bytes read ahead would be lost.
 func (c *connection) countReadAhead() {
 	if c.IsDrained() {
 		return
 	}
-	if c.drain.isReadOver() {
+	if c.drain.hasStoppedReading() {
 		c.StopReadAhead()
 	}
 	c.mu.Lock()
@@ -87,52 +90,56 @@
 	c.state.beginCommand()
 }
 
-// endCommand counts a command as answered.
+// endCommand marks a command as answered.
 func (c *connection) endCommand() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.endCommand(time.Now())
 }
 
-// rejectsCommand decides whether a drain rejects the command that was just read, and records it if
-// so: after forwardAfterTerm, unless it is the only one ever counted on the connection.
-func (c *connection) rejectsCommand() bool {
+// rejectIfLate reports whether a drain rejects the command that was just read, and records the
+// rejection. Once a drain has stopped forwarding, it rejects every command unless it is the only
+// one ever counted on its connection.
+func (c *connection) rejectIfLate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state.isAtFirstCommand() || !c.drain.isForwardOver() {
+	if c.state.isFirstCommandInFlight() || !c.drain.hasStoppedForwarding() {
 		return false
 	}
 	c.state.hasRejected = true
 	return true
 }
 
-// hasRejectedBehind reports whether rejections wait behind other commands.
-func (c *connection) hasRejectedBehind() bool {
+// hasBlockedRejections reports whether a drain has rejected commands whose answers may wait behind
+// other commands in flight.
+func (c *connection) hasBlockedRejections() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.hasRejected && c.state.commands > 1
+	return c.state.hasRejected && c.state.inFlight > 1
 }
 
-// commandsInFlight returns how many commands have no answer yet.
+// commandsInFlight returns the number of commands that have no answer yet.
 func (c *connection) commandsInFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.commands
+	return c.state.inFlight
 }
 
-// isPipelined reports whether other commands are in flight besides the one that is being read.
+// isPipelined reports whether commands are in flight besides the one that is being read.
 func (c *connection) isPipelined() bool { return c.commandsInFlight() > 1 }
 
-// currentActivity returns what the connection is doing, and since when if it is idle.
+// currentActivity returns the activity of the connection, and the time since which it is idle if
+// the activity is an idle one.
 func (c *connection) currentActivity() (activity activity, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.activity(time.Now()), c.state.lastUsed
 }
 
-// closeIfIdle resets the connection if it is idle, and reports whether it did. Bytes that have
-// arrived unread are a command to be answered, and no byte of a command is read before
-// beginCommand. A client whose command crosses the reset can tell, and sends it again elsewhere.
+// closeIfIdle resets the connection if it is idle, and reports whether it did. A connection with
+// unread bytes is not idle: they belong to a command that must be answered, and no byte of a
+// command is read before beginCommand. A client whose command arrives during the reset can tell
+// that it was not read, and can send it to another gateway.
 func (c *connection) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,20 +147,21 @@
 	if !isIdle || !c.IsQuiet() || c.isAnswerInTransit() {
 		return false
 	}
-	c.state.end()
+	c.state.markEnded()
 	c.Reset()
 	return true
 }
 
-// isAnswerInTransit reports whether an answer may still be on its way to a slow client. A reset
-// would discard it. The caller holds c.mu.
+// isAnswerInTransit reports whether a slow client may not have received all of an answer. A reset
+// would discard the rest. The caller must hold c.mu.
 func (c *connection) isAnswerInTransit() bool {
 	return c.HasUnacknowledged() && time.Since(c.state.lastUsed) < writeTimeout
 }
 
-// markClosed makes the connection count no further command, and never idle.
+// markClosed makes the connection count no further command. The connection is no longer considered
+// idle.
 func (c *connection) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.end()
+	c.state.markEnded()
 }
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -7,32 +7,34 @@
 	"time"
 )
 
-// Limits on connections that send nothing.
+// Limits on idle connections and on slots.
 const (
-	// relaxedSlotShare is the part of the slots up to which idle connections are kept. The rest is
-	// for bursts.
-	relaxedSlotShare = 0.6
-	// slotRetryInterval is the time between attempts to evict a connection for one that waits for a
-	// slot.
+	// idleSlotFraction is the fraction of the slots above which idle connections are evicted. The
+	// rest is reserved for bursts.
+	idleSlotFraction = 0.6
+	// slotRetryInterval is the time between attempts to evict a connection while an accepted one
+	// waits for a slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// minIdleBeforeEvict is how long a client that was answered keeps its slot in a flood: most
-	// send their next request within it.
+	// minIdleBeforeEvict is how long a connection stays protected from eviction after an answer in
+	// a flood. Most clients send their next request within that time.
 	minIdleBeforeEvict = 2 * time.Second
-	// idleTimeout is how long a connection may be idle after an answer.
+	// idleTimeout is the maximum idle time of a connection after an answer.
 	idleTimeout = 10 * time.Second
-	// silentTimeout is how long a connection may be idle before its first answer.
+	// silentTimeout is the maximum idle time of a connection on which no command has arrived.
 	silentTimeout = 1500 * time.Millisecond
-	// sweepInterval is the time between searches for connections past these timeouts.
+	// sweepInterval is the time between checks for connections that exceed idleTimeout or
+	// silentTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// floodDivisor gives the part of the slots that new connections hold in a flood.
+	// floodDivisor defines a flood: new connections hold more than the number of slots divided by
+	// it.
 	floodDivisor = 2
 )
 
-// connectionTable holds the open connections. Each holds a slot; one more connection may have been
-// accepted and wait for one.
+// connectionTable holds the open connections, each of which occupies a slot. One more accepted
+// connection may wait for a slot.
 type connectionTable struct {
-	slots chan struct{}  // as many elements as slots are taken
-	open  sync.WaitGroup // the connections in the table
+	slots chan struct{}  // one element for each occupied slot
+	open  sync.WaitGroup // counts the connections in the table
 
 	mu          sync.Mutex // protects connections; taken before connection.mu
 	connections map[*connection]struct{}
@@ -42,9 +44,9 @@
 	return &connectionTable{slots: make(chan struct{}, max(maxConnections, 1)), connections: map[*connection]struct{}{}}
 }
 
-// acquireSlot takes a slot for an accepted connection. If none is free, it evicts idle connections
-// until one is. That is not done in advance: each connection that is closed may cross a request on
-// its way. It returns false if stop was closed meanwhile.
+// acquireSlot acquires a slot for an accepted connection. If none is free, it evicts idle
+// connections until one is. It does not evict in advance, as each eviction may cross a request on
+// its way. It returns false if stop is closed first.
 func (t *connectionTable) acquireSlot(stop <-chan struct{}) bool {
 	select {
 	case t.slots <- struct{}{}:
@@ -58,12 +60,12 @@
 			return true
 		case <-stop:
 			return false
-		case <-time.After(slotRetryInterval): // connections that are new and stay silent become idle meanwhile
+		case <-time.After(slotRetryInterval): // new connections that stay silent become idle in the meantime
 		}
 	}
 }
 
-// add puts a connection that holds a slot into the table.
+// add adds a connection that holds a slot.
 func (t *connectionTable) add(c *connection) {
 	t.mu.Lock()
 	t.connections[c] = struct{}{}
@@ -71,7 +73,7 @@
 	t.open.Add(1)
 }
 
-// remove takes a connection out of the table and releases its slot.
+// remove removes a connection and releases its slot.
 func (t *connectionTable) remove(c *connection) {
 	t.mu.Lock()
 	delete(t.connections, c)
@@ -80,18 +82,18 @@
 	t.open.Done()
 }
 
-// evictOverRelaxedLimit evicts an idle connection if more slots are taken than idle connections may
-// hold.
-func (t *connectionTable) evictOverRelaxedLimit() {
-	if limit := int(relaxedSlotShare * float64(cap(t.slots))); len(t.slots) > limit {
+// evictAboveIdleLimit evicts an idle connection if more slots are occupied than idleSlotFraction
+// allows.
+func (t *connectionTable) evictAboveIdleLimit() {
+	if limit := int(idleSlotFraction * float64(cap(t.slots))); len(t.slots) > limit {
 		t.evict(limit)
 	}
 }
 
-// evict closes one idle connection if more than limit connections are open, not counting new ones
-// that were just accepted: a silent one if there is any, else the one that has been idle longest.
-// While new ones hold over half of the slots, which is a flood, a connection on which a request was
-// just answered is kept: the new ones become idle soon.
+// evict closes one idle connection if more than limit connections are open, not counting new ones.
+// It prefers silent connections to answered ones, and then the one that has been idle longest. In a
+// flood, a connection that was answered less than minIdleBeforeEvict ago is kept: the new
+// connections become idle soon, and can be evicted then.
 func (t *connectionTable) evict(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +104,7 @@
 	slices.SortFunc(candidates, evictionCandidate.compare)
 	isFlooded := newCount > cap(t.slots)/floodDivisor
 	for _, candidate := range candidates {
-		if isFlooded && candidate.isKeptInFlood() {
+		if isFlooded && candidate.keepsSlotInFlood() {
 			return
 		}
 		if candidate.closeIfIdle() {
@@ -111,21 +113,21 @@
 	}
 }
 
-// evictionCandidate is an idle connection.
+// evictionCandidate is an idle connection that may be evicted.
 type evictionCandidate struct {
 	*connection
-	activity  activity // activitySilent or activityResting
+	activity  activity // activitySilent or activityIdleAnswered
 	idleSince time.Time
 }
 
-// isKeptInFlood reports whether the client was answered so recently that it keeps its slot in a
-// flood of new connections.
-func (e evictionCandidate) isKeptInFlood() bool {
-	return e.activity == activityResting && time.Since(e.idleSince) < minIdleBeforeEvict
+// keepsSlotInFlood reports whether the last answer is too recent for the connection to be evicted
+// in a flood.
+func (e evictionCandidate) keepsSlotInFlood() bool {
+	return e.activity == activityIdleAnswered && time.Since(e.idleSince) < minIdleBeforeEvict
 }
 
-// compare orders the candidates: silent ones first, then by the time since which they have been
-// idle.
+// compare orders candidates for eviction: silent ones come first, and then those that have been
+// idle longer.
 func (e evictionCandidate) compare(other evictionCandidate) int {
 	switch e.activity {
 	case other.activity:
@@ -137,13 +139,13 @@
 	}
 }
 
-// idleConnections returns the idle connections, and how many others are new and have sent nothing
-// yet. The caller holds t.mu.
+// idleConnections returns the idle connections and the number of new ones. The caller must hold
+// t.mu.
 func (t *connectionTable) idleConnections() (candidates []evictionCandidate, newCount int) {
 	for c := range t.connections {
 		activity, since := c.currentActivity()
 		switch activity {
-		case activitySilent, activityResting:
+		case activitySilent, activityIdleAnswered:
 			candidates = append(candidates, evictionCandidate{c, activity, since})
 		case activityNew:
 			newCount++
@@ -153,7 +155,7 @@
 	return candidates, newCount
 }
 
-// Sweep closes connections that have been idle or silent for too long, until the context ends.
+// Sweep closes connections that exceed idleTimeout or silentTimeout. It blocks until ctx is done.
 func (l *Listener) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -163,40 +165,40 @@
 			return
 		case <-ticker.C:
 		}
-		l.connections.closeIdle(isDueInSweep)
+		l.connections.closeIdle(shouldCloseInSweep)
 	}
 }
 
-// isDueInSweep reports whether an idle connection is to be closed while the listener serves.
-func isDueInSweep(idleTime time.Duration, activity activity) bool {
+// shouldCloseInSweep reports whether Sweep closes a connection that has been idle for idleTime.
+func shouldCloseInSweep(idleTime time.Duration, activity activity) bool {
 	return idleTime > idleTimeout || activity == activitySilent && idleTime > silentTimeout
 }
 
-// closeIdle closes the idle connections that are due, by how long they have been idle and whether
-// they are silent or resting.
-func (t *connectionTable) closeIdle(isDue func(idleTime time.Duration, activity activity) bool) {
+// closeIdle closes the idle connections for which shouldClose returns true.
+func (t *connectionTable) closeIdle(shouldClose func(idleTime time.Duration, activity activity) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.connections {
 		activity, since := c.currentActivity()
-		if activity.isIdle() && isDue(time.Since(since), activity) {
+		if activity.isIdle() && shouldClose(time.Since(since), activity) {
 			c.closeIfIdle()
 		}
 	}
 }
 
-// giveUpBeforeRejected gives up the requests behind which rejections wait.
-func (t *connectionTable) giveUpBeforeRejected() {
+// giveUpBlockingRequests gives up the requests in flight on connections where rejections wait
+// behind them.
+func (t *connectionTable) giveUpBlockingRequests() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.connections {
-		if c.hasRejectedBehind() {
+		if c.hasBlockedRejections() {
 			c.giveUp()
 		}
 	}
 }
 
-// unansweredCommands returns how many commands have no answer yet.
+// unansweredCommands returns the number of commands that have no answer yet.
 func (t *connectionTable) unansweredCommands() (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/listener/connections_test.go
+++ b/internal/gateway/listener/connections_test.go
@@ -14,10 +14,10 @@
 	t.Helper()
 	table := newConnectionTable(8)
 	for i := range cap(table.slots) {
-		near, _ := fakes.ConnPair(t)
-		c := newConnection(resp.NewConn(near), newDrainState())
-		c.state.isAnswered = i >= newCount
-		if !c.state.isAnswered {
+		serverSide, _ := fakes.ConnPair(t)
+		c := newConnection(resp.NewConn(serverSide), newDrainState())
+		c.state.hasAnswered = i >= newCount
+		if !c.state.hasAnswered {
 			c.state.lastUsed = c.state.lastUsed.Add(time.Hour)
 		}
 		table.connections[c] = struct{}{}
@@ -55,12 +55,12 @@
 		state connectionState
 		want  activity
 	}{
-		"answered":             {connectionState{lastUsed: now, isAnswered: true}, activityResting},
-		"command in flight":    {connectionState{lastUsed: now, isAnswered: true, commands: 1}, activityBusy},
-		"half closed":          {connectionState{isAnswered: true, phase: phaseHalfClosed}, activityBusy},
-		"ended":                {connectionState{isAnswered: true, phase: phaseEnded}, activityBusy},
+		"answered":             {connectionState{lastUsed: now, hasAnswered: true}, activityIdleAnswered},
+		"command in flight":    {connectionState{lastUsed: now, hasAnswered: true, inFlight: 1}, activityBusy},
+		"half closed":          {connectionState{hasAnswered: true, phase: phaseHalfClosed}, activityBusy},
+		"ended":                {connectionState{hasAnswered: true, phase: phaseEnded}, activityBusy},
 		"just connected":       {connectionState{lastUsed: now.Add(time.Hour)}, activityNew},
-		"first command":        {connectionState{lastUsed: accepted, commands: 1}, activityBusy},
+		"first command":        {connectionState{lastUsed: accepted, inFlight: 1}, activityBusy},
 		"connected and silent": {connectionState{lastUsed: accepted}, activitySilent},
 		"silent and ended":     {connectionState{lastUsed: accepted, phase: phaseEnded}, activityNew},
 	} {
@@ -74,7 +74,7 @@
 }
 
 func halfClosed(at time.Time) (state connectionState) {
-	state.halfClose(at)
+	state.markHalfClosed(at)
 	return state
 }
 
@@ -85,7 +85,7 @@
 		hasUnacknowledged bool
 		want              closeStep
 	}{
-		"command in flight":       {connectionState{commands: 1}, false, keepWaiting},
+		"command in flight":       {connectionState{inFlight: 1}, false, keepWaiting},
 		"all answered":            {connectionState{}, false, closeSendingHalf},
 		"half closed just now":    {halfClosed(now), false, keepWaiting},
 		"client has not closed":   {halfClosed(now.Add(-closeTimeout)), false, stopWaiting},
--- a/internal/gateway/listener/disconnect.go
+++ b/internal/gateway/listener/disconnect.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// disconnectPollInterval is how often a client is checked for a disconnect while nothing is read
-// from it. 0.1 s after a client has disconnected, its requests must not be attempted any more.
+// disconnectPollInterval is the time between checks for a disconnect while nothing is read from the
+// client. The gateway must stop attempting a client's requests within 100 ms of its disconnect.
 const disconnectPollInterval = 25 * time.Millisecond
 
 // waitConnected waits for done while nothing is read from the client. It returns false if limit
-// fires first, or if the client disconnects. A disconnect behind unread bytes would not be noticed
-// otherwise: the requests of a client that sends many at once and disconnects would be attempted
-// and retried for nobody.
+// fires first, or if the client disconnects. It polls for the disconnect, since unread bytes before
+// it would hide it from a read: the requests of a client that pipelines many and disconnects would
+// be attempted and retried to no purpose.
 func (c *connection) waitConnected(done <-chan struct{}, limit <-chan time.Time) bool {
 	select {
 	case <-done:
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -26,7 +26,7 @@
 
 // sentBehind is what a client sends behind its first query; "look" stands for another query. Then
 // so many commands are in flight, and so many requests attempted.
-var sentBehind = map[string]struct {
+var pipelinedInputs = map[string]struct {
 	text      string
 	inFlight  int
 	attempted int
@@ -47,7 +47,7 @@
 // A disconnect is noticed whatever the reader does with what the client sent before: all requests
 // of the client end.
 func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
-	for name, sent := range sentBehind {
+	for name, sent := range pipelinedInputs {
 		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -8,63 +8,67 @@
 	"go.uber.org/zap"
 )
 
-// Times of a drain, which begins at SIGTERM.
+// Times of a drain, which begins on SIGTERM.
 const (
-	// acceptAfterTerm is how long connections are accepted after SIGTERM.
+	// acceptAfterTerm is how long after SIGTERM new connections are accepted.
 	acceptAfterTerm = 450 * time.Millisecond
-	// backlogTimeout is how long accepting goes on after the last connection of the backlog.
+	// backlogTimeout is how long accept waits for a further connection from the backlog before the
+	// backlog counts as empty.
 	backlogTimeout = 100 * time.Millisecond
-	// forwardAfterTerm is how long after SIGTERM requests are forwarded. What is read later behind
-	// other commands is rejected, as SIGKILL may find it unanswered.
+	// forwardAfterTerm is how long after SIGTERM requests are forwarded. Later requests behind
+	// other commands are rejected, as SIGKILL might come before their answers.
 	forwardAfterTerm = 700 * time.Millisecond
-	// killGrace is how long after the longest deadline SIGKILL comes at the earliest, or after
-	// writeTimeout if that is shorter.
+	// killGrace is the minimum time between the longest request timeout and SIGKILL. The timeout
+	// counts from SIGTERM, and up to writeTimeout.
 	killGrace = 700 * time.Millisecond
-	// killMargin is how long before SIGKILL all that was read late is answered.
+	// killMargin is how long before SIGKILL all commands that were read during the drain must be
+	// answered.
 	killMargin = 100 * time.Millisecond
-	// giveUpMargin is how long before SIGKILL requests are given up that have rejections behind
-	// them.
+	// giveUpMargin is how long before SIGKILL requests are given up if rejected commands wait
+	// behind them.
 	giveUpMargin = 250 * time.Millisecond
-	// giveUpDivisor bounds giveUpMargin to that part of the time from SIGTERM to SIGKILL.
+	// giveUpDivisor limits giveUpMargin to the time from SIGTERM to SIGKILL divided by it.
 	giveUpDivisor = 10
-	// rejectTime is how much longer commands are read, and rejected. A client that never pauses in
-	// it is closed while it sends.
+	// rejectTime is how long after forwardAfterTerm commands are still read, and rejected. The
+	// connection of a client that never pauses in that time is closed while the client sends.
 	rejectTime = 1800 * time.Millisecond
-	// readMargin is how long before SIGKILL reading ends.
+	// readMargin is the minimum time from the end of reading to SIGKILL.
 	readMargin = 40 * time.Millisecond
-	// drainIdleTimeout is how long a connection is idle before a drain closes it. A client that was
-	// answered within this asks again, and its next answer closes its connection.
+	// drainIdleTimeout is how long a connection must be idle before a drain closes it. A client
+	// that was answered more recently is likely to send another request, whose answer then closes
+	// the connection.
 	drainIdleTimeout = 250 * time.Millisecond
-	// drainPollInterval is the time between searches for connections that were idle for that long.
+	// drainPollInterval is the time between checks for connections that exceed drainIdleTimeout.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// drainState is how far a drain has come.
+// drainState is the state of a drain.
 type drainState struct {
-	active     atomic.Bool                // the last answer on a connection closes it
+	active     atomic.Bool                // true once the last answer on a connection closes it
 	times      atomic.Pointer[drainTimes] // set before active
-	acceptDone chan struct{}              // closed once Serve accepts no more
-	finished   chan struct{}              // closed once Drain waits for no client any more
+	acceptDone chan struct{}              // closed when Serve returns
+	finished   chan struct{}              // closed when Drain returns
 }
 
-// drainTimes are the moments at which a drain changes what it does.
+// drainTimes are the times at which a drain enters its stages.
 type drainTimes struct {
 	began        time.Time
 	killDelay    time.Duration // from began to the earliest SIGKILL
-	forwardUntil time.Time     // then what is read behind other commands is rejected
-	readUntil    time.Time     // then no more is read behind what is in flight
-	answerUntil  time.Time     // by then everything read late is answered
-	giveUpAt     time.Time     // then requests are given up behind which rejections wait
+	forwardUntil time.Time     // commands read later behind others are rejected
+	readUntil    time.Time     // later, nothing is read behind commands in flight
+	answerBy     time.Time     // time by which all commands read during the drain must be answered
+	giveUpAt     time.Time     // time when requests are given up that rejected commands wait behind
 }
 
-// newDrainTimes returns the times of a drain that began at SIGTERM, with SIGKILL killDelay later.
+// newDrainTimes returns the times of a drain that began at SIGTERM and expects SIGKILL after
+// killDelay.
 func newDrainTimes(began time.Time, killDelay time.Duration) *drainTimes {
 	return &drainTimes{
 		began:        began,
 		killDelay:    killDelay,
 		forwardUntil: began.Add(forwardAfterTerm),
 		readUntil:    began.Add(min(forwardAfterTerm+rejectTime, killDelay-readMargin)),
-		answerUntil:  began.Add(killDelay - killMargin),
+		answerBy:     began.Add(killDelay - killMargin),
 		giveUpAt:     began.Add(killDelay - min(giveUpMargin, killDelay/giveUpDivisor)),
 	}
 }
@@ -73,42 +77,43 @@
 	return &drainState{acceptDone: make(chan struct{}), finished: make(chan struct{})}
 }
 
-// limitKillDelay has a drain that has begun expect SIGKILL at the earliest of the delays that
-// settings have asked for since. It is called with the lock of the settings held, and nowhere else
-// after the begin.
-func (d *drainState) limitKillDelay(killDelay time.Duration) {
+// shortenKillDelay moves the expected SIGKILL of a running drain forward if killDelay is shorter
+// than the current delay. The caller must hold Listener.settingsMu. No other function changes the
+// times once the drain has begun.
+func (d *drainState) shortenKillDelay(killDelay time.Duration) {
 	if times := d.times.Load(); times != nil && killDelay < times.killDelay {
 		d.times.Store(newDrainTimes(times.began, killDelay))
 	}
 }
 
-// isForwardOver reports whether commands behind others on a connection are rejected. They are read
-// still: an orderly end of the connection would acknowledge those that lie in the socket, and lose
-// them. After the rejections the client soon pauses, and the last answer closes the connection.
-func (d *drainState) isForwardOver() bool {
+// hasStoppedForwarding reports whether commands behind others on a connection are rejected. They
+// are still read: an orderly close would acknowledge the bytes that wait in the socket, and the
+// commands would be lost. A client pauses soon after the rejections, and the last answer then
+// closes the connection.
+func (d *drainState) hasStoppedForwarding() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().forwardUntil)
 }
 
-// isReadOver reports whether no command is read any more on a connection, except one that was
-// begun, or the first. A client that sends without a pause would otherwise keep its connection: no
-// answer would be the last.
-func (d *drainState) isReadOver() bool {
+// hasStoppedReading reports whether no new command is read on a connection, except the first.
+// Commands that were read in part are completed. Without this limit, a client that sends without a
+// pause would keep its connection open, as no answer would be the last.
+func (d *drainState) hasStoppedReading() bool {
 	return d.active.Load() && time.Now().After(d.times.Load().readUntil)
 }
 
-// boundTimeout returns a request's timeout, cut during a drain to the time by which all is to be
-// answered.
+// boundTimeout returns the timeout of a request. During a drain, the timeout ends at answerBy at
+// the latest.
 func (d *drainState) boundTimeout(timeout time.Duration) time.Duration {
 	if d.active.Load() {
-		timeout = min(timeout, time.Until(d.times.Load().answerUntil))
+		timeout = min(timeout, time.Until(d.times.Load().answerBy))
 	}
 	return timeout
 }
 
-// Drain accepts connections for acceptAfterTerm, then only those of the backlog. It closes each
-// connection with its last answer, or once it is idle, and returns when all commands are answered.
-// It gives up only long after SIGKILL is due: a command that SIGKILL finds unanswered came early
-// and has a long deadline.
+// Drain accepts connections for acceptAfterTerm, and then only those in the backlog. It closes each
+// connection with its last answer, or when it is idle, and returns when all connections are closed.
+// If that takes longer than drainTimeout, it returns with commands unanswered. drainTimeout ends
+// long after the expected SIGKILL, so such commands were read early and have a long deadline.
 func (l *Listener) Drain(socket net.Listener) {
 	defer close(l.drain.finished)
 	began := time.Now()
@@ -116,7 +121,8 @@
 	l.drain.times.Store(newDrainTimes(began, l.killDelay()))
 	l.settingsMu.Unlock()
 	time.Sleep(acceptAfterTerm)
-	// Before the drain is active: accept sets a deadline of its own then, which this would undo.
+	// Set the deadline before activating the drain: accept then sets its own deadline, which this
+	// call would overwrite.
 	if d, ok := socket.(deadlineSetter); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
 		_ = socket.Close()
 	}
@@ -129,9 +135,10 @@
 	}
 }
 
-// awaitClients closes idle connections until no client is left, and returns true then; false if
-// that takes longer than drainTimeout. It accepts no more after answerUntil. Shortly before SIGKILL
-// it has requests answered as failed that hold up rejections: SIGKILL would lose all of them.
+// awaitClients closes idle connections until none is open, and returns true then. It returns false
+// after drainTimeout. It closes the socket after answerBy. From giveUpAt on, it makes requests
+// complete as failed if rejected commands wait behind them: SIGKILL would leave all of them
+// unanswered.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
@@ -140,12 +147,12 @@
 		l.connections.open.Wait()
 	}()
 	for time.Since(began) < l.drainTimeout() {
-		l.connections.closeIdle(isDueInDrain) // also while a connection waits for a slot
-		if time.Now().After(l.drain.times.Load().answerUntil) {
-			_ = socket.Close() // the backlog may never become empty; the socket may be closed already
+		l.connections.closeIdle(shouldCloseInDrain) // also frees a slot for a waiting connection
+		if time.Now().After(l.drain.times.Load().answerBy) {
+			_ = socket.Close() // the backlog may never be empty; the socket may be closed already
 		}
 		if time.Now().After(l.drain.times.Load().giveUpAt) {
-			l.connections.giveUpBeforeRejected()
+			l.connections.giveUpBlockingRequests()
 		}
 		select {
 		case <-done:
@@ -156,18 +163,18 @@
 	return false
 }
 
-// drainTimeout decides how long after SIGTERM a drain gives up waiting for its clients: the longest
-// timeout of any class by the settings in force, and the time to write an answer.
+// drainTimeout returns how long after SIGTERM a drain stops waiting for its clients: the longest
+// timeout of any class under the settings in force, killGrace, and the time to write an answer.
 func (l *Listener) drainTimeout() time.Duration {
 	return l.parser.Load().longestTimeout() + killGrace + writeTimeout
 }
 
-// isDueInDrain reports whether an idle connection is to be closed during a drain. A client that was
-// just answered is likely to be sending its next request, which would be lost if it crossed the
-// close.
-func isDueInDrain(idleTime time.Duration, _ activity) bool { return idleTime >= drainIdleTimeout }
+// shouldCloseInDrain reports whether a drain closes a connection that has been idle for idleTime. A
+// client that was just answered is likely to be sending its next request, which would be lost if it
+// crossed the close.
+func shouldCloseInDrain(idleTime time.Duration, _ activity) bool { return idleTime >= drainIdleTimeout }
 
-// killDelay returns how long after SIGTERM SIGKILL comes at the earliest.
+// killDelay returns the expected minimum time from SIGTERM to SIGKILL.
 func (l *Listener) killDelay() time.Duration {
 	return min(l.parser.Load().longestTimeout(), writeTimeout) + killGrace
 }
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -52,7 +52,7 @@
 func (d *drainFixture) activateDrain(readTime time.Duration) {
 	readUntil := time.Now().Add(readTime)
 	d.drain.times.Store(&drainTimes{
-		forwardUntil: readUntil, readUntil: readUntil, answerUntil: time.Now().Add(time.Hour),
+		forwardUntil: readUntil, readUntil: readUntil, answerBy: time.Now().Add(time.Hour),
 	})
 	d.drain.active.Store(true)
 }
@@ -105,9 +105,9 @@
 }
 
 // isAnswered reports whether all that was asked on the connection is answered.
-func (c *connection) isAnswered() bool {
+func (c *connection) isFullyAnswered() bool {
 	activity, _ := c.currentActivity()
-	return activity == activityResting
+	return activity == activityIdleAnswered
 }
 
 // query returns a command whose number reaches the server.
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -30,10 +30,10 @@
 	inBacklog.send(query(3))
 	alsoInBacklog.send(query(4))
 	finished := f.startDrain()
-	fakes.Eventually(t, "the end of forwarding", f.drain.isForwardOver)
+	fakes.Eventually(t, "the end of forwarding", f.drain.hasStoppedForwarding)
 	close(release[1])
 	for i, c := range []*testClient{served, waiting, inBacklog, alsoInBacklog} {
-		c.want([]string{"value 1", "value 2", "value 3", "value 4"}[i])
+		c.wantAnswer([]string{"value 1", "value 2", "value 3", "value 4"}[i])
 		c.wantClose()
 		_ = c.Close()
 	}
@@ -52,7 +52,7 @@
 func TestDrain_endsClientThatNeverPauses(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	client := f.dial()
-	near := <-f.accepted
+	tapped := <-f.accepted
 	go func() {
 		for commands := strings.Repeat(pingCommand, 1000); ; {
 			if _, err := io.WriteString(client, commands); err != nil {
@@ -85,7 +85,7 @@
 	if took := time.Since(began); took > writeTimeout+killGrace {
 		t.Errorf("the drain took %v", took)
 	}
-	if read := int(near.readBytes.Load()); unexpected > 0 || read != answers*len(pingCommand) {
+	if read := int(tapped.readBytes.Load()); unexpected > 0 || read != answers*len(pingCommand) {
 		t.Errorf("%d answers, %d of them unexpected, to %d commands that were read",
 			answers, unexpected, read/len(pingCommand))
 	}
@@ -95,9 +95,9 @@
 // is read.
 func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
 	const commands, bufferSize = 300, 4 << 10
-	f := newDrainFixture(t, 8, func(near *tappedConn) {
-		near.afterWait = once(func() {
-			raw, _ := near.TCPConn.SyscallConn()
+	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
+		tapped.afterWait = once(func() {
+			raw, _ := tapped.TCPConn.SyscallConn()
 			fakes.Eventually(t, "the arrival of all commands", func() (arrived bool) {
 				_ = raw.Control(func(fd uintptr) {
 					buffer := make([]byte, 2*bufferSize)
@@ -110,14 +110,14 @@
 	}, answerHello)
 	f.activateDrain(0)
 	c := f.dial()
-	near := <-f.accepted
+	tapped := <-f.accepted
 	c.send(strings.Repeat(pingCommand, commands))
 	readAhead := bufferSize/len(pingCommand) + 1 // the last of them in part
 	for range readAhead {
-		c.want(`\+PONG`)
+		c.wantAnswer(`\+PONG`)
 	}
 	c.wantClose()
-	if n := int(near.readBytes.Load()); n != readAhead*len(pingCommand) {
+	if n := int(tapped.readBytes.Load()); n != readAhead*len(pingCommand) {
 		t.Errorf("%d bytes were read, for %d answers", n, readAhead)
 	}
 }
@@ -129,8 +129,8 @@
 	release := make(chan bool)
 	t.Cleanup(func() { close(release) })
 	var isStuck atomic.Bool
-	f := newDrainFixture(t, 1, func(near *tappedConn) {
-		near.write = func([]byte) (int, error) {
+	f := newDrainFixture(t, 1, func(tapped *tappedConn) {
+		tapped.write = func([]byte) (int, error) {
 			isStuck.Store(true)
 			<-release
 			return 0, errors.New("write fails")
--- a/internal/gateway/listener/execute.go
+++ b/internal/gateway/listener/execute.go
@@ -10,13 +10,14 @@
 	"harrierhoist/internal/gateway/upstream"
 )
 
-// workerPool executes jobs on goroutines that are kept: the stack of each grows only once to what a
-// request needs. There are as many as there were ever jobs at once.
+// workerPool executes jobs on goroutines that it reuses, so that each stack grows only once to the
+// size that a request needs. It holds as many goroutines as the largest number of jobs that were
+// ever running concurrently.
 type workerPool struct{ idle chan job }
 
 func newWorkerPool() *workerPool { return &workerPool{idle: make(chan job)} }
 
-// run passes a job to an idle worker, or else to a new one.
+// run passes a job to an idle worker, or starts a new one.
 func (p *workerPool) run(j job) {
 	select {
 	case p.idle <- j:
@@ -25,7 +26,7 @@
 	}
 }
 
-// work executes a job, and then others for as long as the process runs.
+// work executes its first job and then further ones. It never returns.
 func (p *workerPool) work(first job) {
 	first.run()
 	for j := range p.idle {
@@ -33,27 +34,28 @@
 	}
 }
 
-// job is an admitted request with what its execution needs.
+// job is the execution of an admitted request.
 type job struct {
-	client  *client
-	turn    uint // of the answer among those of the connection
-	request *dispatch.Request
-	message *upstream.Command
-	memory  int // reserved, in bytes
+	client     *client
+	pipelineID uint // orders the answer among those on the connection
+	request    *dispatch.Request
+	message    *upstream.Command
+	memory     int // reserved memory in bytes
 }
 
-// run takes a request through its attempts to its answer.
+// run executes the request, writes its answer and releases its resources.
 func (j job) run() {
 	l := j.client.listener
 	write := j.execute()
 	j.message.Body.Free()
 	l.requestIDs.remove(j.message.ID)
 	j.client.complete(j.request)
-	j.client.answer(j.turn, write)
+	j.client.answer(j.pipelineID, write)
 	l.memory.release(j.memory)
 }
 
-// execute makes attempts as the dispatcher decides, and returns what writes the request's answer.
+// execute makes the attempts that the dispatcher decides on, and returns the function that writes
+// the answer.
 func (j job) execute() (write func() error) {
 	conn := j.client.conn
 	for {
@@ -77,15 +79,15 @@
 	}
 }
 
-// decimal is the base of the numbers in replies.
-const decimal = 10
+// decimalBase is the base of numbers in replies.
+const decimalBase = 10
 
-// rejectionLine formats a rejection, with the time after which the client may ask again in
-// milliseconds, rounded up. Without that time if it is 0.
+// rejectionLine returns the reply that rejects a request. The reply holds the time after which the
+// client may retry, in milliseconds rounded up, unless retryAfter is 0.
 func rejectionLine(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return replyBusy
 	}
 	milliseconds := math.Ceil(float64(retryAfter) / float64(time.Millisecond))
-	return replyBusy + " " + strconv.FormatInt(int64(milliseconds), decimal)
+	return replyBusy + " " + strconv.FormatInt(int64(milliseconds), decimalBase)
 }
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -11,7 +11,7 @@
 func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
 	for name, dial := range map[string]func(*fixture) *testClient{
 		"fast": (*fixture).dial,
-		"slow": (*fixture).dialNarrow,
+		"slow": (*fixture).dialWithSmallReadBuffer,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client *testClient
@@ -23,9 +23,9 @@
 					noticed <- true
 				}
 			}
-			f := newDrainFixture(t, 8, func(near *tappedConn) {
-				near.beforeClose, near.onReadDeadline = notice, func(time.Time) { notice() }
-				near.beforeCloseWrite = once(func() {
+			f := newDrainFixture(t, 8, func(tapped *tappedConn) {
+				tapped.beforeClose, tapped.onReadDeadline = notice, func(time.Time) { notice() }
+				tapped.beforeCloseWrite = once(func() {
 					isCrossing.Store(true)
 					client.send(query(2))
 					<-noticed
@@ -33,12 +33,12 @@
 				})
 			}, answerLongValue)
 			client = dial(f.fixture)
-			first, near := query(1), <-f.accepted
+			first, tapped := query(1), <-f.accepted
 			f.activateDrain(time.Hour)
 			client.send(first)
-			client.want(longValue)
+			client.wantAnswer(longValue)
 			client.wantClose()
-			if n := near.readBytes.Load(); int(n) != len(first) || f.server.PendingCommands() != 1 {
+			if n := tapped.readBytes.Load(); int(n) != len(first) || f.server.PendingCommands() != 1 {
 				t.Errorf("%d bytes were read of %d, %d requests forwarded", n, len(first), f.server.PendingCommands())
 			}
 			_ = client.Close()
@@ -52,10 +52,10 @@
 func TestDrain_requestReceivedBeforeTheLastAnswerIsAnswered(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	seen, resume := make(chan bool), make(chan bool)
-	f := newDrainFixture(t, 8, func(near *tappedConn) {
+	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 		hold := once(func() { seen <- true; <-resume })
-		near.afterWait = func() {
-			if near.readBytes.Load() > 0 {
+		tapped.afterWait = func() {
+			if tapped.readBytes.Load() > 0 {
 				hold()
 			}
 		}
@@ -67,9 +67,9 @@
 	c.send(query(2))
 	<-seen
 	close(release[1])
-	c.want("value 1")
+	c.wantAnswer("value 1")
 	close(resume)
-	c.want("value 2")
+	c.wantAnswer("value 2")
 	c.wantClose()
 }
 
@@ -80,15 +80,15 @@
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerHello)
 			client := f.dial()
-			near := <-f.accepted
+			tapped := <-f.accepted
 			f.activateDrain(time.Hour)
 			first := query(1)
 			client.send(first)
-			client.want("hello")
+			client.wantAnswer("hello")
 			client.wantClose()
 			client.send(later)
 			f.awaitEmpty()
-			if n := near.readBytes.Load(); int(n) != len(first) {
+			if n := tapped.readBytes.Load(); int(n) != len(first) {
 				t.Errorf("%d bytes were read of %d", n, len(first))
 			}
 			if later != "" {
--- a/internal/gateway/listener/listener.go
+++ b/internal/gateway/listener/listener.go
@@ -1,10 +1,10 @@
-// Package listener decides when a client's connection is accepted, read and closed, and has each
-// request executed by the dispatcher's decisions and answered in order. The gateway's wiring calls
-// it: Serve and Sweep while it runs, Reconfigure at a reload, Drain at SIGTERM.
+// Package listener accepts, reads and closes the connections of clients. It passes each request to
+// the dispatcher, carries out the dispatcher's decisions and writes the answers in order. The
+// gateway's wiring calls Serve and Sweep while the gateway runs, Reconfigure on a reload, and Drain
+// on SIGTERM.
 //
-// Two pairs of locks nest: Listener.settingsMu around the dispatcher's own lock and the leaves
-// openRequestIDs.mu and client.mu, and connectionTable.mu around connection.mu. Nothing else is
-// locked while one of the others is held.
+// Lock order: Listener.settingsMu is taken before the dispatcher's lock, openRequestIDs.mu and
+// client.mu, and connectionTable.mu is taken before connection.mu. No other locks are nested.
 package listener
 
 import (
@@ -23,7 +23,7 @@
 	"harrierhoist/policy"
 )
 
-// Listener serves the connections of clients. It is safe for concurrent use.
+// Listener serves client connections. It is safe for concurrent use.
 type Listener struct {
 	dispatcher  *dispatch.Dispatcher
 	upstream    *upstream.Pool
@@ -35,12 +35,12 @@
 	connections *connectionTable
 	drain       *drainState
 
-	settingsMu sync.RWMutex // held for reading from a request's parsing to its admission, for writing by Reconfigure
+	settingsMu sync.RWMutex // read-locked from parsing a request to admitting it; locked to change settings
 	parser     atomic.Pointer[requestParser]
 }
 
-// New returns a listener that holds at most maxConnections connections and maxMemory bytes of
-// requests in flight; without a bound on memory if maxMemory is 0.
+// New returns a listener that holds at most maxConnections connections. Requests in flight hold at
+// most maxMemory bytes; 0 means no limit.
 func New(
 	settings *policy.Settings, dispatcher *dispatch.Dispatcher, upstreams *upstream.Pool, maxConnections, maxMemory int,
 	log *zap.Logger,
@@ -59,12 +59,12 @@
 	return l
 }
 
-// Ready makes PING succeed from here on.
+// Ready makes PING succeed. Before the call, PING is answered with an error.
 func (l *Listener) Ready() { l.ready.Store(true) }
 
-// Reconfigure applies new settings to the dispatcher and the parser, and returns them as they are
-// in force. No request is parsed by the old settings and admitted under the new ones: a class may
-// keep its name and get another effect, and a request that was sent as non-idempotent would be
+// Reconfigure applies new settings to the dispatcher and the parser, and returns the settings in
+// force. No request is parsed under the old settings and admitted under the new ones: a class may
+// keep its name but change its effect, and a request that was sent as non-idempotent would then be
 // retried.
 func (l *Listener) Reconfigure(settings policy.Settings) (policy.Settings, error) {
 	l.settingsMu.Lock()
@@ -72,12 +72,13 @@
 	settings, err := l.dispatcher.Reconfigure(settings)
 	if err == nil {
 		l.parser.Store(newRequestParser(&settings))
-		l.drain.limitKillDelay(l.killDelay())
+		l.drain.shortenKillDelay(l.killDelay())
 	}
 	return settings, err
 }
 
-// Serve accepts connections until socket is closed, by the caller or by Drain. It returns nil then.
+// Serve accepts connections until the caller or Drain closes socket, or until Drain returns while
+// an accepted connection waits for a slot. It returns nil in each case.
 func (l *Listener) Serve(socket net.Listener) error {
 	defer close(l.drain.acceptDone)
 	var backoff acceptBackoff
@@ -94,21 +95,20 @@
 			resp.NewConn(conn).Reset()
 			return nil
 		}
-		l.connections.evictOverRelaxedLimit()
+		l.connections.evictAboveIdleLimit()
 		c := newClient(l, resp.NewConn(conn))
 		l.connections.add(c.conn)
 		go c.serve()
 	}
 }
 
-// accept returns the next connection. While the listener drains, the socket is closed once the
-// backlog is empty: a connection that the system has accepted may hold a request, and closing the
-// socket would reset it.
+// accept returns the next connection. During a drain it closes the socket only once the backlog is
+// empty: closing the socket resets the connections in the backlog, and they may hold requests.
 func (l *Listener) accept(socket net.Listener) (net.Conn, error) {
 	for {
 		isDraining := l.drain.active.Load()
 		if d, ok := socket.(deadlineSetter); ok && isDraining {
-			// SetDeadline fails on a closed socket only, where Accept fails as well.
+			// SetDeadline fails only on a closed socket, and Accept then fails as well.
 			_ = d.SetDeadline(time.Now().Add(backlogTimeout))
 		}
 		conn, err := socket.Accept()
@@ -116,14 +116,14 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return conn, err
 		case isDraining:
-			_ = socket.Close() // the next Accept reports the close
+			_ = socket.Close() // the next Accept returns net.ErrClosed
 		default:
-			time.Sleep(time.Millisecond) // Drain is about to mark the drain as active
+			time.Sleep(time.Millisecond) // Drain has set the deadline, but has not activated the drain yet
 		}
 	}
 }
 
-// deadlineSetter is a socket whose Accept can be given a deadline.
+// deadlineSetter is a listening socket with a deadline for Accept.
 type deadlineSetter interface {
 	SetDeadline(deadline time.Time) error
 }
--- a/internal/gateway/listener/memory.go
+++ b/internal/gateway/listener/memory.go
@@ -2,31 +2,31 @@
 
 import "sync"
 
-// maxRequestOverhead is how many bytes a request may hold besides its value: its words, and a
-// server's answer, as resp bounds them.
+// maxRequestOverhead is the maximum size in bytes of what a request holds besides its value: its
+// words and the server's answer, as limited by package resp.
 const maxRequestOverhead = 68 << 10
 
-// pipelinedDivisor gives the part of the memory that pipelined requests share.
+// pipelinedDivisor limits pipelined requests to the memory bound divided by it.
 const pipelinedDivisor = 2
 
-// minMemory is the least bound on the bytes of all requests in flight: two of the largest, and as
-// much again for those that are not pipelined.
+// minMemory is the minimum bound in bytes for all requests in flight: room for two of the largest
+// pipelined requests, and the same again for requests that are not pipelined.
 const minMemory = 4 * (maxRequestOverhead + 64<<10)
 
-// memoryLimiter bounds the bytes that requests in flight may hold. A request reserves the most that
-// it may hold, before its value is read, so that none waits for memory while it holds some. It
-// releases all with its answer. Pipelined requests share one part: clients send one request at a
-// time, floods send many.
+// memoryLimiter bounds the memory of requests in flight. A request reserves the maximum that it may
+// need before its value is read, so that no request waits for memory while it holds some. It
+// releases the reservation after its answer. Pipelined requests share only a part of the memory:
+// ordinary clients send one request at a time, while floods are pipelined.
 type memoryLimiter struct {
-	limit int // in bytes; 0: no bound
+	limit int // in bytes; 0 means no limit
 
 	mu    sync.Mutex // protects used and freed
 	used  int
-	freed chan struct{} // closed when bytes are released; nil: nobody waits
+	freed chan struct{} // closed when bytes are released; nil if nobody waits
 }
 
-// newMemoryLimiter returns a limiter with a bound of at least minMemory bytes; without a bound if
-// limit is 0.
+// newMemoryLimiter returns a limiter with a bound of at least minMemory bytes. If limit is not
+// positive, there is no bound.
 func newMemoryLimiter(limit int) *memoryLimiter {
 	if limit <= 0 {
 		return &memoryLimiter{}
@@ -34,8 +34,8 @@
 	return &memoryLimiter{limit: max(limit, minMemory)}
 }
 
-// acquire reserves size bytes and returns nil, or a channel that is closed when it is worth trying
-// again.
+// acquire reserves size bytes and returns nil. If they are not available, it returns a channel that
+// is closed when memory is released and the caller may try again.
 func (m *memoryLimiter) acquire(size int, isPipelined bool) (wait <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +53,7 @@
 	return m.freed
 }
 
-// release gives back size bytes.
+// release releases size reserved bytes.
 func (m *memoryLimiter) release(size int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/listener/parameters.go
+++ b/internal/gateway/listener/parameters.go
@@ -12,8 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// The names of a request's parameters, as clients send them. Others are passed on to the server
-// unread.
+// The names of request parameters that the gateway reads. It forwards other parameters to the
+// server uninterpreted.
 const (
 	parameterClass        = "c"
 	parameterPlan         = "t"
@@ -25,7 +25,7 @@
 	parameterFirstGateway = "first"
 )
 
-// noPlan is the number of a plan that was not given.
+// noPlan is the plan number of a request without a plan parameter.
 const noPlan = -1
 
 // parameterReader reads the parameters of one request.
@@ -33,13 +33,13 @@
 	*requestParser
 	spec    *dispatch.RequestSpec
 	isQuery bool
-	class   *class // nil: none was given
+	class   *class // nil if none was read
 	hasKey  bool
 }
 
-// parseParameters parses a list of names and values, each name once, into spec and message. It
-// returns a line that answers the request at once if the list is malformed. What is out of range is
-// rejected here: the policy takes what it is given.
+// parseParameters parses a list of name=value pairs with unique names into spec and message. If the
+// list is invalid, it returns the line that answers the request. It checks the range of each value,
+// since the policy package does not.
 func (p *requestParser) parseParameters(
 	spec *dispatch.RequestSpec, message *upstream.Command, list string,
 ) (reply string) {
@@ -53,7 +53,7 @@
 		end := start + len(pair)
 		name, value, _ := strings.Cut(pair, "=")
 		if name == "" || value == "" || slices.Contains(seen, name) {
-			return replyParameterName
+			return replyInvalidParameterName
 		}
 		seen = append(seen, name)
 		if name == parameterDeadline {
@@ -69,7 +69,7 @@
 	return reader.finish()
 }
 
-// read reads one parameter.
+// read reads one parameter. It returns the line that answers the request if the value is invalid.
 func (r *parameterReader) read(name, value string) (reply string) {
 	isValid := true
 	switch name {
@@ -97,12 +97,13 @@
 		r.spec.FirstGateway, isValid = parseIntInRange(value, 0, r.gateways-1)
 	}
 	if !isValid {
-		return replyParameterValue + name
+		return replyInvalidParameterValue + name
 	}
 	return ""
 }
 
-// readClass reads a class. Queries are of idempotent classes, and submits of the others.
+// readClass reads the class, and reports whether it is known and fits the verb: queries have
+// idempotent classes, and submits have the others.
 func (r *parameterReader) readClass(name string) bool {
 	known, ok := r.classes[name]
 	r.class = &known
@@ -115,30 +116,32 @@
 	return isValid && r.spec.Units > 0 && isWithinBound
 }
 
-// finish checks that all required parameters were given, and applies the class to the request.
+// finish checks that all required parameters are present, and applies the class to the request. It
+// returns the line that answers the request if one is missing.
 func (r *parameterReader) finish() (reply string) {
 	if r.class == nil || r.spec.Plan == noPlan || r.spec.Timeout <= 0 {
-		return replyParameterRequired
+		return replyMissingParameter
 	}
 	if r.class.Effect == policy.Keyed && !r.hasKey {
-		return replyParameterRequired
+		return replyMissingParameter
 	}
 	r.spec.Class = r.class.number
 	r.spec.Timeout = min(r.spec.Timeout, r.class.Timeout)
 	return ""
 }
 
-// floatBits is the size of the numbers that parameters are read as.
+// floatBits is the size of parsed floating-point numbers.
 const floatBits = 64
 
-// parseDecimal parses a plain decimal number.
+// parseDecimal parses a decimal number without a sign or an exponent, and reports whether text is
+// one.
 func parseDecimal(text string) (float64, bool) {
 	value, err := strconv.ParseFloat(text, floatBits)
 	return value, err == nil && strings.Trim(text, "0123456789.") == ""
 }
 
-// parseIntInRange parses an integer from least to most.
-func parseIntInRange(text string, least, most int) (int, bool) {
+// parseIntInRange parses an integer, and reports whether it is from minValue to maxValue.
+func parseIntInRange(text string, minValue, maxValue int) (int, bool) {
 	value, err := strconv.Atoi(text)
-	return value, err == nil && value >= least && value <= most
+	return value, err == nil && value >= minValue && value <= maxValue
 }
--- a/internal/gateway/listener/parse.go
+++ b/internal/gateway/listener/parse.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	maxCommandWords = 4       // of a command, besides a value: verb, customer, ID and parameters
-	parametersWord  = 3       // the index of the parameters among them
-	maxCustomer     = 1 << 33 // customer numbers are below
-	customerDigits  = 16      // hexadecimal digits of a customer number
-	customerBase    = 16      // of these digits
-	customerBits    = 64      // of a customer number
+	maxCommandWords = 4       // words besides a value: verb, customer, ID and parameters
+	parametersIndex = 3       // index of the parameters in the words
+	maxCustomer     = 1 << 33 // exclusive bound of customer numbers
+	customerDigits  = 16      // length of a customer number in hexadecimal digits
+	customerBase    = 16      // base of customer numbers
+	customerBits    = 64      // size of a parsed customer number
 )
 
-// The commands of clients.
+// The commands that clients may send.
 const (
-	verbPing   = "PING" // in any case
+	verbPing   = "PING" // matched case-insensitively
 	verbQuery  = "SVC.QUERY"
 	verbSubmit = "SVC.SUBMIT"
 )
 
-// The lines that answer a command at once, and a failed request.
+// Replies to commands that are not forwarded, and to failed requests.
 const (
-	replyPong              = "+PONG"
-	replyBusy              = "-BUSY"
-	replyFailed            = "-ERR failed"
-	replyNotReady          = "-ERR not ready"
-	replyUnknownCommand    = "-ERR unknown command"
-	replyWordCount         = "-ERR wrong number of words"
-	replyNoCustomer        = "-ERR no customer"
-	replyNoID              = "-ERR no id of its own"
-	replyDeadlinePassed    = "-ERR deadline passed"
-	replyParameterName     = "-ERR an empty or doubled name"
-	replyParameterValue    = "-ERR unknown, no number or out of range: " // and the parameter's name
-	replyParameterRequired = "-ERR class, plan, deadline or key is missing"
+	replyPong                  = "+PONG"
+	replyBusy                  = "-BUSY"
+	replyFailed                = "-ERR failed"
+	replyNotReady              = "-ERR not ready"
+	replyUnknownCommand        = "-ERR unknown command"
+	replyWordCount             = "-ERR wrong number of words"
+	replyInvalidCustomer       = "-ERR no customer"
+	replyInvalidID             = "-ERR no id of its own"
+	replyDeadlinePassed        = "-ERR deadline passed"
+	replyInvalidParameterName  = "-ERR an empty or doubled name"
+	replyInvalidParameterValue = "-ERR unknown, no number or out of range: " // followed by the name of the parameter
+	replyMissingParameter      = "-ERR class, plan, deadline or key is missing"
 )
 
-// requestParser holds the settings by which requests are parsed. It is immutable: new settings come
-// with a new parser.
+// requestParser parses requests under fixed settings. It is immutable; new settings get a new
+// parser.
 type requestParser struct {
 	classes  map[string]class
-	plans    map[string]int // their numbers
+	plans    map[string]int // plan numbers by name
 	gateways int
-	maxUnits float64 // of a request; 0: no bound
+	maxUnits float64 // maximum units of a request; 0 means no limit
 }
 
 // class is a traffic class with its number.
@@ -57,8 +57,8 @@
 	policy.TrafficClass
 }
 
-// newRequestParser returns a parser for settings that are in force. Retired classes and plans are
-// unknown to clients.
+// newRequestParser returns a parser for settings in force. It treats retired classes and plans as
+// unknown.
 func newRequestParser(settings *policy.Settings) *requestParser {
 	parser := &requestParser{
 		classes: map[string]class{}, plans: map[string]int{}, gateways: settings.Gateways, maxUnits: settings.MaxUnits,
@@ -76,7 +76,7 @@
 	return parser
 }
 
-// longestTimeout returns the longest timeout of all classes.
+// longestTimeout returns the longest timeout of any class.
 func (p *requestParser) longestTimeout() (longest time.Duration) {
 	for _, class := range p.classes {
 		longest = max(longest, class.Timeout)
@@ -84,8 +84,8 @@
 	return longest
 }
 
-// parse parses a command whose last bytes arrived age ago. It returns a request, whose ID is open
-// from here on, or a line that answers the command at once.
+// parse parses a command whose last bytes arrived age ago. It returns a request, whose ID it has
+// added to the open request IDs, or the line that answers the command.
 func (l *Listener) parse(command *pendingCommand, age time.Duration) (dispatch.RequestSpec, *upstream.Command, string) {
 	var spec dispatch.RequestSpec
 	if command.Discarded {
@@ -104,21 +104,21 @@
 	var err error
 	spec.Customer, err = strconv.ParseUint(command.Words[1], customerBase, customerBits)
 	if err != nil || len(command.Words[1]) != customerDigits || spec.Customer >= maxCustomer {
-		return spec, nil, replyNoCustomer
+		return spec, nil, replyInvalidCustomer
 	}
 	message := &upstream.Command{Verb: verb, Customer: command.Words[1], ID: command.Words[2], Body: command.Body}
-	if reply := l.parser.Load().parseParameters(&spec, message, command.Words[parametersWord]); reply != "" {
+	if reply := l.parser.Load().parseParameters(&spec, message, command.Words[parametersIndex]); reply != "" {
 		return spec, nil, reply
 	}
-	// The timeout counts from the sending. Time that the command spent in the system, waiting for
-	// memory or while this process was stopped, is subtracted; otherwise the answer would come to a
-	// client that is gone.
+	// The client counts the timeout from sending the command. Subtract the time that the command
+	// spent in the socket, waiting for memory or while this process was stopped; otherwise the
+	// answer could come after the client has stopped waiting.
 	spec.Timeout = l.drain.boundTimeout(spec.Timeout - max(age, command.waitedForMemory))
 	if spec.Timeout <= 0 {
 		return spec, nil, replyDeadlinePassed
 	}
 	if message.ID == "" || !l.requestIDs.add(message.ID) {
-		return spec, nil, replyNoID
+		return spec, nil, replyInvalidID
 	}
 	return spec, message, ""
 }
--- a/internal/gateway/listener/requestids.go
+++ b/internal/gateway/listener/requestids.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// openRequestIDs holds the IDs of the requests in flight: no two of them have the same. It is safe
-// for concurrent use.
+// openRequestIDs holds the IDs of the requests in flight, which are unique. It is safe for
+// concurrent use.
 type openRequestIDs struct {
 	mu  sync.Mutex // protects ids
 	ids map[string]struct{}
@@ -11,7 +11,7 @@
 
 func newOpenRequestIDs() *openRequestIDs { return &openRequestIDs{ids: map[string]struct{}{}} }
 
-// add adds the ID of a request. It returns false if a request with that ID is in flight.
+// add adds the ID of a request. It returns false if another request with that ID is in flight.
 func (o *openRequestIDs) add(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -20,7 +20,7 @@
 	return !isOpen
 }
 
-// remove removes the ID of a request that has completed.
+// remove removes the ID of a completed request.
 func (o *openRequestIDs) remove(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gateway/listener/state.go
+++ b/internal/gateway/listener/state.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// phase is how far a connection has come towards its end. It never goes back.
+// phase is the stage of a connection's shutdown. It never moves back.
 type phase uint8
 
 const (
 	phaseOpen       phase = iota // further commands are counted
-	phaseHalfClosed              // the last answer of a drain ended the sending half; see connectionState.halfClosedAt
-	phaseEnded                   // the connection was reset, or its reader has ended
+	phaseHalfClosed              // the sending half was closed after the last answer of a drain
+	phaseEnded                   // the connection was reset, or its reader has returned
 )
 
-// activity is what a connection is doing, as far as it matters for closing it.
+// activity classifies a connection for the decision whether it may be closed.
 type activity uint8
 
 const (
-	activityBusy    activity = iota // commands are in flight, or the connection is closed after an answer
-	activityNew                     // nothing was asked on it, and it was just accepted, or is closed already
-	activitySilent                  // idle, and nothing was ever asked on it: closing it costs its client no request
-	activityResting                 // idle since its latest answer
+	activityBusy         activity = iota // commands are in flight, or the connection is closed after an answer
+	activityNew                          // no command has arrived, and the connection is recent or closed
+	activitySilent                       // idle, and no command has arrived: closing it costs the client no request
+	activityIdleAnswered                 // idle since its last answer
 )
 
-// isIdle reports whether a connection in this activity can be closed.
-func (a activity) isIdle() bool { return a == activitySilent || a == activityResting }
+// isIdle reports whether a connection with this activity may be closed.
+func (a activity) isIdle() bool { return a == activitySilent || a == activityIdleAnswered }
 
-// closeStep is what a reader does that waits for its client to close the connection.
+// closeStep is the next step of a reader that waits for its client to close the connection.
 type closeStep uint8
 
 const (
 	keepWaiting      closeStep = iota // the last answer is not written yet, or the client has time left
-	closeSendingHalf                  // all is answered, and nothing has closed the sending half yet
-	stopWaiting                       // the client's time is over
+	closeSendingHalf                  // all commands are answered, and the sending half is still open
+	stopWaiting                       // the client's time has passed
 )
 
-// connectionState is what is known of a connection for deciding when it can be closed. It reads
-// neither a clock nor a socket. connection.mu guards it.
+// connectionState is the state that decides when a connection may be closed. Its methods read
+// neither the clock nor the socket. connection.mu protects it.
 type connectionState struct {
 	phase        phase
-	commands     int       // in flight: begun to be read, and not answered
-	isAnswered   bool      // an answer was written
-	hasRejected  bool      // a drain rejected commands behind others
-	lastUsed     time.Time // when it was accepted, or when its latest answer was written
-	halfClosedAt time.Time // set by halfClose
+	inFlight     int       // commands that were begun to be read and are not answered
+	hasAnswered  bool      // an answer was written
+	hasRejected  bool      // a drain has rejected a command
+	lastUsed     time.Time // time of the accept or of the last answer
+	halfClosedAt time.Time // set by markHalfClosed
 }
 
 // isClosed reports whether no further command is counted.
 func (s *connectionState) isClosed() bool { return s.phase != phaseOpen }
 
-// isUnused reports whether nothing was ever asked on the connection.
-func (s *connectionState) isUnused() bool { return !s.isAnswered && s.commands == 0 }
+// isUnused reports whether no command has arrived on the connection.
+func (s *connectionState) isUnused() bool { return !s.hasAnswered && s.inFlight == 0 }
 
-// isAtFirstCommand reports whether the only command ever counted is in flight.
-func (s *connectionState) isAtFirstCommand() bool { return !s.isAnswered && s.commands == 1 }
+// isFirstCommandInFlight reports whether the first command is in flight, and no other.
+func (s *connectionState) isFirstCommandInFlight() bool { return !s.hasAnswered && s.inFlight == 1 }
 
-// activity returns what the connection is doing. A client that has just connected has sent a
-// request or is about to, and would take it for lost if the connection were closed.
+// activity returns the activity of the connection. A new connection is not idle: its client has
+// sent a request or is about to, and would lose it if the connection were closed.
 func (s *connectionState) activity(now time.Time) activity {
 	isPastGrace := now.Sub(s.lastUsed) >= newClientGrace
 	switch {
@@ -62,41 +62,41 @@
 		return activitySilent
 	case s.isUnused():
 		return activityNew
-	case s.commands == 0 && !s.isClosed():
-		return activityResting
+	case s.inFlight == 0 && !s.isClosed():
+		return activityIdleAnswered
 	default:
 		return activityBusy
 	}
 }
 
 // beginCommand counts a command.
-func (s *connectionState) beginCommand() { s.commands++ }
+func (s *connectionState) beginCommand() { s.inFlight++ }
 
-// endCommand counts a command as answered.
+// endCommand marks a command as answered.
 func (s *connectionState) endCommand(now time.Time) {
-	s.commands--
+	s.inFlight--
 	s.lastUsed = now
-	s.isAnswered = true
+	s.hasAnswered = true
 }
 
-// halfClose records that the last answer of a drain ends the sending half.
-func (s *connectionState) halfClose(now time.Time) {
+// markHalfClosed records that the sending half is closed after the last answer of a drain.
+func (s *connectionState) markHalfClosed(now time.Time) {
 	s.phase = phaseHalfClosed
 	s.halfClosedAt = now
 }
 
-// end records that the connection has ended. One whose sending half was closed stays in that phase.
-func (s *connectionState) end() {
+// markEnded records that the connection has ended. A half-closed connection stays in that phase.
+func (s *connectionState) markEnded() {
 	if s.phase == phaseOpen {
 		s.phase = phaseEnded
 	}
 }
 
-// nextCloseStep decides what a reader does that waits for its client to close the connection.
-// hasUnacknowledged reports whether the client has yet to acknowledge a part of an answer: it has
-// more time for that.
+// nextCloseStep returns the next step of a reader that waits for its client to close the
+// connection. hasUnacknowledged reports whether the client has yet to acknowledge a part of an
+// answer; such a client gets up to writeTimeout.
 func (s *connectionState) nextCloseStep(now time.Time, hasUnacknowledged func() bool) closeStep {
-	if s.commands == 0 && !s.isClosed() {
+	if s.inFlight == 0 && !s.isClosed() {
 		return closeSendingHalf
 	}
 	waited := now.Sub(s.halfClosedAt)
