--- a/internal/gateway/listener/acceptbackoff_test.go
+++ b/internal/gateway/listener/acceptbackoff_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// exhaustedListener has no file descriptor for a connection until as many idle connections as
-// needed were closed.
+// exhaustedListener fails to accept for lack of file descriptors until the needed number of idle
+// connections is closed.
 type exhaustedListener struct {
 	net.Listener
 	table    *connectionTable
@@ -30,8 +30,8 @@
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// Without a file descriptor for the next connection, each failed accept evicts one, and they are
-// logged once.
+// If file descriptors are exhausted, each failed accept evicts one idle connection, and the
+// failures are logged once.
 func TestAccept_evictsIdleClientsWithoutDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	// Six of the eight connections are idle.
@@ -49,7 +49,7 @@
 	}
 }
 
-// failingListener fails to accept for each of its failures, and then accepts.
+// failingListener returns its queued failures from Accept before it accepts connections.
 type failingListener struct {
 	*net.TCPListener
 	mu       sync.Mutex
@@ -62,7 +62,7 @@
 	l.failures = append(l.failures, failures...)
 }
 
-// next takes the next failure; 0: there is none.
+// nextFailure removes and returns the next failure, or returns 0 if there is none.
 func (l *failingListener) nextFailure() (failure syscall.Errno) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +79,8 @@
 	return l.TCPListener.Accept()
 }
 
-// Accepting fails for a moment in each way that the system has: the clients that connect then are
-// served all the same, in service and in a drain.
+// Transient failures of accept lose no client: clients that connect meanwhile are served, both
+// normally and during a drain.
 func TestAccept_failuresForAMomentLoseNobody(t *testing.T) {
 	failures := []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -21,7 +21,7 @@
 	// command.
 	malformedCloseTimeout = time.Second
 	// rejectedCommandPause is the pause in reading from a client after a command that was answered
-	// without being forwarded. Without it, such commands could take all processor time.
+	// without being admitted. Without it, such commands could take all processor time.
 	rejectedCommandPause = 10 * time.Millisecond
 	// maxInFlightPerConn is the maximum number of commands in flight on a connection.
 	maxInFlightPerConn = 16
@@ -60,8 +60,8 @@
 	return c
 }
 
-// serve reads commands until the client disconnects, and closes the connection then. It detects a
-// disconnect also while requests are in flight.
+// serve reads commands until the client disconnects or no further command is to be read, and then
+// closes the connection. It detects a disconnect even while requests are in flight.
 func (c *client) serve() {
 	defer c.disconnect()
 	for c.conn.awaitCommand() && c.awaitToken() {
--- a/internal/gateway/listener/client_test.go
+++ b/internal/gateway/listener/client_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// testClient is the client's end of a connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	*testing.T
 	*net.TCPConn
@@ -25,7 +25,8 @@
 	return f.dialWith(&net.Dialer{})
 }
 
-// dialNarrow connects a client whose system takes only a little before the client reads.
+// dialWithSmallReadBuffer connects a client whose system buffers only little that the client has
+// not read.
 func (f *fixture) dialWithSmallReadBuffer() *testClient {
 	f.Helper()
 	return f.dialWith(&net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -53,7 +54,7 @@
 	}
 }
 
-// readAnswer reads an answer: a line, or the bytes of a value.
+// readAnswer reads an answer, and returns its line or the bytes of its value.
 func (c *testClient) readAnswer() string {
 	c.Helper()
 	line, err := c.in.ReadString('\n')
@@ -69,7 +70,7 @@
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// want reads an answer and compares it with a pattern.
+// wantAnswer reads an answer and fails the test unless it matches the pattern.
 func (c *testClient) wantAnswer(pattern string) {
 	c.Helper()
 	if answer := c.readAnswer(); !regexp.MustCompile("^(" + pattern + ")$").MatchString(answer) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// wantClose wants no more than the end of the connection: an orderly close.
+// wantClose fails the test unless the connection ends without further bytes, by an orderly close.
 func (c *testClient) wantClose() {
 	c.Helper()
 	if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// wantReset wants no more than the end of the connection: a reset.
+// wantReset fails the test unless the connection ends without further bytes, by a reset.
 func (c *testClient) wantReset() {
 	c.Helper()
 	if rest, err := io.ReadAll(c.in); len(rest) > 0 || !errors.Is(err, syscall.ECONNRESET) {
@@ -93,11 +94,12 @@
 	}
 }
 
-// wantWriteError wants a further write to fail because the listener has closed the connection.
+// wantWriteError fails the test unless a write fails because the listener has closed the
+// connection.
 func (c *testClient) wantWriteError() {
 	c.Helper()
 	_, err := c.Write([]byte("x"))
-	if err == nil { // the reset may come with this one
+	if err == nil { // the first write may provoke the reset
 		_, err = c.Write([]byte("x"))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
--- a/internal/gateway/listener/close_test.go
+++ b/internal/gateway/listener/close_test.go
@@ -9,13 +9,13 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Commands that were read ahead with the one before: its answer does not close the connection
-// before theirs.
+// Several commands are read together. The answer to the first does not close the connection before
+// the others are answered.
 func TestDrain_answersAllCommandsReadAtOnce(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	f.activateDrain(time.Hour)
 	c := f.dial()
-	unknown := fakes.FormatCommand("ODD") // answered at once, and the reader pauses behind it
+	unknown := fakes.FormatCommand("ODD") // answered immediately; the reader then pauses
 	c.send(unknown + unknown + unknown + unknown)
 	for range 4 {
 		c.wantAnswer("-ERR unknown command")
@@ -25,7 +25,8 @@
 	f.awaitEmpty()
 }
 
-// One of three answers is written as the drain begins.
+// One of three pipelined requests is answered when the drain begins, and the others follow in
+// order.
 func TestDrain_answersPipelinedRequestsInOrder(t *testing.T) {
 	release := map[int]chan bool{2: make(chan bool), 3: make(chan bool)}
 	f := newDrainFixture(t, 8, nil, answerByNumber(release))
@@ -44,7 +45,7 @@
 	f.awaitDrained(finished)
 }
 
-// Half of a command has been read as the drain begins, and the other half arrives later.
+// Half of a command was read when the drain begins, and the other half arrives later.
 func TestDrain_answersCommandReadInPart(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	c := f.dial()
@@ -61,8 +62,8 @@
 	f.awaitEmpty()
 }
 
-// A command that is never completed closes the connection, but not before the commands before it
-// are answered.
+// A command that is never completed closes the connection, but only after the earlier commands are
+// answered.
 func TestPartialCommand_earlierRequestsAreAnswered(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	isRead := make(chan bool, 100)
@@ -71,7 +72,7 @@
 	}, answerByNumber(release))
 	c := f.dial()
 	c.send(query(1) + query(2)[:30])
-	for n := 0; n < 2; { // the first command is read, the second one given up
+	for n := 0; n < 2; { // the first command is read, and reading the second one has timed out
 		if <-isRead {
 			n++
 		}
@@ -81,14 +82,14 @@
 	c.wantClose()
 }
 
-// An answer whose write fails in the middle is not followed by the next one, which would be read as
-// its rest.
+// After an answer was written in part, the next one is not written: the client would read it as the
+// rest of the first.
 func TestFailedAnswer_nextIsNotWritten(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	events := make(chan string, 10)
 	var conn *connection
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
-		// The answer cannot be counted as written before the test has seen what follows it.
+		// Holding the lock delays the end of the command until the test has seen the next event.
 		hold := once(func() { conn.mu.Lock() })
 		tapped.write = func(p []byte) (int, error) {
 			hold()
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -9,7 +9,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// closeReasons are those for which the listener closes an idle connection.
+// closeReasons holds the ways in which the listener closes an idle connection, by name.
 var closeReasons = map[string]func(f *drainFixture){
 	"eviction": func(f *drainFixture) { f.connections.evict(0) },
 	"drain":    func(f *drainFixture) { f.connections.closeIdle(shouldCloseInDrain) },
@@ -17,7 +17,7 @@
 		ctx, cancel := context.WithCancel(f.Context())
 		defer cancel()
 		go f.Sweep(ctx)
-		for range 2 { // once the second is closed, at least one sweep has seen all connections that were open before
+		for range 2 { // when the second one is closed, at least one whole sweep has run
 			silent := f.dial()
 			f.connectionOf(silent).makeIdle()
 			silent.wantReset()
@@ -25,8 +25,8 @@
 	},
 }
 
-// The first byte of a request has arrived on an idle connection, and the reader has seen it but not
-// counted it yet.
+// The first byte of a request has arrived on an idle connection, and the reader has seen it but has
+// not counted the request yet. The connection stays open.
 func TestCloseIdle_requestThatHasBegunIsAnswered(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A request arrives as the connection is being closed: no byte of it is read, and the client can
-// tell.
+// A request arrives while the connection is being closed. No byte of it is read, and the client
+// sees a reset.
 func TestCloseIdle_requestThatCrossesTheCloseIsNotRead(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
@@ -71,13 +71,13 @@
 	}
 }
 
-// longValue is an answer that a narrow client takes only as it reads.
+// longValue is an answer that exceeds the buffers of a client with a small read buffer.
 var longValue = strings.Repeat("x", 64<<10)
 
 func answerLongValue([]string) string { return fakes.FormatValue(longValue, 1) }
 
-// An answer is on its way to a slow client: nothing closes the connection, until the client has had
-// its time to read.
+// An answer is on its way to a slow client. Nothing closes the connection until the time to read
+// the answer has passed.
 func TestCloseIdle_answerInTransitIsDelivered(t *testing.T) {
 	for name, closeIdle := range closeReasons {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 			client.send(query(1))
 			fakes.Eventually(t, "the answer written", conn.isFullyAnswered)
 			conn.setLastUsed(time.Now().Add(-drainIdleTimeout))
-			if name != "sweep" { // which closes connections idle for longer than writing an answer may take
+			if name != "sweep" { // a sweep closes only connections that are idle for longer than writeTimeout
 				closeIdle(f)
 			}
 			if conn.closeIfIdle() {
--- a/internal/gateway/listener/concurrency_test.go
+++ b/internal/gateway/listener/concurrency_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/policy"
 )
 
-// reorderedSettings has the classes and plans of testSettings in another order, one of each removed
-// and one new, and a class that keeps its name and gets another effect.
+// reorderedSettings returns testSettings with the classes and plans reordered, one of each removed
+// and one added. The class pay keeps its name and becomes idempotent.
 func reorderedSettings() policy.Settings {
 	settings := testSettings()
 	settings.Classes = []policy.TrafficClass{
@@ -25,9 +25,8 @@
 	return settings
 }
 
-// A request that arrives while new settings are applied is parsed and admitted by the same ones:
-// the non-idempotent class pay becomes idempotent, and no request that was sent as the one is
-// admitted as the other.
+// A request that arrives while new settings are applied is parsed and admitted under the same
+// settings. Otherwise, a request sent as non-idempotent could be admitted as idempotent.
 func TestReconfigure_requestIsAdmittedByTheSettingsItWasParsedBy(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.CloseConn })
 	var once sync.Once
@@ -35,7 +34,7 @@
 	f := newFixtureWith(t, testSettings(), func(reply countCallback) {
 		once.Do(func() {
 			close(blocked)
-			<-resume // the dispatcher's lock is held: all later requests wait for it
+			<-resume // all later requests wait for the dispatcher's lock, which is held here
 		})
 		go reply(0, policy.Answered)
 	}, 0, server).start()
@@ -68,10 +67,10 @@
 	}
 }
 
-// Two customers share all pools: buffers, readers, writers, workers, connections to servers. Each
-// gets what a server made of its own request, in order, while clients beside them disconnect in the
-// middle of a command, and servers send one answer more than they owe, which must not be taken for
-// the answer to the next request on that connection.
+// Two customers share all pools: buffers, readers, writers, workers and server connections. Each
+// client gets the server's answers to its own requests, in order. Meanwhile, other clients
+// disconnect in the middle of a command, and servers send surplus answers, which must not be used
+// for the next request on the same server connection.
 func TestAnswers_neverReachAnotherCustomer(t *testing.T) {
 	const clients, rounds = 8, 30
 	server := fakes.NewServer(t, func(words []string) string {
@@ -95,7 +94,7 @@
 						t.Errorf("answered %.50q, want %.50q", line, want)
 					}
 				}
-				leaving := f.dial() // in the middle of a value, with one request in flight
+				leaving := f.dial() // disconnects in the middle of a value, with one request in flight
 				leaving.send(queryCommand() + submitCommand(longestBody)[:9000])
 				_, _ = leaving.SetLinger(0), leaving.Close()
 			}
@@ -107,8 +106,8 @@
 	}
 }
 
-// sendRound sends one to five submits of a customer, with values of several sizes, and a query. It
-// returns the answers wanted.
+// sendRound sends one to five submits with values of different sizes, and a query. It returns the
+// expected answers.
 func (c *testClient) sendRound(customer, fill string, round int) (want []string) {
 	for _, size := range []int{1, 4<<10 - 1, 4 << 10, 4<<10 + 1, 20 << 10}[:1+round%5] {
 		id, value := uniqueID(), strings.Repeat(fill, size)
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -63,7 +63,7 @@
 
 // beginCommand counts a command whose first byte has arrived. It returns false if the connection
 // was closed in the meantime, or if a drain has stopped reading and the command is not the first on
-// the connection. The answers to the commands in flight then close the connection.
+// the connection. In the latter case, the answers to the commands in flight close the connection.
 func (c *connection) beginCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -25,8 +25,8 @@
 	// sweepInterval is the time between checks for connections that exceed idleTimeout or
 	// silentTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// floodDivisor defines a flood: new connections hold more than the number of slots divided by
-	// it.
+	// floodDivisor sets the threshold of a flood: new connections hold more than 1/floodDivisor of
+	// the slots.
 	floodDivisor = 2
 )
 
--- a/internal/gateway/listener/connections_test.go
+++ b/internal/gateway/listener/connections_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// fullConnectionTable has eight slots, all of them taken: by newCount connections that are new and
-// stay so, and by others that were just answered.
+// fullConnectionTable returns a table whose eight slots are occupied: newCount by connections that
+// stay new, and the others by connections that were just answered.
 func fullConnectionTable(t *testing.T, newCount int) *connectionTable {
 	t.Helper()
 	table := newConnectionTable(8)
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -12,20 +12,20 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// disconnectBound is within what a disconnect must be noticed here. The listener is to notice it
-// within 0.1 s, as disconnectPollInterval provides; the rest is for a machine that is busy with
-// other tests. A disconnect that is missed takes 14 s, the requests' deadline.
+// disconnectBound is the time within which a test must see a disconnect. disconnectPollInterval
+// provides for 0.1 s; the rest allows for a busy machine. Without detection, a disconnect takes 14
+// s, the deadline of the requests.
 const disconnectBound = commandTimeout / 2
 
-// disconnects are the ways in which a client disconnects.
+// disconnects holds the ways in which a client disconnects, by name.
 var disconnects = map[string]func(*testClient){
 	"closes":      func(c *testClient) { _ = c.Close() },
 	"half closes": func(c *testClient) { _ = c.CloseWrite() },
 	"resets":      func(c *testClient) { _, _ = c.SetLinger(0), c.Close() },
 }
 
-// sentBehind is what a client sends behind its first query; "look" stands for another query. Then
-// so many commands are in flight, and so many requests attempted.
+// pipelinedInputs holds what a client sends after its first query; "look" stands for another query.
+// inFlight and attempted are the resulting numbers of commands in flight and of requests attempted.
 var pipelinedInputs = map[string]struct {
 	text      string
 	inFlight  int
@@ -44,15 +44,15 @@
 	"request, then a partial command": {"look*4\r\n$9\r\nSVC.Q", 3, 2},
 }
 
-// A disconnect is noticed whatever the reader does with what the client sent before: all requests
-// of the client end.
+// A disconnect is detected whatever unread or partial input precedes it, and all requests of the
+// client end.
 func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
 	for name, sent := range pipelinedInputs {
 		for way, disconnect := range disconnects {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, answerNothing)
-				// A few attempts are in flight under each of the server's names.
+				// The server is listed under several names, each of which takes a few attempts.
 				f := newFixture(t, 0, slices.Repeat([]*fakes.Server{server}, 8)...).start()
 				c := f.dial()
 				c.send(queryCommand())
@@ -73,8 +73,8 @@
 	}
 }
 
-// checkDisconnect checks that a client's disconnect is noticed soon, and that its requests, whose
-// attempts then fail, are not retried: each had one attempt.
+// checkDisconnect checks that a client's disconnect is detected within disconnectBound, and that
+// its requests are not retried when their attempts fail: each has had one attempt.
 func checkDisconnect(t *testing.T, f *fixture, server *fakes.Server, disconnect func()) {
 	t.Helper()
 	attempts, disconnected := server.PendingCommands(), time.Now()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Commands of a client that has disconnected before they are read are not begun.
+// Commands are not started if the client has disconnected before they are read.
 func TestDisconnect_pipelinedRequestsAreNotStarted(t *testing.T) {
 	for _, way := range []string{"closes", "half closes"} {
 		t.Run(way, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// closeNotifier is a connection that reports its close.
+// closeNotifier is a connection that calls onClose before it closes.
 type closeNotifier struct {
 	*net.TCPConn
 	onClose func()
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -10,9 +10,9 @@
 	"harrierhoist/policy"
 )
 
-// heldCounter holds the calls to a counter until they are answered.
+// heldCounter is a counter that holds calls until answer is called.
 type heldCounter struct {
-	mu    sync.Mutex // guards calls
+	mu    sync.Mutex // protects calls
 	calls []countCallback
 }
 
@@ -22,7 +22,7 @@
 	h.calls = append(h.calls, reply)
 }
 
-// answer answers all calls that were made, also those for clients that have disconnected.
+// answer answers all held calls, including those for clients that have disconnected.
 func (h *heldCounter) answer() {
 	h.mu.Lock()
 	calls := h.calls
@@ -33,8 +33,8 @@
 	}
 }
 
-// A client disconnects while its requests wait: none of them is attempted once what they waited for
-// is there.
+// A client disconnects while its requests wait for a server or for a count. No request is attempted
+// when that becomes available.
 func TestDisconnect_waitingRequestsAreNotStarted(t *testing.T) {
 	t.Run("for a server", func(t *testing.T) {
 		t.Parallel()
@@ -54,9 +54,9 @@
 	})
 }
 
-// checkWaitingRequests checks that the requests of a client that disconnects are not attempted,
-// while those of another client are. After the disconnect, provide is called once, and poll again
-// and again until there is an attempt.
+// checkWaitingRequests checks that the requests of a disconnected client are not attempted, and
+// that those of another client are. After the disconnect, it calls provide once, and poll
+// repeatedly until there is an attempt.
 func checkWaitingRequests(t *testing.T, f *fixture, server *fakes.Server, provide, poll func()) {
 	t.Helper()
 	leaving, staying := f.dial(), f.dial()
@@ -80,8 +80,8 @@
 	}
 }
 
-// The disconnect of a client that reads nothing is noticed while an answer is being written to it
-// and requests are behind that.
+// A client that does not read disconnects while an answer is being written to it and further
+// requests are in flight. The disconnect is detected.
 func TestDisconnect_isNoticedWhileAnswerIsWritten(t *testing.T) {
 	for name, pipelined := range map[string]int{
 		"some pipelined":             2,
@@ -116,7 +116,7 @@
 	}
 }
 
-// withSmallWriteBuffer makes a connection's system hold far less than the longest answer.
+// withSmallWriteBuffer sets a write buffer that is far smaller than the longest answer.
 func withSmallWriteBuffer(conn *net.TCPConn) net.Conn {
 	_ = conn.SetWriteBuffer(4 << 10)
 	return conn
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -11,15 +11,15 @@
 	"harrierhoist/policy"
 )
 
-// drainFixture is a fixture with tapped connections and one server, that serves from the beginning.
+// drainFixture is a running fixture with tapped connections and one server.
 type drainFixture struct {
 	*fixture
 	*tappedListener
 	server *fakes.Server
-	served chan error // what Serve returned
+	served chan error // result of Serve
 }
 
-// drainSettings have one class, with the longest deadline that counts.
+// drainSettings returns settings with one class, whose timeout is writeTimeout.
 func drainSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5, CanCancel: true, SendsRetryAfter: true,
@@ -47,8 +47,8 @@
 	return d
 }
 
-// activateDrain makes the drain active, as Drain does when clients have stopped connecting.
-// Commands are read for readTime more.
+// activateDrain makes the drain active, as Drain does once it has stopped accepting. Commands are
+// read and forwarded for readTime.
 func (d *drainFixture) activateDrain(readTime time.Duration) {
 	readUntil := time.Now().Add(readTime)
 	d.drain.times.Store(&drainTimes{
@@ -79,7 +79,7 @@
 	}
 }
 
-// connectionOf returns the listener's connection of a client.
+// connectionOf returns the listener side of a client's connection.
 func (d *drainFixture) connectionOf(client *testClient) (found *connection) {
 	d.Helper()
 	fakes.Eventually(d, "the connection", func() bool {
@@ -95,7 +95,7 @@
 	return found
 }
 
-// makeIdle makes a connection one that has been idle for long.
+// makeIdle makes a connection look as if it had been idle for an hour.
 func (c *connection) makeIdle() { c.setLastUsed(time.Now().Add(-time.Hour)) }
 
 func (c *connection) setLastUsed(at time.Time) {
@@ -104,19 +104,19 @@
 	c.state.lastUsed = at
 }
 
-// isAnswered reports whether all that was asked on the connection is answered.
+// isFullyAnswered reports whether all commands on the connection are answered.
 func (c *connection) isFullyAnswered() bool {
 	activity, _ := c.currentActivity()
 	return activity == activityIdleAnswered
 }
 
-// query returns a command whose number reaches the server.
+// query returns a query command with the number n, which is forwarded to the server.
 func query(n int) string {
 	return fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", uniqueID(), fmt.Sprintf("c=look,t=wide,d=3000,n=%d", n))
 }
 
-// answerByNumber answers a query with its number. If release has a channel for that number, the
-// answer waits for its close.
+// answerByNumber returns a server function that answers a query with its number. If release has a
+// channel for that number, the answer waits until the channel is closed.
 func answerByNumber(release map[int]chan bool) func(words []string) string {
 	return func(words []string) string {
 		var n int
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -15,8 +15,8 @@
 	"harrierhoist/policy"
 )
 
-// Connections are in the backlog as the drain begins, and the one before them waits for a slot: all
-// are answered, and none is accepted behind them.
+// When the drain begins, one connection waits for a slot and two are in the backlog. All are
+// answered, and no later connection is accepted.
 func TestDrain_answersConnectionsInTheBacklog(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	f := newDrainFixture(t, 1, nil, answerByNumber(release))
@@ -26,7 +26,7 @@
 	waiting, inBacklog, alsoInBacklog := f.dial(), f.dial(), f.dial()
 	waiting.send(query(2))
 	<-f.accepted
-	<-f.accepted // the first of the three is accepted and has no slot; the others are in the system's backlog
+	<-f.accepted // of the three, the first is accepted and waits for a slot; the others are in the backlog
 	inBacklog.send(query(3))
 	alsoInBacklog.send(query(4))
 	finished := f.startDrain()
@@ -47,8 +47,8 @@
 	}
 }
 
-// A client sends on and on without a pause: commands whose reading was begun are answered, the
-// others are not read, and the drain ends in time.
+// A client sends commands without a pause. Those that were begun to be read are answered, no others
+// are read, and the drain ends in time.
 func TestDrain_endsClientThatNeverPauses(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	client := f.dial()
@@ -91,8 +91,8 @@
 	}
 }
 
-// Once no more is to be read, commands that were read ahead are answered, and no byte behind them
-// is read.
+// After the drain has stopped reading, commands that were read ahead are answered, and no further
+// byte is read.
 func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
 	const commands, bufferSize = 300, 4 << 10
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
@@ -112,7 +112,7 @@
 	c := f.dial()
 	tapped := <-f.accepted
 	c.send(strings.Repeat(pingCommand, commands))
-	readAhead := bufferSize/len(pingCommand) + 1 // the last of them in part
+	readAhead := bufferSize/len(pingCommand) + 1 // the last command is read in part
 	for range readAhead {
 		c.wantAnswer(`\+PONG`)
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// An answer cannot be written, and a connection waits for its slot: what is read late has only the
-// time that SIGKILL leaves, nothing is given up before SIGKILL is due, and the drain ends
+// An answer cannot be written, and a connection waits for its slot. Requests read during the drain
+// get only the time until SIGKILL, the drain does not end before SIGKILL is due, and it ends
 // nevertheless.
 func TestDrain_endsThoughAnAnswerIsStuck(t *testing.T) {
 	release := make(chan bool)
@@ -147,7 +147,7 @@
 		t.Errorf("a request that is read now has a timeout of %v", timeout)
 	}
 	f.awaitDrained(finished)
-	if took := time.Since(began); took < writeTimeout+killGrace { // no upper bound: a busy machine may be late
+	if took := time.Since(began); took < writeTimeout+killGrace { // no upper bound, for slow machines
 		t.Errorf("the drain took %v", took)
 	}
 	waiting.wantReset()
@@ -159,7 +159,7 @@
 	}
 }
 
-// SIGKILL comes 0.7 s after the longest timeout of a class, which counts as 3 s if it is longer.
+// SIGKILL is expected 0.7 s after the longest timeout of any class, which counts for at most 3 s.
 func TestKillDelay(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		500 * time.Millisecond: 1200 * time.Millisecond,
@@ -177,8 +177,8 @@
 	}
 }
 
-// A configuration that shortens the longest deadline during a drain brings SIGKILL nearer; one that
-// lengthens it does not put SIGKILL off.
+// During a drain, a reload that shortens the longest timeout moves the expected SIGKILL forward. A
+// reload that lengthens it does not postpone SIGKILL.
 func TestDrain_reloadThatShortensTheLongestDeadlineCounts(t *testing.T) {
 	for name, row := range map[string]struct{ timeouts []time.Duration }{
 		"before it is active": {[]time.Duration{300 * time.Millisecond}},
@@ -210,7 +210,7 @@
 	}
 }
 
-// reconfigureTimeout gives all classes a timeout.
+// reconfigureTimeout sets the timeout of all classes by a reload.
 func (d *drainFixture) reconfigureTimeout(timeout time.Duration) {
 	d.Helper()
 	settings := drainSettings()
--- a/internal/gateway/listener/fixture_test.go
+++ b/internal/gateway/listener/fixture_test.go
@@ -18,8 +18,8 @@
 	"harrierhoist/policy"
 )
 
-// fixture is a listener on a loopback address with a dispatcher, upstream connections and the
-// servers that a test gives it.
+// fixture is a listener on a loopback address with a dispatcher, an upstream pool and the servers
+// of the test.
 type fixture struct {
 	*testing.T
 	*Listener
@@ -28,18 +28,18 @@
 	logs       *observer.ObservedLogs // warnings and errors
 }
 
-// fixtureOptions is in what fixtures differ.
+// fixtureOptions configures a fixture.
 type fixtureOptions struct {
 	settings       policy.Settings
-	count          func(countCallback) // called under the dispatcher's lock; nil: there is no counter
+	count          func(countCallback) // called with the dispatcher's lock held; nil means no counter
 	maxConnections int
-	maxMemory      int // in bytes; 0: no bound
+	maxMemory      int // in bytes; 0 means no limit
 }
 
-// countCallback is what a call to the counter calls with the total.
+// countCallback receives the total that the counter returns.
 type countCallback func(float64, policy.Outcome)
 
-// testSettings has an idempotent class and a non-idempotent one, and two plans.
+// testSettings returns settings with an idempotent class, a non-idempotent one and two plans.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 4096, CanCancel: true, SendsRetryAfter: true,
@@ -52,14 +52,15 @@
 	}
 }
 
-// newFixture returns a fixture with a bound on memory, in bytes. It accepts no connection before
-// start.
+// newFixture returns a fixture with a memory limit in bytes. It accepts no connections until start
+// is called.
 func newFixture(t *testing.T, maxMemory int, servers ...*fakes.Server) *fixture {
 	t.Helper()
 	return newFixtureWith(t, testSettings(), nil, maxMemory, servers...)
 }
 
-// newFixtureWith is newFixture with settings, and with a counter if count is not nil.
+// newFixtureWith is like newFixture with the given settings, and with a counter if count is not
+// nil.
 func newFixtureWith(
 	t *testing.T, settings policy.Settings, count func(countCallback), maxMemory int, servers ...*fakes.Server,
 ) *fixture {
@@ -88,7 +89,7 @@
 	return &fixture{t, l, dispatcher, fakes.Listen(t), logs}
 }
 
-// endpointsOf lists servers as ready.
+// endpointsOf returns an endpoint list that holds the servers as ready.
 func endpointsOf(servers []*fakes.Server) (list []dispatch.Server) {
 	for i, server := range servers {
 		list = append(list, dispatch.Server{
@@ -98,7 +99,7 @@
 	return list
 }
 
-// start makes the fixture accept connections, each of them through the wrappers first.
+// start starts accepting connections. Each connection is passed through the wrappers in order.
 func (f *fixture) start(wrappers ...func(*net.TCPConn) net.Conn) *fixture {
 	go func() { _ = f.Serve(wrappingListener{f.socket, wrappers}) }()
 	return f
@@ -119,7 +120,7 @@
 	return conn, err
 }
 
-// connectionCount returns how many connections are open.
+// connectionCount returns the number of open connections.
 func (f *fixture) connectionCount() int {
 	f.connections.mu.Lock()
 	defer f.connections.mu.Unlock()
--- a/internal/gateway/listener/fuzz_test.go
+++ b/internal/gateway/listener/fuzz_test.go
@@ -12,7 +12,7 @@
 	"harrierhoist/policy"
 )
 
-// fuzzSettings has classes of all effects, and a class and a plan that are retired.
+// fuzzSettings has a class of each effect, a retired class and a retired plan.
 var fuzzSettings = &policy.Settings{
 	Gateways: 5, MaxUnits: 50, Plans: []policy.Plan{{Name: "open"}, {Name: "shut", Retired: true}},
 	Classes: []policy.TrafficClass{
@@ -23,7 +23,7 @@
 	},
 }
 
-// fuzzCommand is a command as fuzzing composes it: a part of its words, with a value if hasBody.
+// fuzzCommand is a command composed by the fuzzer: a prefix of its words, and a value if hasBody.
 type fuzzCommand struct {
 	verb, customer, id, list, body string
 	hasBody                        bool
@@ -38,9 +38,8 @@
 	return fakes.FormatCommand(words...)
 }
 
-// Whatever words a client puts into a command, parsing does not panic. A request that is parsed
-// holds what the policy takes for granted, and is forwarded as it was worded except for the
-// deadline. One that is rejected leaves no ID open.
+// Parsing does not panic for any words. A parsed request satisfies the preconditions of the policy,
+// and is forwarded unchanged except for the deadline. A rejected request leaves no ID open.
 func FuzzParse(f *testing.F) {
 	const customer, id = "00000000b4d65521", "9b1f03aa5c7e2d41"
 	for _, list := range []string{
@@ -66,7 +65,7 @@
 	})
 }
 
-// checkParse reads and parses a command, and checks the outcome.
+// checkParse reads and parses a command, and checks the result.
 func checkParse(t *testing.T, sent fuzzCommand) {
 	t.Helper()
 	conn := resp.NewConn(&fakes.ScriptedConn{Input: []byte(sent.String())})
@@ -96,7 +95,7 @@
 	}
 }
 
-// checkSpec checks that all numbers of a request are in range.
+// checkSpec checks that all numbers of a parsed request are in range.
 func (c fuzzCommand) checkSpec(t *testing.T, spec dispatch.RequestSpec) {
 	t.Helper()
 	if spec.Plan != 0 || spec.Customer >= maxCustomer || spec.Repeat && !strings.Contains(c.list, "r=1") {
@@ -111,7 +110,7 @@
 	}
 }
 
-// checkClass checks that a request fits its class.
+// checkClass checks that a parsed request is valid for its class.
 func (c fuzzCommand) checkClass(t *testing.T, spec dispatch.RequestSpec) {
 	t.Helper()
 	class := fuzzSettings.Classes[spec.Class]
@@ -124,7 +123,7 @@
 	}
 }
 
-// checkMessage checks that a message holds the words that were sent.
+// checkMessage checks that a message holds the words of the command.
 func (c fuzzCommand) checkMessage(t *testing.T, message *upstream.Command) {
 	t.Helper()
 	if message.Verb != c.verb || message.Customer != c.customer || message.ID != c.id {
@@ -135,8 +134,8 @@
 	}
 }
 
-// checkDeadline checks that a message's parameters are those that were sent, cut around the
-// deadline's value.
+// checkDeadline checks that a message's parameters equal those of the command, split around the
+// value of the deadline.
 func (c fuzzCommand) checkDeadline(t *testing.T, message *upstream.Command) {
 	t.Helper()
 	deadline, hasPrefix := strings.CutPrefix(c.list, message.ParamsBefore)
--- a/internal/gateway/listener/golden_test.go
+++ b/internal/gateway/listener/golden_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/policy"
 )
 
-// goldenSettings has classes of all three effects, a plan that can be used up and a bound on units.
+// goldenSettings returns settings with classes of all three effects, a small plan and a limit on
+// units.
 func goldenSettings() policy.Settings {
 	given := testSettings()
 	given.MaxUnits = 50
@@ -37,12 +38,11 @@
 
 func goldenFailed([]string) string { return "-ERR failed\r\n" }
 
-// goldenAnswers holds each form of answer on a client's connection, as recorded before the package
-// was made readable.
+// goldenAnswers holds each form of answer on a client's connection as recorded, by name.
 var goldenAnswers = map[string]struct {
 	sent   string
 	ready  bool
-	server func([]string) string // nil: none is listed
+	server func([]string) string // nil: no server is listed
 	want   string
 	goesOn bool // the connection goes on
 }{
@@ -143,7 +143,7 @@
 	"a message too long":       {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
 }
 
-// TestGoldenAnswers compares each form of answer byte for byte.
+// TestGoldenAnswers compares each form of answer byte by byte.
 func TestGoldenAnswers(t *testing.T) {
 	for name, golden := range goldenAnswers {
 		t.Run(name, func(t *testing.T) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkAfterGolden checks that the connection goes on after an answer, or is closed.
+// checkAfterGolden checks that the connection stays open after an answer, or that it is closed.
 func (c *testClient) checkAfterGolden(goesOn bool) {
 	c.Helper()
 	if !goesOn {
@@ -184,7 +184,7 @@
 	}
 }
 
-// A request with the ID of another one in flight is answered at once.
+// A request with the ID of a request in flight is rejected.
 func TestGoldenAnswersWithOthersOpen(t *testing.T) {
 	server := fakes.NewServer(t, answerNothing)
 	f := newFixture(t, 0, server).start()
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request arrives between the check for one and the half-close with the last answer: the answer
-// arrives complete, the request is not read, and its client sees an orderly close.
+// A request arrives between the check for unread bytes and the half-close after the last answer.
+// The answer arrives complete, the request is not read, and its client sees an orderly close.
 func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
 	for name, dial := range map[string]func(*fixture) *testClient{
 		"fast": (*fixture).dial,
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			var client *testClient
 			var isCrossing atomic.Bool
-			// The reader closes the connection, or goes on waiting for the client to close it.
+			// Signals that the reader closes the connection, or continues to wait for the client to close it.
 			noticed := make(chan bool, 100)
 			notice := func() {
 				if isCrossing.Load() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A request has arrived, and the reader has seen it but not counted it yet, as what would be the
-// last answer is written.
+// A request has arrived, and the reader has seen it but has not counted it yet, when an answer is
+// written that would otherwise be the last. The request is answered.
 func TestDrain_requestReceivedBeforeTheLastAnswerIsAnswered(t *testing.T) {
 	release := map[int]chan bool{1: make(chan bool)}
 	seen, resume := make(chan bool), make(chan bool)
@@ -73,8 +73,8 @@
 	c.wantClose()
 }
 
-// What arrives after the half-close is not read, also from a client that does not close the
-// connection.
+// Bytes that arrive after the half-close are not read, and the connection is closed even if the
+// client does not close it.
 func TestDrain_clientThatNeverClosesIsClosed(t *testing.T) {
 	for name, later := range map[string]string{"silent": "", "sends another request": query(2)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/listener/leak_test.go
+++ b/internal/gateway/listener/leak_test.go
@@ -6,8 +6,8 @@
 	"go.uber.org/goleak"
 )
 
-// A test that leaves a goroutine behind fails the package. Idle workers are excepted: by design
-// they stay for as long as the process does. A worker that executes a request still counts.
+// TestMain fails the package if a test leaks a goroutine. Idle workers are exempt, as they stay
+// until the process ends. A worker that is executing a request counts as leaked.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("harrierhoist/internal/gateway/listener.(*workerPool).work"))
 }
--- a/internal/gateway/listener/memory_test.go
+++ b/internal/gateway/listener/memory_test.go
@@ -11,16 +11,16 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// longestBody is the longest value that a command may have.
+// longestBody is a value of the maximum size.
 var longestBody = strings.Repeat("b", 64<<10)
 
-// blockingServer holds its answers until release is closed, and counts the requests that it was
-// sent and has not answered.
+// blockingServer delays its answers until release is closed, and counts the requests that it has
+// not answered.
 type blockingServer struct {
 	*fakes.Server
 	release chan struct{}
 
-	mu                    sync.Mutex // guards the fields below
+	mu                    sync.Mutex // protects the fields below
 	inFlight, maxInFlight int
 }
 
@@ -61,9 +61,9 @@
 	fakes.Eventually(f, "all memory released", func() bool { return f.memory.usedBytes() == 0 })
 }
 
-// Clients send the longest values at once, and the server answers late with values as long. What
-// all of them hold stays within the bound. Each request gets one answer, and those that were
-// rejected were never forwarded.
+// Clients send values of the maximum size concurrently, and the server answers late with values of
+// the same size. The memory that all of them hold stays within the limit. Each request is answered
+// once, and no rejected request was forwarded.
 func TestMemoryLimit_boundsValuesInFlight(t *testing.T) {
 	const clients, requestsEach, maxMemory = 12, 2, 1 << 20
 	server := newBlockingServer(t, longestBody)
@@ -107,17 +107,17 @@
 	f.awaitMemoryReleased()
 }
 
-// longSubmit is a submit with the longest value.
+// longSubmit is a submit with a value of the maximum size.
 var longSubmit = fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
 
-// memoryHolders are clients that could keep memory reserved.
+// memoryHolders holds the behaviour of clients that might keep memory reserved, by name.
 var memoryHolders = map[string]func(c *testClient, f *fixture, server *blockingServer){
 	"sends one byte at a time": func(c *testClient, f *fixture, _ *blockingServer) {
 		c.send(longSubmit[:len(longSubmit)/2])
 		fakes.Eventually(c, "memory reserved", func() bool { return f.memory.usedBytes() > 0 })
-		// Until the connection is closed.
+		// Write until the connection is closed.
 		for _, err := c.Write([]byte("b")); err == nil; _, err = c.Write([]byte("b")) {
-			time.Sleep(commandTimeout / 8) // the client's slowness, not a wait for something
+			time.Sleep(commandTimeout / 8) // simulates a slow client
 		}
 	},
 	"value without its end": func(c *testClient, _ *fixture, _ *blockingServer) {
@@ -134,7 +134,7 @@
 	},
 	"pipelines many and disconnects": func(c *testClient, _ *fixture, server *blockingServer) {
 		submits := strings.Repeat(submitCommand(longestBody), 40)
-		go func() { _, _ = c.Write([]byte(submits)) }() // until the connection is closed
+		go func() { _, _ = c.Write([]byte(submits)) }() // fails when the connection is closed
 		fakes.Eventually(c, "the first request", func() bool { return server.unanswered() > 0 })
 		_, _ = c.SetLinger(0), c.Close()
 	},
@@ -146,7 +146,7 @@
 	},
 }
 
-// All memory is released whatever a client does, also if it is slow or disconnects.
+// All memory is released after a client was slow, sent invalid input or disconnected.
 func TestMemoryLimit_isReleasedWhateverClientsDo(t *testing.T) {
 	for name, act := range memoryHolders {
 		t.Run(name, func(t *testing.T) {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Without free memory, a request waits for some time and is rejected. A command that needs none is
-// answered at once, and the disconnect of a client that waits is noticed.
+// If no memory is free, a request waits for memoryTimeout and is rejected. A command that needs no
+// memory is answered immediately, and the disconnect of a waiting client is detected.
 func TestMemoryLimit_rejectsWithoutCapacity(t *testing.T) {
 	server := fakes.NewServer(t, answerHello)
 	f := newFixture(t, 4<<20, server).start()
--- a/internal/gateway/listener/parse.go
+++ b/internal/gateway/listener/parse.go
@@ -84,8 +84,8 @@
 	return longest
 }
 
-// parse parses a command whose last bytes arrived age ago. It returns a request, whose ID it has
-// added to the open request IDs, or the line that answers the command.
+// parse parses a command; age is the time since its last bytes arrived. It returns a request, whose
+// ID it has added to the open request IDs, or the line that answers the command.
 func (l *Listener) parse(command *pendingCommand, age time.Duration) (dispatch.RequestSpec, *upstream.Command, string) {
 	var spec dispatch.RequestSpec
 	if command.Discarded {
--- a/internal/gateway/listener/tapped_test.go
+++ b/internal/gateway/listener/tapped_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// tappedConn is a connection as the listener sees it. Its hooks can hold the listener between two
-// of its steps; nil hooks do nothing.
+// tappedConn is the listener side of a connection. Its hooks can block the listener between two
+// steps; nil hooks do nothing.
 type tappedConn struct {
 	*net.TCPConn
-	afterWait        func()                            // a wait has ended: a byte has arrived, or the end
-	write            func(p []byte) (n int, err error) // in place of a write
+	afterWait        func()                            // called when a byte or the end of the stream has arrived
+	write            func(p []byte) (n int, err error) // replaces Write
 	beforeCloseWrite func()
 	beforeReset      func()
 	beforeClose      func()
-	onReadDeadline   func(deadline time.Time) // zero: the command was read, or given up
+	onReadDeadline   func(deadline time.Time) // called with zero when the command was read or reading has failed
 	readBytes        atomic.Int64
 }
 
 func (c *tappedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	runHook(c.afterWait) // for a wait that reads
+	runHook(c.afterWait) // a wait may consist of a read
 	c.readBytes.Add(int64(n))
 	return n, err
 }
@@ -40,7 +40,7 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// SetLinger is called before a reset only.
+// SetLinger runs beforeReset. The listener calls it only before a reset.
 func (c *tappedConn) SetLinger(seconds int) error {
 	runHook(c.beforeReset)
 	return c.TCPConn.SetLinger(seconds)
@@ -63,7 +63,7 @@
 	return tappedRawConn{raw, c}, err
 }
 
-// tappedRawConn runs the connection's hook after a wait that does not read.
+// tappedRawConn runs the connection's afterWait hook after a wait that does not read.
 type tappedRawConn struct {
 	syscall.RawConn
 	conn *tappedConn
@@ -83,16 +83,16 @@
 	}
 }
 
-// once returns a hook that acts the first time only.
+// once returns a hook that runs act only on the first call.
 func once(act func()) func() {
 	var o sync.Once
 	return func() { o.Do(act) }
 }
 
-// tappedListener accepts connections as tappedConn.
+// tappedListener returns each accepted connection as a tappedConn.
 type tappedListener struct {
 	*net.TCPListener
-	setHooks atomic.Pointer[func(*tappedConn)] // called with each connection accepted from here on; nil: none is
+	setHooks atomic.Pointer[func(*tappedConn)] // called with each new connection; nil: no call
 	accepted chan *tappedConn
 }
 
