--- a/internal/gateway/listener/acceptbackoff_test.go
+++ b/internal/gateway/listener/acceptbackoff_test.go
@@ -42,10 +42,10 @@
 	}
 	closed := l.connections.closedCount()
 	if closed != socket.needed || socket.attempts != socket.needed+1 {
-		t.Errorf("%d connections evicted, %d attempts", closed, socket.attempts)
+		t.Errorf("%d connections evicted in %d attempts to accept", closed, socket.attempts)
 	}
 	if logs.Len() != 1 || logs.FilterMessage("listener: accept failed").Len() != 1 {
-		t.Errorf("logged %v", logs.All())
+		t.Errorf("logged %v, want one failed accept", logs.All())
 	}
 }
 
@@ -94,7 +94,7 @@
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(socket) }()
 	c := f.dial()
-	c.send(query(1))
+	c.send(numberedQuery(1))
 	c.wantAnswer("hello")
 	socket.fail(failures...)
 	finished := make(chan struct{})
@@ -104,7 +104,7 @@
 	}()
 	for range 3 {
 		late := f.dial()
-		late.send(query(2))
+		late.send(numberedQuery(2))
 		late.wantAnswer("hello")
 		_ = late.Close()
 	}
--- a/internal/gateway/listener/client_test.go
+++ b/internal/gateway/listener/client_test.go
@@ -17,7 +17,7 @@
 type testClient struct {
 	*testing.T
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (f *fixture) dial() *testClient {
@@ -57,11 +57,11 @@
 // readAnswer reads an answer, and returns its line or the bytes of its value.
 func (c *testClient) readAnswer() string {
 	c.Helper()
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if size := 0; err == nil && line[0] == '$' {
 		_, _ = fmt.Sscanf(line, "$%d", &size)
 		value := make([]byte, size+2)
-		_, err = io.ReadFull(c.in, value)
+		_, err = io.ReadFull(c.reader, value)
 		line = string(value)
 	}
 	if err != nil {
@@ -81,7 +81,7 @@
 // wantClose fails the test unless the connection ends without further bytes, by an orderly close.
 func (c *testClient) wantClose() {
 	c.Helper()
-	if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
+	if rest, err := io.ReadAll(c.reader); len(rest) > 0 || err != nil {
 		c.Fatalf("%d more bytes, error %v; want an orderly close", len(rest), err)
 	}
 }
@@ -89,7 +89,7 @@
 // wantReset fails the test unless the connection ends without further bytes, by a reset.
 func (c *testClient) wantReset() {
 	c.Helper()
-	if rest, err := io.ReadAll(c.in); len(rest) > 0 || !errors.Is(err, syscall.ECONNRESET) {
+	if rest, err := io.ReadAll(c.reader); len(rest) > 0 || !errors.Is(err, syscall.ECONNRESET) {
 		c.Fatalf("%d more bytes, error %v; want a reset", len(rest), err)
 	}
 }
@@ -103,6 +103,6 @@
 		_, err = c.Write([]byte("x"))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		c.Errorf("a further write ended with %v", err)
+		c.Errorf("write after the close: error %v, want a reset or a broken pipe", err)
 	}
 }
--- a/internal/gateway/listener/close_test.go
+++ b/internal/gateway/listener/close_test.go
@@ -22,7 +22,7 @@
 	}
 	c.wantClose()
 	_ = c.Close()
-	f.awaitEmpty()
+	f.awaitIdle()
 }
 
 // One of three pipelined requests is answered when the drain begins, and the others follow in
@@ -32,7 +32,7 @@
 	f := newDrainFixture(t, 8, nil, answerByNumber(release))
 	idle := f.dial()
 	c := f.dial()
-	c.send(query(1) + query(2) + query(3))
+	c.send(numberedQuery(1) + numberedQuery(2) + numberedQuery(3))
 	c.wantAnswer("value 1")
 	finished := f.startDrain()
 	idle.wantReset()
@@ -49,7 +49,7 @@
 func TestDrain_answersCommandReadInPart(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	c := f.dial()
-	text := query(1)
+	text := numberedQuery(1)
 	c.send(text[:20])
 	tapped := <-f.accepted
 	fakes.Eventually(t, "the first half read", func() bool { return tapped.readBytes.Load() == 20 })
@@ -59,7 +59,7 @@
 	c.wantAnswer("hello")
 	c.wantClose()
 	_ = c.Close()
-	f.awaitEmpty()
+	f.awaitIdle()
 }
 
 // A command that is never completed closes the connection, but only after the earlier commands are
@@ -71,7 +71,7 @@
 		c.onReadDeadline = func(deadline time.Time) { isRead <- deadline.IsZero() }
 	}, answerByNumber(release))
 	c := f.dial()
-	c.send(query(1) + query(2)[:30])
+	c.send(numberedQuery(1) + numberedQuery(2)[:30])
 	for n := 0; n < 2; { // the first command is read, and reading the second one has timed out
 		if <-isRead {
 			n++
@@ -90,27 +90,27 @@
 	var conn *connection
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 		// Holding the lock delays the end of the command until the test has seen the next event.
-		hold := once(func() { conn.mu.Lock() })
+		hold := runOnce(func() { conn.mu.Lock() })
 		tapped.write = func(p []byte) (int, error) {
 			hold()
 			events <- "write"
 			n, _ := tapped.TCPConn.Write(p[:3])
 			return n, errors.New("write fails")
 		}
-		tapped.beforeClose = once(func() { events <- "close" })
+		tapped.beforeClose = runOnce(func() { events <- "close" })
 	}, answerByNumber(release))
 	client := f.dial()
 	conn = f.connectionOf(client)
-	client.send(query(1) + pingCommand)
+	client.send(numberedQuery(1) + pingCommand)
 	f.server.NextCommand(t)
 	close(release[1])
 	first, second := <-events, <-events
 	conn.mu.Unlock()
 	if first != "write" || second != "close" {
-		t.Errorf("%s, then %s", first, second)
+		t.Errorf("events %s, %s; want write, close", first, second)
 	}
-	if received, _ := io.ReadAll(client.in); len(received) != 3 {
-		t.Errorf("the client received %q", received)
+	if received, _ := io.ReadAll(client.reader); len(received) != 3 {
+		t.Errorf("the client received %q, want 3 bytes", received)
 	}
-	f.awaitEmpty()
+	f.awaitIdle()
 }
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// closeReasons holds the ways in which the listener closes an idle connection, by name.
-var closeReasons = map[string]func(f *drainFixture){
+// idleClosers holds the functions by which the listener closes an idle connection, by name.
+var idleClosers = map[string]func(f *drainFixture){
 	"eviction": func(f *drainFixture) { f.connections.evict(0) },
 	"drain":    func(f *drainFixture) { f.connections.closeIdle(shouldCloseInDrain) },
 	"sweep": func(f *drainFixture) {
@@ -28,11 +28,11 @@
 // The first byte of a request has arrived on an idle connection, and the reader has seen it but has
 // not counted the request yet. The connection stays open.
 func TestCloseIdle_requestThatHasBegunIsAnswered(t *testing.T) {
-	for name, closeIdle := range closeReasons {
+	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			seen, release := make(chan bool), make(chan bool)
 			f := newDrainFixture(t, 8, func(c *tappedConn) {
-				c.afterWait = once(func() { seen <- true; <-release })
+				c.afterWait = runOnce(func() { seen <- true; <-release })
 			}, answerHello)
 			c := f.dial()
 			f.connectionOf(c).makeIdle()
@@ -50,22 +50,22 @@
 // A request arrives while the connection is being closed. No byte of it is read, and the client
 // sees a reset.
 func TestCloseIdle_requestThatCrossesTheCloseIsNotRead(t *testing.T) {
-	for name, closeIdle := range closeReasons {
+	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerHello)
 			c := f.dial()
 			tapped := <-f.accepted
 			conn := f.connectionOf(c)
 			conn.makeIdle()
-			tapped.beforeReset = once(func() {
-				c.send(query(1))
+			tapped.beforeReset = runOnce(func() {
+				c.send(numberedQuery(1))
 				fakes.Eventually(t, "the request's arrival", func() bool { return !conn.IsQuiet() })
 			})
 			closeIdle(f)
 			c.wantReset()
-			f.awaitEmpty()
+			f.awaitIdle()
 			if n := tapped.readBytes.Load(); n > 0 || f.server.PendingCommands() > 0 {
-				t.Errorf("%d bytes were read, %d requests forwarded", n, f.server.PendingCommands())
+				t.Errorf("%d bytes read, %d requests forwarded; want none", n, f.server.PendingCommands())
 			}
 		})
 	}
@@ -79,19 +79,19 @@
 // An answer is on its way to a slow client. Nothing closes the connection until the time to read
 // the answer has passed.
 func TestCloseIdle_answerInTransitIsDelivered(t *testing.T) {
-	for name, closeIdle := range closeReasons {
+	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerLongValue)
 			client := f.dialWithSmallReadBuffer()
 			conn := f.connectionOf(client)
-			client.send(query(1))
+			client.send(numberedQuery(1))
 			fakes.Eventually(t, "the answer written", conn.isFullyAnswered)
 			conn.setLastUsed(time.Now().Add(-drainIdleTimeout))
 			if name != "sweep" { // a sweep closes only connections that are idle for longer than writeTimeout
 				closeIdle(f)
 			}
 			if conn.closeIfIdle() {
-				t.Error("closed with its answer in transit")
+				t.Error("closed the connection while its answer was in transit")
 			}
 			client.wantAnswer(longValue)
 			conn.makeIdle()
@@ -106,9 +106,9 @@
 	f := newDrainFixture(t, 8, nil, answerLongValue)
 	c := f.dialWithSmallReadBuffer()
 	conn := f.connectionOf(c)
-	c.send(query(1))
+	c.send(numberedQuery(1))
 	fakes.Eventually(t, "the answer written", conn.isFullyAnswered)
 	conn.makeIdle()
 	f.connections.evict(0)
-	f.awaitEmpty()
+	f.awaitIdle()
 }
--- a/internal/gateway/listener/concurrency_test.go
+++ b/internal/gateway/listener/concurrency_test.go
@@ -31,7 +31,7 @@
 	server := fakes.NewServer(t, func([]string) string { return fakes.CloseConn })
 	var once sync.Once
 	blocked, resume := make(chan struct{}), make(chan struct{})
-	f := newFixtureWith(t, testSettings(), func(reply countCallback) {
+	f := newFixtureWith(t, testSettings(), func(reply counterReply) {
 		once.Do(func() {
 			close(blocked)
 			<-resume // all later requests wait for the dispatcher's lock, which is held here
@@ -54,16 +54,16 @@
 		return true
 	})
 	crossing.send(fakes.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
-	fakes.Eventually(t, "the crossing request", func() bool { return f.connections.unansweredCommands() == 2 })
+	fakes.Eventually(t, "the second request", func() bool { return f.connections.unansweredCommands() == 2 })
 	close(resume)
 	if err := <-reconfigured; err != nil {
 		t.Fatal(err)
 	}
 	if line := first.readAnswer(); line != "-ERR failed" {
-		t.Errorf("the first request: answered %q", line)
+		t.Errorf("first request: answered %q", line)
 	}
 	if line := crossing.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
-		t.Errorf("the crossing request: answered %q", line)
+		t.Errorf("request during Reconfigure: answered %q", line)
 	}
 }
 
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -15,9 +15,9 @@
 	// slotRetryInterval is the time between attempts to evict a connection while an accepted one
 	// waits for a slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// minIdleBeforeEvict is how long a connection stays protected from eviction after an answer in
+	// minIdleInFlood is how long a connection stays protected from eviction after an answer in
 	// a flood. Most clients send their next request within that time.
-	minIdleBeforeEvict = 2 * time.Second
+	minIdleInFlood = 2 * time.Second
 	// idleTimeout is the maximum idle time of a connection after an answer.
 	idleTimeout = 10 * time.Second
 	// silentTimeout is the maximum idle time of a connection on which no command has arrived.
@@ -25,9 +25,9 @@
 	// sweepInterval is the time between checks for connections that exceed idleTimeout or
 	// silentTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// floodDivisor sets the threshold of a flood: new connections hold more than 1/floodDivisor of
+	// floodSlotDivisor sets the threshold of a flood: new connections hold more than 1/floodSlotDivisor of
 	// the slots.
-	floodDivisor = 2
+	floodSlotDivisor = 2
 )
 
 // connectionTable holds the open connections, each of which occupies a slot. One more accepted
@@ -92,7 +92,7 @@
 
 // evict closes one idle connection if more than limit connections are open, not counting new ones.
 // It prefers silent connections to answered ones, and then the one that has been idle longest. In a
-// flood, a connection that was answered less than minIdleBeforeEvict ago is kept: the new
+// flood, a connection that was answered less than minIdleInFlood ago is kept: the new
 // connections become idle soon, and can be evicted then.
 func (t *connectionTable) evict(limit int) {
 	t.mu.Lock()
@@ -102,7 +102,7 @@
 		return
 	}
 	slices.SortFunc(candidates, evictionCandidate.compare)
-	isFlooded := newCount > cap(t.slots)/floodDivisor
+	isFlooded := newCount > cap(t.slots)/floodSlotDivisor
 	for _, candidate := range candidates {
 		if isFlooded && candidate.keepsSlotInFlood() {
 			return
@@ -123,7 +123,7 @@
 // keepsSlotInFlood reports whether the last answer is too recent for the connection to be evicted
 // in a flood.
 func (e evictionCandidate) keepsSlotInFlood() bool {
-	return e.activity == activityIdleAnswered && time.Since(e.idleSince) < minIdleBeforeEvict
+	return e.activity == activityIdleAnswered && time.Since(e.idleSince) < minIdleInFlood
 }
 
 // compare orders candidates for eviction: silent ones come first, and then those that have been
--- a/internal/gateway/listener/connections_test.go
+++ b/internal/gateway/listener/connections_test.go
@@ -44,7 +44,7 @@
 func TestEvict_floodOfSilentClientsEvictsNoAnsweredClient(t *testing.T) {
 	table := fullConnectionTable(t, 7)
 	if table.evict(0); table.closedCount() != 0 {
-		t.Error("a client lost its slot to a flood")
+		t.Error("an answered client was evicted in a flood")
 	}
 }
 
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -17,8 +17,8 @@
 // s, the deadline of the requests.
 const disconnectBound = commandTimeout / 2
 
-// disconnects holds the ways in which a client disconnects, by name.
-var disconnects = map[string]func(*testClient){
+// disconnectFuncs holds functions that disconnect a client, by name.
+var disconnectFuncs = map[string]func(*testClient){
 	"closes":      func(c *testClient) { _ = c.Close() },
 	"half closes": func(c *testClient) { _ = c.CloseWrite() },
 	"resets":      func(c *testClient) { _, _ = c.SetLinger(0), c.Close() },
@@ -48,7 +48,7 @@
 // client end.
 func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
 	for name, sent := range pipelinedInputs {
-		for way, disconnect := range disconnects {
+		for way, disconnect := range disconnectFuncs {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, answerNothing)
@@ -81,12 +81,12 @@
 	disconnect()
 	fakes.Eventually(t, "the connection's end", func() bool { return f.connectionCount() == 0 })
 	if took := time.Since(disconnected); took > disconnectBound {
-		t.Errorf("noticed after %v", took)
+		t.Errorf("disconnect detected after %v", took)
 	}
 	for server.ConnCount() > 0 {
 		_ = server.NextConn(t).Close()
 	}
-	f.awaitEmpty()
+	f.awaitIdle()
 	if n := server.PendingCommands(); n != attempts {
 		t.Errorf("%d attempts for %d requests", n, attempts)
 	}
@@ -102,16 +102,16 @@
 			c := f.dial()
 			unknown := fakes.FormatCommand("FOO")
 			c.send(queryCommand() + queryCommand() + submitCommand("body") + unknown + queryCommand())
-			disconnects[way](c)
+			disconnectFuncs[way](c)
 			closed := make(chan struct{})
 			f.start(func(conn *net.TCPConn) net.Conn {
 				fakes.Eventually(t, "the disconnect", resp.NewConn(conn).IsPeerClosed)
 				return closeNotifier{conn, sync.OnceFunc(func() { close(closed) })}
 			})
 			<-closed
-			f.awaitEmpty()
+			f.awaitIdle()
 			if n := server.ConnCount() + server.PendingCommands(); n != 0 {
-				t.Errorf("%d connections and attempts at the server, want none", n)
+				t.Errorf("%d connections and attempts at the server, want 0", n)
 			}
 		})
 	}
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -10,20 +10,20 @@
 	"harrierhoist/policy"
 )
 
-// heldCounter is a counter that holds calls until answer is called.
-type heldCounter struct {
+// delayedCounter is a counter that holds calls until answer is called.
+type delayedCounter struct {
 	mu    sync.Mutex // protects calls
-	calls []countCallback
+	calls []counterReply
 }
 
-func (h *heldCounter) count(reply countCallback) {
+func (h *delayedCounter) count(reply counterReply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, reply)
 }
 
 // answer answers all held calls, including those for clients that have disconnected.
-func (h *heldCounter) answer() {
+func (h *delayedCounter) answer() {
 	h.mu.Lock()
 	calls := h.calls
 	h.calls = nil
@@ -47,7 +47,7 @@
 	t.Run("for a count", func(t *testing.T) {
 		t.Parallel()
 		server := fakes.NewServer(t, answerHello)
-		settings, counter := testSettings(), &heldCounter{}
+		settings, counter := testSettings(), &delayedCounter{}
 		settings.CountTimeout = settings.Classes[0].Timeout
 		f := newFixtureWith(t, settings, counter.count, 0, server).start()
 		checkWaitingRequests(t, f, server, func() {}, counter.answer)
@@ -71,10 +71,10 @@
 		return server.PendingCommands() > 0
 	})
 	if line := staying.readAnswer(); line != "hello" {
-		t.Errorf("the other client: answered %q", line)
+		t.Errorf("other client: answered %q", line)
 	}
 	_ = staying.Close()
-	f.awaitEmpty()
+	f.awaitIdle()
 	if n := server.PendingCommands(); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
@@ -87,7 +87,7 @@
 		"some pipelined":             2,
 		"more than may be in flight": 2 * maxInFlightPerConn,
 	} {
-		for way, disconnect := range disconnects {
+		for way, disconnect := range disconnectFuncs {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				server := fakes.NewServer(t, func(words []string) string {
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -29,9 +29,9 @@
 	giveUpMargin = 250 * time.Millisecond
 	// giveUpDivisor limits giveUpMargin to the time from SIGTERM to SIGKILL divided by it.
 	giveUpDivisor = 10
-	// rejectTime is how long after forwardAfterTerm commands are still read, and rejected. The
+	// rejectDuration is how long after forwardAfterTerm commands are still read, and rejected. The
 	// connection of a client that never pauses in that time is closed while the client sends.
-	rejectTime = 1800 * time.Millisecond
+	rejectDuration = 1800 * time.Millisecond
 	// readMargin is the minimum time from the end of reading to SIGKILL.
 	readMargin = 40 * time.Millisecond
 	// drainIdleTimeout is how long a connection must be idle before a drain closes it. A client
@@ -67,7 +67,7 @@
 		began:        began,
 		killDelay:    killDelay,
 		forwardUntil: began.Add(forwardAfterTerm),
-		readUntil:    began.Add(min(forwardAfterTerm+rejectTime, killDelay-readMargin)),
+		readUntil:    began.Add(min(forwardAfterTerm+rejectDuration, killDelay-readMargin)),
 		answerBy:     began.Add(killDelay - killMargin),
 		giveUpAt:     began.Add(killDelay - min(giveUpMargin, killDelay/giveUpDivisor)),
 	}
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -75,7 +75,7 @@
 	select {
 	case <-finished:
 	case <-time.After(20 * time.Second):
-		d.Fatal("the drain does not end")
+		d.Fatal("the drain did not end")
 	}
 }
 
@@ -110,8 +110,8 @@
 	return activity == activityIdleAnswered
 }
 
-// query returns a query command with the number n, which is forwarded to the server.
-func query(n int) string {
+// numberedQuery returns a query command with the number n, which is forwarded to the server.
+func numberedQuery(n int) string {
 	return fakes.FormatCommand("SVC.QUERY", "00000000b4d65521", uniqueID(), fmt.Sprintf("c=look,t=wide,d=3000,n=%d", n))
 }
 
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -21,14 +21,14 @@
 	release := map[int]chan bool{1: make(chan bool)}
 	f := newDrainFixture(t, 1, nil, answerByNumber(release))
 	served := f.dial()
-	served.send(query(1))
+	served.send(numberedQuery(1))
 	f.server.NextCommand(t)
 	waiting, inBacklog, alsoInBacklog := f.dial(), f.dial(), f.dial()
-	waiting.send(query(2))
+	waiting.send(numberedQuery(2))
 	<-f.accepted
 	<-f.accepted // of the three, the first is accepted and waits for a slot; the others are in the backlog
-	inBacklog.send(query(3))
-	alsoInBacklog.send(query(4))
+	inBacklog.send(numberedQuery(3))
+	alsoInBacklog.send(numberedQuery(4))
 	finished := f.startDrain()
 	fakes.Eventually(t, "the end of forwarding", f.drain.hasStoppedForwarding)
 	close(release[1])
@@ -64,7 +64,7 @@
 	ended := make(chan error)
 	go func() {
 		for {
-			line, err := client.in.ReadString('\n')
+			line, err := client.reader.ReadString('\n')
 			if err != nil {
 				ended <- err
 				return
@@ -78,15 +78,15 @@
 	began := time.Now()
 	finished := f.startDrain()
 	if err := <-ended; !errors.Is(err, io.EOF) {
-		t.Errorf("the answers ended with %v", err)
+		t.Errorf("reading answers: error %v, want EOF", err)
 	}
 	_ = client.Close()
 	f.awaitDrained(finished)
 	if took := time.Since(began); took > writeTimeout+killGrace {
-		t.Errorf("the drain took %v", took)
+		t.Errorf("the drain took %v, which is too long", took)
 	}
 	if read := int(tapped.readBytes.Load()); unexpected > 0 || read != answers*len(pingCommand) {
-		t.Errorf("%d answers, %d of them unexpected, to %d commands that were read",
+		t.Errorf("%d answers, %d of them unexpected, for %d commands read",
 			answers, unexpected, read/len(pingCommand))
 	}
 }
@@ -96,7 +96,7 @@
 func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
 	const commands, bufferSize = 300, 4 << 10
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
-		tapped.afterWait = once(func() {
+		tapped.afterWait = runOnce(func() {
 			raw, _ := tapped.TCPConn.SyscallConn()
 			fakes.Eventually(t, "the arrival of all commands", func() (arrived bool) {
 				_ = raw.Control(func(fd uintptr) {
@@ -118,7 +118,7 @@
 	}
 	c.wantClose()
 	if n := int(tapped.readBytes.Load()); n != readAhead*len(pingCommand) {
-		t.Errorf("%d bytes were read, for %d answers", n, readAhead)
+		t.Errorf("%d bytes read for %d answers", n, readAhead)
 	}
 }
 
@@ -137,25 +137,25 @@
 		}
 	}, answerHello)
 	client := f.dial()
-	client.send(query(1))
+	client.send(numberedQuery(1))
 	fakes.Eventually(t, "the answer being written", isStuck.Load)
 	waiting := f.dial()
 	began := time.Now()
 	finished := f.startDrain()
 	timeout := f.drain.boundTimeout(time.Hour)
 	if timeout <= 0 || timeout > time.Until(began.Add(writeTimeout+killGrace)) {
-		t.Errorf("a request that is read now has a timeout of %v", timeout)
+		t.Errorf("a new request has a timeout of %v, want one before SIGKILL", timeout)
 	}
 	f.awaitDrained(finished)
 	if took := time.Since(began); took < writeTimeout+killGrace { // no upper bound, for slow machines
-		t.Errorf("the drain took %v", took)
+		t.Errorf("the drain took %v, which is too short", took)
 	}
 	waiting.wantReset()
 	warnings := func() int {
 		return f.logs.FilterMessage("listener: drain timed out with unanswered commands").Len()
 	}
 	if err := <-f.served; err != nil || warnings() != 1 {
-		t.Errorf("Serve returned %v; logged %v", err, f.logs.All())
+		t.Errorf("Serve returned %v, logged %v; want nil and one warning", err, f.logs.All())
 	}
 }
 
@@ -202,7 +202,7 @@
 				}
 				fakes.Eventually(t, "the drain", f.drain.active.Load)
 				if got, most := f.drain.boundTimeout(time.Hour), time.Until(began.Add(time.Second)); got > most {
-					t.Errorf("a request that is read now has a timeout of %v, and SIGKILL comes after %v", got, most)
+					t.Errorf("a new request has a timeout of %v, want at most %v", got, most)
 				}
 				f.awaitDrained(finished)
 			})
--- a/internal/gateway/listener/fixture_test.go
+++ b/internal/gateway/listener/fixture_test.go
@@ -31,13 +31,13 @@
 // fixtureOptions configures a fixture.
 type fixtureOptions struct {
 	settings       policy.Settings
-	count          func(countCallback) // called with the dispatcher's lock held; nil means no counter
+	count          func(counterReply) // called with the dispatcher's lock held; nil means no counter
 	maxConnections int
 	maxMemory      int // in bytes; 0 means no limit
 }
 
-// countCallback receives the total that the counter returns.
-type countCallback func(float64, policy.Outcome)
+// counterReply receives the total that the counter returns.
+type counterReply func(float64, policy.Outcome)
 
 // testSettings returns settings with an idempotent class, a non-idempotent one and two plans.
 func testSettings() policy.Settings {
@@ -62,7 +62,7 @@
 // newFixtureWith is like newFixture with the given settings, and with a counter if count is not
 // nil.
 func newFixtureWith(
-	t *testing.T, settings policy.Settings, count func(countCallback), maxMemory int, servers ...*fakes.Server,
+	t *testing.T, settings policy.Settings, count func(counterReply), maxMemory int, servers ...*fakes.Server,
 ) *fixture {
 	t.Helper()
 	options := fixtureOptions{settings: settings, count: count, maxConnections: 256, maxMemory: maxMemory}
@@ -134,8 +134,8 @@
 	return maps.Clone(f.requestIDs.ids)
 }
 
-// awaitEmpty waits until no connection is open and no request is in flight.
-func (f *fixture) awaitEmpty() {
+// awaitIdle waits until no connection is open and no request is in flight.
+func (f *fixture) awaitIdle() {
 	f.Helper()
 	fakes.Eventually(f, "no connection and no request", func() bool {
 		return f.connectionCount() == 0 && len(f.connections.slots) == 0 && len(f.openIDs()) == 0
--- a/internal/gateway/listener/fuzz_test.go
+++ b/internal/gateway/listener/fuzz_test.go
@@ -82,7 +82,7 @@
 	openIDs := l.requestIDs.ids
 	if reply != "" {
 		if message != nil || len(openIDs) > 0 || strings.ContainsAny(reply, "\r\n") {
-			t.Fatalf("rejected by %q, with message %+v and %d IDs open", reply, message, len(openIDs))
+			t.Fatalf("rejected with %q, message %+v and %d IDs open", reply, message, len(openIDs))
 		}
 		return
 	}
@@ -91,7 +91,7 @@
 	sent.checkMessage(t, message)
 	sent.checkDeadline(t, message)
 	if _, isOpen := openIDs[sent.id]; !isOpen || len(openIDs) != 1 {
-		t.Fatalf("%q is not open", sent.id)
+		t.Fatalf("ID %q is not the only open one", sent.id)
 	}
 }
 
@@ -144,6 +144,6 @@
 	endsValue := message.ParamsAfter == "" || message.ParamsAfter[0] == ','
 	isCutOut := strings.HasSuffix(","+message.ParamsBefore, ",d=") && endsValue
 	if !hasPrefix || !hasSuffix || !isCutOut || !isValid || !(milliseconds > 0) {
-		t.Fatalf("%q was cut into %q, %q and %q", c.list, message.ParamsBefore, deadline, message.ParamsAfter)
+		t.Fatalf("%q was split into %q, %q and %q", c.list, message.ParamsBefore, deadline, message.ParamsAfter)
 	}
 }
--- a/internal/gateway/listener/golden_test.go
+++ b/internal/gateway/listener/golden_test.go
@@ -40,83 +40,83 @@
 
 // goldenAnswers holds each form of answer on a client's connection as recorded, by name.
 var goldenAnswers = map[string]struct {
-	sent   string
-	ready  bool
-	server func([]string) string // nil: no server is listed
-	want   string
-	goesOn bool // the connection goes on
+	sent      string
+	isReady   bool
+	server    func([]string) string // nil: no server is listed
+	want      string
+	staysOpen bool // the connection stays open afterwards
 }{
-	"ping before the list":  {fakes.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
-	"ping":                  {fakes.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
-	"ping in small letters": {fakes.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
-	"unknown command":       {fakes.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
+	"ping before ready":  {fakes.FormatCommand("PING"), false, nil, "-ERR not ready\r\n", true},
+	"ping":               {fakes.FormatCommand("PING"), true, nil, "+PONG\r\n", true},
+	"ping in lower case": {fakes.FormatCommand("ping"), true, nil, "+PONG\r\n", true},
+	"unknown command":    {fakes.FormatCommand("GET", "x"), true, nil, "-ERR unknown command\r\n", true},
 	"too few words": {
 		fakes.FormatCommand("SVC.QUERY", goldenCustomer), true, nil, "-ERR wrong number of words\r\n", true,
 	},
-	"a query with a value": {
+	"query with a value": {
 		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "1", "c=look", "body"), true, nil,
 		"-ERR wrong number of words\r\n", true,
 	},
-	"a submit with none": {
+	"submit without a value": {
 		fakes.FormatCommand("SVC.SUBMIT", goldenCustomer, "1", "c=pay"), true, nil,
 		"-ERR wrong number of words\r\n", true,
 	},
-	"no customer": {
+	"invalid customer": {
 		fakes.FormatCommand("SVC.QUERY", "zz", "1", "c=look,t=wide,d=1"), true, nil, "-ERR no customer\r\n", true,
 	},
-	"a customer beyond all": {
+	"customer out of range": {
 		fakes.FormatCommand("SVC.QUERY", "ffffffffffffffff", "1", "c=look,t=wide,d=1"), true, nil,
 		"-ERR no customer\r\n", true,
 	},
-	"a doubled name": {goldenQuery("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
-	"an empty name":  {goldenQuery("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
-	"an empty value": {goldenQuery("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
-	"an unknown class": {
+	"duplicate parameter":   {goldenQuery("c=look,c=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"empty parameter name":  {goldenQuery("=look"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"empty parameter value": {goldenQuery("c=,t=wide"), true, nil, "-ERR an empty or doubled name\r\n", true},
+	"unknown class": {
 		goldenQuery("c=nope,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true,
 	},
-	"a class of other effect": {
+	"class with wrong effect": {
 		goldenQuery("c=pay,t=wide,d=100"), true, nil, "-ERR unknown, no number or out of range: c\r\n", true,
 	},
-	"an unknown plan": {
+	"unknown plan": {
 		goldenQuery("c=look,t=nope,d=100"), true, nil, "-ERR unknown, no number or out of range: t\r\n", true,
 	},
-	"a deadline that is none": {
+	"malformed deadline": {
 		goldenQuery("c=look,t=wide,d=x"), true, nil, "-ERR unknown, no number or out of range: d\r\n", true,
 	},
-	"a deadline that is past": {goldenQuery("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
-	"a deadline beyond all":   {goldenQuery("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
-	"units that are none": {
+	"zero deadline":     {goldenQuery("c=look,t=wide,d=0"), true, nil, "-ERR deadline passed\r\n", true},
+	"deadline too long": {goldenQuery("c=look,t=wide,d=2147483647"), true, nil, "-ERR deadline passed\r\n", true},
+	"malformed units": {
 		goldenQuery("c=look,t=wide,d=100,units=x"), true, nil,
 		"-ERR unknown, no number or out of range: units\r\n", true,
 	},
-	"units beyond the most": {
+	"units out of range": {
 		goldenQuery("c=look,t=wide,d=100,units=51"), true, nil,
 		"-ERR unknown, no number or out of range: units\r\n", true,
 	},
-	"a repeat that is no flag": {
+	"malformed repeat flag": {
 		goldenQuery("c=look,t=wide,d=100,r=2"), true, nil, "-ERR unknown, no number or out of range: r\r\n", true,
 	},
-	"a set of gateways too big": {
+	"gateway count out of range": {
 		goldenQuery("c=look,t=wide,d=100,spread=2"), true, nil,
 		"-ERR unknown, no number or out of range: spread\r\n", true,
 	},
-	"a first gateway too big": {
+	"first gateway out of range": {
 		goldenQuery("c=look,t=wide,d=100,first=1"), true, nil,
 		"-ERR unknown, no number or out of range: first\r\n", true,
 	},
-	"no class": {
+	"missing class": {
 		goldenQuery("t=wide,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
 	},
-	"no plan": {
+	"missing plan": {
 		goldenQuery("c=look,d=100"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
 	},
-	"no deadline": {
+	"missing deadline": {
 		goldenQuery("c=look,t=wide"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
 	},
-	"no key": {
+	"missing key": {
 		goldenSubmit("c=book,t=wide,d=100", "x"), true, nil, "-ERR class, plan, deadline or key is missing\r\n", true,
 	},
-	"no id": {
+	"missing id": {
 		fakes.FormatCommand("SVC.QUERY", goldenCustomer, "", "c=look,t=wide,d=100"), true, nil,
 		"-ERR no id of its own\r\n", true,
 	},
@@ -126,21 +126,21 @@
 		"$5\r\nhello\r\n", true,
 	},
 	"failed": {goldenSubmit("c=pay,t=wide,d=14000", "x"), true, goldenFailed, "-ERR failed\r\n", true},
-	"beyond the quota": {
+	"quota exceeded": {
 		goldenQuery("c=look,t=small,d=14000,units=20"), true, goldenServed,
 		"-BUSY 2000\r\n", true,
 	},
-	"a command of no words":   {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
-	"a command of many words": {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
-	"a word that is missing":  {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
-	"a line of another kind":  {"PING\r\n", true, nil, "-ERR no line of kind *\r\n", false},
-	"a length that is none":   {"*x\r\n", true, nil, "-ERR a length is no number\r\n", false},
-	"a word that is too long": {"*1\r\n$1025\r\n", true, nil, "-ERR word too long\r\n", false},
-	"a value that is too long": {
+	"command without words":       {"*0\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+	"command with too many words": {"*6\r\n", true, nil, "-ERR wrong number of words\r\n", false},
+	"null word":                   {"*1\r\n$-1\r\n", true, nil, "-ERR a word is missing\r\n", false},
+	"inline command":              {"PING\r\n", true, nil, "-ERR no line of kind *\r\n", false},
+	"malformed length":            {"*x\r\n", true, nil, "-ERR a length is no number\r\n", false},
+	"word too long":               {"*1\r\n$1025\r\n", true, nil, "-ERR word too long\r\n", false},
+	"value too long": {
 		"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n", true, nil, "-ERR value too long\r\n", false,
 	},
-	"a word that does not end": {"*1\r\n$4\r\nPINGxx", true, nil, "-ERR a value does not end where it says\r\n", false},
-	"a message too long":       {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
+	"unterminated word": {"*1\r\n$4\r\nPINGxx", true, nil, "-ERR a value does not end where it says\r\n", false},
+	"message too long":  {"*" + strings.Repeat("1", 70<<10), true, nil, "-ERR message too long\r\n", false},
 }
 
 // TestGoldenAnswers compares each form of answer byte by byte.
@@ -153,34 +153,34 @@
 				servers = append(servers, fakes.NewServer(t, golden.server))
 			}
 			f := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
-			if golden.ready {
+			if golden.isReady {
 				f.Ready()
 			}
 			f.start()
 			client := f.dial()
 			client.send(golden.sent)
 			got := make([]byte, len(golden.want))
-			n, err := io.ReadFull(client.in, got)
+			n, err := io.ReadFull(client.reader, got)
 			if string(got[:n]) != golden.want {
-				t.Fatalf("answered %q (%v), recorded %q", got[:n], err, golden.want)
+				t.Fatalf("answered %q (%v), want %q", got[:n], err, golden.want)
 			}
-			client.checkAfterGolden(golden.goesOn)
+			client.checkAfterGolden(golden.staysOpen)
 		})
 	}
 }
 
 // checkAfterGolden checks that the connection stays open after an answer, or that it is closed.
-func (c *testClient) checkAfterGolden(goesOn bool) {
+func (c *testClient) checkAfterGolden(staysOpen bool) {
 	c.Helper()
-	if !goesOn {
-		if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
-			c.Fatalf("behind the answer %q, %v; recorded: the end", rest, err)
+	if !staysOpen {
+		if rest, err := io.ReadAll(c.reader); len(rest) > 0 || err != nil {
+			c.Fatalf("after the answer: read %q, error %v; want an orderly close", rest, err)
 		}
 		return
 	}
 	c.send(fakes.FormatCommand("FOO"))
 	if line := c.readAnswer(); line != "-ERR unknown command" {
-		c.Errorf("the next command answered %q", line)
+		c.Errorf("next command: answered %q", line)
 	}
 }
 
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -25,24 +25,24 @@
 			}
 			f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 				tapped.beforeClose, tapped.onReadDeadline = notice, func(time.Time) { notice() }
-				tapped.beforeCloseWrite = once(func() {
+				tapped.beforeCloseWrite = runOnce(func() {
 					isCrossing.Store(true)
-					client.send(query(2))
+					client.send(numberedQuery(2))
 					<-noticed
 					isCrossing.Store(false)
 				})
 			}, answerLongValue)
 			client = dial(f.fixture)
-			first, tapped := query(1), <-f.accepted
+			first, tapped := numberedQuery(1), <-f.accepted
 			f.activateDrain(time.Hour)
 			client.send(first)
 			client.wantAnswer(longValue)
 			client.wantClose()
 			if n := tapped.readBytes.Load(); int(n) != len(first) || f.server.PendingCommands() != 1 {
-				t.Errorf("%d bytes were read of %d, %d requests forwarded", n, len(first), f.server.PendingCommands())
+				t.Errorf("%d bytes read, want %d; %d requests forwarded", n, len(first), f.server.PendingCommands())
 			}
 			_ = client.Close()
-			f.awaitEmpty()
+			f.awaitIdle()
 		})
 	}
 }
@@ -53,7 +53,7 @@
 	release := map[int]chan bool{1: make(chan bool)}
 	seen, resume := make(chan bool), make(chan bool)
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
-		hold := once(func() { seen <- true; <-resume })
+		hold := runOnce(func() { seen <- true; <-resume })
 		tapped.afterWait = func() {
 			if tapped.readBytes.Load() > 0 {
 				hold()
@@ -62,9 +62,9 @@
 	}, answerByNumber(release))
 	c := f.dial()
 	f.activateDrain(time.Hour)
-	c.send(query(1))
+	c.send(numberedQuery(1))
 	f.server.NextCommand(t)
-	c.send(query(2))
+	c.send(numberedQuery(2))
 	<-seen
 	close(release[1])
 	c.wantAnswer("value 1")
@@ -76,20 +76,20 @@
 // Bytes that arrive after the half-close are not read, and the connection is closed even if the
 // client does not close it.
 func TestDrain_clientThatNeverClosesIsClosed(t *testing.T) {
-	for name, later := range map[string]string{"silent": "", "sends another request": query(2)} {
+	for name, later := range map[string]string{"silent": "", "sends another request": numberedQuery(2)} {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerHello)
 			client := f.dial()
 			tapped := <-f.accepted
 			f.activateDrain(time.Hour)
-			first := query(1)
+			first := numberedQuery(1)
 			client.send(first)
 			client.wantAnswer("hello")
 			client.wantClose()
 			client.send(later)
-			f.awaitEmpty()
+			f.awaitIdle()
 			if n := tapped.readBytes.Load(); int(n) != len(first) {
-				t.Errorf("%d bytes were read of %d", n, len(first))
+				t.Errorf("%d bytes read, want %d", n, len(first))
 			}
 			if later != "" {
 				client.wantWriteError()
--- a/internal/gateway/listener/memory_test.go
+++ b/internal/gateway/listener/memory_test.go
@@ -102,7 +102,7 @@
 		t.Errorf("%d forwarded, %d served", n, served.Load())
 	}
 	if server.maxInFlight > maxInFlight {
-		t.Errorf("%d in flight at once, with memory for %d", server.maxInFlight, maxInFlight)
+		t.Errorf("%d requests in flight concurrently, with memory for %d", server.maxInFlight, maxInFlight)
 	}
 	f.awaitMemoryReleased()
 }
@@ -110,8 +110,8 @@
 // longSubmit is a submit with a value of the maximum size.
 var longSubmit = fakes.FormatCommand("SVC.SUBMIT", uniqueID(), uniqueID(), "c=pay,t=wide,d=14000", longestBody)
 
-// memoryHolders holds the behaviour of clients that might keep memory reserved, by name.
-var memoryHolders = map[string]func(c *testClient, f *fixture, server *blockingServer){
+// memoryHoldingClients holds the behaviour of clients that might keep memory reserved, by name.
+var memoryHoldingClients = map[string]func(c *testClient, f *fixture, server *blockingServer){
 	"sends one byte at a time": func(c *testClient, f *fixture, _ *blockingServer) {
 		c.send(longSubmit[:len(longSubmit)/2])
 		fakes.Eventually(c, "memory reserved", func() bool { return f.memory.usedBytes() > 0 })
@@ -148,7 +148,7 @@
 
 // All memory is released after a client was slow, sent invalid input or disconnected.
 func TestMemoryLimit_isReleasedWhateverClientsDo(t *testing.T) {
-	for name, act := range memoryHolders {
+	for name, act := range memoryHoldingClients {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := newBlockingServer(t, longestBody)
@@ -162,7 +162,7 @@
 			default:
 				close(server.release)
 			}
-			f.awaitEmpty()
+			f.awaitIdle()
 			f.awaitMemoryReleased()
 		})
 	}
@@ -196,14 +196,14 @@
 	_ = leaving.Close()
 	fakes.Eventually(t, "the connection's end", func() bool { return f.connectionCount() == 1 })
 	if took := time.Since(disconnected); took > memoryTimeout*3/5 {
-		t.Errorf("noticed after %v", took)
+		t.Errorf("disconnect detected after %v", took)
 	}
 	client.send(submitCommand(longestBody) + queryCommand())
 	fakes.Eventually(t, "the waiting request", func() bool { return f.connections.unansweredCommands() == 1 })
 	f.memory.release(f.memory.limit)
 	for range 2 {
 		if line := client.readAnswer(); line != "hello" {
-			t.Errorf("with memory again: answered %.40q", line)
+			t.Errorf("after memory was released: answered %.40q", line)
 		}
 	}
 	f.awaitMemoryReleased()
--- a/internal/gateway/listener/tapped_test.go
+++ b/internal/gateway/listener/tapped_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// once returns a hook that runs act only on the first call.
-func once(act func()) func() {
+// runOnce returns a hook that runs act only on the first call.
+func runOnce(act func()) func() {
 	var o sync.Once
 	return func() { o.Do(act) }
 }
