--- a/internal/gateway/listener/concurrency_test.go
+++ b/internal/gateway/listener/concurrency_test.go
@@ -38,7 +38,7 @@
 		})
 		go reply(0, policy.Answered)
 	}, 0, server).start()
-	first, crossing := f.dial(), f.dial()
+	first, second := f.dial(), f.dial()
 	first.send(submitCommand(""))
 	<-blocked
 	reconfigured := make(chan error)
@@ -53,7 +53,7 @@
 		}
 		return true
 	})
-	crossing.send(fakes.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
+	second.send(fakes.FormatCommand("SVC.SUBMIT", uniqueID(), "crossing", "c=pay,t=wide,d=14000", ""))
 	fakes.Eventually(t, "the second request", func() bool { return f.connections.unansweredCommands() == 2 })
 	close(resume)
 	if err := <-reconfigured; err != nil {
@@ -62,7 +62,7 @@
 	if line := first.readAnswer(); line != "-ERR failed" {
 		t.Errorf("first request: answered %q", line)
 	}
-	if line := crossing.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
+	if line := second.readAnswer(); line != "-ERR unknown, no number or out of range: c" {
 		t.Errorf("request during Reconfigure: answered %q", line)
 	}
 }
