--- a/internal/gateway/listener/client_test.go
+++ b/internal/gateway/listener/client_test.go
@@ -25,8 +25,7 @@
 	return f.dialWith(&net.Dialer{})
 }
 
-// dialWithSmallReadBuffer connects a client whose system buffers only little that the client has
-// not read.
+// dialWithSmallReadBuffer connects a client with a receive buffer of a few kilobytes.
 func (f *fixture) dialWithSmallReadBuffer() *testClient {
 	f.Helper()
 	return f.dialWith(&net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -9,7 +9,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// idleClosers holds the functions by which the listener closes an idle connection, by name.
+// idleClosers holds functions that make the listener close an idle connection, by name.
 var idleClosers = map[string]func(f *drainFixture){
 	"eviction": func(f *drainFixture) { f.connections.evict(0) },
 	"drain":    func(f *drainFixture) { f.connections.closeIdle(shouldCloseInDrain) },
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -45,8 +45,8 @@
 }
 
 // acquireSlot acquires a slot for an accepted connection. If none is free, it evicts idle
-// connections until one is. It does not evict in advance, as each eviction may cross a request on
-// its way. It returns false if stop is closed first.
+// connections until one is. It does not evict in advance, as each eviction may coincide with a
+// request in transit. It returns false if stop is closed first.
 func (t *connectionTable) acquireSlot(stop <-chan struct{}) bool {
 	select {
 	case t.slots <- struct{}{}:
@@ -186,8 +186,8 @@
 	}
 }
 
-// giveUpBlockingRequests gives up the requests in flight on connections where rejections wait
-// behind them.
+// giveUpBlockingRequests gives up the requests in flight on connections where they delay the
+// answers of rejected commands.
 func (t *connectionTable) giveUpBlockingRequests() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -13,8 +13,8 @@
 )
 
 // disconnectBound is the time within which a test must see a disconnect. disconnectPollInterval
-// provides for 0.1 s; the rest allows for a busy machine. Without detection, a disconnect takes 14
-// s, the deadline of the requests.
+// provides for 0.1 s; the rest allows for a busy machine. An undetected disconnect lasts until the
+// deadline of the requests, 14 seconds.
 const disconnectBound = commandTimeout / 2
 
 // disconnectFuncs holds functions that disconnect a client, by name.
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -10,27 +10,27 @@
 
 // Times of a drain, which begins on SIGTERM.
 const (
-	// acceptAfterTerm is how long after SIGTERM new connections are accepted.
-	acceptAfterTerm = 450 * time.Millisecond
+	// acceptAfterSigterm is how long after SIGTERM new connections are accepted.
+	acceptAfterSigterm = 450 * time.Millisecond
 	// backlogTimeout is how long accept waits for a further connection from the backlog before the
 	// backlog counts as empty.
 	backlogTimeout = 100 * time.Millisecond
-	// forwardAfterTerm is how long after SIGTERM requests are forwarded. Later requests behind
+	// forwardAfterSigterm is how long after SIGTERM requests are forwarded. Later requests behind
 	// other commands are rejected, as SIGKILL might come before their answers.
-	forwardAfterTerm = 700 * time.Millisecond
-	// killGrace is the minimum time between the longest request timeout and SIGKILL. The timeout
-	// counts from SIGTERM, and up to writeTimeout.
+	forwardAfterSigterm = 700 * time.Millisecond
+	// killGrace is the minimum time from the end of the longest request timeout to SIGKILL. The
+	// timeout is counted from SIGTERM and capped at writeTimeout.
 	killGrace = 700 * time.Millisecond
 	// killMargin is how long before SIGKILL all commands that were read during the drain must be
 	// answered.
 	killMargin = 100 * time.Millisecond
-	// giveUpMargin is how long before SIGKILL requests are given up if rejected commands wait
-	// behind them.
+	// giveUpMargin is how long before SIGKILL requests are given up that delay the answers of
+	// rejected commands.
 	giveUpMargin = 250 * time.Millisecond
-	// giveUpDivisor limits giveUpMargin to the time from SIGTERM to SIGKILL divided by it.
+	// giveUpDivisor caps giveUpMargin at 1/giveUpDivisor of the time from SIGTERM to SIGKILL.
 	giveUpDivisor = 10
-	// rejectDuration is how long after forwardAfterTerm commands are still read, and rejected. The
-	// connection of a client that never pauses in that time is closed while the client sends.
+	// rejectDuration is how long after forwardAfterSigterm commands are still read, and rejected.
+	// The connection of a client that never pauses in that time is closed while the client sends.
 	rejectDuration = 1800 * time.Millisecond
 	// readMargin is the minimum time from the end of reading to SIGKILL.
 	readMargin = 40 * time.Millisecond
@@ -44,7 +44,7 @@
 
 // drainState is the state of a drain.
 type drainState struct {
-	active     atomic.Bool                // true once the last answer on a connection closes it
+	active     atomic.Bool                // set by Drain; the last answer on a connection then closes it
 	times      atomic.Pointer[drainTimes] // set before active
 	acceptDone chan struct{}              // closed when Serve returns
 	finished   chan struct{}              // closed when Drain returns
@@ -54,10 +54,10 @@
 type drainTimes struct {
 	began        time.Time
 	killDelay    time.Duration // from began to the earliest SIGKILL
-	forwardUntil time.Time     // commands read later behind others are rejected
-	readUntil    time.Time     // later, nothing is read behind commands in flight
+	forwardUntil time.Time     // end of forwarding; commands read later behind others are rejected
+	readUntil    time.Time     // end of reading, except for the first command of a connection
 	answerBy     time.Time     // time by which all commands read during the drain must be answered
-	giveUpAt     time.Time     // time when requests are given up that rejected commands wait behind
+	giveUpAt     time.Time     // time from which requests that delay rejections are given up
 }
 
 // newDrainTimes returns the times of a drain that began at SIGTERM and expects SIGKILL after
@@ -66,8 +66,8 @@
 	return &drainTimes{
 		began:        began,
 		killDelay:    killDelay,
-		forwardUntil: began.Add(forwardAfterTerm),
-		readUntil:    began.Add(min(forwardAfterTerm+rejectDuration, killDelay-readMargin)),
+		forwardUntil: began.Add(forwardAfterSigterm),
+		readUntil:    began.Add(min(forwardAfterSigterm+rejectDuration, killDelay-readMargin)),
 		answerBy:     began.Add(killDelay - killMargin),
 		giveUpAt:     began.Add(killDelay - min(giveUpMargin, killDelay/giveUpDivisor)),
 	}
@@ -77,8 +77,8 @@
 	return &drainState{acceptDone: make(chan struct{}), finished: make(chan struct{})}
 }
 
-// shortenKillDelay moves the expected SIGKILL of a running drain forward if killDelay is shorter
-// than the current delay. The caller must hold Listener.settingsMu. No other function changes the
+// shortenKillDelay makes a running drain expect SIGKILL killDelay after SIGTERM if that is earlier
+// than expected so far. The caller must hold Listener.settingsMu. No other function changes the
 // times once the drain has begun.
 func (d *drainState) shortenKillDelay(killDelay time.Duration) {
 	if times := d.times.Load(); times != nil && killDelay < times.killDelay {
@@ -110,17 +110,18 @@
 	return timeout
 }
 
-// Drain accepts connections for acceptAfterTerm, and then only those in the backlog. It closes each
-// connection with its last answer, or when it is idle, and returns when all connections are closed.
-// If that takes longer than drainTimeout, it returns with commands unanswered. drainTimeout ends
-// long after the expected SIGKILL, so such commands were read early and have a long deadline.
+// Drain accepts connections for acceptAfterSigterm, and then only those in the backlog. It closes
+// each connection with its last answer, or when it is idle, and returns when all connections are
+// closed. It returns earlier, possibly with unanswered commands, if drainTimeout has passed, which
+// is long after the expected SIGKILL. A command that is unanswered at SIGKILL arrived early and has
+// a long deadline.
 func (l *Listener) Drain(socket net.Listener) {
 	defer close(l.drain.finished)
 	began := time.Now()
 	l.settingsMu.Lock()
 	l.drain.times.Store(newDrainTimes(began, l.killDelay()))
 	l.settingsMu.Unlock()
-	time.Sleep(acceptAfterTerm)
+	time.Sleep(acceptAfterSigterm)
 	// Set the deadline before activating the drain: accept then sets its own deadline, which this
 	// call would overwrite.
 	if d, ok := socket.(deadlineSetter); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
@@ -136,9 +137,8 @@
 }
 
 // awaitClients closes idle connections until none is open, and returns true then. It returns false
-// after drainTimeout. It closes the socket after answerBy. From giveUpAt on, it makes requests
-// complete as failed if rejected commands wait behind them: SIGKILL would leave all of them
-// unanswered.
+// after drainTimeout. After answerBy it closes the socket. After giveUpAt it gives up requests that
+// delay rejections: SIGKILL would otherwise leave all of them unanswered.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
@@ -171,7 +171,7 @@
 
 // shouldCloseInDrain reports whether a drain closes a connection that has been idle for idleTime. A
 // client that was just answered is likely to be sending its next request, which would be lost if it
-// crossed the close.
+// arrived during the close.
 func shouldCloseInDrain(idleTime time.Duration, _ activity) bool { return idleTime >= drainIdleTimeout }
 
 // killDelay returns the expected minimum time from SIGTERM to SIGKILL.
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A client sends commands without a pause. Those that were begun to be read are answered, no others
+// A client sends commands without a pause. Commands whose reading has begun are answered, no others
 // are read, and the drain ends in time.
 func TestDrain_endsClientThatNeverPauses(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
@@ -177,8 +177,8 @@
 	}
 }
 
-// During a drain, a reload that shortens the longest timeout moves the expected SIGKILL forward. A
-// reload that lengthens it does not postpone SIGKILL.
+// A reload during a drain that shortens the longest timeout makes the drain expect SIGKILL earlier.
+// A reload that lengthens it does not make the drain expect SIGKILL later.
 func TestDrain_reloadThatShortensTheLongestDeadlineCounts(t *testing.T) {
 	for name, row := range map[string]struct{ timeouts []time.Duration }{
 		"before it is active": {[]time.Duration{300 * time.Millisecond}},
--- a/internal/gateway/listener/golden_test.go
+++ b/internal/gateway/listener/golden_test.go
@@ -38,7 +38,7 @@
 
 func goldenFailed([]string) string { return "-ERR failed\r\n" }
 
-// goldenAnswers holds each form of answer on a client's connection as recorded, by name.
+// goldenAnswers holds a recorded answer of each form, by name.
 var goldenAnswers = map[string]struct {
 	sent      string
 	isReady   bool
--- a/internal/gateway/listener/memory.go
+++ b/internal/gateway/listener/memory.go
@@ -6,7 +6,8 @@
 // words and the server's answer, as limited by package resp.
 const maxRequestOverhead = 68 << 10
 
-// pipelinedDivisor limits pipelined requests to the memory bound divided by it.
+// pipelinedDivisor sets the share of the memory bound that pipelined requests may use:
+// 1/pipelinedDivisor.
 const pipelinedDivisor = 2
 
 // minMemory is the minimum bound in bytes for all requests in flight: room for two of the largest
--- a/internal/gateway/listener/parameters.go
+++ b/internal/gateway/listener/parameters.go
@@ -130,7 +130,7 @@
 	return ""
 }
 
-// floatBits is the size of parsed floating-point numbers.
+// floatBits is the size of parsed floating-point numbers in bits.
 const floatBits = 64
 
 // parseDecimal parses a decimal number without a sign or an exponent, and reports whether text is
--- a/internal/gateway/listener/parse.go
+++ b/internal/gateway/listener/parse.go
@@ -16,7 +16,7 @@
 	maxCustomer     = 1 << 33 // exclusive bound of customer numbers
 	customerDigits  = 16      // length of a customer number in hexadecimal digits
 	customerBase    = 16      // base of customer numbers
-	customerBits    = 64      // size of a parsed customer number
+	customerBits    = 64      // size of a parsed customer number in bits
 )
 
 // The commands that clients may send.
--- a/internal/gateway/listener/state.go
+++ b/internal/gateway/listener/state.go
@@ -37,7 +37,7 @@
 // neither the clock nor the socket. connection.mu protects it.
 type connectionState struct {
 	phase        phase
-	inFlight     int       // commands that were begun to be read and are not answered
+	inFlight     int       // commands whose first byte has arrived and that are not answered
 	hasAnswered  bool      // an answer was written
 	hasRejected  bool      // a drain has rejected a command
 	lastUsed     time.Time // time of the accept or of the last answer
