--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -25,8 +25,8 @@
 	// sweepInterval is the time between checks for connections that exceed idleTimeout or
 	// silentTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// floodSlotDivisor sets the threshold of a flood: new connections hold more than 1/floodSlotDivisor of
-	// the slots.
+	// floodSlotDivisor sets the threshold of a flood: new connections hold more than
+	// 1/floodSlotDivisor of the slots.
 	floodSlotDivisor = 2
 )
 
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			var client *testClient
 			var isCrossing atomic.Bool
-			// noticed receives a value when the reader closes the connection or continues to wait for the client.
+			// noticed receives a value when the reader closes the connection or continues to wait.
 			noticed := make(chan bool, 100)
 			notice := func() {
 				if isCrossing.Load() {
