--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -18,7 +18,7 @@
 
 // keyState is what this process knows of a key.
 type keyState struct {
-	sampledAt      time.Duration // when the latest count was read
+	refilledAt     time.Duration // when the latest count was read
 	remaining      float64       // that the count left, less what was admitted here since
 	localRemaining float64       // of this process's share of the limit
 	windowIndex    int64         // of the latest answer, or noWindow
@@ -29,8 +29,8 @@
 
 // refill adds what the plan's rate has given up to a time.
 func (s *keyState) refill(plan *policy.Plan, localShare float64, now time.Duration) {
-	refilled := plan.Rate * max(now-s.sampledAt, 0).Seconds()
-	s.sampledAt = max(now, s.sampledAt)
+	refilled := plan.Rate * max(now-s.refilledAt, 0).Seconds()
+	s.refilledAt = max(now, s.refilledAt)
 	s.remaining = min(s.remaining+refilled, plan.Burst)
 	s.localRemaining = min(s.localRemaining+refilled*localShare, plan.Burst*localShare)
 }
@@ -77,7 +77,7 @@
 	}
 	a.sweptAt = now
 	for key, state := range a.keys {
-		if state.sampledAt+maxTTL < now {
+		if state.refilledAt+maxTTL < now {
 			delete(a.keys, key)
 		}
 	}
@@ -90,7 +90,7 @@
 func (a *Admission) HandleCount(
 	reservation Reservation, count float64, answered bool,
 ) (admitted bool, previous *Window) {
-	state := a.openKey(&reservation)
+	state := a.keyStateOf(&reservation)
 	isNewWindow := state.windowIndex != reservation.Index
 	state.windowIndex = reservation.Index
 	state.refill(&reservation.plan, a.localShare, reservation.reservedAt)
@@ -98,8 +98,8 @@
 		return state.admit(min(state.localRemaining, state.remaining), reservation.Units), nil
 	}
 	// Until a deficit is carried over, the latest read bounds what remains.
-	state.remaining = min(state.remaining, reservation.remaining(count))
-	if isNewWindow && reservation.isUntouched(count) {
+	state.remaining = min(state.remaining, reservation.remainingBefore(count))
+	if isNewWindow && reservation.isFirstCharge(count) {
 		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
 		previous = &window
 	}
@@ -107,12 +107,12 @@
 }
 
 // openKey finds the state of a reservation's key; a key not known yet has its whole burst.
-func (a *Admission) openKey(reservation *Reservation) *keyState {
+func (a *Admission) keyStateOf(reservation *Reservation) *keyState {
 	if state := a.keys[reservation.key]; state != nil {
 		return state
 	}
 	state := &keyState{
-		sampledAt:      reservation.reservedAt,
+		refilledAt:     reservation.reservedAt,
 		remaining:      reservation.plan.Burst,
 		localRemaining: reservation.plan.Burst * a.localShare,
 		windowIndex:    noWindow,
@@ -132,12 +132,12 @@
 }
 
 // remaining is what the reservation's key had left before it, by a count that includes its units.
-func (r *Reservation) remaining(count float64) float64 {
+func (r *Reservation) remainingBefore(count float64) float64 {
 	return Remaining(&r.plan, r.Window, r.reservedAt, count-r.Units)
 }
 
 // isUntouched tells whether a count holds nothing but the reservation's own units.
-func (r *Reservation) isUntouched(count float64) bool { return count <= r.Units+roundingError }
+func (r *Reservation) isFirstCharge(count float64) bool { return count <= r.Units+roundingError }
 
 // Deficit is how many units a key was short of its burst at the end of the previous window, by the
 // count read there with zero units.
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -4,14 +4,14 @@
 
 // Limits of a canary's configuration.
 const (
-	maxSample      = 80      // permille
-	callsPerSample = 3       // permille of calls for each permille of the sample
-	maxCalls       = 250     // permille of all gateways' calls
-	minDeadline    = 120     // seconds: time to examine all buckets one after the other
-	maxDeadline    = 86_400  // seconds, a day
-	maxError       = 200     // permille
-	maxBound       = 500     // permille
-	maxLead        = 600_000 // milliseconds
+	maxSamplePermille  = 80      // permille
+	minCallsPerSample  = 3       // permille of calls for each permille of the sample
+	maxCallsPermille   = 250     // permille of all gateways' calls
+	minDeadlineSeconds = 120     // seconds: time to examine all buckets one after the other
+	maxDeadlineSeconds = 86_400  // seconds, a day
+	maxErrorPermille   = 200     // permille
+	maxBoundPermille   = 500     // permille
+	maxLeadMillis      = 600_000 // milliseconds
 )
 
 // PermilleScale is how many permille make one. What is counted in thousandths of a unit has it,
@@ -84,19 +84,19 @@
 			faults.add("counting.canary.%s must be from %d to %d, not %d", key, low, high, value)
 		}
 	}
-	checkRange("sample", c.SamplePermille, 1, maxSample)
-	checkRange("calls", c.CallsPermille, 1, maxCalls)
-	if least := callsPerSample * c.SamplePermille; c.CallsPermille < least {
+	checkRange("sample", c.SamplePermille, 1, maxSamplePermille)
+	checkRange("calls", c.CallsPermille, 1, maxCallsPermille)
+	if minCalls := minCallsPerSample * c.SamplePermille; c.CallsPermille < minCalls {
 		faults.add("counting.canary.calls must be %d times canary.sample or more, %d, not %d: else tasks are played"+
-			" without a total and no rule is taken", callsPerSample, least, c.CallsPermille)
+			" without a total and no rule is taken", minCallsPerSample, minCalls, c.CallsPermille)
 	}
-	checkRange("deadline_s", c.DeadlineSeconds, minDeadline, maxDeadline)
-	checkRange("wrong", c.ErrorPermille, 1, maxError)
-	checkRange("rejected", c.RejectedPermille, 1, maxBound)
-	checkRange("let_in", c.AdmittedPermille, 1, maxBound)
-	checkRange("beyond", c.OverLimitPermille, 1, maxBound)
-	checkRange("leave", c.DeviationPermille, 1, maxBound)
-	checkRange("watch_s", c.WatchSeconds, 1, maxDeadline)
-	checkRange("lead_ms", c.LeadMillis, 0, maxLead)
+	checkRange("deadline_s", c.DeadlineSeconds, minDeadlineSeconds, maxDeadlineSeconds)
+	checkRange("wrong", c.ErrorPermille, 1, maxErrorPermille)
+	checkRange("rejected", c.RejectedPermille, 1, maxBoundPermille)
+	checkRange("let_in", c.AdmittedPermille, 1, maxBoundPermille)
+	checkRange("beyond", c.OverLimitPermille, 1, maxBoundPermille)
+	checkRange("leave", c.DeviationPermille, 1, maxBoundPermille)
+	checkRange("watch_s", c.WatchSeconds, 1, maxDeadlineSeconds)
+	checkRange("lead_ms", c.LeadMillis, 0, maxLeadMillis)
 	return faults
 }
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -10,7 +10,7 @@
 )
 
 // committed is a table from the time of its commit on.
-type committed struct {
+type committedTable struct {
 	at    time.Duration
 	table Table
 }
@@ -54,14 +54,14 @@
 // process that reads the table once. It describes a moment at which the version in force is not
 // among the process's candidates, or is not the only one while the lease of 20 holds; else it is
 // empty.
-func switchViolation(t *rapid.T, lead time.Duration) string {
+func findSwitchViolation(t *rapid.T, lead time.Duration) string {
 	const lease = 20
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
-	history, now := []committed{{0, Table{}}}, time.Duration(0)
+	history, now := []committedTable{{0, Table{}}}, time.Duration(0)
 	for range rapid.IntRange(2, 12).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(1, 30).Draw(t, "pause"))
 		if table, ok := nextTable(t, history[len(history)-1].table, now, lead); ok {
-			history = append(history, committed{now, table})
+			history = append(history, committedTable{now, table})
 		}
 	}
 	tableAt := func(at time.Duration) Table {
@@ -92,7 +92,7 @@
 
 func TestCandidateVersions_includeTheVersionInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if violation := switchViolation(t, 45); violation != "" {
+		if violation := findSwitchViolation(t, 45); violation != "" {
 			t.Fatal(violation)
 		}
 	})
@@ -100,7 +100,7 @@
 
 // The same check finds a switch that is nearer than a lease.
 func TestCandidateVersions_checkFindsSwitchWithinALease(t *testing.T) {
-	generator := rapid.Custom(func(t *rapid.T) string { return switchViolation(t, 15) })
+	generator := rapid.Custom(func(t *rapid.T) string { return findSwitchViolation(t, 15) })
 	for runs := range 1000 {
 		if generator.Example(runs) != "" {
 			t.Logf("found after %d runs", runs+1)
--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -10,21 +10,21 @@
 
 // canaryRun is this process's part of a canary, while there is one. The enforcer's lock guards it.
 type canaryRun struct {
-	shadow        *canary.Shadow // nil: no canary runs
-	seed          uint64         // of the shadow evaluation
-	unearnedCalls uint64         // of the decision module, not yet in the budget
+	shadow          *canary.Shadow // nil: no canary runs
+	seed            uint64         // of the shadow evaluation
+	uncreditedCalls uint64         // of the decision module, not yet in the budget
 }
 
 // isEvaluated decides whether a phase of the table has its new rule evaluated beside the old one.
-func isEvaluated(phase countingrule.Phase) bool {
+func hasShadowEvaluation(phase countingrule.Phase) bool {
 	return phase == countingrule.PhaseCanary || phase == countingrule.PhaseScheduled
 }
 
 // update begins and ends the canary as the table says.
 func (c *canaryRun) update(rules *ruleSet) {
 	table := &rules.table
-	old, next := rules.switched()
-	if !isEvaluated(table.Phase) || old == nil {
+	old, next := rules.rulesAroundSwitch()
+	if !hasShadowEvaluation(table.Phase) || old == nil {
 		c.shadow = nil
 		return
 	}
@@ -42,7 +42,7 @@
 
 // reconfigure continues the canary, where there is one, under other settings.
 func (c *canaryRun) reconfigure(rules *ruleSet) {
-	old, next := rules.switched()
+	old, next := rules.rulesAroundSwitch()
 	if c.shadow == nil || old == nil {
 		c.shadow = nil
 		return
@@ -52,8 +52,8 @@
 
 // addBudget lets the shadow evaluation earn its share of the calls made since it last did.
 func (c *canaryRun) addBudget() {
-	c.shadow.AddBudget(c.unearnedCalls)
-	c.unearnedCalls = 0
+	c.shadow.AddBudget(c.uncreditedCalls)
+	c.uncreditedCalls = 0
 }
 
 // flush gives the calls for units that no later request added.
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -29,11 +29,11 @@
 	node       coordination.Client
 	dispatcher *dispatch.Dispatcher
 
-	mu        sync.Mutex
-	rules     ruleSet
-	canary    canaryRun
-	admission *countingrule.Admission
-	uncertain bool // as last logged: it is not certain which version is in force
+	mu              sync.Mutex
+	rules           ruleSet
+	canary          canaryRun
+	admission       *countingrule.Admission
+	loggedUncertain bool // as last logged: it is not certain which version is in force
 }
 
 // New makes an enforcer of a file's configuration.
@@ -61,9 +61,9 @@
 func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	e.dispatcher = dispatcher
 	e.node = node
-	held, _ := e.readTable()
+	cached, _ := e.readTable()
 	e.mu.Lock()
-	e.rules.apply(held)
+	e.rules.applyTable(cached)
 	e.mu.Unlock()
 	if err := dispatcher.SetCountingRules(e); err != nil {
 		return err
@@ -84,12 +84,12 @@
 // calls.
 func (e *Enforcer) update() {
 	now := e.dispatcher.Now()
-	held, leased := e.readTable()
+	cached, leased := e.readTable()
 	e.mu.Lock()
-	newRules := e.rules.apply(held)
+	plansPending := e.rules.applyTable(cached)
 	e.logCertainty(e.rules.candidates(now, leased))
 	e.mu.Unlock()
-	if newRules {
+	if plansPending {
 		if err := e.dispatcher.SetCountingRules(e); err != nil {
 			e.log.Error("counting: plans of the rules rejected", zap.Error(err))
 		}
@@ -104,10 +104,10 @@
 // again.
 func (e *Enforcer) logCertainty(candidates []uint64) {
 	uncertain := len(candidates) > 1
-	if uncertain == e.uncertain {
+	if uncertain == e.loggedUncertain {
 		return
 	}
-	e.uncertain = uncertain
+	e.loggedUncertain = uncertain
 	if uncertain {
 		e.log.Info("counting: version in force uncertain, all candidates must admit",
 			zap.Uint64s("versions", candidates))
@@ -126,9 +126,9 @@
 // readTable gives the table as cached, and whether its lease holds; a table that was never written
 // has a lease, too. It is called without the enforcer's lock: the node collects the enforcer's
 // observations under a lock of its own.
-func (e *Enforcer) readTable() (held coordination.CachedTable, leased bool) {
-	held = e.node.Cached(countingrule.TableName)
-	return held, e.node.Now() < held.LeaseEnd
+func (e *Enforcer) readTable() (cached coordination.CachedTable, leased bool) {
+	cached = e.node.Cached(countingrule.TableName)
+	return cached, e.node.Now() < cached.LeaseEnd
 }
 
 // WithRulePlans gives settings with the rules' own plans behind them.
@@ -153,31 +153,31 @@
 func (e *Enforcer) HandleCounterCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.canary.unearnedCalls++
+	e.canary.uncreditedCalls++
 }
 
 // Assign decides how a request is counted: by the first of the versions that may be in force now,
 // and at the counts of the others, which must admit it, too. The request keeps these counts,
 // whichever version is in force later.
 func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
-	held, leased := e.readTable()
+	cached, leased := e.readTable()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rules.apply(held)
+	e.rules.applyTable(cached)
 	versions := e.rules.candidates(now, leased)
 	if len(versions) == 0 { // none of them can be resolved here
 		versions = []uint64{0}
 	}
 	first := e.rules.assign(versions[0], &request)
-	counted := e.countAssignment(first, &request)
+	assignment := e.countAssignment(first, &request)
 	others := e.reserve(now, versions[1:], first, &request)
 	if others != nil {
-		counted.CheckOthers = others.charge
+		assignment.CheckOthers = others.charge
 	}
 	calls, sampled := e.canary.handleRequest(now, &request)
 	e.sendCanaryCalls(calls)
 	if sampled || others != nil {
-		counted.Completed = func(forwarded bool, units float64) {
+		assignment.Completed = func(forwarded bool, units float64) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if sampled {
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	return counted
+	return assignment
 }
 
 // countAssignment is how the decision module counts a request. Requests of a shared count come
@@ -213,7 +213,7 @@
 // has none. Versions that give the same key, and plans without a rate, need no reservation.
 func (e *Enforcer) reserve(
 	now time.Duration, versions []uint64, first countingrule.Assignment, request *dispatch.RequestSpec,
-) *reservations {
+) *requestReservations {
 	var reserved []countingrule.Reservation
 	for _, version := range versions {
 		other := e.rules.assign(version, request)
@@ -224,7 +224,7 @@
 	if len(reserved) == 0 {
 		return nil
 	}
-	return newReservations(reservations{
+	return newRequestReservations(requestReservations{
 		counter:   e.dispatcher,
 		timeout:   answerTimeout(&e.rules.settings.Classes[request.Class]),
 		weight:    first.Weight,
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -10,7 +10,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-func slashed(name string) string { return strings.ReplaceAll(name, "\x1f", "/") }
+func withSlashes(name string) string { return strings.ReplaceAll(name, "\x1f", "/") }
 
 // Under rule 0 the counter is called by the same names as without an enforcer.
 func TestEnforcer_ruleZeroCountsUnderTheSameNames(t *testing.T) {
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -19,7 +19,7 @@
 type fakeNode struct {
 	mu      sync.Mutex
 	start   time.Time
-	held    coordination.CachedTable
+	cached  coordination.CachedTable
 	changed chan struct{}
 	report  func(add func(string, uint64))
 }
@@ -29,7 +29,7 @@
 func (n *fakeNode) Cached(string) coordination.CachedTable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held
+	return n.cached
 }
 
 func (n *fakeNode) Changed() <-chan struct{} {
@@ -45,12 +45,12 @@
 func (n *fakeNode) setTable(table countingrule.Table, leased bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = coordination.CachedTable{
-		Name: countingrule.TableName, Epoch: n.held.Epoch + 1,
+	n.cached = coordination.CachedTable{
+		Name: countingrule.TableName, Epoch: n.cached.Epoch + 1,
 		Value: table.Encode(),
 	}
 	if leased {
-		n.held.LeaseEnd = time.Hour
+		n.cached.LeaseEnd = time.Hour
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -201,6 +201,6 @@
 // observations are the counts that the node would report, with slashes between the parts of a name.
 func (f *fixture) observations() map[string]uint64 {
 	counts := map[string]uint64{}
-	f.node.report(func(name string, n uint64) { counts[slashed(name)] = n })
+	f.node.report(func(name string, n uint64) { counts[withSlashes(name)] = n })
 	return counts
 }
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -41,7 +41,7 @@
 
 // reservations are a request's units at the counter keys that it has to pass beside the decision
 // module's.
-type reservations struct {
+type requestReservations struct {
 	counter counterCaller
 	timeout time.Duration
 	weight  float64 // by which the decision module counts: actual units come multiplied by it
@@ -49,67 +49,67 @@
 
 	mu        *sync.Mutex // the enforcer's: it guards what follows
 	admission *countingrule.Admission
-	all       []reservation
+	entries   []keyReservation
 	pending   int    // counts that have neither answered nor timed out
 	rejected  bool   // by at least one of the others
 	usage     *usage // nil: the request has no final answer yet
 }
 
 // reservation is what became of one of them.
-type reservation struct {
+type keyReservation struct {
 	countingrule.Reservation
 	charge   countingrule.ChargeState
 	admitted bool
 }
 
 // newReservations completes reservations with what was reserved.
-func newReservations(r reservations, reserved []countingrule.Reservation) *reservations {
+func newRequestReservations(r requestReservations, reserved []countingrule.Reservation) *requestReservations {
 	r.pending = len(reserved)
-	for _, one := range reserved {
-		r.all = append(r.all, reservation{Reservation: one})
+	for _, reservation := range reserved {
+		r.entries = append(r.entries, keyReservation{Reservation: reservation})
 	}
 	return &r
 }
 
 // charge adds the units to the counts and calls done once all have answered. A count that does not
 // answer in time admits by this process's own share.
-func (r *reservations) charge(done func(admitted bool)) {
+func (r *requestReservations) charge(done func(admitted bool)) {
 	r.done = done
-	for i := range r.all {
-		one := &r.all[i]
+	for i := range r.entries {
+		entry := &r.entries[i]
 		var once sync.Once
-		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(one, 0, false) }) })
-		r.counter.CallCounter(one.Name, one.Units, one.TTL, func(count float64, outcome policy.Outcome) {
+		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(entry, 0, false) }) })
+		r.counter.CallCounter(entry.Name, entry.Units, entry.TTL, func(count float64, outcome policy.Outcome) {
 			timer.Stop()
-			r.recordCharge(one, outcome)
-			once.Do(func() { r.handleCount(one, count, outcome == policy.Answered) })
+			r.recordCharge(entry, outcome)
+			once.Do(func() { r.handleCount(entry, count, outcome == policy.Answered) })
 		})
 	}
 }
 
 // recordCharge records whether the units are in the count. After a timeout that is not known.
-func (r *reservations) recordCharge(one *reservation, outcome policy.Outcome) {
+func (r *requestReservations) recordCharge(entry *keyReservation, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch outcome {
 	case policy.Answered:
-		one.charge = countingrule.Charged
+		entry.charge = countingrule.Charged
 	case policy.TimedOut:
 	default:
-		one.charge = countingrule.NotCharged
+		entry.charge = countingrule.NotCharged
 	}
 }
 
 // handleCount takes a count's answer, has the deficit of the previous window carried over where the
 // count's window is untouched, and hands on the verdict with the last answer.
-func (r *reservations) handleCount(one *reservation, count float64, answered bool) {
+func (r *requestReservations) handleCount(entry *keyReservation, count float64, answered bool) {
 	r.mu.Lock()
-	admitted, previous := r.admission.HandleCount(one.Reservation, count, answered)
+	admitted, previous := r.admission.HandleCount(entry.Reservation, count, answered)
 	r.mu.Unlock()
 	if previous != nil {
-		r.carryOver(one.Reservation, *previous)
+		r.carryOverDeficit(entry.Reservation, *previous)
 	}
-	switch r.recordAnswer(one, admitted) {
+	switch r.recordAnswer(entry, admitted) {
 	case verdictAdmitted:
 		r.done(true)
 	case verdictRejected:
@@ -120,13 +120,13 @@
 
 // recordAnswer decides whether all counts admit the request, once the last one has answered: a
 // request passes only where each of them does.
-func (r *reservations) recordAnswer(one *reservation, admitted bool) verdict {
+func (r *requestReservations) recordAnswer(entry *keyReservation, admitted bool) verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	one.admitted = admitted
+	entry.admitted = admitted
 	r.rejected = r.rejected || !admitted
 	r.pending--
-	r.settleWhenOver()
+	r.settleIfComplete()
 	switch {
 	case r.pending > 0:
 		return verdictPending
@@ -138,29 +138,29 @@
 }
 
 // carryOver adds the deficit of the previous window to the reservation's.
-func (r *reservations) carryOver(to countingrule.Reservation, previous countingrule.Window) {
+func (r *requestReservations) carryOverDeficit(to countingrule.Reservation, previous countingrule.Window) {
 	r.counter.CallCounter(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
 		if deficit := to.Deficit(previous, count); outcome == policy.Answered && deficit > 0 {
-			r.add(to, deficit)
+			r.addUnits(to, deficit)
 		}
 	})
 }
 
 // add adds units to a reservation's count. Nothing depends on the answer.
-func (r *reservations) add(to countingrule.Reservation, units float64) {
+func (r *requestReservations) addUnits(to countingrule.Reservation, units float64) {
 	r.counter.CallCounter(to.Name, units, to.TTL, func(float64, policy.Outcome) {})
 }
 
 // complete records that the request has its final answer: whether it was forwarded, and its actual
 // units as the decision module counts them (0: not known). The lock is held.
-func (r *reservations) complete(forwarded bool, units float64) {
+func (r *requestReservations) complete(forwarded bool, units float64) {
 	r.usage = &usage{forwarded: forwarded, units: units / r.weight}
-	r.settleWhenOver()
+	r.settleIfComplete()
 }
 
 // settleWhenOver settles once all counts have answered and the request has its final answer. Either
 // may come last: a client may disconnect while a count is asked. The lock is held.
-func (r *reservations) settleWhenOver() {
+func (r *requestReservations) settleIfComplete() {
 	if r.pending == 0 && r.usage != nil {
 		r.settle()
 	}
@@ -168,25 +168,25 @@
 
 // settle gives back what the request did not use, or charges what it used beyond its reservations.
 // The lock is held.
-func (r *reservations) settle() {
-	for i := range r.all {
-		one := &r.all[i]
-		correction := r.admission.Settle(one.Reservation, one.admitted, r.usage.of(one), one.charge)
+func (r *requestReservations) settle() {
+	for i := range r.entries {
+		entry := &r.entries[i]
+		correction := r.admission.Settle(entry.Reservation, entry.admitted, r.usage.unitsOf(entry), entry.charge)
 		if correction != 0 {
-			r.add(one.Reservation, correction)
+			r.addUnits(entry.Reservation, correction)
 		}
 	}
 }
 
 // of decides how many weighted units the request used of a reservation: all of them where the
 // actual units are not known.
-func (u *usage) of(one *reservation) float64 {
+func (u *usage) unitsOf(entry *keyReservation) float64 {
 	switch {
 	case !u.forwarded:
 		return 0
 	case u.units > 0:
-		return one.Weight * u.units
+		return entry.Weight * u.units
 	default:
-		return one.Units
+		return entry.Units
 	}
 }
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -17,7 +17,7 @@
 	log          *zap.Logger
 	config       *countingrule.Config
 	settings     policy.Settings     // in force
-	known        []countingrule.Rule // of the table and of the configuration
+	knownRules   []countingrule.Rule // of the table and of the configuration
 	merged       bool                // known has all rules of table and configuration
 	plansApplied bool                // the settings' plans include those of all known rules
 	resolved     map[uint64]*countingrule.Resolved
@@ -34,11 +34,11 @@
 func (r *ruleSet) hasTable() bool { return r.epoch > 0 }
 
 // apply takes a table as cached, and tells whether a rule's plans are not in the settings yet.
-func (r *ruleSet) apply(held coordination.CachedTable) (newRules bool) {
-	if held.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
-		r.epoch = held.Epoch
+func (r *ruleSet) applyTable(cached coordination.CachedTable) (plansPending bool) {
+	if cached.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
+		r.epoch = cached.Epoch
 		r.merged = false
-		r.decode(held.Value)
+		r.decode(cached.Value)
 	}
 	if !r.merged {
 		r.merge()
@@ -65,14 +65,14 @@
 func (r *ruleSet) merge() {
 	r.merged = true
 	for i, rule := range slices.Concat(r.table.Rules, r.config.Rules) {
-		at := slices.IndexFunc(r.known, func(known countingrule.Rule) bool { return known.Version == rule.Version })
+		index := slices.IndexFunc(r.knownRules, func(known countingrule.Rule) bool { return known.Version == rule.Version })
 		isCommitted := i < len(r.table.Rules)
 		switch {
-		case at < 0:
-			r.known = append(r.known, rule)
+		case index < 0:
+			r.knownRules = append(r.knownRules, rule)
 			r.plansApplied = false
-		case isCommitted && !r.known[at].Equal(rule):
-			r.known[at] = rule
+		case isCommitted && !r.knownRules[index].Equal(rule):
+			r.knownRules[index] = rule
 			r.plansApplied = false
 		}
 	}
@@ -81,13 +81,13 @@
 // withPlans gives settings with the plans of all known rules.
 func (r *ruleSet) withPlans(settings policy.Settings) policy.Settings {
 	r.plansApplied = true
-	return countingrule.WithRulePlans(settings, r.known)
+	return countingrule.WithRulePlans(settings, r.knownRules)
 }
 
 // resolve resolves all known rules against settings that are in force now.
 func (r *ruleSet) resolve(settings policy.Settings) {
 	r.settings = settings
-	for _, rule := range append([]countingrule.Rule{{}}, r.known...) {
+	for _, rule := range append([]countingrule.Rule{{}}, r.knownRules...) {
 		resolved, err := countingrule.Resolve(rule, settings)
 		if err != nil {
 			r.log.Error("counting: rule not applicable", zap.Uint64("version", rule.Version), zap.Error(err))
@@ -122,7 +122,7 @@
 }
 
 // switched gives the rules before and after the table's switch, nil where one is not resolved here.
-func (r *ruleSet) switched() (old, next *countingrule.Resolved) {
+func (r *ruleSet) rulesAroundSwitch() (old, next *countingrule.Resolved) {
 	old = r.resolved[r.table.From]
 	next = r.resolved[r.table.To]
 	if old == nil || next == nil {
--- a/internal/control/countingrule/golden_refusals_test.go
+++ b/internal/control/countingrule/golden_refusals_test.go
@@ -107,7 +107,7 @@
 	ceiling.Plans[0].CeilingRate = 1
 	for _, settings := range []policy.Settings{testSettings(), ceiling} {
 		settings.Plans[1].MaxInFlight = 2
-		rule := everyRule()[1]
+		rule := goldenRules()[1]
 		if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err != nil {
 			fmt.Fprintf(&out, "cannot hold\n    %s\n", err)
 		}
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -19,7 +19,7 @@
 // have it, byte for byte.
 
 // everyRule has each form of a rule that a table can hold.
-func everyRule() []Rule {
+func goldenRules() []Rule {
 	return []Rule{
 		{
 			Version: 1, Key: []string{"customer", "lane"}, Weights: []Weight{{Class: "pay", Permille: 3000}},
@@ -38,11 +38,11 @@
 	return map[string]Table{
 		"table-empty.cbor": {},
 		"table-still.cbor": {
-			Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: everyRule(), Refused: []uint64{3, 1 << 50},
+			Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: goldenRules(), Refused: []uint64{3, 1 << 50},
 			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold",
 		},
 		"table-canary.cbor": {
-			Phase: PhaseCanary, From: 1, To: 2, Rules: everyRule()[:2], Seed: 0x9e3779b97f4a7c15,
+			Phase: PhaseCanary, From: 1, To: 2, Rules: goldenRules()[:2], Seed: 0x9e3779b97f4a7c15,
 			Since: 1_764_652_800_123_456_789, Reason: "as the file says", TrialState: []byte{0xa0, 1, 2, 3},
 			Canary: CanaryConfig{
 				SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
@@ -51,12 +51,12 @@
 			},
 		},
 		"table-named.cbor": {
-			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: everyRule()[:1],
+			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: goldenRules()[:1],
 			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
 		},
 		"table-back.cbor": {
 			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second,
-			Rules:   everyRule()[2:],
+			Rules:   goldenRules()[2:],
 			Refused: []uint64{1}, Since: 1_764_652_995 * time.Second,
 			Reason: "0.500 of the units are let in, 0.900 were foretold",
 		},
@@ -92,7 +92,7 @@
 // both versions.
 func TestGolden_namesAtTheCounter(t *testing.T) {
 	var out bytes.Buffer
-	rules := everyRule()
+	rules := goldenRules()
 	settings := WithRulePlans(testSettings(), rules)
 	for _, plan := range settings.Plans {
 		fmt.Fprintf(&out, "plan %q rate %v burst %v\n", plan.Name, plan.Rate, plan.Burst)
@@ -165,7 +165,7 @@
 	if err := decoder.Decode(&file); err != nil {
 		t.Fatal(err)
 	}
-	want := Config{DesiredVersion: 2, Rules: everyRule(), Canary: CanaryConfig{
+	want := Config{DesiredVersion: 2, Rules: goldenRules(), Canary: CanaryConfig{
 		SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
 		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
 		DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
--- a/internal/control/countingrule/plans.go
+++ b/internal/control/countingrule/plans.go
@@ -11,13 +11,13 @@
 // A rule's limits reach the decision module as plans of the rule's own, behind the settings' plans.
 // No name in settings holds the separator, so no client can ask for such a plan.
 const (
-	separator      = "\x1f"
-	rulePlanPrefix = "rule" + separator
-	decimalBase    = 10 // of the version in a name
+	planNameSeparator = "\x1f"
+	rulePlanPrefix    = "rule" + planNameSeparator
+	decimalBase       = 10 // of the version in a name
 )
 
 func rulePlanName(version uint64, plan string) string {
-	return rulePlanPrefix + strconv.FormatUint(version, decimalBase) + separator + plan
+	return rulePlanPrefix + strconv.FormatUint(version, decimalBase) + planNameSeparator + plan
 }
 
 // WithRulePlans gives settings with the rules' own plans behind their plans, one for each rule and
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -86,19 +86,19 @@
 
 // classWeight is what a unit of a class counts.
 func (r *Rule) classWeight(class string) float64 {
-	permille := uint64(unitWeight)
+	permille := uint64(unitWeightPermille)
 	for _, weight := range r.Weights {
 		if weight.Class == class {
 			permille = weight.Permille
 		}
 	}
-	return float64(permille) / unitWeight
+	return float64(permille) / unitWeightPermille
 }
 
 // countsByOwnKey decides whether a request is counted under a key of this rule, or under rule 0.
 // Class and plan are indexes; what is not in the resolved settings, or has no rate, stays under
 // rule 0.
-func (r *Resolved) countsByOwnKey(class, plan int) bool {
+func (r *Resolved) appliesTo(class, plan int) bool {
 	isKnown := plan < len(r.planIndexes) && class < len(r.classHashes)
 	return r.Version != 0 && isKnown && r.planIndexes[plan] != noPlan
 }
@@ -106,7 +106,7 @@
 // Assign decides which counter key a request is charged to, by its customer and the indexes of its
 // class and plan: the decision module knows a request's count by that key alone.
 func (r *Resolved) Assign(customer uint64, class, plan int) Assignment {
-	if !r.countsByOwnKey(class, plan) {
+	if !r.appliesTo(class, plan) {
 		return Assignment{Key: customer, Plan: plan, Weight: 1}
 	}
 	parts := [len(keyParts)]uint64{customer, r.groupKey(customer), r.planHashes[plan], r.classHashes[class]}
--- a/internal/control/countingrule/resolve_test.go
+++ b/internal/control/countingrule/resolve_test.go
@@ -78,21 +78,21 @@
 }
 
 // countingHost is a host that keeps the counter's names.
-type countingHost struct{ countNames []uint64 }
+type countRecorder struct{ countNames []uint64 }
 
-func (h *countingHost) Attempt(uint32, uint32, time.Duration) {}
-func (h *countingHost) Cancel(uint32, int)                    {}
-func (h *countingHost) Reject(uint32, time.Duration)          {}
-func (h *countingHost) Terminate(uint32)                      {}
-func (h *countingHost) Count(name uint64, _ time.Duration, _ float64) {
+func (h *countRecorder) Attempt(uint32, uint32, time.Duration) {}
+func (h *countRecorder) Cancel(uint32, int)                    {}
+func (h *countRecorder) Reject(uint32, time.Duration)          {}
+func (h *countRecorder) Terminate(uint32)                      {}
+func (h *countRecorder) Count(name uint64, _ time.Duration, _ float64) {
 	h.countNames = append(h.countNames, name)
 }
-func (h *countingHost) CheckHealth(uint32)             {}
-func (h *countingHost) SendPeer(int, []byte)           {}
-func (h *countingHost) WatchEndpoints()                {}
-func (h *countingHost) SetTimer(uint64, time.Duration) {}
-func (h *countingHost) CancelTimer(uint64)             {}
-func (h *countingHost) Log(string)                     {}
+func (h *countRecorder) CheckHealth(uint32)             {}
+func (h *countRecorder) SendPeer(int, []byte)           {}
+func (h *countRecorder) WatchEndpoints()                {}
+func (h *countRecorder) SetTimer(uint64, time.Duration) {}
+func (h *countRecorder) CancelTimer(uint64)             {}
+func (h *countRecorder) Log(string)                     {}
 
 // Guards against a key that two processes count under different names.
 func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
@@ -102,7 +102,7 @@
 		settings.Plans[0].Burst = rapid.Float64Range(2, 5000).Draw(t, "burst")
 		customer := rapid.Uint64().Draw(t, "customer")
 		now := time.Duration(rapid.Int64Range(int64(time.Hour), int64(500_000*time.Hour)).Draw(t, "now"))
-		host := &countingHost{}
+		host := &countRecorder{}
 		module, err := policy.New(settings, 1, host)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -8,10 +8,10 @@
 
 // Limits of a rule.
 const (
-	unitWeight          = PermilleScale // a unit counts as one
-	maxWeight           = 100_000       // permille
+	unitWeightPermille  = PermilleScale // a unit counts as one
+	maxWeightPermille   = 100_000       // permille
 	minMaskBits         = 5             // set bits of a mask: enough groups to sample
-	maxLimit            = 1e12          // units a second for the rate, units for the burst
+	limitUpperBound     = 1e12          // units a second for the rate, units for the burst
 	maxRules            = 32            // in a file
 	maxGroupedCustomers = 10_000        // in one rule: every process holds the table
 )
@@ -87,8 +87,8 @@
 	return inKey
 }
 
-func (r *Rule) validateGroups(faults *faultList, byGroup bool) {
-	if byGroup != (len(r.Groups) > 0 || r.Mask != 0) {
+func (r *Rule) validateGroups(faults *faultList, keyHasGroup bool) {
+	if keyHasGroup != (len(r.Groups) > 0 || r.Mask != 0) {
 		faults.add("key must hold group where there are groups or a mask, and only there")
 	}
 	if len(r.Groups) > 0 && r.Mask != 0 {
@@ -120,9 +120,9 @@
 	classes := map[string]bool{}
 	for _, weight := range r.Weights {
 		isNamedOnce := weight.Class != "" && !classes[weight.Class]
-		isInRange := weight.Permille >= 1 && weight.Permille <= maxWeight
+		isInRange := weight.Permille >= 1 && weight.Permille <= maxWeightPermille
 		if !isNamedOnce || !isInRange {
-			faults.add("weight must name a lane once, with thousandths from 1 to %d, not %q with %d", maxWeight,
+			faults.add("weight must name a lane once, with thousandths from 1 to %d, not %q with %d", maxWeightPermille,
 				weight.Class, weight.Permille)
 		}
 		classes[weight.Class] = true
@@ -131,20 +131,20 @@
 
 // validateLimits checks the limits. byPlan is true where requests of one plan share a count with no
 // other plan's.
-func (r *Rule) validateLimits(faults *faultList, byPlan bool) {
+func (r *Rule) validateLimits(faults *faultList, countsPerPlan bool) {
 	plans := map[string]bool{}
 	for _, limit := range r.Limits {
 		isNamedOnce := limit.Plan != "" && !plans[limit.Plan]
-		if !isNamedOnce || !isLimit(limit.Rate) || !isLimit(limit.Burst) {
+		if !isNamedOnce || !isValidLimit(limit.Rate) || !isValidLimit(limit.Burst) {
 			faults.add("limit must name a plan once (or \"*\"), with rate and burst above 0, not %q with %v and %v",
 				limit.Plan, limit.Rate, limit.Burst)
 		}
 		plans[limit.Plan] = true
 	}
-	if !byPlan && (len(plans) != 1 || !plans[everyPlan]) {
+	if !countsPerPlan && (len(plans) != 1 || !plans[everyPlan]) {
 		faults.add("limit must be one, for plan \"*\", where tasks of several plans share a count")
 	}
 }
 
 // isLimit tells whether a value may be a rate or a burst. It is false for NaN, too.
-func isLimit(value float64) bool { return value > 0 && value < maxLimit }
+func isValidLimit(value float64) bool { return value > 0 && value < limitUpperBound }
