--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -6,28 +6,29 @@
 	"harrierhoist/policy"
 )
 
-// Admission admits requests by the keys that they have to pass beside the decision module's own. It
-// adds a request's units to the count in the call that reads it, so that two processes that ask at
-// once do not exceed the limit, and corrects them by what was used once the request has ended. Not
-// safe for use by several goroutines at once.
+// Admission decides whether requests are admitted under counter keys that the decision module does
+// not check itself. A request's units are added to the count by the same call that reads it, so
+// that two processes that call concurrently cannot exceed the limit together. Once the request has
+// ended, Settle corrects the count by the units that it used. Admission is not safe for concurrent
+// use.
 type Admission struct {
-	localShare float64              // part of a limit, from 0 to 1, used without a counter
+	localShare float64              // fraction of a limit to use without a counter
 	keys       map[uint64]*keyState // by key
 	sweptAt    time.Duration
 }
 
-// keyState is what this process knows of a key.
+// keyState is this process's estimate of what a key has left.
 type keyState struct {
-	refilledAt     time.Duration // when the latest count was read
-	remaining      float64       // that the count left, less what was admitted here since
-	localRemaining float64       // of this process's share of the limit
-	windowIndex    int64         // of the latest answer, or noWindow
+	refilledAt     time.Duration // time up to which refill has added units
+	remaining      float64       // units left by the latest count, minus those admitted here since
+	localRemaining float64       // units left of this process's share of the limit
+	windowIndex    int64         // window of the latest reservation that was decided, or noWindow
 }
 
-// noWindow stands for the window of a key that has had no answer.
+// noWindow is the window index of a key for which no reservation has been decided yet.
 const noWindow = -1
 
-// refill adds what the plan's rate has given up to a time.
+// refill adds the units that the plan's rate has made available since the last call.
 func (s *keyState) refill(plan *policy.Plan, localShare float64, now time.Duration) {
 	refilled := plan.Rate * max(now-s.refilledAt, 0).Seconds()
 	s.refilledAt = max(now, s.refilledAt)
@@ -35,29 +36,32 @@
 	s.localRemaining = min(s.localRemaining+refilled*localShare, plan.Burst*localShare)
 }
 
-// NewAdmission makes the admission of one gateway; gateways is how many share each count.
+// NewAdmission returns the Admission of one gateway. gateways is the number of gateways that share
+// each count.
 func NewAdmission(gateways int) *Admission {
 	a := &Admission{}
 	a.Reset(gateways)
 	return a
 }
 
-// Reset forgets what is known of all keys; gateways is how many share each count from here on.
+// Reset discards the state of all keys and sets the number of gateways that share each count.
 func (a *Admission) Reset(gateways int) {
 	*a = Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
 }
 
-// Reservation is one request's units at one key. They are given back, all or in part, by Settle.
+// Reservation is the units that one request reserves at one key. Settle returns those that the
+// request does not use.
 type Reservation struct {
 	Window
-	Units      float64 // weighted
-	Weight     float64 // of one unit
+	Units      float64 // weighted units
+	Weight     float64 // weighted units per unit
 	key        uint64
 	plan       policy.Plan
 	reservedAt time.Duration
 }
 
-// Reserve gives the reservation whose units are to be added to the key's count now.
+// Reserve returns a reservation for a request of the given unweighted units. The caller adds the
+// reservation's Units to the count of its Window and passes the result to HandleCount.
 func (a *Admission) Reserve(assignment Assignment, plan policy.Plan, units float64, now time.Duration) Reservation {
 	a.sweep(now)
 	return Reservation{
@@ -70,7 +74,7 @@
 	}
 }
 
-// sweep forgets keys whose windows the counter has dropped by now.
+// sweep deletes the state of keys whose windows have expired at the counter.
 func (a *Admission) sweep(now time.Duration) {
 	if now <= a.sweptAt+maxTTL {
 		return
@@ -83,10 +87,13 @@
 	}
 }
 
-// HandleCount decides whether a request is admitted by one key: by the counter's answer, in units,
-// or by this process's share where none came in time (answered false). previous is not nil for the
-// first answer in a window that nobody has used: its caller reads that earlier window with zero
-// units, and adds the Deficit by its count to this one's, as the decision module does.
+// HandleCount reports whether a reservation's key admits the request. count is the counter's answer
+// in weighted units, including the reservation's own. If the counter has not answered in time,
+// answered is false and this process's share of the limit decides.
+//
+// previous is non-nil if this is the key's first answer here in a window that no other request has
+// been charged to. The caller then reads the count of that previous window by adding zero units,
+// and adds the Deficit to the reservation's count, as the decision module does.
 func (a *Admission) HandleCount(
 	reservation Reservation, count float64, answered bool,
 ) (admitted bool, previous *Window) {
@@ -97,7 +104,8 @@
 	if !answered {
 		return state.admit(min(state.localRemaining, state.remaining), reservation.Units), nil
 	}
-	// Until a deficit is carried over, the latest read bounds what remains.
+	// The count of a new window lacks the previous window's deficit until that is carried over. The
+	// estimate from earlier reads bounds what remains until then.
 	state.remaining = min(state.remaining, reservation.remainingBefore(count))
 	if isNewWindow && reservation.isFirstCharge(count) {
 		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
@@ -106,7 +114,7 @@
 	return state.admit(state.remaining, reservation.Units), previous
 }
 
-// openKey finds the state of a reservation's key; a key not known yet has its whole burst.
+// keyStateOf returns the state of a reservation's key. A new key starts with its whole burst.
 func (a *Admission) keyStateOf(reservation *Reservation) *keyState {
 	if state := a.keys[reservation.key]; state != nil {
 		return state
@@ -121,7 +129,7 @@
 	return state
 }
 
-// admit decides whether units fit into what remains, and takes them off where they do.
+// admit reports whether remaining covers the units, and deducts them if it does.
 func (s *keyState) admit(remaining, units float64) bool {
 	if remaining < units-roundingError {
 		return false
@@ -131,33 +139,35 @@
 	return true
 }
 
-// remaining is what the reservation's key had left before it, by a count that includes its units.
+// remainingBefore returns the units that the key had left before the reservation. count includes
+// the reservation's units.
 func (r *Reservation) remainingBefore(count float64) float64 {
 	return Remaining(&r.plan, r.Window, r.reservedAt, count-r.Units)
 }
 
-// isUntouched tells whether a count holds nothing but the reservation's own units.
+// isFirstCharge reports whether a count consists of the reservation's own units.
 func (r *Reservation) isFirstCharge(count float64) bool { return count <= r.Units+roundingError }
 
-// Deficit is how many units a key was short of its burst at the end of the previous window, by the
-// count read there with zero units.
+// Deficit returns the number of weighted units by which the key was below its full burst at the end
+// of the previous window. count is the previous window's count.
 func (r Reservation) Deficit(previous Window, count float64) float64 {
 	return r.plan.Burst - Remaining(&r.plan, previous, r.Start, count)
 }
 
-// ChargeState is what is known of whether a reservation's units are in its key's count.
+// ChargeState says whether a reservation's units were added to its key's count.
 type ChargeState uint8
 
-// The states of a charge.
+// The charge states.
 const (
-	ChargeUnknown ChargeState = iota // no answer yet, or the connection was lost
+	ChargeUnknown ChargeState = iota // the counter has not answered, or the connection was lost
 	Charged
 	NotCharged
 )
 
-// Settle decides what is to be added to the reservation's count once the request has ended, by the
-// weighted units that it used; less than 0 takes units off. Units that are not known to have been
-// added are not taken off: the count would be too low, and the limit exceeded.
+// Settle returns the correction that the caller adds to the reservation's count once the request
+// has ended, given the weighted units that it used. A negative correction returns units. If the
+// charge is unknown, no units are returned: if they had never been added, the count would be too
+// low and the limit would be exceeded.
 func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, charge ChargeState) float64 {
 	if state := a.keys[reservation.key]; state != nil && admitted {
 		state.remaining += reservation.Units - used
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -2,81 +2,85 @@
 
 import "time"
 
-// Limits of a canary's configuration.
+// Bounds of the values in a CanaryConfig.
 const (
-	maxSamplePermille  = 80      // permille
-	minCallsPerSample  = 3       // permille of calls for each permille of the sample
-	maxCallsPermille   = 250     // permille of all gateways' calls
-	minDeadlineSeconds = 120     // seconds: time to examine all buckets one after the other
-	maxDeadlineSeconds = 86_400  // seconds, a day
-	maxErrorPermille   = 200     // permille
-	maxBoundPermille   = 500     // permille
-	maxLeadMillis      = 600_000 // milliseconds
+	maxSamplePermille  = 80     // permille
+	minCallsPerSample  = 3      // CallsPermille per SamplePermille
+	maxCallsPermille   = 250    // of all gateways' calls to the counter
+	minDeadlineSeconds = 120    // long enough to test all buckets one after another
+	maxDeadlineSeconds = 86_400 // one day
+	maxErrorPermille   = 200
+	maxBoundPermille   = 500     // of the fraction bounds and the deviation
+	maxLeadMillis      = 600_000 // ten minutes
 )
 
-// PermilleScale is how many permille make one. What is counted in thousandths of a unit has it,
-// too.
+// PermilleScale is the number of permille in one, and the number of thousandths in a unit.
 const PermilleScale = 1000
 
-// CanaryConfig says how a new rule is tried beside the one in force, and when it is refused. It is
-// stored in the table under the keys of its cbor tags; its methods convert what is stored.
+// CanaryConfig configures the trial of a new rule while the current one stays in force, and when
+// the new rule is refused. The table stores it under the names in the cbor tags, in the integer
+// units of the fields; the methods convert these to durations and fractions.
 type CanaryConfig struct {
-	SamplePermille  uint64 `toml:"sample" cbor:"Sample"`        // of the keys, evaluated by both rules
-	CallsPermille   uint64 `toml:"calls" cbor:"Calls"`          // of all gateways' calls to the counter
-	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"` // what is undecided by then is refused
-	// ErrorPermille is the chance that a harmful rule is taken, and the chance that a harmless one
-	// is refused by its figures, at whatever times they are examined.
+	SamplePermille  uint64 `toml:"sample" cbor:"Sample"`        // keys that are evaluated under both rules
+	CallsPermille   uint64 `toml:"calls" cbor:"Calls"`          // canary's calls, of all gateways' calls to the counter
+	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"` // time after which an undecided rule is refused
+	// ErrorPermille bounds both the probability that a harmful rule is accepted and the probability
+	// that a harmless rule is refused because of its measurements. The bounds hold no matter how
+	// often the measurements are examined.
 	ErrorPermille uint64 `toml:"wrong" cbor:"WrongThousandths"`
 
-	// The bounds, each a part of the units requested by a key, in the mean over keys.
+	// The next three bound a fraction of the units requested under a key, averaged over keys.
 
-	RejectedPermille  uint64 `toml:"rejected" cbor:"Rejected"` // admitted by the old rule alone
-	AdmittedPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // admitted by the new rule alone
-	OverLimitPermille uint64 `toml:"beyond" cbor:"Beyond"`     // admitted by the new rule beyond its own limit
+	RejectedPermille  uint64 `toml:"rejected" cbor:"Rejected"` // units admitted only by the old rule
+	AdmittedPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // units admitted only by the new rule
+	OverLimitPermille uint64 `toml:"beyond" cbor:"Beyond"`     // units admitted in excess of the new rule's limit
 
-	DeviationPermille uint64 `toml:"leave" cbor:"Leave"`    // by which the admitted part may differ from its forecast
-	WatchSeconds      uint64 `toml:"watch_s" cbor:"WatchS"` // after a switch in which a deviation rolls it back
-	LeadMillis        uint64 `toml:"lead_ms" cbor:"LeadMS"` // from the entry to the switch, beside lease and waits
+	DeviationPermille uint64 `toml:"leave" cbor:"Leave"`    // allowed difference from the forecast
+	WatchSeconds      uint64 `toml:"watch_s" cbor:"WatchS"` // time after a switch in which a deviation rolls it back
+	LeadMillis        uint64 `toml:"lead_ms" cbor:"LeadMS"` // added to the time between a decision and its switch
 }
 
-// Deadline is the longest that a trial lasts.
+// Deadline returns the longest duration of a trial.
 func (c *CanaryConfig) Deadline() time.Duration {
 	return time.Duration(c.DeadlineSeconds) * time.Second
 }
 
-// WatchDuration is how long the outcome is watched after a switch.
+// WatchDuration returns how long the admitted fraction is watched after a switch.
 func (c *CanaryConfig) WatchDuration() time.Duration {
 	return time.Duration(c.WatchSeconds) * time.Second
 }
 
-// ExtraLead is what the operators add to the time between a decision and its switch.
+// ExtraLead returns the duration that operators add to the time between a decision and its switch.
+// The controller already waits for leases to expire and reads to complete.
 func (c *CanaryConfig) ExtraLead() time.Duration {
 	return time.Duration(c.LeadMillis) * time.Millisecond
 }
 
-// ErrorRate is the chance, from 0 to 1, that a verdict may be wrong.
+// ErrorRate returns the allowed probability, from 0 to 1, that a verdict is wrong.
 func (c *CanaryConfig) ErrorRate() float64 { return PermilleFraction(c.ErrorPermille) }
 
-// RejectedBound is the part of the units, from 0 to 1, that the new rule alone may reject.
+// RejectedBound returns the fraction of the units, from 0 to 1, that only the new rule may reject.
 func (c *CanaryConfig) RejectedBound() float64 { return PermilleFraction(c.RejectedPermille) }
 
-// AdmittedBound is the part of the units, from 0 to 1, that the new rule alone may admit.
+// AdmittedBound returns the fraction of the units, from 0 to 1, that only the new rule may admit.
 func (c *CanaryConfig) AdmittedBound() float64 { return PermilleFraction(c.AdmittedPermille) }
 
-// OverLimitBound is the part of the units, from 0 to 1, that may be admitted beyond the new limit.
+// OverLimitBound returns the fraction of the units, from 0 to 1, that the new rule may admit in
+// excess of its own limit.
 func (c *CanaryConfig) OverLimitBound() float64 { return PermilleFraction(c.OverLimitPermille) }
 
-// MatchesForecast decides whether the observed part of the units that was admitted is as forecast,
-// within the configured deviation. Both parts are from 0 to 1.
+// MatchesForecast reports whether the observed admitted fraction differs from its forecast by no
+// more than DeviationPermille. Both fractions are from 0 to 1.
 func (c *CanaryConfig) MatchesForecast(observed, forecast float64) bool {
 	deviation := observed - forecast
 	return max(deviation, -deviation)*PermilleScale <= float64(c.DeviationPermille)
 }
 
-// PermilleFraction converts permille to a part from 0 to 1.
+// PermilleFraction converts permille to a fraction from 0 to 1.
 func PermilleFraction(permille uint64) float64 { return float64(permille) / PermilleScale }
 
-// validate gives what is wrong with a canary's configuration, each key under the file's table.
+// validate returns an error for each invalid value. Each error begins with the key's path in the
+// file.
 func (c *CanaryConfig) validate() []error {
 	var faults faultList
 	checkRange := func(key string, value, low, high uint64) {
--- a/internal/control/countingrule/config.go
+++ b/internal/control/countingrule/config.go
@@ -1,8 +1,10 @@
-// Package countingrule decides which counter key a request is charged to, and with what weight: it
-// holds the versioned rules, the replicated table that names the version in force, and the versions
-// that a process must assume while it cannot know. Package enforce calls it for each request,
-// package canary for each trial. It is free of I/O and clocks: the same table, time and request
-// give the same key.
+// Package countingrule decides which counter key a request is charged to, and with what weight. It
+// defines the versioned rules and the replicated table that names the version in force. While a
+// process cannot be certain of that version, the package lists the candidates. Package enforce
+// applies the rules to requests; package canary evaluates new rules in trials.
+//
+// The package does no I/O and reads no clock: the same table, time and request always map to the
+// same key.
 package countingrule
 
 import (
@@ -10,32 +12,32 @@
 	"slices"
 )
 
-// Config is the operators' configuration of counting rules, the table [counting] of their file.
+// Config is the counting section of the operators' configuration file.
 type Config struct {
-	// DesiredVersion is the version that is to be in force; 0 is the built-in rule, a count for
-	// each customer.
+	// DesiredVersion is the version that operators want in force. 0 is the built-in rule, which
+	// counts each customer separately.
 	DesiredVersion uint64       `toml:"try"`
-	Rules          []Rule       `toml:"rule"` // a version never changes its meaning
+	Rules          []Rule       `toml:"rule"` // the rule of a version must not change
 	Canary         CanaryConfig `toml:"canary"`
 }
 
-// Rule is one version of the counting rule. Version 0, which no file holds, is the built-in rule: a
-// count for each customer.
+// Rule is one version of the counting rule. The built-in rule is version 0, which a file cannot
+// define. It counts each customer separately.
 type Rule struct {
 	Version uint64   `toml:"version" cbor:"1,keyasint"` // from 1
-	Key     []string `toml:"key" cbor:"2,keyasint"`     // parts that a request's key is made of: keyParts
-	Groups  []Group  `toml:"group" cbor:"3,keyasint"`   // a customer in none of them is a group of its own
-	// Mask makes groups in place of a list: customers whose numbers agree in these bits share a
-	// count.
+	Key     []string `toml:"key" cbor:"2,keyasint"`     // parts of a request's key, from keyParts
+	Groups  []Group  `toml:"group" cbor:"3,keyasint"`   // a customer in no group forms its own
+	// Mask forms groups without a list: customers whose numbers agree in the bits of the mask share
+	// a count. 0 means no mask.
 	Mask    uint64   `toml:"mask" cbor:"4,keyasint"`
-	Weights []Weight `toml:"weight" cbor:"5,keyasint"` // a class that is not named weighs unitWeight
-	Limits  []Limit  `toml:"limit" cbor:"6,keyasint"`  // a plan that is not named keeps its own rate and burst
+	Weights []Weight `toml:"weight" cbor:"5,keyasint"` // classes that are not listed have unitWeightPermille
+	Limits  []Limit  `toml:"limit" cbor:"6,keyasint"`  // plans that are not listed keep their own rate and burst
 }
 
-// Equal tells whether two rules mean the same.
+// Equal reports whether two rules have the same version and content. Nil and empty lists are equal.
 func (r Rule) Equal(other Rule) bool { return fmt.Sprintf("%v", r) == fmt.Sprintf("%v", other) }
 
-// IsPerCustomer tells whether each of the rule's counts is one customer's.
+// IsPerCustomer reports whether no two customers share a count under the rule.
 func (r Rule) IsPerCustomer() bool { return r.Version == 0 || slices.Contains(r.Key, partCustomer) }
 
 // Group is a group of customers that share a count.
@@ -44,15 +46,15 @@
 	Customers []uint64 `toml:"customers" cbor:"2,keyasint"`
 }
 
-// Weight is what a unit of a class's requests counts.
+// Weight sets how much one unit of a class's requests adds to a count.
 type Weight struct {
 	Class    string `toml:"lane" cbor:"1,keyasint"`
-	Permille uint64 `toml:"thousandths" cbor:"2,keyasint"` // 1 to maxWeight
+	Permille uint64 `toml:"thousandths" cbor:"2,keyasint"` // from 1 to maxWeightPermille
 }
 
-// Limit is the quota of a count.
+// Limit is the rate and burst of a rule's counts for a plan.
 type Limit struct {
-	Plan  string  `toml:"plan" cbor:"1,keyasint"`  // everyPlan, or a plan's name
-	Rate  float64 `toml:"rate" cbor:"2,keyasint"`  // weighted units a second
-	Burst float64 `toml:"burst" cbor:"3,keyasint"` // weighted units that may be used at once
+	Plan  string  `toml:"plan" cbor:"1,keyasint"`  // plan's name, or everyPlan
+	Rate  float64 `toml:"rate" cbor:"2,keyasint"`  // weighted units per second
+	Burst float64 `toml:"burst" cbor:"3,keyasint"` // weighted units that a full token bucket holds
 }
--- a/internal/control/countingrule/plans.go
+++ b/internal/control/countingrule/plans.go
@@ -8,20 +8,22 @@
 	"harrierhoist/policy"
 )
 
-// A rule's limits reach the decision module as plans of the rule's own, behind the settings' plans.
-// No name in settings holds the separator, so no client can ask for such a plan.
+// The limits of a rule are passed to the decision module as additional plans, appended to those of
+// the settings. No plan name in the settings contains the separator, so no client can request a
+// rule's plan.
 const (
 	planNameSeparator = "\x1f"
 	rulePlanPrefix    = "rule" + planNameSeparator
-	decimalBase       = 10 // of the version in a name
+	decimalBase       = 10 // base of the version in a plan's name
 )
 
+// rulePlanName returns the name of the plan that a rule's version adds for a plan of the settings.
 func rulePlanName(version uint64, plan string) string {
 	return rulePlanPrefix + strconv.FormatUint(version, decimalBase) + planNameSeparator + plan
 }
 
-// WithRulePlans gives settings with the rules' own plans behind their plans, one for each rule and
-// plan that has a rate. With rule 0 alone they are unchanged.
+// WithRulePlans returns the settings with the rules' plans appended: one for each pair of a rule
+// and a plan that has a rate. Rule 0 adds none. The settings that were passed in are not modified.
 func WithRulePlans(settings policy.Settings, rules []Rule) policy.Settings {
 	plans := slices.Clone(settings.Plans)
 	for _, rule := range rules {
@@ -41,8 +43,8 @@
 	return settings
 }
 
-// limitFor decides which limit a plan has under the rule: the one that names it, else the one for
-// every plan. It is false where there is neither: the plan keeps its own rate and burst.
+// limitFor returns the limit of a plan under the rule: the one that names the plan, else the one
+// for everyPlan. It returns false if there is neither; the plan then keeps its own rate and burst.
 func (r *Rule) limitFor(plan string) (Limit, bool) {
 	if limit, ok := r.lastLimit(plan); ok {
 		return limit, true
@@ -50,7 +52,7 @@
 	return r.lastLimit(everyPlan)
 }
 
-// lastLimit gives the last limit of a name, and false where there is none.
+// lastLimit returns the last limit that names a plan, and false if there is none.
 func (r *Rule) lastLimit(plan string) (Limit, bool) {
 	for _, limit := range slices.Backward(r.Limits) {
 		if limit.Plan == plan {
@@ -60,7 +62,7 @@
 	return Limit{}, false
 }
 
-// ClientSettings gives settings as clients may know them: the rules' own plans are retired there.
+// ClientSettings returns the settings that clients may see, in which the rules' plans are retired.
 func ClientSettings(settings policy.Settings) policy.Settings {
 	settings.Plans = slices.Clone(settings.Plans)
 	for i := range settings.Plans {
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -10,37 +10,38 @@
 	"harrierhoist/policy"
 )
 
-// noPlan stands for the rule's plan where the request's plan has no rate.
+// noPlan replaces the index of a rule's plan where the rule has none for a request's plan, for
+// example because the request's plan has no rate.
 const noPlan = -1
 
-// maxHashedBytes is the length of the longest key that Hash takes without an allocation: six words.
+// maxHashedBytes is the length of six words, the longest input that Hash takes without allocating.
 const maxHashedBytes = 6 * 8
 
 // Assignment is the counter key that a request is charged to, and the plan that limits it there.
 type Assignment struct {
-	Version uint64  // of the rule
-	Key     uint64  // stands for the customer in the decision module, and so in the counter's names
-	Plan    int     // index in the settings that WithRulePlans gave
-	Weight  float64 // what a unit counts
-	Shared  bool    // several customers have the key: its requests come through any gateway
+	Version uint64  // of the rule that the key belongs to
+	Key     uint64  // replaces the customer in the decision module, and thus in the counter's names
+	Plan    int     // index in the settings that WithRulePlans returned
+	Weight  float64 // weighted units per unit
+	Shared  bool    // several customers share the key, so its requests arrive at any gateway
 }
 
-// Resolved is a rule resolved against the classes and plans of settings. It does not change, and
-// may be used by several goroutines at once.
+// Resolved is a rule resolved against the classes and plans of settings. It is immutable and safe
+// for concurrent use.
 type Resolved struct {
 	Rule
-	classHashes, planHashes []uint64 // of the names, by index
-	classWeights            []float64
-	planIndexes             []int // of the rule's plans, by the request's plan, or noPlan
-	groupHashes             map[uint64]uint64
-	usesPart                [len(keyParts)]bool
+	classHashes, planHashes []uint64            // hashes of the names, by index
+	classWeights            []float64           // weighted units per unit, by class
+	planIndexes             []int               // index of the rule's plan or noPlan, by the request's plan
+	groupHashes             map[uint64]uint64   // hash of the group's name, by customer
+	usesPart                [len(keyParts)]bool // whether the key contains a part, by index in keyParts
 }
 
-// SharedCountError tells that a rule cannot apply: its counts are shared by customers, while a plan
-// limits each customer by itself (attempts in flight, or a ceiling).
+// SharedCountError is returned for a rule whose counts are shared by customers while a plan limits
+// each customer separately, by a ceiling or by attempts in flight. Such a rule cannot be applied.
 type SharedCountError struct {
 	Version uint64 // of the rule
-	Plan    string // the plan's name
+	Plan    string // name of the plan
 }
 
 func (e *SharedCountError) Error() string {
@@ -48,8 +49,8 @@
 		" plan %q limits each customer's pushes out, or has a ceiling", e.Version, e.Plan)
 }
 
-// Resolve resolves a rule against settings that WithRulePlans gave. Its error, a *SharedCountError,
-// tells why the rule cannot apply there.
+// Resolve resolves a rule against settings that WithRulePlans returned. It returns a
+// *SharedCountError if the rule cannot be applied to them.
 func Resolve(rule Rule, settings policy.Settings) (*Resolved, error) {
 	resolved := &Resolved{Rule: rule, groupHashes: map[uint64]uint64{}}
 	for i, part := range keyParts {
@@ -79,12 +80,12 @@
 	return resolved, nil
 }
 
-// indexOfPlan gives noPlan where no plan has the name.
+// indexOfPlan returns the index of the plan with a name, or noPlan if there is none.
 func indexOfPlan(plans []policy.Plan, name string) int {
 	return slices.IndexFunc(plans, func(plan policy.Plan) bool { return plan.Name == name })
 }
 
-// classWeight is what a unit of a class counts.
+// classWeight returns the weighted units per unit of a class.
 func (r *Rule) classWeight(class string) float64 {
 	permille := uint64(unitWeightPermille)
 	for _, weight := range r.Weights {
@@ -95,16 +96,16 @@
 	return float64(permille) / unitWeightPermille
 }
 
-// countsByOwnKey decides whether a request is counted under a key of this rule, or under rule 0.
-// Class and plan are indexes; what is not in the resolved settings, or has no rate, stays under
-// rule 0.
+// appliesTo reports whether requests of a class and plan, given by index, are counted under this
+// rule. Otherwise they are counted under rule 0, as are those whose class or plan is not in the
+// resolved settings or whose plan has no rate.
 func (r *Resolved) appliesTo(class, plan int) bool {
 	isKnown := plan < len(r.planIndexes) && class < len(r.classHashes)
 	return r.Version != 0 && isKnown && r.planIndexes[plan] != noPlan
 }
 
-// Assign decides which counter key a request is charged to, by its customer and the indexes of its
-// class and plan: the decision module knows a request's count by that key alone.
+// Assign returns the counter key that a request is charged to, given its customer and the indexes
+// of its class and plan. The key alone identifies the request's count to the decision module.
 func (r *Resolved) Assign(customer uint64, class, plan int) Assignment {
 	if !r.appliesTo(class, plan) {
 		return Assignment{Key: customer, Plan: plan, Weight: 1}
@@ -125,7 +126,7 @@
 	}
 }
 
-// groupKey is what a customer's group is hashed by.
+// groupKey returns the word that represents a customer's group in the hash of a key.
 func (r *Resolved) groupKey(customer uint64) uint64 {
 	if r.Mask != 0 {
 		return customer & r.Mask
@@ -133,10 +134,11 @@
 	if group, ok := r.groupHashes[customer]; ok {
 		return group
 	}
-	return Hash(customer, 1) // a group of its own; hashed, so that no listed group has the same key
+	// The customer forms its own group. The hash keeps its key apart from those of listed groups.
+	return Hash(customer, 1)
 }
 
-// Hash hashes words to one, the same at every process.
+// Hash returns a hash of the words that is the same in every process.
 func Hash(words ...uint64) uint64 {
 	var text [maxHashedBytes]byte
 	buffer := text[:0]
--- a/internal/control/countingrule/table.go
+++ b/internal/control/countingrule/table.go
@@ -7,43 +7,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TableName is the name of the replicated table.
+// TableName is the name of the replicated table of counting rules.
 const TableName = "counting"
 
-// Phase is what the table's controller is doing. Its numbers are stored.
+// Phase is the stage of a trial of a new rule. Its values are stored in the table.
 type Phase uint8
 
-// The phases, in their order; a rollback leads to idle.
+// The phases, in the order of a trial. PhaseIdle follows PhaseRollback.
 const (
-	PhaseIdle      Phase = iota // nothing is tried: From is in force
-	PhaseCanary                 // To is evaluated beside From and changes no decision
-	PhaseScheduled              // To is in force from SwitchAt on, and is watched
-	PhaseRollback               // undone: To is the earlier rule again, from SwitchAt on
+	PhaseIdle      Phase = iota // no trial: From is in force
+	PhaseCanary                 // trial: To is evaluated, but From alone decides
+	PhaseScheduled              // To is in force from SwitchAt on, and its outcome is watched
+	PhaseRollback               // To, the earlier rule, is in force again from SwitchAt on
 )
 
-// Table is the committed value. Times are on the clock that windows go by, which all processes
-// share: nanoseconds since 1970.
+// Table is the committed value of the replicated table. Its times are on the clock that all
+// processes share and that windows are based on: nanoseconds since the Unix epoch.
 type Table struct {
 	Phase    Phase         `cbor:"1,keyasint"`
-	From     uint64        `cbor:"2,keyasint"` // the version in force before SwitchAt
-	To       uint64        `cbor:"3,keyasint"` // the version after it; in a canary the one that is tried
-	SwitchAt time.Duration `cbor:"4,keyasint"`
-	Rules    []Rule        `cbor:"5,keyasint"` // all versions that From, To and Previous may name
-	Previous uint64        `cbor:"6,keyasint"` // the version before From: it needs no trial
-	Seed     uint64        `cbor:"7,keyasint"` // of the sample
-	Since    time.Duration `cbor:"8,keyasint"` // when the phase began
-	// Refused are the versions that were refused or rolled back; none is tried again.
+	From     uint64        `cbor:"2,keyasint"` // version in force before SwitchAt
+	To       uint64        `cbor:"3,keyasint"` // version in force after SwitchAt, or the one on trial
+	SwitchAt time.Duration `cbor:"4,keyasint"` // set in PhaseScheduled and PhaseRollback
+	Rules    []Rule        `cbor:"5,keyasint"` // rules that From, To and Previous may name
+	Previous uint64        `cbor:"6,keyasint"` // version in force before From; it needs no trial
+	Seed     uint64        `cbor:"7,keyasint"` // seed of the trial's sample
+	Since    time.Duration `cbor:"8,keyasint"` // time at which the phase began
+	// Refused lists the versions that were refused or rolled back. They are not tried again.
 	Refused []uint64 `cbor:"9,keyasint"`
-	Reason  string   `cbor:"10,keyasint"` // of the latest step, for people
-	// TrialState is the controller's own; processes do not read it.
+	Reason  string   `cbor:"10,keyasint"` // reason of the latest step, for operators
+	// TrialState is the controller's state of the trial. Only the controller reads it.
 	TrialState []byte `cbor:"11,keyasint"`
-	// Canary is the configuration that the rule is tried by: the same at all processes, and until
+	// Canary is the configuration of the trial. All processes use it, and it does not change until
 	// the trial ends.
 	Canary CanaryConfig `cbor:"12,keyasint"`
 }
 
-// Decode reads a value; an empty one stands for rule 0 with nothing tried. Its error is the
-// decoder's.
+// Decode decodes a table. An empty value decodes to rule 0 without a trial. The error is the one of
+// the CBOR decoder.
 func Decode(value []byte) (t Table, err error) {
 	if len(value) > 0 {
 		err = cbor.Unmarshal(value, &t)
@@ -51,29 +51,30 @@
 	return t, err
 }
 
-// Encode gives the value that Decode reads.
+// Encode returns the encoded table, for Decode.
 func (t Table) Encode() []byte { return Marshal(t) }
 
 var encodingMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // unreachable: the options are the library's own
 	}
 	return mode
 }()
 
-// Marshal encodes a value of plain numbers, words, lists and maps. The same value gives the same
-// bytes.
+// Marshal encodes a value that consists of numbers, strings, slices, maps and structs of these.
+// Encoding is deterministic: equal values have equal encodings. It panics if the value cannot be
+// encoded.
 func Marshal(value any) []byte {
 	text, err := encodingMode.Marshal(value)
 	if err != nil {
-		panic(err) // such values can always be encoded
+		panic(err) // unreachable for the values listed above
 	}
 	return text
 }
 
-// Rule gives a version's rule, and false where the table does not hold it. Version 0 needs no
-// entry.
+// Rule returns the rule of a version, and false if the table does not contain it. Version 0 is
+// always found.
 func (t *Table) Rule(version uint64) (Rule, bool) {
 	if version == 0 {
 		return Rule{}, true
@@ -85,10 +86,10 @@
 	return t.Rules[i], true
 }
 
-// hasSwitch tells whether SwitchAt is the time of a switch that is to come or has come.
+// hasSwitch reports whether the phase has a switch at SwitchAt, in the future or in the past.
 func (t *Table) hasSwitch() bool { return t.Phase == PhaseScheduled || t.Phase == PhaseRollback }
 
-// InForce decides which version the table says is in force at a time.
+// InForce returns the version that is in force at a time according to the table.
 func (t *Table) InForce(now time.Duration) uint64 {
 	if t.hasSwitch() && now >= t.SwitchAt {
 		return t.To
@@ -96,26 +97,28 @@
 	return t.From
 }
 
-// TableStatus is what a process knows of the table that it has cached.
+// TableStatus says how current the table in a process's cache is.
 type TableStatus uint8
 
-// The statuses of a table.
+// The table statuses.
 const (
 	TableNeverReceived TableStatus = iota
-	TableExpired                   // it was received, and its lease has ended
-	TableLeased                    // its lease holds: whatever was committed since has a later switch
+	TableExpired                   // the table was received, but its lease has expired
+	TableLeased                    // the lease is valid; any table committed since switches after it ends
 )
 
-// isCertain decides whether the version that the table names as in force is certain to be: under a
-// lease, or before a switch that the table announces, as none is undone before its time.
+// isCertain reports whether the version that InForce returns is certainly in force. That holds
+// while the lease is valid, and before a scheduled switch, as no switch is canceled before its
+// time.
 func (t *Table) isCertain(now time.Duration, status TableStatus) bool {
 	return status == TableLeased || t.hasSwitch() && now < t.SwitchAt
 }
 
-// CandidateVersions decides which versions may be in force at a time. A request admitted then has
-// to pass all of them; the decision module counts it by the first. config is the process's own: it
-// names rules that may have come into force since the table was read. Prevents a process that is
-// cut off or paused from exceeding the limits of a rule that it has not heard of.
+// CandidateVersions returns the versions that may be in force at a time, the one of InForce first.
+// A request that arrives then must be admitted under all of them; the decision module counts it
+// under the first. config is this process's own configuration. It names rules that may have come
+// into force since the table was read, so that a process that was partitioned or paused does not
+// exceed their limits.
 func (t *Table) CandidateVersions(now time.Duration, status TableStatus, config *Config) []uint64 {
 	first := t.InForce(now)
 	if t.isCertain(now, status) {
@@ -135,7 +138,7 @@
 	return append([]uint64{first}, others...)
 }
 
-// namedVersions are the versions that the table itself names, none where it was never received.
+// namedVersions returns the versions that the table names, or none if it was never received.
 func (t *Table) namedVersions(status TableStatus) []uint64 {
 	if status == TableNeverReceived {
 		return nil
@@ -143,7 +146,7 @@
 	return []uint64{t.From, t.To, t.Previous}
 }
 
-// isRefused tells whether the table, where there is one, refused a version.
+// isRefused reports whether a version is among those that the received table lists as refused.
 func (t *Table) isRefused(version uint64, status TableStatus) bool {
 	return status != TableNeverReceived && slices.Contains(t.Refused, version)
 }
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Limits of a rule.
+// Bounds of a rule's values.
 const (
-	unitWeightPermille  = PermilleScale // a unit counts as one
-	maxWeightPermille   = 100_000       // permille
-	minMaskBits         = 5             // set bits of a mask: enough groups to sample
-	limitUpperBound     = 1e12          // units a second for the rate, units for the burst
-	maxRules            = 32            // in a file
-	maxGroupedCustomers = 10_000        // in one rule: every process holds the table
+	unitWeightPermille  = PermilleScale // one weighted unit per unit
+	maxWeightPermille   = 100_000       // 100 weighted units per unit
+	minMaskBits         = 5             // set bits; fewer make too few groups to sample
+	limitUpperBound     = 1e12          // exclusive, of a rate in units per second and of a burst in units
+	maxRules            = 32            // rules in a file
+	maxGroupedCustomers = 10_000        // customers listed in a rule; every process stores the table
 )
 
-// everyPlan in a limit stands for each plan that no other limit names.
+// everyPlan in a limit means all plans that no other limit names.
 const everyPlan = "*"
 
-// What a key may be made of.
+// The parts that a key may consist of.
 const (
 	partCustomer = "customer"
 	partGroup    = "group"
@@ -27,16 +27,16 @@
 	partClass    = "lane"
 )
 
-// keyParts are what a key may be made of, in the order in which they are hashed.
+// keyParts lists the parts that a key may consist of, in the order in which they are hashed.
 var keyParts = [...]string{partCustomer, partGroup, partPlan, partClass}
 
-// faultList collects what is wrong with a file, an error for each fault.
+// faultList collects one error for each fault in a file.
 type faultList []error
 
 func (f *faultList) add(format string, args ...any) { *f = append(*f, fmt.Errorf(format, args...)) }
 
-// Check gives all that is wrong with the configuration: an error for each fault, with its key and
-// what is allowed.
+// Check returns an error for each fault in the configuration. The error names the key in the file
+// and the allowed values.
 func (c *Config) Check() []error {
 	var faults faultList
 	if len(c.Rules) > maxRules {
@@ -57,12 +57,12 @@
 		faults.add("counting.try must be 0 or the version of a rule in the file, not %d", c.DesiredVersion)
 	}
 	if len(c.Rules) == 0 && c.Canary == (CanaryConfig{}) {
-		return faults // nothing to try
+		return faults // no rules, so no trials to configure
 	}
 	return append(faults, c.Canary.validate()...)
 }
 
-// validate gives what is wrong with a rule by itself.
+// validate returns an error for each fault in the rule that does not depend on other rules.
 func (r *Rule) validate() []error {
 	var faults faultList
 	inKey := r.validateKey(&faults)
@@ -72,7 +72,7 @@
 	return faults
 }
 
-// validateKey gives the parts that are in the key.
+// validateKey checks the key and returns the set of its parts.
 func (r *Rule) validateKey(faults *faultList) (inKey map[string]bool) {
 	inKey = map[string]bool{}
 	for _, part := range r.Key {
@@ -87,6 +87,8 @@
 	return inKey
 }
 
+// validateGroups checks the groups and the mask. keyHasGroup says whether the key contains the
+// group.
 func (r *Rule) validateGroups(faults *faultList, keyHasGroup bool) {
 	if keyHasGroup != (len(r.Groups) > 0 || r.Mask != 0) {
 		faults.add("key must hold group where there are groups or a mask, and only there")
@@ -116,6 +118,7 @@
 	}
 }
 
+// validateWeights checks the weights of traffic classes.
 func (r *Rule) validateWeights(faults *faultList) {
 	classes := map[string]bool{}
 	for _, weight := range r.Weights {
@@ -129,8 +132,8 @@
 	}
 }
 
-// validateLimits checks the limits. byPlan is true where requests of one plan share a count with no
-// other plan's.
+// validateLimits checks the limits. countsPerPlan says whether requests of different plans never
+// share a count. If they may, the rule must have the same limit for all plans.
 func (r *Rule) validateLimits(faults *faultList, countsPerPlan bool) {
 	plans := map[string]bool{}
 	for _, limit := range r.Limits {
@@ -146,5 +149,5 @@
 	}
 }
 
-// isLimit tells whether a value may be a rate or a burst. It is false for NaN, too.
+// isValidLimit reports whether a value is a valid rate or burst. It returns false for NaN.
 func isValidLimit(value float64) bool { return value > 0 && value < limitUpperBound }
