--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -8,19 +8,20 @@
 	"harrierhoist/internal/gateway/dispatch"
 )
 
-// canaryRun is this process's part of a canary, while there is one. The enforcer's lock guards it.
+// canaryRun is the shadow evaluation that this process does for a canary. It is guarded by
+// Enforcer.mu.
 type canaryRun struct {
-	shadow          *canary.Shadow // nil: no canary runs
-	seed            uint64         // of the shadow evaluation
-	uncreditedCalls uint64         // of the decision module, not yet in the budget
+	shadow          *canary.Shadow // nil if no canary is running
+	seed            uint64         // seed of the canary that shadow evaluates
+	uncreditedCalls uint64         // decision module's calls that shadow's budget does not include yet
 }
 
-// isEvaluated decides whether a phase of the table has its new rule evaluated beside the old one.
+// hasShadowEvaluation reports whether the new rule is evaluated alongside the old one in a phase.
 func hasShadowEvaluation(phase countingrule.Phase) bool {
 	return phase == countingrule.PhaseCanary || phase == countingrule.PhaseScheduled
 }
 
-// update begins and ends the canary as the table says.
+// update starts or ends the canary according to the table.
 func (c *canaryRun) update(rules *ruleSet) {
 	table := &rules.table
 	old, next := rules.rulesAroundSwitch()
@@ -32,7 +33,7 @@
 		return
 	}
 	sample, err := canary.NewSample(old.Rule, next.Rule, table.Seed, table.Canary.SamplePermille)
-	if err != nil { // the controller refuses such a rule, and says why in the table
+	if err != nil { // the controller refuses such a rule and stores the reason in the table
 		c.shadow = nil
 		return
 	}
@@ -40,7 +41,8 @@
 	c.seed = table.Seed
 }
 
-// reconfigure continues the canary, where there is one, under other settings.
+// reconfigure continues a running canary under new settings. It ends the canary if one of its rules
+// can no longer be resolved.
 func (c *canaryRun) reconfigure(rules *ruleSet) {
 	old, next := rules.rulesAroundSwitch()
 	if c.shadow == nil || old == nil {
@@ -50,13 +52,14 @@
 	c.shadow.Reconfigure(old, next, rules.settings)
 }
 
-// addBudget lets the shadow evaluation earn its share of the calls made since it last did.
+// addBudget credits the decision module's calls since the last credit to the shadow evaluation.
 func (c *canaryRun) addBudget() {
 	c.shadow.AddBudget(c.uncreditedCalls)
 	c.uncreditedCalls = 0
 }
 
-// flush gives the calls for units that no later request added.
+// flush returns the counter calls for units that are still pending because no later request of
+// their key has sent them.
 func (c *canaryRun) flush(now time.Duration) []canary.Call {
 	if c.shadow == nil {
 		return nil
@@ -65,7 +68,8 @@
 	return c.shadow.Flush(now)
 }
 
-// handleRequest evaluates a request, if it is sampled, and gives the calls to be made for it.
+// handleRequest evaluates a request if its customer is sampled. It returns the counter calls to
+// make for it.
 func (c *canaryRun) handleRequest(
 	now time.Duration, request *dispatch.RequestSpec,
 ) (calls []canary.Call, sampled bool) {
@@ -81,15 +85,14 @@
 	}), true
 }
 
-// recordActual counts the actual outcome of a request that was sampled. The canary may have ended
-// meanwhile.
+// recordActual records the actual outcome of a sampled request, unless the canary has ended since.
 func (c *canaryRun) recordActual(version uint64, units float64, forwarded bool) {
 	if c.shadow != nil {
 		c.shadow.RecordActual(version, units, forwarded)
 	}
 }
 
-// report gives the canary's observations.
+// report passes the canary's observations to add.
 func (c *canaryRun) report(add func(name string, n uint64)) {
 	if c.shadow != nil {
 		c.shadow.Report(add)
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -1,7 +1,7 @@
-// Package enforce has a gateway's requests counted by the rule in force: it connects the
-// dispatcher, the counter and the replicated table of counting rules. The gateway runs its
-// Enforcer, and the dispatcher calls it for each request. Which versions may be in force is decided
-// by package countingrule, what a new rule would do by package canary.
+// Package enforce applies the counting rule in force to a gateway's requests. Its Enforcer connects
+// the dispatcher, the counter and the replicated table of counting rules. The gateway runs the
+// Enforcer, and the dispatcher calls it for each request. Package countingrule determines which
+// versions may be in force; package canary evaluates a new rule.
 package enforce
 
 import (
@@ -18,12 +18,12 @@
 	"harrierhoist/policy"
 )
 
-// updateInterval is how often the shadow evaluation's units are flushed, and the table's lease is
-// examined.
+// updateInterval is the period at which the units of the shadow evaluation are flushed and the
+// table's lease is checked.
 const updateInterval = 250 * time.Millisecond
 
-// Enforcer counts requests by rule. It implements dispatch.CountingRules. Its lock is taken under
-// the dispatcher's, never the other way round.
+// Enforcer assigns requests to counts by the rule in force. It implements dispatch.CountingRules.
+// Lock order: the dispatcher's lock may be held when mu is acquired, but not the other way round.
 type Enforcer struct {
 	log        *zap.Logger
 	node       coordination.Client
@@ -33,10 +33,10 @@
 	rules           ruleSet
 	canary          canaryRun
 	admission       *countingrule.Admission
-	loggedUncertain bool // as last logged: it is not certain which version is in force
+	loggedUncertain bool // the version in force was uncertain when last logged
 }
 
-// New makes an enforcer of a file's configuration.
+// New returns an Enforcer with the configuration from the operators' file.
 func New(config *countingrule.Config, log *zap.Logger) *Enforcer {
 	return &Enforcer{
 		log:       log,
@@ -45,9 +45,9 @@
 	}
 }
 
-// Run has a dispatcher's requests counted by the rule in force and follows the table until the
-// context ends. Its error tells that the dispatcher accepts none of the rules: requests are counted
-// by rule 0.
+// Run applies the rule in force to a dispatcher's requests and follows the table until the context
+// ends. It returns an error immediately if the dispatcher rejects the plans of the rules. Requests
+// are then counted under rule 0.
 func (e *Enforcer) Run(ctx context.Context, node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	if err := e.start(node, dispatcher); err != nil {
 		return err
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// start puts the enforcer between a dispatcher and the table: requests are counted by rule from
-// here on.
+// start registers the enforcer with the dispatcher and the node. The dispatcher's requests are
+// assigned by the enforcer from then on.
 func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	e.dispatcher = dispatcher
 	e.node = node
@@ -76,12 +76,13 @@
 	return nil
 }
 
+// loop calls update at each change of the table and every updateInterval, until the context ends.
 func (e *Enforcer) loop(ctx context.Context) {
 	coordination.FollowTables(ctx, e.node, updateInterval, e.update)
 }
 
-// update brings new rules into the dispatcher's plans, begins or ends a canary, and flushes its
-// calls.
+// update applies the cached table: it passes the plans of new rules to the dispatcher, starts or
+// ends the canary, and sends the calls that the canary has pending.
 func (e *Enforcer) update() {
 	now := e.dispatcher.Now()
 	cached, leased := e.readTable()
@@ -100,8 +101,7 @@
 	e.sendCanaryCalls(e.canary.flush(now))
 }
 
-// logCertainty logs when it becomes uncertain which version is in force, and when it is certain
-// again.
+// logCertainty logs changes between a certain and an uncertain version in force. mu must be held.
 func (e *Enforcer) logCertainty(candidates []uint64) {
 	uncertain := len(candidates) > 1
 	if uncertain == e.loggedUncertain {
@@ -116,29 +116,30 @@
 	}
 }
 
-// Reconfigure takes the configuration of a file that was read again.
+// Reconfigure replaces the configuration after the operators' file was reloaded.
 func (e *Enforcer) Reconfigure(config *countingrule.Config) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rules.setConfig(config)
 }
 
-// readTable gives the table as cached, and whether its lease holds; a table that was never written
-// has a lease, too. It is called without the enforcer's lock: the node collects the enforcer's
-// observations under a lock of its own.
+// readTable returns the cached table and whether its lease is valid. A table that was never written
+// has a lease, too. mu must not be held, because the node collects the enforcer's observations
+// under its own lock.
 func (e *Enforcer) readTable() (cached coordination.CachedTable, leased bool) {
 	cached = e.node.Cached(countingrule.TableName)
 	return cached, e.node.Now() < cached.LeaseEnd
 }
 
-// WithRulePlans gives settings with the rules' own plans behind them.
+// WithRulePlans returns the settings with the plans of all known rules appended.
 func (e *Enforcer) WithRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rules.withPlans(settings)
 }
 
-// WithoutRulePlans puts settings into force for the rules and gives them as clients may know them.
+// WithoutRulePlans applies new settings to the rules, the admission and the canary. It returns the
+// settings that clients may see.
 func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,24 +149,24 @@
 	return countingrule.ClientSettings(settings)
 }
 
-// HandleCounterCall counts a call that the decision module makes: it earns the canary a part of one
-// (CallsPermille).
+// HandleCounterCall counts a call of the decision module to the counter. Each call adds the
+// fraction CanaryConfig.CallsPermille of a call to the canary's budget.
 func (e *Enforcer) HandleCounterCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.canary.uncreditedCalls++
 }
 
-// Assign decides how a request is counted: by the first of the versions that may be in force now,
-// and at the counts of the others, which must admit it, too. The request keeps these counts,
-// whichever version is in force later.
+// Assign returns how a request is counted. The decision module counts it under the first of the
+// versions that may be in force now; the counts of the others must admit it, too. The assignment
+// holds for the rest of the request, even if another version comes into force.
 func (e *Enforcer) Assign(now time.Duration, request dispatch.RequestSpec) dispatch.CountAssignment {
 	cached, leased := e.readTable()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rules.applyTable(cached)
 	versions := e.rules.candidates(now, leased)
-	if len(versions) == 0 { // none of them can be resolved here
+	if len(versions) == 0 { // no candidate is resolved here
 		versions = []uint64{0}
 	}
 	first := e.rules.assign(versions[0], &request)
@@ -191,8 +192,8 @@
 	return assignment
 }
 
-// countAssignment is how the decision module counts a request. Requests of a shared count come
-// through any gateway.
+// countAssignment returns how the decision module counts a request. The requests of a shared count
+// arrive at all gateways rather than at the customer's own. mu must be held.
 func (e *Enforcer) countAssignment(
 	first countingrule.Assignment, request *dispatch.RequestSpec,
 ) dispatch.CountAssignment {
@@ -209,8 +210,9 @@
 	}
 }
 
-// reserve reserves a request's units at the counter keys that it has beside the first; nil where it
-// has none. Versions that give the same key, and plans without a rate, need no reservation.
+// reserve returns reservations of a request's units at the counter keys of the other candidate
+// versions, or nil if there are none. Versions that assign the same key as the first, and plans
+// without a rate, need no reservation. mu must be held.
 func (e *Enforcer) reserve(
 	now time.Duration, versions []uint64, first countingrule.Assignment, request *dispatch.RequestSpec,
 ) *requestReservations {
@@ -233,8 +235,8 @@
 	}, reserved)
 }
 
-// sendCanaryCalls makes calls of the canary. An answer that comes after the canary's end is
-// dropped. The lock is held.
+// sendCanaryCalls sends the canary's calls to the counter. Answers that arrive after the end of the
+// canary cause no further calls. mu must be held.
 func (e *Enforcer) sendCanaryCalls(calls []canary.Call) {
 	shadow := e.canary.shadow
 	for _, call := range calls {
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -8,61 +8,61 @@
 	"harrierhoist/policy"
 )
 
-// timeoutDivisor divides the latency objective: the counts have that part of it to answer, as the
-// decision module's own call has.
+// timeoutDivisor divides a class's latency objective to give the time that a count has to answer.
+// The decision module allows the same time for its own call.
 const timeoutDivisor = 4
 
-// answerTimeout decides how long a request waits for the counts of the other rules.
+// answerTimeout returns how long a request of a class waits for the counts of the other rules.
 func answerTimeout(class *policy.TrafficClass) time.Duration {
 	return class.LatencyObjective / timeoutDivisor
 }
 
-// counterCaller calls the counter without the decision module. It neither waits nor calls back
-// before it returns.
+// counterCaller calls the counter directly, not through the decision module. CallCounter does not
+// block and does not call done before it returns.
 type counterCaller interface {
 	CallCounter(name uint64, units float64, ttl time.Duration, done func(count float64, outcome policy.Outcome))
 }
 
-// verdict is whether all counts admit a request.
+// verdict says whether all counts admit a request.
 type verdict uint8
 
 // The verdicts.
 const (
-	verdictPending verdict = iota // a count has not answered
+	verdictPending verdict = iota // at least one count has not answered
 	verdictAdmitted
 	verdictRejected
 )
 
-// usage is what a request that has its final answer used.
+// usage is what a request has used by the time of its final answer.
 type usage struct {
 	forwarded bool
-	units     float64 // unweighted; 0: not known
+	units     float64 // unweighted; 0 if unknown
 }
 
-// reservations are a request's units at the counter keys that it has to pass beside the decision
-// module's.
+// requestReservations holds the reservations of one request at all counter keys that must admit it,
+// except for the decision module's own.
 type requestReservations struct {
 	counter counterCaller
-	timeout time.Duration
-	weight  float64 // by which the decision module counts: actual units come multiplied by it
-	done    func(admitted bool)
+	timeout time.Duration       // time that each count has to answer
+	weight  float64             // weight of the decision module's count; actual units are multiplied by it
+	done    func(admitted bool) // called with the verdict, see charge
 
-	mu        *sync.Mutex // the enforcer's: it guards what follows
+	mu        *sync.Mutex // Enforcer.mu; guards the fields below
 	admission *countingrule.Admission
 	entries   []keyReservation
-	pending   int    // counts that have neither answered nor timed out
-	rejected  bool   // by at least one of the others
-	usage     *usage // nil: the request has no final answer yet
+	pending   int    // number of counts that have neither answered nor timed out
+	rejected  bool   // at least one of the other counts has rejected the request
+	usage     *usage // nil until the request has its final answer
 }
 
-// reservation is what became of one of them.
+// keyReservation is a reservation at one key and its state.
 type keyReservation struct {
 	countingrule.Reservation
 	charge   countingrule.ChargeState
-	admitted bool
+	admitted bool // the count admitted the request
 }
 
-// newReservations completes reservations with what was reserved.
+// newRequestReservations returns r with the given reservations, none of them charged yet.
 func newRequestReservations(r requestReservations, reserved []countingrule.Reservation) *requestReservations {
 	r.pending = len(reserved)
 	for _, reservation := range reserved {
@@ -71,8 +71,8 @@
 	return &r
 }
 
-// charge adds the units to the counts and calls done once all have answered. A count that does not
-// answer in time admits by this process's own share.
+// charge adds the units to the counts and calls done with the verdict once all of them have
+// answered. For a count that does not answer in time, this process's share of the limit decides.
 func (r *requestReservations) charge(done func(admitted bool)) {
 	r.done = done
 	for i := range r.entries {
@@ -87,7 +87,7 @@
 	}
 }
 
-// recordCharge records whether the units are in the count. After a timeout that is not known.
+// recordCharge records whether the units were added to the count. After a timeout that is unknown.
 func (r *requestReservations) recordCharge(entry *keyReservation, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +100,8 @@
 	}
 }
 
-// handleCount takes a count's answer, has the deficit of the previous window carried over where the
-// count's window is untouched, and hands on the verdict with the last answer.
+// handleCount handles a count's answer or timeout. In a new window it starts to carry over the
+// previous window's deficit. With the last answer it calls done.
 func (r *requestReservations) handleCount(entry *keyReservation, count float64, answered bool) {
 	r.mu.Lock()
 	admitted, previous := r.admission.HandleCount(entry.Reservation, count, answered)
@@ -118,8 +118,8 @@
 	}
 }
 
-// recordAnswer decides whether all counts admit the request, once the last one has answered: a
-// request passes only where each of them does.
+// recordAnswer records the answer of one count and returns the verdict so far. A request is
+// admitted only if every count admits it.
 func (r *requestReservations) recordAnswer(entry *keyReservation, admitted bool) verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// carryOver adds the deficit of the previous window to the reservation's.
+// carryOverDeficit adds the previous window's deficit to the reservation's count.
 func (r *requestReservations) carryOverDeficit(to countingrule.Reservation, previous countingrule.Window) {
 	r.counter.CallCounter(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
 		if deficit := to.Deficit(previous, count); outcome == policy.Answered && deficit > 0 {
@@ -146,28 +146,28 @@
 	})
 }
 
-// add adds units to a reservation's count. Nothing depends on the answer.
+// addUnits adds units to a reservation's count and ignores the answer.
 func (r *requestReservations) addUnits(to countingrule.Reservation, units float64) {
 	r.counter.CallCounter(to.Name, units, to.TTL, func(float64, policy.Outcome) {})
 }
 
-// complete records that the request has its final answer: whether it was forwarded, and its actual
-// units as the decision module counts them (0: not known). The lock is held.
+// complete records that the request has its final answer. units are its actual units as weighted by
+// the decision module's rule, or 0 if unknown. mu must be held.
 func (r *requestReservations) complete(forwarded bool, units float64) {
 	r.usage = &usage{forwarded: forwarded, units: units / r.weight}
 	r.settleIfComplete()
 }
 
-// settleWhenOver settles once all counts have answered and the request has its final answer. Either
-// may come last: a client may disconnect while a count is asked. The lock is held.
+// settleIfComplete settles if all counts have answered and the request has its final answer. Either
+// may happen last, as a client may disconnect before a count answers. mu must be held.
 func (r *requestReservations) settleIfComplete() {
 	if r.pending == 0 && r.usage != nil {
 		r.settle()
 	}
 }
 
-// settle gives back what the request did not use, or charges what it used beyond its reservations.
-// The lock is held.
+// settle returns the units that the request did not use, or charges those that it used in excess of
+// its reservations. mu must be held.
 func (r *requestReservations) settle() {
 	for i := range r.entries {
 		entry := &r.entries[i]
@@ -178,8 +178,8 @@
 	}
 }
 
-// of decides how many weighted units the request used of a reservation: all of them where the
-// actual units are not known.
+// unitsOf returns the weighted units that the request used of a reservation. If its actual units
+// are unknown, a forwarded request is assumed to have used all of them.
 func (u *usage) unitsOf(entry *keyReservation) float64 {
 	switch {
 	case !u.forwarded:
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -12,30 +12,33 @@
 	"harrierhoist/policy"
 )
 
-// ruleSet is what a process knows of the rules. The enforcer's lock guards it.
+// ruleSet holds the rules that this process knows from the table and from its configuration. It is
+// guarded by Enforcer.mu.
 type ruleSet struct {
 	log          *zap.Logger
 	config       *countingrule.Config
-	settings     policy.Settings     // in force
-	knownRules   []countingrule.Rule // of the table and of the configuration
-	merged       bool                // known has all rules of table and configuration
-	plansApplied bool                // the settings' plans include those of all known rules
-	resolved     map[uint64]*countingrule.Resolved
-	table        countingrule.Table
-	epoch        uint64 // of the table; 0: none was received
+	settings     policy.Settings                   // settings in force, with the rules' plans
+	knownRules   []countingrule.Rule               // rules of the table and of the configuration
+	merged       bool                              // knownRules includes all rules of table and config
+	plansApplied bool                              // the plans of all known rules were added to the settings
+	resolved     map[uint64]*countingrule.Resolved // by version, without those that cannot be applied
+	table        countingrule.Table                // last table that could be decoded
+	epoch        uint64                            // epoch of the last table received; 0 if there was none
 }
 
+// setConfig replaces the configuration. Its rules are merged by the next applyTable.
 func (r *ruleSet) setConfig(config *countingrule.Config) {
 	r.config = config
 	r.merged = false
 }
 
-// hasTable tells whether a table was ever received.
+// hasTable reports whether a table was ever received.
 func (r *ruleSet) hasTable() bool { return r.epoch > 0 }
 
-// apply takes a table as cached, and tells whether a rule's plans are not in the settings yet.
+// applyTable applies the cached table if it is newer. It reports whether the settings still lack
+// the plans of a known rule.
 func (r *ruleSet) applyTable(cached coordination.CachedTable) (plansPending bool) {
-	if cached.Epoch > r.epoch { // another goroutine may have read a later one meanwhile
+	if cached.Epoch > r.epoch { // another goroutine may have applied a later one
 		r.epoch = cached.Epoch
 		r.merged = false
 		r.decode(cached.Value)
@@ -46,6 +49,7 @@
 	return !r.plansApplied
 }
 
+// decode replaces the table with an encoded one. If that is malformed, it keeps the previous table.
 func (r *ruleSet) decode(value []byte) {
 	table, err := countingrule.Decode(value)
 	if err != nil {
@@ -60,8 +64,8 @@
 	r.table = table
 }
 
-// merge adds the rules of the table and of the configuration to the known ones. Where they differ
-// in a version, the committed rule of the table holds.
+// merge adds the rules of the table and of the configuration to the known rules. If they define a
+// version differently, the table's rule wins, because it is committed.
 func (r *ruleSet) merge() {
 	r.merged = true
 	for i, rule := range slices.Concat(r.table.Rules, r.config.Rules) {
@@ -78,13 +82,14 @@
 	}
 }
 
-// withPlans gives settings with the plans of all known rules.
+// withPlans returns the settings with the plans of all known rules appended.
 func (r *ruleSet) withPlans(settings policy.Settings) policy.Settings {
 	r.plansApplied = true
 	return countingrule.WithRulePlans(settings, r.knownRules)
 }
 
-// resolve resolves all known rules against settings that are in force now.
+// resolve resolves all known rules, and rule 0, against settings that come into force. Rules that
+// cannot be applied are logged and left unresolved.
 func (r *ruleSet) resolve(settings policy.Settings) {
 	r.settings = settings
 	for _, rule := range append([]countingrule.Rule{{}}, r.knownRules...) {
@@ -98,13 +103,13 @@
 	}
 }
 
-// candidates are the versions that may be in force, without those that are not resolved here.
+// candidates returns the versions that may be in force, without those that are not resolved here.
 func (r *ruleSet) candidates(now time.Duration, leased bool) []uint64 {
 	return slices.DeleteFunc(r.table.CandidateVersions(now, r.tableStatus(leased), r.config),
 		func(version uint64) bool { return r.resolved[version] == nil })
 }
 
-// tableStatus is what this process knows of the table, by whether the table's lease holds.
+// tableStatus returns the status of this process's table. leased says whether its lease is valid.
 func (r *ruleSet) tableStatus(leased bool) countingrule.TableStatus {
 	switch {
 	case leased:
@@ -116,12 +121,13 @@
 	}
 }
 
-// assign gives a request's counter key under a version that is resolved.
+// assign returns a request's counter key under a version, which must be resolved.
 func (r *ruleSet) assign(version uint64, request *dispatch.RequestSpec) countingrule.Assignment {
 	return r.resolved[version].Assign(request.Customer, request.Class, request.Plan)
 }
 
-// switched gives the rules before and after the table's switch, nil where one is not resolved here.
+// rulesAroundSwitch returns the rules before and after the table's switch. Both are nil if one of
+// them is not resolved here.
 func (r *ruleSet) rulesAroundSwitch() (old, next *countingrule.Resolved) {
 	old = r.resolved[r.table.From]
 	next = r.resolved[r.table.To]
