--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -11,26 +11,26 @@
 
 // committed is a table from the time of its commit on.
 type committedTable struct {
-	at    time.Duration
-	table Table
+	committedAt time.Duration
+	table       Table
 }
 
 // nextTable draws a step that the controller proposes at a time, with a switch that follows after
 // lead. It gives false where the controller would do nothing.
 func nextTable(t *rapid.T, table Table, now, lead time.Duration) (Table, bool) {
-	next := rapid.Uint64Range(0, 2).Draw(t, "next")
+	nextVersion := rapid.Uint64Range(0, 2).Draw(t, "next")
 	switch table.Phase {
 	case PhaseIdle:
 		switch {
-		case next == table.From:
+		case nextVersion == table.From:
 			return table, false
-		case next == table.Previous:
-			table.Phase, table.To, table.SwitchAt = PhaseRollback, next, now+lead
-		case !slices.Contains(table.Refused, next):
-			table.Phase, table.To = PhaseCanary, next
+		case nextVersion == table.Previous:
+			table.Phase, table.To, table.SwitchAt = PhaseRollback, nextVersion, now+lead
+		case !slices.Contains(table.Refused, nextVersion):
+			table.Phase, table.To = PhaseCanary, nextVersion
 		}
 	case PhaseCanary:
-		if next == 0 {
+		if nextVersion == 0 {
 			table.Refused = append(slices.Clone(table.Refused), table.To)
 			table.Phase, table.To = PhaseIdle, table.From
 		} else {
@@ -40,7 +40,7 @@
 		switch {
 		case now <= table.SwitchAt:
 			return table, false
-		case table.Phase == PhaseScheduled && next == 0:
+		case table.Phase == PhaseScheduled && nextVersion == 0:
 			table.Refused = append(slices.Clone(table.Refused), table.To)
 			table.Phase, table.From, table.To, table.SwitchAt = PhaseRollback, table.To, table.From, now+lead
 		default:
@@ -67,7 +67,7 @@
 	tableAt := func(at time.Duration) Table {
 		table := history[0].table
 		for _, step := range history {
-			if step.at <= at {
+			if step.committedAt <= at {
 				table = step.table
 			}
 		}
@@ -75,12 +75,12 @@
 	}
 	for readAt := range now + 1 {
 		for now := readAt; now < readAt+60; now += 3 {
-			known, truth := tableAt(readAt), tableAt(now)
-			inForce, status := truth.InForce(now), TableExpired
+			cached, current := tableAt(readAt), tableAt(now)
+			inForce, status := current.InForce(now), TableExpired
 			if now < readAt+lease {
 				status = TableLeased
 			}
-			got := known.CandidateVersions(now, status, config)
+			got := cached.CandidateVersions(now, status, config)
 			if !slices.Contains(got, inForce) || status == TableLeased && len(got) != 1 {
 				return fmt.Sprintf("%d is in force, candidates %v; read at %d, now %d, %+v",
 					inForce, got, readAt, now, history)
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -17,15 +17,15 @@
 	plain, enforced := newFixture(t), newStartedFixture(t)
 	enforced.node.setTable(countingrule.Table{}, true)
 	for customer := range uint64(20) {
-		if !plain.serveOne(customer) || !enforced.serveOne(customer) {
+		if !plain.serveRequest(customer) || !enforced.serveRequest(customer) {
 			t.Fatal("a request within its plan is rejected")
 		}
 	}
-	expected := plain.counter.calls()
+	expected := plain.counter.calledNames()
 	for customer := range uint64(20) { // a window may have ended between the two
 		expected = append(expected, enforced.customerCountName(customer))
 	}
-	calls := enforced.counter.calls()
+	calls := enforced.counter.calledNames()
 	for _, name := range calls {
 		if !slices.Contains(expected, name) {
 			t.Errorf("counted under another name: %x", name)
@@ -43,17 +43,17 @@
 	table := groupTable(countingrule.PhaseScheduled)
 	table.SwitchAt = f.dispatcher.Now() + time.Second
 	f.node.setTable(table, true)
-	before := f.countName(0, 5)
-	if !f.serveOne(5) || f.dispatcher.Now() > table.SwitchAt {
+	customerCount := f.countName(0, 5)
+	if !f.serveRequest(5) || f.dispatcher.Now() > table.SwitchAt {
 		t.Fatal("before the switch: rejected, or too slow")
 	}
-	if _, found := f.counter.total(before); !found {
+	if _, found := f.counter.total(customerCount); !found {
 		t.Error("before the switch rule 0 is not the one that counts")
 	}
 	fakes.Eventually(t, "the switch", func() bool { return f.dispatcher.Now() > table.SwitchAt })
 	forwarded := 0
 	for i := range uint64(6) {
-		if f.serveOne(5 + i%2) {
+		if f.serveRequest(5 + i%2) {
 			forwarded++
 		}
 	}
@@ -69,7 +69,7 @@
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	name := f.countName(1, 5)
-	if !f.serveOne(5) || f.serveOne(5) || f.serveOne(5) {
+	if !f.serveRequest(5) || f.serveRequest(5) || f.serveRequest(5) {
 		t.Error("not one alone is forwarded, where the group's count holds one")
 	}
 	fakes.Eventually(t, "units given back", func() bool { units, _ := f.counter.total(name); return units < 2.5 })
@@ -77,7 +77,7 @@
 		t.Errorf("the count of the new rule holds %v, not the two of the one that was forwarded", units)
 	}
 	f.node.setTable(groupTable(countingrule.PhaseCanary), true)
-	if !f.serveOne(5) {
+	if !f.serveRequest(5) {
 		t.Error("with a lease again, both rules must still admit")
 	}
 }
@@ -89,7 +89,7 @@
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	f.counter.silence()
 	start := time.Now()
-	if first, second := f.serveOne(5), f.serveOne(5); !first || second {
+	if first, second := f.serveRequest(5), f.serveRequest(5); !first || second {
 		t.Errorf("forwarded %v and %v where the group's limit holds one", first, second)
 	}
 	if time.Since(start) > 2*time.Second {
@@ -109,7 +109,7 @@
 		return f.enforcer.canary.shadow != nil
 	})
 	for range 40 {
-		if !f.serveOne(5) {
+		if !f.serveRequest(5) {
 			t.Fatal("a request is rejected in a canary")
 		}
 	}
@@ -119,7 +119,7 @@
 	fakes.Eventually(t, "observations", func() bool {
 		got := f.observations()
 		return got["canary/9/old"] > 0 && got["canary/9/real/0/in"] == 40_000 && got["canary/9/calls"] > 0 &&
-			got["canary/9/calls"] <= uint64(len(f.counter.calls()))
+			got["canary/9/calls"] <= uint64(len(f.counter.calledNames()))
 	})
 }
 
@@ -128,7 +128,7 @@
 	const uncertain = "counting: version in force uncertain, all candidates must admit"
 	const certain = "counting: version in force certain"
 	f := newStartedFixture(t)
-	logged := func(message string, versions ...uint64) func() bool {
+	isLogged := func(message string, versions ...uint64) func() bool {
 		return func() bool {
 			for _, entry := range f.logs.FilterMessage(message).All() {
 				if got, ok := entry.ContextMap()["versions"].([]any); ok && slices.EqualFunc(got, versions,
@@ -139,9 +139,9 @@
 			return false
 		}
 	}
-	fakes.Eventually(t, "uncertain before a table is received", logged(uncertain, 0, 1))
+	fakes.Eventually(t, "uncertain before a table is received", isLogged(uncertain, 0, 1))
 	f.node.setTable(groupTable(countingrule.PhaseCanary), true)
-	fakes.Eventually(t, "certain under a lease", logged(certain, 0))
+	fakes.Eventually(t, "certain under a lease", isLogged(certain, 0))
 	if n := f.logs.FilterMessage("counting: table changed").Len(); n != 1 {
 		t.Errorf("%d lines of one change of the table", n)
 	}
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -17,11 +17,11 @@
 
 // fakeNode caches the table that a test sets.
 type fakeNode struct {
-	mu      sync.Mutex
-	start   time.Time
-	cached  coordination.CachedTable
-	changed chan struct{}
-	report  func(add func(string, uint64))
+	mu             sync.Mutex
+	start          time.Time
+	cached         coordination.CachedTable
+	changed        chan struct{}
+	reportCounters func(add func(string, uint64))
 }
 
 func (n *fakeNode) Now() time.Duration { return time.Since(n.start) }
@@ -38,7 +38,7 @@
 	return n.changed
 }
 
-func (n *fakeNode) RegisterCounters(report func(add func(string, uint64))) { n.report = report }
+func (n *fakeNode) RegisterCounters(report func(add func(string, uint64))) { n.reportCounters = report }
 func (n *fakeNode) RegisterExactCounters(func(add func(string, uint64)))   {}
 
 // setTable has the process receive a table, with a lease that holds or one that is over.
@@ -89,7 +89,7 @@
 }
 
 // calls are the names of all calls, in their order.
-func (c *fakeCounter) calls() []uint64 {
+func (c *fakeCounter) calledNames() []uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]uint64(nil), c.names...)
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, f.dispatcher.RunTimers)
+	runUntilCleanup(t, f.dispatcher.RunTimers)
 	f.dispatcher.HandleEndpoints(policy.ListFull, []dispatch.Server{
 		{Name: "s-1", Address: "here", Endpoint: policy.Endpoint{State: policy.Ready}},
 	})
@@ -149,7 +149,7 @@
 }
 
 // run runs a function until the test ends.
-func run(t *testing.T, loop func(context.Context)) {
+func runUntilCleanup(t *testing.T, loop func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(t.Context()))
 	var running sync.WaitGroup
@@ -166,12 +166,12 @@
 	if err := f.enforcer.start(f.node, f.dispatcher); err != nil {
 		t.Fatal(err)
 	}
-	run(t, f.enforcer.loop)
+	runUntilCleanup(t, f.enforcer.loop)
 	return f
 }
 
 // serveOne takes a customer's request to its end and tells whether it was forwarded.
-func (f *fixture) serveOne(customer uint64) bool {
+func (f *fixture) serveRequest(customer uint64) bool {
 	request := f.dispatcher.Admit(dispatch.RequestSpec{
 		Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second,
 	})
@@ -201,6 +201,6 @@
 // observations are the counts that the node would report, with slashes between the parts of a name.
 func (f *fixture) observations() map[string]uint64 {
 	counts := map[string]uint64{}
-	f.node.report(func(name string, n uint64) { counts[withSlashes(name)] = n })
+	f.node.reportCounters(func(name string, n uint64) { counts[withSlashes(name)] = n })
 	return counts
 }
--- a/internal/control/countingrule/golden_refusals_test.go
+++ b/internal/control/countingrule/golden_refusals_test.go
@@ -90,11 +90,11 @@
 	for i := range uint64(33) {
 		config.Rules = append(config.Rules, Rule{Version: i + 1, Key: []string{"customer"}})
 	}
-	many := Group{Name: "many"}
+	largeGroup := Group{Name: "many"}
 	for customer := range uint64(10_001) {
-		many.Customers = append(many.Customers, customer)
+		largeGroup.Customers = append(largeGroup.Customers, customer)
 	}
-	config.Rules[0] = Rule{Version: 1, Key: []string{"group", "customer"}, Groups: []Group{many}}
+	config.Rules[0] = Rule{Version: 1, Key: []string{"group", "customer"}, Groups: []Group{largeGroup}}
 	fmt.Fprintf(&out, "too many rules and customers, no canary\n")
 	for _, fault := range config.Check() {
 		fmt.Fprintf(&out, "    %s\n", fault)
@@ -103,9 +103,9 @@
 	for _, fault := range (&Config{}).Check() {
 		fmt.Fprintf(&out, "    %s\n", fault)
 	}
-	ceiling := testSettings()
-	ceiling.Plans[0].CeilingRate = 1
-	for _, settings := range []policy.Settings{testSettings(), ceiling} {
+	ceilingSettings := testSettings()
+	ceilingSettings.Plans[0].CeilingRate = 1
+	for _, settings := range []policy.Settings{testSettings(), ceilingSettings} {
 		settings.Plans[1].MaxInFlight = 2
 		rule := goldenRules()[1]
 		if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err != nil {
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -108,11 +108,11 @@
 		for _, customer := range []uint64{0, 1, 2, 4, 0x123456789abcdef, math.MaxInt64} {
 			for class := range 2 {
 				for plan := range 3 {
-					c := resolved.Assign(customer, class, plan)
+					assignment := resolved.Assign(customer, class, plan)
 					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v",
-						rule.Version, customer, class, plan, c.Key, c.Plan, c.Weight, c.Shared)
-					if plan := &settings.Plans[c.Plan]; plan.Rate > 0 {
-						window := WindowAt(c.Key, plan, 1_764_652_800_123_456_789)
+						rule.Version, customer, class, plan, assignment.Key, assignment.Plan, assignment.Weight, assignment.Shared)
+					if plan := &settings.Plans[assignment.Plan]; plan.Rate > 0 {
+						window := WindowAt(assignment.Key, plan, 1_764_652_800_123_456_789)
 						fmt.Fprintf(&out, "; window %x from %d for %d, number %d",
 							window.Name, window.Start, window.TTL, window.Index)
 					}
@@ -130,26 +130,26 @@
 	var out bytes.Buffer
 	plan := policy.Plan{Rate: 1.5, Burst: 8}
 	for _, gateways := range []int{0, 1, 4} {
-		admission, total := NewAdmission(gateways), map[uint64]float64{}
+		admission, counts := NewAdmission(gateways), map[uint64]float64{}
 		now := 1_764_652_800 * time.Second
 		for i := range 60 {
 			now += time.Duration(i*i%7) * 400 * time.Millisecond
-			c := Assignment{Version: 1, Key: uint64(i % 3), Weight: 1 + float64(i%2)/2}
-			reservation := admission.Reserve(c, plan, float64(1+i%3), now)
+			assignment := Assignment{Version: 1, Key: uint64(i % 3), Weight: 1 + float64(i%2)/2}
+			reservation := admission.Reserve(assignment, plan, float64(1+i%3), now)
 			answered := i%5 != 4
 			if answered {
-				total[reservation.Name] += reservation.Units
+				counts[reservation.Name] += reservation.Units
 			}
-			admitted, previous := admission.HandleCount(reservation, total[reservation.Name], answered)
+			admitted, previous := admission.HandleCount(reservation, counts[reservation.Name], answered)
 			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v",
 				gateways, i, reservation.Name, reservation.TTL, reservation.Units, admitted)
 			if previous != nil {
-				deficit := reservation.Deficit(*previous, total[previous.Name])
+				deficit := reservation.Deficit(*previous, counts[previous.Name])
 				fmt.Fprintf(&out, ", before %x from %d lacked %v", previous.Name, previous.Start, deficit)
 			}
-			used, added := reservation.Units*float64(i%4)/2, ChargeState(i%3)
-			correction := admission.Settle(reservation, admitted, used, added)
-			total[reservation.Name] += correction
+			used, charge := reservation.Units*float64(i%4)/2, ChargeState(i%3)
+			correction := admission.Settle(reservation, admitted, used, charge)
+			counts[reservation.Name] += correction
 			fmt.Fprintf(&out, ", used %v, settled %v\n", used, correction)
 		}
 	}
