--- a/internal/control/countingrule/admission_test.go
+++ b/internal/control/countingrule/admission_test.go
@@ -7,12 +7,12 @@
 	"harrierhoist/policy"
 )
 
-// Without an answer a process admits its even share of a limit; what may have been added is never
-// taken off again.
+// Without an answer from the counter, a gateway admits its equal share of a limit. Settle returns
+// units only if they are known to have been charged.
 func TestAdmission_withoutACounter(t *testing.T) {
 	plan := policy.Plan{Rate: 0.1, Burst: 8}
 	admission := NewAdmission(4)
-	now := WindowAt(7, &plan, time.Hour).Start + time.Second // a window's beginning, whatever the hour
+	now := WindowAt(7, &plan, time.Hour).Start + time.Second // one second into a window
 	admittedCount := 0
 	for range 8 {
 		reservation := admission.Reserve(Assignment{Key: 7, Weight: 1}, plan, 1, now)
@@ -21,7 +21,7 @@
 		}
 	}
 	if admittedCount != 2 {
-		t.Errorf("%d of 8 admitted, want 2: a quarter of the limit", admittedCount)
+		t.Errorf("%d of 8 requests admitted, want 2: a quarter of the limit", admittedCount)
 	}
 	reservation := admission.Reserve(Assignment{Key: 7, Weight: 3}, plan, 1, now)
 	for _, test := range []struct {
@@ -38,7 +38,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := admission.Settle(reservation, test.admitted, test.used, test.charge); got != test.want {
-				t.Errorf("settled with %v, want %v", got, test.want)
+				t.Errorf("Settle returned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// committed is a table from the time of its commit on.
+// committedTable is a table and the time of its commit.
 type committedTable struct {
 	committedAt time.Duration
 	table       Table
 }
 
-// nextTable draws a step that the controller proposes at a time, with a switch that follows after
-// lead. It gives false where the controller would do nothing.
+// nextTable draws a step that the controller may take at a time, with any switch lead later. It
+// returns false if the controller would do nothing.
 func nextTable(t *rapid.T, table Table, now, lead time.Duration) (Table, bool) {
 	nextVersion := rapid.Uint64Range(0, 2).Draw(t, "next")
 	switch table.Phase {
@@ -50,12 +50,12 @@
 	return table, true
 }
 
-// switchViolation draws a history of trials, switches and rollbacks, each switch after lead, and a
-// process that reads the table once. It describes a moment at which the version in force is not
-// among the process's candidates, or is not the only one while the lease of 20 holds; else it is
-// empty.
+// findSwitchViolation draws a history of trials, switches and rollbacks, with a time of lead before
+// each switch, and checks all processes that read the table once. It describes a time at which the
+// version in force is not among a process's candidates, or is not the only one although the lease
+// is valid. It returns an empty string if there is no such time.
 func findSwitchViolation(t *rapid.T, lead time.Duration) string {
-	const lease = 20
+	const lease = 20 // in the same unit as lead
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
 	history, now := []committedTable{{0, Table{}}}, time.Duration(0)
 	for range rapid.IntRange(2, 12).Draw(t, "steps") {
@@ -82,7 +82,7 @@
 			}
 			got := cached.CandidateVersions(now, status, config)
 			if !slices.Contains(got, inForce) || status == TableLeased && len(got) != 1 {
-				return fmt.Sprintf("%d is in force, candidates %v; read at %d, now %d, %+v",
+				return fmt.Sprintf("version %d is in force, candidates are %v; table read at %d, now %d, history %+v",
 					inForce, got, readAt, now, history)
 			}
 		}
@@ -98,14 +98,14 @@
 	})
 }
 
-// The same check finds a switch that is nearer than a lease.
+// The check of the test above must find a violation if the lead is shorter than the lease.
 func TestCandidateVersions_checkFindsSwitchWithinALease(t *testing.T) {
 	generator := rapid.Custom(func(t *rapid.T) string { return findSwitchViolation(t, 15) })
 	for runs := range 1000 {
 		if generator.Example(runs) != "" {
-			t.Logf("found after %d runs", runs+1)
+			t.Logf("violation found after %d runs", runs+1)
 			return
 		}
 	}
-	t.Error("not found in 1000 runs")
+	t.Error("no violation found in 1000 runs")
 }
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -11,8 +11,8 @@
 	"harrierhoist/policy"
 )
 
-// testSettings has a plan that a rule's limit names, one that no limit names, and one that has no
-// rate.
+// testSettings returns settings with a plan that a rule's limit names, one that no limit names, and
+// one without a rate.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 3,
@@ -28,6 +28,7 @@
 	}
 }
 
+// completeFile is a valid configuration with rules by class and by group.
 const completeFile = `
 try = 2
 [[rule]]
@@ -82,14 +83,14 @@
 			faults := parseConfig(t, strings.Replace(completeFile, test.from, test.to, 1)).Check()
 			isWanted := func(fault error) bool { return strings.Contains(fault.Error(), test.want) }
 			if !slices.ContainsFunc(faults, isWanted) {
-				t.Errorf("%s: %v, want %q", test.to, faults, test.want)
+				t.Errorf("%s: faults %v, want one that contains %q", test.to, faults, test.want)
 			}
 		})
 	}
 }
 
-// A mask of few bits is refused as it makes few groups; a shared count is refused beside a ceiling
-// that limits each customer.
+// A mask with few bits is rejected because it forms too few groups. A rule with shared counts is
+// rejected if a plan has a ceiling for each customer.
 func TestRule_thatCannotApplyIsRefused(t *testing.T) {
 	rule := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
 	if faults := rule.validate(); len(faults) != 1 || !strings.Contains(faults[0].Error(), "mask must have 5 bits") {
@@ -98,6 +99,6 @@
 	settings := testSettings()
 	settings.Plans[0].CeilingRate = 1
 	if _, err := Resolve(rule, WithRulePlans(settings, []Rule{rule})); err == nil {
-		t.Error("a rule with shared counts was resolved beside each customer's ceiling")
+		t.Error("a rule with shared counts was resolved although a plan has a ceiling for each customer")
 	}
 }
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -10,34 +10,35 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
+// withSlashes replaces the separators in the name of a reported counter by slashes.
 func withSlashes(name string) string { return strings.ReplaceAll(name, "\x1f", "/") }
 
-// Under rule 0 the counter is called by the same names as without an enforcer.
+// Under rule 0 the names at the counter are the same as without an enforcer.
 func TestEnforcer_ruleZeroCountsUnderTheSameNames(t *testing.T) {
 	plain, enforced := newFixture(t), newStartedFixture(t)
 	enforced.node.setTable(countingrule.Table{}, true)
 	for customer := range uint64(20) {
 		if !plain.serveRequest(customer) || !enforced.serveRequest(customer) {
-			t.Fatal("a request within its plan is rejected")
+			t.Fatal("a request within its plan was rejected")
 		}
 	}
 	expected := plain.counter.calledNames()
-	for customer := range uint64(20) { // a window may have ended between the two
+	for customer := range uint64(20) { // a new window may have begun between the two requests
 		expected = append(expected, enforced.customerCountName(customer))
 	}
 	calls := enforced.counter.calledNames()
 	for _, name := range calls {
 		if !slices.Contains(expected, name) {
-			t.Errorf("counted under another name: %x", name)
+			t.Errorf("counted under an unexpected name: %x", name)
 		}
 	}
 	if len(calls) < 20 {
-		t.Errorf("%d calls for 20 customers", len(calls))
+		t.Errorf("%d calls for 20 customers, want at least 20", len(calls))
 	}
 }
 
-// After the switch a group shares one count, a unit weighs two, and the group's limit holds for all
-// of its customers.
+// After the switch, the customers of a group share one count and its limit, and a unit counts
+// twice.
 func TestEnforcer_newRuleCountsAfterTheSwitch(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseScheduled)
@@ -45,10 +46,10 @@
 	f.node.setTable(table, true)
 	customerCount := f.countName(0, 5)
 	if !f.serveRequest(5) || f.dispatcher.Now() > table.SwitchAt {
-		t.Fatal("before the switch: rejected, or too slow")
+		t.Fatal("before the switch: the request was rejected or took until after the switch")
 	}
 	if _, found := f.counter.total(customerCount); !found {
-		t.Error("before the switch rule 0 is not the one that counts")
+		t.Error("before the switch: the request was not counted under rule 0")
 	}
 	fakes.Eventually(t, "the switch", func() bool { return f.dispatcher.Now() > table.SwitchAt })
 	forwarded := 0
@@ -58,46 +59,46 @@
 		}
 	}
 	if _, found := f.counter.total(f.countName(1, 6)); !found || forwarded != 1 {
-		t.Errorf("%d forwarded of a group whose burst holds one and a half, counted under its key: %v",
+		t.Errorf("%d requests forwarded, want 1: the group's burst covers one and a half; counted under its key: %v",
 			forwarded, found)
 	}
 }
 
-// A process past the end of its lease admits only what both rules admit, charges both, and gives
-// back what the other rule rejected.
+// Without a valid lease, a request is admitted only if both rules admit it. It is charged to both
+// counts, and its units are returned if the other rule rejects it.
 func TestEnforcer_bothRulesMustAdmitPastTheLease(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	name := f.countName(1, 5)
 	if !f.serveRequest(5) || f.serveRequest(5) || f.serveRequest(5) {
-		t.Error("not one alone is forwarded, where the group's count holds one")
+		t.Error("want only the first of three requests forwarded: the group's count has room for one")
 	}
 	fakes.Eventually(t, "units given back", func() bool { units, _ := f.counter.total(name); return units < 2.5 })
 	if units, _ := f.counter.total(name); units < 2 {
-		t.Errorf("the count of the new rule holds %v, not the two of the one that was forwarded", units)
+		t.Errorf("the new rule's count is %v, want at least 2 for the forwarded request", units)
 	}
 	f.node.setTable(groupTable(countingrule.PhaseCanary), true)
 	if !f.serveRequest(5) {
-		t.Error("with a lease again, both rules must still admit")
+		t.Error("request rejected under a valid lease, where rule 0 alone decides")
 	}
 }
 
-// Where the counter stops answering while both rules must admit, no request waits for it longer
-// than a part of its latency objective, and each has its final answer.
+// If the counter stops answering while both rules must admit, a request waits only for a fraction
+// of its latency objective and still gets its final answer.
 func TestEnforcer_silentCounterDelaysNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	f.counter.silence()
 	start := time.Now()
 	if first, second := f.serveRequest(5), f.serveRequest(5); !first || second {
-		t.Errorf("forwarded %v and %v where the group's limit holds one", first, second)
+		t.Errorf("forwarded %v and %v, want only the first: the group's limit covers one request", first, second)
 	}
 	if time.Since(start) > 2*time.Second {
-		t.Errorf("two requests took %v", time.Since(start))
+		t.Errorf("two requests took %v, want at most 2s", time.Since(start))
 	}
 }
 
-// A canary counts under names of its own, and rejects no request that the new rule would reject.
+// A canary counts under separate names and does not reject requests that the new rule would reject.
 func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseCanary)
@@ -110,11 +111,11 @@
 	})
 	for range 40 {
 		if !f.serveRequest(5) {
-			t.Fatal("a request is rejected in a canary")
+			t.Fatal("a request was rejected during a canary")
 		}
 	}
 	if _, found := f.counter.total(f.countName(1, 5)); found {
-		t.Error("the canary counts under a rule's own name")
+		t.Error("the canary counted under the new rule's name")
 	}
 	fakes.Eventually(t, "observations", func() bool {
 		got := f.observations()
@@ -123,7 +124,7 @@
 	})
 }
 
-// The log says when it becomes uncertain which version is in force, and when it is certain again.
+// The log must show when the version in force becomes uncertain, and when it is certain again.
 func TestEnforcer_logsUncertainty(t *testing.T) {
 	const uncertain = "counting: version in force uncertain, all candidates must admit"
 	const certain = "counting: version in force certain"
@@ -143,6 +144,6 @@
 	f.node.setTable(groupTable(countingrule.PhaseCanary), true)
 	fakes.Eventually(t, "certain under a lease", isLogged(certain, 0))
 	if n := f.logs.FilterMessage("counting: table changed").Len(); n != 1 {
-		t.Errorf("%d lines of one change of the table", n)
+		t.Errorf("%d log lines for one change of the table, want 1", n)
 	}
 }
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -15,7 +15,7 @@
 	"harrierhoist/policy"
 )
 
-// fakeNode caches the table that a test sets.
+// fakeNode is a coordination client that caches the table that a test sets.
 type fakeNode struct {
 	mu             sync.Mutex
 	start          time.Time
@@ -41,7 +41,7 @@
 func (n *fakeNode) RegisterCounters(report func(add func(string, uint64))) { n.reportCounters = report }
 func (n *fakeNode) RegisterExactCounters(func(add func(string, uint64)))   {}
 
-// setTable has the process receive a table, with a lease that holds or one that is over.
+// setTable makes the node receive a table, with a valid or an expired lease.
 func (n *fakeNode) setTable(table countingrule.Table, leased bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,12 +56,12 @@
 	n.changed = make(chan struct{})
 }
 
-// fakeCounter answers at once.
+// fakeCounter is a counter that answers immediately, or never once it is silent.
 type fakeCounter struct {
 	mu     sync.Mutex
 	totals map[uint64]float64
-	names  []uint64 // in the order of the calls
-	silent bool     // it answers no call
+	names  []uint64 // names of all calls, in order
+	silent bool     // calls are not answered
 }
 
 func (c *fakeCounter) call(name uint64, units float64, _ time.Duration, done func(float64, policy.Outcome)) {
@@ -80,7 +80,7 @@
 	c.silent = true
 }
 
-// total is what a name was charged, and whether it was ever called.
+// total returns the units charged to a name, and whether the name was ever called.
 func (c *fakeCounter) total(name uint64) (units float64, found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,14 +88,14 @@
 	return units, found
 }
 
-// calls are the names of all calls, in their order.
+// calledNames returns the names of all calls, in order.
 func (c *fakeCounter) calledNames() []uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]uint64(nil), c.names...)
 }
 
-// groupRule has two customers share a count with room for one request of theirs.
+// groupRule makes two customers share a count whose burst covers one request.
 var groupRule = countingrule.Rule{
 	Version: 1,
 	Key:     []string{"group"},
@@ -104,12 +104,13 @@
 	Limits:  []countingrule.Limit{{Plan: "*", Rate: 0.1, Burst: 3}},
 }
 
-// groupTable is a table of the group's rule.
+// groupTable returns a table with groupRule as the new rule.
 func groupTable(phase countingrule.Phase) countingrule.Table {
 	return countingrule.Table{Phase: phase, To: groupRule.Version, Rules: []countingrule.Rule{groupRule}}
 }
 
-// fixture is a dispatcher with one server and a counter, and an enforcer that may not be started.
+// fixture has a dispatcher with one server and a counter, and an enforcer that newStartedFixture
+// starts.
 type fixture struct {
 	node       *fakeNode
 	counter    *fakeCounter
@@ -148,7 +149,7 @@
 	return f
 }
 
-// run runs a function until the test ends.
+// runUntilCleanup runs a function in a goroutine and stops it when the test ends.
 func runUntilCleanup(t *testing.T, loop func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(t.Context()))
@@ -170,7 +171,7 @@
 	return f
 }
 
-// serveOne takes a customer's request to its end and tells whether it was forwarded.
+// serveRequest completes one request of a customer and reports whether it was forwarded.
 func (f *fixture) serveRequest(customer uint64) bool {
 	request := f.dispatcher.Admit(dispatch.RequestSpec{
 		Customer: customer, Units: 1, GatewayCount: 1, Timeout: time.Second,
@@ -182,7 +183,7 @@
 	return true
 }
 
-// countName is the counter's name for a customer under a version, now.
+// countName returns the current name at the counter for a customer under a version.
 func (f *fixture) countName(version, customer uint64) uint64 {
 	f.enforcer.mu.Lock()
 	defer f.enforcer.mu.Unlock()
@@ -191,14 +192,15 @@
 	return countingrule.WindowAt(assignment.Key, &plan, f.dispatcher.Now()).Name
 }
 
-// customerCountName is the name of a customer's own count now, independent of the enforcer's rules.
+// customerCountName returns the current name of a customer's count under rule 0, without using the
+// enforcer's rules.
 func (f *fixture) customerCountName(customer uint64) uint64 {
 	f.enforcer.mu.Lock()
 	defer f.enforcer.mu.Unlock()
 	return countingrule.WindowAt(customer, &f.enforcer.rules.settings.Plans[0], f.dispatcher.Now()).Name
 }
 
-// observations are the counts that the node would report, with slashes between the parts of a name.
+// observations returns the counters that the node would report, with slashes in their names.
 func (f *fixture) observations() map[string]uint64 {
 	counts := map[string]uint64{}
 	f.node.reportCounters(func(name string, n uint64) { counts[withSlashes(name)] = n })
--- a/internal/control/countingrule/golden_refusals_test.go
+++ b/internal/control/countingrule/golden_refusals_test.go
@@ -12,7 +12,7 @@
 	"harrierhoist/policy"
 )
 
-// refusals are changes to the file of TestGolden_operatorsFile, each with one fault or more.
+// refusals lists changes to the file of TestGolden_operatorsFile. Each causes at least one fault.
 var refusals = []struct{ name, from, to string }{
 	{"try unknown", "try = 2", "try = 9"},
 	{"version twice", "version = 2", "version = 1"},
@@ -66,7 +66,8 @@
 	{"several faults", "[counting.canary]\nsample = 20\ncalls = 60", "[counting.canary]\nsample = 0\ncalls = 300"},
 }
 
-// Each refusal stays as operators know it: one line with the key and what is allowed.
+// The errors that operators see must not change: one line for each fault, with the key and the
+// allowed values.
 func TestGolden_refusals(t *testing.T) {
 	text := string(golden.Read(t, "rules.toml"))
 	var out bytes.Buffer
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -14,11 +14,11 @@
 	"harrierhoist/policy"
 )
 
-// The files under testdata were written by the program before its names were changed. What is
-// stored, what goes between processes and what operators read and write must stay as these files
-// have it, byte for byte.
+// The files under testdata were written by an earlier version of the program. Stored data, data
+// exchanged between processes, and files that operators read or write must match them byte for
+// byte.
 
-// everyRule has each form of a rule that a table can hold.
+// goldenRules returns rules that cover all optional parts of a rule.
 func goldenRules() []Rule {
 	return []Rule{
 		{
@@ -33,7 +33,7 @@
 	}
 }
 
-// storedTables are values of the table in each phase, with and without each optional part.
+// storedTables returns tables in all phases, with and without each optional part, by file name.
 func storedTables() map[string]Table {
 	return map[string]Table{
 		"table-empty.cbor": {},
@@ -79,7 +79,7 @@
 	}
 }
 
-// A value that lacks the later keys, as an earlier program wrote it, is read with these empty.
+// Earlier versions of the program wrote tables without the later keys. Those decode to zero values.
 func TestGolden_storedTableOfAnEarlierVersion(t *testing.T) {
 	earlier := []byte{0xa4, 1, 2, 2, 0, 3, 1, 4, 0x19, 0x03, 0xe8}
 	decoded, err := Decode(earlier)
@@ -88,8 +88,8 @@
 	}
 }
 
-// The counter's names, the keys and the names of the rules' own plans are shared by processes of
-// both versions.
+// The names at the counter, the keys and the names of the rules' plans must not change, because
+// processes of different program versions share them.
 func TestGolden_namesAtTheCounter(t *testing.T) {
 	var out bytes.Buffer
 	rules := goldenRules()
@@ -125,7 +125,7 @@
 	golden.Check(t, "names.txt", out.Bytes())
 }
 
-// Reservations, admissions and settlements stay the same bit by bit.
+// The results of Reserve, HandleCount and Settle must stay the same to the last bit.
 func TestGolden_admission(t *testing.T) {
 	var out bytes.Buffer
 	plan := policy.Plan{Rate: 1.5, Burst: 8}
@@ -156,7 +156,7 @@
 	golden.Check(t, "second.txt", out.Bytes())
 }
 
-// The operators' file keeps its keys.
+// The keys of the operators' file must not change.
 func TestGolden_operatorsFile(t *testing.T) {
 	var file struct {
 		Counting Config `toml:"counting"`
--- a/internal/control/countingrule/resolve_test.go
+++ b/internal/control/countingrule/resolve_test.go
@@ -20,13 +20,13 @@
 	return resolved
 }
 
-// Under rule 0 the decision module sees each request and each plan unchanged.
+// Rule 0 passes requests and plans to the decision module unchanged.
 func TestRuleZero_changesNothing(t *testing.T) {
 	settings := WithRulePlans(testSettings(), parseConfig(t, completeFile).Rules)
 	resolved := mustResolve(t, Rule{}, settings)
 	plans := testSettings().Plans
 	if !slices.Equal(settings.Plans[:3], plans) || !slices.Equal(WithRulePlans(testSettings(), nil).Plans, plans) {
-		t.Fatalf("plans %+v", settings.Plans)
+		t.Fatalf("plans are %+v", settings.Plans)
 	}
 	clientPlans := ClientSettings(settings).Plans
 	if clientPlans[2].Retired || !clientPlans[3].Retired || settings.Plans[3].Retired {
@@ -40,29 +40,29 @@
 	})
 }
 
-// Requests share a count where they agree in all parts of the rule's key, and only there.
+// Requests share a count if and only if they agree in all parts of the rule's key.
 func TestAssign_keyFollowsTheRule(t *testing.T) {
 	rules := parseConfig(t, completeFile).Rules
 	settings := WithRulePlans(testSettings(), rules)
 	byClass, byGroup := mustResolve(t, rules[0], settings), mustResolve(t, rules[1], settings)
 	look, pay := byClass.Assign(7, 0, 0), byClass.Assign(7, 1, 0)
 	if look.Key == pay.Key || pay.Weight != 3 || look.Weight != 1 || settings.Plans[look.Plan].Rate != 3 {
-		t.Errorf("by class: %+v, %+v", look, pay)
+		t.Errorf("assignments by class: %+v, %+v", look, pay)
 	}
 	if wide := byClass.Assign(7, 0, 1); settings.Plans[wide.Plan].Rate != 100 || wide.Plan == 1 {
-		t.Errorf("a plan that the rule does not name: %+v", wide)
+		t.Errorf("assignment of a plan that the rule does not name: %+v", wide)
 	}
 	if out := byClass.Assign(7, 0, 2); out != (Assignment{Key: 7, Plan: 2, Weight: 1}) {
-		t.Errorf("a plan without a rate: %+v", out)
+		t.Errorf("assignment of a plan without a rate: %+v", out)
 	}
 	first, second, alone := byGroup.Assign(1, 0, 0), byGroup.Assign(2, 1, 1), byGroup.Assign(9, 0, 0)
 	if first.Key != second.Key || first.Key == alone.Key || !first.Shared || settings.Plans[second.Plan].Burst != 20 ||
 		settings.Plans[alone.Plan].Burst != 20 {
-		t.Errorf("by group: %+v, %+v, %+v", first, second, alone)
+		t.Errorf("assignments by group: %+v, %+v, %+v", first, second, alone)
 	}
 	unknown := Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}
 	if mustResolve(t, unknown, settings).Assign(0x1234, 0, 2).Key != 0x1234 {
-		t.Error("a rule that has no plan in the settings counts a request")
+		t.Error("a rule without plans in the settings assigned a key of its own")
 	}
 }
 
@@ -77,7 +77,8 @@
 	}
 }
 
-// countingHost is a host that keeps the counter's names.
+// countRecorder is a policy host that records the names of calls to the counter and does nothing
+// else.
 type countRecorder struct{ countNames []uint64 }
 
 func (h *countRecorder) Attempt(uint32, uint32, time.Duration) {}
@@ -94,7 +95,8 @@
 func (h *countRecorder) CancelTimer(uint64)             {}
 func (h *countRecorder) Log(string)                     {}
 
-// Guards against a key that two processes count under different names.
+// A key must have the same name here as in the decision module. Otherwise a request's units would
+// be counted under two names, and the limit could be exceeded.
 func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
--- a/internal/control/countingrule/table_test.go
+++ b/internal/control/countingrule/table_test.go
@@ -32,7 +32,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := test.table.CandidateVersions(test.now, test.status, config)
 			if !slices.Equal(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("candidates %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -46,10 +46,10 @@
 	decoded, err := Decode(table.Encode())
 	if err != nil || decoded.SwitchAt != table.SwitchAt || !decoded.Rules[1].Equal(table.Rules[1]) ||
 		decoded.Refused[0] != 7 {
-		t.Errorf("%+v, %v", decoded, err)
+		t.Errorf("decoded %+v, error %v", decoded, err)
 	}
 	if rule, ok := decoded.Rule(0); !ok || rule.Version != 0 {
-		t.Error("rule 0 needs no entry")
+		t.Error("rule 0 not found in a table without an entry for it")
 	}
 	if _, err := Decode([]byte("malformed")); err == nil {
 		t.Error("a malformed value was decoded")
--- a/internal/control/countingrule/window.go
+++ b/internal/control/countingrule/window.go
@@ -7,7 +7,7 @@
 )
 
 // Windows have the same lengths as in the decision module, so that both use the same names at the
-// counter. TestWindowAt_namesAreThePolicyModules compares the names.
+// counter. A test compares the names.
 const (
 	windowRefills = 2.0 // length of a window, in times to refill a whole burst
 	minWindow     = time.Second
