--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -42,9 +42,12 @@
 			return table, false
 		case table.Phase == PhaseScheduled && nextVersion == 0:
 			table.Refused = append(slices.Clone(table.Refused), table.To)
-			table.Phase, table.From, table.To, table.SwitchAt = PhaseRollback, table.To, table.From, now+lead
+			table.Phase, table.From, table.To, table.SwitchAt =
+				PhaseRollback, table.To, table.From, now+lead
 		default:
-			table = Table{From: table.To, To: table.To, Previous: table.From, Refused: table.Refused}
+			table = Table{
+				From: table.To, To: table.To, Previous: table.From, Refused: table.Refused,
+			}
 		}
 	}
 	return table, true
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -69,7 +69,9 @@
 func (r *ruleSet) merge() {
 	r.merged = true
 	for i, rule := range slices.Concat(r.table.Rules, r.config.Rules) {
-		index := slices.IndexFunc(r.knownRules, func(known countingrule.Rule) bool { return known.Version == rule.Version })
+		index := slices.IndexFunc(r.knownRules, func(known countingrule.Rule) bool {
+			return known.Version == rule.Version
+		})
 		isCommitted := i < len(r.table.Rules)
 		switch {
 		case index < 0:
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -38,7 +38,8 @@
 	return map[string]Table{
 		"table-empty.cbor": {},
 		"table-still.cbor": {
-			Phase: PhaseIdle, From: 2, To: 2, Previous: 1, Rules: goldenRules(), Refused: []uint64{3, 1 << 50},
+			Phase: PhaseIdle, From: 2, To: 2, Previous: 1,
+			Rules: goldenRules(), Refused: []uint64{3, 1 << 50},
 			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold",
 		},
 		"table-canary.cbor": {
@@ -51,8 +52,9 @@
 			},
 		},
 		"table-named.cbor": {
-			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second, Rules: goldenRules()[:1],
-			Seed: 7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
+			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second,
+			Rules: goldenRules()[:1],
+			Seed:  7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
 		},
 		"table-back.cbor": {
 			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second,
@@ -110,7 +112,8 @@
 				for plan := range 3 {
 					assignment := resolved.Assign(customer, class, plan)
 					fmt.Fprintf(&out, "rule %d customer %x class %d plan %d: %x %d %v %v",
-						rule.Version, customer, class, plan, assignment.Key, assignment.Plan, assignment.Weight, assignment.Shared)
+						rule.Version, customer, class, plan,
+						assignment.Key, assignment.Plan, assignment.Weight, assignment.Shared)
 					if plan := &settings.Plans[assignment.Plan]; plan.Rate > 0 {
 						window := WindowAt(assignment.Key, plan, 1_764_652_800_123_456_789)
 						fmt.Fprintf(&out, "; window %x from %d for %d, number %d",
