--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -44,11 +44,11 @@
 	table := groupTable(countingrule.PhaseScheduled)
 	table.SwitchAt = f.dispatcher.Now() + time.Second
 	f.node.setTable(table, true)
-	customerCount := f.countName(0, 5)
+	customerCountName := f.countName(0, 5)
 	if !f.serveRequest(5) || f.dispatcher.Now() > table.SwitchAt {
 		t.Fatal("before the switch: the request was rejected or took until after the switch")
 	}
-	if _, found := f.counter.total(customerCount); !found {
+	if _, found := f.counter.total(customerCountName); !found {
 		t.Error("before the switch: the request was not counted under rule 0")
 	}
 	fakes.Eventually(t, "the switch", func() bool { return f.dispatcher.Now() > table.SwitchAt })
