--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -46,7 +46,8 @@
 				PhaseRollback, table.To, table.From, now+lead
 		default:
 			table = Table{
-				From: table.To, To: table.To, Previous: table.From, Refused: table.Refused,
+				From: table.To, To: table.To,
+				Previous: table.From, Refused: table.Refused,
 			}
 		}
 	}
