--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -53,24 +53,24 @@
 // request does not use.
 type Reservation struct {
 	Window
-	Units      float64 // weighted units
-	Weight     float64 // weighted units per unit
-	key        uint64
-	plan       policy.Plan
-	reservedAt time.Duration
+	WeightedUnits float64 // weighted units
+	Weight        float64 // weighted units per unit
+	key           uint64
+	plan          policy.Plan
+	reservedAt    time.Duration
 }
 
 // Reserve returns a reservation for a request of the given unweighted units. The caller adds the
-// reservation's Units to the count of its Window and passes the result to HandleCount.
+// reservation's WeightedUnits to the count of its Window and passes the result to HandleCount.
 func (a *Admission) Reserve(assignment Assignment, plan policy.Plan, units float64, now time.Duration) Reservation {
 	a.sweep(now)
 	return Reservation{
-		Window:     WindowAt(assignment.Key, &plan, now),
-		Units:      units * assignment.Weight,
-		Weight:     assignment.Weight,
-		key:        assignment.Key,
-		plan:       plan,
-		reservedAt: now,
+		Window:        WindowAt(assignment.Key, &plan, now),
+		WeightedUnits: units * assignment.Weight,
+		Weight:        assignment.Weight,
+		key:           assignment.Key,
+		plan:          plan,
+		reservedAt:    now,
 	}
 }
 
@@ -102,7 +102,7 @@
 	state.windowIndex = reservation.Index
 	state.refill(&reservation.plan, a.localShare, reservation.reservedAt)
 	if !answered {
-		return state.admit(min(state.localRemaining, state.remaining), reservation.Units), nil
+		return state.admit(min(state.localRemaining, state.remaining), reservation.WeightedUnits), nil
 	}
 	// The count of a new window lacks the previous window's deficit until that is carried over. The
 	// estimate from earlier reads bounds what remains until then.
@@ -111,7 +111,7 @@
 		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
 		previous = &window
 	}
-	return state.admit(state.remaining, reservation.Units), previous
+	return state.admit(state.remaining, reservation.WeightedUnits), previous
 }
 
 // keyStateOf returns the state of a reservation's key. A new key starts with its whole burst.
@@ -142,11 +142,13 @@
 // remainingBefore returns the units that the key had left before the reservation. count includes
 // the reservation's units.
 func (r *Reservation) remainingBefore(count float64) float64 {
-	return Remaining(&r.plan, r.Window, r.reservedAt, count-r.Units)
+	return Remaining(&r.plan, r.Window, r.reservedAt, count-r.WeightedUnits)
 }
 
 // isFirstCharge reports whether a count consists of the reservation's own units.
-func (r *Reservation) isFirstCharge(count float64) bool { return count <= r.Units+roundingError }
+func (r *Reservation) isFirstCharge(count float64) bool {
+	return count <= r.WeightedUnits+roundingError
+}
 
 // Deficit returns the number of weighted units by which the key was below its full burst at the end
 // of the previous window. count is the previous window's count.
@@ -170,14 +172,14 @@
 // low and the limit would be exceeded.
 func (a *Admission) Settle(reservation Reservation, admitted bool, used float64, charge ChargeState) float64 {
 	if state := a.keys[reservation.key]; state != nil && admitted {
-		state.remaining += reservation.Units - used
+		state.remaining += reservation.WeightedUnits - used
 	}
 	switch charge {
 	case Charged:
-		return used - reservation.Units
+		return used - reservation.WeightedUnits
 	case NotCharged:
 		return used
 	case ChargeUnknown:
 	}
-	return max(used-reservation.Units, 0)
+	return max(used-reservation.WeightedUnits, 0)
 }
--- a/internal/control/countingrule/admission_test.go
+++ b/internal/control/countingrule/admission_test.go
@@ -9,7 +9,7 @@
 
 // Without an answer from the counter, a gateway admits its equal share of a limit. Settle returns
 // units only if they are known to have been charged.
-func TestAdmission_withoutACounter(t *testing.T) {
+func TestAdmission_usesLocalShareWithoutCounter(t *testing.T) {
 	plan := policy.Plan{Rate: 0.1, Burst: 8}
 	admission := NewAdmission(4)
 	now := WindowAt(7, &plan, time.Hour).Start + time.Second // one second into a window
--- a/internal/control/countingrule/canary/controller_rapid_test.go
+++ b/internal/control/countingrule/canary/controller_rapid_test.go
@@ -64,7 +64,7 @@
 	if isScheduled == (g.oldOnlyUnits == 0) && rapid.IntRange(0, 20).Draw(t, "change") == 0 {
 		g.drawOldOnlyUnits(t)
 	}
-	fingerprint := Fingerprint(table.Seed)
+	fingerprint := Fingerprint(table.SampleSeed)
 	for i := range BucketCount {
 		g.sums[bucketName(fingerprint, i, nameRequested)] += 1000
 		g.sums[bucketName(fingerprint, i, nameOldOnly)] += g.oldOnlyUnits
@@ -116,8 +116,8 @@
 			t.Fatal("a switch was undone before it took effect")
 		}
 	}
-	if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.Refused, next.To) {
-		t.Fatalf("refused version %d is tried again", next.To)
+	if next.Phase == countingrule.PhaseCanary && slices.Contains(previous.RefusedVersions, next.ToVersion) {
+		t.Fatalf("refused version %d is tried again", next.ToVersion)
 	}
 }
 
@@ -140,7 +140,7 @@
 			if next.Phase == countingrule.PhaseScheduled && previous.Phase == countingrule.PhaseCanary {
 				activated++
 			}
-			if next.Phase == countingrule.PhaseRollback && len(next.Refused) > len(previous.Refused) {
+			if next.Phase == countingrule.PhaseRollback && len(next.RefusedVersions) > len(previous.RefusedVersions) {
 				rolledBack++
 			}
 		}
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -32,9 +32,9 @@
 	}
 	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseIdle })
 	table = s.tableValue()
-	if table.Phase != countingrule.PhaseIdle || table.From != 1 || table.Previous != 0 ||
+	if table.Phase != countingrule.PhaseIdle || table.FromVersion != 1 || table.PreviousVersion != 0 ||
 		!strings.HasPrefix(table.Reason, "kept") {
-		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
+		t.Errorf("phase %d, from %d: %s", table.Phase, table.FromVersion, table.Reason)
 	}
 	t.Log(table.Reason)
 }
@@ -44,9 +44,9 @@
 	s := newSimulation(ruleWithScaledLimits(0.5), 1)
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
-	if table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 ||
+	if table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || len(table.RefusedVersions) != 1 ||
 		!strings.Contains(table.Reason, "canary.rejected") {
-		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
+		t.Errorf("phase %d, from %d: %s", table.Phase, table.FromVersion, table.Reason)
 	}
 	epoch := s.table.Epoch
 	s.advance(s.now+5*time.Second, neverStop)
@@ -64,8 +64,8 @@
 	}
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
-	if table.Phase != countingrule.PhaseIdle || table.From != 0 || !strings.HasPrefix(table.Reason, "undecided") {
-		t.Errorf("phase %d, from %d: %s", table.Phase, table.From, table.Reason)
+	if table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || !strings.HasPrefix(table.Reason, "undecided") {
+		t.Errorf("phase %d, from %d: %s", table.Phase, table.FromVersion, table.Reason)
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	s.advance(s.now+100*time.Second, s.hasVerdict)
 	table, after := s.tableValue(), s.trialState(t)
-	if !s.hasVerdict() || table.From != 0 || after.Tests[0].Count <= before.Tests[0].Count ||
+	if !s.hasVerdict() || table.FromVersion != 0 || after.Tests[0].Count <= before.Tests[0].Count ||
 		after.Sums[nameRequests] < before.Sums[nameRequests] {
 		t.Errorf("phase %d; next bucket %d, then %d; %d requests, then %d: %s",
 			table.Phase, before.NextBucket, after.NextBucket, before.Sums[nameRequests], after.Sums[nameRequests],
@@ -108,14 +108,14 @@
 	s.failureRate = 0.33
 	s.advance(s.now+150*time.Second, func() bool { return s.tableValue().Phase == countingrule.PhaseRollback })
 	table := s.tableValue()
-	if table.Phase != countingrule.PhaseRollback || table.From != 1 || table.To != 0 ||
+	if table.Phase != countingrule.PhaseRollback || table.FromVersion != 1 || table.ToVersion != 0 ||
 		table.SwitchAt < s.now+s.controller.ClockOrigin+s.controller.Lease {
-		t.Fatalf("phase %d, %d to %d: %s", table.Phase, table.From, table.To, table.Reason)
+		t.Fatalf("phase %d, %d to %d: %s", table.Phase, table.FromVersion, table.ToVersion, table.Reason)
 	}
 	t.Log(table.Reason)
 	s.advance(s.now+30*time.Second, neverStop)
-	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.From != 0 || len(table.Refused) != 1 {
-		t.Errorf("phase %d, from %d, refused %v", table.Phase, table.From, table.Refused)
+	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || len(table.RefusedVersions) != 1 {
+		t.Errorf("phase %d, from %d, refused %v", table.Phase, table.FromVersion, table.RefusedVersions)
 	}
 }
 
@@ -135,14 +135,14 @@
 func TestController_operatorRollbackNeedsNoTrial(t *testing.T) {
 	rules := []countingrule.Rule{ruleWithScaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
-		return countingrule.Table{Phase: countingrule.PhaseScheduled, From: 0, To: 1, SwitchAt: at, Rules: rules}
+		return countingrule.Table{Phase: countingrule.PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: at, Rules: rules}
 	}
 	for _, test := range []struct {
 		name       string
 		table      countingrule.Table
 		wantChange bool
 	}{
-		{"idle", countingrule.Table{From: 1, To: 1, Previous: 0, Rules: rules}, true},
+		{"idle", countingrule.Table{FromVersion: 1, ToVersion: 1, PreviousVersion: 0, Rules: rules}, true},
 		{"before the switch", scheduledAt(time.Hour + time.Second), false},
 		{"after the switch", scheduledAt(time.Hour - 2*time.Second), true},
 	} {
@@ -151,7 +151,7 @@
 			if changed != test.wantChange {
 				t.Fatalf("changed %v, want %v: %+v", changed, test.wantChange, got)
 			}
-			isBack := got.Phase == countingrule.PhaseRollback && got.From == 1 && got.To == 0 &&
+			isBack := got.Phase == countingrule.PhaseRollback && got.FromVersion == 1 && got.ToVersion == 0 &&
 				got.SwitchAt > time.Hour
 			if changed && !isBack {
 				t.Errorf("%+v", got)
@@ -167,8 +167,8 @@
 	two := one
 	two.Version, two.Mask = 2, 0x00ff
 	config := &countingrule.Config{DesiredVersion: 2, Rules: []countingrule.Rule{one, two}, Canary: canaryConfig()}
-	table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{one}})
-	if !ok || table.Phase != countingrule.PhaseIdle || table.From != 1 || len(table.Refused) != 1 ||
+	table, ok := decideOnce(config, countingrule.Table{FromVersion: 1, ToVersion: 1, Rules: []countingrule.Rule{one}})
+	if !ok || table.Phase != countingrule.PhaseIdle || table.FromVersion != 1 || len(table.RefusedVersions) != 1 ||
 		!strings.Contains(table.Reason, "in common") {
 		t.Errorf("changed %v, table %+v", ok, table)
 	}
--- a/internal/control/countingrule/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -91,7 +91,7 @@
 		config := &countingrule.Config{
 			DesiredVersion: 2, Rules: []countingrule.Rule{test.old, test.next}, Canary: canaryConfig(),
 		}
-		table, ok := decideOnce(config, countingrule.Table{From: 1, To: 1, Rules: []countingrule.Rule{test.old}})
+		table, ok := decideOnce(config, countingrule.Table{FromVersion: 1, ToVersion: 1, Rules: []countingrule.Rule{test.old}})
 		if !ok || table.Reason != test.want {
 			t.Errorf("changed %v, reason %q, want %q", ok, table.Reason, test.want)
 		}
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -32,7 +32,7 @@
 func canaryConfig() countingrule.CanaryConfig {
 	return countingrule.CanaryConfig{
 		SamplePermille: 400, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50,
-		RejectedPermille: 50, AdmittedPermille: 100, OverLimitPermille: 100, DeviationPermille: 100, WatchSeconds: 120,
+		RejectedBoundPermille: 50, AdmittedBoundPermille: 100, OverLimitBoundPermille: 100, MaxDeviationPermille: 100, WatchSeconds: 120,
 	}
 }
 
@@ -113,13 +113,13 @@
 		}
 		return r
 	}
-	old, next := resolved(table.From), resolved(table.To)
-	sample, err := NewSample(old.Rule, next.Rule, table.Seed, canaryConfig().SamplePermille)
+	old, next := resolved(table.FromVersion), resolved(table.ToVersion)
+	sample, err := NewSample(old.Rule, next.Rule, table.SampleSeed, canaryConfig().SamplePermille)
 	if err != nil {
 		panic(err) // cannot happen: the controller has made the same sample
 	}
 	for range 3 {
-		s.shadows = append(s.shadows, NewShadow(sample, old, next, s.settings, table.Seed, 250))
+		s.shadows = append(s.shadows, NewShadow(sample, old, next, s.settings, table.SampleSeed, 250))
 	}
 }
 
@@ -157,7 +157,7 @@
 	request := Request{Customer: uint64(customer), Class: s.random.IntN(2), Units: 1}
 	s.counter.answerCalls(shadow, s.now, shadow.HandleRequest(s.now, request))
 	version := table.InForce(s.now + s.controller.ClockOrigin)
-	if version != table.To {
+	if version != table.ToVersion {
 		shadow.RecordActual(version, 1, byOld() > oldBefore)
 		return
 	}
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	desired := s.config.DesiredVersion
-	if desired == s.table.From && desired != s.table.To {
+	if desired == s.table.FromVersion && desired != s.table.ToVersion {
 		s.startRollback(reasonConfig)
 		return true
 	}
@@ -107,7 +107,7 @@
 
 // shouldTry reports whether the desired version is not in force and was not refused before.
 func (s *step) shouldTry(desired uint64) bool {
-	return desired != s.table.From && !slices.Contains(s.table.Refused, desired)
+	return desired != s.table.FromVersion && !slices.Contains(s.table.RefusedVersions, desired)
 }
 
 // startTrial starts a trial of the version that the configuration names, if shouldTry holds. The
@@ -119,17 +119,17 @@
 	}
 	table := s.table
 	s.collectRules(desired)
-	table.To = desired
-	if desired == table.Previous {
+	table.ToVersion = desired
+	if desired == table.PreviousVersion {
 		s.enterPhase(countingrule.PhaseRollback, reasonConfig)
 		table.SwitchAt = s.nextSwitchTime()
 		return true
 	}
 	newRule, _ := table.Rule(desired)
-	oldRule, _ := table.Rule(table.From)
-	table.Seed = countingrule.Hash(desired, uint64(s.now))
+	oldRule, _ := table.Rule(table.FromVersion)
+	table.SampleSeed = countingrule.Hash(desired, uint64(s.now))
 	table.Canary = s.config.Canary
-	if _, err := NewSample(oldRule, newRule, table.Seed, table.Canary.SamplePermille); err != nil {
+	if _, err := NewSample(oldRule, newRule, table.SampleSeed, table.Canary.SamplePermille); err != nil {
 		s.refuseVersion(err.Error())
 		return true
 	}
@@ -143,7 +143,7 @@
 func (s *step) collectRules(desired uint64) {
 	table := s.table
 	table.Rules = slices.DeleteFunc(slices.Clone(table.Rules), func(rule countingrule.Rule) bool {
-		return rule.Version != table.From && rule.Version != table.Previous
+		return rule.Version != table.FromVersion && rule.Version != table.PreviousVersion
 	})
 	if _, known := table.Rule(desired); known {
 		return
@@ -159,11 +159,11 @@
 // version.
 func (s *step) advanceTrial() bool {
 	switch {
-	case s.config.DesiredVersion != s.table.To:
+	case s.config.DesiredVersion != s.table.ToVersion:
 		s.returnToIdle(reasonOtherRule)
 		*s.trial = TrialState{}
 		return true
-	case s.now >= s.table.Since+s.table.Canary.Deadline():
+	case s.now >= s.table.PhaseStart+s.table.Canary.Deadline():
 		s.refuseVersion(reasonUndecided)
 		return true
 	case s.leadingFor < settleDelay:
@@ -171,14 +171,14 @@
 	case !s.testDueBuckets():
 		return false
 	}
-	s.trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
+	s.trial.addSums(Fingerprint(s.table.SampleSeed), s.baseline, s.sums)
 	s.applyVerdict()
 	return true
 }
 
 // testDueBuckets adds each bucket that is due to the tests, once. It reports whether there was one.
 func (s *step) testDueBuckets() (tested bool) {
-	fingerprint := Fingerprint(s.table.Seed)
+	fingerprint := Fingerprint(s.table.SampleSeed)
 	for s.isBucketDue(s.trial.NextBucket) {
 		s.trial.addBucket(&s.table.Canary, readBucket(s.sums, fingerprint, s.trial.NextBucket))
 		s.trial.NextBucket++
@@ -192,7 +192,7 @@
 func (s *step) isBucketDue(bucket int) bool {
 	testDuration := s.table.Canary.Deadline() - settleDelay - settleDelay
 	interval := testDuration / BucketCount
-	firstAt := s.table.Since + settleDelay + interval
+	firstAt := s.table.PhaseStart + settleDelay + interval
 	return bucket < BucketCount && s.now >= firstAt+time.Duration(bucket)*interval
 }
 
@@ -206,7 +206,7 @@
 		return
 	}
 	if s.trial.isHarmless(errorRate) {
-		s.trial.ForecastFraction = s.trial.forecastAdmitted(s.table.From)
+		s.trial.ForecastFraction = s.trial.forecastAdmitted(s.table.FromVersion)
 		s.enterPhase(countingrule.PhaseScheduled, fmt.Sprintf(reasonHarmless, s.trial.Tests[boundRejected].Count))
 		s.table.SwitchAt = s.nextSwitchTime()
 	}
@@ -227,8 +227,8 @@
 		return false
 	}
 	trial.ElapsedIntervals = int(elapsed / watchInterval)
-	trial.addSums(Fingerprint(s.table.Seed), s.baseline, s.sums)
-	if !trial.updateObserved(s.table.To) {
+	trial.addSums(Fingerprint(s.table.SampleSeed), s.baseline, s.sums)
+	if !trial.updateObserved(s.table.ToVersion) {
 		return true
 	}
 	if canary.MatchesForecast(trial.ObservedFraction, trial.ForecastFraction) {
@@ -237,7 +237,7 @@
 	}
 	trial.ConsecutiveDeviations++
 	if trial.ConsecutiveDeviations >= maxDeviations {
-		s.table.Refused = append(slices.Clone(s.table.Refused), s.table.To)
+		s.table.RefusedVersions = append(slices.Clone(s.table.RefusedVersions), s.table.ToVersion)
 		s.startRollback(fmt.Sprintf(reasonDeviation, trial.ObservedFraction, trial.ForecastFraction))
 	}
 	return true
--- a/internal/control/countingrule/canary/verdict_test.go
+++ b/internal/control/countingrule/canary/verdict_test.go
@@ -32,7 +32,7 @@
 		s.controller.Config = func() *countingrule.Config { return undecided }
 		s.advance(s.now+75*time.Second, neverStop)
 		var state TrialState
-		sums, fingerprint := s.sums(), Fingerprint(s.tableValue().Seed)
+		sums, fingerprint := s.sums(), Fingerprint(s.tableValue().SampleSeed)
 		for bucket := range BucketCount {
 			state.addBucket(&canary, readBucket(sums, fingerprint, bucket))
 		}
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -31,13 +31,13 @@
 
 	// The next three bound a fraction of the units requested under a key, averaged over keys.
 
-	RejectedPermille  uint64 `toml:"rejected" cbor:"Rejected"` // units admitted only by the old rule
-	AdmittedPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // units admitted only by the new rule
-	OverLimitPermille uint64 `toml:"beyond" cbor:"Beyond"`     // units admitted in excess of the new rule's limit
+	RejectedBoundPermille  uint64 `toml:"rejected" cbor:"Rejected"` // units admitted only by the old rule
+	AdmittedBoundPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // units admitted only by the new rule
+	OverLimitBoundPermille uint64 `toml:"beyond" cbor:"Beyond"`     // units admitted in excess of the new rule's limit
 
-	DeviationPermille uint64 `toml:"leave" cbor:"Leave"`    // allowed difference from the forecast
-	WatchSeconds      uint64 `toml:"watch_s" cbor:"WatchS"` // time after a switch in which a deviation rolls it back
-	LeadMillis        uint64 `toml:"lead_ms" cbor:"LeadMS"` // added to the time between a decision and its switch
+	MaxDeviationPermille uint64 `toml:"leave" cbor:"Leave"`    // allowed difference from the forecast
+	WatchSeconds         uint64 `toml:"watch_s" cbor:"WatchS"` // time after a switch in which a deviation rolls it back
+	ExtraLeadMillis      uint64 `toml:"lead_ms" cbor:"LeadMS"` // added to the time between a decision and its switch
 }
 
 // Deadline returns the longest duration of a trial.
@@ -53,27 +53,27 @@
 // ExtraLead returns the duration that operators add to the time between a decision and its switch.
 // The controller already waits for leases to expire and reads to complete.
 func (c *CanaryConfig) ExtraLead() time.Duration {
-	return time.Duration(c.LeadMillis) * time.Millisecond
+	return time.Duration(c.ExtraLeadMillis) * time.Millisecond
 }
 
 // ErrorRate returns the allowed probability, from 0 to 1, that a verdict is wrong.
 func (c *CanaryConfig) ErrorRate() float64 { return PermilleFraction(c.ErrorPermille) }
 
 // RejectedBound returns the fraction of the units, from 0 to 1, that only the new rule may reject.
-func (c *CanaryConfig) RejectedBound() float64 { return PermilleFraction(c.RejectedPermille) }
+func (c *CanaryConfig) RejectedBound() float64 { return PermilleFraction(c.RejectedBoundPermille) }
 
 // AdmittedBound returns the fraction of the units, from 0 to 1, that only the new rule may admit.
-func (c *CanaryConfig) AdmittedBound() float64 { return PermilleFraction(c.AdmittedPermille) }
+func (c *CanaryConfig) AdmittedBound() float64 { return PermilleFraction(c.AdmittedBoundPermille) }
 
 // OverLimitBound returns the fraction of the units, from 0 to 1, that the new rule may admit in
 // excess of its own limit.
-func (c *CanaryConfig) OverLimitBound() float64 { return PermilleFraction(c.OverLimitPermille) }
+func (c *CanaryConfig) OverLimitBound() float64 { return PermilleFraction(c.OverLimitBoundPermille) }
 
 // MatchesForecast reports whether the observed admitted fraction differs from its forecast by no
-// more than DeviationPermille. Both fractions are from 0 to 1.
+// more than MaxDeviationPermille. Both fractions are from 0 to 1.
 func (c *CanaryConfig) MatchesForecast(observed, forecast float64) bool {
 	deviation := observed - forecast
-	return max(deviation, -deviation)*PermilleScale <= float64(c.DeviationPermille)
+	return max(deviation, -deviation)*PermilleScale <= float64(c.MaxDeviationPermille)
 }
 
 // PermilleFraction converts permille to a fraction from 0 to 1.
@@ -96,11 +96,11 @@
 	}
 	checkRange("deadline_s", c.DeadlineSeconds, minDeadlineSeconds, maxDeadlineSeconds)
 	checkRange("wrong", c.ErrorPermille, 1, maxErrorPermille)
-	checkRange("rejected", c.RejectedPermille, 1, maxBoundPermille)
-	checkRange("let_in", c.AdmittedPermille, 1, maxBoundPermille)
-	checkRange("beyond", c.OverLimitPermille, 1, maxBoundPermille)
-	checkRange("leave", c.DeviationPermille, 1, maxBoundPermille)
+	checkRange("rejected", c.RejectedBoundPermille, 1, maxBoundPermille)
+	checkRange("let_in", c.AdmittedBoundPermille, 1, maxBoundPermille)
+	checkRange("beyond", c.OverLimitBoundPermille, 1, maxBoundPermille)
+	checkRange("leave", c.MaxDeviationPermille, 1, maxBoundPermille)
 	checkRange("watch_s", c.WatchSeconds, 1, maxDeadlineSeconds)
-	checkRange("lead_ms", c.LeadMillis, 0, maxLeadMillis)
+	checkRange("lead_ms", c.ExtraLeadMillis, 0, maxLeadMillis)
 	return faults
 }
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -22,17 +22,17 @@
 	switch table.Phase {
 	case PhaseIdle:
 		switch {
-		case nextVersion == table.From:
+		case nextVersion == table.FromVersion:
 			return table, false
-		case nextVersion == table.Previous:
-			table.Phase, table.To, table.SwitchAt = PhaseRollback, nextVersion, now+lead
-		case !slices.Contains(table.Refused, nextVersion):
-			table.Phase, table.To = PhaseCanary, nextVersion
+		case nextVersion == table.PreviousVersion:
+			table.Phase, table.ToVersion, table.SwitchAt = PhaseRollback, nextVersion, now+lead
+		case !slices.Contains(table.RefusedVersions, nextVersion):
+			table.Phase, table.ToVersion = PhaseCanary, nextVersion
 		}
 	case PhaseCanary:
 		if nextVersion == 0 {
-			table.Refused = append(slices.Clone(table.Refused), table.To)
-			table.Phase, table.To = PhaseIdle, table.From
+			table.RefusedVersions = append(slices.Clone(table.RefusedVersions), table.ToVersion)
+			table.Phase, table.ToVersion = PhaseIdle, table.FromVersion
 		} else {
 			table.Phase, table.SwitchAt = PhaseScheduled, now+lead
 		}
@@ -41,13 +41,13 @@
 		case now <= table.SwitchAt:
 			return table, false
 		case table.Phase == PhaseScheduled && nextVersion == 0:
-			table.Refused = append(slices.Clone(table.Refused), table.To)
-			table.Phase, table.From, table.To, table.SwitchAt =
-				PhaseRollback, table.To, table.From, now+lead
+			table.RefusedVersions = append(slices.Clone(table.RefusedVersions), table.ToVersion)
+			table.Phase, table.FromVersion, table.ToVersion, table.SwitchAt =
+				PhaseRollback, table.ToVersion, table.FromVersion, now+lead
 		default:
 			table = Table{
-				From: table.To, To: table.To,
-				Previous: table.From, Refused: table.Refused,
+				FromVersion: table.ToVersion, ToVersion: table.ToVersion,
+				PreviousVersion: table.FromVersion, RefusedVersions: table.RefusedVersions,
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // The check of the test above must find a violation if the lead is shorter than the lease.
-func TestCandidateVersions_checkFindsSwitchWithinALease(t *testing.T) {
+func TestCandidateVersions_checkDetectsSwitchWithinLease(t *testing.T) {
 	generator := rapid.Custom(func(t *rapid.T) string { return findSwitchViolation(t, 15) })
 	for runs := range 1000 {
 		if generator.Example(runs) != "" {
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -91,7 +91,7 @@
 
 // A mask with few bits is rejected because it forms too few groups. A rule with shared counts is
 // rejected if a plan has a ceiling for each customer.
-func TestRule_thatCannotApplyIsRefused(t *testing.T) {
+func TestRule_inapplicableRuleIsRejected(t *testing.T) {
 	rule := Rule{Version: 1, Key: []string{"group"}, Mask: 7, Limits: []Limit{{"*", 1, 1}}}
 	if faults := rule.validate(); len(faults) != 1 || !strings.Contains(faults[0].Error(), "mask must have 5 bits") {
 		t.Errorf("faults %v, want one about the mask's bits", faults)
--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -29,16 +29,16 @@
 		c.shadow = nil
 		return
 	}
-	if c.shadow != nil && c.seed == table.Seed {
+	if c.shadow != nil && c.seed == table.SampleSeed {
 		return
 	}
-	sample, err := canary.NewSample(old.Rule, next.Rule, table.Seed, table.Canary.SamplePermille)
+	sample, err := canary.NewSample(old.Rule, next.Rule, table.SampleSeed, table.Canary.SamplePermille)
 	if err != nil { // the controller refuses such a rule and stores the reason in the table
 		c.shadow = nil
 		return
 	}
-	c.shadow = canary.NewShadow(sample, old, next, rules.settings, table.Seed, table.Canary.CallsPermille)
-	c.seed = table.Seed
+	c.shadow = canary.NewShadow(sample, old, next, rules.settings, table.SampleSeed, table.Canary.CallsPermille)
+	c.seed = table.SampleSeed
 }
 
 // reconfigure continues a running canary under new settings. It ends the canary if one of its rules
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -138,9 +138,9 @@
 	return e.rules.withPlans(settings)
 }
 
-// WithoutRulePlans applies new settings to the rules, the admission and the canary. It returns the
+// ApplySettings applies new settings to the rules, the admission and the canary. It returns the
 // settings that clients may see.
-func (e *Enforcer) WithoutRulePlans(settings policy.Settings) policy.Settings {
+func (e *Enforcer) ApplySettings(settings policy.Settings) policy.Settings {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rules.resolve(settings)
@@ -173,7 +173,7 @@
 	assignment := e.countAssignment(first, &request)
 	others := e.reserve(now, versions[1:], first, &request)
 	if others != nil {
-		assignment.CheckOthers = others.charge
+		assignment.CheckOtherCounts = others.charge
 	}
 	calls, sampled := e.canary.handleRequest(now, &request)
 	e.sendCanaryCalls(calls)
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -66,7 +66,7 @@
 
 // Without a valid lease, a request is admitted only if both rules admit it. It is charged to both
 // counts, and its units are returned if the other rule rejects it.
-func TestEnforcer_bothRulesMustAdmitPastTheLease(t *testing.T) {
+func TestEnforcer_bothRulesMustAdmitAfterLeaseExpiry(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	name := f.countName(1, 5)
@@ -85,7 +85,7 @@
 
 // If the counter stops answering while both rules must admit, a request waits only for a fraction
 // of its latency objective and still gets its final answer.
-func TestEnforcer_silentCounterDelaysNoRequest(t *testing.T) {
+func TestEnforcer_silentCounterDoesNotBlockRequests(t *testing.T) {
 	f := newStartedFixture(t)
 	f.node.setTable(groupTable(countingrule.PhaseCanary), false)
 	f.counter.silence()
@@ -102,7 +102,7 @@
 func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseCanary)
-	table.Seed, table.Canary = 9, countingrule.CanaryConfig{SamplePermille: 1000, CallsPermille: 250}
+	table.SampleSeed, table.Canary = 9, countingrule.CanaryConfig{SamplePermille: 1000, CallsPermille: 250}
 	f.node.setTable(table, true)
 	fakes.Eventually(t, "the canary", func() bool {
 		f.enforcer.mu.Lock()
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -106,7 +106,7 @@
 
 // groupTable returns a table with groupRule as the new rule.
 func groupTable(phase countingrule.Phase) countingrule.Table {
-	return countingrule.Table{Phase: phase, To: groupRule.Version, Rules: []countingrule.Rule{groupRule}}
+	return countingrule.Table{Phase: phase, ToVersion: groupRule.Version, Rules: []countingrule.Rule{groupRule}}
 }
 
 // fixture has a dispatcher with one server and a counter, and an enforcer that newStartedFixture
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -79,7 +79,7 @@
 		entry := &r.entries[i]
 		var once sync.Once
 		timer := time.AfterFunc(r.timeout, func() { once.Do(func() { r.handleCount(entry, 0, false) }) })
-		r.counter.CallCounter(entry.Name, entry.Units, entry.TTL, func(count float64, outcome policy.Outcome) {
+		r.counter.CallCounter(entry.Name, entry.WeightedUnits, entry.TTL, func(count float64, outcome policy.Outcome) {
 			timer.Stop()
 			r.recordCharge(entry, outcome)
 			once.Do(func() { r.handleCount(entry, count, outcome == policy.Answered) })
@@ -187,6 +187,6 @@
 	case u.units > 0:
 		return entry.Weight * u.units
 	default:
-		return entry.Units
+		return entry.WeightedUnits
 	}
 }
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -56,9 +56,9 @@
 		r.log.Error("counting: table malformed, the previous one stays", zap.Error(err))
 		return
 	}
-	if table.Phase != r.table.Phase || table.To != r.table.To || table.From != r.table.From {
-		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.From),
-			zap.Uint64("to", table.To), zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))),
+	if table.Phase != r.table.Phase || table.ToVersion != r.table.ToVersion || table.FromVersion != r.table.FromVersion {
+		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.FromVersion),
+			zap.Uint64("to", table.ToVersion), zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))),
 			zap.String("reason", table.Reason))
 	}
 	r.table = table
@@ -131,8 +131,8 @@
 // rulesAroundSwitch returns the rules before and after the table's switch. Both are nil if one of
 // them is not resolved here.
 func (r *ruleSet) rulesAroundSwitch() (old, next *countingrule.Resolved) {
-	old = r.resolved[r.table.From]
-	next = r.resolved[r.table.To]
+	old = r.resolved[r.table.FromVersion]
+	next = r.resolved[r.table.ToVersion]
 	if old == nil || next == nil {
 		return nil, nil
 	}
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -38,28 +38,28 @@
 	return map[string]Table{
 		"table-empty.cbor": {},
 		"table-still.cbor": {
-			Phase: PhaseIdle, From: 2, To: 2, Previous: 1,
-			Rules: goldenRules(), Refused: []uint64{3, 1 << 50},
-			Since: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold",
+			Phase: PhaseIdle, FromVersion: 2, ToVersion: 2, PreviousVersion: 1,
+			Rules: goldenRules(), RefusedVersions: []uint64{3, 1 << 50},
+			PhaseStart: 1_764_652_800 * time.Second, Reason: "kept: 0.912 let in, 0.905 foretold",
 		},
 		"table-canary.cbor": {
-			Phase: PhaseCanary, From: 1, To: 2, Rules: goldenRules()[:2], Seed: 0x9e3779b97f4a7c15,
-			Since: 1_764_652_800_123_456_789, Reason: "as the file says", TrialState: []byte{0xa0, 1, 2, 3},
+			Phase: PhaseCanary, FromVersion: 1, ToVersion: 2, Rules: goldenRules()[:2], SampleSeed: 0x9e3779b97f4a7c15,
+			PhaseStart: 1_764_652_800_123_456_789, Reason: "as the file says", TrialState: []byte{0xa0, 1, 2, 3},
 			Canary: CanaryConfig{
 				SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
-				RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
-				DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
+				RejectedBoundPermille: 21, AdmittedBoundPermille: 52, OverLimitBoundPermille: 53,
+				MaxDeviationPermille: 100, WatchSeconds: 300, ExtraLeadMillis: 1500,
 			},
 		},
 		"table-named.cbor": {
-			Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 1_764_652_900 * time.Second,
-			Rules: goldenRules()[:1],
-			Seed:  7, Since: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
+			Phase: PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: 1_764_652_900 * time.Second,
+			Rules:      goldenRules()[:1],
+			SampleSeed: 7, PhaseStart: 1_764_652_890 * time.Second, Reason: "harmless by 210 cells",
 		},
 		"table-back.cbor": {
-			Phase: PhaseRollback, From: 1, To: 0, Previous: 1, SwitchAt: 1_764_653_000 * time.Second,
-			Rules:   goldenRules()[2:],
-			Refused: []uint64{1}, Since: 1_764_652_995 * time.Second,
+			Phase: PhaseRollback, FromVersion: 1, ToVersion: 0, PreviousVersion: 1, SwitchAt: 1_764_653_000 * time.Second,
+			Rules:           goldenRules()[2:],
+			RefusedVersions: []uint64{1}, PhaseStart: 1_764_652_995 * time.Second,
 			Reason: "0.500 of the units are let in, 0.900 were foretold",
 		},
 	}
@@ -85,7 +85,7 @@
 func TestGolden_storedTableOfAnEarlierVersion(t *testing.T) {
 	earlier := []byte{0xa4, 1, 2, 2, 0, 3, 1, 4, 0x19, 0x03, 0xe8}
 	decoded, err := Decode(earlier)
-	if want := (Table{Phase: PhaseScheduled, To: 1, SwitchAt: 1000}); err != nil || !reflect.DeepEqual(decoded, want) {
+	if want := (Table{Phase: PhaseScheduled, ToVersion: 1, SwitchAt: 1000}); err != nil || !reflect.DeepEqual(decoded, want) {
 		t.Errorf("read %+v, %v; want %+v", decoded, err, want)
 	}
 }
@@ -141,16 +141,16 @@
 			reservation := admission.Reserve(assignment, plan, float64(1+i%3), now)
 			answered := i%5 != 4
 			if answered {
-				counts[reservation.Name] += reservation.Units
+				counts[reservation.Name] += reservation.WeightedUnits
 			}
 			admitted, previous := admission.HandleCount(reservation, counts[reservation.Name], answered)
 			fmt.Fprintf(&out, "%d gateways, %d: %x %v units %v, pass %v",
-				gateways, i, reservation.Name, reservation.TTL, reservation.Units, admitted)
+				gateways, i, reservation.Name, reservation.TTL, reservation.WeightedUnits, admitted)
 			if previous != nil {
 				deficit := reservation.Deficit(*previous, counts[previous.Name])
 				fmt.Fprintf(&out, ", before %x from %d lacked %v", previous.Name, previous.Start, deficit)
 			}
-			used, charge := reservation.Units*float64(i%4)/2, ChargeState(i%3)
+			used, charge := reservation.WeightedUnits*float64(i%4)/2, ChargeState(i%3)
 			correction := admission.Settle(reservation, admitted, used, charge)
 			counts[reservation.Name] += correction
 			fmt.Fprintf(&out, ", used %v, settled %v\n", used, correction)
@@ -170,8 +170,8 @@
 	}
 	want := Config{DesiredVersion: 2, Rules: goldenRules(), Canary: CanaryConfig{
 		SamplePermille: 20, CallsPermille: 60, DeadlineSeconds: 600, ErrorPermille: 50,
-		RejectedPermille: 21, AdmittedPermille: 52, OverLimitPermille: 53,
-		DeviationPermille: 100, WatchSeconds: 300, LeadMillis: 1500,
+		RejectedBoundPermille: 21, AdmittedBoundPermille: 52, OverLimitBoundPermille: 53,
+		MaxDeviationPermille: 100, WatchSeconds: 300, ExtraLeadMillis: 1500,
 	}}
 	if !reflect.DeepEqual(file.Counting, want) {
 		t.Errorf("read %+v, want %+v", file.Counting, want)
--- a/internal/control/countingrule/resolve_test.go
+++ b/internal/control/countingrule/resolve_test.go
@@ -41,7 +41,7 @@
 }
 
 // Requests share a count if and only if they agree in all parts of the rule's key.
-func TestAssign_keyFollowsTheRule(t *testing.T) {
+func TestAssign_requestsWithEqualKeyPartsShareACount(t *testing.T) {
 	rules := parseConfig(t, completeFile).Rules
 	settings := WithRulePlans(testSettings(), rules)
 	byClass, byGroup := mustResolve(t, rules[0], settings), mustResolve(t, rules[1], settings)
@@ -97,7 +97,7 @@
 
 // A key must have the same name here as in the decision module. Otherwise a request's units would
 // be counted under two names, and the limit could be exceeded.
-func TestWindowAt_namesAreThePolicyModules(t *testing.T) {
+func TestWindowAt_namesMatchDecisionModule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
 		settings.Plans[0].Rate = rapid.Float64Range(0.01, 1000).Draw(t, "rate")
--- a/internal/control/countingrule/table.go
+++ b/internal/control/countingrule/table.go
@@ -15,26 +15,27 @@
 
 // The phases, in the order of a trial. PhaseIdle follows PhaseRollback.
 const (
-	PhaseIdle      Phase = iota // no trial: From is in force
-	PhaseCanary                 // trial: To is evaluated, but From alone decides
-	PhaseScheduled              // To is in force from SwitchAt on, and its outcome is watched
-	PhaseRollback               // To, the earlier rule, is in force again from SwitchAt on
+	PhaseIdle      Phase = iota // no trial: FromVersion is in force
+	PhaseCanary                 // trial: ToVersion is evaluated, but FromVersion alone decides
+	PhaseScheduled              // ToVersion is in force from SwitchAt on, and its outcome is watched
+	PhaseRollback               // ToVersion, the earlier rule, is in force again from SwitchAt on
 )
 
 // Table is the committed value of the replicated table. Its times are on the clock that all
 // processes share and that windows are based on: nanoseconds since the Unix epoch.
 type Table struct {
-	Phase    Phase         `cbor:"1,keyasint"`
-	From     uint64        `cbor:"2,keyasint"` // version in force before SwitchAt
-	To       uint64        `cbor:"3,keyasint"` // version in force after SwitchAt, or the one on trial
-	SwitchAt time.Duration `cbor:"4,keyasint"` // set in PhaseScheduled and PhaseRollback
-	Rules    []Rule        `cbor:"5,keyasint"` // rules that From, To and Previous may name
-	Previous uint64        `cbor:"6,keyasint"` // version in force before From; it needs no trial
-	Seed     uint64        `cbor:"7,keyasint"` // seed of the trial's sample
-	Since    time.Duration `cbor:"8,keyasint"` // time at which the phase began
-	// Refused lists the versions that were refused or rolled back. They are not tried again.
-	Refused []uint64 `cbor:"9,keyasint"`
-	Reason  string   `cbor:"10,keyasint"` // reason of the latest step, for operators
+	Phase           Phase         `cbor:"1,keyasint"`
+	FromVersion     uint64        `cbor:"2,keyasint"` // version in force before SwitchAt
+	ToVersion       uint64        `cbor:"3,keyasint"` // version in force after SwitchAt, or the one on trial
+	SwitchAt        time.Duration `cbor:"4,keyasint"` // set in PhaseScheduled and PhaseRollback
+	Rules           []Rule        `cbor:"5,keyasint"` // rules that FromVersion, ToVersion and PreviousVersion may name
+	PreviousVersion uint64        `cbor:"6,keyasint"` // version in force before FromVersion; it needs no trial
+	SampleSeed      uint64        `cbor:"7,keyasint"` // seed of the trial's sample
+	PhaseStart      time.Duration `cbor:"8,keyasint"` // time at which the phase began
+	// RefusedVersions lists the versions that were refused or rolled back. They are not tried
+	// again.
+	RefusedVersions []uint64 `cbor:"9,keyasint"`
+	Reason          string   `cbor:"10,keyasint"` // reason of the latest step, for operators
 	// TrialState is the controller's state of the trial. Only the controller reads it.
 	TrialState []byte `cbor:"11,keyasint"`
 	// Canary is the configuration of the trial. All processes use it, and it does not change until
@@ -92,9 +93,9 @@
 // InForce returns the version that is in force at a time according to the table.
 func (t *Table) InForce(now time.Duration) uint64 {
 	if t.hasSwitch() && now >= t.SwitchAt {
-		return t.To
+		return t.ToVersion
 	}
-	return t.From
+	return t.FromVersion
 }
 
 // TableStatus says how current the table in a process's cache is.
@@ -143,10 +144,10 @@
 	if status == TableNeverReceived {
 		return nil
 	}
-	return []uint64{t.From, t.To, t.Previous}
+	return []uint64{t.FromVersion, t.ToVersion, t.PreviousVersion}
 }
 
 // isRefused reports whether a version is among those that the received table lists as refused.
 func (t *Table) isRefused(version uint64, status TableStatus) bool {
-	return status != TableNeverReceived && slices.Contains(t.Refused, version)
+	return status != TableNeverReceived && slices.Contains(t.RefusedVersions, version)
 }
--- a/internal/control/countingrule/table_test.go
+++ b/internal/control/countingrule/table_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestCandidateVersions_oneWhenCertainElseAll(t *testing.T) {
+func TestCandidateVersions_singleOnlyWhenCertain(t *testing.T) {
 	config := &Config{DesiredVersion: 5, Rules: []Rule{{Version: 4}, {Version: 5}}}
-	scheduled := Table{Phase: PhaseScheduled, From: 0, To: 1, SwitchAt: 100}
-	canary := Table{Phase: PhaseCanary, To: 5}
-	refused := Table{From: 4, To: 4, Refused: []uint64{5}}
-	rollback := Table{Phase: PhaseRollback, From: 1, To: 0, SwitchAt: 100, Refused: []uint64{4, 5}}
+	scheduled := Table{Phase: PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: 100}
+	canary := Table{Phase: PhaseCanary, ToVersion: 5}
+	refused := Table{FromVersion: 4, ToVersion: 4, RefusedVersions: []uint64{5}}
+	rollback := Table{Phase: PhaseRollback, FromVersion: 1, ToVersion: 0, SwitchAt: 100, RefusedVersions: []uint64{4, 5}}
 	for _, test := range []struct {
 		name   string
 		table  Table
@@ -40,12 +40,12 @@
 
 func TestTable_decodesAsEncoded(t *testing.T) {
 	table := Table{
-		Phase: PhaseScheduled, From: 1, To: 2, SwitchAt: time.Hour, Rules: parseConfig(t, completeFile).Rules,
-		Refused: []uint64{7}, TrialState: []byte{1},
+		Phase: PhaseScheduled, FromVersion: 1, ToVersion: 2, SwitchAt: time.Hour, Rules: parseConfig(t, completeFile).Rules,
+		RefusedVersions: []uint64{7}, TrialState: []byte{1},
 	}
 	decoded, err := Decode(table.Encode())
 	if err != nil || decoded.SwitchAt != table.SwitchAt || !decoded.Rules[1].Equal(table.Rules[1]) ||
-		decoded.Refused[0] != 7 {
+		decoded.RefusedVersions[0] != 7 {
 		t.Errorf("decoded %+v, error %v", decoded, err)
 	}
 	if rule, ok := decoded.Rule(0); !ok || rule.Version != 0 {
--- a/internal/control/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -80,10 +80,10 @@
 	sim := settledSimulation(t, 3)
 	for range 20 {
 		for _, toZone := range sim.zones {
-			sim.addCount(zonestats.HealthTime("a", toZone, zonestats.Lost), 5000)
+			sim.addCount(zonestats.HealthTimeName("a", toZone, zonestats.Lost), 5000)
 		}
-		sim.addCount(zonestats.AwakeTime("a"), 5000)
-		sim.addCount(zonestats.Admitted("a"), 5000*50.0/3)
+		sim.addCount(zonestats.AwakeTimeName("a"), 5000)
+		sim.addCount(zonestats.AdmittedName("a"), 5000*50.0/3)
 		wantNoMove(t, sim, 3*time.Second)
 	}
 }
--- a/internal/control/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -45,17 +45,17 @@
 func newCountNames(zones []string) *countNames {
 	names := &countNames{}
 	for _, zone := range zones {
-		names.awakeTime = append(names.awakeTime, zonestats.AwakeTime(zone))
-		names.admitted = append(names.admitted, zonestats.Admitted(zone))
+		names.awakeTime = append(names.awakeTime, zonestats.AwakeTimeName(zone))
+		names.admitted = append(names.admitted, zonestats.AdmittedName(zone))
 		var completed []string
 		var health []byHealth[string]
 		for _, toZone := range zones {
 			for _, outcome := range zonestats.Outcomes() {
-				completed = append(completed, zonestats.Completed(zone, toZone, outcome))
+				completed = append(completed, zonestats.CompletedName(zone, toZone, outcome))
 			}
 			var byQuarter byHealth[string]
 			for quarter := range byQuarter {
-				byQuarter[quarter] = zonestats.HealthTime(zone, toZone, quarter)
+				byQuarter[quarter] = zonestats.HealthTimeName(zone, toZone, quarter)
 			}
 			health = append(health, byQuarter)
 		}
@@ -63,8 +63,8 @@
 		names.health = append(names.health, health)
 		var readyTime, readyPower byPowerBand[string]
 		for band := range zonestats.PowerBands {
-			readyTime[band] = zonestats.ReadyTime(zone, band)
-			readyPower[band] = zonestats.ReadyPower(zone, band)
+			readyTime[band] = zonestats.ReadyTimeName(zone, band)
+			readyPower[band] = zonestats.ReadyPowerName(zone, band)
 		}
 		names.readyTime = append(names.readyTime, readyTime)
 		names.readyPower = append(names.readyPower, readyPower)
--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -143,10 +143,10 @@
 		if s.silent[from] {
 			continue
 		}
-		s.addCount(zonestats.AwakeTime(fromZone), milliseconds*float64(s.gateways[from]))
-		s.addCount(zonestats.Admitted(fromZone), s.demand[from]*milliseconds)
-		s.addCount(zonestats.Offered(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
-		s.addCount(zonestats.Completed(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // 100 attempts a second
+		s.addCount(zonestats.AwakeTimeName(fromZone), milliseconds*float64(s.gateways[from]))
+		s.addCount(zonestats.AdmittedName(fromZone), s.demand[from]*milliseconds)
+		s.addCount(zonestats.OfferedName(fromZone), (s.demand[from]+s.unadmitted[from])*milliseconds)
+		s.addCount(zonestats.CompletedName(fromZone, fromZone, zonestats.OutcomeAnswered), 10) // 100 attempts a second
 		for gateway := range s.gateways[from] {
 			s.reportGateway(from, gateway == 0 && s.blindGateway[from], milliseconds)
 		}
@@ -162,14 +162,14 @@
 			power = 0
 		}
 		band := zonestats.PowerBand(power)
-		s.addCount(zonestats.ReadyTime(toZone, band), milliseconds)
-		s.addCount(zonestats.ReadyPower(toZone, band), milliseconds*power)
+		s.addCount(zonestats.ReadyTimeName(toZone, band), milliseconds)
+		s.addCount(zonestats.ReadyPowerName(toZone, band), milliseconds*power)
 		quarter := int(s.healthy[to]*zonestats.Healthy + 0.5)
 		if isBlind || s.lostLinks[[2]int{from, to}] {
 			quarter = zonestats.Lost
 		}
 		if s.share(from, to) > 0 && s.readyPower[to] > 0 || isBlind {
-			s.addCount(zonestats.HealthTime(s.zones[from], toZone, quarter), milliseconds)
+			s.addCount(zonestats.HealthTimeName(s.zones[from], toZone, quarter), milliseconds)
 		}
 	}
 }
--- a/internal/control/failover/zonestats/digest.go
+++ b/internal/control/failover/zonestats/digest.go
@@ -10,7 +10,7 @@
 	// been paused. Such an interval is not counted.
 	pauseThreshold = 2 * maxDigestInterval
 	// minSilentInFlight is the minimum number of attempts in flight for a zone that does not react
-	// to count as lost in HealthTime. One is enough, as the failover controller compares the
+	// to count as lost in HealthTimeName. One is enough, as the failover controller compares the
 	// observations of many gateways.
 	minSilentInFlight = 1
 )
--- a/internal/control/failover/zonestats/golden_test.go
+++ b/internal/control/failover/zonestats/golden_test.go
@@ -19,26 +19,26 @@
 // exchange.
 func TestCountNames_areStable(t *testing.T) {
 	for name, want := range map[string]string{
-		AwakeTime("a"):                       "time|a",
-		HealthTime("a", "b", Lost):           "judged|a|b|0",
-		HealthTime("a", "b", Failing):        "judged|a|b|1",
-		HealthTime("a", "b", 2):              "judged|a|b|2",
-		HealthTime("a", "b", 3):              "judged|a|b|3",
-		HealthTime("a", "b", Healthy):        "judged|a|b|4",
-		Offered("a"):                         "came|a",
-		Admitted("a"):                        "let|a",
-		Attempted("a", "b"):                  "pushed|a|b",
-		Completed("a", "b", OutcomeAnswered): "ended|a|b|well",
-		Completed("a", "b", OutcomeFailed):   "ended|a|b|ill",
-		Completed("a", "b", OutcomeRejected): "ended|a|b|full",
-		AnswerTime("a", "b"):                 "took|a|b",
-		CounterCalls("a", callOnTime):        "count|a|well",
-		CounterCalls("a", callLate):          "count|a|late",
-		ReadyTime("a", 0):                    "ready|a|0",
-		ReadyTime("a", PowerBands-1):         "ready|a|63",
-		ReadyPower("a", 0):                   "strength|a|0",
-		ReadyPower("a", PowerBands-1):        "strength|a|63",
-		strings.Join(Outcomes(), ""):         "wellillfull",
+		AwakeTimeName("a"):                       "time|a",
+		HealthTimeName("a", "b", Lost):           "judged|a|b|0",
+		HealthTimeName("a", "b", Failing):        "judged|a|b|1",
+		HealthTimeName("a", "b", 2):              "judged|a|b|2",
+		HealthTimeName("a", "b", 3):              "judged|a|b|3",
+		HealthTimeName("a", "b", Healthy):        "judged|a|b|4",
+		OfferedName("a"):                         "came|a",
+		AdmittedName("a"):                        "let|a",
+		AttemptedName("a", "b"):                  "pushed|a|b",
+		CompletedName("a", "b", OutcomeAnswered): "ended|a|b|well",
+		CompletedName("a", "b", OutcomeFailed):   "ended|a|b|ill",
+		CompletedName("a", "b", OutcomeRejected): "ended|a|b|full",
+		AnswerTimeName("a", "b"):                 "took|a|b",
+		CounterCallsName("a", callOnTime):        "count|a|well",
+		CounterCallsName("a", callLate):          "count|a|late",
+		ReadyTimeName("a", 0):                    "ready|a|0",
+		ReadyTimeName("a", PowerBands-1):         "ready|a|63",
+		ReadyPowerName("a", 0):                   "strength|a|0",
+		ReadyPowerName("a", PowerBands-1):        "strength|a|63",
+		strings.Join(Outcomes(), ""):             "wellillfull",
 	} {
 		if got := strings.ReplaceAll(name, "\x1f", "|"); got != want {
 			t.Errorf("name of a count: got %q, want %q", got, want)
@@ -68,9 +68,9 @@
 	"cold 12":   "d2b8c9efd4209025b3d72f5046dd2b820d9f75c39b346c35d685383c5358dc0b",
 }
 
-// TestRecorder_drawnStreamCountsAsBefore guards all counts for random sequences of events against
+// TestGolden_countsOfRandomEvents guards all counts for random sequences of events against
 // changes.
-func TestRecorder_drawnStreamCountsAsBefore(t *testing.T) {
+func TestGolden_countsOfRandomEvents(t *testing.T) {
 	settingsByName := map[string]*policy.Settings{"warm": {}, "cold": {WarmUpStart: 0.3, WarmUpTime: 20 * time.Second}}
 	for name, settings := range settingsByName {
 		for _, seed := range []uint64{2026, 12} {
--- a/internal/control/failover/zonestats/names.go
+++ b/internal/control/failover/zonestats/names.go
@@ -43,49 +43,50 @@
 	callLate   = "late"
 )
 
-// Outcomes returns the outcomes of attempts that have a count of their own; see Completed.
+// Outcomes returns the outcomes of attempts that have a count of their own; see CompletedName.
 func Outcomes() []string { return []string{OutcomeAnswered, OutcomeFailed, OutcomeRejected} }
 
-// AwakeTime returns the name of the count of milliseconds for which a zone's gateways were awake.
-func AwakeTime(zone string) string { return observation.JoinName(awakeTimePrefix, zone) }
+// AwakeTimeName returns the name of the count of milliseconds for which a zone's gateways were
+// awake.
+func AwakeTimeName(zone string) string { return observation.JoinName(awakeTimePrefix, zone) }
 
-// HealthTime returns the name of the count of milliseconds for which gateways in fromZone observed
-// that the health of toZone was quarter (Lost to Healthy). Both may be the same zone. A gateway
-// without recent results adds nothing.
-func HealthTime(fromZone, toZone string, quarter int) string {
+// HealthTimeName returns the name of the count of milliseconds for which gateways in fromZone
+// observed that the health of toZone was quarter (Lost to Healthy). Both may be the same zone. A
+// gateway without recent results adds nothing.
+func HealthTimeName(fromZone, toZone string, quarter int) string {
 	return observation.JoinName(healthTimePrefix, fromZone, toZone, strconv.Itoa(quarter))
 }
 
-// Offered returns the name of the count of units, in thousandths, of the requests that a zone's
+// OfferedName returns the name of the count of units, in thousandths, of the requests that a zone's
 // gateways received, without clients' repeats.
-func Offered(zone string) string { return observation.JoinName(offeredPrefix, zone) }
+func OfferedName(zone string) string { return observation.JoinName(offeredPrefix, zone) }
 
-// Admitted returns the name of the count of units, in thousandths, of the requests that quotas
+// AdmittedName returns the name of the count of units, in thousandths, of the requests that quotas
 // admitted at a zone's gateways, without clients' repeats. The count includes requests that were
 // then rejected for lack of capacity. The failover controller uses it as the zone's demand.
-func Admitted(zone string) string { return observation.JoinName(admittedPrefix, zone) }
+func AdmittedName(zone string) string { return observation.JoinName(admittedPrefix, zone) }
 
-// Attempted returns the name of the count of units, in thousandths, of all attempts by gateways in
-// fromZone on servers in toZone.
-func Attempted(fromZone, toZone string) string {
+// AttemptedName returns the name of the count of units, in thousandths, of all attempts by gateways
+// in fromZone on servers in toZone.
+func AttemptedName(fromZone, toZone string) string {
 	return observation.JoinName(attemptedPrefix, fromZone, toZone)
 }
 
-// Completed returns the name of the count of attempts by gateways in fromZone on servers in toZone
-// that ended with an outcome, which is one of Outcomes.
-func Completed(fromZone, toZone, outcome string) string {
+// CompletedName returns the name of the count of attempts by gateways in fromZone on servers in
+// toZone that ended with an outcome, which is one of Outcomes.
+func CompletedName(fromZone, toZone, outcome string) string {
 	return observation.JoinName(completedPrefix, fromZone, toZone, outcome)
 }
 
-// AnswerTime returns the name of the sum of latencies, in milliseconds, of the answered attempts by
-// gateways in fromZone on servers in toZone.
-func AnswerTime(fromZone, toZone string) string {
+// AnswerTimeName returns the name of the sum of latencies, in milliseconds, of the answered
+// attempts by gateways in fromZone on servers in toZone.
+func AnswerTimeName(fromZone, toZone string) string {
 	return observation.JoinName(answerTimePrefix, fromZone, toZone)
 }
 
-// CounterCalls returns the name of the count of calls by a zone's gateways to the counter that
+// CounterCallsName returns the name of the count of calls by a zone's gateways to the counter that
 // ended with an outcome: callOnTime, or callLate, which includes failed calls.
-func CounterCalls(zone, outcome string) string {
+func CounterCallsName(zone, outcome string) string {
 	return observation.JoinName(counterCallsPrefix, zone, outcome)
 }
 
@@ -106,14 +107,14 @@
 	return min(max(1+int(math.Ceil(math.Log(power/firstBandEnd)/math.Log(bandRatio))), 1), PowerBands-1)
 }
 
-// ReadyTime returns the name of the count of milliseconds for which gateways, in any zone, computed
-// that a zone's ready power was in a band.
-func ReadyTime(zone string, band int) string {
+// ReadyTimeName returns the name of the count of milliseconds for which gateways, in any zone,
+// computed that a zone's ready power was in a band.
+func ReadyTimeName(zone string, band int) string {
 	return observation.JoinName(readyTimePrefix, zone, strconv.Itoa(band))
 }
 
-// ReadyPower returns the name of the sum of the ready powers in that band, each multiplied by its
-// duration. The unit is one ready and warm server of power 1 times one millisecond.
-func ReadyPower(zone string, band int) string {
+// ReadyPowerName returns the name of the sum of the ready powers in that band, each multiplied by
+// its duration. The unit is one ready and warm server of power 1 times one millisecond.
+func ReadyPowerName(zone string, band int) string {
 	return observation.JoinName(readyPowerPrefix, zone, strconv.Itoa(band))
 }
--- a/internal/control/failover/zonestats/recorder.go
+++ b/internal/control/failover/zonestats/recorder.go
@@ -44,8 +44,8 @@
 func New(zones []string, ownZoneIndex int, settings *policy.Settings) *Recorder {
 	ownZone := zones[ownZoneIndex]
 	r := &Recorder{ownZoneIndex: ownZoneIndex, names: recorderNames{
-		awakeTime: AwakeTime(ownZone), offered: Offered(ownZone), admitted: Admitted(ownZone),
-		callsOnTime: CounterCalls(ownZone, callOnTime), callsLate: CounterCalls(ownZone, callLate),
+		awakeTime: AwakeTimeName(ownZone), offered: OfferedName(ownZone), admitted: AdmittedName(ownZone),
+		callsOnTime: CounterCallsName(ownZone, callOnTime), callsLate: CounterCallsName(ownZone, callLate),
 	}}
 	r.Reconfigure(settings)
 	for _, zone := range zones {
--- a/internal/control/failover/zonestats/recorder_test.go
+++ b/internal/control/failover/zonestats/recorder_test.go
@@ -72,8 +72,8 @@
 				fx.attempt(1, uint32(i), outcome, 10*time.Millisecond)
 			}
 			fx.nextDigest(120 * time.Millisecond)
-			fx.wantCount(HealthTime("a", "b", test.quarter), 200)
-			fx.wantCount(HealthTime("a", "a", Healthy), 0) // unknown, as there were no attempts
+			fx.wantCount(HealthTimeName("a", "b", test.quarter), 200)
+			fx.wantCount(HealthTimeName("a", "a", Healthy), 0) // unknown, as there were no attempts
 		})
 	}
 }
@@ -91,11 +91,11 @@
 	fx.attempt(0, 1, policy.ConnectFailed, time.Millisecond)
 	fx.attempt(0, 2, policy.Reset, time.Millisecond)
 	fx.nextDigest(98 * time.Millisecond)
-	fx.wantCount(HealthTime("a", "a", Lost), 100)
+	fx.wantCount(HealthTimeName("a", "a", Lost), 100)
 }
 
-// TestHealth_silenceIsALoss checks that a zone counts as lost if no attempt in flight ends.
-func TestHealth_silenceIsALoss(t *testing.T) {
+// TestHealth_silentZoneIsLost checks that a zone counts as lost if no attempt in flight ends.
+func TestHealth_silentZoneIsLost(t *testing.T) {
 	fx := newFixture(t)
 	fx.attempt(0, 1, policy.Answered, 10*time.Millisecond)
 	for range 5 {
@@ -103,14 +103,14 @@
 	}
 	fx.nextDigest(190 * time.Millisecond)
 	fx.nextDigest(200 * time.Millisecond)
-	fx.wantCount(HealthTime("a", "a", Lost), 0)
+	fx.wantCount(HealthTimeName("a", "a", Lost), 0)
 	fx.nextDigest(200 * time.Millisecond)
-	fx.wantCount(HealthTime("a", "a", Lost), 200)
+	fx.wantCount(HealthTimeName("a", "a", Lost), 200)
 }
 
-// TestWriteCounts_addsNoMoreThanTimeAwake checks that a gateway does not count the time in which it
+// TestWriteCounts_excludesPauses checks that a gateway does not count the time in which it
 // was paused. Otherwise its observations would count as those of several gateways.
-func TestWriteCounts_addsNoMoreThanTimeAwake(t *testing.T) {
+func TestWriteCounts_excludesPauses(t *testing.T) {
 	fx := newFixture(t)
 	fx.attempt(0, 1, policy.Answered, 0)
 	for range 10 {
@@ -118,13 +118,13 @@
 	}
 	fx.nextDigest(time.Minute)
 	fx.nextDigest(200 * time.Millisecond)
-	fx.wantCount(AwakeTime("a"), 2200)
-	fx.wantCount(Admitted("a"), 2000)
+	fx.wantCount(AwakeTimeName("a"), 2200)
+	fx.wantCount(AdmittedName("a"), 2000)
 }
 
-// TestReadyPower_isReadyAndWarm checks that ready power is the power of ready servers, less what
-// warming-up servers still lack, and that draining servers add none.
-func TestReadyPower_isReadyAndWarm(t *testing.T) {
+// TestReadyPower_countsReadyAndWarmServers checks that ready power is the power of ready servers,
+// less what warming-up servers still lack, and that draining servers add none.
+func TestReadyPower_countsReadyAndWarmServers(t *testing.T) {
 	fx := newFixture(t)
 	fx.recorder.SetEndpoints(fx.now, []policy.Endpoint{
 		{State: policy.Ready, Capacity: 2},
@@ -132,9 +132,9 @@
 		{State: policy.Ready, Zone: 1, StartedAt: fx.now - 5*time.Second},
 	})
 	fx.nextDigest(100 * time.Millisecond)
-	fx.wantCount(ReadyPower("a", PowerBand(2)), 200)
-	fx.wantCount(ReadyPower("b", PowerBand(0.608)), 60)
-	fx.wantCount(ReadyTime("b", PowerBand(0.608)), 100)
+	fx.wantCount(ReadyPowerName("a", PowerBand(2)), 200)
+	fx.wantCount(ReadyPowerName("b", PowerBand(0.608)), 60)
+	fx.wantCount(ReadyTimeName("b", PowerBand(0.608)), 100)
 }
 
 func TestPowerBand_isInRange(t *testing.T) {
@@ -147,7 +147,7 @@
 
 // Guards against a false loss: a single hanging attempt of a gateway must not cause nearly all
 // other requests to be shed.
-func TestIsZoneLost_notByOneHangingAttempt(t *testing.T) {
+func TestIsZoneLost_oneHangingAttemptIsNoLoss(t *testing.T) {
 	for _, test := range []struct {
 		inFlight int
 		lost     bool
--- a/internal/control/failover/zonestats/zone.go
+++ b/internal/control/failover/zonestats/zone.go
@@ -72,17 +72,17 @@
 // the same zone.
 func newZoneStats(fromZone, toZone string) *zoneStats {
 	z := &zoneStats{results: map[uint32]lastResult{}, failedSinceResponse: map[uint32]bool{}}
-	z.names.attempted = Attempted(fromZone, toZone)
-	z.names.answerTime = AnswerTime(fromZone, toZone)
+	z.names.attempted = AttemptedName(fromZone, toZone)
+	z.names.answerTime = AnswerTimeName(fromZone, toZone)
 	for quarter := range z.names.healthTime {
-		z.names.healthTime[quarter] = HealthTime(fromZone, toZone, quarter)
+		z.names.healthTime[quarter] = HealthTimeName(fromZone, toZone, quarter)
 	}
 	for i, outcome := range Outcomes() {
-		z.names.completed[i] = Completed(fromZone, toZone, outcome)
+		z.names.completed[i] = CompletedName(fromZone, toZone, outcome)
 	}
 	for band := range PowerBands {
-		z.names.readyTime[band] = ReadyTime(toZone, band)
-		z.names.readyPower[band] = ReadyPower(toZone, band)
+		z.names.readyTime[band] = ReadyTimeName(toZone, band)
+		z.names.readyPower[band] = ReadyPowerName(toZone, band)
 	}
 	return z
 }
--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -33,8 +33,8 @@
 }
 
 // Accounts holds the balances between partners as counted by one gateway. It is safe for concurrent
-// use. On a nil *Accounts, TrackRequest returns nil, SetPolicy does nothing and AddElective returns
-// the selection unchanged.
+// use. On a nil *Accounts, TrackRequest returns nil, SetPolicy does nothing and AddElectiveServers
+// returns the selection unchanged.
 type Accounts struct {
 	mu       sync.Mutex
 	terms    settlement.Terms
@@ -164,10 +164,10 @@
 // isSettling reports whether there are shares and they have not expired. The caller must hold mu.
 func (a *Accounts) isSettling() bool { return len(a.shares) > 0 && a.now() < a.sharesUntil }
 
-// AddElective adds to the selection the servers needed for attempts that settle debts, and marks
-// with their owner the selected servers that such attempts may prefer. If no debt is being settled,
-// it returns the selection unchanged.
-func (a *Accounts) AddElective(
+// AddElectiveServers adds to the selection the servers needed for attempts that settle debts, and
+// marks with their owner the selected servers that such attempts may prefer. If no debt is being
+// settled, it returns the selection unchanged.
+func (a *Accounts) AddElectiveServers(
 	servers *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate,
 ) []policy.Endpoint {
 	if a == nil {
@@ -177,7 +177,7 @@
 	if owners == nil {
 		return selected
 	}
-	return servers.AddElective(now, selected, all, owners, maxFraction)
+	return servers.AddElectiveServers(now, selected, all, owners, maxFraction)
 }
 
 // ReportMetrics calls add with the name and value of each metric, for a digest.
--- a/internal/control/settlement/account/accounts_test.go
+++ b/internal/control/settlement/account/accounts_test.go
@@ -150,7 +150,7 @@
 
 // The share's fraction of a creditor's idempotent requests prefers the debtor's servers until the
 // lease expires. Repeats, non-idempotent requests and the debtor's own requests never do.
-func TestAccounts_preferDebtorForStatedFraction(t *testing.T) {
+func TestAccounts_preferDebtorForShareOfRequests(t *testing.T) {
 	now := time.Duration(0)
 	accounts := New(testConfig("x", func() time.Duration { return now }))
 	pair := settlement.Pair{Debtor: "a", Creditor: "b"}
--- a/internal/control/settlement/account/fake_test.go
+++ b/internal/control/settlement/account/fake_test.go
@@ -66,10 +66,10 @@
 	return f.exactCounters != nil
 }
 
-// updateNotifications receives an element for each call of UpdateElective.
+// updateNotifications receives an element for each call of UpdateElectiveServers.
 type updateNotifications chan struct{}
 
-func (u updateNotifications) UpdateElective() { u <- struct{}{} }
+func (u updateNotifications) UpdateElectiveServers() { u <- struct{}{} }
 
 // memoryStore is a Store in memory. Writes fail after a call of fail.
 type memoryStore struct {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (m *memoryStore) Restored() (string, []StoredBalance) { return m.ledgerID, m.balances }
+func (m *memoryStore) InitialState() (string, []StoredBalance) { return m.ledgerID, m.balances }
 
 func (m *memoryStore) fail() {
 	m.Lock()
--- a/internal/control/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -15,15 +15,15 @@
 // a change of the table.
 const leaseCheckInterval = 200 * time.Millisecond
 
-// ElectiveUpdater is implemented by the dispatcher. UpdateElective selects again the servers for
-// attempts that settle debts, according to the current shares of Accounts.
-type ElectiveUpdater interface{ UpdateElective() }
+// ElectiveServersUpdater is implemented by the dispatcher. UpdateElectiveServers selects again the
+// servers for attempts that settle debts, according to the current shares of Accounts.
+type ElectiveServersUpdater interface{ UpdateElectiveServers() }
 
 // Run applies the replicated table, registers the counters that are reported in digests, and writes
 // the balances to the store if there is one. It blocks until ctx is done and the last write to the
 // store has ended. It must be called at most once, after Restore.
 func (a *Accounts) Run(
-	ctx context.Context, client coordination.Client, updater ElectiveUpdater, log *zap.Logger,
+	ctx context.Context, client coordination.Client, updater ElectiveServersUpdater, log *zap.Logger,
 ) {
 	stored := make(chan struct{})
 	go func() {
@@ -43,7 +43,7 @@
 type tableFollower struct {
 	accounts *Accounts
 	client   coordination.Client
-	updater  ElectiveUpdater
+	updater  ElectiveServersUpdater
 	log      *zap.Logger
 
 	epoch         uint64           // epoch of the latest table seen; 0 before the first
@@ -96,7 +96,7 @@
 	isSettling := owners != nil
 	if !slices.Equal(owners, f.lendingOwners) {
 		f.lendingOwners = owners
-		f.updater.UpdateElective()
+		f.updater.UpdateElectiveServers()
 	}
 	switch {
 	case isSettling && !wasSettling:
--- a/internal/control/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -22,7 +22,7 @@
 	Write(ledgerID string, balances []StoredBalance) error
 	// Restored returns the ledger that the store held when it was opened. ledgerID is empty if the
 	// store was new.
-	Restored() (ledgerID string, balances []StoredBalance)
+	InitialState() (ledgerID string, balances []StoredBalance)
 }
 
 // StoredBalance is a pair's balance in a Store, in thousandths of units.
@@ -38,7 +38,7 @@
 // It must be called before Run and before the first request. The estimate for attempts that were in
 // flight when the previous process ended is added to the debt, since a server may have run them.
 func (a *Accounts) Restore(store Store) {
-	ledgerID, balances := store.Restored()
+	ledgerID, balances := store.InitialState()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store = store
--- a/internal/control/settlement/journal/firstrecord_test.go
+++ b/internal/control/settlement/journal/firstrecord_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a failing start after the process was killed while it wrote the first record. The
 // record may be truncated at any byte.
-func TestOpen_firstRecordThatWasCutOffIsBegunAnew(t *testing.T) {
+func TestOpen_truncatedFirstRecordIsDiscarded(t *testing.T) {
 	complete := t.TempDir()
 	j := openJournal(t, complete)
 	if err := j.Write("x", testBalances(7)); err != nil {
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatalf("Open with the first record truncated to %d bytes: %v", length-slotSize, err)
 		}
-		if ledgerID, balances := j.Restored(); ledgerID != "" || len(balances) > 0 {
+		if ledgerID, balances := j.InitialState(); ledgerID != "" || len(balances) > 0 {
 			t.Fatalf("restored %q, %v, want nothing", ledgerID, balances)
 		}
 		if err := j.Write("y", testBalances(8)); err != nil {
@@ -37,7 +37,7 @@
 		}
 		closeJournal(t, j)
 		j = openJournal(t, folder)
-		if ledgerID, balances := j.Restored(); ledgerID != "y" || !slices.Equal(balances, testBalances(8)) {
+		if ledgerID, balances := j.InitialState(); ledgerID != "y" || !slices.Equal(balances, testBalances(8)) {
 			t.Fatalf("restored %q, %v after a write, want %q, %v", ledgerID, balances, "y", testBalances(8))
 		}
 		closeJournal(t, j)
--- a/internal/control/settlement/journal/golden_test.go
+++ b/internal/control/settlement/journal/golden_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	last := goldenWrites[len(goldenWrites)-1]
-	ledgerID, balances := openJournal(t, storedFolder).Restored()
+	ledgerID, balances := openJournal(t, storedFolder).InitialState()
 	if ledgerID != last.ledgerID || !reflect.DeepEqual(balances, last.balances) {
 		t.Errorf("restored %q, %v, want %q, %v", ledgerID, balances, last.ledgerID, last.balances)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Guards the error messages that an operator sees when the gateway cannot use its journal folder.
-func TestGolden_refusals(t *testing.T) {
+func TestGolden_openErrors(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "debts")
 	_ = openJournal(t, folder)
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -193,7 +193,7 @@
 }
 
 // Restored implements account.Store.
-func (j *Journal) Restored() (ledgerID string, balances []account.StoredBalance) {
+func (j *Journal) InitialState() (ledgerID string, balances []account.StoredBalance) {
 	return j.initialLedgerID, j.initialBalances
 }
 
--- a/internal/control/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -54,7 +54,7 @@
 
 // Simulates a crash of the process or a power failure during a write. If the latest record is
 // corrupt, Open restores an earlier one, and at last the synced one.
-func TestJournal_corruptRecordLeavesEarlierOne(t *testing.T) {
+func TestJournal_corruptRecordFallsBackToEarlierOne(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
 	for n := range uint64(9) { // the first write is synced; the others follow within syncInterval
@@ -65,7 +65,7 @@
 	closeJournal(t, j)
 	for _, want := range []uint64{9, 8, 1} {
 		j = openJournal(t, folder)
-		if ledgerID, balances := j.Restored(); ledgerID != "x" || !slices.Equal(balances, testBalances(want)) {
+		if ledgerID, balances := j.InitialState(); ledgerID != "x" || !slices.Equal(balances, testBalances(want)) {
 			t.Fatalf("restored %q, %v, want record %d", ledgerID, balances, want)
 		}
 		slot := j.latestSlot
--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -81,8 +81,8 @@
 		},
 		Canary: countingrule.CanaryConfig{
 			SamplePermille: 20, CallsPermille: 90, DeadlineSeconds: 3600, ErrorPermille: 50,
-			RejectedPermille: 11, AdmittedPermille: 12, OverLimitPermille: 13, DeviationPermille: 14,
-			WatchSeconds: 600, LeadMillis: 2500,
+			RejectedBoundPermille: 11, AdmittedBoundPermille: 12, OverLimitBoundPermille: 13, MaxDeviationPermille: 14,
+			WatchSeconds: 600, ExtraLeadMillis: 2500,
 		},
 	}
 }
--- a/internal/gateway/dispatch/attempt_test.go
+++ b/internal/gateway/dispatch/attempt_test.go
@@ -70,14 +70,14 @@
 	t.Helper()
 	f := newFixture(t, withLongTimeouts, withoutCancelling)
 	request, forward := f.forwardRequest(class, time.Hour)
-	if !forward.Begin() {
+	if !forward.BeginSend() {
 		t.Fatal("first byte refused")
 	}
 	c.trigger(f, request)
 	if forward.Context.Err() != nil {
 		t.Fatal("cancelled after its first byte")
 	}
-	if forward.Begin() {
+	if forward.BeginSend() {
 		t.Fatal("first byte allowed twice")
 	}
 }
@@ -92,7 +92,7 @@
 	if forward.Context.Err() == nil {
 		t.Fatal("not cancelled")
 	}
-	if forward.Begin() {
+	if forward.BeginSend() {
 		t.Fatal("first byte allowed after cancellation")
 	}
 	f.notifyEndpoint("s-2", "elsewhere", policy.Ready, 0)
@@ -116,7 +116,7 @@
 	f.setEndpoint(policy.ListFull, policy.Ready)
 	f.notifyEndpoint("s-2", "elsewhere", policy.Draining, 0)
 	f.dispatcher.HandleEndpoints(policy.ListFailed, nil)
-	if forward.Context.Err() != nil || !forward.Begin() {
+	if forward.Context.Err() != nil || !forward.BeginSend() {
 		t.Error("cancelled")
 	}
 	request.ReportResult(Result{Outcome: policy.Answered})
@@ -129,7 +129,7 @@
 		request := f.admit(0, 0, time.Hour)
 		forward := f.expectAction(request, Forward)
 		sent := make(chan bool)
-		go func() { sent <- forward.Begin() }()
+		go func() { sent <- forward.BeginSend() }()
 		request.Disconnect()
 		if <-sent == (forward.Context.Err() != nil) {
 			t.Fatal("want either sent or cancelled")
@@ -153,7 +153,7 @@
 		"waits for a retry": func(f *fixture) *Request {
 			request, forward := f.forwardRequest(0, time.Hour)
 			f.setEndpoint(policy.ListFull, policy.Draining)
-			forward.Begin()
+			forward.BeginSend()
 			request.ReportResult(Result{Outcome: policy.Rejected})
 			return request
 		},
@@ -195,7 +195,7 @@
 	if !forward.WriteDeadline.Equal(forward.Deadline) {
 		t.Errorf("first attempt: write deadline %v, want %v", forward.WriteDeadline, forward.Deadline)
 	}
-	forward.Begin()
+	forward.BeginSend()
 	after := time.Now()
 	// The window of the third attempt also starts with the first attempt.
 	for _, outcome := range []policy.Outcome{policy.Reset, policy.Rejected} {
@@ -231,7 +231,7 @@
 	f.expireTimeout(request) // forwarded again, then rejected before that decision is read
 	request.Disconnect()
 	second := f.expectAction(request, Forward)
-	if second.Begin() {
+	if second.BeginSend() {
 		t.Error("first byte allowed after the final decision")
 	}
 	request.ReportResult(Result{Outcome: policy.NotSent})
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -12,9 +12,9 @@
 type CountingRules interface {
 	// WithRulePlans returns settings with the rules' own plans appended.
 	WithRulePlans(settings policy.Settings) policy.Settings
-	// WithoutRulePlans is called with the settings that have come into force. It returns them as
+	// ApplySettings is called with the settings that have come into force. It returns them as
 	// clients may see them: with the rules' plans retired.
-	WithoutRulePlans(settings policy.Settings) policy.Settings
+	ApplySettings(settings policy.Settings) policy.Settings
 	// Assign returns the counts of a new request. The request keeps them even if another rule comes
 	// into force before it completes.
 	Assign(now time.Duration, spec RequestSpec) CountAssignment
@@ -29,9 +29,9 @@
 	GatewayCount int     // number of gateways that admit requests under the key
 	Weight       float64 // units charged per unit of the request
 	PerCustomer  bool    // the request counts under its customer, so Result.Usage applies
-	// CheckOthers checks the other counts that must admit the request; nil: there are none. It
+	// CheckOtherCounts checks the other counts that must admit the request; nil: there are none. It
 	// calls done once, from another goroutine and without the dispatcher's lock.
-	CheckOthers func(done func(admitted bool))
+	CheckOtherCounts func(done func(admitted bool))
 	// Completed is called once, with the dispatcher's lock held, when the request completes; nil:
 	// it is not called. forwarded reports whether an attempt was made. units are the actual units
 	// times Weight; 0: not reported.
@@ -98,11 +98,11 @@
 	policyRequest.Plan = assignment.Plan
 	policyRequest.GatewayCount = assignment.GatewayCount
 	policyRequest.Units = spec.Units * assignment.Weight
-	if assignment.CheckOthers == nil {
+	if assignment.CheckOtherCounts == nil {
 		d.module.HandleRequest(now, policyRequest)
 		return
 	}
-	assignment.CheckOthers(func(admitted bool) {
+	assignment.CheckOtherCounts(func(admitted bool) {
 		now := d.lock()
 		defer d.unlock()
 		switch {
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -8,18 +8,18 @@
 )
 
 // fakeRules count all requests under one key, with consecutive weights of which the last repeats.
-// checkOthers is the CheckOthers of all assignments.
+// checkOthers is the CheckOtherCounts of all assignments.
 type fakeRules struct {
 	weights     []float64
 	checkOthers func(func(bool))
 	completed   []float64
 }
 
-func (r *fakeRules) WithRulePlans(s policy.Settings) policy.Settings    { return s }
-func (r *fakeRules) WithoutRulePlans(s policy.Settings) policy.Settings { return s }
+func (r *fakeRules) WithRulePlans(s policy.Settings) policy.Settings { return s }
+func (r *fakeRules) ApplySettings(s policy.Settings) policy.Settings { return s }
 func (r *fakeRules) Assign(_ time.Duration, spec RequestSpec) CountAssignment {
 	assignment := CountAssignment{
-		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0], CheckOthers: r.checkOthers,
+		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0], CheckOtherCounts: r.checkOthers,
 		Completed: func(_ bool, units float64) { r.completed = append(r.completed, units) },
 	}
 	if len(r.weights) > 1 {
@@ -83,7 +83,7 @@
 			rules := &fakeRules{weights: []float64{1}}
 			f.setRules(rules)
 			request, forward := f.forwardRequest(0, time.Hour)
-			forward.Begin()
+			forward.BeginSend()
 			if want == Disconnected {
 				request.Disconnect()
 			} else {
--- a/internal/gateway/dispatch/decision.go
+++ b/internal/gateway/dispatch/decision.go
@@ -30,9 +30,9 @@
 	WriteDeadline time.Time
 	// Context is cancelled when the attempt must be abandoned immediately.
 	Context context.Context
-	// Begin must be called once, immediately before an attempt's first byte is written. The byte
-	// may be written only if it returns true.
-	Begin func() bool
+	// BeginSend must be called once, immediately before an attempt's first byte is written. The
+	// byte may be written only if it returns true.
+	BeginSend func() bool
 	// RetryAfter is how long the client of a rejected request should wait before it retries; 0: not
 	// stated.
 	RetryAfter time.Duration
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -108,7 +108,7 @@
 	d.accounts.SetPolicy(settings.Classes, settings.Plans)
 	d.applySettings(&settings)
 	if d.rules != nil {
-		settings = d.rules.WithoutRulePlans(settings)
+		settings = d.rules.ApplySettings(settings)
 	}
 	d.updateModuleEndpoints(now, policy.ListFull)
 	return settings, nil
--- a/internal/gateway/dispatch/endpoints.go
+++ b/internal/gateway/dispatch/endpoints.go
@@ -97,7 +97,7 @@
 		d.recordEndpoints(now, all)
 	}
 	selected, sharers := d.subset.Select(now, all)
-	selected = d.accounts.AddElective(d.subset, now, selected, all)
+	selected = d.accounts.AddElectiveServers(d.subset, now, selected, all)
 	if kind == policy.ListDelta {
 		kind = policy.ListFull
 	}
--- a/internal/gateway/dispatch/host.go
+++ b/internal/gateway/dispatch/host.go
@@ -34,7 +34,7 @@
 		Server:        server,
 		Deadline:      dispatcher.clock.toTime(deadline),
 		WriteDeadline: dispatcher.clock.toTime(dispatcher.writeDeadline(requestID, deadline)),
-		Begin:         request.current.beginSend,
+		BeginSend:     request.current.beginSend,
 	}
 	decision.Context, request.current.abandon = context.WithCancel(context.Background())
 	request.decisions <- decision
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -24,7 +24,7 @@
 }
 
 // Request is a request in flight. One goroutine handles it, by calling Next and ReportResult;
-// Disconnect and GiveUp may be called from any goroutine.
+// Disconnect and Abort may be called from any goroutine.
 type Request struct {
 	dispatcher *Dispatcher
 	id         uint32
@@ -116,9 +116,9 @@
 	}
 }
 
-// GiveUp terminates the request and abandons its attempt, whose result must still be reported. It
+// Abort terminates the request and abandons its attempt, whose result must still be reported. It
 // is called when the process is about to be killed. After the final decision it does nothing.
-func (r *Request) GiveUp() {
+func (r *Request) Abort() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
 	if r.completed {
--- a/internal/gateway/dispatch/settlement.go
+++ b/internal/gateway/dispatch/settlement.go
@@ -14,9 +14,9 @@
 	d.refreshEndpoints(now)
 }
 
-// UpdateElective passes the decision module the servers that elective attempts need under the
-// accounts' current shares.
-func (d *Dispatcher) UpdateElective() {
+// UpdateElectiveServers passes the decision module the servers that elective attempts need under
+// the accounts' current shares.
+func (d *Dispatcher) UpdateElectiveServers() {
 	now := d.lock()
 	defer d.unlock()
 	d.updateModuleEndpoints(now, policy.ListFull)
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -98,7 +98,7 @@
 	pair := settlement.Pair{Debtor: "c", Creditor: "a"}
 	for _, shares := range [][]settlement.Share{nil, {{Pair: pair, PPM: settlement.PartsPerMillion}}, nil} {
 		accounts.ApplyState(settlement.State{Shares: shares}, time.Hour)
-		f.dispatcher.UpdateElective()
+		f.dispatcher.UpdateElectiveServers()
 		for range 20 {
 			request, decision := f.forwardWithCounterServed(0, time.Second)
 			preferred, zone := request.tracker.PreferredPartner(), decision.Server.Endpoint.Zone
--- a/internal/gateway/dispatch/steering_test.go
+++ b/internal/gateway/dispatch/steering_test.go
@@ -81,7 +81,7 @@
 	request.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-	isOneRequest := counts[zonestats.Admitted("a")] == 2000 && counts[zonestats.Offered("a")] == 2000
+	isOneRequest := counts[zonestats.AdmittedName("a")] == 2000 && counts[zonestats.OfferedName("a")] == 2000
 	if !isOneRequest || len(f.dispatcher.requests) != 0 {
 		t.Errorf("counts %v, %d requests in flight", counts, len(f.dispatcher.requests))
 	}
@@ -97,8 +97,8 @@
 	repeat.Disconnect()
 	counts := map[string]uint64{}
 	f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-	if counts[zonestats.Attempted("a", "b")] != 12000 || counts[zonestats.Admitted("a")] != 10000 ||
-		counts[zonestats.Completed("a", "b", "well")] != 5 {
+	if counts[zonestats.AttemptedName("a", "b")] != 12000 || counts[zonestats.AdmittedName("a")] != 10000 ||
+		counts[zonestats.CompletedName("a", "b", "well")] != 5 {
 		t.Errorf("counts %v", counts)
 	}
 	if f.dispatcher.IsZoneLost() {
@@ -136,7 +136,7 @@
 			f.expectAction(f.dispatcher.Admit(spec), Reject)
 			counts := map[string]uint64{}
 			f.dispatcher.WriteZoneCounts(func(name string, n uint64) { counts[name] = n })
-			if got := counts[zonestats.Admitted("a")]; got != test.want {
+			if got := counts[zonestats.AdmittedName("a")]; got != test.want {
 				t.Errorf("demand of %d thousandths of a unit, want %d", got, test.want)
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 	case <-terminating:
 		return
 	}
-	i.clients.Ready()
+	i.clients.MarkReady()
 	i.log.Info("gateway: ready", zap.String("listen", configuration.Listen))
 }
 
--- a/internal/gateway/listener/acceptbackoff_test.go
+++ b/internal/gateway/listener/acceptbackoff_test.go
@@ -32,7 +32,7 @@
 
 // If file descriptors are exhausted, each failed accept evicts one idle connection, and the
 // failures are logged once.
-func TestAccept_evictsIdleClientsWithoutDescriptors(t *testing.T) {
+func TestAccept_evictsIdleClientsWhenOutOfDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	// Six of the eight connections are idle.
 	l := &Listener{connections: fullConnectionTable(t, 2), drain: newDrainState(), log: zap.New(core)}
@@ -81,14 +81,14 @@
 
 // Transient failures of accept lose no client: clients that connect meanwhile are served, both
 // normally and during a drain.
-func TestAccept_failuresForAMomentLoseNobody(t *testing.T) {
+func TestAccept_transientFailuresLoseNoClient(t *testing.T) {
 	failures := []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
 		syscall.EPROTO, syscall.ECONNABORTED, syscall.ENFILE,
 	}
 	server := fakes.NewServer(t, answerHello)
 	f := fixtureOptions{settings: drainSettings(), maxConnections: 8}.newFixture(t, server)
-	f.Ready()
+	f.MarkReady()
 	socket := &failingListener{TCPListener: f.socket.(*net.TCPListener)}
 	socket.fail(failures...)
 	served := make(chan error, 1)
--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -113,7 +113,7 @@
 // giveUp makes all requests in flight complete as failed.
 func (c *client) giveUp() {
 	for _, request := range c.openRequests() {
-		request.GiveUp()
+		request.Abort()
 	}
 }
 
--- a/internal/gateway/listener/close_test.go
+++ b/internal/gateway/listener/close_test.go
@@ -11,7 +11,7 @@
 
 // Several commands are read together. The answer to the first does not close the connection before
 // the others are answered.
-func TestDrain_answersAllCommandsReadAtOnce(t *testing.T) {
+func TestDrain_answersAllCommandsReadTogether(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	f.activateDrain(time.Hour)
 	c := f.dial()
@@ -46,7 +46,7 @@
 }
 
 // Half of a command was read when the drain begins, and the other half arrives later.
-func TestDrain_answersCommandReadInPart(t *testing.T) {
+func TestDrain_answersPartiallyReadCommand(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	c := f.dial()
 	text := numberedQuery(1)
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -27,7 +27,7 @@
 
 // The first byte of a request has arrived on an idle connection, and the reader has seen it but has
 // not counted the request yet. The connection stays open.
-func TestCloseIdle_requestThatHasBegunIsAnswered(t *testing.T) {
+func TestCloseIdle_partiallyReceivedRequestIsAnswered(t *testing.T) {
 	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			seen, release := make(chan bool), make(chan bool)
@@ -49,7 +49,7 @@
 
 // A request arrives while the connection is being closed. No byte of it is read, and the client
 // sees a reset.
-func TestCloseIdle_requestThatCrossesTheCloseIsNotRead(t *testing.T) {
+func TestCloseIdle_requestDuringCloseIsNotRead(t *testing.T) {
 	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainFixture(t, 8, nil, answerHello)
--- a/internal/gateway/listener/concurrency_test.go
+++ b/internal/gateway/listener/concurrency_test.go
@@ -27,7 +27,7 @@
 
 // A request that arrives while new settings are applied is parsed and admitted under the same
 // settings. Otherwise, a request sent as non-idempotent could be admitted as idempotent.
-func TestReconfigure_requestIsAdmittedByTheSettingsItWasParsedBy(t *testing.T) {
+func TestReconfigure_requestIsParsedAndAdmittedUnderTheSameSettings(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.CloseConn })
 	var once sync.Once
 	blocked, resume := make(chan struct{}), make(chan struct{})
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -46,7 +46,7 @@
 
 // A disconnect is detected whatever unread or partial input precedes it, and all requests of the
 // client end.
-func TestDisconnect_isNoticedBehindUnreadBytes(t *testing.T) {
+func TestDisconnect_isDetectedAfterUnreadBytes(t *testing.T) {
 	for name, sent := range pipelinedInputs {
 		for way, disconnect := range disconnectFuncs {
 			t.Run(name+"/"+way, func(t *testing.T) {
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -82,7 +82,7 @@
 
 // A client that does not read disconnects while an answer is being written to it and further
 // requests are in flight. The disconnect is detected.
-func TestDisconnect_isNoticedWhileAnswerIsWritten(t *testing.T) {
+func TestDisconnect_isDetectedWhileAnswerIsWritten(t *testing.T) {
 	for name, pipelined := range map[string]int{
 		"some pipelined":             2,
 		"more than may be in flight": 2 * maxInFlightPerConn,
--- a/internal/gateway/listener/drain_fixture_test.go
+++ b/internal/gateway/listener/drain_fixture_test.go
@@ -39,7 +39,7 @@
 	t.Parallel()
 	server := fakes.NewServer(t, answer)
 	f := fixtureOptions{settings: drainSettings(), maxConnections: maxConnections}.newFixture(t, server)
-	f.Ready()
+	f.MarkReady()
 	tapped := &tappedListener{TCPListener: f.socket.(*net.TCPListener), accepted: make(chan *tappedConn, 1000)}
 	d := &drainFixture{fixture: f, server: server, served: make(chan error, 1), tappedListener: tapped}
 	d.setHooks.Store(&setHooks)
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -49,7 +49,7 @@
 
 // A client sends commands without a pause. Commands whose reading has begun are answered, no others
 // are read, and the drain ends in time.
-func TestDrain_endsClientThatNeverPauses(t *testing.T) {
+func TestDrain_closesClientThatNeverPauses(t *testing.T) {
 	f := newDrainFixture(t, 8, nil, answerHello)
 	client := f.dial()
 	tapped := <-f.accepted
@@ -93,7 +93,7 @@
 
 // After the drain has stopped reading, commands that were read ahead are answered, and no further
 // byte is read.
-func TestDrain_readsNothingBehindReadAhead(t *testing.T) {
+func TestDrain_readsNothingAfterReadAhead(t *testing.T) {
 	const commands, bufferSize = 300, 4 << 10
 	f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 		tapped.afterWait = runOnce(func() {
@@ -125,7 +125,7 @@
 // An answer cannot be written, and a connection waits for its slot. Requests read during the drain
 // get only the time until SIGKILL, the drain does not end before SIGKILL is due, and it ends
 // nevertheless.
-func TestDrain_endsThoughAnAnswerIsStuck(t *testing.T) {
+func TestDrain_endsWhenAnAnswerIsStuck(t *testing.T) {
 	release := make(chan bool)
 	t.Cleanup(func() { close(release) })
 	var isStuck atomic.Bool
@@ -179,7 +179,7 @@
 
 // A reload during a drain that shortens the longest timeout makes the drain expect SIGKILL earlier.
 // A reload that lengthens it does not make the drain expect SIGKILL later.
-func TestDrain_reloadThatShortensTheLongestDeadlineCounts(t *testing.T) {
+func TestDrain_reloadCanShortenKillDelay(t *testing.T) {
 	for name, row := range map[string]struct{ timeouts []time.Duration }{
 		"before it is active": {[]time.Duration{300 * time.Millisecond}},
 		"there and back":      {[]time.Duration{300 * time.Millisecond, 9 * time.Second}},
--- a/internal/gateway/listener/golden_test.go
+++ b/internal/gateway/listener/golden_test.go
@@ -154,7 +154,7 @@
 			}
 			f := newFixtureWith(t, goldenSettings(), nil, 0, servers...)
 			if golden.isReady {
-				f.Ready()
+				f.MarkReady()
 			}
 			f.start()
 			client := f.dial()
@@ -185,7 +185,7 @@
 }
 
 // A request with the ID of a request in flight is rejected.
-func TestGoldenAnswersWithOthersOpen(t *testing.T) {
+func TestGoldenAnswers_duplicateRequestID(t *testing.T) {
 	server := fakes.NewServer(t, answerNothing)
 	f := newFixture(t, 0, server).start()
 	first, second := f.dial(), f.dial()
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -8,7 +8,7 @@
 
 // A request arrives between the check for unread bytes and the half-close after the last answer.
 // The answer arrives complete, the request is not read, and its client sees an orderly close.
-func TestDrain_requestThatCrossesTheLastAnswerLosesNothing(t *testing.T) {
+func TestDrain_requestDuringHalfCloseIsNotRead(t *testing.T) {
 	for name, dial := range map[string]func(*fixture) *testClient{
 		"fast": (*fixture).dial,
 		"slow": (*fixture).dialWithSmallReadBuffer,
--- a/internal/gateway/listener/listener.go
+++ b/internal/gateway/listener/listener.go
@@ -59,8 +59,8 @@
 	return l
 }
 
-// Ready makes PING succeed. Before the call, PING is answered with an error.
-func (l *Listener) Ready() { l.ready.Store(true) }
+// MarkReady makes PING succeed. Before the call, PING is answered with an error.
+func (l *Listener) MarkReady() { l.ready.Store(true) }
 
 // Reconfigure applies new settings to the dispatcher and the parser, and returns the settings in
 // force. No request is parsed under the old settings and admitted under the new ones: a class may
--- a/internal/gateway/listener/memory_test.go
+++ b/internal/gateway/listener/memory_test.go
@@ -147,7 +147,7 @@
 }
 
 // All memory is released after a client was slow, sent invalid input or disconnected.
-func TestMemoryLimit_isReleasedWhateverClientsDo(t *testing.T) {
+func TestMemoryLimit_isReleasedAfterClientFailures(t *testing.T) {
 	for name, act := range memoryHoldingClients {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return dispatch.Result{Outcome: unsentOutcome(&decision, err)}, nil
 	}
-	if !time.Now().Before(decision.WriteDeadline) || !decision.Begin() {
+	if !time.Now().Before(decision.WriteDeadline) || !decision.BeginSend() {
 		p.connections.returnUnwritten(key, conn)
 		return dispatch.Result{Outcome: policy.NotSent}, nil
 	}
--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -91,7 +91,7 @@
 	for _, idle := range []int{1, 0} { // a new connection is kept, one that was idle is closed
 		ctx, cancel := context.WithCancel(context.Background())
 		decision := newDecision(ctx, server.Addr, time.Now().Add(time.Minute))
-		decision.Begin = func() bool {
+		decision.BeginSend = func() bool {
 			cancel()
 			return false
 		}
@@ -137,7 +137,7 @@
 	}
 	pool.ageIdle(server) // the connection is there at once: only the last reading of the clock is left
 	asked := false
-	decision.Begin = func() bool { asked = true; return true }
+	decision.BeginSend = func() bool { asked = true; return true }
 	if got := <-pool.attemptAsync(decision); got != policy.NotSent || asked || server.PendingCommands() != 1 {
 		t.Errorf("too late: outcome %v, begun %v, %d commands", got, asked, server.PendingCommands())
 	}
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -224,7 +224,7 @@
 		_, _ = pool.Attempt(decisionSoon(silent.Addr().String()), &Command{})
 		_, _ = pool.Attempt(decisionSoon(unreachable.Address), &Command{})
 		unbegun := decisionSoon(server.Addr)
-		unbegun.Begin = func() bool { return false }
+		unbegun.BeginSend = func() bool { return false }
 		_, _ = pool.Attempt(unbegun, &Command{})
 	}
 	idle := 0
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -16,7 +16,7 @@
 func newDecision(ctx context.Context, address string, deadline time.Time) dispatch.Decision {
 	return dispatch.Decision{
 		Server: dispatch.Server{Address: address}, Deadline: deadline, WriteDeadline: deadline, Context: ctx,
-		Begin: func() bool { return true },
+		BeginSend: func() bool { return true },
 	}
 }
 
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -23,11 +23,12 @@
 	return o[zone]
 }
 
-// AddElective adds to a selection the servers for elective attempts, which settle debts. Owners
-// holds the owner of each zone that takes such attempts, else 0; fraction is the largest part of
-// attempts that may go to any owner. Servers selected already keep their position, marked with
-// their owner. The others come from the rings of Select, so that each is added by as many gateways.
-func (s *Subset) AddElective(
+// AddElectiveServers adds to a selection the servers for elective attempts, which settle debts.
+// Owners holds the owner of each zone that takes such attempts, else 0; fraction is the largest
+// part of attempts that may go to any owner. Servers selected already keep their position, marked
+// with their owner. The others come from the rings of Select, so that each is added by as many
+// gateways.
+func (s *Subset) AddElectiveServers(
 	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
 ) []policy.Endpoint {
 	ownerOf := zoneOwners(owners).of
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -8,11 +8,11 @@
 	"harrierhoist/policy"
 )
 
-// elective returns what AddElective added to a selection, with servers of zone 2 for owner 7. It
-// checks that the selection is first, and unchanged.
+// elective returns what AddElectiveServers added to a selection, with servers of zone 2 for owner
+// 7. It checks that the selection is first, and unchanged.
 func elective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
 	t.Helper()
-	extended := s.AddElective(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
+	extended := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
 	if !slices.Equal(extended[:len(selected)], selected) {
 		t.Fatalf("%v in place of %v", extended, selected)
 	}
@@ -29,7 +29,7 @@
 	for gateway := range gateways {
 		s := New(gateway, gateways, 15*time.Second)
 		selected, _ := s.Select(time.Hour, list)
-		if same := s.AddElective(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
+		if same := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
 			t.Fatalf("gateway %d: another selection without owners", gateway)
 		}
 		near := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
@@ -64,7 +64,7 @@
 	for gateway := range gateways {
 		s := New(gateway, gateways, 15*time.Second)
 		selected, _ := s.Select(time.Hour, list)
-		extended := s.AddElective(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
+		extended := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
 		for i, endpoint := range extended[:len(selected)] {
 			isMarked := (endpoint.Owner == 7) == (endpoint.Zone == 2)
 			if !isMarked || endpoint.Elective || endpoint.Server != selected[i].Server {
@@ -84,8 +84,8 @@
 		now += 10 * time.Millisecond
 		s.CountAttempt(now)
 	}
-	few := s.AddElective(now, nil, list, []int{0, 0, 1}, 0.02)
-	many := s.AddElective(now, nil, list, []int{0, 0, 1}, 0.4)
+	few := s.AddElectiveServers(now, nil, list, []int{0, 0, 1}, 0.02)
+	many := s.AddElectiveServers(now, nil, list, []int{0, 0, 1}, 0.4)
 	if len(few) != 3 || len(many) < 48 || len(many) > 52 {
 		t.Errorf("%d and %d servers, want 3 and about 50", len(few), len(many))
 	}
--- a/internal/gateway/upstream/subset/golden_test.go
+++ b/internal/gateway/upstream/subset/golden_test.go
@@ -60,7 +60,7 @@
 		owners[zone] = r.random.Intn(3)
 	}
 	fraction := r.random.Float64()
-	r.record("elect", r.AddElective(r.now, selected, r.list, owners, fraction), fraction)
+	r.record("elect", r.AddElectiveServers(r.now, selected, r.list, owners, fraction), fraction)
 }
 
 func (r *recorder) shed() {
--- a/internal/testing/conformance/tables.go
+++ b/internal/testing/conformance/tables.go
@@ -54,10 +54,10 @@
 	return func() []byte {
 		now := wallClock()
 		return countingrule.Table{
-			Phase: phase, To: customerRule.Version, SwitchAt: now + untilActivation, Since: now,
-			Rules: []countingrule.Rule{customerRule}, Seed: sampleSeed, Canary: countingrule.CanaryConfig{
+			Phase: phase, ToVersion: customerRule.Version, SwitchAt: now + untilActivation, PhaseStart: now,
+			Rules: []countingrule.Rule{customerRule}, SampleSeed: sampleSeed, Canary: countingrule.CanaryConfig{
 				SamplePermille: samplePermille, CallsPermille: callsPermille, DeadlineSeconds: 600, ErrorPermille: 50,
-				RejectedPermille: 20, AdmittedPermille: 20, OverLimitPermille: 20, DeviationPermille: 100,
+				RejectedBoundPermille: 20, AdmittedBoundPermille: 20, OverLimitBoundPermille: 20, MaxDeviationPermille: 100,
 				WatchSeconds: 60,
 			},
 		}.Encode()
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -51,15 +51,15 @@
 		must(t, err)
 		return v
 	}
-	if current := table(); current.Phase != countingrule.PhaseCanary || current.To != 1 {
+	if current := table(); current.Phase != countingrule.PhaseCanary || current.ToVersion != 1 {
 		t.Fatalf("the table: %+v", current)
 	}
-	for len(table().Refused) == 0 && time.Since(startedAt) < maxVerdictTime {
+	for len(table().RefusedVersions) == 0 && time.Since(startedAt) < maxVerdictTime {
 		s.waitForServed(100)
 	}
 	current := table()
-	if len(current.Refused) != 1 || current.Refused[0] != 1 || current.Phase != countingrule.PhaseIdle ||
-		current.From != 0 {
+	if len(current.RefusedVersions) != 1 || current.RefusedVersions[0] != 1 || current.Phase != countingrule.PhaseIdle ||
+		current.FromVersion != 0 {
 		t.Errorf("after %v the table: %+v", time.Since(startedAt), current)
 	}
 	t.Logf("refused after %v: %s", time.Since(startedAt).Round(time.Second), current.Reason)
@@ -98,12 +98,12 @@
 		Limits: []countingrule.Limit{{Plan: "*", Rate: 0.1, Burst: 0.5}},
 	}
 	s.Write(countingrule.TableName, countingrule.Table{
-		Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()), Seed: 7,
-		Rules: []countingrule.Rule{rule}, Since: time.Duration(now.UnixNano()),
+		Phase: countingrule.PhaseScheduled, ToVersion: 1, SwitchAt: time.Duration(edge.UnixNano()), SampleSeed: 7,
+		Rules: []countingrule.Rule{rule}, PhaseStart: time.Duration(now.UnixNano()),
 		TrialState: countingrule.Marshal(canary.TrialState{ForecastFraction: 0.9}),
 		Canary: countingrule.CanaryConfig{
-			SamplePermille: 80, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedPermille: 30,
-			AdmittedPermille: 100, OverLimitPermille: 50, DeviationPermille: 100, WatchSeconds: 600,
+			SamplePermille: 80, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50, RejectedBoundPermille: 30,
+			AdmittedBoundPermille: 100, OverLimitBoundPermille: 50, MaxDeviationPermille: 100, WatchSeconds: 600,
 		},
 	}.Encode())
 	waitForAdmitted(0, 0.5, "requests rejected by the rule in force")
--- a/internal/testing/faultinjection/countingrule_test.go
+++ b/internal/testing/faultinjection/countingrule_test.go
@@ -86,9 +86,9 @@
 		Limits: []countingrule.Limit{{Plan: "*", Rate: groupRate, Burst: groupBurst}},
 	}
 	s.Write(countingrule.TableName, countingrule.Table{
-		Phase: countingrule.PhaseScheduled, To: 1, SwitchAt: time.Duration(edge.UnixNano()),
-		Rules: []countingrule.Rule{rule},
-		Since: time.Duration(time.Now().UnixNano()),
+		Phase: countingrule.PhaseScheduled, ToVersion: 1, SwitchAt: time.Duration(edge.UnixNano()),
+		Rules:      []countingrule.Rule{rule},
+		PhaseStart: time.Duration(time.Now().UnixNano()),
 	}.Encode())
 	return edge
 }
--- a/internal/testing/rulesimulation/forecast.go
+++ b/internal/testing/rulesimulation/forecast.go
@@ -72,7 +72,7 @@
 	c.clock.Every(canaryStart+time.Second, canaryFlushInterval, c.flush)
 	c.clock.After(canaryStart, func() {
 		c.table.Phase = countingrule.PhaseCanary
-		c.table.To = 1
+		c.table.ToVersion = 1
 	})
 	c.clock.After(canaryScheduled, func() {
 		c.table.Phase = countingrule.PhaseScheduled
--- a/internal/testing/rulesimulation/gateway.go
+++ b/internal/testing/rulesimulation/gateway.go
@@ -142,7 +142,7 @@
 	pending := len(request.reservations)
 	admitted := true
 	for _, reservation := range request.reservations {
-		g.addUnits(reservation.Name, reservation.Units, func(count float64) {
+		g.addUnits(reservation.Name, reservation.WeightedUnits, func(count float64) {
 			passed, previous := g.admission.HandleCount(reservation, count, true)
 			request.passed = append(request.passed, passed)
 			admitted = admitted && passed
@@ -209,7 +209,7 @@
 	for i, reservation := range request.reservations {
 		used := 0.0
 		if request.forwarded {
-			used = reservation.Units
+			used = reservation.WeightedUnits
 		}
 		admitted := i < len(request.passed) && request.passed[i]
 		if correction := g.admission.Settle(reservation, admitted, used, countingrule.Charged); correction != 0 {
--- a/internal/testing/rulesimulation/golden_test.go
+++ b/internal/testing/rulesimulation/golden_test.go
@@ -25,7 +25,7 @@
 			int64(request.deadline))
 		for _, reservation := range request.reservations {
 			add(reservation.Name, int64(reservation.Start), int64(reservation.TTL), reservation.Index,
-				reservation.Units,
+				reservation.WeightedUnits,
 				reservation.Weight)
 		}
 	}
--- a/internal/testing/rulesimulation/switch.go
+++ b/internal/testing/rulesimulation/switch.go
@@ -62,7 +62,7 @@
 func (s *Simulation) scheduleSwitch() {
 	s.clock.After(switchCanary, func() {
 		s.table.Phase = countingrule.PhaseCanary
-		s.table.To = 1
+		s.table.ToVersion = 1
 	})
 	s.clock.After(switchScheduled, func() {
 		s.table.Phase = countingrule.PhaseScheduled
@@ -71,8 +71,8 @@
 	s.clock.After(switchRollback, func() {
 		s.table.Phase = countingrule.PhaseRollback
 		s.table.SwitchAt = s.clock.Now() + switchLead
-		s.table.From = 1
-		s.table.To = 0
+		s.table.FromVersion = 1
+		s.table.ToVersion = 0
 	})
 }
 
--- a/internal/testing/settlementsimulation/simulation.go
+++ b/internal/testing/settlementsimulation/simulation.go
@@ -183,6 +183,6 @@
 	return nil
 }
 
-func (m *memoryStore) Restored() (ledgerID string, balances []account.StoredBalance) {
+func (m *memoryStore) InitialState() (ledgerID string, balances []account.StoredBalance) {
 	return m.ledgerID, m.balances
 }
