--- a/internal/control/failover/allocation_round.go
+++ b/internal/control/failover/allocation_round.go
@@ -3,7 +3,7 @@
 import "math"
 
 // floorTolerance is added before rounding down, in thousandths. It prevents floating-point errors
-// from costing a whole share a thousandth.
+// from reducing a share by a whole thousandth.
 const floorTolerance = 1e-6
 
 // allocateRound runs one round of allocation among the receivers of a tier. It reports whether any
--- a/internal/control/failover/allocator.go
+++ b/internal/control/failover/allocator.go
@@ -6,33 +6,33 @@
 // which requests arrive, a receiver is a zone that serves them. All rates are in units a second.
 // Slices are indexed by zone, matrices by sender and receiver.
 type allocator struct {
-	regionOf          []int
-	demand            []float64
-	capacity          []float64
-	maxUtilisation    float64     // maximum part of a receiver's capacity that is allocated
-	lostLinks         [][]bool    // links that must not be used
-	previousRates     [][]float64 // highest rates that gateways without the latest plan may still send
-	fixedRows         [][]float64 // rows that stay unchanged; nil for a row to be computed
-	minRates          [][]float64 // lowest rates of receivers in rows to be computed
-	maxRates          [][]float64 // highest rates of receivers in rows to be computed
-	probeRates        []float64   // rate of probes to the sender's own zone while it is avoided
-	localMayExceedMax []bool      // the own zone may exceed its maxRates with demand that fits nowhere else
+	regionOf              []int
+	demand                []float64
+	capacity              []float64
+	maxUtilisation        float64     // maximum part of a receiver's capacity that is allocated
+	lostLinks             [][]bool    // links that must not be used
+	previousRates         [][]float64 // highest rates that gateways without the latest plan may still send
+	fixedRows             [][]float64 // rows that stay unchanged; nil for a row to be computed
+	minRates              [][]float64 // lowest rates of receivers in rows to be computed
+	maxRates              [][]float64 // highest rates of receivers in rows to be computed
+	probeRates            []float64   // rate of probes to the sender's own zone while it is avoided
+	localMayExceedMaxRate []bool      // the own zone may exceed its maxRates with demand that fits nowhere else
 
 	// The result so far.
 	allocated   [][]float64
 	unallocated []float64 // demand not yet allocated, by sender
 	loads       []float64 // allocated rate, by receiver
-	unreserved  []float64 // capacity that previous plans do not take up, by receiver
+	unreserved  []float64 // capacity that neither previous plans nor rates allocated beyond them take up, by receiver
 }
 
 // tier is the proximity of a receiver to a sender. Nearer tiers are filled first.
 type tier int
 
 const (
-	tierLocal          tier = iota // the sender's own zone
-	tierRegion                     // another zone in the sender's region
-	tierRemote                     // a zone in another region
-	tierLocalBeyondMax             // the own zone again, without the limit of a recovery step
+	tierLocal              tier = iota // the sender's own zone
+	tierRegion                         // another zone in the sender's region
+	tierRemote                         // a zone in another region
+	tierLocalBeyondMaxRate             // the own zone again, without the limit of maxRates
 )
 
 // maxRounds is the maximum number of allocation rounds per tier. Each round fills at least one
@@ -42,15 +42,16 @@
 // negligibleRate is the rate, in units a second, up to which a rate counts as zero.
 const negligibleRate = 1e-9
 
-// compute allocates demand tier by tier. Demand that fits nowhere stays unallocated. No receiver
-// gets more than its maximum utilisation. Together with the requests that previous plans may still
-// send, no receiver gets more than its capacity. Within a tier, demand is split in proportion to
-// the receivers' available capacity.
+// compute allocates demand tier by tier. Demand that fits in no zone stays unallocated. Apart from
+// fixed rows, minimum rates and probes, no receiver gets more than its maximum utilisation.
+// Together with previous plans, the allocation loads no receiver above its capacity, unless
+// previous plans alone do. Within a tier, demand is split in proportion to the receivers' available
+// capacity.
 func (a *allocator) compute() {
 	a.reset()
 	a.allocateFixedRows()
 	a.allocateProbes()
-	for _, t := range []tier{tierLocal, tierRegion, tierRemote, tierLocalBeyondMax} {
+	for _, t := range []tier{tierLocal, tierRegion, tierRemote, tierLocalBeyondMaxRate} {
 		for range maxRounds {
 			if !a.allocateRound(t) {
 				break
@@ -125,8 +126,8 @@
 func (a *allocator) availableRate(from, to int, t tier) float64 {
 	pairTier := a.tier(from, to)
 	maxRate := a.maxRates[from][to]
-	if t == tierLocalBeyondMax && a.localMayExceedMax[from] && from == to {
-		pairTier = tierLocalBeyondMax
+	if t == tierLocalBeyondMaxRate && a.localMayExceedMaxRate[from] && from == to {
+		pairTier = tierLocalBeyondMaxRate
 		maxRate = math.Inf(1)
 	}
 	if a.lostLinks[from][to] || pairTier != t {
--- a/internal/control/failover/allocator_test.go
+++ b/internal/control/failover/allocator_test.go
@@ -15,7 +15,7 @@
 func newTestAllocator(n int) *allocator {
 	a := &allocator{
 		maxUtilisation: 0.8, regionOf: make([]int, n), demand: make([]float64, n), capacity: make([]float64, n),
-		fixedRows: make([][]float64, n), probeRates: make([]float64, n), localMayExceedMax: make([]bool, n),
+		fixedRows: make([][]float64, n), probeRates: make([]float64, n), localMayExceedMaxRate: make([]bool, n),
 	}
 	for range n {
 		a.lostLinks, a.previousRates = append(a.lostLinks, make([]bool, n)), append(a.previousRates, make([]float64, n))
--- a/internal/control/failover/build_plan.go
+++ b/internal/control/failover/build_plan.go
@@ -7,8 +7,8 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// Reasons for a move, as written to Plan.Reasons. They are part of the stored form and must not
-// change.
+// Reasons for a move, as written to Plan.Reasons. All but reasonOrdinary follow the name of a
+// receiver. They are part of the stored form and must not change.
 const (
 	reasonOrdinary   = "nearer, or as room allows"
 	reasonLinkLost   = " is out of reach, though not of others"
--- a/internal/control/failover/controller_test.go
+++ b/internal/control/failover/controller_test.go
@@ -10,8 +10,8 @@
 	"harrierhoist/internal/control/failover/zonestats"
 )
 
-// settledSimulation returns three zones without faults, after enough time for a first plan, in
-// which all zones serve locally.
+// settledSimulation returns a simulation of three zones without faults. It has run long enough for
+// a first plan, in which all zones serve locally.
 func settledSimulation(t *testing.T, gateways int) *simulation {
 	t.Helper()
 	sim := threeZones(gateways)
--- a/internal/control/failover/demand.go
+++ b/internal/control/failover/demand.go
@@ -25,23 +25,22 @@
 	// silentFallTime is the time constant for demand in a zone whose gateways report nothing. They
 	// may be cut off from the voters only, and still be sending requests.
 	silentFallTime = 5 * time.Minute
-	// demandSpans is the number of latest spans of length rateSpan over which the admitted rate is
-	// measured.
+	// demandSpans is the number of spans of length rateSpan, up to the latest sample, over which
+	// the admitted rate is measured.
 	demandSpans = 2
 	// millisecondsPerSecond converts rates: gateways report their time in milliseconds.
 	millisecondsPerSecond = 1000
 )
 
-// isDemandSettled reports whether a zone's demand is known well enough to move its requests. It is
-// if the demand was restored from a plan. Otherwise the samples must cover the zone's smoothing
-// time.
+// isDemandSettled reports whether a zone's demand is known well enough to move its requests: either
+// it was restored from a plan, or the samples cover the zone's smoothing time.
 func (e *estimates) isDemandSettled(zone int) bool {
 	return e.demandRestored || e.lastSampleAt >= e.firstSampleAt+min(e.smoothing[zone], maxLowTrafficSmoothing)
 }
 
 // updateDemand updates a zone's number of gateways and its demand, in units a second. Both are
-// measured against the time that the gateways report themselves. Thus a late digest, which covers
-// a longer time, does not look like a flood.
+// computed from awakeTime, which gateways report, not from the time between samples. Thus a late
+// digest, which covers a longer time, does not look like a flood.
 func (e *estimates) updateDemand(s samples, zone int, elapsed time.Duration) {
 	gateways, first := s.gatewaysBySpan(zone)
 	if len(gateways) == 0 {
@@ -56,7 +55,7 @@
 		e.demand[zone] *= math.Exp(-float64(elapsed) / float64(silentFallTime))
 		return
 	}
-	// Thousandths of units over milliseconds are units over seconds.
+	// Thousandths of units per millisecond equal units per second.
 	rate := (last.admitted[zone] - first.admitted[zone]) / awakeTime * e.gateways[zone]
 	attempts := (last.completed[zone] - first.completed[zone]) / awakeTime * e.gateways[zone] * millisecondsPerSecond
 	smoothing := e.smoothingTime(zone, rate, attempts)
--- a/internal/control/failover/estimates.go
+++ b/internal/control/failover/estimates.go
@@ -10,7 +10,7 @@
 // unknown is the value of a health, a power or a demand that has not been observed.
 const unknown = -1
 
-// isUnknown reports whether a power or a demand is unknown.
+// isUnknown reports whether a power or a demand has not been observed.
 func isUnknown(value float64) bool { return value < 0 }
 
 // estimates is the controller's view of the zones. It is derived from samples and outlives them.
--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -19,8 +19,8 @@
 	fleetServers = 42
 	// digestInterval is the time between two digests of a gateway.
 	digestInterval = 200 * time.Millisecond
-	// lostDigests is the reciprocal of the part of digests that is lost.
-	lostDigests = 20
+	// digestsPerLoss is the average number of digests of which one is lost.
+	digestsPerLoss = 20
 	// failureMemory is how long a gateway avoids a server after a failed attempt.
 	failureMemory = time.Second
 )
@@ -153,7 +153,7 @@
 	gateway.digest.Serial++
 	gateway.digest.Counts = map[string]uint64{}
 	gateway.recorder.WriteCounts(f.now, func(name string, n uint64) { gateway.digest.Counts[name] = n })
-	if f.random.IntN(lostDigests) > 0 {
+	if f.random.IntN(digestsPerLoss) > 0 {
 		f.merger.Add(gateway.digest)
 	}
 }
--- a/internal/control/failover/golden_test.go
+++ b/internal/control/failover/golden_test.go
@@ -27,7 +27,9 @@
 		Demand:       map[string]uint64{"a": 50000, "b": 49999},
 	},
 	"full": {
-		Rows:          map[string]map[string]int{"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000}},
+		Rows: map[string]map[string]int{
+			"a": {"a": 20, "b": 780, "c": 200}, "b": {"b": 1000}, "c": {"c": 1000},
+		},
 		Health:        map[string]int{"a": 0, "b": 1000, "c": 750},
 		FallbackRows:  map[string]map[string]int{"a": {"b": 100, "c": 50}, "b": {}, "c": nil},
 		PreviousRows:  map[string]map[string]int{"a": {"a": 1000}, "b": {"b": 1000}, "c": {"c": 1000}},
--- a/internal/control/failover/health.go
+++ b/internal/control/failover/health.go
@@ -8,8 +8,8 @@
 
 const (
 	// healthTTLHoldDowns is how long an observed loss is kept without a further report, in
-	// hold-downs. No report may arrive for that long because a link that the plan avoids is not
-	// observed.
+	// hold-downs. Reports may be missing for that long, because gateways do not observe a link that
+	// the plan avoids.
 	healthTTLHoldDowns = 3
 	// maxReportAge is the maximum age of a zone's observation of another zone for it to be compared
 	// with those of other zones.
@@ -64,8 +64,8 @@
 }
 
 // updateLink updates the health of a zone as the gateways of another zone observe it, in quarters.
-// Until the samples cover both slow intervals (isSteady), each update replaces the estimate. The
-// estimate becomes unknown when its last report has expired.
+// isSteady is true once the samples cover both slow intervals. Until then each update replaces the
+// estimate. The estimate becomes unknown when its last report has expired.
 func (e *estimates) updateLink(link *healthEstimate, now time.Duration, seen confirmation[int], isSteady bool) {
 	if !seen.isKnown() {
 		if e.isExpired(*link, now) {
@@ -141,8 +141,8 @@
 	return observed <= zonestats.Failing && !e.isReporting[zone] && e.demand[zone] > minDemand
 }
 
-// isLinkLost reports whether the link between two zones, or within one zone, is lost: from observes
-// that to fails, while to's overall health shows that it does not.
+// isLinkLost reports whether the link between two zones, or within one zone, is lost: the gateways
+// of from observe that to fails, while the overall health of to shows that it does not.
 func (e *estimates) isLinkLost(from, to int) bool {
 	link := e.linkHealth[from][to].quarters
 	return link != unknown && link <= zonestats.Failing && e.health[to].quarters > zonestats.Failing
--- a/internal/control/failover/invariants_test.go
+++ b/internal/control/failover/invariants_test.go
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// checkMove checks that a zone's requests do not move within a hold-down without a failure, that
-// they do not move away from a healthy zone as lost, and that they return in steps.
+// checkMove checks that a zone's requests do not move within a hold-down without a failure, that no
+// healthy zone is treated as lost, and that requests return in steps.
 func (s *simulation) checkMove(earlier []writtenPlan, written writtenPlan, guaranteed Settings, zone string) error {
 	last := earlier[len(earlier)-1].plan
 	plan := written.plan
@@ -158,7 +158,7 @@
 	for to, toZone := range s.zones {
 		isHealthy := written.at > s.faultAt+3*time.Second && s.healthy[to] > 0 && s.readyPower[to] > 0
 		if isHealthy && strings.Contains(plan.Reasons[zone], toZone+" is lost") && hasMoved {
-			return fmt.Errorf("requests of %s move away from %s as lost, although it is healthy", zone, toZone)
+			return fmt.Errorf("requests of %s move away because %s is lost, although it is healthy", zone, toZone)
 		}
 	}
 	ownShare := func(plan *Plan) int { return plan.Rows[zone][zone] - plan.Shed[zone] }
--- a/internal/control/failover/plan.go
+++ b/internal/control/failover/plan.go
@@ -22,7 +22,8 @@
 	// Rows contains the shares of receivers, by the zone at which requests arrive and by the zone
 	// that serves them. Each row adds up to 1000.
 	Rows map[string]map[string]int `cbor:"1,keyasint"`
-	// Health is the part of a zone's listed power that answers, in thousandths; 0 for a lost zone.
+	// Health is the part of the power of a zone's listed servers that answers, in thousandths,
+	// relative to the healthiest zone. It is 0 for a lost zone.
 	Health map[string]int `cbor:"2,keyasint"`
 	// FallbackRows contains the shares that gateways without a plan may send to other zones while
 	// they observe their own zone to be lost. For each receiver the shares of all zones together
@@ -36,9 +37,9 @@
 	HeldDownZones []string `cbor:"5,keyasint"`
 	// LostLinks lists the pairs of zones (from, to) whose link counts as lost.
 	LostLinks [][2]string `cbor:"6,keyasint"`
-	// Shed is the part of a zone's local share that fits nowhere and is rejected immediately,
-	// because the zone is lost or recovering. It is 0 for a zone that is merely full, where the
-	// gateways' decision module sheds load.
+	// Shed is the share of a zone's requests that fits in no zone and is rejected immediately,
+	// because the zone is lost or recovering. The zone's own share in Rows includes it. Shed is 0
+	// for a zone that is merely full, where the gateways' decision module sheds load.
 	Shed map[string]int `cbor:"7,keyasint"`
 	// Reasons contains, by zone, why its row last changed, in words for operators.
 	Reasons map[string]string `cbor:"8,keyasint"`
@@ -73,10 +74,10 @@
 
 // Assignment states how a gateway distributes its requests over zones.
 type Assignment struct {
-	// Weights are the proportions, by zone, in which servers are offered to the decision module. If
-	// all are 0, no server is offered.
+	// Weights are relative weights by zone. The decision module is offered servers of each zone in
+	// proportion to them. If all are 0, no server is offered.
 	Weights map[string]float64
-	// Shed is the part of the requests, 0 to 1, that fits nowhere and is rejected immediately.
+	// Shed is the part of the requests, 0 to 1, that fits in no zone and is rejected immediately.
 	Shed float64
 }
 
@@ -86,9 +87,9 @@
 // local returns the assignment of a gateway that sends all requests to its own zone.
 func local(zone string) Assignment { return Assignment{Weights: map[string]float64{zone: 1}} }
 
-// Assignment returns the assignment of a gateway in a zone under the plan. A receiver that answers
-// in part gets a higher weight, since the decision module ejects the servers that do not answer. A
-// gateway in a zone without a row in the plan serves locally.
+// Assignment returns the assignment of a gateway in a zone under the plan. A receiver of which only
+// some servers answer gets a higher weight, since the decision module ejects the others. A gateway
+// in a zone without a row in the plan serves locally.
 func (p *Plan) Assignment(zone string) Assignment {
 	row := p.Rows[zone]
 	if len(row) == 0 {
--- a/internal/control/failover/plan_input.go
+++ b/internal/control/failover/plan_input.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// planInput is the input of the next plan. Slices are indexed by zone, matrices by sender (the zone
-// at which requests arrive) and receiver.
+// planInput is the input of the next plan. It embeds the controller that creates it. Slices are
+// indexed by zone, matrices by sender (the zone at which requests arrive) and receiver.
 type planInput struct {
 	*Controller
 	now           time.Duration
 	capacity      []float64 // units a second; 0 for a lost zone, see isZoneLost
-	health        []float64 // quarters of the zone that answer
+	health        []float64 // in quarters, relative to the healthiest zone; see estimates.capacity
 	demand        []float64 // units a second
 	lostLinks     [][]bool
 	shares        [][]float64 // shares of the plan in force, 0 to 1, without what is shed
@@ -25,16 +25,17 @@
 	// minDemand is the smallest demand of a zone in a plan, in units a second. It is above 0
 	// because demand is a divisor when rates are converted to shares.
 	minDemand = 0.001
-	// roundingTolerance is the rounding error of shares in whole thousandths, summed over all zones
-	// of a row, as a part of all requests.
+	// roundingTolerance is the error, as a part of all requests of a zone, that rounding its shares
+	// to whole thousandths may cause in the sum of a row.
 	roundingTolerance = 0.02
 	// minSubsetSize is both the minimum number of servers in a gateway's subset and the minimum
 	// average number of gateways that use a server (see package subset).
 	minSubsetSize = 8
-	// overloadWeight makes the overload threshold the mean of the maximum utilisation and 1.
+	// overloadWeight is the weight of both the maximum utilisation and the full capacity in the
+	// overload threshold, which is their mean.
 	overloadWeight = 0.5
-	// probersPerMinGateways is the number of gateways whose subset must include a server of a zone
-	// that is probed, per gateway that must report.
+	// probersPerMinGateways determines how many gateways must have a server of an avoided zone in
+	// their subset: this multiple of Settings.MinGateways.
 	probersPerMinGateways = 1.5
 )
 
@@ -139,8 +140,8 @@
 	mustMoveAway := make([]bool, len(in.zones))
 	unreachable := make([]bool, len(in.zones))
 	for to, share := range in.shares[from] {
-		isProbes := to == from && share <= in.probeShare(from)+roundingTolerance
-		if share <= 0 || isProbes {
+		isProbing := to == from && share <= in.probeShare(from)+roundingTolerance
+		if share <= 0 || isProbing {
 			continue
 		}
 		unreachable[to] = in.isZoneLost(to) || in.lostLinks[from][to]
--- a/internal/control/failover/plan_test.go
+++ b/internal/control/failover/plan_test.go
@@ -71,8 +71,9 @@
 		}
 		earlier := s.plans[random.IntN(len(s.plans))].plan
 		fallback := earlier.FallbackAssignment(fromZone, true).Weights[s.zones[to]]
-		without := random.Float64()
-		share := float64(s.latest().Rows[fromZone][s.zones[to]])/fullShare*(1-without) + fallback*without
+		fractionWithoutPlan := random.Float64()
+		share := float64(s.latest().Rows[fromZone][s.zones[to]])/fullShare*(1-fractionWithoutPlan) +
+			fallback*fractionWithoutPlan
 		load += share * s.demand[from]
 	}
 	return load
--- a/internal/control/failover/routing/updater_test.go
+++ b/internal/control/failover/routing/updater_test.go
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestUpdate_planForItsLeaseThenLocal checks that a gateway acts on a plan until its lease ends,
-// that it then serves locally without another update, and that each change is logged once.
-func TestUpdate_planForItsLeaseThenLocal(t *testing.T) {
+// TestUpdate_usesPlanUntilLeaseEnds checks that a gateway acts on a plan until its lease ends, that
+// it then serves locally without another update, and that each change is logged once.
+func TestUpdate_usesPlanUntilLeaseEnds(t *testing.T) {
 	f, u, lines := newFixture(t)
 	u.Update()
 	f.wantSteering(t, "without a plan", 0, 1, 0, 0)
--- a/internal/control/failover/rows.go
+++ b/internal/control/failover/rows.go
@@ -75,8 +75,8 @@
 }
 
 // allocatedRow converts a zone's allocation to a row. If a zone serves and is filled by its own
-// requests alone, the gateways' decision module sheds the excess. The plan then sheds only so much
-// that the own share grows by no more than one recovery step.
+// requests alone, the gateways' decision module sheds the excess. The plan then sheds only as much
+// as is needed to keep the own share from growing by more than one recovery step.
 func (in *planInput) allocatedRow(alloc *allocator, from int) zoneRow {
 	shares, shed := toThousandths(alloc.allocated[from], alloc.unallocated[from], from)
 	loadFromOthers := alloc.loads[from] - alloc.allocated[from][from]
@@ -94,7 +94,7 @@
 	alloc := &allocator{
 		regionOf: in.regionOf, demand: in.demand, capacity: in.capacity, maxUtilisation: in.settings.MaxUtilisation,
 		lostLinks: in.lostLinks, previousRates: in.previousRates, fixedRows: make([][]float64, n),
-		probeRates: make([]float64, n), localMayExceedMax: make([]bool, n),
+		probeRates: make([]float64, n), localMayExceedMaxRate: make([]bool, n),
 	}
 	for from := range n {
 		minRates := make([]float64, n)
@@ -110,7 +110,7 @@
 			alloc.fixedRows[from] = current
 		}
 		alloc.probeRates[from] = in.probeShare(from) * in.demand[from]
-		alloc.localMayExceedMax[from] = in.plan.Shed[in.zones[from]] == 0
+		alloc.localMayExceedMaxRate[from] = in.plan.Shed[in.zones[from]] == 0
 	}
 	return alloc
 }
@@ -130,7 +130,7 @@
 		return 0, afterStep
 	case in.canMove(from):
 		return 0, math.Inf(1)
-	case mustMoveAway: // here and below the zone may not move: all other receivers keep their requests
+	case mustMoveAway: // here and below canMove is false: all other receivers keep their requests
 		return 0, current
 	case isLocal:
 		return current, afterStep
--- a/internal/control/failover/samples.go
+++ b/internal/control/failover/samples.go
@@ -75,7 +75,7 @@
 // sample holds the counts at one time, summed over all gateways since their start.
 type sample struct {
 	at                    time.Duration
-	awakeTime             []float64              // milliseconds that gateways were awake, by zone
+	awakeTime             []float64              // milliseconds, without pauses, for which gateways reported, by zone
 	admitted              []float64              // thousandths of units admitted, by zone
 	completed             []float64              // attempts completed, by the zone of the gateway
 	health                [][]byHealth[float64]  // milliseconds, by observing and observed zone
@@ -114,8 +114,8 @@
 // samples holds the latest samples, oldest first.
 type samples []*sample
 
-// add appends a sample and drops those older than sampleRetention. It drops the sample and reports
-// false if less than minSampleInterval has passed since the last one.
+// add appends a sample and drops those older than sampleRetention. It ignores the sample and
+// returns false if less than minSampleInterval has passed since the last one.
 func (s *samples) add(next *sample) bool {
 	if n := len(*s); n > 0 && next.at < (*s)[n-1].at+minSampleInterval {
 		return false
@@ -130,7 +130,7 @@
 // last returns the latest sample.
 func (s samples) last() *sample { return s[len(s)-1] }
 
-// sampleBefore returns the latest sample that is at least age older than the last one, or nil if
+// sampleBefore returns the latest sample that was taken at least age before the last one, or nil if
 // there is none.
 func (s samples) sampleBefore(age time.Duration) *sample {
 	now := s.last().at
--- a/internal/control/failover/settings.go
+++ b/internal/control/failover/settings.go
@@ -56,14 +56,14 @@
 // Bounds of Settings, in the units of its fields. A server capacity outside its bounds is assumed
 // to be a typing error.
 const (
-	minCapacity, maxCapacity               = 0.001, 1e9
-	minMaxUtilisation, maxMaxUtilisation   = 0.3, 0.95
-	minHoldDownSeconds, maxHoldDownSeconds = 2, 600
-	minRecoveryStep, maxRecoveryStep       = 0.05, 1
-	minMinMove, maxMinMove                 = 0.01, 0.3
-	minAgreementShare, maxAgreementShare   = 0.51, 0.95
-	minMinGateways, maxMinGateways         = 2, 1000
-	minProbeShare, maxProbeShare           = 0.002, 0.1
+	lowestCapacity, highestCapacity               = 0.001, 1e9
+	lowestMaxUtilisation, highestMaxUtilisation   = 0.3, 0.95
+	lowestHoldDownSeconds, highestHoldDownSeconds = 2, 600
+	lowestRecoveryStep, highestRecoveryStep       = 0.05, 1
+	lowestMinMove, highestMinMove                 = 0.01, 0.3
+	lowestAgreementShare, highestAgreementShare   = 0.51, 0.95
+	lowestMinGateways, highestMinGateways         = 2, 1000
+	lowestProbeShare, highestProbeShare           = 0.002, 0.1
 )
 
 // WithDefaults returns the settings with defaults for the numbers that are left out.
@@ -115,20 +115,20 @@
 	s = s.WithDefaults()
 	var check settingsChecker
 	zones := check.checkRegions(s.Regions)
-	check.checkRange("bears", s.Capacity, minCapacity, maxCapacity)
+	check.checkRange("bears", s.Capacity, lowestCapacity, highestCapacity)
 	for _, zone := range sortedKeys(s.CapacityByZone) {
 		if !zones[zone] {
 			check.addError("bears_by", "a hall of a region", fmt.Sprintf("%q", zone))
 		}
-		check.checkRange("bears_by."+zone, s.CapacityByZone[zone], minCapacity, maxCapacity)
+		check.checkRange("bears_by."+zone, s.CapacityByZone[zone], lowestCapacity, highestCapacity)
 	}
-	check.checkRange("utilisation_most", s.MaxUtilisation, minMaxUtilisation, maxMaxUtilisation)
-	check.checkRange("least_stay_s", s.HoldDownSeconds, minHoldDownSeconds, maxHoldDownSeconds)
-	check.checkRange("step", s.RecoveryStep, minRecoveryStep, maxRecoveryStep)
-	check.checkRange("worth", s.MinMove, minMinMove, maxMinMove)
-	check.checkRange("ill_part", s.AgreementShare, minAgreementShare, maxAgreementShare)
-	check.checkRange("gateways_least", float64(s.MinGateways), minMinGateways, maxMinGateways)
-	check.checkRange("trial", s.ProbeShare, minProbeShare, maxProbeShare)
+	check.checkRange("utilisation_most", s.MaxUtilisation, lowestMaxUtilisation, highestMaxUtilisation)
+	check.checkRange("least_stay_s", s.HoldDownSeconds, lowestHoldDownSeconds, highestHoldDownSeconds)
+	check.checkRange("step", s.RecoveryStep, lowestRecoveryStep, highestRecoveryStep)
+	check.checkRange("worth", s.MinMove, lowestMinMove, highestMinMove)
+	check.checkRange("ill_part", s.AgreementShare, lowestAgreementShare, highestAgreementShare)
+	check.checkRange("gateways_least", float64(s.MinGateways), lowestMinGateways, highestMinGateways)
+	check.checkRange("trial", s.ProbeShare, lowestProbeShare, highestProbeShare)
 	return check.errs
 }
 
--- a/internal/control/failover/simulation_test.go
+++ b/internal/control/failover/simulation_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// run advances the time by a span and returns the plans written meanwhile.
+// run advances the time by a span and returns the plans written in that time.
 func (s *simulation) run(span time.Duration) []writtenPlan {
 	first := len(s.plans)
 	for end := s.now + span; s.now < end; {
