--- a/internal/control/settlement/aging.go
+++ b/internal/control/settlement/aging.go
@@ -8,8 +8,8 @@
 
 // ageDebts updates the lots to match the net debts, and forgives lots that have reached the
 // forgiveness age. Payments reduce the oldest lots first. The age of a lot is that of its oldest
-// unit, so a debt is never forgiven later than the terms say, except by the time that State.Clock
-// lost when leaders changed.
+// unit, so no debt is forgiven at a higher age than the terms state. Time that State.Clock loses
+// when leaders change does not count towards the age.
 func (s *State) ageDebts(netDebts []Amount, terms Terms) {
 	lotSums := s.payOldestLots(netDebts)
 	for _, debt := range netDebts {
--- a/internal/control/settlement/controller.go
+++ b/internal/control/settlement/controller.go
@@ -8,9 +8,9 @@
 
 const (
 	decisionInterval  = time.Second      // voters write exact totals once a second
-	renewInterval     = 5 * time.Second  // between writes of unchanged shares, which show that a controller runs
-	clockInterval     = 60 * time.Second // between writes of State.Clock while there are lots
-	maxMissedRenewals = 3                // number after which the shares are stale
+	renewInterval     = 5 * time.Second  // time between writes of unchanged shares, which show that a controller runs
+	clockInterval     = 60 * time.Second // maximum time between writes of State.Clock while there are lots
+	maxMissedRenewals = 3                // number of missed renewals after which the shares are stale
 )
 
 // StaleAfter is how long a gateway acts on shares after their last write. A leader without a
--- a/internal/control/settlement/harm.go
+++ b/internal/control/settlement/harm.go
@@ -10,8 +10,8 @@
 const (
 	decayTimeConstant       = 60 * time.Second // time over which counts of requests decay to 1/e
 	minBaselineRequests     = 200              // requests that a partner's baseline must have before a settlement
-	highConfidenceStdErrors = 2.0              // standard errors above the limit, for sure harm and for a queue
-	lowConfidenceStdErrors  = 1.0              // standard errors above the limit, for likely harm
+	highConfidenceStdErrors = 2.0              // standard errors above the limit at which harm is sure or a queue grows
+	lowConfidenceStdErrors  = 1.0              // standard errors above the limit at which harm is likely
 	maxSlowExcessFraction   = 0.05             // of a partner's requests, above the slow fraction of the baseline
 	maxProbability          = 0.999            // upper bound of the estimated probability of late or slow requests
 )
--- a/internal/control/settlement/ledger.go
+++ b/internal/control/settlement/ledger.go
@@ -94,8 +94,8 @@
 // pair, less what was forgiven. The result is sorted by debtor and then by creditor. It omits pairs
 // whose debts cancel out.
 func (l Ledger) NetDebts(forgiven []Amount) []Amount {
-	// Keyed by pair with its names in ascending order. Positive if the first partner owes the
-	// second, negative if the second owes the first.
+	// balances is keyed by pairs whose names are in ascending order. A balance is positive if the
+	// first partner owes the second, and negative if the second owes the first.
 	balances := map[Pair]int64{}
 	add := func(pair Pair, sum int64) {
 		if pair.Debtor > pair.Creditor {
--- a/internal/control/settlement/ledger_test.go
+++ b/internal/control/settlement/ledger_test.go
@@ -18,7 +18,7 @@
 }
 
 // Digests of several incarnations may arrive in any order and more than once. The ledger must equal
-// what was owed, and the partners' balances must sum to zero even with forgiven debts.
+// the sums that were added, and the partners' balances must sum to zero even with forgiven debts.
 func TestReadLedger_isExactForAnyDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := statemachine.New()
@@ -92,12 +92,12 @@
 
 func TestLedger_NetDebtsOffsetsBothDirections(t *testing.T) {
 	ledger := ReadLedger(map[string]uint64{
-		ledgerTotalName("g1", "1", "x", "a", "b"):         700,
-		ledgerTotalName("g2", "1", "y", "b", "a"):         200,
-		ledgerTotalName("g1", "2", "x", "a", "b"):         900,
-		ledgerTotalName("g1", "1", "x", "c", "gone"):      50,
-		ledgerTotalName("g1", "1", "x", "c", "c"):         7,
-		observation.JoinName("g1", "1", "another part's"): 9,
+		ledgerTotalName("g1", "1", "x", "a", "b"):            700,
+		ledgerTotalName("g2", "1", "y", "b", "a"):            200,
+		ledgerTotalName("g1", "2", "x", "a", "b"):            900,
+		ledgerTotalName("g1", "1", "x", "c", "gone"):         50,
+		ledgerTotalName("g1", "1", "x", "c", "c"):            7,
+		observation.JoinName("g1", "1", "another package's"): 9,
 	})
 	got := ledger.NetDebts([]Amount{{Pair{"c", "gone"}, 10}})
 	if want := []Amount{{Pair{"a", "b"}, 700}, {Pair{"c", "gone"}, 40}}; !slices.Equal(got, want) {
--- a/internal/control/settlement/metrics.go
+++ b/internal/control/settlement/metrics.go
@@ -12,7 +12,7 @@
 const (
 	MetricRequests           Metric = iota // requests of the partner that were attempted and have ended
 	MetricLate                             // of MetricRequests, those that were late or not answered
-	MetricSlow                             // of MetricRequests, those over half of their latency objective or late
+	MetricSlow                             // of MetricRequests, those late or over half their latency objective
 	MetricIdempotentUnits                  // units of the first attempts of the partner's idempotent requests
 	MetricIdempotentRequests               // number of the requests in MetricIdempotentUnits
 	MetricServedUnits                      // units that the partner's servers answered, for requests of all partners
--- a/internal/control/settlement/pace.go
+++ b/internal/control/settlement/pace.go
@@ -8,14 +8,14 @@
 const (
 	initialPace   = PartsPerMillion / 4 // pace of a partner without a stored state
 	minPace       = initialPace / 16    // lower bound of the pace after harm
-	paceInterval  = 3 * time.Second     // between adjustments; the effect of one is visible by the next
+	paceInterval  = 3 * time.Second     // time between adjustments; the effect of one is visible before the next
 	paceGrowth    = 1.5                 // factor of the pace per adjustment without harm
 	maxPaceGrowth = 1.004               // factor per adjustment of the upper bound that harm has set
 
 	sureHarmDivisor   = 4 // divides the pace after sure harm
 	likelyHarmDivisor = 2 // divides the pace after likely harm
 
-	minElectiveAttempts = 50  // attempts in the window that must be exceeded to judge capacity
+	minElectiveAttempts = 50  // elective attempts in the window above which capacity is judged
 	minPlacedFraction   = 0.5 // of the elective attempts; a lower fraction means a lack of capacity
 )
 
@@ -73,8 +73,8 @@
 // paceBound returns the upper bound of the pace in ppm: the full rate if harm has not set one.
 func (p *PartnerState) paceBound() uint64 { return cmp.Or(p.MaxPace, PartsPerMillion) }
 
-// harmLevelOf returns the certainty that the settlement harms a partner. Late requests decide
-// first. A lack of capacity or a growing queue counts as likely harm.
+// harmLevelOf returns the certainty that the settlement harms a partner. Late requests take
+// precedence. A lack of capacity or a growing queue counts as likely harm.
 func (c *Controller) harmLevelOf(partner PartnerState) harmLevel {
 	level := assessHarm(partner, *c.duringSettlement[partner.Partner], c.terms.MaxLossFraction)
 	if level != noHarm {
--- a/internal/control/settlement/sampling.go
+++ b/internal/control/settlement/sampling.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	rateWindow     = 10              // intervals between samples over which rates are computed
+	rateWindow     = 10              // number of intervals between samples over which rates are computed
 	minRateSamples = 3               // a leader sets shares once it has more samples than this
 	drainDuration  = 5 * time.Second // after shares end, until the requests that they moved have ended
 )
--- a/internal/control/settlement/shares.go
+++ b/internal/control/settlement/shares.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	maxSettlementDuration = 300 * time.Second // after which a settlement pauses to measure a new baseline
-	pauseDuration         = 15 * time.Second  // drainDuration and some seconds to measure the baseline
-	maxBaselineWait       = 30 * time.Second  // for which a start waits for partners with too small a baseline
-	startDebtFactor       = 2                 // multiple of MinDebt from which a debt is settled, down to MinDebt
+	maxSettlementDuration = 300 * time.Second // time after which a settlement pauses to measure a new baseline
+	pauseDuration         = 15 * time.Second  // drainDuration plus some seconds to measure the baseline
+	maxBaselineWait       = 30 * time.Second  // longest wait of a start for partners with too small a baseline
+	startDebtFactor       = 2                 // multiple of MinDebt at which settlement starts; it ends below MinDebt
 )
 
 // setShares sets next.Shares, which must be empty, to the shares to put in force. A share makes the
@@ -92,8 +92,8 @@
 // rule excludes the pair, and the debt is large enough. weights has an entry for each partner of
 // the file.
 func (c *Controller) isDue(debt Amount, weights map[string]float64, isInForce bool) bool {
-	hasBoth := weights[debt.Debtor] != 0 && weights[debt.Creditor] != 0
-	if !hasBoth || !c.terms.termsFor(debt.Pair).settlesDebts {
+	areBothInFile := weights[debt.Debtor] != 0 && weights[debt.Creditor] != 0
+	if !areBothInFile || !c.terms.termsFor(debt.Pair).settlesDebts {
 		return false
 	}
 	return float64(debt.Sum) >= c.debtThreshold(isInForce)
@@ -122,7 +122,8 @@
 // isServedWell reports whether a partner's baseline allows it to take part in settlements: it has
 // enough requests, and enough of them were on time.
 func (c *Controller) isServedWell(partner PartnerState) bool {
-	return partner.BaselineRequests >= minBaselineRequests && partner.BaselineLate <= (1-c.terms.MinOnTimeFraction)*partner.BaselineRequests
+	return partner.BaselineRequests >= minBaselineRequests &&
+		partner.BaselineLate <= (1-c.terms.MinOnTimeFraction)*partner.BaselineRequests
 }
 
 // recordBaseline copies the measured baseline of each partner to its state in next. A partner of
--- a/internal/control/settlement/significance.go
+++ b/internal/control/settlement/significance.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	minChangeFraction = 0.1 // relative change of a share or net debt that must be exceeded to write it
-	minShareChange    = 100 // ppm; change of a share that must be exceeded to write it
+	minChangeFraction = 0.1 // relative change above which a share or net debt is written
+	minShareChange    = 100 // ppm; change above which a share is written
 )
 
 // hasSignificantChange reports whether to write the next state. Small changes are not written,
--- a/internal/control/settlement/state.go
+++ b/internal/control/settlement/state.go
@@ -55,7 +55,7 @@
 	HoldUntil        uint64  `cbor:"3,keyasint"` // on State.Clock; none of its debts is settled before
 	BaselineRequests float64 `cbor:"4,keyasint"` // requests seen before the settlement started
 	BaselineLate     float64 `cbor:"5,keyasint"` // of BaselineRequests, those that were late or not answered
-	BaselineSlow     float64 `cbor:"6,keyasint"` // of BaselineRequests, those over half of their latency objective or late
+	BaselineSlow     float64 `cbor:"6,keyasint"` // of BaselineRequests, those late or over half their latency objective
 	MaxPace          uint64  `cbor:"7,keyasint"` // ppm; upper bound of Pace after harm; 0 means no bound
 }
 
--- a/internal/control/settlement/terms.go
+++ b/internal/control/settlement/terms.go
@@ -54,10 +54,10 @@
 	// both ends included.
 	Customers []string `toml:"customers"`
 	Plans     []string `toml:"plans"`  // plans whose customers belong to the partner unless a partner lists them
-	Weight    float64  `toml:"weight"` // weight among creditors; 0 means 1
+	Weight    float64  `toml:"weight"` // weight relative to other creditors; 0 means 1
 }
 
-// PairRule overrides terms for one pair of partners, whichever of them is the debtor. A nil field
+// PairRule overrides terms for one pair of partners, regardless of which is the debtor. A nil field
 // leaves the general term in force.
 type PairRule struct {
 	PartnerNames []string `toml:"between"` // names of the two partners
@@ -95,23 +95,24 @@
 
 const (
 	minPartners     = 2
-	maxPartners     = 64 // pairs grow with its square, and each pair is a count in every digest
+	maxPartners     = 64 // the number of pairs grows with its square, and each pair adds a count to digests
 	partnersPerRule = 2
 )
 
 var partnerNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
 
-// pairTerms are the terms that apply to two partners, whichever of them is the debtor.
+// pairTerms are the terms that apply to two partners, regardless of which is the debtor.
 type pairTerms struct {
 	settlesDebts bool
 	maxShare     float64 // maximum fraction of the creditor's first attempts of idempotent requests
 	forgiveAfter float64 // seconds; 0 means never
 }
 
-// forgives reports whether debts are forgiven at any age.
+// forgives reports whether debts are forgiven once they reach forgivenessAge.
 func (p pairTerms) forgives() bool { return p.forgiveAfter > 0 }
 
-// forgivenessAge returns the age at which debts are forgiven, in ms, the unit of State.Clock.
+// forgivenessAge returns the age at which debts are forgiven, in ms, the unit of State.Clock. 0
+// means never.
 func (p pairTerms) forgivenessAge() uint64 { return uint64(p.forgiveAfter * millisPerSecond) }
 
 // termsFor returns the terms that apply to a pair: the general terms, overridden by the rule for
--- a/internal/control/settlement/zones.go
+++ b/internal/control/settlement/zones.go
@@ -20,27 +20,27 @@
 // unknownHeadroom is the Headroom of a zone for which none is reported.
 const unknownHeadroom = -1
 
-// isNeededByFailover reports whether settlement must not use a zone: it is failing over, or its
+// excludesSettlement reports whether settlement must not use a zone: it is failing over, or its
 // spare fraction of capacity is known to be below minHeadroom.
-func (z ZoneStatus) isNeededByFailover(minHeadroom float64) bool {
+func (z ZoneStatus) excludesSettlement(minHeadroom float64) bool {
 	lacksHeadroom := z.Headroom >= 0 && z.Headroom < minHeadroom
 	return z.FailingOver || lacksHeadroom
 }
 
-// excludedPartners returns the names of partners that take no part in settlements because failover
-// needs one of their zones. Failover has priority over settlement.
+// excludedPartners returns the names of partners that take no part in settlements because one of
+// their zones is failing over or lacks headroom. Failover has priority over settlement.
 func (c *Controller) excludedPartners(input coordination.ControllerInput) map[string]bool {
 	excluded := map[string]bool{}
 	if c.zoneStatus == nil {
 		return excluded
 	}
 	statuses := c.zoneStatus(input)
-	isNeeded := func(name string) bool {
+	isExcluding := func(name string) bool {
 		zone, known := statuses[name]
-		return known && zone.isNeededByFailover(c.terms.MinHeadroom)
+		return known && zone.excludesSettlement(c.terms.MinHeadroom)
 	}
 	for _, p := range c.terms.Partners {
-		if slices.ContainsFunc(p.Zones, isNeeded) {
+		if slices.ContainsFunc(p.Zones, isExcluding) {
 			excluded[p.Name] = true
 		}
 	}
--- a/internal/control/settlement/zones_test.go
+++ b/internal/control/settlement/zones_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestZoneStatusOfPlan_marksZonesThatFailoverUses(t *testing.T) {
+func TestZoneStatusFromPlan_marksZonesThatFailoverUses(t *testing.T) {
 	got := ZoneStatusFromPlan(
 		map[string]map[string]int{
 			"a": {"a": 500, "b": 500}, "b": {"b": 1000}, "c": {"c": 1000, "a": 0}, "d": {"d": 1000},
