--- a/internal/control/countingrule/canary/bettingtest.go
+++ b/internal/control/countingrule/canary/bettingtest.go
@@ -3,9 +3,10 @@
 import "math"
 
 // BettingTest is a sequential test by betting. It decides whether the mean of values in [0, 1] is
-// below or above a bound, and may be examined after each value. It bets on both sides. If the mean
-// is not on a side, the wealth of that side reaches 1/alpha with a probability of at most alpha.
-// The proof is in docs/capacity.md. The test is stored in the table.
+// below or above a bound, and may be examined after each value. It places separate bets on a mean
+// below and on a mean above the bound. If the mean is not below the bound, the wealth of the bets
+// on a mean below it reaches 1/alpha with a probability of at most alpha. The same applies to a
+// mean above the bound. The proof is in docs/capacity.md. The test is stored in the table.
 type BettingTest struct {
 	LogWealthBelow [stakeCount]float64 `cbor:"1,keyasint"` // by stake, of bets on a mean below the bound
 	LogWealthAbove [stakeCount]float64 `cbor:"2,keyasint"` // by stake, of bets on a mean above the bound
--- a/internal/control/countingrule/canary/controller.go
+++ b/internal/control/countingrule/canary/controller.go
@@ -12,11 +12,11 @@
 // Controller computes the table of counting rules. It evaluates a new rule in a canary trial,
 // schedules the switch to it, and compares the outcome with the trial's forecast. It then keeps the
 // rule or rolls it back. It refuses a rule that rejects or admits too many more units than the
-// current one, or that exceeds its own limits too far, according to the configured bounds. Not safe
-// for concurrent use.
+// current one, or that exceeds its own limits too far, according to the configured bounds. It is
+// not safe for concurrent use.
 type Controller struct {
 	Config      func() *countingrule.Config // returns the configuration as last read from the file
-	Lease       time.Duration               // duration of the table's lease at every process
+	Lease       time.Duration               // duration of the table's lease in every process
 	MaxReadWait time.Duration               // longest time that a read waits for a new table value
 	ClockOrigin time.Duration               // time on the common clock at which the clock of Decide was 0
 
@@ -95,7 +95,7 @@
 
 // switchDelay returns the minimum time from a decision to its switch. Within this time every
 // process has either received the decision or found its lease expired: a lease that ends more than
-// one lease duration from now was granted by a read that returned the decision.
+// one lease duration after the decision was granted by a read that returned the decision.
 func (c *Controller) switchDelay(config *countingrule.Config) time.Duration {
 	return c.Lease + switchDelayReadWaits*c.MaxReadWait + switchDelayClockSkews*maxClockSkew + config.Canary.ExtraLead()
 }
--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -122,7 +122,9 @@
 // decideOnce calls Decide for a table, one hour after the clock's origin. It returns the new table
 // and whether one was written.
 func decideOnce(config *countingrule.Config, current countingrule.Table) (countingrule.Table, bool) {
-	c := &Controller{Config: func() *countingrule.Config { return config }, Lease: time.Second, MaxReadWait: time.Second}
+	c := &Controller{
+		Config: func() *countingrule.Config { return config }, Lease: time.Second, MaxReadWait: time.Second,
+	}
 	value, write := c.Decide(time.Hour, coordination.ControllerInput{Table: func(string) statemachine.Table {
 		return statemachine.Table{Epoch: 3, Value: current.Encode()}
 	}})
@@ -151,9 +153,9 @@
 			if changed != test.wantChange {
 				t.Fatalf("changed %v, want %v: %+v", changed, test.wantChange, got)
 			}
-			isBack := got.Phase == countingrule.PhaseRollback && got.FromVersion == 1 && got.ToVersion == 0 &&
+			isRollback := got.Phase == countingrule.PhaseRollback && got.From == 1 && got.To == 0 &&
 				got.SwitchAt > time.Hour
-			if changed && !isBack {
+			if changed && !isRollback {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/internal/control/countingrule/canary/golden_test.go
+++ b/internal/control/countingrule/canary/golden_test.go
@@ -62,7 +62,8 @@
 func TestGolden_storedTrialState(t *testing.T) {
 	full := TrialState{
 		NextBucket: 17, Sums: map[string]uint64{"both": 12, "real\x1f1\x1fasked": 1 << 40}, ForecastFraction: 0.9125,
-		ObservedFraction: 0.875, ElapsedIntervals: 3, ConsecutiveDeviations: 1, RequestedUnits: 200_000, AdmittedUnits: 175_000,
+		ObservedFraction: 0.875, ElapsedIntervals: 3, ConsecutiveDeviations: 1,
+		RequestedUnits: 200_000, AdmittedUnits: 175_000,
 	}
 	for i := range full.Tests {
 		for n := range 5 {
--- a/internal/control/countingrule/canary/keystate.go
+++ b/internal/control/countingrule/canary/keystate.go
@@ -10,7 +10,7 @@
 // noFlush is the flushAt of a key for which no flush is scheduled.
 const noFlush = 0
 
-// keyState is the state of a counter key on one side.
+// keyState is the state of a counter key on one side of the shadow evaluation.
 type keyState struct {
 	key             uint64
 	plan            policy.Plan
--- a/internal/control/countingrule/canary/observations.go
+++ b/internal/control/countingrule/canary/observations.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// trackKeys updates the counts of merged and split keys by a request's key under each rule.
+// trackKeys updates the counts of merged and split keys, given the keys of a request under both
+// rules.
 func (o *observations) trackKeys(oldKey, newKey uint64) {
 	track := func(firstOther map[uint64]uint64, key, other uint64, name string) {
 		known, ok := firstOther[key]
--- a/internal/control/countingrule/canary/shadow.go
+++ b/internal/control/countingrule/canary/shadow.go
@@ -30,8 +30,8 @@
 }
 
 // Shadow evaluates the old and the new rule on the sampled requests. Both sides use the same simple
-// admission and separate counts, so that any difference in the outcome is due to the rules. Not
-// safe for concurrent use.
+// admission and separate counts, so that any difference in the outcome is due to the rules. It is
+// not safe for concurrent use.
 type Shadow struct {
 	observations *observations
 	sample       *Sample
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -61,7 +61,7 @@
 		leadingSince: time.Hour,
 		settings:     countingrule.WithRulePlans(settings, []countingrule.Rule{rule}),
 	}
-	for range 1200 { // most are well below their plan's rate, some near it, some far above
+	for range 1200 { // most customers are well below their plan's rate, some are near it, some far above
 		s.demand = append(s.demand, 0.25*math.Exp(0.7*s.random.NormFloat64()))
 		s.nextArrival = append(s.nextArrival, s.now+time.Duration(s.random.ExpFloat64()*4e9))
 	}
--- a/internal/control/countingrule/canary/step.go
+++ b/internal/control/countingrule/canary/step.go
@@ -29,11 +29,11 @@
 const (
 	maxClockSkew = 500 * time.Millisecond // maximum error of a process clock
 
-	// switchDelayReadWaits is a multiple of MaxReadWait. It lets most processes learn of a switch
-	// while their lease is valid.
+	// switchDelayReadWaits is the multiple of MaxReadWait that a switch delay contains. It lets
+	// most processes learn of a switch while their lease is valid.
 	switchDelayReadWaits = 2
 
-	switchDelayClockSkews = 2           // multiples of maxClockSkew: one clock ahead, another behind
+	switchDelayClockSkews = 2           // multiple of maxClockSkew: one clock may be ahead and another behind
 	switchGranularity     = time.Second // switches at whole seconds are easy to find in a log
 )
 
@@ -155,7 +155,7 @@
 }
 
 // advanceTrial tests the buckets that are due and applies the verdict, if there is one. It refuses
-// a rule that is undecided at the deadline, and ends the trial if the configuration names another
+// a rule that has no verdict at the deadline, and ends the trial if the configuration names another
 // version.
 func (s *step) advanceTrial() bool {
 	switch {
--- a/internal/control/countingrule/canary/trialstate.go
+++ b/internal/control/countingrule/canary/trialstate.go
@@ -33,7 +33,7 @@
 	// Sums are the canary's observations accumulated over all leaders, except those by bucket.
 	// Their names lack the canary's prefix.
 	Sums                  map[string]uint64 `cbor:"3,keyasint"`
-	ForecastFraction      float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, from 0 to 1
+	ForecastFraction      float64           `cbor:"4,keyasint"` // fraction of units expected to be admitted, 0 to 1
 	ObservedFraction      float64           `cbor:"5,keyasint"` // fraction admitted between the latest two measurements
 	ElapsedIntervals      int               `cbor:"6,keyasint"` // watch intervals that had passed at the latest check
 	ConsecutiveDeviations int               `cbor:"7,keyasint"` // consecutive checks that deviate from the forecast
