--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -153,7 +153,7 @@
 			if changed != test.wantChange {
 				t.Fatalf("changed %v, want %v: %+v", changed, test.wantChange, got)
 			}
-			isRollback := got.Phase == countingrule.PhaseRollback && got.From == 1 && got.To == 0 &&
+			isRollback := got.Phase == countingrule.PhaseRollback && got.FromVersion == 1 && got.ToVersion == 0 &&
 				got.SwitchAt > time.Hour
 			if changed && !isRollback {
 				t.Errorf("%+v", got)
