--- a/policy/actor.go
+++ b/policy/actor.go
@@ -6,8 +6,8 @@
 	inbox() *mailbox
 }
 
-// mailbox holds the messages that its actor has not processed yet, and an empty slice that the next
-// ones reuse.
+// mailbox holds the messages that its actor has not processed yet. spare is the slice of an earlier
+// batch; the next batch reuses its memory.
 type mailbox struct{ pending, spare []message }
 
 // inbox returns the mailbox of the actor that embeds it.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,9 @@
 
 // customerOf returns the state of a request's customer and creates it if there is none. All
 // gateways compute the same windows from the shared clock. The windows of different customers
-// start at different times, which spreads the calls to the counter. The share of the ceiling
-// starts empty, because an earlier incarnation of this gateway may have used it.
+// start at different times, which spreads the calls to the counter. The share of the ceiling is
+// empty at the first endpoint list and refills from then on, because an earlier process of this
+// gateway may have used it.
 func (a *admission) customerOf(r Request) *customerState {
 	a.evictIdle()
 	if known := a.customers[r.Customer]; known != nil {
@@ -30,7 +31,7 @@
 // evictIdle removes customers that have been idle for maxCounterTTL, after which no count and no
 // pending charge of theirs is valid. Each call checks evictionChecksPerRequest customers. A
 // customer that returns after its eviction starts with a full bucket.
-// Prevents memory growth from customers that send a single request.
+// This prevents memory growth from customers that send a single request.
 func (a *admission) evictIdle() {
 	for range min(len(a.customerList), evictionChecksPerRequest) {
 		a.nextEviction %= len(a.customerList)
@@ -48,16 +49,16 @@
 }
 
 // objectiveOf returns the time at which a request's latency objective ends. A request that arrives
-// with less time than the first tries of its class and plan has already used part of its objective.
-// A repeat used it for earlier tries; a first try used it while this process stood still. A first
-// try that lacks more than the standstill explains comes from a client with a shorter timeout, and
-// is not late.
+// with less time than the first tries of its class and plan has already used part of its objective:
+// a repeat for earlier tries, a first try while this process was paused. If the pause is too short to
+// explain the difference, the client of a first try has a shorter timeout, and the request is not
+// late.
 func (a *admission) objectiveOf(request *requestState, now time.Duration) time.Duration {
 	class := request.class
 	a.learnFirstTimeout(request, now)
 	timeout := class.firstTimeouts[request.Plan]
-	given := request.Deadline - now
-	if timeout-given <= a.env.settings.ArrivalSlack {
+	timeLeft := request.Deadline - now
+	if timeout-timeLeft <= a.env.settings.ArrivalSlack {
 		return min(now+class.LatencyObjective, request.Deadline)
 	}
 	if request.Repeat {
@@ -67,17 +68,17 @@
 }
 
 // learnFirstTimeout updates the timeout that clients of the request's class and plan set for a
-// first try. It keeps the longest timeout seen, and replaces it by a shorter one if a standstill
-// of this process cannot explain the difference.
+// first try. It keeps the longest timeout seen, and replaces it by a shorter one if a pause of this
+// process cannot explain the difference.
 func (a *admission) learnFirstTimeout(request *requestState, now time.Duration) {
 	if request.Repeat {
 		return
 	}
 	known := &request.class.firstTimeouts[request.Plan]
-	given := request.Deadline - now
-	explained := a.env.eventGap + a.env.settings.ArrivalSlack
-	if given > *known || *known-given > explained {
-		*known = given
+	timeLeft := request.Deadline - now
+	explainedByPause := a.env.eventGap + a.env.settings.ArrivalSlack
+	if timeLeft > *known || *known-timeLeft > explainedByPause {
+		*known = timeLeft
 	}
 }
 
@@ -126,8 +127,8 @@
 }
 
 // shouldCallCounter reports whether to call the counter for a customer. While calls fail, it
-// decides at random, with a higher probability for a customer that is closer to its limit or is
-// served by fewer gateways, because a count matters most there.
+// decides at random. The probability is higher for a customer that is close to its limit and is
+// served by few gateways, because the count matters most for such a customer.
 func (a *admission) shouldCallCounter(customer *customerState) bool {
 	if !a.env.settings.HasCounter || !customer.hasWindows() || customer.isBlocked(a.env.now) {
 		return false
@@ -148,17 +149,17 @@
 	}
 	customer := request.customer
 	customer.refill(a.env.now)
-	usualLatency := request.class.latencies.decile(medianDecile)
+	medianLatency := request.class.latencies.decile(medianDecile)
 	atLimit := a.reachedMaxInFlight(customer, countKnown)
 	if !request.Repeat {
-		customer.demandInFlight += customer.gateways * float64(usualLatency) / float64(demandTimeConstant)
+		customer.demandInFlight += customer.gateways * float64(medianLatency) / float64(demandTimeConstant)
 	}
 	if atLimit {
-		a.reject(request, usualLatency)
+		a.reject(request, medianLatency)
 		return
 	}
 	if customer.plan.Rate > 0 {
-		missing, within := a.withinQuota(request, usualLatency)
+		missing, within := a.withinQuota(request, medianLatency)
 		if !within {
 			a.reject(request, refillTime(missing, customer.plan.Rate))
 			return
@@ -174,8 +175,8 @@
 
 // reachedMaxInFlight reports whether the customer has reached its limit on attempts in flight. If
 // the counter counts units instead of attempts, this gateway allows an even share of the limit. If
-// a count of attempts is missing, the decision is random, by the demand estimated from the first
-// tries at this gateway.
+// the count of attempts is missing, the decision is random. A rejection is more likely for a higher
+// demand, which is estimated from the first tries at this gateway.
 func (a *admission) reachedMaxInFlight(customer *customerState, countKnown bool) bool {
 	limit := float64(customer.plan.MaxInFlight)
 	own := float64(customer.inFlight)
@@ -193,16 +194,15 @@
 
 // withinQuota reports whether the customer's bucket holds a request's units, and returns the
 // missing units if it does not. The last units of the bucket are granted at random: the count lags
-// by the usual latency, and a sharp threshold would admit every request that arrives during the
-// lag.
-// Prevents two consecutive bursts at a window's edge.
-func (a *admission) withinQuota(request *requestState, usualLatency time.Duration) (missing float64, within bool) {
+// by the median latency, and a sharp threshold would admit every request that arrives during the
+// lag. The check prevents two consecutive bursts at a window's edge.
+func (a *admission) withinQuota(request *requestState, medianLatency time.Duration) (missing float64, within bool) {
 	customer := request.customer
 	units := request.Units
-	free := customer.available - customer.uncountedByOthers(usualLatency) - units
+	free := customer.available - customer.uncountedByOthers(medianLatency) - units
 	probability := 0.0
 	if free >= 0 {
-		ramp := customer.plan.Rate * usualLatency.Seconds()
+		ramp := customer.plan.Rate * medianLatency.Seconds()
 		if customer.isSparse(units) {
 			ramp *= sparseRampFactor
 		}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -51,8 +51,8 @@
 }
 
 // placeRequest sends a request to a server, lets it wait for one, or rejects it. Only new requests
-// are shed. Attempts that slow start allowed at a warming server are made even then, as they are
-// rare.
+// are shed. A request for which pickServer found a warming server is not shed, because slow start
+// allows few such attempts.
 func (b *balancer) placeRequest(request *requestState) {
 	if request.completed {
 		return
@@ -101,8 +101,8 @@
 }
 
 // candidates returns the servers among which pickServer chooses. Servers that the request has not
-// tried take precedence, then servers of its preferred owner, then warming servers: slow start
-// allowed this attempt there and does not allow it later instead.
+// tried take precedence, then servers of its preferred owner, then warming servers, because slow
+// start has used up the credit of such a server whether or not it gets this attempt.
 func (b *balancer) candidates(request *requestState) []*server {
 	servers := b.eligibleServers(request)
 	servers = preferMatching(servers, func(s *server) bool { return !request.hasTried(s) })
@@ -121,7 +121,7 @@
 // eligibleServers returns the ready servers that the request may go to now: those with capacity,
 // without ejected ones. If all servers are ejected, they are included: a failure that affects every
 // server is no reason to avoid any of them, and must not stop all service. The call uses up the
-// slow-start turn of each warming server with capacity. The result is valid until the next call.
+// slow-start credit of each warming server with capacity. The result is valid until the next call.
 func (b *balancer) eligibleServers(request *requestState) []*server {
 	b.withCapacity = b.withCapacity[:0]
 	b.healthy = b.healthy[:0]
--- a/policy/charges.go
+++ b/policy/charges.go
@@ -35,13 +35,13 @@
 	if units <= 0 || customer.plan.Rate <= 0 {
 		return
 	}
-	ownCall := a.env.settings.HasCounter && customer.isSparse(units)
-	if ownCall && a.env.random.Float64() >= a.callProbability {
+	separateCall := a.env.settings.HasCounter && customer.isSparse(units)
+	if separateCall && a.env.random.Float64() >= a.callProbability {
 		customer.uncounted -= units // the counter never receives them
 		return
 	}
 	customer.pending = append(customer.pending, pendingCharge{units, a.env.now})
-	if ownCall {
+	if separateCall {
 		a.sendCharges(customer, nil, 1/a.callProbability/max(a.acceptedFraction, minCallProbability))
 	}
 }
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -91,7 +91,7 @@
 
 // updateCallProbability adjusts the probability of the next calls. A failed or late call lowers
 // it; a fast one raises it, and more so after a series of fast ones. Because calls are skipped at
-// random, gateways do not stop and resume calling in step.
+// random, gateways do not all stop or resume their calls at the same time.
 func (a *admission) updateCallProbability(outcome callOutcome) {
 	if outcome == callFast {
 		a.fastAnswers = min(a.fastAnswers+1, maxFastAnswers)
@@ -125,14 +125,14 @@
 	}
 }
 
-// blockAtMaxInFlight blocks the customer for a fraction of the usual latency if its other attempts
-// in flight reach its limit.
+// blockAtMaxInFlight blocks the customer for a fraction of the median latency if its other
+// attempts in flight reach its limit.
 func (a *admission) blockAtMaxInFlight(call counterCall, total float64) {
 	if call.request == nil || total-call.units < float64(call.customer.plan.MaxInFlight) {
 		return
 	}
-	usualLatency := float64(call.request.class.latencies.decile(medianDecile))
-	blockedFor := max(time.Duration(blockedLatencyFraction*usualLatency), a.env.settings.ClockTick)
+	medianLatency := float64(call.request.class.latencies.decile(medianDecile))
+	blockedFor := max(time.Duration(blockedLatencyFraction*medianLatency), a.env.settings.ClockTick)
 	call.customer.blockedUntil = a.env.now + blockedFor
 }
 
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -42,7 +42,8 @@
 	return time.Duration(window)*c.windowLength - c.windowOffset
 }
 
-// counterName returns the counter's name for a customer's window, a hash of both.
+// counterName returns the name under which the counter keeps the count of a customer's window. It
+// is a hash of the customer and the window.
 func counterName(customerID uint64, window int64) uint64 {
 	x := (customerID*customerHashFactor + uint64(window)) * windowHashFactor
 	return x ^ x>>hashShift
@@ -62,7 +63,8 @@
 	return c.plan.Burst < sparseRequests*units*c.gateways
 }
 
-// isExhausted reports whether no count could admit the given units and no charge is pending.
+// isExhausted reports whether the bucket lacks the given units even if other gateways have used
+// none, so that no count could admit them, and no charge is pending that a call would carry.
 func (c *customerState) isExhausted(units float64) bool {
 	return c.plan.Rate > 0 && c.available+c.assumedByOthers < units && len(c.pending) == 0
 }
@@ -127,12 +129,12 @@
 }
 
 // uncountedByOthers estimates the units that other gateways forwarded and have not charged yet:
-// their rate in the window of the latest sample, times the usual latency.
-// Prevents admission by a count that lags behind the units in flight.
-func (c *customerState) uncountedByOthers(usualLatency time.Duration) float64 {
+// their rate in the window of the latest sample, times the median latency. This prevents admission
+// by a count that lags behind the units in flight.
+func (c *customerState) uncountedByOthers(medianLatency time.Duration) float64 {
 	sample := c.samples[0]
 	passed := max(sample.at-c.windowStart(sample.window), c.windowLength/countSpanDivisor, 1)
-	return sample.total * (1 - 1/c.gateways) * float64(usualLatency) / float64(passed)
+	return sample.total * (1 - 1/c.gateways) * float64(medianLatency) / float64(passed)
 }
 
 // recordUsage records a report of the fraction of its rate that the customer uses. Until the first
--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -13,7 +13,7 @@
 	customerList []*customerState // values of customers, for iteration
 	nextEviction int              // index in customerList of the next customer to check for eviction
 
-	calls            map[uint64][]counterCall // calls without an answer by counter name, oldest first
+	calls            map[uint64][]counterCall // unanswered calls by counter name, oldest first
 	callProbability  float64                  // probability that the counter is called; 1 while it answers
 	fastAnswers      float64                  // number of consecutive fast answers, at most maxFastAnswers
 	acceptedFraction float64                  // fraction of the latest calls that the counter accepted
@@ -43,18 +43,18 @@
 	initializedWindow int64           // latest window that this gateway found untouched and carried the overrun into
 	ceilingAvailable  float64         // units available in this gateway's share of the ceiling
 	usageReports      float64         // number of usage reports received, at most maxUsageReports
-	usage             float64         // fraction of its rate that it uses, averaged over the latest reports
+	usage             float64         // fraction of its rate that the customer uses, averaged over the latest reports
 	demandInFlight    float64         // attempts in flight at all gateways, estimated from first tries here
-	blockedUntil      time.Duration   // end of the time in which it is assumed to be at its limit on attempts in flight
+	blockedUntil      time.Duration   // end of the time in which its limit on attempts in flight is assumed to be reached
 }
 
-// pendingCharge is the units that a request took and that no call has sent to the counter yet.
+// pendingCharge holds the units that a request took and that no call has sent to the counter yet.
 type pendingCharge struct {
 	units float64
 	at    time.Duration // time of the charge
 }
 
-// counterCall is a call to the counter without an answer. The answers for a name arrive in the
+// counterCall is a call that the counter has not answered yet. The answers for a name arrive in the
 // order of its calls.
 type counterCall struct {
 	request    *requestState // request that waits for the answer; nil: none
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// isEjectedFor reports whether the server is ejected for the request's class and plan. It is while
-// an attempt of the class is silent, and for ejectionTime after a failure that recordHealth counted
-// or after a rejection of the class and plan. An answer to the same class, and to the same plan
-// after a rejection, ends the ejection immediately.
+// isEjectedFor reports whether the server is ejected for the request's class and plan. A server is
+// ejected for a class while it leaves an attempt of the class unanswered (hasSilentAttempt), and for
+// ejectionTime after a failure of the class that recordHealth counted. It is ejected for a class and
+// plan for ejectionTime after it rejected a request of both. An answer to the class ends the ejection
+// immediately; after a rejection, only an answer to the class and plan does.
 //
-// Only the record of the request's class counts, as the server may still serve other classes. If
-// the class has no record there, the latest record of any class counts.
+// Failures of other classes do not count, as the server may still serve this one. If the server has
+// neither answered nor failed the class, the latest record of any class counts.
 func (s *server) isEjectedFor(request *requestState) bool {
-	if s.isSilentFor(request.Class) {
+	if s.hasSilentAttempt(request.Class) {
 		return true
 	}
 	now := s.env.now
@@ -20,9 +21,9 @@
 	return isFailing || s.rejectedAt[s.rejectionIndex(request)].isWithin(ejectionTime, now)
 }
 
-// isSilentFor reports whether an attempt of the class has been in flight for longer than its
+// hasSilentAttempt reports whether an attempt of the class has been in flight for longer than its
 // silence timeout, and the server has answered no attempt of the class since that one started.
-func (s *server) isSilentFor(class int) bool {
+func (s *server) hasSilentAttempt(class int) bool {
 	lastSuccess := time.Duration(s.health[class].lastSuccess)
 	for _, request := range s.inFlight {
 		startedAt := request.lastAttemptAt()
--- a/policy/host.go
+++ b/policy/host.go
@@ -31,7 +31,7 @@
 	Draining
 )
 
-// ListKind tells which endpoints a list contains.
+// ListKind specifies which endpoints a list contains.
 type ListKind uint8
 
 // Kinds of endpoint lists.
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -35,7 +35,7 @@
 // shouldRetry reports whether a request gets another attempt. Its earlier attempts must allow it
 // (canAttempt, which checks Settings.MaxAttempts), and it must have had fewer than maxRetries
 // retries. Retries add to an overload, so there is none while the servers are overloaded. A retry
-// of the usual latency must end within the request's objective.
+// of the median latency must end within the request's objective.
 func (l *lifecycle) shouldRetry(request *requestState) bool {
 	if !request.canAttempt(l.env.now, nil, &l.env.settings) || len(request.attempts) > maxRetries {
 		return false
@@ -43,8 +43,8 @@
 	if l.balancer.isOverloaded() {
 		return false
 	}
-	usualLatency := request.class.latencies.decile(medianDecile)
-	return l.env.now+usualLatency < request.objectiveAt
+	medianLatency := request.class.latencies.decile(medianDecile)
+	return l.env.now+medianLatency < request.objectiveAt
 }
 
 // complete gives the final answer without an answer from a server: it rejects the request if
--- a/policy/repeat_rules.go
+++ b/policy/repeat_rules.go
@@ -44,8 +44,7 @@
 )
 
 // allowedRepeats returns where the request may run again, and its first attempt that may have run;
-// nil if there is none.
-// Prevents effects that happen twice.
+// nil if there is none. This prevents effects that happen twice.
 func (r *requestState) allowedRepeats() (scope repeatScope, firstRun *attempt) {
 	firstRun = r.firstThatMayHaveRun()
 	if firstRun == nil || r.class.Effect == Idempotent {
--- a/policy/request_state.go
+++ b/policy/request_state.go
@@ -78,7 +78,7 @@
 	return request != nil && request.admitted
 }
 
-// RetryDeadline returns the end of a keyed request's dedup window if an attempt before its latest
+// RetryDeadline returns the end of a keyed request's dedup window if any attempt except the latest
 // may have run, and 0 otherwise. It changes no state. A host can use it to withhold an attempt
 // that was requested in time but whose first byte would be sent too late.
 func (g *Gateway) RetryDeadline(requestID uint32) time.Duration {
--- a/policy/server.go
+++ b/policy/server.go
@@ -41,7 +41,7 @@
 	count := len(s.answeredAt.samples)
 	span := max(s.env.now-s.answeredAt.newest(count-1), s.env.settings.ClockTick)
 	queue := queueFraction * float64(s.env.tightestObjective) * float64(count) / float64(span)
-	// At least one attempt may be in flight: a lower limit would be too uncertain, and load
+	// One attempt may always be in flight: an estimated limit below one is too uncertain, and load
 	// shedding covers that case.
 	return inFlight+1 > max(headroomAttempts/sharing+queue, 1)
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -16,11 +16,12 @@
 // isWarm reports whether the server has all of its capacity.
 func (s *server) isWarm() bool { return s.warmUpFraction() >= 1 }
 
-// slowStartAllows decides at random whether a server may get an attempt now; a warm server always
-// may. The probability for a warming server grows with its warm-up fraction and with the time since
-// it was last considered, and is lower for a request of more than the mean expected latency. The
-// time credited is bounded, so that hundreds of idle gateways do not all send at the same time
-// (docs/design.md derives the bound). This prevents overload of a server that has just started.
+// slowStartAllows decides at random whether a server may get an attempt now. It always returns true
+// for a warm server. The probability for a warming server grows with its warm-up fraction and with
+// the time since it was last considered, and is lower for a request of more than the mean expected
+// latency. The time credited is bounded, so that hundreds of idle gateways do not all send at the
+// same time (docs/design.md derives the bound). This prevents overload of a server that has just
+// started.
 func (s *server) slowStartAllows(request *requestState) bool {
 	probability := s.warmUpFraction()
 	if probability >= 1 {
