--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -7,58 +7,58 @@
 )
 
 func TestEndpoints_drainWhileARequestAwaitsItsCount(t *testing.T) {
-	world := newHarness(t, testSettings(), 2)
-	world.counterDown = true
-	world.request(1, 0, 0, 1)
-	world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 1, State: Draining}})
-	world.counterDown = false
-	world.answerCounter()
-	if len(world.attempts) != 1 || world.attempts[0].server != 2 {
-		t.Errorf("attempts %v, want one at server 2", world.attempts)
-	}
-	world.gateway.HandleEndpoints(world.now, ListFull, []Endpoint{{Server: 3, State: Ready}})
-	world.request(2, 0, 0, 1)
-	if last := world.attempts[len(world.attempts)-1]; last.server != 3 {
+	h := newHarness(t, testSettings(), 2)
+	h.counterDown = true
+	h.request(1, 0, 0, 1)
+	h.gateway.HandleEndpoints(h.now, ListDelta, []Endpoint{{Server: 1, State: Draining}})
+	h.counterDown = false
+	h.answerCounter()
+	if len(h.attempts) != 1 || h.attempts[0].server != 2 {
+		t.Errorf("attempts %v, want one at server 2", h.attempts)
+	}
+	h.gateway.HandleEndpoints(h.now, ListFull, []Endpoint{{Server: 3, State: Ready}})
+	h.request(2, 0, 0, 1)
+	if last := h.attempts[len(h.attempts)-1]; last.server != 3 {
 		t.Errorf("sent to server %d, which is not in the full list", last.server)
 	}
 }
 
 func TestPlacement_waitsForAServer(t *testing.T) {
-	world := newHarness(t, testSettings(), 0)
-	world.request(1, 0, 0, 1)
-	world.wantAttempts(1, 0)
-	world.advance(50 * ms)
-	world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 1, State: Ready}})
-	world.advance(20 * ms)
-	world.wantAttempts(1, 1)
-	world = newHarness(t, testSettings(), 0)
-	world.request(1, 0, 0, 1)
-	world.advance(600 * ms)
-	world.wantLogged("reject 1 away 125ms", 1)
+	h := newHarness(t, testSettings(), 0)
+	h.request(1, 0, 0, 1)
+	h.wantAttempts(1, 0)
+	h.advance(50 * ms)
+	h.gateway.HandleEndpoints(h.now, ListDelta, []Endpoint{{Server: 1, State: Ready}})
+	h.advance(20 * ms)
+	h.wantAttempts(1, 1)
+	h = newHarness(t, testSettings(), 0)
+	h.request(1, 0, 0, 1)
+	h.advance(600 * ms)
+	h.wantLogged("reject 1, retry after 125ms", 1)
 }
 
 func TestSlowStart_deploymentLeavesNoWarmServer(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull} {
-		world := newHarness(t, testSettings(), 4)
+		h := newHarness(t, testSettings(), 4)
 		id := uint32(0)
 		second := func() {
 			for range 100 {
 				id++
-				world.request(id, 0, 0, 1)
-				world.advance(10 * ms)
-				world.finishAttempt(id, Answered)
+				h.request(id, 0, 0, 1)
+				h.advance(10 * ms)
+				h.finishAttempt(id, Answered)
 			}
 		}
 		second()
 		for late := uint32(900); late < 904; late++ {
-			world.request(late, 0, 0, 1)
+			h.request(late, 0, 0, 1)
 		}
-		world.gateway.HandleEndpoints(world.now, kind, []Endpoint{{Server: 9, State: Ready, StartedAt: world.now}})
+		h.gateway.HandleEndpoints(h.now, kind, []Endpoint{{Server: 9, State: Ready, StartedAt: h.now}})
 		for late := uint32(900); late < 904; late++ {
-			world.finishAttempt(late, Answered) // answers of removed servers must not count as answers of warm ones
+			h.finishAttempt(late, Answered) // answers of removed servers must not count as answers of warm ones
 		}
 		second()
-		warming := world.attemptsTo(9, 0)
+		warming := h.attemptsTo(9, 0)
 		// Each warm server got 25 attempts per second. The warming server has a fifth of the
 		// capacity and a little more as it warms up, so about 6 attempts are due.
 		if warming < 2 || warming > 8 {
@@ -68,24 +68,24 @@
 }
 
 func TestPlacement_limitsAttemptsInFlight(t *testing.T) {
-	world := newHarness(t, testSettings(), 2)
-	world.serveInTurn(40, 0, 1, 20*ms)
-	before := len(world.attempts)
+	h := newHarness(t, testSettings(), 2)
+	h.serveInTurn(40, 0, 1, 20*ms)
+	before := len(h.attempts)
 	for id := uint32(100); id < 160; id++ {
-		world.request(id, 0, 0, 1)
+		h.request(id, 0, 0, 1)
 	}
-	inFlight := len(world.attempts) - before
+	inFlight := len(h.attempts) - before
 	if inFlight > 16 {
 		t.Errorf("%d attempts in flight at two servers that answer 50 per second, want at most 16", inFlight)
 	}
-	world.finishAttempt(world.attempts[len(world.attempts)-1].request, Answered)
-	world.advance(20 * ms)
-	if len(world.attempts) != before+inFlight+1 {
-		t.Errorf("%d requests were sent after one answer, want 1", len(world.attempts)-before-inFlight)
+	h.finishAttempt(h.attempts[len(h.attempts)-1].request, Answered)
+	h.advance(20 * ms)
+	if len(h.attempts) != before+inFlight+1 {
+		t.Errorf("%d requests were sent after one answer, want 1", len(h.attempts)-before-inFlight)
 	}
-	world.advance(200 * ms)
+	h.advance(200 * ms)
 	for id := uint32(100); id < 160; id++ {
-		if world.attemptsOf(id)+world.occurrences(fmt.Sprintf("reject %d away 125ms", id)) == 0 {
+		if h.attemptsOf(id)+h.occurrences(fmt.Sprintf("reject %d, retry after 125ms", id)) == 0 {
 			t.Errorf("request %d was neither sent nor rejected", id)
 		}
 	}
@@ -94,13 +94,13 @@
 func TestPlacement_firstBurstIsSharedAmongGateways(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 12
-	world := newHarness(t, settings, 6)
+	h := newHarness(t, settings, 6)
 	for id := uint32(1); id <= 20; id++ {
-		world.request(id, 0, 0, 1)
+		h.request(id, 0, 0, 1)
 	}
-	if len(world.attempts) != 5 {
+	if len(h.attempts) != 5 {
 		t.Errorf("%d attempts in flight at 6 servers of unknown rate that 12 gateways share, want 5",
-			len(world.attempts))
+			len(h.attempts))
 	}
 }
 
@@ -109,11 +109,11 @@
 	for seed := range int64(100) {
 		settings := testSettings()
 		settings.Gateways = 100
-		world := newHarness(t, settings, 4)
-		world.gateway.random.Seed(seed)
-		world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{Server: 9, State: Ready, StartedAt: world.now}})
-		world.serveInTurn(8, 0, 1, 500*ms) // two requests per second from each gateway to five servers
-		forwarded += world.attemptsTo(9, 0)
+		h := newHarness(t, settings, 4)
+		h.gateway.random.Seed(seed)
+		h.gateway.HandleEndpoints(h.now, ListDelta, []Endpoint{{Server: 9, State: Ready, StartedAt: h.now}})
+		h.serveInTurn(8, 0, 1, 500*ms) // two requests per second from each gateway to five servers
+		forwarded += h.attemptsTo(9, 0)
 	}
 	// Each warm server gets 40 attempts per second from all gateways. A warming server has a fifth
 	// of the capacity or more, so about 50 attempts are due in four seconds.
@@ -125,21 +125,21 @@
 func TestLoadShedding_byLatencies(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 50
-	world := newHarness(t, settings, 20)
+	h := newHarness(t, settings, 20)
 	rejected := [2]int{}
 	for id := uint32(1); id <= 200; id++ {
-		world.request(id, 0, 0, 1)
-		if world.attemptsOf(id) == 0 {
+		h.request(id, 0, 0, 1)
+		if h.attemptsOf(id) == 0 {
 			rejected[min(id/101, 1)]++
 		}
-		world.advance(10 * ms)
+		h.advance(10 * ms)
 		took := 50 * ms
 		if id > 100 {
 			took = 800 * ms // well over the objective of 500 ms, at every server
 		}
-		if n := len(world.attempts); n > 0 && world.attempts[n-1].request == id {
-			world.attempts[n-1].ended = true
-			world.answer(id, world.attempts[n-1].server, took)
+		if n := len(h.attempts); n > 0 && h.attempts[n-1].request == id {
+			h.attempts[n-1].ended = true
+			h.answer(id, h.attempts[n-1].server, took)
 		}
 	}
 	if rejected[0] > 0 || rejected[1] < 30 {
@@ -150,30 +150,30 @@
 func TestLoadShedding_endsWithTheCongestion(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 50
-	world := newHarness(t, settings, 20)
+	h := newHarness(t, settings, 20)
 	id, rejected := uint32(0), 0
 	sendThenAdvance := func(interval time.Duration) {
 		id++
-		world.send(Request{ID: id, Customer: 1, Units: 1, Deadline: world.now + 20*time.Second})
-		world.answerCounter()
-		world.advance(interval)
+		h.send(Request{ID: id, Customer: 1, Units: 1, Deadline: h.now + 20*time.Second})
+		h.answerCounter()
+		h.advance(interval)
 	}
 	answerAll := func() {
-		for i := range world.attempts {
-			if sent := &world.attempts[i]; !sent.ended {
+		for i := range h.attempts {
+			if sent := &h.attempts[i]; !sent.ended {
 				sent.ended = true
-				world.answer(sent.request, sent.server, world.now-sent.at)
+				h.answer(sent.request, sent.server, h.now-sent.at)
 			}
 		}
 	}
 	for range 20 {
 		sendThenAdvance(50 * ms)
 	}
-	world.advance(5 * time.Second)
+	h.advance(5 * time.Second)
 	answerAll() // all attempts of the congestion are answered together, five seconds late
 	for range 200 {
 		sendThenAdvance(50 * ms)
-		if world.attemptsOf(id) == 0 {
+		if h.attemptsOf(id) == 0 {
 			rejected++
 		}
 		answerAll()
@@ -185,21 +185,21 @@
 
 // Guards against load shedding that ignores the weights of the classes.
 func TestLoadShedding_shedsTheLowestWeightFirst(t *testing.T) {
-	world := newHarness(t, testSettings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	for id := uint32(1); id <= 12; id++ { // latencies of four fifths of the objective mean overload
-		world.request(id, int(id%3), 0, 1)
-		world.answer(id, world.attempts[len(world.attempts)-1].server, 400*ms)
+		h.request(id, int(id%3), 0, 1)
+		h.answer(id, h.attempts[len(h.attempts)-1].server, 400*ms)
 	}
 	forwarded := map[int]int{}
 	for id := uint32(13); id < 413; id++ {
 		class := int(id%2) * 2
-		before := len(world.attempts)
-		world.request(id, class, 0, 1)
-		if len(world.attempts) > before {
+		before := len(h.attempts)
+		h.request(id, class, 0, 1)
+		if len(h.attempts) > before {
 			forwarded[class]++
-			world.answer(id, world.attempts[before].server, 400*ms)
+			h.answer(id, h.attempts[before].server, 400*ms)
 		}
-		world.advance(10 * ms)
+		h.advance(10 * ms)
 	}
 	if forwarded[2] < 2*forwarded[0] || forwarded[0] == 0 {
 		t.Errorf("forwarded %d requests of weight 1 and %d of weight 3, want at least twice as many of weight 3",
@@ -210,11 +210,11 @@
 // Guards against an attempt interval that is not updated when the number of gateways that share a
 // server changes.
 func TestAttemptInterval_followsTheSharingGateways(t *testing.T) {
-	world := newHarness(t, testSettings(), 4)
-	world.serveInTurn(40, 0, 1, 20*ms)
-	before := world.gateway.balancer.attemptInterval()
-	world.gateway.SetSharingGateways(10)
-	if now := world.gateway.balancer.attemptInterval(); (now - 5*before).Abs() > ms {
+	h := newHarness(t, testSettings(), 4)
+	h.serveInTurn(40, 0, 1, 20*ms)
+	before := h.gateway.balancer.attemptInterval()
+	h.gateway.SetSharingGateways(10)
+	if now := h.gateway.balancer.attemptInterval(); (now - 5*before).Abs() > ms {
 		t.Errorf("%v between attempts at a server that two gateways share, %v with ten", before, now)
 	}
 }
--- a/policy/elective_test.go
+++ b/policy/elective_test.go
@@ -10,13 +10,13 @@
 // owner 9 with the IDs 5 and 6.
 func newElectiveHarness(t *testing.T) *harness {
 	t.Helper()
-	world := newHarness(t, testSettings(), 4)
+	h := newHarness(t, testSettings(), 4)
 	list := []Endpoint{
 		{Server: 5, State: Ready, Capacity: 1, Rack: 7, Zone: 1, Owner: 9, Elective: true},
 		{Server: 6, State: Ready, Capacity: 1, Rack: 7, Zone: 1, Owner: 9, Elective: true},
 	}
-	world.gateway.HandleEndpoints(world.now, ListDelta, list)
-	return world
+	h.gateway.HandleEndpoints(h.now, ListDelta, list)
+	return h
 }
 
 func (h *harness) requestPreferring(id uint32, class, owner int) {
@@ -40,23 +40,23 @@
 		{"keyed", 3, 9, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			world := newElectiveHarness(t)
+			h := newElectiveHarness(t)
 			for id := range uint32(40) {
-				world.requestPreferring(id+1, test.class, test.owner)
-				first := world.attempts[len(world.attempts)-1].server
+				h.requestPreferring(id+1, test.class, test.owner)
+				first := h.attempts[len(h.attempts)-1].server
 				if (first > 4) != test.elective {
 					t.Fatalf("request %d sent to server %d", id+1, first)
 				}
-				world.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
-				latest := world.attempts[len(world.attempts)-1]
+				h.finishAttempt(id+1, []Outcome{Answered, Errored}[id/39]) // the last one is retried
+				latest := h.attempts[len(h.attempts)-1]
 				for latest.request == id+1 && !latest.ended {
 					if latest.server > 4 {
 						t.Fatalf("request %d retried at server %d", id+1, latest.server)
 					}
-					world.finishAttempt(id+1, Answered)
-					latest = world.attempts[len(world.attempts)-1]
+					h.finishAttempt(id+1, Answered)
+					latest = h.attempts[len(h.attempts)-1]
 				}
-				world.advance(time.Second)
+				h.advance(time.Second)
 			}
 		})
 	}
@@ -66,40 +66,40 @@
 // are warming up, or if there is an overload.
 func TestElective_requestGoesElsewhereWithoutCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*harness){
-		"removed": func(world *harness) {
-			world.gateway.HandleEndpoints(world.now, ListDelta,
+		"removed": func(h *harness) {
+			h.gateway.HandleEndpoints(h.now, ListDelta,
 				[]Endpoint{{Server: 5, State: Removed}, {Server: 6, State: Draining}})
 		},
-		"warming up": func(world *harness) {
+		"warming up": func(h *harness) {
 			for _, n := range []uint32{5, 6} {
-				world.gateway.HandleEndpoints(world.now, ListDelta, []Endpoint{{
+				h.gateway.HandleEndpoints(h.now, ListDelta, []Endpoint{{
 					Server: n, State: Ready, Capacity: 1, Zone: 1, Owner: 9,
-					Elective: true, StartedAt: world.now,
+					Elective: true, StartedAt: h.now,
 				}})
 			}
-			world.advance(4 * time.Second) // a warming server may get ordinary attempts by now, but no elective ones
+			h.advance(4 * time.Second) // a warming server may get ordinary attempts by now, but no elective ones
 		},
-		"full": func(world *harness) {
+		"full": func(h *harness) {
 			for id := range uint32(60) { // none is answered
-				world.requestPreferring(100+id, 0, 9)
+				h.requestPreferring(100+id, 0, 9)
 			}
 		},
-		"overload": func(world *harness) {
+		"overload": func(h *harness) {
 			for range 4 * minRateSamples {
-				world.gateway.balancer.recentLatencies.add(latencySamples, latencySample{world.now + time.Hour, 50})
+				h.gateway.balancer.recentLatencies.add(latencySamples, latencySample{h.now + time.Hour, 50})
 			}
 		},
 	} {
-		world := newElectiveHarness(t)
-		disturb(world)
+		h := newElectiveHarness(t)
+		disturb(h)
 		for id := uint32(1); id < 20; id++ {
-			world.requestPreferring(id, 0, 9)
-			for _, attempt := range world.attempts {
+			h.requestPreferring(id, 0, 9)
+			for _, attempt := range h.attempts {
 				if attempt.request == id && attempt.server > 4 {
 					t.Errorf("%s: request %d sent to server %d", name, id, attempt.server)
 				}
 			}
-			world.finishAttempt(id, Answered)
+			h.finishAttempt(id, Answered)
 		}
 	}
 }
@@ -107,14 +107,14 @@
 // Owners of servers have no effect on requests that prefer no owner.
 func TestElective_unusedChangesNoDecision(t *testing.T) {
 	run := func(list []Endpoint) []string {
-		world := newHarness(t, testSettings(), 8)
-		world.gateway.HandleEndpoints(world.now, ListDelta, list)
+		h := newHarness(t, testSettings(), 8)
+		h.gateway.HandleEndpoints(h.now, ListDelta, list)
 		for id := range uint32(300) {
-			world.request(id+1, int(id%4), 0, 1)
-			world.advance(5 * ms)
-			world.finishAttempt(id/2+1, []Outcome{Answered, Answered, Errored, Rejected}[id%4])
+			h.request(id+1, int(id%4), 0, 1)
+			h.advance(5 * ms)
+			h.finishAttempt(id/2+1, []Outcome{Answered, Answered, Errored, Rejected}[id%4])
 		}
-		return world.log
+		return h.log
 	}
 	withoutOwners := run(nil)
 	var owned []Endpoint
--- a/policy/fake_host_test.go
+++ b/policy/fake_host_test.go
@@ -45,7 +45,7 @@
 }
 
 func (f *fakeHost) Reject(requestID uint32, retryAfter time.Duration) {
-	f.record("reject %d away %v", requestID, retryAfter.Round(ms))
+	f.record("reject %d, retry after %v", requestID, retryAfter.Round(ms))
 }
 func (f *fakeHost) Terminate(requestID uint32)        { f.record("terminate %d", requestID) }
 func (f *fakeHost) CheckHealth(server uint32)         { f.record("health check %d", server) }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -9,15 +9,15 @@
 func TestModule_isDeterministic(t *testing.T) {
 	var runs [2][]string
 	for i := range runs {
-		world := newHarness(t, testSettings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		for id := uint32(1); id <= 200; id++ {
-			world.request(id, int(id%4), int(id%3), 1)
-			world.advance(time.Duration(id%7) * ms)
-			if world.attemptsOf(id) > 0 && id%5 > 0 {
-				world.finishAttempt(id, []Outcome{Answered, Answered, Errored, Rejected}[id%4])
+			h.request(id, int(id%4), int(id%3), 1)
+			h.advance(time.Duration(id%7) * ms)
+			if h.attemptsOf(id) > 0 && id%5 > 0 {
+				h.finishAttempt(id, []Outcome{Answered, Answered, Errored, Rejected}[id%4])
 			}
 		}
-		runs[i] = world.log
+		runs[i] = h.log
 	}
 	if !slices.Equal(runs[0], runs[1]) {
 		t.Error("two runs with the same events and seed logged different actions")
@@ -30,11 +30,11 @@
 	}
 	settings := testSettings()
 	settings.HasCounter, settings.PollList, settings.Plans[0].Rate = false, true, 0
-	world := newHarness(t, settings, 1)
-	world.wantLogged("watch", 1)
-	world.gateway.HandleEndpoints(world.now, ListFailed, nil)
-	world.advance(time.Second)
-	world.wantLogged("watch", 2)
-	world.request(1, 2, 0, 1)
-	world.wantAttempts(1, 1)
+	h := newHarness(t, settings, 1)
+	h.wantLogged("watch", 1)
+	h.gateway.HandleEndpoints(h.now, ListFailed, nil)
+	h.advance(time.Second)
+	h.wantLogged("watch", 2)
+	h.request(1, 2, 0, 1)
+	h.wantAttempts(1, 1)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -7,14 +7,14 @@
 
 // goldenCase is a configuration of a golden test, with the expected hash for each seed.
 type goldenCase struct {
-	name     string
-	settings Settings
-	sharers  float64 // argument of Gateway.SetSharingGateways
-	servers  int
-	owners   int        // number of owners of elective servers; 0: no elective servers
-	changes  []Settings // settings to apply during the run
-	seeds    [2]int64
-	want     [2]string
+	name            string
+	settings        Settings
+	sharingGateways float64 // argument of Gateway.SetSharingGateways
+	servers         int
+	owners          int        // number of owners of elective servers; 0: no elective servers
+	changes         []Settings // settings to apply during the run
+	seeds           [2]int64
+	want            [2]string
 }
 
 func goldenSettings() Settings {
@@ -61,11 +61,11 @@
 }
 
 // goldenReordered reorders, removes and adds classes and plans.
-func goldenReordered(d *Settings) {
+func goldenReordered(s *Settings) {
 	fast := TrafficClass{Name: "fast", LatencyObjective: 200 * ms, Timeout: time.Second, Weight: 3}
-	d.Classes = append([]TrafficClass{fast}, d.Classes[2:]...)
-	d.Classes[1].LatencyObjective = 350 * ms
-	d.Plans = []Plan{
+	s.Classes = append([]TrafficClass{fast}, s.Classes[2:]...)
+	s.Classes[1].LatencyObjective = 350 * ms
+	s.Plans = []Plan{
 		{Name: "out", MaxInFlight: 2},
 		{Name: "new", Rate: 9, Burst: 12},
 		{Name: "small", Rate: 8, Burst: 8},
@@ -73,18 +73,18 @@
 		{Name: "few"},
 		{Name: "open", Rate: 50, Burst: 60},
 	}
-	d.SendsRetryAfter, d.UsageSpan, d.Gateways = false, time.Second, 3
+	s.SendsRetryAfter, s.UsageSpan, s.Gateways = false, time.Second, 3
 }
 
 // goldenWithoutCounter removes the counter and Retry-After, and allows hedging and cancellation.
-func goldenWithoutCounter(d *Settings) {
-	d.HasCounter, d.SendsRetryAfter, d.AllowHedging, d.CanCancel = false, false, true, true
-	d.MaxAttempts, d.Gateways = 2, 1
+func goldenWithoutCounter(s *Settings) {
+	s.HasCounter, s.SendsRetryAfter, s.AllowHedging, s.CanCancel = false, false, true, true
+	s.MaxAttempts, s.Gateways = 2, 1
 }
 
 var goldenCases = []goldenCase{
 	{
-		name: "counter", settings: goldenSettings(), sharers: 4, servers: 8,
+		name: "counter", settings: goldenSettings(), sharingGateways: 4, servers: 8,
 		seeds: [2]int64{1, 2},
 		want: [2]string{
 			"ad7a14865b13efe6031f8a43dbed08f985a7e48bbcf44df5e5fd405f0016f8bd",
@@ -92,8 +92,8 @@
 		},
 	},
 	{
-		name: "no counter, two attempts out", settings: goldenSettingsWith(goldenWithoutCounter),
-		sharers: 1, servers: 5,
+		name: "no counter, at most two attempts", settings: goldenSettingsWith(goldenWithoutCounter),
+		sharingGateways: 1, servers: 5,
 		seeds: [2]int64{3, 4},
 		want: [2]string{
 			"d9263837fa8523a1d0d34a8bf8ab7c94ecde1f1e1621eeede398d3c1de3b62ba",
@@ -102,17 +102,17 @@
 	},
 	{
 		name: "usage reports and actual units",
-		settings: goldenSettingsWith(func(d *Settings) {
-			d.Gateways, d.ReportsUnits, d.UsageSpan, d.CanCancel = 40, true, time.Second, true
+		settings: goldenSettingsWith(func(s *Settings) {
+			s.Gateways, s.ReportsUnits, s.UsageSpan, s.CanCancel = 40, true, time.Second, true
 		}),
-		sharers: 12, servers: 12, seeds: [2]int64{5, 6},
+		sharingGateways: 12, servers: 12, seeds: [2]int64{5, 6},
 		want: [2]string{
 			"55bda99c61a38580fadff7f06486c8ac66e753c1234b5b6f5193327f1b6936eb",
 			"4a523d5ae0e1370002284df3b609026e93c498ac78ee0ebf9046143dacd6fc0a",
 		},
 	},
 	{
-		name: "elective servers with owners", settings: goldenSettings(), sharers: 2, servers: 9, owners: 2,
+		name: "elective servers with owners", settings: goldenSettings(), sharingGateways: 2, servers: 9, owners: 2,
 		seeds: [2]int64{7, 8},
 		want: [2]string{
 			"b6b96f2cc57b65eb16c96736c346694817f39d96fb7e52b87bb6aaa73a17ca28",
@@ -121,24 +121,24 @@
 	},
 	{
 		name: "polled list, servers that warm up",
-		settings: goldenSettingsWith(func(d *Settings) {
-			d.PollList, d.MaxListAge, d.WarmUpStart, d.WarmUpTime = true, time.Second, 0.1, 20*time.Second
+		settings: goldenSettingsWith(func(s *Settings) {
+			s.PollList, s.MaxListAge, s.WarmUpStart, s.WarmUpTime = true, time.Second, 0.1, 20*time.Second
 		}),
-		sharers: 4, servers: 10, seeds: [2]int64{9, 10},
+		sharingGateways: 4, servers: 10, seeds: [2]int64{9, 10},
 		want: [2]string{
 			"a65e502e820f421e2ca5ae3fb61d5bd68cefb24c21c9936ee88cc96c19b4fc0e",
 			"e4ec0bd5618d741d558e37ca32df0aec9aebcce17cf16be4a8da1cd09c097ef2",
 		},
 	},
 	{
-		name: "reconfigured", settings: goldenSettings(), sharers: 4, servers: 8,
+		name: "reconfigured", settings: goldenSettings(), sharingGateways: 4, servers: 8,
 		changes: []Settings{
 			goldenSettingsWith(goldenReordered),
 			{},
 			goldenSettingsWith(goldenWithoutCounter),
-			goldenSettingsWith(func(d *Settings) { d.Gateways = 0 }),
+			goldenSettingsWith(func(s *Settings) { s.Gateways = 0 }),
 			goldenSettings(),
-			goldenSettingsWith(func(d *Settings) { d.Classes, d.Plans = d.Classes[:4], d.Plans[1:] }),
+			goldenSettingsWith(func(s *Settings) { s.Classes, s.Plans = s.Classes[:4], s.Plans[1:] }),
 			goldenSettingsWith(goldenReordered),
 		},
 		seeds: [2]int64{11, 12},
@@ -148,10 +148,10 @@
 		},
 	},
 	{
-		name:     "many gateways",
-		settings: goldenSettingsWith(func(d *Settings) { d.Gateways, d.CanCancel, d.MaxRetryAfter = 300, true, 0 }),
-		sharers:  100, servers: 20,
-		changes: []Settings{goldenSettingsWith(func(d *Settings) { d.Gateways, d.Plans[1].Burst = 200, 30 })},
+		name:            "many gateways",
+		settings:        goldenSettingsWith(func(s *Settings) { s.Gateways, s.CanCancel, s.MaxRetryAfter = 300, true, 0 }),
+		sharingGateways: 100, servers: 20,
+		changes: []Settings{goldenSettingsWith(func(s *Settings) { s.Gateways, s.Plans[1].Burst = 200, 30 })},
 		seeds:   [2]int64{13, 14},
 		want: [2]string{
 			"c72914708c668612d087110313a9fb407d0bdfe7ab3c79da3ee0493040e54432",
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -11,32 +11,33 @@
 	"time"
 )
 
-const goldenRequests = 2500 // first tries in a run
+const goldenRequests = 2500 // requests, including repeats, after which a run starts no new event
 
 // goldenWorld simulates the environment of one module from a seed: clients, servers, the endpoint
 // list, the counter and the timers. It is also the module's Host, and writes each call to a hash.
 type goldenWorld struct {
 	*testing.T
 	goldenCase
-	digest   hash.Hash
-	calls    map[string]int
-	module   *Gateway
-	random   *rand.Rand
-	now      time.Duration
-	queue    []goldenEvent
-	queued   int
-	requests map[uint32]*goldenRequest
-	latest   uint32
-	totals   map[uint64]float64
-	listed   []Endpoint
-	inForce  Settings
+	digest      hash.Hash
+	calls       map[string]int // number of recorded calls by kind
+	module      *Gateway
+	random      *rand.Rand
+	now         time.Duration
+	queue       []goldenEvent // pending events, the next one first
+	eventsAdded int           // number of events that were ever in the queue
+	requests    map[uint32]*goldenRequest
+	lastID      uint32             // ID of the latest request
+	totals      map[uint64]float64 // the counter's totals by name
+	listed      []Endpoint         // the endpoint list
+	inForce     Settings           // the module's settings
 }
 
+// goldenEvent is an action at a time: the expiry of a timer or any other event.
 type goldenEvent struct {
 	at      time.Duration
-	number  int
+	number  int // position in the order in which events were added
 	isTimer bool
-	token   uint64
+	token   uint64 // token of the timer
 	do      func()
 }
 
@@ -64,7 +65,7 @@
 // run processes events until none is left and returns the hash of all calls.
 func (w *goldenWorld) run() string {
 	w.module.HandleEndpoints(w.now, ListCached, w.listed)
-	w.module.SetSharingGateways(w.sharers)
+	w.module.SetSharingGateways(w.sharingGateways)
 	w.after(0, w.arrival)
 	w.after(time.Second, w.changeList)
 	w.after(3*time.Second, w.injectFault)
@@ -87,8 +88,8 @@
 
 // add inserts an event into the queue by time, and after earlier events of the same time.
 func (w *goldenWorld) add(e goldenEvent) {
-	w.queued++
-	e.number = w.queued
+	w.eventsAdded++
+	e.number = w.eventsAdded
 	at, _ := slices.BinarySearchFunc(w.queue, e, func(a, b goldenEvent) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
@@ -149,8 +150,8 @@
 // send sends a request under a new ID. If its class or plan is retired, it uses the first active
 // ones.
 func (w *goldenWorld) send(r Request) {
-	w.latest++
-	r.ID = w.latest
+	w.lastID++
+	r.ID = w.lastID
 	if class := w.inForce.Classes[r.Class]; class.Retired || w.inForce.Plans[r.Plan].Retired {
 		r.Class, r.Plan = w.firstActive()
 	}
@@ -165,20 +166,20 @@
 		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
 }
 
-// injectFault causes a rare event: a standstill, a counter that lost its totals, events of unknown
-// requests, calls and timers, ignored events, or a change in the number of sharing gateways.
+// injectFault causes a rare event: a pause of the process, a counter that lost its totals, events of
+// unknown requests, calls and timers, ignored events, or a change in the number of sharing gateways.
 func (w *goldenWorld) injectFault() {
 	if len(w.requests) >= goldenRequests {
 		return
 	}
-	unknown := w.latest + 1000
+	unknown := w.lastID + 1000
 	switch w.random.Intn(8) {
 	case 0, 1:
 		w.now += w.between(20*ms, 400*ms)
 	case 2:
 		clear(w.totals)
 	case 3:
-		w.module.SetSharingGateways(w.sharers * w.random.Float64() * 2)
+		w.module.SetSharingGateways(w.sharingGateways * w.random.Float64() * 2)
 	case 4:
 		w.module.HandleAttemptResult(w.now, AttemptResult{RequestID: unknown})
 		w.module.HandleDisconnect(w.now, unknown)
@@ -190,8 +191,8 @@
 		w.module.HandleHealthCheck(w.now, 1, Answered, ms, []float32{1, 2})
 		w.module.HandlePeerMessage(w.now, 1, []byte("gossip"))
 	case 7:
-		w.module.HandleDisconnect(w.now, w.latest)
-		w.record("window", w.latest, w.module.RetryDeadline(w.latest), w.module.RetryDeadline(unknown),
+		w.module.HandleDisconnect(w.now, w.lastID)
+		w.record("window", w.lastID, w.module.RetryDeadline(w.lastID), w.module.RetryDeadline(unknown),
 			w.module.IsAdmitted(unknown))
 	}
 	w.after(w.between(100*ms, 2*time.Second), w.injectFault)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -56,13 +56,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	world := &harness{T: t, fakeHost: f, gateway: g, count: map[uint64]float64{}, gatewayCount: 2}
+	h := &harness{T: t, fakeHost: f, gateway: g, count: map[uint64]float64{}, gatewayCount: 2}
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{Server: uint32(i + 1), State: Ready, Capacity: 1, Rack: i / 2, Zone: 0})
 	}
 	g.HandleEndpoints(f.now, ListCached, list)
-	return world
+	return h
 }
 
 // request sends a request and lets the counter answer.
@@ -200,7 +200,7 @@
 	return n
 }
 
-// want checks how often a line is in the host's log.
+// wantLogged checks how often a line is in the host's log.
 func (h *harness) wantLogged(line string, times int) {
 	h.Helper()
 	if n := h.occurrences(line); n != times {
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -32,13 +32,13 @@
 }
 
 type quotaTry struct {
-	id       uint32
-	customer *quotaCustomer
-	units    float64
-	gateway  *quotaGateway
-	tries    int
-	deadline time.Duration
-	attempts int
+	id           uint32
+	customer     *quotaCustomer
+	units        float64
+	gateway      *quotaGateway
+	earlierTries int
+	deadline     time.Duration
+	attempts     int
 }
 
 type quotaCustomer struct {
@@ -64,8 +64,8 @@
 
 // Reject lets the client retry soon, in time to be served, even if Retry-After is longer.
 func (g *quotaGateway) Reject(requestID uint32, _ time.Duration) {
-	if t := g.tries[requestID]; t.tries < 2 {
-		g.After(time.Duration(20+g.random.Intn(130))*ms, func() { g.send(t.customer, t.units, t.tries+1, t.deadline) })
+	if t := g.tries[requestID]; t.earlierTries < 2 {
+		g.After(time.Duration(20+g.random.Intn(130))*ms, func() { g.send(t.customer, t.units, t.earlierTries+1, t.deadline) })
 	}
 }
 
@@ -125,18 +125,19 @@
 }
 
 // send sends a customer's try to a random gateway, unless its deadline has passed.
-func (s *quotaSimulation) send(customer *quotaCustomer, units float64, tries int, deadline time.Duration) {
+func (s *quotaSimulation) send(customer *quotaCustomer, units float64, earlierTries int, deadline time.Duration) {
 	if s.Now() >= deadline {
 		return
 	}
 	g := s.gateways[s.random.Intn(len(s.gateways))]
 	t := &quotaTry{
-		id: uint32(len(s.tries) + 1), customer: customer, units: units, gateway: g, tries: tries, deadline: deadline,
+		id: uint32(len(s.tries) + 1), customer: customer, units: units, gateway: g, earlierTries: earlierTries,
+		deadline: deadline,
 	}
 	s.tries[t.id] = t
 	g.module.HandleRequest(s.Now(), Request{
 		ID: t.id, Plan: 1, Customer: customer.id, GatewayCount: len(s.gateways), Units: units, Deadline: deadline,
-		Repeat: tries > 0,
+		Repeat: earlierTries > 0,
 	})
 }
 
@@ -192,22 +193,22 @@
 // causes: counts lag, and requests are admitted without a count while calls are skipped or the
 // counter is lost (docs/fleet-quotas.md).
 func TestQuota_holdsOverManyGateways(t *testing.T) {
-	overloaded := func(s *quotaSimulation) { s.counterRate = 100 }
-	lost := func(s *quotaSimulation) { // over one or two window edges of each customer
+	overloaded := func(s *quotaSimulation) { s.counterRate = 100 } // accepts three calls for four requests
+	lost := func(s *quotaSimulation) {                             // lasts over one or two window edges of each customer
 		s.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
 	}
 	for _, test := range []struct {
-		name      string
-		gateways  int
-		counter   func(*quotaSimulation)
-		two, five float64 // limits for customers that request two and five times their quota
+		name                    string
+		gateways                int
+		counter                 func(*quotaSimulation)
+		limitAtTwo, limitAtFive float64 // limits for customers that request two and five times their quota
 	}{
 		{"2 gateways", 2, nil, 0.04, 0.07},
 		{"20 gateways", 20, nil, 0.08, 0.16},
 		{"100 gateways", 100, nil, 0.11, 0.18},
-		{"2 gateways, three calls for four requests", 2, overloaded, 0.10, 0.12},
-		{"20 gateways, three calls for four requests", 20, overloaded, 0.23, 0.85},
-		{"100 gateways, three calls for four requests", 100, overloaded, 0.33, 1.20},
+		{"2 gateways, overloaded counter", 2, overloaded, 0.10, 0.12},
+		{"20 gateways, overloaded counter", 20, overloaded, 0.23, 0.85},
+		{"100 gateways, overloaded counter", 100, overloaded, 0.33, 1.20},
 		{"2 gateways, counter lost for 12 s", 2, lost, 0.06, 0.09},
 		{"20 gateways, counter lost for 12 s", 20, lost, 0.14, 0.42},
 		{"100 gateways, counter lost for 12 s", 100, lost, 0.42, 1.00},
@@ -218,7 +219,7 @@
 				test.counter(s)
 			}
 			s.run(t, test.gateways, 12, 45*time.Second)
-			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.two, 5: test.five} {
+			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.limitAtTwo, 5: test.limitAtFive} {
 				if got := s.overQuota[demand] / s.quota[demand]; got > limit {
 					t.Errorf("customers at %v times their quota: %.3f of it forwarded beyond it, want %.2f at most",
 						demand, got, limit)
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -149,8 +149,8 @@
 		}
 		all = append(all, subset.Candidate{NameHash: subset.HashName(fmt.Sprint(s.number)), Endpoint: endpoint})
 	}
-	selected, sharers := g.subset.Select(g.Now(), all)
-	g.module.SetSharingGateways(sharers)
+	selected, sharing := g.subset.Select(g.Now(), all)
+	g.module.SetSharingGateways(sharing)
 	g.module.HandleEndpoints(g.Now(), kind, selected)
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -17,7 +17,7 @@
 )
 
 // warmUpCase is a test case. Times are relative to the start of the simulation, unless stated. A
-// field of the zero value means a steady, even load and no such event.
+// field with its zero value means a steady, even load and no such event.
 type warmUpCase struct {
 	name              string
 	restartedFraction float64                                    // fraction of servers that restart at restartAt
@@ -34,13 +34,13 @@
 	minShare          float64                                    // least permitted workShare; 0: not checked
 }
 
-// burst returns a load that changes from low to high at a time.
-func burst(low, high float64, from time.Duration) func(time.Duration) float64 {
+// loadStep returns a load that changes from before to after at a time.
+func loadStep(before, after float64, from time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t < from {
-			return low
+			return before
 		}
-		return high
+		return after
 	}
 }
 
@@ -53,7 +53,7 @@
 var warmUpCases = []warmUpCase{
 	{name: "steady", restartedFraction: 0.2, minShare: 0.5},
 	{name: "uneven gateways", restartedFraction: 0.2, gatewayShare: uneven, minShare: 0.5},
-	{name: "idle, then a burst", restartedFraction: 0.2, load: burst(0.2, 1, restartAt+2*time.Second)},
+	{name: "idle, then a burst", restartedFraction: 0.2, load: loadStep(0.2, 1, restartAt+2*time.Second)},
 	// Guards against a burst of all gateways, after an idle period, at the only servers left.
 	{
 		name: "idle, then a burst on the warming servers only", restartedFraction: 0.05, watchTime: 20 * time.Second,
@@ -67,14 +67,14 @@
 			return 4
 		},
 	},
-	{name: "a burst beyond all servers", restartedFraction: 0.2, load: burst(0.4, 2, restartAt+time.Second)},
+	{name: "a burst beyond all servers", restartedFraction: 0.2, load: loadStep(0.4, 2, restartAt+time.Second)},
 	{name: "all gateways restarted", restartedFraction: 0.2, gatewayRestartAt: restartAt + 1500*time.Millisecond},
 	{name: "notified within six seconds", restartedFraction: 0.2, notifyDelay: func(g int) time.Duration {
-		return time.Duration(g) * 2654435761 % (6 * time.Second)
+		return time.Duration(g) * 2654435761 % (6 * time.Second) // a multiplicative hash spreads the delays
 	}},
-	{name: "half of the servers", restartedFraction: 0.5, load: burst(0.7, 0.7, 0)},
+	{name: "half of the servers", restartedFraction: 0.5, load: loadStep(0.7, 0.7, 0)},
 	{name: "half of the servers, more load than the rest can serve", restartedFraction: 0.5},
-	{name: "retries", restartedFraction: 0.2, load: burst(0.7, 0.7, 0), failingFraction: 0.3, minShare: 0.5},
+	{name: "retries", restartedFraction: 0.2, load: loadStep(0.7, 0.7, 0), failingFraction: 0.3, minShare: 0.5},
 	{
 		name: "requests of several times the mean", restartedFraction: 0.2, meanUnits: 1.7,
 		units: func(random float64) float64 { return map[bool]float64{true: 8, false: 1}[random < 0.1] },
@@ -89,7 +89,7 @@
 		return 0.04
 	}},
 	{
-		name: "a zone returns", restartedFraction: 0.33, load: burst(0.7, 0.7, 0), silentBefore: true,
+		name: "a zone returns", restartedFraction: 0.33, load: loadStep(0.7, 0.7, 0), silentBefore: true,
 		notifyDelay: func(g int) time.Duration { return time.Duration(g) * 2654435761 % time.Second },
 	},
 }
--- a/policy/window_edge_test.go
+++ b/policy/window_edge_test.go
@@ -42,16 +42,16 @@
 	for customerID := range uint64(8) {
 		for _, before := range []time.Duration{0, 1, ms, 50 * ms, 100 * ms} {
 			t.Run(fmt.Sprint(customerID, before), func(t *testing.T) {
-				world := newHarness(t, testSettings(), 2)
-				customer, edge := world.advanceToWindowEdge(100+customerID, before+1)
+				h := newHarness(t, testSettings(), 2)
+				customer, edge := h.advanceToWindowEdge(100+customerID, before+1)
 				for id := uint32(2); id <= 6; id++ {
-					world.requestOfSmallPlan(id, customer.id, 1.9)
-					world.finishAttempt(id, Answered)
-					world.wantAttempts(id, 1)
+					h.requestOfSmallPlan(id, customer.id, 1.9)
+					h.finishAttempt(id, Answered)
+					h.wantAttempts(id, 1)
 				}
-				world.crossWindowEdge(customer, edge, 0)
-				world.requestOfSmallPlan(7, customer.id, 1.9)
-				world.wantAttempts(7, 0)
+				h.crossWindowEdge(customer, edge, 0)
+				h.requestOfSmallPlan(7, customer.id, 1.9)
+				h.wantAttempts(7, 0)
 			})
 		}
 	}
@@ -69,16 +69,16 @@
 // in the later window.
 func TestWindowEdge_pendingChargesCountOnceInTheLaterWindow(t *testing.T) {
 	for actualUnits, want := range map[float64]float64{0: 5, 1: 1, 9: 9} {
-		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.advanceToWindowEdge(100, 100*ms)
-		world.requestOfSmallPlan(2, customer.id, 5)
-		world.crossWindowEdge(customer, edge, ms)
-		world.result(AttemptResult{
+		h := newHarness(t, testSettings(), 2)
+		customer, edge := h.advanceToWindowEdge(100, 100*ms)
+		h.requestOfSmallPlan(2, customer.id, 5)
+		h.crossWindowEdge(customer, edge, ms)
+		h.result(AttemptResult{
 			RequestID: 2, Outcome: Answered, Latency: 100 * ms, Final: true, ActualUnits: actualUnits,
 		})
-		later := counterName(customer.id, customer.windowAt(world.now))
-		world.requestOfSmallPlan(3, customer.id, 0.1)
-		if got := world.count[later]; got < want || got > want+0.001 {
+		later := counterName(customer.id, customer.windowAt(h.now))
+		h.requestOfSmallPlan(3, customer.id, 0.1)
+		if got := h.count[later]; got < want || got > want+0.001 {
 			t.Errorf("actual units %v: the later window's count is %v, want %v", actualUnits, got, want)
 		}
 		if left, most := customer.available+customer.uncounted, 10-want+0.2; left > most {
@@ -90,29 +90,29 @@
 // Guards against losing a charge whose call is made before an edge and answered after it.
 func TestWindowEdge_lateResultOfPreviousWindow(t *testing.T) {
 	for _, sampled := range []bool{false, true} { // whether the later window has a sample already
-		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.advanceToWindowEdge(100, 20*ms)
-		world.requestOfSmallPlan(2, customer.id, 9)
-		world.counterDown = true
-		world.finishAttempt(2, Answered) // the call that carries the 9 units is answered late
-		world.crossWindowEdge(customer, edge, ms)
+		h := newHarness(t, testSettings(), 2)
+		customer, edge := h.advanceToWindowEdge(100, 20*ms)
+		h.requestOfSmallPlan(2, customer.id, 9)
+		h.counterDown = true
+		h.finishAttempt(2, Answered) // the call that carries the 9 units is answered late
+		h.crossWindowEdge(customer, edge, ms)
 		// Another gateway initialized the later window before the charge was counted.
-		world.count[counterName(customer.id, customer.windowAt(world.now))] += 0.01
+		h.count[counterName(customer.id, customer.windowAt(h.now))] += 0.01
 		if sampled {
-			world.requestOfSmallPlan(4, customer.id, 0.1)
-			world.answerCall(1)
+			h.requestOfSmallPlan(4, customer.id, 0.1)
+			h.answerCall(1)
 		}
-		world.answerCall(0)
-		world.requestOfSmallPlan(5, customer.id, 0.1)
-		for len(world.calls) > 0 {
-			world.answerCall(0)
+		h.answerCall(0)
+		h.requestOfSmallPlan(5, customer.id, 0.1)
+		for len(h.calls) > 0 {
+			h.answerCall(0)
 		}
 		if left := customer.available + customer.uncounted; left > 1.1 {
 			t.Errorf("later window sampled %v: the estimated level is %v, want 1", sampled, left)
 		}
-		world.counterDown = false
-		world.requestOfSmallPlan(6, customer.id, 3)
-		world.wantAttempts(6, 0)
+		h.counterDown = false
+		h.requestOfSmallPlan(6, customer.id, 3)
+		h.wantAttempts(6, 0)
 	}
 }
 
@@ -122,59 +122,59 @@
 func TestWindowEdge_twoGatewaysInitializeAWindowConcurrently(t *testing.T) {
 	one, two := newHarness(t, testSettings(), 2), newHarness(t, testSettings(), 2)
 	two.count = one.count
-	for _, world := range []*harness{one, two} {
-		world.advanceToWindowEdge(100, 20*ms)
+	for _, h := range []*harness{one, two} {
+		h.advanceToWindowEdge(100, 20*ms)
 	}
 	customer, edge := one.advanceToWindowEdge(100, 20*ms)
 	two.advance(one.now - two.now)
 	for id := uint32(2); id <= 3; id++ { // request 2 runs at both gateways; the call of request 3 carries its charge
-		for _, world := range []*harness{one, two} {
-			world.requestOfSmallPlan(id, 100, float64(3-id)*4.5)
+		for _, h := range []*harness{one, two} {
+			h.requestOfSmallPlan(id, 100, float64(3-id)*4.5)
 		}
-		for _, world := range []*harness{one, two} {
-			world.finishAttempt(id, Answered)
+		for _, h := range []*harness{one, two} {
+			h.finishAttempt(id, Answered)
 		}
 	}
 	before, later := counterName(100, customer.windowAt(edge-1)), counterName(100, customer.windowAt(edge))
 	if got := one.count[before]; got != 9 {
 		t.Fatalf("the previous window's count is %v, want 9", got)
 	}
-	for _, world := range []*harness{one, two} {
-		world.crossWindowEdge(world.gateway.admission.customers[100], edge, ms)
-		world.counterDown = true
-		world.requestOfSmallPlan(4, 100, 0.5)
+	for _, h := range []*harness{one, two} {
+		h.crossWindowEdge(h.gateway.admission.customers[100], edge, ms)
+		h.counterDown = true
+		h.requestOfSmallPlan(4, 100, 0.5)
 	}
 	for len(one.calls)+len(two.calls) > 0 {
-		for _, world := range []*harness{one, two} {
-			if len(world.calls) > 0 {
-				world.answerCall(0)
+		for _, h := range []*harness{one, two} {
+			if len(h.calls) > 0 {
+				h.answerCall(0)
 			}
 		}
 	}
 	if got := one.count[later]; got < 8.9 || got > 18 {
 		t.Errorf("%v units carried over, want between 9 and 18", got)
 	}
-	for _, world := range []*harness{one, two} {
-		world.counterDown = false
-		world.requestOfSmallPlan(5, 100, 3)
-		world.wantAttempts(5, 0)
+	for _, h := range []*harness{one, two} {
+		h.counterDown = false
+		h.requestOfSmallPlan(5, 100, 3)
+		h.wantAttempts(5, 0)
 	}
 }
 
 // Without a count after the edge, the estimate continues from the level before it.
 func TestWindowEdge_noResultAfterIt(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
-		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.advanceToWindowEdge(100, 50*ms)
-		world.requestOfSmallPlan(2, customer.id, 8)
-		world.finishAttempt(2, Answered)
-		world.crossWindowEdge(customer, edge, ms)
-		world.counterDown = true
-		world.requestOfSmallPlan(3, customer.id, 4)
-		for _, c := range world.calls {
-			world.countResult(CountResult{Name: c.name, Outcome: outcome})
+		h := newHarness(t, testSettings(), 2)
+		customer, edge := h.advanceToWindowEdge(100, 50*ms)
+		h.requestOfSmallPlan(2, customer.id, 8)
+		h.finishAttempt(2, Answered)
+		h.crossWindowEdge(customer, edge, ms)
+		h.counterDown = true
+		h.requestOfSmallPlan(3, customer.id, 4)
+		for _, c := range h.calls {
+			h.countResult(CountResult{Name: c.name, Outcome: outcome})
 		}
-		world.wantAttempts(3, 0)
+		h.wantAttempts(3, 0)
 	}
 }
 
@@ -182,26 +182,26 @@
 // the edge and returns after it.
 func TestWindowEdge_counterReturnsAfterIt(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectFailed} {
-		world := newHarness(t, testSettings(), 2)
-		customer, edge := world.advanceToWindowEdge(100, 400*ms)
-		world.counterDown = true
+		h := newHarness(t, testSettings(), 2)
+		customer, edge := h.advanceToWindowEdge(100, 400*ms)
+		h.counterDown = true
 		sent := 0.0
 		for id := uint32(2); id < 12; id++ {
-			world.gateway.admission.callProbability = 1
-			world.requestOfSmallPlan(id, customer.id, 1)
-			for _, c := range world.calls {
-				world.countResult(CountResult{Name: c.name, Outcome: outcome})
+			h.gateway.admission.callProbability = 1
+			h.requestOfSmallPlan(id, customer.id, 1)
+			for _, c := range h.calls {
+				h.countResult(CountResult{Name: c.name, Outcome: outcome})
 			}
-			world.calls = nil
-			sent += float64(world.attemptsOf(id))
-			world.finishAttempt(id, Answered)
+			h.calls = nil
+			sent += float64(h.attemptsOf(id))
+			h.finishAttempt(id, Answered)
 		}
-		world.crossWindowEdge(customer, edge, ms)
-		world.counterDown, world.calls, world.gateway.admission.callProbability = false, nil, 1
+		h.crossWindowEdge(customer, edge, ms)
+		h.counterDown, h.calls, h.gateway.admission.callProbability = false, nil, 1
 		for id := uint32(12); id < 22; id++ {
-			world.requestOfSmallPlan(id, customer.id, 1)
-			sent += float64(world.attemptsOf(id))
-			world.finishAttempt(id, Answered)
+			h.requestOfSmallPlan(id, customer.id, 1)
+			sent += float64(h.attemptsOf(id))
+			h.finishAttempt(id, Answered)
 		}
 		if sent < 2 || sent > 6 { // half of the burst of 10, and the refill of 0.4 s
 			t.Errorf("%v: %v units forwarded, want about 5", outcome, sent)
