--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestQuota_checkAddsNothingAndChargesFollow(t *testing.T) {
+func TestQuota_chargeIsSentWithTheNextCall(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.request(1, 0, 0, 3)
 	h.wantAttempts(1, 1)
@@ -179,7 +179,7 @@
 
 // Guards against a count below the attempts in flight, caused by releasing a claim that the counter
 // never accepted.
-func TestMaxInFlight_unacceptedClaimIsNotReturned(t *testing.T) {
+func TestMaxInFlight_unacceptedClaimIsNotReleased(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.counterDown = true
 	h.request(1, 0, 4, 1)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -41,7 +41,7 @@
 	for _, kind := range []ListKind{ListDelta, ListFull} {
 		h := newHarness(t, testSettings(), 4)
 		id := uint32(0)
-		second := func() {
+		serveForASecond := func() {
 			for range 100 {
 				id++
 				h.request(id, 0, 0, 1)
@@ -49,7 +49,7 @@
 				h.finishAttempt(id, Answered)
 			}
 		}
-		second()
+		serveForASecond()
 		for late := uint32(900); late < 904; late++ {
 			h.request(late, 0, 0, 1)
 		}
@@ -57,7 +57,7 @@
 		for late := uint32(900); late < 904; late++ {
 			h.finishAttempt(late, Answered) // answers of removed servers must not count as answers of warm ones
 		}
-		second()
+		serveForASecond()
 		warming := h.attemptsTo(9, 0)
 		// Each warm server got 25 attempts per second. The warming server has a fifth of the
 		// capacity and a little more as it warms up, so about 6 attempts are due.
@@ -133,13 +133,13 @@
 			rejected[min(id/101, 1)]++
 		}
 		h.advance(10 * ms)
-		took := 50 * ms
+		latency := 50 * ms
 		if id > 100 {
-			took = 800 * ms // well over the objective of 500 ms, at every server
+			latency = 800 * ms // well over the objective of 500 ms, at every server
 		}
 		if n := len(h.attempts); n > 0 && h.attempts[n-1].request == id {
 			h.attempts[n-1].ended = true
-			h.answer(id, h.attempts[n-1].server, took)
+			h.answer(id, h.attempts[n-1].server, latency)
 		}
 	}
 	if rejected[0] > 0 || rejected[1] < 30 {
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -132,7 +132,7 @@
 	h.wantLogged("reject 3, retry after 2s", 1)
 }
 
-func TestStandstill_lateRequestIsRejected(t *testing.T) {
+func TestPause_lateRequestIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.request(1, 0, 0, 1) // shows that clients of this class have a timeout of 2 s
 	h.now += 1500 * ms
@@ -161,7 +161,7 @@
 }
 
 // Guards against rejecting a request as late although its client only has a short timeout.
-func TestStandstill_shortClientTimeoutIsNotLate(t *testing.T) {
+func TestPause_shortClientTimeoutIsNotLate(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.request(1, 0, 0, 1)
 	h.finishAttempt(1, Answered)
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -16,7 +16,7 @@
 	return h
 }
 
-func TestSparse_chargeDoesNotWaitForTheNextCheck(t *testing.T) {
+func TestSparse_chargeDoesNotWaitForTheNextCall(t *testing.T) {
 	h := newSparseHarness(t)
 	h.request(1, 0, 1, 2)
 	h.finishAttempt(1, Answered)
