--- a/policy/customer_state.go
+++ b/policy/customer_state.go
@@ -45,7 +45,7 @@
 	usageReports      float64         // number of usage reports received, at most maxUsageReports
 	usage             float64         // fraction of its rate that the customer uses, averaged over the latest reports
 	demandInFlight    float64         // attempts in flight at all gateways, estimated from first tries here
-	blockedUntil      time.Duration   // end of the time in which its limit on attempts in flight is assumed to be reached
+	blockedUntil      time.Duration   // time until which its limit on attempts in flight is assumed to be reached
 }
 
 // pendingCharge holds the units that a request took and that no call has sent to the counter yet.
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -148,8 +148,10 @@
 		},
 	},
 	{
-		name:            "many gateways",
-		settings:        goldenSettingsWith(func(s *Settings) { s.Gateways, s.CanCancel, s.MaxRetryAfter = 300, true, 0 }),
+		name: "many gateways",
+		settings: goldenSettingsWith(func(s *Settings) {
+			s.Gateways, s.CanCancel, s.MaxRetryAfter = 300, true, 0
+		}),
 		sharingGateways: 100, servers: 20,
 		changes: []Settings{goldenSettingsWith(func(s *Settings) { s.Gateways, s.Plans[1].Burst = 200, 30 })},
 		seeds:   [2]int64{13, 14},
--- a/policy/host.go
+++ b/policy/host.go
@@ -50,7 +50,7 @@
 	StartedAt time.Duration // time of its latest start; 0: long ago
 	Rack      int
 	Zone      int
-	Hardware  int
+	Hardware  int // index of its hardware model
 	// Owner identifies the owner of the server for requests that prefer an owner
 	// (Request.PreferredOwner); 0: no owner.
 	Owner int
@@ -81,10 +81,10 @@
 	Server      uint32
 	Outcome     Outcome
 	Latency     time.Duration
-	Final       bool    // the request has its final answer
-	ActualUnits float64 // units that the request took; 0: unknown
-	Usage       float64 // 1 + the fraction of its rate that the customer used at all gateways; 0: unknown
-	LoadReport  []float32
+	Final       bool      // the request has its final answer
+	ActualUnits float64   // units that the request took; 0: unknown
+	Usage       float64   // 1 + the fraction of its rate that the customer used at all gateways; 0: unknown
+	LoadReport  []float32 // figures named by Settings.LoadReportFields
 }
 
 // CountResult is the counter's answer to a call, or the call's failure.
@@ -102,10 +102,10 @@
 	Attempt(requestID, server uint32, until time.Duration)
 	// Cancel cancels an attempt, given by its index from 0. The host still reports its result.
 	Cancel(requestID uint32, attempt int)
-	// Reject gives the final answer that tells the client that a retry is harmless. retryAfter is
+	// Reject sends the final answer that tells the client that a retry is harmless. retryAfter is
 	// how long the client should wait before it; 0: not specified.
 	Reject(requestID uint32, retryAfter time.Duration)
-	// Terminate gives the final answer that leaves open whether the request ran.
+	// Terminate sends the final answer that leaves open whether the request ran.
 	Terminate(requestID uint32)
 	// Count adds units to the counter's total for a name and reads the total. The counter keeps the
 	// name for ttl.
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -47,7 +47,7 @@
 	return l.env.now+medianLatency < request.objectiveAt
 }
 
-// complete gives the final answer without an answer from a server: it rejects the request if
+// complete sends the final answer without an answer from a server: it rejects the request if
 // canReject allows it, and terminates it otherwise.
 func (l *lifecycle) complete(request *requestState, retryAfter time.Duration) {
 	if request.completed {
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -75,7 +75,9 @@
 }
 
 func TestFinalAnswer_beforeTheDeadline(t *testing.T) {
-	for class, want := range []string{"reject 1, retry after 0s", "terminate 1", "terminate 1", "reject 1, retry after 0s"} {
+	for class, want := range []string{
+		"reject 1, retry after 0s", "terminate 1", "terminate 1", "reject 1, retry after 0s",
+	} {
 		h := newHarness(t, testSettings(), 1)
 		h.request(1, class, 0, 1)
 		h.advance(1999 * ms)
--- a/policy/message.go
+++ b/policy/message.go
@@ -40,7 +40,7 @@
 // Messages to the lifecycle.
 type (
 	clientDisconnected struct{ request *requestState }
-	completeRequest    struct { // gives the final answer without a server's answer
+	completeRequest    struct { // sends the final answer without a server's answer
 		request    *requestState
 		retryAfter time.Duration
 	}
--- a/policy/quota_simulation_test.go
+++ b/policy/quota_simulation_test.go
@@ -65,7 +65,9 @@
 // Reject lets the client retry soon, in time to be served, even if Retry-After is longer.
 func (g *quotaGateway) Reject(requestID uint32, _ time.Duration) {
 	if t := g.tries[requestID]; t.earlierTries < 2 {
-		g.After(time.Duration(20+g.random.Intn(130))*ms, func() { g.send(t.customer, t.units, t.earlierTries+1, t.deadline) })
+		g.After(time.Duration(20+g.random.Intn(130))*ms, func() {
+			g.send(t.customer, t.units, t.earlierTries+1, t.deadline)
+		})
 	}
 }
 
@@ -193,8 +195,10 @@
 // causes: counts lag, and requests are admitted without a count while calls are skipped or the
 // counter is lost (docs/fleet-quotas.md).
 func TestQuota_holdsOverManyGateways(t *testing.T) {
-	overloaded := func(s *quotaSimulation) { s.counterRate = 100 } // accepts three calls for four requests
-	lost := func(s *quotaSimulation) {                             // lasts over one or two window edges of each customer
+	overloaded := func(s *quotaSimulation) { // the counter accepts about three calls for four requests
+		s.counterRate = 100
+	}
+	lost := func(s *quotaSimulation) { // lasts over one or two window edges of each customer
 		s.counterOutage = [2]time.Duration{75 * time.Second, 87 * time.Second}
 	}
 	for _, test := range []struct {
@@ -219,7 +223,9 @@
 				test.counter(s)
 			}
 			s.run(t, test.gateways, 12, 45*time.Second)
-			for demand, limit := range map[float64]float64{0.5: 0.05, 1: 0.05, 2: test.limitAtTwo, 5: test.limitAtFive} {
+			for demand, limit := range map[float64]float64{
+				0.5: 0.05, 1: 0.05, 2: test.limitAtTwo, 5: test.limitAtFive,
+			} {
 				if got := s.overQuota[demand] / s.quota[demand]; got > limit {
 					t.Errorf("customers at %v times their quota: %.3f of it forwarded beyond it, want %.2f at most",
 						demand, got, limit)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -49,7 +49,7 @@
 	MaxInFlight     int     // limit on attempts in flight; 0: no limit
 	CeilingRate     float64 // units per second that are never exceeded; 0: no ceiling
 	CeilingBurst    float64 // units
-	CeilingSlack    float64 // units
+	CeilingSlack    float64 // units by which a checker tolerates use beyond the ceiling; the module ignores it
 	Price           float64 // factor of a request's weight; 0: 1
 	OverQuotaWeight float64 // fraction of its weight that a request beyond the quota earns
 	OverQuotaCost   float64 // fraction of its weight that a request beyond the quota costs
@@ -69,7 +69,7 @@
 	CountTimeout                        time.Duration // the counter's answer to a call is late after this time
 	ReportsUnits                        bool          // answers report the units that a request took
 	MaxUnits                            float64       // maximum units of a request
-	UsageSpan                           time.Duration // span that a usage report covers; 0: answers have no usage reports
+	UsageSpan                           time.Duration // span of a usage report; 0: answers have no usage reports
 	HasPeers, HasHealthChecks           bool          // the host supports messages to peers, or health checks
 	CanCancel                           bool          // the host can cancel an attempt
 	SendsRetryAfter                     bool          // rejections tell the client how long to wait before a retry
@@ -80,7 +80,7 @@
 	DrainGrace                          time.Duration // how long a draining server continues to serve
 	WarmUpStart                         float64       // fraction of its capacity that a server has at its start
 	WarmUpTime                          time.Duration // time from its start until a server has its full capacity
-	OverloadFactor                      float64       // load, as a multiple of its capacity, that stops a warming server
+	OverloadFactor                      float64       // multiple of its capacity at which load stops a warming server
 	OverloadSpan                        time.Duration // how long such a load lasts before it stops the server
 	LoadReportFields                    []string      // names of the figures in a load report
 	MailboxRate                         float64       // messages per second that a peer accepts
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -86,9 +86,10 @@
 		}
 	}
 	return policy.Settings{
-		Gateways: gateways, Zones: 1, ClockTick: 2 * time.Millisecond, MaxUnits: 8, MaxAttempts: 5, SendsRetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond, WarmUpStart: 0.15,
-		WarmUpTime: 20 * time.Second, OverloadFactor: 2, OverloadSpan: 1500 * time.Millisecond,
+		Gateways: gateways, Zones: 1, ClockTick: 2 * time.Millisecond, MaxUnits: 8, MaxAttempts: 5,
+		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
+		ArrivalSlack: 8 * time.Millisecond, WarmUpStart: 0.15, WarmUpTime: 20 * time.Second,
+		OverloadFactor: 2, OverloadSpan: 1500 * time.Millisecond,
 		Plans:   []policy.Plan{{Name: "all"}},
 		Classes: []policy.TrafficClass{class("look", policy.Idempotent), class("pay", policy.NonIdempotent)},
 	}
