--- a/policy/events.go
+++ b/policy/events.go
@@ -4,7 +4,7 @@
 
 // Each event becomes a message to one actor. Events of unknown requests, and of requests that have
 // been released, are ignored. The parameter now is the time since the origin of the clock that all
-// gateways share. The host never passes an earlier time than before.
+// gateways share. It must not decrease.
 
 // advanceClock advances the module's clock to an event's time.
 func (e *environment) advanceClock(now time.Duration) {
