--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const goldenRequests = 2500 // requests, including repeats, after which a run starts no new event
+const goldenRequests = 2500 // requests, including repeats, after which a run starts no new ones
 
 // goldenWorld simulates the environment of one module from a seed: clients, servers, the endpoint
 // list, the counter and the timers. It is also the module's Host, and writes each call to a hash.
