--- a/internal/control/countingrule/canary/controller_test.go
+++ b/internal/control/countingrule/canary/controller_test.go
@@ -64,7 +64,8 @@
 	}
 	s.advance(s.now+130*time.Second, s.hasVerdict)
 	table := s.tableValue()
-	if table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || !strings.HasPrefix(table.Reason, "undecided") {
+	if table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || !strings.HasPrefix(table.Reason,
+		"undecided") {
 		t.Errorf("phase %d, from %d: %s", table.Phase, table.FromVersion, table.Reason)
 	}
 }
@@ -114,7 +115,8 @@
 	}
 	t.Log(table.Reason)
 	s.advance(s.now+30*time.Second, neverStop)
-	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 || len(table.RefusedVersions) != 1 {
+	if table = s.tableValue(); table.Phase != countingrule.PhaseIdle || table.FromVersion != 0 ||
+		len(table.RefusedVersions) != 1 {
 		t.Errorf("phase %d, from %d, refused %v", table.Phase, table.FromVersion, table.RefusedVersions)
 	}
 }
@@ -137,7 +139,9 @@
 func TestController_operatorRollbackNeedsNoTrial(t *testing.T) {
 	rules := []countingrule.Rule{ruleWithScaledLimits(1)}
 	scheduledAt := func(at time.Duration) countingrule.Table {
-		return countingrule.Table{Phase: countingrule.PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: at, Rules: rules}
+		return countingrule.Table{
+			Phase: countingrule.PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: at, Rules: rules,
+		}
 	}
 	for _, test := range []struct {
 		name       string
--- a/internal/control/countingrule/canary/golden_trials_test.go
+++ b/internal/control/countingrule/canary/golden_trials_test.go
@@ -91,7 +91,8 @@
 		config := &countingrule.Config{
 			DesiredVersion: 2, Rules: []countingrule.Rule{test.old, test.next}, Canary: canaryConfig(),
 		}
-		table, ok := decideOnce(config, countingrule.Table{FromVersion: 1, ToVersion: 1, Rules: []countingrule.Rule{test.old}})
+		table, ok := decideOnce(config,
+			countingrule.Table{FromVersion: 1, ToVersion: 1, Rules: []countingrule.Rule{test.old}})
 		if !ok || table.Reason != test.want {
 			t.Errorf("changed %v, reason %q, want %q", ok, table.Reason, test.want)
 		}
--- a/internal/control/countingrule/canary/simulation_test.go
+++ b/internal/control/countingrule/canary/simulation_test.go
@@ -32,7 +32,8 @@
 func canaryConfig() countingrule.CanaryConfig {
 	return countingrule.CanaryConfig{
 		SamplePermille: 400, CallsPermille: 250, DeadlineSeconds: 120, ErrorPermille: 50,
-		RejectedBoundPermille: 50, AdmittedBoundPermille: 100, OverLimitBoundPermille: 100, MaxDeviationPermille: 100, WatchSeconds: 120,
+		RejectedBoundPermille: 50, AdmittedBoundPermille: 100, OverLimitBoundPermille: 100,
+		MaxDeviationPermille: 100, WatchSeconds: 120,
 	}
 }
 
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -15,7 +15,8 @@
 // one without a rate.
 func testSettings() policy.Settings {
 	return policy.Settings{
-		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 3,
+		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, LateCountAfter: time.Second,
+		MaxAttempts: 3,
 		Classes: []policy.TrafficClass{
 			{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1},
 			{Name: "pay", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 2},
--- a/internal/control/countingrule/enforce/fixture_test.go
+++ b/internal/control/countingrule/enforce/fixture_test.go
@@ -129,7 +129,7 @@
 		logs:     logs,
 	}
 	settings := policy.Settings{
-		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true, CountTimeout: time.Second,
+		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true, LateCountAfter: time.Second,
 		MaxAttempts: 5, MaxRetryAfter: time.Second, SendsRetryAfter: true, ArrivalSlack: 8 * time.Millisecond,
 		ReportsUnits: true,
 		Classes: []policy.TrafficClass{
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -56,8 +56,10 @@
 		r.log.Error("counting: table malformed, the previous one stays", zap.Error(err))
 		return
 	}
-	if table.Phase != r.table.Phase || table.ToVersion != r.table.ToVersion || table.FromVersion != r.table.FromVersion {
-		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from", table.FromVersion),
+	if table.Phase != r.table.Phase || table.ToVersion != r.table.ToVersion ||
+		table.FromVersion != r.table.FromVersion {
+		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from",
+			table.FromVersion),
 			zap.Uint64("to", table.ToVersion), zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))),
 			zap.String("reason", table.Reason))
 	}
--- a/internal/control/countingrule/table_test.go
+++ b/internal/control/countingrule/table_test.go
@@ -11,7 +11,9 @@
 	scheduled := Table{Phase: PhaseScheduled, FromVersion: 0, ToVersion: 1, SwitchAt: 100}
 	canary := Table{Phase: PhaseCanary, ToVersion: 5}
 	refused := Table{FromVersion: 4, ToVersion: 4, RefusedVersions: []uint64{5}}
-	rollback := Table{Phase: PhaseRollback, FromVersion: 1, ToVersion: 0, SwitchAt: 100, RefusedVersions: []uint64{4, 5}}
+	rollback := Table{
+		Phase: PhaseRollback, FromVersion: 1, ToVersion: 0, SwitchAt: 100, RefusedVersions: []uint64{4, 5},
+	}
 	for _, test := range []struct {
 		name   string
 		table  Table
@@ -40,7 +42,8 @@
 
 func TestTable_decodesAsEncoded(t *testing.T) {
 	table := Table{
-		Phase: PhaseScheduled, FromVersion: 1, ToVersion: 2, SwitchAt: time.Hour, Rules: parseConfig(t, completeFile).Rules,
+		Phase: PhaseScheduled, FromVersion: 1, ToVersion: 2, SwitchAt: time.Hour, Rules: parseConfig(t,
+			completeFile).Rules,
 		RefusedVersions: []uint64{7}, TrialState: []byte{1},
 	}
 	decoded, err := Decode(table.Encode())
--- a/internal/control/settlement/journal/journal.go
+++ b/internal/control/settlement/journal/journal.go
@@ -192,7 +192,7 @@
 	return append(buffer, body...), nil
 }
 
-// Restored implements account.Store.
+// InitialState implements account.Store.
 func (j *Journal) InitialState() (ledgerID string, balances []account.StoredBalance) {
 	return j.initialLedgerID, j.initialBalances
 }
--- a/internal/gateway/config/full_test.go
+++ b/internal/gateway/config/full_test.go
@@ -40,7 +40,7 @@
 		MaxListAge:       6 * time.Second,
 		ClockTick:        2500 * time.Microsecond,
 		HasCounter:       true,
-		CountTimeout:     30500 * time.Microsecond,
+		LateCountAfter:   30500 * time.Microsecond,
 		ReportsUnits:     true,
 		MaxUnits:         6.25,
 		UsageSpan:        time.Second,
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -55,12 +55,12 @@
 		MaxListAge:   values.Span("Rules.MustAskInMs"),
 		ClockTick:    values.Span("TickMs"),
 
-		HasCounter:   values.Bool("FamilyInfo.HasCounter"),
-		CountTimeout: values.Span("FamilyInfo.CountLimitMs"),
-		ReportsUnits: values.Bool("FamilyInfo.Settles"),
-		UsageSpan:    values.Span("FamilyInfo.MeterMs"),
-		MaxUnits:     values.Number("FamilyInfo.MostUnits"),
-		MailboxRate:  values.Number("FamilyInfo.InboxPerS"),
+		HasCounter:     values.Bool("FamilyInfo.HasCounter"),
+		LateCountAfter: values.Span("FamilyInfo.CountLimitMs"),
+		ReportsUnits:   values.Bool("FamilyInfo.Settles"),
+		UsageSpan:      values.Span("FamilyInfo.MeterMs"),
+		MaxUnits:       values.Number("FamilyInfo.MostUnits"),
+		MailboxRate:    values.Number("FamilyInfo.InboxPerS"),
 
 		HasPeers:        values.Bool("PolicyLimits.Peers"),
 		HasHealthChecks: values.Bool("PolicyLimits.Probes"),
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -73,7 +73,7 @@
 	d.dependencies.Count(name, units, ttl, reply)
 }
 
-// isLateReply reports whether a reply took longer than Settings.CountTimeout. The call is then
+// isLateReply reports whether a reply took longer than Settings.LateCountAfter. The call is then
 // recorded as late, but the reply is still used: the timeout does not end the wait for it.
 func (d *Dispatcher) isLateReply(latency time.Duration) bool {
 	return d.lateReplyAfter > 0 && latency > d.lateReplyAfter
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -19,7 +19,8 @@
 func (r *fakeRules) ApplySettings(s policy.Settings) policy.Settings { return s }
 func (r *fakeRules) Assign(_ time.Duration, spec RequestSpec) CountAssignment {
 	assignment := CountAssignment{
-		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0], CheckOtherCounts: r.checkOthers,
+		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0],
+		CheckOtherCounts: r.checkOthers,
 		Completed: func(_ bool, units float64) { r.completed = append(r.completed, units) },
 	}
 	if len(r.weights) > 1 {
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -117,7 +117,7 @@
 // applySettings derives the dispatcher's own parameters from settings.
 func (d *Dispatcher) applySettings(settings *policy.Settings) {
 	d.loadReportLength = len(settings.LoadReportFields)
-	d.lateReplyAfter = settings.CountTimeout
+	d.lateReplyAfter = settings.LateCountAfter
 	d.shedRetryAfter = 0
 	if settings.SendsRetryAfter {
 		d.shedRetryAfter = min(shedRetryAfter(settings.Classes), settings.MaxRetryAfter)
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -28,7 +28,8 @@
 	f := &fixture{T: t, counterCalls: make(chan pendingCounterCall, 100)}
 	settings := policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, HasCounter: true,
-		CountTimeout: 30 * time.Millisecond, MaxAttempts: 5, CanCancel: true, SendsRetryAfter: true, ReportsUnits: true,
+		LateCountAfter: 30 * time.Millisecond, MaxAttempts: 5, CanCancel: true, SendsRetryAfter: true,
+		ReportsUnits:  true,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
 		OverloadSpan: time.Second,
 		Classes: []policy.TrafficClass{
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -48,7 +48,7 @@
 		t.Parallel()
 		server := fakes.NewServer(t, answerHello)
 		settings, counter := testSettings(), &delayedCounter{}
-		settings.CountTimeout = settings.Classes[0].Timeout
+		settings.LateCountAfter = settings.Classes[0].Timeout
 		f := newFixtureWith(t, settings, counter.count, 0, server).start()
 		checkWaitingRequests(t, f, server, func() {}, counter.answer)
 	})
--- a/internal/lab/scenario/policy_settings.go
+++ b/internal/lab/scenario/policy_settings.go
@@ -27,7 +27,7 @@
 func (s *Scenario) PolicySettings(index int) policy.Settings {
 	settings := policy.Settings{
 		Gateways: s.Gateways.Count, GatewayIndex: index, GatewayZone: index % s.Gateways.Zones, Zones: s.Gateways.Zones,
-		ClockTick: clockTick, HasCounter: s.Counter.Rate > 0, CountTimeout: s.Counter.Timeout.D(),
+		ClockTick: clockTick, HasCounter: s.Counter.Rate > 0, LateCountAfter: s.Counter.Timeout.D(),
 		ReportsUnits: s.Load.DeclaredDeviation > 0, MaxUnits: s.Load.MaxUnits(), CanCancel: true, SendsRetryAfter: true,
 		MaxRetryAfter: maxRetryAfter, MaxAttempts: s.Gateways.MaxAttempts, ArrivalSlack: s.Rules.AnswerSlack.D(),
 		DrainGrace: s.Rules.DrainGrace.D(), WarmUpStart: s.Servers.WarmUpStart, WarmUpTime: s.Servers.WarmUpTime.D(),
--- a/internal/testing/conformance/launch.go
+++ b/internal/testing/conformance/launch.go
@@ -117,12 +117,13 @@
 			"Balancers": settings.Gateways, "Me": 0, "MyZone": 0, "Dcs": []string{zoneA}, "Models": []string{"m2"},
 			"Discovery": "push", "TickMs": settings.ClockTick.Milliseconds(),
 			"FamilyInfo": object{
-				"HasCounter": settings.HasCounter, "CountLimitMs": settings.CountTimeout.Milliseconds(),
+				"HasCounter": settings.HasCounter, "CountLimitMs": settings.LateCountAfter.Milliseconds(),
 				"Settles": settings.ReportsUnits, "MostUnits": settings.MaxUnits,
 			},
 			"Report": object{"Fields": []string{}, "How": "off"},
 			"PolicyLimits": object{
-				"Cancelling": settings.CanCancel, "TryLimit": settings.MaxAttempts, "RetryAfter": settings.SendsRetryAfter,
+				"Cancelling": settings.CanCancel, "TryLimit": settings.MaxAttempts,
+				"RetryAfter":       settings.SendsRetryAfter,
 				"MaxRetryAfterMs":  settings.MaxRetryAfter.Milliseconds(),
 				"ConnectTimeoutMs": counterConnectTimeout.Milliseconds(),
 				"IdleCloseMs":      30000, "StreamsPerConn": 100,
--- a/internal/testing/conformance/tables.go
+++ b/internal/testing/conformance/tables.go
@@ -57,8 +57,9 @@
 			Phase: phase, ToVersion: customerRule.Version, SwitchAt: now + untilActivation, PhaseStart: now,
 			Rules: []countingrule.Rule{customerRule}, SampleSeed: sampleSeed, Canary: countingrule.CanaryConfig{
 				SamplePermille: samplePermille, CallsPermille: callsPermille, DeadlineSeconds: 600, ErrorPermille: 50,
-				RejectedBoundPermille: 20, AdmittedBoundPermille: 20, OverLimitBoundPermille: 20, MaxDeviationPermille: 100,
-				WatchSeconds: 60,
+				RejectedBoundPermille: 20, AdmittedBoundPermille: 20, OverLimitBoundPermille: 20,
+				MaxDeviationPermille: 100,
+				WatchSeconds:         60,
 			},
 		}.Encode()
 	}
--- a/internal/testing/conformance/target_module.go
+++ b/internal/testing/conformance/target_module.go
@@ -40,7 +40,7 @@
 // does not speak of.
 func settingsFor(plan Plan, gateways int) policy.Settings {
 	settings := policy.Settings{
-		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, CountTimeout: countTimeout,
+		Gateways: max(gateways, 1), Zones: 1, ClockTick: clockTick, HasCounter: true, LateCountAfter: countTimeout,
 		ReportsUnits: true,
 		MaxUnits:     maxUnits, CanCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		MaxAttempts:  maxAttempts,
--- a/internal/testing/rulesimulation/simulation.go
+++ b/internal/testing/rulesimulation/simulation.go
@@ -108,7 +108,8 @@
 // baseSettings are those of four gateways without plans.
 func baseSettings() policy.Settings {
 	return policy.Settings{
-		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, CountTimeout: time.Second, MaxAttempts: 3,
+		Gateways: 4, Zones: 1, ClockTick: time.Millisecond, HasCounter: true, LateCountAfter: time.Second,
+		MaxAttempts: 3,
 		Classes: []policy.TrafficClass{
 			{Name: "look", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 1},
 			{Name: "pay", LatencyObjective: time.Second, Timeout: 2 * time.Second, Weight: 2},
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -50,9 +50,9 @@
 
 // objectiveOf returns the time at which a request's latency objective ends. A request that arrives
 // with less time than the first tries of its class and plan has already used part of its objective:
-// a repeat for earlier tries, a first try while this process was paused. If the pause is too short to
-// explain the difference, the client of a first try has a shorter timeout, and the request is not
-// late.
+// a repeat for earlier tries, a first try while this process was paused. If the pause is too short
+// to explain the difference, the client of a first try has a shorter timeout, and the request is
+// not late.
 func (a *admission) objectiveOf(request *requestState, now time.Duration) time.Duration {
 	class := request.class
 	a.learnFirstTimeout(request, now)
--- a/policy/counter_calls.go
+++ b/policy/counter_calls.go
@@ -8,19 +8,19 @@
 const (
 	callNotAccepted callOutcome = iota // nothing was added, or it was added to a count of an earlier quota
 	callTimedOut                       // the units are assumed to be added; the total is unknown
-	callLate                           // the total arrived after Settings.CountTimeout
+	callLate                           // the total arrived after Settings.LateCountAfter
 	callFast                           // the total arrived in time
 )
 
-// outcomeOf classifies the result of a call. Settings.CountTimeout only separates late answers from
-// fast ones; counterWaitFraction limits how long a request waits.
+// outcomeOf classifies the result of a call. Settings.LateCountAfter only separates late answers
+// from fast ones; counterWaitFraction limits how long a request waits.
 func (a *admission) outcomeOf(call *counterCall, result *CountResult) callOutcome {
 	switch {
 	case result.Outcome == TimedOut:
 		return callTimedOut
 	case result.Outcome != Answered || call.quotaEpoch != call.customer.quotaEpoch:
 		return callNotAccepted
-	case result.Latency < a.env.settings.CountTimeout:
+	case result.Latency < a.env.settings.LateCountAfter:
 		return callFast
 	default:
 		return callLate
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -57,7 +57,7 @@
 
 func TestCounter_silenceDelaysRequestByCounterWait(t *testing.T) {
 	settings := testSettings()
-	settings.CountTimeout = time.Second
+	settings.LateCountAfter = time.Second
 	h := newHarness(t, settings, 2)
 	h.counterDown = true
 	h.request(1, 0, 0, 1)
@@ -101,7 +101,7 @@
 	h := newHarness(t, testSettings(), 2)
 	h.counterDown = true
 	h.request(1, 0, 1, 1)
-	h.advance(60 * ms) // longer than Settings.CountTimeout
+	h.advance(60 * ms) // longer than Settings.LateCountAfter
 	h.wantAttempts(1, 0)
 	h.countResult(CountResult{Name: h.calls[0].name, Total: 50, Latency: 60 * ms})
 	h.wantLogged("reject 1, retry after 500ms", 1)
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -3,10 +3,10 @@
 import "time"
 
 // isEjectedFor reports whether the server is ejected for the request's class and plan. A server is
-// ejected for a class while it leaves an attempt of the class unanswered (hasSilentAttempt), and for
-// ejectionTime after a failure of the class that recordHealth counted. It is ejected for a class and
-// plan for ejectionTime after it rejected a request of both. An answer to the class ends the ejection
-// immediately; after a rejection, only an answer to the class and plan does.
+// ejected for a class while it leaves an attempt of the class unanswered (hasSilentAttempt), and
+// for ejectionTime after a failure of the class that recordHealth counted. It is ejected for a
+// class and plan for ejectionTime after it rejected a request of both. An answer to the class ends
+// the ejection immediately; after a rejection, only an answer to the class and plan does.
 //
 // Failures of other classes do not count, as the server may still serve this one. If the server has
 // neither answered nor failed the class, the latest record of any class counts.
--- a/policy/golden_host_test.go
+++ b/policy/golden_host_test.go
@@ -87,11 +87,11 @@
 	if w.phase() == 3 || w.chance(0.03) {
 		switch w.random.Intn(12) {
 		case 0, 1:
-			latency, outcome = w.settings.CountTimeout, TimedOut
+			latency, outcome = w.settings.LateCountAfter, TimedOut
 		case 2:
 			outcome = []Outcome{Rejected, ConnectFailed, Errored, NotSent, Reset}[w.random.Intn(5)]
 		case 3:
-			latency = 2 * w.settings.CountTimeout // late
+			latency = 2 * w.settings.LateCountAfter // late
 		case 4:
 			latency, outcome = 200*ms, []Outcome{Answered, TimedOut}[w.random.Intn(2)] // no request waits this long
 		}
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -166,8 +166,9 @@
 		slices.IndexFunc(w.inForce.Plans, func(p Plan) bool { return !p.Retired })
 }
 
-// injectFault causes a rare event: a pause of the process, a counter that lost its totals, events of
-// unknown requests, calls and timers, ignored events, or a change in the number of sharing gateways.
+// injectFault causes a rare event: a pause of the process, a counter that lost its totals, events
+// of unknown requests, calls and timers, ignored events, or a change in the number of sharing
+// gateways.
 func (w *goldenWorld) injectFault() {
 	if len(w.requests) >= goldenRequests {
 		return
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -66,7 +66,7 @@
 	Classes                             []TrafficClass
 	Plans                               []Plan
 	HasCounter                          bool
-	CountTimeout                        time.Duration // the counter's answer to a call is late after this time
+	LateCountAfter                      time.Duration // the counter's answer to a call is late after this time
 	ReportsUnits                        bool          // answers report the units that a request took
 	MaxUnits                            float64       // maximum units of a request
 	UsageSpan                           time.Duration // span of a usage report; 0: answers have no usage reports
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -53,9 +53,9 @@
 	h.wantAttempts(4, 0)
 }
 
-// overloadCounter sends requests, each of a different sparse customer, while the counter accepts some
-// calls and rejects the others. It returns the number of calls and of rejected calls in the second
-// half.
+// overloadCounter sends requests, each of a different sparse customer, while the counter accepts
+// some calls and rejects the others. It returns the number of calls and of rejected calls in the
+// second half.
 func (h *harness) overloadCounter(requests int, accepts func(call int) bool) (calls, rejected int) {
 	h.counterDown = true
 	number := 0
