--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -36,8 +36,8 @@
 				return call.number == 4
 			})
 			next := nextCallWhere(t, calls, watchFrom(7))
-			if took := next.at.Sub(recovered.at); took > maxUpdateDelay {
-				t.Errorf("applied after %v", took)
+			if elapsed := next.at.Sub(recovered.at); elapsed > maxUpdateDelay {
+				t.Errorf("applied after %v", elapsed)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 		perCall     time.Duration // a gateway calls no oftener
 	}{
 		{
-			err: errTimeout, isPolled: true, took: listTimeout, least: minSilencePause, most: maxSilencePause,
+			err: errTimeout, isPolled: true, took: listTimeout, least: minTimeoutPause, most: maxTimeoutPause,
 			perCall: 1600 * time.Millisecond,
 		},
 		{
@@ -67,9 +67,9 @@
 			perCall: 1200 * time.Millisecond,
 		},
 		{err: errTimeout, took: listTimeout, perCall: listTimeout},
-		{err: io.EOF, least: minPause, most: maxPause, perCall: 120 * time.Millisecond},
-		{err: errTimeout, call: watchCall, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
-		{err: errTimeout, isPolled: true, call: watchCall, took: minWatch + watchGrace, perCall: minWatch + watchGrace},
+		{err: io.EOF, least: minShortPause, most: maxShortPause, perCall: 120 * time.Millisecond},
+		{err: errTimeout, call: watchCall, took: minWatchWait + watchGrace, perCall: minWatchWait + watchGrace},
+		{err: errTimeout, isPolled: true, call: watchCall, took: minWatchWait + watchGrace, perCall: minWatchWait + watchGrace},
 	} {
 		t.Run(fmt.Sprintf("%v, polled %v, watch %v", row.err, row.isPolled, row.call == watchCall), func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
@@ -105,27 +105,27 @@
 		s.handleFailure(io.EOF, watchCall)
 	}
 	s.handleList(t.Context(), &endpointList{version: 1, isFull: true}, fullListCall, 0)
-	if pause := s.retry.NextBackOff(); pause < 600*time.Millisecond {
+	if pause := s.backoff.NextBackOff(); pause < 600*time.Millisecond {
 		t.Errorf("a full list ended the run: a pause of %v", pause)
 	}
 	s.handleList(t.Context(), &endpointList{version: 1}, watchCall, time.Second)
-	if pause := s.handleFailure(io.EOF, watchCall).pause; pause > firstBackoff*3/2 {
+	if pause := s.handleFailure(io.EOF, watchCall).pause; pause > initialBackoff*3/2 {
 		t.Errorf("a pause of %v", pause)
 	}
 }
 
 // The first failure of a run is followed by a call at once where the agent is notified, and in both
 // modes by one that finds another version; further failures are not.
-func TestHandleFailure_firstFailureIsRetriedAtOnce(t *testing.T) {
+func TestHandleFailure_firstFailureIsRetriedImmediately(t *testing.T) {
 	for _, row := range []struct {
 		name     string
 		isPolled bool
 		err      error
 		second   time.Duration // at least
 	}{
-		{"notified, connection ended", false, io.EOF, minPause},
-		{"notified, another version", false, errVersionMismatch, minPause},
-		{"polled, another version", true, errVersionMismatch, firstBackoff / 2},
+		{"notified, connection ended", false, io.EOF, minShortPause},
+		{"notified, another version", false, errVersionMismatch, minShortPause},
+		{"polled, another version", true, errVersionMismatch, initialBackoff / 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
@@ -152,7 +152,7 @@
 		for range watches {
 			last = nextCallWhere(t, calls, agentCall.isWatch)
 		}
-		if each := last.at.Sub(first.at) / watches; each < minPause {
+		if each := last.at.Sub(first.at) / watches; each < minShortPause {
 			t.Errorf("a watch every %v", each)
 		}
 	})
--- a/internal/gateway/discovery/connection.go
+++ b/internal/gateway/discovery/connection.go
@@ -13,13 +13,13 @@
 
 // Errors of calls. Others are those of the network.
 var (
-	errTimeout         = errors.New("no answer in time")
-	errRejected        = errors.New("call rejected")
-	errConnectionEnded = errors.New("the connection of the latest list has ended")
-	errTooLong         = fmt.Errorf("answer of over %d bytes", maxListBytes)
-	errNotFull         = errors.New("changes in place of the full list")
-	errVersionMismatch = errors.New("version does not follow ours")
-	errMalformed       = errors.New("an answer that is no list")
+	errTimeout          = errors.New("no answer in time")
+	errRejected         = errors.New("call rejected")
+	errConnectionClosed = errors.New("the connection of the latest list has ended")
+	errTooLong          = fmt.Errorf("answer of over %d bytes", maxListBytes)
+	errNotFullList      = errors.New("changes in place of the full list")
+	errVersionMismatch  = errors.New("version does not follow ours")
+	errMalformed        = errors.New("an answer that is no list")
 )
 
 // dialer is net.Dialer.DialContext.
@@ -38,7 +38,7 @@
 	c := &connection{}
 	dialOnce := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if c.hasDialed.Swap(true) {
-			return nil, errConnectionEnded
+			return nil, errConnectionClosed
 		}
 		return dial(ctx, network, addr)
 	}
--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -43,7 +43,7 @@
 // the same; until then the last list is in force, and one that names servers replaces it.
 func TestRun_emptyFullListIsAppliedOnceConfirmed(t *testing.T) {
 	removed := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
-	none, some := answering(fullList(9)), answering(fullList(9, "s-2"))
+	none, some := respondWith(fullList(9)), respondWith(fullList(9, "s-2"))
 	for name, row := range map[string]struct {
 		empty         string
 		second, later func(conn net.Conn)
@@ -64,14 +64,14 @@
 			if full.isWatch() || full.connection == watch.connection {
 				t.Errorf("called %+v after %+v", full, watch)
 			}
-			if took := full.at.Sub(watch.at); took > maxUpdateDelay/2 {
-				t.Errorf("confirmation requested after %v", took)
+			if elapsed := full.at.Sub(watch.at); elapsed > maxUpdateDelay/2 {
+				t.Errorf("confirmation requested after %v", elapsed)
 			}
 			w.wantServer("before the confirmation", "s-1")
 			close(release)
 			next := nextCallWhere(t, calls, watchFrom(9))
-			if took := next.at.Sub(watch.at); took > maxUpdateDelay {
-				t.Errorf("applied after %v", took)
+			if elapsed := next.at.Sub(watch.at); elapsed > maxUpdateDelay {
+				t.Errorf("applied after %v", elapsed)
 			}
 			w.wantServer("after the confirmation", row.after)
 			w.wantLogged("confirmation requested", 1)
@@ -82,7 +82,7 @@
 
 // Changes that leave no server need no confirmation, nor does an empty list where there was no
 // server.
-func TestRun_deltaThatLeavesNoServerIsAppliedAtOnce(t *testing.T) {
+func TestRun_deltaThatLeavesNoServerNeedsNoConfirmation(t *testing.T) {
 	discovery := fakes.NewDiscovery(t, readyHost("s-1"))
 	w := startWatcher(t, discovery.Addr, options{})
 	<-w.FirstList()
--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -25,7 +25,7 @@
 	fullListTimedOut                    // no whole answer to a call that does not wait for a change
 	callRejected                        // a status other than 200, as of an overbooked discovery
 	versionMismatch                     // changes that do not follow the list in force
-	callBroken                          // refused, reset, cut off, too long or malformed
+	otherFailure                        // refused, reset, cut off, too long or malformed
 )
 
 // failureKindOf classifies the error of a call.
@@ -40,7 +40,7 @@
 	case errors.Is(err, errVersionMismatch):
 		return versionMismatch
 	default:
-		return callBroken
+		return otherFailure
 	}
 }
 
@@ -51,9 +51,9 @@
 const (
 	noPause pauseKind = iota
 	shortPause
-	silencePause
+	timeoutPause
 	rejectedPause
-	growingPause
+	backoffPause
 )
 
 // failurePauses has a row for each failureKind: the pause after it by the agent's mode, for the
@@ -61,10 +61,10 @@
 var failurePauses = [...]struct{ notifiedFirst, notifiedLater, polledFirst, polledLater pauseKind }{
 	//                notified: first, later; polled: first, later
 	watchTimedOut:    {noPause, noPause, noPause, noPause},
-	fullListTimedOut: {noPause, noPause, silencePause, silencePause},
-	callRejected:     {growingPause, growingPause, rejectedPause, rejectedPause},
-	versionMismatch:  {noPause, shortPause, noPause, growingPause},
-	callBroken:       {noPause, shortPause, growingPause, growingPause},
+	fullListTimedOut: {noPause, noPause, timeoutPause, timeoutPause},
+	callRejected:     {backoffPause, backoffPause, rejectedPause, rejectedPause},
+	versionMismatch:  {noPause, shortPause, noPause, backoffPause},
+	otherFailure:     {noPause, shortPause, backoffPause, backoffPause},
 }
 
 // pauseAfterFailure decides which pause follows a failed call. A notified agent is on this machine
@@ -87,8 +87,8 @@
 // rejected the call or, where it is polled, gave no list. Other failures of a notified agent, and a
 // silent watch, are the agent's.
 func isDiscoveryFailure(kind failureKind, current agent) bool {
-	gaveNoList := current.isPolled && kind != watchTimedOut
-	return kind == callRejected || gaveNoList
+	polledCallFailed := current.isPolled && kind != watchTimedOut
+	return kind == callRejected || polledCallFailed
 }
 
 // callAfterFailure decides what the call after a failed one requests. A rejected call is repeated
@@ -104,18 +104,18 @@
 
 // failureRun is what has failed since a watch was last answered. The zero value is no failure.
 type failureRun struct {
-	hasSilentWatch bool // a watch timed out, and its line was logged
-	hasFailedCall  bool // a call failed in another way, and its line was logged
+	hasWatchTimeout bool // a watch timed out, and its line was logged
+	hasOtherFailure bool // a call failed in another way, and its line was logged
 }
 
 // hasBegun reports whether any call has failed.
-func (r *failureRun) hasBegun() bool { return r.hasSilentWatch || r.hasFailedCall }
+func (r *failureRun) hasAny() bool { return r.hasWatchTimeout || r.hasOtherFailure }
 
 // add notes a failure, and reports whether its line is still to be logged.
-func (r *failureRun) add(kind failureKind) bool {
-	logged := &r.hasFailedCall
+func (r *failureRun) record(kind failureKind) bool {
+	logged := &r.hasOtherFailure
 	if kind == watchTimedOut {
-		logged = &r.hasSilentWatch
+		logged = &r.hasWatchTimeout
 	}
 	isFirst := !*logged
 	*logged = true
@@ -125,9 +125,9 @@
 // newBackoff gives the growing pauses.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := &backoff.ExponentialBackOff{
-		InitialInterval:     firstBackoff,
-		RandomizationFactor: backoffSpread,
-		Multiplier:          backoffGrowth,
+		InitialInterval:     initialBackoff,
+		RandomizationFactor: backoffJitter,
+		Multiplier:          backoffMultiplier,
 		MaxInterval:         maxBackoff,
 	}
 	b.Reset()
@@ -138,13 +138,13 @@
 func (s *session) drawPause(kind pauseKind) time.Duration {
 	switch kind {
 	case shortPause:
-		return s.watcher.randomBetween(minPause, maxPause)
-	case silencePause:
-		return s.watcher.randomBetween(minSilencePause, maxSilencePause)
+		return s.watcher.randomBetween(minShortPause, maxShortPause)
+	case timeoutPause:
+		return s.watcher.randomBetween(minTimeoutPause, maxTimeoutPause)
 	case rejectedPause:
 		return s.watcher.randomBetween(minRejectedPause, maxRejectedPause)
-	case growingPause:
-		return s.retry.NextBackOff()
+	case backoffPause:
+		return s.backoff.NextBackOff()
 	case noPause:
 	}
 	return 0
--- a/internal/gateway/discovery/fixture_test.go
+++ b/internal/gateway/discovery/fixture_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxSilence     = 3 * time.Second // from silence to a full list
-	maxUpdateDelay = 5 * time.Second // from when an agent could give its list to when it is applied
+	maxSilenceRecovery = 3 * time.Second // from silence to a full list
+	maxUpdateDelay     = 5 * time.Second // from when an agent could give its list to when it is applied
 )
 
 // agentCall is a call that came to an agent: when, on which connection, as which call there and as
@@ -89,10 +89,10 @@
 // fullListAgent answers calls for the full list with one server, and holds watches.
 func fullListAgent(t *testing.T, version int, server string) (addr string, calls chan agentCall) {
 	t.Helper()
-	return scriptedAgent(listen(t), fullThenHold(version, server))
+	return scriptedAgent(listen(t), answerListHoldWatches(version, server))
 }
 
-func fullThenHold(version int, server string) func(agentCall, net.Conn) {
+func answerListHoldWatches(version int, server string) func(agentCall, net.Conn) {
 	return func(call agentCall, conn net.Conn) {
 		if call.isWatch() {
 			holdOpen(conn)
@@ -122,12 +122,12 @@
 }
 
 // answering answers a call with a body.
-func answering(body string) func(net.Conn) {
+func respondWith(body string) func(net.Conn) {
 	return func(conn net.Conn) { writeAnswer(conn, body) }
 }
 
 // cutOff writes an answer that does not end, and closes the connection.
-func cutOff(text string) func(net.Conn) {
+func respondTruncated(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = io.WriteString(conn, text)
 		_ = conn.Close()
@@ -162,10 +162,10 @@
 	"503": func(conn net.Conn) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	},
-	"cut off":       cutOff("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
-	"empty":         answering(""),
-	"changes":       answering(fakes.FormatList(9, false, readyHost("s-9"))),
-	"wrong content": answering("<html><body>It works!</body></html>"),
+	"cut off":       respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
+	"empty":         respondWith(""),
+	"changes":       respondWith(fakes.FormatList(9, false, readyHost("s-9"))),
+	"wrong content": respondWith("<html><body>It works!</body></html>"),
 	"never ends": func(conn net.Conn) {
 		blanks := strings.Repeat(" ", 1<<16)
 		for _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+fullList(9, "s-9")); err == nil; {
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -23,7 +23,7 @@
 	"harrierhoist/policy"
 )
 
-func listed(name, address string, state policy.EndpointState) dispatch.Server {
+func newServer(name, address string, state policy.EndpointState) dispatch.Server {
 	return dispatch.Server{Name: name, Address: address, Endpoint: policy.Endpoint{State: state}}
 }
 
@@ -36,7 +36,7 @@
 }}
 
 // listForms are the forms of a list, and what each is read as.
-var listForms = []struct {
+var listEncodings = []struct {
 	name, body string
 	version    int64
 	isFull     bool
@@ -79,38 +79,38 @@
 	{
 		"few keys", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","health":"in_service"}]}`,
 		3, true,
-		[]dispatch.Server{listed("s-1", "x", policy.Ready)},
+		[]dispatch.Server{newServer("s-1", "x", policy.Ready)},
 		false,
 	},
 	{"a site and a class that are unknown", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
-		`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{listed("s-1", "x", policy.Ready)}, false},
+		`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{newServer("s-1", "x", policy.Ready)}, false},
 	{
 		"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
 			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},` +
 			`{"host":"f","dial":""}]}`, 3, true,
 		[]dispatch.Server{
-			listed("a", "x", policy.Ready), listed("b", "x", policy.Draining), listed("c", "x", policy.Removed),
-			listed("d", "x", policy.Removed), listed("e", "x", policy.Removed), listed("f", "", policy.Removed),
+			newServer("a", "x", policy.Ready), newServer("b", "x", policy.Draining), newServer("c", "x", policy.Removed),
+			newServer("d", "x", policy.Removed), newServer("e", "x", policy.Removed), newServer("f", "", policy.Removed),
 		},
 		false,
 	},
 	{
 		"none left", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
-		[]dispatch.Server{listed("c", "x", policy.Removed)},
+		[]dispatch.Server{newServer("c", "x", policy.Removed)},
 		true,
 	},
 	{
 		"one name twice", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"a","dial":"y","health":"terminating"}]}`, 3, false,
-		[]dispatch.Server{listed("a", "x", policy.Ready), listed("a", "y", policy.Draining)},
+		[]dispatch.Server{newServer("a", "x", policy.Ready), newServer("a", "y", policy.Draining)},
 		false,
 	},
 }
 
 func TestGolden_eachFormOfAListIsReadAsBefore(t *testing.T) {
 	d := &decoder{zones: []string{"hall-a", "hall-b"}, hardware: []string{"m1", "m2", "m3"}}
-	for _, form := range listForms {
+	for _, form := range listEncodings {
 		t.Run(form.name, func(t *testing.T) {
 			received, err := d.decodeAnswer([]byte(form.body))
 			if err != nil {
@@ -194,14 +194,14 @@
 // recorded gives what a watcher of a seed calls in 40 s of a virtual clock: seconds from its start,
 // connection, number of the call there, and query. The agent answers by the number of the call. It
 // never rejects one: the pauses after a rejection are not drawn from the seed.
-func recorded(t *testing.T, isPolled bool, seed int64) (lines []string) {
+func recordCalls(t *testing.T, isPolled bool, seed int64) (lines []string) {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(time.Second) }) // calls that are being answered end
 	var mu sync.Mutex
-	begun := time.Now()
+	startedAt := time.Now()
 	addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 		mu.Lock()
-		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", call.at.Sub(begun).Seconds(), call.connection,
+		lines = append(lines, fmt.Sprintf("%.3f %d %d %s", call.at.Sub(startedAt).Seconds(), call.connection,
 			call.onConnection, cmp.Or(call.query, "full list")))
 		mu.Unlock()
 		switch {
@@ -239,7 +239,7 @@
 		{"polled", true, "calls_polled.txt"},
 	} {
 		runVirtual(t, row.name, func(t *testing.T) {
-			golden.Check(t, row.file, []byte(strings.Join(recorded(t, row.isPolled, 3), "\n")+"\n"))
+			golden.Check(t, row.file, []byte(strings.Join(recordCalls(t, row.isPolled, 3), "\n")+"\n"))
 		})
 	}
 }
--- a/internal/gateway/discovery/known_test.go
+++ b/internal/gateway/discovery/known_test.go
@@ -29,7 +29,7 @@
 		if first.isWatchFrom(7) != isPolled || !second.isWatchFrom(8) {
 			t.Errorf("called with %q, then %q", first.query, second.query)
 		}
-		if pause := second.at.Sub(first.at); pause > maxPause {
+		if pause := second.at.Sub(first.at); pause > maxShortPause {
 			t.Errorf("the watch went on after %v", pause)
 		}
 		w.wantServer("after the first answer", "s-2")
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -29,7 +29,7 @@
 
 // follows reports whether the list can come after a version. A full list can always; changes can
 // where their version is later, or the same without any entry.
-func (l *endpointList) follows(version int64) bool {
+func (l *endpointList) canFollow(version int64) bool {
 	isNewer := l.version > version
 	isUnchanged := l.version == version && len(l.servers) == 0
 	return l.isFull || isNewer || isUnchanged
@@ -114,7 +114,7 @@
 			Name:    e.Host,
 			Address: e.Dial,
 			Endpoint: policy.Endpoint{
-				State:     stateOf(e.Health),
+				State:     decodeState(e.Health),
 				Capacity:  e.Share,
 				StartedAt: config.Milliseconds(e.BornMs),
 				Rack:      e.Block,
@@ -126,7 +126,7 @@
 	return servers, nil
 }
 
-func stateOf(health string) policy.EndpointState {
+func decodeState(health string) policy.EndpointState {
 	switch health {
 	case "in_service":
 		return policy.Ready
--- a/internal/gateway/discovery/list_test.go
+++ b/internal/gateway/discovery/list_test.go
@@ -98,7 +98,7 @@
 		w.wantServer(row.name, row.after)
 	}
 	none := &endpointList{isFull: true}
-	if w.apply(t.Context(), none); w.wouldEmpty(none) {
+	if w.apply(t.Context(), none); w.wouldRemoveAllServers(none) {
 		t.Error("no server is left, and one could be lost")
 	}
 	body := fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up"))
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -16,11 +16,11 @@
 func TestWatch_malformedAnswerIsIgnored(t *testing.T) {
 	part := fullList(9, "s-2")[:60]
 	for name, respond := range map[string]func(net.Conn){
-		"an empty body":           answering(""),
-		"a list cut off":          answering(part),
-		"two lists":               answering(fullList(9) + fullList(9)),
+		"an empty body":           respondWith(""),
+		"a list cut off":          respondWith(part),
+		"two lists":               respondWith(fullList(9) + fullList(9)),
 		"cut with its connection": func(conn net.Conn) { writeAnswer(conn, part[:1]); _ = conn.Close() },
-		"cut within the message":  cutOff("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + part),
+		"cut within the message":  respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + part),
 	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
@@ -29,8 +29,8 @@
 			if !watch.isWatchFrom(watch.connection) || full.isWatch() || full.connection <= watch.connection {
 				t.Fatalf("called %+v, then %+v", watch, full)
 			}
-			if took := full.at.Sub(watch.at); took > maxSilence {
-				t.Errorf("full list requested after %v", took)
+			if elapsed := full.at.Sub(watch.at); elapsed > maxSilenceRecovery {
+				t.Errorf("full list requested after %v", elapsed)
 			}
 			w.wantServer("after the answer", "s-1")
 			w.wantLogged("discovery: no valid answer", 1)
--- a/internal/gateway/discovery/overbooked_test.go
+++ b/internal/gateway/discovery/overbooked_test.go
@@ -16,40 +16,40 @@
 // overbookedAgent takes a call each turn, and rejects what would wait for its turn longer than its
 // timeout: 2 s, or what a watch says. A call that is given up uses its turn.
 type overbookedAgent struct {
-	turn         time.Duration
-	keepsWatches bool          // a continued watch takes no turn, and no call waits for over 2 s
-	changed      chan struct{} // closed with version 2, in which s-2 replaces s-1
+	turn                    time.Duration
+	exemptsContinuedWatches bool          // a continued watch takes no turn, and no call waits for over 2 s
+	changed                 chan struct{} // closed with version 2, in which s-2 replaces s-1
 
-	mu       sync.Mutex
-	nextTurn time.Time
-	answered map[int]time.Time // by connection, when a watch was last answered on it
+	mu               sync.Mutex
+	nextTurn         time.Time
+	lastWatchAnswers map[int]time.Time // by connection, when a watch was last answered on it
 }
 
 // continuationTime is how soon after an answer the next call continues the watch.
-const continuationTime = 200 * time.Millisecond
+const maxContinuationGap = 200 * time.Millisecond
 
 func newOverbookedAgent(turn time.Duration, keepsWatches bool) *overbookedAgent {
 	return &overbookedAgent{
-		turn: turn, keepsWatches: keepsWatches, changed: make(chan struct{}), answered: map[int]time.Time{},
+		turn: turn, exemptsContinuedWatches: keepsWatches, changed: make(chan struct{}), lastWatchAnswers: map[int]time.Time{},
 	}
 }
 
 // isContinued tells whether a call continues a watch.
-func (a *overbookedAgent) isContinued(call agentCall) bool {
+func (a *overbookedAgent) continuesWatch(call agentCall) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, ok := a.answered[call.connection]
-	return a.keepsWatches && call.isWatch() && ok && time.Since(at) <= continuationTime
+	at, ok := a.lastWatchAnswers[call.connection]
+	return a.exemptsContinuedWatches && call.isWatch() && ok && time.Since(at) <= maxContinuationGap
 }
 
 // waitForTurn waits for a call's turn, and returns false if the call is rejected.
 func (a *overbookedAgent) waitForTurn(limit time.Duration) bool {
-	begun := time.Now()
+	startedAt := time.Now()
 	a.mu.Lock()
-	if a.nextTurn.Before(begun) {
-		a.nextTurn = begun
+	if a.nextTurn.Before(startedAt) {
+		a.nextTurn = startedAt
 	}
-	wait := a.nextTurn.Sub(begun)
+	wait := a.nextTurn.Sub(startedAt)
 	if wait > limit {
 		a.mu.Unlock()
 		return false
@@ -67,30 +67,30 @@
 		limit = time.Duration(ms) * time.Millisecond
 	}
 	longestWait := limit
-	if a.keepsWatches {
+	if a.exemptsContinuedWatches {
 		longestWait = min(limit, 2*time.Second)
 	}
-	begun := time.Now()
-	if !a.isContinued(call) && !a.waitForTurn(longestWait) {
+	startedAt := time.Now()
+	if !a.continuesWatch(call) && !a.waitForTurn(longestWait) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	if call.isWatch() {
 		defer func() {
 			a.mu.Lock()
-			a.answered[call.connection] = time.Now()
+			a.lastWatchAnswers[call.connection] = time.Now()
 			a.mu.Unlock()
 		}()
 	}
 	switch query.Get("since") {
 	case "2":
-		time.Sleep(time.Until(begun.Add(limit)))
+		time.Sleep(time.Until(startedAt.Add(limit)))
 		writeAnswer(conn, fakes.FormatList(2, false))
 		return
 	case "1":
 		select {
 		case <-a.changed:
-		case <-time.After(time.Until(begun.Add(limit))):
+		case <-time.After(time.Until(startedAt.Add(limit))):
 			writeAnswer(conn, fakes.FormatList(1, false))
 			return
 		}
@@ -104,12 +104,12 @@
 }
 
 // startFleet starts a number of watchers that poll one agent, with seeds from 1.
-func startFleet(t *testing.T, addr string, gateways int) []*watched {
+func startFleet(t *testing.T, addr string, gateways int) []*testWatcher {
 	t.Helper()
-	var watchers []*watched
+	var watchers []*testWatcher
 	for i := range gateways {
-		with := options{isPolled: true, known: fullList(1, "s-1"), seed: int64(i) + 1}
-		watchers = append(watchers, startWatcher(t, addr, with))
+		opts := options{isPolled: true, known: fullList(1, "s-1"), seed: int64(i) + 1}
+		watchers = append(watchers, startWatcher(t, addr, opts))
 	}
 	return watchers
 }
@@ -127,7 +127,7 @@
 }
 
 // Guards against calls that are given up in their turn, and so overbook a polled discovery.
-func TestRun_overbookedDiscoveryIsReadByAll(t *testing.T) {
+func TestRun_allGatewaysReadAnOverbookedDiscovery(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
 			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -12,11 +12,11 @@
 	ctx     context.Context // ends with stop
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	answers chan fullAnswer // has room for all
+	results chan fullListResult // has room for all
 }
 
 // fullAnswer is how a call for the full list ended.
-type fullAnswer struct {
+type fullListResult struct {
 	connection *connection
 	list       *endpointList
 	err        error
@@ -25,7 +25,7 @@
 func newParallelCalls(
 	ctx context.Context, fetch func(context.Context, *connection) (*endpointList, error), limit int,
 ) *parallelCalls {
-	p := &parallelCalls{fetch: fetch, answers: make(chan fullAnswer, limit)}
+	p := &parallelCalls{fetch: fetch, results: make(chan fullListResult, limit)}
 	p.ctx, p.cancel = context.WithCancel(ctx)
 	return p
 }
@@ -33,7 +33,7 @@
 func (p *parallelCalls) start(c *connection) {
 	p.running.Go(func() {
 		list, err := p.fetch(p.ctx, c)
-		p.answers <- fullAnswer{c, list, err}
+		p.results <- fullListResult{c, list, err}
 	})
 }
 
@@ -42,8 +42,8 @@
 func (p *parallelCalls) stop() {
 	p.cancel()
 	p.running.Wait()
-	close(p.answers)
-	for answer := range p.answers {
+	close(p.results)
+	for answer := range p.results {
 		answer.connection.close()
 	}
 }
@@ -58,24 +58,24 @@
 	calls := newParallelCalls(ctx, s.fetchFullOn, limit)
 	defer calls.stop()
 	calls.start(s.connection)
-	next := time.NewTimer(s.stagger())
+	next := time.NewTimer(s.drawStagger())
 	defer next.Stop()
-	begun := 1
+	started := 1
 	pending := 1
 	for {
 		select {
 		case <-next.C:
-			begun++
-			if begun < limit {
-				next.Reset(s.stagger())
+			started++
+			if started < limit {
+				next.Reset(s.drawStagger())
 			}
 			pending++
 			calls.start(newConnection(s.watcher.dial))
-		case answer := <-calls.answers:
+		case answer := <-calls.results:
 			pending--
 			// A notified agent answers at once: a failure of the first call ends the others.
-			isDecisive := !s.agent.isPolled && answer.connection == s.connection
-			if answer.err == nil || pending == 0 || isDecisive {
+			endsAllCalls := !s.agent.isPolled && answer.connection == s.connection
+			if answer.err == nil || pending == 0 || endsAllCalls {
 				s.connection = answer.connection
 				return answer.list, answer.err
 			}
@@ -85,18 +85,18 @@
 }
 
 // stagger draws the time until another call begins beside those that are not answered.
-func (s *session) stagger() time.Duration {
+func (s *session) drawStagger() time.Duration {
 	return s.watcher.randomBetween(s.timing.minStagger, s.timing.maxStagger)
 }
 
 func (s *session) fetchFullOn(ctx context.Context, c *connection) (*endpointList, error) {
-	body, err := c.get(ctx, s.url(), s.timing.listTimeout)
+	body, err := c.get(ctx, s.listURL(), s.timing.listTimeout)
 	if err != nil {
 		return nil, err
 	}
 	received, err := s.watcher.decoder.decodeAnswer(body)
 	if err == nil && !received.isFull {
-		return nil, errNotFull
+		return nil, errNotFullList
 	}
 	return received, err
 }
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a list delayed by a call that the agent was answering as it fell silent.
-func TestFetchFull_parallelCallBesideAHeldOne(t *testing.T) {
+func TestFetchFull_startsParallelCallWhileAnotherIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan bool)
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -93,8 +93,8 @@
 		startWatcher(t, listener.Addr().String(), options{isPolled: isPolled})
 		time.Sleep(6 * time.Second)
 		reachableAt := time.Now()
-		_, calls := scriptedAgent(listener, fullThenHold(7, "s-1"))
-		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(reachableAt) > listTimeout+maxSilencePause {
+		_, calls := scriptedAgent(listener, answerListHoldWatches(7, "s-1"))
+		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(reachableAt) > listTimeout+maxTimeoutPause {
 			t.Errorf("applied after %v", next.at.Sub(reachableAt))
 		}
 	})
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -41,20 +41,20 @@
 func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
 	drain := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, respond := range map[string]func(conn net.Conn){
-		"changes of a lower version":      answering(fakes.FormatList(3, false, drain)),
-		"changes of the version in force": answering(fakes.FormatList(41, false, drain)),
-		"no changes in a lower version":   answering(fakes.FormatList(3, false)),
+		"changes of a lower version":      respondWith(fakes.FormatList(3, false, drain)),
+		"changes of the version in force": respondWith(fakes.FormatList(41, false, drain)),
+		"no changes in a lower version":   respondWith(fakes.FormatList(3, false)),
 		"reset":                           resetConnection,
 		"closed":                          func(conn net.Conn) { _ = conn.Close() },
 		"answered once it is given up": func(conn net.Conn) {
 			holdOpen(conn)
 			writeAnswer(conn, fakes.FormatList(42, false, drain))
 		},
-		"a change in a list cut off": cutOff("HTTP/1.1 200 OK\r\n\r\n" +
+		"a change in a list cut off": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
 			fakes.FormatList(42, false, drain, readyHost("s-3"))[:190]),
-		"a change beside a malformed entry": answering(fakes.FormatList(42, false, drain,
+		"a change beside a malformed entry": respondWith(fakes.FormatList(42, false, drain,
 			fakes.FormatHost("s-3", "", "in_service"))),
-		"a list that says not whether it is full": answering(`{"seq":42,"hosts":[` + drain + `]}`),
+		"a list that says not whether it is full": respondWith(`{"seq":42,"hosts":[` + drain + `]}`),
 	} {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
 			addr, calls, release := restartedAgent(t, respond)
@@ -63,12 +63,12 @@
 			if !watch.isWatchFrom(41) || full.isWatch() || full.connection == watch.connection {
 				t.Fatalf("called %+v, then %+v", watch, full)
 			}
-			most := maxSilence
+			high := maxSilenceRecovery
 			if isPolled { // the watch itself may wait longer
-				most = maxPolledWatch + watchGrace + time.Millisecond
+				high = maxPolledWatchWait + watchGrace + time.Millisecond
 			}
-			if took := full.at.Sub(watch.at); took > most {
-				t.Errorf("full list requested after %v", took)
+			if elapsed := full.at.Sub(watch.at); elapsed > high {
+				t.Errorf("full list requested after %v", elapsed)
 			}
 			w.wantServer("before the full list", "s-1")
 			close(release)
@@ -83,7 +83,7 @@
 }
 
 // Guards against net/http repeating a watch on another connection than its list came on.
-func TestWatch_isNeverSentOnAnotherConnection(t *testing.T) {
+func TestWatch_isNeverSentOnANewConnection(t *testing.T) {
 	runVirtualInEachMode(t, "closed after the list", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 			switch {
@@ -145,10 +145,10 @@
 		w.wantServer("while the agent is dead", "s-1")
 		second := listenAt(t, addr)
 		restartedAt := time.Now()
-		_, calls = scriptedAgent(second, fullThenHold(3, "s-2"))
+		_, calls = scriptedAgent(second, answerListHoldWatches(3, "s-2"))
 		next := nextCallWhere(t, calls, agentCall.isWatch)
-		if took := next.at.Sub(restartedAt); !next.isWatchFrom(3) || took > maxUpdateDelay {
-			t.Errorf("went on with %+v after %v", next, took)
+		if elapsed := next.at.Sub(restartedAt); !next.isWatchFrom(3) || elapsed > maxUpdateDelay {
+			t.Errorf("went on with %+v after %v", next, elapsed)
 		}
 		w.wantServer("once it is back", "s-2")
 	})
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -14,7 +14,7 @@
 	"harrierhoist/policy"
 )
 
-func TestSetAgent_fetchesTheFullListAtOnce(t *testing.T) {
+func TestSetAgent_fetchesTheFullListImmediately(t *testing.T) {
 	previous := fakes.NewDiscovery(t, fakes.FormatHost("s-1", "x", "in_service"))
 	next := fakes.NewDiscovery(t, fakes.FormatHost("s-2", "x", "in_service"))
 	w := startWatcher(t, previous.Addr, options{})
@@ -43,7 +43,7 @@
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+text[:20])
 			<-release
-			cutOff(text[20:])(conn)
+			respondTruncated(text[20:])(conn)
 		})
 		next, nextCalls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { holdOpen(conn) })
 		w := startWatcher(t, previous, options{})
@@ -56,7 +56,7 @@
 }
 
 // An answer that was read before the change is not applied after it.
-func TestSetAgent_answerReadBeforeIsIgnoredAfter(t *testing.T) {
+func TestSetAgent_answerReadBeforeTheChangeIsIgnored(t *testing.T) {
 	w := newWatcher(t, "a:1", options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	w.cancelSession = cancel
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a watch that falls silent and is followed by the full list after maxSilence.
-func TestWatch_silenceIsFollowedByAFullListAtOnce(t *testing.T) {
+func TestWatch_timeoutIsFollowedByAFullListImmediately(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
 		"no answer":               func(net.Conn) {},
 		"trickles a list":         trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
@@ -29,8 +29,8 @@
 				!next.isWatchFrom(next.connection) || next.connection == watch.connection {
 				t.Fatalf("called %+v, then %+v, then %+v", watch, full, next)
 			}
-			if took := next.at.Sub(watch.at); took > maxSilence {
-				t.Errorf("the full list was there after %v", took)
+			if elapsed := next.at.Sub(watch.at); elapsed > maxSilenceRecovery {
+				t.Errorf("the full list was there after %v", elapsed)
 			}
 			var timeout int64 // of the watch, in ms
 			format := fmt.Sprintf("since=%d&timeout_ms=%%d", watch.connection)
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			givenUpAt := watch.at.Add(time.Duration(timeout)*time.Millisecond + watchGrace)
-			if pause := full.at.Sub(givenUpAt); pause > firstBackoff*3/4 {
+			if pause := full.at.Sub(givenUpAt); pause > initialBackoff*3/4 {
 				t.Errorf("full list requested after a pause of %v", pause)
 			}
 		})
@@ -53,7 +53,7 @@
 		if silent.Load() {
 			holdOpen(conn)
 		} else {
-			fullThenHold(7, "s-1")(call, conn)
+			answerListHoldWatches(7, "s-1")(call, conn)
 		}
 	})
 	return addr, calls, silent
@@ -72,7 +72,7 @@
 		if !watch.isWatchFrom(7) || first.isWatch() || second.isWatch() {
 			t.Fatalf("called %+v, %+v, %+v", watch, first, second)
 		}
-		if pause := second.at.Sub(first.at) - listTimeout; pause < firstBackoff/2 {
+		if pause := second.at.Sub(first.at) - listTimeout; pause < initialBackoff/2 {
 			t.Errorf("called again after a pause of %v", pause)
 		}
 		silent.Store(false)
@@ -104,7 +104,7 @@
 }
 
 // Guards against requests to a draining server after an outage of a notified agent.
-func TestRun_notifiedAgentIsFoundAgainAtOnce(t *testing.T) {
+func TestRun_notifiedAgentIsReadSoonAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasting, drain = 6 * time.Second, time.Second
 		addr, calls, silent := silenceableAgent(t)
@@ -120,8 +120,8 @@
 		}
 		for call := range calls {
 			if call.isWatchFrom(7) {
-				if took := call.at.Sub(recoveredAt); took > drain {
-					t.Errorf("the list was there %v after the agent was back", took)
+				if elapsed := call.at.Sub(recoveredAt); elapsed > drain {
+					t.Errorf("the list was there %v after the agent was back", elapsed)
 				}
 				break
 			}
--- a/internal/gateway/discovery/watched_test.go
+++ b/internal/gateway/discovery/watched_test.go
@@ -16,7 +16,7 @@
 )
 
 // watched is a watcher under test, with the dispatcher that it feeds and what it logs.
-type watched struct {
+type testWatcher struct {
 	*Watcher
 	t          *testing.T
 	dispatcher *dispatch.Dispatcher
@@ -32,11 +32,11 @@
 }
 
 // newWatcher makes a watcher that does not run yet.
-func newWatcher(t *testing.T, addr string, with options) *watched {
+func newWatcher(t *testing.T, addr string, opts options) *testWatcher {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
 	settings := forwardingSettings()
-	settings.PollList = with.isPolled
+	settings.PollList = opts.isPolled
 	log := zap.New(core)
 	dispatcher := newDispatcher(t, settings, log)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,26 +48,26 @@
 	})
 	configuration := &config.Gateway{
 		Discovery: addr, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Hardware: []string{"m1", "m2"},
-		KnownEndpoints: []byte(with.known), Seed: with.seed,
+		KnownEndpoints: []byte(opts.known), Seed: opts.seed,
 	}
 	w, err := New(configuration, dispatcher, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.dial = dialPipe
-	return &watched{w, t, dispatcher, logs}
+	return &testWatcher{w, t, dispatcher, logs}
 }
 
 // startWatcher makes a watcher that runs until the test ends.
-func startWatcher(t *testing.T, addr string, with options) *watched {
+func startWatcher(t *testing.T, addr string, opts options) *testWatcher {
 	t.Helper()
-	w := newWatcher(t, addr, with)
+	w := newWatcher(t, addr, opts)
 	w.start()
 	return w
 }
 
 // start has the watcher run until the test ends, or until it is stopped; ended is closed then.
-func (w *watched) start() (stop func(), ended chan bool) {
+func (w *testWatcher) start() (stop func(), ended chan bool) {
 	ctx, stop := context.WithCancel(w.t.Context())
 	ended = make(chan bool)
 	go func() {
@@ -79,7 +79,7 @@
 }
 
 // wantServer checks which server a request is forwarded to; none: "".
-func (w *watched) wantServer(when, want string) {
+func (w *testWatcher) wantServer(when, want string) {
 	w.t.Helper()
 	if got := chosenServer(w.dispatcher); got != want {
 		w.t.Errorf("%s: forwarded to %q, want %q", when, got, want)
@@ -87,7 +87,7 @@
 }
 
 // wantLogged checks how many log lines have a text.
-func (w *watched) wantLogged(text string, want int) {
+func (w *testWatcher) wantLogged(text string, want int) {
 	w.t.Helper()
 	if got := w.logs.FilterMessageSnippet(text).Len(); got != want {
 		w.t.Errorf("%q logged %d times, want %d: %+v", text, got, want, w.logs.All())
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -20,15 +20,15 @@
 
 // Watcher hands the endpoint list and its changes to a dispatcher.
 type Watcher struct {
-	dispatcher   *dispatch.Dispatcher
-	log          *zap.Logger
-	decoder      decoder
-	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
-	random       *rand.Rand    // used by Run's goroutine alone
-	firstApplied chan struct{} // closed once a list of discovery is applied
-	closeFirst   sync.Once
-	knownVersion int64 // of the list of an earlier run, until a session begins; noVersion: none
-	knownAgent   agent // that gave that list
+	dispatcher       *dispatch.Dispatcher
+	log              *zap.Logger
+	decoder          decoder
+	dial             func(ctx context.Context, network, addr string) (net.Conn, error)
+	random           *rand.Rand    // used by Run's goroutine alone
+	firstApplied     chan struct{} // closed once a list of discovery is applied
+	firstAppliedOnce sync.Once
+	knownVersion     int64 // of the list of an earlier run, until a session begins; noVersion: none
+	knownAgent       agent // that gave that list
 
 	mu            sync.Mutex
 	agent         agent
@@ -93,18 +93,18 @@
 		current := w.agent
 		w.cancelSession = cancel
 		w.mu.Unlock()
-		w.follow(sessionCtx, current)
+		w.runSession(sessionCtx, current)
 		cancel()
 	}
 }
 
 // follow calls one agent again and again until the context ends.
-func (w *Watcher) follow(ctx context.Context, current agent) {
+func (w *Watcher) runSession(ctx context.Context, current agent) {
 	s := newSession(w, current)
 	defer func() { s.connection.close() }()
-	next := followUp{call: s.firstCall()}
+	next := scheduledCall{call: s.firstCall()}
 	for ctx.Err() == nil {
-		next = s.call(ctx, next.call)
+		next = s.makeCall(ctx, next.call)
 		if !sleep(ctx, next.pause) {
 			return
 		}
@@ -126,20 +126,20 @@
 		w.dispatcher.HandleEndpoints(policy.ListDelta, received.servers)
 		w.hasServers = w.hasServers || !received.isEmpty()
 	}
-	w.closeFirst.Do(func() { close(w.firstApplied) })
+	w.firstAppliedOnce.Do(func() { close(w.firstApplied) })
 }
 
 // wouldEmpty tells whether a full list would leave the dispatcher without any of the servers that
 // it has.
-func (w *Watcher) wouldEmpty(received *endpointList) bool {
+func (w *Watcher) wouldRemoveAllServers(received *endpointList) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return received.isFull && received.isEmpty() && w.hasServers
 }
 
 // randomBetween draws a time, from least on and below most.
-func (w *Watcher) randomBetween(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+func (w *Watcher) randomBetween(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
 // sleep waits, and returns false if the context ended first.
