--- a/internal/gateway/discovery/connection.go
+++ b/internal/gateway/discovery/connection.go
@@ -11,27 +11,28 @@
 	"time"
 )
 
-// Errors of calls. Others are those of the network.
+// Errors that a call can return, apart from errors of the network.
 var (
-	errTimeout          = errors.New("no answer in time")
+	errTimeout          = errors.New("call timed out")
 	errRejected         = errors.New("call rejected")
-	errConnectionClosed = errors.New("the connection of the latest list has ended")
-	errTooLong          = fmt.Errorf("answer of over %d bytes", maxListBytes)
-	errNotFullList      = errors.New("changes in place of the full list")
-	errVersionMismatch  = errors.New("version does not follow ours")
+	errConnectionClosed = errors.New("connection that delivered the latest list is closed")
+	errTooLong          = fmt.Errorf("answer exceeds %d bytes", maxListBytes)
+	errNotFullList      = errors.New("full list requested, but the answer contains only changes")
+	errVersionMismatch  = errors.New("answer's version does not follow the version in force")
 	errMalformed        = errors.New("an answer that is no list")
 )
 
-// dialer is net.Dialer.DialContext.
+// dialer opens a connection, as net.Dialer.DialContext does.
 type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// connection is one connection to an agent, which is dialed again only where the agent announced
-// its end. net/http repeats a call on a new connection if a persistent one ends as the call begins:
-// an agent that restarted in a lower version would hold such a watch, or answer that nothing
-// changed.
+// connection is an HTTP client that is bound to one connection to an agent. It dials again only if
+// the agent announced that it closes the connection after its answer. By default, net/http retries
+// a call on a new connection if the persistent connection is closed while the call is being sent.
+// After a restart the agent may have a lower version. It would then hold a retried watch open, or
+// answer that nothing has changed.
 type connection struct {
 	http.Client
-	hasDialed atomic.Bool
+	hasDialed atomic.Bool // a further dial fails with errConnectionClosed
 }
 
 func newConnection(dial dialer) *connection {
@@ -44,15 +45,16 @@
 	}
 	c.Transport = &http.Transport{MaxConnsPerHost: 1, DialContext: dialOnce}
 	c.CheckRedirect = func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // only the agent gives lists: a redirect counts as rejected
+		return http.ErrUseLastResponse // only the agent serves lists, so a redirect counts as a rejection
 	}
 	return c
 }
 
 func (c *connection) close() { c.CloseIdleConnections() }
 
-// get calls once; the timeout bounds the call with its whole answer. A call that fails has lost its
-// connection too. Errors wrap errTimeout, errRejected or errTooLong, or are of the network.
+// get sends one GET request and returns the body of the answer. The timeout covers the request and
+// the complete answer. A call that times out or fails in the network also loses its connection.
+// Errors wrap errTimeout, errRejected or errTooLong, or come from the network.
 func (c *connection) get(ctx context.Context, url string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -79,7 +81,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // what was read is complete, or has its own error
+	defer func() { _ = response.Body.Close() }() // an incomplete body is reported by ReadAll
 	if response.Close {
 		c.hasDialed.Store(false)
 	}
--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -7,7 +7,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// callKind is what a call requests.
+// callKind is the kind of request that a call sends to the agent.
 type callKind uint8
 
 // The kinds of calls.
@@ -16,16 +16,16 @@
 	watchCall             // a long poll for changes after a version
 )
 
-// failureKind is how a call failed, as far as the pause before the next call depends on it.
+// failureKind classifies failed calls by what follows them.
 type failureKind uint8
 
 // The kinds of failures.
 const (
-	watchTimedOut    failureKind = iota // the agent fell silent in a watch
-	fullListTimedOut                    // no whole answer to a call that does not wait for a change
-	callRejected                        // a status other than 200, as of an overbooked discovery
-	versionMismatch                     // changes that do not follow the list in force
-	otherFailure                        // refused, reset, cut off, too long or malformed
+	watchTimedOut    failureKind = iota // a watch had no complete answer within its timeout
+	fullListTimedOut                    // a call for the full list had no complete answer within its timeout
+	callRejected                        // the status was not 200, for example because discovery is overloaded
+	versionMismatch                     // the changes do not follow the version in force
+	otherFailure                        // connection refused or reset; answer truncated, too long or malformed
 )
 
 // failureKindOf classifies the error of a call.
@@ -44,10 +44,10 @@
 	}
 }
 
-// pauseKind is a pause between two calls.
+// pauseKind is the kind of pause between two calls.
 type pauseKind uint8
 
-// The kinds of pauses; session.drawPause has their lengths.
+// The kinds of pauses. session.drawPause defines their lengths.
 const (
 	noPause pauseKind = iota
 	shortPause
@@ -56,8 +56,8 @@
 	backoffPause
 )
 
-// failurePauses has a row for each failureKind: the pause after it by the agent's mode, for the
-// first failure of a run and for later ones.
+// failurePauses maps each failureKind to the pause that follows it. The pause depends on the
+// agent's mode, and on whether the failure is the first since the latest answered watch.
 var failurePauses = [...]struct{ notifiedFirst, notifiedLater, polledFirst, polledLater pauseKind }{
 	//                notified: first, later; polled: first, later
 	watchTimedOut:    {noPause, noPause, noPause, noPause},
@@ -67,8 +67,9 @@
 	otherFailure:     {noPause, shortPause, backoffPause, backoffPause},
 }
 
-// pauseAfterFailure decides which pause follows a failed call. A notified agent is on this machine
-// and is called soon; where discovery is polled, the calls of a fleet must not keep it overbooked.
+// pauseAfterFailure returns the kind of pause that follows a failed call. A notified agent runs on
+// this machine and is called again soon. Pauses are longer if discovery is polled, because the
+// calls of a fleet of gateways must not keep it overloaded.
 func pauseAfterFailure(kind failureKind, current agent, isFirst bool) pauseKind {
 	row := failurePauses[kind]
 	switch {
@@ -83,18 +84,18 @@
 	}
 }
 
-// isDiscoveryFailure decides whether the gateway is told that the list failed: discovery itself
-// rejected the call or, where it is polled, gave no list. Other failures of a notified agent, and a
-// silent watch, are the agent's.
+// isDiscoveryFailure reports whether discovery itself failed: it rejected the call or, if it is
+// polled, did not return a list. A watch that timed out, and any other failure of a notified agent,
+// is a failure of the agent only.
 func isDiscoveryFailure(kind failureKind, current agent) bool {
 	polledCallFailed := current.isPolled && kind != watchTimedOut
 	return kind == callRejected || polledCallFailed
 }
 
-// callAfterFailure decides what the call after a failed one requests. A rejected call is repeated
-// as it was: discovery is there and knows the version. After any other failure the agent may have
-// restarted without its versions and would answer a watch that nothing changed, so the full list is
-// requested.
+// callAfterFailure returns the kind of the call that follows a failed one. A rejected call is
+// repeated unchanged, because discovery is running and knows the version. After any other failure
+// the agent may have restarted and lost its versions. It could then answer a watch by reporting no
+// change, so the full list is requested.
 func callAfterFailure(kind failureKind, failed callKind) callKind {
 	if kind == callRejected {
 		return failed
@@ -102,16 +103,17 @@
 	return fullListCall
 }
 
-// failureRun is what has failed since a watch was last answered. The zero value is no failure.
+// failureRun records the kinds of failures since the latest answered watch. Each kind is logged
+// once in a run. The zero value is a run without failures.
 type failureRun struct {
-	hasWatchTimeout bool // a watch timed out, and its line was logged
-	hasOtherFailure bool // a call failed in another way, and its line was logged
+	hasWatchTimeout bool // a watch timed out, which has been logged
+	hasOtherFailure bool // a call failed in another way, which has been logged
 }
 
-// hasBegun reports whether any call has failed.
+// hasAny reports whether any call of the run has failed.
 func (r *failureRun) hasAny() bool { return r.hasWatchTimeout || r.hasOtherFailure }
 
-// add notes a failure, and reports whether its line is still to be logged.
+// record adds a failure to the run and reports whether the caller must log it.
 func (r *failureRun) record(kind failureKind) bool {
 	logged := &r.hasOtherFailure
 	if kind == watchTimedOut {
@@ -122,7 +124,7 @@
 	return isFirst
 }
 
-// newBackoff gives the growing pauses.
+// newBackoff returns the exponential backoff that determines the length of a backoffPause.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := &backoff.ExponentialBackOff{
 		InitialInterval:     initialBackoff,
@@ -134,7 +136,8 @@
 	return b
 }
 
-// drawPause draws the length of a pause. Growing pauses are drawn apart from the watcher's seed.
+// drawPause returns a random length for a pause. The lengths of backoff pauses do not depend on the
+// watcher's seed.
 func (s *session) drawPause(kind pauseKind) time.Duration {
 	switch kind {
 	case shortPause:
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -10,37 +10,38 @@
 	"harrierhoist/policy"
 )
 
-// noVersion is the version of a list that has none.
+// noVersion stands for the version of a list that has none.
 const noVersion = -1
 
-// endpointList is an answer of discovery: the full list, or what changed after a version.
+// endpointList is a decoded endpoint list: the full list, or the changes since a version.
 type endpointList struct {
-	version int64
-	isFull  bool
+	version int64 // version of the list once the changes are applied
+	isFull  bool  // all servers; if false, only those that changed
 	servers []dispatch.Server
 }
 
-// isEmpty tells whether the list leaves no server.
+// isEmpty reports whether every entry of the list is a removed server, or there is no entry.
 func (l *endpointList) isEmpty() bool {
 	return !slices.ContainsFunc(l.servers, func(server dispatch.Server) bool {
 		return server.Endpoint.State != policy.Removed
 	})
 }
 
-// follows reports whether the list can come after a version. A full list can always; changes can
-// where their version is later, or the same without any entry.
+// canFollow reports whether the list is valid after the given version. A full list always is.
+// Changes are valid if their version is higher, or if it is the same and there is no entry.
 func (l *endpointList) canFollow(version int64) bool {
 	isNewer := l.version > version
 	isUnchanged := l.version == version && len(l.servers) == 0
 	return l.isFull || isNewer || isUnchanged
 }
 
-// decoder reads lists. Zones and kinds of hardware are numbered by their index; unknown names count
-// as the first.
+// decoder decodes endpoint lists. A zone or a kind of hardware is decoded as its index in the names
+// of the decoder, and an unknown name as index 0.
 type decoder struct{ zones, hardware []string }
 
-// entry is the layout of an endpoint in a list. It is an alias without tags, as the text of a
-// refusal prints the type of what cannot be decoded: a name or a tag would change it.
+// entry is the JSON form of an endpoint in a list. The error message of a malformed list contains
+// this type. It is therefore an alias and its fields have no new tags, since a type name or a tag
+// would change the message.
 type entry = struct {
 	Host, Dial, Site, Class, Health string
 
@@ -49,8 +50,9 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// decodeAnswer reads an answer. One malformed entry makes it malformed as a whole: its other
-// entries are no more reliable, and a full list without one would take a server for removed.
+// decodeAnswer decodes an answer of the agent. Errors wrap errMalformed. One malformed entry makes
+// the whole answer malformed: the other entries are no more reliable, and a full list that lacks an
+// entry would remove that server.
 func (d *decoder) decodeAnswer(body []byte) (*endpointList, error) {
 	var answer struct {
 		Seq   *int64
@@ -69,14 +71,14 @@
 	}
 	for _, server := range servers {
 		if server.Name == "" || server.Address == "" && server.Endpoint.State != policy.Removed {
-			return nil, fmt.Errorf("%w: an entry without host or dial", errMalformed)
+			return nil, fmt.Errorf("%w: entry without host or dial", errMalformed)
 		}
 	}
 	return &endpointList{version: *answer.Seq, isFull: *answer.Whole, servers: servers}, nil
 }
 
-// decodeKnown reads the list of an earlier run, which comes with the configuration and may have no
-// version.
+// decodeKnown decodes the known list: the endpoint list of an earlier run of the gateway, which is
+// part of the configuration. Its entries and its version may be missing.
 func (d *decoder) decodeKnown(text []byte) (*endpointList, error) {
 	var known struct{ Hosts json.RawMessage }
 	if err := json.Unmarshal(text, &known); err != nil {
@@ -92,7 +94,8 @@
 	return &endpointList{version: decodeKnownVersion(text), servers: servers}, nil
 }
 
-// decodeKnownVersion reads the version of the list of an earlier run, which may have none.
+// decodeKnownVersion decodes the version of the known list. It returns noVersion if the version is
+// missing or malformed.
 func decodeKnownVersion(text []byte) int64 {
 	var known struct{ Seq *int64 }
 	if err := json.Unmarshal(text, &known); err != nil || known.Seq == nil {
@@ -101,8 +104,9 @@
 	return *known.Seq
 }
 
-// decodeEntries reads the entries of a list. A server in an unknown state counts as removed:
-// nothing is sent to it. Of two entries with one name the later counts.
+// decodeEntries decodes the entries of a list in their order. A server in an unknown state counts
+// as removed, so nothing is sent to it. If two entries have the same name, the later one takes
+// effect when the list is applied.
 func (d *decoder) decodeEntries(hosts []byte) ([]dispatch.Server, error) {
 	var entries []entry
 	if err := json.Unmarshal(hosts, &entries); err != nil {
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// parallelCalls are calls for the full list that are out at once, each on a connection of its own.
+// parallelCalls runs calls for the full list in parallel, each on its own connection.
 type parallelCalls struct {
 	fetch   func(ctx context.Context, c *connection) (*endpointList, error)
-	ctx     context.Context // ends with stop
+	ctx     context.Context // context of the calls; stop cancels it
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	results chan fullListResult // has room for all
+	results chan fullListResult // buffered for all calls, so that no call blocks when it ends
 }
 
-// fullAnswer is how a call for the full list ended.
+// fullListResult is the result of a call for the full list.
 type fullListResult struct {
 	connection *connection
 	list       *endpointList
@@ -37,8 +37,8 @@
 	})
 }
 
-// stop ends the calls that are out, and closes all connections but those of answers that were
-// taken.
+// stop cancels the pending calls, waits until they have returned, and closes the connections whose
+// results have not been received. No call may be started afterwards.
 func (p *parallelCalls) stop() {
 	p.cancel()
 	p.running.Wait()
@@ -48,9 +48,10 @@
 	}
 }
 
-// fetchFull requests the full list, always on a new connection. Beside a call that is not answered
-// further ones begin, as an agent that is back from an outage may still hold it; it stays open, as
-// giving it up would lose its turn at an overbooked discovery. The first good answer ends them all.
+// fetchFull requests the full list, always on a new connection. While a call is pending it starts
+// further ones, because an agent that recovers from an outage may still hold an earlier one
+// without answering. The earlier calls stay open, because canceling one would lose its turn at an
+// overloaded discovery. The first valid answer cancels the other calls.
 func (s *session) fetchFull(ctx context.Context) (*endpointList, error) {
 	s.connection.close()
 	s.connection = newConnection(s.watcher.dial)
@@ -73,22 +74,24 @@
 			calls.start(newConnection(s.watcher.dial))
 		case answer := <-calls.results:
 			pending--
-			// A notified agent answers at once: a failure of the first call ends the others.
+			// A notified agent answers immediately, so a failure of the first call ends the others.
 			endsAllCalls := !s.agent.isPolled && answer.connection == s.connection
 			if answer.err == nil || pending == 0 || endsAllCalls {
 				s.connection = answer.connection
 				return answer.list, answer.err
 			}
-			answer.connection.close() // it is open still where only the answer was malformed
+			answer.connection.close() // it is still open if only the answer was malformed
 		}
 	}
 }
 
-// stagger draws the time until another call begins beside those that are not answered.
+// drawStagger returns a random delay before the next parallel call.
 func (s *session) drawStagger() time.Duration {
 	return s.watcher.randomBetween(s.timing.minStagger, s.timing.maxStagger)
 }
 
+// fetchFullOn requests the full list on a connection. It returns errNotFullList if the answer
+// contains only changes.
 func (s *session) fetchFullOn(ctx context.Context, c *connection) (*endpointList, error) {
 	body, err := c.get(ctx, s.listURL(), s.timing.listTimeout)
 	if err != nil {
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -11,23 +11,23 @@
 	"harrierhoist/policy"
 )
 
-// session follows the list of one agent.
+// session is the state of following the list of one agent. It is used only by Watcher.Run.
 type session struct {
 	watcher            *Watcher
 	agent              agent
 	timing             fullListTiming
-	connection         *connection // of the latest call
-	version            int64       // of the latest list
+	connection         *connection // connection of the latest call
+	version            int64       // version of the latest list
 	backoff            *backoff.ExponentialBackOff
-	failures           failureRun // ends with a watch that is answered
-	isResuming         bool       // the next watch is the first, from the version of an earlier run
-	awaitsConfirmation bool       // the latest list was an empty full one, which is not applied
+	failures           failureRun // failures since the latest answered watch
+	isResuming         bool       // the next watch is the first and starts from the version of the known list
+	awaitsConfirmation bool       // the latest list was full and empty, and has not been applied
 }
 
-// followUp is the call that follows another.
+// scheduledCall is the next call to make and the pause before it.
 type scheduledCall struct {
 	call  callKind
-	pause time.Duration // before it
+	pause time.Duration
 }
 
 func newSession(w *Watcher, current agent) *session {
@@ -40,8 +40,10 @@
 	}
 }
 
-// firstCall decides how the session begins: with a watch from the list of an earlier run, where the
-// agent has its version and discovery is polled. A notified agent gives its full list at once.
+// firstCall returns the kind of the session's first call. If the agent polls discovery and served
+// the known list, the first call is a watch from the version of that list. In all other cases the
+// full list is requested; a notified agent returns it immediately. Only the first session of a
+// watcher resumes from the known list.
 func (s *session) firstCall() callKind {
 	version := s.watcher.knownVersion
 	s.watcher.knownVersion = noVersion
@@ -53,10 +55,11 @@
 	return watchCall
 }
 
+// listURL returns the URL of the full list.
 func (s *session) listURL() string { return "http://" + s.agent.addr + "/api/targets" }
 
-// call requests the full list, or watches for changes, handles the answer, and decides what
-// follows.
+// makeCall requests the full list or watches for changes. It handles the answer or the failure, and
+// returns the next call.
 func (s *session) makeCall(ctx context.Context, kind callKind) scheduledCall {
 	fetch := s.fetchDelta
 	if kind == fullListCall {
@@ -66,7 +69,7 @@
 	received, err := fetch(ctx)
 	switch {
 	case ctx.Err() != nil:
-		return scheduledCall{call: kind} // the agent is not followed any more
+		return scheduledCall{call: kind} // the session has ended, so its caller discards this
 	case err != nil:
 		return s.handleFailure(err, kind)
 	case s.needsConfirmation(received):
@@ -76,14 +79,15 @@
 	}
 }
 
-// fetchDelta watches for what changes after the version of the list in force. Changes that do not
-// follow it come from an agent that has restarted: only its full list tells what is in force.
+// fetchDelta waits for the changes after the version of the latest list. It returns an error that
+// wraps errVersionMismatch if the changes do not follow that version. The agent has then restarted,
+// and its full list must be requested.
 func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
 	wait := s.drawWatchWait()
 	timeout := wait + watchGrace
 	if s.isResuming {
 		wait = resumedWatchWait
-		timeout = polledListTimeout // it may wait for its turn as a call for the full list does
+		timeout = polledListTimeout // like a call for the full list, it may have to wait for its turn
 	}
 	url := fmt.Sprintf("%s?since=%d&timeout_ms=%d", s.listURL(), s.version, wait.Milliseconds())
 	body, err := s.connection.get(ctx, url, timeout)
@@ -100,9 +104,9 @@
 	return received, nil
 }
 
-// drawWatch draws how long a watch waits for a change: one change answers the watches of a whole
-// fleet, which would all end at one moment from then on. The first draw is made in both modes, so
-// that the times drawn from a seed stay as recorded.
+// drawWatchWait returns a random time that a watch waits for a change. A change ends the watches of
+// the whole fleet together. With a fixed wait, all later watches would end together as well. The
+// first random number is drawn in both modes, so that a seed yields the recorded times.
 func (s *session) drawWatchWait() time.Duration {
 	notifiedWait := s.watcher.randomBetween(minWatchWait, maxWatchWait)
 	if !s.agent.isPolled {
@@ -111,8 +115,8 @@
 	return s.watcher.randomBetween(minPolledWatchWait, maxPolledWatchWait)
 }
 
-// handleFailure logs a call that failed, tells the gateway where discovery itself failed, and
-// decides what follows.
+// handleFailure logs the failure of a call unless the run already contains its kind. It reports a
+// failure of discovery to the dispatcher, and returns the next call.
 func (s *session) handleFailure(err error, call callKind) scheduledCall {
 	kind := failureKindOf(err, call)
 	pause := pauseAfterFailure(kind, s.agent, !s.failures.hasAny())
@@ -129,14 +133,15 @@
 	return scheduledCall{call: callAfterFailure(kind, call), pause: s.drawPause(pause)}
 }
 
-// needsConfirmation decides whether a list is doubted: a full one without any server, where there
-// were some, more likely comes from an agent that lost its list. The second in a row is believed.
+// needsConfirmation reports whether another call must confirm the list before it is applied. This
+// is the case for a full list that would remove all servers, because it more likely comes from an
+// agent that lost its list. A second such list confirms the first.
 func (s *session) needsConfirmation(received *endpointList) bool {
 	return s.watcher.wouldRemoveAllServers(received) && !s.awaitsConfirmation
 }
 
-// requestConfirmation has an empty list confirmed by another call for the full list. The first draw
-// is made in both modes, as in drawWatch.
+// requestConfirmation returns a call for the full list, which must confirm an empty list. As in
+// drawWatchWait, the first random number is drawn in both modes.
 func (s *session) requestConfirmation() scheduledCall {
 	s.watcher.log.Warn("discovery: empty endpoint list, confirmation requested")
 	s.awaitsConfirmation = true
@@ -147,8 +152,8 @@
 	return scheduledCall{call: fullListCall, pause: pause}
 }
 
-// handleList applies a list, and gives the watch that follows; took is the time from the call to
-// the answer.
+// handleList applies a list and returns the next call, which is a watch. The parameter elapsed is
+// the time from the call to the answer.
 func (s *session) handleList(
 	ctx context.Context, received *endpointList, call callKind, elapsed time.Duration,
 ) scheduledCall {
@@ -165,15 +170,15 @@
 	}
 	s.resetFailures()
 	didNotWait := len(received.servers) == 0 && elapsed < promptAnswerLimit
-	if didNotWait && !wasResumed { // a resumed watch is short by itself
+	if didNotWait && !wasResumed { // a resumed watch has a short wait
 		// Without a pause the agent would be called in a tight loop.
 		return scheduledCall{call: watchCall, pause: s.drawPause(shortPause)}
 	}
 	return scheduledCall{call: watchCall}
 }
 
-// endFailures ends a run of failures. Only the answer to a watch does, so that an agent which
-// answers some calls only keeps its growing pauses.
+// resetFailures ends a run of failures and resets the backoff. It is called only when a watch is
+// answered, so that the backoff persists if the agent answers other calls but no watch.
 func (s *session) resetFailures() {
 	if s.failures.hasOtherFailure {
 		s.watcher.log.Info("discovery: calls succeed again")
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -2,35 +2,42 @@
 
 import "time"
 
-// docs/capacity.md has what bounds these times.
+// docs/capacity.md explains the limits on these times.
 
-// Times where the agent is notified of changes.
+// Times that apply if the agent is notified of changes.
 const (
 	minWatchWait = 1200 * time.Millisecond
 	maxWatchWait = 1500 * time.Millisecond
-	watchGrace   = 400 * time.Millisecond // beyond the watch, until it is given up; in both modes
+	watchGrace   = 400 * time.Millisecond // time beyond the wait until a watch times out; in both modes
 
-	// promptAnswer is the time from a watch's call below which an answer without a change did not
-	// wait.
+	// promptAnswerLimit is the time within which an answer to a watch counts as immediate. An agent
+	// that waits for a change takes longer to answer that there was none.
 	promptAnswerLimit = minWatchWait / 2
 
-	listTimeout = time.Second // from a call for the full list to its whole answer; of a dial, in both modes
+	// listTimeout is the timeout of a call for the full list, including its complete answer. In
+	// both modes it is also the timeout of a dial.
+	listTimeout = time.Second
 
-	minStagger       = 250 * time.Millisecond // between parallel calls for the full list
+	minStagger       = 250 * time.Millisecond // delay between the starts of parallel calls for the full list
 	maxStagger       = 350 * time.Millisecond
 	maxParallelCalls = int(listTimeout / minStagger)
 
 	minShortPause = 50 * time.Millisecond
-	maxShortPause = 200 * time.Millisecond // calls no further apart count as one watch
+	maxShortPause = 200 * time.Millisecond // a watch within this time of the previous answer continues that watch
 )
 
-// Times where discovery is polled, which takes a gateway's call only once in some seconds.
+// Times that apply if discovery is polled. It accepts a call of each gateway only once every few
+// seconds.
 const (
-	polledListTimeout = 2600 * time.Millisecond // of a call for the full list, and of the first watch of a process
-	minPolledStagger  = 1300 * time.Millisecond
-	maxPolledStagger  = 1700 * time.Millisecond
+	// polledListTimeout is the timeout of a call for the full list, and of a resumed watch.
+	polledListTimeout = 2600 * time.Millisecond
 
-	resumedWatchWait = 100 * time.Millisecond // the first watch of a process, which clients wait for to be answered
+	minPolledStagger = 1300 * time.Millisecond
+	maxPolledStagger = 1700 * time.Millisecond
+
+	// resumedWatchWait is the wait of the first watch of a process. It is short because clients
+	// wait for its answer.
+	resumedWatchWait = 100 * time.Millisecond
 
 	minRejectedPause = 1100 * time.Millisecond
 	maxRejectedPause = 1350 * time.Millisecond
@@ -42,18 +49,18 @@
 	maxTimeoutPause = 900 * time.Millisecond
 )
 
-// Growing pauses.
+// Exponential backoff between calls.
 const (
 	initialBackoff    = 500 * time.Millisecond
-	backoffMultiplier = 2.0 // each pause by the one before
+	backoffMultiplier = 2.0 // ratio of a pause to the previous one
 	maxBackoff        = 1333 * time.Millisecond
-	backoffJitter     = 0.5 // part of a pause by which it is drawn shorter or longer
+	backoffJitter     = 0.5 // maximum random deviation of a pause, as a fraction of it
 )
 
-// maxListBytes is the size of an answer beyond which it is no list.
+// maxListBytes is the maximum size of an answer in bytes.
 const maxListBytes = 4 << 20
 
-// timing has the times of calls for the full list in one mode.
+// fullListTiming contains the times of calls for the full list in one mode.
 type fullListTiming struct {
 	listTimeout            time.Duration
 	minStagger, maxStagger time.Duration
@@ -66,5 +73,5 @@
 	return fullListTiming{listTimeout: listTimeout, minStagger: minStagger, maxStagger: maxStagger}
 }
 
-// maxCalls is how many calls for the full list may be out at once.
+// maxCalls returns the maximum number of parallel calls for the full list.
 func (t fullListTiming) maxCalls() int { return int(t.listTimeout / t.minStagger) }
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -1,6 +1,10 @@
-// Package discovery decides when the endpoint list is requested and which answer is applied: it
-// reads the list from an agent on this machine by long polls (watches). The gateway runs its
-// Watcher, which hands each list to the dispatcher.
+// Package discovery keeps the gateway's endpoint list up to date. It requests the list from a
+// discovery agent and follows changes by long polls, which are called watches. The gateway runs a
+// Watcher, which passes each valid list to the dispatcher.
+//
+// The agent runs on this machine. It is either notified of changes, or it polls discovery, which
+// accepts a call of each gateway only once every few seconds. The times of calls depend on this
+// mode.
 package discovery
 
 import (
@@ -18,32 +22,33 @@
 	"harrierhoist/policy"
 )
 
-// Watcher hands the endpoint list and its changes to a dispatcher.
+// Watcher follows the endpoint list of a discovery agent and passes the list and its changes to a
+// dispatcher.
 type Watcher struct {
 	dispatcher       *dispatch.Dispatcher
 	log              *zap.Logger
 	decoder          decoder
 	dial             func(ctx context.Context, network, addr string) (net.Conn, error)
-	random           *rand.Rand    // used by Run's goroutine alone
-	firstApplied     chan struct{} // closed once a list of discovery is applied
+	random           *rand.Rand    // used only by Run's goroutine
+	firstApplied     chan struct{} // closed when the first list from discovery has been applied
 	firstAppliedOnce sync.Once
-	knownVersion     int64 // of the list of an earlier run, until a session begins; noVersion: none
-	knownAgent       agent // that gave that list
+	knownVersion     int64 // version of the known list; noVersion if it has none, or once a session has begun
+	knownAgent       agent // agent that served the known list
 
 	mu            sync.Mutex
 	agent         agent
-	cancelSession context.CancelFunc // after it nothing of the session is applied
-	hasServers    bool               // the dispatcher has servers
+	cancelSession context.CancelFunc // no answer of the session is applied after it is called
+	hasServers    bool               // the dispatcher has at least one server
 }
 
-// agent is where discovery is read.
+// agent identifies a discovery agent and its mode.
 type agent struct {
 	addr     string // host:port
-	isPolled bool   // the agent is not notified of changes: its discovery is polled
+	isPolled bool   // the agent polls discovery; if false, it is notified of changes
 }
 
-// New makes a watcher, and hands the dispatcher the endpoints of an earlier run, if the
-// configuration has some. The only error is one of that list.
+// New returns a watcher. If the configuration contains the known list, the endpoint list of an
+// earlier run, New passes it to the dispatcher. It returns an error only if that list is malformed.
 func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
 	w := &Watcher{
 		dispatcher:    dispatcher,
@@ -69,11 +74,13 @@
 	return w, nil
 }
 
-// FirstList is closed once a list that discovery gave is applied.
+// FirstList returns a channel that is closed when the first list from discovery has been applied.
+// The known list does not count.
 func (w *Watcher) FirstList() <-chan struct{} { return w.firstApplied }
 
-// SetAgent has another agent followed, or the same in another mode. Once it returns, nothing that
-// the earlier one still answers is applied: it may be older than what the new one gives.
+// SetAgent replaces the agent to follow, or changes its mode. After SetAgent returns, no answer of
+// the previous agent is applied, because it may be older than the answers of the new one. Setting
+// the current agent again has no effect. SetAgent may be called while Run is running.
 func (w *Watcher) SetAgent(addr string, isPolled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,7 +92,8 @@
 	w.cancelSession()
 }
 
-// Run follows the list until the context ends: one agent after the other.
+// Run follows the list of the current agent until the context is canceled. It starts a new session
+// whenever SetAgent changes the agent. Only one call of Run may be active.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -98,7 +106,7 @@
 	}
 }
 
-// follow calls one agent again and again until the context ends.
+// runSession calls an agent repeatedly until the context is canceled.
 func (w *Watcher) runSession(ctx context.Context, current agent) {
 	s := newSession(w, current)
 	defer func() { s.connection.close() }()
@@ -111,7 +119,7 @@
 	}
 }
 
-// apply hands a list to the dispatcher, unless its session has ended meanwhile.
+// apply passes a list to the dispatcher, unless ctx, the context of its session, has been canceled.
 func (w *Watcher) apply(ctx context.Context, received *endpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,20 +137,20 @@
 	w.firstAppliedOnce.Do(func() { close(w.firstApplied) })
 }
 
-// wouldEmpty tells whether a full list would leave the dispatcher without any of the servers that
-// it has.
+// wouldRemoveAllServers reports whether a full list would remove every server that the dispatcher
+// has.
 func (w *Watcher) wouldRemoveAllServers(received *endpointList) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return received.isFull && received.isEmpty() && w.hasServers
 }
 
-// randomBetween draws a time, from least on and below most.
+// randomBetween returns a random duration in the half-open interval [low, high).
 func (w *Watcher) randomBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
-// sleep waits, and returns false if the context ended first.
+// sleep waits for the pause. It returns false if the context is canceled before the pause ends.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
