--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -25,7 +25,7 @@
 	fullListTimedOut                    // a call for the full list had no complete answer within its timeout
 	callRejected                        // the status was not 200, for example because discovery is overloaded
 	versionMismatch                     // the changes do not follow the version in force
-	otherFailure                        // connection refused or reset; answer truncated, too long or malformed
+	otherFailure                        // any other failure, such as a refused connection or a malformed answer
 )
 
 // failureKindOf classifies the error of a call.
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -13,7 +13,7 @@
 // noVersion stands for the version of a list that has none.
 const noVersion = -1
 
-// endpointList is a decoded endpoint list: the full list, or the changes since a version.
+// endpointList is a decoded endpoint list: the full list, or the changes after a version.
 type endpointList struct {
 	version int64 // version of the list once the changes are applied
 	isFull  bool  // all servers; if false, only those that changed
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -11,13 +11,13 @@
 	"harrierhoist/policy"
 )
 
-// session is the state of following the list of one agent. It is used only by Watcher.Run.
+// session follows the list of one agent. Only the goroutine of Watcher.Run changes it.
 type session struct {
 	watcher            *Watcher
 	agent              agent
 	timing             fullListTiming
 	connection         *connection // connection of the latest call
-	version            int64       // version of the latest list
+	version            int64       // version of the list in force
 	backoff            *backoff.ExponentialBackOff
 	failures           failureRun // failures since the latest answered watch
 	isResuming         bool       // the next watch is the first and starts from the version of the known list
@@ -40,10 +40,10 @@
 	}
 }
 
-// firstCall returns the kind of the session's first call. If the agent polls discovery and served
-// the known list, the first call is a watch from the version of that list. In all other cases the
-// full list is requested; a notified agent returns it immediately. Only the first session of a
-// watcher resumes from the known list.
+// firstCall returns the kind of the session's first call. If discovery is polled and the agent
+// served the known list, the first call is a watch from the version of that list. In all other
+// cases the full list is requested; a notified agent returns it immediately. Only the first session
+// of a watcher resumes from the known list.
 func (s *session) firstCall() callKind {
 	version := s.watcher.knownVersion
 	s.watcher.knownVersion = noVersion
@@ -79,7 +79,7 @@
 	}
 }
 
-// fetchDelta waits for the changes after the version of the latest list. It returns an error that
+// fetchDelta waits for the changes after the version of the list in force. It returns an error that
 // wraps errVersionMismatch if the changes do not follow that version. The agent has then restarted,
 // and its full list must be requested.
 func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -2,9 +2,9 @@
 // discovery agent and follows changes by long polls, which are called watches. The gateway runs a
 // Watcher, which passes each valid list to the dispatcher.
 //
-// The agent runs on this machine. It is either notified of changes, or it polls discovery, which
-// accepts a call of each gateway only once every few seconds. The times of calls depend on this
-// mode.
+// The agent runs on this machine. Either it is notified of changes, or discovery must be polled for
+// them. In the latter case discovery accepts a call of each gateway only once every few seconds.
+// The times of calls depend on this mode.
 package discovery
 
 import (
@@ -44,7 +44,7 @@
 // agent identifies a discovery agent and its mode.
 type agent struct {
 	addr     string // host:port
-	isPolled bool   // the agent polls discovery; if false, it is notified of changes
+	isPolled bool   // the agent is not notified of changes, so discovery is polled
 }
 
 // New returns a watcher. If the configuration contains the known list, the endpoint list of an
