--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -90,8 +90,8 @@
 			if row.most > 0 && len(seen) < draws/2 {
 				t.Errorf("%d pauses of %d differ", len(seen), draws)
 			}
-			if each := sum / draws; each < row.perCall {
-				t.Errorf("a call every %v", each)
+			if interval := sum / draws; interval < row.perCall {
+				t.Errorf("a call every %v", interval)
 			}
 		})
 	}
@@ -152,8 +152,8 @@
 		for range watches {
 			last = nextCallWhere(t, calls, agentCall.isWatch)
 		}
-		if each := last.at.Sub(first.at) / watches; each < minShortPause {
-			t.Errorf("a watch every %v", each)
+		if interval := last.at.Sub(first.at) / watches; interval < minShortPause {
+			t.Errorf("a watch every %v", interval)
 		}
 	})
 }
@@ -176,14 +176,14 @@
 // Guards against gateways that start together and keep discovery overbooked by their calls.
 func TestRun_rejectedFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const gateways, lasting = 40, 4 * time.Second
+		const gateways, duration = 40, 4 * time.Second
 		addr, calls := rejectingAgent(t, math.MaxInt64)
 		for range gateways {
 			startWatcher(t, addr, options{known: fullList(1)})
 		}
-		time.Sleep(lasting)
-		if each := float64(calls.Load()) / gateways; each > 6 || each < 2 {
-			t.Errorf("%.1f calls a gateway in %v", each, lasting)
+		time.Sleep(duration)
+		if callsPerGateway := float64(calls.Load()) / gateways; callsPerGateway > 6 || callsPerGateway < 2 {
+			t.Errorf("%.1f calls a gateway in %v", callsPerGateway, duration)
 		}
 	})
 }
--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -25,7 +25,7 @@
 	fullListTimedOut                    // a call for the full list had no complete answer within its timeout
 	callRejected                        // the status was not 200, for example because discovery is overloaded
 	versionMismatch                     // the changes do not follow the version in force
-	otherFailure                        // any other failure, such as a refused connection or a malformed answer
+	callFailed                          // any other failure, such as a refused connection or a malformed answer
 )
 
 // failureKindOf classifies the error of a call.
@@ -40,7 +40,7 @@
 	case errors.Is(err, errVersionMismatch):
 		return versionMismatch
 	default:
-		return otherFailure
+		return callFailed
 	}
 }
 
@@ -64,7 +64,7 @@
 	fullListTimedOut: {noPause, noPause, timeoutPause, timeoutPause},
 	callRejected:     {backoffPause, backoffPause, rejectedPause, rejectedPause},
 	versionMismatch:  {noPause, shortPause, noPause, backoffPause},
-	otherFailure:     {noPause, shortPause, backoffPause, backoffPause},
+	callFailed:       {noPause, shortPause, backoffPause, backoffPause},
 }
 
 // pauseAfterFailure returns the kind of pause that follows a failed call. A notified agent runs on
--- a/internal/gateway/discovery/known_test.go
+++ b/internal/gateway/discovery/known_test.go
@@ -16,8 +16,8 @@
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 			switch {
 			case call.number == 1 && call.isWatch():
-				drain := fakes.FormatHost("s-1", "x", "terminating")
-				writeAnswer(conn, fakes.FormatList(8, false, drain, readyHost("s-2")))
+				terminatingHost := fakes.FormatHost("s-1", "x", "terminating")
+				writeAnswer(conn, fakes.FormatList(8, false, terminatingHost, readyHost("s-2")))
 			case call.isWatch():
 				holdOpen(conn)
 			default:
--- a/internal/gateway/discovery/list_test.go
+++ b/internal/gateway/discovery/list_test.go
@@ -29,7 +29,7 @@
 }
 
 // One malformed entry makes a list malformed as a whole.
-func TestDecodeAnswer_malformedListIsRefused(t *testing.T) {
+func TestDecodeAnswer_rejectsMalformedList(t *testing.T) {
 	d := &decoder{zones: []string{"hall-a"}, hardware: []string{"m2"}}
 	good := readyHost("s-1")
 	for name, body := range map[string]string{
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -14,13 +14,13 @@
 // After a malformed answer the last list is in force, one line is logged, and the full list is
 // requested on a new connection within maxSilence.
 func TestWatch_malformedAnswerIsIgnored(t *testing.T) {
-	part := fullList(9, "s-2")[:60]
+	truncatedList := fullList(9, "s-2")[:60]
 	for name, respond := range map[string]func(net.Conn){
 		"an empty body":           respondWith(""),
-		"a list cut off":          respondWith(part),
+		"a list cut off":          respondWith(truncatedList),
 		"two lists":               respondWith(fullList(9) + fullList(9)),
-		"cut with its connection": func(conn net.Conn) { writeAnswer(conn, part[:1]); _ = conn.Close() },
-		"cut within the message":  respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + part),
+		"cut with its connection": func(conn net.Conn) { writeAnswer(conn, truncatedList[:1]); _ = conn.Close() },
+		"cut within the message":  respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
 	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
@@ -39,7 +39,7 @@
 }
 
 // While all answers are malformed the last list is in force, and one line is logged.
-func TestRun_malformedListKeepsTheLastAndWarnsOnce(t *testing.T) {
+func TestRun_malformedListKeepsThePreviousAndWarnsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, _ := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
 			writeAnswer(conn, `{"seq":1,"hosts":7}`)
--- a/internal/gateway/discovery/overbooked_test.go
+++ b/internal/gateway/discovery/overbooked_test.go
@@ -15,7 +15,7 @@
 
 // overbookedAgent takes a call each turn, and rejects what would wait for its turn longer than its
 // timeout: 2 s, or what a watch says. A call that is given up uses its turn.
-type overbookedAgent struct {
+type overloadedAgent struct {
 	turn                    time.Duration
 	exemptsContinuedWatches bool          // a continued watch takes no turn, and no call waits for over 2 s
 	changed                 chan struct{} // closed with version 2, in which s-2 replaces s-1
@@ -26,24 +26,24 @@
 }
 
 // continuationTime is how soon after an answer the next call continues the watch.
-const maxContinuationGap = 200 * time.Millisecond
+const maxWatchGap = 200 * time.Millisecond
 
-func newOverbookedAgent(turn time.Duration, keepsWatches bool) *overbookedAgent {
-	return &overbookedAgent{
-		turn: turn, exemptsContinuedWatches: keepsWatches, changed: make(chan struct{}), lastWatchAnswers: map[int]time.Time{},
+func newOverloadedAgent(turn time.Duration, exemptsContinuedWatches bool) *overloadedAgent {
+	return &overloadedAgent{
+		turn: turn, exemptsContinuedWatches: exemptsContinuedWatches, changed: make(chan struct{}), lastWatchAnswers: map[int]time.Time{},
 	}
 }
 
 // isContinued tells whether a call continues a watch.
-func (a *overbookedAgent) continuesWatch(call agentCall) bool {
+func (a *overloadedAgent) continuesWatch(call agentCall) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at, ok := a.lastWatchAnswers[call.connection]
-	return a.exemptsContinuedWatches && call.isWatch() && ok && time.Since(at) <= maxContinuationGap
+	return a.exemptsContinuedWatches && call.isWatch() && ok && time.Since(at) <= maxWatchGap
 }
 
 // waitForTurn waits for a call's turn, and returns false if the call is rejected.
-func (a *overbookedAgent) waitForTurn(limit time.Duration) bool {
+func (a *overloadedAgent) waitForTurn(limit time.Duration) bool {
 	startedAt := time.Now()
 	a.mu.Lock()
 	if a.nextTurn.Before(startedAt) {
@@ -60,7 +60,7 @@
 	return true
 }
 
-func (a *overbookedAgent) handle(call agentCall, conn net.Conn) {
+func (a *overloadedAgent) handle(call agentCall, conn net.Conn) {
 	query, _ := url.ParseQuery(call.query)
 	limit := 2 * time.Second
 	if ms, err := strconv.Atoi(query.Get("timeout_ms")); err == nil {
@@ -127,11 +127,11 @@
 }
 
 // Guards against calls that are given up in their turn, and so overbook a polled discovery.
-func TestRun_allGatewaysReadAnOverbookedDiscovery(t *testing.T) {
+func TestRun_allGatewaysReadAnOverloadedDiscovery(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
 			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
-			agent := newOverbookedAgent(300*time.Millisecond, false)
+			agent := newOverloadedAgent(300*time.Millisecond, false)
 			addr, _ := scriptedAgent(listen(t), agent.handle)
 			watchers := startFleet(t, addr, 6)
 			time.Sleep(after)
@@ -150,7 +150,7 @@
 	for _, gateways := range []int{3, 12, 32, 300} {
 		runVirtual(t, strconv.Itoa(gateways)+" gateways", func(t *testing.T) {
 			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
-			agent := newOverbookedAgent(8*time.Second/time.Duration(gateways), true)
+			agent := newOverloadedAgent(8*time.Second/time.Duration(gateways), true)
 			addr, calls := scriptedAgent(listen(t), agent.handle)
 			go discardCalls(t, calls)
 			watchers := startFleet(t, addr, gateways)
@@ -158,14 +158,14 @@
 			close(agent.changed)
 			time.Sleep(6 * time.Second)
 			synctest.Wait()
-			late := 0
+			lateGateways := 0
 			for _, w := range watchers {
 				if chosenServer(w.dispatcher) != "s-2" {
-					late++
+					lateGateways++
 				}
 			}
-			if late > 0 {
-				t.Errorf("%d of %d gateways have not applied the change after 6 s", late, gateways)
+			if lateGateways > 0 {
+				t.Errorf("%d of %d gateways have not applied the change after 6 s", lateGateways, gateways)
 			}
 		})
 	}
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -43,8 +43,8 @@
 	p.cancel()
 	p.running.Wait()
 	close(p.results)
-	for answer := range p.results {
-		answer.connection.close()
+	for result := range p.results {
+		result.connection.close()
 	}
 }
 
@@ -59,28 +59,28 @@
 	calls := newParallelCalls(ctx, s.fetchFullOn, limit)
 	defer calls.stop()
 	calls.start(s.connection)
-	next := time.NewTimer(s.drawStagger())
-	defer next.Stop()
+	staggerTimer := time.NewTimer(s.drawStagger())
+	defer staggerTimer.Stop()
 	started := 1
 	pending := 1
 	for {
 		select {
-		case <-next.C:
+		case <-staggerTimer.C:
 			started++
 			if started < limit {
-				next.Reset(s.drawStagger())
+				staggerTimer.Reset(s.drawStagger())
 			}
 			pending++
 			calls.start(newConnection(s.watcher.dial))
-		case answer := <-calls.results:
+		case result := <-calls.results:
 			pending--
 			// A notified agent answers immediately, so a failure of the first call ends the others.
-			endsAllCalls := !s.agent.isPolled && answer.connection == s.connection
-			if answer.err == nil || pending == 0 || endsAllCalls {
-				s.connection = answer.connection
-				return answer.list, answer.err
+			endsAllCalls := !s.agent.isPolled && result.connection == s.connection
+			if result.err == nil || pending == 0 || endsAllCalls {
+				s.connection = result.connection
+				return result.list, result.err
 			}
-			answer.connection.close() // it is still open if only the answer was malformed
+			result.connection.close() // it is still open if only the answer was malformed
 		}
 	}
 }
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -53,8 +53,8 @@
 		startWatcher(t, addr, options{})
 		first := nextCall(t, calls)
 		last := nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 9 })
-		if each := last.at.Sub(first.at) / 8; each < minStagger {
-			t.Errorf("a call every %v", each)
+		if interval := last.at.Sub(first.at) / 8; interval < minStagger {
+			t.Errorf("a call every %v", interval)
 		}
 		if n := most.Load(); n < 2 || n > int64(maxParallelCalls) {
 			t.Errorf("%d calls at once", n)
@@ -63,7 +63,7 @@
 }
 
 // Guards against a connection left open by a parallel call whose answer is malformed.
-func TestFetchFull_failedParallelCallHasItsConnectionClosed(t *testing.T) {
+func TestFetchFull_malformedParallelAnswerClosesItsConnection(t *testing.T) {
 	listener, ended := fakes.Listen(t), make(chan struct{})
 	addr, calls := scriptedAgent(listener, func(call agentCall, conn net.Conn) {
 		if call.connection != 2 {
@@ -87,7 +87,7 @@
 }
 
 // Guards against dials that hang and delay the ones after them.
-func TestRun_hangingDialIsGivenUp(t *testing.T) {
+func TestRun_hangingDialTimesOut(t *testing.T) {
 	runVirtualInEachMode(t, "unreachable for six seconds", func(t *testing.T, isPolled bool) {
 		listener := listen(t)
 		startWatcher(t, listener.Addr().String(), options{isPolled: isPolled})
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -39,22 +39,22 @@
 // its version. A watch goes out only on the connection that its list came on: another agent may
 // hold it.
 func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
-	drain := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
+	terminatingHost := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, respond := range map[string]func(conn net.Conn){
-		"changes of a lower version":      respondWith(fakes.FormatList(3, false, drain)),
-		"changes of the version in force": respondWith(fakes.FormatList(41, false, drain)),
+		"changes of a lower version":      respondWith(fakes.FormatList(3, false, terminatingHost)),
+		"changes of the version in force": respondWith(fakes.FormatList(41, false, terminatingHost)),
 		"no changes in a lower version":   respondWith(fakes.FormatList(3, false)),
 		"reset":                           resetConnection,
 		"closed":                          func(conn net.Conn) { _ = conn.Close() },
 		"answered once it is given up": func(conn net.Conn) {
 			holdOpen(conn)
-			writeAnswer(conn, fakes.FormatList(42, false, drain))
+			writeAnswer(conn, fakes.FormatList(42, false, terminatingHost))
 		},
 		"a change in a list cut off": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
-			fakes.FormatList(42, false, drain, readyHost("s-3"))[:190]),
-		"a change beside a malformed entry": respondWith(fakes.FormatList(42, false, drain,
+			fakes.FormatList(42, false, terminatingHost, readyHost("s-3"))[:190]),
+		"a change beside a malformed entry": respondWith(fakes.FormatList(42, false, terminatingHost,
 			fakes.FormatHost("s-3", "", "in_service"))),
-		"a list that says not whether it is full": respondWith(`{"seq":42,"hosts":[` + drain + `]}`),
+		"a list that says not whether it is full": respondWith(`{"seq":42,"hosts":[` + terminatingHost + `]}`),
 	} {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
 			addr, calls, release := restartedAgent(t, respond)
@@ -104,7 +104,7 @@
 }
 
 // An agent that announces the end of each connection is watched all the same.
-func TestWatch_agentThatEndsEachConnectionIsWatched(t *testing.T) {
+func TestWatch_agentThatClosesEachConnectionIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var version atomic.Int64
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -32,7 +32,7 @@
 
 // An answer of the earlier agent that arrives half before the change and half after it is not
 // applied, while the new agent is silent.
-func TestSetAgent_laterAnswerOfTheOldAgentIsIgnored(t *testing.T) {
+func TestSetAgent_lateAnswerOfThePreviousAgentIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
 		text := fullList(8, "s-old")
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -85,7 +85,7 @@
 // Guards against a fleet whose watches fall silent at once and that calls without pauses.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const gateways, lasting = 40, 6 * time.Second
+		const gateways, duration = 40, 6 * time.Second
 		addr, calls, silent := silenceableAgent(t)
 		for range gateways {
 			startWatcher(t, addr, options{isPolled: true})
@@ -96,9 +96,9 @@
 			}
 		}
 		silent.Store(true)
-		time.Sleep(lasting)
-		if each := float64(len(calls)) / gateways; each > 4 || each < 2 {
-			t.Errorf("%.1f calls a gateway in %v", each, lasting)
+		time.Sleep(duration)
+		if callsPerGateway := float64(len(calls)) / gateways; callsPerGateway > 4 || callsPerGateway < 2 {
+			t.Errorf("%.1f calls a gateway in %v", callsPerGateway, duration)
 		}
 	})
 }
@@ -106,16 +106,16 @@
 // Guards against requests to a draining server after an outage of a notified agent.
 func TestRun_notifiedAgentIsReadSoonAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const lasting, drain = 6 * time.Second, time.Second
+		const duration, drain = 6 * time.Second, time.Second
 		addr, calls, silent := silenceableAgent(t)
 		startWatcher(t, addr, options{})
 		<-calls
 		<-calls
 		silent.Store(true)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		silent.Store(false)
-		recoveredAt, made := time.Now(), len(calls)
-		for range made {
+		recoveredAt, callsDuringOutage := time.Now(), len(calls)
+		for range callsDuringOutage {
 			<-calls
 		}
 		for call := range calls {
@@ -126,8 +126,8 @@
 				break
 			}
 		}
-		if most := int(3 * lasting / time.Second); made > most || made < 4 {
-			t.Errorf("%d calls in %v", made, lasting)
+		if most := int(3 * duration / time.Second); callsDuringOutage > most || callsDuringOutage < 4 {
+			t.Errorf("%d calls in %v", callsDuringOutage, duration)
 		}
 	})
 }
--- a/internal/gateway/discovery/watcher_test.go
+++ b/internal/gateway/discovery/watcher_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestNew_malformedKnownListIsRefused(t *testing.T) {
+func TestNew_rejectsMalformedKnownList(t *testing.T) {
 	configuration := &config.Gateway{Settings: forwardingSettings(), KnownEndpoints: []byte(`{"hosts":7}`)}
 	_, err := New(configuration, newDispatcher(t, configuration.Settings, zap.NewNop()), zap.NewNop())
 	if err == nil || !strings.Contains(err.Error(), "known") {
