--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -14,7 +14,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Guards against pauses so long that an agent which is back is read after maxUpdateDelay.
+// Guards against pauses that delay the list of a recovered agent beyond maxUpdateDelay.
 func TestRun_listIsAppliedSoonAfterAnyRunOfFailures(t *testing.T) {
 	for name, fail := range agentFailures {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
@@ -31,45 +31,54 @@
 			startWatcher(t, addr, options{isPolled: isPolled})
 			recovered := nextCallWhere(t, calls, func(call agentCall) bool {
 				if call.isWatch() {
-					t.Errorf("called %+v, without a list", call)
+					t.Errorf("got watch %+v before there was a list", call)
 				}
 				return call.number == 4
 			})
 			next := nextCallWhere(t, calls, watchFrom(7))
 			if elapsed := next.at.Sub(recovered.at); elapsed > maxUpdateDelay {
-				t.Errorf("applied after %v", elapsed)
+				t.Errorf("list applied %v after the agent recovered", elapsed)
 			}
 		})
 	}
 }
 
-// Calls begin at most 2 s apart however long the run of failures, and the pauses of a run differ.
+// In a run of failures of any length, calls begin at most 2 s apart, and their pauses are random.
 func TestHandleFailure_pausesAreRandomAndBounded(t *testing.T) {
 	for _, row := range []struct {
-		err         error
-		isPolled    bool
-		call        callKind
-		took        time.Duration // by a call
-		least, most time.Duration // of the pause after it, once the run has lasted
-		perCall     time.Duration // a gateway calls no oftener
+		err                error
+		isPolled           bool
+		call               callKind
+		callDuration       time.Duration // duration of each call
+		minPause, maxPause time.Duration // bounds of the pause after the first three failures of a run
+		minInterval        time.Duration // minimum average time between the starts of calls
 	}{
 		{
-			err: errTimeout, isPolled: true, took: listTimeout, least: minTimeoutPause, most: maxTimeoutPause,
-			perCall: 1600 * time.Millisecond,
+			err: errTimeout, isPolled: true, callDuration: listTimeout,
+			minPause: minTimeoutPause, maxPause: maxTimeoutPause, minInterval: 1600 * time.Millisecond,
 		},
 		{
-			err: errRejected, isPolled: true, least: 600 * time.Millisecond, most: 2 * time.Second,
-			perCall: 1200 * time.Millisecond,
+			err: errRejected, isPolled: true, minPause: 600 * time.Millisecond, maxPause: 2 * time.Second,
+			minInterval: 1200 * time.Millisecond,
 		},
-		{err: errRejected, least: 600 * time.Millisecond, most: 2 * time.Second, perCall: 1200 * time.Millisecond},
 		{
-			err: io.EOF, isPolled: true, call: watchCall, least: 600 * time.Millisecond, most: 2 * time.Second,
-			perCall: 1200 * time.Millisecond,
+			err: errRejected, minPause: 600 * time.Millisecond, maxPause: 2 * time.Second,
+			minInterval: 1200 * time.Millisecond,
+		},
+		{
+			err: io.EOF, isPolled: true, call: watchCall, minPause: 600 * time.Millisecond, maxPause: 2 * time.Second,
+			minInterval: 1200 * time.Millisecond,
+		},
+		{err: errTimeout, callDuration: listTimeout, minInterval: listTimeout},
+		{err: io.EOF, minPause: minShortPause, maxPause: maxShortPause, minInterval: 120 * time.Millisecond},
+		{
+			err: errTimeout, call: watchCall, callDuration: minWatchWait + watchGrace,
+			minInterval: minWatchWait + watchGrace,
+		},
+		{
+			err: errTimeout, isPolled: true, call: watchCall, callDuration: minWatchWait + watchGrace,
+			minInterval: minWatchWait + watchGrace,
 		},
-		{err: errTimeout, took: listTimeout, perCall: listTimeout},
-		{err: io.EOF, least: minShortPause, most: maxShortPause, perCall: 120 * time.Millisecond},
-		{err: errTimeout, call: watchCall, took: minWatchWait + watchGrace, perCall: minWatchWait + watchGrace},
-		{err: errTimeout, isPolled: true, call: watchCall, took: minWatchWait + watchGrace, perCall: minWatchWait + watchGrace},
 	} {
 		t.Run(fmt.Sprintf("%v, polled %v, watch %v", row.err, row.isPolled, row.call == watchCall), func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
@@ -81,24 +90,24 @@
 			const draws = 500
 			for range draws {
 				pause := s.handleFailure(row.err, row.call).pause
-				if pause < row.least || pause > row.most || row.took+pause > 2*time.Second {
-					t.Fatalf("pauses %v", pause)
+				if pause < row.minPause || pause > row.maxPause || row.callDuration+pause > 2*time.Second {
+					t.Fatalf("pause of %v is out of bounds", pause)
 				}
 				seen[pause] = true
-				sum += row.took + pause
+				sum += row.callDuration + pause
 			}
-			if row.most > 0 && len(seen) < draws/2 {
-				t.Errorf("%d pauses of %d differ", len(seen), draws)
+			if row.maxPause > 0 && len(seen) < draws/2 {
+				t.Errorf("%d distinct pauses in %d, want at least half", len(seen), draws)
 			}
-			if interval := sum / draws; interval < row.perCall {
-				t.Errorf("a call every %v", interval)
+			if interval := sum / draws; interval < row.minInterval {
+				t.Errorf("average time between calls is %v", interval)
 			}
 		})
 	}
 }
 
-// The first pauses after calls that failed at once are shorter, and an answered watch restores
-// them.
+// The first backoff pauses of a run are shorter than later ones. An answered watch resets the
+// backoff, and a full list does not.
 func TestHandleList_answeredWatchResetsBackoff(t *testing.T) {
 	s := newIdleSession(t, true)
 	for range 5 {
@@ -106,40 +115,40 @@
 	}
 	s.handleList(t.Context(), &endpointList{version: 1, isFull: true}, fullListCall, 0)
 	if pause := s.backoff.NextBackOff(); pause < 600*time.Millisecond {
-		t.Errorf("a full list ended the run: a pause of %v", pause)
+		t.Errorf("pause of %v after a full list, so the list reset the backoff", pause)
 	}
 	s.handleList(t.Context(), &endpointList{version: 1}, watchCall, time.Second)
 	if pause := s.handleFailure(io.EOF, watchCall).pause; pause > initialBackoff*3/2 {
-		t.Errorf("a pause of %v", pause)
+		t.Errorf("pause of %v after an answered watch, so the watch did not reset the backoff", pause)
 	}
 }
 
-// The first failure of a run is followed by a call at once where the agent is notified, and in both
-// modes by one that finds another version; further failures are not.
+// After the first failure of a run, a notified agent is called again without a pause. After a
+// version mismatch this applies in both modes. Later failures of the run are followed by a pause.
 func TestHandleFailure_firstFailureIsRetriedImmediately(t *testing.T) {
 	for _, row := range []struct {
-		name     string
-		isPolled bool
-		err      error
-		second   time.Duration // at least
+		name           string
+		isPolled       bool
+		err            error
+		minSecondPause time.Duration
 	}{
-		{"notified, connection ended", false, io.EOF, minShortPause},
-		{"notified, another version", false, errVersionMismatch, minShortPause},
-		{"polled, another version", true, errVersionMismatch, initialBackoff / 2},
+		{"notified, connection closed", false, io.EOF, minShortPause},
+		{"notified, version mismatch", false, errVersionMismatch, minShortPause},
+		{"polled, version mismatch", true, errVersionMismatch, initialBackoff / 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := newIdleSession(t, row.isPolled)
 			first := s.handleFailure(row.err, watchCall).pause
 			second := s.handleFailure(row.err, watchCall).pause
-			if first != 0 || second < row.second {
-				t.Errorf("pauses of %v, %v", first, second)
+			if first != 0 || second < row.minSecondPause {
+				t.Errorf("pauses of %v and %v", first, second)
 			}
 		})
 	}
 }
 
-// A watch that is answered at once without a change is begun again after a pause, which is short
-// enough to continue it.
+// If an agent answers a watch immediately without a change, the next watch begins after a pause.
+// The pause is short enough for the next watch to continue the previous one.
 func TestWatch_agentThatDoesNotWaitIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, calls := listThenAgent(t, func(connection int, conn net.Conn) {
@@ -153,13 +162,13 @@
 			last = nextCallWhere(t, calls, agentCall.isWatch)
 		}
 		if interval := last.at.Sub(first.at) / watches; interval < minShortPause {
-			t.Errorf("a watch every %v", interval)
+			t.Errorf("average time between watches is %v", interval)
 		}
 	})
 }
 
-// rejectingAgent rejects a number of calls, as an overbooked discovery does, and gives its list to
-// later ones; it counts the calls.
+// rejectingAgent starts an agent that rejects the first calls, as an overloaded discovery does, and
+// answers later ones with its list. It returns the address and a counter of the calls.
 func rejectingAgent(t *testing.T, rejected int64) (string, *atomic.Int64) {
 	t.Helper()
 	calls := &atomic.Int64{}
@@ -173,7 +182,7 @@
 	return addr, calls
 }
 
-// Guards against gateways that start together and keep discovery overbooked by their calls.
+// Guards against a fleet that starts at the same time and keeps discovery overloaded by its calls.
 func TestRun_rejectedFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, duration = 40, 4 * time.Second
@@ -183,12 +192,12 @@
 		}
 		time.Sleep(duration)
 		if callsPerGateway := float64(calls.Load()) / gateways; callsPerGateway > 6 || callsPerGateway < 2 {
-			t.Errorf("%.1f calls a gateway in %v", callsPerGateway, duration)
+			t.Errorf("%.1f calls per gateway in %v", callsPerGateway, duration)
 		}
 	})
 }
 
-// Backoff delays the list by a bounded time once discovery answers again.
+// Backoff delays the list by at most 3 s if discovery rejects two calls and answers the third.
 func TestRun_listIsReadOnceDiscoveryAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, _ := rejectingAgent(t, 2)
@@ -201,7 +210,7 @@
 	})
 }
 
-// A caller distinguishes errors by what they wrap.
+// Errors of get wrap the error of their kind.
 func TestGet_errorsAreTyped(t *testing.T) {
 	for name, want := range map[string]error{"silence": errTimeout, "503": errRejected, "never ends": errTooLong} {
 		runVirtual(t, name, func(t *testing.T) {
--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -10,9 +10,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// emptiedAgent gives s-1 in version 8, and a full list in its place to the first watch. From then
-// on it holds watches; its next full list waits for release, is written by second, and the ones
-// after by later.
+// emptiedAgent starts an agent that serves s-1 in version 8 and answers the first watch with the
+// list empty. It leaves later watches unanswered. Once release is closed, second answers the next
+// call for the full list and later answers the calls after it.
 func emptiedAgent(t *testing.T, empty string, second, later func(net.Conn)) (
 	addr string, calls chan agentCall, release chan bool,
 ) {
@@ -39,16 +39,17 @@
 	return addr, calls, release
 }
 
-// An empty full list, where there were servers, is applied once a call on a new connection gives
-// the same; until then the last list is in force, and one that names servers replaces it.
+// An empty full list that would remove all servers is applied only after a call on a new connection
+// has confirmed it. Until then the previous list stays in force. A second list that contains
+// servers is applied instead of the empty one.
 func TestRun_emptyFullListIsAppliedOnceConfirmed(t *testing.T) {
 	removed := fakes.FormatHost("s-1", "127.0.0.1:9", "terminated")
 	none, some := respondWith(fullList(9)), respondWith(fullList(9, "s-2"))
 	for name, row := range map[string]struct {
 		empty         string
 		second, later func(conn net.Conn)
-		after         string // the server then
-		confirmed     int    // lines logged on it
+		wantServer    string // server that requests are forwarded to afterwards
+		wantConfirmed int    // number of logged confirmations
 	}{
 		"empty again":               {fullList(9), none, none, "", 1},
 		"null again":                {`{"seq":9,"whole":true,"hosts":null}`, none, none, "", 1},
@@ -62,7 +63,7 @@
 			w := startWatcher(t, addr, options{isPolled: isPolled})
 			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
 			if full.isWatch() || full.connection == watch.connection {
-				t.Errorf("called %+v after %+v", full, watch)
+				t.Errorf("got call %+v after watch %+v, want a call for the full list on a new connection", full, watch)
 			}
 			if elapsed := full.at.Sub(watch.at); elapsed > maxUpdateDelay/2 {
 				t.Errorf("confirmation requested after %v", elapsed)
@@ -71,17 +72,17 @@
 			close(release)
 			next := nextCallWhere(t, calls, watchFrom(9))
 			if elapsed := next.at.Sub(watch.at); elapsed > maxUpdateDelay {
-				t.Errorf("applied after %v", elapsed)
+				t.Errorf("list applied after %v", elapsed)
 			}
-			w.wantServer("after the confirmation", row.after)
+			w.wantServer("after the confirmation", row.wantServer)
 			w.wantLogged("confirmation requested", 1)
-			w.wantLogged("empty endpoint list confirmed", row.confirmed)
+			w.wantLogged("empty endpoint list confirmed", row.wantConfirmed)
 		})
 	}
 }
 
-// Changes that leave no server need no confirmation, nor does an empty list where there was no
-// server.
+// Changes that remove all servers need no confirmation. Neither does an empty list if there was no
+// server before.
 func TestRun_deltaThatLeavesNoServerNeedsNoConfirmation(t *testing.T) {
 	discovery := fakes.NewDiscovery(t, readyHost("s-1"))
 	w := startWatcher(t, discovery.Addr, options{})
@@ -99,7 +100,8 @@
 	w.wantLogged("", 0)
 }
 
-// A gateway is ready once a list of discovery is applied, which an unconfirmed empty one is not.
+// A gateway is ready when the first list from discovery has been applied. An unconfirmed empty list
+// is not applied.
 func TestFirstList_isClosedByAnAppliedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
@@ -118,7 +120,7 @@
 		nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 2 })
 		select {
 		case <-w.FirstList():
-			t.Error("ready by a list that is not applied")
+			t.Error("ready, although no list has been applied")
 		default:
 		}
 		close(release)
--- a/internal/gateway/discovery/fixture_test.go
+++ b/internal/gateway/discovery/fixture_test.go
@@ -15,30 +15,33 @@
 )
 
 const (
-	maxSilenceRecovery = 3 * time.Second // from silence to a full list
-	maxUpdateDelay     = 5 * time.Second // from when an agent could give its list to when it is applied
+	maxSilenceRecovery = 3 * time.Second // maximum time from a watch that fails to the next full list
+	maxUpdateDelay     = 5 * time.Second // maximum time from when an agent can serve its list until the list is applied
 )
 
-// agentCall is a call that came to an agent: when, on which connection, as which call there and as
-// which of all calls, each from 1.
+// agentCall is a call that an agent received. The field connection is the number of the connection,
+// onConnection is the number of the call on that connection, and number is the number of the call
+// among all calls to the agent. All three count from 1.
 type agentCall struct {
 	at                               time.Time
 	connection, onConnection, number int
 	path, query                      string
 }
 
+// isWatchFrom reports whether the call watches for changes after a version.
 func (call agentCall) isWatchFrom(version int) bool {
 	return strings.HasPrefix(call.query, fmt.Sprintf("since=%d&timeout_ms=", version))
 }
 
 func (call agentCall) isWatch() bool { return call.query != "" }
 
-// watchFrom is isWatchFrom as a condition.
+// watchFrom returns a condition for nextCallWhere: the call is a watch from the version.
 func watchFrom(version int) func(agentCall) bool {
 	return func(call agentCall) bool { return call.isWatchFrom(version) }
 }
 
-// scriptedAgent stands in for an agent at a listener; a function answers each call.
+// scriptedAgent serves an agent at a listener. It calls respond for each call, and sends the call
+// to the channel that it returns.
 func scriptedAgent(
 	listener net.Listener, respond func(call agentCall, conn net.Conn),
 ) (addr string, calls chan agentCall) {
@@ -73,8 +76,8 @@
 	return listener.Addr().String(), calls
 }
 
-// listThenAgent answers the first call on each connection with the full list, in the version of the
-// connection's number, and later ones by a function.
+// listThenAgent starts an agent that answers the first call on each connection with the full list.
+// The list's version is the number of the connection. The function later answers the other calls.
 func listThenAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
 	return scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -86,12 +89,15 @@
 	})
 }
 
-// fullListAgent answers calls for the full list with one server, and holds watches.
+// fullListAgent starts an agent that answers calls for the full list with one server, and leaves
+// watches unanswered.
 func fullListAgent(t *testing.T, version int, server string) (addr string, calls chan agentCall) {
 	t.Helper()
 	return scriptedAgent(listen(t), answerListHoldWatches(version, server))
 }
 
+// answerListHoldWatches returns a handler that answers calls for the full list with one server, and
+// leaves watches unanswered.
 func answerListHoldWatches(version int, server string) func(agentCall, net.Conn) {
 	return func(call agentCall, conn net.Conn) {
 		if call.isWatch() {
@@ -104,7 +110,7 @@
 
 func readyHost(name string) string { return fakes.FormatHost(name, "127.0.0.1:9", "in_service") }
 
-// fullList is the full list of ready servers.
+// fullList formats a full list of ready servers.
 func fullList(version int, servers ...string) string {
 	var hosts []string
 	for _, name := range servers {
@@ -121,12 +127,13 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// answering answers a call with a body.
+// respondWith returns a handler that answers a call with the body.
 func respondWith(body string) func(net.Conn) {
 	return func(conn net.Conn) { writeAnswer(conn, body) }
 }
 
-// cutOff writes an answer that does not end, and closes the connection.
+// respondTruncated returns a handler that writes the text of an incomplete answer and closes the
+// connection.
 func respondTruncated(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = io.WriteString(conn, text)
@@ -134,10 +141,10 @@
 	}
 }
 
-// holdOpen leaves a call unanswered until its caller gives it up.
+// holdOpen leaves a call unanswered until the caller closes the connection.
 func holdOpen(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
 
-// resetConnection ends a connection as a process that dies does.
+// resetConnection resets a connection, as the operating system does when a process is killed.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -145,7 +152,8 @@
 	_ = conn.Close()
 }
 
-// trickle writes a head, and blanks after it until its caller gives it up.
+// trickle returns a handler that writes the beginning of an answer, and then blanks until the
+// caller closes the connection.
 func trickle(head string) func(net.Conn) {
 	return func(conn net.Conn) {
 		for _, err := io.WriteString(conn, head); err == nil; _, err = io.WriteString(conn, " ") {
@@ -154,7 +162,7 @@
 	}
 }
 
-// agentFailures are the ways in which a call to an agent fails.
+// agentFailures contains a handler for each way in which a call to an agent can fail.
 var agentFailures = map[string]func(net.Conn){
 	"silence": holdOpen,
 	"reset":   resetConnection,
@@ -174,19 +182,19 @@
 	},
 }
 
-// nextCall is the next call that comes to an agent.
+// nextCall returns the next call that an agent receives.
 func nextCall(t *testing.T, calls chan agentCall) agentCall {
 	t.Helper()
 	select {
 	case call := <-calls:
 		return call
 	case <-time.After(20 * time.Second):
-		t.Fatal("no call came")
+		t.Fatal("agent received no call within 20 s")
 		panic("unreachable")
 	}
 }
 
-// nextCallWhere is the next call for which a condition holds.
+// nextCallWhere returns the next call that satisfies the condition, and discards those before it.
 func nextCallWhere(t *testing.T, calls chan agentCall, condition func(agentCall) bool) agentCall {
 	t.Helper()
 	for {
--- a/internal/gateway/discovery/fuzz_test.go
+++ b/internal/gateway/discovery/fuzz_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// FuzzDecode reads any answer: it must not panic, and the figures of what it reads as a list must
-// be finite and in range.
+// FuzzDecode decodes arbitrary answers. Decoding must not panic, and the numbers of a decoded list
+// must be finite and in range.
 func FuzzDecode(f *testing.F) {
 	one, two := fakes.FormatHost("s-1", "10.1.0.18:6379", "in_service"), fakes.FormatHost("s-2", "x", "terminating")
 	for _, text := range []string{
@@ -30,16 +30,17 @@
 		received, err := d.decodeAnswer(body)
 		if err != nil {
 			if received != nil {
-				t.Fatalf("%q is malformed (%v) and was read as %+v", body, err, received)
+				t.Fatalf("decodeAnswer(%q) returned the list %+v beside the error %v", body, received, err)
 			}
 			return
 		}
-		for _, s := range received.servers {
-			// A capacity that is not above 0 counts as none.
-			at := s.Endpoint
-			if math.IsNaN(at.Capacity) || math.IsInf(at.Capacity, 0) || at.Zone < 0 || at.Zone >= len(d.zones) ||
-				at.Hardware < 0 || at.Hardware >= len(d.hardware) || at.State > policy.Draining {
-				t.Fatalf("%q: %+v", body, at)
+		for _, server := range received.servers {
+			// A capacity of 0 or less is valid and counts as none.
+			endpoint := server.Endpoint
+			if math.IsNaN(endpoint.Capacity) || math.IsInf(endpoint.Capacity, 0) ||
+				endpoint.Zone < 0 || endpoint.Zone >= len(d.zones) ||
+				endpoint.Hardware < 0 || endpoint.Hardware >= len(d.hardware) || endpoint.State > policy.Draining {
+				t.Fatalf("decodeAnswer(%q) returned endpoint %+v, out of range", body, endpoint)
 			}
 		}
 	})
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -27,7 +27,7 @@
 	return dispatch.Server{Name: name, Address: address, Endpoint: policy.Endpoint{State: state}}
 }
 
-// fullEntry is an entry with every key, and fullServer what it is read as.
+// fullEntry is an entry that has every key. It is decoded as fullServer.
 const fullEntry = `{"host":"s-1","dial":"10.1.0.18:6379","site":"hall-b","class":"m3","block":3,` +
 	`"health":"in_service","share":0.75,"born_ms":1796126169357.5}`
 
@@ -35,7 +35,7 @@
 	State: policy.Ready, Capacity: 0.75, StartedAt: 1796126169357500 * time.Microsecond, Rack: 3, Zone: 1, Hardware: 2,
 }}
 
-// listForms are the forms of a list, and what each is read as.
+// listEncodings contains encoded lists and the expected results of decoding them.
 var listEncodings = []struct {
 	name, body string
 	version    int64
@@ -44,7 +44,7 @@
 	isEmpty    bool
 }{
 	{
-		"a whole list, all keys", `{"seq":41,"whole":true,"hosts":[` + fullEntry + `]}`, 41, true,
+		"a full list, all keys", `{"seq":41,"whole":true,"hosts":[` + fullEntry + `]}`, 41, true,
 		[]dispatch.Server{fullServer},
 		false,
 	},
@@ -55,9 +55,9 @@
 	},
 	{"no entries", `{"seq":1,"whole":true,"hosts":[]}`, 1, true, nil, true},
 	{"null for entries", `{"seq":1,"whole":false,"hosts":null}`, 1, false, nil, true},
-	{"a version below 0", `{"seq":-9,"whole":false,"hosts":[]}`, -9, false, nil, true},
+	{"a negative version", `{"seq":-9,"whole":false,"hosts":[]}`, -9, false, nil, true},
 	{
-		"a version of 63 bits", `{"seq":9223372036854775807,"whole":true,"hosts":[]}`,
+		"the highest version", `{"seq":9223372036854775807,"whole":true,"hosts":[]}`,
 		9223372036854775807, true, nil, true,
 	},
 	{"indented, keys in another order", "\n{ \"hosts\" : [\r\n\t" + strings.ReplaceAll(fullEntry, ",", " ,\n ") +
@@ -82,7 +82,7 @@
 		[]dispatch.Server{newServer("s-1", "x", policy.Ready)},
 		false,
 	},
-	{"a site and a class that are unknown", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
+	{"unknown site and class", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
 		`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{newServer("s-1", "x", policy.Ready)}, false},
 	{
 		"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
@@ -96,12 +96,12 @@
 		false,
 	},
 	{
-		"none left", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
+		"only removed servers", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
 		[]dispatch.Server{newServer("c", "x", policy.Removed)},
 		true,
 	},
 	{
-		"one name twice", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
+		"a duplicate name", `{"seq":3,"whole":false,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"a","dial":"y","health":"terminating"}]}`, 3, false,
 		[]dispatch.Server{newServer("a", "x", policy.Ready), newServer("a", "y", policy.Draining)},
 		false,
@@ -123,7 +123,7 @@
 			}
 			known, err := d.decodeKnown([]byte(form.body))
 			if err != nil || !reflect.DeepEqual(known.servers, form.servers) {
-				t.Errorf("as the list of an earlier run: %+v, %v", known, err)
+				t.Errorf("decoded as the known list: %+v, %v", known, err)
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// The first call and a watch, byte for byte.
+// The requests of the first call and of a watch must not change in any byte.
 func TestGolden_callsAreWrittenAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := listenAt(t, "golden:1")
@@ -185,18 +185,19 @@
 		const rest = " HTTP/1.1\r\nHost: golden:1\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
 		for _, want := range []string{"GET /api/targets" + rest, "GET /api/targets?since=41&timeout_ms=1348" + rest} {
 			if got := <-heads; got != want {
-				t.Errorf("called %q", got)
+				t.Errorf("got request %q", got)
 			}
 		}
 	})
 }
 
-// recorded gives what a watcher of a seed calls in 40 s of a virtual clock: seconds from its start,
-// connection, number of the call there, and query. The agent answers by the number of the call. It
-// never rejects one: the pauses after a rejection are not drawn from the seed.
+// recordCalls returns the calls of a watcher in 40 s of a virtual clock, one per line: seconds
+// since the start, number of the connection, number of the call on it, and query. The number of a
+// call determines how the agent answers it. The agent never rejects a call, because the pauses
+// after a rejection do not depend on the seed.
 func recordCalls(t *testing.T, isPolled bool, seed int64) (lines []string) {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(time.Second) }) // calls that are being answered end
+	t.Cleanup(func() { time.Sleep(time.Second) }) // lets calls that are being answered end
 	var mu sync.Mutex
 	startedAt := time.Now()
 	addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/known_test.go
+++ b/internal/gateway/discovery/known_test.go
@@ -8,9 +8,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Where discovery is polled, a gateway that starts with a list of an earlier run watches from its
-// version, which takes one turn of an overbooked discovery. A notified agent is asked for its full
-// list.
+// If discovery is polled, a gateway that starts with a known list first watches from its version.
+// This takes only one turn of an overloaded discovery. From a notified agent the gateway requests
+// the full list.
 func TestRun_startsFromTheKnownVersion(t *testing.T) {
 	runVirtualInEachMode(t, "known", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -27,17 +27,18 @@
 		w := startWatcher(t, addr, options{isPolled: isPolled, known: fullList(7, "s-1")})
 		first, second := nextCall(t, calls), nextCall(t, calls)
 		if first.isWatchFrom(7) != isPolled || !second.isWatchFrom(8) {
-			t.Errorf("called with %q, then %q", first.query, second.query)
+			t.Errorf("first calls have queries %q and %q", first.query, second.query)
 		}
 		if pause := second.at.Sub(first.at); pause > maxShortPause {
-			t.Errorf("the watch went on after %v", pause)
+			t.Errorf("second call %v after the first, want at most maxShortPause", pause)
 		}
 		w.wantServer("after the first answer", "s-2")
 	})
 }
 
-// The list of an earlier run may be of another incarnation of the agent, in a higher version: the
-// full list is requested then, as it is where that list has no version or is of another address.
+// The known list may come from the agent before a restart, and its version may be higher than the
+// agent's present one. The full list is requested in that case, and also if the known list has no
+// version or comes from an agent with another address.
 func TestRun_knownVersionOfAnotherAgentIsNotUsed(t *testing.T) {
 	runVirtual(t, "in a lower version", func(t *testing.T) {
 		addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -61,7 +62,7 @@
 			t.Errorf("called with %q", call.query)
 		}
 	})
-	runVirtual(t, "of another address", func(t *testing.T) {
+	runVirtual(t, "from another address", func(t *testing.T) {
 		w := newWatcher(t, "nobody:1", options{isPolled: true, known: fullList(41, "s-1")})
 		addr, calls := fullListAgent(t, 3, "s-2")
 		w.SetAgent(addr, true)
--- a/internal/gateway/discovery/list_test.go
+++ b/internal/gateway/discovery/list_test.go
@@ -41,35 +41,35 @@
 		"no seq":               `{"whole":true,"hosts":[` + good + `]}`,
 		"a seq that is null":   `{"seq":null,"whole":true,"hosts":[` + good + `]}`,
 		"a seq that is text":   `{"seq":"7","whole":true,"hosts":[` + good + `]}`,
-		"a seq with a part":    `{"seq":7.5,"whole":true,"hosts":[` + good + `]}`,
+		"a fractional seq":     `{"seq":7.5,"whole":true,"hosts":[` + good + `]}`,
 		"no whole":             `{"seq":7,"hosts":[` + good + `]}`,
 		"no hosts":             `{"seq":7,"whole":true}`,
-		"hosts by name":        `{"seq":7,"whole":true,"hosts":{"s-1":` + good + `}}`,
-		"more behind it":       fakes.FormatList(7, true, good) + "x",
+		"hosts in an object":   `{"seq":7,"whole":true,"hosts":{"s-1":` + good + `}}`,
+		"trailing text":        fakes.FormatList(7, true, good) + "x",
 		"an entry that's null": fakes.FormatList(7, true, good, "null"),
 		"an entry that's text": fakes.FormatList(7, true, good, `"s-2"`),
-		"an entry of nothing":  fakes.FormatList(7, false, good, "{}"),
+		"an empty entry":       fakes.FormatList(7, false, good, "{}"),
 		"no host":              fakes.FormatList(7, true, good, fakes.FormatHost("", "1.2.3.4:5", "in_service")),
 		"no dial":              fakes.FormatList(7, true, good, fakes.FormatHost("s-2", "", "in_service")),
 		"no dial, terminating": fakes.FormatList(7, false, good, fakes.FormatHost("s-2", "", "terminating")),
-		"a share of text":      fakes.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
+		"a share that's text":  fakes.FormatList(7, true, strings.Replace(good, "1.0", `"1.0"`, 1)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if received, err := d.decodeAnswer([]byte(body)); err == nil {
-				t.Errorf("read as %+v", received)
+				t.Errorf("decoded as %+v, want an error", received)
 			}
 		})
 	}
 }
 
-// A removed server needs no address, one in an unknown state gets nothing, and the later of two
-// entries with one name counts.
+// A removed server needs no address. No request is forwarded to a server in an unknown state. Of
+// two entries with the same name, the later one takes effect.
 func TestDecodeAnswer_unusualEntries(t *testing.T) {
 	t.Parallel()
 	w := newWatcher(t, "127.0.0.1:1", options{})
 	for _, row := range []struct {
-		name, body, after string
-		isEmpty           bool
+		name, body, wantServer string
+		isEmpty                bool
 	}{
 		{
 			"removed, no address",
@@ -84,7 +84,7 @@
 			fakes.FormatList(3, true, readyHost("s-2"), fakes.FormatHost("s-2", "x", "terminating")), "", false,
 		},
 		{
-			"draining, then up",
+			"draining, then ready",
 			fakes.FormatList(4, true, fakes.FormatHost("s-3", "x", "terminating"), readyHost("s-3")), "s-3", false,
 		},
 		{"no state", fakes.FormatList(5, false, fakes.FormatHost("s-3", "x", "")), "", true},
@@ -95,11 +95,11 @@
 			t.Fatalf("%s: %+v, %v", row.name, received, err)
 		}
 		w.apply(t.Context(), received)
-		w.wantServer(row.name, row.after)
+		w.wantServer(row.name, row.wantServer)
 	}
 	none := &endpointList{isFull: true}
 	if w.apply(t.Context(), none); w.wouldRemoveAllServers(none) {
-		t.Error("no server is left, and one could be lost")
+		t.Error("wouldRemoveAllServers is true, although the dispatcher has no server")
 	}
 	body := fakes.FormatList(1, true, fakes.FormatHost("s-1", "x", "warming_up"))
 	received, err := w.decoder.decodeAnswer([]byte(body))
@@ -108,7 +108,7 @@
 	}
 }
 
-// The list of an earlier run may be of another program: only its entries are needed.
+// The known list may have been written by another program, so only its entries are needed.
 func TestDecodeKnown_needsNoVersion(t *testing.T) {
 	d := &decoder{}
 	for text, servers := range map[string]int{`{}`: 0, `{"hosts":null}`: 0, `{"hosts":[` + readyHost("s-1") + `]}`: 1} {
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -11,23 +11,23 @@
 	"harrierhoist/policy"
 )
 
-// After a malformed answer the last list is in force, one line is logged, and the full list is
-// requested on a new connection within maxSilence.
+// After a malformed answer the previous list stays in force and one warning is logged. The full
+// list is requested on a new connection within maxSilenceRecovery.
 func TestWatch_malformedAnswerIsIgnored(t *testing.T) {
 	truncatedList := fullList(9, "s-2")[:60]
 	for name, respond := range map[string]func(net.Conn){
-		"an empty body":           respondWith(""),
-		"a list cut off":          respondWith(truncatedList),
-		"two lists":               respondWith(fullList(9) + fullList(9)),
-		"cut with its connection": func(conn net.Conn) { writeAnswer(conn, truncatedList[:1]); _ = conn.Close() },
-		"cut within the message":  respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
+		"an empty body":                respondWith(""),
+		"a truncated list":             respondWith(truncatedList),
+		"two lists":                    respondWith(fullList(9) + fullList(9)),
+		"truncated, connection closed": func(conn net.Conn) { writeAnswer(conn, truncatedList[:1]); _ = conn.Close() },
+		"truncated body":               respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
 	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
 			w := startWatcher(t, addr, options{})
 			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
 			if !watch.isWatchFrom(watch.connection) || full.isWatch() || full.connection <= watch.connection {
-				t.Fatalf("called %+v, then %+v", watch, full)
+				t.Fatalf("got calls %+v, then %+v", watch, full)
 			}
 			if elapsed := full.at.Sub(watch.at); elapsed > maxSilenceRecovery {
 				t.Errorf("full list requested after %v", elapsed)
@@ -38,7 +38,7 @@
 	}
 }
 
-// While all answers are malformed the last list is in force, and one line is logged.
+// While all answers are malformed, the previous list stays in force and only one warning is logged.
 func TestRun_malformedListKeepsThePreviousAndWarnsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, _ := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/overbooked_test.go
+++ b/internal/gateway/discovery/overbooked_test.go
@@ -13,28 +13,30 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// overbookedAgent takes a call each turn, and rejects what would wait for its turn longer than its
-// timeout: 2 s, or what a watch says. A call that is given up uses its turn.
+// overloadedAgent handles one call per turn. It rejects a call that would wait for its turn longer
+// than the call's timeout, which is 2 s or the timeout of the watch. A call that its caller cancels
+// still uses its turn.
 type overloadedAgent struct {
 	turn                    time.Duration
-	exemptsContinuedWatches bool          // a continued watch takes no turn, and no call waits for over 2 s
-	changed                 chan struct{} // closed with version 2, in which s-2 replaces s-1
+	exemptsContinuedWatches bool          // a continued watch needs no turn, and no call waits longer than 2 s
+	changed                 chan struct{} // closed when s-2 replaces s-1, in version 2
 
 	mu               sync.Mutex
 	nextTurn         time.Time
-	lastWatchAnswers map[int]time.Time // by connection, when a watch was last answered on it
+	lastWatchAnswers map[int]time.Time // time of the latest answer to a watch, by connection
 }
 
-// continuationTime is how soon after an answer the next call continues the watch.
+// maxWatchGap is the maximum time from the answer to a watch until a call that continues the watch.
 const maxWatchGap = 200 * time.Millisecond
 
 func newOverloadedAgent(turn time.Duration, exemptsContinuedWatches bool) *overloadedAgent {
 	return &overloadedAgent{
-		turn: turn, exemptsContinuedWatches: exemptsContinuedWatches, changed: make(chan struct{}), lastWatchAnswers: map[int]time.Time{},
+		turn: turn, exemptsContinuedWatches: exemptsContinuedWatches, changed: make(chan struct{}),
+		lastWatchAnswers: map[int]time.Time{},
 	}
 }
 
-// isContinued tells whether a call continues a watch.
+// continuesWatch reports whether a call continues a watch and therefore needs no turn.
 func (a *overloadedAgent) continuesWatch(call agentCall) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,7 +44,8 @@
 	return a.exemptsContinuedWatches && call.isWatch() && ok && time.Since(at) <= maxWatchGap
 }
 
-// waitForTurn waits for a call's turn, and returns false if the call is rejected.
+// waitForTurn waits for a call's turn. It returns false immediately if the wait would be longer
+// than the limit, in which case the call is rejected.
 func (a *overloadedAgent) waitForTurn(limit time.Duration) bool {
 	startedAt := time.Now()
 	a.mu.Lock()
@@ -60,6 +63,7 @@
 	return true
 }
 
+// handle answers a call to the agent.
 func (a *overloadedAgent) handle(call agentCall, conn net.Conn) {
 	query, _ := url.ParseQuery(call.query)
 	limit := 2 * time.Second
@@ -103,7 +107,8 @@
 	}
 }
 
-// startFleet starts a number of watchers that poll one agent, with seeds from 1.
+// startFleet starts one watcher per gateway. All poll the same agent, with the seeds 1, 2, 3 and so
+// on.
 func startFleet(t *testing.T, addr string, gateways int) []*testWatcher {
 	t.Helper()
 	var watchers []*testWatcher
@@ -114,7 +119,8 @@
 	return watchers
 }
 
-// discardCalls takes calls until the test ends: more come than the channel holds.
+// discardCalls receives calls until the test ends, because the agent receives more calls than the
+// channel can buffer.
 func discardCalls(t *testing.T, calls chan agentCall) {
 	t.Helper()
 	for {
@@ -126,11 +132,12 @@
 	}
 }
 
-// Guards against calls that are given up in their turn, and so overbook a polled discovery.
+// Guards against calls that are canceled during their turn. They keep a polled discovery
+// overloaded.
 func TestRun_allGatewaysReadAnOverloadedDiscovery(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 2300 * time.Millisecond, 9 * time.Second} {
 		runVirtual(t, "a change after "+after.String(), func(t *testing.T) {
-			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
+			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // lets calls that wait for a turn end
 			agent := newOverloadedAgent(300*time.Millisecond, false)
 			addr, _ := scriptedAgent(listen(t), agent.handle)
 			watchers := startFleet(t, addr, 6)
@@ -145,11 +152,12 @@
 	}
 }
 
-// Guards against rejected watches of a fleet that take two turns, so that some gateways get none.
+// Guards against a fleet whose rejected watches use two turns each, so that some gateways get no
+// turn.
 func TestRun_rejectedWatchesOfAFleetTakeTurns(t *testing.T) {
 	for _, gateways := range []int{3, 12, 32, 300} {
 		runVirtual(t, strconv.Itoa(gateways)+" gateways", func(t *testing.T) {
-			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // calls that wait for a turn end
+			t.Cleanup(func() { time.Sleep(10 * time.Second) }) // lets calls that wait for a turn end
 			agent := newOverloadedAgent(8*time.Second/time.Duration(gateways), true)
 			addr, calls := scriptedAgent(listen(t), agent.handle)
 			go discardCalls(t, calls)
@@ -171,8 +179,8 @@
 	}
 }
 
-// A rejected call is repeated as it was: a watch from its version, and within maxRejectedPause
-// where discovery is polled; a call for the full list as another one.
+// A rejected call is repeated unchanged: a watch from the same version, and a call for the full
+// list as such. If discovery is polled, a watch is repeated within maxRejectedPause.
 func TestRun_rejectedCallIsRepeatedAsItWas(t *testing.T) {
 	runVirtualInEachMode(t, "rejected", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -184,16 +192,16 @@
 		})
 		startWatcher(t, addr, options{isPolled: isPolled})
 		if first, second := nextCall(t, calls), nextCall(t, calls); first.isWatch() || second.isWatch() {
-			t.Error("a watch was begun before there was a list")
+			t.Error("watch began before there was a list")
 		}
 		previous := nextCall(t, calls)
 		for range 20 {
 			call := nextCall(t, calls)
 			if !call.isWatchFrom(7) {
-				t.Fatalf("after a rejected watch %q was requested", call.query)
+				t.Fatalf("call after a rejected watch has query %q", call.query)
 			}
 			if pause := call.at.Sub(previous.at); isPolled && pause > maxRejectedPause {
-				t.Errorf("called again after %v", pause)
+				t.Errorf("watch repeated after %v", pause)
 			}
 			previous = call
 		}
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Guards against a list delayed by a call that the agent was answering as it fell silent.
+// Guards against a list that is delayed by a call which the agent received before an outage and
+// never answers.
 func TestFetchFull_startsParallelCallWhileAnotherIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan bool)
@@ -22,7 +23,7 @@
 			case !call.isWatch():
 				select {
 				case <-ended:
-					t.Error("the held call was given up first")
+					t.Error("first call was canceled before the second one was answered")
 				default:
 				}
 				writeFull(conn, 7, "s-1")
@@ -33,13 +34,13 @@
 		startWatcher(t, addr, options{})
 		watch := nextCallWhere(t, calls, agentCall.isWatch)
 		if !watch.isWatchFrom(7) || watch.connection == 1 || watch.onConnection == 1 {
-			t.Errorf("went on with %+v", watch)
+			t.Errorf("got watch %+v, want one from version 7 on the second call's connection", watch)
 		}
 		<-ended
 	})
 }
 
-// There are never more than four calls at once.
+// At most maxParallelCalls calls, which is four, are pending at the same time.
 func TestFetchFull_parallelCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var open, most atomic.Int64
@@ -54,15 +55,15 @@
 		first := nextCall(t, calls)
 		last := nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 9 })
 		if interval := last.at.Sub(first.at) / 8; interval < minStagger {
-			t.Errorf("a call every %v", interval)
+			t.Errorf("average time between calls is %v", interval)
 		}
 		if n := most.Load(); n < 2 || n > int64(maxParallelCalls) {
-			t.Errorf("%d calls at once", n)
+			t.Errorf("%d calls were pending at the same time", n)
 		}
 	})
 }
 
-// Guards against a connection left open by a parallel call whose answer is malformed.
+// Guards against a connection that stays open after the answer to a parallel call was malformed.
 func TestFetchFull_malformedParallelAnswerClosesItsConnection(t *testing.T) {
 	listener, ended := fakes.Listen(t), make(chan struct{})
 	addr, calls := scriptedAgent(listener, func(call agentCall, conn net.Conn) {
@@ -71,12 +72,12 @@
 			return
 		}
 		writeAnswer(conn, "no list")
-		holdOpen(conn) // until its caller closes it
+		holdOpen(conn) // waits until the watcher closes the connection
 		close(ended)
 	})
 	startWatcher(t, addr, options{})
 	nextCallWhere(t, calls, func(call agentCall) bool { return call.connection == 2 })
-	fakes.Eventually(t, "its end", func() bool {
+	fakes.Eventually(t, "end of the connection", func() bool {
 		select {
 		case <-ended:
 			return true
@@ -86,7 +87,7 @@
 	})
 }
 
-// Guards against dials that hang and delay the ones after them.
+// Guards against dials that hang and delay the following ones.
 func TestRun_hangingDialTimesOut(t *testing.T) {
 	runVirtualInEachMode(t, "unreachable for six seconds", func(t *testing.T, isPolled bool) {
 		listener := listen(t)
@@ -95,7 +96,7 @@
 		reachableAt := time.Now()
 		_, calls := scriptedAgent(listener, answerListHoldWatches(7, "s-1"))
 		if next := nextCallWhere(t, calls, agentCall.isWatch); next.at.Sub(reachableAt) > listTimeout+maxTimeoutPause {
-			t.Errorf("applied after %v", next.at.Sub(reachableAt))
+			t.Errorf("list applied %v after the agent became reachable", next.at.Sub(reachableAt))
 		}
 	})
 }
--- a/internal/gateway/discovery/pipe_test.go
+++ b/internal/gateway/discovery/pipe_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// pipeListener is a listener within the process, for tests on a virtual clock, which stops while
-// any goroutine can run: events keep their order and times on a busy machine. Connections end
-// without resets.
+// pipeListener is an in-process listener for tests on a virtual clock. The clock advances only
+// while all goroutines are blocked, so a busy machine does not change the order or the times of
+// events. Its connections cannot be reset, only closed.
 type pipeListener struct {
 	addr   string
 	conns  chan net.Conn
@@ -32,14 +32,14 @@
 	return listenAt(t, fmt.Sprintf("pipe-%d:1", pipeCount.Add(1)))
 }
 
-// listenAt takes over an address whose listener was closed.
+// listenAt listens at an address that is free, or whose previous listener has been closed.
 func listenAt(t *testing.T, addr string) net.Listener {
 	t.Helper()
 	l := &pipeListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 	pipeListeners.Store(addr, l)
 	t.Cleanup(func() {
 		_ = l.Close()
-		time.Sleep(100 * time.Millisecond) // goroutines that sleep see the end; the clock stops with the test
+		time.Sleep(100 * time.Millisecond) // lets sleeping goroutines end before the clock stops
 	})
 	return l
 }
@@ -62,7 +62,8 @@
 func (l *pipeListener) Network() string { return "pipe" }
 func (l *pipeListener) String() string  { return l.addr }
 
-// dialPipe connects to a pipeListener, or over sockets.
+// dialPipe connects to the pipeListener at the address. If there is none, it dials the address over
+// the network.
 func dialPipe(ctx context.Context, network, addr string) (net.Conn, error) {
 	found, _ := pipeListeners.Load(addr)
 	l, ok := found.(*pipeListener)
@@ -88,7 +89,8 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, test) })
 }
 
-// runVirtualInEachMode runs a subtest where the agent is notified, and where discovery is polled.
+// runVirtualInEachMode runs a subtest on a virtual clock in both modes: with a notified agent, and
+// with discovery polled.
 func runVirtualInEachMode(t *testing.T, name string, test func(t *testing.T, isPolled bool)) {
 	t.Helper()
 	for mode, isPolled := range map[string]bool{"notified": false, "polled": true} {
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -12,8 +12,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// restartedAgent gives s-1 in version 41, answers a watch once by a function, and then holds
-// watches. Its next full list, of s-2 in version 3, waits for release.
+// restartedAgent starts an agent that serves s-1 in version 41. The function respond answers its
+// first watch, and later watches stay unanswered. After the first watch, the agent answers a call
+// for the full list with s-2 in version 3, as soon as release is closed.
 func restartedAgent(t *testing.T, respond func(net.Conn)) (addr string, calls chan agentCall, release chan bool) {
 	t.Helper()
 	release = make(chan bool)
@@ -34,37 +35,37 @@
 	return addr, calls, release
 }
 
-// What comes in place of the answer to a watch may be of an agent that restarted and lost its list.
-// None of it is applied: the full list is requested on a new connection, and the watch goes on from
-// its version. A watch goes out only on the connection that its list came on: another agent may
-// hold it.
+// An invalid answer to a watch may come from an agent that restarted and lost its list. Nothing of
+// such an answer is applied. The full list is requested on a new connection, and the next watch
+// starts from its version. A watch is sent only on the connection that delivered the list, because
+// a restarted agent might leave it unanswered.
 func TestWatch_answerOfRestartedAgentIsIgnored(t *testing.T) {
 	terminatingHost := fakes.FormatHost("s-1", "127.0.0.1:9", "terminating")
 	for name, respond := range map[string]func(conn net.Conn){
-		"changes of a lower version":      respondWith(fakes.FormatList(3, false, terminatingHost)),
-		"changes of the version in force": respondWith(fakes.FormatList(41, false, terminatingHost)),
+		"changes in a lower version":      respondWith(fakes.FormatList(3, false, terminatingHost)),
+		"changes in the version in force": respondWith(fakes.FormatList(41, false, terminatingHost)),
 		"no changes in a lower version":   respondWith(fakes.FormatList(3, false)),
 		"reset":                           resetConnection,
 		"closed":                          func(conn net.Conn) { _ = conn.Close() },
-		"answered once it is given up": func(conn net.Conn) {
+		"answered after it timed out": func(conn net.Conn) {
 			holdOpen(conn)
 			writeAnswer(conn, fakes.FormatList(42, false, terminatingHost))
 		},
-		"a change in a list cut off": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
+		"a change in a truncated list": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
 			fakes.FormatList(42, false, terminatingHost, readyHost("s-3"))[:190]),
 		"a change beside a malformed entry": respondWith(fakes.FormatList(42, false, terminatingHost,
 			fakes.FormatHost("s-3", "", "in_service"))),
-		"a list that says not whether it is full": respondWith(`{"seq":42,"hosts":[` + terminatingHost + `]}`),
+		"a list without the key whole": respondWith(`{"seq":42,"hosts":[` + terminatingHost + `]}`),
 	} {
 		runVirtualInEachMode(t, name, func(t *testing.T, isPolled bool) {
 			addr, calls, release := restartedAgent(t, respond)
 			w := startWatcher(t, addr, options{isPolled: isPolled})
 			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
 			if !watch.isWatchFrom(41) || full.isWatch() || full.connection == watch.connection {
-				t.Fatalf("called %+v, then %+v", watch, full)
+				t.Fatalf("got calls %+v, then %+v", watch, full)
 			}
 			high := maxSilenceRecovery
-			if isPolled { // the watch itself may wait longer
+			if isPolled { // the watch itself may take longer
 				high = maxPolledWatchWait + watchGrace + time.Millisecond
 			}
 			if elapsed := full.at.Sub(watch.at); elapsed > high {
@@ -82,7 +83,8 @@
 	}
 }
 
-// Guards against net/http repeating a watch on another connection than its list came on.
+// Guards against net/http retrying a watch on a new connection, which may lead to a restarted
+// agent.
 func TestWatch_isNeverSentOnANewConnection(t *testing.T) {
 	runVirtualInEachMode(t, "closed after the list", func(t *testing.T, isPolled bool) {
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -103,7 +105,7 @@
 	})
 }
 
-// An agent that announces the end of each connection is watched all the same.
+// An agent that closes the connection after each answer, and announces it, can be watched.
 func TestWatch_agentThatClosesEachConnectionIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var version atomic.Int64
@@ -118,16 +120,16 @@
 		startWatcher(t, addr, options{})
 		for version := 7; version < 12; version++ {
 			if watch := nextCallWhere(t, calls, agentCall.isWatch); !watch.isWatchFrom(version) {
-				t.Fatalf("called %+v, not from %d", watch, version)
+				t.Fatalf("got watch %+v, want one from version %d", watch, version)
 			}
 		}
 	})
 }
 
-// An agent that dies in a watch, refuses connections, and is back in a lower version with another
-// list.
+// An agent stops during a watch and refuses connections. After its restart it serves another list
+// in a lower version.
 func TestWatch_restartedAgentIsFollowed(t *testing.T) {
-	runVirtualInEachMode(t, "dead, then back", func(t *testing.T, isPolled bool) {
+	runVirtualInEachMode(t, "stopped, then restarted", func(t *testing.T, isPolled bool) {
 		first := listen(t)
 		addr, calls := scriptedAgent(first, func(call agentCall, conn net.Conn) {
 			if !call.isWatch() {
@@ -142,19 +144,20 @@
 		fakes.Eventually(t, "a warning", func() bool {
 			return w.logs.FilterMessageSnippet("discovery: no valid answer").Len() == 1
 		})
-		w.wantServer("while the agent is dead", "s-1")
+		w.wantServer("while the agent is stopped", "s-1")
 		second := listenAt(t, addr)
 		restartedAt := time.Now()
 		_, calls = scriptedAgent(second, answerListHoldWatches(3, "s-2"))
 		next := nextCallWhere(t, calls, agentCall.isWatch)
 		if elapsed := next.at.Sub(restartedAt); !next.isWatchFrom(3) || elapsed > maxUpdateDelay {
-			t.Errorf("went on with %+v after %v", next, elapsed)
+			t.Errorf("got watch %+v %v after the restart", next, elapsed)
 		}
-		w.wantServer("once it is back", "s-2")
+		w.wantServer("after the restart", "s-2")
 	})
 }
 
-// Only the agent gives lists, under its one address: a redirect counts as a rejection.
+// Only the agent serves lists, and only at its own address and path. A redirect counts as a
+// rejection.
 func TestFetchFull_redirectIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other, otherCalls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { writeFull(conn, 9, "s-9") })
@@ -169,12 +172,12 @@
 			startWatcher(t, addr, options{isPolled: true, known: fullList(1, "s-1")})
 			for range 3 {
 				if call := nextCall(t, calls); call.path != "/api/targets" {
-					t.Errorf("called %s", call.path)
+					t.Errorf("got a call for path %s", call.path)
 				}
 			}
 		}
 		if n := len(otherCalls); n != 0 {
-			t.Errorf("%d calls elsewhere", n)
+			t.Errorf("%d calls to the target of the redirect", n)
 		}
 	})
 }
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -23,15 +23,15 @@
 	}
 	w.SetAgent(next.Addr, false)
 	if query := <-next.Queries; query != "" {
-		t.Errorf("called first with %q", query)
+		t.Errorf("first call has query %q, want a call for the full list", query)
 	}
 	if query := nextWatch(next); !strings.HasPrefix(query, "since=1&") {
-		t.Errorf("went on with %q", query)
+		t.Errorf("first watch has query %q, want since=1", query)
 	}
 }
 
-// An answer of the earlier agent that arrives half before the change and half after it is not
-// applied, while the new agent is silent.
+// Half of an answer of the previous agent arrives before the change, and the other half after it.
+// The answer is not applied, although the new agent does not answer.
 func TestSetAgent_lateAnswerOfThePreviousAgentIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
@@ -55,7 +55,7 @@
 	})
 }
 
-// An answer that was read before the change is not applied after it.
+// An answer that was read before the agent changed is not applied after the change.
 func TestSetAgent_answerReadBeforeTheChangeIsIgnored(t *testing.T) {
 	w := newWatcher(t, "a:1", options{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -70,10 +70,11 @@
 	w.wantServer("after the change", "s-1")
 }
 
-// Of several changes in a row the latest agent is followed, from its full list.
+// After several consecutive changes, the watcher follows the latest agent and begins with its full
+// list.
 func TestSetAgent_latestOfSeveralIsFollowed(t *testing.T) {
 	for name, changes := range map[string]struct {
-		before, after []string // changes before the watcher runs, and once a is watched
+		before, after []string // agents set before the watcher runs, and once it watches agent a
 		last          string
 	}{
 		"before the watch":         {before: []string{"b", "c"}, last: "c"},
@@ -99,7 +100,7 @@
 				w.SetAgent(addrs[agent], false)
 			}
 			if call := nextCall(t, calls[changes.last]); call.isWatch() {
-				t.Errorf("called first with %q", call.query)
+				t.Errorf("first call has query %q, want a call for the full list", call.query)
 			}
 			nextCallWhere(t, calls[changes.last], agentCall.isWatch)
 			w.wantServer("once the last is watched", "s-"+changes.last)
@@ -107,8 +108,8 @@
 	}
 }
 
-// SetAgent with the same agent leaves its watch alone; with another mode the full list is
-// requested.
+// SetAgent with the current agent does not interrupt its watch. With the other mode, the watcher
+// requests the full list on a new connection.
 func TestSetAgent_sameAddressKeepsTheWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
@@ -129,17 +130,17 @@
 		w.SetAgent(addr, false)
 		close(release)
 		if call := nextCall(t, calls); !call.isWatchFrom(8) || call.connection != watch.connection {
-			t.Errorf("called %+v", call)
+			t.Errorf("got call %+v, want a watch from version 8 on the same connection", call)
 		}
 		w.SetAgent(addr, true)
 		if call := nextCall(t, calls); call.isWatch() || call.connection == watch.connection {
-			t.Errorf("called %+v", call)
+			t.Errorf("got call %+v, want a call for the full list on a new connection", call)
 		}
 	})
 }
 
-// Run ends with its context and leaves no connection open, whether in a watch, in parallel calls to
-// a silent agent, or in a pause.
+// Run returns when its context is canceled and leaves no connection open. The context is canceled
+// during a watch, during parallel calls to a silent agent, and during a pause.
 func TestRun_leavesNoConnectionOpen(t *testing.T) {
 	for name, fail := range map[string]func(net.Conn){
 		"silence": holdOpen, "503": agentFailures["503"], "a watch": nil,
@@ -165,11 +166,11 @@
 				want = 2
 			}
 			fakes.Eventually(t, "calls", func() bool {
-				return open.Load() >= want && (name != "503" || w.logs.Len() > 0) // it was read
+				return open.Load() >= want && (name != "503" || w.logs.Len() > 0) // the rejection has been read
 			})
 			stop()
 			<-ended
-			fakes.Eventually(t, "no call left", func() bool { return open.Load() == 0 })
+			fakes.Eventually(t, "no pending call", func() bool { return open.Load() == 0 })
 		})
 	}
 }
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Guards against a watch that falls silent and is followed by the full list after maxSilence.
+// Guards against a delay after a watch that times out. The full list must be requested without a
+// pause and arrive within maxSilenceRecovery.
 func TestWatch_timeoutIsFollowedByAFullListImmediately(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
-		"no answer":               func(net.Conn) {},
-		"trickles a list":         trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
-		"trickles without an end": trickle("HTTP/1.1 200 OK\r\n\r\n"),
-		"trickles a head":         trickle("HTTP/1.1 200 OK\r\nX:"),
+		"no answer":                        func(net.Conn) {},
+		"sends a list slowly":              trickle("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{"),
+		"sends an unbounded answer slowly": trickle("HTTP/1.1 200 OK\r\n\r\n"),
+		"sends a header slowly":            trickle("HTTP/1.1 200 OK\r\nX:"),
 		"stops within a list": func(conn net.Conn) {
 			_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,")
 		},
@@ -27,25 +28,26 @@
 			next := nextCallWhere(t, calls, agentCall.isWatch)
 			if !watch.isWatchFrom(watch.connection) || full.isWatch() || full.connection <= watch.connection ||
 				!next.isWatchFrom(next.connection) || next.connection == watch.connection {
-				t.Fatalf("called %+v, then %+v, then %+v", watch, full, next)
+				t.Fatalf("got calls %+v, then %+v, then %+v", watch, full, next)
 			}
 			if elapsed := next.at.Sub(watch.at); elapsed > maxSilenceRecovery {
-				t.Errorf("the full list was there after %v", elapsed)
+				t.Errorf("next watch %v after the watch that timed out", elapsed)
 			}
-			var timeout int64 // of the watch, in ms
+			var timeout int64 // timeout of the watch in milliseconds
 			format := fmt.Sprintf("since=%d&timeout_ms=%%d", watch.connection)
 			if _, err := fmt.Sscanf(watch.query, format, &timeout); err != nil {
 				t.Fatal(err)
 			}
-			givenUpAt := watch.at.Add(time.Duration(timeout)*time.Millisecond + watchGrace)
-			if pause := full.at.Sub(givenUpAt); pause > initialBackoff*3/4 {
+			timedOutAt := watch.at.Add(time.Duration(timeout)*time.Millisecond + watchGrace)
+			if pause := full.at.Sub(timedOutAt); pause > initialBackoff*3/4 {
 				t.Errorf("full list requested after a pause of %v", pause)
 			}
 		})
 	}
 }
 
-// silenceableAgent holds every watch, and every other call as well while it is silent.
+// silenceableAgent starts an agent that leaves every watch unanswered. While silent is set, it
+// leaves all other calls unanswered too.
 func silenceableAgent(t *testing.T) (addr string, calls chan agentCall, silent *atomic.Bool) {
 	t.Helper()
 	silent = &atomic.Bool{}
@@ -59,8 +61,8 @@
 	return addr, calls, silent
 }
 
-// A discovery that stays silent is called for the full list after a drawn pause each time; its
-// first answer is followed by a watch.
+// While a polled discovery does not answer, the full list is requested again after a random pause
+// each time. Its first answer is followed by a watch.
 func TestRun_lastingSilenceIsPolledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, calls, silent := silenceableAgent(t)
@@ -70,19 +72,19 @@
 		silent.Store(true)
 		first, second := <-calls, <-calls
 		if !watch.isWatchFrom(7) || first.isWatch() || second.isWatch() {
-			t.Fatalf("called %+v, %+v, %+v", watch, first, second)
+			t.Fatalf("got calls %+v, %+v, %+v", watch, first, second)
 		}
 		if pause := second.at.Sub(first.at) - listTimeout; pause < initialBackoff/2 {
-			t.Errorf("called again after a pause of %v", pause)
+			t.Errorf("full list requested again after a pause of %v", pause)
 		}
 		silent.Store(false)
 		if third, next := <-calls, <-calls; third.isWatch() || !next.isWatchFrom(7) {
-			t.Errorf("called %+v, %+v", third, next)
+			t.Errorf("got calls %+v, %+v", third, next)
 		}
 	})
 }
 
-// Guards against a fleet whose watches fall silent at once and that calls without pauses.
+// Guards against a fleet whose watches all time out together and that then calls without pauses.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, duration = 40, 6 * time.Second
@@ -98,15 +100,16 @@
 		silent.Store(true)
 		time.Sleep(duration)
 		if callsPerGateway := float64(len(calls)) / gateways; callsPerGateway > 4 || callsPerGateway < 2 {
-			t.Errorf("%.1f calls a gateway in %v", callsPerGateway, duration)
+			t.Errorf("%.1f calls per gateway in %v", callsPerGateway, duration)
 		}
 	})
 }
 
-// Guards against requests to a draining server after an outage of a notified agent.
+// Guards against requests to a drained server after an outage of a notified agent. The list must be
+// read within the drain grace after the agent recovers.
 func TestRun_notifiedAgentIsReadSoonAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const duration, drain = 6 * time.Second, time.Second
+		const duration, drainGrace = 6 * time.Second, time.Second
 		addr, calls, silent := silenceableAgent(t)
 		startWatcher(t, addr, options{})
 		<-calls
@@ -120,8 +123,8 @@
 		}
 		for call := range calls {
 			if call.isWatchFrom(7) {
-				if elapsed := call.at.Sub(recoveredAt); elapsed > drain {
-					t.Errorf("the list was there %v after the agent was back", elapsed)
+				if elapsed := call.at.Sub(recoveredAt); elapsed > drainGrace {
+					t.Errorf("list received %v after the agent recovered", elapsed)
 				}
 				break
 			}
--- a/internal/gateway/discovery/watched_test.go
+++ b/internal/gateway/discovery/watched_test.go
@@ -15,7 +15,7 @@
 	"harrierhoist/policy"
 )
 
-// watched is a watcher under test, with the dispatcher that it feeds and what it logs.
+// testWatcher is a watcher with its dispatcher and its log.
 type testWatcher struct {
 	*Watcher
 	t          *testing.T
@@ -23,15 +23,14 @@
 	logs       *observer.ObservedLogs
 }
 
-// options of a watcher; the zero value has an agent that is notified, and no list of an earlier
-// run.
+// options configures a watcher. The zero value stands for a notified agent and no known list.
 type options struct {
 	isPolled bool
-	known    string // the list of an earlier run
+	known    string // endpoint list of an earlier run
 	seed     int64
 }
 
-// newWatcher makes a watcher that does not run yet.
+// newWatcher returns a watcher that is not running yet.
 func newWatcher(t *testing.T, addr string, opts options) *testWatcher {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
@@ -58,7 +57,7 @@
 	return &testWatcher{w, t, dispatcher, logs}
 }
 
-// startWatcher makes a watcher that runs until the test ends.
+// startWatcher returns a watcher that runs until the test ends.
 func startWatcher(t *testing.T, addr string, opts options) *testWatcher {
 	t.Helper()
 	w := newWatcher(t, addr, opts)
@@ -66,7 +65,8 @@
 	return w
 }
 
-// start has the watcher run until the test ends, or until it is stopped; ended is closed then.
+// start runs the watcher until the test ends or stop is called. It closes ended when Run has
+// returned.
 func (w *testWatcher) start() (stop func(), ended chan bool) {
 	ctx, stop := context.WithCancel(w.t.Context())
 	ended = make(chan bool)
@@ -78,7 +78,7 @@
 	return stop, ended
 }
 
-// wantServer checks which server a request is forwarded to; none: "".
+// wantServer checks which server a request is forwarded to. The empty name stands for none.
 func (w *testWatcher) wantServer(when, want string) {
 	w.t.Helper()
 	if got := chosenServer(w.dispatcher); got != want {
@@ -86,7 +86,7 @@
 	}
 }
 
-// wantLogged checks how many log lines have a text.
+// wantLogged checks how many log messages contain the text.
 func (w *testWatcher) wantLogged(text string, want int) {
 	w.t.Helper()
 	if got := w.logs.FilterMessageSnippet(text).Len(); got != want {
@@ -94,7 +94,7 @@
 	}
 }
 
-// newIdleSession is a session of a watcher that neither runs nor has a list.
+// newIdleSession returns a session of a watcher that is not running and has no list.
 func newIdleSession(t *testing.T, isPolled bool) *session {
 	t.Helper()
 	return newSession(&Watcher{
@@ -112,7 +112,7 @@
 	return dispatcher
 }
 
-// forwardingSettings have a request forwarded to any server that is ready.
+// forwardingSettings returns settings with which a request is forwarded to any ready server.
 func forwardingSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 5,
@@ -124,7 +124,8 @@
 	}
 }
 
-// chosenServer names the server that a request is forwarded to; none: "".
+// chosenServer returns the name of the server that a request is forwarded to, or "" if there is
+// none.
 func chosenServer(dispatcher *dispatch.Dispatcher) string {
 	request := dispatcher.Admit(dispatch.RequestSpec{Customer: 5, Units: 1, GatewayCount: 1, Timeout: 2 * time.Second})
 	if decision := request.Next(); decision.Action == dispatch.Forward {
