--- a/internal/gateway/discovery/fuzz_test.go
+++ b/internal/gateway/discovery/fuzz_test.go
@@ -30,7 +30,7 @@
 		received, err := d.decodeAnswer(body)
 		if err != nil {
 			if received != nil {
-				t.Fatalf("decodeAnswer(%q) returned the list %+v beside the error %v", body, received, err)
+				t.Fatalf("decodeAnswer(%q) returned both the list %+v and the error %v", body, received, err)
 			}
 			return
 		}
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -82,21 +82,28 @@
 		[]dispatch.Server{newServer("s-1", "x", policy.Ready)},
 		false,
 	},
-	{"unknown site and class", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
-		`"class":"m9","health":"in_service"}]}`, 3, true, []dispatch.Server{newServer("s-1", "x", policy.Ready)}, false},
+	{
+		"unknown site and class", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
+			`"class":"m9","health":"in_service"}]}`,
+		3, true,
+		[]dispatch.Server{newServer("s-1", "x", policy.Ready)},
+		false,
+	},
 	{
 		"each state", `{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"x","health":"in_service"},` +
 			`{"host":"b","dial":"x","health":"terminating"},{"host":"c","dial":"x","health":"terminated"},` +
 			`{"host":"d","dial":"x","health":"In_Service"},{"host":"e","dial":"x","health":""},` +
 			`{"host":"f","dial":""}]}`, 3, true,
 		[]dispatch.Server{
-			newServer("a", "x", policy.Ready), newServer("b", "x", policy.Draining), newServer("c", "x", policy.Removed),
-			newServer("d", "x", policy.Removed), newServer("e", "x", policy.Removed), newServer("f", "", policy.Removed),
+			newServer("a", "x", policy.Ready), newServer("b", "x", policy.Draining),
+			newServer("c", "x", policy.Removed), newServer("d", "x", policy.Removed),
+			newServer("e", "x", policy.Removed), newServer("f", "", policy.Removed),
 		},
 		false,
 	},
 	{
-		"only removed servers", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
+		"only removed servers", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`,
+		3, true,
 		[]dispatch.Server{newServer("c", "x", policy.Removed)},
 		true,
 	},
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -39,9 +39,9 @@
 // of the decoder, and an unknown name as index 0.
 type decoder struct{ zones, hardware []string }
 
-// entry is the JSON form of an endpoint in a list. The error message of a malformed list contains
-// this type. It is therefore an alias and its fields have no new tags, since a type name or a tag
-// would change the message.
+// entry is the JSON form of an endpoint in a list. Apart from born_ms, keys are decoded by the
+// names of the fields. The error message of a malformed list contains this type, so entry is an
+// alias, and born_ms is its only tag. A type name or another tag would change the message.
 type entry = struct {
 	Host, Dial, Site, Class, Health string
 
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -53,7 +53,7 @@
 		},
 		"a change in a truncated list": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
 			fakes.FormatList(42, false, terminatingHost, readyHost("s-3"))[:190]),
-		"a change beside a malformed entry": respondWith(fakes.FormatList(42, false, terminatingHost,
+		"a change and a malformed entry": respondWith(fakes.FormatList(42, false, terminatingHost,
 			fakes.FormatHost("s-3", "", "in_service"))),
 		"a list without the key whole": respondWith(`{"seq":42,"hosts":[` + terminatingHost + `]}`),
 	} {
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -52,7 +52,7 @@
 // Exponential backoff between calls.
 const (
 	initialBackoff    = 500 * time.Millisecond
-	backoffMultiplier = 2.0 // ratio of a pause to the previous one
+	backoffMultiplier = 2.0 // ratio of each pause to the previous one
 	maxBackoff        = 1333 * time.Millisecond
 	backoffJitter     = 0.5 // maximum random deviation of a pause, as a fraction of it
 )
@@ -68,7 +68,9 @@
 
 func fullListTimingFor(isPolled bool) fullListTiming {
 	if isPolled {
-		return fullListTiming{listTimeout: polledListTimeout, minStagger: minPolledStagger, maxStagger: maxPolledStagger}
+		return fullListTiming{
+			listTimeout: polledListTimeout, minStagger: minPolledStagger, maxStagger: maxPolledStagger,
+		}
 	}
 	return fullListTiming{listTimeout: listTimeout, minStagger: minStagger, maxStagger: maxStagger}
 }
