--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -10,15 +10,16 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// emptiedAgent starts an agent that serves s-1 in version 8 and answers the first watch with the
-// list empty. It leaves later watches unanswered. Once release is closed, second answers the next
-// call for the full list and later answers the calls after it.
+// emptiedAgent starts an agent that serves s-1 in version 8. It answers the first watch with the
+// parameter empty as its body, and leaves later watches unanswered. After that watch, calls for the
+// full list wait until release is closed. The handler second answers the first of them, and later
+// answers the others.
 func emptiedAgent(t *testing.T, empty string, second, later func(net.Conn)) (
 	addr string, calls chan agentCall, release chan bool,
 ) {
 	t.Helper()
 	release = make(chan bool)
-	var emptied, again atomic.Bool
+	var emptied, secondServed atomic.Bool
 	addr, calls = scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 		switch {
 		case call.isWatch() && emptied.Swap(true):
@@ -29,7 +30,7 @@
 			writeFull(conn, 8, "s-1")
 		default:
 			<-release
-			if again.Swap(true) {
+			if secondServed.Swap(true) {
 				later(conn)
 			} else {
 				second(conn)
--- a/internal/gateway/discovery/fixture_test.go
+++ b/internal/gateway/discovery/fixture_test.go
@@ -77,7 +77,7 @@
 }
 
 // listThenAgent starts an agent that answers the first call on each connection with the full list.
-// The list's version is the number of the connection. The function later answers the other calls.
+// The list's version is the number of the connection. The handler later answers all other calls.
 func listThenAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
 	return scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
@@ -119,10 +119,12 @@
 	return fakes.FormatList(version, true, hosts...)
 }
 
+// writeFull answers a call with a full list of ready servers.
 func writeFull(conn io.Writer, version int, servers ...string) {
 	writeAnswer(conn, fullList(version, servers...))
 }
 
+// writeAnswer answers a call with the status 200 and the body.
 func writeAnswer(conn io.Writer, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -132,9 +134,8 @@
 	return func(conn net.Conn) { writeAnswer(conn, body) }
 }
 
-// respondTruncated returns a handler that writes the text of an incomplete answer and closes the
-// connection.
-func respondTruncated(text string) func(net.Conn) {
+// respondThenClose returns a handler that writes the text of an answer and closes the connection.
+func respondThenClose(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = io.WriteString(conn, text)
 		_ = conn.Close()
@@ -170,10 +171,10 @@
 	"503": func(conn net.Conn) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	},
-	"cut off":       respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
-	"empty":         respondWith(""),
-	"changes":       respondWith(fakes.FormatList(9, false, readyHost("s-9"))),
-	"wrong content": respondWith("<html><body>It works!</body></html>"),
+	"truncated answer": respondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
+	"empty":            respondWith(""),
+	"changes":          respondWith(fakes.FormatList(9, false, readyHost("s-9"))),
+	"wrong content":    respondWith("<html><body>It works!</body></html>"),
 	"never ends": func(conn net.Conn) {
 		blanks := strings.Repeat(" ", 1<<16)
 		for _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+fullList(9, "s-9")); err == nil; {
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -128,9 +128,9 @@
 			if !hasSameHead || !hasSameServers {
 				t.Errorf("got  %+v\nwant %+v", received, form)
 			}
-			known, err := d.decodeKnown([]byte(form.body))
-			if err != nil || !reflect.DeepEqual(known.servers, form.servers) {
-				t.Errorf("decoded as the known list: %+v, %v", known, err)
+			knownList, err := d.decodeKnown([]byte(form.body))
+			if err != nil || !reflect.DeepEqual(knownList.servers, form.servers) {
+				t.Errorf("decoded as the known list: %+v, %v", knownList, err)
 			}
 		})
 	}
--- a/internal/gateway/discovery/known_test.go
+++ b/internal/gateway/discovery/known_test.go
@@ -59,7 +59,7 @@
 		addr, calls := fullListAgent(t, 3, "s-2")
 		startWatcher(t, addr, options{isPolled: true, known: `{"hosts":[` + readyHost("s-1") + `]}`})
 		if call := nextCall(t, calls); call.isWatch() {
-			t.Errorf("called with %q", call.query)
+			t.Errorf("first call has query %q, want a call for the full list", call.query)
 		}
 	})
 	runVirtual(t, "from another address", func(t *testing.T) {
@@ -68,7 +68,7 @@
 		w.SetAgent(addr, true)
 		w.start()
 		if call := nextCall(t, calls); call.isWatch() {
-			t.Errorf("called with %q", call.query)
+			t.Errorf("first call has query %q, want a call for the full list", call.query)
 		}
 	})
 }
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -20,7 +20,7 @@
 		"a truncated list":       respondWith(truncatedList),
 		"two lists":              respondWith(fullList(9) + fullList(9)),
 		"truncated, then closed": func(conn net.Conn) { writeAnswer(conn, truncatedList[:1]); _ = conn.Close() },
-		"truncated body":         respondTruncated("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
+		"truncated body":         respondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
 	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
--- a/internal/gateway/discovery/parallel_test.go
+++ b/internal/gateway/discovery/parallel_test.go
@@ -43,10 +43,10 @@
 // At most maxParallelCalls calls, which is four, are pending at the same time.
 func TestFetchFull_parallelCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var open, most atomic.Int64
+		var open, maxOpen atomic.Int64
 		addr, calls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) {
 			n := open.Add(1)
-			for seen := most.Load(); n > seen && !most.CompareAndSwap(seen, n); seen = most.Load() {
+			for seen := maxOpen.Load(); n > seen && !maxOpen.CompareAndSwap(seen, n); seen = maxOpen.Load() {
 			}
 			holdOpen(conn)
 			open.Add(-1)
@@ -57,7 +57,7 @@
 		if interval := last.at.Sub(first.at) / 8; interval < minStagger {
 			t.Errorf("average time between calls is %v", interval)
 		}
-		if n := most.Load(); n < 2 || n > int64(maxParallelCalls) {
+		if n := maxOpen.Load(); n < 2 || n > int64(maxParallelCalls) {
 			t.Errorf("%d calls were pending at the same time", n)
 		}
 	})
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -51,7 +51,7 @@
 			holdOpen(conn)
 			writeAnswer(conn, fakes.FormatList(42, false, terminatingHost))
 		},
-		"a change in a truncated list": respondTruncated("HTTP/1.1 200 OK\r\n\r\n" +
+		"a change in a truncated list": respondThenClose("HTTP/1.1 200 OK\r\n\r\n" +
 			fakes.FormatList(42, false, terminatingHost, readyHost("s-3"))[:190]),
 		"a change and a malformed entry": respondWith(fakes.FormatList(42, false, terminatingHost,
 			fakes.FormatHost("s-3", "", "in_service"))),
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -43,7 +43,7 @@
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+text[:20])
 			<-release
-			respondTruncated(text[20:])(conn)
+			respondThenClose(text[20:])(conn)
 		})
 		next, nextCalls := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { holdOpen(conn) })
 		w := startWatcher(t, previous, options{})
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -26,7 +26,7 @@
 	maxShortPause = 200 * time.Millisecond // a watch within this time of the previous answer continues that watch
 )
 
-// Times that apply if discovery is polled. It accepts a call of each gateway only once every few
+// Times that apply if discovery is polled. It accepts a call from each gateway only once every few
 // seconds.
 const (
 	// polledListTimeout is the timeout of a call for the full list, and of a resumed watch.
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -3,7 +3,7 @@
 // Watcher, which passes each valid list to the dispatcher.
 //
 // The agent runs on this machine. Either it is notified of changes, or discovery must be polled for
-// them. In the latter case discovery accepts a call of each gateway only once every few seconds.
+// them. In the latter case discovery accepts a call from each gateway only once every few seconds.
 // The times of calls depend on this mode.
 package discovery
 
@@ -62,13 +62,13 @@
 		cancelSession: func() {},
 	}
 	if len(configuration.KnownEndpoints) > 0 && string(configuration.KnownEndpoints) != "null" {
-		known, err := w.decoder.decodeKnown(configuration.KnownEndpoints)
+		knownList, err := w.decoder.decodeKnown(configuration.KnownEndpoints)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
-		dispatcher.HandleEndpoints(policy.ListCached, known.servers)
-		w.hasServers = !known.isEmpty()
-		w.knownVersion = known.version
+		dispatcher.HandleEndpoints(policy.ListCached, knownList.servers)
+		w.hasServers = !knownList.isEmpty()
+		w.knownVersion = knownList.version
 		w.knownAgent = w.agent
 	}
 	return w, nil
