--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -84,8 +84,7 @@
 	},
 	{
 		"unknown site and class", `{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"hall-z",` +
-			`"class":"m9","health":"in_service"}]}`,
-		3, true,
+			`"class":"m9","health":"in_service"}]}`, 3, true,
 		[]dispatch.Server{newServer("s-1", "x", policy.Ready)},
 		false,
 	},
@@ -102,8 +101,7 @@
 		false,
 	},
 	{
-		"only removed servers", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`,
-		3, true,
+		"all removed", `{"seq":3,"whole":true,"hosts":[{"host":"c","dial":"x","health":"terminated"}]}`, 3, true,
 		[]dispatch.Server{newServer("c", "x", policy.Removed)},
 		true,
 	},
@@ -198,10 +196,9 @@
 	})
 }
 
-// recordCalls returns the calls of a watcher in 40 s of a virtual clock, one per line: seconds
-// since the start, number of the connection, number of the call on it, and query. The number of a
-// call determines how the agent answers it. The agent never rejects a call, because the pauses
-// after a rejection do not depend on the seed.
+// recordCalls returns a watcher's calls in 40 s of a virtual clock, one per line: seconds from the
+// start, connection, number of the call on it, query. The number of a call determines its answer.
+// The agent never rejects a call, because the pauses after a rejection do not depend on the seed.
 func recordCalls(t *testing.T, isPolled bool, seed int64) (lines []string) {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(time.Second) }) // lets calls that are being answered end
