--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -203,7 +203,7 @@
 		addr, _ := rejectingAgent(t, 2)
 		w := startWatcher(t, addr, options{})
 		select {
-		case <-w.FirstList():
+		case <-w.FirstListApplied():
 		case <-time.After(3 * time.Second):
 			t.Error("no list after two rejections")
 		}
--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -87,7 +87,7 @@
 func TestRun_deltaThatLeavesNoServerNeedsNoConfirmation(t *testing.T) {
 	discovery := fakes.NewDiscovery(t, readyHost("s-1"))
 	w := startWatcher(t, discovery.Addr, options{})
-	<-w.FirstList()
+	<-w.FirstListApplied()
 	discovery.Publish(false, fakes.FormatHost("s-1", "127.0.0.1:9", "terminated"))
 	for query := ""; !strings.HasPrefix(query, "since=2&"); {
 		query = <-discovery.Queries
@@ -97,7 +97,7 @@
 
 	empty := fakes.NewDiscovery(t)
 	w = startWatcher(t, empty.Addr, options{known: fullList(1)})
-	<-w.FirstList()
+	<-w.FirstListApplied()
 	w.wantLogged("", 0)
 }
 
@@ -120,12 +120,12 @@
 		w := startWatcher(t, addr, options{known: fullList(1, "s-0")})
 		nextCallWhere(t, calls, func(call agentCall) bool { return call.number == 2 })
 		select {
-		case <-w.FirstList():
+		case <-w.FirstListApplied():
 			t.Error("ready, although no list has been applied")
 		default:
 		}
 		close(release)
-		<-w.FirstList()
+		<-w.FirstListApplied()
 		w.wantServer("once ready", "s-1")
 	})
 }
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -74,9 +74,9 @@
 	return w, nil
 }
 
-// FirstList returns a channel that is closed when the first list from discovery has been applied.
+// FirstListApplied returns a channel that is closed when the first list from discovery has been applied.
 // The known list does not count.
-func (w *Watcher) FirstList() <-chan struct{} { return w.firstApplied }
+func (w *Watcher) FirstListApplied() <-chan struct{} { return w.firstApplied }
 
 // SetAgent replaces the agent to follow, or changes its mode. After SetAgent returns, no answer of
 // the previous agent is applied, because it may be older than the answers of the new one. Setting
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -152,7 +152,7 @@
 // not announced any more.
 func (i *instance) becomeReady(configuration *config.Gateway, terminating <-chan struct{}) {
 	select {
-	case <-i.watcher.FirstList():
+	case <-i.watcher.FirstListApplied():
 	case <-time.After(min(configuration.ConnectTimeout, maxReadyWait)):
 	case <-terminating:
 		return
