--- a/internal/coordination/config/golden_test.go
+++ b/internal/coordination/config/golden_test.go
@@ -100,7 +100,10 @@
 		},
 		Rules: []settlement.PairRule{
 			{PartnerNames: []string{"north", "south"}, Settle: new(false)},
-			{PartnerNames: []string{"west", "north"}, Settle: new(true), MaxShare: new(0.1), ForgiveAfter: new(86400.0)},
+			{
+				PartnerNames: []string{"west", "north"},
+				Settle:       new(true), MaxShare: new(0.1), ForgiveAfter: new(86400.0),
+			},
 		},
 		SettleTimeConstant: 30, MaxShare: 0.25, MaxMovedRate: 150,
 		MaxLendFraction: 0.4, MaxLossFraction: 0.004, MinHeadroom: 0.3, MinOnTimeFraction: 0.95,
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -21,7 +21,7 @@
 	assignment := CountAssignment{
 		Key: 77, Plan: spec.Plan, GatewayCount: spec.GatewayCount, Weight: r.weights[0],
 		CheckOtherCounts: r.checkOthers,
-		Completed: func(_ bool, units float64) { r.completed = append(r.completed, units) },
+		Completed:        func(_ bool, units float64) { r.completed = append(r.completed, units) },
 	}
 	if len(r.weights) > 1 {
 		r.weights = r.weights[1:]
--- a/internal/testing/faultinjection/canary_test.go
+++ b/internal/testing/faultinjection/canary_test.go
@@ -58,7 +58,8 @@
 		s.waitForServed(100)
 	}
 	current := table()
-	if len(current.RefusedVersions) != 1 || current.RefusedVersions[0] != 1 || current.Phase != countingrule.PhaseIdle ||
+	if len(current.RefusedVersions) != 1 || current.RefusedVersions[0] != 1 ||
+		current.Phase != countingrule.PhaseIdle ||
 		current.FromVersion != 0 {
 		t.Errorf("after %v the table: %+v", time.Since(startedAt), current)
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -20,8 +20,7 @@
 func goldenSettings() Settings {
 	return Settings{
 		Gateways: 4, Zones: 2, GatewayZone: 1, ClockTick: 2 * ms, HasCounter: true, LateCountAfter: 30 * ms,
-		MaxUnits: 4,
-		MaxAttempts: 4, SendsRetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
+		MaxUnits: 4, MaxAttempts: 4, SendsRetryAfter: true, MaxRetryAfter: 3 * time.Second, DrainGrace: time.Second,
 		ArrivalSlack: 8 * ms, WarmUpStart: 0.2, WarmUpTime: 10 * time.Second,
 		OverloadFactor: 2, OverloadSpan: time.Second,
 		Classes: []TrafficClass{
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -22,7 +22,7 @@
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zones: 2, ClockTick: 2 * ms, HasCounter: true, LateCountAfter: 30 * ms, MaxUnits: 4,
-		MaxAttempts: 5,
+		MaxAttempts:     5,
 		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ArrivalSlack: 8 * ms,
 		WarmUpStart: 0.2, WarmUpTime: 10 * time.Second, OverloadFactor: 2, OverloadSpan: time.Second,
 		Classes: []TrafficClass{
