--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -13,27 +13,30 @@
 	"harrierhoist/policy"
 )
 
-// Command is what an attempt carries: the command in the client's words, except for the timeout.
+// Command is the command that an attempt sends: the client's own words, except for the timeout,
+// which is computed when the attempt is sent.
 type Command struct {
 	Verb, Customer, ID string
-	ParamsBefore       string // the list of names and values, up to the figure of the timeout
-	ParamsAfter        string // the list from behind that figure
+	ParamsBefore       string // parameter list up to the value of the timeout
+	ParamsAfter        string // parameter list after the value of the timeout
 	Body               *resp.Bulk
 }
 
 // decimal is the base of the numbers in commands.
 const decimal = 10
 
-// toWire returns the command with the milliseconds that are left to the deadline, at least 1.
+// toWire returns the command to send. Its timeout is the time left until the deadline in
+// milliseconds, at least 1.
 func (c *Command) toWire(deadline time.Time) *resp.Command {
 	remaining := max(time.Until(deadline), time.Millisecond)
 	params := c.ParamsBefore + strconv.FormatInt(remaining.Milliseconds(), decimal) + c.ParamsAfter
 	return &resp.Command{Words: []string{c.Verb, c.Customer, c.ID, params}, Body: c.Body}
 }
 
-// Attempt sends a command to the server of a decision and waits for how that ends. A value comes
-// only with Answered, and the caller frees it. Cancelled before its first byte, an attempt writes
-// nothing, however late its connection comes up; cancelled later, it closes its connection.
+// Attempt sends a command to the server of a decision and blocks until the attempt has an outcome.
+// The returned value is non-nil only if the outcome is Answered; the caller must free it. If the
+// decision's context is cancelled before the first byte is written, nothing is written, even if the
+// connection is established later. If it is cancelled after that, the connection is closed.
 func (p *Pool) Attempt(decision dispatch.Decision, command *Command) (dispatch.Result, *resp.Bulk) {
 	ctx := decision.Context
 	key := keyOf(decision.Server)
@@ -52,7 +55,7 @@
 	stopAbort := context.AfterFunc(ctx, conn.Abort)
 	idleFor := time.Since(conn.lastUsed)
 	reply, state := p.exchange(ctx, conn, command.toWire(decision.Deadline), decision.WriteDeadline, decision.Deadline)
-	stillWanted := stopAbort()
+	stillWanted := stopAbort() // false if the context was done before the exchange ended
 	if conn.wasIdle() && stillWanted {
 		p.connections.recordUse(idleFor, state.lostConnection())
 	}
@@ -61,21 +64,21 @@
 		if wellFormed && stillWanted {
 			p.connections.putIdle(key, conn)
 		} else {
-			p.connections.close(conn) // an answer that came while it was cancelled counts all the same
+			p.connections.close(conn) // an answer that races with the cancellation still counts
 		}
 		return result, value
 	}
 	p.connections.close(conn)
 	outcome := unansweredOutcome(&decision, state, stillWanted)
 	if !stillWanted || state == exchangeTimedOut {
-		// The machine may be gone without a word, and the older connections to it silent too.
+		// The server may have failed without closing its connections, so older ones may be dead too.
 		p.connections.closeIdleBefore(key, startedAt)
 	}
 	return dispatch.Result{Outcome: outcome}, nil
 }
 
-// unansweredOutcome returns the outcome of an attempt that has no answer, by how far its exchange
-// came: with its last byte unwritten it never ran, else it may have run.
+// unansweredOutcome returns the outcome of an attempt without an answer. If the last byte of its
+// command was not written, the command never ran; otherwise it may have run.
 func unansweredOutcome(decision *dispatch.Decision, state exchangeState, stillWanted bool) policy.Outcome {
 	switch {
 	case state == exchangeUnwritten:
@@ -89,8 +92,9 @@
 	}
 }
 
-// isLocalFailure reports whether a connection did not come up for a cause on this machine: no
-// connection to spare, no descriptor, memory, port or route. It says nothing about the server.
+// isLocalFailure reports whether a connection could not be established because of this machine: the
+// pool is exhausted, or there is no free file descriptor, memory, local port or route. Such a
+// failure says nothing about the server's health.
 func isLocalFailure(err error) bool {
 	for _, cause := range []error{
 		errPoolExhausted, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.ENETUNREACH,
@@ -102,9 +106,10 @@
 	return false
 }
 
-// unsentOutcome returns the outcome of an attempt whose last byte was not written; err is that of
-// its dial, nil where it had a connection. A server is not to be ejected for a cancelled attempt,
-// a failure on this machine, or an attempt that passed its write deadline.
+// unsentOutcome returns the outcome of an attempt whose last byte was not written. err is the error
+// from acquiring its connection, nil if it had one. The outcome is NotSent, which does not count
+// against the server, if the attempt was cancelled, if the failure was on this machine, or if the
+// attempt passed a write deadline that was set to leave time for a retry.
 func unsentOutcome(decision *dispatch.Decision, err error) policy.Outcome {
 	if decision.Context.Err() != nil || isLocalFailure(err) || isTooLateForRetry(decision) {
 		return policy.NotSent
@@ -112,7 +117,8 @@
 	return policy.ConnectFailed
 }
 
-// isTooLateForRetry reports whether the write deadline, which leaves time for a retry, has passed.
+// isTooLateForRetry reports whether the decision's write deadline leaves time for a retry, that is,
+// precedes its deadline, and has passed.
 func isTooLateForRetry(decision *dispatch.Decision) bool {
 	return decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline)
 }
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -14,50 +14,51 @@
 	"harrierhoist/internal/gateway/resp"
 )
 
-// errPoolExhausted says that all connections of the pool are in use.
-var errPoolExhausted = errors.New("no connection to spare")
+// errPoolExhausted is returned when maxConnections are open and none of them is idle.
+var errPoolExhausted = errors.New("connection pool exhausted")
 
-// minIdleBeforeReuse is how long a connection is idle before it is used again. What a server sends
-// shortly behind an answer, which would be taken for the next request's answer, has arrived by
-// then, and the connection is not quiet.
+// minIdleBeforeReuse is how long a connection must be idle before it is reused. A server may send
+// extra bytes shortly after an answer, which would be read as the answer to the next request. After
+// this time they have arrived, and IsQuiet detects them.
 const minIdleBeforeReuse = 20 * time.Millisecond
 
 const (
-	// cleanupDivisor gives the part of the idle timeout between searches for idle connections to
-	// close.
+	// cleanupDivisor divides the idle timeout to get the interval between cleanups of idle
+	// connections.
 	cleanupDivisor = 4
-	// minCleanupInterval is the shortest time between them.
+	// minCleanupInterval is the shortest interval between cleanups.
 	minCleanupInterval = time.Second
 )
 
-// endpointKey is where a connection goes. A new server at an old address gets no connection of the
-// earlier one.
+// endpointKey identifies the server of a connection. It includes the name so that a new server at a
+// reused address does not get connections to the previous one.
 type endpointKey struct{ name, address string }
 
 func keyOf(server dispatch.Server) endpointKey { return endpointKey{server.Name, server.Address} }
 
-// connection is a connection and when it was last used.
+// connection is a connection to a server, with the time of its last use.
 type connection struct {
 	*resp.Conn
-	lastUsed time.Time // when it became idle last; see wasIdle
+	lastUsed time.Time // time when it last became idle; zero if it was never idle, see wasIdle
 }
 
-// wasIdle reports whether the connection was ever idle. If not, lastUsed is not set.
+// wasIdle reports whether the connection has ever been idle. If not, lastUsed is zero.
 func (c *connection) wasIdle() bool { return !c.lastUsed.IsZero() }
 
 // controlFunc is the type of net.Dialer.Control.
 type controlFunc func(network, address string, raw syscall.RawConn) error
 
-// connectionSet owns the connections: it counts those in use, and holds the idle ones.
+// connectionSet owns the pool's connections. It limits the number of open connections and holds the
+// idle ones. It is safe for concurrent use.
 type connectionSet struct {
 	connectTimeout, idleTimeout time.Duration
 	maxConnections              int
-	controlSocket               controlFunc // called with each socket that is dialed; nil except in tests
+	controlSocket               controlFunc // called for each socket before it connects; nil except in tests
 
 	mu     sync.Mutex
-	open   int // connections that are up, or coming up
+	open   int // number of connections that are established or being dialed
 	losses idleLosses
-	idle   map[endpointKey][]*connection // in the order of their last use
+	idle   map[endpointKey][]*connection // idle connections, least recently used first
 }
 
 func newConnectionSet(connectTimeout, idleTimeout time.Duration, maxConnections int) *connectionSet {
@@ -67,9 +68,9 @@
 	}
 }
 
-// acquire returns an idle connection that is quiet and not stale, or a new one. It returns
-// errPoolExhausted, or the error of a dial that did not succeed within connectTimeout, by the
-// deadline and before the context ended.
+// acquire returns an idle connection that is neither stale nor has unread input, or dials a new
+// one. It returns errPoolExhausted if the pool is exhausted, or the dial error if no connection is
+// established within connectTimeout, by the deadline and before the context is done.
 func (s *connectionSet) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for conn := s.takeIdle(key); conn != nil; conn = s.takeIdle(key) {
 		if !s.isStale(conn) && conn.IsQuiet() {
@@ -89,8 +90,8 @@
 	return &connection{Conn: resp.NewConn(conn)}, nil
 }
 
-// takeIdle takes the idle connection that was used last, of those idle for minIdleBeforeReuse. It
-// returns nil if there is none.
+// takeIdle removes and returns the most recently used connection that has been idle for at least
+// minIdleBeforeReuse. It returns nil if there is none.
 func (s *connectionSet) takeIdle(key endpointKey) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	return conn
 }
 
-// isStale reports whether a connection was idle for too long to be used again.
+// isStale reports whether a connection has been idle for too long to be reused.
 func (s *connectionSet) isStale(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,15 +116,16 @@
 	return idleFor >= s.idleTimeout || s.losses.isStale(idleFor)
 }
 
-// recordUse records whether an attempt lost its connection, which had been idle for idleFor.
+// recordUse records an attempt on a connection that had been idle for idleFor, and whether the
+// attempt lost the connection.
 func (s *connectionSet) recordUse(idleFor time.Duration, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.losses.record(time.Now(), idleFor, lost)
 }
 
-// reserveSlot counts one more connection. If maxConnections are open it closes the one that was
-// idle longest, and returns false if none is idle.
+// reserveSlot reserves a slot for a new connection. If maxConnections are open, it closes the
+// connection that has been idle longest and reuses its slot; if none is idle, it returns false.
 func (s *connectionSet) reserveSlot() bool {
 	s.mu.Lock()
 	if s.open < s.maxConnections {
@@ -145,7 +147,7 @@
 	}
 	s.idle[longestKey] = s.idle[longestKey][1:]
 	s.mu.Unlock()
-	closeQuietly(longest) // the new one takes its place
+	closeQuietly(longest) // the new connection takes over its slot
 	return true
 }
 
@@ -155,17 +157,19 @@
 	s.mu.Unlock()
 }
 
-// close closes a connection that is not idle.
+// close closes a connection that is not in the idle list, and releases its slot.
 func (s *connectionSet) close(conn *connection) {
 	closeQuietly(conn)
 	s.releaseSlot()
 }
 
-// closeQuietly closes a connection that is not used any more. An error changes nothing.
+// closeQuietly closes a connection and ignores the error, as the connection is no longer used. It
+// does not release the connection's slot.
 func closeQuietly(conn *connection) { _ = conn.Close() }
 
-// returnUnwritten takes back a connection on which nothing was written. A new one may serve the
-// next attempt. One that had been idle is closed, as its idle time would count from now.
+// returnUnwritten returns a connection on which nothing was written. A new connection becomes idle,
+// so the next attempt may use it. One that had been idle before is closed, because putIdle would
+// restart its idle time although the server has received nothing on it since.
 func (s *connectionSet) returnUnwritten(key endpointKey, conn *connection) {
 	if conn.wasIdle() {
 		s.close(conn)
@@ -174,20 +178,21 @@
 	}
 }
 
-// putIdle makes a connection idle, unless unread bytes follow the reply: they would be read as the
-// next one.
+// putIdle adds a connection to the idle list. It closes the connection instead if unread bytes
+// follow the reply, as they would be read as the next reply.
 func (s *connectionSet) putIdle(key endpointKey, conn *connection) {
 	if !conn.IsDrained() {
 		s.close(conn)
 		return
 	}
 	s.mu.Lock()
-	conn.lastUsed = time.Now() // under the lock, as s.idle is in this order
+	conn.lastUsed = time.Now() // set under the lock to keep s.idle ordered by lastUsed
 	s.idle[key] = append(s.idle[key], conn)
 	s.mu.Unlock()
 }
 
-// runCleanup closes connections that were idle for the timeout, until the context ends.
+// runCleanup periodically closes connections that have been idle for idleTimeout, until the context
+// is done.
 func (s *connectionSet) runCleanup(ctx context.Context) {
 	ticker := time.NewTicker(max(s.idleTimeout/cleanupDivisor, minCleanupInterval))
 	defer ticker.Stop()
@@ -206,7 +211,7 @@
 	}
 }
 
-// closeIdleBefore closes a server's idle connections that were last used before a moment.
+// closeIdleBefore closes a server's idle connections that were last used before the given time.
 func (s *connectionSet) closeIdleBefore(key endpointKey, before time.Time) {
 	s.mu.Lock()
 	connections := s.idle[key]
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -9,29 +9,29 @@
 	"harrierhoist/internal/gateway/resp"
 )
 
-// exchangeState is how far an exchange came.
+// exchangeState is the stage at which an exchange ended.
 type exchangeState uint8
 
 const (
 	exchangeUnwritten exchangeState = iota // the command's last byte was not written
-	exchangeTimedOut                       // no answer by the deadline
-	exchangeClosed                         // the connection ended before an answer
-	exchangeMalformed                      // an answer began that is malformed or incomplete
-	exchangeAnswered                       // a reply was read; parseReply says what it means
+	exchangeTimedOut                       // no byte of an answer arrived before the deadline or an abort
+	exchangeClosed                         // the connection broke before an answer began
+	exchangeMalformed                      // the answer is malformed or incomplete
+	exchangeAnswered                       // a reply was read; parseReply interprets it
 )
 
-// lostConnection reports whether the connection was lost before any byte of an answer: while the
-// command was written, or after it.
+// lostConnection reports whether the connection was lost before any byte of an answer arrived,
+// either while the command was being written or after that.
 func (s exchangeState) lostConnection() bool { return s == exchangeClosed || s == exchangeUnwritten }
 
-// exchange sends a command, by the write deadline, and waits for the reply until the deadline. The
-// rest of a reply that has begun must follow within connectTimeout, as servers write an answer at
-// once.
+// exchange writes a command by writeDeadline and waits for the reply until deadline. Once a reply
+// has begun, the rest of it must arrive within connectTimeout, because servers write a reply without
+// pausing. The reply is nil unless the state is exchangeAnswered.
 func (p *Pool) exchange(
 	ctx context.Context, conn *connection, command *resp.Command, writeDeadline, deadline time.Time,
 ) (*resp.Reply, exchangeState) {
 	setDeadline(ctx, conn, writeDeadline)
-	if conn.WriteCommand(command) != nil { // whatever the error, its last byte is not out
+	if conn.WriteCommand(command) != nil { // on any error, the last byte was not written
 		return nil, exchangeUnwritten
 	}
 	if writeDeadline.Before(deadline) {
@@ -52,9 +52,10 @@
 	return reply, exchangeAnswered
 }
 
-// setDeadline bounds reads and writes. An abort sets a deadline in the past, which this call may
-// have replaced, so it aborts again if the context has ended. On a broken connection SetDeadline
-// fails, and so does the next read or write.
+// setDeadline sets the read and write deadline of a connection. Abort works by setting a deadline in
+// the past, which this call may overwrite, so it aborts again if the context is done. The error of
+// SetDeadline is ignored: it fails only on a broken connection, where the next read or write fails
+// too.
 func setDeadline(ctx context.Context, conn *connection, deadline time.Time) {
 	_ = conn.SetDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -6,36 +6,39 @@
 )
 
 const (
-	// idleBuckets is the number of buckets of idle times in milliseconds. Each is twice as long as
-	// the one before, and the last one begins at several minutes.
+	// idleBuckets is the number of buckets of the idle time histogram. Each bucket is twice as wide
+	// as the previous one, and the last one starts at several minutes.
 	idleBuckets = 20
-	// minLosses is the smallest count of lost attempts that makes an idle time stale.
+	// minLosses is the smallest count of lost connections at which an idle time is considered stale.
 	minLosses = 3.0
-	// staleLossFraction is the smallest part of the attempts after an idle time that makes it
-	// stale: some are lost by chance after any.
+	// staleLossFraction is the fraction of lost connections above which an idle time is considered
+	// stale. Some connections are lost by chance after any idle time.
 	staleLossFraction = 0.2
-	// lossHalfLife is the time in which counts are halved, so that longer idle times are tried
-	// again.
+	// lossHalfLife is the time after which all counts are halved, so that idle times that were
+	// considered stale are tried again.
 	lossHalfLife = 5 * time.Second
-	// halvingDivisor divides the counts then.
+	// halvingDivisor is the divisor that is applied to the counts every lossHalfLife.
 	halvingDivisor = 2
 )
 
-// idleLosses counts attempts on connections that had been idle, by bucket of idle time, and those
-// that lost their connection. Servers, or machines on the way, may drop an idle connection long
-// before the stated limit and say nothing. The next attempt on it ends as a reset, and may have
-// run.
+// idleLosses counts, by idle time, the attempts that kept and that lost a connection that had been
+// idle. Servers, or network devices on the path, may silently drop an idle connection long before
+// the stated idle limit. The next attempt on such a connection ends with Reset and may have run.
+//
+// It is not safe for concurrent use.
 type idleLosses struct {
 	survived, lost [idleBuckets]float64
 	lastHalved     time.Time
 }
 
-// idleBucket returns the bucket of an idle time: 0 below 1 ms, n from 2^(n-1) ms.
+// idleBucket returns the index of the bucket of an idle time. Bucket 0 holds times below 1 ms, and
+// bucket n holds times of at least 2^(n-1) ms.
 func idleBucket(idleFor time.Duration) int {
 	return min(bits.Len64(uint64(idleFor.Milliseconds())), idleBuckets-1)
 }
 
-// record counts an attempt on a connection that had been idle for idleFor.
+// record counts an attempt on a connection that had been idle for idleFor; lost says whether the
+// attempt lost the connection.
 func (l *idleLosses) record(now time.Time, idleFor time.Duration, lost bool) {
 	if now.Sub(l.lastHalved) >= lossHalfLife {
 		for i := range l.survived {
@@ -51,8 +54,8 @@
 	}
 }
 
-// isStale reports whether a connection was idle for too long: too many attempts after such an idle
-// time, or a shorter one, were lost.
+// isStale reports whether a connection that has been idle for idleFor must not be reused: too many
+// attempts after this idle time, or after a shorter one, lost their connection.
 func (l *idleLosses) isStale(idleFor time.Duration) bool {
 	for i := range idleBucket(idleFor) + 1 {
 		if l.lost[i] >= minLosses && l.lost[i] > staleLossFraction*(l.survived[i]+l.lost[i]) {
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -1,7 +1,8 @@
-// Package upstream decides which connection to a server an attempt uses, and whether the attempt
-// was never sent, may have run, or was answered. The listener calls it to make attempts, and the
-// dispatcher to check servers' health; both say which server. A connection carries one command at a
-// time, so that none waits behind a longer one.
+// Package upstream maintains a pool of connections to the servers and sends commands on them. For
+// each attempt it selects a connection and reports whether the command was never sent, may have
+// run, or was answered. The listener calls it to make attempts, and the dispatcher calls it to
+// check the health of servers; the caller selects the server. A connection carries one command at
+// a time, so a command never waits behind a slower one.
 package upstream
 
 import (
@@ -13,19 +14,21 @@
 	"harrierhoist/policy"
 )
 
-// idleTimeoutDivisor gives the part of the servers' idle limit after which the pool closes a
-// connection. Servers may close one somewhat early, and a machine may be slow.
+// idleTimeoutDivisor divides the servers' idle limit to get the pool's idle timeout. The margin
+// covers servers that close connections somewhat early and delays on a slow machine.
 const idleTimeoutDivisor = 2
 
-// Pool makes attempts at servers on the connections that it owns. It is safe for concurrent use.
+// Pool sends commands to servers on the connections that it owns. It is safe for concurrent use.
 type Pool struct {
 	connections    *connectionSet
 	connectTimeout time.Duration
-	loadFields     []string // the names of the figures of a load report; none: servers report no load
+	loadFields     []string // names of the values in a load report; empty if servers report no load
 }
 
-// New returns a pool that holds at most maxConnections. A connection has connectTimeout to come up;
-// idleLimit is how long servers keep an idle one. Servers report the load fields named.
+// New returns a pool that opens at most maxConnections connections. connectTimeout bounds the time
+// to establish a connection. idleLimit is the time for which servers keep an idle connection open.
+// loadFields are the names of the values in the servers' load reports, empty if servers report no
+// load.
 func New(connectTimeout, idleLimit time.Duration, loadFields []string, maxConnections int) *Pool {
 	return &Pool{
 		connections:    newConnectionSet(connectTimeout, idleLimit/idleTimeoutDivisor, maxConnections),
@@ -34,20 +37,22 @@
 	}
 }
 
-// IdleTimeout returns how long an idle connection is kept.
+// IdleTimeout returns how long the pool keeps an idle connection.
 func (p *Pool) IdleTimeout() time.Duration { return p.connections.idleTimeout }
 
-// RunIdleCleanup closes connections that were idle for IdleTimeout, until the context ends.
+// RunIdleCleanup periodically closes connections that have been idle for IdleTimeout. It blocks
+// until the context is done.
 func (p *Pool) RunIdleCleanup(ctx context.Context) { p.connections.runCleanup(ctx) }
 
-// CheckHealth asks a server for its load report, or sends PING where servers report no load. It
-// calls done once, before it returns.
+// CheckHealth requests a server's load report, or sends PING if servers report no load. It blocks
+// until the check has ended, and calls done exactly once, before it returns.
 func (p *Pool) CheckHealth(server dispatch.Server, done func(dispatch.Result)) {
 	done(p.checkHealth(server))
 }
 
-// checkHealth decides how a health check ended: no answer counts as timed out wherever the exchange
-// ended, an error line as errored. What failed on this machine counts as not sent.
+// checkHealth runs a health check and returns its result. The outcome is TimedOut if there is no
+// answer, however the exchange ended, and Errored if the answer is an error line. It is NotSent if
+// the connection failed because of this machine.
 func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
 	ctx := context.Background()
 	key := keyOf(server)
--- a/internal/gateway/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -11,20 +11,23 @@
 )
 
 const (
-	// replyAttributes is how many attributes follow a value: use and load, either perhaps null.
+	// replyAttributes is the number of attributes that follow a value in a reply: usage and load,
+	// each of which may be null.
 	replyAttributes = 2
-	// maxFigure is the largest figure that is taken from an attribute. The counter adds no more at
-	// once, and a customer charged with a malformed figure would never be inside its quota again.
+	// maxFigure is the largest number that is accepted from an attribute. The counter accepts no
+	// larger increment, and a customer that is charged a malformed larger cost would never be within
+	// its quota again.
 	maxFigure = 1e9
-	// percent is the unit in which servers report a customer's use of its rate.
+	// percent converts the percentage in which servers report a customer's usage of its rate.
 	percent = 100
-	// floatBits is the size of the numbers that figures are read as.
+	// floatBits is the precision, in bits, with which numbers are parsed.
 	floatBits = 64
 )
 
-// parseReply reads a reply. Well-formed are the forms that servers show: an array of the value, use
-// and load; ERR failed or BUSY, with attributes at most. After anything else the request may have
-// run, whatever the line says.
+// parseReply returns the result that a reply stands for, and its value if it has one. A well-formed
+// reply is an array of value, usage and load, an "ERR failed" line, or a BUSY line. Only attributes
+// may follow on either line. Any other reply has the outcome Reset, because the request may have
+// run, whatever the reply says.
 func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, wellFormed bool) {
 	attributes := reply.Attributes
 	words := strings.Fields(reply.Line)
@@ -48,20 +51,22 @@
 	return result, reply.Value, true
 }
 
-// isFailedLine reports whether a server says that it has run a request, and failed.
+// isFailedLine reports whether an error line says that the server ran the request and that it
+// failed.
 func isFailedLine(words []string) bool {
 	return len(words) >= 2 && words[0] == "ERR" && words[1] == "failed"
 }
 
-// isBusyLine reports whether a server says that it has rejected a request.
+// isBusyLine reports whether an error line says that the server rejected the request without
+// running it.
 func isBusyLine(words []string) bool {
 	return len(words) >= 1 && words[0] == "BUSY" && !slices.ContainsFunc(words[1:], isNoAttribute)
 }
 
 func isNoAttribute(word string) bool { return !strings.Contains(word, "=") }
 
-// readFigures takes the figures from an attribute such as used=37,cost=4, and ignores those that
-// are malformed or out of range.
+// readFigures parses an attribute such as "used=37,cost=4" and stores its values in result. It
+// ignores values that are malformed or out of range.
 func (p *Pool) readFigures(result *dispatch.Result, attribute string) {
 	figures := map[string]float64{}
 	for pair := range strings.SplitSeq(attribute, ",") {
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -8,14 +8,14 @@
 	"harrierhoist/policy"
 )
 
-// minElective is the smallest number of servers of a zone that are selected for elective attempts,
-// if as many are ready: a choice of two.
+// minElective is the smallest number of servers that are selected in a zone for elective attempts,
+// unless fewer are ready. Two servers allow load balancing by the power of two choices.
 const minElective = 2
 
-// zoneOwners holds the owner of each zone that takes elective attempts, else 0.
+// zoneOwners holds the owner of each zone, indexed by zone; 0 if the zone takes no elective attempts.
 type zoneOwners []int
 
-// of returns the owner of a zone; 0 if it takes no elective attempts.
+// of returns the owner of a zone, or 0 if the zone takes no elective attempts.
 func (o zoneOwners) of(zone int) int {
 	if zone < 0 || zone >= len(o) {
 		return 0
@@ -23,12 +23,13 @@
 	return o[zone]
 }
 
-// AddElectiveServers adds to a selection the servers for elective attempts, which settle debts.
-// Owners holds the owner of each zone that takes such attempts, else 0; fraction is the largest
-// part of attempts that may go to any owner. Servers selected already keep their position, marked
-// with their owner. The others come from the rings of Select, so that each is added by as many
-// gateways.
-func (s *Subset) AddElectiveServers(
+// AddElective returns a copy of selected with servers for elective attempts appended. Elective
+// attempts settle debts between partners. owners holds the owner of each zone, indexed by zone; 0 if
+// the zone takes no elective attempts. fraction is the largest fraction of the gateway's attempts
+// that may go to a single owner. Servers that are already selected keep their position and get their
+// zone's owner. The appended servers are arcs of the same rings that Select uses, so that each
+// server is added by about the same number of gateways.
+func (s *Subset) AddElective(
 	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
 ) []policy.Endpoint {
 	ownerOf := zoneOwners(owners).of
@@ -48,7 +49,7 @@
 	for zone := range owners {
 		ready += float64(len(rings[zone]))
 	}
-	for zone := range owners { // in order, as the policy draws by position
+	for zone := range owners { // in a fixed order, because the policy picks endpoints by position
 		ring := rings[zone]
 		if len(ring) == 0 {
 			continue
@@ -64,8 +65,9 @@
 	return selected
 }
 
-// electiveLength returns how many servers to select of a zone's ring, where ready is the number of
-// servers in all such zones.
+// electiveLength returns the number of servers to select in a zone for elective attempts. ringSize
+// is the number of ready servers in the zone, and ready their number in all zones that take elective
+// attempts.
 func (s *Subset) electiveLength(now time.Duration, fraction, ringSize, ready float64) int {
 	if s.idleTimeout <= 0 {
 		return int(ringSize)
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -1,13 +1,13 @@
-// Package subset decides which servers of the endpoint list a gateway sends requests to. The
-// dispatcher calls it with the list, each attempt and the time: it uses neither sockets nor a
-// clock. A gateway with little traffic among hundreds then finds most of its connections open, and
-// meets a server often enough to know it.
+// Package subset selects the servers of the endpoint list to which a gateway sends requests. With a
+// subset, a gateway that handles little of the traffic of a large fleet finds most of its
+// connections open, and sends each server enough requests to estimate its load. The dispatcher
+// passes in the list, each attempt and the time; the package uses neither sockets nor a clock.
 //
-// All gateways arrange the servers of a zone in the same order, in a ring. A gateway's subset is an
-// arc of each zone's ring. The starts of the arcs are spread evenly over the gateways, and an arc
-// is as long as the gateway's attempts can keep connections open. So each server lies in arcs that
-// bring it the same attempts, whatever each gateway's own fraction of the traffic.
-// docs/fleet-connections.md weighs this against other ways.
+// All gateways arrange the servers of a zone in a ring, in the same order. A gateway's subset is an
+// arc of each zone's ring. The starting points of the arcs are spread evenly over the gateways. An
+// arc has as many servers as the gateway's attempts can keep connections open to. Each server
+// therefore lies in arcs that bring it the same rate of attempts, whatever fraction of the traffic
+// each gateway handles. docs/fleet-connections.md compares this with other algorithms.
 package subset
 
 import (
@@ -22,95 +22,98 @@
 	"harrierhoist/policy"
 )
 
-// Lengths of a subset.
+// Parameters for the length of a subset, in servers.
 const (
-	// MinSize is the smallest number of servers in a subset, if as many are ready.
+	// MinSize is the smallest number of servers in a subset, unless fewer are ready.
 	MinSize = 8
-	// minCover is the smallest number of subsets in which each server lies on average. The ends of
-	// arcs make load uneven where it is less.
+	// minCover is the smallest average number of subsets that contain a server. With fewer, the
+	// ends of the arcs make the load uneven.
 	minCover = 8.0
-	// attemptsPerIdleTimeout is the average number of attempts that a server of the subset gets
-	// within the idle timeout. More attempts keep more connections open, and a gateway's own
-	// counts, which choose between two servers, tell more.
+	// attemptsPerIdleTimeout is the average number of attempts that a server of the subset should
+	// receive within the idle timeout. More attempts keep more connections open, and make the
+	// gateway's own counts a better basis for choosing between two servers.
 	attemptsPerIdleTimeout = 12.0
-	// lengthTolerance is the part by which the length must be wrong before it is changed without a
-	// new list.
+	// lengthTolerance is the relative error of the length above which the subset is selected again
+	// without a new list.
 	lengthTolerance = 0.25
-	// checkInterval is the time between comparisons of the length with the rate.
+	// checkInterval is the interval at which the length is compared with the target length.
 	checkInterval = time.Second
 )
 
-// The rate of attempts.
+// Parameters for the estimate of the attempt rate.
 const (
-	// rateTimeConstant is the time constant of the exponential moving average. Bursts are shorter,
-	// and each change of the subset opens connections.
+	// rateTimeConstant is the time constant of the exponential moving average. It is longer than
+	// bursts, because each change of the subset opens new connections.
 	rateTimeConstant = 10 * time.Second
-	// minRateSpan is the shortest time over which the first attempts are counted: one attempt is no
-	// rate.
+	// minRateSpan is the shortest time over which the rate is averaged. Without it, the first attempt
+	// alone would appear as a high rate.
 	minRateSpan = 2 * time.Second
 )
 
-// goldenRatio spreads consecutive numbers evenly over a ring, and also every n-th of them.
+// goldenRatio is the fractional part of the golden ratio. The fractional parts of its multiples are
+// spread evenly over the interval from 0 to 1, and so are those of every n-th multiple.
 const goldenRatio = 0.6180339887498949
 
-// rackBits is the size of a rack's number in the input of its hash.
+// rackBits is the number of bits for the rack number in the input of rackHash.
 const rackBits = 32
 
 // Candidate is a server of the endpoint list.
 type Candidate struct {
-	NameHash uint64 // HashName of its name, the same at all gateways
+	NameHash uint64 // HashName of the server's name, so the same at all gateways
 	policy.Endpoint
 }
 
-// HashName returns the hash by which servers of a rack are ordered.
+// HashName returns the hash of a server's name that orders the servers within a rack.
 func HashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Subset is one gateway's subset. It is not safe for concurrent use. Times are on one clock, from
-// any start above 0.
+// Subset selects the subset of one gateway. It is not safe for concurrent use. All times passed to
+// its methods must come from the same monotonic clock, which may start at any value above 0.
 type Subset struct {
 	idleTimeout time.Duration
-	index       int // of this gateway
-	gateways    int
-
-	attempts  float64       // a count that decays
-	since     time.Duration // when the count began
-	countedAt time.Duration // when attempts was decayed last; see hasCounted
-	checkedAt time.Duration // when the length was compared with the rate last
-	length    int           // target when the subset was last selected; see isSelected
-	ready     int           // servers that were ready then
-
-	weights          []float64 // by zone; nil: by the number of servers
-	shedFraction     float64   // of requests that fit in no zone
-	unservedFraction float64   // of the weights, whose zone has no server ready
-	turn             int64     // in which the subset was last selected by weights
-	requests         uint64    // for which ShouldShed was called
+	index       int // index of this gateway, from 0
+	gateways    int // number of gateways in the fleet
+
+	attempts  float64       // exponentially decaying count of attempts
+	since     time.Duration // time when counting began
+	countedAt time.Duration // time up to which attempts has decayed; 0 before the first, see hasCounted
+	checkedAt time.Duration // time when the length was last compared with the target
+	length    int           // target length at the last selection; 0 before it, see isSelected
+	ready     int           // number of ready servers at the last selection
+
+	weights          []float64 // weight by zone; if nil, zones are weighted by their number of servers
+	shedFraction     float64   // fraction of requests to shed because no zone has capacity for them
+	unservedFraction float64   // fraction of the weights that belongs to zones without a ready server
+	turn             int64     // number of the turn of the last weighted selection
+	requests         uint64    // number of calls of ShouldShed with a fraction to shed
 }
 
-// New makes the subset of the gateway with an index, from 0, among a number of gateways.
-// Connections are closed when idle for idleTimeout; at 0 the subset is the whole list.
+// New returns the Subset of the gateway with the given index, from 0, in a fleet of the given number
+// of gateways. idleTimeout is the time after which the gateway closes an idle connection. If it is
+// 0, the subset is the whole list.
 func New(index, gateways int, idleTimeout time.Duration) *Subset {
 	return &Subset{idleTimeout: idleTimeout, index: index, gateways: max(gateways, 1)}
 }
 
-// Resize changes the gateway's index and the number of gateways, from the next selection on.
+// Resize sets the gateway's index and the number of gateways. It takes effect at the next selection.
 func (s *Subset) Resize(index, gateways int) {
 	s.index = index
 	s.gateways = max(gateways, 1)
 }
 
-// hasCounted reports whether a count of attempts has begun.
+// hasCounted reports whether counting of attempts has begun.
 func (s *Subset) hasCounted() bool { return s.countedAt != 0 }
 
-// isSelected reports whether the subset was selected before, with a server ready.
+// isSelected reports whether the last call of Select found a ready server. It is false before the
+// first call.
 func (s *Subset) isSelected() bool { return s.length != 0 }
 
-// CountAttempt counts an attempt.
+// CountAttempt records that the gateway made an attempt. AttemptRate is computed from these records.
 func (s *Subset) CountAttempt(now time.Duration) {
 	s.decay(now)
 	s.attempts++
 }
 
-// decay lets the count of attempts decay up to now.
+// decay applies the exponential decay of the count of attempts up to now.
 func (s *Subset) decay(now time.Duration) {
 	if !s.hasCounted() {
 		s.since = now
@@ -120,18 +123,18 @@
 	s.countedAt = now
 }
 
-// AttemptRate returns the recent number of attempts a second; 0 before any.
+// AttemptRate returns the recent rate of attempts per second. It is 0 before the first attempt.
 func (s *Subset) AttemptRate(now time.Duration) float64 {
 	s.decay(now)
-	// The count of a steady rate r after a time t is r * rateTimeConstant * (1 - exp(-t /
-	// rateTimeConstant)).
+	// After a time t at a steady rate r, the decaying count is
+	// r * rateTimeConstant * (1 - exp(-t / rateTimeConstant)).
 	counted := float64(max(now-s.since, minRateSpan))
 	span := rateTimeConstant.Seconds() * -math.Expm1(-counted/float64(rateTimeConstant))
 	return s.attempts / span
 }
 
-// targetLength returns how many servers the subset should have, of those that are ready: as many as
-// its attempts keep connections open to.
+// targetLength returns the number of ready servers that the subset should have: as many as the
+// gateway's attempts can keep connections open to, within the limits set by MinSize and minCover.
 func (s *Subset) targetLength(now time.Duration, ready int) int {
 	if s.idleTimeout <= 0 {
 		return ready
@@ -141,8 +144,10 @@
 	return int(min(length, float64(ready)))
 }
 
-// IsDue reports, once every checkInterval, whether the subset has to be selected anew: its length
-// is wrong by more than lengthTolerance, or a turn of its weights has ended.
+// IsDue reports whether the subset must be selected again, because its length differs from the
+// target by more than lengthTolerance, because it must grow to all ready servers, or because the
+// turn of a weighted selection has ended. It checks at most once per checkInterval and returns false
+// in between.
 func (s *Subset) IsDue(now time.Duration) bool {
 	if !s.isSelected() || now < s.checkedAt+checkInterval {
 		return false
@@ -157,10 +162,11 @@
 	return isWrong || growsToAll
 }
 
-// Select selects the subset from the list: its endpoints, in the list's order, and how many
-// gateways share each of them on average. Only servers that are ready are selected.
+// Select selects the subset from the list. It returns the selected endpoints in the order of the
+// list, and the average number of gateways that share each of them, at least 1. It selects only
+// servers that are ready.
 func (s *Subset) Select(now time.Duration, list []Candidate) (selected []policy.Endpoint, sharers float64) {
-	rings := map[int][]int{} // indexes of the servers that are ready, by zone
+	rings := map[int][]int{} // list indexes of the ready servers, by zone
 	s.ready = 0
 	for i, candidate := range list {
 		if candidate.State == policy.Ready {
@@ -179,11 +185,12 @@
 	} else {
 		selected = s.selectEvenly(list, rings)
 	}
-	// Other gateways are taken to have as much traffic, and subsets as long.
+	// This assumes that the other gateways have the same traffic and therefore subsets of the same
+	// length.
 	return selected, max(float64(s.gateways)*float64(len(selected))/float64(s.ready), 1)
 }
 
-// selectEvenly selects the same fraction of each zone's ring, rounded up.
+// selectEvenly selects the same fraction of every zone's ring, rounded up to whole servers.
 func (s *Subset) selectEvenly(list []Candidate, rings map[int][]int) []policy.Endpoint {
 	fraction := float64(s.length) / float64(s.ready)
 	var indexes []int
@@ -193,7 +200,8 @@
 	return endpointsAt(list, indexes)
 }
 
-// endpointsAt returns the endpoints at some indexes, in the list's order.
+// endpointsAt returns the endpoints at the given list indexes, in the order of the list. It sorts
+// indexes.
 func endpointsAt(list []Candidate, indexes []int) []policy.Endpoint {
 	slices.Sort(indexes)
 	endpoints := make([]policy.Endpoint, 0, len(indexes))
@@ -203,9 +211,10 @@
 	return endpoints
 }
 
-// arc cuts this gateway's arc, of some length, out of a zone's ring of indexes, which it sorts.
-// Racks stay together, as a keyed request can be retried only within one; their order, and that
-// within them, is random but the same at all gateways.
+// arc returns the list indexes of this gateway's arc of a zone's ring, with the given length. If the
+// ring is longer than that, arc sorts it into ring order. The servers of a rack are adjacent in the
+// ring, because a keyed request can be retried only within its rack. The order of racks, and of
+// servers within a rack, is pseudorandom but the same at all gateways.
 func (s *Subset) arc(zone int, ring []int, list []Candidate, length int) []int {
 	size := len(ring)
 	if length >= size {
@@ -223,7 +232,7 @@
 	return arc
 }
 
-// compareInRing orders the servers of a zone by rack and then by name, each by its hash.
+// compareInRing defines the order of a zone's ring: by hash of the rack, then by hash of the name.
 func compareInRing(a, b Candidate) int {
 	return cmp.Or(
 		cmp.Compare(rackHash(a), rackHash(b)),
--- a/internal/gateway/upstream/subset/weights.go
+++ b/internal/gateway/upstream/subset/weights.go
@@ -9,25 +9,29 @@
 	"harrierhoist/policy"
 )
 
-// A subset is a whole number of servers, and a small weight is less than one. Which gateways have
-// one server more in a zone changes by turns.
+// A zone's weight seldom corresponds to a whole number of servers, and a small weight corresponds to
+// less than one. So each zone's number of servers is rounded up at some gateways and down at the
+// others, and which gateways round up changes every turn.
 const (
-	// turnInterval is the length of a turn. Other gateways try a zone with a small weight in the
-	// next one, so that more than a few know it.
+	// turnInterval is the length of a turn. In each turn, different gateways select servers in a
+	// zone with a small weight, so that many gateways learn the state of its servers.
 	turnInterval = 10 * time.Second
-	// gatewaySpread spreads over gateways which of them get one server more. It differs from
-	// goldenRatio, so that this does not depend on where a gateway's arc begins.
+	// gatewaySpread is an irrational factor that spreads the rounding evenly over gateways. It
+	// differs from goldenRatio, so that the rounding is independent of where a gateway's arc begins.
 	gatewaySpread = 0.4142135623730951
-	// turnSpread spreads the same over turns.
+	// turnSpread is an irrational factor that spreads the rounding evenly over turns.
 	turnSpread = 0.7548776662466927
-	// turnModulus keeps the number of a turn small enough for an exact product.
+	// turnModulus limits the turn number, to keep the fractional part of its product with turnSpread
+	// precise.
 	turnModulus = 1e6
 )
 
-// SetWeights has the subset selected by weights from the next selection on. A weight is a zone's
-// part of the servers, in any unit; a zone of weight 0, or beyond the slice, gets none; nil selects
-// by the number of servers. The fraction shed of all requests, 0 to 1, is to be rejected at once.
-// It returns whether this changes anything.
+// SetWeights sets the weight of each zone, indexed by zone. It takes effect at the next selection. A
+// zone's weight, in any unit, is its relative share of the selected servers. A zone with weight 0,
+// or beyond the end of the slice, gets no servers. If weights is nil, zones are weighted by their
+// number of ready servers. The fraction shed, from 0 to 1, is the part of all requests that
+// ShouldShed rejects; it applies only with weights. SetWeights reports whether the weights or the
+// fraction have changed. It retains weights, which the caller must not modify afterwards.
 func (s *Subset) SetWeights(weights []float64, shed float64) (changed bool) {
 	shed = min(max(shed, 0), 1)
 	isSame := (weights == nil) == (s.weights == nil) && slices.Equal(weights, s.weights) && shed == s.shedFraction
@@ -36,9 +40,9 @@
 	return !isSame
 }
 
-// ShouldShed reports whether the next request is to be rejected at once: a part of them fits in no
-// zone, or belongs to a zone without a server that is ready. It rejects evenly, also among every
-// n-th request.
+// ShouldShed reports whether to reject the next request immediately. It sheds the fraction set by
+// SetWeights, and the share of requests that belongs to zones without a ready server. Shed requests
+// are spread evenly over all requests, and over every n-th request too.
 func (s *Subset) ShouldShed() bool {
 	if s.weights == nil {
 		return false
@@ -52,9 +56,11 @@
 	return draw < fraction
 }
 
+// turnAt returns the number of the turn at a time.
 func turnAt(now time.Duration) int64 { return int64(now / turnInterval) }
 
-// selectWeighted selects by weights. The average over all gateways is as exact as the weights.
+// selectWeighted selects servers of each zone in proportion to the weights. A single gateway's
+// selection is rounded to whole servers; the average over all gateways matches the weights.
 func (s *Subset) selectWeighted(now time.Duration, list []Candidate, rings map[int][]int) []policy.Endpoint {
 	s.turn = turnAt(now)
 	served, servedWeight, allWeight := s.servedZones(rings)
@@ -76,8 +82,9 @@
 	return endpointsAt(list, indexes)
 }
 
-// weightedLength returns the length of the whole subset over the served zones. Where one has too
-// few servers all get fewer, as more from the others would bring those more than their weight.
+// weightedLength returns the total number of servers to select from the served zones, before
+// rounding. If a zone has too few servers for its weight, the number is reduced in all zones, as
+// otherwise the other zones would get more than their weight.
 func (s *Subset) weightedLength(served []int, servedWeight float64, rings map[int][]int) float64 {
 	servers := 0
 	for _, zone := range served {
@@ -90,16 +97,17 @@
 	return length
 }
 
-// roundingAt returns what is added to a zone's part of the length before it is cut to a whole
-// number of servers: 0 to 1, spread evenly over gateways and turns.
+// roundingAt returns the offset, from 0 to 1, that is added to a zone's share of the length before
+// the sum is truncated to a whole number of servers. It is spread evenly over gateways and turns, so
+// that the average number of servers is exact.
 func (s *Subset) roundingAt(zone int) float64 {
 	turn := float64(s.turn % turnModulus)
 	_, rounding := math.Modf(float64(s.index)*gatewaySpread + turn*turnSpread + float64(zone)/math.E)
 	return rounding
 }
 
-// servedZones returns the zones with a weight and a server that is ready, the sum of their weights,
-// and that of all.
+// servedZones returns the zones that have a positive weight and a ready server, the sum of their
+// weights, and the sum of all weights.
 func (s *Subset) servedZones(rings map[int][]int) (served []int, servedWeight, allWeight float64) {
 	for zone, weight := range s.weights {
 		if weight <= 0 {
