--- a/internal/gateway/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -14,8 +14,8 @@
 	// replyAttributes is the number of attributes that follow a value in a reply: usage and load,
 	// each of which may be null.
 	replyAttributes = 2
-	// maxFigure is the largest number that is accepted from an attribute. The counter accepts no
-	// larger increment, and a customer that is charged a malformed larger cost would never be within
+	// maxFigure is the largest number that is accepted from an attribute. The counter adds no more
+	// than this in one call, and a customer that is charged a malformed cost would never be within
 	// its quota again.
 	maxFigure = 1e9
 	// percent converts the percentage in which servers report a customer's usage of its rate.
