--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -39,7 +39,7 @@
 // connection is established later. If it is cancelled after that, the connection is closed.
 func (p *Pool) Attempt(decision dispatch.Decision, command *Command) (dispatch.Result, *resp.Bulk) {
 	ctx := decision.Context
-	key := keyOf(decision.Server)
+	key := endpointKeyOf(decision.Server)
 	startedAt := time.Now()
 	if ctx.Err() != nil {
 		return dispatch.Result{Outcome: policy.NotSent}, nil
--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -11,7 +11,7 @@
 	"harrierhoist/policy"
 )
 
-// attemptAsync makes an attempt and sends its outcome once it has one.
+// attemptAsync starts an attempt in the background and returns a channel that receives its outcome.
 func (p *Pool) attemptAsync(decision dispatch.Decision) chan policy.Outcome {
 	outcomes := make(chan policy.Outcome, 1)
 	go func() {
@@ -22,33 +22,33 @@
 	return outcomes
 }
 
-// awaitDial waits until a connection is coming up.
+// awaitDial waits until the pool is dialing a connection.
 func (p *Pool) awaitDial(t *testing.T) {
 	t.Helper()
-	fakes.Eventually(t, "a dial", func() bool {
+	fakes.Eventually(t, "a dialed connection", func() bool {
 		p.connections.mu.Lock()
 		defer p.connections.mu.Unlock()
 		return p.connections.open > 0
 	})
 }
 
-// Nothing is written on a connection that comes up late, for an attempt that was cancelled
-// meanwhile or whose write deadline has passed: here the server takes no connection until after
-// that.
+// If an attempt is cancelled or passes its write deadline while its connection is being
+// established, nothing may be written on that connection. The server accepts no connection until
+// after that.
 func TestAttempt_writesNothingOnLateConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		writeTimeout   time.Duration
-		connectTimeout time.Duration // 0: a minute
-		isOnlyTime     bool          // the write deadline is the deadline
-		isCancelled    bool          // while it dials
+		connectTimeout time.Duration // one minute if 0
+		isOnlyTime     bool          // the deadline equals the write deadline
+		isCancelled    bool          // the attempt is cancelled while it dials
 		want           policy.Outcome
 	}{
 		"cancelled":            {writeTimeout: time.Minute, isCancelled: true, want: policy.NotSent},
 		"too late for a retry": {writeTimeout: 100 * time.Millisecond, want: policy.NotSent},
-		"never comes up": {
+		"connect timeout": {
 			writeTimeout: time.Minute, connectTimeout: 100 * time.Millisecond, want: policy.ConnectFailed,
 		},
-		"takes until the deadline": {
+		"deadline passes while dialing": {
 			writeTimeout: 100 * time.Millisecond, isOnlyTime: true, want: policy.ConnectFailed,
 		},
 	} {
@@ -71,24 +71,25 @@
 			select {
 			case got := <-outcomes:
 				if got != test.want || pool.connections.open != 0 {
-					t.Errorf("outcome %v, %d connections", got, pool.connections.open)
+					t.Errorf("outcome %v, want %v, with %d connections open", got, test.want, pool.connections.open)
 				}
 			case <-time.After(10 * time.Second):
-				t.Error("still dialing")
+				t.Error("the attempt has no outcome after 10 s")
 			}
-			if text := server.CollectBytes(t, 1500*time.Millisecond); text != "" { // a lost SYN comes again after 1 s
-				t.Errorf("written: %q", text)
+			if text := server.CollectBytes(t, 1500*time.Millisecond); text != "" { // a lost SYN is sent again after 1 s
+				t.Errorf("the server received %q, want nothing", text)
 			}
 		})
 	}
 }
 
-// Between the connection and the first byte the attempt may be cancelled: Begin, asked right before
-// the byte, settles it, and the connection serves the next attempt.
+// An attempt may be cancelled after it has a connection and before its first byte is written. It
+// calls Begin right before that byte, and writes nothing if Begin returns false. A new connection
+// is then kept for the next attempt.
 func TestAttempt_cancelledBeforeFirstByteWritesNothing(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	pool := newTestPool(10)
-	for _, idle := range []int{1, 0} { // a new connection is kept, one that was idle is closed
+	for _, idle := range []int{1, 0} { // a new connection is kept, one that was idle before is closed
 		ctx, cancel := context.WithCancel(context.Background())
 		decision := newDecision(ctx, server.Addr, time.Now().Add(time.Minute))
 		decision.BeginSend = func() bool {
@@ -97,31 +98,31 @@
 		}
 		got, idleNow := <-pool.attemptAsync(decision), len(pool.connections.idle[keyOfAddress(server.Addr)])
 		if got != policy.NotSent || pool.connections.open != idle || idleNow != idle {
-			t.Errorf("outcome %v, %d connections", got, pool.connections.open)
+			t.Errorf("outcome %v, %d connections open, want %d", got, pool.connections.open, idle)
 		}
 		pool.ageIdle(server)
 	}
 	attemptOnce(t, pool, server, policy.Answered)
 	if n := server.PendingCommands(); n != 1 {
-		t.Errorf("%d commands came", n)
+		t.Errorf("the server received %d commands, want 1", n)
 	}
 }
 
-// ageIdle makes the idle connections to a server idle for a second longer.
+// ageIdle adds one second to the idle time of each idle connection to a server.
 func (p *Pool) ageIdle(server *fakes.Server) {
 	for _, conn := range p.connections.idle[keyOfAddress(server.Addr)] {
 		conn.lastUsed = conn.lastUsed.Add(-time.Second)
 	}
 }
 
-// What was begun goes on, however late it is for a retry; what is late right before its first byte
-// is not begun.
+// The write deadline applies only until the command is written. An attempt that was written in time
+// continues after the write deadline, and one that has passed it before its first byte is not sent.
 func TestAttempt_writeDeadlineEndsBeforeFirstByteOnly(t *testing.T) {
 	answer := make(chan string)
 	server := fakes.NewServer(t, func([]string) string { return <-answer })
 	pool := newTestPool(10)
 	decision := decisionWithin(server.Addr, time.Minute)
-	// The loop runs once, unless the machine is slower than the timeout.
+	// The loop repeats only if the machine is too slow to write the command within the timeout.
 	for timeout := 100 * time.Millisecond; server.PendingCommands() == 0; timeout *= 2 {
 		decision.WriteDeadline = time.Now().Add(timeout)
 		outcomes := pool.attemptAsync(decision)
@@ -132,13 +133,13 @@
 		fakes.Eventually(t, "the write deadline", func() bool { return time.Now().After(decision.WriteDeadline) })
 		answer <- fakes.FormatValue("hello", 1)
 		if got := <-outcomes; got != policy.Answered {
-			t.Fatalf("begun in time: outcome %v", got)
+			t.Fatalf("attempt written in time: outcome %v", got)
 		}
 	}
-	pool.ageIdle(server) // the connection is there at once: only the last reading of the clock is left
-	asked := false
-	decision.BeginSend = func() bool { asked = true; return true }
-	if got := <-pool.attemptAsync(decision); got != policy.NotSent || asked || server.PendingCommands() != 1 {
-		t.Errorf("too late: outcome %v, begun %v, %d commands", got, asked, server.PendingCommands())
+	pool.ageIdle(server) // an idle connection needs no dial, so only the check before Begin can fail
+	begun := false
+	decision.Begin = func() bool { begun = true; return true }
+	if got := <-pool.attemptAsync(decision); got != policy.NotSent || begun || server.PendingCommands() != 1 {
+		t.Errorf("write deadline passed: outcome %v, begun %v, %d commands", got, begun, server.PendingCommands())
 	}
 }
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -15,12 +15,12 @@
 	"harrierhoist/policy"
 )
 
-// longCommand is a command that no buffer between narrow ends holds.
+// longCommand is a command that does not fit into the socket buffers of addIdleWithSmallBuffers.
 var longCommand = &Command{Verb: "SVC.SUBMIT", Customer: "01", ID: "02", ParamsBefore: strings.Repeat("x", 1<<20)}
 
-// addNarrowIdle gives a pool an idle connection whose buffers are small, and the server's end of
-// it.
-func (p *Pool) addNarrowIdle(t *testing.T) (key endpointKey, far *net.TCPConn) {
+// addIdleWithSmallBuffers adds an idle connection with small socket buffers to the pool. It returns
+// the connection's key and the server's end of it.
+func (p *Pool) addIdleWithSmallBuffers(t *testing.T) (key endpointKey, far *net.TCPConn) {
 	t.Helper()
 	near, other := fakes.ConnPair(t)
 	_ = near.(*net.TCPConn).SetWriteBuffer(4 << 10)
@@ -32,12 +32,12 @@
 	return key, other.(*net.TCPConn)
 }
 
-// breakTest breaks a connection while a command or its answer is on it.
+// breakTest disrupts a connection while a command or its answer is being transferred.
 type breakTest struct {
 	name    string
 	command *Command
 	timeout time.Duration
-	act     func(far *net.TCPConn, cancel func())
+	disrupt func(far *net.TCPConn, cancel func())
 	want    policy.Outcome
 }
 
@@ -49,17 +49,16 @@
 
 func doNothing(*net.TCPConn, func()) {}
 
-// afterPart has a part of an answer come first.
-func afterPart(answer string, act func(*net.TCPConn, func())) func(*net.TCPConn, func()) {
+// afterPartOf returns a disruption that sends a part of an answer before act.
+func afterPartOf(answer string, act func(*net.TCPConn, func())) func(*net.TCPConn, func()) {
 	return func(far *net.TCPConn, cancel func()) {
 		_, _ = io.WriteString(far, answer)
 		act(far, cancel)
 	}
 }
 
-// A connection that breaks before a command's last byte is written shows that it never ran,
-// whichever side breaks it and however much of it came. One that breaks right after that byte does
-// not.
+// A command whose last byte was not written never ran, regardless of which side breaks the connection
+// and how many bytes the server received. Once the last byte is written, the command may have run.
 func TestAttempt_breakBeforeLastByteDiffersFromOneAfter(t *testing.T) {
 	const valueOnly, allButLastByte = "*3\r\n$1\r\nv\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r"
 	for _, test := range []breakTest{
@@ -70,9 +69,9 @@
 		{"close after last byte", &Command{}, time.Minute, closeWrite, policy.Reset},
 		{"timeout after last byte", &Command{}, 100 * time.Millisecond, doNothing, policy.TimedOut},
 		{"cancelled after last byte", &Command{}, time.Minute, cancelAttempt, policy.Cancelled},
-		{"reset within answer", &Command{}, time.Minute, afterPart(valueOnly, reset), policy.Reset},
-		{"close within answer", &Command{}, time.Minute, afterPart(allButLastByte, closeWrite), policy.Reset},
-		{"cancelled within answer", &Command{}, time.Minute, afterPart(valueOnly, cancelAttempt), policy.Cancelled},
+		{"reset within answer", &Command{}, time.Minute, afterPartOf(valueOnly, reset), policy.Reset},
+		{"close within answer", &Command{}, time.Minute, afterPartOf(allButLastByte, closeWrite), policy.Reset},
+		{"cancelled within answer", &Command{}, time.Minute, afterPartOf(valueOnly, cancelAttempt), policy.Cancelled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -84,12 +83,12 @@
 	}
 }
 
-// run makes one attempt. It tells whether the command came as far as it is to: a short timeout may
-// pass before.
+// run makes one attempt and checks its outcome. It returns false, without checking, if a short
+// timeout passed before the server received what the test requires; the caller then retries.
 func (b *breakTest) run(t *testing.T, timeout time.Duration) bool {
 	t.Helper()
 	pool := New(time.Minute, time.Hour, nil, 10)
-	key, far := pool.addNarrowIdle(t)
+	key, far := pool.addIdleWithSmallBuffers(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	outcomes := make(chan policy.Outcome, 1)
@@ -100,25 +99,25 @@
 	}()
 	var err error
 	if b.command == longCommand {
-		_, err = io.ReadFull(far, make([]byte, 100)) // it is on its way, and cannot end
+		_, err = io.ReadFull(far, make([]byte, 100)) // part of it has arrived; the rest does not fit into the buffers
 	} else {
 		_, err = fakes.ReadCommand(bufio.NewReader(far))
 	}
 	if err != nil && timeout < time.Minute {
 		return false
 	}
-	b.act(far, cancel)
+	b.disrupt(far, cancel)
 	if got := <-outcomes; got != b.want || pool.connections.open != 0 || len(pool.connections.idle[key]) != 0 {
-		t.Errorf("outcome %v, %d connections open", got, pool.connections.open)
+		t.Errorf("outcome %v, want %v, with %d connections open", got, b.want, pool.connections.open)
 	}
 	return true
 }
 
-// An answer that never ends is abandoned in the time that a connection may take to come up, also
-// one that trickles: each further byte is no reason to wait longer.
+// An answer must be complete within the connect timeout after its first byte. Further bytes must not
+// extend that time, so an answer that trickles in forever is abandoned too.
 func TestAttempt_tricklingAnswerIsAbandoned(t *testing.T) {
 	pool := New(200*time.Millisecond, time.Hour, nil, 10)
-	key, far := pool.addNarrowIdle(t)
+	key, far := pool.addIdleWithSmallBuffers(t)
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
@@ -135,7 +134,8 @@
 	<-closed
 }
 
-// slowAbortConn is a connection on which aborting waits until resume.
+// slowAbortConn is a connection on which Abort closes aborting and then blocks until resume is
+// closed.
 type slowAbortConn struct {
 	net.Conn
 	aborting, resume chan struct{}
@@ -149,17 +149,17 @@
 	return s.Conn.SetDeadline(t)
 }
 
-// Of an answer and a cancellation at the same instant one holds: here the answer comes between the
-// cancellation and what that does to the connection. It counts, once; the connection serves nobody
-// else, as it would be aborted under the next request.
-func TestAttempt_answerAtTheInstantOfCancelling(t *testing.T) {
+// An answer may arrive after the context is cancelled and before the connection is aborted. The
+// answer must count, and the connection must be closed rather than reused, because the pending abort
+// would hit the next request.
+func TestAttempt_answerRacesWithCancellation(t *testing.T) {
 	near, far := fakes.ConnPair(t)
 	slow := &slowAbortConn{near, make(chan struct{}), make(chan struct{})}
 	pool := New(time.Minute, time.Hour, nil, 10)
 	key := keyOfAddress("there")
 	pool.connections.open++
 	pool.connections.idle[key] = []*connection{{Conn: resp.NewConn(near), lastUsed: time.Now().Add(-time.Second)}}
-	pool.connections.idle[key][0].Conn.Conn = slow // the descriptor beneath is read as before
+	pool.connections.idle[key][0].Conn.Conn = slow // the file descriptor is still that of near
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		_, _ = fakes.ReadCommand(bufio.NewReader(far))
@@ -169,7 +169,7 @@
 	}()
 	got, value := pool.Attempt(newDecision(ctx, key.address, time.Now().Add(time.Minute)), &Command{})
 	if got.Outcome != policy.Answered || value.String() != "hello" {
-		t.Errorf("ended %v, value %v", got.Outcome, value)
+		t.Errorf("outcome %v, value %v", got.Outcome, value)
 	}
 	value.Free()
 	if pool.connections.open != 0 || len(pool.connections.idle[key]) != 0 {
@@ -178,16 +178,16 @@
 	close(slow.resume)
 }
 
-// Whatever comes on an idle connection, and its end, is seen before it is used.
+// An idle connection that has unread bytes, or that the server has closed, must not be reused.
 func TestIdle_connectionWithUnreadBytesIsNotUsed(t *testing.T) {
 	for name, act := range map[string]func(*net.TCPConn, func()){
-		"half a line": afterPart("-ERR fai", doNothing),
+		"half a line": afterPartOf("-ERR fai", doNothing),
 		"close":       closeWrite,
 		"reset":       reset,
 	} {
 		server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 		pool := New(time.Minute, time.Hour, nil, 10)
-		narrowKey, far := pool.addNarrowIdle(t)
+		narrowKey, far := pool.addIdleWithSmallBuffers(t)
 		key := keyOfAddress(server.Addr)
 		pool.connections.idle[key] = pool.connections.idle[narrowKey]
 		delete(pool.connections.idle, narrowKey)
@@ -199,14 +199,14 @@
 	}
 }
 
-// Every way that a connection can go is counted once: as many are open as are idle when nothing is
-// in flight.
+// Each connection must be counted and released exactly once on every path. When no attempt is in
+// flight, the number of open connections must equal the number of idle ones.
 func TestPool_countsOpenConnectionsOnEveryPath(t *testing.T) {
 	server := fakes.NewServer(t, func(words []string) string {
 		if words[0] == "INFO" {
 			return "$10\r\ninflight=2\r\n"
 		}
-		return words[2] // the command says what the answer is to be
+		return words[2] // the command's ID is the answer to send
 	})
 	silent := fakes.Listen(t)
 	pool := New(100*time.Millisecond, time.Hour, []string{"inflight"}, 2)
@@ -237,12 +237,12 @@
 		return idle > 0
 	})
 	if pool.connections.open != idle || idle == 0 || idle > 2 {
-		t.Errorf("%d open, %d idle", pool.connections.open, idle)
+		t.Errorf("%d connections open, %d idle, want 1 or 2 and all idle", pool.connections.open, idle)
 	}
 	for key := range pool.connections.idle {
 		pool.connections.closeIdleBefore(key, time.Now().Add(time.Hour))
 	}
 	if pool.connections.open != 0 {
-		t.Errorf("%d open after all were closed", pool.connections.open)
+		t.Errorf("%d connections open after all were closed", pool.connections.open)
 	}
 }
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -34,7 +34,9 @@
 // reused address does not get connections to the previous one.
 type endpointKey struct{ name, address string }
 
-func keyOf(server dispatch.Server) endpointKey { return endpointKey{server.Name, server.Address} }
+func endpointKeyOf(server dispatch.Server) endpointKey {
+	return endpointKey{server.Name, server.Address}
+}
 
 // connection is a connection to a server, with the time of its last use.
 type connection struct {
--- a/internal/gateway/upstream/fuzz_test.go
+++ b/internal/gateway/upstream/fuzz_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// Whatever a server answers: no panic, only the outcomes of an answer, a value with Answered alone,
-// and figures within their range.
+// For any bytes that a server sends, parseReply must not panic. It may return only the outcomes of a
+// reply, a value only with Answered, and numbers only within their range.
 func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
 		fakes.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n",
@@ -40,7 +40,7 @@
 		switch got.Outcome {
 		case policy.Answered:
 			if !hasValue {
-				t.Fatal("answered with no value")
+				t.Fatal("outcome Answered for a reply without a value")
 			}
 		case policy.Errored, policy.Rejected, policy.Reset:
 		default:
@@ -49,22 +49,22 @@
 		if (value != nil) != (got.Outcome == policy.Answered) || wellFormed != (got.Outcome != policy.Reset) {
 			t.Fatalf("%q: outcome %v with value %v, well-formed %v", data, got.Outcome, value != nil, wellFormed)
 		}
-		checkFigures(t, data, got)
+		checkNumbers(t, data, got)
 	})
 }
 
-// checkFigures checks that all figures of a result are within their range.
-func checkFigures(t *testing.T, data []byte, got dispatch.Result) {
+// checkNumbers fails the test if a number of the result is out of range.
+func checkNumbers(t *testing.T, data []byte, got dispatch.Result) {
 	t.Helper()
-	figures := []float64{got.ActualUnits, got.Usage}
+	numbers := []float64{got.ActualUnits, got.Usage}
 	for _, v := range got.LoadReport {
-		figures = append(figures, float64(v))
+		numbers = append(numbers, float64(v))
 	}
 	if len(got.LoadReport) > 2 {
 		t.Fatalf("%q: load report %v", data, got.LoadReport)
 	}
-	for _, v := range figures {
-		if !(v >= 0 && v <= maxFigure) { // Usage is 1 + a hundredth of its figure
+	for _, v := range numbers {
+		if !(v >= 0 && v <= maxAttributeNumber) { // Usage is 1 + a hundredth of the reported number
 			t.Fatalf("%q: result %+v", data, got)
 		}
 	}
--- a/internal/gateway/upstream/idle_test.go
+++ b/internal/gateway/upstream/idle_test.go
@@ -19,28 +19,28 @@
 	first := pool.connections.idle[keyOfAddress(server.Addr)][0]
 	attemptOnce(t, pool, server, policy.Answered)
 	if idle := pool.connections.idle[keyOfAddress(server.Addr)]; len(idle) != 1 || idle[0] != first {
-		t.Fatalf("%d connections idle after two attempts in turn", len(idle))
+		t.Fatalf("%d connections idle after two consecutive attempts, want the first one only", len(idle))
 	}
 	_ = server.NextConn(t).Close()
 	fakes.Eventually(t, "the close", func() bool {
 		return !pool.connections.idle[keyOfAddress(server.Addr)][0].IsQuiet()
 	})
 	pool.ageIdle(server)
-	attemptOnce(t, pool, server, policy.Answered) // written to the closed one, it would have ended as a reset
+	attemptOnce(t, pool, server, policy.Answered) // on the closed connection it would have ended with Reset
 }
 
 func TestIdle_connectionIsClosedBeforeServersLimit(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	pool := New(time.Second, time.Second, nil, 10)
 	attemptOnce(t, pool, server, policy.Answered)
-	pool.ageIdle(server) // beyond half of the limit
+	pool.ageIdle(server) // longer than half of the servers' limit
 	attemptOnce(t, pool, server, policy.Answered)
 	if n := server.ConnCount(); n != 2 {
-		t.Errorf("%d connections, want a new one", n)
+		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-func TestIdle_silentServerLosesItsConnections(t *testing.T) {
+func TestIdle_connectionsAreClosedAfterTimedOutAttempt(t *testing.T) {
 	silent := false
 	server := fakes.NewServer(t, func([]string) string {
 		if silent {
@@ -59,7 +59,7 @@
 		t.Fatalf("outcome %v", got.Outcome)
 	}
 	if n := len(pool.connections.idle[keyOfAddress(server.Addr)]); n != 0 || pool.connections.open != 0 {
-		t.Errorf("%d idle and %d open connections left to a silent server", n, pool.connections.open)
+		t.Errorf("%d idle and %d open connections to the unresponsive server, want none", n, pool.connections.open)
 	}
 }
 
@@ -68,7 +68,7 @@
 	first, second := fakes.NewServer(t, answer), fakes.NewServer(t, answer)
 	pool := newTestPool(1)
 	attemptOnce(t, pool, first, policy.Answered)
-	attemptOnce(t, pool, second, policy.Answered) // takes the place of the idle one
+	attemptOnce(t, pool, second, policy.Answered) // replaces the idle connection
 	if _, err := first.NextConn(t).Read(make([]byte, 1)); err == nil {
 		t.Error("the idle connection is still open")
 	}
@@ -76,15 +76,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	attemptOnce(t, pool, first, policy.NotSent) // that the pool is exhausted says nothing of the server
+	attemptOnce(t, pool, first, policy.NotSent) // the pool is exhausted, which is no failure of the server
 	pool.connections.close(busy)
 	attemptOnce(t, pool, first, policy.Answered)
 }
 
-// The second answer comes on the first one's connection when the next command is written: whatever
-// looks at the connection before that sees nothing on it. Used too soon, it gave that answer to the
-// next request; a new one is taken instead, also where the idle one has to make room for it.
-func TestIdle_lateSecondReplyIsNotTakenForNextOne(t *testing.T) {
+// A server may send a second reply shortly after the first, too late for the check of the connection
+// for unread bytes. If the connection is reused too soon, the next request gets that reply. A new
+// connection must be used instead, even if the pool has to close the idle one to make room for it.
+// Here the server sends the second reply when it receives the next command.
+func TestIdle_lateExtraReplyIsNotReadAsNextReply(t *testing.T) {
 	for _, maxConnections := range []int{10, 1} {
 		first := make(chan net.Conn, 1)
 		var server *fakes.Server
@@ -99,10 +100,10 @@
 		})
 		pool := newTestPool(maxConnections)
 		attemptOnce(t, pool, server, policy.Answered)
-		// It counts as just answered, however slow the machine is.
+		// A time in the future keeps the connection within minIdleBeforeReuse on a slow machine too.
 		pool.connections.idle[keyOfAddress(server.Addr)][0].lastUsed = time.Now().Add(time.Minute)
 		if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 {
-			t.Errorf("billed %v, as the other answer says", got.ActualUnits)
+			t.Errorf("cost %v, want 1: the late reply was read as this one", got.ActualUnits)
 		}
 	}
 }
@@ -117,21 +118,21 @@
 	pool.connections.putIdle(keyOfAddress(server.Addr), latest)
 	latest.lastUsed = time.Now().Add(time.Hour)
 	if conn := pool.connections.takeIdle(keyOfAddress(server.Addr)); conn != earlier {
-		t.Error("the one that was just used is used again")
+		t.Error("want the earlier connection, as the latest was just used")
 	}
 	if conn := pool.connections.takeIdle(keyOfAddress(server.Addr)); conn != nil {
-		t.Error("the only one is used though it was just used")
+		t.Error("a connection was reused before minIdleBeforeReuse")
 	}
 	latest.lastUsed = time.Now().Add(-minIdleBeforeReuse)
 	if conn := pool.connections.takeIdle(keyOfAddress(server.Addr)); conn != latest {
-		t.Error("it is not used after the shortest idle time")
+		t.Error("a connection was not reused after minIdleBeforeReuse")
 	}
 }
 
-func TestIdleLosses_longIdleIsStaleWhereSuchWereLost(t *testing.T) {
+func TestIdleLosses_idleTimeWithManyLossesIsStale(t *testing.T) {
 	var losses idleLosses
 	now := time.Now()
-	for range 40 { // two in a hundred are lost after any idle time, and most after long ones
+	for range 40 { // few connections are lost after 20 ms, and half of them after 150 ms
 		losses.record(now, 20*time.Millisecond, false)
 	}
 	losses.record(now, 20*time.Millisecond, true)
@@ -143,12 +144,12 @@
 		0: false, 20 * time.Millisecond: false, 150 * time.Millisecond: true, time.Minute: true,
 	} {
 		if losses.isStale(idleFor) != stale {
-			t.Errorf("after %v: stale %v", idleFor, !stale)
+			t.Errorf("after %v: stale %v, want %v", idleFor, !stale, stale)
 		}
 	}
 	losses.record(now.Add(lossHalfLife), 20*time.Millisecond, false)
 	if losses.isStale(150 * time.Millisecond) {
-		t.Error("a longer idle time is not tried again")
+		t.Error("a stale idle time is not tried again after lossHalfLife")
 	}
 }
 
@@ -156,13 +157,13 @@
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	pool := newTestPool(10)
 	lost := 0
-	for range 12 { // the server closes each connection on which a second command comes
+	for range 12 { // each connection ends before its second command is written
 		for len(pool.connections.idle[keyOfAddress(server.Addr)]) == 0 {
 			attemptOnce(t, pool, server, policy.Answered)
 		}
 		conn := pool.connections.idle[keyOfAddress(server.Addr)][0]
 		conn.lastUsed = time.Now().Add(-200 * time.Millisecond)
-		_ = conn.Conn.Conn.(*net.TCPConn).CloseWrite() // its end is seen by the next attempt only
+		_ = conn.Conn.Conn.(*net.TCPConn).CloseWrite() // the next attempt is the first to detect it
 		command := &Command{Verb: "SVC.QUERY"}
 		got, value := pool.Attempt(decisionWithin(server.Addr, 5*time.Second), command)
 		if got.Outcome != policy.Answered {
@@ -172,6 +173,6 @@
 		}
 	}
 	if lost == 0 || lost > minLosses+1 {
-		t.Errorf("%d of 12 attempts were lost", lost)
+		t.Errorf("%d of 12 attempts were lost, want 1 to %v", lost, minLosses+1)
 	}
 }
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -27,8 +27,8 @@
 //
 // It is not safe for concurrent use.
 type idleLosses struct {
-	survived, lost [idleBuckets]float64
-	lastHalved     time.Time
+	kept, lost [idleBuckets]float64
+	lastHalved time.Time
 }
 
 // idleBucket returns the index of the bucket of an idle time. Bucket 0 holds times below 1 ms, and
@@ -41,8 +41,8 @@
 // attempt lost the connection.
 func (l *idleLosses) record(now time.Time, idleFor time.Duration, lost bool) {
 	if now.Sub(l.lastHalved) >= lossHalfLife {
-		for i := range l.survived {
-			l.survived[i] /= halvingDivisor
+		for i := range l.kept {
+			l.kept[i] /= halvingDivisor
 			l.lost[i] /= halvingDivisor
 		}
 		l.lastHalved = now
@@ -50,7 +50,7 @@
 	if lost {
 		l.lost[idleBucket(idleFor)]++
 	} else {
-		l.survived[idleBucket(idleFor)]++
+		l.kept[idleBucket(idleFor)]++
 	}
 }
 
@@ -58,7 +58,7 @@
 // attempts after this idle time, or after a shorter one, lost their connection.
 func (l *idleLosses) isStale(idleFor time.Duration) bool {
 	for i := range idleBucket(idleFor) + 1 {
-		if l.lost[i] >= minLosses && l.lost[i] > staleLossFraction*(l.survived[i]+l.lost[i]) {
+		if l.lost[i] >= minLosses && l.lost[i] > staleLossFraction*(l.kept[i]+l.lost[i]) {
 			return true
 		}
 	}
--- a/internal/gateway/upstream/leak_test.go
+++ b/internal/gateway/upstream/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// A test that leaves a goroutine behind fails the package.
+// TestMain fails the package if a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/upstream/localfailure_test.go
+++ b/internal/gateway/upstream/localfailure_test.go
@@ -9,10 +9,10 @@
 	"harrierhoist/policy"
 )
 
-// A socket that this machine cannot open for a moment says nothing of the server, which would be
-// ejected for it; what the network says of the server does. Nothing was sent in either case, and
-// the slot is free again.
-func TestAttempt_localDialFailureSaysNothingOfTheServer(t *testing.T) {
+// A dial error caused by this machine, such as a lack of file descriptors, must not count against
+// the server, which would otherwise be ejected. Errors caused by the server or the network do count.
+// In either case nothing is sent and the slot in the pool is released.
+func TestAttempt_localDialFailureIsNotSent(t *testing.T) {
 	for failure, want := range map[syscall.Errno]policy.Outcome{
 		syscall.EMFILE: policy.NotSent, syscall.ENFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent,
 		syscall.ENOMEM: policy.NotSent, syscall.EADDRNOTAVAIL: policy.NotSent, syscall.ENETUNREACH: policy.NotSent,
@@ -24,15 +24,15 @@
 			pool := newTestPool(1)
 			pool.connections.controlSocket = func(string, string, syscall.RawConn) error { return failure }
 			attemptOnce(t, pool, server, want)
-			attemptOnce(t, pool, server, want) // twice: the first has given its slot back
+			attemptOnce(t, pool, server, want) // the first attempt must have released the only slot
 			pool.connections.controlSocket = nil
 			attemptOnce(t, pool, server, policy.Answered)
 		})
 	}
 }
 
-// A health check that cannot be begun for such a cause is none of the server's failures either.
-func TestCheckHealth_localDialFailureSaysNothingOfTheServer(t *testing.T) {
+// A health check that fails because of this machine must not count against the server either.
+func TestCheckHealth_localDialFailureIsNotSent(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return "+PONG\r\n" })
 	pool := newTestPool(1)
 	pool.connections.controlSocket = func(string, string, syscall.RawConn) error { return syscall.ENFILE }
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -55,7 +55,7 @@
 // the connection failed because of this machine.
 func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
 	ctx := context.Background()
-	key := keyOf(server)
+	key := endpointKeyOf(server)
 	deadline := time.Now().Add(p.connectTimeout)
 	conn, err := p.connections.acquire(ctx, key, deadline)
 	if isLocalFailure(err) {
@@ -79,7 +79,7 @@
 		result.Outcome = policy.Answered
 	}
 	if reply.Value != nil {
-		p.readFigures(&result, reply.Value.String())
+		p.parseAttribute(&result, reply.Value.String())
 		reply.Value.Free()
 	}
 	return result
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -12,7 +12,7 @@
 	"harrierhoist/policy"
 )
 
-// newDecision forwards a request to a server; the attempt may begin.
+// newDecision returns a decision to send an attempt to a server. Its Begin always returns true.
 func newDecision(ctx context.Context, address string, deadline time.Time) dispatch.Decision {
 	return dispatch.Decision{
 		Server: dispatch.Server{Address: address}, Deadline: deadline, WriteDeadline: deadline, Context: ctx,
@@ -20,12 +20,12 @@
 	}
 }
 
-// decisionWithin is one that nobody cancels.
+// decisionWithin returns a decision with a timeout that is never cancelled.
 func decisionWithin(address string, timeout time.Duration) dispatch.Decision {
 	return newDecision(context.Background(), address, time.Now().Add(timeout))
 }
 
-// attemptOnce makes an attempt and checks its outcome.
+// attemptOnce makes an attempt and fails the test if its outcome is not the wanted one.
 func attemptOnce(t *testing.T, pool *Pool, server *fakes.Server, want policy.Outcome) dispatch.Result {
 	t.Helper()
 	command := &Command{Verb: "SVC.QUERY", Customer: "01", ID: "02", ParamsBefore: "c=a,d=", ParamsAfter: ",k=7"}
@@ -37,7 +37,7 @@
 	return got
 }
 
-// keyOfAddress is the key of a server without a name.
+// keyOfAddress returns the key of a server without a name.
 func keyOfAddress(address string) endpointKey { return endpointKey{address: address} }
 
 func newTestPool(maxConnections int) *Pool {
@@ -48,7 +48,7 @@
 	for _, test := range []struct {
 		name, answer string
 		want         policy.Outcome
-		billed       float64
+		wantCost     float64
 	}{
 		{"value", fakes.FormatValue("hello", 3), policy.Answered, 3},
 		{"error", "-ERR failed used=3,cost=2 inflight=7\r\n", policy.Errored, 2},
@@ -61,10 +61,10 @@
 			got := attemptOnce(t, newTestPool(10), server, test.want)
 			words := strings.Join(server.NextCommand(t), " ")
 			if !strings.HasPrefix(words, "SVC.QUERY 01 02 c=a,d=") || !strings.HasSuffix(words, ",k=7") {
-				t.Errorf("sent %q", words)
+				t.Errorf("the server received %q", words)
 			}
-			if got.ActualUnits != test.billed {
-				t.Errorf("billed %v, want %v", got.ActualUnits, test.billed)
+			if got.ActualUnits != test.wantCost {
+				t.Errorf("cost %v, want %v", got.ActualUnits, test.wantCost)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 		t.Errorf("outcome %v", got)
 	}
 	if n, err := server.NextConn(t).Read(make([]byte, 1)); err == nil {
-		t.Errorf("the server still has a connection, with %d bytes", n)
+		t.Errorf("the connection is still open, %d bytes read from it", n)
 	}
 	got, _ := pool.Attempt(newDecision(ctx, server.Addr, time.Now().Add(time.Minute)), &Command{})
 	if got.Outcome != policy.NotSent || pool.connections.open != 0 || server.PendingCommands() != 0 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Whatever ends a health check without a reply counts as timed out.
+// A health check that ends without a valid reply counts as timed out.
 func TestCheckHealth_outcomes(t *testing.T) {
 	for reply, want := range map[string]policy.Outcome{
 		"+PONG\r\n":    policy.Answered,
@@ -141,14 +141,14 @@
 	}
 }
 
-func TestAttempt_secondReplyIsNotTakenForNextOne(t *testing.T) {
+func TestAttempt_extraReplyIsNotReadAsNextReply(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string {
 		return fakes.FormatValue("hello", 1) + fakes.FormatValue("hello", 7)
 	})
 	pool := newTestPool(10)
 	attemptOnce(t, pool, server, policy.Answered)
 	if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 || server.ConnCount() != 2 {
-		t.Errorf("billed %v on %d connections", got.ActualUnits, server.ConnCount())
+		t.Errorf("cost %v with %d connections, want 1 with 2", got.ActualUnits, server.ConnCount())
 	}
 }
 
@@ -157,37 +157,37 @@
 		"nonsense\r\n", "*1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nhello\r\n", "+OK\r\n", ":7\r\n",
 		"*2\r\n$1\r\nv\r\n$-1\r\n", "*3\r\n$3000000000\r\nvv", "*3\r\n$1\r\nvvv\r\n$-1\r\n$-1\r\n",
 		"-BUSY x\r\n", "-BUSYBUSY\r\n", "-\x00\xff\r\n", "-ERR\r\n", strings.Repeat("-", 1<<20),
-		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ninflight=7,u", // it stops there, long before the deadline
+		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ninflight=7,u", // the server pauses here, long before the deadline
 	} {
 		server := fakes.NewServer(t, func([]string) string { return text })
 		pool := New(100*time.Millisecond, time.Minute, nil, 10)
 		if attemptOnce(t, pool, server, policy.Reset); pool.connections.open != 0 {
-			t.Errorf("%.20q: its connection is kept", text)
+			t.Errorf("%.20q: the connection was not closed", text)
 		}
 	}
 }
 
-func TestParseReply_invalidFigureIsIgnored(t *testing.T) {
+func TestParseReply_invalidNumberIsIgnored(t *testing.T) {
 	for _, attribute := range []string{"cost=x", "cost=-1", "cost=NaN", "cost=Inf", "cost", "???"} {
 		server := fakes.NewServer(t, func([]string) string {
 			return fmt.Sprintf("*3\r\n$1\r\nv\r\n$%d\r\n%s\r\n$-1\r\n", len(attribute), attribute)
 		})
 		if got := attemptOnce(t, newTestPool(9), server, policy.Answered); got.ActualUnits != 0 {
-			t.Errorf("%s: billed %v", attribute, got.ActualUnits)
+			t.Errorf("%s: cost %v, want none", attribute, got.ActualUnits)
 		}
 	}
 }
 
-// The use of a customer's rate that servers tell has to reach the result.
-func TestReadFigures_usage(t *testing.T) {
+// The customer's usage of its rate, as reported by a server, must be stored in the result.
+func TestParseAttribute_usage(t *testing.T) {
 	pool := &Pool{}
 	for attribute, want := range map[string]float64{
 		"used=37,cost=4": 1.37, "used=0": 1, "cost=4": 0, "used=x": 0, "used=-3": 0,
 	} {
 		var result dispatch.Result
-		pool.readFigures(&result, attribute)
+		pool.parseAttribute(&result, attribute)
 		if result.Usage < want-1e-9 || result.Usage > want+1e-9 {
-			t.Errorf("%s stands for %v, want %v", attribute, result.Usage, want)
+			t.Errorf("%s: usage %v, want %v", attribute, result.Usage, want)
 		}
 	}
 }
--- a/internal/gateway/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -14,20 +14,20 @@
 	// replyAttributes is the number of attributes that follow a value in a reply: usage and load,
 	// each of which may be null.
 	replyAttributes = 2
-	// maxFigure is the largest number that is accepted from an attribute. The counter adds no more
-	// than this in one call, and a customer that is charged a malformed cost would never be within
-	// its quota again.
-	maxFigure = 1e9
+	// maxAttributeNumber is the largest number that is accepted from an attribute. The counter adds
+	// no more than this in one call, and a customer that is charged a malformed cost would never be
+	// within its quota again.
+	maxAttributeNumber = 1e9
 	// percent converts the percentage in which servers report a customer's usage of its rate.
 	percent = 100
 	// floatBits is the precision, in bits, with which numbers are parsed.
 	floatBits = 64
 )
 
-// parseReply returns the result that a reply stands for, and its value if it has one. A well-formed
-// reply is an array of value, usage and load, an "ERR failed" line, or a BUSY line. Only attributes
-// may follow on either line. Any other reply has the outcome Reset, because the request may have
-// run, whatever the reply says.
+// parseReply returns the result of a reply and, if the outcome is Answered, the value, which the
+// caller must free. A well-formed reply is an array of value, usage and load, an "ERR failed" line,
+// or a BUSY line. Only attributes may follow BUSY. Any other reply has the outcome Reset, because
+// the request may have run regardless of what the reply says.
 func (p *Pool) parseReply(reply *resp.Reply) (result dispatch.Result, value *resp.Bulk, wellFormed bool) {
 	attributes := reply.Attributes
 	words := strings.Fields(reply.Line)
@@ -46,7 +46,7 @@
 		return dispatch.Result{Outcome: policy.Reset}, nil, false
 	}
 	for _, attribute := range attributes {
-		p.readFigures(&result, attribute)
+		p.parseAttribute(&result, attribute)
 	}
 	return result, reply.Value, true
 }
@@ -60,31 +60,31 @@
 // isBusyLine reports whether an error line says that the server rejected the request without
 // running it.
 func isBusyLine(words []string) bool {
-	return len(words) >= 1 && words[0] == "BUSY" && !slices.ContainsFunc(words[1:], isNoAttribute)
+	return len(words) >= 1 && words[0] == "BUSY" && !slices.ContainsFunc(words[1:], isNotAttribute)
 }
 
-func isNoAttribute(word string) bool { return !strings.Contains(word, "=") }
+func isNotAttribute(word string) bool { return !strings.Contains(word, "=") }
 
-// readFigures parses an attribute such as "used=37,cost=4" and stores its values in result. It
+// parseAttribute parses an attribute such as "used=37,cost=4" and stores its values in result. It
 // ignores values that are malformed or out of range.
-func (p *Pool) readFigures(result *dispatch.Result, attribute string) {
-	figures := map[string]float64{}
+func (p *Pool) parseAttribute(result *dispatch.Result, attribute string) {
+	values := map[string]float64{}
 	for pair := range strings.SplitSeq(attribute, ",") {
 		name, text, _ := strings.Cut(pair, "=")
-		if figure, err := strconv.ParseFloat(text, floatBits); err == nil && figure >= 0 && figure <= maxFigure {
-			figures[name] = figure
+		if value, err := strconv.ParseFloat(text, floatBits); err == nil && value >= 0 && value <= maxAttributeNumber {
+			values[name] = value
 		}
 	}
-	if cost, found := figures["cost"]; found {
+	if cost, found := values["cost"]; found {
 		result.ActualUnits = cost
 	}
-	if used, found := figures["used"]; found {
+	if used, found := values["used"]; found {
 		result.Usage = 1 + used/percent
 	}
 	loadReport := make([]float32, 0, len(p.loadFields))
 	for _, name := range p.loadFields {
-		if figure, found := figures[name]; found {
-			loadReport = append(loadReport, float32(figure))
+		if value, found := values[name]; found {
+			loadReport = append(loadReport, float32(value))
 		}
 	}
 	if len(loadReport) > 0 {
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -8,9 +8,9 @@
 	"harrierhoist/policy"
 )
 
-// minElective is the smallest number of servers that are selected in a zone for elective attempts,
+// minElectiveServers is the smallest number of servers that are selected in a zone for elective attempts,
 // unless fewer are ready. Two servers allow load balancing by the power of two choices.
-const minElective = 2
+const minElectiveServers = 2
 
 // zoneOwners holds the owner of each zone, indexed by zone; 0 if the zone takes no elective attempts.
 type zoneOwners []int
@@ -72,6 +72,6 @@
 	if s.idleTimeout <= 0 {
 		return int(ringSize)
 	}
-	length := fraction * s.AttemptRate(now) * s.idleTimeout.Seconds() / attemptsPerIdleTimeout * ringSize / ready
-	return int(min(max(math.Ceil(length), minElective), ringSize))
+	length := fraction * s.AttemptRate(now) * s.idleTimeout.Seconds() / targetAttemptsPerIdleTimeout * ringSize / ready
+	return int(min(max(math.Ceil(length), minElectiveServers), ringSize))
 }
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -8,20 +8,20 @@
 	"harrierhoist/policy"
 )
 
-// elective returns what AddElectiveServers added to a selection, with servers of zone 2 for owner
-// 7. It checks that the selection is first, and unchanged.
-func elective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
+// addedElective returns the endpoints that AddElective appends to a selection if zone 2 belongs to
+// owner 7. It fails the test unless they follow the unchanged selection.
+func addedElective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
 	t.Helper()
 	extended := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
 	if !slices.Equal(extended[:len(selected)], selected) {
-		t.Fatalf("%v in place of %v", extended, selected)
+		t.Fatalf("result starts with %v, want %v", extended[:len(selected)], selected)
 	}
 	return extended[len(selected):]
 }
 
-// Without owners the selection stays. Where a zone of an owner has no server in the selection, each
-// of its servers is added by as many gateways, give or take what the ends of arcs bring, and only
-// for elective attempts.
+// Without owners AddElective leaves the selection unchanged. If none of the servers of an owner's
+// zone is selected, each of them is added by about the same number of gateways, and only for elective
+// attempts. The numbers differ somewhat because of the ends of the arcs.
 func TestAddElective_serversAreSpreadOverTheFleet(t *testing.T) {
 	list := newFleet(180, 3)
 	const gateways = 300
@@ -29,15 +29,15 @@
 	for gateway := range gateways {
 		s := New(gateway, gateways, 15*time.Second)
 		selected, _ := s.Select(time.Hour, list)
-		if same := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
-			t.Fatalf("gateway %d: another selection without owners", gateway)
+		if same := s.AddElective(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
+			t.Fatalf("gateway %d: selection changed although no zone has an owner", gateway)
 		}
 		near := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
 			return endpoint.Zone == 2
 		})
-		extra := elective(t, s, near, list)
-		if len(extra) < minElective {
-			t.Fatalf("gateway %d: %d servers more than %d", gateway, len(extra), len(near))
+		extra := addedElective(t, s, near, list)
+		if len(extra) < minElectiveServers {
+			t.Fatalf("gateway %d: %d servers added, want at least %d", gateway, len(extra), minElectiveServers)
 		}
 		for _, endpoint := range extra {
 			added[endpoint.Server]++
@@ -57,7 +57,7 @@
 	}
 }
 
-// What is selected anyway keeps its position, and is marked with its owner.
+// Servers that are already selected keep their position and get their owner.
 func TestAddElective_selectedServersAreOnlyMarked(t *testing.T) {
 	list := newFleet(180, 3)
 	const gateways = 300
@@ -74,7 +74,8 @@
 	}
 }
 
-// The more attempts a gateway makes there, the more servers are added; draining ones are not.
+// The number of added servers grows with the fraction of attempts that may go to an owner. Draining
+// servers are not added.
 func TestAddElective_growsWithTheFraction(t *testing.T) {
 	list := newFleet(180, 3)
 	list[2].State = policy.Draining
@@ -87,9 +88,9 @@
 	few := s.AddElectiveServers(now, nil, list, []int{0, 0, 1}, 0.02)
 	many := s.AddElectiveServers(now, nil, list, []int{0, 0, 1}, 0.4)
 	if len(few) != 3 || len(many) < 48 || len(many) > 52 {
-		t.Errorf("%d and %d servers, want 3 and about 50", len(few), len(many))
+		t.Errorf("%d and %d servers added, want 3 and about 50", len(few), len(many))
 	}
 	if slices.ContainsFunc(many, func(endpoint policy.Endpoint) bool { return endpoint.State != policy.Ready }) {
-		t.Error("a draining server is added")
+		t.Error("a draining server was added")
 	}
 }
--- a/internal/gateway/upstream/subset/fleet_test.go
+++ b/internal/gateway/upstream/subset/fleet_test.go
@@ -9,7 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// newFleet is a list of ready servers, spread over zones in turn and in racks of six.
+// newFleet returns a list of ready servers, assigned to zones in round-robin order and to racks of
+// six.
 func newFleet(servers, zones int) []Candidate {
 	random := rand.New(rand.NewSource(7))
 	list := make([]Candidate, servers)
@@ -22,7 +23,8 @@
 	return list
 }
 
-// selectAtRate has a gateway make attempts at a rate for a while, and returns its subset then.
+// selectAtRate returns a gateway's subset, and the number of gateways that share each server, after
+// the gateway has made attempts at the given rate per second for 40 s.
 func selectAtRate(gateway, gateways int, rate float64, list []Candidate) ([]policy.Endpoint, float64) {
 	s := New(gateway, gateways, 15*time.Second)
 	now := time.Hour
@@ -34,8 +36,8 @@
 	return s.Select(now, list)
 }
 
-// attemptRates is the attempts a second that each server gets from all gateways, each drawing
-// evenly from its subset.
+// attemptRates returns the attempts per second that each server receives from all gateways, if each
+// gateway distributes its attempts evenly over its subset.
 func attemptRates(t *testing.T, gateways int, rate func(gateway int) float64, list []Candidate) []float64 {
 	t.Helper()
 	got := make([]float64, len(list))
@@ -51,9 +53,9 @@
 	return got
 }
 
-// spread is the standard deviation of the loads of servers that are ready, the least and the
-// greatest, over their mean.
-func spread(loads []float64, list []Candidate) (deviation, least, most float64) {
+// loadSpread returns the standard deviation, the minimum and the maximum of the loads of the ready
+// servers, each relative to their mean.
+func loadSpread(loads []float64, list []Candidate) (deviation, least, most float64) {
 	sum, ready, least := 0.0, 0.0, math.Inf(1)
 	for i, load := range loads {
 		if list[i].State == policy.Ready {
--- a/internal/gateway/upstream/subset/golden_test.go
+++ b/internal/gateway/upstream/subset/golden_test.go
@@ -10,7 +10,8 @@
 	"harrierhoist/policy"
 )
 
-// randomFleet is a list drawn from a seed: zones and racks of any size, servers in all states.
+// randomFleet returns a random list for a seed, with zones and racks of different sizes and servers
+// in all states.
 func randomFleet(seed int64) (list []Candidate, zones int) {
 	random := rand.New(rand.NewSource(seed))
 	zones = 2 + random.Intn(3)
@@ -31,7 +32,8 @@
 	return list, zones
 }
 
-// recorder hashes all that a gateway's subset selects, in a form that has no name of a field.
+// recorder hashes the selections of a gateway's subset. The hashed text contains no field names, so
+// renaming a field does not change the hash.
 type recorder struct {
 	*Subset
 	sum    *golden.Digest
@@ -41,16 +43,16 @@
 	now    time.Duration
 }
 
-func (r *recorder) record(what string, selected []policy.Endpoint, figure float64) {
-	r.sum.Println(what, r.now, len(selected), figure, r.AttemptRate(r.now))
+func (r *recorder) record(label string, selected []policy.Endpoint, figure float64) {
+	r.sum.Println(label, r.now, len(selected), figure, r.AttemptRate(r.now))
 	for _, e := range selected {
 		r.sum.Println(e.Server, e.State, e.Capacity, e.StartedAt, e.Rack, e.Zone, e.Hardware, e.Owner, e.Elective)
 	}
 }
 
-func (r *recorder) selectServers(what string) []policy.Endpoint {
+func (r *recorder) selectAndRecord(label string) []policy.Endpoint {
 	selected, sharers := r.Select(r.now, r.list)
-	r.record(what, selected, sharers)
+	r.record(label, selected, sharers)
 	return selected
 }
 
@@ -63,26 +65,26 @@
 	r.record("elect", r.AddElectiveServers(r.now, selected, r.list, owners, fraction), fraction)
 }
 
-func (r *recorder) shed() {
+func (r *recorder) recordShedding() {
 	for range 50 {
 		r.sum.Printf("%v", r.ShouldShed())
 	}
 }
 
-// makeAttempts has the gateway make 400 attempts at a random rate.
+// makeAttempts records 400 attempts at a random rate, and selects again whenever it is due.
 func (r *recorder) makeAttempts() {
 	interval := time.Duration(5+r.random.Intn(200)) * time.Millisecond
 	for range 400 {
 		r.now += interval
 		r.CountAttempt(r.now)
 		if r.IsDue(r.now) {
-			r.selectServers("due")
+			r.selectAndRecord("due")
 		}
 	}
-	r.addElective(r.selectServers("pushed"))
+	r.addElective(r.selectAndRecord("pushed"))
 }
 
-// useWeights sets random weights, the same again, weights of 0 and none, each for 25 s.
+// useWeights sets random weights, the same weights again, weights of 0, and nil, each for 25 s.
 func (r *recorder) useWeights() {
 	weights := make([]float64, r.zones+r.random.Intn(2))
 	for zone := range weights {
@@ -90,21 +92,21 @@
 	}
 	for _, next := range [][]float64{weights, weights, make([]float64, r.zones), nil} {
 		r.sum.Println(r.SetWeights(next, r.random.Float64()*1.5-0.25))
-		r.addElective(r.selectServers("steered"))
-		r.shed()
-		for range 25 { // other gateways get one server more
+		r.addElective(r.selectAndRecord("steered"))
+		r.recordShedding()
+		for range 25 { // long enough for the turn to change
 			r.now += time.Second
 			if r.IsDue(r.now) {
-				r.selectServers("turn")
+				r.selectAndRecord("turn")
 			}
 		}
-		r.shed()
+		r.recordShedding()
 	}
 }
 
-// hashOfFleet has the gateways of a random fleet make attempts, take weights and resize, and
-// servers leave, and returns the hash of all that they select.
-func hashOfFleet(seed int64) string {
+// fleetHash returns the hash of all selections of the gateways of a random fleet, while they make
+// attempts, use weights and are resized, and while servers are removed.
+func fleetHash(seed int64) string {
 	sum := golden.NewDigest()
 	random := rand.New(rand.NewSource(seed + 1))
 	list, zones := randomFleet(seed)
@@ -117,23 +119,23 @@
 			Subset: New(gateway, 24, idleTimeout),
 			sum:    sum, random: random, list: list, zones: zones, now: time.Hour,
 		}
-		r.addElective(r.selectServers("first"))
+		r.addElective(r.selectAndRecord("first"))
 		r.makeAttempts()
 		r.useWeights()
 		r.Resize((gateway+5)%30, 30)
-		r.selectServers("resized")
+		r.selectAndRecord("resized")
 		list[random.Intn(len(list))].State = policy.Removed
-		r.addElective(r.selectServers("lost"))
+		r.addElective(r.selectAndRecord("lost"))
 	}
 	return sum.String()
 }
 
-func TestGolden_randomFleetsSelectTheSameServersAsBefore(t *testing.T) {
+func TestGolden_selectionsOfRandomFleetsAreUnchanged(t *testing.T) {
 	for seed, want := range map[int64]string{
 		11: "cdb8607f275a8cc394dd5d461ac5f1694b00c933606cb1e9270e1107922c069b",
 		12: "84b2002c52d43231d5b9fbb361ae5813abc81995323dd5ed543c9f2404f20317",
 	} {
-		if got := hashOfFleet(seed); got != want {
+		if got := fleetHash(seed); got != want {
 			t.Errorf("seed %d: %s, want %s", seed, got, want)
 		}
 	}
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -6,8 +6,8 @@
 // All gateways arrange the servers of a zone in a ring, in the same order. A gateway's subset is an
 // arc of each zone's ring. The starting points of the arcs are spread evenly over the gateways. An
 // arc has as many servers as the gateway's attempts can keep connections open to. Each server
-// therefore lies in arcs that bring it the same rate of attempts, whatever fraction of the traffic
-// each gateway handles. docs/fleet-connections.md compares this with other algorithms.
+// therefore lies in arcs that bring it the same rate of attempts, even if the traffic is distributed
+// unevenly over the gateways. docs/fleet-connections.md compares this with other algorithms.
 package subset
 
 import (
@@ -26,13 +26,13 @@
 const (
 	// MinSize is the smallest number of servers in a subset, unless fewer are ready.
 	MinSize = 8
-	// minCover is the smallest average number of subsets that contain a server. With fewer, the
+	// minSubsetsPerServer is the smallest average number of subsets that contain a server. With fewer, the
 	// ends of the arcs make the load uneven.
-	minCover = 8.0
-	// attemptsPerIdleTimeout is the average number of attempts that a server of the subset should
+	minSubsetsPerServer = 8.0
+	// targetAttemptsPerIdleTimeout is the average number of attempts that a server of the subset should
 	// receive within the idle timeout. More attempts keep more connections open, and make the
 	// gateway's own counts a better basis for choosing between two servers.
-	attemptsPerIdleTimeout = 12.0
+	targetAttemptsPerIdleTimeout = 12.0
 	// lengthTolerance is the relative error of the length above which the subset is selected again
 	// without a new list.
 	lengthTolerance = 0.25
@@ -73,17 +73,17 @@
 	index       int // index of this gateway, from 0
 	gateways    int // number of gateways in the fleet
 
-	attempts  float64       // exponentially decaying count of attempts
-	since     time.Duration // time when counting began
-	countedAt time.Duration // time up to which attempts has decayed; 0 before the first, see hasCounted
-	checkedAt time.Duration // time when the length was last compared with the target
-	length    int           // target length at the last selection; 0 before it, see isSelected
-	ready     int           // number of ready servers at the last selection
+	attempts          float64       // exponentially decaying count of attempts
+	countingSince     time.Duration // time when counting began
+	decayedAt         time.Duration // time up to which attempts has decayed; 0 before the first, see isCounting
+	checkedAt         time.Duration // time when the length was last compared with the target
+	targetAtSelection int           // target length at the last selection; 0 before it, see hasSelection
+	readyCount        int           // number of ready servers at the last selection
 
 	weights          []float64 // weight by zone; if nil, zones are weighted by their number of servers
 	shedFraction     float64   // fraction of requests to shed because no zone has capacity for them
 	unservedFraction float64   // fraction of the weights that belongs to zones without a ready server
-	turn             int64     // number of the turn of the last weighted selection
+	selectedTurn     int64     // number of the turn of the last weighted selection
 	requests         uint64    // number of calls of ShouldShed with a fraction to shed
 }
 
@@ -100,12 +100,12 @@
 	s.gateways = max(gateways, 1)
 }
 
-// hasCounted reports whether counting of attempts has begun.
-func (s *Subset) hasCounted() bool { return s.countedAt != 0 }
+// isCounting reports whether counting of attempts has begun.
+func (s *Subset) isCounting() bool { return s.decayedAt != 0 }
 
-// isSelected reports whether the last call of Select found a ready server. It is false before the
+// hasSelection reports whether the last call of Select found a ready server. It is false before the
 // first call.
-func (s *Subset) isSelected() bool { return s.length != 0 }
+func (s *Subset) hasSelection() bool { return s.targetAtSelection != 0 }
 
 // CountAttempt records that the gateway made an attempt. AttemptRate is computed from these records.
 func (s *Subset) CountAttempt(now time.Duration) {
@@ -115,12 +115,12 @@
 
 // decay applies the exponential decay of the count of attempts up to now.
 func (s *Subset) decay(now time.Duration) {
-	if !s.hasCounted() {
-		s.since = now
-		s.countedAt = now
+	if !s.isCounting() {
+		s.countingSince = now
+		s.decayedAt = now
 	}
-	s.attempts *= math.Exp(-float64(now-s.countedAt) / float64(rateTimeConstant))
-	s.countedAt = now
+	s.attempts *= math.Exp(-float64(now-s.decayedAt) / float64(rateTimeConstant))
+	s.decayedAt = now
 }
 
 // AttemptRate returns the recent rate of attempts per second. It is 0 before the first attempt.
@@ -128,19 +128,20 @@
 	s.decay(now)
 	// After a time t at a steady rate r, the decaying count is
 	// r * rateTimeConstant * (1 - exp(-t / rateTimeConstant)).
-	counted := float64(max(now-s.since, minRateSpan))
+	counted := float64(max(now-s.countingSince, minRateSpan))
 	span := rateTimeConstant.Seconds() * -math.Expm1(-counted/float64(rateTimeConstant))
 	return s.attempts / span
 }
 
 // targetLength returns the number of ready servers that the subset should have: as many as the
-// gateway's attempts can keep connections open to, within the limits set by MinSize and minCover.
+// gateway's attempts can keep connections open to, within the limits set by MinSize and
+// minSubsetsPerServer.
 func (s *Subset) targetLength(now time.Duration, ready int) int {
 	if s.idleTimeout <= 0 {
 		return ready
 	}
-	length := s.AttemptRate(now) * s.idleTimeout.Seconds() / attemptsPerIdleTimeout
-	length = max(length, MinSize, math.Ceil(minCover*float64(ready)/float64(s.gateways)))
+	length := s.AttemptRate(now) * s.idleTimeout.Seconds() / targetAttemptsPerIdleTimeout
+	length = max(length, MinSize, math.Ceil(minSubsetsPerServer*float64(ready)/float64(s.gateways)))
 	return int(min(length, float64(ready)))
 }
 
@@ -149,17 +150,17 @@
 // turn of a weighted selection has ended. It checks at most once per checkInterval and returns false
 // in between.
 func (s *Subset) IsDue(now time.Duration) bool {
-	if !s.isSelected() || now < s.checkedAt+checkInterval {
+	if !s.hasSelection() || now < s.checkedAt+checkInterval {
 		return false
 	}
 	s.checkedAt = now
-	if s.weights != nil && s.turn != turnAt(now) {
+	if s.weights != nil && s.selectedTurn != turnNumber(now) {
 		return true
 	}
-	target := s.targetLength(now, s.ready)
-	isWrong := math.Abs(float64(target-s.length)) > lengthTolerance*float64(s.length)
-	growsToAll := target == s.ready && s.length < target
-	return isWrong || growsToAll
+	target := s.targetLength(now, s.readyCount)
+	lengthIsWrong := math.Abs(float64(target-s.targetAtSelection)) > lengthTolerance*float64(s.targetAtSelection)
+	growsToAll := target == s.readyCount && s.targetAtSelection < target
+	return lengthIsWrong || growsToAll
 }
 
 // Select selects the subset from the list. It returns the selected endpoints in the order of the
@@ -167,17 +168,17 @@
 // servers that are ready.
 func (s *Subset) Select(now time.Duration, list []Candidate) (selected []policy.Endpoint, sharers float64) {
 	rings := map[int][]int{} // list indexes of the ready servers, by zone
-	s.ready = 0
+	s.readyCount = 0
 	for i, candidate := range list {
 		if candidate.State == policy.Ready {
 			rings[candidate.Zone] = append(rings[candidate.Zone], i)
-			s.ready++
+			s.readyCount++
 		}
 	}
-	s.length = s.targetLength(now, s.ready)
+	s.targetAtSelection = s.targetLength(now, s.readyCount)
 	s.checkedAt = now
 	s.unservedFraction = 0
-	if s.ready == 0 {
+	if s.readyCount == 0 {
 		return nil, float64(s.gateways)
 	}
 	if s.weights != nil {
@@ -187,12 +188,12 @@
 	}
 	// This assumes that the other gateways have the same traffic and therefore subsets of the same
 	// length.
-	return selected, max(float64(s.gateways)*float64(len(selected))/float64(s.ready), 1)
+	return selected, max(float64(s.gateways)*float64(len(selected))/float64(s.readyCount), 1)
 }
 
 // selectEvenly selects the same fraction of every zone's ring, rounded up to whole servers.
 func (s *Subset) selectEvenly(list []Candidate, rings map[int][]int) []policy.Endpoint {
-	fraction := float64(s.length) / float64(s.ready)
+	fraction := float64(s.targetAtSelection) / float64(s.readyCount)
 	var indexes []int
 	for zone, ring := range rings {
 		indexes = append(indexes, s.arc(zone, ring, list, int(math.Ceil(fraction*float64(len(ring)))))...)
--- a/internal/gateway/upstream/subset/subset_test.go
+++ b/internal/gateway/upstream/subset/subset_test.go
@@ -24,17 +24,17 @@
 	list := newFleet(180, 3)
 	selected, sharers := selectAtRate(17, 300, 9, list)
 	if len(selected) < 10 || len(selected) > 14 {
-		t.Errorf("%d servers for 9 attempts a second and 15 s, want some 12", len(selected))
+		t.Errorf("%d servers for 9 attempts a second and 15 s, want about 12", len(selected))
 	}
 	if want := 300 * float64(len(selected)) / 180; math.Abs(sharers-want) > 1e-9 {
 		t.Errorf("shared by %.1f, want %.1f", sharers, want)
 	}
 	if selected, _ := selectAtRate(17, 300, 0.5, list); len(selected) < MinSize || len(selected) > MinSize+3 {
-		t.Errorf("%d servers for hardly any attempts, want the least, %d", len(selected), MinSize)
+		t.Errorf("%d servers for 0.5 attempts a second, want %d to %d", len(selected), MinSize, MinSize+3)
 	}
 }
 
-func TestSelect_loadIsEvenWhateverTheTrafficOfEachGateway(t *testing.T) {
+func TestSelect_loadIsEvenForAnyTrafficDistribution(t *testing.T) {
 	for _, row := range []struct {
 		name               string
 		gateways, servers  int
@@ -42,14 +42,14 @@
 		rate               func(gateway int) float64
 		deviation, busiest float64
 	}{
-		{"300 alike", 300, 180, 3, func(int) float64 { return 9 }, 0.05, 1.15},
-		{"a tenth with five times the others' traffic", 300, 180, 3, func(gateway int) float64 {
+		{"300 gateways with equal traffic", 300, 180, 3, func(int) float64 { return 9 }, 0.05, 1.15},
+		{"a tenth of the gateways with five times the traffic", 300, 180, 3, func(gateway int) float64 {
 			if gateway%10 == 3 {
 				return 36
 			}
 			return 7
 		}, 0.08, 1.25},
-		{"rates that rise with the number", 300, 180, 2, func(gateway int) float64 {
+		{"rate grows with the gateway's index", 300, 180, 2, func(gateway int) float64 {
 			return 4 + float64(gateway)/30
 		}, 0.08, 1.25},
 		{"one zone", 120, 200, 1, func(int) float64 { return 8 }, 0.12, 1.25},
@@ -58,7 +58,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			list := newFleet(row.servers, row.zones)
-			deviation, least, most := spread(attemptRates(t, row.gateways, row.rate, list), list)
+			deviation, least, most := loadSpread(attemptRates(t, row.gateways, row.rate, list), list)
 			t.Logf("deviation %.3f, least %.2f, most %.2f of the mean", deviation, least, most)
 			if deviation > row.deviation || most > row.busiest || least <= 0 {
 				t.Errorf("deviation %.3f (at most %.2f), busiest %.2f (at most %.2f), least %.2f", deviation,
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSelect_loadStaysEvenAfterALostZoneAndADeploy(t *testing.T) {
+func TestSelect_loadStaysEvenAfterZoneLossAndDeploy(t *testing.T) {
 	steady := func(int) float64 { return 9 }
 	list := newFleet(180, 3)
 	for i := range list {
@@ -76,8 +76,8 @@
 			list[i].State = policy.Removed
 		}
 	}
-	if deviation, _, most := spread(attemptRates(t, 300, steady, list), list); deviation > 0.08 || most > 1.25 {
-		t.Errorf("a lost zone: deviation %.3f, busiest %.2f", deviation, most)
+	if deviation, _, most := loadSpread(attemptRates(t, 300, steady, list), list); deviation > 0.08 || most > 1.25 {
+		t.Errorf("after the loss of a zone: deviation %.3f, busiest %.2f", deviation, most)
 	}
 	random := rand.New(rand.NewSource(3))
 	list = newFleet(180, 3)
@@ -89,18 +89,18 @@
 			}})
 		}
 	}
-	if deviation, _, most := spread(attemptRates(t, 300, steady, list), list); deviation > 0.08 || most > 1.25 {
-		t.Errorf("six in ten replaced: deviation %.3f, busiest %.2f", deviation, most)
+	if deviation, _, most := loadSpread(attemptRates(t, 300, steady, list), list); deviation > 0.08 || most > 1.25 {
+		t.Errorf("after six in ten servers were replaced: deviation %.3f, busiest %.2f", deviation, most)
 	}
 }
 
-// Gateways prefer servers of their zone. Where indexes go by zone, in turn or in blocks, those of
-// one zone must still cover its servers evenly.
+// Gateways prefer servers of their own zone, so the gateways of a zone must cover its servers evenly.
+// This must hold if gateway indexes are assigned to zones round-robin, and if in contiguous blocks.
 func TestSelect_zoneIsCoveredEvenlyByItsOwnGateways(t *testing.T) {
 	list := newFleet(180, 3)
 	for name, local := range map[string]func(gateway int) bool{
-		"in turn":   func(gateway int) bool { return gateway%3 == 1 },
-		"in blocks": func(gateway int) bool { return gateway >= 100 && gateway < 200 },
+		"round-robin": func(gateway int) bool { return gateway%3 == 1 },
+		"in blocks":   func(gateway int) bool { return gateway >= 100 && gateway < 200 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cover := make([]float64, len(list))
@@ -113,7 +113,7 @@
 					cover[endpoint.Server]++
 				}
 			}
-			if deviation, least, most := spread(cover, list); deviation > 0.12 || least < 0.7 || most > 1.35 {
+			if deviation, least, most := loadSpread(cover, list); deviation > 0.12 || least < 0.7 || most > 1.35 {
 				t.Errorf("deviation %.3f, least %.2f, most %.2f", deviation, least, most)
 			}
 		})
@@ -137,11 +137,11 @@
 		}
 		replaced += added
 		if added > 2 {
-			t.Errorf("one removed server brings %d new ones", added)
+			t.Errorf("removing one server adds %d others to the subset, want at most 2", added)
 		}
 	}
 	if mean := float64(replaced) / 180; mean > 1 {
-		t.Errorf("one removed server brings %.2f new ones on average", mean)
+		t.Errorf("removing one server adds %.2f others on average, want at most 1", mean)
 	}
 }
 
@@ -158,7 +158,7 @@
 			complete++
 		}
 	}
-	if complete < len(racks)-6 { // two cut racks a zone at most
+	if complete < len(racks)-6 { // at most two racks per zone are cut
 		t.Errorf("%d of %d racks are complete: %v", complete, len(racks), racks)
 	}
 }
@@ -177,11 +177,11 @@
 	want := servers(list)
 	rand.New(rand.NewSource(9)).Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
 	if !slices.Equal(servers(list), want) {
-		t.Error("the same servers in another order make another subset")
+		t.Error("the subset depends on the order of the list")
 	}
 }
 
-func TestIsDue_growsWithAttemptsAndRestsAtASteadyRate(t *testing.T) {
+func TestIsDue_onlyWhileTheAttemptRateChanges(t *testing.T) {
 	list := newFleet(180, 3)
 	s := New(5, 300, 15*time.Second)
 	now := time.Hour
@@ -199,12 +199,12 @@
 			size = len(selected)
 			selections++
 			if i > 30*20 {
-				t.Errorf("selected anew at second %d of a steady rate", i/20)
+				t.Errorf("selection due after %d s at a steady rate", i/20)
 			}
 		}
 	}
 	if size < 20 || size > 32 || selections > 8 {
-		t.Errorf("%d servers after %d changes, want some 25 after a few", size, selections)
+		t.Errorf("%d servers after %d selections, want about 25 after at most 8", size, selections)
 	}
 	if rate := s.AttemptRate(now); math.Abs(rate-20) > 1 {
 		t.Errorf("rate %.1f, want 20", rate)
@@ -213,10 +213,10 @@
 
 func TestSelect_noServersAndNoIdleTimeout(t *testing.T) {
 	if selected, sharers := New(0, 5, time.Second).Select(0, nil); len(selected) != 0 || sharers != 5 {
-		t.Errorf("%v shared by %.0f of no servers", selected, sharers)
+		t.Errorf("empty list: selected %v, shared by %.0f, want none shared by 5", selected, sharers)
 	}
 	list := newFleet(50, 2)
 	if selected, sharers := New(0, 5, 0).Select(0, list); len(selected) != 50 || sharers != 5 {
-		t.Errorf("%d of 50 shared by %.0f without an idle timeout", len(selected), sharers)
+		t.Errorf("no idle timeout: selected %d servers, shared by %.0f, want 50 shared by 5", len(selected), sharers)
 	}
 }
--- a/internal/gateway/upstream/subset/weights.go
+++ b/internal/gateway/upstream/subset/weights.go
@@ -56,13 +56,13 @@
 	return draw < fraction
 }
 
-// turnAt returns the number of the turn at a time.
-func turnAt(now time.Duration) int64 { return int64(now / turnInterval) }
+// turnNumber returns the number of the turn at a time.
+func turnNumber(now time.Duration) int64 { return int64(now / turnInterval) }
 
 // selectWeighted selects servers of each zone in proportion to the weights. A single gateway's
 // selection is rounded to whole servers; the average over all gateways matches the weights.
 func (s *Subset) selectWeighted(now time.Duration, list []Candidate, rings map[int][]int) []policy.Endpoint {
-	s.turn = turnAt(now)
+	s.selectedTurn = turnNumber(now)
 	served, servedWeight, allWeight := s.servedZones(rings)
 	if allWeight <= 0 || servedWeight <= 0 {
 		s.unservedFraction = 1
@@ -73,7 +73,7 @@
 	var indexes []int
 	heaviest := slices.MaxFunc(served, func(a, b int) int { return cmp.Compare(s.weights[a], s.weights[b]) })
 	for _, zone := range served {
-		count := int(length*s.weights[zone]/servedWeight + s.roundingAt(zone))
+		count := int(length*s.weights[zone]/servedWeight + s.roundingOffset(zone))
 		if zone == heaviest {
 			count = max(count, 1)
 		}
@@ -90,18 +90,18 @@
 	for _, zone := range served {
 		servers += len(rings[zone])
 	}
-	length := float64(min(s.length, servers))
+	length := float64(min(s.targetAtSelection, servers))
 	for _, zone := range served {
 		length = min(length, float64(len(rings[zone]))*servedWeight/s.weights[zone])
 	}
 	return length
 }
 
-// roundingAt returns the offset, from 0 to 1, that is added to a zone's share of the length before
+// roundingOffset returns the offset, from 0 to 1, that is added to a zone's share of the length before
 // the sum is truncated to a whole number of servers. It is spread evenly over gateways and turns, so
 // that the average number of servers is exact.
-func (s *Subset) roundingAt(zone int) float64 {
-	turn := float64(s.turn % turnModulus)
+func (s *Subset) roundingOffset(zone int) float64 {
+	turn := float64(s.selectedTurn % turnModulus)
 	_, rounding := math.Modf(float64(s.index)*gatewaySpread + turn*turnSpread + float64(zone)/math.E)
 	return rounding
 }
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -12,9 +12,9 @@
 	"harrierhoist/policy"
 )
 
-// meanFractions is the fraction of each zone in the subsets of all gateways, on average, by
-// weights; and how many gateways have each server.
-func meanFractions(weights []float64, gateways int, list []Candidate, now time.Duration) ([]float64, map[uint32]int) {
+// zoneFractions returns the average fraction of each zone in the weighted subsets of all
+// gateways, and the number of gateways that select each server.
+func zoneFractions(weights []float64, gateways int, list []Candidate, now time.Duration) ([]float64, map[uint32]int) {
 	mean, selections := make([]float64, len(weights)), map[uint32]int{}
 	for gateway := range gateways {
 		s := New(gateway, gateways, 15*time.Second)
@@ -28,18 +28,19 @@
 	return mean, selections
 }
 
-// Weights hold on average over the fleet, though no gateway has a fiftieth of a server; and other
-// gateways try it in turn.
-func TestSetWeights_holdOverTheFleet(t *testing.T) {
+// The zones' fractions match the weights on average over the fleet, although a single gateway cannot
+// select a fraction of a server. Different gateways select servers of the zone with a small weight in
+// each turn.
+func TestSetWeights_averageOverTheFleetMatchesWeights(t *testing.T) {
 	for _, gateways := range []int{30, 300} {
 		list := newFleet(120, 3)
 		want := []float64{0.68, 0.3, 0.02}
 		selections := map[uint32]int{}
 		for turns := range 5 {
-			mean, inTurn := meanFractions(want, gateways, list, time.Hour+time.Duration(turns)*turnInterval)
+			mean, inTurn := zoneFractions(want, gateways, list, time.Hour+time.Duration(turns)*turnInterval)
 			for zone, fraction := range want {
 				if math.Abs(mean[zone]-fraction) > 0.35/float64(gateways)+0.015 {
-					t.Errorf("%d gateways: zone %d gets %.3f, not %.2f", gateways, zone, mean[zone], fraction)
+					t.Errorf("%d gateways: zone %d gets %.3f, want %.2f", gateways, zone, mean[zone], fraction)
 				}
 			}
 			for server, n := range inTurn {
@@ -47,25 +48,26 @@
 			}
 		}
 		if len(selections) < 85 {
-			t.Errorf("%d gateways: only %d of 120 servers selected", gateways, len(selections))
+			t.Errorf("%d gateways: %d of 120 servers selected in any turn, want at least 85", gateways, len(selections))
 		}
 	}
 }
 
-// A zone with too few servers gets its fraction all the same, as fewer of the others are selected.
+// A zone with too few servers still gets its fraction, because fewer servers of the other zones are
+// selected.
 func TestSetWeights_zoneWithFewServersKeepsItsFraction(t *testing.T) {
 	list := slices.DeleteFunc(newFleet(60, 2), func(candidate Candidate) bool {
 		return candidate.Zone == 1 && candidate.Server > 4
 	})
-	mean, _ := meanFractions([]float64{0.5, 0.5}, 20, list, time.Hour)
+	mean, _ := zoneFractions([]float64{0.5, 0.5}, 20, list, time.Hour)
 	if math.Abs(mean[1]-0.5) > 0.02 {
-		t.Errorf("two servers get %.2f", mean[1])
+		t.Errorf("zone 1, with few servers, gets %.2f, want 0.50", mean[1])
 	}
 }
 
-// A zone without a weight gets nothing; what belongs to a zone without a server that is ready is
-// shed, and nothing else.
-func TestSetWeights_unplannedZoneGetsNothing(t *testing.T) {
+// A zone with weight 0 gets no servers. In addition to the fraction set by SetWeights, only the share of a
+// zone without a ready server is shed.
+func TestSetWeights_zoneOfWeightZeroGetsNoServers(t *testing.T) {
 	list := newFleet(30, 3)
 	for i := range list {
 		if list[i].Zone == 0 {
@@ -75,9 +77,9 @@
 	s := New(3, 30, 15*time.Second)
 	s.SetWeights([]float64{0.3, 0.7, 0}, 0.5)
 	selected, _ := s.Select(time.Hour, list)
-	isUnplanned := func(endpoint policy.Endpoint) bool { return endpoint.Zone != 1 }
-	if len(selected) == 0 || slices.ContainsFunc(selected, isUnplanned) {
-		t.Errorf("selected %v", selected)
+	isOutsideZone1 := func(endpoint policy.Endpoint) bool { return endpoint.Zone != 1 }
+	if len(selected) == 0 || slices.ContainsFunc(selected, isOutsideZone1) {
+		t.Errorf("selected %v, want only servers of zone 1", selected)
 	}
 	shed, third := 0, 0
 	for i := range 3000 {
@@ -89,14 +91,14 @@
 		}
 	}
 	if want := 3000 * (0.5 + 0.5*0.3); math.Abs(float64(shed)-want) > 5 || math.Abs(float64(third)-want/3) > 5 {
-		t.Errorf("%d of 3000 shed, %d of every third, not %.0f", shed, third, want)
+		t.Errorf("%d of 3000 requests shed, and %d of every third, want %.0f and %.0f", shed, third, want, want/3)
 	}
 }
 
-// unweightedHash is the hash of the subsets from before there were weights.
+// unweightedHash is the hash of the selections made without weights.
 const unweightedHash = 0x421af0ccf5576efb
 
-// Without weights, also after some, the subsets are the same as before there were any.
+// With nil weights the selections do not depend on weights that were set before.
 func TestSetWeights_nilSelectsAsWithoutWeights(t *testing.T) {
 	plain, weighted := xxhash.New(), xxhash.New()
 	for gateway := range 40 {
@@ -108,15 +110,15 @@
 		once.SetWeights(nil, 0)
 		hashSelections(weighted, once, list)
 		if once.ShouldShed() {
-			t.Error("a request is shed")
+			t.Error("a request was shed without weights")
 		}
 	}
 	if plain.Sum64() != unweightedHash || weighted.Sum64() != unweightedHash {
-		t.Errorf("subsets of %#x, and after weights %#x", plain.Sum64(), weighted.Sum64())
+		t.Errorf("hash %#x, and %#x after weights, want %#x", plain.Sum64(), weighted.Sum64(), uint64(unweightedHash))
 	}
 }
 
-// hashedEndpoint is what of a server the hash was taken over.
+// hashedEndpoint holds the fields of an endpoint that unweightedHash covers.
 type hashedEndpoint struct {
 	Server               uint32
 	State                policy.EndpointState
