--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -34,9 +34,9 @@
 }
 
 // Attempt sends a command to the server of a decision and blocks until the attempt has an outcome.
-// The returned value is non-nil only if the outcome is Answered; the caller must free it. If the
-// decision's context is cancelled before the first byte is written, nothing is written, even if the
-// connection is established later. If it is cancelled after that, the connection is closed.
+// The returned value is non-nil if and only if the outcome is Answered; the caller must free it. If
+// the decision's context is cancelled before the first byte is written, nothing is written, even if
+// the connection is established later. If it is cancelled later, the connection is closed.
 func (p *Pool) Attempt(decision dispatch.Decision, command *Command) (dispatch.Result, *resp.Bulk) {
 	ctx := decision.Context
 	key := endpointKeyOf(decision.Server)
@@ -71,7 +71,8 @@
 	p.connections.close(conn)
 	outcome := unansweredOutcome(&decision, state, stillWanted)
 	if !stillWanted || state == exchangeTimedOut {
-		// The server may have failed without closing its connections, so older ones may be dead too.
+		// The server may have failed without closing its connections, so older ones may be dead
+		// too.
 		p.connections.closeIdleBefore(key, startedAt)
 	}
 	return dispatch.Result{Outcome: outcome}, nil
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// A command whose last byte was not written never ran, regardless of which side breaks the connection
-// and how many bytes the server received. Once the last byte is written, the command may have run.
+// A command whose last byte was not written never ran, regardless of which side breaks the
+// connection and how many bytes the server received. Once the last byte is written, the command may
+// have run.
 func TestAttempt_breakBeforeLastByteDiffersFromOneAfter(t *testing.T) {
 	const valueOnly, allButLastByte = "*3\r\n$1\r\nv\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r"
 	for _, test := range []breakTest{
@@ -113,8 +114,8 @@
 	return true
 }
 
-// An answer must be complete within the connect timeout after its first byte. Further bytes must not
-// extend that time, so an answer that trickles in forever is abandoned too.
+// An answer must be complete within the connect timeout after its first byte. Further bytes must
+// not extend that time, so an answer that trickles in forever is abandoned too.
 func TestAttempt_tricklingAnswerIsAbandoned(t *testing.T) {
 	pool := New(200*time.Millisecond, time.Hour, nil, 10)
 	key, far := pool.addIdleWithSmallBuffers(t)
@@ -150,8 +151,8 @@
 }
 
 // An answer may arrive after the context is cancelled and before the connection is aborted. The
-// answer must count, and the connection must be closed rather than reused, because the pending abort
-// would hit the next request.
+// answer must count, and the connection must be closed rather than reused, because the pending
+// abort would otherwise affect the next request.
 func TestAttempt_answerRacesWithCancellation(t *testing.T) {
 	near, far := fakes.ConnPair(t)
 	slow := &slowAbortConn{near, make(chan struct{}), make(chan struct{})}
@@ -159,7 +160,7 @@
 	key := keyOfAddress("there")
 	pool.connections.open++
 	pool.connections.idle[key] = []*connection{{Conn: resp.NewConn(near), lastUsed: time.Now().Add(-time.Second)}}
-	pool.connections.idle[key][0].Conn.Conn = slow // the file descriptor is still that of near
+	pool.connections.idle[key][0].Conn.Conn = slow // the file descriptor is still the one of clientConn
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		_, _ = fakes.ReadCommand(bufio.NewReader(far))
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// acquire returns an idle connection that is neither stale nor has unread input, or dials a new
-// one. It returns errPoolExhausted if the pool is exhausted, or the dial error if no connection is
-// established within connectTimeout, by the deadline and before the context is done.
+// acquire returns an idle connection that is open, has no unread input and is not stale, or dials a
+// new one. It returns errPoolExhausted if the pool is exhausted, or the dial error if no connection
+// is established within connectTimeout, by the deadline and before the context is done.
 func (s *connectionSet) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for conn := s.takeIdle(key); conn != nil; conn = s.takeIdle(key) {
 		if !s.isStale(conn) && conn.IsQuiet() {
@@ -165,8 +165,8 @@
 	s.releaseSlot()
 }
 
-// closeQuietly closes a connection and ignores the error, as the connection is no longer used. It
-// does not release the connection's slot.
+// closeIgnoringError closes a connection and ignores the error, as the connection is no longer
+// used. It does not release the connection's slot.
 func closeQuietly(conn *connection) { _ = conn.Close() }
 
 // returnUnwritten returns a connection on which nothing was written. A new connection becomes idle,
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -25,8 +25,8 @@
 func (s exchangeState) lostConnection() bool { return s == exchangeClosed || s == exchangeUnwritten }
 
 // exchange writes a command by writeDeadline and waits for the reply until deadline. Once a reply
-// has begun, the rest of it must arrive within connectTimeout, because servers write a reply without
-// pausing. The reply is nil unless the state is exchangeAnswered.
+// has begun, the rest of it must arrive within connectTimeout, because servers write a reply
+// without pausing. The reply is nil unless the state is exchangeAnswered.
 func (p *Pool) exchange(
 	ctx context.Context, conn *connection, command *resp.Command, writeDeadline, deadline time.Time,
 ) (*resp.Reply, exchangeState) {
@@ -52,10 +52,10 @@
 	return reply, exchangeAnswered
 }
 
-// setDeadline sets the read and write deadline of a connection. Abort works by setting a deadline in
-// the past, which this call may overwrite, so it aborts again if the context is done. The error of
-// SetDeadline is ignored: it fails only on a broken connection, where the next read or write fails
-// too.
+// setDeadline sets the read and write deadline of a connection. Abort works by setting a deadline
+// in the past, which this call may overwrite, so it aborts again if the context is done. The error
+// of SetDeadline is ignored: it fails only on a broken connection, where the next read or write
+// fails too.
 func setDeadline(ctx context.Context, conn *connection, deadline time.Time) {
 	_ = conn.SetDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/gateway/upstream/fuzz_test.go
+++ b/internal/gateway/upstream/fuzz_test.go
@@ -9,8 +9,8 @@
 	"harrierhoist/policy"
 )
 
-// For any bytes that a server sends, parseReply must not panic. It may return only the outcomes of a
-// reply, a value only with Answered, and numbers only within their range.
+// For any bytes that a server sends, parseReply must not panic. It may return only the outcomes of
+// a reply, a value only with Answered, and numbers only within their range.
 func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
 		fakes.FormatValue("hello", 3), "*3\r\n$5\r\nhello\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=.61\r\n",
--- a/internal/gateway/upstream/idle_test.go
+++ b/internal/gateway/upstream/idle_test.go
@@ -81,10 +81,10 @@
 	attemptOnce(t, pool, first, policy.Answered)
 }
 
-// A server may send a second reply shortly after the first, too late for the check of the connection
-// for unread bytes. If the connection is reused too soon, the next request gets that reply. A new
-// connection must be used instead, even if the pool has to close the idle one to make room for it.
-// Here the server sends the second reply when it receives the next command.
+// A server may send a second reply shortly after the first, too late for the check of the
+// connection for unread bytes. If the connection is reused too soon, the next request gets that
+// reply. A new connection must be used instead, even if the pool has to close the idle one to make
+// room for it. Here the server sends the second reply when it receives the next command.
 func TestIdle_lateExtraReplyIsNotReadAsNextReply(t *testing.T) {
 	for _, maxConnections := range []int{10, 1} {
 		first := make(chan net.Conn, 1)
@@ -100,7 +100,7 @@
 		})
 		pool := newTestPool(maxConnections)
 		attemptOnce(t, pool, server, policy.Answered)
-		// A time in the future keeps the connection within minIdleBeforeReuse on a slow machine too.
+		// The time is in the future so that minIdleBeforeReuse has not passed on a slow machine.
 		pool.connections.idle[keyOfAddress(server.Addr)][0].lastUsed = time.Now().Add(time.Minute)
 		if got := attemptOnce(t, pool, server, policy.Answered); got.ActualUnits != 1 {
 			t.Errorf("cost %v, want 1: the late reply was read as this one", got.ActualUnits)
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -9,7 +9,8 @@
 	// idleBuckets is the number of buckets of the idle time histogram. Each bucket is twice as wide
 	// as the previous one, and the last one starts at several minutes.
 	idleBuckets = 20
-	// minLosses is the smallest count of lost connections at which an idle time is considered stale.
+	// minLosses is the smallest count of lost connections at which an idle time is considered
+	// stale.
 	minLosses = 3.0
 	// staleLossFraction is the fraction of lost connections above which an idle time is considered
 	// stale. Some connections are lost by chance after any idle time.
--- a/internal/gateway/upstream/localfailure_test.go
+++ b/internal/gateway/upstream/localfailure_test.go
@@ -10,8 +10,8 @@
 )
 
 // A dial error caused by this machine, such as a lack of file descriptors, must not count against
-// the server, which would otherwise be ejected. Errors caused by the server or the network do count.
-// In either case nothing is sent and the slot in the pool is released.
+// the server, which would otherwise be ejected. Errors caused by the server or the network do
+// count. In either case nothing is sent and the slot in the pool is released.
 func TestAttempt_localDialFailureIsNotSent(t *testing.T) {
 	for failure, want := range map[syscall.Errno]policy.Outcome{
 		syscall.EMFILE: policy.NotSent, syscall.ENFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent,
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -8,14 +8,15 @@
 	"harrierhoist/policy"
 )
 
-// minElectiveServers is the smallest number of servers that are selected in a zone for elective attempts,
-// unless fewer are ready. Two servers allow load balancing by the power of two choices.
+// minElectiveServers is the smallest number of servers that are selected in a zone for elective
+// attempts, unless fewer are ready. Two servers allow load balancing by the power of two choices.
 const minElectiveServers = 2
 
-// zoneOwners holds the owner of each zone, indexed by zone; 0 if the zone takes no elective attempts.
+// zoneOwners holds the owner of each zone, indexed by zone; 0 if the zone takes no elective
+// attempts.
 type zoneOwners []int
 
-// of returns the owner of a zone, or 0 if the zone takes no elective attempts.
+// ownerOf returns the owner of a zone, or 0 if the zone takes no elective attempts.
 func (o zoneOwners) of(zone int) int {
 	if zone < 0 || zone >= len(o) {
 		return 0
@@ -24,11 +25,11 @@
 }
 
 // AddElective returns a copy of selected with servers for elective attempts appended. Elective
-// attempts settle debts between partners. owners holds the owner of each zone, indexed by zone; 0 if
-// the zone takes no elective attempts. fraction is the largest fraction of the gateway's attempts
-// that may go to a single owner. Servers that are already selected keep their position and get their
-// zone's owner. The appended servers are arcs of the same rings that Select uses, so that each
-// server is added by about the same number of gateways.
+// attempts settle debts between partners. owners holds the owner of each zone, indexed by zone; 0
+// if the zone takes no elective attempts. fraction is the largest fraction of the gateway's
+// attempts that may go to a single owner. Servers that are already selected keep their position and
+// get their zone's owner. The appended servers are arcs of the same rings that Select uses, so that
+// each server is added by about the same number of gateways.
 func (s *Subset) AddElective(
 	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
 ) []policy.Endpoint {
@@ -66,8 +67,8 @@
 }
 
 // electiveLength returns the number of servers to select in a zone for elective attempts. ringSize
-// is the number of ready servers in the zone, and ready their number in all zones that take elective
-// attempts.
+// is the number of ready servers in the zone, and ready their number in all zones that take
+// elective attempts.
 func (s *Subset) electiveLength(now time.Duration, fraction, ringSize, ready float64) int {
 	if s.idleTimeout <= 0 {
 		return int(ringSize)
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -20,8 +20,8 @@
 }
 
 // Without owners AddElective leaves the selection unchanged. If none of the servers of an owner's
-// zone is selected, each of them is added by about the same number of gateways, and only for elective
-// attempts. The numbers differ somewhat because of the ends of the arcs.
+// zone is selected, each of them is added by about the same number of gateways, and only for
+// elective attempts. The numbers differ somewhat because of the ends of the arcs.
 func TestAddElective_serversAreSpreadOverTheFleet(t *testing.T) {
 	list := newFleet(180, 3)
 	const gateways = 300
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -6,8 +6,9 @@
 // All gateways arrange the servers of a zone in a ring, in the same order. A gateway's subset is an
 // arc of each zone's ring. The starting points of the arcs are spread evenly over the gateways. An
 // arc has as many servers as the gateway's attempts can keep connections open to. Each server
-// therefore lies in arcs that bring it the same rate of attempts, even if the traffic is distributed
-// unevenly over the gateways. docs/fleet-connections.md compares this with other algorithms.
+// therefore lies in arcs that bring it the same rate of attempts, even if the traffic is
+// distributed unevenly over the gateways. docs/fleet-connections.md compares this with other
+// algorithms.
 package subset
 
 import (
@@ -26,12 +27,12 @@
 const (
 	// MinSize is the smallest number of servers in a subset, unless fewer are ready.
 	MinSize = 8
-	// minSubsetsPerServer is the smallest average number of subsets that contain a server. With fewer, the
-	// ends of the arcs make the load uneven.
+	// minSubsetsPerServer is the smallest average number of subsets that contain a server. With
+	// fewer, the ends of the arcs make the load uneven.
 	minSubsetsPerServer = 8.0
-	// targetAttemptsPerIdleTimeout is the average number of attempts that a server of the subset should
-	// receive within the idle timeout. More attempts keep more connections open, and make the
-	// gateway's own counts a better basis for choosing between two servers.
+	// targetAttemptsPerIdleTimeout is the average number of attempts that a server of the subset
+	// should receive within the idle timeout. More attempts keep more connections open, and make
+	// the gateway's own counts a better basis for choosing between two servers.
 	targetAttemptsPerIdleTimeout = 12.0
 	// lengthTolerance is the relative error of the length above which the subset is selected again
 	// without a new list.
@@ -45,8 +46,8 @@
 	// rateTimeConstant is the time constant of the exponential moving average. It is longer than
 	// bursts, because each change of the subset opens new connections.
 	rateTimeConstant = 10 * time.Second
-	// minRateSpan is the shortest time over which the rate is averaged. Without it, the first attempt
-	// alone would appear as a high rate.
+	// minRateSpan is the shortest time over which the rate is averaged. Without it, the first
+	// attempt alone would appear as a high rate.
 	minRateSpan = 2 * time.Second
 )
 
@@ -75,7 +76,7 @@
 
 	attempts          float64       // exponentially decaying count of attempts
 	countingSince     time.Duration // time when counting began
-	decayedAt         time.Duration // time up to which attempts has decayed; 0 before the first, see isCounting
+	decayedAt         time.Duration // time up to which attempts has decayed; 0 before counting began, see isCounting
 	checkedAt         time.Duration // time when the length was last compared with the target
 	targetAtSelection int           // target length at the last selection; 0 before it, see hasSelection
 	readyCount        int           // number of ready servers at the last selection
@@ -87,14 +88,15 @@
 	requests         uint64    // number of calls of ShouldShed with a fraction to shed
 }
 
-// New returns the Subset of the gateway with the given index, from 0, in a fleet of the given number
-// of gateways. idleTimeout is the time after which the gateway closes an idle connection. If it is
-// 0, the subset is the whole list.
+// New returns the Subset of the gateway with the given index, from 0, in a fleet of the given
+// number of gateways. idleTimeout is the time after which the gateway closes an idle connection. If
+// it is 0, the number of servers in the subset is not limited.
 func New(index, gateways int, idleTimeout time.Duration) *Subset {
 	return &Subset{idleTimeout: idleTimeout, index: index, gateways: max(gateways, 1)}
 }
 
-// Resize sets the gateway's index and the number of gateways. It takes effect at the next selection.
+// Resize sets the gateway's index and the number of gateways. It takes effect at the next
+// selection.
 func (s *Subset) Resize(index, gateways int) {
 	s.index = index
 	s.gateways = max(gateways, 1)
@@ -107,7 +109,8 @@
 // first call.
 func (s *Subset) hasSelection() bool { return s.targetAtSelection != 0 }
 
-// CountAttempt records that the gateway made an attempt. AttemptRate is computed from these records.
+// CountAttempt records that the gateway made an attempt. AttemptRate is computed from these
+// records.
 func (s *Subset) CountAttempt(now time.Duration) {
 	s.decay(now)
 	s.attempts++
@@ -147,8 +150,8 @@
 
 // IsDue reports whether the subset must be selected again, because its length differs from the
 // target by more than lengthTolerance, because it must grow to all ready servers, or because the
-// turn of a weighted selection has ended. It checks at most once per checkInterval and returns false
-// in between.
+// turn of a weighted selection has ended. It checks at most once per checkInterval and returns
+// false in between.
 func (s *Subset) IsDue(now time.Duration) bool {
 	if !s.hasSelection() || now < s.checkedAt+checkInterval {
 		return false
@@ -212,9 +215,9 @@
 	return endpoints
 }
 
-// arc returns the list indexes of this gateway's arc of a zone's ring, with the given length. If the
-// ring is longer than that, arc sorts it into ring order. The servers of a rack are adjacent in the
-// ring, because a keyed request can be retried only within its rack. The order of racks, and of
+// arc returns the list indexes of this gateway's arc of a zone's ring, with the given length. If
+// the ring is longer than that, arc sorts it into ring order. The servers of a rack are adjacent in
+// the ring, because a keyed request can be retried only within its rack. The order of racks, and of
 // servers within a rack, is pseudorandom but the same at all gateways.
 func (s *Subset) arc(zone int, ring []int, list []Candidate, length int) []int {
 	size := len(ring)
--- a/internal/gateway/upstream/subset/subset_test.go
+++ b/internal/gateway/upstream/subset/subset_test.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// Gateways prefer servers of their own zone, so the gateways of a zone must cover its servers evenly.
-// This must hold if gateway indexes are assigned to zones round-robin, and if in contiguous blocks.
+// Gateways prefer servers of their own zone, so the gateways of a zone must cover its servers
+// evenly. This must hold if gateway indexes are assigned to zones round-robin, and if in contiguous
+// blocks.
 func TestSelect_zoneIsCoveredEvenlyByItsOwnGateways(t *testing.T) {
 	list := newFleet(180, 3)
 	for name, local := range map[string]func(gateway int) bool{
--- a/internal/gateway/upstream/subset/weights.go
+++ b/internal/gateway/upstream/subset/weights.go
@@ -9,27 +9,28 @@
 	"harrierhoist/policy"
 )
 
-// A zone's weight seldom corresponds to a whole number of servers, and a small weight corresponds to
-// less than one. So each zone's number of servers is rounded up at some gateways and down at the
+// A zone's weight seldom corresponds to a whole number of servers, and a small weight corresponds
+// to less than one. So each zone's number of servers is rounded up at some gateways and down at the
 // others, and which gateways round up changes every turn.
 const (
 	// turnInterval is the length of a turn. In each turn, different gateways select servers in a
 	// zone with a small weight, so that many gateways learn the state of its servers.
 	turnInterval = 10 * time.Second
 	// gatewaySpread is an irrational factor that spreads the rounding evenly over gateways. It
-	// differs from goldenRatio, so that the rounding is independent of where a gateway's arc begins.
+	// differs from goldenRatio, so that the rounding is independent of where a gateway's arc
+	// begins.
 	gatewaySpread = 0.4142135623730951
 	// turnSpread is an irrational factor that spreads the rounding evenly over turns.
 	turnSpread = 0.7548776662466927
-	// turnModulus limits the turn number, to keep the fractional part of its product with turnSpread
-	// precise.
+	// turnModulus limits the turn number, to keep the fractional part of its product with
+	// turnSpread precise.
 	turnModulus = 1e6
 )
 
-// SetWeights sets the weight of each zone, indexed by zone. It takes effect at the next selection. A
-// zone's weight, in any unit, is its relative share of the selected servers. A zone with weight 0,
-// or beyond the end of the slice, gets no servers. If weights is nil, zones are weighted by their
-// number of ready servers. The fraction shed, from 0 to 1, is the part of all requests that
+// SetWeights sets the weight of each zone, indexed by zone. It takes effect at the next selection.
+// A zone's weight, in any unit, is its relative share of the selected servers. A zone with weight
+// 0, or beyond the end of the slice, gets no servers. If weights is nil, zones are weighted by
+// their number of ready servers. The fraction shed, from 0 to 1, is the part of all requests that
 // ShouldShed rejects; it applies only with weights. SetWeights reports whether the weights or the
 // fraction have changed. It retains weights, which the caller must not modify afterwards.
 func (s *Subset) SetWeights(weights []float64, shed float64) (changed bool) {
@@ -41,8 +42,8 @@
 }
 
 // ShouldShed reports whether to reject the next request immediately. It sheds the fraction set by
-// SetWeights, and the share of requests that belongs to zones without a ready server. Shed requests
-// are spread evenly over all requests, and over every n-th request too.
+// SetWeights and, of the remaining requests, the share of the zones without a ready server. Shed
+// requests are spread evenly over all requests, and over every n-th request too.
 func (s *Subset) ShouldShed() bool {
 	if s.weights == nil {
 		return false
@@ -97,9 +98,9 @@
 	return length
 }
 
-// roundingOffset returns the offset, from 0 to 1, that is added to a zone's share of the length before
-// the sum is truncated to a whole number of servers. It is spread evenly over gateways and turns, so
-// that the average number of servers is exact.
+// roundingOffset returns the offset, from 0 to 1, that is added to a zone's share of the length
+// before the sum is truncated to a whole number of servers. It is spread evenly over gateways and
+// turns, so that the average number of servers is exact.
 func (s *Subset) roundingOffset(zone int) float64 {
 	turn := float64(s.selectedTurn % turnModulus)
 	_, rounding := math.Modf(float64(s.index)*gatewaySpread + turn*turnSpread + float64(zone)/math.E)
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -28,9 +28,9 @@
 	return mean, selections
 }
 
-// The zones' fractions match the weights on average over the fleet, although a single gateway cannot
-// select a fraction of a server. Different gateways select servers of the zone with a small weight in
-// each turn.
+// The zones' fractions match the weights on average over the fleet, although a single gateway
+// cannot select a fraction of a server. Different gateways select servers of the zone with a small
+// weight in each turn.
 func TestSetWeights_averageOverTheFleetMatchesWeights(t *testing.T) {
 	for _, gateways := range []int{30, 300} {
 		list := newFleet(120, 3)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A zone with weight 0 gets no servers. In addition to the fraction set by SetWeights, only the share of a
-// zone without a ready server is shed.
+// A zone with weight 0 gets no servers. Apart from the fraction set by SetWeights, only the
+// share of a zone without a ready server is shed.
 func TestSetWeights_zoneOfWeightZeroGetsNoServers(t *testing.T) {
 	list := newFleet(30, 3)
 	for i := range list {
