--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -20,16 +20,16 @@
 
 // addIdleWithSmallBuffers adds an idle connection with small socket buffers to the pool. It returns
 // the connection's key and the server's end of it.
-func (p *Pool) addIdleWithSmallBuffers(t *testing.T) (key endpointKey, far *net.TCPConn) {
+func (p *Pool) addIdleWithSmallBuffers(t *testing.T) (key endpointKey, serverConn *net.TCPConn) {
 	t.Helper()
-	near, other := fakes.ConnPair(t)
-	_ = near.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	_ = other.(*net.TCPConn).SetReadBuffer(4 << 10)
-	key = keyOfAddress(near.RemoteAddr().String())
+	clientConn, peer := fakes.ConnPair(t)
+	_ = clientConn.(*net.TCPConn).SetWriteBuffer(4 << 10)
+	_ = peer.(*net.TCPConn).SetReadBuffer(4 << 10)
+	key = keyOfAddress(clientConn.RemoteAddr().String())
 	p.connections.open++
-	p.connections.putIdle(key, &connection{Conn: resp.NewConn(near)})
+	p.connections.putIdle(key, &connection{Conn: resp.NewConn(clientConn)})
 	p.connections.idle[key][0].lastUsed = time.Now().Add(-time.Second)
-	return key, other.(*net.TCPConn)
+	return key, peer.(*net.TCPConn)
 }
 
 // breakTest disrupts a connection while a command or its answer is being transferred.
@@ -37,13 +37,13 @@
 	name    string
 	command *Command
 	timeout time.Duration
-	disrupt func(far *net.TCPConn, cancel func())
+	disrupt func(serverConn *net.TCPConn, cancel func())
 	want    policy.Outcome
 }
 
-func reset(far *net.TCPConn, _ func()) { _, _ = far.SetLinger(0), far.Close() }
+func reset(serverConn *net.TCPConn, _ func()) { _, _ = serverConn.SetLinger(0), serverConn.Close() }
 
-func closeWrite(far *net.TCPConn, _ func()) { _ = far.CloseWrite() }
+func closeWrite(serverConn *net.TCPConn, _ func()) { _ = serverConn.CloseWrite() }
 
 func cancelAttempt(_ *net.TCPConn, cancel func()) { cancel() }
 
@@ -51,9 +51,9 @@
 
 // afterPartOf returns a disruption that sends a part of an answer before act.
 func afterPartOf(answer string, act func(*net.TCPConn, func())) func(*net.TCPConn, func()) {
-	return func(far *net.TCPConn, cancel func()) {
-		_, _ = io.WriteString(far, answer)
-		act(far, cancel)
+	return func(serverConn *net.TCPConn, cancel func()) {
+		_, _ = io.WriteString(serverConn, answer)
+		act(serverConn, cancel)
 	}
 }
 
@@ -89,7 +89,7 @@
 func (b *breakTest) run(t *testing.T, timeout time.Duration) bool {
 	t.Helper()
 	pool := New(time.Minute, time.Hour, nil, 10)
-	key, far := pool.addIdleWithSmallBuffers(t)
+	key, serverConn := pool.addIdleWithSmallBuffers(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	outcomes := make(chan policy.Outcome, 1)
@@ -100,14 +100,14 @@
 	}()
 	var err error
 	if b.command == longCommand {
-		_, err = io.ReadFull(far, make([]byte, 100)) // part of it has arrived; the rest does not fit into the buffers
+		_, err = io.ReadFull(serverConn, make([]byte, 100)) // the rest does not fit into the buffers
 	} else {
-		_, err = fakes.ReadCommand(bufio.NewReader(far))
+		_, err = fakes.ReadCommand(bufio.NewReader(serverConn))
 	}
 	if err != nil && timeout < time.Minute {
 		return false
 	}
-	b.disrupt(far, cancel)
+	b.disrupt(serverConn, cancel)
 	if got := <-outcomes; got != b.want || pool.connections.open != 0 || len(pool.connections.idle[key]) != 0 {
 		t.Errorf("outcome %v, want %v, with %d connections open", got, b.want, pool.connections.open)
 	}
@@ -118,14 +118,14 @@
 // not extend that time, so an answer that trickles in forever is abandoned too.
 func TestAttempt_tricklingAnswerIsAbandoned(t *testing.T) {
 	pool := New(200*time.Millisecond, time.Hour, nil, 10)
-	key, far := pool.addIdleWithSmallBuffers(t)
+	key, serverConn := pool.addIdleWithSmallBuffers(t)
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		_, _ = fakes.ReadCommand(bufio.NewReader(far))
-		_, err := io.WriteString(far, "*3\r\n$60000\r\n")
+		_, _ = fakes.ReadCommand(bufio.NewReader(serverConn))
+		_, err := io.WriteString(serverConn, "*3\r\n$60000\r\n")
 		for ; err == nil; time.Sleep(5 * time.Millisecond) {
-			_, err = io.WriteString(far, "x")
+			_, err = io.WriteString(serverConn, "x")
 		}
 	}()
 	got, _ := pool.Attempt(decisionWithin(key.address, time.Hour), &Command{})
@@ -154,19 +154,19 @@
 // answer must count, and the connection must be closed rather than reused, because the pending
 // abort would otherwise affect the next request.
 func TestAttempt_answerRacesWithCancellation(t *testing.T) {
-	near, far := fakes.ConnPair(t)
-	slow := &slowAbortConn{near, make(chan struct{}), make(chan struct{})}
+	clientConn, serverConn := fakes.ConnPair(t)
+	slow := &slowAbortConn{clientConn, make(chan struct{}), make(chan struct{})}
 	pool := New(time.Minute, time.Hour, nil, 10)
 	key := keyOfAddress("there")
 	pool.connections.open++
-	pool.connections.idle[key] = []*connection{{Conn: resp.NewConn(near), lastUsed: time.Now().Add(-time.Second)}}
+	pool.connections.idle[key] = []*connection{{Conn: resp.NewConn(clientConn), lastUsed: time.Now().Add(-time.Second)}}
 	pool.connections.idle[key][0].Conn.Conn = slow // the file descriptor is still the one of clientConn
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		_, _ = fakes.ReadCommand(bufio.NewReader(far))
+		_, _ = fakes.ReadCommand(bufio.NewReader(serverConn))
 		cancel()
 		<-slow.aborting
-		_, _ = io.WriteString(far, fakes.FormatValue("hello", 1))
+		_, _ = io.WriteString(serverConn, fakes.FormatValue("hello", 1))
 	}()
 	got, value := pool.Attempt(newDecision(ctx, key.address, time.Now().Add(time.Minute)), &Command{})
 	if got.Outcome != policy.Answered || value.String() != "hello" {
@@ -188,11 +188,11 @@
 	} {
 		server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 		pool := New(time.Minute, time.Hour, nil, 10)
-		narrowKey, far := pool.addIdleWithSmallBuffers(t)
+		smallBufferKey, serverConn := pool.addIdleWithSmallBuffers(t)
 		key := keyOfAddress(server.Addr)
-		pool.connections.idle[key] = pool.connections.idle[narrowKey]
-		delete(pool.connections.idle, narrowKey)
-		act(far, nil)
+		pool.connections.idle[key] = pool.connections.idle[smallBufferKey]
+		delete(pool.connections.idle, smallBufferKey)
+		act(serverConn, nil)
 		fakes.Eventually(t, name, func() bool { return !pool.connections.idle[key][0].IsQuiet() })
 		if attemptOnce(t, pool, server, policy.Answered); pool.connections.open != 1 || server.ConnCount() != 1 {
 			t.Errorf("%s: %d connections open", name, pool.connections.open)
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -135,21 +135,21 @@
 		s.mu.Unlock()
 		return true
 	}
-	var longestKey endpointKey
-	var longest *connection
+	var longestIdleKey endpointKey
+	var longestIdle *connection
 	for key, connections := range s.idle {
-		if len(connections) > 0 && (longest == nil || connections[0].lastUsed.Before(longest.lastUsed)) {
-			longestKey = key
-			longest = connections[0]
+		if len(connections) > 0 && (longestIdle == nil || connections[0].lastUsed.Before(longestIdle.lastUsed)) {
+			longestIdleKey = key
+			longestIdle = connections[0]
 		}
 	}
-	if longest == nil {
+	if longestIdle == nil {
 		s.mu.Unlock()
 		return false
 	}
-	s.idle[longestKey] = s.idle[longestKey][1:]
+	s.idle[longestIdleKey] = s.idle[longestIdleKey][1:]
 	s.mu.Unlock()
-	closeQuietly(longest) // the new connection takes over its slot
+	closeIgnoringError(longestIdle) // the new connection takes over its slot
 	return true
 }
 
@@ -161,13 +161,13 @@
 
 // close closes a connection that is not in the idle list, and releases its slot.
 func (s *connectionSet) close(conn *connection) {
-	closeQuietly(conn)
+	closeIgnoringError(conn)
 	s.releaseSlot()
 }
 
 // closeIgnoringError closes a connection and ignores the error, as the connection is no longer
 // used. It does not release the connection's slot.
-func closeQuietly(conn *connection) { _ = conn.Close() }
+func closeIgnoringError(conn *connection) { _ = conn.Close() }
 
 // returnUnwritten returns a connection on which nothing was written. A new connection becomes idle,
 // so the next attempt may use it. One that had been idle before is closed, because putIdle would
@@ -229,6 +229,6 @@
 	s.open -= n
 	s.mu.Unlock()
 	for _, conn := range stale {
-		closeQuietly(conn)
+		closeIgnoringError(conn)
 	}
 }
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -17,7 +17,7 @@
 type zoneOwners []int
 
 // ownerOf returns the owner of a zone, or 0 if the zone takes no elective attempts.
-func (o zoneOwners) of(zone int) int {
+func (o zoneOwners) ownerOf(zone int) int {
 	if zone < 0 || zone >= len(o) {
 		return 0
 	}
@@ -33,7 +33,7 @@
 func (s *Subset) AddElective(
 	now time.Duration, selected []policy.Endpoint, list []Candidate, owners []int, fraction float64,
 ) []policy.Endpoint {
-	ownerOf := zoneOwners(owners).of
+	ownerOf := zoneOwners(owners).ownerOf
 	selected = slices.Clone(selected)
 	isSelected := map[uint32]bool{}
 	for i := range selected {
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -32,10 +32,10 @@
 		if same := s.AddElective(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
 			t.Fatalf("gateway %d: selection changed although no zone has an owner", gateway)
 		}
-		near := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
+		withoutZone2 := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
 			return endpoint.Zone == 2
 		})
-		extra := addedElective(t, s, near, list)
+		extra := addedElective(t, s, withoutZone2, list)
 		if len(extra) < minElectiveServers {
 			t.Fatalf("gateway %d: %d servers added, want at least %d", gateway, len(extra), minElectiveServers)
 		}
--- a/internal/gateway/upstream/subset/golden_test.go
+++ b/internal/gateway/upstream/subset/golden_test.go
@@ -43,8 +43,8 @@
 	now    time.Duration
 }
 
-func (r *recorder) record(label string, selected []policy.Endpoint, figure float64) {
-	r.sum.Println(label, r.now, len(selected), figure, r.AttemptRate(r.now))
+func (r *recorder) record(label string, selected []policy.Endpoint, number float64) {
+	r.sum.Println(label, r.now, len(selected), number, r.AttemptRate(r.now))
 	for _, e := range selected {
 		r.sum.Println(e.Server, e.State, e.Capacity, e.StartedAt, e.Rack, e.Zone, e.Hardware, e.Owner, e.Elective)
 	}
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -100,21 +100,22 @@
 
 // With nil weights the selections do not depend on weights that were set before.
 func TestSetWeights_nilSelectsAsWithoutWeights(t *testing.T) {
-	plain, weighted := xxhash.New(), xxhash.New()
+	plainHash, afterWeightsHash := xxhash.New(), xxhash.New()
 	for gateway := range 40 {
-		never, once := New(gateway, 300, 15*time.Second), New(gateway, 300, 15*time.Second)
+		withoutWeights, afterWeights := New(gateway, 300, 15*time.Second), New(gateway, 300, 15*time.Second)
 		list := newFleet(200, 3)
-		hashSelections(plain, never, list)
-		once.SetWeights([]float64{1, 0, 0}, 0.5)
-		once.Select(time.Hour, list)
-		once.SetWeights(nil, 0)
-		hashSelections(weighted, once, list)
-		if once.ShouldShed() {
+		hashSelections(plainHash, withoutWeights, list)
+		afterWeights.SetWeights([]float64{1, 0, 0}, 0.5)
+		afterWeights.Select(time.Hour, list)
+		afterWeights.SetWeights(nil, 0)
+		hashSelections(afterWeightsHash, afterWeights, list)
+		if afterWeights.ShouldShed() {
 			t.Error("a request was shed without weights")
 		}
 	}
-	if plain.Sum64() != unweightedHash || weighted.Sum64() != unweightedHash {
-		t.Errorf("hash %#x, and %#x after weights, want %#x", plain.Sum64(), weighted.Sum64(), uint64(unweightedHash))
+	if plainHash.Sum64() != unweightedHash || afterWeightsHash.Sum64() != unweightedHash {
+		t.Errorf("hash %#x, and %#x after weights, want %#x",
+			plainHash.Sum64(), afterWeightsHash.Sum64(), uint64(unweightedHash))
 	}
 }
 
