--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -8,7 +8,7 @@
 	"harrierhoist/policy"
 )
 
-// addedElective returns the endpoints that AddElective appends to a selection if zone 2 belongs to
+// addedElective returns the endpoints that AddElectiveServers appends to a selection if zone 2 belongs to
 // owner 7. It fails the test unless they follow the unchanged selection.
 func addedElective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
 	t.Helper()
@@ -19,7 +19,7 @@
 	return extended[len(selected):]
 }
 
-// Without owners AddElective leaves the selection unchanged. If none of the servers of an owner's
+// Without owners AddElectiveServers leaves the selection unchanged. If none of the servers of an owner's
 // zone is selected, each of them is added by about the same number of gateways, and only for
 // elective attempts. The numbers differ somewhat because of the ends of the arcs.
 func TestAddElective_serversAreSpreadOverTheFleet(t *testing.T) {
@@ -29,7 +29,7 @@
 	for gateway := range gateways {
 		s := New(gateway, gateways, 15*time.Second)
 		selected, _ := s.Select(time.Hour, list)
-		if same := s.AddElective(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
+		if same := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 0}, 0.5); !slices.Equal(same, selected) {
 			t.Fatalf("gateway %d: selection changed although no zone has an owner", gateway)
 		}
 		withoutZone2 := slices.DeleteFunc(slices.Clone(selected), func(endpoint policy.Endpoint) bool {
