--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -74,8 +74,8 @@
 	return w, nil
 }
 
-// FirstListApplied returns a channel that is closed when the first list from discovery has been applied.
-// The known list does not count.
+// FirstListApplied returns a channel that is closed when the first list from discovery has been
+// applied. The known list does not count.
 func (w *Watcher) FirstListApplied() <-chan struct{} { return w.firstApplied }
 
 // SetAgent replaces the agent to follow, or changes its mode. After SetAgent returns, no answer of
--- a/internal/gateway/upstream/subset/elective.go
+++ b/internal/gateway/upstream/subset/elective.go
@@ -24,9 +24,9 @@
 	return o[zone]
 }
 
-// AddElectiveServers returns a copy of selected with servers for elective attempts appended. Elective
-// attempts settle debts between partners. owners holds the owner of each zone, indexed by zone; 0
-// if the zone takes no elective attempts. fraction is the largest fraction of the gateway's
+// AddElectiveServers returns a copy of selected with servers for elective attempts appended.
+// Elective attempts settle debts between partners. owners holds the owner of each zone, indexed by
+// zone; 0 if the zone takes no elective attempts. fraction is the largest fraction of the gateway's
 // attempts that may go to a single owner. Servers that are already selected keep their position and
 // get their zone's owner. The appended servers are arcs of the same rings that Select uses, so that
 // each server is added by about the same number of gateways.
--- a/internal/gateway/upstream/subset/elective_test.go
+++ b/internal/gateway/upstream/subset/elective_test.go
@@ -8,8 +8,8 @@
 	"harrierhoist/policy"
 )
 
-// addedElective returns the endpoints that AddElectiveServers appends to a selection if zone 2 belongs to
-// owner 7. It fails the test unless they follow the unchanged selection.
+// addedElective returns the endpoints that AddElectiveServers appends to a selection if zone 2
+// belongs to owner 7. It fails the test unless they follow the unchanged selection.
 func addedElective(t *testing.T, s *Subset, selected []policy.Endpoint, list []Candidate) []policy.Endpoint {
 	t.Helper()
 	extended := s.AddElectiveServers(time.Hour, selected, list, []int{0, 0, 7}, 0.5)
@@ -19,9 +19,9 @@
 	return extended[len(selected):]
 }
 
-// Without owners AddElectiveServers leaves the selection unchanged. If none of the servers of an owner's
-// zone is selected, each of them is added by about the same number of gateways, and only for
-// elective attempts. The numbers differ somewhat because of the ends of the arcs.
+// Without owners AddElectiveServers leaves the selection unchanged. If none of the servers of an
+// owner's zone is selected, each of them is added by about the same number of gateways, and only
+// for elective attempts. The numbers differ somewhat because of the ends of the arcs.
 func TestAddElective_serversAreSpreadOverTheFleet(t *testing.T) {
 	list := newFleet(180, 3)
 	const gateways = 300
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -148,9 +148,9 @@
 	return int(min(length, float64(ready)))
 }
 
-// IsDue reports whether the subset must be selected again, because its length differs from the
-// target by more than lengthTolerance, because it must grow to all ready servers, or because the
-// turn of a weighted selection has ended. It checks at most once per checkInterval and returns
+// NeedsSelection reports whether the subset must be selected again, because its length differs from
+// the target by more than lengthTolerance, because it must grow to all ready servers, or because
+// the turn of a weighted selection has ended. It checks at most once per checkInterval and returns
 // false in between.
 func (s *Subset) IsDue(now time.Duration) bool {
 	if !s.hasSelection() || now < s.checkedAt+checkInterval {
