--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -138,7 +138,7 @@
 	}
 	pool.ageIdle(server) // an idle connection needs no dial, so only the check before Begin can fail
 	begun := false
-	decision.Begin = func() bool { begun = true; return true }
+	decision.BeginSend = func() bool { begun = true; return true }
 	if got := <-pool.attemptAsync(decision); got != policy.NotSent || begun || server.PendingCommands() != 1 {
 		t.Errorf("write deadline passed: outcome %v, begun %v, %d commands", got, begun, server.PendingCommands())
 	}
