--- a/internal/control/failover/fleet_test.go
+++ b/internal/control/failover/fleet_test.go
@@ -175,7 +175,7 @@
 
 // sendAttempt starts an attempt for one request, or sheds the request.
 func (f *fleet) sendAttempt(gateway *member) {
-	if gateway.planCount != len(f.plans) || gateway.subset.IsDue(f.now) {
+	if gateway.planCount != len(f.plans) || gateway.subset.NeedsSelection(f.now) {
 		f.selectEndpoints(gateway)
 	}
 	if gateway.subset.ShouldShed() {
--- a/internal/gateway/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -57,7 +57,7 @@
 		fallback := *d.steering.fallback
 		d.steering = steeringLease{}
 		d.applySteering(now, fallback)
-	case d.subset.IsDue(now):
+	case d.subset.NeedsSelection(now):
 		d.updateModuleEndpoints(now, policy.ListFull)
 	}
 }
--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -136,7 +136,7 @@
 			t.Fatalf("attempt written in time: outcome %v", got)
 		}
 	}
-	pool.ageIdle(server) // an idle connection needs no dial, so only the check before Begin can fail
+	pool.ageIdle(server) // an idle connection needs no dial, so only the check before BeginSend can fail
 	begun := false
 	decision.BeginSend = func() bool { begun = true; return true }
 	if got := <-pool.attemptAsync(decision); got != policy.NotSent || begun || server.PendingCommands() != 1 {
--- a/internal/gateway/upstream/subset/golden_test.go
+++ b/internal/gateway/upstream/subset/golden_test.go
@@ -77,7 +77,7 @@
 	for range 400 {
 		r.now += interval
 		r.CountAttempt(r.now)
-		if r.IsDue(r.now) {
+		if r.NeedsSelection(r.now) {
 			r.selectAndRecord("due")
 		}
 	}
@@ -96,7 +96,7 @@
 		r.recordShedding()
 		for range 25 { // long enough for the turn to change
 			r.now += time.Second
-			if r.IsDue(r.now) {
+			if r.NeedsSelection(r.now) {
 				r.selectAndRecord("turn")
 			}
 		}
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -152,7 +152,7 @@
 // the target by more than lengthTolerance, because it must grow to all ready servers, or because
 // the turn of a weighted selection has ended. It checks at most once per checkInterval and returns
 // false in between.
-func (s *Subset) IsDue(now time.Duration) bool {
+func (s *Subset) NeedsSelection(now time.Duration) bool {
 	if !s.hasSelection() || now < s.checkedAt+checkInterval {
 		return false
 	}
--- a/internal/gateway/upstream/subset/subset_test.go
+++ b/internal/gateway/upstream/subset/subset_test.go
@@ -195,7 +195,7 @@
 	for i := range 60 * 20 { // a minute at 20 attempts a second
 		now += 50 * time.Millisecond
 		s.CountAttempt(now)
-		if s.IsDue(now) {
+		if s.NeedsSelection(now) {
 			selected, _ := s.Select(now, list)
 			size = len(selected)
 			selections++
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -141,7 +141,7 @@
 				_, _ = fmt.Fprintln(hash, "marked", endpoint)
 			}
 		}
-		_, _ = fmt.Fprintln(hash, hashed, sharers, s.IsDue(now+time.Minute))
+		_, _ = fmt.Fprintln(hash, hashed, sharers, s.NeedsSelection(now+time.Minute))
 		for i := range 9 {
 			s.CountAttempt(now + time.Duration(i)*20*time.Millisecond)
 		}
--- a/internal/lab/simulation/gateway.go
+++ b/internal/lab/simulation/gateway.go
@@ -137,7 +137,7 @@
 	if g.follower != nil {
 		g.follower.expireSteering()
 	}
-	if g.subset.IsDue(engine.clock.Now()) {
+	if g.subset.NeedsSelection(engine.clock.Now()) {
 		g.updateEndpoints()
 	}
 	g.lastRequestID++
--- a/policy/slow_start_simulation_test.go
+++ b/policy/slow_start_simulation_test.go
@@ -175,7 +175,7 @@
 		return
 	}
 	g.After(interval, func() {
-		if g.subset.IsDue(g.Now()) {
+		if g.subset.NeedsSelection(g.Now()) {
 			g.sendEndpoints(policy.ListFull)
 		}
 		units := 1.0
