--- a/internal/gateway/counter/failure_test.go
+++ b/internal/gateway/counter/failure_test.go
@@ -59,13 +59,13 @@
 
 // Guards against the failure of calls that wait for a dial while the address changes.
 func TestSetAddress_queuedCallsGoToTheNewAddress(t *testing.T) {
-	from, to := unreachableAddress(t), fakes.NewCounter(t)
-	c := newCallerWith(t, from, time.Hour, zap.NewNop())
+	first, second, to := unreachableAddress(t), unreachableAddress(t), fakes.NewCounter(t)
+	c := newCallerWith(t, first, time.Hour, zap.NewNop())
 	c.add(8, 1)
 	c.waitForDial(8)
 	c.add(8, 2)
-	c.client.SetAddress("127.0.0.1:1")
-	c.client.SetAddress(from) // back to the address that was dialed first
+	c.client.SetAddress(second)
+	c.client.SetAddress(first) // back to the address that was dialed first
 	c.waitForDial(8)
 	c.client.SetAddress(to.Addr)
 	c.expectResult(result{0, 1, policy.Answered})
