--- a/internal/gateway/counter/counter.go
+++ b/internal/gateway/counter/counter.go
@@ -19,7 +19,7 @@
 	shardCount      = 8                      // connections; a slow one delays only its names
 	maxQueued       = 256                    // unwritten calls of a shard; more fail immediately
 	minNameLifetime = time.Millisecond       // shortest lifetime that the protocol can express
-	writeTimeout    = 250 * time.Millisecond // for a few bytes
+	writeTimeout    = 250 * time.Millisecond // for calls of a few bytes each
 	lossLogInterval = 10 * time.Second       // between log lines about lost connections
 
 	decimalBase = 10
--- a/internal/gateway/counter/shard.go
+++ b/internal/gateway/counter/shard.go
@@ -36,7 +36,7 @@
 	mu          sync.Mutex // also guards the fields of the connections
 	addr        string
 	current     *connection              // receives new calls; nil: not connected
-	connections map[*connection]struct{} // being read: current, and earlier ones with pending calls
+	connections map[*connection]struct{} // with a running reader: current, and earlier ones with pending calls
 	cancelDial  context.CancelFunc       // cancels the dial in progress; nil: none
 }
 
@@ -45,7 +45,7 @@
 	text    *textproto.Conn
 	socket  net.Conn
 	pending []*call // calls written and not answered yet, oldest first
-	closed  bool    // set with mu held, by whichever call closes the connection
+	closed  bool    // set with mu held, by the function that closes the connection
 }
 
 // dialOutcome is the outcome of a dial.
@@ -131,12 +131,12 @@
 
 // setReadDeadline sets the read deadline of the connection to its readDeadline.
 func (s *shard) setReadDeadline(conn *connection) {
-	// It fails only on a closed connection, where reads fail as well.
+	// SetReadDeadline fails only on a closed connection, where reads fail as well.
 	_ = conn.socket.SetReadDeadline(conn.readDeadline(s.timeout))
 }
 
-// readDeadline returns when the connection is closed as silent: when its oldest pending call has
-// waited for timeout, which also limits a dial. The zero time means never.
+// readDeadline returns the time at which the connection is closed for lack of an answer: its oldest
+// pending call has then waited for timeout, which also limits a dial. The zero time means never.
 func (c *connection) readDeadline(timeout time.Duration) time.Time {
 	if len(c.pending) == 0 {
 		return time.Time{}
@@ -144,8 +144,8 @@
 	return c.pending[0].writtenAt.Add(timeout)
 }
 
-// disconnect closes a connection that its reader or writer gives up, and ends its pending calls
-// with TimedOut, because their units may have been added. It does not close a connection twice.
+// disconnect closes a connection for the given reason, and ends its pending calls with TimedOut,
+// because their units may have been added. It does not close a connection twice.
 func (s *shard) disconnect(conn *connection, reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/counter/write.go
+++ b/internal/gateway/counter/write.go
@@ -45,7 +45,7 @@
 	if len(conn.pending) == 1 {
 		s.setReadDeadline(conn)
 	}
-	// It fails only on a closed connection, where the flush fails as well.
+	// SetWriteDeadline fails only on a closed connection, where the flush fails as well.
 	_ = conn.socket.SetWriteDeadline(next.writtenAt.Add(writeTimeout))
 	_, _ = conn.text.W.WriteString(next.line + "\r\n") // Flush returns the error, too
 }
--- a/internal/gateway/dispatch/counting.go
+++ b/internal/gateway/dispatch/counting.go
@@ -6,9 +6,9 @@
 	"harrierhoist/policy"
 )
 
-// CountingRules decide which counts requests are charged to, where that is not always the
-// customer's own. All methods are called with the dispatcher's lock held. They must not block, and
-// must not call methods of the dispatcher that acquire its lock.
+// CountingRules decide which count each request is charged to, which may be another one than its
+// customer's. All methods are called with the dispatcher's lock held. They must not block, and must
+// not call methods of the dispatcher that acquire its lock.
 type CountingRules interface {
 	// WithRulePlans returns settings with the rules' own plans appended.
 	WithRulePlans(settings policy.Settings) policy.Settings
@@ -24,7 +24,7 @@
 
 // CountAssignment states how a request is counted.
 type CountAssignment struct {
-	Key          uint64  // number of the count, in place of the customer's
+	Key          uint64  // number of the count; the module gets it as the customer
 	Plan         int     // index of the plan in the settings
 	GatewayCount int     // number of gateways that admit requests under the key
 	Weight       float64 // units charged per unit of the request
@@ -106,7 +106,7 @@
 		now := d.lock()
 		defer d.unlock()
 		switch {
-		case request.completed: // meanwhile, for example because the client disconnected
+		case request.completed: // completed during the check, for example by a disconnect
 		case admitted && now < policyRequest.Deadline:
 			d.module.HandleRequest(now, policyRequest)
 		default:
--- a/internal/gateway/dispatch/counting_test.go
+++ b/internal/gateway/dispatch/counting_test.go
@@ -7,8 +7,9 @@
 	"harrierhoist/policy"
 )
 
-// fakeRules count all requests under one key, with consecutive weights of which the last repeats.
-// checkOthers is the CheckOtherCounts of all assignments.
+// fakeRules count all requests under one key. Each request gets the next of the weights, and
+// requests after the last weight get the last one again. checkOthers is the CheckOtherCounts of all
+// assignments.
 type fakeRules struct {
 	weights     []float64
 	checkOthers func(func(bool))
--- a/internal/gateway/dispatch/dispatcher.go
+++ b/internal/gateway/dispatch/dispatcher.go
@@ -31,7 +31,7 @@
 	CheckHealth func(server Server, done func(Result))
 	// IdleTimeout is how long a connection to a server stays open after its latest attempt. The
 	// decision module gets only as many servers as the gateway's attempts can keep connections open
-	// to; at 0 it gets all servers.
+	// to. If IdleTimeout is 0, it gets all servers.
 	IdleTimeout time.Duration
 	// Recorder records statistics of each zone, with the dispatcher's lock held; nil: none are
 	// recorded.
@@ -50,7 +50,7 @@
 	accounts     *account.Accounts   // debts of requests to partners; nil: none are accounted
 	rules        CountingRules       // nil: every request counts under its customer
 
-	requests      map[uint32]*Request // in flight, by ID: those that the module may still refer to
+	requests      map[uint32]*Request // requests in flight, by ID; the module may still refer to them
 	lastRequestID uint32
 
 	servers      serverTable
--- a/internal/gateway/dispatch/dispatcher_test.go
+++ b/internal/gateway/dispatch/dispatcher_test.go
@@ -142,7 +142,8 @@
 	call := <-f.counterCalls
 	f.expectAction(request, Forward)
 	call.reply(50, policy.Answered)
-	f.expectAction(f.dispatcher.Admit(spec), Reject) // by its own count two units are left
+	// By the gateway's own count, two units would be left, and the request would be admitted.
+	f.expectAction(f.dispatcher.Admit(spec), Reject)
 }
 
 func TestRequest_timeoutAbandonsAttemptAndCompletes(t *testing.T) {
--- a/internal/gateway/dispatch/request.go
+++ b/internal/gateway/dispatch/request.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// Abort terminates the request and abandons its attempt, whose result must still be reported. It
-// is called when the process is about to be killed. After the final decision it does nothing.
+// Abort terminates the request and abandons its attempt, whose result must still be reported. The
+// decision module handles it like a disconnect. The listener calls it shortly before the process is
+// killed. After the final decision it does nothing.
 func (r *Request) Abort() {
 	now := r.dispatcher.lock()
 	defer r.dispatcher.unlock()
--- a/internal/gateway/dispatch/settlement_test.go
+++ b/internal/gateway/dispatch/settlement_test.go
@@ -102,6 +102,7 @@
 		for range 20 {
 			request, decision := f.forwardWithCounterServed(0, time.Second)
 			preferred, zone := request.tracker.PreferredPartner(), decision.Server.Endpoint.Zone
+			// 3 is the number of partner c, the debtor.
 			if (preferred == 3) != (shares != nil) || shares != nil && zone != 1 {
 				t.Fatalf("shares %v: prefers %d, forwarded to zone %d", shares, preferred, zone)
 			}
--- a/internal/gateway/dispatch/steering.go
+++ b/internal/gateway/dispatch/steering.go
@@ -81,11 +81,11 @@
 }
 
 // shedRetryDivisor divides the tightest latency objective to get the Retry-After of shed requests.
-// The steering sheds requests by a draw, so a retry may get capacity in another zone.
+// The steering sheds requests at random, so a retry may get capacity in another zone.
 const shedRetryDivisor = 4
 
 // shedRetryAfter returns the Retry-After of shed requests, by the latency objectives of the classes
-// in force. The decision module states the same when no server is available.
+// in force. The decision module uses the same value when no server is available.
 func shedRetryAfter(classes []policy.TrafficClass) time.Duration {
 	tightest := time.Duration(math.MaxInt64)
 	for _, class := range classes {
