--- a/internal/gateway/listener/client.go
+++ b/internal/gateway/listener/client.go
@@ -50,7 +50,7 @@
 		rejectionTokens: make(chan struct{}, maxRejectedPerConn),
 		requests:        map[*dispatch.Request]struct{}{},
 	}
-	c.conn.giveUp = c.giveUp
+	c.conn.abortRequests = c.abortRequests
 	for range maxInFlightPerConn {
 		c.inFlightTokens <- struct{}{}
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// returnToken returns the token of a command. It fills inFlightTokens first, as the token's origin
-// is not recorded.
+// returnToken returns the token of a command. It fills inFlightTokens first, because a command does
+// not record which of the two channels its token came from.
 func (c *client) returnToken() {
 	select {
 	case c.inFlightTokens <- struct{}{}:
@@ -110,8 +110,8 @@
 	}
 }
 
-// giveUp makes all requests in flight complete as failed.
-func (c *client) giveUp() {
+// abortRequests makes all requests in flight complete as failed.
+func (c *client) abortRequests() {
 	for _, request := range c.openRequests() {
 		request.Abort()
 	}
@@ -132,7 +132,7 @@
 		return false
 	}
 	age, isClosed := c.conn.PeerState()
-	if isClosed && !command.isSingleWord() {
+	if isClosed && !command.mayBePing() {
 		c.discard(command)
 		return false
 	}
@@ -154,7 +154,7 @@
 func (c *client) admitCommand(
 	command *pendingCommand, age time.Duration,
 ) (request *dispatch.Request, message *upstream.Command, reply string) {
-	if !command.isSingleWord() && c.conn.rejectIfLate() {
+	if !command.mayBePing() && c.conn.rejectIfLate() {
 		return nil, nil, rejectionLine(0)
 	}
 	c.listener.settingsMu.RLock()
@@ -226,7 +226,7 @@
 // disconnect reports the disconnect of the client to the dispatcher for all open requests, closes
 // the connection and releases its slot.
 func (c *client) disconnect() {
-	c.conn.markClosed()
+	c.conn.markEnded()
 	for _, request := range c.openRequests() {
 		request.Disconnect()
 	}
--- a/internal/gateway/listener/close.go
+++ b/internal/gateway/listener/close.go
@@ -28,15 +28,15 @@
 	if err == nil && c.isLastAnswer() {
 		c.state.markHalfClosed(time.Now())
 	}
-	isOver := c.state.isClosed() && err == nil
+	shouldClose := c.state.isClosed() && err == nil
 	c.mu.Unlock()
-	if half, ok := c.Conn.Conn.(halfCloser); isOver && ok && half.CloseWrite() == nil {
+	if half, ok := c.Conn.Conn.(halfCloser); shouldClose && ok && half.CloseWrite() == nil {
 		// SetReadDeadline fails only on a closed connection, whose reader has ended.
 		_ = c.SetReadDeadline(time.Now().Add(closeTimeout))
 		return nil
 	}
 	c.setCork(0)
-	if isOver {
+	if shouldClose {
 		_ = c.Close()
 	}
 	return err
@@ -61,7 +61,7 @@
 		switch c.takeCloseStep() {
 		case closeSendingHalf:
 			if half, ok := c.Conn.Conn.(halfCloser); ok {
-				_ = half.CloseWrite() // after an error, the client sees the close once its time has passed
+				_ = half.CloseWrite() // after an error, awaitClose still returns once the client's time has passed
 			}
 		case stopWaiting:
 			return
--- a/internal/gateway/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -19,9 +19,9 @@
 	waitedForMemory time.Duration // time that reading the command waited for memory
 }
 
-// isSingleWord reports whether the command may be a PING. A client may close its sending half right
-// after a PING and is answered nevertheless, even during a drain.
-func (p *pendingCommand) isSingleWord() bool { return len(p.Words) <= 1 }
+// mayBePing reports whether the command may be a PING. A PING is answered even if the client closes
+// its sending half right after it, and even late in a drain.
+func (p *pendingCommand) mayBePing() bool { return len(p.Words) <= 1 }
 
 // discard releases the value and the memory of a command that is not executed.
 func (c *client) discard(command *pendingCommand) {
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -24,7 +24,7 @@
 
 const (
 	readerBetweenCommands readerState = iota // the next command is counted when its first byte arrives
-	readerInNextCommand                      // part of the next command was read, and it is counted
+	readerInNextCommand                      // part of the next command was read, and the command is counted
 )
 
 // connection is a client's connection. It counts the commands in flight and decides when the
@@ -32,9 +32,9 @@
 // that close idle connections.
 type connection struct {
 	*resp.Conn
-	drain  *drainState
-	giveUp func()      // makes the requests in flight complete as failed
-	reader readerState // used only by the reading goroutine
+	drain         *drainState
+	abortRequests func()      // makes the requests in flight complete as failed
+	reader        readerState // used only by the reading goroutine
 
 	mu    sync.Mutex // protects state; taken after connectionTable.mu
 	state connectionState
@@ -44,8 +44,8 @@
 	return &connection{Conn: conn, drain: drain, state: connectionState{lastUsed: time.Now()}}
 }
 
-// awaitCommand waits for a command and counts it. It returns false if no further command is to be
-// read.
+// awaitCommand waits for a command, and counts it unless countReadAhead has done so. It returns
+// false if no further command is to be read.
 func (c *connection) awaitCommand() bool {
 	if c.reader == readerInNextCommand {
 		c.reader = readerBetweenCommands
@@ -139,7 +139,7 @@
 // closeIfIdle resets the connection if it is idle, and reports whether it did. A connection with
 // unread bytes is not idle: they belong to a command that must be answered, and no byte of a
 // command is read before beginCommand. A client whose command arrives during the reset can tell
-// that it was not read, and can send it to another gateway.
+// from the reset that the command was not read, and can send it to another gateway.
 func (c *connection) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,9 +158,9 @@
 	return c.HasUnacknowledged() && time.Since(c.state.lastUsed) < writeTimeout
 }
 
-// markClosed makes the connection count no further command. The connection is no longer considered
+// markEnded makes the connection count no further command. The connection is no longer considered
 // idle.
-func (c *connection) markClosed() {
+func (c *connection) markEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.markEnded()
--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -15,8 +15,8 @@
 	// slotRetryInterval is the time between attempts to evict a connection while an accepted one
 	// waits for a slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// minIdleInFlood is how long a connection stays protected from eviction after an answer in
-	// a flood. Most clients send their next request within that time.
+	// minIdleInFlood is how long a connection is protected from eviction after its last answer while
+	// there is a flood of new connections. Most clients send their next request within that time.
 	minIdleInFlood = 2 * time.Second
 	// idleTimeout is the maximum idle time of a connection after an answer.
 	idleTimeout = 10 * time.Second
@@ -25,8 +25,8 @@
 	// sweepInterval is the time between checks for connections that exceed idleTimeout or
 	// silentTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// floodSlotDivisor sets the threshold of a flood: new connections hold more than
-	// 1/floodSlotDivisor of the slots.
+	// floodSlotDivisor defines a flood: new connections hold more than 1/floodSlotDivisor of the
+	// slots.
 	floodSlotDivisor = 2
 )
 
@@ -45,8 +45,8 @@
 }
 
 // acquireSlot acquires a slot for an accepted connection. If none is free, it evicts idle
-// connections until one is. It does not evict in advance, as each eviction may coincide with a
-// request in transit. It returns false if stop is closed first.
+// connections until one is. It evicts nothing while a slot is free, because a request may be in
+// transit on the evicted connection. It returns false if stop is closed first.
 func (t *connectionTable) acquireSlot(stop <-chan struct{}) bool {
 	select {
 	case t.slots <- struct{}{}:
@@ -186,14 +186,14 @@
 	}
 }
 
-// giveUpBlockingRequests gives up the requests in flight on connections where they delay the
-// answers of rejected commands.
-func (t *connectionTable) giveUpBlockingRequests() {
+// abortBlockingRequests aborts the requests in flight on connections where they delay the answers
+// of rejected commands.
+func (t *connectionTable) abortBlockingRequests() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.connections {
 		if c.hasBlockedRejections() {
-			c.giveUp()
+			c.abortRequests()
 		}
 	}
 }
--- a/internal/gateway/listener/disconnect_test.go
+++ b/internal/gateway/listener/disconnect_test.go
@@ -12,9 +12,9 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// disconnectBound is the time within which a test must see a disconnect. disconnectPollInterval
-// provides for 0.1 s; the rest allows for a busy machine. An undetected disconnect lasts until the
-// deadline of the requests, 14 seconds.
+// disconnectBound is the time within which a test must see a disconnect. With
+// disconnectPollInterval, detection takes less than 0.1 s; the rest allows for a busy machine. An
+// undetected disconnect lasts until the deadline of the requests, 14 seconds.
 const disconnectBound = commandTimeout / 2
 
 // disconnectFuncs holds functions that disconnect a client, by name.
--- a/internal/gateway/listener/disconnect_waiting_test.go
+++ b/internal/gateway/listener/disconnect_waiting_test.go
@@ -16,18 +16,18 @@
 	calls []counterReply
 }
 
-func (h *delayedCounter) count(reply counterReply) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.calls = append(h.calls, reply)
+func (c *delayedCounter) count(reply counterReply) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls = append(c.calls, reply)
 }
 
 // answer answers all held calls, including those for clients that have disconnected.
-func (h *delayedCounter) answer() {
-	h.mu.Lock()
-	calls := h.calls
-	h.calls = nil
-	h.mu.Unlock()
+func (c *delayedCounter) answer() {
+	c.mu.Lock()
+	calls := c.calls
+	c.calls = nil
+	c.mu.Unlock()
 	for _, reply := range calls {
 		reply(0, policy.Answered)
 	}
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -24,11 +24,12 @@
 	// killMargin is how long before SIGKILL all commands that were read during the drain must be
 	// answered.
 	killMargin = 100 * time.Millisecond
-	// giveUpMargin is how long before SIGKILL requests are given up that delay the answers of
-	// rejected commands.
-	giveUpMargin = 250 * time.Millisecond
-	// giveUpDivisor caps giveUpMargin at 1/giveUpDivisor of the time from SIGTERM to SIGKILL.
-	giveUpDivisor = 10
+	// abortMargin is how long before SIGKILL the requests that delay the answers of rejected
+	// commands are aborted.
+	abortMargin = 250 * time.Millisecond
+	// abortMarginDivisor caps abortMargin at 1/abortMarginDivisor of the time from SIGTERM to
+	// SIGKILL.
+	abortMarginDivisor = 10
 	// rejectDuration is how long after forwardAfterSigterm commands are still read, and rejected.
 	// The connection of a client that never pauses in that time is closed while the client sends.
 	rejectDuration = 1800 * time.Millisecond
@@ -57,7 +58,7 @@
 	forwardUntil time.Time     // end of forwarding; commands read later behind others are rejected
 	readUntil    time.Time     // end of reading, except for the first command of a connection
 	answerBy     time.Time     // time by which all commands read during the drain must be answered
-	giveUpAt     time.Time     // time from which requests that delay rejections are given up
+	abortAt      time.Time     // time from which requests that delay rejections are aborted
 }
 
 // newDrainTimes returns the times of a drain that began at SIGTERM and expects SIGKILL after
@@ -69,7 +70,7 @@
 		forwardUntil: began.Add(forwardAfterSigterm),
 		readUntil:    began.Add(min(forwardAfterSigterm+rejectDuration, killDelay-readMargin)),
 		answerBy:     began.Add(killDelay - killMargin),
-		giveUpAt:     began.Add(killDelay - min(giveUpMargin, killDelay/giveUpDivisor)),
+		abortAt:      began.Add(killDelay - min(abortMargin, killDelay/abortMarginDivisor)),
 	}
 }
 
@@ -113,8 +114,8 @@
 // Drain accepts connections for acceptAfterSigterm, and then only those in the backlog. It closes
 // each connection with its last answer, or when it is idle, and returns when all connections are
 // closed. It returns earlier, possibly with unanswered commands, if drainTimeout has passed, which
-// is long after the expected SIGKILL. A command that is unanswered at SIGKILL arrived early and has
-// a long deadline.
+// is long after the expected SIGKILL. A command that is unanswered at SIGKILL arrived before the
+// drain was active and has a deadline after SIGKILL: the timeouts of later requests end at answerBy.
 func (l *Listener) Drain(socket net.Listener) {
 	defer close(l.drain.finished)
 	began := time.Now()
@@ -137,8 +138,9 @@
 }
 
 // awaitClients closes idle connections until none is open, and returns true then. It returns false
-// after drainTimeout. After answerBy it closes the socket. After giveUpAt it gives up requests that
-// delay rejections: SIGKILL would otherwise leave all of them unanswered.
+// after drainTimeout. After answerBy it closes the socket. After abortAt it aborts requests that
+// delay rejections: otherwise neither those requests nor the rejected commands would be answered
+// before SIGKILL.
 func (l *Listener) awaitClients(socket net.Listener, began time.Time) bool {
 	done := make(chan struct{})
 	go func() {
@@ -151,8 +153,8 @@
 		if time.Now().After(l.drain.times.Load().answerBy) {
 			_ = socket.Close() // the backlog may never be empty; the socket may be closed already
 		}
-		if time.Now().After(l.drain.times.Load().giveUpAt) {
-			l.connections.giveUpBlockingRequests()
+		if time.Now().After(l.drain.times.Load().abortAt) {
+			l.connections.abortBlockingRequests()
 		}
 		select {
 		case <-done:
--- a/internal/gateway/listener/drain_test.go
+++ b/internal/gateway/listener/drain_test.go
@@ -181,11 +181,11 @@
 // A reload that lengthens it does not make the drain expect SIGKILL later.
 func TestDrain_reloadCanShortenKillDelay(t *testing.T) {
 	for name, row := range map[string]struct{ timeouts []time.Duration }{
-		"before it is active": {[]time.Duration{300 * time.Millisecond}},
-		"there and back":      {[]time.Duration{300 * time.Millisecond, 9 * time.Second}},
+		"shortened":                  {[]time.Duration{300 * time.Millisecond}},
+		"shortened, then lengthened": {[]time.Duration{300 * time.Millisecond, 9 * time.Second}},
 	} {
 		for _, whileActive := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, active %v", name, whileActive), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, drain active %v", name, whileActive), func(t *testing.T) {
 				f := newDrainFixture(t, 8, nil, answerHello)
 				began := time.Now()
 				finished := make(chan struct{})
--- a/internal/gateway/listener/fixture_test.go
+++ b/internal/gateway/listener/fixture_test.go
@@ -43,8 +43,7 @@
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Gateways: 1, Zones: 1, ClockTick: 2 * time.Millisecond, MaxAttempts: 4096, CanCancel: true,
-		SendsRetryAfter: true,
-		DrainGrace:      time.Second, ArrivalSlack: 8 * time.Millisecond,
+		SendsRetryAfter: true, DrainGrace: time.Second, ArrivalSlack: 8 * time.Millisecond,
 		Classes: []policy.TrafficClass{
 			{Name: "look", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second, Effect: policy.Idempotent},
 			{Name: "pay", LatencyObjective: 5 * time.Second, Timeout: 15 * time.Second, Effect: policy.NonIdempotent},
--- a/internal/gateway/listener/lastanswer_test.go
+++ b/internal/gateway/listener/lastanswer_test.go
@@ -15,21 +15,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client *testClient
-			var isCrossing atomic.Bool
+			var isHalfClosing atomic.Bool
 			// noticed receives a value when the reader closes the connection or continues to wait.
 			noticed := make(chan bool, 100)
 			notice := func() {
-				if isCrossing.Load() {
+				if isHalfClosing.Load() {
 					noticed <- true
 				}
 			}
 			f := newDrainFixture(t, 8, func(tapped *tappedConn) {
 				tapped.beforeClose, tapped.onReadDeadline = notice, func(time.Time) { notice() }
 				tapped.beforeCloseWrite = runOnce(func() {
-					isCrossing.Store(true)
+					isHalfClosing.Store(true)
 					client.send(numberedQuery(2))
 					<-noticed
-					isCrossing.Store(false)
+					isHalfClosing.Store(false)
 				})
 			}, answerLongValue)
 			client = dial(f.fixture)
--- a/internal/gateway/listener/tapped_test.go
+++ b/internal/gateway/listener/tapped_test.go
@@ -17,7 +17,7 @@
 	beforeCloseWrite func()
 	beforeReset      func()
 	beforeClose      func()
-	onReadDeadline   func(deadline time.Time) // called with zero when the command was read or reading has failed
+	onReadDeadline   func(deadline time.Time) // the zero time means that a command was read or reading failed
 	readBytes        atomic.Int64
 }
 
