--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -148,10 +148,9 @@
 }
 
 // If an agent answers a watch immediately without a change, the next watch begins after a pause.
-// The pause is short enough for the next watch to continue the previous one.
-func TestWatch_agentThatDoesNotWaitIsPolledWithPauses(t *testing.T) {
+func TestWatch_agentThatDoesNotWaitIsCalledWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		addr, calls := listThenAgent(t, func(connection int, conn net.Conn) {
+		addr, calls := fullListFirstAgent(t, func(connection int, conn net.Conn) {
 			writeAnswer(conn, fakes.FormatList(connection, false))
 		})
 		startWatcher(t, addr, options{})
@@ -212,7 +211,9 @@
 
 // Errors of get wrap the error of their kind.
 func TestGet_errorsAreTyped(t *testing.T) {
-	for name, want := range map[string]error{"silence": errTimeout, "503": errRejected, "never ends": errTooLong} {
+	for name, want := range map[string]error{
+		"silence": errTimeout, "503": errRejected, "unbounded answer": errTooLong,
+	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addr, _ := scriptedAgent(listen(t), func(_ agentCall, conn net.Conn) { agentFailures[name](conn) })
 			c := newConnection(dialPipe)
--- a/internal/gateway/discovery/empty_test.go
+++ b/internal/gateway/discovery/empty_test.go
@@ -103,7 +103,7 @@
 
 // A gateway is ready when the first list from discovery has been applied. An unconfirmed empty list
 // is not applied.
-func TestFirstList_isClosedByAnAppliedList(t *testing.T) {
+func TestFirstListApplied_isClosedByAnAppliedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan bool)
 		addr, calls := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
--- a/internal/gateway/discovery/failure.go
+++ b/internal/gateway/discovery/failure.go
@@ -67,9 +67,9 @@
 	callFailed:       {noPause, shortPause, backoffPause, backoffPause},
 }
 
-// pauseAfterFailure returns the kind of pause that follows a failed call. A notified agent runs on
-// this machine and is called again soon. Pauses are longer if discovery is polled, because the
-// calls of a fleet of gateways must not keep it overloaded.
+// pauseAfterFailure returns the kind of pause that follows a failed call. A notified agent is
+// called again soon, because it runs on this machine. Pauses are longer if discovery is polled or
+// rejects a call, because the calls of a fleet of gateways must not keep discovery overloaded.
 func pauseAfterFailure(kind failureKind, current agent, isFirst bool) pauseKind {
 	row := failurePauses[kind]
 	switch {
@@ -103,11 +103,12 @@
 	return fullListCall
 }
 
-// failureRun records the kinds of failures since the latest answered watch. Each kind is logged
-// once in a run. The zero value is a run without failures.
+// failureRun records whether calls have failed since the latest answered watch. It distinguishes
+// watches that timed out from all other failures. The first of each is logged. The zero value is a
+// run without failures.
 type failureRun struct {
-	hasWatchTimeout bool // a watch timed out, which has been logged
-	hasOtherFailure bool // a call failed in another way, which has been logged
+	hasWatchTimeout bool // a watch has timed out
+	hasOtherFailure bool // a call has failed in another way
 }
 
 // hasAny reports whether any call of the run has failed.
--- a/internal/gateway/discovery/fixture_test.go
+++ b/internal/gateway/discovery/fixture_test.go
@@ -40,8 +40,8 @@
 	return func(call agentCall) bool { return call.isWatchFrom(version) }
 }
 
-// scriptedAgent serves an agent at a listener. It calls respond for each call, and sends the call
-// to the channel that it returns.
+// scriptedAgent starts an agent at a listener. For each call that it receives, the agent sends the
+// call to the returned channel and then runs respond.
 func scriptedAgent(
 	listener net.Listener, respond func(call agentCall, conn net.Conn),
 ) (addr string, calls chan agentCall) {
@@ -76,9 +76,9 @@
 	return listener.Addr().String(), calls
 }
 
-// listThenAgent starts an agent that answers the first call on each connection with the full list.
-// The list's version is the number of the connection. The handler later answers all other calls.
-func listThenAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
+// fullListFirstAgent starts an agent that answers the first call on each connection with the full
+// list. The list's version is the number of the connection. The handler later answers other calls.
+func fullListFirstAgent(t *testing.T, later func(connection int, conn net.Conn)) (addr string, calls chan agentCall) {
 	t.Helper()
 	return scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 		if call.onConnection == 1 {
@@ -153,7 +153,7 @@
 	_ = conn.Close()
 }
 
-// trickle returns a handler that writes the beginning of an answer, and then blanks until the
+// trickle returns a handler that writes the beginning of an answer, and then spaces until the
 // caller closes the connection.
 func trickle(head string) func(net.Conn) {
 	return func(conn net.Conn) {
@@ -172,10 +172,10 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	},
 	"truncated answer": respondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + fullList(9, "s-9")[:60]),
-	"empty":            respondWith(""),
-	"changes":          respondWith(fakes.FormatList(9, false, readyHost("s-9"))),
-	"wrong content":    respondWith("<html><body>It works!</body></html>"),
-	"never ends": func(conn net.Conn) {
+	"empty body":       respondWith(""),
+	"changes only":     respondWith(fakes.FormatList(9, false, readyHost("s-9"))),
+	"HTML page":        respondWith("<html><body>It works!</body></html>"),
+	"unbounded answer": func(conn net.Conn) {
 		blanks := strings.Repeat(" ", 1<<16)
 		for _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+fullList(9, "s-9")); err == nil; {
 			_, err = io.WriteString(conn, blanks)
--- a/internal/gateway/discovery/knownlist_test.go
+++ b/internal/gateway/discovery/knownlist_test.go
@@ -40,7 +40,7 @@
 // agent's present one. The full list is requested in that case, and also if the known list has no
 // version or comes from an agent with another address.
 func TestRun_knownVersionOfAnotherAgentIsNotUsed(t *testing.T) {
-	runVirtual(t, "in a lower version", func(t *testing.T) {
+	runVirtual(t, "agent has a lower version", func(t *testing.T) {
 		addr, _ := scriptedAgent(listen(t), func(call agentCall, conn net.Conn) {
 			switch {
 			case call.isWatchFrom(41):
@@ -55,14 +55,14 @@
 		time.Sleep(time.Second)
 		w.wantServer("after a second", "s-2")
 	})
-	runVirtual(t, "without a version", func(t *testing.T) {
+	runVirtual(t, "known list has no version", func(t *testing.T) {
 		addr, calls := fullListAgent(t, 3, "s-2")
 		startWatcher(t, addr, options{isPolled: true, known: `{"hosts":[` + readyHost("s-1") + `]}`})
 		if call := nextCall(t, calls); call.isWatch() {
 			t.Errorf("first call has query %q, want a call for the full list", call.query)
 		}
 	})
-	runVirtual(t, "from another address", func(t *testing.T) {
+	runVirtual(t, "known list of another agent", func(t *testing.T) {
 		w := newWatcher(t, "nobody:1", options{isPolled: true, known: fullList(41, "s-1")})
 		addr, calls := fullListAgent(t, 3, "s-2")
 		w.SetAgent(addr, true)
--- a/internal/gateway/discovery/list.go
+++ b/internal/gateway/discovery/list.go
@@ -16,7 +16,7 @@
 // endpointList is a decoded endpoint list: the full list, or the changes after a version.
 type endpointList struct {
 	version int64 // version of the list once the changes are applied
-	isFull  bool  // all servers; if false, only those that changed
+	isFull  bool  // the list contains all servers; if false, only those that changed
 	servers []dispatch.Server
 }
 
@@ -35,8 +35,8 @@
 	return l.isFull || isNewer || isUnchanged
 }
 
-// decoder decodes endpoint lists. A zone or a kind of hardware is decoded as its index in the names
-// of the decoder, and an unknown name as index 0.
+// decoder decodes endpoint lists. The name of a zone or of a kind of hardware is decoded as its
+// index in zones or hardware, and an unknown name as index 0.
 type decoder struct{ zones, hardware []string }
 
 // entry is the JSON form of an endpoint in a list. Apart from born_ms, keys are decoded by the
--- a/internal/gateway/discovery/list_test.go
+++ b/internal/gateway/discovery/list_test.go
@@ -33,11 +33,11 @@
 	d := &decoder{zones: []string{"hall-a"}, hardware: []string{"m2"}}
 	good := readyHost("s-1")
 	for name, body := range map[string]string{
-		"nothing":              "",
+		"an empty body":        "",
 		"null":                 "null",
 		"an object":            "{}",
 		"an array":             "[" + good + "]",
-		"a page":               "<html><body>502 Bad Gateway</body></html>",
+		"an HTML page":         "<html><body>502 Bad Gateway</body></html>",
 		"no seq":               `{"whole":true,"hosts":[` + good + `]}`,
 		"a seq that is null":   `{"seq":null,"whole":true,"hosts":[` + good + `]}`,
 		"a seq that is text":   `{"seq":"7","whole":true,"hosts":[` + good + `]}`,
--- a/internal/gateway/discovery/malformed_test.go
+++ b/internal/gateway/discovery/malformed_test.go
@@ -23,7 +23,7 @@
 		"truncated body":         respondThenClose("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + truncatedList),
 	} {
 		runVirtual(t, name, func(t *testing.T) {
-			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
+			addr, calls := fullListFirstAgent(t, func(_ int, conn net.Conn) { respond(conn) })
 			w := startWatcher(t, addr, options{})
 			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
 			if !watch.isWatchFrom(watch.connection) || full.isWatch() || full.connection <= watch.connection {
--- a/internal/gateway/discovery/overloaded_test.go
+++ b/internal/gateway/discovery/overloaded_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// startFleet starts one watcher per gateway. All poll the same agent, with the seeds 1, 2, 3 and so
-// on.
+// startFleet starts one watcher per gateway, with the seeds 1, 2, 3 and so on. All call the same
+// agent, which stands for a polled discovery that the gateways share.
 func startFleet(t *testing.T, addr string, gateways int) []*testWatcher {
 	t.Helper()
 	var watchers []*testWatcher
--- a/internal/gateway/discovery/parallel.go
+++ b/internal/gateway/discovery/parallel.go
@@ -22,10 +22,11 @@
 	err        error
 }
 
+// newParallelCalls returns a parallelCalls without calls. At most maxCalls calls may be started.
 func newParallelCalls(
-	ctx context.Context, fetch func(context.Context, *connection) (*endpointList, error), limit int,
+	ctx context.Context, fetch func(context.Context, *connection) (*endpointList, error), maxCalls int,
 ) *parallelCalls {
-	p := &parallelCalls{fetch: fetch, results: make(chan fullListResult, limit)}
+	p := &parallelCalls{fetch: fetch, results: make(chan fullListResult, maxCalls)}
 	p.ctx, p.cancel = context.WithCancel(ctx)
 	return p
 }
@@ -49,14 +50,14 @@
 }
 
 // fetchFull requests the full list, always on a new connection. While a call is pending it starts
-// further ones, because an agent that recovers from an outage may still hold an earlier one
-// without answering. The earlier calls stay open, because canceling one would lose its turn at an
+// further calls, because an agent that recovers from an outage may never answer a call that it
+// received before. The earlier calls stay open, because canceling a call would lose its turn at an
 // overloaded discovery. The first valid answer cancels the other calls.
 func (s *session) fetchFull(ctx context.Context) (*endpointList, error) {
 	s.connection.close()
 	s.connection = newConnection(s.watcher.dial)
-	limit := s.timing.maxCalls()
-	calls := newParallelCalls(ctx, s.fetchFullOn, limit)
+	maxCalls := s.timing.maxCalls()
+	calls := newParallelCalls(ctx, s.fetchFullOn, maxCalls)
 	defer calls.stop()
 	calls.start(s.connection)
 	staggerTimer := time.NewTimer(s.drawStagger())
@@ -67,20 +68,21 @@
 		select {
 		case <-staggerTimer.C:
 			started++
-			if started < limit {
+			if started < maxCalls {
 				staggerTimer.Reset(s.drawStagger())
 			}
 			pending++
 			calls.start(newConnection(s.watcher.dial))
 		case result := <-calls.results:
 			pending--
-			// A notified agent answers immediately, so a failure of the first call ends the others.
+			// If the first call to a notified agent fails, the others are canceled, because such an
+			// agent would answer a new call as soon as the pending ones.
 			endsAllCalls := !s.agent.isPolled && result.connection == s.connection
 			if result.err == nil || pending == 0 || endsAllCalls {
 				s.connection = result.connection
 				return result.list, result.err
 			}
-			result.connection.close() // it is still open if only the answer was malformed
+			result.connection.close() // a malformed answer leaves its connection open
 		}
 	}
 }
--- a/internal/gateway/discovery/restart_test.go
+++ b/internal/gateway/discovery/restart_test.go
@@ -64,18 +64,18 @@
 			if !watch.isWatchFrom(41) || full.isWatch() || full.connection == watch.connection {
 				t.Fatalf("got calls %+v, then %+v", watch, full)
 			}
-			high := maxSilenceRecovery
+			maxElapsed := maxSilenceRecovery
 			if isPolled { // the watch itself may take longer
-				high = maxPolledWatchWait + watchGrace + time.Millisecond
+				maxElapsed = maxPolledWatchWait + watchGrace + time.Millisecond
 			}
-			if elapsed := full.at.Sub(watch.at); elapsed > high {
+			if elapsed := full.at.Sub(watch.at); elapsed > maxElapsed {
 				t.Errorf("full list requested after %v", elapsed)
 			}
 			w.wantServer("before the full list", "s-1")
 			close(release)
 			next := nextCallWhere(t, calls, agentCall.isWatch)
 			if !next.isWatchFrom(3) || next.onConnection == 1 {
-				t.Errorf("went on with %+v", next)
+				t.Errorf("got next watch %+v", next)
 			}
 			w.wantServer("after the full list", "s-2")
 			w.wantLogged("", 1)
@@ -100,7 +100,7 @@
 		})
 		startWatcher(t, addr, options{isPolled: isPolled})
 		if watch := nextCallWhere(t, calls, agentCall.isWatch); !watch.isWatchFrom(3) || watch.onConnection == 1 {
-			t.Errorf("went on with %+v", watch)
+			t.Errorf("got next watch %+v", watch)
 		}
 	})
 }
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -20,7 +20,7 @@
 	version            int64       // version of the list in force
 	backoff            *backoff.ExponentialBackOff
 	failures           failureRun // failures since the latest answered watch
-	isResuming         bool       // the next watch is the first and starts from the version of the known list
+	isResuming         bool       // set by a resumed watch, cleared when a list is applied
 	awaitsConfirmation bool       // the latest list was full and empty, and has not been applied
 }
 
@@ -41,9 +41,9 @@
 }
 
 // firstCall returns the kind of the session's first call. If discovery is polled and the agent
-// served the known list, the first call is a watch from the version of that list. In all other
-// cases the full list is requested; a notified agent returns it immediately. Only the first session
-// of a watcher resumes from the known list.
+// served the known list, the first call is a watch from the version of that list, which is called a
+// resumed watch. In all other cases the full list is requested; a notified agent returns it
+// immediately. Only the first session of a watcher may begin with a resumed watch.
 func (s *session) firstCall() callKind {
 	version := s.watcher.knownVersion
 	s.watcher.knownVersion = noVersion
@@ -60,28 +60,28 @@
 
 // makeCall requests the full list or watches for changes. It handles the answer or the failure, and
 // returns the next call.
-func (s *session) makeCall(ctx context.Context, kind callKind) scheduledCall {
+func (s *session) makeCall(ctx context.Context, call callKind) scheduledCall {
 	fetch := s.fetchDelta
-	if kind == fullListCall {
+	if call == fullListCall {
 		fetch = s.fetchFull
 	}
 	startedAt := time.Now()
 	received, err := fetch(ctx)
 	switch {
 	case ctx.Err() != nil:
-		return scheduledCall{call: kind} // the session has ended, so its caller discards this
+		return scheduledCall{call: call} // the session has ended, so runSession makes no further call
 	case err != nil:
-		return s.handleFailure(err, kind)
+		return s.handleFailure(err, call)
 	case s.needsConfirmation(received):
 		return s.requestConfirmation()
 	default:
-		return s.handleList(ctx, received, kind, time.Since(startedAt))
+		return s.handleList(ctx, received, call, time.Since(startedAt))
 	}
 }
 
 // fetchDelta waits for the changes after the version of the list in force. It returns an error that
-// wraps errVersionMismatch if the changes do not follow that version. The agent has then restarted,
-// and its full list must be requested.
+// wraps errVersionMismatch if the changes do not follow that version. In that case the agent has
+// restarted, and its full list must be requested.
 func (s *session) fetchDelta(ctx context.Context) (*endpointList, error) {
 	wait := s.drawWatchWait()
 	timeout := wait + watchGrace
@@ -105,8 +105,10 @@
 }
 
 // drawWatchWait returns a random time that a watch waits for a change. A change ends the watches of
-// the whole fleet together. With a fixed wait, all later watches would end together as well. The
-// first random number is drawn in both modes, so that a seed yields the recorded times.
+// the whole fleet together. With a fixed wait, all later watches would end together as well.
+//
+// A wait for the notified mode is drawn in both modes. It must stay, because the calls recorded in
+// testdata depend on the number of random numbers drawn before.
 func (s *session) drawWatchWait() time.Duration {
 	notifiedWait := s.watcher.randomBetween(minWatchWait, maxWatchWait)
 	if !s.agent.isPolled {
@@ -115,8 +117,8 @@
 	return s.watcher.randomBetween(minPolledWatchWait, maxPolledWatchWait)
 }
 
-// handleFailure logs the failure of a call unless the run already contains its kind. It reports a
-// failure of discovery to the dispatcher, and returns the next call.
+// handleFailure logs the failure of a call unless a similar one of the same run has been logged. It
+// reports a failure of discovery to the dispatcher, and returns the next call.
 func (s *session) handleFailure(err error, call callKind) scheduledCall {
 	kind := failureKindOf(err, call)
 	pause := pauseAfterFailure(kind, s.agent, !s.failures.hasAny())
@@ -141,7 +143,7 @@
 }
 
 // requestConfirmation returns a call for the full list, which must confirm an empty list. As in
-// drawWatchWait, the first random number is drawn in both modes.
+// drawWatchWait, a random number for one mode is drawn in both.
 func (s *session) requestConfirmation() scheduledCall {
 	s.watcher.log.Warn("discovery: empty endpoint list, confirmation requested")
 	s.awaitsConfirmation = true
@@ -170,7 +172,7 @@
 	}
 	s.resetFailures()
 	didNotWait := len(received.servers) == 0 && elapsed < promptAnswerLimit
-	if didNotWait && !wasResumed { // a resumed watch has a short wait
+	if didNotWait && !wasResumed { // the wait of a resumed watch is shorter than promptAnswerLimit
 		// Without a pause the agent would be called in a tight loop.
 		return scheduledCall{call: watchCall, pause: s.drawPause(shortPause)}
 	}
--- a/internal/gateway/discovery/setagent_test.go
+++ b/internal/gateway/discovery/setagent_test.go
@@ -77,11 +77,11 @@
 		before, after []string // agents set before the watcher runs, and once it watches agent a
 		last          string
 	}{
-		"before the watch":         {before: []string{"b", "c"}, last: "c"},
-		"away and back before it":  {before: []string{"b", "a"}, last: "a"},
-		"one after the other":      {after: []string{"b", "c"}, last: "c"},
-		"away and back":            {after: []string{"b", "a"}, last: "a"},
-		"away, back and away once": {after: []string{"b", "a", "b"}, last: "b"},
+		"before Run: b, c":          {before: []string{"b", "c"}, last: "c"},
+		"before Run: b, a":          {before: []string{"b", "a"}, last: "a"},
+		"during the watch: b, c":    {after: []string{"b", "c"}, last: "c"},
+		"during the watch: b, a":    {after: []string{"b", "a"}, last: "a"},
+		"during the watch: b, a, b": {after: []string{"b", "a", "b"}, last: "b"},
 	} {
 		runVirtual(t, name, func(t *testing.T) {
 			addrs, calls := map[string]string{}, map[string]chan agentCall{}
@@ -163,7 +163,7 @@
 			stop, ended := w.start()
 			want := int64(1)
 			if name == "silence" && !isPolled {
-				want = 2
+				want = 2 // the first call and a parallel one
 			}
 			fakes.Eventually(t, "calls", func() bool {
 				return open.Load() >= want && (name != "503" || w.logs.Len() > 0) // the rejection has been read
--- a/internal/gateway/discovery/silence_test.go
+++ b/internal/gateway/discovery/silence_test.go
@@ -22,7 +22,7 @@
 		},
 	} {
 		runVirtual(t, name, func(t *testing.T) {
-			addr, calls := listThenAgent(t, func(_ int, conn net.Conn) { respond(conn) })
+			addr, calls := fullListFirstAgent(t, func(_ int, conn net.Conn) { respond(conn) })
 			startWatcher(t, addr, options{})
 			watch, full := nextCallWhere(t, calls, agentCall.isWatch), nextCall(t, calls)
 			next := nextCallWhere(t, calls, agentCall.isWatch)
@@ -61,9 +61,9 @@
 	return addr, calls, silent
 }
 
-// While a polled discovery does not answer, the full list is requested again after a random pause
-// each time. Its first answer is followed by a watch.
-func TestRun_lastingSilenceIsPolledWithPauses(t *testing.T) {
+// While a polled discovery does not answer, calls for the full list begin at least
+// listTimeout + initialBackoff/2 apart. The first answer to such a call is followed by a watch.
+func TestRun_silentPolledDiscoveryIsCalledWithDelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		addr, calls, silent := silenceableAgent(t)
 		startWatcher(t, addr, options{isPolled: true})
@@ -75,7 +75,7 @@
 			t.Fatalf("got calls %+v, %+v, %+v", watch, first, second)
 		}
 		if pause := second.at.Sub(first.at) - listTimeout; pause < initialBackoff/2 {
-			t.Errorf("full list requested again after a pause of %v", pause)
+			t.Errorf("full list requested again %v after listTimeout had passed", pause)
 		}
 		silent.Store(false)
 		if third, next := <-calls, <-calls; third.isWatch() || !next.isWatchFrom(7) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// Guards against a fleet whose watches all time out together and that then calls without pauses.
+// Guards against a fleet that calls without pauses after all of its watches timed out together.
 func TestRun_silentFleetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, duration = 40, 6 * time.Second
@@ -129,7 +129,7 @@
 				break
 			}
 		}
-		if most := int(3 * duration / time.Second); callsDuringOutage > most || callsDuringOutage < 4 {
+		if maxCalls := int(3 * duration / time.Second); callsDuringOutage > maxCalls || callsDuringOutage < 4 {
 			t.Errorf("%d calls in %v", callsDuringOutage, duration)
 		}
 	})
--- a/internal/gateway/discovery/testwatcher_test.go
+++ b/internal/gateway/discovery/testwatcher_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// wantLogged checks how many log messages contain the text.
+// wantLogged checks how many log messages contain the text. The empty text counts all messages.
 func (w *testWatcher) wantLogged(text string, want int) {
 	w.t.Helper()
 	if got := w.logs.FilterMessageSnippet(text).Len(); got != want {
--- a/internal/gateway/discovery/timing.go
+++ b/internal/gateway/discovery/timing.go
@@ -4,7 +4,8 @@
 
 // docs/capacity.md explains the limits on these times.
 
-// Times that apply if the agent is notified of changes.
+// Times that apply if the agent is notified of changes. The comments name those that apply in both
+// modes.
 const (
 	minWatchWait = 1200 * time.Millisecond
 	maxWatchWait = 1500 * time.Millisecond
@@ -22,8 +23,10 @@
 	maxStagger       = 350 * time.Millisecond
 	maxParallelCalls = int(listTimeout / minStagger)
 
+	// Short pauses apply in both modes. A polled discovery requires a new turn for a watch that
+	// begins later than maxShortPause after the answer to the previous watch.
 	minShortPause = 50 * time.Millisecond
-	maxShortPause = 200 * time.Millisecond // a watch within this time of the previous answer continues that watch
+	maxShortPause = 200 * time.Millisecond
 )
 
 // Times that apply if discovery is polled. It accepts a call from each gateway only once every few
@@ -35,8 +38,8 @@
 	minPolledStagger = 1300 * time.Millisecond
 	maxPolledStagger = 1700 * time.Millisecond
 
-	// resumedWatchWait is the wait of the first watch of a process. It is short because clients
-	// wait for its answer.
+	// resumedWatchWait is the time that a resumed watch, which is the first call of a process,
+	// waits for a change. It is short because clients wait for its answer.
 	resumedWatchWait = 100 * time.Millisecond
 
 	minRejectedPause = 1100 * time.Millisecond
@@ -49,7 +52,7 @@
 	maxTimeoutPause = 900 * time.Millisecond
 )
 
-// Exponential backoff between calls.
+// Exponential backoff between calls, in both modes.
 const (
 	initialBackoff    = 500 * time.Millisecond
 	backoffMultiplier = 2.0 // ratio of each pause to the previous one
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -1,10 +1,16 @@
-// Package discovery keeps the gateway's endpoint list up to date. It requests the list from a
-// discovery agent and follows changes by long polls, which are called watches. The gateway runs a
-// Watcher, which passes each valid list to the dispatcher.
+// Package discovery keeps the gateway's endpoint list up to date. It requests the full list from a
+// discovery agent on this machine and then follows changes by long polls, which are called watches.
+// The gateway runs a Watcher, which passes each valid list to the dispatcher.
 //
-// The agent runs on this machine. Either it is notified of changes, or discovery must be polled for
-// them. In the latter case discovery accepts a call from each gateway only once every few seconds.
-// The times of calls depend on this mode.
+// Discovery works in one of two modes, which the configuration selects:
+//
+//   - Notified: discovery notifies the agent of changes. The agent returns the full list
+//     immediately, and answers a watch as soon as something changes.
+//   - Polled: discovery notifies nobody, and must be polled for changes. It accepts a call from
+//     each gateway only once every few seconds. Other calls wait for their turn or are rejected.
+//
+// In both modes a gateway requests the full list and watches for changes. The mode determines the
+// timeouts of the calls, the pauses between them, and the first call if there is a known list.
 package discovery
 
 import (
@@ -38,23 +44,23 @@
 	mu            sync.Mutex
 	agent         agent
 	cancelSession context.CancelFunc // no answer of the session is applied after it is called
-	hasServers    bool               // the dispatcher has at least one server
+	hasServers    bool               // the dispatcher may have servers; cleared by an empty full list
 }
 
-// agent identifies a discovery agent and its mode.
+// agent identifies a discovery agent and the mode of discovery.
 type agent struct {
 	addr     string // host:port
-	isPolled bool   // the agent is not notified of changes, so discovery is polled
+	isPolled bool   // discovery is polled; if false, it notifies the agent of changes
 }
 
-// New returns a watcher. If the configuration contains the known list, the endpoint list of an
-// earlier run, New passes it to the dispatcher. It returns an error only if that list is malformed.
+// New returns a watcher. The configuration may contain the known list, which is the endpoint list
+// of an earlier run. New passes it to the dispatcher, and returns an error only if it is malformed.
 func New(configuration *config.Gateway, dispatcher *dispatch.Dispatcher, log *zap.Logger) (*Watcher, error) {
 	w := &Watcher{
 		dispatcher:    dispatcher,
 		log:           log,
 		decoder:       decoder{zones: configuration.Zones, hardware: configuration.Hardware},
-		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // in both modes
+		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // the same timeout in both modes
 		random:        rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
 		firstApplied:  make(chan struct{}),
 		knownVersion:  noVersion,
@@ -75,7 +81,7 @@
 }
 
 // FirstListApplied returns a channel that is closed when the first list from discovery has been
-// applied. The known list does not count.
+// applied. The known list does not count. An answer that reports no change of it does count.
 func (w *Watcher) FirstListApplied() <-chan struct{} { return w.firstApplied }
 
 // SetAgent replaces the agent to follow, or changes its mode. After SetAgent returns, no answer of
@@ -137,8 +143,8 @@
 	w.firstAppliedOnce.Do(func() { close(w.firstApplied) })
 }
 
-// wouldRemoveAllServers reports whether a full list would remove every server that the dispatcher
-// has.
+// wouldRemoveAllServers reports whether the list is full and empty although the dispatcher may have
+// servers.
 func (w *Watcher) wouldRemoveAllServers(received *endpointList) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
