--- a/internal/gateway/discovery/backoff_test.go
+++ b/internal/gateway/discovery/backoff_test.go
@@ -43,13 +43,14 @@
 	}
 }
 
-// In a run of failures of any length, calls begin at most 2 s apart, and their pauses are random.
+// In a run of failures of any length, the pauses between calls are random. Calls that last
+// callDuration begin at most 2 s apart.
 func TestHandleFailure_pausesAreRandomAndBounded(t *testing.T) {
 	for _, row := range []struct {
 		err                error
 		isPolled           bool
 		call               callKind
-		callDuration       time.Duration // duration of each call
+		callDuration       time.Duration // assumed duration of each call
 		minPause, maxPause time.Duration // bounds of the pause after the first three failures of a run
 		minInterval        time.Duration // minimum average time between the starts of calls
 	}{
--- a/internal/gateway/discovery/session.go
+++ b/internal/gateway/discovery/session.go
@@ -87,7 +87,7 @@
 	timeout := wait + watchGrace
 	if s.isResuming {
 		wait = resumedWatchWait
-		timeout = polledListTimeout // like a call for the full list, it may have to wait for its turn
+		timeout = polledListTimeout // the watch may have to wait for its turn
 	}
 	url := fmt.Sprintf("%s?since=%d&timeout_ms=%d", s.listURL(), s.version, wait.Milliseconds())
 	body, err := s.connection.get(ctx, url, timeout)
