--- a/internal/gateway/upstream/attempt.go
+++ b/internal/gateway/upstream/attempt.go
@@ -17,9 +17,9 @@
 // which is computed when the attempt is sent.
 type Command struct {
 	Verb, Customer, ID string
-	ParamsBefore       string // parameter list up to the value of the timeout
-	ParamsAfter        string // parameter list after the value of the timeout
-	Body               *resp.Bulk
+	ParamsBefore       string     // parameter list up to the value of the timeout
+	ParamsAfter        string     // parameter list after the value of the timeout
+	Body               *resp.Bulk // nil if the command has no body
 }
 
 // decimal is the base of the numbers in commands.
@@ -60,19 +60,22 @@
 		p.connections.recordUse(idleFor, state.lostConnection())
 	}
 	if state == exchangeAnswered {
+		// The answer counts even if the attempt was cancelled before it was read. The connection is
+		// then not reused, because the abort would affect the next attempt on it.
 		result, value, wellFormed := p.parseReply(reply)
 		if wellFormed && stillWanted {
 			p.connections.putIdle(key, conn)
 		} else {
-			p.connections.close(conn) // an answer that races with the cancellation still counts
+			p.connections.close(conn)
 		}
 		return result, value
 	}
 	p.connections.close(conn)
 	outcome := unansweredOutcome(&decision, state, stillWanted)
 	if !stillWanted || state == exchangeTimedOut {
-		// The server may have failed without closing its connections, so older ones may be dead
-		// too.
+		// No complete answer arrived before the deadline or the cancellation. The server may have
+		// failed without closing its connections, so those last used before this attempt may be
+		// dead too.
 		p.connections.closeIdleBefore(key, startedAt)
 	}
 	return dispatch.Result{Outcome: outcome}, nil
@@ -118,8 +121,8 @@
 	return policy.ConnectFailed
 }
 
-// isTooLateForRetry reports whether the decision's write deadline leaves time for a retry, that is,
-// precedes its deadline, and has passed.
+// isTooLateForRetry reports whether the decision's write deadline was set to leave time for a retry
+// and has passed. A write deadline leaves time for a retry if it is before the deadline.
 func isTooLateForRetry(decision *dispatch.Decision) bool {
 	return decision.WriteDeadline.Before(decision.Deadline) && !time.Now().Before(decision.WriteDeadline)
 }
--- a/internal/gateway/upstream/attempt_test.go
+++ b/internal/gateway/upstream/attempt_test.go
@@ -39,7 +39,7 @@
 	for name, test := range map[string]struct {
 		writeTimeout   time.Duration
 		connectTimeout time.Duration // one minute if 0
-		isOnlyTime     bool          // the deadline equals the write deadline
+		noRetryTime    bool          // the deadline equals the write deadline
 		isCancelled    bool          // the attempt is cancelled while it dials
 		want           policy.Outcome
 	}{
@@ -49,7 +49,7 @@
 			writeTimeout: time.Minute, connectTimeout: 100 * time.Millisecond, want: policy.ConnectFailed,
 		},
 		"deadline passes while dialing": {
-			writeTimeout: 100 * time.Millisecond, isOnlyTime: true, want: policy.ConnectFailed,
+			writeTimeout: 100 * time.Millisecond, noRetryTime: true, want: policy.ConnectFailed,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 			defer cancel()
 			decision := newDecision(ctx, server.Addr, time.Now().Add(time.Minute))
 			decision.WriteDeadline = time.Now().Add(test.writeTimeout)
-			if test.isOnlyTime {
+			if test.noRetryTime {
 				decision.Deadline = decision.WriteDeadline
 			}
 			outcomes := pool.attemptAsync(decision)
@@ -84,12 +84,12 @@
 }
 
 // An attempt may be cancelled after it has a connection and before its first byte is written. It
-// calls Begin right before that byte, and writes nothing if Begin returns false. A new connection
-// is then kept for the next attempt.
+// calls BeginSend right before that byte, and writes nothing if BeginSend returns false. A new
+// connection is then kept for the next attempt.
 func TestAttempt_cancelledBeforeFirstByteWritesNothing(t *testing.T) {
 	server := fakes.NewServer(t, func([]string) string { return fakes.FormatValue("hello", 1) })
 	pool := newTestPool(10)
-	for _, idle := range []int{1, 0} { // a new connection is kept, one that was idle before is closed
+	for _, wantIdle := range []int{1, 0} { // a new connection is kept, one that was idle before is closed
 		ctx, cancel := context.WithCancel(context.Background())
 		decision := newDecision(ctx, server.Addr, time.Now().Add(time.Minute))
 		decision.BeginSend = func() bool {
@@ -97,8 +97,8 @@
 			return false
 		}
 		got, idleNow := <-pool.attemptAsync(decision), len(pool.connections.idle[keyOfAddress(server.Addr)])
-		if got != policy.NotSent || pool.connections.open != idle || idleNow != idle {
-			t.Errorf("outcome %v, %d connections open, want %d", got, pool.connections.open, idle)
+		if got != policy.NotSent || pool.connections.open != wantIdle || idleNow != wantIdle {
+			t.Errorf("outcome %v, %d connections open, want %d", got, pool.connections.open, wantIdle)
 		}
 		pool.ageIdle(server)
 	}
@@ -117,7 +117,7 @@
 
 // The write deadline applies only until the command is written. An attempt that was written in time
 // continues after the write deadline, and one that has passed it before its first byte is not sent.
-func TestAttempt_writeDeadlineEndsBeforeFirstByteOnly(t *testing.T) {
+func TestAttempt_writeDeadlineAppliesOnlyUntilCommandIsWritten(t *testing.T) {
 	answer := make(chan string)
 	server := fakes.NewServer(t, func([]string) string { return <-answer })
 	pool := newTestPool(10)
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -60,7 +60,7 @@
 // A command whose last byte was not written never ran, regardless of which side breaks the
 // connection and how many bytes the server received. Once the last byte is written, the command may
 // have run.
-func TestAttempt_breakBeforeLastByteDiffersFromOneAfter(t *testing.T) {
+func TestAttempt_outcomeDependsOnWhetherLastByteWasWritten(t *testing.T) {
 	const valueOnly, allButLastByte = "*3\r\n$1\r\nv\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r"
 	for _, test := range []breakTest{
 		{"reset before last byte", longCommand, time.Minute, reset, policy.ConnectFailed},
@@ -135,8 +135,8 @@
 	<-closed
 }
 
-// slowAbortConn is a connection on which Abort closes aborting and then blocks until resume is
-// closed.
+// slowAbortConn is a connection whose Abort closes the channel aborting, and then blocks until the
+// channel resume is closed.
 type slowAbortConn struct {
 	net.Conn
 	aborting, resume chan struct{}
@@ -180,7 +180,7 @@
 }
 
 // An idle connection that has unread bytes, or that the server has closed, must not be reused.
-func TestIdle_connectionWithUnreadBytesIsNotUsed(t *testing.T) {
+func TestIdle_connectionThatIsClosedOrHasUnreadBytesIsNotReused(t *testing.T) {
 	for name, act := range map[string]func(*net.TCPConn, func()){
 		"half a line": afterPartOf("-ERR fai", doNothing),
 		"close":       closeWrite,
@@ -224,9 +224,9 @@
 		pool.CheckHealth(dispatch.Server{Address: silent.Addr().String()}, func(dispatch.Result) {})
 		_, _ = pool.Attempt(decisionSoon(silent.Addr().String()), &Command{})
 		_, _ = pool.Attempt(decisionSoon(unreachable.Address), &Command{})
-		unbegun := decisionSoon(server.Addr)
-		unbegun.BeginSend = func() bool { return false }
-		_, _ = pool.Attempt(unbegun, &Command{})
+		notBegun := decisionSoon(server.Addr)
+		notBegun.BeginSend = func() bool { return false }
+		_, _ = pool.Attempt(notBegun, &Command{})
 	}
 	idle := 0
 	fakes.Eventually(t, "an idle connection", func() bool {
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -14,7 +14,7 @@
 	"harrierhoist/internal/gateway/resp"
 )
 
-// errPoolExhausted is returned when maxConnections are open and none of them is idle.
+// errPoolExhausted is returned by acquire when maxConnections are open and none of them is idle.
 var errPoolExhausted = errors.New("connection pool exhausted")
 
 // minIdleBeforeReuse is how long a connection must be idle before it is reused. A server may send
@@ -71,8 +71,8 @@
 }
 
 // acquire returns an idle connection that is open, has no unread input and is not stale, or dials a
-// new one. It returns errPoolExhausted if the pool is exhausted, or the dial error if no connection
-// is established within connectTimeout, by the deadline and before the context is done.
+// new one. It returns errPoolExhausted if maxConnections are in use, or the dial error if no
+// connection is established within connectTimeout, by the deadline and before the context is done.
 func (s *connectionSet) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for conn := s.takeIdle(key); conn != nil; conn = s.takeIdle(key) {
 		if !s.isStale(conn) && conn.IsQuiet() {
@@ -92,8 +92,8 @@
 	return &connection{Conn: resp.NewConn(conn)}, nil
 }
 
-// takeIdle removes and returns the most recently used connection that has been idle for at least
-// minIdleBeforeReuse. It returns nil if there is none.
+// takeIdle removes from the idle list, and returns, the server's most recently used connection that
+// has been idle for at least minIdleBeforeReuse. It returns nil if there is none.
 func (s *connectionSet) takeIdle(key endpointKey) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -20,8 +20,8 @@
 	exchangeAnswered                       // a reply was read; parseReply interprets it
 )
 
-// lostConnection reports whether the connection was lost before any byte of an answer arrived,
-// either while the command was being written or after that.
+// lostConnection reports whether the connection is considered lost: the command could not be
+// written, or the connection broke before an answer began.
 func (s exchangeState) lostConnection() bool { return s == exchangeClosed || s == exchangeUnwritten }
 
 // exchange writes a command by writeDeadline and waits for the reply until deadline. Once a reply
@@ -52,10 +52,10 @@
 	return reply, exchangeAnswered
 }
 
-// setDeadline sets the read and write deadline of a connection. Abort works by setting a deadline
-// in the past, which this call may overwrite, so it aborts again if the context is done. The error
-// of SetDeadline is ignored: it fails only on a broken connection, where the next read or write
-// fails too.
+// setDeadline sets the read and write deadlines of a connection. Abort works by setting deadlines
+// in the past, which this call may overwrite, so setDeadline aborts again if the context is done.
+// The error of SetDeadline is ignored: it fails only on a broken connection, where the next read or
+// write fails too.
 func setDeadline(ctx context.Context, conn *connection, deadline time.Time) {
 	_ = conn.SetDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -9,14 +9,15 @@
 	// idleBuckets is the number of buckets of the idle time histogram. Each bucket is twice as wide
 	// as the previous one, and the last one starts at several minutes.
 	idleBuckets = 20
-	// minLosses is the smallest count of lost connections at which an idle time is considered
-	// stale.
+	// minLosses is the smallest count of lost connections in a bucket at which connections that
+	// have been idle for that long or longer are considered stale.
 	minLosses = 3.0
-	// staleLossFraction is the fraction of lost connections above which an idle time is considered
-	// stale. Some connections are lost by chance after any idle time.
+	// staleLossFraction is the fraction of lost connections in a bucket above which connections that
+	// have been idle for that long or longer are considered stale. Some connections are lost by
+	// chance after any idle time.
 	staleLossFraction = 0.2
-	// lossHalfLife is the time after which all counts are halved, so that idle times that were
-	// considered stale are tried again.
+	// lossHalfLife is the time after which all counts are halved, so that connections are
+	// eventually reused again after idle times at which they were considered stale.
 	lossHalfLife = 5 * time.Second
 	// halvingDivisor is the divisor that is applied to the counts every lossHalfLife.
 	halvingDivisor = 2
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -15,7 +15,7 @@
 )
 
 // idleTimeoutDivisor divides the servers' idle limit to get the pool's idle timeout. The margin
-// covers servers that close connections somewhat early and delays on a slow machine.
+// allows for servers that close connections somewhat early, and for delays on a slow machine.
 const idleTimeoutDivisor = 2
 
 // Pool sends commands to servers on the connections that it owns. It is safe for concurrent use.
@@ -50,9 +50,10 @@
 	done(p.checkHealth(server))
 }
 
-// checkHealth runs a health check and returns its result. The outcome is TimedOut if there is no
-// answer, however the exchange ended, and Errored if the answer is an error line. It is NotSent if
-// the connection failed because of this machine.
+// checkHealth runs a health check and returns its result. If no connection is established, the
+// outcome is NotSent if the cause is on this machine, and ConnectFailed otherwise. If no
+// well-formed reply is read on the connection, for whatever reason, it is TimedOut. If the reply is
+// an error line, it is Errored, and otherwise Answered.
 func (p *Pool) checkHealth(server dispatch.Server) dispatch.Result {
 	ctx := context.Background()
 	key := endpointKeyOf(server)
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -12,7 +12,7 @@
 	"harrierhoist/policy"
 )
 
-// newDecision returns a decision to send an attempt to a server. Its Begin always returns true.
+// newDecision returns a decision to send an attempt to a server. Its BeginSend always returns true.
 func newDecision(ctx context.Context, address string, deadline time.Time) dispatch.Decision {
 	return dispatch.Decision{
 		Server: dispatch.Server{Address: address}, Deadline: deadline, WriteDeadline: deadline, Context: ctx,
@@ -20,7 +20,7 @@
 	}
 }
 
-// decisionWithin returns a decision with a timeout that is never cancelled.
+// decisionWithin returns a decision that has the given timeout and is never cancelled.
 func decisionWithin(address string, timeout time.Duration) dispatch.Decision {
 	return newDecision(context.Background(), address, time.Now().Add(timeout))
 }
--- a/internal/gateway/upstream/reply.go
+++ b/internal/gateway/upstream/reply.go
@@ -14,11 +14,12 @@
 	// replyAttributes is the number of attributes that follow a value in a reply: usage and load,
 	// each of which may be null.
 	replyAttributes = 2
-	// maxAttributeNumber is the largest number that is accepted from an attribute. The counter adds
-	// no more than this in one call, and a customer that is charged a malformed cost would never be
-	// within its quota again.
+	// maxAttributeNumber is the largest number that is accepted from an attribute. The counter that
+	// all gateways share adds no more than this in one call, and a customer that is charged a
+	// malformed cost would never be within its quota again.
 	maxAttributeNumber = 1e9
-	// percent converts the percentage in which servers report a customer's usage of its rate.
+	// percent divides a customer's usage of its rate, which servers report in percent, to get a
+	// fraction.
 	percent = 100
 	// floatBits is the precision, in bits, with which numbers are parsed.
 	floatBits = 64
@@ -79,7 +80,7 @@
 		result.ActualUnits = cost
 	}
 	if used, found := values["used"]; found {
-		result.Usage = 1 + used/percent
+		result.Usage = 1 + used/percent // never 0, which means that no usage was reported
 	}
 	loadReport := make([]float32, 0, len(p.loadFields))
 	for _, name := range p.loadFields {
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -1,14 +1,15 @@
 // Package subset selects the servers of the endpoint list to which a gateway sends requests. With a
-// subset, a gateway that handles little of the traffic of a large fleet finds most of its
-// connections open, and sends each server enough requests to estimate its load. The dispatcher
-// passes in the list, each attempt and the time; the package uses neither sockets nor a clock.
+// subset, a gateway that handles little of the traffic of a large fleet usually has an open
+// connection to the server that it sends a request to, and sends each server enough requests to
+// estimate its load. The dispatcher passes in the list, each attempt and the time; the package uses
+// neither sockets nor a clock.
 //
 // All gateways arrange the servers of a zone in a ring, in the same order. A gateway's subset is an
 // arc of each zone's ring. The starting points of the arcs are spread evenly over the gateways. An
-// arc has as many servers as the gateway's attempts can keep connections open to. Each server
-// therefore lies in arcs that bring it the same rate of attempts, even if the traffic is
-// distributed unevenly over the gateways. docs/fleet-connections.md compares this with other
-// algorithms.
+// arc has as many servers as the gateway's attempts can keep connections open to, so every gateway
+// sends each server of its arcs about the same rate of attempts. Each server therefore receives
+// about the same rate from all gateways together, even if the traffic is distributed unevenly over
+// the gateways. docs/fleet-connections.md compares this with other algorithms.
 package subset
 
 import (
@@ -34,10 +35,10 @@
 	// should receive within the idle timeout. More attempts keep more connections open, and make
 	// the gateway's own counts a better basis for choosing between two servers.
 	targetAttemptsPerIdleTimeout = 12.0
-	// lengthTolerance is the relative error of the length above which the subset is selected again
-	// without a new list.
+	// lengthTolerance is the relative difference between the target length and the target at the
+	// last selection above which the subset is selected again, even if the list has not changed.
 	lengthTolerance = 0.25
-	// checkInterval is the interval at which the length is compared with the target length.
+	// checkInterval is the shortest interval between two comparisons of these targets.
 	checkInterval = time.Second
 )
 
@@ -60,7 +61,7 @@
 
 // Candidate is a server of the endpoint list.
 type Candidate struct {
-	NameHash uint64 // HashName of the server's name, so the same at all gateways
+	NameHash uint64 // HashName of the server's name; the same at all gateways
 	policy.Endpoint
 }
 
@@ -131,8 +132,8 @@
 	s.decay(now)
 	// After a time t at a steady rate r, the decaying count is
 	// r * rateTimeConstant * (1 - exp(-t / rateTimeConstant)).
-	counted := float64(max(now-s.countingSince, minRateSpan))
-	span := rateTimeConstant.Seconds() * -math.Expm1(-counted/float64(rateTimeConstant))
+	countedFor := float64(max(now-s.countingSince, minRateSpan))
+	span := rateTimeConstant.Seconds() * -math.Expm1(-countedFor/float64(rateTimeConstant))
 	return s.attempts / span
 }
 
@@ -217,8 +218,9 @@
 
 // arc returns the list indexes of this gateway's arc of a zone's ring, with the given length. If
 // the ring is longer than that, arc sorts it into ring order. The servers of a rack are adjacent in
-// the ring, because a keyed request can be retried only within its rack. The order of racks, and of
-// servers within a rack, is pseudorandom but the same at all gateways.
+// the ring, so that an arc contains most of its racks completely: a keyed request can be retried
+// only within its rack. The order of racks, and of servers within a rack, is pseudorandom but the
+// same at all gateways.
 func (s *Subset) arc(zone int, ring []int, list []Candidate, length int) []int {
 	size := len(ring)
 	if length >= size {
--- a/internal/gateway/upstream/subset/subset_test.go
+++ b/internal/gateway/upstream/subset/subset_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestIsDue_onlyWhileTheAttemptRateChanges(t *testing.T) {
+func TestNeedsSelection_onlyWhileTheAttemptRateChanges(t *testing.T) {
 	list := newFleet(180, 3)
 	s := New(5, 300, 15*time.Second)
 	now := time.Hour
--- a/internal/gateway/upstream/subset/weights.go
+++ b/internal/gateway/upstream/subset/weights.go
@@ -30,8 +30,8 @@
 // SetWeights sets the weight of each zone, indexed by zone. It takes effect at the next selection.
 // A zone's weight, in any unit, is its relative share of the selected servers. A zone with weight
 // 0, or beyond the end of the slice, gets no servers. If weights is nil, zones are weighted by
-// their number of ready servers. The fraction shed, from 0 to 1, is the part of all requests that
-// ShouldShed rejects; it applies only with weights. SetWeights reports whether the weights or the
+// their number of ready servers. shed, from 0 to 1, is the fraction of all requests to reject,
+// see ShouldShed; it applies only with weights. SetWeights reports whether the weights or the
 // fraction have changed. It retains weights, which the caller must not modify afterwards.
 func (s *Subset) SetWeights(weights []float64, shed float64) (changed bool) {
 	shed = min(max(shed, 0), 1)
@@ -43,7 +43,7 @@
 
 // ShouldShed reports whether to reject the next request immediately. It sheds the fraction set by
 // SetWeights and, of the remaining requests, the share of the zones without a ready server. Shed
-// requests are spread evenly over all requests, and over every n-th request too.
+// requests are spread evenly over all requests. Of every n-th request, the same fraction is shed.
 func (s *Subset) ShouldShed() bool {
 	if s.weights == nil {
 		return false
@@ -53,8 +53,8 @@
 		return false
 	}
 	s.requests++
-	_, draw := math.Modf(float64(s.requests) * goldenRatio)
-	return draw < fraction
+	_, position := math.Modf(float64(s.requests) * goldenRatio)
+	return position < fraction
 }
 
 // turnNumber returns the number of the turn at a time.
@@ -76,7 +76,7 @@
 	for _, zone := range served {
 		count := int(length*s.weights[zone]/servedWeight + s.roundingOffset(zone))
 		if zone == heaviest {
-			count = max(count, 1)
+			count = max(count, 1) // so that the subset is never empty
 		}
 		indexes = append(indexes, s.arc(zone, rings[zone], list, min(count, len(rings[zone])))...)
 	}
--- a/internal/gateway/upstream/subset/weights_test.go
+++ b/internal/gateway/upstream/subset/weights_test.go
@@ -81,17 +81,18 @@
 	if len(selected) == 0 || slices.ContainsFunc(selected, isOutsideZone1) {
 		t.Errorf("selected %v, want only servers of zone 1", selected)
 	}
-	shed, third := 0, 0
+	shed, shedInThird := 0, 0 // of all requests, and of every third request
 	for i := range 3000 {
 		if s.ShouldShed() {
 			shed++
 			if i%3 == 0 {
-				third++
+				shedInThird++
 			}
 		}
 	}
-	if want := 3000 * (0.5 + 0.5*0.3); math.Abs(float64(shed)-want) > 5 || math.Abs(float64(third)-want/3) > 5 {
-		t.Errorf("%d of 3000 requests shed, and %d of every third, want %.0f and %.0f", shed, third, want, want/3)
+	if want := 3000 * (0.5 + 0.5*0.3); math.Abs(float64(shed)-want) > 5 || math.Abs(float64(shedInThird)-want/3) > 5 {
+		t.Errorf("%d of 3000 requests shed, want %.0f; %d of every third request, want %.0f",
+			shed, want, shedInThird, want/3)
 	}
 }
 
