--- a/internal/gateway/listener/connections.go
+++ b/internal/gateway/listener/connections.go
@@ -15,8 +15,9 @@
 	// slotRetryInterval is the time between attempts to evict a connection while an accepted one
 	// waits for a slot.
 	slotRetryInterval = 20 * time.Millisecond
-	// minIdleInFlood is how long a connection is protected from eviction after its last answer while
-	// there is a flood of new connections. Most clients send their next request within that time.
+	// minIdleInFlood is how long a connection is protected from eviction after its last answer
+	// while there is a flood of new connections. Most clients send their next request within that
+	// time.
 	minIdleInFlood = 2 * time.Second
 	// idleTimeout is the maximum idle time of a connection after an answer.
 	idleTimeout = 10 * time.Second
--- a/internal/gateway/listener/drain.go
+++ b/internal/gateway/listener/drain.go
@@ -115,7 +115,8 @@
 // each connection with its last answer, or when it is idle, and returns when all connections are
 // closed. It returns earlier, possibly with unanswered commands, if drainTimeout has passed, which
 // is long after the expected SIGKILL. A command that is unanswered at SIGKILL arrived before the
-// drain was active and has a deadline after SIGKILL: the timeouts of later requests end at answerBy.
+// drain was active and has a deadline after SIGKILL: the timeouts of later requests end at
+// answerBy.
 func (l *Listener) Drain(socket net.Listener) {
 	defer close(l.drain.finished)
 	began := time.Now()
--- a/internal/gateway/upstream/idlelosses.go
+++ b/internal/gateway/upstream/idlelosses.go
@@ -12,9 +12,9 @@
 	// minLosses is the smallest count of lost connections in a bucket at which connections that
 	// have been idle for that long or longer are considered stale.
 	minLosses = 3.0
-	// staleLossFraction is the fraction of lost connections in a bucket above which connections that
-	// have been idle for that long or longer are considered stale. Some connections are lost by
-	// chance after any idle time.
+	// staleLossFraction is the fraction of lost connections in a bucket above which connections
+	// that have been idle for that long or longer are considered stale. Some connections are lost
+	// by chance after any idle time.
 	staleLossFraction = 0.2
 	// lossHalfLife is the time after which all counts are halved, so that connections are
 	// eventually reused again after idle times at which they were considered stale.
