--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -12,7 +12,7 @@
 // ended, Settle corrects the count by the units that it used. Admission is not safe for concurrent
 // use.
 type Admission struct {
-	localShare float64              // fraction of a limit to use without a counter
+	localShare float64              // fraction of each limit that may be used without the counter
 	keys       map[uint64]*keyState // by key
 	sweptAt    time.Duration
 }
@@ -20,8 +20,8 @@
 // keyState is this process's estimate of what a key has left.
 type keyState struct {
 	refilledAt     time.Duration // time up to which refill has added units
-	remaining      float64       // units left by the latest count, minus those admitted here since
-	localRemaining float64       // units left of this process's share of the limit
+	remaining      float64       // units left according to the counts read, minus those admitted since
+	localRemaining float64       // units left in this process's share of the limit
 	windowIndex    int64         // window of the latest reservation that was decided, or noWindow
 }
 
@@ -49,11 +49,11 @@
 	*a = Admission{localShare: 1 / float64(max(gateways, 1)), keys: map[uint64]*keyState{}}
 }
 
-// Reservation is the units that one request reserves at one key. Settle returns those that the
-// request does not use.
+// Reservation reserves units of one key for one request. Settle returns the units that the request
+// does not use.
 type Reservation struct {
 	Window
-	WeightedUnits float64 // weighted units
+	WeightedUnits float64 // reserved units, multiplied by Weight
 	Weight        float64 // weighted units per unit
 	key           uint64
 	plan          policy.Plan
@@ -91,9 +91,11 @@
 // in weighted units, including the reservation's own. If the counter has not answered in time,
 // answered is false and this process's share of the limit decides.
 //
-// previous is non-nil if this is the key's first answer here in a window that no other request has
-// been charged to. The caller then reads the count of that previous window by adding zero units,
-// and adds the Deficit to the reservation's count, as the decision module does.
+// previous is the window before the reservation's if that window's deficit must be carried over, and
+// nil otherwise. It must be carried over if this process decides its first reservation in the new
+// window and no other request has been charged to that window. The caller then reads the count of
+// the previous window by adding zero units, and adds the Deficit to the reservation's count. The
+// decision module does the same for its own counts.
 func (a *Admission) HandleCount(
 	reservation Reservation, count float64, answered bool,
 ) (admitted bool, previous *Window) {
@@ -104,8 +106,8 @@
 	if !answered {
 		return state.admit(min(state.localRemaining, state.remaining), reservation.WeightedUnits), nil
 	}
-	// The count of a new window lacks the previous window's deficit until that is carried over. The
-	// estimate from earlier reads bounds what remains until then.
+	// The count of a new window lacks the previous window's deficit until that is carried over. Until
+	// then, the estimate from earlier counts limits what remains.
 	state.remaining = min(state.remaining, reservation.remainingBefore(count))
 	if isNewWindow && reservation.isFirstCharge(count) {
 		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
@@ -161,7 +163,7 @@
 
 // The charge states.
 const (
-	ChargeUnknown ChargeState = iota // the counter has not answered, or the connection was lost
+	ChargeUnknown ChargeState = iota // no answer yet, or the connection ended without one
 	Charged
 	NotCharged
 )
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -5,9 +5,9 @@
 // Bounds of the values in a CanaryConfig.
 const (
 	maxSamplePermille  = 80     // permille
-	minCallsPerSample  = 3      // CallsPermille per SamplePermille
+	minCallsPerSample  = 3      // minimum ratio of CallsPermille to SamplePermille
 	maxCallsPermille   = 250    // of all gateways' calls to the counter
-	minDeadlineSeconds = 120    // long enough to test all buckets one after another
+	minDeadlineSeconds = 120    // long enough to test all buckets of sampled keys in sequence
 	maxDeadlineSeconds = 86_400 // one day
 	maxErrorPermille   = 200
 	maxBoundPermille   = 500     // of the fraction bounds and the deviation
@@ -21,23 +21,28 @@
 // the new rule is refused. The table stores it under the names in the cbor tags, in the integer
 // units of the fields; the methods convert these to durations and fractions.
 type CanaryConfig struct {
-	SamplePermille  uint64 `toml:"sample" cbor:"Sample"`        // keys that are evaluated under both rules
-	CallsPermille   uint64 `toml:"calls" cbor:"Calls"`          // canary's calls, of all gateways' calls to the counter
-	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"` // time after which an undecided rule is refused
+	SamplePermille uint64 `toml:"sample" cbor:"Sample"` // fraction of keys evaluated under both rules
+	// CallsPermille limits the trial's calls to the counter, as a fraction of all gateways' calls to it.
+	CallsPermille uint64 `toml:"calls" cbor:"Calls"`
+	// DeadlineSeconds is the time after which a trial without a verdict ends and the rule is refused.
+	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"`
 	// ErrorPermille bounds both the probability that a harmful rule is accepted and the probability
 	// that a harmless rule is refused because of its measurements. The bounds hold no matter how
 	// often the measurements are examined.
 	ErrorPermille uint64 `toml:"wrong" cbor:"WrongThousandths"`
 
-	// The next three bound a fraction of the units requested under a key, averaged over keys.
+	// Each of the next three fields limits a fraction of the units requested under a key, averaged
+	// over keys.
 
 	RejectedBoundPermille  uint64 `toml:"rejected" cbor:"Rejected"` // units admitted only by the old rule
 	AdmittedBoundPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // units admitted only by the new rule
 	OverLimitBoundPermille uint64 `toml:"beyond" cbor:"Beyond"`     // units admitted in excess of the new rule's limit
 
-	MaxDeviationPermille uint64 `toml:"leave" cbor:"Leave"`    // allowed difference from the forecast
-	WatchSeconds         uint64 `toml:"watch_s" cbor:"WatchS"` // time after a switch in which a deviation rolls it back
-	ExtraLeadMillis      uint64 `toml:"lead_ms" cbor:"LeadMS"` // added to the time between a decision and its switch
+	// MaxDeviationPermille is the allowed difference between the admitted fraction and its forecast.
+	MaxDeviationPermille uint64 `toml:"leave" cbor:"Leave"`
+	// WatchSeconds is the time after a switch in which a larger difference rolls the switch back.
+	WatchSeconds    uint64 `toml:"watch_s" cbor:"WatchS"`
+	ExtraLeadMillis uint64 `toml:"lead_ms" cbor:"LeadMS"` // added to the time between a decision and its switch
 }
 
 // Deadline returns the longest duration of a trial.
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -15,8 +15,9 @@
 	table       Table
 }
 
-// nextTable draws a step that the controller may take at a time, with any switch lead later. It
-// returns false if the controller would do nothing.
+// nextTable draws a step that the controller may take at now, and returns the table after it. A
+// switch that the step schedules takes place at now+lead. nextTable returns false if the controller
+// would do nothing.
 func nextTable(t *rapid.T, table Table, now, lead time.Duration) (Table, bool) {
 	nextVersion := rapid.Uint64Range(0, 2).Draw(t, "next")
 	switch table.Phase {
@@ -54,10 +55,11 @@
 	return table, true
 }
 
-// findSwitchViolation draws a history of trials, switches and rollbacks, with a time of lead before
-// each switch, and checks all processes that read the table once. It describes a time at which the
-// version in force is not among a process's candidates, or is not the only one although the lease
-// is valid. It returns an empty string if there is no such time.
+// findSwitchViolation draws a history of trials, switches and rollbacks, with lead between the commit
+// and the time of each switch. For each time in the history, it checks a process that read the table
+// at that time and never again. It describes a time at which the version in force is not among the
+// process's candidates, or is not the only one although the lease is valid. It returns an empty
+// string if there is no such time.
 func findSwitchViolation(t *rapid.T, lead time.Duration) string {
 	const lease = 20 // in the same unit as lead
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
@@ -105,9 +107,9 @@
 // The check of the test above must find a violation if the lead is shorter than the lease.
 func TestCandidateVersions_checkDetectsSwitchWithinLease(t *testing.T) {
 	generator := rapid.Custom(func(t *rapid.T) string { return findSwitchViolation(t, 15) })
-	for runs := range 1000 {
-		if generator.Example(runs) != "" {
-			t.Logf("violation found after %d runs", runs+1)
+	for seed := range 1000 {
+		if generator.Example(seed) != "" {
+			t.Logf("violation found after %d runs", seed+1)
 			return
 		}
 	}
--- a/internal/control/countingrule/config.go
+++ b/internal/control/countingrule/config.go
@@ -30,8 +30,8 @@
 	// Mask forms groups without a list: customers whose numbers agree in the bits of the mask share
 	// a count. 0 means no mask.
 	Mask    uint64   `toml:"mask" cbor:"4,keyasint"`
-	Weights []Weight `toml:"weight" cbor:"5,keyasint"` // classes that are not listed have unitWeightPermille
-	Limits  []Limit  `toml:"limit" cbor:"6,keyasint"`  // plans that are not listed keep their own rate and burst
+	Weights []Weight `toml:"weight" cbor:"5,keyasint"` // a class that is not listed has unitWeightPermille
+	Limits  []Limit  `toml:"limit" cbor:"6,keyasint"`  // a plan that is not listed keeps its own rate and burst
 }
 
 // Equal reports whether two rules have the same version and content. Nil and empty lists are equal.
--- a/internal/control/countingrule/config_test.go
+++ b/internal/control/countingrule/config_test.go
@@ -70,7 +70,7 @@
 	for _, test := range []struct{ name, from, to, want string }{
 		{"desired version unknown", "try = 2", "try = 9", "counting.try must be 0 or the version"},
 		{"version twice", "version = 2", "version = 1", "counting.rule.2.version must be 1 or more"},
-		{"key of no customer", `["group"]`, `["plan"]`, "counting.rule.2.key must hold customer or group"},
+		{"key without customer or group", `["group"]`, `["plan"]`, "counting.rule.2.key must hold customer or group"},
 		{"key part unknown", `["customer", "lane"]`, `["customer", "hall"]`, "each at most once, not \"hall\""},
 		{"customer twice in a group", "[1, 2, 3]", "[1, 2, 1]", "no customer of another, or twice: 1"},
 		{"limit of one plan for a shared count", `plan = "*", rate = 5`, `plan = "small", rate = 5`, `for plan "*"`},
--- a/internal/control/countingrule/golden_test.go
+++ b/internal/control/countingrule/golden_test.go
@@ -58,8 +58,7 @@
 		},
 		"table-back.cbor": {
 			Phase: PhaseRollback, FromVersion: 1, ToVersion: 0, PreviousVersion: 1,
-			SwitchAt:        1_764_653_000 * time.Second,
-			Rules:           goldenRules()[2:],
+			SwitchAt: 1_764_653_000 * time.Second, Rules: goldenRules()[2:],
 			RefusedVersions: []uint64{1}, PhaseStart: 1_764_652_995 * time.Second,
 			Reason: "0.500 of the units are let in, 0.900 were foretold",
 		},
@@ -86,8 +85,8 @@
 func TestGolden_storedTableOfAnEarlierVersion(t *testing.T) {
 	earlier := []byte{0xa4, 1, 2, 2, 0, 3, 1, 4, 0x19, 0x03, 0xe8}
 	decoded, err := Decode(earlier)
-	if want := (Table{Phase: PhaseScheduled, ToVersion: 1, SwitchAt: 1000}); err != nil ||
-		!reflect.DeepEqual(decoded, want) {
+	want := Table{Phase: PhaseScheduled, ToVersion: 1, SwitchAt: 1000}
+	if err != nil || !reflect.DeepEqual(decoded, want) {
 		t.Errorf("read %+v, %v; want %+v", decoded, err, want)
 	}
 }
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -10,12 +10,12 @@
 	"harrierhoist/policy"
 )
 
-// noPlan replaces the index of a rule's plan where the rule has none for a request's plan, for
-// example because the request's plan has no rate.
+// noPlan is the value in Resolved.planIndexes for a request's plan without a plan of the rule, for
+// example because the request's plan has no rate. It equals the -1 of slices.IndexFunc.
 const noPlan = -1
 
-// maxHashedBytes is the length of six words, the longest input that Hash takes without allocating.
-const maxHashedBytes = 6 * 8
+// hashBufferSize is the length in bytes of six words. Hash allocates memory for longer inputs only.
+const hashBufferSize = 6 * 8
 
 // Assignment is the counter key that a request is charged to, and the plan that limits it there.
 type Assignment struct {
@@ -23,7 +23,7 @@
 	Key     uint64  // replaces the customer in the decision module, and thus in the counter's names
 	Plan    int     // index in the settings that WithRulePlans returned
 	Weight  float64 // weighted units per unit
-	Shared  bool    // several customers share the key, so its requests arrive at any gateway
+	Shared  bool    // customers may share the key, so its requests may arrive at any gateway
 }
 
 // Resolved is a rule resolved against the classes and plans of settings. It is immutable and safe
@@ -97,8 +97,8 @@
 }
 
 // appliesTo reports whether requests of a class and plan, given by index, are counted under this
-// rule. Otherwise they are counted under rule 0, as are those whose class or plan is not in the
-// resolved settings or whose plan has no rate.
+// rule. It returns false for a class or plan that is not in the resolved settings and for a plan
+// without a rate. Such requests are counted under rule 0.
 func (r *Resolved) appliesTo(class, plan int) bool {
 	isKnown := plan < len(r.planIndexes) && class < len(r.classHashes)
 	return r.Version != 0 && isKnown && r.planIndexes[plan] != noPlan
@@ -110,7 +110,7 @@
 	if !r.appliesTo(class, plan) {
 		return Assignment{Key: customer, Plan: plan, Weight: 1}
 	}
-	parts := [len(keyParts)]uint64{customer, r.groupKey(customer), r.planHashes[plan], r.classHashes[class]}
+	parts := [len(keyParts)]uint64{customer, r.groupWord(customer), r.planHashes[plan], r.classHashes[class]}
 	words := [1 + len(keyParts)]uint64{r.Version}
 	for i, word := range parts {
 		if r.usesPart[i] {
@@ -126,21 +126,22 @@
 	}
 }
 
-// groupKey returns the word that represents a customer's group in the hash of a key.
-func (r *Resolved) groupKey(customer uint64) uint64 {
+// groupWord returns the word that represents a customer's group in the hash of a key.
+func (r *Resolved) groupWord(customer uint64) uint64 {
 	if r.Mask != 0 {
 		return customer & r.Mask
 	}
 	if group, ok := r.groupHashes[customer]; ok {
 		return group
 	}
-	// The customer forms its own group. The hash keeps its key apart from those of listed groups.
+	// The customer forms its own group. Its word is a hash, like the words of listed groups, so that
+	// they do not collide in practice.
 	return Hash(customer, 1)
 }
 
 // Hash returns a hash of the words that is the same in every process.
 func Hash(words ...uint64) uint64 {
-	var text [maxHashedBytes]byte
+	var text [hashBufferSize]byte
 	buffer := text[:0]
 	for _, word := range words {
 		buffer = binary.LittleEndian.AppendUint64(buffer, word)
--- a/internal/control/countingrule/resolve_test.go
+++ b/internal/control/countingrule/resolve_test.go
@@ -60,9 +60,11 @@
 		settings.Plans[alone.Plan].Burst != 20 {
 		t.Errorf("assignments by group: %+v, %+v, %+v", first, second, alone)
 	}
-	unknown := Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}
-	if mustResolve(t, unknown, settings).Assign(0x1234, 0, 2).Key != 0x1234 {
-		t.Error("a rule without plans in the settings assigned a key of its own")
+	withoutPlans := Rule{Version: 3, Key: []string{"group"}, Mask: 0xff00, Limits: []Limit{{"*", 1, 1}}}
+	for plan := range 3 {
+		if mustResolve(t, withoutPlans, settings).Assign(0x1234, 0, plan).Key != 0x1234 {
+			t.Errorf("a rule without plans in the settings assigned a key of its own to a request of plan %d", plan)
+		}
 	}
 }
 
--- a/internal/control/countingrule/table.go
+++ b/internal/control/countingrule/table.go
@@ -26,7 +26,7 @@
 type Table struct {
 	Phase           Phase         `cbor:"1,keyasint"`
 	FromVersion     uint64        `cbor:"2,keyasint"` // version in force before SwitchAt
-	ToVersion       uint64        `cbor:"3,keyasint"` // version in force after SwitchAt, or the one on trial
+	ToVersion       uint64        `cbor:"3,keyasint"` // version in force from SwitchAt on, or the one on trial
 	SwitchAt        time.Duration `cbor:"4,keyasint"` // set in PhaseScheduled and PhaseRollback
 	Rules           []Rule        `cbor:"5,keyasint"` // rules that FromVersion, ToVersion and PreviousVersion may name
 	PreviousVersion uint64        `cbor:"6,keyasint"` // version in force before FromVersion; it needs no trial
@@ -118,8 +118,8 @@
 // CandidateVersions returns the versions that may be in force at a time, the one of InForce first.
 // A request that arrives then must be admitted under all of them; the decision module counts it
 // under the first. config is this process's own configuration. It names rules that may have come
-// into force since the table was read, so that a process that was partitioned or paused does not
-// exceed their limits.
+// into force since the table was read. A process that was partitioned or paused therefore does not
+// exceed the limits of these rules.
 func (t *Table) CandidateVersions(now time.Duration, status TableStatus, config *Config) []uint64 {
 	first := t.InForce(now)
 	if t.isCertain(now, status) {
--- a/internal/control/countingrule/table_test.go
+++ b/internal/control/countingrule/table_test.go
@@ -23,12 +23,12 @@
 	}{
 		{"before the switch", scheduled, 99, TableLeased, []uint64{0}},
 		{"at the switch", scheduled, 100, TableLeased, []uint64{1}},
-		{"no lease, but no switch is undone before its time", scheduled, 99, TableExpired, []uint64{0}},
-		{"no lease: undone, or followed by one of the file", scheduled, 100, TableExpired, []uint64{1, 0, 4, 5}},
+		{"no lease, before the switch: never canceled", scheduled, 99, TableExpired, []uint64{0}},
+		{"no lease, at the switch: rolled back or followed since", scheduled, 100, TableExpired, []uint64{1, 0, 4, 5}},
 		{"canary without a lease", canary, 50, TableExpired, []uint64{0, 4, 5}},
 		{"canary", canary, 50, TableLeased, []uint64{0}},
-		{"restarted: any may be in force", Table{}, 50, TableNeverReceived, []uint64{0, 4, 5}},
-		{"no lease: operators may go back", refused, 50, TableExpired, []uint64{4, 0}},
+		{"no table received: any version of the file", Table{}, 50, TableNeverReceived, []uint64{0, 4, 5}},
+		{"no lease: operators may return to the previous version", refused, 50, TableExpired, []uint64{4, 0}},
 		{"rolled back without a lease", rollback, 100, TableExpired, []uint64{0, 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,8 +42,8 @@
 
 func TestTable_decodesAsEncoded(t *testing.T) {
 	table := Table{
-		Phase: PhaseScheduled, FromVersion: 1, ToVersion: 2, SwitchAt: time.Hour, Rules: parseConfig(t,
-			completeFile).Rules,
+		Phase: PhaseScheduled, FromVersion: 1, ToVersion: 2, SwitchAt: time.Hour,
+		Rules:           parseConfig(t, completeFile).Rules,
 		RefusedVersions: []uint64{7}, TrialState: []byte{1},
 	}
 	decoded, err := Decode(table.Encode())
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -10,7 +10,7 @@
 const (
 	unitWeightPermille  = PermilleScale // one weighted unit per unit
 	maxWeightPermille   = 100_000       // 100 weighted units per unit
-	minMaskBits         = 5             // set bits; fewer make too few groups to sample
+	minMaskBits         = 5             // set bits; fewer bits form too few groups to sample
 	limitUpperBound     = 1e12          // exclusive, of a rate in units per second and of a burst in units
 	maxRules            = 32            // rules in a file
 	maxGroupedCustomers = 10_000        // customers listed in a rule; every process stores the table
@@ -132,8 +132,8 @@
 	}
 }
 
-// validateLimits checks the limits. countsPerPlan says whether requests of different plans never
-// share a count. If they may, the rule must have the same limit for all plans.
+// validateLimits checks the limits. countsPerPlan is true if requests of different plans never share
+// a count. If it is false, the rule must have one limit for all plans.
 func (r *Rule) validateLimits(faults *faultList, countsPerPlan bool) {
 	plans := map[string]bool{}
 	for _, limit := range r.Limits {
--- a/internal/control/countingrule/window.go
+++ b/internal/control/countingrule/window.go
@@ -9,11 +9,11 @@
 // Windows have the same lengths as in the decision module, so that both use the same names at the
 // counter. A test compares the names.
 const (
-	windowRefills = 2.0 // length of a window, in times to refill a whole burst
+	windowRefills = 2.0 // length of a window, as a multiple of the time to refill a whole burst
 	minWindow     = time.Second
 	maxTTL        = 60 * time.Second // longest time for which the counter keeps a name
 	maxWindow     = maxTTL / ttlWindows
-	ttlWindows    = 2 // time for which the counter keeps a name, in windows, up to maxTTL
+	ttlWindows    = 2 // time for which the counter keeps a name, in lengths of a window; at most maxTTL
 )
 
 // Constants of the decision module's hash of customer and window.
