--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -58,8 +58,8 @@
 	c.uncreditedCalls = 0
 }
 
-// flush returns the counter calls for units that are still pending because no later request of
-// their key has sent them.
+// flush returns the counter calls for pending units. Units are pending until a later request of
+// their key sends them, or until flush does.
 func (c *canaryRun) flush(now time.Duration) []canary.Call {
 	if c.shadow == nil {
 		return nil
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// start registers the enforcer with the dispatcher and the node. The dispatcher's requests are
-// assigned by the enforcer from then on.
+// start registers the enforcer with the dispatcher and the node. After that, the dispatcher calls
+// Assign for each request.
 func (e *Enforcer) start(node coordination.Client, dispatcher *dispatch.Dispatcher) error {
 	e.dispatcher = dispatcher
 	e.node = node
@@ -101,7 +101,8 @@
 	e.sendCanaryCalls(e.canary.flush(now))
 }
 
-// logCertainty logs changes between a certain and an uncertain version in force. mu must be held.
+// logCertainty logs when the version in force becomes uncertain, and when it becomes certain again.
+// mu must be held.
 func (e *Enforcer) logCertainty(candidates []uint64) {
 	uncertain := len(candidates) > 1
 	if uncertain == e.loggedUncertain {
@@ -123,9 +124,9 @@
 	e.rules.setConfig(config)
 }
 
-// readTable returns the cached table and whether its lease is valid. A table that was never written
-// has a lease, too. mu must not be held, because the node collects the enforcer's observations
-// under its own lock.
+// readTable returns the cached table and whether its lease is valid. The lease may be valid although
+// no table was ever written: then rule 0 is in force. mu must not be held, because the node collects
+// the enforcer's observations under its own lock.
 func (e *Enforcer) readTable() (cached coordination.CachedTable, leased bool) {
 	cached = e.node.Cached(countingrule.TableName)
 	return cached, e.node.Now() < cached.LeaseEnd
@@ -149,8 +150,8 @@
 	return countingrule.ClientSettings(settings)
 }
 
-// HandleCounterCall counts a call of the decision module to the counter. Each call adds the
-// fraction CanaryConfig.CallsPermille of a call to the canary's budget.
+// HandleCounterCall counts a call of the decision module to the counter. For each such call, the
+// canary may make CanaryConfig.CallsPermille thousandths of a call.
 func (e *Enforcer) HandleCounterCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,29 +172,30 @@
 	}
 	first := e.rules.assign(versions[0], &request)
 	assignment := e.countAssignment(first, &request)
-	others := e.reserve(now, versions[1:], first, &request)
-	if others != nil {
-		assignment.CheckOtherCounts = others.charge
+	reservations := e.reserve(now, versions[1:], first, &request)
+	if reservations != nil {
+		assignment.CheckOtherCounts = reservations.charge
 	}
 	calls, sampled := e.canary.handleRequest(now, &request)
 	e.sendCanaryCalls(calls)
-	if sampled || others != nil {
+	if sampled || reservations != nil {
 		assignment.Completed = func(forwarded bool, units float64) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if sampled {
 				e.canary.recordActual(first.Version, request.Units, forwarded)
 			}
-			if others != nil {
-				others.complete(forwarded, units)
+			if reservations != nil {
+				reservations.complete(forwarded, units)
 			}
 		}
 	}
 	return assignment
 }
 
-// countAssignment returns how the decision module counts a request. The requests of a shared count
-// arrive at all gateways rather than at the customer's own. mu must be held.
+// countAssignment returns how the decision module counts a request. Requests of one customer arrive
+// at request.GatewayCount gateways, but those of a shared count may arrive at all gateways. mu must
+// be held.
 func (e *Enforcer) countAssignment(
 	first countingrule.Assignment, request *dispatch.RequestSpec,
 ) dispatch.CountAssignment {
--- a/internal/control/countingrule/enforce/enforcer_test.go
+++ b/internal/control/countingrule/enforce/enforcer_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// After the switch, the customers of a group share one count and its limit, and a unit counts
-// twice.
+// After the switch, the customers of a group share one count and its limit, and the weight of the
+// class counts each unit as two.
 func TestEnforcer_newRuleCountsAfterTheSwitch(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseScheduled)
@@ -59,8 +59,8 @@
 		}
 	}
 	if _, found := f.counter.total(f.countName(1, 6)); !found || forwarded != 1 {
-		t.Errorf("%d requests forwarded, want 1: the group's burst covers one and a half; counted under its key: %v",
-			forwarded, found)
+		t.Errorf("%d requests forwarded, want 1: the group's burst covers one and a half requests;"+
+			" counted under its key: %v", forwarded, found)
 	}
 }
 
@@ -73,7 +73,7 @@
 	if !f.serveRequest(5) || f.serveRequest(5) || f.serveRequest(5) {
 		t.Error("want only the first of three requests forwarded: the group's count has room for one")
 	}
-	fakes.Eventually(t, "units given back", func() bool { units, _ := f.counter.total(name); return units < 2.5 })
+	fakes.Eventually(t, "returned units", func() bool { units, _ := f.counter.total(name); return units < 2.5 })
 	if units, _ := f.counter.total(name); units < 2 {
 		t.Errorf("the new rule's count is %v, want at least 2 for the forwarded request", units)
 	}
@@ -98,7 +98,8 @@
 	}
 }
 
-// A canary counts under separate names and does not reject requests that the new rule would reject.
+// A canary counts under names of its own and does not reject requests that only the new rule would
+// reject.
 func TestEnforcer_canaryChangesNoRequest(t *testing.T) {
 	f := newStartedFixture(t)
 	table := groupTable(countingrule.PhaseCanary)
--- a/internal/control/countingrule/enforce/reservations.go
+++ b/internal/control/countingrule/enforce/reservations.go
@@ -12,7 +12,8 @@
 // The decision module allows the same time for its own call.
 const timeoutDivisor = 4
 
-// answerTimeout returns how long a request of a class waits for the counts of the other rules.
+// answerTimeout returns how long a request of a class waits for the counts that the decision module
+// does not check.
 func answerTimeout(class *policy.TrafficClass) time.Duration {
 	return class.LatencyObjective / timeoutDivisor
 }
@@ -44,22 +45,22 @@
 type requestReservations struct {
 	counter counterCaller
 	timeout time.Duration       // time that each count has to answer
-	weight  float64             // weight of the decision module's count; actual units are multiplied by it
+	weight  float64             // weight in the decision module's count; the units passed to complete include it
 	done    func(admitted bool) // called with the verdict, see charge
 
 	mu        *sync.Mutex // Enforcer.mu; guards the fields below
 	admission *countingrule.Admission
 	entries   []keyReservation
 	pending   int    // number of counts that have neither answered nor timed out
-	rejected  bool   // at least one of the other counts has rejected the request
+	rejected  bool   // at least one count has rejected the request
 	usage     *usage // nil until the request has its final answer
 }
 
 // keyReservation is a reservation at one key and its state.
 type keyReservation struct {
 	countingrule.Reservation
-	charge   countingrule.ChargeState
-	admitted bool // the count admitted the request
+	chargeState countingrule.ChargeState
+	admitted    bool // the count admitted the request
 }
 
 // newRequestReservations returns r with the given reservations, none of them charged yet.
@@ -87,16 +88,17 @@
 	}
 }
 
-// recordCharge records whether the units were added to the count. After a timeout that is unknown.
+// recordCharge records whether the units were added to the count. The outcome TimedOut leaves that
+// unknown: the connection to the counter ended without an answer.
 func (r *requestReservations) recordCharge(entry *keyReservation, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch outcome {
 	case policy.Answered:
-		entry.charge = countingrule.Charged
+		entry.chargeState = countingrule.Charged
 	case policy.TimedOut:
 	default:
-		entry.charge = countingrule.NotCharged
+		entry.chargeState = countingrule.NotCharged
 	}
 }
 
@@ -138,17 +140,17 @@
 }
 
 // carryOverDeficit adds the previous window's deficit to the reservation's count.
-func (r *requestReservations) carryOverDeficit(to countingrule.Reservation, previous countingrule.Window) {
+func (r *requestReservations) carryOverDeficit(reservation countingrule.Reservation, previous countingrule.Window) {
 	r.counter.CallCounter(previous.Name, 0, previous.TTL, func(count float64, outcome policy.Outcome) {
-		if deficit := to.Deficit(previous, count); outcome == policy.Answered && deficit > 0 {
-			r.addUnits(to, deficit)
+		if deficit := reservation.Deficit(previous, count); outcome == policy.Answered && deficit > 0 {
+			r.addUnits(reservation, deficit)
 		}
 	})
 }
 
 // addUnits adds units to a reservation's count and ignores the answer.
-func (r *requestReservations) addUnits(to countingrule.Reservation, units float64) {
-	r.counter.CallCounter(to.Name, units, to.TTL, func(float64, policy.Outcome) {})
+func (r *requestReservations) addUnits(reservation countingrule.Reservation, units float64) {
+	r.counter.CallCounter(reservation.Name, units, reservation.TTL, func(float64, policy.Outcome) {})
 }
 
 // complete records that the request has its final answer. units are its actual units as weighted by
@@ -171,7 +173,7 @@
 func (r *requestReservations) settle() {
 	for i := range r.entries {
 		entry := &r.entries[i]
-		correction := r.admission.Settle(entry.Reservation, entry.admitted, r.usage.unitsOf(entry), entry.charge)
+		correction := r.admission.Settle(entry.Reservation, entry.admitted, r.usage.unitsOf(entry), entry.chargeState)
 		if correction != 0 {
 			r.addUnits(entry.Reservation, correction)
 		}
--- a/internal/control/countingrule/enforce/rules.go
+++ b/internal/control/countingrule/enforce/rules.go
@@ -35,8 +35,8 @@
 // hasTable reports whether a table was ever received.
 func (r *ruleSet) hasTable() bool { return r.epoch > 0 }
 
-// applyTable applies the cached table if it is newer. It reports whether the settings still lack
-// the plans of a known rule.
+// applyTable applies the cached table if it is newer than the last one. It reports whether the
+// settings still lack the plans of a known rule.
 func (r *ruleSet) applyTable(cached coordination.CachedTable) (plansPending bool) {
 	if cached.Epoch > r.epoch { // another goroutine may have applied a later one
 		r.epoch = cached.Epoch
@@ -49,7 +49,8 @@
 	return !r.plansApplied
 }
 
-// decode replaces the table with an encoded one. If that is malformed, it keeps the previous table.
+// decode decodes value and replaces the table with the result. If value is malformed, it keeps the
+// previous table.
 func (r *ruleSet) decode(value []byte) {
 	table, err := countingrule.Decode(value)
 	if err != nil {
@@ -58,10 +59,9 @@
 	}
 	if table.Phase != r.table.Phase || table.ToVersion != r.table.ToVersion ||
 		table.FromVersion != r.table.FromVersion {
-		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)), zap.Uint64("from",
-			table.FromVersion),
-			zap.Uint64("to", table.ToVersion), zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))),
-			zap.String("reason", table.Reason))
+		r.log.Info("counting: table changed", zap.Uint8("phase", uint8(table.Phase)),
+			zap.Uint64("from", table.FromVersion), zap.Uint64("to", table.ToVersion),
+			zap.Time("switch_at", time.Unix(0, int64(table.SwitchAt))), zap.String("reason", table.Reason))
 	}
 	r.table = table
 }
