--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -62,8 +62,8 @@
 	inFlight uint64 // estimate for attempts in flight
 }
 
-// share is the fraction of a creditor's requests eligible for settlement that prefer a debtor's
-// servers.
+// share says that a fraction of a creditor's requests prefers a debtor's servers. The fraction is of
+// the requests that are eligible for settlement.
 type share struct {
 	creditor, debtor int // partner numbers
 	fraction         float64
@@ -141,7 +141,7 @@
 // LendingZones returns the zones that accept requests for settlement. For each zone index, owners
 // holds the partner number of the zone's owner if the zone accepts such requests, and 0 otherwise.
 // maxFraction is the largest fraction of a creditor's requests that any share sends to a debtor.
-// Owners is nil if no debt is being settled.
+// owners is nil if no debt is being settled.
 func (a *Accounts) LendingZones() (owners []int, maxFraction float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,9 +164,9 @@
 // isSettling reports whether there are shares and they have not expired. The caller must hold mu.
 func (a *Accounts) isSettling() bool { return len(a.shares) > 0 && a.now() < a.sharesUntil }
 
-// AddElectiveServers adds to the selection the servers needed for attempts that settle debts, and
-// marks with their owner the selected servers that such attempts may prefer. If no debt is being
-// settled, it returns the selection unchanged.
+// AddElectiveServers adds the servers needed for attempts that settle debts to the selection. It
+// marks each selected server that such attempts may prefer with the number of its owner. If no debt
+// is being settled, it returns the selection unchanged.
 func (a *Accounts) AddElectiveServers(
 	servers *subset.Subset, now time.Duration, selected []policy.Endpoint, all []subset.Candidate,
 ) []policy.Endpoint {
@@ -196,8 +196,8 @@
 func (a *Accounts) ReportDebts(add func(name string, n uint64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, amount := range a.storedDebts {
-		add(settlement.DebtCountName(amount.LedgerID, amount.Pair), amount.Sum)
+	for _, entry := range a.storedDebts {
+		add(settlement.DebtCountName(entry.LedgerID, entry.Pair), entry.Sum)
 	}
 	if !a.hasWorkingStore() {
 		for pair, b := range a.balances {
--- a/internal/control/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -15,8 +15,8 @@
 // a change of the table.
 const leaseCheckInterval = 200 * time.Millisecond
 
-// ElectiveServersUpdater is implemented by the dispatcher. UpdateElectiveServers selects again the
-// servers for attempts that settle debts, according to the current shares of Accounts.
+// ElectiveServersUpdater is implemented by the dispatcher. UpdateElectiveServers selects the servers
+// for attempts that settle debts again, according to the current shares of Accounts.
 type ElectiveServersUpdater interface{ UpdateElectiveServers() }
 
 // Run applies the replicated table, registers the counters that are reported in digests, and writes
@@ -74,7 +74,7 @@
 }
 
 // readState decodes a new value of the table and logs what is new in it. A value that cannot be
-// decoded counts as empty, so no debt is settled.
+// decoded is treated as an empty state, so that no debt is settled.
 func (f *tableFollower) readState(cached coordination.CachedTable) {
 	state, err := settlement.DecodeState(cached.Value)
 	if err != nil {
@@ -107,17 +107,18 @@
 }
 
 // logForgiveness logs the entries of the forgiveness log that the previous state does not have. It
-// logs none for the first state seen: processes that were running then have logged its entries.
+// logs none for the first state seen: processes that were running when these entries were written
+// have logged them.
 func (f *tableFollower) logForgiveness(state settlement.State) {
 	if !f.hasSeenTable() {
 		return
 	}
-	last := uint64(0)
+	lastNumber := uint64(0)
 	if n := len(f.state.ForgivenessLog); n > 0 {
-		last = f.state.ForgivenessLog[n-1].Number
+		lastNumber = f.state.ForgivenessLog[n-1].Number
 	}
 	for _, e := range state.ForgivenessLog {
-		if e.Number > last {
+		if e.Number > lastNumber {
 			f.log.Info("settlement: debt forgiven for its age", zap.String("debtor", e.Debtor),
 				zap.String("creditor", e.Creditor), zap.Uint64("thousandths", e.Sum),
 				zap.Duration("age", time.Duration(e.Age)*time.Millisecond))
@@ -131,13 +132,13 @@
 	f.accounts.mu.Lock()
 	partners := f.accounts.partners
 	f.accounts.mu.Unlock()
-	known := map[settlement.Pair]bool{}
+	wasListed := map[settlement.Pair]bool{}
 	for _, debt := range f.state.NetDebts {
-		known[debt.Pair] = true
+		wasListed[debt.Pair] = true
 	}
 	for _, debt := range state.NetDebts {
 		isUnknown := partners.PartnerNumber(debt.Debtor) == 0 || partners.PartnerNumber(debt.Creditor) == 0
-		if isUnknown && !known[debt.Pair] {
+		if isUnknown && !wasListed[debt.Pair] {
 			f.log.Warn("settlement: debt with a partner that is not in the file", zap.String("debtor", debt.Debtor),
 				zap.String("creditor", debt.Creditor), zap.Uint64("thousandths", debt.Sum))
 		}
--- a/internal/control/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -20,7 +20,7 @@
 	// process. They survive a crash of the machine only after a later sync, which Write does from
 	// time to time.
 	Write(ledgerID string, balances []StoredBalance) error
-	// Restored returns the ledger that the store held when it was opened. ledgerID is empty if the
+	// InitialState returns the ledger that the store held when it was opened. ledgerID is empty if the
 	// store was new.
 	InitialState() (ledgerID string, balances []StoredBalance)
 }
@@ -52,9 +52,9 @@
 	a.changed <- struct{}{}
 }
 
-// storeLoop writes the balances to the store after each change, at most once per minWriteInterval,
-// and once more when ctx is done. After a write error it stops using the store: the debts in the
-// store are still reported, and later debts are counted in a new ledger.
+// storeLoop writes the balances to the store after each change, at most once per minWriteInterval.
+// When ctx is done, it writes them a last time and returns. After a write error it stops using the
+// store: the debts in the store are still reported, and later debts are counted in a new ledger.
 func (a *Accounts) storeLoop(ctx context.Context, log *zap.Logger) {
 	for {
 		select {
@@ -111,9 +111,9 @@
 func (a *Accounts) splitLedger() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, amount := range a.storedDebts {
-		if b := a.balances[amount.Pair]; b != nil {
-			b.debt -= min(amount.Sum, b.debt)
+	for _, entry := range a.storedDebts {
+		if b := a.balances[entry.Pair]; b != nil {
+			b.debt -= min(entry.Sum, b.debt)
 		}
 	}
 	a.ledgerID = a.initialLedgerID + splitLedgerSuffix
--- a/internal/control/settlement/account/tracker.go
+++ b/internal/control/settlement/account/tracker.go
@@ -27,7 +27,7 @@
 	startedAt        time.Duration
 	latencyObjective time.Duration
 
-	isSettlementEligible bool // idempotent and not a repeat, so its first attempt may settle a debt
+	isSettlementEligible bool // class is idempotent and request is no repeat: its first attempt may settle a debt
 	hasAttempt           bool
 	isLatencyRecorded    bool     // also true if it must not be recorded: for a repeat or a disconnected client
 	chargedBalance       *balance // balance that includes the attempt in flight; nil if it owes no partner
@@ -111,7 +111,8 @@
 	t.accounts.signalChange()
 }
 
-// countFirstAttempt counts the first attempt of an eligible request, in a zone of the owner.
+// countFirstAttempt counts the first attempt of an eligible request. owner is the partner that owns
+// the attempt's zone, or 0.
 func (t *RequestTracker) countFirstAttempt(owner int) {
 	t.addMetric(settlement.MetricIdempotentUnits, t.partner, t.estimatedDebt)
 	t.addMetric(settlement.MetricIdempotentRequests, t.partner, 1)
@@ -124,9 +125,9 @@
 	}
 }
 
-// OnAttemptEnd counts the debt of the latest attempt to the zone's owner and, if the outcome is
-// policy.Answered, the latency of the request. billedUnits is the number of units that the answer
-// states, or 0 if it states none.
+// OnAttemptEnd adds the debt of the latest attempt to the balance with the zone's owner. If the
+// outcome is policy.Answered, it also counts the latency of the request. billedUnits is the number
+// of units that the answer states, or 0 if it states none.
 func (t *RequestTracker) OnAttemptEnd(now time.Duration, outcome policy.Outcome, billedUnits float64) {
 	if t == nil {
 		return
--- a/internal/control/settlement/journal/journal_test.go
+++ b/internal/control/settlement/journal/journal_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Two processes that share a folder would write the same ledger.
+// A folder in use must not be opened again, as two processes would write the same ledger.
 func TestOpen_refusesFolderInUse(t *testing.T) {
 	folder := t.TempDir()
 	j := openJournal(t, folder)
