--- a/internal/control/failover/zonestats/digest.go
+++ b/internal/control/failover/zonestats/digest.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// maxDigestInterval is the maximum time that one digest adds to the counts. The gateway may not
-	// have observed the rest of a longer interval.
+	// maxDigestInterval is the maximum time that one digest adds to the counts. If the interval
+	// between two digests was longer, the gateway may not have observed all of it.
 	maxDigestInterval = 500 * time.Millisecond
 	// pauseThreshold is the time between two digests above which the gateway is assumed to have
 	// been paused. Such an interval is not counted.
 	pauseThreshold = 2 * maxDigestInterval
-	// minSilentInFlight is the minimum number of attempts in flight for a zone that does not react
-	// to count as lost in HealthTimeName. One is enough, as the failover controller compares the
+	// minSilentInFlight is the minimum number of attempts in flight in a zone for its silence to
+	// count as a loss in HealthTimeName. One is enough, as the failover controller compares the
 	// observations of many gateways.
 	minSilentInFlight = 1
 )
--- a/internal/control/failover/zonestats/loss.go
+++ b/internal/control/failover/zonestats/loss.go
@@ -15,7 +15,7 @@
 	ownZoneLooksLost
 )
 
-// ownZoneLoss is the state of a gateway's own zone by the gateway's own observations: the zone
+// ownZoneLoss is the state of a gateway's own zone according to its own observations: the zone
 // serves requests, is suspected to be lost, or is lost. The zero value is a zone that serves.
 type ownZoneLoss struct {
 	suspectedSince time.Duration // time at which the zone began to look lost; 0 if it does not
@@ -61,6 +61,6 @@
 	return ownZoneUnknown
 }
 
-// IsZoneLost reports whether the gateway's own zone is lost by this gateway's own observations, as
-// of the latest call of WriteCounts.
+// IsZoneLost reports whether the gateway's own zone is lost according to its own observations, as of
+// the latest call of WriteCounts.
 func (r *Recorder) IsZoneLost() bool { return r.ownLoss.isLost }
--- a/internal/control/failover/zonestats/names.go
+++ b/internal/control/failover/zonestats/names.go
@@ -113,7 +113,7 @@
 	return observation.JoinName(readyTimePrefix, zone, strconv.Itoa(band))
 }
 
-// ReadyPowerName returns the name of the sum of the ready powers in that band, each multiplied by
+// ReadyPowerName returns the name of the sum of a zone's ready powers in a band, each multiplied by
 // its duration. The unit is one ready and warm server of power 1 times one millisecond.
 func ReadyPowerName(zone string, band int) string {
 	return observation.JoinName(readyPowerPrefix, zone, strconv.Itoa(band))
