--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -13,32 +13,33 @@
 	"harrierhoist/policy"
 )
 
-// Gateway is the configuration of one gateway, as it is read at start and again on SIGHUP.
+// Gateway is the configuration of one gateway. It is read at start and again on SIGHUP.
 type Gateway struct {
 	Name string
 
-	Listen, Discovery, Counter string // host:port; Counter is empty where there is none
+	Listen, Discovery, Counter string // host:port; Counter is empty if there is none
 
-	Seed     int64   // of all that the gateway draws at random
-	Cores    float64 // CPU cores that it may use; 0: not limited
-	MemoryMB int     // megabytes (1<<20 bytes) that it may use; 0: not limited
-	Sockets  int     // file descriptors that it may hold
+	Seed     int64   // seed of all of the gateway's random numbers
+	Cores    float64 // number of CPU cores that the process may use; 0 means no limit
+	MemoryMB int     // memory that the process may use, in units of 1<<20 bytes; 0 means no limit
+	Sockets  int     // number of file descriptors that the process may hold
 
 	Settings        policy.Settings
-	Zones, Hardware []string      // names of zones and of kinds of server; the module knows both by their indexes
-	ConnectTimeout  time.Duration // bounds the setup of a connection to a server or the counter
-	IdleTimeout     time.Duration // servers close connections that are idle for so long
+	Zones, Hardware []string      // names of zones and of server models; policy refers to both by index
+	ConnectTimeout  time.Duration // limit for opening a connection to a server or the counter
+	IdleTimeout     time.Duration // time after which servers close an idle connection
 
-	KnownEndpoints json.RawMessage // the endpoint list of an earlier run, in discovery's form; empty or null: none
+	KnownEndpoints json.RawMessage // endpoint list of an earlier run in discovery's format; may be empty or null
 }
 
-// The form of a seed: 16 hex digits.
+// A seed is written as a 64-bit hexadecimal number.
 const (
 	seedBase = 16
 	seedBits = 64
 )
 
-// Upper bounds of the limits. Greater values are slips, and would stand for all of the machine.
+// Upper bounds of limits.cores and limits.memory_mb. A greater value is assumed to be a typing
+// error: it would be no limit in effect.
 const (
 	maxCores    = 1 << 16
 	maxMemoryMB = 1 << 30
@@ -52,8 +53,8 @@
 	errNoCounter = errors.New("configuration: counter: host:port is wanted where the settings have a counter")
 )
 
-// Read reads a configuration file. An error is one line that names the file, the key and the values
-// allowed there.
+// Read reads and validates the configuration file at path. The text of an error is a single line
+// that names the file and, for a wrong value, its key and the values allowed there.
 func Read(path string) (*Gateway, error) {
 	if path == "" {
 		return nil, errNoPath
@@ -69,17 +70,17 @@
 	return gateway, nil
 }
 
-// RetainRestartOnly takes over from the previous configuration what only a restart can change, and
-// returns the keys of what differed.
+// RetainRestartOnly replaces the values that only a restart can change by those of the previous
+// configuration. It returns the keys whose values differed.
 func (g *Gateway) RetainRestartOnly(previous *Gateway) (keys []string) {
-	retain := func(key string, same bool, restore func()) {
-		if !same {
+	retain := func(key string, unchanged bool, restore func()) {
+		if !unchanged {
 			keys = append(keys, key)
 			restore()
 		}
 	}
 	settings := &g.Settings
-	was := &previous.Settings
+	previousSettings := &previous.Settings
 	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets
 	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
 	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
@@ -91,12 +92,12 @@
 	})
 	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
 		g.Zones = previous.Zones
-		settings.Zones = was.Zones
-		settings.GatewayZone = was.GatewayZone
+		settings.Zones = previousSettings.Zones
+		settings.GatewayZone = previousSettings.GatewayZone
 	})
 	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
-	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, was.LoadReportFields), func() {
-		settings.LoadReportFields = was.LoadReportFields
+	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, previousSettings.LoadReportFields), func() {
+		settings.LoadReportFields = previousSettings.LoadReportFields
 	})
 	retain("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
 		g.ConnectTimeout = previous.ConnectTimeout
@@ -107,8 +108,9 @@
 	return keys
 }
 
-// file is the layout of a configuration file. It is an alias without tags, as a refusal's text
-// prints the type of what cannot be decoded: a name or a tag would change the operators' lines.
+// file is the layout of a configuration file. It is an alias of an unnamed type and has as few tags
+// as possible, because encoding/json prints the type of a value that it cannot decode: a type name
+// or another tag would change the error messages that operators see.
 type file = struct {
 	Name, Listen, Discovery, Counter, Seed string
 
@@ -190,13 +192,13 @@
 	return nil
 }
 
-// readSettings reads what stands under the file's key settings.
+// readSettings reads and validates the object under the file's key "settings".
 func (g *Gateway) readSettings(nested map[string]any) error {
 	values := newValues()
 	values.flatten("", nested)
 	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
-	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minPositive, maxFigure) // bounds a dial
-	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxFigure)
+	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minDurationMs, maxNumber) // dials need a timeout
+	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxNumber)
 	g.Zones = values.List("Dcs")
 	g.Hardware = values.List("Models")
 	g.ConnectTimeout = Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs"))
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -28,10 +28,10 @@
 		want string
 	}{
 		{"missing", func(v *Values) bool { v.Require("A", "D"); return true }, "settings: D is missing"},
-		{"no number", func(v *Values) bool { return v.Number("C") == 0 }, `settings: C is not a number: "x"`},
-		{"no truth value", func(v *Values) bool { return !v.Bool("C") }, `settings: C is neither true nor false: "x"`},
+		{"not a number", func(v *Values) bool { return v.Number("C") == 0 }, `settings: C is not a number: "x"`},
+		{"not a boolean", func(v *Values) bool { return !v.Bool("C") }, `settings: C is neither true nor false: "x"`},
 		{
-			"none of the words", func(v *Values) bool { return v.Enum("C", "z", "y") == 0 },
+			"none of the allowed words", func(v *Values) bool { return v.Enum("C", "z", "y") == 0 },
 			`settings: C is none of z, y: "x"`,
 		},
 	} {
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			if !c.read(values) {
-				t.Error("a malformed value was read")
+				t.Error("the getter did not return zero for a malformed value")
 			}
 			values.Require("other")
 			var setting *SettingError
@@ -67,7 +67,8 @@
 "Effect":"read_like"},{"Name":"hold","AimMs":400,"DeadlineMs":1500,"Effect":"idempotency_key","Group":"cell"}],
 "TiersOfService":[{"Name":"start","UnitsPerS":2.2,"PeakUnits":12}],"SomethingNew":{"Deep":[1,[2]]}}}`
 
-// sampleWith is the sample file with the first of a text replaced, which has to be there.
+// sampleWith returns sampleFile with the first occurrence of old replaced. It fails the test if
+// there is none.
 func sampleWith(t *testing.T, old, replacement string) []byte {
 	t.Helper()
 	if !strings.Contains(sampleFile, old) {
@@ -123,15 +124,15 @@
 	}
 }
 
-// A refusal of a wrong value named the key alone, or not what is allowed there; with several files
-// about, which one was wrong was left to guess.
+// An error that names neither the file nor the allowed values leaves an operator with several
+// configuration files to guess which one is wrong and how.
 func TestRead_refusalNamesFileKeyAndAllowedRange(t *testing.T) {
 	const file = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"SEED",` +
 		`"limits":{"sockets":SOCKETS},"settings":{}}`
 	for _, c := range []struct{ name, sockets, seed, want string }{
 		{"no sockets", "0", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
 		{"sockets below 0", "-3", "00000000000000aa", "limits.sockets: a whole number above 0 is wanted"},
-		{"a seed that is no number", "8", "xyz", "seed: 16 hex digits are wanted"},
+		{"seed that is not a number", "8", "xyz", "seed: 16 hex digits are wanted"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "gateway.json")
@@ -148,8 +149,9 @@
 	}
 }
 
-// A figure out of range was taken as it was, and two traffic classes could have one name.
-func TestParse_figureOutOfRangeIsRefusedWithKeyAndRange(t *testing.T) {
+// Without these checks, a number out of range is used as it is and two traffic classes can have the
+// same name.
+func TestParse_valueOutOfRangeIsRefusedWithKeyAndRange(t *testing.T) {
 	for old, c := range map[string]struct{ bad, want string }{
 		`"Balancers":2`:       {`"Balancers":0`, "Balancers must be from 1 to"},
 		`"Me":1`:              {`"Me":2`, "Me must be from 0 to 1, not 2"},
@@ -181,7 +183,7 @@
 	}
 }
 
-func TestParse_otherAllowedSettingsAreTaken(t *testing.T) {
+func TestParse_otherAllowedSettingsAreAccepted(t *testing.T) {
 	for old, other := range map[string]string{
 		`"known":`:              `"known":null,"Unused":`,
 		`"Deep":[1,[2]]`:        `"Deep":[1,[2]]`,
@@ -207,7 +209,7 @@
 	}
 }
 
-func TestRetainRestartOnly_namesWhatChanged(t *testing.T) {
+func TestRetainRestartOnly_returnsChangedKeys(t *testing.T) {
 	previous, err := parse([]byte(sampleFile))
 	if err != nil {
 		t.Fatal(err)
@@ -221,12 +223,12 @@
 	keys := gateway.RetainRestartOnly(previous)
 	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen ||
 		len(gateway.Hardware) != 1 || gateway.Settings.Plans[0].Rate != 3 {
-		t.Errorf("kept %v, and have %+v", keys, gateway)
+		t.Errorf("got keys %v and configuration %+v", keys, gateway)
 	}
 }
 
-// Settings without a traffic class were found out only after the counter had moved to the address
-// beside them.
+// Settings without a traffic class or plan must be refused before any of the file is applied. Found
+// later, they were refused only after the counter's address from the same file was in use.
 func TestParse_settingsWithoutClassOrPlanAreRefused(t *testing.T) {
 	for _, key := range []string{"RequestClasses", "TiersOfService"} {
 		t.Run(key, func(t *testing.T) {
--- a/internal/gateway/config/full_test.go
+++ b/internal/gateway/config/full_test.go
@@ -7,7 +7,7 @@
 	"harrierhoist/policy"
 )
 
-// fullConfiguration is testdata/full.json, a file with every key, as it has to be read.
+// fullConfiguration returns what Read must return for testdata/full.json, a file with every key.
 func fullConfiguration() *Gateway {
 	return &Gateway{
 		Name:           "n3",
@@ -29,7 +29,7 @@
 	}
 }
 
-// fullSettings are the settings of that file.
+// fullSettings returns the settings of testdata/full.json.
 func fullSettings() policy.Settings {
 	return policy.Settings{
 		Gateways:         4,
--- a/internal/gateway/config/golden_test.go
+++ b/internal/gateway/config/golden_test.go
@@ -21,8 +21,8 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	// No field is left out of the comparison: each has a value other than its zero value (Retired
-	// has no key, and only another class is a stream).
+	// A field that has its zero value in want would not show whether it is read. The exceptions are
+	// Retired, which has no key, and Stream, which only another class of the file sets.
 	for _, part := range []any{*want, want.Settings, want.Settings.Classes[1], want.Settings.Plans[0]} {
 		value := reflect.ValueOf(part)
 		for i := range value.NumField() {
@@ -34,24 +34,24 @@
 	}
 }
 
-// refusals reads testdata/refusals.txt: an edit of full.json and the one line that it is refused
-// with, apart by a tab. An edit is PATH=VALUE (JSON) or -PATH, which removes the key; some are
-// joined by " && ".
-func refusals(t *testing.T) [][2]string {
+// readRefusals reads testdata/refusals.txt. Each line has edits of full.json, a tab and the error
+// text that the edited file is refused with. An edit is PATH=VALUE, where VALUE is JSON, or -PATH,
+// which removes the key; several edits are joined by " && ".
+func readRefusals(t *testing.T) [][2]string {
 	t.Helper()
-	var edits [][2]string
+	var entries [][2]string
 	for line := range strings.Lines(string(golden.Read(t, "refusals.txt"))) {
 		edit, refusal, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if !ok {
 			t.Fatalf("no tab in %q", line)
 		}
-		edits = append(edits, [2]string{edit, refusal})
+		entries = append(entries, [2]string{edit, refusal})
 	}
-	return edits
+	return entries
 }
 
-// edited is full.json after some edits.
-func edited(t *testing.T, edits string) []byte {
+// editFullFile returns testdata/full.json after the edits, written as in testdata/refusals.txt.
+func editFullFile(t *testing.T, edits string) []byte {
 	t.Helper()
 	var root any
 	if err := json.Unmarshal(golden.Read(t, "full.json"), &root); err != nil {
@@ -78,11 +78,11 @@
 			delete(parent.(map[string]any), last)
 			continue
 		}
-		var inner any
-		if err := json.Unmarshal([]byte(value), &inner); err != nil {
+		var decoded any
+		if err := json.Unmarshal([]byte(value), &decoded); err != nil {
 			t.Fatalf("%s: %v", edit, err)
 		}
-		parent.(map[string]any)[last] = inner
+		parent.(map[string]any)[last] = decoded
 	}
 	text, err := json.Marshal(root)
 	if err != nil {
@@ -93,10 +93,10 @@
 
 func TestGolden_everyRefusalOfABadFileIsWordedAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway.json")
-	for _, refusal := range refusals(t) {
+	for _, refusal := range readRefusals(t) {
 		edits, want := refusal[0], refusal[1]
 		t.Run(edits, func(t *testing.T) {
-			if err := os.WriteFile(path, edited(t, edits), 0o600); err != nil {
+			if err := os.WriteFile(path, editFullFile(t, edits), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			_, err := Read(path)
@@ -111,16 +111,16 @@
 	dir := t.TempDir()
 	for _, c := range []struct{ name, path, text, want string }{
 		{"no path", "", "", "no configuration file is named (RELAY_CONFIG)"},
-		{"no file", dir + "/none.json", "", "open DIR/none.json: no such file or directory"},
-		{"a folder", dir, "", "read DIR: is a directory"},
+		{"missing file", dir + "/none.json", "", "open DIR/none.json: no such file or directory"},
+		{"a directory", dir, "", "read DIR: is a directory"},
 		{"empty", dir + "/a.json", " ", "DIR/a.json: configuration: unexpected end of JSON input"},
-		{"cut off", dir + "/a.json", `{"name":"n3",`, "DIR/a.json: configuration: unexpected end of JSON input"},
+		{"truncated file", dir + "/a.json", `{"name":"n3",`, "DIR/a.json: configuration: unexpected end of JSON input"},
 		{
-			"no JSON", dir + "/a.json", "name = n3",
+			"not JSON", dir + "/a.json", "name = n3",
 			"DIR/a.json: configuration: invalid character 'a' in literal null (expecting 'u')",
 		},
 		{
-			"more behind it", dir + "/a.json", "{} {}",
+			"trailing data", dir + "/a.json", "{} {}",
 			"DIR/a.json: configuration: invalid character '{' after top-level value",
 		},
 		{
@@ -151,9 +151,9 @@
 		{"nothing", "", "settings: Balancers is missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			pairs, err := ParseLines(c.text)
+			values, err := ParseLines(c.text)
 			if err == nil {
-				_, err = ReadSettings(pairs)
+				_, err = ReadSettings(values)
 			}
 			if err == nil || err.Error() != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
@@ -162,14 +162,14 @@
 	}
 }
 
-// Keys that nobody asks for are no fault.
+// A file may have keys that this version does not know.
 func TestGolden_unknownKeysAreNotRefused(t *testing.T) {
 	want := fullConfiguration().Settings
 	for _, edits := range []string{
 		"more=7", `settings.More={"Deep":[{"a":1}]}`, "settings.SomethingNew=null",
 		"-settings.SomethingNew",
 	} {
-		got, err := parse(edited(t, edits))
+		got, err := parse(editFullFile(t, edits))
 		if err != nil {
 			t.Errorf("%s: %v", edits, err)
 		} else if !reflect.DeepEqual(got.Settings, want) {
--- a/internal/gateway/config/leak_test.go
+++ b/internal/gateway/config/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package if a test leaves a goroutine behind.
+// TestMain fails the package if goroutines are still running after its tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -8,28 +8,28 @@
 	"harrierhoist/policy"
 )
 
-// Ranges of figures. What lies outside them is a slip.
+// Bounds of numbers in the settings. A number outside them is assumed to be a typing error.
 const (
-	minPositive = 0.001 // of times that must not be 0: a microsecond, in milliseconds
-	maxFigure   = 1e9   // of any figure, in its own unit
+	minDurationMs = 0.001 // minimum of durations that must not be 0; one microsecond
+	maxNumber     = 1e9   // maximum of numbers without a bound of their own, in the setting's unit
 )
 
 const microsecondsPerMillisecond = 1000
 
-// Milliseconds turns milliseconds into a duration, rounded to a microsecond, the settings'
-// resolution.
+// Milliseconds converts a number of milliseconds to a duration. It rounds to a microsecond, the
+// resolution of the settings.
 func Milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*microsecondsPerMillisecond)) * time.Microsecond
 }
 
-// ReadSettings reads the settings of the decision module. An error names the first key that is
-// missing or wrong.
+// ReadSettings returns the settings of package policy. The error is a *SettingError for the first
+// key that is missing or has a wrong value.
 func ReadSettings(values *Values) (policy.Settings, error) {
 	values.Require("Balancers", "Me", "MyZone", "RequestClasses.count", "TiersOfService.count",
 		"Rules.DrainGraceMs", "Rules.ColdFrom", "Rules.WarmAfterMs", "Rules.FallMultiple", "Rules.TipAfterMs",
 		"PolicyLimits.TryLimit")
-	settings := readFigures(values)
-	if err := checkFigures(values, settings.Gateways); err != nil {
+	settings := readGeneral(values)
+	if err := checkGeneral(values, settings.Gateways); err != nil {
 		return settings, err
 	}
 	for i := range values.Int("RequestClasses.count") {
@@ -44,8 +44,8 @@
 	return settings, values.Err()
 }
 
-// readFigures reads all but traffic classes and plans.
-func readFigures(values *Values) policy.Settings {
+// readGeneral reads all settings except traffic classes and plans.
+func readGeneral(values *Values) policy.Settings {
 	return policy.Settings{
 		Gateways:     values.Int("Balancers"),
 		GatewayIndex: values.Int("Me"),
@@ -81,7 +81,8 @@
 	}
 }
 
-func checkFigures(values *Values, gateways int) error {
+// checkGeneral checks the ranges of the numbers that readGeneral reads.
+func checkGeneral(values *Values, gateways int) error {
 	values.RequireRange("Balancers", 1, math.MaxUint16)
 	values.RequireRange("Me", 0, float64(gateways-1))
 	values.RequireRange("PolicyLimits.TryLimit", 1, math.MaxUint16)
@@ -91,13 +92,13 @@
 		"PolicyLimits.MaxRetryAfterMs", "Rules.AnswerSlackMs", "Rules.DrainGraceMs", "Rules.WarmAfterMs",
 		"Rules.FallMultiple", "Rules.MustAskInMs", "Rules.TipAfterMs", "TickMs",
 	} {
-		values.RequireRange(path, 0, maxFigure)
+		values.RequireRange(path, 0, maxNumber)
 	}
 	return values.Err()
 }
 
-// readClass reads the traffic class whose keys begin with a prefix. The words of Effect and Group
-// are in the order of policy's constants.
+// readClass reads the traffic class whose keys begin with prefix. The words of Effect and Group are
+// listed in the order of the constants in package policy.
 func readClass(values *Values, prefix string) policy.TrafficClass {
 	values.Require(prefix+"AimMs", prefix+"DeadlineMs", prefix+"Effect")
 	class := policy.TrafficClass{
@@ -106,11 +107,11 @@
 		LateFraction: values.Number(prefix + "LateShare"), DedupWindow: values.Span(prefix + "WindowMs"),
 		Stream: values.Bool(prefix + "Stream"),
 	}
-	values.RequireRange(prefix+"AimMs", minPositive, maxFigure)
-	values.RequireRange(prefix+"DeadlineMs", minPositive, maxFigure)
-	values.RequireRange(prefix+"Worth", 0, maxFigure)
+	values.RequireRange(prefix+"AimMs", minDurationMs, maxNumber)
+	values.RequireRange(prefix+"DeadlineMs", minDurationMs, maxNumber)
+	values.RequireRange(prefix+"Worth", 0, maxNumber)
 	values.RequireRange(prefix+"LateShare", 0, 1)
-	values.RequireRange(prefix+"WindowMs", 0, maxFigure)
+	values.RequireRange(prefix+"WindowMs", 0, maxNumber)
 	class.Effect = policy.Effect(values.Enum(prefix+"Effect", "read_like", "idempotency_key", "non_idempotent"))
 	if class.Effect == policy.Keyed {
 		class.Group = policy.Group(values.Enum(prefix+"Group", "all", "zone", "cell"))
@@ -118,13 +119,13 @@
 	return class
 }
 
-// readPlan reads the plan whose keys begin with a prefix.
+// readPlan reads the plan whose keys begin with prefix.
 func readPlan(values *Values, prefix string) policy.Plan {
 	for _, key := range []string{
 		"UnitsPerS", "PeakUnits", "Concurrency", "CeilingRate", "CapDepth", "CeilingSlack", "Pays", "BeyondEarns",
 		"OverCost",
 	} {
-		values.RequireRange(prefix+key, 0, maxFigure)
+		values.RequireRange(prefix+key, 0, maxNumber)
 	}
 	return policy.Plan{
 		Name: values.Text(prefix + "Name"),
--- a/internal/gateway/config/values.go
+++ b/internal/gateway/config/values.go
@@ -1,6 +1,6 @@
-// Package config reads the configuration of a gateway. The settings of the decision module come
-// from the simulator as lines of text and from a configuration file as nested JSON; a file also has
-// the addresses and limits of a process.
+// Package config reads the configuration of a gateway. The simulator passes the settings of package
+// policy as lines of text; a configuration file has them as nested JSON. A file also has the
+// addresses and resource limits of a process.
 package config
 
 import (
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// Values are settings by their path, such as "Rules.DrainGraceMs" or "RequestClasses.0.Name".
-// Getters of a value that is malformed return zero, and the first such error stays in Err. Unknown
-// paths are ignored.
+// Values holds settings by path, such as "Rules.DrainGraceMs" or "RequestClasses.0.Name". A getter
+// returns the zero value if the setting is malformed. Err returns the first error that a getter or
+// check found. Unknown paths are ignored. Values is not safe for concurrent use.
 type Values struct {
 	byPath map[string]string
 	err    error
 }
 
-// SettingError is a setting that is missing or has a value that is not allowed.
+// SettingError reports a setting that is missing or has a value that is not allowed.
 type SettingError struct {
 	Path    string
-	Problem string // what is wrong, with what is allowed; it follows the path in a sentence
+	Problem string // predicate of the message, such as "is missing"; the path is its subject
 }
 
-// Error names the path first.
+// Error returns a message of the form "settings: PATH PROBLEM".
 func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
 
-const floatBits = 64 // of the figures of settings
+const floatBits = 64 // precision of numbers in settings
 
 func newValues() *Values { return &Values{byPath: map[string]string{}} }
 
-// ParseLines reads settings written one to a line as PATH=VALUE. Empty lines are skipped.
+// ParseLines parses text with one setting per line, written as PATH=VALUE. It skips empty lines and
+// accepts LF and CRLF line endings. If a path occurs more than once, the last value is used.
 func ParseLines(text string) (*Values, error) {
 	values := newValues()
 	for i, line := range strings.Split(text, "\n") {
@@ -48,29 +49,30 @@
 	return values, nil
 }
 
-// flatten adds nested JSON in the form of lines: plain values by path, plain lists joined by
-// commas, lists of objects by their count and their indexes.
+// flatten adds decoded JSON under path, in the form that ParseLines reads. The path of a nested
+// value is its keys and list indexes joined by dots. The elements of a list that are not objects
+// are joined by commas under the path of the list; its length is added under the key "count".
 func (v *Values) flatten(path string, nested any) {
-	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+	childPath := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch value := nested.(type) {
 	case map[string]any:
 		for key, inner := range value {
-			v.flatten(under(key), inner)
+			v.flatten(childPath(key), inner)
 		}
 	case []any:
-		var plain []string
+		var elements []string
 		for i, inner := range value {
 			if _, isObject := inner.(map[string]any); isObject {
-				v.flatten(under(strconv.Itoa(i)), inner)
+				v.flatten(childPath(strconv.Itoa(i)), inner)
 			} else {
-				plain = append(plain, fmt.Sprint(inner))
+				elements = append(elements, fmt.Sprint(inner))
 			}
 		}
-		v.byPath[under("count")] = strconv.Itoa(len(value))
-		v.byPath[path] = strings.Join(plain, ",")
+		v.byPath[childPath("count")] = strconv.Itoa(len(value))
+		v.byPath[path] = strings.Join(elements, ",")
 	case float64:
 		v.byPath[path] = strconv.FormatFloat(value, 'g', -1, floatBits)
-	case nil: // as if the key were absent
+	case nil: // null is equivalent to an absent key
 	default:
 		v.byPath[path] = fmt.Sprint(value)
 	}
@@ -79,13 +81,14 @@
 // Err returns the first error that a getter or a check found; it is a *SettingError.
 func (v *Values) Err() error { return v.err }
 
+// fail records an error unless one is recorded already.
 func (v *Values) fail(path, problem string) {
 	if v.err == nil {
 		v.err = &SettingError{Path: path, Problem: problem}
 	}
 }
 
-// Require checks that paths have a value.
+// Require checks that each path has a value, which may be empty.
 func (v *Values) Require(paths ...string) {
 	for _, path := range paths {
 		if _, ok := v.byPath[path]; !ok {
@@ -94,16 +97,16 @@
 	}
 }
 
-// RequireRange checks that the number at a path, if there is one, lies from least to most, both
-// included.
-func (v *Values) RequireRange(path string, least, most float64) {
-	if number := v.Number(path); v.Text(path) != "" && (number < least || number > most) {
-		v.fail(path, fmt.Sprintf("must be from %g to %g, not %g", least, most, number))
+// RequireRange checks that the number at path is in the closed interval from minimum to maximum. It
+// accepts a path that has no value.
+func (v *Values) RequireRange(path string, minimum, maximum float64) {
+	if number := v.Number(path); v.Text(path) != "" && (number < minimum || number > maximum) {
+		v.fail(path, fmt.Sprintf("must be from %g to %g, not %g", minimum, maximum, number))
 	}
 }
 
-// requireUnique checks that no two of the first n entries under a path have one name; an empty name
-// is none.
+// requireUnique checks that the first n entries of the list at path have different names. Several
+// entries may have an empty name.
 func (v *Values) requireUnique(path string, n int, name func(int) string) {
 	for i := range n {
 		for k := range i {
@@ -117,30 +120,30 @@
 	}
 }
 
-// Text returns the value at a path as it is written; empty where there is none.
+// Text returns the value at path as text, or "" if there is none.
 func (v *Values) Text(path string) string { return v.byPath[path] }
 
-// Number returns the number at a path; 0 where there is none.
+// Number returns the number at path, or 0 if there is none.
 func (v *Values) Number(path string) float64 {
 	text, ok := v.byPath[path]
 	if !ok || text == "" {
 		return 0
 	}
 	number, err := strconv.ParseFloat(text, floatBits)
-	if err != nil || number != number { // NaN
+	if err != nil || number != number { // only NaN differs from itself
 		v.fail(path, fmt.Sprintf("is not a number: %q", text))
 		return 0
 	}
 	return number
 }
 
-// Int returns the number at a path without its fraction; 0 where there is none.
+// Int returns the number at path truncated to an integer, or 0 if there is none.
 func (v *Values) Int(path string) int { return int(v.Number(path)) }
 
-// Span returns the duration that a path has in milliseconds; 0 where there is none.
+// Span returns the number of milliseconds at path as a duration, or 0 if there is none.
 func (v *Values) Span(path string) time.Duration { return Milliseconds(v.Number(path)) }
 
-// Bool returns the truth value at a path; false where there is none.
+// Bool returns the boolean at path, or false if there is none.
 func (v *Values) Bool(path string) bool {
 	switch text := v.byPath[path]; text {
 	case "true":
@@ -153,7 +156,8 @@
 	}
 }
 
-// Enum returns the index of the value at a path among the allowed words.
+// Enum returns the index in words of the value at path. A value that is not among them is an error,
+// and so is a missing one.
 func (v *Values) Enum(path string, words ...string) int {
 	text := v.byPath[path]
 	for i, word := range words {
@@ -165,7 +169,7 @@
 	return 0
 }
 
-// List returns the values at a path, which are separated by commas; none where it is empty.
+// List returns the comma-separated values at path, or nil if there are none.
 func (v *Values) List(path string) []string {
 	if v.byPath[path] == "" {
 		return nil
