--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -26,32 +26,35 @@
 	"harrierhoist/internal/coordination/node"
 )
 
-// membership is this process's part in coordination; nil where no coordination file is named.
+// membership is this process's participation in coordination. A nil membership is valid and means
+// that no coordination file is named.
 type membership struct {
 	process        *node.Node
-	enforcer       *enforce.Enforcer // nil where counting rules are off
-	account        *account.Accounts // nil where settlement is off
+	enforcer       *enforce.Enforcer // nil if counting rules are off
+	account        *account.Accounts // nil if settlement is off
 	settlementDone <-chan struct{}   // closed once settlement has stored its state
 }
 
-// processStart is when the controllers' clock began, within a few milliseconds: a canary's stages
-// go by the wall clock.
+// processStart is the wall-clock time, to a few milliseconds, at which the controllers' clock
+// started. The canary controller needs it because the stages of a canary follow the wall clock.
 var processStart = time.Now()
 
-// readsPerLease is how many reads the readers of a table make in a lease; see
+// readsPerLease is the number of times per lease that a follower reads a table. It has the value of
 // follower.readsPerLease.
 const readsPerLease = 4
 
-// plannedZones is what failover's plan says of the zones: settlement gives way to it.
+// plannedZones returns the status of the zones that the failover plan needs, or nil if there is no
+// plan. In these zones failover has precedence over settlement.
 func plannedZones(seen coordination.ControllerInput) map[string]settlement.ZoneStatus {
 	plan, err := failover.DecodePlan(seen.Table(failover.TableName).Value)
 	if err != nil || plan == nil {
-		return nil // a plan of another version, or none yet: settlement goes by the zones alone
+		return nil // no plan yet or one of another version: settlement considers the zones alone
 	}
 	return settlement.ZoneStatusFromPlan(plan.Rows, plan.Health)
 }
 
-// joinCoordination starts the process's node as a coordination file says; no path: no node.
+// joinCoordination starts the node that the coordination file at path configures. It returns nil
+// without an error if path is empty.
 func joinCoordination(path string, log *zap.Logger) (*membership, error) {
 	if path == "" {
 		return nil, nil
@@ -63,11 +66,11 @@
 	return &membership{process: process}, nil
 }
 
-// newControllers returns a function that makes the controllers of a configuration, which run where
-// a voter leads. That function is called by one goroutine at a time.
+// newControllers returns a function that creates the controllers for a configuration. They run on
+// the leader. The function must not be called concurrently.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	// One controller serves all configurations while the lease stays the same: a reload does not
+	// The canary controller is reused while the lease stays the same, so that a reload does not
 	// restart a canary.
 	var trial *canary.Controller
 	return func(c *config.Config) (all []coordination.Controller) {
@@ -89,8 +92,8 @@
 	}
 }
 
-// start has the gateway act on the replicated tables until the context ends. An error is a
-// coordination file that does not fit the gateway's configuration.
+// start makes the gateway follow the replicated tables until ctx is done. It returns an error if
+// the coordination file does not match the gateway's configuration or settlement cannot start.
 func (m *membership) start(ctx context.Context, running *instance) error {
 	if m == nil {
 		return nil
@@ -146,7 +149,8 @@
 	return nil
 }
 
-// reload reads the coordination file again, and hands changed terms to the parts that run.
+// reload reads the coordination file again and passes a changed configuration to the running
+// components.
 func (m *membership) reload() {
 	if m == nil || !m.process.Reload() {
 		return
@@ -160,15 +164,15 @@
 	}
 }
 
-// transferLeadership gives the lead to another voter, if this process has it.
+// transferLeadership transfers leadership to another voter if this process is the leader.
 func (m *membership) transferLeadership() {
 	if m != nil {
 		m.process.TransferLeadership()
 	}
 }
 
-// close stops the node, after settlement has stored its state; the context given to start has
-// ended.
+// close waits until settlement has stored its state and then stops the node. The context passed to
+// start must be done.
 func (m *membership) close() {
 	if m == nil {
 		return
@@ -179,7 +183,7 @@
 	m.process.Close()
 }
 
-// runVoter runs a voter without a gateway, until the process is asked to end.
+// runVoter runs a voter without a gateway until the process receives SIGTERM or SIGINT.
 func runVoter(path string, signals *signals) error {
 	configuration, err := config.Read(path)
 	if err != nil {
@@ -192,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // standard error may be one that cannot be synced
+	defer func() { _ = log.Sync() }() // syncing fails where standard error does not support it
 	member, err := joinCoordination(path, log)
 	if err != nil {
 		return err
--- a/internal/gateway/coordination_alone.go
+++ b/internal/gateway/coordination_alone.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap"
 )
 
-// A build with the tag alone has no code of coordination: linked but never used, that code still
-// takes some 5 MB of resident memory and a part of the start (docs/cluster.md, Measured).
+// A build with the tag "alone" excludes the coordination code. Even unused, that code takes about
+// 5 MB of resident memory and lengthens the start (docs/cluster.md, Measured).
 
-// errCoordinationNotBuilt refuses a coordination file in such a build.
+// errCoordinationNotBuilt is returned if a coordination file is named.
 var errCoordinationNotBuilt = errors.New("RELAY_COMMON: this program was built with the tag alone, " +
 	"and takes no part in what is held in common")
 
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// reservedDescriptors are left free: some 16 for listener, log, counter, discovery and the
-	// runtime, and spare ones.
+	// reservedDescriptors is the number of descriptors not available to connections. The listener,
+	// the log, the counter, discovery and the runtime need about 16; the rest is a margin.
 	reservedDescriptors = 24
-	connectionSides     = 2 // clients and servers
+	connectionSides     = 2 // connections to clients, connections to servers
 )
 
-// connectionLimit decides how many connections to clients may be open, and as many to servers: half
-// each of the descriptors, less the reserved ones. Where the system gives fewer than the file says,
-// its figure counts: idle clients could otherwise take the last one, and neither server, counter
-// nor discovery could be called.
+// connectionLimit returns the maximum number of open connections per side, to clients and to
+// servers. It is half of the descriptors that are not reserved, and at least 1. If the system's
+// descriptor limit is lower than the configured one, the lower one applies. Otherwise idle clients
+// could use up all descriptors, and no server, counter or discovery agent could be called.
 func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
 	limit := configuration.Sockets
 	var descriptors unix.Rlimit
-	// The runtime has raised the soft limit to the hard one.
+	// The Go runtime raises the soft limit to the hard limit at startup.
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &descriptors); err == nil && descriptors.Cur < uint64(limit) {
 		limit = int(descriptors.Cur)
 		log.Warn("gateway: fewer descriptors than limits.sockets", zap.Int("sockets", configuration.Sockets),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway runs one gateway process: it builds the gateway from its parts, and handles
-// signals and reconfiguration. The command harrierhoist runs it, and so does the laboratory for
-// gateways of its own. With a coordination file the process also takes part in what processes
-// decide together; with that file alone it is a voter.
+// Package gateway runs one gateway process. It assembles the gateway from its components and
+// handles signals and reloads of the configuration. The command harrierhoist uses it, and so does
+// the laboratory to run gateways of its own. With a coordination file the process also takes part
+// in coordination. With a coordination file only, it is a voter without a gateway.
 package gateway
 
 import (
@@ -18,28 +18,29 @@
 	"harrierhoist/internal/gateway/config"
 )
 
-const megabyte = 1 << 20 // the unit of the memory limit, in bytes
+const megabyte = 1 << 20 // unit of the memory limit, in bytes
 
-// Shares of the memory limit.
+// Divisors of the configured memory limit.
 const (
-	heapDivisor          = 2 // the heap may grow to this part of it before it is collected harder
-	requestMemoryDivisor = 4 // requests and answers in flight may hold this part of it
+	heapDivisor          = 2 // for the soft memory limit, near which the runtime collects garbage more often
+	requestMemoryDivisor = 4 // for the memory that requests and replies in flight may hold
 )
 
-// maxReadyWait bounds the wait for discovery's first list, whatever connect timeout is set: of
-// restarted processes nine in ten have to be ready within 10 s, and one that is paused by the
-// system may lose some of that.
+// maxReadyWait limits the wait for discovery's first endpoint list, even if the connect timeout is
+// longer. Nine in ten restarted processes must be ready within 10 s, and part of that time may be
+// lost while the system pauses a process.
 const maxReadyWait = 3 * time.Second
 
-// Run runs a gateway on the configuration file at a path, until the process is asked to end.
+// Run runs a gateway with the configuration file at path. It returns once the gateway has drained
+// after SIGTERM or SIGINT, or with an error if the gateway could not start or serve.
 func Run(path string) error { return RunWithCoordination(path, "") }
 
-// RunWithCoordination is Run of a process that takes part in coordination as the file at
-// coordinationPath says; empty: it takes no part. Without path it is a voter, which needs no other
-// file.
+// RunWithCoordination is Run for a process that also takes part in coordination, configured by the
+// file at coordinationPath. If coordinationPath is empty, it is equivalent to Run. If only path is
+// empty, the process is a voter without a gateway.
 func RunWithCoordination(path, coordinationPath string) error {
-	// Before anything else: unhandled, either signal would end the program, and reset clients that
-	// have connected by then.
+	// Signals are handled before anything else is done. An unhandled signal would end the process and
+	// reset the connections of clients that had connected by then.
 	signals := notifySignals()
 	defer signals.stop()
 	if path == "" && coordinationPath != "" {
@@ -54,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // standard error may be one that cannot be synced
+	defer func() { _ = log.Sync() }() // syncing fails where standard error does not support it
 	running, err := newInstance(path, configuration, log.With(zap.String("gateway", configuration.Name)))
 	if err != nil {
 		return err
@@ -62,8 +63,9 @@
 	return running.serve(coordinationPath, signals)
 }
 
-// readConfiguration reads the file. It returns neither a configuration nor an error if the process
-// is asked to end first: nobody was served yet, and a disk that hangs must not delay the end.
+// readConfiguration reads the configuration file at path. It returns nil and no error if the
+// process is asked to terminate first: no client has been served yet, and a hanging disk must not
+// delay the exit.
 func readConfiguration(path string, terminate <-chan os.Signal) (*config.Gateway, error) {
 	var configuration *config.Gateway
 	var err error
@@ -80,7 +82,7 @@
 	}
 }
 
-// applyRuntimeLimits has the runtime respect the limits of cores and memory.
+// applyRuntimeLimits configures the Go runtime with the limits of cores and memory.
 func applyRuntimeLimits(configuration *config.Gateway) {
 	if configuration.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(configuration.Cores), 1))
@@ -90,7 +92,7 @@
 	}
 }
 
-// serve serves clients until the process is asked to end and all that was in flight is answered.
+// serve serves clients until the process is asked to terminate and the drain has ended.
 func (i *instance) serve(coordinationPath string, signals *signals) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -105,11 +107,11 @@
 	}
 	member, err := joinCoordination(coordinationPath, i.log)
 	if err != nil {
-		_ = socket.Close() // the error to report is the other one
+		_ = socket.Close() // the caller gets the error that came first
 		return err
 	}
 	defer func() {
-		cancel() // what settlement stores is written once its context has ended
+		cancel() // settlement stores its state once its context is done; close waits for that
 		member.close()
 	}()
 	if err := member.start(ctx, i); err != nil {
@@ -118,7 +120,7 @@
 	}
 	i.startBackground(ctx)
 	terminating := make(chan struct{})
-	go i.becomeReady(i.configuration, terminating) // the configuration of the start: a reload replaces the field
+	go i.becomeReady(i.configuration, terminating) // read the field here: a reload replaces it
 	go i.handleReloads(ctx, signals.reload, member)
 	go func() {
 		<-signals.terminate
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// startBackground starts the parts' own goroutines, which end with the context.
+// startBackground starts the background goroutines of the components. They end when ctx is done.
 func (i *instance) startBackground(ctx context.Context) {
 	go i.dispatcher.RunTimers(ctx)
 	go i.watcher.Run(ctx)
@@ -147,9 +149,9 @@
 	go i.clients.Sweep(ctx)
 }
 
-// becomeReady lets clients in once discovery's first list is applied, or after a while without it:
-// the list of an earlier run serves where discovery does not answer. A gateway that terminates is
-// not announced any more.
+// becomeReady marks the gateway as ready once discovery's first endpoint list is applied or a
+// timeout has passed. After the timeout the gateway uses the endpoint list of an earlier run. A
+// gateway that is asked to terminate first does not become ready.
 func (i *instance) becomeReady(configuration *config.Gateway, terminating <-chan struct{}) {
 	select {
 	case <-i.watcher.FirstListApplied():
@@ -161,7 +163,7 @@
 	i.log.Info("gateway: ready", zap.String("listen", configuration.Listen))
 }
 
-// handleReloads reads the configuration again on each signal, until the context ends.
+// handleReloads reloads the configuration on each signal until ctx is done.
 func (i *instance) handleReloads(ctx context.Context, reload <-chan os.Signal, member *membership) {
 	for {
 		select {
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -16,11 +16,11 @@
 	"harrierhoist/policy"
 )
 
-// instance is the running gateway: its parts, and what a new configuration changes in them.
+// instance is a running gateway with its components. A reload changes their configuration in place.
 type instance struct {
 	configPath    string
-	configuration *config.Gateway                 // in force; read and replaced by handleReloads alone once it runs
-	counter       atomic.Pointer[counter.Counter] // nil until settings with a counter are in force
+	configuration *config.Gateway                 // in force; once handleReloads runs, only it may use this field
+	counter       atomic.Pointer[counter.Counter] // nil until a configuration names a counter
 	dispatcher    *dispatch.Dispatcher
 	watcher       *discovery.Watcher
 	upstreams     *upstream.Pool
@@ -50,7 +50,7 @@
 	return i, nil
 }
 
-// dependencies are the calls that the dispatcher makes into the network.
+// dependencies returns the functions through which the dispatcher uses the network.
 func (i *instance) dependencies() dispatch.Dependencies {
 	return dispatch.Dependencies{
 		IdleTimeout: i.upstreams.IdleTimeout(),
@@ -58,12 +58,13 @@
 			go i.upstreams.CheckHealth(server, done)
 		},
 		Count: func(name uint64, units float64, ttl time.Duration, reply func(float64, policy.Outcome)) {
-			i.counter.Load().Add(name, units, ttl, reply) // settings with a counter come into force once there is one
+			i.counter.Load().Add(name, units, ttl, reply) // not nil: settings that use a counter need its address
 		},
 	}
 }
 
-// setCounterAddress has calls go to the counter that a configuration names, if it names one.
+// setCounterAddress directs later calls to the counter that configuration names. If it names none,
+// the previous counter stays.
 func (i *instance) setCounterAddress(configuration *config.Gateway) {
 	if configuration.Counter == "" {
 		return
@@ -75,9 +76,9 @@
 	}
 }
 
-// reload reads the configuration again and puts it in force: addresses, and all settings but those
-// that only a restart can change, whose keys are logged. One that config.Read refuses leaves the
-// earlier one in force. The counter's address goes first: settings that have a counter need one.
+// reload reads the configuration again and applies it, except for settings that only a restart can
+// change; it logs the keys of those. If config.Read fails, the previous configuration stays in
+// force. The counter's address is applied first because settings with a counter need one.
 func (i *instance) reload() {
 	configuration, err := config.Read(i.configPath)
 	if err != nil {
