--- a/internal/gateway/resp/await_test.go
+++ b/internal/gateway/resp/await_test.go
@@ -13,8 +13,8 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// Await consumes nothing: IsQuiet still sees the message, and closing the connection tells the peer
-// that it was not read.
+// If Await consumed bytes, IsQuiet would miss the message, and closing the connection would not
+// tell the peer that the message was not read.
 func TestAwaitConsumesNoByte(t *testing.T) {
 	c, far := connPair(t)
 	_, _ = io.WriteString(far, "*")
@@ -22,16 +22,16 @@
 		t.Fatal(err)
 	}
 	if c.IsQuiet() {
-		t.Error("a message that has arrived is not seen any more")
+		t.Error("IsQuiet does not report a message that has arrived")
 	}
-	_ = c.Close() // an orderly close: only unread bytes make it a reset
+	_ = c.Close() // an orderly close, which only unread bytes turn into a reset
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the peer sees %v", err)
+		t.Errorf("the peer's read returned %v, want a reset", err)
 	}
 }
 
-// Await fails when the peer closes, at the deadline and when the connection is closed, as a read
-// does.
+// Await returns the errors that a read returns: when the peer closes or resets the connection, at
+// the deadline and when this side closes the connection.
 func TestAwaitFailsAsReadDoes(t *testing.T) {
 	for want, end := range map[error]func(c *Conn, far net.Conn){
 		io.EOF:                 func(_ *Conn, far net.Conn) { _ = far.Close() },
@@ -44,12 +44,12 @@
 		go func() { got <- c.Await() }()
 		end(c, far)
 		if err := <-got; !errors.Is(err, want) {
-			t.Errorf("ended with %v, want %v", err, want)
+			t.Errorf("Await returned %v, want %v", err, want)
 		}
 	}
 }
 
-// Without a descriptor Await has to read a byte; the message contains it all the same.
+// Without a descriptor, Await has to consume a byte. That byte must not be lost to the message.
 func TestAwaitWithoutDescriptor(t *testing.T) {
 	near, far := net.Pipe()
 	c := NewConn(near)
@@ -62,12 +62,12 @@
 	}
 }
 
-// After StopReadAhead the bytes that were read ahead are used up, and no byte behind the last
-// message is read.
-func TestStopReadAheadReadsNothingBehindMessage(t *testing.T) {
+// After StopReadAhead, messages that were read ahead are still returned, and no byte after the last
+// of them is consumed.
+func TestStopReadAheadConsumesNothingAfterMessage(t *testing.T) {
 	c, far := connPair(t)
 	ping := fakes.FormatCommand("PING")
-	many := bufferSize/len(ping) + 8 // a buffer and seven
+	many := bufferSize/len(ping) + 8 // one buffer, rounded up to a message, and seven more
 	_, _ = io.WriteString(far, strings.Repeat(ping, many))
 	_ = far.(*net.TCPConn).CloseWrite()
 	read := 0
@@ -82,15 +82,16 @@
 		read++
 	}
 	if rest, _ := io.ReadAll(c.Conn); read != many-7 || len(rest) != 7*len(ping) {
-		t.Errorf("%d of %d read, %d bytes left", read, many, len(rest))
+		t.Errorf("%d of %d commands read, %d bytes left", read, many, len(rest))
 	}
 }
 
-// The close of the peer is seen behind unread bytes, and none of them is read.
+// AwaitPeerClose detects a close behind unread bytes and consumes none of the bytes. The TCP state
+// after the close depends on whether this side has closed its sending half.
 func TestAwaitPeerCloseBehindUnreadBytes(t *testing.T) {
-	for name, half := range map[string]bool{"first": true, "not first": false} {
+	for name, closeOwnHalf := range map[string]bool{"this side closed": true, "this side open": false} {
 		c, far := connPair(t)
-		if half {
+		if closeOwnHalf {
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 		}
 		_, _ = io.WriteString(far, "x")
--- a/internal/gateway/resp/conn.go
+++ b/internal/gateway/resp/conn.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// halfCloser is a connection whose sending half can be closed on its own.
+// halfCloser is implemented by connections whose sending half can be closed separately.
 type halfCloser interface{ CloseWrite() error }
 
-// Conn is one connection. One goroutine may read from it while another writes to it.
+// Conn is a connection that carries RESP2 messages. One goroutine may read from it while another
+// writes to it.
 type Conn struct {
 	net.Conn
 	rawConn    syscall.RawConn       // nil if the connection has no descriptor
-	readable   func(fd uintptr) bool // isReadable, made once so that waiting does not allocate
-	peekError  error                 // result of the latest wait
+	readable   func(fd uintptr) bool // method value of isReadable, stored so that waiting does not allocate
+	peekError  error                 // error that the latest isReadable found: io.EOF, a system error or nil
 	peekBuffer [1]byte
 	reader     *messageReader // nil while no message is being read
 }
@@ -26,14 +27,16 @@
 	c := &Conn{Conn: conn}
 	c.readable = c.isReadable
 	if sock, ok := conn.(syscall.Conn); ok {
-		c.rawConn, _ = sock.SyscallConn() // fails on a closed connection only, where reading fails as well
+		c.rawConn, _ = sock.SyscallConn() // fails only on a closed connection, where reads fail as well
 	}
 	return c
 }
 
-// Await waits for the next message and takes a reader from the pool when its first byte has
-// arrived. It consumes no byte: until the message is read, IsQuiet reports it, and closing the
-// connection resets it, which tells the peer that it was not read.
+// Await blocks until the next message begins to arrive. It must be called before each message is
+// read. On a connection with a descriptor it consumes no byte. Unless the message was read ahead,
+// IsQuiet returns false until it is read, and closing the connection resets it, which tells the
+// peer that the message was not read. Await returns io.EOF if the peer has closed its sending half,
+// and otherwise fails as a read does.
 func (c *Conn) Await() error {
 	if c.reader == nil {
 		first, err := c.waitReadable()
@@ -49,8 +52,8 @@
 	return nil
 }
 
-// waitReadable waits until a byte can be read. Without a descriptor it has to read that byte, and
-// returns it.
+// waitReadable waits until a byte can be read. On a connection without a descriptor it has to
+// consume that byte and returns it as first.
 func (c *Conn) waitReadable() (first []byte, err error) {
 	if c.rawConn == nil {
 		_, err = io.ReadFull(c.Conn, c.peekBuffer[:])
@@ -63,7 +66,7 @@
 	return nil, c.peekError
 }
 
-// releaseIfDrained returns the reader to the pool, unless it has read ahead into the next message.
+// releaseIfDrained returns the reader to its pool unless it holds bytes of the next message.
 func (c *Conn) releaseIfDrained() {
 	if c.reader != nil && c.reader.R.Buffered() == 0 && len(c.reader.peeked) == 0 {
 		c.releaseReader()
@@ -81,7 +84,8 @@
 	c.reader = nil
 }
 
-// closeReading ends reading for good and returns the error that the caller is to see.
+// closeReading releases the reader after err and returns the error for the caller. That is io.EOF
+// if the connection ended within a message.
 func (c *Conn) closeReading(err error) error {
 	c.releaseReader()
 	if errors.Is(err, io.ErrUnexpectedEOF) {
@@ -90,22 +94,22 @@
 	return err
 }
 
-// StopReadAhead makes the reader consume no byte behind the current message, until the connection
-// is drained.
+// StopReadAhead makes the reader consume no byte after the current message. It has effect until
+// IsDrained returns true. Only the reading goroutine may call it.
 func (c *Conn) StopReadAhead() {
 	if c.reader != nil {
 		c.reader.noReadAhead = true
 	}
 }
 
-// IsDrained reports whether nothing was read ahead of the last message. Only the reading goroutine
+// IsDrained reports whether no byte after the last message was consumed. Only the reading goroutine
 // may call it.
 func (c *Conn) IsDrained() bool { return c.reader == nil }
 
-// CloseAfterError closes the connection after a message that could not be read. Closed while the
-// rest of that message arrives, the connection would be reset, and the peer might never see the
-// answer. So the sending half is closed first, and what arrives is discarded for at most the
-// timeout, and at most for the size of one message.
+// CloseAfterError closes the connection after a message that could not be read. An immediate close
+// while the rest of the message arrives would reset the connection, and the peer might not receive
+// the reply. CloseAfterError therefore closes the sending half first. It then discards incoming
+// bytes until the peer closes, the timeout expires or the size of one message is reached.
 func (c *Conn) CloseAfterError(timeout time.Duration) {
 	if half, ok := c.Conn.(halfCloser); ok && half.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(timeout))
@@ -122,8 +126,8 @@
 	_ = c.Close()
 }
 
-// Reset closes the connection by a TCP reset, which tells the peer that what it sent meanwhile was
-// not read. On an orderly close the system would acknowledge bytes that arrive in that moment, as
+// Reset closes the connection with a TCP reset, which tells the peer that its latest bytes were not
+// read. With an orderly close, the system would acknowledge bytes that arrive during the close as
 // if they had been read.
 func (c *Conn) Reset() {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
@@ -132,5 +136,5 @@
 	_ = c.Close()
 }
 
-// Abort makes pending and later reads and writes fail at once with os.ErrDeadlineExceeded.
+// Abort makes pending and later reads and writes fail immediately with os.ErrDeadlineExceeded.
 func (c *Conn) Abort() { _ = c.SetDeadline(time.Unix(1, 0)) }
--- a/internal/gateway/resp/fuzz_test.go
+++ b/internal/gateway/resp/fuzz_test.go
@@ -9,7 +9,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// readResult is the outcome of reading a message, for comparison.
+// readResult is the comparable result of reading a command or a reply.
 type readResult struct {
 	Words    []string
 	Body     string
@@ -18,7 +18,7 @@
 	Error    string
 }
 
-// record takes over a value, which is nil if there is none.
+// record stores the text of value and frees it. A nil value means that there is none.
 func (r *readResult) record(value *Bulk) {
 	if r.HasValue = value != nil; r.HasValue {
 		r.Body = value.String()
@@ -26,52 +26,52 @@
 	}
 }
 
-// maxWords is how many words a command of the fuzz tests may have besides its value.
+// maxWords is the maximum number of words of a command in the fuzz tests, without its value.
 const maxWords = 4
 
-// readCommands reads commands from data, step bytes at a time, until an error; values are kept if
-// there is memory.
-func readCommands(t *testing.T, data []byte, step int, memory bool) (all []readResult) {
+// readCommands reads commands from data until an error and returns the results. The connection
+// returns at most step bytes per read; 0 means no limit. Values are discarded unless hasMemory.
+func readCommands(t *testing.T, data []byte, step int, hasMemory bool) (all []readResult) {
 	t.Helper()
 	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
 	for {
 		if err := c.Await(); err != nil {
 			return append(all, readResult{Error: err.Error()})
 		}
-		cmd, err := c.ReadCommand(maxWords, func(int) bool { return memory })
+		cmd, err := c.ReadCommand(maxWords, func(int) bool { return hasMemory })
 		if err != nil {
 			if c.reader != nil || cmd != nil {
-				t.Fatalf("a buffer is held after %v", err)
+				t.Fatalf("the reader is not released or a result is returned after error %v", err)
 			}
 			return append(all, readResult{Error: err.Error()})
 		}
-		checkCommand(t, cmd, memory)
+		checkCommand(t, cmd, hasMemory)
 		result := readResult{Words: cmd.Words}
 		result.record(cmd.Body)
 		all = append(all, result)
 	}
 }
 
-// checkCommand checks a command against the limits of the protocol, and that it is passed on
-// unchanged.
-func checkCommand(t *testing.T, cmd *Command, memory bool) {
+// checkCommand checks that cmd respects the limits of the protocol and is unchanged when written
+// and read again.
+func checkCommand(t *testing.T, cmd *Command, hasMemory bool) {
 	t.Helper()
 	hasValue := cmd.Body != nil || cmd.Discarded
-	if n := len(cmd.Words); n < 1 || n > maxWords || hasValue && n != maxWords || cmd.Discarded && memory {
-		t.Fatalf("a command of %d words, with a value: %v, discarded: %v", n, cmd.Body != nil, cmd.Discarded)
+	if n := len(cmd.Words); n < 1 || n > maxWords || hasValue && n != maxWords || cmd.Discarded && hasMemory {
+		t.Fatalf("command has %d words, value: %v, discarded: %v", n, cmd.Body != nil, cmd.Discarded)
 	}
-	if cmd.Body != nil && !memory {
-		t.Fatal("a value is kept without memory for it")
+	if cmd.Body != nil && !hasMemory {
+		t.Fatal("a value was read without memory for it")
 	}
 	if cmd.Body != nil && cmd.Body.size > maxValueSize || slices.ContainsFunc(cmd.Words, isTooLong) {
-		t.Fatal("a word or a value beyond its limit")
+		t.Fatal("a word or a value is longer than its limit")
 	}
 	checkRoundTrip(t, cmd)
 }
 
 func isTooLong(word string) bool { return len(word) > maxWordSize }
 
-// checkRoundTrip checks that a command that is written is read back as it was.
+// checkRoundTrip checks that cmd is equal to the command that is read after cmd is written.
 func checkRoundTrip(t *testing.T, cmd *Command) {
 	t.Helper()
 	out := &fakes.ScriptedConn{}
@@ -90,8 +90,9 @@
 	again.Body.Free()
 }
 
-// Whatever a client sends: no panic, the limits hold, a command passes unchanged, and the result
-// depends neither on how the network splits the bytes nor on whether there is memory for values.
+// No input of a client may cause a panic or a command beyond the limits, and a command must be
+// unchanged when written again. The result must not depend on how the network splits the input.
+// Apart from the values themselves, it must not depend on whether there is memory for them.
 func FuzzReadCommand(f *testing.F) {
 	query := fakes.FormatCommand("SVC.QUERY", "0000000000000005", "9b1f", "c=look,t=open,d=480")
 	for _, text := range []string{
@@ -111,19 +112,20 @@
 	f.Fuzz(func(t *testing.T, data []byte, step uint8) {
 		whole, parts := readCommands(t, data, 0, true), readCommands(t, data, int(step), true)
 		if !reflect.DeepEqual(whole, parts) {
-			t.Fatalf("%d bytes at a time: %+v, at once: %+v", step, parts, whole)
+			t.Fatalf("in reads of up to %d bytes: %+v, in full reads: %+v", step, parts, whole)
 		}
 		discarded := readCommands(t, data, int(step), false)
 		for i := range whole {
 			whole[i].HasValue, whole[i].Body = false, ""
 		}
 		if !reflect.DeepEqual(whole, discarded) {
-			t.Fatalf("with values discarded: %+v, else: %+v", discarded, whole)
+			t.Fatalf("with values discarded: %+v, with values read: %+v", discarded, whole)
 		}
 	})
 }
 
-// readReplies reads replies from data, step bytes at a time, until an error.
+// readReplies reads replies from data until an error and returns the results. The connection
+// returns at most step bytes per read; 0 means no limit.
 func readReplies(t *testing.T, data []byte, step int) (all []readResult) {
 	t.Helper()
 	c := NewConn(&fakes.ScriptedConn{Input: data, MaxRead: step})
@@ -134,7 +136,7 @@
 		reply, err := c.ReadReply()
 		if err != nil {
 			if c.reader != nil || reply != nil {
-				t.Fatalf("a buffer is held after %v", err)
+				t.Fatalf("the reader is not released or a result is returned after error %v", err)
 			}
 			return append(all, readResult{Error: err.Error()})
 		}
@@ -145,26 +147,26 @@
 	}
 }
 
-// checkReply checks a reply against the limits of the protocol.
+// checkReply checks that reply respects the limits of the protocol.
 func checkReply(t *testing.T, reply *Reply) {
 	t.Helper()
 	isLine := strings.IndexByte("+-:", reply.Kind) >= 0
 	isValue := reply.Kind == kindBulk || reply.Kind == kindArray
 	if !isLine && !isValue || isLine && reply.Value != nil || reply.Kind != kindArray && len(reply.Attributes) > 0 {
 		t.Fatalf(
-			"a reply of kind %q with value %v and %d attributes",
+			"reply of kind %q has value: %v, attributes: %d",
 			reply.Kind,
 			reply.Value != nil,
 			len(reply.Attributes),
 		)
 	}
 	if reply.Value != nil && reply.Value.size > maxValueSize || slices.ContainsFunc(reply.Attributes, isTooLong) {
-		t.Fatal("an attribute or a value beyond its limit")
+		t.Fatal("an attribute or a value is longer than its limit")
 	}
 }
 
-// Whatever a server sends: no panic, the limits hold, and the result does not depend on how the
-// network splits the bytes.
+// No input of a server may cause a panic or a reply beyond the limits. The result must not depend
+// on how the network splits the input.
 func FuzzReadReply(f *testing.F) {
 	served := fakes.FormatValue("hello", 3)
 	for _, text := range []string{
@@ -182,7 +184,7 @@
 	f.Fuzz(func(t *testing.T, data []byte, step uint8) {
 		whole, parts := readReplies(t, data, 0), readReplies(t, data, int(step))
 		if !reflect.DeepEqual(whole, parts) {
-			t.Fatalf("%d bytes at a time: %+v, at once: %+v", step, parts, whole)
+			t.Fatalf("in reads of up to %d bytes: %+v, in full reads: %+v", step, parts, whole)
 		}
 	})
 }
--- a/internal/gateway/resp/leak_test.go
+++ b/internal/gateway/resp/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// A test that leaves a goroutine behind fails the package.
+// TestMain fails the package if goroutines are still running after its tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/resp/peerstate.go
+++ b/internal/gateway/resp/peerstate.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerClosedStates are the TCP states (linux/tcp_states.h) in which the peer has closed its sending
-// half or the connection was reset. Bytes that arrived before may still be unread.
+// peerClosedStates lists the TCP states (linux/tcp_states.h) of a connection that was reset or
+// whose peer has closed its sending half. Bytes that arrived before may still be unread.
 var peerClosedStates = []uint8{
 	unix.BPF_TCP_CLOSE,
 	unix.BPF_TCP_CLOSE_WAIT,
@@ -20,12 +20,13 @@
 	unix.BPF_TCP_TIME_WAIT,
 }
 
-// PeerState returns, without waiting, how long ago the latest bytes arrived at this machine, to a
-// few milliseconds, and whether the peer has closed the connection. It sees a close behind unread
-// bytes, but none that waits behind a full receive window. On connections without a TCP state, only
-// reading reports the close.
+// PeerState returns the time since the latest bytes arrived at this machine, to a few milliseconds,
+// and whether the peer has closed its sending half or reset the connection. It does not block. It
+// detects a close behind unread bytes, but not one that is held up by a full receive window. If
+// this side has closed the connection, closed is true. On a connection without a TCP state it
+// returns zero and false; there, only a read detects the close.
 func (c *Conn) PeerState() (age time.Duration, closed bool) {
-	closed = c.rawConn != nil // stays so if this side has closed: then there is no descriptor to ask
+	closed = c.rawConn != nil // stays true if this side has closed and there is no descriptor
 	c.withDescriptor(func(fd int) {
 		closed = false
 		info, err := tcpInfo(fd)
@@ -38,15 +39,15 @@
 	return age, closed
 }
 
-// IsPeerClosed reports, without waiting, whether the peer has closed the connection.
+// IsPeerClosed reports, as PeerState does, whether the peer has closed the connection.
 func (c *Conn) IsPeerClosed() bool {
 	_, closed := c.PeerState()
 	return closed
 }
 
-// AwaitPeerClose waits until the peer has closed or reset the connection, and reads nothing. It
-// returns os.ErrInvalid on a connection without a descriptor, and otherwise fails as a read does,
-// for example at the read deadline.
+// AwaitPeerClose blocks until the peer has closed its sending half or reset the connection. It
+// consumes no bytes. It returns os.ErrInvalid on a connection without a descriptor, and otherwise
+// fails as a read does, for example at the read deadline.
 func (c *Conn) AwaitPeerClose() error {
 	if c.rawConn == nil {
 		return os.ErrInvalid
@@ -56,13 +57,13 @@
 		if err != nil || n == 0 {
 			return !errors.Is(err, unix.EAGAIN)
 		}
-		info, err := tcpInfo(int(fd)) // behind unread bytes, only the state tells
+		info, err := tcpInfo(int(fd)) // behind unread bytes, only the TCP state shows a close
 		return err == nil && slices.Contains(peerClosedStates, info.State)
 	})
 }
 
-// HasUnacknowledged reports whether the peer's system has not yet acknowledged all that was
-// written. A reset would discard it.
+// HasUnacknowledged reports whether written bytes are unsent or not yet acknowledged by the peer's
+// system. A reset would discard them.
 func (c *Conn) HasUnacknowledged() bool {
 	pending := false
 	c.withDescriptor(func(fd int) {
@@ -73,7 +74,8 @@
 	return pending
 }
 
-// IsQuiet reports, without waiting, whether the connection is open and has no unread bytes.
+// IsQuiet reports whether the connection is open and has no unread bytes. It does not block. It
+// returns false on a connection without a descriptor.
 func (c *Conn) IsQuiet() bool {
 	quiet := false
 	c.withDescriptor(func(fd int) {
@@ -83,8 +85,8 @@
 	return quiet
 }
 
-// isReadable reports whether a byte, the end or an error has arrived, and keeps the latter two in
-// peekError.
+// isReadable reports whether a read would return immediately, with a byte, the end of input or an
+// error. It stores io.EOF or the error in peekError.
 func (c *Conn) isReadable(fd uintptr) bool {
 	n, err := peek(int(fd), c.peekBuffer[:])
 	c.peekError = nil
@@ -99,15 +101,17 @@
 	return true
 }
 
-// withDescriptor calls use with the descriptor, if the connection has one and is open.
+// withDescriptor calls use with the connection's descriptor, unless the connection has none or is
+// closed.
 func (c *Conn) withDescriptor(use func(fd int)) {
 	if c.rawConn != nil {
-		// Control fails on a closed connection only, and does not call use then.
+		// Control fails only on a closed connection, and does not call use then.
 		_ = c.rawConn.Control(func(fd uintptr) { use(int(fd)) })
 	}
 }
 
-// peek reads a byte without waiting and without consuming it. No byte and no error means the end.
+// peek reads up to len(first) bytes without blocking and without consuming them. It returns
+// unix.EAGAIN if none has arrived, and 0 without an error at the end of input.
 func peek(fd int, first []byte) (n int, err error) {
 	for {
 		n, _, err = unix.Recvfrom(fd, first, unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/gateway/resp/peerstate_test.go
+++ b/internal/gateway/resp/peerstate_test.go
@@ -18,9 +18,9 @@
 		return age
 	}
 	_, _ = io.WriteString(far, "x")
-	fakes.Eventually(t, "the age", func() bool { return age() >= 50*time.Millisecond })
+	fakes.Eventually(t, "an age of 50 ms", func() bool { return age() >= 50*time.Millisecond })
 	if _, err := c.Read(make([]byte, 1)); err != nil || age() < 50*time.Millisecond {
-		t.Errorf("after the read the age is %v (%v)", age(), err)
+		t.Errorf("after the read the age is %v (read error: %v)", age(), err)
 	}
 }
 
@@ -30,15 +30,15 @@
 		"half closed": func(_ *Conn, far *net.TCPConn) { _ = far.CloseWrite() },
 		"reset":       func(_ *Conn, far *net.TCPConn) { _, _ = far.SetLinger(0), far.Close() },
 		"closed here": func(c *Conn, _ *net.TCPConn) { _ = c.Close() },
-		"closed after this side's half": func(c *Conn, far *net.TCPConn) {
+		"closed after this side's half close": func(c *Conn, far *net.TCPConn) {
 			_, _ = c.Conn.(*net.TCPConn).CloseWrite(), far.Close()
 		},
 	} {
 		c, far := connPair(t)
 		_, _ = io.WriteString(far, strings.Repeat("x", 2*bufferSize))
-		fakes.Eventually(t, "the bytes", func() bool { return !c.IsQuiet() })
+		fakes.Eventually(t, "unread bytes", func() bool { return !c.IsQuiet() })
 		if c.IsPeerClosed() {
-			t.Errorf("%s: reported as closed before", name)
+			t.Errorf("%s: reported as closed before the close", name)
 		}
 		closePeer(c, far.(*net.TCPConn))
 		fakes.Eventually(t, name, c.IsPeerClosed)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A value for which there is no memory is discarded, and the next command is read.
-func TestReadCommandDiscardsValueWithoutCapacity(t *testing.T) {
+// A value that reserve rejects is discarded, and the command after it can be read.
+func TestReadCommandDiscardsValueWithoutMemory(t *testing.T) {
 	for _, size := range []int{0, 1, bufferSize, maxValueSize} {
 		c := connOf(
 			t,
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		if ping, err := c.ReadCommand(4, nil); err != nil || ping.Words[0] != "PING" {
-			t.Fatalf("behind it: got %+v, %v", ping, err)
+			t.Fatalf("next command: got %+v, %v", ping, err)
 		}
 	}
 	for text, malformed := range map[string]bool{"$3\r\nabcd\r\n": true, "$3\r\nab": false, "$65537\r\n": true} {
--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -7,23 +7,25 @@
 	"strconv"
 )
 
-// The kinds of RESP2 values that start with their kind and a number.
+// The type bytes of RESP2 values that begin with a length.
 const (
 	kindArray = '*'
 	kindBulk  = '$'
 )
 
-// Command is an array of words, optionally followed by a value.
+// Command is a client's command: an array of words, optionally followed by a value.
 type Command struct {
 	Words     []string
-	Body      *Bulk // nil if there is none, or if it was discarded
-	Discarded bool  // there was a value, and it was not kept
+	Body      *Bulk // value; nil if there is none or it was discarded
+	Discarded bool  // whether there was a value and it was discarded
 }
 
-// ReadCommand reads a command of at most maxWords words and one value, after Await. Before a value
-// is read, reserve is asked whether there is memory for its size; if not, the value is discarded as
-// it arrives. A nil reserve always allows it. The error is a ProtocolError if the peer violates the
-// protocol; after any error the connection cannot be read any more.
+// ReadCommand reads a command of at most maxWords words and one value. Await must have returned nil
+// before. ReadCommand calls reserve with the size of a value in bytes before it reads the value. If
+// reserve returns false, there is no memory and the value is discarded as it arrives. A nil reserve
+// accepts all values. The error is a ProtocolError if the peer violates the protocol, and io.EOF if
+// the connection ends within the command. After an error nothing more can be read from the
+// connection.
 func (c *Conn) ReadCommand(maxWords int, reserve func(size int) bool) (*Command, error) {
 	length, err := c.readHeader(kindArray)
 	if err != nil {
@@ -42,7 +44,7 @@
 	return cmd, nil
 }
 
-// readElement reads the next word of a command, or its value.
+// readElement reads the next element of a command: a word if isWord, otherwise the value.
 func (c *Conn) readElement(cmd *Command, isWord bool, reserve func(size int) bool) error {
 	size, err := c.readHeader(kindBulk)
 	if err != nil {
@@ -55,7 +57,7 @@
 		word, err := c.readWord(size)
 		cmd.Words = append(cmd.Words, word)
 		return err
-	case reserve == nil || size > maxValueSize || reserve(size): // readBulk refuses one that is too long
+	case reserve == nil || size > maxValueSize || reserve(size): // readBulk rejects a value that is too long
 		cmd.Body, err = c.readBulk(size)
 		return err
 	default:
@@ -64,15 +66,15 @@
 	}
 }
 
-// Reply is a server's reply: a status or error line, or a value with attributes behind it.
+// Reply is a server's reply: a status, error or integer line, or a value with optional attributes.
 type Reply struct {
-	Kind       byte // the first byte of the RESP2 reply
-	Line       string
-	Value      *Bulk    // nil if it is null
-	Attributes []string // an element is empty if it is null
+	Kind       byte     // RESP2 type byte
+	Line       string   // first line of the reply without the type byte
+	Value      *Bulk    // value; nil if it is null or the reply has none
+	Attributes []string // strings that follow the value in an array; "" for null
 }
 
-// ReadReply reads a reply, after Await. Its errors are those of ReadCommand.
+// ReadReply reads a reply. Await must have returned nil before. It fails as ReadCommand does.
 func (c *Conn) ReadReply() (*Reply, error) {
 	r, err := c.readReply()
 	if err != nil {
@@ -107,7 +109,7 @@
 	}
 }
 
-// readReplyArray reads a value and the attributes behind it; the header of the array is in r.Line.
+// readReplyArray reads the value and the attributes of an array whose length is in r.Line.
 func (c *Conn) readReplyArray(r *Reply) error {
 	length, err := parseLength(r.Line)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// readReplyValue reads the value of a reply; a negative size means null.
+// readReplyValue reads the value of a reply. A negative size means null.
 func (c *Conn) readReplyValue(r *Reply, size int) (err error) {
 	if size >= 0 {
 		r.Value, err = c.readBulk(size)
@@ -141,7 +143,7 @@
 	return err
 }
 
-// readAttribute reads a word, which is empty if it is null.
+// readAttribute reads an attribute. It returns "" for null.
 func (c *Conn) readAttribute() (string, error) {
 	size, err := c.readHeader(kindBulk)
 	if err != nil || size < 0 {
@@ -150,7 +152,8 @@
 	return c.readWord(size)
 }
 
-// readHeader reads a line that consists of a kind and a length; -1 means null.
+// readHeader reads a line of a type byte, which must be kind, and a length. It returns the length;
+// -1 means null.
 func (c *Conn) readHeader(kind byte) (int, error) {
 	line, err := c.reader.ReadLineBytes()
 	if err != nil {
@@ -162,7 +165,7 @@
 	return parseLength(string(line[1:]))
 }
 
-// parseLength parses a length. Only its shortest decimal form is allowed.
+// parseLength parses a length in its shortest decimal form. -1 is the only negative length.
 func parseLength(text string) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil || n < -1 || strconv.Itoa(n) != text {
@@ -182,7 +185,7 @@
 	return string(word[:size]), checkTerminator(word[size:])
 }
 
-// readBulk reads a value. On an error its buffers are back in the pool.
+// readBulk reads a value of size bytes. On an error it returns the value's buffers to the pool.
 func (c *Conn) readBulk(size int) (*Bulk, error) {
 	if size > maxValueSize {
 		return nil, ProtocolError("value too long")
@@ -204,7 +207,7 @@
 	return b, nil
 }
 
-// discard reads a value and keeps nothing of it.
+// discard reads a value of size bytes and drops it.
 func (c *Conn) discard(size int) error {
 	if _, err := c.reader.R.Discard(size); err != nil {
 		return err
--- a/internal/gateway/resp/resp.go
+++ b/internal/gateway/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp reads and writes RESP2 messages on net/textproto over net. Listener and upstream,
-// and the laboratory's servers and clients, speak it. A connection holds a buffer only from the
-// first byte of a message to its last: a connection that waits holds none.
+// Package resp reads and writes RESP2 messages on network connections. It is based on net/textproto
+// and is used by listener, by upstream and by the laboratory's servers and clients. A connection
+// holds a buffer only from the first byte of a message to its last. An idle connection holds none.
 package resp
 
 import (
@@ -12,28 +12,28 @@
 
 // Sizes in bytes.
 const (
-	bufferSize     = 4 << 10  // the one size of pooled buffers: most messages fit
-	maxValueSize   = 64 << 10 // the largest value that the protocol allows
-	maxWordSize    = 1 << 10  // the longest word that is not a value
+	bufferSize     = 4 << 10  // size of all pooled buffers; most messages fit into one
+	maxValueSize   = 64 << 10 // longest value that the protocol allows
+	maxWordSize    = 1 << 10  // longest word of a command and longest attribute of a reply
 	maxMessageSize = maxValueSize + 4*maxWordSize
 )
 
-// terminator ends lines and values.
+// terminator follows each line and each value.
 const terminator = "\r\n"
 
-// A ProtocolError says how a message of the peer violates the protocol. Nothing more can be read
-// from that connection.
+// ProtocolError describes how a message of the peer violates the protocol. Nothing more can be read
+// from the connection.
 type ProtocolError string
 
 func (e ProtocolError) Error() string { return string(e) }
 
-// pool holds values that are free for reuse.
+// pool is a typed sync.Pool.
 type pool[T any] struct {
 	free   sync.Pool
 	create func() T
 }
 
-// get returns a free value, or a new one.
+// get returns a pooled value, or a new one if the pool is empty.
 func (p *pool[T]) get() T {
 	if value, ok := p.free.Get().(T); ok {
 		return value
@@ -41,58 +41,58 @@
 	return p.create()
 }
 
-// put frees a value.
+// put returns a value to the pool. The caller must not use it any more.
 func (p *pool[T]) put(value T) { p.free.Put(value) }
 
-// The pools. Readers and writers hold one buffer of bufferSize each.
+// Each pooled reader and writer has one buffer of bufferSize.
 var (
 	readerPool = pool[*messageReader]{create: newMessageReader}
 	writerPool = pool[*bufio.Writer]{create: func() *bufio.Writer { return bufio.NewWriterSize(nil, bufferSize) }}
 	bufferPool = pool[*[bufferSize]byte]{create: func() *[bufferSize]byte { return new([bufferSize]byte) }}
 )
 
-// messageReader is a textproto.Reader together with its source: the byte that waiting had to
-// consume, if any, then the connection, limited to the size of one message. The limit bounds lines
-// that never end.
+// messageReader is a textproto.Reader together with its source. The source is the byte that
+// waitReadable consumed, if any, and then the connection. It is limited to the size of one message,
+// so that a line without end cannot use unlimited memory.
 type messageReader struct {
 	*textproto.Reader
 	conn        net.Conn
-	peeked      []byte
-	remaining   int  // bytes that the message may still have
-	noReadAhead bool // read byte by byte, so that nothing behind the message is consumed
+	peeked      []byte // byte that waitReadable consumed; empty if there is none
+	remaining   int    // number of bytes that may still be read from conn for this message
+	noReadAhead bool   // whether to read single bytes, so that none after the message is consumed
 }
 
 func newMessageReader() *messageReader {
-	in := &messageReader{}
-	in.Reader = textproto.NewReader(bufio.NewReaderSize(in, bufferSize))
-	return in
+	r := &messageReader{}
+	r.Reader = textproto.NewReader(bufio.NewReaderSize(r, bufferSize))
+	return r
 }
 
-// Read feeds the buffered reader.
-func (in *messageReader) Read(p []byte) (int, error) {
-	if len(in.peeked) > 0 {
-		n := copy(p, in.peeked)
-		in.peeked = in.peeked[n:]
+// Read implements io.Reader for the buffered reader.
+func (r *messageReader) Read(p []byte) (int, error) {
+	if len(r.peeked) > 0 {
+		n := copy(p, r.peeked)
+		r.peeked = r.peeked[n:]
 		return n, nil
 	}
-	if in.remaining <= 0 {
+	if r.remaining <= 0 {
 		return 0, ProtocolError("message too long")
 	}
-	if in.noReadAhead {
+	if r.noReadAhead {
 		p = p[:1]
 	}
-	n, err := in.conn.Read(p[:min(len(p), in.remaining)])
-	in.remaining -= n
+	n, err := r.conn.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
-// Bulk is a value, held in pooled buffers.
+// Bulk is a value in pooled buffers. Its owner must call Free once the value is no longer used.
 type Bulk struct {
 	parts []*[bufferSize]byte
-	size  int
+	size  int // length of the value in bytes
 }
 
-// Free returns the buffers to the pool. Freeing a nil value does nothing.
+// Free returns the buffers to the pool and empties the value. On a nil Bulk it does nothing.
 func (b *Bulk) Free() {
 	if b == nil {
 		return
@@ -104,7 +104,7 @@
 	b.size = 0
 }
 
-// String returns the value as text.
+// String returns a copy of the value.
 func (b *Bulk) String() string {
 	text := make([]byte, 0, b.size)
 	for _, part := range b.parts {
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -11,7 +11,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// connPair returns a connection and its other end.
+// connPair returns a connection and the peer's end of it.
 func connPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	near, far := fakes.ConnPair(t)
@@ -45,7 +45,7 @@
 		}
 		ping, err := c.ReadCommand(4, nil)
 		if err != nil || ping.Words[0] != "PING" || ping.Body != nil {
-			t.Fatalf("behind it: got %+v, %v", ping, err)
+			t.Fatalf("next command: got %+v, %v", ping, err)
 		}
 		out, far := connPair(t)
 		go func() { _, _ = out.WriteCommand(cmd), out.Close() }()
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestReadCommandTellsMalformedFromDisconnected(t *testing.T) {
+func TestReadCommandDistinguishesMalformedFromDisconnected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text      string
 		malformed bool
@@ -63,16 +63,16 @@
 		"inline":           {"PING\r\n", true},
 		"no words":         {"*0\r\n", true},
 		"too many words":   {"*7\r\n", true},
-		"no number":        {"*x\r\n", true},
+		"not a number":     {"*x\r\n", true},
 		"huge number":      {"*99999999999999999999\r\n", true},
-		"odd number":       {"*1\r\n$+4\r\nPING\r\n", true},
+		"number with sign": {"*1\r\n$+4\r\nPING\r\n", true},
 		"negative number":  {"*1\r\n$-4\r\nPING\r\n", true},
 		"null word":        {"*1\r\n$-1\r\n", true},
 		"long word":        {"*1\r\n$2000\r\n", true},
 		"long value":       {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$65537\r\n", true},
-		"no end":           {"*1\r\n$4\r\nPINGxx", true},
+		"no terminator":    {"*1\r\n$4\r\nPINGxx", true},
 		"line without end": {strings.Repeat("*", 200<<10), true},
-		"cut off":          {"*1\r\n$4\r\nPI", false},
+		"cut in a word":    {"*1\r\n$4\r\nPI", false},
 		"cut in a value":   {"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$9000\r\nxx", false},
 	} {
 		_, err := connOf(t, c.text).ReadCommand(4, nil)
@@ -112,12 +112,12 @@
 	}
 	for _, text := range []string{"\r\n", "?x\r\n", "*0\r\n", "*1\r\n+x\r\n", "$70000\r\n", "*2\r\n$1\r\na\r\n"} {
 		if got, err := connOf(t, text).ReadReply(); err == nil {
-			t.Errorf("%q is read as %+v", text, got)
+			t.Errorf("%q: got %+v, want an error", text, got)
 		}
 	}
 }
 
-func TestAwaitHoldsNoBuffer(t *testing.T) {
+func TestDrainedConnHoldsNoReader(t *testing.T) {
 	c := connOf(t, fakes.FormatCommand("PING")+fakes.FormatCommand("PING"))
 	for i := range 2 {
 		if err := c.Await(); err != nil {
@@ -127,16 +127,16 @@
 			t.Fatal(err)
 		}
 		if i == 1 && c.reader != nil {
-			t.Error("a reader is held with nothing left to read")
+			t.Error("the reader is not released after the last message")
 		}
 	}
 }
 
-func TestResetReportsNothingRead(t *testing.T) {
+func TestResetSendsTCPReset(t *testing.T) {
 	c, far := connPair(t)
 	c.Reset()
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the other side sees %v", err)
+		t.Errorf("the peer's read returned %v, want a reset", err)
 	}
 }
 
@@ -149,5 +149,5 @@
 	fakes.Eventually(t, "bytes", func() bool { return !c.IsQuiet() })
 	c, far = connPair(t)
 	_ = far.Close()
-	fakes.Eventually(t, "the end", func() bool { return !c.IsQuiet() })
+	fakes.Eventually(t, "the end of input", func() bool { return !c.IsQuiet() })
 }
--- a/internal/gateway/resp/write.go
+++ b/internal/gateway/resp/write.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-const decimal = 10 // the base in which lengths are written
+const decimal = 10 // number base of lengths
 
-// WriteCommand writes a command, in one system call if it fits a buffer. An error means that its
-// last byte was not written.
+// WriteCommand writes a command, in a single system call if it fits into one buffer. An error means
+// that the last byte of the command was not written.
 func (c *Conn) WriteCommand(cmd *Command) error {
 	return c.write(func(w *bufio.Writer) {
 		n := len(cmd.Words)
@@ -27,7 +27,7 @@
 	})
 }
 
-// WriteLine writes a status or error line; its first byte is its kind.
+// WriteLine writes a status or error line. The first byte of line is the type byte.
 func (c *Conn) WriteLine(line string) error {
 	return c.write(func(w *bufio.Writer) {
 		_, _ = w.WriteString(line)
@@ -40,8 +40,8 @@
 	return c.write(func(w *bufio.Writer) { writeBulk(w, b) })
 }
 
-// write passes a pooled writer to fill and flushes it. The writer keeps its first error, which the
-// flush returns.
+// write calls fill with a pooled writer and flushes the writer. Flush returns the first error of
+// the writer, so fill need not check for errors.
 func (c *Conn) write(fill func(*bufio.Writer)) error {
 	w := writerPool.get()
 	w.Reset(c.Conn)
