--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -70,8 +70,8 @@
 	return gateway, nil
 }
 
-// RetainRestartOnly replaces the values that only a restart can change by those of the previous
-// configuration. It returns the keys whose values differed.
+// RetainRestartOnly copies the values that only a restart can change from the previous
+// configuration to g. It returns the keys whose values differed.
 func (g *Gateway) RetainRestartOnly(previous *Gateway) (keys []string) {
 	retain := func(key string, unchanged bool, restore func()) {
 		if !unchanged {
@@ -80,7 +80,7 @@
 		}
 	}
 	settings := &g.Settings
-	previousSettings := &previous.Settings
+	oldSettings := &previous.Settings
 	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets
 	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
 	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
@@ -92,12 +92,12 @@
 	})
 	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
 		g.Zones = previous.Zones
-		settings.Zones = previousSettings.Zones
-		settings.GatewayZone = previousSettings.GatewayZone
+		settings.Zones = oldSettings.Zones
+		settings.GatewayZone = oldSettings.GatewayZone
 	})
 	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
-	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, previousSettings.LoadReportFields), func() {
-		settings.LoadReportFields = previousSettings.LoadReportFields
+	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, oldSettings.LoadReportFields), func() {
+		settings.LoadReportFields = oldSettings.LoadReportFields
 	})
 	retain("settings.PolicyLimits.ConnectTimeoutMs", g.ConnectTimeout == previous.ConnectTimeout, func() {
 		g.ConnectTimeout = previous.ConnectTimeout
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -29,26 +29,26 @@
 // membership is this process's participation in coordination. A nil membership is valid and means
 // that no coordination file is named.
 type membership struct {
-	process        *node.Node
+	localNode      *node.Node
 	enforcer       *enforce.Enforcer // nil if counting rules are off
-	account        *account.Accounts // nil if settlement is off
+	accounts       *account.Accounts // nil if settlement is off
 	settlementDone <-chan struct{}   // closed once settlement has stored its state
 }
 
-// processStart is the wall-clock time, to a few milliseconds, at which the controllers' clock
-// started. The canary controller needs it because the stages of a canary follow the wall clock.
+// processStart is the wall-clock time at which the controllers' clock started, to a few
+// milliseconds. The canary controller needs it because canary stages follow the wall clock.
 var processStart = time.Now()
 
-// readsPerLease is the number of times per lease that a follower reads a table. It has the value of
+// readsPerLease is the number of reads that a follower of a table makes per lease; see
 // follower.readsPerLease.
 const readsPerLease = 4
 
-// plannedZones returns the status of the zones that the failover plan needs, or nil if there is no
-// plan. In these zones failover has precedence over settlement.
-func plannedZones(seen coordination.ControllerInput) map[string]settlement.ZoneStatus {
-	plan, err := failover.DecodePlan(seen.Table(failover.TableName).Value)
+// zoneStatusFromPlan returns the status of the zones that the failover plan needs, or nil if there
+// is no plan. In these zones failover has precedence over settlement.
+func zoneStatusFromPlan(input coordination.ControllerInput) map[string]settlement.ZoneStatus {
+	plan, err := failover.DecodePlan(input.Table(failover.TableName).Value)
 	if err != nil || plan == nil {
-		return nil // no plan yet or one of another version: settlement considers the zones alone
+		return nil // no plan yet or one of another version: settlement treats all zones as healthy
 	}
 	return settlement.ZoneStatusFromPlan(plan.Rows, plan.Health)
 }
@@ -59,20 +59,20 @@
 	if path == "" {
 		return nil, nil
 	}
-	process, err := node.Open(path, newControllers(), log)
+	localNode, err := node.Open(path, newControllers(), log)
 	if err != nil {
 		return nil, err
 	}
-	return &membership{process: process}, nil
+	return &membership{localNode: localNode}, nil
 }
 
-// newControllers returns a function that creates the controllers for a configuration. They run on
-// the leader. The function must not be called concurrently.
+// newControllers returns a function that creates the controllers for a configuration. They run
+// where a voter is the leader. The returned function must not be called concurrently.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
 	// The canary controller is reused while the lease stays the same, so that a reload does not
 	// restart a canary.
-	var trial *canary.Controller
+	var controller *canary.Controller
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
 		if c.FailoverEnabled() {
@@ -80,13 +80,13 @@
 		}
 		if c.Counting != nil {
 			rules.Store(c.Counting)
-			if trial == nil || trial.Lease != lease {
-				trial = canary.New(rules.Load, lease, lease/readsPerLease, time.Duration(processStart.UnixNano()))
+			if controller == nil || controller.Lease != lease {
+				controller = canary.New(rules.Load, lease, lease/readsPerLease, time.Duration(processStart.UnixNano()))
 			}
-			all = append(all, trial)
+			all = append(all, controller)
 		}
 		if c.SettlementEnabled() {
-			all = append(all, settlement.NewController(*c.Settlement, plannedZones))
+			all = append(all, settlement.NewController(*c.Settlement, zoneStatusFromPlan))
 		}
 		return all
 	}
@@ -94,54 +94,54 @@
 
 // start makes the gateway follow the replicated tables until ctx is done. It returns an error if
 // the coordination file does not match the gateway's configuration or settlement cannot start.
-func (m *membership) start(ctx context.Context, running *instance) error {
+func (m *membership) start(ctx context.Context, gateway *instance) error {
 	if m == nil {
 		return nil
 	}
-	terms := m.process.Config()
-	if terms.FailoverEnabled() {
-		if err := m.startFailover(ctx, running, terms.Process.Zone); err != nil {
+	configuration := m.localNode.Config()
+	if configuration.FailoverEnabled() {
+		if err := m.startFailover(ctx, gateway, configuration.Process.Zone); err != nil {
 			return err
 		}
 	}
-	if terms.Counting != nil {
-		m.startEnforcer(ctx, running, terms.Counting)
+	if configuration.Counting != nil {
+		m.startEnforcer(ctx, gateway, configuration.Counting)
 	}
-	if terms.SettlementEnabled() {
-		return m.startSettlement(ctx, running, terms)
+	if configuration.SettlementEnabled() {
+		return m.startSettlement(ctx, gateway, configuration)
 	}
 	return nil
 }
 
-func (m *membership) startFailover(ctx context.Context, running *instance, zone string) error {
-	zones := running.configuration.Zones
+func (m *membership) startFailover(ctx context.Context, gateway *instance, zone string) error {
+	zones := gateway.configuration.Zones
 	if !slices.Contains(zones, zone) {
 		return fmt.Errorf("RELAY_COMMON: process.hall must be one of settings.Dcs of RELAY_CONFIG, %q, where "+
 			"failover is on, not %q", zones, zone)
 	}
-	running.dispatcher.SetRecorder(zonestats.New(zones, slices.Index(zones, zone), &running.configuration.Settings))
-	go routing.New(m.process.Client(), running.dispatcher, zones, zone, running.log).Run(ctx)
+	gateway.dispatcher.SetRecorder(zonestats.New(zones, slices.Index(zones, zone), &gateway.configuration.Settings))
+	go routing.New(m.localNode.Client(), gateway.dispatcher, zones, zone, gateway.log).Run(ctx)
 	return nil
 }
 
-func (m *membership) startEnforcer(ctx context.Context, running *instance, rules *countingrule.Config) {
-	client := m.process.Client()
-	m.enforcer = enforce.New(rules, running.log)
+func (m *membership) startEnforcer(ctx context.Context, gateway *instance, rules *countingrule.Config) {
+	client := m.localNode.Client()
+	m.enforcer = enforce.New(rules, gateway.log)
 	go func() {
-		if err := m.enforcer.Run(ctx, client, running.dispatcher); err != nil {
-			running.log.Error("enforce: counting rules off, requests count under their customer", zap.Error(err))
+		if err := m.enforcer.Run(ctx, client, gateway.dispatcher); err != nil {
+			gateway.log.Error("enforce: counting rules off, requests count under their customer", zap.Error(err))
 		}
 	}()
 }
 
-func (m *membership) startSettlement(ctx context.Context, running *instance, terms *config.Config) error {
+func (m *membership) startSettlement(ctx context.Context, gateway *instance, configuration *config.Config) error {
 	var err error
-	parts := runtime.Config{
-		Terms: *terms.Settlement, Settings: running.configuration.Settings, Zones: running.configuration.Zones,
-		Seed: running.configuration.Seed, Folder: terms.Process.Folder,
+	runtimeConfig := runtime.Config{
+		Terms: *configuration.Settlement, Settings: gateway.configuration.Settings, Zones: gateway.configuration.Zones,
+		Seed: gateway.configuration.Seed, Folder: configuration.Process.Folder,
 	}
-	m.account, m.settlementDone, err = runtime.Start(ctx, parts, runtime.Dependencies{
-		Client: m.process.Client(), Dispatcher: running.dispatcher, Log: running.log,
+	m.accounts, m.settlementDone, err = runtime.Start(ctx, runtimeConfig, runtime.Dependencies{
+		Client: m.localNode.Client(), Dispatcher: gateway.dispatcher, Log: gateway.log,
 	})
 	if err != nil {
 		return fmt.Errorf("RELAY_COMMON: process.disk: %w", err)
@@ -152,22 +152,22 @@
 // reload reads the coordination file again and passes a changed configuration to the running
 // components.
 func (m *membership) reload() {
-	if m == nil || !m.process.Reload() {
+	if m == nil || !m.localNode.Reload() {
 		return
 	}
-	terms := m.process.Config()
+	configuration := m.localNode.Config()
 	if m.enforcer != nil {
-		m.enforcer.Reconfigure(terms.Counting)
+		m.enforcer.Reconfigure(configuration.Counting)
 	}
-	if m.account != nil && terms.Settlement != nil {
-		m.account.SetTerms(*terms.Settlement)
+	if m.accounts != nil && configuration.Settlement != nil {
+		m.accounts.SetTerms(*configuration.Settlement)
 	}
 }
 
 // transferLeadership transfers leadership to another voter if this process is the leader.
 func (m *membership) transferLeadership() {
 	if m != nil {
-		m.process.TransferLeadership()
+		m.localNode.TransferLeadership()
 	}
 }
 
@@ -180,7 +180,7 @@
 	if m.settlementDone != nil {
 		<-m.settlementDone
 	}
-	m.process.Close()
+	m.localNode.Close()
 }
 
 // runVoter runs a voter without a gateway until the process receives SIGTERM or SIGINT.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,11 +56,11 @@
 		return err
 	}
 	defer func() { _ = log.Sync() }() // syncing fails where standard error does not support it
-	running, err := newInstance(path, configuration, log.With(zap.String("gateway", configuration.Name)))
+	gateway, err := newInstance(path, configuration, log.With(zap.String("gateway", configuration.Name)))
 	if err != nil {
 		return err
 	}
-	return running.serve(coordinationPath, signals)
+	return gateway.serve(coordinationPath, signals)
 }
 
 // readConfiguration reads the configuration file at path. It returns nil and no error if the
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -77,8 +77,8 @@
 }
 
 // reload reads the configuration again and applies it, except for settings that only a restart can
-// change; it logs the keys of those. If config.Read fails, the previous configuration stays in
-// force. The counter's address is applied first because settings with a counter need one.
+// change, whose keys it logs. If config.Read fails, the previous configuration stays in force. The
+// counter's address is applied before the settings, because settings with a counter need one.
 func (i *instance) reload() {
 	configuration, err := config.Read(i.configPath)
 	if err != nil {
