--- a/internal/control/countingrule/admission.go
+++ b/internal/control/countingrule/admission.go
@@ -91,10 +91,10 @@
 // in weighted units, including the reservation's own. If the counter has not answered in time,
 // answered is false and this process's share of the limit decides.
 //
-// previous is the window before the reservation's if that window's deficit must be carried over, and
-// nil otherwise. It must be carried over if this process decides its first reservation in the new
-// window and no other request has been charged to that window. The caller then reads the count of
-// the previous window by adding zero units, and adds the Deficit to the reservation's count. The
+// previous is the window before the reservation's if that window's deficit must be carried over,
+// and nil otherwise. It must be carried over if this process decides its first reservation in the
+// new window and no other request has been charged to that window. The caller then reads the count
+// of the previous window by adding zero units, and adds the Deficit to the reservation's count. The
 // decision module does the same for its own counts.
 func (a *Admission) HandleCount(
 	reservation Reservation, count float64, answered bool,
@@ -106,8 +106,8 @@
 	if !answered {
 		return state.admit(min(state.localRemaining, state.remaining), reservation.WeightedUnits), nil
 	}
-	// The count of a new window lacks the previous window's deficit until that is carried over. Until
-	// then, the estimate from earlier counts limits what remains.
+	// The count of a new window lacks the previous window's deficit until that is carried over.
+	// Until then, the estimate from earlier counts limits what remains.
 	state.remaining = min(state.remaining, reservation.remainingBefore(count))
 	if isNewWindow && reservation.isFirstCharge(count) {
 		window := WindowAt(reservation.key, &reservation.plan, reservation.Start-1)
--- a/internal/control/countingrule/canaryconfig.go
+++ b/internal/control/countingrule/canaryconfig.go
@@ -22,9 +22,11 @@
 // units of the fields; the methods convert these to durations and fractions.
 type CanaryConfig struct {
 	SamplePermille uint64 `toml:"sample" cbor:"Sample"` // fraction of keys evaluated under both rules
-	// CallsPermille limits the trial's calls to the counter, as a fraction of all gateways' calls to it.
+	// CallsPermille limits the trial's calls to the counter, as a fraction of all gateways' calls
+	// to it.
 	CallsPermille uint64 `toml:"calls" cbor:"Calls"`
-	// DeadlineSeconds is the time after which a trial without a verdict ends and the rule is refused.
+	// DeadlineSeconds is the time after which a trial without a verdict ends and the rule is
+	// refused.
 	DeadlineSeconds uint64 `toml:"deadline_s" cbor:"DeadlineS"`
 	// ErrorPermille bounds both the probability that a harmful rule is accepted and the probability
 	// that a harmless rule is refused because of its measurements. The bounds hold no matter how
@@ -38,7 +40,8 @@
 	AdmittedBoundPermille  uint64 `toml:"let_in" cbor:"LetIn"`      // units admitted only by the new rule
 	OverLimitBoundPermille uint64 `toml:"beyond" cbor:"Beyond"`     // units admitted in excess of the new rule's limit
 
-	// MaxDeviationPermille is the allowed difference between the admitted fraction and its forecast.
+	// MaxDeviationPermille is the allowed difference between the admitted fraction and its
+	// forecast.
 	MaxDeviationPermille uint64 `toml:"leave" cbor:"Leave"`
 	// WatchSeconds is the time after a switch in which a larger difference rolls the switch back.
 	WatchSeconds    uint64 `toml:"watch_s" cbor:"WatchS"`
--- a/internal/control/countingrule/candidates_rapid_test.go
+++ b/internal/control/countingrule/candidates_rapid_test.go
@@ -55,11 +55,11 @@
 	return table, true
 }
 
-// findSwitchViolation draws a history of trials, switches and rollbacks, with lead between the commit
-// and the time of each switch. For each time in the history, it checks a process that read the table
-// at that time and never again. It describes a time at which the version in force is not among the
-// process's candidates, or is not the only one although the lease is valid. It returns an empty
-// string if there is no such time.
+// findSwitchViolation draws a history of trials, switches and rollbacks, with lead between the
+// commit and the time of each switch. For each time in the history, it checks a process that read
+// the table at that time and never again. It describes a time at which the version in force is not
+// among the process's candidates, or is not the only one although the lease is valid. It returns an
+// empty string if there is no such time.
 func findSwitchViolation(t *rapid.T, lead time.Duration) string {
 	const lease = 20 // in the same unit as lead
 	config := &Config{DesiredVersion: 2, Rules: []Rule{{Version: 1}, {Version: 2}}}
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -124,9 +124,9 @@
 	e.rules.setConfig(config)
 }
 
-// readTable returns the cached table and whether its lease is valid. The lease may be valid although
-// no table was ever written: then rule 0 is in force. mu must not be held, because the node collects
-// the enforcer's observations under its own lock.
+// readTable returns the cached table and whether its lease is valid. The lease may be valid
+// although no table was ever written: then rule 0 is in force. mu must not be held, because the
+// node collects the enforcer's observations under its own lock.
 func (e *Enforcer) readTable() (cached coordination.CachedTable, leased bool) {
 	cached = e.node.Cached(countingrule.TableName)
 	return cached, e.node.Now() < cached.LeaseEnd
--- a/internal/control/countingrule/golden_refusals_test.go
+++ b/internal/control/countingrule/golden_refusals_test.go
@@ -12,8 +12,8 @@
 	"harrierhoist/policy"
 )
 
-// refusals lists changes to the file of TestGolden_operatorsFile. Each causes at least one fault. The
-// names are written to the golden file and must not change.
+// refusals lists changes to the file of TestGolden_operatorsFile. Each causes at least one fault.
+// The names are written to the golden file and must not change.
 var refusals = []struct{ name, from, to string }{
 	{"try unknown", "try = 2", "try = 9"},
 	{"version twice", "version = 2", "version = 1"},
--- a/internal/control/countingrule/resolve.go
+++ b/internal/control/countingrule/resolve.go
@@ -134,8 +134,8 @@
 	if group, ok := r.groupHashes[customer]; ok {
 		return group
 	}
-	// The customer forms its own group. Its word is a hash, like the words of listed groups, so that
-	// they do not collide in practice.
+	// The customer forms its own group. Its word is a hash, like the words of listed groups, so
+	// that they do not collide in practice.
 	return Hash(customer, 1)
 }
 
--- a/internal/control/countingrule/validate.go
+++ b/internal/control/countingrule/validate.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// validateLimits checks the limits. countsPerPlan is true if requests of different plans never share
-// a count. If it is false, the rule must have one limit for all plans.
+// validateLimits checks the limits. countsPerPlan is true if requests of different plans never
+// share a count. If it is false, the rule must have one limit for all plans.
 func (r *Rule) validateLimits(faults *faultList, countsPerPlan bool) {
 	plans := map[string]bool{}
 	for _, limit := range r.Limits {
--- a/internal/control/failover/zonestats/loss.go
+++ b/internal/control/failover/zonestats/loss.go
@@ -61,6 +61,6 @@
 	return ownZoneUnknown
 }
 
-// IsZoneLost reports whether the gateway's own zone is lost according to its own observations, as of
-// the latest call of WriteCounts.
+// IsZoneLost reports whether the gateway's own zone is lost according to its own observations, as
+// of the latest call of WriteCounts.
 func (r *Recorder) IsZoneLost() bool { return r.ownLoss.isLost }
--- a/internal/control/settlement/account/accounts.go
+++ b/internal/control/settlement/account/accounts.go
@@ -62,8 +62,8 @@
 	inFlight uint64 // estimate for attempts in flight
 }
 
-// share says that a fraction of a creditor's requests prefers a debtor's servers. The fraction is of
-// the requests that are eligible for settlement.
+// share says that a fraction of a creditor's requests prefers a debtor's servers. The fraction is
+// of the requests that are eligible for settlement.
 type share struct {
 	creditor, debtor int // partner numbers
 	fraction         float64
--- a/internal/control/settlement/account/run.go
+++ b/internal/control/settlement/account/run.go
@@ -15,8 +15,8 @@
 // a change of the table.
 const leaseCheckInterval = 200 * time.Millisecond
 
-// ElectiveServersUpdater is implemented by the dispatcher. UpdateElectiveServers selects the servers
-// for attempts that settle debts again, according to the current shares of Accounts.
+// ElectiveServersUpdater is implemented by the dispatcher. UpdateElectiveServers selects the
+// servers for attempts that settle debts again, according to the current shares of Accounts.
 type ElectiveServersUpdater interface{ UpdateElectiveServers() }
 
 // Run applies the replicated table, registers the counters that are reported in digests, and writes
--- a/internal/control/settlement/account/store.go
+++ b/internal/control/settlement/account/store.go
@@ -20,8 +20,8 @@
 	// process. They survive a crash of the machine only after a later sync, which Write does from
 	// time to time.
 	Write(ledgerID string, balances []StoredBalance) error
-	// InitialState returns the ledger that the store held when it was opened. ledgerID is empty if the
-	// store was new.
+	// InitialState returns the ledger that the store held when it was opened. ledgerID is empty if
+	// the store was new.
 	InitialState() (ledgerID string, balances []StoredBalance)
 }
 
--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -19,15 +19,15 @@
 
 	Listen, Discovery, Counter string // host:port; Counter is empty if there is none
 
-	Seed     int64   // seed of all of the gateway's random numbers
-	Cores    float64 // number of CPU cores that the process may use; 0 means no limit
-	MemoryMB int     // memory that the process may use, in units of 1<<20 bytes; 0 means no limit
-	Sockets  int     // number of file descriptors that the process may hold
+	Seed           int64   // seed of all of the gateway's random numbers
+	Cores          float64 // number of CPU cores that the process may use; 0 means no limit
+	MemoryMB       int     // memory that the process may use, in units of 1<<20 bytes; 0 means no limit
+	MaxDescriptors int     // number of file descriptors that the process may hold
 
-	Settings        policy.Settings
-	Zones, Hardware []string      // names of zones and of server models; policy refers to both by index
-	ConnectTimeout  time.Duration // limit for opening a connection to a server or the counter
-	IdleTimeout     time.Duration // time after which servers close an idle connection
+	Settings            policy.Settings
+	Zones, ServerModels []string      // names of zones and of server models; policy refers to both by index
+	ConnectTimeout      time.Duration // limit for opening a connection to a server or the counter
+	IdleTimeout         time.Duration // time after which servers close an idle connection
 
 	KnownEndpoints json.RawMessage // endpoint list of an earlier run in discovery's format; may be empty or null
 }
@@ -81,21 +81,21 @@
 	}
 	settings := &g.Settings
 	oldSettings := &previous.Settings
-	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.Sockets == previous.Sockets
+	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.MaxDescriptors == previous.MaxDescriptors
 	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
 	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
 	retain("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
 	retain("limits", sameLimits, func() {
 		g.Cores = previous.Cores
 		g.MemoryMB = previous.MemoryMB
-		g.Sockets = previous.Sockets
+		g.MaxDescriptors = previous.MaxDescriptors
 	})
 	retain("settings.Dcs", slices.Equal(g.Zones, previous.Zones), func() {
 		g.Zones = previous.Zones
 		settings.Zones = oldSettings.Zones
 		settings.GatewayZone = oldSettings.GatewayZone
 	})
-	retain("settings.Models", slices.Equal(g.Hardware, previous.Hardware), func() { g.Hardware = previous.Hardware })
+	retain("settings.Models", slices.Equal(g.ServerModels, previous.ServerModels), func() { g.ServerModels = previous.ServerModels })
 	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, oldSettings.LoadReportFields), func() {
 		settings.LoadReportFields = oldSettings.LoadReportFields
 	})
@@ -150,7 +150,7 @@
 		Seed:           int64(seed),
 		Cores:          content.Limits.Cores,
 		MemoryMB:       content.Limits.MemoryMB,
-		Sockets:        content.Limits.Sockets,
+		MaxDescriptors: content.Limits.Sockets,
 		KnownEndpoints: content.Known,
 	}
 	if err := gateway.readSettings(content.Settings); err != nil {
@@ -200,7 +200,7 @@
 	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minDurationMs, maxNumber) // dials need a timeout
 	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxNumber)
 	g.Zones = values.List("Dcs")
-	g.Hardware = values.List("Models")
+	g.ServerModels = values.List("Models")
 	g.ConnectTimeout = Milliseconds(values.Number("PolicyLimits.ConnectTimeoutMs"))
 	g.IdleTimeout = Milliseconds(values.Number("PolicyLimits.IdleCloseMs"))
 	var err error
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -100,9 +100,9 @@
 	if !reflect.DeepEqual(gateway.Settings, want) {
 		t.Errorf("got  %+v\nwant %+v", gateway.Settings, want)
 	}
-	if gateway.Seed != -1 || gateway.Sockets != 1024 || gateway.MemoryMB != 192 || gateway.Cores != 1 ||
+	if gateway.Seed != -1 || gateway.MaxDescriptors != 1024 || gateway.MemoryMB != 192 || gateway.Cores != 1 ||
 		gateway.ConnectTimeout != 250*time.Millisecond || gateway.IdleTimeout != 30*time.Second ||
-		len(gateway.Zones) != 2 || gateway.Hardware[0] != "m" {
+		len(gateway.Zones) != 2 || gateway.ServerModels[0] != "m" {
 		t.Errorf("got %+v", gateway)
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	keys := gateway.RetainRestartOnly(previous)
 	if !reflect.DeepEqual(keys, []string{"listen", "settings.Models"}) || gateway.Listen != previous.Listen ||
-		len(gateway.Hardware) != 1 || gateway.Settings.Plans[0].Rate != 3 {
+		len(gateway.ServerModels) != 1 || gateway.Settings.Plans[0].Rate != 3 {
 		t.Errorf("got keys %v and configuration %+v", keys, gateway)
 	}
 }
--- a/internal/gateway/config/full_test.go
+++ b/internal/gateway/config/full_test.go
@@ -17,9 +17,9 @@
 		Seed:           -245,
 		Cores:          2.5,
 		MemoryMB:       192,
-		Sockets:        1024,
+		MaxDescriptors: 1024,
 		Zones:          []string{"hall-a", "hall-b", "hall-c"},
-		Hardware:       []string{"m1", "m2"},
+		ServerModels:   []string{"m1", "m2"},
 		ConnectTimeout: 250 * time.Millisecond,
 		IdleTimeout:    30 * time.Second,
 		KnownEndpoints: json.RawMessage(
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -52,13 +52,13 @@
 		GatewayZone:  values.Int("MyZone"),
 		Zones:        len(values.List("Dcs")),
 		PollList:     values.Text("Discovery") == "ask",
-		MaxListAge:   values.Span("Rules.MustAskInMs"),
-		ClockTick:    values.Span("TickMs"),
+		MaxListAge:   values.Duration("Rules.MustAskInMs"),
+		ClockTick:    values.Duration("TickMs"),
 
 		HasCounter:     values.Bool("FamilyInfo.HasCounter"),
-		LateCountAfter: values.Span("FamilyInfo.CountLimitMs"),
+		LateCountAfter: values.Duration("FamilyInfo.CountLimitMs"),
 		ReportsUnits:   values.Bool("FamilyInfo.Settles"),
-		UsageSpan:      values.Span("FamilyInfo.MeterMs"),
+		UsageSpan:      values.Duration("FamilyInfo.MeterMs"),
 		MaxUnits:       values.Number("FamilyInfo.MostUnits"),
 		MailboxRate:    values.Number("FamilyInfo.InboxPerS"),
 
@@ -66,16 +66,16 @@
 		HasHealthChecks: values.Bool("PolicyLimits.Probes"),
 		CanCancel:       values.Bool("PolicyLimits.Cancelling"),
 		SendsRetryAfter: values.Bool("PolicyLimits.RetryAfter"),
-		MaxRetryAfter:   values.Span("PolicyLimits.MaxRetryAfterMs"),
+		MaxRetryAfter:   values.Duration("PolicyLimits.MaxRetryAfterMs"),
 		AllowHedging:    values.Bool("PolicyLimits.SecondCopies"),
 		MaxAttempts:     values.Int("PolicyLimits.TryLimit"),
 
-		ArrivalSlack:   values.Span("Rules.AnswerSlackMs"),
-		DrainGrace:     values.Span("Rules.DrainGraceMs"),
+		ArrivalSlack:   values.Duration("Rules.AnswerSlackMs"),
+		DrainGrace:     values.Duration("Rules.DrainGraceMs"),
 		WarmUpStart:    values.Number("Rules.ColdFrom"),
-		WarmUpTime:     values.Span("Rules.WarmAfterMs"),
+		WarmUpTime:     values.Duration("Rules.WarmAfterMs"),
 		OverloadFactor: values.Number("Rules.FallMultiple"),
-		OverloadSpan:   values.Span("Rules.TipAfterMs"),
+		OverloadSpan:   values.Duration("Rules.TipAfterMs"),
 
 		LoadReportFields: values.List("Report.Fields"),
 	}
@@ -102,9 +102,9 @@
 func readClass(values *Values, prefix string) policy.TrafficClass {
 	values.Require(prefix+"AimMs", prefix+"DeadlineMs", prefix+"Effect")
 	class := policy.TrafficClass{
-		Name: values.Text(prefix + "Name"), LatencyObjective: values.Span(prefix + "AimMs"),
-		Timeout: values.Span(prefix + "DeadlineMs"), Weight: values.Number(prefix + "Worth"),
-		LateFraction: values.Number(prefix + "LateShare"), DedupWindow: values.Span(prefix + "WindowMs"),
+		Name: values.Text(prefix + "Name"), LatencyObjective: values.Duration(prefix + "AimMs"),
+		Timeout: values.Duration(prefix + "DeadlineMs"), Weight: values.Number(prefix + "Worth"),
+		LateFraction: values.Number(prefix + "LateShare"), DedupWindow: values.Duration(prefix + "WindowMs"),
 		Stream: values.Bool(prefix + "Stream"),
 	}
 	values.RequireRange(prefix+"AimMs", minDurationMs, maxNumber)
--- a/internal/gateway/config/values.go
+++ b/internal/gateway/config/values.go
@@ -140,8 +140,8 @@
 // Int returns the number at path truncated to an integer, or 0 if there is none.
 func (v *Values) Int(path string) int { return int(v.Number(path)) }
 
-// Span returns the number of milliseconds at path as a duration, or 0 if there is none.
-func (v *Values) Span(path string) time.Duration { return Milliseconds(v.Number(path)) }
+// Duration returns the number of milliseconds at path as a duration, or 0 if there is none.
+func (v *Values) Duration(path string) time.Duration { return Milliseconds(v.Number(path)) }
 
 // Bool returns the boolean at path, or false if there is none.
 func (v *Values) Bool(path string) bool {
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -19,12 +19,12 @@
 // descriptor limit is lower than the configured one, the lower one applies. Otherwise idle clients
 // could use up all descriptors, and no server, counter or discovery agent could be called.
 func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
-	limit := configuration.Sockets
+	limit := configuration.MaxDescriptors
 	var descriptors unix.Rlimit
 	// The Go runtime raises the soft limit to the hard limit at startup.
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &descriptors); err == nil && descriptors.Cur < uint64(limit) {
 		limit = int(descriptors.Cur)
-		log.Warn("gateway: fewer descriptors than limits.sockets", zap.Int("sockets", configuration.Sockets),
+		log.Warn("gateway: fewer descriptors than limits.sockets", zap.Int("sockets", configuration.MaxDescriptors),
 			zap.Int("descriptors", limit))
 	}
 	return max((limit-reservedDescriptors)/connectionSides, 1)
--- a/internal/gateway/discovery/testwatcher_test.go
+++ b/internal/gateway/discovery/testwatcher_test.go
@@ -46,7 +46,7 @@
 		timers.Wait()
 	})
 	configuration := &config.Gateway{
-		Discovery: addr, Settings: settings, Zones: []string{"hall-a", "hall-b"}, Hardware: []string{"m1", "m2"},
+		Discovery: addr, Settings: settings, Zones: []string{"hall-a", "hall-b"}, ServerModels: []string{"m1", "m2"},
 		KnownEndpoints: []byte(opts.known), Seed: opts.seed,
 	}
 	w, err := New(configuration, dispatcher, log)
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -59,7 +59,7 @@
 	w := &Watcher{
 		dispatcher:    dispatcher,
 		log:           log,
-		decoder:       decoder{zones: configuration.Zones, hardware: configuration.Hardware},
+		decoder:       decoder{zones: configuration.Zones, hardware: configuration.ServerModels},
 		dial:          (&net.Dialer{Timeout: listTimeout}).DialContext, // the same timeout in both modes
 		random:        rand.New(rand.NewPCG(uint64(configuration.Seed), 0)),
 		firstApplied:  make(chan struct{}),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,8 +39,8 @@
 // file at coordinationPath. If coordinationPath is empty, it is equivalent to Run. If only path is
 // empty, the process is a voter without a gateway.
 func RunWithCoordination(path, coordinationPath string) error {
-	// Signals are handled before anything else is done. An unhandled signal would end the process and
-	// reset the connections of clients that had connected by then.
+	// Signals are handled before anything else is done. An unhandled signal would end the process
+	// and reset the connections of clients that had connected by then.
 	signals := notifySignals()
 	defer signals.stop()
 	if path == "" && coordinationPath != "" {
--- a/internal/gateway/listener/close.go
+++ b/internal/gateway/listener/close.go
@@ -45,7 +45,7 @@
 // isLastAnswer reports whether the answer just written belongs to the only command in flight, and
 // no unread byte of a further command has arrived. The caller must hold c.mu.
 func (c *connection) isLastAnswer() bool {
-	return !c.state.isClosed() && c.state.inFlight == 1 && c.IsQuiet()
+	return !c.state.isClosed() && c.state.inFlight == 1 && c.IsIdle()
 }
 
 // awaitClose waits, without reading, until the client closes the connection or its time for that
--- a/internal/gateway/listener/closeidle_test.go
+++ b/internal/gateway/listener/closeidle_test.go
@@ -59,7 +59,7 @@
 			conn.makeIdle()
 			tapped.beforeReset = runOnce(func() {
 				c.send(numberedQuery(1))
-				fakes.Eventually(t, "the request's arrival", func() bool { return !conn.IsQuiet() })
+				fakes.Eventually(t, "the request's arrival", func() bool { return !conn.IsIdle() })
 			})
 			closeIdle(f)
 			c.wantReset()
--- a/internal/gateway/listener/command.go
+++ b/internal/gateway/listener/command.go
@@ -40,7 +40,7 @@
 	var err error
 	command.Command, err = c.conn.ReadCommand(maxCommandWords, reserve)
 	if err == nil && command.memory == 0 && len(command.Words) == maxCommandWords { // a request without a value
-		command.Discarded = command.Discarded || !reserve(0)
+		command.BodyDiscarded = command.BodyDiscarded || !reserve(0)
 	}
 	_ = c.conn.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/internal/gateway/listener/connection.go
+++ b/internal/gateway/listener/connection.go
@@ -144,7 +144,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isIdle := c.state.activity(time.Now()).isIdle()
-	if !isIdle || !c.IsQuiet() || c.isAnswerInTransit() {
+	if !isIdle || !c.IsIdle() || c.isAnswerInTransit() {
 		return false
 	}
 	c.state.markEnded()
--- a/internal/gateway/listener/parse.go
+++ b/internal/gateway/listener/parse.go
@@ -88,7 +88,7 @@
 // ID it has added to the open request IDs, or the line that answers the command.
 func (l *Listener) parse(command *pendingCommand, age time.Duration) (dispatch.RequestSpec, *upstream.Command, string) {
 	var spec dispatch.RequestSpec
-	if command.Discarded {
+	if command.BodyDiscarded {
 		return spec, nil, rejectionLine(0)
 	}
 	verb := command.Words[0]
--- a/internal/gateway/resp/await_test.go
+++ b/internal/gateway/resp/await_test.go
@@ -13,7 +13,7 @@
 	"harrierhoist/internal/testing/fakes"
 )
 
-// If Await consumed bytes, IsQuiet would miss the message, and closing the connection would not
+// If Await consumed bytes, IsIdle would miss the message, and closing the connection would not
 // tell the peer that the message was not read.
 func TestAwaitConsumesNoByte(t *testing.T) {
 	c, far := connPair(t)
@@ -21,7 +21,7 @@
 	if err := c.Await(); err != nil {
 		t.Fatal(err)
 	}
-	if c.IsQuiet() {
+	if c.IsIdle() {
 		t.Error("IsQuiet does not report a message that has arrived")
 	}
 	_ = c.Close() // an orderly close, which only unread bytes turn into a reset
@@ -95,7 +95,7 @@
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 		}
 		_, _ = io.WriteString(far, "x")
-		fakes.Eventually(t, "a byte", func() bool { return !c.IsQuiet() })
+		fakes.Eventually(t, "a byte", func() bool { return !c.IsIdle() })
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 		if err := c.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: returned %v before the peer closed", name, err)
--- a/internal/gateway/resp/conn.go
+++ b/internal/gateway/resp/conn.go
@@ -34,7 +34,7 @@
 
 // Await blocks until the next message begins to arrive. It must be called before each message is
 // read. On a connection with a descriptor it consumes no byte. Unless the message was read ahead,
-// IsQuiet returns false until it is read, and closing the connection resets it, which tells the
+// IsIdle returns false until it is read, and closing the connection resets it, which tells the
 // peer that the message was not read. Await returns io.EOF if the peer has closed its sending half,
 // and otherwise fails as a read does.
 func (c *Conn) Await() error {
--- a/internal/gateway/resp/fuzz_test.go
+++ b/internal/gateway/resp/fuzz_test.go
@@ -56,9 +56,9 @@
 // and read again.
 func checkCommand(t *testing.T, cmd *Command, hasMemory bool) {
 	t.Helper()
-	hasValue := cmd.Body != nil || cmd.Discarded
-	if n := len(cmd.Words); n < 1 || n > maxWords || hasValue && n != maxWords || cmd.Discarded && hasMemory {
-		t.Fatalf("command has %d words, value: %v, discarded: %v", n, cmd.Body != nil, cmd.Discarded)
+	hasValue := cmd.Body != nil || cmd.BodyDiscarded
+	if n := len(cmd.Words); n < 1 || n > maxWords || hasValue && n != maxWords || cmd.BodyDiscarded && hasMemory {
+		t.Fatalf("command has %d words, value: %v, discarded: %v", n, cmd.Body != nil, cmd.BodyDiscarded)
 	}
 	if cmd.Body != nil && !hasMemory {
 		t.Fatal("a value was read without memory for it")
--- a/internal/gateway/resp/peerstate.go
+++ b/internal/gateway/resp/peerstate.go
@@ -74,9 +74,9 @@
 	return pending
 }
 
-// IsQuiet reports whether the connection is open and has no unread bytes. It does not block. It
+// IsIdle reports whether the connection is open and has no unread bytes. It does not block. It
 // returns false on a connection without a descriptor.
-func (c *Conn) IsQuiet() bool {
+func (c *Conn) IsIdle() bool {
 	quiet := false
 	c.withDescriptor(func(fd int) {
 		_, err := peek(fd, make([]byte, 1))
--- a/internal/gateway/resp/peerstate_test.go
+++ b/internal/gateway/resp/peerstate_test.go
@@ -36,7 +36,7 @@
 	} {
 		c, far := connPair(t)
 		_, _ = io.WriteString(far, strings.Repeat("x", 2*bufferSize))
-		fakes.Eventually(t, "unread bytes", func() bool { return !c.IsQuiet() })
+		fakes.Eventually(t, "unread bytes", func() bool { return !c.IsIdle() })
 		if c.IsPeerClosed() {
 			t.Errorf("%s: reported as closed before the close", name)
 		}
@@ -64,7 +64,7 @@
 			reserved = size
 			return false
 		})
-		if err != nil || cmd.Body != nil || !cmd.Discarded || len(cmd.Words) != 4 || reserved != size {
+		if err != nil || cmd.Body != nil || !cmd.BodyDiscarded || len(cmd.Words) != 4 || reserved != size {
 			t.Fatalf("size %d: got %+v, %v, reserved %d", size, cmd, err, reserved)
 		}
 		if err := c.Await(); err != nil {
--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -15,9 +15,9 @@
 
 // Command is a client's command: an array of words, optionally followed by a value.
 type Command struct {
-	Words     []string
-	Body      *Bulk // value; nil if there is none or it was discarded
-	Discarded bool  // whether there was a value and it was discarded
+	Words         []string
+	Body          *Bulk // value; nil if there is none or it was discarded
+	BodyDiscarded bool  // whether there was a value and it was discarded
 }
 
 // ReadCommand reads a command of at most maxWords words and one value. Await must have returned nil
@@ -61,7 +61,7 @@
 		cmd.Body, err = c.readBulk(size)
 		return err
 	default:
-		cmd.Discarded = true
+		cmd.BodyDiscarded = true
 		return c.discard(size)
 	}
 }
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -142,12 +142,12 @@
 
 func TestIsQuiet(t *testing.T) {
 	c, far := connPair(t)
-	if !c.IsQuiet() {
+	if !c.IsIdle() {
 		t.Error("a new connection is not quiet")
 	}
 	_, _ = io.WriteString(far, "x")
-	fakes.Eventually(t, "bytes", func() bool { return !c.IsQuiet() })
+	fakes.Eventually(t, "bytes", func() bool { return !c.IsIdle() })
 	c, far = connPair(t)
 	_ = far.Close()
-	fakes.Eventually(t, "the end of input", func() bool { return !c.IsQuiet() })
+	fakes.Eventually(t, "the end of input", func() bool { return !c.IsIdle() })
 }
--- a/internal/gateway/upstream/break_test.go
+++ b/internal/gateway/upstream/break_test.go
@@ -193,7 +193,7 @@
 		pool.connections.idle[key] = pool.connections.idle[smallBufferKey]
 		delete(pool.connections.idle, smallBufferKey)
 		act(serverConn, nil)
-		fakes.Eventually(t, name, func() bool { return !pool.connections.idle[key][0].IsQuiet() })
+		fakes.Eventually(t, name, func() bool { return !pool.connections.idle[key][0].IsIdle() })
 		if attemptOnce(t, pool, server, policy.Answered); pool.connections.open != 1 || server.ConnCount() != 1 {
 			t.Errorf("%s: %d connections open", name, pool.connections.open)
 		}
--- a/internal/gateway/upstream/connections.go
+++ b/internal/gateway/upstream/connections.go
@@ -19,7 +19,7 @@
 
 // minIdleBeforeReuse is how long a connection must be idle before it is reused. A server may send
 // extra bytes shortly after an answer, which would be read as the answer to the next request. After
-// this time they have arrived, and IsQuiet detects them.
+// this time they have arrived, and IsIdle detects them.
 const minIdleBeforeReuse = 20 * time.Millisecond
 
 const (
@@ -75,7 +75,7 @@
 // connection is established within connectTimeout, by the deadline and before the context is done.
 func (s *connectionSet) acquire(ctx context.Context, key endpointKey, deadline time.Time) (*connection, error) {
 	for conn := s.takeIdle(key); conn != nil; conn = s.takeIdle(key) {
-		if !s.isStale(conn) && conn.IsQuiet() {
+		if !s.isStale(conn) && conn.IsIdle() {
 			return conn, nil
 		}
 		s.close(conn)
--- a/internal/gateway/upstream/idle_test.go
+++ b/internal/gateway/upstream/idle_test.go
@@ -23,7 +23,7 @@
 	}
 	_ = server.NextConn(t).Close()
 	fakes.Eventually(t, "the close", func() bool {
-		return !pool.connections.idle[keyOfAddress(server.Addr)][0].IsQuiet()
+		return !pool.connections.idle[keyOfAddress(server.Addr)][0].IsIdle()
 	})
 	pool.ageIdle(server)
 	attemptOnce(t, pool, server, policy.Answered) // on the closed connection it would have ended with Reset
--- a/internal/lab/load/pool.go
+++ b/internal/lab/load/pool.go
@@ -18,7 +18,7 @@
 // acquire returns an idle connection, or a new one, for which it waits at most the timeout.
 func (p *pool) acquire(ctx context.Context, addr string, timeout time.Duration) (*resp.Conn, error) {
 	for conn := p.takeIdle(addr); conn != nil; conn = p.takeIdle(addr) {
-		if conn.IsQuiet() {
+		if conn.IsIdle() {
 			return conn, nil
 		}
 		_ = conn.Close() // the gateway has closed it, or sent an answer to no request
