--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -81,7 +81,8 @@
 	}
 	settings := &g.Settings
 	oldSettings := &previous.Settings
-	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB && g.MaxDescriptors == previous.MaxDescriptors
+	sameLimits := g.Cores == previous.Cores && g.MemoryMB == previous.MemoryMB &&
+		g.MaxDescriptors == previous.MaxDescriptors
 	retain("name", g.Name == previous.Name, func() { g.Name = previous.Name })
 	retain("listen", g.Listen == previous.Listen, func() { g.Listen = previous.Listen })
 	retain("seed", g.Seed == previous.Seed, func() { g.Seed = previous.Seed })
@@ -95,7 +96,8 @@
 		settings.Zones = oldSettings.Zones
 		settings.GatewayZone = oldSettings.GatewayZone
 	})
-	retain("settings.Models", slices.Equal(g.ServerModels, previous.ServerModels), func() { g.ServerModels = previous.ServerModels })
+	retain("settings.Models", slices.Equal(g.ServerModels, previous.ServerModels),
+		func() { g.ServerModels = previous.ServerModels })
 	retain("settings.Report.Fields", slices.Equal(settings.LoadReportFields, oldSettings.LoadReportFields), func() {
 		settings.LoadReportFields = oldSettings.LoadReportFields
 	})
