--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -17,7 +17,7 @@
 type Gateway struct {
 	Name string
 
-	Listen, Discovery, Counter string // host:port; Counter is empty if there is none
+	Listen, Discovery, Counter string // addresses as host:port; Counter is empty if there is no counter
 
 	Seed           int64   // seed of all of the gateway's random numbers
 	Cores          float64 // number of CPU cores that the process may use; 0 means no limit
@@ -39,7 +39,7 @@
 )
 
 // Upper bounds of limits.cores and limits.memory_mb. A greater value is assumed to be a typing
-// error: it would be no limit in effect.
+// error, because it would not limit anything.
 const (
 	maxCores    = 1 << 16
 	maxMemoryMB = 1 << 30
@@ -199,7 +199,7 @@
 	values := newValues()
 	values.flatten("", nested)
 	values.Require("PolicyLimits.ConnectTimeoutMs", "PolicyLimits.IdleCloseMs")
-	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minDurationMs, maxNumber) // dials need a timeout
+	values.RequireRange("PolicyLimits.ConnectTimeoutMs", minDurationMs, maxNumber) // for net.Dialer, 0 is no timeout
 	values.RequireRange("PolicyLimits.IdleCloseMs", 0, maxNumber)
 	g.Zones = values.List("Dcs")
 	g.ServerModels = values.List("Models")
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// Settings without a traffic class or plan must be refused before any of the file is applied. Found
-// later, they were refused only after the counter's address from the same file was in use.
+// Settings without a traffic class or plan must be refused before any of the file is applied. If
+// they were refused later, the counter's address from the same file would already be in use.
 func TestParse_settingsWithoutClassOrPlanAreRefused(t *testing.T) {
 	for _, key := range []string{"RequestClasses", "TiersOfService"} {
 		t.Run(key, func(t *testing.T) {
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -10,8 +10,8 @@
 
 // Bounds of numbers in the settings. A number outside them is assumed to be a typing error.
 const (
-	minDurationMs = 0.001 // minimum of durations that must not be 0; one microsecond
-	maxNumber     = 1e9   // maximum of numbers without a bound of their own, in the setting's unit
+	minDurationMs = 0.001 // one microsecond, the minimum of durations that must not be 0
+	maxNumber     = 1e9   // maximum of numbers that have no specific bound, in the unit of the setting
 )
 
 const microsecondsPerMillisecond = 1000
--- a/internal/gateway/config/values.go
+++ b/internal/gateway/config/values.go
@@ -51,7 +51,8 @@
 
 // flatten adds decoded JSON under path, in the form that ParseLines reads. The path of a nested
 // value is its keys and list indexes joined by dots. The elements of a list that are not objects
-// are joined by commas under the path of the list; its length is added under the key "count".
+// are joined by commas under the path of the list. The length of the list is added under the key
+// "count".
 func (v *Values) flatten(path string, nested any) {
 	childPath := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch value := nested.(type) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Err returns the first error that a getter or a check found; it is a *SettingError.
+// Err returns the first error that a getter or a check found, a *SettingError, or nil.
 func (v *Values) Err() error { return v.err }
 
 // fail records an error unless one is recorded already.
--- a/internal/gateway/coordination.go
+++ b/internal/gateway/coordination.go
@@ -35,16 +35,17 @@
 	settlementDone <-chan struct{}   // closed once settlement has stored its state
 }
 
-// processStart is the wall-clock time at which the controllers' clock started, to a few
-// milliseconds. The canary controller needs it because canary stages follow the wall clock.
+// processStart is the wall-clock time at which the clock passed to the controllers was 0, with an
+// accuracy of a few milliseconds. The canary controller needs it because canary stages follow the
+// wall clock.
 var processStart = time.Now()
 
-// readsPerLease is the number of reads that a follower of a table makes per lease; see
-// follower.readsPerLease.
+// readsPerLease is the number of reads of a table per lease. It has the value of the constant of
+// the same name in package follower, which sets how long a read waits.
 const readsPerLease = 4
 
-// zoneStatusFromPlan returns the status of the zones that the failover plan needs, or nil if there
-// is no plan. In these zones failover has precedence over settlement.
+// zoneStatusFromPlan returns a status for each zone that the failover plan needs, or nil if there
+// is no plan. In these zones, failover has precedence over settlement.
 func zoneStatusFromPlan(input coordination.ControllerInput) map[string]settlement.ZoneStatus {
 	plan, err := failover.DecodePlan(input.Table(failover.TableName).Value)
 	if err != nil || plan == nil {
@@ -66,12 +67,12 @@
 	return &membership{localNode: localNode}, nil
 }
 
-// newControllers returns a function that creates the controllers for a configuration. They run
-// where a voter is the leader. The returned function must not be called concurrently.
+// newControllers returns a function that creates the controllers for a configuration. They run in
+// the process whose voter is the leader. The returned function must not be called concurrently.
 func newControllers() func(c *config.Config) []coordination.Controller {
 	var rules atomic.Pointer[countingrule.Config]
-	// The canary controller is reused while the lease stays the same, so that a reload does not
-	// restart a canary.
+	// The canary controller is reused while the lease duration is unchanged, so that a reload does
+	// not restart a canary.
 	var controller *canary.Controller
 	return func(c *config.Config) (all []coordination.Controller) {
 		lease := c.Timing.Lease.Duration
--- a/internal/gateway/coordination_alone.go
+++ b/internal/gateway/coordination_alone.go
@@ -16,6 +16,7 @@
 var errCoordinationNotBuilt = errors.New("RELAY_COMMON: this program was built with the tag alone, " +
 	"and takes no part in what is held in common")
 
+// membership stands in for the type of the full build. It is always nil.
 type membership struct{}
 
 func joinCoordination(path string, _ *zap.Logger) (*membership, error) {
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -15,9 +15,9 @@
 )
 
 // connectionLimit returns the maximum number of open connections per side, to clients and to
-// servers. It is half of the descriptors that are not reserved, and at least 1. If the system's
-// descriptor limit is lower than the configured one, the lower one applies. Otherwise idle clients
-// could use up all descriptors, and no server, counter or discovery agent could be called.
+// servers. It is half of the descriptors that are not reserved, and at least 1. Without this limit,
+// idle clients could use up all descriptors, and no server, counter or discovery agent could be
+// called. If the system's descriptor limit is lower than the configured one, the lower one applies.
 func connectionLimit(configuration *config.Gateway, log *zap.Logger) int {
 	limit := configuration.MaxDescriptors
 	var descriptors unix.Rlimit
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,8 +31,8 @@
 // lost while the system pauses a process.
 const maxReadyWait = 3 * time.Second
 
-// Run runs a gateway with the configuration file at path. It returns once the gateway has drained
-// after SIGTERM or SIGINT, or with an error if the gateway could not start or serve.
+// Run runs a gateway with the configuration file at path. It returns nil once the gateway has
+// drained after SIGTERM or SIGINT, and an error if the gateway cannot start or serve.
 func Run(path string) error { return RunWithCoordination(path, "") }
 
 // RunWithCoordination is Run for a process that also takes part in coordination, configured by the
@@ -107,7 +107,7 @@
 	}
 	member, err := joinCoordination(coordinationPath, i.log)
 	if err != nil {
-		_ = socket.Close() // the caller gets the error that came first
+		_ = socket.Close() // the error of joinCoordination is returned
 		return err
 	}
 	defer func() {
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -19,7 +19,7 @@
 // instance is a running gateway with its components. A reload changes their configuration in place.
 type instance struct {
 	configPath    string
-	configuration *config.Gateway                 // in force; once handleReloads runs, only it may use this field
+	configuration *config.Gateway                 // current one; once handleReloads runs, only it may use this field
 	counter       atomic.Pointer[counter.Counter] // nil until a configuration names a counter
 	dispatcher    *dispatch.Dispatcher
 	watcher       *discovery.Watcher
@@ -77,8 +77,9 @@
 }
 
 // reload reads the configuration again and applies it, except for settings that only a restart can
-// change, whose keys it logs. If config.Read fails, the previous configuration stays in force. The
-// counter's address is applied before the settings, because settings with a counter need one.
+// change, whose keys it logs. If config.Read fails, the previous configuration stays in use. The
+// counter's address is applied before the settings, because settings with a counter need one. If
+// Reconfigure fails, the new counter's address stays in use with the previous settings.
 func (i *instance) reload() {
 	configuration, err := config.Read(i.configPath)
 	if err != nil {
--- a/internal/gateway/resp/await_test.go
+++ b/internal/gateway/resp/await_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if c.IsIdle() {
-		t.Error("IsQuiet does not report a message that has arrived")
+		t.Error("the connection is reported as idle although a message has arrived")
 	}
 	_ = c.Close() // an orderly close, which only unread bytes turn into a reset
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
--- a/internal/gateway/resp/conn.go
+++ b/internal/gateway/resp/conn.go
@@ -17,7 +17,7 @@
 	net.Conn
 	rawConn    syscall.RawConn       // nil if the connection has no descriptor
 	readable   func(fd uintptr) bool // method value of isReadable, stored so that waiting does not allocate
-	peekError  error                 // error that the latest isReadable found: io.EOF, a system error or nil
+	peekError  error                 // error found by the latest call of isReadable: io.EOF, a system error or nil
 	peekBuffer [1]byte
 	reader     *messageReader // nil while no message is being read
 }
@@ -33,10 +33,11 @@
 }
 
 // Await blocks until the next message begins to arrive. It must be called before each message is
-// read. On a connection with a descriptor it consumes no byte. Unless the message was read ahead,
-// IsIdle returns false until it is read, and closing the connection resets it, which tells the
-// peer that the message was not read. Await returns io.EOF if the peer has closed its sending half,
-// and otherwise fails as a read does.
+// read. On a connection with a descriptor, Await consumes no byte. Until the message is read,
+// IsIdle therefore returns false, and closing the connection sends a reset, which tells the peer
+// that the message was not read. Neither holds for a message that was read ahead with the previous
+// one. Await returns io.EOF if the peer has closed its sending half, and otherwise the error that a
+// read would return.
 func (c *Conn) Await() error {
 	if c.reader == nil {
 		first, err := c.waitReadable()
@@ -84,9 +85,9 @@
 	c.reader = nil
 }
 
-// closeReading releases the reader after err and returns the error for the caller. That is io.EOF
-// if the connection ended within a message.
-func (c *Conn) closeReading(err error) error {
+// releaseAfterError releases the reader after err and returns the error for the caller. The result
+// is io.EOF if the connection ended within a message, and otherwise err.
+func (c *Conn) releaseAfterError(err error) error {
 	c.releaseReader()
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return io.EOF
@@ -94,15 +95,16 @@
 	return err
 }
 
-// StopReadAhead makes the reader consume no byte after the current message. It has effect until
-// IsDrained returns true. Only the reading goroutine may call it.
+// StopReadAhead makes the reader consume no further byte after the current message. It has effect
+// until IsDrained returns true. Only the reading goroutine may call it.
 func (c *Conn) StopReadAhead() {
 	if c.reader != nil {
 		c.reader.noReadAhead = true
 	}
 }
 
-// IsDrained reports whether no byte after the last message was consumed. Only the reading goroutine
+// IsDrained reports whether the reader holds no bytes. It returns false if bytes after the last
+// message were read ahead, and between Await and the end of the message. Only the reading goroutine
 // may call it.
 func (c *Conn) IsDrained() bool { return c.reader == nil }
 
--- a/internal/gateway/resp/peerstate.go
+++ b/internal/gateway/resp/peerstate.go
@@ -20,13 +20,14 @@
 	unix.BPF_TCP_TIME_WAIT,
 }
 
-// PeerState returns the time since the latest bytes arrived at this machine, to a few milliseconds,
-// and whether the peer has closed its sending half or reset the connection. It does not block. It
-// detects a close behind unread bytes, but not one that is held up by a full receive window. If
-// this side has closed the connection, closed is true. On a connection without a TCP state it
-// returns zero and false; there, only a read detects the close.
+// PeerState returns the time since the latest bytes arrived at this machine, with an accuracy of a
+// few milliseconds, and whether the peer has closed its sending half or reset the connection. It
+// does not block. It detects a close even if bytes that arrived before it are unread, but not a
+// close that the peer cannot send yet because the receive window is full. If this side has closed
+// the connection, closed is true. On a connection without a TCP state, PeerState returns zero and
+// false; there, only a read detects the close.
 func (c *Conn) PeerState() (age time.Duration, closed bool) {
-	closed = c.rawConn != nil // stays true if this side has closed and there is no descriptor
+	closed = c.rawConn != nil // stays true if this side has closed the connection: there is no descriptor then
 	c.withDescriptor(func(fd int) {
 		closed = false
 		info, err := tcpInfo(fd)
@@ -39,7 +40,7 @@
 	return age, closed
 }
 
-// IsPeerClosed reports, as PeerState does, whether the peer has closed the connection.
+// IsPeerClosed returns the second result of PeerState.
 func (c *Conn) IsPeerClosed() bool {
 	_, closed := c.PeerState()
 	return closed
@@ -47,7 +48,7 @@
 
 // AwaitPeerClose blocks until the peer has closed its sending half or reset the connection. It
 // consumes no bytes. It returns os.ErrInvalid on a connection without a descriptor, and otherwise
-// fails as a read does, for example at the read deadline.
+// the errors of syscall.RawConn, for example at the read deadline.
 func (c *Conn) AwaitPeerClose() error {
 	if c.rawConn == nil {
 		return os.ErrInvalid
@@ -57,7 +58,7 @@
 		if err != nil || n == 0 {
 			return !errors.Is(err, unix.EAGAIN)
 		}
-		info, err := tcpInfo(int(fd)) // behind unread bytes, only the TCP state shows a close
+		info, err := tcpInfo(int(fd)) // while bytes are unread, only the TCP state shows a close
 		return err == nil && slices.Contains(peerClosedStates, info.State)
 	})
 }
@@ -77,12 +78,12 @@
 // IsIdle reports whether the connection is open and has no unread bytes. It does not block. It
 // returns false on a connection without a descriptor.
 func (c *Conn) IsIdle() bool {
-	quiet := false
+	idle := false
 	c.withDescriptor(func(fd int) {
 		_, err := peek(fd, make([]byte, 1))
-		quiet = errors.Is(err, unix.EAGAIN)
+		idle = errors.Is(err, unix.EAGAIN)
 	})
-	return quiet
+	return idle
 }
 
 // isReadable reports whether a read would return immediately, with a byte, the end of input or an
--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -22,22 +22,22 @@
 
 // ReadCommand reads a command of at most maxWords words and one value. Await must have returned nil
 // before. ReadCommand calls reserve with the size of a value in bytes before it reads the value. If
-// reserve returns false, there is no memory and the value is discarded as it arrives. A nil reserve
-// accepts all values. The error is a ProtocolError if the peer violates the protocol, and io.EOF if
-// the connection ends within the command. After an error nothing more can be read from the
-// connection.
+// reserve returns false, there is no memory for the value, and it is discarded as it arrives. A nil
+// reserve accepts all values. The error is a ProtocolError if the peer violates the protocol, and
+// io.EOF if the connection ends within the command. After an error nothing more can be read from
+// the connection.
 func (c *Conn) ReadCommand(maxWords int, reserve func(size int) bool) (*Command, error) {
 	length, err := c.readHeader(kindArray)
 	if err != nil {
-		return nil, c.closeReading(err)
+		return nil, c.releaseAfterError(err)
 	}
 	if length < 1 || length > maxWords+1 {
-		return nil, c.closeReading(ProtocolError("wrong number of words"))
+		return nil, c.releaseAfterError(ProtocolError("wrong number of words"))
 	}
 	cmd := &Command{Words: make([]string, 0, maxWords)}
 	for i := range length {
 		if err := c.readElement(cmd, i < maxWords, reserve); err != nil {
-			return nil, c.closeReading(err)
+			return nil, c.releaseAfterError(err)
 		}
 	}
 	c.releaseIfDrained()
@@ -74,12 +74,13 @@
 	Attributes []string // strings that follow the value in an array; "" for null
 }
 
-// ReadReply reads a reply. Await must have returned nil before. It fails as ReadCommand does.
+// ReadReply reads a reply. Await must have returned nil before. Its errors are those of
+// ReadCommand.
 func (c *Conn) ReadReply() (*Reply, error) {
 	r, err := c.readReply()
 	if err != nil {
 		r.Value.Free()
-		return nil, c.closeReading(err)
+		return nil, c.releaseAfterError(err)
 	}
 	c.releaseIfDrained()
 	return r, nil
@@ -152,8 +153,8 @@
 	return c.readWord(size)
 }
 
-// readHeader reads a line of a type byte, which must be kind, and a length. It returns the length;
-// -1 means null.
+// readHeader reads a line that consists of the type byte kind and a length. It returns the length,
+// or -1 for null.
 func (c *Conn) readHeader(kind byte) (int, error) {
 	line, err := c.reader.ReadLineBytes()
 	if err != nil {
--- a/internal/gateway/resp/resp.go
+++ b/internal/gateway/resp/resp.go
@@ -1,6 +1,7 @@
 // Package resp reads and writes RESP2 messages on network connections. It is based on net/textproto
 // and is used by listener, by upstream and by the laboratory's servers and clients. A connection
-// holds a buffer only from the first byte of a message to its last. An idle connection holds none.
+// holds a read buffer only from the first byte of a message to its last. An idle connection holds
+// none.
 package resp
 
 import (
@@ -51,15 +52,15 @@
 	bufferPool = pool[*[bufferSize]byte]{create: func() *[bufferSize]byte { return new([bufferSize]byte) }}
 )
 
-// messageReader is a textproto.Reader together with its source. The source is the byte that
-// waitReadable consumed, if any, and then the connection. It is limited to the size of one message,
-// so that a line without end cannot use unlimited memory.
+// messageReader is a textproto.Reader whose input is the Read method of the messageReader itself.
+// Read returns the byte that waitReadable consumed, if any, and then bytes of the connection, at
+// most as many as one message may have. A line without end therefore cannot use unlimited memory.
 type messageReader struct {
 	*textproto.Reader
 	conn        net.Conn
 	peeked      []byte // byte that waitReadable consumed; empty if there is none
 	remaining   int    // number of bytes that may still be read from conn for this message
-	noReadAhead bool   // whether to read single bytes, so that none after the message is consumed
+	noReadAhead bool   // whether to read single bytes, so that no byte after the message is consumed
 }
 
 func newMessageReader() *messageReader {
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -50,7 +50,7 @@
 		out, far := connPair(t)
 		go func() { _, _ = out.WriteCommand(cmd), out.Close() }()
 		if got, _ := io.ReadAll(far); string(got) != fakes.FormatCommand("SVC.SUBMIT", "01", "02", "c=a", body) {
-			t.Errorf("size %d: %d bytes written, not the same", size, len(got))
+			t.Errorf("size %d: the %d bytes written differ from the command", size, len(got))
 		}
 	}
 }
@@ -140,10 +140,10 @@
 	}
 }
 
-func TestIsQuiet(t *testing.T) {
+func TestIsIdle(t *testing.T) {
 	c, far := connPair(t)
 	if !c.IsIdle() {
-		t.Error("a new connection is not quiet")
+		t.Error("a new connection is not idle")
 	}
 	_, _ = io.WriteString(far, "x")
 	fakes.Eventually(t, "bytes", func() bool { return !c.IsIdle() })
--- a/internal/gateway/resp/write.go
+++ b/internal/gateway/resp/write.go
@@ -7,8 +7,8 @@
 
 const decimal = 10 // number base of lengths
 
-// WriteCommand writes a command, in a single system call if it fits into one buffer. An error means
-// that the last byte of the command was not written.
+// WriteCommand writes a command, in a single system call if it fits into one buffer. After an
+// error, the command has not been written completely.
 func (c *Conn) WriteCommand(cmd *Command) error {
 	return c.write(func(w *bufio.Writer) {
 		n := len(cmd.Words)
