--- a/internal/gateway/resp/read.go
+++ b/internal/gateway/resp/read.go
@@ -74,8 +74,8 @@
 	Attributes []string // strings that follow the value in an array; "" for null
 }
 
-// ReadReply reads a reply. Await must have returned nil before. Its errors are those of
-// ReadCommand.
+// ReadReply reads a reply. Await must have returned nil before. It returns the same
+// kinds of error as ReadCommand.
 func (c *Conn) ReadReply() (*Reply, error) {
 	r, err := c.readReply()
 	if err != nil {
--- a/internal/gateway/resp/resp.go
+++ b/internal/gateway/resp/resp.go
@@ -53,8 +53,8 @@
 )
 
 // messageReader is a textproto.Reader whose input is the Read method of the messageReader itself.
-// Read returns the byte that waitReadable consumed, if any, and then bytes of the connection, at
-// most as many as one message may have. A line without end therefore cannot use unlimited memory.
+// Read returns the byte that waitReadable consumed, if any, and then bytes of the connection, up to
+// maxMessageSize bytes per message. A line without end therefore cannot use unlimited memory.
 type messageReader struct {
 	*textproto.Reader
 	conn        net.Conn
