--- a/internal/control/countingrule/enforce/canaryrun.go
+++ b/internal/control/countingrule/enforce/canaryrun.go
@@ -6,6 +6,7 @@
 	"harrierhoist/internal/control/countingrule"
 	"harrierhoist/internal/control/countingrule/canary"
 	"harrierhoist/internal/gateway/dispatch"
+	"harrierhoist/policy"
 )
 
 // canaryRun is the shadow evaluation that this process does for a canary. It is guarded by
@@ -98,3 +99,19 @@
 		c.shadow.Report(add)
 	}
 }
+
+// sendCanaryCalls sends the canary's calls to the counter. Answers that arrive after the end of the
+// canary cause no further calls. mu must be held.
+func (e *Enforcer) sendCanaryCalls(calls []canary.Call) {
+	shadow := e.canary.shadow
+	for _, call := range calls {
+		e.dispatcher.CallCounter(call.Name, call.Units, call.TTL, func(count float64, outcome policy.Outcome) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			followUps := shadow.HandleCount(e.dispatcher.Now(), call.ID, count, outcome == policy.Answered)
+			if shadow == e.canary.shadow {
+				e.sendCanaryCalls(followUps)
+			}
+		})
+	}
+}
--- a/internal/control/countingrule/enforce/enforcer.go
+++ b/internal/control/countingrule/enforce/enforcer.go
@@ -12,7 +12,6 @@
 	"go.uber.org/zap"
 
 	"harrierhoist/internal/control/countingrule"
-	"harrierhoist/internal/control/countingrule/canary"
 	"harrierhoist/internal/coordination"
 	"harrierhoist/internal/gateway/dispatch"
 	"harrierhoist/policy"
@@ -236,19 +235,3 @@
 		admission: e.admission,
 	}, reserved)
 }
-
-// sendCanaryCalls sends the canary's calls to the counter. Answers that arrive after the end of the
-// canary cause no further calls. mu must be held.
-func (e *Enforcer) sendCanaryCalls(calls []canary.Call) {
-	shadow := e.canary.shadow
-	for _, call := range calls {
-		e.dispatcher.CallCounter(call.Name, call.Units, call.TTL, func(count float64, outcome policy.Outcome) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			followUps := shadow.HandleCount(e.dispatcher.Now(), call.ID, count, outcome == policy.Answered)
-			if shadow == e.canary.shadow {
-				e.sendCanaryCalls(followUps)
-			}
-		})
-	}
-}
--- a/internal/gateway/upstream/subset/subset.go
+++ b/internal/gateway/upstream/subset/subset.go
@@ -13,8 +13,6 @@
 package subset
 
 import (
-	"cmp"
-	"encoding/binary"
 	"math"
 	"slices"
 	"time"
@@ -56,9 +54,6 @@
 // spread evenly over the interval from 0 to 1, and so are those of every n-th multiple.
 const goldenRatio = 0.6180339887498949
 
-// rackBits is the number of bits for the rack number in the input of rackHash.
-const rackBits = 32
-
 // Candidate is a server of the endpoint list.
 type Candidate struct {
 	NameHash uint64 // HashName of the server's name; the same at all gateways
@@ -237,17 +232,3 @@
 	}
 	return arc
 }
-
-// compareInRing defines the order of a zone's ring: by hash of the rack, then by hash of the name.
-func compareInRing(a, b Candidate) int {
-	return cmp.Or(
-		cmp.Compare(rackHash(a), rackHash(b)),
-		cmp.Compare(a.Rack, b.Rack),
-		cmp.Compare(a.NameHash, b.NameHash),
-	)
-}
-
-func rackHash(candidate Candidate) uint64 {
-	rack := uint64(candidate.Zone)<<rackBits | uint64(uint32(candidate.Rack))
-	return xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, rack))
-}
